--- a/fawnwharf/accord/messages.py
+++ b/fawnwharf/accord/messages.py
@@ -76,33 +76,33 @@
 # --- what is said ---------------------------------------------------------------------------
 
 
-class _Said(Struct, frozen=True, tag=True):
+class _Said(Struct, frozen=True):
     sender: Identity
     to: Identity
     term: Number
 
 
-class PreVote(_Said, frozen=True):
+class PreVote(_Said, frozen=True, tag="PreVote"):
     """Would I be voted for in this term? Nobody's state changes by the question or the answer."""
 
     last_index: Number
     last_term: Number
 
 
-class PreVoted(_Said, frozen=True):
+class PreVoted(_Said, frozen=True, tag="PreVoted"):
     granted: bool
 
 
-class Vote(_Said, frozen=True):
+class Vote(_Said, frozen=True, tag="Vote"):
     last_index: Number
     last_term: Number
 
 
-class Voted(_Said, frozen=True):
+class Voted(_Said, frozen=True, tag="Voted"):
     granted: bool
 
 
-class Append(_Said, frozen=True):
+class Append(_Said, frozen=True, tag="Append"):
     """The leader's decisions after one that both should have; without any it is a sign of life."""
 
     before_index: Number
@@ -112,14 +112,14 @@
     sent_ms: float
 
 
-class Install(_Said, frozen=True):
+class Install(_Said, frozen=True, tag="Install"):
     """The leader's base, for one that lacks what is folded into it."""
 
     base: Base
     sent_ms: float
 
 
-class Appended(_Said, frozen=True):
+class Appended(_Said, frozen=True, tag="Appended"):
     good: bool
     match: Number  # both agree up to here; where not good, a guess at the last that the follower has
     sent_ms: float  # as in what is answered
--- a/fawnwharf/durable/ops.py
+++ b/fawnwharf/durable/ops.py
@@ -8,33 +8,33 @@
 from msgspec import Struct
 
 
-class Begin(Struct, frozen=True, tag=True):
+class Begin(Struct, frozen=True, tag="Begin"):
     """A new, empty file of this name; one that was there is emptied."""
 
     name: str
 
 
-class Append(Struct, frozen=True, tag=True):
+class Append(Struct, frozen=True, tag="Append"):
     name: str
     data: bytes
 
 
-class Sync(Struct, frozen=True, tag=True):
+class Sync(Struct, frozen=True, tag="Sync"):
     """What was appended to it is on disk; whether the folder has its name is another matter."""
 
     name: str
 
 
-class Rename(Struct, frozen=True, tag=True):
+class Rename(Struct, frozen=True, tag="Rename"):
     old: str
     new: str
 
 
-class SyncFolder(Struct, frozen=True, tag=True):
+class SyncFolder(Struct, frozen=True, tag="SyncFolder"):
     """Names and removals are on disk."""
 
 
-class Remove(Struct, frozen=True, tag=True):
+class Remove(Struct, frozen=True, tag="Remove"):
     """Nothing is asked of a file that is not there."""
 
     name: str
--- a/fawnwharf/epochs/messages.py
+++ b/fawnwharf/epochs/messages.py
@@ -22,11 +22,11 @@
 Held = Annotated[int, Meta(ge=-1, lt=2**53)]  # an epoch's number; -1: none
 
 
-class _Said(Struct, frozen=True, tag=True):
+class _Said(Struct, frozen=True):
     pass
 
 
-class Propose(_Said, frozen=True):
+class Propose(_Said, frozen=True, tag="Propose"):
     """An operator's proposal, from the front end where it was made to the leader's coordinator.
 
     `wish` is its number there: a repeat has the same number. `term` is the term that it is meant for.
@@ -37,7 +37,7 @@
     term: Number = 0
 
 
-class Back(_Said, frozen=True):
+class Back(_Said, frozen=True, tag="Back"):
     """An operator's request to go from this decided number back to the one before it, as a new change."""
 
     number: Number
@@ -45,7 +45,7 @@
     term: Number = 0
 
 
-class CallOff(_Said, frozen=True):
+class CallOff(_Said, frozen=True, tag="CallOff"):
     """An operator's request to end the proposal with this number; 0 stands for any."""
 
     why: Line = ""
@@ -54,7 +54,7 @@
     term: Number = 0
 
 
-class Prepare(_Said, frozen=True):
+class Prepare(_Said, frozen=True, tag="Prepare"):
     """Asks whether a member can go by this document, which is in force nowhere and may never be."""
 
     term: Number
@@ -63,7 +63,7 @@
     text: Text
 
 
-class Vote(_Said, frozen=True):
+class Vote(_Said, frozen=True, tag="Vote"):
     """Yes, or no with key and cause. A yes is of one incarnation: the next one knows nothing of it."""
 
     life: Number
@@ -73,7 +73,7 @@
     fault: Line = ""
 
 
-class Abort(_Said, frozen=True):
+class Abort(_Said, frozen=True, tag="Abort"):
     """The proposal was not decided, and will not be: forget it."""
 
     term: Number
@@ -82,13 +82,13 @@
     why: Line = ""
 
 
-class Decided(_Said, frozen=True):
+class Decided(_Said, frozen=True, tag="Decided"):
     """The log's register; as good from any member as from the leader, since a number is decided once."""
 
     register: Annotated[str, Meta(max_length=64 * 1024)]
 
 
-class Status(_Said, frozen=True):
+class Status(_Said, frozen=True, tag="Status"):
     """A holder's heartbeat and its question for a lease, which counts from `sent_ms`.
 
     What it knows to be decided binds it: it takes no lease of an earlier number any more.
@@ -100,7 +100,7 @@
     granted: Held  # the last for which it had a lease in this life: that one has been in force
 
 
-class Changed(_Said, frozen=True):
+class Changed(_Said, frozen=True, tag="Changed"):
     """A holder does not act by anything before this number any more; also a question for a lease."""
 
     life: Number
@@ -109,7 +109,7 @@
     granted: Held = -1
 
 
-class Grant(_Said, frozen=True):
+class Grant(_Said, frozen=True, tag="Grant"):
     """The answer to one Status or Changed: a lease for an epoch, or none where `lease_ms` is 0."""
 
     term: Number
--- a/fawnwharf/recovery/asking.py
+++ b/fawnwharf/recovery/asking.py
@@ -82,7 +82,7 @@
 }
 
 
-class Ask(Struct, frozen=True, tag=True):
+class Ask(Struct, frozen=True, tag="Ask"):
     """A question.
 
     `life` and `turn` come back with the answer: what an earlier incarnation asked is not answered to this
@@ -95,7 +95,7 @@
     what: Annotated[int, Meta(ge=0, le=4)]
 
 
-class Answer(Struct, frozen=True, tag=True):
+class Answer(Struct, frozen=True, tag="Answer"):
     """The answer; `number` and `digest` are of the file of members, of the last plan, or of the roster."""
 
     fleet: Name
--- a/fawnwharf/rejoin/words.py
+++ b/fawnwharf/rejoin/words.py
@@ -19,7 +19,7 @@
 Text = Annotated[str, Meta(max_length=300)]
 
 
-class Boot(Struct, frozen=True, tag=True):
+class Boot(Struct, frozen=True, tag="Boot"):
     """Which life this is, in which boot of its machine, and how far its folder had come."""
 
     life: Number
@@ -27,7 +27,7 @@
     sign: Sign
 
 
-class Known(Struct, frozen=True, tag=True):
+class Known(Struct, frozen=True, tag="Known"):
     """A voter's word to one that started anew: so far its folder had come by an earlier word of its own."""
 
     life: Number  # of the one that is told
@@ -45,7 +45,7 @@
         return self.good / self.all if self.all else 1.0
 
 
-class Standing(Struct, frozen=True, tag=True):
+class Standing(Struct, frozen=True, tag="Standing"):
     """How a front end stands, for whoever leads."""
 
     life: Number
@@ -59,7 +59,7 @@
     gave: bool = False  # it gave out loads or calls lately, and by no stage: alone, or through others' cut
 
 
-class Told(Struct, frozen=True, tag=True):
+class Told(Struct, frozen=True, tag="Told"):
     """The leader's word, under its lease, that this is the last register. `at_ms` is of its own clock: two
     words of one life tell by how much the later one came late."""
 
