--- /dev/null
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -0,0 +1,151 @@
+"""Boundaries of the program: what is decoded and encoded there, and by which functions of the program.
+
+An entry of the corpus has the id `<boundary>/<form>`; `BOUNDARIES` maps the boundary's name to the program's
+own decoder and encoder. Classes are referenced by import, so that a renamed class is followed here.
+"""
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
+
+from fawnwharf import config
+from fawnwharf.accord import disk as voter_disk
+from fawnwharf.accord import messages as consensus
+from fawnwharf.durable import form, ops
+from fawnwharf.epochs import keeping as policy_file
+from fawnwharf.epochs import messages as policy
+from fawnwharf.epochs import settings as policy_settings
+from fawnwharf.foresight import memory as prefetch_memory
+from fawnwharf.foresight import ways
+from fawnwharf.handover import messages as migrations
+from fawnwharf.operators import handover as successor
+from fawnwharf.operators import memory as beliefs
+from fawnwharf.recovery import register as recovery_register
+from fawnwharf.rejoin import given_words, hints, kept
+from fawnwharf.rejoin import words as recovery_words
+from fawnwharf.replication import claims
+from fawnwharf.replication import disk as keeper_disk
+from fawnwharf.replication import messages as state
+from fawnwharf.sessions import left, staging
+from fawnwharf.sessions import settings as session_settings
+from fawnwharf.sessions import words as session_words
+from fawnwharf.zones import judge, lines, links, plan
+from fawnwharf.zones import settings as zone_settings
+
+CORPUS = Path(__file__).parent / "corpus"
+
+
+class Boundary(NamedTuple):
+    """One root type at one boundary.
+
+    `through` names the field whose union members have an entry each; `binary` marks msgpack, stored as hex.
+    """
+
+    kind: Any
+    decode: Callable[[bytes], Any]
+    encode: Callable[[Any], bytes]
+    through: str = ""
+    binary: bool = False
+    strict: bool = False  # unknown keys are refused
+
+
+def on_line(value: Any) -> bytes:
+    """Encode a value as it goes into a line of a log: as builtins, by the logs' encoder."""
+    return links.encoder.encode(msgspec.to_builtins(value))
+
+
+def line(kind: Any, read: Callable[[Any], Any], through: str = "") -> Boundary:
+    """A part of a line, which is decoded before `read` converts it."""
+    return Boundary(kind, lambda data: read(msgspec.json.decode(data)), on_line, through)
+
+
+def file(kind: Any) -> Boundary:
+    """A record or file of JSON."""
+    return Boundary(kind, lambda data: msgspec.json.decode(data, type=kind), msgspec.json.encode)
+
+
+def converted(kind: Any) -> Boundary:
+    """A value in the durable store, which is converted from builtins."""
+    return line(kind, lambda data: msgspec.convert(data, kind))
+
+
+def packed(kind: Any, through: str = "") -> Boundary:
+    """A value of msgpack between processes."""
+    return Boundary(
+        kind, lambda data: msgspec.msgpack.decode(data, type=kind), msgspec.msgpack.encode, through, True
+    )
+
+
+BOUNDARIES: dict[str, Boundary] = {
+    "consensus/message": line(consensus.Message, consensus.message_from),
+    "consensus/label": file(voter_disk.Label),
+    "consensus/saved": file(consensus.Saved),
+    "storage/head": file(form.Head),
+    "storage/group": file(form.Group),
+    "storage/piece": file(form.Piece),
+    "storage/foot": file(form.Foot),
+    "storage/job": packed(ops.Job, "ops"),
+    "storage/outcome": packed(ops.Outcome),
+    "policy/message": line(policy.Message, policy.message_from),
+    "policy/standing": line(policy.Standing, policy.standing_from),
+    "policy/kept": file(policy_file.Kept),
+    "policy/request": Boundary(
+        policy_settings.Said, lambda data: msgspec.json.decode(data, type=policy_settings.Said),
+        msgspec.json.encode, strict=True,
+    ),
+    "prefetch/word": converted(staging.Word),
+    "prefetch/memory": packed(prefetch_memory.Memory),
+    "prefetch/foretold": Boundary(
+        ways.Foretold, lambda data: ways.foretold_from(data)[0], msgspec.json.encode
+    ),
+    "migration/message": converted(migrations.Message),
+    "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
+    "successor/memory": packed(beliefs.Memory),
+    "recovery/register": Boundary(
+        recovery_register.Register, lambda data: recovery_register.register_from(data.decode()),
+        lambda value: value.encode().encode(),
+    ),
+    "recovery/word": line(recovery_words.Word, recovery_words.word_from),
+    "recovery/shown": converted(recovery_words.Shown),
+    "recovery/given": line(given_words.Word, given_words.word_from),
+    "recovery/stamped": file(kept.Stamped),
+    "recovery/claim": converted(claims.Claim),
+    "recovery/scorers": converted(list[hints._Scorer]),
+    "recovery/use": converted(list[hints._Use]),
+    "state/line": line(state.Line, state.line_from, "say"),
+    "state/head": file(keeper_disk.Head),
+    "state/batch": file(keeper_disk.Batch),
+    "sessions/word": line(session_words.Word, session_words.word_from),
+    "sessions/left": file(left._Left),
+    "sessions/stored": converted(left._One),
+    "sessions/wishes": file(session_settings.Wishes),
+    "zones/line": converted(lines.Line),
+    "zones/words": converted(lines.Words),
+    "zones/plan": Boundary(
+        plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
+    ),
+    "zones/report": converted(judge.Report),
+    "zones/wishes": file(zone_settings.Wishes),
+    "zones/members": file(zone_settings.Members),
+    "scorers/fleet": Boundary(
+        config.Fleet, lambda data: config.fleet_from(msgspec.json.decode(data)), msgspec.json.encode
+    ),
+}  # fmt: skip
+
+
+def boundary_of(entry: str) -> str:
+    """The name of the boundary that an entry's id begins with."""
+    return "/".join(entry.split("/")[:2])
+
+
+def entries() -> dict[str, bytes]:
+    """All recorded entries by id, as the bytes that the program wrote."""
+    found: dict[str, bytes] = {}
+    for path in sorted(CORPUS.glob("*.messages")):
+        for text in path.read_text(encoding="utf-8").split("\n")[:-1]:
+            entry, _, value = text.partition(" ")
+            binary = BOUNDARIES[boundary_of(entry)].binary if boundary_of(entry) in BOUNDARIES else False
+            found[entry] = bytes.fromhex(value) if binary else value.encode()
+    return found
--- /dev/null
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -0,0 +1,204 @@
+"""Messages and records recorded by commit 9d9ccab are decoded, and encoded again to the same bytes."""
+
+import importlib
+import json
+import pkgutil
+import re
+import subprocess
+import sys
+from pathlib import Path
+
+import msgspec
+import pytest
+from compatibility_boundaries import BOUNDARIES, boundary_of, entries
+
+import fawnwharf
+from fawnwharf.handover import messages as migrations
+from fawnwharf.recovery import asking, register
+from fawnwharf.rejoin import given_words
+from fawnwharf.replication import claims
+
+ENTRIES = entries()
+APART = ("fawnwharf.lab", "fawnwharf.standins", "fawnwharf.__main__")  # tools, which serve nobody
+
+
+def structs_in(value):
+    """The classes of all messages and records within a decoded value."""
+    found = set()
+    if isinstance(value, msgspec.Struct):
+        found.add(type(value))
+        for name in value.__struct_fields__:
+            found |= structs_in(getattr(value, name))
+    elif isinstance(value, dict):
+        for item in value.values():
+            found |= structs_in(item)
+    elif isinstance(value, list | tuple):
+        for item in value:
+            found |= structs_in(item)
+    return found
+
+
+def structs_of(kind, found):
+    """The classes of all messages and records that a described type may contain."""
+    if isinstance(kind, msgspec.inspect.StructType):
+        if kind.cls in found:
+            return found
+        found.add(kind.cls)
+        for field in kind.fields:
+            structs_of(field.type, found)
+    for name in ("types", "item_types"):
+        for each in getattr(kind, name, ()):
+            structs_of(each, found)
+    for name in ("item_type", "key_type", "value_type"):
+        if (each := getattr(kind, name, None)) is not None:
+            structs_of(each, found)
+    return found
+
+
+def declared():
+    """All message and record classes that the program declares outside its tools."""
+    found = set()
+    for info in pkgutil.walk_packages(fawnwharf.__path__, "fawnwharf."):
+        if info.name.startswith(APART):
+            continue
+        module = importlib.import_module(info.name)
+        for value in vars(module).values():
+            if isinstance(value, type) and issubclass(value, msgspec.Struct):
+                found.add(value)
+    return found
+
+
+def read(name, data):
+    """A value of an entry's raw bytes, without the program's types."""
+    return msgspec.msgpack.decode(data) if BOUNDARIES[name].binary else json.loads(data)
+
+
+def parts_of(value):
+    """All objects (with keys) within decoded JSON or msgpack."""
+    if isinstance(value, dict):
+        yield value
+        for item in value.values():
+            yield from parts_of(item)
+    elif isinstance(value, list):
+        for item in value:
+            yield from parts_of(item)
+
+
+@pytest.mark.parametrize("entry", ENTRIES)
+def test_a_recorded_entry_is_decoded_and_encoded_to_the_same_bytes(entry):
+    """A renamed key, tag or type shows as other bytes, or as a refusal."""
+    boundary = BOUNDARIES[boundary_of(entry)]
+    value = boundary.decode(ENTRIES[entry])
+    assert value is not None
+    assert boundary.encode(value) == ENTRIES[entry]
+
+
+@pytest.mark.parametrize("entry", ENTRIES)
+def test_an_unknown_key_changes_nothing_and_takes_nothing_away(entry):
+    """Unknown keys are dropped or refused as before, and nothing else is dropped with them."""
+    boundary = BOUNDARIES[boundary_of(entry)]
+    raw = read(boundary_of(entry), ENTRIES[entry])
+    if not isinstance(raw, dict):
+        return  # an array has no keys
+    raw["a key of a later version"] = 1
+    data = msgspec.msgpack.encode(raw) if boundary.binary else msgspec.json.encode(raw)
+    if boundary.strict:
+        with pytest.raises(msgspec.ValidationError, match="a key of a later version"):
+            boundary.decode(data)
+    else:
+        assert boundary.encode(boundary.decode(data)) == ENTRIES[entry]
+
+
+@pytest.mark.parametrize("entry", [entry for entry in ENTRIES if entry.endswith("/full")])
+def test_a_full_entry_has_every_field_of_its_classes_at_a_value_of_its_own(entry):
+    """No field of the root is at its default, which a decoder that ignores the key would give as well."""
+    boundary = BOUNDARIES[boundary_of(entry)]
+    value = boundary.decode(ENTRIES[entry])
+    values = value if isinstance(value, list | tuple) else [value]
+    for one in values:
+        for field in msgspec.structs.fields(one):
+            if field.default is msgspec.NODEFAULT or field.encode_name == "version":
+                continue
+            if field.encode_name == "recovery" and boundary_of(entry) == "recovery/register":
+                continue  # the version, which has one value
+            assert getattr(one, field.name) != field.default, field.name
+
+
+def test_each_boundary_has_entries_and_each_entry_has_a_boundary():
+    """Each form has a full and a minimal entry."""
+    named = {boundary_of(entry) for entry in ENTRIES}
+    assert named == set(BOUNDARIES)
+    forms = {entry.rpartition("/")[0] for entry in ENTRIES}
+    assert {f"{form}/{which}" for form in forms for which in ("full", "minimal")} == set(ENTRIES)
+
+
+def test_each_class_that_a_boundary_may_carry_occurs_in_its_entries():
+    """Nested classes, too."""
+    for name, boundary in BOUNDARIES.items():
+        may = structs_of(msgspec.inspect.type_info(boundary.kind), set())
+        met = set()
+        for entry, data in ENTRIES.items():
+            if boundary_of(entry) == name:
+                met |= structs_in(boundary.decode(data))
+        assert may == met, name
+
+
+def test_each_tagged_class_of_the_program_has_an_entry():
+    """Whatever union it belongs to."""
+    tagged = {each for each in declared() if each.__struct_config__.tag is not None}
+    met = set()
+    for entry, data in ENTRIES.items():
+        met |= structs_in(BOUNDARIES[boundary_of(entry)].decode(data))
+    assert len(tagged) > 70
+    assert {each.__qualname__ for each in tagged - met} == set()
+
+
+def test_no_tag_is_taken_from_a_class_name():
+    """A tag that is written as text stays when its class is renamed."""
+    root = Path(fawnwharf.__file__).parent
+    found = [
+        str(path.relative_to(root))
+        for path in sorted(root.rglob("*.py"))
+        if re.search(r"\btag=(?![\"'])", path.read_text(encoding="utf-8"))
+    ]
+    assert found == []
+
+
+@pytest.mark.parametrize(
+    "members",
+    [
+        [claims.Phase.CLEAR, claims.Phase.ANSWERED, claims.Phase.FAILED, claims.Phase.TAKEN],
+        [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
+        [given_words.What.NOT, given_words.What.MADE, given_words.What.STANDS, given_words.What.FAILED],
+        [asking.What.MEMBERS, asking.What.PLAN, asking.What.PROMISES, asking.What.ROSTER, asking.What.USE],
+        [
+            register.Stage.LISTENING,
+            register.Stage.REPEATS,
+            register.Stage.WORTH,
+            register.Stage.REST,
+            register.Stage.RENEWAL,
+            register.Stage.SPILL,
+        ],
+    ],
+)
+def test_numbers_that_stand_for_members_of_enumerations_are_as_recorded(members):
+    """Each member has its place in the list as its number, and there is no further one."""
+    numbers = {member: number for number, member in enumerate(members) if member is not None}
+    assert {member: int(member) for member in type(members[-1])} == numbers
+
+
+def test_the_sampler_adds_nothing_to_a_complete_corpus(tmp_path):
+    """In a process of its own, as the other tests must not depend on the sampler."""
+    code = (
+        "import sys, pathlib, shutil, sample_corpus as s;"
+        "copy = pathlib.Path(sys.argv[1]) / 'corpus';"
+        "shutil.copytree(s.CORPUS, copy, ignore=shutil.ignore_patterns('folders', 'settings'));"
+        "before = {p.name: p.read_bytes() for p in copy.iterdir() if p.is_file()};"
+        "s.CORPUS = copy; s.main([]);"
+        "assert before == {p.name: p.read_bytes() for p in copy.iterdir() if p.is_file()}"
+    )
+    here = str(__file__).rpartition("/")[0]
+    done = subprocess.run(
+        [sys.executable, "-c", code, str(tmp_path)], cwd=here, capture_output=True, text=True
+    )
+    assert done.returncode == 0, done.stderr
