--- /dev/null
+++ b/tests/compatibility/compatibility_folders.py
@@ -0,0 +1,50 @@
+"""Recorded folders, copied for a test; and records of files, read and written without the program."""
+
+import json
+import shutil
+import struct
+import zlib
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+from compatibility_boundaries import CORPUS
+
+FOLDERS = CORPUS / "folders"
+HEAD = struct.Struct(">4sIIQ")  # magic, length, checksum, number: as recorded, whatever the program says
+MAGIC = b"fwv1"
+STORED = ("*.log", "*.seg", "*.snap")
+
+
+def records_of(data: bytes) -> Iterator[tuple[int, Any]]:
+    """Number and content of each record of a file."""
+    at = 0
+    while at < len(data):
+        magic, length, check, number = HEAD.unpack_from(data, at)
+        content = data[at + HEAD.size : at + HEAD.size + length]
+        assert magic == MAGIC and len(content) == length
+        assert check == zlib.crc32(content, zlib.crc32(number.to_bytes(8, "big")))
+        yield number, json.loads(content)
+        at += HEAD.size + length
+
+
+def framed(number: int, value: Any) -> bytes:
+    """A record with this content, as compact JSON."""
+    content = json.dumps(value, separators=(",", ":"), ensure_ascii=False).encode()
+    check = zlib.crc32(content, zlib.crc32(number.to_bytes(8, "big")))
+    return HEAD.pack(MAGIC, len(content), check, number) + content
+
+
+def copied(name: str, place: Path) -> Path:
+    """A copy of a recorded folder; a file that names its own inode names the copy's."""
+    copy = place / name
+    shutil.copytree(FOLDERS / name, copy)
+    for pattern in STORED:
+        for path in copy.rglob(pattern):
+            rows = list(records_of(path.read_bytes()))
+            if "inode" in rows[0][1]:
+                rows[0][1]["inode"] = path.stat().st_ino
+                with open(path, "r+b") as file:  # in place, so that the inode stays
+                    file.write(b"".join(framed(number, value) for number, value in rows))
+                    file.truncate()
+    return copy
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -165,14 +165,17 @@
 class Process:
     """One process of the front end, under an address for operators of its own."""
 
-    def __init__(self, site, env):
+    def __init__(self, site, env, options=()):
         self.site, self.port = site, Port()
         self.errors = tempfile.TemporaryFile(dir=site.folder)  # noqa: SIM115
         env = {**os.environ, **env, "ROUTER_CONTROL": self.port.text, "ROUTER_CONFIG": str(site.config)}
         env = {name: value for name, value in env.items() if value is not None}
         self.began, self.ended_s = time.monotonic(), None
         self.child = subprocess.Popen(
-            [sys.executable, "-m", "fawnwharf", "serve"], env=env, stdout=self.errors, stderr=self.errors
+            [sys.executable, "-m", "fawnwharf", "serve", *options],
+            env=env,
+            stdout=self.errors,
+            stderr=self.errors,
         )
 
     @property
@@ -264,9 +267,9 @@
 
     # --- processes ----------------------------------------------------------------------------------
 
-    def begin(self, **env):
+    def begin(self, options=(), **env):
         """Start a process, without waiting for it."""
-        self.processes.append(Process(self, {"TMPDIR": str(self.place.folder)} | env))
+        self.processes.append(Process(self, {"TMPDIR": str(self.place.folder)} | env, options))
         return self.processes[-1]
 
     def start(self, **env):
