--- /dev/null
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -0,0 +1,197 @@
+"""Files with all keys set are taken as by commit 9d9ccab, and faulty ones refused by its texts."""
+
+import json
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
+import pytest
+from compatibility_boundaries import CORPUS
+
+from fawnwharf import config
+from fawnwharf import interface as io
+from fawnwharf.epochs import document as policy_document
+from fawnwharf.epochs import settings as policy
+from fawnwharf.foresight import settings as prefetch
+from fawnwharf.rejoin import settings as recovery
+from fawnwharf.replication import settings as state
+from fawnwharf.sessions import settings as sessions
+from fawnwharf.zones import settings as zones
+from fawnwharf.zones.files import load
+
+SETTINGS = CORPUS / "settings"
+ERRORS = json.loads((SETTINGS / "errors.json").read_text(encoding="utf-8"))
+SITES = {"a", "b", "c"}
+
+
+class Kind(NamedTuple):
+    """How a kind of file is read from bytes, and the class that its keys are declared by, if it is one."""
+
+    read: Callable[[bytes], Any]
+    declared: Any = None
+
+
+def deployed(data: bytes) -> config.Deployment:
+    """A configuration, from bytes and without an environment."""
+    return config.deployment_from(msgspec.json.decode(data), {})
+
+
+KINDS = {
+    "deployment": Kind(deployed),
+    "zones-members": Kind(zones.members_from, zones.Members),
+    "zones-settings": Kind(zones.settings_from, zones.Settings),
+    "zones-wishes": Kind(lambda data: zones.wishes_from(data, SITES), zones.Wishes),
+    "state": Kind(state.settings_from, state.Settings),
+    "recovery": Kind(recovery.settings_from, recovery.Settings),
+    "sessions": Kind(sessions.settings_from, sessions.Settings),
+    "sessions-foresight": Kind(prefetch.foresight_from),
+    "sessions-wishes": Kind(lambda data: sessions.wishes_from(data, SITES), sessions.Wishes),
+    "policy-settings": Kind(policy.settings_from, policy.Settings),
+    "policy-request": Kind(policy.said_from, policy.Said),
+    "policy-document": Kind(policy_document.document_from),
+}
+
+
+def raw(kind: str) -> Any:
+    """A recorded file, without the program's types."""
+    name = "sessions" if kind == "sessions-foresight" else kind
+    return json.loads((SETTINGS / f"{name}.json").read_text(encoding="utf-8"))
+
+
+def defaults_in(value: Any, place: str = "") -> list[str]:
+    """Fields of a value, and of those within, that are at their defaults."""
+    found = []
+    for field in msgspec.structs.fields(value) if isinstance(value, msgspec.Struct) else ():
+        held, key = getattr(value, field.name), f"{place}.{field.encode_name}"
+        factory = field.default_factory
+        default = factory() if factory is not msgspec.NODEFAULT else field.default
+        if isinstance(held, msgspec.Struct):
+            found += defaults_in(held, key)
+        elif field.encode_name != "version" and held == default:
+            found.append(key)
+    return found
+
+
+@pytest.mark.parametrize("kind", [kind for kind, each in KINDS.items() if each.declared])
+def test_every_key_of_a_file_arrives_under_its_name(kind):
+    """All keys of the class are in the file, none is at its default, and all values are the file's."""
+    data = raw(kind)
+    found = KINDS[kind].read(msgspec.json.encode(data))
+    assert type(found) is KINDS[kind].declared
+    assert json.loads(msgspec.json.encode(found)) == data
+    allowed = [".call_off", ".back"] if kind == "policy-request" else []
+    assert defaults_in(found) == allowed  # exactly one of the three keys may be there
+
+
+@pytest.mark.parametrize("key, value", [("call_off", "why not"), ("back", True)])
+def test_the_other_requests_on_policy_are_read(key, value):
+    """As the command line writes them."""
+    found = policy.said_from(msgspec.json.encode({"version": 1, "number": 2, key: value}))
+    assert {"call_off": found.call_off, "back": found.back}[key] == value
+
+
+def test_the_prefetcher_s_part_of_the_sessions_file_arrives():
+    """All its keys, none at its default."""
+    data = raw("sessions")
+    found = prefetch.foresight_from(msgspec.json.encode(data))
+    assert json.loads(msgspec.json.encode(found)) == data["foresight"] and defaults_in(found) == []
+
+
+def test_a_policy_document_arrives_and_is_encoded_to_equal_values():
+    """Each path has its value, and the digest by which front ends compare policies is as it was."""
+    data = raw("policy-document")
+    found = policy_document.document_from(msgspec.json.encode(data))
+    assert json.loads(found.encode()) == data
+    assert found.number == 7 and len(found.values) == len(policy_document.KEYS)
+    assert found.digest == ERRORS["policy-document"]["digest"]
+    assert found.value("classes", "gold", "give_up_ms") == 900.0 and found.section("modes") == {
+        "gold": "before"
+    }
+
+
+def test_every_key_of_a_deployment_arrives():
+    """The file has all keys that are declared, and each value is where the program looks for it."""
+    data = raw("deployment")
+    read = msgspec.convert(data, config._Deployment)
+    assert json.loads(msgspec.json.encode(read)) == data and defaults_in(read) == []
+    found = deployed(msgspec.json.encode(data))
+    gold = io.ClassSpec("gold", 300.0, 900.0, io.Effect.KEYED, io.Group.ZONE, 6000.0, 2.5, 0.25)
+    assert found.settings == io.Settings(
+        {"gold": gold}, {"acme": 200.0}, 4, "z1", 2.5, True, False, False, False, 3, 1500.0, 11000.0, True,
+        1200.0, 4.5, 0.125, 10250.0, 0.25, 1100.0, 2.25,
+    )  # fmt: skip
+    assert found.wire == config.Wire(275.0, 16500.0, 33, 20001, 10500.0, True, 0.01, frozenset({"acme"}))
+    assert found.costs == config.Costs(0.02, 0.03, 0.04, 0.0625)
+    assert (found.name, found.seed, found.memory_mb, found.sockets) == ("fe-7", 31, 256, 2048)
+    assert found.listen == ("127.0.0.1", 7901) and found.changelog == ("127.0.0.1", 7900)
+    assert found.control == ("127.0.0.1", 7902)
+    assert found.known_seq == 3 and found.known_events == data["known"]["results"]
+
+
+def test_variables_of_the_environment_go_before_the_file():
+    """Under the names that they had."""
+    named = {"ROUTER_NAME": "fe-9", "ROUTER_LISTEN": "127.0.0.9:1", "ROUTER_CONTROL": "127.0.0.9:2"}
+    found = config.deployment_from(raw("deployment"), named)
+    assert (found.name, found.listen, found.control) == ("fe-9", ("127.0.0.9", 1), ("127.0.0.9", 2))
+    place = {"ROUTER_CONFIG": str(SETTINGS / "deployment.json")}
+    assert config.load(None, place).name == "fe-7"
+
+
+def test_settings_reach_the_parts_that_go_by_them():
+    """Values that are passed on under other names."""
+    found = recovery.settings_from(msgspec.json.encode(raw("recovery")))
+    stages, data = found.timing.of_stages, raw("recovery")
+    assert (stages.listen_ms, stages.settle_ms) == (data["timing"]["listen_ms"], data["timing"]["settle_ms"])
+    assert (stages.good, stages.slow) == (data["timing"]["good"], data["timing"]["slow"])
+    assert found.pace.of_asking.again_ms == data["pace"]["again_ms"]
+    data = raw("policy-settings")
+    timing = policy.settings_from(msgspec.json.encode(data)).timing
+    assert (timing.lease_ms, timing.renew_ms, timing.skew) == (
+        data["lease_ms"], data["renew_ms"], data["skew"],
+    )  # fmt: skip
+    assert (timing.prepare_ms, timing.again_ms) == (data["prepare_ms"], data["again_ms"])
+
+
+def changed(kind: str, change: list[Any]) -> Any:
+    """A recorded file with one change: a key that is renamed, or a value that is another one."""
+    what, path, value = change
+    data = place = raw(kind)
+    for key in path[:-1]:
+        place = place[key]
+    if what == "misspelt":
+        place[value] = place.pop(path[-1])
+    else:
+        place[path[-1]] = value
+    return data
+
+
+def told(kind: str, data: Any, folder: Path) -> str:
+    """The text by which a file is refused as a start reads it; empty where it is taken."""
+    path = folder / "file.json"
+    path.write_text(json.dumps(data), encoding="utf-8")
+    try:
+        if kind == "deployment":
+            config.load(str(path), {})
+        elif kind == "policy-document":
+            KINDS[kind].read(path.read_bytes())
+        else:
+            load(path, KINDS[kind].read, "option")
+    except (config.ConfigError, policy_document.DocumentError) as error:
+        return str(error).replace(str(folder), "FOLDER")
+    return ""
+
+
+@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("number", [0, 1])
+def test_a_faulty_file_is_refused_by_the_recorded_text(kind, number, tmp_path):
+    """One key is misspelt, or one value of a wrong type; a misspelt key that is none today stays so."""
+    case = ERRORS[kind]["cases"][number]
+    assert told(kind, changed(kind, case["change"]), tmp_path) == case["text"]
+    assert case["change"][0] == ("misspelt", "wrong")[number]
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_a_recorded_file_is_taken_as_a_start_reads_it(kind, tmp_path):
+    """Without any fault."""
+    assert told(kind, raw(kind), tmp_path) == ""
