--- /dev/null
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -0,0 +1,320 @@
+"""Forms that are built by hand: lines of logs, files of commands, traces, framings, and stored names.
+
+The expected texts are those that commit 9d9ccab wrote.
+"""
+
+import json
+import re
+import socket
+
+import msgspec
+import pytest
+from typer.testing import CliRunner
+
+from fawnwharf.accord import disk as voter_disk
+from fawnwharf.accord import records
+from fawnwharf.cli import app
+from fawnwharf.durable import folder as durable_folder
+from fawnwharf.durable import form
+from fawnwharf.epochs import keeping
+from fawnwharf.epochs import messages as policy
+from fawnwharf.epochs import service as policy_service
+from fawnwharf.epochs import settings as policy_settings
+from fawnwharf.epochs import trace as policy_trace
+from fawnwharf.epochs.document import Document, register_from
+from fawnwharf.foresight import memory as prefetch_memory
+from fawnwharf.handover import messages as migrations
+from fawnwharf.net import scorer_frames
+from fawnwharf.net.loop import Loop
+from fawnwharf.operators import handover as successor
+from fawnwharf.operators import memory as beliefs
+from fawnwharf.operators.channel import Place
+from fawnwharf.recovery import register as recovery_register
+from fawnwharf.recovery.trust import Clock, Kind
+from fawnwharf.rejoin import joined, kept
+from fawnwharf.rejoin import settings as recovery_settings
+from fawnwharf.rejoin import words as recovery_words
+from fawnwharf.replication import disk as keeper_disk
+from fawnwharf.replication import messages as state
+from fawnwharf.replication import settings as state_settings
+from fawnwharf.replication.claims import Claim, Phase
+from fawnwharf.sessions import foreseen, left
+from fawnwharf.sessions import settings as session_settings
+from fawnwharf.sessions import trace as session_trace
+from fawnwharf.sessions import words as session_words
+from fawnwharf.sites import Home, Session
+from fawnwharf.zones import lines, links, plan
+from fawnwharf.zones import settings as zone_settings
+
+RUNNER = CliRunner()
+SITES = {"a", "b", "c"}
+
+
+class Peer:
+    """A reader of a log server, in the same thread."""
+
+    def __init__(self, loop, address):
+        self.loop, self.sock, self.data = loop, socket.create_connection(address), b""
+        self.sock.setblocking(False)
+
+    def lines(self, count):
+        """The first lines that come; fails where they do not."""
+        for _ in range(2_000):
+            if self.data.count(b"\n") >= count:
+                break
+            self.loop.turn(0.002)
+            try:
+                self.data += self.sock.recv(65_536)
+            except BlockingIOError:
+                continue
+        assert self.data.count(b"\n") >= count, self.data
+        return self.data.split(b"\n")[:-1]
+
+
+@pytest.fixture
+def served():
+    """A log server of life 7 on a loopback port, and its loop."""
+    loop = Loop(lambda now_ms, events: None, lambda text: None)
+    server = links.LogServer(loop, ("127.0.0.1", 0), 7, 8)
+    yield loop, server
+    server.close()
+
+
+def test_a_log_s_lines_have_their_recorded_form(served):
+    """Current lines for a reader that asks since 0, numbered ones for it from then on."""
+    loop, server = served
+    server.write({"plan": 1}, counts_as="plan")
+    server.write({"plan": 2}, counts_as="plan")
+    peer = Peer(loop, server.address)
+    peer.sock.sendall(b"since 0\n")
+    assert peer.lines(1) == [b'{"seq":2,"life":7,"whole":true,"line":{"plan":2}}']
+    server.write({"text": "\u00e9"})
+    assert peer.lines(2)[1] == '{"seq":3,"life":7,"line":{"text":"\u00e9"}}'.encode()
+    later = Peer(loop, server.address)
+    later.sock.sendall(b"since 2\n")
+    assert later.lines(1)[0] == peer.lines(2)[1]
+    peer.sock.close()
+    later.sock.close()
+
+
+def test_an_empty_log_tells_its_number_and_life(served):
+    """Without any line."""
+    loop, server = served
+    peer = Peer(loop, server.address)
+    peer.sock.sendall(b"since 0\n")
+    assert peer.lines(1) == [b'{"seq":0,"life":7,"whole":true}']
+    peer.sock.close()
+
+
+def test_a_follower_takes_recorded_lines():
+    """In order, by life and number; a gap or another life has it ask anew."""
+    told = []
+    loop = Loop(lambda now_ms, events: None, lambda text: None)
+    log = links.MemberLog(loop, ("127.0.0.1", 9), told.append, lambda text: None)
+    rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
+    assert [log.event(json.loads(row)) for row in rows] == [True, True]
+    assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.life) == (3, 7)
+    assert log.event(json.loads('{"seq":5,"life":7,"line":{}}')) is False and log.seq == 0
+
+
+def test_a_member_s_line_has_what_riders_say_and_how_they_stand():
+    """The keys of a status are the riders' names; words name the rider unless it is policy."""
+    word = lines.Word({"type": "Abort"}, ("n1",), lines.RECOVERY)
+    made = [
+        lines.Line("f", "n0", **{lines.POLICY: {"ready": True}}),
+        lines.Line("f", "n0", **{lines.RECOVERY: {"life": 1}}),
+        lines.Line("f", "n0", words=[lines.Word({"type": "Vote"}), word]),
+    ]
+    assert [links.encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
+        '{"fleet":"f","sender":"n0","policy":{"ready":true}}',
+        '{"fleet":"f","sender":"n0","recovery":{"life":1}}',
+        '{"fleet":"f","sender":"n0","words":[{"said":{"type":"Vote"}},'
+        '{"said":{"type":"Abort"},"to":["n1"],"rider":"recovery"}]}',
+    ]
+    found = lines.words_for("n1", msgspec.to_builtins(made[2].words))
+    assert found == {"policy": ({"type": "Vote"},), "recovery": ({"type": "Abort"},)}
+
+
+@pytest.mark.parametrize(
+    "rider, recorded",
+    [
+        (session_words.RIDER, "sessions"),
+        (foreseen.RIDER, "foresight"),
+        (recovery_words.RIDER, "recovery"),
+        (joined.RIDER, "recovery-given"),
+    ],
+)
+def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
+    """Within a whole line."""
+    line = state.Line("f", "n0", 7, ("n1",), state.Ride(rider, {"type": "status"}))
+    data = links.encoder.encode(msgspec.to_builtins(line)).decode()
+    assert data == (
+        '{"fleet":"f","sender":"n0","life":7,"to":["n1"],'
+        f'"say":{{"type":"ride","rider":"{recorded}","word":{{"type":"status"}}}}}}'
+    )
+
+
+def members_file(folder):
+    """A file of three members, and settings of zones and of state that name it."""
+    members = [
+        {"name": f"n{n}", "zone": zone, "address": f"127.0.0.1:{n + 1}", "ballots": f"127.0.0.1:{n + 11}"}
+        | {"state": f"127.0.0.1:{n + 21}"}
+        for n, zone in enumerate("abc")
+    ]
+    data = {"version": 1, "fleet": "f", "number": 1, "members": members}
+    (folder / "members.json").write_text(json.dumps(data), encoding="utf-8")
+    settings = {"version": 1, "members": "members.json", "folder": "kept", "listen": "127.0.0.1:1"}
+    (folder / "zones.json").write_text(json.dumps(settings), encoding="utf-8")
+    (folder / "state.json").write_text(json.dumps(settings), encoding="utf-8")
+    (folder / "sessions.json").write_text('{"version":1}', encoding="utf-8")
+
+
+def numbered(path):
+    """A file's text, with the number that a command drew from the clock as N."""
+    return re.sub(r'("number": ?)\d{9,}', r"\1N", path.read_text(encoding="utf-8"))
+
+
+@pytest.mark.parametrize(
+    "arguments, name, recorded",
+    [
+        (["zones", "drain", "b"], "wishes.json", '{"version": 1, "number": N, "drained": ["b"]}'),
+        (
+            ["policy", "propose", "document.json"],
+            "proposal.json",
+            '{"version": 1, "number": N, "propose": '
+            '{"version": 1, "tenants": {"acme": {"quota_rps": 200.0}}}}',
+        ),
+        (
+            ["policy", "call-off", "--why", "no need"],
+            "proposal.json",
+            '{"version": 1, "number": N, "call_off": "no need"}',
+        ),
+        (["policy", "back"], "proposal.json", '{"version": 1, "number": N, "back": true}'),
+        (
+            ["sessions", "drain", "b"],
+            "moves.json",
+            '{"version":1,"number":N,"moves":[],"drained":["b"]}',
+        ),
+        (
+            ["sessions", "move", "acme", "0011223344556677", "c"],
+            "moves.json",
+            '{"version":1,"number":N,"moves":[{"org":"acme","row":"0011223344556677","site":"c"}],"drained":[]}',
+        ),
+    ],
+)
+def test_a_command_s_file_has_its_recorded_form_and_is_read(arguments, name, recorded, tmp_path, monkeypatch):
+    """Under its recorded name in the folder; nobody answers, so that it is only left there."""
+    members_file(tmp_path)
+    monkeypatch.chdir(tmp_path)
+    (tmp_path / "document.json").write_text(
+        '{"version":1,"tenants":{"acme":{"quota_rps":200}}}', encoding="utf-8"
+    )
+    more = {"zones": ["--zones", "zones.json"], "policy": ["--zones", "zones.json"]}.get(
+        arguments[0], ["--sessions", "sessions.json", "--state", "state.json", "--member", "n0"]
+    )
+    RUNNER.invoke(app, [*arguments, *more, "--wait", "0"])
+    path = tmp_path / "kept" / name
+    assert numbered(path) == recorded
+    read = {
+        "wishes.json": lambda data: zone_settings.wishes_from(data, SITES),
+        "proposal.json": policy_settings.said_from,
+        "moves.json": lambda data: session_settings.wishes_from(data, SITES),
+    }[name]
+    assert read(path.read_bytes()).number > 10**9
+
+
+def test_traces_have_their_recorded_keys(tmp_path):
+    """A line for each call, of policy and of sessions."""
+    trace = policy_trace.Trace(tmp_path / "policy")
+    trace.call("c1", policy.InForce(3, "d1", Document(), "strict"), 1.5, 2.5)
+    trace.flush()
+    trace.close()
+    assert (tmp_path / "policy").read_bytes() == (
+        b'{"call":"c1","number":3,"digest":"d1","how":"strict","taken_ms":1.5,"ended_ms":2.5}\n'
+    )
+    session = Session("acme", "r1")
+    trace = session_trace.Trace(tmp_path / "sessions")
+    trace.taken("c1", Home(session, "b", 4))
+    context = migrations.Context(1.0, 1, (("n0", 5),))
+    trace.received([migrations.Receive(session, migrations.Turn(1, "n0"), 5, 1, 10.0, context)])
+    trace.close()
+    text = re.sub(r'"sent_ms": [0-9.]+', '"sent_ms": T', (tmp_path / "sessions").read_text(encoding="utf-8"))
+    assert text == (
+        '{"call": "c1", "org": "acme", "row": "r1", "number": 4, "site": "b", "sent_ms": T}\n'
+        '{"org": "acme", "row": "r1", "number": 5, "spent": {"n0": 5}}\n'
+    )
+
+
+def test_an_entry_of_the_store_has_its_recorded_form():
+    """Stamped with the clock; a grant is a list that begins with how long it counts."""
+    claim = Claim("n0#7", 1, 2, 100, Phase.TAKEN, "d1", None)
+    data = kept.stamped(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
+    assert data == (
+        b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
+        b'"digest":"d1","answer":null}]]'
+    )
+    assert kept.short("a boot") == "c0978fe8c889" and kept.short("") == ""
+
+
+def test_the_register_of_policy_has_its_recorded_form():
+    """The last document, and the one before it where there is one."""
+    text = '{"policy":1,"last":{"number":2,"spill":{"a":0.5},"version":1},"before":{"number":1,"version":1}}'
+    found = register_from(text)
+    assert (found.last.value("spill", "a"), found.before) == (0.5, Document(1))
+    assert found.encode() == text
+
+
+def test_the_memory_of_a_process_has_its_recorded_framing():
+    """Magic, length and checksum before the msgpack; and its file's name."""
+    data = beliefs.encode(beliefs.Memory(1.5, ["s-1"]))
+    assert data[:6] == b"fwmem\x01" and data[:14].hex() == "66776d656d010000009e64f90acf"
+    assert beliefs.decode(data) == beliefs.Memory(1.5, ["s-1"])
+    place = Place("folder", "fe-1", ("127.0.0.1", 7000))
+    assert (place.socket.name, place.file.name) == ("fw-5b801ba12a0b.sock", "fw-5b801ba12a0b.mem")
+
+
+def test_frames_to_scorers_have_their_recorded_bytes():
+    """One of each code."""
+    id = bytes.fromhex("0011223344556677")
+    frames = [
+        scorer_frames.run(id, "gold", "8899aabbccddeeff", 12.0, "t1", b"body"),
+        scorer_frames.give_up(id),
+        scorer_frames.ensure(id, "8899aabbccddeeff", 2),
+        scorer_frames.unload("8899aabbccddeeff"),
+    ]
+    assert [frame.hex() for frame in frames] == [
+        "8001002d0000000400112233445566776b696e643d676f6c642c6f626a3d383839396161626263636464656566"
+        "662c6d733d31322c746f6b656e3d7431626f64791ccb156d",
+        "8002000000000000001122334455667700000000",
+        "8005001f0000000000112233445566776f626a3d383839396161626263636464656566662c736c6f74735f7570"
+        "3d3287503f5e",
+        "80070000000000008899aabbccddeeff00000000",
+    ]
+
+
+def test_names_and_numbers_that_are_stored_or_sent_are_as_recorded():
+    """Versions, magic numbers, names of files, of kinds of entries and of states."""
+    versions = [
+        voter_disk, form, keeping, policy_settings, prefetch_memory, successor, recovery_register,
+        recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
+    ]  # fmt: skip
+    assert {module.VERSION for module in versions} == {1}
+    assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK) == (b"fwv1", b"fwmem\x01", "durable.lock")
+    assert (form.snap_name(3), form.log_name(4), form.BESIDE) == ("snap-3.snap", "log-4.seg", ".new")
+    assert (form.SNAPSHOT, form.LOG, form.SYNCED, form.SOON, form.HINT) == (
+        "snapshot", "log", "synced", "soon", "hint",
+    )  # fmt: skip
+    assert (policy_service.KEPT_FILE, policy_service.SAID_FILE) == ("policy.json", "proposal.json")
+    assert keeper_disk.NO_MORE == -1 and kept.LAST == "last"
+    assert (kept.START, kept.DOUBT, kept.SURE, kept.TURN) == ("start", "doubt", "sure", "turn")
+    assert {kind: rule.name for kind, rule in kept.RULES.items()} == {
+        Kind.PROMISE: "promise", Kind.PLAN: "plan", Kind.POLICY: "policy", Kind.HOMES: "homes",
+        Kind.ROSTER: "roster", Kind.USE: "use",
+    }  # fmt: skip
+    assert {rule.name: rule.mode for rule in kept.RULES.values()} == {
+        "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
+    }  # fmt: skip
+    assert (plan.SERVING, plan.LEAVING, plan.OUT, plan.RETURNING) == (
+        "serving", "leaving", "out", "returning",
+    )  # fmt: skip
+    assert policy.LEADER == "@leader" and policy.FINAL == ("ended", "refused", "in force")
