--- a/fawnwharf/accord/decided.py
+++ b/fawnwharf/consensus/decided.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from fawnwharf.accord import messages as m
+from fawnwharf.consensus import messages as m
 
 KINDS = ("plan", "policy", "recovery")  # of texts, of each of which the last one says all
 
--- a/fawnwharf/accord/disk.py
+++ b/fawnwharf/consensus/disk.py
@@ -1,6 +1,6 @@
 """What a voter has to find again, on disk: one file of whole records, appended and synced.
 
-The first record (`accord/records.py`) names the fleet, the member and the disk; each later one holds all that
+The first record (`consensus/records.py`) names the fleet, the member and the disk; each later one holds all that
 is to be kept, so that the last whole one says everything. A record that is cut short at the end was never
 answered for and is cut off; damage before a whole record is no such thing, and the file is refused.
 
@@ -21,8 +21,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.accord.messages import Saved
-from fawnwharf.accord.records import MAGIC, OVERHEAD, DiskError, encode, records
+from fawnwharf.consensus.messages import Saved
+from fawnwharf.consensus.records import MAGIC, OVERHEAD, DiskError, encode, records
 from fawnwharf.file_writes import sync_folder, write_all
 
 VERSION = 1
--- a/fawnwharf/accord/voter.py
+++ b/fawnwharf/consensus/voter.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from fawnwharf.accord import messages as m
-from fawnwharf.accord.decided import entry_at, folded, last_of, open_voters, texts
+from fawnwharf.consensus import messages as m
+from fawnwharf.consensus.decided import entry_at, folded, last_of, open_voters, texts
 
 SNAPSHOT_AFTER = 24  # decided entries kept for followers that lag; older ones are folded into the base
 
--- a/fawnwharf/durable/commands.py
+++ b/fawnwharf/durable/commands.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from fawnwharf.accord.records import DiskError
+from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable import form as f
 from fawnwharf.durable import repairs
 from fawnwharf.durable.folder import Folder, lock, unlock
--- a/fawnwharf/durable/core.py
+++ b/fawnwharf/durable/core.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.accord.records import encode
+from fawnwharf.consensus.records import encode
 from fawnwharf.durable import form as f
 from fawnwharf.durable.ops import Append, Begin, Job, Outcome, Remove, Rename, Sync, SyncFolder
 from fawnwharf.durable.reading import Found, Sign
--- a/fawnwharf/durable/crash.py
+++ b/fawnwharf/durable/crash.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from fawnwharf.accord.records import later
+from fawnwharf.consensus.records import later
 from fawnwharf.durable import form as f
 from fawnwharf.durable.ops import Job, Outcome, carry_out
 from fawnwharf.durable.planted import NONE, PLANTED, Bug
--- a/fawnwharf/durable/folder.py
+++ b/fawnwharf/durable/folder.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from fawnwharf.accord.records import DiskError
+from fawnwharf.consensus.records import DiskError
 from fawnwharf.file_writes import sync_folder, write_all
 
 LOCK = "durable.lock"
--- a/fawnwharf/durable/form.py
+++ b/fawnwharf/durable/form.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.accord.records import OVERHEAD, encode
+from fawnwharf.consensus.records import OVERHEAD, encode
 
 VERSION = 1
 SYNCED, SOON, HINT = "synced", "soon", "hint"
--- a/fawnwharf/durable/planted.py
+++ b/fawnwharf/durable/planted.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterator
 from unittest import mock
 
-from fawnwharf.accord import records
+from fawnwharf.consensus import records
 from fawnwharf.durable.core import Core
 from fawnwharf.durable.ops import Job, Rename, Sync, SyncFolder
 
--- a/fawnwharf/durable/reading.py
+++ b/fawnwharf/durable/reading.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.accord.records import later, leading
+from fawnwharf.consensus.records import later, leading
 from fawnwharf.durable import form as f
 
 Content = tuple[bytes, int]  # of a file, and its inode
--- a/fawnwharf/durable/repairs.py
+++ b/fawnwharf/durable/repairs.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from fawnwharf.accord.records import encode, leading
+from fawnwharf.consensus.records import encode, leading
 from fawnwharf.durable import form as f
 from fawnwharf.durable.ops import Append, Begin, Job, Rename, Sync, SyncFolder
 from fawnwharf.durable.reading import Content, Found, Unreadable, read, used
--- a/fawnwharf/durable/store.py
+++ b/fawnwharf/durable/store.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fawnwharf.accord.records import DiskError
+from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable import form as f
 from fawnwharf.durable.core import Core, Refused, Standing
 from fawnwharf.durable.folder import Folder, lock
--- a/fawnwharf/lab/commands.py
+++ b/fawnwharf/lab/commands.py
@@ -314,7 +314,7 @@
 @app.command()
 def explore(states: int = 30_000, plant: str = "") -> None:
     """Search the voters' states for anything that must not be; status 1 where something is found."""
-    from fawnwharf.accord.voter import Voter
+    from fawnwharf.consensus.voter import Voter
     from fawnwharf.lab.explore import Bounds, Explorer
 
     bounds = {
@@ -337,7 +337,7 @@
 @app.command()
 def walk(steps: int = 100_000, seeds: int = 10, first: int = 1) -> None:
     """Random walks of voters in virtual time; status 1 where something breaks."""
-    from fawnwharf.accord.voter import Voter
+    from fawnwharf.consensus.voter import Voter
     from fawnwharf.lab.walk import STORM, Walk
 
     total = 0
--- a/fawnwharf/lab/explore.py
+++ b/fawnwharf/lab/explore.py
@@ -1,6 +1,6 @@
 """Model checker for voters: every interleaving of messages, losses, repeats, time-outs and kills, to a depth.
 
-The voters are the real ones, `fawnwharf.accord.voter.Voter`. Time is modelled in the harshest way: any voter
+The voters are the real ones, `fawnwharf.consensus.voter.Voter`. Time is modelled in the harshest way: any voter
 may time out at any moment, so that what holds here holds for clocks of any skew. Leases, which depend on
 clocks, are for `walk.py`. A kill may cut a list of actions short after any of them: what was saved stays,
 what was to be sent is not.
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, replace
 
-from fawnwharf.accord import messages as m
-from fawnwharf.accord.voter import Role, Timing, Voter, founding
+from fawnwharf.consensus import messages as m
+from fawnwharf.consensus.voter import Role, Timing, Voter, founding
 from fawnwharf.lab.breadth_first import Found, search
 
 TIMING = Timing(beat_ms=1.0, election_ms=1.0, skew=0.0)
--- a/fawnwharf/recovery/register.py
+++ b/fawnwharf/recovery/register.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.accord.messages import VOTERS_MOST, Identity
+from fawnwharf.consensus.messages import VOTERS_MOST, Identity
 
 VERSION = 1
 GIVERS_MOST = 64  # loaders and wardens of the fleet; others of its keepers are none
--- a/fawnwharf/recovery/search.py
+++ b/fawnwharf/recovery/search.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, fields, replace
 from typing import Protocol
 
-from fawnwharf.accord import messages as am
-from fawnwharf.accord.voter import Voter
+from fawnwharf.consensus import messages as am
+from fawnwharf.consensus.voter import Voter
 from fawnwharf.epochs import check, scene
 from fawnwharf.epochs.holder import Holder
 from fawnwharf.epochs.steward import Steward
--- a/fawnwharf/rejoin/onstore.py
+++ b/fawnwharf/rejoin/onstore.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from fawnwharf.accord.records import DiskError
 from fawnwharf.config import ConfigError, Deployment, Fleet
+from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable import form as f
 from fawnwharf.durable.core import Refused
 from fawnwharf.durable.reading import Found, Sign, older
--- a/fawnwharf/rejoin/service.py
+++ b/fawnwharf/rejoin/service.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.accord.decided import last_put
 from fawnwharf.config import Deployment, Fleet
+from fawnwharf.consensus.decided import last_put
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.wheel import Timer, monotonic_ms
 from fawnwharf.recovery.asking import Stand, What
--- a/fawnwharf/rejoin/words.py
+++ b/fawnwharf/rejoin/words.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.accord.messages import DATA_MOST
+from fawnwharf.consensus.messages import DATA_MOST
 from fawnwharf.durable.reading import Sign
 from fawnwharf.recovery.asking import Answer, Ask, Number
 from fawnwharf.zones.settings import Name
--- a/fawnwharf/replication/disk.py
+++ b/fawnwharf/replication/disk.py
@@ -17,8 +17,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.accord.disk import DiskError
-from fawnwharf.accord.records import encode, records
+from fawnwharf.consensus.disk import DiskError
+from fawnwharf.consensus.records import encode, records
 from fawnwharf.replication.claims import Claim, Key
 
 VERSION = 1
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.accord.disk import DiskError
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
+from fawnwharf.consensus.disk import DiskError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.wheel import Timer, monotonic_ms
 from fawnwharf.replication import messages as m
--- a/fawnwharf/zones/founding.py
+++ b/fawnwharf/zones/founding.py
@@ -2,9 +2,9 @@
 
 from pathlib import Path
 
-from fawnwharf.accord.disk import Disk, DiskError
-from fawnwharf.accord.voter import founding
 from fawnwharf.config import ConfigError
+from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.voter import founding
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.files import load
 
--- a/fawnwharf/zones/lines.py
+++ b/fawnwharf/zones/lines.py
@@ -6,7 +6,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.accord import messages as m
+from fawnwharf.consensus import messages as m
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.judge import Report
 from fawnwharf.zones.plan import Plan
--- a/fawnwharf/zones/member.py
+++ b/fawnwharf/zones/member.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from fawnwharf.accord import messages as m
-from fawnwharf.accord.voter import Timing, Voter
+from fawnwharf.consensus import messages as m
+from fawnwharf.consensus.voter import Timing, Voter
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import Seen
 from fawnwharf.zones.judge import Judge, Report
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.accord.disk import Disk, DiskError
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
+from fawnwharf.consensus.disk import Disk, DiskError
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from fawnwharf import config
-from fawnwharf.accord import disk as voter_disk
-from fawnwharf.accord import messages as consensus
+from fawnwharf.consensus import disk as voter_disk
+from fawnwharf.consensus import messages as consensus
 from fawnwharf.durable import form, ops
 from fawnwharf.epochs import keeping as policy_file
 from fawnwharf.epochs import messages as policy
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -16,8 +16,8 @@
 from compatibility_folders import FOLDERS
 from compatibility_process import FILES, Front
 
-from fawnwharf.accord import messages as consensus
-from fawnwharf.accord.disk import Disk
+from fawnwharf.consensus import messages as consensus
+from fawnwharf.consensus.disk import Disk
 from fawnwharf.durable import form
 from fawnwharf.durable.store import open_folder
 from fawnwharf.epochs import keeping
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -6,9 +6,9 @@
 import pytest
 from compatibility_folders import FOLDERS, copied, framed, records_of
 
-from fawnwharf.accord import messages as consensus
-from fawnwharf.accord import records
-from fawnwharf.accord.disk import Disk, DiskError
+from fawnwharf.consensus import messages as consensus
+from fawnwharf.consensus import records
+from fawnwharf.consensus.disk import Disk, DiskError
 from fawnwharf.durable import form
 from fawnwharf.durable.store import open_folder
 from fawnwharf.epochs import keeping
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -11,9 +11,9 @@
 import pytest
 from typer.testing import CliRunner
 
-from fawnwharf.accord import disk as voter_disk
-from fawnwharf.accord import records
 from fawnwharf.cli import app
+from fawnwharf.consensus import disk as voter_disk
+from fawnwharf.consensus import records
 from fawnwharf.durable import folder as durable_folder
 from fawnwharf.durable import form
 from fawnwharf.epochs import keeping
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -5,7 +5,7 @@
 import msgspec
 from cores import RULES, Cores
 
-from fawnwharf.accord.records import DiskError
+from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable import store as stores
 from fawnwharf.durable.form import Limits
 from fawnwharf.durable.ops import carry_out
--- a/tests/test_accord_disk.py
+++ b/tests/test_accord_disk.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from fawnwharf.accord import disk as disks
-from fawnwharf.accord import messages as m
-from fawnwharf.accord.disk import Disk, DiskError
+from fawnwharf.consensus import disk as disks
+from fawnwharf.consensus import messages as m
+from fawnwharf.consensus.disk import Disk, DiskError
 
 
 def saved(term):
--- a/tests/test_accord_search.py
+++ b/tests/test_accord_search.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from fawnwharf.accord import messages as m
-from fawnwharf.accord.voter import Voter
+from fawnwharf.consensus import messages as m
+from fawnwharf.consensus.voter import Voter
 from fawnwharf.lab.explore import Bounds, Explorer
 from fawnwharf.lab.walk import STORM, Walk
 
--- a/tests/test_disk_faults_voter.py
+++ b/tests/test_disk_faults_voter.py
@@ -8,9 +8,9 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.accord import disk as disks
-from fawnwharf.accord import messages as m
-from fawnwharf.accord.disk import Disk, DiskError
+from fawnwharf.consensus import disk as disks
+from fawnwharf.consensus import messages as m
+from fawnwharf.consensus.disk import Disk, DiskError
 
 SAVES = 8
 REWRITE_BYTES = 900  # a few saves: a run writes its file anew twice
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -11,9 +11,9 @@
 import pytest
 from typer.testing import CliRunner
 
-from fawnwharf.accord.disk import DiskError
-from fawnwharf.accord.records import leading
 from fawnwharf.cli import app
+from fawnwharf.consensus.disk import DiskError
+from fawnwharf.consensus.records import leading
 from fawnwharf.durable import folder
 from fawnwharf.durable import form as f
 from fawnwharf.durable.reading import Sign
--- a/tests/test_epochs_voters.py
+++ b/tests/test_epochs_voters.py
@@ -1,8 +1,8 @@
 """Stewards at real voters: what an owner has to do with both, in steps of virtual time."""
 
-from fawnwharf.accord import messages as a
-from fawnwharf.accord.voter import Timing as Voting
-from fawnwharf.accord.voter import Voter, founding
+from fawnwharf.consensus import messages as a
+from fawnwharf.consensus.voter import Timing as Voting
+from fawnwharf.consensus.voter import Voter, founding
 from fawnwharf.epochs import messages as m
 from fawnwharf.epochs.document import register_from
 from fawnwharf.epochs.holder import Holder
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -174,7 +174,7 @@
 def test_plain_serving_imports_nothing_of_zones_or_state():
     code = (
         "import sys; import fawnwharf.serving; "
-        "off = ('fawnwharf.zones', 'fawnwharf.accord', 'fawnwharf.replication', "
+        "off = ('fawnwharf.zones', 'fawnwharf.consensus', 'fawnwharf.replication', "
         "'fawnwharf.durable', 'fawnwharf.epochs', 'fawnwharf.lab', 'fawnwharf.standins', 'structlog'); "
         "print([n for n in sys.modules if n.startswith(off)])"
     )
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from fawnwharf.accord import messages as am
-from fawnwharf.accord.voter import Voter
+from fawnwharf.consensus import messages as am
+from fawnwharf.consensus.voter import Voter
 from fawnwharf.epochs.holder import Holder
 from fawnwharf.epochs.steward import Steward
 from fawnwharf.recovery import trust as t
--- a/tests/test_rejoin_disks.py
+++ b/tests/test_rejoin_disks.py
@@ -12,7 +12,7 @@
 import pytest
 from support.power_losses import PowerFleet
 
-from fawnwharf.accord.records import leading
+from fawnwharf.consensus.records import leading
 from fawnwharf.durable import form as f
 
 TIMING = {"hold_ms": 100.0, "listen_ms": 1_000.0, "most_ms": 300.0, "settle_ms": 100.0}
--- a/tests/test_replication_faults.py
+++ b/tests/test_replication_faults.py
@@ -5,7 +5,7 @@
 import pytest
 from cores import Cores
 
-from fawnwharf.accord.disk import DiskError
+from fawnwharf.consensus.disk import DiskError
 from fawnwharf.lab.promises import STORM, Walk, Weather
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claimant import Go
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -7,8 +7,8 @@
 import pytest
 from support.zone_files import DEAD, GOOD, members, members_data, settings
 
-from fawnwharf.accord.messages import Saved
-from fawnwharf.accord.voter import founding
+from fawnwharf.consensus.messages import Saved
+from fawnwharf.consensus.voter import founding
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.lines import Heard, Ruled, Word
