--- a/fawnwharf/lab/scenario.py
+++ b/fawnwharf/lab/scenario.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.epochs.document import DocumentError, document_of
+from fawnwharf.policy_rollout.document import DocumentError, document_of
 
 VERSION = 1
 SAID = "in force", "prepare", "decided", "ended", "over", "refused"  # of a proposal
--- a/fawnwharf/epochs/agent.py
+++ b/fawnwharf/policy_rollout/agent.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.document import DocumentError, Known, document_from, register_from
-from fawnwharf.epochs.holder import Holder
-from fawnwharf.epochs.steward import Steward, Timing
 from fawnwharf.lives import Lives
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import DocumentError, Known, document_from, register_from
+from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.steward import Steward, Timing
 from fawnwharf.zones.lines import Seat
 
 OUTCOMES_MOST = 8  # of a reign, that are told
--- a/fawnwharf/epochs/check.py
+++ b/fawnwharf/policy_rollout/check.py
@@ -8,7 +8,7 @@
 Messages may come in any order, late, twice or never; holders' answers come at once, except for a number of
 them that are late.
 
-    python -m fawnwharf.epochs.check [--states N]
+    python -m fawnwharf.policy_rollout.check [--states N]
 """
 
 import argparse
@@ -18,11 +18,11 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.document import Register, register_from
-from fawnwharf.epochs.holder import Holder
-from fawnwharf.epochs.scene import KNOWN, NAMES, STEWARD_STATE, TIMING, Scene, World
-from fawnwharf.epochs.steward import Steward
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import Register, register_from
+from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.scene import KNOWN, NAMES, STEWARD_STATE, TIMING, Scene, World
+from fawnwharf.policy_rollout.steward import Steward
 
 TEXTS = tuple(f'{{"version":1,"tenants":{{"t":{{"quota_rps":{n}}}}}}}' for n in (5, 6, 7))
 
--- a/fawnwharf/epochs/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -7,9 +7,9 @@
 
 import typer
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.document import Document, DocumentError, Known, check_against, document_from
-from fawnwharf.epochs.service import SAID_FILE
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import Document, DocumentError, Known, check_against, document_from
+from fawnwharf.policy_rollout.service import SAID_FILE
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.looking import Member, address, fail, files, lines
 
--- a/fawnwharf/epochs/follow.py
+++ b/fawnwharf/policy_rollout/follow.py
@@ -7,9 +7,9 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment
-from fawnwharf.epochs.document import Document, Known, made
-from fawnwharf.epochs.judged import spec_of
 from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.policy_rollout.document import Document, Known, made
+from fawnwharf.policy_rollout.judged import spec_of
 
 LIMIT = "policy"
 
--- a/fawnwharf/epochs/holder.py
+++ b/fawnwharf/policy_rollout/holder.py
@@ -12,8 +12,8 @@
 
 from dataclasses import dataclass, field
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.document import (
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import (
     CAREFUL,
     Document,
     DocumentError,
@@ -26,7 +26,7 @@
     register_from,
     stricter,
 )
-from fawnwharf.epochs.steward import Timing
+from fawnwharf.policy_rollout.steward import Timing
 
 
 @dataclass(slots=True)
--- a/fawnwharf/epochs/judged.py
+++ b/fawnwharf/policy_rollout/judged.py
@@ -15,10 +15,10 @@
 from typing import Protocol
 
 from fawnwharf import interface as io
-from fawnwharf.epochs.document import Document
-from fawnwharf.epochs.messages import InForce
 from fawnwharf.net.requests import Call, Outcome, Refused
 from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.policy_rollout.document import Document
+from fawnwharf.policy_rollout.messages import InForce
 
 # A call that comes before a leader has told what is in force: for so long it is held, then refused untouched.
 HOLD_PART, HOLD_MOST_MS = 0.5, 2_000.0  # of the time that its client waits, and at the most
--- a/fawnwharf/epochs/messages.py
+++ b/fawnwharf/policy_rollout/messages.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.epochs.document import TEXT_MOST, Document
+from fawnwharf.policy_rollout.document import TEXT_MOST, Document
 from fawnwharf.zones.settings import Name
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
--- a/fawnwharf/epochs/outbox.py
+++ b/fawnwharf/policy_rollout/outbox.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from fawnwharf.epochs import messages as m
 from fawnwharf.net.loop import Loop
+from fawnwharf.policy_rollout import messages as m
 from fawnwharf.zones.lines import Word
 from fawnwharf.zones.service import Zones
 
--- a/fawnwharf/epochs/scene.py
+++ b/fawnwharf/policy_rollout/scene.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.document import Document, Known, register_from
-from fawnwharf.epochs.holder import Holder
-from fawnwharf.epochs.steward import Open, Steward, Timing
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import Document, Known, register_from
+from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.steward import Open, Steward, Timing
 
 NAMES = ("a", "b", "c")
 TIMING = Timing(lease_ms=6.0, renew_ms=1.0, prepare_ms=16.0, again_ms=8.0, skew=1 / 3)
--- a/fawnwharf/epochs/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -12,17 +12,17 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet
-from fawnwharf.epochs import keeping
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.agent import Agent
-from fawnwharf.epochs.document import Document, Known, check_against, document_of
-from fawnwharf.epochs.follow import Follower, known_of
-from fawnwharf.epochs.judged import Judged, handed_over, spec_of
-from fawnwharf.epochs.outbox import Outbox
-from fawnwharf.epochs.settings import Settings, said_from, settings_from
-from fawnwharf.epochs.trace import Trace
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.wheel import Timer, monotonic_ms, unix_ms
+from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.agent import Agent
+from fawnwharf.policy_rollout.document import Document, Known, check_against, document_of
+from fawnwharf.policy_rollout.follow import Follower, known_of
+from fawnwharf.policy_rollout.judged import Judged, handed_over, spec_of
+from fawnwharf.policy_rollout.outbox import Outbox
+from fawnwharf.policy_rollout.settings import Settings, said_from, settings_from
+from fawnwharf.policy_rollout.trace import Trace
 from fawnwharf.zones.files import WatchedFile, load
 from fawnwharf.zones.settings import FileFault
 
--- a/fawnwharf/epochs/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.epochs.document import DocumentError, document_of
-from fawnwharf.epochs.steward import Timing
+from fawnwharf.policy_rollout.document import DocumentError, document_of
+from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.zones.settings import FileFault, Span
 
 VERSION = 1
--- a/fawnwharf/epochs/simulated.py
+++ b/fawnwharf/policy_rollout/simulated.py
@@ -3,8 +3,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from fawnwharf.epochs.holder import Holder
-from fawnwharf.epochs.steward import Steward
+from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.steward import Steward
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawnwharf/epochs/steward.py
+++ b/fawnwharf/policy_rollout/steward.py
@@ -17,8 +17,8 @@
 
 from dataclasses import dataclass, field
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.document import Document, DocumentError, Register, document_from, register_from
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import Document, DocumentError, Register, document_from, register_from
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawnwharf/epochs/trace.py
+++ b/fawnwharf/policy_rollout/trace.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from fawnwharf.epochs.messages import InForce
+from fawnwharf.policy_rollout.messages import InForce
 
 LINES_MOST = 8_192  # that wait to be written; more are dropped and counted
 BYTES_MOST = 256 * 1024 * 1024  # of the file, in one life
--- a/fawnwharf/epochs/walk.py
+++ b/fawnwharf/policy_rollout/walk.py
@@ -4,8 +4,8 @@
 and delayed; holders are cut off, killed, restarted, and paused without noticing; leaders change, with what
 they had proposed decided or lost; the list of members changes.
 
-    python -m fawnwharf.epochs.walk [--steps N] [--seeds N]     broken or not
-    python -m fawnwharf.epochs.walk --measure                   times and messages of a change, by fleet
+    python -m fawnwharf.policy_rollout.walk [--steps N] [--seeds N]     broken or not
+    python -m fawnwharf.policy_rollout.walk --measure                   times and messages of a change, by fleet
 """
 
 import argparse
@@ -14,11 +14,11 @@
 import random
 import sys
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.document import Document, Known, register_from
-from fawnwharf.epochs.holder import Holder
-from fawnwharf.epochs.simulated import CALM, Node, Outcome, Weather
-from fawnwharf.epochs.steward import Steward, Timing
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import Document, Known, register_from
+from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.simulated import CALM, Node, Outcome, Weather
+from fawnwharf.policy_rollout.steward import Steward, Timing
 
 KNOWN = Known(frozenset({"c"}), frozenset({"t"}), frozenset())
 
@@ -330,7 +330,7 @@
     parser.add_argument("--measure", action="store_true")
     given = parser.parse_args()
     if given.measure:
-        from fawnwharf.epochs.measure import table
+        from fawnwharf.policy_rollout.measure import table
 
         print(table())
         return 0
--- a/fawnwharf/recovery/search.py
+++ b/fawnwharf/recovery/search.py
@@ -16,10 +16,10 @@
 
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.epochs import check, scene
-from fawnwharf.epochs.holder import Holder
-from fawnwharf.epochs.steward import Steward
 from fawnwharf.lab import explore
+from fawnwharf.policy_rollout import check, scene
+from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.steward import Steward
 from fawnwharf.recovery.promises import Promises, Rules
 
 
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -79,7 +79,7 @@
             deployment, place, write, fresh and first, made.get("kept")
         )
     if place := files.get("policy"):
-        from fawnwharf.epochs.service import Policies
+        from fawnwharf.policy_rollout.service import Policies
 
         makers["policy"] = lambda first, made, place=place: Policies(deployment, place, write, made)
     if place := files.get("sessions"):
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -20,9 +20,9 @@
 from fawnwharf.consensus.disk import Disk
 from fawnwharf.durable import form
 from fawnwharf.durable.store import open_folder
-from fawnwharf.epochs import keeping
-from fawnwharf.epochs.document import Register, document_from
 from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout.document import Register, document_from
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.disk import KeeperDisk
 from fawnwharf.zones.founding import found
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -11,9 +11,9 @@
 from fawnwharf.consensus.disk import Disk, DiskError
 from fawnwharf.durable import form
 from fawnwharf.durable.store import open_folder
-from fawnwharf.epochs import keeping
-from fawnwharf.epochs.document import document_from, register_from
 from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout.document import document_from, register_from
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.disk import KeeperDisk
 
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -16,12 +16,6 @@
 from fawnwharf.consensus import records
 from fawnwharf.durable import folder as durable_folder
 from fawnwharf.durable import form
-from fawnwharf.epochs import keeping
-from fawnwharf.epochs import messages as policy
-from fawnwharf.epochs import service as policy_service
-from fawnwharf.epochs import settings as policy_settings
-from fawnwharf.epochs import trace as policy_trace
-from fawnwharf.epochs.document import Document, register_from
 from fawnwharf.foresight import memory as prefetch_memory
 from fawnwharf.handover import messages as migrations
 from fawnwharf.net import scorer_frames
@@ -29,6 +23,12 @@
 from fawnwharf.operators import handover as successor
 from fawnwharf.operators import memory as beliefs
 from fawnwharf.operators.channel import Place
+from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout import messages as policy
+from fawnwharf.policy_rollout import service as policy_service
+from fawnwharf.policy_rollout import settings as policy_settings
+from fawnwharf.policy_rollout import trace as policy_trace
+from fawnwharf.policy_rollout.document import Document, register_from
 from fawnwharf.recovery import register as recovery_register
 from fawnwharf.recovery.trust import Clock, Kind
 from fawnwharf.rejoin import joined, kept
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -7,8 +7,8 @@
 from processes import Log, Port
 
 from fawnwharf.config import deployment_from
-from fawnwharf.epochs.service import Policies
 from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
 from fawnwharf.zones.founding import found
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -5,8 +5,8 @@
 from peers import SETTINGS
 
 from fawnwharf.config import deployment_from
-from fawnwharf.epochs.service import Policies
 from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.recovery.stages import Stage
 from fawnwharf.rejoin.onstore import kept
 from fawnwharf.rejoin.service import Rejoin
--- a/tests/test_disk_faults_kept.py
+++ b/tests/test_disk_faults_kept.py
@@ -8,8 +8,8 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.epochs import keeping
 from fawnwharf.operators.channel import Place
+from fawnwharf.policy_rollout import keeping
 
 ENDS = {
     "kill": lambda faults: faults.kill(),
--- a/tests/test_epochs.py
+++ b/tests/test_epochs.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnwharf.epochs.document import (
+from fawnwharf.policy_rollout.document import (
     CAREFUL,
     KEYS,
     TEXT_MOST,
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -7,11 +7,11 @@
 from support.zone_files import members
 from test_zone_members import Fleet
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.agent import Agent
-from fawnwharf.epochs.settings import Said
-from fawnwharf.epochs.steward import Timing
-from fawnwharf.epochs.walk import KNOWN
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.agent import Agent
+from fawnwharf.policy_rollout.settings import Said
+from fawnwharf.policy_rollout.steward import Timing
+from fawnwharf.policy_rollout.walk import KNOWN
 from fawnwharf.zones.lines import Heard, Ruled, Word
 
 STEP_S = 0.005
--- a/tests/test_epochs_flow.py
+++ b/tests/test_epochs_flow.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.document import Known, Register, made, register_from
-from fawnwharf.epochs.holder import Easing, Holder
-from fawnwharf.epochs.measure import change
-from fawnwharf.epochs.simulated import CALM
-from fawnwharf.epochs.steward import Steward, Timing
-from fawnwharf.epochs.walk import KNOWN, Walk
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import Known, Register, made, register_from
+from fawnwharf.policy_rollout.holder import Easing, Holder
+from fawnwharf.policy_rollout.measure import change
+from fawnwharf.policy_rollout.simulated import CALM
+from fawnwharf.policy_rollout.steward import Steward, Timing
+from fawnwharf.policy_rollout.walk import KNOWN, Walk
 
 TIMING = Timing()
 OLD, NEW = (made(n, {("tenants", "t", "quota_rps"): rps}) for n, rps in ((1, 10.0), (2, 20.0)))
--- a/tests/test_epochs_search.py
+++ b/tests/test_epochs_search.py
@@ -5,12 +5,12 @@
 import pytest
 from msgspec.structs import replace
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.check import SEARCHES, Bounds, Search
-from fawnwharf.epochs.document import register_from
-from fawnwharf.epochs.holder import Holder
-from fawnwharf.epochs.steward import Steward
-from fawnwharf.epochs.walk import Walk
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.check import SEARCHES, Bounds, Search
+from fawnwharf.policy_rollout.document import register_from
+from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.steward import Steward
+from fawnwharf.policy_rollout.walk import Walk
 
 
 class DecidesEarly(Steward):
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -5,11 +5,11 @@
 import msgspec
 import pytest
 
-from fawnwharf.epochs import messages as m
-from fawnwharf.epochs.agent import Agent
-from fawnwharf.epochs.document import Known
-from fawnwharf.epochs.steward import Timing
 from fawnwharf.lives import KNOWN_MOST, NAMES_MOST, Lives
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.agent import Agent
+from fawnwharf.policy_rollout.document import Known
+from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.zones.lines import Seat
 
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -8,12 +8,12 @@
 from support.policy_front_ends import Site, document
 
 from fawnwharf import interface as io
-from fawnwharf.epochs import judged
-from fawnwharf.epochs import settings as s
-from fawnwharf.epochs.document import Document
-from fawnwharf.epochs.judged import handed_over
-from fawnwharf.epochs.messages import InForce
-from fawnwharf.epochs.trace import LINES_MOST, Trace
+from fawnwharf.policy_rollout import judged
+from fawnwharf.policy_rollout import settings as s
+from fawnwharf.policy_rollout.document import Document
+from fawnwharf.policy_rollout.judged import handed_over
+from fawnwharf.policy_rollout.messages import InForce
+from fawnwharf.policy_rollout.trace import LINES_MOST, Trace
 from fawnwharf.replication.use import Shares
 from fawnwharf.zones.settings import FileFault
 
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -4,8 +4,8 @@
 
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.epochs.holder import Holder
-from fawnwharf.epochs.steward import Steward
+from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.steward import Steward
 from fawnwharf.recovery import trust as t
 from fawnwharf.recovery.promises import Rules
 from fawnwharf.recovery.search import (
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -8,9 +8,9 @@
 from cores import FLEET, RULES
 from hypothesis import given, settings, strategies
 
-from fawnwharf.epochs.settings import settings_from as policy_settings
-from fawnwharf.epochs.steward import Timing
 from fawnwharf.lab.promises import fleet_file
+from fawnwharf.policy_rollout.settings import settings_from as policy_settings
+from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claims import Claim, Phase, Standing, contradicts, merged, reading
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -8,10 +8,10 @@
 from support.session_agents import Fleet
 from support.session_front_ends import Fronts
 
-from fawnwharf.epochs.document import check_against, document_of, floor, made, over, stricter
-from fawnwharf.epochs.service import Policies
 from fawnwharf.handover.router import Router
 from fawnwharf.handover.settings import Settings
+from fawnwharf.policy_rollout.document import check_against, document_of, floor, made, over, stricter
+from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.sessions import left
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.staging import Seen
