--- a/fawnwharf/foresight/budgets.py
+++ b/fawnwharf/prefetch/budgets.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from fawnwharf.foresight.worth import Facts
+from fawnwharf.prefetch.worth import Facts
 from fawnwharf.replication.placement import weight
 
 BURST_S = 2.0  # of the fleet's fetches, and of the own pace
--- a/fawnwharf/foresight/core.py
+++ b/fawnwharf/prefetch/core.py
@@ -5,10 +5,11 @@
 
 from collections.abc import Callable, Sequence
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.budgets import View
-from fawnwharf.foresight.planner import Planner
-from fawnwharf.foresight.predictors import (
+from fawnwharf.interface import Settings
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.budgets import View
+from fawnwharf.prefetch.planner import Planner
+from fawnwharf.prefetch.predictors import (
     Belongs,
     Learnt,
     Place,
@@ -19,12 +20,11 @@
     _nowhere,
     _unplaced,
 )
-from fawnwharf.foresight.score import Scores
-from fawnwharf.foresight.seen import Watcher
-from fawnwharf.foresight.settings import Foresight as Bounds
-from fawnwharf.foresight.settings import Prices
-from fawnwharf.foresight.slices import Slices, drained
-from fawnwharf.interface import Settings
+from fawnwharf.prefetch.score import Scores
+from fawnwharf.prefetch.seen import Watcher
+from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.settings import Prices
+from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.sites import LetGo, Move, Session
 
 # Of an idle life: the rest is for the load.
--- a/fawnwharf/foresight/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -11,10 +11,10 @@
 from msgspec import Meta, Struct
 
 from fawnwharf import interface as io
-from fawnwharf.foresight.kept import Kept
-from fawnwharf.foresight.worth import Facts
 from fawnwharf.policy import Router
 from fawnwharf.policy.state import Function, Worker, mark
+from fawnwharf.prefetch.kept import Kept
+from fawnwharf.prefetch.worth import Facts
 from fawnwharf.sites import Text
 
 ORDERS_MOST = 512  # hash orders kept in mind
--- a/fawnwharf/foresight/memory.py
+++ b/fawnwharf/prefetch/memory.py
@@ -10,10 +10,10 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.foresight.core import Foresight
-from fawnwharf.foresight.known import Functions, Told
-from fawnwharf.foresight.past import Age, Move, Stay
-from fawnwharf.foresight.score import Sums
+from fawnwharf.prefetch.core import Foresight
+from fawnwharf.prefetch.known import Functions, Told
+from fawnwharf.prefetch.past import Age, Move, Stay
+from fawnwharf.prefetch.score import Sums
 
 VERSION = 1
 ROWS_MOST, FUNCTIONS_MOST = 5_000, 2_000
--- a/fawnwharf/foresight/past.py
+++ b/fawnwharf/prefetch/past.py
@@ -8,10 +8,10 @@
 import heapq
 import math
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.seen import Track, Watcher
-from fawnwharf.foresight.settings import Foresight
-from fawnwharf.foresight.slices import Slices, drained
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.seen import Track, Watcher
+from fawnwharf.prefetch.settings import Foresight
+from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.sites import Session
 
 PRIOR_MS = 10_000.0  # of a session's time without a move, held to be seen: guards against rates of few moves
--- a/fawnwharf/foresight/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.budgets import Bucket, View, orderer, parts
-from fawnwharf.foresight.score import Scores
-from fawnwharf.foresight.settings import Foresight, Prices
-from fawnwharf.foresight.slices import Slices, drained
-from fawnwharf.foresight.worth import Facts, cost, fetched, loss, mean_worth
 from fawnwharf.interface import Settings
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.budgets import Bucket, View, orderer, parts
+from fawnwharf.prefetch.score import Scores
+from fawnwharf.prefetch.settings import Foresight, Prices
+from fawnwharf.prefetch.slices import Slices, drained
+from fawnwharf.prefetch.worth import Facts, cost, fetched, loss, mean_worth
 from fawnwharf.sites import LetGo, Move, Session, Stage
 
 HELD_MOST = 4_096  # stages of one front end
--- a/fawnwharf/foresight/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.past import Past
-from fawnwharf.foresight.seen import Group, Track, Watcher
-from fawnwharf.foresight.settings import Foresight
-from fawnwharf.foresight.slices import Slices
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.past import Past
+from fawnwharf.prefetch.seen import Group, Track, Watcher
+from fawnwharf.prefetch.settings import Foresight
+from fawnwharf.prefetch.slices import Slices
 from fawnwharf.sites import Move, Session
 
 SPAN_MOST_MS = 3_600_000.0
--- a/fawnwharf/foresight/scenes.py
+++ b/fawnwharf/prefetch/scenes.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.world import Call
-from fawnwharf.foresight.worth import Facts
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.world import Call
+from fawnwharf.prefetch.worth import Facts
 from fawnwharf.replication.placement import weight
 from fawnwharf.sites import Session
 
--- a/fawnwharf/foresight/score.py
+++ b/fawnwharf/prefetch/score.py
@@ -13,9 +13,9 @@
 import math
 from dataclasses import dataclass, field
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.settings import Foresight
-from fawnwharf.foresight.slices import Slices, drained
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.settings import Foresight
+from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.sites import Move, Session
 
 BINS = 10
--- a/fawnwharf/foresight/seen.py
+++ b/fawnwharf/prefetch/seen.py
@@ -14,10 +14,10 @@
 
 from msgspec import Struct
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.kept import Kept
-from fawnwharf.foresight.settings import Foresight
-from fawnwharf.foresight.slices import Slices, drained
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.kept import Kept
+from fawnwharf.prefetch.settings import Foresight
+from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.sites import Session
 
 _BITS = 31
--- a/fawnwharf/foresight/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -1,4 +1,4 @@
-"""Compares five prefetch strategies in virtual time: `python -m fawnwharf.foresight.trial`.
+"""Compares five prefetch strategies in virtual time: `python -m fawnwharf.prefetch.trial`.
 
 *none* prefetches nothing, *react* orders the copies of a zone's sessions once it is out, *everything* keeps a
 copy of each live session at every zone, *foresight* is this package, *oracle* knows each move. All have the
@@ -10,13 +10,13 @@
 import sys
 from collections.abc import Sequence
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.budgets import View
-from fawnwharf.foresight.core import Foresight
-from fawnwharf.foresight.scenes import CONFIG, DAY_MS, SCENES, SITES, Scene, Turn, home, place, scene, whither
-from fawnwharf.foresight.settings import Foresight as Bounds
-from fawnwharf.foresight.settings import site_from
-from fawnwharf.foresight.world import Tally, World
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.budgets import View
+from fawnwharf.prefetch.core import Foresight
+from fawnwharf.prefetch.scenes import CONFIG, DAY_MS, SCENES, SITES, Scene, Turn, home, place, scene, whither
+from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.settings import site_from
+from fawnwharf.prefetch.world import Tally, World
 
 WAYS = ("none", "react", "everything", "foresight", "oracle")
 SEEDS = tuple(range(1, 11))
--- a/fawnwharf/foresight/ways.py
+++ b/fawnwharf/prefetch/ways.py
@@ -13,13 +13,13 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.budgets import Bucket, View, orderer, parts
-from fawnwharf.foresight.predictors import Belongs, Whither
-from fawnwharf.foresight.seen import Group, Watcher
-from fawnwharf.foresight.settings import Foresight
-from fawnwharf.foresight.slices import Slices
 from fawnwharf.interface import Settings
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.budgets import Bucket, View, orderer, parts
+from fawnwharf.prefetch.predictors import Belongs, Whither
+from fawnwharf.prefetch.seen import Group, Watcher
+from fawnwharf.prefetch.settings import Foresight
+from fawnwharf.prefetch.slices import Slices
 from fawnwharf.sites import Session, Stage, Text
 from fawnwharf.zones.settings import FileFault
 
--- a/fawnwharf/foresight/world.py
+++ b/fawnwharf/prefetch/world.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from fawnwharf.foresight.settings import Prices
-from fawnwharf.foresight.worth import Facts, mean_worth
 from fawnwharf.interface import Settings
+from fawnwharf.prefetch.settings import Prices
+from fawnwharf.prefetch.worth import Facts, mean_worth
 from fawnwharf.replication.placement import weight
 from fawnwharf.sites import Session
 
--- a/fawnwharf/foresight/worth.py
+++ b/fawnwharf/prefetch/worth.py
@@ -9,8 +9,8 @@
 
 from msgspec import Struct
 
-from fawnwharf.foresight.settings import Foresight, Prices
 from fawnwharf.interface import ClassSpec
+from fawnwharf.prefetch.settings import Foresight, Prices
 
 
 class Facts(Struct, frozen=True):
--- a/fawnwharf/recovery/trial.py
+++ b/fawnwharf/recovery/trial.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from fawnwharf.foresight.trial import interval
+from fawnwharf.prefetch.trial import interval
 from fawnwharf.recovery.planned import Planned
 from fawnwharf.recovery.world import Scene, World
 
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -193,7 +193,7 @@
 @app.command()
 def check(sessions: File) -> None:
     """Read and check the settings."""
-    from fawnwharf.foresight.settings import foresight_from
+    from fawnwharf.prefetch.settings import foresight_from
 
     try:
         data = Path(sessions).read_bytes()
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -11,10 +11,10 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment
-from fawnwharf.foresight.settings import Prices, foresight_from
-from fawnwharf.foresight.ways import foretold_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.wheel import Timer, monotonic_ms, unix_ms
+from fawnwharf.prefetch.settings import Prices, foresight_from
+from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.replication.service import State
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.moves import place_of
--- a/fawnwharf/sessions/measure.py
+++ b/fawnwharf/sessions/measure.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Sequence
 
 from fawnwharf import interface as io
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.settings import Foresight, Prices
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.settings import Foresight, Prices
 from fawnwharf.sessions.staging import COUNTS, SLICE_MS, Seen, Staging, Word
 from fawnwharf.sites import Session
 
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -16,17 +16,17 @@
 from msgspec import Meta, Struct
 
 from fawnwharf import interface as io
-from fawnwharf.foresight import memory
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.budgets import View, shared
-from fawnwharf.foresight.core import Foresight
-from fawnwharf.foresight.known import Copies, Functions, Scorers, Told
-from fawnwharf.foresight.predictors import Belongs, Parts, Place, Whither, _homeless, _unplaced
-from fawnwharf.foresight.seen import OWNERS_MOST
-from fawnwharf.foresight.settings import Foresight as Bounds
-from fawnwharf.foresight.settings import Prices
-from fawnwharf.foresight.slices import Slices
-from fawnwharf.foresight.ways import Foretold, Ways
+from fawnwharf.prefetch import memory
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.budgets import View, shared
+from fawnwharf.prefetch.core import Foresight
+from fawnwharf.prefetch.known import Copies, Functions, Scorers, Told
+from fawnwharf.prefetch.predictors import Belongs, Parts, Place, Whither, _homeless, _unplaced
+from fawnwharf.prefetch.seen import OWNERS_MOST
+from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.settings import Prices
+from fawnwharf.prefetch.slices import Slices
+from fawnwharf.prefetch.ways import Foretold, Ways
 from fawnwharf.replication.placement import weight
 from fawnwharf.sites import LetGo, Move, Session, Stage
 from fawnwharf.zones.evidence import Observer
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -14,14 +14,14 @@
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.durable import form, ops
-from fawnwharf.foresight import memory as prefetch_memory
-from fawnwharf.foresight import ways
 from fawnwharf.handover import messages as migrations
 from fawnwharf.operators import handover as successor
 from fawnwharf.operators import memory as beliefs
 from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import settings as policy_settings
+from fawnwharf.prefetch import memory as prefetch_memory
+from fawnwharf.prefetch import ways
 from fawnwharf.recovery import register as recovery_register
 from fawnwharf.rejoin import given_words, hints, kept
 from fawnwharf.rejoin import words as recovery_words
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -16,7 +16,6 @@
 from fawnwharf.consensus import records
 from fawnwharf.durable import folder as durable_folder
 from fawnwharf.durable import form
-from fawnwharf.foresight import memory as prefetch_memory
 from fawnwharf.handover import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
@@ -29,6 +28,7 @@
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.policy_rollout import trace as policy_trace
 from fawnwharf.policy_rollout.document import Document, register_from
+from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery import register as recovery_register
 from fawnwharf.recovery.trust import Clock, Kind
 from fawnwharf.rejoin import joined, kept
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -11,9 +11,9 @@
 
 from fawnwharf import config
 from fawnwharf import interface as io
-from fawnwharf.foresight import settings as prefetch
 from fawnwharf.policy_rollout import document as policy_document
 from fawnwharf.policy_rollout import settings as policy
+from fawnwharf.prefetch import settings as prefetch
 from fawnwharf.rejoin import settings as recovery
 from fawnwharf.replication import settings as state
 from fawnwharf.sessions import settings as sessions
--- a/tests/support/prefetch_driver.py
+++ b/tests/support/prefetch_driver.py
@@ -1,9 +1,9 @@
 """Drives a front end's prefetcher with calls and passes."""
 
 from fawnwharf import interface as io
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.settings import Foresight as Bounds
-from fawnwharf.foresight.settings import Prices
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.settings import Prices
 from fawnwharf.sessions.staging import (
     Seen,
     Staging,
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -6,12 +6,12 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.past import Past
-from fawnwharf.foresight.predictors import Learnt, Nothing, Plans, Trend
-from fawnwharf.foresight.seen import OWNERS_MOST, SITES_MOST, Watcher
-from fawnwharf.foresight.settings import Foresight, Prices, foresight_from, site_from
-from fawnwharf.foresight.slices import drained
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.past import Past
+from fawnwharf.prefetch.predictors import Learnt, Nothing, Plans, Trend
+from fawnwharf.prefetch.seen import OWNERS_MOST, SITES_MOST, Watcher
+from fawnwharf.prefetch.settings import Foresight, Prices, foresight_from, site_from
+from fawnwharf.prefetch.slices import drained
 from fawnwharf.sites import Session
 from fawnwharf.zones.settings import FileFault
 
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -6,17 +6,17 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.budgets import View, orderer
-from fawnwharf.foresight.core import Foresight
-from fawnwharf.foresight.planner import Planner
-from fawnwharf.foresight.score import LEAST_CHANCE, Scores
-from fawnwharf.foresight.seen import Flow
-from fawnwharf.foresight.settings import Foresight as Bounds
-from fawnwharf.foresight.settings import Prices
-from fawnwharf.foresight.trial import compare, interval
-from fawnwharf.foresight.worth import Facts, cost, loss, mean_worth
 from fawnwharf.interface import ClassSpec, Settings
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.budgets import View, orderer
+from fawnwharf.prefetch.core import Foresight
+from fawnwharf.prefetch.planner import Planner
+from fawnwharf.prefetch.score import LEAST_CHANCE, Scores
+from fawnwharf.prefetch.seen import Flow
+from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.settings import Prices
+from fawnwharf.prefetch.trial import compare, interval
+from fawnwharf.prefetch.worth import Facts, cost, loss, mean_worth
 from fawnwharf.sites import LetGo, Move, Session
 
 SPEC = ClassSpec("view", promise_ms=800.0, give_up_ms=3_000.0, worth=1.0, late_share=0.2)
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -8,7 +8,6 @@
 import msgspec
 import pytest
 
-from fawnwharf.foresight.ways import foretold_from
 from fawnwharf.handover import messages as m
 from fawnwharf.lab import homes, moves
 from fawnwharf.lab import scenario as scenarios
@@ -18,6 +17,7 @@
 from fawnwharf.lab.scenario import ScenarioFault, Step, ZoneSpec, scenario_from
 from fawnwharf.lab.sessions import SessionSteps, handed_over
 from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.moves import target
 from fawnwharf.sessions.trace import Trace
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -9,10 +9,10 @@
 from support.prefetch_driver import SITES, SPEC, UNIX, Calls, S, look, roster, rules, staging
 
 from fawnwharf import interface as io
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.seen import Watcher
-from fawnwharf.foresight.slices import drained
 from fawnwharf.policy import Router
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.seen import Watcher
+from fawnwharf.prefetch.slices import drained
 from fawnwharf.sessions.staging import (
     COUNTS,
     NAME_MOST,
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -5,10 +5,10 @@
 from support.prefetch_driver import SITES, UNIX, Calls, S, drained_site, look, staging, wanted
 
 from fawnwharf import interface as io
-from fawnwharf.foresight import messages as m
-from fawnwharf.foresight.budgets import orderer
-from fawnwharf.foresight.settings import foresight_from
-from fawnwharf.foresight.ways import foretold_from
+from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.budgets import orderer
+from fawnwharf.prefetch.settings import foresight_from
+from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.sessions.staging import (
     Seen,
     announced_from,
