--- a/fawnwharf/handover/explore.py
+++ b/fawnwharf/migration/explore.py
@@ -13,14 +13,14 @@
 from collections.abc import Iterator
 from dataclasses import fields, replace
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper
-from fawnwharf.handover.in_use import OpenCall, Seen
-from fawnwharf.handover.mover import ASKING, SETTLING, SWITCHING, Hand, Mover
-from fawnwharf.handover.router import Router
-from fawnwharf.handover.settings import Settings
-from fawnwharf.handover.world import Bounds, Kinds, World, use
 from fawnwharf.lab.breadth_first import Found, search
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper
+from fawnwharf.migration.in_use import OpenCall, Seen
+from fawnwharf.migration.mover import ASKING, SETTLING, SWITCHING, Hand, Mover
+from fawnwharf.migration.router import Router
+from fawnwharf.migration.settings import Settings
+from fawnwharf.migration.world import Bounds, Kinds, World, use
 from fawnwharf.sites import Home, LetGo, Move, Session, Stage
 
 RULES = Settings()
--- a/fawnwharf/handover/hand.py
+++ b/fawnwharf/migration/hand.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import EMPTY
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import EMPTY
 from fawnwharf.sites import Home, Session
 
 UNSTAGED = "not staged in time"
--- a/fawnwharf/handover/homes.py
+++ b/fawnwharf/migration/homes.py
@@ -22,8 +22,8 @@
 
 from msgspec.structs import replace
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.settings import Settings
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.settings import Settings
 from fawnwharf.replication.placement import weight
 from fawnwharf.sites import Home, Session
 
--- a/fawnwharf/handover/many.py
+++ b/fawnwharf/migration/many.py
@@ -10,8 +10,8 @@
 
 from msgspec import Struct
 
-from fawnwharf.handover.settings import DrainSettings
-from fawnwharf.handover.windows import Windows
+from fawnwharf.migration.settings import DrainSettings
+from fawnwharf.migration.windows import Windows
 from fawnwharf.sites import Home, Move, Session
 
 AHEAD = 32  # sessions that may begin before one whose site takes no other yet
--- a/fawnwharf/handover/measure.py
+++ b/fawnwharf/migration/measure.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper
-from fawnwharf.handover.router import Router
-from fawnwharf.handover.settings import Settings
-from fawnwharf.handover.walk import CALM, Walk
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper
+from fawnwharf.migration.router import Router
+from fawnwharf.migration.settings import Settings
+from fawnwharf.migration.walk import CALM, Walk
 from fawnwharf.sites import Home, Move, Session
 
 AT_ONCE = 32
--- a/fawnwharf/handover/mover.py
+++ b/fawnwharf/migration/mover.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterable
 from functools import reduce
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.hand import ASKING, SETTLING, STAGING, SWITCHING, UNSTAGED, Hand
-from fawnwharf.handover.homes import is_open, key_of, merged
-from fawnwharf.handover.settings import Settings
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.hand import ASKING, SETTLING, STAGING, SWITCHING, UNSTAGED, Hand
+from fawnwharf.migration.homes import is_open, key_of, merged
+from fawnwharf.migration.settings import Settings
 from fawnwharf.replication.placement import weight
 from fawnwharf.sites import Home, Move, Session
 
--- a/fawnwharf/handover/planted.py
+++ b/fawnwharf/migration/planted.py
@@ -1,10 +1,10 @@
 """Mutants: cores with one bug on purpose each, which the model checker and the simulations have to find."""
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper
-from fawnwharf.handover.mover import Hand, Mover
-from fawnwharf.handover.router import Router
-from fawnwharf.handover.world import Kinds
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper
+from fawnwharf.migration.mover import Hand, Mover
+from fawnwharf.migration.router import Router
+from fawnwharf.migration.world import Kinds
 from fawnwharf.sites import Home
 
 
--- a/fawnwharf/handover/relisted.py
+++ b/fawnwharf/migration/relisted.py
@@ -1,6 +1,6 @@
 """Randomized simulation in which the list of members changes: replicas move, and each front end follows late.
 
-`python -m fawnwharf.handover.relisted --steps 1000000`.
+`python -m fawnwharf.migration.relisted --steps 1000000`.
 """
 
 import argparse
@@ -9,9 +9,9 @@
 
 from msgspec.structs import replace
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.walk import RULES, STORM, Outcome, Walk, Weather, _Node
-from fawnwharf.handover.world import Kinds
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.walk import RULES, STORM, Outcome, Walk, Weather, _Node
+from fawnwharf.migration.world import Kinds
 
 ADOPT_MS = 1_500.0  # at the most, from a new list until a front end goes by it
 
--- a/fawnwharf/handover/router.py
+++ b/fawnwharf/migration/router.py
@@ -12,10 +12,10 @@
 
 from collections.abc import Callable, Iterable
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import key_of
-from fawnwharf.handover.in_use import OpenCall, Seen, spent
-from fawnwharf.handover.settings import Settings
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import key_of
+from fawnwharf.migration.in_use import OpenCall, Seen, spent
+from fawnwharf.migration.settings import Settings
 from fawnwharf.sites import Home, LetGo, Session, Stage
 
 CALLS_MOST = 50_000
--- a/fawnwharf/handover/walk.py
+++ b/fawnwharf/migration/walk.py
@@ -2,7 +2,7 @@
 
 Deeper than `explore.py` and with real clocks. One seed gives one run. Messages are lost, repeated, reordered
 and delayed; links are cut, in one direction too; front ends are killed and come back with nothing, or are
-paused without noticing. `python -m fawnwharf.handover.walk --steps 1000000`.
+paused without noticing. `python -m fawnwharf.migration.walk --steps 1000000`.
 """
 
 import argparse
@@ -14,12 +14,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper, mover_of
-from fawnwharf.handover.mover import Mover
-from fawnwharf.handover.router import Router
-from fawnwharf.handover.settings import Settings
-from fawnwharf.handover.world import Kinds
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper, mover_of
+from fawnwharf.migration.mover import Mover
+from fawnwharf.migration.router import Router
+from fawnwharf.migration.settings import Settings
+from fawnwharf.migration.world import Kinds
 from fawnwharf.sites import Home, LetGo, Move, Session
 
 RULES = Settings(
@@ -354,7 +354,7 @@
     parser.add_argument("--measure", action="store_true", help="figures in virtual time instead")
     asked = parser.parse_args()
     if asked.measure:
-        from fawnwharf.handover.measure import table
+        from fawnwharf.migration.measure import table
 
         print(table())
         return
--- a/fawnwharf/handover/world.py
+++ b/fawnwharf/migration/world.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass, replace
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper
-from fawnwharf.handover.mover import Mover
-from fawnwharf.handover.router import Router
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper
+from fawnwharf.migration.mover import Mover
+from fawnwharf.migration.router import Router
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawnwharf/sessions/agent.py
+++ b/fawnwharf/sessions/agent.py
@@ -14,12 +14,12 @@
 
 from msgspec.structs import replace
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper, key_of, mover_of
-from fawnwharf.handover.mover import Mover
-from fawnwharf.handover.router import Router
 from fawnwharf.interface import ClassSpec
 from fawnwharf.lives import Lives
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper, key_of, mover_of
+from fawnwharf.migration.mover import Mover
+from fawnwharf.migration.router import Router
 from fawnwharf.sessions.asking import Asking, why_not
 from fawnwharf.sessions.completing import context_of, filled, with_copies
 from fawnwharf.sessions.effects import Key, Note, Out, Words, named
--- a/fawnwharf/sessions/asking.py
+++ b/fawnwharf/sessions/asking.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass, field
 
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.sessions.words import Answer
 from fawnwharf.sites import Home, Move, Session
 
--- a/fawnwharf/sessions/completing.py
+++ b/fawnwharf/sessions/completing.py
@@ -2,7 +2,7 @@
 
 from msgspec.structs import replace
 
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.sessions.known import Known, copies
 from fawnwharf.sessions.moves import Moves
 from fawnwharf.sites import Session
--- a/fawnwharf/sessions/effects.py
+++ b/fawnwharf/sessions/effects.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.sites import LetGo, Session
 
 Key = tuple[Session, m.Turn]
--- a/fawnwharf/sessions/known.py
+++ b/fawnwharf/sessions/known.py
@@ -7,9 +7,9 @@
 
 from msgspec import Struct
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.many import Live
 from fawnwharf.interface import ClassSpec
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.many import Live
 from fawnwharf.sessions.settings import Settings
 from fawnwharf.sites import Home, Session
 
--- a/fawnwharf/sessions/left.py
+++ b/fawnwharf/sessions/left.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.handover.router import Router
+from fawnwharf.migration.router import Router
 from fawnwharf.sites import Home, Session
 
 VERSION = 1
--- a/fawnwharf/sessions/moves.py
+++ b/fawnwharf/sessions/moves.py
@@ -12,11 +12,11 @@
 
 from msgspec.structs import replace
 
-from fawnwharf.handover.homes import key_of
-from fawnwharf.handover.many import Begin, Drain, Dwell, Leave, Live
-from fawnwharf.handover.messages import Record
-from fawnwharf.handover.settings import DrainSettings
-from fawnwharf.handover.windows import Windows
+from fawnwharf.migration.homes import key_of
+from fawnwharf.migration.many import Begin, Drain, Dwell, Leave, Live
+from fawnwharf.migration.messages import Record
+from fawnwharf.migration.settings import DrainSettings
+from fawnwharf.migration.windows import Windows
 from fawnwharf.replication.placement import weight
 from fawnwharf.sites import Home, Move, Session
 
--- a/fawnwharf/sessions/outbox.py
+++ b/fawnwharf/sessions/outbox.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.effects import Words
 
--- a/fawnwharf/sessions/settings.py
+++ b/fawnwharf/sessions/settings.py
@@ -11,9 +11,9 @@
 from msgspec import Meta, Struct
 from msgspec.structs import replace
 
-from fawnwharf.handover.settings import DrainSettings
-from fawnwharf.handover.settings import Settings as Handover
 from fawnwharf.interface import ClassSpec
+from fawnwharf.migration.settings import DrainSettings
+from fawnwharf.migration.settings import Settings as Handover
 from fawnwharf.sites import Session, Text
 from fawnwharf.zones.settings import FileFault, Name, file_from
 
--- a/fawnwharf/sessions/staged.py
+++ b/fawnwharf/sessions/staged.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.sessions.effects import Copies, Dropped, Key, Out
 
 STAGES_MOST = 4_096
--- a/fawnwharf/sessions/trace.py
+++ b/fawnwharf/sessions/trace.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.net.wheel import unix_ms
 from fawnwharf.sites import Home
 
--- a/fawnwharf/sessions/words.py
+++ b/fawnwharf/sessions/words.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.zones.settings import Name
 
 RIDER = "sessions"
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -14,7 +14,7 @@
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.durable import form, ops
-from fawnwharf.handover import messages as migrations
+from fawnwharf.migration import messages as migrations
 from fawnwharf.operators import handover as successor
 from fawnwharf.operators import memory as beliefs
 from fawnwharf.policy_rollout import keeping as policy_file
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -16,7 +16,7 @@
 from fawnwharf.consensus import records
 from fawnwharf.durable import folder as durable_folder
 from fawnwharf.durable import form
-from fawnwharf.handover import messages as migrations
+from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
 from fawnwharf.operators import handover as successor
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -13,7 +13,7 @@
 from compatibility_boundaries import BOUNDARIES, boundary_of, entries
 
 import fawnwharf
-from fawnwharf.handover import messages as migrations
+from fawnwharf.migration import messages as migrations
 from fawnwharf.recovery import asking, register
 from fawnwharf.rejoin import given_words
 from fawnwharf.replication import claims
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -4,9 +4,9 @@
 import itertools
 import random
 
-from fawnwharf.handover.settings import DrainSettings
-from fawnwharf.handover.settings import Settings as Handover
 from fawnwharf.interface import ClassSpec
+from fawnwharf.migration.settings import DrainSettings
+from fawnwharf.migration.settings import Settings as Handover
 from fawnwharf.replication.placement import Placement
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
--- a/tests/test_handover_core.py
+++ b/tests/test_handover_core.py
@@ -6,12 +6,12 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper, contradicts, is_open, merged, mover_of
-from fawnwharf.handover.in_use import spent
-from fawnwharf.handover.mover import Mover
-from fawnwharf.handover.router import Router
-from fawnwharf.handover.settings import Settings
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper, contradicts, is_open, merged, mover_of
+from fawnwharf.migration.in_use import spent
+from fawnwharf.migration.mover import Mover
+from fawnwharf.migration.router import Router
+from fawnwharf.migration.settings import Settings
 from fawnwharf.sites import Home, LetGo, Move, Session
 
 RULES = Settings()
--- a/tests/test_handover_core_hard.py
+++ b/tests/test_handover_core_hard.py
@@ -6,15 +6,15 @@
 import pytest
 from cores import Cores
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.hand import UNSTAGED
-from fawnwharf.handover.homes import is_open, mover_of
-from fawnwharf.handover.many import Begin, Drain, Dwell, Leave, Live
-from fawnwharf.handover.mover import ASKING, SETTLING, STAGING, SWITCHING
-from fawnwharf.handover.router import Router
-from fawnwharf.handover.settings import DrainSettings
-from fawnwharf.handover.walk import CALM, RULES, Walk
-from fawnwharf.handover.windows import Windows
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.hand import UNSTAGED
+from fawnwharf.migration.homes import is_open, mover_of
+from fawnwharf.migration.many import Begin, Drain, Dwell, Leave, Live
+from fawnwharf.migration.mover import ASKING, SETTLING, STAGING, SWITCHING
+from fawnwharf.migration.router import Router
+from fawnwharf.migration.settings import DrainSettings
+from fawnwharf.migration.walk import CALM, RULES, Walk
+from fawnwharf.migration.windows import Windows
 from fawnwharf.replication.claimant import Go
 from fawnwharf.sites import Home, Move, Session
 
--- a/tests/test_handover_core_search.py
+++ b/tests/test_handover_core_search.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.explore import KEEPERS, Explorer
-from fawnwharf.handover.planted import PLANTED
-from fawnwharf.handover.settings import Settings
-from fawnwharf.handover.walk import STORM, Walk, Weather
-from fawnwharf.handover.world import Bounds, Kinds
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.explore import KEEPERS, Explorer
+from fawnwharf.migration.planted import PLANTED
+from fawnwharf.migration.settings import Settings
+from fawnwharf.migration.walk import STORM, Walk, Weather
+from fawnwharf.migration.world import Bounds, Kinds
 from fawnwharf.sites import Home, Session
 
 TWO, THREE = {"a": "x", "b": "y"}, {"a": "x", "b": "y", "c": "z"}
--- a/tests/test_handover_relisted.py
+++ b/tests/test_handover_relisted.py
@@ -3,13 +3,13 @@
 import pytest
 from support.session_agents import RULES, Fleet
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper
-from fawnwharf.handover.planted import PLANTED
-from fawnwharf.handover.relisted import Relisted
-from fawnwharf.handover.settings import Settings
-from fawnwharf.handover.walk import STORM, Weather
-from fawnwharf.handover.world import Kinds
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper
+from fawnwharf.migration.planted import PLANTED
+from fawnwharf.migration.relisted import Relisted
+from fawnwharf.migration.settings import Settings
+from fawnwharf.migration.walk import STORM, Weather
+from fawnwharf.migration.world import Kinds
 from fawnwharf.sites import Home, Session
 
 SESSION, ROW = Session("org", "row"), Session("acme", "7f3a9c21e0b4d655")
--- a/tests/test_handover_uses.py
+++ b/tests/test_handover_uses.py
@@ -1,9 +1,9 @@
 """Copies of a site are let go only where nobody else uses them: what front ends and keepers say of that."""
 
-from fawnwharf.handover import messages as m
-from fawnwharf.handover.homes import Keeper
-from fawnwharf.handover.router import Router
-from fawnwharf.handover.settings import Settings
+from fawnwharf.migration import messages as m
+from fawnwharf.migration.homes import Keeper
+from fawnwharf.migration.router import Router
+from fawnwharf.migration.settings import Settings
 from fawnwharf.sites import Home, LetGo, Session
 
 RULES = Settings()
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -8,7 +8,6 @@
 import msgspec
 import pytest
 
-from fawnwharf.handover import messages as m
 from fawnwharf.lab import homes, moves
 from fawnwharf.lab import scenario as scenarios
 from fawnwharf.lab.homes import Sent, Told, Unload, Use
@@ -16,6 +15,7 @@
 from fawnwharf.lab.run import Runner
 from fawnwharf.lab.scenario import ScenarioFault, Step, ZoneSpec, scenario_from
 from fawnwharf.lab.sessions import SessionSteps, handed_over
+from fawnwharf.migration import messages as m
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.sessions.foreseen import Foreseen
--- a/tests/test_sessions_agent.py
+++ b/tests/test_sessions_agent.py
@@ -3,7 +3,7 @@
 import pytest
 from support.session_agents import RULES, Fleet
 
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.sites import Home, Move, Session
 
 ROW = Session("acme", "7f3a9c21e0b4d655")
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -8,8 +8,8 @@
 from support.session_agents import Fleet
 from support.session_front_ends import Fronts
 
-from fawnwharf.handover.router import Router
-from fawnwharf.handover.settings import Settings
+from fawnwharf.migration.router import Router
+from fawnwharf.migration.settings import Settings
 from fawnwharf.policy_rollout.document import check_against, document_of, floor, made, over, stricter
 from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.sessions import left
--- a/tests/test_sessions_service.py
+++ b/tests/test_sessions_service.py
@@ -12,7 +12,7 @@
 from support.session_front_ends import Fronts
 
 from fawnwharf.config import ConfigError
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.replication import messages as rm
--- a/tests/test_sessions_stages.py
+++ b/tests/test_sessions_stages.py
@@ -1,7 +1,7 @@
 """What is staged at scorers of a site: asked first, ordered where none stands, else at the next one."""
 
 from fawnwharf import interface as io
-from fawnwharf.handover import messages as m
+from fawnwharf.migration import messages as m
 from fawnwharf.sessions.effects import Copies
 from fawnwharf.sessions.stages import AGAIN_MS, RETRIES_MOST, Stages
 from fawnwharf.sites import Session
