--- a/fawnwharf/recovery/asking.py
+++ b/fawnwharf/recovery_core/asking.py
@@ -13,7 +13,7 @@
 
 from msgspec import Meta, Struct
 
-from fawnwharf.recovery.trust import Others
+from fawnwharf.recovery_core.trust import Others
 from fawnwharf.replication.placement import weight
 from fawnwharf.zones.settings import Name
 
--- a/fawnwharf/recovery/planned.py
+++ b/fawnwharf/recovery_core/planned.py
@@ -5,10 +5,10 @@
 """
 
 from fawnwharf.interface import Effect
-from fawnwharf.recovery import alone
-from fawnwharf.recovery.budget import Doors, Loader, Warden, loaders, part_ms
-from fawnwharf.recovery.stages import Allowed, Conductor, Decide, Register, Seen, Stage, Timing, allowed
-from fawnwharf.recovery.world import KINDS, SITE, WORTHS, Front, Scene, Try, World
+from fawnwharf.recovery_core import alone
+from fawnwharf.recovery_core.budget import Doors, Loader, Warden, loaders, part_ms
+from fawnwharf.recovery_core.stages import Allowed, Conductor, Decide, Register, Seen, Stage, Timing, allowed
+from fawnwharf.recovery_core.world import KINDS, SITE, WORTHS, Front, Scene, Try, World
 from fawnwharf.replication.placement import weight
 
 ASKS_MS, ELECTS_MS, TICK_MS, CHOOSE_MS = 2_000.0, 2_000.0, 250.0, 2_000.0
--- a/fawnwharf/recovery/promises.py
+++ b/fawnwharf/recovery_core/promises.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
 
-from fawnwharf.recovery import trust as t
+from fawnwharf.recovery_core import trust as t
 
 KEEPERS, OWNERS = (0, 1, 2), ("x", "y")
 WINDOW, TURN_MS, SKEW = 2, 1_000.0, 0.1
--- a/fawnwharf/recovery/search.py
+++ b/fawnwharf/recovery_core/search.py
@@ -3,7 +3,7 @@
 A power loss ends all members at once, between any two things that one of them does: what was synced is found
 again, what was on its way is lost, and clocks come back with anything.
 
-    python -m fawnwharf.recovery.search [--states N]
+    python -m fawnwharf.recovery_core.search [--states N]
 """
 
 import argparse
@@ -20,7 +20,7 @@
 from fawnwharf.policy_rollout import check, scene
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
-from fawnwharf.recovery.promises import Promises, Rules
+from fawnwharf.recovery_core.promises import Promises, Rules
 
 
 class Outcome(Protocol):
--- a/fawnwharf/recovery/stages.py
+++ b/fawnwharf/recovery_core/stages.py
@@ -24,9 +24,9 @@
 
 from msgspec import Struct
 
-from fawnwharf.recovery.budget import first_classes
-from fawnwharf.recovery.register import Dealt, Register, RegisterError, Stage, register_from
-from fawnwharf.recovery.trust import Scope, scope
+from fawnwharf.recovery_core.budget import first_classes
+from fawnwharf.recovery_core.register import Dealt, Register, RegisterError, Stage, register_from
+from fawnwharf.recovery_core.trust import Scope, scope
 
 LEAST_PART = 0.125
 BACKS_MOST = 3  # times that a hold doubles
--- a/fawnwharf/recovery/trial.py
+++ b/fawnwharf/recovery_core/trial.py
@@ -1,6 +1,6 @@
 """Compares the return by the plan with that from nothing, paired by seed.
 
-    python -m fawnwharf.recovery.trial [--fronts 12 30] [--seeds 11 20] [--scene last]
+    python -m fawnwharf.recovery_core.trial [--fronts 12 30] [--seeds 11 20] [--scene last]
 
 Service of a second is the part of the worth of all tries in it that was served in time; refused and lost
 tries, and those of clients that found nobody, count as not served. A part is reached when three consecutive
@@ -12,8 +12,8 @@
 from dataclasses import replace
 
 from fawnwharf.prefetch.trial import interval
-from fawnwharf.recovery.planned import Planned
-from fawnwharf.recovery.world import Scene, World
+from fawnwharf.recovery_core.planned import Planned
+from fawnwharf.recovery_core.world import Scene, World
 
 SCENES = {
     "last": Scene(0),  # the roster is last
--- a/fawnwharf/recovery/world.py
+++ b/fawnwharf/recovery_core/world.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.interface import Settings
-from fawnwharf.recovery.budget import limits_from
+from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.replication.placement import weight
 
 KINDS = {  # part of the functions, promise, give-up, worth, late share, loads, runs; ms
--- a/fawnwharf/rejoin/agent.py
+++ b/fawnwharf/rejoin/agent.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from fawnwharf.durable.reading import Sign
-from fawnwharf.recovery import alone
-from fawnwharf.recovery.asking import Answer, Ask, Asking, Of, Pace, Stand, What
-from fawnwharf.recovery.register import Dealt
-from fawnwharf.recovery.stages import Allowed, Decide, Follower, Note, RegisterError, Stage, Timing
+from fawnwharf.recovery_core import alone
+from fawnwharf.recovery_core.asking import Answer, Ask, Asking, Of, Pace, Stand, What
+from fawnwharf.recovery_core.register import Dealt
+from fawnwharf.recovery_core.stages import Allowed, Decide, Follower, Note, RegisterError, Stage, Timing
 from fawnwharf.rejoin import words as w
 from fawnwharf.rejoin.lead import Lead, Lists
 from fawnwharf.zones.lines import Seat
--- a/fawnwharf/rejoin/door.py
+++ b/fawnwharf/rejoin/door.py
@@ -15,9 +15,9 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Outcome, Refused
 from fawnwharf.net.wheel import Timer, monotonic_ms
-from fawnwharf.recovery import alone
-from fawnwharf.recovery.budget import Doors, Limits, first_classes
-from fawnwharf.recovery.stages import Allowed
+from fawnwharf.recovery_core import alone
+from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
+from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.rejoin.giving import Giving
 from fawnwharf.rejoin.outs import Stood, Ticket
 from fawnwharf.replication.claims import Phase
--- a/fawnwharf/rejoin/giving.py
+++ b/fawnwharf/rejoin/giving.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 
 from fawnwharf import interface as io
-from fawnwharf.recovery.budget import Limits, part_ms
-from fawnwharf.recovery.register import Dealt
-from fawnwharf.recovery.stages import Allowed
+from fawnwharf.recovery_core.budget import Limits, part_ms
+from fawnwharf.recovery_core.register import Dealt
+from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.rejoin import given_words as m
 from fawnwharf.rejoin.lent import LENT_MS, Helping
 from fawnwharf.rejoin.loading import LEAST_MS, PROVES, RETRY_MS, Loading
--- a/fawnwharf/rejoin/hints.py
+++ b/fawnwharf/rejoin/hints.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.config import Fleet, Member
-from fawnwharf.recovery.trust import Trust
+from fawnwharf.recovery_core.trust import Trust
 
 KEY = "last"  # of the one entry of each kind
 ROSTER_MS = 2_000.0
--- a/fawnwharf/rejoin/holds.py
+++ b/fawnwharf/rejoin/holds.py
@@ -17,7 +17,7 @@
 from fawnwharf.net.requests import OpenRequest
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.recovery.stages import Allowed
+from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.rejoin.giving import Giving
 from fawnwharf.rejoin.outs import Out
 
--- a/fawnwharf/rejoin/joined.py
+++ b/fawnwharf/rejoin/joined.py
@@ -13,9 +13,9 @@
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
-from fawnwharf.recovery.budget import Limits, limits_from
-from fawnwharf.recovery.register import Dealt
-from fawnwharf.recovery.stages import Allowed
+from fawnwharf.recovery_core.budget import Limits, limits_from
+from fawnwharf.recovery_core.register import Dealt
+from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.rejoin import given_words as g
 from fawnwharf.rejoin import outs
 from fawnwharf.rejoin.door import Door, Kept
--- a/fawnwharf/rejoin/kept.py
+++ b/fawnwharf/rejoin/kept.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.durable import form as f
 from fawnwharf.durable import reading
-from fawnwharf.recovery.trust import (
+from fawnwharf.recovery_core.trust import (
     Age,
     Clock,
     Found,
--- a/fawnwharf/rejoin/lead.py
+++ b/fawnwharf/rejoin/lead.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawnwharf.recovery.budget import loaders
-from fawnwharf.recovery.register import GIVERS_MOST
-from fawnwharf.recovery.stages import Conductor, Effect, Note, Seen, Stage, Timing
-from fawnwharf.recovery.trust import Scope, scope
+from fawnwharf.recovery_core.budget import loaders
+from fawnwharf.recovery_core.register import GIVERS_MOST
+from fawnwharf.recovery_core.stages import Conductor, Effect, Note, Seen, Stage, Timing
+from fawnwharf.recovery_core.trust import Scope, scope
 from fawnwharf.rejoin import words as w
 from fawnwharf.zones.lines import Seat
 
--- a/fawnwharf/rejoin/loading.py
+++ b/fawnwharf/rejoin/loading.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf import interface as io
-from fawnwharf.recovery.budget import Loader
+from fawnwharf.recovery_core.budget import Loader
 from fawnwharf.rejoin.given_words import Lend, Lent, Wanted, What
 from fawnwharf.rejoin.lent import Spares
 from fawnwharf.rejoin.outs import Order, Words
--- a/fawnwharf/rejoin/onstore.py
+++ b/fawnwharf/rejoin/onstore.py
@@ -16,7 +16,7 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.recovery.trust import Clock, Kind, Spans, Store, Trust
+from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
 from fawnwharf.rejoin import kept as k
 from fawnwharf.rejoin.promises import OnStore
 from fawnwharf.rejoin.settings import settings_from
--- a/fawnwharf/rejoin/seats.py
+++ b/fawnwharf/rejoin/seats.py
@@ -18,7 +18,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from fawnwharf.recovery.budget import Limits, loader_of, loaders
+from fawnwharf.recovery_core.budget import Limits, loader_of, loaders
 
 OWNERS_MOST = 20_000  # functions whose loader is kept in mind
 
--- a/fawnwharf/rejoin/service.py
+++ b/fawnwharf/rejoin/service.py
@@ -13,9 +13,9 @@
 from fawnwharf.consensus.decided import last_put
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.wheel import Timer, monotonic_ms
-from fawnwharf.recovery.asking import Stand, What
-from fawnwharf.recovery.stages import Decide, Note, Stage
-from fawnwharf.recovery.trust import Kind, Store
+from fawnwharf.recovery_core.asking import Stand, What
+from fawnwharf.recovery_core.stages import Decide, Note, Stage
+from fawnwharf.recovery_core.trust import Kind, Store
 from fawnwharf.rejoin import joined, showing
 from fawnwharf.rejoin import words as w
 from fawnwharf.rejoin.agent import Agent, Effect, Go, Lists, Own, Say, Signed
--- a/fawnwharf/rejoin/settings.py
+++ b/fawnwharf/rejoin/settings.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.durable import form
-from fawnwharf.recovery import asking, stages
+from fawnwharf.recovery_core import asking, stages
 from fawnwharf.zones.settings import FileFault, Span
 
 VERSION = 1
--- a/fawnwharf/rejoin/showing.py
+++ b/fawnwharf/rejoin/showing.py
@@ -1,6 +1,6 @@
 """How an agent stands, for people: told in its member's zones' log, and read by `fawnwharf recovery show`."""
 
-from fawnwharf.recovery.asking import What
+from fawnwharf.recovery_core.asking import What
 from fawnwharf.rejoin import words as w
 from fawnwharf.rejoin.agent import Agent
 
--- a/fawnwharf/rejoin/tallies.py
+++ b/fawnwharf/rejoin/tallies.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf import interface as io
-from fawnwharf.recovery.budget import first_classes
+from fawnwharf.recovery_core.budget import first_classes
 from fawnwharf.rejoin import words as w
 
 SPAN_MS = 1_000.0  # over which calls and loads are told
--- a/fawnwharf/rejoin/trial.py
+++ b/fawnwharf/rejoin/trial.py
@@ -17,9 +17,9 @@
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.wheel import Wheel
 from fawnwharf.policy import Router
-from fawnwharf.recovery.budget import limits_from
-from fawnwharf.recovery.stages import Stage, allowed
-from fawnwharf.recovery.world import KINDS, WORTHS
+from fawnwharf.recovery_core.budget import limits_from
+from fawnwharf.recovery_core.stages import Stage, allowed
+from fawnwharf.recovery_core.world import KINDS, WORTHS
 from fawnwharf.rejoin.door import Door
 from fawnwharf.rejoin.giving import TURN_MS, Giving
 from fawnwharf.rejoin.holds import Holds
--- a/fawnwharf/rejoin/wards.py
+++ b/fawnwharf/rejoin/wards.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from fawnwharf.recovery.budget import TICKET_MS, Limits, Warden, warden_of
+from fawnwharf.recovery_core.budget import TICKET_MS, Limits, Warden, warden_of
 from fawnwharf.rejoin.given_words import TICKETS_MOST, Asked, Given
 from fawnwharf.rejoin.outs import Ticket, Words
 from fawnwharf.rejoin.seats import follows
--- a/fawnwharf/rejoin/words.py
+++ b/fawnwharf/rejoin/words.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.consensus.messages import DATA_MOST
 from fawnwharf.durable.reading import Sign
-from fawnwharf.recovery.asking import Answer, Ask, Number
+from fawnwharf.recovery_core.asking import Answer, Ask, Number
 from fawnwharf.zones.settings import Name
 
 RIDER = "recovery"  # by both logs; the kind of its register as well
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -22,7 +22,7 @@
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
-from fawnwharf.recovery import register as recovery_register
+from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.rejoin import given_words, hints, kept
 from fawnwharf.rejoin import words as recovery_words
 from fawnwharf.replication import claims
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -29,8 +29,8 @@
 from fawnwharf.policy_rollout import trace as policy_trace
 from fawnwharf.policy_rollout.document import Document, register_from
 from fawnwharf.prefetch import memory as prefetch_memory
-from fawnwharf.recovery import register as recovery_register
-from fawnwharf.recovery.trust import Clock, Kind
+from fawnwharf.recovery_core import register as recovery_register
+from fawnwharf.recovery_core.trust import Clock, Kind
 from fawnwharf.rejoin import joined, kept
 from fawnwharf.rejoin import settings as recovery_settings
 from fawnwharf.rejoin import words as recovery_words
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -14,7 +14,7 @@
 
 import fawnwharf
 from fawnwharf.migration import messages as migrations
-from fawnwharf.recovery import asking, register
+from fawnwharf.recovery_core import asking, register
 from fawnwharf.rejoin import given_words
 from fawnwharf.replication import claims
 
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.recovery.budget import Limits
-from fawnwharf.recovery.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import Limits
+from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.rejoin.given_words import word_from
 from fawnwharf.rejoin.giving import TURN_MS, Giving
 from fawnwharf.rejoin.outs import Order, Ticket, Words
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -3,8 +3,8 @@
 from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.requests import Call, Refused
 from fawnwharf.net.wheel import Wheel
-from fawnwharf.recovery.budget import Limits
-from fawnwharf.recovery.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import Limits
+from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.rejoin.door import Door
 
 CLASSES = {
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -9,8 +9,8 @@
 from test_zone_members import Fleet
 
 from fawnwharf.durable.reading import Sign
-from fawnwharf.recovery.asking import Pace
-from fawnwharf.recovery.stages import Decide, Note, Stage, Timing
+from fawnwharf.recovery_core.asking import Pace
+from fawnwharf.recovery_core.stages import Decide, Note, Stage, Timing
 from fawnwharf.rejoin import words as w
 from fawnwharf.rejoin.agent import Agent, Go, Own, Say, Signed
 from fawnwharf.rejoin.lead import Lists
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -7,7 +7,7 @@
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import Policies
-from fawnwharf.recovery.stages import Stage
+from fawnwharf.recovery_core.stages import Stage
 from fawnwharf.rejoin.onstore import kept
 from fawnwharf.rejoin.service import Rejoin
 from fawnwharf.replication.service import State
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -4,8 +4,8 @@
 time on at half the budget.
 """
 
-from fawnwharf.recovery.register import Dealt
-from fawnwharf.recovery.stages import Allowed, Stage, allowed
+from fawnwharf.recovery_core.register import Dealt
+from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
 from fawnwharf.rejoin.giving import Giving
 from fawnwharf.rejoin.outs import Order, Words
 from fawnwharf.replication.placement import weight
--- a/tests/test_disk_faults_promises.py
+++ b/tests/test_disk_faults_promises.py
@@ -6,7 +6,7 @@
 import pytest
 from support.memory_stores import LIMITS, Site, StoreCores, asks
 
-from fawnwharf.recovery.trust import Kind, Store
+from fawnwharf.recovery_core.trust import Kind, Store
 from fawnwharf.rejoin import kept as k
 
 PROMISES = k.RULES[Kind.PROMISE]
--- a/tests/test_recovery_asking.py
+++ b/tests/test_recovery_asking.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnwharf.recovery.asking import STEPS, Answer, Asking, Of, Stand, What
-from fawnwharf.recovery.trust import Others
+from fawnwharf.recovery_core.asking import STEPS, Answer, Asking, Of, Stand, What
+from fawnwharf.recovery_core.trust import Others
 
 LISTS = {Of.VOTERS: ("v1", "v2", "v3"), Of.KEEPERS: ("k1", "k2", "v1"), Of.LOG: ("log",)}
 
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -6,9 +6,9 @@
 from fawnwharf.consensus.voter import Voter
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
-from fawnwharf.recovery import trust as t
-from fawnwharf.recovery.promises import Rules
-from fawnwharf.recovery.search import (
+from fawnwharf.recovery_core import trust as t
+from fawnwharf.recovery_core.promises import Rules
+from fawnwharf.recovery_core.search import (
     SEARCHES,
     PolicyBounds,
     PolicySearch,
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 
 from fawnwharf import interface as io
-from fawnwharf.recovery import alone, budget
-from fawnwharf.recovery.alone import Alone, Standing
-from fawnwharf.recovery.stages import (
+from fawnwharf.recovery_core import alone, budget
+from fawnwharf.recovery_core.alone import Alone, Standing
+from fawnwharf.recovery_core.stages import (
     Conductor,
     Decide,
     Follower,
--- a/tests/test_recovery_trust.py
+++ b/tests/test_recovery_trust.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnwharf.recovery.trust import (
+from fawnwharf.recovery_core.trust import (
     PART,
     Age,
     Clock,
--- a/tests/test_recovery_world.py
+++ b/tests/test_recovery_world.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from fawnwharf.recovery import trial
-from fawnwharf.recovery.planned import Planned
-from fawnwharf.recovery.stages import Stage
-from fawnwharf.recovery.world import Scene, World
+from fawnwharf.recovery_core import trial
+from fawnwharf.recovery_core.planned import Planned
+from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.world import Scene, World
 
 LAST, MINORITY = (trial.scene_of(name, 12) for name in ("last", "minority"))
 
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -5,8 +5,8 @@
 from support.recovery_agents import TIMING, Agents
 
 from fawnwharf.durable.reading import Sign
-from fawnwharf.recovery.asking import Answer, Ask, Stand, What
-from fawnwharf.recovery.stages import Register, Stage
+from fawnwharf.recovery_core.asking import Answer, Ask, Stand, What
+from fawnwharf.recovery_core.stages import Register, Stage
 from fawnwharf.rejoin import words as w
 from fawnwharf.rejoin.lead import Lead, Lists
 from fawnwharf.rejoin.showing import shown
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -7,9 +7,9 @@
 from support.register_permits import WORD_MS, DealtFleet, GivingAgents
 from test_recovery_stages import Led
 
-from fawnwharf.recovery.budget import warden_of
-from fawnwharf.recovery.register import GIVERS_MOST, Dealt, Register, register_from
-from fawnwharf.recovery.stages import Allowed, Follower, Seen, Stage, Timing, allowed
+from fawnwharf.recovery_core.budget import warden_of
+from fawnwharf.recovery_core.register import GIVERS_MOST, Dealt, Register, register_from
+from fawnwharf.recovery_core.stages import Allowed, Follower, Seen, Stage, Timing, allowed
 from fawnwharf.rejoin import words as w
 from fawnwharf.rejoin.giving import LOOK_MS, TURN_MS
 from fawnwharf.rejoin.lead import Lead, Lists
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -13,7 +13,7 @@
 from fawnwharf.net.requests import Call, Failed, Refused, Served
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
-from fawnwharf.recovery.stages import Allowed, Stage, allowed
+from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
 from fawnwharf.rejoin.door import HOLD_PART, Kept
 from fawnwharf.rejoin.holds import Holds
 from fawnwharf.rejoin.outs import Stood, Ticket
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -8,8 +8,8 @@
 from support.load_permits import LIMITS, WORTHS, Fleet, storm
 
 from fawnwharf import interface as io
-from fawnwharf.recovery.budget import loader_of, loaders, warden_of
-from fawnwharf.recovery.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import loader_of, loaders, warden_of
+from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.rejoin import given_words as m
 from fawnwharf.rejoin.giving import Giving
 from fawnwharf.rejoin.outs import Order, Words
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -7,8 +7,8 @@
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.recovery.budget import limits_from
-from fawnwharf.recovery.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import limits_from
+from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.rejoin.door import Door
 from fawnwharf.rejoin.giving import Giving
 from fawnwharf.rejoin.holds import Holds
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -8,7 +8,7 @@
 from support.memory_stores import Site, StoreCores, asks
 
 from fawnwharf.interface import Effect
-from fawnwharf.recovery.trust import Store
+from fawnwharf.recovery_core.trust import Store
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claimant import GiveUp, Go, TurnAway
 from fawnwharf.replication.claims import Phase
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -10,7 +10,7 @@
 
 from fawnwharf.durable import folder
 from fawnwharf.durable.form import Limits
-from fawnwharf.recovery.trust import Kind, Store, Trust
+from fawnwharf.recovery_core.trust import Kind, Store, Trust
 from fawnwharf.rejoin.onstore import Kept
 
 GRANTING = """
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -8,8 +8,8 @@
 from support.recovery_front_ends import Site
 
 from fawnwharf import interface as io
-from fawnwharf.recovery.stages import Stage
-from fawnwharf.recovery.trust import Store
+from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.trust import Store
 
 RETURN = ["listening", "repeats", "worth", "rest", "renewal", "spill"]
 
--- a/tests/test_rejoin_settings.py
+++ b/tests/test_rejoin_settings.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from fawnwharf.recovery import asking, stages
+from fawnwharf.recovery_core import asking, stages
 from fawnwharf.rejoin.settings import settings_from
 from fawnwharf.zones.settings import FileFault
 
