--- a/fawnwharf/cli.py
+++ b/fawnwharf/cli.py
@@ -8,7 +8,7 @@
 from fawnwharf.durable.commands import app as recovery_app
 from fawnwharf.lab.commands import app as lab_app
 from fawnwharf.policy_rollout.commands import app as policy_app
-from fawnwharf.rejoin.commands import show as recovery_show
+from fawnwharf.recovery_service.commands import show as recovery_show
 from fawnwharf.replication.commands import app as state_app
 from fawnwharf.sessions.commands import app as sessions_app
 from fawnwharf.zones.commands import app as zones_app
--- a/fawnwharf/rejoin/giving.py
+++ b/fawnwharf/recovery_service/giving.py
@@ -15,12 +15,12 @@
 from fawnwharf.recovery_core.budget import Limits, part_ms
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.rejoin import given_words as m
-from fawnwharf.rejoin.lent import LENT_MS, Helping
-from fawnwharf.rejoin.loading import LEAST_MS, PROVES, RETRY_MS, Loading
-from fawnwharf.rejoin.outs import Out, Stood, Words
-from fawnwharf.rejoin.seats import Seats
-from fawnwharf.rejoin.wards import Wards
+from fawnwharf.recovery_service import given_words as m
+from fawnwharf.recovery_service.lent import LENT_MS, Helping
+from fawnwharf.recovery_service.loading import LEAST_MS, PROVES, RETRY_MS, Loading
+from fawnwharf.recovery_service.outs import Out, Stood, Words
+from fawnwharf.recovery_service.seats import Seats
+from fawnwharf.recovery_service.wards import Wards
 
 TURN_MS = 50.0  # words are gathered for so long
 AGAIN_MS = 1_000.0  # a want of which nothing came is told again
--- a/fawnwharf/rejoin/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -16,12 +16,12 @@
 from fawnwharf.recovery_core.budget import Limits, limits_from
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.rejoin import given_words as g
-from fawnwharf.rejoin import outs
-from fawnwharf.rejoin.door import Door, Kept
-from fawnwharf.rejoin.giving import TURN_MS, Giving
-from fawnwharf.rejoin.holds import Holds
-from fawnwharf.rejoin.settings import Settings
+from fawnwharf.recovery_service import given_words as g
+from fawnwharf.recovery_service import outs
+from fawnwharf.recovery_service.door import Door, Kept
+from fawnwharf.recovery_service.giving import TURN_MS, Giving
+from fawnwharf.recovery_service.holds import Holds
+from fawnwharf.recovery_service.settings import Settings
 from fawnwharf.replication.service import State
 
 RIDER = "recovery-given"  # by the logs of state
--- a/fawnwharf/rejoin/lent.py
+++ b/fawnwharf/recovery_service/lent.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 from fawnwharf import interface as io
-from fawnwharf.rejoin import given_words as m
-from fawnwharf.rejoin.outs import Order, Out, Words
+from fawnwharf.recovery_service import given_words as m
+from fawnwharf.recovery_service.outs import Order, Out, Words
 
 SPARE_MS, SPARE_EACH_MS = 200.0, 4.0  # pace of telling, and for each front end that is heard
 FRESH_MS = 150.0  # for so long a loader counts on what was told
--- a/fawnwharf/rejoin/loading.py
+++ b/fawnwharf/recovery_service/loading.py
@@ -10,10 +10,10 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import Loader
-from fawnwharf.rejoin.given_words import Lend, Lent, Wanted, What
-from fawnwharf.rejoin.lent import Spares
-from fawnwharf.rejoin.outs import Order, Words
-from fawnwharf.rejoin.seats import Seats
+from fawnwharf.recovery_service.given_words import Lend, Lent, Wanted, What
+from fawnwharf.recovery_service.lent import Spares
+from fawnwharf.recovery_service.outs import Order, Words
+from fawnwharf.recovery_service.seats import Seats
 
 ORDER_MS = 100.0  # by then the module has made an order of what it was told, or it makes none
 UNMADE_MS = 1_000.0  # an order that was not made, and of which its scorer says nothing for so long
--- a/fawnwharf/rejoin/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -17,9 +17,9 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
-from fawnwharf.rejoin import kept as k
-from fawnwharf.rejoin.promises import OnStore
-from fawnwharf.rejoin.settings import settings_from
+from fawnwharf.recovery_service import kept as k
+from fawnwharf.recovery_service.promises import OnStore
+from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import settings_from as state_settings
 from fawnwharf.zones.files import load
--- a/fawnwharf/rejoin/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -16,13 +16,13 @@
 from fawnwharf.recovery_core.asking import Stand, What
 from fawnwharf.recovery_core.stages import Decide, Note, Stage
 from fawnwharf.recovery_core.trust import Kind, Store
-from fawnwharf.rejoin import joined, showing
-from fawnwharf.rejoin import words as w
-from fawnwharf.rejoin.agent import Agent, Effect, Go, Lists, Own, Say, Signed
-from fawnwharf.rejoin.counted import Counted
-from fawnwharf.rejoin.hints import KEY, LastRoster, LastUse
-from fawnwharf.rejoin.settings import Settings, settings_from
-from fawnwharf.rejoin.tallies import Tallies
+from fawnwharf.recovery_service import joined, showing
+from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service.agent import Agent, Effect, Go, Lists, Own, Say, Signed
+from fawnwharf.recovery_service.counted import Counted
+from fawnwharf.recovery_service.hints import KEY, LastRoster, LastUse
+from fawnwharf.recovery_service.settings import Settings, settings_from
+from fawnwharf.recovery_service.tallies import Tallies
 from fawnwharf.zones.files import load
 from fawnwharf.zones.lines import RECOVERY, Word
 
--- a/fawnwharf/rejoin/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -1,5 +1,5 @@
 """All clients at once at front ends that have just returned, in virtual time: with loaders, wardens and
-doors, and with the module alone. `python -m fawnwharf.rejoin.trial [pairs]` prints means and differences.
+doors, and with the module alone. `python -m fawnwharf.recovery_service.trial [pairs]` prints means and differences.
 
 Real are the module, `Giving`, `Door` and `Holds`; small are scorers, the store and words (1 to 5 ms). Left
 out: the gate, zones, stages (the last before renewal holds all the time), that a crowded store slows down,
@@ -20,11 +20,11 @@
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_core.world import KINDS, WORTHS
-from fawnwharf.rejoin.door import Door
-from fawnwharf.rejoin.giving import TURN_MS, Giving
-from fawnwharf.rejoin.holds import Holds
-from fawnwharf.rejoin.outs import Order as Ordered
-from fawnwharf.rejoin.outs import Out, Words
+from fawnwharf.recovery_service.door import Door
+from fawnwharf.recovery_service.giving import TURN_MS, Giving
+from fawnwharf.recovery_service.holds import Holds
+from fawnwharf.recovery_service.outs import Order as Ordered
+from fawnwharf.recovery_service.outs import Out, Words
 from fawnwharf.replication.placement import weight
 
 FRONTS, SCORERS, FUNCTIONS, LANES, LOADS_MOST = 6, 6, 60, 8, 4
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -67,7 +67,7 @@
 
         makers["zones"] = lambda first, made, place=place: Zones(deployment, place, write)
     if place := files.get("recovery"):
-        from fawnwharf.rejoin.onstore import kept
+        from fawnwharf.recovery_service.onstore import kept
 
         makers["kept"] = lambda first, made, place=place: kept(
             deployment, place, files["state"], write, fresh and first
@@ -89,7 +89,7 @@
             deployment, place, write, made, fresh and first
         )
     if place := files.get("recovery"):
-        from fawnwharf.rejoin.service import Rejoin
+        from fawnwharf.recovery_service.service import Rejoin
 
         makers["recovery"] = lambda first, made, place=place: Rejoin(deployment, place, write, made)
     return makers
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -15,7 +15,7 @@
 from fawnwharf.lab.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.rejoin.onstore import Kept
+from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.core import Core
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -23,8 +23,8 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.rejoin import given_words, hints, kept
-from fawnwharf.rejoin import words as recovery_words
+from fawnwharf.recovery_service import given_words, hints, kept
+from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import claims
 from fawnwharf.replication import disk as keeper_disk
 from fawnwharf.replication import messages as state
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -31,9 +31,9 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_core.trust import Clock, Kind
-from fawnwharf.rejoin import joined, kept
-from fawnwharf.rejoin import settings as recovery_settings
-from fawnwharf.rejoin import words as recovery_words
+from fawnwharf.recovery_service import joined, kept
+from fawnwharf.recovery_service import settings as recovery_settings
+from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import disk as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -15,7 +15,7 @@
 import fawnwharf
 from fawnwharf.migration import messages as migrations
 from fawnwharf.recovery_core import asking, register
-from fawnwharf.rejoin import given_words
+from fawnwharf.recovery_service import given_words
 from fawnwharf.replication import claims
 
 ENTRIES = entries()
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -14,7 +14,7 @@
 from fawnwharf.policy_rollout import document as policy_document
 from fawnwharf.policy_rollout import settings as policy
 from fawnwharf.prefetch import settings as prefetch
-from fawnwharf.rejoin import settings as recovery
+from fawnwharf.recovery_service import settings as recovery
 from fawnwharf.replication import settings as state
 from fawnwharf.sessions import settings as sessions
 from fawnwharf.zones import settings as zones
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -10,7 +10,7 @@
 from fawnwharf.durable.form import Limits
 from fawnwharf.durable.ops import carry_out
 from fawnwharf.durable.reading import Unreadable
-from fawnwharf.rejoin import onstore, promises
+from fawnwharf.recovery_service import onstore, promises
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -8,8 +8,8 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.rejoin.onstore import kept
-from fawnwharf.rejoin.service import Rejoin
+from fawnwharf.recovery_service.onstore import kept
+from fawnwharf.recovery_service.service import Rejoin
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
 from fawnwharf.zones.founding import found
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -40,7 +40,7 @@
         "recovery_core.search",
         "recovery_core.trial",
         "recovery_core.world",
-        "rejoin.trial",
+        "recovery_service.trial",
         "sessions.measure",
     )
 }
@@ -66,11 +66,11 @@
     "migration": "replication sites",
     "recovery_core": "consensus interface replication zones",
     "sessions": "config interface lives migration net policy prefetch replication sites zones",
-    "rejoin": "config consensus durable interface net policy recovery_core replication zones",
-    "serving": "config interface net operators policy_rollout rejoin replication sessions zones",
+    "recovery_service": "config consensus durable interface net policy recovery_core replication zones",
+    "serving": "config interface net operators policy_rollout recovery_service replication sessions zones",
     "standins": "__main__ config durable net",
     "lab": "config consensus interface net policy_rollout replication sessions sites standins zones",
-    "cli": "config durable fawnwharf lab policy_rollout rejoin replication serving sessions zones",
+    "cli": "config durable fawnwharf lab policy_rollout recovery_service replication serving sessions zones",
     "__main__": "cli serving",
 }
 # Outermost: these may import anything, and nothing imports them but the command line (`fawnwharf lab`).
@@ -89,7 +89,7 @@
     "lives",
     "operators",
     "recovery_core",
-    "rejoin",
+    "recovery_service",
     "replication",
     "sessions",
     "sites",
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -7,9 +7,9 @@
 from fawnwharf.durable.reading import Sign
 from fawnwharf.recovery_core.asking import Answer, Ask, Stand, What
 from fawnwharf.recovery_core.stages import Register, Stage
-from fawnwharf.rejoin import words as w
-from fawnwharf.rejoin.lead import Lead, Lists
-from fawnwharf.rejoin.showing import shown
+from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service.lead import Lead, Lists
+from fawnwharf.recovery_service.showing import shown
 
 RETURN = list(Stage)
 
--- a/tests/test_rejoin_commands.py
+++ b/tests/test_rejoin_commands.py
@@ -8,8 +8,8 @@
 
 from fawnwharf import serving
 from fawnwharf.cli import app
-from fawnwharf.rejoin import words as w
-from fawnwharf.rejoin.commands import told
+from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service.commands import told
 
 RUNNER = CliRunner()
 
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -10,11 +10,11 @@
 from fawnwharf.recovery_core.budget import warden_of
 from fawnwharf.recovery_core.register import GIVERS_MOST, Dealt, Register, register_from
 from fawnwharf.recovery_core.stages import Allowed, Follower, Seen, Stage, Timing, allowed
-from fawnwharf.rejoin import words as w
-from fawnwharf.rejoin.giving import LOOK_MS, TURN_MS
-from fawnwharf.rejoin.lead import Lead, Lists
-from fawnwharf.rejoin.lent import LENT_MS
-from fawnwharf.rejoin.wards import Wards
+from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service.giving import LOOK_MS, TURN_MS
+from fawnwharf.recovery_service.lead import Lead, Lists
+from fawnwharf.recovery_service.lent import LENT_MS
+from fawnwharf.recovery_service.wards import Wards
 
 ROWS = [f"f{i}" for i in range(400)]
 STEP_MS = 20.0
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -10,8 +10,8 @@
 from fawnwharf.durable.ops import carry_out
 from fawnwharf.durable.reading import Sign
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
-from fawnwharf.rejoin import hints, onstore
-from fawnwharf.rejoin import kept as k
+from fawnwharf.recovery_service import hints, onstore
+from fawnwharf.recovery_service import kept as k
 from fawnwharf.standins.disks import Plan, PowerCut
 
 
--- a/tests/test_rejoin_killed.py
+++ b/tests/test_rejoin_killed.py
@@ -11,7 +11,7 @@
 from processes import Port
 from support.recovery_front_ends import Site
 
-from fawnwharf.rejoin.commands import look
+from fawnwharf.recovery_service.commands import look
 
 
 class Served:
--- a/tests/test_rejoin_lent.py
+++ b/tests/test_rejoin_lent.py
@@ -5,9 +5,9 @@
 from test_rejoin_giving import ROWS, want_all
 
 from fawnwharf import interface as io
-from fawnwharf.rejoin import given_words as m
-from fawnwharf.rejoin.lent import FRESH_MS, GONE_MS, MADE_MS, SPARE_MS, VOID_MS, Helping, Spares
-from fawnwharf.rejoin.outs import Order, Words
+from fawnwharf.recovery_service import given_words as m
+from fawnwharf.recovery_service.lent import FRESH_MS, GONE_MS, MADE_MS, SPARE_MS, VOID_MS, Helping, Spares
+from fawnwharf.recovery_service.outs import Order, Words
 
 
 def most_of_one(fleet):
@@ -163,7 +163,7 @@
 
 
 def test_seats_that_do_not_wait_for_what_was_lent_are_found(monkeypatch):
-    monkeypatch.setattr("fawnwharf.rejoin.giving.LENT_MS", -500.0)
+    monkeypatch.setattr("fawnwharf.recovery_service.giving.LENT_MS", -500.0)
     assert (
         max(storm(Fleet(seed, lost=0.15, ration=4), seed, want_all).most for seed in range(6))
         > LIMITS.fetches
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -11,7 +11,7 @@
 from fawnwharf.durable import folder
 from fawnwharf.durable.form import Limits
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
-from fawnwharf.rejoin.onstore import Kept
+from fawnwharf.recovery_service.onstore import Kept
 
 GRANTING = """
 import json, sys
@@ -19,7 +19,7 @@
 from fawnwharf.lab.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.rejoin.onstore import Kept
+from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
--- a/tests/test_rejoin_settings.py
+++ b/tests/test_rejoin_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from fawnwharf.recovery_core import asking, stages
-from fawnwharf.rejoin.settings import settings_from
+from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.zones.settings import FileFault
 
 GOOD = {"version": 1, "folder": "here", "fetches": 4, "scorer_rps": 50}
--- a/tests/test_rejoin_tallies.py
+++ b/tests/test_rejoin_tallies.py
@@ -4,10 +4,10 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Refused, Served
-from fawnwharf.rejoin import counted
-from fawnwharf.rejoin.counted import Counted
-from fawnwharf.rejoin.tallies import SPAN_MS, Tallies
-from fawnwharf.rejoin.words import Tally
+from fawnwharf.recovery_service import counted
+from fawnwharf.recovery_service.counted import Counted
+from fawnwharf.recovery_service.tallies import SPAN_MS, Tallies
+from fawnwharf.recovery_service.words import Tally
 
 WORTHS = {"view": 1.0, "save": 5.0}
 
