--- a/fawnwharf/durable/crash.py
+++ b/fawnwharf/durable/crash.py
@@ -25,7 +25,7 @@
 from fawnwharf.durable.planted import NONE, PLANTED, Bug
 from fawnwharf.durable.reading import Found, Sign, Unreadable, older
 from fawnwharf.durable.store import Refused, Store, look, made
-from fawnwharf.standins.disks import MemoryDisk, Plan, PowerCut
+from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
 KINDS = [f.Kind("term", f.SYNCED, 4), f.Kind("use", f.SOON, 12), f.Kind("copies", f.HINT, 12)]
 LIMITS = f.Limits(64 * 1024, 700, 250, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
--- a/fawnwharf/standins/asking.py
+++ b/fawnwharf/fakes/asking.py
@@ -3,10 +3,10 @@
 import struct
 
 from fawnwharf.config import Address
+from fawnwharf.fakes.calls import question
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import Loop
-from fawnwharf.standins.calls import question
 
 DIAL_MS = 400.0
 ASK_MS = 100.0
--- a/fawnwharf/standins/clients.py
+++ b/fawnwharf/fakes/clients.py
@@ -11,14 +11,14 @@
 from dataclasses import replace
 
 from fawnwharf.config import Address
+from fawnwharf.fakes.asking import Asking
+from fawnwharf.fakes.calls import LATE_MS, Kind, Request, Try, message, read, withdrawal
+from fawnwharf.fakes.lines import DIAL_MS, Line, Probe
 from fawnwharf.net import thrift
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.standins.asking import Asking
-from fawnwharf.standins.calls import LATE_MS, Kind, Request, Try, message, read, withdrawal
-from fawnwharf.standins.lines import DIAL_MS, Line, Probe
 
 PROBE_MS = 500.0  # pace of dials to a front end that is down; no call goes there until one comes up
 OPEN_MOST = 32
--- a/fawnwharf/standins/clocks.py
+++ b/fawnwharf/fakes/clocks.py
@@ -1,6 +1,6 @@
 """A machine's clocks that are not the true ones: other times, other rates, and steps while it runs.
 
-`python -m fawnwharf.standins.clocks PAGE serve ...` runs the program with `time.time` and `time.monotonic` as
+`python -m fawnwharf.fakes.clocks PAGE serve ...` runs the program with `time.time` and `time.monotonic` as
 the page tells them. Whoever owns the page writes a new reading at any moment, and the next look at a clock
 goes by it. What the system itself stamps, as bytes that come in, keeps the true time.
 """
--- a/fawnwharf/standins/lines.py
+++ b/fawnwharf/fakes/lines.py
@@ -3,10 +3,10 @@
 import struct
 from typing import Protocol
 
+from fawnwharf.fakes.calls import Request, Try, question
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import Loop
-from fawnwharf.standins.calls import Request, Try, question
 
 DIAL_MS = 400.0
 
--- a/fawnwharf/standins/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -22,7 +22,7 @@
 
 BLOCK = 64  # bytes that are on the disk together, as on the disk in memory
 VARIABLE = "FAWNWHARF_LOSSY"
-SAYS = {writer.INSTEAD: "fawnwharf.standins.lossy"}  # the environment that puts it in the writer's place
+SAYS = {writer.INSTEAD: "fawnwharf.fakes.lossy"}  # the environment that puts it in the writer's place
 
 
 class Lossy(Struct, frozen=True, forbid_unknown_fields=True):
--- a/fawnwharf/standins/scorers.py
+++ b/fawnwharf/fakes/scorers.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.config import Address
+from fawnwharf.fakes.nature import Arrival, Nature, Store
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.wheel import Timer, monotonic_ms
-from fawnwharf.standins.nature import Arrival, Nature, Store
 
 WORDS = {frames.RUN: "run", frames.GIVE_UP: "give_up", frames.ENSURE: "order", frames.UNLOAD: "unload"}
 
--- a/fawnwharf/standins/sessions.py
+++ b/fawnwharf/fakes/sessions.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from fawnwharf.fakes.calls import Request
+from fawnwharf.fakes.clients import Clients
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.standins.calls import Request
-from fawnwharf.standins.clients import Clients
 
 AGAIN_MS = 1_000.0  # calls of the last second come again where a session goes
 RECENT = 8  # calls of a session that are remembered for it
--- a/fawnwharf/lab/checker.py
+++ b/fawnwharf/lab/checker.py
@@ -10,14 +10,14 @@
 from collections import Counter, defaultdict, deque
 from dataclasses import dataclass, field
 
+from fawnwharf.fakes.calls import Kind
+from fawnwharf.fakes.clients import LATE_MS, Try
+from fawnwharf.fakes.nature import Arrival
 from fawnwharf.lab import moves
 from fawnwharf.lab.files import DEDUP_MS, RATION, RULES
 from fawnwharf.lab.fleet import Fleet
 from fawnwharf.lab.processes import Front
 from fawnwharf.lab.proposals import judged
-from fawnwharf.standins.calls import Kind
-from fawnwharf.standins.clients import LATE_MS, Try
-from fawnwharf.standins.nature import Arrival
 
 SLACK_MS = LATE_MS
 RATION_ROOM = 1.15
--- a/fawnwharf/lab/files.py
+++ b/fawnwharf/lab/files.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
+from fawnwharf.fakes import lossy as standins
+from fawnwharf.fakes.calls import Kind
 from fawnwharf.lab.processes import Front
 from fawnwharf.lab.topology import BALLOTS, CONTROL, KINDS, PORT, PUBLIC, STATE, TENANTS, Topology, hash_of
 from fawnwharf.net.wheel import unix_ms
-from fawnwharf.standins import lossy as standins
-from fawnwharf.standins.calls import Kind
 
 BOOT, POWER = "boot", "power"  # in a front end's folder: its machine's mark, what its writer did not sync
 DEDUP_MS = 3_000.0
--- a/fawnwharf/lab/fleet.py
+++ b/fawnwharf/lab/fleet.py
@@ -16,13 +16,13 @@
 from pathlib import Path
 from typing import Any
 
+from fawnwharf.fakes import lossy
 from fawnwharf.lab import files
 from fawnwharf.lab.clocks import PAGE, Clocks
 from fawnwharf.lab.processes import Former, Front, LabFault, Noted, Pipe, Waits
 from fawnwharf.lab.scenario import Scenario
 from fawnwharf.lab.topology import Topology
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.standins import lossy
 
 PATIENCE_S = 40.0
 STOOD_MS = 200.0  # between two looks: beyond it this process was held up, whatever the system counts
@@ -98,7 +98,7 @@
 
     def command(self, front: Front) -> list[str]:
         """The command line of a front end."""
-        program = ["fawnwharf"] if self.scenario.clocks is None else ["fawnwharf.standins.clocks", PAGE]
+        program = ["fawnwharf"] if self.scenario.clocks is None else ["fawnwharf.fakes.clocks", PAGE]
         command = [sys.executable, "-m", *program, "serve"]
         if self.scenario.decide:
             command += ["--zones", "zones.json"]
--- a/fawnwharf/lab/moves.py
+++ b/fawnwharf/lab/moves.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from fawnwharf.fakes.calls import LATE_MS, Request
+from fawnwharf.fakes.sessions import Moved
 from fawnwharf.lab import homes
 from fawnwharf.lab.files import PRICES
 from fawnwharf.lab.fleet import Fleet
 from fawnwharf.net.wheel import monotonic_ms, unix_ms
-from fawnwharf.standins.calls import LATE_MS, Request
-from fawnwharf.standins.sessions import Moved
 
 SPANS_S = (1, 5, 20)
 RACE_MS = 300.0  # what was on its way when somebody decided is nobody's fault
--- a/fawnwharf/lab/outage.py
+++ b/fawnwharf/lab/outage.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from fawnwharf.standins.calls import Request
+from fawnwharf.fakes.calls import Request
 
 PARTS = 0.5, 0.9, 0.99
 STAYS_S = 3
--- a/fawnwharf/lab/parties.py
+++ b/fawnwharf/lab/parties.py
@@ -3,10 +3,10 @@
 import random
 from collections.abc import Callable
 
+from fawnwharf.fakes.relay import Relay
 from fawnwharf.lab.fleet import Fleet
 from fawnwharf.lab.processes import Front
 from fawnwharf.lab.scenario import Step
-from fawnwharf.standins.relay import Relay
 
 
 class Parties:
--- a/fawnwharf/lab/power.py
+++ b/fawnwharf/lab/power.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from fawnwharf.fakes.relay import Relay
 from fawnwharf.lab import files
 from fawnwharf.lab.fleet import Fleet
 from fawnwharf.lab.measures import Meter
 from fawnwharf.lab.parties import Parties
 from fawnwharf.lab.scenario import Returns, Step
 from fawnwharf.net.wheel import Timer, monotonic_ms
-from fawnwharf.standins.relay import Relay
 
 RUSH, RUSH_MS = 4.0, 1_000.0  # times the usual rate, and for how long
 # Of a cut, until clients ask again for the at-most-once calls of the last moments, and how long those are:
--- a/fawnwharf/lab/processes.py
+++ b/fawnwharf/lab/processes.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
+from fawnwharf.fakes.changelog import ChangeLogServer
 from fawnwharf.net.loop import READ, Loop
-from fawnwharf.standins.changelog import ChangeLogServer
 
 READ_BYTES = 65536
 LINES_KEPT = 200  # of a life
--- a/fawnwharf/lab/sessions.py
+++ b/fawnwharf/lab/sessions.py
@@ -3,6 +3,7 @@
 import json
 from collections.abc import Mapping
 
+from fawnwharf.fakes.sessions import ANY, Live, Moved, Planned
 from fawnwharf.lab.files import write_whole
 from fawnwharf.lab.fleet import Fleet
 from fawnwharf.lab.parties import Parties
@@ -11,7 +12,6 @@
 from fawnwharf.net.wheel import monotonic_ms, unix_ms
 from fawnwharf.sessions.moves import target
 from fawnwharf.sites import Session
-from fawnwharf.standins.sessions import ANY, Live, Moved, Planned
 
 TOLD_MS = 500.0  # pace at which the oracle's file is written
 
--- a/fawnwharf/lab/steps.py
+++ b/fawnwharf/lab/steps.py
@@ -2,6 +2,7 @@
 
 from pathlib import Path
 
+from fawnwharf.fakes.relay import BACKWARD, FORWARD
 from fawnwharf.lab.files import write_members, write_whole
 from fawnwharf.lab.fleet import Fleet
 from fawnwharf.lab.measures import Meter
@@ -12,7 +13,6 @@
 from fawnwharf.lab.proposals import Proposals
 from fawnwharf.lab.scenario import Step
 from fawnwharf.lab.sessions import SessionSteps
-from fawnwharf.standins.relay import BACKWARD, FORWARD
 
 DISKS = "voter.log", "policy.json"  # of a member, in its folder
 
--- a/fawnwharf/lab/topology.py
+++ b/fawnwharf/lab/topology.py
@@ -13,16 +13,16 @@
 import msgspec
 
 from fawnwharf.config import Address
+from fawnwharf.fakes.changelog import ChangeLogServer
+from fawnwharf.fakes.clients import Clients, Kind
+from fawnwharf.fakes.nature import Arrival, Nature, Store
+from fawnwharf.fakes.relay import Relay
+from fawnwharf.fakes.scorers import Scorer
+from fawnwharf.fakes.sessions import SessionClients
 from fawnwharf.lab.processes import Front, LabFault
 from fawnwharf.lab.scenario import Scenario
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import unix_ms
-from fawnwharf.standins.changelog import ChangeLogServer
-from fawnwharf.standins.clients import Clients, Kind
-from fawnwharf.standins.nature import Arrival, Nature, Store
-from fawnwharf.standins.relay import Relay
-from fawnwharf.standins.scorers import Scorer
-from fawnwharf.standins.sessions import SessionClients
 
 SLOTS = 24  # labs that may run side by side on one machine
 PORT, PUBLIC, BALLOTS, STATE = 4100, 4101, 4102, 4103
--- a/fawnwharf/lab/work.py
+++ b/fawnwharf/lab/work.py
@@ -7,8 +7,8 @@
 from collections import Counter, deque
 from collections.abc import Iterable
 
+from fawnwharf.fakes.scorers import Arrival
 from fawnwharf.lab.files import RULES
-from fawnwharf.standins.scorers import Arrival
 
 TWICE_MS = 600.0  # an order by another front end so soon after one for the same function is for the same need
 
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -10,11 +10,11 @@
 from fawnwharf.durable.form import Limits
 from fawnwharf.durable.ops import carry_out
 from fawnwharf.durable.reading import Unreadable
+from fawnwharf.fakes.disks import MemoryDisk, Plan
 from fawnwharf.recovery_service import onstore, promises
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
-from fawnwharf.standins.disks import MemoryDisk, Plan
 
 LIMITS = Limits(soon_ms=50.0, hint_ms=100.0, wait_ms=1_000.0, slow_ms=100.0, retry_ms=50.0)
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -10,7 +10,7 @@
 from fawnwharf.durable.core import Core, Refused
 from fawnwharf.durable.ops import Append, Outcome, Sync, carry_out
 from fawnwharf.durable.reading import Found, Unreadable
-from fawnwharf.standins.disks import MemoryDisk, Plan, PowerCut
+from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
 LIMITS = f.Limits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
 KINDS = [f.Kind("term", f.SYNCED, 4, 500), f.Kind("use", f.SOON), f.Kind("copies", f.HINT)]
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -68,13 +68,13 @@
     "sessions": "config interface lives migration net policy prefetch replication sites zones",
     "recovery_service": "config consensus durable interface net policy recovery_core replication zones",
     "serving": "config interface net operators policy_rollout recovery_service replication sessions zones",
-    "standins": "__main__ config durable net",
-    "lab": "config consensus interface net policy_rollout replication sessions sites standins zones",
+    "fakes": "__main__ config durable net",
+    "lab": "config consensus fakes interface net policy_rollout replication sessions sites zones",
     "cli": "config durable fawnwharf lab policy_rollout recovery_service replication serving sessions zones",
     "__main__": "cli serving",
 }
 # Outermost: these may import anything, and nothing imports them but the command line (`fawnwharf lab`).
-OUTERMOST = {"trials", "standins", "lab"}
+OUTERMOST = {"trials", "fakes", "lab"}
 COMMAND = (f"{PROGRAM}.cli", f"{PROGRAM}.lab.commands")
 
 # What `run` never imports: the subsystems behind an option, the trials' ground, and the extras' libraries.
@@ -93,7 +93,7 @@
     "replication",
     "sessions",
     "sites",
-    "standins",
+    "fakes",
     "wirehost",
     "zones",
 }
@@ -133,7 +133,7 @@
 def layers() -> dict[str, set[str]]:
     """The table without the one way back: `standins.clocks` runs the whole program under other clocks."""
     table = allowed()
-    table["standins"].remove("__main__")
+    table["fakes"].remove("__main__")
     return table
 
 
--- a/tests/test_lab_clocks.py
+++ b/tests/test_lab_clocks.py
@@ -8,11 +8,11 @@
 import msgspec
 import pytest
 
+from fawnwharf.fakes.clocks import Page, Reading
 from fawnwharf.lab import scenario as scenarios
 from fawnwharf.lab.clocks import Clocks, true_s
 from fawnwharf.lab.run import Runner
 from fawnwharf.lab.scenario import ClockSpec, ScenarioFault, scenario_from
-from fawnwharf.standins.clocks import Page, Reading
 
 HOUR = 3_600.0
 
@@ -39,7 +39,7 @@
     page.write(first)
     code = (
         "import sys, time, pathlib\n"
-        "from fawnwharf.standins.clocks import Page, instead\n"
+        "from fawnwharf.fakes.clocks import Page, instead\n"
         "instead(Page(pathlib.Path(sys.argv[1])))\n"
         "for _ in sys.stdin:\n"
         "    print(time.time(), time.monotonic(), time.time_ns(), time.monotonic_ns(), flush=True)\n"
--- a/tests/test_lab_operation.py
+++ b/tests/test_lab_operation.py
@@ -9,14 +9,14 @@
 import msgspec
 import pytest
 
+from fawnwharf.fakes.clients import Kind, Request, Try
+from fawnwharf.fakes.scorers import Arrival
 from fawnwharf.lab import operators
 from fawnwharf.lab import scenario as scenarios
 from fawnwharf.lab.checker import judge
 from fawnwharf.lab.operators import Desk, Replaced, Stretch
 from fawnwharf.lab.run import Runner
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.standins.clients import Kind, Request, Try
-from fawnwharf.standins.scorers import Arrival
 
 
 def played(name, **changes):
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -14,6 +14,7 @@
 from typer.testing import CliRunner
 
 from fawnwharf.cli import app
+from fawnwharf.fakes.calls import Kind, Request
 from fawnwharf.lab import compare as comparing
 from fawnwharf.lab import files, outage
 from fawnwharf.lab import scenario as scenarios
@@ -23,7 +24,6 @@
 from fawnwharf.lab.run import Runner
 from fawnwharf.lab.scenario import Returns, ScenarioFault, Step, scenario_from
 from fawnwharf.lab.steps import Steps
-from fawnwharf.standins.calls import Kind, Request
 
 FRONTS = [Machine(f"n{n}", "abc"[n // 4], n % 4 == 0) for n in range(12)]
 SCORERS = [Machine(f"s-{zone}0", zone) for zone in "abc"]
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -8,6 +8,9 @@
 import msgspec
 import pytest
 
+from fawnwharf.fakes.calls import Kind, Request, Try
+from fawnwharf.fakes.nature import Arrival
+from fawnwharf.fakes.sessions import Live
 from fawnwharf.lab import homes, moves
 from fawnwharf.lab import scenario as scenarios
 from fawnwharf.lab.homes import Sent, Told, Unload, Use
@@ -22,9 +25,6 @@
 from fawnwharf.sessions.moves import target
 from fawnwharf.sessions.trace import Trace
 from fawnwharf.sites import Home, Session
-from fawnwharf.standins.calls import Kind, Request, Try
-from fawnwharf.standins.nature import Arrival
-from fawnwharf.standins.sessions import Live
 from fawnwharf.zones.files import WatchedFile
 
 CI = ["sessions-move", "sessions-cut", "sessions-killed"]
--- a/tests/test_lab_steps.py
+++ b/tests/test_lab_steps.py
@@ -12,6 +12,7 @@
 
 import pytest
 
+from fawnwharf.fakes.clients import Kind, Request, Try
 from fawnwharf.lab import scenario as scenarios
 from fawnwharf.lab.checker import judge
 from fawnwharf.lab.measures import Meter
@@ -19,7 +20,6 @@
 from fawnwharf.lab.run import Runner
 from fawnwharf.lab.scenario import Step, When
 from fawnwharf.lab.steps import Steps
-from fawnwharf.standins.clients import Kind, Request, Try
 
 REFUSED = Step("start_refused", what="n0", text="the last word")
 WAITS = "import signal; signal.pause()"
--- a/tests/test_lossy.py
+++ b/tests/test_lossy.py
@@ -15,8 +15,8 @@
 from fawnwharf.durable.folder import Folder, lock
 from fawnwharf.durable.reading import Unreadable
 from fawnwharf.durable.writer import Writer
-from fawnwharf.standins import lossy
-from fawnwharf.standins.lossy import LossyFolder
+from fawnwharf.fakes import lossy
+from fawnwharf.fakes.lossy import LossyFolder
 
 
 @pytest.fixture
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -9,10 +9,10 @@
 from fawnwharf.durable.form import HINT, Limits
 from fawnwharf.durable.ops import carry_out
 from fawnwharf.durable.reading import Sign
+from fawnwharf.fakes.disks import Plan, PowerCut
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
 from fawnwharf.recovery_service import hints, onstore
 from fawnwharf.recovery_service import kept as k
-from fawnwharf.standins.disks import Plan, PowerCut
 
 
 @pytest.fixture
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -6,12 +6,12 @@
 import unittest
 from unittest import mock
 
+from fawnwharf.fakes.clients import Clients, Kind
+from fawnwharf.fakes.relay import BACKWARD, FORWARD, Relay
+from fawnwharf.fakes.scorers import Nature, Scorer, Store
+from fawnwharf.fakes.sessions import SessionClients
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.loop import Loop
-from fawnwharf.standins.clients import Clients, Kind
-from fawnwharf.standins.relay import BACKWARD, FORWARD, Relay
-from fawnwharf.standins.scorers import Nature, Scorer, Store
-from fawnwharf.standins.sessions import SessionClients
 
 PATIENCE_S = 10.0
 
