--- a/fawnwharf/cli.py
+++ b/fawnwharf/cli.py
@@ -6,11 +6,11 @@
 
 from fawnwharf import __version__, config, serving
 from fawnwharf.durable.commands import app as recovery_app
-from fawnwharf.lab.commands import app as lab_app
 from fawnwharf.policy_rollout.commands import app as policy_app
 from fawnwharf.recovery_service.commands import show as recovery_show
 from fawnwharf.replication.commands import app as state_app
 from fawnwharf.sessions.commands import app as sessions_app
+from fawnwharf.testbed.commands import app as lab_app
 from fawnwharf.zones.commands import app as zones_app
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False)
--- a/fawnwharf/migration/explore.py
+++ b/fawnwharf/migration/explore.py
@@ -13,7 +13,6 @@
 from collections.abc import Iterator
 from dataclasses import fields, replace
 
-from fawnwharf.lab.breadth_first import Found, search
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.homes import Keeper
 from fawnwharf.migration.in_use import OpenCall, Seen
@@ -22,6 +21,7 @@
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.world import Bounds, Kinds, World, use
 from fawnwharf.sites import Home, LetGo, Move, Session, Stage
+from fawnwharf.testbed.breadth_first import Found, search
 
 RULES = Settings()
 SESSION = Session("org", "row")
--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/search.py
@@ -16,11 +16,11 @@
 
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.lab import explore
 from fawnwharf.policy_rollout import check, scene
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
 from fawnwharf.recovery_core.promises import Promises, Rules
+from fawnwharf.testbed import explore
 
 
 class Outcome(Protocol):
--- a/fawnwharf/lab/checker.py
+++ b/fawnwharf/testbed/checker.py
@@ -13,11 +13,11 @@
 from fawnwharf.fakes.calls import Kind
 from fawnwharf.fakes.clients import LATE_MS, Try
 from fawnwharf.fakes.nature import Arrival
-from fawnwharf.lab import moves
-from fawnwharf.lab.files import DEDUP_MS, RATION, RULES
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.processes import Front
-from fawnwharf.lab.proposals import judged
+from fawnwharf.testbed import moves
+from fawnwharf.testbed.files import DEDUP_MS, RATION, RULES
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.processes import Front
+from fawnwharf.testbed.proposals import judged
 
 SLACK_MS = LATE_MS
 RATION_ROOM = 1.15
--- a/fawnwharf/lab/clocks.py
+++ b/fawnwharf/testbed/clocks.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from fawnwharf.fakes.clocks import Page, Reading
-from fawnwharf.lab.scenario import ClockSpec
+from fawnwharf.testbed.scenario import ClockSpec
 
 PAGE = "clock"  # in a front end's folder
 UPTIME_S = 5.0, 2_000_000.0  # of a machine, as its boot is drawn
--- a/fawnwharf/lab/commands.py
+++ b/fawnwharf/testbed/commands.py
@@ -8,7 +8,7 @@
 import msgspec
 import typer
 
-from fawnwharf.lab import scenario as scenarios
+from fawnwharf.testbed import scenario as scenarios
 
 app = typer.Typer(no_args_is_help=True, help="Trials of many front ends together.")
 Seed = Annotated[int, typer.Option("--seed", help="Draws load, work and whom chance hits.")]
@@ -173,8 +173,8 @@
     name: str, seed: Seed = 1, front_ends: Fronts = 0, out: Out = "", alone: Alone = False, bare: Bare = False
 ) -> None:
     """Run a scenario once. Status 0 where all rules were kept, 1 where one was broken, 2 for bad input."""
-    from fawnwharf.lab.run import LabFault
-    from fawnwharf.lab.run import run as run_it
+    from fawnwharf.testbed.run import LabFault
+    from fawnwharf.testbed.run import run as run_it
 
     scenario = side(name, front_ends, alone, bare)
     folder = Path(out) if out else None
@@ -209,7 +209,7 @@
     NAME:recovery, or NAME:clocks, by clocks that are apart. Both should have their faults at the same
     moments, as scenarios do whose steps wait for times alone.
     """
-    from fawnwharf.lab import compare as comparing
+    from fawnwharf.testbed import compare as comparing
 
     pairs = _run_pairs([side(one, front_ends), side(other, front_ends)], range(first, first + seeds))
     if not pairs.one:
@@ -227,9 +227,9 @@
 
 def _run_pairs(sides: list[Any], seeds: Iterable[int]) -> Any:
     """Runs of both sides by seed; seeds at which the test bed failed are left out."""
-    from fawnwharf.lab import compare as comparing
-    from fawnwharf.lab.run import LabFault
-    from fawnwharf.lab.run import run as run_it
+    from fawnwharf.testbed import compare as comparing
+    from fawnwharf.testbed.run import LabFault
+    from fawnwharf.testbed.run import run as run_it
 
     pairs = comparing.Pairs([], [])
     for seed in seeds:
@@ -246,7 +246,7 @@
 
 
 def _show_pairs(pairs: Any, one: str, other: str) -> None:
-    from fawnwharf.lab import compare as comparing
+    from fawnwharf.testbed import compare as comparing
 
     typer.echo(f"{len(pairs.one)} pairs; differences are {one} less {other}, with 95 % intervals")
     for name, of in comparing.figures(pairs).items():
@@ -274,9 +274,9 @@
     out: Annotated[str, typer.Option("--out", help="File that gets a line of JSON a run.")] = "",
 ) -> None:
     """Run a scenario of sessions in each mode of foresight by the same seeds; status 1 if a rule broke."""
-    from fawnwharf.lab import compare as comparing
-    from fawnwharf.lab.run import LabFault
-    from fawnwharf.lab.run import run as run_it
+    from fawnwharf.testbed import compare as comparing
+    from fawnwharf.testbed.run import LabFault
+    from fawnwharf.testbed.run import run as run_it
 
     words = of.split(",")
     sides = {word: side(f"{name}:{word}") for word in words}
@@ -315,7 +315,7 @@
 def explore(states: int = 30_000, plant: str = "") -> None:
     """Search the voters' states for anything that must not be; status 1 where something is found."""
     from fawnwharf.consensus.voter import Voter
-    from fawnwharf.lab.explore import Bounds, Explorer
+    from fawnwharf.testbed.explore import Bounds, Explorer
 
     bounds = {
         "no kills": Bounds(depth=40, kills=0, repeats=0, patience=2, beats=0, plans=1, states=states),
@@ -338,7 +338,7 @@
 def walk(steps: int = 100_000, seeds: int = 10, first: int = 1) -> None:
     """Random walks of voters in virtual time; status 1 where something breaks."""
     from fawnwharf.consensus.voter import Voter
-    from fawnwharf.lab.walk import STORM, Walk
+    from fawnwharf.testbed.walk import STORM, Walk
 
     total = 0
     for seed in range(first, first + seeds):
@@ -359,7 +359,7 @@
     storm: Annotated[bool, typer.Option("--storm", help="With faults of all kinds all the time.")] = False,
 ) -> None:
     """Walks of calls that are kept together, in virtual time; status 1 where one runs twice."""
-    from fawnwharf.lab.promises import STORM, Outcome, Walk, Weather
+    from fawnwharf.testbed.promises import STORM, Outcome, Walk, Weather
 
     total, healed = Outcome(), []
     for seed in range(first, first + seeds):
--- a/fawnwharf/lab/compare.py
+++ b/fawnwharf/testbed/compare.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from fawnwharf.lab import outage
-from fawnwharf.lab.measures import Measures
+from fawnwharf.testbed import outage
+from fawnwharf.testbed.measures import Measures
 
 RESOLUTION = 0.005  # of service
 DRAWS = 4_000
--- a/fawnwharf/lab/conditions.py
+++ b/fawnwharf/testbed/conditions.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.parties import Parties
-from fawnwharf.lab.processes import Front
-from fawnwharf.lab.proposals import came, stands
-from fawnwharf.lab.scenario import Step, When
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.parties import Parties
+from fawnwharf.testbed.processes import Front
+from fawnwharf.testbed.proposals import came, stands
+from fawnwharf.testbed.scenario import Step, When
 
 Condition = tuple[str, Callable[[], bool]]  # what is waited for, and whether it is so
 
--- a/fawnwharf/lab/explore.py
+++ b/fawnwharf/testbed/explore.py
@@ -11,7 +11,7 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.voter import Role, Timing, Voter, founding
-from fawnwharf.lab.breadth_first import Found, search
+from fawnwharf.testbed.breadth_first import Found, search
 
 TIMING = Timing(beat_ms=1.0, election_ms=1.0, skew=0.0)
 PAST_MS, NOW_MS = -1e9, 0.0
--- a/fawnwharf/lab/files.py
+++ b/fawnwharf/testbed/files.py
@@ -9,9 +9,19 @@
 
 from fawnwharf.fakes import lossy as standins
 from fawnwharf.fakes.calls import Kind
-from fawnwharf.lab.processes import Front
-from fawnwharf.lab.topology import BALLOTS, CONTROL, KINDS, PORT, PUBLIC, STATE, TENANTS, Topology, hash_of
 from fawnwharf.net.wheel import unix_ms
+from fawnwharf.testbed.processes import Front
+from fawnwharf.testbed.topology import (
+    BALLOTS,
+    CONTROL,
+    KINDS,
+    PORT,
+    PUBLIC,
+    STATE,
+    TENANTS,
+    Topology,
+    hash_of,
+)
 
 BOOT, POWER = "boot", "power"  # in a front end's folder: its machine's mark, what its writer did not sync
 DEDUP_MS = 3_000.0
--- a/fawnwharf/lab/fleet.py
+++ b/fawnwharf/testbed/fleet.py
@@ -17,12 +17,12 @@
 from typing import Any
 
 from fawnwharf.fakes import lossy
-from fawnwharf.lab import files
-from fawnwharf.lab.clocks import PAGE, Clocks
-from fawnwharf.lab.processes import Former, Front, LabFault, Noted, Pipe, Waits
-from fawnwharf.lab.scenario import Scenario
-from fawnwharf.lab.topology import Topology
 from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.testbed import files
+from fawnwharf.testbed.clocks import PAGE, Clocks
+from fawnwharf.testbed.processes import Former, Front, LabFault, Noted, Pipe, Waits
+from fawnwharf.testbed.scenario import Scenario
+from fawnwharf.testbed.topology import Topology
 
 PATIENCE_S = 40.0
 STOOD_MS = 200.0  # between two looks: beyond it this process was held up, whatever the system counts
--- a/fawnwharf/lab/measures.py
+++ b/fawnwharf/testbed/measures.py
@@ -7,15 +7,15 @@
 
 from hdrh.histogram import HdrHistogram
 
-from fawnwharf.lab import work
-from fawnwharf.lab.checker import Verdict, judge, runs_of
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.moves import Figures, figures
-from fawnwharf.lab.outage import Outage, outage
-from fawnwharf.lab.proposals import Change, changes
-from fawnwharf.lab.topology import STATE
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.replication.commands import look
+from fawnwharf.testbed import work
+from fawnwharf.testbed.checker import Verdict, judge, runs_of
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.moves import Figures, figures
+from fawnwharf.testbed.outage import Outage, outage
+from fawnwharf.testbed.proposals import Change, changes
+from fawnwharf.testbed.topology import STATE
 
 
 @dataclass(slots=True)
--- a/fawnwharf/lab/moves.py
+++ b/fawnwharf/testbed/moves.py
@@ -9,10 +9,10 @@
 
 from fawnwharf.fakes.calls import LATE_MS, Request
 from fawnwharf.fakes.sessions import Moved
-from fawnwharf.lab import homes
-from fawnwharf.lab.files import PRICES
-from fawnwharf.lab.fleet import Fleet
 from fawnwharf.net.wheel import monotonic_ms, unix_ms
+from fawnwharf.testbed import homes
+from fawnwharf.testbed.files import PRICES
+from fawnwharf.testbed.fleet import Fleet
 
 SPANS_S = (1, 5, 20)
 RACE_MS = 300.0  # what was on its way when somebody decided is nobody's fault
--- a/fawnwharf/lab/operators.py
+++ b/fawnwharf/testbed/operators.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 
 from fawnwharf.config import Address
-from fawnwharf.lab import files
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.processes import Former, Front, LabFault
-from fawnwharf.lab.topology import CONTROL
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.testbed import files
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.processes import Former, Front, LabFault
+from fawnwharf.testbed.topology import CONTROL
 
 DIAL_MS = 1_000.0
 AGAIN_MS = 20.0  # between two looks at a process that starts
--- a/fawnwharf/lab/parties.py
+++ b/fawnwharf/testbed/parties.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from fawnwharf.fakes.relay import Relay
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.processes import Front
-from fawnwharf.lab.scenario import Step
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.processes import Front
+from fawnwharf.testbed.scenario import Step
 
 
 class Parties:
--- a/fawnwharf/lab/policy.py
+++ b/fawnwharf/testbed/policy.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.lab.processes import Noted
+from fawnwharf.testbed.processes import Noted
 
 SLACK_MS = 5.0
 LATE_MS = 250.0  # beyond the give-up of its epoch a call's end may come, on a busy machine
--- a/fawnwharf/lab/power.py
+++ b/fawnwharf/testbed/power.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 
 from fawnwharf.fakes.relay import Relay
-from fawnwharf.lab import files
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.measures import Meter
-from fawnwharf.lab.parties import Parties
-from fawnwharf.lab.scenario import Returns, Step
 from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.testbed import files
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.measures import Meter
+from fawnwharf.testbed.parties import Parties
+from fawnwharf.testbed.scenario import Returns, Step
 
 RUSH, RUSH_MS = 4.0, 1_000.0  # times the usual rate, and for how long
 # Of a cut, until clients ask again for the at-most-once calls of the last moments, and how long those are:
--- a/fawnwharf/lab/proposals.py
+++ b/fawnwharf/testbed/proposals.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from fawnwharf.lab.files import write_whole
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.policy import Found, Judged, Life, epochs, told_ms, trace_of, words_of
-from fawnwharf.lab.processes import Front, LabFault, Noted
-from fawnwharf.lab.topology import KINDS
 from fawnwharf.net.wheel import monotonic_ms, unix_ms
 from fawnwharf.policy_rollout.document import Document, document_of
+from fawnwharf.testbed.files import write_whole
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.policy import Found, Judged, Life, epochs, told_ms, trace_of, words_of
+from fawnwharf.testbed.processes import Front, LabFault, Noted
+from fawnwharf.testbed.topology import KINDS
 
 HELD_MS = 100.0  # waited for a processor: a call that lasts too long then is the machine's doing
 TRACED_MS = 1_000.0  # after its end a call stands in the trace, on a busy machine
--- a/fawnwharf/lab/run.py
+++ b/fawnwharf/testbed/run.py
@@ -2,15 +2,15 @@
 
 from pathlib import Path
 
-from fawnwharf.lab.conditions import Conditions
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.measures import Measures, Meter
-from fawnwharf.lab.parties import Parties
-from fawnwharf.lab.processes import LabFault
-from fawnwharf.lab.proposals import TRACED_MS
-from fawnwharf.lab.scenario import Scenario, When
-from fawnwharf.lab.steps import Steps
 from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.testbed.conditions import Conditions
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.measures import Measures, Meter
+from fawnwharf.testbed.parties import Parties
+from fawnwharf.testbed.processes import LabFault
+from fawnwharf.testbed.proposals import TRACED_MS
+from fawnwharf.testbed.scenario import Scenario, When
+from fawnwharf.testbed.steps import Steps
 
 DRAIN_S = 4.0  # after the load ends, for what is open
 
--- a/fawnwharf/lab/sessions.py
+++ b/fawnwharf/testbed/sessions.py
@@ -4,14 +4,14 @@
 from collections.abc import Mapping
 
 from fawnwharf.fakes.sessions import ANY, Live, Moved, Planned
-from fawnwharf.lab.files import write_whole
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.parties import Parties
-from fawnwharf.lab.processes import Front, LabFault
-from fawnwharf.lab.scenario import Step, ZoneSpec
 from fawnwharf.net.wheel import monotonic_ms, unix_ms
 from fawnwharf.sessions.moves import target
 from fawnwharf.sites import Session
+from fawnwharf.testbed.files import write_whole
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.parties import Parties
+from fawnwharf.testbed.processes import Front, LabFault
+from fawnwharf.testbed.scenario import Step, ZoneSpec
 
 TOLD_MS = 500.0  # pace at which the oracle's file is written
 
--- a/fawnwharf/lab/steps.py
+++ b/fawnwharf/testbed/steps.py
@@ -3,16 +3,16 @@
 from pathlib import Path
 
 from fawnwharf.fakes.relay import BACKWARD, FORWARD
-from fawnwharf.lab.files import write_members, write_whole
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.measures import Meter
-from fawnwharf.lab.operators import Desk
-from fawnwharf.lab.parties import Parties
-from fawnwharf.lab.power import Power
-from fawnwharf.lab.processes import LabFault
-from fawnwharf.lab.proposals import Proposals
-from fawnwharf.lab.scenario import Step
-from fawnwharf.lab.sessions import SessionSteps
+from fawnwharf.testbed.files import write_members, write_whole
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.measures import Meter
+from fawnwharf.testbed.operators import Desk
+from fawnwharf.testbed.parties import Parties
+from fawnwharf.testbed.power import Power
+from fawnwharf.testbed.processes import LabFault
+from fawnwharf.testbed.proposals import Proposals
+from fawnwharf.testbed.scenario import Step
+from fawnwharf.testbed.sessions import SessionSteps
 
 DISKS = "voter.log", "policy.json"  # of a member, in its folder
 
--- a/fawnwharf/lab/topology.py
+++ b/fawnwharf/testbed/topology.py
@@ -19,10 +19,10 @@
 from fawnwharf.fakes.relay import Relay
 from fawnwharf.fakes.scorers import Scorer
 from fawnwharf.fakes.sessions import SessionClients
-from fawnwharf.lab.processes import Front, LabFault
-from fawnwharf.lab.scenario import Scenario
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import unix_ms
+from fawnwharf.testbed.processes import Front, LabFault
+from fawnwharf.testbed.scenario import Scenario
 
 SLOTS = 24  # labs that may run side by side on one machine
 PORT, PUBLIC, BALLOTS, STATE = 4100, 4101, 4102, 4103
--- a/fawnwharf/lab/walk.py
+++ b/fawnwharf/testbed/walk.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.voter import Timing, Voter, founding
-from fawnwharf.lab.explore import replace_voters
+from fawnwharf.testbed.explore import replace_voters
 
 TIMING = Timing(beat_ms=100.0, election_ms=500.0, skew=0.1)
 
--- a/fawnwharf/lab/work.py
+++ b/fawnwharf/testbed/work.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from fawnwharf.fakes.scorers import Arrival
-from fawnwharf.lab.files import RULES
+from fawnwharf.testbed.files import RULES
 
 TWICE_MS = 600.0  # an order by another front end so soon after one for the same function is for the same need
 
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -12,7 +12,6 @@
 import msgspec
 
 from fawnwharf.durable.form import Limits
-from fawnwharf.lab.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
@@ -22,6 +21,7 @@
 from fawnwharf.replication.disk import BOOT_ID
 from fawnwharf.replication.onfile import OnFile
 from fawnwharf.replication.settings import Settings
+from fawnwharf.testbed.promises import fleet_file
 
 MEMBERS = fleet_file("abc")
 ANSWER = "QUJD" * 50
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -19,7 +19,7 @@
 from fawnwharf.replication import claims
 
 ENTRIES = entries()
-APART = ("fawnwharf.lab", "fawnwharf.fakes", "fawnwharf.__main__")  # tools, which serve nobody
+APART = ("fawnwharf.testbed", "fawnwharf.fakes", "fawnwharf.__main__")  # tools, which serve nobody
 
 
 def structs_in(value):
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -3,11 +3,11 @@
 import msgspec
 
 from fawnwharf.interface import Effect
-from fawnwharf.lab.promises import fleet_file
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claims import Phase
 from fawnwharf.replication.core import Core
+from fawnwharf.testbed.promises import fleet_file
 
 FLEET = fleet_file("abcabc")
 RULES = s.Settings(1, "members", call_most_ms=2_000.0, window_ms=4_000.0)
--- a/tests/support/power_losses.py
+++ b/tests/support/power_losses.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from fawnwharf.lab import files
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.fleet import Fleet
-from fawnwharf.lab.topology import KINDS, TENANTS
 from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.testbed import files
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.fleet import Fleet
+from fawnwharf.testbed.topology import KINDS, TENANTS
 
 SETTLE = KINDS[2]  # at most once
 RULES = {"call_most_ms": 2_500.0, "window_ms": 4_000.0}  # as the lab has them
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -8,7 +8,7 @@
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.decided import KINDS
 from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Role, Timing, Voter, founding
-from fawnwharf.lab.explore import replace_voters
+from fawnwharf.testbed.explore import replace_voters
 
 TIMING = Timing(beat_ms=100.0, election_ms=500.0, skew=0.1)
 
--- a/tests/test_accord_search.py
+++ b/tests/test_accord_search.py
@@ -5,8 +5,8 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.lab.explore import Bounds, Explorer
-from fawnwharf.lab.walk import STORM, Walk
+from fawnwharf.testbed.explore import Bounds, Explorer
+from fawnwharf.testbed.walk import STORM, Walk
 
 
 class VotesTwice(Voter):
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -5,7 +5,6 @@
 
 from fawnwharf import interface as io
 from fawnwharf.fakes.scorers import Arrival
-from fawnwharf.lab.work import cold_use, counts, twice
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.loop import Loop
@@ -13,6 +12,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.links import DirectedLog, DirectedServer
 from fawnwharf.replication.working import Working
+from fawnwharf.testbed.work import cold_use, counts, twice
 
 
 class Cold(ScorerPeer):
--- a/tests/test_epochs_voters.py
+++ b/tests/test_epochs_voters.py
@@ -3,12 +3,12 @@
 from fawnwharf.consensus import messages as a
 from fawnwharf.consensus.voter import Timing as Voting
 from fawnwharf.consensus.voter import Voter, founding
-from fawnwharf.lab.explore import replace_voters
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import register_from
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward, Timing
 from fawnwharf.policy_rollout.walk import KNOWN
+from fawnwharf.testbed.explore import replace_voters
 
 NAMES, STEP_MS = ("a", "b", "c"), 10.0
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -6,13 +6,13 @@
 import pytest
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.lab.promises import fleet_file
 from fawnwharf.net.requests import Call, Failed, Refused, Served
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.gate import LEAD_MS, WAIT_LEAD_MS, Gate, name_of
+from fawnwharf.testbed.promises import fleet_file
 
 CLASSES = {
     "once": ClassSpec("once", promise_ms=400.0, effect=Effect.UNSAFE),
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -69,12 +69,12 @@
     "recovery_service": "config consensus durable interface net policy recovery_core replication zones",
     "serving": "config interface net operators policy_rollout recovery_service replication sessions zones",
     "fakes": "__main__ config durable net",
-    "lab": "config consensus fakes interface net policy_rollout replication sessions sites zones",
-    "cli": "config durable fawnwharf lab policy_rollout recovery_service replication serving sessions zones",
+    "testbed": "config consensus fakes interface net policy_rollout replication sessions sites zones",
+    "cli": "config durable fawnwharf policy_rollout recovery_service replication serving sessions testbed zones",
     "__main__": "cli serving",
 }
 # Outermost: these may import anything, and nothing imports them but the command line (`fawnwharf lab`).
-OUTERMOST = {"trials", "fakes", "lab"}
+OUTERMOST = {"trials", "fakes", "testbed"}
 COMMAND = (f"{PROGRAM}.cli", f"{PROGRAM}.lab.commands")
 
 # What `run` never imports: the subsystems behind an option, the trials' ground, and the extras' libraries.
@@ -85,7 +85,7 @@
     "policy_rollout",
     "prefetch",
     "migration",
-    "lab",
+    "testbed",
     "lives",
     "operators",
     "recovery_core",
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,11 +15,11 @@
 import pytest
 
 from fawnwharf.__main__ import plain_serve
-from fawnwharf.lab import compare as comparing
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.checker import Verdict, judge
-from fawnwharf.lab.measures import Measures, Second
-from fawnwharf.lab.run import Runner
+from fawnwharf.testbed import compare as comparing
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.checker import Verdict, judge
+from fawnwharf.testbed.measures import Measures, Second
+from fawnwharf.testbed.run import Runner
 
 SMALL = [
     "zone-lost-small",
@@ -175,7 +175,7 @@
     code = (
         "import sys; import fawnwharf.serving; "
         "off = ('fawnwharf.zones', 'fawnwharf.consensus', 'fawnwharf.replication', "
-        "'fawnwharf.durable', 'fawnwharf.policy_rollout', 'fawnwharf.lab', 'fawnwharf.fakes', 'structlog'); "
+        "'fawnwharf.durable', 'fawnwharf.policy_rollout', 'fawnwharf.testbed', 'fawnwharf.fakes', 'structlog'); "
         "print([n for n in sys.modules if n.startswith(off)])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
--- a/tests/test_lab_clocks.py
+++ b/tests/test_lab_clocks.py
@@ -9,10 +9,10 @@
 import pytest
 
 from fawnwharf.fakes.clocks import Page, Reading
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.clocks import Clocks, true_s
-from fawnwharf.lab.run import Runner
-from fawnwharf.lab.scenario import ClockSpec, ScenarioFault, scenario_from
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.clocks import Clocks, true_s
+from fawnwharf.testbed.run import Runner
+from fawnwharf.testbed.scenario import ClockSpec, ScenarioFault, scenario_from
 
 HOUR = 3_600.0
 
--- a/tests/test_lab_elsewhere.py
+++ b/tests/test_lab_elsewhere.py
@@ -2,11 +2,11 @@
 
 import msgspec
 
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.checker import judge
-from fawnwharf.lab.run import Runner
-from fawnwharf.lab.topology import STATE
 from fawnwharf.replication import commands as state
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.checker import judge
+from fawnwharf.testbed.run import Runner
+from fawnwharf.testbed.topology import STATE
 
 
 def test_front_ends_in_processes_know_of_each_others_work_while_nearly_all_are_heard(capsys):
--- a/tests/test_lab_joint.py
+++ b/tests/test_lab_joint.py
@@ -3,9 +3,9 @@
 import msgspec
 import pytest
 
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.run import Runner
-from fawnwharf.lab.scenario import Step
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.run import Runner
+from fawnwharf.testbed.scenario import Step
 
 
 def steps(*wanted):
--- a/tests/test_lab_operation.py
+++ b/tests/test_lab_operation.py
@@ -11,12 +11,12 @@
 
 from fawnwharf.fakes.clients import Kind, Request, Try
 from fawnwharf.fakes.scorers import Arrival
-from fawnwharf.lab import operators
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.checker import judge
-from fawnwharf.lab.operators import Desk, Replaced, Stretch
-from fawnwharf.lab.run import Runner
 from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.testbed import operators
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.checker import judge
+from fawnwharf.testbed.operators import Desk, Replaced, Stretch
+from fawnwharf.testbed.run import Runner
 
 
 def played(name, **changes):
--- a/tests/test_lab_operators.py
+++ b/tests/test_lab_operators.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.checker import judge
-from fawnwharf.lab.files import config, write_files, write_whole
-from fawnwharf.lab.run import Runner
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.checker import judge
+from fawnwharf.testbed.files import config, write_files, write_whole
+from fawnwharf.testbed.run import Runner
 
 
 class Operators:
--- a/tests/test_lab_policy.py
+++ b/tests/test_lab_policy.py
@@ -9,10 +9,10 @@
 import msgspec
 import pytest
 
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.policy import Judged, Life, Word, epochs, trace_of, words_of
-from fawnwharf.lab.processes import Noted
-from fawnwharf.lab.run import Runner
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.policy import Judged, Life, Word, epochs, trace_of, words_of
+from fawnwharf.testbed.processes import Noted
+from fawnwharf.testbed.run import Runner
 
 ZERO, ONE, TWO = (0, "d0"), (1, "d1"), (2, "d2")
 PROPOSED = [Word(900.0, "n0", "prepare", 1, "d1"), Word(950.0, "n0", "decided", 1, "d1"),
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -15,15 +15,15 @@
 
 from fawnwharf.cli import app
 from fawnwharf.fakes.calls import Kind, Request
-from fawnwharf.lab import compare as comparing
-from fawnwharf.lab import files, outage
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.checker import Verdict
-from fawnwharf.lab.measures import Measures, Meter
-from fawnwharf.lab.power import LAST_S, LOG, STORE, Machine, drawn, never
-from fawnwharf.lab.run import Runner
-from fawnwharf.lab.scenario import Returns, ScenarioFault, Step, scenario_from
-from fawnwharf.lab.steps import Steps
+from fawnwharf.testbed import compare as comparing
+from fawnwharf.testbed import files, outage
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.checker import Verdict
+from fawnwharf.testbed.measures import Measures, Meter
+from fawnwharf.testbed.power import LAST_S, LOG, STORE, Machine, drawn, never
+from fawnwharf.testbed.run import Runner
+from fawnwharf.testbed.scenario import Returns, ScenarioFault, Step, scenario_from
+from fawnwharf.testbed.steps import Steps
 
 FRONTS = [Machine(f"n{n}", "abc"[n // 4], n % 4 == 0) for n in range(12)]
 SCORERS = [Machine(f"s-{zone}0", zone) for zone in "abc"]
@@ -158,7 +158,7 @@
 
 
 def test_the_two_forms_of_a_scenario_are_two_sides_and_one_that_cannot_have_recovery_is_refused():
-    from fawnwharf.lab.commands import side
+    from fawnwharf.testbed.commands import side
 
     one, other = side("power-cut"), side("power-cut:recovery")
     assert one.recovery is None and other.recovery == {}
--- a/tests/test_lab_power_sessions.py
+++ b/tests/test_lab_power_sessions.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from fawnwharf.lab import moves
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.run import Runner
+from fawnwharf.testbed import moves
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.run import Runner
 
 KEPT_MS = 1_500.0  # before the cut a home is known for so long that it is on disk
 
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -11,13 +11,6 @@
 from fawnwharf.fakes.calls import Kind, Request, Try
 from fawnwharf.fakes.nature import Arrival
 from fawnwharf.fakes.sessions import Live
-from fawnwharf.lab import homes, moves
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.homes import Sent, Told, Unload, Use
-from fawnwharf.lab.processes import Noted
-from fawnwharf.lab.run import Runner
-from fawnwharf.lab.scenario import ScenarioFault, Step, ZoneSpec, scenario_from
-from fawnwharf.lab.sessions import SessionSteps, handed_over
 from fawnwharf.migration import messages as m
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.prefetch.ways import foretold_from
@@ -25,6 +18,13 @@
 from fawnwharf.sessions.moves import target
 from fawnwharf.sessions.trace import Trace
 from fawnwharf.sites import Home, Session
+from fawnwharf.testbed import homes, moves
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.homes import Sent, Told, Unload, Use
+from fawnwharf.testbed.processes import Noted
+from fawnwharf.testbed.run import Runner
+from fawnwharf.testbed.scenario import ScenarioFault, Step, ZoneSpec, scenario_from
+from fawnwharf.testbed.sessions import SessionSteps, handed_over
 from fawnwharf.zones.files import WatchedFile
 
 CI = ["sessions-move", "sessions-cut", "sessions-killed"]
--- a/tests/test_lab_steps.py
+++ b/tests/test_lab_steps.py
@@ -13,13 +13,13 @@
 import pytest
 
 from fawnwharf.fakes.clients import Kind, Request, Try
-from fawnwharf.lab import scenario as scenarios
-from fawnwharf.lab.checker import judge
-from fawnwharf.lab.measures import Meter
-from fawnwharf.lab.processes import LabFault, Noted, Waits
-from fawnwharf.lab.run import Runner
-from fawnwharf.lab.scenario import Step, When
-from fawnwharf.lab.steps import Steps
+from fawnwharf.testbed import scenario as scenarios
+from fawnwharf.testbed.checker import judge
+from fawnwharf.testbed.measures import Meter
+from fawnwharf.testbed.processes import LabFault, Noted, Waits
+from fawnwharf.testbed.run import Runner
+from fawnwharf.testbed.scenario import Step, When
+from fawnwharf.testbed.steps import Steps
 
 REFUSED = Step("start_refused", what="n0", text="the last word")
 WAITS = "import signal; signal.pause()"
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -9,7 +9,6 @@
 from support.recovery_admission import CLASSES, LIMITS, WORTHS, Ground
 
 from fawnwharf import interface as io
-from fawnwharf.lab.promises import fleet_file
 from fawnwharf.net.requests import Call, Failed, Refused, Served
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
@@ -21,6 +20,7 @@
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.gate import Gate, name_of
+from fawnwharf.testbed.promises import fleet_file
 
 
 def test_in_calm_all_is_passed_on_as_it_comes():
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -16,7 +16,7 @@
 GRANTING = """
 import json, sys
 from fawnwharf.durable.form import Limits
-from fawnwharf.lab.promises import fleet_file
+from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -6,11 +6,11 @@
 from cores import RULES, Cores
 
 from fawnwharf.interface import Effect
-from fawnwharf.lab.promises import fleet_file
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claimant import Answer, GiveUp, Go, TurnAway
 from fawnwharf.replication.claims import Claim, Phase
+from fawnwharf.testbed.promises import fleet_file
 
 
 def test_a_call_goes_when_most_of_its_keepers_know_of_it_and_comes_again_as_its_answer():
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -8,7 +8,6 @@
 from cores import FLEET, RULES
 from hypothesis import given, settings, strategies
 
-from fawnwharf.lab.promises import fleet_file
 from fawnwharf.policy_rollout.settings import settings_from as policy_settings
 from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.replication import messages as m
@@ -16,6 +15,7 @@
 from fawnwharf.replication.claims import Claim, Phase, Standing, contradicts, merged, reading
 from fawnwharf.replication.placement import Placement
 from fawnwharf.replication.shelf import Shelf
+from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.zones.settings import FileFault, members_from
 from fawnwharf.zones.settings import settings_from as zone_settings
 
--- a/tests/test_replication_faults.py
+++ b/tests/test_replication_faults.py
@@ -6,12 +6,12 @@
 from cores import Cores
 
 from fawnwharf.consensus.disk import DiskError
-from fawnwharf.lab.promises import STORM, Walk, Weather
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claimant import Go
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.core import Core, LineFault
 from fawnwharf.replication.disk import KeeperDisk
+from fawnwharf.testbed.promises import STORM, Walk, Weather
 
 # --- a keeper's disk ----------------------------------------------------------------------------
 
