--- a/fawnwharf/operators/channel.py
+++ b/fawnwharf/admin/channel.py
@@ -10,10 +10,10 @@
 from hashlib import blake2b
 from pathlib import Path
 
+from fawnwharf.admin import handover as h
+from fawnwharf.admin.memory import SIZE_MOST
 from fawnwharf.net.loop import READ, WRITE, Loop
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.operators import handover as h
-from fawnwharf.operators.memory import SIZE_MOST
 
 MESSAGE_MOST = 128 * 1024
 READS_MOST = 64  # messages in a turn
--- a/fawnwharf/operators/desk.py
+++ b/fawnwharf/admin/desk.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawnwharf.operators.http import TARGET_MOST, Answer, Asked
+from fawnwharf.admin.http import TARGET_MOST, Answer, Asked
 
 
 @dataclass(slots=True, frozen=True)
--- a/fawnwharf/operators/port.py
+++ b/fawnwharf/admin/port.py
@@ -3,13 +3,13 @@
 import socket
 from collections.abc import Callable
 
+from fawnwharf.admin.http import Answer, Asked, CallReader, encode
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.listener import once_free
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.wheel import Timer, monotonic_ms
-from fawnwharf.operators.http import Answer, Asked, CallReader, encode
 
 BACKLOG = 64
 READ_MOST = 4 * 1024
--- a/fawnwharf/operators/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from fawnwharf.admin import handover as h
+from fawnwharf.admin import memory as m
+from fawnwharf.admin.channel import Channel, Door, Place, ask
+from fawnwharf.admin.parts import Parts
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.operators import handover as h
-from fawnwharf.operators import memory as m
-from fawnwharf.operators.channel import Channel, Door, Place, ask
-from fawnwharf.operators.parts import Parts
 
 LOOK_MS = 20.0  # pace of the look after connections that have fallen idle
 GIVE_MOST = 256  # connections in one look
--- a/fawnwharf/operators/service.py
+++ b/fawnwharf/admin/service.py
@@ -1,15 +1,15 @@
 """Operators in a running front end: what their calls bring about."""
 
 from fawnwharf import interface as io
+from fawnwharf.admin import drain
+from fawnwharf.admin.desk import BringBack, Desk, Effect, Resume, StandBy, TakeOut
+from fawnwharf.admin.http import Answer, Asked
+from fawnwharf.admin.port import ControlPort
+from fawnwharf.admin.replacement import Inherited, Replacement
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.overlay import Closer
 from fawnwharf.net.wheel import monotonic_ms
-from fawnwharf.operators import drain
-from fawnwharf.operators.desk import BringBack, Desk, Effect, Resume, StandBy, TakeOut
-from fawnwharf.operators.http import Answer, Asked
-from fawnwharf.operators.port import ControlPort
-from fawnwharf.operators.replacement import Inherited, Replacement
 
 TIDY_MS = 250.0
 CLOSER = LIMIT = "operators"
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -99,7 +99,7 @@
     makers = _makers(deployment, files, fresh)
     inherited = None
     if deployment.control:
-        from fawnwharf.operators.replacement import inherit
+        from fawnwharf.admin.replacement import inherit
 
         inherited = inherit(deployment, bool(makers))  # first: the process before may have their disks
     seam = Seams(makers, not (inherited and inherited.channel)) if makers else None
@@ -108,7 +108,7 @@
     if seam:
         seam.attach(front)
     if deployment.control:
-        from fawnwharf.operators.service import Operators
+        from fawnwharf.admin.service import Operators
 
         Operators(front, deployment.control, inherited)
     return front
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from fawnwharf import config
+from fawnwharf.admin import handover as successor
+from fawnwharf.admin import memory as beliefs
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.durable import form, ops
 from fawnwharf.migration import messages as migrations
-from fawnwharf.operators import handover as successor
-from fawnwharf.operators import memory as beliefs
 from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import settings as policy_settings
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -11,6 +11,9 @@
 import pytest
 from typer.testing import CliRunner
 
+from fawnwharf.admin import handover as successor
+from fawnwharf.admin import memory as beliefs
+from fawnwharf.admin.channel import Place
 from fawnwharf.cli import app
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import records
@@ -19,9 +22,6 @@
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
-from fawnwharf.operators import handover as successor
-from fawnwharf.operators import memory as beliefs
-from fawnwharf.operators.channel import Place
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import service as policy_service
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -16,8 +16,8 @@
 
 from peers import ROW, SETTINGS, Buffered, ClientPeer, LogPeer, ScorerPeer, handle_frame
 
+from fawnwharf.admin.channel import Place
 from fawnwharf.net import scorer_frames
-from fawnwharf.operators.channel import Place
 
 PATIENCE_S = 40.0  # on a machine that is busy with other things, too
 START_S = 6.0  # a process that takes another's place says yes by then
--- a/tests/test_disk_faults_kept.py
+++ b/tests/test_disk_faults_kept.py
@@ -8,7 +8,7 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.operators.channel import Place
+from fawnwharf.admin.channel import Place
 from fawnwharf.policy_rollout import keeping
 
 ENDS = {
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,14 +12,14 @@
 from hypothesis import strategies as st
 from peers import Buffered, Rig, ScorerPeer, ready
 
+from fawnwharf.admin import channel, service
+from fawnwharf.admin import handover as h
+from fawnwharf.admin import memory as m
+from fawnwharf.admin.handover import Do, Phase
+from fawnwharf.admin.http import Asked
+from fawnwharf.admin.replacement import Inherited, Replacement
 from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.loop import Loop
-from fawnwharf.operators import channel, service
-from fawnwharf.operators import handover as h
-from fawnwharf.operators import memory as m
-from fawnwharf.operators.handover import Do, Phase
-from fawnwharf.operators.http import Asked
-from fawnwharf.operators.replacement import Inherited, Replacement
 
 HERE = ("127.0.0.1", 8000)
 HELLO = h.Hello(h.VERSION, HERE)
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -9,13 +9,13 @@
 from peers import PATIENCE_S, Rig, ScorerPeer, ready
 from processes import Site
 
+from fawnwharf.admin import channel, service
+from fawnwharf.admin import handover as h
+from fawnwharf.admin.http import Asked
+from fawnwharf.admin.parts import Parts, Where
+from fawnwharf.admin.replacement import Inherited
 from fawnwharf.config import ConfigError
 from fawnwharf.net import leaving
-from fawnwharf.operators import channel, service
-from fawnwharf.operators import handover as h
-from fawnwharf.operators.http import Asked
-from fawnwharf.operators.parts import Parts, Where
-from fawnwharf.operators.replacement import Inherited
 
 
 @pytest.fixture
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,13 +8,13 @@
 import pytest
 from peers import Buffered, ClientPeer, Rig, ScorerPeer
 
+from fawnwharf.admin import drain, port, service
+from fawnwharf.admin.desk import BringBack, Desk, Resume, StandBy, TakeOut
+from fawnwharf.admin.http import Answer, Asked, CallReader, encode
 from fawnwharf.config import ConfigError, Fleet, Member, deployment_from
 from fawnwharf.interface import State
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.overlay import Overlay
-from fawnwharf.operators import drain, port, service
-from fawnwharf.operators.desk import BringBack, Desk, Resume, StandBy, TakeOut
-from fawnwharf.operators.http import Answer, Asked, CallReader, encode
 
 CALL = b"POST /maintenance/enter?target=s-1 HTTP/1.1\r\nHost: x\r\n\r\n"
 BODY = b"POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
--- a/tests/test_policy_told.py
+++ b/tests/test_policy_told.py
@@ -6,8 +6,8 @@
 from bench import KEYED, SAFE, UNSAFE, Drive, of
 
 from fawnwharf import interface as io
+from fawnwharf.admin import memory
 from fawnwharf.interface import Ending, State
-from fawnwharf.operators import memory
 
 LIFE_MS, LOAD_MS = 10_000.0, 500.0
 
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -10,9 +10,9 @@
 from test_clock_steps import clock, rig, settled_client, without_stamps
 
 from fawnwharf import interface as io
+from fawnwharf.admin import port
 from fawnwharf.net import connection
 from fawnwharf.net.loop import Loop
-from fawnwharf.operators import port
 
 __all__ = ["clock", "rig"]
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -10,8 +10,8 @@
 from peers import ready
 from processes import OUGHT_S, Case, unsent_of
 
-from fawnwharf.operators import channel
-from fawnwharf.operators import handover as h
+from fawnwharf.admin import channel
+from fawnwharf.admin import handover as h
 
 
 def has_connected(pid):
--- a/tests/test_replacement_overlap.py
+++ b/tests/test_replacement_overlap.py
@@ -6,7 +6,7 @@
 
 from processes import OUGHT_S, START_S, Case
 
-from fawnwharf.operators import channel
+from fawnwharf.admin import channel
 
 ENTER, EXIT = "/maintenance/enter?target=", "/maintenance/exit?target="
 
