--- a/fawnwharf/cli.py
+++ b/fawnwharf/cli.py
@@ -5,7 +5,7 @@
 import typer
 
 from fawnwharf import __version__, config, serving
-from fawnwharf.durable.commands import app as recovery_app
+from fawnwharf.durable_store.commands import app as recovery_app
 from fawnwharf.policy_rollout.commands import app as policy_app
 from fawnwharf.recovery_service.commands import show as recovery_show
 from fawnwharf.replication.commands import app as state_app
--- a/fawnwharf/durable/commands.py
+++ b/fawnwharf/durable_store/commands.py
@@ -10,12 +10,12 @@
 import typer
 
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.durable import form as f
-from fawnwharf.durable import repairs
-from fawnwharf.durable.folder import Folder, lock, unlock
-from fawnwharf.durable.ops import Job, carry_out
-from fawnwharf.durable.reading import Found, Unreadable
-from fawnwharf.durable.store import look, unix_ms
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import repairs
+from fawnwharf.durable_store.folder import Folder, lock, unlock
+from fawnwharf.durable_store.ops import Job, carry_out
+from fawnwharf.durable_store.reading import Found, Unreadable
+from fawnwharf.durable_store.store import look, unix_ms
 
 app = typer.Typer(no_args_is_help=True, help="What outlives a front end, in its folder.")
 Place = Annotated[Path, typer.Argument(metavar="FOLDER", help="A front end's folder of durable state.")]
--- a/fawnwharf/durable/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -11,9 +11,9 @@
 from msgspec import Struct
 
 from fawnwharf.consensus.records import encode
-from fawnwharf.durable import form as f
-from fawnwharf.durable.ops import Append, Begin, Job, Outcome, Remove, Rename, Sync, SyncFolder
-from fawnwharf.durable.reading import Found, Sign
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store.ops import Append, Begin, Job, Outcome, Remove, Rename, Sync, SyncFolder
+from fawnwharf.durable_store.reading import Found, Sign
 
 
 class Refused(Exception):
--- a/fawnwharf/durable/crash.py
+++ b/fawnwharf/durable_store/crash.py
@@ -1,6 +1,6 @@
 """Crash tests of the store: scripted and random runs on a disk in memory, cut anywhere.
 
-    python -m fawnwharf.durable.crash --runs 100000 --seed 1
+    python -m fawnwharf.durable_store.crash --runs 100000 --seed 1
 
 What is found after a cut has to be what the entries were when some group was given to the disk, no earlier
 than the last one that anybody was told of. A power cut or a kill is never taken for damage, and flipped bits
@@ -20,11 +20,11 @@
 import msgspec
 
 from fawnwharf.consensus.records import later
-from fawnwharf.durable import form as f
-from fawnwharf.durable.ops import Job, Outcome, carry_out
-from fawnwharf.durable.planted import NONE, PLANTED, Bug
-from fawnwharf.durable.reading import Found, Sign, Unreadable, older
-from fawnwharf.durable.store import Refused, Store, look, made
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store.ops import Job, Outcome, carry_out
+from fawnwharf.durable_store.planted import NONE, PLANTED, Bug
+from fawnwharf.durable_store.reading import Found, Sign, Unreadable, older
+from fawnwharf.durable_store.store import Refused, Store, look, made
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
 KINDS = [f.Kind("term", f.SYNCED, 4), f.Kind("use", f.SOON, 12), f.Kind("copies", f.HINT, 12)]
@@ -316,7 +316,7 @@
 
 def main(words: list[str]) -> int:
     """Status 1 where something is broken."""
-    parser = argparse.ArgumentParser(prog="fawnwharf.durable.crash", description=__doc__.split("\n")[0])
+    parser = argparse.ArgumentParser(prog="fawnwharf.durable_store.crash", description=__doc__.split("\n")[0])
     parser.add_argument("--runs", type=int, default=10_000)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--points", type=int, default=0, help="cuts at each so many bytes; 0: none")
--- a/fawnwharf/durable/planted.py
+++ b/fawnwharf/durable_store/planted.py
@@ -5,8 +5,8 @@
 from unittest import mock
 
 from fawnwharf.consensus import records
-from fawnwharf.durable.core import Core
-from fawnwharf.durable.ops import Job, Rename, Sync, SyncFolder
+from fawnwharf.durable_store.core import Core
+from fawnwharf.durable_store.ops import Job, Rename, Sync, SyncFolder
 
 Bend = Callable[[Job], Job]
 
--- a/fawnwharf/durable/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -9,9 +9,9 @@
 from msgspec import Struct
 
 from fawnwharf.consensus.records import encode, leading
-from fawnwharf.durable import form as f
-from fawnwharf.durable.ops import Append, Begin, Job, Rename, Sync, SyncFolder
-from fawnwharf.durable.reading import Content, Found, Unreadable, read, used
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store.ops import Append, Begin, Job, Rename, Sync, SyncFolder
+from fawnwharf.durable_store.reading import Content, Found, Unreadable, read, used
 
 ASIDE = ".aside"
 
--- a/fawnwharf/durable/service.py
+++ b/fawnwharf/durable_store/service.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from fawnwharf.durable.store import Store, Told
+from fawnwharf.durable_store.store import Store, Told
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.wheel import Timer, monotonic_ms
 
--- a/fawnwharf/durable/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.durable import form as f
-from fawnwharf.durable.core import Core, Refused, Standing
-from fawnwharf.durable.folder import Folder, lock
-from fawnwharf.durable.ops import Files
-from fawnwharf.durable.reading import Found, Sign, Unreadable, older, read, used
-from fawnwharf.durable.writer import Runner, Writer
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store.core import Core, Refused, Standing
+from fawnwharf.durable_store.folder import Folder, lock
+from fawnwharf.durable_store.ops import Files
+from fawnwharf.durable_store.reading import Found, Sign, Unreadable, older, read, used
+from fawnwharf.durable_store.writer import Runner, Writer
 
 __all__ = ["Refused", "Store", "open_folder", "look"]
 
--- a/fawnwharf/durable/writer.py
+++ b/fawnwharf/durable_store/writer.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-from fawnwharf.durable.folder import Folder
-from fawnwharf.durable.ops import Job, Outcome, carry_out
+from fawnwharf.durable_store.folder import Folder
+from fawnwharf.durable_store.ops import Job, Outcome, carry_out
 
 _LENGTH = struct.Struct(">I")
 READ_MOST = 64 * 1024
--- a/fawnwharf/fakes/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -17,8 +17,8 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.durable import writer
-from fawnwharf.durable.ops import Job, Outcome, carry_out
+from fawnwharf.durable_store import writer
+from fawnwharf.durable_store.ops import Job, Outcome, carry_out
 
 BLOCK = 64  # bytes that are on the disk together, as on the disk in memory
 VARIABLE = "FAWNWHARF_LOSSY"
@@ -175,7 +175,7 @@
         return carry_out(files, job)
 
     if asked.bug:
-        from fawnwharf.durable.planted import PLANTED
+        from fawnwharf.durable_store.planted import PLANTED
 
         bend = PLANTED[asked.bug].bend
 
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from fawnwharf.durable.reading import Sign
+from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core import alone
 from fawnwharf.recovery_core.asking import Answer, Ask, Asking, Of, Pace, Stand, What
 from fawnwharf.recovery_core.register import Dealt
--- a/fawnwharf/recovery_service/kept.py
+++ b/fawnwharf/recovery_service/kept.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from fawnwharf.durable import form as f
-from fawnwharf.durable import reading
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import reading
 from fawnwharf.recovery_core.trust import (
     Age,
     Clock,
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -8,11 +8,11 @@
 
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.durable import form as f
-from fawnwharf.durable.core import Refused
-from fawnwharf.durable.reading import Found, Sign, older
-from fawnwharf.durable.service import OnLoop
-from fawnwharf.durable.store import open_folder, unix_ms
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store.core import Refused
+from fawnwharf.durable_store.reading import Found, Sign, older
+from fawnwharf.durable_store.service import OnLoop
+from fawnwharf.durable_store.store import open_folder, unix_ms
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
--- a/fawnwharf/recovery_service/settings.py
+++ b/fawnwharf/recovery_service/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.durable import form
+from fawnwharf.durable_store import form
 from fawnwharf.recovery_core import asking, stages
 from fawnwharf.zones.settings import FileFault, Span
 
--- a/fawnwharf/recovery_service/words.py
+++ b/fawnwharf/recovery_service/words.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.consensus.messages import DATA_MOST
-from fawnwharf.durable.reading import Sign
+from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core.asking import Answer, Ask, Number
 from fawnwharf.zones.settings import Name
 
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fawnwharf.durable.form import Limits
+from fawnwharf.durable_store.form import Limits
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -15,7 +15,7 @@
 from fawnwharf.admin import memory as beliefs
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import messages as consensus
-from fawnwharf.durable import form, ops
+from fawnwharf.durable_store import form, ops
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -9,8 +9,8 @@
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
 from fawnwharf.consensus.disk import Disk, DiskError
-from fawnwharf.durable import form
-from fawnwharf.durable.store import open_folder
+from fawnwharf.durable_store import form
+from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import document_from, register_from
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -17,8 +17,8 @@
 from fawnwharf.cli import app
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import records
-from fawnwharf.durable import folder as durable_folder
-from fawnwharf.durable import form
+from fawnwharf.durable_store import folder as durable_folder
+from fawnwharf.durable_store import form
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -6,10 +6,10 @@
 from cores import RULES, Cores
 
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.durable import store as stores
-from fawnwharf.durable.form import Limits
-from fawnwharf.durable.ops import carry_out
-from fawnwharf.durable.reading import Unreadable
+from fawnwharf.durable_store import store as stores
+from fawnwharf.durable_store.form import Limits
+from fawnwharf.durable_store.ops import carry_out
+from fawnwharf.durable_store.reading import Unreadable
 from fawnwharf.fakes.disks import MemoryDisk, Plan
 from fawnwharf.recovery_service import onstore, promises
 from fawnwharf.replication import messages as m
--- a/tests/support/promise_process.py
+++ b/tests/support/promise_process.py
@@ -1,14 +1,14 @@
 """A process that only writes promises into a durable store, and what a folder holds of them."""
 
-from fawnwharf.durable import form as f
-from fawnwharf.durable.folder import Folder, lock, unlock
-from fawnwharf.durable.store import look
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store.folder import Folder, lock, unlock
+from fawnwharf.durable_store.store import look
 
 # Its arguments: the folder. Counts on from what is there, and tells each number once it is on disk.
 WRITING = """
 import sys, time
-from fawnwharf.durable.form import Kind, Limits
-from fawnwharf.durable.store import open_folder
+from fawnwharf.durable_store.form import Kind, Limits
+from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.wheel import monotonic_ms
 limits = Limits(segment_bytes=3_000, wait_ms=20_000)
 store = open_folder(sys.argv[1], "fleet", "a", [Kind("term", "synced")], limits, empty_ok=True, within_s=20.0)
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -8,7 +8,7 @@
 import msgspec
 from test_zone_members import Fleet
 
-from fawnwharf.durable.reading import Sign
+from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core.asking import Pace
 from fawnwharf.recovery_core.stages import Decide, Note, Stage, Timing
 from fawnwharf.recovery_service import words as w
--- a/tests/test_disk_faults_store.py
+++ b/tests/test_disk_faults_store.py
@@ -8,10 +8,10 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.durable.crash import Broken, World
-from fawnwharf.durable.folder import Folder
-from fawnwharf.durable.planted import NONE, PLANTED
-from fawnwharf.durable.reading import Unreadable
+from fawnwharf.durable_store.crash import Broken, World
+from fawnwharf.durable_store.folder import Folder
+from fawnwharf.durable_store.planted import NONE, PLANTED
+from fawnwharf.durable_store.reading import Unreadable
 
 TURNS = 12
 ENDS = {
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from fawnwharf.durable import crash, repairs
-from fawnwharf.durable import form as f
-from fawnwharf.durable.core import Core, Refused
-from fawnwharf.durable.ops import Append, Outcome, Sync, carry_out
-from fawnwharf.durable.reading import Found, Unreadable
+from fawnwharf.durable_store import crash, repairs
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store.core import Core, Refused
+from fawnwharf.durable_store.ops import Append, Outcome, Sync, carry_out
+from fawnwharf.durable_store.reading import Found, Unreadable
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
 LIMITS = f.Limits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -14,11 +14,11 @@
 from fawnwharf.cli import app
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.consensus.records import leading
-from fawnwharf.durable import folder
-from fawnwharf.durable import form as f
-from fawnwharf.durable.reading import Sign
-from fawnwharf.durable.service import OnLoop
-from fawnwharf.durable.store import look, open_folder
+from fawnwharf.durable_store import folder
+from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store.reading import Sign
+from fawnwharf.durable_store.service import OnLoop
+from fawnwharf.durable_store.store import look, open_folder
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
 
@@ -60,8 +60,8 @@
 
 WRITING = """
 import sys, time
-from fawnwharf.durable.form import Kind, Limits
-from fawnwharf.durable.store import open_folder
+from fawnwharf.durable_store.form import Kind, Limits
+from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.wheel import monotonic_ms
 kinds = [Kind("term", "synced")]
 limits = Limits(segment_bytes=3_000, wait_ms=20_000)
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -20,7 +20,7 @@
 TRIALS = {
     f"{PROGRAM}.{name}"
     for name in (
-        "durable.crash",
+        "durable_store.crash",
         "policy_rollout.check",
         "policy_rollout.measure",
         "policy_rollout.scene",
@@ -58,7 +58,7 @@
     "wirehost": "config interface policy",
     "net": "config interface policy",
     "admin": "config interface net policy",
-    "durable": "consensus file_writes net",
+    "durable_store": "consensus file_writes net",
     "zones": "config consensus interface net",
     "policy_rollout": "config file_writes interface lives net zones",
     "replication": "config consensus interface net zones",
@@ -66,11 +66,11 @@
     "migration": "replication sites",
     "recovery_core": "consensus interface replication zones",
     "sessions": "config interface lives migration net policy prefetch replication sites zones",
-    "recovery_service": "config consensus durable interface net policy recovery_core replication zones",
+    "recovery_service": "config consensus durable_store interface net policy recovery_core replication zones",
     "serving": "admin config interface net policy_rollout recovery_service replication sessions zones",
-    "fakes": "__main__ config durable net",
+    "fakes": "__main__ config durable_store net",
     "testbed": "config consensus fakes interface net policy_rollout replication sessions sites zones",
-    "cli": "config durable fawnwharf policy_rollout recovery_service replication serving sessions testbed zones",
+    "cli": "config durable_store fawnwharf policy_rollout recovery_service replication serving sessions testbed zones",
     "__main__": "cli serving",
 }
 # Outermost: these may import anything, and nothing imports them but the command line (`fawnwharf lab`).
@@ -81,7 +81,7 @@
 OFF = {
     "consensus",
     "cli",
-    "durable",
+    "durable_store",
     "policy_rollout",
     "prefetch",
     "migration",
--- a/tests/test_lossy.py
+++ b/tests/test_lossy.py
@@ -11,10 +11,10 @@
 import pytest
 from support.promise_process import WRITING, found_in
 
-from fawnwharf.durable import ops
-from fawnwharf.durable.folder import Folder, lock
-from fawnwharf.durable.reading import Unreadable
-from fawnwharf.durable.writer import Writer
+from fawnwharf.durable_store import ops
+from fawnwharf.durable_store.folder import Folder, lock
+from fawnwharf.durable_store.reading import Unreadable
+from fawnwharf.durable_store.writer import Writer
 from fawnwharf.fakes import lossy
 from fawnwharf.fakes.lossy import LossyFolder
 
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -4,7 +4,7 @@
 import pytest
 from support.recovery_agents import TIMING, Agents
 
-from fawnwharf.durable.reading import Sign
+from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core.asking import Answer, Ask, Stand, What
 from fawnwharf.recovery_core.stages import Register, Stage
 from fawnwharf.recovery_service import words as w
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -5,10 +5,10 @@
 from support.memory_stores import LIMITS, Site
 
 from fawnwharf.config import ConfigError, Fleet, Member
-from fawnwharf.durable import repairs
-from fawnwharf.durable.form import HINT, Limits
-from fawnwharf.durable.ops import carry_out
-from fawnwharf.durable.reading import Sign
+from fawnwharf.durable_store import repairs
+from fawnwharf.durable_store.form import HINT, Limits
+from fawnwharf.durable_store.ops import carry_out
+from fawnwharf.durable_store.reading import Sign
 from fawnwharf.fakes.disks import Plan, PowerCut
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
 from fawnwharf.recovery_service import hints, onstore
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -8,14 +8,14 @@
 import pytest
 from support.power_losses import WINDOW_MS, PowerFleet
 
-from fawnwharf.durable import folder
-from fawnwharf.durable.form import Limits
+from fawnwharf.durable_store import folder
+from fawnwharf.durable_store.form import Limits
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
 from fawnwharf.recovery_service.onstore import Kept
 
 GRANTING = """
 import json, sys
-from fawnwharf.durable.form import Limits
+from fawnwharf.durable_store.form import Limits
 from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.wheel import monotonic_ms
