--- a/fawnwharf/policy_rollout/agent.py
+++ b/fawnwharf/policy_rollout/agent.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from fawnwharf.lives import Lives
+from fawnwharf.incarnations import Lives
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import DocumentError, Known, document_from, register_from
 from fawnwharf.policy_rollout.holder import Holder
--- a/fawnwharf/sessions/agent.py
+++ b/fawnwharf/sessions/agent.py
@@ -14,8 +14,8 @@
 
 from msgspec.structs import replace
 
+from fawnwharf.incarnations import Lives
 from fawnwharf.interface import ClassSpec
-from fawnwharf.lives import Lives
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.homes import Keeper, key_of, mover_of
 from fawnwharf.migration.mover import Mover
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from fawnwharf.lives import KNOWN_MOST, NAMES_MOST, Lives
+from fawnwharf.incarnations import KNOWN_MOST, NAMES_MOST, Lives
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.agent import Agent
 from fawnwharf.policy_rollout.document import Known
