--- a/fawnwharf/migration/explore.py
+++ b/fawnwharf/migration/explore.py
@@ -20,7 +20,7 @@
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.world import Bounds, Kinds, World, use
-from fawnwharf.sites import Home, LetGo, Move, Session, Stage
+from fawnwharf.session_types import Home, LetGo, Move, Session, Stage
 from fawnwharf.testbed.breadth_first import Found, search
 
 RULES = Settings()
--- a/fawnwharf/migration/hand.py
+++ b/fawnwharf/migration/hand.py
@@ -4,7 +4,7 @@
 
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.homes import EMPTY
-from fawnwharf.sites import Home, Session
+from fawnwharf.session_types import Home, Session
 
 UNSTAGED = "not staged in time"
 ASKING, STAGING, SWITCHING, SETTLING = "asking", "staging", "switching", "settling"
--- a/fawnwharf/migration/homes.py
+++ b/fawnwharf/migration/homes.py
@@ -25,7 +25,7 @@
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.settings import Settings
 from fawnwharf.replication.placement import weight
-from fawnwharf.sites import Home, Session
+from fawnwharf.session_types import Home, Session
 
 Before = tuple[int, dict[str, str], int]  # a list: number, its keepers' zones, zones that may be silent
 
--- a/fawnwharf/migration/in_use.py
+++ b/fawnwharf/migration/in_use.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from fawnwharf.sites import Home, Session
+from fawnwharf.session_types import Home, Session
 
 Spent = tuple[tuple[str, int], ...]
 
--- a/fawnwharf/migration/many.py
+++ b/fawnwharf/migration/many.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.windows import Windows
-from fawnwharf.sites import Home, Move, Session
+from fawnwharf.session_types import Home, Move, Session
 
 AHEAD = 32  # sessions that may begin before one whose site takes no other yet
 
--- a/fawnwharf/migration/measure.py
+++ b/fawnwharf/migration/measure.py
@@ -15,7 +15,7 @@
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.walk import CALM, Walk
-from fawnwharf.sites import Home, Move, Session
+from fawnwharf.session_types import Home, Move, Session
 
 AT_ONCE = 32
 LINKS = replace(CALM, delay_ms=(1.0, 5.0))
--- a/fawnwharf/migration/messages.py
+++ b/fawnwharf/migration/messages.py
@@ -12,7 +12,7 @@
 
 from msgspec import Meta, Struct
 
-from fawnwharf.sites import Home, LetGo, Move, Session, Span, Stage, Text
+from fawnwharf.session_types import Home, LetGo, Move, Session, Span, Stage, Text
 
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 Name = Annotated[str, Meta(max_length=80)]
--- a/fawnwharf/migration/mover.py
+++ b/fawnwharf/migration/mover.py
@@ -15,7 +15,7 @@
 from fawnwharf.migration.homes import is_open, key_of, merged
 from fawnwharf.migration.settings import Settings
 from fawnwharf.replication.placement import weight
-from fawnwharf.sites import Home, Move, Session
+from fawnwharf.session_types import Home, Move, Session
 
 HANDS_MOST = 20_000
 LOST_IN_HASTE = ("quota spent since it was last told", "rate of calls", "calls under way without a claim")
--- a/fawnwharf/migration/planted.py
+++ b/fawnwharf/migration/planted.py
@@ -5,7 +5,7 @@
 from fawnwharf.migration.mover import Hand, Mover
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.world import Kinds
-from fawnwharf.sites import Home
+from fawnwharf.session_types import Home
 
 
 class _Early(Mover):
--- a/fawnwharf/migration/router.py
+++ b/fawnwharf/migration/router.py
@@ -16,7 +16,7 @@
 from fawnwharf.migration.homes import key_of
 from fawnwharf.migration.in_use import OpenCall, Seen, spent
 from fawnwharf.migration.settings import Settings
-from fawnwharf.sites import Home, LetGo, Session, Stage
+from fawnwharf.session_types import Home, LetGo, Session, Stage
 
 CALLS_MOST = 50_000
 LOOKS = 200  # sessions that are told of anew in one tick
--- a/fawnwharf/migration/walk.py
+++ b/fawnwharf/migration/walk.py
@@ -20,7 +20,7 @@
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.world import Kinds
-from fawnwharf.sites import Home, LetGo, Move, Session
+from fawnwharf.session_types import Home, LetGo, Move, Session
 
 RULES = Settings(
     still_ms=8_000.0,
--- a/fawnwharf/migration/windows.py
+++ b/fawnwharf/migration/windows.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from fawnwharf.migration.hand import UNSTAGED
-from fawnwharf.sites import Session
+from fawnwharf.session_types import Session
 
 LEAST = 1.0
 
--- a/fawnwharf/prefetch/core.py
+++ b/fawnwharf/prefetch/core.py
@@ -25,7 +25,7 @@
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.slices import Slices, drained
-from fawnwharf.sites import LetGo, Move, Session
+from fawnwharf.session_types import LetGo, Move, Session
 
 # Of an idle life: the rest is for the load.
 SPAN_PART = 0.8
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -15,7 +15,7 @@
 from fawnwharf.policy.state import Function, Worker, mark
 from fawnwharf.prefetch.kept import Kept
 from fawnwharf.prefetch.worth import Facts
-from fawnwharf.sites import Text
+from fawnwharf.session_types import Text
 
 ORDERS_MOST = 512  # hash orders kept in mind
 PLACES_MOST = 20_000  # functions with copies, of a site
--- a/fawnwharf/prefetch/messages.py
+++ b/fawnwharf/prefetch/messages.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct
 
-from fawnwharf.sites import Part, Session, Span, Stage, Text
+from fawnwharf.session_types import Part, Session, Span, Stage, Text
 
 Number = Annotated[int, Meta(ge=0, le=1 << 53)]
 ENTRIES_MOST = 500  # of one word: a line that is longer is a fault, or an attack
--- a/fawnwharf/prefetch/past.py
+++ b/fawnwharf/prefetch/past.py
@@ -12,7 +12,7 @@
 from fawnwharf.prefetch.seen import Track, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices, drained
-from fawnwharf.sites import Session
+from fawnwharf.session_types import Session
 
 PRIOR_MS = 10_000.0  # of a session's time without a move, held to be seen: guards against rates of few moves
 KEYS_MOST = 50_000
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -17,7 +17,7 @@
 from fawnwharf.prefetch.settings import Foresight, Prices
 from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.prefetch.worth import Facts, cost, fetched, loss, mean_worth
-from fawnwharf.sites import LetGo, Move, Session, Stage
+from fawnwharf.session_types import LetGo, Move, Session, Stage
 
 HELD_MOST = 4_096  # stages of one front end
 AWAY_MS = 500.0  # a stage's load may end so much before its calls come
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -16,7 +16,7 @@
 from fawnwharf.prefetch.seen import Group, Track, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
-from fawnwharf.sites import Move, Session
+from fawnwharf.session_types import Move, Session
 
 SPAN_MOST_MS = 3_600_000.0
 MOVES, GROUPS, RISING = 40, 30, 30  # of one slice
--- a/fawnwharf/prefetch/scenes.py
+++ b/fawnwharf/prefetch/scenes.py
@@ -14,7 +14,7 @@
 from fawnwharf.prefetch.world import Call
 from fawnwharf.prefetch.worth import Facts
 from fawnwharf.replication.placement import weight
-from fawnwharf.sites import Session
+from fawnwharf.session_types import Session
 
 SITES = ("north", "south", "west")
 SESSIONS = 90
--- a/fawnwharf/prefetch/score.py
+++ b/fawnwharf/prefetch/score.py
@@ -16,7 +16,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices, drained
-from fawnwharf.sites import Move, Session
+from fawnwharf.session_types import Move, Session
 
 BINS = 10
 OPEN_MOST = 20_000  # predictions of one predictor whose end is awaited
--- a/fawnwharf/prefetch/seen.py
+++ b/fawnwharf/prefetch/seen.py
@@ -18,7 +18,7 @@
 from fawnwharf.prefetch.kept import Kept
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices, drained
-from fawnwharf.sites import Session
+from fawnwharf.session_types import Session
 
 _BITS = 31
 _MASK = (1 << _BITS) - 1
--- a/fawnwharf/prefetch/ways.py
+++ b/fawnwharf/prefetch/ways.py
@@ -20,7 +20,7 @@
 from fawnwharf.prefetch.seen import Group, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
-from fawnwharf.sites import Session, Stage, Text
+from fawnwharf.session_types import Session, Stage, Text
 from fawnwharf.zones.settings import FileFault
 
 QUEUE_MOST = 20_000
--- a/fawnwharf/prefetch/world.py
+++ b/fawnwharf/prefetch/world.py
@@ -15,7 +15,7 @@
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.worth import Facts, mean_worth
 from fawnwharf.replication.placement import weight
-from fawnwharf.sites import Session
+from fawnwharf.session_types import Session
 
 LOADS_MOST = 4  # of a scorer at a time
 FETCH_PART = 0.6  # of a load's time is the fetch
--- a/fawnwharf/sessions/agent.py
+++ b/fawnwharf/sessions/agent.py
@@ -20,6 +20,7 @@
 from fawnwharf.migration.homes import Keeper, key_of, mover_of
 from fawnwharf.migration.mover import Mover
 from fawnwharf.migration.router import Router
+from fawnwharf.session_types import Home, LetGo, Move, Session, Stage
 from fawnwharf.sessions.asking import Asking, why_not
 from fawnwharf.sessions.completing import context_of, filled, with_copies
 from fawnwharf.sessions.effects import Key, Note, Out, Words, named
@@ -27,7 +28,6 @@
 from fawnwharf.sessions.moves import Moves, View, target
 from fawnwharf.sessions.settings import Settings
 from fawnwharf.sessions.staged import Staged
-from fawnwharf.sites import Home, LetGo, Move, Session, Stage
 
 BUSY_MS, CALM_MS = 50.0, 250.0  # pace of looks
 
--- a/fawnwharf/sessions/asking.py
+++ b/fawnwharf/sessions/asking.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.migration import messages as m
+from fawnwharf.session_types import Home, Move, Session
 from fawnwharf.sessions.words import Answer
-from fawnwharf.sites import Home, Move, Session
 
 ANSWERS_MOST = 1_000
 AGAIN_MS, MOST_MS = 1_000.0, 8_000.0  # a mover that says nothing is asked again, for so long
--- a/fawnwharf/sessions/completing.py
+++ b/fawnwharf/sessions/completing.py
@@ -3,9 +3,9 @@
 from msgspec.structs import replace
 
 from fawnwharf.migration import messages as m
+from fawnwharf.session_types import Session
 from fawnwharf.sessions.known import Known, copies
 from fawnwharf.sessions.moves import Moves
-from fawnwharf.sites import Session
 
 
 def filled(now_ms: float, message: m.Message, known: Known, moves: Moves, number: int) -> m.Message:
--- a/fawnwharf/sessions/effects.py
+++ b/fawnwharf/sessions/effects.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from fawnwharf.migration import messages as m
-from fawnwharf.sites import LetGo, Session
+from fawnwharf.session_types import LetGo, Session
 
 Key = tuple[Session, m.Turn]
 
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -16,10 +16,10 @@
 from fawnwharf.prefetch.settings import Prices, foresight_from
 from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.replication.service import State
+from fawnwharf.session_types import Session
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.moves import place_of
 from fawnwharf.sessions.staging import Beat, Seen, Staging, Word, announced_from
-from fawnwharf.sites import Session
 from fawnwharf.zones.files import WatchedFile, load
 from fawnwharf.zones.plan import LEAVING, OUT
 from fawnwharf.zones.settings import FileFault
--- a/fawnwharf/sessions/known.py
+++ b/fawnwharf/sessions/known.py
@@ -10,8 +10,8 @@
 from fawnwharf.interface import ClassSpec
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.many import Live
+from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions.settings import Settings
-from fawnwharf.sites import Home, Session
 
 FADE_MS = 10_000.0  # over which calls are counted
 GAIN = 0.3  # weight of one run, or load, in a function's usual one
--- a/fawnwharf/sessions/left.py
+++ b/fawnwharf/sessions/left.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from fawnwharf.migration.router import Router
-from fawnwharf.sites import Home, Session
+from fawnwharf.session_types import Home, Session
 
 VERSION = 1
 LEFT_MOST = 20_000  # those that were used last
--- a/fawnwharf/sessions/measure.py
+++ b/fawnwharf/sessions/measure.py
@@ -17,8 +17,8 @@
 from fawnwharf import interface as io
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.settings import Foresight, Prices
+from fawnwharf.session_types import Session
 from fawnwharf.sessions.staging import COUNTS, SLICE_MS, Seen, Staging, Word
-from fawnwharf.sites import Session
 
 SITES = ("north", "south", "west")
 KEEPERS = ("a", "b", "c", "d", "e", "f")
--- a/fawnwharf/sessions/moves.py
+++ b/fawnwharf/sessions/moves.py
@@ -18,7 +18,7 @@
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.windows import Windows
 from fawnwharf.replication.placement import weight
-from fawnwharf.sites import Home, Move, Session
+from fawnwharf.session_types import Home, Move, Session
 
 LOOKS, HASHES = 2_000, 150  # records, and placements worked out, in one look
 BATCH = 256  # sessions that are emptied in the order of their worth; the next ones when these are done
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -10,6 +10,7 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.wheel import Timer, monotonic_ms, unix_ms
+from fawnwharf.session_types import LetGo, Session
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.effects import Copies, Dropped, Note, Out, Words
@@ -19,7 +20,6 @@
 from fawnwharf.sessions.settings import Settings, Wishes, by_classes, settings_from, wishes_from, wishes_place
 from fawnwharf.sessions.stages import Orders, Stages
 from fawnwharf.sessions.trace import Trace
-from fawnwharf.sites import LetGo, Session
 from fawnwharf.zones.files import WatchedFile, load
 from fawnwharf.zones.plan import LEAVING, OUT, RETURNING
 from fawnwharf.zones.settings import FileFault
--- a/fawnwharf/sessions/settings.py
+++ b/fawnwharf/sessions/settings.py
@@ -14,7 +14,7 @@
 from fawnwharf.interface import ClassSpec
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.settings import Settings as Handover
-from fawnwharf.sites import Session, Text
+from fawnwharf.session_types import Session, Text
 from fawnwharf.zones.settings import FileFault, Name, file_from
 
 VERSION = 1
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -28,7 +28,7 @@
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.prefetch.ways import Foretold, Ways
 from fawnwharf.replication.placement import weight
-from fawnwharf.sites import LetGo, Move, Session, Stage
+from fawnwharf.session_types import LetGo, Move, Session, Stage
 from fawnwharf.zones.evidence import Observer
 from fawnwharf.zones.evidence import View as Sight
 from fawnwharf.zones.evidence import view as sight
--- a/fawnwharf/sessions/trace.py
+++ b/fawnwharf/sessions/trace.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.migration import messages as m
 from fawnwharf.net.wheel import unix_ms
-from fawnwharf.sites import Home
+from fawnwharf.session_types import Home
 
 
 class Trace:
--- a/fawnwharf/testbed/sessions.py
+++ b/fawnwharf/testbed/sessions.py
@@ -5,8 +5,8 @@
 
 from fawnwharf.fakes.sessions import ANY, Live, Moved, Planned
 from fawnwharf.net.wheel import monotonic_ms, unix_ms
+from fawnwharf.session_types import Session
 from fawnwharf.sessions.moves import target
-from fawnwharf.sites import Session
 from fawnwharf.testbed.files import write_whole
 from fawnwharf.testbed.fleet import Fleet
 from fawnwharf.testbed.parties import Parties
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -38,11 +38,11 @@
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
 from fawnwharf.replication.claims import Claim, Phase
+from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions import foreseen, left
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
 from fawnwharf.sessions import words as session_words
-from fawnwharf.sites import Home, Session
 from fawnwharf.zones import lines, links, plan
 from fawnwharf.zones import settings as zone_settings
 
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -8,11 +8,11 @@
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.settings import Settings as Handover
 from fawnwharf.replication.placement import Placement
+from fawnwharf.session_types import LetGo, Session
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.effects import Copies, Note, Words
-from fawnwharf.sites import LetGo, Session
 from fawnwharf.zones.settings import MemberEntry, Members
 
 CLASSES = {"view": ClassSpec("view", worth=1.0, give_up_ms=800.0)}
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -12,7 +12,7 @@
 from fawnwharf.prefetch.seen import OWNERS_MOST, SITES_MOST, Watcher
 from fawnwharf.prefetch.settings import Foresight, Prices, foresight_from, site_from
 from fawnwharf.prefetch.slices import drained
-from fawnwharf.sites import Session
+from fawnwharf.session_types import Session
 from fawnwharf.zones.settings import FileFault
 
 S = Foresight(day_ms=100_000.0, phases=20)
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -17,7 +17,7 @@
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.trial import compare, interval
 from fawnwharf.prefetch.worth import Facts, cost, loss, mean_worth
-from fawnwharf.sites import LetGo, Move, Session
+from fawnwharf.session_types import LetGo, Move, Session
 
 SPEC = ClassSpec("view", promise_ms=800.0, give_up_ms=3_000.0, worth=1.0, late_share=0.2)
 SITE = Settings(classes={"view": SPEC}, fleet_size=3, idle_life_ms=9_300.0)
--- a/tests/test_handover_core.py
+++ b/tests/test_handover_core.py
@@ -12,7 +12,7 @@
 from fawnwharf.migration.mover import Mover
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
-from fawnwharf.sites import Home, LetGo, Move, Session
+from fawnwharf.session_types import Home, LetGo, Move, Session
 
 RULES = Settings()
 S = Session("org", "row")
--- a/tests/test_handover_core_hard.py
+++ b/tests/test_handover_core_hard.py
@@ -16,7 +16,7 @@
 from fawnwharf.migration.walk import CALM, RULES, Walk
 from fawnwharf.migration.windows import Windows
 from fawnwharf.replication.claimant import Go
-from fawnwharf.sites import Home, Move, Session
+from fawnwharf.session_types import Home, Move, Session
 
 
 class Fleet(Walk):
--- a/tests/test_handover_core_search.py
+++ b/tests/test_handover_core_search.py
@@ -8,7 +8,7 @@
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.walk import STORM, Walk, Weather
 from fawnwharf.migration.world import Bounds, Kinds
-from fawnwharf.sites import Home, Session
+from fawnwharf.session_types import Home, Session
 
 TWO, THREE = {"a": "x", "b": "y"}, {"a": "x", "b": "y", "c": "z"}
 CONTEST = Weather(rivals=1.0, lost=0.1, late=0.05, moves=8.0)
--- a/tests/test_handover_relisted.py
+++ b/tests/test_handover_relisted.py
@@ -10,7 +10,7 @@
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.walk import STORM, Weather
 from fawnwharf.migration.world import Kinds
-from fawnwharf.sites import Home, Session
+from fawnwharf.session_types import Home, Session
 
 SESSION, ROW = Session("org", "row"), Session("acme", "7f3a9c21e0b4d655")
 HOME = Home(SESSION, "x", 0)
--- a/tests/test_handover_uses.py
+++ b/tests/test_handover_uses.py
@@ -4,7 +4,7 @@
 from fawnwharf.migration.homes import Keeper
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
-from fawnwharf.sites import Home, LetGo, Session
+from fawnwharf.session_types import Home, LetGo, Session
 
 RULES = Settings()
 S = Session("org", "row")
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -14,10 +14,10 @@
 from fawnwharf.migration import messages as m
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.prefetch.ways import foretold_from
+from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.moves import target
 from fawnwharf.sessions.trace import Trace
-from fawnwharf.sites import Home, Session
 from fawnwharf.testbed import homes, moves
 from fawnwharf.testbed import scenario as scenarios
 from fawnwharf.testbed.homes import Sent, Told, Unload, Use
--- a/tests/test_sessions_agent.py
+++ b/tests/test_sessions_agent.py
@@ -4,7 +4,7 @@
 from support.session_agents import RULES, Fleet
 
 from fawnwharf.migration import messages as m
-from fawnwharf.sites import Home, Move, Session
+from fawnwharf.session_types import Home, Move, Session
 
 ROW = Session("acme", "7f3a9c21e0b4d655")
 
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -12,10 +12,10 @@
 from fawnwharf.migration.settings import Settings
 from fawnwharf.policy_rollout.document import check_against, document_of, floor, made, over, stricter
 from fawnwharf.policy_rollout.service import Policies
+from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions import left
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.staging import Seen
-from fawnwharf.sites import Home, Session
 
 SESSION = Session("acme", ROW)
 
--- a/tests/test_sessions_service.py
+++ b/tests/test_sessions_service.py
@@ -16,10 +16,10 @@
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.wheel import monotonic_ms
 from fawnwharf.replication import messages as rm
+from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions.moves import place_of
 from fawnwharf.sessions.service import Sessions
-from fawnwharf.sites import Home, Session
 from fawnwharf.zones.plan import Plan, Zone
 from fawnwharf.zones.settings import FileFault
 
--- a/tests/test_sessions_stages.py
+++ b/tests/test_sessions_stages.py
@@ -2,9 +2,9 @@
 
 from fawnwharf import interface as io
 from fawnwharf.migration import messages as m
+from fawnwharf.session_types import Session
 from fawnwharf.sessions.effects import Copies
 from fawnwharf.sessions.stages import AGAIN_MS, RETRIES_MOST, Stages
-from fawnwharf.sites import Session
 
 FACTS = m.Facts("view", 2, 300.0)
 ROW, KEY = "row", (Session("org", "row"), m.Turn(1, "n0"))
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -13,6 +13,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.seen import Watcher
 from fawnwharf.prefetch.slices import drained
+from fawnwharf.session_types import Session
 from fawnwharf.sessions.staging import (
     COUNTS,
     NAME_MOST,
@@ -20,7 +21,6 @@
     Seen,
     Word,
 )
-from fawnwharf.sites import Session
 
 
 def test_scorers_come_in_the_module_s_own_order_and_those_that_take_nothing_are_left_out():
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -9,11 +9,11 @@
 from fawnwharf.prefetch.budgets import orderer
 from fawnwharf.prefetch.settings import foresight_from
 from fawnwharf.prefetch.ways import foretold_from
+from fawnwharf.session_types import LetGo, Session
 from fawnwharf.sessions.staging import (
     Seen,
     announced_from,
 )
-from fawnwharf.sites import LetGo, Session
 from fawnwharf.zones.plan import LEAVING, OUT, RETURNING, Plan, Zone
 from fawnwharf.zones.settings import FileFault, Ramp
 
