--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -12,7 +12,7 @@
 from fawnwharf.config import Address, ConfigError, Deployment, Fleet, Member, address_from
 from fawnwharf.net.changelog import ChangeLog
 from fawnwharf.net.clients import ClientPort
-from fawnwharf.net.leaving import Leaving
+from fawnwharf.net.graceful_shutdown import Leaving
 from fawnwharf.net.log import Log
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.overlay import Overlay
--- a/tests/test_shutdown_answers.py
+++ b/tests/test_shutdown_answers.py
@@ -6,7 +6,7 @@
 from peers import Rig, ScorerPeer
 
 from fawnwharf import interface as io
-from fawnwharf.net import leaving
+from fawnwharf.net import graceful_shutdown
 
 SHORT_MS = 200.0
 
@@ -17,7 +17,7 @@
 )
 def test_the_time_follows_the_longest_class_up_to_where_the_system_stops_waiting(give_ups, within_ms):
     classes = {f"c{n}": io.ClassSpec(f"c{n}", give_up_ms=give_up) for n, give_up in enumerate(give_ups)}
-    assert leaving.answer_within_ms(io.Settings(classes=classes)) == within_ms
+    assert graceful_shutdown.answer_within_ms(io.Settings(classes=classes)) == within_ms
 
 
 @pytest.fixture
@@ -32,7 +32,7 @@
     for op in ("view", "settle"):
         client.call(op=op)
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "both run")
-    with mock.patch.object(leaving, "answer_within_ms", lambda settings: SHORT_MS):
+    with mock.patch.object(graceful_shutdown, "answer_within_ms", lambda settings: SHORT_MS):
         rig.front.leave()
     rig.until(lambda: len(client.answers) == 2, "both are answered")
     assert client.kinds() == {1: "throttled", 2: "broken"}
@@ -42,7 +42,7 @@
     client = rig.client()
     rig.settle(client)
     client.answers.clear()
-    with mock.patch.object(leaving, "answer_within_ms", lambda settings: 0.0):
+    with mock.patch.object(graceful_shutdown, "answer_within_ms", lambda settings: 0.0):
         rig.front.leave()
     client.call()
     rig.until(lambda: client.answers, "it is answered")
--- a/tests/test_shutdown_orders.py
+++ b/tests/test_shutdown_orders.py
@@ -7,7 +7,7 @@
 import pytest
 from peers import ROW, SETTINGS, Buffered, ClientPeer, Rig, ScorerPeer, handle_frame
 
-from fawnwharf.net import leaving
+from fawnwharf.net import graceful_shutdown
 
 SLOW_CLASS = {"name": "slow", "effect": "idempotent", "give_up": 60_000.0, "promise": 50_000.0}
 
@@ -27,7 +27,7 @@
 def arrivals_over(rig):
     """The late arrivals are in: from here on connections are ended."""
     since_ms = rig.front._leaving._since_ms
-    rig.front._leaving._since_ms = min(since_ms, since_ms - leaving.LATE_ARRIVALS_MS)
+    rig.front._leaving._since_ms = min(since_ms, since_ms - graceful_shutdown.LATE_ARRIVALS_MS)
 
 
 def asked(rig, client, **fields):
@@ -40,8 +40,11 @@
 
 def test_the_limit_of_an_end_follows_the_longest_class():
     rig = Rig(ScorerPeer(), settings={"classes": [*SETTINGS["classes"], SLOW_CLASS]})
-    most_ms = leaving.TTL_ROOM * SLOW_CLASS["give_up"]
-    assert leaving.limit_ms(rig.front.deployment.settings) > leaving.LATE_ARRIVALS_MS + most_ms
+    most_ms = graceful_shutdown.TTL_ROOM * SLOW_CLASS["give_up"]
+    assert (
+        graceful_shutdown.limit_ms(rig.front.deployment.settings)
+        > graceful_shutdown.LATE_ARRIVALS_MS + most_ms
+    )
     client = rig.client()
     asked(rig, client, op="slow", ttl="66000")
     rig.front.leave()
@@ -75,7 +78,7 @@
     served.connection.read_on(False)
     client.call()  # unread at each look
     looks = []
-    rig.front.loop.wheel.after(3 * leaving.LOOK_MS, lambda: looks.append(1))
+    rig.front.loop.wheel.after(3 * graceful_shutdown.LOOK_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
     assert not client.ended and not served.connection.finishing
     served.connection.read_on(True)
@@ -167,10 +170,12 @@
     rig.front.leave()
     arrivals_over(rig)
     looks = []
-    rig.front.loop.wheel.after(5 * leaving.LOOK_MS, lambda: looks.append(1))
+    rig.front.loop.wheel.after(5 * graceful_shutdown.LOOK_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
     assert not served.connection.finishing and rig.front.loop.running
-    with mock.patch.object(leaving, "STALLED_MS", -1.0):  # a reader that takes none at all is not waited for
+    with mock.patch.object(
+        graceful_shutdown, "STALLED_MS", -1.0
+    ):  # a reader that takes none at all is not waited for
         rig.until(lambda: served.connection.finishing, "it is ended all the same")
     rig.clients.append(client)
     rig.until(lambda: client.answers, "all of it has come")
