--- a/fawnwharf/admin/channel.py
+++ b/fawnwharf/admin/channel.py
@@ -13,7 +13,7 @@
 from fawnwharf.admin import handover as h
 from fawnwharf.admin.memory import SIZE_MOST
 from fawnwharf.net.loop import READ, WRITE, Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 MESSAGE_MOST = 128 * 1024
 READS_MOST = 64  # messages in a turn
--- a/fawnwharf/admin/parts.py
+++ b/fawnwharf/admin/parts.py
@@ -10,7 +10,7 @@
 
 from fawnwharf.config import ConfigError
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 LOOK_MS = 5.0
 # What is open ends by itself. The new process owes a yes within 6 s: a call that takes longer than this goes
--- a/fawnwharf/admin/port.py
+++ b/fawnwharf/admin/port.py
@@ -9,7 +9,7 @@
 from fawnwharf.net.endings import End
 from fawnwharf.net.listener import once_free
 from fawnwharf.net.loop import READ, Loop
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 BACKLOG = 64
 READ_MOST = 4 * 1024
--- a/fawnwharf/admin/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -12,7 +12,7 @@
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.handed import HandedConnection
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 LOOK_MS = 20.0  # pace of the look after connections that have fallen idle
 GIVE_MOST = 256  # connections in one look
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -9,7 +9,7 @@
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.overlay import Closer
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 TIDY_MS = 250.0
 CLOSER = LIMIT = "operators"
--- a/fawnwharf/durable_store/service.py
+++ b/fawnwharf/durable_store/service.py
@@ -6,7 +6,7 @@
 
 from fawnwharf.durable_store.store import Store, Told
 from fawnwharf.net.loop import READ, Loop
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 FULL_PIPE_MS = 4.0  # pace of writing on to a writer that takes no more at the moment
 
--- a/fawnwharf/fakes/calls.py
+++ b/fawnwharf/fakes/calls.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.net import thrift
-from fawnwharf.net.wheel import Timer
+from fawnwharf.net.timer_wheel import Timer
 
 # A try is listened for beyond its end before it is held to have no answer: for as long as a busy machine, on
 # which all run, may hold up the front end or this process.
--- a/fawnwharf/fakes/changelog.py
+++ b/fawnwharf/fakes/changelog.py
@@ -10,7 +10,7 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import READ, Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 PULSE_MS = 1_000.0
 
--- a/fawnwharf/fakes/clients.py
+++ b/fawnwharf/fakes/clients.py
@@ -18,7 +18,7 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 PROBE_MS = 500.0  # pace of dials to a front end that is down; no call goes there until one comes up
 OPEN_MOST = 32
--- a/fawnwharf/fakes/nature.py
+++ b/fawnwharf/fakes/nature.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawnwharf/fakes/relay.py
+++ b/fawnwharf/fakes/relay.py
@@ -17,7 +17,7 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import READ, Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 FORWARD, BACKWARD = "forward", "backward"  # from who dials to who listens, and back
 WAITING_MOST = 256 * 1024  # bytes held for one direction before its sender is read no more
--- a/fawnwharf/fakes/scorers.py
+++ b/fawnwharf/fakes/scorers.py
@@ -20,7 +20,7 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import READ, Loop
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 WORDS = {frames.RUN: "run", frames.GIVE_UP: "give_up", frames.ENSURE: "order", frames.UNLOAD: "unload"}
 
--- a/fawnwharf/fakes/sessions.py
+++ b/fawnwharf/fakes/sessions.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.fakes.calls import Request
 from fawnwharf.fakes.clients import Clients
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 AGAIN_MS = 1_000.0  # calls of the last second come again where a session goes
 RECENT = 8  # calls of a session that are remembered for it
--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -7,7 +7,7 @@
 from fawnwharf.net.endings import End, end_of
 from fawnwharf.net.log import Log
 from fawnwharf.net.loop import READ, Loop, Order
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 ACCEPTS_MOST = 64  # in a turn
 # Where the system has no descriptor or memory left, or the listener fails in a way that is unknown here.
--- a/fawnwharf/net/changelog.py
+++ b/fawnwharf/net/changelog.py
@@ -14,7 +14,7 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.overlay import Overlay
 from fawnwharf.net.starts import StepsBack
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 # What it has to tell counts as told 4 s after it stopped, and 2 s after it broke off: to notice, to dial and
 # to be told again must fit in, also where a first dial comes to nothing.
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -17,7 +17,7 @@
 from fawnwharf.net.requests import Failed, Outcome, Refused, RequestTable, Served
 from fawnwharf.net.room import RoomMaker
 from fawnwharf.net.slow_clients import SlowClients
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 READ_MOST = 16 * 1024  # bytes of one client in a turn: the smallest messages in it take some 10 ms
 OPEN_MOST = 32  # requests open on one connection
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -14,8 +14,8 @@
 from fawnwharf.net.loop import HELD_UP_MS, READ, WRITE, Loop, Order
 from fawnwharf.net.owners import NOBODY, Owner
 from fawnwharf.net.pieces import PartLimit, Piece
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.net.unread import discard, peek, peer_ended
-from fawnwharf.net.wheel import Timer, monotonic_ms
 from fawnwharf.net.writing import WritingHalf
 
 READ_MOST = 64 * 1024  # bytes taken from one connection in a turn, so that none starves the others; the rest
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -19,7 +19,7 @@
 from fawnwharf.net.requests import RequestTable
 from fawnwharf.net.scorers import ScorerPool
 from fawnwharf.net.starts import Starts
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy import Router
 
 TIDY_MS = 250.0  # pace of the look after idle and silent connections
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -9,7 +9,7 @@
 from fawnwharf.net.clients import SPEAK_MS, Client
 from fawnwharf.net.endings import End
 from fawnwharf.net.room import YOUNG_MS
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 if TYPE_CHECKING:
     from fawnwharf.net.front_end import FrontEnd
--- a/fawnwharf/net/listener.py
+++ b/fawnwharf/net/listener.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.config import Address
 from fawnwharf.net.connection import stamp_reads
-from fawnwharf.net.wheel import monotonic_ms, sleep_s
+from fawnwharf.net.timer_wheel import monotonic_ms, sleep_s
 
 BACKLOG = 1024
 # The process before may be ending still: it holds its address until its last look after new connections.
--- a/fawnwharf/net/log.py
+++ b/fawnwharf/net/log.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 LINES_A_SECOND = 20
 LENGTH_MOST = 600
--- a/fawnwharf/net/loop.py
+++ b/fawnwharf/net/loop.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from fawnwharf import interface as io
-from fawnwharf.net.wheel import Clock, Wheel, monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import Clock, Wheel, monotonic_ms, unix_ms
 
 SLOW_TURN_MS = 80.0  # a process that was held up for longer endangers answers that are due
 
--- a/fawnwharf/net/pieces.py
+++ b/fawnwharf/net/pieces.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from fawnwharf.net.wheel import Timer, Wheel, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, Wheel, monotonic_ms
 
 
 class Piece:
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -16,7 +16,7 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.scorers import ScorerPool
 from fawnwharf.net.streams import Answer, Attempt, Order
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 BODIES_MOST = 32 * 1024 * 1024  # bytes of open requests' bodies: part of the memory limit
 FULL_PUSHBACK_MS = 250.0  # advice where this front end can hold no more; the module never saw the request
--- a/fawnwharf/net/room.py
+++ b/fawnwharf/net/room.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 if TYPE_CHECKING:
     from fawnwharf.net.clients import Client
--- a/fawnwharf/net/scorer_links.py
+++ b/fawnwharf/net/scorer_links.py
@@ -7,7 +7,7 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.streams import Attempt, Stream
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 if TYPE_CHECKING:
     from fawnwharf.net.scorers import Scorer, ScorerPool
--- a/fawnwharf/net/scorers.py
+++ b/fawnwharf/net/scorers.py
@@ -14,7 +14,7 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.scorer_links import PART_MOST_MS, Link
 from fawnwharf.net.streams import WARMTHS, Answer, Attempt, Order, Stream, number
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 QUIET_MS = 1_000.0  # a link that owes an answer and says nothing for this long gets nothing new
 IDLE_PART = 0.7  # of the keep-alive: closed here before the scorer does, so that no send crosses a close
--- a/fawnwharf/net/streams.py
+++ b/fawnwharf/net/streams.py
@@ -9,7 +9,7 @@
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.endings import End
 from fawnwharf.net.pieces import Piece
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 if TYPE_CHECKING:
     from fawnwharf.net.scorer_links import Link
--- a/fawnwharf/net/writing.py
+++ b/fawnwharf/net/writing.py
@@ -9,7 +9,7 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.owners import Owner
 from fawnwharf.net.pieces import PartLimit, Piece
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 PIECES_MOST = 64  # in one write
 WRITE_PAUSE_MS = 20.0  # after a write that failed for want of memory: the system gets time to find some
--- a/fawnwharf/policy_rollout/judged.py
+++ b/fawnwharf/policy_rollout/judged.py
@@ -16,7 +16,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Call, Outcome, Refused
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import InForce
 
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -13,7 +13,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.wheel import Timer, monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.agent import Agent
--- a/fawnwharf/recovery_service/counted.py
+++ b/fawnwharf/recovery_service/counted.py
@@ -5,7 +5,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Call, Outcome, Served
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 
 class Taking(Protocol):
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -14,7 +14,7 @@
 from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Outcome, Refused
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core import alone
 from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
 from fawnwharf.recovery_core.stages import Allowed
--- a/fawnwharf/recovery_service/holds.py
+++ b/fawnwharf/recovery_service/holds.py
@@ -16,7 +16,7 @@
 from fawnwharf.net.endings import End, told
 from fawnwharf.net.requests import OpenRequest
 from fawnwharf.net.streams import Answer, Order
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Out
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -11,7 +11,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
 from fawnwharf.recovery_core.budget import Limits, limits_from
 from fawnwharf.recovery_core.register import Dealt
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -15,7 +15,7 @@
 from fawnwharf.durable_store.store import open_folder, unix_ms
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
 from fawnwharf.recovery_service import kept as k
 from fawnwharf.recovery_service.promises import OnStore
--- a/fawnwharf/recovery_service/promises.py
+++ b/fawnwharf/recovery_service/promises.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Kind, Trust
 from fawnwharf.replication.claimant import Go, Out
 from fawnwharf.replication.claims import Claim, Phase
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -12,7 +12,7 @@
 from fawnwharf.config import Deployment, Fleet
 from fawnwharf.consensus.decided import last_put
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core.asking import Stand, What
 from fawnwharf.recovery_core.stages import Decide, Note, Stage
 from fawnwharf.recovery_core.trust import Kind, Store
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -15,7 +15,7 @@
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Call, Failed, Outcome, Refused, Served
 from fawnwharf.net.streams import Answer, Order
-from fawnwharf.net.wheel import Wheel
+from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
--- a/fawnwharf/replication/gate.py
+++ b/fawnwharf/replication/gate.py
@@ -16,7 +16,7 @@
 from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.claimant import Answer, GiveUp, Go, Out, TurnAway
 from fawnwharf.replication.claims import Phase
 from fawnwharf.replication.core import Core
--- a/fawnwharf/replication/onfile.py
+++ b/fawnwharf/replication/onfile.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from fawnwharf.consensus.disk import DiskError
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication.claimant import Go, Out, TurnAway
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.disk import NO_MORE, KeeperDisk, boot_id
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -11,7 +11,7 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claimant import Out
 from fawnwharf.replication.core import Core, LineFault
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -7,7 +7,7 @@
 from fawnwharf import interface as io
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.streams import Attempt, Order
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.claimant import Out
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.elsewhere import Own
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -12,7 +12,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.wheel import Timer, monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
 from fawnwharf.prefetch.settings import Prices, foresight_from
 from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.replication.service import State
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -9,7 +9,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.wheel import Timer, monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
 from fawnwharf.session_types import LetGo, Session
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.agent import Agent
--- a/fawnwharf/sessions/trace.py
+++ b/fawnwharf/sessions/trace.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from fawnwharf.migration import messages as m
-from fawnwharf.net.wheel import unix_ms
+from fawnwharf.net.timer_wheel import unix_ms
 from fawnwharf.session_types import Home
 
 
--- a/fawnwharf/testbed/files.py
+++ b/fawnwharf/testbed/files.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.fakes import lossy as standins
 from fawnwharf.fakes.calls import Kind
-from fawnwharf.net.wheel import unix_ms
+from fawnwharf.net.timer_wheel import unix_ms
 from fawnwharf.testbed.processes import Front
 from fawnwharf.testbed.topology import (
     BALLOTS,
--- a/fawnwharf/testbed/fleet.py
+++ b/fawnwharf/testbed/fleet.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from fawnwharf.fakes import lossy
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed.clocks import PAGE, Clocks
 from fawnwharf.testbed.processes import Former, Front, LabFault, Noted, Pipe, Waits
--- a/fawnwharf/testbed/measures.py
+++ b/fawnwharf/testbed/measures.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication.commands import look
 from fawnwharf.testbed import work
 from fawnwharf.testbed.checker import Verdict, judge, runs_of
--- a/fawnwharf/testbed/moves.py
+++ b/fawnwharf/testbed/moves.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.fakes.calls import LATE_MS, Request
 from fawnwharf.fakes.sessions import Moved
-from fawnwharf.net.wheel import monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.testbed import homes
 from fawnwharf.testbed.files import PRICES
 from fawnwharf.testbed.fleet import Fleet
--- a/fawnwharf/testbed/operators.py
+++ b/fawnwharf/testbed/operators.py
@@ -10,7 +10,7 @@
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed.fleet import Fleet
 from fawnwharf.testbed.processes import Former, Front, LabFault
--- a/fawnwharf/testbed/power.py
+++ b/fawnwharf/testbed/power.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from fawnwharf.fakes.relay import Relay
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed.fleet import Fleet
 from fawnwharf.testbed.measures import Meter
--- a/fawnwharf/testbed/proposals.py
+++ b/fawnwharf/testbed/proposals.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from fawnwharf.net.wheel import monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.policy_rollout.document import Document, document_of
 from fawnwharf.testbed.files import write_whole
 from fawnwharf.testbed.fleet import Fleet
--- a/fawnwharf/testbed/run.py
+++ b/fawnwharf/testbed/run.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed.conditions import Conditions
 from fawnwharf.testbed.fleet import Fleet
 from fawnwharf.testbed.measures import Measures, Meter
--- a/fawnwharf/testbed/sessions.py
+++ b/fawnwharf/testbed/sessions.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 
 from fawnwharf.fakes.sessions import ANY, Live, Moved, Planned
-from fawnwharf.net.wheel import monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.moves import target
 from fawnwharf.testbed.files import write_whole
--- a/fawnwharf/testbed/topology.py
+++ b/fawnwharf/testbed/topology.py
@@ -20,7 +20,7 @@
 from fawnwharf.fakes.scorers import Scorer
 from fawnwharf.fakes.sessions import SessionClients
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import unix_ms
+from fawnwharf.net.timer_wheel import unix_ms
 from fawnwharf.testbed.processes import Front, LabFault
 from fawnwharf.testbed.scenario import Scenario
 
--- a/fawnwharf/zones/links.py
+++ b/fawnwharf/zones/links.py
@@ -20,7 +20,7 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import End
 from fawnwharf.net.loop import READ, Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 LINE_MOST = 512 * 1024  # of a member's log, in bytes
 KEPT_MOST, KEPT_BYTES_MOST = 256, 1024 * 1024  # lines at hand for readers that come again
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -6,7 +6,7 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.endings import PASSING, End
 from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.wheel import Wheel, monotonic_ms
+from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
 from fawnwharf.zones import roster
 from fawnwharf.zones.evidence import Observer, View, view
 from fawnwharf.zones.settings import Evidence
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -14,7 +14,7 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
 from fawnwharf.consensus.disk import Disk, DiskError
 from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import Observer
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -13,7 +13,7 @@
 
 from fawnwharf.durable_store.form import Limits
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claims import Claim, Phase
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -20,7 +20,7 @@
 from fawnwharf.consensus.disk import Disk
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import Register, document_from
 from fawnwharf.replication.claims import Claim, Phase
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -11,7 +11,7 @@
 from fawnwharf.consensus.disk import Disk, DiskError
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import document_from, register_from
 from fawnwharf.replication.claims import Claim, Phase
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -5,11 +5,11 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from fawnwharf.net import wheel
+from fawnwharf.net import timer_wheel
 
 
 class SettableClock:
-    """Stands in for the `time` module that `fawnwharf.net.wheel` reads; all times in milliseconds."""
+    """Stands in for the `time` module that `fawnwharf.net.timer_wheel` reads; all times in milliseconds."""
 
     def __init__(self, monotonic_ms: float = 1_000_000.0, wall_ms: float = 1_764_662_400_000.0) -> None:
         self.monotonic_ms, self.wall_ms = monotonic_ms, wall_ms
@@ -25,9 +25,9 @@
 
     @contextmanager
     def installed(self) -> Iterator["SettableClock"]:
-        """Every part that takes its time from `fawnwharf.net.wheel` sees this clock."""
+        """Every part that takes its time from `fawnwharf.net.timer_wheel` sees this clock."""
         module = SimpleNamespace(
             monotonic=lambda: self.monotonic_ms / 1_000.0, time=lambda: self.wall_ms / 1_000.0
         )
-        with mock.patch.object(wheel, "time", module):
+        with mock.patch.object(timer_wheel, "time", module):
             yield self
--- a/tests/support/power_losses.py
+++ b/tests/support/power_losses.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed import scenario as scenarios
 from fawnwharf.testbed.fleet import Fleet
--- a/tests/support/promise_process.py
+++ b/tests/support/promise_process.py
@@ -9,7 +9,7 @@
 import sys, time
 from fawnwharf.durable_store.form import Kind, Limits
 from fawnwharf.durable_store.store import open_folder
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 limits = Limits(segment_bytes=3_000, wait_ms=20_000)
 store = open_folder(sys.argv[1], "fleet", "a", [Kind("term", "synced")], limits, empty_ok=True, within_s=20.0)
 n = store.get("term", "t") or 0
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -2,7 +2,7 @@
 
 from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.requests import Call, Refused
-from fawnwharf.net.wheel import Wheel
+from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.recovery_core.budget import Limits
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_service.door import Door
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,7 +7,7 @@
 from peers import Rig, ScorerPeer
 from support.clocks import SettableClock
 
-from fawnwharf.net import connection, loop, wheel
+from fawnwharf.net import connection, loop, timer_wheel
 from fawnwharf.net.front_end import worker_number
 
 HOUR = 3_600_000.0
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_spans_of_the_shown_clock_are_exact_after_a_step(clock, step):
-    shown = wheel.Clock(wheel.monotonic_ms, wheel.unix_ms)
+    shown = timer_wheel.Clock(timer_wheel.monotonic_ms, timer_wheel.unix_ms)
     before = shown.now_ms()
     clock.step_wall(step)
     for _ in range(1_000):
@@ -63,7 +63,7 @@
 
 def test_a_pause_between_two_readings_is_no_step(clock):
     readings = iter([1.0, 1.0, 400.0, 401.0])
-    shown = wheel.Clock(lambda: next(readings), lambda: clock.wall_ms)
+    shown = timer_wheel.Clock(lambda: next(readings), lambda: clock.wall_ms)
     shown.now_ms()
     assert shown.stepped_by_ms == 0.0
 
--- a/tests/test_disk_faults_service.py
+++ b/tests/test_disk_faults_service.py
@@ -10,7 +10,7 @@
 from support.zone_files import members_data
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.zones.lines import Line
 from fawnwharf.zones.service import Zones
 
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -20,7 +20,7 @@
 from fawnwharf.durable_store.service import OnLoop
 from fawnwharf.durable_store.store import look, open_folder
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 LIMITS = f.Limits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
 KINDS = [f.Kind("term", f.SYNCED, 4, 500), f.Kind("use", f.SOON)]
@@ -62,7 +62,7 @@
 import sys, time
 from fawnwharf.durable_store.form import Kind, Limits
 from fawnwharf.durable_store.store import open_folder
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 kinds = [Kind("term", "synced")]
 limits = Limits(segment_bytes=3_000, wait_ms=20_000)
 store = open_folder(sys.argv[1], "fleet", "a", kinds, limits, empty_ok=True)
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -8,7 +8,7 @@
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.links import DirectedLog, DirectedServer
 from fawnwharf.replication.working import Working
--- a/tests/test_handover_age.py
+++ b/tests/test_handover_age.py
@@ -6,7 +6,7 @@
 from peers import ClientPeer, Rig, ScorerPeer
 
 from fawnwharf.net.handed import HandedConnection
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 
 
 @pytest.fixture
--- a/tests/test_lab_operation.py
+++ b/tests/test_lab_operation.py
@@ -11,7 +11,7 @@
 
 from fawnwharf.fakes.clients import Kind, Request, Try
 from fawnwharf.fakes.scorers import Arrival
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import operators
 from fawnwharf.testbed import scenario as scenarios
 from fawnwharf.testbed.checker import judge
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -12,7 +12,7 @@
 from fawnwharf.fakes.nature import Arrival
 from fawnwharf.fakes.sessions import Live
 from fawnwharf.migration import messages as m
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions.foreseen import Foreseen
--- a/tests/test_link_writes.py
+++ b/tests/test_link_writes.py
@@ -7,7 +7,7 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt, order
 
 from fawnwharf import interface as io
-from fawnwharf.net import scorer_links, wheel
+from fawnwharf.net import scorer_links, timer_wheel
 from fawnwharf.net.endings import End
 
 WITHIN_MS = 100.0  # of a repeat, until its first byte must have left
@@ -295,7 +295,7 @@
 
 class Spans(unittest.TestCase):
     def test_the_limit_on_parts_leaves_room_for_a_tick_and_a_turn(self):
-        self.assertLess(scorer_links.PART_MOST_MS + wheel.TICK_MS, 90.0)
+        self.assertLess(scorer_links.PART_MOST_MS + timer_wheel.TICK_MS, 90.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,7 +11,7 @@
 from fawnwharf.net.endings import End, told
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.log import LINES_A_SECOND, Log
-from fawnwharf.net.wheel import SLOTS, TICK_MS, Clock, Wheel
+from fawnwharf.net.timer_wheel import SLOTS, TICK_MS, Clock, Wheel
 
 
 class Hands:
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -6,7 +6,7 @@
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_service.door import Door
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -18,7 +18,7 @@
 from fawnwharf.durable_store.form import Limits
 from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
--- a/tests/test_sessions_service.py
+++ b/tests/test_sessions_service.py
@@ -14,7 +14,7 @@
 from fawnwharf.config import ConfigError
 from fawnwharf.migration import messages as m
 from fawnwharf.net import scorer_frames
-from fawnwharf.net.wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication import messages as rm
 from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions import settings as s
--- a/tests/test_slow_start_sockets.py
+++ b/tests/test_slow_start_sockets.py
@@ -5,7 +5,7 @@
 from peers import PATIENCE_S, Rig, ScorerPeer
 from support.slow_start_world import rule
 
-from fawnwharf.net.wheel import unix_ms
+from fawnwharf.net.timer_wheel import unix_ms
 
 FRONT_ENDS, CONNECTIONS, CALLS = 6, 9, 30
 SOLD_RPS, FALL_MS, COLD_SHARE, FALL_MULTIPLE = 62.5, 400.0, 0.2, 2.0
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -6,7 +6,7 @@
 from fawnwharf.config import Fleet, Member
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.starts import KNOWN_MOST, LATE_MS, Starts
-from fawnwharf.net.wheel import unix_ms
+from fawnwharf.net.timer_wheel import unix_ms
 
 NOW, HOUR, NEVER = 1_000_000_000.0, 3_600_000.0, float("inf")
 
