--- a/fawnwharf/admin/port.py
+++ b/fawnwharf/admin/port.py
@@ -6,7 +6,7 @@
 from fawnwharf.admin.http import Answer, Asked, CallReader, encode
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.listener import once_free
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
--- a/fawnwharf/fakes/asking.py
+++ b/fawnwharf/fakes/asking.py
@@ -5,7 +5,7 @@
 from fawnwharf.config import Address
 from fawnwharf.fakes.calls import question
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.loop import Loop
 
 DIAL_MS = 400.0
--- a/fawnwharf/fakes/clients.py
+++ b/fawnwharf/fakes/clients.py
@@ -16,7 +16,7 @@
 from fawnwharf.fakes.lines import DIAL_MS, Line, Probe
 from fawnwharf.net import thrift
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
--- a/fawnwharf/fakes/scorers.py
+++ b/fawnwharf/fakes/scorers.py
@@ -18,7 +18,7 @@
 from fawnwharf.fakes.nature import Arrival, Nature, Store
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Callable
 
-from fawnwharf.net.endings import End, end_of
+from fawnwharf.net.end_reasons import End, end_of
 from fawnwharf.net.log import Log
 from fawnwharf.net.loop import READ, Loop, Order
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
--- a/fawnwharf/net/changelog.py
+++ b/fawnwharf/net/changelog.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.config import Address, ConfigError, Fleet, fleet_from
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.event_order import EventOrder, Told
 from fawnwharf.net.fleet_events import FleetRead, read_fleet
 from fawnwharf.net.log import Log
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -9,7 +9,7 @@
 from fawnwharf.net.acceptor import Acceptor
 from fawnwharf.net.calls import call_from
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.listener import listening
 from fawnwharf.net.log import Log
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from fawnwharf.config import Address
-from fawnwharf.net.endings import End, SystemCall, end_of
+from fawnwharf.net.end_reasons import End, SystemCall, end_of
 from fawnwharf.net.loop import HELD_UP_MS, READ, WRITE, Loop, Order
 from fawnwharf.net.owners import NOBODY, Owner
 from fawnwharf.net.pieces import PartLimit, Piece
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -7,7 +7,7 @@
 from fawnwharf.net import connection
 from fawnwharf.net.calls import TTL_ROOM
 from fawnwharf.net.clients import SPEAK_MS, Client
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.room import YOUNG_MS
 from fawnwharf.net.timer_wheel import monotonic_ms
 
--- a/fawnwharf/net/owners.py
+++ b/fawnwharf/net/owners.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 
 
 class Owner(Protocol):
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Wire
-from fawnwharf.net.endings import End, told
+from fawnwharf.net.end_reasons import End, told
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.scorers import ScorerPool
 from fawnwharf.net.streams import Answer, Attempt, Order
--- a/fawnwharf/net/scorer_links.py
+++ b/fawnwharf/net/scorer_links.py
@@ -5,7 +5,7 @@
 
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.streams import Attempt, Stream
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
--- a/fawnwharf/net/scorers.py
+++ b/fawnwharf/net/scorers.py
@@ -9,7 +9,7 @@
 from fawnwharf.interface import State, Warmth
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import PASSING, End
+from fawnwharf.net.end_reasons import PASSING, End
 from fawnwharf.net.log import Log
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.scorer_links import PART_MOST_MS, Link
--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -3,7 +3,7 @@
 
 from typing import TYPE_CHECKING
 
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.loop import Loop
 
 if TYPE_CHECKING:
--- a/fawnwharf/net/streams.py
+++ b/fawnwharf/net/streams.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.interface import Ending, Warmth
 from fawnwharf.net import scorer_frames as frames
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.pieces import Piece
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
--- a/fawnwharf/net/writing.py
+++ b/fawnwharf/net/writing.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from itertools import islice
 
-from fawnwharf.net.endings import PASSING, End, SystemCall, end_of
+from fawnwharf.net.end_reasons import PASSING, End, SystemCall, end_of
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.owners import Owner
 from fawnwharf.net.pieces import PartLimit, Piece
--- a/fawnwharf/recovery_service/holds.py
+++ b/fawnwharf/recovery_service/holds.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from fawnwharf import interface as io
-from fawnwharf.net.endings import End, told
+from fawnwharf.net.end_reasons import End, told
 from fawnwharf.net.requests import OpenRequest
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.timer_wheel import monotonic_ms
--- a/fawnwharf/testbed/operators.py
+++ b/fawnwharf/testbed/operators.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed.fleet import Fleet
--- a/fawnwharf/zones/links.py
+++ b/fawnwharf/zones/links.py
@@ -18,7 +18,7 @@
 from fawnwharf.config import Address
 from fawnwharf.net.changelog import ChangeLog
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -4,7 +4,7 @@
 
 from fawnwharf.config import address_from
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.endings import PASSING, End
+from fawnwharf.net.end_reasons import PASSING, End
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
 from fawnwharf.zones import roster
--- a/tests/test_client_accepting.py
+++ b/tests/test_client_accepting.py
@@ -11,7 +11,7 @@
 
 from fawnwharf.net import acceptor
 from fawnwharf.net.connection import READ_AGAIN_MS, Connection
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
--- a/tests/test_link_writes.py
+++ b/tests/test_link_writes.py
@@ -8,7 +8,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_links, timer_wheel
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 
 WITHIN_MS = 100.0  # of a repeat, until its first byte must have left
 BODY = b"x" * 500
--- a/tests/test_load_orders.py
+++ b/tests/test_load_orders.py
@@ -7,7 +7,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import streams
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 from fawnwharf.policy import loads
 
 WINDOW_MS = 5_000.0
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,7 +8,7 @@
 
 from fawnwharf.config import ConfigError, deployment_from, fleet_from, load
 from fawnwharf.interface import Ending
-from fawnwharf.net.endings import End, told
+from fawnwharf.net.end_reasons import End, told
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.log import LINES_A_SECOND, Log
 from fawnwharf.net.timer_wheel import SLOTS, TICK_MS, Clock, Wheel
--- a/tests/test_scorer_answers.py
+++ b/tests/test_scorer_answers.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames, scorers
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 
 CLASSES = ("view", "save", "settle")
 DIAL_MS = 250.0
--- a/tests/test_scorer_faults.py
+++ b/tests/test_scorer_faults.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import connection, scorers, writing
-from fawnwharf.net.endings import ERRORS, PASSING, End, SystemCall, end_of, told
+from fawnwharf.net.end_reasons import ERRORS, PASSING, End, SystemCall, end_of, told
 from fawnwharf.net.front_end import worker_number
 
 LOCAL = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR")
--- a/tests/test_scorer_links.py
+++ b/tests/test_scorer_links.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import front_end, scorer_frames, scorers, streams
-from fawnwharf.net.endings import End
+from fawnwharf.net.end_reasons import End
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_scorer_shuffles.py
+++ b/tests/test_scorer_shuffles.py
@@ -10,7 +10,7 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt, order, reset
 
 from fawnwharf import interface as io
-from fawnwharf.net.endings import End, told
+from fawnwharf.net.end_reasons import End, told
 from fawnwharf.net.streams import Attempt
 
 SEEDS, STEPS = 40, 60
