--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -8,7 +8,7 @@
 from fawnwharf.admin.replacement import Inherited, Replacement
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.overlay import Closer
+from fawnwharf.net.roster_overlay import Closer
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 TIDY_MS = 250.0
--- a/fawnwharf/net/changelog.py
+++ b/fawnwharf/net/changelog.py
@@ -12,7 +12,7 @@
 from fawnwharf.net.fleet_events import FleetRead, read_fleet
 from fawnwharf.net.log import Log
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.overlay import Overlay
+from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.net.starts import StepsBack
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -15,8 +15,8 @@
 from fawnwharf.net.graceful_shutdown import Leaving
 from fawnwharf.net.log import Log
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.overlay import Overlay
 from fawnwharf.net.requests import RequestTable
+from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.net.scorers import ScorerPool
 from fawnwharf.net.starts import Starts
 from fawnwharf.net.timer_wheel import monotonic_ms
--- a/fawnwharf/replication/resting.py
+++ b/fawnwharf/replication/resting.py
@@ -10,7 +10,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import Fleet
 from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.overlay import Closer, Overlay
+from fawnwharf.net.roster_overlay import Closer, Overlay
 from fawnwharf.replication.beliefs import Rests, Sights, counts_by
 from fawnwharf.replication.messages import Hints
 
--- a/fawnwharf/zones/roster.py
+++ b/fawnwharf/zones/roster.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from fawnwharf.config import Member
-from fawnwharf.net.overlay import Closer
+from fawnwharf.net.roster_overlay import Closer
 from fawnwharf.zones import plan as p
 
 
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -8,7 +8,7 @@
 from fawnwharf.net import event_order
 from fawnwharf.net.event_order import EventOrder, Told
 from fawnwharf.net.fleet_events import read_fleet
-from fawnwharf.net.overlay import Overlay
+from fawnwharf.net.roster_overlay import Overlay
 
 
 def member(id, phase="in_service"):
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -14,7 +14,7 @@
 from fawnwharf.config import ConfigError, Fleet, Member, deployment_from
 from fawnwharf.interface import State
 from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.overlay import Overlay
+from fawnwharf.net.roster_overlay import Overlay
 
 CALL = b"POST /maintenance/enter?target=s-1 HTTP/1.1\r\nHost: x\r\n\r\n"
 BODY = b"POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -10,7 +10,7 @@
 from fawnwharf.config import Fleet, Member
 from fawnwharf.interface import State
 from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.overlay import Overlay
+from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.replication import resting
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import roster
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -6,7 +6,7 @@
 from fawnwharf.config import Fleet, Member
 from fawnwharf.interface import Ending, Warmth
 from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.overlay import Overlay
+from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.beliefs import Rests, Sightings, Sights
 from fawnwharf.replication.resting import Resting, closer
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,7 +6,7 @@
 
 from fawnwharf import config
 from fawnwharf.interface import Ending
-from fawnwharf.net.overlay import Overlay
+from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import roster
 from fawnwharf.zones import settings as s
