--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Address, ConfigError, Deployment, Fleet, Member, address_from
-from fawnwharf.net.changelog import ChangeLog
+from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.clients import ClientPort
 from fawnwharf.net.graceful_shutdown import Leaving
 from fawnwharf.net.log import Log
--- a/fawnwharf/zones/links.py
+++ b/fawnwharf/zones/links.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from fawnwharf.config import Address
-from fawnwharf.net.changelog import ChangeLog
+from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import End
 from fawnwharf.net.loop import READ, Loop
--- a/tests/support/change_log_front_end.py
+++ b/tests/support/change_log_front_end.py
@@ -6,7 +6,7 @@
 from peers import LogPeer, Rig, ScorerPeer
 
 from fawnwharf import interface as io
-from fawnwharf.net import changelog, connection
+from fawnwharf.net import change_log, connection
 from fawnwharf.net.front_end import worker_number
 
 
@@ -31,13 +31,13 @@
     @contextmanager
     def shifted(self):
         """The log's follower and all connections see the monotonic clock `later_ms` further on."""
-        true = changelog.monotonic_ms
+        true = change_log.monotonic_ms
 
         def shifted_ms():
             return true() + self.later_ms
 
         with (
-            mock.patch.object(changelog, "monotonic_ms", shifted_ms),
+            mock.patch.object(change_log, "monotonic_ms", shifted_ms),
             mock.patch.object(connection, "monotonic_ms", shifted_ms),
         ):
             yield
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -6,7 +6,7 @@
 from support.change_log_front_end import LogRig, event, new_log
 
 from fawnwharf import interface as io
-from fawnwharf.net import changelog, loop, scorer_frames
+from fawnwharf.net import change_log, loop, scorer_frames
 from fawnwharf.net.front_end import worker_number
 
 CALLS = 1_024
@@ -107,7 +107,7 @@
 
 
 def test_a_drain_by_a_log_that_began_anew_holds_within_its_time(rig):
-    assert changelog.PAUSE_MS + changelog.REPLAY_MS < DRAIN_MS - 50.0  # to ask again, and to be told all
+    assert change_log.PAUSE_MS + change_log.REPLAY_MS < DRAIN_MS - 50.0  # to ask again, and to be told all
     rig.log.say(event(2))
     rig.at(2)
     rig.log.say(event(2, rig.member("s-1", "terminating")))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,7 +15,7 @@
 from peers import SETTINGS, ClientPeer, LogPeer, Rig, ScorerPeer, ready
 
 from fawnwharf import interface as io
-from fawnwharf.net import changelog, front_end
+from fawnwharf.net import change_log, front_end
 
 ROOT = Path(__file__).parent.parent
 
@@ -43,7 +43,7 @@
         rig = self.rig(ScorerPeer())
         rig.log.say(self.event(2))
         rig.until(lambda: rig.front.changelog.seq == 2, "an event is told")
-        with mock.patch.object(changelog, "SILENCE_MS", -1.0):
+        with mock.patch.object(change_log, "SILENCE_MS", -1.0):
             rig.until(lambda: len(rig.log.asked()) == 2, "it is asked again")
         self.assertEqual(rig.log.asked(), [["since", "1"], ["since", "2"]])
 
@@ -82,7 +82,7 @@
             with self.subTest(broken=broken):
                 rig, moved = self.rig(ScorerPeer()), LogPeer()
                 self.addCleanup(moved.close)
-                with mock.patch.object(changelog, "PAUSE_MS", 30.0):
+                with mock.patch.object(change_log, "PAUSE_MS", 30.0):
                     rig.log.say(self.event(2))
                     rig.until(lambda rig=rig: rig.front.changelog.seq == 2, "an event is told")
                     if broken:  # the next dial to the old address is planned already
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -98,7 +98,7 @@
         self.until(lambda: feed.up and server.readers, "it is followed")
         heard = feed._connection.heard_ms
         self.until(lambda: feed._connection.heard_ms > heard, "a pulse comes")
-        with mock.patch("fawnwharf.net.changelog.monotonic_ms", lambda: connection.monotonic_ms() + 5_000.0):
+        with mock.patch("fawnwharf.net.change_log.monotonic_ms", lambda: connection.monotonic_ms() + 5_000.0):
             feed.tidy()
         self.assertIn("silent", self.dropped[-1])
 
