--- a/fawnwharf/admin/channel.py
+++ b/fawnwharf/admin/channel.py
@@ -10,7 +10,7 @@
 from hashlib import blake2b
 from pathlib import Path
 
-from fawnwharf.admin import handover as h
+from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin.memory import SIZE_MOST
 from fawnwharf.net.loop import READ, WRITE, Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
--- a/fawnwharf/admin/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fawnwharf.admin import handover as h
+from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import memory as m
 from fawnwharf.admin.channel import Channel, Door, Place, ask
 from fawnwharf.admin.parts import Parts
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from fawnwharf import config
-from fawnwharf.admin import handover as successor
+from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import memory as beliefs
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import messages as consensus
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -11,7 +11,7 @@
 import pytest
 from typer.testing import CliRunner
 
-from fawnwharf.admin import handover as successor
+from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import memory as beliefs
 from fawnwharf.admin.channel import Place
 from fawnwharf.cli import app
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,9 +13,9 @@
 from peers import Buffered, Rig, ScorerPeer, ready
 
 from fawnwharf.admin import channel, service
-from fawnwharf.admin import handover as h
+from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import memory as m
-from fawnwharf.admin.handover import Do, Phase
+from fawnwharf.admin.handoff_messages import Do, Phase
 from fawnwharf.admin.http import Asked
 from fawnwharf.admin.replacement import Inherited, Replacement
 from fawnwharf.net.handed import HandedConnection
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -10,7 +10,7 @@
 from processes import Site
 
 from fawnwharf.admin import channel, service
-from fawnwharf.admin import handover as h
+from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin.http import Asked
 from fawnwharf.admin.parts import Parts, Where
 from fawnwharf.admin.replacement import Inherited
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -11,7 +11,7 @@
 from processes import OUGHT_S, Case, unsent_of
 
 from fawnwharf.admin import channel
-from fawnwharf.admin import handover as h
+from fawnwharf.admin import handoff_messages as h
 
 
 def has_connected(pid):
