--- a/fawnwharf/consensus/disk.py
+++ b/fawnwharf/consensus/disk.py
@@ -1,6 +1,7 @@
 """What a voter has to find again, on disk: one file of whole records, appended and synced.
 
-The first record (`consensus/records.py`) names the fleet, the member and the disk; each later one holds all that
+The first record (`consensus/records.py`) names the fleet, the member and the disk; each later one holds
+all that
 is to be kept, so that the last whole one says everything. A record that is cut short at the end was never
 answered for and is cut off; damage before a whole record is no such thing, and the file is refused.
 
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -1,5 +1,6 @@
 """All clients at once at front ends that have just returned, in virtual time: with loaders, wardens and
-doors, and with the module alone. `python -m fawnwharf.recovery_service.trial [pairs]` prints means and differences.
+doors, and with the module alone. `python -m fawnwharf.recovery_service.trial [pairs]` prints means and
+differences.
 
 Real are the module, `Giving`, `Door` and `Holds`; small are scorers, the store and words (1 to 5 ms). Left
 out: the gate, zones, stages (the last before renewal holds all the time), that a crowded store slows down,
--- a/fawnwharf/testbed/explore.py
+++ b/fawnwharf/testbed/explore.py
@@ -1,6 +1,7 @@
 """Model checker for voters: every interleaving of messages, losses, repeats, time-outs and kills, to a depth.
 
-The voters are the real ones, `fawnwharf.consensus.voter.Voter`. Time is modelled in the harshest way: any voter
+The voters are the real ones, `fawnwharf.consensus.voter.Voter`. Time is modelled in the harshest way: any
+voter
 may time out at any moment, so that what holds here holds for clocks of any skew. Leases, which depend on
 clocks, are for `walk.py`. A kill may cut a list of actions short after any of them: what was saved stays,
 what was to be sent is not.
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -70,12 +70,14 @@
     "serving": "admin config interface net policy_rollout recovery_service replication sessions zones",
     "fakes": "__main__ config durable_store net",
     "testbed": "config consensus fakes interface net policy_rollout replication session_types sessions zones",
-    "cli": "config durable_store fawnwharf policy_rollout recovery_service replication serving sessions testbed zones",
+    "cli": (
+        "config durable_store fawnwharf policy_rollout recovery_service replication serving sessions testbed zones"
+    ),
     "__main__": "cli serving",
 }
 # Outermost: these may import anything, and nothing imports them but the command line (`fawnwharf lab`).
 OUTERMOST = {"trials", "fakes", "testbed"}
-COMMAND = (f"{PROGRAM}.cli", f"{PROGRAM}.lab.commands")
+COMMAND = (f"{PROGRAM}.cli", f"{PROGRAM}.testbed.commands")
 
 # What `run` never imports: the subsystems behind an option, the trials' ground, and the extras' libraries.
 OFF = {
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -175,7 +175,8 @@
     code = (
         "import sys; import fawnwharf.serving; "
         "off = ('fawnwharf.zones', 'fawnwharf.consensus', 'fawnwharf.replication', "
-        "'fawnwharf.durable_store', 'fawnwharf.policy_rollout', 'fawnwharf.testbed', 'fawnwharf.fakes', 'structlog'); "
+        "'fawnwharf.durable_store', 'fawnwharf.policy_rollout', "
+        "'fawnwharf.testbed', 'fawnwharf.fakes', 'structlog'); "
         "print([n for n in sys.modules if n.startswith(off)])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
