--- a/tests/compatibility/sample_corpus.py
+++ b/tests/compatibility/sample_corpus.py
@@ -149,11 +149,16 @@
         return field.default_factory() if field.default_factory is not msgspec.NODEFAULT else None
 
 
+def _tag(member: Any) -> str:
+    """A member's tag as a part of an id, which stays when its class is renamed."""
+    return str(member.tag).replace(" ", "-")
+
+
 def _forms(name: str, kind: Any, full: bool, through: str) -> Iterator[tuple[str, Any]]:
     """Ids' middle parts and samples of a root: one for each member of its union."""
     if isinstance(kind, inspect.UnionType):
         for member in kind.types:
-            yield f"{name}/{member.cls.__name__}", Sampler(full).make(member)
+            yield f"{name}/{_tag(member)}", Sampler(full).make(member)
     elif through:
         field = next(field for field in kind.fields if field.name == through)
         many = isinstance(field.type, inspect.VarTupleType)
@@ -161,7 +166,7 @@
             sampler = Sampler(full)
             value = sampler.make(member)
             given = {through: [value] if many else value}
-            yield f"{name}/{member.cls.__name__}", sampler.of_StructType(kind, None, **given)
+            yield f"{name}/{_tag(member)}", sampler.of_StructType(kind, None, **given)
     else:
         yield name, Sampler(full).make(kind)
 
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -2,6 +2,7 @@
 
 import importlib
 import json
+import os
 import pkgutil
 import re
 import subprocess
@@ -13,10 +14,14 @@
 from compatibility_boundaries import BOUNDARIES, boundary_of, entries
 
 import fawnwharf
+from fawnwharf.epochs import keeping
 from fawnwharf.handover import messages as migrations
 from fawnwharf.recovery import asking, register
 from fawnwharf.rejoin import given_words
 from fawnwharf.replication import claims
+from fawnwharf.sessions import settings as session_settings
+from fawnwharf.zones import plan
+from fawnwharf.zones import settings as zone_settings
 
 ENTRIES = entries()
 APART = ("fawnwharf.lab", "fawnwharf.standins", "fawnwharf.__main__")  # tools, which serve nobody
@@ -55,6 +60,24 @@
     return found
 
 
+def set_fields_in(value, found):
+    """Adds the fields of each class within a decoded value that are not at their defaults."""
+    if isinstance(value, msgspec.Struct):
+        here = found.setdefault(type(value), set())
+        for field in msgspec.structs.fields(value):
+            held, factory = getattr(value, field.name), field.default_factory
+            default = factory() if factory is not msgspec.NODEFAULT else field.default
+            if default is msgspec.NODEFAULT or held != default:
+                here.add(field.encode_name)
+            set_fields_in(held, found)
+    elif isinstance(value, dict):
+        for item in value.values():
+            set_fields_in(item, found)
+    elif isinstance(value, list | tuple):
+        for item in value:
+            set_fields_in(item, found)
+
+
 def declared():
     """All message and record classes that the program declares outside its tools."""
     found = set()
@@ -143,6 +166,26 @@
         assert may == met, name
 
 
+def test_each_field_of_each_class_is_recorded_at_another_value_than_its_default():
+    """Nested classes, too; a field that is at its default everywhere could change its name unseen."""
+    found: dict[type, set[str]] = {}
+    for entry, data in ENTRIES.items():
+        set_fields_in(BOUNDARIES[boundary_of(entry)].decode(data), found)
+    missing = {
+        (each, field.encode_name)
+        for each, there in found.items()
+        for field in msgspec.structs.fields(each)
+        if field.encode_name not in there
+    }
+    assert missing == {  # which have one value
+        (keeping.Kept, "version"),
+        (session_settings.Wishes, "version"),
+        (zone_settings.Wishes, "version"),
+        (plan.Plan, "version"),
+        (register.Register, "recovery"),
+    }
+
+
 def test_each_tagged_class_of_the_program_has_an_entry():
     """Whatever union it belongs to."""
     tagged = {each for each in declared() if each.__struct_config__.tag is not None}
@@ -197,8 +240,9 @@
         "s.CORPUS = copy; s.main([]);"
         "assert before == {p.name: p.read_bytes() for p in copy.iterdir() if p.is_file()}"
     )
-    here = str(__file__).rpartition("/")[0]
+    here = Path(__file__).parent
+    env = {**os.environ, "PYTHONPATH": str(Path(fawnwharf.__file__).parents[1])}
     done = subprocess.run(
-        [sys.executable, "-c", code, str(tmp_path)], cwd=here, capture_output=True, text=True
+        [sys.executable, "-c", code, str(tmp_path)], cwd=here, env=env, capture_output=True, text=True
     )
     assert done.returncode == 0, done.stderr
