--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -71,7 +71,8 @@
     "fakes": "__main__ config durable_store net",
     "testbed": "config consensus fakes interface net policy_rollout replication session_types sessions zones",
     "cli": (
-        "config durable_store fawnwharf policy_rollout recovery_service replication serving sessions testbed zones"
+        "config durable_store fawnwharf policy_rollout recovery_service replication serving sessions"
+        " testbed zones"
     ),
     "__main__": "cli serving",
 }
