--- a/fawnwharf/consensus/disk.py
+++ b/fawnwharf/consensus/disk.py
@@ -22,15 +22,15 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.messages import Saved
-from fawnwharf.consensus.records import MAGIC, OVERHEAD, DiskError, encode, records
+from fawnwharf.consensus.messages import PersistentState
+from fawnwharf.consensus.records import HEADER_BYTES, MAGIC, DiskError, encode_record, scan_records
 from fawnwharf.file_writes import sync_folder, write_all
 
 VERSION = 1
 REWRITE_BYTES = 1024 * 1024
 
 
-class Label(Struct, frozen=True):
+class DiskIdentity(Struct, frozen=True):
     """Whose disk it is. `mark` tells this disk from one that the same member had before."""
 
     version: int
@@ -43,7 +43,7 @@
         return f"{self.name}#{self.mark}"
 
 
-class Disk:
+class VoterStore:
     """Owns a member's folder while it lives; `saved` is what was last kept."""
 
     def __init__(
@@ -59,12 +59,16 @@
             self.fresh = _unfinished(data)
             if self.fresh:
                 mark = draw() if draw else os.urandom(8).hex()
-                self.label, self.saved, self.number = Label(VERSION, fleet, name, mark), Saved(), 0
-                self._write_anew(encode(0, self.label))
+                self.label, self.saved, self.number = (
+                    DiskIdentity(VERSION, fleet, name, mark),
+                    PersistentState(),
+                    0,
+                )
+                self._write_anew(encode_record(0, self.label))
             else:
                 found, whole = self._records(data)
                 self.label, self.saved, self.number = self._found(found, fleet, name)
-                self._settle(data, whole, OVERHEAD + len(found[-1][1]))
+                self._settle(data, whole, HEADER_BYTES + len(found[-1][1]))
         except (OSError, DiskError) as error:
             self.close()
             if isinstance(error, DiskError):
@@ -89,17 +93,23 @@
 
     def _records(self, data: bytes) -> tuple[list[tuple[int, bytes]], int]:
         """The whole records, and where they end."""
-        found, whole, damaged = records(data)
+        found, whole, damaged = scan_records(data)
         if damaged:
             raise self._fault(f"damaged at byte {whole}, before records that are whole")
         if not found:
             raise self._fault("no whole record")
         return found, whole
 
-    def _found(self, found: list[tuple[int, bytes]], fleet: str, name: str) -> tuple[Label, Saved, int]:
+    def _found(
+        self, found: list[tuple[int, bytes]], fleet: str, name: str
+    ) -> tuple[DiskIdentity, PersistentState, int]:
         try:
-            label = msgspec.json.decode(found[0][1], type=Label)
-            saved = msgspec.json.decode(found[-1][1], type=Saved) if len(found) > 1 else Saved()
+            label = msgspec.json.decode(found[0][1], type=DiskIdentity)
+            saved = (
+                msgspec.json.decode(found[-1][1], type=PersistentState)
+                if len(found) > 1
+                else PersistentState()
+            )
         except msgspec.DecodeError as error:
             raise self._fault(f"not a voter's records: {error}") from None
         if label.version != VERSION:
@@ -124,14 +134,14 @@
         os.fsync(self._file)
         sync_folder(self.folder)
 
-    def save(self, saved: Saved) -> None:
+    def save(self, saved: PersistentState) -> None:
         """Keep it; it is on disk when this returns. Raises DiskError, and then nothing may rest on it."""
-        record = encode(self.number + 1, saved)
+        record = encode_record(self.number + 1, saved)
         try:
             if self._file >= 0 and self._size + len(record) <= REWRITE_BYTES:
                 self._append(record)
             else:
-                self._write_anew(encode(0, self.label) + record)
+                self._write_anew(encode_record(0, self.label) + record)
         except OSError as error:
             self._close_file()
             raise self._fault(error.strerror or "not writable") from None
@@ -173,5 +183,5 @@
     if not MAGIC.startswith(data[: len(MAGIC)]):
         return False
     length = int.from_bytes(data[len(MAGIC) : len(MAGIC) + 4], "big")
-    short = len(data) < OVERHEAD or len(data) < OVERHEAD + length
-    return short and not records(data)[2]
+    short = len(data) < HEADER_BYTES or len(data) < HEADER_BYTES + length
+    return short and not scan_records(data)[2]
--- a/fawnwharf/consensus/messages.py
+++ b/fawnwharf/consensus/messages.py
@@ -10,10 +10,10 @@
 from msgspec import Meta, Struct
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
-Identity = Annotated[str, Meta(min_length=1, max_length=96)]  # of a voter: its name and its disk's mark
-VOTERS_MOST = 9  # in a list of voters, also while one is being exchanged
-DATA_MOST = 64 * 1024  # characters of one decision
-ENTRIES_MOST = 64  # in one message, and kept before they are folded into the base
+VoterIdentity = Annotated[str, Meta(min_length=1, max_length=96)]  # of a voter: its name and its disk's mark
+MAX_VOTERS = 9  # in a list of voters, also while one is being exchanged
+MAX_DATA_LENGTH = 64 * 1024  # characters of one decision
+MAX_ENTRIES = 64  # in one message, and kept before they are folded into the base
 
 
 class Entry(Struct, frozen=True):
@@ -22,34 +22,34 @@
 
     term: Number
     kind: Annotated[str, Meta(pattern="^(none|plan|policy|recovery|voters)$")]
-    plan: Annotated[str, Meta(max_length=DATA_MOST)] = ""
-    voters: Annotated[tuple[Identity, ...], Meta(max_length=VOTERS_MOST)] = ()
+    plan: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)] = ""
+    voters: Annotated[tuple[VoterIdentity, ...], Meta(max_length=MAX_VOTERS)] = ()
 
 
-Entries = Annotated[tuple[Entry, ...], Meta(max_length=ENTRIES_MOST)]
+Entries = Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)]
 
 
-class Base(Struct, frozen=True):
+class Snapshot(Struct, frozen=True):
     """All decisions up to an index, folded: the last of each kind say all that the others did."""
 
     index: Number = 0
     term: Number = 0
-    plan: Annotated[str, Meta(max_length=DATA_MOST)] = ""
+    plan: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)] = ""
     plan_index: Number = 0  # of that plan's own decision
-    voters: Annotated[tuple[Identity, ...], Meta(max_length=VOTERS_MOST)] = ()
-    policy: Annotated[str, Meta(max_length=DATA_MOST)] = ""
+    voters: Annotated[tuple[VoterIdentity, ...], Meta(max_length=MAX_VOTERS)] = ()
+    policy: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)] = ""
     policy_index: Number = 0
-    recovery: Annotated[str, Meta(max_length=DATA_MOST)] = ""  # files of before have none
+    recovery: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)] = ""  # files of before have none
     recovery_index: Number = 0
 
 
-class Saved(Struct, frozen=True):
+class PersistentState(Struct, frozen=True):
     """What a voter has to find again after a kill: it is on disk before anything that rests on it is said."""
 
     term: Number = 0
     voted: Annotated[str, Meta(max_length=96)] = ""  # for whom, in that term
-    base: Base = Base()
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=2 * ENTRIES_MOST)] = ()
+    base: Snapshot = Snapshot()
+    entries: Annotated[tuple[Entry, ...], Meta(max_length=2 * MAX_ENTRIES)] = ()
 
     @property
     def last_index(self) -> int:
@@ -76,33 +76,33 @@
 # --- what is said ---------------------------------------------------------------------------
 
 
-class _Said(Struct, frozen=True):
-    sender: Identity
-    to: Identity
+class _RaftMessage(Struct, frozen=True):
+    sender: VoterIdentity
+    to: VoterIdentity
     term: Number
 
 
-class PreVote(_Said, frozen=True, tag="PreVote"):
+class PreVoteRequest(_RaftMessage, frozen=True, tag="PreVote"):
     """Would I be voted for in this term? Nobody's state changes by the question or the answer."""
 
     last_index: Number
     last_term: Number
 
 
-class PreVoted(_Said, frozen=True, tag="PreVoted"):
+class PreVoteResponse(_RaftMessage, frozen=True, tag="PreVoted"):
     granted: bool
 
 
-class Vote(_Said, frozen=True, tag="Vote"):
+class VoteRequest(_RaftMessage, frozen=True, tag="Vote"):
     last_index: Number
     last_term: Number
 
 
-class Voted(_Said, frozen=True, tag="Voted"):
+class VoteResponse(_RaftMessage, frozen=True, tag="Voted"):
     granted: bool
 
 
-class Append(_Said, frozen=True, tag="Append"):
+class AppendEntriesRequest(_RaftMessage, frozen=True, tag="Append"):
     """The leader's decisions after one that both should have; without any it is a sign of life."""
 
     before_index: Number
@@ -112,20 +112,28 @@
     sent_ms: float
 
 
-class Install(_Said, frozen=True, tag="Install"):
+class InstallSnapshotRequest(_RaftMessage, frozen=True, tag="Install"):
     """The leader's base, for one that lacks what is folded into it."""
 
-    base: Base
+    base: Snapshot
     sent_ms: float
 
 
-class Appended(_Said, frozen=True, tag="Appended"):
+class AppendEntriesResponse(_RaftMessage, frozen=True, tag="Appended"):
     good: bool
     match: Number  # both agree up to here; where not good, a guess at the last that the follower has
     sent_ms: float  # as in what is answered
 
 
-Message = PreVote | PreVoted | Vote | Voted | Append | Install | Appended
+Message = (
+    PreVoteRequest
+    | PreVoteResponse
+    | VoteRequest
+    | VoteResponse
+    | AppendEntriesRequest
+    | InstallSnapshotRequest
+    | AppendEntriesResponse
+)
 
 
 def message_from(data: object) -> Message:
@@ -136,17 +144,17 @@
 # --- what a voter has done by its owner -------------------------------------------------------
 
 
-class Save(Struct, frozen=True):
+class Persist(Struct, frozen=True):
     """On disk, synced, before any later action of the same list is carried out."""
 
-    saved: Saved
+    saved: PersistentState
 
 
-class Say(Struct, frozen=True):
+class Send(Struct, frozen=True):
     message: Message
 
 
-class Decided(Struct, frozen=True):
+class Committed(Struct, frozen=True):
     """A decision stands for good: no other one will ever have its number."""
 
     index: int
@@ -156,4 +164,4 @@
     voters: tuple[str, ...]
 
 
-Action = Save | Say | Decided
+Action = Persist | Send | Committed
--- a/fawnwharf/consensus/records.py
+++ b/fawnwharf/consensus/records.py
@@ -12,10 +12,10 @@
 from msgspec import Struct
 
 MAGIC = b"fwv1"
-RECORD_MOST = 32 * 1024 * 1024
+MAX_RECORD_BYTES = 32 * 1024 * 1024
 
 _HEAD = struct.Struct(">4sIIQ")  # magic, length of the JSON, CRC-32 of number and JSON, number
-OVERHEAD = _HEAD.size
+HEADER_BYTES = _HEAD.size
 
 
 class DiskError(Exception):
@@ -26,7 +26,7 @@
     return zlib.crc32(data, zlib.crc32(number.to_bytes(8, "big")))
 
 
-def encode(number: int, value: Struct) -> bytes:
+def encode_record(number: int, value: Struct) -> bytes:
     data = msgspec.json.encode(value)
     return _HEAD.pack(MAGIC, len(data), checksum(number, data), number) + data
 
@@ -37,13 +37,13 @@
         return None
     magic, length, check, number = _HEAD.unpack_from(data, at)
     end = at + _HEAD.size + length
-    if magic != MAGIC or length > RECORD_MOST or end > len(data):
+    if magic != MAGIC or length > MAX_RECORD_BYTES or end > len(data):
         return None
     content = data[at + _HEAD.size : end]
     return (number, content, end) if checksum(number, content) == check else None
 
 
-def later(data: bytes, at: int) -> Iterator[tuple[int, bytes]]:
+def records_after(data: bytes, at: int) -> Iterator[tuple[int, bytes]]:
     """Number and JSON of each whole record that begins after a place, whatever lies between them."""
     place = data.find(MAGIC, at + 1)
     while place >= 0:
@@ -53,7 +53,7 @@
         place = data.find(MAGIC, place + 1 if found is None else found[2])
 
 
-def leading(data: bytes) -> tuple[list[tuple[int, bytes]], int]:
+def leading_records(data: bytes) -> tuple[list[tuple[int, bytes]], int]:
     """The whole records from the start, and where they end."""
     found: list[tuple[int, bytes]] = []
     at = 0
@@ -63,8 +63,8 @@
     return found, at
 
 
-def records(data: bytes) -> tuple[list[tuple[int, bytes]], int, bool]:
+def scan_records(data: bytes) -> tuple[list[tuple[int, bytes]], int, bool]:
     """The whole records from the start, where they end, and whether a later whole one shows damage
     before it."""
-    found, at = leading(data)
-    return found, at, next(later(data, at), None) is not None
+    found, at = leading_records(data)
+    return found, at, next(records_after(data, at), None) is not None
--- a/fawnwharf/consensus/voter.py
+++ b/fawnwharf/consensus/voter.py
@@ -15,7 +15,13 @@
 import msgspec
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.decided import entry_at, folded, last_of, open_voters, texts
+from fawnwharf.consensus.decided import (
+    compacted,
+    entry_at,
+    has_uncommitted_voters,
+    last_committed,
+    snapshot_registers,
+)
 
 SNAPSHOT_AFTER = 24  # decided entries kept for followers that lag; older ones are folded into the base
 
@@ -48,16 +54,16 @@
     return bits ^ (bits >> 31)
 
 
-def founding(me: str) -> m.Saved:
+def bootstrap(me: str) -> m.PersistentState:
     """What the first voter of a new fleet starts from, once and by an operator's word: a list of itself
     alone."""
-    return m.Saved(term=1, base=m.Base(index=1, term=1, voters=(me,)))
+    return m.PersistentState(term=1, base=m.Snapshot(index=1, term=1, voters=(me,)))
 
 
 class Voter:
     """Owns the term, the vote, the log and the role of one member."""
 
-    def __init__(self, me: str, saved: m.Saved, timing: Timing, now_ms: float, seed: int) -> None:
+    def __init__(self, me: str, saved: m.PersistentState, timing: Timing, now_ms: float, seed: int) -> None:
         self.me, self.saved, self.timing = me, saved, timing
         self.role, self.leader = Role.FOLLOWER, ""
         self.commit = saved.base.index
@@ -85,7 +91,7 @@
     @property
     def plan(self) -> tuple[int, str]:
         """The last decided plan and its index; (0, "") before the first."""
-        return last_of(self.saved, self.commit, "plan")
+        return last_committed(self.saved, self.commit, "plan")
 
     @property
     def policy(self) -> tuple[int, str]:
@@ -94,7 +100,7 @@
 
     def last(self, kind: str) -> tuple[int, str]:
         """The last decided text of a kind of `decided.KINDS` and its index; (0, "") before the first."""
-        return last_of(self.saved, self.commit, kind)
+        return last_committed(self.saved, self.commit, kind)
 
     def fresh(self, now_ms: float) -> bool:
         """Whether its last decided plan is the fleet's last at this moment, for certain."""
@@ -131,7 +137,7 @@
 
     def propose(self, now_ms: float, plan: str, kind: str = "plan") -> tuple[int | None, list[m.Action]]:
         """Put a text of a kind to the vote; its index, or None where this is not the leader."""
-        if not self.is_leader or len(plan) > m.DATA_MOST or len(self.saved.entries) >= m.ENTRIES_MOST:
+        if not self.is_leader or len(plan) > m.MAX_DATA_LENGTH or len(self.saved.entries) >= m.MAX_ENTRIES:
             return None, []
         return self.saved.last_index + 1, self._lead_on(now_ms, m.Entry(self.saved.term, kind, plan=plan))
 
@@ -143,8 +149,8 @@
         correction)."""
         now, new = set(self.saved.voters), set(voters)
         own_term = self.saved.term_at(self.commit) == self.saved.term
-        settled = own_term and not open_voters(self.saved, self.commit)
-        room = 0 < len(new) <= m.VOTERS_MOST and len(self.saved.entries) < m.ENTRIES_MOST
+        settled = own_term and not has_uncommitted_voters(self.saved, self.commit)
+        room = 0 < len(new) <= m.MAX_VOTERS and len(self.saved.entries) < m.MAX_ENTRIES
         if not self.is_leader or not settled or not room or len(now ^ new) != 1 or len(new) != len(voters):
             return None, []
         entry = m.Entry(self.saved.term, "voters", voters=tuple(sorted(voters)))
@@ -178,7 +184,7 @@
             return self._stand(now_ms)
         saved = self.saved
         return [
-            m.Say(m.PreVote(self.me, to, saved.term + 1, saved.last_index, saved.last_term))
+            m.Send(m.PreVoteRequest(self.me, to, saved.term + 1, saved.last_index, saved.last_term))
             for to in self._others()
         ]
 
@@ -186,11 +192,12 @@
         self.role, self.granted = Role.CANDIDATE, frozenset((self.me,))
         saved = self.saved = msgspec.structs.replace(self.saved, term=self.saved.term + 1, voted=self.me)
         self._rest(now_ms)
-        actions: list[m.Action] = [m.Save(saved)]
+        actions: list[m.Action] = [m.Persist(saved)]
         if self._won():
             return actions + self._reign(now_ms)
         return actions + [
-            m.Say(m.Vote(self.me, to, saved.term, saved.last_index, saved.last_term)) for to in self._others()
+            m.Send(m.VoteRequest(self.me, to, saved.term, saved.last_index, saved.last_term))
+            for to in self._others()
         ]
 
     def _others(self) -> list[str]:
@@ -202,16 +209,16 @@
             return now_ms - self._quorum_ms(now_ms, self.led_ms) < self.timing.election_ms
         return now_ms - self.heard_ms < self.timing.election_ms
 
-    def _up_to_date(self, message: m.PreVote | m.Vote) -> bool:
+    def _up_to_date(self, message: m.PreVoteRequest | m.VoteRequest) -> bool:
         theirs = message.last_term, message.last_index
         return theirs >= (self.saved.last_term, self.saved.last_index)
 
-    def _on_pre_vote(self, now_ms: float, message: m.PreVote) -> list[m.Action]:
+    def _on_pre_vote(self, now_ms: float, message: m.PreVoteRequest) -> list[m.Action]:
         granted = message.term > self.saved.term and self._up_to_date(message) and not self._bound(now_ms)
         term = message.term if granted else self.saved.term  # one that lags behind may catch up with it
-        return [m.Say(m.PreVoted(self.me, message.sender, term, granted))]
+        return [m.Send(m.PreVoteResponse(self.me, message.sender, term, granted))]
 
-    def _on_pre_voted(self, now_ms: float, message: m.PreVoted) -> list[m.Action]:
+    def _on_pre_voted(self, now_ms: float, message: m.PreVoteResponse) -> list[m.Action]:
         if not message.granted:
             return self._see_term(now_ms, message.term)
         if self.role is not Role.ASKING or message.term != self.saved.term + 1:
@@ -219,7 +226,7 @@
         self.granted |= {message.sender}
         return self._stand(now_ms) if self._won() else []
 
-    def _on_vote(self, now_ms: float, message: m.Vote) -> list[m.Action]:
+    def _on_vote(self, now_ms: float, message: m.VoteRequest) -> list[m.Action]:
         if message.term > self.saved.term and self._bound(now_ms):
             return []  # not even its term is taken over
         actions = self._see_term(now_ms, message.term)
@@ -228,12 +235,12 @@
         granted = granted and not self._bound(now_ms)
         if granted and not self.saved.voted:
             self.saved = msgspec.structs.replace(self.saved, voted=message.sender)
-            actions = [m.Save(self.saved)]  # holds the term as well
+            actions = [m.Persist(self.saved)]  # holds the term as well
         if granted:
             self._rest(now_ms)
-        return [*actions, m.Say(m.Voted(self.me, message.sender, self.saved.term, granted))]
+        return [*actions, m.Send(m.VoteResponse(self.me, message.sender, self.saved.term, granted))]
 
-    def _on_voted(self, now_ms: float, message: m.Voted) -> list[m.Action]:
+    def _on_voted(self, now_ms: float, message: m.VoteResponse) -> list[m.Action]:
         actions = self._see_term(now_ms, message.term)
         if self.role is Role.CANDIDATE and message.term == self.saved.term and message.granted:
             self.granted |= {message.sender}
@@ -247,7 +254,7 @@
             return []
         self.saved = msgspec.structs.replace(self.saved, term=term, voted="")
         self._follow(now_ms, "")
-        return [m.Save(self.saved)]
+        return [m.Persist(self.saved)]
 
     # --- leading --------------------------------------------------------------------------------
 
@@ -260,7 +267,7 @@
 
     def _lead_on(self, now_ms: float, entry: m.Entry) -> list[m.Action]:
         self.saved = msgspec.structs.replace(self.saved, entries=(*self.saved.entries, entry))
-        return [m.Save(self.saved), *self._decide(now_ms), *self._beat(now_ms)]
+        return [m.Persist(self.saved), *self._decide(now_ms), *self._beat(now_ms)]
 
     def _quorum_ms(self, now_ms: float, unheard_ms: float) -> float:
         """The sending of the last thing that a majority has answered; its own answer is as of now."""
@@ -270,18 +277,18 @@
 
     def _beat(self, now_ms: float) -> list[m.Action]:
         self.due_ms = now_ms + self.timing.beat_ms
-        return [m.Say(self._next_for(now_ms, to)) for to in self._others()]
+        return [m.Send(self._next_for(now_ms, to)) for to in self._others()]
 
     def _next_for(self, now_ms: float, to: str) -> m.Message:
         """What a follower is to be sent: all that it is not known to have, in one piece."""
         saved = self.saved
         before = self.match.get(to, self.sent.get(to, saved.last_index - 1))
         if (term := saved.term_at(before)) is None:
-            return m.Install(self.me, to, saved.term, saved.base, now_ms)
-        rest = saved.entries[before - saved.base.index :][: m.ENTRIES_MOST]
-        return m.Append(self.me, to, saved.term, before, term, rest, self.commit, now_ms)
+            return m.InstallSnapshotRequest(self.me, to, saved.term, saved.base, now_ms)
+        rest = saved.entries[before - saved.base.index :][: m.MAX_ENTRIES]
+        return m.AppendEntriesRequest(self.me, to, saved.term, before, term, rest, self.commit, now_ms)
 
-    def _on_appended(self, now_ms: float, message: m.Appended) -> list[m.Action]:
+    def _on_appended(self, now_ms: float, message: m.AppendEntriesResponse) -> list[m.Action]:
         actions = self._see_term(now_ms, message.term)
         sender = message.sender
         if not self.is_leader or message.term != self.saved.term or sender not in self.saved.voters:
@@ -289,14 +296,14 @@
         self.acked_ms[sender] = max(self.acked_ms.get(sender, self.led_ms), min(message.sent_ms, now_ms))
         if not message.good:  # go back to where it may agree; what is agreed already is never forgotten
             self.sent[sender] = min(message.match, self.saved.last_index)
-            return [*actions, m.Say(self._next_for(now_ms, sender))]
+            return [*actions, m.Send(self._next_for(now_ms, sender))]
         if message.match <= self.saved.last_index:
             behind = self.match.get(sender, -1) < message.match < self.saved.last_index
             self.match[sender] = max(self.match.get(sender, 0), message.match)
             decided = self._decide(now_ms)
             actions += decided
             if self.is_leader and (decided or behind):
-                actions.append(m.Say(self._next_for(now_ms, sender)))
+                actions.append(m.Send(self._next_for(now_ms, sender)))
         return actions
 
     def _decide(self, now_ms: float) -> list[m.Action]:
@@ -310,13 +317,15 @@
         if index <= self.commit or self.saved.term_at(index) != self.saved.term:
             return []
         actions = self._commit_to(index)
-        if not self.is_voter and not open_voters(self.saved, self.commit):
+        if not self.is_voter and not has_uncommitted_voters(self.saved, self.commit):
             self._follow(now_ms, "")  # it has led its own removal to the end
         return actions
 
     # --- following ------------------------------------------------------------------------------
 
-    def _led_by(self, now_ms: float, message: m.Append | m.Install) -> list[m.Action] | None:
+    def _led_by(
+        self, now_ms: float, message: m.AppendEntriesRequest | m.InstallSnapshotRequest
+    ) -> list[m.Action] | None:
         """Take over a leader's term; None where it is a leader of the past."""
         if message.term < self.saved.term:
             return None
@@ -327,10 +336,14 @@
         self._rest(now_ms)
         return actions
 
-    def _answer(self, message: m.Append | m.Install, good: bool, match: int) -> m.Say:
-        return m.Say(m.Appended(self.me, message.sender, self.saved.term, good, match, message.sent_ms))
+    def _answer(
+        self, message: m.AppendEntriesRequest | m.InstallSnapshotRequest, good: bool, match: int
+    ) -> m.Send:
+        return m.Send(
+            m.AppendEntriesResponse(self.me, message.sender, self.saved.term, good, match, message.sent_ms)
+        )
 
-    def _on_append(self, now_ms: float, message: m.Append) -> list[m.Action]:
+    def _on_append(self, now_ms: float, message: m.AppendEntriesRequest) -> list[m.Action]:
         actions = self._led_by(now_ms, message)
         if actions is None:
             return [self._answer(message, False, self.saved.last_index)]
@@ -349,11 +362,11 @@
         # A repeat of an old message must not cut off what came after it: only a contradiction does.
         if mine[: len(entries)] != entries:
             self.saved = msgspec.structs.replace(saved, entries=kept + entries)
-            actions = [m.Save(self.saved)]
+            actions = [m.Persist(self.saved)]
         actions += self._commit_to(min(message.commit, match))
         return [*actions, self._answer(message, True, match)]
 
-    def _on_install(self, now_ms: float, message: m.Install) -> list[m.Action]:
+    def _on_install(self, now_ms: float, message: m.InstallSnapshotRequest) -> list[m.Action]:
         actions = self._led_by(now_ms, message)
         if actions is None:
             return [self._answer(message, False, self.saved.last_index)]
@@ -363,11 +376,11 @@
             rest = saved.entries[base.index - saved.base.index :] if agrees else ()
             self.saved = msgspec.structs.replace(saved, base=base, entries=rest)
             self.commit = base.index
-            actions = [m.Save(self.saved)]
-            known = dict(texts(saved.base))
-            for kind, (index, text) in texts(base):
+            actions = [m.Persist(self.saved)]
+            known = dict(snapshot_registers(saved.base))
+            for kind, (index, text) in snapshot_registers(base):
                 if index > known[kind][0]:
-                    actions.append(m.Decided(index, base.term, kind, text, ()))
+                    actions.append(m.Committed(index, base.term, kind, text, ()))
         return [
             *actions,
             self._answer(message, True, max(base.index, min(self.commit, self.saved.last_index))),
@@ -378,18 +391,18 @@
         while self.commit < min(index, self.saved.last_index):
             self.commit += 1
             entry = entry_at(self.saved, self.commit)
-            actions.append(m.Decided(self.commit, entry.term, entry.kind, entry.plan, entry.voters))
+            actions.append(m.Committed(self.commit, entry.term, entry.kind, entry.plan, entry.voters))
         if self.commit - self.saved.base.index > SNAPSHOT_AFTER:
-            self.saved = folded(self.saved, self.commit)
-            actions.append(m.Save(self.saved))
+            self.saved = compacted(self.saved, self.commit)
+            actions.append(m.Persist(self.saved))
         return actions
 
     _HANDLERS = {
-        m.PreVote: "_on_pre_vote",
-        m.PreVoted: "_on_pre_voted",
-        m.Vote: "_on_vote",
-        m.Voted: "_on_voted",
-        m.Append: "_on_append",
-        m.Install: "_on_install",
-        m.Appended: "_on_appended",
+        m.PreVoteRequest: "_on_pre_vote",
+        m.PreVoteResponse: "_on_pre_voted",
+        m.VoteRequest: "_on_vote",
+        m.VoteResponse: "_on_voted",
+        m.AppendEntriesRequest: "_on_append",
+        m.InstallSnapshotRequest: "_on_install",
+        m.AppendEntriesResponse: "_on_appended",
     }
--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.consensus.records import encode
+from fawnwharf.consensus.records import encode_record
 from fawnwharf.durable_store import form as f
 from fawnwharf.durable_store.ops import Append, Begin, Job, Outcome, Remove, Rename, Sync, SyncFolder
 from fawnwharf.durable_store.reading import Found, Sign
@@ -334,7 +334,7 @@
     def _snapshot(self, seq: int, number: int, entries: f.Entries) -> _Script:
         name = f.snap_name(seq)
         head = yield from self._begin(name)
-        data, written = encode(0, msgspec.structs.replace(head, number=number)), 0
+        data, written = encode_record(0, msgspec.structs.replace(head, number=number)), 0
         for piece in f.snapshot(entries, self.limits.piece_bytes):
             written += len(data) + len(piece)
             yield _Step(Job((Append(name + f.BESIDE, data + piece), Sync(name + f.BESIDE))))
@@ -354,7 +354,7 @@
             entries.append(dict(self.entries))
         commits = self.number if ops else 0
         self._log_from = self.number + 1
-        data = encode(0, msgspec.structs.replace(head, number=self._log_from))
+        data = encode_record(0, msgspec.structs.replace(head, number=self._log_from))
         self._marked = self.number  # the new head tells as much
         beside = name + f.BESIDE
         ops += [Append(beside, data), Sync(beside), Rename(beside, name), SyncFolder()]
--- a/fawnwharf/durable_store/crash.py
+++ b/fawnwharf/durable_store/crash.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from fawnwharf.consensus.records import later
+from fawnwharf.consensus.records import records_after
 from fawnwharf.durable_store import form as f
 from fawnwharf.durable_store.ops import Job, Outcome, carry_out
 from fawnwharf.durable_store.planted import NONE, PLANTED, Bug
@@ -262,7 +262,7 @@
     world.was_given(found)
     if found.sign.number >= world.floor:
         return "flipped: nothing told of was in it"
-    proofs = [world.told_by.get(number, 0) for number, _ in later(data, bit // 8)]
+    proofs = [world.told_by.get(number, 0) for number, _ in records_after(data, bit // 8)]
     if any(told > found.sign.number for told in proofs):
         raise Broken(f"a flipped bit is read over, and a later group was written when {max(proofs)} was told")
     if not older(found, [world.heard]):
--- a/fawnwharf/durable_store/form.py
+++ b/fawnwharf/durable_store/form.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.records import OVERHEAD, encode
+from fawnwharf.consensus.records import HEADER_BYTES, encode_record
 
 VERSION = 1
 SYNCED, SOON, HINT = "synced", "soon", "hint"
@@ -113,15 +113,15 @@
     number, piece, held = 1, [], 0
     for (kind, key), value in entries.items():
         piece.append((kind, key, msgspec.Raw(value)))
-        held += size((kind, key), value) + OVERHEAD
+        held += size((kind, key), value) + HEADER_BYTES
         if held >= piece_bytes:
-            yield encode(number, Piece(piece))
+            yield encode_record(number, Piece(piece))
             number, piece, held = number + 1, [], 0
-    yield encode(number, Piece(piece)) + encode(number + 1, Foot(len(entries)))
+    yield encode_record(number, Piece(piece)) + encode_record(number + 1, Foot(len(entries)))
 
 
 def group(
     number: int, synced: int, at_ms: float, changes: Iterable[tuple[Key, bytes | None]], ended: bool
 ) -> bytes:
     rows = [(kind, key, msgspec.Raw(GONE if value is None else value)) for (kind, key), value in changes]
-    return encode(number, Group(synced, at_ms, rows, ended))
+    return encode_record(number, Group(synced, at_ms, rows, ended))
--- a/fawnwharf/durable_store/reading.py
+++ b/fawnwharf/durable_store/reading.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.consensus.records import later, leading
+from fawnwharf.consensus.records import leading_records, records_after
 from fawnwharf.durable_store import form as f
 
 Content = tuple[bytes, int]  # of a file, and its inode
@@ -73,7 +73,7 @@
     found.fresh = False
     for place, each in enumerate(order):
         data, inode = files[each]
-        records, end = leading(data)
+        records, end = leading_records(data)
         head = _head(each, records, fleet, name)
         if head.inode != inode and not copies:
             raise Unreadable(each, "a copy of another file, and may be an older one")
@@ -153,7 +153,7 @@
 
 
 def _not_damaged(each: str, data: bytes, end: int, number: int) -> None:
-    for _, content in later(data, end):
+    for _, content in records_after(data, end):
         try:
             synced = msgspec.json.decode(content, type=f.Group).synced
         except msgspec.DecodeError:
@@ -166,8 +166,8 @@
 def older(found: Found, heard: Iterable[Sign]) -> str:
     """Why the folder is an older copy by what others had heard of it; empty where they know nothing later."""
     mine = found.sign
-    later = [sign for sign in heard if sign.mark == mine.mark]
-    last = max(later, key=lambda sign: (sign.life, sign.number), default=mine)
+    records_after = [sign for sign in heard if sign.mark == mine.mark]
+    last = max(records_after, key=lambda sign: (sign.life, sign.number), default=mine)
     if (last.life, last.number) <= (mine.life, mine.number):
         return ""
     return (
--- a/fawnwharf/durable_store/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from fawnwharf.consensus.records import encode, leading
+from fawnwharf.consensus.records import encode_record, leading_records
 from fawnwharf.durable_store import form as f
 from fawnwharf.durable_store.ops import Append, Begin, Job, Rename, Sync, SyncFolder
 from fawnwharf.durable_store.reading import Content, Found, Unreadable, read, used
@@ -48,7 +48,7 @@
 def _from(files: Mapping[str, Content], part: list[str]) -> Found | None:
     """What these files hold, the last of them up to its first record that is not whole."""
     data, inode = files[part[-1]]
-    cut = data[: leading(data)[1]]
+    cut = data[: leading_records(data)[1]]
     for end in (data, cut):
         try:
             return read({**files, part[-1]: (end, inode)}, part, copies=True)
@@ -59,7 +59,7 @@
 
 def _lost(files: Mapping[str, Content], order: list[str], found: Found) -> list[str]:
     number, last = found.sign.number, found.read[-1]
-    size, whole = len(files[last][0]), leading(files[last][0])[1]
+    size, whole = len(files[last][0]), leading_records(files[last][0])[1]
     lines = [f"{each}: all of its {len(files[each][0])} bytes" for each in order if each not in found.read]
     if whole < size:
         lines.append(f"{last}: from byte {whole} of {size} on, what came after number {number}")
@@ -79,7 +79,7 @@
         f.VERSION, found.fleet, found.name, found.sign.mark, found.sign.life + 1, found.boot, at_ms,
         f.SNAPSHOT, found.sign.number, inode, plan.why,
     )  # fmt: skip
-    data = encode(0, head) + b"".join(f.snapshot(found.entries, f.Limits().piece_bytes))
+    data = encode_record(0, head) + b"".join(f.snapshot(found.entries, f.Limits().piece_bytes))
     beside = name + f.BESIDE
     aside = [Rename(each, each + ASIDE) for each in plan.aside]
     return Job((Append(beside, data), Sync(beside), Rename(beside, name), SyncFolder(), *aside, SyncFolder()))
--- a/fawnwharf/recovery_core/register.py
+++ b/fawnwharf/recovery_core/register.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.messages import VOTERS_MOST, Identity
+from fawnwharf.consensus.messages import MAX_VOTERS, VoterIdentity
 
 VERSION = 1
 GIVERS_MOST = 64  # loaders and wardens of the fleet; others of its keepers are none
@@ -40,7 +40,9 @@
     stage: Annotated[int, Meta(ge=0, le=5)] = int(Stage.SPILL)
     part: Annotated[float, Meta(gt=0.0, le=1.0)] = 1.0  # of the fleet's budgets
     fronts: Number = 0  # front ends that were heard
-    boots: Annotated[dict[Identity, Annotated[str, Meta(max_length=64)]], Meta(max_length=VOTERS_MOST)] = {}
+    boots: Annotated[
+        dict[VoterIdentity, Annotated[str, Meta(max_length=64)]], Meta(max_length=MAX_VOTERS)
+    ] = {}
     why: Annotated[str, Meta(max_length=200)] = ""  # for people
     # Keepers among which seats and wards are dealt; none: by what each hears, as texts of before.
     givers: Annotated[tuple[Name, ...], Meta(max_length=GIVERS_MOST)] = ()
--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/search.py
@@ -57,7 +57,7 @@
         super().__init__(kind, names, bounds)
         self.start = VotersWorld(self.start.voters, self.start.flying)
 
-    def found_again(self, place: int, disk: am.Saved) -> am.Saved:
+    def found_again(self, place: int, disk: am.PersistentState) -> am.PersistentState:
         """What a voter's disk gives back after a power loss; of one that lies, less than it was given."""
         return disk
 
@@ -82,7 +82,7 @@
             return
         voter = explore._thaw(self.kind, world.voters[place])
         actions = step(voter)
-        saves = [n + 1 for n, action in enumerate(actions) if isinstance(action, am.Save)]
+        saves = [n + 1 for n, action in enumerate(actions) if isinstance(action, am.Persist)]
         for count in sorted({*saves, len(actions)} - {0}):
             after = self._after(world, place, voter, actions[:count])
             yield f"{label}, and power is lost after {count}", self._cut(after)
@@ -97,7 +97,7 @@
         return replace(world, voters=tuple(voters), flying=frozenset(), cuts=world.cuts + 1)
 
 
-def _has(saved: am.Saved, index: int, what: str) -> bool:
+def _has(saved: am.PersistentState, index: int, what: str) -> bool:
     if index <= saved.base.index:
         return True
     place = index - saved.base.index - 1
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment, Fleet
-from fawnwharf.consensus.decided import last_put
+from fawnwharf.consensus.decided import last_appended
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core.asking import Stand, What
@@ -163,7 +163,7 @@
 
     def _own(self) -> Own:
         now, keeper, voter = monotonic_ms(), self.state.core.keeper, self.zones.core.voter
-        number, text = last_put(voter.saved, "plan") if voter is not None else (0, "")
+        number, text = last_appended(voter.saved, "plan") if voter is not None else (0, "")
         seen = self.zones.observer.seen(now)
         rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
         serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
--- a/fawnwharf/recovery_service/words.py
+++ b/fawnwharf/recovery_service/words.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.messages import DATA_MOST
+from fawnwharf.consensus.messages import MAX_DATA_LENGTH
 from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core.asking import Answer, Ask, Number
 from fawnwharf.zones.settings import Name
@@ -66,7 +66,7 @@
     life: Number
     term: Number
     at_ms: Annotated[float, Meta(ge=0.0, lt=2.0**53)]
-    register: Annotated[str, Meta(max_length=DATA_MOST)]
+    register: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)]
 
 
 Word = Ask | Answer | Boot | Known | Standing | Told
--- a/fawnwharf/replication/disk.py
+++ b/fawnwharf/replication/disk.py
@@ -18,7 +18,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.consensus.disk import DiskError
-from fawnwharf.consensus.records import encode, records
+from fawnwharf.consensus.records import encode_record, scan_records
 from fawnwharf.replication.claims import Claim, Key
 
 VERSION = 1
@@ -113,7 +113,7 @@
             inode = path.stat().st_ino
         except OSError as error:
             raise DiskError(f"{path}: {error.strerror}") from None
-        found, _, damaged = records(data)
+        found, _, damaged = scan_records(data)
         try:
             head = msgspec.json.decode(found[0][1], type=Head) if found else None
             batches = [msgspec.json.decode(content, type=Batch) for _, content in found[1:]]
@@ -167,7 +167,7 @@
 
     def _append(self, value: Struct) -> None:
         self._number += 1
-        data = encode(self._number, value)
+        data = encode_record(self._number, value)
         if os.write(self._file, data) != len(data):
             raise OSError(28, "no room for a whole record")
 
--- a/fawnwharf/testbed/explore.py
+++ b/fawnwharf/testbed/explore.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.voter import Role, Timing, Voter, founding
+from fawnwharf.consensus.voter import Role, Timing, Voter, bootstrap
 from fawnwharf.testbed.breadth_first import Found, search
 
 TIMING = Timing(beat_ms=1.0, election_ms=1.0, skew=0.0)
@@ -53,7 +53,7 @@
 _TABLES = ("match", "sent")
 
 
-def _freeze(voter: Voter, disk: m.Saved) -> tuple:
+def _freeze(voter: Voter, disk: m.PersistentState) -> tuple:
     """Time is reduced to whether the voter is still bound to a leader that it heard."""
     heard = NOW_MS if voter.heard_ms >= NOW_MS else PAST_MS
     tables = tuple(tuple(sorted(getattr(voter, name).items())) for name in _TABLES)
@@ -85,8 +85,8 @@
         """`members` of the names are voters from the start, or all; the others may be taken in."""
         self.kind, self.names, self.bounds = kind, names, bounds
         first = names[: members or len(names)]
-        base = replace_voters(founding(first[0]), first)
-        blank = m.Saved()
+        base = replace_voters(bootstrap(first[0]), first)
+        blank = m.PersistentState()
         made = [kind(name, base if name in first else blank, TIMING, NOW_MS, 1) for name in names]
         for voter in made:
             voter.heard_ms = PAST_MS
@@ -130,7 +130,7 @@
         for message in sorted(world.flying, key=repr):
             place = self.names.index(message.to)
             label = f"{message.to} takes {message!r}"
-            if isinstance(message, m.Vote | m.PreVote) and world.voters[place][6] >= NOW_MS:
+            if isinstance(message, m.VoteRequest | m.PreVoteRequest) and world.voters[place][6] >= NOW_MS:
                 yield f"{message.to} forgets its leader", self._unbound(world, place)
             gone = replace(world, flying=world.flying - {message})
             yield from self._do(gone, place, label, self._receiving(message))
@@ -163,7 +163,7 @@
         voter = _thaw(self.kind, before)
         actions = step(voter)
         yield label, self._after(world, place, voter, actions)
-        saves = [n + 1 for n, action in enumerate(actions) if isinstance(action, m.Save)]
+        saves = [n + 1 for n, action in enumerate(actions) if isinstance(action, m.Persist)]
         if world.kills >= self.bounds.kills or not saves:
             return
         killed = replace(world, kills=world.kills + 1)
@@ -178,10 +178,10 @@
             key = voter.saved.term
             leaders[key] = voter.me if leaders.get(key, voter.me) == voter.me else "two"
         for action in actions:
-            if isinstance(action, m.Decided):
+            if isinstance(action, m.Committed):
                 what = f"{action.kind} {action.plan}{' '.join(action.voters)}"
                 decided[action.index] = what if decided.get(action.index, what) == what else "two"
-        said = [action.message for action in actions if isinstance(action, m.Say)]
+        said = [action.message for action in actions if isinstance(action, m.Send)]
         flying = world.flying | set(said)
         if len(flying) > self.bounds.flying:  # the rest is lost: what was said last stays on its way
             older = sorted(world.flying - set(said), key=repr)
@@ -193,14 +193,16 @@
     def _matters(self, world: World, message: m.Message) -> bool:
         """Answers to what their reader is no longer, and in that term never will be again, change nothing."""
         _, saved, role, *_ = world.voters[self.names.index(message.to)]
-        if message.term > saved.term or isinstance(message, m.Vote | m.PreVote | m.Append | m.Install):
+        if message.term > saved.term or isinstance(
+            message, m.VoteRequest | m.PreVoteRequest | m.AppendEntriesRequest | m.InstallSnapshotRequest
+        ):
             return True
-        wanted = {m.Voted: Role.CANDIDATE, m.Appended: Role.LEADER}.get(type(message))
+        wanted = {m.VoteResponse: Role.CANDIDATE, m.AppendEntriesResponse: Role.LEADER}.get(type(message))
         return message.term == saved.term and (wanted is None or role is wanted)
 
 
-def _disk(before: m.Saved, done: list[m.Action]) -> m.Saved:
-    return next((action.saved for action in reversed(done) if isinstance(action, m.Save)), before)
+def _disk(before: m.PersistentState, done: list[m.Action]) -> m.PersistentState:
+    return next((action.saved for action in reversed(done) if isinstance(action, m.Persist)), before)
 
 
 def _sorted(table: dict[int, str]) -> tuple[tuple[int, str], ...]:
@@ -211,10 +213,10 @@
     return replace(world, voters=(*world.voters[:place], frozen, *world.voters[place + 1 :]))
 
 
-def replace_voters(saved: m.Saved, voters: tuple[str, ...]) -> m.Saved:
+def replace_voters(saved: m.PersistentState, voters: tuple[str, ...]) -> m.PersistentState:
     """A saved state with another list of voters, decided before everything in it."""
-    base = m.Base(saved.base.index, saved.base.term, "", 0, tuple(sorted(voters)))
-    return m.Saved(saved.term, saved.voted, base, saved.entries)
+    base = m.Snapshot(saved.base.index, saved.base.term, "", 0, tuple(sorted(voters)))
+    return m.PersistentState(saved.term, saved.voted, base, saved.entries)
 
 
 def broken(world: World) -> str:
--- a/fawnwharf/testbed/walk.py
+++ b/fawnwharf/testbed/walk.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.voter import Timing, Voter, founding
+from fawnwharf.consensus.voter import Timing, Voter, bootstrap
 from fawnwharf.testbed.explore import replace_voters
 
 TIMING = Timing(beat_ms=100.0, election_ms=500.0, skew=0.1)
@@ -58,7 +58,7 @@
     name: str
     rate: float  # of its clock
     voter: Voter | None
-    disk: m.Saved
+    disk: m.PersistentState
     halted_until: float = 0.0
     backlog: list[m.Message] = field(default_factory=list)
 
@@ -81,7 +81,7 @@
         self.members: dict[str, _Member] = {}
         for name in names:
             rate = 1 + self.chance.uniform(-TIMING.skew, TIMING.skew)
-            disk = replace_voters(founding(voters[0]), voters) if name in voters else m.Saved()
+            disk = replace_voters(bootstrap(voters[0]), voters) if name in voters else m.PersistentState()
             member = self.members[name] = _Member(name, rate, None, disk)
             self._start(member)
         self._soon("weather", None, 0.0)
@@ -135,7 +135,7 @@
             self._carry_out(member, member.voter.receive(self._clock(member), message))
 
     def _carry_out(self, member: _Member, actions: list[m.Action]) -> None:
-        voter, saves = member.voter, sum(isinstance(action, m.Save) for action in actions)
+        voter, saves = member.voter, sum(isinstance(action, m.Persist) for action in actions)
         doomed = saves and self.chance.random() < 0.002
         last = self.chance.randrange(len(actions) + 1) if doomed else len(actions)
         if voter.is_leader:
@@ -143,9 +143,9 @@
             if self.reigns.setdefault(term, voter.me) != voter.me:
                 self.outcome.broken = f"two leaders in term {term}"
         for action in actions[:last]:
-            if isinstance(action, m.Save):
+            if isinstance(action, m.Persist):
                 member.disk = action.saved
-            elif isinstance(action, m.Say):
+            elif isinstance(action, m.Send):
                 self._send(action.message)
             else:
                 self._note(action)
@@ -163,7 +163,7 @@
                 last = f"plan {voter.plan[0]} for the last, which is {self.plan_index}"
                 self.outcome.broken = f"{voter.me} holds {last}"
 
-    def _note(self, action: m.Decided) -> None:
+    def _note(self, action: m.Committed) -> None:
         what = f"{action.kind} {action.plan}{' '.join(action.voters)}"
         if self.decided.setdefault(action.index, what) != what:
             self.outcome.broken = f"two decisions with the number {action.index}"
--- a/fawnwharf/zones/founding.py
+++ b/fawnwharf/zones/founding.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 
 from fawnwharf.config import ConfigError
-from fawnwharf.consensus.disk import Disk, DiskError
-from fawnwharf.consensus.voter import founding
+from fawnwharf.consensus.disk import DiskError, VoterStore
+from fawnwharf.consensus.voter import bootstrap
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.files import load
 
@@ -19,13 +19,13 @@
         raise ConfigError(f"zones: {name} is no voter among the members")
     folder = base / settings.folder
     try:
-        disk = Disk(folder, members.fleet, name)
+        disk = VoterStore(folder, members.fleet, name)
     except DiskError as error:
         raise ConfigError(f"zones: {error}") from None
     try:
         if disk.number or disk.saved.voters:
             raise ConfigError(f"zones: {disk.path}: not empty: this fleet has begun")
-        disk.save(founding(disk.label.identity))
+        disk.save(bootstrap(disk.label.identity))
     finally:
         disk.close()
     return disk.label.identity
--- a/fawnwharf/zones/lines.py
+++ b/fawnwharf/zones/lines.py
@@ -11,7 +11,7 @@
 from fawnwharf.zones.judge import Report
 from fawnwharf.zones.plan import Plan
 
-TEXT_MOST = m.DATA_MOST
+TEXT_MOST = m.MAX_DATA_LENGTH
 WORDS_MOST = 1_024  # in one line
 
 
@@ -56,7 +56,7 @@
 class Keep(Struct, frozen=True):
     """Effect: save the voter's state to disk."""
 
-    saved: m.Saved
+    saved: m.PersistentState
 
 
 class Publish(Struct, frozen=True):
--- a/fawnwharf/zones/member.py
+++ b/fawnwharf/zones/member.py
@@ -51,7 +51,7 @@
         now_ms: float,
         seed: int,
         identity: str = "",
-        saved: m.Saved | None = None,
+        saved: m.PersistentState | None = None,
         saves: int = 0,
     ) -> None:
         """A voter brings its identity, its saved state and how often that was written; others only follow."""
@@ -61,7 +61,7 @@
         self.voter: Voter | None = None
         if identity:
             timing = Timing(voting.beat_ms, voting.election_ms, voting.skew)
-            self.voter = Voter(identity, saved or m.Saved(), timing, now_ms, seed)
+            self.voter = Voter(identity, saved or m.PersistentState(), timing, now_ms, seed)
         self.judge = Judge(settings, now_ms)
         self.plan, self.index = Plan(), 0  # the last decided one that is known
         self.text, self.published = "", 0  # as it was decided; the index that stands in the own log
@@ -238,10 +238,10 @@
     def _voted(self, now_ms: float, actions: list[m.Action]) -> list[Effect]:
         effects: list[Effect] = []
         for action in actions:
-            if isinstance(action, m.Save):
+            if isinstance(action, m.Persist):
                 self.saves += 1
                 effects.append(Keep(action.saved))
-            elif isinstance(action, m.Say):
+            elif isinstance(action, m.Send):
                 to = action.message.to.partition("#")[0]
                 ballot = msgspec.to_builtins(action.message)
                 effects.append(Ballot(to, self._line(ballot=ballot, saves=self.saves)))
@@ -258,7 +258,7 @@
         self.roles = role
         return effects + self._given_out(now_ms)
 
-    def _decided(self, decided: m.Decided) -> list[Effect]:
+    def _decided(self, decided: m.Committed) -> list[Effect]:
         if decided.kind == "voters":
             return [Note("voters", {"index": decided.index, "voters": list(decided.voters)})]
         if decided.kind in (POLICY, RECOVERY):
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.disk import DiskError, VoterStore
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster
@@ -105,9 +105,9 @@
             raise ConfigError(f"zones: {entry.name} is of {zones}")
         return entry
 
-    def _open_disk(self, fleet: str) -> Disk:
+    def _open_disk(self, fleet: str) -> VoterStore:
         try:
-            return Disk(self.folder, fleet, self.entry.name)
+            return VoterStore(self.folder, fleet, self.entry.name)
         except DiskError as error:
             raise ConfigError(f"zones: {error}") from None
 
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -80,8 +80,8 @@
 
 BOUNDARIES: dict[str, Boundary] = {
     "consensus/message": line(consensus.Message, consensus.message_from),
-    "consensus/label": file(voter_disk.Label),
-    "consensus/saved": file(consensus.Saved),
+    "consensus/label": file(voter_disk.DiskIdentity),
+    "consensus/saved": file(consensus.PersistentState),
     "storage/head": file(form.Head),
     "storage/group": file(form.Group),
     "storage/piece": file(form.Piece),
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -17,7 +17,7 @@
 from compatibility_process import FILES, Front
 
 from fawnwharf.consensus import messages as consensus
-from fawnwharf.consensus.disk import Disk
+from fawnwharf.consensus.disk import VoterStore
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
@@ -34,13 +34,13 @@
 
 def voter(folder: Path) -> None:
     """A voter's file after four saves."""
-    disk = Disk(folder, "fleet-1", "n0", lambda: "00112233445566aa")
-    base = consensus.Base(5, 2, '{"number":3}', 4, IDENTITIES, '{"policy":1}', 3, '{"recovery":1}', 2)
+    disk = VoterStore(folder, "fleet-1", "n0", lambda: "00112233445566aa")
+    base = consensus.Snapshot(5, 2, '{"number":3}', 4, IDENTITIES, '{"policy":1}', 3, '{"recovery":1}', 2)
     entries = (consensus.Entry(2, "plan", '{"number":4}'), consensus.Entry(3, "voters", "", IDENTITIES[:1]))
-    disk.save(consensus.Saved(1, IDENTITIES[1]))
-    disk.save(consensus.Saved(2, IDENTITIES[0], base))
-    disk.save(consensus.Saved(2, IDENTITIES[0], base, entries[:1]))
-    disk.save(consensus.Saved(3, IDENTITIES[1], base, entries))
+    disk.save(consensus.PersistentState(1, IDENTITIES[1]))
+    disk.save(consensus.PersistentState(2, IDENTITIES[0], base))
+    disk.save(consensus.PersistentState(2, IDENTITIES[0], base, entries[:1]))
+    disk.save(consensus.PersistentState(3, IDENTITIES[1], base, entries))
     disk.close()
 
 
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -8,7 +8,7 @@
 
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.disk import DiskError, VoterStore
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
@@ -18,7 +18,7 @@
 from fawnwharf.replication.disk import KeeperDisk
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
-BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
+BASE = consensus.Snapshot(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
 STORE_KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 HELD = [
     ("key-0", Claim("n0#7", 1, 2, 100, Phase.CLEAR, "", None), 30_000.0),
@@ -38,12 +38,12 @@
     """The disk's identity as well; and the file's last record is what was saved last."""
     folder = copied("voter", tmp_path)
     before = (folder / "voter.log").read_bytes()
-    disk = Disk(folder, "fleet-1", "n0")
+    disk = VoterStore(folder, "fleet-1", "n0")
     try:
         assert not disk.fresh and disk.number == 4
         assert disk.label.identity == FIRST
         entries = (consensus.Entry(2, "plan", '{"number":4}'), consensus.Entry(3, "voters", "", (FIRST,)))
-        assert disk.saved == consensus.Saved(3, SECOND, BASE, entries)
+        assert disk.saved == consensus.PersistentState(3, SECOND, BASE, entries)
         assert (folder / "voter.log").read_bytes() == before
         disk.save(disk.saved)
     finally:
@@ -58,9 +58,9 @@
     """The label is compared, not taken over."""
     folder = copied("voter", tmp_path)
     with pytest.raises(DiskError, match="the disk of member n0, not of n1"):
-        Disk(folder, "fleet-1", "n1")
+        VoterStore(folder, "fleet-1", "n1")
     with pytest.raises(DiskError, match="of fleet fleet-1, not of fleet-2"):
-        Disk(folder, "fleet-2", "n0")
+        VoterStore(folder, "fleet-2", "n0")
 
 
 def test_a_store_finds_its_snapshot_and_its_segment(tmp_path):
@@ -123,7 +123,7 @@
     """Magic, length, checksum, number: read here without the program, and written by it to equal bytes."""
     data = (FOLDERS / name).read_bytes()
     rows = list(records_of(data))
-    found, end = records.leading(data)
+    found, end = records.leading_records(data)
     assert end == len(data) and [number for number, _ in found] == [number for number, _ in rows]
-    assert b"".join(records.encode(number, value) for number, value in rows) == data
+    assert b"".join(records.encode_record(number, value) for number, value in rows) == data
     assert b"".join(framed(number, value) for number, value in rows) == data
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -6,8 +6,8 @@
 import pytest
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.decided import KINDS
-from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Role, Timing, Voter, founding
+from fawnwharf.consensus.decided import REGISTER_KINDS
+from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Role, Timing, Voter, bootstrap
 from fawnwharf.testbed.explore import replace_voters
 
 TIMING = Timing(beat_ms=100.0, election_ms=500.0, skew=0.1)
@@ -19,8 +19,8 @@
     def __init__(self, *names, members=None, kind=Voter):
         self.now, self.kind, self.cut = 0.0, kind, set()
         members = members or names
-        made = replace_voters(founding(members[0]), members)
-        self.disks = {name: made if name in members else m.Saved() for name in names}
+        made = replace_voters(bootstrap(members[0]), members)
+        self.disks = {name: made if name in members else m.PersistentState() for name in names}
         self.voters = {name: self.born(name) for name in names}
         self.decided, self.held = {name: [] for name in names}, []
 
@@ -35,9 +35,9 @@
 
     def do(self, name, actions):
         for action in actions:
-            if isinstance(action, m.Save):
+            if isinstance(action, m.Persist):
                 self.disks[name] = action.saved
-            elif isinstance(action, m.Say):
+            elif isinstance(action, m.Send):
                 self.held.append(action.message)
             else:
                 self.decided[name].append((action.index, action.kind, action.plan or action.voters))
@@ -109,33 +109,33 @@
 
 def test_an_entry_of_an_earlier_term_is_not_decided_by_counting_its_holders():
     """Figure 8 of the paper: held by a majority, and still to be overwritten by one with a later entry."""
-    base = m.Base(1, 1, voters=("a", "b", "c"))
+    base = m.Snapshot(1, 1, voters=("a", "b", "c"))
     old, own = m.Entry(2, "plan", plan="old"), m.Entry(4, "none")
-    leader = Voter("a", m.Saved(4, "a", base, (old, own)), TIMING, 0.0, 1)
+    leader = Voter("a", m.PersistentState(4, "a", base, (old, own)), TIMING, 0.0, 1)
     leader.role = Role.LEADER
-    assert leader.receive(0.0, m.Appended("c", "a", 4, True, 2, 0.0)) == [
-        m.Say(m.Append("a", "c", 4, 2, 2, (own,), 1, 0.0))
+    assert leader.receive(0.0, m.AppendEntriesResponse("c", "a", 4, True, 2, 0.0)) == [
+        m.Send(m.AppendEntriesRequest("a", "c", 4, 2, 2, (own,), 1, 0.0))
     ]
-    decided = leader.receive(0.0, m.Appended("c", "a", 4, True, 3, 0.0))
-    assert [action.index for action in decided if isinstance(action, m.Decided)] == [2, 3]
+    decided = leader.receive(0.0, m.AppendEntriesResponse("c", "a", 4, True, 3, 0.0))
+    assert [action.index for action in decided if isinstance(action, m.Committed)] == [2, 3]
 
 
 def test_a_voter_that_hears_a_leader_votes_for_nobody_else_and_keeps_its_term():
     fleet = Fleet("a", "b", "c")
     fleet.elect("a")
     term = fleet["b"].saved.term
-    stray = m.Vote("c", "b", term + 7, 99, term + 6)
+    stray = m.VoteRequest("c", "b", term + 7, 99, term + 6)
     assert fleet["b"].receive(fleet.now + 1, stray) == []
     assert fleet["b"].saved.term == term
     late = fleet.now + TIMING.election_ms + 1
-    assert any(isinstance(action, m.Save) for action in fleet["b"].receive(late, stray))
+    assert any(isinstance(action, m.Persist) for action in fleet["b"].receive(late, stray))
 
 
 def test_a_voter_that_has_just_come_back_is_bound_as_if_it_had_heard_a_leader():
     fleet = Fleet("a", "b", "c")
     fleet.elect("a")
     fleet.restart("b")
-    stray = m.Vote("c", "b", 99, 99, 98)
+    stray = m.VoteRequest("c", "b", 99, 99, 98)
     assert fleet["b"].receive(fleet.now + TIMING.election_ms - 1, stray) == []
     assert fleet["b"].receive(fleet.now + TIMING.election_ms + 1, stray) != []
 
@@ -143,12 +143,12 @@
 def test_a_vote_is_given_once_a_term_also_after_a_kill():
     fleet = Fleet("a", "b", "c")
     fleet.now = 2_000.0
-    first = fleet["c"].receive(fleet.now, m.Vote("a", "c", 5, 9, 4))
+    first = fleet["c"].receive(fleet.now, m.VoteRequest("a", "c", 5, 9, 4))
     fleet.do("c", first)
-    assert [action.message.granted for action in first if isinstance(action, m.Say)] == [True]
-    assert [type(action) for action in first] == [m.Save, m.Say]
+    assert [action.message.granted for action in first if isinstance(action, m.Send)] == [True]
+    assert [type(action) for action in first] == [m.Persist, m.Send]
     fleet.restart("c")
-    second = fleet["c"].receive(fleet.now + 2_000.0, m.Vote("b", "c", 5, 9, 4))
+    second = fleet["c"].receive(fleet.now + 2_000.0, m.VoteRequest("b", "c", 5, 9, 4))
     assert [action.message.granted for action in second] == [False]
 
 
@@ -206,7 +206,7 @@
         fleet.now += 10.0
         fleet.do("a", leader.tick(fleet.now))
         fleet.settle()
-    assert [leader.last(kind)[1] for kind in KINDS] == ["n39", "p2", "r2"]
+    assert [leader.last(kind)[1] for kind in REGISTER_KINDS] == ["n39", "p2", "r2"]
     base = leader.saved.base
     assert (base.policy, base.recovery) == ("p2", "r2")  # folded by now
     assert base.index > base.recovery_index > base.policy_index == leader.policy[0]
@@ -215,19 +215,19 @@
         fleet.now += 110.0
         fleet.do("a", leader.tick(fleet.now))
         fleet.settle()
-    last = [leader.last(kind) for kind in KINDS]
-    assert [fleet["c"].last(kind) for kind in KINDS] == last
+    last = [leader.last(kind) for kind in REGISTER_KINDS]
+    assert [fleet["c"].last(kind) for kind in REGISTER_KINDS] == last
     told = [entry for entry in fleet.decided["c"] if entry[1] in ("policy", "recovery")]
     assert told == [(last[1][0], "policy", "p2"), (last[2][0], "recovery", "r2")]  # of the base, once each
     fleet.restart("c")
-    assert [fleet["c"].last(kind) for kind in KINDS[1:]] == last[1:]
+    assert [fleet["c"].last(kind) for kind in REGISTER_KINDS[1:]] == last[1:]
 
 
 def test_what_was_saved_before_there_was_a_third_kind_is_read():
     base = {"index": 9, "term": 2, "voters": ["a"], "plan": "p", "plan_index": 8}
     base |= {"policy": "x", "policy_index": 7}
     saved = {"term": 2, "voted": "a", "base": base, "entries": [{"term": 2, "kind": "policy", "plan": "y"}]}
-    voter = Voter("a", msgspec.convert(saved, m.Saved), Timing(), 0.0, 1)
+    voter = Voter("a", msgspec.convert(saved, m.PersistentState), Timing(), 0.0, 1)
     assert (voter.last("recovery"), voter.policy) == ((0, ""), (7, "x"))
     voter.tick(voter.due_ms)
     voter.propose(voter.due_ms, "r", "recovery")
@@ -276,9 +276,9 @@
     fleet = Fleet("a", "b", "c")
     fleet.elect("a")
     before = fleet["b"].saved
-    assert fleet["b"].receive(fleet.now, m.Vote("c", "a", 99, 9, 9)) == []
-    assert fleet["b"].receive(fleet.now, m.Vote("b", "b", 99, 9, 9)) == []
-    old = m.Append("c", "b", before.term - 1, 1, 1, (m.Entry(1, "plan", plan="x"),), 9, 0.0)
+    assert fleet["b"].receive(fleet.now, m.VoteRequest("c", "a", 99, 9, 9)) == []
+    assert fleet["b"].receive(fleet.now, m.VoteRequest("b", "b", 99, 9, 9)) == []
+    old = m.AppendEntriesRequest("c", "b", before.term - 1, 1, 1, (m.Entry(1, "plan", plan="x"),), 9, 0.0)
     [answer] = fleet["b"].receive(fleet.now, old)
     assert not answer.message.good and fleet["b"].saved == before
 
@@ -305,14 +305,14 @@
 
 def test_messages_survive_the_line():
     entry = m.Entry(3, "voters", voters=("a", "b"))
-    base = m.Base(4, 2, "text", 3, ("a",))
+    base = m.Snapshot(4, 2, "text", 3, ("a",))
     said = [
-        m.PreVote("a", "b", 3, 1, 2),
-        m.Vote("a", "b", 3, 1, 2),
-        m.Voted("a", "b", 3, True),
-        m.Append("a", "b", 3, 1, 2, (entry,), 1, 12.5),
-        m.Install("a", "b", 3, base, 1.0),
-        m.Appended("a", "b", 3, False, 4, 12.5),
+        m.PreVoteRequest("a", "b", 3, 1, 2),
+        m.VoteRequest("a", "b", 3, 1, 2),
+        m.VoteResponse("a", "b", 3, True),
+        m.AppendEntriesRequest("a", "b", 3, 1, 2, (entry,), 1, 12.5),
+        m.InstallSnapshotRequest("a", "b", 3, base, 1.0),
+        m.AppendEntriesResponse("a", "b", 3, False, 4, 12.5),
     ]
     for message in said:
         assert m.message_from(msgspec.json.decode(msgspec.json.encode(message))) == message
--- a/tests/test_accord_disk.py
+++ b/tests/test_accord_disk.py
@@ -6,15 +6,17 @@
 
 from fawnwharf.consensus import disk as disks
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.disk import DiskError, VoterStore
 
 
 def saved(term):
-    return m.Saved(term, "a#0", m.Base(1, 1, "plan", 1, ("a#0",)), (m.Entry(term, "plan", plan="p" * term),))
+    return m.PersistentState(
+        term, "a#0", m.Snapshot(1, 1, "plan", 1, ("a#0",)), (m.Entry(term, "plan", plan="p" * term),)
+    )
 
 
 def filled(folder, count=3):
-    disk = Disk(folder, "fleet", "a")
+    disk = VoterStore(folder, "fleet", "a")
     for term in range(1, count + 1):
         disk.save(saved(term))
     disk.close()
@@ -23,22 +25,22 @@
 
 def test_a_disk_gives_back_what_was_saved_last_under_the_same_identity(tmp_path):
     made = filled(tmp_path)
-    again = Disk(tmp_path, "fleet", "a")
+    again = VoterStore(tmp_path, "fleet", "a")
     assert (again.saved, again.number, again.label, again.fresh) == (saved(3), 3, made.label, False)
     again.save(saved(4))
     again.close()
-    assert Disk(tmp_path, "fleet", "a").saved == saved(4)
+    assert VoterStore(tmp_path, "fleet", "a").saved == saved(4)
 
 
 def test_a_file_cut_at_any_byte_gives_back_one_of_the_states_that_were_saved(tmp_path):
     made = filled(tmp_path)
     data = made.path.read_bytes()
     label_end = len(disks.encode(0, made.label))
-    states = [m.Saved(), saved(1), saved(2), saved(3)]
+    states = [m.PersistentState(), saved(1), saved(2), saved(3)]
     seen = []
     for size in range(label_end, len(data) + 1):
         made.path.write_bytes(data[:size])
-        disk = Disk(tmp_path, "fleet", "a")
+        disk = VoterStore(tmp_path, "fleet", "a")
         seen.append(states.index(disk.saved))
         disk.save(saved(9))  # and it goes on from there
         disk.close()
@@ -53,7 +55,7 @@
     data[middle] ^= 1
     made.path.write_bytes(data)
     with pytest.raises(DiskError, match="damaged at byte"):
-        Disk(tmp_path, "fleet", "a")
+        VoterStore(tmp_path, "fleet", "a")
     assert made.path.read_bytes() == data
 
 
@@ -61,37 +63,37 @@
     filled(tmp_path)
     for fleet, name, why in (("fleet", "b", "of member a, not of b"), ("other", "a", "of fleet fleet")):
         with pytest.raises(DiskError, match=why):
-            Disk(tmp_path, fleet, name)
-    label = disks.Label(9, "fleet", "a", "00000000")
+            VoterStore(tmp_path, fleet, name)
+    label = disks.DiskIdentity(9, "fleet", "a", "00000000")
     (tmp_path / "voter.log").write_bytes(disks.encode(0, label))
     with pytest.raises(DiskError, match="version 9"):
-        Disk(tmp_path, "fleet", "a")
+        VoterStore(tmp_path, "fleet", "a")
 
 
 def test_a_folder_in_use_or_that_is_a_file_is_refused(tmp_path):
-    held = Disk(tmp_path / "a", "fleet", "a")
+    held = VoterStore(tmp_path / "a", "fleet", "a")
     with pytest.raises(DiskError, match="in use by a live process"):
-        Disk(tmp_path / "a", "fleet", "a")
+        VoterStore(tmp_path / "a", "fleet", "a")
     held.close()
-    Disk(tmp_path / "a", "fleet", "a").close()
+    VoterStore(tmp_path / "a", "fleet", "a").close()
     (tmp_path / "file").write_text("")
     with pytest.raises(DiskError, match="file"):
-        Disk(tmp_path / "file", "fleet", "a")
+        VoterStore(tmp_path / "file", "fleet", "a")
 
 
 def test_a_file_that_has_grown_is_written_anew_and_keeps_its_last_state(tmp_path, monkeypatch):
     monkeypatch.setattr(disks, "REWRITE_BYTES", 2_000)
-    disk = Disk(tmp_path, "fleet", "a")
+    disk = VoterStore(tmp_path, "fleet", "a")
     for term in range(1, 60):
         disk.save(saved(term))
     assert disk.path.stat().st_size <= 2_000
     disk.close()
-    again = Disk(tmp_path, "fleet", "a")
+    again = VoterStore(tmp_path, "fleet", "a")
     assert (again.saved, again.label, again.number) == (saved(59), disk.label, 59)
 
 
 def test_a_disk_that_fails_says_so_and_keeps_no_half_record(tmp_path, monkeypatch):
-    disk = Disk(tmp_path, "fleet", "a")
+    disk = VoterStore(tmp_path, "fleet", "a")
     disk.save(saved(1))
     real = os.write
 
@@ -107,4 +109,4 @@
     assert disk.saved == saved(1)
     disk.save(saved(3))
     disk.close()
-    assert Disk(tmp_path, "fleet", "a").saved == saved(3)
+    assert VoterStore(tmp_path, "fleet", "a").saved == saved(3)
--- a/tests/test_accord_search.py
+++ b/tests/test_accord_search.py
@@ -17,7 +17,7 @@
 
 class SaysBeforeItSaves(Voter):
     def _on_vote(self, now_ms, message):
-        return [action for action in super()._on_vote(now_ms, message) if not isinstance(action, m.Save)]
+        return [action for action in super()._on_vote(now_ms, message) if not isinstance(action, m.Persist)]
 
 
 class DecidesByAMinority(Voter):
--- a/tests/test_disk_faults_service.py
+++ b/tests/test_disk_faults_service.py
@@ -50,7 +50,7 @@
 
 def asked(zones, sender, term):
     """The voter's word on another's wish to lead in a term; None: it says nothing."""
-    ask = m.Vote(f"{sender}#ab", zones.core.identity, term, 0, 0)
+    ask = m.VoteRequest(f"{sender}#ab", zones.core.identity, term, 0, 0)
     line = Line("f", sender, ballot=msgspec.to_builtins(ask), saves=term)
     said = len(zones.ballots.lines)
     zones._carry_out(zones.core.line(monotonic_ms(), sender, msgspec.to_builtins(line), True))
--- a/tests/test_disk_faults_voter.py
+++ b/tests/test_disk_faults_voter.py
@@ -10,7 +10,7 @@
 
 from fawnwharf.consensus import disk as disks
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.disk import DiskError, VoterStore
 
 SAVES = 8
 REWRITE_BYTES = 900  # a few saves: a run writes its file anew twice
@@ -22,7 +22,9 @@
 
 
 def saved(term):
-    return m.Saved(term, "a#0", m.Base(1, 1, "plan", 1, ("a#0",)), (m.Entry(term, "plan", plan="p" * 40),))
+    return m.PersistentState(
+        term, "a#0", m.Snapshot(1, 1, "plan", 1, ("a#0",)), (m.Entry(term, "plan", plan="p" * 40),)
+    )
 
 
 class World:
@@ -34,7 +36,7 @@
         self.tried = 0  # the last one that was to be saved
 
     def open(self):
-        return Disk(self.faults.folder, "fleet", "a")
+        return VoterStore(self.faults.folder, "fleet", "a")
 
     def live(self, saves=SAVES):
         """One life: a save that fails is followed by the next one."""
@@ -55,7 +57,7 @@
         disk = self.open()
         found = disk.saved.term
         assert self.promised <= found <= self.tried
-        assert disk.saved == (saved(found) if found else m.Saved())
+        assert disk.saved == (saved(found) if found else m.PersistentState())
         self.promised = found  # a voter answers by what it found
         self.faults.cut(late_names=False)
         disk = self.open()
@@ -168,7 +170,7 @@
             if world.faults.made[made + 3 : made + 4] == ["rename"]:
                 break
         world.faults.works()
-        shorter = m.Saved(50, "a#0")  # the old file would have had room for it
+        shorter = m.PersistentState(50, "a#0")  # the old file would have had room for it
         disk.save(shorter)
         world.faults.kill()
         assert world.open().saved == shorter
@@ -205,23 +207,23 @@
 
 
 def test_a_file_cut_within_its_first_record_begins_a_new_disk_and_damage_there_does_not(tmp_path):
-    disk = Disk(tmp_path, "fleet", "a")
+    disk = VoterStore(tmp_path, "fleet", "a")
     disk.close()
     label = disk.path.read_bytes()
     for size in range(len(label)):
         disk.path.write_bytes(label[:size])
-        again = Disk(tmp_path, "fleet", "a")
+        again = VoterStore(tmp_path, "fleet", "a")
         assert again.fresh and again.label.mark != disk.label.mark
         again.save(saved(1))
         again.close()
-        disk = Disk(tmp_path, "fleet", "a")
+        disk = VoterStore(tmp_path, "fleet", "a")
         assert (disk.saved, disk.label) == (saved(1), again.label)
         disk.close()
     whole = disk.path.read_bytes()
     for data in (b"\0" * len(whole), b"x" + whole[1:], label[:20] + whole):
         disk.path.write_bytes(data)
         with pytest.raises(DiskError):
-            Disk(tmp_path, "fleet", "a")
+            VoterStore(tmp_path, "fleet", "a")
         assert disk.path.read_bytes() == data
 
 
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -13,7 +13,7 @@
 
 from fawnwharf.cli import app
 from fawnwharf.consensus.disk import DiskError
-from fawnwharf.consensus.records import leading
+from fawnwharf.consensus.records import leading_records
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store import form as f
 from fawnwharf.durable_store.reading import Sign
@@ -157,7 +157,7 @@
     for name in os.listdir(path):
         if f.parts(name):
             data = (path / name).read_bytes()
-            records, _ = leading(data)
+            records, _ = leading_records(data)
             head = msgspec.json.decode(records[0][1], type=f.Head)
             rest = data[len(f.encode(0, head)) :]
             (path / name).write_bytes(f.encode(0, msgspec.structs.replace(head, **what)) + rest)
--- a/tests/test_epochs_voters.py
+++ b/tests/test_epochs_voters.py
@@ -2,7 +2,7 @@
 
 from fawnwharf.consensus import messages as a
 from fawnwharf.consensus.voter import Timing as Voting
-from fawnwharf.consensus.voter import Voter, founding
+from fawnwharf.consensus.voter import Voter, bootstrap
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import register_from
 from fawnwharf.policy_rollout.holder import Holder
@@ -17,7 +17,7 @@
     """One voter with its steward and its holder; `serve` does the same with sockets and a disk."""
 
     def __init__(self, fleet, name, n):
-        saved = replace_voters(founding("a"), NAMES)
+        saved = replace_voters(bootstrap("a"), NAMES)
         self.fleet, self.name = fleet, name
         self.voter = Voter(name, saved, Voting(), 0.0, 7_919 * n)
         self.steward, self.holder = Steward(Timing(), NAMES), Holder(KNOWN, Timing(), 1)
@@ -35,9 +35,9 @@
     def votes(self, actions):
         now, voter = self.fleet.now, self.voter
         for action in actions:
-            if isinstance(action, a.Say):
+            if isinstance(action, a.Send):
                 self.fleet.say(self.name, action.message.to, action.message)
-            elif isinstance(action, a.Decided) and action.kind == "policy" and self.steward.term:
+            elif isinstance(action, a.Committed) and action.kind == "policy" and self.steward.term:
                 self.does(self.steward.decided(now, action.plan, voter.fresh(now)))
 
     def takes(self, sender, message):
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -34,7 +34,7 @@
     """Answers that it has what a leader sent, and saves it later."""
 
     def _on_append(self, now_ms, message):
-        return [a for a in super()._on_append(now_ms, message) if not isinstance(a, am.Save)]
+        return [a for a in super()._on_append(now_ms, message) if not isinstance(a, am.Persist)]
 
 
 class DecidesAtOnce(Voter):
--- a/tests/test_rejoin_disks.py
+++ b/tests/test_rejoin_disks.py
@@ -12,7 +12,7 @@
 import pytest
 from support.power_losses import PowerFleet
 
-from fawnwharf.consensus.records import leading
+from fawnwharf.consensus.records import leading_records
 from fawnwharf.durable_store import form as f
 
 TIMING = {"hold_ms": 100.0, "listen_ms": 1_000.0, "most_ms": 300.0, "settle_ms": 100.0}
@@ -97,10 +97,10 @@
 def proven(log):
     """A place in its first group, which a later one tells to be on disk; 0: none does."""
     data = log.read_bytes()
-    groups = [content for _, content in leading(data)[0][1:]]
+    groups = [content for _, content in leading_records(data)[0][1:]]
     if not groups:
         return 0
-    synced, number = msgspec.json.decode(groups[-1], type=f.Group).synced, leading(data)[0][1][0]
+    synced, number = msgspec.json.decode(groups[-1], type=f.Group).synced, leading_records(data)[0][1][0]
     return data.index(groups[0]) + 5 if synced >= number else 0
 
 
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -7,8 +7,8 @@
 import pytest
 from support.zone_files import DEAD, GOOD, members, members_data, settings
 
-from fawnwharf.consensus.messages import Saved
-from fawnwharf.consensus.voter import founding
+from fawnwharf.consensus.messages import PersistentState
+from fawnwharf.consensus.voter import bootstrap
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.lines import Heard, Ruled, Word
@@ -27,7 +27,7 @@
         self.following = {}
         for n, entry in enumerate(file.members):
             if entry.ballots:
-                self.disks[entry.name] = founding(entry.name + "#0") if n == 0 else Saved()
+                self.disks[entry.name] = bootstrap(entry.name + "#0") if n == 0 else PersistentState()
             self.start(entry.name, f"{entry.name}#0", seed + n)
 
     def start(self, name, identity, seed=99):
@@ -167,7 +167,7 @@
     fleet = Fleet(members("abcabc", 3)).run(15)
     fleet.dead.add("n1")
     fleet.run(3)
-    fleet.disks["n1"] = Saved()
+    fleet.disks["n1"] = PersistentState()
     fleet.start("n1", "n1#1")
     fleet.run(15)
     leader = fleet.cores[fleet.leaders()[0]]
@@ -183,7 +183,7 @@
     later = s.members_from(data)
     fleet.seen = lambda member, other: DEAD if other == "c" and member.zone != "c" else GOOD
     fleet.file = later
-    fleet.disks["n4"] = Saved()
+    fleet.disks["n4"] = PersistentState()
     for name in ("n0", "n1", "n2", "n3", "n5"):
         fleet.do(name, fleet.cores[name].take_members(fleet.now, later))
     fleet.start("n4", "n4#0")
