--- a/fawnwharf/admin/channel.py
+++ b/fawnwharf/admin/channel.py
@@ -11,17 +11,17 @@
 from pathlib import Path
 
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin.memory import SIZE_MOST
+from fawnwharf.admin.memory import MAX_BYTES
 from fawnwharf.net.loop import READ, WRITE, Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-MESSAGE_MOST = 128 * 1024
-READS_MOST = 64  # messages in a turn
+MAX_MESSAGE_BYTES = 128 * 1024
+MAX_READS = 64  # messages in a turn
 ACCEPT_PAUSE_MS = 50.0  # where the system has no descriptor or memory left
 _FD = array.array("i", [0]).itemsize
 
 
-class Place:
+class HandoffDirectory:
     """Where the processes of one front end meet: a folder that they share."""
 
     def __init__(self, folder: str, name: str, listen: tuple[str, int]) -> None:
@@ -48,7 +48,7 @@
         """The file's bytes; none where there is none."""
         try:
             with open(self.file, "rb") as file:
-                return file.read(SIZE_MOST + 1)
+                return file.read(MAX_BYTES + 1)
         except OSError:
             return b""
 
@@ -56,7 +56,7 @@
 def receive(sock: socket.socket) -> tuple[h.Message | None, socket.socket | None] | None:
     """One message and what it carries; None at the end. Raises BlockingIOError where nothing has come."""
     try:
-        data, notes, _, _ = sock.recvmsg(MESSAGE_MOST, socket.CMSG_SPACE(_FD))
+        data, notes, _, _ = sock.recvmsg(MAX_MESSAGE_BYTES, socket.CMSG_SPACE(_FD))
     except (BlockingIOError, TimeoutError):
         raise
     except OSError:
@@ -88,14 +88,14 @@
     return left_ms / 1e3
 
 
-def ask(
-    place: Place, listen: tuple[str, int], parts: bool = False
+def request_handoff(
+    place: HandoffDirectory, listen: tuple[str, int], parts: bool = False
 ) -> tuple[socket.socket, bytes, socket.socket] | None:
     """Ask the process that serves for its place: the channel to it, what it has learnt, and its listener.
 
     Waits, as nothing else can be done at the start; None where nobody is there or no answer comes in time."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    until_ms = monotonic_ms() + 1e3 * (h.EMPTY_S if parts else h.ANSWER_S)
+    until_ms = monotonic_ms() + 1e3 * (h.RELEASE_ANSWER_TIMEOUT_S if parts else h.ANSWER_TIMEOUT_S)
     sock.settimeout(_left_s(until_ms))
     memory, door = bytearray(), None
     try:
@@ -105,9 +105,9 @@
         while door is None:
             sock.settimeout(_left_s(until_ms))  # for all of the answer, however slowly its parts come
             found = receive(sock)
-            if found is None or not isinstance(found[0], h.Part | h.Door):
+            if found is None or not isinstance(found[0], h.Chunk | h.ListenerHandoff):
                 raise ConnectionError("turned away")
-            if isinstance(found[0], h.Part):
+            if isinstance(found[0], h.Chunk):
                 memory += found[0].data
             elif (door := found[1]) is None:
                 raise ConnectionError("no listener came")
@@ -119,7 +119,7 @@
     return sock, bytes(memory), door
 
 
-class Channel:
+class HandoffChannel:
     """One end of the talk, in the loop."""
 
     def __init__(
@@ -127,7 +127,7 @@
         loop: Loop,
         sock: socket.socket,
         told: Callable[[h.Message, socket.socket | None], None],
-        ended: Callable[["Channel"], None],
+        ended: Callable[["HandoffChannel"], None],
     ) -> None:
         self.loop, self._told, self._ended = loop, told, ended
         self.closed = False
@@ -176,7 +176,7 @@
                 return
             self._queue.popleft()
             self._moved_ms = monotonic_ms()
-            if isinstance(message, h.Part):
+            if isinstance(message, h.Chunk):
                 self._begun.append((message, None))
             else:
                 self._begun.clear()
@@ -191,7 +191,7 @@
         if mask & WRITE:
             self._write()
         if mask & READ:
-            for _ in range(READS_MOST):
+            for _ in range(MAX_READS):
                 if self.closed:
                     return
                 try:
@@ -213,10 +213,10 @@
             self._ended(self)
 
 
-class Door:
+class HandoffListener:
     """The old process's end of the meeting place: listens for whoever takes its place."""
 
-    def __init__(self, loop: Loop, place: Place, came: Callable[[socket.socket], None]) -> None:
+    def __init__(self, loop: Loop, place: HandoffDirectory, came: Callable[[socket.socket], None]) -> None:
         """Raises OSError where no such socket can be had."""
         self.loop, self.place, self._came = loop, place, came
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
--- a/fawnwharf/admin/handoff_messages.py
+++ b/fawnwharf/admin/handoff_messages.py
@@ -8,13 +8,19 @@
 import msgspec
 
 VERSION = 1
-TEXT_MOST = 60_000  # bytes of one message; more goes in parts
-PAUSE_MS = 400.0  # after SIGTERM: connections that never fall idle are read no further
-AWAIT_MS = 2_800.0  # after SIGTERM: for the process before this one, which was told to end earlier
-EMPTY_S = 5.0  # and where that lets go of its parts first: without them this one can't start beside it
-READY_MOST_MS = 6_000.0  # how long one that let go of its parts waits for the other to be ready
-STUCK_MS = 3_000.0  # a process that takes nothing of what it is given for so long stands still
-ANSWER_S = 1.5  # how long the new process waits for the old one at its start, before it goes on without it
+MAX_CHUNK_BYTES = 60_000  # bytes of one message; more goes in parts
+PAUSE_DELAY_MS = 400.0  # after SIGTERM: connections that never fall idle are read no further
+PREDECESSOR_TIMEOUT_MS = (
+    2_800.0  # after SIGTERM: for the process before this one, which was told to end earlier
+)
+RELEASE_ANSWER_TIMEOUT_S = (
+    5.0  # and where that lets go of its parts first: without them this one can't start beside it
+)
+READY_TIMEOUT_MS = 6_000.0  # how long one that let go of its parts waits for the other to be ready
+STALL_TIMEOUT_MS = 3_000.0  # a process that takes nothing of what it is given for so long stands still
+ANSWER_TIMEOUT_S = (
+    1.5  # how long the new process waits for the old one at its start, before it goes on without it
+)
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
@@ -25,19 +31,19 @@
     parts: bool = False  # it has some that only one process at a time may have: zones, replicated state
 
 
-class No(msgspec.Struct, tag="no", frozen=True):
+class Rejected(msgspec.Struct, tag="no", frozen=True):
     """Old to new: nothing is handed over."""
 
     why: str
 
 
-class Part(msgspec.Struct, tag="part", frozen=True):
+class Chunk(msgspec.Struct, tag="part", frozen=True):
     """Old to new: a part of what was learnt (`memory`), or of the bytes unwritten on the next connection."""
 
     data: bytes
 
 
-class Door(msgspec.Struct, tag="door", frozen=True):
+class ListenerHandoff(msgspec.Struct, tag="door", frozen=True):
     """Old to new: all of what was learnt has been said. Carries the listener."""
 
 
@@ -45,7 +51,7 @@
     """New to old: from now on it accepts, and connections may come."""
 
 
-class Kept(msgspec.Struct, tag="kept", frozen=True):
+class ConnectionHandoff(msgspec.Struct, tag="kept", frozen=True):
     """Old to new: a client connection, on which nothing is open here. Carries it."""
 
     partial: bytes = b""  # of a message that is not whole yet
@@ -54,7 +60,7 @@
     empty_ms: float | None = None  # when nothing lay unread on it, by the monotonic clock, which both share
 
 
-class Told(msgspec.Struct, tag="told", frozen=True):
+class OperatorCommand(msgspec.Struct, tag="told", frozen=True):
     """Either way: an operator's call that holds for both."""
 
     path: str
@@ -68,8 +74,8 @@
     read fails, however much lies before it."""
 
 
-Message = Hello | No | Part | Door | Ready | Kept | Told | Done
-CARRY = (Door, Kept)  # one descriptor each
+Message = Hello | Rejected | Chunk | ListenerHandoff | Ready | ConnectionHandoff | OperatorCommand | Done
+CARRY = (ListenerHandoff, ConnectionHandoff)  # one descriptor each
 
 _encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
 
@@ -86,18 +92,18 @@
         return None
 
 
-def parts(data: bytes) -> list[Part]:
-    return [Part(data[at : at + TEXT_MOST]) for at in range(0, len(data), TEXT_MOST)]
+def chunks(data: bytes) -> list[Chunk]:
+    return [Chunk(data[at : at + MAX_CHUNK_BYTES]) for at in range(0, len(data), MAX_CHUNK_BYTES)]
 
 
-class Phase(Enum):
+class HandoffPhase(Enum):
     ALONE = auto()  # nobody takes this process's place
     ASKED = auto()  # somebody is about to; this one still accepts
     GIVEN = auto()  # the other accepts; this one gives its connections over
     ENDING = auto()  # as before, and this one has been told to end
 
 
-class Do(Enum):
+class HandoffAction(Enum):
     """What follows for the old process."""
 
     NOTHING = auto()
@@ -109,59 +115,63 @@
     PAUSE = auto()  # read no further
 
 
-class Giver:
+class HandoffSource:
     """The old process's side: from being alone to having given everything."""
 
     def __init__(self, listen: tuple[str, int]) -> None:
         self.listen = listen
-        self.phase = Phase.ALONE
+        self.phase = HandoffPhase.ALONE
         self._leaving_ms: float | None = None
         self._paused = False
 
     @property
     def gives(self) -> bool:
         """Whether connections go over as they fall idle."""
-        return self.phase in (Phase.GIVEN, Phase.ENDING)
+        return self.phase in (HandoffPhase.GIVEN, HandoffPhase.ENDING)
 
-    def hello(self, hello: Hello, parts: bool = False) -> Do:
+    def hello(self, hello: Hello, parts: bool = False) -> HandoffAction:
         """`parts`: this process has some that the other may want."""
         good = hello.version == VERSION and tuple(hello.listen) == self.listen
-        if not good or self.phase is not Phase.ALONE or self.leaving:
-            return Do.TURN_AWAY
-        self.phase = Phase.ASKED
-        return Do.LET_GO if parts and hello.parts else Do.TELL_ALL
-
-    def ready(self) -> Do:
-        if self.phase is not Phase.ASKED:
-            return Do.NOTHING
-        self.phase = Phase.GIVEN if self._leaving_ms is None else Phase.ENDING
-        return Do.STOP_ACCEPTING
-
-    def lost(self) -> Do:
+        if not good or self.phase is not HandoffPhase.ALONE or self.leaving:
+            return HandoffAction.TURN_AWAY
+        self.phase = HandoffPhase.ASKED
+        return HandoffAction.LET_GO if parts and hello.parts else HandoffAction.TELL_ALL
+
+    def ready(self) -> HandoffAction:
+        if self.phase is not HandoffPhase.ASKED:
+            return HandoffAction.NOTHING
+        self.phase = HandoffPhase.GIVEN if self._leaving_ms is None else HandoffPhase.ENDING
+        return HandoffAction.STOP_ACCEPTING
+
+    def lost(self) -> HandoffAction:
         """The channel has ended: the other process is gone, or gave up."""
-        gave, self.phase, self._paused = self.gives, Phase.ALONE, False
-        return Do.ACCEPT_AGAIN if gave else Do.NOTHING
+        gave, self.phase, self._paused = self.gives, HandoffPhase.ALONE, False
+        return HandoffAction.ACCEPT_AGAIN if gave else HandoffAction.NOTHING
 
     def leave(self, now_ms: float) -> None:
         """This process was told to end."""
         self._leaving_ms = now_ms
-        if self.phase is Phase.GIVEN:
-            self.phase = Phase.ENDING
+        if self.phase is HandoffPhase.GIVEN:
+            self.phase = HandoffPhase.ENDING
 
     def awaits(self, now_ms: float) -> bool:
         """Whether one that ends waits for the process before it, whose connections come this way."""
-        return self.phase is Phase.ENDING and now_ms - self._leaving_ms < AWAIT_MS
+        return self.phase is HandoffPhase.ENDING and now_ms - self._leaving_ms < PREDECESSOR_TIMEOUT_MS
 
     @property
     def leaving(self) -> bool:
         return self._leaving_ms is not None
 
-    def look(self, now_ms: float) -> Do:
+    def look(self, now_ms: float) -> HandoffAction:
         """Now and then; what time alone brings."""
-        if self.phase is Phase.ENDING and not self._paused and now_ms - self._leaving_ms >= PAUSE_MS:
+        if (
+            self.phase is HandoffPhase.ENDING
+            and not self._paused
+            and now_ms - self._leaving_ms >= PAUSE_DELAY_MS
+        ):
             self._paused = True
-            return Do.PAUSE
-        return Do.NOTHING
+            return HandoffAction.PAUSE
+        return HandoffAction.NOTHING
 
     def may_give(self, has_open: bool, unwritten: bool) -> bool:
         """Whether a connection may go over now: it has one owner at all times, so nothing may be open on it.
--- a/fawnwharf/admin/http.py
+++ b/fawnwharf/admin/http.py
@@ -6,12 +6,12 @@
 
 import httptools
 
-HEAD_MOST = 8 * 1024  # bytes of a call in all, its body too: operators send none
-TARGET_MOST = 256
+MAX_REQUEST_BYTES = 8 * 1024  # bytes of a call in all, its body too: operators send none
+MAX_TARGET_LENGTH = 256
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class AdminRequest:
     """A call, taken apart: `query` has its pairs in their order."""
 
     method: str
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class AdminResponse:
     """What a call is answered with: a status and one line of text."""
 
     status: int
@@ -32,15 +32,15 @@
 
 
 @dataclass(slots=True)
-class CallReader:
+class RequestReader:
     """Takes the bytes of one connection; its one call, or why it is none."""
 
     taken: int = 0
-    done: Asked | Answer | None = None
+    done: AdminRequest | AdminResponse | None = None
     _url: bytes = b""
     _parser: httptools.HttpRequestParser | None = field(default=None, repr=False)
 
-    def feed(self, data: bytes) -> Asked | Answer | None:
+    def feed(self, data: bytes) -> AdminRequest | AdminResponse | None:
         """The call once it is whole, an Answer where it can be none; None until either is known."""
         if self.done is not None:
             return self.done
@@ -49,11 +49,11 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.done = self.done or Answer(400, "no other protocol is spoken here")
+            self.done = self.done or AdminResponse(400, "no other protocol is spoken here")
         except httptools.HttpParserError as error:
-            self.done = self.done or Answer(400, f"not HTTP/1.1: {type(error).__name__}")
-        if self.done is None and self.taken > HEAD_MOST:
-            self.done = Answer(431, f"a call of more than {HEAD_MOST} bytes")
+            self.done = self.done or AdminResponse(400, f"not HTTP/1.1: {type(error).__name__}")
+        if self.done is None and self.taken > MAX_REQUEST_BYTES:
+            self.done = AdminResponse(431, f"a call of more than {MAX_REQUEST_BYTES} bytes")
         if self.done is not None:
             self._parser = None  # it holds this reader, and both would wait for a full collection
         return self.done
@@ -65,20 +65,20 @@
 
     def on_message_complete(self) -> None:
         if self.done is None:  # a second call on the connection is not heard
-            self.done = _asked(self._parser.get_method().decode("ascii", "replace"), self._url)
+            self.done = _parse_request(self._parser.get_method().decode("ascii", "replace"), self._url)
 
 
-def _asked(method: str, url: bytes) -> Asked | Answer:
+def _parse_request(method: str, url: bytes) -> AdminRequest | AdminResponse:
     try:
         parts = httptools.parse_url(url)
         path = unquote((parts.path or b"/").decode("ascii"))
         query = parse_qsl((parts.query or b"").decode("ascii"), keep_blank_values=True, max_num_fields=16)
     except (httptools.HttpParserInvalidURLError, UnicodeDecodeError, ValueError):
-        return Answer(400, "no such address")
-    return Asked(method, path, tuple(query))
+        return AdminResponse(400, "no such address")
+    return AdminRequest(method, path, tuple(query))
 
 
-def encode(answer: Answer) -> bytes:
+def encode_response(answer: AdminResponse) -> bytes:
     """The bytes of an answer, after which the connection ends."""
     body = "".join(char if char.isprintable() else "?" for char in answer.text).encode() + b"\n"
     reason = HTTPStatus(answer.status).phrase
--- a/fawnwharf/admin/memory.py
+++ b/fawnwharf/admin/memory.py
@@ -16,14 +16,14 @@
 
 MAGIC = b"fwmem\x01"  # the last byte is the version
 HEAD = struct.Struct(">6sII")  # magic, length, checksum
-OLD_MS = 20_000.0  # beliefs that are older say nothing; who is taken out holds for good
-FUNCTIONS_MOST = 500  # the ones called or wanted last
-SIZE_MOST = 4 * 1024 * 1024
+MAX_AGE_MS = 20_000.0  # beliefs that are older say nothing; who is taken out holds for good
+MAX_FUNCTIONS = 500  # the ones called or wanted last
+MAX_BYTES = 4 * 1024 * 1024
 
 Age = Annotated[float, Meta(ge=-1e12)]
 
 
-class Place(msgspec.Struct, array_like=True):
+class LearnedCopies(msgspec.Struct, array_like=True):
     """A function's copies at one scorer."""
 
     worker: int
@@ -33,7 +33,7 @@
     blocked: Age
 
 
-class Known(msgspec.Struct, array_like=True):
+class LearnedFunction(msgspec.Struct, array_like=True):
     """A function."""
 
     name: str
@@ -49,10 +49,10 @@
     arrived: float
     width: int
     crowd: float
-    places: list[Place]
+    places: list[LearnedCopies]
 
 
-class Scorer(msgspec.Struct, array_like=True):
+class LearnedScorer(msgspec.Struct, array_like=True):
     worker: int
     started: Age
     strain: float
@@ -62,7 +62,7 @@
     lapses: dict[str, tuple[float, Age, float]]
 
 
-class Memory(msgspec.Struct):
+class LearnedState(msgspec.Struct):
     """All of it; `at_ms` is the monotonic clock's, the same for all processes of one machine."""
 
     at_ms: float
@@ -76,38 +76,38 @@
     ordered: list[Age] = []
     tokens: dict[str, tuple[float, Age]] = {}
     runs: list[tuple[Age, float]] = []
-    scorers: list[Scorer] = []
-    functions: list[Known] = []
+    scorers: list[LearnedScorer] = []
+    functions: list[LearnedFunction] = []
 
 
-def encode(memory: Memory) -> bytes:
+def encode(memory: LearnedState) -> bytes:
     body = msgspec.msgpack.encode(memory)
     return HEAD.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
-def decode(data: bytes) -> Memory | None:
+def decode(data: bytes) -> LearnedState | None:
     """None where it is torn, of another version, or none at all."""
-    if not HEAD.size <= len(data) <= SIZE_MOST:
+    if not HEAD.size <= len(data) <= MAX_BYTES:
         return None
     magic, length, check = HEAD.unpack_from(data)
     body = data[HEAD.size :]
     if (magic, length, check) != (MAGIC, len(body), zlib.crc32(body)):
         return None
     try:
-        return msgspec.msgpack.decode(body, type=Memory)
+        return msgspec.msgpack.decode(body, type=LearnedState)
     except msgspec.DecodeError:
         return None
 
 
-def fresh(memory: Memory, now_ms: float) -> bool:
+def is_fresh(memory: LearnedState, now_ms: float) -> bool:
     """Whether its beliefs may still hold; `now_ms` on the monotonic clock."""
-    return 0.0 <= now_ms - memory.at_ms <= OLD_MS
+    return 0.0 <= now_ms - memory.at_ms <= MAX_AGE_MS
 
 
 # --- from the module and back -----------------------------------------------------------------------
 
 
-def learnt(router: Router, out: set[str], now_ms: float, at_ms: float) -> Memory:
+def capture(router: Router, out: set[str], now_ms: float, at_ms: float) -> LearnedState:
     """What the module believes: `now_ms` on its clock, `at_ms` on the monotonic one."""
 
     def ages(times: Any) -> list[float]:
@@ -116,8 +116,8 @@
     def aged(samples: state.Samples) -> list[tuple[float, float]]:
         return [(now_ms - at, value) for at, value in samples.timed]
 
-    last = sorted(router.functions.values(), key=lambda fn: -fn.needed_ms)[:FUNCTIONS_MOST]
-    return Memory(
+    last = sorted(router.functions.values(), key=lambda fn: -fn.needed_ms)[:MAX_FUNCTIONS]
+    return LearnedState(
         at_ms,
         sorted(out),
         began=now_ms - min(now_ms, router.began_ms),
@@ -130,7 +130,7 @@
         tokens={name: (tokens, now_ms - at) for name, (tokens, at) in router.tokens.items()},
         runs=aged(router.runs),
         scorers=[
-            Scorer(
+            LearnedScorer(
                 worker.id,
                 now_ms - worker.started_ms,
                 worker.strain,
@@ -143,11 +143,13 @@
             if worker.entry.state is not State.GONE
         ],
         functions=[
-            Known(
+            LearnedFunction(
                 fn.name, fn.kind, fn.lanes, fn.load_told_ms, aged(fn.runs), aged(fn.loads), aged(fn.waits),
                 ages(fn.last_ms), fn.idle_ms, fn.load_path, fn.arrived, fn.width, fn.crowd,
                 [
-                    Place(id, i.copies, now_ms - i.seen_ms, now_ms - i.counted_ms, now_ms - i.blocked_ms)
+                    LearnedCopies(
+                        id, i.copies, now_ms - i.seen_ms, now_ms - i.counted_ms, now_ms - i.blocked_ms
+                    )
                     for id, i in fn.instances.items()
                     if i.copies
                 ],
@@ -157,7 +159,7 @@
     )  # fmt: skip
 
 
-def restore(router: Router, memory: Memory, now_ms: float, at_ms: float) -> None:
+def restore(router: Router, memory: LearnedState, now_ms: float, at_ms: float) -> None:
     """Have the module believe it, as far as its roster has the scorers; it has heard of no call yet."""
     base = now_ms - (at_ms - memory.at_ms)  # the moment of writing, on this clock
 
@@ -192,7 +194,7 @@
             router.functions[known.name] = _function(router, known, base, timed)
 
 
-def _function(router: Router, known: Known, base: float, timed: Any) -> state.Function:
+def _function(router: Router, known: LearnedFunction, base: float, timed: Any) -> state.Function:
     fn = state.Function(known.name, known.kind, known.lanes, known.load_told_ms, state.mark(known.name))
     fn.runs, fn.loads, fn.waits = timed(known.runs), timed(known.loads), timed(known.waits)
     fn.last_ms.extend(base - age for age in known.called)
--- a/fawnwharf/admin/port.py
+++ b/fawnwharf/admin/port.py
@@ -3,7 +3,7 @@
 import socket
 from collections.abc import Callable
 
-from fawnwharf.admin.http import Answer, Asked, CallReader, encode
+from fawnwharf.admin.http import AdminRequest, AdminResponse, RequestReader, encode_response
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import End
@@ -12,21 +12,21 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 BACKLOG = 64
-READ_MOST = 4 * 1024
-ACCEPTS_MOST = 16  # in a turn
+MAX_READ_BYTES = 4 * 1024
+MAX_ACCEPTS = 16  # in a turn
 ACCEPT_PAUSE_MS = 50.0  # where the system has no descriptor or memory left
-HELD_MOST, HELD_LEAST = 16, 4  # connections; a few operators at a time, and some that say nothing
-HELD_PART = 32  # of the descriptors: one in so many
-UNFINISHED_MS = 5_000.0  # for a call to come in whole
+MAX_CONNECTIONS, MIN_CONNECTIONS = 16, 4  # connections; a few operators at a time, and some that say nothing
+DESCRIPTORS_PER_CONNECTION = 32  # of the descriptors: one in so many
+REQUEST_TIMEOUT_MS = 5_000.0  # for a call to come in whole
 
 
-class Caller:
+class AdminConnection:
     """One operator's connection, and its one call."""
 
-    def __init__(self, port: "ControlPort", sock: socket.socket) -> None:
+    def __init__(self, port: "AdminListener", sock: socket.socket) -> None:
         self.port, self.since_ms = port, monotonic_ms()
-        self._reader = CallReader()
-        self.connection = Connection.accepted(port.loop, sock, self, READ_MOST, first=True)
+        self._reader = RequestReader()
+        self.connection = Connection.accepted(port.loop, sock, self, MAX_READ_BYTES, first=True)
 
     @property
     def answered(self) -> bool:
@@ -38,11 +38,11 @@
 
     def on_data(self, data: bytes) -> None:
         if not self.answered and (found := self._reader.feed(data)) is not None:
-            self.answer(found if isinstance(found, Answer) else self.port.take(found))
+            self.answer(found if isinstance(found, AdminResponse) else self.port.take(found))
 
-    def answer(self, answer: Answer) -> None:
+    def answer(self, answer: AdminResponse) -> None:
         self._reader.done = answer
-        self.connection.write(encode(answer))
+        self.connection.write(encode_response(answer))
         self.connection.finish(End.RETIRED)
 
     def on_end(self, end: End) -> None:
@@ -63,20 +63,22 @@
     return listener
 
 
-class ControlPort:
+class AdminListener:
     """Owns the listener for operators and their connections, a few of the descriptors."""
 
-    def __init__(self, loop: Loop, address: Address, sockets: int, take: Callable[[Asked], Answer]) -> None:
+    def __init__(
+        self, loop: Loop, address: Address, sockets: int, take: Callable[[AdminRequest], AdminResponse]
+    ) -> None:
         self.loop, self.take = loop, take
-        self.callers: dict[Caller, None] = {}
-        self._most = max(HELD_LEAST, min(HELD_MOST, sockets // HELD_PART))
+        self.callers: dict[AdminConnection, None] = {}
+        self._most = max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, sockets // DESCRIPTORS_PER_CONNECTION))
         self._listener = once_free(lambda: _listening(address))
         self.address: Address = self._listener.getsockname()[:2]
         self._pause: Timer | None = None
         loop.watch(self._listener, READ, self._accept, first=True)
 
     def _accept(self, _mask: int) -> None:
-        for _ in range(ACCEPTS_MOST):
+        for _ in range(MAX_ACCEPTS):
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
@@ -86,7 +88,7 @@
                 return
             while len(self.callers) >= self._most:
                 self._give_way()
-            self.callers[Caller(self, sock)] = None
+            self.callers[AdminConnection(self, sock)] = None
 
     def _rest(self) -> None:
         """Leave callers to the system's queue for a moment, rather than spin on them."""
@@ -105,10 +107,10 @@
         first.connection.close(End.IDLE)
 
     def tidy(self) -> None:
-        since = monotonic_ms() - UNFINISHED_MS
+        since = monotonic_ms() - REQUEST_TIMEOUT_MS
         for caller in [caller for caller in self.callers if caller.since_ms < since]:
             if not caller.answered:
-                caller.answer(Answer(408, "the call did not come in whole"))
+                caller.answer(AdminResponse(408, "the call did not come in whole"))
 
     def close(self) -> None:
         self.loop.forget(self._listener)
--- a/fawnwharf/admin/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -7,79 +7,81 @@
 
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import memory as m
-from fawnwharf.admin.channel import Channel, Door, Place, ask
-from fawnwharf.admin.parts import Parts
+from fawnwharf.admin.channel import HandoffChannel, HandoffDirectory, HandoffListener, request_handoff
+from fawnwharf.admin.parts import ExclusiveExtensions
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-LOOK_MS = 20.0  # pace of the look after connections that have fallen idle
-GIVE_MOST = 256  # connections in one look
+TICK_INTERVAL_MS = 20.0  # pace of the look after connections that have fallen idle
+MAX_HANDOFFS_PER_TICK = 256  # connections in one look
 
 
 @dataclass(slots=True)
-class Inherited:
+class InheritedState:
     """What a start finds of the process before it; all empty where there is none."""
 
-    place: Place | None = None  # where the processes of this front end meet; None: nowhere
+    place: HandoffDirectory | None = None  # where the processes of this front end meet; None: nowhere
     channel: socket.socket | None = None
     memory: bytes = b""
     listener: socket.socket | None = None
 
 
-def inherit(deployment: Deployment, parts: bool = False) -> Inherited:
+def inherit_state(deployment: Deployment, parts: bool = False) -> InheritedState:
     """Ask for what the process before this one has, at the start. `parts`: this one will have some, too."""
     folder = os.environ.get("TMPDIR")
     if not folder:
-        return Inherited()
-    place = Place(folder, deployment.name, deployment.listen)
-    found = ask(place, deployment.listen, parts) if os.path.exists(place.socket) else None
-    return Inherited(place, *found) if found else Inherited(place, memory=place.read())
+        return InheritedState()
+    place = HandoffDirectory(folder, deployment.name, deployment.listen)
+    found = request_handoff(place, deployment.listen, parts) if os.path.exists(place.socket) else None
+    return InheritedState(place, *found) if found else InheritedState(place, memory=place.read())
 
 
-class Replacement:
+class HotRestart:
     """Owns the talk with the process before this one, and with the one after it."""
 
-    def __init__(self, front: FrontEnd, inherited: Inherited, heard: Callable[[str, str], None]) -> None:
+    def __init__(self, front: FrontEnd, inherited: InheritedState, heard: Callable[[str, str], None]) -> None:
         """`heard` takes an operator's call, by path and target, that the other process was asked."""
         self.front, self.place, self._heard = front, inherited.place, heard
-        self.giver = h.Giver(front.address)
-        self.parts = Parts(front)
-        self.before: Channel | None = None  # to the process whose place this one takes
-        self.after: Channel | None = None  # to the process that takes this one's place
+        self.giver = h.HandoffSource(front.address)
+        self.parts = ExclusiveExtensions(front)
+        self.before: HandoffChannel | None = None  # to the process whose place this one takes
+        self.after: HandoffChannel | None = None  # to the process that takes this one's place
         self.out: Callable[[], set[str]] = set
         self._inherited, self._rest, self._before_done = inherited, bytearray(), False
-        self._door: Door | None = None
+        self._door: HandoffListener | None = None
         self._looking = self._ended = False
         self._said_done = self._all_came = False
 
-    def remembered(self) -> m.Memory | None:
+    def remembered(self) -> m.LearnedState | None:
         """What the process before this one has learnt, where it can be read."""
         memory = m.decode(self._inherited.memory) if self._inherited.memory else None
         if self._inherited.memory and memory is None:
             self.front.log("what the process before had learnt can't be read: starting without")
         return memory
 
-    def begin(self, memory: m.Memory | None) -> None:
+    def begin(self, memory: m.LearnedState | None) -> None:
         """Take the place: believe what was learnt, accept, and be there for the next one."""
         front, now = self.front, monotonic_ms()
-        if memory is not None and m.fresh(memory, now):
+        if memory is not None and m.is_fresh(memory, now):
             front.loop.guarded(m.restore, front.router, memory, front.loop.clock.now_ms(), now)
             front.log(f"taking over: {len(memory.functions)} functions, {len(memory.scorers)} scorers known")
         front.port.accept(True)
         if self._inherited.channel is not None:
-            self.before = Channel(front.loop, self._inherited.channel, self._from_before, self._before_ended)
+            self.before = HandoffChannel(
+                front.loop, self._inherited.channel, self._from_before, self._before_ended
+            )
             self.before.say(h.Ready())
         self._share()
         self._open()
-        self._inherited = Inherited()
+        self._inherited = InheritedState()
 
     def _open(self) -> None:
         if self.place is None:
             return
         try:
-            self._door = Door(self.front.loop, self.place, self._came)
+            self._door = HandoffListener(self.front.loop, self.place, self._came)
         except OSError as error:
             self.front.log(f"no socket for a replacement in TMPDIR: {error.strerror}")
 
@@ -97,7 +99,7 @@
         before = None if self._before_done else self.before
         for channel in (before, self.after):
             if channel is not None:
-                channel.say(h.Told(path, target))
+                channel.say(h.OperatorCommand(path, target))
 
     def remember(self) -> None:
         """Keep what was learnt in the file, for a process that finds nobody to ask."""
@@ -112,20 +114,20 @@
         front = self.front
         now, at = front.loop.clock.now_ms(), monotonic_ms()
         try:
-            return m.encode(m.learnt(front.router, self.out(), now, at))
+            return m.encode(m.capture(front.router, self.out(), now, at))
         except Exception:  # what operators asked for must get over, whatever the beliefs are like
             front.loop.fault("what was learnt")
-            return m.encode(m.Memory(at - 2 * m.OLD_MS, sorted(self.out())))
+            return m.encode(m.LearnedState(at - 2 * m.MAX_AGE_MS, sorted(self.out())))
 
     # --- as the new process ---------------------------------------------------------------------
 
     def _from_before(self, message: h.Message, carried: socket.socket | None) -> None:
-        if isinstance(message, h.Part):
+        if isinstance(message, h.Chunk):
             self._rest += message.data
-        elif isinstance(message, h.Kept) and carried is not None:
+        elif isinstance(message, h.ConnectionHandoff) and carried is not None:
             rest, self._rest = bytes(self._rest), bytearray()
             self.front.port.adopt(self._handed(message, carried, rest))
-        elif isinstance(message, h.Told):
+        elif isinstance(message, h.OperatorCommand):
             self._heard(message.path, message.target)
             if self.after is not None:
                 self.after.say(message)
@@ -135,10 +137,10 @@
         elif carried is not None:
             carried.close()
 
-    def _handed(self, kept: h.Kept, sock: socket.socket, unwritten: bytes) -> HandedConnection:
+    def _handed(self, kept: h.ConnectionHandoff, sock: socket.socket, unwritten: bytes) -> HandedConnection:
         return HandedConnection(sock, kept.partial, kept.skip, kept.spoke, unwritten, kept.empty_ms)
 
-    def _before_ended(self, channel: Channel) -> None:
+    def _before_ended(self, channel: HandoffChannel) -> None:
         self.before, self._before_done = None, False
         if not self._ended:
             self.front.log("the process before this one has ended")
@@ -152,21 +154,21 @@
             return
         if self.after is not None:  # it came first and did not get ready: the one that comes now counts
             self.after.close()
-        self.after = Channel(self.front.loop, sock, self._from_after, self._after_ended)
+        self.after = HandoffChannel(self.front.loop, sock, self._from_after, self._after_ended)
 
     def _from_after(self, message: h.Message, carried: socket.socket | None) -> None:
         if isinstance(message, h.Hello):
             self._do(self.giver.hello(message, self.parts.any))
         elif isinstance(message, h.Ready):
             self._do(self.giver.ready())
-        elif isinstance(message, h.Told):
+        elif isinstance(message, h.OperatorCommand):
             self._heard(message.path, message.target)
             if self.before is not None and not self._before_done:
                 self.before.say(message)
         elif isinstance(message, h.Done):
             self._all_came = True
 
-    def _after_ended(self, channel: Channel) -> None:
+    def _after_ended(self, channel: HandoffChannel) -> None:
         if channel is self.after and not self._ended:
             unsent, self.after = channel.take_back(), None
             self._said_done = self._all_came = False
@@ -176,7 +178,7 @@
             else:
                 self.parts.take_back(lambda: self._go_on(what, unsent))
 
-    def _go_on(self, what: h.Do, unsent: list[tuple[h.Message, socket.socket | None]]) -> None:
+    def _go_on(self, what: h.HandoffAction, unsent: list[tuple[h.Message, socket.socket | None]]) -> None:
         """Without the other process, as before it came."""
         self._do(what)
         self.front.port.accept(True)
@@ -189,49 +191,49 @@
     def _adopt_again(self, unsent: list[tuple[h.Message, socket.socket | None]]) -> None:
         rest = bytearray()
         for message, carried in unsent:
-            if isinstance(message, h.Part):
+            if isinstance(message, h.Chunk):
                 rest += message.data
-            elif isinstance(message, h.Kept):
+            elif isinstance(message, h.ConnectionHandoff):
                 self.front.port.adopt(self._handed(message, carried, bytes(rest)))
                 rest.clear()
             elif carried is not None:
                 carried.close()
 
-    def _do(self, what: h.Do) -> None:
+    def _do(self, what: h.HandoffAction) -> None:
         front, after = self.front, self.after  # it may end with any word
-        if what is h.Do.TELL_ALL:
+        if what is h.HandoffAction.TELL_ALL:
             front.log("another process is about to take this one's place")
             self._share()
             self._tell_all()
-        elif what is h.Do.LET_GO:
+        elif what is h.HandoffAction.LET_GO:
             front.log("another process is about to take this one's place")
             self._share()
             self.parts.let_go(self._tell_all)
-        elif what is h.Do.TURN_AWAY:
-            after.say(h.No("another version, another address, or leaving"))
+        elif what is h.HandoffAction.TURN_AWAY:
+            after.say(h.Rejected("another version, another address, or leaving"))
             after.close()
-        elif what is h.Do.STOP_ACCEPTING:
+        elif what is h.HandoffAction.STOP_ACCEPTING:
             front.log("another process has taken this one's place")
             front.port.accept(False)
             front.port.ready = True  # who asks on a kept connection asks for the other process, too
             self._close_door()  # the other has one of its own
             self._look()
-        elif what is h.Do.ACCEPT_AGAIN:
+        elif what is h.HandoffAction.ACCEPT_AGAIN:
             front.log("the process that took this one's place has ended: accepting again")
             if not self.giver.leaving:  # the place may be a third process's by now
                 self._open()
-        elif what is h.Do.PAUSE:
+        elif what is h.HandoffAction.PAUSE:
             front.port.pause(True)
 
     def _tell_all(self) -> None:
         channel = self.after
-        for part in h.parts(self._learnt()):
+        for part in h.chunks(self._learnt()):
             channel.say(part)
-        channel.say(h.Door(), self.front.port.listener.dup())
+        channel.say(h.ListenerHandoff(), self.front.port.listener.dup())
         if not self.parts.here:
-            self.front.loop.wheel.after(h.READY_MOST_MS, lambda: self._not_ready(channel))
+            self.front.loop.wheel.after(h.READY_TIMEOUT_MS, lambda: self._not_ready(channel))
 
-    def _not_ready(self, channel: Channel) -> None:
+    def _not_ready(self, channel: HandoffChannel) -> None:
         """Guards the clients, which nobody reads, against a new process that stands still: without the
         channel it finds the disks and addresses taken, or this one does and ends."""
         if channel is self.after and not self.giver.gives:
@@ -261,16 +263,18 @@
             return
         # First: a fault in this look must not be the end of all, with clients that nobody reads.
         self._looking = True
-        self.front.loop.wheel.after(LOOK_MS, self._look_again)
+        self.front.loop.wheel.after(TICK_INTERVAL_MS, self._look_again)
         now = monotonic_ms()
-        if self.after.stuck_ms(now) > h.STUCK_MS:
+        if self.after.stuck_ms(now) > h.STALL_TIMEOUT_MS:
             self.front.log("the process that took this one's place stands still")
             self.after.close()
             return
         self._do(self.giver.look(now))
         self._give()
         to_come = self.before is not None and self.giver.awaits(now)
-        if self.giver.phase is h.Phase.ENDING and not (to_come or self.front.port.clients or self._said_done):
+        if self.giver.phase is h.HandoffPhase.ENDING and not (
+            to_come or self.front.port.clients or self._said_done
+        ):
             self._said_done = True
             self.after.say(h.Done())
 
@@ -282,16 +286,19 @@
         given, after = 0, self.after
         for client in list(self.front.port.clients):
             connection = client.connection
-            if connection.finishing or connection.closed or given == GIVE_MOST:
+            if connection.finishing or connection.closed or given == MAX_HANDOFFS_PER_TICK:
                 continue
             if self.giver.may_give(bool(client.open), bool(connection.waiting_bytes)):
                 handed = self.front.port.give(client)
-                for part in h.parts(handed.unwritten):
+                for part in h.chunks(handed.unwritten):
                     after.say(part)
                 if after.closed:  # it ended just now, and this one was not among what came back
                     self.front.port.adopt(handed)
                     return
-                after.say(h.Kept(handed.partial, handed.skip, handed.spoke, handed.empty_ms), handed.sock)
+                after.say(
+                    h.ConnectionHandoff(handed.partial, handed.skip, handed.spoke, handed.empty_ms),
+                    handed.sock,
+                )
                 given += 1
 
     def close(self) -> None:
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -2,33 +2,40 @@
 
 from fawnwharf import interface as io
 from fawnwharf.admin import drain
-from fawnwharf.admin.desk import BringBack, Desk, Effect, Resume, StandBy, TakeOut
-from fawnwharf.admin.http import Answer, Asked
-from fawnwharf.admin.port import ControlPort
-from fawnwharf.admin.replacement import Inherited, Replacement
+from fawnwharf.admin.desk import (
+    CommandHandler,
+    Effect,
+    EnterMaintenance,
+    EnterStandby,
+    ExitMaintenance,
+    ExitStandby,
+)
+from fawnwharf.admin.http import AdminRequest, AdminResponse
+from fawnwharf.admin.port import AdminListener
+from fawnwharf.admin.replacement import HotRestart, InheritedState
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.roster_overlay import Closer
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-TIDY_MS = 250.0
+TIDY_INTERVAL_MS = 250.0
 CLOSER = LIMIT = "operators"
 
 
-class Operators:
+class AdminService:
     """Owns the second address, and carries out what is asked there."""
 
-    def __init__(self, front: FrontEnd, address: Address, inherited: Inherited | None = None) -> None:
+    def __init__(self, front: FrontEnd, address: Address, inherited: InheritedState | None = None) -> None:
         """Raises ConfigError where the address can't be listened on. `inherited`: from the process before."""
         self.front = front
-        self.desk = Desk(lambda id: id in front.overlay.members)
+        self.desk = CommandHandler(lambda id: id in front.overlay.members)
         try:
-            self.port = ControlPort(front.loop, address, front.deployment.sockets, self.take)
+            self.port = AdminListener(front.loop, address, front.deployment.sockets, self.take)
         except OSError as error:
             raise ConfigError(f"control: {error.strerror}: {address}") from None
         self._draining_ms: float | None = None
         self._refusing = False
-        self.replacement = Replacement(front, inherited or Inherited(), self._heard)
+        self.replacement = HotRestart(front, inherited or InheritedState(), self._heard)
         self.replacement.out = lambda: self.desk.out
         self._memory = self.replacement.remembered()
         if self._memory is not None and self._memory.out:
@@ -45,20 +52,22 @@
             self.replacement.tell("/maintenance/enter" if id in self.desk.out else "/maintenance/exit", id)
         self._memory = None
 
-    def take(self, asked: Asked) -> Answer:
+    def take(self, asked: AdminRequest) -> AdminResponse:
         """Take an operator's call that was made here."""
         answer, effect = self._take(asked)
         if effect is not None:
-            self.replacement.tell(asked.path, effect.id if isinstance(effect, TakeOut | BringBack) else "")
+            self.replacement.tell(
+                asked.path, effect.id if isinstance(effect, EnterMaintenance | ExitMaintenance) else ""
+            )
         return answer
 
     def _heard(self, path: str, target: str) -> None:
         """Take one that was made at the other process's address. Its drain is the other's own, once that has
         the clients."""
         if not self.replaced or target:
-            self._take(Asked("POST", path, (("target", target),) if target else ()))
+            self._take(AdminRequest("POST", path, (("target", target),) if target else ()))
 
-    def _take(self, asked: Asked) -> tuple[Answer, Effect | None]:
+    def _take(self, asked: AdminRequest) -> tuple[AdminResponse, Effect | None]:
         waits = bool(self.front.port.waits_for)
         self.desk.serving, self.desk.leaving = self.front.started and not waits, self.front.leaving
         answer, effect = self.desk.take(asked)
@@ -73,18 +82,18 @@
         return lambda member: member.id in out
 
     def _carry_out(self, effect: Effect) -> None:
-        if isinstance(effect, TakeOut | BringBack):
+        if isinstance(effect, EnterMaintenance | ExitMaintenance):
             changes = self.front.overlay.close(CLOSER, self._closer())
-            if isinstance(effect, BringBack):
+            if isinstance(effect, ExitMaintenance):
                 changes = self.front.overlay.returned([effect.id], self.front.loop.clock.now_ms())
             self.front.go_by(changes)
             self.replacement.remember()
         elif self.replaced:
             return  # the other process was told
-        elif isinstance(effect, StandBy):
+        elif isinstance(effect, EnterStandby):
             self._draining_ms = monotonic_ms()
             self._look()
-        elif isinstance(effect, Resume):
+        elif isinstance(effect, ExitStandby):
             self._draining_ms = None
             self._refuse(False)
         self.front.port.ready = self.ready
@@ -114,14 +123,16 @@
     def _look(self) -> None:
         if self._draining_ms is None or self.front.leaving:
             return
-        self.front.loop.wheel.after(drain.LOOK_MS, self._look)  # first: a fault must not be the last look
+        self.front.loop.wheel.after(
+            drain.TICK_INTERVAL_MS, self._look
+        )  # first: a fault must not be the last look
         if self.replaced:  # its connections are the other's, which is ready: none is ended or refused
             self._refuse(False)
             return
-        step = drain.step(monotonic_ms() - self._draining_ms)
-        if step >= drain.Step.EMPTYING:
+        step = drain.drain_step(monotonic_ms() - self._draining_ms)
+        if step >= drain.DrainStep.EMPTYING:
             self.front.port.end_idle()
-        self._refuse(step >= drain.Step.REFUSING)
+        self._refuse(step >= drain.DrainStep.REFUSING)
 
     def _refuse(self, on: bool) -> None:
         if on != self._refusing:
@@ -131,7 +142,7 @@
     # --- now and then ---------------------------------------------------------------------------
 
     def _tidy(self) -> None:
-        self.front.loop.wheel.after(TIDY_MS, self._tidy)  # first: a fault must not be the last look
+        self.front.loop.wheel.after(TIDY_INTERVAL_MS, self._tidy)  # first: a fault must not be the last look
         self.port.tidy()
 
     def close(self) -> None:
--- a/fawnwharf/durable_store/reading.py
+++ b/fawnwharf/durable_store/reading.py
@@ -166,8 +166,8 @@
 def older(found: Found, heard: Iterable[Sign]) -> str:
     """Why the folder is an older copy by what others had heard of it; empty where they know nothing later."""
     mine = found.sign
-    records_after = [sign for sign in heard if sign.mark == mine.mark]
-    last = max(records_after, key=lambda sign: (sign.life, sign.number), default=mine)
+    later = [sign for sign in heard if sign.mark == mine.mark]
+    last = max(later, key=lambda sign: (sign.life, sign.number), default=mine)
     if (last.life, last.number) <= (mine.life, mine.number):
         return ""
     return (
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -99,18 +99,18 @@
     makers = _makers(deployment, files, fresh)
     inherited = None
     if deployment.control:
-        from fawnwharf.admin.replacement import inherit
+        from fawnwharf.admin.replacement import inherit_state
 
-        inherited = inherit(deployment, bool(makers))  # first: the process before may have their disks
+        inherited = inherit_state(deployment, bool(makers))  # first: the process before may have their disks
     seam = Seams(makers, not (inherited and inherited.channel)) if makers else None
     listener = (inherited and inherited.listener) or _listener(deployment)
     front = FrontEnd(deployment, reread=lambda: config.load(path), seam=seam, listener=listener)
     if seam:
         seam.attach(front)
     if deployment.control:
-        from fawnwharf.admin.service import Operators
+        from fawnwharf.admin.service import AdminService
 
-        Operators(front, deployment.control, inherited)
+        AdminService(front, deployment.control, inherited)
     return front
 
 
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -102,7 +102,7 @@
     ),
     "migration/message": converted(migrations.Message),
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
-    "successor/memory": packed(beliefs.Memory),
+    "successor/memory": packed(beliefs.LearnedState),
     "recovery/register": Boundary(
         recovery_register.Register, lambda data: recovery_register.register_from(data.decode()),
         lambda value: value.encode().encode(),
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -13,7 +13,7 @@
 
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import memory as beliefs
-from fawnwharf.admin.channel import Place
+from fawnwharf.admin.channel import HandoffDirectory
 from fawnwharf.cli import app
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import records
@@ -266,10 +266,10 @@
 
 def test_the_memory_of_a_process_has_its_recorded_framing():
     """Magic, length and checksum before the msgpack; and its file's name."""
-    data = beliefs.encode(beliefs.Memory(1.5, ["s-1"]))
+    data = beliefs.encode(beliefs.LearnedState(1.5, ["s-1"]))
     assert data[:6] == b"fwmem\x01" and data[:14].hex() == "66776d656d010000009e64f90acf"
-    assert beliefs.decode(data) == beliefs.Memory(1.5, ["s-1"])
-    place = Place("folder", "fe-1", ("127.0.0.1", 7000))
+    assert beliefs.decode(data) == beliefs.LearnedState(1.5, ["s-1"])
+    place = HandoffDirectory("folder", "fe-1", ("127.0.0.1", 7000))
     assert (place.socket.name, place.file.name) == ("fw-5b801ba12a0b.sock", "fw-5b801ba12a0b.mem")
 
 
--- a/tests/test_accord_disk.py
+++ b/tests/test_accord_disk.py
@@ -35,7 +35,7 @@
 def test_a_file_cut_at_any_byte_gives_back_one_of_the_states_that_were_saved(tmp_path):
     made = filled(tmp_path)
     data = made.path.read_bytes()
-    label_end = len(disks.encode(0, made.label))
+    label_end = len(disks.encode_record(0, made.label))
     states = [m.PersistentState(), saved(1), saved(2), saved(3)]
     seen = []
     for size in range(label_end, len(data) + 1):
@@ -44,14 +44,14 @@
         seen.append(states.index(disk.saved))
         disk.save(saved(9))  # and it goes on from there
         disk.close()
-        assert len(disks.records(made.path.read_bytes())[0]) == seen[-1] + 2
+        assert len(disks.scan_records(made.path.read_bytes())[0]) == seen[-1] + 2
     assert seen == sorted(seen) and set(seen) == {0, 1, 2, 3}
 
 
 def test_damage_before_whole_records_is_refused_and_left_as_it_is(tmp_path):
     made = filled(tmp_path)
     data = bytearray(made.path.read_bytes())
-    middle = len(disks.encode(0, made.label)) + 30
+    middle = len(disks.encode_record(0, made.label)) + 30
     data[middle] ^= 1
     made.path.write_bytes(data)
     with pytest.raises(DiskError, match="damaged at byte"):
@@ -65,7 +65,7 @@
         with pytest.raises(DiskError, match=why):
             VoterStore(tmp_path, fleet, name)
     label = disks.DiskIdentity(9, "fleet", "a", "00000000")
-    (tmp_path / "voter.log").write_bytes(disks.encode(0, label))
+    (tmp_path / "voter.log").write_bytes(disks.encode_record(0, label))
     with pytest.raises(DiskError, match="version 9"):
         VoterStore(tmp_path, "fleet", "a")
 
--- a/tests/test_disk_faults_kept.py
+++ b/tests/test_disk_faults_kept.py
@@ -8,7 +8,7 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.admin.channel import Place
+from fawnwharf.admin.channel import HandoffDirectory
 from fawnwharf.policy_rollout import keeping
 
 ENDS = {
@@ -66,7 +66,7 @@
 
 
 def test_what_was_learnt_stays_as_it_was_where_the_new_file_has_no_room_or_no_name(tmp_path, monkeypatch):
-    place = Place(str(tmp_path), "front", ("127.0.0.1", 1))
+    place = HandoffDirectory(str(tmp_path), "front", ("127.0.0.1", 1))
     place.write(b"before")
     faults = FileFaults(tmp_path)
     with faults.installed():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,9 +15,9 @@
 from fawnwharf.admin import channel, service
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import memory as m
-from fawnwharf.admin.handoff_messages import Do, Phase
-from fawnwharf.admin.http import Asked
-from fawnwharf.admin.replacement import Inherited, Replacement
+from fawnwharf.admin.handoff_messages import HandoffAction, HandoffPhase
+from fawnwharf.admin.http import AdminRequest
+from fawnwharf.admin.replacement import HotRestart, InheritedState
 from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.loop import Loop
 
@@ -41,35 +41,37 @@
 
 
 N, ALL, AWAY, STOP, AGAIN, PAUSE = (
-    Do.NOTHING, Do.TELL_ALL, Do.TURN_AWAY, Do.STOP_ACCEPTING, Do.ACCEPT_AGAIN, Do.PAUSE,
+    HandoffAction.NOTHING, HandoffAction.TELL_ALL, HandoffAction.TURN_AWAY,
+    HandoffAction.STOP_ACCEPTING, HandoffAction.ACCEPT_AGAIN, HandoffAction.PAUSE,
 )  # fmt: skip
 GIVER = [
-    ("asked", "hello", [ALL], Phase.ASKED),
-    ("given", "hello ready", [ALL, STOP], Phase.GIVEN),
-    ("ready without a hello", "ready", [N], Phase.ALONE),
-    ("ready twice", "hello ready ready", [ALL, STOP, N], Phase.GIVEN),
-    ("asked twice", "hello hello ready hello", [ALL, AWAY, STOP, AWAY], Phase.GIVEN),
-    ("another version", "newer", [AWAY], Phase.ALONE),
-    ("another address", "other", [AWAY], Phase.ALONE),
-    ("one that leaves gives nothing new", "leave@0 hello", [None, AWAY], Phase.ALONE),
-    ("told to end", "hello ready leave@0 look@399", [ALL, STOP, None, N], Phase.ENDING),
-    ("paused once", "hello ready leave@0 look@400 look@500", [ALL, STOP, None, PAUSE, N], Phase.ENDING),
-    ("told to end before it was ready", "hello leave@0 ready", [ALL, None, STOP], Phase.ENDING),
-    ("no pause while nobody asked it to end", "hello ready look@9999", [ALL, STOP, N], Phase.GIVEN),
-    ("lost before it was ready", "hello lost", [ALL, N], Phase.ALONE),
-    ("lost after", "hello ready lost", [ALL, STOP, AGAIN], Phase.ALONE),
+    ("asked", "hello", [ALL], HandoffPhase.ASKED),
+    ("given", "hello ready", [ALL, STOP], HandoffPhase.GIVEN),
+    ("ready without a hello", "ready", [N], HandoffPhase.ALONE),
+    ("ready twice", "hello ready ready", [ALL, STOP, N], HandoffPhase.GIVEN),
+    ("asked twice", "hello hello ready hello", [ALL, AWAY, STOP, AWAY], HandoffPhase.GIVEN),
+    ("another version", "newer", [AWAY], HandoffPhase.ALONE),
+    ("another address", "other", [AWAY], HandoffPhase.ALONE),
+    ("one that leaves gives nothing new", "leave@0 hello", [None, AWAY], HandoffPhase.ALONE),
+    ("told to end", "hello ready leave@0 look@399", [ALL, STOP, None, N], HandoffPhase.ENDING),
+    ("paused once", "hello ready leave@0 look@400 look@500", [ALL, STOP, None, PAUSE, N],
+     HandoffPhase.ENDING),
+    ("told to end before it was ready", "hello leave@0 ready", [ALL, None, STOP], HandoffPhase.ENDING),
+    ("no pause while nobody asked it to end", "hello ready look@9999", [ALL, STOP, N], HandoffPhase.GIVEN),
+    ("lost before it was ready", "hello lost", [ALL, N], HandoffPhase.ALONE),
+    ("lost after", "hello ready lost", [ALL, STOP, AGAIN], HandoffPhase.ALONE),
     ("lost at the end", "hello ready leave@0 look@400 lost look@500", [ALL, STOP, None, PAUSE, AGAIN, N],
-     Phase.ALONE),
-    ("and the next", "hello ready lost hello ready", [ALL, STOP, AGAIN, ALL, STOP], Phase.GIVEN),
+     HandoffPhase.ALONE),
+    ("and the next", "hello ready lost hello ready", [ALL, STOP, AGAIN, ALL, STOP], HandoffPhase.GIVEN),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(("words", "wanted", "phase"), [c[1:] for c in GIVER], ids=[c[0] for c in GIVER])
 def test_what_follows_for_the_old_process(words, wanted, phase):
-    giver = h.Giver(HERE)
+    giver = h.HandoffSource(HERE)
     assert [do(giver, word) for word in words.split()] == wanted
     assert giver.phase is phase
-    assert giver.gives == (phase in (Phase.GIVEN, Phase.ENDING))
+    assert giver.gives == (phase in (HandoffPhase.GIVEN, HandoffPhase.ENDING))
 
 
 MAY = [
@@ -83,7 +85,7 @@
 
 @pytest.mark.parametrize(("words", "wanted"), MAY, ids=[case[0] for case in MAY])
 def test_a_connection_goes_over_with_nothing_open_and_what_is_unwritten_at_the_end_only(words, wanted):
-    giver = h.Giver(HERE)
+    giver = h.HandoffSource(HERE)
     for word in words.split():
         do(giver, word)
     found = [giver.may_give(*case) for case in ((False, False), (False, True), (True, False), (True, True))]
@@ -91,19 +93,23 @@
 
 
 def test_one_that_ends_awaits_the_process_before_it_for_a_while():
-    giver = h.Giver(HERE)
+    giver = h.HandoffSource(HERE)
     for word in ("hello", "ready"):
         do(giver, word)
     assert not giver.awaits(0.0)
     giver.leave(0.0)
-    assert [giver.awaits(at) for at in (0.0, h.AWAIT_MS - 1, h.AWAIT_MS)] == [True, True, False]
+    assert [giver.awaits(at) for at in (0.0, h.PREDECESSOR_TIMEOUT_MS - 1, h.PREDECESSOR_TIMEOUT_MS)] == [
+        True,
+        True,
+        False,
+    ]
 
 
 @given(
     st.lists(st.sampled_from(["hello", "newer", "other", "ready", "lost", "leave@0", "look@1", "look@999"]))
 )
 def test_whatever_comes_in_whatever_order_it_accepts_exactly_while_it_does_not_give(words):
-    giver, accepts = h.Giver(HERE), True
+    giver, accepts = h.HandoffSource(HERE), True
     for word in words:
         what = do(giver, word)
         accepts = accepts if what not in (STOP, AGAIN) else what is AGAIN
@@ -113,9 +119,9 @@
 @given(st.binary(max_size=300_000))
 @settings(max_examples=20)
 def test_parts_make_the_whole_again(data):
-    found = [h.decode(h.encode(part)) for part in h.parts(data)]
+    found = [h.decode(h.encode(part)) for part in h.chunks(data)]
     assert b"".join(part.data for part in found) == data
-    assert all(len(h.encode(part)) < channel.MESSAGE_MOST for part in found)
+    assert all(len(h.encode(part)) < channel.MAX_MESSAGE_BYTES for part in found)
 
 
 @given(st.binary(max_size=200))
@@ -153,10 +159,10 @@
 @pytest.mark.parametrize("later", [0.0, 700.0])
 def test_what_was_learnt_is_the_same_in_the_next_process_whose_clock_is_another(later):
     drive = used()
-    told = m.decode(m.encode(m.learnt(drive.router, {"s-2", "s-1"}, drive.now, 5_000.0)))
+    told = m.decode(m.encode(m.capture(drive.router, {"s-2", "s-1"}, drive.now, 5_000.0)))
     other = Drive(workers=4).router
     m.restore(other, told, 123_456.0 + later, 5_000.0 + later)
-    again = m.learnt(other, set(told.out), 123_456.0, 5_000.0)
+    again = m.capture(other, set(told.out), 123_456.0, 5_000.0)
     assert told.out == ["s-1", "s-2"] and len(told.functions) == 3 and any(f.places for f in told.functions)
     told.scorers.sort(key=lambda s: s.worker)
     again.scorers.sort(key=lambda s: s.worker)
@@ -165,7 +171,7 @@
 
 def test_scorers_that_the_new_roster_does_not_have_are_left_aside():
     drive = used()
-    told = m.learnt(drive.router, set(), drive.now, 0.0)
+    told = m.capture(drive.router, set(), drive.now, 0.0)
     other = Drive(workers=1).router
     m.restore(other, told, 500.0, 0.0)
     assert {id for fn in other.functions.values() for id in fn.instances} <= {1}
@@ -173,7 +179,7 @@
 
 @given(at=st.integers(0, 400), bit=st.integers(0, 7), cut=st.booleans())
 def test_a_memory_that_was_changed_anywhere_is_none(at, bit, cut):
-    data = bytearray(m.encode(m.Memory(1.0, ["s-1"], taken=[1.0] * 50)))
+    data = bytearray(m.encode(m.LearnedState(1.0, ["s-1"], taken=[1.0] * 50)))
     at %= len(data)
     if cut:
         del data[at:]
@@ -184,7 +190,7 @@
 
 @pytest.mark.parametrize(("age", "wanted"), [(0.0, True), (20_000.0, True), (20_001.0, False), (-1.0, False)])
 def test_beliefs_of_another_time_are_left_aside_and_so_are_those_of_another_boot(age, wanted):
-    assert m.fresh(m.Memory(50_000.0, []), 50_000.0 + age) is wanted
+    assert m.is_fresh(m.LearnedState(50_000.0, []), 50_000.0 + age) is wanted
 
 
 # --- ways it may break, with real sockets in this thread --------------------------------------------------
@@ -194,8 +200,8 @@
 def rig():
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
-        place = channel.Place(folder, "", made.front.address)
-        made.operators = service.Operators(made.front, ("127.0.0.1", 0), Inherited(place))
+        place = channel.HandoffDirectory(folder, "", made.front.address)
+        made.operators = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
         made.operators.begin()
         made.peers = []
         yield made
@@ -222,7 +228,7 @@
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     rig.peers.append(far)
     talk = rig.operators.replacement
-    talk.before = channel.Channel(rig.front.loop, near, talk._from_before, talk._before_ended)
+    talk.before = channel.HandoffChannel(rig.front.loop, near, talk._from_before, talk._before_ended)
     far.setblocking(False)
     return far
 
@@ -251,7 +257,7 @@
 
     with (
         mock.patch.object(rig.front.port, "give", broken),
-        mock.patch.object(h, "parts", lambda data: [h.Part(b"")]),
+        mock.patch.object(h, "chunks", lambda data: [h.Chunk(b"")]),
     ):
         rig.until(lambda: held not in rig.front.port.clients, "it was given, and came back")
     rig.until(lambda: client.answers, "its answer is there")
@@ -276,23 +282,30 @@
     loop = Loop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     back = []
-    talk = channel.Channel(loop, near, mock.Mock(), lambda end: back.extend(end.take_back()))
+    talk = channel.HandoffChannel(loop, near, mock.Mock(), lambda end: back.extend(end.take_back()))
     data = os.urandom(900_000)
-    for part in [*h.parts(b"sent" * 20), h.Kept(), *h.parts(data), h.Kept(b"half")]:
+    for part in [
+        *h.chunks(b"sent" * 20),
+        h.ConnectionHandoff(),
+        *h.chunks(data),
+        h.ConnectionHandoff(b"half"),
+    ]:
         talk.say(part)
     assert talk.unsent
     far.close()
     loop.turn(1.0)
-    assert b"".join(message.data for message, _ in back[:-1]) == data and back[-1][0] == h.Kept(b"half")
+    assert b"".join(message.data for message, _ in back[:-1]) == data and back[-1][0] == h.ConnectionHandoff(
+        b"half"
+    )
     loop.close()
 
 
 def test_too_many_descriptors_on_their_way_are_waited_for():
     loop = Loop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    talk = channel.Channel(loop, near, mock.Mock(), mock.Mock())
+    talk = channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
     with mock.patch.object(channel, "send", side_effect=OSError(109, "too many references")):
-        talk.say(h.Kept(), near.dup())
+        talk.say(h.ConnectionHandoff(), near.dup())
     assert talk.unsent and not talk.closed
     loop.turn(1.0)
     assert not talk.unsent and channel.receive(far)[1] is not None
@@ -305,7 +318,7 @@
     oldest, newest = before(rig), taker(rig)
     messages(newest)
     for sock, other in ((newest, oldest), (oldest, newest)):
-        told = h.Told("/maintenance/enter", "s-1")
+        told = h.OperatorCommand("/maintenance/enter", "s-1")
         channel.send(sock, h.encode(told), None)
         found = []
         rig.until(lambda: found.extend(messages(other)) or told in found, "it is passed on")  # noqa: B023
@@ -323,7 +336,7 @@
     oldest.close()
     rig.until(lambda: said.extend(messages(newest)) or h.Done() in said, "it has given everything")
     assert rig.operators.busy  # until the other says that all has come
-    channel.send(newest, h.encode(h.Told("/maintenance/enter", "s-1")), None)
+    channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
     channel.send(newest, h.encode(h.Done()), None)
     rig.until(lambda: not rig.operators.busy, "it may end, with nothing unread")
     assert rig.operators.desk.out == {"s-1"}
@@ -345,7 +358,7 @@
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs")
-    rig.operators.take(Asked("POST", "/standby"))
+    rig.operators.take(AdminRequest("POST", "/standby"))
     taker(rig)
     over = []
     rig.front.loop.wheel.after(1_300.0, lambda: over.append(1))
@@ -356,9 +369,9 @@
 
 
 def test_a_call_that_comes_before_the_other_process_can_be_told_reaches_it_all_the_same(rig):
-    other = service.Operators(rig.front, ("127.0.0.1", 0))
-    other.take(Asked("POST", "/maintenance/enter", (("target", "s-1"),)))
-    with mock.patch.object(Replacement, "tell") as tell:
+    other = service.AdminService(rig.front, ("127.0.0.1", 0))
+    other.take(AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),)))
+    with mock.patch.object(HotRestart, "tell") as tell:
         other.begin()
     tell.assert_called_once_with("/maintenance/enter", "s-1")
     other.port.close()
@@ -369,7 +382,7 @@
     replacement = rig.operators.replacement
     replacement.remember()
     assert replacement.place.read()
-    door = channel.Door(rig.front.loop, replacement.place, mock.Mock())
+    door = channel.HandoffListener(rig.front.loop, replacement.place, mock.Mock())
     replacement.place.write(b"newer")
     replacement.remember()
     assert replacement.place.read() == b"newer"
@@ -378,7 +391,7 @@
 
 def test_one_that_ends_and_loses_the_next_leaves_the_meeting_place_to_whoever_has_it(rig):
     sock = taker(rig)
-    door = channel.Door(rig.front.loop, rig.operators.replacement.place, mock.Mock())
+    door = channel.HandoffListener(rig.front.loop, rig.operators.replacement.place, mock.Mock())
     rig.operators.leave()
     sock.close()
     rig.until(lambda: not rig.operators.replaced, "it serves on by itself")
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -11,9 +11,9 @@
 
 from fawnwharf.admin import channel, service
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin.http import Asked
-from fawnwharf.admin.parts import Parts, Where
-from fawnwharf.admin.replacement import Inherited
+from fawnwharf.admin.http import AdminRequest
+from fawnwharf.admin.parts import ExclusiveExtensions, ExtensionState
+from fawnwharf.admin.replacement import InheritedState
 from fawnwharf.config import ConfigError
 from fawnwharf.net import graceful_shutdown
 
@@ -22,8 +22,8 @@
 def rig():
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
-        place = channel.Place(folder, "", made.front.address)
-        made.operators = service.Operators(made.front, ("127.0.0.1", 0), Inherited(place))
+        place = channel.HandoffDirectory(folder, "", made.front.address)
+        made.operators = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
         made.operators.begin()
         made.peers = []
         yield made
@@ -78,7 +78,7 @@
         rig.scorers[0].answer(rig.scorers[0].runs[0])
         rig.until(lambda: client.answers and not rig.front.port.clients, "its connection is on its way")
         assert talk.unsent and not talk.closed
-        talk._moved_ms -= h.STUCK_MS
+        talk._moved_ms -= h.STALL_TIMEOUT_MS
         rig.until(lambda: not rig.operators.replaced, "it goes on by itself")
     assert rig.front.port.clients and good(rig, client) is True
     assert not ready(sock, 0.0) or channel.receive(sock)
@@ -94,8 +94,8 @@
 
 
 def test_a_fault_in_a_look_at_a_drain_or_in_tidying_is_not_the_last_one(rig):
-    rig.operators.take(Asked("POST", "/standby"))
-    with mock.patch.object(service.drain, "step", side_effect=RuntimeError("planted")) as step:
+    rig.operators.take(AdminRequest("POST", "/standby"))
+    with mock.patch.object(service.drain, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "it looks again")
     with mock.patch.object(rig.operators.port, "tidy", side_effect=RuntimeError("planted")) as tidy:
         rig.until(lambda: tidy.call_count >= 2, "it tidies again")
@@ -107,10 +107,10 @@
     seam.release.side_effect = RuntimeError("planted")
     seam.take_back.side_effect = [fault, None]
     rig.front._seam = seam
-    parts, steps = Parts(rig.front), []
+    parts, steps = ExclusiveExtensions(rig.front), []
     parts.let_go(lambda: steps.append("away"))
     rig.until(lambda: steps, "they are let go of")
-    assert parts.where is Where.AWAY
+    assert parts.where is ExtensionState.AWAY
     parts.take_back(lambda: steps.append("here"))
     rig.until(lambda: parts.here, "they are back")
     assert steps == ["away", "here"]
@@ -118,7 +118,7 @@
 
 
 def test_an_answer_in_drops_is_not_waited_for_longer_than_one_that_does_not_come(tmp_path):
-    place, now = channel.Place(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
+    place, now = channel.HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as door:
         with place.short() as address:
             door.bind(address)
@@ -127,14 +127,14 @@
         def drop(_sock):
             now[0] += 1_000.0  # each part comes in time by itself
             assert now[0] < 1e5, "it waits for as long as parts come"
-            return h.Part(b"x"), None
+            return h.Chunk(b"x"), None
 
         with (
             mock.patch.object(channel, "monotonic_ms", lambda: now[0]),
             mock.patch.object(channel, "receive", drop),
         ):
-            assert channel.ask(place, ("127.0.0.1", 1)) is None
-    assert now[0] <= 1e3 * h.ANSWER_S + 1_000.0
+            assert channel.request_handoff(place, ("127.0.0.1", 1)) is None
+    assert now[0] <= 1e3 * h.ANSWER_TIMEOUT_S + 1_000.0
 
 
 def test_told_to_end_before_it_takes_the_place_it_leaves_the_place_alone():
@@ -153,7 +153,7 @@
             sock.settimeout(PATIENCE_S)
             assert isinstance(channel.receive(sock)[0], h.Hello)
             new.signal(signal.SIGTERM)
-            channel.send(sock, h.encode(h.Door()), door)
+            channel.send(sock, h.encode(h.ListenerHandoff()), door)
             assert channel.receive(sock) is None  # no word that it is ready
             sock.close()
             site.until(lambda: new.ended, "it has ended")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,8 +9,8 @@
 from peers import Buffered, ClientPeer, Rig, ScorerPeer
 
 from fawnwharf.admin import drain, port, service
-from fawnwharf.admin.desk import BringBack, Desk, Resume, StandBy, TakeOut
-from fawnwharf.admin.http import Answer, Asked, CallReader, encode
+from fawnwharf.admin.desk import CommandHandler, EnterMaintenance, EnterStandby, ExitMaintenance, ExitStandby
+from fawnwharf.admin.http import AdminRequest, AdminResponse, RequestReader, encode_response
 from fawnwharf.config import ConfigError, Fleet, Member, deployment_from
 from fawnwharf.interface import State
 from fawnwharf.net.front_end import worker_number
@@ -20,19 +20,31 @@
 BODY = b"POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
 
 READS = [
-    ("a call", CALL, Asked("POST", "/maintenance/enter", (("target", "s-1"),))),
-    ("with a body", BODY, Asked("POST", "/standby")),
-    ("escaped", b"GET /status?target=s%2d1 HTTP/1.1\r\n\r\n", Asked("GET", "/status", (("target", "s-1"),))),
-    ("two in a row: the first", CALL + BODY, Asked("POST", "/maintenance/enter", (("target", "s-1"),))),
+    ("a call", CALL, AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),))),
+    ("with a body", BODY, AdminRequest("POST", "/standby")),
+    (
+        "escaped",
+        b"GET /status?target=s%2d1 HTTP/1.1\r\n\r\n",
+        AdminRequest("GET", "/status", (("target", "s-1"),)),
+    ),
+    (
+        "two in a row: the first",
+        CALL + BODY,
+        AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),)),
+    ),
     (
         "doubled",
         b"GET /?target=a&target= HTTP/1.1\r\n\r\n",
-        Asked("GET", "/", (("target", "a"), ("target", ""))),
+        AdminRequest("GET", "/", (("target", "a"), ("target", ""))),
     ),
     ("half a head", CALL[:-2], None),
     ("half a body", BODY[:-1], None),
     ("no HTTP", b"\x00\x00\x00\x10\x80\x01\x00\x01", 400),
-    ("another protocol", b"GET / HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", Asked("GET", "/")),
+    (
+        "another protocol",
+        b"GET / HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n",
+        AdminRequest("GET", "/"),
+    ),
     ("a head without end", b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 2000, 431),
     ("an endless body", b"POST /standby HTTP/1.1\r\nContent-Length: 99999\r\n\r\n" + b"x" * 9000, 431),
 ]
@@ -41,21 +53,21 @@
 @pytest.mark.parametrize(("data", "wanted"), [case[1:] for case in READS], ids=[case[0] for case in READS])
 @pytest.mark.parametrize("piece", [1, 7, 1 << 20])
 def test_a_call_is_read_from_pieces_of_any_size(data, wanted, piece):
-    reader, found = CallReader(), None
+    reader, found = RequestReader(), None
     for at in range(0, len(data), piece):
         found = reader.feed(data[at : at + piece])
-    assert (found.status if isinstance(found, Answer) else found) == wanted
+    assert (found.status if isinstance(found, AdminResponse) else found) == wanted
 
 
 def test_an_answer_is_one_line_whatever_a_caller_wrote():
-    head, body = encode(Answer(404, "no scorer a\r\nb\n")).split(b"\r\n\r\n")
+    head, body = encode_response(AdminResponse(404, "no scorer a\r\nb\n")).split(b"\r\n\r\n")
     assert (
         body == b"no scorer a??b?\n" and b"Content-Length: 16" in head and head.startswith(b"HTTP/1.1 404 ")
     )
 
 
 def asked(path, method="POST", *targets):
-    return Asked(method, path, tuple(("target", target) for target in targets))
+    return AdminRequest(method, path, tuple(("target", target) for target in targets))
 
 
 ENTER, EXIT = "/maintenance/enter", "/maintenance/exit"
@@ -63,14 +75,14 @@
     ("ready", [], asked("/status", "GET"), 200, None),
     ("on standby", [asked("/standby")], asked("/status", "GET"), 503, None),
     ("back", [asked("/standby"), asked("/active")], asked("/status", "GET"), 200, None),
-    ("out", [], asked(ENTER, "POST", "s-1"), 200, TakeOut("s-1")),
+    ("out", [], asked(ENTER, "POST", "s-1"), 200, EnterMaintenance("s-1")),
     ("out twice", [asked(ENTER, "POST", "s-1")], asked(ENTER, "POST", "s-1"), 200, None),
     (
         "two out, one back",
         [asked(ENTER, "POST", "s-1")] * 2,
         asked(EXIT, "POST", "s-1"),
         200,
-        BringBack("s-1"),
+        ExitMaintenance("s-1"),
     ),
     ("back without out", [], asked(EXIT, "POST", "s-1"), 200, None),
     ("nobody's id", [], asked(ENTER, "POST", "s-9"), 404, None),
@@ -78,9 +90,9 @@
     ("no target", [], asked(ENTER), 400, None),
     ("an empty target", [], asked(ENTER, "POST", ""), 400, None),
     ("two targets", [], asked(ENTER, "POST", "s-1", "s-2"), 400, None),
-    ("standby", [], asked("/standby"), 200, StandBy()),
+    ("standby", [], asked("/standby"), 200, EnterStandby()),
     ("standby twice", [asked("/standby")], asked("/standby"), 200, None),
-    ("active", [asked("/standby")], asked("/active"), 200, Resume()),
+    ("active", [asked("/standby")], asked("/active"), 200, ExitStandby()),
     ("active without standby", [], asked("/active"), 200, None),
     ("a wrong method", [], asked("/standby", "GET"), 405, None),
     ("an unknown path", [], asked("/standby/"), 404, None),
@@ -91,7 +103,7 @@
     ("before", "call", "status", "effect"), [c[1:] for c in DESK], ids=[c[0] for c in DESK]
 )
 def test_what_a_call_means(before, call, status, effect):
-    desk = Desk({"s-1", "s-2"}.__contains__, serving=True)
+    desk = CommandHandler({"s-1", "s-2"}.__contains__, serving=True)
     for earlier in before:
         desk.take(earlier)
     answer, found = desk.take(call)
@@ -99,7 +111,7 @@
 
 
 def test_one_that_starts_or_leaves_is_not_ready_and_takes_no_drain():
-    desk = Desk(lambda id: True)
+    desk = CommandHandler(lambda id: True)
     assert desk.take(asked("/status", "GET"))[0].status == 503
     desk.serving = desk.leaving = True
     assert desk.take(asked("/status", "GET"))[0].status == 503
@@ -108,7 +120,7 @@
 
 def test_one_taken_out_that_has_gone_may_be_brought_back_and_then_nobody_has_it():
     known = {"s-1"}
-    desk = Desk(known.__contains__)
+    desk = CommandHandler(known.__contains__)
     desk.take(asked(ENTER, "POST", "s-1"))
     known.clear()
     assert [desk.take(asked(EXIT, "POST", "s-1"))[0].status for _ in range(2)] == [200, 404]
@@ -145,7 +157,7 @@
 
     def __init__(self, *scorers, **more):
         super().__init__(*scorers, **more)
-        self.operators = service.Operators(self.front, ("127.0.0.1", 0))
+        self.operators = service.AdminService(self.front, ("127.0.0.1", 0))
 
     def caller(self):
         self.clients.append(ClientPeer.__new__(ClientPeer))
@@ -176,13 +188,13 @@
 class SecondAddress(Case):
     def test_callers_that_finish_nothing_keep_no_other_from_an_answer_and_end_in_time(self):
         rig = self.rig(ScorerPeer())
-        idle = [rig.caller() for _ in range(port.HELD_MOST)]
+        idle = [rig.caller() for _ in range(port.MAX_CONNECTIONS)]
         for caller in idle[::2]:
             caller.sock.sendall(b"GET /sta")
-        rig.until(lambda: len(rig.operators.port.callers) == port.HELD_MOST, "all are held")
+        rig.until(lambda: len(rig.operators.port.callers) == port.MAX_CONNECTIONS, "all are held")
         self.assertEqual(rig.ask("/status", "GET"), 200)
         self.assertTrue(idle[0].ended or idle[1].ended)  # the oldest gave way
-        with mock.patch.object(port, "UNFINISHED_MS", 50.0):
+        with mock.patch.object(port, "REQUEST_TIMEOUT_MS", 50.0):
             rig.until(lambda: all(caller.ended for caller in idle), "the others are ended in time")
         self.assertIn(b" 408 ", bytes(idle[-2].data))
         rig.until(lambda: not rig.operators.port.callers, "no descriptor is left")
@@ -270,7 +282,7 @@
         client.call()
         rig.until(lambda: scorer.runs, "it runs")
         rig.ask("/standby")
-        rig.after(drain.REFUSE_MS + 50.0)
+        rig.after(drain.REJECT_AFTER_MS + 50.0)
         second = client.call()
         rig.until(lambda: client.answers, "the second is answered at once")
         self.assertEqual(client.kinds(), {second: "throttled"})
@@ -288,7 +300,7 @@
         loads = [f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"]
         for path in ("/active", "/standby", "/standby"):
             self.assertEqual(rig.ask(path), 200)
-        rig.after(drain.REFUSE_MS + 50.0)
+        rig.after(drain.REJECT_AFTER_MS + 50.0)
         client = rig.client()
         self.assertFalse(self.status(rig, client))
         began = time.monotonic()
--- a/tests/test_policy_told.py
+++ b/tests/test_policy_told.py
@@ -255,7 +255,7 @@
     d.count(2, 1)
     d.feed(io.CopiesWanted(2, "g", "safe"))
     d.count(2, 1, "g")
-    told = memory.learnt(d.router, set(), d.now, 0.0)
+    told = memory.capture(d.router, set(), d.now, 0.0)
     other = Drive(idle_life_ms=1e9).router
     memory.restore(other, told, 1000.0, 0.0)
     assert other._copies(other.functions["f"], other.workers[2]) == 1
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -21,7 +21,7 @@
     faults = SystemFaults()
     with faults.installed():
         loop = Loop(lambda now_ms, events: None, lambda line: None)
-        control = port.ControlPort(loop, ("127.0.0.1", 0), 1024, mock.Mock())
+        control = port.AdminListener(loop, ("127.0.0.1", 0), 1024, mock.Mock())
         caller = socket.create_connection(control.address)
         fault = faults.fail("accept", errno.EMFILE, times=2)
         for _ in range(20):
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -78,7 +78,7 @@
 
     def taker(self, site):
         """A new process, played by the test, that was told all."""
-        found = channel.ask(site.place, site.listen.address)
+        found = channel.request_handoff(site.place, site.listen.address)
         self.assertIsNotNone(found, "the old process answers")
         for sock in (found[0], found[2]):
             self.addCleanup(sock.close)
@@ -145,7 +145,7 @@
         sock.settimeout(10.0)
         given = [channel.receive(sock) for _ in range(2)]
         for message, carried in given:
-            self.assertIsInstance(message, h.Kept)
+            self.assertIsInstance(message, h.ConnectionHandoff)
             carried.close()
         waiting = site.caller()  # in the queue of the listener, which nobody accepts from
         waiting.ask()
@@ -247,7 +247,7 @@
     def test_by_each_step(self):
         for name, say in (
             ("before a word", lambda sock: None),
-            ("amid what was learnt", lambda sock: channel.send(sock, h.encode(h.Part(b"x" * 99)), None)),
+            ("amid what was learnt", lambda sock: channel.send(sock, h.encode(h.Chunk(b"x" * 99)), None)),
             ("no message", lambda sock: sock.send(b"\xc1")),
             ("after the listener", self.with_door),
         ):
@@ -265,8 +265,8 @@
             door.setsockopt(channel.socket.SOL_SOCKET, channel.socket.SO_REUSEADDR, 1)
             door.bind(self.site_of_step.listen.address)
             door.listen(16)
-            channel.send(sock, h.encode(h.Part(b"torn")), None)
-            channel.send(sock, h.encode(h.Door()), door)
+            channel.send(sock, h.encode(h.Chunk(b"torn")), None)
+            channel.send(sock, h.encode(h.ListenerHandoff()), door)
 
 
 if __name__ == "__main__":
--- a/tests/test_replacement_overlap.py
+++ b/tests/test_replacement_overlap.py
@@ -177,7 +177,7 @@
         (site.folder / "file").touch()
         deep = site.folder / ("d" * 120) / ("e" * 120)
         deep.mkdir(parents=True)
-        site.place = channel.Place(str(deep), "fe-1", site.listen.address)
+        site.place = channel.HandoffDirectory(str(deep), "fe-1", site.listen.address)
         old = site.start()
         self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
         new = self.replace(site, old)
