--- a/fawnwharf/consensus/voter.py
+++ b/fawnwharf/consensus/voter.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.decided import (
+from fawnwharf.consensus.committed_log import (
     compacted,
     entry_at,
     has_uncommitted_voters,
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment, Fleet
-from fawnwharf.consensus.decided import last_appended
+from fawnwharf.consensus.committed_log import last_appended
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core.asking import Stand, What
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -6,7 +6,7 @@
 import pytest
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.decided import REGISTER_KINDS
+from fawnwharf.consensus.committed_log import REGISTER_KINDS
 from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Role, Timing, Voter, bootstrap
 from fawnwharf.testbed.explore import replace_voters
 
