--- a/fawnwharf/replication/disk.py
+++ b/fawnwharf/replication/disk.py
@@ -17,8 +17,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.disk import DiskError
 from fawnwharf.consensus.records import encode_record, scan_records
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.replication.claims import Claim, Key
 
 VERSION = 1
--- a/fawnwharf/replication/onfile.py
+++ b/fawnwharf/replication/onfile.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fawnwharf.consensus.disk import DiskError
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication.claimant import Go, Out, TurnAway
 from fawnwharf.replication.core import Core
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -9,7 +9,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
-from fawnwharf.consensus.disk import DiskError
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication import messages as m
--- a/fawnwharf/zones/founding.py
+++ b/fawnwharf/zones/founding.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 
 from fawnwharf.config import ConfigError
-from fawnwharf.consensus.disk import DiskError, VoterStore
 from fawnwharf.consensus.voter import bootstrap
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.files import load
 
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
-from fawnwharf.consensus.disk import DiskError, VoterStore
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -13,8 +13,8 @@
 from fawnwharf import config
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import memory as beliefs
-from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import messages as consensus
+from fawnwharf.consensus import voter_store as voter_disk
 from fawnwharf.durable_store import form, ops
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import keeping as policy_file
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -17,7 +17,7 @@
 from compatibility_process import FILES, Front
 
 from fawnwharf.consensus import messages as consensus
-from fawnwharf.consensus.disk import VoterStore
+from fawnwharf.consensus.voter_store import VoterStore
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -8,7 +8,7 @@
 
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
-from fawnwharf.consensus.disk import DiskError, VoterStore
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -15,8 +15,8 @@
 from fawnwharf.admin import memory as beliefs
 from fawnwharf.admin.channel import HandoffDirectory
 from fawnwharf.cli import app
-from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import records
+from fawnwharf.consensus import voter_store as voter_disk
 from fawnwharf.durable_store import folder as durable_folder
 from fawnwharf.durable_store import form
 from fawnwharf.migration import messages as migrations
--- a/tests/test_accord_disk.py
+++ b/tests/test_accord_disk.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from fawnwharf.consensus import disk as disks
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.disk import DiskError, VoterStore
+from fawnwharf.consensus import voter_store as disks
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 
 
 def saved(term):
--- a/tests/test_disk_faults_keeper.py
+++ b/tests/test_disk_faults_keeper.py
@@ -9,7 +9,7 @@
 from cores import Cores
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.consensus.disk import DiskError
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import onfile
 from fawnwharf.replication.claimant import Go, TurnAway
--- a/tests/test_disk_faults_voter.py
+++ b/tests/test_disk_faults_voter.py
@@ -8,9 +8,9 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.consensus import disk as disks
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.disk import DiskError, VoterStore
+from fawnwharf.consensus import voter_store as disks
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 
 SAVES = 8
 REWRITE_BYTES = 900  # a few saves: a run writes its file anew twice
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -12,8 +12,8 @@
 from typer.testing import CliRunner
 
 from fawnwharf.cli import app
-from fawnwharf.consensus.disk import DiskError
 from fawnwharf.consensus.records import leading_records
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store import form as f
 from fawnwharf.durable_store.reading import Sign
--- a/tests/test_replication_faults.py
+++ b/tests/test_replication_faults.py
@@ -5,7 +5,7 @@
 import pytest
 from cores import Cores
 
-from fawnwharf.consensus.disk import DiskError
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claimant import Go
 from fawnwharf.replication.claims import Claim, Phase
