--- a/fawnwharf/admin/channel.py
+++ b/fawnwharf/admin/channel.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin.memory import MAX_BYTES
+from fawnwharf.admin.learned_state import MAX_BYTES
 from fawnwharf.net.loop import READ, WRITE, Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
--- a/fawnwharf/admin/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin import memory as m
+from fawnwharf.admin import learned_state as m
 from fawnwharf.admin.channel import HandoffChannel, HandoffDirectory, HandoffListener, request_handoff
 from fawnwharf.admin.parts import ExclusiveExtensions
 from fawnwharf.config import Deployment
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import config
 from fawnwharf.admin import handoff_messages as successor
-from fawnwharf.admin import memory as beliefs
+from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import voter_store as voter_disk
 from fawnwharf.durable_store import form, ops
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -12,7 +12,7 @@
 from typer.testing import CliRunner
 
 from fawnwharf.admin import handoff_messages as successor
-from fawnwharf.admin import memory as beliefs
+from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.admin.channel import HandoffDirectory
 from fawnwharf.cli import app
 from fawnwharf.consensus import records
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 
 from fawnwharf.admin import channel, service
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin import memory as m
+from fawnwharf.admin import learned_state as m
 from fawnwharf.admin.handoff_messages import HandoffAction, HandoffPhase
 from fawnwharf.admin.http import AdminRequest
 from fawnwharf.admin.replacement import HotRestart, InheritedState
--- a/tests/test_policy_told.py
+++ b/tests/test_policy_told.py
@@ -6,7 +6,7 @@
 from bench import KEYED, SAFE, UNSAFE, Drive, of
 
 from fawnwharf import interface as io
-from fawnwharf.admin import memory
+from fawnwharf.admin import learned_state
 from fawnwharf.interface import Ending, State
 
 LIFE_MS, LOAD_MS = 10_000.0, 500.0
@@ -255,9 +255,9 @@
     d.count(2, 1)
     d.feed(io.CopiesWanted(2, "g", "safe"))
     d.count(2, 1, "g")
-    told = memory.capture(d.router, set(), d.now, 0.0)
+    told = learned_state.capture(d.router, set(), d.now, 0.0)
     other = Drive(idle_life_ms=1e9).router
-    memory.restore(other, told, 1000.0, 0.0)
+    learned_state.restore(other, told, 1000.0, 0.0)
     assert other._copies(other.functions["f"], other.workers[2]) == 1
     for _ in range(61):
         d.now += 1000.0
