--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -2,7 +2,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.admin import drain
-from fawnwharf.admin.desk import (
+from fawnwharf.admin.command_handler import (
     CommandHandler,
     Effect,
     EnterMaintenance,
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,7 +9,13 @@
 from peers import Buffered, ClientPeer, Rig, ScorerPeer
 
 from fawnwharf.admin import drain, port, service
-from fawnwharf.admin.desk import CommandHandler, EnterMaintenance, EnterStandby, ExitMaintenance, ExitStandby
+from fawnwharf.admin.command_handler import (
+    CommandHandler,
+    EnterMaintenance,
+    EnterStandby,
+    ExitMaintenance,
+    ExitStandby,
+)
 from fawnwharf.admin.http import AdminRequest, AdminResponse, RequestReader, encode_response
 from fawnwharf.config import ConfigError, Fleet, Member, deployment_from
 from fawnwharf.interface import State
