--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -10,9 +10,9 @@
     ExitMaintenance,
     ExitStandby,
 )
+from fawnwharf.admin.hot_restart import HotRestart, InheritedState
 from fawnwharf.admin.http import AdminRequest, AdminResponse
 from fawnwharf.admin.port import AdminListener
-from fawnwharf.admin.replacement import HotRestart, InheritedState
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.roster_overlay import Closer
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -99,7 +99,7 @@
     makers = _makers(deployment, files, fresh)
     inherited = None
     if deployment.control:
-        from fawnwharf.admin.replacement import inherit_state
+        from fawnwharf.admin.hot_restart import inherit_state
 
         inherited = inherit_state(deployment, bool(makers))  # first: the process before may have their disks
     seam = Seams(makers, not (inherited and inherited.channel)) if makers else None
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,8 +16,8 @@
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import learned_state as m
 from fawnwharf.admin.handoff_messages import HandoffAction, HandoffPhase
+from fawnwharf.admin.hot_restart import HotRestart, InheritedState
 from fawnwharf.admin.http import AdminRequest
-from fawnwharf.admin.replacement import HotRestart, InheritedState
 from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.loop import Loop
 
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -12,8 +12,8 @@
 from fawnwharf.admin import channel, service
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions, ExtensionState
+from fawnwharf.admin.hot_restart import InheritedState
 from fawnwharf.admin.http import AdminRequest
-from fawnwharf.admin.replacement import InheritedState
 from fawnwharf.config import ConfigError
 from fawnwharf.net import graceful_shutdown
 
