--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -2,6 +2,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.admin import drain
+from fawnwharf.admin.admin_listener import AdminListener
 from fawnwharf.admin.command_handler import (
     CommandHandler,
     Effect,
@@ -12,7 +13,6 @@
 )
 from fawnwharf.admin.hot_restart import HotRestart, InheritedState
 from fawnwharf.admin.http import AdminRequest, AdminResponse
-from fawnwharf.admin.port import AdminListener
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.roster_overlay import Closer
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 import pytest
 from peers import Buffered, ClientPeer, Rig, ScorerPeer
 
-from fawnwharf.admin import drain, port, service
+from fawnwharf.admin import admin_listener, drain, service
 from fawnwharf.admin.command_handler import (
     CommandHandler,
     EnterMaintenance,
@@ -194,13 +194,13 @@
 class SecondAddress(Case):
     def test_callers_that_finish_nothing_keep_no_other_from_an_answer_and_end_in_time(self):
         rig = self.rig(ScorerPeer())
-        idle = [rig.caller() for _ in range(port.MAX_CONNECTIONS)]
+        idle = [rig.caller() for _ in range(admin_listener.MAX_CONNECTIONS)]
         for caller in idle[::2]:
             caller.sock.sendall(b"GET /sta")
-        rig.until(lambda: len(rig.operators.port.callers) == port.MAX_CONNECTIONS, "all are held")
+        rig.until(lambda: len(rig.operators.port.callers) == admin_listener.MAX_CONNECTIONS, "all are held")
         self.assertEqual(rig.ask("/status", "GET"), 200)
         self.assertTrue(idle[0].ended or idle[1].ended)  # the oldest gave way
-        with mock.patch.object(port, "REQUEST_TIMEOUT_MS", 50.0):
+        with mock.patch.object(admin_listener, "REQUEST_TIMEOUT_MS", 50.0):
             rig.until(lambda: all(caller.ended for caller in idle), "the others are ended in time")
         self.assertIn(b" 408 ", bytes(idle[-2].data))
         rig.until(lambda: not rig.operators.port.callers, "no descriptor is left")
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -10,7 +10,7 @@
 from test_clock_steps import clock, rig, settled_client, without_stamps
 
 from fawnwharf import interface as io
-from fawnwharf.admin import port
+from fawnwharf.admin import admin_listener
 from fawnwharf.net import connection
 from fawnwharf.net.loop import Loop
 
@@ -21,17 +21,17 @@
     faults = SystemFaults()
     with faults.installed():
         loop = Loop(lambda now_ms, events: None, lambda line: None)
-        control = port.AdminListener(loop, ("127.0.0.1", 0), 1024, mock.Mock())
+        control = admin_listener.AdminListener(loop, ("127.0.0.1", 0), 1024, mock.Mock())
         caller = socket.create_connection(control.address)
         fault = faults.fail("accept", errno.EMFILE, times=2)
         for _ in range(20):
             loop.turn(0.0)
         assert fault.hits == 1
-        clock.advance(port.ACCEPT_PAUSE_MS + 5.0)
+        clock.advance(admin_listener.ACCEPT_PAUSE_MS + 5.0)
         loop.turn(0.0)
         loop.turn(0.0)
         assert fault.hits == 2
-        clock.advance(port.ACCEPT_PAUSE_MS + 5.0)
+        clock.advance(admin_listener.ACCEPT_PAUSE_MS + 5.0)
         loop.turn(0.0)
         loop.turn(0.0)
         assert len(control.callers) == 1
