--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -1,7 +1,7 @@
 """Operators in a running front end: what their calls bring about."""
 
 from fawnwharf import interface as io
-from fawnwharf.admin import drain
+from fawnwharf.admin import draining
 from fawnwharf.admin.admin_listener import AdminListener
 from fawnwharf.admin.command_handler import (
     CommandHandler,
@@ -124,15 +124,15 @@
         if self._draining_ms is None or self.front.leaving:
             return
         self.front.loop.wheel.after(
-            drain.TICK_INTERVAL_MS, self._look
+            draining.TICK_INTERVAL_MS, self._look
         )  # first: a fault must not be the last look
         if self.replaced:  # its connections are the other's, which is ready: none is ended or refused
             self._refuse(False)
             return
-        step = drain.drain_step(monotonic_ms() - self._draining_ms)
-        if step >= drain.DrainStep.EMPTYING:
+        step = draining.drain_step(monotonic_ms() - self._draining_ms)
+        if step >= draining.DrainStep.EMPTYING:
             self.front.port.end_idle()
-        self._refuse(step >= drain.DrainStep.REFUSING)
+        self._refuse(step >= draining.DrainStep.REFUSING)
 
     def _refuse(self, on: bool) -> None:
         if on != self._refusing:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 import pytest
 from peers import Buffered, ClientPeer, Rig, ScorerPeer
 
-from fawnwharf.admin import admin_listener, drain, service
+from fawnwharf.admin import admin_listener, draining, service
 from fawnwharf.admin.command_handler import (
     CommandHandler,
     EnterMaintenance,
@@ -288,7 +288,7 @@
         client.call()
         rig.until(lambda: scorer.runs, "it runs")
         rig.ask("/standby")
-        rig.after(drain.REJECT_AFTER_MS + 50.0)
+        rig.after(draining.REJECT_AFTER_MS + 50.0)
         second = client.call()
         rig.until(lambda: client.answers, "the second is answered at once")
         self.assertEqual(client.kinds(), {second: "throttled"})
@@ -306,7 +306,7 @@
         loads = [f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"]
         for path in ("/active", "/standby", "/standby"):
             self.assertEqual(rig.ask(path), 200)
-        rig.after(drain.REJECT_AFTER_MS + 50.0)
+        rig.after(draining.REJECT_AFTER_MS + 50.0)
         client = rig.client()
         self.assertFalse(self.status(rig, client))
         began = time.monotonic()
