--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -7,8 +7,8 @@
 
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import learned_state as m
-from fawnwharf.admin.channel import HandoffChannel, HandoffDirectory, HandoffListener, request_handoff
 from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions
+from fawnwharf.admin.handoff_channel import HandoffChannel, HandoffDirectory, HandoffListener, request_handoff
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.handed import HandedConnection
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -13,7 +13,7 @@
 
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import learned_state as beliefs
-from fawnwharf.admin.channel import HandoffDirectory
+from fawnwharf.admin.handoff_channel import HandoffDirectory
 from fawnwharf.cli import app
 from fawnwharf.consensus import records
 from fawnwharf.consensus import voter_store as voter_disk
--- a/tests/test_disk_faults_kept.py
+++ b/tests/test_disk_faults_kept.py
@@ -8,7 +8,7 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.admin.channel import HandoffDirectory
+from fawnwharf.admin.handoff_channel import HandoffDirectory
 from fawnwharf.policy_rollout import keeping
 
 ENDS = {
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from peers import Buffered, Rig, ScorerPeer, ready
 
-from fawnwharf.admin import channel, service
+from fawnwharf.admin import handoff_channel, service
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import learned_state as m
 from fawnwharf.admin.handoff_messages import HandoffAction, HandoffPhase
@@ -121,7 +121,7 @@
 def test_parts_make_the_whole_again(data):
     found = [h.decode(h.encode(part)) for part in h.chunks(data)]
     assert b"".join(part.data for part in found) == data
-    assert all(len(h.encode(part)) < channel.MAX_MESSAGE_BYTES for part in found)
+    assert all(len(h.encode(part)) < handoff_channel.MAX_MESSAGE_BYTES for part in found)
 
 
 @given(st.binary(max_size=200))
@@ -200,7 +200,7 @@
 def rig():
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
-        place = channel.HandoffDirectory(folder, "", made.front.address)
+        place = handoff_channel.HandoffDirectory(folder, "", made.front.address)
         made.operators = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
         made.operators.begin()
         made.peers = []
@@ -217,8 +217,8 @@
         sock.connect(address)
     sock.setblocking(False)
     rig.peers.append(sock)
-    channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
-    channel.send(sock, h.encode(h.Ready()), None)
+    handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
+    handoff_channel.send(sock, h.encode(h.Ready()), None)
     rig.until(lambda: rig.operators.replaced, "it gives")
     return sock
 
@@ -228,7 +228,7 @@
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     rig.peers.append(far)
     talk = rig.operators.replacement
-    talk.before = channel.HandoffChannel(rig.front.loop, near, talk._from_before, talk._before_ended)
+    talk.before = handoff_channel.HandoffChannel(rig.front.loop, near, talk._from_before, talk._before_ended)
     far.setblocking(False)
     return far
 
@@ -236,7 +236,7 @@
 def messages(sock):
     found = []
     while ready(sock, 0.0):
-        found.append(channel.receive(sock))
+        found.append(handoff_channel.receive(sock))
     return [message for message, _ in filter(None, found)]
 
 
@@ -271,7 +271,7 @@
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
             with rig.operators.replacement.place.short() as address:
                 sock.connect(address)
-            channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
+            handoff_channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
         came = []
         rig.front.loop.wheel.after(50.0, lambda: came.append(1))  # noqa: B023
         rig.until(lambda: came and rig.operators.replacement.after is None, "it is gone")  # noqa: B023
@@ -282,7 +282,7 @@
     loop = Loop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     back = []
-    talk = channel.HandoffChannel(loop, near, mock.Mock(), lambda end: back.extend(end.take_back()))
+    talk = handoff_channel.HandoffChannel(loop, near, mock.Mock(), lambda end: back.extend(end.take_back()))
     data = os.urandom(900_000)
     for part in [
         *h.chunks(b"sent" * 20),
@@ -303,12 +303,12 @@
 def test_too_many_descriptors_on_their_way_are_waited_for():
     loop = Loop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    talk = channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
-    with mock.patch.object(channel, "send", side_effect=OSError(109, "too many references")):
+    talk = handoff_channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
+    with mock.patch.object(handoff_channel, "send", side_effect=OSError(109, "too many references")):
         talk.say(h.ConnectionHandoff(), near.dup())
     assert talk.unsent and not talk.closed
     loop.turn(1.0)
-    assert not talk.unsent and channel.receive(far)[1] is not None
+    assert not talk.unsent and handoff_channel.receive(far)[1] is not None
     talk.close()
     far.close()
     loop.close()
@@ -319,7 +319,7 @@
     messages(newest)
     for sock, other in ((newest, oldest), (oldest, newest)):
         told = h.OperatorCommand("/maintenance/enter", "s-1")
-        channel.send(sock, h.encode(told), None)
+        handoff_channel.send(sock, h.encode(told), None)
         found = []
         rig.until(lambda: found.extend(messages(other)) or told in found, "it is passed on")  # noqa: B023
         assert not messages(sock)  # and not back
@@ -336,8 +336,8 @@
     oldest.close()
     rig.until(lambda: said.extend(messages(newest)) or h.Done() in said, "it has given everything")
     assert rig.operators.busy  # until the other says that all has come
-    channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
-    channel.send(newest, h.encode(h.Done()), None)
+    handoff_channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
+    handoff_channel.send(newest, h.encode(h.Done()), None)
     rig.until(lambda: not rig.operators.busy, "it may end, with nothing unread")
     assert rig.operators.desk.out == {"s-1"}
 
@@ -382,7 +382,7 @@
     replacement = rig.operators.replacement
     replacement.remember()
     assert replacement.place.read()
-    door = channel.HandoffListener(rig.front.loop, replacement.place, mock.Mock())
+    door = handoff_channel.HandoffListener(rig.front.loop, replacement.place, mock.Mock())
     replacement.place.write(b"newer")
     replacement.remember()
     assert replacement.place.read() == b"newer"
@@ -391,7 +391,7 @@
 
 def test_one_that_ends_and_loses_the_next_leaves_the_meeting_place_to_whoever_has_it(rig):
     sock = taker(rig)
-    door = channel.HandoffListener(rig.front.loop, rig.operators.replacement.place, mock.Mock())
+    door = handoff_channel.HandoffListener(rig.front.loop, rig.operators.replacement.place, mock.Mock())
     rig.operators.leave()
     sock.close()
     rig.until(lambda: not rig.operators.replaced, "it serves on by itself")
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -9,7 +9,7 @@
 from peers import PATIENCE_S, Rig, ScorerPeer, ready
 from processes import Site
 
-from fawnwharf.admin import channel, service
+from fawnwharf.admin import handoff_channel, service
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions, ExtensionState
 from fawnwharf.admin.hot_restart import InheritedState
@@ -22,7 +22,7 @@
 def rig():
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
-        place = channel.HandoffDirectory(folder, "", made.front.address)
+        place = handoff_channel.HandoffDirectory(folder, "", made.front.address)
         made.operators = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
         made.operators.begin()
         made.peers = []
@@ -38,8 +38,8 @@
     with rig.operators.replacement.place.short() as address:
         sock.connect(address)
     rig.peers.append(sock)
-    channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
-    channel.send(sock, h.encode(h.Ready()), None)
+    handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
+    handoff_channel.send(sock, h.encode(h.Ready()), None)
     rig.until(lambda: rig.operators.replaced, "it gives")
     return sock
 
@@ -69,7 +69,7 @@
 def test_a_process_that_stands_still_gets_nothing_more_and_its_connections_come_back(rig):
     sock = taker(rig)
     talk = rig.operators.replacement.after
-    refused = mock.patch.object(channel, "send", side_effect=BlockingIOError)
+    refused = mock.patch.object(handoff_channel, "send", side_effect=BlockingIOError)
     client = rig.client()
     with refused:  # its buffer is full, as it reads nothing
         rig.front.port.accept(True)
@@ -81,7 +81,7 @@
         talk._moved_ms -= h.STALL_TIMEOUT_MS
         rig.until(lambda: not rig.operators.replaced, "it goes on by itself")
     assert rig.front.port.clients and good(rig, client) is True
-    assert not ready(sock, 0.0) or channel.receive(sock)
+    assert not ready(sock, 0.0) or handoff_channel.receive(sock)
 
 
 def test_a_fault_in_a_look_at_what_is_to_be_given_is_not_the_last_one(rig):
@@ -118,7 +118,7 @@
 
 
 def test_an_answer_in_drops_is_not_waited_for_longer_than_one_that_does_not_come(tmp_path):
-    place, now = channel.HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
+    place, now = handoff_channel.HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as door:
         with place.short() as address:
             door.bind(address)
@@ -130,10 +130,10 @@
             return h.Chunk(b"x"), None
 
         with (
-            mock.patch.object(channel, "monotonic_ms", lambda: now[0]),
-            mock.patch.object(channel, "receive", drop),
+            mock.patch.object(handoff_channel, "monotonic_ms", lambda: now[0]),
+            mock.patch.object(handoff_channel, "receive", drop),
         ):
-            assert channel.request_handoff(place, ("127.0.0.1", 1)) is None
+            assert handoff_channel.request_handoff(place, ("127.0.0.1", 1)) is None
     assert now[0] <= 1e3 * h.ANSWER_TIMEOUT_S + 1_000.0
 
 
@@ -151,10 +151,10 @@
             new = site.begin()
             sock, _ = meeting.accept()
             sock.settimeout(PATIENCE_S)
-            assert isinstance(channel.receive(sock)[0], h.Hello)
+            assert isinstance(handoff_channel.receive(sock)[0], h.Hello)
             new.signal(signal.SIGTERM)
-            channel.send(sock, h.encode(h.ListenerHandoff()), door)
-            assert channel.receive(sock) is None  # no word that it is ready
+            handoff_channel.send(sock, h.encode(h.ListenerHandoff()), door)
+            assert handoff_channel.receive(sock) is None  # no word that it is ready
             sock.close()
             site.until(lambda: new.ended, "it has ended")
             assert new.child.returncode == 0, new.log
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -10,7 +10,7 @@
 from peers import ready
 from processes import OUGHT_S, Case, unsent_of
 
-from fawnwharf.admin import channel
+from fawnwharf.admin import handoff_channel
 from fawnwharf.admin import handoff_messages as h
 
 
@@ -78,7 +78,7 @@
 
     def taker(self, site):
         """A new process, played by the test, that was told all."""
-        found = channel.request_handoff(site.place, site.listen.address)
+        found = handoff_channel.request_handoff(site.place, site.listen.address)
         self.assertIsNotNone(found, "the old process answers")
         for sock in (found[0], found[2]):
             self.addCleanup(sock.close)
@@ -99,7 +99,9 @@
         site = self.site()
         old = site.start()
         kept = site.served()
-        with channel.socket.socket(channel.socket.AF_UNIX, channel.socket.SOCK_SEQPACKET) as sock:
+        with handoff_channel.socket.socket(
+            handoff_channel.socket.AF_UNIX, handoff_channel.socket.SOCK_SEQPACKET
+        ) as sock:
             with site.place.short() as address:
                 sock.connect(address)
             site.served(kept)
@@ -139,11 +141,11 @@
         site.drop(site.callers[0])
         rest = self.half_asked(site, 24)
         sock, _, door = self.taker(site)
-        channel.send(sock, h.encode(h.Ready()), None)
+        handoff_channel.send(sock, h.encode(h.Ready()), None)
         site.until_logged(old, "has taken this one's place")
         sock.setblocking(True)
         sock.settimeout(10.0)
-        given = [channel.receive(sock) for _ in range(2)]
+        given = [handoff_channel.receive(sock) for _ in range(2)]
         for message, carried in given:
             self.assertIsInstance(message, h.ConnectionHandoff)
             carried.close()
@@ -194,7 +196,7 @@
         held = lambda: all(unsent_of(site.listen.address, caller) > 0 for caller in slow)  # noqa: E731
         site.until(held, "the long answers are half written")
         sock, _, door = self.taker(site)
-        channel.send(sock, h.encode(h.Ready()), None)
+        handoff_channel.send(sock, h.encode(h.Ready()), None)
         site.until_logged(old, "has taken this one's place")
         old.signal(signal.SIGTERM)
         site.until(lambda: ready(sock, 0.0), "they are being given")
@@ -230,7 +232,9 @@
 
     def played(self, site, say):
         """The old process, played by the test; `say` tells what it does on the channel."""
-        door = channel.socket.socket(channel.socket.AF_UNIX, channel.socket.SOCK_SEQPACKET)
+        door = handoff_channel.socket.socket(
+            handoff_channel.socket.AF_UNIX, handoff_channel.socket.SOCK_SEQPACKET
+        )
         self.addCleanup(door.close)
         with site.place.short() as address:
             door.bind(address)
@@ -239,7 +243,7 @@
         new = site.begin()
         sock, _ = door.accept()
         sock.settimeout(30.0)
-        self.assertEqual(channel.receive(sock)[0], h.Hello(h.VERSION, site.listen.address))
+        self.assertEqual(handoff_channel.receive(sock)[0], h.Hello(h.VERSION, site.listen.address))
         say(sock)
         sock.close()
         return new
@@ -247,7 +251,10 @@
     def test_by_each_step(self):
         for name, say in (
             ("before a word", lambda sock: None),
-            ("amid what was learnt", lambda sock: channel.send(sock, h.encode(h.Chunk(b"x" * 99)), None)),
+            (
+                "amid what was learnt",
+                lambda sock: handoff_channel.send(sock, h.encode(h.Chunk(b"x" * 99)), None),
+            ),
             ("no message", lambda sock: sock.send(b"\xc1")),
             ("after the listener", self.with_door),
         ):
@@ -260,13 +267,13 @@
                 self.settled(site)
 
     def with_door(self, sock):
-        with channel.socket.socket() as door:
-            door.setsockopt(channel.socket.SOL_SOCKET, channel.socket.SO_REUSEPORT, 1)
-            door.setsockopt(channel.socket.SOL_SOCKET, channel.socket.SO_REUSEADDR, 1)
+        with handoff_channel.socket.socket() as door:
+            door.setsockopt(handoff_channel.socket.SOL_SOCKET, handoff_channel.socket.SO_REUSEPORT, 1)
+            door.setsockopt(handoff_channel.socket.SOL_SOCKET, handoff_channel.socket.SO_REUSEADDR, 1)
             door.bind(self.site_of_step.listen.address)
             door.listen(16)
-            channel.send(sock, h.encode(h.Chunk(b"torn")), None)
-            channel.send(sock, h.encode(h.ListenerHandoff()), door)
+            handoff_channel.send(sock, h.encode(h.Chunk(b"torn")), None)
+            handoff_channel.send(sock, h.encode(h.ListenerHandoff()), door)
 
 
 if __name__ == "__main__":
--- a/tests/test_replacement_overlap.py
+++ b/tests/test_replacement_overlap.py
@@ -6,7 +6,7 @@
 
 from processes import OUGHT_S, START_S, Case
 
-from fawnwharf.admin import channel
+from fawnwharf.admin import handoff_channel
 
 ENTER, EXIT = "/maintenance/enter?target=", "/maintenance/exit?target="
 
@@ -177,7 +177,7 @@
         (site.folder / "file").touch()
         deep = site.folder / ("d" * 120) / ("e" * 120)
         deep.mkdir(parents=True)
-        site.place = channel.HandoffDirectory(str(deep), "fe-1", site.listen.address)
+        site.place = handoff_channel.HandoffDirectory(str(deep), "fe-1", site.listen.address)
         old = site.start()
         self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
         new = self.replace(site, old)
