--- a/fawnwharf/consensus/__init__.py
+++ b/fawnwharf/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Deciding in common: a few voters keep one short log of decisions, whoever of them fails."""
+"""A replicated log by Raft: messages, the voter state machine, and the store of its persistent state."""
--- a/fawnwharf/consensus/messages.py
+++ b/fawnwharf/consensus/messages.py
@@ -1,79 +1,92 @@
-"""What voters keep and say. Pure values: msgspec makes lines of JSON of them, and checks what comes in.
+"""Raft messages, the state that a voter persists, and the actions that a voter asks of its owner.
 
-Indexes count decisions from 1, terms count reigns from 1, times are milliseconds of the sender's own clock
-and come back to it unread.
+All types are immutable values. msgspec turns them into lines of JSON and validates what is received. An
+attribute whose name differs from the recorded one keeps that name on the wire and on disk by `name=`.
+
+Log indexes and terms count from 1. Times are milliseconds on the sender's own clock; a response carries the
+time of its request back unchanged.
 """
 
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
+
+MAX_VOTERS = 9  # in a voter list, also during a membership change
+MAX_DATA_LENGTH = 64 * 1024  # characters of the text of one log entry
+MAX_ENTRIES = 64  # in one message, and in the log before it is compacted
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
-VoterIdentity = Annotated[str, Meta(min_length=1, max_length=96)]  # of a voter: its name and its disk's mark
-MAX_VOTERS = 9  # in a list of voters, also while one is being exchanged
-MAX_DATA_LENGTH = 64 * 1024  # characters of one decision
-MAX_ENTRIES = 64  # in one message, and kept before they are folded into the base
+VoterIdentity = Annotated[str, Meta(min_length=1, max_length=96)]  # member name and disk identifier
+Text = Annotated[str, Meta(max_length=MAX_DATA_LENGTH)]
+VoterList = Annotated[tuple[VoterIdentity, ...], Meta(max_length=MAX_VOTERS)]
 
 
 class Entry(Struct, frozen=True):
-    """One decision of the log: a plan, a register of policy or of recovery, a list of voters, or nothing
-    (each reign begins with one of these). The text of the first three is in `plan`."""
+    """One log entry: a zone plan, a policy or recovery register, a voter list, or nothing.
+
+    A leader begins each term with an entry of kind "none". `text` holds the value of the first three kinds.
+    """
 
     term: Number
     kind: Annotated[str, Meta(pattern="^(none|plan|policy|recovery|voters)$")]
-    plan: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)] = ""
-    voters: Annotated[tuple[VoterIdentity, ...], Meta(max_length=MAX_VOTERS)] = ()
+    text: Text = field(default="", name="plan")
+    voters: VoterList = ()
 
 
 Entries = Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)]
 
 
 class Snapshot(Struct, frozen=True):
-    """All decisions up to an index, folded: the last of each kind say all that the others did."""
+    """The compacted prefix of the log: the last committed entry of each kind up to `index`.
+
+    `plan_index`, `policy_index` and `recovery_index` are the indexes of those entries themselves.
+    """
 
     index: Number = 0
     term: Number = 0
-    plan: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)] = ""
-    plan_index: Number = 0  # of that plan's own decision
-    voters: Annotated[tuple[VoterIdentity, ...], Meta(max_length=MAX_VOTERS)] = ()
-    policy: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)] = ""
+    plan: Text = ""
+    plan_index: Number = 0
+    voters: VoterList = ()
+    policy: Text = ""
     policy_index: Number = 0
-    recovery: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)] = ""  # files of before have none
+    recovery: Text = ""  # absent in files of earlier versions
     recovery_index: Number = 0
 
 
 class PersistentState(Struct, frozen=True):
-    """What a voter has to find again after a kill: it is on disk before anything that rests on it is said."""
+    """What must survive a crash; it is on disk before any message that depends on it is sent."""
 
     term: Number = 0
-    voted: Annotated[str, Meta(max_length=96)] = ""  # for whom, in that term
-    base: Snapshot = Snapshot()
+    voted_for: Annotated[str, Meta(max_length=96)] = field(default="", name="voted")  # in `term`
+    snapshot: Snapshot = field(default=Snapshot(), name="base")
     entries: Annotated[tuple[Entry, ...], Meta(max_length=2 * MAX_ENTRIES)] = ()
 
     @property
     def last_index(self) -> int:
-        return self.base.index + len(self.entries)
-
-    def term_at(self, index: int) -> int | None:
-        """The term of the decision at an index; None where it is folded away or not there."""
-        if index == self.base.index:
-            return self.base.term
-        place = index - self.base.index - 1
-        return self.entries[place].term if 0 <= place < len(self.entries) else None
+        """Index of the last log entry, committed or not."""
+        return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        return self.entries[-1].term if self.entries else self.base.term
+        """Term of the last log entry, committed or not."""
+        return self.entries[-1].term if self.entries else self.snapshot.term
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The list in force: the last in the log, decided or not."""
+        """The voter list in force: the last one in the log, committed or not."""
         lists = (entry.voters for entry in reversed(self.entries) if entry.kind == "voters")
-        return next(lists, self.base.voters)
+        return next(lists, self.snapshot.voters)
+
+    def term_at(self, index: int) -> int | None:
+        """The term of the entry at an index; None where it is compacted or beyond the end of the log."""
+        if index == self.snapshot.index:
+            return self.snapshot.term
+        offset = index - self.snapshot.index - 1
+        return self.entries[offset].term if 0 <= offset < len(self.entries) else None
 
 
-# --- what is said ---------------------------------------------------------------------------
+# --- messages between voters ----------------------------------------------------------------
 
 
 class _RaftMessage(Struct, frozen=True):
@@ -83,46 +96,58 @@
 
 
 class PreVoteRequest(_RaftMessage, frozen=True, tag="PreVote"):
-    """Would I be voted for in this term? Nobody's state changes by the question or the answer."""
+    """Asks whether a vote in `term` would be granted; neither request nor response changes any state."""
 
     last_index: Number
     last_term: Number
 
 
 class PreVoteResponse(_RaftMessage, frozen=True, tag="PreVoted"):
+    """Answers a pre-vote request."""
+
     granted: bool
 
 
 class VoteRequest(_RaftMessage, frozen=True, tag="Vote"):
+    """Asks for a vote in `term`; the log position lets a voter refuse a candidate whose log is behind."""
+
     last_index: Number
     last_term: Number
 
 
 class VoteResponse(_RaftMessage, frozen=True, tag="Voted"):
+    """Answers a vote request."""
+
     granted: bool
 
 
 class AppendEntriesRequest(_RaftMessage, frozen=True, tag="Append"):
-    """The leader's decisions after one that both should have; without any it is a sign of life."""
+    """The leader's entries after one that both logs should contain; without entries it is a heartbeat."""
 
-    before_index: Number
-    before_term: Number
+    previous_index: Number = field(name="before_index")
+    previous_term: Number = field(name="before_term")
     entries: Entries
-    commit: Number
+    commit_index: Number = field(name="commit")
     sent_ms: float
 
 
 class InstallSnapshotRequest(_RaftMessage, frozen=True, tag="Install"):
-    """The leader's base, for one that lacks what is folded into it."""
+    """The leader's snapshot, for a follower whose missing entries are compacted."""
 
-    base: Snapshot
+    snapshot: Snapshot = field(name="base")
     sent_ms: float
 
 
 class AppendEntriesResponse(_RaftMessage, frozen=True, tag="Appended"):
-    good: bool
-    match: Number  # both agree up to here; where not good, a guess at the last that the follower has
-    sent_ms: float  # as in what is answered
+    """Answers an append entries or install snapshot request.
+
+    `match_index` is the last index on which both logs agree; without success it is an estimate of it.
+    `sent_ms` is that of the request.
+    """
+
+    success: bool = field(name="good")
+    match_index: Number = field(name="match")
+    sent_ms: float
 
 
 Message = (
@@ -138,29 +163,32 @@
 
 def message_from(data: object) -> Message:
     """A message of a decoded line; raises msgspec.ValidationError for anything else."""
-    return msgspec.convert(data, Message, strict=True)
+    message: Message = msgspec.convert(data, Message, strict=True)
+    return message
 
 
-# --- what a voter has done by its owner -------------------------------------------------------
+# --- actions for the owner of a voter -------------------------------------------------------
 
 
 class Persist(Struct, frozen=True):
-    """On disk, synced, before any later action of the same list is carried out."""
+    """Write the state to disk and sync it before any later action of the same list is carried out."""
 
     saved: PersistentState
 
 
 class Send(Struct, frozen=True):
+    """Send a message to the voter that it names."""
+
     message: Message
 
 
 class Committed(Struct, frozen=True):
-    """A decision stands for good: no other one will ever have its number."""
+    """A log entry is committed: no other entry will ever have its index."""
 
     index: int
     term: int
     kind: str
-    plan: str
+    text: str
     voters: tuple[str, ...]
 
 
--- a/fawnwharf/consensus/voter.py
+++ b/fawnwharf/consensus/voter.py
@@ -1,17 +1,14 @@
-"""One voter of a replicated log: Raft with pre-votes, a check of its quorum, and leases.
+"""One voter of a Raft group: elections with pre-votes, log replication, quorum checks and leader leases.
 
 After Ongaro and Ousterhout, 'In Search of an Understandable Consensus Algorithm' (2014), and Ongaro's thesis
-(2014): 4.1 for changes of one voter at a time, 6.4 for leases, 9.6 for pre-votes.
+(2014): 4.1 for membership changes by one voter at a time, 6.4 for leases, 9.6 for pre-votes.
 
-No I/O, no clock and no chance but what is handed in. Each call gives actions, to be carried out in their
-order: a Save has to be on disk before a Say behind it leaves. Times are milliseconds of this voter's own
-clock, which may run fast or slow against the others' by `Timing.skew` and must not step back.
+A voter does no I/O and reads no clock; its only randomness comes from the seed that it is given. Each call
+returns actions that its owner carries out in their order: a Persist must be on disk before a Send after it
+leaves. Times are milliseconds on the voter's own clock, which may run fast or slow against the others' by
+`Timing.clock_skew` and must not step back.
 """
 
-import math
-from dataclasses import dataclass
-from enum import Enum
-
 import msgspec
 
 from fawnwharf.consensus import messages as m
@@ -19,390 +16,330 @@
     compacted,
     entry_at,
     has_uncommitted_voters,
-    last_committed,
     snapshot_registers,
 )
+from fawnwharf.consensus.voter_state import Role, VoterState
 
-SNAPSHOT_AFTER = 24  # decided entries kept for followers that lag; older ones are folded into the base
-
-
-class Role(Enum):
-    FOLLOWER = "follower"
-    ASKING = "asking"  # whether it would be voted for
-    CANDIDATE = "candidate"
-    LEADER = "leader"
-
-
-@dataclass(frozen=True, slots=True)
-class Timing:
-    """All in milliseconds. A leader's lease is over before any voter that gave it one may vote for
-    another."""
-
-    beat_ms: float = 150.0  # pace of the leader's signs of life
-    election_ms: float = 1000.0  # without one for so long, and up to twice that, a voter asks for votes
-    skew: float = 0.1  # a clock gains or loses no more than this part of the time
-
-    @property
-    def lease_ms(self) -> float:
-        """On the leader's clock, from the sending of what a majority has answered."""
-        return self.election_ms * (1 - self.skew) / (1 + self.skew)
-
-
-def _mix(bits: int) -> int:  # 64 bits, well mixed (the end of splitmix64)
-    bits = (bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9 % 2**64
-    bits = (bits ^ (bits >> 27)) * 0x94D049BB133111EB % 2**64
-    return bits ^ (bits >> 31)
-
-
-def bootstrap(me: str) -> m.PersistentState:
-    """What the first voter of a new fleet starts from, once and by an operator's word: a list of itself
-    alone."""
-    return m.PersistentState(term=1, base=m.Snapshot(index=1, term=1, voters=(me,)))
+SNAPSHOT_AFTER = 24  # committed entries that stay in the log for followers that lag, before it is compacted
 
 
-class Voter:
-    """Owns the term, the vote, the log and the role of one member."""
+def bootstrap(identity: str) -> m.PersistentState:
+    """The state that the first voter of a new group starts from: a voter list of itself alone."""
+    return m.PersistentState(term=1, snapshot=m.Snapshot(index=1, term=1, voters=(identity,)))
 
-    def __init__(self, me: str, saved: m.PersistentState, timing: Timing, now_ms: float, seed: int) -> None:
-        self.me, self.saved, self.timing = me, saved, timing
-        self.role, self.leader = Role.FOLLOWER, ""
-        self.commit = saved.base.index
-        # As if a leader had just been heard: what was promised to one before a restart is not known any more.
-        self.heard_ms = now_ms
-        self.draws = seed
-        self.due_ms = 0.0
-        self.granted: frozenset[str] = frozenset()
-        self.match: dict[str, int] = {}  # by follower: agreed up to here
-        self.sent: dict[str, int] = {}  # by follower not agreed with yet: the last that it may have
-        self.acked_ms: dict[str, float] = {}  # by follower: when what it last answered was sent
-        self.led_ms = 0.0  # since when it leads
-        self._rest(now_ms)
 
-    # --- what the owner asks --------------------------------------------------------------------
+class Voter(VoterState):
+    """Handles the events of one member: its timer, messages, and proposals."""
 
-    @property
-    def is_leader(self) -> bool:
-        return self.role is Role.LEADER
-
-    @property
-    def is_voter(self) -> bool:
-        return self.me in self.saved.voters
-
-    @property
-    def plan(self) -> tuple[int, str]:
-        """The last decided plan and its index; (0, "") before the first."""
-        return last_committed(self.saved, self.commit, "plan")
-
-    @property
-    def policy(self) -> tuple[int, str]:
-        """The last decided policy and its index; (0, "") before the first."""
-        return self.last("policy")
-
-    def last(self, kind: str) -> tuple[int, str]:
-        """The last decided text of a kind of `decided.KINDS` and its index; (0, "") before the first."""
-        return last_committed(self.saved, self.commit, kind)
-
-    def fresh(self, now_ms: float) -> bool:
-        """Whether its last decided plan is the fleet's last at this moment, for certain."""
-        own_term = self.saved.term_at(self.commit) == self.saved.term  # else one more may have been decided
-        return self.is_leader and own_term and self._leased(now_ms)
-
-    def _leased(self, now_ms: float) -> bool:
-        """A vote binds nobody to a new leader; only what a majority has answered since does."""
-        return now_ms < self._quorum_ms(now_ms, -math.inf) + self.timing.lease_ms
-
-    # --- what happens to it ---------------------------------------------------------------------
+    # --- events ---------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[m.Action]:
-        """Call it at `due_ms` at the latest."""
+        """Handles the timer; to be called at `due_ms` at the latest."""
         if now_ms < self.due_ms:
             return []
         if self.is_leader:
-            if now_ms - self._quorum_ms(now_ms, self.led_ms) > self.timing.election_ms * (
-                1 + self.timing.skew
-            ):
-                self._follow(now_ms, "")  # no majority answers: whoever can reach one may lead
-                return []
-            return self._beat(now_ms)
+            return self._tick_as_leader(now_ms)
         if not self.is_voter:
-            self._rest(now_ms)
+            self._reset_election_timer(now_ms)
             return []
-        return self._ask(now_ms)
+        return self._start_pre_vote(now_ms)
 
-    def receive(self, now_ms: float, message: m.Message) -> list[m.Action]:
-        """Take one message; those for others, or older than what is known, change nothing."""
-        if message.to != self.me or message.sender == self.me:
+    def _tick_as_leader(self, now_ms: float) -> list[m.Action]:
+        silent_ms = now_ms - self._quorum_contact_ms(now_ms, self.leader_since_ms)
+        if silent_ms > self.timing.quorum_timeout_ms:
+            self._become_follower(now_ms, "")  # a voter that reaches a majority may lead instead
             return []
-        return getattr(self, self._HANDLERS[type(message)])(now_ms, message)
+        return self._send_heartbeats(now_ms)
 
-    def propose(self, now_ms: float, plan: str, kind: str = "plan") -> tuple[int | None, list[m.Action]]:
-        """Put a text of a kind to the vote; its index, or None where this is not the leader."""
-        if not self.is_leader or len(plan) > m.MAX_DATA_LENGTH or len(self.saved.entries) >= m.MAX_ENTRIES:
+    def receive(self, now_ms: float, message: m.Message) -> list[m.Action]:
+        """Handles one message; a message for another voter changes nothing."""
+        if message.to != self.identity or message.sender == self.identity:
+            return []
+        match message:
+            case m.PreVoteRequest():
+                return self._on_pre_vote_request(now_ms, message)
+            case m.PreVoteResponse():
+                return self._on_pre_vote_response(now_ms, message)
+            case m.VoteRequest():
+                return self._on_vote_request(now_ms, message)
+            case m.VoteResponse():
+                return self._on_vote_response(now_ms, message)
+            case m.AppendEntriesRequest():
+                return self._on_append_request(now_ms, message)
+            case m.InstallSnapshotRequest():
+                return self._on_install_snapshot(now_ms, message)
+            case m.AppendEntriesResponse():
+                return self._on_append_response(now_ms, message)
+
+    def propose(self, now_ms: float, text: str, kind: str = "plan") -> tuple[int | None, list[m.Action]]:
+        """Appends a register entry; its index is None where this is not the leader or the log is full."""
+        if not self.is_leader or len(text) > m.MAX_DATA_LENGTH or self._log_is_full():
             return None, []
-        return self.saved.last_index + 1, self._lead_on(now_ms, m.Entry(self.saved.term, kind, plan=plan))
+        entry = m.Entry(self.saved.term, kind, text=text)
+        return self.saved.last_index + 1, self._append_entry(now_ms, entry)
 
     def propose_voters(self, now_ms: float, voters: tuple[str, ...]) -> tuple[int | None, list[m.Action]]:
-        """Exchange the list of voters for one that has one more, or one less; None where that may not be now.
-
-        Majorities of two lists that differ by one always share a voter. That holds only from one list to the
-        next, so the last one must have been decided, and something of this very term as well (the thesis's
-        correction)."""
-        now, new = set(self.saved.voters), set(voters)
-        own_term = self.saved.term_at(self.commit) == self.saved.term
-        settled = own_term and not has_uncommitted_voters(self.saved, self.commit)
-        room = 0 < len(new) <= m.MAX_VOTERS and len(self.saved.entries) < m.MAX_ENTRIES
-        if not self.is_leader or not settled or not room or len(now ^ new) != 1 or len(new) != len(voters):
+        """Appends a voter list with one voter more or fewer; None where that is not allowed now.
+
+        Majorities of two lists that differ by one voter always overlap. That holds only between successive
+        lists, so the last one must be committed, and an entry of the current term as well (the correction in
+        the thesis).
+        """
+        if not self._may_change_voters(voters):
             return None, []
         entry = m.Entry(self.saved.term, "voters", voters=tuple(sorted(voters)))
-        return self.saved.last_index + 1, self._lead_on(now_ms, entry)
+        return self.saved.last_index + 1, self._append_entry(now_ms, entry)
+
+    def _may_change_voters(self, voters: tuple[str, ...]) -> bool:
+        proposed = set(voters)
+        if not self.is_leader or self._log_is_full() or not 0 < len(proposed) <= m.MAX_VOTERS:
+            return False
+        if not self._committed_in_term() or has_uncommitted_voters(self.saved, self.commit_index):
+            return False
+        return len(proposed) == len(voters) and len(proposed ^ set(self.saved.voters)) == 1
+
+    def _log_is_full(self) -> bool:
+        return len(self.saved.entries) >= m.MAX_ENTRIES
 
     # --- elections ------------------------------------------------------------------------------
 
-    def _rest(self, now_ms: float) -> None:
-        """Wait for a leader, for a time that chance spreads so that not all ask at once."""
-        self.draws += 1
-        part = _mix(_mix(self.draws)) / 2**64
-        self.due_ms = now_ms + self.timing.election_ms * (1 + part)
-
-    def _follow(self, now_ms: float, leader: str) -> None:
-        self.role, self.leader = Role.FOLLOWER, leader
-        self.granted, self.match, self.sent, self.acked_ms = frozenset(), {}, {}, {}
-        self._rest(now_ms)
-
-    def _majority(self, voters: tuple[str, ...]) -> int:
-        return len(voters) // 2 + 1
-
-    def _won(self) -> bool:
-        voters = self.saved.voters
-        return len(self.granted & set(voters)) >= self._majority(voters)
-
-    def _ask(self, now_ms: float) -> list[m.Action]:
-        """Ask first whether a vote would be won: one that was cut off must not unseat a good leader."""
-        self.role, self.leader, self.granted = Role.ASKING, "", frozenset((self.me,))
-        self._rest(now_ms)
-        if self._won():
-            return self._stand(now_ms)
+    def _start_pre_vote(self, now_ms: float) -> list[m.Action]:
+        """Keeps a voter that was partitioned away from unseating a working leader by its higher term."""
+        self.role = Role.PRE_CANDIDATE
+        self.leader = ""
+        self.votes_granted = frozenset((self.identity,))
+        self._reset_election_timer(now_ms)
+        if self._has_majority():
+            return self._start_election(now_ms)
         saved = self.saved
         return [
-            m.Send(m.PreVoteRequest(self.me, to, saved.term + 1, saved.last_index, saved.last_term))
-            for to in self._others()
+            m.Send(m.PreVoteRequest(self.identity, to, saved.term + 1, saved.last_index, saved.last_term))
+            for to in self._peers()
         ]
 
-    def _stand(self, now_ms: float) -> list[m.Action]:
-        self.role, self.granted = Role.CANDIDATE, frozenset((self.me,))
-        saved = self.saved = msgspec.structs.replace(self.saved, term=self.saved.term + 1, voted=self.me)
-        self._rest(now_ms)
+    def _start_election(self, now_ms: float) -> list[m.Action]:
+        self.role = Role.CANDIDATE
+        self.votes_granted = frozenset((self.identity,))
+        saved = msgspec.structs.replace(self.saved, term=self.saved.term + 1, voted_for=self.identity)
+        self.saved = saved
+        self._reset_election_timer(now_ms)
         actions: list[m.Action] = [m.Persist(saved)]
-        if self._won():
-            return actions + self._reign(now_ms)
+        if self._has_majority():
+            return actions + self._become_leader(now_ms)
         return actions + [
-            m.Send(m.VoteRequest(self.me, to, saved.term, saved.last_index, saved.last_term))
-            for to in self._others()
+            m.Send(m.VoteRequest(self.identity, to, saved.term, saved.last_index, saved.last_term))
+            for to in self._peers()
         ]
 
-    def _others(self) -> list[str]:
-        return [voter for voter in self.saved.voters if voter != self.me]
-
-    def _bound(self, now_ms: float) -> bool:
-        """A leader was heard so lately that it may hold a lease: no vote for anybody else, in any term."""
-        if self.is_leader:
-            return now_ms - self._quorum_ms(now_ms, self.led_ms) < self.timing.election_ms
-        return now_ms - self.heard_ms < self.timing.election_ms
-
-    def _up_to_date(self, message: m.PreVoteRequest | m.VoteRequest) -> bool:
-        theirs = message.last_term, message.last_index
-        return theirs >= (self.saved.last_term, self.saved.last_index)
-
-    def _on_pre_vote(self, now_ms: float, message: m.PreVoteRequest) -> list[m.Action]:
-        granted = message.term > self.saved.term and self._up_to_date(message) and not self._bound(now_ms)
-        term = message.term if granted else self.saved.term  # one that lags behind may catch up with it
-        return [m.Send(m.PreVoteResponse(self.me, message.sender, term, granted))]
+    def _on_pre_vote_request(self, now_ms: float, message: m.PreVoteRequest) -> list[m.Action]:
+        granted = (
+            message.term > self.saved.term
+            and self._is_up_to_date(message)
+            and not self._is_bound_to_leader(now_ms)
+        )
+        term = message.term if granted else self.saved.term  # lets a candidate that lags catch up
+        return [m.Send(m.PreVoteResponse(self.identity, message.sender, term, granted))]
 
-    def _on_pre_voted(self, now_ms: float, message: m.PreVoteResponse) -> list[m.Action]:
+    def _on_pre_vote_response(self, now_ms: float, message: m.PreVoteResponse) -> list[m.Action]:
         if not message.granted:
-            return self._see_term(now_ms, message.term)
-        if self.role is not Role.ASKING or message.term != self.saved.term + 1:
+            return self._observe_term(now_ms, message.term)
+        if self.role is not Role.PRE_CANDIDATE or message.term != self.saved.term + 1:
             return []
-        self.granted |= {message.sender}
-        return self._stand(now_ms) if self._won() else []
-
-    def _on_vote(self, now_ms: float, message: m.VoteRequest) -> list[m.Action]:
-        if message.term > self.saved.term and self._bound(now_ms):
-            return []  # not even its term is taken over
-        actions = self._see_term(now_ms, message.term)
-        free = self.saved.voted in ("", message.sender)
-        granted = message.term == self.saved.term and free and self._up_to_date(message)
-        granted = granted and not self._bound(now_ms)
-        if granted and not self.saved.voted:
-            self.saved = msgspec.structs.replace(self.saved, voted=message.sender)
-            actions = [m.Persist(self.saved)]  # holds the term as well
+        self.votes_granted |= {message.sender}
+        return self._start_election(now_ms) if self._has_majority() else []
+
+    def _on_vote_request(self, now_ms: float, message: m.VoteRequest) -> list[m.Action]:
+        if message.term > self.saved.term and self._is_bound_to_leader(now_ms):
+            return []  # without adopting the term
+        actions = self._observe_term(now_ms, message.term)
+        granted = (
+            message.term == self.saved.term
+            and self.saved.voted_for in ("", message.sender)
+            and self._is_up_to_date(message)
+            and not self._is_bound_to_leader(now_ms)
+        )
+        if granted and not self.saved.voted_for:
+            self.saved = msgspec.structs.replace(self.saved, voted_for=message.sender)
+            actions = [m.Persist(self.saved)]  # includes the term observed above
         if granted:
-            self._rest(now_ms)
-        return [*actions, m.Send(m.VoteResponse(self.me, message.sender, self.saved.term, granted))]
+            self._reset_election_timer(now_ms)
+        return [*actions, m.Send(m.VoteResponse(self.identity, message.sender, self.saved.term, granted))]
 
-    def _on_voted(self, now_ms: float, message: m.VoteResponse) -> list[m.Action]:
-        actions = self._see_term(now_ms, message.term)
+    def _on_vote_response(self, now_ms: float, message: m.VoteResponse) -> list[m.Action]:
+        actions = self._observe_term(now_ms, message.term)
         if self.role is Role.CANDIDATE and message.term == self.saved.term and message.granted:
-            self.granted |= {message.sender}
-            if self._won():
-                actions += self._reign(now_ms)
+            self.votes_granted |= {message.sender}
+            if self._has_majority():
+                actions += self._become_leader(now_ms)
         return actions
 
-    def _see_term(self, now_ms: float, term: int) -> list[m.Action]:
-        """A later term than one's own ends every role in the own one."""
+    def _observe_term(self, now_ms: float, term: int) -> list[m.Action]:
+        """A later term ends every role in the current one."""
         if term <= self.saved.term:
             return []
-        self.saved = msgspec.structs.replace(self.saved, term=term, voted="")
-        self._follow(now_ms, "")
+        self.saved = msgspec.structs.replace(self.saved, term=term, voted_for="")
+        self._become_follower(now_ms, "")
         return [m.Persist(self.saved)]
 
-    # --- leading --------------------------------------------------------------------------------
+    # --- leader ---------------------------------------------------------------------------------
 
-    def _reign(self, now_ms: float) -> list[m.Action]:
-        """Begin with an empty decision: what earlier terms left open is decided along with it,
-        never by itself."""
-        self.role, self.leader, self.led_ms = Role.LEADER, self.me, now_ms
-        self.match, self.sent, self.acked_ms = {}, {}, {}
-        return self._lead_on(now_ms, m.Entry(self.saved.term, "none"))
+    def _become_leader(self, now_ms: float) -> list[m.Action]:
+        """Appends an empty entry: entries of earlier terms are committed only along with one of this term."""
+        self.role = Role.LEADER
+        self.leader = self.identity
+        self.leader_since_ms = now_ms
+        self._clear_follower_progress()
+        return self._append_entry(now_ms, m.Entry(self.saved.term, "none"))
 
-    def _lead_on(self, now_ms: float, entry: m.Entry) -> list[m.Action]:
+    def _append_entry(self, now_ms: float, entry: m.Entry) -> list[m.Action]:
         self.saved = msgspec.structs.replace(self.saved, entries=(*self.saved.entries, entry))
-        return [m.Persist(self.saved), *self._decide(now_ms), *self._beat(now_ms)]
+        persist = m.Persist(self.saved)
+        return [persist, *self._advance_commit_index(now_ms), *self._send_heartbeats(now_ms)]
 
-    def _quorum_ms(self, now_ms: float, unheard_ms: float) -> float:
-        """The sending of the last thing that a majority has answered; its own answer is as of now."""
-        voters = self.saved.voters
-        acked = [now_ms if voter == self.me else self.acked_ms.get(voter, unheard_ms) for voter in voters]
-        return sorted(acked, reverse=True)[self._majority(voters) - 1]
+    def _send_heartbeats(self, now_ms: float) -> list[m.Action]:
+        self.due_ms = now_ms + self.timing.heartbeat_ms
+        return [m.Send(self._replication_message(now_ms, to)) for to in self._peers()]
 
-    def _beat(self, now_ms: float) -> list[m.Action]:
-        self.due_ms = now_ms + self.timing.beat_ms
-        return [m.Send(self._next_for(now_ms, to)) for to in self._others()]
-
-    def _next_for(self, now_ms: float, to: str) -> m.Message:
-        """What a follower is to be sent: all that it is not known to have, in one piece."""
+    def _replication_message(self, now_ms: float, to: str) -> m.Message:
+        """All entries that a follower is not known to have, or the snapshot where these are compacted."""
         saved = self.saved
-        before = self.match.get(to, self.sent.get(to, saved.last_index - 1))
-        if (term := saved.term_at(before)) is None:
-            return m.InstallSnapshotRequest(self.me, to, saved.term, saved.base, now_ms)
-        rest = saved.entries[before - saved.base.index :][: m.MAX_ENTRIES]
-        return m.AppendEntriesRequest(self.me, to, saved.term, before, term, rest, self.commit, now_ms)
-
-    def _on_appended(self, now_ms: float, message: m.AppendEntriesResponse) -> list[m.Action]:
-        actions = self._see_term(now_ms, message.term)
+        previous_index = self.match_index.get(to, self.probe_index.get(to, saved.last_index - 1))
+        previous_term = saved.term_at(previous_index)
+        if previous_term is None:
+            return m.InstallSnapshotRequest(self.identity, to, saved.term, saved.snapshot, now_ms)
+        entries = saved.entries[previous_index - saved.snapshot.index :][: m.MAX_ENTRIES]
+        return m.AppendEntriesRequest(
+            self.identity, to, saved.term, previous_index, previous_term, entries, self.commit_index, now_ms
+        )
+
+    def _on_append_response(self, now_ms: float, message: m.AppendEntriesResponse) -> list[m.Action]:
+        actions = self._observe_term(now_ms, message.term)
         sender = message.sender
         if not self.is_leader or message.term != self.saved.term or sender not in self.saved.voters:
             return actions
-        self.acked_ms[sender] = max(self.acked_ms.get(sender, self.led_ms), min(message.sent_ms, now_ms))
-        if not message.good:  # go back to where it may agree; what is agreed already is never forgotten
-            self.sent[sender] = min(message.match, self.saved.last_index)
-            return [*actions, m.Send(self._next_for(now_ms, sender))]
-        if message.match <= self.saved.last_index:
-            behind = self.match.get(sender, -1) < message.match < self.saved.last_index
-            self.match[sender] = max(self.match.get(sender, 0), message.match)
-            decided = self._decide(now_ms)
-            actions += decided
-            if self.is_leader and (decided or behind):
-                actions.append(m.Send(self._next_for(now_ms, sender)))
+        contact_ms = self.acknowledged_ms.get(sender, self.leader_since_ms)
+        self.acknowledged_ms[sender] = max(contact_ms, min(message.sent_ms, now_ms))
+        last_index = self.saved.last_index
+        if not message.success:  # an index on which both logs already agreed is kept
+            self.probe_index[sender] = min(message.match_index, last_index)
+            return [*actions, m.Send(self._replication_message(now_ms, sender))]
+        if message.match_index <= last_index:
+            is_behind = self.match_index.get(sender, -1) < message.match_index < last_index
+            self.match_index[sender] = max(self.match_index.get(sender, 0), message.match_index)
+            committed = self._advance_commit_index(now_ms)
+            actions += committed
+            if self.is_leader and (committed or is_behind):
+                actions.append(m.Send(self._replication_message(now_ms, sender)))
         return actions
 
-    def _decide(self, now_ms: float) -> list[m.Action]:
-        """What a majority holds of this very term is decided, and all before it."""
-        voters = self.saved.voters
-        held = sorted(
-            (self.saved.last_index if voter == self.me else self.match.get(voter, 0) for voter in voters),
-            reverse=True,
+    def _advance_commit_index(self, now_ms: float) -> list[m.Action]:
+        """Commits what a majority holds of the current term, and everything before it."""
+        last_index = self.saved.last_index
+        index = self._majority_value(
+            lambda voter: last_index if voter == self.identity else self.match_index.get(voter, 0)
         )
-        index = held[self._majority(voters) - 1]
-        if index <= self.commit or self.saved.term_at(index) != self.saved.term:
+        if index <= self.commit_index or self.saved.term_at(index) != self.saved.term:
             return []
-        actions = self._commit_to(index)
-        if not self.is_voter and not has_uncommitted_voters(self.saved, self.commit):
-            self._follow(now_ms, "")  # it has led its own removal to the end
+        actions = self._commit_through(index)
+        if not self.is_voter and not has_uncommitted_voters(self.saved, self.commit_index):
+            self._become_follower(now_ms, "")  # its own removal is committed
         return actions
 
-    # --- following ------------------------------------------------------------------------------
+    # --- follower -------------------------------------------------------------------------------
 
-    def _led_by(
+    def _accept_leader(
         self, now_ms: float, message: m.AppendEntriesRequest | m.InstallSnapshotRequest
     ) -> list[m.Action] | None:
-        """Take over a leader's term; None where it is a leader of the past."""
+        """Adopts the term of the sender as leader; None where its term is over."""
         if message.term < self.saved.term:
             return None
-        actions = self._see_term(now_ms, message.term)
+        actions = self._observe_term(now_ms, message.term)
         if self.role is not Role.FOLLOWER:
-            self._follow(now_ms, message.sender)
-        self.leader, self.heard_ms = message.sender, now_ms
-        self._rest(now_ms)
+            self._become_follower(now_ms, message.sender)
+        self.leader = message.sender
+        self.leader_contact_ms = now_ms
+        self._reset_election_timer(now_ms)
         return actions
 
-    def _answer(
-        self, message: m.AppendEntriesRequest | m.InstallSnapshotRequest, good: bool, match: int
+    def _append_response(
+        self,
+        message: m.AppendEntriesRequest | m.InstallSnapshotRequest,
+        *,
+        success: bool,
+        match_index: int,
     ) -> m.Send:
-        return m.Send(
-            m.AppendEntriesResponse(self.me, message.sender, self.saved.term, good, match, message.sent_ms)
+        response = m.AppendEntriesResponse(
+            self.identity, message.sender, self.saved.term, success, match_index, message.sent_ms
         )
+        return m.Send(response)
 
-    def _on_append(self, now_ms: float, message: m.AppendEntriesRequest) -> list[m.Action]:
-        actions = self._led_by(now_ms, message)
+    def _on_append_request(self, now_ms: float, message: m.AppendEntriesRequest) -> list[m.Action]:
+        actions = self._accept_leader(now_ms, message)
         if actions is None:
-            return [self._answer(message, False, self.saved.last_index)]
-        saved, before, entries = self.saved, message.before_index, message.entries
-        if before < saved.base.index:  # what is folded away was decided: the leader has the same
-            skip = saved.base.index - before
-            if skip > len(entries):
-                return [*actions, self._answer(message, True, before + len(entries))]
-            before, entries = saved.base.index, entries[skip:]
-        elif saved.term_at(before) != message.before_term:
-            guess = min(saved.last_index, before - 1) if saved.term_at(before) is None else before - 1
-            return [*actions, self._answer(message, False, max(guess, saved.base.index))]
-        match = before + len(entries)
-        kept = saved.entries[: before - saved.base.index]
-        mine = saved.entries[before - saved.base.index :]
-        # A repeat of an old message must not cut off what came after it: only a contradiction does.
-        if mine[: len(entries)] != entries:
-            self.saved = msgspec.structs.replace(saved, entries=kept + entries)
-            actions = [m.Persist(self.saved)]
-        actions += self._commit_to(min(message.commit, match))
-        return [*actions, self._answer(message, True, match)]
-
-    def _on_install(self, now_ms: float, message: m.InstallSnapshotRequest) -> list[m.Action]:
-        actions = self._led_by(now_ms, message)
+            return [self._append_response(message, success=False, match_index=self.saved.last_index)]
+        saved = self.saved
+        previous_index = message.previous_index
+        entries = message.entries
+        if previous_index < saved.snapshot.index:  # compacted entries are committed, so the leader has them
+            skipped = saved.snapshot.index - previous_index
+            if skipped > len(entries):
+                match_index = previous_index + len(entries)
+                return [*actions, self._append_response(message, success=True, match_index=match_index)]
+            previous_index = saved.snapshot.index
+            entries = entries[skipped:]
+        elif saved.term_at(previous_index) != message.previous_term:
+            match_index = self._estimated_match(previous_index)
+            return [*actions, self._append_response(message, success=False, match_index=match_index)]
+        actions = self._merge_entries(previous_index, entries) or actions  # includes the term observed above
+        match_index = previous_index + len(entries)
+        actions += self._commit_through(min(message.commit_index, match_index))
+        return [*actions, self._append_response(message, success=True, match_index=match_index)]
+
+    def _estimated_match(self, previous_index: int) -> int:
+        """The last index on which the logs may agree, where they do not at `previous_index`."""
+        saved = self.saved
+        estimate = previous_index - 1
+        if saved.term_at(previous_index) is None:
+            estimate = min(saved.last_index, estimate)
+        return max(estimate, saved.snapshot.index)
+
+    def _merge_entries(self, previous_index: int, entries: m.Entries) -> list[m.Action]:
+        """Truncates the log only where it conflicts; a repeated old message removes nothing."""
+        offset = previous_index - self.saved.snapshot.index
+        if self.saved.entries[offset : offset + len(entries)] == entries:
+            return []
+        self.saved = msgspec.structs.replace(self.saved, entries=self.saved.entries[:offset] + entries)
+        return [m.Persist(self.saved)]
+
+    def _on_install_snapshot(self, now_ms: float, message: m.InstallSnapshotRequest) -> list[m.Action]:
+        actions = self._accept_leader(now_ms, message)
         if actions is None:
-            return [self._answer(message, False, self.saved.last_index)]
-        base, saved = message.base, self.saved
-        if base.index > self.commit:
-            agrees = saved.term_at(base.index) == base.term
-            rest = saved.entries[base.index - saved.base.index :] if agrees else ()
-            self.saved = msgspec.structs.replace(saved, base=base, entries=rest)
-            self.commit = base.index
-            actions = [m.Persist(self.saved)]
-            known = dict(snapshot_registers(saved.base))
-            for kind, (index, text) in snapshot_registers(base):
-                if index > known[kind][0]:
-                    actions.append(m.Committed(index, base.term, kind, text, ()))
-        return [
-            *actions,
-            self._answer(message, True, max(base.index, min(self.commit, self.saved.last_index))),
-        ]
+            return [self._append_response(message, success=False, match_index=self.saved.last_index)]
+        if message.snapshot.index > self.commit_index:
+            actions = self._install(message.snapshot)  # includes the term observed above
+        match_index = max(message.snapshot.index, min(self.commit_index, self.saved.last_index))
+        return [*actions, self._append_response(message, success=True, match_index=match_index)]
+
+    def _install(self, snapshot: m.Snapshot) -> list[m.Action]:
+        previous = self.saved
+        entries: m.Entries = ()
+        if previous.term_at(snapshot.index) == snapshot.term:
+            entries = previous.entries[snapshot.index - previous.snapshot.index :]
+        self.saved = msgspec.structs.replace(previous, snapshot=snapshot, entries=entries)
+        self.commit_index = snapshot.index
+        actions: list[m.Action] = [m.Persist(self.saved)]
+        known = {register.kind: register.index for register in snapshot_registers(previous.snapshot)}
+        changed = [item for item in snapshot_registers(snapshot) if item.index > known[item.kind]]
+        actions += [m.Committed(item.index, snapshot.term, item.kind, item.text, ()) for item in changed]
+        return actions
 
-    def _commit_to(self, index: int) -> list[m.Action]:
+    def _commit_through(self, index: int) -> list[m.Action]:
         actions: list[m.Action] = []
-        while self.commit < min(index, self.saved.last_index):
-            self.commit += 1
-            entry = entry_at(self.saved, self.commit)
-            actions.append(m.Committed(self.commit, entry.term, entry.kind, entry.plan, entry.voters))
-        if self.commit - self.saved.base.index > SNAPSHOT_AFTER:
-            self.saved = compacted(self.saved, self.commit)
+        while self.commit_index < min(index, self.saved.last_index):
+            self.commit_index += 1
+            entry = entry_at(self.saved, self.commit_index)
+            actions.append(m.Committed(self.commit_index, entry.term, entry.kind, entry.text, entry.voters))
+        if self.commit_index - self.saved.snapshot.index > SNAPSHOT_AFTER:
+            self.saved = compacted(self.saved, self.commit_index)
             actions.append(m.Persist(self.saved))
         return actions
-
-    _HANDLERS = {
-        m.PreVoteRequest: "_on_pre_vote",
-        m.PreVoteResponse: "_on_pre_voted",
-        m.VoteRequest: "_on_vote",
-        m.VoteResponse: "_on_voted",
-        m.AppendEntriesRequest: "_on_append",
-        m.InstallSnapshotRequest: "_on_install",
-        m.AppendEntriesResponse: "_on_appended",
-    }
--- a/fawnwharf/consensus/voter_store.py
+++ b/fawnwharf/consensus/voter_store.py
@@ -1,26 +1,26 @@
-"""What a voter has to find again, on disk: one file of whole records, appended and synced.
-
-The first record (`consensus/records.py`) names the fleet, the member and the disk; each later one holds
-all that
-is to be kept, so that the last whole one says everything. A record that is cut short at the end was never
-answered for and is cut off; damage before a whole record is no such thing, and the file is refused.
-
-The file is written anew, beside and then over the old one, once it has grown, and at the next save after a
-failure: after a failed sync the system may drop what was written and report success for the next sync of the
-same file, so nothing more is appended to it. The last record that a start finds may have been written and not
-synced before a kill: it is written again and synced before anything rests on it. That takes no room, so that
-a full disk refuses no start.
+"""The file that holds a voter's persistent state: one log of whole records, appended and synced.
+
+The first record (`consensus/records.py`) names the fleet, the member and the disk; each later one holds the
+complete state, so only the last one counts. A record that is cut short at the end was never acknowledged and
+is truncated; damage before a whole record has another cause, and the file is rejected.
+
+The file is rewritten, as a new file renamed over it, once it has grown, and at the first save after an
+error: after a failed sync the system may drop what was written and report success for the next sync of the
+same file, so nothing more is appended to it. The last record found at a start may have been written and not
+synced before a crash: it is written again and synced before anything depends on it. That needs no additional
+space, so a full disk does not prevent a start.
 """
 
 import contextlib
 import fcntl
 import os
 from collections.abc import Callable
+from itertools import pairwise
 from pathlib import Path
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from fawnwharf.consensus.messages import PersistentState
 from fawnwharf.consensus.records import HEADER_BYTES, MAGIC, DiskError, encode_record, scan_records
@@ -28,57 +28,54 @@
 
 VERSION = 1
 REWRITE_BYTES = 1024 * 1024
+CLOSED = -1  # file descriptor of no open file
 
 
 class DiskIdentity(Struct, frozen=True):
-    """Whose disk it is. `mark` tells this disk from one that the same member had before."""
+    """Whose disk it is. `disk_id` tells this disk from an earlier one of the same member."""
 
     version: int
     fleet: str
     name: str
-    mark: Annotated[str, Meta(pattern="^[0-9a-f]{8,32}$")]
+    disk_id: Annotated[str, Meta(pattern="^[0-9a-f]{8,32}$")] = field(name="mark")
 
     @property
-    def identity(self) -> str:
-        return f"{self.name}#{self.mark}"
+    def voter_identity(self) -> str:
+        """The name of the voter whose state is on this disk."""
+        return f"{self.name}#{self.disk_id}"
 
 
 class VoterStore:
-    """Owns a member's folder while it lives; `saved` is what was last kept."""
+    """Owns a member's folder until it is closed; `saved` is the state that was last written."""
 
     def __init__(
         self, folder: str | Path, fleet: str, name: str, draw: Callable[[], str] | None = None
     ) -> None:
-        """`draw` gives the mark of a new disk. Raises DiskError, and no whole record has changed then."""
+        """Locks the folder and reads its state; `draw` returns the identifier of a new disk.
+
+        Raises DiskError where the folder can't be used, and has changed no whole record then.
+        """
         self.folder = Path(folder)
         self.path = self.folder / "voter.log"
-        self._file, self._size = -1, 0  # the log that is appended to; -1: the next save writes a new one
-        self._lock = self._locked()
+        self.is_new = False
+        self.saved = PersistentState()
+        self.record_number = 0
+        self._file = CLOSED  # the log that is appended to; while closed, the next save writes a new one
+        self._size = 0
+        self._lock = self._acquire_lock()
         try:
-            data = self.path.read_bytes() if self.path.exists() else b""
-            self.fresh = _unfinished(data)
-            if self.fresh:
-                mark = draw() if draw else os.urandom(8).hex()
-                self.label, self.saved, self.number = (
-                    DiskIdentity(VERSION, fleet, name, mark),
-                    PersistentState(),
-                    0,
-                )
-                self._write_anew(encode_record(0, self.label))
-            else:
-                found, whole = self._records(data)
-                self.label, self.saved, self.number = self._found(found, fleet, name)
-                self._settle(data, whole, HEADER_BYTES + len(found[-1][1]))
-        except (OSError, DiskError) as error:
+            self._open(fleet, name, draw or _random_disk_id)
+        except OSError as error:
+            self.close()
+            raise self._error(error.strerror or "not usable") from None
+        except DiskError:
             self.close()
-            if isinstance(error, DiskError):
-                raise
-            raise self._fault(error.strerror or "not usable") from None
+            raise
 
-    def _fault(self, why: str) -> DiskError:
-        return DiskError(f"{self.path}: {why}")
+    def _error(self, reason: str) -> DiskError:
+        return DiskError(f"{self.path}: {reason}")
 
-    def _locked(self) -> int:
+    def _acquire_lock(self) -> int:
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             lock = os.open(self.folder / "voter.lock", os.O_RDWR | os.O_CREAT, 0o600)
@@ -91,97 +88,118 @@
             raise DiskError(f"{self.folder}: in use by a live process") from None
         return lock
 
-    def _records(self, data: bytes) -> tuple[list[tuple[int, bytes]], int]:
-        """The whole records, and where they end."""
-        found, whole, damaged = scan_records(data)
+    def _open(self, fleet: str, name: str, draw: Callable[[], str]) -> None:
+        data = self.path.read_bytes() if self.path.exists() else b""
+        self.is_new = _is_unfinished(data)
+        if self.is_new:
+            self.identity = DiskIdentity(VERSION, fleet, name, draw())
+            self._rewrite(encode_record(0, self.identity))
+        else:
+            self._restore(data, fleet, name)
+
+    def _restore(self, data: bytes, fleet: str, name: str) -> None:
+        found, end, damaged = scan_records(data)
         if damaged:
-            raise self._fault(f"damaged at byte {whole}, before records that are whole")
+            raise self._error(f"damaged at byte {end}, before records that are whole")
         if not found:
-            raise self._fault("no whole record")
-        return found, whole
+            raise self._error("no whole record")
+        self._decode(found)
+        self._check_identity(fleet, name)
+        numbers = [number for number, _ in found[1:]]
+        if any(following <= number for number, following in pairwise(numbers)):
+            raise self._error("records out of order")
+        self.record_number = numbers[-1] if numbers else 0
+        self._sync_last_record(data[:end], HEADER_BYTES + len(found[-1][1]), is_cut=end < len(data))
 
-    def _found(
-        self, found: list[tuple[int, bytes]], fleet: str, name: str
-    ) -> tuple[DiskIdentity, PersistentState, int]:
+    def _decode(self, found: list[tuple[int, bytes]]) -> None:
         try:
-            label = msgspec.json.decode(found[0][1], type=DiskIdentity)
-            saved = (
-                msgspec.json.decode(found[-1][1], type=PersistentState)
-                if len(found) > 1
-                else PersistentState()
-            )
+            self.identity = msgspec.json.decode(found[0][1], type=DiskIdentity)
+            if len(found) > 1:
+                self.saved = msgspec.json.decode(found[-1][1], type=PersistentState)
         except msgspec.DecodeError as error:
-            raise self._fault(f"not a voter's records: {error}") from None
-        if label.version != VERSION:
-            raise self._fault(f"version {label.version}, and this program knows {VERSION}")
-        if label.fleet != fleet:
-            raise self._fault(f"of fleet {label.fleet}, not of {fleet}")
-        if label.name != name:
-            raise self._fault(f"the disk of member {label.name}, not of {name}")
-        numbers = [number for number, _ in found[1:]]
-        if any(later <= earlier for earlier, later in zip(numbers, numbers[1:], strict=False)):
-            raise self._fault("records out of order")
-        return label, saved, numbers[-1] if numbers else 0
-
-    def _settle(self, data: bytes, whole: int, last: int) -> None:
-        """Opens the file that was found; its last record, of so many bytes, is on disk afterwards, and what
-        was cut short behind it is gone. All before it was synced when it was begun."""
-        self._file, self._size = os.open(self.path, os.O_RDWR), whole
-        if whole < len(data):
-            os.ftruncate(self._file, whole)
-        os.lseek(self._file, whole - last, os.SEEK_SET)
-        write_all(self._file, data[whole - last : whole])
+            raise self._error(f"not a voter's records: {error}") from None
+
+    def _check_identity(self, fleet: str, name: str) -> None:
+        found = self.identity
+        if found.version != VERSION:
+            raise self._error(f"version {found.version}, and this program knows {VERSION}")
+        if found.fleet != fleet:
+            raise self._error(f"of fleet {found.fleet}, not of {fleet}")
+        if found.name != name:
+            raise self._error(f"the disk of member {found.name}, not of {name}")
+
+    def _sync_last_record(self, records: bytes, last_size: int, *, is_cut: bool) -> None:
+        """Opens the existing file, removes a record cut short at its end, and syncs the last whole record.
+
+        All earlier records were synced before that one was begun.
+        """
+        self._file = os.open(self.path, os.O_RDWR)
+        self._size = len(records)
+        if is_cut:
+            os.ftruncate(self._file, len(records))
+        os.lseek(self._file, len(records) - last_size, os.SEEK_SET)
+        write_all(self._file, records[len(records) - last_size :])
         os.fsync(self._file)
         sync_folder(self.folder)
 
     def save(self, saved: PersistentState) -> None:
-        """Keep it; it is on disk when this returns. Raises DiskError, and then nothing may rest on it."""
-        record = encode_record(self.number + 1, saved)
+        """Writes and syncs a state; raises DiskError, and then nothing may depend on that state."""
+        record = encode_record(self.record_number + 1, saved)
         try:
-            if self._file >= 0 and self._size + len(record) <= REWRITE_BYTES:
+            if self._file != CLOSED and self._size + len(record) <= REWRITE_BYTES:
                 self._append(record)
             else:
-                self._write_anew(encode_record(0, self.label) + record)
+                self._rewrite(encode_record(0, self.identity) + record)
         except OSError as error:
             self._close_file()
-            raise self._fault(error.strerror or "not writable") from None
-        self.number, self.saved = self.number + 1, saved
+            raise self._error(error.strerror or "not writable") from None
+        self.record_number += 1
+        self.saved = saved
 
     def _append(self, record: bytes) -> None:
         write_all(self._file, record)
         os.fsync(self._file)
         self._size += len(record)
 
-    def _write_anew(self, data: bytes) -> None:
-        """A new file in the place of the last; its name is on disk as well when this returns."""
+    def _rewrite(self, data: bytes) -> None:
+        """Replaces the file by a new one; its name is on disk as well when this returns."""
         self._close_file()
-        beside = self.path.with_suffix(".new")
-        self._file, self._size = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), len(data)
+        replacement = self.path.with_suffix(".new")
+        self._file = os.open(replacement, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        self._size = len(data)
         try:
             write_all(self._file, data)
             os.fsync(self._file)
-            os.rename(beside, self.path)
+            os.rename(replacement, self.path)
             sync_folder(self.folder)
         except OSError:
             self._close_file()
             raise
 
     def _close_file(self) -> None:
-        file, self._file = self._file, -1
-        if file >= 0:
-            with contextlib.suppress(OSError):  # what counts was synced
+        file = self._file
+        self._file = CLOSED
+        if file != CLOSED:
+            with contextlib.suppress(OSError):  # everything that counts was synced
                 os.close(file)
 
     def close(self) -> None:
+        """Closes the file and releases the folder."""
         self._close_file()
         os.close(self._lock)
 
 
-def _unfinished(data: bytes) -> bool:
-    """Whether a file ends within its first record: a kill in the first start, when nothing was promised yet.
-    Whole records after that are damage instead."""
+def _random_disk_id() -> str:
+    return os.urandom(8).hex()
+
+
+def _is_unfinished(data: bytes) -> bool:
+    """Whether a file ends within its first record: a crash in the first start, before any promise.
+
+    Whole records after that mean damage instead.
+    """
     if not MAGIC.startswith(data[: len(MAGIC)]):
         return False
     length = int.from_bytes(data[len(MAGIC) : len(MAGIC) + 4], "big")
-    short = len(data) < HEADER_BYTES or len(data) < HEADER_BYTES + length
-    return short and not scan_records(data)[2]
+    is_short = len(data) < HEADER_BYTES or len(data) < HEADER_BYTES + length
+    return is_short and not scan_records(data)[2]
--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/search.py
@@ -98,13 +98,13 @@
 
 
 def _has(saved: am.PersistentState, index: int, what: str) -> bool:
-    if index <= saved.base.index:
+    if index <= saved.snapshot.index:
         return True
-    place = index - saved.base.index - 1
+    place = index - saved.snapshot.index - 1
     if place >= len(saved.entries):
         return False
     entry = saved.entries[place]
-    return f"{entry.kind} {entry.plan}{' '.join(entry.voters)}" == what
+    return f"{entry.kind} {entry.text}{' '.join(entry.voters)}" == what
 
 
 # --- a change of policy -----------------------------------------------------------------------
--- a/fawnwharf/testbed/explore.py
+++ b/fawnwharf/testbed/explore.py
@@ -11,10 +11,12 @@
 from dataclasses import dataclass, replace
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.voter import Role, Timing, Voter, bootstrap
+from fawnwharf.consensus.timing import Timing
+from fawnwharf.consensus.voter import Voter, bootstrap
+from fawnwharf.consensus.voter_state import Role
 from fawnwharf.testbed.breadth_first import Found, search
 
-TIMING = Timing(beat_ms=1.0, election_ms=1.0, skew=0.0)
+TIMING = Timing(heartbeat_ms=1.0, election_timeout_ms=1.0, clock_skew=0.0)
 PAST_MS, NOW_MS = -1e9, 0.0
 
 
@@ -50,28 +52,38 @@
     repeats: int = 0
 
 
-_TABLES = ("match", "sent")
+_TABLES = ("match_index", "probe_index")
 
 
 def _freeze(voter: Voter, disk: m.PersistentState) -> tuple:
     """Time is reduced to whether the voter is still bound to a leader that it heard."""
-    heard = NOW_MS if voter.heard_ms >= NOW_MS else PAST_MS
+    heard = NOW_MS if voter.leader_contact_ms >= NOW_MS else PAST_MS
     tables = tuple(tuple(sorted(getattr(voter, name).items())) for name in _TABLES)
-    return voter.me, voter.saved, voter.role, voter.leader, voter.commit, voter.granted, heard, tables, disk
+    return (
+        voter.identity,
+        voter.saved,
+        voter.role,
+        voter.leader,
+        voter.commit_index,
+        voter.votes_granted,
+        heard,
+        tables,
+        disk,
+    )
 
 
 def _thaw(kind: type[Voter], frozen: tuple) -> Voter:
-    me, saved, role, leader, commit, granted, heard, tables, _ = frozen
-    voter = kind(me, saved, TIMING, NOW_MS, 1)
-    voter.role, voter.leader, voter.commit, voter.granted, voter.heard_ms = (
+    identity, saved, role, leader, commit_index, votes_granted, heard, tables, _ = frozen
+    voter = kind(identity, saved, TIMING, NOW_MS, 1)
+    voter.role, voter.leader, voter.commit_index, voter.votes_granted, voter.leader_contact_ms = (
         role,
         leader,
-        commit,
-        granted,
+        commit_index,
+        votes_granted,
         heard,
     )
-    voter.match, voter.sent = (dict(table) for table in tables)
-    voter.due_ms = voter.led_ms = NOW_MS
+    voter.match_index, voter.probe_index = (dict(table) for table in tables)
+    voter.due_ms = voter.leader_since_ms = NOW_MS
     return voter
 
 
@@ -85,11 +97,11 @@
         """`members` of the names are voters from the start, or all; the others may be taken in."""
         self.kind, self.names, self.bounds = kind, names, bounds
         first = names[: members or len(names)]
-        base = replace_voters(bootstrap(first[0]), first)
+        initial = replace_voters(bootstrap(first[0]), first)
         blank = m.PersistentState()
-        made = [kind(name, base if name in first else blank, TIMING, NOW_MS, 1) for name in names]
+        made = [kind(name, initial if name in first else blank, TIMING, NOW_MS, 1) for name in names]
         for voter in made:
-            voter.heard_ms = PAST_MS
+            voter.leader_contact_ms = PAST_MS
         self.start = World(tuple(_freeze(voter, voter.saved) for voter in made), frozenset())
 
     def search(self) -> Found:
@@ -102,29 +114,29 @@
 
     def _steps(self, world: World) -> Iterator[tuple[str, World]]:
         for place, frozen in enumerate(world.voters):
-            me, role = frozen[0], frozen[2]
+            identity, role = frozen[0], frozen[2]
             if world.kills < self.bounds.kills:
-                born = self.kind(me, frozen[8], TIMING, NOW_MS, 1)
+                born = self.kind(identity, frozen[8], TIMING, NOW_MS, 1)
                 killed = replace(world, kills=world.kills + 1)
-                yield f"{me} is killed", self._after(killed, place, born, [])
+                yield f"{identity} is killed", self._after(killed, place, born, [])
             if role is Role.LEADER:
-                yield from self._of_leader(world, place, me)
+                yield from self._of_leader(world, place, identity)
             elif world.patience < self.bounds.patience:
                 after = replace(world, patience=world.patience + 1)
-                yield from self._do(after, place, f"{me} runs out of patience", self._impatient)
+                yield from self._do(after, place, f"{identity} runs out of patience", self._impatient)
         yield from self._arrivals(world)
 
-    def _of_leader(self, world: World, place: int, me: str) -> Iterator[tuple[str, World]]:
+    def _of_leader(self, world: World, place: int, identity: str) -> Iterator[tuple[str, World]]:
         if world.beats < self.bounds.beats:
             after = replace(world, beats=world.beats + 1)
-            yield from self._do(after, place, f"{me} beats", lambda voter: voter.tick(NOW_MS))
+            yield from self._do(after, place, f"{identity} beats", lambda voter: voter.tick(NOW_MS))
         if world.plans < self.bounds.plans:
             text, after = f"plan {world.plans + 1}", replace(world, plans=world.plans + 1)
-            yield from self._do(after, place, f"{me} proposes {text}", self._proposing(text))
+            yield from self._do(after, place, f"{identity} proposes {text}", self._proposing(text))
         if world.changes < self.bounds.changes:
             for name in self.names:
                 after = replace(world, changes=world.changes + 1)
-                yield from self._do(after, place, f"{me} exchanges {name}", self._exchanging(name))
+                yield from self._do(after, place, f"{identity} exchanges {name}", self._exchanging(name))
 
     def _arrivals(self, world: World) -> Iterator[tuple[str, World]]:
         for message in sorted(world.flying, key=repr):
@@ -139,10 +151,10 @@
                 yield from self._do(again, place, label + ", to come again", self._receiving(message))
 
     def _impatient(self, voter: Voter) -> list[m.Action]:
-        voter.heard_ms = PAST_MS
+        voter.leader_contact_ms = PAST_MS
         if self.bounds.pre_votes or not voter.is_voter:
             return voter.tick(NOW_MS)
-        return voter._stand(NOW_MS)
+        return voter._start_election(NOW_MS)
 
     def _receiving(self, message: m.Message) -> Step:
         return lambda voter: voter.receive(NOW_MS, message)
@@ -176,10 +188,10 @@
         leaders, decided = dict(world.leaders), dict(world.decided)
         if voter.is_leader:
             key = voter.saved.term
-            leaders[key] = voter.me if leaders.get(key, voter.me) == voter.me else "two"
+            leaders[key] = voter.identity if leaders.get(key, voter.identity) == voter.identity else "two"
         for action in actions:
             if isinstance(action, m.Committed):
-                what = f"{action.kind} {action.plan}{' '.join(action.voters)}"
+                what = f"{action.kind} {action.text}{' '.join(action.voters)}"
                 decided[action.index] = what if decided.get(action.index, what) == what else "two"
         said = [action.message for action in actions if isinstance(action, m.Send)]
         flying = world.flying | set(said)
@@ -215,8 +227,8 @@
 
 def replace_voters(saved: m.PersistentState, voters: tuple[str, ...]) -> m.PersistentState:
     """A saved state with another list of voters, decided before everything in it."""
-    base = m.Snapshot(saved.base.index, saved.base.term, "", 0, tuple(sorted(voters)))
-    return m.PersistentState(saved.term, saved.voted, base, saved.entries)
+    snapshot = m.Snapshot(saved.snapshot.index, saved.snapshot.term, "", 0, tuple(sorted(voters)))
+    return m.PersistentState(saved.term, saved.voted_for, snapshot, saved.entries)
 
 
 def broken(world: World) -> str:
--- a/fawnwharf/testbed/walk.py
+++ b/fawnwharf/testbed/walk.py
@@ -11,10 +11,11 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.voter import Timing, Voter, bootstrap
+from fawnwharf.consensus.timing import Timing
+from fawnwharf.consensus.voter import Voter, bootstrap
 from fawnwharf.testbed.explore import replace_voters
 
-TIMING = Timing(beat_ms=100.0, election_ms=500.0, skew=0.1)
+TIMING = Timing(heartbeat_ms=100.0, election_timeout_ms=500.0, clock_skew=0.1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +81,7 @@
         voters = tuple(names[:size])
         self.members: dict[str, _Member] = {}
         for name in names:
-            rate = 1 + self.chance.uniform(-TIMING.skew, TIMING.skew)
+            rate = 1 + self.chance.uniform(-TIMING.clock_skew, TIMING.clock_skew)
             disk = replace_voters(bootstrap(voters[0]), voters) if name in voters else m.PersistentState()
             member = self.members[name] = _Member(name, rate, None, disk)
             self._start(member)
@@ -140,7 +141,7 @@
         last = self.chance.randrange(len(actions) + 1) if doomed else len(actions)
         if voter.is_leader:
             term = voter.saved.term
-            if self.reigns.setdefault(term, voter.me) != voter.me:
+            if self.reigns.setdefault(term, voter.identity) != voter.identity:
                 self.outcome.broken = f"two leaders in term {term}"
         for action in actions[:last]:
             if isinstance(action, m.Persist):
@@ -157,14 +158,14 @@
     def _ask_fresh(self, member: _Member) -> None:
         """What a leader holds for the last plan must be that, whenever it is asked."""
         voter = member.voter
-        if voter.fresh(self._clock(member)):
+        if voter.holds_read_lease(self._clock(member)):
             self.outcome.fresh += 1
             if voter.plan[0] < self.plan_index:
                 last = f"plan {voter.plan[0]} for the last, which is {self.plan_index}"
-                self.outcome.broken = f"{voter.me} holds {last}"
+                self.outcome.broken = f"{voter.identity} holds {last}"
 
     def _note(self, action: m.Committed) -> None:
-        what = f"{action.kind} {action.plan}{' '.join(action.voters)}"
+        what = f"{action.kind} {action.text}{' '.join(action.voters)}"
         if self.decided.setdefault(action.index, what) != what:
             self.outcome.broken = f"two decisions with the number {action.index}"
         if action.kind == "plan":
@@ -204,7 +205,7 @@
     def _lead(self, member: _Member) -> None:
         chance, weather, voter = self.chance, self.weather, member.voter
         if chance.random() < weather.plans / 10:
-            text = f"plan of {voter.me} at {self.now:.3f}"
+            text = f"plan of {voter.identity} at {self.now:.3f}"
             self._carry_out(member, voter.propose(self._clock(member), text)[1])
         if member.voter is voter and chance.random() < weather.changes / 10:
             name = chance.choice(sorted(self.members))
--- a/fawnwharf/zones/founding.py
+++ b/fawnwharf/zones/founding.py
@@ -23,9 +23,9 @@
     except DiskError as error:
         raise ConfigError(f"zones: {error}") from None
     try:
-        if disk.number or disk.saved.voters:
+        if disk.record_number or disk.saved.voters:
             raise ConfigError(f"zones: {disk.path}: not empty: this fleet has begun")
-        disk.save(bootstrap(disk.label.identity))
+        disk.save(bootstrap(disk.identity.voter_identity))
     finally:
         disk.close()
-    return disk.label.identity
+    return disk.identity.voter_identity
--- a/fawnwharf/zones/member.py
+++ b/fawnwharf/zones/member.py
@@ -13,7 +13,8 @@
 import msgspec
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.voter import Timing, Voter
+from fawnwharf.consensus.timing import Timing
+from fawnwharf.consensus.voter import Voter
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import Seen
 from fawnwharf.zones.judge import Judge, Report
@@ -262,8 +263,8 @@
         if decided.kind == "voters":
             return [Note("voters", {"index": decided.index, "voters": list(decided.voters)})]
         if decided.kind in (POLICY, RECOVERY):
-            return [Ruled(decided.index, decided.plan, decided.kind)]
-        if decided.kind != "plan" or not self._learn(decided.index, decided.plan):
+            return [Ruled(decided.index, decided.text, decided.kind)]
+        if decided.kind != "plan" or not self._learn(decided.index, decided.text):
             return []
         states = {name: f"{zone.state} {zone.share:g}" for name, zone in self.plan.zones.items()}
         return [Note("plan", {"index": decided.index, "term": decided.term, "zones": states})]
@@ -284,9 +285,9 @@
         voter = self.voter
         if voter is None or not voter.is_leader:
             return Seat()
-        settled = voter.commit == voter.saved.last_index
+        settled = voter.commit_index == voter.saved.last_index
         policy, recovery = voter.last(POLICY)[1], voter.last(RECOVERY)[1]
-        fresh = voter.fresh(now_ms)
+        fresh = voter.holds_read_lease(now_ms)
         return Seat(voter.saved.term, fresh, settled, policy, recovery, voter.saved.voters)
 
     def put(self, now_ms: float, text: str, kind: str = POLICY) -> tuple[bool, list[Effect]]:
@@ -301,7 +302,7 @@
         if now_ms >= self.judge_due_ms:
             self.judge_due_ms = now_ms + self.settings.evidence.report_ms / 2
             effects += self._judge(now_ms)
-        if now_ms >= self.fresh_due_ms and self.voter.fresh(now_ms):
+        if now_ms >= self.fresh_due_ms and self.voter.holds_read_lease(now_ms):
             self.fresh_due_ms = now_ms + self.settings.voting.fresh_ms
             index, term = self.voter.plan[0], self.voter.saved.term
             if index:
@@ -310,8 +311,8 @@
         return effects
 
     def _judge(self, now_ms: float) -> list[Effect]:
-        settled = self.voter.commit == self.voter.saved.last_index
-        if not settled or not self.voter.fresh(now_ms):
+        settled = self.voter.commit_index == self.voter.saved.last_index
+        if not settled or not self.voter.holds_read_lease(now_ms):
             return []  # one decision at a time, and none on a view that may be old
         effects = self._reconcile(now_ms)
         if effects:
@@ -352,7 +353,7 @@
         replaced = [v for v in now if present.get(v.partition("#")[0], v) != v]
         missing = [v for name, v in sorted(present.items()) if v not in now]
         fresh = [v for v in missing if not any(v.partition("#")[0] == old.partition("#")[0] for old in now)]
-        others_first = sorted(replaced + gone, key=lambda v: v == self.voter.me)
+        others_first = sorted(replaced + gone, key=lambda v: v == self.voter.identity)
         if others_first and len(now) > 1:
             voters = tuple(v for v in now if v != others_first[0])
         elif fresh:
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -69,8 +69,8 @@
         self.entry, self.folder = self._own_entry(members), folder
         self.disk = self._open_disk(members.fleet) if self.entry.ballots else None
         now = monotonic_ms()
-        identity = self.disk.label.identity if self.disk else ""
-        kept = (self.disk.saved, self.disk.number) if self.disk else (None, 0)
+        identity = self.disk.identity.voter_identity if self.disk else ""
+        kept = (self.disk.saved, self.disk.record_number) if self.disk else (None, 0)
         name, seed = self.entry.name, deployment.seed
         self.core = Member(name, members, self.settings, now, seed, identity, *kept)
         promise = min((c.promise_ms for c in deployment.settings.classes.values()), default=1_000.0)
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -40,8 +40,8 @@
     before = (folder / "voter.log").read_bytes()
     disk = VoterStore(folder, "fleet-1", "n0")
     try:
-        assert not disk.fresh and disk.number == 4
-        assert disk.label.identity == FIRST
+        assert not disk.is_new and disk.record_number == 4
+        assert disk.identity.voter_identity == FIRST
         entries = (consensus.Entry(2, "plan", '{"number":4}'), consensus.Entry(3, "voters", "", (FIRST,)))
         assert disk.saved == consensus.PersistentState(3, SECOND, BASE, entries)
         assert (folder / "voter.log").read_bytes() == before
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -7,10 +7,12 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.committed_log import REGISTER_KINDS
-from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Role, Timing, Voter, bootstrap
+from fawnwharf.consensus.timing import Timing
+from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Voter, bootstrap
+from fawnwharf.consensus.voter_state import Role
 from fawnwharf.testbed.explore import replace_voters
 
-TIMING = Timing(beat_ms=100.0, election_ms=500.0, skew=0.1)
+TIMING = Timing(heartbeat_ms=100.0, election_timeout_ms=500.0, clock_skew=0.1)
 
 
 class Fleet:
@@ -40,7 +42,7 @@
             elif isinstance(action, m.Send):
                 self.held.append(action.message)
             else:
-                self.decided[name].append((action.index, action.kind, action.plan or action.voters))
+                self.decided[name].append((action.index, action.kind, action.text or action.voters))
 
     def settle(self):
         while self.held:
@@ -63,7 +65,7 @@
         return index
 
     def beat(self, name):
-        self.now += TIMING.beat_ms
+        self.now += TIMING.heartbeat_ms
         self.do(name, self[name].tick(self.now))
         self.settle()
 
@@ -75,7 +77,7 @@
     fleet.beat("a")
     assert [fleet[name].plan for name in "abc"] == [(index, "one")] * 3
     assert all((index, "plan", "one") in fleet.decided[name] for name in "abc")
-    assert fleet["a"].fresh(fleet.now) and not fleet["b"].fresh(fleet.now)
+    assert fleet["a"].holds_read_lease(fleet.now) and not fleet["b"].holds_read_lease(fleet.now)
 
 
 def test_a_minority_decides_nothing_and_knows_within_a_lease_that_its_plan_may_be_old():
@@ -86,9 +88,9 @@
     fleet.propose("a", "two")
     assert fleet["a"].plan[1] == "one"
     heard = fleet.now
-    assert fleet["a"].fresh(heard + TIMING.lease_ms - 1)
-    assert not fleet["a"].fresh(heard + TIMING.lease_ms + 1)
-    fleet.now = heard + 2 * TIMING.election_ms
+    assert fleet["a"].holds_read_lease(heard + TIMING.lease_ms - 1)
+    assert not fleet["a"].holds_read_lease(heard + TIMING.lease_ms + 1)
+    fleet.now = heard + 2 * TIMING.election_timeout_ms
     fleet["a"].tick(fleet.now)
     assert fleet["a"].role is Role.FOLLOWER
 
@@ -109,9 +111,9 @@
 
 def test_an_entry_of_an_earlier_term_is_not_decided_by_counting_its_holders():
     """Figure 8 of the paper: held by a majority, and still to be overwritten by one with a later entry."""
-    base = m.Snapshot(1, 1, voters=("a", "b", "c"))
-    old, own = m.Entry(2, "plan", plan="old"), m.Entry(4, "none")
-    leader = Voter("a", m.PersistentState(4, "a", base, (old, own)), TIMING, 0.0, 1)
+    snapshot = m.Snapshot(1, 1, voters=("a", "b", "c"))
+    old, own = m.Entry(2, "plan", text="old"), m.Entry(4, "none")
+    leader = Voter("a", m.PersistentState(4, "a", snapshot, (old, own)), TIMING, 0.0, 1)
     leader.role = Role.LEADER
     assert leader.receive(0.0, m.AppendEntriesResponse("c", "a", 4, True, 2, 0.0)) == [
         m.Send(m.AppendEntriesRequest("a", "c", 4, 2, 2, (own,), 1, 0.0))
@@ -127,7 +129,7 @@
     stray = m.VoteRequest("c", "b", term + 7, 99, term + 6)
     assert fleet["b"].receive(fleet.now + 1, stray) == []
     assert fleet["b"].saved.term == term
-    late = fleet.now + TIMING.election_ms + 1
+    late = fleet.now + TIMING.election_timeout_ms + 1
     assert any(isinstance(action, m.Persist) for action in fleet["b"].receive(late, stray))
 
 
@@ -136,8 +138,8 @@
     fleet.elect("a")
     fleet.restart("b")
     stray = m.VoteRequest("c", "b", 99, 99, 98)
-    assert fleet["b"].receive(fleet.now + TIMING.election_ms - 1, stray) == []
-    assert fleet["b"].receive(fleet.now + TIMING.election_ms + 1, stray) != []
+    assert fleet["b"].receive(fleet.now + TIMING.election_timeout_ms - 1, stray) == []
+    assert fleet["b"].receive(fleet.now + TIMING.election_timeout_ms + 1, stray) != []
 
 
 def test_a_vote_is_given_once_a_term_also_after_a_kill():
@@ -158,8 +160,8 @@
     fleet.cut = {"c"}
     for _ in range(8):
         fleet.now += 1_100.0
-        fleet["a"].acked_ms = {"b": fleet.now}
-        fleet["b"].heard_ms = fleet.now
+        fleet["a"].acknowledged_ms = {"b": fleet.now}
+        fleet["b"].leader_contact_ms = fleet.now
         fleet.do("c", fleet["c"].tick(fleet.now))
         fleet.settle()
     term = fleet["a"].saved.term
@@ -207,9 +209,9 @@
         fleet.do("a", leader.tick(fleet.now))
         fleet.settle()
     assert [leader.last(kind)[1] for kind in REGISTER_KINDS] == ["n39", "p2", "r2"]
-    base = leader.saved.base
-    assert (base.policy, base.recovery) == ("p2", "r2")  # folded by now
-    assert base.index > base.recovery_index > base.policy_index == leader.policy[0]
+    snapshot = leader.saved.snapshot
+    assert (snapshot.policy, snapshot.recovery) == ("p2", "r2")  # folded by now
+    assert snapshot.index > snapshot.recovery_index > snapshot.policy_index == leader.policy[0]
     fleet.cut = set()
     for _ in range(6):
         fleet.now += 110.0
@@ -224,9 +226,14 @@
 
 
 def test_what_was_saved_before_there_was_a_third_kind_is_read():
-    base = {"index": 9, "term": 2, "voters": ["a"], "plan": "p", "plan_index": 8}
-    base |= {"policy": "x", "policy_index": 7}
-    saved = {"term": 2, "voted": "a", "base": base, "entries": [{"term": 2, "kind": "policy", "plan": "y"}]}
+    snapshot = {"index": 9, "term": 2, "voters": ["a"], "plan": "p", "plan_index": 8}
+    snapshot |= {"policy": "x", "policy_index": 7}
+    saved = {
+        "term": 2,
+        "voted": "a",
+        "base": snapshot,
+        "entries": [{"term": 2, "kind": "policy", "plan": "y"}],
+    }
     voter = Voter("a", msgspec.convert(saved, m.PersistentState), Timing(), 0.0, 1)
     assert (voter.last("recovery"), voter.policy) == ((0, ""), (7, "x"))
     voter.tick(voter.due_ms)
@@ -278,9 +285,9 @@
     before = fleet["b"].saved
     assert fleet["b"].receive(fleet.now, m.VoteRequest("c", "a", 99, 9, 9)) == []
     assert fleet["b"].receive(fleet.now, m.VoteRequest("b", "b", 99, 9, 9)) == []
-    old = m.AppendEntriesRequest("c", "b", before.term - 1, 1, 1, (m.Entry(1, "plan", plan="x"),), 9, 0.0)
+    old = m.AppendEntriesRequest("c", "b", before.term - 1, 1, 1, (m.Entry(1, "plan", text="x"),), 9, 0.0)
     [answer] = fleet["b"].receive(fleet.now, old)
-    assert not answer.message.good and fleet["b"].saved == before
+    assert not answer.message.success and fleet["b"].saved == before
 
 
 @pytest.mark.parametrize(
@@ -305,13 +312,13 @@
 
 def test_messages_survive_the_line():
     entry = m.Entry(3, "voters", voters=("a", "b"))
-    base = m.Snapshot(4, 2, "text", 3, ("a",))
+    snapshot = m.Snapshot(4, 2, "text", 3, ("a",))
     said = [
         m.PreVoteRequest("a", "b", 3, 1, 2),
         m.VoteRequest("a", "b", 3, 1, 2),
         m.VoteResponse("a", "b", 3, True),
         m.AppendEntriesRequest("a", "b", 3, 1, 2, (entry,), 1, 12.5),
-        m.InstallSnapshotRequest("a", "b", 3, base, 1.0),
+        m.InstallSnapshotRequest("a", "b", 3, snapshot, 1.0),
         m.AppendEntriesResponse("a", "b", 3, False, 4, 12.5),
     ]
     for message in said:
@@ -320,7 +327,7 @@
 
 def test_a_lease_is_over_before_any_voter_is_free_for_another_leader():
     for skew in (0.0, 0.1, 0.3):
-        timing = Timing(election_ms=1000.0, skew=skew)
+        timing = Timing(election_timeout_ms=1000.0, clock_skew=skew)
         leader_true = timing.lease_ms / (1 - skew)  # its clock runs slow
-        voter_true = timing.election_ms / (1 + skew)  # theirs run fast
+        voter_true = timing.election_timeout_ms / (1 + skew)  # theirs run fast
         assert leader_true <= voter_true or math.isclose(leader_true, voter_true)
--- a/tests/test_accord_disk.py
+++ b/tests/test_accord_disk.py
@@ -11,7 +11,7 @@
 
 def saved(term):
     return m.PersistentState(
-        term, "a#0", m.Snapshot(1, 1, "plan", 1, ("a#0",)), (m.Entry(term, "plan", plan="p" * term),)
+        term, "a#0", m.Snapshot(1, 1, "plan", 1, ("a#0",)), (m.Entry(term, "plan", text="p" * term),)
     )
 
 
@@ -26,7 +26,12 @@
 def test_a_disk_gives_back_what_was_saved_last_under_the_same_identity(tmp_path):
     made = filled(tmp_path)
     again = VoterStore(tmp_path, "fleet", "a")
-    assert (again.saved, again.number, again.label, again.fresh) == (saved(3), 3, made.label, False)
+    assert (again.saved, again.record_number, again.identity, again.is_new) == (
+        saved(3),
+        3,
+        made.identity,
+        False,
+    )
     again.save(saved(4))
     again.close()
     assert VoterStore(tmp_path, "fleet", "a").saved == saved(4)
@@ -35,10 +40,10 @@
 def test_a_file_cut_at_any_byte_gives_back_one_of_the_states_that_were_saved(tmp_path):
     made = filled(tmp_path)
     data = made.path.read_bytes()
-    label_end = len(disks.encode_record(0, made.label))
+    identity_end = len(disks.encode_record(0, made.identity))
     states = [m.PersistentState(), saved(1), saved(2), saved(3)]
     seen = []
-    for size in range(label_end, len(data) + 1):
+    for size in range(identity_end, len(data) + 1):
         made.path.write_bytes(data[:size])
         disk = VoterStore(tmp_path, "fleet", "a")
         seen.append(states.index(disk.saved))
@@ -51,7 +56,7 @@
 def test_damage_before_whole_records_is_refused_and_left_as_it_is(tmp_path):
     made = filled(tmp_path)
     data = bytearray(made.path.read_bytes())
-    middle = len(disks.encode_record(0, made.label)) + 30
+    middle = len(disks.encode_record(0, made.identity)) + 30
     data[middle] ^= 1
     made.path.write_bytes(data)
     with pytest.raises(DiskError, match="damaged at byte"):
@@ -89,7 +94,7 @@
     assert disk.path.stat().st_size <= 2_000
     disk.close()
     again = VoterStore(tmp_path, "fleet", "a")
-    assert (again.saved, again.label, again.number) == (saved(59), disk.label, 59)
+    assert (again.saved, again.identity, again.record_number) == (saved(59), disk.identity, 59)
 
 
 def test_a_disk_that_fails_says_so_and_keeps_no_half_record(tmp_path, monkeypatch):
--- a/tests/test_accord_search.py
+++ b/tests/test_accord_search.py
@@ -10,14 +10,18 @@
 
 
 class VotesTwice(Voter):
-    def _on_vote(self, now_ms, message):
-        self.saved = msgspec.structs.replace(self.saved, voted="")
-        return super()._on_vote(now_ms, message)
+    def _on_vote_request(self, now_ms, message):
+        self.saved = msgspec.structs.replace(self.saved, voted_for="")
+        return super()._on_vote_request(now_ms, message)
 
 
 class SaysBeforeItSaves(Voter):
-    def _on_vote(self, now_ms, message):
-        return [action for action in super()._on_vote(now_ms, message) if not isinstance(action, m.Persist)]
+    def _on_vote_request(self, now_ms, message):
+        return [
+            action
+            for action in super()._on_vote_request(now_ms, message)
+            if not isinstance(action, m.Persist)
+        ]
 
 
 class DecidesByAMinority(Voter):
@@ -26,12 +30,12 @@
 
 
 class LeaseWithoutCheck(Voter):
-    def _leased(self, now_ms):
+    def _holds_lease(self, now_ms):
         return True
 
 
 class VotesForAnyLog(Voter):
-    def _up_to_date(self, message):
+    def _is_up_to_date(self, message):
         return True
 
 
--- a/tests/test_disk_faults_voter.py
+++ b/tests/test_disk_faults_voter.py
@@ -23,7 +23,7 @@
 
 def saved(term):
     return m.PersistentState(
-        term, "a#0", m.Snapshot(1, 1, "plan", 1, ("a#0",)), (m.Entry(term, "plan", plan="p" * 40),)
+        term, "a#0", m.Snapshot(1, 1, "plan", 1, ("a#0",)), (m.Entry(term, "plan", text="p" * 40),)
     )
 
 
@@ -213,11 +213,11 @@
     for size in range(len(label)):
         disk.path.write_bytes(label[:size])
         again = VoterStore(tmp_path, "fleet", "a")
-        assert again.fresh and again.label.mark != disk.label.mark
+        assert again.is_new and again.identity.disk_id != disk.identity.disk_id
         again.save(saved(1))
         again.close()
         disk = VoterStore(tmp_path, "fleet", "a")
-        assert (disk.saved, disk.label) == (saved(1), again.label)
+        assert (disk.saved, disk.identity) == (saved(1), again.identity)
         disk.close()
     whole = disk.path.read_bytes()
     for data in (b"\0" * len(whole), b"x" + whole[1:], label[:20] + whole):
--- a/tests/test_epochs_voters.py
+++ b/tests/test_epochs_voters.py
@@ -1,7 +1,7 @@
 """Stewards at real voters: what an owner has to do with both, in steps of virtual time."""
 
 from fawnwharf.consensus import messages as a
-from fawnwharf.consensus.voter import Timing as Voting
+from fawnwharf.consensus.timing import Timing as Voting
 from fawnwharf.consensus.voter import Voter, bootstrap
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import register_from
@@ -38,27 +38,27 @@
             if isinstance(action, a.Send):
                 self.fleet.say(self.name, action.message.to, action.message)
             elif isinstance(action, a.Committed) and action.kind == "policy" and self.steward.term:
-                self.does(self.steward.decided(now, action.plan, voter.fresh(now)))
+                self.does(self.steward.decided(now, action.text, voter.holds_read_lease(now)))
 
     def takes(self, sender, message):
         now = self.fleet.now
         if isinstance(message, a.Message):
             self.votes(self.voter.receive(now, message))
         elif isinstance(message, m.Vote | m.Status | m.Changed):
-            self.does(self.steward.heard(now, sender, message, self.voter.fresh(now)))
+            self.does(self.steward.heard(now, sender, message, self.voter.holds_read_lease(now)))
         else:
             self.does(self.holder.heard(now, sender, message))
 
     def step(self):
         now, voter = self.fleet.now, self.voter
         self.votes(voter.tick(now))
-        settled = voter.fresh(now) and voter.commit == voter.saved.last_index
+        settled = voter.holds_read_lease(now) and voter.commit_index == voter.saved.last_index
         if self.steward.term and self.steward.term != (voter.is_leader and voter.saved.term):
             self.steward.rest()
         if settled and not self.steward.term:
             self.does(self.steward.lead(now, voter.saved.term, voter.policy[1]))
         if (due := self.steward.due_ms()) is not None and now >= due:
-            self.does(self.steward.tick(now, voter.fresh(now)))
+            self.does(self.steward.tick(now, voter.holds_read_lease(now)))
         if now >= self.holder.due_ms():
             self.does(self.holder.tick(now))
 
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -33,8 +33,8 @@
 class SaysBeforeItSaves(Voter):
     """Answers that it has what a leader sent, and saves it later."""
 
-    def _on_append(self, now_ms, message):
-        return [a for a in super()._on_append(now_ms, message) if not isinstance(a, am.Persist)]
+    def _on_append_request(self, now_ms, message):
+        return [a for a in super()._on_append_request(now_ms, message) if not isinstance(a, am.Persist)]
 
 
 class DecidesAtOnce(Voter):
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -172,7 +172,7 @@
     fleet.run(15)
     leader = fleet.cores[fleet.leaders()[0]]
     assert set(leader.voter.saved.voters) == {"n0#0", "n1#1", "n2#0"}
-    assert leader.voter.commit == leader.voter.saved.last_index
+    assert leader.voter.commit_index == leader.voter.saved.last_index
 
 
 def test_members_change_during_a_failover_and_one_voter_gives_way_to_another():
