--- a/fawnwharf/migration/homes.py
+++ b/fawnwharf/migration/homes.py
@@ -24,7 +24,7 @@
 
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.settings import Settings
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Home, Session
 
 Before = tuple[int, dict[str, str], int]  # a list: number, its keepers' zones, zones that may be silent
@@ -41,7 +41,7 @@
 
 def mover_of(session: Session, fronts: Iterable[str]) -> str:
     """The front end that coordinates a session's migration, of those that are heard; else its backup."""
-    return max(sorted(fronts), key=lambda name: weight("mover", name, key_of(session)), default="")
+    return max(sorted(fronts), key=lambda name: rendezvous_weight("mover", name, key_of(session)), default="")
 
 
 def merged(one: m.Record, other: m.Record) -> m.Record:
--- a/fawnwharf/migration/mover.py
+++ b/fawnwharf/migration/mover.py
@@ -14,7 +14,7 @@
 from fawnwharf.migration.hand import ASKING, SETTLING, STAGING, SWITCHING, UNSTAGED, Hand
 from fawnwharf.migration.homes import is_open, key_of, merged
 from fawnwharf.migration.settings import Settings
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Home, Move, Session
 
 HANDS_MOST = 20_000
@@ -104,7 +104,7 @@
     def _at(self, site: str, key: str) -> str:
         """The front end of a site that speaks for it in a session's matters."""
         names = sorted(n for n, (at, heard, _) in self.seen.items() if at == site and heard)
-        return max(names, key=lambda name: weight("receiver", name, key), default="")
+        return max(names, key=lambda name: rendezvous_weight("receiver", name, key), default="")
 
     # --- beginning --------------------------------------------------------------------------------
 
@@ -349,7 +349,7 @@
 
     def _pause(self, hand: Hand) -> float:
         """Before keepers are asked again: spread, so that two movers do not meet for ever."""
-        spread = weight(self.name, key_of(hand.session), str(hand.turn.count)) / 2**64
+        spread = rendezvous_weight(self.name, key_of(hand.session), str(hand.turn.count)) / 2**64
         return self.settings.again_ms * (1.0 + spread)
 
     def _late(self, now_ms: float, hand: Hand) -> list[m.Out]:
--- a/fawnwharf/prefetch/budgets.py
+++ b/fawnwharf/prefetch/budgets.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from fawnwharf.prefetch.worth import Facts
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 
 BURST_S = 2.0  # of the fleet's fetches, and of the own pace
 
@@ -51,7 +51,7 @@
 
 def orderer(row: str, site: str, heard: Sequence[str]) -> str:
     """The front end that orders for a function at a zone, out of those that are heard."""
-    return max(heard, key=lambda name: (weight("stage", name, row, site), name))
+    return max(heard, key=lambda name: (rendezvous_weight("stage", name, row, site), name))
 
 
 def parts(view: View, fleet_size: int) -> float:
--- a/fawnwharf/prefetch/scenes.py
+++ b/fawnwharf/prefetch/scenes.py
@@ -13,7 +13,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.world import Call
 from fawnwharf.prefetch.worth import Facts
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
 
 SITES = ("north", "south", "west")
@@ -81,17 +81,19 @@
 
 def place(session: Session, site: str) -> float:
     """The place of a session in a zone's order of return, from 0 to 1."""
-    return weight("place", session.org, session.row, site) / 2**64
+    return rendezvous_weight("place", session.org, session.row, site) / 2**64
 
 
 def home(session: Session) -> str:
     """The zone that a session belongs to."""
-    return SITES[weight("home", session.org, session.row) % len(SITES)]
+    return SITES[rendezvous_weight("home", session.org, session.row) % len(SITES)]
 
 
 def whither(session: Session, site: str) -> str:
     """Where a session goes whose zone is closed: by rendezvous hash over the others."""
-    return max((s for s in SITES if s != site), key=lambda s: weight("site", s, session.org, session.row))
+    return max(
+        (s for s in SITES if s != site), key=lambda s: rendezvous_weight("site", s, session.org, session.row)
+    )
 
 
 def scene(name: str, seed: int, sessions: int = SESSIONS) -> Scene:
--- a/fawnwharf/prefetch/world.py
+++ b/fawnwharf/prefetch/world.py
@@ -14,7 +14,7 @@
 from fawnwharf.interface import Settings
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.worth import Facts, mean_worth
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
 
 LOADS_MOST = 4  # of a scorer at a time
@@ -128,7 +128,9 @@
         """The scorers of a zone in the hash order in which calls look for a copy."""
         key = (row, site)
         if key not in self._orders:
-            self._orders[key] = sorted(self.scorers[site], key=lambda s: weight(s.name, row), reverse=True)
+            self._orders[key] = sorted(
+                self.scorers[site], key=lambda s: rendezvous_weight(s.name, row), reverse=True
+            )
         return self._orders[key]
 
     def standing(self, now_ms: float, row: str, site: str) -> int:
--- a/fawnwharf/recovery_core/asking.py
+++ b/fawnwharf/recovery_core/asking.py
@@ -14,7 +14,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.recovery_core.trust import Others
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.zones.settings import Name
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
@@ -216,7 +216,7 @@
 
     def _begin(self, now_ms: float, what: What) -> None:
         o = self.opens[what]
-        part = weight(self.me, str(self.life), what.name) / 2**64
+        part = rendezvous_weight(self.me, str(self.life), what.name) / 2**64
         o.stand, o.since_ms, o.again_ms = Stand.WAITING, now_ms, now_ms + part * self.pace.spread_ms
         self._look(now_ms, what)
 
--- a/fawnwharf/recovery_core/budget.py
+++ b/fawnwharf/recovery_core/budget.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf import interface as io
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 
 FUNCTIONS_MOST = 20_000  # wanted of one loader
 WARD_MOST = 4_096  # calls given out within a window, of one scorer
@@ -75,22 +75,24 @@
 
     Another power loss chooses others.
     """
-    return tuple(sorted(set(heard), key=lambda name: (-weight("loader", str(cut), name), name))[:most])
+    return tuple(
+        sorted(set(heard), key=lambda name: (-rendezvous_weight("loader", str(cut), name), name))[:most]
+    )
 
 
 def loader_of(function: str, chosen: tuple[str, ...]) -> str:
     """The load coordinator of a function, of those that are chosen; empty for none."""
-    return max(chosen, key=lambda name: (weight("loads", name, function), name), default="")
+    return max(chosen, key=lambda name: (rendezvous_weight("loads", name, function), name), default="")
 
 
 def warden_of(scorer: str, heard: Iterable[str]) -> str:
     """The slow start coordinator of a scorer, of those that are heard; empty for none."""
-    return max(heard, key=lambda name: (weight("warden", name, scorer), name), default="")
+    return max(heard, key=lambda name: (rendezvous_weight("warden", name, scorer), name), default="")
 
 
 def part_ms(me: str, cut: int, spread_ms: float) -> float:
     """By how much this front end starts its loads later than the first, so that they do not start in step."""
-    return weight("start", str(cut), me) / 2**64 * spread_ms
+    return rendezvous_weight("start", str(cut), me) / 2**64 * spread_ms
 
 
 @dataclass(slots=True)
@@ -243,7 +245,7 @@
         Each call beyond the rate takes the next turn, and a moment within it by a hash of its own.
         """
         slot_ms = 1000.0 / self.rate_ps if self.rate_ps > 0 else 1_000.0
-        part = weight("turn", client) / 2**64
+        part = rendezvous_weight("turn", client) / 2**64
         self.turn_ms = max(self.turn_ms, now_ms) + slot_ms
         wait_ms = max(self.turn_ms - now_ms, not_before_ms) + part * slot_ms
         if not_before_ms > 0:  # many wait for the same: spread over a fifth of it as well
--- a/fawnwharf/recovery_core/planned.py
+++ b/fawnwharf/recovery_core/planned.py
@@ -9,7 +9,7 @@
 from fawnwharf.recovery_core.budget import Doors, Loader, Warden, loaders, part_ms
 from fawnwharf.recovery_core.stages import Allowed, Conductor, Decide, Register, Seen, Stage, Timing, allowed
 from fawnwharf.recovery_core.world import KINDS, SITE, WORTHS, Front, Scene, Try, World
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 
 ASKS_MS, ELECTS_MS, TICK_MS, CHOOSE_MS = 2_000.0, 2_000.0, 250.0, 2_000.0
 EFFECTS = {"points-view": Effect.SAFE, "lineup-save": Effect.KEYED, "transfer-settle": Effect.UNSAFE}
@@ -40,7 +40,7 @@
     def _up(self, now: float, front: Front) -> None:
         super()._up(now, front)
         for s, (_, most) in enumerate(self.warden):
-            if (lot := weight("warden", front.name, str(s))) > most:
+            if (lot := rendezvous_weight("warden", front.name, str(s))) > most:
                 self.warden[s] = front.name, lot
 
     # --- stages -------------------------------------------------------------------------------
@@ -102,7 +102,7 @@
         """`loader_of`, with its lots kept: there are many functions."""
         for name in chosen:
             if (name, f) not in self.lots:
-                self.lots[name, f] = weight("loads", name, str(f))
+                self.lots[name, f] = rendezvous_weight("loads", name, str(f))
         return max(chosen, key=lambda name: self.lots[name, f])
 
     def _wanted(self, now: float) -> frozenset[str]:
--- a/fawnwharf/recovery_core/world.py
+++ b/fawnwharf/recovery_core/world.py
@@ -18,7 +18,7 @@
 
 from fawnwharf.interface import Settings
 from fawnwharf.recovery_core.budget import limits_from
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 
 KINDS = {  # part of the functions, promise, give-up, worth, late share, loads, runs; ms
     "points-view": (0.58, 800.0, 3000.0, 1.0, 0.2, (420.0, 1100.0), (85.0, 150.0)),
@@ -112,7 +112,7 @@
         rates = [(rank + 1) ** -0.6 for rank in range(len(self.facts))]
         self.rates = [n * CALLS_PS * rate / sum(rates) for rate in rates]
         self.order = [
-            sorted(range(len(self.scorers)), key=lambda s, f=f: weight(str(s), str(f)))[:8]
+            sorted(range(len(self.scorers)), key=lambda s, f=f: rendezvous_weight(str(s), str(f)))[:8]
             for f in range(len(self.facts))
         ]
         self.heap: list[tuple[float, int, str, object]] = []
@@ -176,7 +176,7 @@
         if not self.up:
             self._again(now, one, 1_000.0)
             return
-        one.front = self.up[weight("at", one.client, str(one.left)) % len(self.up)]
+        one.front = self.up[rendezvous_weight("at", one.client, str(one.left)) % len(self.up)]
         one.front.taken.append(now)
         self._begin(now, one)
 
@@ -287,4 +287,4 @@
         sent = front.sent[s] = [at for at in front.sent.get(s, []) if at > now - SITE.fall_ms]
         rate = COLD_SAFETY * len(front.taken) / 10_000.0 / len(self.scorers)
         budget = SITE.fall_multiple * warmth * SITE.fall_ms * rate
-        return len(sent) + 1 <= budget + weight(front.name, str(s)) / 2**64
+        return len(sent) + 1 <= budget + rendezvous_weight(front.name, str(s)) / 2**64
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -20,9 +20,9 @@
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Stood, Ticket
-from fawnwharf.replication.claims import Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.gate import Gate, name_of
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.gate import ClaimGate, call_key
 
 HELD_MOST, HELD_BYTES_MOST = 4_096, 8 * 1024 * 1024
 HOLD_PART, LEAD_MS = 0.6, 100.0  # of a promise; and so long before the client gives up, at the least
@@ -60,7 +60,7 @@
 class Kept:
     """What the gate and this front end's own shelf tell of a call, without asking anybody."""
 
-    def __init__(self, gate: Gate, core: Core) -> None:
+    def __init__(self, gate: ClaimGate, core: ReplicationCore) -> None:
         self._gate, self._core = gate, core
 
     def repeat(self, call: Call) -> bool:
@@ -68,12 +68,12 @@
         others alone can't be told from a new one."""
         if self._gate.modes.get(call.class_name, "off") == "off":
             return False
-        name, keeper = name_of(call), self._core.keeper
+        name, keeper = call_key(call), self._core.keeper
         if name in self._gate.held:
             return True
         entry = keeper.shelf.calls.get(name) if keeper else None
         claims = entry.standing() if entry else []
-        if any(claim.phase is Phase.ANSWERED for claim in claims):
+        if any(claim.phase is ClaimPhase.ANSWERED for claim in claims):
             return True
         return bool(claims) and self._gate.modes[call.class_name] == "before"
 
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -22,7 +22,7 @@
 from fawnwharf.recovery_service.giving import TURN_MS, Giving
 from fawnwharf.recovery_service.holds import Holds
 from fawnwharf.recovery_service.settings import Settings
-from fawnwharf.replication.service import State
+from fawnwharf.replication.service import ReplicationService
 
 RIDER = "recovery-given"  # by the logs of state
 CALM_TURN_MS = 250.0  # in calm little is to be said, and that to others that are not yet
@@ -30,7 +30,7 @@
 ORDERS_MOST = 4_096  # functions whose hash order is kept in mind
 
 
-def made(front: FrontEnd, state: State, settings: Settings, limits: Limits) -> Door:
+def made(front: FrontEnd, state: ReplicationService, settings: Settings, limits: Limits) -> Door:
     """The door, before whatever stands there."""
     classes, promises = front.deployment.settings.classes, Kept(state.gate, state.core)
     return Door(front.loop, front.port.table, classes, limits, promises, settings.timing.window_ms)
@@ -42,10 +42,10 @@
     def __init__(
         self,
         front: FrontEnd,
-        state: State,
+        state: ReplicationService,
         settings: Settings,
         life: int,
-        door: Callable[[FrontEnd, State, Settings, Limits], Door] = made,
+        door: Callable[[FrontEnd, ReplicationService, Settings, Limits], Door] = made,
     ) -> None:
         self.front, self.state = front, state
         self.limits = limits_from(front.deployment.settings, settings.fetches, settings.scorer_rps)
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -20,8 +20,8 @@
 from fawnwharf.recovery_service import kept as k
 from fawnwharf.recovery_service.promises import OnStore
 from fawnwharf.recovery_service.settings import settings_from
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.settings import settings_from as state_settings
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.settings import parse_settings as state_settings
 from fawnwharf.zones.files import load
 from fawnwharf.zones.settings import members_from
 
@@ -118,7 +118,7 @@
     def busy(self) -> bool:
         return False
 
-    def promises(self, core: Core, folder: Path | None) -> OnStore:
+    def promises(self, core: ReplicationCore, folder: Path | None) -> OnStore:
         """For the front end's keeper; `folder`: where it would have its own file without a store."""
         return OnStore(self, core, self._note, folder)
 
--- a/fawnwharf/recovery_service/promises.py
+++ b/fawnwharf/recovery_service/promises.py
@@ -16,16 +16,16 @@
 
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Kind, Trust
-from fawnwharf.replication.claimant import Go, Out
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.messages import Piece, Say
-from fawnwharf.replication.onfile import ungranted
+from fawnwharf.replication.claimant import OwnerAction, RunCall
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.messages import Send, StateChunk
+from fawnwharf.replication.onfile import without_grant
 
 SWEEP_MS = 1_000.0  # pace at which entries go whose time is over
 LONG_AGO_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
 
-Later = Callable[[list[Out]], None]
+Later = Callable[[list[OwnerAction]], None]
 Note = Callable[[str, dict[str, Any]], None]
 
 
@@ -50,14 +50,14 @@
 class _Batch:
     """What waits for one ticket: effects in their order, and the own calls whose grants it tells of."""
 
-    held: list[Out] = field(default_factory=list)
+    held: list[OwnerAction] = field(default_factory=list)
     own: dict[str, int] = field(default_factory=dict)  # call -> number of the ask
 
 
 class OnStore:
     """Owns what of a keeper's shelf is in the store, and what waits until it is on disk."""
 
-    def __init__(self, kept: Keeps, core: Core, note: Note, folder: Path | None = None) -> None:
+    def __init__(self, kept: Keeps, core: ReplicationCore, note: Note, folder: Path | None = None) -> None:
         """What this keeper granted before is on its shelf then, and it grants at once where it is sure that
         this is all. `folder`: where a life without a store would have left a file; one that is there makes
         the store one in part."""
@@ -173,7 +173,7 @@
 
     # --- what may be said -----------------------------------------------------------------------
 
-    def written(self, effects: list[Out], later: Later) -> list[Out]:
+    def written(self, effects: list[OwnerAction], later: Later) -> list[OwnerAction]:
         """What may be said and done now; what rests on grants that are not on disk yet goes to `later` once
         they are, or as it is without them."""
         now, core = monotonic_ms(), self._core
@@ -187,22 +187,24 @@
                 self._lacks_ms = max(self._lacks_ms, until_ms)
             mine = core.claimant.mine.get(key)
             own = mine is not None and claim.id == (core.owner, mine.number)
-            if own and mine.must and claim.phase is Phase.TAKEN:
+            if own and mine.must and claim.phase is ClaimPhase.TAKEN:
                 batch.own[key] = mine.number
                 self._open[key] = mine.number, batch
         shy = self._shy
         self._keep_sure(now)
-        found: list[Out] = []
+        found: list[OwnerAction] = []
         for effect in effects:
-            if isinstance(effect, Go) and effect.kept and effect.key in self._open:
+            if isinstance(effect, RunCall) and effect.kept and effect.key in self._open:
                 core.claimant.hold(effect.key)
                 self._open[effect.key][1].held.append(effect)
-            elif isinstance(effect, Say) and getattr(effect.message, "granted", False):
+            elif isinstance(effect, Send) and getattr(effect.message, "granted", False):
                 if effect.message.key in refused:
-                    found.append(ungranted(effect))
+                    found.append(without_grant(effect))
                 else:
                     batch.held.append(effect)
-            elif isinstance(effect, Say) and isinstance(effect.message, Piece) and self._shy is not None:
+            elif (
+                isinstance(effect, Send) and isinstance(effect.message, StateChunk) and self._shy is not None
+            ):
                 self._shy.held.append(effect)
             else:
                 found.append(effect)
@@ -228,15 +230,15 @@
             if (held := self._open.get(key)) is not None and held[1] is batch:
                 del self._open[key]
         self._count("on disk" if on_disk else "unsure")
-        found: list[Out] = []
+        found: list[OwnerAction] = []
         for effect in batch.held:
-            if isinstance(effect, Go):
+            if isinstance(effect, RunCall):
                 if on_disk and core.claimant.release(effect.key, batch.own.get(effect.key, 0)):
                     found.append(effect)
             elif on_disk:
                 found.append(effect)
-            elif not isinstance(effect.message, Piece):  # pieces are wanted again
-                found.append(ungranted(effect))
+            elif not isinstance(effect.message, StateChunk):  # pieces are wanted again
+                found.append(without_grant(effect))
         if not on_disk:
             for key, ask in batch.own.items():
                 found += core.ungranted(now, key, ask)
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -26,7 +26,7 @@
 from fawnwharf.recovery_service.holds import Holds
 from fawnwharf.recovery_service.outs import Order as Ordered
 from fawnwharf.recovery_service.outs import Out, Words
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 
 FRONTS, SCORERS, FUNCTIONS, LANES, LOADS_MOST = 6, 6, 60, 8, 4
 PLACES, FETCH_PART = 4, 0.6  # fetches at a time that the store serves; their part of a load
@@ -200,7 +200,7 @@
 
     def order(self, row: str) -> list[int]:
         up = [s.id for s in self.scorers if s.up_ms <= self.now]
-        return sorted(up, key=lambda id: weight(str(id), row))
+        return sorted(up, key=lambda id: rendezvous_weight(str(id), row))
 
     def roster(self) -> None:
         for scorer in self.scorers:
@@ -256,7 +256,7 @@
     def call(self, client: str, row: str, left: int) -> None:
         kind, _, _ = self.facts[row]
         _, promise, give_up, worth, *_ = KINDS[kind]
-        front, came = self.fronts[weight("at", client, str(left)) % FRONTS], self.now
+        front, came = self.fronts[rendezvous_weight("at", client, str(left)) % FRONTS], self.now
         if left == TRIES:
             self.came, self.worth = self.came + 1, self.worth + worth
         over = False
@@ -275,7 +275,7 @@
                 if left > 1:
                     self.at(wait, lambda: self.call(client, row, left - 1))
 
-        id = weight(client, str(left)).to_bytes(8, "big")
+        id = rendezvous_weight(client, str(left)).to_bytes(8, "big")
         call = Call(id, kind, "t", row, give_up, b"", "", LANES, None, self.facts[row][1], reply)
         self.at(give_up, lambda: reply(Failed()))
         front.take(call)
--- a/fawnwharf/replication/beliefs.py
+++ b/fawnwharf/replication/beliefs.py
@@ -27,7 +27,7 @@
 _GOOD = (Ending.GOOD, Ending.ERROR, Ending.FULL, Ending.MISS)
 
 
-def witnesses(fronts: int) -> int:
+def min_reporters(fronts: int) -> int:
     return max(2, min(WITNESSES, fronts // 3))
 
 
@@ -38,7 +38,7 @@
     hard: bool = False  # one of them was silence or a broken link, no mere lateness
 
 
-class Sights:
+class FailureTracker:
     """A front end's own signs of each scorer."""
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         signs = self._signs.get(worker)
         return signs.good_ms if signs else -1e12
 
-    def named(self, now_ms: float) -> m.Named:
+    def named(self, now_ms: float) -> m.FailureReport:
         """Scorers with bad signs alone, to be told."""
         found = {}
         for worker, signs in list(self._signs.items()):
@@ -80,33 +80,33 @@
                 del self._signs[worker]
         self._number += 1
         worst = sorted(found, key=lambda worker: (-found[worker], worker))[:NAMED_MOST]
-        return m.Named(self._number, {str(worker): found[worker] for worker in worst})
+        return m.FailureReport(self._number, {str(worker): found[worker] for worker in worst})
 
 
-class Sightings:
+class FailureReportStore:
     """A keeper's: who names which scorer."""
 
     def __init__(self) -> None:
-        self._owners: dict[str, tuple[int, float, m.Named]] = {}
+        self._owners: dict[str, tuple[int, float, m.FailureReport]] = {}
         self.dropped: dict[str, int] = {}
 
-    def heard(self, now_ms: float, owner: str, named: m.Named) -> None:
+    def heard(self, now_ms: float, owner: str, named: m.FailureReport) -> None:
         known = self._owners.get(owner)
         if known is not None and named.number <= known[0]:
             self.dropped["an older naming"] = self.dropped.get("an older naming", 0) + 1
             return
         self._owners[owner] = named.number, now_ms, named
 
-    def hints(self, now_ms: float, fronts: int) -> m.Hints:
+    def hints(self, now_ms: float, fronts: int) -> m.ReportedOutliers:
         """Scorers that enough front ends name."""
         self._owners = {o: held for o, held in self._owners.items() if now_ms - held[1] <= LIFE_MS}
         names: dict[str, set[str]] = {}
         for owner, (_, _, named) in self._owners.items():
             for worker in named.bad:
                 names.setdefault(worker, set()).add(owner.partition("#")[0])
-        enough = witnesses(fronts)
+        enough = min_reporters(fronts)
         found = {worker: len(who) for worker, who in sorted(names.items()) if len(who) >= enough}
-        return m.Hints(dict(list(found.items())[:NAMED_MOST]))
+        return m.ReportedOutliers(dict(list(found.items())[:NAMED_MOST]))
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
     span_ms: float
 
 
-class Rests:
+class OutlierEjections:
     """A front end's: which scorers rest because others hold them bad."""
 
     def __init__(self) -> None:
@@ -123,7 +123,12 @@
         self.refused = 0  # hints that were not gone by, as too many of a zone were named
 
     def heard(
-        self, now_ms: float, hints: m.Hints, sights: Sights, zones: dict[int, str], counts: dict[str, int]
+        self,
+        now_ms: float,
+        hints: m.ReportedOutliers,
+        sights: FailureTracker,
+        zones: dict[int, str],
+        counts: dict[str, int],
     ) -> None:
         """Take hints on scorers in service: `zones` tells the zone of each, `counts` how many it has."""
         for text in hints.scorers:
--- a/fawnwharf/replication/catchup.py
+++ b/fawnwharf/replication/catchup.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.settings import Settings
-from fawnwharf.replication.shelf import Shelf, digest_of, told
+from fawnwharf.replication.settings import ReplicationSettings
+from fawnwharf.replication.shelf import ClaimStore, claim_digest, format_digest
 
 AGAIN_MS = 700.0  # before what was wanted is wanted again
 WANTS_AT_ONCE = 2  # catch-ups that are told out at the same time
@@ -50,14 +50,14 @@
     digest: int = 0
 
 
-class CatchUp:
+class StateTransfer:
     """Owns what is told to other keepers, and heard from them."""
 
-    def __init__(self, settings: Settings, shelf: Shelf, life: int) -> None:
+    def __init__(self, settings: ReplicationSettings, shelf: ClaimStore, life: int) -> None:
         self.settings, self.shelf, self.life = settings, shelf, life
         self._hearing: dict[str, _Hearing] = {}
         self._telling: dict[str, _Telling] = {}
-        self._differed: dict[str, list[m.Wanted]] = {}
+        self._differed: dict[str, list[m.BucketRange]] = {}
         self._wants = 0
         self.due_ms = 0.0  # of the next pieces
         self.heard_claims = 0
@@ -71,16 +71,20 @@
 
     # --- hearing --------------------------------------------------------------------------------
 
-    def want(self, now_ms: float, name: str, members: int, wanted: tuple[m.Wanted, ...] = ()) -> list[m.Say]:
+    def want(
+        self, now_ms: float, name: str, members: int, wanted: tuple[m.BucketRange, ...] = ()
+    ) -> list[m.Send]:
         """Ask a keeper for all, or for some slots, where nothing is being heard from it."""
         heard = self._hearing.get(name)
         if heard is not None and now_ms - heard.asked_ms <= AGAIN_MS:
             return []
         self._wants += 1
         self._hearing[name] = _Hearing(self._wants, now_ms, not wanted)
-        return [m.Say((name,), m.Want(self._wants, self.life, members, wanted[:64]))]
+        return [m.Send((name,), m.StateRequest(self._wants, self.life, members, wanted[:64]))]
 
-    def piece(self, now_ms: float, sender: str, piece: m.Piece, take: Callable[[m.Held], bool]) -> bool:
+    def piece(
+        self, now_ms: float, sender: str, piece: m.StateChunk, take: Callable[[m.StoredClaim], bool]
+    ) -> bool:
         """Take a part; True where it was the last one of all that the sender holds, and it is sure of that.
 
         `take` says whether there was room."""
@@ -89,8 +93,8 @@
         if not mine or piece.part != heard.part:
             self.shelf.count("a piece out of place")
             return False
-        digest = heard.digest + sum(digest_of(held.key, held.claim) for held in piece.held)
-        if told(digest) != piece.digest:
+        digest = heard.digest + sum(claim_digest(held.key, held.claim) for held in piece.held)
+        if format_digest(digest) != piece.digest:
             self.shelf.count("a piece that does not fit its digest")
             del self._hearing[sender]
             return False
@@ -104,7 +108,7 @@
         del self._hearing[sender]
         return piece.sure and heard.all
 
-    def compare(self, now_ms: float, sender: str, digests: m.Digests, members: int) -> list[m.Say]:
+    def compare(self, now_ms: float, sender: str, digests: m.StoreDigests, members: int) -> list[m.Send]:
         """Want what differs from another keeper's, twice in a row: once, it may be on its way."""
         differ = self.shelf.differs(sender, digests.slots)
         before, self._differed[sender] = self._differed.get(sender, []), differ
@@ -117,7 +121,7 @@
 
     # --- telling --------------------------------------------------------------------------------
 
-    def wanted(self, name: str, want: m.Want, may: Callable[[tuple[str, ...]], bool]) -> None:
+    def wanted(self, name: str, want: m.StateRequest, may: Callable[[tuple[str, ...]], bool]) -> None:
         """Another keeper wants what is here. A later want takes the place of an earlier one."""
         spans = {wanted.owner: wanted for wanted in want.wanted}
 
@@ -133,21 +137,27 @@
 
         self._telling[name] = _Telling(want.number, want.life, list(self.shelf.calls), claims)
 
-    def pieces(self, now_ms: float, sure: bool) -> list[m.Say]:
+    def pieces(self, now_ms: float, sure: bool) -> list[m.Send]:
         """The next part for each of the first few that want something."""
-        found: list[m.Say] = []
+        found: list[m.Send] = []
         if now_ms < self.due_ms:
             return found
         self.due_ms = now_ms + PIECE_PAUSE_MS
         for name in list(self._telling)[:WANTS_AT_ONCE]:
             telling = self._telling[name]
             held = [held for key in telling.next() for held in self.shelf.held(now_ms, key)]
-            telling.digest += sum(digest_of(one.key, one.claim) for one in held)
+            telling.digest += sum(claim_digest(one.key, one.claim) for one in held)
             last = not telling.keys
-            piece = m.Piece(
-                telling.number, telling.life, telling.part, last, tuple(held), told(telling.digest), sure
+            piece = m.StateChunk(
+                telling.number,
+                telling.life,
+                telling.part,
+                last,
+                tuple(held),
+                format_digest(telling.digest),
+                sure,
             )
-            found.append(m.Say((name,), piece))
+            found.append(m.Send((name,), piece))
             telling.part += 1
             if last:
                 del self._telling[name]
--- a/fawnwharf/replication/claimant.py
+++ b/fawnwharf/replication/claimant.py
@@ -13,9 +13,16 @@
 
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claims import Claim, Phase, Reading, Standing, merged, reading
-from fawnwharf.replication.placement import Placement, weight
-from fawnwharf.replication.settings import Settings
+from fawnwharf.replication.claims import (
+    CallState,
+    Claim,
+    ClaimPhase,
+    ClaimSummary,
+    merge_claims,
+    summarize_claims,
+)
+from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
+from fawnwharf.replication.settings import ReplicationSettings
 
 OPEN_MOST = 20_000
 SLOT_MS = 1_000.0
@@ -26,28 +33,28 @@
 # --- effects --------------------------------------------------------------------------------
 
 
-class Go(Struct, frozen=True):
+class RunCall(Struct, frozen=True):
     """Run it. `kept`: more than half of its keepers know that it may run."""
 
     key: str
     kept: bool
 
 
-class Answer(Struct, frozen=True):
+class AnswerCall(Struct, frozen=True):
     """It was answered before, with this; None: with something that is not kept."""
 
     key: str
     answer: str | None
 
 
-class GiveUp(Struct, frozen=True):
+class FailCall(Struct, frozen=True):
     """It may have run, and what came of it is not known."""
 
     key: str
     why: str
 
 
-class TurnAway(Struct, frozen=True):
+class RejectCall(Struct, frozen=True):
     """It did not run here, and may be asked again after `pushback_ms`."""
 
     key: str
@@ -55,7 +62,7 @@
     why: str
 
 
-Out = m.Say | Go | Answer | GiveUp | TurnAway
+OwnerAction = m.Send | RunCall | AnswerCall | FailCall | RejectCall
 
 
 @dataclass(slots=True)
@@ -72,15 +79,15 @@
     dedup_ms: float
     must: bool  # it goes only when it is kept
     keepers: tuple[str, ...]
-    words: dict[str, m.Word] = field(default_factory=dict)
+    words: dict[str, m.ClaimReply] = field(default_factory=dict)
     state: str = "asking"  # held until a grant is on disk, going, waiting for another's, over
     kept: bool = False
 
 
-class Claimant:
+class CallOwner:
     """Owns this front end's claims, by key."""
 
-    def __init__(self, owner: str, placement: Placement, settings: Settings) -> None:
+    def __init__(self, owner: str, placement: ReplicaPlacement, settings: ReplicationSettings) -> None:
         self.owner, self.placement, self.settings = owner, placement, settings
         self.mine: dict[str, _Mine] = {}
         self.counts: dict[str, int] = {}
@@ -104,11 +111,11 @@
         budget_ms: float,
         dedup_ms: float = 0.0,
         must: bool = True,
-    ) -> list[Out]:
+    ) -> list[OwnerAction]:
         """Ask for a call; `must`: it may run only when that is kept. Keys must not be under way here."""
         if len(self.mine) >= OPEN_MOST:
             self._count("too many")
-            return [TurnAway(key, self._spread(key), "too many")] if must else [Go(key, False)]
+            return [RejectCall(key, self._spread(key), "too many")] if must else [RunCall(key, False)]
         wait = min(self.settings.wait_most_ms, self.settings.wait_part * promise_ms)
         mine = _Mine(
             key=key,
@@ -124,13 +131,13 @@
         )
         self.mine[key] = mine
         self._count("asked")
-        ask = m.Ask(key, self.owner, mine.number, self.placement.number, mine.slot)
+        ask = m.ClaimRequest(key, self.owner, mine.number, self.placement.number, mine.slot)
         if must:
-            return [m.Say(mine.keepers, ask)]
+            return [m.Send(mine.keepers, ask)]
         mine.state = "going"
-        return [Go(key, False), m.Say(mine.keepers, ask)]
+        return [RunCall(key, False), m.Send(mine.keepers, ask)]
 
-    def word(self, now_ms: float, sender: str, word: m.Word) -> list[Out]:
+    def word(self, now_ms: float, sender: str, word: m.ClaimReply) -> list[OwnerAction]:
         """A keeper's answer, or its news."""
         mine = self.mine.get(word.key)
         if mine is None or word.owner != self.owner or word.number != mine.number:
@@ -163,7 +170,7 @@
         mine.state = "going"
         return True
 
-    def ungranted(self, now_ms: float, key: str, number: int, keeper: str) -> list[Out]:
+    def ungranted(self, now_ms: float, key: str, number: int, keeper: str) -> list[OwnerAction]:
         """What its own keeper granted does not count: the others' words are weighed alone."""
         mine = self.mine.get(key)
         if mine is None or mine.number != number or mine.state not in ("asking", "held"):
@@ -174,35 +181,35 @@
         mine.state, mine.kept = "asking", False
         return self._weigh(now_ms, mine)
 
-    def _weigh(self, now_ms: float, mine: _Mine) -> list[Out]:
+    def _weigh(self, now_ms: float, mine: _Mine) -> list[OwnerAction]:
         """Whether it may go, may never, or has to wait for more words."""
         enough = len(mine.keepers) // 2 + 1
         granted = sum(word.granted for word in mine.words.values())
         if granted >= enough and now_ms - mine.asked_ms <= mine.wait_ms:
             mine.state, mine.kept = "going", True
             self._count("kept")
-            return [Go(mine.key, True)]
+            return [RunCall(mine.key, True)]
         denied = sum(not word.granted for word in mine.words.values())
         open_yet = len(mine.keepers) - denied >= enough and now_ms - mine.asked_ms <= mine.wait_ms
-        if open_yet and self._reading(mine).standing is not Standing.ANSWERED:
+        if open_yet and self._reading(mine).standing is not CallState.ANSWERED:
             return []
         return self._not_mine(now_ms, mine)
 
-    def _not_mine(self, now_ms: float, mine: _Mine) -> list[Out]:
+    def _not_mine(self, now_ms: float, mine: _Mine) -> list[OwnerAction]:
         """Others have it, or too few keepers answer."""
         found = self._reading(mine)
-        if found.standing is not Standing.FREE:
+        if found.standing is not CallState.FREE:
             return [*self._give_back(mine), *self._others(now_ms, mine, found)]
         denied = any(not word.granted and not word.sure for word in mine.words.values())
         why = "keepers are not sure" if denied else "too few keepers"
         if mine.effect is not Effect.UNSAFE or self.settings.unkept == "serve":
             mine.state = "going"
             self._count(f"not kept: {why}")
-            return [Go(mine.key, False)]
+            return [RunCall(mine.key, False)]
         self._count(f"turned away: {why}")
-        return [*self._give_back(mine), *self._end(mine, TurnAway(mine.key, self._spread(mine.key), why))]
+        return [*self._give_back(mine), *self._end(mine, RejectCall(mine.key, self._spread(mine.key), why))]
 
-    def _reading(self, mine: _Mine) -> Reading:
+    def _reading(self, mine: _Mine) -> ClaimSummary:
         """All that keepers told of others' asks, by their last words."""
         claims: dict[tuple[str, int], Claim] = {}
         alive: set[str] = set()
@@ -210,94 +217,94 @@
             alive |= set(word.alive)
             for claim in word.claims:
                 if claim.id != (self.owner, mine.number):
-                    claims[claim.id] = merged(claim, claims.get(claim.id, claim))
-        return reading(list(claims.values()), alive)
+                    claims[claim.id] = merge_claims(claim, claims.get(claim.id, claim))
+        return summarize_claims(list(claims.values()), alive)
 
-    def _others(self, now_ms: float, mine: _Mine, found: Reading) -> list[Out]:
+    def _others(self, now_ms: float, mine: _Mine, found: ClaimSummary) -> list[OwnerAction]:
         """What becomes of a call that another owner has, or had."""
-        if found.standing is Standing.ANSWERED:
+        if found.standing is CallState.ANSWERED:
             self._count("answered from what was kept")
-            return self._end(mine, Answer(mine.key, found.claim.answer))
-        if found.standing is Standing.UNDER_WAY:
+            return self._end(mine, AnswerCall(mine.key, found.claim.answer))
+        if found.standing is CallState.UNDER_WAY:
             mine.state = "waiting"
             self._count("joined")
             return []
-        if found.standing is Standing.CONFLICT:
+        if found.standing is CallState.CONFLICT:
             self._count("conflict")
-            return self._end(mine, GiveUp(mine.key, "two answers that differ"))
+            return self._end(mine, FailCall(mine.key, "two answers that differ"))
         age = max((word.age_ms for word in mine.words.values()), default=0.0)
         if mine.effect is Effect.KEYED and age < mine.dedup_ms - mine.wait_ms - DEDUP_MARGIN_MS:
             mine.state = "going"  # the scorers drop it if it ran
             self._count("run again within its window")
-            return [Go(mine.key, False)]
+            return [RunCall(mine.key, False)]
         self._count("given up: may have run")
-        return self._end(mine, GiveUp(mine.key, "it may have run"))
+        return self._end(mine, FailCall(mine.key, "it may have run"))
 
-    def _look(self, now_ms: float, mine: _Mine) -> list[Out]:
+    def _look(self, now_ms: float, mine: _Mine) -> list[OwnerAction]:
         """News for one that waits for another's call."""
         found = self._reading(mine)
-        if found.standing is Standing.UNDER_WAY:
+        if found.standing is CallState.UNDER_WAY:
             return []
-        if found.standing is Standing.FREE:  # they gave it back: it never ran
+        if found.standing is CallState.FREE:  # they gave it back: it never ran
             self._count("turned away: met another's ask")
-            return self._end(mine, TurnAway(mine.key, self._spread(mine.key), "met another's ask"))
+            return self._end(mine, RejectCall(mine.key, self._spread(mine.key), "met another's ask"))
         return self._others(now_ms, mine, found)
 
-    def _early(self, mine: _Mine) -> list[Out]:
+    def _early(self, mine: _Mine) -> list[OwnerAction]:
         """One that runs without waiting for keepers: it was answered elsewhere before."""
         found = self._reading(mine)
-        if mine.must or found.standing is not Standing.ANSWERED or found.claim.answer is None:
+        if mine.must or found.standing is not CallState.ANSWERED or found.claim.answer is None:
             return []
         self._count("answered from what was kept")
-        return [*self._give_back(mine), *self._end(mine, Answer(mine.key, found.claim.answer))]
+        return [*self._give_back(mine), *self._end(mine, AnswerCall(mine.key, found.claim.answer))]
 
     # --- a call ends ----------------------------------------------------------------------------
 
     def ended(
-        self, now_ms: float, key: str, phase: Phase, digest: str = "", answer: str | None = None
-    ) -> list[Out]:
+        self, now_ms: float, key: str, phase: ClaimPhase, digest: str = "", answer: str | None = None
+    ) -> list[OwnerAction]:
         """What came of a call that went: its keepers are told."""
         mine = self.mine.pop(key, None)
         if mine is None or mine.state != "going":
             return []
         claim = Claim(self.owner, mine.number, self._number(), mine.slot, phase, digest, answer)
-        return [m.Say(mine.keepers, m.Tell(key, claim))]
+        return [m.Send(mine.keepers, m.ClaimUpdate(key, claim))]
 
-    def left(self, now_ms: float, key: str) -> list[Out]:
+    def left(self, now_ms: float, key: str) -> list[OwnerAction]:
         """The client is gone before the call went."""
         mine = self.mine.get(key)
         if mine is None or mine.state == "going":
             return []
         return [*self._give_back(mine), *self._end(mine, None)]
 
-    def _give_back(self, mine: _Mine) -> list[Out]:
+    def _give_back(self, mine: _Mine) -> list[OwnerAction]:
         """To keepers that granted it, or may yet: who denied it has nothing to forget."""
         to = tuple(name for name in mine.keepers if name not in mine.words or mine.words[name].granted)
         if not to:
             return []
-        claim = Claim(self.owner, mine.number, self._number(), mine.slot, Phase.CLEAR)
-        return [m.Say(to, m.Tell(mine.key, claim))]
+        claim = Claim(self.owner, mine.number, self._number(), mine.slot, ClaimPhase.CLEAR)
+        return [m.Send(to, m.ClaimUpdate(mine.key, claim))]
 
-    def _end(self, mine: _Mine, effect: Out | None) -> list[Out]:
+    def _end(self, mine: _Mine, effect: OwnerAction | None) -> list[OwnerAction]:
         mine.state = "over"
         self.mine.pop(mine.key, None)
         return [effect] if effect else []
 
     def _spread(self, key: str) -> float:
         low, high = PUSHBACK_MS
-        return low + (high - low) * (weight(self.owner, key, str(self._numbers)) / 2**64)
+        return low + (high - low) * (rendezvous_weight(self.owner, key, str(self._numbers)) / 2**64)
 
     # --- time -----------------------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> list[Out]:
-        found: list[Out] = []
+    def tick(self, now_ms: float) -> list[OwnerAction]:
+        found: list[OwnerAction] = []
         for mine in list(self.mine.values()):
             if mine.state == "asking" and now_ms - mine.asked_ms > mine.wait_ms:
                 self._count("waited in vain")
                 found += self._not_mine(now_ms, mine)
             elif mine.state == "waiting" and now_ms >= mine.deadline_ms:
                 self._count("given up: no news of another's")
-                found += self._end(mine, GiveUp(mine.key, "no news of it in time"))
+                found += self._end(mine, FailCall(mine.key, "no news of it in time"))
         return found
 
     def due_ms(self) -> float:
--- a/fawnwharf/replication/claims.py
+++ b/fawnwharf/replication/claims.py
@@ -14,11 +14,11 @@
 
 from msgspec import Meta, Struct
 
-Owner = Annotated[str, Meta(min_length=3, max_length=80, pattern=r"^[0-9A-Za-z_.:-]+#[0-9]+$")]
-Key = Annotated[str, Meta(min_length=1, max_length=160)]
+OwnerId = Annotated[str, Meta(min_length=3, max_length=80, pattern=r"^[0-9A-Za-z_.:-]+#[0-9]+$")]
+CallKey = Annotated[str, Meta(min_length=1, max_length=160)]
 
 
-class Phase(IntEnum):
+class ClaimPhase(IntEnum):
     """What an owner says of a call, by rising strictness where two records contradict each other."""
 
     CLEAR = 0  # it never ran here, and will not
@@ -31,13 +31,13 @@
     """An owner's last word on one of its asks for a call: what it says of a later ask says nothing of an
     earlier one. `digest` is of the answer, also where that is too long to be kept."""
 
-    owner: Owner
+    owner: OwnerId
     ask: Annotated[int, Meta(ge=1)]  # the number of the ask
     number: Annotated[int, Meta(ge=1)]
     slot: Annotated[
         int, Meta(ge=0, le=1 << 53)
     ]  # second of the owner's clock in which it asked; a label only
-    phase: Phase
+    phase: ClaimPhase
     digest: Annotated[str, Meta(max_length=32)] = ""
     answer: Annotated[str, Meta(max_length=24_000)] | None = None  # base64
 
@@ -51,7 +51,7 @@
         return self.number, int(self.phase), self.digest, self.answer or "", self.slot
 
 
-def merged(one: Claim, other: Claim) -> Claim:
+def merge_claims(one: Claim, other: Claim) -> Claim:
     """Of two words of the same owner on the same ask, the one that stands."""
     return max(one, other, key=lambda claim: claim.strictness)
 
@@ -65,7 +65,7 @@
     return not same or None not in (one.answer, other.answer) and one.answer != other.answer
 
 
-class Standing(IntEnum):
+class CallState(IntEnum):
     """How all claims on a call read for somebody who is asked for it again."""
 
     FREE = 0  # nobody has it
@@ -75,22 +75,22 @@
     CONFLICT = 4  # two answers that differ: at most one of them is what happened first
 
 
-class Reading(Struct, frozen=True):
-    standing: Standing
+class ClaimSummary(Struct, frozen=True):
+    standing: CallState
     claim: Claim | None = None  # the answered one, or the one that stands in the way
     all: tuple[Claim, ...] = ()
 
 
-def reading(claims: list[Claim], alive: set[str]) -> Reading:
+def summarize_claims(claims: list[Claim], alive: set[str]) -> ClaimSummary:
     """The strictest reading of others' claims; `alive` are owners that are heard."""
-    live = sorted(claim for claim in claims if claim.phase is not Phase.CLEAR)
-    answered = [claim for claim in live if claim.phase is Phase.ANSWERED]
+    live = sorted(claim for claim in claims if claim.phase is not ClaimPhase.CLEAR)
+    answered = [claim for claim in live if claim.phase is ClaimPhase.ANSWERED]
     if len({claim.digest for claim in answered}) > 1:
-        return Reading(Standing.CONFLICT, answered[0], tuple(live))
+        return ClaimSummary(CallState.CONFLICT, answered[0], tuple(live))
     if answered:
         kept = [claim for claim in answered if claim.answer is not None]
-        return Reading(Standing.ANSWERED, (kept or answered)[0], tuple(live))
-    under_way = [claim for claim in live if claim.phase is Phase.TAKEN and claim.owner in alive]
+        return ClaimSummary(CallState.ANSWERED, (kept or answered)[0], tuple(live))
+    under_way = [claim for claim in live if claim.phase is ClaimPhase.TAKEN and claim.owner in alive]
     if under_way:
-        return Reading(Standing.UNDER_WAY, under_way[0], tuple(live))
-    return Reading(Standing.LOST, live[0], tuple(live)) if live else Reading(Standing.FREE)
+        return ClaimSummary(CallState.UNDER_WAY, under_way[0], tuple(live))
+    return ClaimSummary(CallState.LOST, live[0], tuple(live)) if live else ClaimSummary(CallState.FREE)
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -12,7 +12,7 @@
 from fawnwharf.config import address_from
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.placement import Placement
+from fawnwharf.replication.placement import ReplicaPlacement
 from fawnwharf.zones.settings import FileFault, Members, members_from
 
 LAGS_MOST = 8  # front ends whose lag is shown
@@ -26,9 +26,9 @@
     raise typer.Exit(status)
 
 
-def _files(path: str) -> tuple[s.Settings, Members]:
+def _files(path: str) -> tuple[s.ReplicationSettings, Members]:
     try:
-        settings = s.settings_from(Path(path).read_bytes())
+        settings = s.parse_settings(Path(path).read_bytes())
         members = members_from((Path(path).parent / settings.members).read_bytes())
         s.check_members(members, settings)
     except OSError as error:
@@ -38,7 +38,7 @@
     return settings, members
 
 
-def look(place: str, within_s: float = 3.0) -> m.Status:
+def fetch_status(place: str, within_s: float = 3.0) -> m.Status:
     """A front end's last word on itself. Raises OSError where its log can't be read, ValueError where it
     has none."""
     with socket.create_connection(address_from(place, "members.state"), within_s) as sock:
@@ -50,7 +50,7 @@
                 break
             read = json.loads(line)
             if isinstance(read, dict) and "line" in read:
-                say = m.line_from(read["line"]).say
+                say = m.parse_line(read["line"]).say
                 if isinstance(say, m.Status):
                     return say
     raise ValueError("it told nothing of itself")
@@ -61,7 +61,7 @@
     if entry is None or not entry.state:
         _fail(f"state: no member {name} with a log of state")
     try:
-        return look(entry.state)
+        return fetch_status(entry.state)
     except (OSError, ValueError, msgspec.ValidationError) as error:
         return str(error) or type(error).__name__
 
@@ -77,7 +77,7 @@
 def show(state: File, member: Member = "") -> None:
     """How each keeper stands, or one front end, with what it counted. Status 1 where one gave no answer."""
     settings, members = _files(state)
-    placement = Placement(members, settings.zones, settings.per_zone)
+    placement = ReplicaPlacement(members, settings.zones, settings.per_zone)
     silent = False
     for name in [member] if member else placement.keepers:
         found = _look(members, name)
@@ -125,7 +125,9 @@
     state: File,
     one: str,
     other: str,
-    looks: Annotated[int, typer.Option("--looks", help="A difference counts when each look finds it.")] = 3,
+    looks: Annotated[
+        int, typer.Option("--looks", help="A difference counts when each fetch_status finds it.")
+    ] = 3,
 ) -> None:
     """Whether two keepers that share all calls hold the same. Status 1 where they differ, 2 without an
     answer."""
@@ -156,6 +158,6 @@
 def check(state: File) -> None:
     """Read and check the settings and the file of members, and say who keeps."""
     settings, members = _files(state)
-    placement = Placement(members, settings.zones, settings.per_zone)
+    placement = ReplicaPlacement(members, settings.zones, settings.per_zone)
     keepers = "; ".join(f"{zone}: {', '.join(names)}" for zone, names in sorted(placement.by_zone.items()))
     typer.echo(f"fawnwharf: good: {len(members.members)} members, keepers {keepers}")
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -11,25 +11,25 @@
 from fawnwharf import interface as io
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.beliefs import Sightings, Sights
-from fawnwharf.replication.claimant import Claimant, Out
-from fawnwharf.replication.claims import Phase
-from fawnwharf.replication.elsewhere import Own
-from fawnwharf.replication.keeper import Keeper
-from fawnwharf.replication.others import View, Words
-from fawnwharf.replication.placement import Placement, weight
-from fawnwharf.replication.settings import Settings
-from fawnwharf.replication.use import Shares, Uses
+from fawnwharf.replication.beliefs import FailureReportStore, FailureTracker
+from fawnwharf.replication.claimant import CallOwner, OwnerAction
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.elsewhere import LoadReporter
+from fawnwharf.replication.keeper import Replica
+from fawnwharf.replication.others import LoadReportStore, RemoteLoads
+from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
+from fawnwharf.replication.settings import ReplicationSettings
+from fawnwharf.replication.use import QuotaShares, UsageTable
 from fawnwharf.zones.settings import Members
 
 TICK_MS = 100.0
 
 
-class LineFault(ValueError):
+class LineError(ValueError):
     """A line that costs its sender the connection; the text says why."""
 
 
-class Core:
+class ReplicationCore:
     """Owns a front end's claimant and, where it keeps calls, its keeper."""
 
     def __init__(
@@ -37,31 +37,31 @@
         name: str,
         life: int,
         members: Members,
-        settings: Settings,
+        settings: ReplicationSettings,
         now_ms: float,
         fresh: bool = False,
     ) -> None:
         """`life` is another one with each start. `fresh`: the fleet begins, nobody has promised anything."""
         self.name, self.life, self.members, self.settings = name, life, members, settings
-        self.placement = Placement(members, settings.zones, settings.per_zone)
+        self.placement = ReplicaPlacement(members, settings.zones, settings.per_zone)
         self.owner = f"{name}#{life}"
-        self.claimant = Claimant(self.owner, self.placement, settings)
-        self.keeper: Keeper | None = None
+        self.claimant = CallOwner(self.owner, self.placement, settings)
+        self.keeper: Replica | None = None
         if name in self.placement.keepers:
-            self.keeper = Keeper(name, self.placement, settings, now_ms, life, fresh)
+            self.keeper = Replica(name, self.placement, settings, now_ms, life, fresh)
         self.heard: dict[str, tuple[int, float]] = {}  # life and time, by name
         self.statuses: dict[str, m.Status] = {}
         self.hellos: list[tuple[str, int]] = []  # who asked for the log here since which number
         self.counts: dict[str, int] = {}
-        self.uses = Uses()
-        self.sightings = Sightings()
-        self.hints: list[m.Hints] = []  # that came; whoever goes by them clears them
-        self.rides: list[tuple[str, int, m.Ride]] = []  # the same: by whom, and of which life
+        self.uses = UsageTable()
+        self.sightings = FailureReportStore()
+        self.hints: list[m.ReportedOutliers] = []  # that came; whoever goes by them clears them
+        self.rides: list[tuple[str, int, m.ClientMessage]] = []  # the same: by whom, and of which life
         self._named = False  # bad scorers were told last time
-        self.shares: Shares | None = None  # where quotas are kept by the fleet
-        self.own: Own | None = None  # where work is told to others
-        self.words = Words(settings.word_ms, settings.copies_ms, life)
-        self.view = View(settings.word_ms, settings.copies_ms)
+        self.shares: QuotaShares | None = None  # where quotas are kept by the fleet
+        self.own: LoadReporter | None = None  # where work is told to others
+        self.words = LoadReportStore(settings.word_ms, settings.copies_ms, life)
+        self.view = RemoteLoads(settings.word_ms, settings.copies_ms)
         self._tick_due_ms = now_ms
 
     def _count(self, cause: str) -> None:
@@ -69,33 +69,33 @@
 
     # --- calls ----------------------------------------------------------------------------------
 
-    def begin(self, now_ms: float, key: str, effect: Effect, **more: Any) -> list[Out]:
+    def begin(self, now_ms: float, key: str, effect: Effect, **more: Any) -> list[OwnerAction]:
         return self._inward(now_ms, self.claimant.begin(now_ms, key, effect, **more))
 
     def ended(
-        self, now_ms: float, key: str, phase: Phase, digest: str = "", answer: str | None = None
-    ) -> list[Out]:
+        self, now_ms: float, key: str, phase: ClaimPhase, digest: str = "", answer: str | None = None
+    ) -> list[OwnerAction]:
         return self._inward(now_ms, self.claimant.ended(now_ms, key, phase, digest, answer))
 
-    def left(self, now_ms: float, key: str) -> list[Out]:
+    def left(self, now_ms: float, key: str) -> list[OwnerAction]:
         return self._inward(now_ms, self.claimant.left(now_ms, key))
 
-    def ungranted(self, now_ms: float, key: str, number: int) -> list[Out]:
+    def ungranted(self, now_ms: float, key: str, number: int) -> list[OwnerAction]:
         """What the keeper here granted to an own call is not on disk."""
         return self._inward(now_ms, self.claimant.ungranted(now_ms, key, number, self.name))
 
     # --- lines ----------------------------------------------------------------------------------
 
-    def line(self, now_ms: float, sender: str, data: Any) -> list[Out]:
+    def line(self, now_ms: float, sender: str, data: Any) -> list[OwnerAction]:
         """One line of a member's log. Raises LineFault for what no honest member writes."""
         try:
-            line = m.line_from(data)
+            line = m.parse_line(data)
         except msgspec.ValidationError as error:
-            raise LineFault(f"not a line of state: {error}") from None
+            raise LineError(f"not a line of state: {error}") from None
         if line.fleet != self.members.fleet:
-            raise LineFault(f"of fleet {line.fleet}")
+            raise LineError(f"of fleet {line.fleet}")
         if line.sender != sender:
-            raise LineFault(f"says that it is {line.sender}, and is {sender}")
+            raise LineError(f"says that it is {line.sender}, and is {sender}")
         if self.members.named(sender) is None:
             self._count("no member")
             return []
@@ -103,25 +103,25 @@
         if isinstance(line.say, m.Status):
             self.statuses[sender] = line.say
             return []
-        if isinstance(line.say, m.Sums):
+        if isinstance(line.say, m.UsageRates):
             if self.shares and sender in self.placement.keepers:
                 self.shares.heard(now_ms, sender, line.say)
             return []
-        if isinstance(line.say, m.Hints):
+        if isinstance(line.say, m.ReportedOutliers):
             if sender in self.placement.keepers:
                 self.hints.append(line.say)
             return []
-        if isinstance(line.say, m.Ride) and not line.to:
+        if isinstance(line.say, m.ClientMessage) and not line.to:
             self.rides.append((sender, line.life, line.say))
             return []
         if self.name not in line.to:
             return []
         return self._inward(now_ms, self._take(now_ms, sender, line.life, line.say))
 
-    def _take(self, now_ms: float, sender: str, life: int, say: m.Message) -> list[Out]:
-        if isinstance(say, m.Word):
+    def _take(self, now_ms: float, sender: str, life: int, say: m.Message) -> list[OwnerAction]:
+        if isinstance(say, m.ClaimReply):
             return self.claimant.word(now_ms, sender, say)
-        if isinstance(say, m.Others):
+        if isinstance(say, m.RemoteLoadReport):
             if self.own and say.life == self.life and sender in self.placement.keepers:
                 self.view.heard(sender, life, say)
             else:
@@ -130,51 +130,51 @@
         if isinstance(say, m.Hello):
             self.hellos.append((sender, say.asked))
             return []
-        if isinstance(say, m.Ride):
+        if isinstance(say, m.ClientMessage):
             self.rides.append((sender, life, say))
             return []
         keeper = self.keeper
         if keeper is None:
             self._count("no keeper here")
             return []
-        if isinstance(say, m.Ask):
+        if isinstance(say, m.ClaimRequest):
             if say.owner != f"{sender}#{life}":
-                raise LineFault(f"an ask of {say.owner} from {sender}#{life}")
+                raise LineError(f"an ask of {say.owner} from {sender}#{life}")
             keeper.alive.add(say.owner)
             found = keeper.ask(now_ms, sender, say)
-        elif isinstance(say, m.Tell):
+        elif isinstance(say, m.ClaimUpdate):
             if say.claim.owner != f"{sender}#{life}":
-                raise LineFault(f"a claim of {say.claim.owner} from {sender}#{life}")
+                raise LineError(f"a claim of {say.claim.owner} from {sender}#{life}")
             found = keeper.tell(now_ms, sender, say)
-        elif isinstance(say, m.Want):
+        elif isinstance(say, m.StateRequest):
             found = keeper.want(now_ms, sender, say)
-        elif isinstance(say, m.Piece):
+        elif isinstance(say, m.StateChunk):
             found = keeper.piece(now_ms, sender, say)
-        elif isinstance(say, m.Use):
+        elif isinstance(say, m.UsageCounters):
             self.uses.heard(now_ms, f"{sender}#{life}", say)
             found = []
-        elif isinstance(say, m.Named):
+        elif isinstance(say, m.FailureReport):
             self.sightings.heard(now_ms, f"{sender}#{life}", say)
             found = []
-        elif isinstance(say, m.Work):
+        elif isinstance(say, m.LoadReport):
             answer = self.words.heard(now_ms, self.name, f"{sender}#{life}", say) if self.own else None
-            found = [m.Say((sender,), answer)] if answer else []
+            found = [m.Send((sender,), answer)] if answer else []
         else:
             found = keeper.digests(now_ms, sender, say)
         return list(found)
 
-    def _inward(self, now_ms: float, effects: list[Out]) -> list[Out]:
+    def _inward(self, now_ms: float, effects: list[OwnerAction]) -> list[OwnerAction]:
         """What is said to oneself is heard at once; the rest goes out, in order."""
-        found: list[Out] = []
+        found: list[OwnerAction] = []
         waiting = list(effects)
         while waiting:
             effect = waiting.pop(0)
-            if not isinstance(effect, m.Say):
+            if not isinstance(effect, m.Send):
                 found.append(effect)
                 continue
             others = tuple(name for name in effect.to if name != self.name)
             if others:
-                found.append(m.Say(others, effect.message))
+                found.append(m.Send(others, effect.message))
             if len(others) < len(effect.to):
                 waiting[:0] = self._take(now_ms, self.name, self.life, effect.message)
         return found
@@ -199,50 +199,53 @@
             slots=sums.get(self.name, {}),
         )
 
-    def wrapped(self, say: m.Say) -> m.Line:
-        return m.Line(self.members.fleet, self.name, self.life, say.to, say.message)
+    def wrapped(self, say: m.Send) -> m.LogLine:
+        return m.LogLine(self.members.fleet, self.name, self.life, say.to, say.message)
 
-    def ride(self, ride: m.Ride, to: tuple[str, ...]) -> list[Out]:
+    def ride(self, ride: m.ClientMessage, to: tuple[str, ...]) -> list[OwnerAction]:
         """To these members, this one among them where it is named; to whoever follows where none is."""
-        return self._inward(0.0, [m.Say(to, ride)]) if to else [m.Say((), ride)]
+        return self._inward(0.0, [m.Send(to, ride)]) if to else [m.Send((), ride)]
 
     # --- use ------------------------------------------------------------------------------------
 
-    def tell_use(self, now_ms: float) -> list[Out]:
+    def tell_use(self, now_ms: float) -> list[OwnerAction]:
         """Own counters to the keepers; of a keeper, the sums to all."""
-        found: list[Out] = []
+        found: list[OwnerAction] = []
         if self.shares:
-            found = self._inward(now_ms, [m.Say(tuple(self.placement.keepers[:16]), self.shares.use(now_ms))])
+            found = self._inward(
+                now_ms, [m.Send(tuple(self.placement.keepers[:16]), self.shares.use(now_ms))]
+            )
         if self.keeper:
             sums = self.uses.sums(now_ms)
             if self.shares:
                 self.shares.heard(now_ms, self.name, sums)
-            found.append(m.Say((), sums))
+            found.append(m.Send((), sums))
         return found
 
-    def tell_named(self, now_ms: float, sights: Sights) -> list[Out]:
+    def tell_named(self, now_ms: float, sights: FailureTracker) -> list[OwnerAction]:
         """Bad scorers to the keepers; of a keeper, those that several name to all."""
         named = sights.named(now_ms)
-        found: list[Out] = []
+        found: list[OwnerAction] = []
         if named.bad or self._named:
-            found = self._inward(now_ms, [m.Say(tuple(self.placement.keepers[:16]), named)])
+            found = self._inward(now_ms, [m.Send(tuple(self.placement.keepers[:16]), named)])
         self._named = bool(named.bad)
         if self.keeper:
             hints = self.sightings.hints(now_ms, len(self.members.members))
             if hints.scorers:
                 self.hints.append(hints)
-                found.append(m.Say((), hints))
+                found.append(m.Send((), hints))
         return found
 
-    def tell_work(self, now_ms: float, fronts: int = 0) -> list[Out]:
+    def tell_work(self, now_ms: float, fronts: int = 0) -> list[OwnerAction]:
         """Own work to the keepers, of which one answers with that of the others: this one itself, or the
         next by a hash, so that all have about as many to tell. `fronts` are all of the fleet."""
         order = sorted(
-            self.placement.keepers[:16], key=lambda k: (k != self.name, weight("work", self.name, k))
+            self.placement.keepers[:16],
+            key=lambda k: (k != self.name, rendezvous_weight("work", self.name, k)),
         )
         word = self.own.word(now_ms, self.view.after(), *self.view.wants(now_ms, order, self._all(fronts)))
         self.view.asked(now_ms, word.number)
-        return self._inward(now_ms, [m.Say(tuple(self.placement.keepers[:16]), word)])
+        return self._inward(now_ms, [m.Send(tuple(self.placement.keepers[:16]), word)])
 
     def elsewhere(self, now_ms: float, fronts: int) -> list[io.Elsewhere]:
         """What the module is to hear of others' work; `fronts` are all of the fleet, as it was told."""
@@ -279,18 +282,18 @@
             self._count("members left aside")
             return
         self.members, before = members, self.placement
-        self.placement = Placement(members, self.settings.zones, self.settings.per_zone)
+        self.placement = ReplicaPlacement(members, self.settings.zones, self.settings.per_zone)
         self.claimant.placement = self.placement
         self.view.forget_keepers(set(before.keepers) - set(self.placement.keepers))
         if self.keeper is None and self.name in self.placement.keepers:
-            self.keeper = Keeper(self.name, before, self.settings, now_ms, self.life)
+            self.keeper = Replica(self.name, before, self.settings, now_ms, self.life)
         if self.keeper:
             self.keeper.move(now_ms, self.placement)
 
     # --- time -----------------------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> list[Out]:
-        found: list[Out] = list(self.claimant.tick(now_ms))
+    def tick(self, now_ms: float) -> list[OwnerAction]:
+        found: list[OwnerAction] = list(self.claimant.tick(now_ms))
         if self.keeper and now_ms >= min(self._tick_due_ms, self.keeper.due_ms(now_ms)):
             self._tick_due_ms = now_ms + TICK_MS
             quiet = self.settings.quiet_ms
--- a/fawnwharf/replication/disk.py
+++ b/fawnwharf/replication/disk.py
@@ -19,14 +19,16 @@
 
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.consensus.records import encode, records
-from fawnwharf.replication.claims import Claim, Key
+from fawnwharf.replication.claims import CallKey, Claim
 
 VERSION = 1
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 BATCH = 2_000  # claims in a record, where a file begins with what is held
-NO_MORE = -1  # in the place of a list of members: from here on the keeper does not know all it granted
+INCOMPLETE = -1  # in the place of a list of members: from here on the keeper does not know all it granted
 
-Kept = tuple[str, Claim, float]  # key, claim, and until when it counts, by the machine's monotonic clock
+StoredGrant = tuple[
+    str, Claim, float
+]  # key, claim, and until when it counts, by the machine's monotonic clock
 
 
 class Head(Struct, frozen=True):
@@ -44,7 +46,7 @@
 
 
 class Batch(Struct, frozen=True):
-    kept: list[tuple[Key, Claim, float]]
+    kept: list[tuple[CallKey, Claim, float]]
     sure: int = 0  # from here on it knew all, by this list, or NO_MORE; 0: as before
 
 
@@ -56,7 +58,7 @@
         return ""
 
 
-class KeeperDisk:
+class GrantLog:
     """Owns the folder: its lock, the file that is written, and the one before."""
 
     def __init__(self, folder: Path, fleet: str, name: str, now_ms: float, life_ms: float, boot: str) -> None:
@@ -64,7 +66,7 @@
         be trusted is set aside, and `why` says so."""
         self.folder, self._fleet, self._name, self._boot = folder, fleet, name, boot
         self._life_ms = life_ms
-        self.kept: list[Kept] = []
+        self.kept: list[StoredGrant] = []
         self.sure = 0  # the list of members by which it knew all, at the end
         self.why = ""  # it is not trusted; empty: what is kept is all that was ever told
         self._file: int | None = None
@@ -138,7 +140,7 @@
 
     # --- writing --------------------------------------------------------------------------------
 
-    def begin(self, now_ms: float, sure: int, held: list[Kept] | None) -> None:
+    def begin(self, now_ms: float, sure: int, held: list[StoredGrant] | None) -> None:
         """A new file, with all that is held where that is told; the last one stays beside one that is not
         whole. Raises DiskError."""
         before = self._files()
@@ -171,7 +173,7 @@
         if os.write(self._file, data) != len(data):
             raise OSError(28, "no room for a whole record")
 
-    def write(self, now_ms: float, kept: list[Kept], sure: int) -> None:
+    def write(self, now_ms: float, kept: list[StoredGrant], sure: int) -> None:
         """Before anything that rests on these is said. Raises DiskError: then nothing may rest on them, and
         nothing more is written behind what may be half a record."""
         if self._file is None:
--- a/fawnwharf/replication/elsewhere.py
+++ b/fawnwharf/replication/elsewhere.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class LoadReporter:
     """One owner's work, as the table of requests sees it go and come back."""
 
     cold_ms: float
@@ -129,7 +129,7 @@
 
     # --- what is told ---------------------------------------------------------------------------
 
-    def word(self, now_ms: float, after: dict[str, int], wants: str = "", since: int = 0) -> m.Work:
+    def word(self, now_ms: float, after: dict[str, int], wants: str = "", since: int = 0) -> m.LoadReport:
         """The next word; `after` names the last answer of each keeper, `wants` the one that is to tell all
         that is news since its answer `since`."""
         self.number += 1
@@ -147,14 +147,14 @@
         news = self._newest(now_ms)
         cut = max(0, len(loads) - LOADS_MOST) + len(self._news)
         self.cut += cut
-        return m.Work(
+        return m.LoadReport(
             self.number,
             after,
             wants,
             since,
             {str(w): n for w, n in sorted(sent.items(), key=lambda item: -item[1])[:SCORERS_MOST]},
-            tuple(m.Load(*place, round(now_ms - at, 1)) for at, place in loads[:LOADS_MOST]),
-            tuple(m.Copy(*place, c.copies, round(now_ms - c.proof_ms, 1)) for place, c in news),
+            tuple(m.PendingLoad(*place, round(now_ms - at, 1)) for at, place in loads[:LOADS_MOST]),
+            tuple(m.ProvenCopy(*place, c.copies, round(now_ms - c.proof_ms, 1)) for place, c in news),
             cut,
         )
 
--- a/fawnwharf/replication/gate.py
+++ b/fawnwharf/replication/gate.py
@@ -17,10 +17,10 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.replication.claimant import Answer, GiveUp, Go, Out, TurnAway
-from fawnwharf.replication.claims import Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.settings import Mode, Settings
+from fawnwharf.replication.claimant import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.settings import ClaimMode, ReplicationSettings
 
 HELD_BYTES_MOST = 8 * 1024 * 1024  # bodies of calls that wait for their keepers
 HELD_MOST = 4_096
@@ -45,20 +45,20 @@
     table_key: str | None = None  # while it stands in the table
 
 
-def mode_of(spec: ClassSpec, settings: Settings) -> Mode:
+def claim_mode(spec: ClassSpec, settings: ReplicationSettings) -> ClaimMode:
     """How calls of a class are kept: as the settings say, or as its effect asks."""
-    by_effect: dict[Effect, Mode] = {Effect.UNSAFE: "before", Effect.KEYED: "after", Effect.SAFE: "off"}
+    by_effect: dict[Effect, ClaimMode] = {Effect.UNSAFE: "before", Effect.KEYED: "after", Effect.SAFE: "off"}
     return settings.modes.get(spec.name, by_effect[spec.effect])
 
 
-def name_of(call: Call) -> str:
+def call_key(call: Call) -> str:
     """The same for each try of one thing, at every front end: its key where it has one, else its id."""
     own = call.token or call.id.hex()
     digest = hashlib.blake2b(f"{call.tenant}\0{call.class_name}\0{own}".encode(), digest_size=16).hexdigest()
     return f"{call.class_name}:{digest}"
 
 
-class Gate:
+class ClaimGate:
     """Owns the calls that are kept, from their coming to what became of them; takes and withdraws as the
     table does."""
 
@@ -66,22 +66,22 @@
         self,
         loop: Loop,
         table: RequestTable,
-        core: Core,
-        settings: Settings,
+        core: ReplicationCore,
+        settings: ReplicationSettings,
         classes: dict[str, ClassSpec],
-        carry_out: Callable[[list[Out]], None],
+        carry_out: Callable[[list[OwnerAction]], None],
     ) -> None:
         """`carry_out` does what the core says, and brings Go, Answer, GiveUp and TurnAway back here."""
         self._loop, self._table, self._core = loop, table, core
         self._settings, self._classes, self._carry_out = settings, classes, carry_out
-        self.modes = {name: mode_of(spec, settings) for name, spec in classes.items()}
+        self.modes = {name: claim_mode(spec, settings) for name, spec in classes.items()}
         self._numbers = itertools.count(1)
         self._bytes = 0
         self.held: dict[str, _Held] = {}  # by the call's name
         self._by_key: dict[str, _Held] = {}  # by what the port knows them by
         self._waits: deque[float] = deque(maxlen=WAITS)  # milliseconds, of the last calls that went
 
-    def go_by(self, classes: dict[str, ClassSpec], modes: dict[str, Mode]) -> None:
+    def go_by(self, classes: dict[str, ClassSpec], modes: dict[str, ClaimMode]) -> None:
         """Other classes and modes, for calls that come from now on."""
         self._classes, self.modes = classes, modes
 
@@ -95,7 +95,7 @@
         if len(self.held) >= HELD_MOST or self._bytes + len(call.body) > HELD_BYTES_MOST:
             call.reply(Refused(FULL_PUSHBACK_MS))
             return None
-        name, key = name_of(call), f"g{next(self._numbers)}"
+        name, key = call_key(call), f"g{next(self._numbers)}"
         held = self.held.get(name)
         if held is None:
             spec = self._classes[call.class_name]
@@ -155,23 +155,23 @@
         elif held.spec.effect is not Effect.UNSAFE and held.table_key is not None:
             self._table.withdraw(held.table_key)
             self._done(held)
-            self._carry_out(self._core.ended(monotonic_ms(), held.name, Phase.FAILED))
+            self._carry_out(self._core.ended(monotonic_ms(), held.name, ClaimPhase.FAILED))
 
     # --- from the core --------------------------------------------------------------------------
 
-    def told(self, effect: Go | Answer | GiveUp | TurnAway) -> None:
+    def told(self, effect: RunCall | AnswerCall | FailCall | RejectCall) -> None:
         """What becomes of a call."""
         held = self.held.get(effect.key)
         if held is None:
             return
-        if isinstance(effect, Go):
+        if isinstance(effect, RunCall):
             self._go(held)
-        elif isinstance(effect, Answer):
+        elif isinstance(effect, AnswerCall):
             if held.table_key is not None:  # it runs, but was answered before
                 self._table.withdraw(held.table_key)
             kept = effect.answer
             self._finish(held, Failed() if kept is None else Served(base64.b64decode(kept)))
-        elif isinstance(effect, GiveUp):
+        elif isinstance(effect, FailCall):
             self._finish(held, Failed())
         else:
             self._finish(held, Refused(effect.pushback_ms))
@@ -193,12 +193,12 @@
         held.table_key = None
         digest, answer = "", None
         if isinstance(outcome, Served):
-            phase = Phase.ANSWERED
+            phase = ClaimPhase.ANSWERED
             digest = hashlib.blake2b(outcome.body, digest_size=16).hexdigest()
             if len(outcome.body) <= self._settings.bounds.answer_bytes:
                 answer = base64.b64encode(outcome.body).decode()
         else:
-            phase = Phase.CLEAR if isinstance(outcome, Refused) else Phase.FAILED
+            phase = ClaimPhase.CLEAR if isinstance(outcome, Refused) else ClaimPhase.FAILED
         self._finish(held, outcome)
         self._carry_out(self._core.ended(monotonic_ms(), held.name, phase, digest, answer))
 
--- a/fawnwharf/replication/keeper.py
+++ b/fawnwharf/replication/keeper.py
@@ -7,25 +7,25 @@
 """
 
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.catchup import CatchUp
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.placement import Placement
-from fawnwharf.replication.settings import Settings
-from fawnwharf.replication.shelf import Entry, Shelf
+from fawnwharf.replication.catchup import StateTransfer
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.placement import ReplicaPlacement
+from fawnwharf.replication.settings import ReplicationSettings
+from fawnwharf.replication.shelf import CallEntry, ClaimStore
 
 FORGET_MS = 250.0  # pace of the look after what is over
 CLAIMS_MOST = 16  # of one call, in one word
 ASKS_MOST = 64  # of one call: with so many it is granted no more until some are over
 
 
-class Keeper:
+class Replica:
     """Owns the calls that this front end keeps for the fleet."""
 
     def __init__(
         self,
         name: str,
-        placement: Placement,
-        settings: Settings,
+        placement: ReplicaPlacement,
+        settings: ReplicationSettings,
         now_ms: float,
         life: int,
         fresh: bool = False,
@@ -33,12 +33,12 @@
         """`fresh`: nothing was ever granted under this name that is not here, as the fleet begins or a disk
         has it all."""
         self.name, self.placement, self.settings = name, placement, settings
-        self.shelf = Shelf(settings, placement.of)
-        self.catchup = CatchUp(settings, self.shelf, life)
+        self.shelf = ClaimStore(settings, placement.of)
+        self.catchup = StateTransfer(settings, self.shelf, life)
         self.alive: set[str] = set()  # owners that are heard
         self._since_ms = now_ms
         self._due = {"forget": now_ms, "compare": now_ms + settings.compare_ms}
-        self._olds: list[Placement] = []  # lists before, until their keepers were heard
+        self._olds: list[ReplicaPlacement] = []  # lists before, until their keepers were heard
         self._behind = 0  # the largest number of a list that another keeper went by
         self.broken = False  # what it grants can't be written down
         self._sure = fresh
@@ -88,7 +88,7 @@
         self._missing |= self._others()
         self.catchup.start_over()
 
-    def move(self, now_ms: float, placement: Placement) -> None:
+    def move(self, now_ms: float, placement: ReplicaPlacement) -> None:
         """Another list of members: calls may have come here from other keepers, whom it has to hear."""
         if placement.number <= self.placement.number:
             return
@@ -106,7 +106,7 @@
 
     # --- owners ---------------------------------------------------------------------------------
 
-    def ask(self, now_ms: float, sender: str, ask: m.Ask) -> list[m.Say]:
+    def ask(self, now_ms: float, sender: str, ask: m.ClaimRequest) -> list[m.Send]:
         """Grant the call, or say who has it."""
         sure = self.sure(now_ms) and ask.members == self.placement.number
         if self.name not in self.placement.of(ask.key):
@@ -123,7 +123,7 @@
             sure = False
         free = not entry.standing()
         if free and sure:
-            claim = Claim(ask.owner, ask.number, ask.number, ask.slot, Phase.TAKEN)
+            claim = Claim(ask.owner, ask.number, ask.number, ask.slot, ClaimPhase.TAKEN)
             self.shelf.put(now_ms, ask.key, entry, claim, self.shelf.stretched(ask.key))
             entry.waiters.pop(ask.owner, None)
         elif not free and (ask.owner in entry.waiters or len(entry.waiters) < self.settings.bounds.waiters):
@@ -136,12 +136,12 @@
         owner: str,
         number: int,
         key: str,
-        entry: Entry | None,
+        entry: CallEntry | None,
         granted: bool,
         sure: bool,
-    ) -> m.Say:
+    ) -> m.Send:
         claims = [c for c in entry.standing() if c.id != (owner, number)][:CLAIMS_MOST] if entry else []
-        word = m.Word(
+        word = m.ClaimReply(
             key=key,
             owner=owner,
             number=number,
@@ -151,37 +151,37 @@
             alive=tuple(sorted({claim.owner for claim in claims} & self.alive)),
             age_ms=now_ms - entry.first_ms if claims else 0.0,
         )
-        return m.Say((owner.partition("#")[0],), word)
+        return m.Send((owner.partition("#")[0],), word)
 
-    def tell(self, now_ms: float, sender: str, tell: m.Tell) -> list[m.Say]:
+    def tell(self, now_ms: float, sender: str, tell: m.ClaimUpdate) -> list[m.Send]:
         """An owner's later word. It is taken also where the ask never came: it says no less."""
-        if tell.claim.phase is Phase.CLEAR and tell.key not in self.shelf.calls:
+        if tell.claim.phase is ClaimPhase.CLEAR and tell.key not in self.shelf.calls:
             return []
         entry = self.shelf.entry(now_ms, tell.key)
         if entry is None:
             return []
         crowded = len(entry.claims) >= ASKS_MOST and tell.claim.id not in entry.claims
-        if crowded and tell.claim.phase is Phase.CLEAR:  # not granted here, it stands in nobody's way
+        if crowded and tell.claim.phase is ClaimPhase.CLEAR:  # not granted here, it stands in nobody's way
             return []
         self.shelf.put(now_ms, tell.key, entry, tell.claim, self.shelf.stretched(tell.key))
         return self._news(now_ms, tell.key, entry)
 
-    def _news(self, now_ms: float, key: str, entry: Entry) -> list[m.Say]:
+    def _news(self, now_ms: float, key: str, entry: CallEntry) -> list[m.Send]:
         """To those that wait: how the call stands now."""
-        found: list[m.Say] = []
+        found: list[m.Send] = []
         for owner, number in list(entry.waiters.items()):
             if owner not in self.alive:
                 del entry.waiters[owner]
                 continue
             found.append(self._word(now_ms, owner, number, key, entry, granted=False, sure=True))
-            if not any(claim.phase is Phase.TAKEN for claim in entry.standing()):
+            if not any(claim.phase is ClaimPhase.TAKEN for claim in entry.standing()):
                 del entry.waiters[owner]  # nothing more will come
         return found
 
-    def owners(self, now_ms: float, alive: set[str]) -> list[m.Say]:
+    def owners(self, now_ms: float, alive: set[str]) -> list[m.Send]:
         """Which owners are heard now; those that wait for one that is gone are told."""
         gone, self.alive = self.alive - alive, set(alive)
-        found: list[m.Say] = []
+        found: list[m.Send] = []
         if gone:
             for key, entry in self.shelf.calls.items():
                 if entry.waiters and gone & {owner for owner, _ in entry.claims}:
@@ -190,9 +190,9 @@
 
     # --- among keepers --------------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> list[m.Say]:
+    def tick(self, now_ms: float) -> list[m.Send]:
         """Whatever is due: what is over goes, pieces are told, what is missing is wanted, and compared."""
-        found: list[m.Say] = []
+        found: list[m.Send] = []
         if now_ms >= self._due["forget"]:
             self._due["forget"] = now_ms + FORGET_MS
             self.shelf.forget(now_ms)
@@ -204,14 +204,14 @@
         if now_ms >= self._due["compare"]:
             self._due["compare"] = now_ms + self.settings.compare_ms
             for name in sorted(self._others()):
-                found.append(m.Say((name,), m.Digests(self.shelf.slots(now_ms, name))))
+                found.append(m.Send((name,), m.StoreDigests(self.shelf.slots(now_ms, name))))
         return found
 
     def due_ms(self, now_ms: float) -> float:
         due = min(self._due.values())
         return min(due, self.catchup.due_ms) if self.catchup.busy else due
 
-    def want(self, now_ms: float, sender: str, want: m.Want) -> list[m.Say]:
+    def want(self, now_ms: float, sender: str, want: m.StateRequest) -> list[m.Send]:
         """Another keeper wants what is here. One that goes by a later list has all, and nothing is granted
         by the earlier one any more."""
         ahead = want.members > self.placement.number
@@ -222,10 +222,10 @@
         self.catchup.wanted(sender, want, lambda keepers: ahead or sender in keepers)
         return []
 
-    def piece(self, now_ms: float, sender: str, piece: m.Piece) -> list[m.Say]:
-        found: list[m.Say] = []
+    def piece(self, now_ms: float, sender: str, piece: m.StateChunk) -> list[m.Send]:
+        found: list[m.Send] = []
 
-        def take(held: m.Held) -> bool:
+        def take(held: m.StoredClaim) -> bool:
             entry = self.shelf.entry(now_ms, held.key)
             if entry is not None:
                 self.shelf.put(now_ms, held.key, entry, held.claim, held.left_ms)
@@ -236,7 +236,7 @@
             self._missing.discard(sender)
         return found
 
-    def digests(self, now_ms: float, sender: str, digests: m.Digests) -> list[m.Say]:
+    def digests(self, now_ms: float, sender: str, digests: m.StoreDigests) -> list[m.Send]:
         if sender not in self.placement.keepers:
             self.shelf.count("digests of no keeper")
             return []
--- a/fawnwharf/replication/links.py
+++ b/fawnwharf/replication/links.py
@@ -17,7 +17,7 @@
 NAMES_MOST = 4_000
 
 
-class DirectedServer(LogServer):
+class DirectedLogServer(LogServer):
     """Owns a listener and its readers, each with numbers of its own."""
 
     def __init__(self, loop: Loop, address: Address, life: int, readers_most: int) -> None:
--- a/fawnwharf/replication/onfile.py
+++ b/fawnwharf/replication/onfile.py
@@ -8,43 +8,45 @@
 
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.replication.claimant import Go, Out, TurnAway
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.disk import NO_MORE, KeeperDisk, boot_id
-from fawnwharf.replication.messages import Say, Word
+from fawnwharf.replication.claimant import OwnerAction, RejectCall, RunCall
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.disk import INCOMPLETE, GrantLog, boot_id
+from fawnwharf.replication.messages import ClaimReply, Send
 
 DISK_PUSHBACK_MS = 250.0
 
 
-class Disk(Protocol):
+class GrantStorage(Protocol):
     """Where a keeper's grants are before they are said."""
 
     found: dict[str, Any]  # for operators
 
-    def written(self, effects: list[Out], later: Callable[[list[Out]], None]) -> list[Out]:
+    def written(
+        self, effects: list[OwnerAction], later: Callable[[list[OwnerAction]], None]
+    ) -> list[OwnerAction]:
         """What may be said and done now that what it rests on is written; the rest goes to `later`."""
 
     def close(self) -> None: ...
 
 
-class Stores(Protocol):
+class GrantStorageFactory(Protocol):
     """Something that writes a keeper's grants in the place of its own file."""
 
-    def promises(self, core: Core, folder: Path | None) -> Disk: ...
+    def promises(self, core: ReplicationCore, folder: Path | None) -> GrantStorage: ...
 
 
-class OnFile:
+class GrantLogStorage:
     """Owns a keeper's disk; what can't be written is taken back, and nothing is granted from then on."""
 
     def __init__(
-        self, folder: Path, core: Core, name: str, note: Callable[[str, dict[str, Any]], None]
+        self, folder: Path, core: ReplicationCore, name: str, note: Callable[[str, dict[str, Any]], None]
     ) -> None:
         """What this keeper granted before is on its shelf then, where its disk is to be trusted. Raises
         DiskError where the folder can't be used or read; one that takes nothing refuses no start."""
         self._core, self._note = core, note
         keeper, shelf = core.keeper, core.keeper.shelf
         now = monotonic_ms()
-        self.disk = KeeperDisk(folder, core.members.fleet, name, now, shelf.stretched(), boot_id())
+        self.disk = GrantLog(folder, core.members.fleet, name, now, shelf.stretched(), boot_id())
         for key, claim, until_ms in self.disk.kept:
             entry = shelf.entry(now, key) if until_ms > now else None
             if entry is not None:
@@ -66,13 +68,15 @@
 
     def _sure_by(self, now_ms: float) -> int:
         """The list of members by which this keeper knows all that it granted; NO_MORE where it does not."""
-        return self._core.placement.number if self._core.keeper.sure(now_ms) else NO_MORE
+        return self._core.placement.number if self._core.keeper.sure(now_ms) else INCOMPLETE
 
     def _fails(self, error: DiskError) -> None:
         self._core.keeper.broken = True
         self._note("disk failed: nothing is granted here until a restart", {"why": str(error)})
 
-    def written(self, effects: list[Out], later: Callable[[list[Out]], None] | None = None) -> list[Out]:
+    def written(
+        self, effects: list[OwnerAction], later: Callable[[list[OwnerAction]], None] | None = None
+    ) -> list[OwnerAction]:
         """What may be said and done now that what it rests on is on file, which is all; where that fails,
         nothing is granted any more."""
         keeper, shelf = self._core.keeper, self._core.keeper.shelf
@@ -89,16 +93,16 @@
         return effects
 
 
-def _without(effect: Out) -> Out:
+def _without(effect: OwnerAction) -> OwnerAction:
     """An effect as it is where what was just granted here does not count."""
-    if isinstance(effect, Go) and effect.kept:
-        return TurnAway(effect.key, DISK_PUSHBACK_MS, "disk failed")
-    return ungranted(effect)
+    if isinstance(effect, RunCall) and effect.kept:
+        return RejectCall(effect.key, DISK_PUSHBACK_MS, "disk failed")
+    return without_grant(effect)
 
 
-def ungranted(effect: Out) -> Out:
+def without_grant(effect: OwnerAction) -> OwnerAction:
     """A keeper's word without a grant."""
-    if isinstance(effect, Say) and isinstance(effect.message, Word):
+    if isinstance(effect, Send) and isinstance(effect.message, ClaimReply):
         word = msgspec.structs.replace(effect.message, granted=False, sure=False)
-        return Say(effect.to, word)
+        return Send(effect.to, word)
     return effect
--- a/fawnwharf/replication/others.py
+++ b/fawnwharf/replication/others.py
@@ -27,13 +27,13 @@
 PART = 0.1  # of the fleet may be unheard while sends are held to be known
 
 
-def enough(heard: int, fronts: int) -> bool:
+def most_heard(heard: int, fronts: int) -> bool:
     """Whether what others sent is known: all but a tenth of the fleet are heard."""
     return fronts - heard <= PART * fronts
 
 
 @dataclass(slots=True)
-class Owner:
+class OwnerReport:
     """The word of one owner: of sends and loads the one with the largest number, of copies that by place."""
 
     number: int = 0
@@ -42,7 +42,7 @@
     loading: tuple[tuple[int, str, float], ...] = ()  # since when
     copies: dict[Place, tuple[int, int, float]] = field(default_factory=dict)  # number, copies, proof
 
-    def merge(self, work: m.Work, made_ms: float) -> list[Place]:
+    def merge(self, work: m.LoadReport, made_ms: float) -> list[Place]:
         """Take a word that was made at `made_ms` or later; the places of which it tells something later."""
         if work.number > self.number:
             self.number, self.made_ms, self.sent = work.number, made_ms, work.sent
@@ -78,14 +78,14 @@
     proof_ms: float = -math.inf
 
 
-class Words:
+class LoadReportStore:
     """A keeper's: the words of all owners."""
 
     def __init__(self, word_ms: float, copies_ms: float, first: int) -> None:
         """Answers are numbered from `first` on, another one in each life of this keeper: a word that names
         one of an earlier life names none of this."""
         self.word_ms, self.copies_ms = word_ms, copies_ms
-        self.owners: dict[str, Owner] = {}
+        self.owners: dict[str, OwnerReport] = {}
         self.counts: dict[str, int] = {}
         self._answers: dict[str, deque[tuple[int, float]]] = {}  # number and time of those to each owner
         self._places: dict[Place, _Place] = {}  # the latest news last
@@ -95,12 +95,12 @@
     def _count(self, cause: str, more: int = 1) -> None:
         self.counts[cause] = self.counts.get(cause, 0) + more
 
-    def made_ms(self, keeper: str, owner: str, work: m.Work) -> float | None:
+    def made_ms(self, keeper: str, owner: str, work: m.LoadReport) -> float | None:
         """Before when the word was not made; None where that can't be told."""
         named = work.after.get(keeper)
         return next((at for n, at in reversed(self._answers.get(owner, ())) if n == named), None)
 
-    def heard(self, now_ms: float, keeper: str, owner: str, work: m.Work) -> m.Others | None:
+    def heard(self, now_ms: float, keeper: str, owner: str, work: m.LoadReport) -> m.RemoteLoadReport | None:
         """Take an owner's word, and answer it. `keeper` is the name of this one."""
         self._tidy(now_ms, owner)
         made = self.made_ms(keeper, owner, work)
@@ -115,12 +115,12 @@
         self._number += 1
         answers.append((self._number, now_ms))
         if work.wants != keeper:
-            return m.Others(work.number, int(owner.partition("#")[2]), self._number)
+            return m.RemoteLoadReport(work.number, int(owner.partition("#")[2]), self._number)
         since = work.since if work.since < self._number else 0  # else it is another life's
         return self._answer(now_ms, owner, work.number, since)
 
-    def _take(self, owner: str, work: m.Work, made_ms: float) -> None:
-        held = self.owners.setdefault(owner, Owner())
+    def _take(self, owner: str, work: m.LoadReport, made_ms: float) -> None:
+        held = self.owners.setdefault(owner, OwnerReport())
         if work.number <= held.number:
             self._count("work: older words")
         for place in held.merge(work, made_ms):
@@ -182,7 +182,7 @@
         found.loading.sort(reverse=True)
         return found
 
-    def _answer(self, now_ms: float, owner: str, number: int, since: int) -> m.Others:
+    def _answer(self, now_ms: float, owner: str, number: int, since: int) -> m.RemoteLoadReport:
         found = self._summed(now_ms)
         own = found.parts.get(owner, {})
         sent = {worker: count - own.get(worker, 0) for worker, count in found.total.items()}
@@ -197,14 +197,14 @@
             self._count("work: cut from answers", cut)
         oldest = next((made for made, who in found.made if who != owner), now_ms)
         name, _, life = owner.partition("#")
-        return m.Others(
+        return m.RemoteLoadReport(
             number, int(life), self._number, len(found.names | {name}), round(now_ms - oldest, 1),
             dict(most[:SCORERS_MOST]),
-            tuple(m.Load(*p, round(now_ms - at, 1)) for p, at in list(loading.items())[:LOADS_MOST]),
+            tuple(m.PendingLoad(*p, round(now_ms - at, 1)) for p, at in list(loading.items())[:LOADS_MOST]),
             tuple(copies), cut,
         )  # fmt: skip
 
-    def _news(self, now_ms: float, owner: str, since: int) -> tuple[list[m.Copy], int]:
+    def _news(self, now_ms: float, owner: str, since: int) -> tuple[list[m.ProvenCopy], int]:
         """Copies of which there is news since an answer, as the others have them; the latest first."""
         found, cut = [], 0
         for place, known in reversed(self._places.items()):
@@ -215,7 +215,7 @@
             if now_ms - proof_ms > self.copies_ms:
                 continue
             if len(found) < NEWS_MOST:
-                found.append(m.Copy(*place, copies, round(now_ms - proof_ms, 1)))
+                found.append(m.ProvenCopy(*place, copies, round(now_ms - proof_ms, 1)))
             else:
                 cut += 1
         return found, cut
@@ -225,7 +225,7 @@
 class _Answer:
     life: int
     asked_ms: float  # when the word that it is to was sent: the answer is no older
-    others: m.Others
+    others: m.RemoteLoadReport
 
 
 @dataclass(slots=True)
@@ -234,7 +234,7 @@
     oldest_ms: float
 
 
-class View:
+class RemoteLoads:
     """A front end's: what keepers answered, and what its module is told of it."""
 
     def __init__(self, word_ms: float, copies_ms: float) -> None:
@@ -263,14 +263,14 @@
         hears enough, else the next of `keepers`."""
         held = self._answers.get(self._wants)
         well = held is not None and now_ms - held.asked_ms <= TURN * self.word_ms
-        well = well and enough(held.others.heard, fronts)
+        well = well and most_heard(held.others.heard, fronts)
         if self._wants not in keepers or (not well and now_ms - self._wants_ms > TURN * self.word_ms):
             at = keepers.index(self._wants) + 1 if self._wants in keepers else 0
             self._wants, self._wants_ms = keepers[at % len(keepers)] if keepers else "", now_ms
         held = self._answers.get(self._wants)
         return self._wants, held.others.answer if held else 0
 
-    def heard(self, keeper: str, life: int, others: m.Others) -> None:
+    def heard(self, keeper: str, life: int, others: m.RemoteLoadReport) -> None:
         """A keeper's answer; `life` is the keeper's."""
         asked_ms = next((at for number, at in reversed(self._asked) if number == others.number), None)
         known = self._after.get(keeper, (0, 0))
@@ -306,7 +306,7 @@
     def sure(self, now_ms: float, fronts: int) -> bool:
         """Whether what others sent is known; `fronts` are all of the fleet."""
         best = self.best(now_ms)
-        return best is not None and enough(best.others.heard, fronts)
+        return best is not None and most_heard(best.others.heard, fronts)
 
     def _made(self, held: _Answer) -> float:
         return held.asked_ms - held.others.age_ms
--- a/fawnwharf/replication/placement.py
+++ b/fawnwharf/replication/placement.py
@@ -9,11 +9,11 @@
 from fawnwharf.zones.settings import Members
 
 
-def weight(*parts: str) -> int:
+def rendezvous_weight(*parts: str) -> int:
     return int.from_bytes(hashlib.blake2b("\0".join(parts).encode(), digest_size=8).digest(), "big")
 
 
-class Placement:
+class ReplicaPlacement:
     """Owns the keepers of one file of members. `zones` keep each call, by one of `per_zone` each."""
 
     def __init__(self, members: Members, zones: int, per_zone: int) -> None:
@@ -24,7 +24,7 @@
                 able.setdefault(member.zone, []).append(member.name)
         # Few keepers, so that nobody has to be connected to all others.
         self.by_zone = {
-            zone: sorted(names, key=lambda name: weight("keeper", name), reverse=True)[:per_zone]
+            zone: sorted(names, key=lambda name: rendezvous_weight("keeper", name), reverse=True)[:per_zone]
             for zone, names in able.items()
         }
         self._zones = zones
@@ -32,9 +32,12 @@
 
     def of(self, key: str) -> tuple[str, ...]:
         """The keepers of a call, a zone each, the same order everywhere."""
-        zones = sorted(self.by_zone, key=lambda zone: weight(zone, key), reverse=True)[: self._zones]
+        zones = sorted(self.by_zone, key=lambda zone: rendezvous_weight(zone, key), reverse=True)[
+            : self._zones
+        ]
         return tuple(
-            max(self.by_zone[zone], key=lambda name: weight("call", name, key)) for zone in sorted(zones)
+            max(self.by_zone[zone], key=lambda name: rendezvous_weight("call", name, key))
+            for zone in sorted(zones)
         )
 
     def enough(self, key: str) -> int:
--- a/fawnwharf/replication/resting.py
+++ b/fawnwharf/replication/resting.py
@@ -11,23 +11,23 @@
 from fawnwharf.config import Fleet
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Closer, Overlay
-from fawnwharf.replication.beliefs import Rests, Sights, counts_by
-from fawnwharf.replication.messages import Hints
+from fawnwharf.replication.beliefs import FailureTracker, OutlierEjections, counts_by
+from fawnwharf.replication.messages import ReportedOutliers
 
 CLOSER = "state"
 
 
-def closer(ids: frozenset[str]) -> Closer | None:
+def excluding(ids: frozenset[str]) -> Closer | None:
     """Closes these; None where there are none."""
     return (lambda member: member.id in ids) if ids else None
 
 
-class Resting:
+class OutlierEjector:
     """Owns what this front end has seen of scorers, and which ones rest."""
 
     def __init__(self, promise_ms: float, note: Callable[[str, dict[str, Any]], None]) -> None:
         """What takes longer than `promise_ms` is a bad sign."""
-        self.sights, self.rests = Sights(), Rests()
+        self.sights, self.rests = FailureTracker(), OutlierEjections()
         self.ids: frozenset[str] = frozenset()
         self._promise_ms, self._note = promise_ms, note
 
@@ -37,7 +37,7 @@
                 warmth = getattr(event, "warmth", io.Warmth.UNTOLD)  # an order's answer has none
                 self.sights.ended(now_ms, event.worker, event.ending, event.took_ms, self._promise_ms, warmth)
 
-    def look(self, now_ms: float, heard: Iterable[Hints], overlay: Overlay) -> Fleet:
+    def look(self, now_ms: float, heard: Iterable[ReportedOutliers], overlay: Overlay) -> Fleet:
         """Take what was heard, and let those rest that are to; the changes that it makes to the roster."""
         nothing = Fleet([], False, overlay.revision)
         heard = list(heard)
@@ -53,4 +53,4 @@
             return nothing
         self._note("scorers rest", {"now": sorted(ids), "before": sorted(self.ids)})
         self.ids = ids
-        return overlay.close(CLOSER, closer(ids))
+        return overlay.close(CLOSER, excluding(ids))
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -13,16 +13,16 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claimant import Out
-from fawnwharf.replication.core import Core, LineFault
-from fawnwharf.replication.gate import Gate
-from fawnwharf.replication.links import DirectedLog, DirectedServer
-from fawnwharf.replication.messages import Hello, Say
-from fawnwharf.replication.onfile import Disk, OnFile, Stores
-from fawnwharf.replication.resting import Resting
-from fawnwharf.replication.settings import Settings, check_members, settings_from
-from fawnwharf.replication.use import Shares
-from fawnwharf.replication.working import Working
+from fawnwharf.replication.claimant import OwnerAction
+from fawnwharf.replication.core import LineError, ReplicationCore
+from fawnwharf.replication.gate import ClaimGate
+from fawnwharf.replication.links import DirectedLog, DirectedLogServer
+from fawnwharf.replication.messages import Hello, Send
+from fawnwharf.replication.onfile import GrantLogStorage, GrantStorage, GrantStorageFactory
+from fawnwharf.replication.resting import OutlierEjector
+from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
+from fawnwharf.replication.use import QuotaShares
+from fawnwharf.replication.working import LoadReporting
 from fawnwharf.zones.files import load
 from fawnwharf.zones.settings import FileFault, Members, members_from
 
@@ -36,7 +36,7 @@
 Ridden = Callable[[float, str, int, Any], None]  # now, sender, its life, the word
 
 
-class State:
+class ReplicationService:
     """Owns this front end's part in the state that is kept together; a Seam of the front end."""
 
     def __init__(
@@ -45,13 +45,13 @@
         path: str | Path,
         write: Write,
         fresh: bool = False,
-        kept: Stores | None = None,
+        kept: GrantStorageFactory | None = None,
     ) -> None:
         """Reads and checks the files; raises ConfigError with one line. `fresh`: this fleet begins, nobody
         has promised anything yet. `kept`: what grants go to in the place of a file."""
         self.deployment, self.note = deployment, write
         place = Path(path)
-        self.settings: Settings = load(place, settings_from, "state")
+        self.settings: ReplicationSettings = load(place, parse_settings, "state")
         self.folder = place.parent / self.settings.folder if self.settings.folder else None
         self._members_path = place.parent / self.settings.members
         members: Members = load(self._members_path, members_from, "state")
@@ -70,28 +70,28 @@
                 raise ConfigError(f"state: {place}: modes.{name}: no such class")
         self.entry = entry
         self.life = secrets.randbits(52) | 1
-        self.core = Core(entry.name, self.life, members, self.settings, monotonic_ms(), fresh)
+        self.core = ReplicationCore(entry.name, self.life, members, self.settings, monotonic_ms(), fresh)
         if self.settings.shares:
             # The module adds what it is handed to the quotas: these are as they were sold.
             quotas = dict(deployment.settings.quotas_rps)
-            self.core.shares = Shares(quotas, deployment.settings.fleet_size)
+            self.core.shares = QuotaShares(quotas, deployment.settings.fleet_size)
         promises = (spec.promise_ms for spec in deployment.settings.classes.values())
-        self.resting = Resting(min(promises, default=1_000.0), self.note)
-        self.working: Working | None = None
+        self.resting = OutlierEjector(min(promises, default=1_000.0), self.note)
+        self.working: LoadReporting | None = None
         if self.settings.elsewhere:
-            self.working = Working(self.core, deployment.settings, self.note)
-        self.disk: Disk | None = None
+            self.working = LoadReporting(self.core, deployment.settings, self.note)
+        self.disk: GrantStorage | None = None
         self._kept = kept
         if kept and self.core.keeper:
             self.disk = kept.promises(self.core, self.folder)
         elif self.folder and self.core.keeper:
             try:
-                self.disk = OnFile(self.folder, self.core, entry.name, self.note)
+                self.disk = GrantLogStorage(self.folder, self.core, entry.name, self.note)
             except DiskError as error:
                 raise ConfigError(f"state.folder: {error}") from None
         self.front: FrontEnd | None = None
-        self.gate: Gate | None = None
-        self.server: DirectedServer | None = None
+        self.gate: ClaimGate | None = None
+        self.server: DirectedLogServer | None = None
         self._feeds: dict[str, DirectedLog] = {}
         self.followers: list[Callable[[float, str], None]] = []  # hear of members that follow this log anew
         self.riders: dict[str, Ridden] = {}  # other subsystems whose words go by these logs
@@ -109,7 +109,7 @@
         self.front = front
         place = self.settings.listen or self.entry.state
         try:
-            self.server = DirectedServer(
+            self.server = DirectedLogServer(
                 front.loop,
                 address_from(place, "state.listen"),
                 self.life,
@@ -118,7 +118,7 @@
         except OSError as error:
             raise ConfigError(f"state.listen: {error.strerror}: {place}") from None
         self.server.followed = self._followed
-        self.gate = Gate(
+        self.gate = ClaimGate(
             front.loop,
             front.table,
             self.core,
@@ -175,11 +175,11 @@
     def ride(self, rider: str, to: tuple[str, ...], word: Any) -> None:
         """Say a word of a rider to these members, to all that follow this one's log where none is named.
         Only keepers are followed by all, and only keepers follow all."""
-        self._carry_out(self.core.ride(m.Ride(rider, word), to))
+        self._carry_out(self.core.ride(m.ClientMessage(rider, word), to))
 
     def stands(self, rider: str, word: Any) -> None:
         """Say a word that counts until the rider's next such one, to all that follow and whoever comes."""
-        said = Say((), m.Ride(rider, word))
+        said = Send((), m.ClientMessage(rider, word))
         self.server.say(msgspec.to_builtins(self.core.wrapped(said)), counts_as=f"ride {rider}")
 
     def alive(self, now_ms: float) -> dict[str, int]:
@@ -201,16 +201,16 @@
             if taker := self.riders.get(ride.rider):
                 taker(monotonic_ms(), sender, life, ride.word)
 
-    def _carry_out(self, effects: list[Out]) -> None:
+    def _carry_out(self, effects: list[OwnerAction]) -> None:
         if self.disk is not None:
             effects = self.disk.written(effects, self._say)
         self._say(effects)
         self._ridden()
 
-    def _say(self, effects: list[Out]) -> None:
+    def _say(self, effects: list[OwnerAction]) -> None:
         """Now that what they rest on is written."""
         for effect in effects:
-            if isinstance(effect, Say):
+            if isinstance(effect, Send):
                 self.server.say(msgspec.to_builtins(self.core.wrapped(effect)), effect.to)
             else:
                 self.gate.told(effect)
@@ -286,7 +286,7 @@
         found = msgspec.structs.replace(
             self.core.status(now), wait_ms=self.gate.waits(), sent_bytes=self.server.bytes
         )
-        status = Say((), found)
+        status = Send((), found)
         self.server.say(msgspec.to_builtins(self.core.wrapped(status)), counts_as="status")
         self.front.loop.wheel.after(STATUS_MS, self._status)
 
@@ -320,7 +320,7 @@
         def take(line: Any) -> None:
             try:
                 effects = self.core.line(monotonic_ms(), name, line)
-            except LineFault:
+            except LineError:
                 self.core.counts["bad line"] = self.core.counts.get("bad line", 0) + 1
                 raise
             for sender, asked in self.core.hellos:
@@ -334,7 +334,7 @@
 
     def _greeter(self, name: str) -> Callable[[int], None]:
         def hello(asked: int) -> None:
-            self.server.greet(name, msgspec.to_builtins(self.core.wrapped(Say((name,), Hello(asked)))))
+            self.server.greet(name, msgspec.to_builtins(self.core.wrapped(Send((name,), Hello(asked)))))
 
         return hello
 
--- a/fawnwharf/replication/settings.py
+++ b/fawnwharf/replication/settings.py
@@ -14,10 +14,10 @@
 VERSION = 1
 KEEPER_ZONES = (1, 3, 5)
 
-Mode = Literal["before", "after", "off"]
+ClaimMode = Literal["before", "after", "off"]
 
 
-class Bounds(Struct, frozen=True):
+class StoreLimits(Struct, frozen=True):
     """What a front end holds of others' calls. Answers go first, then nothing new is taken."""
 
     calls: Annotated[int, Meta(ge=1, le=1_000_000)] = 15_000
@@ -26,7 +26,7 @@
     waiters: Annotated[int, Meta(ge=1)] = 8  # front ends that wait for one call's answer
 
 
-class Settings(Struct, frozen=True):
+class ReplicationSettings(Struct, frozen=True):
     """The one file that switches replicated state on. Relative paths are from its own folder."""
 
     version: int
@@ -35,7 +35,7 @@
     folder: str = ""  # for what a keeper grants, so that it knows after a restart; none: in memory alone
     zones: Annotated[int, Meta(ge=1, le=5)] = 3  # that keep each call, by one front end each
     per_zone: Annotated[int, Meta(ge=1, le=8)] = 1  # front ends of a zone that share its calls
-    modes: dict[Name, Mode] = {}  # by class; at most once 'before', keyed 'after', idempotent 'off'
+    modes: dict[Name, ClaimMode] = {}  # by class; at most once 'before', keyed 'after', idempotent 'off'
     unkept: Literal["refuse", "serve"] = "refuse"  # what becomes of a 'before' that can't be kept
     wait_part: Share = 0.25  # of a class's promise, for keepers to answer
     wait_most_ms: Span = 500.0
@@ -53,7 +53,7 @@
     cold_told_ms: Span = 100.0  # while a scorer is cold, or a load under way
     word_ms: Span = 1_000.0  # a word on sends and loads counts for so long
     copies_ms: Span = 3_000.0  # a copy counts for so long after its proof, and for half its idle life at most
-    bounds: Bounds = msgspec.field(default_factory=Bounds)
+    bounds: StoreLimits = msgspec.field(default_factory=StoreLimits)
 
     @property
     def longest_ms(self) -> float:
@@ -61,8 +61,8 @@
         return self.call_most_ms + self.window_ms
 
 
-def settings_from(data: bytes) -> Settings:
-    found: Settings = file_from(data, Settings, "settings", VERSION)
+def parse_settings(data: bytes) -> ReplicationSettings:
+    found: ReplicationSettings = file_from(data, ReplicationSettings, "settings", VERSION)
     if found.zones not in KEEPER_ZONES:
         raise FileFault(f"zones: {found.zones}, and it takes 1, 3 or 5")
     if found.quiet_ms < 2 * found.wait_most_ms:
@@ -78,7 +78,7 @@
     return found
 
 
-def check_members(members: Members, settings: Settings) -> None:
+def check_members(members: Members, settings: ReplicationSettings) -> None:
     """Whether this fleet can keep state as the settings ask; raises FileFault."""
     able = {member.zone for member in members.members if member.state}
     if len(able) < settings.zones:
--- a/fawnwharf/replication/shelf.py
+++ b/fawnwharf/replication/shelf.py
@@ -10,9 +10,16 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claims import Claim, Phase, Standing, contradicts, merged, reading
-from fawnwharf.replication.placement import weight
-from fawnwharf.replication.settings import Settings
+from fawnwharf.replication.claims import (
+    CallState,
+    Claim,
+    ClaimPhase,
+    contradicts,
+    merge_claims,
+    summarize_claims,
+)
+from fawnwharf.replication.placement import rendezvous_weight
+from fawnwharf.replication.settings import ReplicationSettings
 
 EMPTY_MS = 250.0  # an entry of which nothing came is forgotten
 SETTLED_MS = 400.0  # what changed later than that may be on its way to the other keepers
@@ -20,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class CallEntry:
     """One call: each ask's claim and until when it counts here."""
 
     first_ms: float
@@ -31,7 +38,7 @@
 
     def standing(self) -> list[Claim]:
         """Claims that stand in the way of whoever asks; an owner's own earlier ones too."""
-        return [claim for claim in self.claims.values() if claim.phase is not Phase.CLEAR]
+        return [claim for claim in self.claims.values() if claim.phase is not ClaimPhase.CLEAR]
 
 
 @dataclass(slots=True)
@@ -44,9 +51,9 @@
     changed_ms: float = 0.0
 
 
-def digest_of(key: str, claim: Claim) -> int:
+def claim_digest(key: str, claim: Claim) -> int:
     """Sums of these do not depend on an order. The answer is left out: it may be dropped for room."""
-    return weight(
+    return rendezvous_weight(
         key,
         claim.owner,
         str(claim.ask),
@@ -57,16 +64,16 @@
     )
 
 
-def told(value: int) -> str:
+def format_digest(value: int) -> str:
     return f"{value % 2**64:016x}"
 
 
-class Shelf:
+class ClaimStore:
     """Owns the claims, within bounds of count and bytes."""
 
-    def __init__(self, settings: Settings, keepers_of: Callable[[str], tuple[str, ...]]) -> None:
+    def __init__(self, settings: ReplicationSettings, keepers_of: Callable[[str], tuple[str, ...]]) -> None:
         self.settings, self.keepers_of = settings, keepers_of
-        self.calls: dict[str, Entry] = {}
+        self.calls: dict[str, CallEntry] = {}
         self.bytes = 0  # of answers
         self.windows: dict[str, float] = {}  # by class, where a policy has one; no longer than the settings'
         self.counts: dict[str, int] = {}
@@ -79,18 +86,18 @@
     def count(self, cause: str) -> None:
         self.counts[cause] = self.counts.get(cause, 0) + 1
 
-    def entry(self, now_ms: float, key: str) -> Entry | None:
+    def entry(self, now_ms: float, key: str) -> CallEntry | None:
         """The call's entry, made where there is none; None where there is no room."""
         found = self.calls.get(key)
         if found is None:
             if len(self.calls) >= self.settings.bounds.calls:
                 self.count("full")
                 return None
-            found = self.calls[key] = Entry(now_ms, self.keepers_of(key))
+            found = self.calls[key] = CallEntry(now_ms, self.keepers_of(key))
             heapq.heappush(self._ends, (now_ms + EMPTY_MS, key, ()))  # nothing may come of it
         return found
 
-    def put(self, now_ms: float, key: str, entry: Entry, claim: Claim, left_ms: float) -> None:
+    def put(self, now_ms: float, key: str, entry: CallEntry, claim: Claim, left_ms: float) -> None:
         """Merge one claim; its time only ever grows, by no more than what a line takes to come."""
         before = entry.claims.get(claim.id)
         until = max(entry.until_ms.get(claim.id, 0.0), now_ms + min(left_ms, self.stretched()))
@@ -99,7 +106,7 @@
             heapq.heappush(self._ends, (until, key, claim.id))
         if before is not None and contradicts(before, claim):
             self._note("contradiction", key, before, claim)
-        after = claim if before is None else merged(before, claim)
+        after = claim if before is None else merge_claims(before, claim)
         if self.unwritten is not None:
             self.unwritten.append((key, after, until))
         if after == before:
@@ -111,9 +118,9 @@
             after = Claim(after.owner, after.ask, after.number, after.slot, after.phase, after.digest)
         self._sum(now_ms, key, entry, after, 1, until)
         entry.claims[claim.id] = after
-        found = reading(list(entry.claims.values()), set())
-        if found.standing is Standing.CONFLICT:
-            answered = [other for other in found.all if other.phase is Phase.ANSWERED]
+        found = summarize_claims(list(entry.claims.values()), set())
+        if found.standing is CallState.CONFLICT:
+            answered = [other for other in found.all if other.phase is ClaimPhase.ANSWERED]
             self._note("conflict", key, answered[0], answered[-1])
 
     def stretched(self, key: str = "") -> float:
@@ -129,10 +136,12 @@
         if len(self.conflicts) < NOTED_MOST:
             self.conflicts.append((key, one, other))
 
-    def _sum(self, now_ms: float, key: str, entry: Entry, claim: Claim, sign: int, until_ms: float) -> None:
+    def _sum(
+        self, now_ms: float, key: str, entry: CallEntry, claim: Claim, sign: int, until_ms: float
+    ) -> None:
         parts = self._sums.setdefault((claim.owner, claim.slot), {})
         part = parts.setdefault(entry.keepers, _Sum())
-        part.value += sign * digest_of(key, claim)
+        part.value += sign * claim_digest(key, claim)
         part.count += sign
         part.changed_ms = now_ms
         part.first_over_ms = min(part.first_over_ms, until_ms)
@@ -176,7 +185,7 @@
 
     # --- comparing ------------------------------------------------------------------------------
 
-    def slots(self, now_ms: float, name: str) -> dict[str, m.Slots]:
+    def slots(self, now_ms: float, name: str) -> dict[str, m.BucketDigest]:
         """By owner, the slots that another keeper should hold as they are here: they change no more, and are
         not over for a clock that is a little faster. Neighbouring ones only."""
         # What a slower and a faster clock make of the longest time, and what a line takes.
@@ -195,10 +204,10 @@
             while first - 1 in values:
                 first -= 1
             total = sum(value for slot, value in values.items() if first <= slot)
-            told_slots[owner] = m.Slots(first, last + 1, told(total))
+            told_slots[owner] = m.BucketDigest(first, last + 1, format_digest(total))
         return told_slots
 
-    def differs(self, name: str, theirs: dict[str, m.Slots]) -> list[m.Wanted]:
+    def differs(self, name: str, theirs: dict[str, m.BucketDigest]) -> list[m.BucketRange]:
         """Of what another keeper holds, which slots are not the same here."""
         sums: dict[str, int] = {}
         for (owner, slot), parts in self._sums.items():
@@ -207,13 +216,13 @@
                 shared = sum(part.value for keepers, part in parts.items() if name in keepers)
                 sums[owner] = sums.get(owner, 0) + shared
         return [
-            m.Wanted(owner, span.first, span.until)
+            m.BucketRange(owner, span.first, span.until)
             for owner, span in sorted(theirs.items())
-            if told(sums.get(owner, 0)) != span.digest
+            if format_digest(sums.get(owner, 0)) != span.digest
         ]
 
-    def held(self, now_ms: float, key: str) -> Iterator[m.Held]:
+    def held(self, now_ms: float, key: str) -> Iterator[m.StoredClaim]:
         entry = self.calls.get(key)
         for id, claim in entry.claims.items() if entry else ():
             if (left := entry.until_ms[id] - now_ms) > 0:
-                yield m.Held(key, claim, left)
+                yield m.StoredClaim(key, claim, left)
--- a/fawnwharf/replication/use.py
+++ b/fawnwharf/replication/use.py
@@ -12,7 +12,9 @@
 
 WINDOW_MS = 3_000.0  # over which a rate is taken
 LIFE_MS = 2_000.0  # without news for so long an owner's rate is no more
-FLOOR = 0.25  # of an equal part: what a front end may take at the least, as its calls can come at any moment
+MIN_SHARE_PART = (
+    0.25  # of an equal part: what a front end may take at the least, as its calls can come at any moment
+)
 NEWS = 0.03  # a share that changed by less is not told
 
 
@@ -24,7 +26,7 @@
     past: deque[tuple[float, dict[str, int]]] = field(default_factory=deque)
 
 
-class Uses:
+class UsageTable:
     """A keeper's: the counters of each owner, and the rates that they amount to."""
 
     def __init__(self) -> None:
@@ -34,7 +36,7 @@
     def _drop(self, cause: str) -> None:
         self.dropped[cause] = self.dropped.get(cause, 0) + 1
 
-    def heard(self, now_ms: float, owner: str, use: m.Use) -> None:
+    def heard(self, now_ms: float, owner: str, use: m.UsageCounters) -> None:
         """Counters of one owner. What is not later, or goes down, changes nothing."""
         known = self.owners.get(owner)
         if known is None:
@@ -53,7 +55,7 @@
         while len(known.past) > 2 and known.past[1][0] < now_ms - WINDOW_MS:
             known.past.popleft()
 
-    def sums(self, now_ms: float) -> m.Sums:
+    def sums(self, now_ms: float) -> m.UsageRates:
         """Calls a second by tenant, of the owners that are heard."""
         self.owners = {o: held for o, held in self.owners.items() if now_ms - held.heard_ms <= LIFE_MS}
         rates: dict[str, float] = {}
@@ -63,10 +65,10 @@
             for tenant, count in held.counts.items():
                 rates[tenant] = rates.get(tenant, 0.0) + 1000.0 * (count - first.get(tenant, 0)) / span
         fronts = {owner.partition("#")[0] for owner in self.owners}
-        return m.Sums({tenant: round(rate, 2) for tenant, rate in rates.items()}, len(fronts))
+        return m.UsageRates({tenant: round(rate, 2) for tenant, rate in rates.items()}, len(fronts))
 
 
-def share(quota_rps: float, fronts: int, mine_rps: float, sum_rps: float, heard: int) -> float:
+def quota_share(quota_rps: float, fronts: int, mine_rps: float, sum_rps: float, heard: int) -> float:
     """What this front end may take of a tenant's quota, in calls a second.
 
     `fronts` are all of the fleet, `heard` those whose rates are in the sum. Where most are heard, the others
@@ -78,18 +80,18 @@
     total = max(sum_rps, mine_rps)
     short = total > quota_rps
     wanted = quota_rps * mine_rps / total if short else mine_rps + (quota_rps - total) / heard
-    return max(FLOOR * equal, wanted)
+    return max(MIN_SHARE_PART * equal, wanted)
 
 
-class Shares:
+class QuotaShares:
     """A front end's: its own counters, what keepers told last, and the shares that it goes by."""
 
     def __init__(self, quotas_rps: dict[str, float], fronts: int) -> None:
         self.quotas, self.fronts = quotas_rps, max(1, fronts)
         self.counts: dict[str, int] = {}
         self.number = 0
-        self._told: dict[str, tuple[float, m.Sums]] = {}  # by keeper
-        self._own = Uses()
+        self._told: dict[str, tuple[float, m.UsageRates]] = {}  # by keeper
+        self._own = UsageTable()
         self.shares = {tenant: quota / self.fronts for tenant, quota in quotas_rps.items()}
 
     def came(self, tenants: Iterable[str]) -> None:
@@ -108,25 +110,27 @@
         self.shares = {tenant: found.get(tenant, self.shares.get(tenant, 0.0)) for tenant in quotas_rps}
         return found
 
-    def use(self, now_ms: float) -> m.Use:
+    def use(self, now_ms: float) -> m.UsageCounters:
         """The counters, to be told to the keepers."""
         self.number += 1
-        told = m.Use(self.number, dict(self.counts))
+        told = m.UsageCounters(self.number, dict(self.counts))
         self._own.heard(now_ms, "me#0", told)
         return told
 
-    def heard(self, now_ms: float, keeper: str, sums: m.Sums) -> None:
+    def heard(self, now_ms: float, keeper: str, sums: m.UsageRates) -> None:
         self._told[keeper] = now_ms, sums
 
     def changes(self, now_ms: float) -> dict[str, float]:
         """Shares that are to be gone by from now on, where they differ from the last ones, in calls a
         second."""
         fresh = [sums for at_ms, sums in self._told.values() if now_ms - at_ms <= LIFE_MS]
-        best = max(fresh, key=lambda sums: sums.heard, default=m.Sums({}, 0))
+        best = max(fresh, key=lambda sums: sums.heard, default=m.UsageRates({}, 0))
         mine = self._own.sums(now_ms).rates
         found = {}
         for tenant, quota in self.quotas.items():
-            new = share(quota, self.fronts, mine.get(tenant, 0.0), best.rates.get(tenant, 0.0), best.heard)
+            new = quota_share(
+                quota, self.fronts, mine.get(tenant, 0.0), best.rates.get(tenant, 0.0), best.heard
+            )
             if abs(new - self.shares[tenant]) > NEWS * self.shares[tenant]:
                 self.shares[tenant] = found[tenant] = new
         return found
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -8,33 +8,33 @@
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.streams import Attempt, Order
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.replication.claimant import Out
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.elsewhere import Own
+from fawnwharf.replication.claimant import OwnerAction
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.elsewhere import LoadReporter
 
 GATHER_MS = 4.0  # keepers answer at nearly the same moment: the module hears once
 
 
-class Working:
+class LoadReporting:
     """Owns the pace at which work is told; a witness of the front end's table."""
 
     def __init__(
-        self, core: Core, settings: io.Settings, note: Callable[[str, dict[str, Any]], None]
+        self, core: ReplicationCore, settings: io.Settings, note: Callable[[str, dict[str, Any]], None]
     ) -> None:
         """Switches the telling on in this core."""
         self._core, self._note = core, note
         copies_ms = min(core.settings.copies_ms, settings.idle_life_ms / 2)
-        core.own = self.own = Own(settings.cold_ms, settings.fall_ms, copies_ms)
+        core.own = self.own = LoadReporter(settings.cold_ms, settings.fall_ms, copies_ms)
         self._fronts = settings.fleet_size
         self._front: FrontEnd | None = None
-        self._carry_out: Callable[[list[Out]], None] | None = None
+        self._carry_out: Callable[[list[OwnerAction]], None] | None = None
         self._timer: Timer | None = None
         self._due_ms = self._told_ms = 0.0
         self._gathers = False
         self._handed_ms = 0.0  # when the module last heard
         self._was_sure: bool | None = None
 
-    def attach(self, front: FrontEnd, carry_out: Callable[[list[Out]], None]) -> None:
+    def attach(self, front: FrontEnd, carry_out: Callable[[list[OwnerAction]], None]) -> None:
         self._front, self._carry_out = front, carry_out
         front.table.witness = self
         entries = [
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -73,9 +73,9 @@
             deployment, place, files["state"], write, fresh and first
         )
     if place := files.get("state"):
-        from fawnwharf.replication.service import State
+        from fawnwharf.replication.service import ReplicationService
 
-        makers["state"] = lambda first, made, place=place: State(
+        makers["state"] = lambda first, made, place=place: ReplicationService(
             deployment, place, write, fresh and first, made.get("kept")
         )
     if place := files.get("policy"):
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.config import address_from
 from fawnwharf.replication import settings as rs
-from fawnwharf.replication.messages import Ride, line_from
+from fawnwharf.replication.messages import ClientMessage, parse_line
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
 from fawnwharf.zones.settings import FileFault, Members, members_from
@@ -35,7 +35,7 @@
     try:
         settings = s.settings_from(Path(sessions).read_bytes())
         place = state
-        kept = rs.settings_from(Path(state).read_bytes())
+        kept = rs.parse_settings(Path(state).read_bytes())
         members = members_from((Path(state).parent / kept.members).read_bytes())
     except OSError as error:
         _fail(f"sessions: {error.filename}: {error.strerror}")
@@ -60,8 +60,8 @@
             read = json.loads(line)
             if not isinstance(read, dict) or "line" not in read:
                 continue
-            say = line_from(read["line"]).say
-            if isinstance(say, Ride) and say.rider == w.RIDER:
+            say = parse_line(read["line"]).say
+            if isinstance(say, ClientMessage) and say.rider == w.RIDER:
                 found = w.word_from(say.word)
                 if isinstance(found, w.Status):
                     return found
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -15,7 +15,7 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
 from fawnwharf.prefetch.settings import Prices, foresight_from
 from fawnwharf.prefetch.ways import foretold_from
-from fawnwharf.replication.service import State
+from fawnwharf.replication.service import ReplicationService
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.moves import place_of
@@ -36,7 +36,7 @@
         self,
         deployment: Deployment,
         path: Path,
-        state: State,
+        state: ReplicationService,
         agent: Agent,
         zones: Any | None,
         memory: Path,
--- a/fawnwharf/sessions/moves.py
+++ b/fawnwharf/sessions/moves.py
@@ -17,7 +17,7 @@
 from fawnwharf.migration.messages import Record
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.windows import Windows
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Home, Move, Session
 
 LOOKS, HASHES = 2_000, 150  # records, and placements worked out, in one look
@@ -32,7 +32,7 @@
 
 def place_of(session: Session, site: str) -> float:
     """A session's place from 0 to 1: while its zone returns, sessions below the open part go back to it."""
-    return weight("return", site, key_of(session)) / 2**64
+    return rendezvous_weight("return", site, key_of(session)) / 2**64
 
 
 def target(session: Session, room: dict[str, int]) -> str:
@@ -43,7 +43,7 @@
     """
     key = key_of(session)
     drawn = {
-        site: room / -math.log((weight("target", site, key) + 1) / (2**64 + 1))
+        site: room / -math.log((rendezvous_weight("target", site, key) + 1) / (2**64 + 1))
         for site, room in room.items()
         if room > 0
     }
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -27,7 +27,7 @@
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.prefetch.ways import Foretold, Ways
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import LetGo, Move, Session, Stage
 from fawnwharf.zones.evidence import Observer
 from fawnwharf.zones.evidence import View as Sight
@@ -394,4 +394,6 @@
         others = [other for other in self.scorers.sites() if other != site]
         if not others:
             return ()
-        return ((max(others, key=lambda other: weight("site", other, session.org, session.row)), 1.0),)
+        return (
+            (max(others, key=lambda other: rendezvous_weight("site", other, session.org, session.row)), 1.0),
+        )
--- a/fawnwharf/testbed/measures.py
+++ b/fawnwharf/testbed/measures.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.replication.commands import look
+from fawnwharf.replication.commands import fetch_status
 from fawnwharf.testbed import work
 from fawnwharf.testbed.checker import Verdict, judge, runs_of
 from fawnwharf.testbed.fleet import Fleet
@@ -231,7 +231,7 @@
         live = [front for front in self.fleet.fronts.values() if front.alive and not front.stopped]
         for front in live:
             with contextlib.suppress(OSError, ValueError):
-                found.append(look(f"{front.host}:{STATE}").wait_ms)
+                found.append(fetch_status(f"{front.host}:{STATE}").wait_ms)
         if not found:
             return 0.0, 0.0
         return sum(half for half, _ in found) / len(found), max(most for _, most in found)
--- a/fawnwharf/testbed/promises.py
+++ b/fawnwharf/testbed/promises.py
@@ -16,11 +16,11 @@
 import msgspec
 
 from fawnwharf.interface import Effect
-from fawnwharf.replication.claimant import Answer, GiveUp, Go, Out, TurnAway
-from fawnwharf.replication.claims import Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.messages import Say
-from fawnwharf.replication.settings import Settings
+from fawnwharf.replication.claimant import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.messages import Send
+from fawnwharf.replication.settings import ReplicationSettings
 from fawnwharf.zones.settings import Members, members_from
 
 PROMISE_MS, BUDGET_MS = 800.0, 2_000.0
@@ -71,7 +71,7 @@
     name: str
     rate: float
     offset_ms: float  # of its clock
-    core: Core | None = None
+    core: ReplicationCore | None = None
     life: int = 0
     halted_until: float = 0.0
     kept: tuple[int, list[Any]] | None = None  # the list by which it knew all, and what it held, on file
@@ -101,11 +101,11 @@
         seed: int,
         weather: Weather,
         zones: str = "abcabc",
-        make_core: Callable[..., Core] = Core,
-        settings: Settings | None = None,
+        make_core: Callable[..., ReplicationCore] = ReplicationCore,
+        settings: ReplicationSettings | None = None,
     ) -> None:
         self.chance, self.weather = random.Random(seed), weather
-        self.settings = settings or Settings(
+        self.settings = settings or ReplicationSettings(
             1, "members", call_most_ms=BUDGET_MS, window_ms=4_000.0, compare_ms=1_000.0
         )
         self.file = fleet_file(zones)
@@ -183,7 +183,7 @@
         front.core = core
         self._tick(front, core)
 
-    def _read_disk(self, front: _Front, core: Core) -> None:
+    def _read_disk(self, front: _Front, core: ReplicationCore) -> None:
         """What the process before this one had on file, as `replication/disk.py` has it."""
         kept, front.kept = front.kept, None
         if core.keeper is None or kept is None or self.chance.random() >= self.weather.found:
@@ -196,7 +196,7 @@
         if sure == core.placement.number:
             core.keeper.knows_all()
 
-    def _tick(self, front: _Front, core: Core) -> None:
+    def _tick(self, front: _Front, core: ReplicationCore) -> None:
         if front.core is not core:
             return
         if self.now < front.halted_until:
@@ -212,10 +212,10 @@
     def _line(self, front: _Front, sender: str, data: Any) -> None:
         self._do(front, front.core.line(self.clock(front), sender, data))
 
-    def _do(self, front: _Front, effects: list[Out]) -> None:
+    def _do(self, front: _Front, effects: list[OwnerAction]) -> None:
         core = front.core
         for effect in effects:
-            if isinstance(effect, Say):
+            if isinstance(effect, Send):
                 for to in effect.to:
                     self._send(front.name, to, core.wrapped(effect))
             else:
@@ -289,15 +289,15 @@
         if lives and (owner, key) in self.waiting:
             self._break(f"{owner} never said what becomes of {key}")
 
-    def _told(self, front: _Front, effect: Go | Answer | GiveUp | TurnAway) -> None:
+    def _told(self, front: _Front, effect: RunCall | AnswerCall | FailCall | RejectCall) -> None:
         owner, key = front.core.owner, effect.key
         if self.waiting.pop((owner, key), None) is None:
             self._break(f"{owner} said twice what becomes of {key}")
             return
         self.outcome.ends[type(effect).__name__] += 1
-        if isinstance(effect, Go):
+        if isinstance(effect, RunCall):
             self._runs(front, owner, key)
-        elif isinstance(effect, Answer):
+        elif isinstance(effect, AnswerCall):
             answers = {answer for _, _, answer in self.runs.get(key, [])}
             if effect.answer not in answers:
                 self._break(f"{key} answered with {effect.answer}, and its runs gave {sorted(answers)}")
@@ -312,12 +312,12 @@
         runs.append((self.now, owner, answer))
         core = front.core
         if self.chance.random() < 0.1:
-            self.at(self.now + BUDGET_MS, lambda: self._end(front, core, key, Phase.FAILED, ""))
+            self.at(self.now + BUDGET_MS, lambda: self._end(front, core, key, ClaimPhase.FAILED, ""))
         else:
             took = self.chance.uniform(2.0, 300.0)
-            self.at(self.now + took, lambda: self._end(front, core, key, Phase.ANSWERED, answer))
+            self.at(self.now + took, lambda: self._end(front, core, key, ClaimPhase.ANSWERED, answer))
 
-    def _end(self, front: _Front, core: Core, key: str, phase: Phase, answer: str) -> None:
+    def _end(self, front: _Front, core: ReplicationCore, key: str, phase: ClaimPhase, answer: str) -> None:
         if front.core is not core:
             return
         if front.halted_until > self.now:
@@ -367,7 +367,7 @@
         for front in self.fronts.values():
             self._take_file(front, front.core, self.file)
 
-    def _take_file(self, front: _Front, core: Core | None, file: Members) -> None:
+    def _take_file(self, front: _Front, core: ReplicationCore | None, file: Members) -> None:
         def take() -> None:
             if front.core is core and core is not None and front.halted_until <= self.now:
                 core.take_members(self.clock(front), file)
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -16,11 +16,11 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.core import Core
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.disk import BOOT_ID
-from fawnwharf.replication.onfile import OnFile
-from fawnwharf.replication.settings import Settings
+from fawnwharf.replication.onfile import GrantLogStorage
+from fawnwharf.replication.settings import ReplicationSettings
 from fawnwharf.testbed.promises import fleet_file
 
 MEMBERS = fleet_file("abc")
@@ -28,12 +28,12 @@
 
 
 def line(message):
-    return msgspec.to_builtins(m.Line("f", "n1", 1, ("n0",), message))
+    return msgspec.to_builtins(m.LogLine("f", "n1", 1, ("n0",), message))
 
 
 def run(kind, folder, rate, calls):
     """Times from ask to grant in ms; CPU of the loop a call, in µs, less that of an idle loop's pace."""
-    core = Core("n0", 1, MEMBERS, Settings(1, "members"), monotonic_ms(), fresh=True)
+    core = ReplicationCore("n0", 1, MEMBERS, ReplicationSettings(1, "members"), monotonic_ms(), fresh=True)
     loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
     kept = None
     if kind == "store":
@@ -43,19 +43,21 @@
         while not kept.settled:
             loop.turn(0.01)
     else:
-        disk = OnFile(Path(folder), core, "n0", lambda what, more: None)
+        disk = GrantLogStorage(Path(folder), core, "n0", lambda what, more: None)
     asked, took, refused = {}, [], 0
 
     def say(effects):
         nonlocal refused
         for effect in effects:
             word = getattr(effect, "message", None)
-            if isinstance(word, m.Word) and word.number in asked:
+            if isinstance(word, m.ClaimReply) and word.number in asked:
                 began = asked.pop(word.number)
                 refused += not word.granted
                 took.append(monotonic_ms() - began)
-                claim = Claim("n1#1", word.number, calls + word.number, 0, Phase.ANSWERED, "d" * 32, ANSWER)
-                hear(m.Tell(word.key, claim))
+                claim = Claim(
+                    "n1#1", word.number, calls + word.number, 0, ClaimPhase.ANSWERED, "d" * 32, ANSWER
+                )
+                hear(m.ClaimUpdate(word.key, claim))
 
     def hear(message):
         say(disk.written(core.line(monotonic_ms(), "n1", line(message)), say))
@@ -66,7 +68,7 @@
         while number < calls and time.monotonic() >= begun + number * pause:
             number += 1
             asked[number] = monotonic_ms()
-            hear(m.Ask(f"transfer-settle:{number:032x}", "n1#1", number, 1, 0))
+            hear(m.ClaimRequest(f"transfer-settle:{number:032x}", "n1#1", number, 1, 0))
         say(disk.written(core.tick(monotonic_ms()), say))
         loop.turn(min(0.02, max(0.0, begun + number * pause - time.monotonic())))
     cpu = time.process_time() - cpu
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -23,8 +23,8 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import Register, document_from
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.disk import KeeperDisk
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.disk import GrantLog
 from fawnwharf.zones.founding import found
 
 KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
@@ -69,10 +69,10 @@
 
 def replica(folder: Path) -> None:
     """A replica's two files: one that begins with all it held, and the next."""
-    disk = KeeperDisk(folder, "fleet-1", "n0", 1_000.0, 10_000.0, "boot-1")
+    disk = GrantLog(folder, "fleet-1", "n0", 1_000.0, 10_000.0, "boot-1")
     claims = [
         Claim(f"n{n}#{n + 7}", n + 1, n + 2, 100 + n, phase, "d" * n, "YW5zd2Vy" if n == 1 else None)
-        for n, phase in enumerate(Phase)
+        for n, phase in enumerate(ClaimPhase)
     ]
     disk.begin(1_000.0, 4, [("key-0", claims[0], 30_000.0)])
     disk.write(2_000.0, [("key-1", claims[1], 31_000.0), ("key-2", claims[2], 32_000.0)], 0)
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -14,17 +14,17 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import document_from, register_from
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.disk import KeeperDisk
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.disk import GrantLog
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
 BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
 STORE_KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 HELD = [
-    ("key-0", Claim("n0#7", 1, 2, 100, Phase.CLEAR, "", None), 30_000.0),
-    ("key-1", Claim("n1#8", 2, 3, 101, Phase.ANSWERED, "d", "YW5zd2Vy"), 31_000.0),
-    ("key-2", Claim("n2#9", 3, 4, 102, Phase.FAILED, "dd", None), 32_000.0),
-    ("key-3", Claim("n3#10", 4, 5, 103, Phase.TAKEN, "ddd", None), 33_000.0),
+    ("key-0", Claim("n0#7", 1, 2, 100, ClaimPhase.CLEAR, "", None), 30_000.0),
+    ("key-1", Claim("n1#8", 2, 3, 101, ClaimPhase.ANSWERED, "d", "YW5zd2Vy"), 31_000.0),
+    ("key-2", Claim("n2#9", 3, 4, 102, ClaimPhase.FAILED, "dd", None), 32_000.0),
+    ("key-3", Claim("n3#10", 4, 5, 103, ClaimPhase.TAKEN, "ddd", None), 33_000.0),
 ]
 
 
@@ -85,7 +85,7 @@
 def test_a_replica_finds_its_claims_and_the_list_by_which_it_was_sure(tmp_path):
     """Of both files, in the boot in which they were written."""
     folder = copied("replica", tmp_path)
-    disk = KeeperDisk(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
+    disk = GrantLog(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
     try:
         assert (disk.why, disk.sure, disk.kept) == ("", 5, HELD)
     finally:
@@ -96,11 +96,11 @@
 def test_a_replica_does_not_trust_its_files_of_another_boot_or_copies(tmp_path):
     """As before: what was not synced may be gone."""
     folder = copied("replica", tmp_path)
-    disk = KeeperDisk(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-2")
+    disk = GrantLog(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-2")
     assert (disk.why, disk.kept) == ("of another boot", [])
     disk.close()
     shutil.copytree(FOLDERS / "replica", tmp_path / "as recorded")
-    disk = KeeperDisk(tmp_path / "as recorded", "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
+    disk = GrantLog(tmp_path / "as recorded", "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
     assert "a copy" in disk.why
     disk.close()
 
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -37,7 +37,7 @@
 from fawnwharf.replication import disk as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
-from fawnwharf.replication.claims import Claim, Phase
+from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions import foreseen, left
 from fawnwharf.sessions import settings as session_settings
@@ -146,7 +146,7 @@
 )
 def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
     """Within a whole line."""
-    line = state.Line("f", "n0", 7, ("n1",), state.Ride(rider, {"type": "status"}))
+    line = state.LogLine("f", "n0", 7, ("n1",), state.ClientMessage(rider, {"type": "status"}))
     data = links.encoder.encode(msgspec.to_builtins(line)).decode()
     assert data == (
         '{"fleet":"f","sender":"n0","life":7,"to":["n1"],'
@@ -247,7 +247,7 @@
 
 def test_an_entry_of_the_store_has_its_recorded_form():
     """Stamped with the clock; a grant is a list that begins with how long it counts."""
-    claim = Claim("n0#7", 1, 2, 100, Phase.TAKEN, "d1", None)
+    claim = Claim("n0#7", 1, 2, 100, ClaimPhase.TAKEN, "d1", None)
     data = kept.stamped(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
         b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
@@ -305,7 +305,7 @@
         "snapshot", "log", "synced", "soon", "hint",
     )  # fmt: skip
     assert (policy_service.KEPT_FILE, policy_service.SAID_FILE) == ("policy.json", "proposal.json")
-    assert keeper_disk.NO_MORE == -1 and kept.LAST == "last"
+    assert keeper_disk.INCOMPLETE == -1 and kept.LAST == "last"
     assert (kept.START, kept.DOUBT, kept.SURE, kept.TURN) == ("start", "doubt", "sure", "turn")
     assert {kind: rule.name for kind, rule in kept.RULES.items()} == {
         Kind.PROMISE: "promise", Kind.PLAN: "plan", Kind.POLICY: "policy", Kind.HOMES: "homes",
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -210,7 +210,12 @@
 @pytest.mark.parametrize(
     "members",
     [
-        [claims.Phase.CLEAR, claims.Phase.ANSWERED, claims.Phase.FAILED, claims.Phase.TAKEN],
+        [
+            claims.ClaimPhase.CLEAR,
+            claims.ClaimPhase.ANSWERED,
+            claims.ClaimPhase.FAILED,
+            claims.ClaimPhase.TAKEN,
+        ],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
         [given_words.What.NOT, given_words.What.MADE, given_words.What.STANDS, given_words.What.FAILED],
         [asking.What.MEMBERS, asking.What.PLAN, asking.What.PROMISES, asking.What.ROSTER, asking.What.USE],
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -42,7 +42,7 @@
     "zones-members": Kind(zones.members_from, zones.Members),
     "zones-settings": Kind(zones.settings_from, zones.Settings),
     "zones-wishes": Kind(lambda data: zones.wishes_from(data, SITES), zones.Wishes),
-    "state": Kind(state.settings_from, state.Settings),
+    "state": Kind(state.parse_settings, state.ReplicationSettings),
     "recovery": Kind(recovery.settings_from, recovery.Settings),
     "sessions": Kind(sessions.settings_from, sessions.Settings),
     "sessions-foresight": Kind(prefetch.foresight_from),
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -5,12 +5,12 @@
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claims import Phase
-from fawnwharf.replication.core import Core
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.testbed.promises import fleet_file
 
 FLEET = fleet_file("abcabc")
-RULES = s.Settings(1, "members", call_most_ms=2_000.0, window_ms=4_000.0)
+RULES = s.ReplicationSettings(1, "members", call_most_ms=2_000.0, window_ms=4_000.0)
 
 
 class Cores:
@@ -18,7 +18,9 @@
 
     def __init__(self, rules=RULES):
         self.now, self.rules = 1_000.0, rules
-        self.cores = {e.name: Core(e.name, 1, FLEET, rules, self.now, fresh=True) for e in FLEET.members}
+        self.cores = {
+            e.name: ReplicationCore(e.name, 1, FLEET, rules, self.now, fresh=True) for e in FLEET.members
+        }
         self.keepers = list(self.cores["n0"].placement.keepers)
         self.owners = [name for name in self.cores if name not in self.keepers]
         self.told, self.lost, self.held = [], set(), []
@@ -26,7 +28,7 @@
 
     def carry(self, name, effects):
         for effect in effects:
-            if not isinstance(effect, m.Say):
+            if not isinstance(effect, m.Send):
                 self.told.append((name, effect))
                 continue
             line = msgspec.json.decode(msgspec.json.encode(self.cores[name].wrapped(effect)))
@@ -39,7 +41,7 @@
     def spread(self, name):
         """What a keeper says to anybody."""
         if self.cores[name].keeper:
-            say = m.Say((), self.cores[name].uses.sums(self.now))
+            say = m.Send((), self.cores[name].uses.sums(self.now))
             line = msgspec.json.decode(msgspec.json.encode(self.cores[name].wrapped(say)))
             for to, core in self.cores.items():
                 if to != name:
@@ -55,8 +57,8 @@
         more = {"promise_ms": 800.0, "budget_ms": 2_000.0} | more
         self.carry(name, self.cores[name].begin(self.now, key, effect, **more))
 
-    def end(self, name, phase=Phase.ANSWERED, answer="QQ==", key="k"):
-        digest = "d" if phase is Phase.ANSWERED else ""
+    def end(self, name, phase=ClaimPhase.ANSWERED, answer="QQ==", key="k"):
+        digest = "d" if phase is ClaimPhase.ANSWERED else ""
         kept = answer if digest else None
         self.carry(name, self.cores[name].ended(self.now, key, phase, digest, kept))
 
@@ -73,7 +75,7 @@
                 self.carry(name, core.tick(self.now))
 
     def restart(self, name):
-        self.cores[name] = Core(name, self.cores[name].life + 1, FLEET, self.rules, self.now)
+        self.cores[name] = ReplicationCore(name, self.cores[name].life + 1, FLEET, self.rules, self.now)
 
     def what(self, name):
         return [effect for who, effect in self.told if who == name]
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -15,7 +15,7 @@
 from fawnwharf.recovery_service.given_words import word_from
 from fawnwharf.recovery_service.giving import TURN_MS, Giving
 from fawnwharf.recovery_service.outs import Order, Ticket, Words
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 
 WORTHS = {"view": 1.0, "settle": 5.0}
 RATION_MS = 5_000.0
@@ -67,7 +67,7 @@
     def start(self, name):
         """Start a front end, which knows only itself at first."""
         self.lives += 1
-        order = lambda row: sorted(range(3), key=lambda s: weight(str(s), row))  # noqa: E731
+        order = lambda row: sorted(range(3), key=lambda s: rendezvous_weight(str(s), row))  # noqa: E731
         more = {} if self.ration is None else {"room": lambda: self.room(name)}
         self.fronts[name] = Giving(name, self.lives, LIMITS, order, self.lag_ms, self.usual_ms, **more)
         self.views[name] = 0, frozenset((name,))
--- a/tests/support/load_reports.py
+++ b/tests/support/load_reports.py
@@ -2,12 +2,12 @@
 
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.elsewhere import Own
+from fawnwharf.replication.elsewhere import LoadReporter
 
 
 def own(*cold, now=0.0, copies_ms=3_000.0):
     """The reports of one owner; the scorers `cold` are in slow start since `now`."""
-    found = Own(4_000.0, 1_000.0, copies_ms)
+    found = LoadReporter(4_000.0, 1_000.0, copies_ms)
     entries = [io.WorkerEntry(n, up_since_ms=now if n in cold else None) for n in range(1, 10)]
     found.roster(now, now, entries, True)
     return found
@@ -15,4 +15,4 @@
 
 def greeted(words, owners, now=0.0):
     """Let a replica hear each owner's first, empty report; the numbers of the answers."""
-    return {owner: words.heard(now, "k", owner, m.Work(0)).answer for owner in owners}
+    return {owner: words.heard(now, "k", owner, m.LoadReport(0)).answer for owner in owners}
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -13,8 +13,8 @@
 from fawnwharf.fakes.disks import MemoryDisk, Plan
 from fawnwharf.recovery_service import onstore, promises
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.settings import Settings
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.settings import ReplicationSettings
 
 LIMITS = Limits(soon_ms=50.0, hint_ms=100.0, wait_ms=1_000.0, slow_ms=100.0, retry_ms=50.0)
 
@@ -122,7 +122,7 @@
 class StoreCores(Cores):
     """Cores whose replicas have stores; `turn` lets their contents come to disk."""
 
-    def __init__(self, site, fresh=True, rules: Settings = RULES):
+    def __init__(self, site, fresh=True, rules: ReplicationSettings = RULES):
         super().__init__(rules)
         self.site, self.kepts, self.disks = site, {}, {}
         site.now = self.now
@@ -161,7 +161,7 @@
         for name in names or list(self.cores):
             if name in self.site.machines:
                 getattr(self.site.machine(name), what)()
-            self.cores[name] = Core(
+            self.cores[name] = ReplicationCore(
                 name, self.cores[name].life + 1, self.cores[name].members, self.rules, self.now
             )
             if name in self.kepts:
@@ -175,8 +175,10 @@
 def asks(cores, owner, keeper, key="k"):
     """A replica's answer to a bare question, None while it gives none."""
     core, said = cores.cores[keeper], []
-    ask = m.Ask(key, f"{owner}#{cores.cores[owner].life}", 1, core.placement.number, 0)
-    line = msgspec.to_builtins(cores.cores[owner].wrapped(m.Say((keeper,), ask)))
+    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].life}", 1, core.placement.number, 0)
+    line = msgspec.to_builtins(cores.cores[owner].wrapped(m.Send((keeper,), ask)))
     cores.site.now = cores.now
     said += cores.disks[keeper].written(core.line(cores.now, owner, line), said.extend)
-    return lambda: next((say.message for say in said if isinstance(getattr(say, "message", 0), m.Word)), None)
+    return lambda: next(
+        (say.message for say in said if isinstance(getattr(say, "message", 0), m.ClaimReply)), None
+    )
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -9,7 +9,7 @@
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import Policies
-from fawnwharf.replication.service import State
+from fawnwharf.replication.service import ReplicationService
 from fawnwharf.serving import Seams
 from fawnwharf.zones.founding import found
 from fawnwharf.zones.service import Zones
@@ -51,7 +51,9 @@
         write = lambda event, fields: self.notes.append((event, dict(fields)))  # noqa: E731
         made = {"zones": lambda first, made: Zones(deployment, self.folder / "zones.json", write)}
         if self.site.state:
-            made["state"] = lambda first, made: State(deployment, self.folder / "state.json", write, first)
+            made["state"] = lambda first, made: ReplicationService(
+                deployment, self.folder / "state.json", write, first
+            )
         if self.policy:
             path = self.folder / "settings.json"
             made["policy"] = lambda first, made: Policies(deployment, path, write, made)
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -10,7 +10,7 @@
 from fawnwharf.recovery_core.stages import Stage
 from fawnwharf.recovery_service.onstore import kept
 from fawnwharf.recovery_service.service import Rejoin
-from fawnwharf.replication.service import State
+from fawnwharf.replication.service import ReplicationService
 from fawnwharf.serving import Seams
 from fawnwharf.zones.founding import found
 from fawnwharf.zones.service import Zones
@@ -52,7 +52,7 @@
             "kept": lambda first, made: kept(
                 deployment, str(here / "recovery.json"), str(here / "state.json"), write, fresh
             ),
-            "state": lambda first, made: State(
+            "state": lambda first, made: ReplicationService(
                 deployment, here / "state.json", write, fresh, made["kept"]
             ),
             "policy": lambda first, made: Policies(deployment, here / "policy.json", write, made),
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -8,7 +8,7 @@
 from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Order, Words
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
 from support.load_permits import LIMITS, WORTHS, Fleet
 from support.recovery_agents import STEP_S, Agents
 
@@ -83,7 +83,7 @@
     def start(self, name, identity, seed=99):
         """Start a member, its agent, and what it hands out."""
         super().start(name, identity, seed)
-        order = lambda row: sorted(range(3), key=lambda s: weight(str(s), row))  # noqa: E731
+        order = lambda row: sorted(range(3), key=lambda s: rendezvous_weight(str(s), row))  # noqa: E731
         self.giving[name] = Giving(name, self.lives[name], LIMITS, order)
 
     def run(self, seconds):
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -7,7 +7,7 @@
 from fawnwharf.interface import ClassSpec
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.settings import Settings as Handover
-from fawnwharf.replication.placement import Placement
+from fawnwharf.replication.placement import ReplicaPlacement
 from fawnwharf.session_types import LetGo, Session
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
@@ -45,7 +45,7 @@
             MemberEntry(name, front.site, "127.0.0.1:1", state=f"127.0.0.1:{n + 2}")
             for n, (name, front) in enumerate(self.fronts.items())
         ]
-        self.entries, self.placement = entries, Placement(Members(1, "f", 1, entries), 3, 1)
+        self.entries, self.placement = entries, ReplicaPlacement(Members(1, "f", 1, entries), 3, 1)
         self.events, self.order = [], itertools.count()
         self.notes, self.bytes, self.lines, self.delay_ms = [], 0, 0, (1.0, 10.0)
         self.closed, self.stands, self.cut = {}, True, set()
@@ -81,7 +81,7 @@
     def relist(self, without):
         """Take one front end off the list of replicas; all go by that within half a second."""
         entries = [entry for entry in self.entries if entry.name != without]
-        self.placement = Placement(Members(1, "f", self.placement.number + 1, entries), 3, 1)
+        self.placement = ReplicaPlacement(Members(1, "f", self.placement.number + 1, entries), 3, 1)
         for front in self.fronts.values():
             self.soon(self.chance.uniform(0.0, 500.0), self.adopt, front, self.placement)
 
--- a/tests/test_disk_faults_keeper.py
+++ b/tests/test_disk_faults_keeper.py
@@ -12,10 +12,10 @@
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import onfile
-from fawnwharf.replication.claimant import Go, TurnAway
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.disk import KeeperDisk
-from fawnwharf.replication.onfile import OnFile
+from fawnwharf.replication.claimant import RejectCall, RunCall
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.disk import GrantLog
+from fawnwharf.replication.onfile import GrantLogStorage
 
 LIFE_MS = 60.0  # a new file follows after so long
 WRITES = 20
@@ -23,7 +23,7 @@
 
 
 def opened(folder, now_ms):
-    return KeeperDisk(folder, "f", "n1", now_ms, LIFE_MS, "boot")
+    return GrantLog(folder, "f", "n1", now_ms, LIFE_MS, "boot")
 
 
 class World:
@@ -42,7 +42,7 @@
             self.now_ms += STEP_MS
             self.number += 1
             key, until_ms = f"k{self.number}", self.now_ms + LIFE_MS
-            claim = Claim("n9#1", self.number, self.number, 0, Phase.TAKEN)
+            claim = Claim("n9#1", self.number, self.number, 0, ClaimPhase.TAKEN)
             disk.write(self.now_ms, [(key, claim, until_ms)], sure)
             self.told[key] = until_ms
 
@@ -105,7 +105,7 @@
         disk = opened(tmp_path, world.now_ms)
         disk.begin(world.now_ms, 1, [])
         world.faults.plan = Faults(fail_at=world.faults.count, half=True)
-        claim = Claim("n9#1", 1, 1, 0, Phase.TAKEN)
+        claim = Claim("n9#1", 1, 1, 0, ClaimPhase.TAKEN)
         for key in ("half", "next"):
             with pytest.raises(DiskError):
                 disk.write(world.now_ms, [(key, claim, world.now_ms + 1.0)], 1)
@@ -127,7 +127,9 @@
     monkeypatch.setattr(onfile, "boot_id", lambda: "boot")
 
     def start():
-        return OnFile(faults.folder, cores.cores[name], name, lambda what, more: notes.append((what, more)))
+        return GrantLogStorage(
+            faults.folder, cores.cores[name], name, lambda what, more: notes.append((what, more))
+        )
 
     with faults.installed():
         yield cores, name, faults, start, notes
@@ -136,10 +138,10 @@
 def word(cores, name, disk, key):
     """The keeper's word on an ask."""
     owner, core = cores.owners[0], cores.cores[name]
-    ask = m.Ask(key, f"{owner}#{cores.cores[owner].life}", 1, core.placement.number, 0)
-    line = msgspec.to_builtins(cores.cores[owner].wrapped(m.Say((name,), ask)))
+    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].life}", 1, core.placement.number, 0)
+    line = msgspec.to_builtins(cores.cores[owner].wrapped(m.Send((name,), ask)))
     said = disk.written(core.line(cores.now, owner, line))
-    return next(say.message for say in said if isinstance(getattr(say, "message", None), m.Word))
+    return next(say.message for say in said if isinstance(getattr(say, "message", None), m.ClaimReply))
 
 
 def test_a_disk_that_fails_at_the_start_refuses_no_start_and_grants_nothing(placed):
@@ -185,10 +187,10 @@
     disk = start()
     core = cores.cores[name]
     entry = core.keeper.shelf.entry(cores.now, "k")
-    core.keeper.shelf.put(cores.now, "k", entry, Claim(core.owner, 1, 1, 0, Phase.TAKEN), 1_000.0)
+    core.keeper.shelf.put(cores.now, "k", entry, Claim(core.owner, 1, 1, 0, ClaimPhase.TAKEN), 1_000.0)
     faults.fail(error=errno.EIO)
-    [turned] = disk.written([Go("k", kept=True)])
-    assert isinstance(turned, TurnAway) and turned.key == "k"
+    [turned] = disk.written([RunCall("k", kept=True)])
+    assert isinstance(turned, RejectCall) and turned.key == "k"
 
 
 def test_a_keeper_that_said_that_it_grants_no_more_by_its_list_does_not_after_a_restart(placed):
@@ -196,7 +198,7 @@
     disk = start()
     assert word(cores, name, disk, "before").granted
     other = cores.keepers[1]
-    want = msgspec.to_builtins(cores.cores[other].wrapped(m.Say((name,), m.Want(1, 1, 2))))
+    want = msgspec.to_builtins(cores.cores[other].wrapped(m.Send((name,), m.StateRequest(1, 1, 2))))
     disk.written(cores.cores[name].line(cores.now, other, want))
     assert not cores.cores[name].keeper.sure(cores.now)
     faults.kill()
--- a/tests/test_elsewhere.py
+++ b/tests/test_elsewhere.py
@@ -9,7 +9,7 @@
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.elsewhere import COPIES_MOST, NEWS_MOST
-from fawnwharf.replication.others import PLACES_MOST, Owner, View, Words
+from fawnwharf.replication.others import PLACES_MOST, LoadReportStore, OwnerReport, RemoteLoads
 
 GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
 
@@ -36,12 +36,12 @@
     assert mine.word(1.0, {}).loading == () and not mine.loads
     mine.ordered(10.0, 1, "f", 1)
     mine.ordered(20.0, 2, "f", 2)
-    assert mine.word(30.0, {}).loading == (m.Load(2, "f", 10.0), m.Load(1, "f", 20.0))
+    assert mine.word(30.0, {}).loading == (m.PendingLoad(2, "f", 10.0), m.PendingLoad(1, "f", 20.0))
     mine.order_ended(40.0, 1, "f", 0, GOOD, 0)  # the question's answer is not the load's
     mine.order_ended(50.0, 2, "f", 2, GOOD, 2)
     word = mine.word(60.0, {})
-    assert word.loading == (m.Load(1, "f", 50.0),)
-    assert set(word.copies) == {m.Copy(2, "f", 2, 10.0), m.Copy(1, "f", 0, 20.0)}
+    assert word.loading == (m.PendingLoad(1, "f", 50.0),)
+    assert set(word.copies) == {m.ProvenCopy(2, "f", 2, 10.0), m.ProvenCopy(1, "f", 0, 20.0)}
     assert mine.word(10_011.0, {}).loading == () and not mine.loads  # it never ended
 
 
@@ -53,7 +53,7 @@
         told += [(at, copy.copies) for copy in mine.word(float(at), {}).copies]
     assert told == [(0, 1), (1_000, 1), (2_000, 1)]
     mine.ended(3_000.0, 1, "f", io.Ending.MISS, UNTOLD)
-    assert mine.word(3_000.0, {}).copies == (m.Copy(1, "f", 0, 0.0),)
+    assert mine.word(3_000.0, {}).copies == (m.ProvenCopy(1, "f", 0, 0.0),)
     mine.ended(3_100.0, 1, "f", io.Ending.TIMEOUT, UNTOLD)
     mine.order_ended(3_100.0, 1, "f", 0, io.Ending.RESET, 0)
     assert mine.word(3_200.0, {}).copies == ()  # neither proves anything
@@ -99,21 +99,21 @@
 
 def work(number, found, after=None):
     sent, copies, loads = found
-    return m.Work(
+    return m.LoadReport(
         number,
         after or {},
         "k",
         0,
         sent,
-        tuple(m.Load(*place, 1.0) for place in sorted(loads)),
-        tuple(m.Copy(*place, count, 2.0) for place, count in copies.items()),
+        tuple(m.PendingLoad(*place, 1.0) for place in sorted(loads)),
+        tuple(m.ProvenCopy(*place, count, 2.0) for place, count in copies.items()),
     )
 
 
 @given(strategies.lists(works, max_size=6), strategies.data())
 def test_an_owners_words_merge_the_same_in_any_order_and_however_often(found, data):
     words = [(work(n, one), 100.0 * n) for n, one in enumerate(found, 1)]
-    plain, mixed = Owner(), Owner()
+    plain, mixed = OwnerReport(), OwnerReport()
     for word, made in words:
         plain.merge(word, made)
     order = data.draw(strategies.permutations(words + words))
@@ -126,7 +126,7 @@
 
 @given(strategies.lists(strategies.tuples(strategies.integers(0, 4), works), max_size=12), strategies.data())
 def test_each_owner_is_told_what_all_others_have_and_nothing_of_its_own(found, data):
-    words, owners = Words(1_000.0, 3_000.0, 1), [f"n{n}#1" for n in range(5)]
+    words, owners = LoadReportStore(1_000.0, 3_000.0, 1), [f"n{n}#1" for n in range(5)]
     answers = greeted(words, owners)
     told = [(owners[who], work(n, one, {"k": answers[owners[who]]})) for n, (who, one) in enumerate(found, 1)]
     last = {owner: {} for owner in owners}
@@ -138,7 +138,7 @@
         words.heard(20.0 * at, "k", owner, word)
     now = 20.0 + 40.0 * len(told)
     for owner in owners:
-        answer = words.heard(now, "k", owner, m.Work(0, {"k": answers[owner]}, "k"))
+        answer = words.heard(now, "k", owner, m.LoadReport(0, {"k": answers[owner]}, "k"))
         sums = {}
         for other, sent in last.items():
             for worker, count in sent.items() if other != owner else ():
@@ -156,7 +156,10 @@
     def __init__(self, chance):
         self.chance, self.true = chance, 0.0
         self.off = {name: chance.uniform(-1e6, 1e6) for name in "kab"}
-        self.words, self.views = Words(1_000.0, 3_000.0, 1), {n: View(1_000.0, 3_000.0) for n in "ab"}
+        self.words, self.views = (
+            LoadReportStore(1_000.0, 3_000.0, 1),
+            {n: RemoteLoads(1_000.0, 3_000.0) for n in "ab"},
+        )
         self.post, self.made = [], {}
 
     def now(self, name):
@@ -170,12 +173,12 @@
         self.true += 50.0
         for name in "ab" if n % 2 else ():
             sent = {"7": n} if name == "a" else {}
-            copies = (m.Copy(7, f"f{n}", 1, 0.0),) if name == "a" else ()
+            copies = (m.ProvenCopy(7, f"f{n}", 1, 0.0),) if name == "a" else ()
             self.made[n] = self.true
             self.views[name].asked(self.now(name), n)
             view = self.views[name]
             wants = view.wants(self.now(name), ["k"], 2)
-            self.send("k", (name, m.Work(n, view.after(), *wants, sent, (), copies)))
+            self.send("k", (name, m.LoadReport(n, view.after(), *wants, sent, (), copies)))
         due, self.post = ([p for p in self.post if (p[0] <= self.true) == now] for now in (True, False))
         for _, target, item in due:
             if target == "k":
@@ -202,70 +205,72 @@
 
 
 def test_a_life_that_ended_fades_and_the_next_one_counts_by_itself():
-    words = Words(1_000.0, 3_000.0, 1)
+    words = LoadReportStore(1_000.0, 3_000.0, 1)
     answers = greeted(words, ["a#1", "b#1"])
-    words.heard(10.0, "k", "a#1", m.Work(5, {"k": answers["a#1"]}, "k", 0, {"7": 9}, (m.Load(7, "f", 0.0),),
-                                         (m.Copy(7, "g", 2, 0.0),)))  # fmt: skip
-    found = words.heard(500.0, "k", "b#1", m.Work(2, {"k": answers["b#1"]}, "k"))
+    loads, copies = (m.PendingLoad(7, "f", 0.0),), (m.ProvenCopy(7, "g", 2, 0.0),)
+    words.heard(10.0, "k", "a#1", m.LoadReport(5, {"k": answers["a#1"]}, "k", 0, {"7": 9}, loads, copies))
+    found = words.heard(500.0, "k", "b#1", m.LoadReport(2, {"k": answers["b#1"]}, "k"))
     assert (found.sent, found.loading, found.copies, found.heard) == (
-        {"7": 9}, (m.Load(7, "f", 500.0),), (m.Copy(7, "g", 2, 500.0),), 2,
+        {"7": 9}, (m.PendingLoad(7, "f", 500.0),), (m.ProvenCopy(7, "g", 2, 500.0),), 2,
     )  # fmt: skip
     fresh = greeted(words, ["a#2"], 600.0)["a#2"]
-    words.heard(700.0, "k", "a#2", m.Work(1, {"k": fresh}, "k", 0, {"7": 4}))
-    found = words.heard(900.0, "k", "b#1", m.Work(3, {"k": answers["b#1"]}, "k"))
+    words.heard(700.0, "k", "a#2", m.LoadReport(1, {"k": fresh}, "k", 0, {"7": 4}))
+    found = words.heard(900.0, "k", "b#1", m.LoadReport(3, {"k": answers["b#1"]}, "k"))
     assert (found.sent, found.heard) == ({"7": 13}, 2)  # one front end, and what both its lives sent
-    found = words.heard(1_200.0, "k", "b#1", m.Work(4, {"k": found.answer}, "k"))
+    found = words.heard(1_200.0, "k", "b#1", m.LoadReport(4, {"k": found.answer}, "k"))
     assert (found.sent, found.loading, found.heard) == ({"7": 4}, (), 2)
     for life in range(3, 9):
         greeted(words, [f"a#{life}"], 1_200.0 + 20.0 * life)
     assert [owner for owner in words.owners if owner[0] == "a"] == []
-    found = words.heard(9_000.0, "k", "b#1", m.Work(5, {}, "k"))
+    found = words.heard(9_000.0, "k", "b#1", m.LoadReport(5, {}, "k"))
     assert (found.sent, found.copies, found.heard) == ({}, (), 1) and words.owners == {}
 
 
 def test_words_that_name_no_answer_or_one_of_another_life_of_the_keeper_do_not_count():
-    words = Words(1_000.0, 3_000.0, 1)
+    words = LoadReportStore(1_000.0, 3_000.0, 1)
     for number, after in enumerate(({}, {"k": 77}, {"j": 1}), 1):
-        words.heard(100.0 * number, "k", "a#1", m.Work(number, after, "k", 0, {"7": 9}))
+        words.heard(100.0 * number, "k", "a#1", m.LoadReport(number, after, "k", 0, {"7": 9}))
     assert words.owners == {} and words.counts == {"work: words that name no answer": 3}
-    known = words.heard(400.0, "k", "a#1", m.Work(4)).answer
-    again = Words(1_000.0, 3_000.0, 1 << 50)  # started again
-    again.heard(500.0, "k", "a#1", m.Work(5, {"k": known}, "k", 0, {"7": 9}))
+    known = words.heard(400.0, "k", "a#1", m.LoadReport(4)).answer
+    again = LoadReportStore(1_000.0, 3_000.0, 1 << 50)  # started again
+    again.heard(500.0, "k", "a#1", m.LoadReport(5, {"k": known}, "k", 0, {"7": 9}))
     assert again.owners == {}
 
 
 def test_a_flood_is_taken_and_not_answered_and_what_is_held_stays_within_bounds():
-    words, answered = Words(1_000.0, 3_000.0, 1), 0
+    words, answered = LoadReportStore(1_000.0, 3_000.0, 1), 0
     known = greeted(words, ["a#1", "b#1", "c#1"])
     for n in range(1, 2_000):
-        copies = tuple(m.Copy(n % 50, f"f{n}-{i}", 1, 0.0) for i in range(6))
+        copies = tuple(m.ProvenCopy(n % 50, f"f{n}-{i}", 1, 0.0) for i in range(6))
         found = words.heard(
-            10.0 + 0.1 * n, "k", "a#1", m.Work(n, {"k": known["a#1"]}, "k", 0, {}, (), copies)
+            10.0 + 0.1 * n, "k", "a#1", m.LoadReport(n, {"k": known["a#1"]}, "k", 0, {}, (), copies)
         )
         if found:
             answered, known["a#1"] = answered + 1, found.answer
     assert answered <= 41 and words.counts["work: words too fast"] >= 1_950
     assert len(words._places) <= PLACES_MOST
-    loads = tuple(m.Load(n, f"g{n}", 1.0) for n in range(64))
+    loads = tuple(m.PendingLoad(n, f"g{n}", 1.0) for n in range(64))
     for n in range(8):
         owner = f"d{n}#1"
         known |= greeted(words, [owner], 250.0)
         sent = {str(n * 20 + i): 3 for i in range(20)}
-        mine = tuple(m.Load(load.worker, f"{load.function}-{n}", 1.0) for load in loads)
-        words.heard(300.0, "k", owner, m.Work(1, {"k": known[owner]}, "k", 0, sent, mine))
-    found = words.heard(400.0, "k", "b#1", m.Work(1, {"k": known["b#1"]}, "k"))
+        mine = tuple(m.PendingLoad(load.worker, f"{load.function}-{n}", 1.0) for load in loads)
+        words.heard(300.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, sent, mine))
+    found = words.heard(400.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "k"))
     assert (len(found.sent), len(found.loading), len(found.copies)) == (64, 256, 256)
     assert found.cut > 1_000 and found.copies[0].function == "f1999-5"  # the latest first
     assert len(msgspec.json.encode(found)) < 32 * 1024
 
 
 def test_three_owners_of_one_copy_are_as_good_as_any_for_each_of_them():
-    words = Words(1_000.0, 3_000.0, 1)
+    words = LoadReportStore(1_000.0, 3_000.0, 1)
     owners = [f"{name}#1" for name in "abcd"]
     known = greeted(words, owners)
     for n, owner in enumerate(owners[:3]):
-        copies = (m.Copy(1, "f", n + 1, 30.0 - 10.0 * n),)
-        words.heard(20.0, "k", owner, m.Work(1, {"k": known[owner]}, "k", 0, {}, (), copies))
-    seen = {o: words.heard(100.0, "k", o, m.Work(2, {"k": known[o]}, "k")).copies[0].copies for o in owners}
+        copies = (m.ProvenCopy(1, "f", n + 1, 30.0 - 10.0 * n),)
+        words.heard(20.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, {}, (), copies))
+    seen = {
+        o: words.heard(100.0, "k", o, m.LoadReport(2, {"k": known[o]}, "k")).copies[0].copies for o in owners
+    }
     assert seen == {"a#1": 3, "b#1": 3, "c#1": 2, "d#1": 3}
     assert sum(len(held.copies) for held in words.owners.values()) == 2
--- a/tests/test_elsewhere_answers.py
+++ b/tests/test_elsewhere_answers.py
@@ -8,25 +8,29 @@
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.others import View, Words, enough
+from fawnwharf.replication.others import LoadReportStore, RemoteLoads, most_heard
 from fawnwharf.zones.settings import FileFault
 
 GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
 
 
 def others(number, heard=6, sent=None, answer=None, age=10.0, loading=(), copies=()):
-    return m.Others(number, 1, answer or number, heard, age, sent or {}, loading, copies)
+    return m.RemoteLoadReport(number, 1, answer or number, heard, age, sent or {}, loading, copies)
 
 
 def asked(*numbers, at=0.0):
-    view = View(1_000.0, 3_000.0)
+    view = RemoteLoads(1_000.0, 3_000.0)
     for number in numbers:
         view.asked(at, number)
     return view
 
 
 def test_sends_are_known_only_while_nearly_all_are_heard():
-    assert [n for n in range(13) if enough(n, 12)] == [11, 12] and not enough(5, 6) and enough(27, 30)
+    assert (
+        [n for n in range(13) if most_heard(n, 12)] == [11, 12]
+        and not most_heard(5, 6)
+        and most_heard(27, 30)
+    )
     view = asked(1, 2, 3, 4)
     assert view.changes(0.0, {7}, {7, 8}, 6) == []
     view.heard("k", 1, others(1, 5, {"7": 4, "8": 9}))
@@ -64,10 +68,10 @@
     view, keepers = asked(1, 2, 3, 4), ["j", "k"]
     assert view.wants(0.0, keepers, 6) == ("j", 0)
     view.heard("j", 1, others(1, answer=50))
-    view.heard("k", 1, m.Others(1, 1, 70))  # it only answers
+    view.heard("k", 1, m.RemoteLoadReport(1, 1, 70))  # it only answers
     assert view.wants(300.0, keepers, 6) == ("j", 50) and view.after() == {"j": 50, "k": 70}
     assert view.best(300.0).others.answer == 50
-    view.heard("j", 1, m.Others(2, 1, 51))
+    view.heard("j", 1, m.RemoteLoadReport(2, 1, 51))
     assert view.wants(400.0, keepers, 6) == ("j", 50)
     assert view.wants(500.0, keepers, 6) == ("k", 0)  # it told nothing for long
     assert view.wants(800.0, keepers, 6) == ("k", 0)
@@ -77,20 +81,29 @@
     assert view.wants(950.0, keepers, 6) == ("j", 50)  # the other one hears few
     assert view.wants(960.0, ["k"], 6) == ("k", 71)  # it is no keeper any more
     assert view.wants(960.0, [], 6) == ("", 0)
-    words = Words(1_000.0, 3_000.0, 1)
+    words = LoadReportStore(1_000.0, 3_000.0, 1)
     known = greeted(words, ["a#1", "b#1"])
-    words.heard(10.0, "k", "a#1", m.Work(1, {"k": known["a#1"]}, "j", 0, {"7": 3}))
-    assert words.heard(10.0, "k", "b#1", m.Work(1, {"k": known["b#1"]}, "j")).sent == {}
-    assert words.heard(20.0, "k", "b#1", m.Work(1, {"k": known["b#1"]}, "k")).sent == {"7": 3}
+    words.heard(10.0, "k", "a#1", m.LoadReport(1, {"k": known["a#1"]}, "j", 0, {"7": 3}))
+    assert words.heard(10.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "j")).sent == {}
+    assert words.heard(20.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "k")).sent == {"7": 3}
 
 
 def test_of_copies_the_latest_proof_counts_and_loads_of_any_keeper_and_all_fade():
     view = asked(1)
     view.heard(
-        "k", 1, others(1, copies=(m.Copy(1, "f", 2, 50.0), m.Copy(1, "g", 1, 50.0), m.Copy(99, "f", 1, 1.0)))
+        "k",
+        1,
+        others(
+            1,
+            copies=(
+                m.ProvenCopy(1, "f", 2, 50.0),
+                m.ProvenCopy(1, "g", 1, 50.0),
+                m.ProvenCopy(99, "f", 1, 1.0),
+            ),
+        ),
     )
-    view.heard("j", 1, others(1, copies=(m.Copy(1, "f", 0, 20.0), m.Copy(1, "g", 0, 90.0)),
-                              loading=(m.Load(2, "h", 300.0),)))  # fmt: skip
+    view.heard("j", 1, others(1, copies=(m.ProvenCopy(1, "f", 0, 20.0), m.ProvenCopy(1, "g", 0, 90.0)),
+                              loading=(m.PendingLoad(2, "h", 300.0),)))  # fmt: skip
     found = {event.worker: event for event in view.changes(0.0, set(), {1, 2}, 6)}
     assert found[1].copies == {"g": 1} and found[2].loading == ("h",) and 99 not in found
     assert view.copies == 2
@@ -104,7 +117,7 @@
 
 def test_old_proofs_leave_what_is_told_of_sends_and_loads_fresh():
     view = asked(1)
-    copies = (m.Copy(7, "f", 1, 40.0), m.Copy(7, "g", 2, 400.0), m.Copy(8, "g", 2, 400.0))
+    copies = (m.ProvenCopy(7, "f", 1, 40.0), m.ProvenCopy(7, "g", 2, 400.0), m.ProvenCopy(8, "g", 2, 400.0))
     view.heard("k", 1, others(1, sent={"7": 3}, copies=copies))
     found = {event.worker: event for event in view.changes(50.0, {7}, {7, 8}, 6)}
     assert found == {7: io.Elsewhere(7, 3, {"f": 1}, (), 90.0), 8: io.Elsewhere(8, None, {"g": 2}, (), 450.0)}
@@ -114,7 +127,7 @@
     view, told = asked(), []
     for n in range(1, 31):
         view.asked(100.0 * n, n)
-        view.heard("k", 1, others(n, copies=(m.Copy(1, "f", 1, 0.0),)))
+        view.heard("k", 1, others(n, copies=(m.ProvenCopy(1, "f", 1, 0.0),)))
         told += [(n, event.age_ms) for event in view.changes(100.0 * n, set(), {1}, 6)]
     assert told == [(n, 0.0) for n in range(1, 31, 5)]
 
@@ -208,4 +221,4 @@
 )
 def test_faults_of_its_settings_are_named_by_key(rules, key):
     with pytest.raises(FileFault, match=f"^{key}:"):
-        s.settings_from(msgspec.json.encode({"version": 1, "members": "m"} | rules))
+        s.parse_settings(msgspec.json.encode({"version": 1, "members": "m"} | rules))
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -10,8 +10,8 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.links import DirectedLog, DirectedServer
-from fawnwharf.replication.working import Working
+from fawnwharf.replication.links import DirectedLog, DirectedLogServer
+from fawnwharf.replication.working import LoadReporting
 from fawnwharf.testbed.work import cold_use, counts, twice
 
 
@@ -33,11 +33,11 @@
 def rig_with(scorer, cold_ms=60_000.0):
     rig = Rig(scorer, settings={"invariants": {"cold": cold_ms, "fall": 50_000.0}})
     core, said, notes = Cores().cores["n0"], [], []
-    working = Working(core, rig.front.deployment.settings, lambda event, fields: notes.append(fields))
+    working = LoadReporting(core, rig.front.deployment.settings, lambda event, fields: notes.append(fields))
     working.attach(rig.front, said.extend)
 
     def told():
-        return [say.message for say in said if isinstance(say.message, m.Work)]
+        return [say.message for say in said if isinstance(say.message, m.LoadReport)]
 
     return rig, working, told
 
@@ -91,7 +91,7 @@
 
 def test_a_hello_is_heard_by_one_that_follows_only_later_and_it_sends_no_more_than_is_for_whom_it_knows():
     loop = Loop(lambda now_ms, events: None, lambda text: None)
-    a, b = (DirectedServer(loop, ("127.0.0.1", 0), life, 4) for life in (1, 2))
+    a, b = (DirectedLogServer(loop, ("127.0.0.1", 0), life, 4) for life in (1, 2))
     told, feeds = [], []
 
     def until(condition):
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,9 +9,9 @@
 from fawnwharf.net.requests import Call, Failed, Refused, Served
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.gate import LEAD_MS, WAIT_LEAD_MS, Gate, name_of
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.gate import LEAD_MS, WAIT_LEAD_MS, ClaimGate, call_key
 from fawnwharf.testbed.promises import fleet_file
 
 CLASSES = {
@@ -35,13 +35,15 @@
 
     def __init__(self, zones="a", fresh=True):
         self.wheel, self.timers = self, []
-        rules = s.Settings(1, "m", zones=1 if zones == "a" else 3, bounds=s.Bounds(answer_bytes=64))
+        rules = s.ReplicationSettings(
+            1, "m", zones=1 if zones == "a" else 3, bounds=s.StoreLimits(answer_bytes=64)
+        )
         file = fleet_file(zones)
-        keepers = Core("n0", 1, file, rules, 0.0).placement.keepers
+        keepers = ReplicationCore("n0", 1, file, rules, 0.0).placement.keepers
         name = next(e.name for e in file.members if zones == "a" or e.name not in keepers)
-        self.core = Core(name, 1, file, rules, 0.0, fresh)
+        self.core = ReplicationCore(name, 1, file, rules, 0.0, fresh)
         self.calls, self.withdrawn, self.full = {}, [], False
-        self.gate = Gate(self, self, self.core, rules, CLASSES, self.carry)
+        self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
         self.said = []
 
     def after(self, delay_ms, callback):
@@ -50,7 +52,7 @@
 
     def carry(self, effects):
         for effect in effects:
-            if isinstance(effect, m.Say):
+            if isinstance(effect, m.Send):
                 self.said.append(effect)
             else:
                 self.gate.told(effect)
@@ -113,7 +115,7 @@
     key, _ = ground.ask("keyed", token="k")
     ground.gate.withdraw(key)
     assert ground.withdrawn == ["r1"] and ground.gate.held == {}
-    assert [claim.phase for claim in ground.claims()] == [Phase.FAILED]
+    assert [claim.phase for claim in ground.claims()] == [ClaimPhase.FAILED]
 
 
 def test_a_client_that_leaves_before_its_call_went_gives_it_back():
@@ -121,8 +123,8 @@
     key, got = ground.ask()
     assert ground.calls == {} and ground.gate.busy
     ground.gate.withdraw(key)
-    told = [say.message for say in ground.said if isinstance(say.message, m.Tell)]
-    assert [tell.claim.phase for tell in told] == [Phase.CLEAR]
+    told = [say.message for say in ground.said if isinstance(say.message, m.ClaimUpdate)]
+    assert [tell.claim.phase for tell in told] == [ClaimPhase.CLEAR]
     assert ground.gate.held == {} and not ground.gate.busy and got == []
 
 
@@ -133,13 +135,13 @@
     _, other = ground.ask(id=2)
     ground.calls["r2"].reply(Failed())
     assert (one, other) == ([Refused(50.0)], [Failed()])
-    assert sorted(claim.phase for claim in ground.claims()) == [Phase.CLEAR, Phase.FAILED]
+    assert sorted(claim.phase for claim in ground.claims()) == [ClaimPhase.CLEAR, ClaimPhase.FAILED]
     assert ground.ask(id=2)[1] == [Failed()]  # at once: nobody will ever know
     ground.ask(id=1)
     assert len(ground.calls) == 3
     ground.full = True
     assert ground.ask(id=3)[1] == [Refused(9.0)]
-    assert ground.gate.held.keys() == {name_of(ground.calls["r3"])}
+    assert ground.gate.held.keys() == {call_key(ground.calls["r3"])}
 
 
 @pytest.mark.parametrize("kind", ["once", "keyed"])
@@ -158,7 +160,7 @@
     ground.ask()
     ground.calls["r1"].reply(Served(b"x" * 65))
     assert ground.ask()[1] == [Failed()]
-    assert [(claim.phase, claim.answer) for claim in ground.claims()] == [(Phase.ANSWERED, None)]
+    assert [(claim.phase, claim.answer) for claim in ground.claims()] == [(ClaimPhase.ANSWERED, None)]
 
 
 def test_one_that_waits_for_another_ends_before_its_client_leaves():
@@ -172,7 +174,7 @@
     mine.state = "waiting"
     effects = ground.core.claimant.tick(mine.deadline_ms)
     ground.carry(effects)
-    assert [type(effect).__name__ for effect in effects] == ["GiveUp"] and not ground.gate.busy
+    assert [type(effect).__name__ for effect in effects] == ["FailCall"] and not ground.gate.busy
 
 
 def test_one_that_waits_in_vain_is_failed_when_its_time_is_over_and_only_once():
@@ -192,9 +194,9 @@
     _, got = ground.ask("keyed", token="k")
     assert list(ground.calls) == ["r1"]
     [name] = ground.gate.held
-    answered = Claim("n9#1", 1, 2, 0, Phase.ANSWERED, "d", base64.b64encode(b"x").decode())
+    answered = Claim("n9#1", 1, 2, 0, ClaimPhase.ANSWERED, "d", base64.b64encode(b"x").decode())
     keeper = ground.core.placement.of(name)[0]
-    word = m.Word(name, ground.core.owner, 1, False, True, (answered,))
+    word = m.ClaimReply(name, ground.core.owner, 1, False, True, (answered,))
     line = {"fleet": "f", "sender": keeper, "life": 1, "to": [ground.core.name]}
     ground.carry(ground.core.line(10.0, keeper, line | {"say": msgspec.to_builtins(word)}))
     assert got == [Served(b"x")] and ground.withdrawn == ["r1"] and ground.gate.held == {}
@@ -211,5 +213,5 @@
     ground = Ground()
     for kind, id, token in (("keyed", 1, "k"), ("keyed", 2, "k"), ("keyed", 1, "l"), ("once", 1, "")):
         ground.ask(kind, id, token)
-    names = [name_of(call) for call in ground.calls.values()]
+    names = [call_key(call) for call in ground.calls.values()]
     assert len(names) == len(set(names)) == 3
--- a/tests/test_handover_core_hard.py
+++ b/tests/test_handover_core_hard.py
@@ -15,7 +15,7 @@
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.walk import CALM, RULES, Walk
 from fawnwharf.migration.windows import Windows
-from fawnwharf.replication.claimant import Go
+from fawnwharf.replication.claimant import RunCall
 from fawnwharf.session_types import Home, Move, Session
 
 
@@ -128,7 +128,7 @@
     assert sites == ["x", "y"]
     for name in (one, other):
         cores.begin(name)
-    assert sum(isinstance(effect, Go) for _, effect in cores.told) == 1
+    assert sum(isinstance(effect, RunCall) for _, effect in cores.told) == 1
 
 
 def test_in_haste_what_is_lost_is_said_and_the_dead_site_is_not_asked():
--- a/tests/test_lab_elsewhere.py
+++ b/tests/test_lab_elsewhere.py
@@ -43,7 +43,7 @@
         until(True, "it to be heard again")
         place = f"{fleet.fronts['n0'].host}:{STATE}"
         heard = "work: front ends heard"  # it tells of itself every two seconds
-        fleet.until(lambda: state.look(place, 0.5).counts.get(heard) == 6, "its word on itself")
+        fleet.until(lambda: state.fetch_status(place, 0.5).counts.get(heard) == 6, "its word on itself")
         state.show(str(fronts[0].folder / "state.json"), "n0")
         fleet.clients.stop()
         fleet.until(lambda: not fleet.clients.open, "all calls to end")
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -30,7 +30,7 @@
     if who == "zones":
         return roster.closer(laid, "a")
     if who == "state":
-        return resting.closer(laid)
+        return resting.excluding(laid)
     return laid and (lambda member: laid(member.id))
 
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -14,7 +14,7 @@
 from fawnwharf.policy_rollout.judged import handed_over
 from fawnwharf.policy_rollout.messages import InForce
 from fawnwharf.policy_rollout.trace import LINES_MOST, Trace
-from fawnwharf.replication.use import Shares
+from fawnwharf.replication.use import QuotaShares
 from fawnwharf.zones.settings import FileFault
 
 
@@ -256,7 +256,7 @@
 
 
 def test_a_quota_that_changes_is_divided_as_the_one_before_was():
-    shares = Shares({"acme": 30.0, "other": 9.0}, 3)
+    shares = QuotaShares({"acme": 30.0, "other": 9.0}, 3)
     shares.shares["acme"] = 20.0
     assert shares.sell({"acme": 15.0, "new": 6.0}) == {"acme": 10.0, "new": 2.0}
     assert shares.shares == {"acme": 10.0, "new": 2.0} and shares.changes(0.0) == {"acme": 5.0}
