--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -17,9 +17,9 @@
 from fawnwharf.recovery_service.holds import Holds
 from fawnwharf.recovery_service.outs import Stood, Ticket
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.gate import Gate, name_of
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.gate import ClaimGate, call_key
 from fawnwharf.testbed.promises import fleet_file
 
 
@@ -168,11 +168,11 @@
     """With the real gate and keeper below."""
 
     def __init__(self, stage):
-        rules, file = s.Settings(1, "m", zones=1), fleet_file("a")
-        keeper = Core("n0", 1, file, rules, 0.0).placement.keepers[0]
-        self.core = Core(keeper, 1, file, rules, 0.0, True)
+        rules, file = s.ReplicationSettings(1, "m", zones=1), fleet_file("a")
+        keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.keepers[0]
+        self.core = ReplicationCore(keeper, 1, file, rules, 0.0, True)
         self.wheel = self  # the gate's timers never ring here
-        self.gate = Gate(self, self, self.core, rules, CLASSES, self.carry)
+        self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
         super().__init__(stage, promises=Kept(self.gate, self.core))
         self.door.below = self.gate
 
@@ -187,15 +187,15 @@
     def knows(self, kind, id, phase, answer=None):
         call = Call(id, kind, "t", "f", 1.0, b"", "" if kind != "keyed" else id.hex(), 1, None, None, print)
         claim = Claim("n9#3", 1, 1, 0, phase, "d", answer)
-        shelf, name = self.core.keeper.shelf, name_of(call)
+        shelf, name = self.core.keeper.shelf, call_key(call)
         shelf.put(1.0, name, shelf.entry(1.0, name), claim, 10_000.0)
 
 
 def test_repeats_of_promised_calls_have_their_answer_before_new_calls_are_taken():
     ground = Promised(Stage.REPEATS)
-    ground.knows("settle", (1).to_bytes(8, "big"), Phase.ANSWERED, base64.b64encode(b"kept").decode())
-    ground.knows("settle", (2).to_bytes(8, "big"), Phase.TAKEN)
-    ground.knows("settle", (3).to_bytes(8, "big"), Phase.CLEAR)
+    ground.knows("settle", (1).to_bytes(8, "big"), ClaimPhase.ANSWERED, base64.b64encode(b"kept").decode())
+    ground.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.TAKEN)
+    ground.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.CLEAR)
     answers = [ground.ask("settle")[1] for _ in range(4)]
     assert answers[:2] == [[Served(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
     assert all(isinstance(got[0], Refused) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -10,8 +10,8 @@
 from fawnwharf.interface import Effect
 from fawnwharf.recovery_core.trust import Store
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claimant import GiveUp, Go, TurnAway
-from fawnwharf.replication.claims import Phase
+from fawnwharf.replication.claimant import FailCall, RejectCall, RunCall
+from fawnwharf.replication.claims import ClaimPhase
 
 
 @pytest.fixture
@@ -44,7 +44,7 @@
     let(cores, cores.keepers[0])
     assert cores.what(owner) == []
     let(cores, cores.keepers[1])
-    assert cores.what(owner) == [Go("k", True)]
+    assert cores.what(owner) == [RunCall("k", True)]
 
 
 def test_a_call_of_the_keeper_s_own_waits_for_its_own_grant_too(cores):
@@ -54,7 +54,7 @@
     cores.turn()
     assert cores.what(own) == []  # the others have granted, and one of those two words may be its own
     let(cores, own)
-    assert cores.what(own) == [Go("k", True)]
+    assert cores.what(own) == [RunCall("k", True)]
 
 
 def test_who_leaves_while_its_grant_is_held_gives_it_back_and_never_goes(cores):
@@ -67,7 +67,7 @@
     assert cores.what(own) == [] and not cores.cores[own].claimant.mine
     cores.begin(other)
     cores.turn()
-    assert cores.what(other) == [Go("k", True)]
+    assert cores.what(other) == [RunCall("k", True)]
 
 
 def test_what_a_held_go_is_for_is_told_by_its_ask(cores):
@@ -79,11 +79,11 @@
     cores.begin(own)  # the client comes again before the first grant is on disk
     cores.turn()
     let(cores, own)
-    assert cores.what(own) == [Go("k", True)]
+    assert cores.what(own) == [RunCall("k", True)]
     cores.end(own)
     cores.turn()
     [claims] = [e.claims for e in [cores.cores[cores.keepers[1]].keeper.shelf.calls["k"]]]
-    assert sorted(claim.phase for claim in claims.values()) == [Phase.CLEAR, Phase.ANSWERED]
+    assert sorted(claim.phase for claim in claims.values()) == [ClaimPhase.CLEAR, ClaimPhase.ANSWERED]
 
 
 def test_an_unsure_ticket_grants_nothing_and_stands_in_the_way_until_the_disk_works_again(cores):
@@ -100,7 +100,7 @@
     cores.wait(1_000)
     assert cores.sure(keeper)
     word = asks(cores, other, keeper)()
-    assert not word.granted and [c.phase for c in word.claims] == [Phase.TAKEN]  # as if it had been said
+    assert not word.granted and [c.phase for c in word.claims] == [ClaimPhase.TAKEN]  # as if it had been said
     said = asks(cores, third, keeper, "later")
     cores.turn(keeper)
     assert said().granted
@@ -116,12 +116,12 @@
     cores.turn()
     assert cores.what(own) == []  # one other has granted, and its own word does not count
     let(cores, others[0])
-    assert cores.what(own) == [Go("k", True)]
+    assert cores.what(own) == [RunCall("k", True)]
     held(cores, *others)
     cores.begin(own, "k2")
     cores.wait(700)
     [turned] = cores.what(own)[1:]
-    assert isinstance(turned, TurnAway) and "k2" not in cores.cores[own].claimant.mine
+    assert isinstance(turned, RejectCall) and "k2" not in cores.cores[own].claimant.mine
 
 
 def test_a_disk_that_is_slow_grants_nothing_and_all_is_given_back(cores):
@@ -129,13 +129,13 @@
     cores.begin(cores.owners[0])
     cores.begin(cores.keepers[0], "own")
     cores.wait(1_200)
-    assert all(isinstance(effect, TurnAway) for _, effect in cores.told) and len(cores.told) == 2
+    assert all(isinstance(effect, RejectCall) for _, effect in cores.told) and len(cores.told) == 2
     let(cores, *cores.keepers)
     cores.wait(200)
     cores.begin(cores.owners[1])
     cores.begin(cores.keepers[1], "own")
     cores.turn()
-    assert [effect for _, effect in cores.told[2:]] == [Go("k", True), Go("own", True)]
+    assert [effect for _, effect in cores.told[2:]] == [RunCall("k", True), RunCall("own", True)]
 
 
 @pytest.mark.parametrize("effect", [Effect.UNSAFE, Effect.KEYED])
@@ -143,7 +143,7 @@
     owner = cores.owners[0]
     cores.begin(owner, effect=effect, dedup_ms=60_000.0)
     cores.turn()
-    assert cores.what(owner) == [Go("k", True)]
+    assert cores.what(owner) == [RunCall("k", True)]
     cores.end_all("cut")
     cores.turn()
     assert all(cores.sure(name) and cores.kepts[name].whole is Store.WHOLE for name in cores.keepers)
@@ -153,7 +153,7 @@
         cores.begin(again, f"new {n}")
         cores.turn()
         assert sorted(map(str, cores.what(again))) == sorted(
-            map(str, [GiveUp("k", "it may have run"), Go(f"new {n}", True)])
+            map(str, [FailCall("k", "it may have run"), RunCall(f"new {n}", True)])
         )
 
 
@@ -172,7 +172,7 @@
             cores.kepts[name].store.turn(cores.now)
             cores.kepts[name].store.turn(cores.now)
             cores.site.machine(name).held = True
-        first = {effect.key for _, effect in cores.told if isinstance(effect, Go)}
+        first = {effect.key for _, effect in cores.told if isinstance(effect, RunCall)}
         for name in cores.keepers:
             cores.site.machine(name).held = False
         cores.told.clear()
@@ -183,7 +183,7 @@
         cores.begin(cores.owners[1])
         cores.begin(cores.owners[2], "k2")
         cores.turn()
-        second = {effect.key for _, effect in cores.told if isinstance(effect, Go)}
+        second = {effect.key for _, effect in cores.told if isinstance(effect, RunCall)}
         assert not first & second
         went.append((len(first), len(second)))
     assert {first for first, _ in went} == {0, 2} and any(second for _, second in went)
@@ -249,15 +249,15 @@
     keeper, other = cores.keepers[:2]
     held(cores, keeper)
     core, said = cores.cores[keeper], []
-    want = msgspec.to_builtins(cores.cores[other].wrapped(m.Say((keeper,), m.Want(1, 1, 2))))
+    want = msgspec.to_builtins(cores.cores[other].wrapped(m.Send((keeper,), m.StateRequest(1, 1, 2))))
     cores.site.now = cores.now
     said += cores.disks[keeper].written(core.line(cores.now, other, want), said.extend)
     said += cores.disks[keeper].written(core.tick(cores.now), said.extend)
-    pieces = [say for say in said if isinstance(getattr(say, "message", None), m.Piece)]
+    pieces = [say for say in said if isinstance(getattr(say, "message", None), m.StateChunk)]
     assert pieces == [] and not cores.sure(keeper)
     cores.turn(keeper)
     let(cores, keeper)
-    assert any(isinstance(getattr(say, "message", None), m.Piece) for say in said)
+    assert any(isinstance(getattr(say, "message", None), m.StateChunk) for say in said)
     cores.end_all("cut", keeper)
     assert not cores.sure(keeper)
 
@@ -281,7 +281,7 @@
     assert not asks(cores, owner, keeper)().granted
     cores.begin(keeper, "own")
     cores.turn()
-    assert cores.what(keeper) == [Go("own", True)]  # by the other two
+    assert cores.what(keeper) == [RunCall("own", True)]  # by the other two
 
 
 def test_a_call_of_one_keeper_alone_that_it_can_t_write_is_turned_away(site):
@@ -291,7 +291,7 @@
     cores.begin(keeper)
     cores.turn()
     [turned] = cores.what(keeper)
-    assert isinstance(turned, TurnAway) and not cores.cores[keeper].claimant.mine
+    assert isinstance(turned, RejectCall) and not cores.cores[keeper].claimant.mine
 
 
 def test_a_file_of_a_life_without_the_store_makes_the_store_one_in_part(site, tmp_path):
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -8,8 +8,8 @@
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claimant import Answer, GiveUp, Go, TurnAway
-from fawnwharf.replication.claims import Claim, Phase
+from fawnwharf.replication.claimant import AnswerCall, FailCall, RejectCall, RunCall
+from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.testbed.promises import fleet_file
 
 
@@ -17,12 +17,12 @@
     cores = Cores()
     one, other = cores.owners[:2]
     cores.begin(one)
-    assert cores.what(one) == [Go("k", True)]
+    assert cores.what(one) == [RunCall("k", True)]
     cores.end(one)
     cores.begin(other)
-    assert cores.what(other) == [Answer("k", "QQ==")]
+    assert cores.what(other) == [AnswerCall("k", "QQ==")]
     cores.begin(one)  # at the same front end, too
-    assert cores.what(one)[1:] == [Answer("k", "QQ==")]
+    assert cores.what(one)[1:] == [AnswerCall("k", "QQ==")]
 
 
 def test_it_does_not_go_without_most_of_its_keepers_and_may_then_be_asked_again():
@@ -33,17 +33,17 @@
     assert cores.what(one) == []
     cores.wait(600)
     [turned] = cores.what(one)
-    assert isinstance(turned, TurnAway) and turned.pushback_ms > 0
+    assert isinstance(turned, RejectCall) and turned.pushback_ms > 0
     cores.lost = set()
     cores.begin(other)
-    assert cores.what(other) == [Go("k", True)]
+    assert cores.what(other) == [RunCall("k", True)]
 
 
 def test_with_one_keeper_lost_calls_go_on():
     cores = Cores()
     cores.lost = {cores.keepers[0]}
     cores.begin(cores.owners[0])
-    assert cores.what(cores.owners[0]) == [Go("k", True)]
+    assert cores.what(cores.owners[0]) == [RunCall("k", True)]
 
 
 def test_two_that_ask_at_the_same_moment_never_both_go():
@@ -59,11 +59,11 @@
         cores.held = held
         cores.release()
         cores.wait(700)
-        went = [who for who, effect in cores.told if isinstance(effect, Go)]
+        went = [who for who, effect in cores.told if isinstance(effect, RunCall)]
         assert len(went) == 1
         loser = one if went == [other] else other
         cores.end(went[0])
-        assert cores.what(loser)[-1] == Answer("k", "QQ==")
+        assert cores.what(loser)[-1] == AnswerCall("k", "QQ==")
 
 
 def test_one_whose_owner_is_gone_is_given_up_and_one_whose_owner_lives_is_joined():
@@ -75,9 +75,9 @@
     assert cores.what(other) == []  # it waits for the answer
     cores.lost.add(one)
     cores.wait(RULES.quiet_ms + 300)
-    assert cores.what(other) == [GiveUp("k", "it may have run")]
+    assert cores.what(other) == [FailCall("k", "it may have run")]
     cores.begin(third)
-    assert cores.what(third) == [GiveUp("k", "it may have run")]
+    assert cores.what(third) == [FailCall("k", "it may have run")]
 
 
 def test_a_keyed_one_runs_again_within_its_scorers_window_and_not_after_it():
@@ -88,31 +88,31 @@
     cores.lost.add(one)
     cores.wait(1_700)
     cores.begin(other, **keyed)
-    assert cores.what(other) == [Go("k", False)]
-    cores.end(other, Phase.FAILED)
+    assert cores.what(other) == [RunCall("k", False)]
+    cores.end(other, ClaimPhase.FAILED)
     cores.wait(1_000)
     cores.begin(third, **keyed)
-    assert cores.what(third) == [GiveUp("k", "it may have run")]
+    assert cores.what(third) == [FailCall("k", "it may have run")]
 
 
 def test_one_that_goes_without_waiting_takes_the_answer_that_was_kept():
     cores = Cores()
     one, other = cores.owners[:2]
     cores.begin(one, effect=Effect.KEYED, must=False)
-    assert cores.what(one) == [Go("k", False)]
+    assert cores.what(one) == [RunCall("k", False)]
     cores.end(one)
     cores.begin(other, effect=Effect.KEYED, must=False)
-    assert cores.what(other) == [Go("k", False), Answer("k", "QQ==")]
+    assert cores.what(other) == [RunCall("k", False), AnswerCall("k", "QQ==")]
 
 
 def test_a_grant_that_comes_too_late_is_not_rested_on():
     cores = Cores()
     one = cores.owners[0]
-    cores.hold = lambda sender, to, say: isinstance(say, m.Word)
+    cores.hold = lambda sender, to, say: isinstance(say, m.ClaimReply)
     cores.begin(one)
     cores.now += RULES.wait_most_ms + 1  # it stood still
     cores.release()
-    assert not any(isinstance(effect, Go) for effect in cores.what(one))
+    assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
 
 def test_a_keeper_that_forgot_grants_nothing_until_it_has_heard_the_others():
@@ -126,13 +126,13 @@
     cores.lost = {b}
     cores.begin(other)  # a has forgotten, c never knew
     cores.wait(600)
-    assert isinstance(cores.what(other)[-1], TurnAway)
+    assert isinstance(cores.what(other)[-1], RejectCall)
     cores.lost = set()
     cores.wait(3_000)
     assert cores.cores[a].keeper.sure(cores.now)
     cores.lost = {b}
     cores.begin(third)
-    assert cores.what(third) == [Answer("k", "QQ==")]
+    assert cores.what(third) == [AnswerCall("k", "QQ==")]
 
 
 def test_what_a_keepers_earlier_life_had_wanted_is_no_answer_to_it_now():
@@ -149,7 +149,7 @@
     cores.restart(a)
     cores.lost = set()
     # Its own first want is lost; b goes on telling what the earlier life wanted.
-    cores.hold = lambda sender, to, say: sender == a and to == b and isinstance(say, m.Want)
+    cores.hold = lambda sender, to, say: sender == a and to == b and isinstance(say, m.StateRequest)
     cores.now += 700.0
     cores.carry(a, cores.cores[a].tick(cores.now))
     cores.carry(b, core.tick(cores.now))
@@ -159,7 +159,7 @@
     cores.lost = {b}
     cores.begin(other)
     cores.wait(300)
-    assert not any(isinstance(effect, Go) for effect in cores.what(other))
+    assert not any(isinstance(effect, RunCall) for effect in cores.what(other))
 
 
 def test_a_snapshot_has_every_claim_however_many_a_call_has():
@@ -169,7 +169,7 @@
         key = f"k{n}"
         shelf = cores.cores[b].keeper.shelf
         for ask in range(1, 41):
-            put = Claim("n9#1", ask, ask, 0, Phase.TAKEN if ask == n % 40 + 1 else Phase.CLEAR)
+            put = Claim("n9#1", ask, ask, 0, ClaimPhase.TAKEN if ask == n % 40 + 1 else ClaimPhase.CLEAR)
             shelf.put(cores.now, key, shelf.entry(cores.now, key), put, 60_000.0)
     cores.restart(a)
     cores.wait(3_000)
@@ -188,7 +188,7 @@
         cores.now -= 250.0  # within one window
     keeper = cores.cores[cores.keepers[0]].keeper
     assert len(keeper.shelf.calls["k"].claims) <= 65 and keeper.shelf.counts["too many asks"] > 0
-    assert not any(isinstance(effect, Go) for effect in cores.what(one))
+    assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
 
 def test_two_keepers_that_forgot_wait_until_all_is_over():
@@ -215,12 +215,12 @@
     cores.hold = lambda sender, to, say: False
     [(sender, to, line)] = [item for item in held if item[1] == b]
     cores.carry(to, cores.cores[to].line(cores.now, sender, line))
-    assert cores.what(one) == [Go("k", True)]
+    assert cores.what(one) == [RunCall("k", True)]
     cores.wait(2_000)
     cores.lost = {b}
     cores.begin(other)  # a and c alone must not be enough
     cores.wait(600)
-    assert not any(isinstance(effect, Go) for effect in cores.what(other))
+    assert not any(isinstance(effect, RunCall) for effect in cores.what(other))
 
 
 def test_an_answer_whose_news_was_lost_is_made_good_by_comparing():
@@ -235,9 +235,9 @@
     cores.wait(4_500)
     for name in (a, b, c):
         [kept] = cores.cores[name].keeper.shelf.calls["k"].standing()
-        assert kept.phase is Phase.ANSWERED
+        assert kept.phase is ClaimPhase.ANSWERED
     cores.begin(other)
-    assert cores.what(other) == [Answer("k", "QQ==")]
+    assert cores.what(other) == [AnswerCall("k", "QQ==")]
 
 
 def test_another_list_of_members_hands_over_before_anything_is_granted_by_it():
@@ -255,13 +255,13 @@
     cores.wait(3_000)
     cores.begin(other)
     cores.wait(600)
-    assert cores.what(other)[-1] == Answer("k", "QQ==")
+    assert cores.what(other)[-1] == AnswerCall("k", "QQ==")
     # The one that has the old list has heard that there is a later one.
     assert not cores.cores[behind].keeper.sure(cores.now)
 
 
 def test_a_shelf_that_is_full_takes_nothing_new_and_drops_answers_first():
-    rules = msgspec.structs.replace(RULES, bounds=s.Bounds(calls=2, bytes=1_024))
+    rules = msgspec.structs.replace(RULES, bounds=s.StoreLimits(calls=2, bytes=1_024))
     cores = Cores(rules)
     one = cores.owners[0]
     for n in range(2):
@@ -269,8 +269,8 @@
         cores.end(one, key=f"k{n}", answer="Q" * 800)
     cores.begin(one, key="k2")
     cores.wait(600)
-    assert isinstance(cores.what(one)[-1], TurnAway)
+    assert isinstance(cores.what(one)[-1], RejectCall)
     shelf = cores.cores[cores.keepers[0]].keeper.shelf
     assert shelf.counts["answer dropped"] == 1 and shelf.counts["full"] >= 1 and shelf.bytes <= 1_024
     cores.begin(cores.owners[1], key="k1")
-    assert cores.what(cores.owners[1]) == [Answer("k1", None)]
+    assert cores.what(cores.owners[1]) == [AnswerCall("k1", None)]
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -12,9 +12,16 @@
 from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claims import Claim, Phase, Standing, contradicts, merged, reading
-from fawnwharf.replication.placement import Placement
-from fawnwharf.replication.shelf import Shelf
+from fawnwharf.replication.claims import (
+    CallState,
+    Claim,
+    ClaimPhase,
+    contradicts,
+    merge_claims,
+    summarize_claims,
+)
+from fawnwharf.replication.placement import ReplicaPlacement
+from fawnwharf.replication.shelf import ClaimStore
 from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.zones.settings import FileFault, members_from
 from fawnwharf.zones.settings import settings_from as zone_settings
@@ -39,7 +46,7 @@
 )
 def test_a_faulty_settings_file_names_its_key(data, fault):
     with pytest.raises(FileFault) as caught:
-        s.settings_from(data)
+        s.parse_settings(data)
     assert fault in str(caught.value)
 
 
@@ -55,7 +62,7 @@
 
 
 def test_a_call_is_kept_in_as_many_zones_as_asked_by_one_front_end_each():
-    placement = Placement(fleet_file("abcde" * 4), 3, 2)
+    placement = ReplicaPlacement(fleet_file("abcde" * 4), 3, 2)
     zone = {member.name: member.zone for member in fleet_file("abcde" * 4).members}
     for key in KEYS:
         assert len({zone[name] for name in placement.of(key)}) == 3
@@ -65,10 +72,10 @@
 
 def test_a_member_that_goes_moves_calls_of_its_own_zone_alone_and_none_if_it_keeps_nothing():
     file = fleet_file("abc" * 4)
-    before = Placement(file, 3, 2)
+    before = ReplicaPlacement(file, 3, 2)
     for member in file.members:
         rest = msgspec.structs.replace(file, members=[e for e in file.members if e is not member])
-        after = Placement(rest, 3, 2)
+        after = ReplicaPlacement(rest, 3, 2)
         moved = [key for key in KEYS if before.of(key) != after.of(key)]
         assert bool(moved) == (member.name in before.keepers)
         assert all(len(set(before.of(key)) & set(after.of(key))) == 2 for key in moved)
@@ -78,8 +85,8 @@
 def test_placement_does_not_depend_on_the_order_of_the_file(order):
     file = fleet_file("abcabcabc")
     turned = msgspec.structs.replace(file, members=[file.members[n] for n in order])
-    assert [Placement(turned, 3, 1).of(key) for key in KEYS[:20]] == [
-        Placement(file, 3, 1).of(key) for key in KEYS[:20]
+    assert [ReplicaPlacement(turned, 3, 1).of(key) for key in KEYS[:20]] == [
+        ReplicaPlacement(file, 3, 1).of(key) for key in KEYS[:20]
     ]
 
 
@@ -91,7 +98,7 @@
     ask=strategies.just(3),
     number=strategies.integers(3, 6),
     slot=strategies.just(1),
-    phase=strategies.sampled_from(Phase),
+    phase=strategies.sampled_from(ClaimPhase),
     digest=strategies.sampled_from(["", "aa", "bb"]),
     answer=strategies.sampled_from([None, "QQ==", "Qg=="]),
 )
@@ -99,16 +106,16 @@
 
 @given(claims, claims, claims)
 def test_merging_is_commutative_associative_and_idempotent(one, other, third):
-    assert merged(one, other) == merged(other, one)
-    assert merged(one, merged(other, third)) == merged(merged(one, other), third)
-    assert merged(one, one) == one
-    assert merged(one, other) in (one, other)
+    assert merge_claims(one, other) == merge_claims(other, one)
+    assert merge_claims(one, merge_claims(other, third)) == merge_claims(merge_claims(one, other), third)
+    assert merge_claims(one, one) == one
+    assert merge_claims(one, other) in (one, other)
 
 
 @given(claims, claims)
 def test_where_one_number_says_two_things_the_stricter_stands_and_it_is_told(one, other):
     if one.number == other.number and one.phase != other.phase:
-        assert merged(one, other).phase == max(one.phase, other.phase)
+        assert merge_claims(one, other).phase == max(one.phase, other.phase)
         assert contradicts(one, other)
 
 
@@ -121,7 +128,7 @@
             ask=strategies.integers(1, 3),
             number=strategies.integers(1, 6),
             slot=strategies.integers(0, 3),
-            phase=strategies.sampled_from(Phase),
+            phase=strategies.sampled_from(ClaimPhase),
             digest=strategies.sampled_from(["", "aa", "bb"]),
             answer=strategies.sampled_from([None, "QQ=="]),
         ),
@@ -131,7 +138,7 @@
 
 
 def shelf_of(items):
-    shelf = Shelf(RULES, Placement(FLEET, 3, 1).of)
+    shelf = ClaimStore(RULES, ReplicaPlacement(FLEET, 3, 1).of)
     for key, claim in items:
         shelf.put(0.0, key, shelf.entry(0.0, key), claim, 5_000.0)
     return shelf
@@ -146,7 +153,7 @@
     assert {key: entry.claims for key, entry in one.calls.items()} == {
         key: entry.claims for key, entry in other.calls.items()
     }
-    for name in Placement(FLEET, 3, 1).keepers:
+    for name in ReplicaPlacement(FLEET, 3, 1).keepers:
         assert one.slots(1_000.0, name) == other.slots(1_000.0, name)
         assert one.differs(name, other.slots(1_000.0, name)) == []
 
@@ -162,35 +169,49 @@
 
 
 def test_a_difference_is_found_by_owner_and_slot():
-    one = shelf_of([("k1", Claim("n1#1", 1, 1, 4, Phase.TAKEN)), ("k2", Claim("n2#1", 1, 1, 4, Phase.TAKEN))])
-    other = shelf_of([("k1", Claim("n1#1", 1, 1, 4, Phase.TAKEN))])
-    name = Placement(FLEET, 3, 1).keepers[0]
-    assert other.differs(name, one.slots(1_000.0, name)) == [m.Wanted("n2#1", 4, 5)]
+    one = shelf_of(
+        [("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.TAKEN)), ("k2", Claim("n2#1", 1, 1, 4, ClaimPhase.TAKEN))]
+    )
+    other = shelf_of([("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.TAKEN))])
+    name = ReplicaPlacement(FLEET, 3, 1).keepers[0]
+    assert other.differs(name, one.slots(1_000.0, name)) == [m.BucketRange("n2#1", 4, 5)]
 
 
 # --- reading ------------------------------------------------------------------------------------
 
 
 def claim(owner, phase, digest=""):
-    return Claim(owner, 1, 2, 0, phase, digest, "QQ==" if phase is Phase.ANSWERED else None)
+    return Claim(owner, 1, 2, 0, phase, digest, "QQ==" if phase is ClaimPhase.ANSWERED else None)
 
 
 @pytest.mark.parametrize(
     ("claims", "alive", "standing"),
     [
-        ([], set(), Standing.FREE),
-        ([claim("a#1", Phase.CLEAR)], {"a#1"}, Standing.FREE),
-        ([claim("a#1", Phase.TAKEN)], {"a#1"}, Standing.UNDER_WAY),
-        ([claim("a#1", Phase.TAKEN)], {"a#2"}, Standing.LOST),  # a new life is a new owner
-        ([claim("a#1", Phase.FAILED)], {"a#1"}, Standing.LOST),
-        ([claim("a#1", Phase.TAKEN), claim("b#1", Phase.ANSWERED, "x")], {"a#1"}, Standing.ANSWERED),
-        ([claim("a#1", Phase.ANSWERED, "x"), claim("b#1", Phase.ANSWERED, "x")], set(), Standing.ANSWERED),
-        ([claim("a#1", Phase.ANSWERED, "x"), claim("b#1", Phase.ANSWERED, "y")], set(), Standing.CONFLICT),
+        ([], set(), CallState.FREE),
+        ([claim("a#1", ClaimPhase.CLEAR)], {"a#1"}, CallState.FREE),
+        ([claim("a#1", ClaimPhase.TAKEN)], {"a#1"}, CallState.UNDER_WAY),
+        ([claim("a#1", ClaimPhase.TAKEN)], {"a#2"}, CallState.LOST),  # a new life is a new owner
+        ([claim("a#1", ClaimPhase.FAILED)], {"a#1"}, CallState.LOST),
+        (
+            [claim("a#1", ClaimPhase.TAKEN), claim("b#1", ClaimPhase.ANSWERED, "x")],
+            {"a#1"},
+            CallState.ANSWERED,
+        ),
+        (
+            [claim("a#1", ClaimPhase.ANSWERED, "x"), claim("b#1", ClaimPhase.ANSWERED, "x")],
+            set(),
+            CallState.ANSWERED,
+        ),
+        (
+            [claim("a#1", ClaimPhase.ANSWERED, "x"), claim("b#1", ClaimPhase.ANSWERED, "y")],
+            set(),
+            CallState.CONFLICT,
+        ),
     ],
 )
 def test_claims_read_as_the_strictest_that_holds(claims, alive, standing):
     for order in itertools.permutations(claims):
-        assert reading(list(order), alive).standing is standing
+        assert summarize_claims(list(order), alive).standing is standing
 
 
 # --- the files that come with the project -------------------------------------------------------
@@ -200,8 +221,10 @@
     folder = Path(__file__).parent.parent / "deploy"
     assert policy_settings((folder / "policy-settings.json").read_bytes()).timing == Timing()
     zones = zone_settings((folder / "zones.json").read_bytes())
-    state = s.settings_from((folder / "state.json").read_bytes())
+    state = s.parse_settings((folder / "state.json").read_bytes())
     assert zones.members == state.members == "members.json"
     members = members_from((folder / "members.json").read_bytes())
     s.check_members(members, state)
-    assert len(members.voters) == 3 and Placement(members, state.zones, state.per_zone).enough("k") == 2
+    assert (
+        len(members.voters) == 3 and ReplicaPlacement(members, state.zones, state.per_zone).enough("k") == 2
+    )
--- a/tests/test_replication_faults.py
+++ b/tests/test_replication_faults.py
@@ -7,17 +7,17 @@
 
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claimant import Go
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.core import Core, LineFault
-from fawnwharf.replication.disk import KeeperDisk
+from fawnwharf.replication.claimant import RunCall
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import LineError, ReplicationCore
+from fawnwharf.replication.disk import GrantLog
 from fawnwharf.testbed.promises import STORM, Walk, Weather
 
 # --- a keeper's disk ----------------------------------------------------------------------------
 
 
 def disk_in(folder, boot="b1", now=0.0, name="n1", life=10_000.0):
-    return KeeperDisk(folder, "f", name, now, life, boot)
+    return GrantLog(folder, "f", name, now, life, boot)
 
 
 def written(folder, count=3, **more):
@@ -25,7 +25,7 @@
     disk = disk_in(folder, **more)
     disk.begin(0.0, 1, [])
     for n in range(count):
-        disk.write(float(n), [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, Phase.TAKEN), 9_000.0 + n)], 0)
+        disk.write(float(n), [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.TAKEN), 9_000.0 + n)], 0)
     disk.close()
     return max(folder.glob("keeper-*.log"), key=lambda path: int(path.stem[7:]))
 
@@ -78,7 +78,9 @@
     disk = disk_in(tmp_path, life=100.0)
     disk.begin(0.0, 1, [])
     for n in range(60):
-        disk.write(10.0 * n, [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, Phase.TAKEN), 10.0 * n + 100.0)], 1)
+        disk.write(
+            10.0 * n, [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.TAKEN), 10.0 * n + 100.0)], 1
+        )
         assert len(list(tmp_path.glob("keeper-*.log"))) <= 2
     disk.close()
     found = reread(tmp_path, life=100.0, now=600.0)
@@ -107,7 +109,7 @@
     write = os.write
     monkeypatch.setattr(os, "write", lambda file, data: write(file, data[:10]))
     with pytest.raises(DiskError, match="no room"):
-        disk.write(0.0, [("k", Claim("n9#1", 1, 1, 0, Phase.TAKEN), 9.0)], 0)
+        disk.write(0.0, [("k", Claim("n9#1", 1, 1, 0, ClaimPhase.TAKEN), 9.0)], 0)
     disk.close()
     monkeypatch.undo()
     assert reread(tmp_path).kept == []
@@ -140,7 +142,7 @@
     keeper = cores.keepers[0]
     sender = "n1" if keeper != "n1" else cores.keepers[1]
     line = {"fleet": "f", "sender": "n1", "life": 1, "to": [keeper], "say": say}
-    with pytest.raises(LineFault):
+    with pytest.raises(LineError):
         cores.cores[keeper].line(cores.now, sender, line)
     assert cores.cores[keeper].keeper.shelf.calls == {}
 
@@ -171,7 +173,7 @@
     assert shelf.counts == {"a piece out of place": 1, "want of no keeper": 1, "digests of no keeper": 1}
     assert core.claimant.counts == {"a word on nothing": 1} and shelf.calls == {}
     cores.begin(a)
-    assert [effect for effect in cores.what(a)] == [Go("k", True)]
+    assert [effect for effect in cores.what(a)] == [RunCall("k", True)]
 
 
 def test_a_snapshot_that_does_not_fit_its_digest_is_wanted_again():
@@ -179,7 +181,7 @@
     a, b, c = cores.keepers
     cores.begin(cores.owners[0])
     cores.restart(a)
-    cores.hold = lambda sender, to, say: isinstance(say, m.Piece) and sender == b
+    cores.hold = lambda sender, to, say: isinstance(say, m.StateChunk) and sender == b
     cores.wait(800)
     [(sender, to, line), *_] = cores.held
     line["say"]["digest"] = "0" * 16
@@ -201,7 +203,7 @@
     assert outcome.runs > 20
 
 
-class Forgets(Core):
+class Forgets(ReplicationCore):
     """Planted: a keeper that starts again trusts its empty memory."""
 
     def __init__(self, *more):
@@ -210,7 +212,7 @@
             self.keeper._sure = True
 
 
-class OneIsEnough(Core):
+class OneIsEnough(ReplicationCore):
     """Planted: one grant makes a promise."""
 
     def __init__(self, *more):
@@ -220,13 +222,13 @@
         def one(now_ms, mine):
             if any(word.granted for word in mine.words.values()):
                 mine.state = "going"
-                return [Go(mine.key, True)]
+                return [RunCall(mine.key, True)]
             return weigh(now_ms, mine)
 
         self.claimant._weigh = one
 
 
-class MovesBlind(Core):
+class MovesBlind(ReplicationCore):
     """Planted: another list of members is gone by at once."""
 
     def take_members(self, now_ms, members):
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -8,35 +8,35 @@
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.beliefs import Rests, Sightings, Sights
-from fawnwharf.replication.resting import Resting, closer
-from fawnwharf.replication.use import FLOOR, Shares, Uses, share
+from fawnwharf.replication.beliefs import FailureReportStore, FailureTracker, OutlierEjections
+from fawnwharf.replication.resting import OutlierEjector, excluding
+from fawnwharf.replication.use import MIN_SHARE_PART, QuotaShares, UsageTable, quota_share
 
 # --- use ----------------------------------------------------------------------------------------
 
 
 def test_counters_of_an_owner_count_once_however_often_and_in_whatever_order_they_come():
-    told = [m.Use(n, {"a": 10 * n}) for n in range(1, 8)]
-    plain, mixed = Uses(), Uses()
+    told = [m.UsageCounters(n, {"a": 10 * n}) for n in range(1, 8)]
+    plain, mixed = UsageTable(), UsageTable()
     for n, use in enumerate(told):
         plain.heard(500.0 * n, "n1#1", use)
         mixed.heard(500.0 * n, "n1#1", use)
         mixed.heard(500.0 * n, "n1#1", told[max(0, n - 2)])
         mixed.heard(500.0 * n, "n1#1", use)
-    assert plain.sums(3_100.0) == mixed.sums(3_100.0) == m.Sums({"a": 20.0}, 1)
+    assert plain.sums(3_100.0) == mixed.sums(3_100.0) == m.UsageRates({"a": 20.0}, 1)
     assert mixed.dropped["an older use"] == 14
-    mixed.heard(3_200.0, "n1#1", m.Use(9, {"a": 3}))
+    mixed.heard(3_200.0, "n1#1", m.UsageCounters(9, {"a": 3}))
     assert mixed.dropped["a count that goes down"] == 1
-    assert mixed.sums(3_200.0) == m.Sums({"a": 20.0}, 1)
-    assert mixed.sums(9_000.0) == m.Sums({}, 0)  # it is gone, and so is its rate
+    assert mixed.sums(3_200.0) == m.UsageRates({"a": 20.0}, 1)
+    assert mixed.sums(9_000.0) == m.UsageRates({}, 0)  # it is gone, and so is its rate
 
 
 def test_a_new_life_is_counted_by_itself():
-    uses = Uses()
+    uses = UsageTable()
     for n in range(5):
-        uses.heard(500.0 * n, "n1#1", m.Use(n + 1, {"a": 50 * n}))
-    uses.heard(2_500.0, "n1#2", m.Use(1, {"a": 0}))
-    assert uses.sums(2_600.0) == m.Sums({"a": 100.0}, 1)
+        uses.heard(500.0 * n, "n1#1", m.UsageCounters(n + 1, {"a": 50 * n}))
+    uses.heard(2_500.0, "n1#2", m.UsageCounters(1, {"a": 0}))
+    assert uses.sums(2_600.0) == m.UsageRates({"a": 100.0}, 1)
 
 
 rates = strategies.lists(strategies.floats(0.0, 500.0), min_size=1, max_size=12)
@@ -45,25 +45,27 @@
 @given(rates, strategies.floats(1.0, 2_000.0))
 def test_shares_of_those_that_know_the_same_come_to_the_quota(asked, quota):
     total, fronts = sum(asked), len(asked)
-    shares = [share(quota, fronts, mine, total, fronts) for mine in asked]
-    floors = sum(FLOOR * quota / fronts >= got - 1e-9 for got in shares) * FLOOR * quota / fronts
+    shares = [quota_share(quota, fronts, mine, total, fronts) for mine in asked]
+    floors = (
+        sum(MIN_SHARE_PART * quota / fronts >= got - 1e-9 for got in shares) * MIN_SHARE_PART * quota / fronts
+    )
     assert sum(shares) <= quota + floors + 1e-6
     if total <= quota:  # nobody is short
         assert all(got >= mine - 1e-6 for got, mine in zip(shares, asked, strict=True))
         assert sum(shares) >= quota - 1e-6
-    assert min(shares) >= FLOOR * quota / fronts - 1e-9
+    assert min(shares) >= MIN_SHARE_PART * quota / fronts - 1e-9
 
 
 def test_who_hears_few_takes_an_equal_part_and_who_hears_most_holds_the_others_gone():
-    assert share(120.0, 6, 50.0, 60.0, 3) == 20.0
-    assert share(120.0, 6, 30.0, 120.0, 4) == 30.0
-    assert share(120.0, 6, 60.0, 240.0, 4) == 30.0
+    assert quota_share(120.0, 6, 50.0, 60.0, 3) == 20.0
+    assert quota_share(120.0, 6, 30.0, 120.0, 4) == 30.0
+    assert quota_share(120.0, 6, 60.0, 240.0, 4) == 30.0
 
 
 def test_shares_follow_what_comes_and_fall_back_when_keepers_are_silent():
     cores = Cores()
     for core in cores.cores.values():
-        core.shares = Shares({"a": 120.0}, 6)
+        core.shares = QuotaShares({"a": 120.0}, 6)
     busy = cores.owners[0]
     for n in range(12):
         for name, core in cores.cores.items():
@@ -96,7 +98,7 @@
         (Ending.NOT_SENT, 0.0, told, False, False),
     ]
     for ending, took, warmth, once, twice in table:
-        sights = Sights()
+        sights = FailureTracker()
         sights.ended(0.0, 7, ending, took, 400.0, warmth)
         assert sights.named(10.0).bad == ({"7": 1} if once else {}), ending
         sights.ended(15.0, 7, ending, took, 400.0, warmth)
@@ -111,40 +113,40 @@
 
 
 def test_a_scorer_is_hinted_at_when_enough_front_ends_name_it_and_one_alone_moves_nothing():
-    sightings = Sightings()
+    sightings = FailureReportStore()
     for n in range(1, 4):
-        assert sightings.hints(0.0, 18) == m.Hints({})
-        sightings.heard(0.0, f"n{n}#1", m.Named(2, {"7": 9}))
-        sightings.heard(0.0, f"n{n}#1", m.Named(1, {"8": 9}))  # an older one
-    assert sightings.hints(0.0, 18) == m.Hints({"7": 3})
-    sightings.heard(500.0, "n1#1", m.Named(3, {}))
-    assert sightings.hints(500.0, 18) == m.Hints({})
-    assert sightings.hints(500.0, 6) == m.Hints({"7": 2})
-    sightings.heard(600.0, "n2#2", m.Named(1, {"7": 1}))  # a new life is no second witness
-    assert sightings.hints(600.0, 18) == m.Hints({})
-    assert sightings.hints(2_000.0, 2) == m.Hints({})
+        assert sightings.hints(0.0, 18) == m.ReportedOutliers({})
+        sightings.heard(0.0, f"n{n}#1", m.FailureReport(2, {"7": 9}))
+        sightings.heard(0.0, f"n{n}#1", m.FailureReport(1, {"8": 9}))  # an older one
+    assert sightings.hints(0.0, 18) == m.ReportedOutliers({"7": 3})
+    sightings.heard(500.0, "n1#1", m.FailureReport(3, {}))
+    assert sightings.hints(500.0, 18) == m.ReportedOutliers({})
+    assert sightings.hints(500.0, 6) == m.ReportedOutliers({"7": 2})
+    sightings.heard(600.0, "n2#2", m.FailureReport(1, {"7": 1}))  # a new life is no second witness
+    assert sightings.hints(600.0, 18) == m.ReportedOutliers({})
+    assert sightings.hints(2_000.0, 2) == m.ReportedOutliers({})
 
 
 def test_a_hinted_scorer_rests_for_longer_each_time_and_never_more_than_a_part_of_a_zone():
     zones = {n: "a" if n < 8 else "b" for n in range(16)}
-    counts, rests, sights = {"a": 8, "b": 8}, Rests(), Sights()
-    hint = m.Hints({"1": 3})
+    counts, rests, sights = {"a": 8, "b": 8}, OutlierEjections(), FailureTracker()
+    hint = m.ReportedOutliers({"1": 3})
     rests.heard(0.0, hint, sights, zones, counts)
     assert rests.resting(1_999.0) == {1} and rests.resting(2_000.0) == set()
     rests.heard(2_100.0, hint, sights, zones, counts)
     assert rests.resting(6_000.0) == {1} and rests.resting(6_200.0) == set()
     rests.heard(20_000.0, hint, sights, zones, counts)  # long after: it begins anew
     assert rests.resting(21_900.0) == {1} and rests.resting(22_100.0) == set()
-    rests.heard(40_000.0, m.Hints({str(n): 9 for n in (1, 2, 3, 4, 9, 99)}), sights, zones, counts)
+    rests.heard(40_000.0, m.ReportedOutliers({str(n): 9 for n in (1, 2, 3, 4, 9, 99)}), sights, zones, counts)
     assert rests.resting(40_100.0) == {1, 2, 9} and rests.refused == 2
 
 
 def test_who_has_a_good_sign_of_its_own_goes_by_that():
-    rests, sights = Rests(), Sights()
+    rests, sights = OutlierEjections(), FailureTracker()
     sights.ended(1_000.0, 1, Ending.GOOD, 10.0, 400.0)
-    rests.heard(1_500.0, m.Hints({"1": 9}), sights, {1: "a"}, {"a": 8})
+    rests.heard(1_500.0, m.ReportedOutliers({"1": 9}), sights, {1: "a"}, {"a": 8})
     assert rests.resting(1_500.0) == set()
-    rests.heard(1_700.0, m.Hints({"1": 9}), sights, {1: "a"}, {"a": 8})
+    rests.heard(1_700.0, m.ReportedOutliers({"1": 9}), sights, {1: "a"}, {"a": 8})
     assert rests.resting(1_700.0) == {1}
 
 
@@ -156,24 +158,24 @@
     overlay = Overlay()
     told = overlay.told(Fleet([entry("s1"), entry("s2"), entry("s3", phase="terminating")], True, 1))
     assert [member.phase for member in told.members] == ["in_service", "in_service", "terminating"]
-    changes = overlay.close("state", closer(frozenset({"s1", "s3"})))
+    changes = overlay.close("state", excluding(frozenset({"s1", "s3"})))
     phases = {member.id: member.phase for member in changes.members}
     assert phases == {"s1": "terminating"}  # of s3 there is nothing new to tell
     told = overlay.told(Fleet([entry("s1"), entry("s3", phase="terminating")], False, 2))
     assert [member.phase for member in told.members] == ["terminating", "terminating"]
     overlay.told(Fleet([entry("s2", phase="terminating")], False, 3))
-    changes = overlay.close("state", closer(frozenset()))
+    changes = overlay.close("state", excluding(frozenset()))
     phases = {member.id: member.phase for member in changes.members}
     assert phases == {"s1": "in_service"}
 
 
 def hint(*ids):
-    return m.Hints({str(worker_number(id)): 9 for id in ids})
+    return m.ReportedOutliers({str(worker_number(id)): 9 for id in ids})
 
 
 def test_a_hint_is_gone_by_for_its_time_and_told_once():
     overlay, notes = Overlay(), []
-    resting = Resting(400.0, lambda event, fields: notes.append(fields))
+    resting = OutlierEjector(400.0, lambda event, fields: notes.append(fields))
     overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
     steps = [
         (1_000.0, [], {}),
@@ -191,7 +193,7 @@
 
 
 def test_what_others_close_neither_rests_nor_counts_among_those_that_may():
-    overlay, resting = Overlay(), Resting(400.0, lambda event, fields: None)
+    overlay, resting = Overlay(), OutlierEjector(400.0, lambda event, fields: None)
     overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
     overlay.close("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
     changes = resting.look(1_000.0, [hint("s0", "s1", "s2")], overlay)
