--- a/fawnwharf/recovery_service/promises.py
+++ b/fawnwharf/recovery_service/promises.py
@@ -16,7 +16,7 @@
 
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Kind, Trust
-from fawnwharf.replication.claimant import OwnerAction, RunCall
+from fawnwharf.replication.call_owner import OwnerAction, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.messages import Send, StateChunk
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -12,7 +12,7 @@
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.beliefs import FailureReportStore, FailureTracker
-from fawnwharf.replication.claimant import CallOwner, OwnerAction
+from fawnwharf.replication.call_owner import CallOwner, OwnerAction
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.elsewhere import LoadReporter
 from fawnwharf.replication.keeper import Replica
--- a/fawnwharf/replication/gate.py
+++ b/fawnwharf/replication/gate.py
@@ -17,7 +17,7 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.replication.claimant import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
+from fawnwharf.replication.call_owner import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.settings import ClaimMode, ReplicationSettings
--- a/fawnwharf/replication/onfile.py
+++ b/fawnwharf/replication/onfile.py
@@ -8,7 +8,7 @@
 
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.replication.claimant import OwnerAction, RejectCall, RunCall
+from fawnwharf.replication.call_owner import OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.disk import INCOMPLETE, GrantLog, boot_id
 from fawnwharf.replication.messages import ClaimReply, Send
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -13,7 +13,7 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claimant import OwnerAction
+from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.core import LineError, ReplicationCore
 from fawnwharf.replication.gate import ClaimGate
 from fawnwharf.replication.links import DirectedLog, DirectedLogServer
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -8,7 +8,7 @@
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.streams import Attempt, Order
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.replication.claimant import OwnerAction
+from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.elsewhere import LoadReporter
 
--- a/fawnwharf/testbed/promises.py
+++ b/fawnwharf/testbed/promises.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from fawnwharf.interface import Effect
-from fawnwharf.replication.claimant import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
+from fawnwharf.replication.call_owner import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.messages import Send
--- a/tests/test_disk_faults_keeper.py
+++ b/tests/test_disk_faults_keeper.py
@@ -12,7 +12,7 @@
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import onfile
-from fawnwharf.replication.claimant import RejectCall, RunCall
+from fawnwharf.replication.call_owner import RejectCall, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.disk import GrantLog
 from fawnwharf.replication.onfile import GrantLogStorage
--- a/tests/test_handover_core_hard.py
+++ b/tests/test_handover_core_hard.py
@@ -15,7 +15,7 @@
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.walk import CALM, RULES, Walk
 from fawnwharf.migration.windows import Windows
-from fawnwharf.replication.claimant import RunCall
+from fawnwharf.replication.call_owner import RunCall
 from fawnwharf.session_types import Home, Move, Session
 
 
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -10,7 +10,7 @@
 from fawnwharf.interface import Effect
 from fawnwharf.recovery_core.trust import Store
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claimant import FailCall, RejectCall, RunCall
+from fawnwharf.replication.call_owner import FailCall, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -8,7 +8,7 @@
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claimant import AnswerCall, FailCall, RejectCall, RunCall
+from fawnwharf.replication.call_owner import AnswerCall, FailCall, RejectCall, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.testbed.promises import fleet_file
 
--- a/tests/test_replication_faults.py
+++ b/tests/test_replication_faults.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claimant import RunCall
+from fawnwharf.replication.call_owner import RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import LineError, ReplicationCore
 from fawnwharf.replication.disk import GrantLog
