--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -20,9 +20,9 @@
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Stood, Ticket
+from fawnwharf.replication.claim_gate import ClaimGate, call_key
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.gate import ClaimGate, call_key
 
 HELD_MOST, HELD_BYTES_MOST = 4_096, 8 * 1024 * 1024
 HOLD_PART, LEAD_MS = 0.6, 100.0  # of a promise; and so long before the client gives up, at the least
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -14,8 +14,8 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.call_owner import OwnerAction
+from fawnwharf.replication.claim_gate import ClaimGate
 from fawnwharf.replication.core import LineError, ReplicationCore
-from fawnwharf.replication.gate import ClaimGate
 from fawnwharf.replication.links import DirectedLog, DirectedLogServer
 from fawnwharf.replication.messages import Hello, Send
 from fawnwharf.replication.onfile import GrantLogStorage, GrantStorage, GrantStorageFactory
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,9 +9,9 @@
 from fawnwharf.net.requests import Call, Failed, Refused, Served
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
+from fawnwharf.replication.claim_gate import LEAD_MS, WAIT_LEAD_MS, ClaimGate, call_key
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.gate import LEAD_MS, WAIT_LEAD_MS, ClaimGate, call_key
 from fawnwharf.testbed.promises import fleet_file
 
 CLASSES = {
@@ -203,7 +203,7 @@
 
 
 def test_too_many_waiting_calls_are_refused_at_once(monkeypatch):
-    monkeypatch.setattr("fawnwharf.replication.gate.HELD_MOST", 2)
+    monkeypatch.setattr("fawnwharf.replication.claim_gate.HELD_MOST", 2)
     ground = Ground("abcabc")
     got = [ground.ask(id=n)[1] for n in range(1, 5)]
     assert got == [[], [], [Refused(250.0)], [Refused(250.0)]]
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -17,9 +17,9 @@
 from fawnwharf.recovery_service.holds import Holds
 from fawnwharf.recovery_service.outs import Stood, Ticket
 from fawnwharf.replication import settings as s
+from fawnwharf.replication.claim_gate import ClaimGate, call_key
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.gate import ClaimGate, call_key
 from fawnwharf.testbed.promises import fleet_file
 
 
