--- a/fawnwharf/recovery_service/promises.py
+++ b/fawnwharf/recovery_service/promises.py
@@ -19,8 +19,8 @@
 from fawnwharf.replication.call_owner import OwnerAction, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.grant_storage import without_grant
 from fawnwharf.replication.messages import Send, StateChunk
-from fawnwharf.replication.onfile import without_grant
 
 SWEEP_MS = 1_000.0  # pace at which entries go whose time is over
 LONG_AGO_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -16,9 +16,9 @@
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.claim_gate import ClaimGate
 from fawnwharf.replication.core import LineError, ReplicationCore
+from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
 from fawnwharf.replication.links import DirectedLog, DirectedLogServer
 from fawnwharf.replication.messages import Hello, Send
-from fawnwharf.replication.onfile import GrantLogStorage, GrantStorage, GrantStorageFactory
 from fawnwharf.replication.resting import OutlierEjector
 from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
 from fawnwharf.replication.use import QuotaShares
--- a/tests/test_disk_faults_keeper.py
+++ b/tests/test_disk_faults_keeper.py
@@ -10,12 +10,12 @@
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
 from fawnwharf.consensus.disk import DiskError
+from fawnwharf.replication import grant_storage
 from fawnwharf.replication import messages as m
-from fawnwharf.replication import onfile
 from fawnwharf.replication.call_owner import RejectCall, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.disk import GrantLog
-from fawnwharf.replication.onfile import GrantLogStorage
+from fawnwharf.replication.grant_storage import GrantLogStorage
 
 LIFE_MS = 60.0  # a new file follows after so long
 WRITES = 20
@@ -123,8 +123,8 @@
     cores, notes = Cores(), []
     name = cores.keepers[0]
     faults = FileFaults(tmp_path / "state")
-    monkeypatch.setattr(onfile, "monotonic_ms", lambda: cores.now)
-    monkeypatch.setattr(onfile, "boot_id", lambda: "boot")
+    monkeypatch.setattr(grant_storage, "monotonic_ms", lambda: cores.now)
+    monkeypatch.setattr(grant_storage, "boot_id", lambda: "boot")
 
     def start():
         return GrantLogStorage(
