--- a/fawnwharf/replication/grant_storage.py
+++ b/fawnwharf/replication/grant_storage.py
@@ -10,7 +10,7 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.disk import INCOMPLETE, GrantLog, boot_id
+from fawnwharf.replication.grant_log import INCOMPLETE, GrantLog, boot_id
 from fawnwharf.replication.messages import ClaimReply, Send
 
 DISK_PUSHBACK_MS = 250.0
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -18,7 +18,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.disk import BOOT_ID
+from fawnwharf.replication.grant_log import BOOT_ID
 from fawnwharf.replication.grant_storage import GrantLogStorage
 from fawnwharf.replication.settings import ReplicationSettings
 from fawnwharf.testbed.promises import fleet_file
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -26,7 +26,7 @@
 from fawnwharf.recovery_service import given_words, hints, kept
 from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import claims
-from fawnwharf.replication import disk as keeper_disk
+from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -24,7 +24,7 @@
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import Register, document_from
 from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.replication.disk import GrantLog
+from fawnwharf.replication.grant_log import GrantLog
 from fawnwharf.zones.founding import found
 
 KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -15,7 +15,7 @@
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import document_from, register_from
 from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.replication.disk import GrantLog
+from fawnwharf.replication.grant_log import GrantLog
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
 BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -34,7 +34,7 @@
 from fawnwharf.recovery_service import joined, kept
 from fawnwharf.recovery_service import settings as recovery_settings
 from fawnwharf.recovery_service import words as recovery_words
-from fawnwharf.replication import disk as keeper_disk
+from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
 from fawnwharf.replication.claims import Claim, ClaimPhase
--- a/tests/test_disk_faults_keeper.py
+++ b/tests/test_disk_faults_keeper.py
@@ -14,7 +14,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.call_owner import RejectCall, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.replication.disk import GrantLog
+from fawnwharf.replication.grant_log import GrantLog
 from fawnwharf.replication.grant_storage import GrantLogStorage
 
 LIFE_MS = 60.0  # a new file follows after so long
--- a/tests/test_replication_faults.py
+++ b/tests/test_replication_faults.py
@@ -10,7 +10,7 @@
 from fawnwharf.replication.call_owner import RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import LineError, ReplicationCore
-from fawnwharf.replication.disk import GrantLog
+from fawnwharf.replication.grant_log import GrantLog
 from fawnwharf.testbed.promises import STORM, Walk, Weather
 
 # --- a keeper's disk ----------------------------------------------------------------------------
