--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -15,9 +15,9 @@
 from fawnwharf.replication.call_owner import CallOwner, OwnerAction
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.elsewhere import LoadReporter
-from fawnwharf.replication.keeper import Replica
 from fawnwharf.replication.others import LoadReportStore, RemoteLoads
 from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
+from fawnwharf.replication.replica import Replica
 from fawnwharf.replication.settings import ReplicationSettings
 from fawnwharf.replication.use import QuotaShares, UsageTable
 from fawnwharf.zones.settings import Members
