--- a/fawnwharf/replication/catchup.py
+++ b/fawnwharf/replication/catchup.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from fawnwharf.replication import messages as m
+from fawnwharf.replication.claim_store import ClaimStore, claim_digest, format_digest
 from fawnwharf.replication.settings import ReplicationSettings
-from fawnwharf.replication.shelf import ClaimStore, claim_digest, format_digest
 
 AGAIN_MS = 700.0  # before what was wanted is wanted again
 WANTS_AT_ONCE = 2  # catch-ups that are told out at the same time
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -12,6 +12,7 @@
 from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
+from fawnwharf.replication.claim_store import ClaimStore
 from fawnwharf.replication.claims import (
     CallState,
     Claim,
@@ -21,7 +22,6 @@
     summarize_claims,
 )
 from fawnwharf.replication.placement import ReplicaPlacement
-from fawnwharf.replication.shelf import ClaimStore
 from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.zones.settings import FileFault, members_from
 from fawnwharf.zones.settings import settings_from as zone_settings
