--- a/fawnwharf/replication/replica.py
+++ b/fawnwharf/replication/replica.py
@@ -7,11 +7,11 @@
 """
 
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.catchup import StateTransfer
 from fawnwharf.replication.claim_store import CallEntry, ClaimStore
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.placement import ReplicaPlacement
 from fawnwharf.replication.settings import ReplicationSettings
+from fawnwharf.replication.state_transfer import StateTransfer
 
 FORGET_MS = 250.0  # pace of the look after what is over
 CLAIMS_MOST = 16  # of one call, in one word
