--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -14,7 +14,7 @@
 from fawnwharf.replication.beliefs import FailureReportStore, FailureTracker
 from fawnwharf.replication.call_owner import CallOwner, OwnerAction
 from fawnwharf.replication.claims import ClaimPhase
-from fawnwharf.replication.elsewhere import LoadReporter
+from fawnwharf.replication.load_report import LoadReporter
 from fawnwharf.replication.others import LoadReportStore, RemoteLoads
 from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
 from fawnwharf.replication.replica import Replica
--- a/fawnwharf/replication/others.py
+++ b/fawnwharf/replication/others.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.elsewhere import AGAIN, LOAD_LONG_MS, Place
+from fawnwharf.replication.load_report import AGAIN, LOAD_LONG_MS, Place
 
 SCORERS_MOST, LOADS_MOST, NEWS_MOST = 64, 256, 256  # in an answer
 LIVES_MOST = 2  # of one front end
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -10,7 +10,7 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.elsewhere import LoadReporter
+from fawnwharf.replication.load_report import LoadReporter
 
 GATHER_MS = 4.0  # keepers answer at nearly the same moment: the module hears once
 
--- a/tests/support/load_reports.py
+++ b/tests/support/load_reports.py
@@ -2,7 +2,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.elsewhere import LoadReporter
+from fawnwharf.replication.load_report import LoadReporter
 
 
 def own(*cold, now=0.0, copies_ms=3_000.0):
