--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -15,8 +15,8 @@
 from fawnwharf.replication.call_owner import CallOwner, OwnerAction
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.load_report import LoadReporter
-from fawnwharf.replication.others import LoadReportStore, RemoteLoads
 from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
+from fawnwharf.replication.remote_loads import LoadReportStore, RemoteLoads
 from fawnwharf.replication.replica import Replica
 from fawnwharf.replication.settings import ReplicationSettings
 from fawnwharf.replication.use import QuotaShares, UsageTable
--- a/tests/test_elsewhere.py
+++ b/tests/test_elsewhere.py
@@ -9,7 +9,7 @@
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.load_report import COPIES_MOST, NEWS_MOST
-from fawnwharf.replication.others import PLACES_MOST, LoadReportStore, OwnerReport, RemoteLoads
+from fawnwharf.replication.remote_loads import PLACES_MOST, LoadReportStore, OwnerReport, RemoteLoads
 
 GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
 
--- a/tests/test_elsewhere_answers.py
+++ b/tests/test_elsewhere_answers.py
@@ -8,7 +8,7 @@
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.others import LoadReportStore, RemoteLoads, most_heard
+from fawnwharf.replication.remote_loads import LoadReportStore, RemoteLoads, most_heard
 from fawnwharf.zones.settings import FileFault
 
 GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
