--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -11,9 +11,9 @@
 from fawnwharf import interface as io
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.beliefs import FailureReportStore, FailureTracker
 from fawnwharf.replication.call_owner import CallOwner, OwnerAction
 from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker
 from fawnwharf.replication.load_report import LoadReporter
 from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
 from fawnwharf.replication.remote_loads import LoadReportStore, RemoteLoads
--- a/fawnwharf/replication/resting.py
+++ b/fawnwharf/replication/resting.py
@@ -11,7 +11,7 @@
 from fawnwharf.config import Fleet
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Closer, Overlay
-from fawnwharf.replication.beliefs import FailureTracker, OutlierEjections, counts_by
+from fawnwharf.replication.failure_reports import FailureTracker, OutlierEjections, counts_by
 from fawnwharf.replication.messages import ReportedOutliers
 
 CLOSER = "state"
