--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -19,7 +19,7 @@
 from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
 from fawnwharf.replication.links import DirectedLog, DirectedLogServer
 from fawnwharf.replication.messages import Hello, Send
-from fawnwharf.replication.resting import OutlierEjector
+from fawnwharf.replication.outlier_ejection import OutlierEjector
 from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
 from fawnwharf.replication.use import QuotaShares
 from fawnwharf.replication.working import LoadReporting
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -11,7 +11,7 @@
 from fawnwharf.interface import State
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Overlay
-from fawnwharf.replication import resting
+from fawnwharf.replication import outlier_ejection
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import roster
 
@@ -30,7 +30,7 @@
     if who == "zones":
         return roster.closer(laid, "a")
     if who == "state":
-        return resting.excluding(laid)
+        return outlier_ejection.excluding(laid)
     return laid and (lambda member: laid(member.id))
 
 
