--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -18,11 +18,11 @@
 from fawnwharf.replication.core import LineError, ReplicationCore
 from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
 from fawnwharf.replication.links import DirectedLog, DirectedLogServer
+from fawnwharf.replication.load_reporting import LoadReporting
 from fawnwharf.replication.messages import Hello, Send
 from fawnwharf.replication.outlier_ejection import OutlierEjector
 from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
 from fawnwharf.replication.use import QuotaShares
-from fawnwharf.replication.working import LoadReporting
 from fawnwharf.zones.files import load
 from fawnwharf.zones.settings import FileFault, Members, members_from
 
