--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -19,7 +19,7 @@
 from fawnwharf.replication.remote_loads import LoadReportStore, RemoteLoads
 from fawnwharf.replication.replica import Replica
 from fawnwharf.replication.settings import ReplicationSettings
-from fawnwharf.replication.use import QuotaShares, UsageTable
+from fawnwharf.replication.usage import QuotaShares, UsageTable
 from fawnwharf.zones.settings import Members
 
 TICK_MS = 100.0
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -22,7 +22,7 @@
 from fawnwharf.replication.messages import Hello, Send
 from fawnwharf.replication.outlier_ejection import OutlierEjector
 from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
-from fawnwharf.replication.use import QuotaShares
+from fawnwharf.replication.usage import QuotaShares
 from fawnwharf.zones.files import load
 from fawnwharf.zones.settings import FileFault, Members, members_from
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -14,7 +14,7 @@
 from fawnwharf.policy_rollout.judged import handed_over
 from fawnwharf.policy_rollout.messages import InForce
 from fawnwharf.policy_rollout.trace import LINES_MOST, Trace
-from fawnwharf.replication.use import QuotaShares
+from fawnwharf.replication.usage import QuotaShares
 from fawnwharf.zones.settings import FileFault
 
 
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -10,7 +10,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker, OutlierEjections
 from fawnwharf.replication.outlier_ejection import OutlierEjector, excluding
-from fawnwharf.replication.use import MIN_SHARE_PART, QuotaShares, UsageTable, quota_share
+from fawnwharf.replication.usage import MIN_SHARE_PART, QuotaShares, UsageTable, quota_share
 
 # --- use ----------------------------------------------------------------------------------------
 
