--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -16,8 +16,8 @@
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.claim_gate import ClaimGate
 from fawnwharf.replication.core import LineError, ReplicationCore
+from fawnwharf.replication.directed_log import DirectedLog, DirectedLogServer
 from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
-from fawnwharf.replication.links import DirectedLog, DirectedLogServer
 from fawnwharf.replication.load_reporting import LoadReporting
 from fawnwharf.replication.messages import Hello, Send
 from fawnwharf.replication.outlier_ejection import OutlierEjector
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -10,7 +10,7 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.links import DirectedLog, DirectedLogServer
+from fawnwharf.replication.directed_log import DirectedLog, DirectedLogServer
 from fawnwharf.replication.load_reporting import LoadReporting
 from fawnwharf.testbed.work import cold_use, counts, twice
 
