--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -26,7 +26,7 @@
 from fawnwharf.recovery_service import given_words, hints, kept
 from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import claims
-from fawnwharf.replication import disk as keeper_disk
+from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
@@ -114,7 +114,7 @@
     "recovery/claim": converted(claims.Claim),
     "recovery/scorers": converted(list[hints._Scorer]),
     "recovery/use": converted(list[hints._Use]),
-    "state/line": line(state.Line, state.line_from, "say"),
+    "state/line": line(state.LogLine, state.parse_line, "say"),
     "state/head": file(keeper_disk.Head),
     "state/batch": file(keeper_disk.Batch),
     "sessions/word": line(session_words.Word, session_words.word_from),
