--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -8,7 +8,7 @@
 from test_zone_members import Fleet
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.agent import Agent
+from fawnwharf.policy_rollout.rollout_member import Agent
 from fawnwharf.policy_rollout.settings import Said
 from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.policy_rollout.walk import KNOWN
