--- a/fawnwharf/policy_rollout/check.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -8,7 +8,7 @@
 Messages may come in any order, late, twice or never; holders' answers come at once, except for a number of
 them that are late.
 
-    python -m fawnwharf.policy_rollout.check [--states N]
+    python -m fawnwharf.policy_rollout.model_checker [--states N]
 """
 
 import argparse
--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/search.py
@@ -16,7 +16,7 @@
 
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.policy_rollout import check, scene
+from fawnwharf.policy_rollout import model_checker, scene
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
 from fawnwharf.recovery_core.promises import Promises, Rules
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PolicyBounds(check.Bounds):
+class PolicyBounds(model_checker.Bounds):
     """What may happen on one path, with power losses."""
 
     cuts: int = 1
@@ -124,7 +124,7 @@
     cuts: int = 0
 
 
-class PolicySearch(check.Search):
+class PolicySearch(model_checker.Search):
     """The same for coordinators and lease holders.
 
     The log is what it promises: what is proposed as power goes is lost, or found decided by the next leader.
@@ -157,7 +157,7 @@
         state.flying = [set() for _ in state.flying]
         state.steward_does(crown, state.stewards[crown].lead(state.fast, term, state.log))
         for place in range(len(state.holders)):
-            check._reborn(place, self)(state)
+            model_checker._reborn(place, self)(state)
 
 
 # --- all --------------------------------------------------------------------------------------
--- a/tests/test_epochs_search.py
+++ b/tests/test_epochs_search.py
@@ -6,9 +6,9 @@
 from msgspec.structs import replace
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.check import SEARCHES, Bounds, Search
 from fawnwharf.policy_rollout.document import register_from
 from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.model_checker import SEARCHES, Bounds, Search
 from fawnwharf.policy_rollout.steward import Steward
 from fawnwharf.policy_rollout.walk import Walk
 
