--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/search.py
@@ -16,7 +16,7 @@
 
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.policy_rollout import model_checker, scene
+from fawnwharf.policy_rollout import model_checker, scenario
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
 from fawnwharf.recovery_core.promises import Promises, Rules
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PolicyWorld(scene.World):
+class PolicyWorld(scenario.World):
     """A state of a policy rollout, with the power losses so far."""
 
     cuts: int = 0
@@ -141,19 +141,19 @@
             return
         for lost in (True, False) if world.pending else (True,):
             for crown in (0, 1):
-                state = scene.Scene(world, self)
+                state = scenario.Scene(world, self)
                 self._cut(state, crown, lost)
                 how = f"power is lost, {crown} leads next" + (
                     f", what was put is {'lost' if lost else 'decided'}" if world.pending else ""
                 )
                 yield how, state.frozen(cuts=world.cuts + 1)
 
-    def _cut(self, state: scene.Scene, crown: int, lost: bool) -> None:
+    def _cut(self, state: scenario.Scene, crown: int, lost: bool) -> None:
         term = max(s.term for s in state.stewards) + 1
         if state.pending and not lost:
             state.commit()
         state.pending, state.crown = "", crown
-        state.stewards = [self.steward(scene.TIMING, scene.NAMES) for _ in state.stewards]
+        state.stewards = [self.steward(scenario.TIMING, scenario.NAMES) for _ in state.stewards]
         state.flying = [set() for _ in state.flying]
         state.steward_does(crown, state.stewards[crown].lead(state.fast, term, state.log))
         for place in range(len(state.holders)):
