--- a/fawnwharf/policy_rollout/measure.py
+++ b/fawnwharf/policy_rollout/measure.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.policy_rollout.document import register_from
 from fawnwharf.policy_rollout.simulated import CALM, Node
-from fawnwharf.policy_rollout.walk import Walk
+from fawnwharf.policy_rollout.simulation import Walk
 
 SIZES = (12, 30, 200, 1_000)
 CASES = ("calm", "down", "dies", "cut")
--- a/fawnwharf/policy_rollout/walk.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -4,8 +4,8 @@
 and delayed; holders are cut off, killed, restarted, and paused without noticing; leaders change, with what
 they had proposed decided or lost; the list of members changes.
 
-    python -m fawnwharf.policy_rollout.walk [--steps N] [--seeds N]     broken or not
-    python -m fawnwharf.policy_rollout.walk --measure                   times and messages of a change, by
+    python -m fawnwharf.policy_rollout.simulation [--steps N] [--seeds N]     broken or not
+    python -m fawnwharf.policy_rollout.simulation --measure                   times and messages of a change, by
 fleet
 """
 
--- a/tests/test_epochs_flow.py
+++ b/tests/test_epochs_flow.py
@@ -7,8 +7,8 @@
 from fawnwharf.policy_rollout.holder import Easing, Holder
 from fawnwharf.policy_rollout.measure import change
 from fawnwharf.policy_rollout.simulated import CALM
+from fawnwharf.policy_rollout.simulation import KNOWN, Walk
 from fawnwharf.policy_rollout.steward import Steward, Timing
-from fawnwharf.policy_rollout.walk import KNOWN, Walk
 
 TIMING = Timing()
 OLD, NEW = (made(n, {("tenants", "t", "quota_rps"): rps}) for n, rps in ((1, 10.0), (2, 20.0)))
