--- a/fawnwharf/policy_rollout/measure.py
+++ b/fawnwharf/policy_rollout/measure.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from fawnwharf.policy_rollout.document import register_from
-from fawnwharf.policy_rollout.simulated import CALM, Node
 from fawnwharf.policy_rollout.simulation import Walk
+from fawnwharf.policy_rollout.simulation_types import CALM, Node
 
 SIZES = (12, 30, 200, 1_000)
 CASES = ("calm", "down", "dies", "cut")
