--- a/fawnwharf/policy_rollout/simulation.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -331,7 +331,7 @@
     parser.add_argument("--measure", action="store_true")
     given = parser.parse_args()
     if given.measure:
-        from fawnwharf.policy_rollout.measure import table
+        from fawnwharf.policy_rollout.rollout_measurement import table
 
         print(table())
         return 0
