--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -17,9 +17,9 @@
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Document, Known, check_against, document_of
-from fawnwharf.policy_rollout.follow import Follower, known_of
 from fawnwharf.policy_rollout.judged import Judged, handed_over, spec_of
 from fawnwharf.policy_rollout.outbox import Outbox
+from fawnwharf.policy_rollout.policy_applier import Follower, known_of
 from fawnwharf.policy_rollout.rollout_member import Agent
 from fawnwharf.policy_rollout.settings import Settings, said_from, settings_from
 from fawnwharf.policy_rollout.trace import Trace
