--- a/fawnwharf/policy_rollout/model_checker.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -20,7 +20,7 @@
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Register, register_from
-from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.lease_holder import Holder
 from fawnwharf.policy_rollout.scenario import KNOWN, NAMES, STEWARD_STATE, TIMING, Scene, World
 from fawnwharf.policy_rollout.steward import Steward
 
--- a/fawnwharf/policy_rollout/rollout_member.py
+++ b/fawnwharf/policy_rollout/rollout_member.py
@@ -18,7 +18,7 @@
 from fawnwharf.incarnations import Lives
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import DocumentError, Known, document_from, register_from
-from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.lease_holder import Holder
 from fawnwharf.policy_rollout.steward import Steward, Timing
 from fawnwharf.zones.lines import Seat
 
--- a/fawnwharf/policy_rollout/scenario.py
+++ b/fawnwharf/policy_rollout/scenario.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Document, Known, register_from
-from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.lease_holder import Holder
 from fawnwharf.policy_rollout.steward import Open, Steward, Timing
 
 NAMES = ("a", "b", "c")
--- a/fawnwharf/policy_rollout/simulation_types.py
+++ b/fawnwharf/policy_rollout/simulation_types.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.lease_holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
 
 
--- a/tests/test_epochs_flow.py
+++ b/tests/test_epochs_flow.py
@@ -4,7 +4,7 @@
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Known, Register, made, register_from
-from fawnwharf.policy_rollout.holder import Easing, Holder
+from fawnwharf.policy_rollout.lease_holder import Easing, Holder
 from fawnwharf.policy_rollout.rollout_measurement import change
 from fawnwharf.policy_rollout.simulation import KNOWN, Walk
 from fawnwharf.policy_rollout.simulation_types import CALM
--- a/tests/test_epochs_search.py
+++ b/tests/test_epochs_search.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import register_from
-from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.lease_holder import Holder
 from fawnwharf.policy_rollout.model_checker import SEARCHES, Bounds, Search
 from fawnwharf.policy_rollout.simulation import Walk
 from fawnwharf.policy_rollout.steward import Steward
--- a/tests/test_epochs_voters.py
+++ b/tests/test_epochs_voters.py
@@ -5,7 +5,7 @@
 from fawnwharf.consensus.voter import Voter, founding
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import register_from
-from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.lease_holder import Holder
 from fawnwharf.policy_rollout.simulation import KNOWN
 from fawnwharf.policy_rollout.steward import Steward, Timing
 from fawnwharf.testbed.explore import replace_voters
--- a/tests/test_lab_policy.py
+++ b/tests/test_lab_policy.py
@@ -155,7 +155,7 @@
 
 TIMING = {"acts on without a lease": {}, "waits for no lease": {"lease_ms": 4000}}
 PLANTED = {
-    "acts on without a lease": "from fawnwharf.policy_rollout.holder import Holder as H; "
+    "acts on without a lease": "from fawnwharf.policy_rollout.lease_holder import Holder as H; "
     "H.leased = lambda self, now_ms: self.ready and self.lease[0] == self.register.last.number",
     "waits for no lease": "from fawnwharf.policy_rollout.steward import Steward as S; "
     "S._held = lambda self, now_ms, name: False",
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -4,7 +4,7 @@
 
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.policy_rollout.holder import Holder
+from fawnwharf.policy_rollout.lease_holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
 from fawnwharf.recovery_core import trust as t
 from fawnwharf.recovery_core.promises import Rules
