--- a/fawnwharf/policy_rollout/lease_holder.py
+++ b/fawnwharf/policy_rollout/lease_holder.py
@@ -26,7 +26,7 @@
     register_from,
     stricter,
 )
-from fawnwharf.policy_rollout.steward import Timing
+from fawnwharf.policy_rollout.rollout_coordinator import Timing
 
 
 @dataclass(slots=True)
--- a/fawnwharf/policy_rollout/model_checker.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -21,8 +21,8 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Register, register_from
 from fawnwharf.policy_rollout.lease_holder import Holder
+from fawnwharf.policy_rollout.rollout_coordinator import Steward
 from fawnwharf.policy_rollout.scenario import KNOWN, NAMES, STEWARD_STATE, TIMING, Scene, World
-from fawnwharf.policy_rollout.steward import Steward
 
 TEXTS = tuple(f'{{"version":1,"tenants":{{"t":{{"quota_rps":{n}}}}}}}' for n in (5, 6, 7))
 
--- a/fawnwharf/policy_rollout/rollout_member.py
+++ b/fawnwharf/policy_rollout/rollout_member.py
@@ -19,7 +19,7 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import DocumentError, Known, document_from, register_from
 from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.steward import Steward, Timing
+from fawnwharf.policy_rollout.rollout_coordinator import Steward, Timing
 from fawnwharf.zones.lines import Seat
 
 OUTCOMES_MOST = 8  # of a reign, that are told
--- a/fawnwharf/policy_rollout/scenario.py
+++ b/fawnwharf/policy_rollout/scenario.py
@@ -10,7 +10,7 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Document, Known, register_from
 from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.steward import Open, Steward, Timing
+from fawnwharf.policy_rollout.rollout_coordinator import Open, Steward, Timing
 
 NAMES = ("a", "b", "c")
 TIMING = Timing(lease_ms=6.0, renew_ms=1.0, prepare_ms=16.0, again_ms=8.0, skew=1 / 3)
--- a/fawnwharf/policy_rollout/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.policy_rollout.document import DocumentError, document_of
-from fawnwharf.policy_rollout.steward import Timing
+from fawnwharf.policy_rollout.rollout_coordinator import Timing
 from fawnwharf.zones.settings import FileFault, Span
 
 VERSION = 1
--- a/fawnwharf/policy_rollout/simulation.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -18,8 +18,8 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Document, Known, register_from
 from fawnwharf.policy_rollout.lease_holder import Holder
+from fawnwharf.policy_rollout.rollout_coordinator import Steward, Timing
 from fawnwharf.policy_rollout.simulation_types import CALM, Node, Outcome, Weather
-from fawnwharf.policy_rollout.steward import Steward, Timing
 
 KNOWN = Known(frozenset({"c"}), frozenset({"t"}), frozenset())
 
--- a/fawnwharf/policy_rollout/simulation_types.py
+++ b/fawnwharf/policy_rollout/simulation_types.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.steward import Steward
+from fawnwharf.policy_rollout.rollout_coordinator import Steward
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/search.py
@@ -18,7 +18,7 @@
 from fawnwharf.consensus.voter import Voter
 from fawnwharf.policy_rollout import model_checker, scenario
 from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.steward import Steward
+from fawnwharf.policy_rollout.rollout_coordinator import Steward
 from fawnwharf.recovery_core.promises import Promises, Rules
 from fawnwharf.testbed import explore
 
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -8,10 +8,10 @@
 from test_zone_members import Fleet
 
 from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.rollout_coordinator import Timing
 from fawnwharf.policy_rollout.rollout_member import Agent
 from fawnwharf.policy_rollout.settings import Said
 from fawnwharf.policy_rollout.simulation import KNOWN
-from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.zones.lines import Heard, Ruled, Word
 
 STEP_S = 0.005
--- a/tests/test_epochs_flow.py
+++ b/tests/test_epochs_flow.py
@@ -5,10 +5,10 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Known, Register, made, register_from
 from fawnwharf.policy_rollout.lease_holder import Easing, Holder
+from fawnwharf.policy_rollout.rollout_coordinator import Steward, Timing
 from fawnwharf.policy_rollout.rollout_measurement import change
 from fawnwharf.policy_rollout.simulation import KNOWN, Walk
 from fawnwharf.policy_rollout.simulation_types import CALM
-from fawnwharf.policy_rollout.steward import Steward, Timing
 
 TIMING = Timing()
 OLD, NEW = (made(n, {("tenants", "t", "quota_rps"): rps}) for n, rps in ((1, 10.0), (2, 20.0)))
--- a/tests/test_epochs_search.py
+++ b/tests/test_epochs_search.py
@@ -9,8 +9,8 @@
 from fawnwharf.policy_rollout.document import register_from
 from fawnwharf.policy_rollout.lease_holder import Holder
 from fawnwharf.policy_rollout.model_checker import SEARCHES, Bounds, Search
+from fawnwharf.policy_rollout.rollout_coordinator import Steward
 from fawnwharf.policy_rollout.simulation import Walk
-from fawnwharf.policy_rollout.steward import Steward
 
 
 class DecidesEarly(Steward):
--- a/tests/test_epochs_voters.py
+++ b/tests/test_epochs_voters.py
@@ -6,8 +6,8 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import register_from
 from fawnwharf.policy_rollout.lease_holder import Holder
+from fawnwharf.policy_rollout.rollout_coordinator import Steward, Timing
 from fawnwharf.policy_rollout.simulation import KNOWN
-from fawnwharf.policy_rollout.steward import Steward, Timing
 from fawnwharf.testbed.explore import replace_voters
 
 NAMES, STEP_MS = ("a", "b", "c"), 10.0
--- a/tests/test_lab_policy.py
+++ b/tests/test_lab_policy.py
@@ -157,7 +157,7 @@
 PLANTED = {
     "acts on without a lease": "from fawnwharf.policy_rollout.lease_holder import Holder as H; "
     "H.leased = lambda self, now_ms: self.ready and self.lease[0] == self.register.last.number",
-    "waits for no lease": "from fawnwharf.policy_rollout.steward import Steward as S; "
+    "waits for no lease": "from fawnwharf.policy_rollout.rollout_coordinator import Steward as S; "
     "S._held = lambda self, now_ms, name: False",
 }
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -8,8 +8,8 @@
 from fawnwharf.incarnations import KNOWN_MOST, NAMES_MOST, Lives
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Known
+from fawnwharf.policy_rollout.rollout_coordinator import Timing
 from fawnwharf.policy_rollout.rollout_member import Agent
-from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.zones.lines import Seat
 
 
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -5,7 +5,7 @@
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
 from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.steward import Steward
+from fawnwharf.policy_rollout.rollout_coordinator import Steward
 from fawnwharf.recovery_core import trust as t
 from fawnwharf.recovery_core.promises import Rules
 from fawnwharf.recovery_core.search import (
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -8,8 +8,8 @@
 from cores import FLEET, RULES
 from hypothesis import given, settings, strategies
 
+from fawnwharf.policy_rollout.rollout_coordinator import Timing
 from fawnwharf.policy_rollout.settings import settings_from as policy_settings
-from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claims import Claim, Phase, Standing, contradicts, merged, reading
