--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -8,8 +8,8 @@
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.policy_rollout.call_binding import spec_of
 from fawnwharf.policy_rollout.document import Document, Known, made
-from fawnwharf.policy_rollout.judged import spec_of
 
 LIMIT = "policy"
 
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -16,8 +16,8 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.call_binding import Judged, handed_over, spec_of
 from fawnwharf.policy_rollout.document import Document, Known, check_against, document_of
-from fawnwharf.policy_rollout.judged import Judged, handed_over, spec_of
 from fawnwharf.policy_rollout.outbox import Outbox
 from fawnwharf.policy_rollout.policy_applier import Follower, known_of
 from fawnwharf.policy_rollout.rollout_member import Agent
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -8,10 +8,10 @@
 from support.policy_front_ends import Site, document
 
 from fawnwharf import interface as io
-from fawnwharf.policy_rollout import judged
+from fawnwharf.policy_rollout import call_binding
 from fawnwharf.policy_rollout import settings as s
+from fawnwharf.policy_rollout.call_binding import handed_over
 from fawnwharf.policy_rollout.document import Document
-from fawnwharf.policy_rollout.judged import handed_over
 from fawnwharf.policy_rollout.messages import InForce
 from fawnwharf.policy_rollout.trace import LINES_MOST, Trace
 from fawnwharf.replication.use import Shares
@@ -189,7 +189,7 @@
 
 
 def test_a_process_lets_go_of_its_part_and_takes_it_back(site, monkeypatch):
-    monkeypatch.setattr(judged, "HOLD_MOST_MS", 60_000.0)
+    monkeypatch.setattr(call_binding, "HOLD_MOST_MS", 60_000.0)
     site.begin()
     node, other = site.nodes[1], site.nodes[0]
     node.word(1, propose=document(9.0, classes={"view": {"give_up_ms": 5_000.0, "promise_ms": 400.0}}))
