--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -14,8 +14,8 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
-from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout.call_binding import Judged, handed_over, spec_of
 from fawnwharf.policy_rollout.document import Document, Known, check_against, document_of
 from fawnwharf.policy_rollout.outbox import Outbox
@@ -55,11 +55,11 @@
         self.zones = made["zones"]
         self._kept_file = self.zones.folder / KEPT_FILE
         self._said_file = WatchedFile(self.zones.folder / SAID_FILE)
-        before = keeping.read(self._kept_file)
+        before = policy_file.read(self._kept_file)
         self._register = before.register
         self.life = max(time.time_ns() // 1_000, before.life + 1)
         try:
-            keeping.write(self._kept_file, keeping.Kept(life=self.life, register=self._register))
+            policy_file.write(self._kept_file, policy_file.Kept(life=self.life, register=self._register))
         except OSError as error:
             raise ConfigError(f"{NAME}: {self._kept_file}: {error.strerror}") from None
         self.trace = self._open_trace(Path(path).parent)
@@ -290,7 +290,7 @@
     def _keep(self, register: str) -> None:
         self._register = register
         try:
-            keeping.write(self._kept_file, keeping.Kept(life=self.life, register=register))
+            policy_file.write(self._kept_file, policy_file.Kept(life=self.life, register=register))
         except OSError as error:
             if self._once("keep"):
                 self.note("policy not kept", {"why": error.strerror})
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -17,8 +17,8 @@
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.durable_store import form, ops
 from fawnwharf.migration import messages as migrations
-from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
+from fawnwharf.policy_rollout import policy_file as policy_file
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -21,7 +21,7 @@
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout.document import Register, document_from
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.disk import KeeperDisk
@@ -83,7 +83,9 @@
 def policy(folder: Path) -> None:
     """The kept policy file."""
     last, before = (document_from(POLICY % (n, n * 100)) for n in (7, 6))
-    keeping.write(folder / "policy.json", keeping.Kept(life=41, register=Register(last, before).encode()))
+    policy_file.write(
+        folder / "policy.json", policy_file.Kept(life=41, register=Register(last, before).encode())
+    )
 
 
 def process(folder: Path) -> None:
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -22,8 +22,8 @@
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
-from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout import messages as policy
+from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.policy_rollout import trace as policy_trace
@@ -295,7 +295,7 @@
 def test_names_and_numbers_that_are_stored_or_sent_are_as_recorded():
     """Versions, magic numbers, names of files, of kinds of entries and of states."""
     versions = [
-        voter_disk, form, keeping, policy_settings, prefetch_memory, successor, recovery_register,
+        voter_disk, form, policy_file, policy_settings, prefetch_memory, successor, recovery_register,
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
     ]  # fmt: skip
     assert {module.VERSION for module in versions} == {1}
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -15,7 +15,7 @@
 
 import fawnwharf
 from fawnwharf.migration import messages as migrations
-from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout import policy_file
 from fawnwharf.recovery_core import asking, register
 from fawnwharf.recovery_service import given_words
 from fawnwharf.replication import claims
@@ -178,7 +178,7 @@
         if field.encode_name not in there
     }
     assert missing == {  # which have one value
-        (keeping.Kept, "version"),
+        (policy_file.Kept, "version"),
         (session_settings.Wishes, "version"),
         (zone_settings.Wishes, "version"),
         (plan.Plan, "version"),
--- a/tests/test_disk_faults_kept.py
+++ b/tests/test_disk_faults_kept.py
@@ -9,7 +9,7 @@
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
 from fawnwharf.admin.channel import Place
-from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout import policy_file
 
 ENDS = {
     "kill": lambda faults: faults.kill(),
@@ -19,7 +19,7 @@
 
 
 def write(path, life):
-    keeping.write(path, keeping.Kept(life=life, register="r" * 50))
+    policy_file.write(path, policy_file.Kept(life=life, register="r" * 50))
 
 
 CALLS = 7  # of a write: open, write, sync, name, and the folder's open and sync; one is spare
@@ -50,10 +50,10 @@
                 write(path, 6)
                 told = 6
             ENDS[end](faults)
-            assert told <= keeping.read(path).life <= 6
+            assert told <= policy_file.read(path).life <= 6
             write(path, 7)
             faults.cut(late_names=False)
-            assert keeping.read(path) == keeping.Kept(life=7, register="r" * 50)
+            assert policy_file.read(path) == policy_file.Kept(life=7, register="r" * 50)
 
 
 def test_a_file_of_policies_cut_at_any_byte_is_none(tmp_path):
@@ -62,7 +62,7 @@
     data = path.read_bytes()
     for size in range(len(data)):
         path.write_bytes(data[:size])
-        assert keeping.read(path) == keeping.Kept()
+        assert policy_file.read(path) == policy_file.Kept()
 
 
 def test_what_was_learnt_stays_as_it_was_where_the_new_file_has_no_room_or_no_name(tmp_path, monkeypatch):
