--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -17,12 +17,12 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout.call_binding import Judged, handed_over, spec_of
+from fawnwharf.policy_rollout.call_trace import Trace
 from fawnwharf.policy_rollout.document import Document, Known, check_against, document_of
 from fawnwharf.policy_rollout.message_batcher import Outbox
 from fawnwharf.policy_rollout.policy_applier import Follower, known_of
 from fawnwharf.policy_rollout.rollout_member import Agent
 from fawnwharf.policy_rollout.settings import Settings, said_from, settings_from
-from fawnwharf.policy_rollout.trace import Trace
 from fawnwharf.zones.files import WatchedFile, load
 from fawnwharf.zones.settings import FileFault
 
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -22,11 +22,11 @@
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
+from fawnwharf.policy_rollout import call_trace as policy_trace
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
-from fawnwharf.policy_rollout import trace as policy_trace
 from fawnwharf.policy_rollout.document import Document, register_from
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -11,9 +11,9 @@
 from fawnwharf.policy_rollout import call_binding
 from fawnwharf.policy_rollout import settings as s
 from fawnwharf.policy_rollout.call_binding import handed_over
+from fawnwharf.policy_rollout.call_trace import LINES_MOST, Trace
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import InForce
-from fawnwharf.policy_rollout.trace import LINES_MOST, Trace
 from fawnwharf.replication.use import Shares
 from fawnwharf.zones.settings import FileFault
 
