--- a/fawnwharf/incarnations.py
+++ b/fawnwharf/incarnations.py
@@ -1,57 +1,74 @@
-"""Incarnations of members, counted as they are heard of. Pure.
+"""Counts the incarnations of fleet members in the order in which they are observed.
 
-Each process of a member has a number of its own, its incarnation. The numbers have no order: they come from a
+Each process of a member has an incarnation number of its own. The numbers have no order: they come from a
 clock, which may have been set back, and from a disk, which may have been lost. A receiver can only tell that
-a number differs from the one before; a number that was followed by another one is of an earlier incarnation
-for good.
+a number differs from the one before; a number that was followed by another one belongs to an earlier
+incarnation for good.
 """
 
+from collections.abc import Container
 from dataclasses import dataclass, field
 
-KNOWN_MOST = 16  # lives of a member, the last ones
-NAMES_MOST = 10_000
+MAX_KNOWN_INCARNATIONS = 16  # per member, the most recent ones
+MAX_MEMBERS = 10_000
 
 
 @dataclass(slots=True)
 class _Member:
-    before: int = 0  # lives that are no longer known
-    told: list[int] = field(default_factory=list)
+    """What is known of one member."""
+
+    forgotten: int = 0  # earlier incarnations whose numbers are no longer stored
+    numbers: list[int] = field(default_factory=list)  # of the most recent incarnations, in the order observed
+
+    def count(self) -> int:
+        """The count of the most recent incarnation."""
+        return self.forgotten + len(self.numbers)
 
 
 @dataclass(slots=True)
-class Lives:
-    """Counts incarnations from 1 on, by member: the count is larger after each restart that was heard of."""
+class IncarnationCounter:
+    """Counts incarnations by member, from 1: the count grows with each restart that is observed."""
 
     _members: dict[str, _Member] = field(default_factory=dict)
 
-    def heard(self, name: str, told: int) -> int:
-        """The count of the incarnation that has this number; 0 where it is an earlier one's."""
+    def observe(self, name: str, number: int) -> int:
+        """Note the incarnation number in a message of a member.
+
+        Returns the count of that incarnation, or 0 if the number belongs to an earlier incarnation.
+        """
         member = self._members.get(name)
         if member is None:
-            while len(self._members) >= NAMES_MOST:
-                del self._members[next(iter(self._members))]
-            member = self._members[name] = _Member()
-        if told in member.told[:-1]:
+            member = self._add(name)
+        if number in member.numbers[:-1]:
             return 0
-        if not member.told or member.told[-1] != told:
-            member.told.append(told)
-            if len(member.told) > KNOWN_MOST:
-                del member.told[0]
-                member.before += 1
-        return member.before + len(member.told)
-
-    def last(self, name: str) -> int:
-        """The count of the incarnation that was heard last; 0 where none was."""
+        if not member.numbers or member.numbers[-1] != number:
+            member.numbers.append(number)
+            if len(member.numbers) > MAX_KNOWN_INCARNATIONS:
+                del member.numbers[0]
+                member.forgotten += 1
+        return member.count()
+
+    def _add(self, name: str) -> _Member:
+        """Add a member; beyond `MAX_MEMBERS` the oldest ones are forgotten."""
+        while len(self._members) >= MAX_MEMBERS:
+            del self._members[next(iter(self._members))]
+        member = self._members[name] = _Member()
+        return member
+
+    def last_count(self, name: str) -> int:
+        """The count of a member's most recent incarnation; 0 for an unknown member."""
         member = self._members.get(name)
-        return member.before + len(member.told) if member else 0
+        return member.count() if member else 0
 
-    def told(self, name: str, count: int) -> int:
-        """The number of a counted incarnation; 0 where it is not known any more."""
+    def number_of(self, name: str, count: int) -> int:
+        """The incarnation number with this count; 0 if it is not stored."""
         member = self._members.get(name)
-        place = count - member.before - 1 if member else -1
-        return member.told[place] if member and 0 <= place < len(member.told) else 0
+        if member is None:
+            return 0
+        position = count - member.forgotten - 1
+        return member.numbers[position] if 0 <= position < len(member.numbers) else 0
 
-    def keep(self, names: set[str] | dict[str, str] | tuple[str, ...]) -> None:
-        """Forget all members but these."""
+    def retain(self, names: Container[str]) -> None:
+        """Forget all members except these."""
         for name in [name for name in self._members if name not in names]:
             del self._members[name]
--- a/fawnwharf/policy_rollout/call_binding.py
+++ b/fawnwharf/policy_rollout/call_binding.py
@@ -18,7 +18,7 @@
 from fawnwharf.net.requests import Call, Outcome, Refused
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy_rollout.document import Document
-from fawnwharf.policy_rollout.messages import InForce
+from fawnwharf.policy_rollout.messages import ActivePolicy
 
 # A call that comes before a leader has told what is in force: for so long it is held, then refused untouched.
 HOLD_PART, HOLD_MOST_MS = 0.5, 2_000.0  # of the time that its client waits, and at the most
@@ -26,7 +26,7 @@
 PUSHBACK_MS = 250.0
 
 
-class Taking(Protocol):
+class CallTable(Protocol):
     """What takes calls and withdraws them: the table of requests, or what stands before it."""
 
     def take(self, call: Call) -> str | None:
@@ -39,27 +39,27 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Taken:
+class _BoundCall:
     """One open call. While nobody has told what is in force it is held, and judged by nothing."""
 
     call: Call
     reply: Callable[[Outcome], None]
-    by: InForce
+    by: ActivePolicy
     at_ms: float  # Unix, when it was judged
     came_ms: float  # of the loop's clock
     key: str | None = None  # as what stands below knows it
     timer: Timer | None = None  # of one that is held
 
 
-class Judged:
+class CallPolicyBinding:
     """Owns the policy of each open call, from its arrival to its end."""
 
     def __init__(
         self,
-        below: Taking,
-        take: Callable[[str], InForce],
+        below: CallTable,
+        take: Callable[[str], ActivePolicy],
         done: Callable[[str], None],
-        ended: Callable[[bytes, InForce, float], None],
+        ended: Callable[[bytes, ActivePolicy, float], None],
         unix_ms: Callable[[], float],
         after: Callable[[float, Callable[[], None]], Timer],
     ) -> None:
@@ -70,11 +70,11 @@
         self.below = below
         self._take, self._done, self._told, self._unix_ms = take, done, ended, unix_ms
         self._after = after
-        self._open: dict[str, _Taken] = {}
-        self._held: dict[str, _Taken] = {}
+        self._open: dict[str, _BoundCall] = {}
+        self._held: dict[str, _BoundCall] = {}
         self._held_bytes = 0
         self._number = 0
-        self._by: InForce | None = None  # of the last call
+        self._by: ActivePolicy | None = None  # of the last call
         self._give_up: dict[str, float | None] = {}  # by class, as that has it
 
     def __len__(self) -> int:
@@ -90,7 +90,7 @@
         self._number += 1
         number, at_ms = f"p{self._number}", self._unix_ms()
         by = self._take(number)
-        taken = self._open[number] = _Taken(call, call.reply, by, at_ms, monotonic_ms())
+        taken = self._open[number] = _BoundCall(call, call.reply, by, at_ms, monotonic_ms())
         call.reply = lambda outcome: self._replied(number, outcome)
         if by.how != "waiting":
             self._hand_down(number, taken)
@@ -104,7 +104,7 @@
             taken.timer = self._after(most_ms, lambda: call.reply(Refused(PUSHBACK_MS)))
         return number if number in self._open else None
 
-    def _hand_down(self, number: str, taken: _Taken) -> None:
+    def _hand_down(self, number: str, taken: _BoundCall) -> None:
         call, by = taken.call, taken.by
         call.judged = by
         if by is not self._by:
@@ -131,7 +131,7 @@
         for taken in list(self._held.values()):
             taken.call.reply(Refused(PUSHBACK_MS))
 
-    def _let_go(self, number: str, taken: _Taken) -> None:
+    def _let_go(self, number: str, taken: _BoundCall) -> None:
         if self._held.pop(number, None) is not None:
             self._held_bytes -= len(taken.call.body)
             taken.timer.cancel()
@@ -145,7 +145,7 @@
         if (taken := self._end(number)) is not None:
             taken.reply(outcome)
 
-    def _end(self, number: str) -> _Taken | None:
+    def _end(self, number: str) -> _BoundCall | None:
         """Forget a call, once."""
         taken = self._open.pop(number, None)
         if taken is not None:
@@ -155,7 +155,7 @@
         return taken
 
 
-def spec_of(base: io.ClassSpec, document: Document) -> io.ClassSpec:
+def class_spec_under(base: io.ClassSpec, document: Document) -> io.ClassSpec:
     """A class as the policy has it, over the settings."""
     promise, give_up = (document.value("classes", base.name, key) for key in ("promise_ms", "give_up_ms"))
     return io.ClassSpec(
@@ -170,7 +170,7 @@
     )
 
 
-def handed_over(
+def with_bound_classes(
     events: list[io.Event],
     classes: dict[str, io.ClassSpec],
     own: Callable[[io.RequestArrived], io.ClassSpec | None],
--- a/fawnwharf/policy_rollout/call_trace.py
+++ b/fawnwharf/policy_rollout/call_trace.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from fawnwharf.policy_rollout.messages import InForce
+from fawnwharf.policy_rollout.messages import ActivePolicy
 
 LINES_MOST = 8_192  # that wait to be written; more are dropped and counted
 BYTES_MOST = 256 * 1024 * 1024  # of the file, in one life
@@ -16,7 +16,7 @@
 encoder = msgspec.json.Encoder()
 
 
-class Trace:
+class CallTrace:
     """Owns the file; lines are written together, whenever `flush` is called."""
 
     def __init__(self, path: Path) -> None:
@@ -25,7 +25,7 @@
         self._lines: deque[bytes] = deque()
         self.written, self.dropped = 0, 0
 
-    def call(self, id: str, by: InForce, taken_ms: float, ended_ms: float) -> None:
+    def call(self, id: str, by: ActivePolicy, taken_ms: float, ended_ms: float) -> None:
         """Add the line of a call; times are Unix milliseconds."""
         if len(self._lines) >= LINES_MOST or self.written >= BYTES_MOST:
             self.dropped += 1
--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -8,8 +8,14 @@
 import typer
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import Document, DocumentError, Known, check_against, document_from
-from fawnwharf.policy_rollout.service import SAID_FILE
+from fawnwharf.policy_rollout.document import (
+    DeploymentCapabilities,
+    Document,
+    DocumentError,
+    find_incompatibility,
+    parse_document,
+)
+from fawnwharf.policy_rollout.service import REQUEST_FILE
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.looking import Member, address, fail, files, lines
 
@@ -19,16 +25,16 @@
 Wait = Annotated[float, typer.Option("--wait", help="Seconds to wait for the fleet's decision; 0: none.")]
 
 
-def look(place: tuple[str, int], within_s: float = 3.0) -> m.Standing | None:
+def look(place: tuple[str, int], within_s: float = 3.0) -> m.MemberStatus | None:
     """A member's status; None where it tells nothing of policy.
 
     Raises OSError where its log can't be read, ValueError where the status is malformed.
     """
     line = lines(place, ("policy",), within_s).get("policy")
-    return None if line is None else m.standing_from(line["policy"])
+    return None if line is None else m.decode_member_status(line["policy"])
 
 
-def _told(outcome: m.Outcome) -> str:
+def _told(outcome: m.RequestOutcome) -> str:
     number = f" number {outcome.number}" if outcome.number else ""
     return f"{outcome.state}{number}" + (f": {outcome.why}" if outcome.why else "")
 
@@ -71,7 +77,7 @@
 
 def _document(file: str, members: s.Members | None) -> Document:
     try:
-        document = document_from(Path(file).read_bytes())
+        document = parse_document(Path(file).read_bytes())
     except OSError as error:
         fail(f"policy: {file}: {error.strerror}")
     except DocumentError as error:
@@ -79,8 +85,8 @@
     if members is not None:
         # Classes and tenants stand in front ends' configurations: those say no by themselves.
         named = {part: frozenset(path[1] for path, _ in document.values if path[0] in part) for part in PARTS}
-        known = Known(named[PARTS[0]], named[PARTS[1]], frozenset(members.zones))
-        if fault := check_against(document, known):
+        known = DeploymentCapabilities(named[PARTS[0]], named[PARTS[1]], frozenset(members.zones))
+        if fault := find_incompatibility(document, known):
             fail(f"policy: {file}: {fault}")
     return document
 
@@ -116,7 +122,7 @@
     """Leave a word for this member's process, and wait for what comes of it."""
     log = address(settings, members, "") if wait_s > 0.0 else None  # before anything is written
     folder = Path(path).parent / settings.folder
-    place = folder / SAID_FILE
+    place = folder / REQUEST_FILE
     try:
         before = json.loads(place.read_bytes())["number"] if place.exists() else 0
     except (OSError, ValueError, KeyError, TypeError):
@@ -145,7 +151,7 @@
             if outcome.wish != number:
                 continue
             last = _told(outcome)
-            if outcome.state in m.FINAL:
+            if outcome.state in m.FINAL_STATES:
                 typer.echo(last)
                 raise typer.Exit(0 if outcome.state == good else 1)
         time.sleep(LOOK_S)
--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -24,13 +24,13 @@
 from fawnwharf.zones.settings import Name, Share, Span
 
 VERSION = 1
-TEXT_MOST = 24_000  # characters: two of them, and what is around them, fit into one decision of the log
+MAX_TEXT_LENGTH = 24_000  # characters: two of them, and what is around them, fit into one decision of the log
 
 Mode = Literal["off", "after", "before"]
 Rate = Annotated[float, Meta(ge=0.0, le=10_000_000.0)]
 Value = float | str
 Path = tuple[str, ...]  # ("classes", "gold", "promise_ms"); "*" stands for any name
-CAREFUL = ("off", "after", "before")  # rising
+MODES_BY_STRICTNESS = ("off", "after", "before")  # rising
 
 
 class DocumentError(ValueError):
@@ -38,10 +38,10 @@
 
 
 def _more_careful(one: Value, other: Value) -> Value:
-    return max(one, other, key=CAREFUL.index)
+    return max(one, other, key=MODES_BY_STRICTNESS.index)
 
 
-class Key(Struct, frozen=True):
+class KeyRule(Struct, frozen=True):
     """One kind of key: the type of its value, which of two values is stricter, and whether it is a limit.
 
     `stricter` is None where there is no order; then the older document's value stands. `halved` marks a
@@ -53,24 +53,24 @@
     halved: bool = False  # a limit, of which `floor` takes half
 
 
-KEYS: dict[Path, Key] = {
-    ("classes", "*", "promise_ms"): Key(Span, None),
-    ("classes", "*", "give_up_ms"): Key(Span, min),
-    ("tenants", "*", "quota_rps"): Key(Rate, min, True),
-    ("admission", "*"): Key(Share, min, True),
-    ("spill", "*"): Key(Share, min, True),
-    ("modes", "*"): Key(Mode, _more_careful),
-    ("window_ms", "*"): Key(Span, max),
-    ("staging", "fetches_rps"): Key(Rate, min, True),
-    ("staging", "free_part"): Key(Share, min, True),
-    ("staging", "cold_part"): Key(Share, min, True),
-    ("staging", "memory_mb"): Key(Rate, min, True),
+KEY_RULES: dict[Path, KeyRule] = {
+    ("classes", "*", "promise_ms"): KeyRule(Span, None),
+    ("classes", "*", "give_up_ms"): KeyRule(Span, min),
+    ("tenants", "*", "quota_rps"): KeyRule(Rate, min, True),
+    ("admission", "*"): KeyRule(Share, min, True),
+    ("spill", "*"): KeyRule(Share, min, True),
+    ("modes", "*"): KeyRule(Mode, _more_careful),
+    ("window_ms", "*"): KeyRule(Span, max),
+    ("staging", "fetches_rps"): KeyRule(Rate, min, True),
+    ("staging", "free_part"): KeyRule(Share, min, True),
+    ("staging", "cold_part"): KeyRule(Share, min, True),
+    ("staging", "memory_mb"): KeyRule(Rate, min, True),
 }
 
 
 def _shape(path: Path) -> Path | None:
     """The kind of key that a path is; also of the beginning of one."""
-    for shape in KEYS:
+    for shape in KEY_RULES:
         if len(path) <= len(shape) and all(s in ("*", p) for s, p in zip(shape, path, strict=False)):
             return shape
     return None
@@ -120,7 +120,7 @@
         return Document(number, self.values)
 
 
-def made(number: int, values: Mapping[Path, Value]) -> Document:
+def make_document(number: int, values: Mapping[Path, Value]) -> Document:
     """A document of these values."""
     return Document(number, tuple(sorted(values.items())))
 
@@ -129,18 +129,18 @@
 
 
 @functools.lru_cache(maxsize=32)  # the same text comes again with each repeat, and from each that asks
-def document_from(text: str | bytes) -> Document:
+def parse_document(text: str | bytes) -> Document:
     """Parse a document and check it by itself. Raises DocumentError."""
-    if len(text) > TEXT_MOST:
-        raise DocumentError(f"document: {len(text)} characters, and {TEXT_MOST} are the most")
+    if len(text) > MAX_TEXT_LENGTH:
+        raise DocumentError(f"document: {len(text)} characters, and {MAX_TEXT_LENGTH} are the most")
     try:
         raw = msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
         raise DocumentError(f"document: not JSON: {_line(error)}") from None
-    return document_of(raw)
+    return document_from_object(raw)
 
 
-def document_of(raw: Any) -> Document:
+def document_from_object(raw: Any) -> Document:
     """The same, from what was decoded already."""
     if not isinstance(raw, dict):
         raise DocumentError("document: not an object")
@@ -158,7 +158,7 @@
             raise DocumentError(f"{'.'.join(path)}: shuts out tenant {path[1]}")
         if path[-1] == "promise_ms" and value > values.get((*path[:2], "give_up_ms"), value):
             raise DocumentError(f"{'.'.join(path)}: longer than give_up_ms")
-    return made(number, values)
+    return make_document(number, values)
 
 
 def _read(path: Path, raw: Any, values: dict[Path, Value]) -> None:
@@ -177,7 +177,7 @@
             _read((*path, name), part, values)
         return
     try:
-        values[path] = msgspec.convert(raw, KEYS[shape].kind)
+        values[path] = msgspec.convert(raw, KEY_RULES[shape].kind)
     except msgspec.ValidationError as error:
         raise DocumentError(f"{key}: {_line(error)}") from None
 
@@ -186,7 +186,7 @@
     return " ".join(str(error).split())[:200]
 
 
-class Known(Struct, frozen=True):
+class DeploymentCapabilities(Struct, frozen=True):
     """What one deployment has, for a document to be checked against.
 
     `base` are the settings' own values as a document with the number 0: the meaning of absent keys.
@@ -202,7 +202,7 @@
     base: Document = Document()
 
 
-def check_against(document: Document, known: Known) -> str | None:
+def find_incompatibility(document: Document, known: DeploymentCapabilities) -> str | None:
     """None where this deployment can go by it, else 'key: cause'."""
     names = {
         "classes": ("class", known.classes),
@@ -224,7 +224,7 @@
             return f"{key}: longer than the {known.give_up_most_ms:g} that kept calls may take"
         if section == "window_ms" and not known.window_ms[0] <= value <= known.window_ms[1]:
             return f"{key}: not from {known.window_ms[0]:g} to {known.window_ms[1]:g}, as can be kept here"
-    full = over(known.base, document)
+    full = with_defaults(known.base, document)
     if known.zones and all(full.value("admission", zone) == 0.0 for zone in known.zones):
         return "admission: shuts out every zone"
     for name in known.classes:
@@ -237,9 +237,9 @@
 # --- laws -------------------------------------------------------------------------------------
 
 
-def over(base: Document, document: Document) -> Document:
+def with_defaults(base: Document, document: Document) -> Document:
     """The document with what it leaves absent filled in from the settings."""
-    return made(document.number, dict(base.values) | dict(document.values))
+    return make_document(document.number, dict(base.values) | dict(document.values))
 
 
 def stricter(one: Document, other: Document) -> Document:
@@ -252,19 +252,19 @@
     old, new = sorted((one, other), key=lambda document: (document.number, document.values))
     values, more = dict(old.values), dict(new.values)
     for path, value in more.items():
-        order = KEYS[_shape(path)].stricter
+        order = KEY_RULES[_shape(path)].stricter
         if path not in values:
             values[path] = value
         elif order is not None:
             values[path] = order(values[path], value)
-    return made(new.number, values)
+    return make_document(new.number, values)
 
 
-def floor(document: Document) -> Document:
+def fallback_limits(document: Document) -> Document:
     """Half of each limit, for one that knows of no next policy: it may be tighter than what is known."""
-    return made(
+    return make_document(
         document.number,
-        {path: value / 2 if KEYS[_shape(path)].halved else value for path, value in document.values},
+        {path: value / 2 if KEY_RULES[_shape(path)].halved else value for path, value in document.values},
     )
 
 
@@ -292,7 +292,7 @@
 
 
 @functools.lru_cache(maxsize=32)
-def register_from(text: str) -> Register:
+def parse_register(text: str) -> Register:
     """Parse a register; an empty text stands for no decision yet. Raises DocumentError."""
     if not text:
         return Register()
@@ -303,4 +303,4 @@
     if not isinstance(raw, dict) or raw.get("policy") != 1 or "last" not in raw:
         raise DocumentError("register: none of this version")
     before = raw.get("before")
-    return Register(document_of(raw["last"]), document_of(before) if before else None)
+    return Register(document_from_object(raw["last"]), document_from_object(before) if before else None)
--- a/fawnwharf/policy_rollout/lease_holder.py
+++ b/fawnwharf/policy_rollout/lease_holder.py
@@ -14,23 +14,23 @@
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import (
-    CAREFUL,
+    MODES_BY_STRICTNESS,
+    DeploymentCapabilities,
     Document,
     DocumentError,
-    Known,
     Register,
-    check_against,
-    document_from,
-    floor,
-    over,
-    register_from,
+    fallback_limits,
+    find_incompatibility,
+    parse_document,
+    parse_register,
     stricter,
+    with_defaults,
 )
-from fawnwharf.policy_rollout.rollout_coordinator import Timing
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 
 
 @dataclass(slots=True)
-class Easing:
+class DelayedRelaxation:
     """Modes and windows of replication, following the policy: stricter at once, looser only with a delay.
 
     A call that was taken under an old window may be repeated until that has passed. So a shorter window, or a
@@ -48,7 +48,7 @@
         for name in {*modes, *windows, *self.now}:
             new = str(modes.get(name, "off")), float(windows.get(name, 0.0))
             old = self.now.get(name, new)
-            kept = max(old[0], new[0], key=CAREFUL.index), max(old[1], new[1])
+            kept = max(old[0], new[0], key=MODES_BY_STRICTNESS.index), max(old[1], new[1])
             self.now[name] = kept
             if kept == new:
                 self.later.pop(name, None)
@@ -64,11 +64,11 @@
 
 
 @dataclass(slots=True)
-class Holder:
+class LeaseHolder:
     """Owns one front end's lease, what it knows to be decided, and what it was asked to prepare for."""
 
-    known: Known
-    timing: Timing
+    known: DeploymentCapabilities
+    timing: RolloutTiming
     life: int  # a larger one after each restart
     disk: str = ""  # what `Keep` left there; nothing rests on it but the limits while no leader is heard
     register: Register = field(default_factory=Register)
@@ -78,17 +78,17 @@
     prepared: Document | None = None
     word: tuple[int, int] = (0, 0)  # term and turn of the newest word of a steward
     open_ms: float = 0.0  # when to ask next
-    calls: dict[str, m.InForce] = field(default_factory=dict)  # by what each was taken
-    last: m.InForce | None = None  # as told to the owner
+    calls: dict[str, m.ActivePolicy] = field(default_factory=dict)  # by what each was taken
+    last: m.ActivePolicy | None = None  # as told to the owner
     stance: tuple[str, Document, Document | None] | None = None  # of `last`
-    keeping: Easing | None = None
+    keeping: DelayedRelaxation | None = None
     fault: str = ""  # of a decided document that this version does not know
 
     def __post_init__(self) -> None:
-        self.keeping = Easing(self.timing.skew)
+        self.keeping = DelayedRelaxation(self.timing.skew)
         if self.disk:
             try:
-                self.register = register_from(self.disk)
+                self.register = parse_register(self.disk)
             except DocumentError:
                 self.disk = ""
 
@@ -112,24 +112,24 @@
             return "strict", before, last
         return "floor", last, None
 
-    def judged_by(self, now_ms: float) -> m.InForce:
+    def judged_by(self, now_ms: float) -> m.ActivePolicy:
         """The policy of this moment, over the settings."""
         stance = self._stance(now_ms)
         if self.last is not None and stance == self.stance:
             return self.last
         how, one, other = stance
-        whole = over(self.known.base, one)
+        whole = with_defaults(self.known.base, one)
         if other is not None:
-            whole = stricter(whole, over(self.known.base, other))
+            whole = stricter(whole, with_defaults(self.known.base, other))
         elif how != "leased":
-            whole = stricter(whole, floor(whole))
-        return m.InForce(whole.number, one.digest if how == "leased" else whole.digest, whole, how)
+            whole = stricter(whole, fallback_limits(whole))
+        return m.ActivePolicy(whole.number, one.digest if how == "leased" else whole.digest, whole, how)
 
-    def take(self, now_ms: float, call: str) -> m.InForce:
+    def take(self, now_ms: float, call: str) -> m.ActivePolicy:
         """Begin a call: the policy of this moment judges it up to its final answer."""
         return self.calls.setdefault(call, self.judged_by(now_ms))
 
-    def of(self, call: str) -> m.InForce | None:
+    def of(self, call: str) -> m.ActivePolicy | None:
         """The policy of an open call; None for an unknown one."""
         return self.calls.get(call)
 
@@ -162,12 +162,12 @@
         if now_ms >= self.open_ms:
             self.open_ms = now_ms + self.timing.renew_ms
             known = self.register.last.number if self.ready else -1
-            effects.append(m.Say(m.LEADER, m.Status(self.life, now_ms, known, self.granted)))
+            effects.append(m.Send(m.LEADER, m.LeaseRequest(self.life, now_ms, known, self.granted)))
         return effects
 
     def heard(self, now_ms: float, sender: str, message: m.Message) -> list[m.Effect]:
         """Take any message that is for a holder; others change nothing."""
-        if isinstance(message, m.Grant):
+        if isinstance(message, m.LeaseGrant):
             return self.grant(now_ms, message)
         if isinstance(message, m.Prepare):
             return self.prepare(now_ms, sender, message)
@@ -188,13 +188,13 @@
             return []  # it has no lease, so nobody waits for it
         self.word = word.term, word.turn
         try:
-            document = document_from(word.text)
-            fault = check_against(document, self.known) or ""
+            document = parse_document(word.text)
+            fault = find_incompatibility(document, self.known) or ""
         except DocumentError as error:
             document, fault = None, str(error)
         self.prepared = None if fault else document
         vote = m.Vote(self.life, word.term, word.turn, word.number, fault[:300])
-        return [m.Say(sender, vote), *self._given_out(now_ms)]
+        return [m.Send(sender, vote), *self._given_out(now_ms)]
 
     def abort(self, now_ms: float, word: m.Abort) -> list[m.Effect]:
         """Take that a proposal was ended."""
@@ -212,9 +212,9 @@
             effects.append(self._changed(now_ms))
         return effects + self._given_out(now_ms)
 
-    def _changed(self, now_ms: float) -> m.Say:
+    def _changed(self, now_ms: float) -> m.Send:
         number = self.register.last.number
-        return m.Say(m.LEADER, m.Changed(self.life, now_ms, number, self.granted))
+        return m.Send(m.LEADER, m.EpochAdopted(self.life, now_ms, number, self.granted))
 
     def _learn(self, text: str, anew: bool = False) -> list[m.Effect]:
         """Take a later register; with `anew` take this one, whatever the disk said.
@@ -222,19 +222,19 @@
         A register that this version can't read ends its readiness, as others may act by it already.
         """
         try:
-            register = register_from(text)
+            register = parse_register(text)
         except DocumentError as error:
             new, self.fault = str(error) != self.fault, str(error)
             self.ready, self.lease, self.granted = False, (-1, 0.0), -1
-            return [m.Note("policy not read", {"why": self.fault})] if new else []
+            return [m.LogEvent("policy not read", {"why": self.fault})] if new else []
         if not anew and register.last.number <= self.register.last.number:
             return []
         self.register, self.fault = register, ""
         if self.prepared is not None and self.prepared.number <= register.last.number:
             self.prepared = None
-        return [m.Keep(text)]
+        return [m.StoreRegister(text)]
 
-    def grant(self, now_ms: float, word: m.Grant) -> list[m.Effect]:
+    def grant(self, now_ms: float, word: m.LeaseGrant) -> list[m.Effect]:
         """Take a coordinator's answer.
 
         One for an earlier incarnation, or of an older document, is ignored.
--- a/fawnwharf/policy_rollout/message_batcher.py
+++ b/fawnwharf/policy_rollout/message_batcher.py
@@ -14,13 +14,13 @@
 ITERATION_MOST = 512 * 1024  # and in one event loop iteration; the rest is dropped, as all is repeated
 
 
-class Outbox:
+class MessageBatcher:
     """Queues messages up to the end of the event loop iteration; lease renewals wait a little for others."""
 
     def __init__(self, loop: Loop, zones: Zones, dropped: Callable[[str], None]) -> None:
         """`dropped` is told why messages are dropped."""
         self._loop, self._zones, self._dropped = loop, zones, dropped
-        self._queue: list[m.Say] = []
+        self._queue: list[m.Send] = []
         self._granted: dict[str, tuple[int, int]] = {}  # by member: incarnation and number of its last lease
         self._renews = False  # some wait to be renewed
 
@@ -28,7 +28,7 @@
         """Send the next lease of each member without delay."""
         self._granted.clear()
 
-    def send(self, say: m.Say) -> None:
+    def send(self, say: m.Send) -> None:
         """Queue a message."""
         self._queue.append(say)
         if not self._is_renewal(say):
@@ -37,10 +37,10 @@
             self._renews = True
             self._loop.wheel.after(RENEW_MS, self.flush)
 
-    def _is_renewal(self, say: m.Say) -> bool:
+    def _is_renewal(self, say: m.Send) -> bool:
         """Whether it is a lease like the member's last one, which is noted."""
         word = say.message
-        if not isinstance(word, m.Grant) or not word.lease_ms:
+        if not isinstance(word, m.LeaseGrant) or not word.lease_ms:
             return False
         held, self._granted[say.to] = self._granted.get(say.to), (word.life, word.number)
         return held == self._granted[say.to]
--- a/fawnwharf/policy_rollout/messages.py
+++ b/fawnwharf/policy_rollout/messages.py
@@ -13,20 +13,20 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.policy_rollout.document import TEXT_MOST, Document
+from fawnwharf.policy_rollout.document import MAX_TEXT_LENGTH, Document
 from fawnwharf.zones.settings import Name
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
-Text = Annotated[str, Meta(max_length=TEXT_MOST)]
-Line = Annotated[str, Meta(max_length=300)]
-Held = Annotated[int, Meta(ge=-1, lt=2**53)]  # an epoch's number; -1: none
+Text = Annotated[str, Meta(max_length=MAX_TEXT_LENGTH)]
+ShortText = Annotated[str, Meta(max_length=300)]
+EpochOrNone = Annotated[int, Meta(ge=-1, lt=2**53)]  # an epoch's number; -1: none
 
 
-class _Said(Struct, frozen=True):
+class _Message(Struct, frozen=True):
     pass
 
 
-class Propose(_Said, frozen=True, tag="Propose"):
+class Propose(_Message, frozen=True, tag="Propose"):
     """An operator's proposal, from the front end where it was made to the leader's coordinator.
 
     `wish` is its number there: a repeat has the same number. `term` is the term that it is meant for.
@@ -37,7 +37,7 @@
     term: Number = 0
 
 
-class Back(_Said, frozen=True, tag="Back"):
+class Rollback(_Message, frozen=True, tag="Back"):
     """An operator's request to go from this decided number back to the one before it, as a new change."""
 
     number: Number
@@ -45,16 +45,16 @@
     term: Number = 0
 
 
-class CallOff(_Said, frozen=True, tag="CallOff"):
+class Cancel(_Message, frozen=True, tag="CallOff"):
     """An operator's request to end the proposal with this number; 0 stands for any."""
 
-    why: Line = ""
+    why: ShortText = ""
     number: Number = 0
     wish: Number = 0
     term: Number = 0
 
 
-class Prepare(_Said, frozen=True, tag="Prepare"):
+class Prepare(_Message, frozen=True, tag="Prepare"):
     """Asks whether a member can go by this document, which is in force nowhere and may never be."""
 
     term: Number
@@ -63,32 +63,32 @@
     text: Text
 
 
-class Vote(_Said, frozen=True, tag="Vote"):
+class Vote(_Message, frozen=True, tag="Vote"):
     """Yes, or no with key and cause. A yes is of one incarnation: the next one knows nothing of it."""
 
     life: Number
     term: Number
     turn: Number
     number: Number
-    fault: Line = ""
+    fault: ShortText = ""
 
 
-class Abort(_Said, frozen=True, tag="Abort"):
+class Abort(_Message, frozen=True, tag="Abort"):
     """The proposal was not decided, and will not be: forget it."""
 
     term: Number
     turn: Number
     number: Number
-    why: Line = ""
+    why: ShortText = ""
 
 
-class Decided(_Said, frozen=True, tag="Decided"):
+class Decided(_Message, frozen=True, tag="Decided"):
     """The log's register; as good from any member as from the leader, since a number is decided once."""
 
     register: Annotated[str, Meta(max_length=64 * 1024)]
 
 
-class Status(_Said, frozen=True, tag="Status"):
+class LeaseRequest(_Message, frozen=True, tag="Status"):
     """A holder's heartbeat and its question for a lease, which counts from `sent_ms`.
 
     What it knows to be decided binds it: it takes no lease of an earlier number any more.
@@ -96,20 +96,20 @@
 
     life: Number  # another one after each restart: what is meant for, or said by, an earlier one is not taken
     sent_ms: float
-    known: Held  # the last decided that it knows
-    granted: Held  # the last for which it had a lease in this life: that one has been in force
+    known: EpochOrNone  # the last decided that it knows
+    granted: EpochOrNone  # the last for which it had a lease in this life: that one has been in force
 
 
-class Changed(_Said, frozen=True, tag="Changed"):
+class EpochAdopted(_Message, frozen=True, tag="Changed"):
     """A holder does not act by anything before this number any more; also a question for a lease."""
 
     life: Number
     sent_ms: float
     number: Number
-    granted: Held = -1
+    granted: EpochOrNone = -1
 
 
-class Grant(_Said, frozen=True, tag="Grant"):
+class LeaseGrant(_Message, frozen=True, tag="Grant"):
     """The answer to one Status or Changed: a lease for an epoch, or none where `lease_ms` is 0."""
 
     term: Number
@@ -122,31 +122,33 @@
     register: Annotated[str, Meta(max_length=64 * 1024)] = ""  # where the asker does not know the last
 
 
-Message = Propose | Back | CallOff | Prepare | Vote | Abort | Decided | Status | Changed | Grant
+Message = (
+    Propose | Rollback | Cancel | Prepare | Vote | Abort | Decided | LeaseRequest | EpochAdopted | LeaseGrant
+)
 
 
-def message_from(data: object) -> Message:
+def decode_message(data: object) -> Message:
     """The message in a decoded line; raises msgspec.ValidationError for anything else."""
     return msgspec.convert(data, Message, strict=True)
 
 
 # --- how a member stands, told to all that follow its log -----------------------------------------
 
-State = Literal["asked", "preparing", "ended", "refused", "decided", "in force"]
-FINAL = ("ended", "refused", "in force")
+RequestState = Literal["asked", "preparing", "ended", "refused", "decided", "in force"]
+FINAL_STATES = ("ended", "refused", "in force")
 
 
-class Outcome(Struct, frozen=True):
+class RequestOutcome(Struct, frozen=True):
     """What came of an operator's word so far: given at front end `by` under the number `wish`."""
 
     by: Annotated[str, Meta(max_length=48)]
     wish: Number
-    state: State
+    state: RequestState
     number: Number = 0  # of the policy
-    why: Line = ""
+    why: ShortText = ""
 
 
-class Standing(Struct, frozen=True):
+class MemberStatus(Struct, frozen=True):
     """For operators and for those that wait for an outcome. The last five are of a leader's steward."""
 
     ready: bool
@@ -155,32 +157,32 @@
     digest: Annotated[str, Meta(max_length=32)]
     prepared: Number = 0  # that it was asked to prepare for
     life: Number = 0
-    fault: Line = ""  # of a decided document that it can't read
-    wishes: Annotated[tuple[Outcome, ...], Meta(max_length=16)] = ()  # of the last words given here
+    fault: ShortText = ""  # of a decided document that it can't read
+    wishes: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = ()  # of the last words given here
     counts: Annotated[dict[str, int], Meta(max_length=64)] = {}
     term: Number = 0  # of its reign; 0: it does not lead
     open: Number = 0  # what is being prepared or decided
     missing: Annotated[tuple[str, ...], Meta(max_length=8)] = ()  # whose yes is wanted still, of these some
     settled: bool = False  # the last decided is in force
-    outcomes: Annotated[tuple[Outcome, ...], Meta(max_length=16)] = ()
+    outcomes: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = ()
 
 
-def standing_from(data: object) -> Standing:
+def decode_member_status(data: object) -> MemberStatus:
     """Raises msgspec.ValidationError."""
-    return msgspec.convert(data, Standing)
+    return msgspec.convert(data, MemberStatus)
 
 
 # --- what is done by the owner ------------------------------------------------------------------
 
 
-class Say(Struct, frozen=True):
+class Send(Struct, frozen=True):
     """Effect: send a message to a member; LEADER stands for whoever leads the voters."""
 
     to: Name  # LEADER: whoever leads the voters
     message: Message
 
 
-class Decide(Struct, frozen=True):
+class ProposeRegister(Struct, frozen=True):
     """Effect: propose this register to the consensus log, once.
 
     `Steward.decided` tells what came of it, or `Steward.not_put` where it never came into the log.
@@ -189,7 +191,7 @@
     register: str
 
 
-class Keep(Struct, frozen=True):
+class StoreRegister(Struct, frozen=True):
     """Effect: write to disk, without haste.
 
     For people, and for the limits of a front end that hears no leader.
@@ -198,7 +200,7 @@
     register: str
 
 
-class InForce(Struct, frozen=True):
+class ActivePolicy(Struct, frozen=True):
     """Effect: calls are judged by this from now on.
 
     `number` of a strict one is the later of its documents.
@@ -210,7 +212,7 @@
     how: Literal["leased", "strict", "floor", "waiting"] = "leased"
 
 
-class Note(Struct, frozen=True):
+class LogEvent(Struct, frozen=True):
     """Effect: a line for the operators' log."""
 
     event: str
@@ -218,4 +220,4 @@
 
 
 LEADER = "@leader"
-Effect = Say | Decide | Keep | InForce | Note
+Effect = Send | ProposeRegister | StoreRegister | ActivePolicy | LogEvent
--- a/fawnwharf/policy_rollout/model_checker.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -19,10 +19,10 @@
 from dataclasses import dataclass, field, replace
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import Register, register_from
-from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.rollout_coordinator import Steward
-from fawnwharf.policy_rollout.scenario import KNOWN, NAMES, STEWARD_STATE, TIMING, Scene, World
+from fawnwharf.policy_rollout.document import Register, parse_register
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+from fawnwharf.policy_rollout.scenario import KNOWN, NAMES, STEWARD_STATE, TIMING, ModelState, Scenario
 
 TEXTS = tuple(f'{{"version":1,"tenants":{{"t":{{"quota_rps":{n}}}}}}}' for n in (5, 6, 7))
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class CheckResult:
     """The result of a search; `path` leads to what is broken, if anything is."""
 
     states: int = 0
@@ -54,28 +54,30 @@
     path: list[str] = field(default_factory=list)
 
 
-class Search:
+class ModelChecker:
     """Searches breadth first, so that what is found broken comes with a shortest path."""
 
-    def __init__(self, bounds: Bounds, steward: type = Steward, holder: type = Holder) -> None:
+    def __init__(
+        self, bounds: Bounds, steward: type = RolloutCoordinator, holder: type = LeaseHolder
+    ) -> None:
         self.bounds, self.steward, self.holder = bounds, steward, holder
 
-    def start(self) -> World:
+    def start(self) -> ModelState:
         """The first state: all three hold leases of epoch 0, granted at this moment."""
-        leader = Steward(TIMING, NAMES)
+        leader = RolloutCoordinator(TIMING, NAMES)
         leader.lead(0.0, 1, "")
         leader.clear_ms = 0.0
-        blank = Steward(TIMING, NAMES)
+        blank = RolloutCoordinator(TIMING, NAMES)
         states = [(*(getattr(s, key) for key in STEWARD_STATE), None) for s in (leader, blank)]
         views = ((False, (0, TIMING.over_ms), (1, 0.0, 0.0), True, 1), (False, None, None, False, 0))
         holder = (1, Register(), True, (0, TIMING.lease_ms), 0, None, (1, 1))
-        return World(((holder, "", 0, views, frozenset()),) * len(NAMES), tuple(states))
+        return ModelState(((holder, "", 0, views, frozenset()),) * len(NAMES), tuple(states))
 
-    def run(self) -> Found:
+    def run(self) -> CheckResult:
         """Search all states within the bounds, or up to the first one that is broken."""
-        found, start = Found(), self.start()
+        found, start = CheckResult(), self.start()
         seen, edge = {start}, deque([(start, 0)])
-        parents: dict[World, tuple[World, str]] = {}
+        parents: dict[ModelState, tuple[ModelState, str]] = {}
         while edge and not found.broken:
             world, depth = edge.popleft()
             found.depth = depth
@@ -97,7 +99,7 @@
         found.states = len(seen)
         return found
 
-    def _steps(self, world: World) -> Iterator[tuple[str, World]]:
+    def _steps(self, world: ModelState) -> Iterator[tuple[str, ModelState]]:
         """All that may happen next, by a label each, and the states after it."""
         yield from self._of_clock_and_operators(world)
         yield from self._of_leaders(world)
@@ -105,12 +107,12 @@
             if part not in world.members[:place]:  # else as one before it
                 yield from self._of_member(world, place)
 
-    def _after(self, world: World, do: Callable[[Scene], None], **change: int) -> World:
-        scene = Scene(world, self)
+    def _after(self, world: ModelState, do: Callable[[Scenario], None], **change: int) -> ModelState:
+        scene = Scenario(world, self)
         do(scene)
         return scene.frozen(**change)
 
-    def _of_clock_and_operators(self, world: World) -> Iterator[tuple[str, World]]:
+    def _of_clock_and_operators(self, world: ModelState) -> Iterator[tuple[str, ModelState]]:
         bounds = self.bounds
         if world.turn < bounds.turns:
             turns = self._after(world, lambda s: setattr(s, "now", s.now + 1), turn=world.turn + 1)
@@ -124,7 +126,7 @@
             step = lambda s: s.steward_does(at, s.stewards[at].call_off(s.fast))  # noqa: E731
             yield "it is called off", self._after(world, step, called_off=world.called_off + 1)
 
-    def _of_leaders(self, world: World) -> Iterator[tuple[str, World]]:
+    def _of_leaders(self, world: ModelState) -> Iterator[tuple[str, ModelState]]:
         at = world.crown
         step = lambda s: s.steward_does(at, s.stewards[at].tick(s.fast, True))  # noqa: E731
         yield "the steward looks", self._after(world, step)
@@ -135,7 +137,7 @@
                 label = f"another leader; what is put is {'lost' if lost else 'decided'}"
                 yield label, self._after(world, _replaced(lost), leaders=world.leaders + 1)
 
-    def _of_member(self, world: World, place: int) -> Iterator[tuple[str, World]]:
+    def _of_member(self, world: ModelState, place: int) -> Iterator[tuple[str, ModelState]]:
         bounds, name = self.bounds, NAMES[place]
         if world.asks < bounds.asks:
             yield f"{name} asks", self._after(world, _asks(place), asks=world.asks + 1)
@@ -153,14 +155,14 @@
                 yield label + ", to come again", self._after(world, step, repeats=world.repeats + 1)
 
 
-def _decides(scene: Scene) -> None:
+def _decides(scene: Scenario) -> None:
     scene.commit()
     at = scene.crown
     scene.steward_does(at, scene.stewards[at].decided(scene.fast, scene.log, True))
 
 
-def _replaced(lost: bool) -> Callable[[Scene], None]:
-    def do(scene: Scene) -> None:
+def _replaced(lost: bool) -> Callable[[Scenario], None]:
+    def do(scene: Scenario) -> None:
         if scene.pending and not lost:
             scene.commit()
         scene.pending = ""
@@ -172,8 +174,8 @@
     return do
 
 
-def _asks(place: int) -> Callable[[Scene], None]:
-    def do(scene: Scene) -> None:
+def _asks(place: int) -> Callable[[Scenario], None]:
+    def do(scene: Scenario) -> None:
         holder = scene.holders[place]
         holder.open_ms = 0.0
         scene.holder_does(place, holder.tick(scene.slow), late=True)
@@ -181,18 +183,18 @@
     return do
 
 
-def _reborn(place: int, search: Search) -> Callable[[Scene], None]:
-    def do(scene: Scene) -> None:
+def _reborn(place: int, search: ModelChecker) -> Callable[[Scenario], None]:
+    def do(scene: Scenario) -> None:
         born = search.holder(KNOWN, TIMING, scene.holders[place].life + 1, scene.disks[place])
         scene.holders[place] = born
-        scene.least[place] = register_from(scene.log).last.number
+        scene.least[place] = parse_register(scene.log).last.number
         scene.holder_does(place, born.tick(scene.slow))
 
     return do
 
 
 def _arrives(place: int, way: str, message: m.Message, again: bool, late: bool = False) -> Callable:
-    def do(scene: Scene) -> None:
+    def do(scene: Scenario) -> None:
         if not again:
             scene.flying[place].discard((way, message))
         scene.arrives(place, way, message, late)
@@ -218,7 +220,7 @@
     broken = False
     for name, bounds in SEARCHES.items():
         began = time.perf_counter()
-        found = Search(replace(bounds, states=states)).run()
+        found = ModelChecker(replace(bounds, states=states)).run()
         whole = "whole" if found.complete else f"to depth {found.depth}"
         print(f"{name}: {found.states} states, {whole}, {time.perf_counter() - began:.0f} s {found.broken}")
         for label in found.path:
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -8,13 +8,15 @@
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy_rollout.call_binding import spec_of
-from fawnwharf.policy_rollout.document import Document, Known, made
+from fawnwharf.policy_rollout.call_binding import class_spec_under
+from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, make_document
 
 LIMIT = "policy"
 
 
-def known_of(deployment: Deployment, zones: Any, state: Any, staging: dict[str, float] | None) -> Known:
+def deployment_capabilities(
+    deployment: Deployment, zones: Any, state: Any, staging: dict[str, float] | None
+) -> DeploymentCapabilities:
     """What this deployment has, and its settings as a document, which gives absent keys their meaning.
 
     `zones` and `state` are the attached parts; `state` is None where no calls are replicated, and `staging`
@@ -34,13 +36,13 @@
     values |= {("staging", key): value for key, value in (staging or {}).items()}
     values |= {("admission", name): 1.0 for name in names}
     values |= {("spill", name): spill.zones.get(name, spill.share) for name in names}
-    found = Known(
+    found = DeploymentCapabilities(
         classes=frozenset(settings.classes),
         tenants=deployment.wire.tenants | frozenset(settings.quotas_rps),
         zones=frozenset(names),
         keeps=state is not None,
         stages=staging is not None,
-        base=made(0, values),
+        base=make_document(0, values),
     )
     if state is None:
         return found
@@ -49,7 +51,7 @@
     return msgspec.structs.replace(found, give_up_most_ms=kept.call_most_ms, window_ms=window)
 
 
-class Follower:
+class PolicyApplier:
     """Owns what was last applied to the parts, and applies what changes."""
 
     def __init__(self, deployment: Deployment, front: FrontEnd, zones: Any, state: Any) -> None:
@@ -80,7 +82,7 @@
         return self._classes(document)
 
     def _classes(self, document: Document) -> bool:
-        classes = {name: spec_of(spec, document) for name, spec in self._base.items()}
+        classes = {name: class_spec_under(spec, document) for name, spec in self._base.items()}
         changed = [spec for name, spec in classes.items() if spec != self.classes[name]]
         self.classes = classes
         # To wait for longer than a policy gives is no fault of clients, which know an earlier time: the
--- a/fawnwharf/policy_rollout/policy_file.py
+++ b/fawnwharf/policy_rollout/policy_file.py
@@ -15,7 +15,7 @@
 VERSION = 1
 
 
-class Kept(Struct, frozen=True):
+class StoredPolicy(Struct, frozen=True):
     """The contents of the file."""
 
     version: int = VERSION
@@ -23,16 +23,16 @@
     register: str = ""
 
 
-def read(path: Path) -> Kept:
+def read_policy_file(path: Path) -> StoredPolicy:
     """The file's contents; defaults where there is no file, or it can't be read."""
     with contextlib.suppress(OSError, msgspec.MsgspecError, RecursionError):
-        found = msgspec.json.decode(path.read_bytes(), type=Kept)
+        found = msgspec.json.decode(path.read_bytes(), type=StoredPolicy)
         if found.version == VERSION and 0 <= found.life < 2**52:
             return found
-    return Kept()
+    return StoredPolicy()
 
 
-def write(path: Path, kept: Kept) -> None:
+def write_policy_file(path: Path, kept: StoredPolicy) -> None:
     """Write the file atomically, and on disk when this returns; raises OSError."""
     path.parent.mkdir(parents=True, exist_ok=True)
     replace_file(path, msgspec.json.encode(kept))
--- a/fawnwharf/policy_rollout/rollout_coordinator.py
+++ b/fawnwharf/policy_rollout/rollout_coordinator.py
@@ -18,11 +18,17 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import Document, DocumentError, Register, document_from, register_from
+from fawnwharf.policy_rollout.document import (
+    Document,
+    DocumentError,
+    Register,
+    parse_document,
+    parse_register,
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Timing:
+class RolloutTiming:
     """Times in milliseconds, and the part by which a clock's rate may differ from true time."""
 
     lease_ms: float = 2_000.0
@@ -38,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Open:
+class OpenProposal:
     """The one proposal in progress."""
 
     document: Document
@@ -49,10 +55,10 @@
 
 
 @dataclass(slots=True)
-class Steward:
+class RolloutCoordinator:
     """Owns what is proposed, who has agreed, and who may hold which lease."""
 
-    timing: Timing
+    timing: RolloutTiming
     members: tuple[str, ...] = ()
     term: int = 0  # of its reign; 0: it does not lead
     turn: int = 0
@@ -63,7 +69,7 @@
     asked: dict[str, tuple[int, float, float]] = field(default_factory=dict)  # life, sent, heard here
     lives: dict[str, int] = field(default_factory=dict)  # the last that each was heard in
     told: frozenset[str] = frozenset()  # those that are known to know the last decided
-    open: Open | None = None
+    open: OpenProposal | None = None
     top: int = 0  # the largest number given in this reign
     again_ms: float = 0.0
     ticked_ms: float = 0.0
@@ -78,14 +84,14 @@
         """
         self.rest()
         try:
-            self.register = register_from(text)
+            self.register = parse_register(text)
         except DocumentError as error:
-            return [m.Note("policy not read", {"why": str(error), "term": term})]
+            return [m.LogEvent("policy not read", {"why": str(error), "term": term})]
         self.term, self.turn = term, 1
         self.top = self.register.last.number
         self.clear_ms = now_ms + self.timing.over_ms
         self.settled = self.register.before is None
-        return [m.Note("steward", {"term": term, "number": self.top})]
+        return [m.LogEvent("steward", {"term": term, "number": self.top})]
 
     def rest(self) -> None:
         """End the term: the voter does not lead any more.
@@ -108,13 +114,13 @@
         """Take any message that is for a coordinator; others change nothing. `fresh` as for `status`."""
         if isinstance(message, m.Vote):
             return self.vote(now_ms, sender, message)
-        if isinstance(message, m.Status):
+        if isinstance(message, m.LeaseRequest):
             return self.status(now_ms, sender, message, fresh)
-        if isinstance(message, m.Changed):
+        if isinstance(message, m.EpochAdopted):
             return self.changed(now_ms, sender, message, fresh)
         if isinstance(message, m.Propose):
             return self.propose(now_ms, message.text)
-        return self.call_off(now_ms, message.why) if isinstance(message, m.CallOff) else []
+        return self.call_off(now_ms, message.why) if isinstance(message, m.Cancel) else []
 
     # --- a proposal -----------------------------------------------------------------------------
 
@@ -125,15 +131,15 @@
         if cause := self._busy():
             return [_refused(cause)]
         try:
-            document = document_from(text)
+            document = parse_document(text)
         except DocumentError as error:
             return [_refused(str(error))]
         self.top += 1
         self.turn += 1
-        self.open = Open(document.numbered(self.top), self.turn, now_ms + self.timing.prepare_ms)
+        self.open = OpenProposal(document.numbered(self.top), self.turn, now_ms + self.timing.prepare_ms)
         self.again_ms = now_ms + self.timing.again_ms
         fields = {"number": self.top, "digest": document.digest, "members": len(self.members)}
-        return [m.Note("prepare", fields), *self._prepare(), *self._next(now_ms)]
+        return [m.LogEvent("prepare", fields), *self._prepare(), *self._next(now_ms)]
 
     def _busy(self) -> str:
         if self.open is not None:
@@ -141,7 +147,7 @@
         return "" if self.settled else f"number {self.register.last.number} is not in force yet"
 
     def _prepare(self) -> list[m.Effect]:
-        return [m.Say(to, self._preparing()) for to in self.members if to not in self.open.yes]
+        return [m.Send(to, self._preparing()) for to in self.members if to not in self.open.yes]
 
     def _preparing(self) -> m.Prepare:
         document = self.open.document
@@ -182,7 +188,10 @@
         self.turn += 1  # so that a prepare that comes late begins nothing anew
         self.open = None
         word = m.Abort(self.term, self.turn, number, why[:300])
-        return [*(m.Say(to, word) for to in self.members), m.Note("ended", {"number": number, "why": why})]
+        return [
+            *(m.Send(to, word) for to in self.members),
+            m.LogEvent("ended", {"number": number, "why": why}),
+        ]
 
     def _held(self, now_ms: float, name: str) -> bool:
         """Whether a member may have a lease of this term, of whatever number, at this moment."""
@@ -206,7 +215,7 @@
         if not self.open.yes:
             return []  # nobody lives that would go by it
         self.open.deciding = True
-        return [m.Decide(self.register.followed_by(self.open.document).encode())]
+        return [m.ProposeRegister(self.register.followed_by(self.open.document).encode())]
 
     # --- the decision ---------------------------------------------------------------------------
 
@@ -219,7 +228,7 @@
 
         Raises DocumentError for a malformed text; what it asked for itself never is.
         """
-        register = register_from(text)
+        register = parse_register(text)
         if not self.term or register.last.number <= self.register.last.number:
             return []
         self.register, self.open, self.settled = register, None, False
@@ -227,12 +236,12 @@
         self.turn += 1
         self.told = frozenset()
         self.again_ms = now_ms + self.timing.again_ms
-        note = m.Note("decided", {"number": register.last.number, "digest": register.last.digest})
+        note = m.LogEvent("decided", {"number": register.last.number, "digest": register.last.digest})
         return [note, *self._tell(), *(self._settle(now_ms) if fresh else [])]
 
     def _tell(self) -> list[m.Effect]:
         word = m.Decided(self.register.encode())
-        return [m.Say(to, word) for to in self.members if to not in self.told]
+        return [m.Send(to, word) for to in self.members if to not in self.told]
 
     def _early(self) -> list[str]:
         return [name for name, (number, _) in self.leases.items() if number < self.register.last.number]
@@ -249,15 +258,15 @@
         self.settled = True
         for name in self._early():
             del self.leases[name]
-        effects: list[m.Effect] = [m.Note("in force", {"number": self.register.last.number})]
+        effects: list[m.Effect] = [m.LogEvent("in force", {"number": self.register.last.number})]
         for name, (life, sent_ms, heard_ms) in self.asked.items():
             if name in self.told and name in self.members:  # an answer to what it asked last
-                effects.append(m.Say(name, self._grant(name, life, sent_ms, heard_ms, "")))
+                effects.append(m.Send(name, self._grant(name, life, sent_ms, heard_ms, "")))
         return effects
 
     # --- leases ---------------------------------------------------------------------------------
 
-    def status(self, now_ms: float, sender: str, word: m.Status, fresh: bool) -> list[m.Effect]:
+    def status(self, now_ms: float, sender: str, word: m.LeaseRequest, fresh: bool) -> list[m.Effect]:
         """Answer a holder's question for a lease.
 
         `fresh` is `Voter.fresh` at this moment; without it nothing is granted, as there may be another
@@ -284,14 +293,14 @@
         text = "" if word.known >= last else self.register.encode()
         if effects and not text:
             return effects  # its grant is among those
-        effects.append(m.Say(sender, self._grant(sender, word.life, word.sent_ms, now_ms, text)))
+        effects.append(m.Send(sender, self._grant(sender, word.life, word.sent_ms, now_ms, text)))
         if self.open and sender not in self.open.yes and not self.open.deciding:
-            effects.append(m.Say(sender, self._preparing()))
+            effects.append(m.Send(sender, self._preparing()))
         return effects
 
-    def changed(self, now_ms: float, sender: str, word: m.Changed, fresh: bool) -> list[m.Effect]:
+    def changed(self, now_ms: float, sender: str, word: m.EpochAdopted, fresh: bool) -> list[m.Effect]:
         """Take that a holder does not act by anything before that number any more."""
-        status = m.Status(word.life, word.sent_ms, word.number, word.granted)
+        status = m.LeaseRequest(word.life, word.sent_ms, word.number, word.granted)
         effects = self.status(now_ms, sender, status, fresh)
         return effects if self.settled else []  # an answer follows once there is a lease to be had
 
@@ -303,7 +312,7 @@
             if self.open:
                 self.open.yes -= {name}
 
-    def _grant(self, name: str, life: int, sent_ms: float, heard_ms: float, register: str) -> m.Grant:
+    def _grant(self, name: str, life: int, sent_ms: float, heard_ms: float, register: str) -> m.LeaseGrant:
         """The answer to a holder: a lease where there may be one.
 
         A holder that has not agreed to what is being decided gets none, as it would have to be waited for
@@ -318,7 +327,7 @@
             before = self.leases.get(name, (last, 0.0))[1]
             self.leases[name] = last, max(before, heard_ms + self.timing.over_ms)
         number = opened.document.number if opened else 0
-        return m.Grant(self.term, self.turn, life, sent_ms, last, lease_ms, number, register)
+        return m.LeaseGrant(self.term, self.turn, life, sent_ms, last, lease_ms, number, register)
 
     # --- time -----------------------------------------------------------------------------------
 
@@ -340,5 +349,5 @@
         return effects
 
 
-def _refused(why: str) -> m.Note:
-    return m.Note("refused", {"why": why})
+def _refused(why: str) -> m.LogEvent:
+    return m.LogEvent("refused", {"why": why})
--- a/fawnwharf/policy_rollout/rollout_measurement.py
+++ b/fawnwharf/policy_rollout/rollout_measurement.py
@@ -7,9 +7,9 @@
 
 from dataclasses import dataclass
 
-from fawnwharf.policy_rollout.document import register_from
-from fawnwharf.policy_rollout.simulation import Walk
-from fawnwharf.policy_rollout.simulation_types import CALM, Node
+from fawnwharf.policy_rollout.document import parse_register
+from fawnwharf.policy_rollout.simulation import Simulation
+from fawnwharf.policy_rollout.simulation_types import NO_FAULTS, SimulatedMember
 
 SIZES = (12, 30, 200, 1_000)
 CASES = ("calm", "down", "dies", "cut")
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Took:
+class RolloutDuration:
     """Milliseconds from the proposal until each step, and the messages beyond those that renew leases.
 
     The steps are: decided, in force, and leased by all that can be reached.
@@ -30,9 +30,9 @@
     messages: int
 
 
-def change(size: int, case: str, seed: int) -> Took:
+def measure_rollout(size: int, case: str, seed: int) -> RolloutDuration:
     """Measure one rollout in a fleet of `size` members; `case` is one of `CASES`."""
-    walk = Walk(size, seed, CALM, watched=False)
+    walk = Simulation(size, seed, NO_FAULTS, watched=False)
     walk.run(10**9, until_ms=5_000.0)
     tenth = [f"f{n}" for n in range(size - max(1, size // 10), size)]
     if case == "down":
@@ -45,24 +45,24 @@
     live = [node for node in walk.nodes.values() if case == "calm" or node.name not in tenth]
     marks = _marks(walk, live, tenth if case == "cut" else [])
     said = walk.outcome.messages - before
-    grants = said["Grant"] - said["Status"]
-    messages = sum(said[kind] for kind in ("Prepare", "Vote", "Decided", "Changed")) + max(0, grants)
-    return Took(*(marks[key] - began_ms for key in ("decided", "in force", "all")), messages)
+    grants = said["LeaseGrant"] - said["LeaseRequest"]
+    messages = sum(said[kind] for kind in ("Prepare", "Vote", "Decided", "EpochAdopted")) + max(0, grants)
+    return RolloutDuration(*(marks[key] - began_ms for key in ("decided", "in force", "all")), messages)
 
 
-def _kill(walk: Walk, names: list[str]) -> None:
+def _kill(walk: Simulation, names: list[str]) -> None:
     for name in names:
         walk.kill(name, LONG_MS)
 
 
-def _marks(walk: Walk, live: list[Node], cut: list[str]) -> dict[str, float]:
+def _marks(walk: Simulation, live: list[SimulatedMember], cut: list[str]) -> dict[str, float]:
     """When each step of the rollout is reached; `cut` are cut off at the moment of the decision."""
     steward, stop_ms = walk.nodes[walk.crown].steward, walk.now
     marks: dict[str, float] = {}
     while len(marks) < 3:
         stop_ms += STEP_MS
         walk.run(10**9, until_ms=stop_ms)
-        if "decided" not in marks and register_from(walk.log).last.number:
+        if "decided" not in marks and parse_register(walk.log).last.number:
             marks["decided"] = walk.now
             for name in cut:
                 walk.nodes[name].cut_ms = LONG_MS
@@ -79,7 +79,7 @@
     lines = [f"| {' | '.join(head)} |", "| --- " * 6 + "|"]
     for size in sizes:
         for case in CASES:
-            took = [change(size, case, seed) for seed in range(seeds if size < 1_000 else 1)]
+            took = [measure_rollout(size, case, seed) for seed in range(seeds if size < 1_000 else 1)]
             worst = [max(getattr(t, key) for t in took) for key in ("decided_ms", "in_force_ms", "all_ms")]
             count = max(t.messages for t in took)
             lines.append(f"| {size} | {case} | {' | '.join(f'{ms:.0f}' for ms in worst)} | {count} |")
--- a/fawnwharf/policy_rollout/rollout_member.py
+++ b/fawnwharf/policy_rollout/rollout_member.py
@@ -15,59 +15,66 @@
 
 import msgspec
 
-from fawnwharf.incarnations import Lives
+from fawnwharf.incarnations import IncarnationCounter
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import DocumentError, Known, document_from, register_from
-from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.rollout_coordinator import Steward, Timing
+from fawnwharf.policy_rollout.document import (
+    DeploymentCapabilities,
+    DocumentError,
+    parse_document,
+    parse_register,
+)
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
 from fawnwharf.zones.lines import Seat
 
 OUTCOMES_MOST = 8  # of a reign, that are told
 WISHES_MOST = 4
 WISH_MS = 10_000.0  # a word that no leader answers for so long is given up
-TO_STEWARD = (m.Vote, m.Status, m.Changed)
-OF_OPERATORS = (m.Propose, m.Back, m.CallOff)
+TO_STEWARD = (m.Vote, m.LeaseRequest, m.EpochAdopted)
+OF_OPERATORS = (m.Propose, m.Rollback, m.Cancel)
 
 
 @dataclass(slots=True)
 class Wish:
     """An operator's request that was made at this member."""
 
-    message: m.Propose | m.Back | m.CallOff
+    message: m.Propose | m.Rollback | m.Cancel
     digest: str  # of what it asks for; "": not known
     began_ms: float
-    outcome: m.Outcome
+    outcome: m.RequestOutcome
     term: int = 0  # of the leader that told the outcome
     said_ms: float = 0.0
 
 
 @dataclass(slots=True)
-class Agent:
+class RolloutMember:
     """Owns the lease holder and the coordinator of one member, and the operators' requests made at it."""
 
     name: str
     members: tuple[str, ...]
-    known: Known
-    timing: Timing
+    known: DeploymentCapabilities
+    timing: RolloutTiming
     life: int
     seat: Callable[[float], Seat]  # how its voter stands
     votes: bool = False
     disk: str = ""
-    holder: Holder = field(init=False)
-    steward: Steward | None = None
+    holder: LeaseHolder = field(init=False)
+    steward: RolloutCoordinator | None = None
     counts: dict[str, int] = field(default_factory=dict)  # what was dropped, by cause
-    standings: dict[str, m.Standing] = field(default_factory=dict)  # others', as last told
+    standings: dict[str, m.MemberStatus] = field(default_factory=dict)  # others', as last told
     wishes: deque[Wish] = field(default_factory=lambda: deque(maxlen=WISHES_MOST))  # that were said here
     term: int = 0  # the largest of a leader that was heard
-    outcomes: deque[m.Outcome] = field(default_factory=lambda: deque(maxlen=OUTCOMES_MOST))
+    outcomes: deque[m.RequestOutcome] = field(default_factory=lambda: deque(maxlen=OUTCOMES_MOST))
     unread: int = 0  # a reign that could not begin
     taken: dict[str, int] = field(default_factory=dict)  # in this reign, by front end: the last word's number
-    lives: Lives = field(default_factory=Lives)  # the steward knows them as counted, their members as told
+    lives: IncarnationCounter = field(
+        default_factory=IncarnationCounter
+    )  # the steward knows them as counted, their members as told
 
     def __post_init__(self) -> None:
-        self.holder = Holder(self.known, self.timing, self.life, self.disk)
+        self.holder = LeaseHolder(self.known, self.timing, self.life, self.disk)
         if self.votes:
-            self.steward = Steward(self.timing, self.members)
+            self.steward = RolloutCoordinator(self.timing, self.members)
 
     def _count(self, cause: str) -> None:
         self.counts[cause] = self.counts.get(cause, 0) + 1
@@ -86,7 +93,7 @@
         effects: list[m.Effect] = []
         for data in said:
             try:
-                message = m.message_from(data)
+                message = m.decode_message(data)
             except msgspec.ValidationError:
                 self._count("bad word")
                 continue
@@ -100,7 +107,7 @@
             return self.holder.heard(now_ms, sender, message)
         if self.steward is None:
             return []
-        if not (life := self.lives.heard(sender, message.life)):
+        if not (life := self.lives.observe(sender, message.life)):
             self._count("of an earlier life")
             return []
         message = msgspec.structs.replace(message, life=life)
@@ -111,23 +118,23 @@
         found, waiting = [], deque(effects)
         while waiting:
             effect = waiting.popleft()
-            if isinstance(effect, m.Say):
-                if isinstance(effect.message, m.Grant):
+            if isinstance(effect, m.Send):
+                if isinstance(effect.message, m.LeaseGrant):
                     effect = self._as_told(effect)
                 mine = effect.to == self.name or (effect.to == m.LEADER and self.leads(now_ms))
                 if mine:
                     waiting.extend(self._take(now_ms, self.name, effect.message))
                     continue
-            elif isinstance(effect, m.Note):
+            elif isinstance(effect, m.LogEvent):
                 self._noted(effect)
             found.append(effect)
         if self.wishes and self.steward is not None and self.steward.term:
             self._learn_outcomes(self.standing(now_ms))
         return found
 
-    def _as_told(self, say: m.Say) -> m.Say:
+    def _as_told(self, say: m.Send) -> m.Send:
         """A grant, with the incarnation's own number in place of its count."""
-        life = self.lives.told(say.to, say.message.life)
+        life = self.lives.number_of(say.to, say.message.life)
         return msgspec.structs.replace(say, message=msgspec.structs.replace(say.message, life=life))
 
     def decided(self, now_ms: float, text: str) -> list[m.Effect]:
@@ -136,7 +143,7 @@
         try:
             if self.steward is not None and self.steward.term:
                 effects = self.steward.decided(now_ms, text, self.leads(now_ms))
-            number = register_from(text).last.number
+            number = parse_register(text).last.number
         except DocumentError:
             return self._out(now_ms, self.holder.decided(now_ms, text))  # it says so, and is not ready
         if number > self.holder.register.last.number:
@@ -147,12 +154,14 @@
         """Take that what was to be decided never came into the log."""
         return self._out(now_ms, self.steward.not_put(now_ms)) if self.steward else []
 
-    def take_members(self, now_ms: float, members: tuple[str, ...], known: Known) -> list[m.Effect]:
+    def take_members(
+        self, now_ms: float, members: tuple[str, ...], known: DeploymentCapabilities
+    ) -> list[m.Effect]:
         """Take another list of members, and what the deployment then knows."""
         self.members, self.known, self.holder.known = members, known, known
         self.holder.stance = None  # what an absent key means may be another thing
         self.standings = {name: told for name, told in self.standings.items() if name in members}
-        self.lives.keep(members)
+        self.lives.retain(members)
         if self.steward is None:
             return []
         return self._out(now_ms, self.steward.take_members(now_ms, members))
@@ -170,7 +179,7 @@
             return []
         seat, effects = self.seat(now_ms), []
         if steward.term and steward.term != seat.term:
-            effects.append(m.Note("steward rests", {"term": steward.term}))
+            effects.append(m.LogEvent("steward rests", {"term": steward.term}))
             steward.rest()
             self.outcomes.clear()
             self.taken.clear()
@@ -205,7 +214,7 @@
 
     # --- operators' words: at the leader ----------------------------------------------------------
 
-    def _wished(self, now_ms: float, by: str, word: m.Propose | m.Back | m.CallOff) -> list[m.Effect]:
+    def _wished(self, now_ms: float, by: str, word: m.Propose | m.Rollback | m.Cancel) -> list[m.Effect]:
         """Take an operator's request at the leader.
 
         Each is taken once, and only if it is meant for this term: an old one may be repeated by a log that
@@ -214,49 +223,51 @@
         if not self.leads(now_ms) or word.term != self.steward.term or word.wish <= self.taken.get(by, 0):
             return []
         self.taken[by] = word.wish
-        if isinstance(word, m.CallOff):
+        if isinstance(word, m.Cancel):
             return self._called_off(now_ms, by, word)
         steward, text = self.steward, word.text if isinstance(word, m.Propose) else ""
         last, before = steward.register.last, steward.register.before
-        if isinstance(word, m.Back):
+        if isinstance(word, m.Rollback):
             if word.number != last.number or before is None:
                 why = f"{last.number} is the last, not {word.number}" if before else "there is none before it"
-                self.outcomes.append(m.Outcome(by, word.wish, "refused", 0, why))
-                return [m.Note("refused", {"why": why})]
+                self.outcomes.append(m.RequestOutcome(by, word.wish, "refused", 0, why))
+                return [m.LogEvent("refused", {"why": why})]
             text = before.encode()
         try:
-            same = steward.open is None and document_from(text).digest == last.digest
+            same = steward.open is None and parse_document(text).digest == last.digest
         except DocumentError:
             same = False  # the steward says why
         if same:  # said to a leader that knows nothing of it, or for nothing
             state = "in force" if steward.settled else "decided"
-            self.outcomes.append(m.Outcome(by, word.wish, state, last.number))
+            self.outcomes.append(m.RequestOutcome(by, word.wish, state, last.number))
             return []
         effects = steward.propose(now_ms, text)
-        first = next(effect for effect in effects if isinstance(effect, m.Note))
+        first = next(effect for effect in effects if isinstance(effect, m.LogEvent))
         if first.event == "prepare":
-            self.outcomes.append(m.Outcome(by, word.wish, "preparing", first.fields["number"]))
+            self.outcomes.append(m.RequestOutcome(by, word.wish, "preparing", first.fields["number"]))
         else:
-            self.outcomes.append(m.Outcome(by, word.wish, "refused", 0, first.fields["why"][:300]))
+            self.outcomes.append(m.RequestOutcome(by, word.wish, "refused", 0, first.fields["why"][:300]))
         return effects
 
-    def _called_off(self, now_ms: float, by: str, word: m.CallOff) -> list[m.Effect]:
+    def _called_off(self, now_ms: float, by: str, word: m.Cancel) -> list[m.Effect]:
         opened = self.steward.open.document.number if self.steward.open else 0
         if word.number not in (0, opened):
-            effects: list[m.Effect] = [m.Note("refused", {"why": f"{word.number} is not being prepared"})]
+            effects: list[m.Effect] = [m.LogEvent("refused", {"why": f"{word.number} is not being prepared"})]
         else:
             effects = self.steward.call_off(now_ms, word.why)
-        refused = [e for e in effects if isinstance(e, m.Note) and e.event == "refused"]
+        refused = [e for e in effects if isinstance(e, m.LogEvent) and e.event == "refused"]
         why = refused[0].fields["why"] if refused else "called off"
-        self.outcomes.append(m.Outcome(by, word.wish, "refused" if refused else "ended", opened, why[:300]))
+        self.outcomes.append(
+            m.RequestOutcome(by, word.wish, "refused" if refused else "ended", opened, why[:300])
+        )
         return effects
 
-    def _noted(self, note: m.Note) -> None:
+    def _noted(self, note: m.LogEvent) -> None:
         """Update the outcomes of requests by a coordinator's note."""
         if note.event not in ("ended", "decided", "in force"):
             return
         for place, outcome in enumerate(self.outcomes):
-            if outcome.number == note.fields["number"] and outcome.state not in m.FINAL:
+            if outcome.number == note.fields["number"] and outcome.state not in m.FINAL_STATES:
                 why = str(note.fields.get("why", ""))[:300]
                 self.outcomes[place] = msgspec.structs.replace(outcome, state=note.event, why=why)
 
@@ -267,40 +278,42 @@
         register, digest = self.holder.register, ""
         if said.propose is not None:
             text = msgspec.json.encode(said.propose).decode()
-            digest, message = document_from(text).digest, m.Propose(text, wish, self.term)
+            digest, message = parse_document(text).digest, m.Propose(text, wish, self.term)
         elif said.back:
-            message = m.Back(register.last.number, wish, self.term)
+            message = m.Rollback(register.last.number, wish, self.term)
             digest = register.before.digest if register.before else ""
         else:
             leader = max(self.standings.values(), key=lambda told: told.term, default=None)
             opened = leader.open if leader and leader.term else 0
-            message = m.CallOff(said.call_off[:200], opened, wish, self.term)
-        self.wishes.append(Wish(message, digest, now_ms, m.Outcome(self.name, wish, "asked"), 0, now_ms))
-        return self._out(now_ms, [m.Say(m.LEADER, message)])
+            message = m.Cancel(said.call_off[:200], opened, wish, self.term)
+        self.wishes.append(
+            Wish(message, digest, now_ms, m.RequestOutcome(self.name, wish, "asked"), 0, now_ms)
+        )
+        return self._out(now_ms, [m.Send(m.LEADER, message)])
 
     def refuse(self, now_ms: float, wish: int, why: str) -> None:
         """Note a request that can't be taken, and why."""
-        outcome = m.Outcome(self.name, wish, "refused", 0, why[:300])
-        self.wishes.append(Wish(m.CallOff("", 0, wish), "", now_ms, outcome))
+        outcome = m.RequestOutcome(self.name, wish, "refused", 0, why[:300])
+        self.wishes.append(Wish(m.Cancel("", 0, wish), "", now_ms, outcome))
 
     def _wish_again(self, now_ms: float, wish: Wish) -> list[m.Effect]:
         if wish.outcome.state != "asked":
             return []
         if now_ms - wish.began_ms >= WISH_MS:
-            wish.outcome = m.Outcome(self.name, wish.message.wish, "ended", 0, "no leader answered")
+            wish.outcome = m.RequestOutcome(self.name, wish.message.wish, "ended", 0, "no leader answered")
             return []
         if now_ms - wish.said_ms < self.timing.again_ms:
             return []
         wish.said_ms = now_ms
         wish.message = msgspec.structs.replace(wish.message, term=self.term)  # by now it may be another's
-        return [m.Say(m.LEADER, wish.message)]
+        return [m.Send(m.LEADER, wish.message)]
 
     # --- standings ------------------------------------------------------------------------------
 
     def standing_of(self, now_ms: float, sender: str, data: Any) -> None:
         """Take another member's status; what can't be decoded is dropped and counted."""
         try:
-            told = m.standing_from(data)
+            told = m.decode_member_status(data)
         except msgspec.ValidationError:
             self._count("bad standing")
             return
@@ -311,7 +324,7 @@
         if told.term == self.term and told.term:
             self._learn_outcomes(told)
 
-    def _learn_outcomes(self, leader: m.Standing) -> None:
+    def _learn_outcomes(self, leader: m.MemberStatus) -> None:
         known = {outcome.wish: outcome for outcome in leader.outcomes if outcome.by == self.name}
         for wish in self.wishes:
             if leader.term < wish.term:
@@ -321,7 +334,7 @@
             elif leader.term > wish.term:
                 wish.outcome = _after(wish, leader)
 
-    def standing(self, now_ms: float) -> m.Standing:
+    def standing(self, now_ms: float) -> m.MemberStatus:
         """This member's status, as it is told to the others."""
         holder, steward = self.holder, self.steward
         last, told = holder.register.last, {}
@@ -334,7 +347,7 @@
                 "settled": steward.settled,
                 "outcomes": tuple(self.outcomes),
             }
-        return m.Standing(
+        return m.MemberStatus(
             ready=holder.ready,
             how=holder.last.how if holder.last else "waiting",
             number=last.number,
@@ -348,7 +361,7 @@
         )
 
 
-def _after(wish: Wish, leader: m.Standing) -> m.Outcome:
+def _after(wish: Wish, leader: m.MemberStatus) -> m.RequestOutcome:
     """What came of a word of which an earlier leader told, by what is decided under this one."""
     last = wish.outcome
     if last.state not in ("preparing", "decided"):
--- a/fawnwharf/policy_rollout/scenario.py
+++ b/fawnwharf/policy_rollout/scenario.py
@@ -8,18 +8,18 @@
 from typing import Protocol
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import Document, Known, register_from
-from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.rollout_coordinator import Open, Steward, Timing
+from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, parse_register
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import OpenProposal, RolloutCoordinator, RolloutTiming
 
 NAMES = ("a", "b", "c")
-TIMING = Timing(lease_ms=6.0, renew_ms=1.0, prepare_ms=16.0, again_ms=8.0, skew=1 / 3)
+TIMING = RolloutTiming(lease_ms=6.0, renew_ms=1.0, prepare_ms=16.0, again_ms=8.0, skew=1 / 3)
 FAST, SLOW = 4.0, 2.0  # ms of a steward's and a holder's clock in one turn
-KNOWN = Known(frozenset(), frozenset({"t"}), frozenset())
+KNOWN = DeploymentCapabilities(frozenset(), frozenset({"t"}), frozenset())
 
 
 @dataclass(frozen=True, slots=True)
-class World:
+class ModelState:
     """One frozen state.
 
     A member's part holds all that is on its way to or from it, so that members are exchangeable.
@@ -43,28 +43,28 @@
     broken: str = ""
 
 
-class Kinds(Protocol):
+class Implementations(Protocol):
     """The classes to be tried: the real ones, or mutants with a bug on purpose."""
 
-    steward: type[Steward]
-    holder: type[Holder]
+    steward: type[RolloutCoordinator]
+    holder: type[LeaseHolder]
 
 
 HOLDER_STATE = ("life", "register", "ready", "lease", "granted", "prepared", "word")
 STEWARD_STATE = ("term", "turn", "register", "settled", "clear_ms", "top", "again_ms")
 
 
-def _thawed_steward(search: Kinds, frozen: tuple) -> Steward:
+def _thawed_steward(search: Implementations, frozen: tuple) -> RolloutCoordinator:
     steward = search.steward(TIMING, NAMES)
     for name, value in zip(STEWARD_STATE, frozen, strict=False):
         setattr(steward, name, value)
     if frozen[-1]:
         document, turn, until_ms, deciding = frozen[-1]
-        steward.open = Open(document, turn, until_ms, deciding=deciding)
+        steward.open = OpenProposal(document, turn, until_ms, deciding=deciding)
     return steward
 
 
-def _thaw_view(steward: Steward, name: str, view: tuple) -> None:
+def _thaw_view(steward: RolloutCoordinator, name: str, view: tuple) -> None:
     """Give a coordinator back what it knows of one member."""
     yes, lease, asked, told, life = view
     if yes:
@@ -79,13 +79,13 @@
         steward.told |= {name}
 
 
-class Scene:
+class Scenario:
     """One state with live cores, to which one thing happens."""
 
-    def __init__(self, world: World, search: Kinds) -> None:
+    def __init__(self, world: ModelState, search: Implementations) -> None:
         self.world, self.broken = world, ""
         self.now = world.turn
-        self.holders: list[Holder] = []
+        self.holders: list[LeaseHolder] = []
         self.disks, self.least, self.flying = [], [], []
         self.stewards = [_thawed_steward(search, frozen) for frozen in world.stewards]
         for name, part in zip(NAMES, world.members, strict=True):
@@ -93,7 +93,7 @@
         self.log, self.pending, self.crown = world.log, world.pending, world.crown
         self.decided, self.opened = dict(world.decided), dict(world.opened)
 
-    def _thaw_member(self, search: Kinds, name: str, part: tuple) -> None:
+    def _thaw_member(self, search: Implementations, name: str, part: tuple) -> None:
         """Make a member's holder, and what is known of the member, out of its part of a frozen state."""
         frozen, disk, least, views, flying = part
         holder = search.holder(KNOWN, TIMING, frozen[0])
@@ -107,7 +107,7 @@
         for steward, view in zip(self.stewards, views, strict=True):
             _thaw_view(steward, name, view)
 
-    def frozen(self, **change: int) -> World:
+    def frozen(self, **change: int) -> ModelState:
         """The state as it is now, for comparing."""
         members = []
         for place, name in enumerate(NAMES):
@@ -134,7 +134,7 @@
         )
 
     @staticmethod
-    def _view(s: Steward, name: str) -> tuple:
+    def _view(s: RolloutCoordinator, name: str) -> tuple:
         """What a steward knows of one member."""
         yes = s.open is not None and name in s.open.yes
         return yes, s.leases.get(name), s.asked.get(name), name in s.told, s.lives.get(name, 0)
@@ -163,14 +163,14 @@
                 return opened == (message.term, message.turn)
             return int(way[2:]) == self.crown
         if isinstance(message, m.Decided):
-            return register_from(message.register).last.number > holder.register.last.number
-        if isinstance(message, m.Grant):
+            return parse_register(message.register).last.number > holder.register.last.number
+        if isinstance(message, m.LeaseGrant):
             return message.life == holder.life
         return (message.term, message.turn) >= holder.word
 
     def commit(self) -> None:
         """Let the log decide what was proposed to it."""
-        last = register_from(self.pending).last
+        last = parse_register(self.pending).last
         if self.decided.setdefault(last.number, last.digest) != last.digest:
             self.broken = f"two documents with the number {last.number}"
         self.log, self.pending = self.pending, ""
@@ -191,9 +191,9 @@
         """Carry out the effects of a coordinator."""
         steward = self.stewards[place]
         for effect in effects:
-            if isinstance(effect, m.Decide):
+            if isinstance(effect, m.ProposeRegister):
                 self._put(place, effect.register)
-            elif isinstance(effect, m.Say):
+            elif isinstance(effect, m.Send):
                 self.flying[NAMES.index(effect.to)].add((f"s{place}", effect.message))
                 self._watch(place, steward.term, effect.message)
 
@@ -202,7 +202,7 @@
             return  # a leader that was replaced gets no majority
         if self.pending:
             self.broken = "two numbers at once put to the vote"
-        number = register_from(text).last.number
+        number = parse_register(text).last.number
         for name, holder in zip(NAMES, self.holders, strict=True):
             asked = holder.prepared is not None and holder.prepared.number == number
             if holder._stance(self.slow)[0] == "leased" and not asked:
@@ -214,8 +214,8 @@
             self.broken = f"two numbers at once: {self.opened[term]} and {message.number}"
         if isinstance(message, m.Abort):
             self.opened.pop(term, None)
-            pending = self.pending and register_from(self.pending).last.number
-            if place == self.crown and message.number in (pending, register_from(self.log).last.number):
+            pending = self.pending and parse_register(self.pending).last.number
+            if place == self.crown and message.number in (pending, parse_register(self.log).last.number):
                 self.broken = f"{message.number} is ended after its decision"
         if isinstance(message, m.Decided):
             self.opened.pop(term, None)
@@ -226,9 +226,9 @@
         With `late` its messages stay on their way, else they arrive at once.
         """
         for effect in effects:
-            if isinstance(effect, m.Keep):
+            if isinstance(effect, m.StoreRegister):
                 self.disks[place] = effect.register
-            elif isinstance(effect, m.Say):
+            elif isinstance(effect, m.Send):
                 to = f"s{self.crown}" if effect.to == m.LEADER else effect.to
                 if late:
                     self.flying[place].add((f">{to}", effect.message))
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -16,18 +16,23 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.call_binding import Judged, handed_over, spec_of
-from fawnwharf.policy_rollout.call_trace import Trace
-from fawnwharf.policy_rollout.document import Document, Known, check_against, document_of
-from fawnwharf.policy_rollout.message_batcher import Outbox
-from fawnwharf.policy_rollout.policy_applier import Follower, known_of
-from fawnwharf.policy_rollout.rollout_member import Agent
-from fawnwharf.policy_rollout.settings import Settings, said_from, settings_from
+from fawnwharf.policy_rollout.call_binding import CallPolicyBinding, class_spec_under, with_bound_classes
+from fawnwharf.policy_rollout.call_trace import CallTrace
+from fawnwharf.policy_rollout.document import (
+    DeploymentCapabilities,
+    Document,
+    document_from_object,
+    find_incompatibility,
+)
+from fawnwharf.policy_rollout.message_batcher import MessageBatcher
+from fawnwharf.policy_rollout.policy_applier import PolicyApplier, deployment_capabilities
+from fawnwharf.policy_rollout.rollout_member import RolloutMember
+from fawnwharf.policy_rollout.settings import RolloutSettings, decode_operator_request, decode_settings
 from fawnwharf.zones.files import WatchedFile, load
 from fawnwharf.zones.settings import FileFault
 
 NAME = "policy"
-KEPT_FILE, SAID_FILE = "policy.json", "proposal.json"
+POLICY_FILE, REQUEST_FILE = "policy.json", "proposal.json"
 FILES_MS = 200.0  # pace of the look at the operators' file
 TRACE_MS = 100.0  # pace of writing
 LEASE_MS = 50.0  # one that was told what is in force waits for so long for a lease, before it judges calls
@@ -39,7 +44,7 @@
 Write = Callable[[str, dict[str, Any]], None]
 
 
-class Policies:
+class PolicyRolloutService:
     """Owns this front end's part in policy rollouts.
 
     A Seam of the front end, and a client of the zones' logs.
@@ -51,26 +56,28 @@
         `made` has the other parts by name, of which `zones` has to be there already.
         """
         self.deployment, self.note, self._made = deployment, write, made
-        self.settings: Settings = load(Path(path), settings_from, NAME)
+        self.settings: RolloutSettings = load(Path(path), decode_settings, NAME)
         self.zones = made["zones"]
-        self._kept_file = self.zones.folder / KEPT_FILE
-        self._said_file = WatchedFile(self.zones.folder / SAID_FILE)
-        before = policy_file.read(self._kept_file)
+        self._kept_file = self.zones.folder / POLICY_FILE
+        self._said_file = WatchedFile(self.zones.folder / REQUEST_FILE)
+        before = policy_file.read_policy_file(self._kept_file)
         self._register = before.register
         self.life = max(time.time_ns() // 1_000, before.life + 1)
         try:
-            policy_file.write(self._kept_file, policy_file.Kept(life=self.life, register=self._register))
+            policy_file.write_policy_file(
+                self._kept_file, policy_file.StoredPolicy(life=self.life, register=self._register)
+            )
         except OSError as error:
             raise ConfigError(f"{NAME}: {self._kept_file}: {error.strerror}") from None
         self.trace = self._open_trace(Path(path).parent)
         self.front: FrontEnd | None = None
-        self.agent: Agent | None = None
-        self.calls: Judged | None = None
-        self._follower: Follower | None = None
+        self.agent: RolloutMember | None = None
+        self.calls: CallPolicyBinding | None = None
+        self._follower: PolicyApplier | None = None
         self._module: dict[str, io.ClassSpec] = {}  # as the module has it
         self._mixed_ms = 0.0
-        self._outbox: Outbox | None = None
-        self._told: m.Standing | None = None
+        self._outbox: MessageBatcher | None = None
+        self._told: m.MemberStatus | None = None
         self._told_ms = -1e9
         self._stands_later = False
         self._wish = 0  # the largest number of an operator's word that was read
@@ -80,20 +87,20 @@
         self._timer_ms = 0.0
         self._stopped = False
 
-    def _open_trace(self, folder: Path) -> Trace | None:
+    def _open_trace(self, folder: Path) -> CallTrace | None:
         """The trace that the settings name; raises ConfigError where it can't be written."""
         if not self.settings.trace:
             return None
         place = folder / self.settings.trace
         try:
-            return Trace(place)
+            return CallTrace(place)
         except OSError as error:
             raise ConfigError(f"{NAME}.trace: {place}: {error.strerror}") from None
 
     # --- what other parts read ------------------------------------------------------------------
 
     @property
-    def in_force(self) -> m.InForce:
+    def in_force(self) -> m.ActivePolicy:
         """By what calls are judged at this moment, over the settings."""
         return self.agent.holder.judged_by(monotonic_ms())
 
@@ -102,10 +109,10 @@
         """Budgets of prefetching by their keys in the document; absent ones are as the settings have them."""
         return self.in_force.document.section("staging")
 
-    def _known(self) -> Known:
+    def _known(self) -> DeploymentCapabilities:
         foreseen = getattr(self._made.get("sessions"), "foreseen", None)
         budgets = foreseen.staging.budgets if foreseen is not None else None
-        return known_of(self.deployment, self.zones, self._made.get("state"), budgets)
+        return deployment_capabilities(self.deployment, self.zones, self._made.get("state"), budgets)
 
     @property
     def ready(self) -> bool:
@@ -118,16 +125,16 @@
         """Begin on the front end's loop; zones and state are attached already."""
         self.front, self._began_ms = front, monotonic_ms()
         core, state, known = self.zones.core, self._made.get("state"), self._known()
-        self.agent = Agent(
+        self.agent = RolloutMember(
             self.zones.entry.name, self._names(), known, self.settings.timing, self.life,
             self.zones.seat, core.voter is not None, self._register,
         )  # fmt: skip
-        self._outbox = Outbox(front.loop, self.zones, self._too_much)
-        self._follower = Follower(self.deployment, front, self.zones, state)
+        self._outbox = MessageBatcher(front.loop, self.zones, self._too_much)
+        self._follower = PolicyApplier(self.deployment, front, self.zones, state)
         self._module = dict(self._follower.classes)
         front.port.waits_for.add(NAME)
         below = front.port.table
-        self.calls = Judged(
+        self.calls = CallPolicyBinding(
             below, self._take, self.agent.holder.done, self._ended, unix_ms, front.loop.wheel.after
         )
         front.port.table = self.calls
@@ -166,7 +173,7 @@
     def events(self, events: list[io.Event]) -> None:
         """Hand calls that waited at the claim gate through a change over as they are judged."""
         if monotonic_ms() < self._mixed_ms:
-            events[:] = handed_over(events, self._module, self._own_spec)
+            events[:] = with_bound_classes(events, self._module, self._own_spec)
 
     @property
     def busy(self) -> bool:
@@ -178,17 +185,17 @@
         base = self.deployment.settings.classes.get(event.class_name)
         if request is None or base is None or request.call.judged is None:
             return None
-        return spec_of(base, request.call.judged.document)
+        return class_spec_under(base, request.call.judged.document)
 
     # --- calls ----------------------------------------------------------------------------------
 
-    def _take(self, number: str) -> m.InForce:
+    def _take(self, number: str) -> m.ActivePolicy:
         now, holder = monotonic_ms(), self.agent.holder
         if now >= holder.lease[1] and holder.last is not None and holder.last.how == "leased":
             self._tick()  # its lease is over, and the timer a moment late
         return holder.take(now, number)
 
-    def _ended(self, id: bytes, by: m.InForce, taken_ms: float) -> None:
+    def _ended(self, id: bytes, by: m.ActivePolicy, taken_ms: float) -> None:
         if self.trace is not None:
             self.trace.call(id.hex(), by, taken_ms, unix_ms())
 
@@ -256,16 +263,16 @@
 
     def _carry_out(self, effects: list[m.Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, m.Say):
+            if isinstance(effect, m.Send):
                 self._outbox.send(effect)
-            elif isinstance(effect, m.Decide):
+            elif isinstance(effect, m.ProposeRegister):
                 if not self.zones.put(effect.register):
                     self._carry_out(self.agent.not_put(monotonic_ms()))
-            elif isinstance(effect, m.Keep):
+            elif isinstance(effect, m.StoreRegister):
                 self._keep(effect.register)
-            elif isinstance(effect, m.InForce):
+            elif isinstance(effect, m.ActivePolicy):
                 self._go_by(effect)
-            elif isinstance(effect, m.Note):
+            elif isinstance(effect, m.LogEvent):
                 self.note(effect.event, effect.fields)
         self._follower.keep_by(dict(self.agent.holder.keeping.now))
         (self.front.port.waits_for.discard if self.ready else self.front.port.waits_for.add)(NAME)
@@ -281,7 +288,7 @@
         if self.ready and not self._stopped:
             self.calls.release()
 
-    def _go_by(self, effect: m.InForce) -> None:
+    def _go_by(self, effect: m.ActivePolicy) -> None:
         if self._follower.go_by(effect.document):
             self._mixed_ms = monotonic_ms() + MIXED_MS
         fields = {"number": effect.number, "digest": effect.digest, "how": effect.how}
@@ -290,7 +297,9 @@
     def _keep(self, register: str) -> None:
         self._register = register
         try:
-            policy_file.write(self._kept_file, policy_file.Kept(life=self.life, register=register))
+            policy_file.write_policy_file(
+                self._kept_file, policy_file.StoredPolicy(life=self.life, register=register)
+            )
         except OSError as error:
             if self._once("keep"):
                 self.note("policy not kept", {"why": error.strerror})
@@ -355,12 +364,12 @@
         """A word that can't be taken changes nothing, and is said once with its key and cause."""
         now, number = monotonic_ms(), 0
         try:
-            said = said_from(data)
+            said = decode_operator_request(data)
             number = said.number
             if number <= self._wish:
                 raise FileFault(f"number: {number} is not larger than {self._wish}, of the word before")
             if said.propose is not None:
-                fault = check_against(document_of(said.propose), self.agent.known)
+                fault = find_incompatibility(document_from_object(said.propose), self.agent.known)
                 if fault:
                     raise FileFault(fault)
         except FileFault as error:
--- a/fawnwharf/policy_rollout/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -9,14 +9,14 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.policy_rollout.document import DocumentError, document_of
-from fawnwharf.policy_rollout.rollout_coordinator import Timing
+from fawnwharf.policy_rollout.document import DocumentError, document_from_object
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.zones.settings import FileFault, Span
 
 VERSION = 1
 
 
-class Settings(Struct, frozen=True, forbid_unknown_fields=True):
+class RolloutSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """The file that switches policy rollouts on; the voters' values count for the fleet."""
 
     version: int
@@ -28,12 +28,12 @@
     trace: str = ""  # a file for a line a call, for trials; a relative path is from the settings' own folder
 
     @property
-    def timing(self) -> Timing:
+    def timing(self) -> RolloutTiming:
         """The times that coordinators and holders go by."""
-        return Timing(self.lease_ms, self.renew_ms, self.prepare_ms, self.again_ms, self.skew)
+        return RolloutTiming(self.lease_ms, self.renew_ms, self.prepare_ms, self.again_ms, self.skew)
 
 
-class Said(Struct, frozen=True, forbid_unknown_fields=True):
+class OperatorRequest(Struct, frozen=True, forbid_unknown_fields=True):
     """An operator's request, `proposal.json`: exactly one of `propose`, `call_off` and `back` is there."""
 
     version: int
@@ -57,9 +57,9 @@
         raise FileFault(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
 
 
-def settings_from(data: bytes) -> Settings:
+def decode_settings(data: bytes) -> RolloutSettings:
     """Parse and check the settings; raises FileFault."""
-    found: Settings = _read(data, Settings, "settings")
+    found: RolloutSettings = _read(data, RolloutSettings, "settings")
     if found.renew_ms * 2 > found.lease_ms:
         raise FileFault("renew_ms: two do not fit into lease_ms")
     if found.prepare_ms < found.timing.over_ms:
@@ -67,14 +67,14 @@
     return found
 
 
-def said_from(data: bytes) -> Said:
+def decode_operator_request(data: bytes) -> OperatorRequest:
     """Parse a request and check its document, where it has one, by itself; raises FileFault."""
-    said: Said = _read(data, Said, "proposal")
+    said: OperatorRequest = _read(data, OperatorRequest, "proposal")
     if (said.propose is not None) + (said.call_off is not None) + said.back != 1:
         raise FileFault("proposal: one of propose, call_off and back is wanted")
     if said.propose is not None:
         try:
-            document_of(said.propose)
+            document_from_object(said.propose)
         except DocumentError as error:
             raise FileFault(str(error)) from None
     return said
--- a/fawnwharf/policy_rollout/simulation.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -16,50 +16,50 @@
 import sys
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import Document, Known, register_from
-from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.rollout_coordinator import Steward, Timing
-from fawnwharf.policy_rollout.simulation_types import CALM, Node, Outcome, Weather
+from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, parse_register
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
+from fawnwharf.policy_rollout.simulation_types import NO_FAULTS, FaultRates, SimulatedMember, SimulationResult
 
-KNOWN = Known(frozenset({"c"}), frozenset({"t"}), frozenset())
+KNOWN = DeploymentCapabilities(frozenset({"c"}), frozenset({"t"}), frozenset())
 
 
-class Walk:
+class Simulation:
     """One fleet, and the reference model, which knows all that was ever decided."""
 
     def __init__(
         self,
         size: int,
         seed: int,
-        weather: Weather = Weather(),  # noqa: B008 - frozen
-        kinds: tuple[type[Steward], type[Holder]] = (Steward, Holder),
-        timing: Timing = Timing(),  # noqa: B008 - frozen
+        weather: FaultRates = FaultRates(),  # noqa: B008 - frozen
+        kinds: tuple[type[RolloutCoordinator], type[LeaseHolder]] = (RolloutCoordinator, LeaseHolder),
+        timing: RolloutTiming = RolloutTiming(),  # noqa: B008 - frozen
         watched: bool = True,
     ) -> None:
         self.weather, self.kinds, self.timing, self.watched = weather, kinds, timing, watched
         self.chance, self.now, self.order = random.Random(seed), 0.0, itertools.count()
         self.queue: list[tuple[float, int, str, tuple]] = []
-        self.outcome = Outcome()
+        self.outcome = SimulationResult()
         self.log, self.pending, self.term, self.crown = "", "", 0, ""
         self.decided = {0: Document().digest}
         self.opened: dict[int, int] = {}
         self.decided_ms: float | None = None  # while its leader is not disturbed
-        self.taken: dict[str, m.InForce] = {}
+        self.taken: dict[str, m.ActivePolicy] = {}
         names = tuple(f"f{n}" for n in range(size))
         self.members = names
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, SimulatedMember] = {}
         for n, name in enumerate(names):
             rate = 1 + self.chance.uniform(-timing.skew, timing.skew)
-            node = Node(name, rate, kinds[0](timing, names) if n < 3 else None)
+            node = SimulatedMember(name, rate, kinds[0](timing, names) if n < 3 else None)
             self.nodes[name] = node
             self._soon("_born", self.chance.uniform(0.0, timing.renew_ms), name)
         self._soon("_leads", 0.0, "f0")
-        if weather is not CALM:
+        if weather is not NO_FAULTS:
             self._soon("_weather", 100.0)
 
     # --- the walk -------------------------------------------------------------------------------
 
-    def run(self, steps: int, until_ms: float = float("inf")) -> Outcome:
+    def run(self, steps: int, until_ms: float = float("inf")) -> SimulationResult:
         """Run so many steps, or up to a time, or to the first broken rule."""
         while self.outcome.steps < steps and not self.outcome.broken and self.queue[0][0] <= until_ms:
             self.now, _, what, about = heapq.heappop(self.queue)
@@ -73,13 +73,13 @@
     def _soon(self, what: str, delay_ms: float, *about: object) -> None:
         heapq.heappush(self.queue, (self.now + delay_ms, next(self.order), what, about))
 
-    def _clock(self, node: Node) -> float:
+    def _clock(self, node: SimulatedMember) -> float:
         return self.now * node.rate
 
     def _break(self, why: str) -> None:
         self.outcome.broken = self.outcome.broken or f"{why}, at {self.now:.1f} ms"
 
-    def _wind(self, node: Node, what: str, due_ms: float | None) -> None:
+    def _wind(self, node: SimulatedMember, what: str, due_ms: float | None) -> None:
         if due_ms is not None and due_ms != node.wound.get(what):
             node.wound[what] = due_ms
             self._soon("_rings", max(0.01, due_ms / node.rate - self.now), node.name, what, due_ms)
@@ -100,7 +100,7 @@
     def _born(self, name: str) -> None:
         node = self.nodes[name]
         node.life += 1
-        node.least = register_from(self.log).last.number
+        node.least = parse_register(self.log).last.number
         node.holder = self.kinds[1](KNOWN, self.timing, node.life, node.disk)
         self._holder_does(node, node.holder.tick(self._clock(node)))
 
@@ -134,7 +134,7 @@
             self.nodes[name].steward.rest()
 
     def _commit(self) -> None:
-        last = register_from(self.pending).last
+        last = parse_register(self.pending).last
         if self.decided.setdefault(last.number, last.digest) != last.digest:
             self._break(f"two documents with the number {last.number}")
         self.log, self.pending = self.pending, ""
@@ -152,14 +152,14 @@
 
     # --- effects --------------------------------------------------------------------------------
 
-    def _steward_does(self, node: Node, effects: list[m.Effect]) -> None:
+    def _steward_does(self, node: SimulatedMember, effects: list[m.Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, m.Say):
+            if isinstance(effect, m.Send):
                 self._watch(node, effect.message)
                 self._send(node.name, effect.to, effect.message)
-            elif isinstance(effect, m.Decide):
+            elif isinstance(effect, m.ProposeRegister):
                 self._put(node, effect.register)
-            elif isinstance(effect, m.Note):
+            elif isinstance(effect, m.LogEvent):
                 self.outcome.events[effect.event] += 1
                 if effect.event == "in force" and self.decided_ms is not None:
                     took_ms = self.now - self.decided_ms
@@ -169,7 +169,7 @@
                     self.decided_ms = None
         self._wind(node, "steward", node.steward.due_ms())
 
-    def _put(self, node: Node, text: str) -> None:
+    def _put(self, node: SimulatedMember, text: str) -> None:
         if node.name != self.crown or node.steward.term != self.term:
             return
         if self.pending:
@@ -177,7 +177,7 @@
         if self.weather.lost and self.chance.random() < 0.02:
             self._steward_does(node, node.steward.not_put(self._clock(node)))
             return
-        number = register_from(text).last.number
+        number = parse_register(text).last.number
         for other in self.nodes.values():
             prepared = other.holder and other.holder.prepared
             if self._acts(other) and (prepared is None or prepared.number != number):
@@ -185,22 +185,22 @@
         self.pending = text
         self._soon("_logged", self.chance.uniform(2.0, 20.0), node.name, self.term, text)
 
-    def _watch(self, node: Node, message: m.Message) -> None:
+    def _watch(self, node: SimulatedMember, message: m.Message) -> None:
         term = node.steward.term
         if isinstance(message, m.Prepare) and self.opened.setdefault(term, message.number) != message.number:
             self._break(f"two numbers at once: {self.opened[term]} and {message.number}")
         if isinstance(message, m.Abort | m.Decided):
             self.opened.pop(term, None)
         if isinstance(message, m.Abort) and node.name == self.crown:
-            pending = self.pending and register_from(self.pending).last.number
-            if message.number in (pending, register_from(self.log).last.number):
+            pending = self.pending and parse_register(self.pending).last.number
+            if message.number in (pending, parse_register(self.log).last.number):
                 self._break(f"{message.number} is ended after its decision")
 
-    def _holder_does(self, node: Node, effects: list[m.Effect]) -> None:
+    def _holder_does(self, node: SimulatedMember, effects: list[m.Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, m.Keep):
+            if isinstance(effect, m.StoreRegister):
                 node.disk = effect.register
-            elif isinstance(effect, m.Say):
+            elif isinstance(effect, m.Send):
                 to = self.crown if effect.to == m.LEADER else effect.to
                 if to:
                     self._send(node.name, to, effect.message)
@@ -224,14 +224,14 @@
                 self._soon("_arrives", held_ms - self.now + self.chance.random(), sender, to, message)
             return
         now_ms, fresh = self._clock(node), self.crown == to
-        if isinstance(message, m.Status | m.Changed | m.Vote):
+        if isinstance(message, m.LeaseRequest | m.EpochAdopted | m.Vote):
             self._steward_does(node, node.steward.heard(now_ms, sender, message, fresh))
         else:
             self._holder_does(node, node.holder.heard(now_ms, sender, message))
 
     # --- what must never be ---------------------------------------------------------------------
 
-    def _acts(self, node: Node) -> bool:
+    def _acts(self, node: SimulatedMember) -> bool:
         return node.holder is not None and node.holder._stance(self._clock(node))[0] == "leased"
 
     def _check(self) -> None:
@@ -271,7 +271,7 @@
         if node is not None and node.halted_ms <= self.now:
             self._operate(node)
 
-    def _strike(self, up: list[Node]) -> None:
+    def _strike(self, up: list[SimulatedMember]) -> None:
         """Cut off, pause or kill members of those that are up, by chance."""
         chance, weather = self.chance, self.weather
         if chance.random() < weather.cuts / 10:
@@ -286,7 +286,7 @@
         if chance.random() < weather.kills / 10:
             self.kill(chance.choice(up).name, chance.uniform(1.0, weather.away_ms))
 
-    def _operate(self, node: Node) -> None:
+    def _operate(self, node: SimulatedMember) -> None:
         """Let operators act at the leader, by chance: propose, call off, change the list of members."""
         chance, weather = self.chance, self.weather
         if chance.random() < weather.proposals / 10:
@@ -302,7 +302,7 @@
         if node.holder and node.halted_ms <= self.now:
             self._steward_does(node, node.steward.call_off(self._clock(node)))
 
-    def _calls(self, node: Node) -> None:
+    def _calls(self, node: SimulatedMember) -> None:
         """Check that a call keeps the epoch by which it was taken up to its end."""
         call = f"{node.name}.{node.life}"
         if call in self.taken and node.holder.of(call) != self.taken.pop(call):
@@ -335,9 +335,9 @@
 
         print(table())
         return 0
-    broken, total = "", Outcome()
+    broken, total = "", SimulationResult()
     for seed in range(given.seeds):
-        outcome = Walk(3 + seed % 5, seed).run(given.steps)
+        outcome = Simulation(3 + seed % 5, seed).run(given.steps)
         total.steps += outcome.steps
         total.events += outcome.events
         total.longest_ms = max(total.longest_ms, outcome.longest_ms)
--- a/fawnwharf/policy_rollout/simulation_types.py
+++ b/fawnwharf/policy_rollout/simulation_types.py
@@ -3,12 +3,12 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.rollout_coordinator import Steward
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
+class FaultRates:
     """Rates of faults: chances per message, or per second of true time."""
 
     lost: float = 0.05
@@ -28,11 +28,11 @@
     lists: float = 0.02
 
 
-CALM = Weather(0.0, 0.0, (0.5, 5.0), 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
+NO_FAULTS = FaultRates(0.0, 0.0, (0.5, 5.0), 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
 
 
 @dataclass(slots=True)
-class Outcome:
+class SimulationResult:
     """The result of a run; `broken` is empty where all rules held."""
 
     steps: int = 0
@@ -45,13 +45,13 @@
 
 
 @dataclass(slots=True)
-class Node:
+class SimulatedMember:
     """One member: a clock, a holder while it lives, and a coordinator where it may lead."""
 
     name: str
     rate: float
-    steward: Steward | None
-    holder: Holder | None = None
+    steward: RolloutCoordinator | None
+    holder: LeaseHolder | None = None
     disk: str = ""
     life: int = 0
     least: int = 0
--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/search.py
@@ -17,8 +17,8 @@
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
 from fawnwharf.policy_rollout import model_checker, scenario
-from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.rollout_coordinator import Steward
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
 from fawnwharf.recovery_core.promises import Promises, Rules
 from fawnwharf.testbed import explore
 
@@ -118,13 +118,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PolicyWorld(scenario.World):
+class PolicyWorld(scenario.ModelState):
     """A state of a policy rollout, with the power losses so far."""
 
     cuts: int = 0
 
 
-class PolicySearch(model_checker.Search):
+class PolicySearch(model_checker.ModelChecker):
     """The same for coordinators and lease holders.
 
     The log is what it promises: what is proposed as power goes is lost, or found decided by the next leader.
@@ -141,14 +141,14 @@
             return
         for lost in (True, False) if world.pending else (True,):
             for crown in (0, 1):
-                state = scenario.Scene(world, self)
+                state = scenario.Scenario(world, self)
                 self._cut(state, crown, lost)
                 how = f"power is lost, {crown} leads next" + (
                     f", what was put is {'lost' if lost else 'decided'}" if world.pending else ""
                 )
                 yield how, state.frozen(cuts=world.cuts + 1)
 
-    def _cut(self, state: scenario.Scene, crown: int, lost: bool) -> None:
+    def _cut(self, state: scenario.Scenario, crown: int, lost: bool) -> None:
         term = max(s.term for s in state.stewards) + 1
         if state.pending and not lost:
             state.commit()
@@ -206,7 +206,7 @@
 
 def _policy(**more: int) -> Callable[[int], Outcome]:
     bounds = PolicyBounds(**({"turns": 3, "asks": 0} | more))
-    return lambda states: PolicySearch(replace(bounds, states=states), Steward, Holder).run()
+    return lambda states: PolicySearch(replace(bounds, states=states), RolloutCoordinator, LeaseHolder).run()
 
 
 def _promises(**more: int) -> Callable[[int], Outcome]:
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -79,9 +79,11 @@
             deployment, place, write, fresh and first, made.get("kept")
         )
     if place := files.get("policy"):
-        from fawnwharf.policy_rollout.service import Policies
+        from fawnwharf.policy_rollout.service import PolicyRolloutService
 
-        makers["policy"] = lambda first, made, place=place: Policies(deployment, place, write, made)
+        makers["policy"] = lambda first, made, place=place: PolicyRolloutService(
+            deployment, place, write, made
+        )
     if place := files.get("sessions"):
         from fawnwharf.sessions.service import Sessions
 
--- a/fawnwharf/sessions/agent.py
+++ b/fawnwharf/sessions/agent.py
@@ -14,7 +14,7 @@
 
 from msgspec.structs import replace
 
-from fawnwharf.incarnations import Lives
+from fawnwharf.incarnations import IncarnationCounter
 from fawnwharf.interface import ClassSpec
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.homes import Keeper, key_of, mover_of
@@ -69,7 +69,7 @@
         self.counts: Counter[str] = Counter()
         self.ended_by: Counter[str] = Counter()
         self.asking = Asking()
-        self._lives = Lives()
+        self._lives = IncarnationCounter()
         self._closed: dict[str, str] = {}
         self._pleased: dict[Session, str] = {}  # who wished for what is in hand here
         self._staged = Staged(self.counts)
@@ -129,7 +129,7 @@
         if sender not in self.sites:
             self.counts["no member"] += 1
             return
-        if not self._lives.heard(sender, life):
+        if not self._lives.observe(sender, life):
             self.counts["of an earlier life"] += 1
             return
         for word in words:
@@ -163,7 +163,7 @@
     def _completed(self, now_ms: float, sender: str, word: m.Message) -> m.Message:
         """A received message with what is known here; what it tells of a session is noted."""
         if isinstance(word, m.Left):
-            return replace(word, life=self._lives.last(sender))
+            return replace(word, life=self._lives.last_count(sender))
         if isinstance(word, m.Met) and self.keeper is not None:
             self.known.tell(now_ms, word.home.session, word.facts, self.sites[sender])
         elif isinstance(word, m.Give):
@@ -327,7 +327,7 @@
         kept = min(len(set(zones.values())), len(self.keepers_of("")))  # of a session: of as many zones
         before = self.number, zones, (kept - 1) // 2
         self.sites, keepers, self.number = dict(sites), tuple(keepers), number
-        self._lives.keep(sites)
+        self._lives.retain(sites)
         if self.mover is not None:
             for name in [name for name in self.mover.seen if name not in sites]:
                 del self.mover.seen[name]
@@ -348,7 +348,7 @@
         `alive` are the members that are heard, with their incarnations' numbers; `open_calls` says whether a
         call is still open here.
         """
-        counted = {name: self._lives.heard(name, life) for name, life in alive.items() if name in self.sites}
+        counted = {name: self._lives.observe(name, life) for name, life in alive.items() if name in self.sites}
         self.alive = {name: count for name, count in counted.items() if count}
         # One whose attempt has just ended is closed already, and the module is yet to be told: at the second
         # look it was refused, failed or overdue.
--- a/fawnwharf/testbed/proposals.py
+++ b/fawnwharf/testbed/proposals.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
-from fawnwharf.policy_rollout.document import Document, document_of
+from fawnwharf.policy_rollout.document import Document, document_from_object
 from fawnwharf.testbed.files import write_whole
 from fawnwharf.testbed.fleet import Fleet
 from fawnwharf.testbed.policy import Found, Judged, Life, epochs, told_ms, trace_of, words_of
@@ -55,7 +55,7 @@
         """Propose a document."""
         path = front.folder / "proposed.json"
         write_whole(path, {"version": 1, **document})
-        self._noted(document_of({"version": 1, **document}))
+        self._noted(document_from_object({"version": 1, **document}))
         self._say(front, "propose", path.name)
 
     def back(self, front: Front) -> None:
--- a/fawnwharf/testbed/scenario.py
+++ b/fawnwharf/testbed/scenario.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.policy_rollout.document import DocumentError, document_of
+from fawnwharf.policy_rollout.document import DocumentError, document_from_object
 
 VERSION = 1
 SAID = "in force", "prepare", "decided", "ended", "over", "refused"  # of a proposal
@@ -197,7 +197,7 @@
 
 def _check_document(n: int, step: Step) -> None:
     try:
-        document_of({"version": 1, **step.document})
+        document_from_object({"version": 1, **step.document})
     except DocumentError as error:
         raise ScenarioFault(f"steps[{n}].document: {error}") from None
 
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -22,7 +22,7 @@
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.document import Register, document_from
+from fawnwharf.policy_rollout.document import Register, parse_document
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.disk import KeeperDisk
 from fawnwharf.zones.founding import found
@@ -82,9 +82,9 @@
 
 def policy(folder: Path) -> None:
     """The kept policy file."""
-    last, before = (document_from(POLICY % (n, n * 100)) for n in (7, 6))
-    policy_file.write(
-        folder / "policy.json", policy_file.Kept(life=41, register=Register(last, before).encode())
+    last, before = (parse_document(POLICY % (n, n * 100)) for n in (7, 6))
+    policy_file.write_policy_file(
+        folder / "policy.json", policy_file.StoredPolicy(life=41, register=Register(last, before).encode())
     )
 
 
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -13,7 +13,7 @@
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.document import document_from, register_from
+from fawnwharf.policy_rollout.document import parse_document, parse_register
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.disk import KeeperDisk
 
@@ -108,13 +108,13 @@
 def test_the_kept_policy_is_read_and_written_to_equal_bytes(tmp_path):
     """Its life and both documents of its register."""
     folder = copied("policy", tmp_path)
-    kept = policy_file.read(folder / "policy.json")
+    kept = policy_file.read_policy_file(folder / "policy.json")
     assert (kept.version, kept.life) == (1, 41)
-    register = register_from(kept.register)
+    register = parse_register(kept.register)
     texts = [f'{{"version":1,"number":{n},"tenants":{{"acme":{{"quota_rps":{n}00}}}}}}' for n in (7, 6)]
-    assert [register.last, register.before] == [document_from(text) for text in texts]
+    assert [register.last, register.before] == [parse_document(text) for text in texts]
     assert register.encode() == kept.register
-    policy_file.write(tmp_path / "again.json", kept)
+    policy_file.write_policy_file(tmp_path / "again.json", kept)
     assert (tmp_path / "again.json").read_bytes() == (FOLDERS / "policy" / "policy.json").read_bytes()
 
 
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -27,7 +27,7 @@
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
-from fawnwharf.policy_rollout.document import Document, register_from
+from fawnwharf.policy_rollout.document import Document, parse_register
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_core.trust import Clock, Kind
@@ -217,7 +217,7 @@
     assert numbered(path) == recorded
     read = {
         "wishes.json": lambda data: zone_settings.wishes_from(data, SITES),
-        "proposal.json": policy_settings.said_from,
+        "proposal.json": policy_settings.decode_operator_request,
         "moves.json": lambda data: session_settings.wishes_from(data, SITES),
     }[name]
     assert read(path.read_bytes()).number > 10**9
@@ -225,8 +225,8 @@
 
 def test_traces_have_their_recorded_keys(tmp_path):
     """A line for each call, of policy and of sessions."""
-    trace = policy_trace.Trace(tmp_path / "policy")
-    trace.call("c1", policy.InForce(3, "d1", Document(), "strict"), 1.5, 2.5)
+    trace = policy_trace.CallTrace(tmp_path / "policy")
+    trace.call("c1", policy.ActivePolicy(3, "d1", Document(), "strict"), 1.5, 2.5)
     trace.flush()
     trace.close()
     assert (tmp_path / "policy").read_bytes() == (
@@ -259,7 +259,7 @@
 def test_the_register_of_policy_has_its_recorded_form():
     """The last document, and the one before it where there is one."""
     text = '{"policy":1,"last":{"number":2,"spill":{"a":0.5},"version":1},"before":{"number":1,"version":1}}'
-    found = register_from(text)
+    found = parse_register(text)
     assert (found.last.value("spill", "a"), found.before) == (0.5, Document(1))
     assert found.encode() == text
 
@@ -304,7 +304,7 @@
     assert (form.SNAPSHOT, form.LOG, form.SYNCED, form.SOON, form.HINT) == (
         "snapshot", "log", "synced", "soon", "hint",
     )  # fmt: skip
-    assert (policy_service.KEPT_FILE, policy_service.SAID_FILE) == ("policy.json", "proposal.json")
+    assert (policy_service.POLICY_FILE, policy_service.REQUEST_FILE) == ("policy.json", "proposal.json")
     assert keeper_disk.NO_MORE == -1 and kept.LAST == "last"
     assert (kept.START, kept.DOUBT, kept.SURE, kept.TURN) == ("start", "doubt", "sure", "turn")
     assert {kind: rule.name for kind, rule in kept.RULES.items()} == {
@@ -317,4 +317,4 @@
     assert (plan.SERVING, plan.LEAVING, plan.OUT, plan.RETURNING) == (
         "serving", "leaving", "out", "returning",
     )  # fmt: skip
-    assert policy.LEADER == "@leader" and policy.FINAL == ("ended", "refused", "in force")
+    assert policy.LEADER == "@leader" and policy.FINAL_STATES == ("ended", "refused", "in force")
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -178,7 +178,7 @@
         if field.encode_name not in there
     }
     assert missing == {  # which have one value
-        (policy_file.Kept, "version"),
+        (policy_file.StoredPolicy, "version"),
         (session_settings.Wishes, "version"),
         (zone_settings.Wishes, "version"),
         (plan.Plan, "version"),
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -47,9 +47,9 @@
     "sessions": Kind(sessions.settings_from, sessions.Settings),
     "sessions-foresight": Kind(prefetch.foresight_from),
     "sessions-wishes": Kind(lambda data: sessions.wishes_from(data, SITES), sessions.Wishes),
-    "policy-settings": Kind(policy.settings_from, policy.Settings),
-    "policy-request": Kind(policy.said_from, policy.Said),
-    "policy-document": Kind(policy_document.document_from),
+    "policy-settings": Kind(policy.decode_settings, policy.RolloutSettings),
+    "policy-request": Kind(policy.decode_operator_request, policy.OperatorRequest),
+    "policy-document": Kind(policy_document.parse_document),
 }
 
 
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("key, value", [("call_off", "why not"), ("back", True)])
 def test_the_other_requests_on_policy_are_read(key, value):
     """As the command line writes them."""
-    found = policy.said_from(msgspec.json.encode({"version": 1, "number": 2, key: value}))
+    found = policy.decode_operator_request(msgspec.json.encode({"version": 1, "number": 2, key: value}))
     assert {"call_off": found.call_off, "back": found.back}[key] == value
 
 
@@ -101,9 +101,9 @@
 def test_a_policy_document_arrives_and_is_encoded_to_equal_values():
     """Each path has its value, and the digest by which front ends compare policies is as it was."""
     data = raw("policy-document")
-    found = policy_document.document_from(msgspec.json.encode(data))
+    found = policy_document.parse_document(msgspec.json.encode(data))
     assert json.loads(found.encode()) == data
-    assert found.number == 7 and len(found.values) == len(policy_document.KEYS)
+    assert found.number == 7 and len(found.values) == len(policy_document.KEY_RULES)
     assert found.digest == ERRORS["policy-document"]["digest"]
     assert found.value("classes", "gold", "give_up_ms") == 900.0 and found.section("modes") == {
         "gold": "before"
@@ -146,7 +146,7 @@
     assert (stages.good, stages.slow) == (data["timing"]["good"], data["timing"]["slow"])
     assert found.pace.of_asking.again_ms == data["pace"]["again_ms"]
     data = raw("policy-settings")
-    timing = policy.settings_from(msgspec.json.encode(data)).timing
+    timing = policy.decode_settings(msgspec.json.encode(data)).timing
     assert (timing.lease_ms, timing.renew_ms, timing.skew) == (
         data["lease_ms"], data["renew_ms"], data["skew"],
     )  # fmt: skip
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -8,7 +8,7 @@
 
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy_rollout.service import Policies
+from fawnwharf.policy_rollout.service import PolicyRolloutService
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
 from fawnwharf.zones.founding import found
@@ -54,7 +54,7 @@
             made["state"] = lambda first, made: State(deployment, self.folder / "state.json", write, first)
         if self.policy:
             path = self.folder / "settings.json"
-            made["policy"] = lambda first, made: Policies(deployment, path, write, made)
+            made["policy"] = lambda first, made: PolicyRolloutService(deployment, path, write, made)
         seam = Seams(made, True)
         self.lines = []
         self.front = FrontEnd(deployment, lambda text, source="": self.lines.append(text), seam=seam)
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -6,7 +6,7 @@
 
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy_rollout.service import Policies
+from fawnwharf.policy_rollout.service import PolicyRolloutService
 from fawnwharf.recovery_core.stages import Stage
 from fawnwharf.recovery_service.onstore import kept
 from fawnwharf.recovery_service.service import Rejoin
@@ -55,7 +55,7 @@
             "state": lambda first, made: State(
                 deployment, here / "state.json", write, fresh, made["kept"]
             ),
-            "policy": lambda first, made: Policies(deployment, here / "policy.json", write, made),
+            "policy": lambda first, made: PolicyRolloutService(deployment, here / "policy.json", write, made),
             "recovery": lambda first, made: Rejoin(
                 deployment, here / "recovery.json", write, made
             ),
--- a/tests/test_epochs.py
+++ b/tests/test_epochs.py
@@ -8,25 +8,25 @@
 from hypothesis import strategies as st
 
 from fawnwharf.policy_rollout.document import (
-    CAREFUL,
-    KEYS,
-    TEXT_MOST,
+    KEY_RULES,
+    MAX_TEXT_LENGTH,
+    MODES_BY_STRICTNESS,
+    DeploymentCapabilities,
     Document,
     DocumentError,
-    Known,
     Register,
-    check_against,
-    document_from,
-    floor,
-    made,
-    over,
-    register_from,
+    fallback_limits,
+    find_incompatibility,
+    make_document,
+    parse_document,
+    parse_register,
     stricter,
+    with_defaults,
 )
 
 EXAMPLE = (Path(__file__).parent.parent / "deploy" / "policy.json").read_text()
-BASE = made(0, {("classes", "gold", "give_up_ms"): 900.0, ("admission", "b"): 0.0})
-KNOWN = Known(frozenset({"gold"}), frozenset({"acme"}), frozenset({"a", "b"}), base=BASE)
+BASE = make_document(0, {("classes", "gold", "give_up_ms"): 900.0, ("admission", "b"): 0.0})
+KNOWN = DeploymentCapabilities(frozenset({"gold"}), frozenset({"acme"}), frozenset({"a", "b"}), base=BASE)
 
 
 def text(**keys):
@@ -34,20 +34,20 @@
 
 
 def test_the_example_is_read_and_comes_back_whole():
-    document = document_from(EXAMPLE)
+    document = parse_document(EXAMPLE)
     assert document.value("classes", "gold", "promise_ms") == 300.0
     assert document.section("staging")["memory_mb"] == 64.0
-    assert document_from(document.encode()) == document and hash(document)
-    assert check_against(document, KNOWN) is None
+    assert parse_document(document.encode()) == document and hash(document)
+    assert find_incompatibility(document, KNOWN) is None
     register = Register(document.numbered(3), document.numbered(2))
-    assert register_from(register.encode()) == register
-    assert register_from(Register().encode()) == Register() == register_from("")
+    assert parse_register(register.encode()) == register
+    assert parse_register(Register().encode()) == Register() == parse_register("")
 
 
 def test_the_digest_is_of_contents_alone():
     one, other = text(spill={"a": 0.5, "b": 1}, number=4), text(number=9, spill={"b": 1.0, "a": 0.5})
-    assert document_from(one).digest == document_from(other).digest
-    assert document_from(one).digest != document_from(text(spill={"a": 0.5})).digest
+    assert parse_document(one).digest == parse_document(other).digest
+    assert parse_document(one).digest != parse_document(text(spill={"a": 0.5})).digest
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
     [
         (EXAMPLE[: len(EXAMPLE) // 2], "document: not JSON"),
         ("[]", "document: not an object"),
-        (" " * TEXT_MOST + "{}", "document: 24002 characters"),
+        (" " * MAX_TEXT_LENGTH + "{}", "document: 24002 characters"),
         ('{"spill": {}}', "version: None"),
         ('{"version": 2}', "version: 2, and this program knows 1"),
         (text(number=-1), "number: -1"),
@@ -74,7 +74,7 @@
 )
 def test_a_faulty_document_is_one_line_with_its_key(said, line):
     with pytest.raises(DocumentError) as caught:
-        document_from(said)
+        parse_document(said)
     assert str(caught.value).startswith(line) and "\n" not in str(caught.value)
 
 
@@ -94,15 +94,15 @@
 )
 def test_what_a_deployment_says_no_to(keys, known, line):
     fields = {f: getattr(KNOWN, f) for f in KNOWN.__struct_fields__} | known
-    assert check_against(document_from(text(**keys)), Known(**fields)) == line
+    assert find_incompatibility(parse_document(text(**keys)), DeploymentCapabilities(**fields)) == line
 
 
 def test_stricter_by_key():
-    loose = made(1, {
+    loose = make_document(1, {
         ("classes", "c", "promise_ms"): 100.0, ("classes", "c", "give_up_ms"): 900.0, ("spill", "a"): 0.2,
         ("tenants", "t", "quota_rps"): 9.0, ("modes", "c"): "off", ("window_ms", "c"): 5.0,
     })  # fmt: skip
-    tight = made(2, {
+    tight = make_document(2, {
         ("classes", "c", "promise_ms"): 50.0, ("classes", "c", "give_up_ms"): 800.0, ("spill", "a"): 0.4,
         ("tenants", "t", "quota_rps"): 5.0, ("modes", "c"): "before", ("window_ms", "c"): 9.0,
     })  # fmt: skip
@@ -114,15 +114,16 @@
 
 _SPAN = st.integers(1, 9).map(float)
 VALUES = {
-    path: st.sampled_from(CAREFUL) if path[0] == "modes" else _SPAN.map(lambda n: n / 10) for path in KEYS
+    path: st.sampled_from(MODES_BY_STRICTNESS) if path[0] == "modes" else _SPAN.map(lambda n: n / 10)
+    for path in KEY_RULES
 }
 
 
 @st.composite
 def documents(draw, promises=True):
-    keys = draw(st.sets(st.sampled_from(sorted(p for p in KEYS if promises or KEYS[p].stricter))))
+    keys = draw(st.sets(st.sampled_from(sorted(p for p in KEY_RULES if promises or KEY_RULES[p].stricter))))
     named = {tuple("n" if part == "*" else part for part in path): draw(VALUES[path]) for path in keys}
-    return made(draw(st.integers(0, 5)), named)
+    return make_document(draw(st.integers(0, 5)), named)
 
 
 @settings(max_examples=150, deadline=None)
@@ -138,6 +139,6 @@
 @given(documents(), documents())
 def test_laws_of_all_keys(a, b):
     assert stricter(a, b) == stricter(b, a) and stricter(a, a) == a
-    assert floor(a) == stricter(floor(a), a)  # a floor is tighter than its own
-    assert {path for path, _ in floor(a).values} == {path for path, _ in a.values}
-    assert over(Document(), a) == a and over(a, a) == a
+    assert fallback_limits(a) == stricter(fallback_limits(a), a)  # a floor is tighter than its own
+    assert {path for path, _ in fallback_limits(a).values} == {path for path, _ in a.values}
+    assert with_defaults(Document(), a) == a and with_defaults(a, a) == a
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -8,9 +8,9 @@
 from test_zone_members import Fleet
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.rollout_coordinator import Timing
-from fawnwharf.policy_rollout.rollout_member import Agent
-from fawnwharf.policy_rollout.settings import Said
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.rollout_member import RolloutMember
+from fawnwharf.policy_rollout.settings import OperatorRequest
 from fawnwharf.policy_rollout.simulation import KNOWN
 from fawnwharf.zones.lines import Heard, Ruled, Word
 
@@ -30,8 +30,8 @@
         super().start(name, identity, seed)
         core, before = self.cores[name], self.agents.get(name)
         names = tuple(entry.name for entry in self.file.members)
-        self.agents[name] = Agent(
-            name, names, self.known.get(name, KNOWN), Timing(), before.life + 1 if before else 1,
+        self.agents[name] = RolloutMember(
+            name, names, self.known.get(name, KNOWN), RolloutTiming(), before.life + 1 if before else 1,
             core.seat, core.voter is not None, self.disk_of.get(name, ""),
         )  # fmt: skip
 
@@ -50,17 +50,17 @@
     def act(self, name, effects):
         agent, core = self.agents[name], self.cores[name]
         for effect in effects:
-            if isinstance(effect, m.Say):
+            if isinstance(effect, m.Send):
                 to = () if effect.to == m.LEADER else (effect.to,)
                 self.tell(name, core._line(words=[Word(effect.message, to)]))
-            elif isinstance(effect, m.Decide):
+            elif isinstance(effect, m.ProposeRegister):
                 put, more = core.put(self.now, effect.register)
                 self.do(name, more)
                 if not put:
                     self.act(name, agent.not_put(self.now))
-            elif isinstance(effect, m.Keep):
+            elif isinstance(effect, m.StoreRegister):
                 self.disk_of[name] = effect.register
-            elif isinstance(effect, m.Note):
+            elif isinstance(effect, m.LogEvent):
                 self.notes_of.append((name, effect.event, effect.fields))
 
     def tell(self, name, line):
@@ -102,13 +102,13 @@
         return next(n for n in self.agents if n not in self.dead and n != self.leader())
 
     def say(self, name, wish, **word):
-        self.act(name, self.agents[name].ask(self.now, wish, Said(1, wish, **word)))
+        self.act(name, self.agents[name].ask(self.now, wish, OperatorRequest(1, wish, **word)))
 
     def outcome(self, name, wish):
         return next(w.outcome for w in self.agents[name].wishes if w.outcome.wish == wish)
 
     def done(self, name, wish):
-        self.until(lambda: self.outcome(name, wish).state in m.FINAL)
+        self.until(lambda: self.outcome(name, wish).state in m.FINAL_STATES)
         return self.outcome(name, wish)
 
 
@@ -136,7 +136,7 @@
         assert (judged.number, judged.how) == (wish, "leased")
         assert judged.document.value("tenants", "t", "quota_rps") == wish
     fleet.say("n4", 9, back=True)
-    assert fleet.done("n4", 9) == m.Outcome("n4", 9, "in force", 4)
+    assert fleet.done("n4", 9) == m.RequestOutcome("n4", 9, "in force", 4)
     assert fleet.agents["n0"].holder.register.last.value("tenants", "t", "quota_rps") == 2
 
 
@@ -208,7 +208,7 @@
     assert fleet.done(name, 2).state == "ended"
     fleet.hold = lambda sender, line: False
     fleet.say(name, 3, call_off="")
-    assert fleet.done(name, 3) == m.Outcome(name, 3, "refused", 0, "nothing is being prepared")
+    assert fleet.done(name, 3) == m.RequestOutcome(name, 3, "refused", 0, "nothing is being prepared")
     fleet.until(lambda: all(agent.holder.leased(fleet.now) for agent in fleet.agents.values()))
     fleet.say(name, 4, back=True)
     assert fleet.done(name, 4).why == "there is none before it"
@@ -219,7 +219,7 @@
     for wish in range(1, 5):
         name = f"n{wish}"
         fleet.say(name, wish, propose=quota(wish))
-        assert fleet.done(name, wish) == m.Outcome(name, wish, "in force", wish)
+        assert fleet.done(name, wish) == m.RequestOutcome(name, wish, "in force", wish)
     fleet.run(2.0)
     assert {agent.holder.register.last.number for agent in fleet.agents.values()} == {4}
 
@@ -240,7 +240,7 @@
     fleet.run(1.0)
     assert {fleet.agents[n].holder.register.last.number for n in fleet.agents if n not in fleet.dead} == {2}
     fleet.say(name, 3, propose=quota(6))  # what is in force already is no change
-    assert fleet.done(name, 3) == m.Outcome(name, 3, "in force", 2)
+    assert fleet.done(name, 3) == m.RequestOutcome(name, 3, "in force", 2)
 
 
 def test_one_that_comes_back_goes_by_its_disk_for_limits_alone_and_is_not_ready_before_it_is_told():
--- a/tests/test_epochs_voters.py
+++ b/tests/test_epochs_voters.py
@@ -4,9 +4,9 @@
 from fawnwharf.consensus.voter import Timing as Voting
 from fawnwharf.consensus.voter import Voter, founding
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import register_from
-from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.rollout_coordinator import Steward, Timing
+from fawnwharf.policy_rollout.document import parse_register
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
 from fawnwharf.policy_rollout.simulation import KNOWN
 from fawnwharf.testbed.explore import replace_voters
 
@@ -20,16 +20,19 @@
         saved = replace_voters(founding("a"), NAMES)
         self.fleet, self.name = fleet, name
         self.voter = Voter(name, saved, Voting(), 0.0, 7_919 * n)
-        self.steward, self.holder = Steward(Timing(), NAMES), Holder(KNOWN, Timing(), 1)
+        self.steward, self.holder = (
+            RolloutCoordinator(RolloutTiming(), NAMES),
+            LeaseHolder(KNOWN, RolloutTiming(), 1),
+        )
 
     def does(self, effects):
         for effect in effects:
-            if isinstance(effect, m.Decide):
+            if isinstance(effect, m.ProposeRegister):
                 index, actions = self.voter.propose(self.fleet.now, effect.register, "policy")
                 self.votes(actions)
                 if index is None:
                     self.does(self.steward.not_put(self.fleet.now))
-            elif isinstance(effect, m.Say):
+            elif isinstance(effect, m.Send):
                 self.fleet.say(self.name, effect.to, effect.message)
 
     def votes(self, actions):
@@ -44,7 +47,7 @@
         now = self.fleet.now
         if isinstance(message, a.Message):
             self.votes(self.voter.receive(now, message))
-        elif isinstance(message, m.Vote | m.Status | m.Changed):
+        elif isinstance(message, m.Vote | m.LeaseRequest | m.EpochAdopted):
             self.does(self.steward.heard(now, sender, message, self.voter.fresh(now)))
         else:
             self.does(self.holder.heard(now, sender, message))
@@ -107,7 +110,7 @@
     fleet.propose(6)
     first = fleet.leader
     for _ in range(200):
-        if register_from(fleet.members[first].voter.policy[1]).last.number >= 2:
+        if parse_register(fleet.members[first].voter.policy[1]).last.number >= 2:
             break
         fleet.run(STEP_MS)
     else:
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -21,11 +21,11 @@
     f"{PROGRAM}.{name}"
     for name in (
         "durable_store.crash",
-        "policy_rollout.check",
-        "policy_rollout.measure",
-        "policy_rollout.scene",
-        "policy_rollout.simulated",
-        "policy_rollout.walk",
+        "policy_rollout.model_checker",
+        "policy_rollout.rollout_measurement",
+        "policy_rollout.scenario",
+        "policy_rollout.simulation_types",
+        "policy_rollout.simulation",
         "prefetch.scenes",
         "prefetch.trial",
         "prefetch.world",
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -5,11 +5,11 @@
 import msgspec
 import pytest
 
-from fawnwharf.incarnations import KNOWN_MOST, NAMES_MOST, Lives
+from fawnwharf.incarnations import MAX_KNOWN_INCARNATIONS, MAX_MEMBERS, IncarnationCounter
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import Known
-from fawnwharf.policy_rollout.rollout_coordinator import Timing
-from fawnwharf.policy_rollout.rollout_member import Agent
+from fawnwharf.policy_rollout.document import DeploymentCapabilities
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.zones.lines import Seat
 
 
@@ -24,34 +24,36 @@
     ],
 )
 def test_lives_are_counted_as_they_are_heard(heard, counted):
-    lives = Lives()
-    assert [lives.heard("n1", number) for number in heard] == counted
-    assert lives.last("n1") == max(counted) and lives.last("n2") == 0
+    lives = IncarnationCounter()
+    assert [lives.observe("n1", number) for number in heard] == counted
+    assert lives.last_count("n1") == max(counted) and lives.last_count("n2") == 0
 
 
 def test_a_count_leads_back_to_its_number_while_it_is_known():
-    lives, chance = Lives(), random.Random(4)
-    numbers = chance.sample(range(1, 10**6), 3 * KNOWN_MOST)
-    counts = [lives.heard("n1", number) for number in numbers]
+    lives, chance = IncarnationCounter(), random.Random(4)
+    numbers = chance.sample(range(1, 10**6), 3 * MAX_KNOWN_INCARNATIONS)
+    counts = [lives.observe("n1", number) for number in numbers]
     assert counts == list(range(1, len(numbers) + 1))
-    told = [lives.told("n1", count) for count in counts]
-    assert told == [0] * 2 * KNOWN_MOST + numbers[-KNOWN_MOST:]
-    assert lives.told("n1", len(numbers) + 1) == lives.told("n1", 0) == lives.told("n2", 1) == 0
+    told = [lives.number_of("n1", count) for count in counts]
+    assert told == [0] * 2 * MAX_KNOWN_INCARNATIONS + numbers[-MAX_KNOWN_INCARNATIONS:]
+    assert lives.number_of("n1", len(numbers) + 1) == lives.number_of("n1", 0) == lives.number_of("n2", 1) == 0
 
 
 def test_what_is_known_is_bounded_and_members_that_go_are_forgotten():
-    lives = Lives()
-    for n in range(NAMES_MOST + 5):
-        lives.heard(f"n{n}", 1)
-    assert len(lives._members) == NAMES_MOST and lives.last("n0") == 0
-    lives.keep((f"n{NAMES_MOST}",))
-    assert list(lives._members) == [f"n{NAMES_MOST}"]
+    lives = IncarnationCounter()
+    for n in range(MAX_MEMBERS + 5):
+        lives.observe(f"n{n}", 1)
+    assert len(lives._members) == MAX_MEMBERS and lives.last_count("n0") == 0
+    lives.retain((f"n{MAX_MEMBERS}",))
+    assert list(lives._members) == [f"n{MAX_MEMBERS}"]
 
 
 def leader():
     """The agent of a voter that leads, a lease's time after it began: it may grant."""
-    known = Known(frozenset(), frozenset(), frozenset({"a"}))
-    made = Agent("n0", ("n0", "n1"), known, Timing(), 50, lambda now: Seat(1, True, True, ""), True)
+    known = DeploymentCapabilities(frozenset(), frozenset(), frozenset({"a"}))
+    made = RolloutMember(
+        "n0", ("n0", "n1"), known, RolloutTiming(), 50, lambda now: Seat(1, True, True, ""), True
+    )
     now = 0.0
     for _ in range(40):
         made.turned(now)
@@ -62,9 +64,11 @@
 
 def asks(agent, now, life, sent_ms):
     """What is answered to one that asks for a lease."""
-    status = m.Status(life, sent_ms, agent.steward.register.last.number, -1)
+    status = m.LeaseRequest(life, sent_ms, agent.steward.register.last.number, -1)
     effects = agent.heard(now, "n1", (msgspec.to_builtins(status),))
-    return [say.message for say in effects if isinstance(say, m.Say) and isinstance(say.message, m.Grant)]
+    return [
+        say.message for say in effects if isinstance(say, m.Send) and isinstance(say.message, m.LeaseGrant)
+    ]
 
 
 def test_a_member_whose_next_life_has_a_smaller_number_gets_a_lease_for_that_one():
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -10,10 +10,10 @@
 from fawnwharf import interface as io
 from fawnwharf.policy_rollout import call_binding
 from fawnwharf.policy_rollout import settings as s
-from fawnwharf.policy_rollout.call_binding import handed_over
-from fawnwharf.policy_rollout.call_trace import LINES_MOST, Trace
+from fawnwharf.policy_rollout.call_binding import with_bound_classes
+from fawnwharf.policy_rollout.call_trace import LINES_MOST, CallTrace
 from fawnwharf.policy_rollout.document import Document
-from fawnwharf.policy_rollout.messages import InForce
+from fawnwharf.policy_rollout.messages import ActivePolicy
 from fawnwharf.replication.use import Shares
 from fawnwharf.zones.settings import FileFault
 
@@ -248,7 +248,7 @@
     own = {"a": old, "b": old, "c": new, "d": save}
     classes = {"view": old, "save": save}
     batch = [calls["a"], io.ClassChanged(new), calls["b"], calls["c"], calls["d"]]
-    found = handed_over(batch, classes, lambda event: own[event.request])
+    found = with_bound_classes(batch, classes, lambda event: own[event.request])
     assert found == [
         calls["a"], io.ClassChanged(new), io.ClassChanged(old), calls["b"], io.ClassChanged(new), *batch[3:],
     ]  # fmt: skip
@@ -263,7 +263,7 @@
 
 
 def test_a_trace_that_is_not_written_drops_lines_and_counts_them(tmp_path):
-    trace, by = Trace(tmp_path / "t"), InForce(3, "d", Document())
+    trace, by = CallTrace(tmp_path / "t"), ActivePolicy(3, "d", Document())
     for _ in range(LINES_MOST + 5):
         trace.call("aa", by, 1.0, 2.0)
     trace.flush()
@@ -297,7 +297,7 @@
     file.write_text(json.dumps(document()))
     status, text = cli("propose", file, "--zones", zones, "--wait", "0.2")
     assert status == 1 and "no answer" in text
-    said = s.said_from((node.folder / "zones/proposal.json").read_bytes())
+    said = s.decode_operator_request((node.folder / "zones/proposal.json").read_bytes())
     assert said.propose == document() and cli("check", file, "--zones", zones)[0] == 0
 
 
@@ -327,5 +327,5 @@
 )
 def test_a_faulty_settings_file_names_its_key(data, line):
     with pytest.raises(FileFault) as caught:
-        s.settings_from(data)
+        s.decode_settings(data)
     assert str(caught.value).startswith(line)
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -4,8 +4,8 @@
 
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.policy_rollout.lease_holder import Holder
-from fawnwharf.policy_rollout.rollout_coordinator import Steward
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
 from fawnwharf.recovery_core import trust as t
 from fawnwharf.recovery_core.promises import Rules
 from fawnwharf.recovery_core.search import (
@@ -63,7 +63,7 @@
 # --- a change of policy -----------------------------------------------------------------------
 
 
-class ComesBackReady(Holder):
+class ComesBackReady(LeaseHolder):
     """Acts by what its disk says, under the lease of the life before."""
 
     def __post_init__(self):
@@ -73,7 +73,9 @@
 
 
 def test_the_search_finds_holders_that_trust_their_disks():
-    found = PolicySearch(PolicyBounds(turns=1, asks=0, states=20_000), Steward, ComesBackReady).run()
+    found = PolicySearch(
+        PolicyBounds(turns=1, asks=0, states=20_000), RolloutCoordinator, ComesBackReady
+    ).run()
     assert found.broken and any("power is lost" in step for step in found.path)
 
 
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -8,8 +8,8 @@
 from cores import FLEET, RULES
 from hypothesis import given, settings, strategies
 
-from fawnwharf.policy_rollout.rollout_coordinator import Timing
-from fawnwharf.policy_rollout.settings import settings_from as policy_settings
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.settings import decode_settings as policy_settings
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claims import Claim, Phase, Standing, contradicts, merged, reading
@@ -198,7 +198,7 @@
 
 def test_the_deployments_examples_are_good_and_fit_each_other():
     folder = Path(__file__).parent.parent / "deploy"
-    assert policy_settings((folder / "policy-settings.json").read_bytes()).timing == Timing()
+    assert policy_settings((folder / "policy-settings.json").read_bytes()).timing == RolloutTiming()
     zones = zone_settings((folder / "zones.json").read_bytes())
     state = s.settings_from((folder / "state.json").read_bytes())
     assert zones.members == state.members == "members.json"
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -10,8 +10,15 @@
 
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
-from fawnwharf.policy_rollout.document import check_against, document_of, floor, made, over, stricter
-from fawnwharf.policy_rollout.service import Policies
+from fawnwharf.policy_rollout.document import (
+    document_from_object,
+    fallback_limits,
+    find_incompatibility,
+    make_document,
+    stricter,
+    with_defaults,
+)
+from fawnwharf.policy_rollout.service import PolicyRolloutService
 from fawnwharf.session_types import Home, Session
 from fawnwharf.sessions import left
 from fawnwharf.sessions.foreseen import Foreseen
@@ -198,7 +205,7 @@
 
 
 def test_a_larger_budget_counts_only_once_its_policy_is_in_force_and_half_of_it_without_a_leader():
-    policies = object.__new__(Policies)
+    policies = object.__new__(PolicyRolloutService)
     settings = SimpleNamespace(spill=SimpleNamespace(zones={}, share=0.5))
     policies.zones = SimpleNamespace(
         core=SimpleNamespace(members=SimpleNamespace(zones={"n": ()})), settings=settings
@@ -206,10 +213,10 @@
     policies.deployment = SimpleNamespace(settings=rules(), wire=SimpleNamespace(tenants=frozenset()))
     policies._made = {"sessions": SimpleNamespace(foreseen=SimpleNamespace(staging=staging()))}
     base = policies._known().base
-    more = document_of({"version": 1, "number": 2, "staging": {"fetches_rps": 100.0}})
-    between = stricter(over(base, made(1, {})), over(base, more))
+    more = document_from_object({"version": 1, "number": 2, "staging": {"fetches_rps": 100.0}})
+    between = stricter(with_defaults(base, make_document(1, {})), with_defaults(base, more))
     assert between.section("staging") == {"fetches_rps": S.fetches_ps, "free_part": 0.5, "cold_part": 1.0}
-    assert floor(over(base, more)).value("staging", "fetches_rps") == 50.0
-    assert floor(base).value("staging", "fetches_rps") == S.fetches_ps / 2
+    assert fallback_limits(with_defaults(base, more)).value("staging", "fetches_rps") == 50.0
+    assert fallback_limits(base).value("staging", "fetches_rps") == S.fetches_ps / 2
     policies._made = {"sessions": SimpleNamespace(foreseen=None)}  # homes alone: nothing to give budgets to
-    assert check_against(more, policies._known()) == "staging.fetches_rps: nothing is staged here"
+    assert find_incompatibility(more, policies._known()) == "staging.fetches_rps: nothing is staged here"
