--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -17,8 +17,8 @@
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.durable_store import form, ops
 from fawnwharf.migration import messages as migrations
-from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
+from fawnwharf.policy_rollout import policy_file as policy_file
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
@@ -88,11 +88,11 @@
     "storage/foot": file(form.Foot),
     "storage/job": packed(ops.Job, "ops"),
     "storage/outcome": packed(ops.Outcome),
-    "policy/message": line(policy.Message, policy.message_from),
-    "policy/standing": line(policy.Standing, policy.standing_from),
-    "policy/kept": file(policy_file.Kept),
+    "policy/message": line(policy.Message, policy.decode_message),
+    "policy/standing": line(policy.MemberStatus, policy.decode_member_status),
+    "policy/kept": file(policy_file.StoredPolicy),
     "policy/request": Boundary(
-        policy_settings.Said, lambda data: msgspec.json.decode(data, type=policy_settings.Said),
+        policy_settings.OperatorRequest, lambda data: msgspec.json.decode(data, type=policy_settings.OperatorRequest),
         msgspec.json.encode, strict=True,
     ),
     "prefetch/word": converted(staging.Word),
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -1,21 +1,26 @@
 """Folders recorded by commit 9d9ccab are read from copies, with all that they held."""
 
-import shutil
-from pathlib import Path
-
-import pytest
-from compatibility_folders import FOLDERS, copied, framed, records_of
-
+from compatibility_folders import FOLDERS
+from compatibility_folders import copied
+from compatibility_folders import framed
+from compatibility_folders import records_of
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.disk import Disk
+from fawnwharf.consensus.disk import DiskError
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.policy_rollout import keeping
-from fawnwharf.policy_rollout.document import document_from, register_from
-from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.policy_rollout import policy_file
+from fawnwharf.policy_rollout.document import parse_document
+from fawnwharf.policy_rollout.document import parse_register
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.grant_log import GrantLog
+from pathlib import Path
+import pytest
+import shutil
+
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
 BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
@@ -108,13 +113,13 @@
 def test_the_kept_policy_is_read_and_written_to_equal_bytes(tmp_path):
     """Its life and both documents of its register."""
     folder = copied("policy", tmp_path)
-    kept = keeping.read(folder / "policy.json")
+    kept = policy_file.read_policy_file(folder / "policy.json")
     assert (kept.version, kept.life) == (1, 41)
-    register = register_from(kept.register)
+    register = parse_register(kept.register)
     texts = [f'{{"version":1,"number":{n},"tenants":{{"acme":{{"quota_rps":{n}00}}}}}}' for n in (7, 6)]
-    assert [register.last, register.before] == [document_from(text) for text in texts]
+    assert [register.last, register.before] == [parse_document(text) for text in texts]
     assert register.encode() == kept.register
-    keeping.write(tmp_path / "again.json", kept)
+    policy_file.write_policy_file(tmp_path / "again.json", kept)
     assert (tmp_path / "again.json").read_bytes() == (FOLDERS / "policy" / "policy.json").read_bytes()
 
 
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -3,14 +3,6 @@
 The expected texts are those that commit 9d9ccab wrote.
 """
 
-import json
-import re
-import socket
-
-import msgspec
-import pytest
-from typer.testing import CliRunner
-
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import memory as beliefs
 from fawnwharf.admin.channel import Place
@@ -22,29 +14,44 @@
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
-from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout import call_trace as policy_trace
 from fawnwharf.policy_rollout import messages as policy
+from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
-from fawnwharf.policy_rollout import trace as policy_trace
-from fawnwharf.policy_rollout.document import Document, register_from
+from fawnwharf.policy_rollout.document import Document
+from fawnwharf.policy_rollout.document import parse_register
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_core.trust import Clock, Kind
-from fawnwharf.recovery_service import joined, kept
+from fawnwharf.recovery_core.trust import Clock
+from fawnwharf.recovery_core.trust import Kind
+from fawnwharf.recovery_service import joined
+from fawnwharf.recovery_service import kept
 from fawnwharf.recovery_service import settings as recovery_settings
 from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
-from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.session_types import Home, Session
-from fawnwharf.sessions import foreseen, left
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.session_types import Home
+from fawnwharf.session_types import Session
+from fawnwharf.sessions import foreseen
+from fawnwharf.sessions import left
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import lines, links, plan
+from fawnwharf.zones import lines
+from fawnwharf.zones import links
+from fawnwharf.zones import plan
 from fawnwharf.zones import settings as zone_settings
+from typer.testing import CliRunner
+import json
+import msgspec
+import pytest
+import re
+import socket
+
 
 RUNNER = CliRunner()
 SITES = {"a", "b", "c"}
@@ -217,7 +224,7 @@
     assert numbered(path) == recorded
     read = {
         "wishes.json": lambda data: zone_settings.wishes_from(data, SITES),
-        "proposal.json": policy_settings.said_from,
+        "proposal.json": policy_settings.decode_operator_request,
         "moves.json": lambda data: session_settings.wishes_from(data, SITES),
     }[name]
     assert read(path.read_bytes()).number > 10**9
@@ -225,8 +232,8 @@
 
 def test_traces_have_their_recorded_keys(tmp_path):
     """A line for each call, of policy and of sessions."""
-    trace = policy_trace.Trace(tmp_path / "policy")
-    trace.call("c1", policy.InForce(3, "d1", Document(), "strict"), 1.5, 2.5)
+    trace = policy_trace.CallTrace(tmp_path / "policy")
+    trace.call("c1", policy.ActivePolicy(3, "d1", Document(), "strict"), 1.5, 2.5)
     trace.flush()
     trace.close()
     assert (tmp_path / "policy").read_bytes() == (
@@ -259,7 +266,7 @@
 def test_the_register_of_policy_has_its_recorded_form():
     """The last document, and the one before it where there is one."""
     text = '{"policy":1,"last":{"number":2,"spill":{"a":0.5},"version":1},"before":{"number":1,"version":1}}'
-    found = register_from(text)
+    found = parse_register(text)
     assert (found.last.value("spill", "a"), found.before) == (0.5, Document(1))
     assert found.encode() == text
 
@@ -295,7 +302,7 @@
 def test_names_and_numbers_that_are_stored_or_sent_are_as_recorded():
     """Versions, magic numbers, names of files, of kinds of entries and of states."""
     versions = [
-        voter_disk, form, keeping, policy_settings, prefetch_memory, successor, recovery_register,
+        voter_disk, form, policy_file, policy_settings, prefetch_memory, successor, recovery_register,
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
     ]  # fmt: skip
     assert {module.VERSION for module in versions} == {1}
@@ -304,7 +311,7 @@
     assert (form.SNAPSHOT, form.LOG, form.SYNCED, form.SOON, form.HINT) == (
         "snapshot", "log", "synced", "soon", "hint",
     )  # fmt: skip
-    assert (policy_service.KEPT_FILE, policy_service.SAID_FILE) == ("policy.json", "proposal.json")
+    assert (policy_service.POLICY_FILE, policy_service.REQUEST_FILE) == ("policy.json", "proposal.json")
     assert keeper_disk.INCOMPLETE == -1 and kept.LAST == "last"
     assert (kept.START, kept.DOUBT, kept.SURE, kept.TURN) == ("start", "doubt", "sure", "turn")
     assert {kind: rule.name for kind, rule in kept.RULES.items()} == {
@@ -317,4 +324,4 @@
     assert (plan.SERVING, plan.LEAVING, plan.OUT, plan.RETURNING) == (
         "serving", "leaving", "out", "returning",
     )  # fmt: skip
-    assert policy.LEADER == "@leader" and policy.FINAL == ("ended", "refused", "in force")
+    assert policy.LEADER == "@leader" and policy.FINAL_STATES == ("ended", "refused", "in force")
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -1,18 +1,20 @@
 """Front ends with policy rollouts in this thread: real sockets, real files, one loop after the other."""
 
-import json
-import time
-
-from peers import SETTINGS, ClientPeer, ScorerPeer
-from processes import Log, Port
-
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy_rollout.service import Policies
+from fawnwharf.policy_rollout.service import PolicyRolloutService
 from fawnwharf.replication.service import ReplicationService
 from fawnwharf.serving import Seams
 from fawnwharf.zones.founding import found
 from fawnwharf.zones.service import Zones
+from peers import ClientPeer
+from peers import SETTINGS
+from peers import ScorerPeer
+from processes import Log
+from processes import Port
+import json
+import time
+
 
 PATIENCE_S = 30.0
 TIMING = {"lease_ms": 800.0, "renew_ms": 100.0, "prepare_ms": 2_500.0, "again_ms": 100.0}
@@ -56,7 +58,7 @@
             )
         if self.policy:
             path = self.folder / "settings.json"
-            made["policy"] = lambda first, made: Policies(deployment, path, write, made)
+            made["policy"] = lambda first, made: PolicyRolloutService(deployment, path, write, made)
         seam = Seams(made, True)
         self.lines = []
         self.front = FrontEnd(deployment, lambda text, source="": self.lines.append(text), seam=seam)
