--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -1,5 +1,11 @@
 """Front ends with policy rollouts in this thread: real sockets, real files, one loop after the other."""
 
+import json
+import time
+
+from peers import SETTINGS, ClientPeer, ScorerPeer
+from processes import Log, Port
+
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import PolicyRolloutService
@@ -7,14 +13,6 @@
 from fawnwharf.serving import Seams
 from fawnwharf.zones.founding import found
 from fawnwharf.zones.service import Zones
-from peers import ClientPeer
-from peers import SETTINGS
-from peers import ScorerPeer
-from processes import Log
-from processes import Port
-import json
-import time
-
 
 PATIENCE_S = 30.0
 TIMING = {"lease_ms": 800.0, "renew_ms": 100.0, "prepare_ms": 2_500.0, "again_ms": 100.0}
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -36,7 +36,9 @@
     assert counts == list(range(1, len(numbers) + 1))
     told = [lives.number_of("n1", count) for count in counts]
     assert told == [0] * 2 * MAX_KNOWN_INCARNATIONS + numbers[-MAX_KNOWN_INCARNATIONS:]
-    assert lives.number_of("n1", len(numbers) + 1) == lives.number_of("n1", 0) == lives.number_of("n2", 1) == 0
+    assert (
+        lives.number_of("n1", len(numbers) + 1) == lives.number_of("n1", 0) == lives.number_of("n2", 1) == 0
+    )
 
 
 def test_what_is_known_is_bounded_and_members_that_go_are_forgotten():
