--- a/fawnwharf/policy_rollout/simulation.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -5,7 +5,8 @@
 they had proposed decided or lost; the list of members changes.
 
     python -m fawnwharf.policy_rollout.simulation [--steps N] [--seeds N]     broken or not
-    python -m fawnwharf.policy_rollout.simulation --measure                   times and messages of a change, by
+    python -m fawnwharf.policy_rollout.simulation --measure                   times and messages of a
+                                                                    change, by
 fleet
 """
 
