--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -11,7 +11,7 @@
 from fawnwharf.policy_rollout.document import Document, DocumentError, Known, check_against, document_from
 from fawnwharf.policy_rollout.service import SAID_FILE
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.looking import Member, address, fail, files, lines
+from fawnwharf.zones.looking import MemberOption, current_lines, fail, log_address, read_files
 
 LOOK_S = 0.1
 app = typer.Typer(no_args_is_help=True, help="The policy that front ends decide by.")
@@ -24,7 +24,7 @@
 
     Raises OSError where its log can't be read, ValueError where the status is malformed.
     """
-    line = lines(place, ("policy",), within_s).get("policy")
+    line = current_lines(place, ("policy",), within_s).get("policy")
     return None if line is None else m.standing_from(line["policy"])
 
 
@@ -34,10 +34,10 @@
 
 
 @app.command()
-def show(zones: File, member: Member = "") -> None:
+def show(zones: File, member: MemberOption = "") -> None:
     """How a member stands: what it knows to be decided, by what it judges, what is under way."""
     try:
-        found = look(address(*files(zones), member))
+        found = look(log_address(*read_files(zones), member))
     except (OSError, ValueError) as error:
         fail(f"policy: no answer: {error}", 1)
     if found is None:
@@ -65,11 +65,11 @@
 @app.command()
 def check(file: str, zones: Annotated[str, typer.Option("--zones")] = "") -> None:
     """Read and check a document; by itself, and against the zones of the fleet where those are given."""
-    document = _document(file, files(zones)[1] if zones else None)
+    document = _document(file, read_files(zones)[1] if zones else None)
     typer.echo(f"fawnwharf: good: {len(document.values)} keys, digest {document.digest}")
 
 
-def _document(file: str, members: s.Members | None) -> Document:
+def _document(file: str, members: s.Membership | None) -> Document:
     try:
         document = document_from(Path(file).read_bytes())
     except OSError as error:
@@ -91,7 +91,7 @@
 @app.command()
 def propose(file: str, zones: File, wait: Wait = 0.0) -> None:
     """Ask the fleet to go by a document. With --wait, tell what came of it: status 0 where it is in force."""
-    settings, members = files(zones)
+    settings, members = read_files(zones)
     document = _document(file, members)
     _say(settings, members, zones, {"propose": {"version": 1, **document.nested()}}, wait, "in force")
 
@@ -99,22 +99,22 @@
 @app.command("call-off")
 def call_off(zones: File, why: Annotated[str, typer.Option("--why")] = "", wait: Wait = 0.0) -> None:
     """End what is being prepared. What is decided stays: see `back`."""
-    settings, members = files(zones)
+    settings, members = read_files(zones)
     _say(settings, members, zones, {"call_off": why[:200]}, wait, "ended")
 
 
 @app.command()
 def back(zones: File, wait: Wait = 0.0) -> None:
     """Go back to the policy before the last one, as a new change."""
-    settings, members = files(zones)
+    settings, members = read_files(zones)
     _say(settings, members, zones, {"back": True}, wait, "in force")
 
 
 def _say(
-    settings: s.Settings, members: s.Members, path: str, word: dict[str, Any], wait_s: float, good: str
+    settings: s.ZoneSettings, members: s.Membership, path: str, word: dict[str, Any], wait_s: float, good: str
 ) -> None:
     """Leave a word for this member's process, and wait for what comes of it."""
-    log = address(settings, members, "") if wait_s > 0.0 else None  # before anything is written
+    log = log_address(settings, members, "") if wait_s > 0.0 else None  # before anything is written
     folder = Path(path).parent / settings.folder
     place = folder / SAID_FILE
     try:
--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -21,7 +21,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.zones.settings import Name, Share, Span
+from fawnwharf.zones.settings import DurationMs, Fraction, Name
 
 VERSION = 1
 TEXT_MOST = 24_000  # characters: two of them, and what is around them, fit into one decision of the log
@@ -54,16 +54,16 @@
 
 
 KEYS: dict[Path, Key] = {
-    ("classes", "*", "promise_ms"): Key(Span, None),
-    ("classes", "*", "give_up_ms"): Key(Span, min),
+    ("classes", "*", "promise_ms"): Key(DurationMs, None),
+    ("classes", "*", "give_up_ms"): Key(DurationMs, min),
     ("tenants", "*", "quota_rps"): Key(Rate, min, True),
-    ("admission", "*"): Key(Share, min, True),
-    ("spill", "*"): Key(Share, min, True),
+    ("admission", "*"): Key(Fraction, min, True),
+    ("spill", "*"): Key(Fraction, min, True),
     ("modes", "*"): Key(Mode, _more_careful),
-    ("window_ms", "*"): Key(Span, max),
+    ("window_ms", "*"): Key(DurationMs, max),
     ("staging", "fetches_rps"): Key(Rate, min, True),
-    ("staging", "free_part"): Key(Share, min, True),
-    ("staging", "cold_part"): Key(Share, min, True),
+    ("staging", "free_part"): Key(Fraction, min, True),
+    ("staging", "cold_part"): Key(Fraction, min, True),
     ("staging", "memory_mb"): Key(Rate, min, True),
 }
 
--- a/fawnwharf/policy_rollout/outbox.py
+++ b/fawnwharf/policy_rollout/outbox.py
@@ -6,8 +6,8 @@
 
 from fawnwharf.net.loop import Loop
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.zones.lines import Word
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.lines import ClientMessage
+from fawnwharf.zones.service import ZoneService
 
 RENEW_MS = 50.0  # renewals wait for so long, to be sent together: each line goes to all readers
 LINE_MOST = 96 * 1024  # characters of the messages in one line
@@ -17,7 +17,7 @@
 class Outbox:
     """Queues messages up to the end of the event loop iteration; lease renewals wait a little for others."""
 
-    def __init__(self, loop: Loop, zones: Zones, dropped: Callable[[str], None]) -> None:
+    def __init__(self, loop: Loop, zones: ZoneService, dropped: Callable[[str], None]) -> None:
         """`dropped` is told why messages are dropped."""
         self._loop, self._zones, self._dropped = loop, zones, dropped
         self._queue: list[m.Say] = []
@@ -57,7 +57,9 @@
             if total + size > ITERATION_MOST:
                 self._dropped(f"more than {ITERATION_MOST} characters in a turn")
                 break
-            words.append(Word(msgspec.to_builtins(message), () if m.LEADER in names else tuple(names)))
+            words.append(
+                ClientMessage(msgspec.to_builtins(message), () if m.LEADER in names else tuple(names))
+            )
             if size > LINE_MOST:
                 self._zones.say(words)
                 words, size, total = [], 0, total + size
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -23,8 +23,8 @@
 from fawnwharf.policy_rollout.outbox import Outbox
 from fawnwharf.policy_rollout.settings import Settings, said_from, settings_from
 from fawnwharf.policy_rollout.trace import Trace
-from fawnwharf.zones.files import WatchedFile, load
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.files import WatchedFile, load_file
+from fawnwharf.zones.settings import SettingsFileError
 
 NAME = "policy"
 KEPT_FILE, SAID_FILE = "policy.json", "proposal.json"
@@ -51,7 +51,7 @@
         `made` has the other parts by name, of which `zones` has to be there already.
         """
         self.deployment, self.note, self._made = deployment, write, made
-        self.settings: Settings = load(Path(path), settings_from, NAME)
+        self.settings: Settings = load_file(Path(path), settings_from, NAME)
         self.zones = made["zones"]
         self._kept_file = self.zones.folder / KEPT_FILE
         self._said_file = WatchedFile(self.zones.folder / SAID_FILE)
@@ -358,12 +358,14 @@
             said = said_from(data)
             number = said.number
             if number <= self._wish:
-                raise FileFault(f"number: {number} is not larger than {self._wish}, of the word before")
+                raise SettingsFileError(
+                    f"number: {number} is not larger than {self._wish}, of the word before"
+                )
             if said.propose is not None:
                 fault = check_against(document_of(said.propose), self.agent.known)
                 if fault:
-                    raise FileFault(fault)
-        except FileFault as error:
+                    raise SettingsFileError(fault)
+        except SettingsFileError as error:
             self.note("proposal left aside", {"fault": str(error)})
             if number > self._wish:
                 self._wish = number
--- a/fawnwharf/policy_rollout/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -11,7 +11,7 @@
 
 from fawnwharf.policy_rollout.document import DocumentError, document_of
 from fawnwharf.policy_rollout.steward import Timing
-from fawnwharf.zones.settings import FileFault, Span
+from fawnwharf.zones.settings import DurationMs, SettingsFileError
 
 VERSION = 1
 
@@ -20,10 +20,10 @@
     """The file that switches policy rollouts on; the voters' values count for the fleet."""
 
     version: int
-    lease_ms: Span = 2_000.0  # a front end acts by an epoch for so long without a leader's word
-    renew_ms: Span = 500.0  # pace of its questions
-    prepare_ms: Span = 6_000.0  # for all to answer a proposal
-    again_ms: Span = 500.0  # pace at which what is not answered is said again
+    lease_ms: DurationMs = 2_000.0  # a front end acts by an epoch for so long without a leader's word
+    renew_ms: DurationMs = 500.0  # pace of its questions
+    prepare_ms: DurationMs = 6_000.0  # for all to answer a proposal
+    again_ms: DurationMs = 500.0  # pace at which what is not answered is said again
     skew: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.1  # by which clocks' rates may differ
     trace: str = ""  # a file for a line a call, for trials; a relative path is from the settings' own folder
 
@@ -47,23 +47,25 @@
     try:
         raw = msgspec.json.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise FileFault(f"{what}: not JSON: {' '.join(str(error).split())[:200]}") from None
+        raise SettingsFileError(f"{what}: not JSON: {' '.join(str(error).split())[:200]}") from None
     if isinstance(raw, dict) and raw.get("version") != VERSION:
-        raise FileFault(f"version: {raw.get('version')!r}, and this program knows {VERSION}")
+        raise SettingsFileError(f"version: {raw.get('version')!r}, and this program knows {VERSION}")
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise FileFault(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
+        raise SettingsFileError(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
 
 
 def settings_from(data: bytes) -> Settings:
     """Parse and check the settings; raises FileFault."""
     found: Settings = _read(data, Settings, "settings")
     if found.renew_ms * 2 > found.lease_ms:
-        raise FileFault("renew_ms: two do not fit into lease_ms")
+        raise SettingsFileError("renew_ms: two do not fit into lease_ms")
     if found.prepare_ms < found.timing.over_ms:
-        raise FileFault(f"prepare_ms: less than a lease by the slowest clock, {found.timing.over_ms:.0f}")
+        raise SettingsFileError(
+            f"prepare_ms: less than a lease by the slowest clock, {found.timing.over_ms:.0f}"
+        )
     return found
 
 
@@ -71,10 +73,10 @@
     """Parse a request and check its document, where it has one, by itself; raises FileFault."""
     said: Said = _read(data, Said, "proposal")
     if (said.propose is not None) + (said.call_off is not None) + said.back != 1:
-        raise FileFault("proposal: one of propose, call_off and back is wanted")
+        raise SettingsFileError("proposal: one of propose, call_off and back is wanted")
     if said.propose is not None:
         try:
             document_of(said.propose)
         except DocumentError as error:
-            raise FileFault(str(error)) from None
+            raise SettingsFileError(str(error)) from None
     return said
--- a/fawnwharf/prefetch/ways.py
+++ b/fawnwharf/prefetch/ways.py
@@ -21,7 +21,7 @@
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.session_types import Session, Stage, Text
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.settings import SettingsFileError
 
 QUEUE_MOST = 20_000
 RENEW_PART = 0.75  # of an idle life: by then what stands idle is renewed
@@ -46,11 +46,11 @@
         if not line.strip():
             continue
         if len(found) >= LINES_MOST:
-            raise FileFault(f"foresight.told: line {n}: more than {LINES_MOST}")
+            raise SettingsFileError(f"foresight.told: line {n}: more than {LINES_MOST}")
         try:
             found.append(msgspec.json.decode(line, type=Foretold))
         except (msgspec.DecodeError, RecursionError) as error:
-            raise FileFault(f"foresight.told: line {n}: {error}") from None
+            raise SettingsFileError(f"foresight.told: line {n}: {error}") from None
     return found
 
 
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -6,7 +6,7 @@
 import typer
 
 from fawnwharf.recovery_service import words as w
-from fawnwharf.zones.looking import Member, address, fail, files, lines
+from fawnwharf.zones.looking import MemberOption, current_lines, fail, log_address, read_files
 
 File = Annotated[
     str, typer.Argument(metavar="FILE", help="The settings of zones that this member serves with.")
@@ -16,13 +16,13 @@
 def look(place: tuple[str, int], within_s: float = 3.0) -> w.Shown | None:
     """How a member stands, None where it tells nothing of recovery. Raises OSError where its log can't be
     read, ValueError for what is none."""
-    line = lines(place, ("recovery",), within_s).get("recovery")
+    line = current_lines(place, ("recovery",), within_s).get("recovery")
     return None if line is None else msgspec.convert(line["recovery"], w.Shown)
 
 
-def show(file: File, member: Member = "") -> None:
+def show(file: File, member: MemberOption = "") -> None:
     """The stage by which a member goes, whom it heard and asked, what it doubts and goes without."""
-    place = address(*files(file), member)
+    place = log_address(*read_files(file), member)
     try:
         found = look(place)
     except (OSError, ValueError) as error:
@@ -36,14 +36,14 @@
 def told(found: w.Shown) -> list[str]:
     """One line a fact, the stage first."""
     stage = found.stage or "ALONE"
-    lines = [f"{stage}  cut {found.cut}  part {found.part:g}  by {found.how}"]
-    lines += [f"why: {found.why}"] if found.why else []
-    lines.append(f"life {found.life}, boot {found.boot or 'not told by the system'}")
+    current_lines = [f"{stage}  cut {found.cut}  part {found.part:g}  by {found.how}"]
+    current_lines += [f"why: {found.why}"] if found.why else []
+    current_lines.append(f"life {found.life}, boot {found.boot or 'not told by the system'}")
     if found.leads:
-        lines.append(f"leads, term {found.leads}; hears {found.fronts} front ends")
-    lines.append(f"voters heard: {', '.join(found.heard) or 'none'}")
-    lines += [f"{what}: {stand}" for what, stand in found.asked.items()]
-    lines += [f"goes without: {text}" for text in found.without]
-    lines += [f"doubt: {text}" for text in found.doubts]
-    lines += [f"dropped, {cause}: {count}" for cause, count in sorted(found.counts.items())]
-    return lines
+        current_lines.append(f"leads, term {found.leads}; hears {found.fronts} front ends")
+    current_lines.append(f"voters heard: {', '.join(found.heard) or 'none'}")
+    current_lines += [f"{what}: {stand}" for what, stand in found.asked.items()]
+    current_lines += [f"goes without: {text}" for text in found.without]
+    current_lines += [f"doubt: {text}" for text in found.doubts]
+    current_lines += [f"dropped, {cause}: {count}" for cause, count in sorted(found.counts.items())]
+    return current_lines
--- a/fawnwharf/recovery_service/lead.py
+++ b/fawnwharf/recovery_service/lead.py
@@ -11,7 +11,7 @@
 from fawnwharf.recovery_core.stages import Conductor, Effect, Note, Seen, Stage, Timing
 from fawnwharf.recovery_core.trust import Scope, scope
 from fawnwharf.recovery_service import words as w
-from fawnwharf.zones.lines import Seat
+from fawnwharf.zones.lines import ConsensusStatus
 
 LOOK_MS = 100.0  # pace of the look at what all told
 
@@ -116,7 +116,7 @@
 
     # --- reigns ---------------------------------------------------------------------------------
 
-    def turned(self, now_ms: float, seat: Seat) -> list[Effect]:
+    def turned(self, now_ms: float, seat: ConsensusStatus) -> list[Effect]:
         """A reign begins when its voter leads, its last decision is the fleet's last for certain, and
         nothing of its log is undecided."""
         if self.term and self.term != seat.term:
@@ -146,7 +146,7 @@
                     found[voter] = mark
         return found, heard
 
-    def tick(self, now_ms: float, seat: Seat) -> list[Effect]:
+    def tick(self, now_ms: float, seat: ConsensusStatus) -> list[Effect]:
         if not self.term or self.term != seat.term or now_ms < self._look_ms:
             return []
         self._look_ms = now_ms + LOOK_MS
@@ -156,7 +156,7 @@
             return []
         return self.conductor.tick(now_ms, self.seen(now_ms), boots, seat.fresh)
 
-    def word(self, now_ms: float, seat: Seat) -> str | None:
+    def word(self, now_ms: float, seat: ConsensusStatus) -> str | None:
         """The register for all; None: it is not time, or it may not be the last word.
 
         A leader that has heard no majority of the voters, or sees that the fleet has lost its power and has
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -22,8 +22,8 @@
 from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import settings_from as state_settings
-from fawnwharf.zones.files import load
-from fawnwharf.zones.settings import members_from
+from fawnwharf.zones.files import load_file
+from fawnwharf.zones.settings import membership_from
 
 LOCK_S = 3.0  # a writer of a process that was killed has the folder until its last job is done
 CLOSE_MS = 1_000.0  # for the last groups, and the word that it ended in order
@@ -249,9 +249,9 @@
 
 def kept(deployment: Deployment, place: str, state: str, note: Note, fresh: bool) -> Kept:
     """The store of a front end, by the files of recovery and of replicated state. Raises ConfigError."""
-    settings = load(Path(place), settings_from, "recovery")
-    rules = load(Path(state), state_settings, "state")
-    members = load(Path(state).parent / rules.members, members_from, "state")
+    settings = load_file(Path(place), settings_from, "recovery")
+    rules = load_file(Path(state), state_settings, "state")
+    members = load_file(Path(state).parent / rules.members, membership_from, "state")
     spans = Spans(window_ms=rules.longest_ms * (1.0 + 2.0 * rules.skew))
     folder = Path(place).parent / settings.folder
     return Kept(
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -23,8 +23,8 @@
 from fawnwharf.recovery_service.hints import KEY, LastRoster, LastUse
 from fawnwharf.recovery_service.settings import Settings, settings_from
 from fawnwharf.recovery_service.tallies import Tallies
-from fawnwharf.zones.files import load
-from fawnwharf.zones.lines import RECOVERY, Word
+from fawnwharf.zones.files import load_file
+from fawnwharf.zones.lines import RECOVERY, ClientMessage
 
 SHOW_MS = 200.0  # how this one stands is told for people no more often than that
 WORDS_MOST = 200  # in one line
@@ -48,7 +48,7 @@
         """Reads and checks the file; raises ConfigError with one line. `made` has the other parts by name, of
         which `zones`, `kept` and `state` have to be there already."""
         self.deployment, self.note, self._join = deployment, write, join
-        self.settings: Settings = load(Path(path), settings_from, RECOVERY)
+        self.settings: Settings = load_file(Path(path), settings_from, RECOVERY)
         self.zones, self.kept, self.state = made["zones"], made["kept"], made["state"]
         self.life = self.kept.number
         self._used = LastUse.read(self.kept.read(Kind.USE))
@@ -61,7 +61,7 @@
         self.calls: Counted | None = None
         self._rostered = self._dialled = False
         self._calm_ms: float | None = None  # since when
-        self._words: list[Word] = []
+        self._words: list[ClientMessage] = []
         self._shown: w.Shown | None = None
         self._shown_ms = -1e9
         self._noted: dict[str, float] = {}
@@ -287,7 +287,7 @@
         """By zones' logs all that is said in a turn goes into one line, in its order; state's go at once."""
         word = msgspec.to_builtins(say.word)
         if say.zone:
-            self._words.append(Word(word, say.to, RECOVERY))
+            self._words.append(ClientMessage(word, say.to, RECOVERY))
             self.front.loop.flush_later(self)
         else:
             self.state.ride(w.RIDER, say.to, word)
--- a/fawnwharf/recovery_service/settings.py
+++ b/fawnwharf/recovery_service/settings.py
@@ -11,7 +11,7 @@
 
 from fawnwharf.durable_store import form
 from fawnwharf.recovery_core import asking, stages
-from fawnwharf.zones.settings import FileFault, Span
+from fawnwharf.zones.settings import DurationMs, SettingsFileError
 
 VERSION = 1
 BOOT_FILE = "/proc/sys/kernel/random/boot_id"
@@ -26,14 +26,14 @@
 class Timing(Struct, frozen=True, forbid_unknown_fields=True):
     """How the stages of a recovery are left, as `stages.Timing`. The leader's count for the fleet."""
 
-    listen_ms: Span = 3_000.0
-    window_ms: Span = 13_500.0
-    hold_ms: Span = 1_000.0
-    most_ms: Span = 8_000.0
-    over_ms: Span = 1_000.0
-    settle_ms: Span = 30_000.0
-    valid_ms: Span = 2_000.0
-    alone_ms: Span = 5_000.0
+    listen_ms: DurationMs = 3_000.0
+    window_ms: DurationMs = 13_500.0
+    hold_ms: DurationMs = 1_000.0
+    most_ms: DurationMs = 8_000.0
+    over_ms: DurationMs = 1_000.0
+    settle_ms: DurationMs = 30_000.0
+    valid_ms: DurationMs = 2_000.0
+    alone_ms: DurationMs = 5_000.0
     good: Part = 0.9
     slow: Annotated[float, Meta(gt=1.0, le=100.0)] = 2.5
 
@@ -45,10 +45,10 @@
 class Pace(Struct, frozen=True, forbid_unknown_fields=True):
     """Of questions and of words."""
 
-    again_ms: Span = 200.0  # what is not answered is asked again
-    spread_ms: Span = 200.0  # front ends that start together ask spread over this
-    stand_ms: Span = 200.0  # a front end tells the leader how it stands
-    stage_ms: Span = 300.0  # the leader tells the stage
+    again_ms: DurationMs = 200.0  # what is not answered is asked again
+    spread_ms: DurationMs = 200.0  # front ends that start together ask spread over this
+    stand_ms: DurationMs = 200.0  # a front end tells the leader how it stands
+    stage_ms: DurationMs = 300.0  # the leader tells the stage
 
     @property
     def of_asking(self) -> asking.Pace:
@@ -73,24 +73,24 @@
     try:
         raw = msgspec.json.decode(data) if isinstance(data, bytes) else data
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise FileFault(f"settings: not JSON: {' '.join(str(error).split())[:200]}") from None
+        raise SettingsFileError(f"settings: not JSON: {' '.join(str(error).split())[:200]}") from None
     if isinstance(raw, dict) and raw.get("version") != VERSION:
-        raise FileFault(f"version: {raw.get('version')!r}, and this program knows {VERSION}")
+        raise SettingsFileError(f"version: {raw.get('version')!r}, and this program knows {VERSION}")
     try:
         found = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise FileFault(f"{place.rstrip('`').lstrip('.') or 'settings'}: {text}") from None
+        raise SettingsFileError(f"{place.rstrip('`').lstrip('.') or 'settings'}: {text}") from None
     for key, value in msgspec.structs.asdict(found.store).items():
         if not 0 < value < 2**40:
-            raise FileFault(f"store.{key}: not between 0 and 2^40")
+            raise SettingsFileError(f"store.{key}: not between 0 and 2^40")
     store, timing, pace = found.store, found.timing, found.pace
     if store.piece_bytes > store.state_bytes:
-        raise FileFault("store.piece_bytes: more than store.state_bytes")
+        raise SettingsFileError("store.piece_bytes: more than store.state_bytes")
     if store.retry_ms > store.retry_most_ms:
-        raise FileFault("store.retry_ms: more than store.retry_most_ms")
+        raise SettingsFileError("store.retry_ms: more than store.retry_most_ms")
     if timing.valid_ms > timing.alone_ms:
-        raise FileFault("timing.valid_ms: longer than timing.alone_ms")
+        raise SettingsFileError("timing.valid_ms: longer than timing.alone_ms")
     if pace.stage_ms * 2 > timing.valid_ms:
-        raise FileFault("pace.stage_ms: two do not fit into timing.valid_ms")
+        raise SettingsFileError("pace.stage_ms: two do not fit into timing.valid_ms")
     return found
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -13,7 +13,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.placement import Placement
-from fawnwharf.zones.settings import FileFault, Members, members_from
+from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
 
 LAGS_MOST = 8  # front ends whose lag is shown
 app = typer.Typer(no_args_is_help=True, help="Calls that front ends keep together.")
@@ -26,14 +26,14 @@
     raise typer.Exit(status)
 
 
-def _files(path: str) -> tuple[s.Settings, Members]:
+def _files(path: str) -> tuple[s.Settings, Membership]:
     try:
         settings = s.settings_from(Path(path).read_bytes())
-        members = members_from((Path(path).parent / settings.members).read_bytes())
+        members = membership_from((Path(path).parent / settings.members).read_bytes())
         s.check_members(members, settings)
     except OSError as error:
         _fail(f"state: {error.filename}: {error.strerror}")
-    except FileFault as error:
+    except SettingsFileError as error:
         _fail(f"state: {path}: {error}")
     return settings, members
 
@@ -56,7 +56,7 @@
     raise ValueError("it told nothing of itself")
 
 
-def _look(members: Members, name: str) -> m.Status | str:
+def _look(members: Membership, name: str) -> m.Status | str:
     entry = members.named(name)
     if entry is None or not entry.state:
         _fail(f"state: no member {name} with a log of state")
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -20,7 +20,7 @@
 from fawnwharf.replication.placement import Placement, weight
 from fawnwharf.replication.settings import Settings
 from fawnwharf.replication.use import Shares, Uses
-from fawnwharf.zones.settings import Members
+from fawnwharf.zones.settings import Membership
 
 TICK_MS = 100.0
 
@@ -36,7 +36,7 @@
         self,
         name: str,
         life: int,
-        members: Members,
+        members: Membership,
         settings: Settings,
         now_ms: float,
         fresh: bool = False,
@@ -273,7 +273,7 @@
         if life > 0:
             self.heard[name] = life, now_ms
 
-    def take_members(self, now_ms: float, members: Members) -> None:
+    def take_members(self, now_ms: float, members: Membership) -> None:
         """A later file of members."""
         if members.fleet != self.members.fleet or members.number <= self.members.number:
             self._count("members left aside")
--- a/fawnwharf/replication/links.py
+++ b/fawnwharf/replication/links.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.config import Address
 from fawnwharf.net.loop import Loop
-from fawnwharf.zones.links import LogServer, MemberLog, encoder
+from fawnwharf.zones.links import LogServer, MemberLogFollower, line_encoder
 
 NAMES_MOST = 4_000
 
@@ -50,7 +50,7 @@
         """A line for these readers, for all where none is named."""
         if counts_as is not None:
             self._counting[counts_as] = line
-        data = encoder.encode(line)
+        data = line_encoder.encode(line)
         for reader in self.readers:
             if reader.since is None or (to and self._names.get(reader.since, to[0]) not in to):
                 continue
@@ -65,7 +65,7 @@
         self._sent[reader] = 1
         head = {"seq": 1, "life": self.life, "whole": True}
         for item in [{**head, "line": line} for line in self._counting.values()] or [head]:
-            reader.connection.write(encoder.encode(item) + b"\n")
+            reader.connection.write(line_encoder.encode(item) + b"\n")
         if name := self._names.get(reader.since):
             self.followed(name)
 
@@ -76,7 +76,7 @@
         return self._sent.get(reader, 0)
 
 
-class DirectedLog(MemberLog):
+class DirectedLog(MemberLogFollower):
     """Follows one member's log, and tells who follows it."""
 
     def __init__(
--- a/fawnwharf/replication/placement.py
+++ b/fawnwharf/replication/placement.py
@@ -6,7 +6,7 @@
 
 import hashlib
 
-from fawnwharf.zones.settings import Members
+from fawnwharf.zones.settings import Membership
 
 
 def weight(*parts: str) -> int:
@@ -16,7 +16,7 @@
 class Placement:
     """Owns the keepers of one file of members. `zones` keep each call, by one of `per_zone` each."""
 
-    def __init__(self, members: Members, zones: int, per_zone: int) -> None:
+    def __init__(self, members: Membership, zones: int, per_zone: int) -> None:
         self.number = members.number
         able: dict[str, list[str]] = {}
         for member in members.members:
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -23,8 +23,8 @@
 from fawnwharf.replication.settings import Settings, check_members, settings_from
 from fawnwharf.replication.use import Shares
 from fawnwharf.replication.working import Working
-from fawnwharf.zones.files import load
-from fawnwharf.zones.settings import FileFault, Members, members_from
+from fawnwharf.zones.files import load_file
+from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
 
 FILES_MS = 500.0
 STATUS_MS = 2_000.0
@@ -51,10 +51,10 @@
         has promised anything yet. `kept`: what grants go to in the place of a file."""
         self.deployment, self.note = deployment, write
         place = Path(path)
-        self.settings: Settings = load(place, settings_from, "state")
+        self.settings: Settings = load_file(place, settings_from, "state")
         self.folder = place.parent / self.settings.folder if self.settings.folder else None
         self._members_path = place.parent / self.settings.members
-        members: Members = load(self._members_path, members_from, "state")
+        members: Membership = load_file(self._members_path, membership_from, "state")
         self._members_seen = self._mark()
         entry = members.named(deployment.name)
         if entry is None:
@@ -63,7 +63,7 @@
             raise ConfigError(f"state: {deployment.name} has no `state` in {self._members_path}")
         try:
             check_members(members, self.settings)
-        except FileFault as error:
+        except SettingsFileError as error:
             raise ConfigError(f"state: {self._members_path}: {error}") from None
         for name in self.settings.modes:
             if name not in deployment.settings.classes:
@@ -368,12 +368,12 @@
 
     def _new_members(self) -> None:
         try:
-            members = members_from(self._members_path.read_bytes())
+            members = membership_from(self._members_path.read_bytes())
             check_members(members, self.settings)
             now = members.named(self.entry.name)
             if now is None or now.state != self.entry.state:
-                raise FileFault(f"members: {self.entry.name} is not as it was")
-        except (OSError, FileFault) as error:
+                raise SettingsFileError(f"members: {self.entry.name} is not as it was")
+        except (OSError, SettingsFileError) as error:
             self.note("members left aside, the old ones go on", {"fault": str(error)})
             return
         self.core.take_members(monotonic_ms(), members)
--- a/fawnwharf/replication/settings.py
+++ b/fawnwharf/replication/settings.py
@@ -9,7 +9,14 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.zones.settings import FileFault, Members, Name, Share, Span, file_from
+from fawnwharf.zones.settings import (
+    DurationMs,
+    Fraction,
+    Membership,
+    Name,
+    SettingsFileError,
+    decode_versioned_file,
+)
 
 VERSION = 1
 KEEPER_ZONES = (1, 3, 5)
@@ -37,22 +44,24 @@
     per_zone: Annotated[int, Meta(ge=1, le=8)] = 1  # front ends of a zone that share its calls
     modes: dict[Name, Mode] = {}  # by class; at most once 'before', keyed 'after', idempotent 'off'
     unkept: Literal["refuse", "serve"] = "refuse"  # what becomes of a 'before' that can't be kept
-    wait_part: Share = 0.25  # of a class's promise, for keepers to answer
-    wait_most_ms: Span = 500.0
-    call_most_ms: Span = 5_000.0  # the longest that a client waits
-    window_ms: Span = 6_000.0  # beyond that, in which a call's repeats are known
+    wait_part: Fraction = 0.25  # of a class's promise, for keepers to answer
+    wait_most_ms: DurationMs = 500.0
+    call_most_ms: DurationMs = 5_000.0  # the longest that a client waits
+    window_ms: DurationMs = 6_000.0  # beyond that, in which a call's repeats are known
     skew: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.1  # by which clocks' rates may differ
-    quiet_ms: Span = 1_500.0  # without a word for so long a front end is held to be gone
-    compare_ms: Span = 2_000.0  # pace at which keepers compare what they hold
+    quiet_ms: DurationMs = 1_500.0  # without a word for so long a front end is held to be gone
+    compare_ms: DurationMs = 2_000.0  # pace at which keepers compare what they hold
     shares: bool = True  # tenants' quotas are divided by what comes to each front end
     hints: bool = False  # scorers that several front ends hold bad rest at the others too
-    hints_ms: Span = 250.0  # pace at which those are told
-    use_ms: Span = 500.0  # pace at which that is told
+    hints_ms: DurationMs = 250.0  # pace at which those are told
+    use_ms: DurationMs = 500.0  # pace at which that is told
     elsewhere: bool = False  # sends to cold scorers, loads under way and proved copies are told
-    elsewhere_ms: Span = 250.0  # pace at which those are told
-    cold_told_ms: Span = 100.0  # while a scorer is cold, or a load under way
-    word_ms: Span = 1_000.0  # a word on sends and loads counts for so long
-    copies_ms: Span = 3_000.0  # a copy counts for so long after its proof, and for half its idle life at most
+    elsewhere_ms: DurationMs = 250.0  # pace at which those are told
+    cold_told_ms: DurationMs = 100.0  # while a scorer is cold, or a load under way
+    word_ms: DurationMs = 1_000.0  # a word on sends and loads counts for so long
+    copies_ms: DurationMs = (
+        3_000.0  # a copy counts for so long after its proof, and for half its idle life at most
+    )
     bounds: Bounds = msgspec.field(default_factory=Bounds)
 
     @property
@@ -62,24 +71,26 @@
 
 
 def settings_from(data: bytes) -> Settings:
-    found: Settings = file_from(data, Settings, "settings", VERSION)
+    found: Settings = decode_versioned_file(data, Settings, "settings", VERSION)
     if found.zones not in KEEPER_ZONES:
-        raise FileFault(f"zones: {found.zones}, and it takes 1, 3 or 5")
+        raise SettingsFileError(f"zones: {found.zones}, and it takes 1, 3 or 5")
     if found.quiet_ms < 2 * found.wait_most_ms:
-        raise FileFault("quiet_ms: less than twice wait_most_ms")
+        raise SettingsFileError("quiet_ms: less than twice wait_most_ms")
     if found.window_ms < 2 * found.wait_most_ms:
-        raise FileFault("window_ms: less than twice wait_most_ms")
+        raise SettingsFileError("window_ms: less than twice wait_most_ms")
     if found.cold_told_ms > found.elsewhere_ms:
-        raise FileFault("cold_told_ms: more than elsewhere_ms")
+        raise SettingsFileError("cold_told_ms: more than elsewhere_ms")
     if found.word_ms < 3 * found.elsewhere_ms:
-        raise FileFault("word_ms: less than three times elsewhere_ms")
+        raise SettingsFileError("word_ms: less than three times elsewhere_ms")
     if found.copies_ms < found.word_ms:
-        raise FileFault("copies_ms: less than word_ms")
+        raise SettingsFileError("copies_ms: less than word_ms")
     return found
 
 
-def check_members(members: Members, settings: Settings) -> None:
+def check_members(members: Membership, settings: Settings) -> None:
     """Whether this fleet can keep state as the settings ask; raises FileFault."""
     able = {member.zone for member in members.members if member.state}
     if len(able) < settings.zones:
-        raise FileFault(f"members: {len(able)} zones with a `state` address, and zones asks {settings.zones}")
+        raise SettingsFileError(
+            f"members: {len(able)} zones with a `state` address, and zones asks {settings.zones}"
+        )
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -63,9 +63,9 @@
 
         write = writer(deployment.name)
     if place := files.get("zones"):
-        from fawnwharf.zones.service import Zones
+        from fawnwharf.zones.service import ZoneService
 
-        makers["zones"] = lambda first, made, place=place: Zones(deployment, place, write)
+        makers["zones"] = lambda first, made, place=place: ZoneService(deployment, place, write)
     if place := files.get("recovery"):
         from fawnwharf.recovery_service.onstore import kept
 
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -15,7 +15,7 @@
 from fawnwharf.replication.messages import Ride, line_from
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
-from fawnwharf.zones.settings import FileFault, Members, members_from
+from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
 
 app = typer.Typer(no_args_is_help=True, help="Sessions that move between sites.")
 File = Annotated[str, typer.Option("--sessions", help="The settings of sessions of this front end.")]
@@ -29,17 +29,17 @@
     raise typer.Exit(status)
 
 
-def _files(sessions: str, state: str) -> tuple[s.Settings, Path, Members]:
+def _files(sessions: str, state: str) -> tuple[s.Settings, Path, Membership]:
     """The settings, where wishes are, and who belongs to the fleet."""
     place = sessions
     try:
         settings = s.settings_from(Path(sessions).read_bytes())
         place = state
         kept = rs.settings_from(Path(state).read_bytes())
-        members = members_from((Path(state).parent / kept.members).read_bytes())
+        members = membership_from((Path(state).parent / kept.members).read_bytes())
     except OSError as error:
         _fail(f"sessions: {error.filename}: {error.strerror}")
-    except FileFault as error:
+    except SettingsFileError as error:
         _fail(f"sessions: {place}: {error}")
     folder = Path(state).parent / kept.folder if kept.folder else None
     return settings, s.wishes_place(settings, Path(sessions), folder), members
@@ -68,7 +68,7 @@
     raise ValueError("it told nothing of sessions")
 
 
-def _look(members: Members, name: str) -> w.Status | str:
+def _look(members: Membership, name: str) -> w.Status | str:
     entry = members.named(name)
     if entry is None or not entry.state:
         _fail(f"sessions: no member {name} with a `state`")
@@ -106,7 +106,7 @@
 
 
 def _wish(
-    place: Path, members: Members, change: Callable[[s.Wishes], s.Wishes]
+    place: Path, members: Membership, change: Callable[[s.Wishes], s.Wishes]
 ) -> tuple[s.Wishes, Callable[[], None]]:
     """Write what is asked; the second value takes it back."""
     sites = {entry.zone for entry in members.members if entry.state}
@@ -117,7 +117,7 @@
         wanted = msgspec.structs.replace(change(known), number=number)
         s.wishes_from(msgspec.json.encode(wanted), sites)
         place.parent.mkdir(parents=True, exist_ok=True)
-    except FileFault as error:
+    except SettingsFileError as error:
         _fail(f"sessions: {error}")
     except OSError as error:
         _fail(f"sessions: {error.filename}: {error.strerror}")
@@ -201,6 +201,6 @@
         foresight_from(data)
     except OSError as error:
         _fail(f"sessions: {error.filename}: {error.strerror}")
-    except FileFault as error:
+    except SettingsFileError as error:
         _fail(f"sessions: {sessions}: {error}")
     typer.echo(f"fawnwharf: good: foresight {'on' if found.foresight is not None else 'off'}")
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -20,9 +20,9 @@
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.moves import place_of
 from fawnwharf.sessions.staging import Beat, Seen, Staging, Word, announced_from
-from fawnwharf.zones.files import WatchedFile, load
-from fawnwharf.zones.plan import LEAVING, OUT
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.files import WatchedFile, load_file
+from fawnwharf.zones.plan import DRAINING, OUT
+from fawnwharf.zones.settings import SettingsFileError
 
 RIDER = "foresight"
 TOLD_MS = 250.0  # pace of looks at the oracle's file
@@ -47,7 +47,7 @@
         `memory` is the file for the next process, `policies` the part by which policy changes.
         """
         self.state, self.agent, self.zones, self.policies = state, agent, zones, policies
-        bounds = load(path, foresight_from, "sessions")
+        bounds = load_file(path, foresight_from, "sessions")
         costs = deployment.costs
         self.staging = Staging(
             agent.name,
@@ -61,7 +61,7 @@
         self._told = WatchedFile(path.parent / bounds.told) if bounds.told else None
         self._told_ms = float("-inf")
         if bounds.told:
-            load(path.parent / bounds.told, foretold_from, "sessions")
+            load_file(path.parent / bounds.told, foretold_from, "sessions")
         self._memory = memory
         with contextlib.suppress(OSError):  # none was left
             self.staging.learn(monotonic_ms(), memory.read_bytes())
@@ -131,7 +131,7 @@
         """A trial tells of moves as it draws them; a file that can't be read changes nothing."""
         self._told_ms = now_ms
         if (data := self._told.changed()) is not None:
-            with contextlib.suppress(FileFault):
+            with contextlib.suppress(SettingsFileError):
                 self.staging.foretold(now_ms, unix_ms(), foretold_from(data))
 
     def _look(self, now_ms: float) -> Seen:
@@ -144,7 +144,7 @@
             for announced in announced_from(plan, self.zones.settings.ramp):
                 self.staging.announced(now_ms, announced)
         states = {name: zone.state for name, zone in plan.zones.items()} if plan else {}
-        out_by_plan = {name for name, state in states.items() if state in (LEAVING, OUT)}
+        out_by_plan = {name for name, state in states.items() if state in (DRAINING, OUT)}
         sent = {attempt.request for attempt in module.attempts.values()}
         return Seen(
             heard=tuple(n for n in agent.keepers if n in agent.alive or n == agent.name),
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -20,9 +20,9 @@
 from fawnwharf.sessions.settings import Settings, Wishes, by_classes, settings_from, wishes_from, wishes_place
 from fawnwharf.sessions.stages import Orders, Stages
 from fawnwharf.sessions.trace import Trace
-from fawnwharf.zones.files import WatchedFile, load
-from fawnwharf.zones.plan import LEAVING, OUT, RETURNING
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.files import WatchedFile, load_file
+from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING
+from fawnwharf.zones.settings import SettingsFileError
 
 STATUS_MS, WISH_LIFE_MS = 1_000.0, 5_000.0  # pace of words on oneself; how long others' wishes count,
 WISH_GONE_MS = 600_000.0  # and those of a member that is not heard: its process may only be replaced
@@ -53,7 +53,7 @@
         self.deployment, self.note = deployment, write
         self.state, self.zones = made["state"], made.get("zones")
         place = Path(path)
-        read = load(place, settings_from, "sessions")
+        read = load_file(place, settings_from, "sessions")
         self.settings: Settings = by_classes(read, deployment.settings.classes)
         self.site = self._own_zone()
         self.agent = self._made_agent(fresh)
@@ -345,13 +345,13 @@
             found |= dict.fromkeys(drained, "operators")
         plan = self.zones.core.plan if self.zones is not None else None
         zones = plan.zones.items() if plan else ()
-        self._out = {name: zone.state for name, zone in zones if zone.state in (LEAVING, OUT)}
+        self._out = {name: zone.state for name, zone in zones if zone.state in (DRAINING, OUT)}
         return found | self._out
 
     def _shares(self) -> dict[str, float]:
         plan = self.zones.core.plan if self.zones is not None else None
         zones = plan.zones.items() if plan else ()
-        return {name: zone.share for name, zone in zones if zone.state == RETURNING}
+        return {name: zone.share for name, zone in zones if zone.state == RECOVERING}
 
     def _room(self) -> dict[str, int]:
         """Sessions that sites can take from elsewhere, by the scorers that this front end may use."""
@@ -366,7 +366,7 @@
         """`begin`: moves of a file that came while this process serves."""
         try:
             wishes = wishes_from(data, set(self.agent.sites.values()))
-        except FileFault as error:
+        except SettingsFileError as error:
             self.note("moves left aside, the old ones go on", {"fault": str(error)})
             return
         later, self.wishes = wishes.number > self.wishes.number, wishes
--- a/fawnwharf/sessions/settings.py
+++ b/fawnwharf/sessions/settings.py
@@ -15,7 +15,7 @@
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.settings import Settings as Handover
 from fawnwharf.session_types import Session, Text
-from fawnwharf.zones.settings import FileFault, Name, file_from
+from fawnwharf.zones.settings import Name, SettingsFileError, decode_versioned_file
 
 VERSION = 1
 MOVES_MOST = 1_000  # of one file
@@ -60,16 +60,16 @@
 
 def settings_from(data: bytes) -> Settings:
     """Parse the file and check it by key; the part `foresight` is left to the prefetcher's own check."""
-    found: Settings = file_from(data, Settings, "sessions", VERSION)
+    found: Settings = decode_versioned_file(data, Settings, "sessions", VERSION)
     rules, drain = found.handover, found.drain
     if rules.lapse_ms < rules.stage_ms:
-        raise FileFault("handover.lapse_ms: less than handover.stage_ms")
+        raise SettingsFileError("handover.lapse_ms: less than handover.stage_ms")
     if rules.settle_ms < rules.give_up_ms * rules.stretch:
-        raise FileFault("handover.settle_ms: less than handover.give_up_ms, stretched by the skew")
+        raise SettingsFileError("handover.settle_ms: less than handover.give_up_ms, stretched by the skew")
     if rules.still_ms < rules.settle_ms:
-        raise FileFault("handover.still_ms: less than handover.settle_ms")
+        raise SettingsFileError("handover.still_ms: less than handover.settle_ms")
     if drain.dwell_most_ms < drain.dwell_ms:
-        raise FileFault("drain.dwell_most_ms: less than drain.dwell_ms")
+        raise SettingsFileError("drain.dwell_most_ms: less than drain.dwell_ms")
     return found
 
 
@@ -84,15 +84,15 @@
 
 def wishes_from(data: bytes, sites: set[str]) -> Wishes:
     """Parse requests: they may name zones of the fleet, and have to leave one that serves."""
-    wishes: Wishes = file_from(data, Wishes, "moves", VERSION)
+    wishes: Wishes = decode_versioned_file(data, Wishes, "moves", VERSION)
     for n, asked in enumerate(wishes.moves):
         if asked.site not in sites:
-            raise FileFault(f"moves[{n}].site: no site {asked.site}")
+            raise SettingsFileError(f"moves[{n}].site: no site {asked.site}")
     for n, site in enumerate(wishes.drained):
         if site not in sites:
-            raise FileFault(f"drained[{n}]: no site {site}")
+            raise SettingsFileError(f"drained[{n}]: no site {site}")
     if sites and set(wishes.drained) >= sites:
-        raise FileFault("drained: no site would be left")
+        raise SettingsFileError("drained: no site would be left")
     return wishes
 
 
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -29,11 +29,11 @@
 from fawnwharf.prefetch.ways import Foretold, Ways
 from fawnwharf.replication.placement import weight
 from fawnwharf.session_types import LetGo, Move, Session, Stage
-from fawnwharf.zones.evidence import Observer
-from fawnwharf.zones.evidence import View as Sight
-from fawnwharf.zones.evidence import view as sight
-from fawnwharf.zones.plan import LEAVING, OUT, RETURNING, Plan
-from fawnwharf.zones.settings import Evidence, Ramp
+from fawnwharf.zones.evidence import EvidenceCollector
+from fawnwharf.zones.evidence import ZoneHealth as Sight
+from fawnwharf.zones.evidence import zone_health as sight
+from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING, Plan
+from fawnwharf.zones.settings import EvidenceSettings, RampSettings
 
 OPEN_MOST = 50_000  # calls whose answers are awaited
 COUNTS, FUNCTIONS, PARTS = 100, 25, 40  # of one word; words of one look
@@ -77,7 +77,7 @@
     again_ms: float = SLICE_MS
 
 
-def announced_from(plan: Plan, ramp: Ramp) -> list[m.Announced]:
+def announced_from(plan: Plan, ramp: RampSettings) -> list[m.Announced]:
     """What a plan in force announces.
 
     These are the steps of zones that return, the zones that are drained, and those on standby.
@@ -85,11 +85,11 @@
     found = []
     for site, zone in sorted(plan.zones.items()):
         kind, steps = "return", ()
-        if zone.state == LEAVING:
+        if zone.state == DRAINING:
             kind, steps = "drain", (m.Step(0.0, 0.0),)
         elif zone.state == OUT:
             kind = "standby"
-        elif zone.state == RETURNING:
+        elif zone.state == RECOVERING:
             shares = [zone.share, *(share for share in ramp.shares if share > zone.share), 1.0]
             steps = tuple(m.Step(n * ramp.step_ms, share) for n, share in enumerate(shares))
         found.append(m.Announced(site, plan.number, kind, steps))
@@ -120,8 +120,8 @@
         self.calm = True
         self.counts: dict[str, int] = {}
         promise_ms = min((spec.promise_ms for spec in site.classes.values()), default=1_000.0)
-        self._evidence = Evidence()
-        self._observer = Observer(self._evidence, promise_ms)
+        self._evidence = EvidenceSettings()
+        self._observer = EvidenceCollector(self._evidence, promise_ms)
         self._open: dict[str, Session] = {}
         self._wanted: list[tuple[float, int]] = []  # when, how many
         self._pending: dict[tuple[str, str], tuple[float, set[int]]] = {}  # ordered, not yet answered
--- a/fawnwharf/testbed/promises.py
+++ b/fawnwharf/testbed/promises.py
@@ -21,7 +21,7 @@
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.messages import Say
 from fawnwharf.replication.settings import Settings
-from fawnwharf.zones.settings import Members, members_from
+from fawnwharf.zones.settings import Membership, membership_from
 
 PROMISE_MS, BUDGET_MS = 800.0, 2_000.0
 SETTLE_MS = 1_000.0  # after the last fault, for lines that are on their way
@@ -78,7 +78,7 @@
     held: list[tuple[str, Any]] = field(default_factory=list)  # lines that came while it stood still
 
 
-def fleet_file(zones: str, number: int = 1) -> Members:
+def fleet_file(zones: str, number: int = 1) -> Membership:
     """Every front end has a log of state; the first of each zone votes."""
     entries = [
         {
@@ -90,7 +90,7 @@
         }
         for n, zone in enumerate(zones)
     ]
-    return members_from({"version": 1, "fleet": "f", "number": number, "members": entries})
+    return membership_from({"version": 1, "fleet": "f", "number": number, "members": entries})
 
 
 class Walk:
@@ -367,7 +367,7 @@
         for front in self.fronts.values():
             self._take_file(front, front.core, self.file)
 
-    def _take_file(self, front: _Front, core: Core | None, file: Members) -> None:
+    def _take_file(self, front: _Front, core: Core | None, file: Membership) -> None:
         def take() -> None:
             if front.core is core and core is not None and front.halted_until <= self.now:
                 core.take_members(self.clock(front), file)
--- a/fawnwharf/zones/commands.py
+++ b/fawnwharf/zones/commands.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.config import ConfigError
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.looking import Member, address, fail, files, lines
+from fawnwharf.zones.looking import MemberOption, current_lines, fail, log_address, read_files
 
 app = typer.Typer(no_args_is_help=True, help="Zones that are decided in common.")
 File = Annotated[str, typer.Option("--zones", help="The settings of zones that this member serves with.")]
@@ -21,20 +21,20 @@
 
     Its last plan and report. Raises OSError where it can't be read.
     """
-    return lines(place, ("plan", "report"), within_s)
+    return current_lines(place, ("plan", "report"), within_s)
 
 
 def _look(path: str, member: str) -> dict[str, Any]:
-    settings, members = files(path)
+    settings, members = read_files(path)
     try:
-        return look(address(settings, members, member))
+        return look(log_address(settings, members, member))
     except (OSError, ValueError) as error:
         fail(f"zones: no answer: {error}", 1)
     return {}
 
 
 @app.command()
-def show(zones: File, member: Member = "") -> None:
+def show(zones: File, member: MemberOption = "") -> None:
     """The zones as a member knows them decided, and what it sees of each."""
     found = _look(zones, member)
     line, report = found.get("plan"), found.get("report", {}).get("report", {})
@@ -51,7 +51,7 @@
 
 
 @app.command()
-def plan(zones: File, member: Member = "") -> None:
+def plan(zones: File, member: MemberOption = "") -> None:
     """The decided plan, as JSON."""
     line = _look(zones, member).get("plan")
     if line is None:
@@ -60,16 +60,20 @@
 
 
 def _wish(path: str, change: Any, zone: str, states: tuple[str, ...], wait_s: float) -> None:
-    settings, members = files(path)
+    settings, members = read_files(path)
     base = Path(path).parent
     folder = base / settings.folder
     place = base / settings.wishes if settings.wishes else folder / "wishes.json"
     try:
-        before = s.wishes_from(place.read_bytes(), set(members.zones)) if place.exists() else s.Wishes()
+        before = (
+            s.operator_request_from(place.read_bytes(), set(members.zones))
+            if place.exists()
+            else s.OperatorRequest()
+        )
         number = max(before.number + 1, int(time.time()))  # later than any other member's wish
         wanted = {"version": 1, "number": number, "drained": sorted(change(set(before.drained)))}
-        s.wishes_from(wanted, set(members.zones))
-    except s.FileFault as error:
+        s.operator_request_from(wanted, set(members.zones))
+    except s.SettingsFileError as error:
         fail(f"zones: {error}")
     folder.mkdir(parents=True, exist_ok=True)
     beside = place.with_suffix(".new")
@@ -79,7 +83,7 @@
     end = time.monotonic() + wait_s
     while time.monotonic() < end:
         try:
-            line = look(address(settings, members, "")).get("plan")
+            line = look(log_address(settings, members, "")).get("plan")
         except (OSError, ValueError):
             line = None
         state = json.loads(line["plan"])["zones"].get(zone, {}).get("state") if line else None
@@ -105,7 +109,7 @@
 @app.command()
 def found(name: str, zones: File) -> None:
     """Begin a new fleet: once, at one voter, before it is started. The other voters join it by themselves."""
-    from fawnwharf.zones.founding import found as begin
+    from fawnwharf.zones.founding import bootstrap as begin
 
     try:
         typer.echo(f"founded: {begin(zones, name)} is the first voter")
@@ -116,7 +120,7 @@
 @app.command()
 def check(zones: File) -> None:
     """Read and check the settings and the file of members."""
-    settings, members = files(zones)
+    settings, members = read_files(zones)
     voters = ", ".join(voter.name for voter in members.voters)
     typer.echo(
         f"fawnwharf: good: {len(members.members)} members, zones {', '.join(members.zones)}, voters {voters}"
--- a/fawnwharf/zones/evidence.py
+++ b/fawnwharf/zones/evidence.py
@@ -16,7 +16,7 @@
 Count = Annotated[int, Meta(ge=0, le=10_000_000)]
 
 
-class Seen(Struct, frozen=True):
+class ZoneEvidence(Struct, frozen=True):
     """Successes and failures of one zone within the window."""
 
     heard: Count = 0  # answers of any kind, and dials that came up
@@ -33,7 +33,7 @@
         return self.silent + self.refused + self.broken
 
 
-class View(Enum):
+class ZoneHealth(Enum):
     """What one front end makes of a zone."""
 
     UNKNOWN = "unknown"
@@ -42,19 +42,19 @@
     DEAD = "dead"
 
 
-def view(seen: Seen | None, rules: s.Evidence) -> View:
+def zone_health(seen: ZoneEvidence | None, rules: s.EvidenceSettings) -> ZoneHealth:
     """The view that the evidence amounts to.
 
     A run of failures at different scorers with no success between them shows a dead zone long before the
     successes of the window are forgotten.
     """
     if seen is not None and seen.run >= rules.least and seen.quiet_ms >= rules.quiet_ms:
-        return View.DEAD
+        return ZoneHealth.DEAD
     if seen is None or seen.heard + seen.bad < rules.least:
-        return View.UNKNOWN
+        return ZoneHealth.UNKNOWN
     if seen.bad >= rules.dead_share * (seen.heard + seen.bad):
-        return View.DEAD
-    return View.SLOW if seen.slow >= rules.slow_share * seen.heard else View.GOOD
+        return ZoneHealth.DEAD
+    return ZoneHealth.SLOW if seen.slow >= rules.slow_share * seen.heard else ZoneHealth.GOOD
 
 
 _SLICES = 4  # of the window
@@ -84,10 +84,10 @@
     bad: set[int] = field(default_factory=set)
 
 
-class Observer:
+class EvidenceCollector:
     """Counts evidence by zone; what is older than the window is forgotten in quarters of it."""
 
-    def __init__(self, rules: s.Evidence, promise_ms: float) -> None:
+    def __init__(self, rules: s.EvidenceSettings, promise_ms: float) -> None:
         self._rules, self._promise_ms = rules, promise_ms
         self._slices: deque[_Slice] = deque()
         self._runs: dict[str, _Run] = {}
@@ -134,7 +134,7 @@
         while self._slices and now_ms - self._slices[0].began_ms > self._rules.window_ms:
             self._slices.popleft()
 
-    def seen(self, now_ms: float) -> dict[str, Seen]:
+    def seen(self, now_ms: float) -> dict[str, ZoneEvidence]:
         """The evidence of the window, by zone."""
         self._forget(now_ms)
         sums: dict[str, dict[str, int]] = {}
@@ -143,7 +143,7 @@
                 total = sums.setdefault(zone, {})
                 for kind, count in counts.items():
                     total[kind] = total.get(kind, 0) + count
-        return {zone: Seen(**counts, **self._run(now_ms, zone)) for zone, counts in sums.items()}
+        return {zone: ZoneEvidence(**counts, **self._run(now_ms, zone)) for zone, counts in sums.items()}
 
     def _run(self, now_ms: float, zone: str) -> dict[str, float]:
         run = self._runs[zone]
--- a/fawnwharf/zones/files.py
+++ b/fawnwharf/zones/files.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from fawnwharf.config import ConfigError
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.settings import SettingsFileError
 
 
 class WatchedFile:
@@ -28,11 +28,11 @@
         return data
 
 
-def load(path: Path, read: Callable[[bytes], Any], key: str) -> Any:
+def load_file(path: Path, read: Callable[[bytes], Any], key: str) -> Any:
     """What `read` makes of a file; raises ConfigError with one line that begins with the key."""
     try:
         return read(path.read_bytes())
     except OSError as error:
         raise ConfigError(f"{key}: {path}: {error.strerror}") from None
-    except FileFault as error:
+    except SettingsFileError as error:
         raise ConfigError(f"{key}: {path}: {error}") from None
--- a/fawnwharf/zones/founding.py
+++ b/fawnwharf/zones/founding.py
@@ -6,14 +6,14 @@
 from fawnwharf.consensus.disk import Disk, DiskError
 from fawnwharf.consensus.voter import founding
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.files import load
+from fawnwharf.zones.files import load_file
 
 
-def found(path: str | Path, name: str) -> str:
+def bootstrap(path: str | Path, name: str) -> str:
     """Make a member the first voter of a new fleet, once; its disk identity. Raises ConfigError."""
-    settings = load(Path(path), s.settings_from, "zones")
+    settings = load_file(Path(path), s.settings_from, "zones")
     base = Path(path).parent
-    members = load(base / settings.members, s.members_from, "zones")
+    members = load_file(base / settings.members, s.membership_from, "zones")
     entry = members.named(name)
     if entry is None or not entry.ballots:
         raise ConfigError(f"zones: {name} is no voter among the members")
--- a/fawnwharf/zones/judge.py
+++ b/fawnwharf/zones/judge.py
@@ -14,8 +14,8 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.evidence import Seen, View, view
-from fawnwharf.zones.plan import LEAVING, OUT, RETURNING, SERVING, Plan, State, Zone
+from fawnwharf.zones.evidence import ZoneEvidence, ZoneHealth, zone_health
+from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING, SERVING, Plan, PlannedZone, ZoneState
 
 DRAINED = "drained by an operator"
 
@@ -26,15 +26,15 @@
     name: s.Name
     zone: s.Name
     number: Annotated[int, Meta(ge=0)]
-    seen: Annotated[dict[s.Name, Seen], Meta(max_length=64)] = {}
+    seen: Annotated[dict[s.Name, ZoneEvidence], Meta(max_length=64)] = {}
     sizes: Annotated[dict[s.Name, Annotated[float, Meta(ge=0.0, le=1e9)]], Meta(max_length=64)] = {}
     roster_ms: Annotated[float, Meta(ge=0.0)] = 0.0  # age of what it was last told of the scorers
     identity: Annotated[str, Meta(max_length=96)] = ""  # as a voter, where it is one
-    wishes: s.Wishes = s.Wishes()
+    wishes: s.OperatorRequest = s.OperatorRequest()
 
 
 @dataclass(slots=True)
-class Verdict:
+class ZoneVerdict:
     """What the reports amount to for one zone at one moment."""
 
     dead: bool = False  # for more of the other zones than not
@@ -59,17 +59,17 @@
     apart: dict[str, tuple[float, float]] = field(default_factory=dict)  # since when, and last
 
 
-_Change = tuple[State, float, str, int]  # state, share, why, flaps of a zone
+_Change = tuple[ZoneState, float, str, int]  # state, share, why, flaps of a zone
 
 
-class Judge:
+class ZonePlanner:
     """Combines the current reports zone by zone, and says what the next plan should be."""
 
-    def __init__(self, settings: s.Settings, now_ms: float) -> None:
+    def __init__(self, settings: s.ZoneSettings, now_ms: float) -> None:
         self.settings, self.now = settings, now_ms
         self.reports: dict[str, tuple[float, Report]] = {}  # when it came, by member
         self.tracks: dict[str, _Track] = {}
-        self.wishes = s.Wishes()
+        self.wishes = s.OperatorRequest()
         self.sizes: dict[str, float] = {}
         self.refused: dict[str, str] = {}  # zones that should be out and must not be, and why
         self.watched_ms = self.since_ms = now_ms  # the last look, and the first of those without a gap
@@ -80,7 +80,7 @@
         if report.wishes.number > self.wishes.number:
             self.wishes = report.wishes
 
-    def alive(self, now_ms: float, members: s.Members) -> dict[str, Report]:
+    def alive(self, now_ms: float, members: s.Membership) -> dict[str, Report]:
         """The reports that are not too old, by member."""
         life = self.settings.evidence.report_life_ms
         zones = {member.name: member.zone for member in members.members}
@@ -93,12 +93,12 @@
 
     # --- weighing -------------------------------------------------------------------------------
 
-    def verdicts(self, now_ms: float, members: s.Members) -> dict[str, Verdict]:
+    def verdicts(self, now_ms: float, members: s.Membership) -> dict[str, ZoneVerdict]:
         """The verdict on each zone of the members."""
         rules, alive = self.settings.evidence, self.alive(now_ms, members)
         heard = {name for name in alive if now_ms - self.reports[name][0] <= rules.hush_ms}
         views = {
-            name: {zone: view(report.seen.get(zone), rules) for zone in members.zones}
+            name: {zone: zone_health(report.seen.get(zone), rules) for zone in members.zones}
             for name, report in alive.items()
         }
         trusted = {name: seen for name, seen in views.items() if not _cut_off(seen)}
@@ -111,52 +111,56 @@
         }
         return {zone: self._verdict(zone, members, heard, opinions) for zone in members.zones}
 
-    def _opinion(self, near: str, far: str, members: s.Members, views: dict[str, dict[str, View]]) -> View:
+    def _opinion(
+        self, near: str, far: str, members: s.Membership, views: dict[str, dict[str, ZoneHealth]]
+    ) -> ZoneHealth:
         """One zone's view of another.
 
         It is what more than half of its observers with a view say, if they are enough.
         """
         own = [member.name for member in members.members if member.zone == near]
-        said = [views[name][far] for name in own if name in views and views[name][far] is not View.UNKNOWN]
+        said = [
+            views[name][far] for name in own if name in views and views[name][far] is not ZoneHealth.UNKNOWN
+        ]
         enough = min(self.settings.evidence.witnesses, len(own))
-        for kind in (View.DEAD, View.SLOW):
+        for kind in (ZoneHealth.DEAD, ZoneHealth.SLOW):
             if 2 * said.count(kind) > len(said) and said.count(kind) >= enough:
                 return kind
-        alive = said.count(View.GOOD) + said.count(View.SLOW)
-        return View.GOOD if 2 * alive > len(said) else View.UNKNOWN
+        alive = said.count(ZoneHealth.GOOD) + said.count(ZoneHealth.SLOW)
+        return ZoneHealth.GOOD if 2 * alive > len(said) else ZoneHealth.UNKNOWN
 
     def _verdict(
         self,
         zone: str,
-        members: s.Members,
+        members: s.Membership,
         heard: set[str],
-        opinions: dict[tuple[str, str], View],
-    ) -> Verdict:
+        opinions: dict[tuple[str, str], ZoneHealth],
+    ) -> ZoneVerdict:
         others = {near: opinions[near, zone] for near in members.zones if near != zone}
-        dead = sorted(near for near, word in others.items() if word is View.DEAD)
-        well = sorted(near for near, word in others.items() if word in (View.GOOD, View.SLOW))
+        dead = sorted(near for near, word in others.items() if word is ZoneHealth.DEAD)
+        well = sorted(near for near, word in others.items() if word in (ZoneHealth.GOOD, ZoneHealth.SLOW))
         own = opinions[zone, zone]
         there = [member.name for member in members.members if member.zone == zone]
         voices = sum(name in heard for name in there)
-        found = Verdict(good=own in (View.GOOD, View.SLOW) or bool(well))
-        by_itself = own is View.DEAD or (2 * voices <= len(there) and own is not View.GOOD)
+        found = ZoneVerdict(good=own in (ZoneHealth.GOOD, ZoneHealth.SLOW) or bool(well))
+        by_itself = own is ZoneHealth.DEAD or (2 * voices <= len(there) and own is not ZoneHealth.GOOD)
         found.dead = len(dead) > len(well)
         if found.dead and by_itself:
             found.lost, found.good = True, False
             found.sure = not voices and not well
             found.why = f"dead for {', '.join(dead)}; {voices} of its {len(there)} front ends heard"
-        elif len(members.zones) == 1 and own is View.DEAD:
+        elif len(members.zones) == 1 and own is ZoneHealth.DEAD:
             found.why = "dead for itself, and no other zone to go to"
         elif dead:
             found.apart = set(dead)
-        slow = [near for near, word in [*others.items(), (zone, own)] if word is View.SLOW]
-        known = [near for near, word in [*others.items(), (zone, own)] if word is not View.UNKNOWN]
+        slow = [near for near, word in [*others.items(), (zone, own)] if word is ZoneHealth.SLOW]
+        known = [near for near, word in [*others.items(), (zone, own)] if word is not ZoneHealth.UNKNOWN]
         found.slow = not found.lost and 2 * len(slow) > len(known)
         return found
 
     # --- the next plan --------------------------------------------------------------------------
 
-    def watch(self, now_ms: float, members: s.Members, plan: Plan) -> dict[str, Verdict]:
+    def watch(self, now_ms: float, members: s.Membership, plan: Plan) -> dict[str, ZoneVerdict]:
         """Look at all zones, and count for how long something has been so.
 
         Anew where the last look is too long ago.
@@ -168,17 +172,17 @@
         self._size(now_ms, members)
         verdicts = self.verdicts(now_ms, members)
         for name, verdict in verdicts.items():
-            self._track(now_ms, name, plan.zones.get(name, Zone()), verdict)
+            self._track(now_ms, name, plan.zones.get(name, PlannedZone()), verdict)
         return verdicts
 
-    def next_plan(self, now_ms: float, members: s.Members, plan: Plan) -> Plan | None:
+    def next_plan(self, now_ms: float, members: s.Membership, plan: Plan) -> Plan | None:
         """The plan that should follow the decided one; None while that is still right."""
         self.now = now_ms
         self.refused = {}
         verdicts = self.watch(now_ms, members, plan)
-        zones: dict[str, Zone] = {}
+        zones: dict[str, PlannedZone] = {}
         for name, region in sorted(members.zones.items()):
-            before = plan.zones.get(name, Zone(region=region))
+            before = plan.zones.get(name, PlannedZone(region=region))
             track = self.tracks[name]
             after = self._zone(now_ms, name, region, before, track, verdicts[name])
             heard = sum(report.zone == name for report in self.alive(now_ms, members).values())
@@ -188,7 +192,7 @@
         same = following.zones == plan.zones and following.apart == plan.apart
         return None if same else following
 
-    def _size(self, now_ms: float, members: s.Members) -> None:
+    def _size(self, now_ms: float, members: s.Membership) -> None:
         """The largest size that half of the front ends tell of a zone; one that shrinks counts as it was."""
         alive = self.alive(now_ms, members).values()
         for zone in members.zones:
@@ -196,7 +200,7 @@
             if told:
                 self.sizes[zone] = max(self.sizes.get(zone, 0.0), told[len(told) // 2])
 
-    def _track(self, now_ms: float, name: str, before: Zone, verdict: Verdict) -> _Track:
+    def _track(self, now_ms: float, name: str, before: PlannedZone, verdict: ZoneVerdict) -> _Track:
         track = self.tracks.setdefault(name, _Track(state_ms=now_ms, state=(before.state, before.share)))
         if track.state != (before.state, before.share):
             track.state, track.state_ms = (before.state, before.share), now_ms
@@ -211,8 +215,8 @@
         return track
 
     def _zone(
-        self, now_ms: float, name: str, region: str, before: Zone, track: _Track, verdict: Verdict
-    ) -> Zone:
+        self, now_ms: float, name: str, region: str, before: PlannedZone, track: _Track, verdict: ZoneVerdict
+    ) -> PlannedZone:
         """The zone as the next plan should have it."""
         spill = self.settings.spill.zones.get(name, self.settings.spill.share)
         if _for(now_ms, track.slow_ms) >= self.settings.damping.slow_ms:
@@ -226,57 +230,59 @@
         return msgspec.structs.replace(after, state=state, share=share, why=why, flaps=flaps)
 
     def _change(
-        self, now_ms: float, before: Zone, track: _Track, verdict: Verdict, drained: bool
+        self, now_ms: float, before: PlannedZone, track: _Track, verdict: ZoneVerdict, drained: bool
     ) -> _Change | None:
         """What state the zone goes to, if any; `drained`: operators ask for it to be out."""
         held = now_ms - track.state_ms
-        if before.state == LEAVING:
+        if before.state == DRAINING:
             return self._leaving(before, held, drained)
         if before.state == OUT:
             return None if drained else self._return(now_ms, before, track, verdict)
         if drained:
-            return LEAVING, 0.0, DRAINED, before.flaps
+            return DRAINING, 0.0, DRAINED, before.flaps
         if self._is_lost(now_ms, before, track, verdict):
             return OUT, 0.0, verdict.why, before.flaps + 1
-        if before.state == RETURNING:
+        if before.state == RECOVERING:
             return self._ramp_up(before, held) if track.good_ms is not None else None
         if before.flaps and held >= self.settings.damping.flap_ms:
             track.state_ms = now_ms
             return SERVING, 1.0, before.why, before.flaps - 1
         return None
 
-    def _leaving(self, before: Zone, held: float, drained: bool) -> _Change | None:
+    def _leaving(self, before: PlannedZone, held: float, drained: bool) -> _Change | None:
         if not drained:
             return SERVING, 1.0, "", before.flaps
         if held >= self.settings.damping.leave_ms:
             return OUT, 0.0, before.why, before.flaps
         return None
 
-    def _is_lost(self, now_ms: float, before: Zone, track: _Track, verdict: Verdict) -> bool:
+    def _is_lost(self, now_ms: float, before: PlannedZone, track: _Track, verdict: ZoneVerdict) -> bool:
         damping = self.settings.damping
-        patience = damping.out_ms / (2 if before.state == RETURNING else 1)  # it was lost a moment ago
+        patience = damping.out_ms / (2 if before.state == RECOVERING else 1)  # it was lost a moment ago
         # That nobody is heard takes its own time to show: the two need not wait for each other.
         sure = _for(now_ms, track.sure_ms) >= damping.sure_ms
         return verdict.lost and (sure or _for(now_ms, track.dead_ms) >= patience)
 
-    def _return(self, now_ms: float, before: Zone, track: _Track, verdict: Verdict) -> _Change | None:
+    def _return(
+        self, now_ms: float, before: PlannedZone, track: _Track, verdict: ZoneVerdict
+    ) -> _Change | None:
         first = self.settings.ramp.shares[0]
         if before.why == DRAINED and not verdict.lost:
-            return RETURNING, first, "restored by an operator", before.flaps
+            return RECOVERING, first, "restored by an operator", before.flaps
         if _for(now_ms, track.good_ms) >= self.pause_ms(before):
-            return RETURNING, first, "seen well again", before.flaps
+            return RECOVERING, first, "seen well again", before.flaps
         return None
 
-    def _ramp_up(self, before: Zone, held: float) -> _Change | None:
+    def _ramp_up(self, before: PlannedZone, held: float) -> _Change | None:
         ramp = self.settings.ramp
         if held < ramp.step_ms:
             return None
         later = [share for share in ramp.shares if share > before.share]
         if later and later[0] < 1.0:
-            return RETURNING, later[0], before.why, before.flaps
+            return RECOVERING, later[0], before.why, before.flaps
         return SERVING, 1.0, "", before.flaps
 
-    def pause_ms(self, zone: Zone) -> float:
+    def pause_ms(self, zone: PlannedZone) -> float:
         """How long a zone has to be seen well before it returns.
 
         Twice as long for each time it was out lately.
@@ -284,21 +290,23 @@
         damping = self.settings.damping
         return min(damping.back_most_ms, damping.back_ms * 2.0 ** min(20, max(0, zone.flaps - 1)))
 
-    def _keep_one(self, plan: Plan, zones: dict[str, Zone]) -> None:
+    def _keep_one(self, plan: Plan, zones: dict[str, PlannedZone]) -> None:
         """Whatever is seen, one zone stays: a plan that puts all out helps nobody."""
         leaving = [n for n, zone in sorted(zones.items()) if zone.open == 0 and self._was_open(plan, n)]
         while leaving and not any(zone.open > 0 for zone in zones.values()):
             name = leaving.pop()
-            before = plan.zones.get(name, Zone(region=zones[name].region))
+            before = plan.zones.get(name, PlannedZone(region=zones[name].region))
             self.refused[name] = f"zone {name} stays: all zones would be out"
             zones[name] = msgspec.structs.replace(
                 zones[name], state=before.state, share=before.share, why=before.why
             )
 
     def _was_open(self, plan: Plan, name: str) -> bool:
-        return plan.zones.get(name, Zone()).open > 0
+        return plan.zones.get(name, PlannedZone()).open > 0
 
-    def _apart(self, now_ms: float, plan: Plan, verdicts: dict[str, Verdict]) -> tuple[tuple[str, str], ...]:
+    def _apart(
+        self, now_ms: float, plan: Plan, verdicts: dict[str, ZoneVerdict]
+    ) -> tuple[tuple[str, str], ...]:
         """The pairs of zones that have been apart for long enough.
 
         They stay so until they were together for as long as a zone has to be seen well.
@@ -316,14 +324,14 @@
     return -1.0 if since_ms is None else now_ms - since_ms
 
 
-def _fronts(after: Zone, before: Zone, heard: int) -> int:
+def _fronts(after: PlannedZone, before: PlannedZone, heard: int) -> int:
     """Front ends of a zone that does not serve; told anew only when it has changed by a quarter."""
     if after.state == SERVING:
         return 0
     return heard if abs(heard - before.fronts) * 4 > before.fronts else before.fronts
 
 
-def _cut_off(views: dict[str, View]) -> bool:
+def _cut_off(views: dict[str, ZoneHealth]) -> bool:
     """One that sees all zones dead, two at the least, is cut off itself: its word counts for nothing."""
-    known = [seen for seen in views.values() if seen is not View.UNKNOWN]
-    return len(known) >= 2 and all(seen is View.DEAD for seen in known)
+    known = [seen for seen in views.values() if seen is not ZoneHealth.UNKNOWN]
+    return len(known) >= 2 and all(seen is ZoneHealth.DEAD for seen in known)
--- a/fawnwharf/zones/lines.py
+++ b/fawnwharf/zones/lines.py
@@ -11,31 +11,31 @@
 from fawnwharf.zones.judge import Report
 from fawnwharf.zones.plan import Plan
 
-TEXT_MOST = m.DATA_MOST
-WORDS_MOST = 1_024  # in one line
+MAX_TEXT = m.DATA_MOST
+MAX_MESSAGES = 1_024  # in one line
 
 
 POLICY, RECOVERY = "policy", "recovery"  # riders, and the kinds of their registers in the voters' log
 
 
-class Word(Struct, frozen=True, omit_defaults=True):
+class ClientMessage(Struct, frozen=True, omit_defaults=True):
     """A message of a log client: to these members, or to whoever leads the voters where none is named."""
 
     said: Any
-    to: Annotated[tuple[s.Name, ...], Meta(max_length=s.MEMBERS_MOST)] = ()
+    to: Annotated[tuple[s.Name, ...], Meta(max_length=s.MAX_MEMBERS)] = ()
     rider: s.Name = POLICY
 
 
-Words = Annotated[tuple[Word, ...], Meta(max_length=WORDS_MOST)]
+ClientMessages = Annotated[tuple[ClientMessage, ...], Meta(max_length=MAX_MESSAGES)]
 
 
-class Line(Struct, frozen=True, omit_defaults=True):
+class LogLine(Struct, frozen=True, omit_defaults=True):
     """One line of a member's log, besides its number; one of the fields from `report` on is there."""
 
     fleet: s.Name
     sender: s.Name
     report: Report | None = None
-    plan: Annotated[str, Meta(max_length=TEXT_MOST)] | None = None
+    plan: Annotated[str, Meta(max_length=MAX_TEXT)] | None = None
     fresh: bool = False  # the leader's word, at this moment: no later plan is decided than this index
     index: Annotated[int, Meta(ge=0)] = 0  # of the plan, or of what is fresh
     term: Annotated[int, Meta(ge=0)] = 0
@@ -46,33 +46,33 @@
     recovery: Any = None  # and in a recovery
 
 
-class LineFault(ValueError):
+class LogLineError(ValueError):
     """A line that costs its sender the connection; the text says why."""
 
 
 # --- effects --------------------------------------------------------------------------------
 
 
-class Keep(Struct, frozen=True):
+class SaveVoterState(Struct, frozen=True):
     """Effect: save the voter's state to disk."""
 
     saved: m.Saved
 
 
-class Publish(Struct, frozen=True):
+class PublishLine(Struct, frozen=True):
     """Effect: write a line to the own log."""
 
-    line: Line
+    line: LogLine
 
 
-class Ballot(Struct, frozen=True):
+class SendVoterMessage(Struct, frozen=True):
     """Effect: write a line to the log of ballots; only `to`, a member's name, has use of it."""
 
     to: str
-    line: Line
+    line: LogLine
 
 
-class Follow(Struct, frozen=True):
+class FollowPlan(Struct, frozen=True):
     """Effect: go by this plan from now on.
 
     None stands for no plan that is known to be the last: each front end is on its own then.
@@ -82,7 +82,7 @@
     index: int
 
 
-class Heard(Struct, frozen=True):
+class MessagesReceived(Struct, frozen=True):
     """Effect, for a log client.
 
     Another member's messages to this one, and its status; None where it tells none.
@@ -94,7 +94,7 @@
     rider: str = POLICY
 
 
-class Ruled(Struct, frozen=True):
+class RegisterDecided(Struct, frozen=True):
     """Effect: the consensus log decided this register, of policy or of recovery."""
 
     index: int
@@ -102,17 +102,25 @@
     kind: str = POLICY
 
 
-class Note(Struct, frozen=True):
+class LogEvent(Struct, frozen=True):
     """Effect: a line for the operators' log, an event and its fields."""
 
     event: str
     fields: dict[str, Any]
 
 
-Effect = Keep | Publish | Ballot | Follow | Heard | Ruled | Note
+Effect = (
+    SaveVoterState
+    | PublishLine
+    | SendVoterMessage
+    | FollowPlan
+    | MessagesReceived
+    | RegisterDecided
+    | LogEvent
+)
 
 
-class Seat(Struct, frozen=True):
+class ConsensusStatus(Struct, frozen=True):
     """The state of a member's voter at one moment."""
 
     term: int = 0  # of its reign; 0: it does not lead
@@ -124,7 +132,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class DropCounts:
     """What was dropped, by cause."""
 
     dropped: dict[str, int] = field(default_factory=dict)
@@ -134,10 +142,10 @@
         self.dropped[cause] = self.dropped.get(cause, 0) + 1
 
 
-def words_for(name: str, data: Any) -> dict[str, tuple[Any, ...]]:
+def messages_for(name: str, data: Any) -> dict[str, tuple[Any, ...]]:
     """The messages to this member, or to whoever leads, by log client; raises msgspec.ValidationError."""
     found: dict[str, tuple[Any, ...]] = {}
-    for word in msgspec.convert(data, Words):
+    for word in msgspec.convert(data, ClientMessages):
         if not word.to or name in word.to:
             found[word.rider] = (*found.get(word.rider, ()), word.said)
     return found
--- a/fawnwharf/zones/links.py
+++ b/fawnwharf/zones/links.py
@@ -31,10 +31,10 @@
 ACCEPTS_MOST = 32  # in a turn
 PAUSE_MOST_MS = 1_000.0  # between dials to a member that is away
 
-encoder = msgspec.json.Encoder()
+line_encoder = msgspec.json.Encoder()
 
 
-class MemberLog(ChangeLog):
+class MemberLogFollower(ChangeLog):
     """Follows one member's log; a line that can't be taken costs the connection and nothing else."""
 
     pause_most_ms, line_most = PAUSE_MOST_MS, LINE_MOST
@@ -162,7 +162,7 @@
         self.seq += 1
         if counts_as is not None:
             self._counting[counts_as] = line
-        data = encoder.encode({"seq": self.seq, "life": self.life, "line": line}) + b"\n"
+        data = line_encoder.encode({"seq": self.seq, "life": self.life, "line": line}) + b"\n"
         self._kept.append((self.seq, data))
         self._kept_bytes += len(data)
         while len(self._kept) > KEPT_MOST or self._kept_bytes > KEPT_BYTES_MOST:
@@ -181,7 +181,7 @@
             head = {"seq": self.seq, "life": self.life, "whole": True}
             told = [{**head, "line": line} for line in self._counting.values()] or [head]
             for item in told:
-                reader.connection.write(encoder.encode(item) + b"\n")
+                reader.connection.write(line_encoder.encode(item) + b"\n")
             return
         for seq, data in self._kept:
             if seq > reader.since:
--- a/fawnwharf/zones/looking.py
+++ b/fawnwharf/zones/looking.py
@@ -12,7 +12,7 @@
 from fawnwharf.config import ConfigError, address_from
 from fawnwharf.zones import settings as s
 
-Member = Annotated[
+MemberOption = Annotated[
     str, typer.Option("--member", help="Whose log is read; the settings' own listener without.")
 ]
 
@@ -23,19 +23,19 @@
     raise typer.Exit(status)
 
 
-def files(path: str) -> tuple[s.Settings, s.Members]:
+def read_files(path: str) -> tuple[s.ZoneSettings, s.Membership]:
     """The settings of zones and the members that they name; exits with status 2 where they can't be taken."""
     try:
         settings = s.settings_from(Path(path).read_bytes())
-        members = s.members_from((Path(path).parent / settings.members).read_bytes())
+        members = s.membership_from((Path(path).parent / settings.members).read_bytes())
     except OSError as error:
         fail(f"zones: {error.filename}: {error.strerror}")
-    except s.FileFault as error:
+    except s.SettingsFileError as error:
         fail(f"zones: {path}: {error}")
     return settings, members
 
 
-def address(settings: s.Settings, members: s.Members, member: str) -> tuple[str, int]:
+def log_address(settings: s.ZoneSettings, members: s.Membership, member: str) -> tuple[str, int]:
     """The address of a member's log.
 
     Without a name it is the settings' own listener. Exits with status 2 where there is none.
@@ -52,7 +52,7 @@
         fail(str(error))
 
 
-def lines(place: tuple[str, int], keys: Iterable[str], within_s: float) -> dict[str, Any]:
+def current_lines(place: tuple[str, int], keys: Iterable[str], within_s: float) -> dict[str, Any]:
     """The current lines of a member's log, the last one with each of these keys.
 
     Raises OSError where the log can't be read, ValueError where a line is malformed.
--- a/fawnwharf/zones/member.py
+++ b/fawnwharf/zones/member.py
@@ -15,29 +15,29 @@
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.voter import Timing, Voter
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.evidence import Seen
-from fawnwharf.zones.judge import Judge, Report
+from fawnwharf.zones.evidence import ZoneEvidence
+from fawnwharf.zones.judge import Report, ZonePlanner
 from fawnwharf.zones.lines import (
     POLICY,
     RECOVERY,
-    Ballot,
-    Counts,
+    ConsensusStatus,
+    DropCounts,
     Effect,
-    Follow,
-    Heard,
-    Keep,
-    Line,
-    LineFault,
-    Note,
-    Publish,
-    Ruled,
-    Seat,
-    words_for,
+    FollowPlan,
+    LogEvent,
+    LogLine,
+    LogLineError,
+    MessagesReceived,
+    PublishLine,
+    RegisterDecided,
+    SaveVoterState,
+    SendVoterMessage,
+    messages_for,
 )
-from fawnwharf.zones.plan import Plan, PlanFault, plan_from
+from fawnwharf.zones.plan import Plan, PlanError, plan_from
 
 
-class Member:
+class MemberCore:
     """Owns a member's part in the fleet.
 
     Its view of the plan, and as a voter also the voter and the judge.
@@ -46,8 +46,8 @@
     def __init__(
         self,
         name: str,
-        members: s.Members,
-        settings: s.Settings,
+        members: s.Membership,
+        settings: s.ZoneSettings,
         now_ms: float,
         seed: int,
         identity: str = "",
@@ -56,13 +56,13 @@
     ) -> None:
         """A voter brings its identity, its saved state and how often that was written; others only follow."""
         self.name, self.members, self.settings = name, members, settings
-        self.identity, self.counts = identity, Counts()
+        self.identity, self.counts = identity, DropCounts()
         voting = settings.voting
         self.voter: Voter | None = None
         if identity:
             timing = Timing(voting.beat_ms, voting.election_ms, voting.skew)
             self.voter = Voter(identity, saved or m.Saved(), timing, now_ms, seed)
-        self.judge = Judge(settings, now_ms)
+        self.judge = ZonePlanner(settings, now_ms)
         self.plan, self.index = Plan(), 0  # the last decided one that is known
         self.text, self.published = "", 0  # as it was decided; the index that stands in the own log
         self.fresh_ms: float | None = None  # when it was last said to be the last
@@ -70,7 +70,7 @@
         self.number = 0  # of own reports
         self.saves = saves
         self.heard_saves: dict[str, int] = {}  # the most that each voter's ballots told
-        self.wishes = s.Wishes()
+        self.wishes = s.OperatorRequest()
         self.report_due_ms = self.fresh_due_ms = self.judge_due_ms = self.watch_due_ms = now_ms
         self.roles = ("", 0)
         if self.voter:
@@ -110,7 +110,7 @@
             return self._ballot(now_ms, sender, line)
         if line.report is not None:
             if line.report.name != sender:
-                raise LineFault(f"a report of {line.report.name} from {sender}")
+                raise LogLineError(f"a report of {line.report.name} from {sender}")
             self.judge.heard(now_ms, line.report)
         if line.plan is not None:
             self._told(line)
@@ -122,46 +122,46 @@
             )
         return [*self._given_out(now_ms), *self._heard(sender, line)]
 
-    def _checked(self, sender: str, data: Any) -> Line:
+    def _checked(self, sender: str, data: Any) -> LogLine:
         """The line, of this fleet and of its sender; raises LineFault for any other."""
         try:
-            line = msgspec.convert(data, Line)
+            line = msgspec.convert(data, LogLine)
         except msgspec.ValidationError as error:
-            raise LineFault(f"not a line of a member: {error}") from None
+            raise LogLineError(f"not a line of a member: {error}") from None
         if line.fleet != self.members.fleet:
-            raise LineFault(f"of fleet {line.fleet}")
+            raise LogLineError(f"of fleet {line.fleet}")
         if line.sender != sender:
-            raise LineFault(f"says that it is {line.sender}, and is {sender}")
+            raise LogLineError(f"says that it is {line.sender}, and is {sender}")
         return line
 
-    def _heard(self, sender: str, line: Line) -> list[Effect]:
+    def _heard(self, sender: str, line: LogLine) -> list[Effect]:
         try:
-            words = words_for(self.name, line.words) if line.words is not None else {}
+            words = messages_for(self.name, line.words) if line.words is not None else {}
         except msgspec.ValidationError:
             self.counts.add("bad words")
-            return [Note("bad words", {"sender": sender, "counts": dict(self.counts.dropped)})]
+            return [LogEvent("bad words", {"sender": sender, "counts": dict(self.counts.dropped)})]
         stands = {POLICY: line.policy, RECOVERY: line.recovery}
         riders = dict.fromkeys([*words, *(rider for rider, told in stands.items() if told is not None)])
-        return [Heard(sender, words.get(rider, ()), stands.get(rider), rider) for rider in riders]
+        return [MessagesReceived(sender, words.get(rider, ()), stands.get(rider), rider) for rider in riders]
 
-    def _told(self, line: Line) -> None:
+    def _told(self, line: LogLine) -> None:
         """A decided plan from any member is as good as from the leader: a number is decided once."""
         if line.index <= self.index:
             return
         try:
             plan = plan_from(line.plan)
-        except PlanFault as error:
-            raise LineFault(f"a plan that is none: {error}") from None
+        except PlanError as error:
+            raise LogLineError(f"a plan that is none: {error}") from None
         # Decided after the one before, so it is no older than that was.
         self.plan, self.index, self.text = plan, line.index, line.plan
 
-    def _ballot(self, now_ms: float, sender: str, line: Line) -> list[Effect]:
+    def _ballot(self, now_ms: float, sender: str, line: LogLine) -> list[Effect]:
         try:
             message = m.message_from(line.ballot)
         except msgspec.ValidationError as error:
-            raise LineFault(f"not a ballot: {error}") from None
+            raise LogLineError(f"not a ballot: {error}") from None
         if message.sender.partition("#")[0] != sender:
-            raise LineFault(f"a ballot of {message.sender} from {sender}")
+            raise LogLineError(f"a ballot of {message.sender} from {sender}")
         entry = self.members.named(sender)
         if self.voter is None or not entry.ballots:
             self.counts.add("ballot of no voter")
@@ -171,32 +171,32 @@
             # twice.
             self.counts.add("ballot from an older disk")
             fields = {"voter": message.sender, "saves": line.saves, "told before": most}
-            return [Note("older disk", fields)]
+            return [LogEvent("older disk", fields)]
         self.heard_saves[message.sender] = line.saves
         return self._voted(now_ms, self.voter.receive(now_ms, message))
 
-    def take_members(self, now_ms: float, members: s.Members) -> list[Effect]:
+    def take_members(self, now_ms: float, members: s.Membership) -> list[Effect]:
         """Take a later file of members; older ones and other fleets' are ignored."""
         if members.fleet != self.members.fleet or members.number <= self.members.number:
             why = (
                 "of another fleet" if members.fleet != self.members.fleet else "not later than the one in use"
             )
-            return [Note("members left aside", {"number": members.number, "why": why})]
+            return [LogEvent("members left aside", {"number": members.number, "why": why})]
         self.members = members
-        return [Note("members taken", {"number": members.number, "members": len(members.members)})]
+        return [LogEvent("members taken", {"number": members.number, "members": len(members.members)})]
 
-    def take_wishes(self, wishes: s.Wishes) -> list[Effect]:
+    def take_wishes(self, wishes: s.OperatorRequest) -> list[Effect]:
         """Take a later file of operators' requests."""
         if wishes.number <= self.wishes.number:
             return []
         self.wishes = wishes
         self.report_due_ms = 0.0
-        return [Note("wishes taken", {"number": wishes.number, "drained": list(wishes.drained)})]
+        return [LogEvent("wishes taken", {"number": wishes.number, "drained": list(wishes.drained)})]
 
     # --- time -----------------------------------------------------------------------------------
 
     def tick(
-        self, now_ms: float, seen: dict[str, Seen], sizes: dict[str, float], roster_ms: float
+        self, now_ms: float, seen: dict[str, ZoneEvidence], sizes: dict[str, float], roster_ms: float
     ) -> list[Effect]:
         """Do what is due; `seen`, `sizes` and `roster_ms` are for the next report."""
         effects: list[Effect] = []
@@ -219,19 +219,19 @@
         soon = now_ms + self.settings.evidence.report_ms / 3
         self.report_due_ms = min(self.report_due_ms, soon)
 
-    def _line(self, **parts: Any) -> Line:
-        return Line(self.members.fleet, self.name, **parts)
+    def _line(self, **parts: Any) -> LogLine:
+        return LogLine(self.members.fleet, self.name, **parts)
 
     def _report(
-        self, now_ms: float, seen: dict[str, Seen], sizes: dict[str, float], roster_ms: float
-    ) -> Publish:
+        self, now_ms: float, seen: dict[str, ZoneEvidence], sizes: dict[str, float], roster_ms: float
+    ) -> PublishLine:
         self.number += 1
         self.report_due_ms = now_ms + self.settings.evidence.report_ms
         report = Report(
             self.name, self.zone, self.number, seen, sizes, max(0.0, roster_ms), self.identity, self.wishes
         )
         self.judge.heard(now_ms, report)
-        return Publish(self._line(report=report))
+        return PublishLine(self._line(report=report))
 
     # --- voting and leading ---------------------------------------------------------------------
 
@@ -240,16 +240,16 @@
         for action in actions:
             if isinstance(action, m.Save):
                 self.saves += 1
-                effects.append(Keep(action.saved))
+                effects.append(SaveVoterState(action.saved))
             elif isinstance(action, m.Say):
                 to = action.message.to.partition("#")[0]
                 ballot = msgspec.to_builtins(action.message)
-                effects.append(Ballot(to, self._line(ballot=ballot, saves=self.saves)))
+                effects.append(SendVoterMessage(to, self._line(ballot=ballot, saves=self.saves)))
             else:
                 effects += self._decided(action)
         role = (self.voter.role.value, self.voter.saved.term)
         if role != self.roles and (role[0] == "leader" or self.roles[0] == "leader"):
-            effects.append(Note("role", {"role": role[0], "term": role[1]}))
+            effects.append(LogEvent("role", {"role": role[0], "term": role[1]}))
             if role[0] == "leader":
                 # It has watched as a follower; where not for long enough to have heard all, it waits.
                 heard_all_ms = self.judge.since_ms + self.settings.evidence.report_life_ms
@@ -260,34 +260,34 @@
 
     def _decided(self, decided: m.Decided) -> list[Effect]:
         if decided.kind == "voters":
-            return [Note("voters", {"index": decided.index, "voters": list(decided.voters)})]
+            return [LogEvent("voters", {"index": decided.index, "voters": list(decided.voters)})]
         if decided.kind in (POLICY, RECOVERY):
-            return [Ruled(decided.index, decided.plan, decided.kind)]
+            return [RegisterDecided(decided.index, decided.plan, decided.kind)]
         if decided.kind != "plan" or not self._learn(decided.index, decided.plan):
             return []
         states = {name: f"{zone.state} {zone.share:g}" for name, zone in self.plan.zones.items()}
-        return [Note("plan", {"index": decided.index, "term": decided.term, "zones": states})]
+        return [LogEvent("plan", {"index": decided.index, "term": decided.term, "zones": states})]
 
     def _learn(self, index: int, text: str) -> bool:
         if index <= self.index:
             return False
         try:
             self.plan = plan_from(text)
-        except PlanFault:
+        except PlanError:
             self.counts.add("a decided plan that is none")
             return False
         self.index, self.text = index, text
         return True
 
-    def seat(self, now_ms: float) -> Seat:
+    def seat(self, now_ms: float) -> ConsensusStatus:
         """The state of its voter, for those that change registers."""
         voter = self.voter
         if voter is None or not voter.is_leader:
-            return Seat()
+            return ConsensusStatus()
         settled = voter.commit == voter.saved.last_index
         policy, recovery = voter.last(POLICY)[1], voter.last(RECOVERY)[1]
         fresh = voter.fresh(now_ms)
-        return Seat(voter.saved.term, fresh, settled, policy, recovery, voter.saved.voters)
+        return ConsensusStatus(voter.saved.term, fresh, settled, policy, recovery, voter.saved.voters)
 
     def put(self, now_ms: float, text: str, kind: str = POLICY) -> tuple[bool, list[Effect]]:
         """Propose a register to the consensus log; False where it never came into the log."""
@@ -306,7 +306,7 @@
             index, term = self.voter.plan[0], self.voter.saved.term
             if index:
                 self.fresh_ms = now_ms
-                effects.append(Publish(self._line(fresh=True, index=index, term=term)))
+                effects.append(PublishLine(self._line(fresh=True, index=index, term=term)))
         return effects
 
     def _judge(self, now_ms: float) -> list[Effect]:
@@ -318,7 +318,7 @@
             return effects
         following = self.judge.next_plan(now_ms, self.members, self.plan)
         for zone, why in self.judge.refused.items():
-            effects.append(Note("refused", {"zone": zone, "why": why}))
+            effects.append(LogEvent("refused", {"zone": zone, "why": why}))
         if following is None:
             return effects
         _, actions = self.voter.propose(now_ms, following.encode())
@@ -331,7 +331,7 @@
             report.name: {zone: msgspec.to_builtins(signs) for zone, signs in report.seen.items()}
             for report in self.judge.alive(now_ms, self.members).values()
         }
-        note = Note("proposed", {"number": following.number, "changed": changed, "evidence": seen})
+        note = LogEvent("proposed", {"number": following.number, "changed": changed, "evidence": seen})
         return [*effects, note, *self._voted(now_ms, actions)]
 
     def _reconcile(self, now_ms: float) -> list[Effect]:
@@ -362,7 +362,7 @@
         index, actions = self.voter.propose_voters(now_ms, voters)
         if index is None:
             return []
-        note = Note("voters proposed", {"index": index, "from": list(now), "to": list(voters)})
+        note = LogEvent("voters proposed", {"index": index, "from": list(now), "to": list(voters)})
         return [note, *self._voted(now_ms, actions)]
 
     # --- what this front end goes by ------------------------------------------------------------
@@ -379,13 +379,13 @@
         effects: list[Effect] = []
         if self.index > self.published:  # whoever asks any member may have it
             self.published = self.index
-            effects.append(Publish(self._line(plan=self.text, index=self.index)))
+            effects.append(PublishLine(self._line(plan=self.text, index=self.index)))
         state = (self.index, self.valid(now_ms))
         if state == self.following:
             return effects
         before, self.following = self.following, state
         if state[1]:
-            effects.append(Follow(self.plan, self.index))
+            effects.append(FollowPlan(self.plan, self.index))
         elif before[1]:
-            effects += [Follow(None, self.index), Note("plan old", {"index": self.index})]
+            effects += [FollowPlan(None, self.index), LogEvent("plan old", {"index": self.index})]
         return effects
--- a/fawnwharf/zones/plan.py
+++ b/fawnwharf/zones/plan.py
@@ -10,24 +10,24 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.zones.settings import Name, Share
+from fawnwharf.zones.settings import Fraction, Name
 
 VERSION = 1
 
-SERVING, LEAVING, OUT, RETURNING = "serving", "leaving", "out", "returning"
-State = Literal["serving", "leaving", "out", "returning"]
+SERVING, DRAINING, OUT, RECOVERING = "serving", "leaving", "out", "returning"
+ZoneState = Literal["serving", "leaving", "out", "returning"]
 
 
-class PlanFault(ValueError):
+class PlanError(ValueError):
     """A plan that must not be followed; the text says why."""
 
 
-class Zone(Struct, frozen=True):
+class PlannedZone(Struct, frozen=True):
     """The decided state of one zone."""
 
-    state: State = SERVING
-    share: Share = 1.0  # of its scorers that are open; below one while it returns
-    spill: Share = 0.5  # of its size that may come from front ends of zones that do not serve
+    state: ZoneState = SERVING
+    share: Fraction = 1.0  # of its scorers that are open; below one while it returns
+    spill: Fraction = 0.5  # of its size that may come from front ends of zones that do not serve
     size: Annotated[float, Meta(ge=0.0)] = 0.0  # the largest seen lately
     region: Annotated[str, Meta(max_length=48)] = ""
     fronts: Annotated[int, Meta(ge=0)] = 0  # its front ends that are heard, while it does not serve
@@ -37,7 +37,7 @@
     @property
     def open(self) -> float:
         """The part of it that takes calls."""
-        return {SERVING: 1.0, RETURNING: self.share}.get(self.state, 0.0)
+        return {SERVING: 1.0, RECOVERING: self.share}.get(self.state, 0.0)
 
 
 class Plan(Struct, frozen=True):
@@ -45,7 +45,7 @@
 
     version: int = VERSION
     number: Annotated[int, Meta(ge=0)] = 0
-    zones: dict[Name, Zone] = {}
+    zones: dict[Name, PlannedZone] = {}
     apart: Annotated[tuple[tuple[Name, Name], ...], Meta(max_length=400)] = ()
 
     def encode(self) -> str:
@@ -58,18 +58,18 @@
     try:
         plan = msgspec.json.decode(text.encode(), type=Plan)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise PlanFault(f"not a plan: {error}") from None
+        raise PlanError(f"not a plan: {error}") from None
     if plan.version != VERSION:
-        raise PlanFault(f"version {plan.version}")
+        raise PlanError(f"version {plan.version}")
     if plan.zones and not any(zone.open > 0 for zone in plan.zones.values()):
-        raise PlanFault("all zones would be out")
+        raise PlanError("all zones would be out")
     for near, far in plan.apart:
         if near not in plan.zones or far not in plan.zones or near == far:
-            raise PlanFault(f"apart: {near}, {far}")
+            raise PlanError(f"apart: {near}, {far}")
     return plan
 
 
-def spilling(plan: Plan, most: dict[str, float]) -> Plan:
+def limit_spillover(plan: Plan, most: dict[str, float]) -> Plan:
     """The plan with no more spillover by zone than this."""
     zones = {
         name: msgspec.structs.replace(zone, spill=min(zone.spill, most.get(name, 1.0)))
@@ -91,7 +91,7 @@
     return [own, near, far]
 
 
-def flows(plan: Plan) -> dict[str, dict[str, float]]:
+def spillover_flows(plan: Plan) -> dict[str, dict[str, float]]:
     """What each zone that does not fully serve sends to each other one, in sizes.
 
     The part of a zone that is not open is displaced. It goes to its region first, then to the world; each
@@ -100,7 +100,7 @@
     need = {name: zone.size * (1.0 - zone.open) for name, zone in plan.zones.items() if zone.open < 1.0}
     room = {name: zone.spill * zone.size * zone.open for name, zone in plan.zones.items()}
     for name, zone in plan.zones.items():
-        if zone.state == RETURNING:
+        if zone.state == RECOVERING:
             room[name] = 0.0  # it is being taken back, for its own
     sent: dict[str, dict[str, float]] = {name: {} for name in need}
     for tier in (1, 2):
@@ -125,12 +125,12 @@
     return sent
 
 
-def admission(plan: Plan, zone: str) -> float:
+def admitted_fraction(plan: Plan, zone: str) -> float:
     """The part of a zone's calls that may be served; the rest is refused at once."""
     mine = plan.zones.get(zone)
     if mine is None or mine.open >= 1.0 or mine.size <= 0:
         return 1.0
-    return min(1.0, mine.open + sum(flows(plan)[zone].values()) / mine.size)
+    return min(1.0, mine.open + sum(spillover_flows(plan)[zone].values()) / mine.size)
 
 
 def open_zones(plan: Plan, zone: str) -> set[str] | None:
@@ -141,7 +141,7 @@
     own, near, far = tiers(plan, zone)
     if mine.open >= 1.0:  # it serves its own: others are used as ever, near ones before far ones
         return {*own, *near, *far}
-    sent = flows(plan)[zone]
+    sent = spillover_flows(plan)[zone]
     return {*own, *(name for name in (*near, *far) if sent.get(name, 0.0) > 0)}
 
 
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -8,8 +8,8 @@
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
 from fawnwharf.zones import roster
-from fawnwharf.zones.evidence import Observer, View, view
-from fawnwharf.zones.settings import Evidence
+from fawnwharf.zones.evidence import EvidenceCollector, ZoneHealth, zone_health
+from fawnwharf.zones.settings import EvidenceSettings
 
 PROBE_MS = 250.0  # pace of dials into zones that give no sign by themselves
 HELD_MS = 60.0  # a probe that came up stays for so long
@@ -59,8 +59,8 @@
     def __init__(
         self,
         front: FrontEnd,
-        observer: Observer,
-        rules: Evidence,
+        observer: EvidenceCollector,
+        rules: EvidenceSettings,
         name: str,
         zones: Callable[[], Iterable[str]],
         turned: Callable[[float], None],
@@ -97,7 +97,7 @@
     def _look_at_views(self, now_ms: float) -> None:
         """A view that has turned is told before its time."""
         seen = self._observer.seen(now_ms)
-        dead = {zone for zone, signs in seen.items() if view(signs, self._rules) is View.DEAD}
+        dead = {zone for zone, signs in seen.items() if zone_health(signs, self._rules) is ZoneHealth.DEAD}
         if dead != self._dead:
             self._dead = dead
             self._turned(now_ms)
--- a/fawnwharf/zones/rider.py
+++ b/fawnwharf/zones/rider.py
@@ -3,7 +3,7 @@
 from typing import Any, Protocol
 
 
-class Rider(Protocol):
+class LogClient(Protocol):
     """Another subsystem that uses these logs and the consensus log. None of its methods may raise."""
 
     def heard(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
--- a/fawnwharf/zones/roster.py
+++ b/fawnwharf/zones/roster.py
@@ -13,7 +13,7 @@
 from fawnwharf.zones import plan as p
 
 
-def closer(plan: p.Plan | None, zone: str) -> Closer | None:
+def plan_closer(plan: p.Plan | None, zone: str) -> Closer | None:
     """The predicate of scorers that this plan closes for a front end of this zone; None without a plan."""
     if plan is None:
         return None
@@ -27,7 +27,7 @@
     return closes
 
 
-def sizes(members: Iterable[Member]) -> dict[str, float]:
+def zone_sizes(members: Iterable[Member]) -> dict[str, float]:
     """The units in service in each zone, as the change log tells."""
     found: dict[str, float] = {}
     for member in members:
@@ -42,6 +42,6 @@
     return sorted(found, key=lambda member: member.id)
 
 
-def admission(plan: p.Plan | None, zone: str) -> float:
+def admitted_fraction(plan: p.Plan | None, zone: str) -> float:
     """The part of this front end's calls that may be served under the plan in force."""
-    return 1.0 if plan is None else p.admission(plan, zone)
+    return 1.0 if plan is None else p.admitted_fraction(plan, zone)
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -17,28 +17,28 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.evidence import Observer
-from fawnwharf.zones.files import WatchedFile, load
+from fawnwharf.zones.evidence import EvidenceCollector
+from fawnwharf.zones.files import WatchedFile, load_file
 from fawnwharf.zones.lines import (
     POLICY,
-    Ballot,
+    ClientMessage,
+    ConsensusStatus,
     Effect,
-    Follow,
-    Heard,
-    Keep,
-    Line,
-    LineFault,
-    Note,
-    Publish,
-    Ruled,
-    Seat,
-    Word,
+    FollowPlan,
+    LogEvent,
+    LogLine,
+    LogLineError,
+    MessagesReceived,
+    PublishLine,
+    RegisterDecided,
+    SaveVoterState,
+    SendVoterMessage,
 )
-from fawnwharf.zones.links import LogServer, MemberLog
-from fawnwharf.zones.member import Member
-from fawnwharf.zones.plan import Plan, spilling
+from fawnwharf.zones.links import LogServer, MemberLogFollower
+from fawnwharf.zones.member import MemberCore
+from fawnwharf.zones.plan import Plan, limit_spillover
 from fawnwharf.zones.probes import Probes
-from fawnwharf.zones.rider import Rider
+from fawnwharf.zones.rider import LogClient
 
 FILES_MS = 500.0  # pace of the look at the files
 READERS_SPARE = 16  # beyond the members, for operators
@@ -48,7 +48,7 @@
 Write = Callable[[str, dict[str, Any]], None]
 
 
-class Zones:
+class ZoneService:
     """Owns this front end's membership.
 
     The core, its servers and feeds, its timers; a Seam of the front end.
@@ -58,13 +58,13 @@
         """Reads and checks all files; raises ConfigError with one line. `write` takes structured notes."""
         self.deployment, self._write = deployment, write
         place = Path(path)
-        self.settings = load(place, s.settings_from, "zones")
+        self.settings = load_file(place, s.settings_from, "zones")
         base = place.parent
         self._members_file = WatchedFile(base / self.settings.members)
         folder = base / self.settings.folder
         wishes = base / self.settings.wishes if self.settings.wishes else folder / "wishes.json"
         self._wishes_file = WatchedFile(wishes)
-        members = load(self._members_file.path, s.members_from, "zones")
+        members = load_file(self._members_file.path, s.membership_from, "zones")
         self._members_file.changed()
         self.entry, self.folder = self._own_entry(members), folder
         self.disk = self._open_disk(members.fleet) if self.entry.ballots else None
@@ -72,17 +72,17 @@
         identity = self.disk.label.identity if self.disk else ""
         kept = (self.disk.saved, self.disk.number) if self.disk else (None, 0)
         name, seed = self.entry.name, deployment.seed
-        self.core = Member(name, members, self.settings, now, seed, identity, *kept)
+        self.core = MemberCore(name, members, self.settings, now, seed, identity, *kept)
         promise = min((c.promise_ms for c in deployment.settings.classes.values()), default=1_000.0)
-        self.observer = Observer(self.settings.evidence, promise)
+        self.observer = EvidenceCollector(self.settings.evidence, promise)
         self._sold = sum(deployment.settings.quotas_rps.values())  # before any limit stands among them
         self._spill: dict[str, float] = {}  # the most that a policy lets zones take of others' calls
-        self._followed: Follow | None = None
-        self.riders: dict[str, Rider] = {}  # by the kinds of their registers
+        self._followed: FollowPlan | None = None
+        self.riders: dict[str, LogClient] = {}  # by the kinds of their registers
         self._zone_of: dict[int, str] = {}
         self._told_ms = now
         self._life = time.time_ns() // 1_000
-        self._feeds: dict[tuple[str, bool], MemberLog] = {}
+        self._feeds: dict[tuple[str, bool], MemberLogFollower] = {}
         self._noted: dict[str, float] = {}
         self._timer: Timer | None = None
         self._timer_ms = 0.0
@@ -93,7 +93,7 @@
         self.public: LogServer | None = None
         self.ballots: LogServer | None = None
 
-    def _own_entry(self, members: s.Members) -> s.MemberEntry:
+    def _own_entry(self, members: s.Membership) -> s.MemberEntry:
         """This front end among the members; raises ConfigError where it is none, or of another zone."""
         deployment = self.deployment
         entry = members.named(deployment.name)
@@ -192,15 +192,15 @@
             if self._followed is not None:
                 self._go_by(self._followed)
 
-    def _go_by(self, effect: Follow) -> None:
+    def _go_by(self, effect: FollowPlan) -> None:
         self._followed = effect
         if effect.plan is not None and self._spill:
-            effect = Follow(spilling(effect.plan, self._spill), effect.index)
+            effect = FollowPlan(limit_spillover(effect.plan, self._spill), effect.index)
         overlay, zone = self.front.overlay, self.entry.zone
-        changes = overlay.close(CLOSER, roster.closer(effect.plan, zone))
+        changes = overlay.close(CLOSER, roster.plan_closer(effect.plan, zone))
         if changes.members:
             self.front.go_by(changes)
-        part = roster.admission(effect.plan, zone)
+        part = roster.admitted_fraction(effect.plan, zone)
         limited = part < 1.0 and self._sold > 0
         rps = part * self._sold / self.deployment.settings.fleet_size * self._carried(effect.plan)
         self.front.limit(LIMIT, rps if limited else io.UNLIMITED_RPS)
@@ -226,7 +226,7 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        sizes = roster.sizes(self.front.overlay.members.values())
+        sizes = roster.zone_sizes(self.front.overlay.members.values())
         self._carry_out(self.core.tick(now, self.observer.seen(now), sizes, now - self._told_ms))
         self._set_timer()
 
@@ -246,31 +246,31 @@
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, SaveVoterState):
                 if not self._keep(effect):
                     return  # nothing that rests on it may be said
-            elif isinstance(effect, Publish | Ballot):
+            elif isinstance(effect, PublishLine | SendVoterMessage):
                 self._write_out(effect)
-            elif isinstance(effect, Follow):
+            elif isinstance(effect, FollowPlan):
                 self._go_by(effect)
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogEvent):
                 self._note_once(effect)
-            elif isinstance(effect, Heard | Ruled):
+            elif isinstance(effect, MessagesReceived | RegisterDecided):
                 self._pass_on(effect)
         for rider in list(self.riders.values()):
             rider.turned()
 
-    def _write_out(self, effect: Publish | Ballot) -> None:
+    def _write_out(self, effect: PublishLine | SendVoterMessage) -> None:
         line = effect.line
-        if isinstance(effect, Publish):
+        if isinstance(effect, PublishLine):
             kind = "plan" if line.plan is not None else "report" if line.report is not None else None
             self.public.write(msgspec.to_builtins(line), counts_as=kind)
         elif self.ballots:
             self.ballots.write(msgspec.to_builtins(line))
 
-    def _pass_on(self, effect: Heard | Ruled) -> None:
+    def _pass_on(self, effect: MessagesReceived | RegisterDecided) -> None:
         """Hand a client of the logs what is for it."""
-        if isinstance(effect, Heard):
+        if isinstance(effect, MessagesReceived):
             if rider := self.riders.get(effect.rider):
                 rider.heard(effect.sender, effect.words, effect.standing)
         elif rider := self.riders.get(effect.kind):
@@ -278,7 +278,7 @@
 
     # --- for riders -----------------------------------------------------------------------------
 
-    def say(self, words: list[Word]) -> None:
+    def say(self, words: list[ClientMessage]) -> None:
         """Send a client's messages by this member's log: voters hear all, the others hear the voters."""
         self._write_line(words=words)
 
@@ -288,12 +288,12 @@
 
     def _write_line(self, counts_as: str | None = None, **parts: Any) -> None:
         if not self._stopped and self.public is not None:
-            line = Line(self.core.members.fleet, self.entry.name, **parts)
+            line = LogLine(self.core.members.fleet, self.entry.name, **parts)
             self.public.write(msgspec.to_builtins(line), counts_as=counts_as)
 
-    def seat(self, now_ms: float) -> Seat:
+    def seat(self, now_ms: float) -> ConsensusStatus:
         """The state of this member's voter; a blank one after its disk has failed."""
-        return Seat() if self._failed else self.core.seat(now_ms)
+        return ConsensusStatus() if self._failed else self.core.seat(now_ms)
 
     def put(self, text: str, kind: str = POLICY) -> bool:
         """Propose a register to the consensus log; False where it never came into the log."""
@@ -302,7 +302,7 @@
         self._set_timer()
         return put
 
-    def _keep(self, effect: Keep) -> bool:
+    def _keep(self, effect: SaveVoterState) -> bool:
         try:
             if not self._failed:
                 self.disk.save(effect.saved)
@@ -312,7 +312,7 @@
             self.core.voter = None
         return not self._failed
 
-    def _note_once(self, note: Note) -> None:
+    def _note_once(self, note: LogEvent) -> None:
         now = monotonic_ms()
         if note.event in ("refused", "older disk", "bad words"):
             if now - self._noted.get(note.event, -1e9) < LINE_S * 1000:
@@ -339,7 +339,7 @@
             if key in self._feeds:
                 self._feeds[key].move(address)
                 continue
-            feed = MemberLog(self.front.loop, address, self._taker(*key), self._dropped)
+            feed = MemberLogFollower(self.front.loop, address, self._taker(*key), self._dropped)
             self._feeds[key] = feed
             feed.connect()
 
@@ -347,7 +347,7 @@
         def take(line: Any) -> None:
             try:
                 effects = self.core.line(monotonic_ms(), name, line, ballots)
-            except LineFault:
+            except LogLineError:
                 self.core.counts.add("bad line")
                 raise
             self._carry_out(effects)
@@ -367,11 +367,13 @@
         if self._stopped:
             return
         if (data := self._members_file.changed()) is not None:
-            self._take(data, "members", lambda: self._new_members(s.members_from(data)))
+            self._take(data, "members", lambda: self._new_members(s.membership_from(data)))
         if (data := self._wishes_file.changed()) is not None:
             zones = set(self.core.members.zones)
             self._take(
-                data, "wishes", lambda: self._carry_out(self.core.take_wishes(s.wishes_from(data, zones)))
+                data,
+                "wishes",
+                lambda: self._carry_out(self.core.take_wishes(s.operator_request_from(data, zones))),
             )
         for feed in self._feeds.values():
             feed.tidy()
@@ -381,10 +383,10 @@
     def _take(self, data: bytes, what: str, take: Callable[[], None]) -> None:
         try:
             take()
-        except s.FileFault as error:
+        except s.SettingsFileError as error:
             self.note(f"{what} left aside, the old ones go on", {"fault": str(error)})
 
-    def _new_members(self, members: s.Members) -> None:
+    def _new_members(self, members: s.Membership) -> None:
         now = members.named(self.entry.name)
         if now is None or now.zone != self.entry.zone:
             self.note(
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -10,16 +10,16 @@
 from msgspec import Meta, Struct
 
 VERSION = 1
-MEMBERS_MOST = 2_000
+MAX_MEMBERS = 2_000
 VOTER_COUNTS = (1, 3, 5, 7)  # one alone is for trials: nothing is decided while it is away
 
 Name = Annotated[str, Meta(min_length=1, max_length=48, pattern=r"^[0-9A-Za-z_.:-]+$")]
-Share = Annotated[float, Meta(ge=0.0, le=1.0)]
-Span = Annotated[float, Meta(gt=0.0, le=3_600_000.0)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
+DurationMs = Annotated[float, Meta(gt=0.0, le=3_600_000.0)]
 HostPort = Annotated[str, Meta(min_length=3, max_length=64, pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
 
 
-class FileFault(ValueError):
+class SettingsFileError(ValueError):
     """A file that can't be taken; the text names the key."""
 
 
@@ -34,13 +34,13 @@
     state: HostPort | None = None  # where its log of replicated state is, where it keeps any
 
 
-class Members(Struct, frozen=True):
+class Membership(Struct, frozen=True):
     """The members of the fleet; a later file has a larger number."""
 
     version: int
     fleet: Name
     number: Annotated[int, Meta(ge=1)]
-    members: Annotated[list[MemberEntry], Meta(min_length=1, max_length=MEMBERS_MOST)]
+    members: Annotated[list[MemberEntry], Meta(min_length=1, max_length=MAX_MEMBERS)]
 
     @property
     def voters(self) -> list[MemberEntry]:
@@ -57,57 +57,57 @@
         return next((member for member in self.members if member.name == name), None)
 
 
-class Evidence(Struct, frozen=True):
+class EvidenceSettings(Struct, frozen=True):
     """When evidence on a zone counts, and for what."""
 
-    window_ms: Span = 2_000.0  # what was seen longer ago is forgotten
+    window_ms: DurationMs = 2_000.0  # what was seen longer ago is forgotten
     least: Annotated[int, Meta(ge=1)] = 3  # signs that a view of a zone rests on
-    dead_share: Share = 0.8  # of the signs bad: the zone is dead for this observer
-    slow_share: Share = 0.5  # of the answers slow
-    report_ms: Span = 300.0  # pace of reports
-    report_life_ms: Span = 1_200.0  # and how long one counts
-    quiet_ms: Span = 400.0  # with no good sign for so long, `least` bad scorers are enough
-    hush_ms: Span = 700.0  # a front end without a report for so long does not speak for its zone
+    dead_share: Fraction = 0.8  # of the signs bad: the zone is dead for this observer
+    slow_share: Fraction = 0.5  # of the answers slow
+    report_ms: DurationMs = 300.0  # pace of reports
+    report_life_ms: DurationMs = 1_200.0  # and how long one counts
+    quiet_ms: DurationMs = 400.0  # with no good sign for so long, `least` bad scorers are enough
+    hush_ms: DurationMs = 700.0  # a front end without a report for so long does not speak for its zone
     witnesses: Annotated[int, Meta(ge=1)] = 2  # observers that a zone's word takes, where it has so many
 
 
-class Damping(Struct, frozen=True):
+class DampingSettings(Struct, frozen=True):
     """How long evidence has to last before anything follows from it."""
 
-    out_ms: Span = 1_500.0
-    sure_ms: Span = 400.0  # the same where nobody in the zone is heard, and all that see others agree
-    slow_ms: Span = 5_000.0
-    back_ms: Span = 3_000.0  # and twice that for each time it went out lately
-    back_most_ms: Span = 60_000.0
-    flap_ms: Span = 600_000.0  # for so long a time out counts
-    leave_ms: Span = 3_000.0  # from leaving to out
+    out_ms: DurationMs = 1_500.0
+    sure_ms: DurationMs = 400.0  # the same where nobody in the zone is heard, and all that see others agree
+    slow_ms: DurationMs = 5_000.0
+    back_ms: DurationMs = 3_000.0  # and twice that for each time it went out lately
+    back_most_ms: DurationMs = 60_000.0
+    flap_ms: DurationMs = 600_000.0  # for so long a time out counts
+    leave_ms: DurationMs = 3_000.0  # from leaving to out
 
 
-class Ramp(Struct, frozen=True):
+class RampSettings(Struct, frozen=True):
     """How a zone returns: what parts of its scorers, and for how long each."""
 
-    shares: Annotated[tuple[Share, ...], Meta(min_length=1, max_length=20)] = (0.25, 0.5, 0.75)
-    step_ms: Span = 3_000.0
+    shares: Annotated[tuple[Fraction, ...], Meta(min_length=1, max_length=20)] = (0.25, 0.5, 0.75)
+    step_ms: DurationMs = 3_000.0
 
 
-class Spill(Struct, frozen=True):
+class SpilloverSettings(Struct, frozen=True):
     """What a zone may be sent from others' front ends, as a part of its size."""
 
-    share: Share = 0.5
-    zones: dict[str, Share] = {}  # where it differs
+    share: Fraction = 0.5
+    zones: dict[str, Fraction] = {}  # where it differs
 
 
-class Voting(Struct, frozen=True):
+class ConsensusSettings(Struct, frozen=True):
     """Times of the consensus protocol, and the part by which clocks' rates may differ."""
 
-    beat_ms: Span = 150.0
-    election_ms: Span = 1_000.0
+    beat_ms: DurationMs = 150.0
+    election_ms: DurationMs = 1_000.0
     skew: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.1
-    fresh_ms: Span = 500.0  # pace at which a leader says that its plan is the last one
-    valid_ms: Span = 2_000.0  # without hearing so for this long a plan is old
+    fresh_ms: DurationMs = 500.0  # pace at which a leader says that its plan is the last one
+    valid_ms: DurationMs = 2_000.0  # without hearing so for this long a plan is old
 
 
-class Settings(Struct, frozen=True):
+class ZoneSettings(Struct, frozen=True):
     """The file that switches zones on; relative paths are from its own folder."""
 
     version: int
@@ -116,14 +116,14 @@
     wishes: str = ""  # what operators ask of this member; in `folder` where it is not said
     listen: str = ""  # where it differs from the member's address
     listen_ballots: str = ""
-    evidence: Evidence = msgspec.field(default_factory=Evidence)
-    damping: Damping = msgspec.field(default_factory=Damping)
-    ramp: Ramp = msgspec.field(default_factory=Ramp)
-    spill: Spill = msgspec.field(default_factory=Spill)
-    voting: Voting = msgspec.field(default_factory=Voting)
+    evidence: EvidenceSettings = msgspec.field(default_factory=EvidenceSettings)
+    damping: DampingSettings = msgspec.field(default_factory=DampingSettings)
+    ramp: RampSettings = msgspec.field(default_factory=RampSettings)
+    spill: SpilloverSettings = msgspec.field(default_factory=SpilloverSettings)
+    voting: ConsensusSettings = msgspec.field(default_factory=ConsensusSettings)
 
 
-class Wishes(Struct, frozen=True):
+class OperatorRequest(Struct, frozen=True):
     """An operator's request: these zones drained. A later one has a larger number."""
 
     version: int = VERSION
@@ -131,7 +131,7 @@
     drained: Annotated[tuple[Name, ...], Meta(max_length=64)] = ()
 
 
-def file_from(data: bytes, kind: type, what: str, version: int) -> Any:
+def decode_versioned_file(data: bytes, kind: type, what: str, version: int) -> Any:
     """Decode a file of JSON by its type, whose `version` has to be this one.
 
     Raises FileFault with the key at fault, or `what` for the whole file.
@@ -140,11 +140,11 @@
         found = msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise FileFault(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
+        raise SettingsFileError(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FileFault(f"{what}: not JSON: {error}") from None
+        raise SettingsFileError(f"{what}: not JSON: {error}") from None
     if found.version != version:
-        raise FileFault(f"version: {found.version}, and this program knows {version}")
+        raise SettingsFileError(f"version: {found.version}, and this program knows {version}")
     return found
 
 
@@ -152,73 +152,73 @@
     try:
         value = msgspec.json.decode(data) if isinstance(data, bytes) else data
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FileFault(f"{what}: not JSON: {error}") from None
+        raise SettingsFileError(f"{what}: not JSON: {error}") from None
     if isinstance(value, dict) and value.get("version") != VERSION:
-        raise FileFault(f"version: {value.get('version')!r}, and this program knows {VERSION}")
+        raise SettingsFileError(f"version: {value.get('version')!r}, and this program knows {VERSION}")
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise FileFault(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
+        raise SettingsFileError(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
 
 
-def members_from(data: bytes | Any) -> Members:
+def membership_from(data: bytes | Any) -> Membership:
     """Parse a file of members and check it; raises FileFault.
 
     Voters are spread: no zone goes without one while another has two.
     """
-    members: Members = _read(data, Members, "members")
+    members: Membership = _read(data, Membership, "members")
     seen: dict[str, int] = {}
     used: dict[str, int] = {}
     regions: dict[str, str] = {}
     for n, member in enumerate(members.members):
         if member.name in seen:
-            raise FileFault(f"members[{n}].name: {member.name} stands twice")
+            raise SettingsFileError(f"members[{n}].name: {member.name} stands twice")
         seen[member.name] = n
         for key in ("address", "ballots", "state"):
             place = getattr(member, key)
             if place is not None and place in used:
-                raise FileFault(f"members[{n}].{key}: {place} stands twice")
+                raise SettingsFileError(f"members[{n}].{key}: {place} stands twice")
             used[place] = n
         if regions.setdefault(member.zone, member.region) != member.region:
-            raise FileFault(f"members[{n}].region: zone {member.zone} stands in two")
+            raise SettingsFileError(f"members[{n}].region: zone {member.zone} stands in two")
     voters = members.voters
     if len(voters) not in VOTER_COUNTS:
-        raise FileFault(f"members: {len(voters)} voters, and it takes 3, 5 or 7")
+        raise SettingsFileError(f"members: {len(voters)} voters, and it takes 3, 5 or 7")
     counts = {zone: sum(voter.zone == zone for voter in voters) for zone in regions}
     bare = [zone for zone, count in counts.items() if count == 0]
     if bare and max(counts.values()) > 1:
-        raise FileFault(f"members: zone {bare[0]} has no voter, and another has two")
+        raise SettingsFileError(f"members: zone {bare[0]} has no voter, and another has two")
     return members
 
 
-def settings_from(data: bytes | Any) -> Settings:
+def settings_from(data: bytes | Any) -> ZoneSettings:
     """Parse and check the settings; raises FileFault."""
-    settings: Settings = _read(data, Settings, "settings")
+    settings: ZoneSettings = _read(data, ZoneSettings, "settings")
     if list(settings.ramp.shares) != sorted(settings.ramp.shares):
-        raise FileFault("ramp.shares: not in rising order")
+        raise SettingsFileError("ramp.shares: not in rising order")
     if settings.evidence.report_life_ms < 2 * settings.evidence.report_ms:
-        raise FileFault("evidence.report_life_ms: less than two reports")
+        raise SettingsFileError("evidence.report_life_ms: less than two reports")
     if settings.evidence.hush_ms < 2 * settings.evidence.report_ms:
-        raise FileFault("evidence.hush_ms: less than two reports")
+        raise SettingsFileError("evidence.hush_ms: less than two reports")
     if settings.damping.sure_ms > settings.damping.out_ms:
-        raise FileFault("damping.sure_ms: longer than damping.out_ms")
+        raise SettingsFileError("damping.sure_ms: longer than damping.out_ms")
     if settings.voting.beat_ms * 3 > settings.voting.election_ms:
-        raise FileFault("voting.beat_ms: three do not fit into voting.election_ms")
+        raise SettingsFileError("voting.beat_ms: three do not fit into voting.election_ms")
     if settings.voting.fresh_ms * 2 > settings.voting.valid_ms:
-        raise FileFault("voting.fresh_ms: two do not fit into voting.valid_ms")
+        raise SettingsFileError("voting.fresh_ms: two do not fit into voting.valid_ms")
     return settings
 
 
-def wishes_from(data: bytes | Any, zones: set[str]) -> Wishes:
+def operator_request_from(data: bytes | Any, zones: set[str]) -> OperatorRequest:
     """Parse requests: they may name zones of the fleet, and have to leave one that serves.
 
     Raises FileFault.
     """
-    wishes: Wishes = _read(data, Wishes, "wishes")
+    wishes: OperatorRequest = _read(data, OperatorRequest, "wishes")
     for n, zone in enumerate(wishes.drained):
         if zone not in zones:
-            raise FileFault(f"drained[{n}]: no zone {zone}")
+            raise SettingsFileError(f"drained[{n}]: no zone {zone}")
     if zones and set(wishes.drained) >= zones:
-        raise FileFault("drained: all zones would be out")
+        raise SettingsFileError("drained: all zones would be out")
     return wishes
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -53,7 +53,7 @@
 
 def on_line(value: Any) -> bytes:
     """Encode a value as it goes into a line of a log: as builtins, by the logs' encoder."""
-    return links.encoder.encode(msgspec.to_builtins(value))
+    return links.line_encoder.encode(msgspec.to_builtins(value))
 
 
 def line(kind: Any, read: Callable[[Any], Any], through: str = "") -> Boundary:
@@ -121,14 +121,14 @@
     "sessions/left": file(left._Left),
     "sessions/stored": converted(left._One),
     "sessions/wishes": file(session_settings.Wishes),
-    "zones/line": converted(lines.Line),
-    "zones/words": converted(lines.Words),
+    "zones/line": converted(lines.LogLine),
+    "zones/words": converted(lines.ClientMessages),
     "zones/plan": Boundary(
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
     "zones/report": converted(judge.Report),
-    "zones/wishes": file(zone_settings.Wishes),
-    "zones/members": file(zone_settings.Members),
+    "zones/wishes": file(zone_settings.OperatorRequest),
+    "zones/members": file(zone_settings.Membership),
     "scorers/fleet": Boundary(
         config.Fleet, lambda data: config.fleet_from(msgspec.json.decode(data)), msgspec.json.encode
     ),
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -25,7 +25,7 @@
 from fawnwharf.policy_rollout.document import Register, document_from
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.disk import KeeperDisk
-from fawnwharf.zones.founding import found
+from fawnwharf.zones.founding import bootstrap
 
 KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 IDENTITIES = ("n0#00112233445566aa", "n1#00112233445566bb")
@@ -93,7 +93,7 @@
         (folder / name).write_text(json.dumps(data), encoding="utf-8")
     front = Front(folder)
     try:
-        found(folder / "zones.json", "fe-1")
+        bootstrap(folder / "zones.json", "fe-1")
         for more in (["--fresh"], []):
             one = front.start(*more)
             for _ in range(5):
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -110,7 +110,7 @@
     """In order, by life and number; a gap or another life has it ask anew."""
     told = []
     loop = Loop(lambda now_ms, events: None, lambda text: None)
-    log = links.MemberLog(loop, ("127.0.0.1", 9), told.append, lambda text: None)
+    log = links.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
     rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
     assert [log.event(json.loads(row)) for row in rows] == [True, True]
     assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.life) == (3, 7)
@@ -119,19 +119,19 @@
 
 def test_a_member_s_line_has_what_riders_say_and_how_they_stand():
     """The keys of a status are the riders' names; words name the rider unless it is policy."""
-    word = lines.Word({"type": "Abort"}, ("n1",), lines.RECOVERY)
+    word = lines.ClientMessage({"type": "Abort"}, ("n1",), lines.RECOVERY)
     made = [
-        lines.Line("f", "n0", **{lines.POLICY: {"ready": True}}),
-        lines.Line("f", "n0", **{lines.RECOVERY: {"life": 1}}),
-        lines.Line("f", "n0", words=[lines.Word({"type": "Vote"}), word]),
+        lines.LogLine("f", "n0", **{lines.POLICY: {"ready": True}}),
+        lines.LogLine("f", "n0", **{lines.RECOVERY: {"life": 1}}),
+        lines.LogLine("f", "n0", words=[lines.ClientMessage({"type": "Vote"}), word]),
     ]
-    assert [links.encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
+    assert [links.line_encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
         '{"fleet":"f","sender":"n0","policy":{"ready":true}}',
         '{"fleet":"f","sender":"n0","recovery":{"life":1}}',
         '{"fleet":"f","sender":"n0","words":[{"said":{"type":"Vote"}},'
         '{"said":{"type":"Abort"},"to":["n1"],"rider":"recovery"}]}',
     ]
-    found = lines.words_for("n1", msgspec.to_builtins(made[2].words))
+    found = lines.messages_for("n1", msgspec.to_builtins(made[2].words))
     assert found == {"policy": ({"type": "Vote"},), "recovery": ({"type": "Abort"},)}
 
 
@@ -147,7 +147,7 @@
 def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
     """Within a whole line."""
     line = state.Line("f", "n0", 7, ("n1",), state.Ride(rider, {"type": "status"}))
-    data = links.encoder.encode(msgspec.to_builtins(line)).decode()
+    data = links.line_encoder.encode(msgspec.to_builtins(line)).decode()
     assert data == (
         '{"fleet":"f","sender":"n0","life":7,"to":["n1"],'
         f'"say":{{"type":"ride","rider":"{recorded}","word":{{"type":"status"}}}}}}'
@@ -216,7 +216,7 @@
     path = tmp_path / "kept" / name
     assert numbered(path) == recorded
     read = {
-        "wishes.json": lambda data: zone_settings.wishes_from(data, SITES),
+        "wishes.json": lambda data: zone_settings.operator_request_from(data, SITES),
         "proposal.json": policy_settings.said_from,
         "moves.json": lambda data: session_settings.wishes_from(data, SITES),
     }[name]
@@ -314,7 +314,7 @@
     assert {rule.name: rule.mode for rule in kept.RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
     }  # fmt: skip
-    assert (plan.SERVING, plan.LEAVING, plan.OUT, plan.RETURNING) == (
+    assert (plan.SERVING, plan.DRAINING, plan.OUT, plan.RECOVERING) == (
         "serving", "leaving", "out", "returning",
     )  # fmt: skip
     assert policy.LEADER == "@leader" and policy.FINAL == ("ended", "refused", "in force")
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -18,7 +18,7 @@
 from fawnwharf.replication import settings as state
 from fawnwharf.sessions import settings as sessions
 from fawnwharf.zones import settings as zones
-from fawnwharf.zones.files import load
+from fawnwharf.zones.files import load_file
 
 SETTINGS = CORPUS / "settings"
 ERRORS = json.loads((SETTINGS / "errors.json").read_text(encoding="utf-8"))
@@ -39,9 +39,9 @@
 
 KINDS = {
     "deployment": Kind(deployed),
-    "zones-members": Kind(zones.members_from, zones.Members),
-    "zones-settings": Kind(zones.settings_from, zones.Settings),
-    "zones-wishes": Kind(lambda data: zones.wishes_from(data, SITES), zones.Wishes),
+    "zones-members": Kind(zones.membership_from, zones.Membership),
+    "zones-settings": Kind(zones.settings_from, zones.ZoneSettings),
+    "zones-wishes": Kind(lambda data: zones.operator_request_from(data, SITES), zones.OperatorRequest),
     "state": Kind(state.settings_from, state.Settings),
     "recovery": Kind(recovery.settings_from, recovery.Settings),
     "sessions": Kind(sessions.settings_from, sessions.Settings),
@@ -176,7 +176,7 @@
         elif kind == "policy-document":
             KINDS[kind].read(path.read_bytes())
         else:
-            load(path, KINDS[kind].read, "option")
+            load_file(path, KINDS[kind].read, "option")
     except (config.ConfigError, policy_document.DocumentError) as error:
         return str(error).replace(str(folder), "FOLDER")
     return ""
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -11,8 +11,8 @@
 from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
-from fawnwharf.zones.founding import found
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.founding import bootstrap
+from fawnwharf.zones.service import ZoneService
 
 PATIENCE_S = 30.0
 TIMING = {"lease_ms": 800.0, "renew_ms": 100.0, "prepare_ms": 2_500.0, "again_ms": 100.0}
@@ -49,7 +49,7 @@
             {},
         )  # fmt: skip
         write = lambda event, fields: self.notes.append((event, dict(fields)))  # noqa: E731
-        made = {"zones": lambda first, made: Zones(deployment, self.folder / "zones.json", write)}
+        made = {"zones": lambda first, made: ZoneService(deployment, self.folder / "zones.json", write)}
         if self.site.state:
             made["state"] = lambda first, made: State(deployment, self.folder / "state.json", write, first)
         if self.policy:
@@ -79,7 +79,7 @@
 
     def noted(self, event):
         """The fields of the log lines of an event."""
-        return [fields for found, fields in self.notes if found == event]
+        return [fields for bootstrap, fields in self.notes if bootstrap == event]
 
     def word(self, number, **word):
         """Leave an operator's request."""
@@ -118,7 +118,7 @@
             node.write("zones.json", zones | {"listen": node.ports[0].text})
             node.write("state.json", {"version": 1, "members": "members.json"} | STATE)
             node.write("settings.json", {"version": 1, "trace": "trace.jsonl"} | TIMING | timing)
-        found(self.nodes[0].folder / "zones.json", "n0")
+        bootstrap(self.nodes[0].folder / "zones.json", "n0")
 
     def start(self):
         """Start all."""
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -14,7 +14,7 @@
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.agent import Agent, Go, Own, Say, Signed
 from fawnwharf.recovery_service.lead import Lists
-from fawnwharf.zones.lines import RECOVERY, Heard, Ruled, Word
+from fawnwharf.zones.lines import RECOVERY, ClientMessage, MessagesReceived, RegisterDecided
 from support.zone_files import members
 
 STEP_S = 0.02
@@ -86,10 +86,10 @@
         super().do(name, effects)
         agent = self.agents.get(name)
         for effect in effects:
-            if isinstance(effect, Heard) and effect.rider == RECOVERY:
+            if isinstance(effect, MessagesReceived) and effect.rider == RECOVERY:
                 for data in effect.words:
                     self.act(name, agent.hear_zone(self.now, effect.sender, w.word_from(data)))
-            elif isinstance(effect, Ruled) and effect.kind == RECOVERY:
+            elif isinstance(effect, RegisterDecided) and effect.kind == RECOVERY:
                 self.act(name, agent.decided(self.now, effect.text))
         if agent is not None:
             self.act(name, agent.turned(self.now))
@@ -115,7 +115,9 @@
                 self.noted.append((name, effect.event, effect.fields))
 
     def _say_by_zones(self, name, effect):
-        line = self.cores[name]._line(words=[Word(msgspec.to_builtins(effect.word), effect.to, RECOVERY)])
+        line = self.cores[name]._line(
+            words=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
+        )
         for other in self.names:
             voter = self.file.named(name).ballots or self.file.named(other).ballots
             if other != name and voter and self.chance.random() >= self.lost:
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -12,8 +12,8 @@
 from fawnwharf.recovery_service.service import Rejoin
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
-from fawnwharf.zones.founding import found
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.founding import bootstrap
+from fawnwharf.zones.service import ZoneService
 from support import policy_front_ends
 from support.policy_front_ends import STATE, VOTING
 
@@ -48,7 +48,7 @@
         here = self.folder
         write = lambda event, fields: self.notes.append((event, dict(fields)))  # noqa: E731
         made = {
-            "zones": lambda first, made: Zones(deployment, here / "zones.json", write),
+            "zones": lambda first, made: ZoneService(deployment, here / "zones.json", write),
             "kept": lambda first, made: kept(
                 deployment, str(here / "recovery.json"), str(here / "state.json"), write, fresh
             ),
@@ -79,11 +79,11 @@
 
     def stages(self):
         """The power losses and phases by which it went, each once."""
-        found = []
+        bootstrap = []
         for fields in self.noted("stage"):
-            if not found or found[-1] != (fields["cut"], fields["stage"]):
-                found.append((fields["cut"], fields["stage"]))
-        return found
+            if not bootstrap or bootstrap[-1] != (fields["cut"], fields["stage"]):
+                bootstrap.append((fields["cut"], fields["stage"]))
+        return bootstrap
 
 
 class Site(policy_front_ends.Site):
@@ -104,7 +104,7 @@
             settings |= {"boot_file": str(node.folder / "boot"), "pace": PACE, "timing": TIMING | timing}
             node.write("recovery.json", settings)
             node.write("policy.json", {"version": 1} | LEASES)
-        found(self.nodes[0].folder / "zones.json", "n0")
+        bootstrap(self.nodes[0].folder / "zones.json", "n0")
 
     def start(self, nodes=None, fresh=False):
         """Start front ends, all by default."""
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -13,7 +13,7 @@
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.effects import Copies, Note, Words
-from fawnwharf.zones.settings import MemberEntry, Members
+from fawnwharf.zones.settings import MemberEntry, Membership
 
 CLASSES = {"view": ClassSpec("view", worth=1.0, give_up_ms=800.0)}
 RULES = s.Settings(
@@ -45,7 +45,7 @@
             MemberEntry(name, front.site, "127.0.0.1:1", state=f"127.0.0.1:{n + 2}")
             for n, (name, front) in enumerate(self.fronts.items())
         ]
-        self.entries, self.placement = entries, Placement(Members(1, "f", 1, entries), 3, 1)
+        self.entries, self.placement = entries, Placement(Membership(1, "f", 1, entries), 3, 1)
         self.events, self.order = [], itertools.count()
         self.notes, self.bytes, self.lines, self.delay_ms = [], 0, 0, (1.0, 10.0)
         self.closed, self.stands, self.cut = {}, True, set()
@@ -81,7 +81,7 @@
     def relist(self, without):
         """Take one front end off the list of replicas; all go by that within half a second."""
         entries = [entry for entry in self.entries if entry.name != without]
-        self.placement = Placement(Members(1, "f", self.placement.number + 1, entries), 3, 1)
+        self.placement = Placement(Membership(1, "f", self.placement.number + 1, entries), 3, 1)
         for front in self.fronts.values():
             self.soon(self.chance.uniform(0.0, 500.0), self.adopt, front, self.placement)
 
--- a/tests/support/zone_files.py
+++ b/tests/support/zone_files.py
@@ -1,9 +1,9 @@
 """Files of zones, and evidence on them."""
 
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.evidence import Seen
+from fawnwharf.zones.evidence import ZoneEvidence
 
-GOOD, DEAD, SLOW = Seen(heard=9), Seen(silent=6, refused=3), Seen(heard=9, slow=8)
+GOOD, DEAD, SLOW = ZoneEvidence(heard=9), ZoneEvidence(silent=6, refused=3), ZoneEvidence(heard=9, slow=8)
 
 
 def members_data(zones="aab", voters=3, regions=None):
@@ -19,7 +19,7 @@
 
 def members(zones="aab", voters=3, **more):
     """The same, parsed and checked."""
-    return s.members_from(members_data(zones, voters, **more))
+    return s.membership_from(members_data(zones, voters, **more))
 
 
 def settings(**more):
--- a/tests/test_disk_faults_service.py
+++ b/tests/test_disk_faults_service.py
@@ -11,8 +11,8 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.zones.lines import Line
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.lines import LogLine
+from fawnwharf.zones.service import ZoneService
 
 LONG_AGO_MS = 60_000.0  # no leader was heard for so long
 
@@ -37,7 +37,7 @@
     faults, notes = FileFaults(tmp_path / "state"), []
 
     def start():
-        zones = Zones(
+        zones = ZoneService(
             deployment, tmp_path / "zones.json", lambda event, fields: notes.append((event, fields))
         )
         zones.public, zones.ballots = Written(), Written()
@@ -51,7 +51,7 @@
 def asked(zones, sender, term):
     """The voter's word on another's wish to lead in a term; None: it says nothing."""
     ask = m.Vote(f"{sender}#ab", zones.core.identity, term, 0, 0)
-    line = Line("f", sender, ballot=msgspec.to_builtins(ask), saves=term)
+    line = LogLine("f", sender, ballot=msgspec.to_builtins(ask), saves=term)
     said = len(zones.ballots.lines)
     zones._carry_out(zones.core.line(monotonic_ms(), sender, msgspec.to_builtins(line), True))
     return [line["ballot"]["granted"] for line in zones.ballots.lines[said:]]
--- a/tests/test_elsewhere_answers.py
+++ b/tests/test_elsewhere_answers.py
@@ -9,7 +9,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.others import View, Words, enough
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.settings import SettingsFileError
 
 GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
 
@@ -207,5 +207,5 @@
     ],
 )
 def test_faults_of_its_settings_are_named_by_key(rules, key):
-    with pytest.raises(FileFault, match=f"^{key}:"):
+    with pytest.raises(SettingsFileError, match=f"^{key}:"):
         s.settings_from(msgspec.json.encode({"version": 1, "members": "m"} | rules))
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -12,7 +12,7 @@
 from fawnwharf.policy_rollout.settings import Said
 from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.policy_rollout.walk import KNOWN
-from fawnwharf.zones.lines import Heard, Ruled, Word
+from fawnwharf.zones.lines import ClientMessage, MessagesReceived, RegisterDecided
 
 STEP_S = 0.005
 
@@ -39,11 +39,11 @@
         super().do(name, effects)
         agent = self.agents[name]
         for effect in effects:
-            if isinstance(effect, Heard):
+            if isinstance(effect, MessagesReceived):
                 self.act(name, agent.heard(self.now, effect.sender, effect.words))
                 if effect.standing is not None:
                     agent.standing_of(self.now, effect.sender, effect.standing)
-            elif isinstance(effect, Ruled):
+            elif isinstance(effect, RegisterDecided):
                 self.act(name, agent.decided(self.now, effect.text))
         self.act(name, agent.turned(self.now))
 
@@ -52,7 +52,7 @@
         for effect in effects:
             if isinstance(effect, m.Say):
                 to = () if effect.to == m.LEADER else (effect.to,)
-                self.tell(name, core._line(words=[Word(effect.message, to)]))
+                self.tell(name, core._line(words=[ClientMessage(effect.message, to)]))
             elif isinstance(effect, m.Decide):
                 put, more = core.put(self.now, effect.register)
                 self.do(name, more)
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -13,7 +13,7 @@
 from fawnwharf.prefetch.settings import Foresight, Prices, foresight_from, site_from
 from fawnwharf.prefetch.slices import drained
 from fawnwharf.session_types import Session
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.settings import SettingsFileError
 
 S = Foresight(day_ms=100_000.0, phases=20)
 A, B = Session("club", "f1"), Session("club", "f2")
@@ -222,7 +222,7 @@
         (b"{", "sessions"),
         (b'{"version": 1, "foresight": {"fast_ms": 9e5}}', "foresight.slow_ms"),
     ):
-        with pytest.raises(FileFault, match=key):
+        with pytest.raises(SettingsFileError, match=key):
             foresight_from(text)
     site, prices = site_from(
         {"costs": {"origin": 0.15, "waste": None}, "classes": [{"name": "c", "worth": 5}]}
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -10,7 +10,7 @@
 from fawnwharf.policy_rollout.agent import Agent
 from fawnwharf.policy_rollout.document import Known
 from fawnwharf.policy_rollout.steward import Timing
-from fawnwharf.zones.lines import Seat
+from fawnwharf.zones.lines import ConsensusStatus
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,9 @@
 def leader():
     """The agent of a voter that leads, a lease's time after it began: it may grant."""
     known = Known(frozenset(), frozenset(), frozenset({"a"}))
-    made = Agent("n0", ("n0", "n1"), known, Timing(), 50, lambda now: Seat(1, True, True, ""), True)
+    made = Agent(
+        "n0", ("n0", "n1"), known, Timing(), 50, lambda now: ConsensusStatus(1, True, True, ""), True
+    )
     now = 0.0
     for _ in range(40):
         made.turned(now)
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -16,8 +16,8 @@
 from fawnwharf.zones import roster
 
 IDS = ("a1", "a2", "b1", "b2")
-OUT = p.Plan(zones={"a": p.Zone(size=2.0), "b": p.Zone(p.OUT, size=2.0)})
-HALF = p.Plan(zones={"a": p.Zone(size=2.0), "b": p.Zone(p.RETURNING, 0.5, size=2.0)})
+OUT = p.Plan(zones={"a": p.PlannedZone(size=2.0), "b": p.PlannedZone(p.OUT, size=2.0)})
+HALF = p.Plan(zones={"a": p.PlannedZone(size=2.0), "b": p.PlannedZone(p.RECOVERING, 0.5, size=2.0)})
 # What each may lay, as each lays it, and what that closes. Of zone b, half is b2 (by the hash of its id).
 LAYERS = {
     "operators": [(None, ""), (frozenset(("a1", "b1")).__contains__, "a1 b1"), ("b2".__eq__, "b2")],
@@ -28,7 +28,7 @@
 
 def closer(who, laid):
     if who == "zones":
-        return roster.closer(laid, "a")
+        return roster.plan_closer(laid, "a")
     if who == "state":
         return resting.closer(laid)
     return laid and (lambda member: laid(member.id))
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -15,7 +15,7 @@
 from fawnwharf.policy_rollout.messages import InForce
 from fawnwharf.policy_rollout.trace import LINES_MOST, Trace
 from fawnwharf.replication.use import Shares
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.settings import SettingsFileError
 
 
 @pytest.fixture
@@ -326,6 +326,6 @@
     ],
 )
 def test_a_faulty_settings_file_names_its_key(data, line):
-    with pytest.raises(FileFault) as caught:
+    with pytest.raises(SettingsFileError) as caught:
         s.settings_from(data)
     assert str(caught.value).startswith(line)
--- a/tests/test_rejoin_settings.py
+++ b/tests/test_rejoin_settings.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.recovery_core import asking, stages
 from fawnwharf.recovery_service.settings import settings_from
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.settings import SettingsFileError
 
 GOOD = {"version": 1, "folder": "here", "fetches": 4, "scorer_rps": 50}
 
@@ -38,12 +38,12 @@
     ],
 )
 def test_faults_name_the_key_in_one_line(change, begin):
-    with pytest.raises(FileFault) as found:
+    with pytest.raises(SettingsFileError) as found:
         settings_from(msgspec.json.encode(GOOD | change))
     assert str(found.value).startswith(begin) and "\n" not in str(found.value)
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{", b"[" * 100_000, b"\xff"])
 def test_what_is_no_settings_is_a_fault(data):
-    with pytest.raises(FileFault):
+    with pytest.raises(SettingsFileError):
         settings_from(data)
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -16,7 +16,7 @@
 from fawnwharf.replication.placement import Placement
 from fawnwharf.replication.shelf import Shelf
 from fawnwharf.testbed.promises import fleet_file
-from fawnwharf.zones.settings import FileFault, members_from
+from fawnwharf.zones.settings import SettingsFileError, membership_from
 from fawnwharf.zones.settings import settings_from as zone_settings
 
 # --- settings -----------------------------------------------------------------------------------
@@ -38,13 +38,13 @@
     ],
 )
 def test_a_faulty_settings_file_names_its_key(data, fault):
-    with pytest.raises(FileFault) as caught:
+    with pytest.raises(SettingsFileError) as caught:
         s.settings_from(data)
     assert fault in str(caught.value)
 
 
 def test_a_fleet_with_too_few_zones_that_keep_is_a_fault():
-    with pytest.raises(FileFault):
+    with pytest.raises(SettingsFileError):
         s.check_members(fleet_file("aaa"), RULES)
     s.check_members(FLEET, RULES)
 
@@ -202,6 +202,6 @@
     zones = zone_settings((folder / "zones.json").read_bytes())
     state = s.settings_from((folder / "state.json").read_bytes())
     assert zones.members == state.members == "members.json"
-    members = members_from((folder / "members.json").read_bytes())
+    members = membership_from((folder / "members.json").read_bytes())
     s.check_members(members, state)
     assert len(members.voters) == 3 and Placement(members, state.zones, state.per_zone).enough("k") == 2
--- a/tests/test_sessions_service.py
+++ b/tests/test_sessions_service.py
@@ -20,8 +20,8 @@
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions.moves import place_of
 from fawnwharf.sessions.service import Sessions
-from fawnwharf.zones.plan import Plan, Zone
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.plan import Plan, PlannedZone
+from fawnwharf.zones.settings import SettingsFileError
 
 SESSION = Session("acme", ROW)
 
@@ -69,7 +69,9 @@
     assert len(near[site].loads) == 1  # staged, once
     rig.until(lambda: near["a"].unloaded, "the old copies are let go")
     assert near["a"].unloaded == [ROW] and not near["b"].unloaded and not near["c"].unloaded
-    plan = Plan(zones={"a": Zone(), site: Zone("out")})  # that this front end alone has heard of yet
+    plan = Plan(
+        zones={"a": PlannedZone(), site: PlannedZone("out")}
+    )  # that this front end alone has heard of yet
     rig.part("a1").zones = SimpleNamespace(core=SimpleNamespace(plan=plan))
     rig.until(lambda: rig.part("a1")._out, "it is looked at")
     assert rig.call(client) == "answer" and rig.seen["a1"][-1].site == ""
@@ -120,7 +122,7 @@
         rig.call(client, row=session.row)
 
     def decide(state, share=1.0):
-        zones = {"a": Zone(state, share), "b": Zone(), "c": Zone()}
+        zones = {"a": PlannedZone(state, share), "b": PlannedZone(), "c": PlannedZone()}
         for name in rig.fronts:
             rig.part(name).zones = SimpleNamespace(core=SimpleNamespace(plan=Plan(zones=zones)))
 
@@ -262,7 +264,7 @@
 
 @pytest.mark.parametrize(("data", "fault"), BAD, ids=[fault for _, fault in BAD])
 def test_a_faulty_file_is_named_by_its_key(data, fault):
-    with pytest.raises(FileFault) as error:
+    with pytest.raises(SettingsFileError) as error:
         s.settings_from(data)
     assert str(error.value).startswith(fault) and "\n" not in str(error.value)
 
@@ -291,7 +293,7 @@
     ],
 )
 def test_faulty_wishes_are_named_by_their_key(data, fault):
-    with pytest.raises(FileFault) as error:
+    with pytest.raises(SettingsFileError) as error:
         s.wishes_from(data, {"a", "b"})
     assert str(error.value).startswith(fault)
 
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -14,8 +14,8 @@
     Seen,
     announced_from,
 )
-from fawnwharf.zones.plan import LEAVING, OUT, RETURNING, Plan, Zone
-from fawnwharf.zones.settings import FileFault, Ramp
+from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING, Plan, PlannedZone
+from fawnwharf.zones.settings import RampSettings, SettingsFileError
 
 
 def test_what_is_to_come_is_ordered_once_at_the_first_scorers_of_the_site_within_the_ration():
@@ -171,16 +171,22 @@
         (b'{"version": 1, "foresight": {"mode": "oracle"}}', "foresight.told"),
         (b'{"version": 1, "foresight": {"told": "moves.jsonl"}}', "foresight.told"),
     ):
-        with pytest.raises(FileFault, match=key):
+        with pytest.raises(SettingsFileError, match=key):
             foresight_from(text)
-    with pytest.raises(FileFault, match="line 2"):
+    with pytest.raises(SettingsFileError, match="line 2"):
         foretold_from(b'{"at_ms": 1, "org": "a", "row": "f", "whither": "n"}\n{"at_ms": -1}\n')
 
 
 def test_a_plan_says_what_is_to_come_of_its_sites():
-    zones = {"n": Zone(LEAVING), "s": Zone(RETURNING, 0.5), "w": Zone(OUT), "e": Zone()}
+    zones = {
+        "n": PlannedZone(DRAINING),
+        "s": PlannedZone(RECOVERING, 0.5),
+        "w": PlannedZone(OUT),
+        "e": PlannedZone(),
+    }
     told = {
-        one.site: one for one in announced_from(Plan(number=7, zones=zones), Ramp((0.25, 0.5, 0.75), 3_000.0))
+        one.site: one
+        for one in announced_from(Plan(number=7, zones=zones), RampSettings((0.25, 0.5, 0.75), 3_000.0))
     }
     assert told["n"] == m.Announced("n", 7, "drain", (m.Step(0.0, 0.0),)) and told["w"].kind == "standby"
     assert told["s"].steps == (m.Step(0.0, 0.5), m.Step(3_000.0, 0.75), m.Step(6_000.0, 1.0))
--- a/tests/test_zone_judge.py
+++ b/tests/test_zone_judge.py
@@ -6,8 +6,8 @@
 
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.evidence import Seen
-from fawnwharf.zones.judge import Judge, Report
+from fawnwharf.zones.evidence import ZoneEvidence
+from fawnwharf.zones.judge import Report, ZonePlanner
 
 
 class Bench:
@@ -15,7 +15,7 @@
 
     def __init__(self, fleet, **more):
         self.members, self.settings = fleet, settings(**more)
-        self.judge, self.now, self.plan = Judge(self.settings, 0.0), 0.0, p.Plan()
+        self.judge, self.now, self.plan = ZonePlanner(self.settings, 0.0), 0.0, p.Plan()
         self.numbers, self.plans = itertools.count(1), []
         self.silent, self.seen = set(), lambda member, zone: GOOD
 
@@ -33,7 +33,7 @@
                     next(self.numbers),
                     {zone: seen for zone, seen in views.items() if seen},
                     dict.fromkeys(self.members.zones, 8.0),
-                    wishes=wishes or s.Wishes(),
+                    wishes=wishes or s.OperatorRequest(),
                 )
                 self.judge.heard(self.now, report)
             following = self.judge.next_plan(self.now, self.members, self.plan)
@@ -180,7 +180,7 @@
     bench.lose("b")
     bench.run(6)
     bench.heal()
-    while bench.states()["b"] != p.RETURNING:
+    while bench.states()["b"] != p.RECOVERING:
         bench.run(0.25)
     bench.lose("b")
     again = bench.now
@@ -199,15 +199,15 @@
 
 def test_a_drained_zone_leaves_first_and_is_restored_by_a_later_wish():
     bench = Bench(SIX).run(3)
-    bench.run(1, s.Wishes(number=1, drained=("a",)))
-    assert bench.states()["a"] == p.LEAVING
-    bench.run(5, s.Wishes(number=1, drained=("a",)))
+    bench.run(1, s.OperatorRequest(number=1, drained=("a",)))
+    assert bench.states()["a"] == p.DRAINING
+    bench.run(5, s.OperatorRequest(number=1, drained=("a",)))
     assert bench.states()["a"] == p.OUT
-    bench.run(20, s.Wishes(number=1, drained=("a",)))
+    bench.run(20, s.OperatorRequest(number=1, drained=("a",)))
     assert bench.states()["a"] == p.OUT
-    bench.run(1, s.Wishes(number=2))
-    assert bench.states()["a"] == p.RETURNING
-    bench.run(12, s.Wishes(number=2))
+    bench.run(1, s.OperatorRequest(number=2))
+    assert bench.states()["a"] == p.RECOVERING
+    bench.run(12, s.OperatorRequest(number=2))
     assert bench.states()["a"] == p.SERVING
 
 
@@ -219,7 +219,7 @@
         draw = next(drawn) * 2654435761 % 1000
         if draw < 40:
             return DEAD
-        return SLOW if draw < 150 else None if draw < 250 else Seen(heard=6, silent=3, slow=1)
+        return SLOW if draw < 150 else None if draw < 250 else ZoneEvidence(heard=6, silent=3, slow=1)
 
     bench.seen = noisy
     bench.run(3600)
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -10,7 +10,7 @@
 from fawnwharf.net import connection
 from fawnwharf.net.loop import Loop
 from fawnwharf.zones import links
-from fawnwharf.zones.links import LogServer, MemberLog
+from fawnwharf.zones.links import LogServer, MemberLogFollower
 
 PATIENCE_S = 10.0
 
@@ -33,7 +33,7 @@
         return server
 
     def follow(self, address, told=None):
-        feed = MemberLog(self.loop, address, told or self.told.append, self.dropped.append)
+        feed = MemberLogFollower(self.loop, address, told or self.told.append, self.dropped.append)
         self.addCleanup(feed.close)
         feed.connect()
         return feed
@@ -228,7 +228,7 @@
         sock = self.far()
         self.say(sock, {"seq": 2, "life": 8, "line": "second"})
         self.until(lambda: len(self.told) == 2, "the second is taken")
-        with mock.patch.object(MemberLog, "line_most", 1_000):
+        with mock.patch.object(MemberLogFollower, "line_most", 1_000):
             self.say(sock, b"x" * 5_000)
             self.until(lambda: not feed.up, "the connection is given up")
         self.assertEqual(self.told, ["whole", "second"])
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -11,8 +11,18 @@
 from fawnwharf.consensus.voter import founding
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.lines import Heard, Ruled, Word
-from fawnwharf.zones.member import Ballot, Follow, Keep, LineFault, Member, Note, Publish
+from fawnwharf.zones.lines import (
+    ClientMessage,
+    FollowPlan,
+    LogEvent,
+    LogLineError,
+    MessagesReceived,
+    PublishLine,
+    RegisterDecided,
+    SaveVoterState,
+    SendVoterMessage,
+)
+from fawnwharf.zones.member import MemberCore
 
 
 class Fleet:
@@ -33,7 +43,7 @@
     def start(self, name, identity, seed=99):
         entry = self.file.named(name)
         mine = identity if entry.ballots else ""
-        core = Member(name, self.file, self.settings, self.now, seed, mine, self.disks.get(name))
+        core = MemberCore(name, self.file, self.settings, self.now, seed, mine, self.disks.get(name))
         self.cores[name] = core
         self.dead.discard(name)
         self.push(name, core)
@@ -61,18 +71,18 @@
 
     def do(self, name, effects):
         for effect in effects:
-            if isinstance(effect, Keep):
+            if isinstance(effect, SaveVoterState):
                 self.disks[name] = effect.saved
-            elif isinstance(effect, Publish):
+            elif isinstance(effect, PublishLine):
                 voter = self.file.named(name).ballots
                 for other in self.file.members:
                     if other.name != name and (voter or other.ballots):
                         self.send(name, other.name, effect.line, False)
-            elif isinstance(effect, Ballot):
+            elif isinstance(effect, SendVoterMessage):
                 self.send(name, effect.to, effect.line, True)
-            elif isinstance(effect, Follow):
+            elif isinstance(effect, FollowPlan):
                 self.following[name] = effect
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogEvent):
                 self.notes.append((self.now, name, effect))
 
     def send(self, name, to, line, ballots):
@@ -180,7 +190,7 @@
     fleet = Fleet(file).run(15)
     data = members_data("abcabc", 3) | {"number": 2}
     data["members"][4]["ballots"] = data["members"][1].pop("ballots")
-    later = s.members_from(data)
+    later = s.membership_from(data)
     fleet.seen = lambda member, other: DEAD if other == "c" and member.zone != "c" else GOOD
     fleet.file = later
     fleet.disks["n4"] = Saved()
@@ -212,7 +222,7 @@
     fleet = Fleet(members("abc", 3)).run(10)
     core = fleet.cores["n0"]
     before = core.plan, core.index, core.fresh_ms, dict(core.judge.reports)
-    with pytest.raises(LineFault):
+    with pytest.raises(LogLineError):
         core.line(fleet.now, "n1", data, False)
     assert before == (core.plan, core.index, core.fresh_ms, dict(core.judge.reports))
 
@@ -229,10 +239,10 @@
         "last_index": 99,
         "last_term": 99,
     }
-    with pytest.raises(LineFault):
+    with pytest.raises(LogLineError):
         core.line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": ballot}, True)
     for bad in ({}, {"type": "Vote"}, 7):
-        with pytest.raises(LineFault):
+        with pytest.raises(LogLineError):
             core.line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": bad}, True)
     stray = ballot | {"sender": "n4#0"}
     assert core.line(fleet.now, "n4", {"fleet": "f", "sender": "n4", "ballot": stray}, True) == []
@@ -260,7 +270,7 @@
     [note] = core.line(later, "n1", line, True)
     assert note.event == "older disk" and core.voter.saved.term < 999
     effects = core.line(later, "n1", line | {"saves": most}, True)
-    assert any(isinstance(effect, Keep) for effect in effects)
+    assert any(isinstance(effect, SaveVoterState) for effect in effects)
 
 
 def test_words_of_two_riders_are_told_apart_and_one_of_before_there_were_two_is_the_policys():
@@ -268,9 +278,13 @@
     line = {"fleet": "f", "sender": "n1", "policy": 1, "recovery": 2}
     line["words"] = [{"said": "p"}, {"said": "r", "rider": "recovery"}, {"said": "q", "to": ["n2"]}]
     found = fleet.cores["n0"].line(1.0, "n1", line, False)
-    heard = {effect.rider: (effect.words, effect.standing) for effect in found if isinstance(effect, Heard)}
+    heard = {
+        effect.rider: (effect.words, effect.standing)
+        for effect in found
+        if isinstance(effect, MessagesReceived)
+    }
     assert heard == {"policy": (("p",), 1), "recovery": (("r",), 2)}
-    word = msgspec.json.encode(Word("p", ("n2",)))
+    word = msgspec.json.encode(ClientMessage("p", ("n2",)))
     assert word == b'{"said":"p","to":["n2"]}'  # as it was said before
 
 
@@ -280,7 +294,7 @@
     do = fleet.do
 
     def kept(name, effects):
-        found.setdefault(name, []).extend((e.kind, e.text) for e in effects if isinstance(e, Ruled))
+        found.setdefault(name, []).extend((e.kind, e.text) for e in effects if isinstance(e, RegisterDecided))
         do(name, effects)
 
     fleet.do = kept
@@ -301,8 +315,8 @@
 
     def count(name, effects):
         for effect in effects:
-            kept[name] += isinstance(effect, Keep)
-            if isinstance(effect, Ballot):
+            kept[name] += isinstance(effect, SaveVoterState)
+            if isinstance(effect, SendVoterMessage):
                 assert effect.line.saves == kept[name]
         do(name, effects)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,7 @@
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import roster
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.evidence import Observer, Seen, View, view
+from fawnwharf.zones.evidence import EvidenceCollector, ZoneEvidence, ZoneHealth, zone_health
 
 # --- files --------------------------------------------------------------------------------------
 
@@ -38,8 +38,8 @@
     ],
 )  # fmt: skip
 def test_a_faulty_file_of_members_is_refused_by_its_key(data, text):
-    with pytest.raises(s.FileFault, match=text):
-        s.members_from(data)
+    with pytest.raises(s.SettingsFileError, match=text):
+        s.membership_from(data)
 
 
 @pytest.mark.parametrize(
@@ -56,15 +56,17 @@
     ],
 )
 def test_a_faulty_file_of_settings_is_refused_by_its_key(more, text):
-    with pytest.raises(s.FileFault, match=text):
+    with pytest.raises(s.SettingsFileError, match=text):
         settings(**more)
 
 
 def test_wishes_that_would_put_all_zones_out_or_name_none_are_refused():
     for drained, text in ((["a", "b"], "all zones would be out"), (["c"], r"drained\[0\]: no zone c")):
-        with pytest.raises(s.FileFault, match=text):
-            s.wishes_from({"version": 1, "number": 1, "drained": drained}, {"a", "b"})
-    assert s.wishes_from({"version": 1, "number": 1, "drained": ["a"]}, {"a", "b"}).drained == ("a",)
+        with pytest.raises(s.SettingsFileError, match=text):
+            s.operator_request_from({"version": 1, "number": 1, "drained": drained}, {"a", "b"})
+    assert s.operator_request_from({"version": 1, "number": 1, "drained": ["a"]}, {"a", "b"}).drained == (
+        "a",
+    )
 
 
 # --- plans --------------------------------------------------------------------------------------
@@ -74,17 +76,17 @@
     """State, size, spill and region of each zone."""
     made = {}
     for name, (state, size, spill, region) in zones.items():
-        share = 1.0 if state == p.SERVING else 0.5 if state == p.RETURNING else 0.0
-        made[name] = p.Zone(state=state, share=share, size=size, spill=spill, region=region)
+        share = 1.0 if state == p.SERVING else 0.5 if state == p.RECOVERING else 0.0
+        made[name] = p.PlannedZone(state=state, share=share, size=size, spill=spill, region=region)
     return p.Plan(number=1, zones=made)
 
 
 def test_a_lost_zones_calls_go_to_its_region_first_and_no_further_than_the_limit():
     three = plan(a=(p.OUT, 8, 0.5, "x"), b=(p.SERVING, 8, 0.5, "x"), c=(p.SERVING, 8, 0.5, "y"))
-    assert p.flows(three) == {"a": {"b": 4.0, "c": 4.0}}
-    assert p.admission(three, "a") == 1.0
+    assert p.spillover_flows(three) == {"a": {"b": 4.0, "c": 4.0}}
+    assert p.admitted_fraction(three, "a") == 1.0
     roomy = plan(a=(p.OUT, 4, 0.5, "x"), b=(p.SERVING, 8, 0.5, "x"), c=(p.SERVING, 8, 0.5, "y"))
-    assert p.flows(roomy) == {"a": {"b": 4.0}}
+    assert p.spillover_flows(roomy) == {"a": {"b": 4.0}}
     assert p.open_zones(roomy, "a") == {"b"} and p.open_zones(roomy, "b") == {"b", "c"}
 
 
@@ -95,17 +97,17 @@
         c=(p.SERVING, 8, 0.25, "x"),
         d=(p.SERVING, 8, 0.25, "y"),
     )
-    sent = p.flows(lost)
+    sent = p.spillover_flows(lost)
     assert sum(parts.get("c", 0) for parts in sent.values()) == pytest.approx(2.0)
     assert sum(parts.get("d", 0) for parts in sent.values()) == pytest.approx(2.0)
-    assert p.admission(lost, "a") == pytest.approx(p.admission(lost, "b"), abs=0.1)
-    assert p.admission(lost, "a") < 0.5 and p.admission(lost, "c") == 1.0
+    assert p.admitted_fraction(lost, "a") == pytest.approx(p.admitted_fraction(lost, "b"), abs=0.1)
+    assert p.admitted_fraction(lost, "a") < 0.5 and p.admitted_fraction(lost, "c") == 1.0
 
 
 def test_a_zone_that_returns_takes_its_own_share_and_nobody_elses():
-    back = plan(a=(p.RETURNING, 8, 0.5, "x"), b=(p.OUT, 8, 0.5, "x"), c=(p.SERVING, 8, 1.0, "x"))
-    assert "a" not in p.flows(back)["b"]
-    assert p.admission(back, "a") > 0.5
+    back = plan(a=(p.RECOVERING, 8, 0.5, "x"), b=(p.OUT, 8, 0.5, "x"), c=(p.SERVING, 8, 1.0, "x"))
+    assert "a" not in p.spillover_flows(back)["b"]
+    assert p.admitted_fraction(back, "a") > 0.5
     opened = [n for n in range(400) if p.is_open(back, "a", f"s-{n}")]
     assert 150 < len(opened) < 250
     more = msgspec.structs.replace(back.zones["a"], share=0.75)
@@ -116,7 +118,7 @@
 def test_zones_that_do_not_reach_each_other_do_not_spill_there():
     base = plan(a=(p.OUT, 4, 0.5, "x"), b=(p.SERVING, 8, 0.5, "x"), c=(p.SERVING, 8, 0.5, "y"))
     cut = msgspec.structs.replace(base, apart=(("a", "b"),))
-    assert p.flows(cut) == {"a": {"c": 4.0}} and p.open_zones(cut, "a") == {"c"}
+    assert p.spillover_flows(cut) == {"a": {"c": 4.0}} and p.open_zones(cut, "a") == {"c"}
 
 
 @pytest.mark.parametrize(
@@ -130,7 +132,7 @@
     ],
 )
 def test_a_plan_that_must_not_be_followed_is_refused(text, why):
-    with pytest.raises(p.PlanFault, match=why):
+    with pytest.raises(p.PlanError, match=why):
         p.plan_from(text)
 
 
@@ -150,12 +152,12 @@
     fleet = config.Fleet([*scorers("a1", "b1"), *scorers("b2", phase="terminating")], complete=True)
     assert phases(overlay.told(fleet)) == {"a1": "in_service", "b1": "in_service", "b2": "terminating"}
     out = plan(a=(p.SERVING, 2, 0.5, "x"), b=(p.OUT, 2, 0.5, "x"))
-    assert phases(overlay.close("zones", roster.closer(out, "a"))) == {"b1": "terminating"}
+    assert phases(overlay.close("zones", roster.plan_closer(out, "a"))) == {"b1": "terminating"}
     assert phases(overlay.told(config.Fleet(scorers("b3")))) == {"b3": "terminating"}
     assert [m.id for m in roster.in_zone(overlay.members.values(), "b")] == ["b1", "b3"]
-    back = overlay.close("zones", roster.closer(None, "a"))
+    back = overlay.close("zones", roster.plan_closer(None, "a"))
     assert phases(back) == {"b1": "in_service", "b3": "in_service"}
-    assert roster.sizes(overlay.members.values()) == {"a": 2.0, "b": 4.0}
+    assert roster.zone_sizes(overlay.members.values()) == {"a": 2.0, "b": 4.0}
 
 
 def test_the_roster_keeps_what_a_change_does_not_tell_again():
@@ -171,45 +173,53 @@
 
 
 def test_signs_amount_to_a_view_only_when_there_are_enough():
-    rules = s.Evidence()
+    rules = s.EvidenceSettings()
     table = {
-        None: View.UNKNOWN,
-        Seen(refused=2): View.UNKNOWN,
-        Seen(refused=3): View.DEAD,
-        Seen(heard=1, silent=4): View.DEAD,
-        Seen(heard=2, silent=4): View.GOOD,
-        Seen(heard=4, slow=2): View.SLOW,
-        Seen(heard=4, slow=1): View.GOOD,
-        Seen(heard=40, refused=3, run=3, quiet_ms=400.0): View.DEAD,
-        Seen(heard=40, refused=3, run=3, quiet_ms=399.0): View.GOOD,
-        Seen(heard=40, refused=9, run=2, quiet_ms=900.0): View.GOOD,  # so few scorers are not a zone
+        None: ZoneHealth.UNKNOWN,
+        ZoneEvidence(refused=2): ZoneHealth.UNKNOWN,
+        ZoneEvidence(refused=3): ZoneHealth.DEAD,
+        ZoneEvidence(heard=1, silent=4): ZoneHealth.DEAD,
+        ZoneEvidence(heard=2, silent=4): ZoneHealth.GOOD,
+        ZoneEvidence(heard=4, slow=2): ZoneHealth.SLOW,
+        ZoneEvidence(heard=4, slow=1): ZoneHealth.GOOD,
+        ZoneEvidence(heard=40, refused=3, run=3, quiet_ms=400.0): ZoneHealth.DEAD,
+        ZoneEvidence(heard=40, refused=3, run=3, quiet_ms=399.0): ZoneHealth.GOOD,
+        ZoneEvidence(
+            heard=40, refused=9, run=2, quiet_ms=900.0
+        ): ZoneHealth.GOOD,  # so few scorers are not a zone
     }
     for seen, expected in table.items():
-        assert view(seen, rules) is expected, seen
+        assert zone_health(seen, rules) is expected, seen
 
 
 def test_an_observer_forgets_what_is_older_than_its_window():
-    observer = Observer(s.Evidence(window_ms=1_000.0), promise_ms=200.0)
+    observer = EvidenceCollector(s.EvidenceSettings(window_ms=1_000.0), promise_ms=200.0)
     observer.ended(0.0, "a", 1, Ending.GOOD, 50.0)
     observer.ended(400.0, "a", 1, Ending.GOOD, 300.0)
     observer.ended(900.0, "a", 1, Ending.CANCELLED, 250.0)
     observer.ended(900.0, "a", 1, Ending.CANCELLED, 20.0)
     observer.ended(900.0, "b", 2, Ending.NOT_SENT, 0.0)
     observer.dialled(900.0, "b", 2, False)
-    a, b = Seen(heard=2, slow=1, silent=1, run=1, quiet_ms=550.0), Seen(refused=1, run=1, quiet_ms=50.0)
+    a, b = (
+        ZoneEvidence(heard=2, slow=1, silent=1, run=1, quiet_ms=550.0),
+        ZoneEvidence(refused=1, run=1, quiet_ms=50.0),
+    )
     assert observer.seen(950.0) == {"a": a, "b": b}
-    a, b = Seen(heard=1, slow=1, silent=1, run=1, quiet_ms=950.0), Seen(refused=1, run=1, quiet_ms=450.0)
+    a, b = (
+        ZoneEvidence(heard=1, slow=1, silent=1, run=1, quiet_ms=950.0),
+        ZoneEvidence(refused=1, run=1, quiet_ms=450.0),
+    )
     assert observer.seen(1_350.0) == {"a": a, "b": b}
     assert observer.seen(5_000.0) == {}
 
 
 def test_a_run_of_bad_signs_is_counted_by_scorers_and_ended_by_one_good_sign():
-    observer = Observer(s.Evidence(), promise_ms=200.0)
+    observer = EvidenceCollector(s.EvidenceSettings(), promise_ms=200.0)
     observer.dialled(0.0, "a", 1, True)
     for at, scorer in ((100.0, 1), (200.0, 1), (300.0, 2), (400.0, 3)):
         observer.dialled(at, "a", scorer, False)
-    assert observer.seen(500.0)["a"] == Seen(heard=1, refused=4, run=3, quiet_ms=500.0)
-    assert view(observer.seen(500.0)["a"], s.Evidence()) is View.DEAD
+    assert observer.seen(500.0)["a"] == ZoneEvidence(heard=1, refused=4, run=3, quiet_ms=500.0)
+    assert zone_health(observer.seen(500.0)["a"], s.EvidenceSettings()) is ZoneHealth.DEAD
     assert observer.quiet_ms(500.0, "a") == 500.0
     observer.ended(600.0, "a", 2, Ending.GOOD, 10.0)
-    assert observer.seen(600.0)["a"] == Seen(heard=2, refused=4)
+    assert observer.seen(600.0)["a"] == ZoneEvidence(heard=2, refused=4)
