--- a/fawnwharf/policy_rollout/agent.py
+++ b/fawnwharf/policy_rollout/agent.py
@@ -20,7 +20,7 @@
 from fawnwharf.policy_rollout.document import DocumentError, Known, document_from, register_from
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward, Timing
-from fawnwharf.zones.lines import ConsensusStatus
+from fawnwharf.zones.log_lines import ConsensusStatus
 
 OUTCOMES_MOST = 8  # of a reign, that are told
 WISHES_MOST = 4
--- a/fawnwharf/policy_rollout/outbox.py
+++ b/fawnwharf/policy_rollout/outbox.py
@@ -6,7 +6,7 @@
 
 from fawnwharf.net.loop import Loop
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.zones.lines import ClientMessage
+from fawnwharf.zones.log_lines import ClientMessage
 from fawnwharf.zones.service import ZoneService
 
 RENEW_MS = 50.0  # renewals wait for so long, to be sent together: each line goes to all readers
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -20,7 +20,7 @@
 from fawnwharf.recovery_core.stages import Allowed, Decide, Follower, Note, RegisterError, Stage, Timing
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.lead import Lead, Lists
-from fawnwharf.zones.lines import ConsensusStatus
+from fawnwharf.zones.log_lines import ConsensusStatus
 
 LOG = "change log"  # as one that answers; it is no member
 LOOK_MS, CALM_LOOK_MS = 50.0, 250.0
--- a/fawnwharf/recovery_service/lead.py
+++ b/fawnwharf/recovery_service/lead.py
@@ -11,7 +11,7 @@
 from fawnwharf.recovery_core.stages import Conductor, Effect, Note, Seen, Stage, Timing
 from fawnwharf.recovery_core.trust import Scope, scope
 from fawnwharf.recovery_service import words as w
-from fawnwharf.zones.lines import ConsensusStatus
+from fawnwharf.zones.log_lines import ConsensusStatus
 
 LOOK_MS = 100.0  # pace of the look at what all told
 
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -24,7 +24,7 @@
 from fawnwharf.recovery_service.settings import Settings, settings_from
 from fawnwharf.recovery_service.tallies import Tallies
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.lines import RECOVERY, ClientMessage
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
 
 SHOW_MS = 200.0  # how this one stands is told for people no more often than that
 WORDS_MOST = 200  # in one line
--- a/fawnwharf/zones/member.py
+++ b/fawnwharf/zones/member.py
@@ -17,7 +17,7 @@
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import ZoneEvidence
 from fawnwharf.zones.judge import Report, ZonePlanner
-from fawnwharf.zones.lines import (
+from fawnwharf.zones.log_lines import (
     POLICY,
     RECOVERY,
     ConsensusStatus,
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -19,7 +19,8 @@
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import EvidenceCollector
 from fawnwharf.zones.files import WatchedFile, load_file
-from fawnwharf.zones.lines import (
+from fawnwharf.zones.links import LogServer, MemberLogFollower
+from fawnwharf.zones.log_lines import (
     POLICY,
     ClientMessage,
     ConsensusStatus,
@@ -34,7 +35,6 @@
     SaveVoterState,
     SendVoterMessage,
 )
-from fawnwharf.zones.links import LogServer, MemberLogFollower
 from fawnwharf.zones.member import MemberCore
 from fawnwharf.zones.plan import Plan, limit_spillover
 from fawnwharf.zones.probes import Probes
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -31,7 +31,7 @@
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import judge, lines, links, plan
+from fawnwharf.zones import judge, links, log_lines, plan
 from fawnwharf.zones import settings as zone_settings
 
 CORPUS = Path(__file__).parent / "corpus"
@@ -121,8 +121,8 @@
     "sessions/left": file(left._Left),
     "sessions/stored": converted(left._One),
     "sessions/wishes": file(session_settings.Wishes),
-    "zones/line": converted(lines.LogLine),
-    "zones/words": converted(lines.ClientMessages),
+    "zones/line": converted(log_lines.LogLine),
+    "zones/words": converted(log_lines.ClientMessages),
     "zones/plan": Boundary(
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -43,7 +43,7 @@
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import lines, links, plan
+from fawnwharf.zones import links, log_lines, plan
 from fawnwharf.zones import settings as zone_settings
 
 RUNNER = CliRunner()
@@ -119,11 +119,11 @@
 
 def test_a_member_s_line_has_what_riders_say_and_how_they_stand():
     """The keys of a status are the riders' names; words name the rider unless it is policy."""
-    word = lines.ClientMessage({"type": "Abort"}, ("n1",), lines.RECOVERY)
+    word = log_lines.ClientMessage({"type": "Abort"}, ("n1",), log_lines.RECOVERY)
     made = [
-        lines.LogLine("f", "n0", **{lines.POLICY: {"ready": True}}),
-        lines.LogLine("f", "n0", **{lines.RECOVERY: {"life": 1}}),
-        lines.LogLine("f", "n0", words=[lines.ClientMessage({"type": "Vote"}), word]),
+        log_lines.LogLine("f", "n0", **{log_lines.POLICY: {"ready": True}}),
+        log_lines.LogLine("f", "n0", **{log_lines.RECOVERY: {"life": 1}}),
+        log_lines.LogLine("f", "n0", words=[log_lines.ClientMessage({"type": "Vote"}), word]),
     ]
     assert [links.line_encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
         '{"fleet":"f","sender":"n0","policy":{"ready":true}}',
@@ -131,7 +131,7 @@
         '{"fleet":"f","sender":"n0","words":[{"said":{"type":"Vote"}},'
         '{"said":{"type":"Abort"},"to":["n1"],"rider":"recovery"}]}',
     ]
-    found = lines.messages_for("n1", msgspec.to_builtins(made[2].words))
+    found = log_lines.messages_for("n1", msgspec.to_builtins(made[2].words))
     assert found == {"policy": ({"type": "Vote"},), "recovery": ({"type": "Abort"},)}
 
 
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -14,7 +14,7 @@
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.agent import Agent, Go, Own, Say, Signed
 from fawnwharf.recovery_service.lead import Lists
-from fawnwharf.zones.lines import RECOVERY, ClientMessage, MessagesReceived, RegisterDecided
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage, MessagesReceived, RegisterDecided
 from support.zone_files import members
 
 STEP_S = 0.02
--- a/tests/test_disk_faults_service.py
+++ b/tests/test_disk_faults_service.py
@@ -11,7 +11,7 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.zones.lines import LogLine
+from fawnwharf.zones.log_lines import LogLine
 from fawnwharf.zones.service import ZoneService
 
 LONG_AGO_MS = 60_000.0  # no leader was heard for so long
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -12,7 +12,7 @@
 from fawnwharf.policy_rollout.settings import Said
 from fawnwharf.policy_rollout.steward import Timing
 from fawnwharf.policy_rollout.walk import KNOWN
-from fawnwharf.zones.lines import ClientMessage, MessagesReceived, RegisterDecided
+from fawnwharf.zones.log_lines import ClientMessage, MessagesReceived, RegisterDecided
 
 STEP_S = 0.005
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -10,7 +10,7 @@
 from fawnwharf.policy_rollout.agent import Agent
 from fawnwharf.policy_rollout.document import Known
 from fawnwharf.policy_rollout.steward import Timing
-from fawnwharf.zones.lines import ConsensusStatus
+from fawnwharf.zones.log_lines import ConsensusStatus
 
 
 @pytest.mark.parametrize(
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -11,7 +11,7 @@
 from fawnwharf.consensus.voter import founding
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.lines import (
+from fawnwharf.zones.log_lines import (
     ClientMessage,
     FollowPlan,
     LogEvent,
