--- a/fawnwharf/replication/links.py
+++ b/fawnwharf/replication/links.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.config import Address
 from fawnwharf.net.loop import Loop
-from fawnwharf.zones.links import LogServer, MemberLogFollower, line_encoder
+from fawnwharf.zones.member_log import LogServer, MemberLogFollower, line_encoder
 
 NAMES_MOST = 4_000
 
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -19,7 +19,6 @@
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import EvidenceCollector
 from fawnwharf.zones.files import WatchedFile, load_file
-from fawnwharf.zones.links import LogServer, MemberLogFollower
 from fawnwharf.zones.log_lines import (
     POLICY,
     ClientMessage,
@@ -36,6 +35,7 @@
     SendVoterMessage,
 )
 from fawnwharf.zones.member import MemberCore
+from fawnwharf.zones.member_log import LogServer, MemberLogFollower
 from fawnwharf.zones.plan import Plan, limit_spillover
 from fawnwharf.zones.probes import Probes
 from fawnwharf.zones.rider import LogClient
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -31,7 +31,7 @@
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import judge, links, log_lines, plan
+from fawnwharf.zones import judge, log_lines, member_log, plan
 from fawnwharf.zones import settings as zone_settings
 
 CORPUS = Path(__file__).parent / "corpus"
@@ -53,7 +53,7 @@
 
 def on_line(value: Any) -> bytes:
     """Encode a value as it goes into a line of a log: as builtins, by the logs' encoder."""
-    return links.line_encoder.encode(msgspec.to_builtins(value))
+    return member_log.line_encoder.encode(msgspec.to_builtins(value))
 
 
 def line(kind: Any, read: Callable[[Any], Any], through: str = "") -> Boundary:
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -43,7 +43,7 @@
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import links, log_lines, plan
+from fawnwharf.zones import log_lines, member_log, plan
 from fawnwharf.zones import settings as zone_settings
 
 RUNNER = CliRunner()
@@ -75,7 +75,7 @@
 def served():
     """A log server of life 7 on a loopback port, and its loop."""
     loop = Loop(lambda now_ms, events: None, lambda text: None)
-    server = links.LogServer(loop, ("127.0.0.1", 0), 7, 8)
+    server = member_log.LogServer(loop, ("127.0.0.1", 0), 7, 8)
     yield loop, server
     server.close()
 
@@ -110,7 +110,7 @@
     """In order, by life and number; a gap or another life has it ask anew."""
     told = []
     loop = Loop(lambda now_ms, events: None, lambda text: None)
-    log = links.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
+    log = member_log.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
     rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
     assert [log.event(json.loads(row)) for row in rows] == [True, True]
     assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.life) == (3, 7)
@@ -125,7 +125,7 @@
         log_lines.LogLine("f", "n0", **{log_lines.RECOVERY: {"life": 1}}),
         log_lines.LogLine("f", "n0", words=[log_lines.ClientMessage({"type": "Vote"}), word]),
     ]
-    assert [links.line_encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
+    assert [member_log.line_encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
         '{"fleet":"f","sender":"n0","policy":{"ready":true}}',
         '{"fleet":"f","sender":"n0","recovery":{"life":1}}',
         '{"fleet":"f","sender":"n0","words":[{"said":{"type":"Vote"}},'
@@ -147,7 +147,7 @@
 def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
     """Within a whole line."""
     line = state.Line("f", "n0", 7, ("n1",), state.Ride(rider, {"type": "status"}))
-    data = links.line_encoder.encode(msgspec.to_builtins(line)).decode()
+    data = member_log.line_encoder.encode(msgspec.to_builtins(line)).decode()
     assert data == (
         '{"fleet":"f","sender":"n0","life":7,"to":["n1"],'
         f'"say":{{"type":"ride","rider":"{recorded}","word":{{"type":"status"}}}}}}'
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -9,8 +9,8 @@
 
 from fawnwharf.net import connection
 from fawnwharf.net.loop import Loop
-from fawnwharf.zones import links
-from fawnwharf.zones.links import LogServer, MemberLogFollower
+from fawnwharf.zones import member_log
+from fawnwharf.zones.member_log import LogServer, MemberLogFollower
 
 PATIENCE_S = 10.0
 
@@ -56,7 +56,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
-        feed._connection.close(links.End.RETIRED)
+        feed._connection.close(member_log.End.RETIRED)
         server.write({"n": 1})
         server.write({"n": 2})
         self.until(lambda: feed.seq == 3, "the others are told")
@@ -67,11 +67,11 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
-        feed._connection.close(links.End.RETIRED)
-        for n in range(1, links.KEPT_MOST + 10):
+        feed._connection.close(member_log.End.RETIRED)
+        for n in range(1, member_log.KEPT_MOST + 10):
             server.write({"n": n}, counts_as="n")
-        self.until(lambda: feed.seq == links.KEPT_MOST + 10, "it has caught up")
-        self.assertEqual(self.told, [{"n": 0}, {"n": links.KEPT_MOST + 9}])
+        self.until(lambda: feed.seq == member_log.KEPT_MOST + 10, "it has caught up")
+        self.assertEqual(self.told, [{"n": 0}, {"n": member_log.KEPT_MOST + 9}])
 
     def test_a_new_life_is_told_from_its_start_whatever_number_was_reached_before(self):
         for later in (1, 9):
@@ -135,7 +135,7 @@
         self.until(lambda: not server.readers, "none is kept")
 
     def test_one_that_asks_nothing_is_ended(self):
-        with mock.patch.object(links, "ASK_MS", 50.0), mock.patch.object(links, "PULSE_MS", 60.0):
+        with mock.patch.object(member_log, "ASK_MS", 50.0), mock.patch.object(member_log, "PULSE_MS", 60.0):
             server = self.server()
             sock = self.asked(server, b"sin")
             self.until(lambda: self.ended(sock), "it is ended")
@@ -152,13 +152,13 @@
         server = self.server()
         sock = self.asked(server, b"since 0\n")
         self.until(lambda: any(reader.since is not None for reader in server.readers), "it has asked")
-        with mock.patch.object(links, "UNREAD_MOST", 10_000):
+        with mock.patch.object(member_log, "UNREAD_MOST", 10_000):
             end = time.monotonic() + PATIENCE_S
             while server.readers:
                 self.assertLess(time.monotonic(), end)
                 server.write({"text": "x" * 50_000})
                 self.loop.turn(0.0)
-        self.assertLessEqual(server._kept_bytes, links.KEPT_BYTES_MOST)
+        self.assertLessEqual(server._kept_bytes, member_log.KEPT_BYTES_MOST)
         sock.close()
 
 
