--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -59,7 +59,7 @@
             raise config.ConfigError(f"--{name}: goes by the logs of --{missing[0]}, which is not given")
     makers: dict[str, Maker] = {}
     if files:
-        from fawnwharf.zones.log import writer
+        from fawnwharf.zones.operator_log import writer
 
         write = writer(deployment.name)
     if place := files.get("zones"):
--- a/tests/support/session_front_ends.py
+++ b/tests/support/session_front_ends.py
@@ -12,7 +12,7 @@
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy import Router
-from fawnwharf.zones import log as zones_log
+from fawnwharf.zones import operator_log as zones_log
 
 PATIENCE_S = 30.0
 SETTINGS = peers.SETTINGS | {
