--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -11,7 +11,7 @@
 from fawnwharf.policy_rollout.document import Document, DocumentError, Known, check_against, document_from
 from fawnwharf.policy_rollout.service import SAID_FILE
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.looking import MemberOption, current_lines, fail, log_address, read_files
+from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
 
 LOOK_S = 0.1
 app = typer.Typer(no_args_is_help=True, help="The policy that front ends decide by.")
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -6,7 +6,7 @@
 import typer
 
 from fawnwharf.recovery_service import words as w
-from fawnwharf.zones.looking import MemberOption, current_lines, fail, log_address, read_files
+from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
 
 File = Annotated[
     str, typer.Argument(metavar="FILE", help="The settings of zones that this member serves with.")
--- a/fawnwharf/zones/commands.py
+++ b/fawnwharf/zones/commands.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.config import ConfigError
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.looking import MemberOption, current_lines, fail, log_address, read_files
+from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
 
 app = typer.Typer(no_args_is_help=True, help="Zones that are decided in common.")
 File = Annotated[str, typer.Option("--zones", help="The settings of zones that this member serves with.")]
