--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -19,6 +19,7 @@
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import EvidenceCollector
 from fawnwharf.zones.files import WatchedFile, load_file
+from fawnwharf.zones.log_client import LogClient
 from fawnwharf.zones.log_lines import (
     POLICY,
     ClientMessage,
@@ -38,7 +39,6 @@
 from fawnwharf.zones.member_log import LogServer, MemberLogFollower
 from fawnwharf.zones.plan import Plan, limit_spillover
 from fawnwharf.zones.probes import Probes
-from fawnwharf.zones.rider import LogClient
 
 FILES_MS = 500.0  # pace of the look at the files
 READERS_SPARE = 16  # beyond the members, for operators
