--- a/fawnwharf/zones/commands.py
+++ b/fawnwharf/zones/commands.py
@@ -109,7 +109,7 @@
 @app.command()
 def found(name: str, zones: File) -> None:
     """Begin a new fleet: once, at one voter, before it is started. The other voters join it by themselves."""
-    from fawnwharf.zones.founding import bootstrap as begin
+    from fawnwharf.zones.bootstrap import bootstrap as begin
 
     try:
         typer.echo(f"founded: {begin(zones, name)} is the first voter")
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -25,7 +25,7 @@
 from fawnwharf.policy_rollout.document import Register, document_from
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.disk import KeeperDisk
-from fawnwharf.zones.founding import bootstrap
+from fawnwharf.zones.bootstrap import bootstrap
 
 KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 IDENTITIES = ("n0#00112233445566aa", "n1#00112233445566bb")
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -11,7 +11,7 @@
 from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
-from fawnwharf.zones.founding import bootstrap
+from fawnwharf.zones.bootstrap import bootstrap
 from fawnwharf.zones.service import ZoneService
 
 PATIENCE_S = 30.0
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -12,7 +12,7 @@
 from fawnwharf.recovery_service.service import Rejoin
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
-from fawnwharf.zones.founding import bootstrap
+from fawnwharf.zones.bootstrap import bootstrap
 from fawnwharf.zones.service import ZoneService
 from support import policy_front_ends
 from support.policy_front_ends import STATE, VOTING
