--- a/fawnwharf/zones/log_lines.py
+++ b/fawnwharf/zones/log_lines.py
@@ -8,8 +8,8 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.judge import Report
 from fawnwharf.zones.plan import Plan
+from fawnwharf.zones.planner import Report
 
 MAX_TEXT = m.DATA_MOST
 MAX_MESSAGES = 1_024  # in one line
--- a/fawnwharf/zones/member.py
+++ b/fawnwharf/zones/member.py
@@ -16,7 +16,6 @@
 from fawnwharf.consensus.voter import Timing, Voter
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import ZoneEvidence
-from fawnwharf.zones.judge import Report, ZonePlanner
 from fawnwharf.zones.log_lines import (
     POLICY,
     RECOVERY,
@@ -35,6 +34,7 @@
     messages_for,
 )
 from fawnwharf.zones.plan import Plan, PlanError, plan_from
+from fawnwharf.zones.planner import Report, ZonePlanner
 
 
 class MemberCore:
--- a/tests/test_zone_judge.py
+++ b/tests/test_zone_judge.py
@@ -7,7 +7,7 @@
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import ZoneEvidence
-from fawnwharf.zones.judge import Report, ZonePlanner
+from fawnwharf.zones.planner import Report, ZonePlanner
 
 
 class Bench:
