--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -35,7 +35,7 @@
     SaveVoterState,
     SendVoterMessage,
 )
-from fawnwharf.zones.member import MemberCore
+from fawnwharf.zones.member_core import MemberCore
 from fawnwharf.zones.member_log import LogServer, MemberLogFollower
 from fawnwharf.zones.plan import Plan, limit_spillover
 from fawnwharf.zones.probes import Probes
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -22,7 +22,7 @@
     SaveVoterState,
     SendVoterMessage,
 )
-from fawnwharf.zones.member import MemberCore
+from fawnwharf.zones.member_core import MemberCore
 
 
 class Fleet:
