--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -7,7 +7,7 @@
 from fawnwharf.net.end_reasons import PASSING, End
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
-from fawnwharf.zones import roster
+from fawnwharf.zones import roster_closing
 from fawnwharf.zones.evidence import EvidenceCollector, ZoneHealth, zone_health
 from fawnwharf.zones.settings import EvidenceSettings
 
@@ -104,7 +104,7 @@
 
     def _dial(self, zone: str, more: int = 0) -> None:
         """Dial one scorer of the zone; where it fails and the zone was well till now, two others at once."""
-        scorers = roster.in_zone(self._front.overlay.members.values(), zone)
+        scorers = roster_closing.in_zone(self._front.overlay.members.values(), zone)
         if not scorers:
             return
         place = self._places.get(zone, self._first) + 1  # not all at the same one
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -15,7 +15,7 @@
 from fawnwharf.consensus.disk import Disk, DiskError
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.zones import roster
+from fawnwharf.zones import roster_closing
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import EvidenceCollector
 from fawnwharf.zones.files import WatchedFile, load_file
@@ -197,10 +197,10 @@
         if effect.plan is not None and self._spill:
             effect = FollowPlan(limit_spillover(effect.plan, self._spill), effect.index)
         overlay, zone = self.front.overlay, self.entry.zone
-        changes = overlay.close(CLOSER, roster.plan_closer(effect.plan, zone))
+        changes = overlay.close(CLOSER, roster_closing.plan_closer(effect.plan, zone))
         if changes.members:
             self.front.go_by(changes)
-        part = roster.admitted_fraction(effect.plan, zone)
+        part = roster_closing.admitted_fraction(effect.plan, zone)
         limited = part < 1.0 and self._sold > 0
         rps = part * self._sold / self.deployment.settings.fleet_size * self._carried(effect.plan)
         self.front.limit(LIMIT, rps if limited else io.UNLIMITED_RPS)
@@ -226,7 +226,7 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        sizes = roster.zone_sizes(self.front.overlay.members.values())
+        sizes = roster_closing.zone_sizes(self.front.overlay.members.values())
         self._carry_out(self.core.tick(now, self.observer.seen(now), sizes, now - self._told_ms))
         self._set_timer()
 
