--- a/fawnwharf/policy_rollout/follow.py
+++ b/fawnwharf/policy_rollout/follow.py
@@ -76,7 +76,9 @@
         told = self.zones.settings.spill
         spill = {name: float(part) for name, part in document.section("spill").items()}
         # The plan has the settings' own already.
-        self.zones.limits(sold, {n: p for n, p in spill.items() if p < told.zones.get(n, told.share)})
+        self.zones.apply_policy_limits(
+            sold, {n: p for n, p in spill.items() if p < told.zones.get(n, told.share)}
+        )
         return self._classes(document)
 
     def _classes(self, document: Document) -> bool:
--- a/fawnwharf/policy_rollout/outbox.py
+++ b/fawnwharf/policy_rollout/outbox.py
@@ -61,7 +61,7 @@
                 ClientMessage(msgspec.to_builtins(message), () if m.LEADER in names else tuple(names))
             )
             if size > LINE_MOST:
-                self._zones.say(words)
+                self._zones.send_messages(words)
                 words, size, total = [], 0, total + size
         if words:
-            self._zones.say(words)
+            self._zones.send_messages(words)
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -120,7 +120,7 @@
         core, state, known = self.zones.core, self._made.get("state"), self._known()
         self.agent = Agent(
             self.zones.entry.name, self._names(), known, self.settings.timing, self.life,
-            self.zones.seat, core.voter is not None, self._register,
+            self.zones.consensus_status, core.voter is not None, self._register,
         )  # fmt: skip
         self._outbox = Outbox(front.loop, self.zones, self._too_much)
         self._follower = Follower(self.deployment, front, self.zones, state)
@@ -131,7 +131,7 @@
             below, self._take, self.agent.holder.done, self._ended, unix_ms, front.loop.wheel.after
         )
         front.port.table = self.calls
-        self.zones.riders[NAME] = self
+        self.zones.log_clients[NAME] = self
         if self._said_file.changed() is not None:
             self.note("proposal left aside", {"why": "it was said before this start"})
         self.note("policy on", {"life": self.life, "voter": core.voter is not None})
@@ -206,7 +206,7 @@
 
     # --- the rider ------------------------------------------------------------------------------
 
-    def heard(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
+    def on_messages(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
         """Take messages and the status of another member."""
         now = monotonic_ms()
         dropped = sum(self.agent.counts.values())
@@ -217,16 +217,16 @@
             self.note("word dropped", {"sender": sender, "counts": dict(self.agent.counts)})
         self._carry_out(effects)
 
-    def decided(self, text: str) -> None:
+    def on_register_decided(self, text: str) -> None:
         """Take a register that the consensus log decided."""
         self._carry_out(self.agent.decided(monotonic_ms(), text))
 
-    def turned(self) -> None:
+    def on_role_changed(self) -> None:
         """Take that this member's voter may have begun or ceased to lead."""
         if not self._stopped and (effects := self.agent.turned(monotonic_ms())):
             self._carry_out(effects)
 
-    def members_taken(self) -> None:
+    def on_membership_changed(self) -> None:
         """Take that the list of members changed."""
         self._outbox.forget_grants()
         known = self._known()
@@ -259,7 +259,7 @@
             if isinstance(effect, m.Say):
                 self._outbox.send(effect)
             elif isinstance(effect, m.Decide):
-                if not self.zones.put(effect.register):
+                if not self.zones.propose_register(effect.register):
                     self._carry_out(self.agent.not_put(monotonic_ms()))
             elif isinstance(effect, m.Keep):
                 self._keep(effect.register)
@@ -322,7 +322,7 @@
                 self.front.loop.wheel.after(STAND_MS, self._stand_later)
             return
         self._told, self._told_ms = standing, now
-        self.zones.stand(msgspec.to_builtins(standing))
+        self.zones.publish_status(msgspec.to_builtins(standing))
 
     def _stand_later(self) -> None:
         self._stands_later = False
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -78,14 +78,14 @@
         front.changelog.may_begin_anew = True
         self.agent = Agent(
             self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
-            self._own(), self.zones.seat, self.tallies.worths, settings.timing.of_stages, monotonic_ms(),
-            settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
+            self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
+            monotonic_ms(), settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
         )  # fmt: skip
         self.joined = self._join(front, self.state, settings, self.life)
         self.joined.use_before(self._used)
         self.calls = Counted(self.joined.door, self.deployment.settings.classes, self.tallies.ended)
         front.port.table = self.calls
-        self.zones.riders[RECOVERY] = self
+        self.zones.log_clients[RECOVERY] = self
         self.state.riders[w.RIDER] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
         self.note("recovery on", told | {"store": self.kept.whole.value, "why": self.kept.why})
@@ -103,7 +103,7 @@
         self.calls.counting = False
         self.joined.close()
         self.front.port.waits_for.discard(RECOVERY)
-        self.zones.riders.pop(RECOVERY, None)
+        self.zones.log_clients.pop(RECOVERY, None)
         self.state.riders.pop(w.RIDER, None)
 
     # --- the seam -------------------------------------------------------------------------------
@@ -189,7 +189,7 @@
 
     # --- the riders -----------------------------------------------------------------------------
 
-    def heard(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
+    def on_messages(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
         for data in words:
             self._word(sender, data, self.agent.hear_zone)
 
@@ -210,14 +210,14 @@
             self.note("word dropped", {"sender": sender, "counts": dict(counts)})
         self._carry_out(effects)
 
-    def decided(self, text: str) -> None:
+    def on_register_decided(self, text: str) -> None:
         self._carry_out(self.agent.decided(monotonic_ms(), text))
 
-    def turned(self) -> None:
+    def on_role_changed(self) -> None:
         if not self._stopped and (effects := self.agent.turned(monotonic_ms())):
             self._carry_out(effects)
 
-    def members_taken(self) -> None:
+    def on_membership_changed(self) -> None:
         self._carry_out(self.agent.take_lists(monotonic_ms(), self._lists()))
 
     # --- time -----------------------------------------------------------------------------------
@@ -253,7 +253,7 @@
             if isinstance(effect, Say):
                 self._say(effect)
             elif isinstance(effect, Decide):
-                if not self.zones.put(effect.register, RECOVERY):
+                if not self.zones.propose_register(effect.register, RECOVERY):
                     self.agent.not_put()
             elif isinstance(effect, Go):
                 self._go_by(effect)
@@ -296,7 +296,7 @@
         """The end of the turn."""
         words, self._words = self._words, []
         for at in range(0, 0 if self._stopped else len(words), WORDS_MOST):
-            self.zones.say(words[at : at + WORDS_MOST])
+            self.zones.send_messages(words[at : at + WORDS_MOST])
 
     def _show(self) -> None:
         """Tell how this one stands, where that is another way than before."""
@@ -306,7 +306,7 @@
         shown = showing.shown(self.agent, now)
         if shown != self._shown:
             self._shown, self._shown_ms = shown, now
-            self.zones.stand(msgspec.to_builtins(shown), RECOVERY)
+            self.zones.publish_status(msgspec.to_builtins(shown), RECOVERY)
 
 
 def _digest(data: bytes) -> str:
--- a/fawnwharf/zones/log_lines.py
+++ b/fawnwharf/zones/log_lines.py
@@ -21,9 +21,11 @@
 class ClientMessage(Struct, frozen=True, omit_defaults=True):
     """A message of a log client: to these members, or to whoever leads the voters where none is named."""
 
-    said: Any
-    to: Annotated[tuple[s.Name, ...], Meta(max_length=s.MAX_MEMBERS)] = ()
-    rider: s.Name = POLICY
+    body: Any = msgspec.field(name="said")
+    recipients: Annotated[tuple[s.Name, ...], Meta(max_length=s.MAX_MEMBERS)] = msgspec.field(
+        name="to", default=()
+    )
+    client: s.Name = msgspec.field(name="rider", default=POLICY)
 
 
 ClientMessages = Annotated[tuple[ClientMessage, ...], Meta(max_length=MAX_MESSAGES)]
@@ -39,9 +41,13 @@
     fresh: bool = False  # the leader's word, at this moment: no later plan is decided than this index
     index: Annotated[int, Meta(ge=0)] = 0  # of the plan, or of what is fresh
     term: Annotated[int, Meta(ge=0)] = 0
-    ballot: Any = None  # a message of the voting
-    saves: Annotated[int, Meta(ge=0)] = 0  # times that the voter's disk was written, ever, as of this ballot
-    words: Any = None  # of a rider, checked by themselves: bad ones cost nothing else
+    voter_message: Any = msgspec.field(name="ballot", default=None)  # a message of the voting
+    disk_writes: Annotated[int, Meta(ge=0)] = msgspec.field(
+        name="saves", default=0
+    )  # times that the voter's disk was written, ever, as of this ballot
+    messages: Any = msgspec.field(
+        name="words", default=None
+    )  # of a rider, checked by themselves: bad ones cost nothing else
     policy: Any = None  # how this member stands to changes of policy
     recovery: Any = None  # and in a recovery
 
@@ -89,9 +95,9 @@
     """
 
     sender: str
-    words: tuple[Any, ...]
-    standing: Any
-    rider: str = POLICY
+    messages: tuple[Any, ...]
+    status: Any
+    client: str = POLICY
 
 
 class RegisterDecided(Struct, frozen=True):
@@ -146,6 +152,6 @@
     """The messages to this member, or to whoever leads, by log client; raises msgspec.ValidationError."""
     found: dict[str, tuple[Any, ...]] = {}
     for word in msgspec.convert(data, ClientMessages):
-        if not word.to or name in word.to:
-            found[word.rider] = (*found.get(word.rider, ()), word.said)
+        if not word.recipients or name in word.recipients:
+            found[word.client] = (*found.get(word.client, ()), word.body)
     return found
--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -136,7 +136,7 @@
 
     def _heard(self, sender: str, line: LogLine) -> list[Effect]:
         try:
-            words = messages_for(self.name, line.words) if line.words is not None else {}
+            words = messages_for(self.name, line.messages) if line.messages is not None else {}
         except msgspec.ValidationError:
             self.counts.add("bad words")
             return [LogEvent("bad words", {"sender": sender, "counts": dict(self.counts.dropped)})]
@@ -157,7 +157,7 @@
 
     def _ballot(self, now_ms: float, sender: str, line: LogLine) -> list[Effect]:
         try:
-            message = m.message_from(line.ballot)
+            message = m.message_from(line.voter_message)
         except msgspec.ValidationError as error:
             raise LogLineError(f"not a ballot: {error}") from None
         if message.sender.partition("#")[0] != sender:
@@ -166,13 +166,13 @@
         if self.voter is None or not entry.ballots:
             self.counts.add("ballot of no voter")
             return []
-        if (most := self.heard_saves.get(message.sender, 0)) > line.saves:
+        if (most := self.heard_saves.get(message.sender, 0)) > line.disk_writes:
             # Its disk is an older copy of itself: what it promised since is lost to it, and it might vote
             # twice.
             self.counts.add("ballot from an older disk")
-            fields = {"voter": message.sender, "saves": line.saves, "told before": most}
+            fields = {"voter": message.sender, "saves": line.disk_writes, "told before": most}
             return [LogEvent("older disk", fields)]
-        self.heard_saves[message.sender] = line.saves
+        self.heard_saves[message.sender] = line.disk_writes
         return self._voted(now_ms, self.voter.receive(now_ms, message))
 
     def take_members(self, now_ms: float, members: s.Membership) -> list[Effect]:
@@ -219,7 +219,8 @@
         soon = now_ms + self.settings.evidence.report_ms / 3
         self.report_due_ms = min(self.report_due_ms, soon)
 
-    def _line(self, **parts: Any) -> LogLine:
+    def make_line(self, **parts: Any) -> LogLine:
+        """A line of this member's log with these fields."""
         return LogLine(self.members.fleet, self.name, **parts)
 
     def _report(
@@ -231,7 +232,7 @@
             self.name, self.zone, self.number, seen, sizes, max(0.0, roster_ms), self.identity, self.wishes
         )
         self.judge.heard(now_ms, report)
-        return PublishLine(self._line(report=report))
+        return PublishLine(self.make_line(report=report))
 
     # --- voting and leading ---------------------------------------------------------------------
 
@@ -244,7 +245,9 @@
             elif isinstance(action, m.Say):
                 to = action.message.to.partition("#")[0]
                 ballot = msgspec.to_builtins(action.message)
-                effects.append(SendVoterMessage(to, self._line(ballot=ballot, saves=self.saves)))
+                effects.append(
+                    SendVoterMessage(to, self.make_line(voter_message=ballot, disk_writes=self.saves))
+                )
             else:
                 effects += self._decided(action)
         role = (self.voter.role.value, self.voter.saved.term)
@@ -279,7 +282,7 @@
         self.index, self.text = index, text
         return True
 
-    def seat(self, now_ms: float) -> ConsensusStatus:
+    def consensus_status(self, now_ms: float) -> ConsensusStatus:
         """The state of its voter, for those that change registers."""
         voter = self.voter
         if voter is None or not voter.is_leader:
@@ -289,7 +292,7 @@
         fresh = voter.fresh(now_ms)
         return ConsensusStatus(voter.saved.term, fresh, settled, policy, recovery, voter.saved.voters)
 
-    def put(self, now_ms: float, text: str, kind: str = POLICY) -> tuple[bool, list[Effect]]:
+    def propose_register(self, now_ms: float, text: str, kind: str = POLICY) -> tuple[bool, list[Effect]]:
         """Propose a register to the consensus log; False where it never came into the log."""
         if self.voter is None:
             return False, []
@@ -306,7 +309,7 @@
             index, term = self.voter.plan[0], self.voter.saved.term
             if index:
                 self.fresh_ms = now_ms
-                effects.append(PublishLine(self._line(fresh=True, index=index, term=term)))
+                effects.append(PublishLine(self.make_line(fresh=True, index=index, term=term)))
         return effects
 
     def _judge(self, now_ms: float) -> list[Effect]:
@@ -379,7 +382,7 @@
         effects: list[Effect] = []
         if self.index > self.published:  # whoever asks any member may have it
             self.published = self.index
-            effects.append(PublishLine(self._line(plan=self.text, index=self.index)))
+            effects.append(PublishLine(self.make_line(plan=self.text, index=self.index)))
         state = (self.index, self.valid(now_ms))
         if state == self.following:
             return effects
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -78,7 +78,7 @@
         self._sold = sum(deployment.settings.quotas_rps.values())  # before any limit stands among them
         self._spill: dict[str, float] = {}  # the most that a policy lets zones take of others' calls
         self._followed: FollowPlan | None = None
-        self.riders: dict[str, LogClient] = {}  # by the kinds of their registers
+        self.log_clients: dict[str, LogClient] = {}  # by the kinds of their registers
         self._zone_of: dict[int, str] = {}
         self._told_ms = now
         self._life = time.time_ns() // 1_000
@@ -182,7 +182,7 @@
                 zone = self._zone_of[event.worker]
                 self.observer.ended(now, zone, event.worker, event.ending, event.took_ms)
 
-    def limits(self, sold_rps: float, spill: dict[str, float]) -> None:
+    def apply_policy_limits(self, sold_rps: float, spill: dict[str, float]) -> None:
         """Take a policy's total quota and spillover by zone.
 
         They count where they are stricter than the plan.
@@ -257,8 +257,8 @@
                 self._note_once(effect)
             elif isinstance(effect, MessagesReceived | RegisterDecided):
                 self._pass_on(effect)
-        for rider in list(self.riders.values()):
-            rider.turned()
+        for rider in list(self.log_clients.values()):
+            rider.on_role_changed()
 
     def _write_out(self, effect: PublishLine | SendVoterMessage) -> None:
         line = effect.line
@@ -271,18 +271,18 @@
     def _pass_on(self, effect: MessagesReceived | RegisterDecided) -> None:
         """Hand a client of the logs what is for it."""
         if isinstance(effect, MessagesReceived):
-            if rider := self.riders.get(effect.rider):
-                rider.heard(effect.sender, effect.words, effect.standing)
-        elif rider := self.riders.get(effect.kind):
-            rider.decided(effect.text)
+            if rider := self.log_clients.get(effect.client):
+                rider.on_messages(effect.sender, effect.messages, effect.status)
+        elif rider := self.log_clients.get(effect.kind):
+            rider.on_register_decided(effect.text)
 
     # --- for riders -----------------------------------------------------------------------------
 
-    def say(self, words: list[ClientMessage]) -> None:
+    def send_messages(self, words: list[ClientMessage]) -> None:
         """Send a client's messages by this member's log: voters hear all, the others hear the voters."""
-        self._write_line(words=words)
+        self._write_line(messages=words)
 
-    def stand(self, standing: Any, rider: str = POLICY) -> None:
+    def publish_status(self, standing: Any, rider: str = POLICY) -> None:
         """Tell a client's status, to whoever comes, until its next one."""
         self._write_line(rider, **{rider: standing})
 
@@ -291,13 +291,13 @@
             line = LogLine(self.core.members.fleet, self.entry.name, **parts)
             self.public.write(msgspec.to_builtins(line), counts_as=counts_as)
 
-    def seat(self, now_ms: float) -> ConsensusStatus:
+    def consensus_status(self, now_ms: float) -> ConsensusStatus:
         """The state of this member's voter; a blank one after its disk has failed."""
-        return ConsensusStatus() if self._failed else self.core.seat(now_ms)
+        return ConsensusStatus() if self._failed else self.core.consensus_status(now_ms)
 
-    def put(self, text: str, kind: str = POLICY) -> bool:
+    def propose_register(self, text: str, kind: str = POLICY) -> bool:
         """Propose a register to the consensus log; False where it never came into the log."""
-        put, effects = self.core.put(monotonic_ms(), text, kind)
+        put, effects = self.core.propose_register(monotonic_ms(), text, kind)
         self._carry_out(effects)
         self._set_timer()
         return put
@@ -395,5 +395,5 @@
             return
         self._carry_out(self.core.take_members(monotonic_ms(), members))
         self._follow_members()
-        for rider in list(self.riders.values()):
-            rider.members_taken()
+        for rider in list(self.log_clients.values()):
+            rider.on_membership_changed()
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -123,7 +123,7 @@
     made = [
         log_lines.LogLine("f", "n0", **{log_lines.POLICY: {"ready": True}}),
         log_lines.LogLine("f", "n0", **{log_lines.RECOVERY: {"life": 1}}),
-        log_lines.LogLine("f", "n0", words=[log_lines.ClientMessage({"type": "Vote"}), word]),
+        log_lines.LogLine("f", "n0", messages=[log_lines.ClientMessage({"type": "Vote"}), word]),
     ]
     assert [member_log.line_encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
         '{"fleet":"f","sender":"n0","policy":{"ready":true}}',
@@ -131,7 +131,7 @@
         '{"fleet":"f","sender":"n0","words":[{"said":{"type":"Vote"}},'
         '{"said":{"type":"Abort"},"to":["n1"],"rider":"recovery"}]}',
     ]
-    found = log_lines.messages_for("n1", msgspec.to_builtins(made[2].words))
+    found = log_lines.messages_for("n1", msgspec.to_builtins(made[2].messages))
     assert found == {"policy": ({"type": "Vote"},), "recovery": ({"type": "Abort"},)}
 
 
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -56,7 +56,7 @@
         core = self.cores[name]
         self.agents[name] = Agent(
             name, "f", self.lives[name], self.marks.setdefault(name, "boot 1"), lists, self.own(name),
-            core.seat, WORTHS, TIMING, self.now, Pace(), 100.0, 150.0,
+            core.consensus_status, WORTHS, TIMING, self.now, Pace(), 100.0, 150.0,
         )  # fmt: skip
 
     # --- power ----------------------------------------------------------------------------------
@@ -86,8 +86,8 @@
         super().do(name, effects)
         agent = self.agents.get(name)
         for effect in effects:
-            if isinstance(effect, MessagesReceived) and effect.rider == RECOVERY:
-                for data in effect.words:
+            if isinstance(effect, MessagesReceived) and effect.client == RECOVERY:
+                for data in effect.messages:
                     self.act(name, agent.hear_zone(self.now, effect.sender, w.word_from(data)))
             elif isinstance(effect, RegisterDecided) and effect.kind == RECOVERY:
                 self.act(name, agent.decided(self.now, effect.text))
@@ -103,7 +103,7 @@
             elif isinstance(effect, Say):
                 self._say_by_state(name, effect)
             elif isinstance(effect, Decide):
-                put, more = core.put(self.now, effect.register, RECOVERY)
+                put, more = core.propose_register(self.now, effect.register, RECOVERY)
                 self.do(name, more)
                 if not put:
                     self.agents[name].not_put()
@@ -115,8 +115,8 @@
                 self.noted.append((name, effect.event, effect.fields))
 
     def _say_by_zones(self, name, effect):
-        line = self.cores[name]._line(
-            words=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
+        line = self.cores[name].make_line(
+            messages=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
         )
         for other in self.names:
             voter = self.file.named(name).ballots or self.file.named(other).ballots
@@ -183,7 +183,9 @@
     @property
     def leader(self):
         """The member that leads; None where none does."""
-        found = [n for n in self.up if self.agents[n].lead.term and self.cores[n].seat(self.now).fresh]
+        found = [
+            n for n in self.up if self.agents[n].lead.term and self.cores[n].consensus_status(self.now).fresh
+        ]
         return found[0] if found else None
 
     def calm(self):
--- a/tests/test_disk_faults_service.py
+++ b/tests/test_disk_faults_service.py
@@ -51,7 +51,7 @@
 def asked(zones, sender, term):
     """The voter's word on another's wish to lead in a term; None: it says nothing."""
     ask = m.Vote(f"{sender}#ab", zones.core.identity, term, 0, 0)
-    line = LogLine("f", sender, ballot=msgspec.to_builtins(ask), saves=term)
+    line = LogLine("f", sender, voter_message=msgspec.to_builtins(ask), disk_writes=term)
     said = len(zones.ballots.lines)
     zones._carry_out(zones.core.line(monotonic_ms(), sender, msgspec.to_builtins(line), True))
     return [line["ballot"]["granted"] for line in zones.ballots.lines[said:]]
@@ -67,7 +67,9 @@
         assert asked(zones, "n2", 2) == []
         assert notes.pop()[0] == "disk failed: no part in votes until a restart" and not notes
         faults.works()
-        assert asked(zones, "n2", 3) == [] and zones.core.voter is None and not zones.seat(0.0).fresh
+        assert (
+            asked(zones, "n2", 3) == [] and zones.core.voter is None and not zones.consensus_status(0.0).fresh
+        )
         told = len(zones.public.lines)
         zones._carry_out(zones.core.tick(monotonic_ms() + LONG_AGO_MS, {}, {}, 0.0))
         assert len(zones.public.lines) == told + 1  # its report, for the rest of the fleet
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -32,7 +32,7 @@
         names = tuple(entry.name for entry in self.file.members)
         self.agents[name] = Agent(
             name, names, self.known.get(name, KNOWN), Timing(), before.life + 1 if before else 1,
-            core.seat, core.voter is not None, self.disk_of.get(name, ""),
+            core.consensus_status, core.voter is not None, self.disk_of.get(name, ""),
         )  # fmt: skip
 
     def do(self, name, effects):
@@ -40,9 +40,9 @@
         agent = self.agents[name]
         for effect in effects:
             if isinstance(effect, MessagesReceived):
-                self.act(name, agent.heard(self.now, effect.sender, effect.words))
-                if effect.standing is not None:
-                    agent.standing_of(self.now, effect.sender, effect.standing)
+                self.act(name, agent.heard(self.now, effect.sender, effect.messages))
+                if effect.status is not None:
+                    agent.standing_of(self.now, effect.sender, effect.status)
             elif isinstance(effect, RegisterDecided):
                 self.act(name, agent.decided(self.now, effect.text))
         self.act(name, agent.turned(self.now))
@@ -52,9 +52,9 @@
         for effect in effects:
             if isinstance(effect, m.Say):
                 to = () if effect.to == m.LEADER else (effect.to,)
-                self.tell(name, core._line(words=[ClientMessage(effect.message, to)]))
+                self.tell(name, core.make_line(messages=[ClientMessage(effect.message, to)]))
             elif isinstance(effect, m.Decide):
-                put, more = core.put(self.now, effect.register)
+                put, more = core.propose_register(self.now, effect.register)
                 self.do(name, more)
                 if not put:
                     self.act(name, agent.not_put(self.now))
@@ -82,7 +82,7 @@
                 agent = self.agents[name]
                 if self.now >= agent.due_ms():
                     self.act(name, agent.tick(self.now))
-                self.tell(name, self.cores[name]._line(policy=agent.standing(self.now)))
+                self.tell(name, self.cores[name].make_line(policy=agent.standing(self.now)))
                 if agent.holder.leased(self.now):
                     acting.add(agent.holder.register.last.number)
             assert len(acting) <= 1
@@ -145,7 +145,7 @@
     fleet = begun()
     first, name = fleet.leader(), fleet.follower()
     # It asks its voters, or doesn't get that far; what they answer, and what it says after, is lost.
-    fleet.hold = lambda sender, line: line.ballot is not None and (sender != first or not reaches)
+    fleet.hold = lambda sender, line: line.voter_message is not None and (sender != first or not reaches)
     fleet.say(name, 1, propose=quota(5))
     steward = fleet.agents[first].steward
     fleet.until(lambda: steward.open is not None and steward.open.deciding)
@@ -253,7 +253,7 @@
     fleet.dead.add(back)
     fleet.say(name, 2, propose=quota(6))
     assert fleet.done(name, 2).state == "in force"  # once its lease was over
-    fleet.hold = lambda sender, line: sender == leader and line.words is not None
+    fleet.hold = lambda sender, line: sender == leader and line.messages is not None
     fleet.start(back, f"{back}#0")
     fleet.run(1.0)
     holder = fleet.agents[back].holder
@@ -273,7 +273,7 @@
         [note] = core.line(fleet.now, "n1", line | {"words": words}, False)
         assert note.event == "bad words"
     [heard] = core.line(fleet.now, "n1", line | {"words": [{"said": {"type": "Grant"}}, {"said": 3}]}, False)
-    assert agent.heard(fleet.now, "n1", heard.words) == []
+    assert agent.heard(fleet.now, "n1", heard.messages) == []
     agent.standing_of(fleet.now, "n1", {"ready": 3})
     assert agent.counts == {"bad word": 2, "bad standing": 1} and core.counts.dropped["bad words"] == 4
     assert not core.line(fleet.now, "n1", line | {"words": [{"said": 1, "to": ["n2"]}]}, False)
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -150,7 +150,7 @@
     node = site.nodes[0]
     before = dict(node.agent.counts)
     for word in (1, {"type": "Other"}, {"type": "Ask", "fleet": "g", "life": 1, "turn": 1, "what": 0}):
-        node.part.heard("n1", (word,), None)
+        node.part.on_messages("n1", (word,), None)
         node.part._heard_state(0.0, "n1", 1, word)
     gained = {why: n - before.get(why, 0) for why, n in node.agent.counts.items() if n != before.get(why, 0)}
     assert gained == {"bad word": 4, "another fleet's": 2}
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -279,7 +279,7 @@
     line["words"] = [{"said": "p"}, {"said": "r", "rider": "recovery"}, {"said": "q", "to": ["n2"]}]
     found = fleet.cores["n0"].line(1.0, "n1", line, False)
     heard = {
-        effect.rider: (effect.words, effect.standing)
+        effect.client: (effect.messages, effect.status)
         for effect in found
         if isinstance(effect, MessagesReceived)
     }
@@ -299,12 +299,12 @@
 
     fleet.do = kept
     for text, kind in (("one", "policy"), ("two", "recovery"), ("three", "policy")):
-        put, effects = fleet.cores[leader].put(fleet.now, text, kind)
+        put, effects = fleet.cores[leader].propose_register(fleet.now, text, kind)
         assert put
         fleet.do(leader, effects)
         fleet.run(0.5)
     assert list(found.values()) == [[("policy", "one"), ("recovery", "two"), ("policy", "three")]] * 3
-    seat = fleet.cores[leader].seat(fleet.now)
+    seat = fleet.cores[leader].consensus_status(fleet.now)
     assert (seat.policy, seat.recovery, seat.fresh, len(seat.voters)) == ("three", "two", True, 3)
 
 
@@ -317,7 +317,7 @@
         for effect in effects:
             kept[name] += isinstance(effect, SaveVoterState)
             if isinstance(effect, SendVoterMessage):
-                assert effect.line.saves == kept[name]
+                assert effect.line.disk_writes == kept[name]
         do(name, effects)
 
     fleet.do = count
