--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -12,16 +12,21 @@
      "staging": {"fetches_rps": 5, "free_part": 0.2, "cold_part": 0.1, "memory_mb": 64}}
 """
 
+from collections.abc import Callable
+from collections.abc import Mapping
+from fawnwharf.zones.settings import DurationMs
+from fawnwharf.zones.settings import Fraction
+from fawnwharf.zones.settings import Name
+from msgspec import Meta
+from msgspec import Struct
+from typing import Annotated
+from typing import Any
+from typing import Literal
 import functools
 import hashlib
 import math
-from collections.abc import Callable, Mapping
-from typing import Annotated, Any, Literal
-
 import msgspec
-from msgspec import Meta, Struct
 
-from fawnwharf.zones.settings import Name, Share, Span
 
 VERSION = 1
 MAX_TEXT_LENGTH = 24_000  # characters: two of them, and what is around them, fit into one decision of the log
@@ -54,16 +59,16 @@
 
 
 KEY_RULES: dict[Path, KeyRule] = {
-    ("classes", "*", "promise_ms"): KeyRule(Span, None),
-    ("classes", "*", "give_up_ms"): KeyRule(Span, min),
+    ("classes", "*", "promise_ms"): KeyRule(DurationMs, None),
+    ("classes", "*", "give_up_ms"): KeyRule(DurationMs, min),
     ("tenants", "*", "quota_rps"): KeyRule(Rate, min, True),
-    ("admission", "*"): KeyRule(Share, min, True),
-    ("spill", "*"): KeyRule(Share, min, True),
+    ("admission", "*"): KeyRule(Fraction, min, True),
+    ("spill", "*"): KeyRule(Fraction, min, True),
     ("modes", "*"): KeyRule(Mode, _more_careful),
-    ("window_ms", "*"): KeyRule(Span, max),
+    ("window_ms", "*"): KeyRule(DurationMs, max),
     ("staging", "fetches_rps"): KeyRule(Rate, min, True),
-    ("staging", "free_part"): KeyRule(Share, min, True),
-    ("staging", "cold_part"): KeyRule(Share, min, True),
+    ("staging", "free_part"): KeyRule(Fraction, min, True),
+    ("staging", "cold_part"): KeyRule(Fraction, min, True),
     ("staging", "memory_mb"): KeyRule(Rate, min, True),
 }
 
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -3,33 +3,40 @@
 Messages by the zones' logs, files, and what follows for its parts.
 """
 
-import time
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any
-
-import msgspec
-
 from fawnwharf import interface as io
-from fawnwharf.config import ConfigError, Deployment, Fleet
+from fawnwharf.config import ConfigError
+from fawnwharf.config import Deployment
+from fawnwharf.config import Fleet
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import unix_ms
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.call_binding import CallPolicyBinding, class_spec_under, with_bound_classes
+from fawnwharf.policy_rollout.call_binding import CallPolicyBinding
+from fawnwharf.policy_rollout.call_binding import class_spec_under
+from fawnwharf.policy_rollout.call_binding import with_bound_classes
 from fawnwharf.policy_rollout.call_trace import CallTrace
-from fawnwharf.policy_rollout.document import (
-    DeploymentCapabilities,
-    Document,
-    document_from_object,
-    find_incompatibility,
-)
+from fawnwharf.policy_rollout.document import DeploymentCapabilities
+from fawnwharf.policy_rollout.document import Document
+from fawnwharf.policy_rollout.document import document_from_object
+from fawnwharf.policy_rollout.document import find_incompatibility
 from fawnwharf.policy_rollout.message_batcher import MessageBatcher
-from fawnwharf.policy_rollout.policy_applier import PolicyApplier, deployment_capabilities
+from fawnwharf.policy_rollout.policy_applier import PolicyApplier
+from fawnwharf.policy_rollout.policy_applier import deployment_capabilities
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
-from fawnwharf.policy_rollout.settings import RolloutSettings, decode_operator_request, decode_settings
-from fawnwharf.zones.files import WatchedFile, load
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.policy_rollout.settings import RolloutSettings
+from fawnwharf.policy_rollout.settings import decode_operator_request
+from fawnwharf.policy_rollout.settings import decode_settings
+from fawnwharf.zones.files import WatchedFile
+from fawnwharf.zones.files import load_file
+from fawnwharf.zones.settings import SettingsFileError
+from pathlib import Path
+from typing import Any
+import msgspec
+import time
+
 
 NAME = "policy"
 POLICY_FILE, REQUEST_FILE = "policy.json", "proposal.json"
@@ -56,7 +63,7 @@
         `made` has the other parts by name, of which `zones` has to be there already.
         """
         self.deployment, self.note, self._made = deployment, write, made
-        self.settings: RolloutSettings = load(Path(path), decode_settings, NAME)
+        self.settings: RolloutSettings = load_file(Path(path), decode_settings, NAME)
         self.zones = made["zones"]
         self._kept_file = self.zones.folder / POLICY_FILE
         self._said_file = WatchedFile(self.zones.folder / REQUEST_FILE)
@@ -127,7 +134,7 @@
         core, state, known = self.zones.core, self._made.get("state"), self._known()
         self.agent = RolloutMember(
             self.zones.entry.name, self._names(), known, self.settings.timing, self.life,
-            self.zones.seat, core.voter is not None, self._register,
+            self.zones.consensus_status, core.voter is not None, self._register,
         )  # fmt: skip
         self._outbox = MessageBatcher(front.loop, self.zones, self._too_much)
         self._follower = PolicyApplier(self.deployment, front, self.zones, state)
@@ -138,7 +145,7 @@
             below, self._take, self.agent.holder.done, self._ended, unix_ms, front.loop.wheel.after
         )
         front.port.table = self.calls
-        self.zones.riders[NAME] = self
+        self.zones.log_clients[NAME] = self
         if self._said_file.changed() is not None:
             self.note("proposal left aside", {"why": "it was said before this start"})
         self.note("policy on", {"life": self.life, "voter": core.voter is not None})
@@ -213,7 +220,7 @@
 
     # --- the rider ------------------------------------------------------------------------------
 
-    def heard(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
+    def on_messages(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
         """Take messages and the status of another member."""
         now = monotonic_ms()
         dropped = sum(self.agent.counts.values())
@@ -224,16 +231,16 @@
             self.note("word dropped", {"sender": sender, "counts": dict(self.agent.counts)})
         self._carry_out(effects)
 
-    def decided(self, text: str) -> None:
+    def on_register_decided(self, text: str) -> None:
         """Take a register that the consensus log decided."""
         self._carry_out(self.agent.decided(monotonic_ms(), text))
 
-    def turned(self) -> None:
+    def on_role_changed(self) -> None:
         """Take that this member's voter may have begun or ceased to lead."""
         if not self._stopped and (effects := self.agent.turned(monotonic_ms())):
             self._carry_out(effects)
 
-    def members_taken(self) -> None:
+    def on_membership_changed(self) -> None:
         """Take that the list of members changed."""
         self._outbox.forget_grants()
         known = self._known()
@@ -266,7 +273,7 @@
             if isinstance(effect, m.Send):
                 self._outbox.send(effect)
             elif isinstance(effect, m.ProposeRegister):
-                if not self.zones.put(effect.register):
+                if not self.zones.propose_register(effect.register):
                     self._carry_out(self.agent.not_put(monotonic_ms()))
             elif isinstance(effect, m.StoreRegister):
                 self._keep(effect.register)
@@ -331,7 +338,7 @@
                 self.front.loop.wheel.after(STAND_MS, self._stand_later)
             return
         self._told, self._told_ms = standing, now
-        self.zones.stand(msgspec.to_builtins(standing))
+        self.zones.publish_status(msgspec.to_builtins(standing))
 
     def _stand_later(self) -> None:
         self._stands_later = False
@@ -367,12 +374,14 @@
             said = decode_operator_request(data)
             number = said.number
             if number <= self._wish:
-                raise FileFault(f"number: {number} is not larger than {self._wish}, of the word before")
+                raise SettingsFileError(
+                    f"number: {number} is not larger than {self._wish}, of the word before"
+                )
             if said.propose is not None:
                 fault = find_incompatibility(document_from_object(said.propose), self.agent.known)
                 if fault:
-                    raise FileFault(fault)
-        except FileFault as error:
+                    raise SettingsFileError(fault)
+        except SettingsFileError as error:
             self.note("proposal left aside", {"fault": str(error)})
             if number > self._wish:
                 self._wish = number
--- a/fawnwharf/policy_rollout/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -4,14 +4,17 @@
 milliseconds.
 """
 
-from typing import Annotated, Any
-
+from fawnwharf.policy_rollout.document import DocumentError
+from fawnwharf.policy_rollout.document import document_from_object
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.zones.settings import DurationMs
+from fawnwharf.zones.settings import SettingsFileError
+from msgspec import Meta
+from msgspec import Struct
+from typing import Annotated
+from typing import Any
 import msgspec
-from msgspec import Meta, Struct
 
-from fawnwharf.policy_rollout.document import DocumentError, document_from_object
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
-from fawnwharf.zones.settings import FileFault, Span
 
 VERSION = 1
 
@@ -20,10 +23,10 @@
     """The file that switches policy rollouts on; the voters' values count for the fleet."""
 
     version: int
-    lease_ms: Span = 2_000.0  # a front end acts by an epoch for so long without a leader's word
-    renew_ms: Span = 500.0  # pace of its questions
-    prepare_ms: Span = 6_000.0  # for all to answer a proposal
-    again_ms: Span = 500.0  # pace at which what is not answered is said again
+    lease_ms: DurationMs = 2_000.0  # a front end acts by an epoch for so long without a leader's word
+    renew_ms: DurationMs = 500.0  # pace of its questions
+    prepare_ms: DurationMs = 6_000.0  # for all to answer a proposal
+    again_ms: DurationMs = 500.0  # pace at which what is not answered is said again
     skew: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.1  # by which clocks' rates may differ
     trace: str = ""  # a file for a line a call, for trials; a relative path is from the settings' own folder
 
@@ -47,23 +50,25 @@
     try:
         raw = msgspec.json.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise FileFault(f"{what}: not JSON: {' '.join(str(error).split())[:200]}") from None
+        raise SettingsFileError(f"{what}: not JSON: {' '.join(str(error).split())[:200]}") from None
     if isinstance(raw, dict) and raw.get("version") != VERSION:
-        raise FileFault(f"version: {raw.get('version')!r}, and this program knows {VERSION}")
+        raise SettingsFileError(f"version: {raw.get('version')!r}, and this program knows {VERSION}")
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise FileFault(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
+        raise SettingsFileError(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
 
 
 def decode_settings(data: bytes) -> RolloutSettings:
     """Parse and check the settings; raises FileFault."""
     found: RolloutSettings = _read(data, RolloutSettings, "settings")
     if found.renew_ms * 2 > found.lease_ms:
-        raise FileFault("renew_ms: two do not fit into lease_ms")
+        raise SettingsFileError("renew_ms: two do not fit into lease_ms")
     if found.prepare_ms < found.timing.over_ms:
-        raise FileFault(f"prepare_ms: less than a lease by the slowest clock, {found.timing.over_ms:.0f}")
+        raise SettingsFileError(
+            f"prepare_ms: less than a lease by the slowest clock, {found.timing.over_ms:.0f}"
+        )
     return found
 
 
@@ -71,10 +76,10 @@
     """Parse a request and check its document, where it has one, by itself; raises FileFault."""
     said: OperatorRequest = _read(data, OperatorRequest, "proposal")
     if (said.propose is not None) + (said.call_off is not None) + said.back != 1:
-        raise FileFault("proposal: one of propose, call_off and back is wanted")
+        raise SettingsFileError("proposal: one of propose, call_off and back is wanted")
     if said.propose is not None:
         try:
             document_from_object(said.propose)
         except DocumentError as error:
-            raise FileFault(str(error)) from None
+            raise SettingsFileError(str(error)) from None
     return said
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -1,19 +1,21 @@
 """`fawnwharf state`: what operators see of the calls that front ends keep together."""
 
+from fawnwharf.config import address_from
+from fawnwharf.replication import messages as m
+from fawnwharf.replication import settings as s
+from fawnwharf.replication.placement import ReplicaPlacement
+from fawnwharf.zones.settings import Membership
+from fawnwharf.zones.settings import SettingsFileError
+from fawnwharf.zones.settings import membership_from
+from pathlib import Path
+from typing import Annotated
+from typing import Any
 import json
+import msgspec
 import socket
 import time
-from pathlib import Path
-from typing import Annotated, Any
-
-import msgspec
 import typer
 
-from fawnwharf.config import address_from
-from fawnwharf.replication import messages as m
-from fawnwharf.replication import settings as s
-from fawnwharf.replication.placement import ReplicaPlacement
-from fawnwharf.zones.settings import FileFault, Members, members_from
 
 LAGS_MOST = 8  # front ends whose lag is shown
 app = typer.Typer(no_args_is_help=True, help="Calls that front ends keep together.")
@@ -26,14 +28,14 @@
     raise typer.Exit(status)
 
 
-def _files(path: str) -> tuple[s.ReplicationSettings, Members]:
+def _files(path: str) -> tuple[s.ReplicationSettings, Membership]:
     try:
         settings = s.parse_settings(Path(path).read_bytes())
-        members = members_from((Path(path).parent / settings.members).read_bytes())
+        members = membership_from((Path(path).parent / settings.members).read_bytes())
         s.check_members(members, settings)
     except OSError as error:
         _fail(f"state: {error.filename}: {error.strerror}")
-    except FileFault as error:
+    except SettingsFileError as error:
         _fail(f"state: {path}: {error}")
     return settings, members
 
@@ -56,7 +58,7 @@
     raise ValueError("it told nothing of itself")
 
 
-def _look(members: Members, name: str) -> m.Status | str:
+def _look(members: Membership, name: str) -> m.Status | str:
     entry = members.named(name)
     if entry is None or not entry.state:
         _fail(f"state: no member {name} with a log of state")
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -59,13 +59,13 @@
             raise config.ConfigError(f"--{name}: goes by the logs of --{missing[0]}, which is not given")
     makers: dict[str, Maker] = {}
     if files:
-        from fawnwharf.zones.log import writer
+        from fawnwharf.zones.operator_log import writer
 
         write = writer(deployment.name)
     if place := files.get("zones"):
-        from fawnwharf.zones.service import Zones
+        from fawnwharf.zones.service import ZoneService
 
-        makers["zones"] = lambda first, made, place=place: Zones(deployment, place, write)
+        makers["zones"] = lambda first, made, place=place: ZoneService(deployment, place, write)
     if place := files.get("recovery"):
         from fawnwharf.recovery_service.onstore import kept
 
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -31,7 +31,7 @@
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import judge, lines, links, plan
+from fawnwharf.zones import log_lines, member_log, plan, planner
 from fawnwharf.zones import settings as zone_settings
 
 CORPUS = Path(__file__).parent / "corpus"
@@ -53,7 +53,7 @@
 
 def on_line(value: Any) -> bytes:
     """Encode a value as it goes into a line of a log: as builtins, by the logs' encoder."""
-    return links.encoder.encode(msgspec.to_builtins(value))
+    return member_log.line_encoder.encode(msgspec.to_builtins(value))
 
 
 def line(kind: Any, read: Callable[[Any], Any], through: str = "") -> Boundary:
@@ -122,14 +122,14 @@
     "sessions/left": file(left._Left),
     "sessions/stored": converted(left._One),
     "sessions/wishes": file(session_settings.Wishes),
-    "zones/line": converted(lines.Line),
-    "zones/words": converted(lines.Words),
+    "zones/line": converted(log_lines.LogLine),
+    "zones/words": converted(log_lines.ClientMessages),
     "zones/plan": Boundary(
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
-    "zones/report": converted(judge.Report),
-    "zones/wishes": file(zone_settings.Wishes),
-    "zones/members": file(zone_settings.Members),
+    "zones/report": converted(planner.Report),
+    "zones/wishes": file(zone_settings.OperatorRequest),
+    "zones/members": file(zone_settings.Membership),
     "scorers/fleet": Boundary(
         config.Fleet, lambda data: config.fleet_from(msgspec.json.decode(data)), msgspec.json.encode
     ),
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -3,14 +3,6 @@
 The expected texts are those that commit 9d9ccab wrote.
 """
 
-import json
-import re
-import socket
-
-import msgspec
-import pytest
-from typer.testing import CliRunner
-
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import memory as beliefs
 from fawnwharf.admin.channel import Place
@@ -27,24 +19,39 @@
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
-from fawnwharf.policy_rollout.document import Document, parse_register
+from fawnwharf.policy_rollout.document import Document
+from fawnwharf.policy_rollout.document import parse_register
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_core.trust import Clock, Kind
-from fawnwharf.recovery_service import joined, kept
+from fawnwharf.recovery_core.trust import Clock
+from fawnwharf.recovery_core.trust import Kind
+from fawnwharf.recovery_service import joined
+from fawnwharf.recovery_service import kept
 from fawnwharf.recovery_service import settings as recovery_settings
 from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
-from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.session_types import Home, Session
-from fawnwharf.sessions import foreseen, left
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.session_types import Home
+from fawnwharf.session_types import Session
+from fawnwharf.sessions import foreseen
+from fawnwharf.sessions import left
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import lines, links, plan
+from fawnwharf.zones import log_lines
+from fawnwharf.zones import member_log
+from fawnwharf.zones import plan
 from fawnwharf.zones import settings as zone_settings
+from typer.testing import CliRunner
+import json
+import msgspec
+import pytest
+import re
+import socket
+
 
 RUNNER = CliRunner()
 SITES = {"a", "b", "c"}
@@ -75,7 +82,7 @@
 def served():
     """A log server of life 7 on a loopback port, and its loop."""
     loop = Loop(lambda now_ms, events: None, lambda text: None)
-    server = links.LogServer(loop, ("127.0.0.1", 0), 7, 8)
+    server = member_log.LogServer(loop, ("127.0.0.1", 0), 7, 8)
     yield loop, server
     server.close()
 
@@ -110,7 +117,7 @@
     """In order, by life and number; a gap or another life has it ask anew."""
     told = []
     loop = Loop(lambda now_ms, events: None, lambda text: None)
-    log = links.MemberLog(loop, ("127.0.0.1", 9), told.append, lambda text: None)
+    log = member_log.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
     rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
     assert [log.event(json.loads(row)) for row in rows] == [True, True]
     assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.life) == (3, 7)
@@ -119,19 +126,19 @@
 
 def test_a_member_s_line_has_what_riders_say_and_how_they_stand():
     """The keys of a status are the riders' names; words name the rider unless it is policy."""
-    word = lines.Word({"type": "Abort"}, ("n1",), lines.RECOVERY)
+    word = log_lines.ClientMessage({"type": "Abort"}, ("n1",), log_lines.RECOVERY)
     made = [
-        lines.Line("f", "n0", **{lines.POLICY: {"ready": True}}),
-        lines.Line("f", "n0", **{lines.RECOVERY: {"life": 1}}),
-        lines.Line("f", "n0", words=[lines.Word({"type": "Vote"}), word]),
+        log_lines.LogLine("f", "n0", **{log_lines.POLICY: {"ready": True}}),
+        log_lines.LogLine("f", "n0", **{log_lines.RECOVERY: {"life": 1}}),
+        log_lines.LogLine("f", "n0", messages=[log_lines.ClientMessage({"type": "Vote"}), word]),
     ]
-    assert [links.encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
+    assert [member_log.line_encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
         '{"fleet":"f","sender":"n0","policy":{"ready":true}}',
         '{"fleet":"f","sender":"n0","recovery":{"life":1}}',
         '{"fleet":"f","sender":"n0","words":[{"said":{"type":"Vote"}},'
         '{"said":{"type":"Abort"},"to":["n1"],"rider":"recovery"}]}',
     ]
-    found = lines.words_for("n1", msgspec.to_builtins(made[2].words))
+    found = log_lines.messages_for("n1", msgspec.to_builtins(made[2].messages))
     assert found == {"policy": ({"type": "Vote"},), "recovery": ({"type": "Abort"},)}
 
 
@@ -147,7 +154,7 @@
 def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
     """Within a whole line."""
     line = state.LogLine("f", "n0", 7, ("n1",), state.ClientMessage(rider, {"type": "status"}))
-    data = links.encoder.encode(msgspec.to_builtins(line)).decode()
+    data = member_log.line_encoder.encode(msgspec.to_builtins(line)).decode()
     assert data == (
         '{"fleet":"f","sender":"n0","life":7,"to":["n1"],'
         f'"say":{{"type":"ride","rider":"{recorded}","word":{{"type":"status"}}}}}}'
@@ -216,7 +223,7 @@
     path = tmp_path / "kept" / name
     assert numbered(path) == recorded
     read = {
-        "wishes.json": lambda data: zone_settings.wishes_from(data, SITES),
+        "wishes.json": lambda data: zone_settings.operator_request_from(data, SITES),
         "proposal.json": policy_settings.decode_operator_request,
         "moves.json": lambda data: session_settings.wishes_from(data, SITES),
     }[name]
@@ -314,7 +321,7 @@
     assert {rule.name: rule.mode for rule in kept.RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
     }  # fmt: skip
-    assert (plan.SERVING, plan.LEAVING, plan.OUT, plan.RETURNING) == (
+    assert (plan.SERVING, plan.DRAINING, plan.OUT, plan.RECOVERING) == (
         "serving", "leaving", "out", "returning",
     )  # fmt: skip
     assert policy.LEADER == "@leader" and policy.FINAL_STATES == ("ended", "refused", "in force")
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -1,16 +1,16 @@
 """Lives of members whose numbers have no order: clocks that were set back, disks that were lost."""
 
-import random
-
-import msgspec
-import pytest
-
-from fawnwharf.incarnations import MAX_KNOWN_INCARNATIONS, MAX_MEMBERS, IncarnationCounter
+from fawnwharf.incarnations import IncarnationCounter
+from fawnwharf.incarnations import MAX_KNOWN_INCARNATIONS
+from fawnwharf.incarnations import MAX_MEMBERS
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import DeploymentCapabilities
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
-from fawnwharf.zones.lines import Seat
+from fawnwharf.zones.log_lines import ConsensusStatus
+import msgspec
+import pytest
+import random
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
     """The agent of a voter that leads, a lease's time after it began: it may grant."""
     known = DeploymentCapabilities(frozenset(), frozenset(), frozenset({"a"}))
     made = RolloutMember(
-        "n0", ("n0", "n1"), known, RolloutTiming(), 50, lambda now: Seat(1, True, True, ""), True
+        "n0", ("n0", "n1"), known, RolloutTiming(), 50, lambda now: ConsensusStatus(1, True, True, ""), True
     )
     now = 0.0
     for _ in range(40):
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -1,30 +1,31 @@
 """What keepers hold of a call: settings, placement, the laws of merging, and how claims are read."""
 
-import itertools
-from pathlib import Path
-
-import msgspec
-import pytest
-from cores import FLEET, RULES
-from hypothesis import given, settings, strategies
-
+from cores import FLEET
+from cores import RULES
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.settings import decode_settings as policy_settings
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claim_store import ClaimStore
-from fawnwharf.replication.claims import (
-    CallState,
-    Claim,
-    ClaimPhase,
-    contradicts,
-    merge_claims,
-    summarize_claims,
-)
+from fawnwharf.replication.claims import CallState
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.claims import contradicts
+from fawnwharf.replication.claims import merge_claims
+from fawnwharf.replication.claims import summarize_claims
 from fawnwharf.replication.placement import ReplicaPlacement
 from fawnwharf.testbed.promises import fleet_file
-from fawnwharf.zones.settings import FileFault, members_from
+from fawnwharf.zones.settings import SettingsFileError
+from fawnwharf.zones.settings import membership_from
 from fawnwharf.zones.settings import settings_from as zone_settings
+from hypothesis import given
+from hypothesis import settings
+from hypothesis import strategies
+from pathlib import Path
+import itertools
+import msgspec
+import pytest
+
 
 # --- settings -----------------------------------------------------------------------------------
 
@@ -45,13 +46,13 @@
     ],
 )
 def test_a_faulty_settings_file_names_its_key(data, fault):
-    with pytest.raises(FileFault) as caught:
+    with pytest.raises(SettingsFileError) as caught:
         s.parse_settings(data)
     assert fault in str(caught.value)
 
 
 def test_a_fleet_with_too_few_zones_that_keep_is_a_fault():
-    with pytest.raises(FileFault):
+    with pytest.raises(SettingsFileError):
         s.check_members(fleet_file("aaa"), RULES)
     s.check_members(FLEET, RULES)
 
@@ -223,7 +224,7 @@
     zones = zone_settings((folder / "zones.json").read_bytes())
     state = s.parse_settings((folder / "state.json").read_bytes())
     assert zones.members == state.members == "members.json"
-    members = members_from((folder / "members.json").read_bytes())
+    members = membership_from((folder / "members.json").read_bytes())
     s.check_members(members, state)
     assert (
         len(members.voters) == 3 and ReplicaPlacement(members, state.zones, state.per_zone).enough("k") == 2
