--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -1,25 +1,23 @@
 """`fawnwharf policy`: what operators see of the policy in force, and how they change it."""
 
-from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import DeploymentCapabilities
-from fawnwharf.policy_rollout.document import Document
-from fawnwharf.policy_rollout.document import DocumentError
-from fawnwharf.policy_rollout.document import find_incompatibility
-from fawnwharf.policy_rollout.document import parse_document
-from fawnwharf.policy_rollout.service import REQUEST_FILE
-from fawnwharf.zones import settings as s
-from fawnwharf.zones.command_helpers import MemberOption
-from fawnwharf.zones.command_helpers import current_lines
-from fawnwharf.zones.command_helpers import fail
-from fawnwharf.zones.command_helpers import log_address
-from fawnwharf.zones.command_helpers import read_files
-from pathlib import Path
-from typing import Annotated
-from typing import Any
 import json
 import time
+from pathlib import Path
+from typing import Annotated, Any
+
 import typer
 
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import (
+    DeploymentCapabilities,
+    Document,
+    DocumentError,
+    find_incompatibility,
+    parse_document,
+)
+from fawnwharf.policy_rollout.service import REQUEST_FILE
+from fawnwharf.zones import settings as s
+from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
 
 LOOK_S = 0.1
 app = typer.Typer(no_args_is_help=True, help="The policy that front ends decide by.")
--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -12,21 +12,16 @@
      "staging": {"fetches_rps": 5, "free_part": 0.2, "cold_part": 0.1, "memory_mb": 64}}
 """
 
-from collections.abc import Callable
-from collections.abc import Mapping
-from fawnwharf.zones.settings import DurationMs
-from fawnwharf.zones.settings import Fraction
-from fawnwharf.zones.settings import Name
-from msgspec import Meta
-from msgspec import Struct
-from typing import Annotated
-from typing import Any
-from typing import Literal
 import functools
 import hashlib
 import math
+from collections.abc import Callable, Mapping
+from typing import Annotated, Any, Literal
+
 import msgspec
+from msgspec import Meta, Struct
 
+from fawnwharf.zones.settings import DurationMs, Fraction, Name
 
 VERSION = 1
 MAX_TEXT_LENGTH = 24_000  # characters: two of them, and what is around them, fit into one decision of the log
--- a/fawnwharf/policy_rollout/rollout_member.py
+++ b/fawnwharf/policy_rollout/rollout_member.py
@@ -10,21 +10,22 @@
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
+from typing import Any
+
+import msgspec
+
 from fawnwharf.incarnations import IncarnationCounter
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import DeploymentCapabilities
-from fawnwharf.policy_rollout.document import DocumentError
-from fawnwharf.policy_rollout.document import parse_document
-from fawnwharf.policy_rollout.document import parse_register
+from fawnwharf.policy_rollout.document import (
+    DeploymentCapabilities,
+    DocumentError,
+    parse_document,
+    parse_register,
+)
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
 from fawnwharf.zones.log_lines import ConsensusStatus
-from typing import Any
-import msgspec
-
 
 OUTCOMES_MOST = 8  # of a reign, that are told
 WISHES_MOST = 4
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -3,40 +3,33 @@
 Messages by the zones' logs, files, and what follows for its parts.
 """
 
+import time
 from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
 from fawnwharf import interface as io
-from fawnwharf.config import ConfigError
-from fawnwharf.config import Deployment
-from fawnwharf.config import Fleet
+from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.net.timer_wheel import unix_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.call_binding import CallPolicyBinding
-from fawnwharf.policy_rollout.call_binding import class_spec_under
-from fawnwharf.policy_rollout.call_binding import with_bound_classes
+from fawnwharf.policy_rollout.call_binding import CallPolicyBinding, class_spec_under, with_bound_classes
 from fawnwharf.policy_rollout.call_trace import CallTrace
-from fawnwharf.policy_rollout.document import DeploymentCapabilities
-from fawnwharf.policy_rollout.document import Document
-from fawnwharf.policy_rollout.document import document_from_object
-from fawnwharf.policy_rollout.document import find_incompatibility
+from fawnwharf.policy_rollout.document import (
+    DeploymentCapabilities,
+    Document,
+    document_from_object,
+    find_incompatibility,
+)
 from fawnwharf.policy_rollout.message_batcher import MessageBatcher
-from fawnwharf.policy_rollout.policy_applier import PolicyApplier
-from fawnwharf.policy_rollout.policy_applier import deployment_capabilities
+from fawnwharf.policy_rollout.policy_applier import PolicyApplier, deployment_capabilities
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
-from fawnwharf.policy_rollout.settings import RolloutSettings
-from fawnwharf.policy_rollout.settings import decode_operator_request
-from fawnwharf.policy_rollout.settings import decode_settings
-from fawnwharf.zones.files import WatchedFile
-from fawnwharf.zones.files import load_file
+from fawnwharf.policy_rollout.settings import RolloutSettings, decode_operator_request, decode_settings
+from fawnwharf.zones.files import WatchedFile, load_file
 from fawnwharf.zones.settings import SettingsFileError
-from pathlib import Path
-from typing import Any
-import msgspec
-import time
-
 
 NAME = "policy"
 POLICY_FILE, REQUEST_FILE = "policy.json", "proposal.json"
--- a/fawnwharf/policy_rollout/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -4,17 +4,14 @@
 milliseconds.
 """
 
-from fawnwharf.policy_rollout.document import DocumentError
-from fawnwharf.policy_rollout.document import document_from_object
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
-from fawnwharf.zones.settings import DurationMs
-from fawnwharf.zones.settings import SettingsFileError
-from msgspec import Meta
-from msgspec import Struct
-from typing import Annotated
-from typing import Any
+from typing import Annotated, Any
+
 import msgspec
+from msgspec import Meta, Struct
 
+from fawnwharf.policy_rollout.document import DocumentError, document_from_object
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.zones.settings import DurationMs, SettingsFileError
 
 VERSION = 1
 
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -1,21 +1,19 @@
 """`fawnwharf state`: what operators see of the calls that front ends keep together."""
 
-from fawnwharf.config import address_from
-from fawnwharf.replication import messages as m
-from fawnwharf.replication import settings as s
-from fawnwharf.replication.placement import ReplicaPlacement
-from fawnwharf.zones.settings import Membership
-from fawnwharf.zones.settings import SettingsFileError
-from fawnwharf.zones.settings import membership_from
-from pathlib import Path
-from typing import Annotated
-from typing import Any
 import json
-import msgspec
 import socket
 import time
+from pathlib import Path
+from typing import Annotated, Any
+
+import msgspec
 import typer
 
+from fawnwharf.config import address_from
+from fawnwharf.replication import messages as m
+from fawnwharf.replication import settings as s
+from fawnwharf.replication.placement import ReplicaPlacement
+from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
 
 LAGS_MOST = 8  # front ends whose lag is shown
 app = typer.Typer(no_args_is_help=True, help="Calls that front ends keep together.")
--- a/fawnwharf/replication/settings.py
+++ b/fawnwharf/replication/settings.py
@@ -4,18 +4,19 @@
 milliseconds. Who belongs to the fleet stands in the same file of members that zones use.
 """
 
-from fawnwharf.zones.settings import DurationMs
-from fawnwharf.zones.settings import Fraction
-from fawnwharf.zones.settings import Membership
-from fawnwharf.zones.settings import Name
-from fawnwharf.zones.settings import SettingsFileError
-from fawnwharf.zones.settings import decode_versioned_file
-from msgspec import Meta
-from msgspec import Struct
-from typing import Annotated
-from typing import Literal
-import msgspec
+from typing import Annotated, Literal
 
+import msgspec
+from msgspec import Meta, Struct
+
+from fawnwharf.zones.settings import (
+    DurationMs,
+    Fraction,
+    Membership,
+    Name,
+    SettingsFileError,
+    decode_versioned_file,
+)
 
 VERSION = 1
 KEEPER_ZONES = (1, 3, 5)
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -1,23 +1,21 @@
 """`fawnwharf sessions`: what operators see of sessions' placements, and what they ask of them."""
 
+import json
+import socket
+import time
 from collections.abc import Callable
-from fawnwharf.config import address_from
-from fawnwharf.replication import settings as rs
-from fawnwharf.replication.messages import ClientMessage
-from fawnwharf.replication.messages import parse_line
-from fawnwharf.sessions import settings as s
-from fawnwharf.sessions import words as w
-from fawnwharf.zones.settings import Membership
-from fawnwharf.zones.settings import SettingsFileError
-from fawnwharf.zones.settings import membership_from
 from pathlib import Path
 from typing import Annotated
-import json
+
 import msgspec
-import socket
-import time
 import typer
 
+from fawnwharf.config import address_from
+from fawnwharf.replication import settings as rs
+from fawnwharf.replication.messages import ClientMessage, parse_line
+from fawnwharf.sessions import settings as s
+from fawnwharf.sessions import words as w
+from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
 
 app = typer.Typer(no_args_is_help=True, help="Sessions that move between sites.")
 File = Annotated[str, typer.Option("--sessions", help="The settings of sessions of this front end.")]
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -1,7 +1,14 @@
 """Files with all keys set are taken as by commit 9d9ccab, and faulty ones refused by its texts."""
 
+import json
 from collections.abc import Callable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
+import pytest
 from compatibility_boundaries import CORPUS
+
 from fawnwharf import config
 from fawnwharf import interface as io
 from fawnwharf.policy_rollout import document as policy_document
@@ -12,13 +19,6 @@
 from fawnwharf.sessions import settings as sessions
 from fawnwharf.zones import settings as zones
 from fawnwharf.zones.files import load_file
-from pathlib import Path
-from typing import Any
-from typing import NamedTuple
-import json
-import msgspec
-import pytest
-
 
 SETTINGS = CORPUS / "settings"
 ERRORS = json.loads((SETTINGS / "errors.json").read_text(encoding="utf-8"))
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -1,23 +1,19 @@
 """Agents of sessions in virtual time, on a star of logs: replicas follow all, the others follow replicas."""
 
+import heapq
+import itertools
+import random
+
 from fawnwharf.interface import ClassSpec
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.settings import Settings as Handover
 from fawnwharf.replication.placement import ReplicaPlacement
-from fawnwharf.session_types import LetGo
-from fawnwharf.session_types import Session
+from fawnwharf.session_types import LetGo, Session
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.agent import Agent
-from fawnwharf.sessions.effects import Copies
-from fawnwharf.sessions.effects import Note
-from fawnwharf.sessions.effects import Words
-from fawnwharf.zones.settings import MemberEntry
-from fawnwharf.zones.settings import Membership
-import heapq
-import itertools
-import random
-
+from fawnwharf.sessions.effects import Copies, Note, Words
+from fawnwharf.zones.settings import MemberEntry, Membership
 
 CLASSES = {"view": ClassSpec("view", worth=1.0, give_up_ms=800.0)}
 RULES = s.Settings(
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -1,19 +1,18 @@
 """Agents at real members of zones in virtual time: words by their logs, decisions by their voters' log."""
 
+import random
+
+import msgspec
+import pytest
+from support.zone_files import members
+from test_zone_members import Fleet
+
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import OperatorRequest
 from fawnwharf.policy_rollout.simulation import KNOWN
-from fawnwharf.zones.log_lines import ClientMessage
-from fawnwharf.zones.log_lines import MessagesReceived
-from fawnwharf.zones.log_lines import RegisterDecided
-from support.zone_files import members
-from test_zone_members import Fleet
-import msgspec
-import pytest
-import random
-
+from fawnwharf.zones.log_lines import ClientMessage, MessagesReceived, RegisterDecided
 
 STEP_S = 0.005
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -1,16 +1,16 @@
 """Lives of members whose numbers have no order: clocks that were set back, disks that were lost."""
 
-from fawnwharf.incarnations import IncarnationCounter
-from fawnwharf.incarnations import MAX_KNOWN_INCARNATIONS
-from fawnwharf.incarnations import MAX_MEMBERS
+import random
+
+import msgspec
+import pytest
+
+from fawnwharf.incarnations import MAX_KNOWN_INCARNATIONS, MAX_MEMBERS, IncarnationCounter
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import DeploymentCapabilities
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.zones.log_lines import ConsensusStatus
-import msgspec
-import pytest
-import random
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -1,21 +1,21 @@
 """Changes of policy over real sockets: three front ends, operators' files, calls under way, restarts."""
 
+import json
+import subprocess
+import sys
+
+import pytest
+from support.policy_front_ends import Site, document
+
 from fawnwharf import interface as io
 from fawnwharf.policy_rollout import call_binding
 from fawnwharf.policy_rollout import settings as s
 from fawnwharf.policy_rollout.call_binding import with_bound_classes
-from fawnwharf.policy_rollout.call_trace import CallTrace
-from fawnwharf.policy_rollout.call_trace import LINES_MOST
+from fawnwharf.policy_rollout.call_trace import LINES_MOST, CallTrace
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import ActivePolicy
 from fawnwharf.replication.usage import QuotaShares
 from fawnwharf.zones.settings import SettingsFileError
-from support.policy_front_ends import Site
-from support.policy_front_ends import document
-import json
-import pytest
-import subprocess
-import sys
 
 
 @pytest.fixture
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -1,31 +1,30 @@
 """What keepers hold of a call: settings, placement, the laws of merging, and how claims are read."""
 
-from cores import FLEET
-from cores import RULES
+import itertools
+from pathlib import Path
+
+import msgspec
+import pytest
+from cores import FLEET, RULES
+from hypothesis import given, settings, strategies
+
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.settings import decode_settings as policy_settings
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claim_store import ClaimStore
-from fawnwharf.replication.claims import CallState
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
-from fawnwharf.replication.claims import contradicts
-from fawnwharf.replication.claims import merge_claims
-from fawnwharf.replication.claims import summarize_claims
+from fawnwharf.replication.claims import (
+    CallState,
+    Claim,
+    ClaimPhase,
+    contradicts,
+    merge_claims,
+    summarize_claims,
+)
 from fawnwharf.replication.placement import ReplicaPlacement
 from fawnwharf.testbed.promises import fleet_file
-from fawnwharf.zones.settings import SettingsFileError
-from fawnwharf.zones.settings import membership_from
+from fawnwharf.zones.settings import SettingsFileError, membership_from
 from fawnwharf.zones.settings import settings_from as zone_settings
-from hypothesis import given
-from hypothesis import settings
-from hypothesis import strategies
-from pathlib import Path
-import itertools
-import msgspec
-import pytest
-
 
 # --- settings -----------------------------------------------------------------------------------
 
