--- a/fawnwharf/consensus/voter.py
+++ b/fawnwharf/consensus/voter.py
@@ -23,7 +23,7 @@
 SNAPSHOT_AFTER = 24  # committed entries that stay in the log for followers that lag, before it is compacted
 
 
-def bootstrap(identity: str) -> m.PersistentState:
+def bootstrap_state(identity: str) -> m.PersistentState:
     """The state that the first voter of a new group starts from: a voter list of itself alone."""
     return m.PersistentState(term=1, snapshot=m.Snapshot(index=1, term=1, voters=(identity,)))
 
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -23,8 +23,8 @@
 from fawnwharf.recovery_service.hints import KEY, LastRoster, LastUse
 from fawnwharf.recovery_service.settings import Settings, settings_from
 from fawnwharf.recovery_service.tallies import Tallies
-from fawnwharf.zones.files import load
-from fawnwharf.zones.lines import RECOVERY, Word
+from fawnwharf.zones.files import load_file
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
 
 SHOW_MS = 200.0  # how this one stands is told for people no more often than that
 WORDS_MOST = 200  # in one line
@@ -48,7 +48,7 @@
         """Reads and checks the file; raises ConfigError with one line. `made` has the other parts by name, of
         which `zones`, `kept` and `state` have to be there already."""
         self.deployment, self.note, self._join = deployment, write, join
-        self.settings: Settings = load(Path(path), settings_from, RECOVERY)
+        self.settings: Settings = load_file(Path(path), settings_from, RECOVERY)
         self.zones, self.kept, self.state = made["zones"], made["kept"], made["state"]
         self.life = self.kept.number
         self._used = LastUse.read(self.kept.read(Kind.USE))
@@ -61,7 +61,7 @@
         self.calls: Counted | None = None
         self._rostered = self._dialled = False
         self._calm_ms: float | None = None  # since when
-        self._words: list[Word] = []
+        self._words: list[ClientMessage] = []
         self._shown: w.Shown | None = None
         self._shown_ms = -1e9
         self._noted: dict[str, float] = {}
@@ -78,14 +78,14 @@
         front.changelog.may_begin_anew = True
         self.agent = Agent(
             self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
-            self._own(), self.zones.seat, self.tallies.worths, settings.timing.of_stages, monotonic_ms(),
-            settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
+            self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
+            monotonic_ms(), settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
         )  # fmt: skip
         self.joined = self._join(front, self.state, settings, self.life)
         self.joined.use_before(self._used)
         self.calls = Counted(self.joined.door, self.deployment.settings.classes, self.tallies.ended)
         front.port.table = self.calls
-        self.zones.riders[RECOVERY] = self
+        self.zones.log_clients[RECOVERY] = self
         self.state.riders[w.RIDER] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
         self.note("recovery on", told | {"store": self.kept.whole.value, "why": self.kept.why})
@@ -103,7 +103,7 @@
         self.calls.counting = False
         self.joined.close()
         self.front.port.waits_for.discard(RECOVERY)
-        self.zones.riders.pop(RECOVERY, None)
+        self.zones.log_clients.pop(RECOVERY, None)
         self.state.riders.pop(w.RIDER, None)
 
     # --- the seam -------------------------------------------------------------------------------
@@ -189,7 +189,7 @@
 
     # --- the riders -----------------------------------------------------------------------------
 
-    def heard(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
+    def on_messages(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
         for data in words:
             self._word(sender, data, self.agent.hear_zone)
 
@@ -210,14 +210,14 @@
             self.note("word dropped", {"sender": sender, "counts": dict(counts)})
         self._carry_out(effects)
 
-    def decided(self, text: str) -> None:
+    def on_register_decided(self, text: str) -> None:
         self._carry_out(self.agent.decided(monotonic_ms(), text))
 
-    def turned(self) -> None:
+    def on_role_changed(self) -> None:
         if not self._stopped and (effects := self.agent.turned(monotonic_ms())):
             self._carry_out(effects)
 
-    def members_taken(self) -> None:
+    def on_membership_changed(self) -> None:
         self._carry_out(self.agent.take_lists(monotonic_ms(), self._lists()))
 
     # --- time -----------------------------------------------------------------------------------
@@ -253,7 +253,7 @@
             if isinstance(effect, Say):
                 self._say(effect)
             elif isinstance(effect, Decide):
-                if not self.zones.put(effect.register, RECOVERY):
+                if not self.zones.propose_register(effect.register, RECOVERY):
                     self.agent.not_put()
             elif isinstance(effect, Go):
                 self._go_by(effect)
@@ -287,7 +287,7 @@
         """By zones' logs all that is said in a turn goes into one line, in its order; state's go at once."""
         word = msgspec.to_builtins(say.word)
         if say.zone:
-            self._words.append(Word(word, say.to, RECOVERY))
+            self._words.append(ClientMessage(word, say.to, RECOVERY))
             self.front.loop.flush_later(self)
         else:
             self.state.ride(w.RIDER, say.to, word)
@@ -296,7 +296,7 @@
         """The end of the turn."""
         words, self._words = self._words, []
         for at in range(0, 0 if self._stopped else len(words), WORDS_MOST):
-            self.zones.say(words[at : at + WORDS_MOST])
+            self.zones.send_messages(words[at : at + WORDS_MOST])
 
     def _show(self) -> None:
         """Tell how this one stands, where that is another way than before."""
@@ -306,7 +306,7 @@
         shown = showing.shown(self.agent, now)
         if shown != self._shown:
             self._shown, self._shown_ms = shown, now
-            self.zones.stand(msgspec.to_builtins(shown), RECOVERY)
+            self.zones.publish_status(msgspec.to_builtins(shown), RECOVERY)
 
 
 def _digest(data: bytes) -> str:
--- a/fawnwharf/testbed/explore.py
+++ b/fawnwharf/testbed/explore.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.timing import Timing
-from fawnwharf.consensus.voter import Voter, bootstrap
+from fawnwharf.consensus.voter import Voter, bootstrap_state
 from fawnwharf.consensus.voter_state import Role
 from fawnwharf.testbed.breadth_first import Found, search
 
@@ -97,7 +97,7 @@
         """`members` of the names are voters from the start, or all; the others may be taken in."""
         self.kind, self.names, self.bounds = kind, names, bounds
         first = names[: members or len(names)]
-        initial = replace_voters(bootstrap(first[0]), first)
+        initial = replace_voters(bootstrap_state(first[0]), first)
         blank = m.PersistentState()
         made = [kind(name, initial if name in first else blank, TIMING, NOW_MS, 1) for name in names]
         for voter in made:
--- a/fawnwharf/testbed/walk.py
+++ b/fawnwharf/testbed/walk.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.timing import Timing
-from fawnwharf.consensus.voter import Voter, bootstrap
+from fawnwharf.consensus.voter import Voter, bootstrap_state
 from fawnwharf.testbed.explore import replace_voters
 
 TIMING = Timing(heartbeat_ms=100.0, election_timeout_ms=500.0, clock_skew=0.1)
@@ -82,7 +82,9 @@
         self.members: dict[str, _Member] = {}
         for name in names:
             rate = 1 + self.chance.uniform(-TIMING.clock_skew, TIMING.clock_skew)
-            disk = replace_voters(bootstrap(voters[0]), voters) if name in voters else m.PersistentState()
+            disk = (
+                replace_voters(bootstrap_state(voters[0]), voters) if name in voters else m.PersistentState()
+            )
             member = self.members[name] = _Member(name, rate, None, disk)
             self._start(member)
         self._soon("weather", None, 0.0)
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -17,8 +17,8 @@
 from fawnwharf.consensus import voter_store as voter_disk
 from fawnwharf.durable_store import form, ops
 from fawnwharf.migration import messages as migrations
-from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
+from fawnwharf.policy_rollout import policy_file as policy_file
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
@@ -26,12 +26,12 @@
 from fawnwharf.recovery_service import given_words, hints, kept
 from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import claims
-from fawnwharf.replication import disk as keeper_disk
+from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import judge, lines, links, plan
+from fawnwharf.zones import log_lines, member_log, plan, planner
 from fawnwharf.zones import settings as zone_settings
 
 CORPUS = Path(__file__).parent / "corpus"
@@ -53,7 +53,7 @@
 
 def on_line(value: Any) -> bytes:
     """Encode a value as it goes into a line of a log: as builtins, by the logs' encoder."""
-    return links.encoder.encode(msgspec.to_builtins(value))
+    return member_log.line_encoder.encode(msgspec.to_builtins(value))
 
 
 def line(kind: Any, read: Callable[[Any], Any], through: str = "") -> Boundary:
@@ -88,11 +88,12 @@
     "storage/foot": file(form.Foot),
     "storage/job": packed(ops.Job, "ops"),
     "storage/outcome": packed(ops.Outcome),
-    "policy/message": line(policy.Message, policy.message_from),
-    "policy/standing": line(policy.Standing, policy.standing_from),
-    "policy/kept": file(policy_file.Kept),
+    "policy/message": line(policy.Message, policy.decode_message),
+    "policy/standing": line(policy.MemberStatus, policy.decode_member_status),
+    "policy/kept": file(policy_file.StoredPolicy),
     "policy/request": Boundary(
-        policy_settings.Said, lambda data: msgspec.json.decode(data, type=policy_settings.Said),
+        policy_settings.OperatorRequest, lambda data: msgspec.json.decode(data,
+        type=policy_settings.OperatorRequest),
         msgspec.json.encode, strict=True,
     ),
     "prefetch/word": converted(staging.Word),
@@ -114,21 +115,21 @@
     "recovery/claim": converted(claims.Claim),
     "recovery/scorers": converted(list[hints._Scorer]),
     "recovery/use": converted(list[hints._Use]),
-    "state/line": line(state.Line, state.line_from, "say"),
+    "state/line": line(state.LogLine, state.parse_line, "say"),
     "state/head": file(keeper_disk.Head),
     "state/batch": file(keeper_disk.Batch),
     "sessions/word": line(session_words.Word, session_words.word_from),
     "sessions/left": file(left._Left),
     "sessions/stored": converted(left._One),
     "sessions/wishes": file(session_settings.Wishes),
-    "zones/line": converted(lines.Line),
-    "zones/words": converted(lines.Words),
+    "zones/line": converted(log_lines.LogLine),
+    "zones/words": converted(log_lines.ClientMessages),
     "zones/plan": Boundary(
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
-    "zones/report": converted(judge.Report),
-    "zones/wishes": file(zone_settings.Wishes),
-    "zones/members": file(zone_settings.Members),
+    "zones/report": converted(planner.Report),
+    "zones/wishes": file(zone_settings.OperatorRequest),
+    "zones/members": file(zone_settings.Membership),
     "scorers/fleet": Boundary(
         config.Fleet, lambda data: config.fleet_from(msgspec.json.decode(data)), msgspec.json.encode
     ),
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -14,7 +14,7 @@
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.agent import Agent, Go, Own, Say, Signed
 from fawnwharf.recovery_service.lead import Lists
-from fawnwharf.zones.lines import RECOVERY, Heard, Ruled, Word
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage, MessagesReceived, RegisterDecided
 from support.zone_files import members
 
 STEP_S = 0.02
@@ -56,7 +56,7 @@
         core = self.cores[name]
         self.agents[name] = Agent(
             name, "f", self.lives[name], self.marks.setdefault(name, "boot 1"), lists, self.own(name),
-            core.seat, WORTHS, TIMING, self.now, Pace(), 100.0, 150.0,
+            core.consensus_status, WORTHS, TIMING, self.now, Pace(), 100.0, 150.0,
         )  # fmt: skip
 
     # --- power ----------------------------------------------------------------------------------
@@ -86,10 +86,10 @@
         super().do(name, effects)
         agent = self.agents.get(name)
         for effect in effects:
-            if isinstance(effect, Heard) and effect.rider == RECOVERY:
-                for data in effect.words:
+            if isinstance(effect, MessagesReceived) and effect.client == RECOVERY:
+                for data in effect.messages:
                     self.act(name, agent.hear_zone(self.now, effect.sender, w.word_from(data)))
-            elif isinstance(effect, Ruled) and effect.kind == RECOVERY:
+            elif isinstance(effect, RegisterDecided) and effect.kind == RECOVERY:
                 self.act(name, agent.decided(self.now, effect.text))
         if agent is not None:
             self.act(name, agent.turned(self.now))
@@ -103,7 +103,7 @@
             elif isinstance(effect, Say):
                 self._say_by_state(name, effect)
             elif isinstance(effect, Decide):
-                put, more = core.put(self.now, effect.register, RECOVERY)
+                put, more = core.propose_register(self.now, effect.register, RECOVERY)
                 self.do(name, more)
                 if not put:
                     self.agents[name].not_put()
@@ -115,7 +115,9 @@
                 self.noted.append((name, effect.event, effect.fields))
 
     def _say_by_zones(self, name, effect):
-        line = self.cores[name]._line(words=[Word(msgspec.to_builtins(effect.word), effect.to, RECOVERY)])
+        line = self.cores[name].make_line(
+            messages=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
+        )
         for other in self.names:
             voter = self.file.named(name).ballots or self.file.named(other).ballots
             if other != name and voter and self.chance.random() >= self.lost:
@@ -181,7 +183,9 @@
     @property
     def leader(self):
         """The member that leads; None where none does."""
-        found = [n for n in self.up if self.agents[n].lead.term and self.cores[n].seat(self.now).fresh]
+        found = [
+            n for n in self.up if self.agents[n].lead.term and self.cores[n].consensus_status(self.now).fresh
+        ]
         return found[0] if found else None
 
     def calm(self):
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -8,7 +8,7 @@
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.committed_log import REGISTER_KINDS
 from fawnwharf.consensus.timing import Timing
-from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Voter, bootstrap
+from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Voter, bootstrap_state
 from fawnwharf.consensus.voter_state import Role
 from fawnwharf.testbed.explore import replace_voters
 
@@ -21,7 +21,7 @@
     def __init__(self, *names, members=None, kind=Voter):
         self.now, self.kind, self.cut = 0.0, kind, set()
         members = members or names
-        made = replace_voters(bootstrap(members[0]), members)
+        made = replace_voters(bootstrap_state(members[0]), members)
         self.disks = {name: made if name in members else m.PersistentState() for name in names}
         self.voters = {name: self.born(name) for name in names}
         self.decided, self.held = {name: [] for name in names}, []
