--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -184,7 +184,7 @@
         self.front.port.accept(True)
         self.front.port.pause(False)
         # Who asked here asked for the other process; from now on it is this one again that answers.
-        self.front.port.ready = self.front.operators.ready
+        self.front.port.ready = self.front.admin.ready
         self._adopt_again(unsent)
         self._share()
 
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -42,7 +42,7 @@
             front.log(f"taken out before this process: {', '.join(self._memory.out)[:200]}")
             self.desk.out.update(self._memory.out)
             front.go_by(front.overlay.close(CLOSER, self._closer()))
-        front.operators = self
+        front.admin = self
         self._tidy()
 
     def begin(self) -> None:
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -139,7 +139,7 @@
         self._leaving: Leaving | None = None
         self._start_ms = monotonic_ms()
         self.started = False
-        self.operators: OperatorsPart | None = None
+        self.admin: OperatorsPart | None = None
 
     @property
     def seam(self) -> Seam | None:
@@ -152,7 +152,7 @@
     @property
     def replaced(self) -> bool:
         """Whether another process has taken this one's place."""
-        return self.operators is not None and self.operators.replaced
+        return self.admin is not None and self.admin.replaced
 
     @property
     def address(self) -> Address:
@@ -166,9 +166,9 @@
         self.pool.links_most = _scorer_part(self.deployment.sockets, part)
 
     def start(self) -> None:
-        if self.operators:
+        if self.admin:
             self.loop.turn(0.0)  # the module has its roster before it is told what another process learnt
-            self.operators.begin()
+            self.admin.begin()
         self.port.accept(True)
         self.changelog.connect()
         self.loop.wheel.after(TIDY_MS, self._tidy)
@@ -209,13 +209,13 @@
             return
         self.log("leaving")
         self._leaving = Leaving(self)
-        if self.operators:
-            self.loop.guarded(self.operators.leave)
+        if self.admin:
+            self.loop.guarded(self.admin.leave)
         self.port.ready = self.replaced  # the front asks for the other process's sake, too
         self._leaving.look()
 
     def close(self) -> None:
-        for part in (self.operators, self._seam):
+        for part in (self.admin, self._seam):
             if part:
                 part.close()
         self.port.close()
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -78,12 +78,12 @@
         front = self._front
         if front.table.open or front.port.unwritten():
             return True
-        return bool(front.seam and front.seam.busy) or bool(front.operators and front.operators.busy)
+        return bool(front.seam and front.seam.busy) or bool(front.admin and front.admin.busy)
 
     def _end_connections(self) -> bool:
         """Whether none is left, neither in the accept queue nor here."""
         front = self._front
-        if front.operators and front.operators.busy:  # the listener may still go to another process
+        if front.admin and front.admin.busy:  # the listener may still go to another process
             return False
         if not self._refusing:
             self._refusing = True
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -42,7 +42,7 @@
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
-    if front.operators is not None and front.operators.takes_over and told_to_end():
+    if front.admin is not None and front.admin.takes_over and told_to_end():
         front.close()  # the process that serves goes on as if this one had not come
         return 0
     gc.freeze()  # what the start has made stays: no collection needs to walk it
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -201,8 +201,8 @@
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
         place = handoff_channel.HandoffDirectory(folder, "", made.front.address)
-        made.operators = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
-        made.operators.begin()
+        made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
+        made.admin.begin()
         made.peers = []
         yield made
         made.close()
@@ -213,13 +213,13 @@
 def taker(rig):
     """The process that takes its place, played by the test."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with rig.operators.replacement.place.short() as address:
+    with rig.admin.replacement.place.short() as address:
         sock.connect(address)
     sock.setblocking(False)
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
     handoff_channel.send(sock, h.encode(h.Ready()), None)
-    rig.until(lambda: rig.operators.replaced, "it gives")
+    rig.until(lambda: rig.admin.replaced, "it gives")
     return sock
 
 
@@ -227,7 +227,7 @@
     """The process whose place this one took, played by the test."""
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     rig.peers.append(far)
-    talk = rig.operators.replacement
+    talk = rig.admin.replacement
     talk.before = handoff_channel.HandoffChannel(rig.front.loop, near, talk._from_before, talk._before_ended)
     far.setblocking(False)
     return far
@@ -246,7 +246,7 @@
     rig.until(lambda: rig.scorers[0].runs, "it runs")
     sock = taker(rig)
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"y" * 5000)
-    replacement = rig.operators.replacement
+    replacement = rig.admin.replacement
     replacement.giver._paused = True
     [held] = rig.front.port.clients
     give = rig.front.port.give
@@ -269,12 +269,12 @@
 def test_one_that_asks_and_is_gone_at_once_is_no_fault(rig):
     for version in (h.VERSION, h.VERSION + 1):
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
-            with rig.operators.replacement.place.short() as address:
+            with rig.admin.replacement.place.short() as address:
                 sock.connect(address)
             handoff_channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
         came = []
         rig.front.loop.wheel.after(50.0, lambda: came.append(1))  # noqa: B023
-        rig.until(lambda: came and rig.operators.replacement.after is None, "it is gone")  # noqa: B023
+        rig.until(lambda: came and rig.admin.replacement.after is None, "it is gone")  # noqa: B023
     assert not any("fault" in line for line in rig.lines)
 
 
@@ -327,19 +327,19 @@
 
 def test_one_that_ends_waits_for_what_the_process_before_has_still_to_give(rig):
     oldest, newest, said = before(rig), taker(rig), []
-    rig.operators.leave()
-    assert rig.operators.busy
+    rig.admin.leave()
+    assert rig.admin.busy
     over = []
     rig.front.loop.wheel.after(50.0, lambda: over.append(1))
     rig.until(lambda: over, "it has looked twice")
     assert h.Done() not in messages(newest)  # not while something is to come
     oldest.close()
     rig.until(lambda: said.extend(messages(newest)) or h.Done() in said, "it has given everything")
-    assert rig.operators.busy  # until the other says that all has come
+    assert rig.admin.busy  # until the other says that all has come
     handoff_channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
     handoff_channel.send(newest, h.encode(h.Done()), None)
-    rig.until(lambda: not rig.operators.busy, "it may end, with nothing unread")
-    assert rig.operators.desk.out == {"s-1"}
+    rig.until(lambda: not rig.admin.busy, "it may end, with nothing unread")
+    assert rig.admin.desk.out == {"s-1"}
 
 
 def test_one_given_while_nothing_is_read_is_not_read_either(rig):
@@ -358,7 +358,7 @@
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs")
-    rig.operators.take(AdminRequest("POST", "/standby"))
+    rig.admin.take(AdminRequest("POST", "/standby"))
     taker(rig)
     over = []
     rig.front.loop.wheel.after(1_300.0, lambda: over.append(1))
@@ -375,11 +375,11 @@
         other.begin()
     tell.assert_called_once_with("/maintenance/enter", "s-1")
     other.port.close()
-    rig.front.operators = rig.operators
+    rig.front.admin = rig.admin
 
 
 def test_the_file_is_the_newer_ones_where_another_process_has_the_place(rig):
-    replacement = rig.operators.replacement
+    replacement = rig.admin.replacement
     replacement.remember()
     assert replacement.place.read()
     door = handoff_channel.HandoffListener(rig.front.loop, replacement.place, mock.Mock())
@@ -391,9 +391,9 @@
 
 def test_one_that_ends_and_loses_the_next_leaves_the_meeting_place_to_whoever_has_it(rig):
     sock = taker(rig)
-    door = handoff_channel.HandoffListener(rig.front.loop, rig.operators.replacement.place, mock.Mock())
-    rig.operators.leave()
+    door = handoff_channel.HandoffListener(rig.front.loop, rig.admin.replacement.place, mock.Mock())
+    rig.admin.leave()
     sock.close()
-    rig.until(lambda: not rig.operators.replaced, "it serves on by itself")
+    rig.until(lambda: not rig.admin.replaced, "it serves on by itself")
     assert door.mine
     door.close()
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -23,8 +23,8 @@
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
         place = handoff_channel.HandoffDirectory(folder, "", made.front.address)
-        made.operators = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
-        made.operators.begin()
+        made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
+        made.admin.begin()
         made.peers = []
         yield made
         made.close()
@@ -35,12 +35,12 @@
 def taker(rig):
     """The process that takes its place, played by the test."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with rig.operators.replacement.place.short() as address:
+    with rig.admin.replacement.place.short() as address:
         sock.connect(address)
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
     handoff_channel.send(sock, h.encode(h.Ready()), None)
-    rig.until(lambda: rig.operators.replaced, "it gives")
+    rig.until(lambda: rig.admin.replaced, "it gives")
     return sock
 
 
@@ -59,16 +59,16 @@
     if why == "leaving":
         rig.front.leave()
     elif why == "standby":
-        rig.operators.desk.standby = True
+        rig.admin.desk.standby = True
     assert good(rig, client)  # for the other process's sake
     sock.close()
-    rig.until(lambda: not rig.operators.replaced, "it goes on by itself")
+    rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
     assert good(rig, client) is (why == "neither")
 
 
 def test_a_process_that_stands_still_gets_nothing_more_and_its_connections_come_back(rig):
     sock = taker(rig)
-    talk = rig.operators.replacement.after
+    talk = rig.admin.replacement.after
     refused = mock.patch.object(handoff_channel, "send", side_effect=BlockingIOError)
     client = rig.client()
     with refused:  # its buffer is full, as it reads nothing
@@ -79,7 +79,7 @@
         rig.until(lambda: client.answers and not rig.front.port.clients, "its connection is on its way")
         assert talk.unsent and not talk.closed
         talk._moved_ms -= h.STALL_TIMEOUT_MS
-        rig.until(lambda: not rig.operators.replaced, "it goes on by itself")
+        rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
     assert rig.front.port.clients and good(rig, client) is True
     assert not ready(sock, 0.0) or handoff_channel.receive(sock)
 
@@ -94,10 +94,10 @@
 
 
 def test_a_fault_in_a_look_at_a_drain_or_in_tidying_is_not_the_last_one(rig):
-    rig.operators.take(AdminRequest("POST", "/standby"))
+    rig.admin.take(AdminRequest("POST", "/standby"))
     with mock.patch.object(service.drain, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "it looks again")
-    with mock.patch.object(rig.operators.port, "tidy", side_effect=RuntimeError("planted")) as tidy:
+    with mock.patch.object(rig.admin.port, "tidy", side_effect=RuntimeError("planted")) as tidy:
         rig.until(lambda: tidy.call_count >= 2, "it tidies again")
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -163,11 +163,11 @@
 
     def __init__(self, *scorers, **more):
         super().__init__(*scorers, **more)
-        self.operators = service.AdminService(self.front, ("127.0.0.1", 0))
+        self.admin = service.AdminService(self.front, ("127.0.0.1", 0))
 
     def caller(self):
         self.clients.append(ClientPeer.__new__(ClientPeer))
-        Buffered.__init__(self.clients[-1], socket.create_connection(self.operators.port.address))
+        Buffered.__init__(self.clients[-1], socket.create_connection(self.admin.port.address))
         self.clients[-1].pump = lambda peer=self.clients[-1]: Buffered.pump(peer)
         return self.clients[-1]
 
@@ -197,13 +197,13 @@
         idle = [rig.caller() for _ in range(admin_listener.MAX_CONNECTIONS)]
         for caller in idle[::2]:
             caller.sock.sendall(b"GET /sta")
-        rig.until(lambda: len(rig.operators.port.callers) == admin_listener.MAX_CONNECTIONS, "all are held")
+        rig.until(lambda: len(rig.admin.port.callers) == admin_listener.MAX_CONNECTIONS, "all are held")
         self.assertEqual(rig.ask("/status", "GET"), 200)
         self.assertTrue(idle[0].ended or idle[1].ended)  # the oldest gave way
         with mock.patch.object(admin_listener, "REQUEST_TIMEOUT_MS", 50.0):
             rig.until(lambda: all(caller.ended for caller in idle), "the others are ended in time")
         self.assertIn(b" 408 ", bytes(idle[-2].data))
-        rig.until(lambda: not rig.operators.port.callers, "no descriptor is left")
+        rig.until(lambda: not rig.admin.port.callers, "no descriptor is left")
 
     def test_a_call_is_answered_in_a_turn_that_clients_fill(self):
         rig = self.rig(ScorerPeer(copies=None))
