--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -5,7 +5,7 @@
 from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.recovery_core.budget import Limits
 from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_service.door import Door
+from fawnwharf.recovery_service.recovery_admission import Door
 
 CLASSES = {
     "settle": ClassSpec("settle", promise_ms=1_000.0, effect=Effect.UNSAFE, worth=5.0),
