--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -18,8 +18,8 @@
 from fawnwharf.recovery_core import alone
 from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Stood, Ticket
+from fawnwharf.recovery_service.permit_issuing import Giving
 from fawnwharf.replication.claims import Phase
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.gate import Gate, name_of
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -11,9 +11,9 @@
 from fawnwharf.recovery_core.register import GIVERS_MOST, Dealt, Register, register_from
 from fawnwharf.recovery_core.stages import Allowed, Follower, Seen, Stage, Timing, allowed
 from fawnwharf.recovery_service import words as w
-from fawnwharf.recovery_service.giving import LOOK_MS, TURN_MS
 from fawnwharf.recovery_service.lead import Lead, Lists
 from fawnwharf.recovery_service.lent import LENT_MS
+from fawnwharf.recovery_service.permit_issuing import LOOK_MS, TURN_MS
 from fawnwharf.recovery_service.wards import Wards
 
 ROWS = [f"f{i}" for i in range(400)]
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -11,8 +11,8 @@
 from fawnwharf.recovery_core.budget import loader_of, loaders, warden_of
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_service import given_words as m
-from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Order, Words
+from fawnwharf.recovery_service.permit_issuing import Giving
 from fawnwharf.recovery_service.seats import Seats
 from fawnwharf.recovery_service.wards import Wards
 
@@ -155,8 +155,8 @@
 
 
 def test_what_is_kept_is_bounded_and_what_is_dropped_is_counted(monkeypatch):
-    monkeypatch.setattr("fawnwharf.recovery_service.giving.WANTS_MOST", 2)
-    monkeypatch.setattr("fawnwharf.recovery_service.giving.PLACES_MOST", 1)
+    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.WANTS_MOST", 2)
+    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.PLACES_MOST", 1)
     front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
     front.set(0.0, {"n0", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
     for row in "abc":
--- a/tests/test_rejoin_lent.py
+++ b/tests/test_rejoin_lent.py
@@ -163,7 +163,7 @@
 
 
 def test_seats_that_do_not_wait_for_what_was_lent_are_found(monkeypatch):
-    monkeypatch.setattr("fawnwharf.recovery_service.giving.LENT_MS", -500.0)
+    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.LENT_MS", -500.0)
     assert (
         max(storm(Fleet(seed, lost=0.15, ration=4), seed, want_all).most for seed in range(6))
         > LIMITS.fetches
