--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -16,8 +16,8 @@
 from fawnwharf.recovery_core.budget import Limits, limits_from
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service import given_words as g
 from fawnwharf.recovery_service import outs
+from fawnwharf.recovery_service import permit_messages as g
 from fawnwharf.recovery_service.holds import Holds
 from fawnwharf.recovery_service.permit_issuing import TURN_MS, Giving
 from fawnwharf.recovery_service.recovery_admission import Door, Kept
--- a/fawnwharf/recovery_service/lent.py
+++ b/fawnwharf/recovery_service/lent.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_service import given_words as m
+from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.outs import Order, Out, Words
 
 SPARE_MS, SPARE_EACH_MS = 200.0, 4.0  # pace of telling, and for each front end that is heard
--- a/fawnwharf/recovery_service/loading.py
+++ b/fawnwharf/recovery_service/loading.py
@@ -10,9 +10,9 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import Loader
-from fawnwharf.recovery_service.given_words import Lend, Lent, Wanted, What
 from fawnwharf.recovery_service.lent import Spares
 from fawnwharf.recovery_service.outs import Order, Words
+from fawnwharf.recovery_service.permit_messages import Lend, Lent, Wanted, What
 from fawnwharf.recovery_service.seats import Seats
 
 ORDER_MS = 100.0  # by then the module has made an order of what it was told, or it makes none
--- a/fawnwharf/recovery_service/outs.py
+++ b/fawnwharf/recovery_service/outs.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_service.given_words import Word
+from fawnwharf.recovery_service.permit_messages import Word
 
 
 class Words(Struct, frozen=True):
--- a/fawnwharf/recovery_service/permit_issuing.py
+++ b/fawnwharf/recovery_service/permit_issuing.py
@@ -15,7 +15,7 @@
 from fawnwharf.recovery_core.budget import Limits, part_ms
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service import given_words as m
+from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.lent import LENT_MS, Helping
 from fawnwharf.recovery_service.loading import LEAST_MS, PROVES, RETRY_MS, Loading
 from fawnwharf.recovery_service.outs import Out, Stood, Words
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -23,7 +23,7 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_service import given_words, hints, kept
+from fawnwharf.recovery_service import hints, kept, permit_messages
 from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import claims
 from fawnwharf.replication import disk as keeper_disk
@@ -109,7 +109,7 @@
     ),
     "recovery/word": line(recovery_words.Word, recovery_words.word_from),
     "recovery/shown": converted(recovery_words.Shown),
-    "recovery/given": line(given_words.Word, given_words.word_from),
+    "recovery/given": line(permit_messages.Word, permit_messages.word_from),
     "recovery/stamped": file(kept.Stamped),
     "recovery/claim": converted(claims.Claim),
     "recovery/scorers": converted(list[hints._Scorer]),
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -17,7 +17,7 @@
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.recovery_core import asking, register
-from fawnwharf.recovery_service import given_words
+from fawnwharf.recovery_service import permit_messages
 from fawnwharf.replication import claims
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.zones import plan
@@ -212,7 +212,12 @@
     [
         [claims.Phase.CLEAR, claims.Phase.ANSWERED, claims.Phase.FAILED, claims.Phase.TAKEN],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
-        [given_words.What.NOT, given_words.What.MADE, given_words.What.STANDS, given_words.What.FAILED],
+        [
+            permit_messages.What.NOT,
+            permit_messages.What.MADE,
+            permit_messages.What.STANDS,
+            permit_messages.What.FAILED,
+        ],
         [asking.What.MEMBERS, asking.What.PLAN, asking.What.PROMISES, asking.What.ROSTER, asking.What.USE],
         [
             register.Stage.LISTENING,
