--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -18,7 +18,7 @@
 from fawnwharf.recovery_core.asking import Answer, Ask, Asking, Of, Pace, Stand, What
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed, Decide, Follower, Note, RegisterError, Stage, Timing
-from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.lead import Lead, Lists
 from fawnwharf.zones.lines import Seat
 
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -5,7 +5,7 @@
 import msgspec
 import typer
 
-from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service import messages as w
 from fawnwharf.zones.looking import Member, address, fail, files, lines
 
 File = Annotated[
--- a/fawnwharf/recovery_service/lead.py
+++ b/fawnwharf/recovery_service/lead.py
@@ -10,7 +10,7 @@
 from fawnwharf.recovery_core.register import GIVERS_MOST
 from fawnwharf.recovery_core.stages import Conductor, Effect, Note, Seen, Stage, Timing
 from fawnwharf.recovery_core.trust import Scope, scope
-from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service import messages as w
 from fawnwharf.zones.lines import Seat
 
 LOOK_MS = 100.0  # pace of the look at what all told
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -17,7 +17,7 @@
 from fawnwharf.recovery_core.stages import Decide, Note, Stage
 from fawnwharf.recovery_core.trust import Kind, Store
 from fawnwharf.recovery_service import joined, showing
-from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import Agent, Effect, Go, Lists, Own, Say, Signed
 from fawnwharf.recovery_service.counted import Counted
 from fawnwharf.recovery_service.hints import KEY, LastRoster, LastUse
--- a/fawnwharf/recovery_service/showing.py
+++ b/fawnwharf/recovery_service/showing.py
@@ -1,7 +1,7 @@
 """How an agent stands, for people: told in its member's zones' log, and read by `fawnwharf recovery show`."""
 
 from fawnwharf.recovery_core.asking import What
-from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import Agent
 
 SHOWN_MOST = 16
--- a/fawnwharf/recovery_service/tallies.py
+++ b/fawnwharf/recovery_service/tallies.py
@@ -8,7 +8,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import first_classes
-from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service import messages as w
 
 SPAN_MS = 1_000.0  # over which calls and loads are told
 ENDS_MOST = 20_000  # of calls within it
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -24,7 +24,7 @@
 from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_service import hints, kept, permit_messages
-from fawnwharf.recovery_service import words as recovery_words
+from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.replication import claims
 from fawnwharf.replication import disk as keeper_disk
 from fawnwharf.replication import messages as state
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -32,8 +32,8 @@
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_core.trust import Clock, Kind
 from fawnwharf.recovery_service import joined, kept
+from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.recovery_service import settings as recovery_settings
-from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import disk as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -11,7 +11,7 @@
 from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core.asking import Pace
 from fawnwharf.recovery_core.stages import Decide, Note, Stage, Timing
-from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import Agent, Go, Own, Say, Signed
 from fawnwharf.recovery_service.lead import Lists
 from fawnwharf.zones.lines import RECOVERY, Heard, Ruled, Word
--- a/tests/test_rejoin_commands.py
+++ b/tests/test_rejoin_commands.py
@@ -8,7 +8,7 @@
 
 from fawnwharf import serving
 from fawnwharf.cli import app
-from fawnwharf.recovery_service import words as w
+from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.commands import told
 
 RUNNER = CliRunner()
