--- a/fawnwharf/recovery_service/wards.py
+++ b/fawnwharf/recovery_service/wards.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field, replace
 
 from fawnwharf.recovery_core.budget import TICKET_MS, Limits, Warden, warden_of
+from fawnwharf.recovery_service.load_permits import follows
 from fawnwharf.recovery_service.outs import Ticket, Words
 from fawnwharf.recovery_service.permit_messages import TICKETS_MOST, Asked, Given
-from fawnwharf.recovery_service.seats import follows
 
 SCORERS_MOST = 4_096
 KEYS_MOST = 4_096  # calls that wait for a ticket here
