--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -11,10 +11,10 @@
 from fawnwharf.recovery_core.register import GIVERS_MOST, Dealt, Register, register_from
 from fawnwharf.recovery_core.stages import Allowed, Follower, Seen, Stage, Timing, allowed
 from fawnwharf.recovery_service import messages as w
+from fawnwharf.recovery_service.coordinated_slow_start import Wards
 from fawnwharf.recovery_service.lead import Lead, Lists
 from fawnwharf.recovery_service.lent import LENT_MS
 from fawnwharf.recovery_service.permit_issuing import LOOK_MS, TURN_MS
-from fawnwharf.recovery_service.wards import Wards
 
 ROWS = [f"f{i}" for i in range(400)]
 STEP_MS = 20.0
