--- a/fawnwharf/recovery_service/permit_issuing.py
+++ b/fawnwharf/recovery_service/permit_issuing.py
@@ -17,7 +17,7 @@
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.coordinated_slow_start import Wards
-from fawnwharf.recovery_service.lent import LENT_MS, Helping
+from fawnwharf.recovery_service.delegated_loads import LENT_MS, Helping
 from fawnwharf.recovery_service.load_permits import Seats
 from fawnwharf.recovery_service.loading import LEAST_MS, PROVES, RETRY_MS, Loading
 from fawnwharf.recovery_service.outs import Out, Stood, Words
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -12,8 +12,8 @@
 from fawnwharf.recovery_core.stages import Allowed, Follower, Seen, Stage, Timing, allowed
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.coordinated_slow_start import Wards
+from fawnwharf.recovery_service.delegated_loads import LENT_MS
 from fawnwharf.recovery_service.lead import Lead, Lists
-from fawnwharf.recovery_service.lent import LENT_MS
 from fawnwharf.recovery_service.permit_issuing import LOOK_MS, TURN_MS
 
 ROWS = [f"f{i}" for i in range(400)]
--- a/tests/test_rejoin_lent.py
+++ b/tests/test_rejoin_lent.py
@@ -6,7 +6,15 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_service import permit_messages as m
-from fawnwharf.recovery_service.lent import FRESH_MS, GONE_MS, MADE_MS, SPARE_MS, VOID_MS, Helping, Spares
+from fawnwharf.recovery_service.delegated_loads import (
+    FRESH_MS,
+    GONE_MS,
+    MADE_MS,
+    SPARE_MS,
+    VOID_MS,
+    Helping,
+    Spares,
+)
 from fawnwharf.recovery_service.outs import Order, Words
 
 
