--- a/tests/test_rejoin_tallies.py
+++ b/tests/test_rejoin_tallies.py
@@ -6,8 +6,8 @@
 from fawnwharf.net.requests import Refused, Served
 from fawnwharf.recovery_service import counted
 from fawnwharf.recovery_service.counted import Counted
+from fawnwharf.recovery_service.counters import SPAN_MS, Tallies
 from fawnwharf.recovery_service.messages import Tally
-from fawnwharf.recovery_service.tallies import SPAN_MS, Tallies
 
 WORTHS = {"view": 1.0, "save": 5.0}
 
