--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -19,7 +19,7 @@
 from fawnwharf.recovery_service import joined, showing
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import Agent, Effect, Go, Lists, Own, Say, Signed
-from fawnwharf.recovery_service.counted import Counted
+from fawnwharf.recovery_service.call_outcomes import Counted
 from fawnwharf.recovery_service.counters import Tallies
 from fawnwharf.recovery_service.hints import KEY, LastRoster, LastUse
 from fawnwharf.recovery_service.settings import Settings, settings_from
--- a/tests/test_rejoin_tallies.py
+++ b/tests/test_rejoin_tallies.py
@@ -4,8 +4,8 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Refused, Served
-from fawnwharf.recovery_service import counted
-from fawnwharf.recovery_service.counted import Counted
+from fawnwharf.recovery_service import call_outcomes
+from fawnwharf.recovery_service.call_outcomes import Counted
 from fawnwharf.recovery_service.counters import SPAN_MS, Tallies
 from fawnwharf.recovery_service.messages import Tally
 
@@ -87,7 +87,7 @@
 
 def test_a_call_is_counted_once_by_its_end_and_its_client_has_its_answer(monkeypatch):
     now, told, answers = [0.0], [], []
-    monkeypatch.setattr(counted, "monotonic_ms", lambda: now[0])
+    monkeypatch.setattr(call_outcomes, "monotonic_ms", lambda: now[0])
     below = Below()
     table = Counted(below, {"view": io.ClassSpec("view", promise_ms=100.0)}, lambda *end: told.append(end))
 
