--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -18,7 +18,7 @@
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service import outs
 from fawnwharf.recovery_service import permit_messages as g
-from fawnwharf.recovery_service.holds import Holds
+from fawnwharf.recovery_service.load_order_gate import Holds
 from fawnwharf.recovery_service.permit_issuing import TURN_MS, Giving
 from fawnwharf.recovery_service.recovery_admission import Door, Kept
 from fawnwharf.recovery_service.settings import Settings
