--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -17,7 +17,7 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
-from fawnwharf.recovery_service import kept as k
+from fawnwharf.recovery_service import stored_state as k
 from fawnwharf.recovery_service.promises import OnStore
 from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.replication.core import Core
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -23,7 +23,7 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_service import hints, kept, permit_messages
+from fawnwharf.recovery_service import hints, permit_messages, stored_state
 from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.replication import claims
 from fawnwharf.replication import disk as keeper_disk
@@ -110,7 +110,7 @@
     "recovery/word": line(recovery_words.Word, recovery_words.word_from),
     "recovery/shown": converted(recovery_words.Shown),
     "recovery/given": line(permit_messages.Word, permit_messages.word_from),
-    "recovery/stamped": file(kept.Stamped),
+    "recovery/stamped": file(stored_state.Stamped),
     "recovery/claim": converted(claims.Claim),
     "recovery/scorers": converted(list[hints._Scorer]),
     "recovery/use": converted(list[hints._Use]),
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -31,7 +31,7 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_core.trust import Clock, Kind
-from fawnwharf.recovery_service import joined, kept
+from fawnwharf.recovery_service import joined, stored_state
 from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.recovery_service import settings as recovery_settings
 from fawnwharf.replication import disk as keeper_disk
@@ -248,12 +248,12 @@
 def test_an_entry_of_the_store_has_its_recorded_form():
     """Stamped with the clock; a grant is a list that begins with how long it counts."""
     claim = Claim("n0#7", 1, 2, 100, Phase.TAKEN, "d1", None)
-    data = kept.stamped(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
+    data = stored_state.stamped(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
         b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
         b'"digest":"d1","answer":null}]]'
     )
-    assert kept.short("a boot") == "c0978fe8c889" and kept.short("") == ""
+    assert stored_state.short("a boot") == "c0978fe8c889" and stored_state.short("") == ""
 
 
 def test_the_register_of_policy_has_its_recorded_form():
@@ -305,13 +305,18 @@
         "snapshot", "log", "synced", "soon", "hint",
     )  # fmt: skip
     assert (policy_service.KEPT_FILE, policy_service.SAID_FILE) == ("policy.json", "proposal.json")
-    assert keeper_disk.NO_MORE == -1 and kept.LAST == "last"
-    assert (kept.START, kept.DOUBT, kept.SURE, kept.TURN) == ("start", "doubt", "sure", "turn")
-    assert {kind: rule.name for kind, rule in kept.RULES.items()} == {
+    assert keeper_disk.NO_MORE == -1 and stored_state.LAST == "last"
+    assert (stored_state.START, stored_state.DOUBT, stored_state.SURE, stored_state.TURN) == (
+        "start",
+        "doubt",
+        "sure",
+        "turn",
+    )
+    assert {kind: rule.name for kind, rule in stored_state.RULES.items()} == {
         Kind.PROMISE: "promise", Kind.PLAN: "plan", Kind.POLICY: "policy", Kind.HOMES: "homes",
         Kind.ROSTER: "roster", Kind.USE: "use",
     }  # fmt: skip
-    assert {rule.name: rule.mode for rule in kept.RULES.values()} == {
+    assert {rule.name: rule.mode for rule in stored_state.RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
     }  # fmt: skip
     assert (plan.SERVING, plan.LEAVING, plan.OUT, plan.RETURNING) == (
--- a/tests/test_disk_faults_promises.py
+++ b/tests/test_disk_faults_promises.py
@@ -7,7 +7,7 @@
 from support.memory_stores import LIMITS, Site, StoreCores, asks
 
 from fawnwharf.recovery_core.trust import Kind, Store
-from fawnwharf.recovery_service import kept as k
+from fawnwharf.recovery_service import stored_state as k
 
 PROMISES = k.RULES[Kind.PROMISE]
 
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -12,7 +12,7 @@
 from fawnwharf.fakes.disks import Plan, PowerCut
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
 from fawnwharf.recovery_service import hints, onstore
-from fawnwharf.recovery_service import kept as k
+from fawnwharf.recovery_service import stored_state as k
 
 
 @pytest.fixture
