--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -67,7 +67,7 @@
 
         makers["zones"] = lambda first, made, place=place: Zones(deployment, place, write)
     if place := files.get("recovery"):
-        from fawnwharf.recovery_service.onstore import kept
+        from fawnwharf.recovery_service.recovery_store import kept
 
         makers["kept"] = lambda first, made, place=place: kept(
             deployment, place, files["state"], write, fresh and first
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -14,7 +14,7 @@
 from fawnwharf.durable_store.form import Limits
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_service.onstore import Kept
+from fawnwharf.recovery_service.recovery_store import Kept
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.core import Core
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -11,7 +11,7 @@
 from fawnwharf.durable_store.ops import carry_out
 from fawnwharf.durable_store.reading import Unreadable
 from fawnwharf.fakes.disks import MemoryDisk, Plan
-from fawnwharf.recovery_service import onstore, promises
+from fawnwharf.recovery_service import promises, recovery_store
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
@@ -74,9 +74,9 @@
 
     def __init__(self, patch, folder):
         self.now, self.folder, self.machines, self.notes = 1_000.0, folder, {}, []
-        patch.setattr(onstore, "open_folder", self._open)
-        patch.setattr(onstore, "monotonic_ms", lambda: self.now)
-        patch.setattr(onstore, "unix_ms", lambda: 1e12 + self.now)
+        patch.setattr(recovery_store, "open_folder", self._open)
+        patch.setattr(recovery_store, "monotonic_ms", lambda: self.now)
+        patch.setattr(recovery_store, "unix_ms", lambda: 1e12 + self.now)
         patch.setattr(promises, "monotonic_ms", lambda: self.now)
 
     def machine(self, name="n0"):
@@ -98,7 +98,7 @@
     def kept(self, name="n0", fresh=False, settle=True, limits=LIMITS, boot_file=None):
         """Open a member's store."""
         place = str(self.machine(name).place) if boot_file is None else boot_file
-        kept = onstore.Kept(
+        kept = recovery_store.Kept(
             self.folder, "f", name, place, limits, lambda what, more: self.notes.append((what, more)), fresh
         )
         if settle:
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -8,7 +8,7 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_service.onstore import kept
+from fawnwharf.recovery_service.recovery_store import kept
 from fawnwharf.recovery_service.service import Rejoin
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -11,7 +11,7 @@
 from fawnwharf.durable_store.reading import Sign
 from fawnwharf.fakes.disks import Plan, PowerCut
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
-from fawnwharf.recovery_service import hints, onstore
+from fawnwharf.recovery_service import hints, recovery_store
 from fawnwharf.recovery_service import stored_state as k
 
 
@@ -62,7 +62,7 @@
 def test_a_life_has_a_larger_number_than_the_one_before_also_by_a_clock_that_was_set_back(site, monkeypatch):
     numbers = []
     for unix_ms in (5_000_000.0, 5_000_000.0, 1_000.0, 9_000_000.0, 0.0):
-        monkeypatch.setattr(onstore, "unix_ms", lambda unix_ms=unix_ms: unix_ms)
+        monkeypatch.setattr(recovery_store, "unix_ms", lambda unix_ms=unix_ms: unix_ms)
         kept = site.kept(fresh=not numbers)
         site.pump(kept, 200.0)
         numbers.append(kept.number)
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -11,7 +11,7 @@
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store.form import Limits
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
-from fawnwharf.recovery_service.onstore import Kept
+from fawnwharf.recovery_service.recovery_store import Kept
 
 GRANTING = """
 import json, sys
@@ -19,7 +19,7 @@
 from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_service.onstore import Kept
+from fawnwharf.recovery_service.recovery_store import Kept
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
