--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -16,7 +16,7 @@
 from fawnwharf.recovery_core.asking import Stand, What
 from fawnwharf.recovery_core.stages import Decide, Note, Stage
 from fawnwharf.recovery_core.trust import Kind, Store
-from fawnwharf.recovery_service import joined, showing
+from fawnwharf.recovery_service import front_end_integration, showing
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import Agent, Effect, Go, Lists, Own, Say, Signed
 from fawnwharf.recovery_service.call_outcomes import Counted
@@ -31,7 +31,7 @@
 LINE_S = 1.0  # one note a second of each kind
 
 Write = Callable[[str, dict[str, Any]], None]
-Join = Callable[..., joined.Joined]
+Join = Callable[..., front_end_integration.Joined]
 
 
 class Rejoin:
@@ -43,7 +43,7 @@
         path: str | Path,
         write: Write,
         made: dict[str, Any],
-        join: Join = joined.Joined,
+        join: Join = front_end_integration.Joined,
     ) -> None:
         """Reads and checks the file; raises ConfigError with one line. `made` has the other parts by name, of
         which `zones`, `kept` and `state` have to be there already."""
@@ -57,7 +57,7 @@
         self.tallies = Tallies({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
         self.front: FrontEnd | None = None
         self.agent: Agent | None = None
-        self.joined: joined.Joined | None = None
+        self.joined: front_end_integration.Joined | None = None
         self.calls: Counted | None = None
         self._rostered = self._dialled = False
         self._calm_ms: float | None = None  # since when
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -31,7 +31,7 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_core.trust import Clock, Kind
-from fawnwharf.recovery_service import joined, stored_state
+from fawnwharf.recovery_service import front_end_integration, stored_state
 from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.recovery_service import settings as recovery_settings
 from fawnwharf.replication import disk as keeper_disk
@@ -141,7 +141,7 @@
         (session_words.RIDER, "sessions"),
         (foreseen.RIDER, "foresight"),
         (recovery_words.RIDER, "recovery"),
-        (joined.RIDER, "recovery-given"),
+        (front_end_integration.RIDER, "recovery-given"),
     ],
 )
 def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
