--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -19,7 +19,7 @@
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed, Decide, Follower, Note, RegisterError, Stage, Timing
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.lead import Lead, Lists
+from fawnwharf.recovery_service.recovery_leader import Lead, Lists
 from fawnwharf.zones.lines import Seat
 
 LOG = "change log"  # as one that answers; it is no member
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -13,7 +13,7 @@
 from fawnwharf.recovery_core.stages import Decide, Note, Stage, Timing
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import Agent, Go, Own, Say, Signed
-from fawnwharf.recovery_service.lead import Lists
+from fawnwharf.recovery_service.recovery_leader import Lists
 from fawnwharf.zones.lines import RECOVERY, Heard, Ruled, Word
 from support.zone_files import members
 
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -13,8 +13,8 @@
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.coordinated_slow_start import Wards
 from fawnwharf.recovery_service.delegated_loads import LENT_MS
-from fawnwharf.recovery_service.lead import Lead, Lists
 from fawnwharf.recovery_service.permit_issuing import LOOK_MS, TURN_MS
+from fawnwharf.recovery_service.recovery_leader import Lead, Lists
 
 ROWS = [f"f{i}" for i in range(400)]
 STEP_MS = 20.0
