--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -16,7 +16,7 @@
 from fawnwharf.recovery_core.asking import Stand, What
 from fawnwharf.recovery_core.stages import Decide, Note, Stage
 from fawnwharf.recovery_core.trust import Kind, Store
-from fawnwharf.recovery_service import front_end_integration, showing
+from fawnwharf.recovery_service import front_end_integration, status_display
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import Agent, Effect, Go, Lists, Own, Say, Signed
 from fawnwharf.recovery_service.call_outcomes import Counted
@@ -303,7 +303,7 @@
         now = monotonic_ms()
         if self._stopped or now - self._shown_ms < SHOW_MS:
             return  # the next tick tells it
-        shown = showing.shown(self.agent, now)
+        shown = status_display.shown(self.agent, now)
         if shown != self._shown:
             self._shown, self._shown_ms = shown, now
             self.zones.stand(msgspec.to_builtins(shown), RECOVERY)
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -9,7 +9,7 @@
 from fawnwharf.recovery_core.stages import Register, Stage
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.recovery_leader import Lead, Lists
-from fawnwharf.recovery_service.showing import shown
+from fawnwharf.recovery_service.status_display import shown
 
 RETURN = list(Stage)
 
