--- a/fawnwharf/recovery_service/coordinated_slow_start.py
+++ b/fawnwharf/recovery_service/coordinated_slow_start.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field, replace
 
 from fawnwharf.recovery_core.budget import TICKET_MS, Limits, Warden, warden_of
+from fawnwharf.recovery_service.actions import Ticket, Words
 from fawnwharf.recovery_service.load_permits import follows
-from fawnwharf.recovery_service.outs import Ticket, Words
 from fawnwharf.recovery_service.permit_messages import TICKETS_MOST, Asked, Given
 
 SCORERS_MOST = 4_096
--- a/fawnwharf/recovery_service/delegated_loads.py
+++ b/fawnwharf/recovery_service/delegated_loads.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_service import permit_messages as m
-from fawnwharf.recovery_service.outs import Order, Out, Words
+from fawnwharf.recovery_service.actions import Order, Out, Words
 
 SPARE_MS, SPARE_EACH_MS = 200.0, 4.0  # pace of telling, and for each front end that is heard
 FRESH_MS = 150.0  # for so long a loader counts on what was told
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -16,7 +16,7 @@
 from fawnwharf.recovery_core.budget import Limits, limits_from
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service import outs
+from fawnwharf.recovery_service import actions
 from fawnwharf.recovery_service import permit_messages as g
 from fawnwharf.recovery_service.load_order_gate import Holds
 from fawnwharf.recovery_service.permit_issuing import TURN_MS, Giving
@@ -169,11 +169,11 @@
     def events(self, now_ms: float, events: list[io.Event]) -> None:
         self._carry_out(self.holds.events(now_ms, events))
 
-    def _carry_out(self, found: list[outs.Out]) -> None:
+    def _carry_out(self, found: list[actions.Out]) -> None:
         for out in found:
-            if isinstance(out, outs.Words):
+            if isinstance(out, actions.Words):
                 self.state.ride(RIDER, out.to, msgspec.to_builtins(out.word))
-            elif isinstance(out, outs.Order):
+            elif isinstance(out, actions.Order):
                 if isinstance(out.what, io.Hold):
                     self.front.table.order(out.what)
                 else:
--- a/fawnwharf/recovery_service/load_order_gate.py
+++ b/fawnwharf/recovery_service/load_order_gate.py
@@ -18,7 +18,7 @@
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service.outs import Out
+from fawnwharf.recovery_service.actions import Out
 from fawnwharf.recovery_service.permit_issuing import Giving
 
 ASK_MS = 1_000.0  # a place is asked no sooner again
--- a/fawnwharf/recovery_service/loading.py
+++ b/fawnwharf/recovery_service/loading.py
@@ -10,9 +10,9 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import Loader
+from fawnwharf.recovery_service.actions import Order, Words
 from fawnwharf.recovery_service.delegated_loads import Spares
 from fawnwharf.recovery_service.load_permits import Seats
-from fawnwharf.recovery_service.outs import Order, Words
 from fawnwharf.recovery_service.permit_messages import Lend, Lent, Wanted, What
 
 ORDER_MS = 100.0  # by then the module has made an order of what it was told, or it makes none
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -18,7 +18,7 @@
 from fawnwharf.recovery_core import alone
 from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service.outs import Stood, Ticket
+from fawnwharf.recovery_service.actions import Stood, Ticket
 from fawnwharf.recovery_service.permit_issuing import Giving
 from fawnwharf.replication.claims import Phase
 from fawnwharf.replication.core import Core
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -21,9 +21,9 @@
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_core.world import KINDS, WORTHS
+from fawnwharf.recovery_service.actions import Order as Ordered
+from fawnwharf.recovery_service.actions import Out, Words
 from fawnwharf.recovery_service.load_order_gate import Holds
-from fawnwharf.recovery_service.outs import Order as Ordered
-from fawnwharf.recovery_service.outs import Out, Words
 from fawnwharf.recovery_service.permit_issuing import TURN_MS, Giving
 from fawnwharf.recovery_service.recovery_admission import Door
 from fawnwharf.replication.placement import weight
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -12,7 +12,7 @@
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import Limits
 from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_service.outs import Order, Ticket, Words
+from fawnwharf.recovery_service.actions import Order, Ticket, Words
 from fawnwharf.recovery_service.permit_issuing import TURN_MS, Giving
 from fawnwharf.recovery_service.permit_messages import word_from
 from fawnwharf.replication.placement import weight
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -6,7 +6,7 @@
 
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
-from fawnwharf.recovery_service.outs import Order, Words
+from fawnwharf.recovery_service.actions import Order, Words
 from fawnwharf.recovery_service.permit_issuing import Giving
 from fawnwharf.replication.placement import weight
 from support.load_permits import LIMITS, WORTHS, Fleet
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -13,8 +13,8 @@
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
+from fawnwharf.recovery_service.actions import Stood, Ticket
 from fawnwharf.recovery_service.load_order_gate import Holds
-from fawnwharf.recovery_service.outs import Stood, Ticket
 from fawnwharf.recovery_service.recovery_admission import HOLD_PART, Kept
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claims import Claim, Phase
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -11,9 +11,9 @@
 from fawnwharf.recovery_core.budget import loader_of, loaders, warden_of
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_service import permit_messages as m
+from fawnwharf.recovery_service.actions import Order, Words
 from fawnwharf.recovery_service.coordinated_slow_start import Wards
 from fawnwharf.recovery_service.load_permits import Seats
-from fawnwharf.recovery_service.outs import Order, Words
 from fawnwharf.recovery_service.permit_issuing import Giving
 
 ROWS = [f"f{i}" for i in range(60)]
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -9,8 +9,8 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
+from fawnwharf.recovery_service.actions import Order, Stood, Ticket
 from fawnwharf.recovery_service.load_order_gate import Holds
-from fawnwharf.recovery_service.outs import Order, Stood, Ticket
 from fawnwharf.recovery_service.permit_issuing import Giving
 from fawnwharf.recovery_service.recovery_admission import Door
 
--- a/tests/test_rejoin_lent.py
+++ b/tests/test_rejoin_lent.py
@@ -6,6 +6,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_service import permit_messages as m
+from fawnwharf.recovery_service.actions import Order, Words
 from fawnwharf.recovery_service.delegated_loads import (
     FRESH_MS,
     GONE_MS,
@@ -15,7 +16,6 @@
     Helping,
     Spares,
 )
-from fawnwharf.recovery_service.outs import Order, Words
 
 
 def most_of_one(fleet):
