--- a/fawnwharf/recovery_service/permit_issuing.py
+++ b/fawnwharf/recovery_service/permit_issuing.py
@@ -19,8 +19,8 @@
 from fawnwharf.recovery_service.actions import Out, Stood, Words
 from fawnwharf.recovery_service.coordinated_slow_start import Wards
 from fawnwharf.recovery_service.delegated_loads import LENT_MS, Helping
+from fawnwharf.recovery_service.load_coordination import LEAST_MS, PROVES, RETRY_MS, Loading
 from fawnwharf.recovery_service.load_permits import Seats
-from fawnwharf.recovery_service.loading import LEAST_MS, PROVES, RETRY_MS, Loading
 
 TURN_MS = 50.0  # words are gathered for so long
 AGAIN_MS = 1_000.0  # a want of which nothing came is told again
