--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -18,8 +18,8 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
 from fawnwharf.recovery_service import stored_state as k
-from fawnwharf.recovery_service.promises import OnStore
 from fawnwharf.recovery_service.settings import settings_from
+from fawnwharf.recovery_service.stored_promises import OnStore
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import settings_from as state_settings
 from fawnwharf.zones.files import load
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -11,7 +11,7 @@
 from fawnwharf.durable_store.ops import carry_out
 from fawnwharf.durable_store.reading import Unreadable
 from fawnwharf.fakes.disks import MemoryDisk, Plan
-from fawnwharf.recovery_service import promises, recovery_store
+from fawnwharf.recovery_service import recovery_store, stored_promises
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
@@ -77,7 +77,7 @@
         patch.setattr(recovery_store, "open_folder", self._open)
         patch.setattr(recovery_store, "monotonic_ms", lambda: self.now)
         patch.setattr(recovery_store, "unix_ms", lambda: 1e12 + self.now)
-        patch.setattr(promises, "monotonic_ms", lambda: self.now)
+        patch.setattr(stored_promises, "monotonic_ms", lambda: self.now)
 
     def machine(self, name="n0"):
         """The machine of a member, made when it is first asked for."""
