--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -1,5 +1,5 @@
 """All clients at once at front ends that have just returned, in virtual time: with loaders, wardens and
-doors, and with the module alone. `python -m fawnwharf.recovery_service.trial [pairs]` prints means and
+doors, and with the module alone. `python -m fawnwharf.recovery_service.simulation [pairs]` prints means and
 differences.
 
 Real are the module, `Giving`, `Door` and `Holds`; small are scorers, the store and words (1 to 5 ms). Left
