--- a/fawnwharf/recovery_service/actions.py
+++ b/fawnwharf/recovery_service/actions.py
@@ -3,33 +3,33 @@
 from msgspec import Struct
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_service.permit_messages import Word
+from fawnwharf.recovery_service.permit_messages import PermitMessage
 
 
-class Words(Struct, frozen=True):
+class SendPermitMessage(Struct, frozen=True):
     """Say this to these members, to all that follow where none is named."""
 
     to: tuple[str, ...]
-    word: Word
+    word: PermitMessage
 
 
-class Order(Struct, frozen=True):
+class LoadOrder(Struct, frozen=True):
     """An event for the module; a `Hold` of no copies is a question for the table."""
 
     what: io.CopiesWanted | io.Hold
 
 
-class Ticket(Struct, frozen=True):
+class SlowStartPermit(Struct, frozen=True):
     """For a call that waits at the door: 0: it goes now, or not at all by this; else not before."""
 
     key: str
     free_ms: float
 
 
-class Stood(Struct, frozen=True):
+class CopyAvailable(Struct, frozen=True):
     """A copy of this function stands, as far as is known here: calls that wait for it may go."""
 
     row: str
 
 
-Out = Words | Order | Ticket | Stood
+Action = SendPermitMessage | LoadOrder | SlowStartPermit | CopyAvailable
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -19,25 +19,25 @@
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed, Decide, Follower, Note, RegisterError, Stage, Timing
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.recovery_leader import Lead, Lists
+from fawnwharf.recovery_service.recovery_leader import MemberLists, RecoveryLeader
 from fawnwharf.zones.lines import Seat
 
-LOG = "change log"  # as one that answers; it is no member
-LOOK_MS, CALM_LOOK_MS = 50.0, 250.0
-CALM_PACE = 4  # in calm a front end tells how it stands so many times less often
-GAVE_MS = 2_000.0  # what was given out alone ends within that
-TOLD_TIMES = 3  # a sign is told to one that started anew
+CHANGE_LOG = "change log"  # as one that answers; it is no member
+TICK_MS, CALM_TICK_MS = 50.0, 250.0
+CALM_INTERVAL_FACTOR = 4  # in calm a front end tells how it stands so many times less often
+ISSUED_ALONE_MS = 2_000.0  # what was given out alone ends within that
+MAX_SIGNATURE_REPORTS = 3  # a sign is told to one that started anew
 
 
-class Say(msgspec.Struct, frozen=True):
+class SendMessage(msgspec.Struct, frozen=True):
     """By zones' logs where `zone`, else by logs of state; to all that hear this one where none is named."""
 
     to: tuple[str, ...]
-    word: w.Word
+    word: w.RecoveryMessage
     zone: bool = True
 
 
-class Go(msgspec.Struct, frozen=True):
+class ApplyPhase(msgspec.Struct, frozen=True):
     """Go by this from now on."""
 
     allowed: Allowed
@@ -47,17 +47,17 @@
     dealt: Dealt | None = None  # None: by what is heard
 
 
-class Signed(msgspec.Struct, frozen=True):
+class SignatureReported(msgspec.Struct, frozen=True):
     """Others heard this of the own folder before this life."""
 
     sign: Sign
 
 
-Effect = Say | Decide | Note | Go | Signed
+Effect = SendMessage | Decide | Note | ApplyPhase | SignatureReported
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class LocalStatus:
     """What this front end knows of itself at a moment."""
 
     settled: bool  # its store has all anew: what was found may be told
@@ -70,11 +70,11 @@
     rostered: bool = False  # the change log was heard, in this life
     scorers: bool = False  # some take calls
     heard: int = 1  # front ends that it hears, itself among them
-    standing: w.Standing | None = None  # its calls, loads and scorers
+    standing: w.StatusReport | None = None  # its calls, loads and scorers
 
 
 @dataclass(slots=True)
-class _Heard:
+class _ReportedSignatures:
     """A folder's signs, as its member told them: of this life of it, and the farthest before that."""
 
     life: int
@@ -84,15 +84,15 @@
 
 
 @dataclass(slots=True)
-class Agent:
+class RecoveryAgent:
     """Owns what one life of a front end asks, by which stage it goes, and its part in leading."""
 
     name: str
     fleet: str
     life: int
     mark: str  # of the machine's boot
-    lists: Lists
-    own: Own
+    lists: MemberLists
+    own: LocalStatus
     seat: Callable[[float], Seat]  # how its voter stands
     worths: Mapping[str, float]  # of classes
     timing: Timing
@@ -102,9 +102,9 @@
     stage_ms: float = 300.0
     asking: Asking = field(init=False)
     follower: Follower = field(init=False)
-    lead: Lead = field(init=False)
+    lead: RecoveryLeader = field(init=False)
     counts: dict[str, int] = field(default_factory=dict)  # what was dropped, by cause
-    signs: dict[str, dict[str, _Heard]] = field(default_factory=dict)  # by member and disk
+    signs: dict[str, dict[str, _ReportedSignatures]] = field(default_factory=dict)  # by member and disk
     _told: dict[str, tuple[int, float]] = field(default_factory=dict)  # leader's life and least lateness
     _heard_ms: dict[str, float] = field(default_factory=dict)  # when voters said something last
     _term: int = 0  # the largest of a leader that was followed
@@ -121,16 +121,16 @@
             found |= {What.MEMBERS: (lists.number, lists.digest), What.PLAN: own.plan}
         if own.sure or self.name not in lists.keepers:
             found[What.PROMISES] = (0, "")
-        asked_of = {Of.VOTERS: lists.voters, Of.KEEPERS: lists.keepers, Of.LOG: (LOG,)}
+        asked_of = {Of.VOTERS: lists.voters, Of.KEEPERS: lists.keepers, Of.LOG: (CHANGE_LOG,)}
         self.asking = Asking(self.name, self.fleet, self.life, asked_of, self.now_ms, found, self.pace)
         self.follower = Follower(self.timing, self.now_ms)
-        self.lead = Lead(self.timing, lists, self.heard_ms, 3.0 * self.stand_ms, self.stage_ms)
+        self.lead = RecoveryLeader(self.timing, lists, self.heard_ms, 3.0 * self.stand_ms, self.stage_ms)
         self._stand_due_ms = self._ask_due_ms = self.now_ms
 
     @property
     def heard_ms(self) -> float:
         """Who told something within that time is heard, also in calm."""
-        return 3.0 * CALM_PACE * self.stand_ms
+        return 3.0 * CALM_INTERVAL_FACTOR * self.stand_ms
 
     @property
     def asked(self) -> bool:
@@ -169,7 +169,7 @@
 
     # --- what comes in --------------------------------------------------------------------------
 
-    def hear_zone(self, now_ms: float, sender: str, word: w.Word) -> list[Effect]:
+    def hear_zone(self, now_ms: float, sender: str, word: w.RecoveryMessage) -> list[Effect]:
         """A word of a member, by its zones' log."""
         if sender not in self.lists.members:
             self._count("of no member")
@@ -180,21 +180,21 @@
             return self._answer(now_ms, sender, word, zone=True)
         if isinstance(word, Answer):
             return self._answered(now_ms, sender, word, Of.VOTERS)
-        if isinstance(word, w.Boot):
+        if isinstance(word, w.BootReport):
             self.lead.booted(now_ms, sender, word)
             return self._signed(sender, word)
-        if isinstance(word, w.Known):
+        if isinstance(word, w.KnownSignature):
             if word.life != self.life:
                 self._count("to another life")
                 return []
-            return [Signed(word.sign)]
-        if isinstance(word, w.Standing):
+            return [SignatureReported(word.sign)]
+        if isinstance(word, w.StatusReport):
             if not self.lead.stands(now_ms, sender, word):
                 self._count("of an earlier life")
             return []
         return self._told_stage(now_ms, sender, word)
 
-    def hear_state(self, now_ms: float, sender: str, word: w.Word) -> list[Effect]:
+    def hear_state(self, now_ms: float, sender: str, word: w.RecoveryMessage) -> list[Effect]:
         """A word of a member, by its log of state: questions to keepers, and their answers."""
         if sender not in self.lists.members:
             self._count("of no member")
@@ -229,7 +229,7 @@
         if own.settled and sure:
             told = {"sure": True, "number": number, "digest": digest, "leased": leased}
             answer = msgspec.structs.replace(answer, **told)
-        return [Say((sender,), answer, zone)]
+        return [SendMessage((sender,), answer, zone)]
 
     def _answered(self, now_ms: float, sender: str, answer: Answer, of: Of) -> list[Effect]:
         if answer.what > What.USE or self.asking.steps[What(answer.what)].of is not of:
@@ -238,7 +238,7 @@
         self.asking.heard(now_ms, sender, answer)
         return self._go(now_ms)
 
-    def _signed(self, sender: str, boot: w.Boot) -> list[Effect]:
+    def _signed(self, sender: str, boot: w.BootReport) -> list[Effect]:
         """Tell one that started anew how far its folder had come by its own earlier word; it may be an older
         copy."""
         sign, disks = boot.sign, self.signs.setdefault(sender, {})
@@ -248,18 +248,18 @@
         if heard is None:
             while len(disks) > 1:
                 del disks[next(iter(disks))]
-            disks[sign.mark] = _Heard(boot.life, sign)
+            disks[sign.mark] = _ReportedSignatures(boot.life, sign)
             return []
         if boot.life != heard.life:
-            heard.before = max(heard.last, heard.before or heard.last, key=_order)
+            heard.before = max(heard.last, heard.before or heard.last, key=_signature_order)
             heard.life, heard.told = boot.life, 0
         heard.last = sign
-        if heard.before is None or heard.told >= TOLD_TIMES or sender == self.name:
+        if heard.before is None or heard.told >= MAX_SIGNATURE_REPORTS or sender == self.name:
             return []
         heard.told += 1
-        return [Say((sender,), w.Known(boot.life, heard.before))]
+        return [SendMessage((sender,), w.KnownSignature(boot.life, heard.before))]
 
-    def _told_stage(self, now_ms: float, sender: str, word: w.Told) -> list[Effect]:
+    def _told_stage(self, now_ms: float, sender: str, word: w.PhaseAnnouncement) -> list[Effect]:
         if sender not in self.lists.voters or word.term < self._term:
             self._count("a stage of no leader")
             return []
@@ -270,7 +270,7 @@
             if now_ms < self._ask_due_ms:
                 return []
             self._ask_due_ms = now_ms + self.pace.again_ms
-            return [self._boot(), Say((sender,), self.asking.ask_one(sender, What.MEMBERS).message)]
+            return [self._boot(), SendMessage((sender,), self.asking.ask_one(sender, What.MEMBERS).message)]
         late = now_ms - word.at_ms  # and the two clocks' difference, which the least of it stands for
         life, least = self._told.get(sender, (0, 0.0))
         least = min(least, late) if life == word.life else late
@@ -296,7 +296,7 @@
         """The voter may lead, or not lead any more."""
         return self.lead.turned(now_ms, self.seat(now_ms))
 
-    def take_lists(self, now_ms: float, lists: Lists) -> list[Effect]:
+    def take_lists(self, now_ms: float, lists: MemberLists) -> list[Effect]:
         """There is a later file of members."""
         self.lists = self.lead.lists = lists
         self.asking.lists |= {Of.VOTERS: lists.voters, Of.KEEPERS: lists.keepers}
@@ -309,51 +309,51 @@
     def due_ms(self, now_ms: float) -> float:
         """When `tick` is wanted next."""
         calm = self._going is not None and self._going[1] is Stage.SPILL and not self.lead.term
-        dues = [now_ms + (CALM_LOOK_MS if calm else LOOK_MS), self._stand_due_ms]
+        dues = [now_ms + (CALM_TICK_MS if calm else TICK_MS), self._stand_due_ms]
         if (due := self.asking.due_ms()) is not None:
             dues.append(due)
         return min(dues)
 
-    def tick(self, now_ms: float, own: Own) -> list[Effect]:
+    def tick(self, now_ms: float, own: LocalStatus) -> list[Effect]:
         """Call it at `due_ms` at the latest. `own` counts until the next one."""
         self.own = own
         if own.sure:
             self.asking.knows(now_ms, What.PROMISES)
         if own.rostered and self.asking.stand(What.ROSTER) not in (Stand.AHEAD, Stand.ANSWERED):
             said = Answer(self.fleet, self.life, self.asking.turn, int(What.ROSTER), 1, True)
-            self.asking.heard(now_ms, LOG, said)
+            self.asking.heard(now_ms, CHANGE_LOG, said)
         effects: list[Effect] = [*self.turned(now_ms)]
         for said in self.asking.tick(now_ms):
-            if said.to != LOG:
+            if said.to != CHANGE_LOG:
                 zone = self.asking.steps[What(said.message.what)].of is Of.VOTERS
-                effects.append(Say((said.to,), said.message, zone))
-        if any(isinstance(effect, Say) for effect in effects):
+                effects.append(SendMessage((said.to,), said.message, zone))
+        if any(isinstance(effect, SendMessage) for effect in effects):
             effects.insert(0, self._boot())  # a voter that answers knows it
         effects += self._go(now_ms)
         if now_ms >= self._stand_due_ms:
             calm = self._going is not None and self._going[1] is Stage.SPILL
-            self._stand_due_ms = now_ms + self.stand_ms * (CALM_PACE if calm else 1)
-            effects += [self._boot(), Say((), self._standing(now_ms))]
-        self.lead.booted(now_ms, self.name, w.Boot(self.life, self.mark, own.sign))
+            self._stand_due_ms = now_ms + self.stand_ms * (CALM_INTERVAL_FACTOR if calm else 1)
+            effects += [self._boot(), SendMessage((), self._standing(now_ms))]
+        self.lead.booted(now_ms, self.name, w.BootReport(self.life, self.mark, own.sign))
         self.lead.stands(now_ms, self.name, self._standing(now_ms))
         return [*effects, *self._leading(now_ms)]
 
-    def _boot(self) -> Say:
-        return Say((), w.Boot(self.life, self.mark, self.own.sign))
+    def _boot(self) -> SendMessage:
+        return SendMessage((), w.BootReport(self.life, self.mark, self.own.sign))
 
-    def _standing(self, now_ms: float) -> w.Standing:
-        gave = now_ms - self._gave_ms < GAVE_MS
+    def _standing(self, now_ms: float) -> w.StatusReport:
+        gave = now_ms - self._gave_ms < ISSUED_ALONE_MS
         known = {"life": self.life, "asked": self.asked, "sure": self.own.sure, "gave": gave}
         if self.own.standing is None:
-            return w.Standing(**known)
+            return w.StatusReport(**known)
         return msgspec.structs.replace(self.own.standing, **known)
 
     def _leading(self, now_ms: float) -> list[Effect]:
         """What the leader decides, and its word to all; it is one of those itself."""
         effects: list[Effect] = [*self.lead.tick(now_ms, self.seat(now_ms))]
         if (text := self.lead.word(now_ms, self.seat(now_ms))) is not None:
-            told = w.Told(self.life, self.lead.term, now_ms, text)
-            effects.append(Say((), told))
+            told = w.PhaseAnnouncement(self.life, self.lead.term, now_ms, text)
+            effects.append(SendMessage((), told))
             effects += self._told_stage(now_ms, self.name, told)
         return effects
 
@@ -371,7 +371,7 @@
         if going == self._going:
             return effects
         before, self._going = self._going, going
-        effects.append(Go(*going))
+        effects.append(ApplyPhase(*going))
         if before is None or (before[1:3], before[0].part) != (going[1:3], going[0].part):
             stage = "alone" if going[1] is None else going[1].name.lower()
             fields = {"stage": stage, "cut": going[2], "part": going[0].part, "status": going[0].status}
@@ -381,5 +381,5 @@
         return effects
 
 
-def _order(sign: Sign) -> tuple[int, int]:
+def _signature_order(sign: Sign) -> tuple[int, int]:
     return sign.life, sign.number
--- a/fawnwharf/recovery_service/call_outcomes.py
+++ b/fawnwharf/recovery_service/call_outcomes.py
@@ -8,7 +8,7 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 
-class Taking(Protocol):
+class RequestSink(Protocol):
     """What takes calls and withdraws them: the table, or what stands before it."""
 
     def take(self, call: Call) -> str | None: ...
@@ -16,12 +16,12 @@
     def withdraw(self, key: str) -> None: ...
 
 
-class Counted:
+class CallOutcomeRecorder:
     """Owns what is known of each call that came while calls are counted."""
 
     def __init__(
         self,
-        below: Taking,
+        below: RequestSink,
         classes: Mapping[str, io.ClassSpec],
         ended: Callable[[float, str, bool], None],
     ) -> None:
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -13,27 +13,27 @@
 ]
 
 
-def look(place: tuple[str, int], within_s: float = 3.0) -> w.Shown | None:
+def read_status(place: tuple[str, int], within_s: float = 3.0) -> w.DisplayedStatus | None:
     """How a member stands, None where it tells nothing of recovery. Raises OSError where its log can't be
     read, ValueError for what is none."""
     line = lines(place, ("recovery",), within_s).get("recovery")
-    return None if line is None else msgspec.convert(line["recovery"], w.Shown)
+    return None if line is None else msgspec.convert(line["recovery"], w.DisplayedStatus)
 
 
 def show(file: File, member: Member = "") -> None:
     """The stage by which a member goes, whom it heard and asked, what it doubts and goes without."""
     place = address(*files(file), member)
     try:
-        found = look(place)
+        found = read_status(place)
     except (OSError, ValueError) as error:
         fail(f"recovery: no answer: {error}", 1)
     if found is None:
         fail("recovery: this member tells nothing of it; it needs `serve --recovery`", 1)
-    for line in told(found):
+    for line in status_lines(found):
         typer.echo(line)
 
 
-def told(found: w.Shown) -> list[str]:
+def status_lines(found: w.DisplayedStatus) -> list[str]:
     """One line a fact, the stage first."""
     stage = found.stage or "ALONE"
     lines = [f"{stage}  cut {found.cut}  part {found.part:g}  by {found.how}"]
--- a/fawnwharf/recovery_service/coordinated_slow_start.py
+++ b/fawnwharf/recovery_service/coordinated_slow_start.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field, replace
 
 from fawnwharf.recovery_core.budget import TICKET_MS, Limits, Warden, warden_of
-from fawnwharf.recovery_service.actions import Ticket, Words
-from fawnwharf.recovery_service.load_permits import follows
-from fawnwharf.recovery_service.permit_messages import TICKETS_MOST, Asked, Given
-
-SCORERS_MOST = 4_096
-KEYS_MOST = 4_096  # calls that wait for a ticket here
-TURNS_MOST = 1_024  # of one scorer, that were told to those who got no ticket
-AGAIN_MS = 200.0  # a question without an answer for so long is asked again
+from fawnwharf.recovery_service.actions import SendPermitMessage, SlowStartPermit
+from fawnwharf.recovery_service.load_permits import continues_deal
+from fawnwharf.recovery_service.permit_messages import MAX_PERMITS_PER_REQUEST, PermitRequest, PermitResponse
+
+MAX_SCORERS = 4_096
+MAX_WAITING_CALLS = 4_096  # calls that wait for a ticket here
+MAX_TURNS = 1_024  # of one scorer, that were told to those who got no ticket
+RETRY_MS = 200.0  # a question without an answer for so long is asked again
 RESTART_MS = 500.0  # a scorer's age may be told a little differently each time
 
 
@@ -33,7 +33,7 @@
     turns: deque[float] = field(default_factory=deque)  # told by this warden to those without a ticket
 
 
-class Wards:
+class CoordinatedSlowStart:
     """Owns the scorers that are there, what this front end gives out of them, and what it asks others for."""
 
     def __init__(self, me: str, life: int, limits: Limits, lag_ms: float) -> None:
@@ -68,7 +68,7 @@
         self._wait_ms = self.lag_ms if deal is None else lag_ms
         if (deal, first) == (self._deal, self._first) and givers == self._givers:
             return
-        if not follows(self._deal, deal) or first:
+        if not continues_deal(self._deal, deal) or first:
             for scorer in self.scorers.values():
                 scorer.warden = ""  # another may have been it since, or nobody was ever
         self._deal, self._first = deal, first
@@ -101,21 +101,21 @@
             if abs(up_ms - known.up_ms) > RESTART_MS:
                 known.up_ms = up_ms  # what was given out before may still be on its way: it counts
             return
-        if len(self.scorers) >= SCORERS_MOST:
+        if len(self.scorers) >= MAX_SCORERS:
             self._count("scorers beyond what is kept")
             return
         found = self.scorers[id] = _Scorer(up_ms)
         if self._givers:
             self._ward(now_ms, id, found, nobodys=self._first or up_ms >= self._since_ms + self._wait_ms)
 
-    def gone(self, id: int) -> list[Ticket]:
+    def gone(self, id: int) -> list[SlowStartPermit]:
         """It is there no more; who waited for it may look elsewhere."""
         scorer = self.scorers.pop(id, None)
         if scorer is None:
             return []
         self.warden.warm(str(id))
         keys = [key for key in scorer.waiting if self.keys.pop(key, None) is not None]
-        return [Ticket(key, 1.0) for key in keys]
+        return [SlowStartPermit(key, 1.0) for key in keys]
 
     def age_ms(self, now_ms: float, id: int) -> float | None:
         scorer = self.scorers.get(id)
@@ -136,7 +136,7 @@
             return self._give(now_ms, id, scorer)
         if now_ms < scorer.full_ms:
             return scorer.full_ms - now_ms
-        if len(self.keys) >= KEYS_MOST:
+        if len(self.keys) >= MAX_WAITING_CALLS:
             self._count("calls for tickets beyond what is kept")
             return self.limits.fall_ms
         if key not in self.keys:
@@ -165,13 +165,13 @@
         else:  # it waits, as it is new: its room comes after that, one after the other
             room = self.warden.limits.room(now_ms - scorer.up_ms)
             due_ms = now_ms + wait_ms + span_ms * ahead / room
-        if len(turns) < TURNS_MOST:
+        if len(turns) < MAX_TURNS:
             turns.append(max(due_ms, turns[-1] if turns else due_ms))
         return max(1.0, wait_ms, due_ms - now_ms)
 
     # --- words ------------------------------------------------------------------------------------
 
-    def asked(self, now_ms: float, sender: str, word: Asked) -> list[Words]:
+    def asked(self, now_ms: float, sender: str, word: PermitRequest) -> list[SendPermitMessage]:
         """Somebody asks this front end; if that is not its warden, it says nothing: a view is about to
         change."""
         scorer = self.scorers.get(word.scorer)
@@ -182,9 +182,11 @@
             free = [0.0] * word.count
         else:
             free = [self._give(now_ms, word.scorer, scorer) for _ in range(word.count)]
-        return [Words((sender,), Given(word.scorer, word.number, word.life, tuple(free)))]
+        return [
+            SendPermitMessage((sender,), PermitResponse(word.scorer, word.number, word.life, tuple(free)))
+        ]
 
-    def given(self, now_ms: float, sender: str, word: Given) -> list[Ticket]:
+    def given(self, now_ms: float, sender: str, word: PermitResponse) -> list[SlowStartPermit]:
         scorer = self.scorers.get(word.scorer)
         if scorer is None or word.life != self.life or not scorer.number or scorer.number != word.number:
             self._count("an answer to nothing")
@@ -201,14 +203,14 @@
                 continue
             key = scorer.waiting.popleft()
             del self.keys[key]
-            tickets.append(Ticket(key, free_ms))
+            tickets.append(SlowStartPermit(key, free_ms))
         if later:
             scorer.full_ms = now_ms + min(later)
         return tickets
 
-    def tick(self, now_ms: float) -> list[Words | Ticket]:
+    def tick(self, now_ms: float) -> list[SendPermitMessage | SlowStartPermit]:
         """Ask for what waits; those whose scorer is warm by now, or one's own, go by that."""
-        found: list[Words | Ticket] = []
+        found: list[SendPermitMessage | SlowStartPermit] = []
         for id in list(dict.fromkeys(self.keys.values())):
             scorer = self.scorers[id]
             if scorer.warden == self.me or not self.cold(now_ms, id):
@@ -217,10 +219,12 @@
                 for key in keys:
                     del self.keys[key]
                     free_ms = self.ask(now_ms, id, key)
-                    found.append(Ticket(key, 0.0 if free_ms is None else free_ms))
-            elif scorer.warden and (not scorer.number or now_ms - scorer.asked_ms >= AGAIN_MS):
+                    found.append(SlowStartPermit(key, 0.0 if free_ms is None else free_ms))
+            elif scorer.warden and (not scorer.number or now_ms - scorer.asked_ms >= RETRY_MS):
                 self._number += 1
                 scorer.number, scorer.asked_ms = self._number, now_ms
-                count = min(TICKETS_MOST, len(scorer.waiting))
-                found.append(Words((scorer.warden,), Asked(id, self._number, self.life, count)))
+                count = min(MAX_PERMITS_PER_REQUEST, len(scorer.waiting))
+                found.append(
+                    SendPermitMessage((scorer.warden,), PermitRequest(id, self._number, self.life, count))
+                )
         return found
--- a/fawnwharf/recovery_service/counters.py
+++ b/fawnwharf/recovery_service/counters.py
@@ -11,15 +11,15 @@
 from fawnwharf.recovery_service import messages as w
 
 SPAN_MS = 1_000.0  # over which calls and loads are told
-ENDS_MOST = 20_000  # of calls within it
-FELL_AFTER = 3  # sends in a row that broke, at a cold scorer that had answered
-PAIRS_MOST, ROWS_MOST = 20_000, 20_000
-CALM_PART = 0.05  # by which a load changes what a load takes in calm
-GONE = (io.Ending.RESET, io.Ending.CONNECT_FAILED)
+MAX_SAMPLES = 20_000  # of calls within it
+FAILURES_TO_FALL = 3  # sends in a row that broke, at a cold scorer that had answered
+MAX_PAIRS, MAX_FUNCTIONS = 20_000, 20_000
+CALM_WEIGHT = 0.05  # by which a load changes what a load takes in calm
+CONNECTION_FAILURES = (io.Ending.RESET, io.Ending.CONNECT_FAILED)
 
 
 @dataclass(slots=True)
-class Tallies:
+class FrontEndCounters:
     """Owns the counts of one front end."""
 
     worths: Mapping[str, float]  # of classes
@@ -29,8 +29,8 @@
     up: bool = False  # a scorer answered in this life
     calm_ms: float | None = None  # what a load took in calm, of this life
     _first: frozenset[str] = frozenset()
-    _ends: deque[tuple[float, bool, bool]] = field(default_factory=lambda: deque(maxlen=ENDS_MOST))
-    _loads: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=ENDS_MOST))
+    _ends: deque[tuple[float, bool, bool]] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    _loads: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     _expected: dict[str, float] = field(default_factory=dict)  # what a load of it takes, as calls told
     _proved: dict[tuple[int, str], None] = field(default_factory=dict)  # scorers and functions with a copy
     _broken: dict[int, int] = field(default_factory=dict)  # in a row, of scorers that had answered
@@ -50,7 +50,7 @@
         """`age_ms`: of the scorer that it is about."""
         if isinstance(event, io.RequestArrived):
             if event.load_ms and self._expected.get(event.function) != event.load_ms:
-                _put(self._expected, event.function, event.load_ms, ROWS_MOST)
+                _put_last(self._expected, event.function, event.load_ms, MAX_FUNCTIONS)
         elif isinstance(event, io.AttemptEnded):
             self._signed(event.worker, event.ending, age_ms)
         elif isinstance(event, io.OrderAnswered):
@@ -63,10 +63,10 @@
         if ending is io.Ending.GOOD:
             self.up = True
             if self._broken.get(worker, -1):
-                _put(self._broken, worker, 0, PAIRS_MOST)
-        elif ending in GONE and worker in self._broken:
+                _put_last(self._broken, worker, 0, MAX_PAIRS)
+        elif ending in CONNECTION_FAILURES and worker in self._broken:
             self._broken[worker] += 1
-            if self._broken[worker] >= FELL_AFTER:
+            if self._broken[worker] >= FAILURES_TO_FALL:
                 del self._broken[worker]
                 self.fell += age_ms < self.cold_ms
 
@@ -78,36 +78,36 @@
             return
         if pair in self._proved:
             return
-        _put(self._proved, pair, None, PAIRS_MOST)
+        _put_last(self._proved, pair, None, MAX_PAIRS)
         usual_ms = self._expected.get(event.function, self.calm_ms)
         if usual_ms:
             self._loads.append((now_ms, event.took_ms / usual_ms))
         if self.calm:
             before = event.took_ms if self.calm_ms is None else self.calm_ms
-            self.calm_ms = before + CALM_PART * (event.took_ms - before)
+            self.calm_ms = before + CALM_WEIGHT * (event.took_ms - before)
 
     # --- what is told ---------------------------------------------------------------------------
 
-    def standing(self, now_ms: float) -> w.Standing:
+    def standing(self, now_ms: float) -> w.StatusReport:
         """Without what the agent fills in: life, whether it asked, whether its keeper is sure."""
         for held in (self._ends, self._loads):
             while held and now_ms - held[0][0] > SPAN_MS:
                 held.popleft()
         first = [good for _, first, good in self._ends if first]
         loads = [slow for _, slow in self._loads]
-        return w.Standing(
+        return w.StatusReport(
             life=0,
             asked=False,
             sure=False,
-            first=w.Tally(sum(first), len(first)),
-            served=w.Tally(sum(good for _, _, good in self._ends), len(self._ends)),
+            first=w.CallCounts(sum(first), len(first)),
+            served=w.CallCounts(sum(good for _, _, good in self._ends), len(self._ends)),
             loads=len(loads),
             slow=min(1e6, sum(loads) / len(loads)) if loads else 1.0,
             fell=self.fell,
         )
 
 
-def _put(held: dict, key: object, value: object, most: int) -> None:
+def _put_last(held: dict, key: object, value: object, most: int) -> None:
     """Put it last; the first one goes where there are too many."""
     held.pop(key, None)
     held[key] = value
--- a/fawnwharf/recovery_service/delegated_loads.py
+++ b/fawnwharf/recovery_service/delegated_loads.py
@@ -10,42 +10,45 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_service import permit_messages as m
-from fawnwharf.recovery_service.actions import Order, Out, Words
+from fawnwharf.recovery_service.actions import Action, LoadOrder, SendPermitMessage
 
-SPARE_MS, SPARE_EACH_MS = 200.0, 4.0  # pace of telling, and for each front end that is heard
-FRESH_MS = 150.0  # for so long a loader counts on what was told
-VOID_MS = 250.0  # a loan is taken up so long after that was told, at the latest
-MADE_MS = 100.0  # by then the module has made an order, or it makes none
-LENT_MS = VOID_MS + MADE_MS
-GONE_MS = 10_000.0  # an order without an answer
-SPARE_MOST, KEPT = 8, 8  # orders told at a time; words of one's own that are kept in mind
+SPARE_REPORT_MS, SPARE_REPORT_PER_MEMBER_MS = (
+    200.0,
+    4.0,
+)  # pace of telling, and for each front end that is heard
+SPARE_FRESH_MS = 150.0  # for so long a loader counts on what was told
+SPARE_VALID_MS = 250.0  # a loan is taken up so long after that was told, at the latest
+ORDER_MADE_MS = 100.0  # by then the module has made an order, or it makes none
+DELEGATION_MS = SPARE_VALID_MS + ORDER_MADE_MS
+ORDER_TIMEOUT_MS = 10_000.0  # an order without an answer
+MAX_SPARE_ORDERS, MAX_SPARE_REPORTS = 8, 8  # orders told at a time; words of one's own that are kept in mind
 
 
 @dataclass(slots=True)
-class _Spare:
+class _ReportedSpareRate:
     life: int
     number: int
     count: int
     heard_ms: float
 
 
-class Spares:
+class SpareRates:
     """A loader's: who could order for it."""
 
     def __init__(self) -> None:
-        self._spares: dict[str, _Spare] = {}
+        self._spares: dict[str, _ReportedSpareRate] = {}
 
-    def told(self, now_ms: float, sender: str, word: m.Spare) -> None:
+    def told(self, now_ms: float, sender: str, word: m.SpareRate) -> None:
         known = self._spares.pop(sender, None)
         if known is not None and known.life == word.life and word.number <= known.number:
             self._spares[sender] = known
         else:
-            self._spares[sender] = _Spare(word.life, word.number, word.count, now_ms)
+            self._spares[sender] = _ReportedSpareRate(word.life, word.number, word.count, now_ms)
 
     def take(self, now_ms: float) -> tuple[str, int, int] | None:
         """One order of whoever told last: its name, life, and the number of what it told."""
         for name, spare in reversed(self._spares.items()):
-            if now_ms - spare.heard_ms <= FRESH_MS and spare.count > 0:
+            if now_ms - spare.heard_ms <= SPARE_FRESH_MS and spare.count > 0:
                 spare.count -= 1
                 return name, spare.life, spare.number
         return None
@@ -55,53 +58,59 @@
 
 
 @dataclass(slots=True)
-class _Loan:
+class _OpenDelegatedLoad:
     loader: str
     since_ms: float
     made: bool = False
 
 
-class Helping:
+class DelegatedLoadExecutor:
     """One that orders for loaders: what it told them, and their orders under way here."""
 
     def __init__(self, life: int) -> None:
         self.life, self.counts = life, dict[str, int]()
         self._number, self._told_ms = 0, float("-inf")
         self._told: dict[int, float] = {}  # numbers of what was told: when
-        self._loans: dict[tuple[int, str], _Loan] = {}
-        self._out: list[Words] = []
+        self._loans: dict[tuple[int, str], _OpenDelegatedLoad] = {}
+        self._out: list[SendPermitMessage] = []
 
     def _count(self, cause: str) -> None:
         self.counts[cause] = self.counts.get(cause, 0) + 1
 
-    def spare(self, now_ms: float, loaders: Iterable[str], room: float, heard: int) -> list[Words]:
+    def spare(
+        self, now_ms: float, loaders: Iterable[str], room: float, heard: int
+    ) -> list[SendPermitMessage]:
         """Tells them how many orders this one could make, each an equal part; `room`: orders left here,
         infinite where there is no ration, and no loader lacks any."""
         if room == float("inf"):
             return []
         to = tuple(sorted(loaders))
-        free = min(SPARE_MOST, int(min(room, SPARE_MOST))) - len(self._loans)
-        if not to or free < len(to) or now_ms - self._told_ms < max(SPARE_MS, SPARE_EACH_MS * heard):
+        free = min(MAX_SPARE_ORDERS, int(min(room, MAX_SPARE_ORDERS))) - len(self._loans)
+        if (
+            not to
+            or free < len(to)
+            or now_ms - self._told_ms < max(SPARE_REPORT_MS, SPARE_REPORT_PER_MEMBER_MS * heard)
+        ):
             return []
         self._number, self._told_ms = self._number + 1, now_ms
         self._told[self._number] = now_ms
-        while len(self._told) > KEPT:
+        while len(self._told) > MAX_SPARE_REPORTS:
             del self._told[next(iter(self._told))]
-        return [Words(to, m.Spare(self.life, self._number, free // len(to)))]
+        return [SendPermitMessage(to, m.SpareRate(self.life, self._number, free // len(to)))]
 
-    def lend(self, now_ms: float, sender: str, word: m.Lend, may: bool) -> list[Out]:
+    def lend(self, now_ms: float, sender: str, word: m.DelegatedLoadOrder, may: bool) -> list[Action]:
         """A loader's order, to be made here; `may`: loads are allowed."""
         told_ms, place = self._told.get(word.number, float("-inf")), (word.worker, word.row)
-        if word.life != self.life or now_ms - told_ms > VOID_MS:
+        if word.life != self.life or now_ms - told_ms > SPARE_VALID_MS:
             self._count("loans that came late")
             return []  # the loader does not count on it after a load's usual time
         if not may or place in self._loans:
-            return [self._word(sender, place, m.What.NOT)]
-        self._loans[place] = _Loan(sender, now_ms)
-        return [Order(io.CopiesWanted(word.worker, word.row, word.kind, 1, word.lanes, word.load_ms))]
+            return [self._word(sender, place, m.DelegatedLoadResult.NOT)]
+        self._loans[place] = _OpenDelegatedLoad(sender, now_ms)
+        return [LoadOrder(io.CopiesWanted(word.worker, word.row, word.kind, 1, word.lanes, word.load_ms))]
 
-    def _word(self, to: str, place: tuple[int, str], what: m.What) -> Words:
-        return Words((to,), m.Lent(place[0], place[1], int(what)))
+    def _word(self, to: str, place: tuple[int, str], what: m.DelegatedLoadResult) -> SendPermitMessage:
+        return SendPermitMessage((to,), m.DelegatedLoadReport(place[0], place[1], int(what)))
 
     def is_own(self, worker: int, row: str) -> bool:
         return (worker, row) in self._loans
@@ -111,9 +120,9 @@
         loan = self._loans.get((worker, row))
         if loan is not None and not loan.made:
             loan.made = True
-            self._out.append(self._word(loan.loader, (worker, row), m.What.MADE))
+            self._out.append(self._word(loan.loader, (worker, row), m.DelegatedLoadResult.MADE))
 
-    def answered(self, event: io.OrderAnswered, proves: bool) -> list[Words]:
+    def answered(self, event: io.OrderAnswered, proves: bool) -> list[SendPermitMessage]:
         """`proves`: the answer counts copies."""
         place = event.worker, event.function
         loan = self._loans.get(place)
@@ -121,17 +130,23 @@
             return []
         if proves and event.copies:
             del self._loans[place]
-            return [self._word(loan.loader, place, m.What.STANDS)]
+            return [self._word(loan.loader, place, m.DelegatedLoadResult.STANDS)]
         if not loan.made or event.ending is io.Ending.GOOD:
             return []  # that answers a question
         del self._loans[place]
-        return [self._word(loan.loader, place, m.What.FAILED)]
+        return [self._word(loan.loader, place, m.DelegatedLoadResult.FAILED)]
 
-    def tick(self, now_ms: float) -> list[Words]:
+    def tick(self, now_ms: float) -> list[SendPermitMessage]:
         found, self._out = self._out, []
         for place, loan in list(self._loans.items()):
             waited_ms = now_ms - loan.since_ms
-            if waited_ms >= (GONE_MS if loan.made else MADE_MS):
+            if waited_ms >= (ORDER_TIMEOUT_MS if loan.made else ORDER_MADE_MS):
                 del self._loans[place]
-                found.append(self._word(loan.loader, place, m.What.FAILED if loan.made else m.What.NOT))
+                found.append(
+                    self._word(
+                        loan.loader,
+                        place,
+                        m.DelegatedLoadResult.FAILED if loan.made else m.DelegatedLoadResult.NOT,
+                    )
+                )
         return found
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -18,25 +18,27 @@
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service import actions
 from fawnwharf.recovery_service import permit_messages as g
-from fawnwharf.recovery_service.load_order_gate import Holds
-from fawnwharf.recovery_service.permit_issuing import TURN_MS, Giving
-from fawnwharf.recovery_service.recovery_admission import Door, Kept
+from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission, StoredClaims
 from fawnwharf.recovery_service.settings import Settings
 from fawnwharf.replication.service import State
 
-RIDER = "recovery-given"  # by the logs of state
-CALM_TURN_MS = 250.0  # in calm little is to be said, and that to others that are not yet
-USED_AGAIN_MS = 5_000.0  # what was used before the cut is wanted again, as a want that stands for long ends
-ORDERS_MOST = 4_096  # functions whose hash order is kept in mind
+LOG_CLIENT = "recovery-given"  # by the logs of state
+CALM_TICK_MS = 250.0  # in calm little is to be said, and that to others that are not yet
+USAGE_RESEND_MS = 5_000.0  # what was used before the cut is wanted again, as a want that stands for long ends
+MAX_HASH_ORDERS = 4_096  # functions whose hash order is kept in mind
 
 
-def made(front: FrontEnd, state: State, settings: Settings, limits: Limits) -> Door:
+def create_admission(front: FrontEnd, state: State, settings: Settings, limits: Limits) -> RecoveryAdmission:
     """The door, before whatever stands there."""
-    classes, promises = front.deployment.settings.classes, Kept(state.gate, state.core)
-    return Door(front.loop, front.port.table, classes, limits, promises, settings.timing.window_ms)
+    classes, promises = front.deployment.settings.classes, StoredClaims(state.gate, state.core)
+    return RecoveryAdmission(
+        front.loop, front.port.table, classes, limits, promises, settings.timing.window_ms
+    )
 
 
-class Joined:
+class FrontEndIntegration:
     """Owns the pace at which things are given out, and the way of words, orders and tickets."""
 
     def __init__(
@@ -45,11 +47,11 @@
         state: State,
         settings: Settings,
         life: int,
-        door: Callable[[FrontEnd, State, Settings, Limits], Door] = made,
+        door: Callable[[FrontEnd, State, Settings, Limits], RecoveryAdmission] = create_admission,
     ) -> None:
         self.front, self.state = front, state
         self.limits = limits_from(front.deployment.settings, settings.fetches, settings.scorer_rps)
-        self.giving = Giving(state.entry.name, life, self.limits, self._order, room=self._room)
+        self.giving = PermitIssuer(state.entry.name, life, self.limits, self._order, room=self._room)
         self.giving.word_ms = settings.timing.alone_ms
         self.counts: dict[str, int] = {}
         self._going: tuple[Allowed, int, int, Dealt | None] = (Allowed(), 0, 1, None)
@@ -61,16 +63,16 @@
         self._timer: Timer | None = None
         self._stopped = False
         self.door = door(front, state, settings, self.limits)
-        self.holds: Holds | None = None
+        self.holds: LoadOrderGate | None = None
         self._order_out: Callable[[io.Hold], None] | None = None
         front.stand_between(io.Hold, self._between)
-        state.riders[RIDER] = self._ridden
+        state.riders[LOG_CLIENT] = self._ridden
         self.roster()
         self._turn()
 
     def close(self) -> None:
         self._stopped = True
-        self.state.riders.pop(RIDER, None)
+        self.state.riders.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
         self.front.stand_between(io.Hold, lambda _own: self._order_out)
@@ -79,7 +81,7 @@
 
     def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
         front, self._order_out = self.front, below
-        self.holds = Holds(below, front.pool.order, front.loop.tell, front.table.open)
+        self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
         return self.holds.carry
 
     # --- what is allowed ------------------------------------------------------------------------
@@ -103,7 +105,7 @@
         self.holds.go_by(allowed, self.giving)
         if allowed.own_loads:
             self._used = {}
-        elif allowed.loads and self._used and now_ms - self._used_ms >= USED_AGAIN_MS:
+        elif allowed.loads and self._used and now_ms - self._used_ms >= USAGE_RESEND_MS:
             self._used_ms = now_ms
             classes = self.front.deployment.settings.classes
             for (row, name), rps in self._used.items():
@@ -136,7 +138,7 @@
         """A function's scorers that take calls, as the module's own order has them."""
         fn = self._orders.get(row)
         if fn is None:
-            while len(self._orders) >= ORDERS_MOST:
+            while len(self._orders) >= MAX_HASH_ORDERS:
                 del self._orders[next(iter(self._orders))]
             fn = self._orders[row] = Function(row, "", 1, None, mark(row))
         return [one.id for one in self.front.router._ordered(fn) if one.suspect_ms is None]
@@ -156,11 +158,11 @@
         self._set(now)
         self._carry_out(self.giving.tick(now))
         calm = self._going[0].spill
-        self._timer = self.front.loop.wheel.after(CALM_TURN_MS if calm else TURN_MS, self._turn)
+        self._timer = self.front.loop.wheel.after(CALM_TICK_MS if calm else TICK_MS, self._turn)
 
     def _ridden(self, now_ms: float, sender: str, _life: int, data: Any) -> None:
         try:
-            word = g.word_from(data)
+            word = g.permit_message_from(data)
         except msgspec.ValidationError:
             self.counts["bad word"] = self.counts.get("bad word", 0) + 1
             return
@@ -169,11 +171,11 @@
     def events(self, now_ms: float, events: list[io.Event]) -> None:
         self._carry_out(self.holds.events(now_ms, events))
 
-    def _carry_out(self, found: list[actions.Out]) -> None:
+    def _carry_out(self, found: list[actions.Action]) -> None:
         for out in found:
-            if isinstance(out, actions.Words):
-                self.state.ride(RIDER, out.to, msgspec.to_builtins(out.word))
-            elif isinstance(out, actions.Order):
+            if isinstance(out, actions.SendPermitMessage):
+                self.state.ride(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
+            elif isinstance(out, actions.LoadOrder):
                 if isinstance(out.what, io.Hold):
                     self.front.table.order(out.what)
                 else:
--- a/fawnwharf/recovery_service/hints.py
+++ b/fawnwharf/recovery_service/hints.py
@@ -14,17 +14,17 @@
 from fawnwharf.config import Fleet, Member
 from fawnwharf.recovery_core.trust import Trust
 
-KEY = "last"  # of the one entry of each kind
+ENTRY_KEY = "last"  # of the one entry of each kind
 ROSTER_MS = 2_000.0
-SCORERS_MOST = 5_000
+MAX_SCORERS = 5_000
 WINDOW_MS, WINDOWS = 2_000.0, 5
-ROWS_MOST = 2_000
-COUNTED_MOST = 4 * ROWS_MOST  # rows of one window; later ones of it are not told apart, and left out
+MAX_FUNCTIONS = 2_000
+MAX_COUNTED = 4 * MAX_FUNCTIONS  # rows of one window; later ones of it are not told apart, and left out
 
-Rows = list[tuple[str, Any, Trust]]  # as `Kept.read` gives them
+StoredEntries = list[tuple[str, Any, Trust]]  # as `Kept.read` gives them
 
 
-class _Scorer(Struct, frozen=True, array_like=True):
+class _StoredScorer(Struct, frozen=True, array_like=True):
     id: str
     host_port: str
     locality: str
@@ -33,18 +33,18 @@
     size: float
 
 
-class _Use(Struct, frozen=True, array_like=True):
+class _StoredUsage(Struct, frozen=True, array_like=True):
     row: str
     class_name: str
     rps: Annotated[float, Meta(ge=0.0, le=1e9)]
 
 
-class LastRoster:
+class RosterRecorder:
     """Owns the last roster of which nothing is kept yet."""
 
     def __init__(self) -> None:
-        self._now: list[_Scorer] | None = None
-        self._kept: list[_Scorer] = []
+        self._now: list[_StoredScorer] | None = None
+        self._kept: list[_StoredScorer] = []
         self._next_ms = float("-inf")
 
     def told(self, fleet: Fleet) -> None:
@@ -53,8 +53,8 @@
             served = [m for m in fleet.members if m.phase == "in_service" and m.host_port]
             served.sort(key=lambda m: (len(m.id), m.id))
             self._now = [
-                _Scorer(m.id, m.host_port, m.locality, m.flavor, m.cell, m.size)
-                for m in served[:SCORERS_MOST]
+                _StoredScorer(m.id, m.host_port, m.locality, m.flavor, m.cell, m.size)
+                for m in served[:MAX_SCORERS]
             ]
 
     def due(self, now_ms: float) -> list[Any] | None:
@@ -65,13 +65,13 @@
         return msgspec.to_builtins(self._now)
 
     @staticmethod
-    def read(rows: Rows) -> list[Member]:
+    def read(rows: StoredEntries) -> list[Member]:
         """The scorers of the last roster, by their ids then; none where nothing usable was kept."""
-        found = _value(rows, list[_Scorer], SCORERS_MOST)
+        found = _decode(rows, list[_StoredScorer], MAX_SCORERS)
         return [Member(s.id, "in_service", s.host_port, s.locality, s.flavor, s.cell, s.size) for s in found]
 
 
-class LastUse:
+class UsageRecorder:
     """Owns the counts of the last windows, by row (a function) and class."""
 
     def __init__(self, now_ms: float) -> None:
@@ -82,7 +82,7 @@
 
     def came(self, now_ms: float, row: str, class_name: str, count: int = 1) -> None:
         self._turn(now_ms)
-        if (row, class_name) in self._open or len(self._open) < COUNTED_MOST:
+        if (row, class_name) in self._open or len(self._open) < MAX_COUNTED:
             self._open[row, class_name] += count
 
     def _turn(self, now_ms: float) -> None:
@@ -106,19 +106,21 @@
         total: Counter[tuple[str, str]] = Counter()
         for window in self._closed:
             total.update(window)
-        most = sorted(total.items(), key=lambda item: (-item[1], item[0]))[:ROWS_MOST]
+        most = sorted(total.items(), key=lambda item: (-item[1], item[0]))[:MAX_FUNCTIONS]
         span_s = WINDOWS * WINDOW_MS / 1_000.0
         return [[row, name, round(count / span_s, 3)] for (row, name), count in most] or None
 
     @staticmethod
-    def read(rows: Rows) -> dict[tuple[str, str], float]:
+    def read(rows: StoredEntries) -> dict[tuple[str, str], float]:
         """Calls a second by row and class."""
-        return {(use.row, use.class_name): use.rps for use in _value(rows, list[_Use], ROWS_MOST)}
+        return {
+            (use.row, use.class_name): use.rps for use in _decode(rows, list[_StoredUsage], MAX_FUNCTIONS)
+        }
 
 
-def _value(rows: Rows, kind: Any, most: int) -> list[Any]:
+def _decode(rows: StoredEntries, kind: Any, most: int) -> list[Any]:
     for key, value, trusted in rows:
-        if key == KEY and trusted >= Trust.HINT:
+        if key == ENTRY_KEY and trusted >= Trust.HINT:
             try:
                 return msgspec.convert(value, kind)[:most]
             except msgspec.ValidationError:
--- a/fawnwharf/recovery_service/load_coordination.py
+++ b/fawnwharf/recovery_service/load_coordination.py
@@ -10,24 +10,29 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import Loader
-from fawnwharf.recovery_service.actions import Order, Words
-from fawnwharf.recovery_service.delegated_loads import Spares
-from fawnwharf.recovery_service.load_permits import Seats
-from fawnwharf.recovery_service.permit_messages import Lend, Lent, Wanted, What
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
+from fawnwharf.recovery_service.delegated_loads import SpareRates
+from fawnwharf.recovery_service.load_permits import LoadPermits
+from fawnwharf.recovery_service.permit_messages import (
+    DelegatedLoadOrder,
+    DelegatedLoadReport,
+    DelegatedLoadResult,
+    LoadRequest,
+)
 
 ORDER_MS = 100.0  # by then the module has made an order of what it was told, or it makes none
 UNMADE_MS = 1_000.0  # an order that was not made, and of which its scorer says nothing for so long
-LOST_MS = 10_000.0  # an order without an answer for so long has failed
-RETRY_MS, UNMADE_AGAIN_MS = 500.0, 250.0  # after an order that failed, or that the module did not make
+ORDER_TIMEOUT_MS = 10_000.0  # an order without an answer for so long has failed
+RETRY_MS, UNMADE_RETRY_MS = 500.0, 250.0  # after an order that failed, or that the module did not make
 SORT_MS = 250.0  # pace of the look at who is ahead of whom
-LEAST_MS = 50.0  # no copy is expected earlier
-FACTS_MOST = 20_000  # functions
+MIN_ETA_MS = 50.0  # no copy is expected earlier
+MAX_FUNCTIONS = 20_000  # functions
 
-PROVES = (io.Ending.GOOD, io.Ending.FULL, io.Ending.ERROR)  # an order's answer that counts copies
+COUNTING_RESULTS = (io.Ending.GOOD, io.Ending.FULL, io.Ending.ERROR)  # an order's answer that counts copies
 
 
 @dataclass(slots=True)
-class _Facts:
+class _FunctionLoad:
     kind: str
     lanes: int
     load_ms: float | None
@@ -36,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class _UnderWay:
+class _OpenLoadOrder:
     worker: int
     told_ms: float  # to the module; once the order went, when that was
     went: bool = False
@@ -45,13 +50,13 @@
     made: bool = False  # there
 
 
-class Loading:
+class LoadCoordination:
     """Owns what is wanted of this loader, and its orders."""
 
     def __init__(
         self,
         me: str,
-        seats: Seats,
+        seats: LoadPermits,
         order: Callable[[str], Sequence[int]],
         stands: Callable[[str], bool],
         room: Callable[[], float],
@@ -59,12 +64,12 @@
         """`order`: a function's scorers that take calls, by its hash order; `stands`: a copy does; `room`:
         orders that the module may still make."""
         self.me, self.seats, self._order, self._stands, self._room = me, seats, order, stands, room
-        self.spares = Spares()
+        self.spares = SpareRates()
         self._left = 0.0  # of the room, as of this look
         self.loader = Loader(at_a_time=0)
         self.counts: dict[str, int] = {}
-        self.under_way: dict[str, _UnderWay] = {}
-        self._facts: dict[str, _Facts] = {}
+        self.under_way: dict[str, _OpenLoadOrder] = {}
+        self._facts: dict[str, _FunctionLoad] = {}
         self._later: dict[str, tuple[float, float]] = {}  # from when, worth
         self._worths: tuple[float, list[float]] = (float("-inf"), [])
 
@@ -79,14 +84,14 @@
 
     # --- what is wanted ---------------------------------------------------------------------------
 
-    def want(self, now_ms: float, wanted: Wanted) -> None:
+    def want(self, now_ms: float, wanted: LoadRequest) -> None:
         if wanted.row in self.under_way:
             return
         if wanted.row not in self._facts:
-            if len(self._facts) >= FACTS_MOST:
+            if len(self._facts) >= MAX_FUNCTIONS:
                 self._count("functions beyond what is kept")
                 return
-            self._facts[wanted.row] = _Facts(wanted.kind, wanted.lanes, wanted.load_ms)
+            self._facts[wanted.row] = _FunctionLoad(wanted.kind, wanted.lanes, wanted.load_ms)
         facts = self._facts[wanted.row]
         facts.worth_ps = max(facts.worth_ps, wanted.worth_ps)
         self.loader.gone(wanted.row)  # whoever wants it goes by what stands
@@ -110,7 +115,7 @@
         """As `Loader.eta_ms`, of many."""
         fetch_ms, way = self.loader.fetch_ms, self.under_way.get(row)
         if way is not None:
-            return max(LEAST_MS, way.told_ms + fetch_ms - now_ms)
+            return max(MIN_ETA_MS, way.told_ms + fetch_ms - now_ms)
         if now_ms - self._worths[0] >= SORT_MS:
             self._worths = (now_ms, sorted(self.loader.wants.values()))
         worths, later = self._worths[1], self._later.get(row)
@@ -122,8 +127,8 @@
 
     # --- orders -----------------------------------------------------------------------------------
 
-    def orders(self, now_ms: float) -> list[Order | Words]:
-        found: list[Order | Words] = []
+    def orders(self, now_ms: float) -> list[LoadOrder | SendPermitMessage]:
+        found: list[LoadOrder | SendPermitMessage] = []
         for row, (due_ms, worth) in list(self._later.items()):
             if due_ms <= now_ms:
                 self._put(now_ms, row, worth)
@@ -136,7 +141,7 @@
                     found.append(order)
         return found
 
-    def _begin(self, now_ms: float, row: str) -> Order | Words | None:
+    def _begin(self, now_ms: float, row: str) -> LoadOrder | SendPermitMessage | None:
         if self.seats.owner(row) != self.me or self._stands(row):
             return None  # it is another's by now, or was told to stand
         facts = self._facts[row]
@@ -152,12 +157,12 @@
         own = sum(not way.went for way in self.under_way.values())  # that the module is yet to make
         if self._left - own < 1.0 and (helper := self.spares.take(now_ms)) is not None:
             name, life, number = helper
-            self.under_way[row] = _UnderWay(able[0], now_ms, went=True, lent=name)
+            self.under_way[row] = _OpenLoadOrder(able[0], now_ms, went=True, lent=name)
             self._count("orders that were lent")
-            lend = Lend(life, number, able[0], row, facts.kind, facts.lanes, facts.load_ms)
-            return Words((name,), lend)
-        self.under_way[row] = _UnderWay(able[0], now_ms)
-        return Order(io.CopiesWanted(able[0], row, facts.kind, 1, facts.lanes, facts.load_ms))
+            lend = DelegatedLoadOrder(life, number, able[0], row, facts.kind, facts.lanes, facts.load_ms)
+            return SendPermitMessage((name,), lend)
+        self.under_way[row] = _OpenLoadOrder(able[0], now_ms)
+        return LoadOrder(io.CopiesWanted(able[0], row, facts.kind, 1, facts.lanes, facts.load_ms))
 
     def ordered(self, now_ms: float, worker: int, row: str) -> None:
         """The module made an order of what it was told: its load is under way."""
@@ -176,7 +181,7 @@
         row, way = event.function, self.under_way.get(event.function)
         if way is None or way.worker != event.worker:
             return False
-        if event.ending in PROVES and event.copies:
+        if event.ending in COUNTING_RESULTS and event.copies:
             del self.under_way[row]
             took_ms = now_ms - way.told_ms if way.went else self.loader.fetch_ms
             self.loader.ended(row, True, took_ms)
@@ -191,24 +196,24 @@
             self._failed(now_ms, row, way, way.went)
         return False
 
-    def lent(self, now_ms: float, sender: str, word: Lent) -> bool:
+    def lent(self, now_ms: float, sender: str, word: DelegatedLoadReport) -> bool:
         """What came of a loan. Whether a copy stands by it."""
-        row, way, what = word.row, self.under_way.get(word.row), What(word.what)
+        row, way, what = word.row, self.under_way.get(word.row), DelegatedLoadResult(word.what)
         if way is None or (way.lent, way.worker) != (sender, word.worker):
             self._count("words on loans that were over")
-        elif what is What.MADE:
+        elif what is DelegatedLoadResult.MADE:
             way.made, way.told_ms = True, now_ms
-        elif what is What.STANDS:
+        elif what is DelegatedLoadResult.STANDS:
             del self.under_way[row]
             self.loader.ended(row, True, now_ms - way.told_ms)
             self._rests(now_ms, now_ms - way.told_ms)
             return True
         else:
-            way.went = what is What.FAILED
+            way.went = what is DelegatedLoadResult.FAILED
             self._failed(now_ms, row, way, way.went)
         return False
 
-    def _failed(self, now_ms: float, row: str, way: _UnderWay, there: bool) -> None:
+    def _failed(self, now_ms: float, row: str, way: _OpenLoadOrder, there: bool) -> None:
         """It is wanted again, as the last; elsewhere for a while, if that was the scorer's fault. One that
         was never made keeps its place."""
         del self.under_way[row]
@@ -220,26 +225,26 @@
             self._rests(now_ms, now_ms - way.told_ms)
             facts.worth_ps = 0.0
         self._count("orders that failed" if way.went else "orders that were not made")
-        self._put(now_ms, row, facts.worth_ps, now_ms + (RETRY_MS if way.went else UNMADE_AGAIN_MS))
+        self._put(now_ms, row, facts.worth_ps, now_ms + (RETRY_MS if way.went else UNMADE_RETRY_MS))
 
     def _rests(self, now_ms: float, took_ms: float) -> None:
         """Where the budget is a part of one fetch, it is that part of the time."""
         if self.seats.rest < 1.0:
             self.loader.begins_ms = now_ms + took_ms * (1.0 / self.seats.rest - 1.0)
 
-    def overdue(self, now_ms: float) -> list[Order]:
+    def overdue(self, now_ms: float) -> list[LoadOrder]:
         """The module made no order: it has none to spare, or holds that a copy stands. The scorer knows."""
-        found: list[Order] = []
+        found: list[LoadOrder] = []
         for row, way in list(self.under_way.items()):
             waited_ms = now_ms - way.told_ms
             if way.lent and not way.made and waited_ms >= self.seats.usual_ms:
                 way.went = False  # it was void, or nothing was heard of it
                 self._failed(now_ms, row, way, False)
-            elif way.went and waited_ms >= LOST_MS:
+            elif way.went and waited_ms >= ORDER_TIMEOUT_MS:
                 self._failed(now_ms, row, way, True)
             elif not way.went and way.asked_ms is None and waited_ms >= ORDER_MS:
                 way.asked_ms = now_ms
-                found.append(Order(io.Hold(way.worker, row, 0)))
+                found.append(LoadOrder(io.Hold(way.worker, row, 0)))
             elif not way.went and waited_ms >= ORDER_MS + UNMADE_MS:
                 self._failed(now_ms, row, way, True)
         return found
--- a/fawnwharf/recovery_service/load_order_gate.py
+++ b/fawnwharf/recovery_service/load_order_gate.py
@@ -18,15 +18,18 @@
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service.actions import Out
-from fawnwharf.recovery_service.permit_issuing import Giving
+from fawnwharf.recovery_service.actions import Action
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 
-ASK_MS = 1_000.0  # a place is asked no sooner again
-ASKED_MOST = 4_096  # functions
-QUICK, WINDOW_MS = 4, 1_000.0  # orders for a function that are answered at once, of so long
+QUERY_INTERVAL_MS = 1_000.0  # a place is asked no sooner again
+MAX_QUERIED_FUNCTIONS = 4_096  # functions
+MAX_IMMEDIATE_REJECTIONS, WINDOW_MS = (
+    4,
+    1_000.0,
+)  # orders for a function that are answered at once, of so long
 
 
-class Holds:
+class LoadOrderGate:
     """Owns what becomes of the module's orders, by what is allowed."""
 
     def __init__(
@@ -41,13 +44,13 @@
         `open`: the table's requests, by key."""
         self._below, self._ask, self._tell, self._requests, self._clock = below, ask, tell, open, clock
         self.calm, self.own_loads = False, False
-        self.giving: Giving | None = None
+        self.giving: PermitIssuer | None = None
         self.held_back = 0
         self._asked: dict[str, float] = {}  # functions: when their place was asked
         self._rates: dict[str, list[float]] = {}  # functions: since when, how many were held back
         self._open: list[tuple[float, io.OrderAnswered]] = []  # that the module is to be told, and when
 
-    def go_by(self, allowed: Allowed, giving: Giving | None) -> None:
+    def go_by(self, allowed: Allowed, giving: PermitIssuer | None) -> None:
         self.calm = allowed.spill or giving is None
         self.own_loads, self.giving = allowed.own_loads, giving
         self._release(float("inf") if self.calm or self.own_loads else self._clock())
@@ -79,19 +82,19 @@
     def _hold_back(self, action: io.Hold) -> None:
         self.held_back += 1
         now, place = self._clock(), self.giving.place(action.function)
-        if place is not None and now - self._asked.get(action.function, float("-inf")) >= ASK_MS:
-            if len(self._asked) >= ASKED_MOST:
+        if place is not None and now - self._asked.get(action.function, float("-inf")) >= QUERY_INTERVAL_MS:
+            if len(self._asked) >= MAX_QUERIED_FUNCTIONS:
                 self._asked.clear()
             self._asked[action.function] = now
             self._ask(Order(place, self._answered, action.function, 0))
         event = io.OrderAnswered(action.worker, action.function, io.Ending.NOT_SENT, 0, 0.0)
         rate = self._rates.get(action.function)
         if rate is None or now - rate[0] >= WINDOW_MS:
-            if rate is None and len(self._rates) >= ASKED_MOST:
+            if rate is None and len(self._rates) >= MAX_QUERIED_FUNCTIONS:
                 self._rates.clear()
             rate = self._rates[action.function] = [now, 0]
         rate[1] += 1
-        if rate[1] <= QUICK:
+        if rate[1] <= MAX_IMMEDIATE_REJECTIONS:
             self._tell(event)
         else:
             self._open.append((rate[0] + WINDOW_MS, event))
@@ -101,10 +104,10 @@
         copies, took_ms = answer.copies if answer else 0, self._clock() - order.began_ms
         self._tell(io.OrderAnswered(order.worker, order.function, ending, copies, took_ms))
 
-    def events(self, now_ms: float, events: list[io.Event]) -> list[Out]:
+    def events(self, now_ms: float, events: list[io.Event]) -> list[Action]:
         """What a batch tells of copies: scorers' answers to orders, and calls that found none."""
         self._release(now_ms)
-        found: list[Out] = []
+        found: list[Action] = []
         for event in events if self.giving is not None else ():
             if isinstance(event, io.OrderAnswered):
                 found += self.giving.answered(now_ms, event)
--- a/fawnwharf/recovery_service/load_permits.py
+++ b/fawnwharf/recovery_service/load_permits.py
@@ -20,21 +20,21 @@
 
 from fawnwharf.recovery_core.budget import Limits, loader_of, loaders
 
-OWNERS_MOST = 20_000  # functions whose loader is kept in mind
+MAX_COORDINATORS = 20_000  # functions whose loader is kept in mind
 
 
-def _holder(seat: str) -> str:
+def _permit_holder(seat: str) -> str:
     return seat.rstrip("\0")
 
 
-def follows(before: tuple[int, int] | None, deal: tuple[int, int] | None) -> bool:
+def continues_deal(before: tuple[int, int] | None, deal: tuple[int, int] | None) -> bool:
     """Whether what was one's own by the dealing before is so still: none was missed between."""
     if before is None or deal is None:
         return before == deal
     return before[0] == deal[0] and deal[1] - before[1] in (0, 1)
 
 
-class Seats:
+class LoadPermits:
     """Owns the own seats, from when each may be used, and the last views."""
 
     def __init__(self, me: str, limits: Limits, lag_ms: float, usual_ms: float) -> None:
@@ -60,7 +60,7 @@
         """`givers`: who may be a loader; `part`: of the fleet's budgets. `deal`: cut and number, by which
         others may go for `lag_ms` more once there is a later one; `first`: nobody gave in the cut before."""
         if deal != self._deal:
-            if not follows(self._deal, deal):
+            if not continues_deal(self._deal, deal):
                 self._from.clear()
             self._deal, self._gained_ms = deal, now_ms + lag_ms + self.usual_ms
             if first:
@@ -78,7 +78,7 @@
             self.dealt = dealt
             self._owners.clear()
         gained_ms = now_ms + self.lag_ms + self.usual_ms if deal is None else self._gained_ms
-        mine = sum(_holder(seat) == self.me for seat in dealt)
+        mine = sum(_permit_holder(seat) == self.me for seat in dealt)
         del self._from[mine:]
         self._from += [gained_ms] * (mine - len(self._from))
 
@@ -98,14 +98,14 @@
         """The loader of a function; empty: there is none."""
         found = self._owners.get(row)
         if found is None:
-            if len(self._owners) >= OWNERS_MOST:
+            if len(self._owners) >= MAX_COORDINATORS:
                 self._owners.clear()
-            found = self._owners[row] = _holder(loader_of(row, self.dealt))
+            found = self._owners[row] = _permit_holder(loader_of(row, self.dealt))
         return found
 
     def due_ms(self, now_ms: float, row: str) -> float:
         """When this front end may order a function that is its own: another one may have had it under way."""
         while self._before and self._before[0][0] <= now_ms:
             self._before.popleft()
-        others = (until for until, was in self._before if _holder(loader_of(row, was)) != self.me)
+        others = (until for until, was in self._before if _permit_holder(loader_of(row, was)) != self.me)
         return max(others, default=now_ms)
--- a/fawnwharf/recovery_service/messages.py
+++ b/fawnwharf/recovery_service/messages.py
@@ -12,14 +12,14 @@
 from fawnwharf.recovery_core.asking import Answer, Ask, Number
 from fawnwharf.zones.settings import Name
 
-RIDER = "recovery"  # by both logs; the kind of its register as well
+LOG_CLIENT = "recovery"  # by both logs; the kind of its register as well
 
 Part = Annotated[float, Meta(ge=0.0, le=1.0)]
 Mark = Annotated[str, Meta(max_length=64)]
 Text = Annotated[str, Meta(max_length=300)]
 
 
-class Boot(Struct, frozen=True, tag="Boot"):
+class BootReport(Struct, frozen=True, tag="Boot"):
     """Which life this is, in which boot of its machine, and how far its folder had come."""
 
     life: Number
@@ -27,14 +27,14 @@
     sign: Sign
 
 
-class Known(Struct, frozen=True, tag="Known"):
+class KnownSignature(Struct, frozen=True, tag="Known"):
     """A voter's word to one that started anew: so far its folder had come by an earlier word of its own."""
 
     life: Number  # of the one that is told
     sign: Sign
 
 
-class Tally(Struct, frozen=True, array_like=True):
+class CallCounts(Struct, frozen=True, array_like=True):
     """Calls of the last second or so: served in time, and all."""
 
     good: Number = 0
@@ -45,21 +45,21 @@
         return self.good / self.all if self.all else 1.0
 
 
-class Standing(Struct, frozen=True, tag="Standing"):
+class StatusReport(Struct, frozen=True, tag="Standing"):
     """How a front end stands, for whoever leads."""
 
     life: Number
     asked: bool  # its asking is over
     sure: bool  # its keeper knows all that it granted; of one that keeps nothing, True
-    first: Tally = Tally()  # calls of the classes worth most
-    served: Tally = Tally()  # all calls
+    first: CallCounts = CallCounts()  # calls of the classes worth most
+    served: CallCounts = CallCounts()  # all calls
     loads: Number = 0  # that ended
     slow: Annotated[float, Meta(ge=0.0, le=1e6)] = 1.0  # and took so many times what they take in calm
     fell: Number = 0  # cold scorers that fell, since its start
     gave: bool = False  # it gave out loads or calls lately, and by no stage: alone, or through others' cut
 
 
-class Told(Struct, frozen=True, tag="Told"):
+class PhaseAnnouncement(Struct, frozen=True, tag="Told"):
     """The leader's word, under its lease, that this is the last register. `at_ms` is of its own clock: two
     words of one life tell by how much the later one came late."""
 
@@ -69,18 +69,18 @@
     register: Annotated[str, Meta(max_length=DATA_MOST)]
 
 
-Word = Ask | Answer | Boot | Known | Standing | Told
+RecoveryMessage = Ask | Answer | BootReport | KnownSignature | StatusReport | PhaseAnnouncement
 
 
-def word_from(data: Any) -> Word:
+def recovery_message_from(data: Any) -> RecoveryMessage:
     """Raises msgspec.ValidationError for what no member says."""
-    return msgspec.convert(data, Word)
+    return msgspec.convert(data, RecoveryMessage)
 
 
 # --- for operators --------------------------------------------------------------------------
 
 
-class Shown(Struct, frozen=True, omit_defaults=True):
+class DisplayedStatus(Struct, frozen=True, omit_defaults=True):
     """How a member stands, in its zones' log, for people."""
 
     life: Number
--- a/fawnwharf/recovery_service/permit_issuing.py
+++ b/fawnwharf/recovery_service/permit_issuing.py
@@ -16,25 +16,30 @@
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service import permit_messages as m
-from fawnwharf.recovery_service.actions import Out, Stood, Words
-from fawnwharf.recovery_service.coordinated_slow_start import Wards
-from fawnwharf.recovery_service.delegated_loads import LENT_MS, Helping
-from fawnwharf.recovery_service.load_coordination import LEAST_MS, PROVES, RETRY_MS, Loading
-from fawnwharf.recovery_service.load_permits import Seats
-
-TURN_MS = 50.0  # words are gathered for so long
-AGAIN_MS = 1_000.0  # a want of which nothing came is told again
+from fawnwharf.recovery_service.actions import Action, CopyAvailable, SendPermitMessage
+from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
+from fawnwharf.recovery_service.delegated_loads import DELEGATION_MS, DelegatedLoadExecutor
+from fawnwharf.recovery_service.load_coordination import (
+    COUNTING_RESULTS,
+    MIN_ETA_MS,
+    RETRY_MS,
+    LoadCoordination,
+)
+from fawnwharf.recovery_service.load_permits import LoadPermits
+
+TICK_MS = 50.0  # words are gathered for so long
+RESEND_MS = 1_000.0  # a want of which nothing came is told again
 FORGET_MS = 10_000.0  # nobody here has wanted it for so long
-LAG_MS = 1_750.0  # within which all see who is heard: a quiet member's time, and a look
-USUAL_MS = 2_000.0  # a load takes no longer, as a rule
+VIEW_LAG_MS = 1_750.0  # within which all see who is heard: a quiet member's time, and a look
+TYPICAL_LOAD_MS = 2_000.0  # a load takes no longer, as a rule
 SPREAD_MS = 1_000.0  # loaders begin within that, where they are dealt by what is heard
-WORD_MS = 5_000.0  # for so long one goes by a register that it was told (`Timing.alone_ms`)
-LOOK_MS = 250.0  # and sees so late at the most that it is over
-WANTS_MOST, PLACES_MOST, WORDS_MOST = 4_096, 20_000, 20_000
+ANNOUNCEMENT_VALID_MS = 5_000.0  # for so long one goes by a register that it was told (`Timing.alone_ms`)
+EXPIRY_SCAN_MS = 250.0  # and sees so late at the most that it is over
+MAX_LOAD_REQUESTS, MAX_PLACEMENTS, MAX_REPORT_VERSIONS = 4_096, 20_000, 20_000
 
 
 @dataclass(slots=True)
-class _Mine:
+class _LocalLoadRequest:
     """A function that calls here want."""
 
     kind: str
@@ -47,7 +52,7 @@
     due_ms: float | None = None  # a copy may stand then, by its loader's word
 
 
-class Giving:
+class PermitIssuer:
     """Owns what is wanted here and of here, and where first copies stand as far as is known."""
 
     def __init__(
@@ -56,25 +61,25 @@
         life: int,
         limits: Limits,
         order: Callable[[str], Sequence[int]],
-        lag_ms: float = LAG_MS,
-        usual_ms: float = USUAL_MS,
+        lag_ms: float = VIEW_LAG_MS,
+        usual_ms: float = TYPICAL_LOAD_MS,
         room: Callable[[], float] = lambda: math.inf,
     ) -> None:
         """`life` is another one with each start; `order`: a function's scorers that take calls, by its hash
         order; `room`: orders that the module may still make."""
         self.name, self.life, self.limits = name, life, limits
-        self.wards = Wards(name, life, limits, lag_ms)
-        self.seats = Seats(name, limits, lag_ms, usual_ms + LENT_MS)
+        self.wards = CoordinatedSlowStart(name, life, limits, lag_ms)
+        self.seats = LoadPermits(name, limits, lag_ms, usual_ms + DELEGATION_MS)
         self.places: dict[str, tuple[int, str]] = {}  # where a function's first copy stands, and who told
-        self.loading = Loading(name, self.seats, order, self.places.__contains__, room)
-        self.helping, self._room = Helping(life), room
+        self.loading = LoadCoordination(name, self.seats, order, self.places.__contains__, room)
+        self.helping, self._room = DelegatedLoadExecutor(life), room
         self._counts: dict[str, int] = {}
         self._allowed = Allowed()
         self._cut = -1
-        self.word_ms = WORD_MS
+        self.word_ms = ANNOUNCEMENT_VALID_MS
         self._opening = -1  # this life went by stages of that cut before anything was given in it
         self._heard: frozenset[str] = frozenset()
-        self._mine: dict[str, _Mine] = {}
+        self._mine: dict[str, _LocalLoadRequest] = {}
         self._lost: dict[str, int] = {}  # scorers where a copy was told to stand, and did not
         self._last: dict[str, tuple[str, int, int]] = {}  # of a function's copy: who told last, life, number
         self._news: dict[str, None] = {}  # functions of which all are to be told
@@ -118,7 +123,7 @@
             self._opening = -1  # alone, or through the cut of others
         elif dealt is not None:
             self._opening = dealt.cut
-        lag_ms = self.word_ms + LOOK_MS if deal is not None and not first else 0.0
+        lag_ms = self.word_ms + EXPIRY_SCAN_MS if deal is not None and not first else 0.0
         self.seats.set(now_ms, givers, allowed.part, cut, deal, lag_ms, first)
         self.wards.set(now_ms, givers, allowed.part, deal, lag_ms, first)
         if allowed.loads and (not self._allowed.loads or cut != self._cut):
@@ -142,7 +147,7 @@
             self._empty(now_ms, id)
         self.wards.scorer(now_ms, id, age_ms)
 
-    def gone(self, now_ms: float, id: int) -> list[Out]:
+    def gone(self, now_ms: float, id: int) -> list[Action]:
         self._empty(now_ms, id)
         return [*self.wards.gone(id)]
 
@@ -166,10 +171,10 @@
             return
         mine = self._mine.get(row)
         if mine is None:
-            if len(self._mine) >= WANTS_MOST:
+            if len(self._mine) >= MAX_LOAD_REQUESTS:
                 self._count("wants beyond what is kept")
                 return
-            mine = self._mine[row] = _Mine(kind, lanes, load_ms, worth_ps, now_ms)
+            mine = self._mine[row] = _LocalLoadRequest(kind, lanes, load_ms, worth_ps, now_ms)
         mine.worth_ps, mine.wanted_ms = max(mine.worth_ps, worth_ps), now_ms
 
     def place(self, row: str) -> int | None:
@@ -184,7 +189,7 @@
         if self.places.pop(row)[1] == self.name:
             self._news[row] = None
         self.loading.loader.gone(row)
-        if len(self._lost) < WANTS_MOST:
+        if len(self._lost) < MAX_LOAD_REQUESTS:
             self._lost[row] = worker
 
     def eta_ms(self, now_ms: float, row: str) -> float:
@@ -195,8 +200,8 @@
             return self.loading.eta_ms(now_ms, row)
         mine = self._mine.get(row)
         if mine is None or mine.due_ms is None:
-            return self.loading.loader.fetch_ms + 2 * TURN_MS
-        return max(LEAST_MS, mine.due_ms - now_ms)
+            return self.loading.loader.fetch_ms + 2 * TICK_MS
+        return max(MIN_ETA_MS, mine.due_ms - now_ms)
 
     def ask(self, now_ms: float, scorer: int, key: str) -> float | None:
         """0: send; > 0: not before; None: asked, a `Ticket` tells."""
@@ -208,25 +213,25 @@
 
     # --- words ------------------------------------------------------------------------------------
 
-    def hear(self, now_ms: float, sender: str, word: m.Word) -> list[Out]:
-        if isinstance(word, m.Want):
+    def hear(self, now_ms: float, sender: str, word: m.PermitMessage) -> list[Action]:
+        if isinstance(word, m.LoadRequests):
             self._wanted(now_ms, sender, word.rows)
-        elif isinstance(word, m.Stands):
+        elif isinstance(word, m.CopyReport):
             return self._stands(now_ms, sender, word)
-        elif isinstance(word, m.Asked):
+        elif isinstance(word, m.PermitRequest):
             return [*self.wards.asked(now_ms, sender, word)]
-        elif isinstance(word, m.Spare):
+        elif isinstance(word, m.SpareRate):
             self.loading.spares.told(now_ms, sender, word)
-        elif isinstance(word, m.Lend):
+        elif isinstance(word, m.DelegatedLoadOrder):
             return self.helping.lend(now_ms, sender, word, self._loads)
-        elif isinstance(word, m.Lent):
+        elif isinstance(word, m.DelegatedLoadReport):
             if self.loading.lent(now_ms, sender, word):
                 return self._stood(now_ms, word.row, word.worker)
         else:
             return [*self.wards.given(now_ms, sender, word)]
         return []
 
-    def _wanted(self, now_ms: float, sender: str, rows: Iterable[m.Wanted]) -> None:
+    def _wanted(self, now_ms: float, sender: str, rows: Iterable[m.LoadRequest]) -> None:
         """Its loader is asked; each is answered with the next turn, also what stands already."""
         for wanted in rows:
             if self.seats.owner(wanted.row) != self.name:
@@ -239,8 +244,8 @@
             if wanted.row not in self.places:
                 self.loading.want(now_ms, wanted)
 
-    def _stands(self, now_ms: float, sender: str, word: m.Stands) -> list[Out]:
-        found: list[Out] = []
+    def _stands(self, now_ms: float, sender: str, word: m.CopyReport) -> list[Action]:
+        found: list[Action] = []
         for told in word.rows:
             row, last = told.row, self._last.get(told.row)
             if last is not None and last[:2] == (sender, word.life) and word.number <= last[2]:
@@ -248,7 +253,7 @@
                 continue
             self._last.pop(row, None)
             self._last[row] = (sender, word.life, word.number)
-            if len(self._last) > WORDS_MOST:
+            if len(self._last) > MAX_REPORT_VERSIONS:
                 del self._last[next(iter(self._last))]
             if told.eta_ms == 0.0:
                 found += self._note(row, told.worker, sender)
@@ -260,16 +265,16 @@
                 mine.due_ms = now_ms + told.eta_ms
         return found
 
-    def _note(self, row: str, worker: int, teller: str) -> list[Stood]:
+    def _note(self, row: str, worker: int, teller: str) -> list[CopyAvailable]:
         """A copy stands; calls that wait for it are told, if it is news."""
-        if row not in self.places and len(self.places) >= PLACES_MOST:
+        if row not in self.places and len(self.places) >= MAX_PLACEMENTS:
             self._count("places beyond what is kept")
             return []
         new = self.place(row) != worker
         self.places[row] = (worker, teller)
         self._mine.pop(row, None)
         self._lost.pop(row, None)
-        return [Stood(row)] if new else []
+        return [CopyAvailable(row)] if new else []
 
     # --- loads ------------------------------------------------------------------------------------
 
@@ -282,19 +287,19 @@
         """Whether an order there is one that a loader wants, this one or one that lent it."""
         return self.loading.is_own(worker, row) or self.helping.is_own(worker, row)
 
-    def answered(self, now_ms: float, event: io.OrderAnswered) -> list[Out]:
+    def answered(self, now_ms: float, event: io.OrderAnswered) -> list[Action]:
         """A scorer's answer to an order or a question, whoever's that was."""
-        if event.ending in PROVES and not event.copies:
+        if event.ending in COUNTING_RESULTS and not event.copies:
             self.lost(now_ms, event.function, event.worker)
-        found: list[Out] = [*self.helping.answered(event, event.ending in PROVES)]
+        found: list[Action] = [*self.helping.answered(event, event.ending in COUNTING_RESULTS)]
         if self.loading.answered(now_ms, event):
             found += self._stood(now_ms, event.function, event.worker)
         return found
 
-    def _stood(self, now_ms: float, row: str, worker: int) -> list[Out]:
+    def _stood(self, now_ms: float, row: str, worker: int) -> list[Action]:
         """A copy stands that was ordered here."""
         self._news[row] = None
-        found: list[Out] = [*self._note(row, worker, self.name)]
+        found: list[Action] = [*self._note(row, worker, self.name)]
         return [*found, *(self.loading.orders(now_ms) if self._loads else ())]  # the seat is free
 
     @property
@@ -303,46 +308,48 @@
 
     # --- turns ------------------------------------------------------------------------------------
 
-    def tick(self, now_ms: float) -> list[Out]:
+    def tick(self, now_ms: float) -> list[Action]:
         """What is due; to be called every `TURN_MS`."""
-        found: list[Out] = [*self.loading.overdue(now_ms), *self.helping.tick(now_ms)]
+        found: list[Action] = [*self.loading.overdue(now_ms), *self.helping.tick(now_ms)]
         if self._loads:
             found += self._wants(now_ms)
             found += self._spare(now_ms)
             found += self.loading.orders(now_ms)
         return [*found, *self._told(now_ms), *self.wards.tick(now_ms)]
 
-    def _spare(self, now_ms: float) -> list[Words]:
+    def _spare(self, now_ms: float) -> list[SendPermitMessage]:
         """Others keep this one waiting: it could order for them."""
         loaders = {mine.to for mine in self._mine.values() if mine.to} - {self.name}
         return self.helping.spare(now_ms, loaders, self._room(), len(self._heard)) if loaders else []
 
-    def _wants(self, now_ms: float) -> list[Words]:
+    def _wants(self, now_ms: float) -> list[SendPermitMessage]:
         """What calls here want, worth most first, to each loader; to this one itself without a word."""
-        by_loader: dict[str, list[tuple[str, _Mine]]] = {}
+        by_loader: dict[str, list[tuple[str, _LocalLoadRequest]]] = {}
         for row, mine in list(self._mine.items()):
             if now_ms - mine.wanted_ms > FORGET_MS:
                 del self._mine[row]
                 continue
             owner = self.seats.owner(row)
-            if owner and (mine.to != owner or now_ms - mine.told_ms >= AGAIN_MS):
+            if owner and (mine.to != owner or now_ms - mine.told_ms >= RESEND_MS):
                 by_loader.setdefault(owner, []).append((row, mine))
         found = []
         for owner, items in sorted(by_loader.items()):
             rows = []
-            for row, mine in sorted(items, key=lambda item: (-item[1].worth_ps, item[0]))[: m.ROWS_MOST]:
+            for row, mine in sorted(items, key=lambda item: (-item[1].worth_ps, item[0]))[
+                : m.MAX_FUNCTIONS_PER_MESSAGE
+            ]:
                 if mine.to != owner:
                     mine.due_ms = None
                 mine.to, mine.told_ms = owner, now_ms
                 lost = self._lost.get(row)
-                rows.append(m.Wanted(row, mine.kind, mine.worth_ps, mine.lanes, mine.load_ms, lost))
+                rows.append(m.LoadRequest(row, mine.kind, mine.worth_ps, mine.lanes, mine.load_ms, lost))
             if owner == self.name:
                 self._wanted(now_ms, self.name, rows)
             else:
-                found.append(Words((owner,), m.Want(tuple(rows))))
+                found.append(SendPermitMessage((owner,), m.LoadRequests(tuple(rows))))
         return found
 
-    def _told(self, now_ms: float) -> list[Words]:
+    def _told(self, now_ms: float) -> list[SendPermitMessage]:
         """What stands or no longer does, to all; what is wanted, to those that want it; a line each."""
         found = [self._word((), now_ms, self._news)] if self._news else []
         for name in list(self._askers):
@@ -352,16 +359,16 @@
                 del self._askers[name]
         return found
 
-    def _word(self, to: tuple[str, ...], now_ms: float, rows: dict[str, None]) -> Words:
+    def _word(self, to: tuple[str, ...], now_ms: float, rows: dict[str, None]) -> SendPermitMessage:
         """Of these functions the first that a line holds, which are taken out."""
         self._number += 1
         told = []
-        for row in list(rows)[: m.ROWS_MOST]:
+        for row in list(rows)[: m.MAX_FUNCTIONS_PER_MESSAGE]:
             del rows[row]
             if (worker := self.place(row)) is not None:
-                told.append(m.Place(row, worker))
+                told.append(m.CopyPlacement(row, worker))
             elif self.loading.knows(row) and self.seats.owner(row) == self.name:
-                told.append(m.Place(row, 0, max(1.0, self.loading.eta_ms(now_ms, row))))
+                told.append(m.CopyPlacement(row, 0, max(1.0, self.loading.eta_ms(now_ms, row))))
             else:
-                told.append(m.Place(row, 0, None))
-        return Words(to, m.Stands(self.life, self._number, tuple(told)))
+                told.append(m.CopyPlacement(row, 0, None))
+        return SendPermitMessage(to, m.CopyReport(self.life, self._number, tuple(told)))
--- a/fawnwharf/recovery_service/permit_messages.py
+++ b/fawnwharf/recovery_service/permit_messages.py
@@ -11,69 +11,69 @@
 import msgspec
 from msgspec import Meta, Struct
 
-ROWS_MOST = 200  # of one word
-TICKETS_MOST = 256  # asked for at a time, of one scorer
+MAX_FUNCTIONS_PER_MESSAGE = 200  # of one word
+MAX_PERMITS_PER_REQUEST = 256  # asked for at a time, of one scorer
 
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 Span = Annotated[float, Meta(ge=0.0, le=3_600_000.0)]
-RowKey = Annotated[str, Meta(min_length=1, max_length=128)]
-Kind = Annotated[str, Meta(min_length=1, max_length=128)]
+FunctionName = Annotated[str, Meta(min_length=1, max_length=128)]
+ClassName = Annotated[str, Meta(min_length=1, max_length=128)]
 
 
-class Wanted(Struct, frozen=True, array_like=True):
+class LoadRequest(Struct, frozen=True, array_like=True):
     """A function that calls here want: its class, what they are worth a second, and what an order takes."""
 
-    row: RowKey
-    kind: Kind
+    row: FunctionName
+    kind: ClassName
     worth_ps: Annotated[float, Meta(ge=0.0, le=1e12)]
     lanes: Annotated[int, Meta(ge=1, le=4_096)] = 1
     load_ms: Span | None = None
     lost: Count | None = None  # the scorer where a copy was told to stand, and does not
 
 
-class Want(Struct, frozen=True, tag="want"):
+class LoadRequests(Struct, frozen=True, tag="want"):
     """To the loader of these functions."""
 
-    rows: Annotated[tuple[Wanted, ...], Meta(max_length=ROWS_MOST)]
+    rows: Annotated[tuple[LoadRequest, ...], Meta(max_length=MAX_FUNCTIONS_PER_MESSAGE)]
 
 
-class Place(Struct, frozen=True, array_like=True):
+class CopyPlacement(Struct, frozen=True, array_like=True):
     """A function's first copy: where it stands (`eta_ms` 0), in how many milliseconds it may, or no more
     (None)."""
 
-    row: RowKey
+    row: FunctionName
     worker: Count = 0
     eta_ms: Span | None = 0.0
 
 
-class Stands(Struct, frozen=True, tag="stands"):
+class CopyReport(Struct, frozen=True, tag="stands"):
     """From a loader: what stands, to all; what is to be expected, to those that want it. Of two words of one
     life the one with the larger number is later."""
 
     life: Count
     number: Count
-    rows: Annotated[tuple[Place, ...], Meta(max_length=ROWS_MOST)]
+    rows: Annotated[tuple[CopyPlacement, ...], Meta(max_length=MAX_FUNCTIONS_PER_MESSAGE)]
 
 
-class Asked(Struct, frozen=True, tag="asked"):
+class PermitRequest(Struct, frozen=True, tag="asked"):
     """To the warden of a cold scorer: so many calls wait for it here."""
 
     scorer: Count
     number: Count  # of the question; another one of the same life is another number
     life: Count
-    count: Annotated[int, Meta(ge=1, le=TICKETS_MOST)]
+    count: Annotated[int, Meta(ge=1, le=MAX_PERMITS_PER_REQUEST)]
 
 
-class Given(Struct, frozen=True, tag="given"):
+class PermitResponse(Struct, frozen=True, tag="given"):
     """Its answer, by call: 0 is a ticket, else not before so many milliseconds."""
 
     scorer: Count
     number: Count
     life: Count  # of the one that asked
-    free_ms: Annotated[tuple[Span, ...], Meta(max_length=TICKETS_MOST)]
+    free_ms: Annotated[tuple[Span, ...], Meta(max_length=MAX_PERMITS_PER_REQUEST)]
 
 
-class Spare(Struct, frozen=True, tag="spare"):
+class SpareRate(Struct, frozen=True, tag="spare"):
     """To loaders that keep one waiting: it could make so many orders for each of them."""
 
     life: Count
@@ -81,36 +81,44 @@
     count: Annotated[int, Meta(ge=1, le=64)]
 
 
-class Lend(Struct, frozen=True, tag="lend"):
+class DelegatedLoadOrder(Struct, frozen=True, tag="lend"):
     """A loader's order, to be made by the one that told `number` in `life`."""
 
     life: Count
     number: Count
     worker: Count
-    row: RowKey
-    kind: Kind
+    row: FunctionName
+    kind: ClassName
     lanes: Annotated[int, Meta(ge=1, le=4_096)] = 1
     load_ms: Span | None = None
 
 
-class What(IntEnum):
+class DelegatedLoadResult(IntEnum):
     NOT = 0  # it was not made
     MADE = 1
     STANDS = 2
     FAILED = 3
 
 
-class Lent(Struct, frozen=True, tag="lent"):
+class DelegatedLoadReport(Struct, frozen=True, tag="lent"):
     """What came of a loan, to its loader."""
 
     worker: Count
-    row: RowKey
+    row: FunctionName
     what: Annotated[int, Meta(ge=0, le=3)]
 
 
-Word = Want | Stands | Asked | Given | Spare | Lend | Lent
+PermitMessage = (
+    LoadRequests
+    | CopyReport
+    | PermitRequest
+    | PermitResponse
+    | SpareRate
+    | DelegatedLoadOrder
+    | DelegatedLoadReport
+)
 
 
-def word_from(data: Any) -> Word:
+def permit_message_from(data: Any) -> PermitMessage:
     """Raises msgspec.ValidationError for what no member says."""
-    return msgspec.convert(data, Word)
+    return msgspec.convert(data, PermitMessage)
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -18,20 +18,23 @@
 from fawnwharf.recovery_core import alone
 from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service.actions import Stood, Ticket
-from fawnwharf.recovery_service.permit_issuing import Giving
+from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 from fawnwharf.replication.claims import Phase
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.gate import Gate, name_of
 
-HELD_MOST, HELD_BYTES_MOST = 4_096, 8 * 1024 * 1024
-HOLD_PART, LEAD_MS = 0.6, 100.0  # of a promise; and so long before the client gives up, at the least
-KEPT_BACK = 0.3  # of the burst, for the classes worth most
-LATER_MS = 1_000.0  # a class that is not taken yet: not before
-RATES_MOST, RATE_MS = 4_096, 5_000.0  # functions whose calls are counted, and for how long
+MAX_WAITING_CALLS, MAX_WAITING_BYTES = 4_096, 8 * 1024 * 1024
+WAIT_FRACTION, CLIENT_MARGIN_MS = (
+    0.6,
+    100.0,
+)  # of a promise; and so long before the client gives up, at the least
+RESERVED_FRACTION = 0.3  # of the burst, for the classes worth most
+CLASS_REJECTED_MS = 1_000.0  # a class that is not taken yet: not before
+MAX_RATES, RATE_MS = 4_096, 5_000.0  # functions whose calls are counted, and for how long
 
 
-class Taking(Protocol):
+class RequestSink(Protocol):
     """What takes calls and withdraws them: the table, or what stands before it."""
 
     def take(self, call: Call) -> str | None: ...
@@ -39,7 +42,7 @@
     def withdraw(self, key: str) -> None: ...
 
 
-class Promises(Protocol):
+class ClaimStatus(Protocol):
     def repeat(self, call: Call) -> bool:
         """Whether a call has its answer, or none for good, by what is kept here."""
 
@@ -47,7 +50,7 @@
         """Whether calls of the class run only with their keepers' grants."""
 
 
-class NoPromises:
+class NoClaims:
     """Where there is no gate."""
 
     def repeat(self, call: Call) -> bool:
@@ -57,7 +60,7 @@
         return False
 
 
-class Kept:
+class StoredClaims:
     """What the gate and this front end's own shelf tell of a call, without asking anybody."""
 
     def __init__(self, gate: Gate, core: Core) -> None:
@@ -82,7 +85,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
+class _WaitingCall:
     """One call that was not let through at once, to its end."""
 
     key: str
@@ -97,32 +100,32 @@
     below: str | None = None  # as what stands below knows it
 
 
-class Door:
+class RecoveryAdmission:
     """Owns the calls that wait here for a copy, a ticket or a turn; takes and withdraws as the table does."""
 
     def __init__(
         self,
         loop: Loop,
-        below: Taking,
+        below: RequestSink,
         classes: dict[str, ClassSpec],
         limits: Limits,
-        promises: Promises | None = None,
+        promises: ClaimStatus | None = None,
         window_ms: float = 13_500.0,
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
         """`window_ms`: for so long after a start a repeat of a keyed call may come that its scorer forgot."""
         self._loop, self.below, self._classes, self._clock = loop, below, classes, clock
-        self._promises = promises or NoPromises()
+        self._promises = promises or NoClaims()
         self._window_ms, self._began_ms = window_ms, clock()
         self.open = False  # calm: all is passed on as it comes
         self.doors = Doors(limits, at_ms=clock())
         self.counts: dict[str, int] = {}
         self._since: dict[str, int] = {}
         self._may = Allowed()
-        self._giving: Giving | None = None
+        self._giving: PermitIssuer | None = None
         self._first = frozenset[str]()
         self._numbers = itertools.count(1)
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _WaitingCall] = {}
         self._bytes = 0
         self._rows: dict[str, dict[str, None]] = {}  # keys that wait for a function's copy
         self._rates: dict[str, list[float]] = {}  # functions: since when, worth
@@ -138,7 +141,7 @@
         found, self._since = self._since, {}
         return found | {"held": len(self._held)} if found else {}
 
-    def go_by(self, allowed: Allowed, rate_ps: float, giving: Giving | None) -> None:
+    def go_by(self, allowed: Allowed, rate_ps: float, giving: PermitIssuer | None) -> None:
         """To be told at each change. `rate_ps`: calls a second that are let in here."""
         now = self._clock()
         self._may, self._giving, self.open = allowed, giving, allowed.spill
@@ -148,11 +151,11 @@
             if self.open:
                 self._pass(held)
             elif not self._takes(held.call.class_name):
-                self._refuse(held, LATER_MS)
+                self._refuse(held, CLASS_REJECTED_MS)
         if self.open:
             self._rates.clear()
         for row in list(self._rows) if allowed.own_loads else ():  # the module orders what they need
-            self.told(Stood(row))
+            self.told(CopyAvailable(row))
 
     # --- from the port ----------------------------------------------------------------------------
 
@@ -196,16 +199,18 @@
             self._count("repeats")
             return self.below.take(call)
         if not self._takes(call.class_name):
-            return self._turn_away(call, "class", LATER_MS)
-        hold_ms = min(HOLD_PART * self._classes[call.class_name].promise_ms, call.budget_ms - LEAD_MS)
+            return self._turn_away(call, "class", CLASS_REJECTED_MS)
+        hold_ms = min(
+            WAIT_FRACTION * self._classes[call.class_name].promise_ms, call.budget_ms - CLIENT_MARGIN_MS
+        )
         bare = self._bare(call.function)
         if bare:
             self._want(now, call)
             if (eta_ms := self._giving.eta_ms(now, call.function)) > hold_ms:
                 return self._turn_away(call, "copy", eta_ms)
-        if not self.doors.let_in(now, 0.0 if call.class_name in self._first else KEPT_BACK):
+        if not self.doors.let_in(now, 0.0 if call.class_name in self._first else RESERVED_FRACTION):
             return self._turn_away(call, "pace")
-        if len(self._held) >= HELD_MOST or self._bytes + len(call.body) > HELD_BYTES_MOST:
+        if len(self._held) >= MAX_WAITING_CALLS or self._bytes + len(call.body) > MAX_WAITING_BYTES:
             return self._turn_away(call, "room")
         return self._place(now, call, hold_ms)
 
@@ -222,7 +227,7 @@
         worth = self._classes[call.class_name].worth
         rate = self._rates.get(call.function)
         if rate is None or now - rate[0] > RATE_MS:
-            if rate is None and len(self._rates) >= RATES_MOST:
+            if rate is None and len(self._rates) >= MAX_RATES:
                 self._rates.clear()  # they are counted anew
             rate = self._rates[call.function] = [now, 0.0]
         rate[1] += worth
@@ -241,7 +246,7 @@
                 return self.below.take(call)
             if free_ms is not None and free_ms > hold_ms:
                 return self._turn_away(call, "ticket", free_ms)
-        held = self._held[key] = _Held(key, call, call.reply, now, now + hold_ms)
+        held = self._held[key] = _WaitingCall(key, call, call.reply, now, now + hold_ms)
         self._bytes += len(call.body)
         call.reply = lambda outcome: self._replied(held, outcome)
         held.end = self._loop.wheel.after(hold_ms, lambda: self._overdue(held))
@@ -258,7 +263,7 @@
         place = self._giving.place(row) if self._giving is not None else None
         return 0.0 if place is None else self._giving.ask(now, place, key)
 
-    def _try(self, held: _Held) -> None:
+    def _try(self, held: _WaitingCall) -> None:
         """Pass it on, or have it wait for what it lacks, or refuse it, if that comes too late."""
         now, row = self._clock(), held.call.function
         left_ms = held.until_ms - now
@@ -274,7 +279,7 @@
         if free_ms is not None:
             self._turn(held, free_ms)
 
-    def _turn(self, held: _Held, free_ms: float) -> None:
+    def _turn(self, held: _WaitingCall, free_ms: float) -> None:
         if free_ms <= 0.0:
             self._pass(held)
         elif free_ms > held.until_ms - self._clock():
@@ -282,13 +287,13 @@
         else:
             held.turn = self._loop.wheel.after(free_ms, lambda: self._try(held))
 
-    def _overdue(self, held: _Held) -> None:
+    def _overdue(self, held: _WaitingCall) -> None:
         now, row = self._clock(), held.call.function
         self._refuse(held, self._giving.eta_ms(now, row) if self._bare(row) else 0.0)
 
-    def told(self, out: Ticket | Stood) -> None:
+    def told(self, out: SlowStartPermit | CopyAvailable) -> None:
         """What `Giving` says of calls that wait here."""
-        if isinstance(out, Stood):
+        if isinstance(out, CopyAvailable):
             for key in self._rows.pop(out.row, ()):
                 if (held := self._held.get(key)) is not None:
                     self._try(held)
@@ -296,7 +301,7 @@
             held.ticket = False
             self._turn(held, out.free_ms)
 
-    def _pass(self, held: _Held) -> None:
+    def _pass(self, held: _WaitingCall) -> None:
         if held.key not in self._held:
             return
         self._rest(held)
@@ -307,17 +312,17 @@
         if held.below is None:  # it was answered at once
             self._end(held)
 
-    def _refuse(self, held: _Held, not_before_ms: float) -> None:
+    def _refuse(self, held: _WaitingCall, not_before_ms: float) -> None:
         """It never went further than here, so that to try again is harmless."""
         self._count("refused: waited")
         wait_ms = self.doors.pushback_ms(self._clock(), held.call.id.hex(), not_before_ms)
         self._replied(held, Refused(wait_ms))
 
-    def _replied(self, held: _Held, outcome: Outcome) -> None:
+    def _replied(self, held: _WaitingCall, outcome: Outcome) -> None:
         if self._end(held):
             held.reply(outcome)
 
-    def _rest(self, held: _Held) -> None:
+    def _rest(self, held: _WaitingCall) -> None:
         """It waits for nothing here any more."""
         for timer in (held.end, held.turn):
             if timer is not None:
@@ -331,7 +336,7 @@
             if not keys:
                 del self._rows[held.call.function]
 
-    def _end(self, held: _Held) -> bool:
+    def _end(self, held: _WaitingCall) -> bool:
         """Once each."""
         if self._held.pop(held.key, None) is None:
             return False
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -13,11 +13,11 @@
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.zones.lines import Seat
 
-LOOK_MS = 100.0  # pace of the look at what all told
+SCAN_MS = 100.0  # pace of the look at what all told
 
 
 @dataclass(frozen=True, slots=True)
-class Lists:
+class MemberLists:
     """By the file of members: all names, and who votes and who keeps; up or not."""
 
     members: tuple[str, ...]
@@ -39,11 +39,11 @@
 
 
 @dataclass(slots=True)
-class Lead:
+class RecoveryLeader:
     """Owns what members told of themselves, and the conductor."""
 
     timing: Timing
-    lists: Lists
+    lists: MemberLists
     heard_ms: float  # for so long what one told counts
     soon_ms: float  # and in a recovery, how it stands
     stage_ms: float  # pace of the word to all
@@ -51,7 +51,7 @@
     term: int = 0  # of the reign; 0: it does not lead
     unread: int = 0  # a reign that could not begin
     marks: dict[str, tuple[int, str, float]] = field(default_factory=dict)  # life, boot's mark, when
-    standings: dict[str, tuple[w.Standing, float]] = field(default_factory=dict)
+    standings: dict[str, tuple[w.StatusReport, float]] = field(default_factory=dict)
     _fell: dict[str, tuple[int, int]] = field(default_factory=dict)  # life, and fallen by the last look
     _look_ms: float = 0.0
     _word: tuple[int, float] = (-1, 0.0)  # number of the register that was told last, and when
@@ -61,7 +61,7 @@
 
     # --- what members tell ----------------------------------------------------------------------
 
-    def booted(self, now_ms: float, name: str, boot: w.Boot) -> None:
+    def booted(self, now_ms: float, name: str, boot: w.BootReport) -> None:
         """A mark of an earlier life is dropped: lines of a log come in order, but by two links."""
         before = self.marks.get(name)
         if before is None or boot.life >= before[0]:
@@ -69,7 +69,7 @@
             if before is not None and boot.life > before[0]:
                 self.standings.pop(name, None)
 
-    def stands(self, now_ms: float, name: str, standing: w.Standing) -> bool:
+    def stands(self, now_ms: float, name: str, standing: w.StatusReport) -> bool:
         """False: of an earlier life."""
         before = self.marks.get(name)
         if before is not None and standing.life < before[0]:
@@ -83,7 +83,7 @@
             for name in [name for name in held if name not in self.lists.members]:
                 del held[name]
 
-    def _alive(self, now_ms: float) -> dict[str, w.Standing]:
+    def _alive(self, now_ms: float) -> dict[str, w.StatusReport]:
         most_ms = self.heard_ms if self.conductor.register.stage == Stage.SPILL else self.soon_ms
         return {n: told for n, (told, at_ms) in self.standings.items() if now_ms - at_ms < most_ms}
 
@@ -106,8 +106,8 @@
             heard=len(alive),
             asked=sum(told.asked for told in alive.values()),
             sure=lists.sure(lambda name: name in alive and alive[name].sure),
-            first=w.Tally(sum(t.good for t in first), sum(t.all for t in first)).part,
-            served=w.Tally(sum(t.good for t in served), sum(t.all for t in served)).part,
+            first=w.CallCounts(sum(t.good for t in first), sum(t.all for t in first)).part,
+            served=w.CallCounts(sum(t.good for t in served), sum(t.all for t in served)).part,
             slow=slow,
             fell=fell,
             givers=tuple(sorted(loaders((n for n in lists.keepers if n in alive), GIVERS_MOST, 0))),
@@ -149,7 +149,7 @@
     def tick(self, now_ms: float, seat: Seat) -> list[Effect]:
         if not self.term or self.term != seat.term or now_ms < self._look_ms:
             return []
-        self._look_ms = now_ms + LOOK_MS
+        self._look_ms = now_ms + SCAN_MS
         self.conductor.voters = seat.voters
         boots, heard = self._boots(now_ms)
         if 2 * heard <= len(seat.voters):  # it can't tell yet whether the fleet lost its power
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -19,7 +19,7 @@
 from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
 from fawnwharf.recovery_service import stored_state as k
 from fawnwharf.recovery_service.settings import settings_from
-from fawnwharf.recovery_service.stored_promises import OnStore
+from fawnwharf.recovery_service.stored_promises import StoredPromises
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import settings_from as state_settings
 from fawnwharf.zones.files import load
@@ -29,10 +29,10 @@
 CLOSE_MS = 1_000.0  # for the last groups, and the word that it ended in order
 
 Note = Callable[[str, dict[str, Any]], None]
-Told = Callable[[bool, str], None]  # whether it is on disk; if not, why that is unsure
+SyncCallback = Callable[[bool, str], None]  # whether it is on disk; if not, why that is unsure
 
 
-def boot_mark(path: str) -> str:
+def read_boot_id(path: str) -> str:
     """Of this boot of the machine; empty where nobody tells, and each start is another boot then."""
     try:
         return Path(path).read_text().strip() if path else ""
@@ -40,7 +40,7 @@
         return ""
 
 
-class Kept:
+class RecoveryStore:
     """Owns the folder's store, and what is held true of what was found in it; a Seam of the front end."""
 
     def __init__(
@@ -49,17 +49,17 @@
     ) -> None:  # fmt: skip
         """Reads the folder; waits up to `LOCK_S` for its lock. `fresh`: the fleet begins, an empty folder has
         lost nothing. Raises ConfigError with one line."""
-        self.boot, self._note = boot_mark(boot_file), note
-        self._mark = k.short(self.boot)
+        self.boot, self._note = read_boot_id(boot_file), note
+        self._mark = k.boot_digest(self.boot)
         try:
             self.store = open_folder(
-                folder, fleet, member, k.KINDS, limits, self.boot, empty_ok=True, within_s=LOCK_S
+                folder, fleet, member, k.STORE_KINDS, limits, self.boot, empty_ok=True, within_s=LOCK_S
             )
         except DiskError as error:
             raise ConfigError(f"recovery.folder: {error}") from None
         found = self.store.found
         now = self._clock()
-        self._start = k.started(found, now, fresh, spans or Spans())
+        self._start = k.recover_state(found, now, fresh, spans or Spans())
         self.same_boot, self.in_order, self.sure = self._start.same_boot, found.ended, self._start.sure
         self.whole = Store.PART if self._start.doubt else Store.WHOLE
         self.why, self.fresh, self.life = self._start.doubt, found.fresh, found.sign.life + 1
@@ -72,7 +72,7 @@
         self._closed = False
         self._turns, self._refused = 0, ""
         self._anew(now)
-        self._bytes = {rule.name: 0 for rule in k.RULES.values()}
+        self._bytes = {rule.name: 0 for rule in k.ENTRY_RULES.values()}
         for (name, key), data in self.store.core.entries.items():
             if name in self._bytes:
                 self._bytes[name] += f.size((name, key), data)
@@ -88,7 +88,7 @@
             self._put(name, key, None)
         if start.new:
             self._doubt(start.doubt)
-        self._put(k.START, k.LAST, k.stamped(now, self.number))
+        self._put(k.START, k.LAST, k.encode_entry(now, self.number))
 
     # --- life -----------------------------------------------------------------------------------
 
@@ -118,9 +118,9 @@
     def busy(self) -> bool:
         return False
 
-    def promises(self, core: Core, folder: Path | None) -> OnStore:
+    def promises(self, core: Core, folder: Path | None) -> StoredPromises:
         """For the front end's keeper; `folder`: where it would have its own file without a store."""
-        return OnStore(self, core, self._note, folder)
+        return StoredPromises(self, core, self._note, folder)
 
     # --- what was found -------------------------------------------------------------------------
 
@@ -138,7 +138,7 @@
         """Key, value and trust of what was found at the start, by the table, as the store is held to be now.
         A promise's value is a list that begins with what was left of its time at the start, and for how long
         it had stood, None where another boot wrote it; both in ms."""
-        return k.read(self._start, kind, self.whole)
+        return k.read_entries(self._start, kind, self.whole)
 
     def dropped(self, kind: Kind) -> None:
         """What was found of a kind is read by nobody any more."""
@@ -160,8 +160,8 @@
         why = older(Found(sign=mine), [sign])
         if why:
             self._later = max(self._later, (sign.life, sign.number))
-            if self.why != why[: k.WHY_MOST]:
-                self._doubt(why[: k.WHY_MOST])
+            if self.why != why[: k.MAX_REASON_LENGTH]:
+                self._doubt(why[: k.MAX_REASON_LENGTH])
         return not why
 
     def doubt(self, why: str) -> None:
@@ -170,8 +170,8 @@
 
     def _doubt(self, why: str) -> None:
         self.whole, self.why, self.sure = Store.PART, why, 0
-        self._put(k.DOUBT, k.LAST, k.stamped(self._clock(), why))
-        self._put(k.SURE, k.LAST, None)
+        self._put(k.DOUBT, k.LAST, k.encode_entry(self._clock(), why))
+        self._put(k.COMPLETE, k.LAST, None)
         self._note("the store is in part", {"why": why})
         for tell in self._doubted:
             tell()
@@ -190,12 +190,12 @@
 
     # --- what is kept ---------------------------------------------------------------------------
 
-    def keep(self, kind: Kind, key: str, value: Any | None, told: Told | None = None) -> bool:
+    def keep(self, kind: Kind, key: str, value: Any | None, told: SyncCallback | None = None) -> bool:
         """The entry is this from now on, JSON or a Struct; None: there is none. False: it was refused, and
         nothing has changed. `told` once, that it is on disk or why that is unsure; where it is refused before
         this returns."""
-        rule = k.RULES[kind]
-        data = None if value is None else k.stamped(self._clock(), value)
+        rule = k.ENTRY_RULES[kind]
+        data = None if value is None else k.encode_entry(self._clock(), value)
         before = self.store.core.entries.get((rule.name, key))
         grows = sum(f.size((rule.name, key), one) * by for one, by in ((data, 1), (before, -1)) if one)
         if data is not None and grows > 0 and self._bytes[rule.name] + grows > rule.all_bytes:
@@ -223,16 +223,16 @@
     def keep_sure(self, members: int) -> None:
         """The keeper knows all that it granted, by this list of members; 0: it does not."""
         self.sure = members
-        self._put(k.SURE, k.LAST, k.stamped(self._clock(), members) if members else None)
+        self._put(k.COMPLETE, k.LAST, k.encode_entry(self._clock(), members) if members else None)
 
-    def on_disk(self, told: Told) -> None:
+    def on_disk(self, told: SyncCallback) -> None:
         """`told` once: all that was kept before this is on disk, or why that is unsure. While the disk fails
         it is told at once."""
         self._turns += 1
-        if why := self._put(k.TURN, k.LAST, msgspec.json.encode(self._turns), told):
+        if why := self._put(k.COMMIT_TICKET, k.LAST, msgspec.json.encode(self._turns), told):
             told(False, why)
 
-    def _put(self, name: str, key: str, data: bytes | None, told: Told | None = None) -> str:
+    def _put(self, name: str, key: str, data: bytes | None, told: SyncCallback | None = None) -> str:
         """Why it was refused; empty: it was not."""
         if self._closed:
             return "closed"
@@ -247,13 +247,15 @@
         return ""
 
 
-def kept(deployment: Deployment, place: str, state: str, note: Note, fresh: bool) -> Kept:
+def open_recovery_store(
+    deployment: Deployment, place: str, state: str, note: Note, fresh: bool
+) -> RecoveryStore:
     """The store of a front end, by the files of recovery and of replicated state. Raises ConfigError."""
     settings = load(Path(place), settings_from, "recovery")
     rules = load(Path(state), state_settings, "state")
     members = load(Path(state).parent / rules.members, members_from, "state")
     spans = Spans(window_ms=rules.longest_ms * (1.0 + 2.0 * rules.skew))
     folder = Path(place).parent / settings.folder
-    return Kept(
+    return RecoveryStore(
         folder, members.fleet, deployment.name, settings.boot_file, settings.store, note, fresh, spans
     )
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -18,23 +18,31 @@
 from fawnwharf.recovery_core.trust import Kind, Store
 from fawnwharf.recovery_service import front_end_integration, status_display
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.agent import Agent, Effect, Go, Lists, Own, Say, Signed
-from fawnwharf.recovery_service.call_outcomes import Counted
-from fawnwharf.recovery_service.counters import Tallies
-from fawnwharf.recovery_service.hints import KEY, LastRoster, LastUse
+from fawnwharf.recovery_service.agent import (
+    ApplyPhase,
+    Effect,
+    LocalStatus,
+    RecoveryAgent,
+    SendMessage,
+    SignatureReported,
+)
+from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
+from fawnwharf.recovery_service.counters import FrontEndCounters
+from fawnwharf.recovery_service.hints import ENTRY_KEY, RosterRecorder, UsageRecorder
+from fawnwharf.recovery_service.recovery_leader import MemberLists
 from fawnwharf.recovery_service.settings import Settings, settings_from
 from fawnwharf.zones.files import load
 from fawnwharf.zones.lines import RECOVERY, Word
 
-SHOW_MS = 200.0  # how this one stands is told for people no more often than that
-WORDS_MOST = 200  # in one line
+DISPLAY_INTERVAL_MS = 200.0  # how this one stands is told for people no more often than that
+MAX_MESSAGES_PER_LINE = 200  # in one line
 LINE_S = 1.0  # one note a second of each kind
 
 Write = Callable[[str, dict[str, Any]], None]
-Join = Callable[..., front_end_integration.Joined]
+Join = Callable[..., front_end_integration.FrontEndIntegration]
 
 
-class Rejoin:
+class RecoveryService:
     """Owns this front end's part in recoveries; a Seam of the front end, and a rider of both logs."""
 
     def __init__(
@@ -43,7 +51,7 @@
         path: str | Path,
         write: Write,
         made: dict[str, Any],
-        join: Join = front_end_integration.Joined,
+        join: Join = front_end_integration.FrontEndIntegration,
     ) -> None:
         """Reads and checks the file; raises ConfigError with one line. `made` has the other parts by name, of
         which `zones`, `kept` and `state` have to be there already."""
@@ -51,18 +59,18 @@
         self.settings: Settings = load(Path(path), settings_from, RECOVERY)
         self.zones, self.kept, self.state = made["zones"], made["kept"], made["state"]
         self.life = self.kept.number
-        self._used = LastUse.read(self.kept.read(Kind.USE))
-        self._roster, self._use = LastRoster(), LastUse(monotonic_ms())
+        self._used = UsageRecorder.read(self.kept.read(Kind.USE))
+        self._roster, self._use = RosterRecorder(), UsageRecorder(monotonic_ms())
         classes = deployment.settings.classes
-        self.tallies = Tallies({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
+        self.tallies = FrontEndCounters({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
         self.front: FrontEnd | None = None
-        self.agent: Agent | None = None
-        self.joined: front_end_integration.Joined | None = None
-        self.calls: Counted | None = None
+        self.agent: RecoveryAgent | None = None
+        self.joined: front_end_integration.FrontEndIntegration | None = None
+        self.calls: CallOutcomeRecorder | None = None
         self._rostered = self._dialled = False
         self._calm_ms: float | None = None  # since when
         self._words: list[Word] = []
-        self._shown: w.Shown | None = None
+        self._shown: w.DisplayedStatus | None = None
         self._shown_ms = -1e9
         self._noted: dict[str, float] = {}
         self._timer: Timer | None = None
@@ -76,17 +84,19 @@
         self.front, settings = front, self.settings
         front.port.waits_for.add(RECOVERY)
         front.changelog.may_begin_anew = True
-        self.agent = Agent(
+        self.agent = RecoveryAgent(
             self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
             self._own(), self.zones.seat, self.tallies.worths, settings.timing.of_stages, monotonic_ms(),
             settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
         )  # fmt: skip
         self.joined = self._join(front, self.state, settings, self.life)
         self.joined.use_before(self._used)
-        self.calls = Counted(self.joined.door, self.deployment.settings.classes, self.tallies.ended)
+        self.calls = CallOutcomeRecorder(
+            self.joined.door, self.deployment.settings.classes, self.tallies.ended
+        )
         front.port.table = self.calls
         self.zones.riders[RECOVERY] = self
-        self.state.riders[w.RIDER] = self._heard_state
+        self.state.riders[w.LOG_CLIENT] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
         self.note("recovery on", told | {"store": self.kept.whole.value, "why": self.kept.why})
         self._tick()
@@ -104,7 +114,7 @@
         self.joined.close()
         self.front.port.waits_for.discard(RECOVERY)
         self.zones.riders.pop(RECOVERY, None)
-        self.state.riders.pop(w.RIDER, None)
+        self.state.riders.pop(w.LOG_CLIENT, None)
 
     # --- the seam -------------------------------------------------------------------------------
 
@@ -119,7 +129,7 @@
         self._dialled = True
         if self.front.overlay.members:
             return
-        found = LastRoster.read(self.kept.read(Kind.ROSTER))
+        found = RosterRecorder.read(self.kept.read(Kind.ROSTER))
         up_ms = self.front.loop.clock.now_ms()
         cold = [msgspec.structs.replace(member, up_since_ms=up_ms) for member in found]
         if cold:
@@ -131,7 +141,7 @@
     def _keep_hints(self, now_ms: float) -> None:
         for kind, hint in ((Kind.ROSTER, self._roster), (Kind.USE, self._use)):
             if (value := hint.due(now_ms)) is not None:
-                self.kept.keep(kind, KEY, value)
+                self.kept.keep(kind, ENTRY_KEY, value)
 
     def events(self, events: list[io.Event]) -> None:
         if self.joined is None or self._stopped:
@@ -151,7 +161,7 @@
 
     # --- what this front end knows of itself ------------------------------------------------------
 
-    def _lists(self) -> Lists:
+    def _lists(self) -> MemberLists:
         members = self.zones.core.members
         names = tuple(entry.name for entry in members.members)
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
@@ -159,15 +169,15 @@
         keepers = tuple(self.state.core.placement.keepers)
         voters = tuple(entry.name for entry in members.voters)
         by_zone = tuple(map(tuple, self.state.core.placement.by_zone.values()))
-        return Lists(names, voters, keepers, members.number, _digest(msgspec.json.encode(who)), by_zone)
+        return MemberLists(names, voters, keepers, members.number, _digest(msgspec.json.encode(who)), by_zone)
 
-    def _own(self) -> Own:
+    def _own(self) -> LocalStatus:
         now, keeper, voter = monotonic_ms(), self.state.core.keeper, self.zones.core.voter
         number, text = last_put(voter.saved, "plan") if voter is not None else (0, "")
         seen = self.zones.observer.seen(now)
         rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
         serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
-        return Own(
+        return LocalStatus(
             settled=self.kept.settled,
             whole=self.kept.whole is Store.WHOLE,
             sure=keeper is None or keeper.sure(now),
@@ -202,7 +212,7 @@
         counts = self.agent.counts
         dropped = sum(counts.values())
         try:
-            effects = hear(monotonic_ms(), sender, w.word_from(data))
+            effects = hear(monotonic_ms(), sender, w.recovery_message_from(data))
         except msgspec.ValidationError:
             counts["bad word"] = counts.get("bad word", 0) + 1
             effects = []
@@ -250,21 +260,21 @@
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, Say):
+            if isinstance(effect, SendMessage):
                 self._say(effect)
             elif isinstance(effect, Decide):
                 if not self.zones.put(effect.register, RECOVERY):
                     self.agent.not_put()
-            elif isinstance(effect, Go):
+            elif isinstance(effect, ApplyPhase):
                 self._go_by(effect)
-            elif isinstance(effect, Signed):
+            elif isinstance(effect, SignatureReported):
                 self.kept.heard_sign(effect.sign)
             elif isinstance(effect, Note):
                 self.note(effect.event, effect.fields)
         self._show()
         self._set_timer()
 
-    def _go_by(self, effect: Go) -> None:
+    def _go_by(self, effect: ApplyPhase) -> None:
         allowed = effect.allowed
         if effect.stage is not Stage.SPILL:
             self._calm_ms = None
@@ -283,27 +293,27 @@
 
     # --- what is said ---------------------------------------------------------------------------
 
-    def _say(self, say: Say) -> None:
+    def _say(self, say: SendMessage) -> None:
         """By zones' logs all that is said in a turn goes into one line, in its order; state's go at once."""
         word = msgspec.to_builtins(say.word)
         if say.zone:
             self._words.append(Word(word, say.to, RECOVERY))
             self.front.loop.flush_later(self)
         else:
-            self.state.ride(w.RIDER, say.to, word)
+            self.state.ride(w.LOG_CLIENT, say.to, word)
 
     def flush(self) -> None:
         """The end of the turn."""
         words, self._words = self._words, []
-        for at in range(0, 0 if self._stopped else len(words), WORDS_MOST):
-            self.zones.say(words[at : at + WORDS_MOST])
+        for at in range(0, 0 if self._stopped else len(words), MAX_MESSAGES_PER_LINE):
+            self.zones.say(words[at : at + MAX_MESSAGES_PER_LINE])
 
     def _show(self) -> None:
         """Tell how this one stands, where that is another way than before."""
         now = monotonic_ms()
-        if self._stopped or now - self._shown_ms < SHOW_MS:
+        if self._stopped or now - self._shown_ms < DISPLAY_INTERVAL_MS:
             return  # the next tick tells it
-        shown = status_display.shown(self.agent, now)
+        shown = status_display.displayed_status(self.agent, now)
         if shown != self._shown:
             self._shown, self._shown_ms = shown, now
             self.zones.stand(msgspec.to_builtins(shown), RECOVERY)
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -21,11 +21,11 @@
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_core.world import KINDS, WORTHS
-from fawnwharf.recovery_service.actions import Order as Ordered
-from fawnwharf.recovery_service.actions import Out, Words
-from fawnwharf.recovery_service.load_order_gate import Holds
-from fawnwharf.recovery_service.permit_issuing import TURN_MS, Giving
-from fawnwharf.recovery_service.recovery_admission import Door
+from fawnwharf.recovery_service.actions import Action, SendPermitMessage
+from fawnwharf.recovery_service.actions import LoadOrder as Ordered
+from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
 from fawnwharf.replication.placement import weight
 
 FRONTS, SCORERS, FUNCTIONS, LANES, LOADS_MOST = 6, 6, 60, 8, 4
@@ -73,11 +73,11 @@
         self.numbers = 0
         self.carry_hold: Callable[[io.Hold], None] = self.order
         self.take: Callable[[Call], str | None] = self.taken
-        self.giving: Giving | None = None
+        self.giving: PermitIssuer | None = None
         if world.planned:
-            self.giving = Giving(name, life, world.limits, world.order)
-            self.holds = Holds(self.order, self.ask, self.tell, {}, lambda: world.now)
-            self.door = Door(self, self, site().classes, world.limits, clock=lambda: world.now)
+            self.giving = PermitIssuer(name, life, world.limits, world.order)
+            self.holds = LoadOrderGate(self.order, self.ask, self.tell, {}, lambda: world.now)
+            self.door = RecoveryAdmission(self, self, site().classes, world.limits, clock=lambda: world.now)
             self.carry_hold, self.door.below = self.holds.carry, _Below(self)
             self.take = self.door.take
 
@@ -226,10 +226,10 @@
         front.door.go_by(allowed(stage, WORTHS), rate, front.giving)
 
     def turns(self) -> None:
-        self.at(TURN_MS, self.turns)
+        self.at(TICK_MS, self.turns)
         for front in self.fronts:
             self.carry(front, front.giving.tick(self.now))
-            if int(self.now / TURN_MS) % 10 == 0:
+            if int(self.now / TICK_MS) % 10 == 0:
                 self.pace(front)
 
     def wheels(self) -> None:
@@ -237,9 +237,9 @@
         for front in self.fronts if self.planned else ():
             front.wheel.advance(self.now)
 
-    def carry(self, front: Front, outs: list[Out]) -> None:
+    def carry(self, front: Front, outs: list[Action]) -> None:
         for out in outs:
-            if isinstance(out, Words):
+            if isinstance(out, SendPermitMessage):
                 for other in self.fronts:
                     if other is not front and (not out.to or other.name in out.to):
                         self.at(self.chance.uniform(1.0, 5.0), self.heard(other, front.name, out))
@@ -248,7 +248,7 @@
             else:
                 front.door.told(out)
 
-    def heard(self, to: Front, sender: str, out: Words) -> Callable[[], None]:
+    def heard(self, to: Front, sender: str, out: SendPermitMessage) -> Callable[[], None]:
         return lambda: self.carry(to, to.giving.hear(self.now, sender, out.word))
 
     # --- clients ------------------------------------------------------------------------------
--- a/fawnwharf/recovery_service/status_display.py
+++ b/fawnwharf/recovery_service/status_display.py
@@ -2,12 +2,12 @@
 
 from fawnwharf.recovery_core.asking import What
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.agent import Agent
+from fawnwharf.recovery_service.agent import RecoveryAgent
 
-SHOWN_MOST = 16
+MAX_ITEMS = 16
 
 
-def shown(agent: Agent, now_ms: float) -> w.Shown:
+def displayed_status(agent: RecoveryAgent, now_ms: float) -> w.DisplayedStatus:
     allowed, stage, asking = agent.allowed(now_ms), agent.stage(now_ms), agent.asking
     register, own = agent.follower.register, agent.own
     doubts = [] if own.whole else ["its store is not whole"]
@@ -21,7 +21,7 @@
     if stage is not None and register is None:
         how = "no word yet"
     counts = agent.counts | {f"answers {why}": n for why, n in asking.dropped.items()}
-    return w.Shown(
+    return w.DisplayedStatus(
         life=agent.life,
         boot=agent.mark,
         stage="" if stage is None else stage.name.lower(),
@@ -33,7 +33,7 @@
         fronts=agent.lead.heard(now_ms) if agent.lead.term else 0,
         heard=agent.heard_lately(now_ms),
         asked={what.name.lower(): asking.stand(what).value for what in What},
-        without=tuple(asking.without().values())[:SHOWN_MOST],
-        doubts=tuple(doubts[:SHOWN_MOST]),
+        without=tuple(asking.without().values())[:MAX_ITEMS],
+        doubts=tuple(doubts[:MAX_ITEMS]),
         counts=dict(sorted(counts.items())[:64]),
     )
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -23,13 +23,13 @@
 from fawnwharf.replication.onfile import ungranted
 
 SWEEP_MS = 1_000.0  # pace at which entries go whose time is over
-LONG_AGO_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
+OTHER_BOOT_AGE_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
 
 Later = Callable[[list[Out]], None]
 Note = Callable[[str, dict[str, Any]], None]
 
 
-class Keeps(Protocol):
+class PromiseStore(Protocol):
     """The store, as it is used here: `onstore.Kept`."""
 
     sure: int
@@ -47,25 +47,27 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Batch:
+class _PendingCommit:
     """What waits for one ticket: effects in their order, and the own calls whose grants it tells of."""
 
     held: list[Out] = field(default_factory=list)
     own: dict[str, int] = field(default_factory=dict)  # call -> number of the ask
 
 
-class OnStore:
+class StoredPromises:
     """Owns what of a keeper's shelf is in the store, and what waits until it is on disk."""
 
-    def __init__(self, kept: Keeps, core: Core, note: Note, folder: Path | None = None) -> None:
+    def __init__(self, kept: PromiseStore, core: Core, note: Note, folder: Path | None = None) -> None:
         """What this keeper granted before is on its shelf then, and it grants at once where it is sure that
         this is all. `folder`: where a life without a store would have left a file; one that is there makes
         the store one in part."""
         self._kept, self._core, self._note = kept, core, note
         self._entries: dict[str, tuple[Claim, float]] = {}  # by name, and until when
         self._ends: list[tuple[float, str]] = []
-        self._open: dict[str, tuple[int, _Batch]] = {}  # own calls whose grants wait: ask, and for what
-        self._shy: _Batch | None = None  # until it is on disk that this keeper knows not all
+        self._open: dict[
+            str, tuple[int, _PendingCommit]
+        ] = {}  # own calls whose grants wait: ask, and for what
+        self._shy: _PendingCommit | None = None  # until it is on disk that this keeper knows not all
         self._sweep_ms = 0.0
         self._lacks_ms = 0.0  # until when a claim counts that the shelf has and the store could not take
         self.counts: dict[str, int] = {}
@@ -102,7 +104,7 @@
                 continue
             left_ms, since_ms, age_ms, data = value
             claim, key = msgspec.convert(data, Claim), name.split("/", 2)[2]
-            age_ms = LONG_AGO_MS if since_ms is None else min(LONG_AGO_MS, age_ms + since_ms)
+            age_ms = OTHER_BOOT_AGE_MS if since_ms is None else min(OTHER_BOOT_AGE_MS, age_ms + since_ms)
             if since_ms is None:  # from now on it counts by this boot's clock
                 self._kept.keep(Kind.PROMISE, name, [left_ms, age_ms, claim])
             if (entry := shelf.entry(now_ms, key)) is None:
@@ -166,7 +168,7 @@
             return
         self._sure_kept = sure
         self._kept.keep_sure(sure)
-        self._shy = None if sure else self._shy or _Batch()
+        self._shy = None if sure else self._shy or _PendingCommit()
 
     def _count(self, cause: str) -> None:
         self.counts[cause] = self.counts.get(cause, 0) + 1
@@ -180,7 +182,7 @@
         shelf = core.keeper.shelf
         rows, shelf.unwritten = shelf.unwritten, []
         self._sweep(now)
-        batch, refused = _Batch(), set()
+        batch, refused = _PendingCommit(), set()
         for key, claim, until_ms in rows:
             if not self._keep(now, key, claim, until_ms):
                 refused.add(key)
@@ -215,10 +217,10 @@
             self._wait(batch, later)
         return found
 
-    def _wait(self, batch: _Batch, later: Later) -> None:
+    def _wait(self, batch: _PendingCommit, later: Later) -> None:
         self._kept.on_disk(lambda on_disk, why: self._told(batch, on_disk, later))
 
-    def _told(self, batch: _Batch, on_disk: bool, later: Later) -> None:
+    def _told(self, batch: _PendingCommit, on_disk: bool, later: Later) -> None:
         now, core = monotonic_ms(), self._core
         if self._shy is batch:
             self._shy = None
--- a/fawnwharf/recovery_service/stored_state.py
+++ b/fawnwharf/recovery_service/stored_state.py
@@ -28,7 +28,7 @@
 )
 
 
-class Rule(NamedTuple):
+class EntryRule(NamedTuple):
     """One kind's name in the store, its mode, and its bounds: entries, bytes of one, bytes of all."""
 
     name: str
@@ -39,27 +39,27 @@
 
 
 # 'Where copies stood' and 'load counts' are hardly ever more than gone, and terms are in the voters' file.
-RULES = {
-    Kind.PROMISE: Rule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
-    Kind.PLAN: Rule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    Kind.POLICY: Rule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    Kind.HOMES: Rule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
-    Kind.ROSTER: Rule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
-    Kind.USE: Rule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
+ENTRY_RULES = {
+    Kind.PROMISE: EntryRule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
+    Kind.PLAN: EntryRule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
+    Kind.POLICY: EntryRule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
+    Kind.HOMES: EntryRule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
+    Kind.ROSTER: EntryRule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
+    Kind.USE: EntryRule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
 }
-START, DOUBT, SURE, TURN = "start", "doubt", "sure", "turn"  # the store's own, one entry each
+START, DOUBT, COMPLETE, COMMIT_TICKET = "start", "doubt", "sure", "turn"  # the store's own, one entry each
 LAST = "last"
-KINDS = [f.Kind(rule.name, rule.mode, rule.most, rule.value_bytes) for rule in RULES.values()] + [
+STORE_KINDS = [f.Kind(rule.name, rule.mode, rule.most, rule.value_bytes) for rule in ENTRY_RULES.values()] + [
     # A store that is full must not forget that it is in part, nor refuse the ticket of what it took.
     f.Kind(START, f.SOON, 1, 256, reserved=True),
     f.Kind(DOUBT, f.SOON, 1, 4_096, reserved=True),
-    f.Kind(SURE, f.SOON, 1, 64, reserved=True),
-    f.Kind(TURN, f.SYNCED, 1, 64, reserved=True),
+    f.Kind(COMPLETE, f.SOON, 1, 64, reserved=True),
+    f.Kind(COMMIT_TICKET, f.SYNCED, 1, 64, reserved=True),
 ]
-WHY_MOST = 500  # characters of a cause, of six bytes at the most as JSON
+MAX_REASON_LENGTH = 500  # characters of a cause, of six bytes at the most as JSON
 
 
-class Stamped(msgspec.Struct, frozen=True, array_like=True):
+class StampedEntry(msgspec.Struct, frozen=True, array_like=True):
     """An entry as it is in the store. `boot`: the mark's digest, as it stands in each of them."""
 
     boot: str
@@ -72,13 +72,13 @@
         return Clock(self.boot, self.mono_ms, self.wall_ms)
 
 
-class Row(NamedTuple):
+class RecoveredEntry(NamedTuple):
     key: str
     value: Any
     age: Age
 
 
-class Start(NamedTuple):
+class RecoveredState(NamedTuple):
     """What a folder is found to be. `doubt`: why the store is in part, empty: it is whole; `new`: no life
     before this one knew of that, so that what a keeper knew of itself counts no more. `number`: that the life
     before was known by."""
@@ -89,85 +89,89 @@
     doubt: str
     new: bool
     sure: int  # the list of members by which the keeper knew all that it had granted; 0: it did not
-    rows: dict[Kind, list[Row]]
+    rows: dict[Kind, list[RecoveredEntry]]
     old: list[tuple[str, str]]  # what is over or can't be read: it goes
 
 
-def short(mark: str) -> str:
+def boot_digest(mark: str) -> str:
     """A boot's mark as entries bear it; one that the system does not tell stays empty."""
     return hashlib.blake2b(mark.encode(), digest_size=6).hexdigest() if mark else ""
 
 
-def stamped(clock: Clock, value: Any) -> bytes:
+def encode_entry(clock: Clock, value: Any) -> bytes:
     return msgspec.json.encode(
-        Stamped(clock.boot, round(clock.mono_ms, 1), float(round(clock.wall_ms)), value)
+        StampedEntry(clock.boot, round(clock.mono_ms, 1), float(round(clock.wall_ms)), value)
     )
 
 
-def started(found: reading.Found, now: Clock, fresh: bool, spans: Spans) -> Start:
+def recover_state(found: reading.Found, now: Clock, fresh: bool, spans: Spans) -> RecoveredState:
     """`now`: of this start, its boot as `short` has it. `fresh`: nobody in the fleet has promised anything,
     so that an empty folder has lost nothing."""
     entries, same, number = found.entries, False, 0
-    if (data := entries.get((START, LAST))) is not None and (last := _stamped(data)) is not None:
+    if (data := entries.get((START, LAST))) is not None and (last := _decode_entry(data)) is not None:
         same = same_boot(last.clock, now)
         number = last.value if type(last.value) is int else 0
-    rows: dict[Kind, list[Row]] = {}
+    rows: dict[Kind, list[RecoveredEntry]] = {}
     old, faulty = [], ""
-    by_name = {rule.name: kind for kind, rule in RULES.items()}
+    by_name = {rule.name: kind for kind, rule in ENTRY_RULES.items()}
     for (name, key), data in entries.items():
         if (kind := by_name.get(name)) is None:
             continue
-        row = _row(kind, key, data, now, spans)
+        row = _recover_entry(kind, key, data, now, spans)
         if row is None:
             faulty = faulty or f"{name}: an entry that can't be read"
         if row is None or _trust(kind, row.age, same, found.ended, Store.WHOLE) is Trust.GONE:
             old.append((name, key))
         else:
             rows.setdefault(kind, []).append(row)
-    before = _text(entries, DOUBT)
-    doubt = faulty or _found_to_be(found, fresh) or before
+    before = _stored_doubt(entries, DOUBT)
+    doubt = faulty or _folder_doubt(found, fresh) or before
     new = bool(doubt) and (bool(faulty) or doubt != before)
-    return Start(number, same, found.ended, doubt, new, 0 if new else _sure(entries), rows, old)
+    return RecoveredState(
+        number, same, found.ended, doubt, new, 0 if new else _stored_complete_list(entries), rows, old
+    )
 
 
-def _stamped(data: bytes) -> Stamped | None:
+def _decode_entry(data: bytes) -> StampedEntry | None:
     try:
-        return msgspec.json.decode(data, type=Stamped)
+        return msgspec.json.decode(data, type=StampedEntry)
     except msgspec.DecodeError:
         return None
 
 
-def _row(kind: Kind, key: str, data: bytes, now: Clock, spans: Spans) -> Row | None:
+def _recover_entry(kind: Kind, key: str, data: bytes, now: Clock, spans: Spans) -> RecoveredEntry | None:
     """None where it is none. What is kept of a promise is a list that begins with how long it counts; it is
     read with what is left of that, and since when it stands, None where another boot wrote it."""
-    if (found := _stamped(data)) is None:
+    if (found := _decode_entry(data)) is None:
         return None
     if kind is not Kind.PROMISE:
-        return Row(key, found.value, age_of(kind, found.clock, now, spans.of(kind)))
+        return RecoveredEntry(key, found.value, age_of(kind, found.clock, now, spans.of(kind)))
     value = found.value
     if not isinstance(value, list) or not value or not isinstance(value[0], int | float):
         return None
     left = left_ms(found.clock, now, value[0])
     since = now.mono_ms - found.mono_ms if same_boot(found.clock, now) else None
-    return Row(key, [left, since, *value[1:]], age_of(kind, found.clock, now, Span(value[0], value[0])))
+    return RecoveredEntry(
+        key, [left, since, *value[1:]], age_of(kind, found.clock, now, Span(value[0], value[0]))
+    )
 
 
-def _found_to_be(found: reading.Found, fresh: bool) -> str:
+def _folder_doubt(found: reading.Found, fresh: bool) -> str:
     """What the folder itself says against it."""
     if found.repaired:
-        return f"repaired: {found.repaired}"[:WHY_MOST]
+        return f"repaired: {found.repaired}"[:MAX_REASON_LENGTH]
     return "empty" if found.fresh and not fresh else ""
 
 
-def _text(entries: f.Entries, name: str) -> str:
+def _stored_doubt(entries: f.Entries, name: str) -> str:
     if (data := entries.get((name, LAST))) is None:
         return ""
-    found = _stamped(data)
+    found = _decode_entry(data)
     return str(found.value) if found is not None else "a doubt that can't be read"
 
 
-def _sure(entries: f.Entries) -> int:
-    found = _stamped(entries.get((SURE, LAST), b""))
+def _stored_complete_list(entries: f.Entries) -> int:
+    found = _decode_entry(entries.get((COMPLETE, LAST), b""))
     return found.value if found is not None and isinstance(found.value, int) else 0
 
 
@@ -175,7 +179,7 @@
     return trust(Found(kind, age, in_order, same, store=store))
 
 
-def read(start: Start, kind: Kind, store: Store) -> list[tuple[str, Any, Trust]]:
+def read_entries(start: RecoveredState, kind: Kind, store: Store) -> list[tuple[str, Any, Trust]]:
     """What was found of a kind, by the table, as the store is held to be now."""
     return [
         (row.key, row.value, held)
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -67,9 +67,9 @@
 
         makers["zones"] = lambda first, made, place=place: Zones(deployment, place, write)
     if place := files.get("recovery"):
-        from fawnwharf.recovery_service.recovery_store import kept
+        from fawnwharf.recovery_service.recovery_store import open_recovery_store
 
-        makers["kept"] = lambda first, made, place=place: kept(
+        makers["kept"] = lambda first, made, place=place: open_recovery_store(
             deployment, place, files["state"], write, fresh and first
         )
     if place := files.get("state"):
@@ -89,9 +89,9 @@
             deployment, place, write, made, fresh and first
         )
     if place := files.get("recovery"):
-        from fawnwharf.recovery_service.service import Rejoin
+        from fawnwharf.recovery_service.service import RecoveryService
 
-        makers["recovery"] = lambda first, made, place=place: Rejoin(deployment, place, write, made)
+        makers["recovery"] = lambda first, made, place=place: RecoveryService(deployment, place, write, made)
     return makers
 
 
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -14,7 +14,7 @@
 from fawnwharf.durable_store.form import Limits
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_service.recovery_store import Kept
+from fawnwharf.recovery_service.recovery_store import RecoveryStore
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.core import Core
@@ -37,7 +37,7 @@
     loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
     kept = None
     if kind == "store":
-        kept = Kept(folder, "f", "n0", str(BOOT_ID), Limits(), lambda what, more: None, fresh=True)
+        kept = RecoveryStore(folder, "f", "n0", str(BOOT_ID), Limits(), lambda what, more: None, fresh=True)
         disk = kept.promises(core, None)
         kept.attach(loop)
         while not kept.settled:
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -140,8 +140,8 @@
     [
         (session_words.RIDER, "sessions"),
         (foreseen.RIDER, "foresight"),
-        (recovery_words.RIDER, "recovery"),
-        (front_end_integration.RIDER, "recovery-given"),
+        (recovery_words.LOG_CLIENT, "recovery"),
+        (front_end_integration.LOG_CLIENT, "recovery-given"),
     ],
 )
 def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
@@ -248,12 +248,12 @@
 def test_an_entry_of_the_store_has_its_recorded_form():
     """Stamped with the clock; a grant is a list that begins with how long it counts."""
     claim = Claim("n0#7", 1, 2, 100, Phase.TAKEN, "d1", None)
-    data = stored_state.stamped(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
+    data = stored_state.encode_entry(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
         b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
         b'"digest":"d1","answer":null}]]'
     )
-    assert stored_state.short("a boot") == "c0978fe8c889" and stored_state.short("") == ""
+    assert stored_state.boot_digest("a boot") == "c0978fe8c889" and stored_state.boot_digest("") == ""
 
 
 def test_the_register_of_policy_has_its_recorded_form():
@@ -306,17 +306,17 @@
     )  # fmt: skip
     assert (policy_service.KEPT_FILE, policy_service.SAID_FILE) == ("policy.json", "proposal.json")
     assert keeper_disk.NO_MORE == -1 and stored_state.LAST == "last"
-    assert (stored_state.START, stored_state.DOUBT, stored_state.SURE, stored_state.TURN) == (
+    assert (stored_state.START, stored_state.DOUBT, stored_state.COMPLETE, stored_state.COMMIT_TICKET) == (
         "start",
         "doubt",
         "sure",
         "turn",
     )
-    assert {kind: rule.name for kind, rule in stored_state.RULES.items()} == {
+    assert {kind: rule.name for kind, rule in stored_state.ENTRY_RULES.items()} == {
         Kind.PROMISE: "promise", Kind.PLAN: "plan", Kind.POLICY: "policy", Kind.HOMES: "homes",
         Kind.ROSTER: "roster", Kind.USE: "use",
     }  # fmt: skip
-    assert {rule.name: rule.mode for rule in stored_state.RULES.values()} == {
+    assert {rule.name: rule.mode for rule in stored_state.ENTRY_RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
     }  # fmt: skip
     assert (plan.SERVING, plan.LEAVING, plan.OUT, plan.RETURNING) == (
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -213,10 +213,10 @@
         [claims.Phase.CLEAR, claims.Phase.ANSWERED, claims.Phase.FAILED, claims.Phase.TAKEN],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
         [
-            permit_messages.What.NOT,
-            permit_messages.What.MADE,
-            permit_messages.What.STANDS,
-            permit_messages.What.FAILED,
+            permit_messages.DelegatedLoadResult.NOT,
+            permit_messages.DelegatedLoadResult.MADE,
+            permit_messages.DelegatedLoadResult.STANDS,
+            permit_messages.DelegatedLoadResult.FAILED,
         ],
         [asking.What.MEMBERS, asking.What.PLAN, asking.What.PROMISES, asking.What.ROSTER, asking.What.USE],
         [
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -12,9 +12,9 @@
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import Limits
 from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_service.actions import Order, Ticket, Words
-from fawnwharf.recovery_service.permit_issuing import TURN_MS, Giving
-from fawnwharf.recovery_service.permit_messages import word_from
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage, SlowStartPermit
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_service.permit_messages import permit_message_from
 from fawnwharf.replication.placement import weight
 
 WORTHS = {"view": 1.0, "settle": 5.0}
@@ -48,7 +48,7 @@
         self.sent, self.keys, self.words = [], 0, 0  # when calls went to the cold scorer 7
         for name in self.names:
             self.start(name)
-        self.at(TURN_MS, self._turns)
+        self.at(TICK_MS, self._turns)
 
     def at(self, delay_ms, call):
         """Plan a call."""
@@ -69,7 +69,7 @@
         self.lives += 1
         order = lambda row: sorted(range(3), key=lambda s: weight(str(s), row))  # noqa: E731
         more = {} if self.ration is None else {"room": lambda: self.room(name)}
-        self.fronts[name] = Giving(name, self.lives, LIMITS, order, self.lag_ms, self.usual_ms, **more)
+        self.fronts[name] = PermitIssuer(name, self.lives, LIMITS, order, self.lag_ms, self.usual_ms, **more)
         self.views[name] = 0, frozenset((name,))
         self.fronts[name].scorer(self.now, 7, self.now)
         self.up.add(name)
@@ -113,20 +113,20 @@
     # --- what comes out -------------------------------------------------------------------------
 
     def _turns(self):
-        self.at(TURN_MS, self._turns)
+        self.at(TICK_MS, self._turns)
         for name, front in list(self.fronts.items()):
             self.carry(name, front.tick(self.now))
 
     def carry(self, name, outs):
         """Carry out the effects of a front end."""
         for out in outs:
-            if isinstance(out, Words):
+            if isinstance(out, SendPermitMessage):
                 for to in [other for other in out.to or self.names if other != name]:
                     if name in self.keepers or to in self.keepers:
                         self._say(name, to, out.word)
-            elif isinstance(out, Order):
+            elif isinstance(out, LoadOrder):
                 self.at(1.0, lambda what=out.what: self._ordered(name, what))
-            elif isinstance(out, Ticket) and out.free_ms == 0.0:
+            elif isinstance(out, SlowStartPermit) and out.free_ms == 0.0:
                 self.sent.append(self.now)
 
     def ask(self, name, count):
@@ -144,7 +144,7 @@
 
         def come():
             if to in self.fronts:
-                self.carry(to, self.fronts[to].hear(self.now, name, word_from(builtins(word))))
+                self.carry(to, self.fronts[to].hear(self.now, name, permit_message_from(builtins(word))))
 
         self.at(late, come)
 
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -98,7 +98,7 @@
     def kept(self, name="n0", fresh=False, settle=True, limits=LIMITS, boot_file=None):
         """Open a member's store."""
         place = str(self.machine(name).place) if boot_file is None else boot_file
-        kept = recovery_store.Kept(
+        kept = recovery_store.RecoveryStore(
             self.folder, "f", name, place, limits, lambda what, more: self.notes.append((what, more)), fresh
         )
         if settle:
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -5,7 +5,7 @@
 from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.recovery_core.budget import Limits
 from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_service.recovery_admission import Door
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
 
 CLASSES = {
     "settle": ClassSpec("settle", promise_ms=1_000.0, effect=Effect.UNSAFE, worth=5.0),
@@ -57,7 +57,7 @@
         self.now = 0.0
         self.wheel = Wheel(lambda: self.now)
         self.giving, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
-        self.door = Door(self, self, CLASSES, limits, promises, clock=lambda: self.now)
+        self.door = RecoveryAdmission(self, self, CLASSES, limits, promises, clock=lambda: self.now)
         self.numbers, self.taken, self.passed = 0, 0, set()
         self.go_by(stage, rate_ps, **more)
         self.pass_by(1_000.0)  # so that there is a burst to be let in
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -12,8 +12,14 @@
 from fawnwharf.recovery_core.asking import Pace
 from fawnwharf.recovery_core.stages import Decide, Note, Stage, Timing
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.agent import Agent, Go, Own, Say, Signed
-from fawnwharf.recovery_service.recovery_leader import Lists
+from fawnwharf.recovery_service.agent import (
+    ApplyPhase,
+    LocalStatus,
+    RecoveryAgent,
+    SendMessage,
+    SignatureReported,
+)
+from fawnwharf.recovery_service.recovery_leader import MemberLists
 from fawnwharf.zones.lines import RECOVERY, Heard, Ruled, Word
 from support.zone_files import members
 
@@ -42,7 +48,7 @@
         core = self.cores[name]
         votes = core.voter is not None
         plan = (core.voter.saved.last_index, "") if votes else (0, "")
-        return Own(
+        return LocalStatus(
             True, self.whole.get(name, True), True, votes, plan, sign or Sign(name, self.lives[name], 1),
             True, True, True, 1, self.standing.get(name),
         )  # fmt: skip
@@ -52,9 +58,9 @@
         super().start(name, identity, seed)
         self.lives[name] = self.lives.get(name, 0) + 1
         voters = tuple(entry.name for entry in self.file.voters)
-        lists = Lists(tuple(self.names), voters, voters, 1, "d")
+        lists = MemberLists(tuple(self.names), voters, voters, 1, "d")
         core = self.cores[name]
-        self.agents[name] = Agent(
+        self.agents[name] = RecoveryAgent(
             name, "f", self.lives[name], self.marks.setdefault(name, "boot 1"), lists, self.own(name),
             core.seat, WORTHS, TIMING, self.now, Pace(), 100.0, 150.0,
         )  # fmt: skip
@@ -88,7 +94,7 @@
         for effect in effects:
             if isinstance(effect, Heard) and effect.rider == RECOVERY:
                 for data in effect.words:
-                    self.act(name, agent.hear_zone(self.now, effect.sender, w.word_from(data)))
+                    self.act(name, agent.hear_zone(self.now, effect.sender, w.recovery_message_from(data)))
             elif isinstance(effect, Ruled) and effect.kind == RECOVERY:
                 self.act(name, agent.decided(self.now, effect.text))
         if agent is not None:
@@ -98,18 +104,18 @@
         """Carry out the effects of a member's agent."""
         core = self.cores[name]
         for effect in effects:
-            if isinstance(effect, Say) and effect.zone:
+            if isinstance(effect, SendMessage) and effect.zone:
                 self._say_by_zones(name, effect)
-            elif isinstance(effect, Say):
+            elif isinstance(effect, SendMessage):
                 self._say_by_state(name, effect)
             elif isinstance(effect, Decide):
                 put, more = core.put(self.now, effect.register, RECOVERY)
                 self.do(name, more)
                 if not put:
                     self.agents[name].not_put()
-            elif isinstance(effect, Go):
+            elif isinstance(effect, ApplyPhase):
                 self.trail.append((name, effect.stage, effect.cut, effect.allowed))
-            elif isinstance(effect, Signed):
+            elif isinstance(effect, SignatureReported):
                 self.signed.append((name, effect.sign))
             elif isinstance(effect, Note):
                 self.noted.append((name, effect.event, effect.fields))
@@ -135,7 +141,7 @@
             self.due = [word for word in self.due if word[0] > self.now]
             for _, sender, to, data in due:
                 if to not in self.dead:
-                    word = w.word_from(msgspec.json.decode(data))
+                    word = w.recovery_message_from(msgspec.json.decode(data))
                     self.act(to, self.agents[to].hear_state(self.now, sender, word))
             for name in self.up:
                 if self.now >= self.agents[name].due_ms(self.now - 1000.0 * STEP_S):
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -8,8 +8,8 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_service.recovery_store import kept
-from fawnwharf.recovery_service.service import Rejoin
+from fawnwharf.recovery_service.recovery_store import open_recovery_store
+from fawnwharf.recovery_service.service import RecoveryService
 from fawnwharf.replication.service import State
 from fawnwharf.serving import Seams
 from fawnwharf.zones.founding import found
@@ -49,14 +49,14 @@
         write = lambda event, fields: self.notes.append((event, dict(fields)))  # noqa: E731
         made = {
             "zones": lambda first, made: Zones(deployment, here / "zones.json", write),
-            "kept": lambda first, made: kept(
+            "kept": lambda first, made: open_recovery_store(
                 deployment, str(here / "recovery.json"), str(here / "state.json"), write, fresh
             ),
             "state": lambda first, made: State(
                 deployment, here / "state.json", write, fresh, made["kept"]
             ),
             "policy": lambda first, made: Policies(deployment, here / "policy.json", write, made),
-            "recovery": lambda first, made: Rejoin(
+            "recovery": lambda first, made: RecoveryService(
                 deployment, here / "recovery.json", write, made
             ),
         }  # fmt: skip
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -6,8 +6,8 @@
 
 from fawnwharf.recovery_core.register import Dealt
 from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
-from fawnwharf.recovery_service.actions import Order, Words
-from fawnwharf.recovery_service.permit_issuing import Giving
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 from fawnwharf.replication.placement import weight
 from support.load_permits import LIMITS, WORTHS, Fleet
 from support.recovery_agents import STEP_S, Agents
@@ -84,7 +84,7 @@
         """Start a member, its agent, and what it hands out."""
         super().start(name, identity, seed)
         order = lambda row: sorted(range(3), key=lambda s: weight(str(s), row))  # noqa: E731
-        self.giving[name] = Giving(name, self.lives[name], LIMITS, order)
+        self.giving[name] = PermitIssuer(name, self.lives[name], LIMITS, order)
 
     def run(self, seconds):
         """Let seconds pass, while each member that may load wants thirty functions."""
@@ -99,9 +99,9 @@
                     for n in range(30):
                         giving.want(self.now, f"f{n}", 1.0, "view")
                 for out in giving.tick(self.now):
-                    if isinstance(out, Order):
+                    if isinstance(out, LoadOrder):
                         self.orders.append((self.now, name, out.what))
-                    elif isinstance(out, Words):
+                    elif isinstance(out, SendPermitMessage):
                         for to in [to for to in out.to or self.up if to != name and to in self.up]:
                             self.giving[to].hear(self.now, name, out.word)
         return self
--- a/tests/test_disk_faults_promises.py
+++ b/tests/test_disk_faults_promises.py
@@ -9,7 +9,7 @@
 from fawnwharf.recovery_core.trust import Kind, Store
 from fawnwharf.recovery_service import stored_state as k
 
-PROMISES = k.RULES[Kind.PROMISE]
+PROMISES = k.ENTRY_RULES[Kind.PROMISE]
 
 
 @pytest.fixture
@@ -84,8 +84,8 @@
 def test_a_cause_of_any_characters_has_room(site):
     kept = site.kept(fresh=True)
     for why in ("\U0001f4be" * 900, "\0" * 900):
-        kept.doubt(why[: k.WHY_MOST])
+        kept.doubt(why[: k.MAX_REASON_LENGTH])
         site.pump(kept, 200.0)
         site.machine().cut(share=0.0)
         kept = site.kept()
-        assert kept.whole is Store.PART and kept.why == why[: k.WHY_MOST]
+        assert kept.whole is Store.PART and kept.why == why[: k.MAX_REASON_LENGTH]
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -40,7 +40,7 @@
         "recovery_core.search",
         "recovery_core.trial",
         "recovery_core.world",
-        "recovery_service.trial",
+        "recovery_service.simulation",
         "sessions.measure",
     )
 }
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -8,8 +8,8 @@
 from fawnwharf.recovery_core.asking import Answer, Ask, Stand, What
 from fawnwharf.recovery_core.stages import Register, Stage
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.recovery_leader import Lead, Lists
-from fawnwharf.recovery_service.status_display import shown
+from fawnwharf.recovery_service.recovery_leader import MemberLists, RecoveryLeader
+from fawnwharf.recovery_service.status_display import displayed_status
 
 RETURN = list(Stage)
 
@@ -144,9 +144,9 @@
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
     fleet.until_stage(Stage.REST, cut=1)
-    fleet.standing["n4"] = w.Standing(0, True, True, fell=1)
+    fleet.standing["n4"] = w.StatusReport(0, True, True, fell=1)
     fleet.until_stage(Stage.WORTH, cut=1)
-    fleet.standing["n3"] = w.Standing(0, True, True, w.Tally(1, 9), w.Tally(1, 9))
+    fleet.standing["n3"] = w.StatusReport(0, True, True, w.CallCounts(1, 9), w.CallCounts(1, 9))
     fleet.run(1.5)
     assert fleet.stages() == {Stage.WORTH} and fleet.agents["n0"].allowed(fleet.now).part < 1.0
     fleet.standing.clear()
@@ -162,20 +162,22 @@
         lead.stands(
             fleet.now,
             name,
-            w.Standing(9, True, name == "n0", w.Tally(good, 10), w.Tally(good, 10), loads, slow),
+            w.StatusReport(
+                9, True, name == "n0", w.CallCounts(good, 10), w.CallCounts(good, 10), loads, slow
+            ),
         )
     for name in ("n2", "n3", "n4"):
         lead.standings.pop(name)
     seen = lead.seen(fleet.now)
     assert (seen.members, seen.heard, seen.asked, seen.first, seen.served) == (5, 2, 2, 0.5, 0.5)
     assert seen.slow == 2.5 and seen.sure == pytest.approx(1 / 3)
-    assert not lead.stands(fleet.now, "n1", w.Standing(0, True, True))
+    assert not lead.stands(fleet.now, "n1", w.StatusReport(0, True, True))
 
 
 def test_words_of_another_life_fleet_log_or_member_are_dropped_and_counted():
     fleet = Agents().calm()
     agent, now = fleet.agents["n0"], fleet.now
-    before = shown(agent, now)
+    before = displayed_status(agent, now)
     ask, answer = Ask("g", 1, 1, 0), Answer("f", 99, 1, 0, 1, True)
     said = [
         (agent.hear_zone, "n1", ask, "another fleet's"),
@@ -183,25 +185,25 @@
         (agent.hear_state, "x", ask, "of no member"),
         (agent.hear_zone, "n1", Ask("f", 1, 1, int(What.USE)), "by the wrong log"),
         (agent.hear_state, "n1", Ask("f", 1, 1, int(What.MEMBERS)), "by the wrong log"),
-        (agent.hear_state, "n1", w.Standing(1, True, True), "by the wrong log"),
+        (agent.hear_state, "n1", w.StatusReport(1, True, True), "by the wrong log"),
         (agent.hear_state, "n1", answer, "by the wrong log"),
-        (agent.hear_zone, "n1", w.Known(99, Sign("m", 1, 1)), "to another life"),
-        (agent.hear_zone, "n3", w.Told(1, 99, 0.0, Register().encode()), "a stage of no leader"),
-        (agent.hear_zone, "n1", w.Told(0, 99, 0.0, Register().encode()), "of an earlier life"),
-        (agent.hear_zone, "n1", w.Standing(0, True, True), "of an earlier life"),
+        (agent.hear_zone, "n1", w.KnownSignature(99, Sign("m", 1, 1)), "to another life"),
+        (agent.hear_zone, "n3", w.PhaseAnnouncement(1, 99, 0.0, Register().encode()), "a stage of no leader"),
+        (agent.hear_zone, "n1", w.PhaseAnnouncement(0, 99, 0.0, Register().encode()), "of an earlier life"),
+        (agent.hear_zone, "n1", w.StatusReport(0, True, True), "of an earlier life"),
     ]
     for hear, sender, word, why in said:
         was = agent.counts.get(why, 0)
         assert hear(now, sender, word) == [] and agent.counts.get(why, 0) == was + 1, why
     agent.hear_zone(now, "n1", answer)
     assert agent.asking.dropped["to another life"] == 1
-    after = shown(agent, now)
+    after = displayed_status(agent, now)
     assert msgspec.structs.replace(after, counts={}, heard=()) == msgspec.structs.replace(
         before, counts={}, heard=()
     )
     for data in (1, {}, {"type": "Standing"}, {"type": "Other"}, {"type": "Told", "life": -1}):
         with pytest.raises(msgspec.ValidationError):
-            w.word_from(data)
+            w.recovery_message_from(data)
 
 
 def test_what_is_not_sure_or_not_settled_is_not_told():
@@ -222,24 +224,24 @@
 def test_one_that_starts_anew_is_told_how_far_its_folder_had_come_by_its_earlier_word():
     fleet = Agents().calm()
     agent = fleet.agents["n0"]
-    agent.hear_zone(fleet.now, "n4", w.Boot(10, "b", Sign("m", 5, 200)))
-    assert agent.hear_zone(fleet.now, "n4", w.Boot(10, "b", Sign("m", 5, 210))) == []
+    agent.hear_zone(fleet.now, "n4", w.BootReport(10, "b", Sign("m", 5, 200)))
+    assert agent.hear_zone(fleet.now, "n4", w.BootReport(10, "b", Sign("m", 5, 210))) == []
     for sign in (Sign("m", 6, 101), Sign("m", 5, 205)):  # of a copy that was taken while life 5 wrote
         life = 11 if sign.life == 6 else 12
         for _ in range(3):
-            (said,) = agent.hear_zone(fleet.now, "n4", w.Boot(life, "b", sign))
+            (said,) = agent.hear_zone(fleet.now, "n4", w.BootReport(life, "b", sign))
             assert said.to == ("n4",) and said.word.life == life
             assert said.word.sign in (Sign("m", 5, 210), Sign("m", 6, 101))
-        assert agent.hear_zone(fleet.now, "n4", w.Boot(life, "b", sign)) == []
-    assert agent.hear_zone(fleet.now, "n4", w.Boot(13, "b", Sign("other", 1, 1))) == []
-    (signed,) = fleet.agents["n4"].hear_zone(fleet.now, "n0", w.Known(1, Sign("m", 5, 210)))
+        assert agent.hear_zone(fleet.now, "n4", w.BootReport(life, "b", sign)) == []
+    assert agent.hear_zone(fleet.now, "n4", w.BootReport(13, "b", Sign("other", 1, 1))) == []
+    (signed,) = fleet.agents["n4"].hear_zone(fleet.now, "n0", w.KnownSignature(1, Sign("m", 5, 210)))
     assert signed.sign == Sign("m", 5, 210)
 
 
 def test_a_word_that_comes_late_counts_from_when_it_was_said():
     fleet = Agents().calm()
     agent, leader = fleet.agents["n4"], fleet.leader
-    told = w.Told(1, fleet.agents[leader].lead.term, fleet.now, agent.follower.register.encode())
+    told = w.PhaseAnnouncement(1, fleet.agents[leader].lead.term, fleet.now, agent.follower.register.encode())
     before = agent.follower.word_ms
     agent.hear_zone(fleet.now + 9_000.0, leader, told)
     assert before <= agent.follower.word_ms <= fleet.now + 30.0
@@ -251,9 +253,9 @@
     fleet.end("n4")
     fleet.begin("boot 2", "n4")
     agent = fleet.agents["n4"]
-    told = w.Told(1, 99, fleet.now, Register(number=9, stage=5).encode())
+    told = w.PhaseAnnouncement(1, 99, fleet.now, Register(number=9, stage=5).encode())
     boot, ask = agent.hear_zone(fleet.now, leader, told)
-    assert isinstance(boot.word, w.Boot) and isinstance(ask.word, Ask) and ask.to == (leader,)
+    assert isinstance(boot.word, w.BootReport) and isinstance(ask.word, Ask) and ask.to == (leader,)
     assert agent.follower.register is None and agent.hear_zone(fleet.now, leader, told) == []
     agent.hear_zone(fleet.now, leader, Answer("f", agent.life, ask.word.turn, 0, 1, False))
     assert agent.asking.stand(What.MEMBERS) is Stand.WAITING  # it was no word on the members
@@ -274,14 +276,14 @@
 )
 def test_keepers_of_one_zone_that_do_not_come_back_are_not_waited_for(by_zone, away, part):
     keepers = tuple(name for names in by_zone for name in names)
-    assert Lists(keepers, (), keepers, by_zone=by_zone).sure(lambda name: name not in away) == part
+    assert MemberLists(keepers, (), keepers, by_zone=by_zone).sure(lambda name: name not in away) == part
 
 
 def test_a_leader_merges_keepers_by_their_zones():
-    lists = Lists(tuple("abcd"), tuple("abc"), tuple("abc"), by_zone=(("a",), ("b",), ("c",)))
-    lead = Lead(TIMING, lists, 1_000.0, 1_000.0, 100.0)
+    lists = MemberLists(tuple("abcd"), tuple("abc"), tuple("abc"), by_zone=(("a",), ("b",), ("c",)))
+    lead = RecoveryLeader(TIMING, lists, 1_000.0, 1_000.0, 100.0)
     for name in "abd":
-        lead.stands(0.0, name, w.Standing(1, True, True))
+        lead.stands(0.0, name, w.StatusReport(1, True, True))
     assert lead.seen(10.0).sure == 1.0 and lead.seen(10.0).heard == 3
-    lead.stands(10.0, "b", w.Standing(1, True, False))
+    lead.stands(10.0, "b", w.StatusReport(1, True, False))
     assert lead.seen(10.0).sure == 0.0
--- a/tests/test_rejoin_commands.py
+++ b/tests/test_rejoin_commands.py
@@ -9,7 +9,7 @@
 from fawnwharf import serving
 from fawnwharf.cli import app
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.commands import told
+from fawnwharf.recovery_service.commands import status_lines
 
 RUNNER = CliRunner()
 
@@ -55,10 +55,10 @@
 
 
 def test_what_is_doubted_and_gone_without_is_told_a_line_each():
-    shown = w.Shown(
+    shown = w.DisplayedStatus(
         7, without=("no plan",), doubts=("its store is not whole",), counts={"bad word": 3}, leads=2
     )
-    lines = told(shown)
+    lines = status_lines(shown)
     assert lines[0].startswith("ALONE") and "boot not told by the system" in lines[1]
     assert {"goes without: no plan", "doubt: its store is not whole", "dropped, bad word: 3"} <= set(lines)
     assert "leads, term 2; hears 0 front ends" in lines
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -11,10 +11,10 @@
 from fawnwharf.recovery_core.register import GIVERS_MOST, Dealt, Register, register_from
 from fawnwharf.recovery_core.stages import Allowed, Follower, Seen, Stage, Timing, allowed
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.coordinated_slow_start import Wards
-from fawnwharf.recovery_service.delegated_loads import LENT_MS
-from fawnwharf.recovery_service.permit_issuing import LOOK_MS, TURN_MS
-from fawnwharf.recovery_service.recovery_leader import Lead, Lists
+from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
+from fawnwharf.recovery_service.delegated_loads import DELEGATION_MS
+from fawnwharf.recovery_service.permit_issuing import EXPIRY_SCAN_MS, TICK_MS
+from fawnwharf.recovery_service.recovery_leader import MemberLists, RecoveryLeader
 
 ROWS = [f"f{i}" for i in range(400)]
 STEP_MS = 20.0
@@ -33,7 +33,7 @@
         fleet.run(max(0.0, delay - (fleet.now - began) / 1_000.0))
         fleet.begin("boot 2", name)
     fleet.until(lambda: fleet.orders)
-    assert fleet.orders[0][0] - min(fleet.entered.values()) <= TURN_MS + STEP_MS
+    assert fleet.orders[0][0] - min(fleet.entered.values()) <= TICK_MS + STEP_MS
     fleet.until_stage(Stage.REST, cut=1)
     dealt = fleet.agents["n0"].follower.register
     assert dealt.deals == 1 and set(dealt.givers) <= set(fleet.agents["n0"].lists.keepers)
@@ -69,12 +69,15 @@
 
 
 def test_a_later_change_without_its_wait_is_found():
-    assert max(played(seed, word_ms=-LOOK_MS - LENT_MS - 500.0)[0] for seed in range(8)) > LIMITS.fetches
+    assert (
+        max(played(seed, word_ms=-EXPIRY_SCAN_MS - DELEGATION_MS - 500.0)[0] for seed in range(8))
+        > LIMITS.fetches
+    )
 
 
 @pytest.mark.parametrize(("lag_ms", "kept"), [(WORD_MS, True), (0.0, False)])
 def test_a_new_warden_waits_for_as_long_as_one_may_go_by_the_register_before(lag_ms, kept):
-    old, new = (Wards(name, 1, LIMITS, 0.0) for name in ("n0", "n1"))
+    old, new = (CoordinatedSlowStart(name, 1, LIMITS, 0.0) for name in ("n0", "n1"))
     id = next(i for i in range(50) if warden_of(str(i), ("n0", "n1")) == "n1")  # n1's by the second dealing
     for front in (old, new):
         front.set(0.0, ("n0",), 1.0, (1, 1), 0.0, True)
@@ -98,7 +101,7 @@
     fleet.fronts["n0"].set(1_200.0, {"n0"}, ["n0"], rest, 1, Dealt(fleet.dealt.givers, 1, 1))
     assert seats.mine == seats.ready(1_200.0) == 1
     fleet.fronts["n0"].set(2_000.0, {"n0"}, ["n0"], rest, 1, Dealt(("n0", "n1"), 1, 2))
-    due = 2_000.0 + WORD_MS + LOOK_MS + fleet.usual_ms + LENT_MS
+    due = 2_000.0 + WORD_MS + EXPIRY_SCAN_MS + fleet.usual_ms + DELEGATION_MS
     assert (seats.mine, seats.ready(due - 1), seats.ready(due)) == (2, 1, 2)
     fleet.fronts["n0"].set(due, {"n0"}, ["n0"], rest, 1, Dealt(("n0", "n1"), 1, 4))
     assert seats.ready(due) == 0  # they may have been another's by the third
@@ -156,9 +159,11 @@
 def test_where_one_gave_without_a_stage_the_first_dealing_waits_as_a_later_one():
     led = Led().until(Stage.WORTH, seen("a", gave=True))
     assert led.told[-1].deals == 2
-    lead = Lead(Timing(), Lists(tuple("abcd"), tuple("abc"), tuple("bcd")), 1_000.0, 1_000.0, 100.0)
+    lead = RecoveryLeader(
+        Timing(), MemberLists(tuple("abcd"), tuple("abc"), tuple("bcd")), 1_000.0, 1_000.0, 100.0
+    )
     for name in "abd":
-        lead.stands(0.0, name, w.Standing(1, True, True, gave=name == "a"))
+        lead.stands(0.0, name, w.StatusReport(1, True, True, gave=name == "a"))
     assert lead.seen(10.0).givers == ("b", "d") and lead.seen(10.0).gave
 
 
@@ -170,9 +175,9 @@
     follower.told(Register(number=5, cut=1, stage=2, givers=("a",), deals=1).encode(), 0.0)
     assert follower.dealt(1.0) == Dealt(("a",), 1, 1) and follower.dealt(6_000.0) is None  # alone
     names = tuple(f"n{i}" for i in range(500))
-    lead = Lead(Timing(), Lists(names, names[:3], names), 1_000.0, 1_000.0, 100.0)
+    lead = RecoveryLeader(Timing(), MemberLists(names, names[:3], names), 1_000.0, 1_000.0, 100.0)
     for name in names:
-        lead.stands(0.0, name, w.Standing(1, True, True))
+        lead.stands(0.0, name, w.StatusReport(1, True, True))
     givers = lead.seen(1.0).givers
     assert len(givers) == GIVERS_MOST and givers == tuple(sorted(givers))
     assert register_from(Register(givers=givers).encode()).givers == givers
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -13,9 +13,9 @@
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
-from fawnwharf.recovery_service.actions import Stood, Ticket
-from fawnwharf.recovery_service.load_order_gate import Holds
-from fawnwharf.recovery_service.recovery_admission import HOLD_PART, Kept
+from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
+from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
+from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION, StoredClaims
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.core import Core
@@ -71,17 +71,17 @@
     assert key and ground.calls == {} and ground.door.busy
     ground.pass_by(250.0)
     ground.giving.places["f"] = 7
-    ground.door.told(Stood("f"))
+    ground.door.told(CopyAvailable("f"))
     [call] = ground.calls.values()
     assert call.budget_ms == pytest.approx(1_750.0)
     call.reply(Served(b"x"))
     assert got == [Served(b"x")]
     ground.giving.etas["g"] = 800.0  # it takes longer than was said
-    ground.pass_by(HOLD_PART * 1_000.0 - 250.0 - 8.0)
+    ground.pass_by(WAIT_FRACTION * 1_000.0 - 250.0 - 8.0)
     assert late == []
     ground.pass_by(16.0)
     assert late[0].hold_off_ms >= 800.0 and not ground.door.busy
-    ground.door.told(Stood("g"))
+    ground.door.told(CopyAvailable("g"))
     ground.door.withdraw(late_key)  # it crossed the answer: nothing is left to withdraw here
     assert len(ground.calls) == 1
 
@@ -112,9 +112,9 @@
     other, left = ground.ask()
     ground.door.withdraw(other)
     assert ground.giving.asked == [key]
-    ground.door.told(Ticket(other, 0.0))
+    ground.door.told(SlowStartPermit(other, 0.0))
     assert ground.calls == {}
-    ground.door.told(Ticket(key, 0.0))
+    ground.door.told(SlowStartPermit(key, 0.0))
     assert len(ground.calls) == 1
     ground.door.withdraw(key)
     ground.calls["r1"].reply(Served(b"crossed"))
@@ -173,7 +173,7 @@
         self.core = Core(keeper, 1, file, rules, 0.0, True)
         self.wheel = self  # the gate's timers never ring here
         self.gate = Gate(self, self, self.core, rules, CLASSES, self.carry)
-        super().__init__(stage, promises=Kept(self.gate, self.core))
+        super().__init__(stage, promises=StoredClaims(self.gate, self.core))
         self.door.below = self.gate
 
     def after(self, delay_ms, callback):
@@ -244,9 +244,9 @@
             ground.pass_by(20.0 * n)
         elif what in ("copy", "stood"):
             ground.giving.places[row] = 1 + n % 3
-            ground.door.told(Stood(row))
+            ground.door.told(CopyAvailable(row))
         elif what == "ticket" and ground.giving.asked:
-            ground.door.told(Ticket(ground.giving.asked.pop(0), [0.0, 100.0, 900.0][n % 3]))
+            ground.door.told(SlowStartPermit(ground.giving.asked.pop(0), [0.0, 100.0, 900.0][n % 3]))
         elif what == "gone":
             ground.giving.places.pop(row, None)
         elif what == "at_once":
@@ -272,7 +272,7 @@
         self.out, self.asked, self.told, self.made, self.now = [], [], [], [], 5_000.0
         self.loading, self.own, self.places = self, set(own), {"f": 7}
         self.requests = {}
-        self.holds = Holds(
+        self.holds = LoadOrderGate(
             self.out.append, self.asked.append, self.told.append, self.requests, lambda: self.now
         )
 
@@ -386,7 +386,7 @@
     told = ground.door.since()
     assert told == {"refused: class": 1, "let in": 1, "refused: copy": 1, "held": 1}
     ground.giving.places["h"] = 7
-    ground.door.told(Stood("h"))
+    ground.door.told(CopyAvailable("h"))
     assert ground.door.since() == {"let in after a wait": 1, "held": 1} and ground.door.since() == {}
     ground.go_by(Stage.SPILL)
     ground.ask("view")
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -11,10 +11,10 @@
 from fawnwharf.recovery_core.budget import loader_of, loaders, warden_of
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_service import permit_messages as m
-from fawnwharf.recovery_service.actions import Order, Words
-from fawnwharf.recovery_service.coordinated_slow_start import Wards
-from fawnwharf.recovery_service.load_permits import Seats
-from fawnwharf.recovery_service.permit_issuing import Giving
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
+from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
+from fawnwharf.recovery_service.load_permits import LoadPermits
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 
 ROWS = [f"f{i}" for i in range(60)]
 
@@ -55,7 +55,7 @@
 
 
 def test_a_function_that_was_anothers_waits_for_a_loads_usual_time_and_one_that_was_ones_own_does_not():
-    seats = Seats("n0", LIMITS, 300.0, 500.0)
+    seats = LoadPermits("n0", LIMITS, 300.0, 500.0)
     seats.set(0.0, ("n0", "n1"), 1.0, 1)
     rows = {seats.owner(row): row for row in ROWS}
     seats.set(2_000.0, ("n0",), 1.0, 1)
@@ -66,7 +66,7 @@
 
 
 def test_functions_are_dealt_by_seats_so_that_none_is_idle_while_another_has_many():
-    seats = Seats("n0", replace(LIMITS, fetches=3), 300.0, 500.0)
+    seats = LoadPermits("n0", replace(LIMITS, fetches=3), 300.0, 500.0)
     seats.set(0.0, ("n0", "n1"), 1.0, 1)
     owners = [seats.owner(f"f{i}") for i in range(3_000)]
     assert set(owners) == {"n0", "n1"} and abs(owners.count("n0") - 1_000 * seats.mine) < 150
@@ -93,11 +93,11 @@
 
 
 def orders(outs):
-    return [out.what for out in outs if isinstance(out, Order)]
+    return [out.what for out in outs if isinstance(out, LoadOrder)]
 
 
 def test_an_order_that_the_module_does_not_make_is_asked_after_and_made_again_elsewhere_if_it_fails():
-    front = Giving("n0", 1, replace(LIMITS, fetches=1), lambda row: [7, 8], 100.0, 200.0)
+    front = PermitIssuer("n0", 1, replace(LIMITS, fetches=1), lambda row: [7, 8], 100.0, 200.0)
     front.set(0.0, {"n0"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
     front.want(0.0, "f", 1.0, "view", 2, 400.0)
     [order] = orders(front.tick(2_000.0))
@@ -120,14 +120,17 @@
 
 
 def test_a_late_word_does_not_bring_back_a_copy_that_is_gone():
-    front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
+    front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
     front.set(0.0, {"n0", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
-    first, gone = m.Stands(9, 1, (m.Place("f", 7),)), m.Stands(9, 2, (m.Place("f", 0, None),))
+    first, gone = (
+        m.CopyReport(9, 1, (m.CopyPlacement("f", 7),)),
+        m.CopyReport(9, 2, (m.CopyPlacement("f", 0, None),)),
+    )
     assert front.hear(1.0, "n0", first) and front.place("f") == 7
     front.hear(2.0, "n0", gone)
     assert front.hear(3.0, "n0", first) == [] and front.place("f") is None
     assert front.counts == {"a word on copies that came late": 1}
-    assert front.hear(4.0, "n0", m.Stands(10, 1, (m.Place("f", 7),))) and front.place("f") == 7
+    assert front.hear(4.0, "n0", m.CopyReport(10, 1, (m.CopyPlacement("f", 7),))) and front.place("f") == 7
 
 
 def test_a_copy_that_is_lost_is_wanted_of_its_loader_again_by_the_scorer_where_it_was():
@@ -144,31 +147,31 @@
 
 
 def test_the_eta_is_what_the_loader_says_less_what_went_by():
-    front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
+    front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
     front.set(0.0, {"n0", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
     front.want(0.0, "f", 1.0, "view")
     assert front.eta_ms(0.0, "f") >= 500.0
-    front.hear(100.0, "n0", m.Stands(9, 1, (m.Place("f", 0, 2_000.0),)))
+    front.hear(100.0, "n0", m.CopyReport(9, 1, (m.CopyPlacement("f", 0, 2_000.0),)))
     assert front.eta_ms(600.0, "f") == 1_500.0
-    front.hear(700.0, "n0", m.Stands(9, 2, (m.Place("f", 7),)))
+    front.hear(700.0, "n0", m.CopyReport(9, 2, (m.CopyPlacement("f", 7),)))
     assert front.eta_ms(700.0, "f") == 0.0
 
 
 def test_what_is_kept_is_bounded_and_what_is_dropped_is_counted(monkeypatch):
-    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.WANTS_MOST", 2)
-    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.PLACES_MOST", 1)
-    front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
+    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.MAX_LOAD_REQUESTS", 2)
+    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.MAX_PLACEMENTS", 1)
+    front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
     front.set(0.0, {"n0", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
     for row in "abc":
         front.want(0.0, row, 1.0, "view")
-    [words] = [out for out in front.tick(50.0) if isinstance(out, Words)]
+    [words] = [out for out in front.tick(50.0) if isinstance(out, SendPermitMessage)]
     assert [wanted.row for wanted in words.word.rows] == ["a", "b"]
-    front.hear(60.0, "n0", m.Stands(9, 1, (m.Place("x", 7), m.Place("y", 7))))
+    front.hear(60.0, "n0", m.CopyReport(9, 1, (m.CopyPlacement("x", 7), m.CopyPlacement("y", 7))))
     assert front.counts == {"wants beyond what is kept": 1, "places beyond what is kept": 1}
 
 
 def test_a_front_end_that_hears_no_keeper_loads_for_itself_a_part_of_the_time():
-    front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
+    front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
     front.set(0.0, {"n4", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS, 0.05), 1)  # a fifth of one fetch
     made = []
     for now in range(0, 20_000, 50):
@@ -212,7 +215,7 @@
 
 
 def test_a_new_warden_waits_for_the_one_before_to_see_it_too():
-    old, new = (Wards(name, 1, LIMITS, 300.0) for name in ("n0", "n1"))
+    old, new = (CoordinatedSlowStart(name, 1, LIMITS, 300.0) for name in ("n0", "n1"))
     loser = next(i for i in range(50) if warden_of(str(i), ("n0", "n1")) == "n1")  # n1's once it is heard
     for front, givers in ((old, ("n0",)), (new, ("n0", "n1"))):
         front.set(0.0 if front is old else 3_000.0, givers, 1.0)
@@ -241,7 +244,7 @@
 
 
 def test_who_is_warden_of_a_scorer_that_came_up_after_all_heard_each_other_gives_at_once():
-    front = Wards("n0", 1, LIMITS, 300.0)
+    front = CoordinatedSlowStart("n0", 1, LIMITS, 300.0)
     front.set(0.0, ("n0",), 1.0)
     front.scorer(100.0, 1, 0.0)
     front.scorer(500.0, 2, 100.0)
@@ -250,14 +253,14 @@
 
 
 def test_a_ticket_that_was_long_on_its_way_is_void():
-    front = Wards("n1", 1, LIMITS, 300.0)
+    front = CoordinatedSlowStart("n1", 1, LIMITS, 300.0)
     front.set(0.0, ("n0",), 1.0)
     front.scorer(0.0, 7, 0.0)
     assert front.ask(10.0, 7, "a") is None
     [words] = front.tick(10.0)
-    answer = m.Given(7, words.word.number, 1, (0.0,))
+    answer = m.PermitResponse(7, words.word.number, 1, (0.0,))
     assert front.given(61.0, "n0", answer) == [] and front.counts == {"a ticket came too late": 1}
     [words] = front.tick(62.0)
-    answer = m.Given(7, words.word.number, 1, (0.0,))
+    answer = m.PermitResponse(7, words.word.number, 1, (0.0,))
     assert [ticket.key for ticket in front.given(70.0, "n0", answer)] == ["a"]
     assert front.given(70.0, "n0", answer) == []
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -9,10 +9,10 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_service.actions import Order, Stood, Ticket
-from fawnwharf.recovery_service.load_order_gate import Holds
-from fawnwharf.recovery_service.permit_issuing import Giving
-from fawnwharf.recovery_service.recovery_admission import Door
+from fawnwharf.recovery_service.actions import CopyAvailable, LoadOrder, SlowStartPermit
+from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
 
 
 class Loading(ScorerPeer):
@@ -40,15 +40,15 @@
     def __init__(self, front, settings):
         self.front, self.busy = front, False
         limits = limits_from(settings, 2, 100.0)
-        self.giving = Giving("n0", 1, limits, lambda row: [worker_number("s-1")], 50.0, 50.0)
-        self.door = front.port.table = Door(front.loop, front.table, settings.classes, limits)
+        self.giving = PermitIssuer("n0", 1, limits, lambda row: [worker_number("s-1")], 50.0, 50.0)
+        self.door = front.port.table = RecoveryAdmission(front.loop, front.table, settings.classes, limits)
         front.stand_between(io.Hold, self.between)
         front._seam = self
         self.turn()
 
     def between(self, below):
         front = self.front
-        self.holds = Holds(below, front.pool.order, front.loop.tell, front.table.open)
+        self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
         return self.holds.carry
 
     def go_by(self, stage):
@@ -67,10 +67,10 @@
 
     def carry(self, outs):
         for out in outs:
-            if isinstance(out, Order):
+            if isinstance(out, LoadOrder):
                 tell = self.front.table.order if isinstance(out.what, io.Hold) else self.front.loop.tell
                 tell(out.what)
-            elif isinstance(out, Ticket | Stood):
+            elif isinstance(out, SlowStartPermit | CopyAvailable):
                 self.door.told(out)
 
     def told(self, fleet): ...
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -213,8 +213,8 @@
 
 def test_what_is_beyond_the_bounds_is_refused_and_said_once(site):
     kept = site.kept(fresh=True)
-    told, whole = [], "x" * (k.RULES[Kind.HOMES].value_bytes - 100)
-    rule = k.RULES[Kind.HOMES]
+    told, whole = [], "x" * (k.ENTRY_RULES[Kind.HOMES].value_bytes - 100)
+    rule = k.ENTRY_RULES[Kind.HOMES]
     for n in range(rule.all_bytes // rule.value_bytes + 20):
         kept.keep(Kind.HOMES, str(n), whole, lambda good, why: told.append((good, why)))
         site.pump(kept)
@@ -266,39 +266,39 @@
 
 
 def test_the_last_roster_is_kept_when_it_changed_and_read_as_scorers(site):
-    kept, recorder = site.kept(fresh=True), hints.LastRoster()
+    kept, recorder = site.kept(fresh=True), hints.RosterRecorder()
     one = Member("7", "in_service", "h:1", "z1", "big", 2, 1.5)
     recorder.told(Fleet([one]))
     assert recorder.due(0.0) is None  # not whole yet
     recorder.told(Fleet([one, Member("8", "terminating", "h:2")], complete=True))
-    kept.keep(Kind.ROSTER, hints.KEY, recorder.due(0.0))
+    kept.keep(Kind.ROSTER, hints.ENTRY_KEY, recorder.due(0.0))
     two = msgspec.structs.replace(one, id="9")
     recorder.told(Fleet([one, two], complete=True))
     assert recorder.due(1_999.0) is None
     value = recorder.due(2_000.0)
     assert len(value) == 2 and recorder.due(9_000.0) is None
     site.pump(kept, 300.0)
-    assert k.RULES[Kind.ROSTER].mode == HINT
+    assert k.ENTRY_RULES[Kind.ROSTER].mode == HINT
     site.machine().cut(share=1.0)
-    assert hints.LastRoster.read(site.kept().read(Kind.ROSTER)) == [one]
-    assert hints.LastRoster.read([(hints.KEY, [["broken"]], Trust.HINT)]) == []
+    assert hints.RosterRecorder.read(site.kept().read(Kind.ROSTER)) == [one]
+    assert hints.RosterRecorder.read([(hints.ENTRY_KEY, [["broken"]], Trust.HINT)]) == []
 
 
 def test_the_use_of_the_last_windows_is_told_by_row_and_class_within_its_bound(site):
-    recorder = hints.LastUse(0.0)
+    recorder = hints.UsageRecorder(0.0)
     for n in range(5):
         recorder.came(n * 2_000.0, "f", "gold", 20)
         recorder.came(n * 2_000.0, f"rare {n}", "gold")
     assert recorder.due(9_999.0) is None
     assert recorder.due(10_000.0)[:2] == [["f", "gold", 10.0], ["rare 0", "gold", 0.1]]
-    for n in range(3 * hints.ROWS_MOST):
+    for n in range(3 * hints.MAX_FUNCTIONS):
         recorder.came(10_000.0, f"g{n:05}", "low", 1 + (n % 3 == 0))
     assert recorder.due(11_000.0) is None  # written once in five windows
     value = recorder.due(20_000.0)
-    assert len(value) == hints.ROWS_MOST and {rps for _, _, rps in value} == {0.2}
+    assert len(value) == hints.MAX_FUNCTIONS and {rps for _, _, rps in value} == {0.2}
     assert recorder.due(60_000.0) is None  # nothing came
     kept = site.kept(fresh=True, limits=LIMITS)
-    assert kept.keep(Kind.USE, hints.KEY, value)
+    assert kept.keep(Kind.USE, hints.ENTRY_KEY, value)
     site.pump(kept, 300.0)
     site.machine().cut(share=1.0)
-    assert hints.LastUse.read(site.kept().read(Kind.USE))["g00000", "low"] == 0.2
+    assert hints.UsageRecorder.read(site.kept().read(Kind.USE))["g00000", "low"] == 0.2
--- a/tests/test_rejoin_killed.py
+++ b/tests/test_rejoin_killed.py
@@ -11,7 +11,7 @@
 from processes import Port
 from support.recovery_front_ends import Site
 
-from fawnwharf.recovery_service.commands import look
+from fawnwharf.recovery_service.commands import read_status
 
 
 class Served:
@@ -47,7 +47,7 @@
 
     def shown(self):
         try:
-            return look(self.node.ports[0].address, 0.5)
+            return read_status(self.node.ports[0].address, 0.5)
         except (OSError, ValueError):
             return None
 
