--- a/tests/test_rejoin_lent.py
+++ b/tests/test_rejoin_lent.py
@@ -6,15 +6,15 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_service import permit_messages as m
-from fawnwharf.recovery_service.actions import Order, Words
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
 from fawnwharf.recovery_service.delegated_loads import (
-    FRESH_MS,
-    GONE_MS,
-    MADE_MS,
-    SPARE_MS,
-    VOID_MS,
-    Helping,
-    Spares,
+    ORDER_MADE_MS,
+    ORDER_TIMEOUT_MS,
+    SPARE_FRESH_MS,
+    SPARE_REPORT_MS,
+    SPARE_VALID_MS,
+    DelegatedLoadExecutor,
+    SpareRates,
 )
 
 
@@ -62,7 +62,7 @@
 
 
 def loan(told, worker=7, row="f", life=3):
-    return m.Lend(life, told.number, worker, row, "view")
+    return m.DelegatedLoadOrder(life, told.number, worker, row, "view")
 
 
 def spare(helping, now_ms=1_000.0, room=6.0):
@@ -72,10 +72,10 @@
 
 
 def test_it_tells_an_equal_part_of_its_room_at_its_pace_and_nothing_without_a_ration():
-    helping = Helping(3)
+    helping = DelegatedLoadExecutor(3)
     assert spare(helping).count == 3
-    assert helping.spare(1_000.0 + SPARE_MS - 1.0, {"n0"}, 6.0, 6) == []
-    assert spare(helping, 1_000.0 + SPARE_MS, 100.0).count == 4  # bounded
+    assert helping.spare(1_000.0 + SPARE_REPORT_MS - 1.0, {"n0"}, 6.0, 6) == []
+    assert spare(helping, 1_000.0 + SPARE_REPORT_MS, 100.0).count == 4  # bounded
     assert helping.spare(5_000.0, {"n0", "n1"}, 1.0, 6) == []
     assert helping.spare(5_000.0, {"n0"}, float("inf"), 6) == []
     assert helping.spare(5_000.0, set(), 6.0, 6) == []
@@ -85,46 +85,48 @@
 @pytest.mark.parametrize(
     ("late_ms", "life", "may", "taken"),
     [
-        (VOID_MS, 3, True, True),
-        (VOID_MS + 1.0, 3, True, False),
+        (SPARE_VALID_MS, 3, True, True),
+        (SPARE_VALID_MS + 1.0, 3, True, False),
         (10.0, 2, True, False),  # told by an earlier life of it
         (10.0, 3, False, False),  # loads are not allowed by now
     ],
 )
 def test_a_loan_is_taken_while_what_was_told_is_fresh_by_its_own_clock(late_ms, life, may, taken):
-    helping = Helping(3)
+    helping = DelegatedLoadExecutor(3)
     told = spare(helping)
     outs = helping.lend(1_000.0 + late_ms, "n0", loan(told, life=life), may)
-    assert [type(out) for out in outs] == ([Order] if taken else [Words] if not may else [])
+    assert [type(out) for out in outs] == ([LoadOrder] if taken else [SendPermitMessage] if not may else [])
     assert helping.is_own(7, "f") is taken
     if not may:
-        assert outs == [Words(("n0",), m.Lent(7, "f", m.What.NOT))]
+        assert outs == [SendPermitMessage(("n0",), m.DelegatedLoadReport(7, "f", m.DelegatedLoadResult.NOT))]
 
 
 @pytest.mark.parametrize(
     ("made", "ending", "copies", "said"),
     [
-        (True, io.Ending.GOOD, 1, m.What.STANDS),
-        (True, io.Ending.FULL, 0, m.What.FAILED),
-        (True, io.Ending.RESET, 0, m.What.FAILED),
+        (True, io.Ending.GOOD, 1, m.DelegatedLoadResult.STANDS),
+        (True, io.Ending.FULL, 0, m.DelegatedLoadResult.FAILED),
+        (True, io.Ending.RESET, 0, m.DelegatedLoadResult.FAILED),
         (True, io.Ending.GOOD, 0, None),  # of a question
         (False, io.Ending.FULL, 0, None),
-        (False, io.Ending.GOOD, 1, m.What.STANDS),  # a copy of before
+        (False, io.Ending.GOOD, 1, m.DelegatedLoadResult.STANDS),  # a copy of before
     ],
 )
 def test_what_came_of_a_loan_is_told_to_its_loader_once(made, ending, copies, said):
-    helping = Helping(3)
+    helping = DelegatedLoadExecutor(3)
     helping.lend(1_010.0, "n0", loan(spare(helping)), True)
     if made:
         helping.ordered(7, "f")
-        assert [w.word.what for w in helping.tick(1_020.0)] == [m.What.MADE]
+        assert [w.word.what for w in helping.tick(1_020.0)] == [m.DelegatedLoadResult.MADE]
     event = io.OrderAnswered(7, "f", ending, copies, 400.0)
     proves = ending in (io.Ending.GOOD, io.Ending.FULL, io.Ending.ERROR)
     told = [w.word.what for w in helping.answered(event, proves)]
     assert told == ([] if said is None else [said])
     assert helping.is_own(7, "f") is (said is None)
-    late = [w.word.what for w in helping.tick(1_010.0 + (GONE_MS if made else MADE_MS))]
-    assert late == ([] if said is not None else [m.What.FAILED if made else m.What.NOT])
+    late = [w.word.what for w in helping.tick(1_010.0 + (ORDER_TIMEOUT_MS if made else ORDER_MADE_MS))]
+    assert late == (
+        [] if said is not None else [m.DelegatedLoadResult.FAILED if made else m.DelegatedLoadResult.NOT]
+    )
     assert not helping.is_own(7, "f") and helping.answered(event, proves) == []
 
 
@@ -132,15 +134,15 @@
 
 
 def test_a_loader_counts_on_who_told_last_while_that_is_fresh_and_on_no_more_than_was_told():
-    spares = Spares()
-    spares.told(0.0, "n4", m.Spare(1, 1, 2))
-    spares.told(10.0, "n5", m.Spare(9, 4, 1))
-    spares.told(20.0, "n5", m.Spare(9, 4, 1))  # twice the same
-    spares.told(30.0, "n5", m.Spare(9, 3, 5))  # late
+    spares = SpareRates()
+    spares.told(0.0, "n4", m.SpareRate(1, 1, 2))
+    spares.told(10.0, "n5", m.SpareRate(9, 4, 1))
+    spares.told(20.0, "n5", m.SpareRate(9, 4, 1))  # twice the same
+    spares.told(30.0, "n5", m.SpareRate(9, 3, 5))  # late
     assert [spares.take(60.0) for _ in range(4)] == [("n5", 9, 4), ("n4", 1, 1), ("n4", 1, 1), None]
-    spares.told(100.0, "n5", m.Spare(2, 1, 1))  # of another life
-    assert spares.take(101.0 + FRESH_MS) is None and spares.take(100.0 + FRESH_MS) == ("n5", 2, 1)
-    spares.told(300.0, "n5", m.Spare(2, 2, 3))
+    spares.told(100.0, "n5", m.SpareRate(2, 1, 1))  # of another life
+    assert spares.take(101.0 + SPARE_FRESH_MS) is None and spares.take(100.0 + SPARE_FRESH_MS) == ("n5", 2, 1)
+    spares.told(300.0, "n5", m.SpareRate(2, 2, 3))
     spares.keep(frozenset({"n4"}))
     assert spares.take(301.0) is None
 
@@ -149,17 +151,17 @@
     fleet = Fleet(2, ration=0)
     front = fleet.fronts["n0"]
     for name in fleet.names:
-        front.hear(0.0, name, m.Spare(1, 1, 8))
+        front.hear(0.0, name, m.SpareRate(1, 1, 8))
     front.loading._room = lambda: 0.0
     fleet.run(900.0)
     row = next(row for row in ROWS if front.seats.owner(row) == "n0")
-    front.hear(900.0, "n5", m.Spare(1, 2, 8))
-    front.hear(900.0, "n5", m.Want((m.Wanted(row, "view", 5.0),)))
+    front.hear(900.0, "n5", m.SpareRate(1, 2, 8))
+    front.hear(900.0, "n5", m.LoadRequests((m.LoadRequest(row, "view", 5.0),)))
     outs = front.loading.orders(1_500.0 - 500.0)
     if not outs:  # its seats may be used a little later
-        front.hear(1_300.0, "n5", m.Spare(1, 3, 8))
+        front.hear(1_300.0, "n5", m.SpareRate(1, 3, 8))
         outs = front.loading.orders(1_350.0)
-    [lend] = [out for out in outs if isinstance(out, Words)]
+    [lend] = [out for out in outs if isinstance(out, SendPermitMessage)]
     assert lend.to == ("n5",) and lend.word.row == row
     way = front.loading.under_way[row]
     assert front.loading.overdue(way.told_ms + front.seats.usual_ms - 1.0) == []
@@ -167,11 +169,13 @@
     front.loading.overdue(way.told_ms + front.seats.usual_ms)
     assert row not in front.loading.under_way
     assert front.loading.counts["orders that were not made"] == 1
-    assert not front.loading.lent(5_000.0, "n5", m.Lent(way.worker, row, m.What.STANDS))
+    assert not front.loading.lent(
+        5_000.0, "n5", m.DelegatedLoadReport(way.worker, row, m.DelegatedLoadResult.STANDS)
+    )
 
 
 def test_seats_that_do_not_wait_for_what_was_lent_are_found(monkeypatch):
-    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.LENT_MS", -500.0)
+    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.DELEGATION_MS", -500.0)
     assert (
         max(storm(Fleet(seed, lost=0.15, ration=4), seed, want_all).most for seed in range(6))
         > LIMITS.fetches
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -11,7 +11,7 @@
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store.form import Limits
 from fawnwharf.recovery_core.trust import Kind, Store, Trust
-from fawnwharf.recovery_service.recovery_store import Kept
+from fawnwharf.recovery_service.recovery_store import RecoveryStore
 
 GRANTING = """
 import json, sys
@@ -19,13 +19,13 @@
 from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_service.recovery_store import Kept
+from fawnwharf.recovery_service.recovery_store import RecoveryStore
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
 
 members, name, folder, boot = fleet_file("abc"), "n0", sys.argv[1], sys.argv[2]
-kept = Kept(folder, "f", name, boot, Limits(wait_ms=20_000.0), lambda what, more: None, fresh=True)
+kept = RecoveryStore(folder, "f", name, boot, Limits(wait_ms=20_000.0), lambda what, more: None, fresh=True)
 core = Core(name, 1, members, Settings(1, "members"), monotonic_ms(), fresh=True)
 disk = kept.promises(core, None)
 loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
@@ -62,7 +62,7 @@
     child.wait()
     folder.unlock(folder.lock(tmp_path / "d", within_s=20.0))
     boot.write_text("another")
-    kept = Kept(tmp_path / "d", "f", "n0", str(boot), Limits(), lambda what, more: None)
+    kept = RecoveryStore(tmp_path / "d", "f", "n0", str(boot), Limits(), lambda what, more: None)
     try:
         assert (kept.whole, kept.same_boot, kept.in_order, kept.sure) == (Store.WHOLE, False, False, 1)
         found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(Kind.PROMISE)}
--- a/tests/test_rejoin_tallies.py
+++ b/tests/test_rejoin_tallies.py
@@ -5,9 +5,9 @@
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Refused, Served
 from fawnwharf.recovery_service import call_outcomes
-from fawnwharf.recovery_service.call_outcomes import Counted
-from fawnwharf.recovery_service.counters import SPAN_MS, Tallies
-from fawnwharf.recovery_service.messages import Tally
+from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
+from fawnwharf.recovery_service.counters import SPAN_MS, FrontEndCounters
+from fawnwharf.recovery_service.messages import CallCounts
 
 WORTHS = {"view": 1.0, "save": 5.0}
 
@@ -21,7 +21,7 @@
 
 
 def test_calls_of_the_last_second_are_told_by_class_and_older_ones_are_not():
-    tallies = Tallies(WORTHS, 10_000.0)
+    tallies = FrontEndCounters(WORTHS, 10_000.0)
     for at_ms, name, good in (
         (0, "save", False),
         (900, "save", True),
@@ -30,14 +30,14 @@
     ):
         tallies.ended(at_ms, name, good)
     told = tallies.standing(1_000.0)
-    assert (told.first, told.served) == (Tally(1, 2), Tally(2, 4))
+    assert (told.first, told.served) == (CallCounts(1, 2), CallCounts(2, 4))
     told = tallies.standing(SPAN_MS + 500)
-    assert (told.first, told.served) == (Tally(1, 1), Tally(2, 3))
+    assert (told.first, told.served) == (CallCounts(1, 1), CallCounts(2, 3))
     assert tallies.standing(9_000.0).served.part == 1.0  # no calls: none was served late
 
 
 def test_loads_are_held_against_what_calls_said_or_what_they_took_in_calm():
-    tallies = Tallies(WORTHS, 10_000.0)
+    tallies = FrontEndCounters(WORTHS, 10_000.0)
     tallies.event(0.0, order(1), 0.0)
     assert tallies.standing(1.0).loads == 0  # nobody knows what it takes
     tallies.event(2.0, io.RequestArrived("r", "f", "view", "t", 1.0, load_ms=50.0), 0.0)
@@ -57,7 +57,7 @@
 
 
 def test_a_cold_scorer_that_had_answered_falls_once_and_a_warm_or_an_unseen_one_does_not():
-    tallies = Tallies(WORTHS, 10_000.0)
+    tallies = FrontEndCounters(WORTHS, 10_000.0)
     for worker, age_ms, seen in ((1, 500.0, True), (2, 500.0, False), (3, 20_000.0, True)):
         if seen:
             tallies.event(0.0, attempt(worker, io.Ending.GOOD), age_ms)
@@ -89,7 +89,9 @@
     now, told, answers = [0.0], [], []
     monkeypatch.setattr(call_outcomes, "monotonic_ms", lambda: now[0])
     below = Below()
-    table = Counted(below, {"view": io.ClassSpec("view", promise_ms=100.0)}, lambda *end: told.append(end))
+    table = CallOutcomeRecorder(
+        below, {"view": io.ClassSpec("view", promise_ms=100.0)}, lambda *end: told.append(end)
+    )
 
     def call():
         return SimpleNamespace(class_name="view", reply=answers.append)
