--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -6,23 +6,31 @@
 final answer.
 """
 
-import itertools
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
-
-from fawnwharf.interface import ClassSpec, Effect
+from fawnwharf.interface import ClassSpec
+from fawnwharf.interface import Effect
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call, Outcome, Refused
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.net.requests import Call
+from fawnwharf.net.requests import Outcome
+from fawnwharf.net.requests import Refused
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core import alone
-from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
+from fawnwharf.recovery_core.budget import Doors
+from fawnwharf.recovery_core.budget import Limits
+from fawnwharf.recovery_core.budget import first_classes
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
+from fawnwharf.recovery_service.actions import CopyAvailable
+from fawnwharf.recovery_service.actions import SlowStartPermit
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.replication.claims import Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.gate import Gate, name_of
+from fawnwharf.replication.claim_gate import ClaimGate
+from fawnwharf.replication.claim_gate import call_key
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from typing import Protocol
+import itertools
+
 
 MAX_WAITING_CALLS, MAX_WAITING_BYTES = 4_096, 8 * 1024 * 1024
 WAIT_FRACTION, CLIENT_MARGIN_MS = (
@@ -63,7 +71,7 @@
 class StoredClaims:
     """What the gate and this front end's own shelf tell of a call, without asking anybody."""
 
-    def __init__(self, gate: Gate, core: Core) -> None:
+    def __init__(self, gate: ClaimGate, core: ReplicationCore) -> None:
         self._gate, self._core = gate, core
 
     def repeat(self, call: Call) -> bool:
@@ -71,12 +79,12 @@
         others alone can't be told from a new one."""
         if self._gate.modes.get(call.class_name, "off") == "off":
             return False
-        name, keeper = name_of(call), self._core.keeper
+        name, keeper = call_key(call), self._core.keeper
         if name in self._gate.held:
             return True
         entry = keeper.shelf.calls.get(name) if keeper else None
         claims = entry.standing() if entry else []
-        if any(claim.phase is Phase.ANSWERED for claim in claims):
+        if any(claim.phase is ClaimPhase.ANSWERED for claim in claims):
             return True
         return bool(claims) and self._gate.modes[call.class_name] == "before"
 
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -1,38 +1,46 @@
 """Recovery in a running front end: its agent on the fleet's logs, what it counts, and what follows for its
 parts."""
 
-import hashlib
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any
-
-import msgspec
-
 from fawnwharf import interface as io
-from fawnwharf.config import Deployment, Fleet
+from fawnwharf.config import Deployment
+from fawnwharf.config import Fleet
 from fawnwharf.consensus.decided import last_put
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.recovery_core.asking import Stand, What
-from fawnwharf.recovery_core.stages import Decide, Note, Stage
-from fawnwharf.recovery_core.trust import Kind, Store
-from fawnwharf.recovery_service import front_end_integration, status_display
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.recovery_core.asking import Stand
+from fawnwharf.recovery_core.asking import What
+from fawnwharf.recovery_core.stages import Decide
+from fawnwharf.recovery_core.stages import Note
+from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.trust import Kind
+from fawnwharf.recovery_core.trust import Store
+from fawnwharf.recovery_service import front_end_integration
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.agent import (
-    ApplyPhase,
-    Effect,
-    LocalStatus,
-    RecoveryAgent,
-    SendMessage,
-    SignatureReported,
-)
+from fawnwharf.recovery_service import status_display
+from fawnwharf.recovery_service.agent import ApplyPhase
+from fawnwharf.recovery_service.agent import Effect
+from fawnwharf.recovery_service.agent import LocalStatus
+from fawnwharf.recovery_service.agent import RecoveryAgent
+from fawnwharf.recovery_service.agent import SendMessage
+from fawnwharf.recovery_service.agent import SignatureReported
 from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
 from fawnwharf.recovery_service.counters import FrontEndCounters
-from fawnwharf.recovery_service.hints import ENTRY_KEY, RosterRecorder, UsageRecorder
+from fawnwharf.recovery_service.hints import ENTRY_KEY
+from fawnwharf.recovery_service.hints import RosterRecorder
+from fawnwharf.recovery_service.hints import UsageRecorder
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.recovery_service.settings import Settings, settings_from
-from fawnwharf.zones.files import load
-from fawnwharf.zones.lines import RECOVERY, Word
+from fawnwharf.recovery_service.settings import Settings
+from fawnwharf.recovery_service.settings import settings_from
+from fawnwharf.zones.files import load_file
+from fawnwharf.zones.log_lines import ClientMessage
+from fawnwharf.zones.log_lines import RECOVERY
+from pathlib import Path
+from typing import Any
+import hashlib
+import msgspec
+
 
 DISPLAY_INTERVAL_MS = 200.0  # how this one stands is told for people no more often than that
 MAX_MESSAGES_PER_LINE = 200  # in one line
@@ -56,7 +64,7 @@
         """Reads and checks the file; raises ConfigError with one line. `made` has the other parts by name, of
         which `zones`, `kept` and `state` have to be there already."""
         self.deployment, self.note, self._join = deployment, write, join
-        self.settings: Settings = load(Path(path), settings_from, RECOVERY)
+        self.settings: Settings = load_file(Path(path), settings_from, RECOVERY)
         self.zones, self.kept, self.state = made["zones"], made["kept"], made["state"]
         self.life = self.kept.number
         self._used = UsageRecorder.read(self.kept.read(Kind.USE))
@@ -69,7 +77,7 @@
         self.calls: CallOutcomeRecorder | None = None
         self._rostered = self._dialled = False
         self._calm_ms: float | None = None  # since when
-        self._words: list[Word] = []
+        self._words: list[ClientMessage] = []
         self._shown: w.DisplayedStatus | None = None
         self._shown_ms = -1e9
         self._noted: dict[str, float] = {}
@@ -86,8 +94,8 @@
         front.changelog.may_begin_anew = True
         self.agent = RecoveryAgent(
             self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
-            self._own(), self.zones.seat, self.tallies.worths, settings.timing.of_stages, monotonic_ms(),
-            settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
+            self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
+            monotonic_ms(), settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
         )  # fmt: skip
         self.joined = self._join(front, self.state, settings, self.life)
         self.joined.use_before(self._used)
@@ -95,7 +103,7 @@
             self.joined.door, self.deployment.settings.classes, self.tallies.ended
         )
         front.port.table = self.calls
-        self.zones.riders[RECOVERY] = self
+        self.zones.log_clients[RECOVERY] = self
         self.state.riders[w.LOG_CLIENT] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
         self.note("recovery on", told | {"store": self.kept.whole.value, "why": self.kept.why})
@@ -113,7 +121,7 @@
         self.calls.counting = False
         self.joined.close()
         self.front.port.waits_for.discard(RECOVERY)
-        self.zones.riders.pop(RECOVERY, None)
+        self.zones.log_clients.pop(RECOVERY, None)
         self.state.riders.pop(w.LOG_CLIENT, None)
 
     # --- the seam -------------------------------------------------------------------------------
@@ -199,7 +207,7 @@
 
     # --- the riders -----------------------------------------------------------------------------
 
-    def heard(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
+    def on_messages(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
         for data in words:
             self._word(sender, data, self.agent.hear_zone)
 
@@ -220,14 +228,14 @@
             self.note("word dropped", {"sender": sender, "counts": dict(counts)})
         self._carry_out(effects)
 
-    def decided(self, text: str) -> None:
+    def on_register_decided(self, text: str) -> None:
         self._carry_out(self.agent.decided(monotonic_ms(), text))
 
-    def turned(self) -> None:
+    def on_role_changed(self) -> None:
         if not self._stopped and (effects := self.agent.turned(monotonic_ms())):
             self._carry_out(effects)
 
-    def members_taken(self) -> None:
+    def on_membership_changed(self) -> None:
         self._carry_out(self.agent.take_lists(monotonic_ms(), self._lists()))
 
     # --- time -----------------------------------------------------------------------------------
@@ -263,7 +271,7 @@
             if isinstance(effect, SendMessage):
                 self._say(effect)
             elif isinstance(effect, Decide):
-                if not self.zones.put(effect.register, RECOVERY):
+                if not self.zones.propose_register(effect.register, RECOVERY):
                     self.agent.not_put()
             elif isinstance(effect, ApplyPhase):
                 self._go_by(effect)
@@ -297,7 +305,7 @@
         """By zones' logs all that is said in a turn goes into one line, in its order; state's go at once."""
         word = msgspec.to_builtins(say.word)
         if say.zone:
-            self._words.append(Word(word, say.to, RECOVERY))
+            self._words.append(ClientMessage(word, say.to, RECOVERY))
             self.front.loop.flush_later(self)
         else:
             self.state.ride(w.LOG_CLIENT, say.to, word)
@@ -306,7 +314,7 @@
         """The end of the turn."""
         words, self._words = self._words, []
         for at in range(0, 0 if self._stopped else len(words), MAX_MESSAGES_PER_LINE):
-            self.zones.say(words[at : at + MAX_MESSAGES_PER_LINE])
+            self.zones.send_messages(words[at : at + MAX_MESSAGES_PER_LINE])
 
     def _show(self) -> None:
         """Tell how this one stands, where that is another way than before."""
@@ -316,7 +324,7 @@
         shown = status_display.displayed_status(self.agent, now)
         if shown != self._shown:
             self._shown, self._shown_ms = shown, now
-            self.zones.stand(msgspec.to_builtins(shown), RECOVERY)
+            self.zones.publish_status(msgspec.to_builtins(shown), RECOVERY)
 
 
 def _digest(data: bytes) -> str:
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -7,26 +7,36 @@
 and scorers' queues beyond their lanes.
 """
 
-import heapq
-import random
-import sys
 from collections.abc import Callable
-from dataclasses import dataclass, field
-
+from dataclasses import dataclass
+from dataclasses import field
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Failed, Outcome, Refused, Served
-from fawnwharf.net.streams import Answer, Order
+from fawnwharf.net.requests import Call
+from fawnwharf.net.requests import Failed
+from fawnwharf.net.requests import Outcome
+from fawnwharf.net.requests import Refused
+from fawnwharf.net.requests import Served
+from fawnwharf.net.streams import Answer
+from fawnwharf.net.streams import Order
 from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import limits_from
-from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_core.world import KINDS, WORTHS
-from fawnwharf.recovery_service.actions import Action, SendPermitMessage
+from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.stages import allowed
+from fawnwharf.recovery_core.world import KINDS
+from fawnwharf.recovery_core.world import WORTHS
+from fawnwharf.recovery_service.actions import Action
 from fawnwharf.recovery_service.actions import LoadOrder as Ordered
+from fawnwharf.recovery_service.actions import SendPermitMessage
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import TICK_MS
 from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
+import heapq
+import random
+import sys
+
 
 FRONTS, SCORERS, FUNCTIONS, LANES, LOADS_MOST = 6, 6, 60, 8, 4
 PLACES, FETCH_PART = 4, 0.6  # fetches at a time that the store serves; their part of a load
@@ -200,7 +210,7 @@
 
     def order(self, row: str) -> list[int]:
         up = [s.id for s in self.scorers if s.up_ms <= self.now]
-        return sorted(up, key=lambda id: weight(str(id), row))
+        return sorted(up, key=lambda id: rendezvous_weight(str(id), row))
 
     def roster(self) -> None:
         for scorer in self.scorers:
@@ -256,7 +266,7 @@
     def call(self, client: str, row: str, left: int) -> None:
         kind, _, _ = self.facts[row]
         _, promise, give_up, worth, *_ = KINDS[kind]
-        front, came = self.fronts[weight("at", client, str(left)) % FRONTS], self.now
+        front, came = self.fronts[rendezvous_weight("at", client, str(left)) % FRONTS], self.now
         if left == TRIES:
             self.came, self.worth = self.came + 1, self.worth + worth
         over = False
@@ -275,7 +285,7 @@
                 if left > 1:
                     self.at(wait, lambda: self.call(client, row, left - 1))
 
-        id = weight(client, str(left)).to_bytes(8, "big")
+        id = rendezvous_weight(client, str(left)).to_bytes(8, "big")
         call = Call(id, kind, "t", row, give_up, b"", "", LANES, None, self.facts[row][1], reply)
         self.at(give_up, lambda: reply(Failed()))
         front.take(call)
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -21,11 +21,11 @@
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.policy_rollout import keeping
-from fawnwharf.policy_rollout.document import Register, document_from
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.disk import KeeperDisk
-from fawnwharf.zones.founding import found
+from fawnwharf.policy_rollout import policy_file
+from fawnwharf.policy_rollout.document import Register, parse_document
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.grant_log import GrantLog
+from fawnwharf.zones.bootstrap import bootstrap
 
 KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 IDENTITIES = ("n0#00112233445566aa", "n1#00112233445566bb")
@@ -69,10 +69,10 @@
 
 def replica(folder: Path) -> None:
     """A replica's two files: one that begins with all it held, and the next."""
-    disk = KeeperDisk(folder, "fleet-1", "n0", 1_000.0, 10_000.0, "boot-1")
+    disk = GrantLog(folder, "fleet-1", "n0", 1_000.0, 10_000.0, "boot-1")
     claims = [
         Claim(f"n{n}#{n + 7}", n + 1, n + 2, 100 + n, phase, "d" * n, "YW5zd2Vy" if n == 1 else None)
-        for n, phase in enumerate(Phase)
+        for n, phase in enumerate(ClaimPhase)
     ]
     disk.begin(1_000.0, 4, [("key-0", claims[0], 30_000.0)])
     disk.write(2_000.0, [("key-1", claims[1], 31_000.0), ("key-2", claims[2], 32_000.0)], 0)
@@ -82,8 +82,10 @@
 
 def policy(folder: Path) -> None:
     """The kept policy file."""
-    last, before = (document_from(POLICY % (n, n * 100)) for n in (7, 6))
-    keeping.write(folder / "policy.json", keeping.Kept(life=41, register=Register(last, before).encode()))
+    last, before = (parse_document(POLICY % (n, n * 100)) for n in (7, 6))
+    policy_file.write_policy_file(
+        folder / "policy.json", policy_file.StoredPolicy(life=41, register=Register(last, before).encode())
+    )
 
 
 def process(folder: Path) -> None:
@@ -93,7 +95,7 @@
         (folder / name).write_text(json.dumps(data), encoding="utf-8")
     front = Front(folder)
     try:
-        found(folder / "zones.json", "fe-1")
+        bootstrap(folder / "zones.json", "fe-1")
         for more in (["--fresh"], []):
             one = front.start(*more)
             for _ in range(5):
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -4,18 +4,21 @@
 ordered them is gone.
 """
 
-import heapq
-import random
-
-import msgspec
-
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import Limits
-from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage, SlowStartPermit
-from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.stages import allowed
+from fawnwharf.recovery_service.actions import LoadOrder
+from fawnwharf.recovery_service.actions import SendPermitMessage
+from fawnwharf.recovery_service.actions import SlowStartPermit
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import TICK_MS
 from fawnwharf.recovery_service.permit_messages import permit_message_from
-from fawnwharf.replication.placement import weight
+from fawnwharf.replication.placement import rendezvous_weight
+import heapq
+import msgspec
+import random
+
 
 WORTHS = {"view": 1.0, "settle": 5.0}
 RATION_MS = 5_000.0
@@ -67,7 +70,7 @@
     def start(self, name):
         """Start a front end, which knows only itself at first."""
         self.lives += 1
-        order = lambda row: sorted(range(3), key=lambda s: weight(str(s), row))  # noqa: E731
+        order = lambda row: sorted(range(3), key=lambda s: rendezvous_weight(str(s), row))  # noqa: E731
         more = {} if self.ration is None else {"room": lambda: self.room(name)}
         self.fronts[name] = PermitIssuer(name, self.lives, LIMITS, order, self.lag_ms, self.usual_ms, **more)
         self.views[name] = 0, frozenset((name,))
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -3,25 +3,28 @@
 Messages go by their logs, decisions by the consensus log, and power losses happen.
 """
 
-import random
-
-import msgspec
-from test_zone_members import Fleet
-
 from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core.asking import Pace
-from fawnwharf.recovery_core.stages import Decide, Note, Stage, Timing
+from fawnwharf.recovery_core.stages import Decide
+from fawnwharf.recovery_core.stages import Note
+from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.stages import Timing
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.agent import (
-    ApplyPhase,
-    LocalStatus,
-    RecoveryAgent,
-    SendMessage,
-    SignatureReported,
-)
+from fawnwharf.recovery_service.agent import ApplyPhase
+from fawnwharf.recovery_service.agent import LocalStatus
+from fawnwharf.recovery_service.agent import RecoveryAgent
+from fawnwharf.recovery_service.agent import SendMessage
+from fawnwharf.recovery_service.agent import SignatureReported
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.zones.lines import RECOVERY, Heard, Ruled, Word
+from fawnwharf.zones.log_lines import ClientMessage
+from fawnwharf.zones.log_lines import MessagesReceived
+from fawnwharf.zones.log_lines import RECOVERY
+from fawnwharf.zones.log_lines import RegisterDecided
 from support.zone_files import members
+from test_zone_members import Fleet
+import msgspec
+import random
+
 
 STEP_S = 0.02
 WORTHS = {"view": 1.0, "save": 5.0}
@@ -62,7 +65,7 @@
         core = self.cores[name]
         self.agents[name] = RecoveryAgent(
             name, "f", self.lives[name], self.marks.setdefault(name, "boot 1"), lists, self.own(name),
-            core.seat, WORTHS, TIMING, self.now, Pace(), 100.0, 150.0,
+            core.consensus_status, WORTHS, TIMING, self.now, Pace(), 100.0, 150.0,
         )  # fmt: skip
 
     # --- power ----------------------------------------------------------------------------------
@@ -92,10 +95,10 @@
         super().do(name, effects)
         agent = self.agents.get(name)
         for effect in effects:
-            if isinstance(effect, Heard) and effect.rider == RECOVERY:
-                for data in effect.words:
+            if isinstance(effect, MessagesReceived) and effect.client == RECOVERY:
+                for data in effect.messages:
                     self.act(name, agent.hear_zone(self.now, effect.sender, w.recovery_message_from(data)))
-            elif isinstance(effect, Ruled) and effect.kind == RECOVERY:
+            elif isinstance(effect, RegisterDecided) and effect.kind == RECOVERY:
                 self.act(name, agent.decided(self.now, effect.text))
         if agent is not None:
             self.act(name, agent.turned(self.now))
@@ -109,7 +112,7 @@
             elif isinstance(effect, SendMessage):
                 self._say_by_state(name, effect)
             elif isinstance(effect, Decide):
-                put, more = core.put(self.now, effect.register, RECOVERY)
+                put, more = core.propose_register(self.now, effect.register, RECOVERY)
                 self.do(name, more)
                 if not put:
                     self.agents[name].not_put()
@@ -121,7 +124,9 @@
                 self.noted.append((name, effect.event, effect.fields))
 
     def _say_by_zones(self, name, effect):
-        line = self.cores[name]._line(words=[Word(msgspec.to_builtins(effect.word), effect.to, RECOVERY)])
+        line = self.cores[name].make_line(
+            messages=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
+        )
         for other in self.names:
             voter = self.file.named(name).ballots or self.file.named(other).ballots
             if other != name and voter and self.chance.random() >= self.lost:
@@ -187,7 +192,9 @@
     @property
     def leader(self):
         """The member that leads; None where none does."""
-        found = [n for n in self.up if self.agents[n].lead.term and self.cores[n].seat(self.now).fresh]
+        found = [
+            n for n in self.up if self.agents[n].lead.term and self.cores[n].consensus_status(self.now).fresh
+        ]
         return found[0] if found else None
 
     def calm(self):
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -5,12 +5,19 @@
 """
 
 from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
-from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
+from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.stages import allowed
+from fawnwharf.recovery_service.actions import LoadOrder
+from fawnwharf.recovery_service.actions import SendPermitMessage
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.replication.placement import weight
-from support.load_permits import LIMITS, WORTHS, Fleet
-from support.recovery_agents import STEP_S, Agents
+from fawnwharf.replication.placement import rendezvous_weight
+from support.load_permits import Fleet
+from support.load_permits import LIMITS
+from support.load_permits import WORTHS
+from support.recovery_agents import Agents
+from support.recovery_agents import STEP_S
+
 
 WORD_MS, VALID = 1_500.0, 0.4
 OPEN_MS = 1_000.0  # `worth` is entered
@@ -83,7 +90,7 @@
     def start(self, name, identity, seed=99):
         """Start a member, its agent, and what it hands out."""
         super().start(name, identity, seed)
-        order = lambda row: sorted(range(3), key=lambda s: weight(str(s), row))  # noqa: E731
+        order = lambda row: sorted(range(3), key=lambda s: rendezvous_weight(str(s), row))  # noqa: E731
         self.giving[name] = PermitIssuer(name, self.lives[name], LIMITS, order)
 
     def run(self, seconds):
