--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -8,34 +8,19 @@
 by one that knew of this life.
 """
 
-from collections.abc import Callable
-from collections.abc import Mapping
-from dataclasses import dataclass
-from dataclasses import field
-from dataclasses import replace
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field, replace
+
+import msgspec
+
 from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core import alone
-from fawnwharf.recovery_core.asking import Answer
-from fawnwharf.recovery_core.asking import Ask
-from fawnwharf.recovery_core.asking import Asking
-from fawnwharf.recovery_core.asking import Of
-from fawnwharf.recovery_core.asking import Pace
-from fawnwharf.recovery_core.asking import Stand
-from fawnwharf.recovery_core.asking import What
+from fawnwharf.recovery_core.asking import Answer, Ask, Asking, Of, Pace, Stand, What
 from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_core.stages import Decide
-from fawnwharf.recovery_core.stages import Follower
-from fawnwharf.recovery_core.stages import Note
-from fawnwharf.recovery_core.stages import RegisterError
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_core.stages import Timing
+from fawnwharf.recovery_core.stages import Allowed, Decide, Follower, Note, RegisterError, Stage, Timing
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.recovery_service.recovery_leader import RecoveryLeader
+from fawnwharf.recovery_service.recovery_leader import MemberLists, RecoveryLeader
 from fawnwharf.zones.log_lines import ConsensusStatus
-import msgspec
-
 
 CHANGE_LOG = "change log"  # as one that answers; it is no member
 TICK_MS, CALM_TICK_MS = 50.0, 250.0
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -1,15 +1,12 @@
 """`fawnwharf recovery show`: how a member stands in a recovery, read from its zones' log."""
 
-from fawnwharf.recovery_service import messages as w
-from fawnwharf.zones.command_helpers import MemberOption
-from fawnwharf.zones.command_helpers import current_lines
-from fawnwharf.zones.command_helpers import fail
-from fawnwharf.zones.command_helpers import log_address
-from fawnwharf.zones.command_helpers import read_files
 from typing import Annotated
+
 import msgspec
 import typer
 
+from fawnwharf.recovery_service import messages as w
+from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
 
 File = Annotated[
     str, typer.Argument(metavar="FILE", help="The settings of zones that this member serves with.")
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -6,31 +6,23 @@
 final answer.
 """
 
+import itertools
 from collections.abc import Callable
 from dataclasses import dataclass
-from fawnwharf.interface import ClassSpec
-from fawnwharf.interface import Effect
+from typing import Protocol
+
+from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call
-from fawnwharf.net.requests import Outcome
-from fawnwharf.net.requests import Refused
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.net.requests import Call, Outcome, Refused
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core import alone
-from fawnwharf.recovery_core.budget import Doors
-from fawnwharf.recovery_core.budget import Limits
-from fawnwharf.recovery_core.budget import first_classes
+from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
 from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service.actions import CopyAvailable
-from fawnwharf.recovery_service.actions import SlowStartPermit
+from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.replication.claim_gate import ClaimGate
-from fawnwharf.replication.claim_gate import call_key
+from fawnwharf.replication.claim_gate import ClaimGate, call_key
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
-from typing import Protocol
-import itertools
-
 
 MAX_WAITING_CALLS, MAX_WAITING_BYTES = 4_096, 8 * 1024 * 1024
 WAIT_FRACTION, CLIENT_MARGIN_MS = (
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -4,22 +4,15 @@
 """
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
+
 from fawnwharf.recovery_core.budget import loaders
 from fawnwharf.recovery_core.register import GIVERS_MOST
-from fawnwharf.recovery_core.stages import Conductor
-from fawnwharf.recovery_core.stages import Effect
-from fawnwharf.recovery_core.stages import Note
-from fawnwharf.recovery_core.stages import Seen
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_core.stages import Timing
-from fawnwharf.recovery_core.trust import Scope
-from fawnwharf.recovery_core.trust import scope
+from fawnwharf.recovery_core.stages import Conductor, Effect, Note, Seen, Stage, Timing
+from fawnwharf.recovery_core.trust import Scope, scope
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.zones.log_lines import ConsensusStatus
 
-
 SCAN_MS = 100.0  # pace of the look at what all told
 
 
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -7,36 +7,26 @@
 and scorers' queues beyond their lanes.
 """
 
+import heapq
+import random
+import sys
 from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
+
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call
-from fawnwharf.net.requests import Failed
-from fawnwharf.net.requests import Outcome
-from fawnwharf.net.requests import Refused
-from fawnwharf.net.requests import Served
-from fawnwharf.net.streams import Answer
-from fawnwharf.net.streams import Order
+from fawnwharf.net.requests import Call, Failed, Outcome, Refused, Served
+from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import limits_from
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_core.stages import allowed
-from fawnwharf.recovery_core.world import KINDS
-from fawnwharf.recovery_core.world import WORTHS
-from fawnwharf.recovery_service.actions import Action
+from fawnwharf.recovery_core.stages import Stage, allowed
+from fawnwharf.recovery_core.world import KINDS, WORTHS
+from fawnwharf.recovery_service.actions import Action, SendPermitMessage
 from fawnwharf.recovery_service.actions import LoadOrder as Ordered
-from fawnwharf.recovery_service.actions import SendPermitMessage
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.recovery_service.permit_issuing import TICK_MS
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
 from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
 from fawnwharf.replication.placement import rendezvous_weight
-import heapq
-import random
-import sys
-
 
 FRONTS, SCORERS, FUNCTIONS, LANES, LOADS_MOST = 6, 6, 60, 8, 4
 PLACES, FETCH_PART = 4, 0.6  # fetches at a time that the store serves; their part of a load
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -5,27 +5,22 @@
 never said, and stands in the way of others as if it had been: it may be found on the disk later.
 """
 
-from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
-from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.trust import Kind
-from fawnwharf.recovery_core.trust import Trust
-from fawnwharf.replication.call_owner import OwnerAction
-from fawnwharf.replication.call_owner import RunCall
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
-from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.grant_storage import without_grant
-from fawnwharf.replication.messages import Send
-from fawnwharf.replication.messages import StateChunk
-from pathlib import Path
-from typing import Any
-from typing import Protocol
 import contextlib
 import heapq
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any, Protocol
+
 import msgspec
 
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.recovery_core.trust import Kind, Trust
+from fawnwharf.replication.call_owner import OwnerAction, RunCall
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.grant_storage import without_grant
+from fawnwharf.replication.messages import Send, StateChunk
 
 SWEEP_MS = 1_000.0  # pace at which entries go whose time is over
 OTHER_BOOT_AGE_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
@@ -62,7 +57,9 @@
 class StoredPromises:
     """Owns what of a keeper's shelf is in the store, and what waits until it is on disk."""
 
-    def __init__(self, kept: PromiseStore, core: ReplicationCore, note: Note, folder: Path | None = None) -> None:
+    def __init__(
+        self, kept: PromiseStore, core: ReplicationCore, note: Note, folder: Path | None = None
+    ) -> None:
         """What this keeper granted before is on its shelf then, and it grants at once where it is sure that
         this is all. `folder`: where a life without a store would have left a file; one that is there makes
         the store one in part."""
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -3,28 +3,25 @@
 Messages go by their logs, decisions by the consensus log, and power losses happen.
 """
 
+import random
+
+import msgspec
+from test_zone_members import Fleet
+
 from fawnwharf.durable_store.reading import Sign
 from fawnwharf.recovery_core.asking import Pace
-from fawnwharf.recovery_core.stages import Decide
-from fawnwharf.recovery_core.stages import Note
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_core.stages import Timing
+from fawnwharf.recovery_core.stages import Decide, Note, Stage, Timing
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.agent import ApplyPhase
-from fawnwharf.recovery_service.agent import LocalStatus
-from fawnwharf.recovery_service.agent import RecoveryAgent
-from fawnwharf.recovery_service.agent import SendMessage
-from fawnwharf.recovery_service.agent import SignatureReported
+from fawnwharf.recovery_service.agent import (
+    ApplyPhase,
+    LocalStatus,
+    RecoveryAgent,
+    SendMessage,
+    SignatureReported,
+)
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.zones.log_lines import ClientMessage
-from fawnwharf.zones.log_lines import MessagesReceived
-from fawnwharf.zones.log_lines import RECOVERY
-from fawnwharf.zones.log_lines import RegisterDecided
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage, MessagesReceived, RegisterDecided
 from support.zone_files import members
-from test_zone_members import Fleet
-import msgspec
-import random
-
 
 STEP_S = 0.02
 WORTHS = {"view": 1.0, "save": 5.0}
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -5,19 +5,12 @@
 """
 
 from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_core.stages import allowed
-from fawnwharf.recovery_service.actions import LoadOrder
-from fawnwharf.recovery_service.actions import SendPermitMessage
+from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 from fawnwharf.replication.placement import rendezvous_weight
-from support.load_permits import Fleet
-from support.load_permits import LIMITS
-from support.load_permits import WORTHS
-from support.recovery_agents import Agents
-from support.recovery_agents import STEP_S
-
+from support.load_permits import LIMITS, WORTHS, Fleet
+from support.recovery_agents import STEP_S, Agents
 
 WORD_MS, VALID = 1_500.0, 0.4
 OPEN_MS = 1_000.0  # `worth` is entered
