--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -95,7 +95,7 @@
 
 def test_a_fault_in_a_look_at_a_drain_or_in_tidying_is_not_the_last_one(rig):
     rig.admin.take(AdminRequest("POST", "/standby"))
-    with mock.patch.object(service.drain, "drain_step", side_effect=RuntimeError("planted")) as step:
+    with mock.patch.object(service.draining, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "it looks again")
     with mock.patch.object(rig.admin.port, "tidy", side_effect=RuntimeError("planted")) as tidy:
         rig.until(lambda: tidy.call_count >= 2, "it tidies again")
