--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -12,7 +12,7 @@
 from typer.testing import CliRunner
 
 from fawnwharf.cli import app
-from fawnwharf.consensus.records import leading_records
+from fawnwharf.consensus.records import encode_record, leading_records
 from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store import form as f
@@ -159,8 +159,8 @@
             data = (path / name).read_bytes()
             records, _ = leading_records(data)
             head = msgspec.json.decode(records[0][1], type=f.Head)
-            rest = data[len(f.encode(0, head)) :]
-            (path / name).write_bytes(f.encode(0, msgspec.structs.replace(head, **what)) + rest)
+            rest = data[len(encode_record(0, head)) :]
+            (path / name).write_bytes(encode_record(0, msgspec.structs.replace(head, **what)) + rest)
 
 
 def flipped(path, name, back):
