--- a/fawnwharf/durable_store/commands.py
+++ b/fawnwharf/durable_store/commands.py
@@ -12,10 +12,10 @@
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import form as f
 from fawnwharf.durable_store import repairs
-from fawnwharf.durable_store.folder import Folder, lock, unlock
-from fawnwharf.durable_store.ops import Job, carry_out
-from fawnwharf.durable_store.reading import Found, Unreadable
-from fawnwharf.durable_store.store import look, unix_ms
+from fawnwharf.durable_store.folder import DiskFolder, lock_folder, unlock_folder
+from fawnwharf.durable_store.ops import DiskJob, execute_job
+from fawnwharf.durable_store.reading import FolderState, UnreadableFolderError
+from fawnwharf.durable_store.store import inspect_folder, unix_ms
 
 app = typer.Typer(no_args_is_help=True, help="What outlives a front end, in its folder.")
 Place = Annotated[Path, typer.Argument(metavar="FOLDER", help="A front end's folder of durable state.")]
@@ -27,26 +27,26 @@
 
 
 @contextlib.contextmanager
-def _held(path: Path) -> Iterator[Folder]:
+def _held(path: Path) -> Iterator[DiskFolder]:
     """The folder, that no process has; every fault ends the command with one line and status 2."""
     held = -1
     try:
-        held = lock(path, create=False)
-        yield Folder(path)
+        held = lock_folder(path, create=False)
+        yield DiskFolder(path)
     except DiskError as error:
         _fail(f"recovery: {error}")
-    except Unreadable as error:
+    except UnreadableFolderError as error:
         _fail(f"recovery: {path / error.name if error.name else path}: {error.why}")
     except OSError as error:
         _fail(f"recovery: {error.filename or path}: {error.strerror}")
     finally:
-        unlock(held)
+        unlock_folder(held)
 
 
-def _tell(found: Found) -> None:
+def _tell(found: FolderState) -> None:
     sign = found.sign
     kinds = collections.Counter(kind for kind, _ in found.entries)
-    size = sum(f.size(key, value) for key, value in found.entries.items())
+    size = sum(f.entry_size(key, value) for key, value in found.entries.items())
     written = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(found.at_ms / 1_000.0))
     typer.echo(f"member {found.name} of fleet {found.fleet}, disk {sign.mark}")
     typer.echo(f"life {sign.life}, number {sign.number}, written last at {written} UTC by its own clock")
@@ -65,9 +65,9 @@
     """Read a folder whose front end does not run, change nothing, and say what it holds. Status 2 where it
     can't be read."""
     with _held(folder) as files:
-        found = look(files, "", "", f.Limits())
+        found = inspect_folder(files, "", "", f.StoreLimits())
         if found.fresh:
-            raise Unreadable("", "holds no durable state")
+            raise UnreadableFolderError("", "holds no durable state")
         _tell(found)
 
 
@@ -78,8 +78,8 @@
     """Write what is certain of a damaged folder anew, and set its files aside. Status 2 where nothing is left
     to go on from."""
     with _held(folder) as files:
-        mine = [name for name in files.names() if f.parts(name) is not None]
-        found = repairs.plan({name: files.read(name) for name in mine})
+        mine = [name for name in files.names() if f.parse_file_name(name) is not None]
+        found = repairs.plan_repair({name: files.read(name) for name in mine})
         if found is None:
             typer.echo("nothing to repair")
             return
@@ -92,13 +92,13 @@
         if dry_run:
             typer.echo("nothing was changed")
             return
-        outcome = _done(files, folder, repairs.begin(found))
-        _done(files, folder, repairs.finish(found, outcome, unix_ms()))
+        outcome = _done(files, folder, repairs.first_repair_job(found))
+        _done(files, folder, repairs.second_repair_job(found, outcome, unix_ms()))
         typer.echo("repaired; its member takes nothing of it for sure before others confirm it")
 
 
-def _done(files: Folder, path: Path, job: Job) -> int:
-    outcome = carry_out(files, job)
+def _done(files: DiskFolder, path: Path, job: DiskJob) -> int:
+    outcome = execute_job(files, job)
     if outcome.failed:
         raise DiskError(f"{path}: {outcome.failed}")
     return outcome.inode
--- a/fawnwharf/durable_store/crash.py
+++ b/fawnwharf/durable_store/crash.py
@@ -21,37 +21,42 @@
 
 from fawnwharf.consensus.records import later
 from fawnwharf.durable_store import form as f
-from fawnwharf.durable_store.ops import Job, Outcome, carry_out
-from fawnwharf.durable_store.planted import NONE, PLANTED, Bug
-from fawnwharf.durable_store.reading import Found, Sign, Unreadable, older
-from fawnwharf.durable_store.store import Refused, Store, look, made
+from fawnwharf.durable_store.ops import DiskJob, JobResult, execute_job
+from fawnwharf.durable_store.planted import MUTANTS, UNCHANGED, Mutant
+from fawnwharf.durable_store.reading import (
+    FolderPosition,
+    FolderState,
+    UnreadableFolderError,
+    rollback_reason,
+)
+from fawnwharf.durable_store.store import ChangeRejectedError, Store, create_store, inspect_folder
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
-KINDS = [f.Kind("term", f.SYNCED, 4), f.Kind("use", f.SOON, 12), f.Kind("copies", f.HINT, 12)]
-LIMITS = f.Limits(64 * 1024, 700, 250, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
+KINDS = [f.EntryKind("term", f.SYNCED, 4), f.EntryKind("use", f.SOON, 12), f.EntryKind("copies", f.HINT, 12)]
+LIMITS = f.StoreLimits(64 * 1024, 700, 250, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
 TURNS = 40
 OPS_A_LIFE = 90  # about as many as a life has: cuts and failures are drawn from them
 SHARES = (0.0, 0.5, 0.9, 1.0)  # of what was not synced, that is there after a cut
 
 
-class Broken(AssertionError):
+class InvariantViolationError(AssertionError):
     """What the store ought to hold and did not."""
 
 
 class _Runner:
     """Carries jobs out at once; their outcome is known some turns later."""
 
-    def __init__(self, disk: MemoryDisk, bug: Bug, given: Callable[[], None], hold: int) -> None:
+    def __init__(self, disk: MemoryDisk, bug: Mutant, given: Callable[[], None], hold: int) -> None:
         self.disk, self._bug, self._given, self._hold = disk, bug, given, hold
-        self._outcome: Outcome | None = None
+        self._outcome: JobResult | None = None
         self._left = 0
 
-    def start(self, job: Job) -> None:
+    def start(self, job: DiskJob) -> None:
         self._given()
         self._left = self._hold
-        self._outcome = carry_out(self.disk, self._bug.bend(job))
+        self._outcome = execute_job(self.disk, self._bug.bend(job))
 
-    def poll(self) -> Outcome | None:
+    def poll(self) -> JobResult | None:
         self._left -= 1
         if self._left > 0:
             return None
@@ -67,28 +72,28 @@
 
 
 @dataclass
-class World:
+class CrashSimulation:
     """One folder through several lives, and what may be found in it."""
 
-    bug: Bug = NONE
+    bug: Mutant = UNCHANGED
     disk: MemoryDisk = field(default_factory=MemoryDisk)
     views: dict[int, f.Entries] = field(default_factory=lambda: {0: {}})  # by number, as given to the disk
     told_by: dict[int, int] = field(default_factory=dict)  # what `floor` was as each was given
     floor: int = 0  # the last of them that anybody was told of
-    heard: Sign = Sign("", 0, 0)  # the most that others were told
+    heard: FolderPosition = FolderPosition("", 0, 0)  # the most that others were told
     now_ms: float = 0.0
     ended: int = 0  # the last life that was told to have ended in order
     ending: set[int] = field(default_factory=set)  # all lives that were to end
     store: Store | None = None
 
-    def found(self) -> Found:
-        return look(self.disk, "fleet", "a", LIMITS)
+    def found(self) -> FolderState:
+        return inspect_folder(self.disk, "fleet", "a", LIMITS)
 
     def open(self, hold: int = 1, churn: int = 1_000) -> None:
         """Begins a life. Raises Unreadable."""
         limits = msgspec.structs.replace(LIMITS, churn=churn)
         runner = _Runner(self.disk, self.bug, self._given, hold)
-        self.store = made(
+        self.store = create_store(
             self.disk, runner, "fleet", "a", KINDS, limits, "boot", lambda: "ab" * 8,
             lambda: self.now_ms, True, core=self.bug.core,
         )  # fmt: skip
@@ -98,23 +103,27 @@
         self.views.setdefault(core.number, dict(core.entries))
         self.told_by.setdefault(core.number, self.floor)
 
-    def check(self, found: Found) -> None:
+    def check(self, found: FolderState) -> None:
         """What is found after a cut or a kill; it is gone on from there."""
         number = found.sign.number
         self.was_given(found)
         if number < self.floor:
-            raise Broken(f"number {number} is found, and {self.floor} was told of")
+            raise InvariantViolationError(f"number {number} is found, and {self.floor} was told of")
         life = found.sign.life
         if found.ended and life not in self.ending or not found.ended and 0 < life == self.ended:
-            raise Broken(f"ended in order: found {found.ended} in life {life}, {self.ended} did")
-        if found.sign.mark and (why := older(found, [self.heard])):
-            raise Broken(f"a cut is taken for an older copy: {why}")
+            raise InvariantViolationError(
+                f"ended in order: found {found.ended} in life {life}, {self.ended} did"
+            )
+        if found.sign.mark and (why := rollback_reason(found, [self.heard])):
+            raise InvariantViolationError(f"a cut is taken for an older copy: {why}")
         self.views = {at: view for at, view in self.views.items() if at <= number}
         self.told_by = {at: floor for at, floor in self.told_by.items() if at <= number}
 
-    def was_given(self, found: Found) -> None:
+    def was_given(self, found: FolderState) -> None:
         if self.views.get(found.sign.number) != found.entries:
-            raise Broken(f"what is found at number {found.sign.number} was never given to the disk so")
+            raise InvariantViolationError(
+                f"what is found at number {found.sign.number} was never given to the disk so"
+            )
 
     def turn(self, puts: list[tuple[str, str, object]], pause_ms: float) -> None:
         for kind, key, value in puts:
@@ -123,7 +132,7 @@
             def told(on_disk: bool, _why: str, first: int = first) -> None:
                 self.floor = max(self.floor, first if on_disk else 0)
 
-            with contextlib.suppress(Refused):
+            with contextlib.suppress(ChangeRejectedError):
                 self.store.put(self.now_ms, kind, key, value, told)
         self.store.turn(self.now_ms)
         self.heard = max(self.heard, self.store.sign(), key=lambda sign: (sign.life, sign.number))
@@ -154,7 +163,7 @@
 # --- every point of a scripted run ------------------------------------------------------------------
 
 
-def _scripted(world: World) -> None:
+def _scripted(world: CrashSimulation) -> None:
     """The same run each time, with logs that follow each other and an end in order."""
     world.open()
     world.live(Random(7), 30)
@@ -163,7 +172,7 @@
 
 def points(step: int = 1) -> Iterator[tuple[int, int]]:
     """Operation and byte of each cut: before each operation, and at each `step`-th byte of each append."""
-    whole = World()
+    whole = CrashSimulation()
     _scripted(whole)
     for at, (what, size) in enumerate(whole.disk.marks):
         yield at, -1
@@ -171,10 +180,10 @@
             yield from ((at, byte) for byte in range(0, size + 1, step))
 
 
-def cut_run(at: int, byte: int, share: float, again: int, bug: Bug = NONE) -> None:
+def cut_run(at: int, byte: int, share: float, again: int, bug: Mutant = UNCHANGED) -> None:
     """The scripted run, cut; and, unless `again` is negative, a second cut in the next start."""
     chance = Random(at * 1_000_003 + byte)
-    world = World(bug, MemoryDisk(Plan(cut_at=at, cut_byte=byte)))
+    world = CrashSimulation(bug, MemoryDisk(Plan(cut_at=at, cut_byte=byte)))
     with contextlib.suppress(PowerCut):
         _scripted(world)
     world.disk = world.disk.reboot(chance, share)
@@ -190,9 +199,9 @@
 # --- random runs --------------------------------------------------------------------------------------
 
 
-def random_run(seed: int, bug: Bug = NONE) -> str:
+def random_run(seed: int, bug: Mutant = UNCHANGED) -> str:
     """Some lives with faults of their own; says how it ended. Raises Broken."""
-    chance, world = Random(seed), World(bug)
+    chance, world = Random(seed), CrashSimulation(bug)
     older_copy: MemoryDisk | None = None
     for _ in range(chance.randrange(1, 4)):
         cut = _life(chance, world)
@@ -210,7 +219,7 @@
     return "cut or killed, as it was told"
 
 
-def _life(chance: Random, world: World) -> bool:
+def _life(chance: Random, world: CrashSimulation) -> bool:
     """Whether the power went."""
     plan = world.disk.plan = Plan()
     begun, trouble = world.disk.count, chance.random()
@@ -232,22 +241,22 @@
     return False
 
 
-def _lied(chance: Random, world: World) -> str:
+def _lied(chance: Random, world: CrashSimulation) -> str:
     """A disk that said yes to syncs and did nothing: what is read is still nothing but what was given."""
     world.disk = world.disk.reboot(chance, chance.choice(SHARES))
     try:
         found = world.found()
-    except Unreadable:
+    except UnreadableFolderError:
         return "lied: refused"
     world.was_given(found)
     if found.sign.number >= world.floor:
         return "lied: nothing lost"
-    if not found.fresh and not older(found, [world.heard]):
-        raise Broken("lost what was told of, and what others have heard does not show it")
+    if not found.fresh and not rollback_reason(found, [world.heard]):
+        raise InvariantViolationError("lost what was told of, and what others have heard does not show it")
     return "lied: told changes lost, shown by others' word or an empty folder"
 
 
-def _flipped(chance: Random, world: World) -> str:
+def _flipped(chance: Random, world: CrashSimulation) -> str:
     before = world.found()
     if not before.read:
         return "cut or killed, as it was told"
@@ -257,36 +266,40 @@
     world.disk.flip(name, bit)
     try:
         found = world.found()
-    except Unreadable:
+    except UnreadableFolderError:
         return "flipped: refused"
     world.was_given(found)
     if found.sign.number >= world.floor:
         return "flipped: nothing told of was in it"
     proofs = [world.told_by.get(number, 0) for number, _ in later(data, bit // 8)]
     if any(told > found.sign.number for told in proofs):
-        raise Broken(f"a flipped bit is read over, and a later group was written when {max(proofs)} was told")
-    if not older(found, [world.heard]):
-        raise Broken("a flipped last group is lost, and what others have heard does not show it")
+        raise InvariantViolationError(
+            f"a flipped bit is read over, and a later group was written when {max(proofs)} was told"
+        )
+    if not rollback_reason(found, [world.heard]):
+        raise InvariantViolationError(
+            "a flipped last group is lost, and what others have heard does not show it"
+        )
     return "flipped in the last group: cut as a tail, shown by others' word alone"
 
 
-def _rolled_back(world: World, older_copy: MemoryDisk) -> str:
+def _rolled_back(world: CrashSimulation, older_copy: MemoryDisk) -> str:
     same = older_copy.names() == world.disk.names()
     world.disk = older_copy
     try:
         found = world.found()
-    except Unreadable:
+    except UnreadableFolderError:
         return "older copy: refused, as its files are others"
     if found.fresh:
         return "older copy: an empty folder"
-    if older(found, [world.heard]):
+    if rollback_reason(found, [world.heard]):
         return "older copy: shown by others' word alone"
     if not same and found.sign.number < world.floor:
-        raise Broken("an older copy is not known")
+        raise InvariantViolationError("an older copy is not known")
     return "older copy: nothing told of was later"
 
 
-def check_points(step: int, most: int, bug: Bug = NONE) -> int:
+def check_points(step: int, most: int, bug: Mutant = UNCHANGED) -> int:
     """Cuts of the scripted run, in all ways; their number. Raises Broken."""
     count = 0
     for (at, byte), (place, share) in itertools.product(points(step), enumerate(SHARES)):
@@ -301,11 +314,11 @@
 def _named(name: str, run: Callable, *arguments: object) -> str:
     try:
         return run(*arguments)
-    except (Broken, Unreadable) as error:
-        raise Broken(f"{name}: {error}") from None
+    except (InvariantViolationError, UnreadableFolderError) as error:
+        raise InvariantViolationError(f"{name}: {error}") from None
 
 
-def check_random(runs: int, seed: int, bug: Bug = NONE) -> dict[str, int]:
+def check_random(runs: int, seed: int, bug: Mutant = UNCHANGED) -> dict[str, int]:
     """Random runs of seeds from this one on; how many ended how. Raises Broken."""
     ends: dict[str, int] = collections.Counter()
     with bug.patch():
@@ -320,15 +333,15 @@
     parser.add_argument("--runs", type=int, default=10_000)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--points", type=int, default=0, help="cuts at each so many bytes; 0: none")
-    parser.add_argument("--planted", choices=[*PLANTED, ""], default="")
+    parser.add_argument("--planted", choices=[*MUTANTS, ""], default="")
     asked = parser.parse_args(words)
-    bug, begun = PLANTED.get(asked.planted, NONE), time.monotonic()
+    bug, begun = MUTANTS.get(asked.planted, UNCHANGED), time.monotonic()
     try:
         if asked.points:
             print(f"{check_points(asked.points, 10**9, bug):8} cuts of the scripted run")
         for end, count in sorted(check_random(asked.runs, asked.seed, bug).items()):
             print(f"{count:8} {end}")
-    except Broken as error:
+    except InvariantViolationError as error:
         print(f"broken: {error}")
         return 1
     print(f"{asked.runs} runs from seed {asked.seed}, {time.monotonic() - begun:.0f} s, nothing broken")
--- a/fawnwharf/durable_store/folder.py
+++ b/fawnwharf/durable_store/folder.py
@@ -9,11 +9,11 @@
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.file_writes import sync_folder, write_all
 
-LOCK = "durable.lock"
-AGAIN_S = 0.02  # pace of asking for a lock
+LOCK_FILE = "durable.lock"
+LOCK_RETRY_S = 0.02  # pace of asking for a lock
 
 
-class Folder:
+class DiskFolder:
     """One folder's files; keeps those open that it began. `ops.Files` says what each method does."""
 
     def __init__(self, path: str | Path) -> None:
@@ -70,7 +70,7 @@
             self._close(name)
 
 
-def lock(path: Path, create: bool = True, within_s: float = 0.0) -> int:
+def lock_folder(path: Path, create: bool = True, within_s: float = 0.0) -> int:
     """A descriptor that holds the folder's lock until it and its copies are closed; -1 where there is nothing
     to lock and nothing is to be created. Another's lock is asked for `within_s`. Raises DiskError."""
     try:
@@ -78,10 +78,10 @@
             path.mkdir(parents=True, exist_ok=True)
         elif not path.is_dir():
             raise DiskError(f"{path}: {'not a folder' if path.exists() else 'no such folder'}")
-        elif not (path / LOCK).exists():
+        elif not (path / LOCK_FILE).exists():
             return -1
         flags = (os.O_RDWR | os.O_CREAT) if create else os.O_RDONLY
-        found = os.open(path / LOCK, flags | os.O_CLOEXEC, 0o600)
+        found = os.open(path / LOCK_FILE, flags | os.O_CLOEXEC, 0o600)
     except FileExistsError:
         raise DiskError(f"{path}: not a folder") from None
     except OSError as error:
@@ -95,9 +95,9 @@
             if time.monotonic() >= end:
                 os.close(found)
                 raise DiskError(f"{path}: in use by a live process") from None
-        time.sleep(AGAIN_S)
+        time.sleep(LOCK_RETRY_S)
 
 
-def unlock(held: int) -> None:
+def unlock_folder(held: int) -> None:
     if held >= 0:
         os.close(held)
--- a/fawnwharf/durable_store/form.py
+++ b/fawnwharf/durable_store/form.py
@@ -16,16 +16,16 @@
 VERSION = 1
 SYNCED, SOON, HINT = "synced", "soon", "hint"
 SNAPSHOT, LOG = "snapshot", "log"
-BESIDE = ".new"
-GONE = b"null"
-ENTRY_BYTES = 24  # what an entry takes beside its kind, key and value
+TEMPORARY_SUFFIX = ".new"
+DELETED = b"null"
+ENTRY_OVERHEAD_BYTES = 24  # what an entry takes beside its kind, key and value
 _NAME = re.compile(r"^(?:snap-(\d{1,18})\.snap|log-(\d{1,18})\.seg)(\.new)?$")
 
-Key = tuple[str, str]
-Entries = dict[Key, bytes]
+EntryKey = tuple[str, str]
+Entries = dict[EntryKey, bytes]
 
 
-class Kind(Struct, frozen=True):
+class EntryKind(Struct, frozen=True):
     """One kind of what is kept: its mode, and its bounds."""
 
     name: Annotated[str, Meta(min_length=1, max_length=32)]
@@ -35,7 +35,7 @@
     reserved: bool = False  # taken also where all entries together have reached their bound
 
 
-class Limits(Struct, frozen=True):
+class StoreLimits(Struct, frozen=True):
     state_bytes: int = 16 * 1024 * 1024  # all entries together
     segment_bytes: int = 1024 * 1024  # past this, or the last snapshot's size, a new log follows
     piece_bytes: int = 256 * 1024  # of a snapshot, written between two groups
@@ -53,7 +53,7 @@
         return 8 * (self.state_bytes + self.segment_bytes)
 
 
-class Head(Struct, frozen=True):
+class FileHeader(Struct, frozen=True):
     """Whose file it is. `mark` tells this folder from one that the same member had before."""
 
     version: int
@@ -69,7 +69,7 @@
     repaired: str = ""  # why the folder was repaired, since when it holds what was left
 
 
-class Group(Struct, frozen=True, omit_defaults=True):
+class CommitGroup(Struct, frozen=True, omit_defaults=True):
     """What changed in a turn; null: the entry is gone. `synced`: up to which number all was on disk before
     this was written."""
 
@@ -79,15 +79,15 @@
     ended: bool = False
 
 
-class Piece(Struct, frozen=True):
+class SnapshotChunk(Struct, frozen=True):
     entries: list[tuple[str, str, msgspec.Raw]]
 
 
-class Foot(Struct, frozen=True):
+class SnapshotFooter(Struct, frozen=True):
     count: int
 
 
-def snap_name(seq: int) -> str:
+def snapshot_name(seq: int) -> str:
     return f"snap-{seq}.snap"
 
 
@@ -95,7 +95,7 @@
     return f"log-{seq}.seg"
 
 
-def parts(name: str) -> tuple[str, int, bool] | None:
+def parse_file_name(name: str) -> tuple[str, int, bool] | None:
     """What a file of this name is, its sequence number, whether it is finished; None: none of the store's."""
     found = _NAME.match(name)
     if found is None:
@@ -104,24 +104,24 @@
     return what, int(found[1] or found[2]), not found[3]
 
 
-def size(key: Key, value: bytes) -> int:
-    return len(key[0]) + len(key[1]) + len(value) + ENTRY_BYTES
+def entry_size(key: EntryKey, value: bytes) -> int:
+    return len(key[0]) + len(key[1]) + len(value) + ENTRY_OVERHEAD_BYTES
 
 
-def snapshot(entries: Entries, piece_bytes: int) -> Iterator[bytes]:
+def encode_snapshot(entries: Entries, piece_bytes: int) -> Iterator[bytes]:
     """A snapshot's records after its head, piece by piece."""
     number, piece, held = 1, [], 0
     for (kind, key), value in entries.items():
         piece.append((kind, key, msgspec.Raw(value)))
-        held += size((kind, key), value) + OVERHEAD
+        held += entry_size((kind, key), value) + OVERHEAD
         if held >= piece_bytes:
-            yield encode(number, Piece(piece))
+            yield encode(number, SnapshotChunk(piece))
             number, piece, held = number + 1, [], 0
-    yield encode(number, Piece(piece)) + encode(number + 1, Foot(len(entries)))
+    yield encode(number, SnapshotChunk(piece)) + encode(number + 1, SnapshotFooter(len(entries)))
 
 
-def group(
-    number: int, synced: int, at_ms: float, changes: Iterable[tuple[Key, bytes | None]], ended: bool
+def encode_group(
+    number: int, synced: int, at_ms: float, changes: Iterable[tuple[EntryKey, bytes | None]], ended: bool
 ) -> bytes:
-    rows = [(kind, key, msgspec.Raw(GONE if value is None else value)) for (kind, key), value in changes]
-    return encode(number, Group(synced, at_ms, rows, ended))
+    rows = [(kind, key, msgspec.Raw(DELETED if value is None else value)) for (kind, key), value in changes]
+    return encode(number, CommitGroup(synced, at_ms, rows, ended))
--- a/fawnwharf/durable_store/ops.py
+++ b/fawnwharf/durable_store/ops.py
@@ -8,24 +8,24 @@
 from msgspec import Struct
 
 
-class Begin(Struct, frozen=True, tag="Begin"):
+class CreateFile(Struct, frozen=True, tag="Begin"):
     """A new, empty file of this name; one that was there is emptied."""
 
     name: str
 
 
-class Append(Struct, frozen=True, tag="Append"):
+class AppendBytes(Struct, frozen=True, tag="Append"):
     name: str
     data: bytes
 
 
-class Sync(Struct, frozen=True, tag="Sync"):
+class SyncFile(Struct, frozen=True, tag="Sync"):
     """What was appended to it is on disk; whether the folder has its name is another matter."""
 
     name: str
 
 
-class Rename(Struct, frozen=True, tag="Rename"):
+class RenameFile(Struct, frozen=True, tag="Rename"):
     old: str
     new: str
 
@@ -34,27 +34,27 @@
     """Names and removals are on disk."""
 
 
-class Remove(Struct, frozen=True, tag="Remove"):
+class RemoveFile(Struct, frozen=True, tag="Remove"):
     """Nothing is asked of a file that is not there."""
 
     name: str
 
 
-Op = Begin | Append | Sync | Rename | SyncFolder | Remove
+DiskOperation = CreateFile | AppendBytes | SyncFile | RenameFile | SyncFolder | RemoveFile
 
 
-class Job(Struct, frozen=True):
-    ops: tuple[Op, ...]
+class DiskJob(Struct, frozen=True):
+    ops: tuple[DiskOperation, ...]
 
 
-class Outcome(Struct, frozen=True):
+class JobResult(Struct, frozen=True):
     """`failed` names what went wrong, empty: nothing. `inode` of the file that was begun last, or 0."""
 
     failed: str = ""
     inode: int = 0
 
 
-class Files(Protocol):
+class FileSystem(Protocol):
     """One folder. Every method may raise OSError."""
 
     def begin(self, name: str) -> int:
@@ -73,24 +73,24 @@
         """All of a file, and its inode."""
 
 
-def carry_out(files: Files, job: Job) -> Outcome:
+def execute_job(files: FileSystem, job: DiskJob) -> JobResult:
     inode = 0
     for op in job.ops:
         try:
             match op:
-                case Begin(name):
+                case CreateFile(name):
                     inode = files.begin(name)
-                case Append(name, data):
+                case AppendBytes(name, data):
                     files.append(name, data)
-                case Sync(name):
+                case SyncFile(name):
                     files.sync(name)
-                case Rename(old, new):
+                case RenameFile(old, new):
                     files.rename(old, new)
                 case SyncFolder():
                     files.sync_folder()
-                case Remove(name):
+                case RemoveFile(name):
                     files.remove(name)
         except OSError as error:
             which = getattr(op, "name", "") or getattr(op, "new", "") or "folder"
-            return Outcome(f"{which}: {error.strerror or error}")
-    return Outcome("", inode)
+            return JobResult(f"{which}: {error.strerror or error}")
+    return JobResult("", inode)
--- a/fawnwharf/durable_store/planted.py
+++ b/fawnwharf/durable_store/planted.py
@@ -5,35 +5,35 @@
 from unittest import mock
 
 from fawnwharf.consensus import records
-from fawnwharf.durable_store.core import Core
-from fawnwharf.durable_store.ops import Job, Rename, Sync, SyncFolder
+from fawnwharf.durable_store.core import StoreCore
+from fawnwharf.durable_store.ops import DiskJob, RenameFile, SyncFile, SyncFolder
 
-Bend = Callable[[Job], Job]
+Bend = Callable[[DiskJob], DiskJob]
 
 
-def straight(job: Job) -> Job:
+def straight(job: DiskJob) -> DiskJob:
     return job
 
 
-def _no_folder(job: Job) -> Job:
-    return Job(tuple(op for op in job.ops if not isinstance(op, SyncFolder)))
+def _no_folder(job: DiskJob) -> DiskJob:
+    return DiskJob(tuple(op for op in job.ops if not isinstance(op, SyncFolder)))
 
 
-def _early_rename(job: Job) -> Job:
+def _early_rename(job: DiskJob) -> DiskJob:
     """The name comes first, and a sync of what it names after it."""
-    names = {op.old: op.new for op in job.ops if isinstance(op, Rename)}
-    ops = [op for op in job.ops if not (isinstance(op, Sync) and op.name in names)]
-    return Job((*ops, *(Sync(new) for new in names.values())))
+    names = {op.old: op.new for op in job.ops if isinstance(op, RenameFile)}
+    ops = [op for op in job.ops if not (isinstance(op, SyncFile) and op.name in names)]
+    return DiskJob((*ops, *(SyncFile(new) for new in names.values())))
 
 
-def _early_word(job: Job) -> Job:
+def _early_word(job: DiskJob) -> DiskJob:
     """Groups are told of once they are written."""
-    if any(isinstance(op, Rename) for op in job.ops):
+    if any(isinstance(op, RenameFile) for op in job.ops):
         return job
-    return Job(tuple(op for op in job.ops if not isinstance(op, Sync)))
+    return DiskJob(tuple(op for op in job.ops if not isinstance(op, SyncFile)))
 
 
-class EarlyRemoval(Core):
+class EarlyRemoval(StoreCore):
     """Throws older files away before what takes their place is there."""
 
     def _anew(self):
@@ -41,7 +41,7 @@
         yield from super()._anew()
 
 
-class SyncsAgain(Core):
+class SyncsAgain(StoreCore):
     """Takes a failed sync for one that can be done again."""
 
     def done(self, now_ms, outcome):
@@ -55,10 +55,10 @@
         if again is None:
             return super().take(now_ms)
         self._step, self._step_ms = again, now_ms
-        return Job(tuple(op for op in again.job.ops if isinstance(op, Sync)))
+        return DiskJob(tuple(op for op in again.job.ops if isinstance(op, SyncFile)))
 
 
-class NoLooks(Core):
+class NoLooks(StoreCore):
     """Tells of no earlier sync, so that damage reads as a torn tail."""
 
     def _group(self, final=False):
@@ -76,22 +76,25 @@
         yield
 
 
-class Bug:
+class Mutant:
     """One planted bug: a way to bend jobs, another core, or a patch that holds during a run."""
 
     def __init__(
-        self, bend: Bend = straight, core: type[Core] = Core, patch: Callable = contextlib.nullcontext
+        self,
+        bend: Bend = straight,
+        core: type[StoreCore] = StoreCore,
+        patch: Callable = contextlib.nullcontext,
     ) -> None:
         self.bend, self.core, self.patch = bend, core, patch
 
 
-NONE = Bug()
-PLANTED = {
-    "no sync of the folder": Bug(bend=_no_folder),
-    "rename before sync": Bug(bend=_early_rename),
-    "told before sync": Bug(bend=_early_word),
-    "checksum over the number alone": Bug(patch=_number_alone),
-    "older files removed first": Bug(core=EarlyRemoval),
-    "a failed sync done again": Bug(core=SyncsAgain),
-    "damage read as a torn tail": Bug(core=NoLooks),
+UNCHANGED = Mutant()
+MUTANTS = {
+    "no sync of the folder": Mutant(bend=_no_folder),
+    "rename before sync": Mutant(bend=_early_rename),
+    "told before sync": Mutant(bend=_early_word),
+    "checksum over the number alone": Mutant(patch=_number_alone),
+    "older files removed first": Mutant(core=EarlyRemoval),
+    "a failed sync done again": Mutant(core=SyncsAgain),
+    "damage read as a torn tail": Mutant(core=NoLooks),
 }
--- a/fawnwharf/durable_store/service.py
+++ b/fawnwharf/durable_store/service.py
@@ -4,19 +4,19 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from fawnwharf.durable_store.store import Store, Told
+from fawnwharf.durable_store.store import CommitCallback, Store
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-FULL_PIPE_MS = 4.0  # pace of writing on to a writer that takes no more at the moment
+FULL_PIPE_RETRY_MS = 4.0  # pace of writing on to a writer that takes no more at the moment
 
-Note = Callable[[str, dict[str, Any]], None]
+LogCallback = Callable[[str, dict[str, Any]], None]
 
 
-class OnLoop:
+class EventLoopStore:
     """Owns the store's timer and its place in the selector; says when it stops and begins to be durable."""
 
-    def __init__(self, loop: Loop, store: Store, note: Note) -> None:
+    def __init__(self, loop: Loop, store: Store, note: LogCallback) -> None:
         """`store` writes by a `Writer`."""
         self.loop, self.store, self._note = loop, store, note
         self._timer: Timer | None = None
@@ -27,7 +27,7 @@
             self._watch(runner.incoming)
         loop.flush_later(self)
 
-    def put(self, kind: str, key: str, value: Any, told: Told | None = None) -> None:
+    def put(self, kind: str, key: str, value: Any, told: CommitCallback | None = None) -> None:
         """`Store.put`, now. What comes in one turn goes to disk together. Raises Refused."""
         self.store.put(monotonic_ms(), kind, key, value, told)
         self.loop.flush_later(self)
@@ -61,7 +61,7 @@
         if core.job_out:
             times.append(now_ms + core.limits.slow_ms)  # to see that it is slow
         if self.store.runner.unsent:
-            times.append(now_ms + FULL_PIPE_MS)
+            times.append(now_ms + FULL_PIPE_RETRY_MS)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/fawnwharf/durable_store/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -13,16 +13,23 @@
 
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import form as f
-from fawnwharf.durable_store.core import Core, Refused, Standing
-from fawnwharf.durable_store.folder import Folder, lock
-from fawnwharf.durable_store.ops import Files
-from fawnwharf.durable_store.reading import Found, Sign, Unreadable, older, read, used
-from fawnwharf.durable_store.writer import Runner, Writer
+from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore, StoreStatus
+from fawnwharf.durable_store.folder import DiskFolder, lock_folder
+from fawnwharf.durable_store.ops import FileSystem
+from fawnwharf.durable_store.reading import (
+    FolderPosition,
+    FolderState,
+    UnreadableFolderError,
+    files_in_use,
+    read_folder,
+    rollback_reason,
+)
+from fawnwharf.durable_store.writer import JobRunner, WriterProcess
 
-__all__ = ["Refused", "Store", "open_folder", "look"]
+__all__ = ["ChangeRejectedError", "Store", "inspect_folder", "open_store"]
 
-Told = Callable[[bool, str], None]  # whether it is on disk; if not, why that is unsure
-POLL_S = 0.005  # pace of looks at the writer while the store ends
+CommitCallback = Callable[[bool, str], None]  # whether it is on disk; if not, why that is unsure
+POLL_INTERVAL_S = 0.005  # pace of looks at the writer while the store ends
 
 
 def unix_ms() -> float:
@@ -33,11 +40,15 @@
     """Owns the core, the runner and who is told of which ticket."""
 
     def __init__(
-        self, core: Core, runner: Runner, found: Found, release: Callable[[], None] = lambda: None
+        self,
+        core: StoreCore,
+        runner: JobRunner,
+        found: FolderState,
+        release: Callable[[], None] = lambda: None,
     ) -> None:
         """`found`: what was there at the start; `release` gives the folder back."""
         self.core, self.runner, self.found, self._release = core, runner, found, release
-        self._told: dict[int, Told] = {}
+        self._told: dict[int, CommitCallback] = {}
 
     def get(self, kind: str, key: str) -> Any:
         """The entry as it was last put, on disk or not; None where there is none."""
@@ -48,7 +59,7 @@
         mine = [(key[1], value) for key, value in self.core.entries.items() if key[0] == kind]
         return [(key, msgspec.json.decode(value)) for key, value in mine]
 
-    def put(self, now_ms: float, kind: str, key: str, value: Any, told: Told | None = None) -> None:
+    def put(self, now_ms: float, kind: str, key: str, value: Any, told: CommitCallback | None = None) -> None:
         """The entry is this from now on; None: there is none. `told` is called once, from `turn`, and only
         for a `synced` kind. Raises Refused, and then nothing has changed."""
         ticket = self.core.put(now_ms, kind, key, value)
@@ -74,10 +85,10 @@
     def due_ms(self) -> float | None:
         return self.core.due_ms()
 
-    def standing(self, now_ms: float) -> Standing:
+    def standing(self, now_ms: float) -> StoreStatus:
         return self.core.standing(now_ms)
 
-    def sign(self) -> Sign:
+    def sign(self) -> FolderPosition:
         return self.core.sign()
 
     def close(self, clock: Callable[[], float], within_ms: float = 2_000.0) -> bool:
@@ -88,61 +99,73 @@
         while not self.core.ended and (now := clock()) < until:
             self.turn(now)
             if not self.core.ended:
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
         self.runner.close()
         self._release()
         return self.core.ended
 
 
-def look(files: Files, fleet: str, name: str, limits: f.Limits) -> Found:
+def inspect_folder(files: FileSystem, fleet: str, name: str, limits: f.StoreLimits) -> FolderState:
     """What the files of a folder hold. Raises Unreadable, OSError."""
     names = files.names()
-    order = used(names)
+    order = files_in_use(names)
     size = sum(names[each] for each in order)
     if size > limits.folder_bytes:
-        raise Unreadable("", f"{size} bytes, more than a folder of {limits.state_bytes} can have grown to")
-    return read({each: files.read(each) for each in order}, names, fleet, name)
-
-
-def made(
-    files: Files, runner: Runner, fleet: str, name: str, kinds: list[f.Kind], limits: f.Limits, boot: str,
-    draw: Callable[[], str], unix: Callable[[], float], empty_ok: bool, heard: Iterable[Sign] = (),
-    release: Callable[[], None] = lambda: None, core: type[Core] = Core,
-) -> Store:  # fmt: skip
+        raise UnreadableFolderError(
+            "", f"{size} bytes, more than a folder of {limits.state_bytes} can have grown to"
+        )
+    return read_folder({each: files.read(each) for each in order}, names, fleet, name)
+
+
+def create_store(
+    files: FileSystem,
+    runner: JobRunner,
+    fleet: str,
+    name: str,
+    kinds: list[f.EntryKind],
+    limits: f.StoreLimits,
+    boot: str,
+    draw: Callable[[], str],
+    unix: Callable[[], float],
+    empty_ok: bool,
+    heard: Iterable[FolderPosition] = (),
+    release: Callable[[], None] = lambda: None,
+    core: type[StoreCore] = StoreCore,
+) -> Store:
     """A store on any file system. Raises Unreadable, OSError."""
-    found = look(files, fleet, name, limits)
+    found = inspect_folder(files, fleet, name, limits)
     if found.fresh and not empty_ok:
-        raise Unreadable("", "empty, and this member is not said to be new")
-    if why := older(found, heard):
-        raise Unreadable(found.read[-1], why)
-    head = f.Head(
+        raise UnreadableFolderError("", "empty, and this member is not said to be new")
+    if why := rollback_reason(found, heard):
+        raise UnreadableFolderError(found.read[-1], why)
+    head = f.FileHeader(
         f.VERSION, fleet, name, found.sign.mark or draw(), found.sign.life + 1, boot, unix(), f.SNAPSHOT, 0,
         repaired=found.repaired,
     )  # fmt: skip
     return Store(core(limits, kinds, head, found, unix), runner, found, release)
 
 
-def open_folder(
-    path: str | Path, fleet: str, name: str, kinds: list[f.Kind], limits: f.Limits | None = None,
-    boot: str = "", empty_ok: bool = False, heard: Iterable[Sign] = (), within_s: float = 0.0,
+def open_store(
+    path: str | Path, fleet: str, name: str, kinds: list[f.EntryKind], limits: f.StoreLimits | None = None,
+    boot: str = "", empty_ok: bool = False, heard: Iterable[FolderPosition] = (), within_s: float = 0.0,
 ) -> Store:  # fmt: skip
     """The store in a folder. `boot` names this boot of the machine; `empty_ok`: the member is new; `heard`:
     how far others have heard that this folder had come; `within_s`: for so long the lock is asked for, as the
     writer of a process that was killed has it until its last job is done. Raises DiskError, one line that
     names path and cause, and has then changed nothing but made a folder that was not there."""
-    path, limits = Path(path), limits or f.Limits()
-    held = lock(path, within_s=within_s)
-    writer = Writer(path, held)
+    path, limits = Path(path), limits or f.StoreLimits()
+    held = lock_folder(path, within_s=within_s)
+    writer = WriterProcess(path, held)
     try:
-        store = made(
-            Folder(path), writer, fleet, name, kinds, limits, boot, lambda: os.urandom(8).hex(),
+        store = create_store(
+            DiskFolder(path), writer, fleet, name, kinds, limits, boot, lambda: os.urandom(8).hex(),
             unix_ms, empty_ok, heard, lambda: os.close(held),
         )  # fmt: skip
         writer.begin()
         return store
-    except (Unreadable, OSError) as error:
+    except (UnreadableFolderError, OSError) as error:
         os.close(held)
-        if isinstance(error, Unreadable):
+        if isinstance(error, UnreadableFolderError):
             text = f"{path / error.name if error.name else path}: {error.why}"
         else:
             text = f"{error.filename or path}: {error.strerror}"
--- a/fawnwharf/durable_store/writer.py
+++ b/fawnwharf/durable_store/writer.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
-from fawnwharf.durable_store.folder import Folder
-from fawnwharf.durable_store.ops import Job, Outcome, carry_out
+from fawnwharf.durable_store.folder import DiskFolder
+from fawnwharf.durable_store.ops import DiskJob, JobResult, execute_job
 
 _LENGTH = struct.Struct(">I")
-READ_MOST = 64 * 1024
+MAX_READ_BYTES = 64 * 1024
 
 # Without the package's own first lines, which bring all decisions along: less to start, less to hold.
 _PROGRAM = """
@@ -33,15 +33,15 @@
 importlib.import_module(sys.argv[3]).main(sys.argv[2])
 """
 # For tests alone: the module whose `main` is run in this one's place, as one that loses what was not synced.
-INSTEAD = "FAWNWHARF_TEST_WRITER"
+TEST_WRITER_VARIABLE = "FAWNWHARF_TEST_WRITER"
 
 
-class Runner(Protocol):
+class JobRunner(Protocol):
     """Carries out one job at a time."""
 
-    def start(self, job: Job) -> None: ...
+    def start(self, job: DiskJob) -> None: ...
 
-    def poll(self) -> Outcome | None:
+    def poll(self) -> JobResult | None:
         """The outcome of the job that is out, once; None while there is none. Never blocks."""
 
     @property
@@ -51,7 +51,7 @@
     def close(self) -> None: ...
 
 
-class Writer:
+class WriterProcess:
     """A process that carries out jobs; begun when there is one, and again after it has ended."""
 
     def __init__(self, path: Path, lock: int) -> None:
@@ -67,7 +67,7 @@
         """What is readable once an outcome is there; another one after the process ended."""
         return self.process.stdout if self.process else None
 
-    def start(self, job: Job) -> None:
+    def start(self, job: DiskJob) -> None:
         data = msgspec.msgpack.encode(job)
         self._out = bytearray(_LENGTH.pack(len(data)) + data)
         self._in.clear()
@@ -84,7 +84,7 @@
             self._failed = f"no writer: {error.strerror}"
 
     def _begin(self) -> None:
-        module = os.environ.get(INSTEAD) or __name__
+        module = os.environ.get(TEST_WRITER_VARIABLE) or __name__
         command = [sys.executable, "-c", _PROGRAM, str(Path(__file__).parent.parent), str(self.path), module]
         self.process = subprocess.Popen(
             command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, bufsize=0, pass_fds=[self._lock],
@@ -104,16 +104,16 @@
         except OSError as error:
             self._gone(f"the writer ended: {error.strerror}")
 
-    def poll(self) -> Outcome | None:
+    def poll(self) -> JobResult | None:
         if self._failed:
             failed, self._failed = self._failed, ""
-            return Outcome(failed)
+            return JobResult(failed)
         if self.process is None:
             return None
         if self._out:
             self._push()
         try:
-            data = os.read(self.process.stdout.fileno(), READ_MOST)
+            data = os.read(self.process.stdout.fileno(), MAX_READ_BYTES)
         except BlockingIOError:
             return None
         except OSError as error:
@@ -124,7 +124,7 @@
         self._in += data
         if len(self._in) < _LENGTH.size or len(self._in) < _LENGTH.size + _LENGTH.unpack_from(self._in)[0]:
             return None
-        found = msgspec.msgpack.decode(bytes(self._in[_LENGTH.size :]), type=Outcome)
+        found = msgspec.msgpack.decode(bytes(self._in[_LENGTH.size :]), type=JobResult)
         self._in.clear()
         return found
 
@@ -163,11 +163,11 @@
 
 def main(path: str) -> None:
     """Serves jobs until its input ends."""
-    files = Folder(path)
-    serve(lambda job: carry_out(files, job))
+    files = DiskFolder(path)
+    serve(lambda job: execute_job(files, job))
 
 
-def serve(carry: Callable[[Job], Outcome]) -> None:
+def serve(carry: Callable[[DiskJob], JobResult]) -> None:
     """Has each job carried out, until the input ends."""
     for number in (signal.SIGINT, signal.SIGTERM):  # its front end says when it ends
         signal.signal(number, signal.SIG_IGN)
@@ -176,7 +176,7 @@
         data = _whole(jobs, _LENGTH.unpack(head)[0])
         if not data:
             return
-        answer = msgspec.msgpack.encode(carry(msgspec.msgpack.decode(data, type=Job)))
+        answer = msgspec.msgpack.encode(carry(msgspec.msgpack.decode(data, type=DiskJob)))
         try:
             sys.stdout.buffer.write(_LENGTH.pack(len(answer)) + answer)
             sys.stdout.buffer.flush()
--- a/fawnwharf/fakes/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -18,11 +18,13 @@
 from msgspec import Struct
 
 from fawnwharf.durable_store import writer
-from fawnwharf.durable_store.ops import Job, Outcome, carry_out
+from fawnwharf.durable_store.ops import DiskJob, JobResult, execute_job
 
 BLOCK = 64  # bytes that are on the disk together, as on the disk in memory
 VARIABLE = "FAWNWHARF_LOSSY"
-SAYS = {writer.INSTEAD: "fawnwharf.fakes.lossy"}  # the environment that puts it in the writer's place
+SAYS = {
+    writer.TEST_WRITER_VARIABLE: "fawnwharf.fakes.lossy"
+}  # the environment that puts it in the writer's place
 
 
 class Lossy(Struct, frozen=True, forbid_unknown_fields=True):
@@ -171,16 +173,16 @@
     folder, pid = Path(asked.folder), os.getpid()
     files = LossyFolder(path, folder / f"cache-{pid}")
 
-    def carry(job: Job) -> Outcome:
-        return carry_out(files, job)
+    def carry(job: DiskJob) -> JobResult:
+        return execute_job(files, job)
 
     if asked.bug:
-        from fawnwharf.durable_store.planted import PLANTED
+        from fawnwharf.durable_store.planted import MUTANTS
 
-        bend = PLANTED[asked.bug].bend
+        bend = MUTANTS[asked.bug].bend
 
-        def carry(job: Job) -> Outcome:
-            return carry_out(files, bend(job))
+        def carry(job: DiskJob) -> JobResult:
+            return execute_job(files, bend(job))
 
     def power(_number: int, _frame: object) -> None:
         files.tear(random.Random(f"{asked.seed}/{path}"), asked.share)
--- a/fawnwharf/recovery_core/alone.py
+++ b/fawnwharf/recovery_core/alone.py
@@ -9,10 +9,10 @@
 from enum import Enum
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.recovery_core.stages import AllowedActions
 
 
-class Alone(Enum):
+class CallDecision(Enum):
     """What becomes of a call."""
 
     SERVE = "serve"
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class CallKnowledge:
     """What this front end knows of a call.
 
     Windows count from its start, as scorers may have lost power with it and remember no key.
@@ -32,7 +32,7 @@
     since_start_ms: float = 0.0
 
 
-def call(effect: io.Effect, standing: Standing, window_ms: float) -> Alone:
+def decide_call(effect: io.Effect, standing: CallKnowledge, window_ms: float) -> CallDecision:
     """What to do with a call.
 
     `window_ms` is for how long a repeat of a keyed call may come, by the slowest clock. An at-most-once call
@@ -41,15 +41,15 @@
     repeats are over, it is treated as at most once.
     """
     if standing.known:
-        return Alone.ANSWER
+        return CallDecision.ANSWER
     if effect is io.Effect.SAFE or standing.granted:
-        return Alone.SERVE
+        return CallDecision.SERVE
     if effect is io.Effect.KEYED and standing.since_start_ms >= window_ms:
-        return Alone.SERVE
-    return Alone.LATER
+        return CallDecision.SERVE
+    return CallDecision.LATER
 
 
-def part(mine: int, members: int) -> float:
+def budget_share(mine: int, members: int) -> float:
     """The part of the fleet's budgets for `mine` front ends that hear each other: their share of the list.
 
     Whoever else is up does the same.
@@ -57,7 +57,9 @@
     return min(1.0, mine / max(1, members))
 
 
-def allowed(worths: Mapping[str, float], mine: int, members: int, rostered: bool, asked: bool) -> Allowed:
+def allowed_when_partitioned(
+    worths: Mapping[str, float], mine: int, members: int, rostered: bool, asked: bool
+) -> AllowedActions:
     """What a front end may do while it is alone.
 
     `rostered`: some scorers came up when dialled, or the roster was heard. `status` is good then, once the
@@ -66,11 +68,11 @@
     loads and spillover.
     """
     able = rostered and asked
-    return Allowed(
+    return AllowedActions(
         status=able,
         repeats=asked,
         classes=frozenset(worths) if able else frozenset(),
         loads=able,
-        part=part(mine, members),
+        part=budget_share(mine, members),
         alone=True,
     )
--- a/fawnwharf/recovery_core/asking.py
+++ b/fawnwharf/recovery_core/asking.py
@@ -13,14 +13,14 @@
 
 from msgspec import Meta, Struct
 
-from fawnwharf.recovery_core.trust import Others
+from fawnwharf.recovery_core.trust import MajorityAnswer
 from fawnwharf.replication.placement import weight
 from fawnwharf.zones.settings import Name
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
 
 
-class What(IntEnum):
+class QueryTopic(IntEnum):
     """What is asked, in this order."""
 
     MEMBERS = 0
@@ -30,7 +30,7 @@
     USE = 4
 
 
-class Of(Enum):
+class QueryTarget(Enum):
     """Who is asked."""
 
     VOTERS = "voters"
@@ -38,7 +38,7 @@
     LOG = "change log"
 
 
-class Need(Enum):
+class AnswersNeeded(Enum):
     """How many answers are needed."""
 
     MAJORITY = "of all on the list, itself counted where it is one of them"
@@ -46,7 +46,7 @@
     ONE = "any"
 
 
-class Stand(Enum):
+class QueryState(Enum):
     """How far a question has come."""
 
     AHEAD = "not asked yet"
@@ -56,33 +56,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class QueryStep:
     """How one question is asked, and what it is to go on without an answer."""
 
-    of: Of
-    need: Need
+    of: QueryTarget
+    need: AnswersNeeded
     bound_ms: float
     without: str  # the level at which it goes on
 
 
-STEPS: Mapping[What, Step] = {
-    What.MEMBERS: Step(
-        Of.VOTERS, Need.MAJORITY, 600.0, "its own file of members is a hint: nothing that takes a majority"
+QUERY_STEPS: Mapping[QueryTopic, QueryStep] = {
+    QueryTopic.MEMBERS: QueryStep(
+        QueryTarget.VOTERS,
+        AnswersNeeded.MAJORITY,
+        600.0,
+        "its own file of members is a hint: nothing that takes a majority",
     ),
-    What.PLAN: Step(
-        Of.VOTERS, Need.MAJORITY, 1_500.0, "no plan; the stricter of the policy on its disk and the floor"
+    QueryTopic.PLAN: QueryStep(
+        QueryTarget.VOTERS,
+        AnswersNeeded.MAJORITY,
+        1_500.0,
+        "no plan; the stricter of the policy on its disk and the floor",
     ),
-    What.PROMISES: Step(
-        Of.KEEPERS, Need.ALL, 1_000.0, "grants nothing until all that it may have granted is over"
+    QueryTopic.PROMISES: QueryStep(
+        QueryTarget.KEEPERS,
+        AnswersNeeded.ALL,
+        1_000.0,
+        "grants nothing until all that it may have granted is over",
     ),
-    What.ROSTER: Step(
-        Of.LOG, Need.ONE, 1_000.0, "addresses of the last roster that come up when dialled, all cold"
+    QueryTopic.ROSTER: QueryStep(
+        QueryTarget.LOG,
+        AnswersNeeded.ONE,
+        1_000.0,
+        "addresses of the last roster that come up when dialled, all cold",
+    ),
+    QueryTopic.USE: QueryStep(
+        QueryTarget.KEEPERS, AnswersNeeded.ONE, 400.0, "an even part of each budget, functions by worth alone"
     ),
-    What.USE: Step(Of.KEEPERS, Need.ONE, 400.0, "an even part of each budget, functions by worth alone"),
 }
 
 
-class Ask(Struct, frozen=True, tag="Ask"):
+class Query(Struct, frozen=True, tag="Ask"):
     """A question.
 
     `life` and `turn` come back with the answer: what an earlier incarnation asked is not answered to this
@@ -109,15 +123,15 @@
     leased: bool = False  # a leader's word, under its lease, that this is the last one
 
 
-class Say(Struct, frozen=True):
+class SendQuery(Struct, frozen=True):
     """Effect: send a question."""
 
     to: str
-    message: Ask
+    message: Query
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class QueryPace:
     """How fast questions are repeated and spread."""
 
     again_ms: float = 200.0  # what is not answered is asked again
@@ -126,13 +140,13 @@
 
 @dataclass(slots=True)
 class _Open:
-    stand: Stand = Stand.AHEAD
+    stand: QueryState = QueryState.AHEAD
     since_ms: float = 0.0
     again_ms: float = 0.0
     answers: dict[str, Answer] = field(default_factory=dict)
 
 
-class Asking:
+class StartupQueries:
     """Owns what one incarnation of a front end has asked, and the answers."""
 
     def __init__(
@@ -140,11 +154,11 @@
         me: str,
         fleet: str,
         life: int,
-        lists: Mapping[Of, tuple[str, ...]],
+        lists: Mapping[QueryTarget, tuple[str, ...]],
         now_ms: float,
-        own: Mapping[What, tuple[int, str]] | None = None,
-        pace: Pace | None = None,
-        steps: Mapping[What, Step] = STEPS,
+        own: Mapping[QueryTopic, tuple[int, str]] | None = None,
+        pace: QueryPace | None = None,
+        steps: Mapping[QueryTopic, QueryStep] = QUERY_STEPS,
     ) -> None:
         """`lists`: all that there are by the file of members, up or not.
 
@@ -153,42 +167,42 @@
         """
         self.me, self.fleet, self.life = me, fleet, life
         self.lists, self.own, self.steps = dict(lists), dict(own or {}), steps
-        self.pace = pace or Pace()
+        self.pace = pace or QueryPace()
         self.turn = 0
         self.behind = 0  # the largest number of a file of members that a voter went by, beyond the own one
         self.dropped: dict[str, int] = {}
-        self.opens = {what: _Open() for what in What}
+        self.opens = {what: _Open() for what in QueryTopic}
         self.lives: dict[str, int] = {}
-        self._begin(now_ms, What.MEMBERS)
+        self._begin(now_ms, QueryTopic.MEMBERS)
 
     # --- what stands ----------------------------------------------------------------------------
 
-    def stand(self, what: What) -> Stand:
+    def stand(self, what: QueryTopic) -> QueryState:
         """How far a question has come."""
         return self.opens[what].stand
 
     @property
     def done(self) -> bool:
         """Whether nothing is waited for any more."""
-        return all(o.stand in (Stand.ANSWERED, Stand.WITHOUT) for o in self.opens.values())
+        return all(o.stand in (QueryState.ANSWERED, QueryState.WITHOUT) for o in self.opens.values())
 
-    def without(self) -> dict[What, str]:
+    def without(self) -> dict[QueryTopic, str]:
         """The levels at which it goes on, as far as they are lower than they might be."""
-        return {w: self.steps[w].without for w, o in self.opens.items() if o.stand is Stand.WITHOUT}
+        return {w: self.steps[w].without for w, o in self.opens.items() if o.stand is QueryState.WITHOUT}
 
-    def others(self, what: What) -> Others:
+    def others(self, what: QueryTopic) -> MajorityAnswer:
         """What those asked say of the own copy, for `trust`."""
         open_ = self.opens[what]
-        if open_.stand is not Stand.ANSWERED:
-            return Others.SILENT
+        if open_.stand is not QueryState.ANSWERED:
+            return MajorityAnswer.SILENT
         leased = [a for a in open_.answers.values() if a.leased]
         said = [(a.number, a.digest) for a in leased or open_.answers.values()]
         number, digest = self.own.get(what, (0, ""))
         most = max((n for n, _ in said), default=0)
         if most > number:
-            return Others.LATER
+            return MajorityAnswer.LATER
         same = all(d == digest for n, d in said if n == number)
-        return Others.SAME if same else Others.OTHER
+        return MajorityAnswer.SAME if same else MajorityAnswer.OTHER
 
     # --- time -----------------------------------------------------------------------------------
 
@@ -196,44 +210,44 @@
         """When `tick` is wanted; None where all is answered."""
         dues = []
         for what, o in self.opens.items():
-            if o.stand is Stand.WAITING:
+            if o.stand is QueryState.WAITING:
                 dues.append(o.since_ms + self.steps[what].bound_ms)
-            if o.stand in (Stand.WAITING, Stand.WITHOUT):
+            if o.stand in (QueryState.WAITING, QueryState.WITHOUT):
                 dues.append(o.again_ms)
         return min(dues, default=None)
 
-    def tick(self, now_ms: float) -> list[Say]:
+    def tick(self, now_ms: float) -> list[SendQuery]:
         """Do what is due; call it at `due_ms` at the latest."""
-        said: list[Say] = []
+        said: list[SendQuery] = []
         for what, o in self.opens.items():
-            if o.stand is Stand.WAITING and now_ms >= o.since_ms + self.steps[what].bound_ms:
-                o.stand = Stand.WITHOUT
+            if o.stand is QueryState.WAITING and now_ms >= o.since_ms + self.steps[what].bound_ms:
+                o.stand = QueryState.WITHOUT
                 self._next(now_ms, what)
-            if o.stand in (Stand.WAITING, Stand.WITHOUT) and now_ms >= o.again_ms:
-                o.again_ms = now_ms + self.pace.again_ms * (1 if o.stand is Stand.WAITING else 5)
+            if o.stand in (QueryState.WAITING, QueryState.WITHOUT) and now_ms >= o.again_ms:
+                o.again_ms = now_ms + self.pace.again_ms * (1 if o.stand is QueryState.WAITING else 5)
                 said += self._ask(what)
         return said
 
-    def _begin(self, now_ms: float, what: What) -> None:
+    def _begin(self, now_ms: float, what: QueryTopic) -> None:
         o = self.opens[what]
         part = weight(self.me, str(self.life), what.name) / 2**64
-        o.stand, o.since_ms, o.again_ms = Stand.WAITING, now_ms, now_ms + part * self.pace.spread_ms
+        o.stand, o.since_ms, o.again_ms = QueryState.WAITING, now_ms, now_ms + part * self.pace.spread_ms
         self._look(now_ms, what)
 
-    def _next(self, now_ms: float, what: What) -> None:
-        for later in What:
-            if later > what and self.opens[later].stand is Stand.AHEAD:
+    def _next(self, now_ms: float, what: QueryTopic) -> None:
+        for later in QueryTopic:
+            if later > what and self.opens[later].stand is QueryState.AHEAD:
                 self._begin(now_ms, later)
                 return
 
-    def _targets(self, what: What) -> list[str]:
+    def _targets(self, what: QueryTopic) -> list[str]:
         return [name for name in self.lists.get(self.steps[what].of, ()) if name != self.me]
 
-    def _ask(self, what: What) -> list[Say]:
+    def _ask(self, what: QueryTopic) -> list[SendQuery]:
         self.turn += 1
-        ask = Ask(self.fleet, self.life, self.turn, int(what))
+        ask = Query(self.fleet, self.life, self.turn, int(what))
         heard = self.opens[what].answers
-        return [Say(to, ask) for to in self._targets(what) if to not in heard]
+        return [SendQuery(to, ask) for to in self._targets(what) if to not in heard]
 
     # --- answers --------------------------------------------------------------------------------
 
@@ -242,25 +256,25 @@
         if why := self._unfit(sender, answer):
             self.dropped[why] = self.dropped.get(why, 0) + 1
             return
-        what = What(answer.what)
+        what = QueryTopic(answer.what)
         if answer.sender_life > self.lives.get(sender, 0):
             self.lives[sender] = answer.sender_life
             for o in self.opens.values():  # what its earlier life said, it may have said of what is lost
-                if o.stand is not Stand.ANSWERED:
+                if o.stand is not QueryState.ANSWERED:
                     o.answers.pop(sender, None)
         if not answer.sure:
             return  # heard, and no word on it
         self.opens[what].answers[sender] = answer
-        if what is What.MEMBERS and answer.number > self.own.get(what, (0, ""))[0]:
+        if what is QueryTopic.MEMBERS and answer.number > self.own.get(what, (0, ""))[0]:
             self.behind = max(self.behind, answer.number)
         self._look(now_ms, what)
 
-    def ask_one(self, to: str, what: What) -> Say:
+    def ask_one(self, to: str, what: QueryTopic) -> SendQuery:
         """Ask one again, whatever came so far: an answer tells at least that it knows of this incarnation."""
         self.turn += 1
-        return Say(to, Ask(self.fleet, self.life, self.turn, int(what)))
+        return SendQuery(to, Query(self.fleet, self.life, self.turn, int(what)))
 
-    def knows(self, now_ms: float, what: What) -> None:
+    def knows(self, now_ms: float, what: QueryTopic) -> None:
         """Take that it has the answer by itself, and need not wait for the others."""
         if what not in self.own:
             self.own[what] = (0, "")
@@ -271,29 +285,29 @@
             return "another fleet's"
         if answer.life != self.life or answer.turn > self.turn:
             return "to another life"
-        if answer.what not in list(What) or sender not in self._targets(What(answer.what)):
+        if answer.what not in list(QueryTopic) or sender not in self._targets(QueryTopic(answer.what)):
             return "not asked"
         if answer.sender_life < self.lives.get(sender, 0):
             return "of an earlier life"
         return ""
 
-    def _look(self, now_ms: float, what: What) -> None:
+    def _look(self, now_ms: float, what: QueryTopic) -> None:
         """Whether that is enough, and what comes next then."""
         o = self.opens[what]
-        if o.stand in (Stand.AHEAD, Stand.ANSWERED) or not self._enough(what):
+        if o.stand in (QueryState.AHEAD, QueryState.ANSWERED) or not self._enough(what):
             return
-        waited, o.stand = o.stand is Stand.WAITING, Stand.ANSWERED
+        waited, o.stand = o.stand is QueryState.WAITING, QueryState.ANSWERED
         if waited:
             self._next(now_ms, what)
 
-    def _enough(self, what: What) -> bool:
+    def _enough(self, what: QueryTopic) -> bool:
         need, answers = self.steps[what].need, self.opens[what].answers
         if any(a.leased for a in answers.values()):
             return True
         everyone = self.lists.get(self.steps[what].of, ())
-        if need is Need.MAJORITY:
+        if need is AnswersNeeded.MAJORITY:
             mine = self.me in everyone and what in self.own
             return 2 * (len(answers) + mine) > len(everyone)
-        if need is Need.ALL:
+        if need is AnswersNeeded.ALL:
             return what in self.own or all(name in answers for name in everyone if name != self.me)
         return bool(answers)
--- a/fawnwharf/recovery_core/budget.py
+++ b/fawnwharf/recovery_core/budget.py
@@ -14,14 +14,14 @@
 from fawnwharf import interface as io
 from fawnwharf.replication.placement import weight
 
-FUNCTIONS_MOST = 20_000  # wanted of one loader
-WARD_MOST = 4_096  # calls given out within a window, of one scorer
-TICKET_MS = 50.0  # a ticket is used within so long, or not at all
-SAFETY = 0.9  # of a cold scorer's room; the rest is for what was sent as its warden changed
+MAX_LOAD_REQUESTS = 20_000  # wanted of one loader
+MAX_PERMITS = 4_096  # calls given out within a window, of one scorer
+PERMIT_MS = 50.0  # a ticket is used within so long, or not at all
+SAFETY_FACTOR = 0.9  # of a cold scorer's room; the rest is for what was sent as its warden changed
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class FleetLimits:
     """What the fleet may do at once.
 
     `fetches` is how many concurrent loads the store takes well, `scorer_rps` what a warm scorer is sent
@@ -47,16 +47,16 @@
         At least one, as it would never be used otherwise.
         """
         usual = self.scorer_rps * self.fall_ms / 1000.0
-        return max(1, int(SAFETY * self.fall_multiple * self.warmth(age_ms) * usual))
+        return max(1, int(SAFETY_FACTOR * self.fall_multiple * self.warmth(age_ms) * usual))
 
     def calls_rps(self, ages_ms: Iterable[float]) -> float:
         """What scorers of these ages take together per second, at their usual pace."""
         return sum(self.warmth(age) for age in ages_ms) * self.scorer_rps
 
 
-def limits_from(settings: io.Settings, fetches: int, scorer_rps: float) -> Limits:
+def fleet_limits(settings: io.Settings, fetches: int, scorer_rps: float) -> FleetLimits:
     """The limits by the site's settings and these two numbers."""
-    return Limits(
+    return FleetLimits(
         fetches=max(1, fetches),
         scorer_rps=scorer_rps,
         cold_ms=settings.cold_ms,
@@ -70,7 +70,7 @@
 # --- who gives out what ---------------------------------------------------------------------
 
 
-def loaders(heard: Iterable[str], most: int, cut: int) -> tuple[str, ...]:
+def choose_load_coordinators(heard: Iterable[str], most: int, cut: int) -> tuple[str, ...]:
     """The load coordinators, one fetch at a time each: as many as the store takes fetches.
 
     Another power loss chooses others.
@@ -78,23 +78,23 @@
     return tuple(sorted(set(heard), key=lambda name: (-weight("loader", str(cut), name), name))[:most])
 
 
-def loader_of(function: str, chosen: tuple[str, ...]) -> str:
+def load_coordinator_of(function: str, chosen: tuple[str, ...]) -> str:
     """The load coordinator of a function, of those that are chosen; empty for none."""
     return max(chosen, key=lambda name: (weight("loads", name, function), name), default="")
 
 
-def warden_of(scorer: str, heard: Iterable[str]) -> str:
+def slow_start_coordinator_of(scorer: str, heard: Iterable[str]) -> str:
     """The slow start coordinator of a scorer, of those that are heard; empty for none."""
     return max(heard, key=lambda name: (weight("warden", name, scorer), name), default="")
 
 
-def part_ms(me: str, cut: int, spread_ms: float) -> float:
+def start_offset_ms(me: str, cut: int, spread_ms: float) -> float:
     """By how much this front end starts its loads later than the first, so that they do not start in step."""
     return weight("start", str(cut), me) / 2**64 * spread_ms
 
 
 @dataclass(slots=True)
-class Loader:
+class LoadCoordinator:
     """Owns the load requests of one load coordinator, by their worth, and its fetches in progress."""
 
     at_a_time: int = 1
@@ -114,7 +114,7 @@
         """
         if function in self.stands or function in self.under_way:
             return
-        if function not in self.wants and len(self.wants) >= FUNCTIONS_MOST:
+        if function not in self.wants and len(self.wants) >= MAX_LOAD_REQUESTS:
             self.dropped += 1
             return
         if function not in self.wants:
@@ -145,7 +145,7 @@
         if good:
             self.fetch_ms += 0.2 * (took_ms - self.fetch_ms)
             if (
-                len(self.stands) < FUNCTIONS_MOST
+                len(self.stands) < MAX_LOAD_REQUESTS
             ):  # one that is not noted is ordered again, and stands at once
                 self.stands.add(function)
         else:
@@ -165,10 +165,10 @@
 
 
 @dataclass(slots=True)
-class Warden:
+class SlowStartCoordinator:
     """Owns the calls of some cold scorers: each is handed out to one front end at a time."""
 
-    limits: Limits
+    limits: FleetLimits
     given: dict[str, deque[float]] = field(default_factory=dict)
     since: dict[str, float] = field(default_factory=dict)  # warden of it from then on
 
@@ -178,14 +178,14 @@
         Permits of one window count for `TICKET_MS` longer, as they may be used late. A new coordinator does
         not know what the one before handed out, and waits that long.
         """
-        span_ms = self.limits.fall_ms + TICKET_MS
+        span_ms = self.limits.fall_ms + PERMIT_MS
         since = self.since.setdefault(scorer, now_ms)
         if now_ms - since < span_ms:
             return max(1.0, span_ms - (now_ms - since))
         given = self.given.setdefault(scorer, deque())
         while given and given[0] <= now_ms - span_ms:
             given.popleft()
-        if len(given) >= min(WARD_MOST, self.limits.room(age_ms)):
+        if len(given) >= min(MAX_PERMITS, self.limits.room(age_ms)):
             return max(1.0, given[0] + span_ms - now_ms)
         given.append(now_ms)
         return 0.0
@@ -201,14 +201,14 @@
 
 
 @dataclass(slots=True)
-class Doors:
+class AdmissionRateLimiter:
     """Early refusal: calls beyond the rate are told when their turn is, each a turn of its own.
 
     Advice is honest: nobody is told a time before which nothing can be free. What is longer than clients
     accept is spread over the later half of what they accept.
     """
 
-    limits: Limits
+    limits: FleetLimits
     rate_ps: float = 0.0  # calls a second that are let in; 0: none
     burst_ms: float = 500.0
     tokens: float = 0.0
@@ -255,7 +255,7 @@
         return wait_ms
 
 
-def first_classes(worths: Mapping[str, float]) -> frozenset[str]:
+def priority_classes(worths: Mapping[str, float]) -> frozenset[str]:
     """The classes worth most: the upper half of the different worths, never all unless there is but one."""
     tiers = sorted(set(worths.values()), reverse=True)
     upper = tiers[: max(1, len(tiers) // 2)]
--- a/fawnwharf/recovery_core/planned.py
+++ b/fawnwharf/recovery_core/planned.py
@@ -6,9 +6,32 @@
 
 from fawnwharf.interface import Effect
 from fawnwharf.recovery_core import alone
-from fawnwharf.recovery_core.budget import Doors, Loader, Warden, loaders, part_ms
-from fawnwharf.recovery_core.stages import Allowed, Conductor, Decide, Register, Seen, Stage, Timing, allowed
-from fawnwharf.recovery_core.world import KINDS, SITE, WORTHS, Front, Scene, Try, World
+from fawnwharf.recovery_core.budget import (
+    AdmissionRateLimiter,
+    LoadCoordinator,
+    SlowStartCoordinator,
+    choose_load_coordinators,
+    start_offset_ms,
+)
+from fawnwharf.recovery_core.stages import (
+    AllowedActions,
+    FleetObservation,
+    PhaseTiming,
+    ProposeRegister,
+    RecoveryCoordinator,
+    RecoveryPhase,
+    RecoveryRegister,
+    allowed_in_phase,
+)
+from fawnwharf.recovery_core.world import (
+    FUNCTION_KINDS,
+    PRIORITY_WEIGHTS,
+    SITE,
+    CallAttempt,
+    FrontEnd,
+    Scenario,
+    UncoordinatedFleet,
+)
 from fawnwharf.replication.placement import weight
 
 ASKS_MS, ELECTS_MS, TICK_MS, CHOOSE_MS = 2_000.0, 2_000.0, 250.0, 2_000.0
@@ -16,20 +39,20 @@
 KEPT_BACK = 0.3  # of the burst at a door, for the classes worth most
 
 
-class Planned(World):
+class CoordinatedFleet(UncoordinatedFleet):
     """Owns what is decided together, and who hands out what."""
 
-    def __init__(self, scene: Scene, seed: int) -> None:
+    def __init__(self, scene: Scenario, seed: int) -> None:
         super().__init__(scene, seed)
-        self.doors = {front.name: Doors(self.limits) for front in self.fronts}
-        self.wardens: dict[str, Warden] = {}
+        self.doors = {front.name: AdmissionRateLimiter(self.limits) for front in self.fronts}
+        self.wardens: dict[str, SlowStartCoordinator] = {}
         self.warden = [("", -1)] * len(self.scorers)  # of each scorer: the front end, and its lot
         self.began = {front.name: front.up_ms for front in self.fronts}
-        self.conductor = Conductor(Timing(), self.voters)
-        old = Register(number=3, fronts=scene.fronts, boots=dict.fromkeys(self.voters, "before"))
-        self.text, self.leads_ms, self.may = old.encode(), 0.0, Allowed()
-        self.stages: list[tuple[float, Stage]] = []
-        self.loaders: dict[str, Loader] = {}
+        self.conductor = RecoveryCoordinator(PhaseTiming(), self.voters)
+        old = RecoveryRegister(number=3, fronts=scene.fronts, boots=dict.fromkeys(self.voters, "before"))
+        self.text, self.leads_ms, self.may = old.encode(), 0.0, AllowedActions()
+        self.stages: list[tuple[float, RecoveryPhase]] = []
+        self.loaders: dict[str, LoadCoordinator] = {}
         self.lots: dict[tuple[str, int], int] = {}
         self.wanted: frozenset[str] = frozenset()
         self.choose_ms = 0.0
@@ -37,7 +60,7 @@
         self.fell_now = 0
         self._push(TICK_MS, "tick", None)
 
-    def _up(self, now: float, front: Front) -> None:
+    def _up(self, now: float, front: FrontEnd) -> None:
         super()._up(now, front)
         for s, (_, most) in enumerate(self.warden):
             if (lot := weight("warden", front.name, str(s))) > most:
@@ -55,12 +78,14 @@
         self.leads_ms = (self.leads_ms or now) if 2 * len(here) > len(self.voters) else 0.0
         if self.leads_ms and now - self.leads_ms >= ELECTS_MS:
             self._conduct(now, len(up), asked, here)
-        if not self.leads_ms or self.conductor.register.stage < Stage.WORTH or not self.stages:
-            self.may = alone.allowed(WORTHS, len(up), self.scene.fronts, True, asked > 0)
+        if not self.leads_ms or self.conductor.register.stage < RecoveryPhase.WORTH or not self.stages:
+            self.may = alone.allowed_when_partitioned(
+                PRIORITY_WEIGHTS, len(up), self.scene.fronts, True, asked > 0
+            )
         most = max(1, int(self.limits.fetches * self.may.part)) if self.may.loads else 0
         if now >= self.choose_ms:
             self.choose_ms = now + CHOOSE_MS
-            self._choose(now, loaders(up, most, 1), self._wanted(now))
+            self._choose(now, choose_load_coordinators(up, most, 1), self._wanted(now))
         for loader in self.loaders.values() if self.may.loads else ():
             self._order(now, loader)
         rate = self.limits.calls_rps(self._age(now, s) for s in self._live(now))
@@ -76,7 +101,7 @@
         at = max(1, int(now / 1000) - 1)  # the last whole seconds of tries
         came, served, first, first_served = map(sum, zip(*self.seconds[at - 1 : at + 1], strict=True))
         slow = self.slow[-20:]
-        seen = Seen(
+        seen = FleetObservation(
             members=self.scene.fronts,
             heard=heard,
             asked=asked,
@@ -88,13 +113,13 @@
         )
         self.fell_now = 0
         for effect in self.conductor.tick(now, seen, dict.fromkeys(here, "after"), True):
-            if isinstance(effect, Decide):
+            if isinstance(effect, ProposeRegister):
                 self.text = effect.register
                 self.conductor.decided(now, self.text)
         register = self.conductor.register
-        self.may = allowed(Stage(register.stage), WORTHS, register.part)
+        self.may = allowed_in_phase(RecoveryPhase(register.stage), PRIORITY_WEIGHTS, register.part)
         if not self.stages or self.stages[-1][1] != register.stage:
-            self.stages.append((now, Stage(register.stage)))
+            self.stages.append((now, RecoveryPhase(register.stage)))
 
     # --- loads --------------------------------------------------------------------------------
 
@@ -107,7 +132,9 @@
 
     def _wanted(self, now: float) -> frozenset[str]:
         """Classes of which any front end takes calls; copies of others would stand idle."""
-        return frozenset(kind for kind in WORTHS if any(self._takes(now, front, kind) for front in self.up))
+        return frozenset(
+            kind for kind in PRIORITY_WEIGHTS if any(self._takes(now, front, kind) for front in self.up)
+        )
 
     def _choose(self, now: float, chosen: tuple[str, ...], wanted: frozenset[str]) -> None:
         """Other loaders, or classes: what is not ordered yet is theirs, by the use before the cut."""
@@ -115,7 +142,9 @@
             return
         before, self.loaders, self.wanted = self.loaders, {}, wanted
         for name in chosen:
-            self.loaders[name] = before.get(name) or Loader(begins_ms=now + part_ms(name, 1, 1_000.0))
+            self.loaders[name] = before.get(name) or LoadCoordinator(
+                begins_ms=now + start_offset_ms(name, 1, 1_000.0)
+            )
             self.loaders[name].wants, self.loaders[name].queue = {}, []
         under_way = {int(f) for loader in before.values() for f in loader.under_way}
         for f in range(len(self.facts)) if chosen else ():
@@ -124,16 +153,16 @@
 
     def _want(self, f: int) -> None:
         loader = self.loaders[self._owner(f, tuple(self.loaders))]
-        loader.want(str(f), self.rates[f] * WORTHS[self.facts[f][0]])
+        loader.want(str(f), self.rates[f] * PRIORITY_WEIGHTS[self.facts[f][0]])
 
-    def _order(self, now: float, loader: Loader) -> None:
+    def _order(self, now: float, loader: LoadCoordinator) -> None:
         for name in loader.orders(now):
             f = int(name)
             s = next((s for s in self.order[f] if self._age(now, s) >= 0), -1)
             took = self._load(now, f, s) - now if s >= 0 else 500.0
             self._push(now + took, "loaded", (loader, f, s, took))
 
-    def _loaded(self, now: float, what: tuple[Loader, int, int, float]) -> None:
+    def _loaded(self, now: float, what: tuple[LoadCoordinator, int, int, float]) -> None:
         loader, f, s, took = what
         good = s >= 0 and self.scorers[s].ready.get(f, float("inf")) <= now
         loader.ended(str(f), good, took)
@@ -154,30 +183,30 @@
 
     # --- calls --------------------------------------------------------------------------------
 
-    def _begin(self, now: float, one: Try) -> None:
+    def _begin(self, now: float, one: CallAttempt) -> None:
         kind = self.facts[one.function][0]
         doors = self.doors[one.front.name]
         if not self._takes(now, one.front, kind):
             self._again(now, one, doors.pushback_ms(now, one.client, 1_000.0))
             return
-        if not self.may.spill and not doors.let_in(now, 0.0 if WORTHS[kind] > 1.0 else KEPT_BACK):
+        if not self.may.spill and not doors.let_in(now, 0.0 if PRIORITY_WEIGHTS[kind] > 1.0 else KEPT_BACK):
             self._again(now, one, doors.pushback_ms(now, one.client))
             return
         self._placed(now, one)
 
-    def _takes(self, now: float, front: Front, kind: str) -> bool:
+    def _takes(self, now: float, front: FrontEnd, kind: str) -> bool:
         """Alone it serves what is safe alone: nothing here is known or granted then."""
         if kind not in self.may.classes or now - front.up_ms < ASKS_MS:
             return False
-        standing = alone.Standing(since_start_ms=now - front.up_ms)
-        found = alone.call(EFFECTS[kind], standing, self.conductor.timing.window_ms)
-        return not self.may.alone or found is alone.Alone.SERVE
+        standing = alone.CallKnowledge(since_start_ms=now - front.up_ms)
+        found = alone.decide_call(EFFECTS[kind], standing, self.conductor.timing.window_ms)
+        return not self.may.alone or found is alone.CallDecision.SERVE
 
-    def _placed(self, now: float, one: Try) -> None:
+    def _placed(self, now: float, one: CallAttempt) -> None:
         """To the copy that stands, with its warden's ticket; it is waited for while that can be in time."""
         f, doors = one.function, self.doors[one.front.name]
         kind, _, run = self.facts[f]
-        left = KINDS[kind][1] - (now - one.at_ms) - run
+        left = FUNCTION_KINDS[kind][1] - (now - one.at_ms) - run
         s = self.place.get(f)
         if s is None:
             if not self.loaders:
@@ -203,7 +232,7 @@
         if age >= SITE.cold_ms:
             return 0.0
         name = self.warden[s][0]
-        warden = self.wardens.setdefault(name, Warden(self.limits))
+        warden = self.wardens.setdefault(name, SlowStartCoordinator(self.limits))
         if str(s) not in warden.since and self.began[name] < self.scorers[s].up_ms:
             warden.known_from(str(s))
         return warden.ask(now, str(s), age)
--- a/fawnwharf/recovery_core/promises.py
+++ b/fawnwharf/recovery_core/promises.py
@@ -23,13 +23,13 @@
 class Rules:
     """What a replica goes by at a start."""
 
-    left_ms: Callable[[t.Clock, t.Clock, float], float] = t.left_ms
-    knows_all: Callable[[t.Store], bool] = t.knows_all
+    left_ms: Callable[[t.ClockReading, t.ClockReading, float], float] = t.remaining_ms
+    knows_all: Callable[[t.StoreCondition], bool] = t.knows_all_grants
     writes_first: bool = True
     keeps_doubt: bool = True  # its disk says that it did not know all, until it does
 
 
-Note = tuple[str, t.Clock, float]  # on disk: whose, when, for how long
+Note = tuple[str, t.ClockReading, float]  # on disk: whose, when, for how long
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,10 +44,10 @@
     given: tuple[str, float] | None = None  # to whom, over when
     dumb_until: float = 0.0  # till then it does not know all that it granted, and its disk says so
 
-    def clock(self, place: int, turn: int) -> t.Clock:
+    def clock(self, place: int, turn: int) -> t.ClockReading:
         """The reading of its clocks at a turn."""
         mono = self.start_ms + RATES[place] * (turn - self.from_turn) * TURN_MS
-        return t.Clock(str(self.boot), mono, self.wall_ms + mono)
+        return t.ClockReading(str(self.boot), mono, self.wall_ms + mono)
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
         if self.cuts and known:
             yield from self._cuts(rules, self, "")
         for place in KEEPERS:
-            keeper = self._reborn(rules, place, self.keepers[place], t.Store.WHOLE)
+            keeper = self._reborn(rules, place, self.keepers[place], t.StoreCondition.WHOLE)
             if keeper != self.keepers[place]:
                 yield f"{place} is restarted", replace(self, keepers=_with(self.keepers, place, keeper))
 
@@ -135,16 +135,18 @@
             wall_ms=wall_ms,
             disk=None if empty else keeper.disk,
         )
-        return self._reborn(rules, place, keeper, t.Store.PART if empty or unsure else t.Store.WHOLE)
+        return self._reborn(
+            rules, place, keeper, t.StoreCondition.PART if empty or unsure else t.StoreCondition.WHOLE
+        )
 
-    def _reborn(self, rules: Rules, place: int, keeper: Keeper, store: t.Store) -> Keeper:
+    def _reborn(self, rules: Rules, place: int, keeper: Keeper, store: t.StoreCondition) -> Keeper:
         read, given = keeper.clock(place, self.turn), None
         if keeper.disk is not None:
             owner, written, whole_ms = keeper.disk
             left = rules.left_ms(written, read, whole_ms)
-            age = t.Age.FRESH if left > 0 else t.Age.OLD
-            found = t.Found(t.Kind.PROMISE, age, False, t.same_boot(written, read), store=store)
-            if t.trust(found) is t.Trust.NOW:
+            age = t.StateAge.FRESH if left > 0 else t.StateAge.OLD
+            found = t.StoredState(t.StateKind.PROMISE, age, False, t.same_boot(written, read), store=store)
+            if t.trust_level(found) is t.TrustLevel.NOW:
                 given = owner, read.mono_ms + left
         if rules.knows_all(store):
             return replace(keeper, given=given)
--- a/fawnwharf/recovery_core/register.py
+++ b/fawnwharf/recovery_core/register.py
@@ -10,13 +10,13 @@
 from fawnwharf.consensus.messages import VOTERS_MOST, Identity
 
 VERSION = 1
-GIVERS_MOST = 64  # loaders and wardens of the fleet; others of its keepers are none
+MAX_PERMIT_ISSUERS = 64  # loaders and wardens of the fleet; others of its keepers are none
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 
 
-class Stage(IntEnum):
+class RecoveryPhase(IntEnum):
     """The phases of a recovery."""
 
     LISTENING = 0
@@ -31,19 +31,19 @@
     """Not a register of this version; the text is 'key: cause' in one line."""
 
 
-class Register(Struct, frozen=True):
+class RecoveryRegister(Struct, frozen=True):
     """The register's value. A larger number is later; `cut` counts power losses of the fleet."""
 
     recovery: int = VERSION
     number: Number = 0
     cut: Number = 0
-    stage: Annotated[int, Meta(ge=0, le=5)] = int(Stage.SPILL)
+    stage: Annotated[int, Meta(ge=0, le=5)] = int(RecoveryPhase.SPILL)
     part: Annotated[float, Meta(gt=0.0, le=1.0)] = 1.0  # of the fleet's budgets
     fronts: Number = 0  # front ends that were heard
     boots: Annotated[dict[Identity, Annotated[str, Meta(max_length=64)]], Meta(max_length=VOTERS_MOST)] = {}
     why: Annotated[str, Meta(max_length=200)] = ""  # for people
     # Keepers among which seats and wards are dealt; none: by what each hears, as texts of before.
-    givers: Annotated[tuple[Name, ...], Meta(max_length=GIVERS_MOST)] = ()
+    givers: Annotated[tuple[Name, ...], Meta(max_length=MAX_PERMIT_ISSUERS)] = ()
     deals: Number = 0  # of the cut, from `worth` on; 0: nobody has given anything by a stage of it
 
     def encode(self) -> str:
@@ -51,12 +51,12 @@
         return msgspec.json.encode(self, order="sorted").decode()
 
 
-def register_from(text: str) -> Register:
+def parse_register(text: str) -> RecoveryRegister:
     """Parse a register; an empty text stands for no decision yet. Raises RegisterError."""
     if not text:
-        return Register()
+        return RecoveryRegister()
     try:
-        found = msgspec.json.decode(text, type=Register)
+        found = msgspec.json.decode(text, type=RecoveryRegister)
     except msgspec.ValidationError as error:
         cause, _, place = str(error).partition(" - at `$")
         raise RegisterError(f"{place.rstrip('`').lstrip('.') or 'register'}: {cause}") from None
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dealt:
+class PermitAssignment:
     """Among whom permits and scorers are divided by a register: its `givers`, `cut` and `deals`."""
 
     givers: tuple[str, ...]
--- a/fawnwharf/recovery_core/stages.py
+++ b/fawnwharf/recovery_core/stages.py
@@ -24,16 +24,22 @@
 
 from msgspec import Struct
 
-from fawnwharf.recovery_core.budget import first_classes
-from fawnwharf.recovery_core.register import Dealt, Register, RegisterError, Stage, register_from
-from fawnwharf.recovery_core.trust import Scope, scope
+from fawnwharf.recovery_core.budget import priority_classes
+from fawnwharf.recovery_core.register import (
+    PermitAssignment,
+    RecoveryPhase,
+    RecoveryRegister,
+    RegisterError,
+    parse_register,
+)
+from fawnwharf.recovery_core.trust import RestartScope, restart_scope
 
-LEAST_PART = 0.125
-BACKS_MOST = 3  # times that a hold doubles
+MIN_BUDGET_SHARE = 0.125
+MAX_STEPS_BACK = 3  # times that a hold doubles
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class FleetObservation:
     """What the leader's front end knows of the fleet in the last second or so; parts of one."""
 
     members: int  # on the list
@@ -49,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timing:
+class PhaseTiming:
     """Times and thresholds of the phases."""
 
     listen_ms: float = 3_000.0
@@ -67,34 +73,34 @@
 # --- what is done by the owner --------------------------------------------------------------
 
 
-class Decide(Struct, frozen=True):
+class ProposeRegister(Struct, frozen=True):
     """Effect: propose this register, once; `Conductor.decided` or `not_put` tells what came of it."""
 
     register: str
 
 
-class Note(Struct, frozen=True):
+class LogEvent(Struct, frozen=True):
     """Effect: a line for the operators' log."""
 
     event: str
     fields: dict[str, Any]
 
 
-Effect = Decide | Note
+Effect = ProposeRegister | LogEvent
 
 
 @dataclass(slots=True)
-class Conductor:
+class RecoveryCoordinator:
     """The recovery coordinator at the leader.
 
     Owns since when a phase lasts, and what speaks for leaving it.
     """
 
-    timing: Timing
+    timing: PhaseTiming
     voters: tuple[str, ...] = ()
     leads: bool = False
-    register: Register = field(default_factory=Register)
-    asked: Register | None = None  # put to the vote, and not decided yet
+    register: RecoveryRegister = field(default_factory=RecoveryRegister)
+    asked: RecoveryRegister | None = None  # put to the vote, and not decided yet
     since_ms: float = 0.0  # the stage stands here; a new leader begins anew
     good_ms: float | None = None
     slow_ms: float | None = None
@@ -106,9 +112,9 @@
         """Begin a term, as `Steward.lead`: nothing in this log is undecided."""
         self.rest()
         try:
-            self.register = register_from(text)
+            self.register = parse_register(text)
         except RegisterError as error:
-            return [Note("recovery not read", {"why": str(error)})]
+            return [LogEvent("recovery not read", {"why": str(error)})]
         self.leads, self.voters, self.backs = True, voters, 0
         self._entered(now_ms)
         return []
@@ -123,38 +129,44 @@
 
     def decided(self, now_ms: float, text: str) -> list[Effect]:
         """Take a decided register. Raises RegisterError for a malformed text; what it asked for never is."""
-        register = register_from(text)
+        register = parse_register(text)
         if not self.leads or register.number <= self.register.number:
             return []
         before, self.register, self.asked = self.register, register, None
         if (register.cut, register.stage) != (before.cut, before.stage):
             self.backs = 0 if register.cut != before.cut else self.backs
             self._entered(now_ms)
-        fields = {"cut": register.cut, "stage": Stage(register.stage).name.lower(), "why": register.why}
-        return [Note("stage", fields)]
+        fields = {
+            "cut": register.cut,
+            "stage": RecoveryPhase(register.stage).name.lower(),
+            "why": register.why,
+        }
+        return [LogEvent("stage", fields)]
 
     def _entered(self, now_ms: float) -> None:
         self.since_ms, self.good_ms, self.slow_ms = now_ms, None, None
 
-    def tick(self, now_ms: float, seen: Seen, boots: Mapping[str, str], fresh: bool) -> list[Effect]:
+    def tick(
+        self, now_ms: float, seen: FleetObservation, boots: Mapping[str, str], fresh: bool
+    ) -> list[Effect]:
         """Do what is due.
 
         `boots` are the boot marks of the voters that are heard, its own among them. `fresh` is `Voter.fresh`.
         """
         if not self.leads or not fresh or self.asked is not None:
             return []
-        if scope(True, self.voters, self.register.boots, boots) is Scope.FLEET:
+        if restart_scope(True, self.voters, self.register.boots, boots) is RestartScope.FLEET:
             cut = self.register.cut + 1
-            return self._put(Stage.LISTENING, seen, boots, "power loss", cut=cut, part=1.0)
-        register, stage = self.register, Stage(self.register.stage)
+            return self._put(RecoveryPhase.LISTENING, seen, boots, "power loss", cut=cut, part=1.0)
+        register, stage = self.register, RecoveryPhase(self.register.stage)
         if effects := self._back(now_ms, stage, seen, boots):
             return effects
-        if stage is Stage.SPILL:
+        if stage is RecoveryPhase.SPILL:
             return self._calm(now_ms, seen, boots)
         if why := self._exit(now_ms, stage, seen):
-            part = min(1.0, 1.5 * register.part) if stage >= Stage.WORTH else register.part
-            part = 1.0 if stage is Stage.RENEWAL else part
-            return self._put(Stage(stage + 1), seen, boots, why, part=part)
+            part = min(1.0, 1.5 * register.part) if stage >= RecoveryPhase.WORTH else register.part
+            part = 1.0 if stage is RecoveryPhase.RENEWAL else part
+            return self._put(RecoveryPhase(stage + 1), seen, boots, why, part=part)
         if abs(seen.heard - register.fronts) * 4 > max(1, register.fronts):
             return self._put(stage, seen, boots, "front ends came or went")
         if not register.deals or self._givers(seen) == register.givers:
@@ -165,7 +177,7 @@
             return self._put(stage, seen, boots, "keepers came or went", anew=True)
         return []
 
-    def _givers(self, seen: Seen) -> tuple[str, ...]:
+    def _givers(self, seen: FleetObservation) -> tuple[str, ...]:
         """The members that hand out permits.
 
         Each change costs a wait, so replicas that come later are taken only when one is lost, or when they
@@ -176,40 +188,42 @@
             return seen.givers
         return seen.givers if len(seen.givers) > 2 * len(now) else now
 
-    def _exit(self, now_ms: float, stage: Stage, seen: Seen) -> str:
+    def _exit(self, now_ms: float, stage: RecoveryPhase, seen: FleetObservation) -> str:
         """Why the stage is left; empty: it is not."""
         timing, stood_ms = self.timing, now_ms - self.since_ms
-        if stage is Stage.LISTENING:
+        if stage is RecoveryPhase.LISTENING:
             ready = 2 * seen.heard > seen.members and seen.asked >= timing.good * seen.heard
             return "asked" if ready else "no more came" if stood_ms >= timing.listen_ms else ""
-        if stage is Stage.REPEATS:
+        if stage is RecoveryPhase.REPEATS:
             held = stood_ms >= timing.hold_ms * 2**self.backs if self.backs else True
             if seen.sure >= timing.good and held:
                 return "keepers know all"
             return "windows are over" if stood_ms >= timing.window_ms else ""
-        good = seen.first if stage is Stage.WORTH else seen.served
+        good = seen.first if stage is RecoveryPhase.WORTH else seen.served
         self.good_ms = None if good < timing.good else now_ms if self.good_ms is None else self.good_ms
         if self.good_ms is not None and now_ms - self.good_ms >= timing.hold_ms * 2**self.backs:
             return "served"
         late = stood_ms >= timing.most_ms * 2**self.backs and self.slow_ms is None
         return "takes long, and nothing is crowded" if late else ""
 
-    def _back(self, now_ms: float, stage: Stage, seen: Seen, boots: Mapping[str, str]) -> list[Effect]:
+    def _back(
+        self, now_ms: float, stage: RecoveryPhase, seen: FleetObservation, boots: Mapping[str, str]
+    ) -> list[Effect]:
         slow = seen.slow >= self.timing.slow
         self.slow_ms = None if not slow else now_ms if self.slow_ms is None else self.slow_ms
         crowded = self.slow_ms is not None and now_ms - self.slow_ms >= self.timing.over_ms
         # Calm may be crowded for other reasons than a power loss: it is stepped back only while it is new.
-        new = stage is not Stage.SPILL or now_ms - self.since_ms < self.timing.most_ms
-        if stage < Stage.WORTH or not new or not (crowded or seen.fell):
+        new = stage is not RecoveryPhase.SPILL or now_ms - self.since_ms < self.timing.most_ms
+        if stage < RecoveryPhase.WORTH or not new or not (crowded or seen.fell):
             return []
-        if stage is Stage.SPILL and not self.register.cut:
+        if stage is RecoveryPhase.SPILL and not self.register.cut:
             return []
-        self.backs = min(BACKS_MOST, self.backs + 1)
+        self.backs = min(MAX_STEPS_BACK, self.backs + 1)
         why = f"{seen.fell} scorers fell" if seen.fell else "the store is crowded"
-        part = max(LEAST_PART, self.register.part / 2)
-        return self._put(Stage(stage - 1), seen, boots, why, part=part)
+        part = max(MIN_BUDGET_SHARE, self.register.part / 2)
+        return self._put(RecoveryPhase(stage - 1), seen, boots, why, part=part)
 
-    def _calm(self, now_ms: float, seen: Seen, boots: Mapping[str, str]) -> list[Effect]:
+    def _calm(self, now_ms: float, seen: FleetObservation, boots: Mapping[str, str]) -> list[Effect]:
         """In the normal state, note new boots of a minority, so that they do not add up to a power loss.
 
         Members of which no boot was noted are noted at once: until then a loss of theirs would not be seen.
@@ -222,12 +236,12 @@
         self.calm_ms = now_ms if self.calm_ms is None else self.calm_ms
         if any(name in noted for name in news) and now_ms - self.calm_ms < self.timing.settle_ms:
             return []
-        return self._put(Stage.SPILL, seen, boots, "boots noted", part=1.0)
+        return self._put(RecoveryPhase.SPILL, seen, boots, "boots noted", part=1.0)
 
     def _put(
         self,
-        stage: Stage,
-        seen: Seen,
+        stage: RecoveryPhase,
+        seen: FleetObservation,
         boots: Mapping[str, str],
         why: str,
         part: float | None = None,
@@ -240,14 +254,14 @@
         marks = {n: boots.get(n, known.get(n, "")) for n in self.voters}
         begun = now.deals if cut is None else 0
         givers, deals = (seen.givers if anew or not begun else now.givers or seen.givers), begun
-        if stage is Stage.SPILL:
+        if stage is RecoveryPhase.SPILL:
             givers = ()
         elif begun:
             deals += givers != now.givers
-        elif stage >= Stage.WORTH:
+        elif stage >= RecoveryPhase.WORTH:
             deals = 2 if seen.gave else 1  # the first of the cut; where one gave before, all wait
         self.lost_ms = None if anew or not begun else self.lost_ms
-        self.asked = Register(
+        self.asked = RecoveryRegister(
             number=now.number + 1,
             cut=now.cut if cut is None else cut,
             stage=int(stage),
@@ -258,14 +272,14 @@
             givers=givers,
             deals=deals,
         )
-        return [Decide(self.asked.encode())]
+        return [ProposeRegister(self.asked.encode())]
 
 
 # --- each front end -------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class AllowedActions:
     """What a front end does now."""
 
     status: bool = False  # `status` is good
@@ -279,31 +293,31 @@
     alone: bool = False
 
 
-def allowed(stage: Stage, worths: Mapping[str, float], part: float = 1.0) -> Allowed:
+def allowed_in_phase(stage: RecoveryPhase, worths: Mapping[str, float], part: float = 1.0) -> AllowedActions:
     """What a phase allows, the same at every front end."""
-    some = first_classes(worths) if stage is Stage.WORTH else frozenset(worths)
-    return Allowed(
-        status=stage >= Stage.WORTH,
-        repeats=stage >= Stage.REPEATS,
-        classes=some if stage >= Stage.WORTH else frozenset(),
-        loads=stage >= Stage.WORTH,
-        own_loads=stage >= Stage.RENEWAL,
-        renewal=stage >= Stage.RENEWAL,
-        spill=stage >= Stage.SPILL,
+    some = priority_classes(worths) if stage is RecoveryPhase.WORTH else frozenset(worths)
+    return AllowedActions(
+        status=stage >= RecoveryPhase.WORTH,
+        repeats=stage >= RecoveryPhase.REPEATS,
+        classes=some if stage >= RecoveryPhase.WORTH else frozenset(),
+        loads=stage >= RecoveryPhase.WORTH,
+        own_loads=stage >= RecoveryPhase.RENEWAL,
+        renewal=stage >= RecoveryPhase.RENEWAL,
+        spill=stage >= RecoveryPhase.SPILL,
         part=part,
     )
 
 
 @dataclass(slots=True)
-class Follower:
+class PhaseFollower:
     """Owns by which register this front end goes.
 
     An incarnation begins at listening, whatever its disk says.
     """
 
-    timing: Timing
+    timing: PhaseTiming
     began_ms: float
-    register: Register | None = None  # the last that it was told in this life
+    register: RecoveryRegister | None = None  # the last that it was told in this life
     word_ms: float = float("-inf")  # a leader said so that long ago, counted from its own question
     lone: bool = False  # it was alone when it was last asked for its stage
     up_in: int = -1  # the cut in which it was told of calm: it went on serving through later ones
@@ -315,17 +329,17 @@
         nothing, but the message itself counts then for nothing as well.
         """
         try:
-            register = register_from(text)
+            register = parse_register(text)
         except RegisterError as error:
-            return [Note("recovery not read", {"why": str(error)})]
+            return [LogEvent("recovery not read", {"why": str(error)})]
         if self.register is not None and register.number < self.register.number:
             return []
-        if register.stage == Stage.SPILL:
+        if register.stage == RecoveryPhase.SPILL:
             self.up_in = register.cut
         self.register, self.word_ms = register, max(self.word_ms, asked_ms)
         return []
 
-    def stage(self, now_ms: float) -> Stage | None:
+    def stage(self, now_ms: float) -> RecoveryPhase | None:
         """The phase by which it goes; None without a leader.
 
         Where the normal state was the last message, it stays: a fleet without a leader is no fleet that has
@@ -334,29 +348,29 @@
         """
         register = self.register
         if register is None:
-            found = Stage.LISTENING if now_ms - self.began_ms < self.timing.alone_ms else None
-        elif register.stage == Stage.SPILL or now_ms - self.word_ms < self.timing.alone_ms:
-            found = Stage(register.stage)
+            found = RecoveryPhase.LISTENING if now_ms - self.began_ms < self.timing.alone_ms else None
+        elif register.stage == RecoveryPhase.SPILL or now_ms - self.word_ms < self.timing.alone_ms:
+            found = RecoveryPhase(register.stage)
         else:
             found = None
-        self.lone = found is None or (self.lone and found < Stage.WORTH)
+        self.lone = found is None or (self.lone and found < RecoveryPhase.WORTH)
         return None if self.lone else found
 
-    def dealt(self, now_ms: float) -> Dealt | None:
+    def dealt(self, now_ms: float) -> PermitAssignment | None:
         """How permits and scorers are divided by the register.
 
         None where it goes by what is heard: without a leader, in the normal state, or where nothing was told.
         """
         stage, register = self.stage(now_ms), self.register
-        if stage is None or stage is Stage.SPILL or register is None or not register.givers:
+        if stage is None or stage is RecoveryPhase.SPILL or register is None or not register.givers:
             return None
-        return Dealt(register.givers, register.cut, register.deals)
+        return PermitAssignment(register.givers, register.cut, register.deals)
 
     def fresh(self, now_ms: float) -> bool:
         """Whether a leader's message is recent enough."""
         return self.register is not None and now_ms - self.word_ms < self.timing.valid_ms
 
-    def allowed(self, now_ms: float, worths: Mapping[str, float]) -> Allowed | None:
+    def allowed(self, now_ms: float, worths: Mapping[str, float]) -> AllowedActions | None:
         """What is allowed; None without a leader.
 
         One that served through the power loss of others goes on, without what costs others.
@@ -364,9 +378,13 @@
         stage = self.stage(now_ms)
         if stage is None:
             return None
-        part = self.register.part if self.register else LEAST_PART
-        if not self.fresh(now_ms) and stage is not Stage.SPILL:
+        part = self.register.part if self.register else MIN_BUDGET_SHARE
+        if not self.fresh(now_ms) and stage is not RecoveryPhase.SPILL:
             part /= 2  # it may have been stepped back since
-        if self.register is not None and 0 <= self.up_in < self.register.cut and stage < Stage.RENEWAL:
-            return allowed(Stage.REST, worths, part)
-        return allowed(stage, worths, part)
+        if (
+            self.register is not None
+            and 0 <= self.up_in < self.register.cut
+            and stage < RecoveryPhase.RENEWAL
+        ):
+            return allowed_in_phase(RecoveryPhase.REST, worths, part)
+        return allowed_in_phase(stage, worths, part)
--- a/fawnwharf/recovery_core/trial.py
+++ b/fawnwharf/recovery_core/trial.py
@@ -12,21 +12,21 @@
 from dataclasses import replace
 
 from fawnwharf.prefetch.trial import interval
-from fawnwharf.recovery_core.planned import Planned
-from fawnwharf.recovery_core.world import Scene, World
+from fawnwharf.recovery_core.planned import CoordinatedFleet
+from fawnwharf.recovery_core.world import Scenario, UncoordinatedFleet
 
 SCENES = {
-    "last": Scene(0),  # the roster is last
-    "first": Scene(0, roster_ms=1_000.0, burst_ms=20_000.0),  # it is there, and scorers come back with all
-    "minority": Scene(0, quorum=False),  # no majority of the voters comes back
+    "last": Scenario(0),  # the roster is last
+    "first": Scenario(0, roster_ms=1_000.0, burst_ms=20_000.0),  # it is there, and scorers come back with all
+    "minority": Scenario(0, quorum=False),  # no majority of the voters comes back
 }
-WAYS = {"nothing": World, "plan": Planned}
+WAYS = {"nothing": UncoordinatedFleet, "plan": CoordinatedFleet}
 STAYS = 10
 
 Figures = dict[str, float]
 
 
-def scene_of(name: str, fronts: int) -> Scene:
+def scene_of(name: str, fronts: int) -> Scenario:
     """The scenario of this name with so many front ends."""
     return replace(SCENES[name], fronts=fronts)
 
@@ -43,7 +43,7 @@
     return float(len(seconds))
 
 
-def figures(world: World) -> Figures:
+def figures(world: UncoordinatedFleet) -> Figures:
     """The figures of one run.
 
     Seconds from the power loss; fetches requested of the store in its worst second, and queued there at the
--- a/fawnwharf/recovery_core/trust.py
+++ b/fawnwharf/recovery_core/trust.py
@@ -11,7 +11,7 @@
 from enum import Enum, IntEnum
 
 
-class Kind(Enum):
+class StateKind(Enum):
     """What outlives a front end on its disk, or might."""
 
     TERM = "term and vote"
@@ -25,7 +25,7 @@
     HOMES = "homes of sessions"
 
 
-class Trust(IntEnum):
+class TrustLevel(IntEnum):
     """For what a piece of state may be used."""
 
     GONE = 0  # thrown away
@@ -34,7 +34,7 @@
     NOW = 3  # at once
 
 
-class Age(IntEnum):
+class StateAge(IntEnum):
     """How old a piece of state is."""
 
     FRESH = 0  # younger than `Span.fresh_ms`
@@ -42,7 +42,7 @@
     OLD = 2
 
 
-class Others(Enum):
+class MajorityAnswer(Enum):
     """What a majority says: of the voters on a plan, of a call's replicas on a promise."""
 
     SILENT = "no majority answered"
@@ -51,7 +51,7 @@
     OTHER = "it is not as this disk says"  # another content under one number; a write it does not know of
 
 
-class Store(Enum):
+class StoreCondition(Enum):
     """Whether the store is intact."""
 
     WHOLE = "whole"  # all that was ever told is there: synced, checked, by its number the newest known
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Clock:
+class ClockReading:
     """One reading; `boot` marks a boot of the machine, and is empty where the system does not tell."""
 
     boot: str
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class AgeLimits:
     """The ages of one kind, in milliseconds."""
 
     fresh_ms: float
@@ -76,91 +76,107 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class StoredState:
     """One piece of state as it is found."""
 
-    kind: Kind
-    age: Age
+    kind: StateKind
+    age: StateAge
     in_order: bool  # its writer said so at its end
     same_boot: bool
-    others: Others = Others.SILENT
-    store: Store = Store.WHOLE
+    others: MajorityAnswer = MajorityAnswer.SILENT
+    store: StoreCondition = StoreCondition.WHOLE
 
 
-_LETTERS = {"G": Trust.GONE, "H": Trust.HINT, "M": Trust.MAJORITY, "N": Trust.NOW}
+_LETTERS = {"G": TrustLevel.GONE, "H": TrustLevel.HINT, "M": TrustLevel.MAJORITY, "N": TrustLevel.NOW}
 
 # Three letters each: fresh, within its life, old. A promise is old once its window is over (`left_ms`).
 #                    same boot          another boot
 #                in order  killed   in order  killed
-TABLE: Mapping[Kind, tuple[str, str, str, str]] = {
-    Kind.TERM: ("NNN", "NNN", "NNN", "NNN"),
-    Kind.PLAN: ("NMM", "NMM", "MMM", "MMM"),  # decided it is for good; whether it is the last, others know
-    Kind.POLICY: ("MMM", "MMM", "MMM", "MMM"),  # nobody acts by one without a lease of this life
-    Kind.PROMISE: ("NNG", "NNG", "NNG", "NNG"),
-    Kind.ROSTER: ("NHG", "NHG", "HHG", "HHG"),  # scorers come back with new ids, the log with new numbers
-    Kind.USE: ("NHG", "HHG", "HHG", "HHG"),  # what was wanted most before is what will be wanted first
-    Kind.COPIES: ("HHG", "HGG", "GGG", "GGG"),  # scorers are empty
-    Kind.LOADS: ("HGG", "GGG", "GGG", "GGG"),
-    Kind.HOMES: ("NMH", "NMH", "MMH", "MMH"),  # a number is never given twice, however old
+TRUST_TABLE: Mapping[StateKind, tuple[str, str, str, str]] = {
+    StateKind.TERM: ("NNN", "NNN", "NNN", "NNN"),
+    StateKind.PLAN: (
+        "NMM",
+        "NMM",
+        "MMM",
+        "MMM",
+    ),  # decided it is for good; whether it is the last, others know
+    StateKind.POLICY: ("MMM", "MMM", "MMM", "MMM"),  # nobody acts by one without a lease of this life
+    StateKind.PROMISE: ("NNG", "NNG", "NNG", "NNG"),
+    StateKind.ROSTER: (
+        "NHG",
+        "NHG",
+        "HHG",
+        "HHG",
+    ),  # scorers come back with new ids, the log with new numbers
+    StateKind.USE: ("NHG", "HHG", "HHG", "HHG"),  # what was wanted most before is what will be wanted first
+    StateKind.COPIES: ("HHG", "HGG", "GGG", "GGG"),  # scorers are empty
+    StateKind.LOADS: ("HGG", "GGG", "GGG", "GGG"),
+    StateKind.HOMES: ("NMH", "NMH", "MMH", "MMH"),  # a number is never given twice, however old
 }
 
 # What is left of each kind where the store is not whole. What stands there was said; what is missing may
 # have been said as well, so nothing that rests on 'and nothing else' is left: no vote, no number.
-PART: Mapping[Kind, Trust] = {
-    Kind.TERM: Trust.HINT,  # the least term there was; the disk votes no more under this identity
-    Kind.PLAN: Trust.MAJORITY,
-    Kind.POLICY: Trust.MAJORITY,
-    Kind.PROMISE: Trust.NOW,
-    Kind.ROSTER: Trust.HINT,
-    Kind.USE: Trust.HINT,
-    Kind.COPIES: Trust.GONE,
-    Kind.LOADS: Trust.GONE,
-    Kind.HOMES: Trust.HINT,
+PARTIAL_STORE_TRUST: Mapping[StateKind, TrustLevel] = {
+    StateKind.TERM: TrustLevel.HINT,  # the least term there was; the disk votes no more under this identity
+    StateKind.PLAN: TrustLevel.MAJORITY,
+    StateKind.POLICY: TrustLevel.MAJORITY,
+    StateKind.PROMISE: TrustLevel.NOW,
+    StateKind.ROSTER: TrustLevel.HINT,
+    StateKind.USE: TrustLevel.HINT,
+    StateKind.COPIES: TrustLevel.GONE,
+    StateKind.LOADS: TrustLevel.GONE,
+    StateKind.HOMES: TrustLevel.HINT,
 }
 
 # A majority's word that there is a later one, or that it is not so. What is not named is gone then.
-_LATER = {Kind.TERM: Trust.NOW, Kind.PROMISE: Trust.NOW}  # a later term takes its place by the voters' rules
-_OTHER = {Kind.TERM: Trust.HINT, Kind.PROMISE: Trust.NOW}  # of two words on a call the stricter stands
+_LATER = {
+    StateKind.TERM: TrustLevel.NOW,
+    StateKind.PROMISE: TrustLevel.NOW,
+}  # a later term takes its place by the voters' rules
+_OTHER = {
+    StateKind.TERM: TrustLevel.HINT,
+    StateKind.PROMISE: TrustLevel.NOW,
+}  # of two words on a call the stricter stands
 
 
-def trust(found: Found) -> Trust:
+def trust_level(found: StoredState) -> TrustLevel:
     """The table: total over all that can be found."""
     column = (0 if found.same_boot else 2) + (0 if found.in_order else 1)
-    held = _LETTERS[TABLE[found.kind][column][found.age]]
-    if found.store is Store.PART:
-        held = min(held, PART[found.kind])
-    if found.others is Others.LATER:
-        return min(held, _LATER.get(found.kind, Trust.GONE))
-    if found.others is Others.OTHER:
-        return min(held, _OTHER.get(found.kind, Trust.GONE))
-    if found.others is Others.SAME and held is Trust.MAJORITY:
-        return Trust.NOW
+    held = _LETTERS[TRUST_TABLE[found.kind][column][found.age]]
+    if found.store is StoreCondition.PART:
+        held = min(held, PARTIAL_STORE_TRUST[found.kind])
+    if found.others is MajorityAnswer.LATER:
+        return min(held, _LATER.get(found.kind, TrustLevel.GONE))
+    if found.others is MajorityAnswer.OTHER:
+        return min(held, _OTHER.get(found.kind, TrustLevel.GONE))
+    if found.others is MajorityAnswer.SAME and held is TrustLevel.MAJORITY:
+        return TrustLevel.NOW
     return held
 
 
-def may_vote(term: Trust) -> bool:
+def may_vote(term: TrustLevel) -> bool:
     """Whether this disk's voter may go on under its identity; else it comes back as a new one."""
-    return term is Trust.NOW
+    return term is TrustLevel.NOW
 
 
-def knows_all(store: Store) -> bool:
+def knows_all_grants(store: StoreCondition) -> bool:
     """Whether a replica knows all that it ever promised, and may grant at once.
 
     One that does not hears every other replica that does, or waits until all that it may have granted is
     over.
     """
-    return store is Store.WHOLE
+    return store is StoreCondition.WHOLE
 
 
 # --- clocks and boots -----------------------------------------------------------------------
 
 
-def same_boot(written: Clock, read: Clock) -> bool:
+def same_boot(written: ClockReading, read: ClockReading) -> bool:
     """Whether only the process restarted; a reading from the future of a clock is another clock's."""
     return bool(written.boot) and written.boot == read.boot and written.mono_ms <= read.mono_ms
 
 
-def left_ms(written: Clock, read: Clock, whole_ms: float) -> float:
+def remaining_ms(written: ClockReading, read: ClockReading, whole_ms: float) -> float:
     """For how long a promise still counts from `read`, at the least; 0 where it is over.
 
     `whole_ms` is what it counted for when it was written, by the slowest clock. In another boot it begins
@@ -171,24 +187,26 @@
     return max(0.0, whole_ms - gone_ms)
 
 
-def age_of(kind: Kind, written: Clock, read: Clock, span: Span) -> Age:
+def age_of(kind: StateKind, written: ClockReading, read: ClockReading, span: AgeLimits) -> StateAge:
     """The age of a piece of state.
 
     By the monotonic clock within a boot. In another one by the wall clocks, where that is no promise; a clock
     that went back makes it fresh, and nothing that is fresh in another boot is more than a hint until others
     confirm it.
     """
-    if kind is Kind.PROMISE:
-        return Age.FRESH if left_ms(written, read, span.life_ms) > 0 else Age.OLD
+    if kind is StateKind.PROMISE:
+        return StateAge.FRESH if remaining_ms(written, read, span.life_ms) > 0 else StateAge.OLD
     if same_boot(written, read):
         age_ms = read.mono_ms - written.mono_ms
     else:
         age_ms = max(0.0, read.wall_ms - written.wall_ms)
-    return Age.FRESH if age_ms < span.fresh_ms else Age.LIFE if age_ms < span.life_ms else Age.OLD
+    return (
+        StateAge.FRESH if age_ms < span.fresh_ms else StateAge.LIFE if age_ms < span.life_ms else StateAge.OLD
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Spans:
+class AgeSettings:
     """The ages by kind, from the current settings; milliseconds."""
 
     valid_ms: float = 2_000.0  # zones: a leader's word that a plan is the last one
@@ -199,22 +217,22 @@
     use_ms: float = 3_600_000.0
     still_ms: float = 30_000.0  # sessions
 
-    def of(self, kind: Kind) -> Span:
+    def of(self, kind: StateKind) -> AgeLimits:
         """The ages of a kind."""
         return {
-            Kind.TERM: Span(0.0, 0.0),
-            Kind.PLAN: Span(self.valid_ms, self.valid_ms),
-            Kind.POLICY: Span(0.0, 0.0),
-            Kind.PROMISE: Span(self.window_ms, self.window_ms),
-            Kind.ROSTER: Span(self.fresh_ms, self.roster_ms),
-            Kind.USE: Span(self.fresh_ms, self.use_ms),
-            Kind.COPIES: Span(self.fresh_ms, self.idle_life_ms),
-            Kind.LOADS: Span(self.fresh_ms, self.fresh_ms),
-            Kind.HOMES: Span(self.valid_ms, self.still_ms),
+            StateKind.TERM: AgeLimits(0.0, 0.0),
+            StateKind.PLAN: AgeLimits(self.valid_ms, self.valid_ms),
+            StateKind.POLICY: AgeLimits(0.0, 0.0),
+            StateKind.PROMISE: AgeLimits(self.window_ms, self.window_ms),
+            StateKind.ROSTER: AgeLimits(self.fresh_ms, self.roster_ms),
+            StateKind.USE: AgeLimits(self.fresh_ms, self.use_ms),
+            StateKind.COPIES: AgeLimits(self.fresh_ms, self.idle_life_ms),
+            StateKind.LOADS: AgeLimits(self.fresh_ms, self.fresh_ms),
+            StateKind.HOMES: AgeLimits(self.valid_ms, self.still_ms),
         }[kind]
 
 
-class Scope(Enum):
+class RestartScope(Enum):
     """What has ended with this front end's last incarnation."""
 
     PROCESS = "the process alone"
@@ -223,9 +241,9 @@
     UNKNOWN = "no majority of the voters was heard"
 
 
-def scope(
+def restart_scope(
     mine_same: bool, voters: tuple[str, ...], boots: Mapping[str, str], now: Mapping[str, str]
-) -> Scope:
+) -> RestartScope:
     """What a restart is part of.
 
     `boots` are the marks of voters' boots as decided last, `now` those heard since this start, by voter.
@@ -234,7 +252,7 @@
     most = len(voters) // 2 + 1
     changed = sum(name in now and now[name] != boots.get(name, now[name]) for name in voters)
     if changed >= most:
-        return Scope.FLEET
+        return RestartScope.FLEET
     if sum(name in now for name in voters) < most:
-        return Scope.PROCESS if mine_same else Scope.UNKNOWN
-    return Scope.PROCESS if mine_same else Scope.MACHINE
+        return RestartScope.PROCESS if mine_same else RestartScope.UNKNOWN
+    return RestartScope.PROCESS if mine_same else RestartScope.MACHINE
--- a/fawnwharf/recovery_core/world.py
+++ b/fawnwharf/recovery_core/world.py
@@ -17,15 +17,15 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.interface import Settings
-from fawnwharf.recovery_core.budget import limits_from
+from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.replication.placement import weight
 
-KINDS = {  # part of the functions, promise, give-up, worth, late share, loads, runs; ms
+FUNCTION_KINDS = {  # part of the functions, promise, give-up, worth, late share, loads, runs; ms
     "points-view": (0.58, 800.0, 3000.0, 1.0, 0.2, (420.0, 1100.0), (85.0, 150.0)),
     "lineup-save": (0.23, 600.0, 2500.0, 5.0, 0.2, (380.0, 900.0), (85.0, 150.0)),
     "transfer-settle": (0.19, 800.0, 2000.0, 5.0, 0.1, (410.0, 860.0), (130.0, 230.0)),
 }
-WORTHS = {name: kind[3] for name, kind in KINDS.items()}
+PRIORITY_WEIGHTS = {name: kind[3] for name, kind in FUNCTION_KINDS.items()}
 CALLS_PS, SCORER_PS = 2.0, 12.0  # of a front end, of a scorer, in calm
 LANES, LOADS_MOST, OWN_LOADS = 8, 4, 8  # of a copy; at a time of a scorer; of a front end that shares nothing
 FETCH_PART, COLD_SAFETY, HELD_PART = 0.6, 0.6, 0.5  # the module's, but for the first
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class Scenario:
     """A scenario; milliseconds from the power loss.
 
     A third of the front ends never comes back, a zone comes later.
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class Front:
+class FrontEnd:
     """A front end, with what it believes."""
 
     name: str
@@ -75,31 +75,31 @@
 
 
 @dataclass(slots=True)
-class Try:
+class CallAttempt:
     """One try of a call."""
 
     client: str
-    front: Front | None
+    front: FrontEnd | None
     function: int
     at_ms: float
     left: int
 
 
-class World:
+class UncoordinatedFleet:
     """One return.
 
     `seconds`: by second of a try, the worth that came and that was served in time; the same of the classes
     worth most.
     """
 
-    def __init__(self, scene: Scene, seed: int) -> None:
+    def __init__(self, scene: Scenario, seed: int) -> None:
         self.scene = scene
         n, chance = scene.fronts, random.Random(f"return {seed} {scene.fronts}")
         self.places = 4 + n // 10  # of the store: fetches at a time, others wait
-        self.limits = limits_from(SITE, round(self.places / FETCH_PART), SCORER_PS)
+        self.limits = fleet_limits(SITE, round(self.places / FETCH_PART), SCORER_PS)
         voters = 7 if n >= 1000 else 5 if n >= 200 else 3
         ups = self._ups(chance, voters)
-        self.fronts = [Front(f"n{i}", ups[i]) for i in range(n)]
+        self.fronts = [FrontEnd(f"n{i}", ups[i]) for i in range(n)]
         self.voters = tuple(f"n{i}" for i in range(voters))
         self.scorers = [
             Scorer(chance.uniform(0.0, scene.scorers_ms))
@@ -107,8 +107,10 @@
         ]
         self.facts: list[tuple[str, float, float]] = []
         for _ in range(40 + 4 * n):
-            kind = chance.choices(list(KINDS), [k[0] for k in KINDS.values()])[0]
-            self.facts.append((kind, chance.uniform(*KINDS[kind][5]), chance.uniform(*KINDS[kind][6])))
+            kind = chance.choices(list(FUNCTION_KINDS), [k[0] for k in FUNCTION_KINDS.values()])[0]
+            self.facts.append(
+                (kind, chance.uniform(*FUNCTION_KINDS[kind][5]), chance.uniform(*FUNCTION_KINDS[kind][6]))
+            )
         rates = [(rank + 1) ** -0.6 for rank in range(len(self.facts))]
         self.rates = [n * CALLS_PS * rate / sum(rates) for rate in rates]
         self.order = [
@@ -122,7 +124,7 @@
         self.waiting = 0  # at the store, the most at a time
         self.store = [0.0] * self.places
         self.fell = 0  # cold scorers
-        self.up: list[Front] = []
+        self.up: list[FrontEnd] = []
         self.begun: list[float] = []  # fetches under way or waiting, until when
         self.slow = [1.0]  # loads, as multiples of what they take in calm
         self._arrivals(chance)
@@ -146,7 +148,7 @@
         for i, (at, f) in enumerate(
             zip(times, chance.choices(functions, self.rates, k=len(times)), strict=True)
         ):
-            self._push(at, "try", Try(f"c{i}", None, f, at, TRIES - 1))
+            self._push(at, "try", CallAttempt(f"c{i}", None, f, at, TRIES - 1))
         for front in self.fronts:
             if front.up_ms < scene.end_ms:
                 self._push(front.up_ms, "up", front)
@@ -155,7 +157,7 @@
         self.count += 1
         heapq.heappush(self.heap, (at_ms, self.count, what, value))
 
-    def run(self) -> "World":
+    def run(self) -> "UncoordinatedFleet":
         """Run up to the scenario's end."""
         while self.heap:
             now, _, what, value = heapq.heappop(self.heap)
@@ -165,11 +167,11 @@
 
     # --- front ends ---------------------------------------------------------------------------
 
-    def _up(self, now: float, front: Front) -> None:
+    def _up(self, now: float, front: FrontEnd) -> None:
         self.up.append(front)
 
-    def _try(self, now: float, one: Try) -> None:
-        worth = WORTHS[self.facts[one.function][0]]
+    def _try(self, now: float, one: CallAttempt) -> None:
+        worth = PRIORITY_WEIGHTS[self.facts[one.function][0]]
         second = self.seconds[int(one.at_ms / 1000)]
         second[0] += worth
         second[2] += worth * (worth > 1.0)
@@ -180,17 +182,17 @@
         one.front.taken.append(now)
         self._begin(now, one)
 
-    def _begin(self, now: float, one: Try) -> None:
+    def _begin(self, now: float, one: CallAttempt) -> None:
         self._bare(now, one)
 
-    def _again(self, now: float, one: Try, after_ms: float) -> None:
+    def _again(self, now: float, one: CallAttempt, after_ms: float) -> None:
         """It was not served; its client comes again, a few times."""
         if one.left:
             at = now + after_ms
-            self._push(at, "try", Try(one.client, None, one.function, at, one.left - 1))
+            self._push(at, "try", CallAttempt(one.client, None, one.function, at, one.left - 1))
 
-    def _done(self, one: Try, end_ms: float) -> None:
-        _, promise, give_up, worth, late, *_ = KINDS[self.facts[one.function][0]]
+    def _done(self, one: CallAttempt, end_ms: float) -> None:
+        _, promise, give_up, worth, late, *_ = FUNCTION_KINDS[self.facts[one.function][0]]
         took = end_ms - one.at_ms
         second = self.seconds[int(one.at_ms / 1000)]
         part = worth * (1.0 if took <= promise else late if took <= give_up else 0.0)
@@ -202,7 +204,7 @@
     def _age(self, now: float, s: int) -> float:
         return now - self.scorers[s].up_ms
 
-    def _send(self, now: float, one: Try, s: int) -> None:
+    def _send(self, now: float, one: CallAttempt, s: int) -> None:
         """The call is at the scorer: too many on a cold one, and it falls."""
         scorer, (_, _, run) = self.scorers[s], self.facts[one.function]
         age = self._age(now, s)
@@ -242,9 +244,9 @@
 
     # --- from nothing -------------------------------------------------------------------------
 
-    def _bare(self, now: float, one: Try) -> None:
+    def _bare(self, now: float, one: CallAttempt) -> None:
         front, f = one.front, one.function
-        give_up = KINDS[self.facts[f][0]][2]
+        give_up = FUNCTION_KINDS[self.facts[f][0]][2]
         if now - one.at_ms >= HELD_PART * give_up - 1e-3:
             self._again(now, one, SITE.max_retry_after_ms)
             return
@@ -274,11 +276,11 @@
         due = min((self.scorers[s].ready.get(f, 0.0) for s in able), default=0.0)
         self._push(max(now + 100.0, min(due, one.at_ms + HELD_PART * give_up)), "waits", one)
 
-    def _waits(self, now: float, one: Try) -> None:
+    def _waits(self, now: float, one: CallAttempt) -> None:
         one.front.held[one.function] -= 1
         self._bare(now, one)
 
-    def _within(self, now: float, front: Front, s: int) -> bool:
+    def _within(self, now: float, front: FrontEnd, s: int) -> bool:
         """The module's cold budget: of one's own sends, by one's own arrivals, and a chance of one's own."""
         warmth = self.limits.warmth(self._age(now, s))
         if warmth >= 1.0:
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -13,11 +13,27 @@
 
 import msgspec
 
-from fawnwharf.durable_store.reading import Sign
+from fawnwharf.durable_store.reading import FolderPosition
 from fawnwharf.recovery_core import alone
-from fawnwharf.recovery_core.asking import Answer, Ask, Asking, Of, Pace, Stand, What
-from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed, Decide, Follower, Note, RegisterError, Stage, Timing
+from fawnwharf.recovery_core.asking import (
+    Answer,
+    Query,
+    QueryPace,
+    QueryState,
+    QueryTarget,
+    QueryTopic,
+    StartupQueries,
+)
+from fawnwharf.recovery_core.register import PermitAssignment
+from fawnwharf.recovery_core.stages import (
+    AllowedActions,
+    LogEvent,
+    PhaseFollower,
+    PhaseTiming,
+    ProposeRegister,
+    RecoveryPhase,
+    RegisterError,
+)
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.lead import Lead, Lists
 from fawnwharf.zones.lines import Seat
@@ -40,20 +56,20 @@
 class Go(msgspec.Struct, frozen=True):
     """Go by this from now on."""
 
-    allowed: Allowed
-    stage: Stage | None  # None: alone
+    allowed: AllowedActions
+    stage: RecoveryPhase | None  # None: alone
     cut: int
     fronts: int = 1  # front ends among which what is allowed is divided
-    dealt: Dealt | None = None  # None: by what is heard
+    dealt: PermitAssignment | None = None  # None: by what is heard
 
 
 class Signed(msgspec.Struct, frozen=True):
     """Others heard this of the own folder before this life."""
 
-    sign: Sign
+    sign: FolderPosition
 
 
-Effect = Say | Decide | Note | Go | Signed
+Effect = Say | ProposeRegister | LogEvent | Go | Signed
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +81,7 @@
     sure: bool  # its keeper knows all that it granted; True where it keeps nothing
     votes: bool  # its voter may vote by the disk that it has
     plan: tuple[int, str]  # number and digest of the last plan in its voter's log, decided or not
-    sign: Sign
+    sign: FolderPosition
     uses: bool = False  # it knows what was used before
     rostered: bool = False  # the change log was heard, in this life
     scorers: bool = False  # some take calls
@@ -78,8 +94,8 @@
     """A folder's signs, as its member told them: of this life of it, and the farthest before that."""
 
     life: int
-    last: Sign
-    before: Sign | None = None
+    last: FolderPosition
+    before: FolderPosition | None = None
     told: int = 0
 
 
@@ -95,20 +111,20 @@
     own: Own
     seat: Callable[[float], Seat]  # how its voter stands
     worths: Mapping[str, float]  # of classes
-    timing: Timing
+    timing: PhaseTiming
     now_ms: float
-    pace: Pace = Pace()
+    pace: QueryPace = QueryPace()
     stand_ms: float = 500.0
     stage_ms: float = 300.0
-    asking: Asking = field(init=False)
-    follower: Follower = field(init=False)
+    asking: StartupQueries = field(init=False)
+    follower: PhaseFollower = field(init=False)
     lead: Lead = field(init=False)
     counts: dict[str, int] = field(default_factory=dict)  # what was dropped, by cause
     signs: dict[str, dict[str, _Heard]] = field(default_factory=dict)  # by member and disk
     _told: dict[str, tuple[int, float]] = field(default_factory=dict)  # leader's life and least lateness
     _heard_ms: dict[str, float] = field(default_factory=dict)  # when voters said something last
     _term: int = 0  # the largest of a leader that was followed
-    _going: tuple[Allowed, Stage | None, int, int, Dealt | None] | None = None
+    _going: tuple[AllowedActions, RecoveryPhase | None, int, int, PermitAssignment | None] | None = None
     _gave_ms: float = float("-inf")  # loads were allowed here, and by no stage
     _stand_due_ms: float = 0.0
     _ask_due_ms: float = 0.0  # of a leader that has not answered yet
@@ -116,14 +132,20 @@
 
     def __post_init__(self) -> None:
         lists, own = self.lists, self.own
-        found: dict[What, tuple[int, str]] = {}
+        found: dict[QueryTopic, tuple[int, str]] = {}
         if self.name in lists.voters and own.votes and own.whole:
-            found |= {What.MEMBERS: (lists.number, lists.digest), What.PLAN: own.plan}
+            found |= {QueryTopic.MEMBERS: (lists.number, lists.digest), QueryTopic.PLAN: own.plan}
         if own.sure or self.name not in lists.keepers:
-            found[What.PROMISES] = (0, "")
-        asked_of = {Of.VOTERS: lists.voters, Of.KEEPERS: lists.keepers, Of.LOG: (LOG,)}
-        self.asking = Asking(self.name, self.fleet, self.life, asked_of, self.now_ms, found, self.pace)
-        self.follower = Follower(self.timing, self.now_ms)
+            found[QueryTopic.PROMISES] = (0, "")
+        asked_of = {
+            QueryTarget.VOTERS: lists.voters,
+            QueryTarget.KEEPERS: lists.keepers,
+            QueryTarget.LOG: (LOG,),
+        }
+        self.asking = StartupQueries(
+            self.name, self.fleet, self.life, asked_of, self.now_ms, found, self.pace
+        )
+        self.follower = PhaseFollower(self.timing, self.now_ms)
         self.lead = Lead(self.timing, lists, self.heard_ms, 3.0 * self.stand_ms, self.stage_ms)
         self._stand_due_ms = self._ask_due_ms = self.now_ms
 
@@ -140,15 +162,15 @@
     def cut(self) -> int:
         return self.follower.register.cut if self.follower.register is not None else 0
 
-    def stage(self, now_ms: float) -> Stage | None:
+    def stage(self, now_ms: float) -> RecoveryPhase | None:
         return self.follower.stage(now_ms)
 
-    def allowed(self, now_ms: float) -> Allowed:
+    def allowed(self, now_ms: float) -> AllowedActions:
         """What this front end does now."""
         found = self.follower.allowed(now_ms, self.worths)
         if found is None:
             own, members = self.own, len(self.lists.members)
-            found = alone.allowed(self.worths, own.heard, members, own.scorers, self.asked)
+            found = alone.allowed_when_partitioned(self.worths, own.heard, members, own.scorers, self.asked)
         return found if self.asked else replace(found, status=False)
 
     def _count(self, cause: str) -> None:
@@ -162,9 +184,11 @@
         """Most voters go by this list of members, or by an earlier one, and the keeper here knows all that it
         granted: nothing that was not found is missed any more."""
         asking, lists = self.asking, self.lists
-        if asking.stand(What.MEMBERS) is not Stand.ANSWERED or not (self.own.sure and self.own.settled):
+        if asking.stand(QueryTopic.MEMBERS) is not QueryState.ANSWERED or not (
+            self.own.sure and self.own.settled
+        ):
             return False
-        said = [(a.number, a.digest) for a in asking.opens[What.MEMBERS].answers.values()]
+        said = [(a.number, a.digest) for a in asking.opens[QueryTopic.MEMBERS].answers.values()]
         return all(n < lists.number or (n, d) == (lists.number, lists.digest) for n, d in said)
 
     # --- what comes in --------------------------------------------------------------------------
@@ -176,10 +200,10 @@
             return []
         if sender in self.lists.voters:
             self._heard_ms[sender] = now_ms
-        if isinstance(word, Ask):
+        if isinstance(word, Query):
             return self._answer(now_ms, sender, word, zone=True)
         if isinstance(word, Answer):
-            return self._answered(now_ms, sender, word, Of.VOTERS)
+            return self._answered(now_ms, sender, word, QueryTarget.VOTERS)
         if isinstance(word, w.Boot):
             self.lead.booted(now_ms, sender, word)
             return self._signed(sender, word)
@@ -199,31 +223,31 @@
         if sender not in self.lists.members:
             self._count("of no member")
             return []
-        if isinstance(word, Ask):
+        if isinstance(word, Query):
             return self._answer(now_ms, sender, word, zone=False)
         if isinstance(word, Answer):
-            return self._answered(now_ms, sender, word, Of.KEEPERS)
+            return self._answered(now_ms, sender, word, QueryTarget.KEEPERS)
         self._count("by the wrong log")
         return []
 
-    def _answer(self, now_ms: float, sender: str, ask: Ask, zone: bool) -> list[Effect]:
+    def _answer(self, now_ms: float, sender: str, ask: Query, zone: bool) -> list[Effect]:
         """What is not sure, or found in a store that has not all anew yet, is not told: such an answer says
         of whom it is, and no more."""
-        own, what = self.own, What(ask.what)
+        own, what = self.own, QueryTopic(ask.what)
         if ask.fleet != self.fleet:
             self._count("another fleet's")
             return []
-        if (what in (What.MEMBERS, What.PLAN)) is not zone or what is What.ROSTER:
+        if (what in (QueryTopic.MEMBERS, QueryTopic.PLAN)) is not zone or what is QueryTopic.ROSTER:
             self._count("by the wrong log")
             return []
         if self.name not in (self.lists.voters if zone else self.lists.keepers):
             return []
         number, digest, sure, leased = 0, "", own.sure, False
-        if what is What.MEMBERS:
+        if what is QueryTopic.MEMBERS:
             number, digest, sure = self.lists.number, self.lists.digest, own.votes
-        elif what is What.PLAN:
+        elif what is QueryTopic.PLAN:
             (number, digest), sure, leased = own.plan, own.votes, self.seat(now_ms).fresh
-        elif what is What.USE:
+        elif what is QueryTopic.USE:
             sure = own.uses
         answer = Answer(self.fleet, ask.life, ask.turn, ask.what, self.life, False)
         if own.settled and sure:
@@ -231,8 +255,8 @@
             answer = msgspec.structs.replace(answer, **told)
         return [Say((sender,), answer, zone)]
 
-    def _answered(self, now_ms: float, sender: str, answer: Answer, of: Of) -> list[Effect]:
-        if answer.what > What.USE or self.asking.steps[What(answer.what)].of is not of:
+    def _answered(self, now_ms: float, sender: str, answer: Answer, of: QueryTarget) -> list[Effect]:
+        if answer.what > QueryTopic.USE or self.asking.steps[QueryTopic(answer.what)].of is not of:
             self._count("by the wrong log")
             return []
         self.asking.heard(now_ms, sender, answer)
@@ -270,7 +294,7 @@
             if now_ms < self._ask_due_ms:
                 return []
             self._ask_due_ms = now_ms + self.pace.again_ms
-            return [self._boot(), Say((sender,), self.asking.ask_one(sender, What.MEMBERS).message)]
+            return [self._boot(), Say((sender,), self.asking.ask_one(sender, QueryTopic.MEMBERS).message)]
         late = now_ms - word.at_ms  # and the two clocks' difference, which the least of it stands for
         life, least = self._told.get(sender, (0, 0.0))
         least = min(least, late) if life == word.life else late
@@ -285,7 +309,7 @@
         try:
             effects = self.lead.decided(now_ms, text)
         except RegisterError as error:
-            return [Note("recovery not read", {"why": str(error)})]
+            return [LogEvent("recovery not read", {"why": str(error)})]
         return [*effects, *self._leading(now_ms)]
 
     def not_put(self) -> None:
@@ -299,7 +323,7 @@
     def take_lists(self, now_ms: float, lists: Lists) -> list[Effect]:
         """There is a later file of members."""
         self.lists = self.lead.lists = lists
-        self.asking.lists |= {Of.VOTERS: lists.voters, Of.KEEPERS: lists.keepers}
+        self.asking.lists |= {QueryTarget.VOTERS: lists.voters, QueryTarget.KEEPERS: lists.keepers}
         self.signs = {name: signs for name, signs in self.signs.items() if name in lists.members}
         self.lead.forget()
         return self._go(now_ms)
@@ -308,7 +332,7 @@
 
     def due_ms(self, now_ms: float) -> float:
         """When `tick` is wanted next."""
-        calm = self._going is not None and self._going[1] is Stage.SPILL and not self.lead.term
+        calm = self._going is not None and self._going[1] is RecoveryPhase.SPILL and not self.lead.term
         dues = [now_ms + (CALM_LOOK_MS if calm else LOOK_MS), self._stand_due_ms]
         if (due := self.asking.due_ms()) is not None:
             dues.append(due)
@@ -318,20 +342,23 @@
         """Call it at `due_ms` at the latest. `own` counts until the next one."""
         self.own = own
         if own.sure:
-            self.asking.knows(now_ms, What.PROMISES)
-        if own.rostered and self.asking.stand(What.ROSTER) not in (Stand.AHEAD, Stand.ANSWERED):
-            said = Answer(self.fleet, self.life, self.asking.turn, int(What.ROSTER), 1, True)
+            self.asking.knows(now_ms, QueryTopic.PROMISES)
+        if own.rostered and self.asking.stand(QueryTopic.ROSTER) not in (
+            QueryState.AHEAD,
+            QueryState.ANSWERED,
+        ):
+            said = Answer(self.fleet, self.life, self.asking.turn, int(QueryTopic.ROSTER), 1, True)
             self.asking.heard(now_ms, LOG, said)
         effects: list[Effect] = [*self.turned(now_ms)]
         for said in self.asking.tick(now_ms):
             if said.to != LOG:
-                zone = self.asking.steps[What(said.message.what)].of is Of.VOTERS
+                zone = self.asking.steps[QueryTopic(said.message.what)].of is QueryTarget.VOTERS
                 effects.append(Say((said.to,), said.message, zone))
         if any(isinstance(effect, Say) for effect in effects):
             effects.insert(0, self._boot())  # a voter that answers knows it
         effects += self._go(now_ms)
         if now_ms >= self._stand_due_ms:
-            calm = self._going is not None and self._going[1] is Stage.SPILL
+            calm = self._going is not None and self._going[1] is RecoveryPhase.SPILL
             self._stand_due_ms = now_ms + self.stand_ms * (CALM_PACE if calm else 1)
             effects += [self._boot(), Say((), self._standing(now_ms))]
         self.lead.booted(now_ms, self.name, w.Boot(self.life, self.mark, own.sign))
@@ -362,11 +389,11 @@
         effects: list[Effect] = []
         if self.asked and not self._asked:
             self._asked = True
-            effects.append(Note("asked", {"without": list(self.asking.without().values())}))
+            effects.append(LogEvent("asked", {"without": list(self.asking.without().values())}))
         stage, register = self.stage(now_ms), self.follower.register
         fronts = self.own.heard if stage is None or register is None else register.fronts
         going = (self.allowed(now_ms), stage, self.cut, max(1, fronts), self.follower.dealt(now_ms))
-        if going[0].loads and not going[0].spill and (stage is None or stage < Stage.WORTH):
+        if going[0].loads and not going[0].spill and (stage is None or stage < RecoveryPhase.WORTH):
             self._gave_ms = now_ms
         if going == self._going:
             return effects
@@ -375,11 +402,11 @@
         if before is None or (before[1:3], before[0].part) != (going[1:3], going[0].part):
             stage = "alone" if going[1] is None else going[1].name.lower()
             fields = {"stage": stage, "cut": going[2], "part": going[0].part, "status": going[0].status}
-            effects.append(Note("stage", fields))
+            effects.append(LogEvent("stage", fields))
         if before is not None and before[1] is not going[1]:
             self._stand_due_ms = min(self._stand_due_ms, now_ms)  # by another pace from now on
         return effects
 
 
-def _order(sign: Sign) -> tuple[int, int]:
+def _order(sign: FolderPosition) -> tuple[int, int]:
     return sign.life, sign.number
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -16,8 +16,8 @@
 from fawnwharf.net.requests import Call, Outcome, Refused
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core import alone
-from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
-from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.recovery_core.budget import AdmissionRateLimiter, FleetLimits, priority_classes
+from fawnwharf.recovery_core.stages import AllowedActions
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Stood, Ticket
 from fawnwharf.replication.claims import Phase
@@ -105,7 +105,7 @@
         loop: Loop,
         below: Taking,
         classes: dict[str, ClassSpec],
-        limits: Limits,
+        limits: FleetLimits,
         promises: Promises | None = None,
         window_ms: float = 13_500.0,
         clock: Callable[[], float] = monotonic_ms,
@@ -115,10 +115,10 @@
         self._promises = promises or NoPromises()
         self._window_ms, self._began_ms = window_ms, clock()
         self.open = False  # calm: all is passed on as it comes
-        self.doors = Doors(limits, at_ms=clock())
+        self.doors = AdmissionRateLimiter(limits, at_ms=clock())
         self.counts: dict[str, int] = {}
         self._since: dict[str, int] = {}
-        self._may = Allowed()
+        self._may = AllowedActions()
         self._giving: Giving | None = None
         self._first = frozenset[str]()
         self._numbers = itertools.count(1)
@@ -138,11 +138,11 @@
         found, self._since = self._since, {}
         return found | {"held": len(self._held)} if found else {}
 
-    def go_by(self, allowed: Allowed, rate_ps: float, giving: Giving | None) -> None:
+    def go_by(self, allowed: AllowedActions, rate_ps: float, giving: Giving | None) -> None:
         """To be told at each change. `rate_ps`: calls a second that are let in here."""
         now = self._clock()
         self._may, self._giving, self.open = allowed, giving, allowed.spill
-        self._first = first_classes({name: spec.worth for name, spec in self._classes.items()})
+        self._first = priority_classes({name: spec.worth for name, spec in self._classes.items()})
         self.doors.pace(now, rate_ps)
         for held in [held for held in self._held.values() if not held.passed]:
             if self.open:
@@ -187,8 +187,8 @@
             return True
         effect = self._classes[class_name].effect
         granted = effect is Effect.UNSAFE and self._promises.asks(class_name)  # its keepers are asked
-        standing = alone.Standing(granted=granted, since_start_ms=self._clock() - self._began_ms)
-        return alone.call(effect, standing, self._window_ms) is alone.Alone.SERVE
+        standing = alone.CallKnowledge(granted=granted, since_start_ms=self._clock() - self._began_ms)
+        return alone.decide_call(effect, standing, self._window_ms) is alone.CallDecision.SERVE
 
     def _weigh(self, call: Call) -> str | None:
         now = self._clock()
--- a/fawnwharf/recovery_service/giving.py
+++ b/fawnwharf/recovery_service/giving.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import Limits, part_ms
-from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.recovery_core.budget import FleetLimits, start_offset_ms
+from fawnwharf.recovery_core.register import PermitAssignment
+from fawnwharf.recovery_core.stages import AllowedActions
 from fawnwharf.recovery_service import given_words as m
 from fawnwharf.recovery_service.lent import LENT_MS, Helping
 from fawnwharf.recovery_service.loading import LEAST_MS, PROVES, RETRY_MS, Loading
@@ -54,7 +54,7 @@
         self,
         name: str,
         life: int,
-        limits: Limits,
+        limits: FleetLimits,
         order: Callable[[str], Sequence[int]],
         lag_ms: float = LAG_MS,
         usual_ms: float = USUAL_MS,
@@ -69,7 +69,7 @@
         self.loading = Loading(name, self.seats, order, self.places.__contains__, room)
         self.helping, self._room = Helping(life), room
         self._counts: dict[str, int] = {}
-        self._allowed = Allowed()
+        self._allowed = AllowedActions()
         self._cut = -1
         self.word_ms = WORD_MS
         self._opening = -1  # this life went by stages of that cut before anything was given in it
@@ -99,9 +99,9 @@
         now_ms: float,
         heard: Iterable[str],
         keepers: Iterable[str],
-        allowed: Allowed,
+        allowed: AllowedActions,
         cut: int,
-        dealt: Dealt | None = None,
+        dealt: PermitAssignment | None = None,
     ) -> None:
         """What is seen now; to be told at each change. `heard`: members that gave a sign lately; `dealt`: by
         the register that it follows.
@@ -123,7 +123,7 @@
         self.wards.set(now_ms, givers, allowed.part, deal, lag_ms, first)
         if allowed.loads and (not self._allowed.loads or cut != self._cut):
             spread_ms = SPREAD_MS if deal is None else 0.0
-            self.loading.loader.begins_ms = now_ms + part_ms(self.name, cut, spread_ms)
+            self.loading.loader.begins_ms = now_ms + start_offset_ms(self.name, cut, spread_ms)
         for name in heard - self._heard - {self.name} if allowed.loads else ():  # it is told all that stands
             own = [row for row, (_, by) in self.places.items() if by == self.name]
             self._askers.setdefault(name, {}).update(dict.fromkeys(own))
--- a/fawnwharf/recovery_service/hints.py
+++ b/fawnwharf/recovery_service/hints.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.config import Fleet, Member
-from fawnwharf.recovery_core.trust import Trust
+from fawnwharf.recovery_core.trust import TrustLevel
 
 KEY = "last"  # of the one entry of each kind
 ROSTER_MS = 2_000.0
@@ -21,7 +21,7 @@
 ROWS_MOST = 2_000
 COUNTED_MOST = 4 * ROWS_MOST  # rows of one window; later ones of it are not told apart, and left out
 
-Rows = list[tuple[str, Any, Trust]]  # as `Kept.read` gives them
+Rows = list[tuple[str, Any, TrustLevel]]  # as `Kept.read` gives them
 
 
 class _Scorer(Struct, frozen=True, array_like=True):
@@ -118,7 +118,7 @@
 
 def _value(rows: Rows, kind: Any, most: int) -> list[Any]:
     for key, value, trusted in rows:
-        if key == KEY and trusted >= Trust.HINT:
+        if key == KEY and trusted >= TrustLevel.HINT:
             try:
                 return msgspec.convert(value, kind)[:most]
             except msgspec.ValidationError:
--- a/fawnwharf/recovery_service/holds.py
+++ b/fawnwharf/recovery_service/holds.py
@@ -17,7 +17,7 @@
 from fawnwharf.net.requests import OpenRequest
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.recovery_core.stages import AllowedActions
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Out
 
@@ -47,7 +47,7 @@
         self._rates: dict[str, list[float]] = {}  # functions: since when, how many were held back
         self._open: list[tuple[float, io.OrderAnswered]] = []  # that the module is to be told, and when
 
-    def go_by(self, allowed: Allowed, giving: Giving | None) -> None:
+    def go_by(self, allowed: AllowedActions, giving: Giving | None) -> None:
         self.calm = allowed.spill or giving is None
         self.own_loads, self.giving = allowed.own_loads, giving
         self._release(float("inf") if self.calm or self.own_loads else self._clock())
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -13,9 +13,9 @@
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
-from fawnwharf.recovery_core.budget import Limits, limits_from
-from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
+from fawnwharf.recovery_core.register import PermitAssignment
+from fawnwharf.recovery_core.stages import AllowedActions
 from fawnwharf.recovery_service import given_words as g
 from fawnwharf.recovery_service import outs
 from fawnwharf.recovery_service.door import Door, Kept
@@ -30,7 +30,7 @@
 ORDERS_MOST = 4_096  # functions whose hash order is kept in mind
 
 
-def made(front: FrontEnd, state: State, settings: Settings, limits: Limits) -> Door:
+def made(front: FrontEnd, state: State, settings: Settings, limits: FleetLimits) -> Door:
     """The door, before whatever stands there."""
     classes, promises = front.deployment.settings.classes, Kept(state.gate, state.core)
     return Door(front.loop, front.port.table, classes, limits, promises, settings.timing.window_ms)
@@ -45,14 +45,14 @@
         state: State,
         settings: Settings,
         life: int,
-        door: Callable[[FrontEnd, State, Settings, Limits], Door] = made,
+        door: Callable[[FrontEnd, State, Settings, FleetLimits], Door] = made,
     ) -> None:
         self.front, self.state = front, state
-        self.limits = limits_from(front.deployment.settings, settings.fetches, settings.scorer_rps)
+        self.limits = fleet_limits(front.deployment.settings, settings.fetches, settings.scorer_rps)
         self.giving = Giving(state.entry.name, life, self.limits, self._order, room=self._room)
         self.giving.word_ms = settings.timing.alone_ms
         self.counts: dict[str, int] = {}
-        self._going: tuple[Allowed, int, int, Dealt | None] = (Allowed(), 0, 1, None)
+        self._going: tuple[AllowedActions, int, int, PermitAssignment | None] = (AllowedActions(), 0, 1, None)
         self._used: dict[tuple[str, str], float] = {}  # calls a second before the cut, by function and class
         self._used_ms = float("-inf")
         self._heard: frozenset[str] = frozenset()
@@ -75,7 +75,7 @@
             self._timer.cancel()
         self.front.stand_between(io.Hold, lambda _own: self._order_out)
         if not self._going[0].spill:
-            self.door.go_by(Allowed(), 0.0, self.giving)  # what waits may be asked for again elsewhere
+            self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
     def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
         front, self._order_out = self.front, below
@@ -84,7 +84,9 @@
 
     # --- what is allowed ------------------------------------------------------------------------
 
-    def go_by(self, allowed: Allowed, cut: int, fronts: int, dealt: Dealt | None = None) -> None:
+    def go_by(
+        self, allowed: AllowedActions, cut: int, fronts: int, dealt: PermitAssignment | None = None
+    ) -> None:
         """`fronts`: among how many front ends the fleet's calls are divided; alone, among those that hear
         each other, whose part of the budgets `allowed` has."""
         self._going = (allowed, cut, fronts, dealt)
--- a/fawnwharf/recovery_service/kept.py
+++ b/fawnwharf/recovery_service/kept.py
@@ -13,18 +13,18 @@
 from fawnwharf.durable_store import form as f
 from fawnwharf.durable_store import reading
 from fawnwharf.recovery_core.trust import (
-    Age,
-    Clock,
-    Found,
-    Kind,
-    Span,
-    Spans,
-    Store,
-    Trust,
+    AgeLimits,
+    AgeSettings,
+    ClockReading,
+    StateAge,
+    StateKind,
+    StoreCondition,
+    StoredState,
+    TrustLevel,
     age_of,
-    left_ms,
+    remaining_ms,
     same_boot,
-    trust,
+    trust_level,
 )
 
 
@@ -40,21 +40,21 @@
 
 # 'Where copies stood' and 'load counts' are hardly ever more than gone, and terms are in the voters' file.
 RULES = {
-    Kind.PROMISE: Rule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
-    Kind.PLAN: Rule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    Kind.POLICY: Rule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    Kind.HOMES: Rule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
-    Kind.ROSTER: Rule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
-    Kind.USE: Rule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
+    StateKind.PROMISE: Rule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
+    StateKind.PLAN: Rule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
+    StateKind.POLICY: Rule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
+    StateKind.HOMES: Rule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
+    StateKind.ROSTER: Rule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
+    StateKind.USE: Rule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
 }
 START, DOUBT, SURE, TURN = "start", "doubt", "sure", "turn"  # the store's own, one entry each
 LAST = "last"
-KINDS = [f.Kind(rule.name, rule.mode, rule.most, rule.value_bytes) for rule in RULES.values()] + [
+KINDS = [f.EntryKind(rule.name, rule.mode, rule.most, rule.value_bytes) for rule in RULES.values()] + [
     # A store that is full must not forget that it is in part, nor refuse the ticket of what it took.
-    f.Kind(START, f.SOON, 1, 256, reserved=True),
-    f.Kind(DOUBT, f.SOON, 1, 4_096, reserved=True),
-    f.Kind(SURE, f.SOON, 1, 64, reserved=True),
-    f.Kind(TURN, f.SYNCED, 1, 64, reserved=True),
+    f.EntryKind(START, f.SOON, 1, 256, reserved=True),
+    f.EntryKind(DOUBT, f.SOON, 1, 4_096, reserved=True),
+    f.EntryKind(SURE, f.SOON, 1, 64, reserved=True),
+    f.EntryKind(TURN, f.SYNCED, 1, 64, reserved=True),
 ]
 WHY_MOST = 500  # characters of a cause, of six bytes at the most as JSON
 
@@ -68,14 +68,14 @@
     value: Any
 
     @property
-    def clock(self) -> Clock:
-        return Clock(self.boot, self.mono_ms, self.wall_ms)
+    def clock(self) -> ClockReading:
+        return ClockReading(self.boot, self.mono_ms, self.wall_ms)
 
 
 class Row(NamedTuple):
     key: str
     value: Any
-    age: Age
+    age: StateAge
 
 
 class Start(NamedTuple):
@@ -89,7 +89,7 @@
     doubt: str
     new: bool
     sure: int  # the list of members by which the keeper knew all that it had granted; 0: it did not
-    rows: dict[Kind, list[Row]]
+    rows: dict[StateKind, list[Row]]
     old: list[tuple[str, str]]  # what is over or can't be read: it goes
 
 
@@ -98,20 +98,20 @@
     return hashlib.blake2b(mark.encode(), digest_size=6).hexdigest() if mark else ""
 
 
-def stamped(clock: Clock, value: Any) -> bytes:
+def stamped(clock: ClockReading, value: Any) -> bytes:
     return msgspec.json.encode(
         Stamped(clock.boot, round(clock.mono_ms, 1), float(round(clock.wall_ms)), value)
     )
 
 
-def started(found: reading.Found, now: Clock, fresh: bool, spans: Spans) -> Start:
+def started(found: reading.FolderState, now: ClockReading, fresh: bool, spans: AgeSettings) -> Start:
     """`now`: of this start, its boot as `short` has it. `fresh`: nobody in the fleet has promised anything,
     so that an empty folder has lost nothing."""
     entries, same, number = found.entries, False, 0
     if (data := entries.get((START, LAST))) is not None and (last := _stamped(data)) is not None:
         same = same_boot(last.clock, now)
         number = last.value if type(last.value) is int else 0
-    rows: dict[Kind, list[Row]] = {}
+    rows: dict[StateKind, list[Row]] = {}
     old, faulty = [], ""
     by_name = {rule.name: kind for kind, rule in RULES.items()}
     for (name, key), data in entries.items():
@@ -120,7 +120,7 @@
         row = _row(kind, key, data, now, spans)
         if row is None:
             faulty = faulty or f"{name}: an entry that can't be read"
-        if row is None or _trust(kind, row.age, same, found.ended, Store.WHOLE) is Trust.GONE:
+        if row is None or _trust(kind, row.age, same, found.ended, StoreCondition.WHOLE) is TrustLevel.GONE:
             old.append((name, key))
         else:
             rows.setdefault(kind, []).append(row)
@@ -137,22 +137,22 @@
         return None
 
 
-def _row(kind: Kind, key: str, data: bytes, now: Clock, spans: Spans) -> Row | None:
+def _row(kind: StateKind, key: str, data: bytes, now: ClockReading, spans: AgeSettings) -> Row | None:
     """None where it is none. What is kept of a promise is a list that begins with how long it counts; it is
     read with what is left of that, and since when it stands, None where another boot wrote it."""
     if (found := _stamped(data)) is None:
         return None
-    if kind is not Kind.PROMISE:
+    if kind is not StateKind.PROMISE:
         return Row(key, found.value, age_of(kind, found.clock, now, spans.of(kind)))
     value = found.value
     if not isinstance(value, list) or not value or not isinstance(value[0], int | float):
         return None
-    left = left_ms(found.clock, now, value[0])
+    left = remaining_ms(found.clock, now, value[0])
     since = now.mono_ms - found.mono_ms if same_boot(found.clock, now) else None
-    return Row(key, [left, since, *value[1:]], age_of(kind, found.clock, now, Span(value[0], value[0])))
+    return Row(key, [left, since, *value[1:]], age_of(kind, found.clock, now, AgeLimits(value[0], value[0])))
 
 
-def _found_to_be(found: reading.Found, fresh: bool) -> str:
+def _found_to_be(found: reading.FolderState, fresh: bool) -> str:
     """What the folder itself says against it."""
     if found.repaired:
         return f"repaired: {found.repaired}"[:WHY_MOST]
@@ -171,14 +171,14 @@
     return found.value if found is not None and isinstance(found.value, int) else 0
 
 
-def _trust(kind: Kind, age: Age, same: bool, in_order: bool, store: Store) -> Trust:
-    return trust(Found(kind, age, in_order, same, store=store))
+def _trust(kind: StateKind, age: StateAge, same: bool, in_order: bool, store: StoreCondition) -> TrustLevel:
+    return trust_level(StoredState(kind, age, in_order, same, store=store))
 
 
-def read(start: Start, kind: Kind, store: Store) -> list[tuple[str, Any, Trust]]:
+def read(start: Start, kind: StateKind, store: StoreCondition) -> list[tuple[str, Any, TrustLevel]]:
     """What was found of a kind, by the table, as the store is held to be now."""
     return [
         (row.key, row.value, held)
         for row in start.rows.get(kind, ())
-        if (held := _trust(kind, row.age, start.same_boot, start.in_order, store)) is not Trust.GONE
+        if (held := _trust(kind, row.age, start.same_boot, start.in_order, store)) is not TrustLevel.GONE
     ]
--- a/fawnwharf/recovery_service/lead.py
+++ b/fawnwharf/recovery_service/lead.py
@@ -6,10 +6,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawnwharf.recovery_core.budget import loaders
-from fawnwharf.recovery_core.register import GIVERS_MOST
-from fawnwharf.recovery_core.stages import Conductor, Effect, Note, Seen, Stage, Timing
-from fawnwharf.recovery_core.trust import Scope, scope
+from fawnwharf.recovery_core.budget import choose_load_coordinators
+from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS
+from fawnwharf.recovery_core.stages import (
+    Effect,
+    FleetObservation,
+    LogEvent,
+    PhaseTiming,
+    RecoveryCoordinator,
+    RecoveryPhase,
+)
+from fawnwharf.recovery_core.trust import RestartScope, restart_scope
 from fawnwharf.recovery_service import words as w
 from fawnwharf.zones.lines import Seat
 
@@ -42,12 +49,12 @@
 class Lead:
     """Owns what members told of themselves, and the conductor."""
 
-    timing: Timing
+    timing: PhaseTiming
     lists: Lists
     heard_ms: float  # for so long what one told counts
     soon_ms: float  # and in a recovery, how it stands
     stage_ms: float  # pace of the word to all
-    conductor: Conductor = field(init=False)
+    conductor: RecoveryCoordinator = field(init=False)
     term: int = 0  # of the reign; 0: it does not lead
     unread: int = 0  # a reign that could not begin
     marks: dict[str, tuple[int, str, float]] = field(default_factory=dict)  # life, boot's mark, when
@@ -57,7 +64,7 @@
     _word: tuple[int, float] = (-1, 0.0)  # number of the register that was told last, and when
 
     def __post_init__(self) -> None:
-        self.conductor = Conductor(self.timing)
+        self.conductor = RecoveryCoordinator(self.timing)
 
     # --- what members tell ----------------------------------------------------------------------
 
@@ -84,13 +91,13 @@
                 del held[name]
 
     def _alive(self, now_ms: float) -> dict[str, w.Standing]:
-        most_ms = self.heard_ms if self.conductor.register.stage == Stage.SPILL else self.soon_ms
+        most_ms = self.heard_ms if self.conductor.register.stage == RecoveryPhase.SPILL else self.soon_ms
         return {n: told for n, (told, at_ms) in self.standings.items() if now_ms - at_ms < most_ms}
 
     def heard(self, now_ms: float) -> int:
         return len(self._alive(now_ms))
 
-    def seen(self, now_ms: float) -> Seen:
+    def seen(self, now_ms: float) -> FleetObservation:
         """Merged over all that are heard; scorers that fell since the last look, by whoever saw most fall."""
         alive, lists = self._alive(now_ms), self.lists
         first, served = [t.first for t in alive.values()], [t.served for t in alive.values()]
@@ -101,7 +108,7 @@
             life, before = self._fell.get(name, (told.life, told.fell))
             fell = max(fell, told.fell - before if life == told.life else told.fell)
             self._fell[name] = told.life, told.fell
-        return Seen(
+        return FleetObservation(
             members=len(lists.members),
             heard=len(alive),
             asked=sum(told.asked for told in alive.values()),
@@ -110,7 +117,11 @@
             served=w.Tally(sum(t.good for t in served), sum(t.all for t in served)).part,
             slow=slow,
             fell=fell,
-            givers=tuple(sorted(loaders((n for n in lists.keepers if n in alive), GIVERS_MOST, 0))),
+            givers=tuple(
+                sorted(
+                    choose_load_coordinators((n for n in lists.keepers if n in alive), MAX_PERMIT_ISSUERS, 0)
+                )
+            ),
             gave=any(told.gave for told in alive.values()),
         )
 
@@ -130,10 +141,10 @@
         self._word = (-1, 0.0)
         return effects
 
-    def decided(self, now_ms: float, text: str) -> list[Note]:
+    def decided(self, now_ms: float, text: str) -> list[LogEvent]:
         """Raises RegisterError."""
         notes, boots = self.conductor.decided(now_ms, text), len(self.conductor.register.boots)
-        return [Note("stage decided", note.fields | {"boots": boots}) for note in notes]
+        return [LogEvent("stage decided", note.fields | {"boots": boots}) for note in notes]
 
     def _boots(self, now_ms: float) -> tuple[dict[str, str], int]:
         """Marks of voters that are heard, by identity, and how many are heard, also without a mark."""
@@ -168,7 +179,7 @@
         if number == conductor.register.number and now_ms - at_ms < self.stage_ms:
             return None
         boots, heard = self._boots(now_ms)
-        lost = scope(True, conductor.voters, conductor.register.boots, boots) is Scope.FLEET
+        lost = restart_scope(True, conductor.voters, conductor.register.boots, boots) is RestartScope.FLEET
         if lost or 2 * heard <= len(conductor.voters):
             return None
         self._word = conductor.register.number, now_ms
--- a/fawnwharf/recovery_service/loading.py
+++ b/fawnwharf/recovery_service/loading.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import Loader
+from fawnwharf.recovery_core.budget import LoadCoordinator
 from fawnwharf.recovery_service.given_words import Lend, Lent, Wanted, What
 from fawnwharf.recovery_service.lent import Spares
 from fawnwharf.recovery_service.outs import Order, Words
@@ -61,7 +61,7 @@
         self.me, self.seats, self._order, self._stands, self._room = me, seats, order, stands, room
         self.spares = Spares()
         self._left = 0.0  # of the room, as of this look
-        self.loader = Loader(at_a_time=0)
+        self.loader = LoadCoordinator(at_a_time=0)
         self.counts: dict[str, int] = {}
         self.under_way: dict[str, _UnderWay] = {}
         self._facts: dict[str, _Facts] = {}
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -9,14 +9,14 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import form as f
-from fawnwharf.durable_store.core import Refused
-from fawnwharf.durable_store.reading import Found, Sign, older
-from fawnwharf.durable_store.service import OnLoop
-from fawnwharf.durable_store.store import open_folder, unix_ms
+from fawnwharf.durable_store.core import ChangeRejectedError
+from fawnwharf.durable_store.reading import FolderPosition, FolderState, rollback_reason
+from fawnwharf.durable_store.service import EventLoopStore
+from fawnwharf.durable_store.store import open_store, unix_ms
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
+from fawnwharf.recovery_core.trust import AgeSettings, ClockReading, StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service import kept as k
 from fawnwharf.recovery_service.promises import OnStore
 from fawnwharf.recovery_service.settings import settings_from
@@ -44,43 +44,43 @@
     """Owns the folder's store, and what is held true of what was found in it; a Seam of the front end."""
 
     def __init__(
-        self, folder: str | Path, fleet: str, member: str, boot_file: str, limits: f.Limits, note: Note,
-        fresh: bool = False, spans: Spans | None = None,
+        self, folder: str | Path, fleet: str, member: str, boot_file: str, limits: f.StoreLimits, note: Note,
+        fresh: bool = False, spans: AgeSettings | None = None,
     ) -> None:  # fmt: skip
         """Reads the folder; waits up to `LOCK_S` for its lock. `fresh`: the fleet begins, an empty folder has
         lost nothing. Raises ConfigError with one line."""
         self.boot, self._note = boot_mark(boot_file), note
         self._mark = k.short(self.boot)
         try:
-            self.store = open_folder(
+            self.store = open_store(
                 folder, fleet, member, k.KINDS, limits, self.boot, empty_ok=True, within_s=LOCK_S
             )
         except DiskError as error:
             raise ConfigError(f"recovery.folder: {error}") from None
         found = self.store.found
         now = self._clock()
-        self._start = k.started(found, now, fresh, spans or Spans())
+        self._start = k.started(found, now, fresh, spans or AgeSettings())
         self.same_boot, self.in_order, self.sure = self._start.same_boot, found.ended, self._start.sure
-        self.whole = Store.PART if self._start.doubt else Store.WHOLE
+        self.whole = StoreCondition.PART if self._start.doubt else StoreCondition.WHOLE
         self.why, self.fresh, self.life = self._start.doubt, found.fresh, found.sign.life + 1
         # By which others know this life: larger than the one before, also by a clock that was set back.
         self.number = max(self._start.number + 1, self.life, int(unix_ms() * 1_000))
-        self._found, self._told = found.sign, Sign("", 0, 0)
+        self._found, self._told = found.sign, FolderPosition("", 0, 0)
         self._later = self._passed = (0, 0)  # life and number that others told, and that were confirmed over
         self._doubted: list[Callable[[], None]] = []  # who is told of a doubt that comes up later
-        self._loop: OnLoop | None = None
+        self._loop: EventLoopStore | None = None
         self._closed = False
         self._turns, self._refused = 0, ""
         self._anew(now)
         self._bytes = {rule.name: 0 for rule in k.RULES.values()}
         for (name, key), data in self.store.core.entries.items():
             if name in self._bytes:
-                self._bytes[name] += f.size((name, key), data)
+                self._bytes[name] += f.entry_size((name, key), data)
 
-    def _clock(self) -> Clock:
-        return Clock(self._mark, monotonic_ms(), unix_ms())
+    def _clock(self) -> ClockReading:
+        return ClockReading(self._mark, monotonic_ms(), unix_ms())
 
-    def _anew(self, now: Clock) -> None:
+    def _anew(self, now: ClockReading) -> None:
         """What this start makes of the entries; the store has not written anything yet, and its first
         snapshot has it so."""
         start = self._start
@@ -94,7 +94,7 @@
 
     def attach(self, front: FrontEnd | Loop) -> None:
         """Begin, on the front end's loop."""
-        self._loop = OnLoop(getattr(front, "loop", front), self.store, self._note)
+        self._loop = EventLoopStore(getattr(front, "loop", front), self.store, self._note)
         self._note("store read", {
             "life": self.life, "same_boot": self.same_boot, "in_order": self.in_order, "why": self.why,
             "entries": len(self.store.core.entries), "torn": self.store.found.torn,
@@ -134,30 +134,30 @@
         """Why nothing is durable now; empty: it is."""
         return self.store.standing(monotonic_ms()).failing
 
-    def read(self, kind: Kind) -> list[tuple[str, Any, Trust]]:
+    def read(self, kind: StateKind) -> list[tuple[str, Any, TrustLevel]]:
         """Key, value and trust of what was found at the start, by the table, as the store is held to be now.
         A promise's value is a list that begins with what was left of its time at the start, and for how long
         it had stood, None where another boot wrote it; both in ms."""
         return k.read(self._start, kind, self.whole)
 
-    def dropped(self, kind: Kind) -> None:
+    def dropped(self, kind: StateKind) -> None:
         """What was found of a kind is read by nobody any more."""
         self._start.rows.pop(kind, None)
 
-    def sign(self) -> Sign:
+    def sign(self) -> FolderPosition:
         """How far this folder has come, for others; of life 0 until it is settled."""
         sign = self.store.sign()
         self._told = sign if sign.life else self._told
         return sign
 
-    def heard_sign(self, sign: Sign) -> bool:
+    def heard_sign(self, sign: FolderPosition) -> bool:
         """Another member's word of a sign that it heard of this one. False: it is a later one than this
         folder has, which is an older copy; the store is in part from then on."""
         if sign.mark != self._found.mark or (sign.life, sign.number) <= self._passed:
             return True
         here = sign.life > self._found.life and self._told.life  # of this life; else of what was found
         mine = self._told if here else self._found
-        why = older(Found(sign=mine), [sign])
+        why = rollback_reason(FolderState(sign=mine), [sign])
         if why:
             self._later = max(self._later, (sign.life, sign.number))
             if self.why != why[: k.WHY_MOST]:
@@ -169,7 +169,7 @@
         self._doubt(why)
 
     def _doubt(self, why: str) -> None:
-        self.whole, self.why, self.sure = Store.PART, why, 0
+        self.whole, self.why, self.sure = StoreCondition.PART, why, 0
         self._put(k.DOUBT, k.LAST, k.stamped(self._clock(), why))
         self._put(k.SURE, k.LAST, None)
         self._note("the store is in part", {"why": why})
@@ -182,7 +182,7 @@
     def confirm(self) -> None:
         """Others confirmed what was found: the store is whole from now on, and in lives to come. Raises
         nothing; what a keeper knows of its grants is another matter."""
-        self.whole, self.why, self._passed = Store.WHOLE, "", self._later
+        self.whole, self.why, self._passed = StoreCondition.WHOLE, "", self._later
         self._put(k.DOUBT, k.LAST, None)
         self.store.core.confirm()
         if self._loop is not None:
@@ -190,14 +190,14 @@
 
     # --- what is kept ---------------------------------------------------------------------------
 
-    def keep(self, kind: Kind, key: str, value: Any | None, told: Told | None = None) -> bool:
+    def keep(self, kind: StateKind, key: str, value: Any | None, told: Told | None = None) -> bool:
         """The entry is this from now on, JSON or a Struct; None: there is none. False: it was refused, and
         nothing has changed. `told` once, that it is on disk or why that is unsure; where it is refused before
         this returns."""
         rule = k.RULES[kind]
         data = None if value is None else k.stamped(self._clock(), value)
         before = self.store.core.entries.get((rule.name, key))
-        grows = sum(f.size((rule.name, key), one) * by for one, by in ((data, 1), (before, -1)) if one)
+        grows = sum(f.entry_size((rule.name, key), one) * by for one, by in ((data, 1), (before, -1)) if one)
         if data is not None and grows > 0 and self._bytes[rule.name] + grows > rule.all_bytes:
             why = f"{rule.name}: {rule.all_bytes} bytes in all is the most"
         elif not (why := self._put(rule.name, key, data)):
@@ -214,11 +214,13 @@
 
     def homes(self) -> list[tuple[str, Any]]:
         """Homes of sessions that were kept; no hints: a number that is over may have been given anew."""
-        return [(key, value) for key, value, trust in self.read(Kind.HOMES) if trust is not Trust.HINT]
+        return [
+            (key, value) for key, value, trust in self.read(StateKind.HOMES) if trust is not TrustLevel.HINT
+        ]
 
     def keep_home(self, key: str, value: Any | None) -> bool:
         """As `keep`, of one session."""
-        return self.keep(Kind.HOMES, key, value)
+        return self.keep(StateKind.HOMES, key, value)
 
     def keep_sure(self, members: int) -> None:
         """The keeper knows all that it granted, by this list of members; 0: it does not."""
@@ -242,7 +244,7 @@
                 self._loop.put(name, key, value, told)
             else:
                 self.store.put(monotonic_ms(), name, key, value, told)
-        except Refused as error:
+        except ChangeRejectedError as error:
             return str(error)
         return ""
 
@@ -252,7 +254,7 @@
     settings = load(Path(place), settings_from, "recovery")
     rules = load(Path(state), state_settings, "state")
     members = load(Path(state).parent / rules.members, members_from, "state")
-    spans = Spans(window_ms=rules.longest_ms * (1.0 + 2.0 * rules.skew))
+    spans = AgeSettings(window_ms=rules.longest_ms * (1.0 + 2.0 * rules.skew))
     folder = Path(place).parent / settings.folder
     return Kept(
         folder, members.fleet, deployment.name, settings.boot_file, settings.store, note, fresh, spans
--- a/fawnwharf/recovery_service/promises.py
+++ b/fawnwharf/recovery_service/promises.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.trust import Kind, Trust
+from fawnwharf.recovery_core.trust import StateKind, TrustLevel
 from fawnwharf.replication.claimant import Go, Out
 from fawnwharf.replication.claims import Claim, Phase
 from fawnwharf.replication.core import Core
@@ -37,9 +37,9 @@
 
     @property
     def failing(self) -> str: ...
-    def read(self, kind: Kind) -> list[tuple[str, Any, Trust]]: ...
-    def dropped(self, kind: Kind) -> None: ...
-    def keep(self, kind: Kind, key: str, value: Any | None) -> bool: ...
+    def read(self, kind: StateKind) -> list[tuple[str, Any, TrustLevel]]: ...
+    def dropped(self, kind: StateKind) -> None: ...
+    def keep(self, kind: StateKind, key: str, value: Any | None) -> bool: ...
     def keep_sure(self, members: int) -> None: ...
     def on_disk(self, told: Callable[[bool, str], None]) -> None: ...
     def doubt(self, why: str) -> None: ...
@@ -97,14 +97,14 @@
     def _found(self, now_ms: float) -> bool:
         """What was kept, on the shelf; False: not all had room there."""
         shelf, room = self._core.keeper.shelf, True
-        for name, value, trusted in self._kept.read(Kind.PROMISE):
-            if trusted is not Trust.NOW:
+        for name, value, trusted in self._kept.read(StateKind.PROMISE):
+            if trusted is not TrustLevel.NOW:
                 continue
             left_ms, since_ms, age_ms, data = value
             claim, key = msgspec.convert(data, Claim), name.split("/", 2)[2]
             age_ms = LONG_AGO_MS if since_ms is None else min(LONG_AGO_MS, age_ms + since_ms)
             if since_ms is None:  # from now on it counts by this boot's clock
-                self._kept.keep(Kind.PROMISE, name, [left_ms, age_ms, claim])
+                self._kept.keep(StateKind.PROMISE, name, [left_ms, age_ms, claim])
             if (entry := shelf.entry(now_ms, key)) is None:
                 room = False
                 continue
@@ -112,7 +112,7 @@
             entry.first_ms = min(entry.first_ms, now_ms - age_ms)
             self._entries[name] = claim, now_ms + left_ms
             heapq.heappush(self._ends, (now_ms + left_ms, name))
-        self._kept.dropped(Kind.PROMISE)
+        self._kept.dropped(StateKind.PROMISE)
         return room
 
     def _doubted(self) -> None:
@@ -131,12 +131,12 @@
         entry = self._core.keeper.shelf.calls.get(key)
         age_ms = now_ms - entry.first_ms if entry is not None else 0.0
         value = [round(until_ms - now_ms, 1), round(age_ms, 1), claim]
-        if not self._kept.keep(Kind.PROMISE, name, value):
+        if not self._kept.keep(StateKind.PROMISE, name, value):
             self._count("not kept")
             if claim.answer is None:
                 return False
             value[2] = msgspec.structs.replace(claim, answer=None)
-            if not self._kept.keep(Kind.PROMISE, name, value):
+            if not self._kept.keep(StateKind.PROMISE, name, value):
                 return False
         self._entries[name] = claim, until_ms
         heapq.heappush(self._ends, (until_ms, name))
@@ -152,7 +152,7 @@
             found = self._entries.get(name)
             if found is not None and found[1] <= now_ms:  # else it counts for longer by now
                 del self._entries[name]
-                self._kept.keep(Kind.PROMISE, name, None)
+                self._kept.keep(StateKind.PROMISE, name, None)
 
     def _keep_sure(self, now_ms: float) -> None:
         """Whether this keeper knows all, and would after a restart, where that has changed. That it does not
--- a/fawnwharf/recovery_service/seats.py
+++ b/fawnwharf/recovery_service/seats.py
@@ -18,7 +18,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from fawnwharf.recovery_core.budget import Limits, loader_of, loaders
+from fawnwharf.recovery_core.budget import FleetLimits, choose_load_coordinators, load_coordinator_of
 
 OWNERS_MOST = 20_000  # functions whose loader is kept in mind
 
@@ -37,7 +37,7 @@
 class Seats:
     """Owns the own seats, from when each may be used, and the last views."""
 
-    def __init__(self, me: str, limits: Limits, lag_ms: float, usual_ms: float) -> None:
+    def __init__(self, me: str, limits: FleetLimits, lag_ms: float, usual_ms: float) -> None:
         self.me, self.limits, self.lag_ms, self.usual_ms = me, limits, lag_ms, usual_ms
         self.dealt: tuple[str, ...] = ()  # all seats, as `_holder` reads them
         self.rest = 1.0  # parts of one seat, where the budget is below one
@@ -69,7 +69,7 @@
         fetches = self.limits.fetches * part
         most = max(1, int(fetches))
         self.rest = min(1.0, max(1e-3, fetches))
-        chosen = loaders(givers, most, cut)
+        chosen = choose_load_coordinators(givers, most, cut)
         # The first seat of a loader has its name alone; functions are dealt by seats, so that all are used.
         dealt = tuple(chosen[n % len(chosen)] + "\0" * (n // len(chosen)) for n in range(most))
         if dealt != self.dealt:
@@ -100,12 +100,12 @@
         if found is None:
             if len(self._owners) >= OWNERS_MOST:
                 self._owners.clear()
-            found = self._owners[row] = _holder(loader_of(row, self.dealt))
+            found = self._owners[row] = _holder(load_coordinator_of(row, self.dealt))
         return found
 
     def due_ms(self, now_ms: float, row: str) -> float:
         """When this front end may order a function that is its own: another one may have had it under way."""
         while self._before and self._before[0][0] <= now_ms:
             self._before.popleft()
-        others = (until for until, was in self._before if _holder(loader_of(row, was)) != self.me)
+        others = (until for until, was in self._before if _holder(load_coordinator_of(row, was)) != self.me)
         return max(others, default=now_ms)
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -13,9 +13,9 @@
 from fawnwharf.consensus.decided import last_put
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.recovery_core.asking import Stand, What
-from fawnwharf.recovery_core.stages import Decide, Note, Stage
-from fawnwharf.recovery_core.trust import Kind, Store
+from fawnwharf.recovery_core.asking import QueryState, QueryTopic
+from fawnwharf.recovery_core.stages import LogEvent, ProposeRegister, RecoveryPhase
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition
 from fawnwharf.recovery_service import joined, showing
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.agent import Agent, Effect, Go, Lists, Own, Say, Signed
@@ -51,7 +51,7 @@
         self.settings: Settings = load(Path(path), settings_from, RECOVERY)
         self.zones, self.kept, self.state = made["zones"], made["kept"], made["state"]
         self.life = self.kept.number
-        self._used = LastUse.read(self.kept.read(Kind.USE))
+        self._used = LastUse.read(self.kept.read(StateKind.USE))
         self._roster, self._use = LastRoster(), LastUse(monotonic_ms())
         classes = deployment.settings.classes
         self.tallies = Tallies({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
@@ -119,7 +119,7 @@
         self._dialled = True
         if self.front.overlay.members:
             return
-        found = LastRoster.read(self.kept.read(Kind.ROSTER))
+        found = LastRoster.read(self.kept.read(StateKind.ROSTER))
         up_ms = self.front.loop.clock.now_ms()
         cold = [msgspec.structs.replace(member, up_since_ms=up_ms) for member in found]
         if cold:
@@ -129,7 +129,7 @@
             self.note("last roster dialled", {"scorers": len(cold)})
 
     def _keep_hints(self, now_ms: float) -> None:
-        for kind, hint in ((Kind.ROSTER, self._roster), (Kind.USE, self._use)):
+        for kind, hint in ((StateKind.ROSTER, self._roster), (StateKind.USE, self._use)):
             if (value := hint.due(now_ms)) is not None:
                 self.kept.keep(kind, KEY, value)
 
@@ -169,7 +169,7 @@
         serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
         return Own(
             settled=self.kept.settled,
-            whole=self.kept.whole is Store.WHOLE,
+            whole=self.kept.whole is StoreCondition.WHOLE,
             sure=keeper is None or keeper.sure(now),
             votes=voter is not None,
             plan=(number, _digest(text.encode())),
@@ -230,9 +230,9 @@
         self.calls.counting, self.tallies.calm = counting, not counting
         if not counting:
             self._keep_hints(now)
-            if self.kept.whole is Store.PART:
+            if self.kept.whole is StoreCondition.PART:
                 self._confirm()
-        if not self._dialled and self.agent.asking.stand(What.ROSTER) is Stand.WITHOUT:
+        if not self._dialled and self.agent.asking.stand(QueryTopic.ROSTER) is QueryState.WITHOUT:
             self._dial_last()
         self._carry_out(self.agent.tick(now, self._own()))
         if self._once("door") and (what := self.joined.door.since()):
@@ -252,21 +252,21 @@
         for effect in effects:
             if isinstance(effect, Say):
                 self._say(effect)
-            elif isinstance(effect, Decide):
+            elif isinstance(effect, ProposeRegister):
                 if not self.zones.put(effect.register, RECOVERY):
                     self.agent.not_put()
             elif isinstance(effect, Go):
                 self._go_by(effect)
             elif isinstance(effect, Signed):
                 self.kept.heard_sign(effect.sign)
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogEvent):
                 self.note(effect.event, effect.fields)
         self._show()
         self._set_timer()
 
     def _go_by(self, effect: Go) -> None:
         allowed = effect.allowed
-        if effect.stage is not Stage.SPILL:
+        if effect.stage is not RecoveryPhase.SPILL:
             self._calm_ms = None
         elif self._calm_ms is None:
             self._calm_ms = monotonic_ms()
--- a/fawnwharf/recovery_service/settings.py
+++ b/fawnwharf/recovery_service/settings.py
@@ -19,7 +19,7 @@
 Part = Annotated[float, Meta(gt=0.0, le=1.0)]
 
 
-class Store(form.Limits, frozen=True, forbid_unknown_fields=True):
+class Store(form.StoreLimits, frozen=True, forbid_unknown_fields=True):
     """Bounds of the durable store."""
 
 
@@ -38,8 +38,8 @@
     slow: Annotated[float, Meta(gt=1.0, le=100.0)] = 2.5
 
     @property
-    def of_stages(self) -> stages.Timing:
-        return stages.Timing(**msgspec.structs.asdict(self))
+    def of_stages(self) -> stages.PhaseTiming:
+        return stages.PhaseTiming(**msgspec.structs.asdict(self))
 
 
 class Pace(Struct, frozen=True, forbid_unknown_fields=True):
@@ -51,8 +51,8 @@
     stage_ms: Span = 300.0  # the leader tells the stage
 
     @property
-    def of_asking(self) -> asking.Pace:
-        return asking.Pace(self.again_ms, self.spread_ms)
+    def of_asking(self) -> asking.QueryPace:
+        return asking.QueryPace(self.again_ms, self.spread_ms)
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
--- a/fawnwharf/recovery_service/showing.py
+++ b/fawnwharf/recovery_service/showing.py
@@ -1,6 +1,6 @@
 """How an agent stands, for people: told in its member's zones' log, and read by `fawnwharf recovery show`."""
 
-from fawnwharf.recovery_core.asking import What
+from fawnwharf.recovery_core.asking import QueryTopic
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.agent import Agent
 
@@ -32,7 +32,7 @@
         why=register.why if register is not None else "",
         fronts=agent.lead.heard(now_ms) if agent.lead.term else 0,
         heard=agent.heard_lately(now_ms),
-        asked={what.name.lower(): asking.stand(what).value for what in What},
+        asked={what.name.lower(): asking.stand(what).value for what in QueryTopic},
         without=tuple(asking.without().values())[:SHOWN_MOST],
         doubts=tuple(doubts[:SHOWN_MOST]),
         counts=dict(sorted(counts.items())[:64]),
--- a/fawnwharf/recovery_service/tallies.py
+++ b/fawnwharf/recovery_service/tallies.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import first_classes
+from fawnwharf.recovery_core.budget import priority_classes
 from fawnwharf.recovery_service import words as w
 
 SPAN_MS = 1_000.0  # over which calls and loads are told
@@ -36,7 +36,7 @@
     _broken: dict[int, int] = field(default_factory=dict)  # in a row, of scorers that had answered
 
     def __post_init__(self) -> None:
-        self._first = first_classes(self.worths)
+        self._first = priority_classes(self.worths)
 
     # --- calls ----------------------------------------------------------------------------------
 
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -18,9 +18,9 @@
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.policy import Router
-from fawnwharf.recovery_core.budget import limits_from
-from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_core.world import KINDS, WORTHS
+from fawnwharf.recovery_core.budget import fleet_limits
+from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.world import FUNCTION_KINDS, PRIORITY_WEIGHTS
 from fawnwharf.recovery_service.door import Door
 from fawnwharf.recovery_service.giving import TURN_MS, Giving
 from fawnwharf.recovery_service.holds import Holds
@@ -40,7 +40,7 @@
 
 
 def site() -> io.Settings:
-    classes = {n: io.ClassSpec(n, k[1], k[2], io.Effect.SAFE, worth=k[3]) for n, k in KINDS.items()}
+    classes = {n: io.ClassSpec(n, k[1], k[2], io.Effect.SAFE, worth=k[3]) for n, k in FUNCTION_KINDS.items()}
     return io.Settings(
         classes=classes,
         quotas_rps={"t": CALM_PS},
@@ -160,12 +160,16 @@
     def __init__(self, seed: int, planned: bool) -> None:
         self.planned, self.now, self.heap, self.count = planned, BEGIN_MS, [], 0
         chance = self.chance = random.Random(f"given {seed}")
-        self.limits = limits_from(site(), round(PLACES / FETCH_PART), SCORER_PS)
+        self.limits = fleet_limits(site(), round(PLACES / FETCH_PART), SCORER_PS)
         self.scorers = [Scorer(n, BEGIN_MS + chance.uniform(0.0, 3_000.0)) for n in range(SCORERS)]
         self.facts = {}
         for n in range(FUNCTIONS):
-            kind = chance.choices(list(KINDS), [k[0] for k in KINDS.values()])[0]
-            self.facts[f"f{n}"] = kind, chance.uniform(*KINDS[kind][5]), chance.uniform(*KINDS[kind][6])
+            kind = chance.choices(list(FUNCTION_KINDS), [k[0] for k in FUNCTION_KINDS.values()])[0]
+            self.facts[f"f{n}"] = (
+                kind,
+                chance.uniform(*FUNCTION_KINDS[kind][5]),
+                chance.uniform(*FUNCTION_KINDS[kind][6]),
+            )
         self.rates = [(rank + 1) ** -0.6 for rank in range(FUNCTIONS)]
         self.store = [0.0] * PLACES
         self.seconds: dict[int, int] = {}
@@ -176,8 +180,10 @@
         if planned:
             self.turns()
             for n in range(FRONTS):
-                self.at(0.0 if not n else 50.0 * n, lambda n=n: self.see(self.fronts[n], Stage.REPEATS))
-                self.at(BURST_MS - BEGIN_MS, lambda n=n: self.see(self.fronts[n], Stage.REST))
+                self.at(
+                    0.0 if not n else 50.0 * n, lambda n=n: self.see(self.fronts[n], RecoveryPhase.REPEATS)
+                )
+                self.at(BURST_MS - BEGIN_MS, lambda n=n: self.see(self.fronts[n], RecoveryPhase.REST))
         self.at(4.0, self.wheels)
         functions, late = list(self.facts), chance.uniform
         times = [BURST_MS + late(0.0, 1_000.0) for _ in range(CALLS)]
@@ -213,8 +219,8 @@
             if front.giving is not None:
                 front.giving.scorer(self.now, scorer.id, self.now - scorer.up_ms)
 
-    def see(self, front: Front, stage: Stage) -> None:
-        names, may = [f.name for f in self.fronts], allowed(stage, WORTHS)
+    def see(self, front: Front, stage: RecoveryPhase) -> None:
+        names, may = [f.name for f in self.fronts], allowed_in_phase(stage, PRIORITY_WEIGHTS)
         front.giving.set(self.now, names, names, may, 1)
         front.holds.go_by(may, front.giving)
         self.pace(front)
@@ -222,8 +228,8 @@
     def pace(self, front: Front) -> None:
         ages = [self.now - s.up_ms for s in self.scorers if s.up_ms <= self.now]
         rate = self.limits.fall_multiple * self.limits.calls_rps(ages) / FRONTS
-        stage = Stage.REST if self.now >= BURST_MS else Stage.REPEATS
-        front.door.go_by(allowed(stage, WORTHS), rate, front.giving)
+        stage = RecoveryPhase.REST if self.now >= BURST_MS else RecoveryPhase.REPEATS
+        front.door.go_by(allowed_in_phase(stage, PRIORITY_WEIGHTS), rate, front.giving)
 
     def turns(self) -> None:
         self.at(TURN_MS, self.turns)
@@ -255,7 +261,7 @@
 
     def call(self, client: str, row: str, left: int) -> None:
         kind, _, _ = self.facts[row]
-        _, promise, give_up, worth, *_ = KINDS[kind]
+        _, promise, give_up, worth, *_ = FUNCTION_KINDS[kind]
         front, came = self.fronts[weight("at", client, str(left)) % FRONTS], self.now
         if left == TRIES:
             self.came, self.worth = self.came + 1, self.worth + worth
--- a/fawnwharf/recovery_service/wards.py
+++ b/fawnwharf/recovery_service/wards.py
@@ -10,7 +10,12 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from fawnwharf.recovery_core.budget import TICKET_MS, Limits, Warden, warden_of
+from fawnwharf.recovery_core.budget import (
+    PERMIT_MS,
+    FleetLimits,
+    SlowStartCoordinator,
+    slow_start_coordinator_of,
+)
 from fawnwharf.recovery_service.given_words import TICKETS_MOST, Asked, Given
 from fawnwharf.recovery_service.outs import Ticket, Words
 from fawnwharf.recovery_service.seats import follows
@@ -36,9 +41,9 @@
 class Wards:
     """Owns the scorers that are there, what this front end gives out of them, and what it asks others for."""
 
-    def __init__(self, me: str, life: int, limits: Limits, lag_ms: float) -> None:
+    def __init__(self, me: str, life: int, limits: FleetLimits, lag_ms: float) -> None:
         self.me, self.life, self.limits, self.lag_ms = me, life, limits, lag_ms
-        self.warden = Warden(limits)
+        self.warden = SlowStartCoordinator(limits)
         self.scorers: dict[int, _Scorer] = {}
         self.keys: dict[str, int] = {}  # that wait, and for which scorer
         self.counts: dict[str, int] = {}
@@ -79,7 +84,7 @@
     def _ward(self, now_ms: float, id: int, scorer: _Scorer, nobodys: bool = False) -> None:
         """Find its warden. `nobodys`: it came up when all had long known who that would be, or
         nobody gave in this cut."""
-        warden = warden_of(str(id), self._givers)
+        warden = slow_start_coordinator_of(str(id), self._givers)
         if warden == scorer.warden:
             return
         scorer.warden, scorer.number, scorer.full_ms = warden, 0, float("-inf")
@@ -158,7 +163,7 @@
         turns = scorer.turns
         while turns and turns[0] <= now_ms:
             turns.popleft()
-        span_ms = self.limits.fall_ms + TICKET_MS
+        span_ms = self.limits.fall_ms + PERMIT_MS
         given, ahead = self.warden.given.get(str(id)) or (), len(turns)
         if given:
             due_ms = given[ahead % len(given)] + span_ms * (1 + ahead // len(given))
@@ -190,7 +195,7 @@
             self._count("an answer to nothing")
             return []
         scorer.number = 0
-        late = now_ms - scorer.asked_ms > TICKET_MS
+        late = now_ms - scorer.asked_ms > PERMIT_MS
         tickets, later = [], [free for free in word.free_ms if free > 0.0]
         for free_ms in word.free_ms:
             if free_ms <= 0.0 and late:
--- a/fawnwharf/recovery_service/words.py
+++ b/fawnwharf/recovery_service/words.py
@@ -8,8 +8,8 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.consensus.messages import DATA_MOST
-from fawnwharf.durable_store.reading import Sign
-from fawnwharf.recovery_core.asking import Answer, Ask, Number
+from fawnwharf.durable_store.reading import FolderPosition
+from fawnwharf.recovery_core.asking import Answer, Number, Query
 from fawnwharf.zones.settings import Name
 
 RIDER = "recovery"  # by both logs; the kind of its register as well
@@ -24,14 +24,14 @@
 
     life: Number
     mark: Mark  # empty: the system tells none
-    sign: Sign
+    sign: FolderPosition
 
 
 class Known(Struct, frozen=True, tag="Known"):
     """A voter's word to one that started anew: so far its folder had come by an earlier word of its own."""
 
     life: Number  # of the one that is told
-    sign: Sign
+    sign: FolderPosition
 
 
 class Tally(Struct, frozen=True, array_like=True):
@@ -69,7 +69,7 @@
     register: Annotated[str, Meta(max_length=DATA_MOST)]
 
 
-Word = Ask | Answer | Boot | Known | Standing | Told
+Word = Query | Answer | Boot | Known | Standing | Told
 
 
 def word_from(data: Any) -> Word:
