--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fawnwharf.durable_store.form import Limits
+from fawnwharf.durable_store.form import StoreLimits
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
@@ -37,7 +37,7 @@
     loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
     kept = None
     if kind == "store":
-        kept = Kept(folder, "f", "n0", str(BOOT_ID), Limits(), lambda what, more: None, fresh=True)
+        kept = Kept(folder, "f", "n0", str(BOOT_ID), StoreLimits(), lambda what, more: None, fresh=True)
         disk = kept.promises(core, None)
         kept.attach(loop)
         while not kept.settled:
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -19,7 +19,7 @@
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus.disk import Disk
 from fawnwharf.durable_store import form
-from fawnwharf.durable_store.store import open_folder
+from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import Register, document_from
@@ -27,7 +27,7 @@
 from fawnwharf.replication.disk import KeeperDisk
 from fawnwharf.zones.founding import found
 
-KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
+KINDS = [form.EntryKind("term", form.SYNCED), form.EntryKind("use", form.SOON)]
 IDENTITIES = ("n0#00112233445566aa", "n1#00112233445566bb")
 POLICY = '{"version":1,"number":%d,"tenants":{"acme":{"quota_rps":%d}}}'
 
@@ -47,7 +47,7 @@
 def store(folder: Path) -> None:
     """A durable store after two lives: a snapshot of the first, and a segment with changes and removals."""
     for life in (1, 2):
-        held = open_folder(folder, "fleet-1", "n0", KINDS, boot=f"boot-{life}", empty_ok=life == 1)
+        held = open_store(folder, "fleet-1", "n0", KINDS, boot=f"boot-{life}", empty_ok=life == 1)
         told: list[bool] = []
         for n in range(3):
             value = {"life": life, "n": n, "text": "\u00e9"}
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -10,7 +10,7 @@
 from fawnwharf.consensus import records
 from fawnwharf.consensus.disk import Disk, DiskError
 from fawnwharf.durable_store import form
-from fawnwharf.durable_store.store import open_folder
+from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout.document import document_from, register_from
@@ -19,7 +19,7 @@
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
 BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
-STORE_KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
+STORE_KINDS = [form.EntryKind("term", form.SYNCED), form.EntryKind("use", form.SOON)]
 HELD = [
     ("key-0", Claim("n0#7", 1, 2, 100, Phase.CLEAR, "", None), 30_000.0),
     ("key-1", Claim("n1#8", 2, 3, 101, Phase.ANSWERED, "d", "YW5zd2Vy"), 31_000.0),
@@ -67,7 +67,7 @@
     """Values of the first life come from the snapshot, changes and removals from the segment."""
     folder = copied("store", tmp_path)
     assert names(folder) == {"snap-2.snap", "log-2.seg"}
-    store = open_folder(folder, "fleet-1", "n0", STORE_KINDS, boot="boot-3")
+    store = open_store(folder, "fleet-1", "n0", STORE_KINDS, boot="boot-3")
     try:
         found = store.found
         assert (found.fresh, found.boot, found.ended, found.torn) == (False, "boot-2", True, 0)
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -30,7 +30,7 @@
 from fawnwharf.policy_rollout.document import Document, register_from
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_core.trust import Clock, Kind
+from fawnwharf.recovery_core.trust import ClockReading, StateKind
 from fawnwharf.recovery_service import joined, kept
 from fawnwharf.recovery_service import settings as recovery_settings
 from fawnwharf.recovery_service import words as recovery_words
@@ -248,7 +248,7 @@
 def test_an_entry_of_the_store_has_its_recorded_form():
     """Stamped with the clock; a grant is a list that begins with how long it counts."""
     claim = Claim("n0#7", 1, 2, 100, Phase.TAKEN, "d1", None)
-    data = kept.stamped(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
+    data = kept.stamped(ClockReading("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
         b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
         b'"digest":"d1","answer":null}]]'
@@ -299,8 +299,12 @@
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
     ]  # fmt: skip
     assert {module.VERSION for module in versions} == {1}
-    assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK) == (b"fwv1", b"fwmem\x01", "durable.lock")
-    assert (form.snap_name(3), form.log_name(4), form.BESIDE) == ("snap-3.snap", "log-4.seg", ".new")
+    assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK_FILE) == (b"fwv1", b"fwmem\x01", "durable.lock")
+    assert (form.snapshot_name(3), form.log_name(4), form.TEMPORARY_SUFFIX) == (
+        "snap-3.snap",
+        "log-4.seg",
+        ".new",
+    )
     assert (form.SNAPSHOT, form.LOG, form.SYNCED, form.SOON, form.HINT) == (
         "snapshot", "log", "synced", "soon", "hint",
     )  # fmt: skip
@@ -308,8 +312,8 @@
     assert keeper_disk.NO_MORE == -1 and kept.LAST == "last"
     assert (kept.START, kept.DOUBT, kept.SURE, kept.TURN) == ("start", "doubt", "sure", "turn")
     assert {kind: rule.name for kind, rule in kept.RULES.items()} == {
-        Kind.PROMISE: "promise", Kind.PLAN: "plan", Kind.POLICY: "policy", Kind.HOMES: "homes",
-        Kind.ROSTER: "roster", Kind.USE: "use",
+        StateKind.PROMISE: "promise", StateKind.PLAN: "plan", StateKind.POLICY: "policy",
+        StateKind.HOMES: "homes", StateKind.ROSTER: "roster", StateKind.USE: "use",
     }  # fmt: skip
     assert {rule.name: rule.mode for rule in kept.RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -182,7 +182,7 @@
         (session_settings.Wishes, "version"),
         (zone_settings.Wishes, "version"),
         (plan.Plan, "version"),
-        (register.Register, "recovery"),
+        (register.RecoveryRegister, "recovery"),
     }
 
 
@@ -213,14 +213,20 @@
         [claims.Phase.CLEAR, claims.Phase.ANSWERED, claims.Phase.FAILED, claims.Phase.TAKEN],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
         [given_words.What.NOT, given_words.What.MADE, given_words.What.STANDS, given_words.What.FAILED],
-        [asking.What.MEMBERS, asking.What.PLAN, asking.What.PROMISES, asking.What.ROSTER, asking.What.USE],
         [
-            register.Stage.LISTENING,
-            register.Stage.REPEATS,
-            register.Stage.WORTH,
-            register.Stage.REST,
-            register.Stage.RENEWAL,
-            register.Stage.SPILL,
+            asking.QueryTopic.MEMBERS,
+            asking.QueryTopic.PLAN,
+            asking.QueryTopic.PROMISES,
+            asking.QueryTopic.ROSTER,
+            asking.QueryTopic.USE,
+        ],
+        [
+            register.RecoveryPhase.LISTENING,
+            register.RecoveryPhase.REPEATS,
+            register.RecoveryPhase.WORTH,
+            register.RecoveryPhase.REST,
+            register.RecoveryPhase.RENEWAL,
+            register.RecoveryPhase.SPILL,
         ],
     ],
 )
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import Limits
-from fawnwharf.recovery_core.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import FleetLimits
+from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.given_words import word_from
 from fawnwharf.recovery_service.giving import TURN_MS, Giving
 from fawnwharf.recovery_service.outs import Order, Ticket, Words
@@ -19,7 +19,7 @@
 
 WORTHS = {"view": 1.0, "settle": 5.0}
 RATION_MS = 5_000.0
-LIMITS = Limits(
+LIMITS = FleetLimits(
     fetches=4, scorer_rps=12.0, cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0,
     retry_most_ms=4_000.0,
 )  # fmt: skip
@@ -41,7 +41,7 @@
         self.ration = ration  # orders of a front end in `RATION_MS`; none: as many as it likes
         self.now, self.heap, self.count, self.lives = 0.0, [], 0, 0
         self.up, self.fronts, self.views, self.changes = set(), {}, {}, 0
-        self.may = allowed(Stage.REST, WORTHS)
+        self.may = allowed_in_phase(RecoveryPhase.REST, WORTHS)
         self.stands, self.loading = set(), {}  # (scorer, function); until when
         self.most = 0  # loads at a time
         self.orders = []  # when, by whom, of what, and whether that one lived on until it was answered
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -7,16 +7,16 @@
 
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import store as stores
-from fawnwharf.durable_store.form import Limits
-from fawnwharf.durable_store.ops import carry_out
-from fawnwharf.durable_store.reading import Unreadable
+from fawnwharf.durable_store.form import StoreLimits
+from fawnwharf.durable_store.ops import execute_job
+from fawnwharf.durable_store.reading import UnreadableFolderError
 from fawnwharf.fakes.disks import MemoryDisk, Plan
 from fawnwharf.recovery_service import onstore, promises
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
 
-LIMITS = Limits(soon_ms=50.0, hint_ms=100.0, wait_ms=1_000.0, slow_ms=100.0, retry_ms=50.0)
+LIMITS = StoreLimits(soon_ms=50.0, hint_ms=100.0, wait_ms=1_000.0, slow_ms=100.0, retry_ms=50.0)
 
 
 class Writer:
@@ -36,7 +36,7 @@
         if self.job is None or self.machine.held:
             return None
         job, self.job = self.job, None
-        return carry_out(self.machine.disk, job)
+        return execute_job(self.machine.disk, job)
 
     def close(self):
         """Drop the job."""
@@ -74,7 +74,7 @@
 
     def __init__(self, patch, folder):
         self.now, self.folder, self.machines, self.notes = 1_000.0, folder, {}, []
-        patch.setattr(onstore, "open_folder", self._open)
+        patch.setattr(onstore, "open_store", self._open)
         patch.setattr(onstore, "monotonic_ms", lambda: self.now)
         patch.setattr(onstore, "unix_ms", lambda: 1e12 + self.now)
         patch.setattr(promises, "monotonic_ms", lambda: self.now)
@@ -88,11 +88,11 @@
     def _open(self, path, fleet, name, kinds, limits, boot, empty_ok, within_s):
         machine = self.machine(name)
         try:
-            return stores.made(
+            return stores.create_store(
                 machine.disk, Writer(machine), fleet, name, kinds, limits, boot, lambda: "ab" * 8,
                 lambda: 1e12 + self.now, empty_ok,
             )  # fmt: skip
-        except Unreadable as error:
+        except UnreadableFolderError as error:
             raise DiskError(str(error)) from None
 
     def kept(self, name="n0", fresh=False, settle=True, limits=LIMITS, boot_file=None):
--- a/tests/support/promise_process.py
+++ b/tests/support/promise_process.py
@@ -1,17 +1,18 @@
 """A process that only writes promises into a durable store, and what a folder holds of them."""
 
 from fawnwharf.durable_store import form as f
-from fawnwharf.durable_store.folder import Folder, lock, unlock
-from fawnwharf.durable_store.store import look
+from fawnwharf.durable_store.folder import DiskFolder, lock_folder, unlock_folder
+from fawnwharf.durable_store.store import inspect_folder
 
 # Its arguments: the folder. Counts on from what is there, and tells each number once it is on disk.
 WRITING = """
 import sys, time
-from fawnwharf.durable_store.form import Kind, Limits
-from fawnwharf.durable_store.store import open_folder
+from fawnwharf.durable_store.form import EntryKind, StoreLimits
+from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
-limits = Limits(segment_bytes=3_000, wait_ms=20_000)
-store = open_folder(sys.argv[1], "fleet", "a", [Kind("term", "synced")], limits, empty_ok=True, within_s=20.0)
+limits = StoreLimits(segment_bytes=3_000, wait_ms=20_000)
+kinds = [EntryKind("term", "synced")]
+store = open_store(sys.argv[1], "fleet", "a", kinds, limits, empty_ok=True, within_s=20.0)
 n = store.get("term", "t") or 0
 sys.stderr.write("serving on it\\n")
 while True:
@@ -26,5 +27,5 @@
 
 def found_in(path):
     """The last number that is there, once the folder's lock is free."""
-    unlock(lock(path, within_s=20.0))
-    return int(look(Folder(path), "fleet", "a", f.Limits()).entries.get(("term", "t"), 0))
+    unlock_folder(lock_folder(path, within_s=20.0))
+    return int(inspect_folder(DiskFolder(path), "fleet", "a", f.StoreLimits()).entries.get(("term", "t"), 0))
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -3,8 +3,8 @@
 from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.requests import Call, Refused
 from fawnwharf.net.timer_wheel import Wheel
-from fawnwharf.recovery_core.budget import Limits
-from fawnwharf.recovery_core.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import FleetLimits
+from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.door import Door
 
 CLASSES = {
@@ -13,7 +13,7 @@
     "view": ClassSpec("view", promise_ms=1_000.0, effect=Effect.SAFE, worth=1.0),
 }
 WORTHS = {name: spec.worth for name, spec in CLASSES.items()}
-LIMITS = Limits(
+LIMITS = FleetLimits(
     fetches=4, scorer_rps=12.0, cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0,
     retry_most_ms=4_000.0,
 )  # fmt: skip
@@ -53,7 +53,7 @@
 class Ground:
     """The admission under test, and the table below it."""
 
-    def __init__(self, stage=Stage.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
+    def __init__(self, stage=RecoveryPhase.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
         self.now = 0.0
         self.wheel = Wheel(lambda: self.now)
         self.giving, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
@@ -64,7 +64,7 @@
 
     def go_by(self, stage, rate_ps=1e6, **more):
         """Go by a phase, or by what is allowed."""
-        may = allowed(stage, WORTHS) if isinstance(stage, Stage) else stage
+        may = allowed_in_phase(stage, WORTHS) if isinstance(stage, RecoveryPhase) else stage
         self.door.go_by(may, rate_ps, self.giving)
 
     def pass_by(self, ms):
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -8,9 +8,9 @@
 import msgspec
 from test_zone_members import Fleet
 
-from fawnwharf.durable_store.reading import Sign
-from fawnwharf.recovery_core.asking import Pace
-from fawnwharf.recovery_core.stages import Decide, Note, Stage, Timing
+from fawnwharf.durable_store.reading import FolderPosition
+from fawnwharf.recovery_core.asking import QueryPace
+from fawnwharf.recovery_core.stages import LogEvent, PhaseTiming, ProposeRegister, RecoveryPhase
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.agent import Agent, Go, Own, Say, Signed
 from fawnwharf.recovery_service.lead import Lists
@@ -19,7 +19,7 @@
 
 STEP_S = 0.02
 WORTHS = {"view": 1.0, "save": 5.0}
-TIMING = Timing(settle_ms=3_000.0)
+TIMING = PhaseTiming(settle_ms=3_000.0)
 
 
 class Agents(Fleet):
@@ -43,8 +43,8 @@
         votes = core.voter is not None
         plan = (core.voter.saved.last_index, "") if votes else (0, "")
         return Own(
-            True, self.whole.get(name, True), True, votes, plan, sign or Sign(name, self.lives[name], 1),
-            True, True, True, 1, self.standing.get(name),
+            True, self.whole.get(name, True), True, votes, plan,
+            sign or FolderPosition(name, self.lives[name], 1), True, True, True, 1, self.standing.get(name),
         )  # fmt: skip
 
     def start(self, name, identity, seed=99):
@@ -56,7 +56,7 @@
         core = self.cores[name]
         self.agents[name] = Agent(
             name, "f", self.lives[name], self.marks.setdefault(name, "boot 1"), lists, self.own(name),
-            core.seat, WORTHS, TIMING, self.now, Pace(), 100.0, 150.0,
+            core.seat, WORTHS, TIMING, self.now, QueryPace(), 100.0, 150.0,
         )  # fmt: skip
 
     # --- power ----------------------------------------------------------------------------------
@@ -102,7 +102,7 @@
                 self._say_by_zones(name, effect)
             elif isinstance(effect, Say):
                 self._say_by_state(name, effect)
-            elif isinstance(effect, Decide):
+            elif isinstance(effect, ProposeRegister):
                 put, more = core.put(self.now, effect.register, RECOVERY)
                 self.do(name, more)
                 if not put:
@@ -111,7 +111,7 @@
                 self.trail.append((name, effect.stage, effect.cut, effect.allowed))
             elif isinstance(effect, Signed):
                 self.signed.append((name, effect.sign))
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogEvent):
                 self.noted.append((name, effect.event, effect.fields))
 
     def _say_by_zones(self, name, effect):
@@ -187,7 +187,7 @@
     def calm(self):
         """Run until the fleet is in its normal state and all boots are noted."""
         self.until(lambda: all(len(self.cores[n].voter.saved.voters) == 3 for n in self.names[:3]))
-        self.until_stage(Stage.SPILL)
+        self.until_stage(RecoveryPhase.SPILL)
         self.until(lambda: all(agent.asked for agent in self.agents.values()))
         leader = self.leader
         self.until(lambda: len(self.agents[leader].lead.conductor.register.boots) == 3)
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -7,7 +7,7 @@
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import Policies
-from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.stages import RecoveryPhase
 from fawnwharf.recovery_service.onstore import kept
 from fawnwharf.recovery_service.service import Rejoin
 from fawnwharf.replication.service import State
@@ -115,7 +115,8 @@
         """Start a new fleet, until it is in its normal state and its boots are noted."""
         self.start(fresh=True)
         self.until(
-            lambda: all(node.stage() is Stage.SPILL and node.agent.asked for node in self.nodes), "calm"
+            lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.asked for node in self.nodes),
+            "calm",
         )
         noted = lambda: any(len(n.agent.lead.conductor.register.boots) == 3 for n in self.nodes)  # noqa: E731
         self.until(noted, "boots are noted")
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -4,8 +4,8 @@
 time on at half the budget.
 """
 
-from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
+from fawnwharf.recovery_core.register import PermitAssignment
+from fawnwharf.recovery_core.stages import AllowedActions, RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Order, Words
 from fawnwharf.replication.placement import weight
@@ -14,14 +14,14 @@
 
 WORD_MS, VALID = 1_500.0, 0.4
 OPEN_MS = 1_000.0  # `worth` is entered
-REST = allowed(Stage.REST, WORTHS)
+REST = allowed_in_phase(RecoveryPhase.REST, WORTHS)
 
 
 class DealtFleet(Fleet):
     """`word_ms` is the wait that front ends reckon with; others go by a register for `WORD_MS` more."""
 
     def __init__(self, seed=1, lost=0.0, word_ms=WORD_MS):
-        self.word_ms, self.goes, self.dealt = word_ms, {}, Dealt(("n0",), 1, 0)
+        self.word_ms, self.goes, self.dealt = word_ms, {}, PermitAssignment(("n0",), 1, 0)
         super().__init__(seed, lost=lost)
         self.at(OPEN_MS, self._deal)
 
@@ -33,7 +33,7 @@
     def _changed(self, new=None):
         """Tell one that starts of the last register, and decide a new one a little after a loss."""
         if new is not None:
-            self.goes[new] = (Allowed(), None)
+            self.goes[new] = (AllowedActions(), None)
             self.at(self.chance.uniform(0.0, 100.0), lambda: self._told(new, self.dealt))
         elif self.dealt.deals:
             self.at(self.chance.uniform(50.0, 300.0), self._deal)
@@ -41,7 +41,7 @@
     def _deal(self):
         keepers = tuple(name for name in self.keepers if name in self.up)
         if keepers and not (self.dealt.deals and set(self.dealt.givers) <= self.up):
-            before, self.dealt = self.dealt, Dealt(keepers, 1, self.dealt.deals + 1)
+            before, self.dealt = self.dealt, PermitAssignment(keepers, 1, self.dealt.deals + 1)
             for name in sorted(self.up):
                 late = self.chance.random() < 0.4
                 delay = self.chance.uniform(0.8, 1.0) * WORD_MS if late else self.chance.uniform(0.0, 100.0)
@@ -51,12 +51,12 @@
 
     def _stale(self, name, before):
         if name in self.up and self.goes[name][1] == before:
-            self.goes[name] = (allowed(Stage.REST, WORTHS, 0.5), before)
+            self.goes[name] = (allowed_in_phase(RecoveryPhase.REST, WORTHS, 0.5), before)
 
     def _told(self, name, dealt):
         known = self.goes[name][1]
         if name in self.up and (known is None or known.deals < dealt.deals):
-            self.goes[name] = (REST if dealt.deals else Allowed(), dealt)
+            self.goes[name] = (REST if dealt.deals else AllowedActions(), dealt)
             self._go(name)
 
     def _go(self, name):
--- a/tests/test_disk_faults_store.py
+++ b/tests/test_disk_faults_store.py
@@ -8,10 +8,10 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.durable_store.crash import Broken, World
-from fawnwharf.durable_store.folder import Folder
-from fawnwharf.durable_store.planted import NONE, PLANTED
-from fawnwharf.durable_store.reading import Unreadable
+from fawnwharf.durable_store.crash import CrashSimulation, InvariantViolationError
+from fawnwharf.durable_store.folder import DiskFolder
+from fawnwharf.durable_store.planted import MUTANTS, UNCHANGED
+from fawnwharf.durable_store.reading import UnreadableFolderError
 
 TURNS = 12
 ENDS = {
@@ -24,10 +24,10 @@
 class Site:
     """One folder, and the model of what was told of it."""
 
-    def __init__(self, folder, bug=NONE):
+    def __init__(self, folder, bug=UNCHANGED):
         folder.mkdir()
         self.faults = FileFaults(folder)
-        self.world = World(bug, Folder(folder))
+        self.world = CrashSimulation(bug, DiskFolder(folder))
 
     def live(self, seed, turns=TURNS):
         self.world.open()
@@ -36,7 +36,7 @@
     def found(self, end):
         """What a start after that finds is what was told, or given to the disk later."""
         ENDS[end](self.faults)
-        self.world.disk = Folder(self.faults.folder)
+        self.world.disk = DiskFolder(self.faults.folder)
         self.world.check(self.world.found())
 
     def works_again(self):
@@ -91,7 +91,7 @@
 def test_the_faults_find_what_is_planted(tmp_path, name):
     count, broken = calls_of_a_life(tmp_path / "measured"), 0
     for at in range(count):
-        site = Site(tmp_path / str(at), PLANTED[name])
+        site = Site(tmp_path / str(at), MUTANTS[name])
         with site.faults.installed():
             site.live(1)
             site.found("kill")
@@ -99,7 +99,7 @@
             site.live(2)
             try:
                 site.found("cut")
-            except (Broken, Unreadable):
+            except (InvariantViolationError, UnreadableFolderError):
                 broken += 1
     assert broken
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -7,19 +7,19 @@
 
 from fawnwharf.durable_store import crash, repairs
 from fawnwharf.durable_store import form as f
-from fawnwharf.durable_store.core import Core, Refused
-from fawnwharf.durable_store.ops import Append, Outcome, Sync, carry_out
-from fawnwharf.durable_store.reading import Found, Unreadable
+from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore
+from fawnwharf.durable_store.ops import AppendBytes, JobResult, SyncFile, execute_job
+from fawnwharf.durable_store.reading import FolderState, UnreadableFolderError
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
-LIMITS = f.Limits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
-KINDS = [f.Kind("term", f.SYNCED, 4, 500), f.Kind("use", f.SOON), f.Kind("copies", f.HINT)]
-HEAD = f.Head(f.VERSION, "fleet", "a", "ab" * 8, 1, "boot", 0.0, f.SNAPSHOT, 0)
+LIMITS = f.StoreLimits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
+KINDS = [f.EntryKind("term", f.SYNCED, 4, 500), f.EntryKind("use", f.SOON), f.EntryKind("copies", f.HINT)]
+HEAD = f.FileHeader(f.VERSION, "fleet", "a", "ab" * 8, 1, "boot", 0.0, f.SNAPSHOT, 0)
 
 
 def core(disk=None, now=0.0):
     """A core with a log open, and its disk."""
-    disk, made = disk or MemoryDisk(), Core(LIMITS, KINDS, HEAD, Found(), lambda: 0.0)
+    disk, made = disk or MemoryDisk(), StoreCore(LIMITS, KINDS, HEAD, FolderState(), lambda: 0.0)
     settle(made, disk, now)
     return made, disk
 
@@ -27,7 +27,7 @@
 def settle(made, disk, now):
     ended = []
     while (job := made.take(now)) is not None:
-        ended += made.done(now, carry_out(disk, job))
+        ended += made.done(now, execute_job(disk, job))
     return ended
 
 
@@ -40,10 +40,10 @@
     job = made.take(0.0)
     later = [made.put(1.0, "term", key, 2) for key in "tuv"]
     assert made.take(1.0) is None
-    assert [end[:2] for end in made.done(2.0, carry_out(disk, job))] == [(first, True)]
+    assert [end[:2] for end in made.done(2.0, execute_job(disk, job))] == [(first, True)]
     job = made.take(2.0)
-    assert [type(op) for op in job.ops] == [Append, Sync]
-    assert [end[:2] for end in made.done(3.0, carry_out(disk, job))] == [(each, True) for each in later]
+    assert [type(op) for op in job.ops] == [AppendBytes, SyncFile]
+    assert [end[:2] for end in made.done(3.0, execute_job(disk, job))] == [(each, True) for each in later]
 
 
 def test_soon_is_synced_within_its_time_and_a_hint_only_goes_along():
@@ -52,12 +52,12 @@
     made.put(0.0, "copies", "c", 1)
     assert made.due_ms() == LIMITS.soon_ms and made.take(LIMITS.soon_ms - 1) is None
     job = made.take(LIMITS.soon_ms)
-    assert isinstance(job.ops[-1], Sync)
-    made.done(50.0, carry_out(disk, job))
+    assert isinstance(job.ops[-1], SyncFile)
+    made.done(50.0, execute_job(disk, job))
     assert made.standing(60.0).behind_ms == 0.0
     made.put(60.0, "copies", "c", 2)
     mark = made.take(50.0 + LIMITS.soon_ms)  # what proves the last group goes with it
-    assert [type(op) for op in mark.ops] == [Append]
+    assert [type(op) for op in mark.ops] == [AppendBytes]
 
 
 def test_a_ticket_ends_unsure_when_the_disk_is_slow_and_at_once_when_it_fails():
@@ -68,9 +68,9 @@
     assert made.standing(LIMITS.wait_ms).slow_ms == LIMITS.wait_ms
     assert [end[:2] for end in made.late(LIMITS.wait_ms)] == [(slow, False)]
     behind = made.put(LIMITS.wait_ms, "term", "u", 1)
-    ended = made.done(500.0, Outcome("log-1.seg: Input/output error"))
+    ended = made.done(500.0, JobResult("log-1.seg: Input/output error"))
     assert [end[:2] for end in ended] == [(behind, False)] and job is not None
-    with pytest.raises(Refused, match="Input/output"):
+    with pytest.raises(ChangeRejectedError, match="Input/output"):
         made.put(500.0, "term", "t", 2)
     assert made.entries["term", "t"] == b"1"
     made.put(501.0, "use", "u", 7)  # taken, and said not to be durable
@@ -78,7 +78,7 @@
     assert made.take(500.0 + LIMITS.retry_ms - 1) is None
     settle(made, disk, 500.0 + LIMITS.retry_ms)
     assert made.standing(700.0).failing == "" and made.standing(700.0).behind_ms == 0.0
-    assert crash.look(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert crash.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
     assert made.put(700.0, "term", "t", 3) > 0
 
 
@@ -86,29 +86,31 @@
     made, _ = core()
     made.put(0.0, "term", "t", 1)
     made.take(0.0)
-    made.done(0.0, Outcome("gone"))
+    made.done(0.0, JobResult("gone"))
     pauses, now = [], 0.0
     for _ in range(5):
         pauses.append(made.due_ms() - now)
         now = made.due_ms()
         made.take(now)
-        made.done(now, Outcome("gone"))
+        made.done(now, JobResult("gone"))
     assert pauses == [30.0, 60.0, 120.0, 200.0, 200.0]
 
 
 def test_bounds_of_kinds_and_of_all_are_kept_and_named():
     made, _ = core()
-    with pytest.raises(Refused, match="term: 502 bytes, and 500"):
+    with pytest.raises(ChangeRejectedError, match="term: 502 bytes, and 500"):
         made.put(0.0, "term", "t", "x" * 500)
     for key in "abcd":
         made.put(0.0, "term", key, 1)
-    with pytest.raises(Refused, match="term: 4 entries"):
+    with pytest.raises(ChangeRejectedError, match="term: 4 entries"):
         made.put(0.0, "term", "e", 1)
     made.put(0.0, "term", "a", None)
     made.put(0.0, "term", "e", 1)
-    with pytest.raises(Refused, match="10000 bytes in all"):
+    with pytest.raises(ChangeRejectedError, match="10000 bytes in all"):
         made.put(0.0, "use", "u", "x" * 9_900)
-    assert made.standing(0.0).state_bytes == sum(f.size(key, value) for key, value in made.entries.items())
+    assert made.standing(0.0).state_bytes == sum(
+        f.entry_size(key, value) for key, value in made.entries.items()
+    )
 
 
 def test_logs_follow_each_other_while_groups_go_on_and_the_folder_stays_small():
@@ -120,7 +122,7 @@
         sizes.append(sum(disk.names().values()))
         names |= disk.names().keys()
     assert len(names) > 20 and max(sizes) < 12_000 and sizes[-1] < 8_000
-    assert crash.look(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert crash.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
 
 
 def test_changes_that_come_and_go_on_a_slow_disk_are_bounded_and_none_is_lost():
@@ -135,9 +137,9 @@
         made.put(101.0, "use", f"u{n}", None)
         assert len(made._dirty) < 1_100
     ticket = made.put(102.0, "term", "u", 2)
-    made.done(200.0, carry_out(disk, job))
+    made.done(200.0, execute_job(disk, job))
     assert [(end.ticket, end.on_disk) for end in settle(made, disk, 200.0)] == [(ticket, True)]
-    held = crash.look(disk, "fleet", "a", LIMITS).entries
+    held = crash.inspect_folder(disk, "fleet", "a", LIMITS).entries
     assert held == made.entries == {("term", "t"): b"1", ("term", "u"): b"2"}
 
 
@@ -145,17 +147,17 @@
     """What a killed process wrote is read, but may go with the next power cut."""
     made, disk = core()
     made.put(0.0, "term", "t", 1)
-    carry_out(disk, without_sync(made.take(0.0)))
-    found = crash.look(disk, "fleet", "a", LIMITS)
+    execute_job(disk, without_sync(made.take(0.0)))
+    found = crash.inspect_folder(disk, "fleet", "a", LIMITS)
     assert found.entries == {("term", "t"): b"1"}
-    again = Core(LIMITS, KINDS, HEAD, found, lambda: 0.0)
+    again = StoreCore(LIMITS, KINDS, HEAD, found, lambda: 0.0)
     assert not again.settled and again.sign().life == 0
     settle(again, disk, 0.0)
     assert again.settled and disk.reboot(random.Random(1), 0.0).names().keys() >= {"snap-2.snap", "log-2.seg"}
 
 
 def without_sync(job):
-    return type(job)(tuple(op for op in job.ops if not isinstance(op, Sync)))
+    return type(job)(tuple(op for op in job.ops if not isinstance(op, SyncFile)))
 
 
 # --- crash tests, a sample ----------------------------------------------------------------------------
@@ -163,7 +165,7 @@
 
 def test_every_operation_and_a_sample_of_bytes_of_a_scripted_run_can_be_cut():
     assert crash.check_points(61, 10_000) > 500
-    whole = crash.World()
+    whole = crash.CrashSimulation()
     crash._scripted(whole)
     assert [what for what, _ in whole.disk.marks].count("rename") >= 6  # logs followed each other
 
@@ -173,10 +175,10 @@
     assert len(ends) >= 9 and ends["cut or killed, as it was told"] > 800
 
 
-@pytest.mark.parametrize("name", crash.PLANTED)
+@pytest.mark.parametrize("name", crash.MUTANTS)
 def test_crash_tests_find_what_is_planted(name):
-    with pytest.raises(crash.Broken):
-        crash.check_random(1_500, 1, crash.PLANTED[name])
+    with pytest.raises(crash.InvariantViolationError):
+        crash.check_random(1_500, 1, crash.MUTANTS[name])
 
 
 def test_a_repair_that_is_cut_leaves_a_folder_that_is_refused_or_repaired():
@@ -189,17 +191,17 @@
                 settle(made, disk, 0.0)
             disk.flip("log-1.seg", 8 * 400)
             files = {name: disk.read(name) for name in disk.names()}
-            plan = repairs.plan(files)
+            plan = repairs.plan_repair(files)
             disk.plan.cut_at = disk.count + cut
             with contextlib.suppress(PowerCut):
-                outcome = carry_out(disk, repairs.begin(plan))
-                carry_out(disk, repairs.finish(plan, outcome.inode, 0.0))
+                outcome = execute_job(disk, repairs.first_repair_job(plan))
+                execute_job(disk, repairs.second_repair_job(plan, outcome.inode, 0.0))
             disk = disk.reboot(random.Random(cut), share)
             try:
-                found = crash.look(disk, "fleet", "a", LIMITS)
+                found = crash.inspect_folder(disk, "fleet", "a", LIMITS)
                 assert found.entries == plan.keeps.entries and "damaged" in found.repaired
                 seen.add("repaired")
-            except Unreadable:
+            except UnreadableFolderError:
                 seen.add("refused")
     assert seen == {"repaired", "refused"}
 
@@ -208,12 +210,12 @@
     made, disk = core()
     disk.plan = Plan(room=sum(disk.names().values()) + 100)
     ticket = made.put(0.0, "term", "t", "x" * 300)
-    ended = made.done(0.0, carry_out(disk, made.take(0.0)))
+    ended = made.done(0.0, execute_job(disk, made.take(0.0)))
     assert [(end.ticket, end.on_disk) for end in ended] == [(ticket, False)] and "No space" in ended[0].why
     for turn in range(1, 20):
         assert settle(made, disk, turn * 250.0) == []
     disk.plan = Plan()
     settle(made, disk, 10_000.0)
     assert made.standing(10_000.0).failing == ""
-    assert crash.look(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert crash.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
     assert len(disk.names()) == 2  # what was begun on the full disk is gone
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -16,18 +16,18 @@
 from fawnwharf.consensus.records import leading
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store import form as f
-from fawnwharf.durable_store.reading import Sign
-from fawnwharf.durable_store.service import OnLoop
-from fawnwharf.durable_store.store import look, open_folder
+from fawnwharf.durable_store.reading import FolderPosition
+from fawnwharf.durable_store.service import EventLoopStore
+from fawnwharf.durable_store.store import inspect_folder, open_store
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-LIMITS = f.Limits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
-KINDS = [f.Kind("term", f.SYNCED, 4, 500), f.Kind("use", f.SOON)]
+LIMITS = f.StoreLimits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
+KINDS = [f.EntryKind("term", f.SYNCED, 4, 500), f.EntryKind("use", f.SOON)]
 
 
 def opened(path, **words):
-    return open_folder(path, "fleet", words.pop("name", "a"), KINDS, words.pop("limits", LIMITS), **words)
+    return open_store(path, "fleet", words.pop("name", "a"), KINDS, words.pop("limits", LIMITS), **words)
 
 
 def until(store, done, within_s=20.0):
@@ -39,7 +39,7 @@
 
 
 def filled(path, count=5):
-    store = opened(path, empty_ok=True, limits=f.Limits(wait_ms=20_000.0))
+    store = opened(path, empty_ok=True, limits=f.StoreLimits(wait_ms=20_000.0))
     told = []
     for n in range(count):
         store.put(monotonic_ms(), "term", "t", n, lambda on_disk, why: told.append(on_disk))
@@ -60,12 +60,12 @@
 
 WRITING = """
 import sys, time
-from fawnwharf.durable_store.form import Kind, Limits
-from fawnwharf.durable_store.store import open_folder
+from fawnwharf.durable_store.form import EntryKind, StoreLimits
+from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
-kinds = [Kind("term", "synced")]
-limits = Limits(segment_bytes=3_000, wait_ms=20_000)
-store = open_folder(sys.argv[1], "fleet", "a", kinds, limits, empty_ok=True)
+kinds = [EntryKind("term", "synced")]
+limits = StoreLimits(segment_bytes=3_000, wait_ms=20_000)
+store = open_store(sys.argv[1], "fleet", "a", kinds, limits, empty_ok=True)
 n = store.get("term", "t") or 0
 while True:
     n += 1
@@ -89,8 +89,10 @@
         child.send_signal(signal.SIGKILL)
         last = max([last, *(int(line) for line in child.stdout)])
         child.wait()
-        folder.unlock(folder.lock(tmp_path, within_s=20.0))  # its writer may still be at the last job
-        found = look(folder.Folder(tmp_path), "fleet", "a", f.Limits())
+        folder.unlock_folder(
+            folder.lock_folder(tmp_path, within_s=20.0)
+        )  # its writer may still be at the last job
+        found = inspect_folder(folder.DiskFolder(tmp_path), "fleet", "a", f.StoreLimits())
         assert int(found.entries["term", "t"]) >= last and not found.ended
 
 
@@ -120,7 +122,7 @@
 
 def test_in_the_loop_what_comes_in_a_turn_goes_to_disk_together_and_faults_are_said(tmp_path):
     said, told, loop = [], [], Loop(lambda now_ms, events: None, print)
-    store = OnLoop(loop, opened(tmp_path, empty_ok=True), lambda text, about: said.append(text))
+    store = EventLoopStore(loop, opened(tmp_path, empty_ok=True), lambda text, about: said.append(text))
 
     def turn_until(done):
         end = time.monotonic() + 20.0
@@ -145,20 +147,20 @@
 
 
 def test_a_job_larger_than_a_pipe_reaches_the_disk(tmp_path):
-    store = opened(tmp_path, empty_ok=True, limits=f.Limits(wait_ms=20_000.0, piece_bytes=2_000_000))
+    store = opened(tmp_path, empty_ok=True, limits=f.StoreLimits(wait_ms=20_000.0, piece_bytes=2_000_000))
     for n in range(100):
         store.put(monotonic_ms(), "use", f"u{n}", "x" * 10_000)
     assert store.close(monotonic_ms, 20_000.0)
-    assert len(look(folder.Folder(tmp_path), "fleet", "a", f.Limits()).entries) == 100
+    assert len(inspect_folder(folder.DiskFolder(tmp_path), "fleet", "a", f.StoreLimits()).entries) == 100
 
 
 def rewritten(path, **what):
     """Heads of all files changed, checksums right."""
     for name in os.listdir(path):
-        if f.parts(name):
+        if f.parse_file_name(name):
             data = (path / name).read_bytes()
             records, _ = leading(data)
-            head = msgspec.json.decode(records[0][1], type=f.Head)
+            head = msgspec.json.decode(records[0][1], type=f.FileHeader)
             rest = data[len(f.encode(0, head)) :]
             (path / name).write_bytes(f.encode(0, msgspec.structs.replace(head, **what)) + rest)
 
@@ -188,7 +190,7 @@
     with pytest.raises(DiskError, match=FAULTS[fault][1]) as raised:
         opened(tmp_path / "d")
     assert str(raised.value).startswith(str(tmp_path / "d")) and "\n" not in str(raised.value)
-    assert contents(tmp_path / "d") == before | {folder.LOCK: b""}
+    assert contents(tmp_path / "d") == before | {folder.LOCK_FILE: b""}
 
 
 def contents(path):
@@ -200,10 +202,12 @@
     shutil.copytree(tmp_path / "d", tmp_path / "copy")
     with pytest.raises(DiskError, match="a copy of another file, and may be an older one"):
         opened(tmp_path / "copy")
-    mark = look(folder.Folder(tmp_path / "d"), "fleet", "a", f.Limits()).sign.mark
-    opened(tmp_path / "d", heard=[Sign(mark, 1, 3), Sign("other", 9, 9)]).close(monotonic_ms, 20_000.0)
+    mark = inspect_folder(folder.DiskFolder(tmp_path / "d"), "fleet", "a", f.StoreLimits()).sign.mark
+    opened(tmp_path / "d", heard=[FolderPosition(mark, 1, 3), FolderPosition("other", 9, 9)]).close(
+        monotonic_ms, 20_000.0
+    )
     with pytest.raises(DiskError, match="rolled back: stands at life 2, number"):
-        opened(tmp_path / "d", heard=[Sign(mark, 2, 900)])
+        opened(tmp_path / "d", heard=[FolderPosition(mark, 2, 900)])
 
 
 def test_a_file_and_a_folder_that_cannot_be_made_are_refused(tmp_path):
@@ -256,7 +260,7 @@
     store = opened(tmp_path / "d")
     store.core.confirm()
     store.close(monotonic_ms, 20_000.0)
-    assert look(folder.Folder(tmp_path / "d"), "fleet", "a", f.Limits()).repaired == ""
+    assert inspect_folder(folder.DiskFolder(tmp_path / "d"), "fleet", "a", f.StoreLimits()).repaired == ""
     assert asked("repair", tmp_path / "d").output == "nothing to repair\n"
 
 
--- a/tests/test_lossy.py
+++ b/tests/test_lossy.py
@@ -12,9 +12,9 @@
 from support.promise_process import WRITING, found_in
 
 from fawnwharf.durable_store import ops
-from fawnwharf.durable_store.folder import Folder, lock
-from fawnwharf.durable_store.reading import Unreadable
-from fawnwharf.durable_store.writer import Writer
+from fawnwharf.durable_store.folder import DiskFolder, lock_folder
+from fawnwharf.durable_store.reading import UnreadableFolderError
+from fawnwharf.durable_store.writer import WriterProcess
 from fawnwharf.fakes import lossy
 from fawnwharf.fakes.lossy import LossyFolder
 
@@ -62,13 +62,13 @@
     instead(bug="told before sync")
     try:
         last, found = told_and_found(tmp_path, 40, tear=False)
-    except Unreadable:  # not even a snapshot whose name is there
+    except UnreadableFolderError:  # not even a snapshot whose name is there
         return
     assert found < last
 
 
 def carried(writer, *job):
-    writer.start(ops.Job(job))
+    writer.start(ops.DiskJob(job))
     end = time.monotonic() + 20.0
     while (outcome := writer.poll()) is None and time.monotonic() < end:
         time.sleep(0.001)
@@ -78,10 +78,16 @@
 @pytest.mark.parametrize("end", ["power", "kill of who writes"])
 def test_what_was_not_synced_goes_with_the_power_and_not_with_the_process(tmp_path, instead, end):
     path = tmp_path / "durable"
-    writer = Writer(path, lock(path))
-    carried(writer, ops.Begin("a"), ops.Append("a", b"synced"), ops.Sync("a"), ops.SyncFolder())
-    carried(writer, ops.Append("a", b", not synced"), ops.Begin("b"), ops.Append("b", b"b"), ops.Sync("b"))
-    assert Folder(path).read("a")[0] == b"synced" and "b" not in Folder(path).names()
+    writer = WriterProcess(path, lock_folder(path))
+    carried(writer, ops.CreateFile("a"), ops.AppendBytes("a", b"synced"), ops.SyncFile("a"), ops.SyncFolder())
+    carried(
+        writer,
+        ops.AppendBytes("a", b", not synced"),
+        ops.CreateFile("b"),
+        ops.AppendBytes("b", b"b"),
+        ops.SyncFile("b"),
+    )
+    assert DiskFolder(path).read("a")[0] == b"synced" and "b" not in DiskFolder(path).names()
     if end == "power":
         lossy.cut(tmp_path / "power", tear=False)
         writer.process.wait(20.0)
@@ -112,7 +118,7 @@
             files.append("a", data[30:])
             files.rename("a", "b")
             files.tear(random.Random(seed), 0.5)
-            [name] = Folder(path).names()
+            [name] = DiskFolder(path).names()
             end = name, (path / name).read_bytes()
             assert ends.setdefault(seed, end) == end
             assert end[1].startswith(data[:30]) and len(end[1]) <= len(data)
--- a/tests/test_recovery_asking.py
+++ b/tests/test_recovery_asking.py
@@ -3,10 +3,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnwharf.recovery_core.asking import STEPS, Answer, Asking, Of, Stand, What
-from fawnwharf.recovery_core.trust import Others
+from fawnwharf.recovery_core.asking import (
+    QUERY_STEPS,
+    Answer,
+    QueryState,
+    QueryTarget,
+    QueryTopic,
+    StartupQueries,
+)
+from fawnwharf.recovery_core.trust import MajorityAnswer
 
-LISTS = {Of.VOTERS: ("v1", "v2", "v3"), Of.KEEPERS: ("k1", "k2", "v1"), Of.LOG: ("log",)}
+LISTS = {
+    QueryTarget.VOTERS: ("v1", "v2", "v3"),
+    QueryTarget.KEEPERS: ("k1", "k2", "v1"),
+    QueryTarget.LOG: ("log",),
+}
 
 
 def answer(to, what, **more):
@@ -15,7 +26,7 @@
 
 
 def asking(me="x", own=None, now=0.0):
-    return Asking(me, "f", 7, LISTS, now, own)
+    return StartupQueries(me, "f", 7, LISTS, now, own)
 
 
 def test_each_is_asked_of_its_own_and_in_order():
@@ -23,10 +34,10 @@
     while not core.done:
         now = core.due_ms()
         for say in core.tick(now):
-            what = What(say.message.what)
+            what = QueryTopic(say.message.what)
             seen.append(what)
             core.heard(now, say.to, answer(core, what))
-    assert list(dict.fromkeys(seen)) == list(What) and now < 1_000.0 and core.without() == {}
+    assert list(dict.fromkeys(seen)) == list(QueryTopic) and now < 1_000.0 and core.without() == {}
     assert core.due_ms() is None
 
 
@@ -35,20 +46,23 @@
     while not core.done:
         now = core.due_ms()
         core.tick(now)
-    assert now == sum(step.bound_ms for step in STEPS.values())
-    assert core.without() == {what: step.without for what, step in STEPS.items()}
+    assert now == sum(step.bound_ms for step in QUERY_STEPS.values())
+    assert core.without() == {what: step.without for what, step in QUERY_STEPS.items()}
     core.tick(core.due_ms())
-    core.heard(now, "log", answer(core, What.ROSTER))
-    assert core.stand(What.ROSTER) is Stand.ANSWERED and core.stand(What.PLAN) is Stand.WITHOUT
+    core.heard(now, "log", answer(core, QueryTopic.ROSTER))
+    assert (
+        core.stand(QueryTopic.ROSTER) is QueryState.ANSWERED
+        and core.stand(QueryTopic.PLAN) is QueryState.WITHOUT
+    )
 
 
 def test_a_majority_is_of_the_list_and_its_own_word_counts_from_a_whole_store_alone():
-    for own, found in ((None, Stand.WAITING), ({What.MEMBERS: (3, "d")}, Stand.ANSWERED)):
+    for own, found in ((None, QueryState.WAITING), ({QueryTopic.MEMBERS: (3, "d")}, QueryState.ANSWERED)):
         core = asking("v1", own)
         core.tick(500.0)
-        core.heard(500.0, "v2", answer(core, What.MEMBERS, number=3, digest="d"))
-        core.heard(500.0, "v2", answer(core, What.MEMBERS, number=3, digest="d"))  # twice is once
-        assert core.stand(What.MEMBERS) is found
+        core.heard(500.0, "v2", answer(core, QueryTopic.MEMBERS, number=3, digest="d"))
+        core.heard(500.0, "v2", answer(core, QueryTopic.MEMBERS, number=3, digest="d"))  # twice is once
+        assert core.stand(QueryTopic.MEMBERS) is found
 
 
 def test_what_does_not_count():
@@ -59,61 +73,65 @@
         ("v1", {"life": 6}),
         ("v1", {"turn": 99}),
         ("k1", {}),
-        ("v1", {"what": int(What.ROSTER)}),
+        ("v1", {"what": int(QueryTopic.ROSTER)}),
     ):
-        core.heard(500.0, sender, answer(core, **({"what": What.MEMBERS} | more)))
-    core.heard(500.0, "v2", answer(core, What.MEMBERS, sender_life=5))
-    core.heard(500.0, "v2", answer(core, What.MEMBERS, sender_life=4))
-    core.heard(500.0, "v3", answer(core, What.MEMBERS, sure=False))
-    assert core.stand(What.MEMBERS) is Stand.WAITING
+        core.heard(500.0, sender, answer(core, **({"what": QueryTopic.MEMBERS} | more)))
+    core.heard(500.0, "v2", answer(core, QueryTopic.MEMBERS, sender_life=5))
+    core.heard(500.0, "v2", answer(core, QueryTopic.MEMBERS, sender_life=4))
+    core.heard(500.0, "v3", answer(core, QueryTopic.MEMBERS, sure=False))
+    assert core.stand(QueryTopic.MEMBERS) is QueryState.WAITING
     assert core.dropped == {
         "another fleet's": 1,
         "to another life": 2,
         "not asked": 2,
         "of an earlier life": 1,
     }
-    core.heard(500.0, "v2", answer(core, What.MEMBERS, sender_life=6, sure=False))  # it has lost it since
-    core.heard(500.0, "v3", answer(core, What.MEMBERS))
-    assert core.stand(What.MEMBERS) is Stand.WAITING
-    core.heard(500.0, "v1", answer(core, What.MEMBERS, number=9))
-    assert core.stand(What.MEMBERS) is Stand.ANSWERED and core.behind == 9
+    core.heard(
+        500.0, "v2", answer(core, QueryTopic.MEMBERS, sender_life=6, sure=False)
+    )  # it has lost it since
+    core.heard(500.0, "v3", answer(core, QueryTopic.MEMBERS))
+    assert core.stand(QueryTopic.MEMBERS) is QueryState.WAITING
+    core.heard(500.0, "v1", answer(core, QueryTopic.MEMBERS, number=9))
+    assert core.stand(QueryTopic.MEMBERS) is QueryState.ANSWERED and core.behind == 9
 
 
 def test_a_keeper_asks_all_others_unless_its_own_store_is_whole():
-    for own, found in (({}, Stand.WAITING), ({What.PROMISES: (0, "")}, Stand.ANSWERED)):
+    for own, found in (({}, QueryState.WAITING), ({QueryTopic.PROMISES: (0, "")}, QueryState.ANSWERED)):
         core = asking("k1", own)
         for now in (600.0, 2_100.0):
             core.tick(now)
-        assert core.stand(What.PROMISES) is found
+        assert core.stand(QueryTopic.PROMISES) is found
     core = asking("k1")
     for now in (600.0, 2_100.0, 2_400.0):
         core.tick(now)
-    core.heard(2_400.0, "k2", answer(core, What.PROMISES))
-    assert core.stand(What.PROMISES) is Stand.WAITING  # a majority is not enough: v1 may hold the rest
-    core.heard(2_400.0, "v1", answer(core, What.PROMISES))
-    assert core.stand(What.PROMISES) is Stand.ANSWERED
+    core.heard(2_400.0, "k2", answer(core, QueryTopic.PROMISES))
+    assert (
+        core.stand(QueryTopic.PROMISES) is QueryState.WAITING
+    )  # a majority is not enough: v1 may hold the rest
+    core.heard(2_400.0, "v1", answer(core, QueryTopic.PROMISES))
+    assert core.stand(QueryTopic.PROMISES) is QueryState.ANSWERED
 
 
 def test_what_others_say_of_the_own_plan():
     for answers, found in (
-        ([("v1", 4, "p", False), ("v2", 3, "o", False)], Others.SAME),
-        ([("v1", 4, "p", False), ("v2", 5, "q", False)], Others.LATER),
-        ([("v1", 4, "x", False), ("v2", 4, "p", False)], Others.OTHER),
-        ([("v1", 4, "p", False)], Others.SILENT),
-        ([("v1", 4, "p", True)], Others.SAME),  # a leader's, under its lease
+        ([("v1", 4, "p", False), ("v2", 3, "o", False)], MajorityAnswer.SAME),
+        ([("v1", 4, "p", False), ("v2", 5, "q", False)], MajorityAnswer.LATER),
+        ([("v1", 4, "x", False), ("v2", 4, "p", False)], MajorityAnswer.OTHER),
+        ([("v1", 4, "p", False)], MajorityAnswer.SILENT),
+        ([("v1", 4, "p", True)], MajorityAnswer.SAME),  # a leader's, under its lease
     ):
-        core = asking(own={What.PLAN: (4, "p")})
+        core = asking(own={QueryTopic.PLAN: (4, "p")})
         for now in (600.0, 900.0):
             core.tick(now)
         for sender, number, digest, leased in answers:
             more = {"number": number, "digest": digest, "leased": leased}
-            core.heard(900.0, sender, answer(core, What.PLAN, **more))
-        assert core.others(What.PLAN) is found
+            core.heard(900.0, sender, answer(core, QueryTopic.PLAN, **more))
+        assert core.others(QueryTopic.PLAN) is found
 
 
 WORDS = st.tuples(
     st.sampled_from(["v1", "v2", "v3", "k1", "k2", "log", "x"]),
-    st.sampled_from(What),
+    st.sampled_from(QueryTopic),
     st.integers(0, 2),
     st.booleans(),
 )
@@ -128,10 +146,10 @@
         core.tick(now)
         before = dict(core.lives)
         core.heard(now, sender, answer(core, what, sender_life=life, sure=good))
-        if good and sender in LISTS[STEPS[what].of] and life >= before.get(sender, 0):
+        if good and sender in LISTS[QUERY_STEPS[what].of] and life >= before.get(sender, 0):
             sure.setdefault(what, set()).add(sender)
-    for what in (What.MEMBERS, What.PLAN):
-        if core.stand(what) is Stand.ANSWERED:
+    for what in (QueryTopic.MEMBERS, QueryTopic.PLAN):
+        if core.stand(what) is QueryState.ANSWERED:
             assert len(sure[what]) >= 2
     while now < 6_000.0:
         now += pace
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -90,7 +90,7 @@
 
 
 def of_this_boot_alone(written, read, whole_ms):
-    return t.left_ms(written, read, whole_ms) if t.same_boot(written, read) else 0.0
+    return t.remaining_ms(written, read, whole_ms) if t.same_boot(written, read) else 0.0
 
 
 PLANTED = {
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -6,24 +6,24 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core import alone, budget
-from fawnwharf.recovery_core.alone import Alone, Standing
+from fawnwharf.recovery_core.alone import CallDecision, CallKnowledge
 from fawnwharf.recovery_core.stages import (
-    Conductor,
-    Decide,
-    Follower,
-    Register,
+    FleetObservation,
+    PhaseFollower,
+    PhaseTiming,
+    ProposeRegister,
+    RecoveryCoordinator,
+    RecoveryPhase,
+    RecoveryRegister,
     RegisterError,
-    Seen,
-    Stage,
-    Timing,
-    allowed,
-    register_from,
+    allowed_in_phase,
+    parse_register,
 )
 
 VOTERS = ("a#1", "b#1", "c#1")
 WORTHS = {"view": 1.0, "save": 5.0, "settle": 5.0}
-TIMING = Timing()
-GOOD = Seen(members=12, heard=9, asked=9)
+TIMING = PhaseTiming()
+GOOD = FleetObservation(members=12, heard=9, asked=9)
 
 
 def boots(mark):
@@ -34,8 +34,8 @@
     """A conductor whose every decision is taken."""
 
     def __init__(self, register=None):
-        self.core, self.now, self.told = Conductor(TIMING), 0.0, []
-        self.text = (register or Register(1, 4, 2, 5, 1.0, 9, boots("old"))).encode()
+        self.core, self.now, self.told = RecoveryCoordinator(TIMING), 0.0, []
+        self.text = (register or RecoveryRegister(1, 4, 2, 5, 1.0, 9, boots("old"))).encode()
         self.lead()
 
     def lead(self):
@@ -44,11 +44,11 @@
     def step(self, seen=GOOD, mark="new", ms=100.0):
         self.now += ms
         for effect in self.core.tick(self.now, seen, boots(mark), True):
-            assert isinstance(effect, Decide)
+            assert isinstance(effect, ProposeRegister)
             self.text = effect.register
             self.core.decided(self.now, self.text)
-            self.told.append(register_from(self.text))
-        return Stage(self.core.register.stage)
+            self.told.append(parse_register(self.text))
+        return RecoveryPhase(self.core.register.stage)
 
     def until(self, stage, seen=GOOD, mark="new"):
         for _ in range(2_000):
@@ -58,28 +58,28 @@
 
 
 def test_a_return_goes_through_all_stages_in_order_and_then_is_calm():
-    led = Led().until(Stage.SPILL)
-    assert [r.stage for r in led.told] == list(Stage) and {r.cut for r in led.told} == {3}
+    led = Led().until(RecoveryPhase.SPILL)
+    assert [r.stage for r in led.told] == list(RecoveryPhase) and {r.cut for r in led.told} == {3}
     for _ in range(50):
         led.step()
     assert led.told[-1].boots == boots("new") and len(led.told) == 6
 
 
-@pytest.mark.parametrize("stage", list(Stage)[:-1])
+@pytest.mark.parametrize("stage", list(RecoveryPhase)[:-1])
 def test_a_second_power_loss_at_each_stage_begins_anew_under_another_leader(stage):
     led = Led().until(stage)
     for _ in range(3):  # power goes again and again, before anything else was decided
         led.lead()
         mark = f"again {len(led.told)}"
-        assert led.step(mark=mark) is Stage.LISTENING and led.told[-1].boots == boots(mark)
+        assert led.step(mark=mark) is RecoveryPhase.LISTENING and led.told[-1].boots == boots(mark)
     assert led.told[-1].cut == 6
-    assert led.until(Stage.SPILL, mark=mark).told[-1].cut == 6
+    assert led.until(RecoveryPhase.SPILL, mark=mark).told[-1].cut == 6
 
 
 def test_another_leader_goes_on_with_the_stage():
-    led = Led().until(Stage.REST)
+    led = Led().until(RecoveryPhase.REST)
     led.lead()
-    assert led.step() is Stage.REST and led.until(Stage.SPILL).told[-1].cut == 3
+    assert led.step() is RecoveryPhase.REST and led.until(RecoveryPhase.SPILL).told[-1].cut == 3
 
 
 def test_boots_of_one_after_the_other_are_no_power_loss():
@@ -94,19 +94,19 @@
 
 
 def test_boots_of_new_voters_are_noted_at_once_and_others_beside_them_in_time():
-    led = Led(Register(1, 4, 2, 5, 1.0, 9, {"a#1": "old"}))
+    led = Led(RecoveryRegister(1, 4, 2, 5, 1.0, 9, {"a#1": "old"}))
     led.step(mark="old")
     assert led.core.register.boots == boots("old") and led.told[-1].cut == 2
     core, marks = led.core, boots("old") | {"b#1": "new"}
     core.voters = (*VOTERS, "d#1")
     assert core.tick(led.now, GOOD, marks | {"d#1": "new"}, True) == []  # b's may be the first of many
     (put,) = core.tick(led.now + TIMING.settle_ms, GOOD, marks | {"d#1": "new"}, True)
-    assert register_from(put.register).boots == marks | {"d#1": "new"}
+    assert parse_register(put.register).boots == marks | {"d#1": "new"}
 
 
 def test_nothing_is_put_without_a_lease_or_while_something_is_put():
-    core = Conductor(TIMING)
-    core.lead(0.0, Register(1, 4, 2, 5, 1.0, 9, boots("old")).encode(), VOTERS)
+    core = RecoveryCoordinator(TIMING)
+    core.lead(0.0, RecoveryRegister(1, 4, 2, 5, 1.0, 9, boots("old")).encode(), VOTERS)
     assert core.tick(1.0, GOOD, boots("new"), False) == []
     (put,) = core.tick(1.0, GOOD, boots("new"), True)
     assert core.tick(2.0, GOOD, boots("new"), True) == []
@@ -115,34 +115,36 @@
 
 
 def test_listening_and_repeats_do_not_wait_for_those_that_never_come():
-    few = Seen(members=12, heard=3, asked=3, sure=0.3)
+    few = FleetObservation(members=12, heard=3, asked=3, sure=0.3)
     led = Led()
-    led.until(Stage.REPEATS, few)
+    led.until(RecoveryPhase.REPEATS, few)
     assert TIMING.listen_ms <= led.now <= TIMING.listen_ms + 300
     began = led.now
-    led.until(Stage.WORTH, few)
+    led.until(RecoveryPhase.WORTH, few)
     assert TIMING.window_ms <= led.now - began <= TIMING.window_ms + 300
 
 
-@pytest.mark.parametrize("stage", [Stage.WORTH, Stage.REST, Stage.RENEWAL, Stage.SPILL])
+@pytest.mark.parametrize(
+    "stage", [RecoveryPhase.WORTH, RecoveryPhase.REST, RecoveryPhase.RENEWAL, RecoveryPhase.SPILL]
+)
 @pytest.mark.parametrize("fell", [0, 1])
 def test_a_stage_that_overruns_is_stepped_back_with_half_the_budget_and_held_for_longer(stage, fell):
     led = Led().until(stage)
-    crowd = Seen(12, 9, 9, first=0.5, served=0.5, slow=1.0 if fell else 3.0, fell=fell)
+    crowd = FleetObservation(12, 9, 9, first=0.5, served=0.5, slow=1.0 if fell else 3.0, fell=fell)
     began, part = led.now, led.core.register.part
-    led.until(Stage(stage - 1), crowd)
+    led.until(RecoveryPhase(stage - 1), crowd)
     assert led.core.register.part == part / 2
     assert led.now - began <= (100 if fell else TIMING.over_ms + 300)
     again = led.now
     led.until(stage)
     assert led.now - again >= 2 * TIMING.hold_ms
-    led.until(Stage.SPILL)
+    led.until(RecoveryPhase.SPILL)
     assert led.core.register.part == 1.0
 
 
 def test_a_stage_that_stays_short_of_its_goal_without_a_crowd_is_left_in_the_end():
     led = Led()
-    led.until(Stage.REST, Seen(12, 9, 9, first=0.5, served=0.5))
+    led.until(RecoveryPhase.REST, FleetObservation(12, 9, 9, first=0.5, served=0.5))
     assert led.now <= TIMING.most_ms + 1_000
 
 
@@ -151,64 +153,72 @@
 )
 def test_a_register_that_is_none_is_told_by_its_key(text):
     with pytest.raises(RegisterError, match=r"^\w+.*: "):
-        register_from(text)
-    follower, core = Follower(TIMING, 0.0), Conductor(TIMING)
+        parse_register(text)
+    follower, core = PhaseFollower(TIMING, 0.0), RecoveryCoordinator(TIMING)
     assert follower.told(text, 1.0)[0].event == core.lead(0.0, text, VOTERS)[0].event == "recovery not read"
     assert follower.register is None and not core.leads
 
 
 def test_what_stages_allow_only_grows():
-    rows = [allowed(stage, WORTHS) for stage in Stage]
+    rows = [allowed_in_phase(stage, WORTHS) for stage in RecoveryPhase]
     for one, later in zip(rows, rows[1:], strict=False):
         assert one.classes <= later.classes
         for key in ("status", "repeats", "loads", "own_loads", "renewal", "spill"):
             assert getattr(one, key) <= getattr(later, key)
-    assert rows[0] == allowed(Stage.LISTENING, WORTHS) and not rows[0].status and not rows[0].repeats
+    assert (
+        rows[0] == allowed_in_phase(RecoveryPhase.LISTENING, WORTHS)
+        and not rows[0].status
+        and not rows[0].repeats
+    )
     assert rows[2].classes == {"save", "settle"} and rows[3].classes == set(WORTHS) and rows[5].spill
-    assert budget.first_classes({"one": 1.0}) == {"one"}
+    assert budget.priority_classes({"one": 1.0}) == {"one"}
 
 
 def test_a_front_end_goes_by_fresh_words_and_is_alone_without_any():
-    core = Follower(TIMING, 0.0)
-    assert core.stage(10.0) is Stage.LISTENING and core.stage(TIMING.alone_ms) is None
-    rest = Register(number=5, cut=1, stage=int(Stage.REST), part=0.5)
+    core = PhaseFollower(TIMING, 0.0)
+    assert core.stage(10.0) is RecoveryPhase.LISTENING and core.stage(TIMING.alone_ms) is None
+    rest = RecoveryRegister(number=5, cut=1, stage=int(RecoveryPhase.REST), part=0.5)
     core.told(rest.encode(), 6_000.0)
     assert core.allowed(6_100.0, WORTHS).part == 0.5 and not core.lone
     assert core.allowed(6_000.0 + TIMING.valid_ms, WORTHS).part == 0.25  # it may have been stepped back
     assert core.allowed(6_000.0 + TIMING.alone_ms, WORTHS) is None
-    core.told(Register(number=4, cut=1, stage=5).encode(), 20_000.0)  # late, and of an earlier decision
+    core.told(
+        RecoveryRegister(number=4, cut=1, stage=5).encode(), 20_000.0
+    )  # late, and of an earlier decision
     assert core.stage(20_000.0) is None
-    core.told(Register(number=6, cut=1, stage=1).encode(), 20_000.0)
+    core.told(RecoveryRegister(number=6, cut=1, stage=1).encode(), 20_000.0)
     assert core.stage(20_000.0) is None  # what is safe alone stays so, until a stage allows more
-    core.told(Register(number=7, cut=1, stage=2).encode(), 20_000.0)
-    assert core.stage(20_000.0) is Stage.WORTH
-    core.told(Register(number=9, cut=1, stage=5).encode(), 20_000.0)
-    assert core.stage(1e9) is Stage.SPILL  # calm without a leader is no power loss
-    core.told(Register(number=10, cut=2, stage=0).encode(), 30_000.0)  # it served through this one
-    assert core.allowed(30_000.0, WORTHS) == allowed(Stage.REST, WORTHS)
-    assert Follower(TIMING, 30_000.0).allowed(30_000.0, WORTHS) == allowed(Stage.LISTENING, WORTHS, 0.0625)
+    core.told(RecoveryRegister(number=7, cut=1, stage=2).encode(), 20_000.0)
+    assert core.stage(20_000.0) is RecoveryPhase.WORTH
+    core.told(RecoveryRegister(number=9, cut=1, stage=5).encode(), 20_000.0)
+    assert core.stage(1e9) is RecoveryPhase.SPILL  # calm without a leader is no power loss
+    core.told(RecoveryRegister(number=10, cut=2, stage=0).encode(), 30_000.0)  # it served through this one
+    assert core.allowed(30_000.0, WORTHS) == allowed_in_phase(RecoveryPhase.REST, WORTHS)
+    assert PhaseFollower(TIMING, 30_000.0).allowed(30_000.0, WORTHS) == allowed_in_phase(
+        RecoveryPhase.LISTENING, WORTHS, 0.0625
+    )
 
 
 def test_what_is_safe_alone():
     window = 10_000.0
     for effect, standing, found in (
-        (io.Effect.SAFE, Standing(), Alone.SERVE),
-        (io.Effect.UNSAFE, Standing(since_start_ms=1e9), Alone.LATER),
-        (io.Effect.UNSAFE, Standing(granted=True), Alone.SERVE),
-        (io.Effect.UNSAFE, Standing(known=True, granted=True), Alone.ANSWER),
-        (io.Effect.KEYED, Standing(since_start_ms=window - 1), Alone.LATER),
-        (io.Effect.KEYED, Standing(since_start_ms=window), Alone.SERVE),
-        (io.Effect.KEYED, Standing(granted=True), Alone.SERVE),
+        (io.Effect.SAFE, CallKnowledge(), CallDecision.SERVE),
+        (io.Effect.UNSAFE, CallKnowledge(since_start_ms=1e9), CallDecision.LATER),
+        (io.Effect.UNSAFE, CallKnowledge(granted=True), CallDecision.SERVE),
+        (io.Effect.UNSAFE, CallKnowledge(known=True, granted=True), CallDecision.ANSWER),
+        (io.Effect.KEYED, CallKnowledge(since_start_ms=window - 1), CallDecision.LATER),
+        (io.Effect.KEYED, CallKnowledge(since_start_ms=window), CallDecision.SERVE),
+        (io.Effect.KEYED, CallKnowledge(granted=True), CallDecision.SERVE),
     ):
-        assert alone.call(effect, standing, window) is found
-    lone = alone.allowed(WORTHS, 3, 12, rostered=True, asked=True)
+        assert alone.decide_call(effect, standing, window) is found
+    lone = alone.allowed_when_partitioned(WORTHS, 3, 12, rostered=True, asked=True)
     assert (
         lone.part == 0.25
         and lone.status
         and lone.loads
         and not (lone.spill or lone.renewal or lone.own_loads)
     )
-    assert not alone.allowed(WORTHS, 3, 12, rostered=False, asked=True).status
+    assert not alone.allowed_when_partitioned(WORTHS, 3, 12, rostered=False, asked=True).status
 
 
 # --- budgets --------------------------------------------------------------------------------
@@ -216,20 +226,22 @@
 SITE = io.Settings(
     cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0, max_retry_after_ms=4_000.0
 )
-LIMITS = budget.limits_from(SITE, 7, 12.0)
+LIMITS = budget.fleet_limits(SITE, 7, 12.0)
 NAMES = [f"n{i}" for i in range(200)]
 
 
 def test_loaders_are_as_many_as_the_store_takes_and_each_function_has_one():
-    chosen = budget.loaders(NAMES, LIMITS.fetches, 1)
-    assert len(chosen) == 7 and chosen == budget.loaders(NAMES[::-1], 7, 1) != budget.loaders(NAMES, 7, 2)
-    owned = {f"f{i}": budget.loader_of(f"f{i}", chosen) for i in range(700)}
+    chosen = budget.choose_load_coordinators(NAMES, LIMITS.fetches, 1)
+    assert len(chosen) == 7 and chosen == budget.choose_load_coordinators(
+        NAMES[::-1], 7, 1
+    ) != budget.choose_load_coordinators(NAMES, 7, 2)
+    owned = {f"f{i}": budget.load_coordinator_of(f"f{i}", chosen) for i in range(700)}
     counts = [list(owned.values()).count(name) for name in chosen]
     assert sum(counts) == 700 and min(counts) > 50
     left = tuple(name for name in chosen if name != chosen[0])
-    moved = [f for f in owned if budget.loader_of(f, left) != owned[f]]
+    moved = [f for f in owned if budget.load_coordinator_of(f, left) != owned[f]]
     assert all(owned[f] == chosen[0] for f in moved)
-    starts = sorted(budget.part_ms(name, 1, 1_000.0) for name in NAMES)
+    starts = sorted(budget.start_offset_ms(name, 1, 1_000.0) for name in NAMES)
     assert (
         starts[0] < 50
         and starts[-1] > 950
@@ -238,7 +250,7 @@
 
 
 def test_a_loader_orders_the_most_wanted_first_one_at_a_time_and_tries_failed_ones_last():
-    core = budget.Loader(begins_ms=100.0)
+    core = budget.LoadCoordinator(begins_ms=100.0)
     for name, worth in (("low", 1.0), ("high", 9.0), ("mid", 4.0)):
         core.want(name, worth)
     assert core.orders(50.0) == [] and core.orders(100.0) == ["high"] == list(core.under_way)
@@ -259,23 +271,23 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.floats(0.0, 120.0), min_size=20, max_size=200), st.floats(0.0, 9_000.0))
 def test_a_warden_gives_out_no_more_than_the_room_whenever_tickets_are_used(pauses, age):
-    core, now, used = budget.Warden(LIMITS), 0.0, []
+    core, now, used = budget.SlowStartCoordinator(LIMITS), 0.0, []
     for n, pause in enumerate(pauses):
         now += pause
         wait = core.ask(now, "s", age)
         if wait == 0.0:
-            used.append(now + budget.TICKET_MS * (n % 2))
+            used.append(now + budget.PERMIT_MS * (n % 2))
         assert wait >= 0.0
     room = SITE.fall_multiple * LIMITS.warmth(age) * LIMITS.scorer_rps * SITE.fall_ms / 1000.0
     for at in used:
         assert sum(at - SITE.fall_ms < other <= at for other in used) <= room
-    assert not used or used[0] >= SITE.fall_ms + budget.TICKET_MS  # another may have been its warden
+    assert not used or used[0] >= SITE.fall_ms + budget.PERMIT_MS  # another may have been its warden
     core.known_from("t")
     assert core.ask(now, "t", age) == 0.0
 
 
 def test_refused_clients_come_back_spread_and_never_before_their_turn():
-    doors = budget.Doors(LIMITS)
+    doors = budget.AdmissionRateLimiter(LIMITS)
     doors.pace(0.0, 20.0)
     inside = [doors.let_in(0.0) for _ in range(100)]
     assert not any(inside)  # nothing is saved up before it has begun
@@ -286,7 +298,7 @@
     late = [b for b in far if b > 2_000]
     assert max(far) <= 4_000.0 and len(late) > 180 and max(late) - min(late) > 1_500
     assert min(doors.pushback_ms(9_000.0, f"e{i}", 900.0) for i in range(5)) >= 900.0
-    few = budget.Doors(LIMITS)
+    few = budget.AdmissionRateLimiter(LIMITS)
     few.pace(0.0, 20.0)
     few.let_in(2_000.0)
     assert few.tokens > 8 and [few.let_in(2_000.0, 0.5) for _ in range(6)] == [True] * 4 + [False] * 2
--- a/tests/test_recovery_world.py
+++ b/tests/test_recovery_world.py
@@ -5,45 +5,47 @@
 import pytest
 
 from fawnwharf.recovery_core import trial
-from fawnwharf.recovery_core.planned import Planned
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_core.world import Scene, World
+from fawnwharf.recovery_core.planned import CoordinatedFleet
+from fawnwharf.recovery_core.stages import RecoveryPhase
+from fawnwharf.recovery_core.world import Scenario, UncoordinatedFleet
 
 LAST, MINORITY = (trial.scene_of(name, 12) for name in ("last", "minority"))
 
 
 @pytest.fixture(scope="module")
 def runs():
-    return {kind: kind(LAST, 3).run() for kind in (World, Planned)}
+    return {kind: kind(LAST, 3).run() for kind in (UncoordinatedFleet, CoordinatedFleet)}
 
 
 def test_by_the_plan_no_scorer_falls_and_the_store_is_never_crowded(runs):
-    plan, nothing = runs[Planned], runs[World]
+    plan, nothing = runs[CoordinatedFleet], runs[UncoordinatedFleet]
     found, bare = trial.figures(plan), trial.figures(nothing)
     assert found["fell"] == 0 and found["fetches"] == len(plan.facts)  # one copy each
     most = plan.limits.fetches
     assert found["waiting"] <= most < bare["waiting"] and 2 * found["asked"] < bare["asked"]
     stages = [stage for _, stage in plan.stages]
-    assert stages == list(Stage) and found["90 %"] < 90
+    assert stages == list(RecoveryPhase) and found["90 %"] < 90
 
 
 def test_the_same_seed_is_the_same_return(runs):
-    again = Planned(LAST, 3).run()
-    assert again.seconds == runs[Planned].seconds and again.stages == runs[Planned].stages
-    assert [f.up_ms for f in again.fronts] == [f.up_ms for f in runs[World].fronts]
+    again = CoordinatedFleet(LAST, 3).run()
+    assert again.seconds == runs[CoordinatedFleet].seconds and again.stages == runs[CoordinatedFleet].stages
+    assert [f.up_ms for f in again.fronts] == [f.up_ms for f in runs[UncoordinatedFleet].fronts]
 
 
 def test_before_the_roster_the_plan_alone_serves_and_before_its_stages_safe_calls_alone(runs):
     before = range(int(LAST.roster_ms / 1000) - 2)  # those that came then have given up
-    assert sum(runs[World].seconds[s][1] for s in before) == 0.0
-    began = int(next(at for at, stage in runs[Planned].stages if stage is Stage.WORTH) / 1000)
-    assert sum(runs[Planned].seconds[s][1] for s in before) > 0.0
-    lone = [row for row in runs[Planned].seconds[: began - 1] if row[1]]
+    assert sum(runs[UncoordinatedFleet].seconds[s][1] for s in before) == 0.0
+    began = int(
+        next(at for at, stage in runs[CoordinatedFleet].stages if stage is RecoveryPhase.WORTH) / 1000
+    )
+    assert sum(runs[CoordinatedFleet].seconds[s][1] for s in before) > 0.0
+    lone = [row for row in runs[CoordinatedFleet].seconds[: began - 1] if row[1]]
     assert lone and all(row[3] <= 0.6 * row[2] for row in lone)
 
 
 def test_a_minority_serves_no_call_that_may_run_twice():
-    run = Planned(MINORITY, 3).run()
+    run = CoordinatedFleet(MINORITY, 3).run()
     assert run.stages == [] and run.may.alone and run.fell == 0
     assert not run._takes(99_000.0, run.up[0], "transfer-settle")
     assert run._takes(99_000.0, run.up[0], "points-view") and run._takes(99_000.0, run.up[0], "lineup-save")
@@ -51,8 +53,10 @@
 
 
 def test_in_a_fleet_that_lost_nothing_all_is_served():
-    calm = Scene(12, back_ms=1.0, zone_late_ms=0.0, gone=0.0, roster_ms=1.0, scorers_ms=1.0, end_ms=40_000.0)
-    for kind in (World, Planned):
+    calm = Scenario(
+        12, back_ms=1.0, zone_late_ms=0.0, gone=0.0, roster_ms=1.0, scorers_ms=1.0, end_ms=40_000.0
+    )
+    for kind in (UncoordinatedFleet, CoordinatedFleet):
         rows = kind(replace(calm, burst_ms=39_000.0), 1).run().seconds[30:38]
         assert sum(row[1] for row in rows) >= 0.995 * sum(row[0] for row in rows)
 
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -4,14 +4,14 @@
 import pytest
 from support.recovery_agents import TIMING, Agents
 
-from fawnwharf.durable_store.reading import Sign
-from fawnwharf.recovery_core.asking import Answer, Ask, Stand, What
-from fawnwharf.recovery_core.stages import Register, Stage
+from fawnwharf.durable_store.reading import FolderPosition
+from fawnwharf.recovery_core.asking import Answer, Query, QueryState, QueryTopic
+from fawnwharf.recovery_core.stages import RecoveryPhase, RecoveryRegister
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.lead import Lead, Lists
 from fawnwharf.recovery_service.showing import shown
 
-RETURN = list(Stage)
+RETURN = list(RecoveryPhase)
 
 
 def trail(fleet, name, since=0):
@@ -37,12 +37,14 @@
     fleet = Agents().calm()
     since = len(fleet.trail)
     fleet.power_loss("boot 2")
-    assert fleet.stages() == {Stage.LISTENING}
+    assert fleet.stages() == {RecoveryPhase.LISTENING}
     assert not any(agent.allowed(fleet.now).status for agent in fleet.agents.values())
-    fleet.until_stage(Stage.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
     for name in fleet.names:
         assert trail(fleet, name, since) == RETURN, name
-    statuses = [allowed.status for who, stage, _, allowed in fleet.trail[since:] if stage < Stage.WORTH]
+    statuses = [
+        allowed.status for who, stage, _, allowed in fleet.trail[since:] if stage < RecoveryPhase.WORTH
+    ]
     assert not any(statuses)
     whys = [fields["why"] for _, event, fields in fleet.noted if event == "stage decided"]
     assert whys.count("power loss") == 1 and whys[-1] == "served"
@@ -52,10 +54,10 @@
     fleet = Agents().calm()
     since = len(fleet.trail)
     fleet.power_loss("boot 2", "n1")
-    fleet.until(lambda: fleet.agents["n1"].stage(fleet.now) is Stage.SPILL)
+    fleet.until(lambda: fleet.agents["n1"].stage(fleet.now) is RecoveryPhase.SPILL)
     fleet.run(1.0)
     assert {cut for _, _, cut, _ in fleet.trail[since:]} == {0}
-    assert trail(fleet, "n1", since) == [Stage.LISTENING, Stage.SPILL]
+    assert trail(fleet, "n1", since) == [RecoveryPhase.LISTENING, RecoveryPhase.SPILL]
     fleet.run(TIMING.settle_ms / 1000 + 1)
     leader = fleet.agents[fleet.leader]
     assert leader.cut == 0 and "boot 2" in leader.lead.conductor.register.boots.values()
@@ -65,9 +67,9 @@
     fleet = Agents().calm()
     since = len(fleet.trail)
     fleet.power_loss("")
-    fleet.until_stage(Stage.SPILL)
+    fleet.until_stage(RecoveryPhase.SPILL)
     found = {(stage, cut) for _, stage, cut, _ in fleet.trail[since:]}
-    assert found == {(Stage.LISTENING, 0), (Stage.SPILL, 0)}
+    assert found == {(RecoveryPhase.LISTENING, 0), (RecoveryPhase.SPILL, 0)}
 
 
 @pytest.mark.parametrize("stage", RETURN[:-1])
@@ -79,10 +81,10 @@
     first, since = fleet.leader, len(fleet.trail)
     fleet.end(first)
     fleet.until(lambda: fleet.leader not in (None, first))
-    fleet.until_stage(Stage.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
     for name in fleet.up:
         seen = [s for s in trail(fleet, name, since) if s is not None]  # one may have been alone between
-        assert seen == sorted(seen) and seen[-1] is Stage.SPILL
+        assert seen == sorted(seen) and seen[-1] is RecoveryPhase.SPILL
     assert {fleet.agents[name].cut for name in fleet.up} == {1}
 
 
@@ -93,7 +95,7 @@
     fleet.until(lambda: any(a.stage(fleet.now) is stage and a.cut == 1 for a in fleet.agents.values()))
     fleet.power_loss("boot 3")
     since = len(fleet.trail)
-    fleet.until_stage(Stage.SPILL, cut=2)
+    fleet.until_stage(RecoveryPhase.SPILL, cut=2)
     for name in fleet.names:
         assert trail(fleet, name, since)[-len(RETURN) + 1 :] == RETURN[1:]
 
@@ -104,17 +106,17 @@
     fleet.run(0.1)
     fleet.begin("boot 2", "n0", "n3")
     fleet.run(TIMING.alone_ms / 1000 - 1)
-    assert fleet.stages() == {Stage.LISTENING}
+    assert fleet.stages() == {RecoveryPhase.LISTENING}
     fleet.until(lambda: fleet.stages() == {None})
     for name in ("n0", "n3"):
         allowed = fleet.agents[name].allowed(fleet.now)
         assert allowed.alone and allowed.status and allowed.part == 0.2 and not allowed.spill
         without = fleet.agents[name].asking.without()
-        assert What.MEMBERS in without and What.PLAN in without
+        assert QueryTopic.MEMBERS in without and QueryTopic.PLAN in without
     fleet.begin("boot 2", "n1", "n2", "n4")
-    fleet.until_stage(Stage.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
     lone = [stage for stage in trail(fleet, "n0") if stage is not None]
-    assert Stage.REPEATS not in lone[-3:] and lone[-1] is Stage.SPILL
+    assert RecoveryPhase.REPEATS not in lone[-3:] and lone[-1] is RecoveryPhase.SPILL
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -122,8 +124,8 @@
     fleet = Agents(seed=seed, lost=0.3, late_ms=150.0).calm()
     since = len(fleet.trail)
     fleet.power_loss("boot 2")
-    fleet.until_stage(Stage.SPILL, cut=1)
-    calm = [entry for entry in fleet.trail[since:] if entry[1] is Stage.SPILL]
+    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
+    calm = [entry for entry in fleet.trail[since:] if entry[1] is RecoveryPhase.SPILL]
     assert calm and all(cut == 1 for _, _, cut, _ in calm)
 
 
@@ -133,7 +135,7 @@
     others = [name for name in fleet.names if name != leader]
     since = len(fleet.trail)
     fleet.power_loss("boot 2", *others)
-    fleet.until_stage(Stage.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
     for name in others:
         assert trail(fleet, name, since) == RETURN, name
     through = [allowed for who, stage, cut, allowed in fleet.trail[since:] if who == leader and cut == 1]
@@ -143,14 +145,14 @@
 def test_crowded_loads_and_fallen_scorers_step_the_stage_back():
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
-    fleet.until_stage(Stage.REST, cut=1)
+    fleet.until_stage(RecoveryPhase.REST, cut=1)
     fleet.standing["n4"] = w.Standing(0, True, True, fell=1)
-    fleet.until_stage(Stage.WORTH, cut=1)
+    fleet.until_stage(RecoveryPhase.WORTH, cut=1)
     fleet.standing["n3"] = w.Standing(0, True, True, w.Tally(1, 9), w.Tally(1, 9))
     fleet.run(1.5)
-    assert fleet.stages() == {Stage.WORTH} and fleet.agents["n0"].allowed(fleet.now).part < 1.0
+    assert fleet.stages() == {RecoveryPhase.WORTH} and fleet.agents["n0"].allowed(fleet.now).part < 1.0
     fleet.standing.clear()
-    fleet.until_stage(Stage.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
     whys = [fields["why"] for _, event, fields in fleet.noted if event == "stage decided"]
     assert "1 scorers fell" in whys
 
@@ -176,18 +178,18 @@
     fleet = Agents().calm()
     agent, now = fleet.agents["n0"], fleet.now
     before = shown(agent, now)
-    ask, answer = Ask("g", 1, 1, 0), Answer("f", 99, 1, 0, 1, True)
+    ask, answer = Query("g", 1, 1, 0), Answer("f", 99, 1, 0, 1, True)
     said = [
         (agent.hear_zone, "n1", ask, "another fleet's"),
         (agent.hear_zone, "x", ask, "of no member"),
         (agent.hear_state, "x", ask, "of no member"),
-        (agent.hear_zone, "n1", Ask("f", 1, 1, int(What.USE)), "by the wrong log"),
-        (agent.hear_state, "n1", Ask("f", 1, 1, int(What.MEMBERS)), "by the wrong log"),
+        (agent.hear_zone, "n1", Query("f", 1, 1, int(QueryTopic.USE)), "by the wrong log"),
+        (agent.hear_state, "n1", Query("f", 1, 1, int(QueryTopic.MEMBERS)), "by the wrong log"),
         (agent.hear_state, "n1", w.Standing(1, True, True), "by the wrong log"),
         (agent.hear_state, "n1", answer, "by the wrong log"),
-        (agent.hear_zone, "n1", w.Known(99, Sign("m", 1, 1)), "to another life"),
-        (agent.hear_zone, "n3", w.Told(1, 99, 0.0, Register().encode()), "a stage of no leader"),
-        (agent.hear_zone, "n1", w.Told(0, 99, 0.0, Register().encode()), "of an earlier life"),
+        (agent.hear_zone, "n1", w.Known(99, FolderPosition("m", 1, 1)), "to another life"),
+        (agent.hear_zone, "n3", w.Told(1, 99, 0.0, RecoveryRegister().encode()), "a stage of no leader"),
+        (agent.hear_zone, "n1", w.Told(0, 99, 0.0, RecoveryRegister().encode()), "of an earlier life"),
         (agent.hear_zone, "n1", w.Standing(0, True, True), "of an earlier life"),
     ]
     for hear, sender, word, why in said:
@@ -207,7 +209,7 @@
 def test_what_is_not_sure_or_not_settled_is_not_told():
     fleet = Agents().calm()
     agent = fleet.agents["n0"]
-    ask = Ask("f", 7, 3, int(What.PLAN))
+    ask = Query("f", 7, 3, int(QueryTopic.PLAN))
     (said,) = agent.hear_zone(fleet.now, "n4", ask)
     assert said.word.sure and said.word.number > 0 and said.to == ("n4",)
     for change in ({"settled": False}, {"votes": False}):
@@ -222,18 +224,21 @@
 def test_one_that_starts_anew_is_told_how_far_its_folder_had_come_by_its_earlier_word():
     fleet = Agents().calm()
     agent = fleet.agents["n0"]
-    agent.hear_zone(fleet.now, "n4", w.Boot(10, "b", Sign("m", 5, 200)))
-    assert agent.hear_zone(fleet.now, "n4", w.Boot(10, "b", Sign("m", 5, 210))) == []
-    for sign in (Sign("m", 6, 101), Sign("m", 5, 205)):  # of a copy that was taken while life 5 wrote
+    agent.hear_zone(fleet.now, "n4", w.Boot(10, "b", FolderPosition("m", 5, 200)))
+    assert agent.hear_zone(fleet.now, "n4", w.Boot(10, "b", FolderPosition("m", 5, 210))) == []
+    for sign in (
+        FolderPosition("m", 6, 101),
+        FolderPosition("m", 5, 205),
+    ):  # of a copy that was taken while life 5 wrote
         life = 11 if sign.life == 6 else 12
         for _ in range(3):
             (said,) = agent.hear_zone(fleet.now, "n4", w.Boot(life, "b", sign))
             assert said.to == ("n4",) and said.word.life == life
-            assert said.word.sign in (Sign("m", 5, 210), Sign("m", 6, 101))
+            assert said.word.sign in (FolderPosition("m", 5, 210), FolderPosition("m", 6, 101))
         assert agent.hear_zone(fleet.now, "n4", w.Boot(life, "b", sign)) == []
-    assert agent.hear_zone(fleet.now, "n4", w.Boot(13, "b", Sign("other", 1, 1))) == []
-    (signed,) = fleet.agents["n4"].hear_zone(fleet.now, "n0", w.Known(1, Sign("m", 5, 210)))
-    assert signed.sign == Sign("m", 5, 210)
+    assert agent.hear_zone(fleet.now, "n4", w.Boot(13, "b", FolderPosition("other", 1, 1))) == []
+    (signed,) = fleet.agents["n4"].hear_zone(fleet.now, "n0", w.Known(1, FolderPosition("m", 5, 210)))
+    assert signed.sign == FolderPosition("m", 5, 210)
 
 
 def test_a_word_that_comes_late_counts_from_when_it_was_said():
@@ -251,14 +256,14 @@
     fleet.end("n4")
     fleet.begin("boot 2", "n4")
     agent = fleet.agents["n4"]
-    told = w.Told(1, 99, fleet.now, Register(number=9, stage=5).encode())
+    told = w.Told(1, 99, fleet.now, RecoveryRegister(number=9, stage=5).encode())
     boot, ask = agent.hear_zone(fleet.now, leader, told)
-    assert isinstance(boot.word, w.Boot) and isinstance(ask.word, Ask) and ask.to == (leader,)
+    assert isinstance(boot.word, w.Boot) and isinstance(ask.word, Query) and ask.to == (leader,)
     assert agent.follower.register is None and agent.hear_zone(fleet.now, leader, told) == []
     agent.hear_zone(fleet.now, leader, Answer("f", agent.life, ask.word.turn, 0, 1, False))
-    assert agent.asking.stand(What.MEMBERS) is Stand.WAITING  # it was no word on the members
+    assert agent.asking.stand(QueryTopic.MEMBERS) is QueryState.WAITING  # it was no word on the members
     agent.hear_zone(fleet.now, leader, told)
-    assert agent.stage(fleet.now) is Stage.SPILL
+    assert agent.stage(fleet.now) is RecoveryPhase.SPILL
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -7,9 +7,21 @@
 from support.register_permits import WORD_MS, DealtFleet, GivingAgents
 from test_recovery_stages import Led
 
-from fawnwharf.recovery_core.budget import warden_of
-from fawnwharf.recovery_core.register import GIVERS_MOST, Dealt, Register, register_from
-from fawnwharf.recovery_core.stages import Allowed, Follower, Seen, Stage, Timing, allowed
+from fawnwharf.recovery_core.budget import slow_start_coordinator_of
+from fawnwharf.recovery_core.register import (
+    MAX_PERMIT_ISSUERS,
+    PermitAssignment,
+    RecoveryRegister,
+    parse_register,
+)
+from fawnwharf.recovery_core.stages import (
+    AllowedActions,
+    FleetObservation,
+    PhaseFollower,
+    PhaseTiming,
+    RecoveryPhase,
+    allowed_in_phase,
+)
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.giving import LOOK_MS, TURN_MS
 from fawnwharf.recovery_service.lead import Lead, Lists
@@ -34,7 +46,7 @@
         fleet.begin("boot 2", name)
     fleet.until(lambda: fleet.orders)
     assert fleet.orders[0][0] - min(fleet.entered.values()) <= TURN_MS + STEP_MS
-    fleet.until_stage(Stage.REST, cut=1)
+    fleet.until_stage(RecoveryPhase.REST, cut=1)
     dealt = fleet.agents["n0"].follower.register
     assert dealt.deals == 1 and set(dealt.givers) <= set(fleet.agents["n0"].lists.keepers)
 
@@ -75,7 +87,9 @@
 @pytest.mark.parametrize(("lag_ms", "kept"), [(WORD_MS, True), (0.0, False)])
 def test_a_new_warden_waits_for_as_long_as_one_may_go_by_the_register_before(lag_ms, kept):
     old, new = (Wards(name, 1, LIMITS, 0.0) for name in ("n0", "n1"))
-    id = next(i for i in range(50) if warden_of(str(i), ("n0", "n1")) == "n1")  # n1's by the second dealing
+    id = next(
+        i for i in range(50) if slow_start_coordinator_of(str(i), ("n0", "n1")) == "n1"
+    )  # n1's by the second dealing
     for front in (old, new):
         front.set(0.0, ("n0",), 1.0, (1, 1), 0.0, True)
         front.scorer(1_000.0, id, 1_000.0)
@@ -94,13 +108,13 @@
 def test_a_later_dealing_waits_for_the_word_of_the_one_before_and_a_missed_one_for_all():
     fleet = DealtFleet()
     fleet.run(1_200.0)
-    seats, rest = fleet.fronts["n0"].seats, allowed(Stage.REST, WORTHS)
-    fleet.fronts["n0"].set(1_200.0, {"n0"}, ["n0"], rest, 1, Dealt(fleet.dealt.givers, 1, 1))
+    seats, rest = fleet.fronts["n0"].seats, allowed_in_phase(RecoveryPhase.REST, WORTHS)
+    fleet.fronts["n0"].set(1_200.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(fleet.dealt.givers, 1, 1))
     assert seats.mine == seats.ready(1_200.0) == 1
-    fleet.fronts["n0"].set(2_000.0, {"n0"}, ["n0"], rest, 1, Dealt(("n0", "n1"), 1, 2))
+    fleet.fronts["n0"].set(2_000.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 2))
     due = 2_000.0 + WORD_MS + LOOK_MS + fleet.usual_ms + LENT_MS
     assert (seats.mine, seats.ready(due - 1), seats.ready(due)) == (2, 1, 2)
-    fleet.fronts["n0"].set(due, {"n0"}, ["n0"], rest, 1, Dealt(("n0", "n1"), 1, 4))
+    fleet.fronts["n0"].set(due, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 4))
     assert seats.ready(due) == 0  # they may have been another's by the third
 
 
@@ -112,16 +126,16 @@
     fleet.start(name)
     dealt = fleet.dealt
     assert dealt.deals == 1
-    fleet.fronts[name].set(1_210.0, {name}, [name], Allowed(loads=True), 1, dealt)
+    fleet.fronts[name].set(1_210.0, {name}, [name], AllowedActions(loads=True), 1, dealt)
     assert fleet.fronts[name].seats.ready(1_210.0) == 0
 
 
 def seen(*givers, gave=False):
-    return Seen(members=9, heard=9, asked=9, givers=givers, gave=gave, first=0.0, served=0.0)
+    return FleetObservation(members=9, heard=9, asked=9, givers=givers, gave=gave, first=0.0, served=0.0)
 
 
 def test_the_conductor_deals_with_worth_and_again_only_when_a_giver_is_gone_for_a_time():
-    led = Led().until(Stage.WORTH, seen("a", "b"))
+    led = Led().until(RecoveryPhase.WORTH, seen("a", "b"))
     assert [(r.stage, r.givers, r.deals) for r in led.told] == [
         (0, ("a", "b"), 0), (1, ("a", "b"), 0), (2, ("a", "b"), 1),
     ]  # fmt: skip
@@ -139,24 +153,24 @@
     for _ in range(15):
         led.step(seen("a", "c", "d", "e", "f"))  # they are more than twice as many
     assert led.told[-1].deals == 3 and len(led.told[-1].givers) == 5
-    led.until(Stage.SPILL, seen("a", "c", "d", "e", "f"))
+    led.until(RecoveryPhase.SPILL, seen("a", "c", "d", "e", "f"))
     assert led.told[-1].givers == () and led.told[-1].deals == 3
 
 
 def test_a_stage_that_is_entered_while_a_giver_is_not_heard_for_a_moment_changes_no_dealing():
-    led = Led().until(Stage.WORTH, seen("a", "b"))
-    while led.now < led.core.since_ms + Timing().most_ms - 300.0:
+    led = Led().until(RecoveryPhase.WORTH, seen("a", "b"))
+    while led.now < led.core.since_ms + PhaseTiming().most_ms - 300.0:
         led.step(seen("a", "b"))
-    led.until(Stage.REST, seen("a"))
+    led.until(RecoveryPhase.REST, seen("a"))
     assert (led.told[-1].givers, led.told[-1].deals) == (("a", "b"), 1)
     led.step(seen("a", "b"))
     assert led.core.lost_ms is None
 
 
 def test_where_one_gave_without_a_stage_the_first_dealing_waits_as_a_later_one():
-    led = Led().until(Stage.WORTH, seen("a", gave=True))
+    led = Led().until(RecoveryPhase.WORTH, seen("a", gave=True))
     assert led.told[-1].deals == 2
-    lead = Lead(Timing(), Lists(tuple("abcd"), tuple("abc"), tuple("bcd")), 1_000.0, 1_000.0, 100.0)
+    lead = Lead(PhaseTiming(), Lists(tuple("abcd"), tuple("abc"), tuple("bcd")), 1_000.0, 1_000.0, 100.0)
     for name in "abd":
         lead.stands(0.0, name, w.Standing(1, True, True, gave=name == "a"))
     assert lead.seen(10.0).givers == ("b", "d") and lead.seen(10.0).gave
@@ -164,15 +178,15 @@
 
 def test_a_text_of_before_deals_nothing_and_many_keepers_are_bounded():
     old = '{"recovery":1,"number":4,"cut":1,"stage":2,"part":1.0,"fronts":3,"boots":{},"why":""}'
-    follower = Follower(Timing(), 0.0)
+    follower = PhaseFollower(PhaseTiming(), 0.0)
     follower.told(old, 0.0)
-    assert follower.stage(1.0) is Stage.WORTH and follower.dealt(1.0) is None
-    follower.told(Register(number=5, cut=1, stage=2, givers=("a",), deals=1).encode(), 0.0)
-    assert follower.dealt(1.0) == Dealt(("a",), 1, 1) and follower.dealt(6_000.0) is None  # alone
+    assert follower.stage(1.0) is RecoveryPhase.WORTH and follower.dealt(1.0) is None
+    follower.told(RecoveryRegister(number=5, cut=1, stage=2, givers=("a",), deals=1).encode(), 0.0)
+    assert follower.dealt(1.0) == PermitAssignment(("a",), 1, 1) and follower.dealt(6_000.0) is None  # alone
     names = tuple(f"n{i}" for i in range(500))
-    lead = Lead(Timing(), Lists(names, names[:3], names), 1_000.0, 1_000.0, 100.0)
+    lead = Lead(PhaseTiming(), Lists(names, names[:3], names), 1_000.0, 1_000.0, 100.0)
     for name in names:
         lead.stands(0.0, name, w.Standing(1, True, True))
     givers = lead.seen(1.0).givers
-    assert len(givers) == GIVERS_MOST and givers == tuple(sorted(givers))
-    assert register_from(Register(givers=givers).encode()).givers == givers
+    assert len(givers) == MAX_PERMIT_ISSUERS and givers == tuple(sorted(givers))
+    assert parse_register(RecoveryRegister(givers=givers).encode()).givers == givers
--- a/tests/test_rejoin_disks.py
+++ b/tests/test_rejoin_disks.py
@@ -91,7 +91,7 @@
 
 
 def last(folder, pattern):
-    return max(folder.glob(pattern), key=lambda path: f.parts(path.name)[1])
+    return max(folder.glob(pattern), key=lambda path: f.parse_file_name(path.name)[1])
 
 
 def proven(log):
@@ -100,7 +100,7 @@
     groups = [content for _, content in leading(data)[0][1:]]
     if not groups:
         return 0
-    synced, number = msgspec.json.decode(groups[-1], type=f.Group).synced, leading(data)[0][1][0]
+    synced, number = msgspec.json.decode(groups[-1], type=f.CommitGroup).synced, leading(data)[0][1][0]
     return data.index(groups[0]) + 5 if synced >= number else 0
 
 
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -12,7 +12,7 @@
 from fawnwharf.net.requests import Call, Failed, Refused, Served
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
-from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
+from fawnwharf.recovery_core.stages import AllowedActions, RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.door import HOLD_PART, Kept
 from fawnwharf.recovery_service.holds import Holds
 from fawnwharf.recovery_service.outs import Stood, Ticket
@@ -24,7 +24,7 @@
 
 
 def test_in_calm_all_is_passed_on_as_it_comes():
-    ground = Ground(Stage.SPILL, rate_ps=0.0)
+    ground = Ground(RecoveryPhase.SPILL, rate_ps=0.0)
     key, got = ground.ask()
     assert key == "r1" and got == [] and ground.giving.wanted == []
     ground.door.withdraw(key)
@@ -33,7 +33,12 @@
 
 @pytest.mark.parametrize(
     "stage, passed",
-    [(Stage.LISTENING, []), (Stage.REPEATS, []), (Stage.WORTH, ["settle"]), (Stage.REST, [*CLASSES])],
+    [
+        (RecoveryPhase.LISTENING, []),
+        (RecoveryPhase.REPEATS, []),
+        (RecoveryPhase.WORTH, ["settle"]),
+        (RecoveryPhase.REST, [*CLASSES]),
+    ],
 )
 def test_classes_are_taken_by_their_stage_and_the_rest_is_refused_at_once(stage, passed):
     ground = Ground(stage)
@@ -130,7 +135,7 @@
 
 
 def test_calm_and_renewal_let_go_what_is_held_and_a_step_back_refuses_what_is_not_taken():
-    for stage, passed in ((Stage.SPILL, 1), (Stage.RENEWAL, 1), (Stage.WORTH, 0)):
+    for stage, passed in ((RecoveryPhase.SPILL, 1), (RecoveryPhase.RENEWAL, 1), (RecoveryPhase.WORTH, 0)):
         ground = Ground()
         _, got = ground.ask("view")
         ground.go_by(stage)
@@ -144,7 +149,7 @@
     ground.at_once = True
     held = ground.door._held
     held[next(iter(held))].reply = lambda outcome: ground.door.withdraw(other)
-    ground.go_by(Stage.SPILL)
+    ground.go_by(RecoveryPhase.SPILL)
     assert len(ground.passed) == 1 and left == [] and not ground.door.busy
 
 
@@ -153,7 +158,7 @@
         repeat = staticmethod(lambda call: False)
         asks = staticmethod(lambda name: True)
 
-    may = Allowed(status=True, classes=frozenset(WORTHS), loads=True, part=0.3, alone=True)
+    may = AllowedActions(status=True, classes=frozenset(WORTHS), loads=True, part=0.3, alone=True)
     for promises, passed in ((Asks(), ["settle", "view"]), (None, ["view"])):
         ground = Ground(may, promises=promises)
         ground.giving.places["f"] = 7
@@ -192,7 +197,7 @@
 
 
 def test_repeats_of_promised_calls_have_their_answer_before_new_calls_are_taken():
-    ground = Promised(Stage.REPEATS)
+    ground = Promised(RecoveryPhase.REPEATS)
     ground.knows("settle", (1).to_bytes(8, "big"), Phase.ANSWERED, base64.b64encode(b"kept").decode())
     ground.knows("settle", (2).to_bytes(8, "big"), Phase.TAKEN)
     ground.knows("settle", (3).to_bytes(8, "big"), Phase.CLEAR)
@@ -200,7 +205,7 @@
     assert answers[:2] == [[Served(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
     assert all(isinstance(got[0], Refused) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
     assert ground.calls == {} and ground.door.counts["repeats"] == 2
-    ground.go_by(Stage.LISTENING)
+    ground.go_by(RecoveryPhase.LISTENING)
     ground.numbers = 0
     assert isinstance(ground.ask("settle")[1][0], Refused)  # not before its stage
 
@@ -239,7 +244,7 @@
                 for gone in ground.withdrawn:  # the table answers no more
                     ground.calls.pop(gone, None)
         elif what == "go_by":
-            ground.go_by(Stage(n % 6), 40.0)
+            ground.go_by(RecoveryPhase(n % 6), 40.0)
         elif what == "wait":
             ground.pass_by(20.0 * n)
         elif what in ("copy", "stood"):
@@ -289,12 +294,12 @@
         self.made.append((worker, row))
 
     def go_by(self, stage):
-        self.holds.go_by(allowed(stage, WORTHS), self)
+        self.holds.go_by(allowed_in_phase(stage, WORTHS), self)
 
 
 def test_before_renewal_the_modules_own_orders_do_not_go_out_and_change_nothing_it_believes():
     ground = Holding(own=[(7, "own")])
-    ground.go_by(Stage.REST)
+    ground.go_by(RecoveryPhase.REST)
     race, own, question = io.Hold(8, "f", 2), io.Hold(7, "own", 1), io.Hold(9, "f", 0)
     for order in (race, own, question):
         ground.holds.carry(order)
@@ -306,7 +311,7 @@
     assert len(ground.asked) == 1
     asked.ended(asked, None, ANSWER)
     assert (ground.told[-1].worker, ground.told[-1].copies) == (7, 1)
-    for stage in (Stage.RENEWAL, Stage.SPILL):
+    for stage in (RecoveryPhase.RENEWAL, RecoveryPhase.SPILL):
         ground.go_by(stage)
         ground.holds.carry(race)
     assert ground.out[2:] == [race, race] and ground.holds.held_back == 2
@@ -319,7 +324,7 @@
     entries = [io.WorkerEntry(n) for n in range(6)]
     events = [io.RosterChanged(entries, True), io.RequestArrived("r1", "f", "view", "t", 2_000.0)]
     ground.places["f"] = place
-    ground.go_by(Stage.REST)
+    ground.go_by(RecoveryPhase.REST)
     sent = []
     for _ in range(8):
         for action in router.handle(now, events):
@@ -342,7 +347,7 @@
 def test_a_module_that_tries_all_scorers_for_calls_that_wait_is_told_of_a_few_at_once():
     site = io.Settings(classes=dict(CLASSES), quotas_rps={"t": 1e4}, tick_ms=1.0)
     router, ground = Router(site, 1), Holding()
-    ground.go_by(Stage.REST)
+    ground.go_by(RecoveryPhase.REST)
     calls = [io.RequestArrived(f"r{n}", "f", "view", "t", 60_000.0) for n in range(3)]
     events = [io.RosterChanged([io.WorkerEntry(n) for n in range(100)], True), *calls]
     held = []
@@ -357,7 +362,7 @@
         ground.now += 5.0
         held.append(ground.holds.held_back)
     assert 3 <= held[199] <= 8 < held[-1] <= 24  # it goes on trying, some a second
-    ground.go_by(Stage.RENEWAL)
+    ground.go_by(RecoveryPhase.RENEWAL)
     assert ground.told and not ground.holds._open
 
 
@@ -365,7 +370,7 @@
     ground, lost = Holding(), []
     ground.lost = lambda now, row, worker: lost.append((row, worker))
     ground.answered = lambda now, event: [event]
-    ground.go_by(Stage.REST)
+    ground.go_by(RecoveryPhase.REST)
     ground.requests["r1"] = type("Open", (), {"call": type("Of", (), {"function": "f"})})
     miss = io.AttemptEnded("r1", 0, 7, io.Ending.MISS, 1.0, False)
     good, other = replace(miss, ending=io.Ending.GOOD), replace(miss, request="r2")
@@ -374,7 +379,7 @@
 
 
 def test_what_became_of_calls_is_told_by_cause_since_it_was_told_last_and_not_in_calm():
-    ground = Ground(Stage.WORTH)
+    ground = Ground(RecoveryPhase.WORTH)
     assert ground.door.since() == {}
     ground.giving.places["f"] = 7
     ground.ask("view")  # not its stage
@@ -388,6 +393,6 @@
     ground.giving.places["h"] = 7
     ground.door.told(Stood("h"))
     assert ground.door.since() == {"let in after a wait": 1, "held": 1} and ground.door.since() == {}
-    ground.go_by(Stage.SPILL)
+    ground.go_by(RecoveryPhase.SPILL)
     ground.ask("view")
     assert ground.door.since() == {}
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -8,8 +8,12 @@
 from support.load_permits import LIMITS, WORTHS, Fleet, storm
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import loader_of, loaders, warden_of
-from fawnwharf.recovery_core.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import (
+    choose_load_coordinators,
+    load_coordinator_of,
+    slow_start_coordinator_of,
+)
+from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service import given_words as m
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Order, Words
@@ -78,10 +82,10 @@
     fleet.run(30_000.0)
     rows = [row for _, _, row, *_ in fleet.orders]
     assert sorted(rows) == sorted(ROWS)
-    seats = loaders(fleet.keepers, LIMITS.fetches, 1)
+    seats = choose_load_coordinators(fleet.keepers, LIMITS.fetches, 1)
     for name in seats:
         own = [row for _, by, row, *_ in fleet.orders if by == name]
-        assert own == sorted((row for row in ROWS if loader_of(row, seats) == name), key=ROWS.index)
+        assert own == sorted((row for row in ROWS if load_coordinator_of(row, seats) == name), key=ROWS.index)
 
 
 def test_a_word_is_said_once_a_turn_and_not_again_while_its_answer_is_fresh():
@@ -98,7 +102,7 @@
 
 def test_an_order_that_the_module_does_not_make_is_asked_after_and_made_again_elsewhere_if_it_fails():
     front = Giving("n0", 1, replace(LIMITS, fetches=1), lambda row: [7, 8], 100.0, 200.0)
-    front.set(0.0, {"n0"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
+    front.set(0.0, {"n0"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
     front.want(0.0, "f", 1.0, "view", 2, 400.0)
     [order] = orders(front.tick(2_000.0))
     assert order == io.CopiesWanted(7, "f", "view", 1, 2, 400.0)
@@ -121,7 +125,7 @@
 
 def test_a_late_word_does_not_bring_back_a_copy_that_is_gone():
     front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
+    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
     first, gone = m.Stands(9, 1, (m.Place("f", 7),)), m.Stands(9, 2, (m.Place("f", 0, None),))
     assert front.hear(1.0, "n0", first) and front.place("f") == 7
     front.hear(2.0, "n0", gone)
@@ -145,7 +149,7 @@
 
 def test_the_eta_is_what_the_loader_says_less_what_went_by():
     front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
+    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
     front.want(0.0, "f", 1.0, "view")
     assert front.eta_ms(0.0, "f") >= 500.0
     front.hear(100.0, "n0", m.Stands(9, 1, (m.Place("f", 0, 2_000.0),)))
@@ -158,7 +162,7 @@
     monkeypatch.setattr("fawnwharf.recovery_service.giving.WANTS_MOST", 2)
     monkeypatch.setattr("fawnwharf.recovery_service.giving.PLACES_MOST", 1)
     front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
+    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
     for row in "abc":
         front.want(0.0, row, 1.0, "view")
     [words] = [out for out in front.tick(50.0) if isinstance(out, Words)]
@@ -169,7 +173,9 @@
 
 def test_a_front_end_that_hears_no_keeper_loads_for_itself_a_part_of_the_time():
     front = Giving("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n4", "n5"}, {"n0"}, allowed(Stage.REST, WORTHS, 0.05), 1)  # a fifth of one fetch
+    front.set(
+        0.0, {"n4", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS, 0.05), 1
+    )  # a fifth of one fetch
     made = []
     for now in range(0, 20_000, 50):
         front.want(now, f"f{now}", 1.0, "view")
@@ -213,7 +219,9 @@
 
 def test_a_new_warden_waits_for_the_one_before_to_see_it_too():
     old, new = (Wards(name, 1, LIMITS, 300.0) for name in ("n0", "n1"))
-    loser = next(i for i in range(50) if warden_of(str(i), ("n0", "n1")) == "n1")  # n1's once it is heard
+    loser = next(
+        i for i in range(50) if slow_start_coordinator_of(str(i), ("n0", "n1")) == "n1"
+    )  # n1's once it is heard
     for front, givers in ((old, ("n0",)), (new, ("n0", "n1"))):
         front.set(0.0 if front is old else 3_000.0, givers, 1.0)
         front.scorer(3_000.0, loser, 3_000.0)
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -7,8 +7,8 @@
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.budget import limits_from
-from fawnwharf.recovery_core.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import fleet_limits
+from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.door import Door
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.holds import Holds
@@ -39,7 +39,7 @@
 
     def __init__(self, front, settings):
         self.front, self.busy = front, False
-        limits = limits_from(settings, 2, 100.0)
+        limits = fleet_limits(settings, 2, 100.0)
         self.giving = Giving("n0", 1, limits, lambda row: [worker_number("s-1")], 50.0, 50.0)
         self.door = front.port.table = Door(front.loop, front.table, settings.classes, limits)
         front.stand_between(io.Hold, self.between)
@@ -52,7 +52,7 @@
         return self.holds.carry
 
     def go_by(self, stage):
-        may = allowed(stage, {"view": 1.0, "save": 1.0, "settle": 5.0})
+        may = allowed_in_phase(stage, {"view": 1.0, "save": 1.0, "settle": 5.0})
         self.giving.set(monotonic_ms(), ["n0"], ["n0"], may, 1)
         self.holds.go_by(may, self.giving)
         self.door.go_by(may, 1_000.0, self.giving)
@@ -90,7 +90,7 @@
 
 def test_a_call_waits_at_the_door_for_the_loaders_copy_and_is_served_by_the_module(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(Stage.REST)
+    joined.joined.go_by(RecoveryPhase.REST)
     seqid = client.call()
     joined.until(lambda: scorer.orders, "the loader's order goes out by the module")
     assert not joined.front.table.open and joined.front.router.loading == 1
@@ -106,11 +106,11 @@
 
 def test_before_its_stage_a_call_is_refused_with_advice_and_the_module_sees_nothing(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(Stage.WORTH)
+    joined.joined.go_by(RecoveryPhase.WORTH)
     seqid = client.call("view")
     joined.until(lambda: seqid in client.kinds(), "it is refused")
     assert client.kinds() == {seqid: "throttled"} and not scorer.frames
-    joined.joined.go_by(Stage.SPILL)
+    joined.joined.go_by(RecoveryPhase.SPILL)
     later = client.call("view")
     joined.until(lambda: scorer.orders, "the module orders for itself")
     scorer.answer(scorer.orders[0], 0, "slots_up=1")
@@ -122,19 +122,19 @@
 
 def test_an_order_of_the_modules_own_does_not_go_out_before_renewal(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(Stage.REST)
+    joined.joined.go_by(RecoveryPhase.REST)
     joined.front.port.table = joined.front.table  # this call passes no door
     client.call()
     joined.until(lambda: joined.joined.holds.held_back, "the module orders")
     joined.settle(client)
     assert scorer.orders == []
-    joined.joined.go_by(Stage.RENEWAL)
+    joined.joined.go_by(RecoveryPhase.RENEWAL)
     joined.until(lambda: scorer.orders, "its place has rested, and the order goes out")
 
 
 def test_a_client_that_ends_takes_its_held_call_along(joined):
     client = joined.client()
-    joined.joined.go_by(Stage.REST)
+    joined.joined.go_by(RecoveryPhase.REST)
     client.call()
     joined.until(lambda: joined.joined.door.busy, "it is held")
     client.sock.close()
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -6,11 +6,11 @@
 
 from fawnwharf.config import ConfigError, Fleet, Member
 from fawnwharf.durable_store import repairs
-from fawnwharf.durable_store.form import HINT, Limits
-from fawnwharf.durable_store.ops import carry_out
-from fawnwharf.durable_store.reading import Sign
+from fawnwharf.durable_store.form import HINT, StoreLimits
+from fawnwharf.durable_store.ops import execute_job
+from fawnwharf.durable_store.reading import FolderPosition
 from fawnwharf.fakes.disks import Plan, PowerCut
-from fawnwharf.recovery_core.trust import Kind, Store, Trust
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service import hints, onstore
 from fawnwharf.recovery_service import kept as k
 
@@ -33,30 +33,30 @@
 
 def test_trust_follows_the_table_by_boot_and_by_how_the_last_life_ended(site):
     cases = [
-        ("kill", False, Trust.NOW, Trust.HINT),
-        ("kill", True, Trust.NOW, Trust.NOW),
-        ("cut", False, Trust.MAJORITY, Trust.HINT),
-        ("cut", True, Trust.MAJORITY, Trust.HINT),
+        ("kill", False, TrustLevel.NOW, TrustLevel.HINT),
+        ("kill", True, TrustLevel.NOW, TrustLevel.NOW),
+        ("cut", False, TrustLevel.MAJORITY, TrustLevel.HINT),
+        ("cut", True, TrustLevel.MAJORITY, TrustLevel.HINT),
     ]
     for number, (end, order, plan, use) in enumerate(cases):
         name = f"m{number}"
         kept = site.kept(name, fresh=True)
-        on_disk(site, kept, Kind.PLAN, "last", {"number": 7})
-        kept.keep(Kind.USE, "last", [1])
+        on_disk(site, kept, StateKind.PLAN, "last", {"number": 7})
+        kept.keep(StateKind.USE, "last", [1])
         site.pump(kept, 200.0)
         if order:
             ended_in_order(site, kept)
         site.machine(name).kill() if end == "kill" else site.machine(name).cut(share=1.0)
         kept = site.kept(name)
         assert (kept.whole, kept.same_boot, kept.in_order, kept.life) == (
-            Store.WHOLE, end == "kill", order, 2,
+            StoreCondition.WHOLE, end == "kill", order, 2,
         )  # fmt: skip
-        assert kept.read(Kind.PLAN) == [("last", {"number": 7}, plan)]
-        assert kept.read(Kind.USE) == [("last", [1], use)]
+        assert kept.read(StateKind.PLAN) == [("last", {"number": 7}, plan)]
+        assert kept.read(StateKind.USE) == [("last", [1], use)]
         site.now += 20_000.0
         site.machine(name).kill()
-        [(_, _, later)] = site.kept(name).read(Kind.PLAN)
-        assert later is Trust.MAJORITY
+        [(_, _, later)] = site.kept(name).read(StateKind.PLAN)
+        assert later is TrustLevel.MAJORITY
 
 
 def test_a_life_has_a_larger_number_than_the_one_before_also_by_a_clock_that_was_set_back(site, monkeypatch):
@@ -73,25 +73,25 @@
 
 def test_a_promise_counts_down_within_a_boot_and_whole_in_another_one(site):
     kept = site.kept(fresh=True)
-    on_disk(site, kept, Kind.PROMISE, "a", [5_000.0, "x"])
+    on_disk(site, kept, StateKind.PROMISE, "a", [5_000.0, "x"])
     site.now += 3_000.0
     site.machine().kill()
     kept = site.kept()
-    assert kept.read(Kind.PROMISE) == [("a", [2_000.0, 3_000.0, "x"], Trust.NOW)]
+    assert kept.read(StateKind.PROMISE) == [("a", [2_000.0, 3_000.0, "x"], TrustLevel.NOW)]
     site.machine().cut()
     site.now += 60_000.0
     kept = site.kept()
-    assert kept.read(Kind.PROMISE) == [("a", [5_000.0, None, "x"], Trust.NOW)]
+    assert kept.read(StateKind.PROMISE) == [("a", [5_000.0, None, "x"], TrustLevel.NOW)]
     site.now = 500.0  # its mark is the same, and its clock went back: another boot
     site.machine().kill()
     kept = site.kept()
-    assert not kept.same_boot and kept.read(Kind.PROMISE)[0][1][:2] == [5_000.0, None]
+    assert not kept.same_boot and kept.read(StateKind.PROMISE)[0][1][:2] == [5_000.0, None]
     site.now = 5_000.0
-    on_disk(site, kept, Kind.PROMISE, "a", [100.0, "x"])
+    on_disk(site, kept, StateKind.PROMISE, "a", [100.0, "x"])
     site.now += 200.0
     site.machine().kill()
     kept = site.kept()
-    assert kept.read(Kind.PROMISE) == [] and kept.store.items("promise") == []  # over, and gone
+    assert kept.read(StateKind.PROMISE) == [] and kept.store.items("promise") == []  # over, and gone
 
 
 def test_where_the_system_tells_no_boot_each_start_is_another_one(site, tmp_path):
@@ -104,18 +104,18 @@
 
 def test_an_empty_folder_of_a_fleet_that_goes_on_is_in_part_until_others_confirm(site):
     kept = site.kept()
-    assert (kept.whole, kept.why, kept.fresh) == (Store.PART, "empty", True)
-    on_disk(site, kept, Kind.PLAN, "last", 1)
+    assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PART, "empty", True)
+    on_disk(site, kept, StateKind.PLAN, "last", 1)
     for end in ("kill", "cut", "cut"):
         getattr(site.machine(), end)()
         kept = site.kept()
-        assert (kept.whole, kept.why, kept.fresh) == (Store.PART, "empty", False)
-        assert kept.read(Kind.PLAN)[0][2] is Trust.MAJORITY
+        assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PART, "empty", False)
+        assert kept.read(StateKind.PLAN)[0][2] is TrustLevel.MAJORITY
     kept.confirm()
-    assert kept.whole is Store.WHOLE
+    assert kept.whole is StoreCondition.WHOLE
     site.pump(kept, 200.0)
     site.machine().cut()
-    assert site.kept().whole is Store.WHOLE
+    assert site.kept().whole is StoreCondition.WHOLE
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 1.0])
@@ -129,121 +129,125 @@
         with pytest.raises(PowerCut):
             site.kept(f"m{at}")
         machine.cut(at, share)
-        assert site.kept(f"m{at}").whole is Store.PART
+        assert site.kept(f"m{at}").whole is StoreCondition.PART
 
 
 def test_a_fleet_that_begins_has_lost_nothing_by_an_empty_folder(site):
-    assert site.kept(fresh=True).whole is Store.WHOLE
+    assert site.kept(fresh=True).whole is StoreCondition.WHOLE
     site.machine().cut()
-    assert site.kept().whole is Store.WHOLE
+    assert site.kept().whole is StoreCondition.WHOLE
 
 
 def test_a_repaired_folder_is_in_part_and_what_its_keeper_knew_is_forgotten_once(site):
     kept = site.kept(fresh=True)
     kept.keep_sure(3)
     for n in range(5):
-        on_disk(site, kept, Kind.PLAN, "last", n)
+        on_disk(site, kept, StateKind.PLAN, "last", n)
     disk = site.machine().disk
     [log] = [name for name in disk.names() if name.endswith(".seg")]
     disk.flip(log, 8 * (disk.names()[log] // 2))
     with pytest.raises(ConfigError, match=r"recovery.folder: .*damaged"):
         site.kept()
-    plan = repairs.plan({name: disk.read(name) for name in disk.names()})
-    outcome = carry_out(disk, repairs.begin(plan))
-    carry_out(disk, repairs.finish(plan, outcome.inode, 1e12))
+    plan = repairs.plan_repair({name: disk.read(name) for name in disk.names()})
+    outcome = execute_job(disk, repairs.first_repair_job(plan))
+    execute_job(disk, repairs.second_repair_job(plan, outcome.inode, 1e12))
     kept = site.kept()
-    assert kept.whole is Store.PART and kept.why.startswith("repaired") and kept.sure == 0
+    assert kept.whole is StoreCondition.PART and kept.why.startswith("repaired") and kept.sure == 0
     kept.keep_sure(3)  # it waited, and knows all again: that is its own, and outlives
     site.pump(kept, 200.0)
     site.machine().cut()
     kept = site.kept()
-    assert (kept.whole, kept.sure) == (Store.PART, 3)
+    assert (kept.whole, kept.sure) == (StoreCondition.PART, 3)
     kept.confirm()
     site.pump(kept, 200.0)
     site.machine().cut()
-    assert site.kept().whole is Store.WHOLE
+    assert site.kept().whole is StoreCondition.WHOLE
 
 
 def test_an_older_copy_is_shown_by_what_others_heard_and_own_words_are_none(site):
     kept = site.kept(fresh=True)
     kept.keep_sure(3)
-    on_disk(site, kept, Kind.PLAN, "last", 1)
+    on_disk(site, kept, StateKind.PLAN, "last", 1)
     machine = site.machine()
     older = machine.disk.copy()
     machine.kill()
     kept = site.kept()
-    on_disk(site, kept, Kind.PLAN, "last", 2)
+    on_disk(site, kept, StateKind.PLAN, "last", 2)
     heard = kept.sign()
-    assert heard.life == 2 and kept.heard_sign(heard) and kept.heard_sign(Sign("cd" * 8, 9, 9))
+    assert heard.life == 2 and kept.heard_sign(heard) and kept.heard_sign(FolderPosition("cd" * 8, 9, 9))
     machine.disk = older
     kept, told = site.kept(), []
     kept.on_doubt(lambda: told.append(kept.whole))
-    assert kept.whole is Store.WHOLE and kept.sure == 3  # by the folder alone nothing shows it
+    assert kept.whole is StoreCondition.WHOLE and kept.sure == 3  # by the folder alone nothing shows it
     assert not kept.heard_sign(heard)
-    assert told == [Store.PART] and kept.sure == 0 and kept.why.startswith("rolled back")
-    assert not kept.heard_sign(heard) and told == [Store.PART]  # said once
+    assert told == [StoreCondition.PART] and kept.sure == 0 and kept.why.startswith("rolled back")
+    assert not kept.heard_sign(heard) and told == [StoreCondition.PART]  # said once
     site.pump(kept, 200.0)
     machine.cut()
     kept = site.kept()
-    assert (kept.whole, kept.sure) == (Store.PART, 0)
-    far = Sign(heard.mark, 9, 9)
+    assert (kept.whole, kept.sure) == (StoreCondition.PART, 0)
+    far = FolderPosition(heard.mark, 9, 9)
     assert not kept.heard_sign(far)
     kept.confirm()
-    assert kept.heard_sign(far) and kept.whole is Store.WHOLE  # others went over it
+    assert kept.heard_sign(far) and kept.whole is StoreCondition.WHOLE  # others went over it
     site.pump(kept, 200.0)
     kept = site.kept()
-    assert kept.whole is Store.WHOLE and not kept.heard_sign(far)  # a start hears of it anew
+    assert kept.whole is StoreCondition.WHOLE and not kept.heard_sign(far)  # a start hears of it anew
 
 
 def test_a_copy_of_within_the_last_life_is_shown_to_a_store_that_has_settled_too(site):
     kept = site.kept(fresh=True)
-    on_disk(site, kept, Kind.PLAN, "last", 1)
+    on_disk(site, kept, StateKind.PLAN, "last", 1)
     older, between = site.machine().disk.copy(), kept.sign()
     for number in range(2, 6):
-        on_disk(site, kept, Kind.PLAN, "last", number)
+        on_disk(site, kept, StateKind.PLAN, "last", number)
     heard = kept.sign()
     site.machine().disk = older
     kept = site.kept()
     now = kept.sign()
     assert (heard.life, now.life) == (1, 2) and kept.settled and heard.number > now.number
-    assert kept.heard_sign(now) and kept.heard_sign(between) and kept.whole is Store.WHOLE
-    assert not kept.heard_sign(heard) and kept.whole is Store.PART and kept.why.startswith("rolled back")
+    assert kept.heard_sign(now) and kept.heard_sign(between) and kept.whole is StoreCondition.WHOLE
+    assert (
+        not kept.heard_sign(heard)
+        and kept.whole is StoreCondition.PART
+        and kept.why.startswith("rolled back")
+    )
     assert f"life 1, number {between.number}" in kept.why
 
 
 def test_what_is_beyond_the_bounds_is_refused_and_said_once(site):
     kept = site.kept(fresh=True)
-    told, whole = [], "x" * (k.RULES[Kind.HOMES].value_bytes - 100)
-    rule = k.RULES[Kind.HOMES]
+    told, whole = [], "x" * (k.RULES[StateKind.HOMES].value_bytes - 100)
+    rule = k.RULES[StateKind.HOMES]
     for n in range(rule.all_bytes // rule.value_bytes + 20):
-        kept.keep(Kind.HOMES, str(n), whole, lambda good, why: told.append((good, why)))
+        kept.keep(StateKind.HOMES, str(n), whole, lambda good, why: told.append((good, why)))
         site.pump(kept)
     assert told[0] == (True, "") and told[-1] == (False, "homes: 1048576 bytes in all is the most")
     assert sum(what == "not kept" for what, _ in site.notes) == 1
-    assert kept.keep(Kind.HOMES, "0", None) and kept.keep(Kind.HOMES, "new", whole)
-    assert not kept.keep(Kind.PROMISE, "p", "x" * 40_000) and kept.keep(Kind.PROMISE, "p", [1.0])
+    assert kept.keep(StateKind.HOMES, "0", None) and kept.keep(StateKind.HOMES, "new", whole)
+    assert not kept.keep(StateKind.PROMISE, "p", "x" * 40_000) and kept.keep(StateKind.PROMISE, "p", [1.0])
 
 
 def test_what_is_on_disk_is_told_and_what_a_failing_disk_may_have_is_unsure(site):
     kept, told = site.kept(fresh=True), []
     site.machine().held = True
-    kept.keep(Kind.PLAN, "last", 1, lambda good, why: told.append(good))
+    kept.keep(StateKind.PLAN, "last", 1, lambda good, why: told.append(good))
     site.pump(kept)
     assert told == []
     site.machine().held = False
     site.pump(kept)
     assert told == [True]
     site.machine().fails()
-    kept.keep(Kind.PLAN, "last", 2, lambda good, why: told.append(good))
+    kept.keep(StateKind.PLAN, "last", 2, lambda good, why: told.append(good))
     site.pump(kept)
     assert told == [True, False] and "Input/output" in kept.failing
-    assert kept.keep(Kind.PLAN, "last", 3, lambda good, why: told.append(good))  # kept, and not sure
+    assert kept.keep(StateKind.PLAN, "last", 3, lambda good, why: told.append(good))  # kept, and not sure
     assert told == [True, False, False]
     site.machine().works()
     site.pump(kept, 1_000.0)
     assert not kept.failing
     site.machine().cut(share=0.0)
-    assert site.kept().read(Kind.PLAN)[0][1] == 3
+    assert site.kept().read(StateKind.PLAN)[0][1] == 3
 
 
 def test_what_was_found_is_settled_once_the_start_wrote_it_anew(site):
@@ -255,14 +259,14 @@
     assert kept.settled and kept.sign().life == 2
     kept.close()
     kept.close()
-    assert not kept.keep(Kind.PLAN, "last", 1)
+    assert not kept.keep(StateKind.PLAN, "last", 1)
 
 
 def test_settings_that_do_not_fit_end_a_start_by_name(site):
     with pytest.raises(ConfigError, match=r"recovery.folder: .*more than a folder"):
         kept = site.kept(fresh=True)
-        on_disk(site, kept, Kind.PLAN, "last", "x" * 20_000)
-        site.kept(limits=Limits(state_bytes=10, segment_bytes=10))
+        on_disk(site, kept, StateKind.PLAN, "last", "x" * 20_000)
+        site.kept(limits=StoreLimits(state_bytes=10, segment_bytes=10))
 
 
 def test_the_last_roster_is_kept_when_it_changed_and_read_as_scorers(site):
@@ -271,17 +275,17 @@
     recorder.told(Fleet([one]))
     assert recorder.due(0.0) is None  # not whole yet
     recorder.told(Fleet([one, Member("8", "terminating", "h:2")], complete=True))
-    kept.keep(Kind.ROSTER, hints.KEY, recorder.due(0.0))
+    kept.keep(StateKind.ROSTER, hints.KEY, recorder.due(0.0))
     two = msgspec.structs.replace(one, id="9")
     recorder.told(Fleet([one, two], complete=True))
     assert recorder.due(1_999.0) is None
     value = recorder.due(2_000.0)
     assert len(value) == 2 and recorder.due(9_000.0) is None
     site.pump(kept, 300.0)
-    assert k.RULES[Kind.ROSTER].mode == HINT
+    assert k.RULES[StateKind.ROSTER].mode == HINT
     site.machine().cut(share=1.0)
-    assert hints.LastRoster.read(site.kept().read(Kind.ROSTER)) == [one]
-    assert hints.LastRoster.read([(hints.KEY, [["broken"]], Trust.HINT)]) == []
+    assert hints.LastRoster.read(site.kept().read(StateKind.ROSTER)) == [one]
+    assert hints.LastRoster.read([(hints.KEY, [["broken"]], TrustLevel.HINT)]) == []
 
 
 def test_the_use_of_the_last_windows_is_told_by_row_and_class_within_its_bound(site):
@@ -298,7 +302,7 @@
     assert len(value) == hints.ROWS_MOST and {rps for _, _, rps in value} == {0.2}
     assert recorder.due(60_000.0) is None  # nothing came
     kept = site.kept(fresh=True, limits=LIMITS)
-    assert kept.keep(Kind.USE, hints.KEY, value)
+    assert kept.keep(StateKind.USE, hints.KEY, value)
     site.pump(kept, 300.0)
     site.machine().cut(share=1.0)
-    assert hints.LastUse.read(site.kept().read(Kind.USE))["g00000", "low"] == 0.2
+    assert hints.LastUse.read(site.kept().read(StateKind.USE))["g00000", "low"] == 0.2
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -8,7 +8,7 @@
 from support.memory_stores import Site, StoreCores, asks
 
 from fawnwharf.interface import Effect
-from fawnwharf.recovery_core.trust import Store
+from fawnwharf.recovery_core.trust import StoreCondition
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claimant import GiveUp, Go, TurnAway
 from fawnwharf.replication.claims import Phase
@@ -146,7 +146,7 @@
     assert cores.what(owner) == [Go("k", True)]
     cores.end_all("cut")
     cores.turn()
-    assert all(cores.sure(name) and cores.kepts[name].whole is Store.WHOLE for name in cores.keepers)
+    assert all(cores.sure(name) and cores.kepts[name].whole is StoreCondition.WHOLE for name in cores.keepers)
     cores.told.clear()
     for n, again in enumerate((owner, cores.owners[1])):
         cores.begin(again, effect=effect, dedup_ms=60_000.0)  # scorers know no key any more
@@ -198,7 +198,7 @@
     for _ in range(3):
         cores.end_all("cut", lost)
         cores.turn(lost)
-        assert cores.kepts[lost].whole is Store.PART and not cores.sure(lost)
+        assert cores.kepts[lost].whole is StoreCondition.PART and not cores.sure(lost)
         assert not asks(cores, cores.owners[1], lost)().granted
         cores.wait(1_000)
     cores.wait(8_000)
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -9,8 +9,8 @@
 from support.power_losses import WINDOW_MS, PowerFleet
 
 from fawnwharf.durable_store import folder
-from fawnwharf.durable_store.form import Limits
-from fawnwharf.recovery_core.trust import Kind, Store, Trust
+from fawnwharf.durable_store.form import StoreLimits
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service.onstore import Kept
 
 GRANTING = """
@@ -60,14 +60,19 @@
     child.send_signal(signal.SIGKILL)
     said += [line.strip() for line in child.stdout if line.endswith("\n")]
     child.wait()
-    folder.unlock(folder.lock(tmp_path / "d", within_s=20.0))
+    folder.unlock_folder(folder.lock_folder(tmp_path / "d", within_s=20.0))
     boot.write_text("another")
-    kept = Kept(tmp_path / "d", "f", "n0", str(boot), Limits(), lambda what, more: None)
+    kept = Kept(tmp_path / "d", "f", "n0", str(boot), StoreLimits(), lambda what, more: None)
     try:
-        assert (kept.whole, kept.same_boot, kept.in_order, kept.sure) == (Store.WHOLE, False, False, 1)
-        found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(Kind.PROMISE)}
+        assert (kept.whole, kept.same_boot, kept.in_order, kept.sure) == (
+            StoreCondition.WHOLE,
+            False,
+            False,
+            1,
+        )
+        found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(StateKind.PROMISE)}
         assert set(said) <= found.keys() and all(value[1] is None for value in found.values())
-        assert {trust for _, _, trust in kept.read(Kind.PROMISE)} == {Trust.NOW}
+        assert {trust for _, _, trust in kept.read(StateKind.PROMISE)} == {TrustLevel.NOW}
     finally:
         kept.close()
 
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -8,8 +8,8 @@
 from support.recovery_front_ends import Site
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_core.trust import Store
+from fawnwharf.recovery_core.stages import RecoveryPhase
+from fawnwharf.recovery_core.trust import StoreCondition
 
 RETURN = ["listening", "repeats", "worth", "rest", "renewal", "spill"]
 
@@ -29,7 +29,8 @@
     site.start()
     assert not any(site.ready(node) for node in site.nodes)
     site.until(
-        lambda: all(node.stage() is Stage.SPILL and node.agent.cut == 1 for node in site.nodes), "calm"
+        lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.cut == 1 for node in site.nodes),
+        "calm",
     )
     for node in site.nodes:
         # What was decided while it had not asked yet may have been left again before it heard of it.
@@ -39,7 +40,10 @@
         assert site.ready(node) is True
         site.until(lambda node=node: node.agent.asking.without() == {}, "all is answered")
         assert len(node.noted("asked")) == 1
-        assert node.part.kept.whole is Store.WHOLE and node.noted("recovery on")[0]["same boot"] is False
+        assert (
+            node.part.kept.whole is StoreCondition.WHOLE
+            and node.noted("recovery on")[0]["same boot"] is False
+        )
     whys = [fields["why"] for node in site.nodes for fields in node.noted("stage decided")]
     assert whys.count("power loss") <= 1  # none where its leader gave way as it was decided
 
@@ -51,7 +55,7 @@
         site.power_loss(number, [back])
         site.start([back])
         assert not site.ready(back)
-        site.until(lambda: back.stage() is Stage.SPILL and back.agent.asked, "it is calm here")
+        site.until(lambda: back.stage() is RecoveryPhase.SPILL and back.agent.asked, "it is calm here")
         site.until(lambda: site.ready(back), "and its status good")
         assert {cut for cut, _ in back.stages()} == {0} and back.stages()[-1] == (0, "spill")
         assert "repeats" not in [stage for _, stage in back.stages()]
@@ -81,7 +85,8 @@
     alone.scorer.answer(alone.scorer.runs[0])
     site.start(site.nodes[1:])
     site.until(
-        lambda: all(node.stage() is Stage.SPILL and node.agent.cut == 1 for node in site.nodes), "calm"
+        lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.cut == 1 for node in site.nodes),
+        "calm",
     )
     assert "listening" not in [stage for cut, stage in alone.stages() if cut == 1]
 
@@ -93,7 +98,9 @@
     assert all(n.part.tallies.calm for n in site.nodes)
     site.power_loss(2)
     site.start()
-    site.until(lambda: all((n.stage() or 0) >= Stage.REST for n in site.nodes), "all calls are let in")
+    site.until(
+        lambda: all((n.stage() or 0) >= RecoveryPhase.REST for n in site.nodes), "all calls are let in"
+    )
     client, done, answered = site.client(node), [], set()
 
     def heard():
@@ -118,12 +125,16 @@
     site.power_loss(1, [back])
     shutil.rmtree(back.folder / "kept")
     site.start([back])
-    assert back.part.kept.whole is Store.PART and not back.agent.own.whole
+    assert back.part.kept.whole is StoreCondition.PART and not back.agent.own.whole
     site.until(lambda: back.noted("the store is confirmed"), "others confirm it")
-    assert back.part.kept.whole is Store.WHOLE and back.agent.own.sure and back.stage() is Stage.SPILL
+    assert (
+        back.part.kept.whole is StoreCondition.WHOLE
+        and back.agent.own.sure
+        and back.stage() is RecoveryPhase.SPILL
+    )
     site.power_loss(1, [back])
     site.start([back])
-    assert back.part.kept.whole is Store.WHOLE
+    assert back.part.kept.whole is StoreCondition.WHOLE
 
 
 def test_one_without_a_change_log_dials_the_scorers_of_its_last_roster(site):
@@ -140,7 +151,7 @@
     site.start([node])
     site.until(lambda: node.noted("last roster dialled"), "it goes by the last roster")
     assert list(node.front.overlay.members) == [node.scorer.member()["id"]]
-    site.until(lambda: node.stage() is Stage.SPILL and site.ready(node), "it serves")
+    site.until(lambda: node.stage() is RecoveryPhase.SPILL and site.ready(node), "it serves")
     assert "addresses" in node.noted("asked")[0]["without"][0]
     node.log.pump = pump
 
@@ -167,7 +178,8 @@
     seam.take_back(node.front)
     assert node.part.life > life and not site.ready(node)
     site.until(
-        lambda: node.stage() is Stage.SPILL and site.ready(node), "it is calm here, and its status good"
+        lambda: node.stage() is RecoveryPhase.SPILL and site.ready(node),
+        "it is calm here, and its status good",
     )
     client = site.client(node)
     client.call()
--- a/tests/test_rejoin_settings.py
+++ b/tests/test_rejoin_settings.py
@@ -16,8 +16,8 @@
     place = Path(__file__).parent.parent / "deploy" / "recovery.json"
     found = settings_from(place.read_bytes())
     assert found.boot_file == "/proc/sys/kernel/random/boot_id"
-    assert found.timing.of_stages == stages.Timing()
-    assert found.pace.of_asking == asking.Pace()
+    assert found.timing.of_stages == stages.PhaseTiming()
+    assert found.pace.of_asking == asking.QueryPace()
 
 
 @pytest.mark.parametrize(
