--- a/fawnwharf/durable_store/commands.py
+++ b/fawnwharf/durable_store/commands.py
@@ -10,7 +10,7 @@
 import typer
 
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store import repairs
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder, unlock_folder
 from fawnwharf.durable_store.ops import DiskJob, execute_job
--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from fawnwharf.consensus.records import encode
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.ops import (
     AppendBytes,
     CreateFile,
--- a/fawnwharf/durable_store/crash.py
+++ b/fawnwharf/durable_store/crash.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from fawnwharf.consensus.records import later
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.ops import DiskJob, JobResult, execute_job
 from fawnwharf.durable_store.planted import MUTANTS, UNCHANGED, Mutant
 from fawnwharf.durable_store.reading import (
--- a/fawnwharf/durable_store/reading.py
+++ b/fawnwharf/durable_store/reading.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from fawnwharf.consensus.records import later, leading
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 
 FileContent = tuple[bytes, int]  # of a file, and its inode
 
--- a/fawnwharf/durable_store/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from fawnwharf.consensus.records import encode, leading
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.ops import AppendBytes, CreateFile, DiskJob, RenameFile, SyncFile, SyncFolder
 from fawnwharf.durable_store.reading import (
     FileContent,
--- a/fawnwharf/durable_store/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore, StoreStatus
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder
 from fawnwharf.durable_store.ops import FileSystem
--- a/fawnwharf/recovery_service/kept.py
+++ b/fawnwharf/recovery_service/kept.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store import reading
 from fawnwharf.recovery_core.trust import (
     AgeLimits,
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -8,7 +8,7 @@
 
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError
 from fawnwharf.durable_store.reading import FolderPosition, FolderState, rollback_reason
 from fawnwharf.durable_store.service import EventLoopStore
--- a/fawnwharf/recovery_service/settings.py
+++ b/fawnwharf/recovery_service/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.durable_store import form
+from fawnwharf.durable_store import file_format
 from fawnwharf.recovery_core import asking, stages
 from fawnwharf.zones.settings import FileFault, Span
 
@@ -19,7 +19,7 @@
 Part = Annotated[float, Meta(gt=0.0, le=1.0)]
 
 
-class Store(form.StoreLimits, frozen=True, forbid_unknown_fields=True):
+class Store(file_format.StoreLimits, frozen=True, forbid_unknown_fields=True):
     """Bounds of the durable store."""
 
 
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fawnwharf.durable_store.form import StoreLimits
+from fawnwharf.durable_store.file_format import StoreLimits
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -15,7 +15,7 @@
 from fawnwharf.admin import memory as beliefs
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import messages as consensus
-from fawnwharf.durable_store import form, ops
+from fawnwharf.durable_store import file_format, ops
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
@@ -82,10 +82,10 @@
     "consensus/message": line(consensus.Message, consensus.message_from),
     "consensus/label": file(voter_disk.Label),
     "consensus/saved": file(consensus.Saved),
-    "storage/head": file(form.FileHeader),
-    "storage/group": file(form.CommitGroup),
-    "storage/piece": file(form.SnapshotChunk),
-    "storage/foot": file(form.SnapshotFooter),
+    "storage/head": file(file_format.FileHeader),
+    "storage/group": file(file_format.CommitGroup),
+    "storage/piece": file(file_format.SnapshotChunk),
+    "storage/foot": file(file_format.SnapshotFooter),
     "storage/job": packed(ops.DiskJob, "ops"),
     "storage/outcome": packed(ops.JobResult),
     "policy/message": line(policy.Message, policy.message_from),
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -18,7 +18,7 @@
 
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus.disk import Disk
-from fawnwharf.durable_store import form
+from fawnwharf.durable_store import file_format
 from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
@@ -27,7 +27,7 @@
 from fawnwharf.replication.disk import KeeperDisk
 from fawnwharf.zones.founding import found
 
-KINDS = [form.EntryKind("term", form.SYNCED), form.EntryKind("use", form.SOON)]
+KINDS = [file_format.EntryKind("term", file_format.SYNCED), file_format.EntryKind("use", file_format.SOON)]
 IDENTITIES = ("n0#00112233445566aa", "n1#00112233445566bb")
 POLICY = '{"version":1,"number":%d,"tenants":{"acme":{"quota_rps":%d}}}'
 
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -9,7 +9,7 @@
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
 from fawnwharf.consensus.disk import Disk, DiskError
-from fawnwharf.durable_store import form
+from fawnwharf.durable_store import file_format
 from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import keeping
@@ -19,7 +19,10 @@
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
 BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
-STORE_KINDS = [form.EntryKind("term", form.SYNCED), form.EntryKind("use", form.SOON)]
+STORE_KINDS = [
+    file_format.EntryKind("term", file_format.SYNCED),
+    file_format.EntryKind("use", file_format.SOON),
+]
 HELD = [
     ("key-0", Claim("n0#7", 1, 2, 100, Phase.CLEAR, "", None), 30_000.0),
     ("key-1", Claim("n1#8", 2, 3, 101, Phase.ANSWERED, "d", "YW5zd2Vy"), 31_000.0),
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -17,8 +17,8 @@
 from fawnwharf.cli import app
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import records
+from fawnwharf.durable_store import file_format
 from fawnwharf.durable_store import folder as durable_folder
-from fawnwharf.durable_store import form
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
@@ -295,17 +295,17 @@
 def test_names_and_numbers_that_are_stored_or_sent_are_as_recorded():
     """Versions, magic numbers, names of files, of kinds of entries and of states."""
     versions = [
-        voter_disk, form, keeping, policy_settings, prefetch_memory, successor, recovery_register,
+        voter_disk, file_format, keeping, policy_settings, prefetch_memory, successor, recovery_register,
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
     ]  # fmt: skip
     assert {module.VERSION for module in versions} == {1}
     assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK_FILE) == (b"fwv1", b"fwmem\x01", "durable.lock")
-    assert (form.snapshot_name(3), form.log_name(4), form.TEMPORARY_SUFFIX) == (
+    assert (file_format.snapshot_name(3), file_format.log_name(4), file_format.TEMPORARY_SUFFIX) == (
         "snap-3.snap",
         "log-4.seg",
         ".new",
     )
-    assert (form.SNAPSHOT, form.LOG, form.SYNCED, form.SOON, form.HINT) == (
+    assert (file_format.SNAPSHOT, file_format.LOG, file_format.SYNCED, file_format.SOON, file_format.HINT) == (
         "snapshot", "log", "synced", "soon", "hint",
     )  # fmt: skip
     assert (policy_service.KEPT_FILE, policy_service.SAID_FILE) == ("policy.json", "proposal.json")
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import store as stores
-from fawnwharf.durable_store.form import StoreLimits
+from fawnwharf.durable_store.file_format import StoreLimits
 from fawnwharf.durable_store.ops import execute_job
 from fawnwharf.durable_store.reading import UnreadableFolderError
 from fawnwharf.fakes.disks import MemoryDisk, Plan
--- a/tests/support/promise_process.py
+++ b/tests/support/promise_process.py
@@ -1,13 +1,13 @@
 """A process that only writes promises into a durable store, and what a folder holds of them."""
 
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder, unlock_folder
 from fawnwharf.durable_store.store import inspect_folder
 
 # Its arguments: the folder. Counts on from what is there, and tells each number once it is on disk.
 WRITING = """
 import sys, time
-from fawnwharf.durable_store.form import EntryKind, StoreLimits
+from fawnwharf.durable_store.file_format import EntryKind, StoreLimits
 from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 limits = StoreLimits(segment_bytes=3_000, wait_ms=20_000)
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -6,7 +6,7 @@
 import pytest
 
 from fawnwharf.durable_store import crash, repairs
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore
 from fawnwharf.durable_store.ops import AppendBytes, JobResult, SyncFile, execute_job
 from fawnwharf.durable_store.reading import FolderState, UnreadableFolderError
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -14,8 +14,8 @@
 from fawnwharf.cli import app
 from fawnwharf.consensus.disk import DiskError
 from fawnwharf.consensus.records import leading
+from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store import folder
-from fawnwharf.durable_store import form as f
 from fawnwharf.durable_store.reading import FolderPosition
 from fawnwharf.durable_store.service import EventLoopStore
 from fawnwharf.durable_store.store import inspect_folder, open_store
@@ -60,7 +60,7 @@
 
 WRITING = """
 import sys, time
-from fawnwharf.durable_store.form import EntryKind, StoreLimits
+from fawnwharf.durable_store.file_format import EntryKind, StoreLimits
 from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 kinds = [EntryKind("term", "synced")]
--- a/tests/test_rejoin_disks.py
+++ b/tests/test_rejoin_disks.py
@@ -13,7 +13,7 @@
 from support.power_losses import PowerFleet
 
 from fawnwharf.consensus.records import leading
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 
 TIMING = {"hold_ms": 100.0, "listen_ms": 1_000.0, "most_ms": 300.0, "settle_ms": 100.0}
 PACE = {"again_ms": 50.0, "spread_ms": 20.0, "stand_ms": 50.0, "stage_ms": 100.0}
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -6,7 +6,7 @@
 
 from fawnwharf.config import ConfigError, Fleet, Member
 from fawnwharf.durable_store import repairs
-from fawnwharf.durable_store.form import HINT, StoreLimits
+from fawnwharf.durable_store.file_format import HINT, StoreLimits
 from fawnwharf.durable_store.ops import execute_job
 from fawnwharf.durable_store.reading import FolderPosition
 from fawnwharf.fakes.disks import Plan, PowerCut
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -9,13 +9,13 @@
 from support.power_losses import WINDOW_MS, PowerFleet
 
 from fawnwharf.durable_store import folder
-from fawnwharf.durable_store.form import StoreLimits
+from fawnwharf.durable_store.file_format import StoreLimits
 from fawnwharf.recovery_core.trust import StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service.onstore import Kept
 
 GRANTING = """
 import json, sys
-from fawnwharf.durable_store.form import Limits
+from fawnwharf.durable_store.file_format import Limits
 from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
