--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -12,6 +12,7 @@
 
 from fawnwharf.consensus.records import encode
 from fawnwharf.durable_store import file_format as f
+from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState
 from fawnwharf.durable_store.ops import (
     AppendBytes,
     CreateFile,
@@ -22,7 +23,6 @@
     SyncFile,
     SyncFolder,
 )
-from fawnwharf.durable_store.reading import FolderPosition, FolderState
 
 
 class ChangeRejectedError(Exception):
--- a/fawnwharf/durable_store/crash.py
+++ b/fawnwharf/durable_store/crash.py
@@ -21,14 +21,14 @@
 
 from fawnwharf.consensus.records import later
 from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store.ops import DiskJob, JobResult, execute_job
-from fawnwharf.durable_store.planted import MUTANTS, UNCHANGED, Mutant
-from fawnwharf.durable_store.reading import (
+from fawnwharf.durable_store.folder_reader import (
     FolderPosition,
     FolderState,
     UnreadableFolderError,
     rollback_reason,
 )
+from fawnwharf.durable_store.ops import DiskJob, JobResult, execute_job
+from fawnwharf.durable_store.planted import MUTANTS, UNCHANGED, Mutant
 from fawnwharf.durable_store.store import ChangeRejectedError, Store, create_store, inspect_folder
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
--- a/fawnwharf/durable_store/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -10,14 +10,14 @@
 
 from fawnwharf.consensus.records import encode, leading
 from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store.ops import AppendBytes, CreateFile, DiskJob, RenameFile, SyncFile, SyncFolder
-from fawnwharf.durable_store.reading import (
+from fawnwharf.durable_store.folder_reader import (
     FileContent,
     FolderState,
     UnreadableFolderError,
     files_in_use,
     read_folder,
 )
+from fawnwharf.durable_store.ops import AppendBytes, CreateFile, DiskJob, RenameFile, SyncFile, SyncFolder
 
 ASIDE_SUFFIX = ".aside"
 
--- a/fawnwharf/durable_store/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -15,8 +15,7 @@
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore, StoreStatus
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder
-from fawnwharf.durable_store.ops import FileSystem
-from fawnwharf.durable_store.reading import (
+from fawnwharf.durable_store.folder_reader import (
     FolderPosition,
     FolderState,
     UnreadableFolderError,
@@ -24,6 +23,7 @@
     read_folder,
     rollback_reason,
 )
+from fawnwharf.durable_store.ops import FileSystem
 from fawnwharf.durable_store.writer import JobRunner, WriterProcess
 
 __all__ = ["ChangeRejectedError", "Store", "inspect_folder", "open_store"]
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from fawnwharf.durable_store.reading import FolderPosition
+from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_core import alone
 from fawnwharf.recovery_core.asking import (
     Answer,
--- a/fawnwharf/recovery_service/kept.py
+++ b/fawnwharf/recovery_service/kept.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store import reading
+from fawnwharf.durable_store import folder_reader
 from fawnwharf.recovery_core.trust import (
     AgeLimits,
     AgeSettings,
@@ -104,7 +104,7 @@
     )
 
 
-def started(found: reading.FolderState, now: ClockReading, fresh: bool, spans: AgeSettings) -> Start:
+def started(found: folder_reader.FolderState, now: ClockReading, fresh: bool, spans: AgeSettings) -> Start:
     """`now`: of this start, its boot as `short` has it. `fresh`: nobody in the fleet has promised anything,
     so that an empty folder has lost nothing."""
     entries, same, number = found.entries, False, 0
@@ -152,7 +152,7 @@
     return Row(key, [left, since, *value[1:]], age_of(kind, found.clock, now, AgeLimits(value[0], value[0])))
 
 
-def _found_to_be(found: reading.FolderState, fresh: bool) -> str:
+def _found_to_be(found: folder_reader.FolderState, fresh: bool) -> str:
     """What the folder itself says against it."""
     if found.repaired:
         return f"repaired: {found.repaired}"[:WHY_MOST]
--- a/fawnwharf/recovery_service/words.py
+++ b/fawnwharf/recovery_service/words.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.consensus.messages import DATA_MOST
-from fawnwharf.durable_store.reading import FolderPosition
+from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_core.asking import Answer, Number, Query
 from fawnwharf.zones.settings import Name
 
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -8,7 +8,7 @@
 import msgspec
 from test_zone_members import Fleet
 
-from fawnwharf.durable_store.reading import FolderPosition
+from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_core.asking import QueryPace
 from fawnwharf.recovery_core.stages import LogEvent, PhaseTiming, ProposeRegister, RecoveryPhase
 from fawnwharf.recovery_service import words as w
