--- a/fawnwharf/durable_store/commands.py
+++ b/fawnwharf/durable_store/commands.py
@@ -14,7 +14,7 @@
 from fawnwharf.durable_store import repairs
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder, unlock_folder
 from fawnwharf.durable_store.folder_reader import FolderState, UnreadableFolderError
-from fawnwharf.durable_store.ops import DiskJob, execute_job
+from fawnwharf.durable_store.operations import DiskJob, execute_job
 from fawnwharf.durable_store.store import inspect_folder, unix_ms
 
 app = typer.Typer(no_args_is_help=True, help="What outlives a front end, in its folder.")
--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -13,7 +13,7 @@
 from fawnwharf.consensus.records import encode
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState
-from fawnwharf.durable_store.ops import (
+from fawnwharf.durable_store.operations import (
     AppendBytes,
     CreateFile,
     DiskJob,
--- a/fawnwharf/durable_store/planted.py
+++ b/fawnwharf/durable_store/planted.py
@@ -6,7 +6,7 @@
 
 from fawnwharf.consensus import records
 from fawnwharf.durable_store.core import StoreCore
-from fawnwharf.durable_store.ops import DiskJob, RenameFile, SyncFile, SyncFolder
+from fawnwharf.durable_store.operations import DiskJob, RenameFile, SyncFile, SyncFolder
 
 Bend = Callable[[DiskJob], DiskJob]
 
--- a/fawnwharf/durable_store/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -17,7 +17,14 @@
     files_in_use,
     read_folder,
 )
-from fawnwharf.durable_store.ops import AppendBytes, CreateFile, DiskJob, RenameFile, SyncFile, SyncFolder
+from fawnwharf.durable_store.operations import (
+    AppendBytes,
+    CreateFile,
+    DiskJob,
+    RenameFile,
+    SyncFile,
+    SyncFolder,
+)
 
 ASIDE_SUFFIX = ".aside"
 
--- a/fawnwharf/durable_store/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -23,7 +23,7 @@
     read_folder,
     rollback_reason,
 )
-from fawnwharf.durable_store.ops import FileSystem
+from fawnwharf.durable_store.operations import FileSystem
 from fawnwharf.durable_store.writer import JobRunner, WriterProcess
 
 __all__ = ["ChangeRejectedError", "Store", "inspect_folder", "open_store"]
--- a/fawnwharf/durable_store/writer.py
+++ b/fawnwharf/durable_store/writer.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from fawnwharf.durable_store.folder import DiskFolder
-from fawnwharf.durable_store.ops import DiskJob, JobResult, execute_job
+from fawnwharf.durable_store.operations import DiskJob, JobResult, execute_job
 
 _LENGTH = struct.Struct(">I")
 MAX_READ_BYTES = 64 * 1024
--- a/fawnwharf/fakes/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -18,7 +18,7 @@
 from msgspec import Struct
 
 from fawnwharf.durable_store import writer
-from fawnwharf.durable_store.ops import DiskJob, JobResult, execute_job
+from fawnwharf.durable_store.operations import DiskJob, JobResult, execute_job
 
 BLOCK = 64  # bytes that are on the disk together, as on the disk in memory
 VARIABLE = "FAWNWHARF_LOSSY"
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -15,7 +15,7 @@
 from fawnwharf.admin import memory as beliefs
 from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import messages as consensus
-from fawnwharf.durable_store import file_format, ops
+from fawnwharf.durable_store import file_format, operations
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
@@ -86,8 +86,8 @@
     "storage/group": file(file_format.CommitGroup),
     "storage/piece": file(file_format.SnapshotChunk),
     "storage/foot": file(file_format.SnapshotFooter),
-    "storage/job": packed(ops.DiskJob, "ops"),
-    "storage/outcome": packed(ops.JobResult),
+    "storage/job": packed(operations.DiskJob, "ops"),
+    "storage/outcome": packed(operations.JobResult),
     "policy/message": line(policy.Message, policy.message_from),
     "policy/standing": line(policy.Standing, policy.standing_from),
     "policy/kept": file(policy_file.Kept),
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -9,7 +9,7 @@
 from fawnwharf.durable_store import store as stores
 from fawnwharf.durable_store.file_format import StoreLimits
 from fawnwharf.durable_store.folder_reader import UnreadableFolderError
-from fawnwharf.durable_store.ops import execute_job
+from fawnwharf.durable_store.operations import execute_job
 from fawnwharf.fakes.disks import MemoryDisk, Plan
 from fawnwharf.recovery_service import onstore, promises
 from fawnwharf.replication import messages as m
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -9,7 +9,7 @@
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore
 from fawnwharf.durable_store.folder_reader import FolderState, UnreadableFolderError
-from fawnwharf.durable_store.ops import AppendBytes, JobResult, SyncFile, execute_job
+from fawnwharf.durable_store.operations import AppendBytes, JobResult, SyncFile, execute_job
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
 LIMITS = f.StoreLimits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
--- a/tests/test_lossy.py
+++ b/tests/test_lossy.py
@@ -11,7 +11,7 @@
 import pytest
 from support.promise_process import WRITING, found_in
 
-from fawnwharf.durable_store import ops
+from fawnwharf.durable_store import operations
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder
 from fawnwharf.durable_store.folder_reader import UnreadableFolderError
 from fawnwharf.durable_store.writer import WriterProcess
@@ -68,7 +68,7 @@
 
 
 def carried(writer, *job):
-    writer.start(ops.DiskJob(job))
+    writer.start(operations.DiskJob(job))
     end = time.monotonic() + 20.0
     while (outcome := writer.poll()) is None and time.monotonic() < end:
         time.sleep(0.001)
@@ -79,13 +79,19 @@
 def test_what_was_not_synced_goes_with_the_power_and_not_with_the_process(tmp_path, instead, end):
     path = tmp_path / "durable"
     writer = WriterProcess(path, lock_folder(path))
-    carried(writer, ops.CreateFile("a"), ops.AppendBytes("a", b"synced"), ops.SyncFile("a"), ops.SyncFolder())
     carried(
         writer,
-        ops.AppendBytes("a", b", not synced"),
-        ops.CreateFile("b"),
-        ops.AppendBytes("b", b"b"),
-        ops.SyncFile("b"),
+        operations.CreateFile("a"),
+        operations.AppendBytes("a", b"synced"),
+        operations.SyncFile("a"),
+        operations.SyncFolder(),
+    )
+    carried(
+        writer,
+        operations.AppendBytes("a", b", not synced"),
+        operations.CreateFile("b"),
+        operations.AppendBytes("b", b"b"),
+        operations.SyncFile("b"),
     )
     assert DiskFolder(path).read("a")[0] == b"synced" and "b" not in DiskFolder(path).names()
     if end == "power":
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -8,7 +8,7 @@
 from fawnwharf.durable_store import repairs
 from fawnwharf.durable_store.file_format import HINT, StoreLimits
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.durable_store.ops import execute_job
+from fawnwharf.durable_store.operations import execute_job
 from fawnwharf.fakes.disks import Plan, PowerCut
 from fawnwharf.recovery_core.trust import StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service import hints, onstore
