--- a/fawnwharf/durable_store/crash.py
+++ b/fawnwharf/durable_store/crash.py
@@ -27,8 +27,8 @@
     UnreadableFolderError,
     rollback_reason,
 )
+from fawnwharf.durable_store.mutants import MUTANTS, UNCHANGED, Mutant
 from fawnwharf.durable_store.operations import DiskJob, JobResult, execute_job
-from fawnwharf.durable_store.planted import MUTANTS, UNCHANGED, Mutant
 from fawnwharf.durable_store.store import ChangeRejectedError, Store, create_store, inspect_folder
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
--- a/fawnwharf/fakes/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -177,7 +177,7 @@
         return execute_job(files, job)
 
     if asked.bug:
-        from fawnwharf.durable_store.planted import MUTANTS
+        from fawnwharf.durable_store.mutants import MUTANTS
 
         bend = MUTANTS[asked.bug].bend
 
--- a/tests/test_disk_faults_store.py
+++ b/tests/test_disk_faults_store.py
@@ -11,7 +11,7 @@
 from fawnwharf.durable_store.crash import CrashSimulation, InvariantViolationError
 from fawnwharf.durable_store.folder import DiskFolder
 from fawnwharf.durable_store.folder_reader import UnreadableFolderError
-from fawnwharf.durable_store.planted import MUTANTS, UNCHANGED
+from fawnwharf.durable_store.mutants import MUTANTS, UNCHANGED
 
 TURNS = 12
 ENDS = {
