--- a/fawnwharf/durable_store/crash.py
+++ b/fawnwharf/durable_store/crash_simulation.py
@@ -1,6 +1,6 @@
 """Crash tests of the store: scripted and random runs on a disk in memory, cut anywhere.
 
-    python -m fawnwharf.durable_store.crash --runs 100000 --seed 1
+    python -m fawnwharf.durable_store.crash_simulation --runs 100000 --seed 1
 
 What is found after a cut has to be what the entries were when some group was given to the disk, no earlier
 than the last one that anybody was told of. A power cut or a kill is never taken for damage, and flipped bits
@@ -329,7 +329,9 @@
 
 def main(words: list[str]) -> int:
     """Status 1 where something is broken."""
-    parser = argparse.ArgumentParser(prog="fawnwharf.durable_store.crash", description=__doc__.split("\n")[0])
+    parser = argparse.ArgumentParser(
+        prog="fawnwharf.durable_store.crash_simulation", description=__doc__.split("\n")[0]
+    )
     parser.add_argument("--runs", type=int, default=10_000)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--points", type=int, default=0, help="cuts at each so many bytes; 0: none")
--- a/tests/test_disk_faults_store.py
+++ b/tests/test_disk_faults_store.py
@@ -8,7 +8,7 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.durable_store.crash import CrashSimulation, InvariantViolationError
+from fawnwharf.durable_store.crash_simulation import CrashSimulation, InvariantViolationError
 from fawnwharf.durable_store.folder import DiskFolder
 from fawnwharf.durable_store.folder_reader import UnreadableFolderError
 from fawnwharf.durable_store.mutants import MUTANTS, UNCHANGED
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fawnwharf.durable_store import crash, repairs
+from fawnwharf.durable_store import crash_simulation, repairs
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore
 from fawnwharf.durable_store.folder_reader import FolderState, UnreadableFolderError
@@ -78,7 +78,7 @@
     assert made.take(500.0 + LIMITS.retry_ms - 1) is None
     settle(made, disk, 500.0 + LIMITS.retry_ms)
     assert made.standing(700.0).failing == "" and made.standing(700.0).behind_ms == 0.0
-    assert crash.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
     assert made.put(700.0, "term", "t", 3) > 0
 
 
@@ -122,7 +122,7 @@
         sizes.append(sum(disk.names().values()))
         names |= disk.names().keys()
     assert len(names) > 20 and max(sizes) < 12_000 and sizes[-1] < 8_000
-    assert crash.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
 
 
 def test_changes_that_come_and_go_on_a_slow_disk_are_bounded_and_none_is_lost():
@@ -139,7 +139,7 @@
     ticket = made.put(102.0, "term", "u", 2)
     made.done(200.0, execute_job(disk, job))
     assert [(end.ticket, end.on_disk) for end in settle(made, disk, 200.0)] == [(ticket, True)]
-    held = crash.inspect_folder(disk, "fleet", "a", LIMITS).entries
+    held = crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS).entries
     assert held == made.entries == {("term", "t"): b"1", ("term", "u"): b"2"}
 
 
@@ -148,7 +148,7 @@
     made, disk = core()
     made.put(0.0, "term", "t", 1)
     execute_job(disk, without_sync(made.take(0.0)))
-    found = crash.inspect_folder(disk, "fleet", "a", LIMITS)
+    found = crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS)
     assert found.entries == {("term", "t"): b"1"}
     again = StoreCore(LIMITS, KINDS, HEAD, found, lambda: 0.0)
     assert not again.settled and again.sign().life == 0
@@ -164,27 +164,27 @@
 
 
 def test_every_operation_and_a_sample_of_bytes_of_a_scripted_run_can_be_cut():
-    assert crash.check_points(61, 10_000) > 500
-    whole = crash.CrashSimulation()
-    crash._scripted(whole)
+    assert crash_simulation.check_points(61, 10_000) > 500
+    whole = crash_simulation.CrashSimulation()
+    crash_simulation._scripted(whole)
     assert [what for what, _ in whole.disk.marks].count("rename") >= 6  # logs followed each other
 
 
 def test_random_runs_hold_through_cuts_kills_failures_flips_and_older_copies():
-    ends = crash.check_random(2_000, 1)
+    ends = crash_simulation.check_random(2_000, 1)
     assert len(ends) >= 9 and ends["cut or killed, as it was told"] > 800
 
 
-@pytest.mark.parametrize("name", crash.MUTANTS)
+@pytest.mark.parametrize("name", crash_simulation.MUTANTS)
 def test_crash_tests_find_what_is_planted(name):
-    with pytest.raises(crash.InvariantViolationError):
-        crash.check_random(1_500, 1, crash.MUTANTS[name])
+    with pytest.raises(crash_simulation.InvariantViolationError):
+        crash_simulation.check_random(1_500, 1, crash_simulation.MUTANTS[name])
 
 
 def test_a_repair_that_is_cut_leaves_a_folder_that_is_refused_or_repaired():
     seen = set()
     for cut in range(12):
-        for share in crash.SHARES:
+        for share in crash_simulation.SHARES:
             made, disk = core()
             for n in range(6):
                 made.put(0.0, "term", "t", n)
@@ -198,7 +198,7 @@
                 execute_job(disk, repairs.second_repair_job(plan, outcome.inode, 0.0))
             disk = disk.reboot(random.Random(cut), share)
             try:
-                found = crash.inspect_folder(disk, "fleet", "a", LIMITS)
+                found = crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS)
                 assert found.entries == plan.keeps.entries and "damaged" in found.repaired
                 seen.add("repaired")
             except UnreadableFolderError:
@@ -217,5 +217,5 @@
     disk.plan = Plan()
     settle(made, disk, 10_000.0)
     assert made.standing(10_000.0).failing == ""
-    assert crash.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
     assert len(disk.names()) == 2  # what was begun on the full disk is gone
