--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -10,8 +10,8 @@
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError
+from fawnwharf.durable_store.event_loop_store import EventLoopStore
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState, rollback_reason
-from fawnwharf.durable_store.service import EventLoopStore
 from fawnwharf.durable_store.store import open_store, unix_ms
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.loop import Loop
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -16,8 +16,8 @@
 from fawnwharf.consensus.records import leading
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store import folder
+from fawnwharf.durable_store.event_loop_store import EventLoopStore
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.durable_store.service import EventLoopStore
 from fawnwharf.durable_store.store import inspect_folder, open_store
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
