--- a/fawnwharf/durable_store/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -24,7 +24,7 @@
     rollback_reason,
 )
 from fawnwharf.durable_store.operations import FileSystem
-from fawnwharf.durable_store.writer import JobRunner, WriterProcess
+from fawnwharf.durable_store.writer_process import JobRunner, WriterProcess
 
 __all__ = ["ChangeRejectedError", "Store", "inspect_folder", "open_store"]
 
--- a/fawnwharf/fakes/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -17,13 +17,13 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.durable_store import writer
+from fawnwharf.durable_store import writer_process
 from fawnwharf.durable_store.operations import DiskJob, JobResult, execute_job
 
 BLOCK = 64  # bytes that are on the disk together, as on the disk in memory
 VARIABLE = "FAWNWHARF_LOSSY"
 SAYS = {
-    writer.TEST_WRITER_VARIABLE: "fawnwharf.fakes.lossy"
+    writer_process.TEST_WRITER_VARIABLE: "fawnwharf.fakes.lossy"
 }  # the environment that puts it in the writer's place
 
 
@@ -192,6 +192,6 @@
     mark = folder / f"writer-{pid}"
     mark.with_name(f"new-{pid}").write_bytes(Path("/proc/self/cmdline").read_bytes())
     os.rename(mark.with_name(f"new-{pid}"), mark)
-    writer.serve(carry)
+    writer_process.serve(carry)
     files.settle()
     mark.unlink(missing_ok=True)
--- a/tests/test_lossy.py
+++ b/tests/test_lossy.py
@@ -14,7 +14,7 @@
 from fawnwharf.durable_store import operations
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder
 from fawnwharf.durable_store.folder_reader import UnreadableFolderError
-from fawnwharf.durable_store.writer import WriterProcess
+from fawnwharf.durable_store.writer_process import WriterProcess
 from fawnwharf.fakes import lossy
 from fawnwharf.fakes.lossy import LossyFolder
 
