--- a/fawnwharf/recovery_core/planned.py
+++ b/fawnwharf/recovery_core/planned.py
@@ -5,7 +5,7 @@
 """
 
 from fawnwharf.interface import Effect
-from fawnwharf.recovery_core import alone
+from fawnwharf.recovery_core import partitioned
 from fawnwharf.recovery_core.budget import (
     AdmissionRateLimiter,
     LoadCoordinator,
@@ -79,7 +79,7 @@
         if self.leads_ms and now - self.leads_ms >= ELECTS_MS:
             self._conduct(now, len(up), asked, here)
         if not self.leads_ms or self.conductor.register.stage < RecoveryPhase.WORTH or not self.stages:
-            self.may = alone.allowed_when_partitioned(
+            self.may = partitioned.allowed_when_partitioned(
                 PRIORITY_WEIGHTS, len(up), self.scene.fronts, True, asked > 0
             )
         most = max(1, int(self.limits.fetches * self.may.part)) if self.may.loads else 0
@@ -198,9 +198,9 @@
         """Alone it serves what is safe alone: nothing here is known or granted then."""
         if kind not in self.may.classes or now - front.up_ms < ASKS_MS:
             return False
-        standing = alone.CallKnowledge(since_start_ms=now - front.up_ms)
-        found = alone.decide_call(EFFECTS[kind], standing, self.conductor.timing.window_ms)
-        return not self.may.alone or found is alone.CallDecision.SERVE
+        standing = partitioned.CallKnowledge(since_start_ms=now - front.up_ms)
+        found = partitioned.decide_call(EFFECTS[kind], standing, self.conductor.timing.window_ms)
+        return not self.may.alone or found is partitioned.CallDecision.SERVE
 
     def _placed(self, now: float, one: CallAttempt) -> None:
         """To the copy that stands, with its warden's ticket; it is waited for while that can be in time."""
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.recovery_core import alone
+from fawnwharf.recovery_core import partitioned
 from fawnwharf.recovery_core.asking import (
     Answer,
     Query,
@@ -170,7 +170,9 @@
         found = self.follower.allowed(now_ms, self.worths)
         if found is None:
             own, members = self.own, len(self.lists.members)
-            found = alone.allowed_when_partitioned(self.worths, own.heard, members, own.scorers, self.asked)
+            found = partitioned.allowed_when_partitioned(
+                self.worths, own.heard, members, own.scorers, self.asked
+            )
         return found if self.asked else replace(found, status=False)
 
     def _count(self, cause: str) -> None:
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -15,7 +15,7 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Outcome, Refused
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.recovery_core import alone
+from fawnwharf.recovery_core import partitioned
 from fawnwharf.recovery_core.budget import AdmissionRateLimiter, FleetLimits, priority_classes
 from fawnwharf.recovery_core.stages import AllowedActions
 from fawnwharf.recovery_service.giving import Giving
@@ -187,8 +187,8 @@
             return True
         effect = self._classes[class_name].effect
         granted = effect is Effect.UNSAFE and self._promises.asks(class_name)  # its keepers are asked
-        standing = alone.CallKnowledge(granted=granted, since_start_ms=self._clock() - self._began_ms)
-        return alone.decide_call(effect, standing, self._window_ms) is alone.CallDecision.SERVE
+        standing = partitioned.CallKnowledge(granted=granted, since_start_ms=self._clock() - self._began_ms)
+        return partitioned.decide_call(effect, standing, self._window_ms) is partitioned.CallDecision.SERVE
 
     def _weigh(self, call: Call) -> str | None:
         now = self._clock()
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core import alone, budget
-from fawnwharf.recovery_core.alone import CallDecision, CallKnowledge
+from fawnwharf.recovery_core import budget, partitioned
+from fawnwharf.recovery_core.partitioned import CallDecision, CallKnowledge
 from fawnwharf.recovery_core.stages import (
     FleetObservation,
     PhaseFollower,
@@ -210,15 +210,15 @@
         (io.Effect.KEYED, CallKnowledge(since_start_ms=window), CallDecision.SERVE),
         (io.Effect.KEYED, CallKnowledge(granted=True), CallDecision.SERVE),
     ):
-        assert alone.decide_call(effect, standing, window) is found
-    lone = alone.allowed_when_partitioned(WORTHS, 3, 12, rostered=True, asked=True)
+        assert partitioned.decide_call(effect, standing, window) is found
+    lone = partitioned.allowed_when_partitioned(WORTHS, 3, 12, rostered=True, asked=True)
     assert (
         lone.part == 0.25
         and lone.status
         and lone.loads
         and not (lone.spill or lone.renewal or lone.own_loads)
     )
-    assert not alone.allowed_when_partitioned(WORTHS, 3, 12, rostered=False, asked=True).status
+    assert not partitioned.allowed_when_partitioned(WORTHS, 3, 12, rostered=False, asked=True).status
 
 
 # --- budgets --------------------------------------------------------------------------------
