--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -15,7 +15,7 @@
 
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_core import partitioned
-from fawnwharf.recovery_core.asking import (
+from fawnwharf.recovery_core.queries import (
     Answer,
     Query,
     QueryPace,
--- a/fawnwharf/recovery_service/settings.py
+++ b/fawnwharf/recovery_service/settings.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.durable_store import file_format
-from fawnwharf.recovery_core import asking, stages
+from fawnwharf.recovery_core import queries, stages
 from fawnwharf.zones.settings import FileFault, Span
 
 VERSION = 1
@@ -51,8 +51,8 @@
     stage_ms: Span = 300.0  # the leader tells the stage
 
     @property
-    def of_asking(self) -> asking.QueryPace:
-        return asking.QueryPace(self.again_ms, self.spread_ms)
+    def of_asking(self) -> queries.QueryPace:
+        return queries.QueryPace(self.again_ms, self.spread_ms)
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
--- a/fawnwharf/recovery_service/showing.py
+++ b/fawnwharf/recovery_service/showing.py
@@ -1,6 +1,6 @@
 """How an agent stands, for people: told in its member's zones' log, and read by `fawnwharf recovery show`."""
 
-from fawnwharf.recovery_core.asking import QueryTopic
+from fawnwharf.recovery_core.queries import QueryTopic
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.agent import Agent
 
--- a/fawnwharf/recovery_service/words.py
+++ b/fawnwharf/recovery_service/words.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.consensus.messages import DATA_MOST
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.recovery_core.asking import Answer, Number, Query
+from fawnwharf.recovery_core.queries import Answer, Number, Query
 from fawnwharf.zones.settings import Name
 
 RIDER = "recovery"  # by both logs; the kind of its register as well
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -16,7 +16,7 @@
 import fawnwharf
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import keeping
-from fawnwharf.recovery_core import asking, register
+from fawnwharf.recovery_core import queries, register
 from fawnwharf.recovery_service import given_words
 from fawnwharf.replication import claims
 from fawnwharf.sessions import settings as session_settings
@@ -214,11 +214,11 @@
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
         [given_words.What.NOT, given_words.What.MADE, given_words.What.STANDS, given_words.What.FAILED],
         [
-            asking.QueryTopic.MEMBERS,
-            asking.QueryTopic.PLAN,
-            asking.QueryTopic.PROMISES,
-            asking.QueryTopic.ROSTER,
-            asking.QueryTopic.USE,
+            queries.QueryTopic.MEMBERS,
+            queries.QueryTopic.PLAN,
+            queries.QueryTopic.PROMISES,
+            queries.QueryTopic.ROSTER,
+            queries.QueryTopic.USE,
         ],
         [
             register.RecoveryPhase.LISTENING,
--- a/tests/test_recovery_asking.py
+++ b/tests/test_recovery_asking.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnwharf.recovery_core.asking import (
+from fawnwharf.recovery_core.queries import (
     QUERY_STEPS,
     Answer,
     QueryState,
