--- a/fawnwharf/recovery_core/partitioned.py
+++ b/fawnwharf/recovery_core/partitioned.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.stages import AllowedActions
+from fawnwharf.recovery_core.phases import AllowedActions
 
 
 class CallDecision(Enum):
--- a/fawnwharf/recovery_core/planned.py
+++ b/fawnwharf/recovery_core/planned.py
@@ -13,7 +13,7 @@
     choose_load_coordinators,
     start_offset_ms,
 )
-from fawnwharf.recovery_core.stages import (
+from fawnwharf.recovery_core.phases import (
     AllowedActions,
     FleetObservation,
     PhaseTiming,
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -15,6 +15,15 @@
 
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_core import partitioned
+from fawnwharf.recovery_core.phases import (
+    AllowedActions,
+    LogEvent,
+    PhaseFollower,
+    PhaseTiming,
+    ProposeRegister,
+    RecoveryPhase,
+    RegisterError,
+)
 from fawnwharf.recovery_core.queries import (
     Answer,
     Query,
@@ -25,15 +34,6 @@
     StartupQueries,
 )
 from fawnwharf.recovery_core.register import PermitAssignment
-from fawnwharf.recovery_core.stages import (
-    AllowedActions,
-    LogEvent,
-    PhaseFollower,
-    PhaseTiming,
-    ProposeRegister,
-    RecoveryPhase,
-    RegisterError,
-)
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.lead import Lead, Lists
 from fawnwharf.zones.lines import Seat
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -17,7 +17,7 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core import partitioned
 from fawnwharf.recovery_core.budget import AdmissionRateLimiter, FleetLimits, priority_classes
-from fawnwharf.recovery_core.stages import AllowedActions
+from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Stood, Ticket
 from fawnwharf.replication.claims import Phase
--- a/fawnwharf/recovery_service/giving.py
+++ b/fawnwharf/recovery_service/giving.py
@@ -13,8 +13,8 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import FleetLimits, start_offset_ms
+from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_core.register import PermitAssignment
-from fawnwharf.recovery_core.stages import AllowedActions
 from fawnwharf.recovery_service import given_words as m
 from fawnwharf.recovery_service.lent import LENT_MS, Helping
 from fawnwharf.recovery_service.loading import LEAST_MS, PROVES, RETRY_MS, Loading
--- a/fawnwharf/recovery_service/holds.py
+++ b/fawnwharf/recovery_service/holds.py
@@ -17,7 +17,7 @@
 from fawnwharf.net.requests import OpenRequest
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.stages import AllowedActions
+from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Out
 
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -14,8 +14,8 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
 from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
+from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_core.register import PermitAssignment
-from fawnwharf.recovery_core.stages import AllowedActions
 from fawnwharf.recovery_service import given_words as g
 from fawnwharf.recovery_service import outs
 from fawnwharf.recovery_service.door import Door, Kept
--- a/fawnwharf/recovery_service/lead.py
+++ b/fawnwharf/recovery_service/lead.py
@@ -7,8 +7,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.recovery_core.budget import choose_load_coordinators
-from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS
-from fawnwharf.recovery_core.stages import (
+from fawnwharf.recovery_core.phases import (
     Effect,
     FleetObservation,
     LogEvent,
@@ -16,6 +15,7 @@
     RecoveryCoordinator,
     RecoveryPhase,
 )
+from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS
 from fawnwharf.recovery_core.trust import RestartScope, restart_scope
 from fawnwharf.recovery_service import words as w
 from fawnwharf.zones.lines import Seat
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -13,8 +13,8 @@
 from fawnwharf.consensus.decided import last_put
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.recovery_core.phases import LogEvent, ProposeRegister, RecoveryPhase
 from fawnwharf.recovery_core.queries import QueryState, QueryTopic
-from fawnwharf.recovery_core.stages import LogEvent, ProposeRegister, RecoveryPhase
 from fawnwharf.recovery_core.trust import StateKind, StoreCondition
 from fawnwharf.recovery_service import joined, showing
 from fawnwharf.recovery_service import words as w
--- a/fawnwharf/recovery_service/settings.py
+++ b/fawnwharf/recovery_service/settings.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.durable_store import file_format
-from fawnwharf.recovery_core import queries, stages
+from fawnwharf.recovery_core import phases, queries
 from fawnwharf.zones.settings import FileFault, Span
 
 VERSION = 1
@@ -38,8 +38,8 @@
     slow: Annotated[float, Meta(gt=1.0, le=100.0)] = 2.5
 
     @property
-    def of_stages(self) -> stages.PhaseTiming:
-        return stages.PhaseTiming(**msgspec.structs.asdict(self))
+    def of_stages(self) -> phases.PhaseTiming:
+        return phases.PhaseTiming(**msgspec.structs.asdict(self))
 
 
 class Pace(Struct, frozen=True, forbid_unknown_fields=True):
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -11,7 +11,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import FleetLimits
-from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.given_words import word_from
 from fawnwharf.recovery_service.giving import TURN_MS, Giving
 from fawnwharf.recovery_service.outs import Order, Ticket, Words
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -4,7 +4,7 @@
 from fawnwharf.net.requests import Call, Refused
 from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.recovery_core.budget import FleetLimits
-from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.door import Door
 
 CLASSES = {
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -9,8 +9,8 @@
 from test_zone_members import Fleet
 
 from fawnwharf.durable_store.folder_reader import FolderPosition
+from fawnwharf.recovery_core.phases import LogEvent, PhaseTiming, ProposeRegister, RecoveryPhase
 from fawnwharf.recovery_core.queries import QueryPace
-from fawnwharf.recovery_core.stages import LogEvent, PhaseTiming, ProposeRegister, RecoveryPhase
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.agent import Agent, Go, Own, Say, Signed
 from fawnwharf.recovery_service.lead import Lists
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -7,7 +7,7 @@
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import Policies
-from fawnwharf.recovery_core.stages import RecoveryPhase
+from fawnwharf.recovery_core.phases import RecoveryPhase
 from fawnwharf.recovery_service.onstore import kept
 from fawnwharf.recovery_service.service import Rejoin
 from fawnwharf.replication.service import State
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -4,8 +4,8 @@
 time on at half the budget.
 """
 
+from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_core.register import PermitAssignment
-from fawnwharf.recovery_core.stages import AllowedActions, RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Order, Words
 from fawnwharf.replication.placement import weight
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -7,7 +7,7 @@
 from fawnwharf import interface as io
 from fawnwharf.recovery_core import budget, partitioned
 from fawnwharf.recovery_core.partitioned import CallDecision, CallKnowledge
-from fawnwharf.recovery_core.stages import (
+from fawnwharf.recovery_core.phases import (
     FleetObservation,
     PhaseFollower,
     PhaseTiming,
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -5,8 +5,8 @@
 from support.recovery_agents import TIMING, Agents
 
 from fawnwharf.durable_store.folder_reader import FolderPosition
+from fawnwharf.recovery_core.phases import RecoveryPhase, RecoveryRegister
 from fawnwharf.recovery_core.queries import Answer, Query, QueryState, QueryTopic
-from fawnwharf.recovery_core.stages import RecoveryPhase, RecoveryRegister
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.lead import Lead, Lists
 from fawnwharf.recovery_service.showing import shown
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -8,13 +8,7 @@
 from test_recovery_stages import Led
 
 from fawnwharf.recovery_core.budget import slow_start_coordinator_of
-from fawnwharf.recovery_core.register import (
-    MAX_PERMIT_ISSUERS,
-    PermitAssignment,
-    RecoveryRegister,
-    parse_register,
-)
-from fawnwharf.recovery_core.stages import (
+from fawnwharf.recovery_core.phases import (
     AllowedActions,
     FleetObservation,
     PhaseFollower,
@@ -22,6 +16,12 @@
     RecoveryPhase,
     allowed_in_phase,
 )
+from fawnwharf.recovery_core.register import (
+    MAX_PERMIT_ISSUERS,
+    PermitAssignment,
+    RecoveryRegister,
+    parse_register,
+)
 from fawnwharf.recovery_service import words as w
 from fawnwharf.recovery_service.giving import LOOK_MS, TURN_MS
 from fawnwharf.recovery_service.lead import Lead, Lists
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -12,7 +12,7 @@
 from fawnwharf.net.requests import Call, Failed, Refused, Served
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
-from fawnwharf.recovery_core.stages import AllowedActions, RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.door import HOLD_PART, Kept
 from fawnwharf.recovery_service.holds import Holds
 from fawnwharf.recovery_service.outs import Stood, Ticket
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -13,7 +13,7 @@
     load_coordinator_of,
     slow_start_coordinator_of,
 )
-from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service import given_words as m
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.outs import Order, Words
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -8,7 +8,7 @@
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import fleet_limits
-from fawnwharf.recovery_core.stages import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.door import Door
 from fawnwharf.recovery_service.giving import Giving
 from fawnwharf.recovery_service.holds import Holds
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -8,7 +8,7 @@
 from support.recovery_front_ends import Site
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.stages import RecoveryPhase
+from fawnwharf.recovery_core.phases import RecoveryPhase
 from fawnwharf.recovery_core.trust import StoreCondition
 
 RETURN = ["listening", "repeats", "worth", "rest", "renewal", "spill"]
--- a/tests/test_rejoin_settings.py
+++ b/tests/test_rejoin_settings.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from fawnwharf.recovery_core import queries, stages
+from fawnwharf.recovery_core import phases, queries
 from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.zones.settings import FileFault
 
@@ -16,7 +16,7 @@
     place = Path(__file__).parent.parent / "deploy" / "recovery.json"
     found = settings_from(place.read_bytes())
     assert found.boot_file == "/proc/sys/kernel/random/boot_id"
-    assert found.timing.of_stages == stages.PhaseTiming()
+    assert found.timing.of_stages == phases.PhaseTiming()
     assert found.pace.of_asking == queries.QueryPace()
 
 
