--- a/fawnwharf/recovery_core/trial.py
+++ b/fawnwharf/recovery_core/trial.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 
 from fawnwharf.prefetch.trial import interval
-from fawnwharf.recovery_core.planned import CoordinatedFleet
+from fawnwharf.recovery_core.coordinated_fleet import CoordinatedFleet
 from fawnwharf.recovery_core.world import Scenario, UncoordinatedFleet
 
 SCENES = {
--- a/tests/test_recovery_world.py
+++ b/tests/test_recovery_world.py
@@ -5,8 +5,8 @@
 import pytest
 
 from fawnwharf.recovery_core import trial
+from fawnwharf.recovery_core.coordinated_fleet import CoordinatedFleet
 from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.planned import CoordinatedFleet
 from fawnwharf.recovery_core.world import Scenario, UncoordinatedFleet
 
 LAST, MINORITY = (trial.scene_of(name, 12) for name in ("last", "minority"))
