--- a/fawnwharf/recovery_core/coordinated_fleet.py
+++ b/fawnwharf/recovery_core/coordinated_fleet.py
@@ -23,7 +23,7 @@
     RecoveryRegister,
     allowed_in_phase,
 )
-from fawnwharf.recovery_core.world import (
+from fawnwharf.recovery_core.uncoordinated_fleet import (
     FUNCTION_KINDS,
     PRIORITY_WEIGHTS,
     SITE,
--- a/fawnwharf/recovery_core/trial.py
+++ b/fawnwharf/recovery_core/trial.py
@@ -13,7 +13,7 @@
 
 from fawnwharf.prefetch.trial import interval
 from fawnwharf.recovery_core.coordinated_fleet import CoordinatedFleet
-from fawnwharf.recovery_core.world import Scenario, UncoordinatedFleet
+from fawnwharf.recovery_core.uncoordinated_fleet import Scenario, UncoordinatedFleet
 
 SCENES = {
     "last": Scenario(0),  # the roster is last
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -20,7 +20,7 @@
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_core.world import FUNCTION_KINDS, PRIORITY_WEIGHTS
+from fawnwharf.recovery_core.uncoordinated_fleet import FUNCTION_KINDS, PRIORITY_WEIGHTS
 from fawnwharf.recovery_service.door import Door
 from fawnwharf.recovery_service.giving import TURN_MS, Giving
 from fawnwharf.recovery_service.holds import Holds
--- a/tests/test_recovery_world.py
+++ b/tests/test_recovery_world.py
@@ -7,7 +7,7 @@
 from fawnwharf.recovery_core import trial
 from fawnwharf.recovery_core.coordinated_fleet import CoordinatedFleet
 from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.world import Scenario, UncoordinatedFleet
+from fawnwharf.recovery_core.uncoordinated_fleet import Scenario, UncoordinatedFleet
 
 LAST, MINORITY = (trial.scene_of(name, 12) for name in ("last", "minority"))
 
