--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/model_checker.py
@@ -3,7 +3,7 @@
 A power loss ends all members at once, between any two things that one of them does: what was synced is found
 again, what was on its way is lost, and clocks come back with anything.
 
-    python -m fawnwharf.recovery_core.search [--states N]
+    python -m fawnwharf.recovery_core.model_checker [--states N]
 """
 
 import argparse
