--- a/fawnwharf/recovery_core/model_checker.py
+++ b/fawnwharf/recovery_core/model_checker.py
@@ -19,7 +19,7 @@
 from fawnwharf.policy_rollout import check, scene
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
-from fawnwharf.recovery_core.promises import Promises, Rules
+from fawnwharf.recovery_core.claim_model import Promises, Rules
 from fawnwharf.testbed import explore
 
 
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -7,6 +7,7 @@
 from fawnwharf.policy_rollout.holder import Holder
 from fawnwharf.policy_rollout.steward import Steward
 from fawnwharf.recovery_core import trust as t
+from fawnwharf.recovery_core.claim_model import Rules
 from fawnwharf.recovery_core.model_checker import (
     SEARCHES,
     PolicyBounds,
@@ -15,7 +16,6 @@
     VotersSearch,
     search_promises,
 )
-from fawnwharf.recovery_core.promises import Rules
 
 
 @pytest.mark.parametrize("name", SEARCHES)
