--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -20,7 +20,7 @@
 TRIALS = {
     f"{PROGRAM}.{name}"
     for name in (
-        "durable_store.crash",
+        "durable_store.crash_simulation",
         "policy_rollout.check",
         "policy_rollout.measure",
         "policy_rollout.scene",
@@ -35,11 +35,11 @@
         "migration.relisted",
         "migration.walk",
         "migration.world",
-        "recovery_core.planned",
-        "recovery_core.promises",
-        "recovery_core.search",
+        "recovery_core.coordinated_fleet",
+        "recovery_core.claim_model",
+        "recovery_core.model_checker",
         "recovery_core.trial",
-        "recovery_core.world",
+        "recovery_core.uncoordinated_fleet",
         "recovery_service.trial",
         "sessions.measure",
     )
