--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -8,10 +8,16 @@
 import typer
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import Document, DocumentError, Known, check_against, document_from
-from fawnwharf.policy_rollout.service import SAID_FILE
+from fawnwharf.policy_rollout.document import (
+    DeploymentCapabilities,
+    Document,
+    DocumentError,
+    find_incompatibility,
+    parse_document,
+)
+from fawnwharf.policy_rollout.service import REQUEST_FILE
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.looking import Member, address, fail, files, lines
+from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
 
 LOOK_S = 0.1
 app = typer.Typer(no_args_is_help=True, help="The policy that front ends decide by.")
@@ -19,25 +25,25 @@
 Wait = Annotated[float, typer.Option("--wait", help="Seconds to wait for the fleet's decision; 0: none.")]
 
 
-def look(place: tuple[str, int], within_s: float = 3.0) -> m.Standing | None:
+def look(place: tuple[str, int], within_s: float = 3.0) -> m.MemberStatus | None:
     """A member's status; None where it tells nothing of policy.
 
     Raises OSError where its log can't be read, ValueError where the status is malformed.
     """
-    line = lines(place, ("policy",), within_s).get("policy")
-    return None if line is None else m.standing_from(line["policy"])
+    line = current_lines(place, ("policy",), within_s).get("policy")
+    return None if line is None else m.decode_member_status(line["policy"])
 
 
-def _told(outcome: m.Outcome) -> str:
+def _told(outcome: m.RequestOutcome) -> str:
     number = f" number {outcome.number}" if outcome.number else ""
     return f"{outcome.state}{number}" + (f": {outcome.why}" if outcome.why else "")
 
 
 @app.command()
-def show(zones: File, member: Member = "") -> None:
+def show(zones: File, member: MemberOption = "") -> None:
     """How a member stands: what it knows to be decided, by what it judges, what is under way."""
     try:
-        found = look(address(*files(zones), member))
+        found = look(log_address(*read_files(zones), member))
     except (OSError, ValueError) as error:
         fail(f"policy: no answer: {error}", 1)
     if found is None:
@@ -65,13 +71,13 @@
 @app.command()
 def check(file: str, zones: Annotated[str, typer.Option("--zones")] = "") -> None:
     """Read and check a document; by itself, and against the zones of the fleet where those are given."""
-    document = _document(file, files(zones)[1] if zones else None)
+    document = _document(file, read_files(zones)[1] if zones else None)
     typer.echo(f"fawnwharf: good: {len(document.values)} keys, digest {document.digest}")
 
 
-def _document(file: str, members: s.Members | None) -> Document:
+def _document(file: str, members: s.Membership | None) -> Document:
     try:
-        document = document_from(Path(file).read_bytes())
+        document = parse_document(Path(file).read_bytes())
     except OSError as error:
         fail(f"policy: {file}: {error.strerror}")
     except DocumentError as error:
@@ -79,8 +85,8 @@
     if members is not None:
         # Classes and tenants stand in front ends' configurations: those say no by themselves.
         named = {part: frozenset(path[1] for path, _ in document.values if path[0] in part) for part in PARTS}
-        known = Known(named[PARTS[0]], named[PARTS[1]], frozenset(members.zones))
-        if fault := check_against(document, known):
+        known = DeploymentCapabilities(named[PARTS[0]], named[PARTS[1]], frozenset(members.zones))
+        if fault := find_incompatibility(document, known):
             fail(f"policy: {file}: {fault}")
     return document
 
@@ -91,7 +97,7 @@
 @app.command()
 def propose(file: str, zones: File, wait: Wait = 0.0) -> None:
     """Ask the fleet to go by a document. With --wait, tell what came of it: status 0 where it is in force."""
-    settings, members = files(zones)
+    settings, members = read_files(zones)
     document = _document(file, members)
     _say(settings, members, zones, {"propose": {"version": 1, **document.nested()}}, wait, "in force")
 
@@ -99,24 +105,24 @@
 @app.command("call-off")
 def call_off(zones: File, why: Annotated[str, typer.Option("--why")] = "", wait: Wait = 0.0) -> None:
     """End what is being prepared. What is decided stays: see `back`."""
-    settings, members = files(zones)
+    settings, members = read_files(zones)
     _say(settings, members, zones, {"call_off": why[:200]}, wait, "ended")
 
 
 @app.command()
 def back(zones: File, wait: Wait = 0.0) -> None:
     """Go back to the policy before the last one, as a new change."""
-    settings, members = files(zones)
+    settings, members = read_files(zones)
     _say(settings, members, zones, {"back": True}, wait, "in force")
 
 
 def _say(
-    settings: s.Settings, members: s.Members, path: str, word: dict[str, Any], wait_s: float, good: str
+    settings: s.ZoneSettings, members: s.Membership, path: str, word: dict[str, Any], wait_s: float, good: str
 ) -> None:
     """Leave a word for this member's process, and wait for what comes of it."""
-    log = address(settings, members, "") if wait_s > 0.0 else None  # before anything is written
+    log = log_address(settings, members, "") if wait_s > 0.0 else None  # before anything is written
     folder = Path(path).parent / settings.folder
-    place = folder / SAID_FILE
+    place = folder / REQUEST_FILE
     try:
         before = json.loads(place.read_bytes())["number"] if place.exists() else 0
     except (OSError, ValueError, KeyError, TypeError):
@@ -145,7 +151,7 @@
             if outcome.wish != number:
                 continue
             last = _told(outcome)
-            if outcome.state in m.FINAL:
+            if outcome.state in m.FINAL_STATES:
                 typer.echo(last)
                 raise typer.Exit(0 if outcome.state == good else 1)
         time.sleep(LOOK_S)
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -11,13 +11,13 @@
 from fawnwharf.interface import State
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Overlay
-from fawnwharf.replication import resting
+from fawnwharf.replication import outlier_ejection
 from fawnwharf.zones import plan as p
-from fawnwharf.zones import roster
+from fawnwharf.zones import roster_closing
 
 IDS = ("a1", "a2", "b1", "b2")
-OUT = p.Plan(zones={"a": p.Zone(size=2.0), "b": p.Zone(p.OUT, size=2.0)})
-HALF = p.Plan(zones={"a": p.Zone(size=2.0), "b": p.Zone(p.RETURNING, 0.5, size=2.0)})
+OUT = p.Plan(zones={"a": p.PlannedZone(size=2.0), "b": p.PlannedZone(p.OUT, size=2.0)})
+HALF = p.Plan(zones={"a": p.PlannedZone(size=2.0), "b": p.PlannedZone(p.RECOVERING, 0.5, size=2.0)})
 # What each may lay, as each lays it, and what that closes. Of zone b, half is b2 (by the hash of its id).
 LAYERS = {
     "operators": [(None, ""), (frozenset(("a1", "b1")).__contains__, "a1 b1"), ("b2".__eq__, "b2")],
@@ -28,9 +28,9 @@
 
 def closer(who, laid):
     if who == "zones":
-        return roster.closer(laid, "a")
+        return roster_closing.plan_closer(laid, "a")
     if who == "state":
-        return resting.closer(laid)
+        return outlier_ejection.excluding(laid)
     return laid and (lambda member: laid(member.id))
 
 
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -13,13 +13,13 @@
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_service.door import HOLD_PART, Kept
-from fawnwharf.recovery_service.holds import Holds
-from fawnwharf.recovery_service.outs import Stood, Ticket
+from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
+from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
+from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION, StoredClaims
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.gate import Gate, name_of
+from fawnwharf.replication.claim_gate import ClaimGate, call_key
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.testbed.promises import fleet_file
 
 
@@ -76,17 +76,17 @@
     assert key and ground.calls == {} and ground.door.busy
     ground.pass_by(250.0)
     ground.giving.places["f"] = 7
-    ground.door.told(Stood("f"))
+    ground.door.told(CopyAvailable("f"))
     [call] = ground.calls.values()
     assert call.budget_ms == pytest.approx(1_750.0)
     call.reply(Served(b"x"))
     assert got == [Served(b"x")]
     ground.giving.etas["g"] = 800.0  # it takes longer than was said
-    ground.pass_by(HOLD_PART * 1_000.0 - 250.0 - 8.0)
+    ground.pass_by(WAIT_FRACTION * 1_000.0 - 250.0 - 8.0)
     assert late == []
     ground.pass_by(16.0)
     assert late[0].hold_off_ms >= 800.0 and not ground.door.busy
-    ground.door.told(Stood("g"))
+    ground.door.told(CopyAvailable("g"))
     ground.door.withdraw(late_key)  # it crossed the answer: nothing is left to withdraw here
     assert len(ground.calls) == 1
 
@@ -117,9 +117,9 @@
     other, left = ground.ask()
     ground.door.withdraw(other)
     assert ground.giving.asked == [key]
-    ground.door.told(Ticket(other, 0.0))
+    ground.door.told(SlowStartPermit(other, 0.0))
     assert ground.calls == {}
-    ground.door.told(Ticket(key, 0.0))
+    ground.door.told(SlowStartPermit(key, 0.0))
     assert len(ground.calls) == 1
     ground.door.withdraw(key)
     ground.calls["r1"].reply(Served(b"crossed"))
@@ -173,12 +173,12 @@
     """With the real gate and keeper below."""
 
     def __init__(self, stage):
-        rules, file = s.Settings(1, "m", zones=1), fleet_file("a")
-        keeper = Core("n0", 1, file, rules, 0.0).placement.keepers[0]
-        self.core = Core(keeper, 1, file, rules, 0.0, True)
+        rules, file = s.ReplicationSettings(1, "m", zones=1), fleet_file("a")
+        keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.keepers[0]
+        self.core = ReplicationCore(keeper, 1, file, rules, 0.0, True)
         self.wheel = self  # the gate's timers never ring here
-        self.gate = Gate(self, self, self.core, rules, CLASSES, self.carry)
-        super().__init__(stage, promises=Kept(self.gate, self.core))
+        self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
+        super().__init__(stage, promises=StoredClaims(self.gate, self.core))
         self.door.below = self.gate
 
     def after(self, delay_ms, callback):
@@ -192,15 +192,15 @@
     def knows(self, kind, id, phase, answer=None):
         call = Call(id, kind, "t", "f", 1.0, b"", "" if kind != "keyed" else id.hex(), 1, None, None, print)
         claim = Claim("n9#3", 1, 1, 0, phase, "d", answer)
-        shelf, name = self.core.keeper.shelf, name_of(call)
+        shelf, name = self.core.keeper.shelf, call_key(call)
         shelf.put(1.0, name, shelf.entry(1.0, name), claim, 10_000.0)
 
 
 def test_repeats_of_promised_calls_have_their_answer_before_new_calls_are_taken():
     ground = Promised(RecoveryPhase.REPEATS)
-    ground.knows("settle", (1).to_bytes(8, "big"), Phase.ANSWERED, base64.b64encode(b"kept").decode())
-    ground.knows("settle", (2).to_bytes(8, "big"), Phase.TAKEN)
-    ground.knows("settle", (3).to_bytes(8, "big"), Phase.CLEAR)
+    ground.knows("settle", (1).to_bytes(8, "big"), ClaimPhase.ANSWERED, base64.b64encode(b"kept").decode())
+    ground.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.TAKEN)
+    ground.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.CLEAR)
     answers = [ground.ask("settle")[1] for _ in range(4)]
     assert answers[:2] == [[Served(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
     assert all(isinstance(got[0], Refused) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
@@ -249,9 +249,9 @@
             ground.pass_by(20.0 * n)
         elif what in ("copy", "stood"):
             ground.giving.places[row] = 1 + n % 3
-            ground.door.told(Stood(row))
+            ground.door.told(CopyAvailable(row))
         elif what == "ticket" and ground.giving.asked:
-            ground.door.told(Ticket(ground.giving.asked.pop(0), [0.0, 100.0, 900.0][n % 3]))
+            ground.door.told(SlowStartPermit(ground.giving.asked.pop(0), [0.0, 100.0, 900.0][n % 3]))
         elif what == "gone":
             ground.giving.places.pop(row, None)
         elif what == "at_once":
@@ -277,7 +277,7 @@
         self.out, self.asked, self.told, self.made, self.now = [], [], [], [], 5_000.0
         self.loading, self.own, self.places = self, set(own), {"f": 7}
         self.requests = {}
-        self.holds = Holds(
+        self.holds = LoadOrderGate(
             self.out.append, self.asked.append, self.told.append, self.requests, lambda: self.now
         )
 
@@ -391,7 +391,7 @@
     told = ground.door.since()
     assert told == {"refused: class": 1, "let in": 1, "refused: copy": 1, "held": 1}
     ground.giving.places["h"] = 7
-    ground.door.told(Stood("h"))
+    ground.door.told(CopyAvailable("h"))
     assert ground.door.since() == {"let in after a wait": 1, "held": 1} and ground.door.since() == {}
     ground.go_by(RecoveryPhase.SPILL)
     ground.ask("view")
