--- a/fawnwharf/recovery_service/messages.py
+++ b/fawnwharf/recovery_service/messages.py
@@ -2,15 +2,18 @@
 come in; no logic. A lost word costs time alone: all are said again.
 """
 
-from typing import Annotated, Any
-
-import msgspec
-from msgspec import Meta, Struct
-
 from fawnwharf.consensus.messages import MAX_DATA_LENGTH
-from fawnwharf.durable_store.reading import Sign
-from fawnwharf.recovery_core.asking import Answer, Ask, Number
+from fawnwharf.durable_store.folder_reader import FolderPosition
+from fawnwharf.recovery_core.queries import Answer
+from fawnwharf.recovery_core.queries import Number
+from fawnwharf.recovery_core.queries import Query
 from fawnwharf.zones.settings import Name
+from msgspec import Meta
+from msgspec import Struct
+from typing import Annotated
+from typing import Any
+import msgspec
+
 
 LOG_CLIENT = "recovery"  # by both logs; the kind of its register as well
 
@@ -24,14 +27,14 @@
 
     life: Number
     mark: Mark  # empty: the system tells none
-    sign: Sign
+    sign: FolderPosition
 
 
 class KnownSignature(Struct, frozen=True, tag="Known"):
     """A voter's word to one that started anew: so far its folder had come by an earlier word of its own."""
 
     life: Number  # of the one that is told
-    sign: Sign
+    sign: FolderPosition
 
 
 class CallCounts(Struct, frozen=True, array_like=True):
@@ -69,7 +72,7 @@
     register: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)]
 
 
-RecoveryMessage = Ask | Answer | BootReport | KnownSignature | StatusReport | PhaseAnnouncement
+RecoveryMessage = Query | Answer | BootReport | KnownSignature | StatusReport | PhaseAnnouncement
 
 
 def recovery_message_from(data: Any) -> RecoveryMessage:
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -5,17 +5,13 @@
 """
 
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any, NamedTuple
-
-import msgspec
-
 from fawnwharf import config
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import voter_store as voter_disk
-from fawnwharf.durable_store import form, ops
+from fawnwharf.durable_store import file_format
+from fawnwharf.durable_store import operations
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import policy_file as policy_file
@@ -23,16 +19,27 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_service import hints, permit_messages, stored_state
+from fawnwharf.recovery_service import hints
 from fawnwharf.recovery_service import messages as recovery_words
+from fawnwharf.recovery_service import permit_messages
+from fawnwharf.recovery_service import stored_state
 from fawnwharf.replication import claims
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
-from fawnwharf.sessions import left, staging
+from fawnwharf.sessions import left
 from fawnwharf.sessions import settings as session_settings
+from fawnwharf.sessions import staging
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import log_lines, member_log, plan, planner
+from fawnwharf.zones import log_lines
+from fawnwharf.zones import member_log
+from fawnwharf.zones import plan
+from fawnwharf.zones import planner
 from fawnwharf.zones import settings as zone_settings
+from pathlib import Path
+from typing import Any
+from typing import NamedTuple
+import msgspec
+
 
 CORPUS = Path(__file__).parent / "corpus"
 
@@ -82,12 +89,12 @@
     "consensus/message": line(consensus.Message, consensus.message_from),
     "consensus/label": file(voter_disk.DiskIdentity),
     "consensus/saved": file(consensus.PersistentState),
-    "storage/head": file(form.Head),
-    "storage/group": file(form.Group),
-    "storage/piece": file(form.Piece),
-    "storage/foot": file(form.Foot),
-    "storage/job": packed(ops.Job, "ops"),
-    "storage/outcome": packed(ops.Outcome),
+    "storage/head": file(file_format.FileHeader),
+    "storage/group": file(file_format.CommitGroup),
+    "storage/piece": file(file_format.SnapshotChunk),
+    "storage/foot": file(file_format.SnapshotFooter),
+    "storage/job": packed(operations.DiskJob, "ops"),
+    "storage/outcome": packed(operations.JobResult),
     "policy/message": line(policy.Message, policy.decode_message),
     "policy/standing": line(policy.MemberStatus, policy.decode_member_status),
     "policy/kept": file(policy_file.StoredPolicy),
@@ -105,7 +112,7 @@
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
     "successor/memory": packed(beliefs.LearnedState),
     "recovery/register": Boundary(
-        recovery_register.Register, lambda data: recovery_register.register_from(data.decode()),
+        recovery_register.RecoveryRegister, lambda data: recovery_register.parse_register(data.decode()),
         lambda value: value.encode().encode(),
     ),
     "recovery/word": line(recovery_words.RecoveryMessage, recovery_words.recovery_message_from),
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -1,25 +1,33 @@
 """Folders recorded by commit 9d9ccab are read from copies, with all that they held."""
 
-import shutil
-from pathlib import Path
-
-import pytest
-from compatibility_folders import FOLDERS, copied, framed, records_of
-
+from compatibility_folders import FOLDERS
+from compatibility_folders import copied
+from compatibility_folders import framed
+from compatibility_folders import records_of
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
-from fawnwharf.consensus.voter_store import DiskError, VoterStore
-from fawnwharf.durable_store import form
-from fawnwharf.durable_store.store import open_folder
+from fawnwharf.consensus.voter_store import DiskError
+from fawnwharf.consensus.voter_store import VoterStore
+from fawnwharf.durable_store import file_format
+from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.document import parse_document, parse_register
-from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.policy_rollout.document import parse_document
+from fawnwharf.policy_rollout.document import parse_register
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.grant_log import GrantLog
+from pathlib import Path
+import pytest
+import shutil
+
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
 BASE = consensus.Snapshot(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
-STORE_KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
+STORE_KINDS = [
+    file_format.EntryKind("term", file_format.SYNCED),
+    file_format.EntryKind("use", file_format.SOON),
+]
 HELD = [
     ("key-0", Claim("n0#7", 1, 2, 100, ClaimPhase.CLEAR, "", None), 30_000.0),
     ("key-1", Claim("n1#8", 2, 3, 101, ClaimPhase.ANSWERED, "d", "YW5zd2Vy"), 31_000.0),
@@ -67,7 +75,7 @@
     """Values of the first life come from the snapshot, changes and removals from the segment."""
     folder = copied("store", tmp_path)
     assert names(folder) == {"snap-2.snap", "log-2.seg"}
-    store = open_folder(folder, "fleet-1", "n0", STORE_KINDS, boot="boot-3")
+    store = open_store(folder, "fleet-1", "n0", STORE_KINDS, boot="boot-3")
     try:
         found = store.found
         assert (found.fresh, found.boot, found.ended, found.torn) == (False, "boot-2", True, 0)
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -3,22 +3,14 @@
 The expected texts are those that commit 9d9ccab wrote.
 """
 
-import json
-import re
-import socket
-
-import msgspec
-import pytest
-from typer.testing import CliRunner
-
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.admin.handoff_channel import HandoffDirectory
 from fawnwharf.cli import app
 from fawnwharf.consensus import records
 from fawnwharf.consensus import voter_store as voter_disk
+from fawnwharf.durable_store import file_format
 from fawnwharf.durable_store import folder as durable_folder
-from fawnwharf.durable_store import form
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
@@ -27,24 +19,39 @@
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
-from fawnwharf.policy_rollout.document import Document, parse_register
+from fawnwharf.policy_rollout.document import Document
+from fawnwharf.policy_rollout.document import parse_register
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_core.trust import Clock, Kind
-from fawnwharf.recovery_service import front_end_integration, stored_state
+from fawnwharf.recovery_core.trust import ClockReading
+from fawnwharf.recovery_core.trust import StateKind
+from fawnwharf.recovery_service import front_end_integration
 from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.recovery_service import settings as recovery_settings
+from fawnwharf.recovery_service import stored_state
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
-from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.session_types import Home, Session
-from fawnwharf.sessions import foreseen, left
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.session_types import Home
+from fawnwharf.session_types import Session
+from fawnwharf.sessions import foreseen
+from fawnwharf.sessions import left
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import log_lines, member_log, plan
+from fawnwharf.zones import log_lines
+from fawnwharf.zones import member_log
+from fawnwharf.zones import plan
 from fawnwharf.zones import settings as zone_settings
+from typer.testing import CliRunner
+import json
+import msgspec
+import pytest
+import re
+import socket
+
 
 RUNNER = CliRunner()
 SITES = {"a", "b", "c"}
@@ -248,7 +255,7 @@
 def test_an_entry_of_the_store_has_its_recorded_form():
     """Stamped with the clock; a grant is a list that begins with how long it counts."""
     claim = Claim("n0#7", 1, 2, 100, ClaimPhase.TAKEN, "d1", None)
-    data = stored_state.encode_entry(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
+    data = stored_state.encode_entry(ClockReading("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
         b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
         b'"digest":"d1","answer":null}]]'
@@ -295,15 +302,18 @@
 def test_names_and_numbers_that_are_stored_or_sent_are_as_recorded():
     """Versions, magic numbers, names of files, of kinds of entries and of states."""
     versions = [
-        voter_disk, form, policy_file, policy_settings, prefetch_memory, successor, recovery_register,
+        voter_disk, file_format, policy_file, policy_settings, prefetch_memory, successor, recovery_register,
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
     ]  # fmt: skip
     assert {module.VERSION for module in versions} == {1}
-    assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK) == (b"fwv1", b"fwmem\x01", "durable.lock")
-    assert (form.snap_name(3), form.log_name(4), form.BESIDE) == ("snap-3.snap", "log-4.seg", ".new")
-    assert (form.SNAPSHOT, form.LOG, form.SYNCED, form.SOON, form.HINT) == (
-        "snapshot", "log", "synced", "soon", "hint",
-    )  # fmt: skip
+    assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK_FILE) == (b"fwv1", b"fwmem\x01", "durable.lock")
+    assert (file_format.snapshot_name(3), file_format.log_name(4), file_format.TEMPORARY_SUFFIX) == (
+        "snap-3.snap",
+        "log-4.seg",
+        ".new",
+    )
+    assert (file_format.SNAPSHOT, file_format.LOG) == ("snapshot", "log")
+    assert (file_format.SYNCED, file_format.SOON, file_format.HINT) == ("synced", "soon", "hint")
     assert (policy_service.POLICY_FILE, policy_service.REQUEST_FILE) == ("policy.json", "proposal.json")
     assert keeper_disk.INCOMPLETE == -1 and stored_state.LAST == "last"
     assert (stored_state.START, stored_state.DOUBT, stored_state.COMPLETE, stored_state.COMMIT_TICKET) == (
@@ -313,8 +323,8 @@
         "turn",
     )
     assert {kind: rule.name for kind, rule in stored_state.ENTRY_RULES.items()} == {
-        Kind.PROMISE: "promise", Kind.PLAN: "plan", Kind.POLICY: "policy", Kind.HOMES: "homes",
-        Kind.ROSTER: "roster", Kind.USE: "use",
+        StateKind.PROMISE: "promise", StateKind.PLAN: "plan", StateKind.POLICY: "policy",
+        StateKind.HOMES: "homes", StateKind.ROSTER: "roster", StateKind.USE: "use",
     }  # fmt: skip
     assert {rule.name: rule.mode for rule in stored_state.ENTRY_RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
