--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -4,24 +4,25 @@
 after a failure: then all is written anew, a snapshot and then a log, before anything is told to be on disk.
 """
 
-from collections.abc import Callable
-from collections.abc import Generator
+from collections.abc import Callable, Generator
+from typing import Any, NamedTuple
+
+import msgspec
+from msgspec import Struct
+
 from fawnwharf.consensus.records import encode_record
 from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.durable_store.folder_reader import FolderState
-from fawnwharf.durable_store.operations import AppendBytes
-from fawnwharf.durable_store.operations import CreateFile
-from fawnwharf.durable_store.operations import DiskJob
-from fawnwharf.durable_store.operations import JobResult
-from fawnwharf.durable_store.operations import RemoveFile
-from fawnwharf.durable_store.operations import RenameFile
-from fawnwharf.durable_store.operations import SyncFile
-from fawnwharf.durable_store.operations import SyncFolder
-from msgspec import Struct
-from typing import Any
-from typing import NamedTuple
-import msgspec
+from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState
+from fawnwharf.durable_store.operations import (
+    AppendBytes,
+    CreateFile,
+    DiskJob,
+    JobResult,
+    RemoveFile,
+    RenameFile,
+    SyncFile,
+    SyncFolder,
+)
 
 
 class ChangeRejectedError(Exception):
--- a/fawnwharf/durable_store/crash_simulation.py
+++ b/fawnwharf/durable_store/crash_simulation.py
@@ -7,38 +7,30 @@
 are never read over.
 """
 
-from collections.abc import Callable
-from collections.abc import Iterator
-from dataclasses import dataclass
-from dataclasses import field
-from fawnwharf.consensus.records import records_after
-from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.durable_store.folder_reader import FolderState
-from fawnwharf.durable_store.folder_reader import UnreadableFolderError
-from fawnwharf.durable_store.folder_reader import rollback_reason
-from fawnwharf.durable_store.mutants import MUTANTS
-from fawnwharf.durable_store.mutants import Mutant
-from fawnwharf.durable_store.mutants import UNCHANGED
-from fawnwharf.durable_store.operations import DiskJob
-from fawnwharf.durable_store.operations import JobResult
-from fawnwharf.durable_store.operations import execute_job
-from fawnwharf.durable_store.store import ChangeRejectedError
-from fawnwharf.durable_store.store import Store
-from fawnwharf.durable_store.store import create_store
-from fawnwharf.durable_store.store import inspect_folder
-from fawnwharf.fakes.disks import MemoryDisk
-from fawnwharf.fakes.disks import Plan
-from fawnwharf.fakes.disks import PowerCut
-from random import Random
 import argparse
 import collections
 import contextlib
 import itertools
-import msgspec
 import sys
 import time
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass, field
+from random import Random
 
+import msgspec
+
+from fawnwharf.consensus.records import records_after
+from fawnwharf.durable_store import file_format as f
+from fawnwharf.durable_store.folder_reader import (
+    FolderPosition,
+    FolderState,
+    UnreadableFolderError,
+    rollback_reason,
+)
+from fawnwharf.durable_store.mutants import MUTANTS, UNCHANGED, Mutant
+from fawnwharf.durable_store.operations import DiskJob, JobResult, execute_job
+from fawnwharf.durable_store.store import ChangeRejectedError, Store, create_store, inspect_folder
+from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
 KINDS = [f.EntryKind("term", f.SYNCED, 4), f.EntryKind("use", f.SOON, 12), f.EntryKind("copies", f.HINT, 12)]
 LIMITS = f.StoreLimits(64 * 1024, 700, 250, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
--- a/fawnwharf/durable_store/file_format.py
+++ b/fawnwharf/durable_store/file_format.py
@@ -4,17 +4,14 @@
 Unix milliseconds and serve people and trust alone; durations are milliseconds of the monotonic clock.
 """
 
-from collections.abc import Iterable
-from collections.abc import Iterator
-from fawnwharf.consensus.records import HEADER_BYTES
-from fawnwharf.consensus.records import encode_record
-from msgspec import Meta
-from msgspec import Struct
-from typing import Annotated
-from typing import Literal
-import msgspec
 import re
+from collections.abc import Iterable, Iterator
+from typing import Annotated, Literal
+
+import msgspec
+from msgspec import Meta, Struct
 
+from fawnwharf.consensus.records import HEADER_BYTES, encode_record
 
 VERSION = 1
 SYNCED, SOON, HINT = "synced", "soon", "hint"
@@ -120,7 +117,9 @@
         if held >= piece_bytes:
             yield encode_record(number, SnapshotChunk(piece))
             number, piece, held = number + 1, [], 0
-    yield encode_record(number, SnapshotChunk(piece)) + encode_record(number + 1, SnapshotFooter(len(entries)))
+    yield encode_record(number, SnapshotChunk(piece)) + encode_record(
+        number + 1, SnapshotFooter(len(entries))
+    )
 
 
 def encode_group(
--- a/fawnwharf/durable_store/folder_reader.py
+++ b/fawnwharf/durable_store/folder_reader.py
@@ -4,14 +4,13 @@
 else is found is damage, or not this member's, and is refused by name.
 """
 
-from collections.abc import Iterable
-from collections.abc import Mapping
-from fawnwharf.consensus.records import leading_records
-from fawnwharf.consensus.records import records_after
-from fawnwharf.durable_store import file_format as f
-from msgspec import Struct
+from collections.abc import Iterable, Mapping
+
 import msgspec
+from msgspec import Struct
 
+from fawnwharf.consensus.records import leading_records, records_after
+from fawnwharf.durable_store import file_format as f
 
 FileContent = tuple[bytes, int]  # of a file, and its inode
 
--- a/fawnwharf/durable_store/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -5,22 +5,26 @@
 """
 
 from collections.abc import Mapping
-from fawnwharf.consensus.records import encode_record
-from fawnwharf.consensus.records import leading_records
-from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store.folder_reader import FileContent
-from fawnwharf.durable_store.folder_reader import FolderState
-from fawnwharf.durable_store.folder_reader import UnreadableFolderError
-from fawnwharf.durable_store.folder_reader import files_in_use
-from fawnwharf.durable_store.folder_reader import read_folder
-from fawnwharf.durable_store.operations import AppendBytes
-from fawnwharf.durable_store.operations import CreateFile
-from fawnwharf.durable_store.operations import DiskJob
-from fawnwharf.durable_store.operations import RenameFile
-from fawnwharf.durable_store.operations import SyncFile
-from fawnwharf.durable_store.operations import SyncFolder
+
 from msgspec import Struct
 
+from fawnwharf.consensus.records import encode_record, leading_records
+from fawnwharf.durable_store import file_format as f
+from fawnwharf.durable_store.folder_reader import (
+    FileContent,
+    FolderState,
+    UnreadableFolderError,
+    files_in_use,
+    read_folder,
+)
+from fawnwharf.durable_store.operations import (
+    AppendBytes,
+    CreateFile,
+    DiskJob,
+    RenameFile,
+    SyncFile,
+    SyncFolder,
+)
 
 ASIDE_SUFFIX = ".aside"
 
--- a/fawnwharf/recovery_service/messages.py
+++ b/fawnwharf/recovery_service/messages.py
@@ -2,18 +2,15 @@
 come in; no logic. A lost word costs time alone: all are said again.
 """
 
+from typing import Annotated, Any
+
+import msgspec
+from msgspec import Meta, Struct
+
 from fawnwharf.consensus.messages import MAX_DATA_LENGTH
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.recovery_core.queries import Answer
-from fawnwharf.recovery_core.queries import Number
-from fawnwharf.recovery_core.queries import Query
+from fawnwharf.recovery_core.queries import Answer, Number, Query
 from fawnwharf.zones.settings import Name
-from msgspec import Meta
-from msgspec import Struct
-from typing import Annotated
-from typing import Any
-import msgspec
-
 
 LOG_CLIENT = "recovery"  # by both logs; the kind of its register as well
 
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -5,29 +5,27 @@
 written anew; no test uses this module.
 """
 
+import json
+import shutil
+import sys
+import tempfile
+import time
 from collections.abc import Callable
+from pathlib import Path
+
 from compatibility_folders import FOLDERS
-from compatibility_process import FILES
-from compatibility_process import Front
+from compatibility_process import FILES, Front
+
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus.voter_store import VoterStore
 from fawnwharf.durable_store import file_format
 from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.document import Register
-from fawnwharf.policy_rollout.document import parse_document
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.policy_rollout.document import Register, parse_document
+from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.grant_log import GrantLog
 from fawnwharf.zones.bootstrap import bootstrap
-from pathlib import Path
-import json
-import shutil
-import sys
-import tempfile
-import time
-
 
 KINDS = [file_format.EntryKind("term", file_format.SYNCED), file_format.EntryKind("use", file_format.SOON)]
 IDENTITIES = ("n0#00112233445566aa", "n1#00112233445566bb")
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -1,26 +1,21 @@
 """Folders recorded by commit 9d9ccab are read from copies, with all that they held."""
 
-from compatibility_folders import FOLDERS
-from compatibility_folders import copied
-from compatibility_folders import framed
-from compatibility_folders import records_of
+import shutil
+from pathlib import Path
+
+import pytest
+from compatibility_folders import FOLDERS, copied, framed, records_of
+
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
-from fawnwharf.consensus.voter_store import DiskError
-from fawnwharf.consensus.voter_store import VoterStore
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 from fawnwharf.durable_store import file_format
 from fawnwharf.durable_store.store import open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.document import parse_document
-from fawnwharf.policy_rollout.document import parse_register
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.policy_rollout.document import parse_document, parse_register
+from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.grant_log import GrantLog
-from pathlib import Path
-import pytest
-import shutil
-
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
 BASE = consensus.Snapshot(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
--- a/tests/test_rejoin_disks.py
+++ b/tests/test_rejoin_disks.py
@@ -1,18 +1,19 @@
 """Real processes whose machines lost their power, one of them with another disk than it had: an older copy,
 another member's, an empty one, one with a bit that is another."""
 
-from fawnwharf.consensus.records import leading_records
-from fawnwharf.durable_store import file_format as f
-from pathlib import Path
-from support.power_losses import PowerFleet
 import contextlib
-import msgspec
-import pytest
 import resource
 import shutil
 import subprocess
 import sys
+from pathlib import Path
 
+import msgspec
+import pytest
+from support.power_losses import PowerFleet
+
+from fawnwharf.consensus.records import leading_records
+from fawnwharf.durable_store import file_format as f
 
 TIMING = {"hold_ms": 100.0, "listen_ms": 1_000.0, "most_ms": 300.0, "settle_ms": 100.0}
 PACE = {"again_ms": 50.0, "spread_ms": 20.0, "stand_ms": 50.0, "stage_ms": 100.0}
@@ -99,7 +100,10 @@
     groups = [content for _, content in leading_records(data)[0][1:]]
     if not groups:
         return 0
-    synced, number = msgspec.json.decode(groups[-1], type=f.CommitGroup).synced, leading_records(data)[0][1][0]
+    synced, number = (
+        msgspec.json.decode(groups[-1], type=f.CommitGroup).synced,
+        leading_records(data)[0][1][0],
+    )
     return data.index(groups[0]) + 5 if synced >= number else 0
 
 
