--- a/fawnwharf/replication/settings.py
+++ b/fawnwharf/replication/settings.py
@@ -21,10 +21,10 @@
 VERSION = 1
 KEEPER_ZONES = (1, 3, 5)
 
-Mode = Literal["before", "after", "off"]
+ClaimMode = Literal["before", "after", "off"]
 
 
-class Bounds(Struct, frozen=True):
+class StoreLimits(Struct, frozen=True):
     """What a front end holds of others' calls. Answers go first, then nothing new is taken."""
 
     calls: Annotated[int, Meta(ge=1, le=1_000_000)] = 15_000
@@ -33,7 +33,7 @@
     waiters: Annotated[int, Meta(ge=1)] = 8  # front ends that wait for one call's answer
 
 
-class Settings(Struct, frozen=True):
+class ReplicationSettings(Struct, frozen=True):
     """The one file that switches replicated state on. Relative paths are from its own folder."""
 
     version: int
@@ -42,7 +42,7 @@
     folder: str = ""  # for what a keeper grants, so that it knows after a restart; none: in memory alone
     zones: Annotated[int, Meta(ge=1, le=5)] = 3  # that keep each call, by one front end each
     per_zone: Annotated[int, Meta(ge=1, le=8)] = 1  # front ends of a zone that share its calls
-    modes: dict[Name, Mode] = {}  # by class; at most once 'before', keyed 'after', idempotent 'off'
+    modes: dict[Name, ClaimMode] = {}  # by class; at most once 'before', keyed 'after', idempotent 'off'
     unkept: Literal["refuse", "serve"] = "refuse"  # what becomes of a 'before' that can't be kept
     wait_part: Fraction = 0.25  # of a class's promise, for keepers to answer
     wait_most_ms: DurationMs = 500.0
@@ -62,7 +62,7 @@
     copies_ms: DurationMs = (
         3_000.0  # a copy counts for so long after its proof, and for half its idle life at most
     )
-    bounds: Bounds = msgspec.field(default_factory=Bounds)
+    bounds: StoreLimits = msgspec.field(default_factory=StoreLimits)
 
     @property
     def longest_ms(self) -> float:
@@ -70,8 +70,8 @@
         return self.call_most_ms + self.window_ms
 
 
-def settings_from(data: bytes) -> Settings:
-    found: Settings = decode_versioned_file(data, Settings, "settings", VERSION)
+def parse_settings(data: bytes) -> ReplicationSettings:
+    found: ReplicationSettings = decode_versioned_file(data, ReplicationSettings, "settings", VERSION)
     if found.zones not in KEEPER_ZONES:
         raise SettingsFileError(f"zones: {found.zones}, and it takes 1, 3 or 5")
     if found.quiet_ms < 2 * found.wait_most_ms:
@@ -87,7 +87,7 @@
     return found
 
 
-def check_members(members: Membership, settings: Settings) -> None:
+def check_members(members: Membership, settings: ReplicationSettings) -> None:
     """Whether this fleet can keep state as the settings ask; raises FileFault."""
     able = {member.zone for member in members.members if member.state}
     if len(able) < settings.zones:
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -17,8 +17,8 @@
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.durable_store import form, ops
 from fawnwharf.migration import messages as migrations
-from fawnwharf.policy_rollout import keeping as policy_file
 from fawnwharf.policy_rollout import messages as policy
+from fawnwharf.policy_rollout import policy_file as policy_file
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
@@ -26,7 +26,7 @@
 from fawnwharf.recovery_service import given_words, hints, kept
 from fawnwharf.recovery_service import words as recovery_words
 from fawnwharf.replication import claims
-from fawnwharf.replication import disk as keeper_disk
+from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
@@ -88,11 +88,12 @@
     "storage/foot": file(form.Foot),
     "storage/job": packed(ops.Job, "ops"),
     "storage/outcome": packed(ops.Outcome),
-    "policy/message": line(policy.Message, policy.message_from),
-    "policy/standing": line(policy.Standing, policy.standing_from),
-    "policy/kept": file(policy_file.Kept),
+    "policy/message": line(policy.Message, policy.decode_message),
+    "policy/standing": line(policy.MemberStatus, policy.decode_member_status),
+    "policy/kept": file(policy_file.StoredPolicy),
     "policy/request": Boundary(
-        policy_settings.Said, lambda data: msgspec.json.decode(data, type=policy_settings.Said),
+        policy_settings.OperatorRequest, lambda data: msgspec.json.decode(data,
+        type=policy_settings.OperatorRequest),
         msgspec.json.encode, strict=True,
     ),
     "prefetch/word": converted(staging.Word),
@@ -114,7 +115,7 @@
     "recovery/claim": converted(claims.Claim),
     "recovery/scorers": converted(list[hints._Scorer]),
     "recovery/use": converted(list[hints._Use]),
-    "state/line": line(state.Line, state.line_from, "say"),
+    "state/line": line(state.LogLine, state.parse_line, "say"),
     "state/head": file(keeper_disk.Head),
     "state/batch": file(keeper_disk.Batch),
     "sessions/word": line(session_words.Word, session_words.word_from),
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -8,8 +8,8 @@
 
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy_rollout.service import Policies
-from fawnwharf.replication.service import State
+from fawnwharf.policy_rollout.service import PolicyRolloutService
+from fawnwharf.replication.service import ReplicationService
 from fawnwharf.serving import Seams
 from fawnwharf.zones.bootstrap import bootstrap
 from fawnwharf.zones.service import ZoneService
@@ -51,10 +51,12 @@
         write = lambda event, fields: self.notes.append((event, dict(fields)))  # noqa: E731
         made = {"zones": lambda first, made: ZoneService(deployment, self.folder / "zones.json", write)}
         if self.site.state:
-            made["state"] = lambda first, made: State(deployment, self.folder / "state.json", write, first)
+            made["state"] = lambda first, made: ReplicationService(
+                deployment, self.folder / "state.json", write, first
+            )
         if self.policy:
             path = self.folder / "settings.json"
-            made["policy"] = lambda first, made: Policies(deployment, path, write, made)
+            made["policy"] = lambda first, made: PolicyRolloutService(deployment, path, write, made)
         seam = Seams(made, True)
         self.lines = []
         self.front = FrontEnd(deployment, lambda text, source="": self.lines.append(text), seam=seam)
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -6,11 +6,11 @@
 
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy_rollout.service import Policies
+from fawnwharf.policy_rollout.service import PolicyRolloutService
 from fawnwharf.recovery_core.stages import Stage
 from fawnwharf.recovery_service.onstore import kept
 from fawnwharf.recovery_service.service import Rejoin
-from fawnwharf.replication.service import State
+from fawnwharf.replication.service import ReplicationService
 from fawnwharf.serving import Seams
 from fawnwharf.zones.bootstrap import bootstrap
 from fawnwharf.zones.service import ZoneService
@@ -52,10 +52,10 @@
             "kept": lambda first, made: kept(
                 deployment, str(here / "recovery.json"), str(here / "state.json"), write, fresh
             ),
-            "state": lambda first, made: State(
+            "state": lambda first, made: ReplicationService(
                 deployment, here / "state.json", write, fresh, made["kept"]
             ),
-            "policy": lambda first, made: Policies(deployment, here / "policy.json", write, made),
+            "policy": lambda first, made: PolicyRolloutService(deployment, here / "policy.json", write, made),
             "recovery": lambda first, made: Rejoin(
                 deployment, here / "recovery.json", write, made
             ),
