--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -121,7 +121,7 @@
 ) -> None:
     """Leave a word for this member's process, and wait for what comes of it."""
     log = log_address(settings, members, "") if wait_s > 0.0 else None  # before anything is written
-    folder = Path(path).parent / settings.folder
+    folder = Path(path).parent / settings.state_folder
     place = folder / REQUEST_FILE
     try:
         before = json.loads(place.read_bytes())["number"] if place.exists() else 0
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -24,7 +24,7 @@
     """
     settings, members = deployment.settings, zones.core.members
     names = sorted(members.zones)
-    spill = zones.settings.spill
+    spill = zones.settings.spillover
     values: dict[tuple[str, ...], Any] = {}
     for name, spec in settings.classes.items():
         values["classes", name, "promise_ms"] = spec.promise_ms
@@ -35,7 +35,7 @@
     values |= {("tenants", name, "quota_rps"): rps for name, rps in settings.quotas_rps.items()}
     values |= {("staging", key): value for key, value in (staging or {}).items()}
     values |= {("admission", name): 1.0 for name in names}
-    values |= {("spill", name): spill.zones.get(name, spill.share) for name in names}
+    values |= {("spill", name): spill.fraction_by_zone.get(name, spill.fraction) for name in names}
     found = DeploymentCapabilities(
         classes=frozenset(settings.classes),
         tenants=deployment.wire.tenants | frozenset(settings.quotas_rps),
@@ -75,11 +75,11 @@
         if rps != self._limit:
             self._limit = rps
             self.front.limit(LIMIT, rps)
-        told = self.zones.settings.spill
+        told = self.zones.settings.spillover
         spill = {name: float(part) for name, part in document.section("spill").items()}
         # The plan has the settings' own already.
         self.zones.apply_policy_limits(
-            sold, {n: p for n, p in spill.items() if p < told.zones.get(n, told.share)}
+            sold, {n: p for n, p in spill.items() if p < told.fraction_by_zone.get(n, told.fraction)}
         )
         return self._classes(document)
 
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -164,7 +164,7 @@
     def _own(self) -> Own:
         now, keeper, voter = monotonic_ms(), self.state.core.keeper, self.zones.core.voter
         number, text = last_put(voter.saved, "plan") if voter is not None else (0, "")
-        seen = self.zones.observer.seen(now)
+        seen = self.zones.evidence_collector.evidence(now)
         rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
         serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
         return Own(
@@ -176,7 +176,7 @@
             sign=self.kept.sign(),
             uses=bool(self._used or self.state.core.uses.owners),
             rostered=rostered,
-            scorers=(rostered and serves) or self.tallies.up or any(s.heard for s in seen.values()),
+            scorers=(rostered and serves) or self.tallies.up or any(s.responses for s in seen.values()),
             heard=len(set(self.state.alive(now)) | {self.zones.entry.name}),
             standing=self.tallies.standing(now),
         )
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -351,7 +351,7 @@
     def _shares(self) -> dict[str, float]:
         plan = self.zones.core.plan if self.zones is not None else None
         zones = plan.zones.items() if plan else ()
-        return {name: zone.share for name, zone in zones if zone.state == RECOVERING}
+        return {name: zone.fraction for name, zone in zones if zone.state == RECOVERING}
 
     def _room(self) -> dict[str, int]:
         """Sessions that sites can take from elsewhere, by the scorers that this front end may use."""
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -90,7 +90,7 @@
         elif zone.state == OUT:
             kind = "standby"
         elif zone.state == RECOVERING:
-            shares = [zone.share, *(share for share in ramp.shares if share > zone.share), 1.0]
+            shares = [zone.fraction, *(share for share in ramp.fractions if share > zone.fraction), 1.0]
             steps = tuple(m.Step(n * ramp.step_ms, share) for n, share in enumerate(shares))
         found.append(m.Announced(site, plan.number, kind, steps))
     return found
@@ -203,7 +203,7 @@
 
     def _ended(self, now_ms: float, event: io.AttemptEnded) -> None:
         site = self.scorers.zone(event.worker)
-        self._observer.ended(now_ms, site, event.worker, event.ending, event.took_ms)
+        self._observer.record_ending(now_ms, site, event.worker, event.ending, event.took_ms)
         if event.ending in (io.Ending.CONNECT_FAILED, io.Ending.RESET, io.Ending.TIMEOUT):
             self.scorers.rest(now_ms, event.worker)
         self.scorers.gave(now_ms, event.worker)
@@ -365,7 +365,7 @@
 
     def _out(self, now_ms: float) -> frozenset[str]:
         """Sites that take no calls, by the host or by what was seen here."""
-        seen = self._observer.seen(now_ms).items()
+        seen = self._observer.evidence(now_ms).items()
         dead = {site for site, signs in seen if sight(signs, self._evidence) is Sight.DEAD}
         return self._seen.out | dead
 
--- a/fawnwharf/zones/bootstrap.py
+++ b/fawnwharf/zones/bootstrap.py
@@ -13,11 +13,11 @@
     """Make a member the first voter of a new fleet, once; its disk identity. Raises ConfigError."""
     settings = load_file(Path(path), s.settings_from, "zones")
     base = Path(path).parent
-    members = load_file(base / settings.members, s.membership_from, "zones")
+    members = load_file(base / settings.membership_file, s.membership_from, "zones")
     entry = members.named(name)
     if entry is None or not entry.ballots:
         raise ConfigError(f"zones: {name} is no voter among the members")
-    folder = base / settings.folder
+    folder = base / settings.state_folder
     try:
         disk = Disk(folder, members.fleet, name)
     except DiskError as error:
--- a/fawnwharf/zones/command_helpers.py
+++ b/fawnwharf/zones/command_helpers.py
@@ -27,7 +27,7 @@
     """The settings of zones and the members that they name; exits with status 2 where they can't be taken."""
     try:
         settings = s.settings_from(Path(path).read_bytes())
-        members = s.membership_from((Path(path).parent / settings.members).read_bytes())
+        members = s.membership_from((Path(path).parent / settings.membership_file).read_bytes())
     except OSError as error:
         fail(f"zones: {error.filename}: {error.strerror}")
     except s.SettingsFileError as error:
--- a/fawnwharf/zones/commands.py
+++ b/fawnwharf/zones/commands.py
@@ -62,8 +62,10 @@
 def _wish(path: str, change: Any, zone: str, states: tuple[str, ...], wait_s: float) -> None:
     settings, members = read_files(path)
     base = Path(path).parent
-    folder = base / settings.folder
-    place = base / settings.wishes if settings.wishes else folder / "wishes.json"
+    folder = base / settings.state_folder
+    place = (
+        base / settings.operator_request_file if settings.operator_request_file else folder / "wishes.json"
+    )
     try:
         before = (
             s.operator_request_from(place.read_bytes(), set(members.zones))
@@ -125,5 +127,8 @@
     typer.echo(
         f"fawnwharf: good: {len(members.members)} members, zones {', '.join(members.zones)}, voters {voters}"
     )
-    if settings.wishes or (Path(zones).parent / settings.folder / "wishes.json").exists():
+    if (
+        settings.operator_request_file
+        or (Path(zones).parent / settings.state_folder / "wishes.json").exists()
+    ):
         typer.echo("wishes stand; see zones show")
--- a/fawnwharf/zones/evidence.py
+++ b/fawnwharf/zones/evidence.py
@@ -1,17 +1,18 @@
-"""Health evidence: what one front end sees of each zone, and what follows from it.
+"""Health evidence: what one front end observes of each zone, and the view that follows from it.
 
-Pure; times in milliseconds.
+Pure; times are in milliseconds.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, IntEnum
 from typing import Annotated
 
+import msgspec
 from msgspec import Meta, Struct
 
 from fawnwharf.interface import Ending
-from fawnwharf.zones import settings as s
+from fawnwharf.zones.settings import EvidenceSettings
 
 Count = Annotated[int, Meta(ge=0, le=10_000_000)]
 
@@ -19,22 +20,31 @@
 class ZoneEvidence(Struct, frozen=True):
     """Successes and failures of one zone within the window."""
 
-    heard: Count = 0  # answers of any kind, and dials that came up
-    slow: Count = 0  # of those, answers past their promise
-    silent: Count = 0  # nothing came in time
-    refused: Count = 0  # dials that failed
-    broken: Count = 0  # connections that ended under a call
-    run: Count = 0  # scorers that were bad since the last good sign of any scorer there
-    quiet_ms: Annotated[float, Meta(ge=0.0)] = 0.0  # since that sign, where there is a run
+    # Responses of any kind, and probes that connected.
+    responses: Count = msgspec.field(name="heard", default=0)
+    # The responses that came later than the latency objective.
+    slow_responses: Count = msgspec.field(name="slow", default=0)
+    timeouts: Count = msgspec.field(name="silent", default=0)
+    connect_failures: Count = msgspec.field(name="refused", default=0)
+    # Connections that ended during a call.
+    resets: Count = msgspec.field(name="broken", default=0)
+    # Scorers that failed since the last success of any scorer of the zone, and the time since then.
+    failing_scorers: Count = msgspec.field(name="run", default=0)
+    since_success_ms: Annotated[float, Meta(ge=0.0)] = msgspec.field(name="quiet_ms", default=0.0)
 
     @property
-    def bad(self) -> int:
+    def failures(self) -> int:
         """The number of failures."""
-        return self.silent + self.refused + self.broken
+        return self.timeouts + self.connect_failures + self.resets
+
+    @property
+    def signs(self) -> int:
+        """The number of successes and failures."""
+        return self.responses + self.failures
 
 
 class ZoneHealth(Enum):
-    """What one front end makes of a zone."""
+    """The view that one front end has of a zone."""
 
     UNKNOWN = "unknown"
     GOOD = "good"
@@ -42,109 +52,137 @@
     DEAD = "dead"
 
 
-def zone_health(seen: ZoneEvidence | None, rules: s.EvidenceSettings) -> ZoneHealth:
+def zone_health(evidence: ZoneEvidence | None, settings: EvidenceSettings) -> ZoneHealth:
     """The view that the evidence amounts to.
 
-    A run of failures at different scorers with no success between them shows a dead zone long before the
-    successes of the window are forgotten.
+    Failures at several scorers in a row, with no success between them, show a dead zone long before the
+    successes in the window are forgotten.
     """
-    if seen is not None and seen.run >= rules.least and seen.quiet_ms >= rules.quiet_ms:
+    if evidence is None:
+        return ZoneHealth.UNKNOWN
+    many_failing = evidence.failing_scorers >= settings.min_signs
+    if many_failing and evidence.since_success_ms >= settings.no_success_ms:
         return ZoneHealth.DEAD
-    if seen is None or seen.heard + seen.bad < rules.least:
+    if evidence.signs < settings.min_signs:
         return ZoneHealth.UNKNOWN
-    if seen.bad >= rules.dead_share * (seen.heard + seen.bad):
+    if evidence.failures >= settings.dead_fraction * evidence.signs:
         return ZoneHealth.DEAD
-    return ZoneHealth.SLOW if seen.slow >= rules.slow_share * seen.heard else ZoneHealth.GOOD
+    if evidence.slow_responses >= settings.slow_fraction * evidence.responses:
+        return ZoneHealth.SLOW
+    return ZoneHealth.GOOD
+
 
+class _Sign(IntEnum):
+    """One kind of evidence; the value is its place in a list of counts."""
 
-_SLICES = 4  # of the window
+    RESPONSE = 0
+    SLOW_RESPONSE = 1
+    TIMEOUT = 2
+    CONNECT_FAILURE = 3
+    RESET = 4
 
-_KINDS = {
-    Ending.GOOD: "heard",
-    Ending.ERROR: "heard",
-    Ending.FULL: "heard",
-    Ending.MISS: "heard",
-    Ending.TIMEOUT: "silent",
-    Ending.CONNECT_FAILED: "refused",
-    Ending.RESET: "broken",
+
+_SIGN_OF_ENDING = {
+    Ending.GOOD: _Sign.RESPONSE,
+    Ending.ERROR: _Sign.RESPONSE,
+    Ending.FULL: _Sign.RESPONSE,
+    Ending.MISS: _Sign.RESPONSE,
+    Ending.TIMEOUT: _Sign.TIMEOUT,
+    Ending.CONNECT_FAILED: _Sign.CONNECT_FAILURE,
+    Ending.RESET: _Sign.RESET,
 }
 
+_SLICES = 4  # of the window; evidence is forgotten one slice at a time
+
 
 @dataclass(slots=True)
 class _Slice:
+    """The number of signs of each kind in one part of the window, by zone."""
+
     began_ms: float
-    counts: dict[str, dict[str, int]] = field(default_factory=dict)  # by zone, by kind
+    counts: dict[str, list[int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class _Run:
-    """What came of a zone's scorers since the last good sign of any of them."""
+class _FailureRun:
+    """The scorers of a zone that failed since the last success of any of them."""
 
-    good_ms: float
-    bad: set[int] = field(default_factory=set)
+    success_ms: float
+    failing_scorers: set[int] = field(default_factory=set)
 
 
 class EvidenceCollector:
-    """Counts evidence by zone; what is older than the window is forgotten in quarters of it."""
+    """Counts health evidence by zone within a sliding window."""
 
-    def __init__(self, rules: s.EvidenceSettings, promise_ms: float) -> None:
-        self._rules, self._promise_ms = rules, promise_ms
+    def __init__(self, settings: EvidenceSettings, latency_objective_ms: float) -> None:
+        self._settings = settings
+        self._latency_objective_ms = latency_objective_ms
         self._slices: deque[_Slice] = deque()
-        self._runs: dict[str, _Run] = {}
+        self._runs: dict[str, _FailureRun] = {}
 
-    def ended(self, now_ms: float, zone: str, scorer: int, ending: Ending, took_ms: float) -> None:
-        """Take the end of an attempt or a load order.
+    def record_ending(self, now_ms: float, zone: str, scorer: int, ending: Ending, took_ms: float) -> None:
+        """Record the end of an attempt or of a load order.
 
-        A cancelled one tells only that nothing came for so long.
+        A cancelled one counts as a timeout where it had taken longer than the latency objective, and as
+        nothing otherwise.
         """
-        if ending is Ending.CANCELLED and took_ms > self._promise_ms:
-            self.sign(now_ms, zone, scorer, "silent")
-        elif kind := _KINDS.get(ending):
-            self.sign(now_ms, zone, scorer, kind)
-            if kind == "heard" and took_ms > self._promise_ms:
-                self._count(now_ms, zone, "slow")
-
-    def dialled(self, now_ms: float, zone: str, scorer: int, good: bool) -> None:
-        """Take the result of a probe."""
-        self.sign(now_ms, zone, scorer, "heard" if good else "refused")
-
-    def sign(self, now_ms: float, zone: str, scorer: int, kind: str) -> None:
-        """Count one piece of evidence; `kind` is a field of `Seen`."""
-        self._count(now_ms, zone, kind)
-        run = self._runs.setdefault(zone, _Run(now_ms))
-        if kind == "heard":
-            run.good_ms = now_ms
-            run.bad.clear()
+        if ending is Ending.CANCELLED and took_ms > self._latency_objective_ms:
+            self._record(now_ms, zone, scorer, _Sign.TIMEOUT)
+        elif (sign := _SIGN_OF_ENDING.get(ending)) is not None:
+            self._record(now_ms, zone, scorer, sign)
+            if sign is _Sign.RESPONSE and took_ms > self._latency_objective_ms:
+                self._count(now_ms, zone, _Sign.SLOW_RESPONSE)
+
+    def record_probe(self, now_ms: float, zone: str, scorer: int, *, connected: bool) -> None:
+        """Record the result of a probe."""
+        self._record(now_ms, zone, scorer, _Sign.RESPONSE if connected else _Sign.CONNECT_FAILURE)
+
+    def _record(self, now_ms: float, zone: str, scorer: int, sign: _Sign) -> None:
+        self._count(now_ms, zone, sign)
+        run = self._runs.setdefault(zone, _FailureRun(now_ms))
+        if sign is _Sign.RESPONSE:
+            run.success_ms = now_ms
+            run.failing_scorers.clear()
         else:
-            run.bad.add(scorer)
+            run.failing_scorers.add(scorer)
 
-    def quiet_ms(self, now_ms: float, zone: str) -> float:
-        """The time without a success from a zone."""
+    def since_success_ms(self, now_ms: float, zone: str) -> float:
+        """The time since the last success of a zone; infinite for a zone without any evidence."""
         run = self._runs.get(zone)
-        return now_ms - run.good_ms if run else float("inf")
+        return now_ms - run.success_ms if run else float("inf")
 
-    def _count(self, now_ms: float, zone: str, kind: str) -> None:
-        self._forget(now_ms)
-        if not self._slices or now_ms - self._slices[-1].began_ms >= self._rules.window_ms / _SLICES:
+    def _count(self, now_ms: float, zone: str, sign: _Sign) -> None:
+        self._forget_old(now_ms)
+        if not self._slices or now_ms - self._slices[-1].began_ms >= self._settings.window_ms / _SLICES:
             self._slices.append(_Slice(now_ms))
-        counts = self._slices[-1].counts.setdefault(zone, {})
-        counts[kind] = counts.get(kind, 0) + 1
+        counts = self._slices[-1].counts
+        if zone not in counts:
+            counts[zone] = [0] * len(_Sign)
+        counts[zone][sign] += 1
 
-    def _forget(self, now_ms: float) -> None:
-        while self._slices and now_ms - self._slices[0].began_ms > self._rules.window_ms:
+    def _forget_old(self, now_ms: float) -> None:
+        while self._slices and now_ms - self._slices[0].began_ms > self._settings.window_ms:
             self._slices.popleft()
 
-    def seen(self, now_ms: float) -> dict[str, ZoneEvidence]:
+    def evidence(self, now_ms: float) -> dict[str, ZoneEvidence]:
         """The evidence of the window, by zone."""
-        self._forget(now_ms)
-        sums: dict[str, dict[str, int]] = {}
+        self._forget_old(now_ms)
+        totals: dict[str, list[int]] = {}
         for part in self._slices:
             for zone, counts in part.counts.items():
-                total = sums.setdefault(zone, {})
-                for kind, count in counts.items():
-                    total[kind] = total.get(kind, 0) + count
-        return {zone: ZoneEvidence(**counts, **self._run(now_ms, zone)) for zone, counts in sums.items()}
+                total = totals.get(zone, [0] * len(_Sign))
+                totals[zone] = [before + count for before, count in zip(total, counts, strict=True)]
+        return {zone: self._zone_evidence(now_ms, zone, counts) for zone, counts in totals.items()}
 
-    def _run(self, now_ms: float, zone: str) -> dict[str, float]:
+    def _zone_evidence(self, now_ms: float, zone: str, counts: list[int]) -> ZoneEvidence:
         run = self._runs[zone]
-        return {"run": len(run.bad), "quiet_ms": round(now_ms - run.good_ms)} if run.bad else {}
+        failing = len(run.failing_scorers)
+        return ZoneEvidence(
+            responses=counts[_Sign.RESPONSE],
+            slow_responses=counts[_Sign.SLOW_RESPONSE],
+            timeouts=counts[_Sign.TIMEOUT],
+            connect_failures=counts[_Sign.CONNECT_FAILURE],
+            resets=counts[_Sign.RESET],
+            failing_scorers=failing,
+            since_success_ms=round(now_ms - run.success_ms) if failing else 0.0,
+        )
--- a/fawnwharf/zones/log_lines.py
+++ b/fawnwharf/zones/log_lines.py
@@ -9,7 +9,7 @@
 from fawnwharf.consensus import messages as m
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.plan import Plan
-from fawnwharf.zones.planner import Report
+from fawnwharf.zones.report import Report
 
 MAX_TEXT = m.DATA_MOST
 MAX_MESSAGES = 1_024  # in one line
--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -34,7 +34,8 @@
     messages_for,
 )
 from fawnwharf.zones.plan import Plan, PlanError, plan_from
-from fawnwharf.zones.planner import Report, ZonePlanner
+from fawnwharf.zones.planner import ZonePlanner
+from fawnwharf.zones.report import Report
 
 
 class MemberCore:
@@ -57,10 +58,10 @@
         """A voter brings its identity, its saved state and how often that was written; others only follow."""
         self.name, self.members, self.settings = name, members, settings
         self.identity, self.counts = identity, DropCounts()
-        voting = settings.voting
+        voting = settings.consensus
         self.voter: Voter | None = None
         if identity:
-            timing = Timing(voting.beat_ms, voting.election_ms, voting.skew)
+            timing = Timing(voting.heartbeat_ms, voting.election_timeout_ms, voting.max_clock_skew)
             self.voter = Voter(identity, saved or m.Saved(), timing, now_ms, seed)
         self.judge = ZonePlanner(settings, now_ms)
         self.plan, self.index = Plan(), 0  # the last decided one that is known
@@ -92,7 +93,7 @@
             else:
                 dues.append(self.watch_due_ms)
         if self.following[1] and self.fresh_ms is not None:
-            dues.append(self.fresh_ms + self.settings.voting.valid_ms)
+            dues.append(self.fresh_ms + self.settings.consensus.plan_validity_ms)
         return min(dues)
 
     # --- what comes in --------------------------------------------------------------------------
@@ -111,7 +112,7 @@
         if line.report is not None:
             if line.report.name != sender:
                 raise LogLineError(f"a report of {line.report.name} from {sender}")
-            self.judge.heard(now_ms, line.report)
+            self.judge.receive(now_ms, line.report)
         if line.plan is not None:
             self._told(line)
         if line.fresh and line.index == self.index:
@@ -207,7 +208,7 @@
             if self.voter.is_leader:
                 effects += self._lead(now_ms)
             elif now_ms >= self.watch_due_ms:
-                self.watch_due_ms = now_ms + self.settings.evidence.report_ms / 2
+                self.watch_due_ms = now_ms + self.settings.evidence.report_interval_ms / 2
                 self.judge.watch(now_ms, self.members, self.plan)
         return effects + self._given_out(now_ms)
 
@@ -216,7 +217,7 @@
 
         Such reports come at most three times as fast as usual.
         """
-        soon = now_ms + self.settings.evidence.report_ms / 3
+        soon = now_ms + self.settings.evidence.report_interval_ms / 3
         self.report_due_ms = min(self.report_due_ms, soon)
 
     def make_line(self, **parts: Any) -> LogLine:
@@ -227,11 +228,11 @@
         self, now_ms: float, seen: dict[str, ZoneEvidence], sizes: dict[str, float], roster_ms: float
     ) -> PublishLine:
         self.number += 1
-        self.report_due_ms = now_ms + self.settings.evidence.report_ms
+        self.report_due_ms = now_ms + self.settings.evidence.report_interval_ms
         report = Report(
             self.name, self.zone, self.number, seen, sizes, max(0.0, roster_ms), self.identity, self.wishes
         )
-        self.judge.heard(now_ms, report)
+        self.judge.receive(now_ms, report)
         return PublishLine(self.make_line(report=report))
 
     # --- voting and leading ---------------------------------------------------------------------
@@ -255,7 +256,7 @@
             effects.append(LogEvent("role", {"role": role[0], "term": role[1]}))
             if role[0] == "leader":
                 # It has watched as a follower; where not for long enough to have heard all, it waits.
-                heard_all_ms = self.judge.since_ms + self.settings.evidence.report_life_ms
+                heard_all_ms = self.judge.watching_since_ms + self.settings.evidence.report_ttl_ms
                 self.judge_due_ms = max(now_ms, heard_all_ms)
                 self.fresh_due_ms = now_ms
         self.roles = role
@@ -268,7 +269,7 @@
             return [RegisterDecided(decided.index, decided.plan, decided.kind)]
         if decided.kind != "plan" or not self._learn(decided.index, decided.plan):
             return []
-        states = {name: f"{zone.state} {zone.share:g}" for name, zone in self.plan.zones.items()}
+        states = {name: f"{zone.state} {zone.fraction:g}" for name, zone in self.plan.zones.items()}
         return [LogEvent("plan", {"index": decided.index, "term": decided.term, "zones": states})]
 
     def _learn(self, index: int, text: str) -> bool:
@@ -302,10 +303,10 @@
     def _lead(self, now_ms: float) -> list[Effect]:
         effects: list[Effect] = []
         if now_ms >= self.judge_due_ms:
-            self.judge_due_ms = now_ms + self.settings.evidence.report_ms / 2
+            self.judge_due_ms = now_ms + self.settings.evidence.report_interval_ms / 2
             effects += self._judge(now_ms)
         if now_ms >= self.fresh_due_ms and self.voter.fresh(now_ms):
-            self.fresh_due_ms = now_ms + self.settings.voting.fresh_ms
+            self.fresh_due_ms = now_ms + self.settings.consensus.freshness_interval_ms
             index, term = self.voter.plan[0], self.voter.saved.term
             if index:
                 self.fresh_ms = now_ms
@@ -320,19 +321,23 @@
         if effects:
             return effects
         following = self.judge.next_plan(now_ms, self.members, self.plan)
-        for zone, why in self.judge.refused.items():
+        for zone, why in self.judge.rejected.items():
             effects.append(LogEvent("refused", {"zone": zone, "why": why}))
         if following is None:
             return effects
         _, actions = self.voter.propose(now_ms, following.encode())
         changed = {
-            name: {"from": getattr(self.plan.zones.get(name), "state", ""), "to": zone.state, "why": zone.why}
+            name: {
+                "from": getattr(self.plan.zones.get(name), "state", ""),
+                "to": zone.state,
+                "why": zone.reason,
+            }
             for name, zone in following.zones.items()
             if zone != self.plan.zones.get(name)
         }
         seen = {
-            report.name: {zone: msgspec.to_builtins(signs) for zone, signs in report.seen.items()}
-            for report in self.judge.alive(now_ms, self.members).values()
+            report.name: {zone: msgspec.to_builtins(signs) for zone, signs in report.evidence.items()}
+            for report in self.judge.current_reports(now_ms, self.members).values()
         }
         note = LogEvent("proposed", {"number": following.number, "changed": changed, "evidence": seen})
         return [*effects, note, *self._voted(now_ms, actions)]
@@ -347,9 +352,11 @@
         now = self.voter.saved.voters
         wanted = {member.name for member in self.members.voters}
         present = {
-            report.name: report.identity
-            for report in self.judge.alive(now_ms, self.members).values()
-            if report.identity and report.name in wanted and report.identity.startswith(report.name + "#")
+            report.name: report.voter_identity
+            for report in self.judge.current_reports(now_ms, self.members).values()
+            if report.voter_identity
+            and report.name in wanted
+            and report.voter_identity.startswith(report.name + "#")
         }
         gone = [v for v in now if v.partition("#")[0] not in wanted]
         replaced = [v for v in now if present.get(v.partition("#")[0], v) != v]
@@ -375,7 +382,7 @@
         return (
             self.index > 0
             and self.fresh_ms is not None
-            and now_ms - self.fresh_ms < self.settings.voting.valid_ms
+            and now_ms - self.fresh_ms < self.settings.consensus.plan_validity_ms
         )
 
     def _given_out(self, now_ms: float) -> list[Effect]:
--- a/fawnwharf/zones/plan.py
+++ b/fawnwharf/zones/plan.py
@@ -1,11 +1,11 @@
-"""Plans: what the fleet has decided about its zones, and what follows from a plan for a front end.
+"""Zone plans: what the fleet has decided about its zones, and what a front end has to do by a plan.
 
-Pure values and functions, with equal results at all front ends that hold the same plan. Sizes are in scorers'
-units; flows and admissions are parts of one.
+Pure values and functions: all front ends that hold the same plan compute the same results. Sizes are in the
+units in which scorers state their capacity; flows are in these units too, and admission is a fraction.
 """
 
 import hashlib
-from typing import Annotated, Literal
+from typing import Annotated, Final, Literal
 
 import msgspec
 from msgspec import Meta, Struct
@@ -14,8 +14,13 @@
 
 VERSION = 1
 
-SERVING, DRAINING, OUT, RECOVERING = "serving", "leaving", "out", "returning"
 ZoneState = Literal["serving", "leaving", "out", "returning"]
+SERVING: Final = "serving"
+DRAINING: Final = "leaving"
+OUT: Final = "out"
+RECOVERING: Final = "returning"
+
+_NEGLIGIBLE = 1e-9  # a displaced size below this is a rounding error
 
 
 class PlanError(ValueError):
@@ -26,27 +31,40 @@
     """The decided state of one zone."""
 
     state: ZoneState = SERVING
-    share: Fraction = 1.0  # of its scorers that are open; below one while it returns
-    spill: Fraction = 0.5  # of its size that may come from front ends of zones that do not serve
-    size: Annotated[float, Meta(ge=0.0)] = 0.0  # the largest seen lately
+    # The fraction of its scorers that is open while it recovers.
+    fraction: Fraction = msgspec.field(name="share", default=1.0)
+    # The fraction of its size that other zones' front ends may send to it.
+    spillover: Fraction = msgspec.field(name="spill", default=0.5)
+    # The largest size that was reported lately.
+    size: Annotated[float, Meta(ge=0.0)] = 0.0
     region: Annotated[str, Meta(max_length=48)] = ""
-    fronts: Annotated[int, Meta(ge=0)] = 0  # its front ends that are heard, while it does not serve
-    flaps: Annotated[int, Meta(ge=0, le=1_000)] = 0  # times that it was lost lately
-    why: Annotated[str, Meta(max_length=200)] = ""  # for people
+    # Its front ends that still report; 0 while it serves.
+    front_ends: Annotated[int, Meta(ge=0)] = msgspec.field(name="fronts", default=0)
+    # How often it was lost lately.
+    recent_failures: Annotated[int, Meta(ge=0, le=1_000)] = msgspec.field(name="flaps", default=0)
+    # Why it is in this state, for operators.
+    reason: Annotated[str, Meta(max_length=200)] = msgspec.field(name="why", default="")
 
     @property
-    def open(self) -> float:
-        """The part of it that takes calls."""
-        return {SERVING: 1.0, RECOVERING: self.share}.get(self.state, 0.0)
+    def open_fraction(self) -> float:
+        """The fraction of its scorers that takes calls."""
+        if self.state == SERVING:
+            return 1.0
+        return self.fraction if self.state == RECOVERING else 0.0
 
 
 class Plan(Struct, frozen=True):
-    """One decision: all zones, and the pairs of zones of which the first does not reach the second."""
+    """One decision about all zones.
+
+    `unreachable` has the pairs of zones of which the first does not reach the second.
+    """
 
     version: int = VERSION
     number: Annotated[int, Meta(ge=0)] = 0
     zones: dict[Name, PlannedZone] = {}
-    apart: Annotated[tuple[tuple[Name, Name], ...], Meta(max_length=400)] = ()
+    unreachable: Annotated[tuple[tuple[Name, Name], ...], Meta(max_length=400)] = msgspec.field(
+        name="apart", default=()
+    )
 
     def encode(self) -> str:
         """The plan as JSON text."""
@@ -54,101 +72,144 @@
 
 
 def plan_from(text: str) -> Plan:
-    """Parse a plan that a front end may follow; raises PlanFault."""
+    """Parse a plan that a front end may follow; raises PlanError."""
     try:
         plan = msgspec.json.decode(text.encode(), type=Plan)
     except (msgspec.DecodeError, RecursionError) as error:
         raise PlanError(f"not a plan: {error}") from None
     if plan.version != VERSION:
         raise PlanError(f"version {plan.version}")
-    if plan.zones and not any(zone.open > 0 for zone in plan.zones.values()):
+    if plan.zones and not any(zone.open_fraction > 0 for zone in plan.zones.values()):
         raise PlanError("all zones would be out")
-    for near, far in plan.apart:
-        if near not in plan.zones or far not in plan.zones or near == far:
-            raise PlanError(f"apart: {near}, {far}")
+    for source, target in plan.unreachable:
+        if source not in plan.zones or target not in plan.zones or source == target:
+            raise PlanError(f"apart: {source}, {target}")
     return plan
 
 
-def limit_spillover(plan: Plan, most: dict[str, float]) -> Plan:
-    """The plan with no more spillover by zone than this."""
+def limit_spillover(plan: Plan, limits: dict[str, float]) -> Plan:
+    """The plan with the spillover of each zone no larger than its limit."""
     zones = {
-        name: msgspec.structs.replace(zone, spill=min(zone.spill, most.get(name, 1.0)))
+        name: msgspec.structs.replace(zone, spillover=min(zone.spillover, limits.get(name, 1.0)))
         for name, zone in plan.zones.items()
     }
     return msgspec.structs.replace(plan, zones=zones)
 
 
-def tiers(plan: Plan, zone: str) -> list[list[str]]:
-    """The open zones that a zone's front ends may send to: its own, its region's, the world's."""
-    if zone not in plan.zones:
-        return [sorted(name for name, other in plan.zones.items() if other.open > 0)]
-    mine = plan.zones[zone]
-    apart = {far for near, far in plan.apart if near == zone}
-    able = [name for name, other in sorted(plan.zones.items()) if other.open > 0 and name not in apart]
-    own = [name for name in able if name == zone]
-    near = [name for name in able if name != zone and plan.zones[name].region == mine.region]
-    far = [name for name in able if name != zone and plan.zones[name].region != mine.region]
-    return [own, near, far]
+class ReachableZones(Struct, frozen=True):
+    """The open zones that a zone's front ends may send to, in the order of preference."""
+
+    own: list[str]
+    region: list[str]
+    world: list[str]
+
+
+def reachable_zones(plan: Plan, zone: str) -> ReachableZones:
+    """The open zones that the front ends of a zone of the plan may send to."""
+    region = plan.zones[zone].region
+    unreachable = {target for source, target in plan.unreachable if source == zone}
+    names = [
+        name
+        for name, other in sorted(plan.zones.items())
+        if other.open_fraction > 0 and name not in unreachable
+    ]
+    return ReachableZones(
+        own=[name for name in names if name == zone],
+        region=[name for name in names if name != zone and plan.zones[name].region == region],
+        world=[name for name in names if name != zone and plan.zones[name].region != region],
+    )
+
+
+Flows = dict[str, dict[str, float]]  # from a zone, to a zone
+
+
+def spillover_flows(plan: Plan) -> Flows:
+    """What each zone that does not fully serve sends to each other zone, in units of size.
 
+    The part of a zone that is not open is displaced. It goes to the zones of its region first, then to all
+    others. Each zone takes no more than its limit in total, and displaced zones share the capacity in
+    proportion to their needs.
+    """
+    displaced = {
+        name: zone.size * (1.0 - zone.open_fraction)
+        for name, zone in plan.zones.items()
+        if zone.open_fraction < 1.0
+    }
+    capacity = {name: _spillover_capacity(zone) for name, zone in plan.zones.items()}
+    reachable = {name: reachable_zones(plan, name) for name in displaced}
+    flows: Flows = {name: {} for name in displaced}
+    _assign({name: zones.region for name, zones in reachable.items()}, displaced, capacity, flows)
+    _assign({name: zones.world for name, zones in reachable.items()}, displaced, capacity, flows)
+    return flows
+
+
+def _spillover_capacity(zone: PlannedZone) -> float:
+    """What a zone takes of other zones' traffic; one that recovers takes none but its own."""
+    if zone.state == RECOVERING:
+        return 0.0
+    return zone.spillover * zone.size * zone.open_fraction
 
-def spillover_flows(plan: Plan) -> dict[str, dict[str, float]]:
-    """What each zone that does not fully serve sends to each other one, in sizes.
 
-    The part of a zone that is not open is displaced. It goes to its region first, then to the world; each
-    zone takes no more than its limit in total, and displaced zones share a tier's capacity by their needs.
+def _assign(
+    targets: dict[str, list[str]], displaced: dict[str, float], capacity: dict[str, float], flows: Flows
+) -> None:
+    """Assign displaced load to these targets of each zone; updates all but the targets.
+
+    Each displaced zone requests capacity from its targets in proportion to theirs. A target that is requested
+    for more than it has grants the same fraction of each request.
     """
-    need = {name: zone.size * (1.0 - zone.open) for name, zone in plan.zones.items() if zone.open < 1.0}
-    room = {name: zone.spill * zone.size * zone.open for name, zone in plan.zones.items()}
-    for name, zone in plan.zones.items():
-        if zone.state == RECOVERING:
-            room[name] = 0.0  # it is being taken back, for its own
-    sent: dict[str, dict[str, float]] = {name: {} for name in need}
-    for tier in (1, 2):
-        wanted = {name: [t for t in tiers(plan, name)[tier] if room[t] > 0] for name in need}
-        # Each asks its zones in proportion to their room; a zone that is asked for more cuts all alike.
-        asked = {
-            name: {t: need[name] * room[t] / sum(room[u] for u in wanted[name]) for t in wanted[name]}
-            for name in need
-            if need[name] > 1e-9 and wanted[name]
-        }
-        for target in room:
-            total = sum(parts.get(target, 0.0) for parts in asked.values())
-            if total <= 0:
-                continue
-            given = min(1.0, room[target] / total)
-            for name, parts in asked.items():
-                if target in parts:
-                    sent[name][target] = parts[target] * given
-            room[target] -= total * given
-        for name in asked:
-            need[name] -= sum(sent[name].get(t, 0.0) for t in wanted[name])
-    return sent
+    able = {name: [target for target in names if capacity[target] > 0] for name, names in targets.items()}
+    requests: Flows = {}
+    for name, names in able.items():
+        if displaced[name] > _NEGLIGIBLE and names:
+            total = sum(capacity[target] for target in names)
+            requests[name] = {target: displaced[name] * capacity[target] / total for target in names}
+    for target in capacity:
+        requested = sum(parts.get(target, 0.0) for parts in requests.values())
+        if requested <= 0:
+            continue
+        granted = min(1.0, capacity[target] / requested)
+        for name, parts in requests.items():
+            if target in parts:
+                flows[name][target] = parts[target] * granted
+        capacity[target] -= requested * granted
+    for name in requests:
+        displaced[name] -= sum(flows[name].get(target, 0.0) for target in able[name])
 
 
 def admitted_fraction(plan: Plan, zone: str) -> float:
-    """The part of a zone's calls that may be served; the rest is refused at once."""
-    mine = plan.zones.get(zone)
-    if mine is None or mine.open >= 1.0 or mine.size <= 0:
+    """The fraction of a zone's calls that may be admitted; the rest is rejected at once."""
+    own = plan.zones.get(zone)
+    if own is None or own.open_fraction >= 1.0 or own.size <= 0:
         return 1.0
-    return min(1.0, mine.open + sum(spillover_flows(plan)[zone].values()) / mine.size)
+    return min(1.0, own.open_fraction + sum(spillover_flows(plan)[zone].values()) / own.size)
 
 
 def open_zones(plan: Plan, zone: str) -> set[str] | None:
-    """The zones whose scorers a front end of a zone may use; None where the plan does not name its zone."""
-    mine = plan.zones.get(zone)
-    if mine is None:
+    """The zones whose scorers a front end of a zone may use; None where the plan does not name its zone.
+
+    A zone that fully serves may use all that it reaches: the router prefers near ones by itself.
+    """
+    planned = plan.zones.get(zone)
+    if planned is None:
         return None
-    own, near, far = tiers(plan, zone)
-    if mine.open >= 1.0:  # it serves its own: others are used as ever, near ones before far ones
-        return {*own, *near, *far}
-    sent = spillover_flows(plan)[zone]
-    return {*own, *(name for name in (*near, *far) if sent.get(name, 0.0) > 0)}
+    reachable = reachable_zones(plan, zone)
+    others = [*reachable.region, *reachable.world]
+    if planned.open_fraction >= 1.0:
+        return {*reachable.own, *others}
+    flows = spillover_flows(plan)[zone]
+    return {*reachable.own, *(name for name in others if flows.get(name, 0.0) > 0)}
 
 
 def is_open(plan: Plan, zone: str, scorer: str) -> bool:
-    """Whether one scorer of a zone takes calls: while the zone returns, the same ones at every front end."""
-    entry = plan.zones.get(zone)
-    if entry is None:
+    """Whether one scorer of a zone takes calls.
+
+    While a zone recovers, the same scorers are open at all front ends: those whose hash is below its open
+    fraction.
+    """
+    planned = plan.zones.get(zone)
+    if planned is None:
         return True
-    place = int.from_bytes(hashlib.blake2b(scorer.encode(), digest_size=8).digest(), "big") / 2**64
-    return entry.open > 0 and place < entry.open
+    digest = hashlib.blake2b(scorer.encode(), digest_size=8).digest()
+    position = int.from_bytes(digest, "big") / 2**64
+    return planned.open_fraction > 0 and position < planned.open_fraction
--- a/fawnwharf/zones/planner.py
+++ b/fawnwharf/zones/planner.py
@@ -1,337 +1,297 @@
-"""Failure detector of zones and planner.
+"""Zone planner: decides what the next plan should be.
 
-What is lost, cut off, slow or back, and what is to be done about it.
-
-Pure. Each voter has one and feeds it with all members' reports; only the leader's makes plans. What it
-remembers is only for how long its owner has seen something without a break: a voter that comes to lead need
-not begin to count, and one that was paused does. Times are milliseconds of its owner's clock.
+Pure. Each voter has one and passes all members' reports to it; only the leader's makes plans. What it
+remembers is for how long its owner has observed a condition without a break: a new leader that has watched
+as a follower can act at once, and one that was paused starts to count again. Times are milliseconds of its
+owner's clock.
 """
 
 from dataclasses import dataclass, field
-from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
 
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.evidence import ZoneEvidence, ZoneHealth, zone_health
+from fawnwharf.zones.failure_detector import FailureDetector, ZoneVerdict
 from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING, SERVING, Plan, PlannedZone, ZoneState
+from fawnwharf.zones.report import Report, ReportStore
+
+DRAINED = "drained by an operator"  # the reason of a drained zone; it is part of stored plans
+MAX_DOUBLINGS = 20  # of the recovery delay
 
-DRAINED = "drained by an operator"
 
+@dataclass(slots=True)
+class _Condition:
+    """Since when a condition holds; None while it does not."""
 
-class Report(Struct, frozen=True):
-    """What one front end sees; a later report has a larger number within its incarnation."""
+    since_ms: float | None = None
+
+    def update(self, now_ms: float, *, holds: bool) -> None:
+        """Take whether the condition holds now."""
+        if not holds:
+            self.since_ms = None
+        elif self.since_ms is None:
+            self.since_ms = now_ms
 
-    name: s.Name
-    zone: s.Name
-    number: Annotated[int, Meta(ge=0)]
-    seen: Annotated[dict[s.Name, ZoneEvidence], Meta(max_length=64)] = {}
-    sizes: Annotated[dict[s.Name, Annotated[float, Meta(ge=0.0, le=1e9)]], Meta(max_length=64)] = {}
-    roster_ms: Annotated[float, Meta(ge=0.0)] = 0.0  # age of what it was last told of the scorers
-    identity: Annotated[str, Meta(max_length=96)] = ""  # as a voter, where it is one
-    wishes: s.OperatorRequest = s.OperatorRequest()
+    def has_lasted(self, now_ms: float, duration_ms: float) -> bool:
+        """Whether the condition has held for this long."""
+        return self.since_ms is not None and now_ms - self.since_ms >= duration_ms
 
 
 @dataclass(slots=True)
-class ZoneVerdict:
-    """What the reports amount to for one zone at one moment."""
+class _Separation:
+    """When a zone was first and last observed not to be reached by another one."""
 
-    dead: bool = False  # for more of the other zones than not
-    lost: bool = False  # and for itself, or nobody there is heard
-    slow: bool = False
-    sure: bool = False  # nobody there is heard, and all others that see it agree
-    good: bool = False  # somebody sees it well, and it is not lost
-    apart: set[str] = field(default_factory=set)  # zones that do not reach it though others do
-    why: str = ""
+    first_ms: float
+    last_ms: float
 
 
 @dataclass(slots=True)
-class _Track:
-    """For how long something has been so with a zone."""
+class _ZoneHistory:
+    """For how long each condition has held for a zone, as far as this planner has observed."""
 
-    dead_ms: float | None = None
-    sure_ms: float | None = None
-    slow_ms: float | None = None
-    good_ms: float | None = None
-    state_ms: float = 0.0  # since when it is in its state, as far as this leader knows
-    state: tuple[str, float] = (SERVING, 1.0)
-    apart: dict[str, tuple[float, float]] = field(default_factory=dict)  # since when, and last
+    state: ZoneState
+    fraction: float
+    state_since_ms: float
+    dead: _Condition = field(default_factory=_Condition)
+    unanimous: _Condition = field(default_factory=_Condition)
+    slow: _Condition = field(default_factory=_Condition)
+    healthy: _Condition = field(default_factory=_Condition)
+    separations: dict[str, _Separation] = field(default_factory=dict)  # by the zone that does not reach it
 
 
-_Change = tuple[ZoneState, float, str, int]  # state, share, why, flaps of a zone
+@dataclass(slots=True, frozen=True)
+class _StateChange:
+    """The state that a zone should change to."""
 
+    state: ZoneState
+    fraction: float
+    reason: str
+    recent_failures: int
 
-class ZonePlanner:
-    """Combines the current reports zone by zone, and says what the next plan should be."""
 
-    def __init__(self, settings: s.ZoneSettings, now_ms: float) -> None:
-        self.settings, self.now = settings, now_ms
-        self.reports: dict[str, tuple[float, Report]] = {}  # when it came, by member
-        self.tracks: dict[str, _Track] = {}
-        self.wishes = s.OperatorRequest()
-        self.sizes: dict[str, float] = {}
-        self.refused: dict[str, str] = {}  # zones that should be out and must not be, and why
-        self.watched_ms = self.since_ms = now_ms  # the last look, and the first of those without a gap
-
-    def heard(self, now_ms: float, report: Report) -> None:
-        """Take a report."""
-        self.reports[report.name] = (now_ms, report)
-        if report.wishes.number > self.wishes.number:
-            self.wishes = report.wishes
-
-    def alive(self, now_ms: float, members: s.Membership) -> dict[str, Report]:
-        """The reports that are not too old, by member."""
-        life = self.settings.evidence.report_life_ms
-        zones = {member.name: member.zone for member in members.members}
-        self.reports = {name: held for name, held in self.reports.items() if name in zones}
-        return {
-            name: report
-            for name, (came_ms, report) in self.reports.items()
-            if now_ms - came_ms <= life and report.zone == zones[name]
-        }
+@dataclass(slots=True, frozen=True)
+class _Situation:
+    """All that the change of one zone's state depends on."""
 
-    # --- weighing -------------------------------------------------------------------------------
+    now_ms: float
+    planned: PlannedZone
+    history: _ZoneHistory
+    verdict: ZoneVerdict
+    drained: bool  # an operator requests that it be out
 
-    def verdicts(self, now_ms: float, members: s.Membership) -> dict[str, ZoneVerdict]:
-        """The verdict on each zone of the members."""
-        rules, alive = self.settings.evidence, self.alive(now_ms, members)
-        heard = {name for name in alive if now_ms - self.reports[name][0] <= rules.hush_ms}
-        views = {
-            name: {zone: zone_health(report.seen.get(zone), rules) for zone in members.zones}
-            for name, report in alive.items()
-        }
-        trusted = {name: seen for name, seen in views.items() if not _cut_off(seen)}
-        # On others its last word counts for a while; that it sees itself well ends with its voice.
-        present = {name: seen for name, seen in trusted.items() if name in heard}
-        opinions = {
-            (near, far): self._opinion(near, far, members, present if near == far else trusted)
-            for near in members.zones
-            for far in members.zones
-        }
-        return {zone: self._verdict(zone, members, heard, opinions) for zone in members.zones}
+    @property
+    def in_state_ms(self) -> float:
+        """For how long the zone has been in its state."""
+        return self.now_ms - self.history.state_since_ms
 
-    def _opinion(
-        self, near: str, far: str, members: s.Membership, views: dict[str, dict[str, ZoneHealth]]
-    ) -> ZoneHealth:
-        """One zone's view of another.
 
-        It is what more than half of its observers with a view say, if they are enough.
-        """
-        own = [member.name for member in members.members if member.zone == near]
-        said = [
-            views[name][far] for name in own if name in views and views[name][far] is not ZoneHealth.UNKNOWN
-        ]
-        enough = min(self.settings.evidence.witnesses, len(own))
-        for kind in (ZoneHealth.DEAD, ZoneHealth.SLOW):
-            if 2 * said.count(kind) > len(said) and said.count(kind) >= enough:
-                return kind
-        alive = said.count(ZoneHealth.GOOD) + said.count(ZoneHealth.SLOW)
-        return ZoneHealth.GOOD if 2 * alive > len(said) else ZoneHealth.UNKNOWN
-
-    def _verdict(
-        self,
-        zone: str,
-        members: s.Membership,
-        heard: set[str],
-        opinions: dict[tuple[str, str], ZoneHealth],
-    ) -> ZoneVerdict:
-        others = {near: opinions[near, zone] for near in members.zones if near != zone}
-        dead = sorted(near for near, word in others.items() if word is ZoneHealth.DEAD)
-        well = sorted(near for near, word in others.items() if word in (ZoneHealth.GOOD, ZoneHealth.SLOW))
-        own = opinions[zone, zone]
-        there = [member.name for member in members.members if member.zone == zone]
-        voices = sum(name in heard for name in there)
-        found = ZoneVerdict(good=own in (ZoneHealth.GOOD, ZoneHealth.SLOW) or bool(well))
-        by_itself = own is ZoneHealth.DEAD or (2 * voices <= len(there) and own is not ZoneHealth.GOOD)
-        found.dead = len(dead) > len(well)
-        if found.dead and by_itself:
-            found.lost, found.good = True, False
-            found.sure = not voices and not well
-            found.why = f"dead for {', '.join(dead)}; {voices} of its {len(there)} front ends heard"
-        elif len(members.zones) == 1 and own is ZoneHealth.DEAD:
-            found.why = "dead for itself, and no other zone to go to"
-        elif dead:
-            found.apart = set(dead)
-        slow = [near for near, word in [*others.items(), (zone, own)] if word is ZoneHealth.SLOW]
-        known = [near for near, word in [*others.items(), (zone, own)] if word is not ZoneHealth.UNKNOWN]
-        found.slow = not found.lost and 2 * len(slow) > len(known)
-        return found
+class ZonePlanner:
+    """Combines reports zone by zone into the next plan."""
 
-    # --- the next plan --------------------------------------------------------------------------
+    def __init__(self, settings: s.ZoneSettings, now_ms: float) -> None:
+        self.settings = settings
+        self.watching_since_ms = now_ms  # without a break
+        self.rejected: dict[str, str] = {}  # zones that would be out if they were not the last ones, and why
+        self.reports = ReportStore()
+        self._detector = FailureDetector(settings.evidence)
+        self._histories: dict[str, _ZoneHistory] = {}
+        self._operator_request = s.OperatorRequest()
+        self._sizes: dict[str, float] = {}
+        self._watched_ms = now_ms
+
+    def receive(self, now_ms: float, report: Report) -> None:
+        """Take a member's report."""
+        self.reports.receive(now_ms, report)
+        if report.operator_request.number > self._operator_request.number:
+            self._operator_request = report.operator_request
+
+    def current_reports(self, now_ms: float, membership: s.Membership) -> dict[str, Report]:
+        """The reports that are not too old, by member."""
+        return self.reports.current(now_ms, membership, self.settings.evidence.report_ttl_ms)
+
+    # --- watching -------------------------------------------------------------------------------
 
-    def watch(self, now_ms: float, members: s.Membership, plan: Plan) -> dict[str, ZoneVerdict]:
-        """Look at all zones, and count for how long something has been so.
+    def watch(self, now_ms: float, membership: s.Membership, plan: Plan) -> dict[str, ZoneVerdict]:
+        """Observe all zones, and for how long each condition has lasted.
 
-        Anew where the last look is too long ago.
+        Starts to count again where the last call is longer ago than a report counts.
         """
-        if now_ms - self.watched_ms > self.settings.evidence.report_life_ms:
-            self.tracks.clear()
-            self.since_ms = now_ms
-        self.watched_ms = now_ms
-        self._size(now_ms, members)
-        verdicts = self.verdicts(now_ms, members)
+        if now_ms - self._watched_ms > self.settings.evidence.report_ttl_ms:
+            self._histories.clear()
+            self.watching_since_ms = now_ms
+        self._watched_ms = now_ms
+        reports = self.current_reports(now_ms, membership)
+        self._update_sizes(membership, reports)
+        silence_ms = self.settings.evidence.reporter_silence_ms
+        present = self.reports.received_within(now_ms, reports, silence_ms)
+        verdicts = self._detector.verdicts(membership, reports, present)
         for name, verdict in verdicts.items():
-            self._track(now_ms, name, plan.zones.get(name, PlannedZone()), verdict)
+            self._update_history(now_ms, name, plan.zones.get(name, PlannedZone()), verdict)
         return verdicts
 
-    def next_plan(self, now_ms: float, members: s.Membership, plan: Plan) -> Plan | None:
-        """The plan that should follow the decided one; None while that is still right."""
-        self.now = now_ms
-        self.refused = {}
-        verdicts = self.watch(now_ms, members, plan)
+    def _update_sizes(self, membership: s.Membership, reports: dict[str, Report]) -> None:
+        """Take the median size that is reported of each zone; a zone that shrinks keeps its largest size."""
+        for zone in membership.zones:
+            reported = sorted(report.sizes[zone] for report in reports.values() if zone in report.sizes)
+            if reported:
+                self._sizes[zone] = max(self._sizes.get(zone, 0.0), reported[len(reported) // 2])
+
+    def _update_history(self, now_ms: float, name: str, planned: PlannedZone, verdict: ZoneVerdict) -> None:
+        history = self._histories.get(name)
+        if history is None:
+            history = self._histories[name] = _ZoneHistory(planned.state, planned.fraction, now_ms)
+        if (history.state, history.fraction) != (planned.state, planned.fraction):
+            history.state = planned.state
+            history.fraction = planned.fraction
+            history.state_since_ms = now_ms
+        history.dead.update(now_ms, holds=verdict.dead)
+        history.unanimous.update(now_ms, holds=verdict.unanimous)
+        history.slow.update(now_ms, holds=verdict.slow)
+        history.healthy.update(now_ms, holds=verdict.healthy)
+        for source in verdict.unreachable_from:
+            history.separations.setdefault(source, _Separation(now_ms, now_ms)).last_ms = now_ms
+        recovery_ms = self.settings.damping.recovery_delay_ms
+        history.separations = {
+            source: separation
+            for source, separation in history.separations.items()
+            if now_ms - separation.last_ms < recovery_ms
+        }
+
+    # --- the next plan --------------------------------------------------------------------------
+
+    def next_plan(self, now_ms: float, membership: s.Membership, plan: Plan) -> Plan | None:
+        """The plan that should follow the decided one; None while that one is still right."""
+        verdicts = self.watch(now_ms, membership, plan)
+        reports = self.current_reports(now_ms, membership).values()
         zones: dict[str, PlannedZone] = {}
-        for name, region in sorted(members.zones.items()):
+        for name, region in sorted(membership.zones.items()):
             before = plan.zones.get(name, PlannedZone(region=region))
-            track = self.tracks[name]
-            after = self._zone(now_ms, name, region, before, track, verdicts[name])
-            heard = sum(report.zone == name for report in self.alive(now_ms, members).values())
-            zones[name] = msgspec.structs.replace(after, fronts=_fronts(after, before, heard))
-        self._keep_one(plan, zones)
-        following = Plan(number=plan.number + 1, zones=zones, apart=self._apart(now_ms, plan, verdicts))
-        same = following.zones == plan.zones and following.apart == plan.apart
-        return None if same else following
-
-    def _size(self, now_ms: float, members: s.Membership) -> None:
-        """The largest size that half of the front ends tell of a zone; one that shrinks counts as it was."""
-        alive = self.alive(now_ms, members).values()
-        for zone in members.zones:
-            told = sorted(report.sizes[zone] for report in alive if zone in report.sizes)
-            if told:
-                self.sizes[zone] = max(self.sizes.get(zone, 0.0), told[len(told) // 2])
-
-    def _track(self, now_ms: float, name: str, before: PlannedZone, verdict: ZoneVerdict) -> _Track:
-        track = self.tracks.setdefault(name, _Track(state_ms=now_ms, state=(before.state, before.share)))
-        if track.state != (before.state, before.share):
-            track.state, track.state_ms = (before.state, before.share), now_ms
-        lasting = ("dead", "sure", "slow", "good")
-        for key, holds in ((f"{name}_ms", getattr(verdict, name)) for name in lasting):
-            since = getattr(track, key)
-            setattr(track, key, (now_ms if since is None else since) if holds else None)
-        for near in verdict.apart:
-            track.apart[near] = (track.apart.get(near, (now_ms, now_ms))[0], now_ms)
-        back_ms = self.settings.damping.back_ms
-        track.apart = {near: span for near, span in track.apart.items() if now_ms - span[1] < back_ms}
-        return track
-
-    def _zone(
-        self, now_ms: float, name: str, region: str, before: PlannedZone, track: _Track, verdict: ZoneVerdict
+            after = self._next_zone(now_ms, name, region, before, verdicts[name])
+            reporting = sum(report.zone == name for report in reports)
+            front_ends = _front_end_count(after, before, reporting)
+            zones[name] = msgspec.structs.replace(after, front_ends=front_ends)
+        self._keep_one_open(plan, zones)
+        unreachable = self._unreachable_pairs(plan, verdicts)
+        if zones == plan.zones and unreachable == plan.unreachable:
+            return None
+        return Plan(number=plan.number + 1, zones=zones, unreachable=unreachable)
+
+    def _next_zone(
+        self, now_ms: float, name: str, region: str, before: PlannedZone, verdict: ZoneVerdict
     ) -> PlannedZone:
         """The zone as the next plan should have it."""
-        spill = self.settings.spill.zones.get(name, self.settings.spill.share)
-        if _for(now_ms, track.slow_ms) >= self.settings.damping.slow_ms:
-            spill = 0.0
-        size = max(before.size, self.sizes.get(name, 0.0))
-        after = msgspec.structs.replace(before, spill=spill, size=size, region=region)
-        change = self._change(now_ms, before, track, verdict, name in self.wishes.drained)
+        spillover = self.settings.spillover.fraction_by_zone.get(name, self.settings.spillover.fraction)
+        history = self._histories[name]
+        if history.slow.has_lasted(now_ms, self.settings.damping.slow_delay_ms):
+            spillover = 0.0
+        size = max(before.size, self._sizes.get(name, 0.0))
+        after = msgspec.structs.replace(before, spillover=spillover, size=size, region=region)
+        drained = name in self._operator_request.drained
+        change = self._state_change(_Situation(now_ms, before, history, verdict, drained))
         if change is None:
             return after
-        state, share, why, flaps = change
-        return msgspec.structs.replace(after, state=state, share=share, why=why, flaps=flaps)
-
-    def _change(
-        self, now_ms: float, before: PlannedZone, track: _Track, verdict: ZoneVerdict, drained: bool
-    ) -> _Change | None:
-        """What state the zone goes to, if any; `drained`: operators ask for it to be out."""
-        held = now_ms - track.state_ms
-        if before.state == DRAINING:
-            return self._leaving(before, held, drained)
-        if before.state == OUT:
-            return None if drained else self._return(now_ms, before, track, verdict)
-        if drained:
-            return DRAINING, 0.0, DRAINED, before.flaps
-        if self._is_lost(now_ms, before, track, verdict):
-            return OUT, 0.0, verdict.why, before.flaps + 1
-        if before.state == RECOVERING:
-            return self._ramp_up(before, held) if track.good_ms is not None else None
-        if before.flaps and held >= self.settings.damping.flap_ms:
-            track.state_ms = now_ms
-            return SERVING, 1.0, before.why, before.flaps - 1
+        return msgspec.structs.replace(
+            after,
+            state=change.state,
+            fraction=change.fraction,
+            reason=change.reason,
+            recent_failures=change.recent_failures,
+        )
+
+    def _state_change(self, zone: _Situation) -> _StateChange | None:
+        """The state that a zone changes to, if any."""
+        planned = zone.planned
+        if planned.state == DRAINING:
+            return self._end_drain(zone)
+        if planned.state == OUT:
+            return None if zone.drained else self._begin_recovery(zone)
+        if zone.drained:
+            return _StateChange(DRAINING, 0.0, DRAINED, planned.recent_failures)
+        if self._is_lost(zone):
+            return _StateChange(OUT, 0.0, zone.verdict.reason, planned.recent_failures + 1)
+        if planned.state == RECOVERING:
+            return self._ramp_up(zone) if zone.verdict.healthy else None
+        if planned.recent_failures and zone.in_state_ms >= self.settings.damping.flap_memory_ms:
+            zone.history.state_since_ms = zone.now_ms  # the next one is forgotten after the same time
+            return _StateChange(SERVING, 1.0, planned.reason, planned.recent_failures - 1)
         return None
 
-    def _leaving(self, before: PlannedZone, held: float, drained: bool) -> _Change | None:
-        if not drained:
-            return SERVING, 1.0, "", before.flaps
-        if held >= self.settings.damping.leave_ms:
-            return OUT, 0.0, before.why, before.flaps
+    def _end_drain(self, zone: _Situation) -> _StateChange | None:
+        planned = zone.planned
+        if not zone.drained:
+            return _StateChange(SERVING, 1.0, "", planned.recent_failures)
+        if zone.in_state_ms >= self.settings.damping.drain_ms:
+            return _StateChange(OUT, 0.0, planned.reason, planned.recent_failures)
         return None
 
-    def _is_lost(self, now_ms: float, before: PlannedZone, track: _Track, verdict: ZoneVerdict) -> bool:
+    def _is_lost(self, zone: _Situation) -> bool:
+        """Whether a zone has been lost for long enough to be put out."""
         damping = self.settings.damping
-        patience = damping.out_ms / (2 if before.state == RECOVERING else 1)  # it was lost a moment ago
-        # That nobody is heard takes its own time to show: the two need not wait for each other.
-        sure = _for(now_ms, track.sure_ms) >= damping.sure_ms
-        return verdict.lost and (sure or _for(now_ms, track.dead_ms) >= patience)
-
-    def _return(
-        self, now_ms: float, before: PlannedZone, track: _Track, verdict: ZoneVerdict
-    ) -> _Change | None:
-        first = self.settings.ramp.shares[0]
-        if before.why == DRAINED and not verdict.lost:
-            return RECOVERING, first, "restored by an operator", before.flaps
-        if _for(now_ms, track.good_ms) >= self.pause_ms(before):
-            return RECOVERING, first, "seen well again", before.flaps
+        delay_ms = damping.failover_delay_ms
+        if zone.planned.state == RECOVERING:
+            delay_ms /= 2  # it was lost a moment ago
+        # The two delays run side by side: silence takes its own time to show.
+        unanimous = zone.history.unanimous.has_lasted(zone.now_ms, damping.unanimous_failover_delay_ms)
+        return zone.verdict.lost and (unanimous or zone.history.dead.has_lasted(zone.now_ms, delay_ms))
+
+    def _begin_recovery(self, zone: _Situation) -> _StateChange | None:
+        planned = zone.planned
+        first = self.settings.ramp.fractions[0]
+        if planned.reason == DRAINED and not zone.verdict.lost:
+            return _StateChange(RECOVERING, first, "restored by an operator", planned.recent_failures)
+        if zone.history.healthy.has_lasted(zone.now_ms, self._recovery_delay_ms(planned)):
+            return _StateChange(RECOVERING, first, "seen well again", planned.recent_failures)
         return None
 
-    def _ramp_up(self, before: PlannedZone, held: float) -> _Change | None:
-        ramp = self.settings.ramp
-        if held < ramp.step_ms:
+    def _ramp_up(self, zone: _Situation) -> _StateChange | None:
+        ramp, planned = self.settings.ramp, zone.planned
+        if zone.in_state_ms < ramp.step_ms:
             return None
-        later = [share for share in ramp.shares if share > before.share]
+        later = [fraction for fraction in ramp.fractions if fraction > planned.fraction]
         if later and later[0] < 1.0:
-            return RECOVERING, later[0], before.why, before.flaps
-        return SERVING, 1.0, "", before.flaps
+            return _StateChange(RECOVERING, later[0], planned.reason, planned.recent_failures)
+        return _StateChange(SERVING, 1.0, "", planned.recent_failures)
 
-    def pause_ms(self, zone: PlannedZone) -> float:
-        """How long a zone has to be seen well before it returns.
-
-        Twice as long for each time it was out lately.
-        """
+    def _recovery_delay_ms(self, zone: PlannedZone) -> float:
+        """How long a zone must be healthy before it recovers; doubled for each recent failure."""
         damping = self.settings.damping
-        return min(damping.back_most_ms, damping.back_ms * 2.0 ** min(20, max(0, zone.flaps - 1)))
-
-    def _keep_one(self, plan: Plan, zones: dict[str, PlannedZone]) -> None:
-        """Whatever is seen, one zone stays: a plan that puts all out helps nobody."""
-        leaving = [n for n, zone in sorted(zones.items()) if zone.open == 0 and self._was_open(plan, n)]
-        while leaving and not any(zone.open > 0 for zone in zones.values()):
-            name = leaving.pop()
+        doublings = min(MAX_DOUBLINGS, max(0, zone.recent_failures - 1))
+        return min(damping.max_recovery_delay_ms, damping.recovery_delay_ms * 2.0**doublings)
+
+    def _keep_one_open(self, plan: Plan, zones: dict[str, PlannedZone]) -> None:
+        """Keep one zone open whatever is observed: a plan that puts all zones out helps nobody."""
+        self.rejected = {}
+        closing = [
+            name
+            for name, zone in sorted(zones.items())
+            if zone.open_fraction == 0 and plan.zones.get(name, PlannedZone()).open_fraction > 0
+        ]
+        while closing and not any(zone.open_fraction > 0 for zone in zones.values()):
+            name = closing.pop()
             before = plan.zones.get(name, PlannedZone(region=zones[name].region))
-            self.refused[name] = f"zone {name} stays: all zones would be out"
+            self.rejected[name] = f"zone {name} stays: all zones would be out"
             zones[name] = msgspec.structs.replace(
-                zones[name], state=before.state, share=before.share, why=before.why
+                zones[name], state=before.state, fraction=before.fraction, reason=before.reason
             )
 
-    def _was_open(self, plan: Plan, name: str) -> bool:
-        return plan.zones.get(name, PlannedZone()).open > 0
-
-    def _apart(
-        self, now_ms: float, plan: Plan, verdicts: dict[str, ZoneVerdict]
-    ) -> tuple[tuple[str, str], ...]:
-        """The pairs of zones that have been apart for long enough.
+    def _unreachable_pairs(self, plan: Plan, verdicts: dict[str, ZoneVerdict]) -> tuple[tuple[str, str], ...]:
+        """The pairs of zones of which the first has not reached the second one for long enough.
 
-        They stay so until they were together for as long as a zone has to be seen well.
+        A pair remains until the second was reached for as long as a zone must be healthy to recover.
         """
-        found = set()
-        for zone, track in self.tracks.items():
-            for near, (since_ms, last_ms) in track.apart.items():
-                lasting = last_ms - since_ms >= self.settings.damping.out_ms
-                if (lasting or (near, zone) in plan.apart) and {near, zone} <= verdicts.keys():
-                    found.add((near, zone))
-        return tuple(sorted(found))
-
-
-def _for(now_ms: float, since_ms: float | None) -> float:
-    return -1.0 if since_ms is None else now_ms - since_ms
-
-
-def _fronts(after: PlannedZone, before: PlannedZone, heard: int) -> int:
-    """Front ends of a zone that does not serve; told anew only when it has changed by a quarter."""
+        pairs = set()
+        for target, history in self._histories.items():
+            for source, separation in history.separations.items():
+                lasted_ms = separation.last_ms - separation.first_ms
+                lasting = lasted_ms >= self.settings.damping.failover_delay_ms
+                known = source in verdicts and target in verdicts
+                if known and (lasting or (source, target) in plan.unreachable):
+                    pairs.add((source, target))
+        return tuple(sorted(pairs))
+
+
+def _front_end_count(after: PlannedZone, before: PlannedZone, reporting: int) -> int:
+    """The front ends of a zone that does not serve; changed only where it differs by more than a quarter."""
     if after.state == SERVING:
         return 0
-    return heard if abs(heard - before.fronts) * 4 > before.fronts else before.fronts
-
-
-def _cut_off(views: dict[str, ZoneHealth]) -> bool:
-    """One that sees all zones dead, two at the least, is cut off itself: its word counts for nothing."""
-    known = [seen for seen in views.values() if seen is not ZoneHealth.UNKNOWN]
-    return len(known) >= 2 and all(seen is ZoneHealth.DEAD for seen in known)
+    return reporting if abs(reporting - before.front_ends) * 4 > before.front_ends else before.front_ends
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -85,18 +85,18 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        seen = self._observer.seen(now)
+        seen = self._observer.evidence(now)
         for zone in self._zones():
             signs = seen.get(zone)
-            few = signs is None or signs.heard + signs.bad < 2 * self._rules.least
-            if few or self._observer.quiet_ms(now, zone) >= PROBE_MS:
+            few = signs is None or signs.responses + signs.failures < 2 * self._rules.min_signs
+            if few or self._observer.since_success_ms(now, zone) >= PROBE_MS:
                 self._dial(zone)
         self._look_at_views(now)
         self._front.loop.wheel.after(PROBE_MS, self.look)
 
     def _look_at_views(self, now_ms: float) -> None:
         """A view that has turned is told before its time."""
-        seen = self._observer.seen(now_ms)
+        seen = self._observer.evidence(now_ms)
         dead = {zone for zone, signs in seen.items() if zone_health(signs, self._rules) is ZoneHealth.DEAD}
         if dead != self._dead:
             self._dead = dead
@@ -115,7 +115,7 @@
 
         def told(good: bool) -> None:
             now = monotonic_ms()
-            self._observer.dialled(now, zone, worker_number(member.id), good)
+            self._observer.record_probe(now, zone, worker_number(member.id), connected=good)
             if not good and zone not in self._dead:
                 for _ in range(2 - more):
                     self._dial(zone, more=2)
--- /dev/null
+++ b/fawnwharf/zones/report.py
@@ -0,0 +1,62 @@
+"""Reports of members on the zones, and the store that keeps the latest report of each member. Pure."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Annotated
+
+import msgspec
+from msgspec import Meta, Struct
+
+from fawnwharf.zones import settings as s
+from fawnwharf.zones.evidence import ZoneEvidence
+
+
+class Report(Struct, frozen=True):
+    """What one front end observes; a later report has a larger number within its incarnation."""
+
+    name: s.Name
+    zone: s.Name
+    number: Annotated[int, Meta(ge=0)]
+    evidence: Annotated[dict[s.Name, ZoneEvidence], Meta(max_length=64)] = msgspec.field(
+        name="seen", default_factory=dict
+    )
+    # The capacity in service in each zone.
+    sizes: Annotated[dict[s.Name, Annotated[float, Meta(ge=0.0, le=1e9)]], Meta(max_length=64)] = {}
+    # The time since the change log last reported on scorers.
+    roster_age_ms: Annotated[float, Meta(ge=0.0)] = msgspec.field(name="roster_ms", default=0.0)
+    # The identity of the member's voter, where it has one.
+    voter_identity: Annotated[str, Meta(max_length=96)] = msgspec.field(name="identity", default="")
+    operator_request: s.OperatorRequest = msgspec.field(name="wishes", default=s.OperatorRequest())
+
+
+@dataclass(slots=True, frozen=True)
+class _Received:
+    """A report and when it was received."""
+
+    at_ms: float
+    report: Report
+
+
+class ReportStore:
+    """Keeps the latest report of each member."""
+
+    def __init__(self) -> None:
+        self.received: dict[str, _Received] = {}
+
+    def receive(self, now_ms: float, report: Report) -> None:
+        """Store a report in the place of the member's last one."""
+        self.received[report.name] = _Received(now_ms, report)
+
+    def current(self, now_ms: float, membership: s.Membership, ttl_ms: float) -> dict[str, Report]:
+        """The reports that are not too old, by member; those of former members are dropped."""
+        zones = {member.name: member.zone for member in membership.members}
+        self.received = {name: received for name, received in self.received.items() if name in zones}
+        return {
+            name: received.report
+            for name, received in self.received.items()
+            if now_ms - received.at_ms <= ttl_ms and received.report.zone == zones[name]
+        }
+
+    def received_within(self, now_ms: float, names: Iterable[str], limit_ms: float) -> set[str]:
+        """Those of these members, which must have reported, whose last report is no older than the limit."""
+        return {name for name in names if now_ms - self.received[name].at_ms <= limit_ms}
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -60,9 +60,13 @@
         place = Path(path)
         self.settings = load_file(place, s.settings_from, "zones")
         base = place.parent
-        self._members_file = WatchedFile(base / self.settings.members)
-        folder = base / self.settings.folder
-        wishes = base / self.settings.wishes if self.settings.wishes else folder / "wishes.json"
+        self._members_file = WatchedFile(base / self.settings.membership_file)
+        folder = base / self.settings.state_folder
+        wishes = (
+            base / self.settings.operator_request_file
+            if self.settings.operator_request_file
+            else folder / "wishes.json"
+        )
         self._wishes_file = WatchedFile(wishes)
         members = load_file(self._members_file.path, s.membership_from, "zones")
         self._members_file.changed()
@@ -74,7 +78,7 @@
         name, seed = self.entry.name, deployment.seed
         self.core = MemberCore(name, members, self.settings, now, seed, identity, *kept)
         promise = min((c.promise_ms for c in deployment.settings.classes.values()), default=1_000.0)
-        self.observer = EvidenceCollector(self.settings.evidence, promise)
+        self.evidence_collector = EvidenceCollector(self.settings.evidence, promise)
         self._sold = sum(deployment.settings.quotas_rps.values())  # before any limit stands among them
         self._spill: dict[str, float] = {}  # the most that a policy lets zones take of others' calls
         self._followed: FollowPlan | None = None
@@ -119,13 +123,13 @@
         most = len(self.core.members.members) + READERS_SPARE
         self.public = self._server("listen", self.settings.listen or self.entry.address, most)
         if self.entry.ballots:
-            place = self.settings.listen_ballots or self.entry.ballots
+            place = self.settings.listen_voter_address or self.entry.ballots
             self.ballots = self._server("listen_ballots", place, most)
         self._follow_members()
         self._look_at_files()
         self.probes = Probes(
             front,
-            self.observer,
+            self.evidence_collector,
             self.settings.evidence,
             self.entry.name,
             lambda: self.core.members.zones,
@@ -180,7 +184,7 @@
         for event in events:
             if isinstance(event, io.AttemptEnded | io.OrderAnswered) and event.worker in self._zone_of:
                 zone = self._zone_of[event.worker]
-                self.observer.ended(now, zone, event.worker, event.ending, event.took_ms)
+                self.evidence_collector.record_ending(now, zone, event.worker, event.ending, event.took_ms)
 
     def apply_policy_limits(self, sold_rps: float, spill: dict[str, float]) -> None:
         """Take a policy's total quota and spillover by zone.
@@ -208,17 +212,17 @@
         if effect.plan is None:
             self.note("on its own", fields)
         else:
-            states = {name: f"{zone.state} {zone.share:g}" for name, zone in effect.plan.zones.items()}
+            states = {name: f"{zone.state} {zone.fraction:g}" for name, zone in effect.plan.zones.items()}
             self.note(
                 "following",
-                fields | {"number": effect.plan.number, "zones": states, "apart": effect.plan.apart},
+                fields | {"number": effect.plan.number, "zones": states, "apart": effect.plan.unreachable},
             )
 
     def _carried(self, plan: Plan | None) -> float:
         """How many front ends' calls each of this zone's has: more than one where others of it are gone."""
         zone = plan.zones.get(self.entry.zone) if plan else None
         members = sum(member.zone == self.entry.zone for member in self.core.members.members)
-        return max(1.0, members / zone.fronts) if zone and zone.fronts else 1.0
+        return max(1.0, members / zone.front_ends) if zone and zone.front_ends else 1.0
 
     # --- time -----------------------------------------------------------------------------------
 
@@ -227,7 +231,9 @@
             return
         now = monotonic_ms()
         sizes = roster_closing.zone_sizes(self.front.overlay.members.values())
-        self._carry_out(self.core.tick(now, self.observer.seen(now), sizes, now - self._told_ms))
+        self._carry_out(
+            self.core.tick(now, self.evidence_collector.evidence(now), sizes, now - self._told_ms)
+        )
         self._set_timer()
 
     def _turned(self, now_ms: float) -> None:
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -1,17 +1,18 @@
-"""The operators' files for zones: settings, members and requests. Pure.
+"""Files that operators write for zones: settings, membership and operator requests.
 
-Each is JSON, taken whole or not at all; a faulty one raises FileFault, whose text names the key. Durations
-are milliseconds, shares are parts of one.
+Each file is JSON and is accepted as a whole or rejected as a whole. A faulty file raises SettingsFileError,
+whose text names the key. Durations are in milliseconds, fractions are between 0 and 1. The module is pure.
 """
 
-from typing import Annotated, Any
+from collections.abc import Collection
+from typing import Annotated, Any, Protocol, TypeVar
 
 import msgspec
 from msgspec import Meta, Struct
 
 VERSION = 1
 MAX_MEMBERS = 2_000
-VOTER_COUNTS = (1, 3, 5, 7)  # one alone is for trials: nothing is decided while it is away
+VOTER_COUNTS = (1, 3, 5, 7)  # a single voter is for trials: nothing is decided while it is down
 
 Name = Annotated[str, Meta(min_length=1, max_length=48, pattern=r"^[0-9A-Za-z_.:-]+$")]
 Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -20,18 +21,20 @@
 
 
 class SettingsFileError(ValueError):
-    """A file that can't be taken; the text names the key."""
+    """A file that cannot be accepted; the text names the key."""
 
 
 class MemberEntry(Struct, frozen=True):
-    """One front end: the address of its log, and of its ballots where it votes."""
+    """One front end of the fleet, as the membership file names it."""
 
     name: Name
     zone: Name
-    address: HostPort
+    address: HostPort  # of its member log
     region: Annotated[str, Meta(max_length=48)] = ""
-    ballots: HostPort | None = None  # voters have one
-    state: HostPort | None = None  # where its log of replicated state is, where it keeps any
+    # The address of its voter log; only voters have one.
+    ballots: HostPort | None = None
+    # The address of its log of replicated state; only members that keep such state have one.
+    state: HostPort | None = None
 
 
 class Membership(Struct, frozen=True):
@@ -49,106 +52,146 @@
 
     @property
     def zones(self) -> dict[str, str]:
-        """Each zone and its region."""
+        """The region of each zone, by zone name."""
         return {member.zone: member.region for member in self.members}
 
     def named(self, name: str) -> MemberEntry | None:
-        """The member of this name; None for an unknown one."""
+        """The member with this name, or None."""
         return next((member for member in self.members if member.name == name), None)
 
 
 class EvidenceSettings(Struct, frozen=True):
-    """When evidence on a zone counts, and for what."""
-
-    window_ms: DurationMs = 2_000.0  # what was seen longer ago is forgotten
-    least: Annotated[int, Meta(ge=1)] = 3  # signs that a view of a zone rests on
-    dead_share: Fraction = 0.8  # of the signs bad: the zone is dead for this observer
-    slow_share: Fraction = 0.5  # of the answers slow
-    report_ms: DurationMs = 300.0  # pace of reports
-    report_life_ms: DurationMs = 1_200.0  # and how long one counts
-    quiet_ms: DurationMs = 400.0  # with no good sign for so long, `least` bad scorers are enough
-    hush_ms: DurationMs = 700.0  # a front end without a report for so long does not speak for its zone
-    witnesses: Annotated[int, Meta(ge=1)] = 2  # observers that a zone's word takes, where it has so many
+    """How much health evidence amounts to a view of a zone, and how long it counts."""
+
+    # Evidence older than this is forgotten.
+    window_ms: DurationMs = 2_000.0
+    # The fewest signs, or failing scorers, that a view of a zone is based on.
+    min_signs: Annotated[int, Meta(ge=1)] = msgspec.field(name="least", default=3)
+    # With this fraction of failures among all signs, a zone is dead for the observer.
+    dead_fraction: Fraction = msgspec.field(name="dead_share", default=0.8)
+    # With this fraction of slow responses among all responses, a zone is slow for the observer.
+    slow_fraction: Fraction = msgspec.field(name="slow_share", default=0.5)
+    # The interval between two reports of a member, and the time for which a report counts.
+    report_interval_ms: DurationMs = msgspec.field(name="report_ms", default=300.0)
+    report_ttl_ms: DurationMs = msgspec.field(name="report_life_ms", default=1_200.0)
+    # After this time without a success, `min_signs` failing scorers make a zone dead.
+    no_success_ms: DurationMs = msgspec.field(name="quiet_ms", default=400.0)
+    # A front end that has not reported for this long is not counted as present in its zone.
+    reporter_silence_ms: DurationMs = msgspec.field(name="hush_ms", default=700.0)
+    # The fewest observers that a zone's opinion is based on, where the zone has that many.
+    min_observers: Annotated[int, Meta(ge=1)] = msgspec.field(name="witnesses", default=2)
 
 
 class DampingSettings(Struct, frozen=True):
-    """How long evidence has to last before anything follows from it."""
+    """How long a condition must last before the plan changes."""
 
-    out_ms: DurationMs = 1_500.0
-    sure_ms: DurationMs = 400.0  # the same where nobody in the zone is heard, and all that see others agree
-    slow_ms: DurationMs = 5_000.0
-    back_ms: DurationMs = 3_000.0  # and twice that for each time it went out lately
-    back_most_ms: DurationMs = 60_000.0
-    flap_ms: DurationMs = 600_000.0  # for so long a time out counts
-    leave_ms: DurationMs = 3_000.0  # from leaving to out
+    # For a zone that is lost, and the same where all observers agree and the zone itself is silent.
+    failover_delay_ms: DurationMs = msgspec.field(name="out_ms", default=1_500.0)
+    unanimous_failover_delay_ms: DurationMs = msgspec.field(name="sure_ms", default=400.0)
+    slow_delay_ms: DurationMs = msgspec.field(name="slow_ms", default=5_000.0)
+    # Before a zone recovers; doubled for each recent failure, up to the maximum.
+    recovery_delay_ms: DurationMs = msgspec.field(name="back_ms", default=3_000.0)
+    max_recovery_delay_ms: DurationMs = msgspec.field(name="back_most_ms", default=60_000.0)
+    # After this time in service one recent failure is forgotten.
+    flap_memory_ms: DurationMs = msgspec.field(name="flap_ms", default=600_000.0)
+    # How long a zone drains before it is out.
+    drain_ms: DurationMs = msgspec.field(name="leave_ms", default=3_000.0)
 
 
 class RampSettings(Struct, frozen=True):
-    """How a zone returns: what parts of its scorers, and for how long each."""
+    """How a zone recovers: which fractions of its scorers are opened, and for how long each."""
 
-    shares: Annotated[tuple[Fraction, ...], Meta(min_length=1, max_length=20)] = (0.25, 0.5, 0.75)
+    fractions: Annotated[tuple[Fraction, ...], Meta(min_length=1, max_length=20)] = msgspec.field(
+        name="shares", default=(0.25, 0.5, 0.75)
+    )
     step_ms: DurationMs = 3_000.0
 
 
 class SpilloverSettings(Struct, frozen=True):
-    """What a zone may be sent from others' front ends, as a part of its size."""
+    """How much traffic of other zones a zone takes, as a fraction of its size."""
 
-    share: Fraction = 0.5
-    zones: dict[str, Fraction] = {}  # where it differs
+    fraction: Fraction = msgspec.field(name="share", default=0.5)
+    # The zones for which it differs.
+    fraction_by_zone: dict[str, Fraction] = msgspec.field(name="zones", default_factory=dict)
 
 
 class ConsensusSettings(Struct, frozen=True):
-    """Times of the consensus protocol, and the part by which clocks' rates may differ."""
+    """Timing of the consensus protocol."""
 
-    beat_ms: DurationMs = 150.0
-    election_ms: DurationMs = 1_000.0
-    skew: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.1
-    fresh_ms: DurationMs = 500.0  # pace at which a leader says that its plan is the last one
-    valid_ms: DurationMs = 2_000.0  # without hearing so for this long a plan is old
+    heartbeat_ms: DurationMs = msgspec.field(name="beat_ms", default=150.0)
+    election_timeout_ms: DurationMs = msgspec.field(name="election_ms", default=1_000.0)
+    # The fraction by which the rates of two clocks may differ.
+    max_clock_skew: Annotated[float, Meta(ge=0.0, le=0.5)] = msgspec.field(name="skew", default=0.1)
+    # How often a leader states that its plan is the latest one.
+    freshness_interval_ms: DurationMs = msgspec.field(name="fresh_ms", default=500.0)
+    # A plan is stale when it has not been stated to be the latest for this long.
+    plan_validity_ms: DurationMs = msgspec.field(name="valid_ms", default=2_000.0)
 
 
 class ZoneSettings(Struct, frozen=True):
-    """The file that switches zones on; relative paths are from its own folder."""
+    """The file that switches zones on; relative paths start at its own folder."""
 
     version: int
-    members: str
-    folder: str  # for terms, votes and decisions; it has to outlive the process
-    wishes: str = ""  # what operators ask of this member; in `folder` where it is not said
-    listen: str = ""  # where it differs from the member's address
-    listen_ballots: str = ""
+    membership_file: str = msgspec.field(name="members")
+    # For terms, votes and decisions; it must outlive the process.
+    state_folder: str = msgspec.field(name="folder")
+    # The operator requests to this member; `wishes.json` in the state folder where it is empty.
+    operator_request_file: str = msgspec.field(name="wishes", default="")
+    # Addresses to listen at, where they differ from those in the membership file.
+    listen: str = ""
+    listen_voter_address: str = msgspec.field(name="listen_ballots", default="")
     evidence: EvidenceSettings = msgspec.field(default_factory=EvidenceSettings)
     damping: DampingSettings = msgspec.field(default_factory=DampingSettings)
     ramp: RampSettings = msgspec.field(default_factory=RampSettings)
-    spill: SpilloverSettings = msgspec.field(default_factory=SpilloverSettings)
-    voting: ConsensusSettings = msgspec.field(default_factory=ConsensusSettings)
+    spillover: SpilloverSettings = msgspec.field(name="spill", default_factory=SpilloverSettings)
+    consensus: ConsensusSettings = msgspec.field(name="voting", default_factory=ConsensusSettings)
 
 
 class OperatorRequest(Struct, frozen=True):
-    """An operator's request: these zones drained. A later one has a larger number."""
+    """An operator's request to drain these zones; a later request has a larger number."""
 
     version: int = VERSION
     number: Annotated[int, Meta(ge=0)] = 0
     drained: Annotated[tuple[Name, ...], Meta(max_length=64)] = ()
 
 
-def decode_versioned_file(data: bytes, kind: type, what: str, version: int) -> Any:
-    """Decode a file of JSON by its type, whose `version` has to be this one.
+class VersionedFile(Protocol):
+    """A decoded file with a format version."""
+
+    @property
+    def version(self) -> int:
+        """The version of the file's format."""
+
+
+VersionedT = TypeVar("VersionedT", bound=VersionedFile)
+FileT = TypeVar("FileT")
+
 
-    Raises FileFault with the key at fault, or `what` for the whole file.
+def decode_versioned_file(data: bytes, kind: type[VersionedT], what: str, version: int) -> VersionedT:
+    """Decode a JSON file into its type and check its version.
+
+    Raises SettingsFileError with the faulty key, or with `what` for a fault of the whole file.
     """
     try:
-        found = msgspec.json.decode(data, type=kind)
+        decoded = msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        raise SettingsFileError(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
+        raise _validation_error(error, what) from None
     except (msgspec.DecodeError, RecursionError) as error:
         raise SettingsFileError(f"{what}: not JSON: {error}") from None
-    if found.version != version:
-        raise SettingsFileError(f"version: {found.version}, and this program knows {version}")
-    return found
+    if decoded.version != version:
+        raise SettingsFileError(f"version: {decoded.version}, and this program knows {version}")
+    return decoded
+
+
+def _validation_error(error: msgspec.ValidationError, what: str) -> SettingsFileError:
+    """The error for a value that fails validation, beginning with its key."""
+    text, _, path = str(error).partition(" - at `$")
+    key = path.rstrip("`").lstrip(".")
+    return SettingsFileError(f"{key or what}: {text}")
 
 
-def _read(data: bytes | Any, kind: type, what: str) -> Any:
+def _decode(data: bytes | Any, kind: type[FileT], what: str) -> FileT:
+    """Decode a file or an already decoded value; the version is checked before all other keys."""
     try:
         value = msgspec.json.decode(data) if isinstance(data, bytes) else data
     except (msgspec.DecodeError, RecursionError) as error:
@@ -158,67 +201,93 @@
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        raise SettingsFileError(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
+        raise _validation_error(error, what) from None
 
 
 def membership_from(data: bytes | Any) -> Membership:
-    """Parse a file of members and check it; raises FileFault.
+    """Parse a membership file and check it; raises SettingsFileError.
 
-    Voters are spread: no zone goes without one while another has two.
+    Voters must be spread: no zone may be without a voter while another one has two.
     """
-    members: Membership = _read(data, Membership, "members")
-    seen: dict[str, int] = {}
-    used: dict[str, int] = {}
+    membership = _decode(data, Membership, "members")
+    _check_entries(membership.members)
+    _check_voters(membership)
+    return membership
+
+
+def _check_entries(entries: list[MemberEntry]) -> None:
+    """Names and addresses must be unique, and all members of a zone in one region."""
+    names: set[str] = set()
+    addresses: set[str] = set()
     regions: dict[str, str] = {}
-    for n, member in enumerate(members.members):
-        if member.name in seen:
-            raise SettingsFileError(f"members[{n}].name: {member.name} stands twice")
-        seen[member.name] = n
-        for key in ("address", "ballots", "state"):
-            place = getattr(member, key)
-            if place is not None and place in used:
-                raise SettingsFileError(f"members[{n}].{key}: {place} stands twice")
-            used[place] = n
-        if regions.setdefault(member.zone, member.region) != member.region:
-            raise SettingsFileError(f"members[{n}].region: zone {member.zone} stands in two")
-    voters = members.voters
+    for index, entry in enumerate(entries):
+        if entry.name in names:
+            raise SettingsFileError(f"members[{index}].name: {entry.name} stands twice")
+        names.add(entry.name)
+        for key, address in (("address", entry.address), ("ballots", entry.ballots), ("state", entry.state)):
+            if address is None:
+                continue
+            if address in addresses:
+                raise SettingsFileError(f"members[{index}].{key}: {address} stands twice")
+            addresses.add(address)
+        if regions.setdefault(entry.zone, entry.region) != entry.region:
+            raise SettingsFileError(f"members[{index}].region: zone {entry.zone} stands in two")
+
+
+def _check_voters(membership: Membership) -> None:
+    """The number of voters must be allowed, and the voters spread over the zones."""
+    voters = membership.voters
     if len(voters) not in VOTER_COUNTS:
         raise SettingsFileError(f"members: {len(voters)} voters, and it takes 3, 5 or 7")
-    counts = {zone: sum(voter.zone == zone for voter in voters) for zone in regions}
-    bare = [zone for zone, count in counts.items() if count == 0]
-    if bare and max(counts.values()) > 1:
-        raise SettingsFileError(f"members: zone {bare[0]} has no voter, and another has two")
-    return members
+    counts = {zone: sum(voter.zone == zone for voter in voters) for zone in membership.zones}
+    zones_without = [zone for zone, count in counts.items() if count == 0]
+    if zones_without and max(counts.values()) > 1:
+        raise SettingsFileError(f"members: zone {zones_without[0]} has no voter, and another has two")
 
 
 def settings_from(data: bytes | Any) -> ZoneSettings:
-    """Parse and check the settings; raises FileFault."""
-    settings: ZoneSettings = _read(data, ZoneSettings, "settings")
-    if list(settings.ramp.shares) != sorted(settings.ramp.shares):
-        raise SettingsFileError("ramp.shares: not in rising order")
-    if settings.evidence.report_life_ms < 2 * settings.evidence.report_ms:
-        raise SettingsFileError("evidence.report_life_ms: less than two reports")
-    if settings.evidence.hush_ms < 2 * settings.evidence.report_ms:
-        raise SettingsFileError("evidence.hush_ms: less than two reports")
-    if settings.damping.sure_ms > settings.damping.out_ms:
-        raise SettingsFileError("damping.sure_ms: longer than damping.out_ms")
-    if settings.voting.beat_ms * 3 > settings.voting.election_ms:
-        raise SettingsFileError("voting.beat_ms: three do not fit into voting.election_ms")
-    if settings.voting.fresh_ms * 2 > settings.voting.valid_ms:
-        raise SettingsFileError("voting.fresh_ms: two do not fit into voting.valid_ms")
+    """Parse and check the settings; raises SettingsFileError."""
+    settings = _decode(data, ZoneSettings, "settings")
+    evidence, damping, consensus = settings.evidence, settings.damping, settings.consensus
+    fractions = list(settings.ramp.fractions)
+    checks = (
+        (fractions == sorted(fractions), "ramp.shares: not in rising order"),
+        (
+            evidence.report_ttl_ms >= 2 * evidence.report_interval_ms,
+            "evidence.report_life_ms: less than two reports",
+        ),
+        (
+            evidence.reporter_silence_ms >= 2 * evidence.report_interval_ms,
+            "evidence.hush_ms: less than two reports",
+        ),
+        (
+            damping.unanimous_failover_delay_ms <= damping.failover_delay_ms,
+            "damping.sure_ms: longer than damping.out_ms",
+        ),
+        (
+            consensus.heartbeat_ms * 3 <= consensus.election_timeout_ms,
+            "voting.beat_ms: three do not fit into voting.election_ms",
+        ),
+        (
+            consensus.freshness_interval_ms * 2 <= consensus.plan_validity_ms,
+            "voting.fresh_ms: two do not fit into voting.valid_ms",
+        ),
+    )
+    for holds, text in checks:
+        if not holds:
+            raise SettingsFileError(text)
     return settings
 
 
-def operator_request_from(data: bytes | Any, zones: set[str]) -> OperatorRequest:
-    """Parse requests: they may name zones of the fleet, and have to leave one that serves.
+def operator_request_from(data: bytes | Any, zones: Collection[str]) -> OperatorRequest:
+    """Parse an operator request; raises SettingsFileError.
 
-    Raises FileFault.
+    It may only name zones of the fleet, and must leave at least one zone in service.
     """
-    wishes: OperatorRequest = _read(data, OperatorRequest, "wishes")
-    for n, zone in enumerate(wishes.drained):
+    request = _decode(data, OperatorRequest, "wishes")
+    for index, zone in enumerate(request.drained):
         if zone not in zones:
-            raise SettingsFileError(f"drained[{n}]: no zone {zone}")
-    if zones and set(wishes.drained) >= zones:
+            raise SettingsFileError(f"drained[{index}]: no zone {zone}")
+    if zones and set(request.drained) >= set(zones):
         raise SettingsFileError("drained: all zones would be out")
-    return wishes
+    return request
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -31,7 +31,7 @@
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import log_lines, member_log, plan, planner
+from fawnwharf.zones import log_lines, member_log, plan, report
 from fawnwharf.zones import settings as zone_settings
 
 CORPUS = Path(__file__).parent / "corpus"
@@ -127,7 +127,7 @@
     "zones/plan": Boundary(
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
-    "zones/report": converted(planner.Report),
+    "zones/report": converted(report.Report),
     "zones/wishes": file(zone_settings.OperatorRequest),
     "zones/members": file(zone_settings.Membership),
     "scorers/fleet": Boundary(
--- a/tests/support/zone_files.py
+++ b/tests/support/zone_files.py
@@ -3,7 +3,9 @@
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import ZoneEvidence
 
-GOOD, DEAD, SLOW = ZoneEvidence(heard=9), ZoneEvidence(silent=6, refused=3), ZoneEvidence(heard=9, slow=8)
+GOOD = ZoneEvidence(responses=9)
+DEAD = ZoneEvidence(timeouts=6, connect_failures=3)
+SLOW = ZoneEvidence(responses=9, slow_responses=8)
 
 
 def members_data(zones="aab", voters=3, regions=None):
--- a/tests/test_zone_judge.py
+++ b/tests/test_zone_judge.py
@@ -7,7 +7,8 @@
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import ZoneEvidence
-from fawnwharf.zones.planner import Report, ZonePlanner
+from fawnwharf.zones.planner import ZonePlanner
+from fawnwharf.zones.report import Report
 
 
 class Bench:
@@ -33,9 +34,9 @@
                     next(self.numbers),
                     {zone: seen for zone, seen in views.items() if seen},
                     dict.fromkeys(self.members.zones, 8.0),
-                    wishes=wishes or s.OperatorRequest(),
+                    operator_request=wishes or s.OperatorRequest(),
                 )
-                self.judge.heard(self.now, report)
+                self.judge.receive(self.now, report)
             following = self.judge.next_plan(self.now, self.members, self.plan)
             if following:
                 self.plan = p.plan_from(following.encode())
@@ -67,10 +68,12 @@
     went = next(at for at, plan in bench.plans if plan.zones["b"].state == p.OUT)
     # Nobody there is heard and all agree: that is sure after its own short time.
     rules = bench.judge.settings
-    assert lost + rules.evidence.hush_ms <= went <= lost + rules.evidence.hush_ms + 1_000
+    assert (
+        lost + rules.evidence.reporter_silence_ms <= went <= lost + rules.evidence.reporter_silence_ms + 1_000
+    )
     bench.heal()
     bench.run(20)
-    shares = [plan.zones["b"].share for _, plan in bench.plans if plan.zones["b"].state != p.OUT]
+    shares = [plan.zones["b"].fraction for _, plan in bench.plans if plan.zones["b"].state != p.OUT]
     assert shares[shares.index(0.25) :] == [0.25, 0.5, 0.75, 1.0] and bench.states()["b"] == p.SERVING
 
 
@@ -80,7 +83,7 @@
     lost = bench.now
     bench.run(6)
     went = next(at for at, plan in bench.plans if plan.zones["b"].state == p.OUT)
-    assert went - lost >= bench.settings.damping.out_ms
+    assert went - lost >= bench.settings.damping.failover_delay_ms
 
 
 def test_a_zone_that_is_dark_for_less_than_a_second_stays():
@@ -100,7 +103,7 @@
     went_on = bench.now
     bench.run(6)
     went = next(at for at, plan in bench.plans if plan.zones["b"].state == p.OUT)
-    assert went - went_on >= bench.settings.damping.out_ms
+    assert went - went_on >= bench.settings.damping.failover_delay_ms
 
 
 def test_one_bad_observer_moves_nothing():
@@ -122,10 +125,10 @@
     bench = Bench(SIX).run(3)
     bench.seen = lambda member, zone: DEAD if (member.zone, zone) == ("a", "b") else GOOD
     bench.run(6)
-    assert set(bench.states().values()) == {p.SERVING} and bench.plan.apart == (("a", "b"),)
+    assert set(bench.states().values()) == {p.SERVING} and bench.plan.unreachable == (("a", "b"),)
     bench.heal()
     bench.run(6)
-    assert bench.plan.apart == ()
+    assert bench.plan.unreachable == ()
 
 
 def test_a_slow_zone_serves_its_own_and_takes_no_spill():
@@ -133,7 +136,7 @@
     bench.seen = lambda member, zone: SLOW if zone == "c" else GOOD
     bench.run(8)
     assert set(bench.states().values()) == {p.SERVING}
-    assert [bench.plan.zones[zone].spill for zone in "abc"] == [0.5, 0.5, 0.0]
+    assert [bench.plan.zones[zone].spillover for zone in "abc"] == [0.5, 0.5, 0.0]
 
 
 def test_a_minority_zone_that_calls_all_others_dead_moves_no_traffic():
@@ -194,7 +197,7 @@
     bench = Bench(fleet).run(3)
     bench.seen = lambda member, zone: DEAD
     bench.run(20)
-    assert any(zone.open for zone in bench.plan.zones.values())
+    assert any(zone.open_fraction for zone in bench.plan.zones.values())
 
 
 def test_a_drained_zone_leaves_first_and_is_restored_by_a_later_wish():
@@ -219,7 +222,13 @@
         draw = next(drawn) * 2654435761 % 1000
         if draw < 40:
             return DEAD
-        return SLOW if draw < 150 else None if draw < 250 else ZoneEvidence(heard=6, silent=3, slow=1)
+        return (
+            SLOW
+            if draw < 150
+            else None
+            if draw < 250
+            else ZoneEvidence(responses=6, timeouts=3, slow_responses=1)
+        )
 
     bench.seen = noisy
     bench.run(3600)
@@ -228,12 +237,12 @@
 
 def test_the_front_ends_that_are_left_of_a_zone_are_counted_while_it_does_not_serve():
     bench = Bench(WIDE).run(3)
-    assert bench.plan.zones["a"].fronts == 0
+    assert bench.plan.zones["a"].front_ends == 0
     bench.seen = lambda member, zone: DEAD if zone == "a" else GOOD
     bench.silent = {"n3"}
     bench.run(5)
-    assert (bench.states()["a"], bench.plan.zones["a"].fronts) == (p.OUT, 3)
+    assert (bench.states()["a"], bench.plan.zones["a"].front_ends) == (p.OUT, 3)
     before = len(bench.plans)
     bench.silent = {"n3", "n4"}
     bench.run(3)
-    assert bench.plan.zones["a"].fronts == 2 and len(bench.plans) == before + 1
+    assert bench.plan.zones["a"].front_ends == 2 and len(bench.plans) == before + 1
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -147,8 +147,8 @@
     led = min(at for at, _, note in fleet.notes if note.event == "role" and at > lost)
     went = min(at for at, _, note in fleet.notes if note.event == "proposed" and at > lost)
     rules = fleet.settings
-    assert went - led <= rules.evidence.report_ms
-    assert went - lost <= 2 * rules.voting.election_ms + 2 * rules.evidence.report_ms
+    assert went - led <= rules.evidence.report_interval_ms
+    assert went - lost <= 2 * rules.consensus.election_timeout_ms + 2 * rules.evidence.report_interval_ms
 
 
 def test_a_minority_decides_nothing_knows_that_its_plan_is_old_and_takes_the_new_one():
@@ -163,7 +163,7 @@
     assert {fleet.cores[name].index for name in inside} == {before}
     assert all(fleet.following[name].plan is None for name in inside)
     old = [at for at, name, note in fleet.notes if name in inside and note.event == "plan old"]
-    most = fleet.settings.voting.valid_ms + fleet.settings.voting.fresh_ms
+    most = fleet.settings.consensus.plan_validity_ms + fleet.settings.consensus.freshness_interval_ms
     assert len(old) == 3 and max(old) - cut <= most
     assert fleet.state("n1", "a") == p.OUT
     fleet.cut.clear()
@@ -200,7 +200,7 @@
     fleet.run(20)
     [name] = fleet.leaders()
     assert {v.partition("#")[0] for v in fleet.cores[name].voter.saved.voters} == {"n0", "n2", "n4"}
-    assert fleet.cores[name].plan.apart  # c serves its own: the others do not reach it
+    assert fleet.cores[name].plan.unreachable  # c serves its own: the others do not reach it
     assert fleet.valid() == set(fleet.cores)
 
 
@@ -221,10 +221,10 @@
 def test_a_line_that_no_member_writes_is_a_fault_and_changes_nothing(data):
     fleet = Fleet(members("abc", 3)).run(10)
     core = fleet.cores["n0"]
-    before = core.plan, core.index, core.fresh_ms, dict(core.judge.reports)
+    before = core.plan, core.index, core.fresh_ms, dict(core.judge.reports.received)
     with pytest.raises(LogLineError):
         core.line(fleet.now, "n1", data, False)
-    assert before == (core.plan, core.index, core.fresh_ms, dict(core.judge.reports))
+    assert before == (core.plan, core.index, core.fresh_ms, dict(core.judge.reports.received))
 
 
 def test_a_forged_ballot_is_a_fault_and_one_of_no_voter_is_counted():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -77,7 +77,7 @@
     made = {}
     for name, (state, size, spill, region) in zones.items():
         share = 1.0 if state == p.SERVING else 0.5 if state == p.RECOVERING else 0.0
-        made[name] = p.PlannedZone(state=state, share=share, size=size, spill=spill, region=region)
+        made[name] = p.PlannedZone(state=state, fraction=share, size=size, spillover=spill, region=region)
     return p.Plan(number=1, zones=made)
 
 
@@ -110,14 +110,14 @@
     assert p.admitted_fraction(back, "a") > 0.5
     opened = [n for n in range(400) if p.is_open(back, "a", f"s-{n}")]
     assert 150 < len(opened) < 250
-    more = msgspec.structs.replace(back.zones["a"], share=0.75)
+    more = msgspec.structs.replace(back.zones["a"], fraction=0.75)
     wider = msgspec.structs.replace(back, zones=back.zones | {"a": more})
     assert all(p.is_open(wider, "a", f"s-{n}") for n in opened)  # none that was open closes again
 
 
 def test_zones_that_do_not_reach_each_other_do_not_spill_there():
     base = plan(a=(p.OUT, 4, 0.5, "x"), b=(p.SERVING, 8, 0.5, "x"), c=(p.SERVING, 8, 0.5, "y"))
-    cut = msgspec.structs.replace(base, apart=(("a", "b"),))
+    cut = msgspec.structs.replace(base, unreachable=(("a", "b"),))
     assert p.spillover_flows(cut) == {"a": {"c": 4.0}} and p.open_zones(cut, "a") == {"c"}
 
 
@@ -176,16 +176,20 @@
     rules = s.EvidenceSettings()
     table = {
         None: ZoneHealth.UNKNOWN,
-        ZoneEvidence(refused=2): ZoneHealth.UNKNOWN,
-        ZoneEvidence(refused=3): ZoneHealth.DEAD,
-        ZoneEvidence(heard=1, silent=4): ZoneHealth.DEAD,
-        ZoneEvidence(heard=2, silent=4): ZoneHealth.GOOD,
-        ZoneEvidence(heard=4, slow=2): ZoneHealth.SLOW,
-        ZoneEvidence(heard=4, slow=1): ZoneHealth.GOOD,
-        ZoneEvidence(heard=40, refused=3, run=3, quiet_ms=400.0): ZoneHealth.DEAD,
-        ZoneEvidence(heard=40, refused=3, run=3, quiet_ms=399.0): ZoneHealth.GOOD,
+        ZoneEvidence(connect_failures=2): ZoneHealth.UNKNOWN,
+        ZoneEvidence(connect_failures=3): ZoneHealth.DEAD,
+        ZoneEvidence(responses=1, timeouts=4): ZoneHealth.DEAD,
+        ZoneEvidence(responses=2, timeouts=4): ZoneHealth.GOOD,
+        ZoneEvidence(responses=4, slow_responses=2): ZoneHealth.SLOW,
+        ZoneEvidence(responses=4, slow_responses=1): ZoneHealth.GOOD,
         ZoneEvidence(
-            heard=40, refused=9, run=2, quiet_ms=900.0
+            responses=40, connect_failures=3, failing_scorers=3, since_success_ms=400.0
+        ): ZoneHealth.DEAD,
+        ZoneEvidence(
+            responses=40, connect_failures=3, failing_scorers=3, since_success_ms=399.0
+        ): ZoneHealth.GOOD,
+        ZoneEvidence(
+            responses=40, connect_failures=9, failing_scorers=2, since_success_ms=900.0
         ): ZoneHealth.GOOD,  # so few scorers are not a zone
     }
     for seen, expected in table.items():
@@ -193,33 +197,35 @@
 
 
 def test_an_observer_forgets_what_is_older_than_its_window():
-    observer = EvidenceCollector(s.EvidenceSettings(window_ms=1_000.0), promise_ms=200.0)
-    observer.ended(0.0, "a", 1, Ending.GOOD, 50.0)
-    observer.ended(400.0, "a", 1, Ending.GOOD, 300.0)
-    observer.ended(900.0, "a", 1, Ending.CANCELLED, 250.0)
-    observer.ended(900.0, "a", 1, Ending.CANCELLED, 20.0)
-    observer.ended(900.0, "b", 2, Ending.NOT_SENT, 0.0)
-    observer.dialled(900.0, "b", 2, False)
+    observer = EvidenceCollector(s.EvidenceSettings(window_ms=1_000.0), latency_objective_ms=200.0)
+    observer.record_ending(0.0, "a", 1, Ending.GOOD, 50.0)
+    observer.record_ending(400.0, "a", 1, Ending.GOOD, 300.0)
+    observer.record_ending(900.0, "a", 1, Ending.CANCELLED, 250.0)
+    observer.record_ending(900.0, "a", 1, Ending.CANCELLED, 20.0)
+    observer.record_ending(900.0, "b", 2, Ending.NOT_SENT, 0.0)
+    observer.record_probe(900.0, "b", 2, connected=False)
     a, b = (
-        ZoneEvidence(heard=2, slow=1, silent=1, run=1, quiet_ms=550.0),
-        ZoneEvidence(refused=1, run=1, quiet_ms=50.0),
+        ZoneEvidence(responses=2, slow_responses=1, timeouts=1, failing_scorers=1, since_success_ms=550.0),
+        ZoneEvidence(connect_failures=1, failing_scorers=1, since_success_ms=50.0),
     )
-    assert observer.seen(950.0) == {"a": a, "b": b}
+    assert observer.evidence(950.0) == {"a": a, "b": b}
     a, b = (
-        ZoneEvidence(heard=1, slow=1, silent=1, run=1, quiet_ms=950.0),
-        ZoneEvidence(refused=1, run=1, quiet_ms=450.0),
+        ZoneEvidence(responses=1, slow_responses=1, timeouts=1, failing_scorers=1, since_success_ms=950.0),
+        ZoneEvidence(connect_failures=1, failing_scorers=1, since_success_ms=450.0),
     )
-    assert observer.seen(1_350.0) == {"a": a, "b": b}
-    assert observer.seen(5_000.0) == {}
+    assert observer.evidence(1_350.0) == {"a": a, "b": b}
+    assert observer.evidence(5_000.0) == {}
 
 
 def test_a_run_of_bad_signs_is_counted_by_scorers_and_ended_by_one_good_sign():
-    observer = EvidenceCollector(s.EvidenceSettings(), promise_ms=200.0)
-    observer.dialled(0.0, "a", 1, True)
+    observer = EvidenceCollector(s.EvidenceSettings(), latency_objective_ms=200.0)
+    observer.record_probe(0.0, "a", 1, connected=True)
     for at, scorer in ((100.0, 1), (200.0, 1), (300.0, 2), (400.0, 3)):
-        observer.dialled(at, "a", scorer, False)
-    assert observer.seen(500.0)["a"] == ZoneEvidence(heard=1, refused=4, run=3, quiet_ms=500.0)
-    assert zone_health(observer.seen(500.0)["a"], s.EvidenceSettings()) is ZoneHealth.DEAD
-    assert observer.quiet_ms(500.0, "a") == 500.0
-    observer.ended(600.0, "a", 2, Ending.GOOD, 10.0)
-    assert observer.seen(600.0)["a"] == ZoneEvidence(heard=2, refused=4)
+        observer.record_probe(at, "a", scorer, connected=False)
+    assert observer.evidence(500.0)["a"] == ZoneEvidence(
+        responses=1, connect_failures=4, failing_scorers=3, since_success_ms=500.0
+    )
+    assert zone_health(observer.evidence(500.0)["a"], s.EvidenceSettings()) is ZoneHealth.DEAD
+    assert observer.since_success_ms(500.0, "a") == 500.0
+    observer.record_ending(600.0, "a", 2, Ending.GOOD, 10.0)
+    assert observer.evidence(600.0)["a"] == ZoneEvidence(responses=2, connect_failures=4)
