--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -23,8 +23,8 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_service import given_words, hints, kept
-from fawnwharf.recovery_service import words as recovery_words
+from fawnwharf.recovery_service import hints, permit_messages, stored_state
+from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.replication import claims
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
@@ -108,13 +108,13 @@
         recovery_register.Register, lambda data: recovery_register.register_from(data.decode()),
         lambda value: value.encode().encode(),
     ),
-    "recovery/word": line(recovery_words.Word, recovery_words.word_from),
-    "recovery/shown": converted(recovery_words.Shown),
-    "recovery/given": line(given_words.Word, given_words.word_from),
-    "recovery/stamped": file(kept.Stamped),
+    "recovery/word": line(recovery_words.RecoveryMessage, recovery_words.recovery_message_from),
+    "recovery/shown": converted(recovery_words.DisplayedStatus),
+    "recovery/given": line(permit_messages.PermitMessage, permit_messages.permit_message_from),
+    "recovery/stamped": file(stored_state.StampedEntry),
     "recovery/claim": converted(claims.Claim),
-    "recovery/scorers": converted(list[hints._Scorer]),
-    "recovery/use": converted(list[hints._Use]),
+    "recovery/scorers": converted(list[hints._StoredScorer]),
+    "recovery/use": converted(list[hints._StoredUsage]),
     "state/line": line(state.LogLine, state.parse_line, "say"),
     "state/head": file(keeper_disk.Head),
     "state/batch": file(keeper_disk.Batch),
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -17,7 +17,7 @@
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.recovery_core import asking, register
-from fawnwharf.recovery_service import given_words
+from fawnwharf.recovery_service import permit_messages
 from fawnwharf.replication import claims
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.zones import plan
@@ -217,7 +217,12 @@
             claims.ClaimPhase.TAKEN,
         ],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
-        [given_words.What.NOT, given_words.What.MADE, given_words.What.STANDS, given_words.What.FAILED],
+        [
+            permit_messages.DelegatedLoadResult.NOT,
+            permit_messages.DelegatedLoadResult.MADE,
+            permit_messages.DelegatedLoadResult.STANDS,
+            permit_messages.DelegatedLoadResult.FAILED,
+        ],
         [asking.What.MEMBERS, asking.What.PLAN, asking.What.PROMISES, asking.What.ROSTER, asking.What.USE],
         [
             register.Stage.LISTENING,
