--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -8,33 +8,35 @@
 the last) and, of voters only, one for the other voters (the consensus protocol itself).
 """
 
+from typing import Any
+
+import msgspec
+
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.timing import Timing
 from fawnwharf.consensus.voter import Voter
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import ZoneEvidence
-from fawnwharf.zones.log_lines import ConsensusStatus
-from fawnwharf.zones.log_lines import DropCounts
-from fawnwharf.zones.log_lines import Effect
-from fawnwharf.zones.log_lines import FollowPlan
-from fawnwharf.zones.log_lines import LogEvent
-from fawnwharf.zones.log_lines import LogLine
-from fawnwharf.zones.log_lines import LogLineError
-from fawnwharf.zones.log_lines import MessagesReceived
-from fawnwharf.zones.log_lines import POLICY
-from fawnwharf.zones.log_lines import PublishLine
-from fawnwharf.zones.log_lines import RECOVERY
-from fawnwharf.zones.log_lines import RegisterDecided
-from fawnwharf.zones.log_lines import SaveVoterState
-from fawnwharf.zones.log_lines import SendVoterMessage
-from fawnwharf.zones.log_lines import messages_for
-from fawnwharf.zones.plan import Plan
-from fawnwharf.zones.plan import PlanError
-from fawnwharf.zones.plan import plan_from
+from fawnwharf.zones.log_lines import (
+    POLICY,
+    RECOVERY,
+    ConsensusStatus,
+    DropCounts,
+    Effect,
+    FollowPlan,
+    LogEvent,
+    LogLine,
+    LogLineError,
+    MessagesReceived,
+    PublishLine,
+    RegisterDecided,
+    SaveVoterState,
+    SendVoterMessage,
+    messages_for,
+)
+from fawnwharf.zones.plan import Plan, PlanError, plan_from
 from fawnwharf.zones.planner import ZonePlanner
 from fawnwharf.zones.report import Report
-from typing import Any
-import msgspec
 
 
 class MemberCore:
