--- a/tests/test_lint_exemptions.py
+++ b/tests/test_lint_exemptions.py
@@ -1,4 +1,4 @@
-"""Exemptions from the linter: each is needed, and there are no more than there were; checked types likewise."""
+"""Exemptions from the linter: each one is needed, and there are no more than there were. Types likewise."""
 
 import json
 import re
