--- a/fawnwharf/policy_rollout/follow.py
+++ b/fawnwharf/policy_rollout/follow.py
@@ -99,9 +99,9 @@
         if quotas == self.quotas:
             return
         before, self.quotas = self.quotas, quotas
-        shares = self.state.core.shares if self.state is not None else None
+        shares = self.state.core.quota_shares if self.state is not None else None
         if shares is not None:
-            changes = shares.sell(quotas)
+            changes = shares.change_quotas(quotas)
         else:
             changes = {name: rps / self._fronts for name, rps in quotas.items() if rps != before.get(name)}
         changes |= {name: io.UNLIMITED_RPS for name in before if name not in quotas}
@@ -110,14 +110,16 @@
 
     def keep_by(self, kept: dict[str, tuple[str, float]]) -> None:
         """Apply modes and windows of replication by class, as `Easing` has them."""
-        keeper = self.state.core.keeper if self.state is not None else None
+        keeper = self.state.core.replica if self.state is not None else None
         if self.state is None or (kept, keeper, self.classes) == self._kept:
             return
         self._kept = kept, keeper, self.classes
         gate = self.state.gate
-        gate.go_by(self.classes, gate.modes | {n: mode for n, (mode, _) in kept.items() if n in gate.modes})
+        gate.change_rules(
+            self.classes, gate.modes | {n: mode for n, (mode, _) in kept.items() if n in gate.modes}
+        )
         if keeper is not None:
-            keeper.shelf.windows = {name: window for name, (_, window) in kept.items()}
+            keeper.claim_store.class_windows_ms = {name: window for name, (_, window) in kept.items()}
 
     def undo(self, base: Document) -> None:
         """Restore the settings, for whoever takes the parts over."""
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -68,11 +68,11 @@
         others alone can't be told from a new one."""
         if self._gate.modes.get(call.class_name, "off") == "off":
             return False
-        name, keeper = call_key(call), self._core.keeper
-        if name in self._gate.held:
+        name, keeper = call_key(call), self._core.replica
+        if name in self._gate.calls:
             return True
-        entry = keeper.shelf.calls.get(name) if keeper else None
-        claims = entry.standing() if entry else []
+        entry = keeper.claim_store.calls.get(name) if keeper else None
+        claims = entry.active_claims() if entry else []
         if any(claim.phase is ClaimPhase.ANSWERED for claim in claims):
             return True
         return bool(claims) and self._gate.modes[call.class_name] == "before"
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -49,7 +49,7 @@
     ) -> None:
         self.front, self.state = front, state
         self.limits = limits_from(front.deployment.settings, settings.fetches, settings.scorer_rps)
-        self.giving = Giving(state.entry.name, life, self.limits, self._order, room=self._room)
+        self.giving = Giving(state.member.name, life, self.limits, self._order, room=self._room)
         self.giving.word_ms = settings.timing.alone_ms
         self.counts: dict[str, int] = {}
         self._going: tuple[Allowed, int, int, Dealt | None] = (Allowed(), 0, 1, None)
@@ -64,13 +64,13 @@
         self.holds: Holds | None = None
         self._order_out: Callable[[io.Hold], None] | None = None
         front.stand_between(io.Hold, self._between)
-        state.riders[RIDER] = self._ridden
+        state.log_clients[RIDER] = self._ridden
         self.roster()
         self._turn()
 
     def close(self) -> None:
         self._stopped = True
-        self.state.riders.pop(RIDER, None)
+        self.state.log_clients.pop(RIDER, None)
         if self._timer is not None:
             self._timer.cancel()
         self.front.stand_between(io.Hold, lambda _own: self._order_out)
@@ -96,8 +96,8 @@
 
     def _set(self, now_ms: float) -> None:
         allowed, cut, fronts, dealt = self._going
-        self._heard = frozenset(self.state.alive(now_ms)) | {self.state.entry.name}
-        self.giving.set(now_ms, self._heard, self.state.core.placement.keepers, allowed, cut, dealt)
+        self._heard = frozenset(self.state.live_members(now_ms)) | {self.state.member.name}
+        self.giving.set(now_ms, self._heard, self.state.core.placement.replicas, allowed, cut, dealt)
         rate_ps = allowed.part * self.limits.fall_multiple * self.limits.calls_rps(self.ages()) / fronts
         self.door.go_by(allowed, rate_ps, self.giving)
         self.holds.go_by(allowed, self.giving)
@@ -172,7 +172,7 @@
     def _carry_out(self, found: list[outs.Out]) -> None:
         for out in found:
             if isinstance(out, outs.Words):
-                self.state.ride(RIDER, out.to, msgspec.to_builtins(out.word))
+                self.state.send_message(RIDER, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, outs.Order):
                 if isinstance(out.what, io.Hold):
                     self.front.table.order(out.what)
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -118,7 +118,7 @@
     def busy(self) -> bool:
         return False
 
-    def promises(self, core: ReplicationCore, folder: Path | None) -> OnStore:
+    def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> OnStore:
         """For the front end's keeper; `folder`: where it would have its own file without a store."""
         return OnStore(self, core, self._note, folder)
 
--- a/fawnwharf/recovery_service/promises.py
+++ b/fawnwharf/recovery_service/promises.py
@@ -71,14 +71,14 @@
         self.counts: dict[str, int] = {}
         kept.on_doubt(self._doubted)
         self._files_aside(folder)
-        now, shelf = monotonic_ms(), core.keeper.shelf
+        now, shelf = monotonic_ms(), core.replica.claim_store
         room = self._found(now)
         self._sure_kept = kept.sure
         trusted = room and kept.sure == core.placement.number
         if trusted:
-            core.keeper.knows_all()
+            core.replica.mark_complete()
         shelf.unwritten = []
-        self.found = {"calls": len(shelf.calls), "trusted": trusted, "why": kept.why}
+        self.summary = {"calls": len(shelf.calls), "trusted": trusted, "why": kept.why}
 
     def _files_aside(self, folder: Path | None) -> None:
         """Guards against lives without the store in between: what they granted it does not know."""
@@ -96,7 +96,7 @@
 
     def _found(self, now_ms: float) -> bool:
         """What was kept, on the shelf; False: not all had room there."""
-        shelf, room = self._core.keeper.shelf, True
+        shelf, room = self._core.replica.claim_store, True
         for name, value, trusted in self._kept.read(Kind.PROMISE):
             if trusted is not Trust.NOW:
                 continue
@@ -105,11 +105,11 @@
             age_ms = LONG_AGO_MS if since_ms is None else min(LONG_AGO_MS, age_ms + since_ms)
             if since_ms is None:  # from now on it counts by this boot's clock
                 self._kept.keep(Kind.PROMISE, name, [left_ms, age_ms, claim])
-            if (entry := shelf.entry(now_ms, key)) is None:
+            if (entry := shelf.get_or_create(now_ms, key)) is None:
                 room = False
                 continue
-            shelf.put(now_ms, key, entry, claim, left_ms)
-            entry.first_ms = min(entry.first_ms, now_ms - age_ms)
+            shelf.merge(now_ms, key, entry, claim, left_ms)
+            entry.created_ms = min(entry.created_ms, now_ms - age_ms)
             self._entries[name] = claim, now_ms + left_ms
             heapq.heappush(self._ends, (now_ms + left_ms, name))
         self._kept.dropped(Kind.PROMISE)
@@ -118,18 +118,18 @@
     def _doubted(self) -> None:
         """The store turned out to be in part while this keeper goes by it."""
         self._sure_kept = 0
-        self._core.keeper.forgot(monotonic_ms())
+        self._core.replica.mark_incomplete(monotonic_ms())
 
     def close(self) -> None: ...
 
     # --- what is kept ---------------------------------------------------------------------------
 
     def _keep(self, now_ms: float, key: str, claim: Claim, until_ms: float) -> bool:
-        name = f"{claim.owner}/{claim.ask}/{key}"
+        name = f"{claim.owner}/{claim.request_number}/{key}"
         if self._entries.get(name) == (claim, until_ms):
             return True
-        entry = self._core.keeper.shelf.calls.get(key)
-        age_ms = now_ms - entry.first_ms if entry is not None else 0.0
+        entry = self._core.replica.claim_store.calls.get(key)
+        age_ms = now_ms - entry.created_ms if entry is not None else 0.0
         value = [round(until_ms - now_ms, 1), round(age_ms, 1), claim]
         if not self._kept.keep(Kind.PROMISE, name, value):
             self._count("not kept")
@@ -157,11 +157,11 @@
     def _keep_sure(self, now_ms: float) -> None:
         """Whether this keeper knows all, and would after a restart, where that has changed. That it does not
         is on disk before another keeper hears anything that rests on it."""
-        keeper = self._core.keeper
-        keeper.broken = False
+        keeper = self._core.replica
+        keeper.storage_failed = False
         whole = now_ms >= self._lacks_ms
-        sure = self._core.placement.number if whole and keeper.sure(now_ms) else 0
-        keeper.broken = bool(self._kept.failing)  # nothing more is granted meanwhile
+        sure = self._core.placement.number if whole and keeper.is_complete(now_ms) else 0
+        keeper.storage_failed = bool(self._kept.failing)  # nothing more is granted meanwhile
         if sure == self._sure_kept:
             return
         self._sure_kept = sure
@@ -173,11 +173,11 @@
 
     # --- what may be said -----------------------------------------------------------------------
 
-    def written(self, effects: list[OwnerAction], later: Later) -> list[OwnerAction]:
+    def persist(self, effects: list[OwnerAction], later: Later) -> list[OwnerAction]:
         """What may be said and done now; what rests on grants that are not on disk yet goes to `later` once
         they are, or as it is without them."""
         now, core = monotonic_ms(), self._core
-        shelf = core.keeper.shelf
+        shelf = core.replica.claim_store
         rows, shelf.unwritten = shelf.unwritten, []
         self._sweep(now)
         batch, refused = _Batch(), set()
@@ -185,17 +185,17 @@
             if not self._keep(now, key, claim, until_ms):
                 refused.add(key)
                 self._lacks_ms = max(self._lacks_ms, until_ms)
-            mine = core.claimant.mine.get(key)
-            own = mine is not None and claim.id == (core.owner, mine.number)
-            if own and mine.must and claim.phase is ClaimPhase.TAKEN:
-                batch.own[key] = mine.number
-                self._open[key] = mine.number, batch
+            mine = core.call_owner.calls.get(key)
+            own = mine is not None and claim.claim_id == (core.owner_id, mine.request_number)
+            if own and mine.claim_required and claim.phase is ClaimPhase.GRANTED:
+                batch.own[key] = mine.request_number
+                self._open[key] = mine.request_number, batch
         shy = self._shy
         self._keep_sure(now)
         found: list[OwnerAction] = []
         for effect in effects:
-            if isinstance(effect, RunCall) and effect.kept and effect.key in self._open:
-                core.claimant.hold(effect.key)
+            if isinstance(effect, RunCall) and effect.claimed and effect.key in self._open:
+                core.call_owner.hold(effect.key)
                 self._open[effect.key][1].held.append(effect)
             elif isinstance(effect, Send) and getattr(effect.message, "granted", False):
                 if effect.message.key in refused:
@@ -212,7 +212,7 @@
             self._wait(self._shy, later)
         for key in batch.own.keys() & refused:
             self._open.pop(key)
-            found += core.ungranted(now, key, batch.own.pop(key))
+            found += core.revoke_grant(now, key, batch.own.pop(key))
         if batch.held or batch.own:
             self._wait(batch, later)
         return found
@@ -233,7 +233,7 @@
         found: list[OwnerAction] = []
         for effect in batch.held:
             if isinstance(effect, RunCall):
-                if on_disk and core.claimant.release(effect.key, batch.own.get(effect.key, 0)):
+                if on_disk and core.call_owner.release(effect.key, batch.own.get(effect.key, 0)):
                     found.append(effect)
             elif on_disk:
                 found.append(effect)
@@ -241,5 +241,5 @@
                 found.append(without_grant(effect))
         if not on_disk:
             for key, ask in batch.own.items():
-                found += core.ungranted(now, key, ask)
+                found += core.revoke_grant(now, key, ask)
         later(found)
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -86,7 +86,7 @@
         self.calls = Counted(self.joined.door, self.deployment.settings.classes, self.tallies.ended)
         front.port.table = self.calls
         self.zones.riders[RECOVERY] = self
-        self.state.riders[w.RIDER] = self._heard_state
+        self.state.log_clients[w.RIDER] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
         self.note("recovery on", told | {"store": self.kept.whole.value, "why": self.kept.why})
         self._tick()
@@ -104,7 +104,7 @@
         self.joined.close()
         self.front.port.waits_for.discard(RECOVERY)
         self.zones.riders.pop(RECOVERY, None)
-        self.state.riders.pop(w.RIDER, None)
+        self.state.log_clients.pop(w.RIDER, None)
 
     # --- the seam -------------------------------------------------------------------------------
 
@@ -156,13 +156,13 @@
         names = tuple(entry.name for entry in members.members)
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
         who = sorted((e.name, e.zone, e.region, bool(e.ballots), bool(e.state)) for e in members.members)
-        keepers = tuple(self.state.core.placement.keepers)
+        keepers = tuple(self.state.core.placement.replicas)
         voters = tuple(entry.name for entry in members.voters)
         by_zone = tuple(map(tuple, self.state.core.placement.by_zone.values()))
         return Lists(names, voters, keepers, members.number, _digest(msgspec.json.encode(who)), by_zone)
 
     def _own(self) -> Own:
-        now, keeper, voter = monotonic_ms(), self.state.core.keeper, self.zones.core.voter
+        now, keeper, voter = monotonic_ms(), self.state.core.replica, self.zones.core.voter
         number, text = last_put(voter.saved, "plan") if voter is not None else (0, "")
         seen = self.zones.observer.seen(now)
         rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
@@ -170,14 +170,14 @@
         return Own(
             settled=self.kept.settled,
             whole=self.kept.whole is Store.WHOLE,
-            sure=keeper is None or keeper.sure(now),
+            sure=keeper is None or keeper.is_complete(now),
             votes=voter is not None,
             plan=(number, _digest(text.encode())),
             sign=self.kept.sign(),
-            uses=bool(self._used or self.state.core.uses.owners),
+            uses=bool(self._used or self.state.core.usage_table.owners),
             rostered=rostered,
             scorers=(rostered and serves) or self.tallies.up or any(s.heard for s in seen.values()),
-            heard=len(set(self.state.alive(now)) | {self.zones.entry.name}),
+            heard=len(set(self.state.live_members(now)) | {self.zones.entry.name}),
             standing=self.tallies.standing(now),
         )
 
@@ -290,7 +290,7 @@
             self._words.append(Word(word, say.to, RECOVERY))
             self.front.loop.flush_later(self)
         else:
-            self.state.ride(w.RIDER, say.to, word)
+            self.state.send_message(w.RIDER, say.to, word)
 
     def flush(self) -> None:
         """The end of the turn."""
--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -77,11 +77,11 @@
         self.modes = {name: claim_mode(spec, settings) for name, spec in classes.items()}
         self._numbers = itertools.count(1)
         self._bytes = 0
-        self.held: dict[str, _Held] = {}  # by the call's name
+        self.calls: dict[str, _Held] = {}  # by the call's name
         self._by_key: dict[str, _Held] = {}  # by what the port knows them by
         self._waits: deque[float] = deque(maxlen=WAITS)  # milliseconds, of the last calls that went
 
-    def go_by(self, classes: dict[str, ClassSpec], modes: dict[str, ClaimMode]) -> None:
+    def change_rules(self, classes: dict[str, ClassSpec], modes: dict[str, ClaimMode]) -> None:
         """Other classes and modes, for calls that come from now on."""
         self._classes, self.modes = classes, modes
 
@@ -92,17 +92,17 @@
         mode = self.modes[call.class_name]
         if mode == "off":
             return self._table.take(call)
-        if len(self.held) >= HELD_MOST or self._bytes + len(call.body) > HELD_BYTES_MOST:
+        if len(self.calls) >= HELD_MOST or self._bytes + len(call.body) > HELD_BYTES_MOST:
             call.reply(Refused(FULL_PUSHBACK_MS))
             return None
         name, key = call_key(call), f"g{next(self._numbers)}"
-        held = self.held.get(name)
+        held = self.calls.get(name)
         if held is None:
             spec = self._classes[call.class_name]
-            held = self.held[name] = _Held(name, call, spec, monotonic_ms())
+            held = self.calls[name] = _Held(name, call, spec, monotonic_ms())
             self._bytes += len(call.body)
             self._join(held, key, call)
-            effects = self._core.begin(
+            effects = self._core.begin_call(
                 monotonic_ms(),
                 name,
                 spec.effect,
@@ -147,21 +147,21 @@
 
     def _deserted(self, held: _Held) -> None:
         """Nobody waits for it any more."""
-        if self.held.get(held.name) is not held:
+        if self.calls.get(held.name) is not held:
             return
         if not held.running:
             self._done(held)
-            self._carry_out(self._core.left(monotonic_ms(), held.name))
+            self._carry_out(self._core.client_left(monotonic_ms(), held.name))
         elif held.spec.effect is not Effect.UNSAFE and held.table_key is not None:
             self._table.withdraw(held.table_key)
             self._done(held)
-            self._carry_out(self._core.ended(monotonic_ms(), held.name, ClaimPhase.FAILED))
+            self._carry_out(self._core.call_ended(monotonic_ms(), held.name, ClaimPhase.FAILED))
 
     # --- from the core --------------------------------------------------------------------------
 
-    def told(self, effect: RunCall | AnswerCall | FailCall | RejectCall) -> None:
+    def apply(self, effect: RunCall | AnswerCall | FailCall | RejectCall) -> None:
         """What becomes of a call."""
-        held = self.held.get(effect.key)
+        held = self.calls.get(effect.key)
         if held is None:
             return
         if isinstance(effect, RunCall):
@@ -198,12 +198,12 @@
             if len(outcome.body) <= self._settings.bounds.answer_bytes:
                 answer = base64.b64encode(outcome.body).decode()
         else:
-            phase = ClaimPhase.CLEAR if isinstance(outcome, Refused) else ClaimPhase.FAILED
+            phase = ClaimPhase.RELEASED if isinstance(outcome, Refused) else ClaimPhase.FAILED
         self._finish(held, outcome)
-        self._carry_out(self._core.ended(monotonic_ms(), held.name, phase, digest, answer))
+        self._carry_out(self._core.call_ended(monotonic_ms(), held.name, phase, digest, answer))
 
     def _done(self, held: _Held) -> None:
-        if self.held.pop(held.name, None) is not None:
+        if self.calls.pop(held.name, None) is not None:
             self._bytes -= len(held.call.body)
 
     def _finish(self, held: _Held, outcome: Outcome) -> None:
@@ -214,7 +214,7 @@
             reply(outcome)
         held.waiting.clear()
 
-    def waits(self) -> tuple[float, float]:
+    def wait_percentiles_ms(self) -> tuple[float, float]:
         """How long the last calls waited before they went: the median and the 99th percentile, in ms."""
         ranked = sorted(self._waits)
         if not ranked:
--- a/fawnwharf/replication/claim_store.py
+++ b/fawnwharf/replication/claim_store.py
@@ -30,15 +30,15 @@
 class CallEntry:
     """One call: each ask's claim and until when it counts here."""
 
-    first_ms: float
-    keepers: tuple[str, ...]
+    created_ms: float
+    replicas: tuple[str, ...]
     claims: dict[tuple[str, int], Claim] = field(default_factory=dict)  # by owner and ask
-    until_ms: dict[tuple[str, int], float] = field(default_factory=dict)
+    expires_ms: dict[tuple[str, int], float] = field(default_factory=dict)
     waiters: dict[str, int] = field(default_factory=dict)  # owner to the number of its Ask
 
-    def standing(self) -> list[Claim]:
+    def active_claims(self) -> list[Claim]:
         """Claims that stand in the way of whoever asks; an owner's own earlier ones too."""
-        return [claim for claim in self.claims.values() if claim.phase is not ClaimPhase.CLEAR]
+        return [claim for claim in self.claims.values() if claim.phase is not ClaimPhase.RELEASED]
 
 
 @dataclass(slots=True)
@@ -56,9 +56,9 @@
     return rendezvous_weight(
         key,
         claim.owner,
-        str(claim.ask),
-        str(claim.number),
-        str(claim.slot),
+        str(claim.request_number),
+        str(claim.version),
+        str(claim.bucket),
         str(int(claim.phase)),
         claim.digest,
     )
@@ -72,126 +72,132 @@
     """Owns the claims, within bounds of count and bytes."""
 
     def __init__(self, settings: ReplicationSettings, keepers_of: Callable[[str], tuple[str, ...]]) -> None:
-        self.settings, self.keepers_of = settings, keepers_of
+        self.settings, self.replicas_of = settings, keepers_of
         self.calls: dict[str, CallEntry] = {}
-        self.bytes = 0  # of answers
-        self.windows: dict[str, float] = {}  # by class, where a policy has one; no longer than the settings'
+        self.answer_bytes = 0  # of answers
+        self.class_windows_ms: dict[
+            str, float
+        ] = {}  # by class, where a policy has one; no longer than the settings'
         self.counts: dict[str, int] = {}
         self.conflicts: list[tuple[str, Claim, Claim]] = []  # whoever reads it clears it
         # When what ends; some are over earlier than they end by now. An entry of its own has no id.
-        self._ends: list[tuple[float, str, tuple[str, int] | tuple[()]]] = []
+        self._expiries: list[tuple[float, str, tuple[str, int] | tuple[()]]] = []
         self.unwritten: list[tuple[str, Claim, float]] | None = None  # where a disk is to have them first
-        self._sums: dict[tuple[str, int], dict[tuple[str, ...], _Sum]] = {}
+        self._buckets: dict[tuple[str, int], dict[tuple[str, ...], _Sum]] = {}
 
     def count(self, cause: str) -> None:
         self.counts[cause] = self.counts.get(cause, 0) + 1
 
-    def entry(self, now_ms: float, key: str) -> CallEntry | None:
+    def get_or_create(self, now_ms: float, key: str) -> CallEntry | None:
         """The call's entry, made where there is none; None where there is no room."""
         found = self.calls.get(key)
         if found is None:
             if len(self.calls) >= self.settings.bounds.calls:
                 self.count("full")
                 return None
-            found = self.calls[key] = CallEntry(now_ms, self.keepers_of(key))
-            heapq.heappush(self._ends, (now_ms + EMPTY_MS, key, ()))  # nothing may come of it
+            found = self.calls[key] = CallEntry(now_ms, self.replicas_of(key))
+            heapq.heappush(self._expiries, (now_ms + EMPTY_MS, key, ()))  # nothing may come of it
         return found
 
-    def put(self, now_ms: float, key: str, entry: CallEntry, claim: Claim, left_ms: float) -> None:
+    def merge(self, now_ms: float, key: str, entry: CallEntry, claim: Claim, left_ms: float) -> None:
         """Merge one claim; its time only ever grows, by no more than what a line takes to come."""
-        before = entry.claims.get(claim.id)
-        until = max(entry.until_ms.get(claim.id, 0.0), now_ms + min(left_ms, self.stretched()))
-        if until != entry.until_ms.get(claim.id):
-            entry.until_ms[claim.id] = until
-            heapq.heappush(self._ends, (until, key, claim.id))
+        before = entry.claims.get(claim.claim_id)
+        until = max(
+            entry.expires_ms.get(claim.claim_id, 0.0), now_ms + min(left_ms, self.claim_lifetime_ms())
+        )
+        if until != entry.expires_ms.get(claim.claim_id):
+            entry.expires_ms[claim.claim_id] = until
+            heapq.heappush(self._expiries, (until, key, claim.claim_id))
         if before is not None and contradicts(before, claim):
-            self._note("contradiction", key, before, claim)
+            self._record_conflict("contradiction", key, before, claim)
         after = claim if before is None else merge_claims(before, claim)
         if self.unwritten is not None:
             self.unwritten.append((key, after, until))
         if after == before:
             return
         if before is not None:
-            self._sum(now_ms, key, entry, before, -1, until)
-        if after.answer and self.bytes + len(after.answer) > self.settings.bounds.bytes:
+            self._add_to_bucket(now_ms, key, entry, before, -1, until)
+        if after.answer and self.answer_bytes + len(after.answer) > self.settings.bounds.bytes:
             self.count("answer dropped")
-            after = Claim(after.owner, after.ask, after.number, after.slot, after.phase, after.digest)
-        self._sum(now_ms, key, entry, after, 1, until)
-        entry.claims[claim.id] = after
+            after = Claim(
+                after.owner, after.request_number, after.version, after.bucket, after.phase, after.digest
+            )
+        self._add_to_bucket(now_ms, key, entry, after, 1, until)
+        entry.claims[claim.claim_id] = after
         found = summarize_claims(list(entry.claims.values()), set())
-        if found.standing is CallState.CONFLICT:
-            answered = [other for other in found.all if other.phase is ClaimPhase.ANSWERED]
-            self._note("conflict", key, answered[0], answered[-1])
+        if found.state is CallState.CONFLICT:
+            answered = [other for other in found.active_claims if other.phase is ClaimPhase.ANSWERED]
+            self._record_conflict("conflict", key, answered[0], answered[-1])
 
-    def stretched(self, key: str = "") -> float:
+    def claim_lifetime_ms(self, key: str = "") -> float:
         """The time that a claim counts, by the slowest clock; of a call, by its class. Keepers
         pass on what is left as it is: stretched each time, what two of them tell each other would never
         end."""
-        window_ms = self.windows.get(key.rpartition(":")[0], self.settings.window_ms)
+        window_ms = self.class_windows_ms.get(key.rpartition(":")[0], self.settings.window_ms)
         longest_ms = self.settings.call_most_ms + min(window_ms, self.settings.window_ms)
         return longest_ms * (1.0 + 2.0 * self.settings.skew)
 
-    def _note(self, cause: str, key: str, one: Claim, other: Claim) -> None:
+    def _record_conflict(self, cause: str, key: str, one: Claim, other: Claim) -> None:
         self.count(cause)
         if len(self.conflicts) < NOTED_MOST:
             self.conflicts.append((key, one, other))
 
-    def _sum(
+    def _add_to_bucket(
         self, now_ms: float, key: str, entry: CallEntry, claim: Claim, sign: int, until_ms: float
     ) -> None:
-        parts = self._sums.setdefault((claim.owner, claim.slot), {})
-        part = parts.setdefault(entry.keepers, _Sum())
+        parts = self._buckets.setdefault((claim.owner, claim.bucket), {})
+        part = parts.setdefault(entry.replicas, _Sum())
         part.value += sign * claim_digest(key, claim)
         part.count += sign
         part.changed_ms = now_ms
         part.first_over_ms = min(part.first_over_ms, until_ms)
-        self.bytes += sign * len(claim.answer or "")
+        self.answer_bytes += sign * len(claim.answer or "")
         if not part.count:
-            del parts[entry.keepers]
+            del parts[entry.replicas]
             if not parts:
-                del self._sums[claim.owner, claim.slot]
+                del self._buckets[claim.owner, claim.bucket]
 
-    def forget(self, now_ms: float) -> None:
+    def remove_expired(self, now_ms: float) -> None:
         """What is over goes."""
-        while self._ends and self._ends[0][0] <= now_ms:
-            _, key, id = heapq.heappop(self._ends)
+        while self._expiries and self._expiries[0][0] <= now_ms:
+            _, key, id = heapq.heappop(self._expiries)
             entry = self.calls.get(key)
             if entry is None:
                 continue
-            until_ms = entry.until_ms.get(id) if id else None
+            until_ms = entry.expires_ms.get(id) if id else None
             if until_ms is not None and until_ms <= now_ms:  # else it counts for longer by now
-                self._sum(now_ms, key, entry, entry.claims.pop(id), -1, until_ms)
-                del entry.until_ms[id]
+                self._add_to_bucket(now_ms, key, entry, entry.claims.pop(id), -1, until_ms)
+                del entry.expires_ms[id]
             if not entry.claims:  # who still waits has a deadline of its own
                 del self.calls[key]
 
-    def placed_anew(self, now_ms: float, keepers_of: Callable[[str], tuple[str, ...]]) -> None:
+    def change_placement(self, now_ms: float, keepers_of: Callable[[str], tuple[str, ...]]) -> None:
         """Other keepers: sums are by those."""
-        self.keepers_of = keepers_of
-        self._sums.clear()
+        self.replicas_of = keepers_of
+        self._buckets.clear()
         for key, entry in self.calls.items():
-            entry.keepers = keepers_of(key)
+            entry.replicas = keepers_of(key)
             for id, claim in entry.claims.items():
-                self._sum(now_ms, key, entry, claim, 1, entry.until_ms[id])
-                self.bytes -= len(claim.answer or "")
+                self._add_to_bucket(now_ms, key, entry, claim, 1, entry.expires_ms[id])
+                self.answer_bytes -= len(claim.answer or "")
 
-    def held_all(self, now_ms: float) -> list[tuple[str, Claim, float]]:
+    def unexpired_claims(self, now_ms: float) -> list[tuple[str, Claim, float]]:
         return [
-            (key, claim, entry.until_ms[id])
+            (key, claim, entry.expires_ms[id])
             for key, entry in self.calls.items()
             for id, claim in entry.claims.items()
-            if entry.until_ms[id] > now_ms
+            if entry.expires_ms[id] > now_ms
         ]
 
     # --- comparing ------------------------------------------------------------------------------
 
-    def slots(self, now_ms: float, name: str) -> dict[str, m.BucketDigest]:
+    def bucket_digests(self, now_ms: float, name: str) -> dict[str, m.BucketDigest]:
         """By owner, the slots that another keeper should hold as they are here: they change no more, and are
         not over for a clock that is a little faster. Neighbouring ones only."""
         # What a slower and a faster clock make of the longest time, and what a line takes.
-        margin = 2.0 * self.settings.skew * self.stretched() + self.settings.wait_most_ms
+        margin = 2.0 * self.settings.skew * self.claim_lifetime_ms() + self.settings.wait_most_ms
         found: dict[str, dict[int, int]] = {}
-        for (owner, slot), parts in self._sums.items():
+        for (owner, slot), parts in self._buckets.items():
             shared = [part for keepers, part in parts.items() if name in keepers]
             if shared and all(
                 part.first_over_ms - now_ms > margin and now_ms - part.changed_ms > SETTLED_MS
@@ -207,10 +213,10 @@
             told_slots[owner] = m.BucketDigest(first, last + 1, format_digest(total))
         return told_slots
 
-    def differs(self, name: str, theirs: dict[str, m.BucketDigest]) -> list[m.BucketRange]:
+    def differing_ranges(self, name: str, theirs: dict[str, m.BucketDigest]) -> list[m.BucketRange]:
         """Of what another keeper holds, which slots are not the same here."""
         sums: dict[str, int] = {}
-        for (owner, slot), parts in self._sums.items():
+        for (owner, slot), parts in self._buckets.items():
             span = theirs.get(owner)
             if span is not None and span.first <= slot < span.until:
                 shared = sum(part.value for keepers, part in parts.items() if name in keepers)
@@ -221,8 +227,8 @@
             if format_digest(sums.get(owner, 0)) != span.digest
         ]
 
-    def held(self, now_ms: float, key: str) -> Iterator[m.StoredClaim]:
+    def stored_claims(self, now_ms: float, key: str) -> Iterator[m.StoredClaim]:
         entry = self.calls.get(key)
         for id, claim in entry.claims.items() if entry else ():
-            if (left := entry.until_ms[id] - now_ms) > 0:
+            if (left := entry.expires_ms[id] - now_ms) > 0:
                 yield m.StoredClaim(key, claim, left)
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -50,7 +50,7 @@
                 break
             read = json.loads(line)
             if isinstance(read, dict) and "line" in read:
-                say = m.parse_line(read["line"]).say
+                say = m.parse_line(read["line"]).message
                 if isinstance(say, m.Status):
                     return say
     raise ValueError("it told nothing of itself")
@@ -67,10 +67,11 @@
 
 
 def _standing(status: m.Status) -> str:
-    if not status.keeps:
-        return f"keeps nothing, {status.open} calls of its own"
-    sure = "grants calls" if status.sure else "NOT SURE: grants nothing until it has heard the others"
-    return f"{sure}; {status.calls} calls, {status.bytes} bytes of answers, {status.open} of its own"
+    if not status.is_replica:
+        return f"keeps nothing, {status.open_calls} calls of its own"
+    sure = "grants calls" if status.complete else "NOT SURE: grants nothing until it has heard the others"
+    held = f"{status.calls} calls, {status.answer_bytes} bytes of answers, {status.open_calls} of its own"
+    return f"{sure}; {held}"
 
 
 @app.command()
@@ -79,13 +80,13 @@
     settings, members = _files(state)
     placement = ReplicaPlacement(members, settings.zones, settings.per_zone)
     silent = False
-    for name in [member] if member else placement.keepers:
+    for name in [member] if member else placement.replicas:
         found = _look(members, name)
         if isinstance(found, str):
             silent = True
             typer.echo(f"{name:16} no answer: {found}")
             continue
-        typer.echo(f"{name:16} members {found.members}  {_standing(found)}")
+        typer.echo(f"{name:16} members {found.members_number}  {_standing(found)}")
         half, most = found.wait_ms
         typer.echo(
             f"{'':16} calls wait {half:g} ms (median), {most:g} ms (99 %); {found.sent_bytes} bytes sent"
@@ -107,14 +108,14 @@
     found = _look(members, member)
     if isinstance(found, str):
         _fail(f"state: {member}: no answer: {found}", 1)
-    typer.echo(json.dumps(msgspec.to_builtins(found.slots), indent=1, sort_keys=True))
+    typer.echo(json.dumps(msgspec.to_builtins(found.buckets), indent=1, sort_keys=True))
 
 
 def differences(one: m.Status, other: m.Status) -> list[str]:
     """Owners of whose claims two keepers hold different ones, where both tell of the same slots."""
     found = []
-    for owner in sorted(one.slots.keys() & other.slots.keys()):
-        mine, theirs = one.slots[owner], other.slots[owner]
+    for owner in sorted(one.buckets.keys() & other.buckets.keys()):
+        mine, theirs = one.buckets[owner], other.buckets[owner]
         if (mine.first, mine.until) == (theirs.first, theirs.until) and mine.digest != theirs.digest:
             found.append(f"{owner}: seconds {mine.first} to {mine.until} differ")
     return found
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -42,26 +42,28 @@
         fresh: bool = False,
     ) -> None:
         """`life` is another one with each start. `fresh`: the fleet begins, nobody has promised anything."""
-        self.name, self.life, self.members, self.settings = name, life, members, settings
+        self.name, self.incarnation, self.members, self.settings = name, life, members, settings
         self.placement = ReplicaPlacement(members, settings.zones, settings.per_zone)
-        self.owner = f"{name}#{life}"
-        self.claimant = CallOwner(self.owner, self.placement, settings)
-        self.keeper: Replica | None = None
-        if name in self.placement.keepers:
-            self.keeper = Replica(name, self.placement, settings, now_ms, life, fresh)
-        self.heard: dict[str, tuple[int, float]] = {}  # life and time, by name
+        self.owner_id = f"{name}#{life}"
+        self.call_owner = CallOwner(self.owner_id, self.placement, settings)
+        self.replica: Replica | None = None
+        if name in self.placement.replicas:
+            self.replica = Replica(name, self.placement, settings, now_ms, life, fresh)
+        self.last_heard: dict[str, tuple[int, float]] = {}  # life and time, by name
         self.statuses: dict[str, m.Status] = {}
-        self.hellos: list[tuple[str, int]] = []  # who asked for the log here since which number
+        self.greetings: list[tuple[str, int]] = []  # who asked for the log here since which number
         self.counts: dict[str, int] = {}
-        self.uses = UsageTable()
-        self.sightings = FailureReportStore()
-        self.hints: list[m.ReportedOutliers] = []  # that came; whoever goes by them clears them
-        self.rides: list[tuple[str, int, m.ClientMessage]] = []  # the same: by whom, and of which life
-        self._named = False  # bad scorers were told last time
-        self.shares: QuotaShares | None = None  # where quotas are kept by the fleet
-        self.own: LoadReporter | None = None  # where work is told to others
-        self.words = LoadReportStore(settings.word_ms, settings.copies_ms, life)
-        self.view = RemoteLoads(settings.word_ms, settings.copies_ms)
+        self.usage_table = UsageTable()
+        self.failure_reports = FailureReportStore()
+        self.reported_outliers: list[m.ReportedOutliers] = []  # that came; whoever goes by them clears them
+        self.client_messages: list[
+            tuple[str, int, m.ClientMessage]
+        ] = []  # the same: by whom, and of which life
+        self._reported_failures = False  # bad scorers were told last time
+        self.quota_shares: QuotaShares | None = None  # where quotas are kept by the fleet
+        self.load_reporter: LoadReporter | None = None  # where work is told to others
+        self.load_report_store = LoadReportStore(settings.word_ms, settings.copies_ms, life)
+        self.remote_loads = RemoteLoads(settings.word_ms, settings.copies_ms)
         self._tick_due_ms = now_ms
 
     def _count(self, cause: str) -> None:
@@ -69,24 +71,24 @@
 
     # --- calls ----------------------------------------------------------------------------------
 
-    def begin(self, now_ms: float, key: str, effect: Effect, **more: Any) -> list[OwnerAction]:
-        return self._inward(now_ms, self.claimant.begin(now_ms, key, effect, **more))
+    def begin_call(self, now_ms: float, key: str, effect: Effect, **more: Any) -> list[OwnerAction]:
+        return self._deliver_own(now_ms, self.call_owner.begin(now_ms, key, effect, **more))
 
-    def ended(
+    def call_ended(
         self, now_ms: float, key: str, phase: ClaimPhase, digest: str = "", answer: str | None = None
     ) -> list[OwnerAction]:
-        return self._inward(now_ms, self.claimant.ended(now_ms, key, phase, digest, answer))
+        return self._deliver_own(now_ms, self.call_owner.call_ended(now_ms, key, phase, digest, answer))
 
-    def left(self, now_ms: float, key: str) -> list[OwnerAction]:
-        return self._inward(now_ms, self.claimant.left(now_ms, key))
+    def client_left(self, now_ms: float, key: str) -> list[OwnerAction]:
+        return self._deliver_own(now_ms, self.call_owner.client_left(now_ms, key))
 
-    def ungranted(self, now_ms: float, key: str, number: int) -> list[OwnerAction]:
+    def revoke_grant(self, now_ms: float, key: str, number: int) -> list[OwnerAction]:
         """What the keeper here granted to an own call is not on disk."""
-        return self._inward(now_ms, self.claimant.ungranted(now_ms, key, number, self.name))
+        return self._deliver_own(now_ms, self.call_owner.revoke_grant(now_ms, key, number, self.name))
 
     # --- lines ----------------------------------------------------------------------------------
 
-    def line(self, now_ms: float, sender: str, data: Any) -> list[OwnerAction]:
+    def receive_line(self, now_ms: float, sender: str, data: Any) -> list[OwnerAction]:
         """One line of a member's log. Raises LineFault for what no honest member writes."""
         try:
             line = m.parse_line(data)
@@ -99,71 +101,79 @@
         if self.members.named(sender) is None:
             self._count("no member")
             return []
-        self.heard[sender] = line.life, now_ms
-        if isinstance(line.say, m.Status):
-            self.statuses[sender] = line.say
+        self.last_heard[sender] = line.incarnation, now_ms
+        if isinstance(line.message, m.Status):
+            self.statuses[sender] = line.message
             return []
-        if isinstance(line.say, m.UsageRates):
-            if self.shares and sender in self.placement.keepers:
-                self.shares.heard(now_ms, sender, line.say)
+        if isinstance(line.message, m.UsageRates):
+            if self.quota_shares and sender in self.placement.replicas:
+                self.quota_shares.receive(now_ms, sender, line.message)
             return []
-        if isinstance(line.say, m.ReportedOutliers):
-            if sender in self.placement.keepers:
-                self.hints.append(line.say)
+        if isinstance(line.message, m.ReportedOutliers):
+            if sender in self.placement.replicas:
+                self.reported_outliers.append(line.message)
             return []
-        if isinstance(line.say, m.ClientMessage) and not line.to:
-            self.rides.append((sender, line.life, line.say))
+        if isinstance(line.message, m.ClientMessage) and not line.recipients:
+            self.client_messages.append((sender, line.incarnation, line.message))
             return []
-        if self.name not in line.to:
+        if self.name not in line.recipients:
             return []
-        return self._inward(now_ms, self._take(now_ms, sender, line.life, line.say))
+        return self._deliver_own(now_ms, self._receive(now_ms, sender, line.incarnation, line.message))
 
-    def _take(self, now_ms: float, sender: str, life: int, say: m.Message) -> list[OwnerAction]:
+    def _receive(self, now_ms: float, sender: str, life: int, say: m.Message) -> list[OwnerAction]:
         if isinstance(say, m.ClaimReply):
-            return self.claimant.word(now_ms, sender, say)
+            return self.call_owner.receive_reply(now_ms, sender, say)
         if isinstance(say, m.RemoteLoadReport):
-            if self.own and say.life == self.life and sender in self.placement.keepers:
-                self.view.heard(sender, life, say)
+            if (
+                self.load_reporter
+                and say.incarnation == self.incarnation
+                and sender in self.placement.replicas
+            ):
+                self.remote_loads.heard(sender, life, say)
             else:
                 self._count("work: answers to nobody here")
             return []
         if isinstance(say, m.Hello):
-            self.hellos.append((sender, say.asked))
+            self.greetings.append((sender, say.reader_number))
             return []
         if isinstance(say, m.ClientMessage):
-            self.rides.append((sender, life, say))
+            self.client_messages.append((sender, life, say))
             return []
-        keeper = self.keeper
+        keeper = self.replica
         if keeper is None:
             self._count("no keeper here")
             return []
         if isinstance(say, m.ClaimRequest):
             if say.owner != f"{sender}#{life}":
                 raise LineError(f"an ask of {say.owner} from {sender}#{life}")
-            keeper.alive.add(say.owner)
-            found = keeper.ask(now_ms, sender, say)
+            keeper.live_owners.add(say.owner)
+            found = keeper.handle_claim_request(now_ms, sender, say)
         elif isinstance(say, m.ClaimUpdate):
             if say.claim.owner != f"{sender}#{life}":
                 raise LineError(f"a claim of {say.claim.owner} from {sender}#{life}")
-            found = keeper.tell(now_ms, sender, say)
+            found = keeper.handle_claim_update(now_ms, sender, say)
         elif isinstance(say, m.StateRequest):
-            found = keeper.want(now_ms, sender, say)
+            found = keeper.handle_state_request(now_ms, sender, say)
         elif isinstance(say, m.StateChunk):
-            found = keeper.piece(now_ms, sender, say)
+            found = keeper.handle_state_chunk(now_ms, sender, say)
         elif isinstance(say, m.UsageCounters):
-            self.uses.heard(now_ms, f"{sender}#{life}", say)
+            self.usage_table.receive(now_ms, f"{sender}#{life}", say)
             found = []
         elif isinstance(say, m.FailureReport):
-            self.sightings.heard(now_ms, f"{sender}#{life}", say)
+            self.failure_reports.heard(now_ms, f"{sender}#{life}", say)
             found = []
         elif isinstance(say, m.LoadReport):
-            answer = self.words.heard(now_ms, self.name, f"{sender}#{life}", say) if self.own else None
+            answer = (
+                self.load_report_store.heard(now_ms, self.name, f"{sender}#{life}", say)
+                if self.load_reporter
+                else None
+            )
             found = [m.Send((sender,), answer)] if answer else []
         else:
-            found = keeper.digests(now_ms, sender, say)
+            found = keeper.handle_store_digests(now_ms, sender, say)
         return list(found)
 
-    def _inward(self, now_ms: float, effects: list[OwnerAction]) -> list[OwnerAction]:
+    def _deliver_own(self, now_ms: float, effects: list[OwnerAction]) -> list[OwnerAction]:
         """What is said to oneself is heard at once; the rest goes out, in order."""
         found: list[OwnerAction] = []
         waiting = list(effects)
@@ -172,138 +182,146 @@
             if not isinstance(effect, m.Send):
                 found.append(effect)
                 continue
-            others = tuple(name for name in effect.to if name != self.name)
+            others = tuple(name for name in effect.recipients if name != self.name)
             if others:
                 found.append(m.Send(others, effect.message))
-            if len(others) < len(effect.to):
-                waiting[:0] = self._take(now_ms, self.name, self.life, effect.message)
+            if len(others) < len(effect.recipients):
+                waiting[:0] = self._receive(now_ms, self.name, self.incarnation, effect.message)
         return found
 
     def status(self, now_ms: float) -> m.Status:
         """For operators, and whoever looks after them."""
-        keeper, counts = self.keeper, self.counts | self.claimant.counts | self._work_counts(now_ms)
-        lags = {name: round(max(0.0, now_ms - at_ms), 1) for name, (_, at_ms) in sorted(self.heard.items())}
+        keeper, counts = self.replica, self.counts | self.call_owner.counts | self._load_report_counts(now_ms)
+        lags = {
+            name: round(max(0.0, now_ms - at_ms), 1) for name, (_, at_ms) in sorted(self.last_heard.items())
+        }
         if keeper is None:
-            return m.Status(counts=counts, open=len(self.claimant.mine), lags_ms=lags)
-        shelf = keeper.shelf
-        sums = {name: shelf.slots(now_ms, name) for name in self.placement.keepers}
+            return m.Status(counts=counts, open_calls=len(self.call_owner.calls), lags_ms=lags)
+        shelf = keeper.claim_store
+        sums = {name: shelf.bucket_digests(now_ms, name) for name in self.placement.replicas}
         return m.Status(
             counts=counts | shelf.counts,
-            open=len(self.claimant.mine),
-            keeps=True,
-            sure=keeper.sure(now_ms),
+            open_calls=len(self.call_owner.calls),
+            is_replica=True,
+            complete=keeper.is_complete(now_ms),
             calls=len(shelf.calls),
-            bytes=shelf.bytes,
-            members=self.placement.number,
+            answer_bytes=shelf.answer_bytes,
+            members_number=self.placement.number,
             lags_ms=lags,
-            slots=sums.get(self.name, {}),
+            buckets=sums.get(self.name, {}),
         )
 
-    def wrapped(self, say: m.Send) -> m.LogLine:
-        return m.LogLine(self.members.fleet, self.name, self.life, say.to, say.message)
+    def log_line(self, say: m.Send) -> m.LogLine:
+        return m.LogLine(self.members.fleet, self.name, self.incarnation, say.recipients, say.message)
 
-    def ride(self, ride: m.ClientMessage, to: tuple[str, ...]) -> list[OwnerAction]:
+    def send_client_message(self, ride: m.ClientMessage, to: tuple[str, ...]) -> list[OwnerAction]:
         """To these members, this one among them where it is named; to whoever follows where none is."""
-        return self._inward(0.0, [m.Send(to, ride)]) if to else [m.Send((), ride)]
+        return self._deliver_own(0.0, [m.Send(to, ride)]) if to else [m.Send((), ride)]
 
     # --- use ------------------------------------------------------------------------------------
 
-    def tell_use(self, now_ms: float) -> list[OwnerAction]:
+    def send_usage(self, now_ms: float) -> list[OwnerAction]:
         """Own counters to the keepers; of a keeper, the sums to all."""
         found: list[OwnerAction] = []
-        if self.shares:
-            found = self._inward(
-                now_ms, [m.Send(tuple(self.placement.keepers[:16]), self.shares.use(now_ms))]
+        if self.quota_shares:
+            found = self._deliver_own(
+                now_ms, [m.Send(tuple(self.placement.replicas[:16]), self.quota_shares.next_counters(now_ms))]
             )
-        if self.keeper:
-            sums = self.uses.sums(now_ms)
-            if self.shares:
-                self.shares.heard(now_ms, self.name, sums)
+        if self.replica:
+            sums = self.usage_table.rates(now_ms)
+            if self.quota_shares:
+                self.quota_shares.receive(now_ms, self.name, sums)
             found.append(m.Send((), sums))
         return found
 
-    def tell_named(self, now_ms: float, sights: FailureTracker) -> list[OwnerAction]:
+    def send_failure_report(self, now_ms: float, sights: FailureTracker) -> list[OwnerAction]:
         """Bad scorers to the keepers; of a keeper, those that several name to all."""
         named = sights.named(now_ms)
         found: list[OwnerAction] = []
-        if named.bad or self._named:
-            found = self._inward(now_ms, [m.Send(tuple(self.placement.keepers[:16]), named)])
-        self._named = bool(named.bad)
-        if self.keeper:
-            hints = self.sightings.hints(now_ms, len(self.members.members))
+        if named.failures or self._reported_failures:
+            found = self._deliver_own(now_ms, [m.Send(tuple(self.placement.replicas[:16]), named)])
+        self._reported_failures = bool(named.failures)
+        if self.replica:
+            hints = self.failure_reports.hints(now_ms, len(self.members.members))
             if hints.scorers:
-                self.hints.append(hints)
+                self.reported_outliers.append(hints)
                 found.append(m.Send((), hints))
         return found
 
-    def tell_work(self, now_ms: float, fronts: int = 0) -> list[OwnerAction]:
+    def send_load_report(self, now_ms: float, fronts: int = 0) -> list[OwnerAction]:
         """Own work to the keepers, of which one answers with that of the others: this one itself, or the
         next by a hash, so that all have about as many to tell. `fronts` are all of the fleet."""
         order = sorted(
-            self.placement.keepers[:16],
+            self.placement.replicas[:16],
             key=lambda k: (k != self.name, rendezvous_weight("work", self.name, k)),
         )
-        word = self.own.word(now_ms, self.view.after(), *self.view.wants(now_ms, order, self._all(fronts)))
-        self.view.asked(now_ms, word.number)
-        return self._inward(now_ms, [m.Send(tuple(self.placement.keepers[:16]), word)])
+        word = self.load_reporter.word(
+            now_ms,
+            self.remote_loads.after(),
+            *self.remote_loads.wants(now_ms, order, self._fleet_size(fronts)),
+        )
+        self.remote_loads.asked(now_ms, word.number)
+        return self._deliver_own(now_ms, [m.Send(tuple(self.placement.replicas[:16]), word)])
 
-    def elsewhere(self, now_ms: float, fronts: int) -> list[io.Elsewhere]:
+    def remote_load_events(self, now_ms: float, fronts: int) -> list[io.Elsewhere]:
         """What the module is to hear of others' work; `fronts` are all of the fleet, as it was told."""
-        return self.view.changes(now_ms, self.own.cold(now_ms), self.own.known, self._all(fronts))
+        return self.remote_loads.changes(
+            now_ms, self.load_reporter.cold(now_ms), self.load_reporter.known, self._fleet_size(fronts)
+        )
 
-    def knows_sends(self, now_ms: float, fronts: int) -> tuple[bool, int]:
+    def remote_sends_known(self, now_ms: float, fronts: int) -> tuple[bool, int]:
         """Whether what others sent to cold scorers is known, and how many front ends are heard."""
-        best = self.view.best(now_ms)
-        return self.view.sure(now_ms, self._all(fronts)), best.others.heard if best else 0
+        best = self.remote_loads.best(now_ms)
+        return self.remote_loads.sure(now_ms, self._fleet_size(fronts)), best.others.front_ends if best else 0
 
-    def _all(self, fronts: int) -> int:
+    def _fleet_size(self, fronts: int) -> int:
         return max(fronts, sum(bool(member.state) for member in self.members.members))
 
-    def _work_counts(self, now_ms: float) -> dict[str, int]:
-        if self.own is None:
+    def _load_report_counts(self, now_ms: float) -> dict[str, int]:
+        if self.load_reporter is None:
             return {}
-        return self.words.counts | self.view.counts | {
-            "work: words told": self.own.number,
-            "work: cut from words": self.own.cut,
-            "work: front ends heard": self.knows_sends(now_ms, 0)[1],
-            "work: copies known": self.view.copies,
+        return self.load_report_store.counts | self.remote_loads.counts | {
+            "work: words told": self.load_reporter.number,
+            "work: cut from words": self.load_reporter.cut,
+            "work: front ends heard": self.remote_sends_known(now_ms, 0)[1],
+            "work: copies known": self.remote_loads.copies,
         }  # fmt: skip
 
     # --- who is there ---------------------------------------------------------------------------
 
-    def hears(self, now_ms: float, name: str, life: int) -> None:
+    def record_sign_of_life(self, now_ms: float, name: str, life: int) -> None:
         """A member's log gave a sign, if only its number."""
         if life > 0:
-            self.heard[name] = life, now_ms
+            self.last_heard[name] = life, now_ms
 
-    def take_members(self, now_ms: float, members: Members) -> None:
+    def change_members(self, now_ms: float, members: Members) -> None:
         """A later file of members."""
         if members.fleet != self.members.fleet or members.number <= self.members.number:
             self._count("members left aside")
             return
         self.members, before = members, self.placement
         self.placement = ReplicaPlacement(members, self.settings.zones, self.settings.per_zone)
-        self.claimant.placement = self.placement
-        self.view.forget_keepers(set(before.keepers) - set(self.placement.keepers))
-        if self.keeper is None and self.name in self.placement.keepers:
-            self.keeper = Replica(self.name, before, self.settings, now_ms, self.life)
-        if self.keeper:
-            self.keeper.move(now_ms, self.placement)
+        self.call_owner.placement = self.placement
+        self.remote_loads.forget_keepers(set(before.replicas) - set(self.placement.replicas))
+        if self.replica is None and self.name in self.placement.replicas:
+            self.replica = Replica(self.name, before, self.settings, now_ms, self.incarnation)
+        if self.replica:
+            self.replica.change_placement(now_ms, self.placement)
 
     # --- time -----------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[OwnerAction]:
-        found: list[OwnerAction] = list(self.claimant.tick(now_ms))
-        if self.keeper and now_ms >= min(self._tick_due_ms, self.keeper.due_ms(now_ms)):
+        found: list[OwnerAction] = list(self.call_owner.tick(now_ms))
+        if self.replica and now_ms >= min(self._tick_due_ms, self.replica.due_ms(now_ms)):
             self._tick_due_ms = now_ms + TICK_MS
             quiet = self.settings.quiet_ms
-            alive = {f"{n}#{life}" for n, (life, at) in self.heard.items() if now_ms - at <= quiet}
-            told = self.keeper.owners(now_ms, alive | {self.owner})
-            found += [*told, *self.keeper.tick(now_ms)]
-        return self._inward(now_ms, found)
+            alive = {f"{n}#{life}" for n, (life, at) in self.last_heard.items() if now_ms - at <= quiet}
+            told = self.replica.change_live_owners(now_ms, alive | {self.owner_id})
+            found += [*told, *self.replica.tick(now_ms)]
+        return self._deliver_own(now_ms, found)
 
     def due_ms(self, now_ms: float) -> float:
-        due = self.claimant.due_ms()
-        if self.keeper:
-            due = min(due, self._tick_due_ms, self.keeper.due_ms(now_ms))
+        due = self.call_owner.due_ms()
+        if self.replica:
+            due = min(due, self._tick_due_ms, self.replica.due_ms(now_ms))
         return due
--- a/fawnwharf/replication/failure_reports.py
+++ b/fawnwharf/replication/failure_reports.py
@@ -102,7 +102,7 @@
         self._owners = {o: held for o, held in self._owners.items() if now_ms - held[1] <= LIFE_MS}
         names: dict[str, set[str]] = {}
         for owner, (_, _, named) in self._owners.items():
-            for worker in named.bad:
+            for worker in named.failures:
                 names.setdefault(worker, set()).add(owner.partition("#")[0])
         enough = min_reporters(fronts)
         found = {worker: len(who) for worker, who in sorted(names.items()) if len(who) >= enough}
--- a/fawnwharf/replication/grant_storage.py
+++ b/fawnwharf/replication/grant_storage.py
@@ -19,9 +19,9 @@
 class GrantStorage(Protocol):
     """Where a keeper's grants are before they are said."""
 
-    found: dict[str, Any]  # for operators
+    summary: dict[str, Any]  # for operators
 
-    def written(
+    def persist(
         self, effects: list[OwnerAction], later: Callable[[list[OwnerAction]], None]
     ) -> list[OwnerAction]:
         """What may be said and done now that what it rests on is written; the rest goes to `later`."""
@@ -32,7 +32,7 @@
 class GrantStorageFactory(Protocol):
     """Something that writes a keeper's grants in the place of its own file."""
 
-    def promises(self, core: ReplicationCore, folder: Path | None) -> GrantStorage: ...
+    def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> GrantStorage: ...
 
 
 class GrantLogStorage:
@@ -44,46 +44,46 @@
         """What this keeper granted before is on its shelf then, where its disk is to be trusted. Raises
         DiskError where the folder can't be used or read; one that takes nothing refuses no start."""
         self._core, self._note = core, note
-        keeper, shelf = core.keeper, core.keeper.shelf
+        keeper, shelf = core.replica, core.replica.claim_store
         now = monotonic_ms()
-        self.disk = GrantLog(folder, core.members.fleet, name, now, shelf.stretched(), boot_id())
+        self.disk = GrantLog(folder, core.members.fleet, name, now, shelf.claim_lifetime_ms(), boot_id())
         for key, claim, until_ms in self.disk.kept:
-            entry = shelf.entry(now, key) if until_ms > now else None
+            entry = shelf.get_or_create(now, key) if until_ms > now else None
             if entry is not None:
-                shelf.put(now, key, entry, claim, until_ms - now)
+                shelf.merge(now, key, entry, claim, until_ms - now)
         trusted = not self.disk.why and self.disk.sure == core.placement.number
         if trusted:
-            keeper.knows_all()
+            keeper.mark_complete()
         self.disk.kept = []
         self._sure_told = self._sure_by(now)
         try:
-            self.disk.begin(now, self._sure_told, shelf.held_all(now))
+            self.disk.begin(now, self._sure_told, shelf.unexpired_claims(now))
         except DiskError as error:
             self._fails(error)
         shelf.unwritten = []
-        self.found = {"calls": len(shelf.calls), "trusted": trusted, "why": self.disk.why}
+        self.summary = {"calls": len(shelf.calls), "trusted": trusted, "why": self.disk.why}
 
     def close(self) -> None:
         self.disk.close()
 
     def _sure_by(self, now_ms: float) -> int:
         """The list of members by which this keeper knows all that it granted; NO_MORE where it does not."""
-        return self._core.placement.number if self._core.keeper.sure(now_ms) else INCOMPLETE
+        return self._core.placement.number if self._core.replica.is_complete(now_ms) else INCOMPLETE
 
     def _fails(self, error: DiskError) -> None:
-        self._core.keeper.broken = True
+        self._core.replica.storage_failed = True
         self._note("disk failed: nothing is granted here until a restart", {"why": str(error)})
 
-    def written(
+    def persist(
         self, effects: list[OwnerAction], later: Callable[[list[OwnerAction]], None] | None = None
     ) -> list[OwnerAction]:
         """What may be said and done now that what it rests on is on file, which is all; where that fails,
         nothing is granted any more."""
-        keeper, shelf = self._core.keeper, self._core.keeper.shelf
+        keeper, shelf = self._core.replica, self._core.replica.claim_store
         kept, shelf.unwritten = shelf.unwritten, []
         now = monotonic_ms()
         sure = self._sure_by(now)
-        if (kept or sure != self._sure_told) and not keeper.broken:
+        if (kept or sure != self._sure_told) and not keeper.storage_failed:
             self._sure_told = sure
             try:
                 self.disk.write(now, kept, sure)
@@ -95,7 +95,7 @@
 
 def _without(effect: OwnerAction) -> OwnerAction:
     """An effect as it is where what was just granted here does not count."""
-    if isinstance(effect, RunCall) and effect.kept:
+    if isinstance(effect, RunCall) and effect.claimed:
         return RejectCall(effect.key, DISK_PUSHBACK_MS, "disk failed")
     return without_grant(effect)
 
@@ -103,6 +103,6 @@
 def without_grant(effect: OwnerAction) -> OwnerAction:
     """A keeper's word without a grant."""
     if isinstance(effect, Send) and isinstance(effect.message, ClaimReply):
-        word = msgspec.structs.replace(effect.message, granted=False, sure=False)
-        return Send(effect.to, word)
+        word = msgspec.structs.replace(effect.message, granted=False, complete=False)
+        return Send(effect.recipients, word)
     return effect
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -24,7 +24,7 @@
         """Switches the telling on in this core."""
         self._core, self._note = core, note
         copies_ms = min(core.settings.copies_ms, settings.idle_life_ms / 2)
-        core.own = self.own = LoadReporter(settings.cold_ms, settings.fall_ms, copies_ms)
+        core.load_reporter = self.own = LoadReporter(settings.cold_ms, settings.fall_ms, copies_ms)
         self._fronts = settings.fleet_size
         self._front: FrontEnd | None = None
         self._carry_out: Callable[[list[OwnerAction]], None] | None = None
@@ -82,8 +82,8 @@
         if self._front is None:
             return
         self._told_ms = now = monotonic_ms()
-        self._carry_out(self._core.tell_work(now, self._fronts))
-        sure, heard = self._core.knows_sends(now, self._fronts)
+        self._carry_out(self._core.send_load_report(now, self._fronts))
+        sure, heard = self._core.remote_sends_known(now, self._fronts)
         if sure != self._was_sure:
             self._was_sure = sure
             self._note("work elsewhere", {"known": sure, "heard": heard})
@@ -106,13 +106,13 @@
 
     def answered(self) -> None:
         """Lines came; if a keeper's answer is among them, the module hears of it in a moment."""
-        if self._core.view.news and not self._gathers and self._front is not None:
+        if self._core.remote_loads.news and not self._gathers and self._front is not None:
             self._gathers = True
             self._front.loop.wheel.after(GATHER_MS, self._hand_on)
 
     def _hand_on(self) -> None:
-        self._gathers = self._core.view.news = False
+        self._gathers = self._core.remote_loads.news = False
         if self._front is not None:
             self._handed_ms = monotonic_ms()
-            for event in self._core.elsewhere(self._handed_ms, self._fronts):
+            for event in self._core.remote_load_events(self._handed_ms, self._fronts):
                 self._front.loop.tell(event)
--- a/fawnwharf/replication/messages.py
+++ b/fawnwharf/replication/messages.py
@@ -25,8 +25,8 @@
     key: CallKey
     owner: OwnerId
     number: Annotated[int, Meta(ge=1)]
-    members: Count
-    slot: Count
+    members_number: Count = msgspec.field(name="members")
+    bucket: Count = msgspec.field(name="slot")
 
 
 class ClaimUpdate(Struct, frozen=True, tag="tell"):
@@ -41,11 +41,15 @@
 
     key: CallKey
     owner: OwnerId  # that it is for: a later life of the same front end has no use of it
-    number: Count  # of the Ask
+    request_number: Count = msgspec.field(name="number")  # of the Ask
     granted: bool
-    sure: bool = True  # False: it does not know, as it may have forgotten; True: the claims are all it has
+    complete: bool = msgspec.field(
+        default=True, name="sure"
+    )  # False: it does not know, as it may have forgotten; True: the claims are all it has
     claims: Annotated[tuple[Claim, ...], Meta(max_length=64)] = ()  # of others, that count
-    alive: Annotated[tuple[OwnerId, ...], Meta(max_length=64)] = ()  # of their owners
+    live_owners: Annotated[tuple[OwnerId, ...], Meta(max_length=64)] = msgspec.field(
+        default=(), name="alive"
+    )  # of their owners
     age_ms: DurationMs = 0.0  # since the first of them came here
 
 
@@ -62,27 +66,31 @@
     its list: who is asked by a later one than its own grants nothing more by that."""
 
     number: Count
-    life: Count  # of the one that asks
-    members: Count = 0
-    wanted: Annotated[tuple[BucketRange, ...], Meta(max_length=64)] = ()  # none: all
+    incarnation: Count = msgspec.field(name="life")  # of the one that asks
+    members_number: Count = msgspec.field(default=0, name="members")
+    ranges: Annotated[tuple[BucketRange, ...], Meta(max_length=64)] = msgspec.field(
+        default=(), name="wanted"
+    )  # none: all
 
 
 class StoredClaim(Struct, frozen=True):
     key: CallKey
     claim: Claim
-    left_ms: DurationMs
+    remaining_ms: DurationMs = msgspec.field(name="left_ms")
 
 
 class StateChunk(Struct, frozen=True, tag="piece"):
     """A part of what a keeper holds. The last one has the digest of all parts."""
 
-    number: Count  # of the Want
-    life: Count  # of the one that asked: what a life before it wanted is no answer to this one
+    request_number: Count = msgspec.field(name="number")  # of the Want
+    incarnation: Count = msgspec.field(
+        name="life"
+    )  # of the one that asked: what a life before it wanted is no answer to this one
     part: Count
     last: bool
-    held: Annotated[tuple[StoredClaim, ...], Meta(max_length=MAX_CHUNK_CLAIMS)]
+    claims: Annotated[tuple[StoredClaim, ...], Meta(max_length=MAX_CHUNK_CLAIMS)] = msgspec.field(name="held")
     digest: Digest = ""
-    sure: bool = True  # the sender knows all that it should
+    complete: bool = msgspec.field(default=True, name="sure")  # the sender knows all that it should
 
 
 class BucketDigest(Struct, frozen=True):
@@ -96,14 +104,14 @@
 class StoreDigests(Struct, frozen=True, tag="digests"):
     """What a keeper holds that another one should hold too, by owner."""
 
-    slots: Annotated[dict[OwnerId, BucketDigest], Meta(max_length=4_000)]
+    buckets: Annotated[dict[OwnerId, BucketDigest], Meta(max_length=4_000)] = msgspec.field(name="slots")
 
 
 class Hello(Struct, frozen=True, tag="hello"):
     """Who it is that asked for a log since this number: from then on it need not be told what is for
     others."""
 
-    asked: Count
+    reader_number: Count = msgspec.field(name="asked")
 
 
 class UsageCounters(Struct, frozen=True, tag="use"):
@@ -117,7 +125,7 @@
     """Calls a second by tenant, of as many front ends as a keeper hears."""
 
     rates: Annotated[dict[TenantName, Annotated[float, Meta(ge=0.0, le=1e9)]], Meta(max_length=512)]
-    heard: Count
+    front_ends: Count = msgspec.field(name="heard")
 
 
 ScorerKey = Annotated[str, Meta(pattern=r"^[0-9]{1,12}$")]
@@ -127,7 +135,7 @@
     """Scorers that gave an owner bad signs alone, lately, and how many."""
 
     number: Count
-    bad: Annotated[dict[ScorerKey, Count], Meta(max_length=64)]
+    failures: Annotated[dict[ScorerKey, Count], Meta(max_length=64)] = msgspec.field(name="bad")
 
 
 class ReportedOutliers(Struct, frozen=True, tag="hints"):
@@ -143,7 +151,7 @@
 class PendingLoad(Struct, frozen=True, array_like=True):
     """An order to load that is under way, and since when."""
 
-    worker: ScorerNumber
+    scorer: ScorerNumber
     function: Function
     age_ms: DurationMs
 
@@ -151,7 +159,7 @@
 class ProvenCopy(Struct, frozen=True, array_like=True):
     """Copies that an answer proved, 0 where it proved that none stands, and how long ago."""
 
-    worker: ScorerNumber
+    scorer: ScorerNumber
     function: Function
     copies: Annotated[int, Meta(ge=0, le=1_000)]
     age_ms: DurationMs
@@ -161,39 +169,45 @@
     """What an owner has sent and ordered, and what that proved. It asks for what others have."""
 
     number: Count
-    after: Annotated[dict[Name, Count], Meta(max_length=16)] = {}  # last answer had of each keeper
-    wants: Annotated[str, Meta(max_length=48)] = ""  # keeper that is to tell all; the others only answer
+    last_answers: Annotated[dict[Name, Count], Meta(max_length=16)] = msgspec.field(
+        default_factory=dict, name="after"
+    )  # last answer had of each keeper
+    full_answer_from: Annotated[str, Meta(max_length=48)] = msgspec.field(
+        default="", name="wants"
+    )  # keeper that is to tell all; the others only answer
     since: Count = 0  # last answer of that one that told all
     sent: Annotated[dict[ScorerKey, Count], Meta(max_length=64)] = {}  # to cold scorers, of late
     loading: Annotated[tuple[PendingLoad, ...], Meta(max_length=64)] = ()
     copies: Annotated[tuple[ProvenCopy, ...], Meta(max_length=96)] = ()  # news
-    cut: Count = 0  # copies and loads that found no room
+    omitted: Count = msgspec.field(default=0, name="cut")  # copies and loads that found no room
 
 
 class RemoteLoadReport(Struct, frozen=True, tag="others"):
     """A keeper's answer to a Work: what all others have, without what its owner has."""
 
-    number: Count  # of the Work
-    life: Count  # of its owner
-    answer: Count
-    heard: Count = 0  # front ends, the one that asks among them; 0: another keeper tells all
+    report_number: Count = msgspec.field(name="number")  # of the Work
+    incarnation: Count = msgspec.field(name="life")  # of its owner
+    answer_number: Count = msgspec.field(name="answer")
+    front_ends: Count = msgspec.field(
+        default=0, name="heard"
+    )  # front ends, the one that asks among them; 0: another keeper tells all
     age_ms: DurationMs = 0.0  # of the oldest word that the sends rest on
     sent: Annotated[dict[ScorerKey, Count], Meta(max_length=64)] = {}
     loading: Annotated[tuple[PendingLoad, ...], Meta(max_length=256)] = ()
     copies: Annotated[tuple[ProvenCopy, ...], Meta(max_length=256)] = ()  # news since the answer that was had
-    cut: Count = 0
+    omitted: Count = msgspec.field(default=0, name="cut")
 
 
 class Status(Struct, frozen=True, tag="status"):
     """How a front end stands, for operators."""
 
     counts: Annotated[dict[str, Count], Meta(max_length=64)]
-    open: Count = 0  # own calls that are asked for or under way
-    keeps: bool = False
-    sure: bool = False
+    open_calls: Count = msgspec.field(default=0, name="open")  # own calls that are asked for or under way
+    is_replica: bool = msgspec.field(default=False, name="keeps")
+    complete: bool = msgspec.field(default=False, name="sure")
     calls: Count = 0
-    bytes: Count = 0
-    members: Count = 0
+    answer_bytes: Count = msgspec.field(default=0, name="bytes")
+    members_number: Count = msgspec.field(default=0, name="members")
     wait_ms: tuple[DurationMs, DurationMs] = (
         0.0,
         0.0,
@@ -202,14 +216,16 @@
     lags_ms: Annotated[
         dict[Name, DurationMs], Meta(max_length=2_000)
     ] = {}  # since each followed log gave a sign
-    slots: Annotated[dict[OwnerId, BucketDigest], Meta(max_length=4_000)] = {}  # of all that is kept
+    buckets: Annotated[dict[OwnerId, BucketDigest], Meta(max_length=4_000)] = msgspec.field(
+        default_factory=dict, name="slots"
+    )  # of all that is kept
 
 
 class ClientMessage(Struct, frozen=True, tag="ride"):
     """A word of another subsystem that goes by these logs: its own messages check what it says."""
 
-    rider: Name
-    word: Any
+    client: Name = msgspec.field(name="rider")
+    message: Any = msgspec.field(name="word")
 
 
 Message = (
@@ -234,7 +250,7 @@
 class Send(Struct, frozen=True):
     """Something for one, or for a few."""
 
-    to: tuple[str, ...]
+    recipients: tuple[str, ...] = msgspec.field(name="to")
     message: Message
 
 
@@ -243,9 +259,11 @@
 
     fleet: Name
     sender: Name
-    life: Count
-    to: Annotated[tuple[Name, ...], Meta(max_length=16)]  # none: for anybody
-    say: Message
+    incarnation: Count = msgspec.field(name="life")
+    recipients: Annotated[tuple[Name, ...], Meta(max_length=16)] = msgspec.field(
+        name="to"
+    )  # none: for anybody
+    message: Message = msgspec.field(name="say")
 
 
 def parse_line(data: Any) -> LogLine:
--- a/fawnwharf/replication/placement.py
+++ b/fawnwharf/replication/placement.py
@@ -28,9 +28,9 @@
             for zone, names in able.items()
         }
         self._zones = zones
-        self.keepers = sorted(name for names in self.by_zone.values() for name in names)
+        self.replicas = sorted(name for names in self.by_zone.values() for name in names)
 
-    def of(self, key: str) -> tuple[str, ...]:
+    def replicas_of(self, key: str) -> tuple[str, ...]:
         """The keepers of a call, a zone each, the same order everywhere."""
         zones = sorted(self.by_zone, key=lambda zone: rendezvous_weight(zone, key), reverse=True)[
             : self._zones
@@ -40,6 +40,6 @@
             for zone in sorted(zones)
         )
 
-    def enough(self, key: str) -> int:
+    def quorum(self, key: str) -> int:
         """Keepers whose word makes a promise: any two such sets have one in common."""
-        return len(self.of(key)) // 2 + 1
+        return len(self.replicas_of(key)) // 2 + 1
--- a/fawnwharf/replication/remote_loads.py
+++ b/fawnwharf/replication/remote_loads.py
@@ -46,10 +46,10 @@
         """Take a word that was made at `made_ms` or later; the places of which it tells something later."""
         if work.number > self.number:
             self.number, self.made_ms, self.sent = work.number, made_ms, work.sent
-            self.loading = tuple((load.worker, load.function, made_ms - load.age_ms) for load in work.loading)
+            self.loading = tuple((load.scorer, load.function, made_ms - load.age_ms) for load in work.loading)
         found = []
         for copy in work.copies:
-            place = copy.worker, copy.function
+            place = copy.scorer, copy.function
             if work.number > self.copies.get(place, (0,))[0]:
                 self.copies[place] = work.number, copy.copies, made_ms - copy.age_ms
                 found.append(place)
@@ -97,7 +97,7 @@
 
     def made_ms(self, keeper: str, owner: str, work: m.LoadReport) -> float | None:
         """Before when the word was not made; None where that can't be told."""
-        named = work.after.get(keeper)
+        named = work.last_answers.get(keeper)
         return next((at for n, at in reversed(self._answers.get(owner, ())) if n == named), None)
 
     def heard(self, now_ms: float, keeper: str, owner: str, work: m.LoadReport) -> m.RemoteLoadReport | None:
@@ -114,7 +114,7 @@
             return None
         self._number += 1
         answers.append((self._number, now_ms))
-        if work.wants != keeper:
+        if work.full_answer_from != keeper:
             return m.RemoteLoadReport(work.number, int(owner.partition("#")[2]), self._number)
         since = work.since if work.since < self._number else 0  # else it is another life's
         return self._answer(now_ms, owner, work.number, since)
@@ -263,26 +263,26 @@
         hears enough, else the next of `keepers`."""
         held = self._answers.get(self._wants)
         well = held is not None and now_ms - held.asked_ms <= TURN * self.word_ms
-        well = well and most_heard(held.others.heard, fronts)
+        well = well and most_heard(held.others.front_ends, fronts)
         if self._wants not in keepers or (not well and now_ms - self._wants_ms > TURN * self.word_ms):
             at = keepers.index(self._wants) + 1 if self._wants in keepers else 0
             self._wants, self._wants_ms = keepers[at % len(keepers)] if keepers else "", now_ms
         held = self._answers.get(self._wants)
-        return self._wants, held.others.answer if held else 0
+        return self._wants, held.others.answer_number if held else 0
 
     def heard(self, keeper: str, life: int, others: m.RemoteLoadReport) -> None:
         """A keeper's answer; `life` is the keeper's."""
-        asked_ms = next((at for number, at in reversed(self._asked) if number == others.number), None)
+        asked_ms = next((at for number, at in reversed(self._asked) if number == others.report_number), None)
         known = self._after.get(keeper, (0, 0))
-        if asked_ms is None or (known[0] == life and others.answer <= known[1]):
+        if asked_ms is None or (known[0] == life and others.answer_number <= known[1]):
             self._count("work: answers out of place")
             return
-        self._after[keeper] = life, others.answer
-        if not others.heard:
+        self._after[keeper] = life, others.answer_number
+        if not others.front_ends:
             return
         self._answers[keeper], self.news = _Answer(life, asked_ms, others), True
         for copy in others.copies:
-            places = self._copies.setdefault(copy.worker, {})
+            places = self._copies.setdefault(copy.scorer, {})
             proof = asked_ms - copy.age_ms, copy.copies
             places[copy.function] = max(proof, places.get(copy.function, proof))
             while len(places) > TELL_MOST:
@@ -301,12 +301,12 @@
     def best(self, now_ms: float) -> _Answer | None:
         """The answer that hears most, then the latest, of those that count."""
         fresh = [h for h in self._answers.values() if now_ms - self._made(h) <= self.word_ms]
-        return max(fresh, key=lambda held: (held.others.heard, held.asked_ms), default=None)
+        return max(fresh, key=lambda held: (held.others.front_ends, held.asked_ms), default=None)
 
     def sure(self, now_ms: float, fronts: int) -> bool:
         """Whether what others sent is known; `fronts` are all of the fleet."""
         best = self.best(now_ms)
-        return best is not None and most_heard(best.others.heard, fronts)
+        return best is not None and most_heard(best.others.front_ends, fronts)
 
     def _made(self, held: _Answer) -> float:
         return held.asked_ms - held.others.age_ms
@@ -319,7 +319,7 @@
         for held in self._answers.values():
             if now_ms - held.asked_ms <= self.word_ms:
                 for load in held.others.loading:
-                    loading.setdefault(load.worker, {})[load.function] = self._made(held)
+                    loading.setdefault(load.scorer, {})[load.function] = self._made(held)
         for worker in [worker for worker in self._copies if worker not in known]:
             del self._copies[worker]
         for worker in [worker for worker in self._told if worker not in known]:
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -49,7 +49,7 @@
     ) -> None:
         """Reads and checks the files; raises ConfigError with one line. `fresh`: this fleet begins, nobody
         has promised anything yet. `kept`: what grants go to in the place of a file."""
-        self.deployment, self.note = deployment, write
+        self.deployment, self.log_event = deployment, write
         place = Path(path)
         self.settings: ReplicationSettings = load(place, parse_settings, "state")
         self.folder = place.parent / self.settings.folder if self.settings.folder else None
@@ -68,33 +68,37 @@
         for name in self.settings.modes:
             if name not in deployment.settings.classes:
                 raise ConfigError(f"state: {place}: modes.{name}: no such class")
-        self.entry = entry
-        self.life = secrets.randbits(52) | 1
-        self.core = ReplicationCore(entry.name, self.life, members, self.settings, monotonic_ms(), fresh)
+        self.member = entry
+        self.incarnation = secrets.randbits(52) | 1
+        self.core = ReplicationCore(
+            entry.name, self.incarnation, members, self.settings, monotonic_ms(), fresh
+        )
         if self.settings.shares:
             # The module adds what it is handed to the quotas: these are as they were sold.
             quotas = dict(deployment.settings.quotas_rps)
-            self.core.shares = QuotaShares(quotas, deployment.settings.fleet_size)
+            self.core.quota_shares = QuotaShares(quotas, deployment.settings.fleet_size)
         promises = (spec.promise_ms for spec in deployment.settings.classes.values())
-        self.resting = OutlierEjector(min(promises, default=1_000.0), self.note)
-        self.working: LoadReporting | None = None
+        self.outlier_ejector = OutlierEjector(min(promises, default=1_000.0), self.log_event)
+        self.load_reporting: LoadReporting | None = None
         if self.settings.elsewhere:
-            self.working = LoadReporting(self.core, deployment.settings, self.note)
-        self.disk: GrantStorage | None = None
+            self.load_reporting = LoadReporting(self.core, deployment.settings, self.log_event)
+        self.grant_storage: GrantStorage | None = None
         self._kept = kept
-        if kept and self.core.keeper:
-            self.disk = kept.promises(self.core, self.folder)
-        elif self.folder and self.core.keeper:
+        if kept and self.core.replica:
+            self.grant_storage = kept.open_grant_storage(self.core, self.folder)
+        elif self.folder and self.core.replica:
             try:
-                self.disk = GrantLogStorage(self.folder, self.core, entry.name, self.note)
+                self.grant_storage = GrantLogStorage(self.folder, self.core, entry.name, self.log_event)
             except DiskError as error:
                 raise ConfigError(f"state.folder: {error}") from None
-        self.front: FrontEnd | None = None
+        self.front_end: FrontEnd | None = None
         self.gate: ClaimGate | None = None
-        self.server: DirectedLogServer | None = None
+        self.log_server: DirectedLogServer | None = None
         self._feeds: dict[str, DirectedLog] = {}
-        self.followers: list[Callable[[float, str], None]] = []  # hear of members that follow this log anew
-        self.riders: dict[str, Ridden] = {}  # other subsystems whose words go by these logs
+        self.follower_callbacks: list[
+            Callable[[float, str], None]
+        ] = []  # hear of members that follow this log anew
+        self.log_clients: dict[str, Ridden] = {}  # other subsystems whose words go by these logs
         self._timer: Timer | None = None
         self._timer_ms = 0.0
         self._noted: dict[str, float] = {}
@@ -106,18 +110,18 @@
 
     def attach(self, front: FrontEnd) -> None:
         """Begin, on the front end's loop."""
-        self.front = front
-        place = self.settings.listen or self.entry.state
+        self.front_end = front
+        place = self.settings.listen or self.member.state
         try:
-            self.server = DirectedLogServer(
+            self.log_server = DirectedLogServer(
                 front.loop,
                 address_from(place, "state.listen"),
-                self.life,
+                self.incarnation,
                 len(self.core.members.members) + READERS_SPARE,
             )
         except OSError as error:
             raise ConfigError(f"state.listen: {error.strerror}: {place}") from None
-        self.server.followed = self._followed
+        self.log_server.followed = self._followed
         self.gate = ClaimGate(
             front.loop,
             front.table,
@@ -134,33 +138,35 @@
             self._use()
         if self.settings.hints:
             self._beliefs()
-        if self.working:
-            self.working.attach(front, self._carry_out)
+        if self.load_reporting:
+            self.load_reporting.attach(front, self._carry_out)
         self._tick()
         keepers = {zone: list(names) for zone, names in self.core.placement.by_zone.items()}
-        self.note("state on", {"member": self.entry.name, "owner": self.core.owner, "keepers": keepers})
-        if self.disk:
-            self.note("disk read", self.disk.found)
+        self.log_event(
+            "state on", {"member": self.member.name, "owner": self.core.owner_id, "keepers": keepers}
+        )
+        if self.grant_storage:
+            self.log_event("disk read", self.grant_storage.summary)
 
     def close(self) -> None:
         self._stopped = True
-        if self.working:
-            self.working.close()
+        if self.load_reporting:
+            self.load_reporting.close()
         for feed in self._feeds.values():
             feed.close()
-        if self.server:
-            self.server.close()
-        if self.disk:
-            self.disk.close()
+        if self.log_server:
+            self.log_server.close()
+        if self.grant_storage:
+            self.grant_storage.close()
 
     def told(self, fleet: Fleet) -> None: ...
 
     def events(self, events: list[io.Event]) -> None:
-        if self.core.shares:
-            self.core.shares.came(e.tenant for e in events if isinstance(e, io.RequestArrived))
-        self.resting.events(monotonic_ms(), events)
-        if self.working:
-            self.working.events(events)
+        if self.core.quota_shares:
+            self.core.quota_shares.count_calls(e.tenant for e in events if isinstance(e, io.RequestArrived))
+        self.outlier_ejector.events(monotonic_ms(), events)
+        if self.load_reporting:
+            self.load_reporting.events(events)
 
     @property
     def busy(self) -> bool:
@@ -170,40 +176,40 @@
             return True
         if self._idle_ms is None:
             self._idle_ms = monotonic_ms()
-        return monotonic_ms() - self._idle_ms < UNWRITTEN_MS and self.server.unwritten()
+        return monotonic_ms() - self._idle_ms < UNWRITTEN_MS and self.log_server.unwritten()
 
-    def ride(self, rider: str, to: tuple[str, ...], word: Any) -> None:
+    def send_message(self, rider: str, to: tuple[str, ...], word: Any) -> None:
         """Say a word of a rider to these members, to all that follow this one's log where none is named.
         Only keepers are followed by all, and only keepers follow all."""
-        self._carry_out(self.core.ride(m.ClientMessage(rider, word), to))
+        self._carry_out(self.core.send_client_message(m.ClientMessage(rider, word), to))
 
-    def stands(self, rider: str, word: Any) -> None:
+    def publish(self, rider: str, word: Any) -> None:
         """Say a word that counts until the rider's next such one, to all that follow and whoever comes."""
         said = Send((), m.ClientMessage(rider, word))
-        self.server.say(msgspec.to_builtins(self.core.wrapped(said)), counts_as=f"ride {rider}")
+        self.log_server.say(msgspec.to_builtins(self.core.log_line(said)), counts_as=f"ride {rider}")
 
-    def alive(self, now_ms: float) -> dict[str, int]:
+    def live_members(self, now_ms: float) -> dict[str, int]:
         """Members whose logs are followed here and gave a sign within `quiet_ms`, with their lives."""
         self._hear()
         quiet = self.settings.quiet_ms
-        return {name: life for name, (life, at_ms) in self.core.heard.items() if now_ms - at_ms <= quiet}
+        return {name: life for name, (life, at_ms) in self.core.last_heard.items() if now_ms - at_ms <= quiet}
 
     def _hear(self) -> None:
         for name, feed in self._feeds.items():
             if feed.up and feed.life:
-                self.core.hears(feed.heard_ms, name, feed.life)
+                self.core.record_sign_of_life(feed.heard_ms, name, feed.life)
 
     # --- what the core says ---------------------------------------------------------------------
 
     def _ridden(self) -> None:
-        rides, self.core.rides = self.core.rides, []
+        rides, self.core.client_messages = self.core.client_messages, []
         for sender, life, ride in rides:
-            if taker := self.riders.get(ride.rider):
-                taker(monotonic_ms(), sender, life, ride.word)
+            if taker := self.log_clients.get(ride.client):
+                taker(monotonic_ms(), sender, life, ride.message)
 
     def _carry_out(self, effects: list[OwnerAction]) -> None:
-        if self.disk is not None:
-            effects = self.disk.written(effects, self._say)
+        if self.grant_storage is not None:
+            effects = self.grant_storage.persist(effects, self._say)
         self._say(effects)
         self._ridden()
 
@@ -211,9 +217,9 @@
         """Now that what they rest on is written."""
         for effect in effects:
             if isinstance(effect, Send):
-                self.server.say(msgspec.to_builtins(self.core.wrapped(effect)), effect.to)
+                self.log_server.say(msgspec.to_builtins(self.core.log_line(effect)), effect.recipients)
             else:
-                self.gate.told(effect)
+                self.gate.apply(effect)
         self._set_timer()
 
     def _tick(self) -> None:
@@ -234,20 +240,20 @@
         if due == float("inf"):
             return
         self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - now, self._tick)
+        self._timer = self.front_end.loop.wheel.after(due - now, self._tick)
 
     def _look_after(self, now_ms: float) -> None:
-        keeper = self.core.keeper
+        keeper = self.core.replica
         if keeper is None:
             return
-        if (sure := keeper.sure(now_ms)) != self._was_sure:
+        if (sure := keeper.is_complete(now_ms)) != self._was_sure:
             self._was_sure = sure
-            self.note("keeper", {"sure": sure, "calls": len(keeper.shelf.calls)})
-        conflicts, keeper.shelf.conflicts = keeper.shelf.conflicts, []
+            self.log_event("keeper", {"sure": sure, "calls": len(keeper.claim_store.calls)})
+        conflicts, keeper.claim_store.conflicts = keeper.claim_store.conflicts, []
         for key, one, other in conflicts:
             if self._once("conflict"):
                 sides = [msgspec.to_builtins(claim) for claim in (one, other)]
-                self.note("conflict", {"call": key, "one": sides[0], "other": sides[1]})
+                self.log_event("conflict", {"call": key, "one": sides[0], "other": sides[1]})
 
     def _once(self, what: str) -> bool:
         now = monotonic_ms()
@@ -261,57 +267,57 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        self._carry_out(self.core.tell_use(now))
-        if self.core.shares:
-            for tenant, rps in self.core.shares.changes(now).items():
-                self.front.loop.tell(io.LimitsChanged(rps, tenant))
-        self.front.loop.wheel.after(self.settings.use_ms, self._use)
+        self._carry_out(self.core.send_usage(now))
+        if self.core.quota_shares:
+            for tenant, rps in self.core.quota_shares.changes(now).items():
+                self.front_end.loop.tell(io.LimitsChanged(rps, tenant))
+        self.front_end.loop.wheel.after(self.settings.use_ms, self._use)
 
     def _beliefs(self) -> None:
         """Tell which scorers are bad, and let those rest that several front ends name."""
         if self._stopped:
             return
         now = monotonic_ms()
-        self._carry_out(self.core.tell_named(now, self.resting.sights))
-        changes = self.resting.look(now, self.core.hints, self.front.overlay)
-        self.core.hints.clear()
+        self._carry_out(self.core.send_failure_report(now, self.outlier_ejector.sights))
+        changes = self.outlier_ejector.look(now, self.core.reported_outliers, self.front_end.overlay)
+        self.core.reported_outliers.clear()
         if changes.members:
-            self.front.go_by(changes)
-        self.front.loop.wheel.after(self.settings.hints_ms, self._beliefs)
+            self.front_end.go_by(changes)
+        self.front_end.loop.wheel.after(self.settings.hints_ms, self._beliefs)
 
     def _status(self) -> None:
         if self._stopped:
             return
         now = monotonic_ms()
         found = msgspec.structs.replace(
-            self.core.status(now), wait_ms=self.gate.waits(), sent_bytes=self.server.bytes
+            self.core.status(now), wait_ms=self.gate.wait_percentiles_ms(), sent_bytes=self.log_server.bytes
         )
         status = Send((), found)
-        self.server.say(msgspec.to_builtins(self.core.wrapped(status)), counts_as="status")
-        self.front.loop.wheel.after(STATUS_MS, self._status)
+        self.log_server.say(msgspec.to_builtins(self.core.log_line(status)), counts_as="status")
+        self.front_end.loop.wheel.after(STATUS_MS, self._status)
 
     # --- others' logs ---------------------------------------------------------------------------
 
     def _follow(self) -> None:
         """Keepers follow all, the others follow the keepers."""
-        keepers = set(self.core.placement.keepers)
-        if self.core.keeper:
+        keepers = set(self.core.placement.replicas)
+        if self.core.replica:
             keepers |= {member.name for member in self.core.members.members}
         wanted = {
             member.name: member.state
             for member in self.core.members.members
-            if member.state and member.name in keepers and member.name != self.entry.name
+            if member.state and member.name in keepers and member.name != self.member.name
         }
         for name in [name for name in self._feeds if name not in wanted]:
             self._feeds.pop(name).close()
-            self.server.forget(name)
+            self.log_server.forget(name)
         for name, place in wanted.items():
             address = address_from(place, "members.state")
             if name in self._feeds:
                 self._feeds[name].move(address)
                 continue
             feed = DirectedLog(
-                self.front.loop, address, self._taker(name), self._dropped, self._greeter(name)
+                self.front_end.loop, address, self._taker(name), self._dropped, self._greeter(name)
             )
             self._feeds[name] = feed
             feed.connect()
@@ -319,32 +325,32 @@
     def _taker(self, name: str) -> Callable[[Any], None]:
         def take(line: Any) -> None:
             try:
-                effects = self.core.line(monotonic_ms(), name, line)
+                effects = self.core.receive_line(monotonic_ms(), name, line)
             except LineError:
                 self.core.counts["bad line"] = self.core.counts.get("bad line", 0) + 1
                 raise
-            for sender, asked in self.core.hellos:
-                self.server.named(sender, asked)
-            self.core.hellos.clear()
+            for sender, asked in self.core.greetings:
+                self.log_server.named(sender, asked)
+            self.core.greetings.clear()
             self._carry_out(effects)
-            if self.working:
-                self.working.answered()
+            if self.load_reporting:
+                self.load_reporting.answered()
 
         return take
 
     def _greeter(self, name: str) -> Callable[[int], None]:
         def hello(asked: int) -> None:
-            self.server.greet(name, msgspec.to_builtins(self.core.wrapped(Send((name,), Hello(asked)))))
+            self.log_server.greet(name, msgspec.to_builtins(self.core.log_line(Send((name,), Hello(asked)))))
 
         return hello
 
     def _followed(self, name: str) -> None:
-        for taker in self.followers:
+        for taker in self.follower_callbacks:
             taker(monotonic_ms(), name)
 
     def _dropped(self, text: str) -> None:
         if self._once("line"):
-            self.note("line dropped", {"why": text, "counts": dict(self.core.counts)})
+            self.log_event("line dropped", {"why": text, "counts": dict(self.core.counts)})
 
     # --- files ----------------------------------------------------------------------------------
 
@@ -364,20 +370,20 @@
             self._new_members()
         for feed in self._feeds.values():
             feed.tidy()
-        self.front.loop.wheel.after(FILES_MS, self._look_at_files)
+        self.front_end.loop.wheel.after(FILES_MS, self._look_at_files)
 
     def _new_members(self) -> None:
         try:
             members = members_from(self._members_path.read_bytes())
             check_members(members, self.settings)
-            now = members.named(self.entry.name)
-            if now is None or now.state != self.entry.state:
-                raise FileFault(f"members: {self.entry.name} is not as it was")
+            now = members.named(self.member.name)
+            if now is None or now.state != self.member.state:
+                raise FileFault(f"members: {self.member.name} is not as it was")
         except (OSError, FileFault) as error:
-            self.note("members left aside, the old ones go on", {"fault": str(error)})
+            self.log_event("members left aside, the old ones go on", {"fault": str(error)})
             return
-        self.core.take_members(monotonic_ms(), members)
-        if self._kept and self.core.keeper and self.disk is None:
-            self.disk = self._kept.promises(self.core, self.folder)
+        self.core.change_members(monotonic_ms(), members)
+        if self._kept and self.core.replica and self.grant_storage is None:
+            self.grant_storage = self._kept.open_grant_storage(self.core, self.folder)
         self._follow()
-        self.note("members taken", {"number": members.number, "keepers": self.core.placement.keepers})
+        self.log_event("members taken", {"number": members.number, "keepers": self.core.placement.replicas})
--- a/fawnwharf/replication/state_transfer.py
+++ b/fawnwharf/replication/state_transfer.py
@@ -89,28 +89,28 @@
 
         `take` says whether there was room."""
         heard = self._hearing.get(sender)
-        mine = heard is not None and (piece.life, piece.number) == (self.life, heard.number)
+        mine = heard is not None and (piece.incarnation, piece.request_number) == (self.life, heard.number)
         if not mine or piece.part != heard.part:
             self.shelf.count("a piece out of place")
             return False
-        digest = heard.digest + sum(claim_digest(held.key, held.claim) for held in piece.held)
+        digest = heard.digest + sum(claim_digest(held.key, held.claim) for held in piece.claims)
         if format_digest(digest) != piece.digest:
             self.shelf.count("a piece that does not fit its digest")
             del self._hearing[sender]
             return False
         heard.part, heard.digest, heard.asked_ms = heard.part + 1, digest, now_ms
-        self.heard_claims += len(piece.held)
-        if not all([take(held) for held in piece.held]):
+        self.heard_claims += len(piece.claims)
+        if not all([take(held) for held in piece.claims]):
             del self._hearing[sender]  # what there is no room for is not known
             return False
         if not piece.last:
             return False
         del self._hearing[sender]
-        return piece.sure and heard.all
+        return piece.complete and heard.all
 
     def compare(self, now_ms: float, sender: str, digests: m.StoreDigests, members: int) -> list[m.Send]:
         """Want what differs from another keeper's, twice in a row: once, it may be on its way."""
-        differ = self.shelf.differs(sender, digests.slots)
+        differ = self.shelf.differing_ranges(sender, digests.buckets)
         before, self._differed[sender] = self._differed.get(sender, []), differ
         owners = {wanted.owner for wanted in before}
         twice = tuple(wanted for wanted in differ if wanted.owner in owners)
@@ -123,19 +123,19 @@
 
     def wanted(self, name: str, want: m.StateRequest, may: Callable[[tuple[str, ...]], bool]) -> None:
         """Another keeper wants what is here. A later want takes the place of an earlier one."""
-        spans = {wanted.owner: wanted for wanted in want.wanted}
+        spans = {wanted.owner: wanted for wanted in want.ranges}
 
         def claims(key: str) -> int:
             entry = self.shelf.calls.get(key)
-            if entry is None or not may(entry.keepers):
+            if entry is None or not may(entry.replicas):
                 return 0
             asked = not spans or any(
-                claim.owner in spans and spans[claim.owner].first <= claim.slot < spans[claim.owner].until
+                claim.owner in spans and spans[claim.owner].first <= claim.bucket < spans[claim.owner].until
                 for claim in entry.claims.values()
             )
             return len(entry.claims) if asked else 0
 
-        self._telling[name] = _Telling(want.number, want.life, list(self.shelf.calls), claims)
+        self._telling[name] = _Telling(want.number, want.incarnation, list(self.shelf.calls), claims)
 
     def pieces(self, now_ms: float, sure: bool) -> list[m.Send]:
         """The next part for each of the first few that want something."""
@@ -145,7 +145,7 @@
         self.due_ms = now_ms + PIECE_PAUSE_MS
         for name in list(self._telling)[:WANTS_AT_ONCE]:
             telling = self._telling[name]
-            held = [held for key in telling.next() for held in self.shelf.held(now_ms, key)]
+            held = [held for key in telling.next() for held in self.shelf.stored_claims(now_ms, key)]
             telling.digest += sum(claim_digest(one.key, one.claim) for one in held)
             last = not telling.keys
             piece = m.StateChunk(
--- a/fawnwharf/replication/usage.py
+++ b/fawnwharf/replication/usage.py
@@ -36,7 +36,7 @@
     def _drop(self, cause: str) -> None:
         self.dropped[cause] = self.dropped.get(cause, 0) + 1
 
-    def heard(self, now_ms: float, owner: str, use: m.UsageCounters) -> None:
+    def receive(self, now_ms: float, owner: str, use: m.UsageCounters) -> None:
         """Counters of one owner. What is not later, or goes down, changes nothing."""
         known = self.owners.get(owner)
         if known is None:
@@ -55,7 +55,7 @@
         while len(known.past) > 2 and known.past[1][0] < now_ms - WINDOW_MS:
             known.past.popleft()
 
-    def sums(self, now_ms: float) -> m.UsageRates:
+    def rates(self, now_ms: float) -> m.UsageRates:
         """Calls a second by tenant, of the owners that are heard."""
         self.owners = {o: held for o, held in self.owners.items() if now_ms - held.heard_ms <= LIFE_MS}
         rates: dict[str, float] = {}
@@ -87,50 +87,52 @@
     """A front end's: its own counters, what keepers told last, and the shares that it goes by."""
 
     def __init__(self, quotas_rps: dict[str, float], fronts: int) -> None:
-        self.quotas, self.fronts = quotas_rps, max(1, fronts)
+        self.quotas_rps, self.fronts = quotas_rps, max(1, fronts)
         self.counts: dict[str, int] = {}
         self.number = 0
         self._told: dict[str, tuple[float, m.UsageRates]] = {}  # by keeper
         self._own = UsageTable()
-        self.shares = {tenant: quota / self.fronts for tenant, quota in quotas_rps.items()}
+        self.shares_rps = {tenant: quota / self.fronts for tenant, quota in quotas_rps.items()}
 
-    def came(self, tenants: Iterable[str]) -> None:
+    def count_calls(self, tenants: Iterable[str]) -> None:
         for tenant in tenants:
-            if tenant in self.quotas:
+            if tenant in self.quotas_rps:
                 self.counts[tenant] = self.counts.get(tenant, 0) + 1
 
-    def sell(self, quotas_rps: dict[str, float]) -> dict[str, float]:
+    def change_quotas(self, quotas_rps: dict[str, float]) -> dict[str, float]:
         """Other quotas from now on; the shares that change with them, at once and in proportion."""
         found = {}
         for tenant, quota in quotas_rps.items():
-            before, equal = self.quotas.get(tenant), quota / self.fronts
+            before, equal = self.quotas_rps.get(tenant), quota / self.fronts
             if quota != before:
-                found[tenant] = self.shares[tenant] * quota / before if before else equal
-        self.quotas = dict(quotas_rps)
-        self.shares = {tenant: found.get(tenant, self.shares.get(tenant, 0.0)) for tenant in quotas_rps}
+                found[tenant] = self.shares_rps[tenant] * quota / before if before else equal
+        self.quotas_rps = dict(quotas_rps)
+        self.shares_rps = {
+            tenant: found.get(tenant, self.shares_rps.get(tenant, 0.0)) for tenant in quotas_rps
+        }
         return found
 
-    def use(self, now_ms: float) -> m.UsageCounters:
+    def next_counters(self, now_ms: float) -> m.UsageCounters:
         """The counters, to be told to the keepers."""
         self.number += 1
         told = m.UsageCounters(self.number, dict(self.counts))
-        self._own.heard(now_ms, "me#0", told)
+        self._own.receive(now_ms, "me#0", told)
         return told
 
-    def heard(self, now_ms: float, keeper: str, sums: m.UsageRates) -> None:
+    def receive(self, now_ms: float, keeper: str, sums: m.UsageRates) -> None:
         self._told[keeper] = now_ms, sums
 
     def changes(self, now_ms: float) -> dict[str, float]:
         """Shares that are to be gone by from now on, where they differ from the last ones, in calls a
         second."""
         fresh = [sums for at_ms, sums in self._told.values() if now_ms - at_ms <= LIFE_MS]
-        best = max(fresh, key=lambda sums: sums.heard, default=m.UsageRates({}, 0))
-        mine = self._own.sums(now_ms).rates
+        best = max(fresh, key=lambda sums: sums.front_ends, default=m.UsageRates({}, 0))
+        mine = self._own.rates(now_ms).rates
         found = {}
-        for tenant, quota in self.quotas.items():
+        for tenant, quota in self.quotas_rps.items():
             new = quota_share(
-                quota, self.fronts, mine.get(tenant, 0.0), best.rates.get(tenant, 0.0), best.heard
+                quota, self.fronts, mine.get(tenant, 0.0), best.rates.get(tenant, 0.0), best.front_ends
             )
-            if abs(new - self.shares[tenant]) > NEWS * self.shares[tenant]:
-                self.shares[tenant] = found[tenant] = new
+            if abs(new - self.shares_rps[tenant]) > NEWS * self.shares_rps[tenant]:
+                self.shares_rps[tenant] = found[tenant] = new
         return found
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -60,9 +60,9 @@
             read = json.loads(line)
             if not isinstance(read, dict) or "line" not in read:
                 continue
-            say = parse_line(read["line"]).say
-            if isinstance(say, ClientMessage) and say.rider == w.RIDER:
-                found = w.word_from(say.word)
+            say = parse_line(read["line"]).message
+            if isinstance(say, ClientMessage) and say.client == w.RIDER:
+                found = w.word_from(say.message)
                 if isinstance(found, w.Status):
                     return found
     raise ValueError("it told nothing of sessions")
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -80,7 +80,7 @@
     def attach(self, front: FrontEnd) -> None:
         """Begin on the front end's loop."""
         self.front = front
-        self.state.riders[RIDER] = self._heard
+        self.state.log_clients[RIDER] = self._heard
         self._beat()
 
     def close(self) -> None:
@@ -88,7 +88,7 @@
         if self._stopped or self.front is None:
             return
         self._stopped = True
-        self.state.riders.pop(RIDER, None)
+        self.state.log_clients.pop(RIDER, None)
         if self._timer is not None:
             self._timer.cancel()
         beside = self._memory.with_suffix(".new")
@@ -157,7 +157,7 @@
 
     def _carry_out(self, now_ms: float, beat: Beat) -> None:
         for word in beat.words:
-            self.state.ride(RIDER, (), word)
+            self.state.send_message(RIDER, (), word)
         self.ordered += len(beat.wanted)
         for wanted in beat.wanted:
             self.front.loop.tell(wanted)
--- a/fawnwharf/sessions/outbox.py
+++ b/fawnwharf/sessions/outbox.py
@@ -47,4 +47,4 @@
         for n in range(0, len(words), w.WORDS_MOST):
             said = w.Hands(tuple(words[n : n + w.WORDS_MOST]))
             for part in parts:
-                self._state.ride(w.RIDER, part, said)
+                self._state.send_message(w.RIDER, part, said)
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -85,7 +85,7 @@
 
     def _own_zone(self) -> str:
         """This front end's zone; raises ConfigError where the file of members says another one."""
-        entry, zone = self.state.entry, self.deployment.settings.zone
+        entry, zone = self.state.member, self.deployment.settings.zone
         if entry.zone != zone:
             told = f"{entry.name} is of zone {entry.zone}, and its configuration says {zone}"
             raise ConfigError(f"sessions: {told}")
@@ -94,18 +94,18 @@
     def _made_agent(self, fresh: bool) -> Agent:
         core = self.state.core
         agent = Agent(
-            self.state.entry.name,
-            self.state.life,
+            self.state.member.name,
+            self.state.incarnation,
             self._sites(),
-            core.placement.keepers,
-            lambda key: self.state.core.placement.of(key),
+            core.placement.replicas,
+            lambda key: self.state.core.placement.replicas_of(key),
             self.settings,
             self.deployment.settings.classes,
             monotonic_ms(),
             fresh,
             core.placement.number,
         )
-        agent.spent = lambda org: core.shares.counts.get(org, 0) if core.shares else 0
+        agent.spent = lambda org: core.quota_shares.counts.get(org, 0) if core.quota_shares else 0
         return agent
 
     def _open_trace(self, folder: Path, name: str) -> Trace | None:
@@ -126,8 +126,8 @@
         """Begin on the front end's loop."""
         self.front, self.places = front, Places(front, self.site)
         self.agent.router.uses = self.places.uses
-        self.state.riders[w.RIDER] = self._heard
-        self.state.followers.append(self.agent.followed)
+        self.state.log_clients[w.RIDER] = self._heard
+        self.state.follower_callbacks.append(self.agent.followed)
         self._left.take(self.agent.router, set(self.agent.sites.values()), monotonic_ms(), unix_ms())
         if (data := self._wishes_file.changed()) is not None:
             self._wished(data, begin=False)  # what was asked of an earlier process was begun there
@@ -143,7 +143,7 @@
             self._left.leave(self.agent.router, monotonic_ms(), unix_ms())
         self._stopped = True
         self._outbox.close()
-        self.state.riders.pop(w.RIDER, None)
+        self.state.log_clients.pop(w.RIDER, None)
         if self.trace is not None:
             self.trace.close()
             self.trace = None
@@ -308,7 +308,7 @@
         now, agent = monotonic_ms(), self.agent
         if (placed := self.state.core.placement) is not self._placed:
             self._placed = placed
-            agent.place(now, self._sites(), placed.keepers, placed.number)
+            agent.place(now, self._sites(), placed.replicas, placed.number)
         self._left.look(agent.router, now, unix_ms())
         if now - self._files_ms >= FILES_MS:
             self._files_ms = now
@@ -316,7 +316,7 @@
                 self._wished(data)
         agent.close(now, self._closed(now), self._shares())
         agent.room = self._room()
-        agent.tick(now, self.state.alive(now), self.front.table.open.__contains__)
+        agent.tick(now, self.state.live_members(now), self.front.table.open.__contains__)
         self._tell(self.stages.tick(now))
         self._staged(now)
         if (sure := agent.sure(now)) != self._was_sure and agent.keeper is not None:
@@ -397,4 +397,4 @@
             answers=tuple(agent.asking.answers.values()),
             foreseen=self.foreseen.counts() if self.foreseen is not None else {},
         )
-        self.state.stands(w.RIDER, status)
+        self.state.publish(w.RIDER, status)
--- a/fawnwharf/testbed/promises.py
+++ b/fawnwharf/testbed/promises.py
@@ -186,15 +186,15 @@
     def _read_disk(self, front: _Front, core: ReplicationCore) -> None:
         """What the process before this one had on file, as `replication/disk.py` has it."""
         kept, front.kept = front.kept, None
-        if core.keeper is None or kept is None or self.chance.random() >= self.weather.found:
+        if core.replica is None or kept is None or self.chance.random() >= self.weather.found:
             return
         now_ms, (sure, held) = self.clock(front), kept
         for key, claim, until_ms in held:
             if until_ms > now_ms:
-                entry = core.keeper.shelf.entry(now_ms, key)
-                core.keeper.shelf.put(now_ms, key, entry, claim, until_ms - now_ms)
+                entry = core.replica.claim_store.get_or_create(now_ms, key)
+                core.replica.claim_store.merge(now_ms, key, entry, claim, until_ms - now_ms)
         if sure == core.placement.number:
-            core.keeper.knows_all()
+            core.replica.mark_complete()
 
     def _tick(self, front: _Front, core: ReplicationCore) -> None:
         if front.core is not core:
@@ -210,14 +210,14 @@
         self.at(max(self.now + 1.0, min(due, self.now + 100.0)), lambda: self._tick(front, core))
 
     def _line(self, front: _Front, sender: str, data: Any) -> None:
-        self._do(front, front.core.line(self.clock(front), sender, data))
+        self._do(front, front.core.receive_line(self.clock(front), sender, data))
 
     def _do(self, front: _Front, effects: list[OwnerAction]) -> None:
         core = front.core
         for effect in effects:
             if isinstance(effect, Send):
-                for to in effect.to:
-                    self._send(front.name, to, core.wrapped(effect))
+                for to in effect.recipients:
+                    self._send(front.name, to, core.log_line(effect))
             else:
                 self._told(front, effect)
 
@@ -248,7 +248,7 @@
             for other in self.fronts.values():
                 clear = self.cut.get((one.name, other.name), 0.0) <= self.now
                 if one.core and other.core and clear and one.halted_until <= self.now >= other.halted_until:
-                    other.core.hears(self.clock(other), one.name, one.life)
+                    other.core.record_sign_of_life(self.clock(other), one.name, one.life)
         self.at(self.now + SIGN_MS, self._signs)
 
     # --- calls ----------------------------------------------------------------------------------
@@ -274,23 +274,23 @@
         if not fronts:
             return
         front = self.chance.choice(fronts)
-        owner = front.core.owner
-        if (owner, key) in self.waiting or key in front.core.claimant.mine:
+        owner = front.core.owner_id
+        if (owner, key) in self.waiting or key in front.core.call_owner.calls:
             return  # the front end itself sees that it has it
         self.waiting[owner, key] = Effect.UNSAFE
-        effects = front.core.begin(
+        effects = front.core.begin_call(
             self.clock(front), key, Effect.UNSAFE, promise_ms=PROMISE_MS, budget_ms=BUDGET_MS
         )
         self._do(front, effects)
         self.at(self.now + BUDGET_MS * 1.1 + 6_000.0, lambda: self._owed(front, owner, key))
 
     def _owed(self, front: _Front, owner: str, key: str) -> None:
-        lives = front.core is not None and front.core.owner == owner and front.halted_until <= self.now
+        lives = front.core is not None and front.core.owner_id == owner and front.halted_until <= self.now
         if lives and (owner, key) in self.waiting:
             self._break(f"{owner} never said what becomes of {key}")
 
     def _told(self, front: _Front, effect: RunCall | AnswerCall | FailCall | RejectCall) -> None:
-        owner, key = front.core.owner, effect.key
+        owner, key = front.core.owner_id, effect.key
         if self.waiting.pop((owner, key), None) is None:
             self._break(f"{owner} said twice what becomes of {key}")
             return
@@ -324,7 +324,7 @@
             self.at(front.halted_until, lambda: self._end(front, core, key, phase, answer))
             return
         digest = answer[-16:]
-        self._do(front, core.ended(self.clock(front), key, phase, digest, answer or None))
+        self._do(front, core.call_ended(self.clock(front), key, phase, digest, answer or None))
 
     # --- faults ---------------------------------------------------------------------------------
 
@@ -345,10 +345,10 @@
         if front is None:
             return
         core, front.core = front.core, None
-        if core.keeper:
+        if core.replica:
             now_ms = self.clock(front)
-            sure = core.placement.number if core.keeper.sure(now_ms) else 0
-            front.kept = sure, core.keeper.shelf.held_all(now_ms)
+            sure = core.placement.number if core.replica.is_complete(now_ms) else 0
+            front.kept = sure, core.replica.claim_store.unexpired_claims(now_ms)
         self.outcome.kills += 1
         away = self.chance.uniform(1.0, self.weather.away_ms)
         self.at(self.now + away, lambda: self._start(front))
@@ -370,7 +370,7 @@
     def _take_file(self, front: _Front, core: ReplicationCore | None, file: Members) -> None:
         def take() -> None:
             if front.core is core and core is not None and front.halted_until <= self.now:
-                core.take_members(self.clock(front), file)
+                core.change_members(self.clock(front), file)
             elif front.core is core and core is not None:
                 self.at(front.halted_until, take)
 
@@ -383,11 +383,15 @@
 
     def _apart(self) -> int:
         """Owners of whose claims two keepers hold different ones, of those that should be the same."""
-        keepers = {f.name: f.core.keeper for f in self.fronts.values() if f.core and f.core.keeper}
+        keepers = {f.name: f.core.replica for f in self.fronts.values() if f.core and f.core.replica}
         found = 0
         for one, other in itertools.combinations(sorted(keepers), 2):
-            if one in keepers[other].placement.keepers and other in keepers[one].placement.keepers:
+            if one in keepers[other].placement.replicas and other in keepers[one].placement.replicas:
                 for a, b in ((one, other), (other, one)):
                     now_ms = self.clock(self.fronts[a])
-                    found += len(keepers[b].shelf.differs(a, keepers[a].shelf.slots(now_ms, b)))
+                    found += len(
+                        keepers[b].claim_store.differing_ranges(
+                            a, keepers[a].claim_store.bucket_digests(now_ms, b)
+                        )
+                    )
         return found
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -38,7 +38,7 @@
     kept = None
     if kind == "store":
         kept = Kept(folder, "f", "n0", str(BOOT_ID), Limits(), lambda what, more: None, fresh=True)
-        disk = kept.promises(core, None)
+        disk = kept.open_grant_storage(core, None)
         kept.attach(loop)
         while not kept.settled:
             loop.turn(0.01)
@@ -50,17 +50,23 @@
         nonlocal refused
         for effect in effects:
             word = getattr(effect, "message", None)
-            if isinstance(word, m.ClaimReply) and word.number in asked:
-                began = asked.pop(word.number)
+            if isinstance(word, m.ClaimReply) and word.request_number in asked:
+                began = asked.pop(word.request_number)
                 refused += not word.granted
                 took.append(monotonic_ms() - began)
                 claim = Claim(
-                    "n1#1", word.number, calls + word.number, 0, ClaimPhase.ANSWERED, "d" * 32, ANSWER
+                    "n1#1",
+                    word.request_number,
+                    calls + word.request_number,
+                    0,
+                    ClaimPhase.ANSWERED,
+                    "d" * 32,
+                    ANSWER,
                 )
                 hear(m.ClaimUpdate(word.key, claim))
 
     def hear(message):
-        say(disk.written(core.line(monotonic_ms(), "n1", line(message)), say))
+        say(disk.persist(core.receive_line(monotonic_ms(), "n1", line(message)), say))
 
     pause, number, begun = 1.0 / rate, 0, time.monotonic()
     cpu = time.process_time()
@@ -69,7 +75,7 @@
             number += 1
             asked[number] = monotonic_ms()
             hear(m.ClaimRequest(f"transfer-settle:{number:032x}", "n1#1", number, 1, 0))
-        say(disk.written(core.tick(monotonic_ms()), say))
+        say(disk.persist(core.tick(monotonic_ms()), say))
         loop.turn(min(0.02, max(0.0, begun + number * pause - time.monotonic())))
     cpu = time.process_time() - cpu
     disk.close()
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -114,7 +114,7 @@
     "recovery/claim": converted(claims.Claim),
     "recovery/scorers": converted(list[hints._Scorer]),
     "recovery/use": converted(list[hints._Use]),
-    "state/line": line(state.LogLine, state.parse_line, "say"),
+    "state/line": line(state.LogLine, state.parse_line, "message"),
     "state/head": file(keeper_disk.Head),
     "state/batch": file(keeper_disk.Batch),
     "sessions/word": line(session_words.Word, session_words.word_from),
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -21,10 +21,10 @@
 BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
 STORE_KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 HELD = [
-    ("key-0", Claim("n0#7", 1, 2, 100, ClaimPhase.CLEAR, "", None), 30_000.0),
+    ("key-0", Claim("n0#7", 1, 2, 100, ClaimPhase.RELEASED, "", None), 30_000.0),
     ("key-1", Claim("n1#8", 2, 3, 101, ClaimPhase.ANSWERED, "d", "YW5zd2Vy"), 31_000.0),
     ("key-2", Claim("n2#9", 3, 4, 102, ClaimPhase.FAILED, "dd", None), 32_000.0),
-    ("key-3", Claim("n3#10", 4, 5, 103, ClaimPhase.TAKEN, "ddd", None), 33_000.0),
+    ("key-3", Claim("n3#10", 4, 5, 103, ClaimPhase.GRANTED, "ddd", None), 33_000.0),
 ]
 
 
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -247,7 +247,7 @@
 
 def test_an_entry_of_the_store_has_its_recorded_form():
     """Stamped with the clock; a grant is a list that begins with how long it counts."""
-    claim = Claim("n0#7", 1, 2, 100, ClaimPhase.TAKEN, "d1", None)
+    claim = Claim("n0#7", 1, 2, 100, ClaimPhase.GRANTED, "d1", None)
     data = kept.stamped(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
         b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -211,10 +211,10 @@
     "members",
     [
         [
-            claims.ClaimPhase.CLEAR,
+            claims.ClaimPhase.RELEASED,
             claims.ClaimPhase.ANSWERED,
             claims.ClaimPhase.FAILED,
-            claims.ClaimPhase.TAKEN,
+            claims.ClaimPhase.GRANTED,
         ],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
         [given_words.What.NOT, given_words.What.MADE, given_words.What.STANDS, given_words.What.FAILED],
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -21,7 +21,7 @@
         self.cores = {
             e.name: ReplicationCore(e.name, 1, FLEET, rules, self.now, fresh=True) for e in FLEET.members
         }
-        self.keepers = list(self.cores["n0"].placement.keepers)
+        self.keepers = list(self.cores["n0"].placement.replicas)
         self.owners = [name for name in self.cores if name not in self.keepers]
         self.told, self.lost, self.held = [], set(), []
         self.hold = lambda sender, to, say: False
@@ -31,36 +31,36 @@
             if not isinstance(effect, m.Send):
                 self.told.append((name, effect))
                 continue
-            line = msgspec.json.decode(msgspec.json.encode(self.cores[name].wrapped(effect)))
-            for to in effect.to:
+            line = msgspec.json.decode(msgspec.json.encode(self.cores[name].log_line(effect)))
+            for to in effect.recipients:
                 if self.hold(name, to, effect.message):
                     self.held.append((name, to, line))
                 elif to not in self.lost and name not in self.lost:
-                    self.carry(to, self.cores[to].line(self.now, name, line))
+                    self.carry(to, self.cores[to].receive_line(self.now, name, line))
 
     def spread(self, name):
         """What a keeper says to anybody."""
-        if self.cores[name].keeper:
-            say = m.Send((), self.cores[name].uses.sums(self.now))
-            line = msgspec.json.decode(msgspec.json.encode(self.cores[name].wrapped(say)))
+        if self.cores[name].replica:
+            say = m.Send((), self.cores[name].usage_table.rates(self.now))
+            line = msgspec.json.decode(msgspec.json.encode(self.cores[name].log_line(say)))
             for to, core in self.cores.items():
                 if to != name:
-                    core.line(self.now, name, line)
+                    core.receive_line(self.now, name, line)
 
     def release(self):
         held, self.held, self.hold = self.held, [], lambda sender, to, say: False
         for sender, to, line in held:
             if to in self.cores:
-                self.carry(to, self.cores[to].line(self.now, sender, line))
+                self.carry(to, self.cores[to].receive_line(self.now, sender, line))
 
     def begin(self, name, key="k", effect=Effect.UNSAFE, **more):
         more = {"promise_ms": 800.0, "budget_ms": 2_000.0} | more
-        self.carry(name, self.cores[name].begin(self.now, key, effect, **more))
+        self.carry(name, self.cores[name].begin_call(self.now, key, effect, **more))
 
     def end(self, name, phase=ClaimPhase.ANSWERED, answer="QQ==", key="k"):
         digest = "d" if phase is ClaimPhase.ANSWERED else ""
         kept = answer if digest else None
-        self.carry(name, self.cores[name].ended(self.now, key, phase, digest, kept))
+        self.carry(name, self.cores[name].call_ended(self.now, key, phase, digest, kept))
 
     def wait(self, span_ms):
         end = self.now + span_ms
@@ -71,11 +71,13 @@
                     continue
                 for other, peer in self.cores.items():
                     if other not in self.lost:
-                        core.hears(self.now, other, peer.life)
+                        core.record_sign_of_life(self.now, other, peer.incarnation)
                 self.carry(name, core.tick(self.now))
 
     def restart(self, name):
-        self.cores[name] = ReplicationCore(name, self.cores[name].life + 1, FLEET, self.rules, self.now)
+        self.cores[name] = ReplicationCore(
+            name, self.cores[name].incarnation + 1, FLEET, self.rules, self.now
+        )
 
     def what(self, name):
         return [effect for who, effect in self.told if who == name]
--- a/tests/support/load_reports.py
+++ b/tests/support/load_reports.py
@@ -15,4 +15,4 @@
 
 def greeted(words, owners, now=0.0):
     """Let a replica hear each owner's first, empty report; the numbers of the answers."""
-    return {owner: words.heard(now, "k", owner, m.LoadReport(0)).answer for owner in owners}
+    return {owner: words.heard(now, "k", owner, m.LoadReport(0)).answer_number for owner in owners}
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -133,13 +133,13 @@
 
     def _give(self, name, fresh=False):
         self.kepts[name] = self.site.kept(name, fresh, settle=False)
-        self.disks[name] = self.kepts[name].promises(self.cores[name], None)
+        self.disks[name] = self.kepts[name].open_grant_storage(self.cores[name], None)
 
     def carry(self, name, effects):
         """Carry out the effects of a front end, through its store."""
         self.site.now = self.now
         if (disk := self.disks.get(name)) is not None:
-            effects = disk.written(effects, lambda more: super(StoreCores, self).carry(name, more))
+            effects = disk.persist(effects, lambda more: super(StoreCores, self).carry(name, more))
         super().carry(name, effects)
 
     def turn(self, *names):
@@ -162,23 +162,23 @@
             if name in self.site.machines:
                 getattr(self.site.machine(name), what)()
             self.cores[name] = ReplicationCore(
-                name, self.cores[name].life + 1, self.cores[name].members, self.rules, self.now
+                name, self.cores[name].incarnation + 1, self.cores[name].members, self.rules, self.now
             )
             if name in self.kepts:
                 self._give(name)
 
     def sure(self, name):
         """Whether a replica knows all that it promised."""
-        return self.cores[name].keeper.sure(self.now)
+        return self.cores[name].replica.is_complete(self.now)
 
 
 def asks(cores, owner, keeper, key="k"):
     """A replica's answer to a bare question, None while it gives none."""
     core, said = cores.cores[keeper], []
-    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].life}", 1, core.placement.number, 0)
-    line = msgspec.to_builtins(cores.cores[owner].wrapped(m.Send((keeper,), ask)))
+    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].incarnation}", 1, core.placement.number, 0)
+    line = msgspec.to_builtins(cores.cores[owner].log_line(m.Send((keeper,), ask)))
     cores.site.now = cores.now
-    said += cores.disks[keeper].written(core.line(cores.now, owner, line), said.extend)
+    said += cores.disks[keeper].persist(core.receive_line(cores.now, owner, line), said.extend)
     return lambda: next(
         (say.message for say in said if isinstance(getattr(say, "message", 0), m.ClaimReply)), None
     )
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -56,11 +56,11 @@
 
     def keepers(self):
         """The front ends that are replicas."""
-        return [self.fronts[name] for name in self.placement.keepers]
+        return [self.fronts[name] for name in self.placement.replicas]
 
     def others(self):
         """The front ends that are no replicas."""
-        return [front for name, front in self.fronts.items() if name not in self.placement.keepers]
+        return [front for name, front in self.fronts.items() if name not in self.placement.replicas]
 
     def sites(self):
         """The zones of all front ends."""
@@ -72,8 +72,8 @@
         front.heard, front.open, front.waiting = {}, {}, {}
         front.placement = placed = self.placement
         front.agent = Agent(
-            front.name, front.life, self.sites(), placed.keepers, lambda key: front.placement.of(key),
-            self.rules, CLASSES, self.now, fresh, placed.number,
+            front.name, front.life, self.sites(), placed.replicas,
+            lambda key: front.placement.replicas_of(key), self.rules, CLASSES, self.now, fresh, placed.number,
         )  # fmt: skip
         self.soon(self.chance.uniform(0.0, 50.0), self.look, front, front.life)
         self.soon(0.0, self.pulse, front, front.life)
@@ -88,7 +88,7 @@
     def adopt(self, front, placement):
         """Let a front end go by a list of members."""
         front.placement = placement
-        front.agent.place(self.now, self.sites(), placement.keepers, placement.number)
+        front.agent.place(self.now, self.sites(), placement.replicas, placement.number)
         self.carry(front)
 
     def kill(self, *names):
@@ -120,7 +120,7 @@
 
     def follows(self, one, other):
         """Whether one front end follows another one's log."""
-        return one.name in self.placement.keepers or other.name in self.placement.keepers
+        return one.name in self.placement.replicas or other.name in self.placement.replicas
 
     def pulse(self, front, life):
         """Send a heartbeat to those that follow a front end."""
--- a/tests/test_disk_faults_keeper.py
+++ b/tests/test_disk_faults_keeper.py
@@ -42,7 +42,7 @@
             self.now_ms += STEP_MS
             self.number += 1
             key, until_ms = f"k{self.number}", self.now_ms + LIFE_MS
-            claim = Claim("n9#1", self.number, self.number, 0, ClaimPhase.TAKEN)
+            claim = Claim("n9#1", self.number, self.number, 0, ClaimPhase.GRANTED)
             disk.write(self.now_ms, [(key, claim, until_ms)], sure)
             self.told[key] = until_ms
 
@@ -105,7 +105,7 @@
         disk = opened(tmp_path, world.now_ms)
         disk.begin(world.now_ms, 1, [])
         world.faults.plan = Faults(fail_at=world.faults.count, half=True)
-        claim = Claim("n9#1", 1, 1, 0, ClaimPhase.TAKEN)
+        claim = Claim("n9#1", 1, 1, 0, ClaimPhase.GRANTED)
         for key in ("half", "next"):
             with pytest.raises(DiskError):
                 disk.write(world.now_ms, [(key, claim, world.now_ms + 1.0)], 1)
@@ -138,9 +138,9 @@
 def word(cores, name, disk, key):
     """The keeper's word on an ask."""
     owner, core = cores.owners[0], cores.cores[name]
-    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].life}", 1, core.placement.number, 0)
-    line = msgspec.to_builtins(cores.cores[owner].wrapped(m.Send((name,), ask)))
-    said = disk.written(core.line(cores.now, owner, line))
+    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].incarnation}", 1, core.placement.number, 0)
+    line = msgspec.to_builtins(cores.cores[owner].log_line(m.Send((name,), ask)))
+    said = disk.persist(core.receive_line(cores.now, owner, line))
     return next(say.message for say in said if isinstance(getattr(say, "message", None), m.ClaimReply))
 
 
@@ -156,8 +156,10 @@
         assert faults.count > faults.plan.fail_at
         [(what, more)] = notes
         assert what == "disk failed: nothing is granted here until a restart" and "No space" in more["why"]
-        assert "before" in cores.cores[name].keeper.shelf.calls
-        assert not word(cores, name, disk, "new").granted and not cores.cores[name].keeper.sure(cores.now)
+        assert "before" in cores.cores[name].replica.claim_store.calls
+        assert not word(cores, name, disk, "new").granted and not cores.cores[name].replica.is_complete(
+            cores.now
+        )
         faults.works()
         assert not word(cores, name, disk, "newer").granted  # as it was said
         disk.close()
@@ -165,7 +167,7 @@
         notes.clear()
         cores.restart(name)
     disk = start()
-    assert disk.found["trusted"] and word(cores, name, disk, "newest").granted
+    assert disk.summary["trusted"] and word(cores, name, disk, "newest").granted
 
 
 def test_a_disk_that_fails_in_service_takes_back_what_it_could_not_write(placed):
@@ -179,17 +181,19 @@
     faults.kill()
     cores.restart(name)
     disk = start()
-    assert disk.found["trusted"] and set(cores.cores[name].keeper.shelf.calls) == {"before"}
+    assert disk.summary["trusted"] and set(cores.cores[name].replica.claim_store.calls) == {"before"}
 
 
 def test_a_call_of_the_keepers_own_is_turned_away_where_its_grant_could_not_be_written(placed):
     cores, name, faults, start, _ = placed
     disk = start()
     core = cores.cores[name]
-    entry = core.keeper.shelf.entry(cores.now, "k")
-    core.keeper.shelf.put(cores.now, "k", entry, Claim(core.owner, 1, 1, 0, ClaimPhase.TAKEN), 1_000.0)
+    entry = core.replica.claim_store.get_or_create(cores.now, "k")
+    core.replica.claim_store.merge(
+        cores.now, "k", entry, Claim(core.owner_id, 1, 1, 0, ClaimPhase.GRANTED), 1_000.0
+    )
     faults.fail(error=errno.EIO)
-    [turned] = disk.written([RunCall("k", kept=True)])
+    [turned] = disk.persist([RunCall("k", claimed=True)])
     assert isinstance(turned, RejectCall) and turned.key == "k"
 
 
@@ -198,10 +202,10 @@
     disk = start()
     assert word(cores, name, disk, "before").granted
     other = cores.keepers[1]
-    want = msgspec.to_builtins(cores.cores[other].wrapped(m.Send((name,), m.StateRequest(1, 1, 2))))
-    disk.written(cores.cores[name].line(cores.now, other, want))
-    assert not cores.cores[name].keeper.sure(cores.now)
+    want = msgspec.to_builtins(cores.cores[other].log_line(m.Send((name,), m.StateRequest(1, 1, 2))))
+    disk.persist(cores.cores[name].receive_line(cores.now, other, want))
+    assert not cores.cores[name].replica.is_complete(cores.now)
     faults.kill()
     cores.restart(name)
     disk = start()
-    assert not disk.found["trusted"] and not word(cores, name, disk, "after").granted
+    assert not disk.summary["trusted"] and not word(cores, name, disk, "after").granted
--- a/tests/test_elsewhere.py
+++ b/tests/test_elsewhere.py
@@ -65,7 +65,7 @@
         mine.ended(0.0, worker, "f", GOOD, UNTOLD)
     mine.roster(100.0, 5_100.0, [io.WorkerEntry(1, up_since_ms=5_050.0)], False)
     mine.roster(100.0, 5_100.0, [io.WorkerEntry(2, state=io.State.GONE)], False)
-    assert [copy.worker for copy in mine.word(100.0, {}).copies] == [3]
+    assert [copy.scorer for copy in mine.word(100.0, {}).copies] == [3]
     assert mine.cold(100.0) == {1} and 2 not in mine.known
     mine.roster(200.0, 5_200.0, [io.WorkerEntry(1, up_since_ms=5_050.0)], True)
     assert mine.known == {1} and mine.cold(200.0) == {1}
@@ -79,7 +79,7 @@
     word = mine.word(1_200.0, {})
     assert [copy.function for copy in word.copies] == [f"f{n}" for n in range(1_199, 1_199 - NEWS_MOST, -1)]
     assert word.loading[0].function == "f511" and len(word.loading) == 64
-    assert word.cut == COPIES_MOST - NEWS_MOST + 512 - 64 == mine.cut
+    assert word.omitted == COPIES_MOST - NEWS_MOST + 512 - 64 == mine.cut
     assert [copy.function for copy in mine.word(1_201.0, {}).copies][0] == f"f{1_199 - NEWS_MOST}"
     for n in range(100):
         mine.roster(0.0, 0.0, [io.WorkerEntry(100 + n, up_since_ms=0.0)], False)
@@ -133,7 +133,7 @@
     copies, loads = {}, {owner: () for owner in owners}
     for owner, word in told:
         last[owner], loads[owner] = word.sent, word.loading
-        copies |= {(copy.worker, copy.function, owner): copy.copies for copy in word.copies}
+        copies |= {(copy.scorer, copy.function, owner): copy.copies for copy in word.copies}
     for at, (owner, word) in enumerate(data.draw(strategies.permutations(told + told))):
         words.heard(20.0 * at, "k", owner, word)
     now = 20.0 + 40.0 * len(told)
@@ -144,10 +144,10 @@
             for worker, count in sent.items() if other != owner else ():
                 sums[worker] = sums.get(worker, 0) + count
         assert answer.sent == {worker: count for worker, count in sums.items() if count}
-        theirs = {(load.worker, load.function) for other in owners if other != owner for load in loads[other]}
-        assert {(load.worker, load.function) for load in answer.loading} == theirs
+        theirs = {(load.scorer, load.function) for other in owners if other != owner for load in loads[other]}
+        assert {(load.scorer, load.function) for load in answer.loading} == theirs
         known = {(w, f) for w, f, other in copies if other != owner}
-        assert {(copy.worker, copy.function) for copy in answer.copies} == known
+        assert {(copy.scorer, copy.function) for copy in answer.copies} == known
 
 
 class Line:
@@ -210,20 +210,20 @@
     loads, copies = (m.PendingLoad(7, "f", 0.0),), (m.ProvenCopy(7, "g", 2, 0.0),)
     words.heard(10.0, "k", "a#1", m.LoadReport(5, {"k": answers["a#1"]}, "k", 0, {"7": 9}, loads, copies))
     found = words.heard(500.0, "k", "b#1", m.LoadReport(2, {"k": answers["b#1"]}, "k"))
-    assert (found.sent, found.loading, found.copies, found.heard) == (
+    assert (found.sent, found.loading, found.copies, found.front_ends) == (
         {"7": 9}, (m.PendingLoad(7, "f", 500.0),), (m.ProvenCopy(7, "g", 2, 500.0),), 2,
     )  # fmt: skip
     fresh = greeted(words, ["a#2"], 600.0)["a#2"]
     words.heard(700.0, "k", "a#2", m.LoadReport(1, {"k": fresh}, "k", 0, {"7": 4}))
     found = words.heard(900.0, "k", "b#1", m.LoadReport(3, {"k": answers["b#1"]}, "k"))
-    assert (found.sent, found.heard) == ({"7": 13}, 2)  # one front end, and what both its lives sent
-    found = words.heard(1_200.0, "k", "b#1", m.LoadReport(4, {"k": found.answer}, "k"))
-    assert (found.sent, found.loading, found.heard) == ({"7": 4}, (), 2)
+    assert (found.sent, found.front_ends) == ({"7": 13}, 2)  # one front end, and what both its lives sent
+    found = words.heard(1_200.0, "k", "b#1", m.LoadReport(4, {"k": found.answer_number}, "k"))
+    assert (found.sent, found.loading, found.front_ends) == ({"7": 4}, (), 2)
     for life in range(3, 9):
         greeted(words, [f"a#{life}"], 1_200.0 + 20.0 * life)
     assert [owner for owner in words.owners if owner[0] == "a"] == []
     found = words.heard(9_000.0, "k", "b#1", m.LoadReport(5, {}, "k"))
-    assert (found.sent, found.copies, found.heard) == ({}, (), 1) and words.owners == {}
+    assert (found.sent, found.copies, found.front_ends) == ({}, (), 1) and words.owners == {}
 
 
 def test_words_that_name_no_answer_or_one_of_another_life_of_the_keeper_do_not_count():
@@ -231,7 +231,7 @@
     for number, after in enumerate(({}, {"k": 77}, {"j": 1}), 1):
         words.heard(100.0 * number, "k", "a#1", m.LoadReport(number, after, "k", 0, {"7": 9}))
     assert words.owners == {} and words.counts == {"work: words that name no answer": 3}
-    known = words.heard(400.0, "k", "a#1", m.LoadReport(4)).answer
+    known = words.heard(400.0, "k", "a#1", m.LoadReport(4)).answer_number
     again = LoadReportStore(1_000.0, 3_000.0, 1 << 50)  # started again
     again.heard(500.0, "k", "a#1", m.LoadReport(5, {"k": known}, "k", 0, {"7": 9}))
     assert again.owners == {}
@@ -246,7 +246,7 @@
             10.0 + 0.1 * n, "k", "a#1", m.LoadReport(n, {"k": known["a#1"]}, "k", 0, {}, (), copies)
         )
         if found:
-            answered, known["a#1"] = answered + 1, found.answer
+            answered, known["a#1"] = answered + 1, found.answer_number
     assert answered <= 41 and words.counts["work: words too fast"] >= 1_950
     assert len(words._places) <= PLACES_MOST
     loads = tuple(m.PendingLoad(n, f"g{n}", 1.0) for n in range(64))
@@ -254,11 +254,11 @@
         owner = f"d{n}#1"
         known |= greeted(words, [owner], 250.0)
         sent = {str(n * 20 + i): 3 for i in range(20)}
-        mine = tuple(m.PendingLoad(load.worker, f"{load.function}-{n}", 1.0) for load in loads)
+        mine = tuple(m.PendingLoad(load.scorer, f"{load.function}-{n}", 1.0) for load in loads)
         words.heard(300.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, sent, mine))
     found = words.heard(400.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "k"))
     assert (len(found.sent), len(found.loading), len(found.copies)) == (64, 256, 256)
-    assert found.cut > 1_000 and found.copies[0].function == "f1999-5"  # the latest first
+    assert found.omitted > 1_000 and found.copies[0].function == "f1999-5"  # the latest first
     assert len(msgspec.json.encode(found)) < 32 * 1024
 
 
--- a/tests/test_elsewhere_answers.py
+++ b/tests/test_elsewhere_answers.py
@@ -70,7 +70,7 @@
     view.heard("j", 1, others(1, answer=50))
     view.heard("k", 1, m.RemoteLoadReport(1, 1, 70))  # it only answers
     assert view.wants(300.0, keepers, 6) == ("j", 50) and view.after() == {"j": 50, "k": 70}
-    assert view.best(300.0).others.answer == 50
+    assert view.best(300.0).others.answer_number == 50
     view.heard("j", 1, m.RemoteLoadReport(2, 1, 51))
     assert view.wants(400.0, keepers, 6) == ("j", 50)
     assert view.wants(500.0, keepers, 6) == ("k", 0)  # it told nothing for long
@@ -144,17 +144,17 @@
             self.begin_own(name)
 
     def begin_own(self, name):
-        self.cores[name].own = own(7, now=self.now)
+        self.cores[name].load_reporter = own(7, now=self.now)
 
     def tell(self, times=2):
         for _ in range(times):
             self.now += 100.0
             for name, core in self.cores.items():
-                if name not in self.lost and core.own:
-                    self.carry(name, core.tell_work(self.now))
+                if name not in self.lost and core.load_reporter:
+                    self.carry(name, core.send_load_report(self.now))
 
     def seen(self, name):
-        return {e.worker: e for e in self.cores[name].elsewhere(self.now, 6)}
+        return {e.worker: e for e in self.cores[name].remote_load_events(self.now, 6)}
 
 
 def test_all_learn_what_the_others_sent_and_each_keeper_alone_is_enough():
@@ -163,8 +163,8 @@
         fleet.tell()
         for n, core in enumerate(fleet.cores.values()):
             for _ in range(n + 1):
-                core.own.sent(fleet.now, 7)
-        fleet.cores["n0"].own.ordered(fleet.now, 3, "f", 1)
+                core.load_reporter.sent(fleet.now, 7)
+        fleet.cores["n0"].load_reporter.ordered(fleet.now, 3, "f", 1)
         fleet.tell(1)
         fleet.tell(1)
         seen = {name: fleet.seen(name) for name in fleet.cores}
@@ -186,7 +186,7 @@
     fleet.restart(keeper)
     fleet.begin_own(keeper)
     for name in fleet.owners:
-        fleet.cores[name].own.sent(fleet.now, 7)
+        fleet.cores[name].load_reporter.sent(fleet.now, 7)
     fleet.tell(3)
     assert fleet.seen(keeper)[7].sent == 3
     fleet.lost = {away}
@@ -201,7 +201,7 @@
 def test_who_has_it_off_answers_nobody_and_is_not_heard():
     fleet = Fleet()
     off, one = fleet.keepers[0], fleet.owners[0]
-    fleet.cores[off].own = None
+    fleet.cores[off].load_reporter = None
     fleet.tell(8)
     assert 7 not in fleet.seen(one)
     counts = fleet.cores[one].status(fleet.now).counts
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -56,13 +56,13 @@
         rig.until(lambda: scorer.orders(load=True), "a load is ordered")
         rig.until(lambda: told()[-1].loading, "the load is told")
         [load] = told()[-1].loading
-        assert load.worker == worker and told()[-1].sent == {}
+        assert load.scorer == worker and told()[-1].sent == {}
         scorer.answer(scorer.orders(load=True)[0], 0, "slots_up=1")
         rig.until(lambda: scorer.runs, "the call goes")
         rig.until(lambda: told()[-1].sent, "it is told")
         assert told()[-1].sent == {str(worker): 1} and told()[-1].loading == ()
         proved = [copy for word in told() for copy in word.copies if copy.copies]
-        assert [(copy.worker, copy.function, copy.copies) for copy in proved] == [(worker, load.function, 1)]
+        assert [(copy.scorer, copy.function, copy.copies) for copy in proved] == [(worker, load.function, 1)]
         scorer.answer(scorer.runs[0])
         rig.until(lambda: client.answers, "the answer")
         working.close()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -39,7 +39,7 @@
             1, "m", zones=1 if zones == "a" else 3, bounds=s.StoreLimits(answer_bytes=64)
         )
         file = fleet_file(zones)
-        keepers = ReplicationCore("n0", 1, file, rules, 0.0).placement.keepers
+        keepers = ReplicationCore("n0", 1, file, rules, 0.0).placement.replicas
         name = next(e.name for e in file.members if zones == "a" or e.name not in keepers)
         self.core = ReplicationCore(name, 1, file, rules, 0.0, fresh)
         self.calls, self.withdrawn, self.full = {}, [], False
@@ -55,7 +55,7 @@
             if isinstance(effect, m.Send):
                 self.said.append(effect)
             else:
-                self.gate.told(effect)
+                self.gate.apply(effect)
 
     def take(self, call):
         if self.full:
@@ -77,14 +77,14 @@
         return self.gate.take(call), got
 
     def claims(self):
-        shelf = self.core.keeper.shelf
+        shelf = self.core.replica.claim_store
         return [claim for entry in shelf.calls.values() for claim in entry.claims.values()]
 
 
 def test_a_call_of_a_class_that_is_not_kept_passes_untouched():
     ground = Ground()
     key, got = ground.ask("view")
-    assert key == "r1" and not ground.core.keeper.shelf.calls
+    assert key == "r1" and not ground.core.replica.claim_store.calls
     ground.gate.withdraw(key)
     assert ground.withdrawn == ["r1"] and got == []
 
@@ -114,7 +114,7 @@
     ground = Ground()
     key, _ = ground.ask("keyed", token="k")
     ground.gate.withdraw(key)
-    assert ground.withdrawn == ["r1"] and ground.gate.held == {}
+    assert ground.withdrawn == ["r1"] and ground.gate.calls == {}
     assert [claim.phase for claim in ground.claims()] == [ClaimPhase.FAILED]
 
 
@@ -124,8 +124,8 @@
     assert ground.calls == {} and ground.gate.busy
     ground.gate.withdraw(key)
     told = [say.message for say in ground.said if isinstance(say.message, m.ClaimUpdate)]
-    assert [tell.claim.phase for tell in told] == [ClaimPhase.CLEAR]
-    assert ground.gate.held == {} and not ground.gate.busy and got == []
+    assert [tell.claim.phase for tell in told] == [ClaimPhase.RELEASED]
+    assert ground.gate.calls == {} and not ground.gate.busy and got == []
 
 
 def test_what_the_table_refuses_never_ran_and_what_it_fails_may_have():
@@ -135,13 +135,13 @@
     _, other = ground.ask(id=2)
     ground.calls["r2"].reply(Failed())
     assert (one, other) == ([Refused(50.0)], [Failed()])
-    assert sorted(claim.phase for claim in ground.claims()) == [ClaimPhase.CLEAR, ClaimPhase.FAILED]
+    assert sorted(claim.phase for claim in ground.claims()) == [ClaimPhase.RELEASED, ClaimPhase.FAILED]
     assert ground.ask(id=2)[1] == [Failed()]  # at once: nobody will ever know
     ground.ask(id=1)
     assert len(ground.calls) == 3
     ground.full = True
     assert ground.ask(id=3)[1] == [Refused(9.0)]
-    assert ground.gate.held.keys() == {call_key(ground.calls["r3"])}
+    assert ground.gate.calls.keys() == {call_key(ground.calls["r3"])}
 
 
 @pytest.mark.parametrize("kind", ["once", "keyed"])
@@ -152,7 +152,7 @@
     ground.calls["r1"].reply(Served(b"done"))
     key, again = ground.ask(kind, token="t1")
     assert first == again == [Served(b"done")] and key is None
-    assert not ground.gate.busy and not ground.gate.held
+    assert not ground.gate.busy and not ground.gate.calls
 
 
 def test_an_answer_too_long_to_be_kept_fails_who_comes_again():
@@ -166,13 +166,15 @@
 def test_one_that_waits_for_another_ends_before_its_client_leaves():
     ground = Ground("abcabc")
     begun = []
-    begin = ground.core.begin
-    ground.core.begin = lambda now, key, effect, **more: begun.append(more) or begin(now, key, effect, **more)
+    begin = ground.core.begin_call
+    ground.core.begin_call = lambda now, key, effect, **more: (
+        begun.append(more) or begin(now, key, effect, **more)
+    )
     ground.ask()
     assert begun[0]["budget_ms"] == 2_000.0 - WAIT_LEAD_MS
-    [mine] = ground.core.claimant.mine.values()
+    [mine] = ground.core.call_owner.calls.values()
     mine.state = "waiting"
-    effects = ground.core.claimant.tick(mine.deadline_ms)
+    effects = ground.core.call_owner.tick(mine.deadline_ms)
     ground.carry(effects)
     assert [type(effect).__name__ for effect in effects] == ["FailCall"] and not ground.gate.busy
 
@@ -193,13 +195,13 @@
     ground = Ground("abcabc")
     _, got = ground.ask("keyed", token="k")
     assert list(ground.calls) == ["r1"]
-    [name] = ground.gate.held
+    [name] = ground.gate.calls
     answered = Claim("n9#1", 1, 2, 0, ClaimPhase.ANSWERED, "d", base64.b64encode(b"x").decode())
-    keeper = ground.core.placement.of(name)[0]
-    word = m.ClaimReply(name, ground.core.owner, 1, False, True, (answered,))
+    keeper = ground.core.placement.replicas_of(name)[0]
+    word = m.ClaimReply(name, ground.core.owner_id, 1, False, True, (answered,))
     line = {"fleet": "f", "sender": keeper, "life": 1, "to": [ground.core.name]}
-    ground.carry(ground.core.line(10.0, keeper, line | {"say": msgspec.to_builtins(word)}))
-    assert got == [Served(b"x")] and ground.withdrawn == ["r1"] and ground.gate.held == {}
+    ground.carry(ground.core.receive_line(10.0, keeper, line | {"say": msgspec.to_builtins(word)}))
+    assert got == [Served(b"x")] and ground.withdrawn == ["r1"] and ground.gate.calls == {}
 
 
 def test_too_many_waiting_calls_are_refused_at_once(monkeypatch):
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -218,21 +218,26 @@
     site.begin()
     node = site.nodes[0]
     gates = [n.front.seam._parts[1].gate for n in site.nodes]
-    shelves = [n.front.seam._parts[1].core.keeper.shelf for n in site.nodes]
+    shelves = [n.front.seam._parts[1].core.replica.claim_store for n in site.nodes]
     assert {gate.modes["view"] for gate in gates} == {"off"}
     strict = document(12.0, modes={"view": "before"}, window_ms={"view": 1_200.0})
     node.word(1, propose=strict)
     site.until(lambda: site.in_force(1), "the stricter one is in force")
     assert {gate.modes["view"] for gate in gates} == {"before"}
-    shares = node.front.seam._parts[1].core.shares
-    assert shares.quotas == {"acme": 12.0}
+    shares = node.front.seam._parts[1].core.quota_shares
+    assert shares.quotas_rps == {"acme": 12.0}
     site.until(
-        lambda: {shelf.windows.get("view") for shelf in shelves} == {1_200.0}, "the shorter window, later"
+        lambda: {shelf.class_windows_ms.get("view") for shelf in shelves} == {1_200.0},
+        "the shorter window, later",
+    )
+    assert (
+        shelves[0].claim_lifetime_ms("view:x")
+        < shelves[0].claim_lifetime_ms("save:x")
+        == shelves[0].claim_lifetime_ms()
     )
-    assert shelves[0].stretched("view:x") < shelves[0].stretched("save:x") == shelves[0].stretched()
     node.word(2, propose=document(12.0))
     site.until(lambda: node.by() == (2, "leased"), "the easier one is in force")
-    assert gates[0].modes["view"] == "before" and shelves[0].windows["view"] == 1_500.0
+    assert gates[0].modes["view"] == "before" and shelves[0].class_windows_ms["view"] == 1_500.0
     site.until(
         lambda: {gate.modes["view"] for gate in gates} == {"off"}, "easier once the old window is over"
     )
@@ -257,9 +262,9 @@
 
 def test_a_quota_that_changes_is_divided_as_the_one_before_was():
     shares = QuotaShares({"acme": 30.0, "other": 9.0}, 3)
-    shares.shares["acme"] = 20.0
-    assert shares.sell({"acme": 15.0, "new": 6.0}) == {"acme": 10.0, "new": 2.0}
-    assert shares.shares == {"acme": 10.0, "new": 2.0} and shares.changes(0.0) == {"acme": 5.0}
+    shares.shares_rps["acme"] = 20.0
+    assert shares.change_quotas({"acme": 15.0, "new": 6.0}) == {"acme": 10.0, "new": 2.0}
+    assert shares.shares_rps == {"acme": 10.0, "new": 2.0} and shares.changes(0.0) == {"acme": 5.0}
 
 
 def test_a_trace_that_is_not_written_drops_lines_and_counts_them(tmp_path):
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -169,7 +169,7 @@
 
     def __init__(self, stage):
         rules, file = s.ReplicationSettings(1, "m", zones=1), fleet_file("a")
-        keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.keepers[0]
+        keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.replicas[0]
         self.core = ReplicationCore(keeper, 1, file, rules, 0.0, True)
         self.wheel = self  # the gate's timers never ring here
         self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
@@ -182,20 +182,20 @@
     def carry(self, effects):
         for effect in effects:
             if hasattr(effect, "key"):
-                self.gate.told(effect)
+                self.gate.apply(effect)
 
     def knows(self, kind, id, phase, answer=None):
         call = Call(id, kind, "t", "f", 1.0, b"", "" if kind != "keyed" else id.hex(), 1, None, None, print)
         claim = Claim("n9#3", 1, 1, 0, phase, "d", answer)
-        shelf, name = self.core.keeper.shelf, call_key(call)
-        shelf.put(1.0, name, shelf.entry(1.0, name), claim, 10_000.0)
+        shelf, name = self.core.replica.claim_store, call_key(call)
+        shelf.merge(1.0, name, shelf.get_or_create(1.0, name), claim, 10_000.0)
 
 
 def test_repeats_of_promised_calls_have_their_answer_before_new_calls_are_taken():
     ground = Promised(Stage.REPEATS)
     ground.knows("settle", (1).to_bytes(8, "big"), ClaimPhase.ANSWERED, base64.b64encode(b"kept").decode())
-    ground.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.TAKEN)
-    ground.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.CLEAR)
+    ground.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.GRANTED)
+    ground.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.RELEASED)
     answers = [ground.ask("settle")[1] for _ in range(4)]
     assert answers[:2] == [[Served(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
     assert all(isinstance(got[0], Refused) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -62,9 +62,9 @@
     held(cores, own)
     cores.begin(own)
     cores.turn()
-    cores.carry(own, cores.cores[own].left(cores.now, "k"))
+    cores.carry(own, cores.cores[own].client_left(cores.now, "k"))
     let(cores, own)
-    assert cores.what(own) == [] and not cores.cores[own].claimant.mine
+    assert cores.what(own) == [] and not cores.cores[own].call_owner.calls
     cores.begin(other)
     cores.turn()
     assert cores.what(other) == [RunCall("k", True)]
@@ -75,15 +75,15 @@
     held(cores, own)
     cores.begin(own)
     cores.turn()
-    cores.carry(own, cores.cores[own].left(cores.now, "k"))
+    cores.carry(own, cores.cores[own].client_left(cores.now, "k"))
     cores.begin(own)  # the client comes again before the first grant is on disk
     cores.turn()
     let(cores, own)
     assert cores.what(own) == [RunCall("k", True)]
     cores.end(own)
     cores.turn()
-    [claims] = [e.claims for e in [cores.cores[cores.keepers[1]].keeper.shelf.calls["k"]]]
-    assert sorted(claim.phase for claim in claims.values()) == [ClaimPhase.CLEAR, ClaimPhase.ANSWERED]
+    [claims] = [e.claims for e in [cores.cores[cores.keepers[1]].replica.claim_store.calls["k"]]]
+    assert sorted(claim.phase for claim in claims.values()) == [ClaimPhase.RELEASED, ClaimPhase.ANSWERED]
 
 
 def test_an_unsure_ticket_grants_nothing_and_stands_in_the_way_until_the_disk_works_again(cores):
@@ -93,14 +93,16 @@
     assert said() is None  # on its way to the disk
     cores.turn(keeper)
     word = said()
-    assert (word.granted, word.sure) == (False, False)
+    assert (word.granted, word.complete) == (False, False)
     cores.carry(keeper, [])  # as each tick does
     assert not cores.sure(keeper) and not asks(cores, other, keeper, "new")().granted
     cores.site.machine(keeper).works()
     cores.wait(1_000)
     assert cores.sure(keeper)
     word = asks(cores, other, keeper)()
-    assert not word.granted and [c.phase for c in word.claims] == [ClaimPhase.TAKEN]  # as if it had been said
+    assert not word.granted and [c.phase for c in word.claims] == [
+        ClaimPhase.GRANTED
+    ]  # as if it had been said
     said = asks(cores, third, keeper, "later")
     cores.turn(keeper)
     assert said().granted
@@ -121,7 +123,7 @@
     cores.begin(own, "k2")
     cores.wait(700)
     [turned] = cores.what(own)[1:]
-    assert isinstance(turned, RejectCall) and "k2" not in cores.cores[own].claimant.mine
+    assert isinstance(turned, RejectCall) and "k2" not in cores.cores[own].call_owner.calls
 
 
 def test_a_disk_that_is_slow_grants_nothing_and_all_is_given_back(cores):
@@ -228,7 +230,7 @@
     core = cores.cores[keeper]
     core.members = later
     cores.end_all("kill", keeper)
-    assert not cores.sure(keeper) and cores.disks[keeper].found["trusted"] is False
+    assert not cores.sure(keeper) and cores.disks[keeper].summary["trusted"] is False
 
 
 def test_an_older_copy_that_others_show_grants_nothing_from_then_on(cores):
@@ -249,10 +251,10 @@
     keeper, other = cores.keepers[:2]
     held(cores, keeper)
     core, said = cores.cores[keeper], []
-    want = msgspec.to_builtins(cores.cores[other].wrapped(m.Send((keeper,), m.StateRequest(1, 1, 2))))
+    want = msgspec.to_builtins(cores.cores[other].log_line(m.Send((keeper,), m.StateRequest(1, 1, 2))))
     cores.site.now = cores.now
-    said += cores.disks[keeper].written(core.line(cores.now, other, want), said.extend)
-    said += cores.disks[keeper].written(core.tick(cores.now), said.extend)
+    said += cores.disks[keeper].persist(core.receive_line(cores.now, other, want), said.extend)
+    said += cores.disks[keeper].persist(core.tick(cores.now), said.extend)
     pieces = [say for say in said if isinstance(getattr(say, "message", None), m.StateChunk)]
     assert pieces == [] and not cores.sure(keeper)
     cores.turn(keeper)
@@ -286,12 +288,12 @@
 
 def test_a_call_of_one_keeper_alone_that_it_can_t_write_is_turned_away(site):
     cores = StoreCores(site, rules=msgspec.structs.replace(RULES, zones=1))
-    [keeper] = cores.cores[cores.keepers[0]].placement.of("k")
+    [keeper] = cores.cores[cores.keepers[0]].placement.replicas_of("k")
     cores.kepts[keeper]._bytes["promise"] = 8 * 1024 * 1024 - 10
     cores.begin(keeper)
     cores.turn()
     [turned] = cores.what(keeper)
-    assert isinstance(turned, RejectCall) and not cores.cores[keeper].claimant.mine
+    assert isinstance(turned, RejectCall) and not cores.cores[keeper].call_owner.calls
 
 
 def test_a_file_of_a_life_without_the_store_makes_the_store_one_in_part(site, tmp_path):
@@ -300,7 +302,7 @@
     (tmp_path / "keeper-4.log").write_bytes(b"")
     assert cores.sure(keeper)
     cores.end_all("kill", keeper)
-    cores.disks[keeper] = cores.kepts[keeper].promises(cores.cores[keeper], tmp_path)
+    cores.disks[keeper] = cores.kepts[keeper].open_grant_storage(cores.cores[keeper], tmp_path)
     assert not cores.sure(keeper) and (tmp_path / "keeper-4.log").exists()
     cores.turn(keeper)
     assert [path.name for path in tmp_path.glob("keeper-*")] == ["keeper-4.aside"]
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -21,27 +21,27 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.settings import Settings
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.settings import ReplicationSettings
 
 members, name, folder, boot = fleet_file("abc"), "n0", sys.argv[1], sys.argv[2]
 kept = Kept(folder, "f", name, boot, Limits(wait_ms=20_000.0), lambda what, more: None, fresh=True)
-core = Core(name, 1, members, Settings(1, "members"), monotonic_ms(), fresh=True)
-disk = kept.promises(core, None)
+core = ReplicationCore(name, 1, members, ReplicationSettings(1, "members"), monotonic_ms(), fresh=True)
+disk = kept.open_grant_storage(core, None)
 loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
 kept.attach(loop)
 
 def say(effects):
     for effect in effects:
-        if isinstance(effect, m.Say) and isinstance(effect.message, m.Word) and effect.message.granted:
+        if isinstance(effect, m.Send) and isinstance(effect.message, m.ClaimReply) and effect.message.granted:
             print(effect.message.key, flush=True)
 
 number = 0
 while True:
     number += 1
-    ask = m.Say((name,), m.Ask(f"k{number}", "n1#1", number, members.number, 0))
-    line = json.loads(__import__("msgspec").json.encode(m.Line("f", "n1", 1, ask.to, ask.message)))
-    say(disk.written(core.line(monotonic_ms(), "n1", line), say))
+    ask = m.Send((name,), m.ClaimRequest(f"k{number}", "n1#1", number, members.number, 0))
+    line = json.loads(__import__("msgspec").json.encode(m.LogLine("f", "n1", 1, ask.recipients, ask.message)))
+    say(disk.persist(core.receive_line(monotonic_ms(), "n1", line), say))
     loop.turn(0.002)
 """
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -129,7 +129,7 @@
     assert isinstance(cores.what(other)[-1], RejectCall)
     cores.lost = set()
     cores.wait(3_000)
-    assert cores.cores[a].keeper.sure(cores.now)
+    assert cores.cores[a].replica.is_complete(cores.now)
     cores.lost = {b}
     cores.begin(third)
     assert cores.what(third) == [AnswerCall("k", "QQ==")]
@@ -145,7 +145,7 @@
     core = cores.cores[b]
     early = {"type": "want", "number": 1, "life": 1, "members": 1, "wanted": [
         {"owner": "n9#1", "first": 0, "until": 1}]}  # fmt: skip
-    core.line(cores.now, a, {"fleet": "f", "sender": a, "life": 1, "to": [b], "say": early})
+    core.receive_line(cores.now, a, {"fleet": "f", "sender": a, "life": 1, "to": [b], "say": early})
     cores.restart(a)
     cores.lost = set()
     # Its own first want is lost; b goes on telling what the earlier life wanted.
@@ -153,9 +153,9 @@
     cores.now += 700.0
     cores.carry(a, cores.cores[a].tick(cores.now))
     cores.carry(b, core.tick(cores.now))
-    assert cores.cores[a].keeper.shelf.counts == {"a piece out of place": 1}
+    assert cores.cores[a].replica.claim_store.counts == {"a piece out of place": 1}
     cores.wait(500)
-    assert not cores.cores[a].keeper.sure(cores.now)
+    assert not cores.cores[a].replica.is_complete(cores.now)
     cores.lost = {b}
     cores.begin(other)
     cores.wait(300)
@@ -167,14 +167,14 @@
     a, b, c = cores.keepers
     for n in range(60):
         key = f"k{n}"
-        shelf = cores.cores[b].keeper.shelf
+        shelf = cores.cores[b].replica.claim_store
         for ask in range(1, 41):
-            put = Claim("n9#1", ask, ask, 0, ClaimPhase.TAKEN if ask == n % 40 + 1 else ClaimPhase.CLEAR)
-            shelf.put(cores.now, key, shelf.entry(cores.now, key), put, 60_000.0)
+            put = Claim("n9#1", ask, ask, 0, ClaimPhase.GRANTED if ask == n % 40 + 1 else ClaimPhase.RELEASED)
+            shelf.merge(cores.now, key, shelf.get_or_create(cores.now, key), put, 60_000.0)
     cores.restart(a)
     cores.wait(3_000)
-    held = cores.cores[a].keeper.shelf.calls
-    assert all(len(held[f"k{n}"].standing()) == 1 for n in range(60))
+    held = cores.cores[a].replica.claim_store.calls
+    assert all(len(held[f"k{n}"].active_claims()) == 1 for n in range(60))
     assert sum(len(entry.claims) for entry in held.values()) == 2_400
 
 
@@ -186,8 +186,8 @@
         cores.begin(one)
         cores.wait(250)
         cores.now -= 250.0  # within one window
-    keeper = cores.cores[cores.keepers[0]].keeper
-    assert len(keeper.shelf.calls["k"].claims) <= 65 and keeper.shelf.counts["too many asks"] > 0
+    keeper = cores.cores[cores.keepers[0]].replica
+    assert len(keeper.claim_store.calls["k"].claims) <= 65 and keeper.claim_store.counts["too many asks"] > 0
     assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
 
@@ -197,9 +197,9 @@
     cores.restart(a)
     cores.restart(b)
     cores.wait(4_000)
-    assert not cores.cores[a].keeper.sure(cores.now)
+    assert not cores.cores[a].replica.is_complete(cores.now)
     cores.wait(6_000)
-    assert cores.cores[a].keeper.sure(cores.now) and cores.cores[b].keeper.sure(cores.now)
+    assert cores.cores[a].replica.is_complete(cores.now) and cores.cores[b].replica.is_complete(cores.now)
 
 
 def test_a_keeper_asks_only_when_nobody_may_rest_on_what_it_granted_before():
@@ -214,7 +214,7 @@
     held, cores.held = cores.held, []
     cores.hold = lambda sender, to, say: False
     [(sender, to, line)] = [item for item in held if item[1] == b]
-    cores.carry(to, cores.cores[to].line(cores.now, sender, line))
+    cores.carry(to, cores.cores[to].receive_line(cores.now, sender, line))
     assert cores.what(one) == [RunCall("k", True)]
     cores.wait(2_000)
     cores.lost = {b}
@@ -234,7 +234,7 @@
     cores.lost = set()
     cores.wait(4_500)
     for name in (a, b, c):
-        [kept] = cores.cores[name].keeper.shelf.calls["k"].standing()
+        [kept] = cores.cores[name].replica.claim_store.calls["k"].active_claims()
         assert kept.phase is ClaimPhase.ANSWERED
     cores.begin(other)
     assert cores.what(other) == [AnswerCall("k", "QQ==")]
@@ -250,14 +250,14 @@
     behind = cores.keepers[0]
     for name, core in cores.cores.items():
         if name != behind:
-            core.take_members(cores.now, later)
-    assert set(cores.cores[other].placement.keepers) != set(cores.keepers)
+            core.change_members(cores.now, later)
+    assert set(cores.cores[other].placement.replicas) != set(cores.keepers)
     cores.wait(3_000)
     cores.begin(other)
     cores.wait(600)
     assert cores.what(other)[-1] == AnswerCall("k", "QQ==")
     # The one that has the old list has heard that there is a later one.
-    assert not cores.cores[behind].keeper.sure(cores.now)
+    assert not cores.cores[behind].replica.is_complete(cores.now)
 
 
 def test_a_shelf_that_is_full_takes_nothing_new_and_drops_answers_first():
@@ -270,7 +270,7 @@
     cores.begin(one, key="k2")
     cores.wait(600)
     assert isinstance(cores.what(one)[-1], RejectCall)
-    shelf = cores.cores[cores.keepers[0]].keeper.shelf
-    assert shelf.counts["answer dropped"] == 1 and shelf.counts["full"] >= 1 and shelf.bytes <= 1_024
+    shelf = cores.cores[cores.keepers[0]].replica.claim_store
+    assert shelf.counts["answer dropped"] == 1 and shelf.counts["full"] >= 1 and shelf.answer_bytes <= 1_024
     cores.begin(cores.owners[1], key="k1")
     assert cores.what(cores.owners[1]) == [AnswerCall("k1", None)]
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -65,9 +65,9 @@
     placement = ReplicaPlacement(fleet_file("abcde" * 4), 3, 2)
     zone = {member.name: member.zone for member in fleet_file("abcde" * 4).members}
     for key in KEYS:
-        assert len({zone[name] for name in placement.of(key)}) == 3
-    used = {name for key in KEYS for name in placement.of(key)}
-    assert used == set(placement.keepers) and len(used) == 10
+        assert len({zone[name] for name in placement.replicas_of(key)}) == 3
+    used = {name for key in KEYS for name in placement.replicas_of(key)}
+    assert used == set(placement.replicas) and len(used) == 10
 
 
 def test_a_member_that_goes_moves_calls_of_its_own_zone_alone_and_none_if_it_keeps_nothing():
@@ -76,17 +76,17 @@
     for member in file.members:
         rest = msgspec.structs.replace(file, members=[e for e in file.members if e is not member])
         after = ReplicaPlacement(rest, 3, 2)
-        moved = [key for key in KEYS if before.of(key) != after.of(key)]
-        assert bool(moved) == (member.name in before.keepers)
-        assert all(len(set(before.of(key)) & set(after.of(key))) == 2 for key in moved)
+        moved = [key for key in KEYS if before.replicas_of(key) != after.replicas_of(key)]
+        assert bool(moved) == (member.name in before.replicas)
+        assert all(len(set(before.replicas_of(key)) & set(after.replicas_of(key))) == 2 for key in moved)
 
 
 @given(strategies.permutations(list(range(9))))
 def test_placement_does_not_depend_on_the_order_of_the_file(order):
     file = fleet_file("abcabcabc")
     turned = msgspec.structs.replace(file, members=[file.members[n] for n in order])
-    assert [ReplicaPlacement(turned, 3, 1).of(key) for key in KEYS[:20]] == [
-        ReplicaPlacement(file, 3, 1).of(key) for key in KEYS[:20]
+    assert [ReplicaPlacement(turned, 3, 1).replicas_of(key) for key in KEYS[:20]] == [
+        ReplicaPlacement(file, 3, 1).replicas_of(key) for key in KEYS[:20]
     ]
 
 
@@ -95,9 +95,9 @@
 claims = strategies.builds(
     Claim,
     owner=strategies.just("n1#7"),
-    ask=strategies.just(3),
-    number=strategies.integers(3, 6),
-    slot=strategies.just(1),
+    request_number=strategies.just(3),
+    version=strategies.integers(3, 6),
+    bucket=strategies.just(1),
     phase=strategies.sampled_from(ClaimPhase),
     digest=strategies.sampled_from(["", "aa", "bb"]),
     answer=strategies.sampled_from([None, "QQ==", "Qg=="]),
@@ -114,7 +114,7 @@
 
 @given(claims, claims)
 def test_where_one_number_says_two_things_the_stricter_stands_and_it_is_told(one, other):
-    if one.number == other.number and one.phase != other.phase:
+    if one.version == other.version and one.phase != other.phase:
         assert merge_claims(one, other).phase == max(one.phase, other.phase)
         assert contradicts(one, other)
 
@@ -125,9 +125,9 @@
         strategies.builds(
             Claim,
             owner=strategies.sampled_from(["n1#1", "n2#5", "n1#9"]),
-            ask=strategies.integers(1, 3),
-            number=strategies.integers(1, 6),
-            slot=strategies.integers(0, 3),
+            request_number=strategies.integers(1, 3),
+            version=strategies.integers(1, 6),
+            bucket=strategies.integers(0, 3),
             phase=strategies.sampled_from(ClaimPhase),
             digest=strategies.sampled_from(["", "aa", "bb"]),
             answer=strategies.sampled_from([None, "QQ=="]),
@@ -138,9 +138,9 @@
 
 
 def shelf_of(items):
-    shelf = ClaimStore(RULES, ReplicaPlacement(FLEET, 3, 1).of)
+    shelf = ClaimStore(RULES, ReplicaPlacement(FLEET, 3, 1).replicas_of)
     for key, claim in items:
-        shelf.put(0.0, key, shelf.entry(0.0, key), claim, 5_000.0)
+        shelf.merge(0.0, key, shelf.get_or_create(0.0, key), claim, 5_000.0)
     return shelf
 
 
@@ -153,9 +153,9 @@
     assert {key: entry.claims for key, entry in one.calls.items()} == {
         key: entry.claims for key, entry in other.calls.items()
     }
-    for name in ReplicaPlacement(FLEET, 3, 1).keepers:
-        assert one.slots(1_000.0, name) == other.slots(1_000.0, name)
-        assert one.differs(name, other.slots(1_000.0, name)) == []
+    for name in ReplicaPlacement(FLEET, 3, 1).replicas:
+        assert one.bucket_digests(1_000.0, name) == other.bucket_digests(1_000.0, name)
+        assert one.differing_ranges(name, other.bucket_digests(1_000.0, name)) == []
 
 
 @settings(max_examples=100, deadline=None)
@@ -163,18 +163,21 @@
 def test_sums_are_those_of_what_is_held_and_nothing_is_left_when_all_is_over(items):
     shelf = shelf_of(items)
     held = sum(len(c.answer or "") for entry in shelf.calls.values() for c in entry.claims.values())
-    assert shelf.bytes == held
-    shelf.forget(RULES.longest_ms * 2)
-    assert (shelf.calls, shelf.bytes, shelf._sums) == ({}, 0, {})
+    assert shelf.answer_bytes == held
+    shelf.remove_expired(RULES.longest_ms * 2)
+    assert (shelf.calls, shelf.answer_bytes, shelf._buckets) == ({}, 0, {})
 
 
 def test_a_difference_is_found_by_owner_and_slot():
     one = shelf_of(
-        [("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.TAKEN)), ("k2", Claim("n2#1", 1, 1, 4, ClaimPhase.TAKEN))]
+        [
+            ("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.GRANTED)),
+            ("k2", Claim("n2#1", 1, 1, 4, ClaimPhase.GRANTED)),
+        ]
     )
-    other = shelf_of([("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.TAKEN))])
-    name = ReplicaPlacement(FLEET, 3, 1).keepers[0]
-    assert other.differs(name, one.slots(1_000.0, name)) == [m.BucketRange("n2#1", 4, 5)]
+    other = shelf_of([("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.GRANTED))])
+    name = ReplicaPlacement(FLEET, 3, 1).replicas[0]
+    assert other.differing_ranges(name, one.bucket_digests(1_000.0, name)) == [m.BucketRange("n2#1", 4, 5)]
 
 
 # --- reading ------------------------------------------------------------------------------------
@@ -188,12 +191,12 @@
     ("claims", "alive", "standing"),
     [
         ([], set(), CallState.FREE),
-        ([claim("a#1", ClaimPhase.CLEAR)], {"a#1"}, CallState.FREE),
-        ([claim("a#1", ClaimPhase.TAKEN)], {"a#1"}, CallState.UNDER_WAY),
-        ([claim("a#1", ClaimPhase.TAKEN)], {"a#2"}, CallState.LOST),  # a new life is a new owner
-        ([claim("a#1", ClaimPhase.FAILED)], {"a#1"}, CallState.LOST),
+        ([claim("a#1", ClaimPhase.RELEASED)], {"a#1"}, CallState.FREE),
+        ([claim("a#1", ClaimPhase.GRANTED)], {"a#1"}, CallState.RUNNING),
+        ([claim("a#1", ClaimPhase.GRANTED)], {"a#2"}, CallState.UNKNOWN),  # a new life is a new owner
+        ([claim("a#1", ClaimPhase.FAILED)], {"a#1"}, CallState.UNKNOWN),
         (
-            [claim("a#1", ClaimPhase.TAKEN), claim("b#1", ClaimPhase.ANSWERED, "x")],
+            [claim("a#1", ClaimPhase.GRANTED), claim("b#1", ClaimPhase.ANSWERED, "x")],
             {"a#1"},
             CallState.ANSWERED,
         ),
@@ -211,7 +214,7 @@
 )
 def test_claims_read_as_the_strictest_that_holds(claims, alive, standing):
     for order in itertools.permutations(claims):
-        assert summarize_claims(list(order), alive).standing is standing
+        assert summarize_claims(list(order), alive).state is standing
 
 
 # --- the files that come with the project -------------------------------------------------------
@@ -226,5 +229,5 @@
     members = members_from((folder / "members.json").read_bytes())
     s.check_members(members, state)
     assert (
-        len(members.voters) == 3 and ReplicaPlacement(members, state.zones, state.per_zone).enough("k") == 2
+        len(members.voters) == 3 and ReplicaPlacement(members, state.zones, state.per_zone).quorum("k") == 2
     )
--- a/tests/test_replication_faults.py
+++ b/tests/test_replication_faults.py
@@ -25,7 +25,7 @@
     disk = disk_in(folder, **more)
     disk.begin(0.0, 1, [])
     for n in range(count):
-        disk.write(float(n), [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.TAKEN), 9_000.0 + n)], 0)
+        disk.write(float(n), [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.GRANTED), 9_000.0 + n)], 0)
     disk.close()
     return max(folder.glob("keeper-*.log"), key=lambda path: int(path.stem[7:]))
 
@@ -79,7 +79,7 @@
     disk.begin(0.0, 1, [])
     for n in range(60):
         disk.write(
-            10.0 * n, [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.TAKEN), 10.0 * n + 100.0)], 1
+            10.0 * n, [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.GRANTED), 10.0 * n + 100.0)], 1
         )
         assert len(list(tmp_path.glob("keeper-*.log"))) <= 2
     disk.close()
@@ -109,7 +109,7 @@
     write = os.write
     monkeypatch.setattr(os, "write", lambda file, data: write(file, data[:10]))
     with pytest.raises(DiskError, match="no room"):
-        disk.write(0.0, [("k", Claim("n9#1", 1, 1, 0, ClaimPhase.TAKEN), 9.0)], 0)
+        disk.write(0.0, [("k", Claim("n9#1", 1, 1, 0, ClaimPhase.GRANTED), 9.0)], 0)
     disk.close()
     monkeypatch.undo()
     assert reread(tmp_path).kept == []
@@ -143,8 +143,8 @@
     sender = "n1" if keeper != "n1" else cores.keepers[1]
     line = {"fleet": "f", "sender": "n1", "life": 1, "to": [keeper], "say": say}
     with pytest.raises(LineError):
-        cores.cores[keeper].line(cores.now, sender, line)
-    assert cores.cores[keeper].keeper.shelf.calls == {}
+        cores.cores[keeper].receive_line(cores.now, sender, line)
+    assert cores.cores[keeper].replica.claim_store.calls == {}
 
 
 def piece(held, number=1, part=0, digest="0" * 16, last=True):
@@ -161,7 +161,7 @@
 
     def says(sender, say):
         line = {"fleet": "f", "sender": sender, "life": 1, "to": [a], "say": say}
-        return core.line(cores.now, sender, line)
+        return core.receive_line(cores.now, sender, line)
 
     stray = {"owner": f"{cores.owners[0]}#1", "ask": 1, "number": 1, "slot": 0, "phase": 1}
     assert says(b, piece([{"key": "k", "claim": stray, "left_ms": 9.0}])) == []
@@ -169,9 +169,9 @@
     assert says(cores.owners[0], {"type": "digests", "slots": {}}) == []
     word = {"type": "word", "key": "k", "owner": f"{a}#1", "number": 1, "granted": True}
     assert says(b, word) == []
-    shelf = core.keeper.shelf
+    shelf = core.replica.claim_store
     assert shelf.counts == {"a piece out of place": 1, "want of no keeper": 1, "digests of no keeper": 1}
-    assert core.claimant.counts == {"a word on nothing": 1} and shelf.calls == {}
+    assert core.call_owner.counts == {"a word on nothing": 1} and shelf.calls == {}
     cores.begin(a)
     assert [effect for effect in cores.what(a)] == [RunCall("k", True)]
 
@@ -186,11 +186,11 @@
     [(sender, to, line), *_] = cores.held
     line["say"]["digest"] = "0" * 16
     cores.release()
-    assert cores.cores[a].keeper.shelf.counts["a piece that does not fit its digest"] == 1
-    assert not cores.cores[a].keeper.sure(cores.now)
+    assert cores.cores[a].replica.claim_store.counts["a piece that does not fit its digest"] == 1
+    assert not cores.cores[a].replica.is_complete(cores.now)
     cores.wait(1_500)
-    assert cores.cores[a].keeper.sure(cores.now)
-    assert "k" in cores.cores[a].keeper.shelf.calls
+    assert cores.cores[a].replica.is_complete(cores.now)
+    assert "k" in cores.cores[a].replica.claim_store.calls
 
 
 # --- walks --------------------------------------------------------------------------------------
@@ -208,8 +208,8 @@
 
     def __init__(self, *more):
         super().__init__(*more)
-        if self.keeper:
-            self.keeper._sure = True
+        if self.replica:
+            self.replica._complete = True
 
 
 class OneIsEnough(ReplicationCore):
@@ -217,25 +217,25 @@
 
     def __init__(self, *more):
         super().__init__(*more)
-        weigh = self.claimant._weigh
+        weigh = self.call_owner._weigh
 
         def one(now_ms, mine):
-            if any(word.granted for word in mine.words.values()):
+            if any(word.granted for word in mine.replies.values()):
                 mine.state = "going"
                 return [RunCall(mine.key, True)]
             return weigh(now_ms, mine)
 
-        self.claimant._weigh = one
+        self.call_owner._weigh = one
 
 
 class MovesBlind(ReplicationCore):
     """Planted: another list of members is gone by at once."""
 
-    def take_members(self, now_ms, members):
-        super().take_members(now_ms, members)
-        if self.keeper:
-            self.keeper._sure = True
-            self.keeper._olds.clear()
+    def change_members(self, now_ms, members):
+        super().change_members(now_ms, members)
+        if self.replica:
+            self.replica._complete = True
+            self.replica._earlier_placements.clear()
 
 
 @pytest.mark.parametrize("planted", [Forgets, OneIsEnough, MovesBlind])
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -19,24 +19,24 @@
     told = [m.UsageCounters(n, {"a": 10 * n}) for n in range(1, 8)]
     plain, mixed = UsageTable(), UsageTable()
     for n, use in enumerate(told):
-        plain.heard(500.0 * n, "n1#1", use)
-        mixed.heard(500.0 * n, "n1#1", use)
-        mixed.heard(500.0 * n, "n1#1", told[max(0, n - 2)])
-        mixed.heard(500.0 * n, "n1#1", use)
-    assert plain.sums(3_100.0) == mixed.sums(3_100.0) == m.UsageRates({"a": 20.0}, 1)
+        plain.receive(500.0 * n, "n1#1", use)
+        mixed.receive(500.0 * n, "n1#1", use)
+        mixed.receive(500.0 * n, "n1#1", told[max(0, n - 2)])
+        mixed.receive(500.0 * n, "n1#1", use)
+    assert plain.rates(3_100.0) == mixed.rates(3_100.0) == m.UsageRates({"a": 20.0}, 1)
     assert mixed.dropped["an older use"] == 14
-    mixed.heard(3_200.0, "n1#1", m.UsageCounters(9, {"a": 3}))
+    mixed.receive(3_200.0, "n1#1", m.UsageCounters(9, {"a": 3}))
     assert mixed.dropped["a count that goes down"] == 1
-    assert mixed.sums(3_200.0) == m.UsageRates({"a": 20.0}, 1)
-    assert mixed.sums(9_000.0) == m.UsageRates({}, 0)  # it is gone, and so is its rate
+    assert mixed.rates(3_200.0) == m.UsageRates({"a": 20.0}, 1)
+    assert mixed.rates(9_000.0) == m.UsageRates({}, 0)  # it is gone, and so is its rate
 
 
 def test_a_new_life_is_counted_by_itself():
     uses = UsageTable()
     for n in range(5):
-        uses.heard(500.0 * n, "n1#1", m.UsageCounters(n + 1, {"a": 50 * n}))
-    uses.heard(2_500.0, "n1#2", m.UsageCounters(1, {"a": 0}))
-    assert uses.sums(2_600.0) == m.UsageRates({"a": 100.0}, 1)
+        uses.receive(500.0 * n, "n1#1", m.UsageCounters(n + 1, {"a": 50 * n}))
+    uses.receive(2_500.0, "n1#2", m.UsageCounters(1, {"a": 0}))
+    assert uses.rates(2_600.0) == m.UsageRates({"a": 100.0}, 1)
 
 
 rates = strategies.lists(strategies.floats(0.0, 500.0), min_size=1, max_size=12)
@@ -65,21 +65,21 @@
 def test_shares_follow_what_comes_and_fall_back_when_keepers_are_silent():
     cores = Cores()
     for core in cores.cores.values():
-        core.shares = QuotaShares({"a": 120.0}, 6)
+        core.quota_shares = QuotaShares({"a": 120.0}, 6)
     busy = cores.owners[0]
     for n in range(12):
         for name, core in cores.cores.items():
-            core.shares.came(["a"] * (25 if name == busy else 2) + ["unknown"])
-            cores.carry(name, core.tell_use(cores.now))
+            core.quota_shares.count_calls(["a"] * (25 if name == busy else 2) + ["unknown"])
+            cores.carry(name, core.send_usage(cores.now))
             cores.spread(name)
         cores.wait(500)
-        changed = {name: core.shares.changes(cores.now) for name, core in cores.cores.items()}
+        changed = {name: core.quota_shares.changes(cores.now) for name, core in cores.cores.items()}
         assert n < 11 or not changed[busy]
-    got = {name: core.shares.shares["a"] for name, core in cores.cores.items()}
+    got = {name: core.quota_shares.shares_rps["a"] for name, core in cores.cores.items()}
     assert got[busy] > 50.0 and sum(got.values()) <= 125.0
     cores.now += 5_000
-    cores.cores[busy].shares.changes(cores.now)
-    assert cores.cores[busy].shares.shares["a"] == 20.0
+    cores.cores[busy].quota_shares.changes(cores.now)
+    assert cores.cores[busy].quota_shares.shares_rps["a"] == 20.0
 
 
 # --- beliefs ------------------------------------------------------------------------------------
@@ -100,16 +100,16 @@
     for ending, took, warmth, once, twice in table:
         sights = FailureTracker()
         sights.ended(0.0, 7, ending, took, 400.0, warmth)
-        assert sights.named(10.0).bad == ({"7": 1} if once else {}), ending
+        assert sights.named(10.0).failures == ({"7": 1} if once else {}), ending
         sights.ended(15.0, 7, ending, took, 400.0, warmth)
-        assert sights.named(16.0).bad == ({"7": 2} if twice else {}), ending
+        assert sights.named(16.0).failures == ({"7": 2} if twice else {}), ending
         sights.ended(20.0, 7, Ending.GOOD, 30.0, 400.0)
-        assert sights.named(30.0).bad == {} and sights.good_ms(7) == 20.0
+        assert sights.named(30.0).failures == {} and sights.good_ms(7) == 20.0
         sights.ended(40.0, 7, Ending.GOOD, 900.0, 400.0)
-        assert sights.named(41.0).bad == {}  # what was hard before counts no more
+        assert sights.named(41.0).failures == {}  # what was hard before counts no more
     sights.ended(50.0, 7, Ending.TIMEOUT, 400.0, 400.0)
-    assert sights.named(51.0).bad == {"7": 2}
-    assert sights.named(5_000.0).bad == {}  # it fades
+    assert sights.named(51.0).failures == {"7": 2}
+    assert sights.named(5_000.0).failures == {}  # it fades
 
 
 def test_a_scorer_is_hinted_at_when_enough_front_ends_name_it_and_one_alone_moves_nothing():
--- a/tests/test_sessions_agent.py
+++ b/tests/test_sessions_agent.py
@@ -309,7 +309,7 @@
     keeper = fleet.keepers()[0]
     names = [name for name in fleet.sites() if name != keeper.name]
     agent = keeper.agent
-    agent.place(fleet.now, fleet.sites(), [*fleet.placement.keepers[1:], names[0]])
+    agent.place(fleet.now, fleet.sites(), [*fleet.placement.replicas[1:], names[0]])
     assert not agent.sure(fleet.now + 1_000.0)
     assert agent.sure(fleet.now + RULES.handover.window_ms + 1.0)
 
--- a/tests/test_sessions_service.py
+++ b/tests/test_sessions_service.py
@@ -164,7 +164,7 @@
         {"type": "hands", "words": [good] * 65},
     ]  # fmt: skip
     for word in words:
-        state._carry_out(state.core.ride(rm.ClientMessage("sessions", word), ("a0",)))
+        state._carry_out(state.core.send_client_message(rm.ClientMessage("sessions", word), ("a0",)))
     rig.until(lambda: part.agent.counts["bad line"] == len(words), "all came")
     assert len(rig.noted("line dropped")) <= 2 and part.agent.router.home(SESSION) is None
     assert rig.call(rig.client("a0")) == "answer"
@@ -176,7 +176,7 @@
     watch = rig.part("b0").foreseen.staging.core.watch
     rig.until(lambda: SESSION in watch.tracks, "a keeper elsewhere knows the session")
     state = rig.part("a1", 0)
-    state._carry_out(state.core.ride(rm.ClientMessage("foresight", {"counts": 3}), ()))
+    state._carry_out(state.core.send_client_message(rm.ClientMessage("foresight", {"counts": 3}), ()))
     rig.until(lambda: rig.part("b0").foreseen.bad == 1, "a bad word is counted")
     assert rig.part("b0").foreseen._look(0.0).heard == ("a0", "b0", "c0")
     (rig.folder / "b0").mkdir()
