--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -1,30 +1,42 @@
 """Replicated state in a running front end: its log, the logs it follows, its files, the gate for calls."""
 
-import secrets
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any
-
-import msgspec
-
 from fawnwharf import interface as io
-from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
-from fawnwharf.consensus.disk import DiskError
+from fawnwharf.config import ConfigError
+from fawnwharf.config import Deployment
+from fawnwharf.config import Fleet
+from fawnwharf.config import address_from
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.claim_gate import ClaimGate
-from fawnwharf.replication.core import LineError, ReplicationCore
-from fawnwharf.replication.directed_log import DirectedLog, DirectedLogServer
-from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
+from fawnwharf.replication.core import LineError
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.directed_log import DirectedLog
+from fawnwharf.replication.directed_log import DirectedLogServer
+from fawnwharf.replication.grant_storage import GrantLogStorage
+from fawnwharf.replication.grant_storage import GrantStorage
+from fawnwharf.replication.grant_storage import GrantStorageFactory
 from fawnwharf.replication.load_reporting import LoadReporting
-from fawnwharf.replication.messages import Hello, Send
+from fawnwharf.replication.messages import Hello
+from fawnwharf.replication.messages import Send
 from fawnwharf.replication.outlier_ejection import OutlierEjector
-from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
+from fawnwharf.replication.settings import ReplicationSettings
+from fawnwharf.replication.settings import check_members
+from fawnwharf.replication.settings import parse_settings
 from fawnwharf.replication.usage import QuotaShares
-from fawnwharf.zones.files import load
-from fawnwharf.zones.settings import FileFault, Members, members_from
+from fawnwharf.zones.files import load_file
+from fawnwharf.zones.settings import Membership
+from fawnwharf.zones.settings import SettingsFileError
+from fawnwharf.zones.settings import membership_from
+from pathlib import Path
+from typing import Any
+import msgspec
+import secrets
+
 
 FILES_MS = 500.0
 STATUS_MS = 2_000.0
@@ -51,10 +63,10 @@
         has promised anything yet. `kept`: what grants go to in the place of a file."""
         self.deployment, self.log_event = deployment, write
         place = Path(path)
-        self.settings: ReplicationSettings = load(place, parse_settings, "state")
+        self.settings: ReplicationSettings = load_file(place, parse_settings, "state")
         self.folder = place.parent / self.settings.folder if self.settings.folder else None
         self._members_path = place.parent / self.settings.members
-        members: Members = load(self._members_path, members_from, "state")
+        members: Membership = load_file(self._members_path, membership_from, "state")
         self._members_seen = self._mark()
         entry = members.named(deployment.name)
         if entry is None:
@@ -63,7 +75,7 @@
             raise ConfigError(f"state: {deployment.name} has no `state` in {self._members_path}")
         try:
             check_members(members, self.settings)
-        except FileFault as error:
+        except SettingsFileError as error:
             raise ConfigError(f"state: {self._members_path}: {error}") from None
         for name in self.settings.modes:
             if name not in deployment.settings.classes:
@@ -374,12 +386,12 @@
 
     def _new_members(self) -> None:
         try:
-            members = members_from(self._members_path.read_bytes())
+            members = membership_from(self._members_path.read_bytes())
             check_members(members, self.settings)
             now = members.named(self.member.name)
             if now is None or now.state != self.member.state:
-                raise FileFault(f"members: {self.member.name} is not as it was")
-        except (OSError, FileFault) as error:
+                raise SettingsFileError(f"members: {self.member.name} is not as it was")
+        except (OSError, SettingsFileError) as error:
             self.log_event("members left aside, the old ones go on", {"fault": str(error)})
             return
         self.core.change_members(monotonic_ms(), members)
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -8,17 +8,17 @@
 
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.policy_rollout import keeping
-from fawnwharf.policy_rollout.document import document_from, register_from
+from fawnwharf.policy_rollout import policy_file
+from fawnwharf.policy_rollout.document import parse_document, parse_register
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.grant_log import GrantLog
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
-BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
+BASE = consensus.Snapshot(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
 STORE_KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 HELD = [
     ("key-0", Claim("n0#7", 1, 2, 100, ClaimPhase.RELEASED, "", None), 30_000.0),
@@ -38,12 +38,12 @@
     """The disk's identity as well; and the file's last record is what was saved last."""
     folder = copied("voter", tmp_path)
     before = (folder / "voter.log").read_bytes()
-    disk = Disk(folder, "fleet-1", "n0")
+    disk = VoterStore(folder, "fleet-1", "n0")
     try:
-        assert not disk.fresh and disk.number == 4
-        assert disk.label.identity == FIRST
+        assert not disk.is_new and disk.record_number == 4
+        assert disk.identity.voter_identity == FIRST
         entries = (consensus.Entry(2, "plan", '{"number":4}'), consensus.Entry(3, "voters", "", (FIRST,)))
-        assert disk.saved == consensus.Saved(3, SECOND, BASE, entries)
+        assert disk.saved == consensus.PersistentState(3, SECOND, BASE, entries)
         assert (folder / "voter.log").read_bytes() == before
         disk.save(disk.saved)
     finally:
@@ -58,9 +58,9 @@
     """The label is compared, not taken over."""
     folder = copied("voter", tmp_path)
     with pytest.raises(DiskError, match="the disk of member n0, not of n1"):
-        Disk(folder, "fleet-1", "n1")
+        VoterStore(folder, "fleet-1", "n1")
     with pytest.raises(DiskError, match="of fleet fleet-1, not of fleet-2"):
-        Disk(folder, "fleet-2", "n0")
+        VoterStore(folder, "fleet-2", "n0")
 
 
 def test_a_store_finds_its_snapshot_and_its_segment(tmp_path):
@@ -108,13 +108,13 @@
 def test_the_kept_policy_is_read_and_written_to_equal_bytes(tmp_path):
     """Its life and both documents of its register."""
     folder = copied("policy", tmp_path)
-    kept = keeping.read(folder / "policy.json")
+    kept = policy_file.read_policy_file(folder / "policy.json")
     assert (kept.version, kept.life) == (1, 41)
-    register = register_from(kept.register)
+    register = parse_register(kept.register)
     texts = [f'{{"version":1,"number":{n},"tenants":{{"acme":{{"quota_rps":{n}00}}}}}}' for n in (7, 6)]
-    assert [register.last, register.before] == [document_from(text) for text in texts]
+    assert [register.last, register.before] == [parse_document(text) for text in texts]
     assert register.encode() == kept.register
-    keeping.write(tmp_path / "again.json", kept)
+    policy_file.write_policy_file(tmp_path / "again.json", kept)
     assert (tmp_path / "again.json").read_bytes() == (FOLDERS / "policy" / "policy.json").read_bytes()
 
 
@@ -123,7 +123,7 @@
     """Magic, length, checksum, number: read here without the program, and written by it to equal bytes."""
     data = (FOLDERS / name).read_bytes()
     rows = list(records_of(data))
-    found, end = records.leading(data)
+    found, end = records.leading_records(data)
     assert end == len(data) and [number for number, _ in found] == [number for number, _ in rows]
-    assert b"".join(records.encode(number, value) for number, value in rows) == data
+    assert b"".join(records.encode_record(number, value) for number, value in rows) == data
     assert b"".join(framed(number, value) for number, value in rows) == data
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -3,48 +3,55 @@
 The expected texts are those that commit 9d9ccab wrote.
 """
 
-import json
-import re
-import socket
-
-import msgspec
-import pytest
-from typer.testing import CliRunner
-
 from fawnwharf.admin import handoff_messages as successor
-from fawnwharf.admin import memory as beliefs
-from fawnwharf.admin.channel import Place
+from fawnwharf.admin import learned_state as beliefs
+from fawnwharf.admin.handoff_channel import HandoffDirectory
 from fawnwharf.cli import app
-from fawnwharf.consensus import disk as voter_disk
 from fawnwharf.consensus import records
+from fawnwharf.consensus import voter_store as voter_disk
 from fawnwharf.durable_store import folder as durable_folder
 from fawnwharf.durable_store import form
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
-from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout import call_trace as policy_trace
 from fawnwharf.policy_rollout import messages as policy
+from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
-from fawnwharf.policy_rollout import trace as policy_trace
-from fawnwharf.policy_rollout.document import Document, register_from
+from fawnwharf.policy_rollout.document import Document
+from fawnwharf.policy_rollout.document import parse_register
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_core.trust import Clock, Kind
-from fawnwharf.recovery_service import joined, kept
+from fawnwharf.recovery_core.trust import Clock
+from fawnwharf.recovery_core.trust import Kind
+from fawnwharf.recovery_service import front_end_integration
+from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.recovery_service import settings as recovery_settings
-from fawnwharf.recovery_service import words as recovery_words
+from fawnwharf.recovery_service import stored_state
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
-from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.session_types import Home, Session
-from fawnwharf.sessions import foreseen, left
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.session_types import Home
+from fawnwharf.session_types import Session
+from fawnwharf.sessions import foreseen
+from fawnwharf.sessions import left
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import lines, links, plan
+from fawnwharf.zones import log_lines
+from fawnwharf.zones import member_log
+from fawnwharf.zones import plan
 from fawnwharf.zones import settings as zone_settings
+from typer.testing import CliRunner
+import json
+import msgspec
+import pytest
+import re
+import socket
+
 
 RUNNER = CliRunner()
 SITES = {"a", "b", "c"}
@@ -75,7 +82,7 @@
 def served():
     """A log server of life 7 on a loopback port, and its loop."""
     loop = Loop(lambda now_ms, events: None, lambda text: None)
-    server = links.LogServer(loop, ("127.0.0.1", 0), 7, 8)
+    server = member_log.LogServer(loop, ("127.0.0.1", 0), 7, 8)
     yield loop, server
     server.close()
 
@@ -110,7 +117,7 @@
     """In order, by life and number; a gap or another life has it ask anew."""
     told = []
     loop = Loop(lambda now_ms, events: None, lambda text: None)
-    log = links.MemberLog(loop, ("127.0.0.1", 9), told.append, lambda text: None)
+    log = member_log.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
     rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
     assert [log.event(json.loads(row)) for row in rows] == [True, True]
     assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.life) == (3, 7)
@@ -119,19 +126,19 @@
 
 def test_a_member_s_line_has_what_riders_say_and_how_they_stand():
     """The keys of a status are the riders' names; words name the rider unless it is policy."""
-    word = lines.Word({"type": "Abort"}, ("n1",), lines.RECOVERY)
+    word = log_lines.ClientMessage({"type": "Abort"}, ("n1",), log_lines.RECOVERY)
     made = [
-        lines.Line("f", "n0", **{lines.POLICY: {"ready": True}}),
-        lines.Line("f", "n0", **{lines.RECOVERY: {"life": 1}}),
-        lines.Line("f", "n0", words=[lines.Word({"type": "Vote"}), word]),
+        log_lines.LogLine("f", "n0", **{log_lines.POLICY: {"ready": True}}),
+        log_lines.LogLine("f", "n0", **{log_lines.RECOVERY: {"life": 1}}),
+        log_lines.LogLine("f", "n0", messages=[log_lines.ClientMessage({"type": "Vote"}), word]),
     ]
-    assert [links.encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
+    assert [member_log.line_encoder.encode(msgspec.to_builtins(line)).decode() for line in made] == [
         '{"fleet":"f","sender":"n0","policy":{"ready":true}}',
         '{"fleet":"f","sender":"n0","recovery":{"life":1}}',
         '{"fleet":"f","sender":"n0","words":[{"said":{"type":"Vote"}},'
         '{"said":{"type":"Abort"},"to":["n1"],"rider":"recovery"}]}',
     ]
-    found = lines.words_for("n1", msgspec.to_builtins(made[2].words))
+    found = log_lines.messages_for("n1", msgspec.to_builtins(made[2].messages))
     assert found == {"policy": ({"type": "Vote"},), "recovery": ({"type": "Abort"},)}
 
 
@@ -140,14 +147,14 @@
     [
         (session_words.RIDER, "sessions"),
         (foreseen.RIDER, "foresight"),
-        (recovery_words.RIDER, "recovery"),
-        (joined.RIDER, "recovery-given"),
+        (recovery_words.LOG_CLIENT, "recovery"),
+        (front_end_integration.LOG_CLIENT, "recovery-given"),
     ],
 )
 def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
     """Within a whole line."""
     line = state.LogLine("f", "n0", 7, ("n1",), state.ClientMessage(rider, {"type": "status"}))
-    data = links.encoder.encode(msgspec.to_builtins(line)).decode()
+    data = member_log.line_encoder.encode(msgspec.to_builtins(line)).decode()
     assert data == (
         '{"fleet":"f","sender":"n0","life":7,"to":["n1"],'
         f'"say":{{"type":"ride","rider":"{recorded}","word":{{"type":"status"}}}}}}'
@@ -216,8 +223,8 @@
     path = tmp_path / "kept" / name
     assert numbered(path) == recorded
     read = {
-        "wishes.json": lambda data: zone_settings.wishes_from(data, SITES),
-        "proposal.json": policy_settings.said_from,
+        "wishes.json": lambda data: zone_settings.operator_request_from(data, SITES),
+        "proposal.json": policy_settings.decode_operator_request,
         "moves.json": lambda data: session_settings.wishes_from(data, SITES),
     }[name]
     assert read(path.read_bytes()).number > 10**9
@@ -225,8 +232,8 @@
 
 def test_traces_have_their_recorded_keys(tmp_path):
     """A line for each call, of policy and of sessions."""
-    trace = policy_trace.Trace(tmp_path / "policy")
-    trace.call("c1", policy.InForce(3, "d1", Document(), "strict"), 1.5, 2.5)
+    trace = policy_trace.CallTrace(tmp_path / "policy")
+    trace.call("c1", policy.ActivePolicy(3, "d1", Document(), "strict"), 1.5, 2.5)
     trace.flush()
     trace.close()
     assert (tmp_path / "policy").read_bytes() == (
@@ -248,28 +255,28 @@
 def test_an_entry_of_the_store_has_its_recorded_form():
     """Stamped with the clock; a grant is a list that begins with how long it counts."""
     claim = Claim("n0#7", 1, 2, 100, ClaimPhase.GRANTED, "d1", None)
-    data = kept.stamped(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
+    data = stored_state.encode_entry(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
         b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
         b'"digest":"d1","answer":null}]]'
     )
-    assert kept.short("a boot") == "c0978fe8c889" and kept.short("") == ""
+    assert stored_state.boot_digest("a boot") == "c0978fe8c889" and stored_state.boot_digest("") == ""
 
 
 def test_the_register_of_policy_has_its_recorded_form():
     """The last document, and the one before it where there is one."""
     text = '{"policy":1,"last":{"number":2,"spill":{"a":0.5},"version":1},"before":{"number":1,"version":1}}'
-    found = register_from(text)
+    found = parse_register(text)
     assert (found.last.value("spill", "a"), found.before) == (0.5, Document(1))
     assert found.encode() == text
 
 
 def test_the_memory_of_a_process_has_its_recorded_framing():
     """Magic, length and checksum before the msgpack; and its file's name."""
-    data = beliefs.encode(beliefs.Memory(1.5, ["s-1"]))
+    data = beliefs.encode(beliefs.LearnedState(1.5, ["s-1"]))
     assert data[:6] == b"fwmem\x01" and data[:14].hex() == "66776d656d010000009e64f90acf"
-    assert beliefs.decode(data) == beliefs.Memory(1.5, ["s-1"])
-    place = Place("folder", "fe-1", ("127.0.0.1", 7000))
+    assert beliefs.decode(data) == beliefs.LearnedState(1.5, ["s-1"])
+    place = HandoffDirectory("folder", "fe-1", ("127.0.0.1", 7000))
     assert (place.socket.name, place.file.name) == ("fw-5b801ba12a0b.sock", "fw-5b801ba12a0b.mem")
 
 
@@ -295,7 +302,7 @@
 def test_names_and_numbers_that_are_stored_or_sent_are_as_recorded():
     """Versions, magic numbers, names of files, of kinds of entries and of states."""
     versions = [
-        voter_disk, form, keeping, policy_settings, prefetch_memory, successor, recovery_register,
+        voter_disk, form, policy_file, policy_settings, prefetch_memory, successor, recovery_register,
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
     ]  # fmt: skip
     assert {module.VERSION for module in versions} == {1}
@@ -304,17 +311,22 @@
     assert (form.SNAPSHOT, form.LOG, form.SYNCED, form.SOON, form.HINT) == (
         "snapshot", "log", "synced", "soon", "hint",
     )  # fmt: skip
-    assert (policy_service.KEPT_FILE, policy_service.SAID_FILE) == ("policy.json", "proposal.json")
-    assert keeper_disk.INCOMPLETE == -1 and kept.LAST == "last"
-    assert (kept.START, kept.DOUBT, kept.SURE, kept.TURN) == ("start", "doubt", "sure", "turn")
-    assert {kind: rule.name for kind, rule in kept.RULES.items()} == {
+    assert (policy_service.POLICY_FILE, policy_service.REQUEST_FILE) == ("policy.json", "proposal.json")
+    assert keeper_disk.INCOMPLETE == -1 and stored_state.LAST == "last"
+    assert (stored_state.START, stored_state.DOUBT, stored_state.COMPLETE, stored_state.COMMIT_TICKET) == (
+        "start",
+        "doubt",
+        "sure",
+        "turn",
+    )
+    assert {kind: rule.name for kind, rule in stored_state.ENTRY_RULES.items()} == {
         Kind.PROMISE: "promise", Kind.PLAN: "plan", Kind.POLICY: "policy", Kind.HOMES: "homes",
         Kind.ROSTER: "roster", Kind.USE: "use",
     }  # fmt: skip
-    assert {rule.name: rule.mode for rule in kept.RULES.values()} == {
+    assert {rule.name: rule.mode for rule in stored_state.ENTRY_RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
     }  # fmt: skip
-    assert (plan.SERVING, plan.LEAVING, plan.OUT, plan.RETURNING) == (
+    assert (plan.SERVING, plan.DRAINING, plan.OUT, plan.RECOVERING) == (
         "serving", "leaving", "out", "returning",
     )  # fmt: skip
-    assert policy.LEADER == "@leader" and policy.FINAL == ("ended", "refused", "in force")
+    assert policy.LEADER == "@leader" and policy.FINAL_STATES == ("ended", "refused", "in force")
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -15,9 +15,9 @@
 
 import fawnwharf
 from fawnwharf.migration import messages as migrations
-from fawnwharf.policy_rollout import keeping
+from fawnwharf.policy_rollout import policy_file
 from fawnwharf.recovery_core import asking, register
-from fawnwharf.recovery_service import given_words
+from fawnwharf.recovery_service import permit_messages
 from fawnwharf.replication import claims
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.zones import plan
@@ -178,9 +178,9 @@
         if field.encode_name not in there
     }
     assert missing == {  # which have one value
-        (keeping.Kept, "version"),
+        (policy_file.StoredPolicy, "version"),
         (session_settings.Wishes, "version"),
-        (zone_settings.Wishes, "version"),
+        (zone_settings.OperatorRequest, "version"),
         (plan.Plan, "version"),
         (register.Register, "recovery"),
     }
@@ -217,7 +217,12 @@
             claims.ClaimPhase.GRANTED,
         ],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
-        [given_words.What.NOT, given_words.What.MADE, given_words.What.STANDS, given_words.What.FAILED],
+        [
+            permit_messages.DelegatedLoadResult.NOT,
+            permit_messages.DelegatedLoadResult.MADE,
+            permit_messages.DelegatedLoadResult.STANDS,
+            permit_messages.DelegatedLoadResult.FAILED,
+        ],
         [asking.What.MEMBERS, asking.What.PLAN, asking.What.PROMISES, asking.What.ROSTER, asking.What.USE],
         [
             register.Stage.LISTENING,
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -8,11 +8,11 @@
 from test_zone_members import Fleet
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.agent import Agent
-from fawnwharf.policy_rollout.settings import Said
-from fawnwharf.policy_rollout.steward import Timing
-from fawnwharf.policy_rollout.walk import KNOWN
-from fawnwharf.zones.lines import Heard, Ruled, Word
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.rollout_member import RolloutMember
+from fawnwharf.policy_rollout.settings import OperatorRequest
+from fawnwharf.policy_rollout.simulation import KNOWN
+from fawnwharf.zones.log_lines import ClientMessage, MessagesReceived, RegisterDecided
 
 STEP_S = 0.005
 
@@ -30,37 +30,37 @@
         super().start(name, identity, seed)
         core, before = self.cores[name], self.agents.get(name)
         names = tuple(entry.name for entry in self.file.members)
-        self.agents[name] = Agent(
-            name, names, self.known.get(name, KNOWN), Timing(), before.life + 1 if before else 1,
-            core.seat, core.voter is not None, self.disk_of.get(name, ""),
+        self.agents[name] = RolloutMember(
+            name, names, self.known.get(name, KNOWN), RolloutTiming(), before.life + 1 if before else 1,
+            core.consensus_status, core.voter is not None, self.disk_of.get(name, ""),
         )  # fmt: skip
 
     def do(self, name, effects):
         super().do(name, effects)
         agent = self.agents[name]
         for effect in effects:
-            if isinstance(effect, Heard):
-                self.act(name, agent.heard(self.now, effect.sender, effect.words))
-                if effect.standing is not None:
-                    agent.standing_of(self.now, effect.sender, effect.standing)
-            elif isinstance(effect, Ruled):
+            if isinstance(effect, MessagesReceived):
+                self.act(name, agent.heard(self.now, effect.sender, effect.messages))
+                if effect.status is not None:
+                    agent.standing_of(self.now, effect.sender, effect.status)
+            elif isinstance(effect, RegisterDecided):
                 self.act(name, agent.decided(self.now, effect.text))
         self.act(name, agent.turned(self.now))
 
     def act(self, name, effects):
         agent, core = self.agents[name], self.cores[name]
         for effect in effects:
-            if isinstance(effect, m.Say):
+            if isinstance(effect, m.Send):
                 to = () if effect.to == m.LEADER else (effect.to,)
-                self.tell(name, core._line(words=[Word(effect.message, to)]))
-            elif isinstance(effect, m.Decide):
-                put, more = core.put(self.now, effect.register)
+                self.tell(name, core.make_line(messages=[ClientMessage(effect.message, to)]))
+            elif isinstance(effect, m.ProposeRegister):
+                put, more = core.propose_register(self.now, effect.register)
                 self.do(name, more)
                 if not put:
                     self.act(name, agent.not_put(self.now))
-            elif isinstance(effect, m.Keep):
+            elif isinstance(effect, m.StoreRegister):
                 self.disk_of[name] = effect.register
-            elif isinstance(effect, m.Note):
+            elif isinstance(effect, m.LogEvent):
                 self.notes_of.append((name, effect.event, effect.fields))
 
     def tell(self, name, line):
@@ -82,7 +82,7 @@
                 agent = self.agents[name]
                 if self.now >= agent.due_ms():
                     self.act(name, agent.tick(self.now))
-                self.tell(name, self.cores[name]._line(policy=agent.standing(self.now)))
+                self.tell(name, self.cores[name].make_line(policy=agent.standing(self.now)))
                 if agent.holder.leased(self.now):
                     acting.add(agent.holder.register.last.number)
             assert len(acting) <= 1
@@ -102,13 +102,13 @@
         return next(n for n in self.agents if n not in self.dead and n != self.leader())
 
     def say(self, name, wish, **word):
-        self.act(name, self.agents[name].ask(self.now, wish, Said(1, wish, **word)))
+        self.act(name, self.agents[name].ask(self.now, wish, OperatorRequest(1, wish, **word)))
 
     def outcome(self, name, wish):
         return next(w.outcome for w in self.agents[name].wishes if w.outcome.wish == wish)
 
     def done(self, name, wish):
-        self.until(lambda: self.outcome(name, wish).state in m.FINAL)
+        self.until(lambda: self.outcome(name, wish).state in m.FINAL_STATES)
         return self.outcome(name, wish)
 
 
@@ -136,7 +136,7 @@
         assert (judged.number, judged.how) == (wish, "leased")
         assert judged.document.value("tenants", "t", "quota_rps") == wish
     fleet.say("n4", 9, back=True)
-    assert fleet.done("n4", 9) == m.Outcome("n4", 9, "in force", 4)
+    assert fleet.done("n4", 9) == m.RequestOutcome("n4", 9, "in force", 4)
     assert fleet.agents["n0"].holder.register.last.value("tenants", "t", "quota_rps") == 2
 
 
@@ -145,7 +145,7 @@
     fleet = begun()
     first, name = fleet.leader(), fleet.follower()
     # It asks its voters, or doesn't get that far; what they answer, and what it says after, is lost.
-    fleet.hold = lambda sender, line: line.ballot is not None and (sender != first or not reaches)
+    fleet.hold = lambda sender, line: line.voter_message is not None and (sender != first or not reaches)
     fleet.say(name, 1, propose=quota(5))
     steward = fleet.agents[first].steward
     fleet.until(lambda: steward.open is not None and steward.open.deciding)
@@ -208,7 +208,7 @@
     assert fleet.done(name, 2).state == "ended"
     fleet.hold = lambda sender, line: False
     fleet.say(name, 3, call_off="")
-    assert fleet.done(name, 3) == m.Outcome(name, 3, "refused", 0, "nothing is being prepared")
+    assert fleet.done(name, 3) == m.RequestOutcome(name, 3, "refused", 0, "nothing is being prepared")
     fleet.until(lambda: all(agent.holder.leased(fleet.now) for agent in fleet.agents.values()))
     fleet.say(name, 4, back=True)
     assert fleet.done(name, 4).why == "there is none before it"
@@ -219,7 +219,7 @@
     for wish in range(1, 5):
         name = f"n{wish}"
         fleet.say(name, wish, propose=quota(wish))
-        assert fleet.done(name, wish) == m.Outcome(name, wish, "in force", wish)
+        assert fleet.done(name, wish) == m.RequestOutcome(name, wish, "in force", wish)
     fleet.run(2.0)
     assert {agent.holder.register.last.number for agent in fleet.agents.values()} == {4}
 
@@ -240,7 +240,7 @@
     fleet.run(1.0)
     assert {fleet.agents[n].holder.register.last.number for n in fleet.agents if n not in fleet.dead} == {2}
     fleet.say(name, 3, propose=quota(6))  # what is in force already is no change
-    assert fleet.done(name, 3) == m.Outcome(name, 3, "in force", 2)
+    assert fleet.done(name, 3) == m.RequestOutcome(name, 3, "in force", 2)
 
 
 def test_one_that_comes_back_goes_by_its_disk_for_limits_alone_and_is_not_ready_before_it_is_told():
@@ -253,7 +253,7 @@
     fleet.dead.add(back)
     fleet.say(name, 2, propose=quota(6))
     assert fleet.done(name, 2).state == "in force"  # once its lease was over
-    fleet.hold = lambda sender, line: sender == leader and line.words is not None
+    fleet.hold = lambda sender, line: sender == leader and line.messages is not None
     fleet.start(back, f"{back}#0")
     fleet.run(1.0)
     holder = fleet.agents[back].holder
@@ -273,7 +273,7 @@
         [note] = core.line(fleet.now, "n1", line | {"words": words}, False)
         assert note.event == "bad words"
     [heard] = core.line(fleet.now, "n1", line | {"words": [{"said": {"type": "Grant"}}, {"said": 3}]}, False)
-    assert agent.heard(fleet.now, "n1", heard.words) == []
+    assert agent.heard(fleet.now, "n1", heard.messages) == []
     agent.standing_of(fleet.now, "n1", {"ready": 3})
     assert agent.counts == {"bad word": 2, "bad standing": 1} and core.counts.dropped["bad words"] == 4
     assert not core.line(fleet.now, "n1", line | {"words": [{"said": 1, "to": ["n2"]}]}, False)
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -8,8 +8,8 @@
 from cores import FLEET, RULES
 from hypothesis import given, settings, strategies
 
-from fawnwharf.policy_rollout.settings import settings_from as policy_settings
-from fawnwharf.policy_rollout.steward import Timing
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.settings import decode_settings as policy_settings
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claim_store import ClaimStore
@@ -23,7 +23,7 @@
 )
 from fawnwharf.replication.placement import ReplicaPlacement
 from fawnwharf.testbed.promises import fleet_file
-from fawnwharf.zones.settings import FileFault, members_from
+from fawnwharf.zones.settings import SettingsFileError, membership_from
 from fawnwharf.zones.settings import settings_from as zone_settings
 
 # --- settings -----------------------------------------------------------------------------------
@@ -45,13 +45,13 @@
     ],
 )
 def test_a_faulty_settings_file_names_its_key(data, fault):
-    with pytest.raises(FileFault) as caught:
+    with pytest.raises(SettingsFileError) as caught:
         s.parse_settings(data)
     assert fault in str(caught.value)
 
 
 def test_a_fleet_with_too_few_zones_that_keep_is_a_fault():
-    with pytest.raises(FileFault):
+    with pytest.raises(SettingsFileError):
         s.check_members(fleet_file("aaa"), RULES)
     s.check_members(FLEET, RULES)
 
@@ -222,11 +222,11 @@
 
 def test_the_deployments_examples_are_good_and_fit_each_other():
     folder = Path(__file__).parent.parent / "deploy"
-    assert policy_settings((folder / "policy-settings.json").read_bytes()).timing == Timing()
+    assert policy_settings((folder / "policy-settings.json").read_bytes()).timing == RolloutTiming()
     zones = zone_settings((folder / "zones.json").read_bytes())
     state = s.parse_settings((folder / "state.json").read_bytes())
     assert zones.members == state.members == "members.json"
-    members = members_from((folder / "members.json").read_bytes())
+    members = membership_from((folder / "members.json").read_bytes())
     s.check_members(members, state)
     assert (
         len(members.voters) == 3 and ReplicaPlacement(members, state.zones, state.per_zone).quorum("k") == 2
