--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -1,19 +1,17 @@
 """Real processes with stores: all killed at once, started in another boot; one killed as it granted."""
 
-from fawnwharf.durable_store import folder
-from fawnwharf.durable_store.form import Limits
-from fawnwharf.recovery_core.trust import Kind
-from fawnwharf.recovery_core.trust import Store
-from fawnwharf.recovery_core.trust import Trust
-from fawnwharf.recovery_service.recovery_store import RecoveryStore
-from support.power_losses import PowerFleet
-from support.power_losses import WINDOW_MS
 import json
-import pytest
 import signal
 import subprocess
 import sys
 
+import pytest
+from support.power_losses import WINDOW_MS, PowerFleet
+
+from fawnwharf.durable_store import folder
+from fawnwharf.durable_store.form import Limits
+from fawnwharf.recovery_core.trust import Kind, Store, Trust
+from fawnwharf.recovery_service.recovery_store import RecoveryStore
 
 GRANTING = """
 import json, sys
