--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -5,24 +5,29 @@
 """
 
 from collections.abc import Callable
-from typing import Any
-
-import msgspec
-
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.policy.state import Function, mark
-from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
+from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.policy.state import Function
+from fawnwharf.policy.state import mark
+from fawnwharf.recovery_core.budget import FleetLimits
+from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_core.register import PermitAssignment
 from fawnwharf.recovery_service import actions
 from fawnwharf.recovery_service import permit_messages as g
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission, StoredClaims
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import TICK_MS
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+from fawnwharf.recovery_service.recovery_admission import StoredClaims
 from fawnwharf.recovery_service.settings import Settings
 from fawnwharf.replication.service import ReplicationService
+from typing import Any
+import msgspec
+
 
 LOG_CLIENT = "recovery-given"  # by the logs of state
 CALM_TICK_MS = 250.0  # in calm little is to be said, and that to others that are not yet
@@ -55,7 +60,7 @@
     ) -> None:
         self.front, self.state = front, state
         self.limits = fleet_limits(front.deployment.settings, settings.fetches, settings.scorer_rps)
-        self.giving = PermitIssuer(state.entry.name, life, self.limits, self._order, room=self._room)
+        self.giving = PermitIssuer(state.member.name, life, self.limits, self._order, room=self._room)
         self.giving.word_ms = settings.timing.alone_ms
         self.counts: dict[str, int] = {}
         self._going: tuple[AllowedActions, int, int, PermitAssignment | None] = (AllowedActions(), 0, 1, None)
@@ -70,13 +75,13 @@
         self.holds: LoadOrderGate | None = None
         self._order_out: Callable[[io.Hold], None] | None = None
         front.stand_between(io.Hold, self._between)
-        state.riders[LOG_CLIENT] = self._ridden
+        state.log_clients[LOG_CLIENT] = self._ridden
         self.roster()
         self._turn()
 
     def close(self) -> None:
         self._stopped = True
-        self.state.riders.pop(LOG_CLIENT, None)
+        self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
         self.front.stand_between(io.Hold, lambda _own: self._order_out)
@@ -104,8 +109,8 @@
 
     def _set(self, now_ms: float) -> None:
         allowed, cut, fronts, dealt = self._going
-        self._heard = frozenset(self.state.alive(now_ms)) | {self.state.entry.name}
-        self.giving.set(now_ms, self._heard, self.state.core.placement.keepers, allowed, cut, dealt)
+        self._heard = frozenset(self.state.live_members(now_ms)) | {self.state.member.name}
+        self.giving.set(now_ms, self._heard, self.state.core.placement.replicas, allowed, cut, dealt)
         rate_ps = allowed.part * self.limits.fall_multiple * self.limits.calls_rps(self.ages()) / fronts
         self.door.go_by(allowed, rate_ps, self.giving)
         self.holds.go_by(allowed, self.giving)
@@ -180,7 +185,7 @@
     def _carry_out(self, found: list[actions.Action]) -> None:
         for out in found:
             if isinstance(out, actions.SendPermitMessage):
-                self.state.ride(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
+                self.state.send_message(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, actions.LoadOrder):
                 if isinstance(out.what, io.Hold):
                     self.front.table.order(out.what)
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -118,7 +118,7 @@
     def busy(self) -> bool:
         return False
 
-    def promises(self, core: ReplicationCore, folder: Path | None) -> StoredPromises:
+    def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> StoredPromises:
         """For the front end's keeper; `folder`: where it would have its own file without a store."""
         return StoredPromises(self, core, self._note, folder)
 
