--- a/fawnwharf/admin/memory.py
+++ b/fawnwharf/admin/memory.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from fawnwharf.interface import State
+from fawnwharf.interface import ScorerState
 from fawnwharf.policy import Router, state
 
 MAGIC = b"fwmem\x01"  # the last byte is the version
@@ -140,7 +140,7 @@
                 {kind: (x.losses, now_ms - x.rests_ms, x.rest_ms) for kind, x in worker.lapses.items()},
             )
             for worker in router.workers.values()
-            if worker.entry.state is not State.GONE
+            if worker.entry.state is not ScorerState.GONE
         ],
         functions=[
             Known(
@@ -186,7 +186,7 @@
         if told.suspect is not None:
             worker.suspect_ms = worker.sign_ms = base - told.suspect
             router.watched[worker.id] = worker
-            router.suspects += worker.entry.state == State.READY
+            router.suspects += worker.entry.state == ScorerState.READY
     for known in memory.functions:
         if (known.called or known.places) and known.name not in router.functions:
             router.functions[known.name] = _function(router, known, base, timed)
--- a/fawnwharf/config.py
+++ b/fawnwharf/config.py
@@ -33,8 +33,8 @@
     name: str
     promise: Span = 1000.0
     give_up: Span = 2500.0
-    effect: io.Effect = io.Effect.UNSAFE
-    group: io.Group = io.Group.ALL
+    effect: io.Effect = io.Effect.AT_MOST_ONCE
+    group: io.DeduplicationGroup = io.DeduplicationGroup.ALL
     dedup_window: Span = 0.0
     worth: float = 1.0
     late_share: float = 0.0
--- a/fawnwharf/interface.py
+++ b/fawnwharf/interface.py
@@ -12,12 +12,12 @@
 class Effect(Enum):
     """What a repeat of a request of a class does."""
 
-    SAFE = "idempotent"
-    KEYED = "deduplicated"
-    UNSAFE = "at_most_once"
+    IDEMPOTENT = "idempotent"
+    DEDUPLICATED = "deduplicated"
+    AT_MOST_ONCE = "at_most_once"
 
 
-class Group(Enum):
+class DeduplicationGroup(Enum):
     """The workers that drop each other's repeats of a keyed request."""
 
     ALL = "all"
@@ -25,7 +25,7 @@
     CELL = "cell"
 
 
-class State(IntEnum):
+class ScorerState(IntEnum):
     """A worker's state in the roster."""
 
     READY = 1
@@ -33,7 +33,7 @@
     GONE = 3
 
 
-class Ending(Enum):
+class AttemptResult(Enum):
     """How an attempt, an order or a probe ended."""
 
     GOOD = "GOOD"
@@ -47,7 +47,13 @@
     MISS = "MISS"
 
 
-NEVER_RAN = (Ending.FULL, Ending.CONNECT_FAILED, Ending.NOT_SENT, Ending.MISS)  # what proves it
+# The results that prove that a call never began to run.
+NEVER_RAN = (
+    AttemptResult.FULL,
+    AttemptResult.CONNECT_FAILED,
+    AttemptResult.NOT_SENT,
+    AttemptResult.MISS,
+)
 
 
 class Warmth(IntEnum):
@@ -68,8 +74,8 @@
     name: str
     promise_ms: float = 1000.0
     give_up_ms: float = 2500.0
-    effect: Effect = Effect.UNSAFE
-    group: Group = Group.ALL
+    effect: Effect = Effect.AT_MOST_ONCE
+    group: DeduplicationGroup = DeduplicationGroup.ALL
     dedup_window_ms: float = 0.0
     worth: float = 1.0
     late_share: float = 0.0
@@ -103,9 +109,9 @@
 
 
 @dataclass(slots=True)
-class WorkerEntry:
+class ScorerEntry:
     worker: int
-    state: State = State.READY
+    state: ScorerState = ScorerState.READY
     kind: str = ""
     zone: str = ""
     cell: int = 0
@@ -115,7 +121,7 @@
 
 @dataclass(slots=True)
 class RosterChanged:
-    entries: list[WorkerEntry]
+    entries: list[ScorerEntry]
     complete: bool  # False: changed entries only
 
 
@@ -134,7 +140,7 @@
 
 
 @dataclass(slots=True)
-class ClientLeft:
+class RequestCancelled:
     request: str
 
 
@@ -143,7 +149,7 @@
     request: str
     attempt: int
     worker: int
-    ending: Ending
+    ending: AttemptResult
     took_ms: float
     closed: bool  # the request has its final answer
     warmth: Warmth = Warmth.UNTOLD
@@ -152,10 +158,10 @@
 
 
 @dataclass(slots=True)
-class OrderAnswered:
+class LoadOrderAnswered:
     worker: int
     function: str
-    ending: Ending
+    ending: AttemptResult
     copies: int
     took_ms: float
 
@@ -187,7 +193,7 @@
 
 
 @dataclass(slots=True)
-class Elsewhere:
+class RemoteLoadReport:
     """What other front ends told of one worker. It takes the place of what was told of it before, and
     fades: `sent` counts for `fall_ms`, `loading` for a load's usual time, `copies` as if an answer had
     told of them at that time. None of it counts across a start of the worker."""
@@ -200,7 +206,7 @@
 
 
 @dataclass(slots=True)
-class CopiesWanted:
+class PrefetchRequested:
     """Copies are wanted at a worker before calls come. One more is ordered, or what is about to lapse is
     renewed, within the ration and once held calls have theirs; else nothing happens."""
 
@@ -213,7 +219,7 @@
 
 
 @dataclass(slots=True)
-class Closing:
+class ShutdownStarted:
     """This front end is about to be ended: each request, open or still to come, is to have its final answer
     within `within_ms` of this moment, however long its client would wait."""
 
@@ -223,15 +229,15 @@
 Event = (
     RosterChanged
     | RequestArrived
-    | ClientLeft
+    | RequestCancelled
     | AttemptEnded
-    | OrderAnswered
+    | LoadOrderAnswered
     | TimerDue
     | LimitsChanged
     | ClassChanged
-    | Elsewhere
-    | CopiesWanted
-    | Closing
+    | RemoteLoadReport
+    | PrefetchRequested
+    | ShutdownStarted
 )
 
 
@@ -256,7 +262,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """The final answer that promises the client that trying again is harmless."""
 
     request: str
@@ -271,7 +277,7 @@
 
 
 @dataclass(slots=True)
-class Hold:
+class OrderCopies:
     """Order a worker to hold `copies` copies of a function; 0 only asks how many stand."""
 
     worker: int
@@ -290,4 +296,4 @@
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | Hold | SetTimer | Log
+Action = Send | Cancel | Reject | Fail | OrderCopies | SetTimer | Log
--- a/fawnwharf/net/calls.py
+++ b/fawnwharf/net/calls.py
@@ -99,7 +99,7 @@
     for name in ("call", "row"):
         if not _HEX16.match(fields.get(name, "")):
             raise thrift.Malformed(f"{name}: not 16 hex digits")
-    if (token or spec.effect is Effect.KEYED) and not _TOKEN.match(token):
+    if (token or spec.effect is Effect.DEDUPLICATED) and not _TOKEN.match(token):
         raise thrift.Malformed("dedupe: missing, or not a key")
     budget_ms = _budget_ms(fields, spec)
     props = _props(fields)
--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -3,7 +3,7 @@
 import errno
 from enum import Enum, auto
 
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 
 
 class End(Enum):
@@ -26,12 +26,12 @@
     STOPPED = auto()  # this front end ends
 
 
-_NONE, _FAILED, _RESET = Ending.NOT_SENT, Ending.CONNECT_FAILED, Ending.RESET
+_NONE, _FAILED, _RESET = AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET
 
 # What the module is told of an attempt or order, by how far its frame had been written: not one byte, so that
 # it can't have run; in part, on a connection that ended then, so that the scorer never had it whole and can't
 # have run it either; whole, so that it may have run.
-TOLD: dict[End, tuple[Ending, Ending, Ending]] = {
+TOLD: dict[End, tuple[AttemptResult, AttemptResult, AttemptResult]] = {
     End.REFUSED: (_FAILED, _RESET, _RESET),
     End.UNREACHABLE: (_FAILED, _FAILED, _RESET),
     End.DIAL_TIMED_OUT: (_FAILED, _RESET, _RESET),
@@ -48,13 +48,13 @@
     # From here on the connection lives on, and so may the rest of a frame that was written in part.
     End.PULLED_BACK: (_NONE, _RESET, _RESET),
     End.NEVER_SENT: (_NONE, _RESET, _RESET),
-    End.CALLED_OFF: (Ending.CANCELLED, Ending.CANCELLED, Ending.CANCELLED),
-    End.OUT_OF_TIME: (_NONE, Ending.TIMEOUT, Ending.TIMEOUT),
+    End.CALLED_OFF: (AttemptResult.CANCELLED, AttemptResult.CANCELLED, AttemptResult.CANCELLED),
+    End.OUT_OF_TIME: (_NONE, AttemptResult.TIMEOUT, AttemptResult.TIMEOUT),
     End.STOPPED: (_NONE, _RESET, _RESET),
 }
 
 
-def told(end: End, begun: bool, whole: bool = True) -> Ending:
+def told(end: End, begun: bool, whole: bool = True) -> AttemptResult:
     """What the module is told of a stream that had this end. `begun`: some of its frame was written; `whole`:
     all of it, or what was written is to count as all, as for calls that must not run twice."""
     return TOLD[end][begun + (begun and whole)]
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -36,7 +36,11 @@
 AT_START = ("name", "listen", "control", "memory_mb", "sockets", "settings", "wire")
 AFTER_FAULT_MS = 40.0  # the module's sweep, set again where a fault may have lost it
 
-STATES = {"in_service": io.State.READY, "terminating": io.State.DRAINING, "terminated": io.State.GONE}
+STATES = {
+    "in_service": io.ScorerState.READY,
+    "terminating": io.ScorerState.DRAINING,
+    "terminated": io.ScorerState.GONE,
+}
 
 
 def _part(sockets: int, share: float) -> int:
@@ -130,9 +134,9 @@
         self._carriers = {
             io.Send: self.table.send,
             io.Cancel: self.table.cancel,
-            io.Refuse: self.table.refuse,
+            io.Reject: self.table.refuse,
             io.Fail: self.table.fail,
-            io.Hold: self.table.order,
+            io.OrderCopies: self.table.order,
             io.SetTimer: self._set_timer,
             io.Log: lambda action: self.log(action.text),
         }
@@ -250,7 +254,7 @@
         """Take no work while no scorer in service is known, unless the log has nothing more to tell: it would
         all be refused. Bounded, as a front end that never says that it is ready serves nobody."""
         told = self.changelog.told_all_ms is not None
-        known = any(scorer.state is io.State.READY for scorer in self.pool.scorers.values())
+        known = any(scorer.state is io.ScorerState.READY for scorer in self.pool.scorers.values())
         if told or known or monotonic_ms() - self._start_ms > ROSTER_MOST_MS:
             self.port.waits_for.discard(ROSTER)
         else:
@@ -298,9 +302,9 @@
             self._news = told
             self.loop.tell(told)
 
-    def _entry(self, member: Member) -> tuple[io.WorkerEntry, Address | None]:
+    def _entry(self, member: Member) -> tuple[io.ScorerEntry, Address | None]:
         address = address_from(member.host_port, "host_port") if member.host_port else None
-        return io.WorkerEntry(
+        return io.ScorerEntry(
             worker=worker_number(member.id),
             state=STATES[member.phase],
             kind=member.flavor,
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -55,7 +55,7 @@
         self._since_ms = monotonic_ms()
         self._limit_ms = limit_ms(front.deployment.settings)
         self._refusing = False
-        front.loop.tell(io.Closing(answer_within_ms(front.deployment.settings)))
+        front.loop.tell(io.ShutdownStarted(answer_within_ms(front.deployment.settings)))
         self._unsent: dict[Client, tuple[int, float]] = {}  # bytes at the last change, and when that was
 
     def look(self) -> None:
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -80,11 +80,11 @@
 
     def sent(self, attempt: Attempt) -> None: ...
 
-    def ended(self, attempt: Attempt, ending: io.Ending, warmth: io.Warmth) -> None: ...
+    def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None: ...
 
     def ordered(self, order: Order) -> None: ...
 
-    def order_ended(self, order: Order, ending: io.Ending, copies: int) -> None: ...
+    def order_ended(self, order: Order, ending: io.AttemptResult, copies: int) -> None: ...
 
 
 class RequestTable:
@@ -152,7 +152,7 @@
                 self._loop.untell(ticket)
             else:
                 self._ended[key] = request
-                self._loop.tell(io.ClientLeft(key))
+                self._loop.tell(io.RequestCancelled(key))
             self._take_back(request)
         return request
 
@@ -206,7 +206,7 @@
             request.call.check_client()
         number, request.attempts = request.attempts, request.attempts + 1
         if key not in self.open:  # it ended in the very batch that this answers
-            self._loop.tell(io.AttemptEnded(key, number, worker, io.Ending.NOT_SENT, 0.0, closed=True))
+            self._loop.tell(io.AttemptEnded(key, number, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True))
             return
         call = request.call
         attempt = self._out[key, number] = Attempt(
@@ -228,7 +228,7 @@
         if attempt := self._out.get((action.request, action.attempt)):
             self._pool.cancel(attempt)
 
-    def refuse(self, action: io.Refuse) -> None:
+    def refuse(self, action: io.Reject) -> None:
         self._finish(action.request, Refused(action.hold_off_ms))
 
     def fail(self, action: io.Fail) -> None:
@@ -246,7 +246,7 @@
             crowd = None
         else:
             ending, warmth, crowd = answer.ending, answer.warmth, self._crowd(answer)
-        good = answer is not None and ending is io.Ending.GOOD
+        good = answer is not None and ending is io.AttemptResult.GOOD
         if self.witness:
             self.witness.ended(attempt, ending, warmth)
         took = monotonic_ms() - attempt.began_ms
@@ -259,14 +259,14 @@
     def _may_repeat(self, attempt: Attempt) -> bool:
         """Whether what can't have run may be sent again, though some of it was written."""
         spec = self._classes.get(attempt.kind)
-        return spec is not None and spec.effect is not io.Effect.UNSAFE
+        return spec is not None and spec.effect is not io.Effect.AT_MOST_ONCE
 
     def _crowd(self, answer: Answer) -> int | None:
-        if not self._wire.tells_crowd or answer.ending not in (io.Ending.GOOD, io.Ending.FULL):
+        if not self._wire.tells_crowd or answer.ending not in (io.AttemptResult.GOOD, io.AttemptResult.FULL):
             return None
         return min(CROWD_MOST, answer.crowd)
 
-    def order(self, action: io.Hold) -> None:
+    def order(self, action: io.OrderCopies) -> None:
         order = Order(action.worker, self._order_ended, action.function, action.copies)
         if self.witness:
             self.witness.ordered(order)
@@ -291,7 +291,7 @@
         copies = answer.copies if answer else 0
         if self.witness:
             self.witness.order_ended(order, ending, copies)
-        self._loop.tell(io.OrderAnswered(order.worker, order.function, ending, copies, took))
+        self._loop.tell(io.LoadOrderAnswered(order.worker, order.function, ending, copies, took))
 
     def _forget(self, order: Order) -> None:
         orders = self._orders.get(order.function, [])
--- a/fawnwharf/net/scorers.py
+++ b/fawnwharf/net/scorers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.config import Address, Wire
-from fawnwharf.interface import State, Warmth
+from fawnwharf.interface import ScorerState, Warmth
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import PASSING, End
@@ -36,7 +36,7 @@
 
     id: int
     address: Address
-    state: State
+    state: ScorerState
     up_since_ms: float
     redials: int = 0  # since a link came up
     links: list[Link] = field(default_factory=list)
@@ -83,10 +83,10 @@
 
     # --- the roster ---------------------------------------------------------------------------
 
-    def update(self, id: int, address: Address | None, state: State, up_since_ms: float) -> None:
+    def update(self, id: int, address: Address | None, state: ScorerState, up_since_ms: float) -> None:
         scorer = self.scorers.get(id)
         if scorer is None:
-            if address is not None and state is not State.GONE:
+            if address is not None and state is not ScorerState.GONE:
                 self.scorers[id] = Scorer(id, address, state, up_since_ms)
             return
         moved = address is not None and address != scorer.address
@@ -94,9 +94,9 @@
         unsent = self._retire(scorer) if anew else []
         scorer.address = address or scorer.address
         scorer.state, scorer.up_since_ms = state, max(up_since_ms, scorer.up_since_ms)
-        if state is not State.READY:
+        if state is not ScorerState.READY:
             self._pull_back(scorer)
-        if state is State.GONE:
+        if state is ScorerState.GONE:
             self._retire(scorer)
             self._drop_if_empty(scorer)
         if anew:  # what had not left yet is for the new process, or the new address
@@ -108,13 +108,13 @@
     def gone_but(self, named: set[int]) -> None:
         """A complete list was told: whoever it does not name is gone."""
         for id in [id for id in self.scorers if id not in named]:
-            self.update(id, None, State.GONE, 0.0)
+            self.update(id, None, ScorerState.GONE, 0.0)
 
     def _pull_back(self, scorer: Scorer) -> None:
         """Nothing new may leave for it now: what is unwritten or waits for a dial comes back."""
         unwritten = [stream for link in scorer.links for stream in link.unwritten()]
         for stream in [*scorer.waiting, *unwritten]:
-            if stream.is_new_work or scorer.state is State.GONE:
+            if stream.is_new_work or scorer.state is ScorerState.GONE:
                 self._take_off(stream)
                 self._end(stream, End.PULLED_BACK)
 
@@ -132,7 +132,7 @@
         return unsent
 
     def _drop_if_empty(self, scorer: Scorer) -> None:
-        if scorer.state is State.GONE and not scorer.links and not scorer.waiting:
+        if scorer.state is ScorerState.GONE and not scorer.links and not scorer.waiting:
             self.scorers.pop(scorer.id, None)
 
     # --- sending ------------------------------------------------------------------------------
@@ -161,7 +161,7 @@
         are not unloaded lapse, so nothing is dialled for it. Raises ValueError for what is no key."""
         frame = frames.unload(function)
         scorer = self.scorers.get(worker)
-        link = scorer.link_for(b"", self._trust_ms) if scorer and scorer.state is State.READY else None
+        link = scorer.link_for(b"", self._trust_ms) if scorer and scorer.state is ScorerState.READY else None
         if link is not None:
             link.connection.write(frame)
         return link is not None
@@ -170,8 +170,8 @@
         if stream.over:
             return
         scorer = self.scorers.get(stream.worker)
-        closed = scorer is None or scorer.state is State.GONE
-        if closed or (stream.is_new_work and scorer.state is not State.READY) or stream.too_late():
+        closed = scorer is None or scorer.state is ScorerState.GONE
+        if closed or (stream.is_new_work and scorer.state is not ScorerState.READY) or stream.too_late():
             self._end(stream, End.NEVER_SENT)
         elif link := scorer.link_for(stream.id, self._trust_ms):
             stream.wait_no_longer()
--- a/fawnwharf/net/streams.py
+++ b/fawnwharf/net/streams.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from fawnwharf.interface import Ending, Warmth
+from fawnwharf.interface import AttemptResult, Warmth
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.end_reasons import End
 from fawnwharf.net.pieces import Piece
@@ -21,20 +21,20 @@
     "init_error": Warmth.LOAD_FAILED,
 }
 ATTEMPT_ENDINGS = {
-    frames.OK: Ending.GOOD,
-    frames.MISS: Ending.MISS,
-    frames.FULL: Ending.FULL,
-    frames.OVER: Ending.NOT_SENT,
+    frames.OK: AttemptResult.GOOD,
+    frames.MISS: AttemptResult.MISS,
+    frames.FULL: AttemptResult.FULL,
+    frames.OVER: AttemptResult.NOT_SENT,
 }
 # An order to load that could not leave for so long does not leave any more: the decisions count it against
 # the ration from when they gave it, a scorer from when it comes.
 ORDER_WAIT_MS = 100.0
-ORDER_ENDINGS = {frames.OK: Ending.GOOD, frames.FULL: Ending.FULL}
+ORDER_ENDINGS = {frames.OK: AttemptResult.GOOD, frames.FULL: AttemptResult.FULL}
 
 
 @dataclass(slots=True)
 class Answer:
-    ending: Ending
+    ending: AttemptResult
     body: bytes
     warmth: Warmth
     crowd: int
@@ -97,8 +97,8 @@
         left = self.deadline_ms - monotonic_ms()
         return frames.run(self.id, self.kind, self.function, left, self.token, self.body)
 
-    def ending(self, code: int) -> Ending:
-        return ATTEMPT_ENDINGS.get(code, Ending.ERROR)  # what it can't read may have run
+    def ending(self, code: int) -> AttemptResult:
+        return ATTEMPT_ENDINGS.get(code, AttemptResult.ERROR)  # what it can't read may have run
 
 
 @dataclass(slots=True, eq=False)
@@ -121,8 +121,8 @@
     def frame(self) -> bytes:
         return frames.ensure(self.id, self.function, self.copies)
 
-    def ending(self, code: int) -> Ending:
-        return ORDER_ENDINGS.get(code, Ending.ERROR)
+    def ending(self, code: int) -> AttemptResult:
+        return ORDER_ENDINGS.get(code, AttemptResult.ERROR)
 
 
 def number(text: str | None) -> int:
--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -42,25 +42,25 @@
         """Whether its class, and what it ran at before, let it be sent to this worker."""
         if any(attempt.worker == worker.id and attempt.may_have_run for attempt in request.attempts):
             return False
-        if (first := request.first_run()) is None or request.spec.effect is io.Effect.SAFE:
+        if (first := request.first_run()) is None or request.spec.effect is io.Effect.IDEMPOTENT:
             return True
         here, group = worker.entry, request.spec.group
-        same = first.zone == here.zone if group is io.Group.ZONE else first.cell == here.cell
-        return (group is io.Group.ALL or same) and self._may_send_again(request)
+        same = first.zone == here.zone if group is io.DeduplicationGroup.ZONE else first.cell == here.cell
+        return (group is io.DeduplicationGroup.ALL or same) and self._may_send_again(request)
 
     def _may_send_again(self, request: Request) -> bool:  # may another attempt be made at all?
         twice, first, spec = any(a.open for a in request.attempts), request.first_run(), request.spec
         if len(request.attempts) >= self.settings.max_attempts or (twice and not self.settings.second_copies):
             return False
-        return first is None or spec.effect is io.Effect.SAFE or self._window_left(request) > 0
+        return first is None or spec.effect is io.Effect.IDEMPOTENT or self._window_left(request) > 0
 
     def _window_left(self, request: Request) -> float:
         """For how long a request may begin to be written from now on: a keyed repeat must arrive while its
         workers drop it. Their window begins when the first attempt arrives, at the earliest when it left."""
         first, spec = request.first_run(), request.spec
-        if first is None or spec.effect is io.Effect.SAFE:
+        if first is None or spec.effect is io.Effect.IDEMPOTENT:
             return math.inf
-        if spec.effect is io.Effect.UNSAFE:
+        if spec.effect is io.Effect.AT_MOST_ONCE:
             return -math.inf
         return first.sent_ms + spec.dedup_window_ms - WINDOW_MARGIN_MS - self.now
 
@@ -74,10 +74,12 @@
 
     def _finish(self, request: Request) -> None:  # the one final answer that this front end gives itself
         advice = self.settings.max_retry_after_ms * (request.over_share or not request.attempts)  # no room
-        keyed = request.spec.effect is io.Effect.KEYED and request.spec.group is io.Group.ALL
-        harmless = keyed or request.spec.effect is io.Effect.SAFE or request.first_run() is None
+        keyed = (
+            request.spec.effect is io.Effect.DEDUPLICATED and request.spec.group is io.DeduplicationGroup.ALL
+        )
+        harmless = keyed or request.spec.effect is io.Effect.IDEMPOTENT or request.first_run() is None
         self._close(request)
-        self.actions.append(io.Refuse(request.id, advice) if harmless else io.Fail(request.id))
+        self.actions.append(io.Reject(request.id, advice) if harmless else io.Fail(request.id))
 
     def _close(self, request: Request) -> None:
         del self.requests[request.id]
--- a/fawnwharf/policy/health.py
+++ b/fawnwharf/policy/health.py
@@ -48,14 +48,14 @@
 
     def _ask_sign(self, worker: Worker) -> None:
         worker.sign_ms = self.now
-        if worker.last and self.settings.may_order and worker.entry.state != io.State.GONE:
+        if worker.last and self.settings.may_order and worker.entry.state != io.ScorerState.GONE:
             self._ask(worker.last, worker)
 
-    def _broke(self, worker: Worker, ending: io.Ending) -> None:
+    def _broke(self, worker: Worker, ending: io.AttemptResult) -> None:
         """Ask for a sign: a break tells little of the process. Harm: if it died, calls are lost there."""
-        if ending is io.Ending.CONNECT_FAILED and worker.suspect_ms is None:
+        if ending is io.AttemptResult.CONNECT_FAILED and worker.suspect_ms is None:
             self._suspect(worker)
-        elif ending is io.Ending.RESET and worker.suspect_ms is None and worker.sign_ms is None:
+        elif ending is io.AttemptResult.RESET and worker.suspect_ms is None and worker.sign_ms is None:
             self._ask_sign(worker)
 
     def _suspect(self, worker: Worker) -> None:
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -52,15 +52,18 @@
         instance.order_count = self._copies(fn, worker) + 1
         self.ordered.append(self.now)
         self._owe(worker)
-        self.actions.append(io.Hold(worker.id, fn.name, instance.order_count))
+        self.actions.append(io.OrderCopies(worker.id, fn.name, instance.order_count))
 
-    def _load_answered(self, fn: Function, instance: Instance, event: io.OrderAnswered) -> None:
-        good, took = event.ending is io.Ending.GOOD, self.now - instance.order_ms
+    def _load_answered(self, fn: Function, instance: Instance, event: io.LoadOrderAnswered) -> None:
+        good, took = event.ending is io.AttemptResult.GOOD, self.now - instance.order_ms
         timely = took < LOAD_SLOW * (fn.load_told_ms or self._tp(fn)) and good
         instance.order_ms, self.loading = None, self.loading - 1
         fn.loads.timed.extend([(self.now, took)] * good)
         instance.blocked_ms = instance.blocked_ms if good else self.now + BLOCK_MS
-        if event.ending in (io.Ending.GOOD, io.Ending.ERROR):  # fewer after slow or failed: guards the store
+        if event.ending in (
+            io.AttemptResult.GOOD,
+            io.AttemptResult.ERROR,
+        ):  # fewer after slow or failed: guards the store
             limit = self.loads_limit + (1 / self.loads_limit if timely else -0.2 * self.loads_limit)
             self.loads_limit = min(LOADS_MOST, max(LOADS_LEAST, limit))
 
@@ -115,7 +118,9 @@
                 self.ordered.append(self.now)
                 self._ask(fn, worker, copies)
 
-    def _on_wanted(self, event: io.CopiesWanted) -> None:  # calls first: an order for each held one is left
+    def _on_wanted(
+        self, event: io.PrefetchRequested
+    ) -> None:  # calls first: an order for each held one is left
         worker, held = self.workers.get(event.worker), sum(len(fn.queue) for fn in self.functions.values())
         if worker and event.copies > 0 and self._may_load() and self._ration_left() >= held + 1:
             fn = self._function(event)
@@ -126,7 +131,7 @@
         instance = self._instance(fn, worker)
         instance.asks, instance.asked_ms, fn.asked_ms = instance.asks + 1, self.now, self.now
         self._owe(worker)
-        self.actions.append(io.Hold(worker.id, fn.name, copies))
+        self.actions.append(io.OrderCopies(worker.id, fn.name, copies))
 
     def _asking(self, fn: Function) -> bool:  # answers to questions are awaited, for a round trip at the most
         return self.now - fn.asked_ms < ASK_WAIT_MS and any(i.asks for i in fn.instances.values())
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -18,12 +18,12 @@
         self.now, self.began_ms, self.actions = now_ms, min(self.began_ms, now_ms), []
         while self.taken and self.taken[0] <= now_ms - self.stretch_ms:
             self.taken.popleft()
-        left = {event.request for event in events if isinstance(event, io.ClientLeft)}
+        left = {event.request for event in events if isinstance(event, io.RequestCancelled)}
         for event in events if left else ():
-            if isinstance(event, io.ClientLeft):
+            if isinstance(event, io.RequestCancelled):
                 self._on_left(event)
         for event in events:
-            if not (isinstance(event, io.RequestArrived | io.ClientLeft) and event.request in left):
+            if not (isinstance(event, io.RequestArrived | io.RequestCancelled) and event.request in left):
                 self.handlers[type(event)](self, event)
         if not self.sweeping and (self.requests or self.attempts):
             self.sweeping = True
@@ -33,7 +33,7 @@
     def _on_roster(self, event: io.RosterChanged) -> None:
         if event.complete:
             for missing in self.workers.keys() - {entry.worker for entry in event.entries}:
-                self.workers[missing].entry.state = io.State.GONE
+                self.workers[missing].entry.state = io.ScorerState.GONE
         for entry in event.entries:
             new = Worker(entry.worker, entry, mark(str(entry.worker)))
             worker = self.workers.setdefault(entry.worker, new)
@@ -75,17 +75,17 @@
             self._finish(request)  # the next sweep is past half its time
         self._dispatch(fn)
 
-    def _function(self, event: io.RequestArrived | io.CopiesWanted) -> Function:  # known, or made of it
+    def _function(self, event: io.RequestArrived | io.PrefetchRequested) -> Function:  # known, or made of it
         if len(self.functions) >= FUNCTIONS_MOST and event.function not in self.functions:
             self._forget()
         name, kind, lanes = event.function, event.class_name, max(1, event.lanes)
         return self.functions.setdefault(name, Function(name, kind, lanes, event.load_ms, mark(name)))
 
-    def _on_left(self, event: io.ClientLeft) -> None:
+    def _on_left(self, event: io.RequestCancelled) -> None:
         if request := self.requests.get(event.request):
             self._close(request)
 
-    def _on_closing(self, event: io.Closing) -> None:
+    def _on_closing(self, event: io.ShutdownStarted) -> None:
         self.answer_by_ms = min(self.answer_by_ms, self.now + event.within_ms)
         for request in self.requests.values():
             request.deadline_ms = min(request.deadline_ms, self.answer_by_ms)
@@ -100,7 +100,7 @@
         self.classes = {**self.classes, event.spec.name: event.spec}
         self.promise_ms = min(spec.promise_ms for spec in self.classes.values())
 
-    def _on_elsewhere(self, event: io.Elsewhere) -> None:  # for functions not known yet see _ordered
+    def _on_elsewhere(self, event: io.RemoteLoadReport) -> None:  # for functions not known yet see _ordered
         if worker := self.workers.get(event.worker):
             worker.told, worker.told_ms = event, self.now - max(0.0, event.age_ms)
             for fn in filter(None, map(self.functions.get, [*event.copies, *event.loading])):
@@ -121,9 +121,14 @@
         instance = fn.instances[worker.id]
         attempt.open, instance.own, worker.own = False, instance.own - 1, worker.own - 1
         attempt.may_have_run, slow = event.ending not in io.NEVER_RAN, event.took_ms > health.STRAINED * te
-        if event.ending in (io.Ending.GOOD, io.Ending.ERROR, io.Ending.FULL, io.Ending.MISS):
+        if event.ending in (
+            io.AttemptResult.GOOD,
+            io.AttemptResult.ERROR,
+            io.AttemptResult.FULL,
+            io.AttemptResult.MISS,
+        ):
             self._heard(worker)
-        if event.ending is io.Ending.GOOD:
+        if event.ending is io.AttemptResult.GOOD:
             instance.copies, instance.seen_ms = max(1, instance.copies), self.now
             if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
                 fn.runs.timed.append((self.now, event.took_ms))
@@ -134,17 +139,17 @@
                 lapse.losses = lapse.losses - 1 if attempt.lost else lapse.losses * health.LOSS_KEPT
                 if lapse.losses < 1:
                     del worker.lapses[fn.kind]
-        elif event.ending in (io.Ending.CANCELLED, io.Ending.TIMEOUT) and slow:
+        elif event.ending in (io.AttemptResult.CANCELLED, io.AttemptResult.TIMEOUT) and slow:
             self._strain(worker, event.took_ms / te)  # it may be the slow ones that never get to answer
-        elif event.ending is io.Ending.MISS or event.warmth is io.Warmth.LOAD_FAILED:
+        elif event.ending is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED:
             instance.copies, instance.seen_ms = 0, self.now
-        elif event.ending is io.Ending.ERROR and fn.runs.timed:  # else the call itself may be at fault
+        elif event.ending is io.AttemptResult.ERROR and fn.runs.timed:  # else the call itself may be at fault
             self._lose(worker, fn)
-        elif event.ending is io.Ending.FULL:
+        elif event.ending is io.AttemptResult.FULL:
             instance.blocked_ms = self.now + te
             self._strain(worker, 3 * health.STRAINED)
         self._broke(worker, event.ending)
-        if event.crowd is not None and event.ending in (io.Ending.GOOD, io.Ending.FULL):
+        if event.crowd is not None and event.ending in (io.AttemptResult.GOOD, io.AttemptResult.FULL):
             fn.crowd += health.ANSWER_GAIN * (event.crowd * attempt.among - fn.crowd)
         request = self.requests.get(event.request)
         if request is not None and event.closed:
@@ -155,18 +160,18 @@
         self._dispatch_all(worker)
         self._dispatch(fn)
 
-    def _on_order(self, event: io.OrderAnswered) -> None:
+    def _on_order(self, event: io.LoadOrderAnswered) -> None:
         fn, worker = self.functions.get(event.function), self.workers.get(event.worker)
         if fn is None or worker is None:
             return
         instance = self._instance(fn, worker)
-        short = event.ending is io.Ending.GOOD and event.copies < instance.order_count
+        short = event.ending is io.AttemptResult.GOOD and event.copies < instance.order_count
         is_load = instance.order_ms is not None and not (instance.asks and short)
-        if event.ending in (io.Ending.GOOD, io.Ending.FULL, io.Ending.ERROR):
+        if event.ending in (io.AttemptResult.GOOD, io.AttemptResult.FULL, io.AttemptResult.ERROR):
             if worker.suspect_ms is not None and instance.copies and not event.copies:
                 self._begin_slow_start(worker, self.now, since_ms=-math.inf)  # a restart that is not told
             self._heard(worker, health.TRIAL_MS)  # a sign lasts for longer than a run
-            if is_load and instance.raced and event.ending is io.Ending.GOOD:
+            if is_load and instance.raced and event.ending is io.AttemptResult.GOOD:
                 instance.unused_ms, instance.lanes_before = self.now, instance.copies * fn.lanes
             instance.copies, instance.counted_ms, instance.seen_ms = event.copies, self.now, self.now
         self._broke(worker, event.ending)
@@ -246,7 +251,7 @@
         self.total = sum(self._size(worker) for worker in self.ready) or 1.0
         self._note_total()
         self.fleet = max(self.fleet, sum(sizes.values()))
-        draining = [w for w in self.workers.values() if w.entry.state is io.State.DRAINING]
+        draining = [w for w in self.workers.values() if w.entry.state is io.ScorerState.DRAINING]
         self.listed = max(self.listed, self.fleet, sum(sizes.values()) + sum(map(self._units, draining)))
         self.refreshed_ms, peers, sold, most = self.now, self.peers, self.sold, 0.0
         for worker in self.ready:
@@ -276,13 +281,13 @@
             busy = any(i.own or i.asks or i.order_ms is not None for i in fn.instances.values())
             if not (busy or fn.queue or fn in used) and (n < half or fn.needed_ms < past):
                 del self.functions[fn.name]
-        for worker in [w for w in self.workers.values() if w.entry.state is io.State.GONE]:
+        for worker in [w for w in self.workers.values() if w.entry.state is io.ScorerState.GONE]:
             worker.gone_ms = worker.gone_ms or self.now
             if worker.gone_ms < past and not worker.own:
                 for held in (self.workers, self.watched, *(fn.instances for fn in self.functions.values())):
                     held.pop(worker.id, None)
 
-    handlers = {io.RosterChanged: _on_roster, io.RequestArrived: _on_request, io.ClientLeft: _on_left,
-                io.AttemptEnded: _on_attempt, io.OrderAnswered: _on_order, io.TimerDue: _on_timer,
-                io.LimitsChanged: _on_limits, io.ClassChanged: _on_class, io.Elsewhere: _on_elsewhere,
-                io.CopiesWanted: loads.Loads._on_wanted, io.Closing: _on_closing}  # fmt: skip
+    handlers = {io.RosterChanged: _on_roster, io.RequestArrived: _on_request, io.RequestCancelled: _on_left,
+                io.AttemptEnded: _on_attempt, io.LoadOrderAnswered: _on_order, io.TimerDue: _on_timer,
+                io.LimitsChanged: _on_limits, io.ClassChanged: _on_class, io.RemoteLoadReport: _on_elsewhere,
+                io.PrefetchRequested: loads.Loads._on_wanted, io.ShutdownStarted: _on_closing}  # fmt: skip
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -46,7 +46,7 @@
 @dataclass(slots=True, eq=False)
 class Worker:
     id: int
-    entry: io.WorkerEntry
+    entry: io.ScorerEntry
     mark: int  # its number as 64 well-mixed bits, for the hash orders
     own: int = 0  # own attempts out
     started_ms: float = -math.inf  # told, or guessed when a silent worker came back empty
@@ -61,11 +61,11 @@
     last: "Function | None" = None  # the function last seen there
     gone_ms: float | None = None  # since when
     lapses: dict[str, "Lapse"] = field(default_factory=dict)  # by class
-    told: io.Elsewhere = field(default_factory=lambda: io.Elsewhere(0))  # by others, last
+    told: io.RemoteLoadReport = field(default_factory=lambda: io.RemoteLoadReport(0))  # by others, last
     told_ms: float = -math.inf  # of the oldest word that it rests on
 
     def takes_new(self) -> bool:  # the rule on drains: one that drains gets questions, but no calls and loads
-        return self.entry.state == io.State.READY
+        return self.entry.state == io.ScorerState.READY
 
 
 class Lapse:  # answers of a class that a worker lost or turned to errors, though it answers others
--- a/fawnwharf/recovery_core/alone.py
+++ b/fawnwharf/recovery_core/alone.py
@@ -42,9 +42,9 @@
     """
     if standing.known:
         return Alone.ANSWER
-    if effect is io.Effect.SAFE or standing.granted:
+    if effect is io.Effect.IDEMPOTENT or standing.granted:
         return Alone.SERVE
-    if effect is io.Effect.KEYED and standing.since_start_ms >= window_ms:
+    if effect is io.Effect.DEDUPLICATED and standing.since_start_ms >= window_ms:
         return Alone.SERVE
     return Alone.LATER
 
--- a/fawnwharf/recovery_core/planned.py
+++ b/fawnwharf/recovery_core/planned.py
@@ -12,7 +12,11 @@
 from fawnwharf.replication.placement import weight
 
 ASKS_MS, ELECTS_MS, TICK_MS, CHOOSE_MS = 2_000.0, 2_000.0, 250.0, 2_000.0
-EFFECTS = {"points-view": Effect.SAFE, "lineup-save": Effect.KEYED, "transfer-settle": Effect.UNSAFE}
+EFFECTS = {
+    "points-view": Effect.IDEMPOTENT,
+    "lineup-save": Effect.DEDUPLICATED,
+    "transfer-settle": Effect.AT_MOST_ONCE,
+}
 KEPT_BACK = 0.3  # of the burst at a door, for the classes worth most
 
 
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -186,7 +186,7 @@
         if not self._may.alone:
             return True
         effect = self._classes[class_name].effect
-        granted = effect is Effect.UNSAFE and self._promises.asks(class_name)  # its keepers are asked
+        granted = effect is Effect.AT_MOST_ONCE and self._promises.asks(class_name)  # its keepers are asked
         standing = alone.Standing(granted=granted, since_start_ms=self._clock() - self._began_ms)
         return alone.call(effect, standing, self._window_ms) is alone.Alone.SERVE
 
--- a/fawnwharf/recovery_service/giving.py
+++ b/fawnwharf/recovery_service/giving.py
@@ -282,7 +282,7 @@
         """Whether an order there is one that a loader wants, this one or one that lent it."""
         return self.loading.is_own(worker, row) or self.helping.is_own(worker, row)
 
-    def answered(self, now_ms: float, event: io.OrderAnswered) -> list[Out]:
+    def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> list[Out]:
         """A scorer's answer to an order or a question, whoever's that was."""
         if event.ending in PROVES and not event.copies:
             self.lost(now_ms, event.function, event.worker)
--- a/fawnwharf/recovery_service/holds.py
+++ b/fawnwharf/recovery_service/holds.py
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        below: Callable[[io.Hold], None],
+        below: Callable[[io.OrderCopies], None],
         ask: Callable[[Order], None],
         tell: Callable[[io.Event], object],
         open: dict[str, OpenRequest],
@@ -45,7 +45,7 @@
         self.held_back = 0
         self._asked: dict[str, float] = {}  # functions: when their place was asked
         self._rates: dict[str, list[float]] = {}  # functions: since when, how many were held back
-        self._open: list[tuple[float, io.OrderAnswered]] = []  # that the module is to be told, and when
+        self._open: list[tuple[float, io.LoadOrderAnswered]] = []  # that the module is to be told, and when
 
     def go_by(self, allowed: Allowed, giving: Giving | None) -> None:
         self.calm = allowed.spill or giving is None
@@ -63,7 +63,7 @@
             else:
                 self._open.append((at_ms, event))
 
-    def carry(self, action: io.Hold) -> None:
+    def carry(self, action: io.OrderCopies) -> None:
         """As RequestTable.order, for the module's actions."""
         if self.calm or not action.copies:
             self._below(action)
@@ -76,7 +76,7 @@
         else:
             self._hold_back(action)
 
-    def _hold_back(self, action: io.Hold) -> None:
+    def _hold_back(self, action: io.OrderCopies) -> None:
         self.held_back += 1
         now, place = self._clock(), self.giving.place(action.function)
         if place is not None and now - self._asked.get(action.function, float("-inf")) >= ASK_MS:
@@ -84,7 +84,7 @@
                 self._asked.clear()
             self._asked[action.function] = now
             self._ask(Order(place, self._answered, action.function, 0))
-        event = io.OrderAnswered(action.worker, action.function, io.Ending.NOT_SENT, 0, 0.0)
+        event = io.LoadOrderAnswered(action.worker, action.function, io.AttemptResult.NOT_SENT, 0, 0.0)
         rate = self._rates.get(action.function)
         if rate is None or now - rate[0] >= WINDOW_MS:
             if rate is None and len(self._rates) >= ASKED_MOST:
@@ -99,14 +99,14 @@
     def _answered(self, order: Order, end: End | None, answer: Answer | None) -> None:
         ending = answer.ending if answer else told(end or End.NEVER_SENT, order.begun)
         copies, took_ms = answer.copies if answer else 0, self._clock() - order.began_ms
-        self._tell(io.OrderAnswered(order.worker, order.function, ending, copies, took_ms))
+        self._tell(io.LoadOrderAnswered(order.worker, order.function, ending, copies, took_ms))
 
     def events(self, now_ms: float, events: list[io.Event]) -> list[Out]:
         """What a batch tells of copies: scorers' answers to orders, and calls that found none."""
         self._release(now_ms)
         found: list[Out] = []
         for event in events if self.giving is not None else ():
-            if isinstance(event, io.OrderAnswered):
+            if isinstance(event, io.LoadOrderAnswered):
                 found += self.giving.answered(now_ms, event)
             elif isinstance(event, io.AttemptEnded) and _found_none(event):
                 request = self._requests.get(event.request)
@@ -116,4 +116,4 @@
 
 
 def _found_none(event: io.AttemptEnded) -> bool:
-    return event.ending is io.Ending.MISS or event.warmth is io.Warmth.LOAD_FAILED
+    return event.ending is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -62,8 +62,8 @@
         self._stopped = False
         self.door = door(front, state, settings, self.limits)
         self.holds: Holds | None = None
-        self._order_out: Callable[[io.Hold], None] | None = None
-        front.stand_between(io.Hold, self._between)
+        self._order_out: Callable[[io.OrderCopies], None] | None = None
+        front.stand_between(io.OrderCopies, self._between)
         state.riders[RIDER] = self._ridden
         self.roster()
         self._turn()
@@ -73,11 +73,11 @@
         self.state.riders.pop(RIDER, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.Hold, lambda _own: self._order_out)
+        self.front.stand_between(io.OrderCopies, lambda _own: self._order_out)
         if not self._going[0].spill:
             self.door.go_by(Allowed(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
-    def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
+    def _between(self, below: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
         front, self._order_out = self.front, below
         self.holds = Holds(below, front.pool.order, front.loop.tell, front.table.open)
         return self.holds.carry
@@ -174,7 +174,7 @@
             if isinstance(out, outs.Words):
                 self.state.ride(RIDER, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, outs.Order):
-                if isinstance(out.what, io.Hold):
+                if isinstance(out.what, io.OrderCopies):
                     self.front.table.order(out.what)
                 else:
                     self.front.loop.tell(out.what)
--- a/fawnwharf/recovery_service/lent.py
+++ b/fawnwharf/recovery_service/lent.py
@@ -98,7 +98,7 @@
         if not may or place in self._loans:
             return [self._word(sender, place, m.What.NOT)]
         self._loans[place] = _Loan(sender, now_ms)
-        return [Order(io.CopiesWanted(word.worker, word.row, word.kind, 1, word.lanes, word.load_ms))]
+        return [Order(io.PrefetchRequested(word.worker, word.row, word.kind, 1, word.lanes, word.load_ms))]
 
     def _word(self, to: str, place: tuple[int, str], what: m.What) -> Words:
         return Words((to,), m.Lent(place[0], place[1], int(what)))
@@ -113,7 +113,7 @@
             loan.made = True
             self._out.append(self._word(loan.loader, (worker, row), m.What.MADE))
 
-    def answered(self, event: io.OrderAnswered, proves: bool) -> list[Words]:
+    def answered(self, event: io.LoadOrderAnswered, proves: bool) -> list[Words]:
         """`proves`: the answer counts copies."""
         place = event.worker, event.function
         loan = self._loans.get(place)
@@ -122,7 +122,7 @@
         if proves and event.copies:
             del self._loans[place]
             return [self._word(loan.loader, place, m.What.STANDS)]
-        if not loan.made or event.ending is io.Ending.GOOD:
+        if not loan.made or event.ending is io.AttemptResult.GOOD:
             return []  # that answers a question
         del self._loans[place]
         return [self._word(loan.loader, place, m.What.FAILED)]
--- a/fawnwharf/recovery_service/loading.py
+++ b/fawnwharf/recovery_service/loading.py
@@ -23,7 +23,11 @@
 LEAST_MS = 50.0  # no copy is expected earlier
 FACTS_MOST = 20_000  # functions
 
-PROVES = (io.Ending.GOOD, io.Ending.FULL, io.Ending.ERROR)  # an order's answer that counts copies
+PROVES = (
+    io.AttemptResult.GOOD,
+    io.AttemptResult.FULL,
+    io.AttemptResult.ERROR,
+)  # an order's answer that counts copies
 
 
 @dataclass(slots=True)
@@ -157,7 +161,7 @@
             lend = Lend(life, number, able[0], row, facts.kind, facts.lanes, facts.load_ms)
             return Words((name,), lend)
         self.under_way[row] = _UnderWay(able[0], now_ms)
-        return Order(io.CopiesWanted(able[0], row, facts.kind, 1, facts.lanes, facts.load_ms))
+        return Order(io.PrefetchRequested(able[0], row, facts.kind, 1, facts.lanes, facts.load_ms))
 
     def ordered(self, now_ms: float, worker: int, row: str) -> None:
         """The module made an order of what it was told: its load is under way."""
@@ -170,7 +174,7 @@
         way = self.under_way.get(row)
         return way is not None and way.worker == worker
 
-    def answered(self, now_ms: float, event: io.OrderAnswered) -> bool:
+    def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> bool:
         """A scorer's answer to an order or a question, whoever's that was. Whether a copy stands that was
         ordered here."""
         row, way = event.function, self.under_way.get(event.function)
@@ -186,7 +190,7 @@
             return False  # whoever made the order tells
         # None stands: that answers a question, maybe the module's own of before. An order that is under way
         # it does not end, and one that the module is yet to make neither.
-        counted = event.ending is io.Ending.GOOD
+        counted = event.ending is io.AttemptResult.GOOD
         if way.went != counted and (way.went or way.asked_ms is not None):
             self._failed(now_ms, row, way, way.went)
         return False
@@ -239,7 +243,7 @@
                 self._failed(now_ms, row, way, True)
             elif not way.went and way.asked_ms is None and waited_ms >= ORDER_MS:
                 way.asked_ms = now_ms
-                found.append(Order(io.Hold(way.worker, row, 0)))
+                found.append(Order(io.OrderCopies(way.worker, row, 0)))
             elif not way.went and waited_ms >= ORDER_MS + UNMADE_MS:
                 self._failed(now_ms, row, way, True)
         return found
--- a/fawnwharf/recovery_service/outs.py
+++ b/fawnwharf/recovery_service/outs.py
@@ -16,7 +16,7 @@
 class Order(Struct, frozen=True):
     """An event for the module; a `Hold` of no copies is a question for the table."""
 
-    what: io.CopiesWanted | io.Hold
+    what: io.PrefetchRequested | io.OrderCopies
 
 
 class Ticket(Struct, frozen=True):
--- a/fawnwharf/recovery_service/tallies.py
+++ b/fawnwharf/recovery_service/tallies.py
@@ -15,7 +15,7 @@
 FELL_AFTER = 3  # sends in a row that broke, at a cold scorer that had answered
 PAIRS_MOST, ROWS_MOST = 20_000, 20_000
 CALM_PART = 0.05  # by which a load changes what a load takes in calm
-GONE = (io.Ending.RESET, io.Ending.CONNECT_FAILED)
+GONE = (io.AttemptResult.RESET, io.AttemptResult.CONNECT_FAILED)
 
 
 @dataclass(slots=True)
@@ -53,14 +53,14 @@
                 _put(self._expected, event.function, event.load_ms, ROWS_MOST)
         elif isinstance(event, io.AttemptEnded):
             self._signed(event.worker, event.ending, age_ms)
-        elif isinstance(event, io.OrderAnswered):
+        elif isinstance(event, io.LoadOrderAnswered):
             self._signed(event.worker, event.ending, age_ms)
             self._answered(now_ms, event)
 
-    def _signed(self, worker: int, ending: io.Ending, age_ms: float) -> None:
+    def _signed(self, worker: int, ending: io.AttemptResult, age_ms: float) -> None:
         """A cold scorer has fallen when calls that went there break one after the other, and it had answered
         before: one that was never up did not fall."""
-        if ending is io.Ending.GOOD:
+        if ending is io.AttemptResult.GOOD:
             self.up = True
             if self._broken.get(worker, -1):
                 _put(self._broken, worker, 0, PAIRS_MOST)
@@ -70,10 +70,10 @@
                 del self._broken[worker]
                 self.fell += age_ms < self.cold_ms
 
-    def _answered(self, now_ms: float, event: io.OrderAnswered) -> None:
+    def _answered(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
         """The first proof of a copy is an answer to the order that loaded it; later ones are at once."""
         pair = event.worker, event.function
-        if event.ending is not io.Ending.GOOD or not event.copies:
+        if event.ending is not io.AttemptResult.GOOD or not event.copies:
             self._proved.pop(pair, None)
             return
         if pair in self._proved:
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -36,11 +36,11 @@
 
 T95 = {2: 12.71, 5: 2.78, 10: 2.26, 20: 2.09}  # Student's, by pairs
 
-Answered = Callable[[io.Ending, int], None]
+Answered = Callable[[io.AttemptResult, int], None]
 
 
 def site() -> io.Settings:
-    classes = {n: io.ClassSpec(n, k[1], k[2], io.Effect.SAFE, worth=k[3]) for n, k in KINDS.items()}
+    classes = {n: io.ClassSpec(n, k[1], k[2], io.Effect.IDEMPOTENT, worth=k[3]) for n, k in KINDS.items()}
     return io.Settings(
         classes=classes,
         quotas_rps={"t": CALM_PS},
@@ -71,7 +71,7 @@
         self.open: dict[str, Call] = {}
         self.inbox: list[io.Event] = []
         self.numbers = 0
-        self.carry_hold: Callable[[io.Hold], None] = self.order
+        self.carry_hold: Callable[[io.OrderCopies], None] = self.order
         self.take: Callable[[Call], str | None] = self.taken
         self.giving: Giving | None = None
         if world.planned:
@@ -93,12 +93,12 @@
         for action in self.router.handle(self.world.now, events):
             if isinstance(action, io.Send):
                 self.send(action)
-            elif isinstance(action, io.Hold):
+            elif isinstance(action, io.OrderCopies):
                 self.carry_hold(action)
             elif isinstance(action, io.SetTimer):
                 self.world.at(action.delay_ms, lambda t=action.token: self.tell(io.TimerDue(t)))
-            elif isinstance(action, io.Refuse | io.Fail) and (call := self.open.pop(action.request, None)):
-                call.reply(Refused(action.hold_off_ms) if isinstance(action, io.Refuse) else Failed())
+            elif isinstance(action, io.Reject | io.Fail) and (call := self.open.pop(action.request, None)):
+                call.reply(Refused(action.hold_off_ms) if isinstance(action, io.Reject) else Failed())
 
     def taken(self, call: Call) -> str:
         self.numbers += 1
@@ -113,29 +113,29 @@
         key, worker = action.request, action.worker
         call = self.open.get(key)
         if call is None:
-            self.tell(io.AttemptEnded(key, 0, worker, io.Ending.NOT_SENT, 0.0, closed=True))
+            self.tell(io.AttemptEnded(key, 0, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True))
             return
         number, call.judged, began = call.judged, call.judged + 1, self.world.now
 
-        def ended(ending: io.Ending, _: int) -> None:
-            if ending is io.Ending.GOOD and (call := self.open.pop(key, None)):
+        def ended(ending: io.AttemptResult, _: int) -> None:
+            if ending is io.AttemptResult.GOOD and (call := self.open.pop(key, None)):
                 call.reply(Served(b""))
             took, closed = self.world.now - began, key not in self.open
             self.tell(io.AttemptEnded(key, number, worker, ending, took, closed))
 
         self.world.run_at(worker, call.function, ended)
 
-    def order(self, action: io.Hold) -> None:
+    def order(self, action: io.OrderCopies) -> None:
         began = self.world.now
 
-        def ended(ending: io.Ending, copies: int) -> None:
+        def ended(ending: io.AttemptResult, copies: int) -> None:
             took = self.world.now - began
-            self.tell(io.OrderAnswered(action.worker, action.function, ending, copies, took))
+            self.tell(io.LoadOrderAnswered(action.worker, action.function, ending, copies, took))
 
         self.world.hold_at(action.worker, action.function, action.copies, ended)
 
     def ask(self, order: Order) -> None:
-        def ended(ending: io.Ending, copies: int) -> None:
+        def ended(ending: io.AttemptResult, copies: int) -> None:
             order.ended(order, None, Answer(ending, b"", io.Warmth.UNTOLD, 0, copies))
 
         self.world.hold_at(order.worker, order.function, 0, ended)
@@ -208,7 +208,7 @@
 
     def came_up(self, scorer: Scorer) -> None:
         for front in self.fronts:
-            entry = io.WorkerEntry(scorer.id, up_since_ms=scorer.up_ms)
+            entry = io.ScorerEntry(scorer.id, up_since_ms=scorer.up_ms)
             front.tell(io.RosterChanged([entry], False))
             if front.giving is not None:
                 front.giving.scorer(self.now, scorer.id, self.now - scorer.up_ms)
@@ -244,7 +244,7 @@
                     if other is not front and (not out.to or other.name in out.to):
                         self.at(self.chance.uniform(1.0, 5.0), self.heard(other, front.name, out))
             elif isinstance(out, Ordered):
-                front.order(out.what) if isinstance(out.what, io.Hold) else front.tell(out.what)
+                front.order(out.what) if isinstance(out.what, io.OrderCopies) else front.tell(out.what)
             else:
                 front.door.told(out)
 
@@ -286,20 +286,20 @@
         scorer, now = self.scorers[worker], self.now
         age = now - scorer.up_ms
         if age < 0:
-            return self.at(1.0, lambda: ended(io.Ending.CONNECT_FAILED, 0))
+            return self.at(1.0, lambda: ended(io.AttemptResult.CONNECT_FAILED, 0))
         if age < self.limits.cold_ms:
             scorer.sent = [at for at in scorer.sent if at > now - self.limits.fall_ms] + [now]
             room = self.limits.fall_multiple * self.limits.warmth(age) * SCORER_PS
             if len(scorer.sent) > max(1.0, room * self.limits.fall_ms / 1_000.0):
                 return self.falls(scorer, ended)
         if row not in scorer.lanes:
-            return self.at(1.0, lambda: ended(io.Ending.MISS, 0))
+            return self.at(1.0, lambda: ended(io.AttemptResult.MISS, 0))
         begins = max(now, heapq.heappop(scorer.lanes[row]))
         heapq.heappush(scorer.lanes[row], begins + self.facts[row][2])
         life = scorer.life
 
         def done() -> None:
-            ended(io.Ending.GOOD if scorer.life == life else io.Ending.RESET, 0)
+            ended(io.AttemptResult.GOOD if scorer.life == life else io.AttemptResult.RESET, 0)
 
         self.at(begins + self.facts[row][2] - now + 1.0, done)
 
@@ -309,16 +309,16 @@
         waiting = [answer for answers in scorer.loading.values() for answer in answers]
         scorer.lanes, scorer.loading, scorer.fetching, scorer.sent = {}, {}, 0, []
         for answer in [ended, *waiting]:
-            self.at(1.0, lambda answer=answer: answer(io.Ending.RESET, 0))
+            self.at(1.0, lambda answer=answer: answer(io.AttemptResult.RESET, 0))
         self.at(DOWN_MS, lambda: self.came_up(scorer))
 
     def hold_at(self, worker: int, row: str, copies: int, ended: Answered) -> None:
         scorer = self.scorers[worker]
         if scorer.up_ms > self.now:
-            return self.at(1.0, lambda: ended(io.Ending.CONNECT_FAILED, 0))
+            return self.at(1.0, lambda: ended(io.AttemptResult.CONNECT_FAILED, 0))
         stand = len(scorer.lanes.get(row, ())) // LANES
         if stand >= copies:
-            return self.at(1.0, lambda: ended(io.Ending.GOOD, stand))
+            return self.at(1.0, lambda: ended(io.AttemptResult.GOOD, stand))
         if row in scorer.loading:
             return scorer.loading[row].append(ended)
         scorer.loading[row] = [ended]
@@ -345,7 +345,7 @@
             scorer.lanes.setdefault(row, []).extend([self.now] * LANES)
             heapq.heapify(scorer.lanes[row])
             for answer in scorer.loading.pop(row):
-                answer(io.Ending.GOOD, len(scorer.lanes[row]) // LANES)
+                answer(io.AttemptResult.GOOD, len(scorer.lanes[row]) // LANES)
 
         self.at(begins + load - now, loaded)
 
--- a/fawnwharf/replication/beliefs.py
+++ b/fawnwharf/replication/beliefs.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from fawnwharf.interface import Ending, Warmth
+from fawnwharf.interface import AttemptResult, Warmth
 from fawnwharf.replication import messages as m
 
 WINDOW_MS = 2_000.0  # bad signs older than that are no reason
@@ -22,9 +22,9 @@
 NAMED_MOST = 64
 SOFT_LEAST = 2  # late calls that name a scorer: one alone may have waited for a load
 
-_BAD = (Ending.TIMEOUT, Ending.CONNECT_FAILED, Ending.RESET)
+_BAD = (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET)
 _LOADS = (Warmth.BEGAN_LOAD, Warmth.WAITED_FOR_LOAD)
-_GOOD = (Ending.GOOD, Ending.ERROR, Ending.FULL, Ending.MISS)
+_GOOD = (AttemptResult.GOOD, AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.MISS)
 
 
 def witnesses(fronts: int) -> int:
@@ -49,7 +49,7 @@
         self,
         now_ms: float,
         worker: int,
-        ending: Ending,
+        ending: AttemptResult,
         took_ms: float,
         promise_ms: float,
         warmth: Warmth = Warmth.UNTOLD,
@@ -58,7 +58,7 @@
         sign, too, as it was of no use; but not where the answer tells that a load was waited for."""
         signs = self._signs.setdefault(worker, _Signs())
         late = took_ms > promise_ms and warmth not in _LOADS
-        if ending in _BAD or (late and ending in (Ending.CANCELLED, Ending.GOOD)):
+        if ending in _BAD or (late and ending in (AttemptResult.CANCELLED, AttemptResult.GOOD)):
             signs.bad.append(now_ms)
             signs.hard = signs.hard or ending in _BAD
         elif ending in _GOOD:
--- a/fawnwharf/replication/claimant.py
+++ b/fawnwharf/replication/claimant.py
@@ -195,7 +195,7 @@
             return [*self._give_back(mine), *self._others(now_ms, mine, found)]
         denied = any(not word.granted and not word.sure for word in mine.words.values())
         why = "keepers are not sure" if denied else "too few keepers"
-        if mine.effect is not Effect.UNSAFE or self.settings.unkept == "serve":
+        if mine.effect is not Effect.AT_MOST_ONCE or self.settings.unkept == "serve":
             mine.state = "going"
             self._count(f"not kept: {why}")
             return [Go(mine.key, False)]
@@ -226,7 +226,7 @@
             self._count("conflict")
             return self._end(mine, GiveUp(mine.key, "two answers that differ"))
         age = max((word.age_ms for word in mine.words.values()), default=0.0)
-        if mine.effect is Effect.KEYED and age < mine.dedup_ms - mine.wait_ms - DEDUP_MARGIN_MS:
+        if mine.effect is Effect.DEDUPLICATED and age < mine.dedup_ms - mine.wait_ms - DEDUP_MARGIN_MS:
             mine.state = "going"  # the scorers drop it if it ran
             self._count("run again within its window")
             return [Go(mine.key, False)]
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -244,7 +244,7 @@
         self.view.asked(now_ms, word.number)
         return self._inward(now_ms, [m.Say(tuple(self.placement.keepers[:16]), word)])
 
-    def elsewhere(self, now_ms: float, fronts: int) -> list[io.Elsewhere]:
+    def elsewhere(self, now_ms: float, fronts: int) -> list[io.RemoteLoadReport]:
         """What the module is to hear of others' work; `fronts` are all of the fleet, as it was told."""
         return self.view.changes(now_ms, self.own.cold(now_ms), self.own.known, self._all(fronts))
 
--- a/fawnwharf/replication/elsewhere.py
+++ b/fawnwharf/replication/elsewhere.py
@@ -18,7 +18,11 @@
 LOAD_LONG_MS = 10_000.0  # an order without an answer for so long is no load any more
 AGAIN = 1 / 3  # of a copy's time: so long after it was told, a later proof of it is news
 
-_PROVES = (io.Ending.GOOD, io.Ending.FULL, io.Ending.ERROR)  # an order's answer that counts copies
+_PROVES = (
+    io.AttemptResult.GOOD,
+    io.AttemptResult.FULL,
+    io.AttemptResult.ERROR,
+)  # an order's answer that counts copies
 
 Place = tuple[int, str]  # scorer and function
 
@@ -49,13 +53,13 @@
 
     # --- what is seen ---------------------------------------------------------------------------
 
-    def roster(self, now_ms: float, unix_ms: float, entries: Iterable[io.WorkerEntry], whole: bool) -> None:
+    def roster(self, now_ms: float, unix_ms: float, entries: Iterable[io.ScorerEntry], whole: bool) -> None:
         """Scorers as the module is told of them; `unix_ms` is now on the clock of their starts."""
         entries = list(entries)
         if whole:
             self._lose(self.known - {entry.worker for entry in entries})
         for entry in entries:
-            if entry.state is io.State.GONE:
+            if entry.state is io.ScorerState.GONE:
                 self._lose({entry.worker})
                 continue
             self.known.add(entry.worker)
@@ -94,12 +98,14 @@
         if self._cold.get(worker, -math.inf) > now_ms:
             self._sent.setdefault(worker, deque(maxlen=SENDS_MOST)).append(now_ms)
 
-    def ended(self, now_ms: float, worker: int, function: str, ending: io.Ending, warmth: io.Warmth) -> None:
+    def ended(
+        self, now_ms: float, worker: int, function: str, ending: io.AttemptResult, warmth: io.Warmth
+    ) -> None:
         """An attempt: a good answer proves a copy, a miss that there is none."""
-        if ending is io.Ending.GOOD:
+        if ending is io.AttemptResult.GOOD:
             known = self._copies.get((worker, function))
             self._prove(now_ms, (worker, function), max(1, known.copies if known else 0))
-        elif ending is io.Ending.MISS or warmth is io.Warmth.LOAD_FAILED:
+        elif ending is io.AttemptResult.MISS or warmth is io.Warmth.LOAD_FAILED:
             self._prove(now_ms, (worker, function), 0)
 
     def ordered(self, now_ms: float, worker: int, function: str, copies: int) -> None:
@@ -108,7 +114,7 @@
             self._orders.setdefault((worker, function), []).append(now_ms)
 
     def order_ended(
-        self, now_ms: float, worker: int, function: str, wanted: int, ending: io.Ending, copies: int
+        self, now_ms: float, worker: int, function: str, wanted: int, ending: io.AttemptResult, copies: int
     ) -> None:
         if wanted and (begun := self._orders.get((worker, function))):
             begun.pop(0)
--- a/fawnwharf/replication/gate.py
+++ b/fawnwharf/replication/gate.py
@@ -47,7 +47,11 @@
 
 def mode_of(spec: ClassSpec, settings: Settings) -> Mode:
     """How calls of a class are kept: as the settings say, or as its effect asks."""
-    by_effect: dict[Effect, Mode] = {Effect.UNSAFE: "before", Effect.KEYED: "after", Effect.SAFE: "off"}
+    by_effect: dict[Effect, Mode] = {
+        Effect.AT_MOST_ONCE: "before",
+        Effect.DEDUPLICATED: "after",
+        Effect.IDEMPOTENT: "off",
+    }
     return settings.modes.get(spec.name, by_effect[spec.effect])
 
 
@@ -152,7 +156,7 @@
         if not held.running:
             self._done(held)
             self._carry_out(self._core.left(monotonic_ms(), held.name))
-        elif held.spec.effect is not Effect.UNSAFE and held.table_key is not None:
+        elif held.spec.effect is not Effect.AT_MOST_ONCE and held.table_key is not None:
             self._table.withdraw(held.table_key)
             self._done(held)
             self._carry_out(self._core.ended(monotonic_ms(), held.name, Phase.FAILED))
--- a/fawnwharf/replication/others.py
+++ b/fawnwharf/replication/others.py
@@ -230,7 +230,7 @@
 
 @dataclass(slots=True)
 class _Told:
-    event: io.Elsewhere
+    event: io.RemoteLoadReport
     oldest_ms: float
 
 
@@ -311,7 +311,9 @@
     def _made(self, held: _Answer) -> float:
         return held.asked_ms - held.others.age_ms
 
-    def changes(self, now_ms: float, cold: set[int], known: set[int], fronts: int) -> list[io.Elsewhere]:
+    def changes(
+        self, now_ms: float, cold: set[int], known: set[int], fronts: int
+    ) -> list[io.RemoteLoadReport]:
         """What the module is to be told now, by scorer. `fronts` are all of the fleet."""
         best = self.best(now_ms)
         sure = self.sure(now_ms, fronts)
@@ -336,7 +338,7 @@
             oldest = min(bases, default=now_ms)
             counts = {function: count for function, (_, count) in copies.items()}
             loads = tuple(sorted(loading.get(worker, ())))
-            event = io.Elsewhere(worker, sent, counts, loads, now_ms - oldest)
+            event = io.RemoteLoadReport(worker, sent, counts, loads, now_ms - oldest)
             if self._is_news(event, oldest):
                 self._told[worker] = _Told(event, oldest)
                 found.append(event)
@@ -353,7 +355,7 @@
             self._copies.pop(worker, None)
         return {f: held for f, held in places.items() if held[1] and now_ms - held[0] <= span_ms}
 
-    def _is_news(self, event: io.Elsewhere, oldest_ms: float) -> bool:
+    def _is_news(self, event: io.RemoteLoadReport, oldest_ms: float) -> bool:
         told = self._told.get(event.worker)
         if told is None:
             return event.sent is not None or bool(event.copies or event.loading)
--- a/fawnwharf/replication/resting.py
+++ b/fawnwharf/replication/resting.py
@@ -33,7 +33,7 @@
 
     def events(self, now_ms: float, events: list[io.Event]) -> None:
         for event in events:
-            if isinstance(event, io.AttemptEnded | io.OrderAnswered):
+            if isinstance(event, io.AttemptEnded | io.LoadOrderAnswered):
                 warmth = getattr(event, "warmth", io.Warmth.UNTOLD)  # an order's answer has none
                 self.sights.ended(now_ms, event.worker, event.ending, event.took_ms, self._promise_ms, warmth)
 
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -38,7 +38,7 @@
         self._front, self._carry_out = front, carry_out
         front.table.witness = self
         entries = [
-            io.WorkerEntry(worker_number(member.id), up_since_ms=member.up_since_ms or None)
+            io.ScorerEntry(worker_number(member.id), up_since_ms=member.up_since_ms or None)
             for member in front.overlay.members.values()
         ]
         self.own.roster(monotonic_ms(), front.loop.clock.now_ms(), entries, True)
@@ -62,7 +62,7 @@
     def sent(self, attempt: Attempt) -> None:
         self.own.sent(monotonic_ms(), attempt.worker)
 
-    def ended(self, attempt: Attempt, ending: io.Ending, warmth: io.Warmth) -> None:
+    def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None:
         self.own.ended(monotonic_ms(), attempt.worker, attempt.function, ending, warmth)
 
     def ordered(self, order: Order) -> None:
@@ -70,7 +70,7 @@
         if order.copies:
             self._hasten()
 
-    def order_ended(self, order: Order, ending: io.Ending, copies: int) -> None:
+    def order_ended(self, order: Order, ending: io.AttemptResult, copies: int) -> None:
         now = monotonic_ms()
         self.own.order_ended(now, order.worker, order.function, order.copies, ending, copies)
         if order.copies:
--- a/fawnwharf/sessions/measure.py
+++ b/fawnwharf/sessions/measure.py
@@ -34,7 +34,7 @@
         site = io.Settings(classes={"view": spec}, fleet_size=6, load_window_ms=5_000.0, free_loads=6.0)
         site.load_part = 0.3
         self.staging = Staging("a", Foresight(), site, Prices(0.15, 0.16, 0.01))
-        entries = [io.WorkerEntry(n, zone=SITES[n % 3]) for n in range(WORKERS)]
+        entries = [io.ScorerEntry(n, zone=SITES[n % 3]) for n in range(WORKERS)]
         self.staging.events(0.0, 1e9, [io.RosterChanged(entries, True)])
         self.sessions = [Session(f"t{n % TENANTS}", f"f{n}") for n in range(sessions)]
         self.at = [n % 3 for n in range(sessions)]
@@ -57,7 +57,7 @@
         session, worker = self.sessions[n], 3 * self.chance.randrange(WORKERS // 3) + self.at[n]
         request = f"r{self.requests}"
         came = io.RequestArrived(request, session.row, "view", session.org, 3_000.0, 1, self.memory_mb, 900.0)
-        ended = io.AttemptEnded(request, 0, worker, io.Ending.GOOD, 100.0, True)
+        ended = io.AttemptEnded(request, 0, worker, io.AttemptResult.GOOD, 100.0, True)
         self.staging.events(self.now, self.now + 1e9, [came, ended])
 
     def second(self, part: float) -> None:
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -172,10 +172,10 @@
                 self._came(now, event)
             elif isinstance(event, io.AttemptEnded):
                 self._ended(now, event)
-            elif isinstance(event, io.ClientLeft):
+            elif isinstance(event, io.RequestCancelled):
                 self.agent.ended(now, event.request)
-            elif isinstance(event, io.OrderAnswered):
-                if event.ending is io.Ending.GOOD and event.copies and event.took_ms > 0:
+            elif isinstance(event, io.LoadOrderAnswered):
+                if event.ending is io.AttemptResult.GOOD and event.copies and event.took_ms > 0:
                     self.agent.known.loaded(event.function, event.took_ms)
                 self._tell(self.stages.answered(now, event))
                 self._staged(now)
@@ -201,7 +201,7 @@
         call = self.agent.router.calls.get(event.request)
         if call is None:
             return
-        if event.ending is io.Ending.GOOD:
+        if event.ending is io.AttemptResult.GOOD:
             row = call.session.row
             if event.warmth in (io.Warmth.FOUND, io.Warmth.UNTOLD):
                 self.agent.known.ran(row, event.took_ms)
@@ -216,12 +216,12 @@
 
     def _tell(self, orders: Orders) -> None:
         for order in orders:
-            if isinstance(order, io.Hold):
+            if isinstance(order, io.OrderCopies):
                 self._ask(order)
             else:
                 self.front.loop.tell(order)
 
-    def _ask(self, question: io.Hold) -> None:
+    def _ask(self, question: io.OrderCopies) -> None:
         """Probe a scorer for copies of a function.
 
         The module hears the answer too, and so what it believed wrongly. It takes an answer for that of its
@@ -272,7 +272,7 @@
         try:
             for worker in self.stages.where(now_ms, effect.row):
                 if self.front.pool.unload(worker, effect.row):
-                    self._ask(io.Hold(worker, effect.row, 0))
+                    self._ask(io.OrderCopies(worker, effect.row, 0))
         except ValueError as error:
             self._once("not let go", {"why": str(error)})
         self.stages.let_go(effect.row)
--- a/fawnwharf/sessions/stages.py
+++ b/fawnwharf/sessions/stages.py
@@ -32,7 +32,7 @@
     failed: set[int] = field(default_factory=set)
 
 
-Orders = list[io.CopiesWanted | io.Hold]  # a Hold of no copies is a question
+Orders = list[io.PrefetchRequested | io.OrderCopies]  # a Hold of no copies is a question
 
 
 class Stages:
@@ -118,14 +118,14 @@
             if worker not in wanted.empty:
                 if now_ms - wanted.asked.get(worker, float("-inf")) >= AGAIN_MS:
                     wanted.asked[worker] = now_ms
-                    found.append(io.Hold(worker, what.row, 0))
+                    found.append(io.OrderCopies(worker, what.row, 0))
             elif not self._is_ordered(now_ms, wanted, worker):
                 self._line = self._line or most < 1 or worker in wanted.ordered
                 if most > 0:
                     most -= 1
                     wanted.ordered[worker] = now_ms
                     load_ms = facts.load_ms or None
-                    found.append(io.CopiesWanted(worker, what.row, facts.kind, 1, facts.lanes, load_ms))
+                    found.append(io.PrefetchRequested(worker, what.row, facts.kind, 1, facts.lanes, load_ms))
         return found
 
     def _is_ordered(self, now_ms: float, wanted: _Wanted, worker: int) -> bool:
@@ -147,9 +147,9 @@
             if not keys:
                 del self._rows[wanted.copies.row]
 
-    def answered(self, now_ms: float, event: io.OrderAnswered) -> Orders:
+    def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> Orders:
         """Take a scorer's answer to an order or a probe, whoever's that was."""
-        good = event.ending is io.Ending.GOOD
+        good = event.ending is io.AttemptResult.GOOD
         if good:
             self.seen(now_ms, event.function, event.worker, event.copies)
         found = []
@@ -170,6 +170,6 @@
                 self.drop(key)
                 continue
             orders = self._order(now_ms, wanted, left)
-            left -= sum(isinstance(order, io.CopiesWanted) for order in orders)
+            left -= sum(isinstance(order, io.PrefetchRequested) for order in orders)
             found += orders
         return found
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -70,7 +70,7 @@
     """What is to be done now, and in how many milliseconds `beat` is to be called again."""
 
     words: list[Word] = []  # of a keeper to all, of others to the keepers
-    wanted: list[io.CopiesWanted] = []  # events for the module
+    wanted: list[io.PrefetchRequested] = []  # events for the module
     stages: list[Stage] = []  # the same by function and site
     let_gos: list[LetGo] = []  # staged, and not needed: nothing renews it any more
     moves: list[Move] | None = None  # that are expected; None: no look has ended since the last beat
@@ -175,15 +175,15 @@
                 self._came(now_ms, event)
             elif kind is io.AttemptEnded:
                 self._ended(now_ms, event)
-            elif kind is io.OrderAnswered:
+            elif kind is io.LoadOrderAnswered:
                 self._answered(now_ms, event)
-            elif kind is io.ClientLeft:
+            elif kind is io.RequestCancelled:
                 self._open.pop(event.request, None)
             elif kind is io.RosterChanged:
                 self.scorers.roster(now_ms, now_ms - unix_ms, event)
             elif kind is io.ClassChanged:
                 self.scorers.settings.classes[event.spec.name] = event.spec
-            elif kind is io.Elsewhere:
+            elif kind is io.RemoteLoadReport:
                 for row, copies in event.copies.items():
                     self.copies.seen(now_ms - event.age_ms, row, event.worker, copies)
 
@@ -204,7 +204,11 @@
     def _ended(self, now_ms: float, event: io.AttemptEnded) -> None:
         site = self.scorers.zone(event.worker)
         self._observer.ended(now_ms, site, event.worker, event.ending, event.took_ms)
-        if event.ending in (io.Ending.CONNECT_FAILED, io.Ending.RESET, io.Ending.TIMEOUT):
+        if event.ending in (
+            io.AttemptResult.CONNECT_FAILED,
+            io.AttemptResult.RESET,
+            io.AttemptResult.TIMEOUT,
+        ):
             self.scorers.rest(now_ms, event.worker)
         self.scorers.gave(now_ms, event.worker)
         session = self._open.get(event.request)
@@ -212,28 +216,28 @@
             return
         if event.closed:
             del self._open[event.request]
-        if event.ending not in (io.Ending.GOOD, io.Ending.ERROR) or not site:
+        if event.ending not in (io.AttemptResult.GOOD, io.AttemptResult.ERROR) or not site:
             return
         self.called(now_ms, session, site)
-        if event.ending is io.Ending.GOOD:
+        if event.ending is io.AttemptResult.GOOD:
             self.copies.used(now_ms, session.row, site, event.worker)
             if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
                 self.functions.ran(session.row, event.took_ms)
             elif event.warmth is io.Warmth.BEGAN_LOAD and (facts := self.functions.facts(session.row)):
                 self.functions.loaded(session.row, max(1.0, event.took_ms - facts.run_ms))
 
-    def _answered(self, now_ms: float, event: io.OrderAnswered) -> None:
+    def _answered(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
         self.scorers.ordered.append(now_ms)
         key = (event.function, self.scorers.zone(event.worker))
         pending = self._pending.get(key)
         asked = pending is not None and event.worker in pending[1]
-        if event.ending is io.Ending.GOOD:
+        if event.ending is io.AttemptResult.GOOD:
             self.copies.seen(now_ms, event.function, event.worker, event.copies)
             if asked and event.copies:
                 pending[1].discard(event.worker)
                 if not pending[1]:
                     del self._pending[key]
-        elif event.ending not in (io.Ending.CANCELLED, io.Ending.NOT_SENT):
+        elif event.ending not in (io.AttemptResult.CANCELLED, io.AttemptResult.NOT_SENT):
             self.scorers.rest(now_ms, event.worker)
             if asked:
                 self._failed(now_ms, key)
@@ -347,7 +351,9 @@
             for name in order.scorers:
                 self.scorers.gave(now_ms, int(name))
                 found.wanted.append(
-                    io.CopiesWanted(int(name), stage.row, facts.class_name, 1, facts.lanes, facts.load_ms)
+                    io.PrefetchRequested(
+                        int(name), stage.row, facts.class_name, 1, facts.lanes, facts.load_ms
+                    )
                 )
 
     def _weather(self, now_ms: float) -> None:
--- a/fawnwharf/testbed/promises.py
+++ b/fawnwharf/testbed/promises.py
@@ -277,9 +277,9 @@
         owner = front.core.owner
         if (owner, key) in self.waiting or key in front.core.claimant.mine:
             return  # the front end itself sees that it has it
-        self.waiting[owner, key] = Effect.UNSAFE
+        self.waiting[owner, key] = Effect.AT_MOST_ONCE
         effects = front.core.begin(
-            self.clock(front), key, Effect.UNSAFE, promise_ms=PROMISE_MS, budget_ms=BUDGET_MS
+            self.clock(front), key, Effect.AT_MOST_ONCE, promise_ms=PROMISE_MS, budget_ms=BUDGET_MS
         )
         self._do(front, effects)
         self.at(self.now + BUDGET_MS * 1.1 + 6_000.0, lambda: self._owed(front, owner, key))
--- a/fawnwharf/wirehost.py
+++ b/fawnwharf/wirehost.py
@@ -13,18 +13,18 @@
 from fawnwharf.config import settings_from
 from fawnwharf.policy import Router
 
-ENDINGS = {ending.value: ending for ending in io.Ending}
+ENDINGS = {ending.value: ending for ending in io.AttemptResult}
 
 
 class BadBatch(ValueError):
     """A line that is no valid batch; the text names what is wrong."""
 
 
-def entry_from(entry: dict[str, Any]) -> io.WorkerEntry:
+def entry_from(entry: dict[str, Any]) -> io.ScorerEntry:
     units = entry.get("units")
-    return io.WorkerEntry(
+    return io.ScorerEntry(
         worker=entry["worker"],
-        state=io.State(entry.get("state") or io.State.READY),
+        state=io.ScorerState(entry.get("state") or io.ScorerState.READY),
         kind=entry.get("family_type") or "",
         zone=entry.get("hall") or "",
         cell=entry.get("stripe") or 0,
@@ -70,8 +70,8 @@
     )
 
 
-def order_from(body: dict[str, Any]) -> io.OrderAnswered:
-    return io.OrderAnswered(
+def order_from(body: dict[str, Any]) -> io.LoadOrderAnswered:
+    return io.LoadOrderAnswered(
         worker=body["worker"],
         function=body["fn"],
         ending=ENDINGS[body["ending"]],
@@ -83,7 +83,7 @@
 READERS = {
     "TARGETS": roster_from,
     "NEW_REQUEST": request_from,
-    "HANGUP": lambda body: io.ClientLeft(body["tid"]),
+    "HANGUP": lambda body: io.RequestCancelled(body["tid"]),
     "RESOLVED": attempt_from,
     "RESIDENT": order_from,
     "DEADLINE_HIT": lambda body: io.TimerDue(body["handle"]),
@@ -92,9 +92,9 @@
 WRITERS = {
     io.Send: lambda a: {"ATTEMPT": {"tid": a.request, "worker": a.worker}},
     io.Cancel: lambda a: {"STOP_ATTEMPT": {"tid": a.request, "try": a.attempt}},
-    io.Refuse: lambda a: {"SAY_NO": {"tid": a.request, "hold_off": a.hold_off_ms}},
+    io.Reject: lambda a: {"SAY_NO": {"tid": a.request, "hold_off": a.hold_off_ms}},
     io.Fail: lambda a: {"ERROR": {"tid": a.request}},
-    io.Hold: lambda a: {"MOUNT": {"worker": a.worker, "fn": a.function, "how_many": a.copies}},
+    io.OrderCopies: lambda a: {"MOUNT": {"worker": a.worker, "fn": a.function, "how_many": a.copies}},
     io.SetTimer: lambda a: {"NOTIFY_ME": {"sleep_for": a.delay_ms, "handle": a.token}},
     io.Log: lambda a: {"LOG": {"body_text": a.text}},
 }
--- a/fawnwharf/zones/evidence.py
+++ b/fawnwharf/zones/evidence.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, Struct
 
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 from fawnwharf.zones import settings as s
 
 Count = Annotated[int, Meta(ge=0, le=10_000_000)]
@@ -60,13 +60,13 @@
 _SLICES = 4  # of the window
 
 _KINDS = {
-    Ending.GOOD: "heard",
-    Ending.ERROR: "heard",
-    Ending.FULL: "heard",
-    Ending.MISS: "heard",
-    Ending.TIMEOUT: "silent",
-    Ending.CONNECT_FAILED: "refused",
-    Ending.RESET: "broken",
+    AttemptResult.GOOD: "heard",
+    AttemptResult.ERROR: "heard",
+    AttemptResult.FULL: "heard",
+    AttemptResult.MISS: "heard",
+    AttemptResult.TIMEOUT: "silent",
+    AttemptResult.CONNECT_FAILED: "refused",
+    AttemptResult.RESET: "broken",
 }
 
 
@@ -92,12 +92,12 @@
         self._slices: deque[_Slice] = deque()
         self._runs: dict[str, _Run] = {}
 
-    def ended(self, now_ms: float, zone: str, scorer: int, ending: Ending, took_ms: float) -> None:
+    def ended(self, now_ms: float, zone: str, scorer: int, ending: AttemptResult, took_ms: float) -> None:
         """Take the end of an attempt or a load order.
 
         A cancelled one tells only that nothing came for so long.
         """
-        if ending is Ending.CANCELLED and took_ms > self._promise_ms:
+        if ending is AttemptResult.CANCELLED and took_ms > self._promise_ms:
             self.sign(now_ms, zone, scorer, "silent")
         elif kind := _KINDS.get(ending):
             self.sign(now_ms, zone, scorer, kind)
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -178,7 +178,7 @@
         """Take the batch's evidence on zones."""
         now = monotonic_ms()
         for event in events:
-            if isinstance(event, io.AttemptEnded | io.OrderAnswered) and event.worker in self._zone_of:
+            if isinstance(event, io.AttemptEnded | io.LoadOrderAnswered) and event.worker in self._zone_of:
                 zone = self._zone_of[event.worker]
                 self.observer.ended(now, zone, event.worker, event.ending, event.took_ms)
 
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -3,10 +3,10 @@
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
 
-SAFE = io.ClassSpec("safe", 1000.0, 2500.0, io.Effect.SAFE)
-KEYED = io.ClassSpec("keyed", 1000.0, 4000.0, io.Effect.KEYED, io.Group.ZONE, 2500.0)
-UNSAFE = io.ClassSpec("unsafe", 1000.0, 4000.0, io.Effect.UNSAFE)
-SHORT = io.ClassSpec("short", 900.0, 1000.0, io.Effect.SAFE)
+SAFE = io.ClassSpec("safe", 1000.0, 2500.0, io.Effect.IDEMPOTENT)
+KEYED = io.ClassSpec("keyed", 1000.0, 4000.0, io.Effect.DEDUPLICATED, io.DeduplicationGroup.ZONE, 2500.0)
+UNSAFE = io.ClassSpec("unsafe", 1000.0, 4000.0, io.Effect.AT_MOST_ONCE)
+SHORT = io.ClassSpec("short", 900.0, 1000.0, io.Effect.IDEMPOTENT)
 
 
 class Drive:
@@ -18,7 +18,7 @@
         self.router = Router(io.Settings(classes=specs, **settings), seed)
         self.now = 0.0
         self.log = []
-        self.entries = [io.WorkerEntry(n, zone=zones[n % len(zones)]) for n in range(1, workers + 1)]
+        self.entries = [io.ScorerEntry(n, zone=zones[n % len(zones)]) for n in range(1, workers + 1)]
         self.feed(io.RosterChanged(self.entries, complete=True))
 
     def feed(self, *events):
@@ -38,27 +38,29 @@
     def ask(self, name, fn="f", spec="safe", budget=2500.0, lanes=1, load_ms=500.0, tenant=""):
         return self.feed(io.RequestArrived(name, fn, spec, tenant, budget, lanes, load_ms=load_ms))
 
-    def count(self, worker, copies, fn="f", ending=io.Ending.GOOD):
-        return self.feed(io.OrderAnswered(worker, fn, ending, copies, 1.0))
+    def count(self, worker, copies, fn="f", ending=io.AttemptResult.GOOD):
+        return self.feed(io.LoadOrderAnswered(worker, fn, ending, copies, 1.0))
 
     def answer_asks(self, actions, standing=None):
         """Answer each question with what stands there; the loads among the actions and all that follows."""
         standing = standing or {}
-        done = [action for action in actions if isinstance(action, io.Hold) and action.copies]
+        done = [action for action in actions if isinstance(action, io.OrderCopies) and action.copies]
         for action in actions:
-            if isinstance(action, io.Hold) and action.copies == 0:
+            if isinstance(action, io.OrderCopies) and action.copies == 0:
                 done += self.count(action.worker, standing.get(action.worker, 0), action.function)
         return done
 
-    def end(self, send, ending=io.Ending.GOOD, attempt=0, closed=None, warmth=io.Warmth.FOUND, crowd=None):
-        closed = ending is io.Ending.GOOD if closed is None else closed
+    def end(
+        self, send, ending=io.AttemptResult.GOOD, attempt=0, closed=None, warmth=io.Warmth.FOUND, crowd=None
+    ):
+        closed = ending is io.AttemptResult.GOOD if closed is None else closed
         return self.feed(
             io.AttemptEnded(send.request, attempt, send.worker, ending, 100.0, closed, warmth, crowd)
         )
 
     def warm(self, fn="f", lanes=1, spec="safe", load_ms=500):
         """A first request served, so that one worker holds a copy; that worker."""
-        loads = of(self.answer_asks(self.ask("first-" + fn, fn, spec, lanes=lanes)), io.Hold)
+        loads = of(self.answer_asks(self.ask("first-" + fn, fn, spec, lanes=lanes)), io.OrderCopies)
         self.now += load_ms
         [send] = of(self.count(loads[0].worker, 1, fn), io.Send)
         self.now += 100
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -116,7 +116,9 @@
     read = msgspec.convert(data, config._Deployment)
     assert json.loads(msgspec.json.encode(read)) == data and defaults_in(read) == []
     found = deployed(msgspec.json.encode(data))
-    gold = io.ClassSpec("gold", 300.0, 900.0, io.Effect.KEYED, io.Group.ZONE, 6000.0, 2.5, 0.25)
+    gold = io.ClassSpec(
+        "gold", 300.0, 900.0, io.Effect.DEDUPLICATED, io.DeduplicationGroup.ZONE, 6000.0, 2.5, 0.25
+    )
     assert found.settings == io.Settings(
         {"gold": gold}, {"acme": 200.0}, 4, "z1", 2.5, True, False, False, False, 3, 1500.0, 11000.0, True,
         1200.0, 4.5, 0.125, 10250.0, 0.25, 1100.0, 2.25,
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -51,7 +51,7 @@
             if to in self.cores:
                 self.carry(to, self.cores[to].line(self.now, sender, line))
 
-    def begin(self, name, key="k", effect=Effect.UNSAFE, **more):
+    def begin(self, name, key="k", effect=Effect.AT_MOST_ONCE, **more):
         more = {"promise_ms": 800.0, "budget_ms": 2_000.0} | more
         self.carry(name, self.cores[name].begin(self.now, key, effect, **more))
 
--- a/tests/support/change_log_front_end.py
+++ b/tests/support/change_log_front_end.py
@@ -63,7 +63,7 @@
         workers = self.front.router.workers
         found = {id: workers.get(worker_number(id)) for id in self.by_id}
         states = {id: worker.entry.state for id, worker in found.items() if worker}
-        return {id: state for id, state in states.items() if state is not io.State.GONE}
+        return {id: state for id, state in states.items() if state is not io.ScorerState.GONE}
 
     def move_to(self, peer):
         """Follow another change log from now on."""
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -157,11 +157,11 @@
 
         def answer(ending, copies):
             if (front := self.fronts.get(name)) and front.life == life:
-                event = io.OrderAnswered(what.worker, what.function, ending, copies, 0.0)
+                event = io.LoadOrderAnswered(what.worker, what.function, ending, copies, 0.0)
                 self.carry(name, front.answered(self.now, event))
 
-        if isinstance(what, io.Hold):
-            self.at(2.0, lambda: answer(io.Ending.GOOD, int(place in self.stands)))
+        if isinstance(what, io.OrderCopies):
+            self.at(2.0, lambda: answer(io.AttemptResult.GOOD, int(place in self.stands)))
             return
         if self.chance.random() < self.lost or (self.ration is not None and self.room(name) < 1):
             return  # the module has none to spare
@@ -173,7 +173,7 @@
             self.at(took, lambda: self._loaded(place))
         took = max(took, self.loading.get(place, self.now) - self.now)
         self.orders.append((self.now, name, what.function, True, self.now + took))
-        self.at(took + 1.0, lambda: answer(io.Ending.GOOD, 1))
+        self.at(took + 1.0, lambda: answer(io.AttemptResult.GOOD, 1))
 
     def _loaded(self, place):
         del self.loading[place]
--- a/tests/support/load_reports.py
+++ b/tests/support/load_reports.py
@@ -8,7 +8,7 @@
 def own(*cold, now=0.0, copies_ms=3_000.0):
     """The reports of one owner; the scorers `cold` are in slow start since `now`."""
     found = Own(4_000.0, 1_000.0, copies_ms)
-    entries = [io.WorkerEntry(n, up_since_ms=now if n in cold else None) for n in range(1, 10)]
+    entries = [io.ScorerEntry(n, up_since_ms=now if n in cold else None) for n in range(1, 10)]
     found.roster(now, now, entries, True)
     return found
 
--- a/tests/support/prefetch_driver.py
+++ b/tests/support/prefetch_driver.py
@@ -30,7 +30,7 @@
 
 def roster(workers, complete=True, **changes):
     """A change of the roster: scorers spread over the zones."""
-    return io.RosterChanged([io.WorkerEntry(n, zone=SITES[n % 3], **changes) for n in workers], complete)
+    return io.RosterChanged([io.ScorerEntry(n, zone=SITES[n % 3], **changes) for n in workers], complete)
 
 
 class Calls:
@@ -38,7 +38,9 @@
 
     count = 0
 
-    def events(self, row, site, org="club", warmth=io.Warmth.FOUND, ending=io.Ending.GOOD, worker=None):
+    def events(
+        self, row, site, org="club", warmth=io.Warmth.FOUND, ending=io.AttemptResult.GOOD, worker=None
+    ):
         """The events of one call."""
         self.count += 1
         worker = SITES.index(site) if worker is None else worker
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -8,9 +8,11 @@
 from fawnwharf.recovery_service.door import Door
 
 CLASSES = {
-    "settle": ClassSpec("settle", promise_ms=1_000.0, effect=Effect.UNSAFE, worth=5.0),
-    "keyed": ClassSpec("keyed", promise_ms=1_000.0, effect=Effect.KEYED, dedup_window_ms=3_000.0, worth=1.0),
-    "view": ClassSpec("view", promise_ms=1_000.0, effect=Effect.SAFE, worth=1.0),
+    "settle": ClassSpec("settle", promise_ms=1_000.0, effect=Effect.AT_MOST_ONCE, worth=5.0),
+    "keyed": ClassSpec(
+        "keyed", promise_ms=1_000.0, effect=Effect.DEDUPLICATED, dedup_window_ms=3_000.0, worth=1.0
+    ),
+    "view": ClassSpec("view", promise_ms=1_000.0, effect=Effect.IDEMPOTENT, worth=1.0),
 }
 WORTHS = {name: spec.worth for name, spec in CLASSES.items()}
 LIMITS = Limits(
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -58,7 +58,7 @@
         rig.front.table._classes = rig.front.deployment.settings.classes
         for number, peer in enumerate(peers, BY_POOL):
             rig.scorers.append(peer)
-            rig.front.pool.update(number, self.address(peer), io.State.READY, 0.0)
+            rig.front.pool.update(number, self.address(peer), io.ScorerState.READY, 0.0)
         self.told = []  # events, in order
         tell = rig.front.loop.tell
         rig.front.loop.tell = lambda event: self.told.append(event) or tell(event)
@@ -74,7 +74,7 @@
 
     def order_endings(self):
         """How orders ended, as the module was told."""
-        return [event.ending for event in self.told if isinstance(event, io.OrderAnswered)]
+        return [event.ending for event in self.told if isinstance(event, io.LoadOrderAnswered)]
 
     def link_up(self, rig, peer, worker=BY_POOL):
         """A first link to a scorer, with nothing open on it; and no spare."""
--- a/tests/support/session_front_ends.py
+++ b/tests/support/session_front_ends.py
@@ -23,7 +23,7 @@
 
 def ordered(router, event):
     """Stands for a decision module that does not know the event: it orders at once."""
-    router.actions.append(io.Hold(event.worker, event.function, event.copies))
+    router.actions.append(io.OrderCopies(event.worker, event.function, event.copies))
 
 
 class Held(Scorer):
@@ -49,8 +49,8 @@
     def __init__(self, folder, monkeypatch, zones="aabc", handover=None, drain=None, scorers=1, **more):
         self.folder, self.notes, self.clients, self.habits = folder, [], [], []
         monkeypatch.setattr(zones_log, "writer", self.writer)
-        if io.CopiesWanted not in Router.handlers:
-            monkeypatch.setitem(Router.handlers, io.CopiesWanted, ordered)
+        if io.PrefetchRequested not in Router.handlers:
+            monkeypatch.setitem(Router.handlers, io.PrefetchRequested, ordered)
         self.log = Log()
         self.scorers = [Held(f"s-{zone}{n}", zone) for zone in sorted(set(zones)) for n in range(scorers)]
         names = [f"{zone}{zones[:n].count(zone)}" for n, zone in enumerate(zones)]
--- a/tests/support/slow_start_world.py
+++ b/tests/support/slow_start_world.py
@@ -6,10 +6,10 @@
 from collections import defaultdict
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending, State, Warmth
+from fawnwharf.interface import AttemptResult, ScorerState, Warmth
 from fawnwharf.policy import Router
 
-SPEC = io.ClassSpec("view", 250.0, 300.0, io.Effect.SAFE)
+SPEC = io.ClassSpec("view", 250.0, 300.0, io.Effect.IDEMPOTENT)
 LANES = 4  # requests that a worker has at once; more are FULL
 AGAIN_MS, TRIES = 100.0, 4  # clients come again after a refusal
 COLD_MS, COLD_SHARE, FALL_MS, FALL_MULTIPLE = 8_000.0, 0.2, 1_500.0, 2.0
@@ -33,7 +33,7 @@
             "fleet_size": front_ends, "max_attempts": 3, "loads_on_miss": True, "cold_ms": COLD_MS,
             "cold_share": COLD_SHARE, "fall_ms": FALL_MS, "fall_multiple": FALL_MULTIPLE, **settings,
         }  # fmt: skip
-        self.entries = {n: io.WorkerEntry(n) for n in range(1, workers + 1)}
+        self.entries = {n: io.ScorerEntry(n) for n in range(1, workers + 1)}
         self.routers, self.lives, self.names = {}, defaultdict(int), {}
         self.busy, self.sends, self.last_start = defaultdict(int), defaultdict(list), {}
         self.tries, self.open, self.served = {}, {}, 0
@@ -77,13 +77,13 @@
 
     def leave(self, worker):
         """A worker goes, and every front end learns it at this moment."""
-        self.tell(io.WorkerEntry(worker, State.GONE), latest_ms=0.0)
+        self.tell(io.ScorerEntry(worker, ScorerState.GONE), latest_ms=0.0)
 
     def begin(self, worker):
         """A worker starts cold."""
         self.last_start[worker] = self.now
         self.sends[worker].clear()
-        self.tell(io.WorkerEntry(worker, up_since_ms=self.now))
+        self.tell(io.ScorerEntry(worker, up_since_ms=self.now))
 
     def kill(self, n):
         """A front end ends without warning; what it had open is lost."""
@@ -117,12 +117,14 @@
         life = self.lives[n]
         if isinstance(action, io.SetTimer):
             self.later(action.delay_ms, self.feed, n, life, io.TimerDue(action.token))
-        elif isinstance(action, io.Refuse | io.Fail):
+        elif isinstance(action, io.Reject | io.Fail):
             fn, tried = self.tries.pop((n, action.request))
             if tried < TRIES:
                 self.later(AGAIN_MS, self.ask, n, fn, tried + 1)
-        elif isinstance(action, io.Hold):
-            answer = io.OrderAnswered(action.worker, action.function, Ending.GOOD, max(1, action.copies), 1.0)
+        elif isinstance(action, io.OrderCopies):
+            answer = io.LoadOrderAnswered(
+                action.worker, action.function, AttemptResult.GOOD, max(1, action.copies), 1.0
+            )
             self.later(1.0, self.feed, n, life, answer)
         elif isinstance(action, io.Send):
             self.send(n, life, action)
@@ -136,13 +138,13 @@
         number = self.open[key] = self.open.get(key, -1) + 1
         full = self.busy[worker] >= LANES
         run_ms = LANES * 1000.0 / (self.rate * self.warmth(worker)) * (0.5 + self.random.random())
-        took, ending = (2.0, Ending.FULL) if full else (run_ms, Ending.GOOD)
+        took, ending = (2.0, AttemptResult.FULL) if full else (run_ms, AttemptResult.GOOD)
         self.busy[worker] += not full
         self.later(took, self.end, n, life, send, number, ending, took)
 
     def end(self, n, life, send, number, ending, took):
         """The attempt is over, and its front end learns how it ended."""
-        good = ending is Ending.GOOD
+        good = ending is AttemptResult.GOOD
         self.busy[send.worker] -= good
         self.served += good
         ended = io.AttemptEnded(send.request, number, send.worker, ending, took, good, Warmth.FOUND)
@@ -197,7 +199,7 @@
         self.now, self.swell, self.entries = (
             0.0,
             swell,
-            [io.WorkerEntry(n) for n in range(1, self.WORKERS + 1)],
+            [io.ScorerEntry(n) for n in range(1, self.WORKERS + 1)],
         )
         self.routers = [self.router() for _ in range(front_ends)]
         self.uneven = [self.random.lognormvariate(0.0, 1.5) for _ in range(front_ends)]
@@ -222,20 +224,20 @@
         self.count += 1
         name, fn = f"r{self.count}", f"f{self.random.randrange(30)}"
         actions = router.handle(self.now, [io.RequestArrived(name, fn, "view", "", 300.0)])
-        for hold in [action for action in actions if isinstance(action, io.Hold)]:
-            answer = io.OrderAnswered(hold.worker, fn, Ending.GOOD, max(1, hold.copies), 1.0)
+        for hold in [action for action in actions if isinstance(action, io.OrderCopies)]:
+            answer = io.LoadOrderAnswered(hold.worker, fn, AttemptResult.GOOD, max(1, hold.copies), 1.0)
             actions = actions + router.handle(self.now, [answer])
         for send in [action for action in actions if isinstance(action, io.Send) and served]:
-            end = io.AttemptEnded(name, 0, send.worker, Ending.GOOD, 50.0, True, Warmth.FOUND)
+            end = io.AttemptEnded(name, 0, send.worker, AttemptResult.GOOD, 50.0, True, Warmth.FOUND)
             router.handle(self.now, [end])
-        router.handle(self.now, [io.ClientLeft(name)])
+        router.handle(self.now, [io.RequestCancelled(name)])
 
     def begin(self, workers):
         """These start cold, after a time in which nothing was sent to them."""
         self.now += 1.0
         self.began_ms = self.now
         for n in workers:
-            self.entries[n - 1] = io.WorkerEntry(n, up_since_ms=self.now)
+            self.entries[n - 1] = io.ScorerEntry(n, up_since_ms=self.now)
         for router in self.routers:
             router.handle(
                 self.now, [io.RosterChanged([self.entries[n - 1] for n in workers], complete=False)]
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -20,9 +20,9 @@
         self.assertNotIn(key, rig.front.table.open)
         wait(rig, 100.0)
         self.assertEqual(scorer.runs, [])
-        self.assertEqual([event.request for event in self.told(io.ClientLeft)], [key])
+        self.assertEqual([event.request for event in self.told(io.RequestCancelled)], [key])
         [ended] = self.told(io.AttemptEnded)
-        self.assertEqual((ended.request, ended.ending), (key, io.Ending.NOT_SENT))
+        self.assertEqual((ended.request, ended.ending), (key, io.AttemptResult.NOT_SENT))
 
     def test_a_send_for_a_client_that_left_while_reading_was_paused_is_not_made(self):
         scorer = ScorerPeer(copies=None)
@@ -95,8 +95,8 @@
         client.sock.close()
         client.ended = True
         rig.until(lambda: not rig.front.table.open, "its request is withdrawn")
-        rig.until(lambda: self.told(io.ClientLeft), "the module hears of it")
-        self.assertEqual([event.request for event in self.told(io.ClientLeft)], [key])
+        rig.until(lambda: self.told(io.RequestCancelled), "the module hears of it")
+        self.assertEqual([event.request for event in self.told(io.RequestCancelled)], [key])
 
     def test_a_client_that_stays_while_reading_is_paused_keeps_its_request(self):
         rig = self.rig(ScorerPeer(copies=None))
@@ -143,7 +143,7 @@
         client.sock.close()
         client.ended = True
         runs = len(scorer.runs)
-        rig.until(lambda: self.told(io.ClientLeft) or not rig.front.port.clients, "its end is seen")
+        rig.until(lambda: self.told(io.RequestCancelled) or not rig.front.port.clients, "its end is seen")
         wait(rig, 100.0)
         scorer.pump()
         self.assertEqual(len(scorer.runs), runs)
--- a/tests/test_client_gone_sends.py
+++ b/tests/test_client_gone_sends.py
@@ -27,7 +27,7 @@
                 client, key = self.asked(rig)
                 rig.front.table.send(io.Send(key, BY_POOL))
                 self.leave(rig, client, key, how)
-                self.assertEqual(self.endings(), [io.Ending.NOT_SENT])
+                self.assertEqual(self.endings(), [io.AttemptResult.NOT_SENT])
                 rig.until(lambda rig=rig: all(link.up for link in self.links(rig)), "the dial is up")
                 rig.settle(rig.client())
                 self.assertEqual(scorer.frames, [])
@@ -44,7 +44,7 @@
                 self.turn(rig)
                 self.assertEqual(len(link.streams), 1)
                 self.leave(rig, client, key, "withdraw")
-                self.assertEqual((self.endings(), link.streams), ([io.Ending.NOT_SENT], {}))
+                self.assertEqual((self.endings(), link.streams), ([io.AttemptResult.NOT_SENT], {}))
                 self.assertEqual(link.connection.waiting_bytes, 0)
                 self.unblock(blocked)
                 rig.settle(rig.client())
@@ -73,7 +73,7 @@
         first.answer(first.runs[0], body=b"served")
         rig.front.table.send(io.Send(key, BY_POOL + 1))
         self.read(link.connection)
-        self.assertEqual(self.endings(), [io.Ending.GOOD, io.Ending.NOT_SENT])
+        self.assertEqual(self.endings(), [io.AttemptResult.GOOD, io.AttemptResult.NOT_SENT])
         rig.until(lambda: client.answers and second.links, "it is answered")
         rig.settle(client)
         self.assertEqual(second.frames, [])
@@ -85,7 +85,7 @@
         self.leave(rig, client, key, "close")
         rig.front.table.begin_batch()
         rig.front.table.send(io.Send(key, BY_POOL))
-        self.assertEqual(self.endings(), [io.Ending.NOT_SENT])
+        self.assertEqual(self.endings(), [io.AttemptResult.NOT_SENT])
         self.turn(rig)
         self.assertEqual((scorer.links, scorer.frames), ([], []))
 
@@ -99,10 +99,10 @@
         if linked:
             self.link_up(rig, scorer)
         if not before:
-            rig.front.table.order(io.Hold(BY_POOL, ROW, copies))
+            rig.front.table.order(io.OrderCopies(BY_POOL, ROW, copies))
         clients = [self.asked(rig) for _ in range(asked)]
         if before:
-            rig.front.table.order(io.Hold(BY_POOL, ROW, copies))
+            rig.front.table.order(io.OrderCopies(BY_POOL, ROW, copies))
         return rig, scorer, clients
 
     def test_one_made_for_it_is_taken_back(self):
@@ -110,7 +110,7 @@
             with self.subTest(linked=linked, how=how):
                 rig, scorer, [(client, key)] = self.ordered(linked)
                 self.leave(rig, client, key, how)
-                self.assertEqual(self.order_endings(), [io.Ending.NOT_SENT])
+                self.assertEqual(self.order_endings(), [io.AttemptResult.NOT_SENT])
                 rig.until(lambda rig=rig: all(link.up for link in self.links(rig)), "the dial is up")
                 rig.settle(rig.client())
                 self.assertEqual((scorer.frames, rig.front.table._orders), ([], {}))
@@ -127,7 +127,7 @@
         rig.until(lambda: scorer.of(scorer_frames.ENSURE), "the question goes out")
         scorer = ScorerPeer(copies=None)
         rig = self.rig(scorer)
-        rig.front.table.order(io.Hold(BY_POOL, ROW, 1))
+        rig.front.table.order(io.OrderCopies(BY_POOL, ROW, 1))
         call = Call(b"12345678", "view", "acme", ROW, 8000.0, b"", "", 1, None, None, lambda outcome: None)
         rig.front.table.withdraw(rig.front.table.take(call))
         rig.until(lambda: scorer.of(scorer_frames.ENSURE), "the order goes out")
@@ -138,8 +138,8 @@
         client, key = self.asked(rig)
         self.leave(rig, client, key, "withdraw")
         rig.front.table.begin_batch()
-        rig.front.table.order(io.Hold(BY_POOL, ROW, 1))
-        self.assertEqual(self.order_endings(), [io.Ending.NOT_SENT])
+        rig.front.table.order(io.OrderCopies(BY_POOL, ROW, 1))
+        self.assertEqual(self.order_endings(), [io.AttemptResult.NOT_SENT])
         self.turn(rig)
         self.assertEqual((scorer.links, scorer.frames), ([], []))
 
@@ -149,7 +149,7 @@
         _, key = self.asked(rig)
         rig.front.table.fail(io.Fail(key))
         rig.front.table.begin_batch()
-        rig.front.table.order(io.Hold(BY_POOL, ROW, 1))
+        rig.front.table.order(io.OrderCopies(BY_POOL, ROW, 1))
         rig.until(lambda: scorer.of(scorer_frames.ENSURE), "it goes out")
 
     def test_the_module_holds_one_taken_back_for_no_load_under_way(self):
--- a/tests/test_client_slow.py
+++ b/tests/test_client_slow.py
@@ -72,7 +72,7 @@
         rig.until(lambda: rig.front.table.open, "the request is read")
         client.call(seqid=2, body=b"z" * 16_000, call=f"{2:016x}")
         client.withdraw(1)
-        rig.until(lambda: self.told(io.ClientLeft), "the withdrawal behind another request is seen")
+        rig.until(lambda: self.told(io.RequestCancelled), "the withdrawal behind another request is seen")
         rig.until(lambda: len(arrivals(self)) == 2, "and that request")
         self.assertEqual(len(rig.front.table.open), 1)
 
--- a/tests/test_discovery_life.py
+++ b/tests/test_discovery_life.py
@@ -12,7 +12,7 @@
 from fawnwharf.net import change_log
 from fawnwharf.net.connection import Connection
 
-READY, DRAINING = io.State.READY, io.State.DRAINING
+READY, DRAINING = io.ScorerState.READY, io.ScorerState.DRAINING
 
 
 @pytest.fixture
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -10,7 +10,7 @@
 from fawnwharf.net import change_log
 from fawnwharf.net.front_end import worker_number
 
-READY, DRAINING = io.State.READY, io.State.DRAINING
+READY, DRAINING = io.ScorerState.READY, io.ScorerState.DRAINING
 
 
 @pytest.fixture
--- a/tests/test_elsewhere.py
+++ b/tests/test_elsewhere.py
@@ -11,7 +11,7 @@
 from fawnwharf.replication.elsewhere import COPIES_MOST, NEWS_MOST
 from fawnwharf.replication.others import PLACES_MOST, Owner, View, Words
 
-GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
+GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
 
 
 # --- what an owner tells ------------------------------------------------------------------------
@@ -52,10 +52,10 @@
         mine.ended(float(at), 1, "f", GOOD, UNTOLD)
         told += [(at, copy.copies) for copy in mine.word(float(at), {}).copies]
     assert told == [(0, 1), (1_000, 1), (2_000, 1)]
-    mine.ended(3_000.0, 1, "f", io.Ending.MISS, UNTOLD)
+    mine.ended(3_000.0, 1, "f", io.AttemptResult.MISS, UNTOLD)
     assert mine.word(3_000.0, {}).copies == (m.Copy(1, "f", 0, 0.0),)
-    mine.ended(3_100.0, 1, "f", io.Ending.TIMEOUT, UNTOLD)
-    mine.order_ended(3_100.0, 1, "f", 0, io.Ending.RESET, 0)
+    mine.ended(3_100.0, 1, "f", io.AttemptResult.TIMEOUT, UNTOLD)
+    mine.order_ended(3_100.0, 1, "f", 0, io.AttemptResult.RESET, 0)
     assert mine.word(3_200.0, {}).copies == ()  # neither proves anything
 
 
@@ -63,11 +63,11 @@
     mine = own()
     for worker in (1, 2, 3):
         mine.ended(0.0, worker, "f", GOOD, UNTOLD)
-    mine.roster(100.0, 5_100.0, [io.WorkerEntry(1, up_since_ms=5_050.0)], False)
-    mine.roster(100.0, 5_100.0, [io.WorkerEntry(2, state=io.State.GONE)], False)
+    mine.roster(100.0, 5_100.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], False)
+    mine.roster(100.0, 5_100.0, [io.ScorerEntry(2, state=io.ScorerState.GONE)], False)
     assert [copy.worker for copy in mine.word(100.0, {}).copies] == [3]
     assert mine.cold(100.0) == {1} and 2 not in mine.known
-    mine.roster(200.0, 5_200.0, [io.WorkerEntry(1, up_since_ms=5_050.0)], True)
+    mine.roster(200.0, 5_200.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], True)
     assert mine.known == {1} and mine.cold(200.0) == {1}
 
 
@@ -82,7 +82,7 @@
     assert word.cut == COPIES_MOST - NEWS_MOST + 512 - 64 == mine.cut
     assert [copy.function for copy in mine.word(1_201.0, {}).copies][0] == f"f{1_199 - NEWS_MOST}"
     for n in range(100):
-        mine.roster(0.0, 0.0, [io.WorkerEntry(100 + n, up_since_ms=0.0)], False)
+        mine.roster(0.0, 0.0, [io.ScorerEntry(100 + n, up_since_ms=0.0)], False)
         mine.sent(1_200.0, 100 + n)
     assert len(mine.word(1_201.0, {}).sent) == 64
 
--- a/tests/test_elsewhere_answers.py
+++ b/tests/test_elsewhere_answers.py
@@ -11,7 +11,7 @@
 from fawnwharf.replication.others import View, Words, enough
 from fawnwharf.zones.settings import FileFault
 
-GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
+GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
 
 
 def others(number, heard=6, sent=None, answer=None, age=10.0, loading=(), copies=()):
@@ -32,18 +32,20 @@
     view.heard("k", 1, others(1, 5, {"7": 4, "8": 9}))
     assert view.changes(10.0, {7}, {7, 8}, 6) == []
     view.heard("k", 1, others(2, 6, {"7": 4, "8": 9}))
-    assert view.changes(10.0, {7}, {7, 8}, 6) == [io.Elsewhere(7, 4, {}, (), 20.0)]
+    assert view.changes(10.0, {7}, {7, 8}, 6) == [io.RemoteLoadReport(7, 4, {}, (), 20.0)]
     assert view.changes(10.0, {7}, {7, 8}, 6) == []  # it was told
-    assert view.changes(10.0, {7}, {7, 8}, 9) == [io.Elsewhere(7, None, {}, (), 0.0)]
+    assert view.changes(10.0, {7}, {7, 8}, 9) == [io.RemoteLoadReport(7, None, {}, (), 0.0)]
     view.heard("j", 1, others(3, 6, {"7": 1}))
     assert view.changes(20.0, {7}, {7, 8}, 6)[0].sent == 4  # as good as the other one
-    assert view.changes(995.0, {7}, {7, 8}, 6) == [io.Elsewhere(7, None, {}, (), 0.0)]  # all of it is old
+    assert view.changes(995.0, {7}, {7, 8}, 6) == [
+        io.RemoteLoadReport(7, None, {}, (), 0.0)
+    ]  # all of it is old
 
 
 def test_a_cold_scorer_to_which_nobody_sent_is_known_to_have_room():
     view = asked(1)
     view.heard("k", 1, others(1))
-    assert view.changes(10.0, {7}, {7}, 6) == [io.Elsewhere(7, 0, {}, (), 20.0)]
+    assert view.changes(10.0, {7}, {7}, 6) == [io.RemoteLoadReport(7, 0, {}, (), 20.0)]
 
 
 def test_answers_repeated_reordered_or_to_no_word_of_ours_change_nothing():
@@ -95,9 +97,9 @@
     assert found[1].copies == {"g": 1} and found[2].loading == ("h",) and 99 not in found
     assert view.copies == 2
     gone = {event.worker: event for event in view.changes(1_001.0, set(), {1, 2}, 6)}
-    assert gone == {2: io.Elsewhere(2, None, {}, (), 0.0)}
+    assert gone == {2: io.RemoteLoadReport(2, None, {}, (), 0.0)}
     assert view.changes(2_940.0, set(), {1, 2}, 6) == []
-    assert view.changes(2_951.0, set(), {1, 2}, 6) == [io.Elsewhere(1, None, {}, (), 0.0)]
+    assert view.changes(2_951.0, set(), {1, 2}, 6) == [io.RemoteLoadReport(1, None, {}, (), 0.0)]
     assert view.changes(2_981.0, set(), {1, 2}, 6) == []
     assert view.copies == 0 and view.changes(3_000.0, set(), {1, 2}, 6) == []
 
@@ -107,7 +109,10 @@
     copies = (m.Copy(7, "f", 1, 40.0), m.Copy(7, "g", 2, 400.0), m.Copy(8, "g", 2, 400.0))
     view.heard("k", 1, others(1, sent={"7": 3}, copies=copies))
     found = {event.worker: event for event in view.changes(50.0, {7}, {7, 8}, 6)}
-    assert found == {7: io.Elsewhere(7, 3, {"f": 1}, (), 90.0), 8: io.Elsewhere(8, None, {"g": 2}, (), 450.0)}
+    assert found == {
+        7: io.RemoteLoadReport(7, 3, {"f": 1}, (), 90.0),
+        8: io.RemoteLoadReport(8, None, {"g": 2}, (), 450.0),
+    }
 
 
 def test_what_stays_the_same_is_told_again_when_it_is_fresher():
--- a/tests/test_fair_turns.py
+++ b/tests/test_fair_turns.py
@@ -51,7 +51,7 @@
         client = rig.client()
         client.sock.sendall(pairs(60))
         rig.settle(client)
-        self.assertEqual(self.told(io.RequestArrived, io.ClientLeft), [])
+        self.assertEqual(self.told(io.RequestArrived, io.RequestCancelled), [])
         self.assertEqual((len(rig.front.router.taken), rig.front.table.open), (0, {}))
         self.assertEqual([kind for seqid, kind, _ in client.answers if seqid < 1000], [])
 
@@ -66,7 +66,7 @@
         reads = -(-len(data) // clients.READ_MOST)
         self.assertLess(reads, 10)
         self.assertLessEqual(len(rig.front.router.taken), reads)
-        self.assertEqual(len(self.told(io.RequestArrived)), len(self.told(io.ClientLeft)))
+        self.assertEqual(len(self.told(io.RequestArrived)), len(self.told(io.RequestCancelled)))
         self.assertEqual(rig.front.table.open, {})
 
     def test_pairs_spread_over_many_sockets_are_unknown_to_the_module_too(self):
@@ -77,7 +77,7 @@
             client.sock.sendall(pairs(5))
         for client in crowd:
             rig.settle(client)
-        self.assertEqual(self.told(io.RequestArrived, io.ClientLeft), [])
+        self.assertEqual(self.told(io.RequestArrived, io.RequestCancelled), [])
 
     def test_a_withdrawal_in_a_later_turn_is_told(self):
         rig = self.rig(ScorerPeer())
@@ -86,7 +86,7 @@
         client.sock.sendall(handle(1) + last[:10])
         rig.until(lambda: self.told(io.RequestArrived), "the call is heard of")
         client.sock.sendall(last[10:])
-        rig.until(lambda: self.told(io.ClientLeft), "and that it was withdrawn")
+        rig.until(lambda: self.told(io.RequestCancelled), "and that it was withdrawn")
         self.assertEqual(rig.front.table.open, {})
 
     def test_withdrawals_of_numbers_that_are_not_open_touch_nothing(self):
@@ -100,7 +100,7 @@
         scorer.answer(scorer.runs[0], body=b"answer")
         rig.until(lambda: good.answers, "the good client's answer comes")
         self.assertEqual(len(self.told(io.RequestArrived)), 1)
-        self.assertEqual(self.told(io.ClientLeft), [])
+        self.assertEqual(self.told(io.RequestCancelled), [])
 
     def test_what_is_left_keeps_its_order(self):
         told = []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from bench import Drive, of
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 
 SOLD = {"t": 100.0}
 
@@ -22,7 +22,7 @@
 def standing(drive, actions):
     """Carry out questions and orders where copies of everything stand; the sends that follow."""
     sends = of(actions, io.Send)
-    for hold in of(actions, io.Hold):
+    for hold in of(actions, io.OrderCopies):
         sends += standing(drive, drive.count(hold.worker, 1, hold.function))
     return sends
 
@@ -51,7 +51,7 @@
     sent = []
     for drive in drives:
         drive.now = 20_000.0
-        drive.feed(io.RosterChanged([io.WorkerEntry(n, up_since_ms=20_000.0) for n in range(1, 21)], False))
+        drive.feed(io.RosterChanged([io.ScorerEntry(n, up_since_ms=20_000.0) for n in range(1, 21)], False))
         for n in range(10):
             drive.now += 100.0
             sent += [(drive.now, s.worker) for s in standing(drive, drive.ask(f"r{n}", tenant="t"))]
@@ -69,7 +69,7 @@
     drive.now += 60_000.0  # so rare that one worker is enough
     [send] = standing(drive, drive.ask("full", tenant="t"))
     assert send.worker == home
-    again = standing(drive, drive.end(send, Ending.FULL, closed=False))
+    again = standing(drive, drive.end(send, AttemptResult.FULL, closed=False))
     again += standing(drive, drive.sweep(drive.now + 200))
     assert [(a.request, a.worker != home) for a in again] == [("full", True)]
     drive.end(again[0], attempt=1)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -8,7 +8,7 @@
 
 from fawnwharf import config
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 from fawnwharf.net import scorers
 
 SOLD = {"t": 400.0}
@@ -25,25 +25,25 @@
 class Questions(unittest.TestCase):
     def test_no_front_end_asks_after_a_copy_that_the_others_calls_keep(self):
         firsts = [drive.ask("r", fn="f", tenant="t") for drive in drives()]
-        self.assertEqual([], [hold for actions in firsts for hold in of(actions, io.Hold)])
+        self.assertEqual([], [hold for actions in firsts for hold in of(actions, io.OrderCopies)])
         self.assertEqual(1, len({send.worker for actions in firsts for send in of(actions, io.Send)}))
 
     def test_a_few_front_ends_ask_as_ever(self):
         few = Drive(WORKERS, fleet_size=2, quotas_rps=SOLD, loads_on_miss=True)
-        self.assertTrue(of(few.ask("r", tenant="t"), io.Hold))
+        self.assertTrue(of(few.ask("r", tenant="t"), io.OrderCopies))
 
     def test_a_run_longer_than_usual_is_no_silence(self):
         drive = drives(1)[0]
         drive.ask("r", tenant="t")
-        self.assertEqual([], of(drive.sweep(600.0), io.Hold))
-        self.assertTrue(of(drive.sweep(2_000.0), io.Hold))
+        self.assertEqual([], of(drive.sweep(600.0), io.OrderCopies))
+        self.assertTrue(of(drive.sweep(2_000.0), io.OrderCopies))
 
     def test_a_held_call_waits_a_run_before_it_races_a_load(self):
         drive = drives(1)[0]
         drive.ask("first", tenant="t")
         second = drive.ask("second", tenant="t")
-        self.assertEqual([], of(second, io.Hold) + of(second, io.Send))
-        self.assertTrue(any(load.copies for load in of(drive.sweep(400.0), io.Hold)))
+        self.assertEqual([], of(second, io.OrderCopies) + of(second, io.Send))
+        self.assertTrue(any(load.copies for load in of(drive.sweep(400.0), io.OrderCopies)))
 
 
 class Places(unittest.TestCase):
@@ -78,7 +78,7 @@
                 )
                 drive.sweep(2_500.0)
                 drive.ask("wide", tenant="t")
-                drive.feed(io.ClientLeft("wide"))
+                drive.feed(io.RequestCancelled("wide"))
                 drive.router.functions["f"].crowd = 9.0
                 for worker in drive.router.ready:
                     worker.strain, worker.strain_ms = strain if worker.entry.zone == "a" else 1.0, drive.now
@@ -98,7 +98,7 @@
             [send] = of(drive.ask(f"first{n}", fn=f"f{n}", tenant="t"), io.Send)
             homes[f"f{n}"] = send.worker
             drive.end(send)
-        drive.feed(io.RosterChanged([io.WorkerEntry(n) for n in range(WORKERS + 1, 2 * WORKERS)], False))
+        drive.feed(io.RosterChanged([io.ScorerEntry(n) for n in range(WORKERS + 1, 2 * WORKERS)], False))
         order = {name: drive.router._ordered(drive.router.functions[name])[0].id for name in homes}
         displaced = [name for name in homes if order[name] != homes[name]]
         self.assertGreaterEqual(len(displaced), 2)
@@ -131,7 +131,7 @@
         self.assertEqual([], [worker.id for worker in drive.router.ready if worker.sign_ms and worker.id > 3])
         drive.router.actions.clear()
         drive.router._suspect(drive.router.workers[5])
-        self.assertEqual([7], [hold.worker for hold in of(drive.router.actions, io.Hold)])
+        self.assertEqual([7], [hold.worker for hold in of(drive.router.actions, io.OrderCopies)])
         drive.sweep(drive.now + 200.0)
         zone = {worker.id for worker in drive.router.ready if worker.suspect_ms is not None}
         self.assertEqual({1, 3, 5, 7}, zone)
@@ -140,7 +140,7 @@
         drive = self.drive()
         for worker in (1, 3, 5):
             drive.router._suspect(drive.router.workers[worker])
-        [question] = of(drive.router.actions, io.Hold)
+        [question] = of(drive.router.actions, io.OrderCopies)
         drive.count(question.worker, 1, question.function)
         drive.sweep(drive.now + 200.0)
         self.assertIsNone(drive.router.workers[7].suspect_ms)
@@ -163,9 +163,9 @@
 
 
 class Strain(unittest.TestCase):
-    def served(self, drive, name, took, ending=Ending.GOOD, fn="f"):
+    def served(self, drive, name, took, ending=AttemptResult.GOOD, fn="f"):
         [send] = of(drive.ask(name, fn=fn, tenant="t"), io.Send)
-        closed = ending is Ending.GOOD
+        closed = ending is AttemptResult.GOOD
         drive.feed(io.AttemptEnded(name, 0, send.worker, ending, took, closed, io.Warmth.FOUND))
         return send.worker
 
@@ -176,8 +176,8 @@
             home = self.served(drive, f"calm{n}", 100.0)
         for n in range(2):
             drive.now += 500.0
-            self.served(drive, f"slow{n}", 900.0, Ending.CANCELLED)
-            drive.feed(io.ClientLeft(f"slow{n}"))
+            self.served(drive, f"slow{n}", 900.0, AttemptResult.CANCELLED)
+            drive.feed(io.RequestCancelled(f"slow{n}"))
         drive.sweep(drive.now + 1_100.0)
         self.assertNotEqual(home, of(drive.ask("next", tenant="t"), io.Send)[0].worker)
 
@@ -192,7 +192,7 @@
         drive = drives(1)[0]
         drive.sweep(2_500.0)
         [send] = of(drive.ask("r", tenant="t"), io.Send)
-        [again] = of(drive.end(send, Ending.FULL, closed=False), io.Send)
+        [again] = of(drive.end(send, AttemptResult.FULL, closed=False), io.Send)
         self.assertNotEqual(send.worker, again.worker)
 
 
@@ -202,7 +202,7 @@
         sent = Counter()
         for drive in drives(**rules):
             drive.now = 20_000.0
-            fresh = [io.WorkerEntry(n, up_since_ms=20_000.0) for n in range(1, WORKERS // 2 + 1)]
+            fresh = [io.ScorerEntry(n, up_since_ms=20_000.0) for n in range(1, WORKERS // 2 + 1)]
             drive.feed(io.RosterChanged(fresh, False))
             for n in range(8):
                 drive.now += 125.0
@@ -221,8 +221,8 @@
                 drive.now += 5_000.0 / calls
                 for send in of(drive.ask(f"r{n}", fn=f"f{n}", tenant="t"), io.Send):
                     drive.end(send, ending)
-                drive.feed(io.ClientLeft(f"r{n}"))
-            drive.feed(io.RosterChanged([io.WorkerEntry(1, up_since_ms=drive.now)], False))
+                drive.feed(io.RequestCancelled(f"r{n}"))
+            drive.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=drive.now)], False))
             cold = drive.router.workers[1]
             while drive.router._within_cold_budget(cold):
                 cold.sent.append(drive.now)
@@ -231,12 +231,12 @@
 
     def test_clients_that_all_come_again_bring_a_cold_worker_no_more_than_is_sold(self):
         part = 2.0 * 0.2 * sum(SOLD.values()) / WORKERS
-        storm = self.allowed(200, Ending.CANCELLED)  # four times what is sold, and nothing is answered
+        storm = self.allowed(200, AttemptResult.CANCELLED)  # four times what is sold, and nothing is answered
         self.assertLessEqual(storm, part + 3)
         self.assertGreaterEqual(storm, part - 3)
 
     def test_front_ends_that_have_more_answered_may_send_a_cold_worker_more(self):
-        self.assertGreater(self.allowed(200, Ending.GOOD), self.allowed(50, Ending.GOOD) + 3)
+        self.assertGreater(self.allowed(200, AttemptResult.GOOD), self.allowed(50, AttemptResult.GOOD) + 3)
 
 
 class Handshakes(unittest.TestCase):
--- a/tests/test_link_writes.py
+++ b/tests/test_link_writes.py
@@ -85,7 +85,7 @@
     def assert_never_sent(self, rig, scorer):
         rig.until(lambda: self.endings(), "it ends")
         rig.settle(rig.client())
-        self.assertEqual((self.endings(), scorer.frames), ([io.Ending.NOT_SENT], []))
+        self.assertEqual((self.endings(), scorer.frames), ([io.AttemptResult.NOT_SENT], []))
 
     def test_as_it_is_placed(self):
         scorer = ScorerPeer()
@@ -94,7 +94,7 @@
         _, key = self.asked(rig)
         self.clock.advance(WITHIN_MS)
         rig.front.table.send(io.Send(key, BY_POOL, WITHIN_MS))
-        self.assertEqual(self.endings(), [io.Ending.NOT_SENT])
+        self.assertEqual(self.endings(), [io.AttemptResult.NOT_SENT])
         self.assert_never_sent(rig, scorer)
 
     def test_as_a_connection_comes_up(self):
@@ -105,7 +105,7 @@
         self.clock.advance(WITHIN_MS)
         self.assertTrue(link.connection._sock.getpeername())  # it is up, and that is read first
         link.connection._ready(0)
-        self.assertEqual(self.endings(), [io.Ending.NOT_SENT])
+        self.assertEqual(self.endings(), [io.AttemptResult.NOT_SENT])
         self.assert_never_sent(rig, scorer)
 
     def test_as_it_is_about_to_be_written(self):
@@ -117,7 +117,7 @@
                 self.sent(rig, **more)
                 self.clock.advance(span_ms)
                 link.connection.flush()  # before a timer has run
-                self.assertEqual((self.endings(), link.streams), ([io.Ending.NOT_SENT], {}))
+                self.assertEqual((self.endings(), link.streams), ([io.AttemptResult.NOT_SENT], {}))
                 self.assertEqual(link.connection.waiting_bytes, 0)
                 self.assert_never_sent(rig, scorer)
 
@@ -142,7 +142,7 @@
             self.sent(rig, within_ms=WITHIN_MS)
             self.clock.advance(WITHIN_MS + 5.0)
             self.turn(rig, times=1)
-            self.assertEqual((self.endings(), link.streams), ([io.Ending.NOT_SENT], {}))
+            self.assertEqual((self.endings(), link.streams), ([io.AttemptResult.NOT_SENT], {}))
         self.assert_never_sent(rig, scorer)
 
     def test_as_its_link_ended_and_another_is_to_be_dialled(self):
@@ -152,7 +152,7 @@
         self.sent(rig, within_ms=WITHIN_MS)
         self.clock.advance(WITHIN_MS)
         link.connection.close(End.CLOSED_BY_PEER)
-        self.assertEqual((self.endings(), self.links(rig)), ([io.Ending.NOT_SENT], []))
+        self.assertEqual((self.endings(), self.links(rig)), ([io.AttemptResult.NOT_SENT], []))
 
     def test_one_that_began_in_time_goes_on_until_its_deadline(self):
         scorer = ScorerPeer()
@@ -164,7 +164,7 @@
         self.assertEqual(self.endings(), [])
         scorer.answer(scorer.runs[0])
         rig.until(lambda: self.endings(), "it is answered")
-        self.assertEqual(self.endings(), [io.Ending.GOOD])
+        self.assertEqual(self.endings(), [io.AttemptResult.GOOD])
 
     def test_one_that_began_in_time_ends_at_its_deadline(self):
         scorer = ScorerPeer()
@@ -266,8 +266,8 @@
             self.clock.advance(scorer_links.PART_MOST_MS + 5.0)
             rig.until(lambda link=link: link.connection.closed, "its link ends")
             endings[op] = self.endings()
-        never = [io.Ending.CONNECT_FAILED]
-        self.assertEqual(endings, {"view": never, "save": never, "settle": [io.Ending.RESET]})
+        never = [io.AttemptResult.CONNECT_FAILED]
+        self.assertEqual(endings, {"view": never, "save": never, "settle": [io.AttemptResult.RESET]})
 
     def test_a_client_that_reads_slowly_keeps_its_connection(self):
         rig = self.rig()
--- a/tests/test_load_order_client_gone.py
+++ b/tests/test_load_order_client_gone.py
@@ -26,7 +26,7 @@
     def handle(now_ms, events):
         actions = decide(now_ms, events)
         if not left and any(
-            isinstance(each, io.Hold) and each.copies and each.function == COLD for each in actions
+            isinstance(each, io.OrderCopies) and each.copies and each.function == COLD for each in actions
         ):
             if reset:
                 leaver.sock.setsockopt(1, 13, b"\1\0\0\0\0\0\0\0")  # SO_LINGER 0: a close is a reset
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,7 +12,7 @@
 from fawnwharf.admin.desk import BringBack, Desk, Resume, StandBy, TakeOut
 from fawnwharf.admin.http import Answer, Asked, CallReader, encode
 from fawnwharf.config import ConfigError, Fleet, Member, deployment_from
-from fawnwharf.interface import State
+from fawnwharf.interface import ScorerState
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Overlay
 
@@ -221,7 +221,7 @@
         rig.until(lambda: other.runs, "the next goes elsewhere")
         self.assertEqual(len(home.runs), 1)
         worker = rig.front.router.workers[worker_number(home.id)]
-        self.assertIs(worker.entry.state, State.DRAINING)
+        self.assertIs(worker.entry.state, ScorerState.DRAINING)
         before = rig.front.loop.clock.now_ms()
         self.assertEqual(rig.ask(f"{EXIT}?target={home.id}"), 200)
         rig.until(lambda: worker.entry is not None and rig.front.router.workers[worker.id].entry.state == 1)
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -8,7 +8,7 @@
 from peers import Rig, ScorerPeer
 
 from fawnwharf.config import Fleet, Member
-from fawnwharf.interface import State
+from fawnwharf.interface import ScorerState
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.replication import resting
@@ -144,7 +144,7 @@
         rig.until(lambda: rig.front.changelog.seq == 2 and not rig.front._news, "it is taken")
         self.assertEqual(seam.heard, [(id, "in_service", "in_service") for id in ("s-1", "s-2")])
         found = {id: workers[worker_number(id)].entry.state for id in ("s-1", "s-2")}
-        self.assertEqual(found, {"s-1": State.DRAINING, "s-2": State.READY})
+        self.assertEqual(found, {"s-1": ScorerState.DRAINING, "s-2": ScorerState.READY})
         rig.front.go_by(rig.front.overlay.close("zones", None))
         rig.front.go_by(rig.front.overlay.close("state", None))
-        rig.until(lambda: workers[worker_number("s-1")].entry.state is State.READY, "it is open again")
+        rig.until(lambda: workers[worker_number("s-1")].entry.state is ScorerState.READY, "it is open again")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,7 +7,7 @@
 from peers import SETTINGS
 
 from fawnwharf.config import ConfigError, deployment_from, fleet_from, load
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 from fawnwharf.net.end_reasons import End, told
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.log import LINES_A_SECOND, Log
@@ -77,7 +77,7 @@
 
 
 class Tables(unittest.TestCase):
-    PROOFS = {Ending.NOT_SENT, Ending.CONNECT_FAILED}
+    PROOFS = {AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED}
 
     def test_every_end_is_told_and_only_the_unsent_are_proofs(self):
         for end in End:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -3,7 +3,7 @@
 from bench import Drive, of
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 from fawnwharf.policy.router import FUNCTIONS_MOST
 
 # --- the ordinary path ---------------------------------------------------------------------
@@ -11,33 +11,33 @@
 
 def test_unknown_function_is_asked_after_then_loaded_once():
     d = Drive()
-    asks = of(d.ask("r1"), io.Hold)
+    asks = of(d.ask("r1"), io.OrderCopies)
     assert asks and all(ask.copies == 0 for ask in asks)
-    loads = of(d.answer_asks(asks), io.Hold)
+    loads = of(d.answer_asks(asks), io.OrderCopies)
     assert [load.copies for load in loads] == [1]
-    assert not of(d.sweep(280), io.Hold)
+    assert not of(d.sweep(280), io.OrderCopies)
     assert [s.worker for s in of(d.count(loads[0].worker, 1), io.Send)] == [loads[0].worker]
 
 
 def test_a_copy_found_by_asking_spares_the_load():
     d = Drive()
-    asks = of(d.ask("r1"), io.Hold)
+    asks = of(d.ask("r1"), io.OrderCopies)
     actions = d.answer_asks(asks, {asks[2].worker: 1})
     assert [send.worker for send in of(actions, io.Send)] == [asks[2].worker]
-    assert not of(actions, io.Hold) or all(load.copies == 0 for load in of(actions, io.Hold))
+    assert not of(actions, io.OrderCopies) or all(load.copies == 0 for load in of(actions, io.OrderCopies))
 
 
 def test_unanswered_questions_hold_a_load_up_for_a_moment_only():
     d = Drive()
     d.ask("r1")
-    assert [hold.copies for hold in of(d.sweep(40), io.Hold)] == [1]
+    assert [hold.copies for hold in of(d.sweep(40), io.OrderCopies)] == [1]
 
 
 def test_race_is_won_by_the_lane():
     d = Drive()
     home = d.warm()
     [first] = of(d.ask("r1"), io.Send)
-    race = of(d.ask("r2"), io.Hold)
+    race = of(d.ask("r2"), io.OrderCopies)
     assert first.worker == home and [load.copies for load in race] == [1]
     d.now += 50
     assert [s.request for s in of(d.end(first), io.Send)] == ["r2"]
@@ -47,7 +47,7 @@
     d = Drive()
     home = d.warm()
     d.ask("r1")
-    [load] = of(d.ask("r2"), io.Hold)
+    [load] = of(d.ask("r2"), io.OrderCopies)
     d.now += 300
     [send] = of(d.count(load.worker, 1), io.Send)
     assert send.request == "r2" and send.worker == load.worker != home
@@ -59,7 +59,7 @@
         zones = {entry.worker: entry.zone for entry in d.entries}
         d.warm()
         [first] = of(d.ask("r1"), io.Send)
-        [load] = of(d.ask("r2"), io.Hold)  # where a copy stands, the next is raced in the own zone
+        [load] = of(d.ask("r2"), io.OrderCopies)  # where a copy stands, the next is raced in the own zone
         assert zones[load.worker] == own
         [second] = of(d.count(load.worker, 1), io.Send)
         [third] = [worker for worker in zones if zones[worker] != own and worker != first.worker][:1]
@@ -109,7 +109,7 @@
         renewed = []
         while d.now < last + 60_000.0:
             d.now += 1000.0
-            for hold in of(d.feed(io.TimerDue(0)), io.Hold):
+            for hold in of(d.feed(io.TimerDue(0)), io.OrderCopies):
                 if hold.function == "f":  # what is asked for the held one stays without an answer
                     renewed += [(hold.worker, hold.copies)] * (hold.copies > 0)
                     d.count(hold.worker, 1)
@@ -127,7 +127,7 @@
     last, orders = d.now, 0
     while d.now < last + 11_000.0:
         d.now += 1000.0
-        for hold in of(d.feed(io.TimerDue(0)), io.Hold):
+        for hold in of(d.feed(io.TimerDue(0)), io.OrderCopies):
             orders += hold.copies > 0
             d.count(hold.worker, 1, hold.function)
     assert orders == 3
@@ -138,29 +138,29 @@
     d.warm(lanes=2)
     d.ask("r1", lanes=2)
     d.ask("r2", lanes=2)
-    loads = of(d.ask("r3", lanes=2), io.Hold)
+    loads = of(d.ask("r3", lanes=2), io.OrderCopies)
     assert len(loads) == 1
-    assert not of(d.ask("r4", lanes=2), io.Hold)
-    assert len(of(d.ask("r5", lanes=2), io.Hold)) == 1
+    assert not of(d.ask("r4", lanes=2), io.OrderCopies)
+    assert len(of(d.ask("r5", lanes=2), io.OrderCopies)) == 1
 
 
 def test_switch_goes_off_when_a_raced_load_idles_longer_than_a_run_and_on_when_waits_exceed_a_load():
     d = Drive()
     home = d.warm(load_ms=200)
     [first] = of(d.ask("r1"), io.Send)
-    [load] = of(d.ask("r2"), io.Hold)
+    [load] = of(d.ask("r2"), io.OrderCopies)
     d.end(first)
     d.now += 20
     d.count(load.worker, 1)
     d.now += 150  # the raced copy idles for longer than the run of 100 ms
-    d.router.workers[load.worker].entry.state = io.State.DRAINING  # and is out of reach
+    d.router.workers[load.worker].entry.state = io.ScorerState.DRAINING  # and is out of reach
     actions = d.ask("r3")
-    assert not [hold for hold in of(actions, io.Hold) if hold.copies]
+    assert not [hold for hold in of(actions, io.OrderCopies) if hold.copies]
     waited = d.now
-    held = [h for h in of(d.sweep(waited + 190), io.Hold) if h.copies]
+    held = [h for h in of(d.sweep(waited + 190), io.OrderCopies) if h.copies]
     assert not held  # Tp is 200 ms
     d.count(home, 1)  # a sign of life
-    assert [h for h in of(d.sweep(waited + 260), io.Hold) if h.copies]
+    assert [h for h in of(d.sweep(waited + 260), io.OrderCopies) if h.copies]
 
 
 def test_ever_new_functions_are_forgotten_but_not_those_in_use():
@@ -170,9 +170,9 @@
     d.ask("r2", "held")
     for n in range(3 * FUNCTIONS_MOST):
         d.now += 0.01
-        for action in of(d.ask(f"n{n}", f"f{n}"), io.Hold):
-            d.count(action.worker, 0, action.function, Ending.FULL)
-        d.feed(io.ClientLeft(f"n{n}"))
+        for action in of(d.ask(f"n{n}", f"f{n}"), io.OrderCopies):
+            d.count(action.worker, 0, action.function, AttemptResult.FULL)
+        d.feed(io.RequestCancelled(f"n{n}"))
     assert len(d.router.functions) <= FUNCTIONS_MOST and {"kept", "held"} <= d.router.functions.keys()
     d.end(send)
 
@@ -181,7 +181,7 @@
     d = Drive()
     _, home = d.warm("g"), d.warm()
     [send] = of(d.ask("r1"), io.Send)
-    d.feed(io.RosterChanged([io.WorkerEntry(home, io.State.GONE)], complete=False))
+    d.feed(io.RosterChanged([io.ScorerEntry(home, io.ScorerState.GONE)], complete=False))
     for _ in range(2):
         for _ in range(100):
             d.now += 1000
@@ -189,7 +189,7 @@
         known = home in d.router.workers
         assert known is bool(d.router.attempts)  # as long as an attempt is out there
         if known:
-            d.end(send, Ending.RESET)
+            d.end(send, AttemptResult.RESET)
     assert "g" not in d.router.functions and len(d.router.workers) == 3
     assert not [fn for fn in d.router.functions.values() if home in fn.instances]
 
@@ -202,16 +202,16 @@
     d = Drive()
     home = d.warm()
     [send] = of(d.ask("r1"), io.Send)
-    actions = d.end(send, Ending.MISS, closed=False)
+    actions = d.end(send, AttemptResult.MISS, closed=False)
     assert send.worker == home and not of(actions, io.Send)
-    assert [hold.copies for hold in of(actions + d.sweep(d.now + 40), io.Hold) if hold.copies] == [1]
+    assert [hold.copies for hold in of(actions + d.sweep(d.now + 40), io.OrderCopies) if hold.copies] == [1]
 
 
 def test_belief_ends_with_an_unused_keep_alive():
     d = Drive(idle_life_ms=5000.0)
     d.warm()
     d.now += 5001
-    assert len(of(d.ask("r1"), io.Hold)) > 1  # a survey, not a question to the old home
+    assert len(of(d.ask("r1"), io.OrderCopies)) > 1  # a survey, not a question to the old home
 
 
 def test_bound_moves_requests_on():
@@ -230,7 +230,7 @@
     d = Drive(workers=0)
     d.ask("r1", spec="short", budget=500.0)
     d.sweep(600)
-    finals = [(now, a) for now, a in d.log if isinstance(a, io.Refuse | io.Fail)]
+    finals = [(now, a) for now, a in d.log if isinstance(a, io.Reject | io.Fail)]
     assert [a.request for _, a in finals] == ["r1"] and 400 <= finals[0][0] <= 480
 
 
@@ -238,22 +238,22 @@
     d = Drive(workers=0, max_retry_after_ms=900.0)
     d.ask("r1", budget=2500.0)
     d.sweep(2500)
-    [(at, refusal)] = [(now, a) for now, a in d.log if isinstance(a, io.Refuse | io.Fail)]
-    assert 600 < at < 1250 and refusal == io.Refuse("r1", 900.0)
+    [(at, refusal)] = [(now, a) for now, a in d.log if isinstance(a, io.Reject | io.Fail)]
+    assert 600 < at < 1250 and refusal == io.Reject("r1", 900.0)
 
 
 def test_what_may_still_be_on_time_is_held_beyond_half_its_time():
     d = Drive(workers=0)
     d.ask("r1", spec="short", budget=700.0)
-    assert not of(d.sweep(490), io.Refuse) and of(d.sweep(700), io.Refuse)
+    assert not of(d.sweep(490), io.Reject) and of(d.sweep(700), io.Reject)
 
 
 def test_a_later_try_yields_to_first_ones_takes_nothing_of_the_share_and_is_refused_where_no_lane_is_free():
     d = Drive(quotas_rps={"acme": 1.0}, max_retry_after_ms=900.0)
     home = d.warm()
     [send] = of(d.ask("later", budget=450.0, tenant="acme"), io.Send)  # 0.18 of its class's time
-    [refusal] = of(d.ask("later too", budget=450.0, tenant="acme"), io.Refuse)
-    assert send.worker == home and refusal == io.Refuse("later too", 900.0)
+    [refusal] = of(d.ask("later too", budget=450.0, tenant="acme"), io.Reject)
+    assert send.worker == home and refusal == io.Reject("later too", 900.0)
     d.ask("first", tenant="acme")  # its share is still there, so it may wait
     assert not d.router.requests["first"].over_share and "later too" not in d.router.requests
     d.ask("impatient", fn="g", budget=700.0)  # 0.28: an impatient client's first try
--- a/tests/test_policy_crossing.py
+++ b/tests/test_policy_crossing.py
@@ -7,15 +7,15 @@
 from bench import Drive, of
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Effect, Ending
+from fawnwharf.interface import AttemptResult, Effect
 
 MIXED = {
-    "none": io.ClassSpec("none", 0.0, 0.0, Effect.SAFE),
-    "tiny": io.ClassSpec("tiny", 0.0, 40.0, Effect.SAFE),
-    "brief": io.ClassSpec("brief", 100.0, 150.0, Effect.KEYED, io.Group.ZONE, 120.0),
-    "usual": io.ClassSpec("usual", 800.0, 2_500.0, Effect.UNSAFE),
-    "long": io.ClassSpec("long", 20_000.0, 30_000.0, Effect.KEYED, io.Group.CELL, 50.0),
-    "ages": io.ClassSpec("ages", 300_000.0, 600_000.0, Effect.SAFE),
+    "none": io.ClassSpec("none", 0.0, 0.0, Effect.IDEMPOTENT),
+    "tiny": io.ClassSpec("tiny", 0.0, 40.0, Effect.IDEMPOTENT),
+    "brief": io.ClassSpec("brief", 100.0, 150.0, Effect.DEDUPLICATED, io.DeduplicationGroup.ZONE, 120.0),
+    "usual": io.ClassSpec("usual", 800.0, 2_500.0, Effect.AT_MOST_ONCE),
+    "long": io.ClassSpec("long", 20_000.0, 30_000.0, Effect.DEDUPLICATED, io.DeduplicationGroup.CELL, 50.0),
+    "ages": io.ClassSpec("ages", 300_000.0, 600_000.0, Effect.IDEMPOTENT),
 }
 
 
@@ -31,15 +31,17 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(3))))
-@pytest.mark.parametrize("ending", [Ending.FULL, Ending.RESET, Ending.CONNECT_FAILED, Ending.GOOD])
+@pytest.mark.parametrize(
+    "ending", [AttemptResult.FULL, AttemptResult.RESET, AttemptResult.CONNECT_FAILED, AttemptResult.GOOD]
+)
 def test_nothing_is_sent_or_ordered_for_clients_that_left_in_whatever_order_the_batch_tells_it(order, ending):
     d, send = retried()
-    ended = io.AttemptEnded("out", 0, send.worker, ending, 50.0, ending is Ending.GOOD)
-    events = [ended, io.TimerDue(0), io.ClientLeft("out"), io.ClientLeft("held")]
+    ended = io.AttemptEnded("out", 0, send.worker, ending, 50.0, ending is AttemptResult.GOOD)
+    events = [ended, io.TimerDue(0), io.RequestCancelled("out"), io.RequestCancelled("held")]
     actions = d.feed(*[events[n] for n in order], events[3])
-    loads = [hold for hold in of(actions, io.Hold) if hold.copies]
+    loads = [hold for hold in of(actions, io.OrderCopies) if hold.copies]
     assert not of(actions, io.Send) and not loads
-    assert not of(actions, io.Refuse) and not of(actions, io.Fail)
+    assert not of(actions, io.Reject) and not of(actions, io.Fail)
     assert not d.router.requests
     assert not of(d.sweep(d.now + 3_000.0), io.Send)
 
@@ -48,31 +50,31 @@
     d = Drive(2)
     d.warm()
     arrived = io.RequestArrived("r", "f", "safe", "", 2_500.0, load_ms=500.0)
-    actions = d.feed(arrived, io.ClientLeft("r"))
-    assert not of(actions, io.Send) and not of(actions, io.Hold) and not d.router.requests
+    actions = d.feed(arrived, io.RequestCancelled("r"))
+    assert not of(actions, io.Send) and not of(actions, io.OrderCopies) and not d.router.requests
 
 
 def test_a_request_that_was_finished_here_and_left_in_the_same_batch_has_one_answer():
     d, _ = retried()
     d.now = 2_700.0
-    actions = d.feed(io.TimerDue(0), io.ClientLeft("out"))
+    actions = d.feed(io.TimerDue(0), io.RequestCancelled("out"))
     assert [type(action) for action in actions if getattr(action, "request", "") == "out"] == [io.Cancel]
 
 
 @pytest.mark.parametrize("budget", [40.0, 100.0, 150.0])
 def test_a_class_whose_whole_time_is_shorter_than_a_sweep_is_served(budget):
     d = Drive(2)
-    d.feed(io.ClassChanged(io.ClassSpec("tiny", budget / 2, budget, Effect.SAFE)))
+    d.feed(io.ClassChanged(io.ClassSpec("tiny", budget / 2, budget, Effect.IDEMPOTENT)))
     d.warm()
     actions = d.ask("r", spec="tiny", budget=budget)
     [send] = of(actions, io.Send)
     [timer] = [action for action in of(actions, io.SetTimer) if action.token]
     assert 0.7 * budget <= timer.delay_ms < budget
     d.now += 0.5 * budget
-    assert not of(d.feed(io.TimerDue(0)), io.Refuse)  # a sweep before its end
+    assert not of(d.feed(io.TimerDue(0)), io.Reject)  # a sweep before its end
     d.now += timer.delay_ms - 0.5 * budget
-    assert [type(a) for a in d.feed(io.TimerDue(timer.token))] == [io.Cancel, io.Refuse]
-    assert not d.end(send, Ending.CANCELLED, closed=False)
+    assert [type(a) for a in d.feed(io.TimerDue(timer.token))] == [io.Cancel, io.Reject]
+    assert not d.end(send, AttemptResult.CANCELLED, closed=False)
 
 
 @pytest.mark.parametrize(
@@ -113,5 +115,5 @@
     d.router = type(d.router)(router, 1)
     d.feed(io.RosterChanged([], complete=True))
     d.ask("r", spec="unheard of", budget=500.0)
-    answers = of(d.sweep(500.0), io.Refuse)
+    answers = of(d.sweep(500.0), io.Reject)
     assert [answer.request for answer in answers] == ["r"]
--- a/tests/test_policy_elsewhere.py
+++ b/tests/test_policy_elsewhere.py
@@ -5,13 +5,13 @@
 from test_policy_told import LIFE_MS, LOAD_MS, arrived, asked, loads, want
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending, State
+from fawnwharf.interface import AttemptResult, ScorerState
 
 FALL_MS = 1_000.0
 
 
 def elsewhere(d, worker=2, **told):
-    return d.feed(io.Elsewhere(worker, **told))
+    return d.feed(io.RemoteLoadReport(worker, **told))
 
 
 @pytest.mark.parametrize(
@@ -23,8 +23,8 @@
         d = Drive(idle_life_ms=LIFE_MS)
         d.now = 50_000.0
         if known:
-            d.feed(io.CopiesWanted(1, "f", "safe"))
-            d.count(1, 0, ending=Ending.FULL)
+            d.feed(io.PrefetchRequested(1, "f", "safe"))
+            d.count(1, 0, ending=AttemptResult.FULL)
             d.router.functions["f"].instances[1].blocked_ms = 0.0
         elsewhere(d, copies={"f": 1, "other": 2}, age_ms=age_ms)
         actions = arrived(d, "r")
@@ -43,7 +43,7 @@
         [send] = of(arrived(d, "r"), io.Send)
         d.now += 50.0
         if ending == "miss":
-            d.end(send, Ending.MISS, closed=False)
+            d.end(send, AttemptResult.MISS, closed=False)
         else:
             d.count(1, 0)
         fn, worker = d.router.functions["f"], d.router.workers[1]
@@ -56,11 +56,11 @@
 def test_a_word_never_counts_across_a_start_of_the_worker():
     d = Drive(workers=1)
     arrived(d, "first")
-    d.feed(io.ClientLeft("first"))
+    d.feed(io.RequestCancelled("first"))
     d.count(1, 0)
     d.now = 5_000.0
     fn, worker = d.router.functions["f"], d.router.workers[1]
-    start = io.RosterChanged([io.WorkerEntry(1, up_since_ms=d.now - 100.0)], False)
+    start = io.RosterChanged([io.ScorerEntry(1, up_since_ms=d.now - 100.0)], False)
     elsewhere(d, 1, copies={"f": 1}, loading=("f",), sent=0, age_ms=200.0)
     assert d.router._copies(fn, worker) == 1
     d.feed(start)
@@ -74,8 +74,8 @@
 def test_words_on_what_is_not_known_draining_or_gone_bring_nothing():
     d = Drive(workers=2)
     assert elsewhere(d, 99, sent=1, copies={"f": 1}, loading=("f",)) == []
-    for state in (State.DRAINING, State.GONE):
-        d.feed(io.RosterChanged([io.WorkerEntry(2, state)], False))
+    for state in (ScorerState.DRAINING, ScorerState.GONE):
+        d.feed(io.RosterChanged([io.ScorerEntry(2, state)], False))
         elsewhere(d, 2, copies={"f": 1}, loading=("f",))
         actions = arrived(d, f"r{state}")
         assert not of(actions, io.Send) and 2 not in asked(actions)
@@ -134,9 +134,9 @@
     d.router.chance = 5
     for n in range(calls):
         d.now += 5_000.0 / calls
-        d.feed(io.ClientLeft(f"r{n - 1}"))
+        d.feed(io.RequestCancelled(f"r{n - 1}"))
         arrived(d, f"r{n}", f"f{n}")
-    d.feed(io.RosterChanged([io.WorkerEntry(1, up_since_ms=d.now - 5_000.0)], False))
+    d.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=d.now - 5_000.0)], False))
     if told:
         elsewhere(d, 1, **told)
     worker, counts = d.router.workers[1], []
@@ -181,8 +181,8 @@
         for call in range(200):
             d.now += 25.0
             arrived(d, f"r{call}", f"f{call}")
-            d.feed(io.ClientLeft(f"r{call}"))
-        d.feed(io.RosterChanged([io.WorkerEntry(1, up_since_ms=d.now - 1.0)], False))
+            d.feed(io.RequestCancelled(f"r{call}"))
+        d.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=d.now - 1.0)], False))
         drives.append(d)
     for _ in range(10):
         told = [len(d.router.workers[1].sent) for d in drives]
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_health.py
@@ -3,7 +3,7 @@
 from bench import Drive, of
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 from fawnwharf.policy.state import Function
 
 # --- the ordinary path ---------------------------------------------------------------------
@@ -14,12 +14,12 @@
     home = d.warm()
     d.ask("r1")
     actions = d.sweep(d.now + 360)
-    assert (home, 0) in [(a.worker, a.copies) for a in of(actions, io.Hold)]
+    assert (home, 0) in [(a.worker, a.copies) for a in of(actions, io.OrderCopies)]
     actions = d.sweep(d.now + 100)
     assert [a for a in of(actions, io.Log) if "silent" in a.text]
     actions += d.answer_asks(actions)
     d.sweep(d.now + 60)
-    load = next(a for _, a in reversed(d.log) if isinstance(a, io.Hold) and a.copies)
+    load = next(a for _, a in reversed(d.log) if isinstance(a, io.OrderCopies) and a.copies)
     assert load.worker != home
     assert [send.request for send in of(d.count(load.worker, 1), io.Send)] == ["r1"]
 
@@ -29,7 +29,7 @@
         d = Drive()
         home = d.warm()
         [send] = of(d.ask("r1"), io.Send)
-        signs = of(d.end(send, Ending.RESET), io.Hold)
+        signs = of(d.end(send, AttemptResult.RESET), io.OrderCopies)
         assert (home, 0) in [(sign.worker, sign.copies) for sign in signs]
         if answered:
             d.count(home, 1)
@@ -58,7 +58,7 @@
     router, fn, worker = d.router, d.router.functions["f"], d.router.workers[home]
     assert router._usable(worker, Function("g", "unsafe", 1, None, 0))  # another class goes on there
     for send in lost:
-        d.end(send, Ending.CANCELLED, closed=True)
+        d.end(send, AttemptResult.CANCELLED, closed=True)
     d.now += 2000
     assert [(send.request, send.worker) for send in of(d.count(home, 1), io.Send)] == [("r3", home)]
     assert not router._usable(worker, fn)
@@ -74,7 +74,7 @@
             fn.runs.timed.clear()
         sends = of(d.ask("r1", spec="unsafe", lanes=4) + d.ask("r2", spec="unsafe", lanes=4), io.Send)
         for send in sends:
-            d.end(send, Ending.ERROR, closed=False)
+            d.end(send, AttemptResult.ERROR, closed=False)
         assert len(sends) == 2 and d.router._usable(worker, fn) is not served
 
 
@@ -98,4 +98,4 @@
     d = Drive(workers=2)
     for n in (1, 2):
         d.router._suspect(d.router.workers[n])
-    assert [hold for hold in of(d.ask("r1"), io.Hold)]
+    assert [hold for hold in of(d.ask("r1"), io.OrderCopies)]
--- a/tests/test_policy_replay.py
+++ b/tests/test_policy_replay.py
@@ -7,21 +7,26 @@
 import hashlib
 import heapq
 import random
+import re
 
 import pytest
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending, State, Warmth
+from fawnwharf.interface import AttemptResult, ScorerState, Warmth
 from fawnwharf.policy import Router
 
 EVENTS = 8_000
 CLASSES = {
-    "safe": io.ClassSpec("safe", 800.0, 2500.0, io.Effect.SAFE),
-    "short": io.ClassSpec("short", 400.0, 900.0, io.Effect.SAFE),
-    "keyed": io.ClassSpec("keyed", 1000.0, 4000.0, io.Effect.KEYED, io.Group.ALL, 2000.0),
-    "zoned": io.ClassSpec("zoned", 1000.0, 4000.0, io.Effect.KEYED, io.Group.ZONE, 1500.0),
-    "celled": io.ClassSpec("celled", 1000.0, 3000.0, io.Effect.KEYED, io.Group.CELL, 2500.0),
-    "unsafe": io.ClassSpec("unsafe", 1200.0, 4000.0, io.Effect.UNSAFE),
+    "safe": io.ClassSpec("safe", 800.0, 2500.0, io.Effect.IDEMPOTENT),
+    "short": io.ClassSpec("short", 400.0, 900.0, io.Effect.IDEMPOTENT),
+    "keyed": io.ClassSpec("keyed", 1000.0, 4000.0, io.Effect.DEDUPLICATED, io.DeduplicationGroup.ALL, 2000.0),
+    "zoned": io.ClassSpec(
+        "zoned", 1000.0, 4000.0, io.Effect.DEDUPLICATED, io.DeduplicationGroup.ZONE, 1500.0
+    ),
+    "celled": io.ClassSpec(
+        "celled", 1000.0, 3000.0, io.Effect.DEDUPLICATED, io.DeduplicationGroup.CELL, 2500.0
+    ),
+    "unsafe": io.ClassSpec("unsafe", 1200.0, 4000.0, io.Effect.AT_MOST_ONCE),
 }
 KINDS = [*CLASSES, "unheard of"]
 TROUBLES = ("silent", "slow", "lossy", "full", "broken")
@@ -61,6 +66,15 @@
     "restless": "4727619cf793280f32641ca708ef8495071e17bfbaad9cb43af9f43bfb4d7d51",
 }
 
+# The digests were recorded under these names of actions and fields; a name that is not listed is as it was.
+RECORDED_NAMES = {"Reject": "Refuse", "OrderCopies": "Hold"}
+NAME = re.compile(rf"\b({'|'.join(RECORDED_NAMES)})(?=[(=])")
+
+
+def recorded(now, actions):
+    """The text of a moment's actions as the digests were recorded: other names for the same decisions."""
+    return NAME.sub(lambda found: RECORDED_NAMES[found[0]], repr((now, actions)))
+
 
 class World:
     """Workers, clients and the roster as the router sees them; all chance is drawn from one seed."""
@@ -77,7 +91,7 @@
         self.standing, self.mood, self.started = {}, {}, {}
         quotas = dict(settings.get("quotas_rps", {}))
         self.router = Router(io.Settings(CLASSES, zone="z0", **{**settings, "quotas_rps": quotas}), seed)
-        entries = [self.entry(n, State.READY) for n in range(1, self.workers + 1)]
+        entries = [self.entry(n, ScorerState.READY) for n in range(1, self.workers + 1)]
         self.feed(io.RosterChanged(entries, complete=True))
         self.later(1.0, self.arrive)
 
@@ -92,7 +106,7 @@
         for event in events:
             self.seen[type(event)] = self.seen.get(type(event), 0) + 1
         actions = self.router.handle(self.now, list(events))
-        self.digest.update(repr((self.now, actions)).encode())
+        self.digest.update(recorded(self.now, actions).encode())
         for action in actions:
             self.carry_out(action)
 
@@ -104,7 +118,7 @@
 
     def entry(self, n, state):
         units, up = 1.0 + n % 3, self.started.get(n)
-        return io.WorkerEntry(n, state, "", f"z{n % self.zones}", n % 4, units, up)
+        return io.ScorerEntry(n, state, "", f"z{n % self.zones}", n % 4, units, up)
 
     def arrive(self):
         pause = self.pause_ms * (self.draw() < 0.002)  # one that lets copies lapse and functions be forgotten
@@ -133,7 +147,7 @@
     def leave(self, request):
         if request not in self.closed:
             self.closed.add(request)
-            self.feed(io.ClientLeft(request))
+            self.feed(io.RequestCancelled(request))
 
     def limit(self):
         tenant = (io.ALL, "t0", "t1", "t9")[self.below(4)]
@@ -154,14 +168,14 @@
             self.restart(n)
             if self.draw() < 0.7:
                 self.started[n] = self.now
-                self.feed(io.RosterChanged([self.entry(n, State.READY)], complete=False))
+                self.feed(io.RosterChanged([self.entry(n, ScorerState.READY)], complete=False))
         elif drawn < 0.9:
-            steps = [State.DRAINING] * (drawn < 0.7) + [State.GONE] * (drawn > 0.5)
+            steps = [ScorerState.DRAINING] * (drawn < 0.7) + [ScorerState.GONE] * (drawn > 0.5)
             for i, state in enumerate(steps):
                 self.later(300.0 * i, self.tell, n, state)
             self.later(1000.0 + (300_000.0 if self.draw() < 0.2 else 9000.0) * self.draw(), self.come_back, n)
         else:  # all of it told anew, less one
-            entries = [self.entry(i, State.READY) for i in range(1, self.workers + 1) if i != n]
+            entries = [self.entry(i, ScorerState.READY) for i in range(1, self.workers + 1) if i != n]
             self.feed(io.RosterChanged(entries, complete=True))
             self.later(2000.0, self.come_back, n)
 
@@ -174,36 +188,41 @@
     def come_back(self, n):
         self.restart(n)
         self.started[n] = self.now
-        self.tell(n, State.READY)
+        self.tell(n, ScorerState.READY)
 
     def carry_out(self, action):
         if isinstance(action, io.SetTimer):
             self.later(action.delay_ms, self.feed, io.TimerDue(action.token))
-        elif isinstance(action, io.Refuse | io.Fail):
+        elif isinstance(action, io.Reject | io.Fail):
             self.closed.add(action.request)
-        elif isinstance(action, io.Hold):
+        elif isinstance(action, io.OrderCopies):
             self.order(action)
         elif isinstance(action, io.Send):
             self.send(action)
         elif isinstance(action, io.Cancel) and self.draw() < 0.8:
-            self.later(1.0, self.end, action.request, action.attempt, Ending.CANCELLED, Warmth.UNTOLD)
+            self.later(1.0, self.end, action.request, action.attempt, AttemptResult.CANCELLED, Warmth.UNTOLD)
 
     def order(self, hold):
         mood, key, drawn = self.mood.get(hold.worker), (hold.worker, hold.function), self.draw()
         if mood == "silent" and drawn < 0.9:
-            ending, delay = (Ending.CONNECT_FAILED, Ending.TIMEOUT)[drawn < 0.5], 1500.0 * drawn
+            ending, delay = (AttemptResult.CONNECT_FAILED, AttemptResult.TIMEOUT)[drawn < 0.5], 1500.0 * drawn
         elif hold.copies == 0:
-            ending, delay = Ending.GOOD, 1.0 + 12.0 * drawn**6
+            ending, delay = AttemptResult.GOOD, 1.0 + 12.0 * drawn**6
         elif drawn < 0.85 and mood != "broken":
-            ending, delay = Ending.GOOD, 150.0 + 500.0 * self.draw() * (3.0 if mood == "slow" else 1.0)
+            ending, delay = AttemptResult.GOOD, 150.0 + 500.0 * self.draw() * (3.0 if mood == "slow" else 1.0)
         else:
-            ending, delay = (Ending.ERROR, Ending.FULL, Ending.RESET, Ending.NOT_SENT)[self.below(4)], 30.0
+            ending, delay = (
+                (AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.RESET, AttemptResult.NOT_SENT)[
+                    self.below(4)
+                ],
+                30.0,
+            )
         self.later(delay, self.answer, key, ending, hold.copies, delay)
 
     def answer(self, key, ending, copies, took):
-        if copies and ending is Ending.GOOD:
+        if copies and ending is AttemptResult.GOOD:
             self.standing[key] = max(self.standing.get(key, 0), copies - (self.draw() < 0.1))
-        self.feed(io.OrderAnswered(*key, ending, self.standing.get(key, 0), took))
+        self.feed(io.LoadOrderAnswered(*key, ending, self.standing.get(key, 0), took))
 
     def send(self, send):
         request, number = send.request, self.tries.get(send.request, 0)
@@ -211,22 +230,25 @@
         self.tries[request] = number + 1
         self.open[request, number] = (send.worker, fn, self.now)
         mood, drawn = self.mood.get(send.worker), self.draw()
-        took, ending, warmth = self.run_ms * (0.5 + self.draw()), Ending.GOOD, Warmth.FOUND
+        took, ending, warmth = self.run_ms * (0.5 + self.draw()), AttemptResult.GOOD, Warmth.FOUND
         if mood == "silent":
-            took, ending = (400.0, Ending.RESET) if drawn < 0.2 else (2500.0, Ending.TIMEOUT)
+            took, ending = (400.0, AttemptResult.RESET) if drawn < 0.2 else (2500.0, AttemptResult.TIMEOUT)
         elif mood == "lossy" and drawn < 0.7:
-            took, ending = (5000.0, Ending.TIMEOUT) if drawn < 0.4 else (20.0, Ending.ERROR)
+            took, ending = (5000.0, AttemptResult.TIMEOUT) if drawn < 0.4 else (20.0, AttemptResult.ERROR)
         elif mood == "full" and drawn < 0.7:
-            took, ending = 2.0, Ending.FULL
+            took, ending = 2.0, AttemptResult.FULL
         elif mood == "broken" and drawn < 0.5:
-            took, ending = 5.0, (Ending.RESET, Ending.CONNECT_FAILED, Ending.NOT_SENT)[self.below(3)]
+            took, ending = (
+                5.0,
+                (AttemptResult.RESET, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)[self.below(3)],
+            )
         elif (send.worker, fn) not in self.standing:
             warmth = (Warmth.BEGAN_LOAD, Warmth.WAITED_FOR_LOAD, Warmth.LOAD_FAILED)[self.below(3)]
-            ending = (Ending.MISS, Ending.GOOD)[self.router.settings.loads_on_miss]
-            took = 2.0 if ending is Ending.MISS else took + 400.0
+            ending = (AttemptResult.MISS, AttemptResult.GOOD)[self.router.settings.loads_on_miss]
+            took = 2.0 if ending is AttemptResult.MISS else took + 400.0
             self.standing[send.worker, fn] = 1
         elif drawn < 0.02:
-            took, ending = 0.7 * took, Ending.ERROR
+            took, ending = 0.7 * took, AttemptResult.ERROR
         elif drawn < 0.05:
             took *= 12.0
         if mood == "slow":
@@ -238,13 +260,13 @@
             return
         worker, _, since = self.open.pop((request, number))
         closed = request not in self.closed and (
-            ending is Ending.GOOD or (ending is Ending.ERROR and self.draw() < 0.4)
+            ending is AttemptResult.GOOD or (ending is AttemptResult.ERROR and self.draw() < 0.4)
         )
         if closed:
             self.closed.add(request)
         if self.draw() < 0.002:  # told of a call that it does not know, or no longer
             self.feed(io.AttemptEnded(request, number + 7, worker, ending, 1.0, False))
-            self.feed(io.OrderAnswered(worker, "never called", ending, 0, 1.0))
+            self.feed(io.LoadOrderAnswered(worker, "never called", ending, 0, 1.0))
         took, crowd = self.now - since, self.below(4) if self.told else None
         self.feed(io.AttemptEnded(request, number, worker, ending, took, closed, warmth, crowd))
 
@@ -253,7 +275,7 @@
 def test_the_same_events_bring_the_same_actions(name):
     world = World(name)
     assert world.run() == DIGESTS[name]
-    assert set(world.seen) >= {io.RosterChanged, io.ClientLeft, io.OrderAnswered, io.TimerDue}
+    assert set(world.seen) >= {io.RosterChanged, io.RequestCancelled, io.LoadOrderAnswered, io.TimerDue}
 
 
 if __name__ == "__main__":
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -3,7 +3,7 @@
 from bench import Drive, of
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 
 # --- the ordinary path ---------------------------------------------------------------------
 
@@ -11,16 +11,16 @@
 def test_no_time_left_is_answered_at_once():
     d = Drive()
     actions = d.ask("r1", budget=0.0)
-    assert [a.request for a in of(actions, io.Refuse)] == ["r1"] and not of(actions, io.Send)
+    assert [a.request for a in of(actions, io.Reject)] == ["r1"] and not of(actions, io.Send)
 
 
 def test_nothing_follows_a_final_answer():
     d = Drive()
     d.warm()
     [send] = of(d.ask("r1"), io.Send)
-    d.feed(io.ClientLeft("r1"))
-    later = d.end(send, Ending.CANCELLED, closed=True) + d.sweep(d.now + 3000)
-    assert not of(later, io.Send) and not of(later, io.Refuse) and not of(later, io.Fail)
+    d.feed(io.RequestCancelled("r1"))
+    later = d.end(send, AttemptResult.CANCELLED, closed=True) + d.sweep(d.now + 3000)
+    assert not of(later, io.Send) and not of(later, io.Reject) and not of(later, io.Fail)
 
 
 # --- rule 2: no effect twice ---------------------------------------------------------------
@@ -30,8 +30,8 @@
     d = Drive()
     d.warm(spec="unsafe")
     [send] = of(d.ask("r1", spec="unsafe", budget=4000.0), io.Send)
-    actions = d.end(send, Ending.ERROR, closed=False)
-    assert not of(actions, io.Send) and not of(actions, io.Refuse)
+    actions = d.end(send, AttemptResult.ERROR, closed=False)
+    assert not of(actions, io.Send) and not of(actions, io.Reject)
     assert [a.request for a in of(actions, io.Fail)] == ["r1"]
 
 
@@ -41,7 +41,7 @@
     other = next(n for n in (1, 2, 3, 4) if n != home)
     d.count(other, 1)
     [send] = of(d.ask("r1", spec="unsafe", budget=4000.0), io.Send)
-    assert send.request in [a.request for a in of(d.end(send, Ending.FULL, closed=False), io.Send)]
+    assert send.request in [a.request for a in of(d.end(send, AttemptResult.FULL, closed=False), io.Send)]
 
 
 def keyed_retry(after):
@@ -53,7 +53,7 @@
     d.sweep(d.now + after)
     for worker in (1, 2, 3, 4):
         d.count(worker, 1)
-    return send, d.end(send, Ending.ERROR, closed=False), d
+    return send, d.end(send, AttemptResult.ERROR, closed=False), d
 
 
 def test_keyed_repeat_stays_in_its_group():
@@ -65,23 +65,23 @@
 def test_keyed_repeat_ends_with_the_window():
     _, actions, d = keyed_retry(after=2410)
     actions += d.sweep(4000)
-    assert not of(actions, io.Send) and not of(actions, io.Refuse) and len(of(actions, io.Fail)) == 1
+    assert not of(actions, io.Send) and not of(actions, io.Reject) and len(of(actions, io.Fail)) == 1
 
 
 # --- rule 3: drains ------------------------------------------------------------------------
 
 
 def test_nothing_new_to_a_draining_or_gone_worker():
-    for state in (io.State.DRAINING, io.State.GONE):
+    for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
         d = Drive()
         home = d.warm()
-        d.feed(io.RosterChanged([io.WorkerEntry(home, state)], complete=False))
+        d.feed(io.RosterChanged([io.ScorerEntry(home, state)], complete=False))
         actions = d.ask("r1")
         actions += d.answer_asks(actions)
         actions += d.sweep(d.now + 100)
         assert not [a for a in of(actions, io.Send) if a.worker == home]
-        assert not [a for a in of(actions, io.Hold) if a.worker == home and a.copies]
-        assert [a for a in of(actions, io.Hold) if a.copies]
+        assert not [a for a in of(actions, io.OrderCopies) if a.worker == home and a.copies]
+        assert [a for a in of(actions, io.OrderCopies) if a.copies]
 
 
 # --- rule 4: cold workers ------------------------------------------------------------------
@@ -90,7 +90,7 @@
 def test_cold_worker_gets_no_more_than_its_budget_in_any_window():
     d = Drive(workers=1, cold_ms=10_000.0, cold_share=0.2, fall_ms=1000.0, fall_multiple=2.0)
     d.now = 20_000.0
-    d.feed(io.RosterChanged([io.WorkerEntry(1, up_since_ms=20_000.0)], complete=False))
+    d.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=20_000.0)], complete=False))
     d.ask("r")
     d.now += 1
     for send in of(d.count(1, 16), io.Send):
@@ -110,7 +110,7 @@
 def test_sends_to_a_worker_that_has_warmed_up_are_not_remembered():
     drive = Drive(workers=1)
     drive.now = 100.0
-    drive.feed(io.RosterChanged([io.WorkerEntry(1, zone="a", up_since_ms=50.0)], complete=False))
+    drive.feed(io.RosterChanged([io.ScorerEntry(1, zone="a", up_since_ms=50.0)], complete=False))
     drive.now += drive.router.settings.cold_ms
     drive.warm()
     for n in range(50):
@@ -122,7 +122,7 @@
 def test_restart_takes_beliefs_away():
     d = Drive()
     home = d.warm()
-    d.feed(io.RosterChanged([io.WorkerEntry(home, up_since_ms=d.now)], complete=False))
+    d.feed(io.RosterChanged([io.ScorerEntry(home, up_since_ms=d.now)], complete=False))
     assert not of(d.ask("r1"), io.Send)
 
 
@@ -133,11 +133,11 @@
     d = Drive(load_window_ms=5000.0, free_loads=2.0, load_part=0.2)
     for n in range(9):
         d.answer_asks(d.ask(f"r{n}", fn=f"f{n}"))
-    loads = [a for _, a in d.log if isinstance(a, io.Hold) and a.copies]
+    loads = [a for _, a in d.log if isinstance(a, io.OrderCopies) and a.copies]
     assert len(loads) == 3  # 2 + 0.2 x 9
     d.answer_asks(d.ask("r9", fn="f9"))
     d.sweep(40)
-    assert len([a for _, a in d.log if isinstance(a, io.Hold) and a.copies]) == 4
+    assert len([a for _, a in d.log if isinstance(a, io.OrderCopies) and a.copies]) == 4
 
 
 # --- around it -----------------------------------------------------------------------------
@@ -164,11 +164,11 @@
 def test_slow_loads_lower_the_number_under_way_and_timely_ones_raise_it():
     d = Drive()
     start = d.router.loads_limit
-    loads = of(d.answer_asks(d.ask("r1", load_ms=100.0)), io.Hold)
+    loads = of(d.answer_asks(d.ask("r1", load_ms=100.0)), io.OrderCopies)
     d.now += 1000
     d.count(loads[0].worker, 1)
     low = d.router.loads_limit
-    loads = of(d.answer_asks(d.ask("r2", fn="g")), io.Hold)
+    loads = of(d.answer_asks(d.ask("r2", fn="g")), io.OrderCopies)
     d.now += 200
     d.count(loads[0].worker, 1, "g")
     assert low < start and d.router.loads_limit > low
@@ -178,13 +178,13 @@
     d = Drive(workers=0)
     d.ask("r1", budget=2500.0)  # its arrival starts the sweeps
     d.now += 1
-    assert [a.request for a in of(d.ask("r2", budget=25.0), io.Refuse)] == ["r2"]
+    assert [a.request for a in of(d.ask("r2", budget=25.0), io.Reject)] == ["r2"]
 
 
 def test_workers_that_leave_do_not_raise_the_limit_of_the_others():
     d = Drive(workers=4, quotas_rps={"t": 40.0})
     before = d.router.workers[1].limit
-    d.feed(io.RosterChanged([io.WorkerEntry(n, io.State.GONE) for n in (2, 3, 4)], complete=False))
+    d.feed(io.RosterChanged([io.ScorerEntry(n, io.ScorerState.GONE) for n in (2, 3, 4)], complete=False))
     d.sweep(40)
     assert d.router.workers[1].limit == before < 20
 
@@ -196,19 +196,19 @@
     drive.feed(io.LimitsChanged(2.0))
     refused = []
     for n in range(6):
-        refused += of(drive.ask(f"r{n}"), io.Refuse)
+        refused += of(drive.ask(f"r{n}"), io.Reject)
     assert [refusal.request for refusal in refused] == [f"r{n}" for n in range(6)]  # no burst to begin with
     drive.now += 1000.0
-    assert [len(of(drive.ask(f"s{n}"), io.Refuse)) for n in range(4)] == [0, 0, 1, 1]
+    assert [len(of(drive.ask(f"s{n}"), io.Reject)) for n in range(4)] == [0, 0, 1, 1]
     assert {refusal.hold_off_ms for refusal in refused} == {700.0}
     drive.feed(io.LimitsChanged())
-    assert not of(drive.ask("r9"), io.Refuse)
+    assert not of(drive.ask("r9"), io.Reject)
 
 
 def test_a_limit_of_nothing_refuses_all_and_none_was_ever_sent():
     drive = Drive()
     drive.feed(io.LimitsChanged(0.0))
-    assert [type(action) for action in drive.ask("r1")] == [io.Refuse]
+    assert [type(action) for action in drive.ask("r1")] == [io.Reject]
 
 
 def test_a_tenants_share_that_was_handed_in_takes_the_place_of_its_equal_part():
@@ -235,4 +235,4 @@
     d = Drive(workers=2, quotas_rps={"t": 100.0})
     d.feed(io.RosterChanged([], complete=True))
     d.ask("r1", tenant="t")
-    assert [refusal.request for refusal in of(d.sweep(2500), io.Refuse)] == ["r1"]
+    assert [refusal.request for refusal in of(d.sweep(2500), io.Reject)] == ["r1"]
--- a/tests/test_policy_told.py
+++ b/tests/test_policy_told.py
@@ -7,7 +7,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.admin import memory
-from fawnwharf.interface import Ending, State
+from fawnwharf.interface import AttemptResult, ScorerState
 
 LIFE_MS, LOAD_MS = 10_000.0, 500.0
 
@@ -17,15 +17,15 @@
 
 
 def loads(actions):
-    return [(hold.worker, hold.copies) for hold in of(actions, io.Hold) if hold.copies]
+    return [(hold.worker, hold.copies) for hold in of(actions, io.OrderCopies) if hold.copies]
 
 
 def asked(actions):
-    return [hold.worker for hold in of(actions, io.Hold) if not hold.copies]
+    return [hold.worker for hold in of(actions, io.OrderCopies) if not hold.copies]
 
 
 def want(d, worker, copies=1, fn="f"):
-    return loads(d.feed(io.CopiesWanted(worker, fn, "safe", copies, load_ms=LOAD_MS)))
+    return loads(d.feed(io.PrefetchRequested(worker, fn, "safe", copies, load_ms=LOAD_MS)))
 
 
 # --- a class that changes ------------------------------------------------------------------
@@ -35,15 +35,15 @@
     d = Drive()
     d.warm(lanes=4)
     [old] = of(arrived(d, "old", lanes=4), io.Send)
-    assert not d.feed(io.ClassChanged(replace(SAFE, effect=io.Effect.UNSAFE)))
+    assert not d.feed(io.ClassChanged(replace(SAFE, effect=io.Effect.AT_MOST_ONCE)))
     [new] = of(arrived(d, "new", lanes=4), io.Send)
     assert d.router.functions["f"].runs.timed  # what was learnt is kept
-    d.end(new, Ending.ERROR, closed=False)
-    d.end(old, Ending.ERROR, closed=False)
+    d.end(new, AttemptResult.ERROR, closed=False)
+    d.end(old, AttemptResult.ERROR, closed=False)
     assert "old" in d.router.requests  # safe as it came: it may be sent again, or else is refused
     d.sweep(d.now + 2600.0)
-    finals = [a for _, a in d.log if isinstance(a, io.Refuse | io.Fail)]
-    assert finals == [io.Fail("new"), io.Refuse("old")]
+    finals = [a for _, a in d.log if isinstance(a, io.Reject | io.Fail)]
+    assert finals == [io.Fail("new"), io.Reject("old")]
 
 
 @pytest.mark.parametrize(
@@ -70,17 +70,17 @@
     for came_before in (True, False):
         d = Drive(workers=4)
         if changed and not came_before:
-            d.feed(io.ClassChanged(replace(KEYED, dedup_window_ms=changed, group=io.Group.ALL)))
+            d.feed(io.ClassChanged(replace(KEYED, dedup_window_ms=changed, group=io.DeduplicationGroup.ALL)))
         arrived(d, "r", spec="keyed", budget=4000.0)
         if changed and came_before:
-            d.feed(io.ClassChanged(replace(KEYED, dedup_window_ms=changed, group=io.Group.ALL)))
+            d.feed(io.ClassChanged(replace(KEYED, dedup_window_ms=changed, group=io.DeduplicationGroup.ALL)))
         for worker in (1, 2, 3, 4):
             d.count(worker, 1)
         [send] = [a for _, a in d.log if isinstance(a, io.Send)]
         d.sweep(after_ms)
         for worker in (1, 2, 3, 4):
             d.count(worker, 1)
-        sends = of(d.end(send, Ending.ERROR, closed=False), io.Send)
+        sends = of(d.end(send, AttemptResult.ERROR, closed=False), io.Send)
         assert bool(sends) is (again or came_before)
 
 
@@ -163,15 +163,15 @@
     if case == "unknown worker":
         worker = 77
     elif case in ("draining", "gone"):
-        state = State.DRAINING if case == "draining" else State.GONE
-        d.feed(io.RosterChanged([io.WorkerEntry(2, state)], False))
+        state = ScorerState.DRAINING if case == "draining" else ScorerState.GONE
+        d.feed(io.RosterChanged([io.ScorerEntry(2, state)], False))
     elif case == "suspect":
         d.router._suspect(d.router.workers[2])
     elif case == "ration exhausted":
         d.router.ordered.extend([d.now] * 3)
     elif case == "blocked":
         want(d, 2)
-        d.count(2, 0, ending=Ending.FULL)
+        d.count(2, 0, ending=AttemptResult.FULL)
     elif case == "stands":
         d.now += 1.0
         arrived(d, "r")
@@ -180,7 +180,7 @@
         copies = 0
     elif case == "cold":
         d.now += 1000.0
-        d.feed(io.RosterChanged([io.WorkerEntry(2, up_since_ms=d.now)], False))
+        d.feed(io.RosterChanged([io.ScorerEntry(2, up_since_ms=d.now)], False))
         d.router.chance = next(n for n in range(99) if not d.router._within_cold_budget(cold_with(d, n)))
     elif case == "too many under way":
         d.router.loading = 99
@@ -237,7 +237,7 @@
     d.now += LIFE_MS + 1.0
     assert want(d, 2) == [(2, 1)] and d.router.loading == 1  # it lapsed
     before = d.router.loads_limit
-    d.count(2, 0, ending=Ending.ERROR)
+    d.count(2, 0, ending=AttemptResult.ERROR)
     assert d.router.loading == 0 and d.router.loads_limit < before
 
 
@@ -253,7 +253,7 @@
     d = Drive(idle_life_ms=1e9)
     want(d, 2)
     d.count(2, 1)
-    d.feed(io.CopiesWanted(2, "g", "safe"))
+    d.feed(io.PrefetchRequested(2, "g", "safe"))
     d.count(2, 1, "g")
     told = memory.learnt(d.router, set(), d.now, 0.0)
     other = Drive(idle_life_ms=1e9).router
@@ -271,7 +271,7 @@
 def test_events_from_outside_leave_the_ration_of_orders_alone():
     d = Drive(load_window_ms=5000.0, free_loads=5.0)
     before = d.router._ration_left()
-    d.feed(io.Elsewhere(2, sent=3, copies={"f": 2}, loading=("f", "g")))
+    d.feed(io.RemoteLoadReport(2, sent=3, copies={"f": 2}, loading=("f", "g")))
     d.feed(io.ClassChanged(replace(UNSAFE, promise_ms=1.0)))
     assert d.router._ration_left() == before
     want(d, 1, fn="h")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -67,7 +67,7 @@
                 rig.log.say(self.event(3, scorer.member("terminating")))
                 rig.until(lambda rig=rig: rig.front.changelog.seq == 3, "the next event is told")
                 state = rig.front.pool.scorers[front_end.worker_number(scorer.id)].state
-                self.assertEqual(state, io.State.DRAINING)
+                self.assertEqual(state, io.ScorerState.DRAINING)
 
     def test_a_stumble_after_all_was_well_is_a_new_one(self):
         rig = self.rig(ScorerPeer())
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -76,4 +76,4 @@
                 self.clock.advance(200.0)  # the process is held up
                 made.settle(made.client())
                 self.assertEqual(scorer.runs, [])
-                self.assertEqual(self.endings(), [io.Ending.NOT_SENT])
+                self.assertEqual(self.endings(), [io.AttemptResult.NOT_SENT])
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -192,13 +192,13 @@
 def test_what_is_safe_alone():
     window = 10_000.0
     for effect, standing, found in (
-        (io.Effect.SAFE, Standing(), Alone.SERVE),
-        (io.Effect.UNSAFE, Standing(since_start_ms=1e9), Alone.LATER),
-        (io.Effect.UNSAFE, Standing(granted=True), Alone.SERVE),
-        (io.Effect.UNSAFE, Standing(known=True, granted=True), Alone.ANSWER),
-        (io.Effect.KEYED, Standing(since_start_ms=window - 1), Alone.LATER),
-        (io.Effect.KEYED, Standing(since_start_ms=window), Alone.SERVE),
-        (io.Effect.KEYED, Standing(granted=True), Alone.SERVE),
+        (io.Effect.IDEMPOTENT, Standing(), Alone.SERVE),
+        (io.Effect.AT_MOST_ONCE, Standing(since_start_ms=1e9), Alone.LATER),
+        (io.Effect.AT_MOST_ONCE, Standing(granted=True), Alone.SERVE),
+        (io.Effect.AT_MOST_ONCE, Standing(known=True, granted=True), Alone.ANSWER),
+        (io.Effect.DEDUPLICATED, Standing(since_start_ms=window - 1), Alone.LATER),
+        (io.Effect.DEDUPLICATED, Standing(since_start_ms=window), Alone.SERVE),
+        (io.Effect.DEDUPLICATED, Standing(granted=True), Alone.SERVE),
     ):
         assert alone.call(effect, standing, window) is found
     lone = alone.allowed(WORTHS, 3, 12, rostered=True, asked=True)
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -264,7 +264,7 @@
 # --- orders of the module -------------------------------------------------------------------------
 
 
-ANSWER = Answer(io.Ending.GOOD, b"", io.Warmth.UNTOLD, 0, 1)
+ANSWER = Answer(io.AttemptResult.GOOD, b"", io.Warmth.UNTOLD, 0, 1)
 
 
 class Holding:
@@ -295,11 +295,11 @@
 def test_before_renewal_the_modules_own_orders_do_not_go_out_and_change_nothing_it_believes():
     ground = Holding(own=[(7, "own")])
     ground.go_by(Stage.REST)
-    race, own, question = io.Hold(8, "f", 2), io.Hold(7, "own", 1), io.Hold(9, "f", 0)
+    race, own, question = io.OrderCopies(8, "f", 2), io.OrderCopies(7, "own", 1), io.OrderCopies(9, "f", 0)
     for order in (race, own, question):
         ground.holds.carry(order)
     assert ground.out == [own, question] and ground.made == [(7, "own")]
-    assert ground.told == [io.OrderAnswered(8, "f", io.Ending.NOT_SENT, 0, 0.0)]
+    assert ground.told == [io.LoadOrderAnswered(8, "f", io.AttemptResult.NOT_SENT, 0, 0.0)]
     [asked] = ground.asked  # where its copy stands, once a second
     assert (asked.worker, asked.function, asked.copies) == (7, "f", 0)
     ground.holds.carry(race)
@@ -316,14 +316,14 @@
 def test_the_module_sends_where_the_loaders_copy_stands_though_it_ordered_nothing(place):
     site = io.Settings(classes=dict(CLASSES), quotas_rps={"t": 100.0}, tick_ms=1.0)
     router, ground, now = Router(site, 1), Holding(), 1_000.0
-    entries = [io.WorkerEntry(n) for n in range(6)]
+    entries = [io.ScorerEntry(n) for n in range(6)]
     events = [io.RosterChanged(entries, True), io.RequestArrived("r1", "f", "view", "t", 2_000.0)]
     ground.places["f"] = place
     ground.go_by(Stage.REST)
     sent = []
     for _ in range(8):
         for action in router.handle(now, events):
-            if isinstance(action, io.Hold):
+            if isinstance(action, io.OrderCopies):
                 ground.holds.carry(action)
             elif isinstance(action, io.Send):
                 sent.append((now, action.worker))
@@ -331,7 +331,7 @@
         for order in ground.out:  # questions of the module's own
             assert order.copies == 0
             copies = int(order.worker == place)
-            events.append(io.OrderAnswered(order.worker, "f", io.Ending.GOOD, copies, 1.0))
+            events.append(io.LoadOrderAnswered(order.worker, "f", io.AttemptResult.GOOD, copies, 1.0))
         for order in ground.asked:
             order.ended(order, None, ANSWER)
         ground.out.clear(), ground.asked.clear()
@@ -344,14 +344,14 @@
     router, ground = Router(site, 1), Holding()
     ground.go_by(Stage.REST)
     calls = [io.RequestArrived(f"r{n}", "f", "view", "t", 60_000.0) for n in range(3)]
-    events = [io.RosterChanged([io.WorkerEntry(n) for n in range(100)], True), *calls]
+    events = [io.RosterChanged([io.ScorerEntry(n) for n in range(100)], True), *calls]
     held = []
     while ground.now < 8_000.0:
         for action in router.handle(ground.now, events):
-            if isinstance(action, io.Hold):
+            if isinstance(action, io.OrderCopies):
                 ground.holds.carry(action)
         ground.holds.events(ground.now, events)
-        none = [io.OrderAnswered(o.worker, "f", io.Ending.GOOD, 0, 1.0) for o in ground.out]
+        none = [io.LoadOrderAnswered(o.worker, "f", io.AttemptResult.GOOD, 0, 1.0) for o in ground.out]
         events, ground.told[:] = [*ground.told, *none, io.TimerDue(0)], []
         ground.out.clear()
         ground.now += 5.0
@@ -367,9 +367,9 @@
     ground.answered = lambda now, event: [event]
     ground.go_by(Stage.REST)
     ground.requests["r1"] = type("Open", (), {"call": type("Of", (), {"function": "f"})})
-    miss = io.AttemptEnded("r1", 0, 7, io.Ending.MISS, 1.0, False)
-    good, other = replace(miss, ending=io.Ending.GOOD), replace(miss, request="r2")
-    answer = io.OrderAnswered(7, "g", io.Ending.GOOD, 1, 1.0)
+    miss = io.AttemptEnded("r1", 0, 7, io.AttemptResult.MISS, 1.0, False)
+    good, other = replace(miss, ending=io.AttemptResult.GOOD), replace(miss, request="r2")
+    answer = io.LoadOrderAnswered(7, "g", io.AttemptResult.GOOD, 1, 1.0)
     assert ground.holds.events(1.0, [miss, good, other, answer]) == [answer] and lost == [("f", 7)]
 
 
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -101,21 +101,23 @@
     front.set(0.0, {"n0"}, {"n0"}, allowed(Stage.REST, WORTHS), 1)
     front.want(0.0, "f", 1.0, "view", 2, 400.0)
     [order] = orders(front.tick(2_000.0))
-    assert order == io.CopiesWanted(7, "f", "view", 1, 2, 400.0)
-    assert orders(front.tick(2_050.0)) == [] and orders(front.tick(2_150.0)) == [io.Hold(7, "f", 0)]
-    front.answered(2_260.0, io.OrderAnswered(7, "f", io.Ending.GOOD, 0, 1.0))
+    assert order == io.PrefetchRequested(7, "f", "view", 1, 2, 400.0)
+    assert orders(front.tick(2_050.0)) == [] and orders(front.tick(2_150.0)) == [io.OrderCopies(7, "f", 0)]
+    front.answered(2_260.0, io.LoadOrderAnswered(7, "f", io.AttemptResult.GOOD, 0, 1.0))
     assert orders(front.tick(2_300.0)) == []
     assert orders(front.tick(2_800.0)) == [order]
     front.ordered(2_800.0, 7, "f")
     front.want(2_850.0, "g", 9.0, "view")
-    front.answered(2_850.0, io.OrderAnswered(7, "f", io.Ending.GOOD, 0, 1.0))  # a question's of before
+    front.answered(
+        2_850.0, io.LoadOrderAnswered(7, "f", io.AttemptResult.GOOD, 0, 1.0)
+    )  # a question's of before
     assert orders(front.tick(2_870.0)) == orders(front.tick(3_400.0)) == []  # its load is under way
-    front.answered(3_450.0, io.OrderAnswered(7, "f", io.Ending.FULL, 0, 1.0))
+    front.answered(3_450.0, io.LoadOrderAnswered(7, "f", io.AttemptResult.FULL, 0, 1.0))
     assert [order.worker for order in orders(front.tick(3_500.0))] == [7]
-    front.answered(3_550.0, io.OrderAnswered(7, "g", io.Ending.GOOD, 1, 1.0))
+    front.answered(3_550.0, io.LoadOrderAnswered(7, "g", io.AttemptResult.GOOD, 1, 1.0))
     assert [order.worker for order in orders(front.tick(4_000.0))] == [8]
     front.ordered(4_000.0, 8, "f")
-    assert front.answered(4_400.0, io.OrderAnswered(8, "f", io.Ending.GOOD, 1, 400.0))
+    assert front.answered(4_400.0, io.LoadOrderAnswered(8, "f", io.AttemptResult.GOOD, 1, 400.0))
     assert front.place("f") == 8
 
 
@@ -176,7 +178,7 @@
         for order in orders(front.tick(now)):
             made.append(now)
             front.ordered(now, order.worker, order.function)
-            front.answered(now + 40, io.OrderAnswered(7, order.function, io.Ending.GOOD, 1, 40.0))
+            front.answered(now + 40, io.LoadOrderAnswered(7, order.function, io.AttemptResult.GOOD, 1, 40.0))
     assert 60 <= len(made) <= 20_000 * 0.2 / 40 + 1
 
 
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -42,7 +42,7 @@
         limits = limits_from(settings, 2, 100.0)
         self.giving = Giving("n0", 1, limits, lambda row: [worker_number("s-1")], 50.0, 50.0)
         self.door = front.port.table = Door(front.loop, front.table, settings.classes, limits)
-        front.stand_between(io.Hold, self.between)
+        front.stand_between(io.OrderCopies, self.between)
         front._seam = self
         self.turn()
 
@@ -68,7 +68,9 @@
     def carry(self, outs):
         for out in outs:
             if isinstance(out, Order):
-                tell = self.front.table.order if isinstance(out.what, io.Hold) else self.front.loop.tell
+                tell = (
+                    self.front.table.order if isinstance(out.what, io.OrderCopies) else self.front.loop.tell
+                )
                 tell(out.what)
             elif isinstance(out, Ticket | Stood):
                 self.door.told(out)
--- a/tests/test_rejoin_lent.py
+++ b/tests/test_rejoin_lent.py
@@ -96,12 +96,12 @@
 @pytest.mark.parametrize(
     ("made", "ending", "copies", "said"),
     [
-        (True, io.Ending.GOOD, 1, m.What.STANDS),
-        (True, io.Ending.FULL, 0, m.What.FAILED),
-        (True, io.Ending.RESET, 0, m.What.FAILED),
-        (True, io.Ending.GOOD, 0, None),  # of a question
-        (False, io.Ending.FULL, 0, None),
-        (False, io.Ending.GOOD, 1, m.What.STANDS),  # a copy of before
+        (True, io.AttemptResult.GOOD, 1, m.What.STANDS),
+        (True, io.AttemptResult.FULL, 0, m.What.FAILED),
+        (True, io.AttemptResult.RESET, 0, m.What.FAILED),
+        (True, io.AttemptResult.GOOD, 0, None),  # of a question
+        (False, io.AttemptResult.FULL, 0, None),
+        (False, io.AttemptResult.GOOD, 1, m.What.STANDS),  # a copy of before
     ],
 )
 def test_what_came_of_a_loan_is_told_to_its_loader_once(made, ending, copies, said):
@@ -110,8 +110,8 @@
     if made:
         helping.ordered(7, "f")
         assert [w.word.what for w in helping.tick(1_020.0)] == [m.What.MADE]
-    event = io.OrderAnswered(7, "f", ending, copies, 400.0)
-    proves = ending in (io.Ending.GOOD, io.Ending.FULL, io.Ending.ERROR)
+    event = io.LoadOrderAnswered(7, "f", ending, copies, 400.0)
+    proves = ending in (io.AttemptResult.GOOD, io.AttemptResult.FULL, io.AttemptResult.ERROR)
     told = [w.word.what for w in helping.answered(event, proves)]
     assert told == ([] if said is None else [said])
     assert helping.is_own(7, "f") is (said is None)
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -138,7 +138,7 @@
     assert [effect for _, effect in cores.told[2:]] == [Go("k", True), Go("own", True)]
 
 
-@pytest.mark.parametrize("effect", [Effect.UNSAFE, Effect.KEYED])
+@pytest.mark.parametrize("effect", [Effect.AT_MOST_ONCE, Effect.DEDUPLICATED])
 def test_after_a_cut_of_all_a_repeat_is_not_run_again_and_a_new_call_goes_at_once(cores, effect):
     owner = cores.owners[0]
     cores.begin(owner, effect=effect, dedup_ms=60_000.0)
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -161,9 +161,9 @@
     site.begin()
     node = site.nodes[2]
     seam, life = node.front.seam, node.part.life
-    order = node.front._carriers[io.Hold]
+    order = node.front._carriers[io.OrderCopies]
     seam.release()
-    assert node.front._carriers[io.Hold] != order and not node.front.port.waits_for
+    assert node.front._carriers[io.OrderCopies] != order and not node.front.port.waits_for
     seam.take_back(node.front)
     assert node.part.life > life and not site.ready(node)
     site.until(
--- a/tests/test_rejoin_tallies.py
+++ b/tests/test_rejoin_tallies.py
@@ -12,8 +12,8 @@
 WORTHS = {"view": 1.0, "save": 5.0}
 
 
-def order(worker, copies=1, took_ms=100.0, ending=io.Ending.GOOD, function="f"):
-    return io.OrderAnswered(worker, function, ending, copies, took_ms)
+def order(worker, copies=1, took_ms=100.0, ending=io.AttemptResult.GOOD, function="f"):
+    return io.LoadOrderAnswered(worker, function, ending, copies, took_ms)
 
 
 def attempt(worker, ending):
@@ -60,12 +60,17 @@
     tallies = Tallies(WORTHS, 10_000.0)
     for worker, age_ms, seen in ((1, 500.0, True), (2, 500.0, False), (3, 20_000.0, True)):
         if seen:
-            tallies.event(0.0, attempt(worker, io.Ending.GOOD), age_ms)
+            tallies.event(0.0, attempt(worker, io.AttemptResult.GOOD), age_ms)
         for _ in range(5):
-            tallies.event(1.0, attempt(worker, io.Ending.RESET), age_ms)
+            tallies.event(1.0, attempt(worker, io.AttemptResult.RESET), age_ms)
     assert tallies.fell == 1 and tallies.standing(2.0).fell == 1
-    tallies.event(3.0, attempt(1, io.Ending.GOOD), 900.0)
-    for ending in (io.Ending.RESET, io.Ending.RESET, io.Ending.GOOD, io.Ending.RESET):
+    tallies.event(3.0, attempt(1, io.AttemptResult.GOOD), 900.0)
+    for ending in (
+        io.AttemptResult.RESET,
+        io.AttemptResult.RESET,
+        io.AttemptResult.GOOD,
+        io.AttemptResult.RESET,
+    ):
         tallies.event(4.0, attempt(1, ending), 900.0)
     assert tallies.fell == 1
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -11,12 +11,12 @@
 from bench import Drive, of
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending, Warmth
+from fawnwharf.interface import AttemptResult, Warmth
 from fawnwharf.policy import Router
 
 WINDOW_MS, FREE, PART = 5_000.0, 10.0, 0.1
 LOAD_MS, RUN_MS, FUNCTIONS, WORKERS, RPS = 600.0, 60.0, 40, 6, 30.0
-SPEC = io.ClassSpec("view", 800.0, 2_500.0, io.Effect.SAFE)
+SPEC = io.ClassSpec("view", 800.0, 2_500.0, io.Effect.IDEMPOTENT)
 
 
 class Day:
@@ -28,7 +28,7 @@
         self.router = Router(io.Settings({"view": SPEC}, **{**more, **settings}), seed)
         self.standing, self.loading, self.done = {}, 0, set()
         self.orders, self.taken, self.sent, self.served = [], [], {}, []
-        self.feed(io.RosterChanged([io.WorkerEntry(n) for n in range(1, WORKERS + 1)], complete=True))
+        self.feed(io.RosterChanged([io.ScorerEntry(n) for n in range(1, WORKERS + 1)], complete=True))
         self.later(0.0, self.arrive)
 
     def later(self, delay_ms, call, *args):
@@ -59,11 +59,11 @@
         for action in self.router.handle(self.now, [event]):
             if isinstance(action, io.SetTimer):
                 self.later(action.delay_ms, self.feed, io.TimerDue(action.token))
-            elif isinstance(action, io.Hold):
+            elif isinstance(action, io.OrderCopies):
                 self.order(action)
             elif isinstance(action, io.Send):
                 self.send(action)
-            elif isinstance(action, io.Refuse | io.Fail):
+            elif isinstance(action, io.Reject | io.Fail):
                 self.done.add(action.request)
 
     def order(self, hold):
@@ -71,7 +71,7 @@
         if not hold.copies or self.standing.get(key, 0) >= hold.copies:
             if hold.copies:
                 self.orders.append(self.now)
-            self.later(1.0, self.counted, key, Ending.GOOD)
+            self.later(1.0, self.counted, key, AttemptResult.GOOD)
             return
         self.orders.append(self.now)
         self.load(key)
@@ -83,20 +83,20 @@
     def loaded(self, key):
         self.loading -= 1
         self.standing[key] = self.standing.get(key, 0) + 1
-        self.counted(key, Ending.GOOD)
+        self.counted(key, AttemptResult.GOOD)
 
     def counted(self, key, ending):
-        self.feed(io.OrderAnswered(*key, ending, self.standing.get(key, 0), 1.0))
+        self.feed(io.LoadOrderAnswered(*key, ending, self.standing.get(key, 0), 1.0))
 
     def send(self, send):
         fn, number = self.sent[send.request]
         self.sent[send.request][1] += 1
         stands = self.standing.get((send.worker, fn), 0) > 0
-        ending, took = (Ending.GOOD, RUN_MS) if stands else (Ending.MISS, 1.0)
+        ending, took = (AttemptResult.GOOD, RUN_MS) if stands else (AttemptResult.MISS, 1.0)
         self.later(took, self.end, send, number, ending, took)
 
     def end(self, send, number, ending, took):
-        good = ending is Ending.GOOD and send.request not in self.done
+        good = ending is AttemptResult.GOOD and send.request not in self.done
         if good:
             self.done.add(send.request)
             self.served.append(self.now)
@@ -128,7 +128,7 @@
     for step in range(60):
         day.run(100.0 * step)
         worker, fn = 1 + step % WORKERS, f"f{step % FUNCTIONS}"
-        day.feed(io.CopiesWanted(worker, fn, "view", 1 + step % 3, load_ms=LOAD_MS))
+        day.feed(io.PrefetchRequested(worker, fn, "view", 1 + step % 3, load_ms=LOAD_MS))
         if step in (5, 30):
             day.release()
     day.run(20_000.0)
@@ -151,5 +151,5 @@
     loads = []
     for n in range(20):
         d.now += 10.0
-        loads += of(d.feed(io.CopiesWanted(1 + n % 4, f"f{n}", "safe")), io.Hold)
+        loads += of(d.feed(io.PrefetchRequested(1 + n % 4, f"f{n}", "safe")), io.OrderCopies)
     assert len([hold for hold in loads if hold.copies]) == 3
