--- a/tests/test_repeat_windows.py
+++ b/tests/test_repeat_windows.py
@@ -6,13 +6,20 @@
 from bench import Drive, of
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Effect, Ending, Group, State
+from fawnwharf.interface import AttemptResult, DeduplicationGroup, Effect, ScorerState
 from fawnwharf.policy.admission import WINDOW_MARGIN_MS
 
 GIVE_UP_MS = 4_000.0
 
 
-def drive(window_ms, group=Group.ALL, effect=Effect.KEYED, workers=4, give_up_ms=GIVE_UP_MS, zones=("a",)):
+def drive(
+    window_ms,
+    group=DeduplicationGroup.ALL,
+    effect=Effect.DEDUPLICATED,
+    workers=4,
+    give_up_ms=GIVE_UP_MS,
+    zones=("a",),
+):
     d = Drive(workers, zones)
     spec = io.ClassSpec("class", 1_000.0, give_up_ms, effect, group, window_ms)
     d.feed(io.ClassChanged(spec))
@@ -22,7 +29,7 @@
 def first_send(d, name="r", budget=GIVE_UP_MS):
     """A copy stands at each worker that is asked, so that any of them may take it."""
     actions = d.ask(name, spec="class", budget=budget)
-    for hold in of(actions, io.Hold):
+    for hold in of(actions, io.OrderCopies):
         actions = actions + d.count(hold.worker, 1, hold.function)
     [send] = of(actions, io.Send)
     return send
@@ -31,7 +38,7 @@
 def end(d, send, ending, attempt=0):
     """What is sent on it, once a sign that was asked for has come."""
     actions = d.end(send, ending, attempt=attempt, closed=False)
-    for hold in of(actions, io.Hold):
+    for hold in of(actions, io.OrderCopies):
         actions = actions + d.count(hold.worker, 1, hold.function)
     return of(actions, io.Send)
 
@@ -42,22 +49,26 @@
     send = first_send(d)
     assert send.within_ms == math.inf
     d.now += 30.0
-    again = end(d, send, Ending.RESET)
+    again = end(d, send, AttemptResult.RESET)
     left = window_ms - WINDOW_MARGIN_MS - 30.0
     assert [repeat.within_ms for repeat in again] == ([left] if left > 0 else [])
 
 
-@pytest.mark.parametrize("effect", [Effect.SAFE, Effect.UNSAFE, Effect.KEYED])
-@pytest.mark.parametrize("ending", [Ending.FULL, Ending.MISS, Ending.CONNECT_FAILED, Ending.NOT_SENT])
+@pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.AT_MOST_ONCE, Effect.DEDUPLICATED])
+@pytest.mark.parametrize(
+    "ending", [AttemptResult.FULL, AttemptResult.MISS, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT]
+)
 def test_what_never_ran_is_sent_again_without_a_limit(effect, ending):
     d = drive(0.0, effect=effect)
     [again] = end(d, first_send(d), ending)
     assert again.within_ms == math.inf
 
 
-@pytest.mark.parametrize("ending", [Ending.RESET, Ending.ERROR, Ending.TIMEOUT, Ending.CANCELLED])
+@pytest.mark.parametrize(
+    "ending", [AttemptResult.RESET, AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.CANCELLED]
+)
 def test_an_at_most_once_request_that_may_have_run_is_never_sent_again(ending):
-    d = drive(1e9, effect=Effect.UNSAFE)
+    d = drive(1e9, effect=Effect.AT_MOST_ONCE)
     send = first_send(d)
     d.now += 5.0
     assert not end(d, send, ending)
@@ -68,20 +79,20 @@
     d = drive(1_500.0)
     send = first_send(d)
     d.now += 400.0
-    [second] = end(d, send, Ending.FULL)  # it never ran: nothing counts yet
+    [second] = end(d, send, AttemptResult.FULL)  # it never ran: nothing counts yet
     assert second.within_ms == math.inf
     d.now += 300.0
-    [third] = end(d, second, Ending.RESET, attempt=1)
+    [third] = end(d, second, AttemptResult.RESET, attempt=1)
     assert third.within_ms == 1_500.0 - WINDOW_MARGIN_MS - 300.0
     d.now += 300.0
-    [fourth] = end(d, third, Ending.NOT_SENT, attempt=2)
+    [fourth] = end(d, third, AttemptResult.NOT_SENT, attempt=2)
     assert fourth.within_ms == 1_500.0 - WINDOW_MARGIN_MS - 600.0
 
 
 def held(d):
     """All workers rest for a moment, so that a repeat is held."""
     for worker in d.router.workers.values():
-        d.feed(io.RosterChanged([io.WorkerEntry(worker.id, State.DRAINING)], complete=False))
+        d.feed(io.RosterChanged([io.ScorerEntry(worker.id, ScorerState.DRAINING)], complete=False))
 
 
 def back(d):
@@ -94,14 +105,15 @@
     send = first_send(d)
     held(d)
     d.now += 20.0
-    assert not end(d, send, Ending.RESET)
+    assert not end(d, send, AttemptResult.RESET)
     d.now = wait_ms
     assert [s.within_ms for s in of(back(d), io.Send)] == [800.0 - WINDOW_MARGIN_MS - wait_ms] * sent
 
 
 @pytest.mark.parametrize("way", ["suspect", "hasten", "lost"])
 @pytest.mark.parametrize(
-    ("effect", "window_ms"), [(Effect.UNSAFE, 1e9), (Effect.KEYED, 300.0), (Effect.KEYED, 3e3)]
+    ("effect", "window_ms"),
+    [(Effect.AT_MOST_ONCE, 1e9), (Effect.DEDUPLICATED, 300.0), (Effect.DEDUPLICATED, 3e3)],
 )
 def test_second_attempts_of_every_kind_keep_to_class_and_window(way, effect, window_ms):
     d = drive(window_ms, effect=effect)
@@ -122,20 +134,20 @@
         d.router._lose(worker, attempt.function)
         d.router._miss_answers()
     sends = of(d.router.actions, io.Send)
-    if effect is Effect.KEYED and window_ms == 3e3:
+    if effect is Effect.DEDUPLICATED and window_ms == 3e3:
         assert [s.within_ms for s in sends] == [window_ms - WINDOW_MARGIN_MS - 350.0]
     else:
         assert sends == []
 
 
-@pytest.mark.parametrize("group", [Group.ZONE, Group.CELL])
+@pytest.mark.parametrize("group", [DeduplicationGroup.ZONE, DeduplicationGroup.CELL])
 def test_a_repeat_stays_in_the_group_in_which_the_first_attempt_left_though_the_roster_moves_its_worker(
     group,
 ):
     d = drive(3_000.0, group)
 
     def entry(worker, side):
-        return io.WorkerEntry(worker, zone="ab"[side], cell=side)
+        return io.ScorerEntry(worker, zone="ab"[side], cell=side)
 
     d.feed(io.RosterChanged([entry(n, n % 2) for n in range(1, 5)], complete=True))
     send = first_send(d)
@@ -143,26 +155,26 @@
     moved = [entry(send.worker, 1 - side)]
     d.feed(io.RosterChanged(moved, complete=False))
     d.now += 10.0
-    [again] = end(d, send, Ending.RESET)
+    [again] = end(d, send, AttemptResult.RESET)
     assert again.worker % 2 == side and again.worker != send.worker
 
 
 def test_a_request_outlives_the_worker_of_its_first_attempt():
     """A class with ten minutes: its first worker is forgotten before there is a place for a repeat."""
-    d = drive(600_000.0, Group.ZONE, workers=2, give_up_ms=600_000.0)
+    d = drive(600_000.0, DeduplicationGroup.ZONE, workers=2, give_up_ms=600_000.0)
     send = first_send(d, budget=600_000.0)
     d.now += 10.0
-    gone = io.WorkerEntry(send.worker, State.GONE, zone="a")
-    other = io.WorkerEntry(3 - send.worker, State.DRAINING, zone="a")
+    gone = io.ScorerEntry(send.worker, ScorerState.GONE, zone="a")
+    other = io.ScorerEntry(3 - send.worker, ScorerState.DRAINING, zone="a")
     d.feed(io.RosterChanged([gone, other], complete=False))
-    assert not end(d, send, Ending.RESET)
+    assert not end(d, send, AttemptResult.RESET)
     while send.worker in d.router.workers:
         d.now += 5_000.0
         d.feed(io.TimerDue(0))
         assert d.now < 200_000.0
-    actions = d.feed(io.RosterChanged([io.WorkerEntry(3 - send.worker, zone="a")], complete=False))
+    actions = d.feed(io.RosterChanged([io.ScorerEntry(3 - send.worker, zone="a")], complete=False))
     actions += d.sweep(d.now + 100.0)
-    for hold in of(actions, io.Hold):
+    for hold in of(actions, io.OrderCopies):
         actions = actions + d.count(hold.worker, 1, hold.function)
     [again] = of(actions, io.Send)
     assert again.worker == 3 - send.worker
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -83,7 +83,7 @@
 def test_a_keyed_one_runs_again_within_its_scorers_window_and_not_after_it():
     cores = Cores()
     one, other, third = cores.owners
-    keyed = {"effect": Effect.KEYED, "dedup_ms": 2_500.0}
+    keyed = {"effect": Effect.DEDUPLICATED, "dedup_ms": 2_500.0}
     cores.begin(one, **keyed)
     cores.lost.add(one)
     cores.wait(1_700)
@@ -98,10 +98,10 @@
 def test_one_that_goes_without_waiting_takes_the_answer_that_was_kept():
     cores = Cores()
     one, other = cores.owners[:2]
-    cores.begin(one, effect=Effect.KEYED, must=False)
+    cores.begin(one, effect=Effect.DEDUPLICATED, must=False)
     assert cores.what(one) == [Go("k", False)]
     cores.end(one)
-    cores.begin(other, effect=Effect.KEYED, must=False)
+    cores.begin(other, effect=Effect.DEDUPLICATED, must=False)
     assert cores.what(other) == [Go("k", False), Answer("k", "QQ==")]
 
 
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies
 
 from fawnwharf.config import Fleet, Member
-from fawnwharf.interface import Ending, Warmth
+from fawnwharf.interface import AttemptResult, Warmth
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.replication import messages as m
@@ -86,14 +86,14 @@
 def test_signs_of_a_scorer_are_bad_until_one_good_sign():
     told, load = Warmth.UNTOLD, Warmth.WAITED_FOR_LOAD
     table = [  # ending, how long, warmth, whether one of these names a scorer, and whether two do
-        (Ending.TIMEOUT, 100.0, told, True, True),
-        (Ending.RESET, 5.0, told, True, True),
-        (Ending.CONNECT_FAILED, 5.0, told, True, True),
-        (Ending.CANCELLED, 900.0, told, False, True),
-        (Ending.CANCELLED, 20.0, told, False, False),
-        (Ending.GOOD, 900.0, told, False, True),
-        (Ending.GOOD, 900.0, load, False, False),
-        (Ending.NOT_SENT, 0.0, told, False, False),
+        (AttemptResult.TIMEOUT, 100.0, told, True, True),
+        (AttemptResult.RESET, 5.0, told, True, True),
+        (AttemptResult.CONNECT_FAILED, 5.0, told, True, True),
+        (AttemptResult.CANCELLED, 900.0, told, False, True),
+        (AttemptResult.CANCELLED, 20.0, told, False, False),
+        (AttemptResult.GOOD, 900.0, told, False, True),
+        (AttemptResult.GOOD, 900.0, load, False, False),
+        (AttemptResult.NOT_SENT, 0.0, told, False, False),
     ]
     for ending, took, warmth, once, twice in table:
         sights = Sights()
@@ -101,11 +101,11 @@
         assert sights.named(10.0).bad == ({"7": 1} if once else {}), ending
         sights.ended(15.0, 7, ending, took, 400.0, warmth)
         assert sights.named(16.0).bad == ({"7": 2} if twice else {}), ending
-        sights.ended(20.0, 7, Ending.GOOD, 30.0, 400.0)
+        sights.ended(20.0, 7, AttemptResult.GOOD, 30.0, 400.0)
         assert sights.named(30.0).bad == {} and sights.good_ms(7) == 20.0
-        sights.ended(40.0, 7, Ending.GOOD, 900.0, 400.0)
+        sights.ended(40.0, 7, AttemptResult.GOOD, 900.0, 400.0)
         assert sights.named(41.0).bad == {}  # what was hard before counts no more
-    sights.ended(50.0, 7, Ending.TIMEOUT, 400.0, 400.0)
+    sights.ended(50.0, 7, AttemptResult.TIMEOUT, 400.0, 400.0)
     assert sights.named(51.0).bad == {"7": 2}
     assert sights.named(5_000.0).bad == {}  # it fades
 
@@ -141,7 +141,7 @@
 
 def test_who_has_a_good_sign_of_its_own_goes_by_that():
     rests, sights = Rests(), Sights()
-    sights.ended(1_000.0, 1, Ending.GOOD, 10.0, 400.0)
+    sights.ended(1_000.0, 1, AttemptResult.GOOD, 10.0, 400.0)
     rests.heard(1_500.0, m.Hints({"1": 9}), sights, {1: "a"}, {"a": 8})
     assert rests.resting(1_500.0) == set()
     rests.heard(1_700.0, m.Hints({"1": 9}), sights, {1: "a"}, {"a": 8})
--- a/tests/test_scorer_answers.py
+++ b/tests/test_scorer_answers.py
@@ -15,7 +15,7 @@
 CLASSES = ("view", "save", "settle")
 DIAL_MS = 250.0
 BOUNDS = {"max_attempts": 3, "cancel": True, "second_copies": True, "dial_timeout": DIAL_MS}
-RESET, NOT_SENT = io.Ending.RESET, io.Ending.NOT_SENT
+RESET, NOT_SENT = io.AttemptResult.RESET, io.AttemptResult.NOT_SENT
 
 
 class Closes(Case):
@@ -67,7 +67,7 @@
                 reset(scorer.links[0].sock)
                 link.connection.flush()  # after the turn's reads
                 self.assertTrue(link.connection.closed)
-                self.assertEqual(self.endings(), [io.Ending.GOOD])
+                self.assertEqual(self.endings(), [io.AttemptResult.GOOD])
                 rig.until(lambda client=client: client.answers, "it is answered")
 
     def test_a_close_in_part_never_ran_but_where_it_must_not_run_twice(self):
@@ -106,7 +106,7 @@
         rig.front.table.send(io.Send(key, BY_POOL))
         self.turn(rig, times=1)
         rig.front.table.cancel(io.Cancel(key, 0))
-        self.assertEqual((self.endings(), link.streams), ([io.Ending.CANCELLED], {}))
+        self.assertEqual((self.endings(), link.streams), ([io.AttemptResult.CANCELLED], {}))
         self.unblock(blocked)
         rig.until(lambda: scorer.of(scorer_frames.GIVE_UP), "it is given up")
 
@@ -139,8 +139,8 @@
         pool, address = rig.front.pool, self.address(scorer)
         pool.send(attempt(BY_POOL, ended))
         [old] = self.links(rig)
-        pool.update(BY_POOL, None, io.State.GONE, 0.0)
-        pool.update(77, address, io.State.READY, 0.0)
+        pool.update(BY_POOL, None, io.ScorerState.GONE, 0.0)
+        pool.update(77, address, io.ScorerState.READY, 0.0)
         pool.send(attempt(77, ended, id=b"abcdefgh"))
         [new] = self.links(rig, 77)
         rig.until(lambda: scorer.runs and old.connection.closed, "the next one runs its own")
@@ -154,7 +154,7 @@
         rig.scorers.append(new)
         rig.front.pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
-        rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
+        rig.front.pool.update(BY_POOL, self.address(new), io.ScorerState.READY, 0.0)
         rig.until(lambda: new.runs and link.connection.closed, "it runs at the new address")
         self.assertEqual((old.frames, ended), ([], []))
 
@@ -164,7 +164,7 @@
         rig.scorers.append(new)
         rig.front.pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
-        rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
+        rig.front.pool.update(BY_POOL, self.address(new), io.ScorerState.READY, 0.0)
         link.connection.close(End.REFUSED)
         self.assertEqual(ended, [])
         rig.until(lambda: new.runs, "it runs at the new address")
@@ -176,7 +176,7 @@
         rig.front.pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
         self.faults.fail("connect", errno.EADDRNOTAVAIL)
-        rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
+        rig.front.pool.update(BY_POOL, self.address(new), io.ScorerState.READY, 0.0)
         link.connection.close(End.REFUSED)
         self.assertEqual(ended, [])
         self.clock.advance(scorers.DIAL_PAUSE_MS + 5.0)
@@ -201,7 +201,7 @@
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
         rig.front.pool.send(attempt(BY_POOL, ended))
-        rig.front.pool.update(BY_POOL, None, io.State.READY, 5.0)
+        rig.front.pool.update(BY_POOL, None, io.ScorerState.READY, 5.0)
         self.assertTrue(link.connection.closed)
         rig.until(lambda: scorer.runs, "it runs")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[1], []))
@@ -212,7 +212,7 @@
         for number in range(scorers.LINKS_MOST):
             rig.front.pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
         rig.until(lambda: len(scorer.runs) == scorers.LINKS_MOST, "all links are in use")
-        rig.front.pool.update(BY_POOL, None, io.State.READY, 5.0)
+        rig.front.pool.update(BY_POOL, None, io.ScorerState.READY, 5.0)
         rig.front.pool.send(attempt(BY_POOL, ended, id=b"abcdefgh"))
         rig.until(lambda: len(scorer.runs) > scorers.LINKS_MOST, "the new process runs it")
         self.assertEqual(ended, [])
@@ -238,7 +238,7 @@
             rig.until(lambda peer=peer: peer.runs, "it runs")
             peer.answer(peer.runs[0])
             rig.until(lambda number=number: len(ended) > number, "it is answered")
-        self.assertEqual(ended, [(io.Ending.GOOD, True)] * 3)
+        self.assertEqual(ended, [(io.AttemptResult.GOOD, True)] * 3)
         self.assertEqual([len(self.links(rig, BY_POOL + number)) for number in range(3)], [0, 1, 1])
 
     def test_a_link_with_something_open_does_not(self):
@@ -265,7 +265,7 @@
         scorer.answer(scorer.runs[0], body=b"first")
         rig.until(lambda: len(scorer.runs) == 2, "the next one runs")
         rig.settle(rig.client())
-        self.assertEqual(ended, [(io.Ending.GOOD, True)])
+        self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
 
     def test_an_id_that_is_open_twice_is_answered_on_each_link_for_itself(self):
@@ -277,10 +277,10 @@
         rig.until(lambda: len(scorer.runs) == 2, "the second runs")
         scorer.answer(scorer.runs[1], 3, "")
         rig.until(lambda: second, "the second is full")
-        self.assertEqual((first, second), ([], [(io.Ending.FULL, True)]))
+        self.assertEqual((first, second), ([], [(io.AttemptResult.FULL, True)]))
         scorer.answer(scorer.runs[0])
         rig.until(lambda: first, "the first is answered")
-        self.assertEqual(first, [(io.Ending.GOOD, True)])
+        self.assertEqual(first, [(io.AttemptResult.GOOD, True)])
 
     def test_an_answer_after_giving_up_and_its_second_copy_end_nothing(self):
         scorer, ended, later = ScorerPeer(copies=None), [], []
@@ -313,7 +313,7 @@
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 scorer.answer(scorer.runs[0])
                 rig.until(lambda ended=ended: ended, "it is answered")
-                self.assertEqual(ended, [(io.Ending.GOOD, True)])
+                self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
 
     def test_an_answer_that_is_cut_by_a_close_is_none(self):
         for op in CLASSES:
--- a/tests/test_scorer_faults.py
+++ b/tests/test_scorer_faults.py
@@ -72,7 +72,7 @@
                     self.clock.advance(5.0)
                     self.turn(rig, times=1)
                 fault.times = fault.hits
-                self.assertEqual(told(*ended[0]), io.Ending.NOT_SENT)
+                self.assertEqual(told(*ended[0]), io.AttemptResult.NOT_SENT)
                 self.assertLessEqual(abs(self.clock.monotonic_ms - started_ms - DIAL_MS), 10.0)
                 self.assertTrue(2 <= fault.hits <= DIAL_MS / scorers.DIAL_PAUSE_MS + 1, fault.hits)
                 self.assertEqual((self.links(rig), rig.front.pool._links), ([], 0))
@@ -96,7 +96,7 @@
                     rig, _, ended, _ = self.waiting(call, name)
                     rig.until(lambda ended=ended: ended, "it ends")
                     self.assertEqual(ended, [(end, False)])
-                    self.assertEqual(told(*ended[0]), io.Ending.CONNECT_FAILED)
+                    self.assertEqual(told(*ended[0]), io.AttemptResult.CONNECT_FAILED)
 
     def test_the_errors_are_those_of_the_table(self):
         calls = {
@@ -114,7 +114,7 @@
             self.assertNotIn(errno.EXDEV, ERRORS[call])
 
     def test_a_drain_told_in_the_pause_brings_new_work_back_at_once(self):
-        for state in (io.State.DRAINING, io.State.GONE):
+        for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
             with self.subTest(state.name):
                 rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL")
                 self.turn(rig)
@@ -135,7 +135,7 @@
     def test_an_address_told_in_the_pause_is_the_one_that_is_dialled(self):
         rig, scorer, ended, _ = self.waiting("connect", "ENETUNREACH")
         rig.scorers.append(moved := ScorerPeer(copies=None))
-        rig.front.pool.update(BY_POOL, self.address(moved), io.State.READY, 0.0)
+        rig.front.pool.update(BY_POOL, self.address(moved), io.ScorerState.READY, 0.0)
         self.clock.advance(PAUSE_MS)
         rig.until(lambda: moved.runs, "it runs at the new one")
         self.assertEqual((scorer.links, ended), ([], []))
@@ -235,7 +235,7 @@
         fault.times = fault.hits
         rig.settle(rig.client())
         self.assertEqual((ended, scorer.frames), ([(End.LOCAL_FAULT, True)], []))
-        self.assertEqual(told(*ended[0], whole=False), io.Ending.NOT_SENT)
+        self.assertEqual(told(*ended[0], whole=False), io.AttemptResult.NOT_SENT)
 
 
 if __name__ == "__main__":
--- a/tests/test_scorer_links.py
+++ b/tests/test_scorer_links.py
@@ -78,7 +78,7 @@
         rig, ended = self.rig(), []
         with socket.socket() as silent:  # bound, so that nobody else gets the port, but not listening
             silent.bind(("127.0.0.1", 0))
-            rig.front.pool.update(9, silent.getsockname(), io.State.READY, 0.0)
+            rig.front.pool.update(9, silent.getsockname(), io.ScorerState.READY, 0.0)
             rig.front.pool.send(attempt(9, ended))
             rig.until(lambda: ended, "it ends")
         self.assertEqual(ended, [(End.REFUSED, False)])
@@ -88,7 +88,7 @@
         for resets, ends in ((most, []), (most + 1, [(End.RESET_BY_PEER, False)])):
             rig, ended = self.rig(), []
             with socket.create_server(("127.0.0.1", 0)) as listener:
-                rig.front.pool.update(9, listener.getsockname(), io.State.READY, 0.0)
+                rig.front.pool.update(9, listener.getsockname(), io.ScorerState.READY, 0.0)
                 rig.front.pool.send(attempt(9, ended))
                 for _ in range(resets):
                     [dial] = links_of(rig)
@@ -104,7 +104,7 @@
         return rig, rig.front.pool, front_end.worker_number(scorer.id)
 
     def test_what_waits_for_a_dial_or_is_unwritten_is_pulled_back(self):
-        for state in (io.State.DRAINING, io.State.GONE):
+        for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
             for linked in (False, True):
                 with self.subTest(state=state.name, linked=linked):
                     scorer = ScorerPeer(copies=None)
@@ -123,13 +123,13 @@
     def test_nothing_new_goes_to_one_that_drains_but_questions_do(self):
         scorer, ended = ScorerPeer(), []
         rig, pool, id = self.pool(scorer)
-        pool.update(id, None, io.State.DRAINING, 0.0)
+        pool.update(id, None, io.ScorerState.DRAINING, 0.0)
         pool.send(attempt(id, ended))
         pool.order(order(id, ended))
         self.assertEqual(ended, [(End.NEVER_SENT, False)] * 2)
         pool.order(order(id, ended, copies=0))
         rig.until(lambda: len(ended) == 3, "the question is answered")
-        self.assertEqual(ended[2], (io.Ending.GOOD, True))
+        self.assertEqual(ended[2], (io.AttemptResult.GOOD, True))
 
     def test_a_drain_told_by_the_change_log_leaves_what_runs_alone(self):
         scorer = ScorerPeer()
@@ -149,8 +149,8 @@
         pool.send(attempt(id, ended))
         rig.until(lambda: scorer.runs, "the old one runs it")
         address = pool.scorers[id].address
-        pool.update(id, None, io.State.GONE, 0.0)
-        pool.update(77, address, io.State.READY, 0.0)
+        pool.update(id, None, io.ScorerState.GONE, 0.0)
+        pool.update(77, address, io.ScorerState.READY, 0.0)
         pool.send(attempt(77, ended, id=b"abcdefgh"))
         rig.until(lambda: len(scorer.runs) == 2, "the new one runs it")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
@@ -161,7 +161,7 @@
         rig, pool, id = self.pool(scorer)
         pool.send(attempt(id, []))
         [link] = pool.scorers[id].links
-        pool.update(id, None, io.State.GONE, 0.0)
+        pool.update(id, None, io.ScorerState.GONE, 0.0)
         rig.until(lambda: link.connection.up, "the dial comes up")
         self.assertTrue(link.connection.closed)
         self.assertFalse(pool.scorers)
@@ -171,7 +171,7 @@
         rig, pool, id = self.pool(scorer)
         pool.send(attempt(id, ended))
         rig.until(lambda: scorer.runs, "it runs")
-        pool.update(id, None, io.State.READY, 5.0)
+        pool.update(id, None, io.ScorerState.READY, 5.0)
         pool.send(attempt(id, ended, id=b"abcdefgh"))
         rig.until(lambda: len(scorer.runs) == 2, "the next one runs")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
@@ -188,7 +188,7 @@
         rig.until(lambda: ended["s-1"], "the first one ends")
         peers[1].answer(peers[1].runs[0])
         rig.until(lambda: ended["s-2"], "the second one ends")
-        self.assertEqual(ended, {"s-1": [(End.BAD_BYTES, True)], "s-2": [(io.Ending.GOOD, True)]})
+        self.assertEqual(ended, {"s-1": [(End.BAD_BYTES, True)], "s-2": [(io.AttemptResult.GOOD, True)]})
 
     def test_what_spoils_a_link_leaves_the_calls_on_the_others_alone(self):
         scorer, ended = ScorerPeer(copies=None), []
@@ -204,7 +204,7 @@
         for item in (scorer.runs[0], scorer.runs[2]):
             scorer.answer(item)
         rig.until(lambda: len(ended) == 3, "the others are answered")
-        self.assertEqual(ended, [(End.BAD_BYTES, True)] + [(io.Ending.GOOD, True)] * 2)
+        self.assertEqual(ended, [(End.BAD_BYTES, True)] + [(io.AttemptResult.GOOD, True)] * 2)
 
     def test_a_link_that_the_scorer_has_just_ended_is_not_used_again(self):
         scorer, ended = ScorerPeer(), []
@@ -219,7 +219,7 @@
         for link in rig.front.pool.scorers[id].links:
             link.connection.flush()
         rig.until(lambda: scorer.runs, "it runs")
-        self.assertEqual(ended, [(io.Ending.GOOD, True)])
+        self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
 
     def test_a_connection_carries_so_many_streams_and_no_id_twice(self):
         scorer, ended = ScorerPeer(copies=None), []
@@ -247,7 +247,7 @@
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
         scorer.answer(scorer.runs[1], 2, "")
         rig.until(lambda: ended, "the second ends")
-        self.assertEqual((first, ended), ([(End.CALLED_OFF, True)], [(io.Ending.MISS, True)]))
+        self.assertEqual((first, ended), ([(End.CALLED_OFF, True)], [(io.AttemptResult.MISS, True)]))
 
     def test_silence_ends_in_time_for_attempts_orders_and_dials(self):
         scorer, ended = ScorerPeer(copies=None), []
@@ -265,7 +265,7 @@
         pool.order(order(id, [], copies=0))
         rig.until(lambda: scorer.frames, "a link is up")
         pool.wire = msgspec.structs.replace(pool.wire, load_wait_ms=500.0, dial_timeout_ms=60.0)
-        rig.front.pool.update(9, full.getsockname(), io.State.READY, 0.0)
+        rig.front.pool.update(9, full.getsockname(), io.ScorerState.READY, 0.0)
         rig.front.pool.send(attempt(id, ended, within_ms=500.0))
         rig.until(lambda: ended, "the attempt ends")
         rig.front.pool.order(order(id, ended))
@@ -318,7 +318,7 @@
             rig.until(lambda: len(scorer.runs) == 2, "it runs again")
         scorer.answer(scorer.runs[1])
         rig.until(lambda: len(ended) == 2, "it is answered")
-        self.assertEqual([end for end, _ in ended], [io.Ending.FULL, io.Ending.GOOD])
+        self.assertEqual([end for end, _ in ended], [io.AttemptResult.FULL, io.AttemptResult.GOOD])
 
     def test_a_link_that_owes_an_answer_in_silence_gets_nothing_new(self):
         scorer, ended = ScorerPeer(copies=None), []
--- a/tests/test_scorer_shuffles.py
+++ b/tests/test_scorer_shuffles.py
@@ -17,7 +17,7 @@
 DIAL_MS, LIFE_MS = 250.0, 900.0
 LATE_MOST_MS = 150.0  # of the time that is passed on
 BOUNDS = {"max_attempts": 3, "cancel": True, "second_copies": True, "dial_timeout": DIAL_MS}
-NEVER_WRITTEN = (io.Ending.NOT_SENT, io.Ending.CONNECT_FAILED)
+NEVER_WRITTEN = (io.AttemptResult.NOT_SENT, io.AttemptResult.CONNECT_FAILED)
 
 
 class ApartScorer(ScorerPeer):
@@ -126,20 +126,20 @@
     def change(self, state, number=None, address=None):
         number = self.worker() if number is None else number
         self.pool.update(number, address, state, self.up_since)
-        if state is not io.State.READY:
+        if state is not io.ScorerState.READY:
             unsent = [s for s in self.open() if s.worker == number and s.is_new_work and not s.begun]
             self.case.assertEqual(unsent, [], "new work that is unwritten when a drain is told")
 
     def drain(self):
-        self.change(self.chance.choice((io.State.DRAINING, io.State.GONE)))
+        self.change(self.chance.choice((io.ScorerState.DRAINING, io.ScorerState.GONE)))
 
     def ready(self):
         for number, peer in enumerate(self.peers, BY_POOL):
-            self.change(io.State.READY, number, self.case.address(peer))
+            self.change(io.ScorerState.READY, number, self.case.address(peer))
 
     def restart(self):
         self.up_since += 1.0
-        self.change(io.State.READY)
+        self.change(io.ScorerState.READY)
 
     def move(self):
         """Each scorer has the other one's address now."""
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,7 +11,7 @@
 from support.slow_start_world import FALL_MS, Fleet, Saturated, rule
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending, State
+from fawnwharf.interface import AttemptResult, ScorerState
 from fawnwharf.policy import slow_start
 
 ALLOWED = (
@@ -144,7 +144,7 @@
     fleet = Fleet(front_ends, 1, workers=6, load=1.0)
     for worker in fleet.entries:
         fleet.last_start[worker] = 0.0
-        fleet.entries[worker] = io.WorkerEntry(worker, up_since_ms=0.0)
+        fleet.entries[worker] = io.ScorerEntry(worker, up_since_ms=0.0)
     fleet.now = 1.0
     fleet.start_all()
     fleet.run(FALL_MS)
@@ -166,7 +166,7 @@
 
 def tell_start(d, worker=1, up_since_ms=None):
     since = d.now if up_since_ms is None else up_since_ms
-    return d.feed(io.RosterChanged([io.WorkerEntry(worker, up_since_ms=since)], complete=False))
+    return d.feed(io.RosterChanged([io.ScorerEntry(worker, up_since_ms=since)], complete=False))
 
 
 def room(d, worker=1):
@@ -184,7 +184,7 @@
     """What is sent for a request; a copy stands wherever one is asked after."""
     actions = d.ask(name, fn)
     sends = of(actions, io.Send)
-    for hold in of(actions, io.Hold):
+    for hold in of(actions, io.OrderCopies):
         sends += of(d.count(hold.worker, max(1, hold.copies), fn), io.Send)
     return sends
 
@@ -196,7 +196,7 @@
         name = f"a{d.now}-{n}"
         for send in sends_for(d, name, f"g{n}"):
             d.end(send)
-        d.feed(io.ClientLeft(name))
+        d.feed(io.RequestCancelled(name))
 
 
 @pytest.mark.parametrize("fleet_size", [1, 2, 200])
@@ -212,7 +212,7 @@
 def test_odd_settings_divide_by_nothing_and_keep_to_n(odd, workers, sold, fleet_size):
     d = cold_drive(workers=workers, fleet_size=fleet_size, quotas_rps={"t": sold} if sold else {}, **odd)
     for worker in range(1, workers + 1):
-        entry = io.WorkerEntry(worker, units=0.0, up_since_ms=d.now)
+        entry = io.ScorerEntry(worker, units=0.0, up_since_ms=d.now)
         d.feed(io.RosterChanged([entry], complete=False))
     settings, capacity = d.router.settings, max(40.0, sold) / 1000.0 / workers
     for n in range(40):
@@ -285,7 +285,14 @@
 
 
 @pytest.mark.parametrize(
-    "ending", [Ending.FULL, Ending.MISS, Ending.RESET, Ending.CANCELLED, Ending.NOT_SENT]
+    "ending",
+    [
+        AttemptResult.FULL,
+        AttemptResult.MISS,
+        AttemptResult.RESET,
+        AttemptResult.CANCELLED,
+        AttemptResult.NOT_SENT,
+    ],
 )
 def test_each_send_counts_whatever_came_of_it_and_orders_do_not(ending):
     d = cold_drive(workers=1, quotas_rps={"t": 50.0})
@@ -296,13 +303,17 @@
     sends = sends_for(d, "r", "f")
     for attempt, send in enumerate(list(sends)):
         sends += of(d.end(send, ending, attempt=attempt, closed=False), io.Send)
-    d.feed(io.CopiesWanted(1, "h", "safe"))
+    d.feed(io.PrefetchRequested(1, "h", "safe"))
     assert len(d.router.workers[1].sent) == len(sends) >= 1
 
 
 def test_a_draining_worker_still_counts_in_the_fleet_that_the_quotas_were_sold_for():
     d = cold_drive(workers=2, quotas_rps={"t": 50.0})
-    entries = [io.WorkerEntry(1), io.WorkerEntry(2, State.DRAINING), io.WorkerEntry(3, up_since_ms=d.now)]
+    entries = [
+        io.ScorerEntry(1),
+        io.ScorerEntry(2, ScorerState.DRAINING),
+        io.ScorerEntry(3, up_since_ms=d.now),
+    ]
     d.feed(io.RosterChanged(entries, complete=True))
     assert d.router.listed == 3.0
 
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -25,7 +25,7 @@
 
 def test_scorers_come_in_the_module_s_own_order_and_those_that_take_nothing_are_left_out():
     router = Router(rules(weights_fixed=True), 7)
-    entries = [io.WorkerEntry(n, zone=SITES[n % 3], units=1.0 + n % 4) for n in range(30)]
+    entries = [io.ScorerEntry(n, zone=SITES[n % 3], units=1.0 + n % 4) for n in range(30)]
     router.handle(UNIX, [io.RosterChanged(entries, True)])
     one = staging(workers=0, weights_fixed=True)
     one.events(0.0, UNIX, [io.RosterChanged(entries, True)])
@@ -36,10 +36,12 @@
         for site in SITES:
             assert one.scorers.order(f"f{n}", site) == [w for w in order if SITES[w % 3] == site]
     first = one.scorers.order("f0", "s")[0]
-    one.events(1.0, UNIX + 1, [io.RosterChanged([io.WorkerEntry(first, io.State.DRAINING, zone="s")], False)])
+    one.events(
+        1.0, UNIX + 1, [io.RosterChanged([io.ScorerEntry(first, io.ScorerState.DRAINING, zone="s")], False)]
+    )
     assert first not in one.scorers.order("f0", "s") and len(one.scorers.order("f0", "s")) == 9
     second = one.scorers.order("f0", "s")[0]
-    one.events(2.0, UNIX + 2, [io.OrderAnswered(second, "f9", io.Ending.FULL, 0, 5.0)])
+    one.events(2.0, UNIX + 2, [io.LoadOrderAnswered(second, "f9", io.AttemptResult.FULL, 0, 5.0)])
     assert second not in one.scorers.order("f0", "s")
     one.scorers.at(6_000.0)
     assert second in one.scorers.order("f0", "s")
@@ -65,7 +67,7 @@
         router.handle(UNIX + n, [came])
     router.ordered.clear()
     router.ordered.extend([router.now] * (ordered or 0))
-    one.events(30.0, UNIX, [io.OrderAnswered(0, "f", io.Ending.GOOD, 1, 5.0)] * answers)
+    one.events(30.0, UNIX, [io.LoadOrderAnswered(0, "f", io.AttemptResult.GOOD, 1, 5.0)] * answers)
     one._wanted = [(30.0, told)]
     one.beat(40.0, Seen(ordered=ordered))
     view = one._view(40.0)
@@ -97,7 +99,9 @@
     assert one._view(now).calm and not one._view(now + 1).disturbed
     for n in range(6):
         one.events(
-            now, UNIX, Calls().events(f"f{n}", "s", ending=io.Ending.CONNECT_FAILED, worker=3 * (n % 3) + 1)
+            now,
+            UNIX,
+            Calls().events(f"f{n}", "s", ending=io.AttemptResult.CONNECT_FAILED, worker=3 * (n % 3) + 1),
         )
     assert one._view(now + 500.0).disturbed == {"s"}
 
@@ -105,8 +109,8 @@
 def test_a_cold_scorer_has_room_for_what_the_module_s_budget_leaves_and_one_that_is_gone_none():
     one = staging(workers=0)
     entries = [
-        io.WorkerEntry(0, zone="n", up_since_ms=UNIX - 1e6),
-        io.WorkerEntry(1, zone="n", up_since_ms=UNIX),
+        io.ScorerEntry(0, zone="n", up_since_ms=UNIX - 1e6),
+        io.ScorerEntry(1, zone="n", up_since_ms=UNIX),
     ]
     one.events(5_000.0, UNIX, [io.RosterChanged(entries, True)])  # the clocks differ: what counts is the age
     one.scorers.at(5_001.0)
@@ -122,8 +126,8 @@
 def test_copies_stand_by_answers_and_words_until_they_lapse_or_their_scorer_starts_anew():
     one, calls = staging(idle_life_ms=9_000.0), Calls()
     one.events(0.0, UNIX, calls.events("f1", "s"))
-    one.events(0.0, UNIX, [io.OrderAnswered(4, "f1", io.Ending.GOOD, 2, 800.0)])
-    one.events(500.0, UNIX, [io.Elsewhere(7, copies={"f2": 1}, age_ms=400.0)])
+    one.events(0.0, UNIX, [io.LoadOrderAnswered(4, "f1", io.AttemptResult.GOOD, 2, 800.0)])
+    one.events(500.0, UNIX, [io.RemoteLoadReport(7, copies={"f2": 1}, age_ms=400.0)])
     one.heard(0.0, "b", Word(m.Word(1, (m.Count(Session("club", "f3"), "w", 1, 4),))))
     stands = one.copies.standing
     assert [stands(500.0, row, site) for row, site in (("f1", "s"), ("f2", "s"), ("f3", "w"))] == [3, 1, 1]
@@ -131,7 +135,7 @@
     held = one.copies.held_mb("s")
     assert held == pytest.approx(3 * 40.0 + one.functions.memory_mb)  # of f2 nobody told: a guess
     one.events(600.0, UNIX + 600, [roster([4], False, up_since_ms=UNIX + 550)])
-    one.events(700.0, UNIX + 700, [io.OrderAnswered(1, "f1", io.Ending.GOOD, 0, 5.0)])
+    one.events(700.0, UNIX + 700, [io.LoadOrderAnswered(1, "f1", io.AttemptResult.GOOD, 0, 5.0)])
     assert stands(700.0, "f1", "s") == 0
     assert not one.copies.sweep(99_000.0) and len(one.copies) == 0 and one.copies.held_mb("s") == 0.0
 
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -42,8 +42,8 @@
     drained_site(one, calls, ["f1", "f2"])
     orders = [w for second in range(5, 12) for w in wanted(look(one, 1_000.0 * second))]
     (lost, worker), (row, other) = orders
-    one.events(12_000.0, UNIX, [io.OrderAnswered(worker, lost, io.Ending.FULL, 0, 5.0)])
-    one.events(12_000.0, UNIX, [io.OrderAnswered(other, row, io.Ending.GOOD, 1, 700.0)])
+    one.events(12_000.0, UNIX, [io.LoadOrderAnswered(worker, lost, io.AttemptResult.FULL, 0, 5.0)])
+    one.events(12_000.0, UNIX, [io.LoadOrderAnswered(other, row, io.AttemptResult.GOOD, 1, 700.0)])
     assert one.counts == {"a stage that failed": 1} and one.core.planner.wasted == 0
     gone = []
     for second in range(12, 24):
@@ -51,7 +51,9 @@
         gone += [let for beat in beats for let in beat.let_gos]
         for fn, scorer in wanted(beats):
             assert fn == lost and scorer != worker or gone  # again at once, elsewhere
-            one.events(1_000.0 * second, UNIX, [io.OrderAnswered(scorer, fn, io.Ending.GOOD, 1, 700.0)])
+            one.events(
+                1_000.0 * second, UNIX, [io.LoadOrderAnswered(scorer, fn, io.AttemptResult.GOOD, 1, 700.0)]
+            )
     assert sorted(let.row for let in gone) == sorted((lost, row)) and LetGo(row, SITES[other % 3]) in gone
     assert one.core.planner.wasted == 2 and one.counts == {"a stage that failed": 1}
 
@@ -66,7 +68,9 @@
             away = second % 30 >= 15 and n % 4 == second // 30 % 4
             one.events(now, UNIX + now, calls.events(f"f{n}", "s" if away else "n"))
         found = wanted(look(one, now))
-        answers = [io.OrderAnswered(scorer, row, io.Ending.GOOD, 1, 700.0) for row, scorer in found]
+        answers = [
+            io.LoadOrderAnswered(scorer, row, io.AttemptResult.GOOD, 1, 700.0) for row, scorer in found
+        ]
         one.events(now, UNIX + now, answers)
         orders.append(sum(SITES[scorer % 3] == "s" for _, scorer in found))
     assert sum(orders) > 0 and sum(orders[60:]) == 0 and not one.core.scores.good("trend")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,7 @@
 from support.zone_files import members_data, settings
 
 from fawnwharf import config
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import roster
@@ -190,11 +190,11 @@
 
 def test_an_observer_forgets_what_is_older_than_its_window():
     observer = Observer(s.Evidence(window_ms=1_000.0), promise_ms=200.0)
-    observer.ended(0.0, "a", 1, Ending.GOOD, 50.0)
-    observer.ended(400.0, "a", 1, Ending.GOOD, 300.0)
-    observer.ended(900.0, "a", 1, Ending.CANCELLED, 250.0)
-    observer.ended(900.0, "a", 1, Ending.CANCELLED, 20.0)
-    observer.ended(900.0, "b", 2, Ending.NOT_SENT, 0.0)
+    observer.ended(0.0, "a", 1, AttemptResult.GOOD, 50.0)
+    observer.ended(400.0, "a", 1, AttemptResult.GOOD, 300.0)
+    observer.ended(900.0, "a", 1, AttemptResult.CANCELLED, 250.0)
+    observer.ended(900.0, "a", 1, AttemptResult.CANCELLED, 20.0)
+    observer.ended(900.0, "b", 2, AttemptResult.NOT_SENT, 0.0)
     observer.dialled(900.0, "b", 2, False)
     a, b = Seen(heard=2, slow=1, silent=1, run=1, quiet_ms=550.0), Seen(refused=1, run=1, quiet_ms=50.0)
     assert observer.seen(950.0) == {"a": a, "b": b}
@@ -211,5 +211,5 @@
     assert observer.seen(500.0)["a"] == Seen(heard=1, refused=4, run=3, quiet_ms=500.0)
     assert view(observer.seen(500.0)["a"], s.Evidence()) is View.DEAD
     assert observer.quiet_ms(500.0, "a") == 500.0
-    observer.ended(600.0, "a", 2, Ending.GOOD, 10.0)
+    observer.ended(600.0, "a", 2, AttemptResult.GOOD, 10.0)
     assert observer.seen(600.0)["a"] == Seen(heard=2, refused=4)
