--- a/fawnwharf/config.py
+++ b/fawnwharf/config.py
@@ -223,9 +223,9 @@
         zone=read.locality,
         tick_ms=read.tick,
         weights_fixed=read.weight_source in ("nominal", "rough"),
-        may_order=family.may_order,
-        may_cancel=bounds.cancel,
-        second_copies=bounds.second_copies,
+        load_orders_allowed=family.may_order,
+        cancellation_allowed=bounds.cancel,
+        hedging=bounds.second_copies,
         max_attempts=bounds.max_attempts,
         max_retry_after_ms=bounds.max_retry_after if bounds.retry_after else 0.0,
         idle_life_ms=family.idle_life,
@@ -233,22 +233,22 @@
         load_window_ms=family.load_window,
         free_loads=family.free_loads,
         load_part=family.load_part,
-        cold_ms=rules.cold,
-        cold_share=rules.cold_share,
-        fall_ms=rules.fall,
-        fall_multiple=rules.fall_multiple,
+        slow_start_ms=rules.cold,
+        slow_start_initial_share=rules.cold_share,
+        slow_start_window_ms=rules.fall,
+        slow_start_multiple=rules.fall_multiple,
     )
 
 
 def _class(spec: _Class) -> io.ClassSpec:
     return io.ClassSpec(
         name=spec.name,
-        promise_ms=spec.promise,
-        give_up_ms=spec.give_up,
+        latency_target_ms=spec.promise,
+        deadline_ms=spec.give_up,
         effect=spec.effect,
         group=spec.group,
         dedup_window_ms=spec.dedup_window,
-        worth=spec.worth,
+        priority_weight=spec.worth,
         late_share=spec.late_share,
     )
 
--- a/fawnwharf/interface.py
+++ b/fawnwharf/interface.py
@@ -72,12 +72,12 @@
 @dataclass(slots=True)
 class ClassSpec:
     name: str
-    promise_ms: float = 1000.0
-    give_up_ms: float = 2500.0
+    latency_target_ms: float = 1000.0
+    deadline_ms: float = 2500.0
     effect: Effect = Effect.AT_MOST_ONCE
     group: DeduplicationGroup = DeduplicationGroup.ALL
     dedup_window_ms: float = 0.0
-    worth: float = 1.0
+    priority_weight: float = 1.0
     late_share: float = 0.0
 
 
@@ -89,9 +89,9 @@
     zone: str = ""
     tick_ms: float = 1.0
     weights_fixed: bool = False  # a worker's units tell its size, and stay as they are
-    may_order: bool = True
-    may_cancel: bool = True
-    second_copies: bool = True
+    load_orders_allowed: bool = True
+    cancellation_allowed: bool = True
+    hedging: bool = True
     max_attempts: int = 1
     max_retry_after_ms: float = 0.0  # 0: clients take no advice
     idle_life_ms: float = 10000.0
@@ -99,10 +99,10 @@
     load_window_ms: float = 0.0  # 0: loads are not rationed
     free_loads: float = 0.0
     load_part: float = 0.0
-    cold_ms: float = 10000.0
-    cold_share: float = 0.2
-    fall_ms: float = 1000.0
-    fall_multiple: float = 2.0
+    slow_start_ms: float = 10000.0
+    slow_start_initial_share: float = 0.2
+    slow_start_window_ms: float = 1000.0
+    slow_start_multiple: float = 2.0
 
 
 # --- events ---------------------------------------------------------------------------------
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class ScorerEntry:
-    worker: int
+    scorer: int
     state: ScorerState = ScorerState.READY
     kind: str = ""
     zone: str = ""
@@ -148,20 +148,20 @@
 class AttemptEnded:
     request: str
     attempt: int
-    worker: int
-    ending: AttemptResult
+    scorer: int
+    result: AttemptResult
     took_ms: float
     closed: bool  # the request has its final answer
     warmth: Warmth = Warmth.UNTOLD
-    crowd: int | None = None  # requests for the function that the worker held before this one
+    reported_concurrency: int | None = None  # requests for the function that the worker held before this one
     report: dict[str, float] | None = None
 
 
 @dataclass(slots=True)
 class LoadOrderAnswered:
-    worker: int
+    scorer: int
     function: str
-    ending: AttemptResult
+    result: AttemptResult
     copies: int
     took_ms: float
 
@@ -198,7 +198,7 @@
     fades: `sent` counts for `fall_ms`, `loading` for a load's usual time, `copies` as if an answer had
     told of them at that time. None of it counts across a start of the worker."""
 
-    worker: int
+    scorer: int
     sent: int | None = None  # calls that all others sent there within the last `fall_ms`; None: unknown
     copies: dict[str, int] = field(default_factory=dict)  # that answers proved to others, by function
     loading: tuple[str, ...] = ()  # functions of which others have an order to load there under way
@@ -210,7 +210,7 @@
     """Copies are wanted at a worker before calls come. One more is ordered, or what is about to lapse is
     renewed, within the ration and once held calls have theirs; else nothing happens."""
 
-    worker: int
+    scorer: int
     function: str
     class_name: str
     copies: int = 1  # that are to stand there in all; nothing is ordered where they do
@@ -251,7 +251,7 @@
     whose first attempt may have run: what is left of its window, less a margin for the way there."""
 
     request: str
-    worker: int
+    scorer: int
     within_ms: float = field(default=math.inf, repr=False)
 
 
@@ -280,7 +280,7 @@
 class OrderCopies:
     """Order a worker to hold `copies` copies of a function; 0 only asks how many stand."""
 
-    worker: int
+    scorer: int
     function: str
     copies: int
 
--- a/fawnwharf/net/calls.py
+++ b/fawnwharf/net/calls.py
@@ -71,7 +71,7 @@
 
 def _budget_ms(fields: dict[str, str], spec: ClassSpec) -> float:
     budget = _number(fields.get("ttl"), "ttl")
-    if not budget or budget > TTL_ROOM * spec.give_up_ms:
+    if not budget or budget > TTL_ROOM * spec.deadline_ms:
         raise thrift.Malformed("ttl: missing, or not a time to wait")
     return budget
 
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -292,9 +292,9 @@
         """Go by this roster, or by these changes of it, from now on."""
         entries = [self._entry(member) for member in fleet.members]
         for entry, address in entries:
-            self.pool.update(entry.worker, address, entry.state, entry.up_since_ms or 0.0)
+            self.pool.update(entry.scorer, address, entry.state, entry.up_since_ms or 0.0)
         if fleet.complete:
-            self.pool.gone_but({entry.worker for entry, _ in entries})
+            self.pool.gone_but({entry.scorer for entry, _ in entries})
         told = io.RosterChanged([entry for entry, _ in entries], fleet.complete)
         if self._news is not None and not told.complete:
             self._news.entries += told.entries  # the same in sum, and the module goes over its fleet once
@@ -305,7 +305,7 @@
     def _entry(self, member: Member) -> tuple[io.ScorerEntry, Address | None]:
         address = address_from(member.host_port, "host_port") if member.host_port else None
         return io.ScorerEntry(
-            worker=worker_number(member.id),
+            scorer=worker_number(member.id),
             state=STATES[member.phase],
             kind=member.flavor,
             zone=member.locality,
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -31,14 +31,14 @@
 
     A request read in the last moment of the late arrivals has its whole time; one that had only begun has the
     time of a message in pieces, and is refused once it is whole."""
-    longest = max((spec.give_up_ms for spec in settings.classes.values()), default=0.0)
+    longest = max((spec.deadline_ms for spec in settings.classes.values()), default=0.0)
     of_requests = max(TTL_ROOM * longest, SPEAK_MS)
     return max(LIMIT_LEAST_MS, LATE_ARRIVALS_MS + of_requests + connection.LINGER_MS + MARGIN_MS)
 
 
 def answer_within_ms(settings: Settings) -> float:
     """How long after SIGTERM every request has its final answer: before the system may end the process."""
-    longest_ms = max((spec.give_up_ms for spec in settings.classes.values()), default=0.0)
+    longest_ms = max((spec.deadline_ms for spec in settings.classes.values()), default=0.0)
     return min(longest_ms, KILL_DEADLINE_MOST_MS) + KILL_AFTER_MS - ANSWER_MARGIN_MS
 
 
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -198,7 +198,7 @@
         self._untold.clear()
 
     def send(self, action: io.Send) -> None:
-        key, worker = action.request, action.worker
+        key, worker = action.request, action.scorer
         request = self.open.get(key) or self._ended.get(key) or self._ended_before.get(key)
         if request is None:
             return
@@ -267,7 +267,7 @@
         return min(CROWD_MOST, answer.crowd)
 
     def order(self, action: io.OrderCopies) -> None:
-        order = Order(action.worker, self._order_ended, action.function, action.copies)
+        order = Order(action.scorer, self._order_ended, action.function, action.copies)
         if self.witness:
             self.witness.ordered(order)
         if order.copies:
--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -24,7 +24,7 @@
         return request.over_share, self._late(request), request.arrived_ms, request.id
 
     def _late(self, request: Request) -> bool:  # hardly to be answered in time any more
-        most = request.spec.promise_ms * LATE_MOST  # where runs are so long that all would be
+        most = request.spec.latency_target_ms * LATE_MOST  # where runs are so long that all would be
         return request.aim_ms - self.now < min(LATE_RUNS * self._te(request.function), most)
 
     def _hopeless(self, request: Request) -> bool:
@@ -50,7 +50,7 @@
 
     def _may_send_again(self, request: Request) -> bool:  # may another attempt be made at all?
         twice, first, spec = any(a.open for a in request.attempts), request.first_run(), request.spec
-        if len(request.attempts) >= self.settings.max_attempts or (twice and not self.settings.second_copies):
+        if len(request.attempts) >= self.settings.max_attempts or (twice and not self.settings.hedging):
             return False
         return first is None or spec.effect is io.Effect.IDEMPOTENT or self._window_left(request) > 0
 
@@ -85,4 +85,6 @@
         del self.requests[request.id]
         request.function.queue = [held for held in request.function.queue if held is not request]
         numbers = [number for number, attempt in enumerate(request.attempts) if attempt.open]
-        self.actions.extend(io.Cancel(request.id, number) for number in numbers * self.settings.may_cancel)
+        self.actions.extend(
+            io.Cancel(request.id, number) for number in numbers * self.settings.cancellation_allowed
+        )
--- a/fawnwharf/policy/health.py
+++ b/fawnwharf/policy/health.py
@@ -48,7 +48,7 @@
 
     def _ask_sign(self, worker: Worker) -> None:
         worker.sign_ms = self.now
-        if worker.last and self.settings.may_order and worker.entry.state != io.ScorerState.GONE:
+        if worker.last and self.settings.load_orders_allowed and worker.entry.state != io.ScorerState.GONE:
             self._ask(worker.last, worker)
 
     def _broke(self, worker: Worker, ending: io.AttemptResult) -> None:
@@ -88,7 +88,7 @@
 
     def _hasten(self, request: Request, attempt: Attempt) -> None:
         """A second attempt for one out far longer than a run, while tokens last. Harm: work done twice."""
-        due = min(OVERDUE_RUNS * self._te(request.function), request.spec.promise_ms * LATE_MOST)
+        due = min(OVERDUE_RUNS * self._te(request.function), request.spec.latency_target_ms * LATE_MOST)
         if attempt.open and self.now - attempt.sent_ms > due and self._may_send_again(request):
             self.hedges -= 1
             self._again(request)
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -55,12 +55,12 @@
         self.actions.append(io.OrderCopies(worker.id, fn.name, instance.order_count))
 
     def _load_answered(self, fn: Function, instance: Instance, event: io.LoadOrderAnswered) -> None:
-        good, took = event.ending is io.AttemptResult.GOOD, self.now - instance.order_ms
+        good, took = event.result is io.AttemptResult.GOOD, self.now - instance.order_ms
         timely = took < LOAD_SLOW * (fn.load_told_ms or self._tp(fn)) and good
         instance.order_ms, self.loading = None, self.loading - 1
         fn.loads.timed.extend([(self.now, took)] * good)
         instance.blocked_ms = instance.blocked_ms if good else self.now + BLOCK_MS
-        if event.ending in (
+        if event.result in (
             io.AttemptResult.GOOD,
             io.AttemptResult.ERROR,
         ):  # fewer after slow or failed: guards the store
@@ -80,7 +80,9 @@
         return fn.load_path
 
     def _may_load(self) -> bool:  # anything, anywhere
-        return self.loading < self.loads_limit and self.settings.may_order and self._ration_left() >= 1
+        return (
+            self.loading < self.loads_limit and self.settings.load_orders_allowed and self._ration_left() >= 1
+        )
 
     def _may_load_at(self, fn: Function, worker: Worker, warm: bool) -> bool:
         blocked_ms = (fn.instances.get(worker.id) or Instance()).blocked_ms
@@ -121,7 +123,7 @@
     def _on_wanted(
         self, event: io.PrefetchRequested
     ) -> None:  # calls first: an order for each held one is left
-        worker, held = self.workers.get(event.worker), sum(len(fn.queue) for fn in self.functions.values())
+        worker, held = self.workers.get(event.scorer), sum(len(fn.queue) for fn in self.functions.values())
         if worker and event.copies > 0 and self._may_load() and self._ration_left() >= held + 1:
             fn = self._function(event)
             fn.needed_ms = self.now
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -32,11 +32,11 @@
 
     def _on_roster(self, event: io.RosterChanged) -> None:
         if event.complete:
-            for missing in self.workers.keys() - {entry.worker for entry in event.entries}:
+            for missing in self.workers.keys() - {entry.scorer for entry in event.entries}:
                 self.workers[missing].entry.state = io.ScorerState.GONE
         for entry in event.entries:
-            new = Worker(entry.worker, entry, mark(str(entry.worker)))
-            worker = self.workers.setdefault(entry.worker, new)
+            new = Worker(entry.scorer, entry, mark(str(entry.scorer)))
+            worker = self.workers.setdefault(entry.scorer, new)
             worker.entry, worker.gone_ms = entry, None
             if entry.up_since_ms is not None and entry.up_since_ms > worker.started_ms:
                 self._begin_slow_start(worker, entry.up_since_ms, since_ms=entry.up_since_ms)
@@ -52,10 +52,10 @@
         self.seed, draw = self.seed + 1, mix(mix(self.seed))
         leaves_ms = self.now + event.budget_ms  # the client does
         deadline = min(leaves_ms, self.answer_by_ms)
-        later = event.budget_ms < admission.TRY_LEAST * spec.give_up_ms  # the first try took its share
-        aim = (leaves_ms - spec.give_up_ms if later else self.now) + spec.promise_ms
+        later = event.budget_ms < admission.TRY_LEAST * spec.deadline_ms  # the first try took its share
+        aim = (leaves_ms - spec.deadline_ms if later else self.now) + spec.latency_target_ms
         over = later or self._over_share(event.tenant)
-        short = spec.give_up_ms <= state.SHORT_MS
+        short = spec.deadline_ms <= state.SHORT_MS
         lead_ms = min(state.LEAD_MS, event.budget_ms / 4) if short else state.SWEEP_MS + state.LEAD_MS
         ends_ms = deadline - lead_ms
         request = Request(event.request, fn, spec, self.now, deadline, over, self.now, draw, aim, ends_ms)
@@ -98,10 +98,10 @@
 
     def _on_class(self, event: io.ClassChanged) -> None:  # a call keeps what it came with
         self.classes = {**self.classes, event.spec.name: event.spec}
-        self.promise_ms = min(spec.promise_ms for spec in self.classes.values())
+        self.latency_target_ms = min(spec.latency_target_ms for spec in self.classes.values())
 
     def _on_elsewhere(self, event: io.RemoteLoadReport) -> None:  # for functions not known yet see _ordered
-        if worker := self.workers.get(event.worker):
+        if worker := self.workers.get(event.scorer):
             worker.told, worker.told_ms = event, self.now - max(0.0, event.age_ms)
             for fn in filter(None, map(self.functions.get, [*event.copies, *event.loading])):
                 self._believe(fn, [worker])
@@ -120,15 +120,15 @@
         fn, worker, te = attempt.function, self.workers[attempt.worker], self._te(attempt.function)
         instance = fn.instances[worker.id]
         attempt.open, instance.own, worker.own = False, instance.own - 1, worker.own - 1
-        attempt.may_have_run, slow = event.ending not in io.NEVER_RAN, event.took_ms > health.STRAINED * te
-        if event.ending in (
+        attempt.may_have_run, slow = event.result not in io.NEVER_RAN, event.took_ms > health.STRAINED * te
+        if event.result in (
             io.AttemptResult.GOOD,
             io.AttemptResult.ERROR,
             io.AttemptResult.FULL,
             io.AttemptResult.MISS,
         ):
             self._heard(worker)
-        if event.ending is io.AttemptResult.GOOD:
+        if event.result is io.AttemptResult.GOOD:
             instance.copies, instance.seen_ms = max(1, instance.copies), self.now
             if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
                 fn.runs.timed.append((self.now, event.took_ms))
@@ -139,18 +139,21 @@
                 lapse.losses = lapse.losses - 1 if attempt.lost else lapse.losses * health.LOSS_KEPT
                 if lapse.losses < 1:
                     del worker.lapses[fn.kind]
-        elif event.ending in (io.AttemptResult.CANCELLED, io.AttemptResult.TIMEOUT) and slow:
+        elif event.result in (io.AttemptResult.CANCELLED, io.AttemptResult.TIMEOUT) and slow:
             self._strain(worker, event.took_ms / te)  # it may be the slow ones that never get to answer
-        elif event.ending is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED:
+        elif event.result is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED:
             instance.copies, instance.seen_ms = 0, self.now
-        elif event.ending is io.AttemptResult.ERROR and fn.runs.timed:  # else the call itself may be at fault
+        elif event.result is io.AttemptResult.ERROR and fn.runs.timed:  # else the call itself may be at fault
             self._lose(worker, fn)
-        elif event.ending is io.AttemptResult.FULL:
+        elif event.result is io.AttemptResult.FULL:
             instance.blocked_ms = self.now + te
             self._strain(worker, 3 * health.STRAINED)
-        self._broke(worker, event.ending)
-        if event.crowd is not None and event.ending in (io.AttemptResult.GOOD, io.AttemptResult.FULL):
-            fn.crowd += health.ANSWER_GAIN * (event.crowd * attempt.among - fn.crowd)
+        self._broke(worker, event.result)
+        if event.reported_concurrency is not None and event.result in (
+            io.AttemptResult.GOOD,
+            io.AttemptResult.FULL,
+        ):
+            fn.crowd += health.ANSWER_GAIN * (event.reported_concurrency * attempt.among - fn.crowd)
         request = self.requests.get(event.request)
         if request is not None and event.closed:
             self.hedges += attempt is not request.attempts[0] and request.attempts[0].open  # worth its token
@@ -161,20 +164,20 @@
         self._dispatch(fn)
 
     def _on_order(self, event: io.LoadOrderAnswered) -> None:
-        fn, worker = self.functions.get(event.function), self.workers.get(event.worker)
+        fn, worker = self.functions.get(event.function), self.workers.get(event.scorer)
         if fn is None or worker is None:
             return
         instance = self._instance(fn, worker)
-        short = event.ending is io.AttemptResult.GOOD and event.copies < instance.order_count
+        short = event.result is io.AttemptResult.GOOD and event.copies < instance.order_count
         is_load = instance.order_ms is not None and not (instance.asks and short)
-        if event.ending in (io.AttemptResult.GOOD, io.AttemptResult.FULL, io.AttemptResult.ERROR):
+        if event.result in (io.AttemptResult.GOOD, io.AttemptResult.FULL, io.AttemptResult.ERROR):
             if worker.suspect_ms is not None and instance.copies and not event.copies:
                 self._begin_slow_start(worker, self.now, since_ms=-math.inf)  # a restart that is not told
             self._heard(worker, health.TRIAL_MS)  # a sign lasts for longer than a run
-            if is_load and instance.raced and event.ending is io.AttemptResult.GOOD:
+            if is_load and instance.raced and event.result is io.AttemptResult.GOOD:
                 instance.unused_ms, instance.lanes_before = self.now, instance.copies * fn.lanes
             instance.copies, instance.counted_ms, instance.seen_ms = event.copies, self.now, self.now
-        self._broke(worker, event.ending)
+        self._broke(worker, event.result)
         if is_load:
             self._load_answered(fn, instance, event)
         else:
@@ -193,7 +196,9 @@
             elif self.wide and self.hedges >= 1 and request not in request.function.queue:
                 self._hasten(request, request.attempts[-1])
         self._miss_answers()
-        self.flying = {a for a in self.flying if self.now - a.sent_ms <= self.promise_ms}  # the rest is lost
+        self.flying = {
+            a for a in self.flying if self.now - a.sent_ms <= self.latency_target_ms
+        }  # the rest is lost
         for worker in list(self.watched.values()):
             self._watch(worker)
         if self.now - self.refreshed_ms >= state.REFRESH_MS:
@@ -263,7 +268,9 @@
         usual = sorted(self._strained(worker) for worker in self.ready)[len(self.ready) // 2 :]
         self.strain_most = health.STRAINED * usual[0] if self.wide and usual else math.inf
         self.silent_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0) if wide else state.SILENT_MS
-        through = sold * self.promise_ms * state.LATE_MOST / peers or math.inf  # beyond, all would be late
+        through = (
+            sold * self.latency_target_ms * state.LATE_MOST / peers or math.inf
+        )  # beyond, all would be late
         self.limit = self._room(through) if self.wide else math.inf
 
     def _units(self, worker: Worker) -> float:  # as told, where that tells its size
--- a/fawnwharf/policy/routing.py
+++ b/fawnwharf/policy/routing.py
@@ -45,7 +45,7 @@
         instance = self._instance(fn, worker)
         bare = self._usable(worker, fn) and not self._copies(fn, worker)
         # Where no question may be asked, calls alone find out.
-        if bare and (not self.settings.may_order or (self.wide and self.settings.loads_on_miss)):
+        if bare and (not self.settings.load_orders_allowed or (self.wide and self.settings.loads_on_miss)):
             instance.copies, instance.seen_ms = 1, self.now
         elif bare and self.now - instance.asked_ms > state.RATE_MS:
             self._ask(fn, worker)
@@ -103,9 +103,9 @@
         sure = instance.own % fn.lanes > 0 or self.now - sign_ms < state.STALE_MS or self.wide
         # A question that was refused is not asked again at once: each may cost a connection.
         due = not instance.asks and self.now - instance.asked_ms >= ASK_PAUSE_MS
-        if not sure and self.settings.may_order and due and self._usable(worker, fn):
+        if not sure and self.settings.load_orders_allowed and due and self._usable(worker, fn):
             self._ask(fn, worker)
-        return sure or not self.settings.may_order
+        return sure or not self.settings.load_orders_allowed
 
     def _bound(self, worker: Worker, fn: Function) -> float:  # own requests: a multiple of a fair share
         fair = (len(self.attempts) + 1) * self._size(worker) / self.total
--- a/fawnwharf/policy/slow_start.py
+++ b/fawnwharf/policy/slow_start.py
@@ -91,11 +91,11 @@
 
     def _within_cold_budget(self, worker: Worker) -> bool:
         """May one more request go there now?"""
-        share, fall_ms = self._warmth(worker), self.settings.fall_ms
+        share, fall_ms = self._warmth(worker), self.settings.slow_start_window_ms
         if share >= 1.0 or fall_ms <= 0:  # warm, or no such rule
             return True
         self._prune(worker.sent)
-        factor = self.settings.fall_multiple * share * fall_ms
+        factor = self.settings.slow_start_multiple * share * fall_ms
         if self.now < self.began_ms + fall_ms + MARGIN_MS:
             return len(worker.sent) + 1 <= self._spare(self._allowed(worker, factor))
         left = own = self._part(worker, factor)
@@ -175,12 +175,14 @@
             worker.sent.append(self.now)
 
     def _prune(self, sends: deque[float]) -> None:
-        while sends and sends[0] <= self.now - self.settings.fall_ms - MARGIN_MS:
+        while sends and sends[0] <= self.now - self.settings.slow_start_window_ms - MARGIN_MS:
             sends.popleft()
 
     def _warmth(self, worker: Worker) -> float:  # the part of its capacity that a worker has at the least
-        age = max(0.0, self.now - worker.started_ms) / max(1.0, self.settings.cold_ms)
-        return min(1.0, self.settings.cold_share + (1 - self.settings.cold_share) * age)
+        age = max(0.0, self.now - worker.started_ms) / max(1.0, self.settings.slow_start_ms)
+        return min(
+            1.0, self.settings.slow_start_initial_share + (1 - self.settings.slow_start_initial_share) * age
+        )
 
     def _size(self, worker: Worker) -> float:
         return self.members[worker.id] * self._warmth(worker)
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -163,8 +163,10 @@
         self.peers, self.silent_ms = max(1, settings.fleet_size), SILENT_MS  # front ends; see _watch
         self.sold = sum(settings.quotas_rps.values()) / 1000  # by all together, a millisecond
         self.limit, self.worker_most, self.strain_most = math.inf, 0.0, math.inf  # in flight: own; a worker's
-        self.promise_ms = min((spec.promise_ms for spec in settings.classes.values()), default=1000.0)
-        self.runs, self.run_ms = Samples(), self.promise_ms / 5
+        self.latency_target_ms = min(
+            (spec.latency_target_ms for spec in settings.classes.values()), default=1000.0
+        )
+        self.runs, self.run_ms = Samples(), self.latency_target_ms / 5
         self.stretch_ms = settings.load_window_ms or RATE_MS  # over which arrivals are counted
         self.answer_by_ms = math.inf  # this front end ends: no request may stay open for longer
         self.sweeping, self.refreshed_ms, self.forgot_ms = False, -math.inf, -math.inf
--- a/fawnwharf/policy_rollout/follow.py
+++ b/fawnwharf/policy_rollout/follow.py
@@ -25,8 +25,8 @@
     spill = zones.settings.spill
     values: dict[tuple[str, ...], Any] = {}
     for name, spec in settings.classes.items():
-        values["classes", name, "promise_ms"] = spec.promise_ms
-        values["classes", name, "give_up_ms"] = spec.give_up_ms
+        values["classes", name, "promise_ms"] = spec.latency_target_ms
+        values["classes", name, "give_up_ms"] = spec.deadline_ms
         if state is not None:
             values["modes", name] = state.gate.modes[name]
             values["window_ms", name] = state.settings.window_ms
@@ -58,7 +58,7 @@
         self._quotas = dict(deployment.settings.quotas_rps)  # as sold, before the module adds limits to them
         self._fronts, self._zone = deployment.settings.fleet_size, deployment.settings.zone
         self.classes = dict(self._base)
-        self._longest = {name: spec.give_up_ms for name, spec in self._base.items()}  # ever gone by
+        self._longest = {name: spec.deadline_ms for name, spec in self._base.items()}  # ever gone by
         self.quotas = dict(self._quotas)
         self._limit: float = io.UNLIMITED_RPS
         self._kept: tuple[Any, ...] = ()
@@ -86,9 +86,9 @@
         # To wait for longer than a policy gives is no fault of clients, which know an earlier time: the
         # port refuses nothing for that, and a call is cut to its policy's time where it is taken (`Judged`).
         for name, spec in classes.items():
-            self._longest[name] = max(self._longest[name], spec.give_up_ms)
+            self._longest[name] = max(self._longest[name], spec.deadline_ms)
         self.front.port.classes = {
-            name: replace(spec, give_up_ms=self._longest[name]) for name, spec in classes.items()
+            name: replace(spec, deadline_ms=self._longest[name]) for name, spec in classes.items()
         }
         for spec in changed:
             self.front.loop.tell(io.ClassChanged(spec))
--- a/fawnwharf/policy_rollout/judged.py
+++ b/fawnwharf/policy_rollout/judged.py
@@ -160,12 +160,12 @@
     promise, give_up = (document.value("classes", base.name, key) for key in ("promise_ms", "give_up_ms"))
     return io.ClassSpec(
         name=base.name,
-        promise_ms=base.promise_ms if promise is None else float(promise),
-        give_up_ms=base.give_up_ms if give_up is None else float(give_up),
+        latency_target_ms=base.latency_target_ms if promise is None else float(promise),
+        deadline_ms=base.deadline_ms if give_up is None else float(give_up),
         effect=base.effect,
         group=base.group,
         dedup_window_ms=base.dedup_window_ms,
-        worth=base.worth,
+        priority_weight=base.priority_weight,
         late_share=base.late_share,
     )
 
--- a/fawnwharf/prefetch/world.py
+++ b/fawnwharf/prefetch/world.py
@@ -162,16 +162,16 @@
         found = copy is not None and copy.ready_ms <= now
         if copy is None:
             copy = self._load(now, self.order(row, call.site)[0], facts, row, staged=False)
-        wait = (max(now, copy.ready_ms) - now) if copy is not None else spec.give_up_ms
+        wait = (max(now, copy.ready_ms) - now) if copy is not None else spec.deadline_ms
         if wait > 0:
             self.waits.append(now + wait)
         if copy is not None:
             copy.staged = False
             copy.used_ms = max(copy.used_ms, now + wait + call.run_ms)
         took = wait + call.run_ms
-        part = 1.0 if took <= spec.promise_ms else spec.late_share if took <= spec.give_up_ms else 0.0
+        part = 1.0 if took <= spec.latency_target_ms else spec.late_share if took <= spec.deadline_ms else 0.0
         for one in (tally, self.window) if self.measures else (tally,):
-            one.add(call, spec.worth, spec.worth * part, found)
+            one.add(call, spec.priority_weight, spec.priority_weight * part, found)
 
     def stage(self, now_ms: float, row: str, scorer: Scorer) -> bool:
         """Order a copy; False where the load rate limit leaves none.
--- a/fawnwharf/prefetch/worth.py
+++ b/fawnwharf/prefetch/worth.py
@@ -27,7 +27,11 @@
     """The mean worth of a call, by the share of each class in the calls (absent: equal shares)."""
     parts = {name: (shares or {}).get(name, 0.0 if shares else 1.0) for name in classes}
     total = sum(parts.values())
-    mean = sum(classes[name].worth * part for name, part in parts.items()) / total if total > 0 else 0.0
+    mean = (
+        sum(classes[name].priority_weight * part for name, part in parts.items()) / total
+        if total > 0
+        else 0.0
+    )
     return mean if mean > 0 else 1.0
 
 
@@ -39,12 +43,12 @@
     """
     load_ms = slack * facts.load_ms
     wait = load_ms + facts.run_ms
-    late, dead = wait > spec.promise_ms, wait > spec.give_up_ms
+    late, dead = wait > spec.latency_target_ms, wait > spec.deadline_ms
     first = late * (1.0 - spec.late_share) + dead * spec.late_share
-    late_ms = min(load_ms, max(0.0, wait - spec.promise_ms))
-    dead_ms = min(load_ms, max(0.0, wait - spec.give_up_ms))
+    late_ms = min(load_ms, max(0.0, wait - spec.latency_target_ms))
+    dead_ms = min(load_ms, max(0.0, wait - spec.deadline_ms))
     others = rate_ps * (late_ms * (1.0 - spec.late_share) + dead_ms * spec.late_share) / 1000.0
-    return spec.worth * (first + others)
+    return spec.priority_weight * (first + others)
 
 
 def fetched(settings: Foresight, prices: Prices, facts: Facts) -> float:
--- a/fawnwharf/recovery_core/budget.py
+++ b/fawnwharf/recovery_core/budget.py
@@ -59,10 +59,10 @@
     return Limits(
         fetches=max(1, fetches),
         scorer_rps=scorer_rps,
-        cold_ms=settings.cold_ms,
-        cold_share=settings.cold_share,
-        fall_ms=settings.fall_ms,
-        fall_multiple=settings.fall_multiple,
+        cold_ms=settings.slow_start_ms,
+        cold_share=settings.slow_start_initial_share,
+        fall_ms=settings.slow_start_window_ms,
+        fall_multiple=settings.slow_start_multiple,
         retry_most_ms=settings.max_retry_after_ms,
     )
 
--- a/fawnwharf/recovery_core/planned.py
+++ b/fawnwharf/recovery_core/planned.py
@@ -69,7 +69,7 @@
             self._order(now, loader)
         rate = self.limits.calls_rps(self._age(now, s) for s in self._live(now))
         for front in self.up:
-            self.doors[front.name].pace(now, SITE.fall_multiple * rate / len(up))
+            self.doors[front.name].pace(now, SITE.slow_start_multiple * rate / len(up))
 
     def _live(self, now: float) -> list[int]:
         return [s for s, scorer in enumerate(self.scorers) if scorer.up_ms <= now]
@@ -204,7 +204,7 @@
 
     def _ticket(self, now: float, s: int) -> float:
         age = self._age(now, s)
-        if age >= SITE.cold_ms:
+        if age >= SITE.slow_start_ms:
             return 0.0
         name = self.warden[s][0]
         warden = self.wardens.setdefault(name, Warden(self.limits))
--- a/fawnwharf/recovery_core/world.py
+++ b/fawnwharf/recovery_core/world.py
@@ -30,7 +30,7 @@
 LANES, LOADS_MOST, OWN_LOADS = 8, 4, 8  # of a copy; at a time of a scorer; of a front end that shares nothing
 FETCH_PART, COLD_SAFETY, HELD_PART = 0.6, 0.6, 0.5  # the module's, but for the first
 TRIES = 3  # of a client, for one call
-SITE = Settings(cold_ms=10_000.0, cold_share=0.2, max_retry_after_ms=4_000.0)
+SITE = Settings(slow_start_ms=10_000.0, slow_start_initial_share=0.2, max_retry_after_ms=4_000.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,9 +206,15 @@
         """The call is at the scorer: too many on a cold one, and it falls."""
         scorer, (_, _, run) = self.scorers[s], self.facts[one.function]
         age = self._age(now, s)
-        if age < SITE.cold_ms:
-            scorer.sent = [at for at in scorer.sent if at > now - SITE.fall_ms] + [now]
-            rate = SITE.fall_multiple * self.limits.warmth(age) * SCORER_PS * SITE.fall_ms / 1000.0
+        if age < SITE.slow_start_ms:
+            scorer.sent = [at for at in scorer.sent if at > now - SITE.slow_start_window_ms] + [now]
+            rate = (
+                SITE.slow_start_multiple
+                * self.limits.warmth(age)
+                * SCORER_PS
+                * SITE.slow_start_window_ms
+                / 1000.0
+            )
             if len(scorer.sent) > max(1.0, rate):
                 self._falls(s)
                 scorer.up_ms, scorer.copies, scorer.ready, scorer.sent = now + 3_000.0, {}, {}, []
@@ -284,7 +290,7 @@
         if warmth >= 1.0:
             return True
         front.taken = [at for at in front.taken if at > now - 10_000.0]
-        sent = front.sent[s] = [at for at in front.sent.get(s, []) if at > now - SITE.fall_ms]
+        sent = front.sent[s] = [at for at in front.sent.get(s, []) if at > now - SITE.slow_start_window_ms]
         rate = COLD_SAFETY * len(front.taken) / 10_000.0 / len(self.scorers)
-        budget = SITE.fall_multiple * warmth * SITE.fall_ms * rate
+        budget = SITE.slow_start_multiple * warmth * SITE.slow_start_window_ms * rate
         return len(sent) + 1 <= budget + weight(front.name, str(s)) / 2**64
--- a/fawnwharf/recovery_service/counted.py
+++ b/fawnwharf/recovery_service/counted.py
@@ -60,7 +60,7 @@
             return None
         name, came_ms, key = found
         now = monotonic_ms()
-        self._ended(now, name, served and now - came_ms <= self.classes[name].promise_ms)
+        self._ended(now, name, served and now - came_ms <= self.classes[name].latency_target_ms)
         return key
 
     def withdraw(self, number: str) -> None:
@@ -70,7 +70,7 @@
             self.below.withdraw(number)
             return
         name, came_ms, key = found
-        if monotonic_ms() - came_ms > self.classes[name].promise_ms:
+        if monotonic_ms() - came_ms > self.classes[name].latency_target_ms:
             self._over(number, False)
         else:
             del self._open[number]
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -142,7 +142,7 @@
         """To be told at each change. `rate_ps`: calls a second that are let in here."""
         now = self._clock()
         self._may, self._giving, self.open = allowed, giving, allowed.spill
-        self._first = first_classes({name: spec.worth for name, spec in self._classes.items()})
+        self._first = first_classes({name: spec.priority_weight for name, spec in self._classes.items()})
         self.doors.pace(now, rate_ps)
         for held in [held for held in self._held.values() if not held.passed]:
             if self.open:
@@ -197,7 +197,7 @@
             return self.below.take(call)
         if not self._takes(call.class_name):
             return self._turn_away(call, "class", LATER_MS)
-        hold_ms = min(HOLD_PART * self._classes[call.class_name].promise_ms, call.budget_ms - LEAD_MS)
+        hold_ms = min(HOLD_PART * self._classes[call.class_name].latency_target_ms, call.budget_ms - LEAD_MS)
         bare = self._bare(call.function)
         if bare:
             self._want(now, call)
@@ -219,7 +219,7 @@
 
     def _want(self, now: float, call: Call) -> None:
         """Its loader is to know, by what its calls of the last seconds were worth."""
-        worth = self._classes[call.class_name].worth
+        worth = self._classes[call.class_name].priority_weight
         rate = self._rates.get(call.function)
         if rate is None or now - rate[0] > RATE_MS:
             if rate is None and len(self._rates) >= RATES_MOST:
--- a/fawnwharf/recovery_service/giving.py
+++ b/fawnwharf/recovery_service/giving.py
@@ -284,11 +284,11 @@
 
     def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> list[Out]:
         """A scorer's answer to an order or a question, whoever's that was."""
-        if event.ending in PROVES and not event.copies:
-            self.lost(now_ms, event.function, event.worker)
-        found: list[Out] = [*self.helping.answered(event, event.ending in PROVES)]
+        if event.result in PROVES and not event.copies:
+            self.lost(now_ms, event.function, event.scorer)
+        found: list[Out] = [*self.helping.answered(event, event.result in PROVES)]
         if self.loading.answered(now_ms, event):
-            found += self._stood(now_ms, event.function, event.worker)
+            found += self._stood(now_ms, event.function, event.scorer)
         return found
 
     def _stood(self, now_ms: float, row: str, worker: int) -> list[Out]:
--- a/fawnwharf/recovery_service/holds.py
+++ b/fawnwharf/recovery_service/holds.py
@@ -68,8 +68,8 @@
         if self.calm or not action.copies:
             self._below(action)
             return
-        if self.giving.is_own(action.worker, action.function):
-            self.giving.ordered(self._clock(), action.worker, action.function)
+        if self.giving.is_own(action.scorer, action.function):
+            self.giving.ordered(self._clock(), action.scorer, action.function)
             self._below(action)
         elif self.own_loads:
             self._below(action)
@@ -84,7 +84,7 @@
                 self._asked.clear()
             self._asked[action.function] = now
             self._ask(Order(place, self._answered, action.function, 0))
-        event = io.LoadOrderAnswered(action.worker, action.function, io.AttemptResult.NOT_SENT, 0, 0.0)
+        event = io.LoadOrderAnswered(action.scorer, action.function, io.AttemptResult.NOT_SENT, 0, 0.0)
         rate = self._rates.get(action.function)
         if rate is None or now - rate[0] >= WINDOW_MS:
             if rate is None and len(self._rates) >= ASKED_MOST:
@@ -111,9 +111,9 @@
             elif isinstance(event, io.AttemptEnded) and _found_none(event):
                 request = self._requests.get(event.request)
                 if request is not None:
-                    self.giving.lost(now_ms, request.call.function, event.worker)
+                    self.giving.lost(now_ms, request.call.function, event.scorer)
         return found
 
 
 def _found_none(event: io.AttemptEnded) -> bool:
-    return event.ending is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED
+    return event.result is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -108,7 +108,7 @@
             classes = self.front.deployment.settings.classes
             for (row, name), rps in self._used.items():
                 if name in classes:
-                    self.giving.want(now_ms, row, rps * classes[name].worth, name)
+                    self.giving.want(now_ms, row, rps * classes[name].priority_weight, name)
 
     # --- scorers --------------------------------------------------------------------------------
 
@@ -145,7 +145,7 @@
         """Orders that the module would make of `CopiesWanted`: one is left for each held call."""
         router = self.front.router
         held = sum(len(fn.queue) for fn in router.functions.values())
-        return router._ration_left() - held if router.settings.may_order else 0.0
+        return router._ration_left() - held if router.settings.load_orders_allowed else 0.0
 
     # --- turns, words and answers ---------------------------------------------------------------
 
--- a/fawnwharf/recovery_service/lent.py
+++ b/fawnwharf/recovery_service/lent.py
@@ -115,14 +115,14 @@
 
     def answered(self, event: io.LoadOrderAnswered, proves: bool) -> list[Words]:
         """`proves`: the answer counts copies."""
-        place = event.worker, event.function
+        place = event.scorer, event.function
         loan = self._loans.get(place)
         if loan is None:
             return []
         if proves and event.copies:
             del self._loans[place]
             return [self._word(loan.loader, place, m.What.STANDS)]
-        if not loan.made or event.ending is io.AttemptResult.GOOD:
+        if not loan.made or event.result is io.AttemptResult.GOOD:
             return []  # that answers a question
         del self._loans[place]
         return [self._word(loan.loader, place, m.What.FAILED)]
--- a/fawnwharf/recovery_service/loading.py
+++ b/fawnwharf/recovery_service/loading.py
@@ -178,9 +178,9 @@
         """A scorer's answer to an order or a question, whoever's that was. Whether a copy stands that was
         ordered here."""
         row, way = event.function, self.under_way.get(event.function)
-        if way is None or way.worker != event.worker:
+        if way is None or way.worker != event.scorer:
             return False
-        if event.ending in PROVES and event.copies:
+        if event.result in PROVES and event.copies:
             del self.under_way[row]
             took_ms = now_ms - way.told_ms if way.went else self.loader.fetch_ms
             self.loader.ended(row, True, took_ms)
@@ -190,7 +190,7 @@
             return False  # whoever made the order tells
         # None stands: that answers a question, maybe the module's own of before. An order that is under way
         # it does not end, and one that the module is yet to make neither.
-        counted = event.ending is io.AttemptResult.GOOD
+        counted = event.result is io.AttemptResult.GOOD
         if way.went != counted and (way.went or way.asked_ms is not None):
             self._failed(now_ms, row, way, way.went)
         return False
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -54,7 +54,9 @@
         self._used = LastUse.read(self.kept.read(Kind.USE))
         self._roster, self._use = LastRoster(), LastUse(monotonic_ms())
         classes = deployment.settings.classes
-        self.tallies = Tallies({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
+        self.tallies = Tallies(
+            {n: c.priority_weight for n, c in classes.items()}, deployment.settings.slow_start_ms
+        )
         self.front: FrontEnd | None = None
         self.agent: Agent | None = None
         self.joined: joined.Joined | None = None
@@ -138,7 +140,7 @@
             return
         now = monotonic_ms()
         for event in events:
-            worker = getattr(event, "worker", None)
+            worker = getattr(event, "scorer", None)
             age_ms = self.joined.age_ms(worker) if worker is not None else 0.0
             self.tallies.event(now, event, age_ms)
             if isinstance(event, io.RequestArrived):
--- a/fawnwharf/recovery_service/tallies.py
+++ b/fawnwharf/recovery_service/tallies.py
@@ -52,9 +52,9 @@
             if event.load_ms and self._expected.get(event.function) != event.load_ms:
                 _put(self._expected, event.function, event.load_ms, ROWS_MOST)
         elif isinstance(event, io.AttemptEnded):
-            self._signed(event.worker, event.ending, age_ms)
+            self._signed(event.scorer, event.result, age_ms)
         elif isinstance(event, io.LoadOrderAnswered):
-            self._signed(event.worker, event.ending, age_ms)
+            self._signed(event.scorer, event.result, age_ms)
             self._answered(now_ms, event)
 
     def _signed(self, worker: int, ending: io.AttemptResult, age_ms: float) -> None:
@@ -72,8 +72,8 @@
 
     def _answered(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
         """The first proof of a copy is an answer to the order that loaded it; later ones are at once."""
-        pair = event.worker, event.function
-        if event.ending is not io.AttemptResult.GOOD or not event.copies:
+        pair = event.scorer, event.function
+        if event.result is not io.AttemptResult.GOOD or not event.copies:
             self._proved.pop(pair, None)
             return
         if pair in self._proved:
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -40,7 +40,9 @@
 
 
 def site() -> io.Settings:
-    classes = {n: io.ClassSpec(n, k[1], k[2], io.Effect.IDEMPOTENT, worth=k[3]) for n, k in KINDS.items()}
+    classes = {
+        n: io.ClassSpec(n, k[1], k[2], io.Effect.IDEMPOTENT, priority_weight=k[3]) for n, k in KINDS.items()
+    }
     return io.Settings(
         classes=classes,
         quotas_rps={"t": CALM_PS},
@@ -110,7 +112,7 @@
         return key
 
     def send(self, action: io.Send) -> None:
-        key, worker = action.request, action.worker
+        key, worker = action.request, action.scorer
         call = self.open.get(key)
         if call is None:
             self.tell(io.AttemptEnded(key, 0, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True))
@@ -130,9 +132,9 @@
 
         def ended(ending: io.AttemptResult, copies: int) -> None:
             took = self.world.now - began
-            self.tell(io.LoadOrderAnswered(action.worker, action.function, ending, copies, took))
+            self.tell(io.LoadOrderAnswered(action.scorer, action.function, ending, copies, took))
 
-        self.world.hold_at(action.worker, action.function, action.copies, ended)
+        self.world.hold_at(action.scorer, action.function, action.copies, ended)
 
     def ask(self, order: Order) -> None:
         def ended(ending: io.AttemptResult, copies: int) -> None:
--- a/fawnwharf/replication/elsewhere.py
+++ b/fawnwharf/replication/elsewhere.py
@@ -57,16 +57,16 @@
         """Scorers as the module is told of them; `unix_ms` is now on the clock of their starts."""
         entries = list(entries)
         if whole:
-            self._lose(self.known - {entry.worker for entry in entries})
+            self._lose(self.known - {entry.scorer for entry in entries})
         for entry in entries:
             if entry.state is io.ScorerState.GONE:
-                self._lose({entry.worker})
+                self._lose({entry.scorer})
                 continue
-            self.known.add(entry.worker)
+            self.known.add(entry.scorer)
             age = math.inf if entry.up_since_ms is None else max(0.0, unix_ms - entry.up_since_ms)
             if age < self.cold_ms:
-                self._cold[entry.worker] = now_ms + self.cold_ms - age
-                for place in [p for p in self._copies if p[0] == entry.worker]:
+                self._cold[entry.scorer] = now_ms + self.cold_ms - age
+                for place in [p for p in self._copies if p[0] == entry.scorer]:
                     if self._copies[place].proof_ms < now_ms - age:
                         self._forget(place)
 
--- a/fawnwharf/replication/gate.py
+++ b/fawnwharf/replication/gate.py
@@ -110,7 +110,7 @@
                 monotonic_ms(),
                 name,
                 spec.effect,
-                promise_ms=spec.promise_ms,
+                promise_ms=spec.latency_target_ms,
                 budget_ms=max(1.0, call.budget_ms - WAIT_LEAD_MS),
                 dedup_ms=spec.dedup_window_ms,
                 must=mode == "before",
--- a/fawnwharf/replication/others.py
+++ b/fawnwharf/replication/others.py
@@ -356,7 +356,7 @@
         return {f: held for f, held in places.items() if held[1] and now_ms - held[0] <= span_ms}
 
     def _is_news(self, event: io.RemoteLoadReport, oldest_ms: float) -> bool:
-        told = self._told.get(event.worker)
+        told = self._told.get(event.scorer)
         if told is None:
             return event.sent is not None or bool(event.copies or event.loading)
         before = told.event
--- a/fawnwharf/replication/resting.py
+++ b/fawnwharf/replication/resting.py
@@ -35,7 +35,7 @@
         for event in events:
             if isinstance(event, io.AttemptEnded | io.LoadOrderAnswered):
                 warmth = getattr(event, "warmth", io.Warmth.UNTOLD)  # an order's answer has none
-                self.sights.ended(now_ms, event.worker, event.ending, event.took_ms, self._promise_ms, warmth)
+                self.sights.ended(now_ms, event.scorer, event.result, event.took_ms, self._promise_ms, warmth)
 
     def look(self, now_ms: float, heard: Iterable[Hints], overlay: Overlay) -> Fleet:
         """Take what was heard, and let those rest that are to; the changes that it makes to the roster."""
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -75,7 +75,7 @@
             # The module adds what it is handed to the quotas: these are as they were sold.
             quotas = dict(deployment.settings.quotas_rps)
             self.core.shares = Shares(quotas, deployment.settings.fleet_size)
-        promises = (spec.promise_ms for spec in deployment.settings.classes.values())
+        promises = (spec.latency_target_ms for spec in deployment.settings.classes.values())
         self.resting = Resting(min(promises, default=1_000.0), self.note)
         self.working: Working | None = None
         if self.settings.elsewhere:
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -24,7 +24,7 @@
         """Switches the telling on in this core."""
         self._core, self._note = core, note
         copies_ms = min(core.settings.copies_ms, settings.idle_life_ms / 2)
-        core.own = self.own = Own(settings.cold_ms, settings.fall_ms, copies_ms)
+        core.own = self.own = Own(settings.slow_start_ms, settings.slow_start_window_ms, copies_ms)
         self._fronts = settings.fleet_size
         self._front: FrontEnd | None = None
         self._carry_out: Callable[[list[Out]], None] | None = None
--- a/fawnwharf/sessions/known.py
+++ b/fawnwharf/sessions/known.py
@@ -101,7 +101,7 @@
         told = self.told.get(session)
         facts = told.facts if told else None
         spec = classes.get(facts.kind) if facts else None
-        worth = (spec.worth if spec else 1.0) * min(1.0, 0.1 + (facts.rate if facts else 0.0))
+        worth = (spec.priority_weight if spec else 1.0) * min(1.0, 0.1 + (facts.rate if facts else 0.0))
         still_ms = now_ms - (told.at_ms if told else used_ms)
         return Live(session, worth, rules.drain.cost, TOLD_PART * rules.handover.still_ms - still_ms)
 
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -58,7 +58,7 @@
         self.site = self._own_zone()
         self.agent = self._made_agent(fresh)
         module = deployment.settings
-        self.stages = Stages(self._order, module.may_order, module.idle_life_ms, self._is_loading)
+        self.stages = Stages(self._order, module.load_orders_allowed, module.idle_life_ms, self._is_loading)
         self._wishes_file = WatchedFile(wishes_place(read, place, self.state.folder))
         self.wishes = Wishes()
         self._left = Left(self._wishes_file.path.with_name("homes"), made.get("kept"))
@@ -175,7 +175,7 @@
             elif isinstance(event, io.RequestCancelled):
                 self.agent.ended(now, event.request)
             elif isinstance(event, io.LoadOrderAnswered):
-                if event.ending is io.AttemptResult.GOOD and event.copies and event.took_ms > 0:
+                if event.result is io.AttemptResult.GOOD and event.copies and event.took_ms > 0:
                     self.agent.known.loaded(event.function, event.took_ms)
                 self._tell(self.stages.answered(now, event))
                 self._staged(now)
@@ -201,13 +201,13 @@
         call = self.agent.router.calls.get(event.request)
         if call is None:
             return
-        if event.ending is io.AttemptResult.GOOD:
+        if event.result is io.AttemptResult.GOOD:
             row = call.session.row
             if event.warmth in (io.Warmth.FOUND, io.Warmth.UNTOLD):
                 self.agent.known.ran(row, event.took_ms)
-            worker = self.front.router.workers.get(event.worker)
+            worker = self.front.router.workers.get(event.scorer)
             if worker is not None and worker.entry.zone == self.site:
-                self.stages.seen(now_ms, row, event.worker, 1)
+                self.stages.seen(now_ms, row, event.scorer, 1)
         if event.closed:
             self.agent.ended(now_ms, event.request, WARM.get(event.warmth))
 
@@ -227,7 +227,7 @@
         The module hears the answer too, and so what it believed wrongly. It takes an answer for that of its
         own order, so where one is in progress that is waited for.
         """
-        if not self._is_loading(question.worker, question.function):
+        if not self._is_loading(question.scorer, question.function):
             self.front.table.order(question)
 
     def _is_loading(self, worker: int, row: str) -> bool:
@@ -267,7 +267,7 @@
             self.note(effect.event, effect.fields)
 
     def _let_go(self, now_ms: float, effect: LetGo) -> None:
-        if not self.settings.handover.unload or not self.deployment.settings.may_order:
+        if not self.settings.handover.unload or not self.deployment.settings.load_orders_allowed:
             return
         try:
             for worker in self.stages.where(now_ms, effect.row):
--- a/fawnwharf/sessions/settings.py
+++ b/fawnwharf/sessions/settings.py
@@ -76,7 +76,7 @@
 def by_classes(settings: Settings, classes: dict[str, ClassSpec]) -> Settings:
     """The settings with the times that classes make longer: no call may last longer than they say."""
     rules = settings.handover
-    longest = max([rules.give_up_ms, *(spec.give_up_ms for spec in classes.values())])
+    longest = max([rules.give_up_ms, *(spec.deadline_ms for spec in classes.values())])
     settle = max(rules.settle_ms, 2 * longest * rules.stretch)
     changed = replace(rules, give_up_ms=longest, settle_ms=settle, still_ms=max(rules.still_ms, settle))
     return replace(settings, handover=changed)
--- a/fawnwharf/sessions/stages.py
+++ b/fawnwharf/sessions/stages.py
@@ -149,16 +149,16 @@
 
     def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> Orders:
         """Take a scorer's answer to an order or a probe, whoever's that was."""
-        good = event.ending is io.AttemptResult.GOOD
+        good = event.result is io.AttemptResult.GOOD
         if good:
-            self.seen(now_ms, event.function, event.worker, event.copies)
+            self.seen(now_ms, event.function, event.scorer, event.copies)
         found = []
         for key in list(self._rows.get(event.function, ())):
             wanted = self.wanted[key]
             if good:
-                (wanted.stand if event.copies else wanted.empty).add(event.worker)
-            elif event.worker in wanted.asked:
-                wanted.failed.add(event.worker)
+                (wanted.stand if event.copies else wanted.empty).add(event.scorer)
+            elif event.scorer in wanted.asked:
+                wanted.failed.add(event.scorer)
             found += self._order(now_ms, wanted)
         return found
 
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -119,7 +119,7 @@
         self.ways = Ways(bounds, rules, self.core.watch, whither, belongs, self.scorers.sites)
         self.calm = True
         self.counts: dict[str, int] = {}
-        promise_ms = min((spec.promise_ms for spec in site.classes.values()), default=1_000.0)
+        promise_ms = min((spec.latency_target_ms for spec in site.classes.values()), default=1_000.0)
         self._evidence = Evidence()
         self._observer = Observer(self._evidence, promise_ms)
         self._open: dict[str, Session] = {}
@@ -128,7 +128,7 @@
         self._calm_of: dict[str, tuple[float, bool]] = {}
         self._look_ms, self._slices = float("-inf"), None
         self._budgets: dict[str, float] = {}  # of a policy, over the settings'
-        self._cold = rules.fall_multiple
+        self._cold = rules.slow_start_multiple
         self._parts = 0  # words that this look may still say
         self._seen = Seen()
         self._by_class = dict.fromkeys(site.classes, 0.0)  # own calls, fading: what a mean one is worth
@@ -152,7 +152,7 @@
         free_part = 1.0 - budgets["free_part"] if "free_part" in budgets else own.free_part
         self.core.go_by(msgspec.structs.replace(own, fetches_ps=fetches_ps, free_part=free_part))
         self.ways.fetches(fetches_ps)
-        self.scorers.settings.fall_multiple = self._cold * budgets.get("cold_part", 1.0)
+        self.scorers.settings.slow_start_multiple = self._cold * budgets.get("cold_part", 1.0)
 
     def _spare_mb(self, site: str) -> float:
         """Rosters tell sizes, not memory: `unit_mb` is a guess, and so are functions that told none."""
@@ -185,7 +185,7 @@
                 self.scorers.settings.classes[event.spec.name] = event.spec
             elif kind is io.RemoteLoadReport:
                 for row, copies in event.copies.items():
-                    self.copies.seen(now_ms - event.age_ms, row, event.worker, copies)
+                    self.copies.seen(now_ms - event.age_ms, row, event.scorer, copies)
 
     def _came(self, now_ms: float, event: io.RequestArrived) -> None:
         self._arrived += 1
@@ -202,25 +202,25 @@
         self._open[event.request] = Session(event.tenant, event.function)
 
     def _ended(self, now_ms: float, event: io.AttemptEnded) -> None:
-        site = self.scorers.zone(event.worker)
-        self._observer.ended(now_ms, site, event.worker, event.ending, event.took_ms)
-        if event.ending in (
+        site = self.scorers.zone(event.scorer)
+        self._observer.ended(now_ms, site, event.scorer, event.result, event.took_ms)
+        if event.result in (
             io.AttemptResult.CONNECT_FAILED,
             io.AttemptResult.RESET,
             io.AttemptResult.TIMEOUT,
         ):
-            self.scorers.rest(now_ms, event.worker)
-        self.scorers.gave(now_ms, event.worker)
+            self.scorers.rest(now_ms, event.scorer)
+        self.scorers.gave(now_ms, event.scorer)
         session = self._open.get(event.request)
         if session is None:
             return
         if event.closed:
             del self._open[event.request]
-        if event.ending not in (io.AttemptResult.GOOD, io.AttemptResult.ERROR) or not site:
+        if event.result not in (io.AttemptResult.GOOD, io.AttemptResult.ERROR) or not site:
             return
         self.called(now_ms, session, site)
-        if event.ending is io.AttemptResult.GOOD:
-            self.copies.used(now_ms, session.row, site, event.worker)
+        if event.result is io.AttemptResult.GOOD:
+            self.copies.used(now_ms, session.row, site, event.scorer)
             if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
                 self.functions.ran(session.row, event.took_ms)
             elif event.warmth is io.Warmth.BEGAN_LOAD and (facts := self.functions.facts(session.row)):
@@ -228,17 +228,17 @@
 
     def _answered(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
         self.scorers.ordered.append(now_ms)
-        key = (event.function, self.scorers.zone(event.worker))
+        key = (event.function, self.scorers.zone(event.scorer))
         pending = self._pending.get(key)
-        asked = pending is not None and event.worker in pending[1]
-        if event.ending is io.AttemptResult.GOOD:
-            self.copies.seen(now_ms, event.function, event.worker, event.copies)
+        asked = pending is not None and event.scorer in pending[1]
+        if event.result is io.AttemptResult.GOOD:
+            self.copies.seen(now_ms, event.function, event.scorer, event.copies)
             if asked and event.copies:
-                pending[1].discard(event.worker)
+                pending[1].discard(event.scorer)
                 if not pending[1]:
                     del self._pending[key]
-        elif event.ending not in (io.AttemptResult.CANCELLED, io.AttemptResult.NOT_SENT):
-            self.scorers.rest(now_ms, event.worker)
+        elif event.result not in (io.AttemptResult.CANCELLED, io.AttemptResult.NOT_SENT):
+            self.scorers.rest(now_ms, event.scorer)
             if asked:
                 self._failed(now_ms, key)
 
--- a/fawnwharf/wirehost.py
+++ b/fawnwharf/wirehost.py
@@ -23,7 +23,7 @@
 def entry_from(entry: dict[str, Any]) -> io.ScorerEntry:
     units = entry.get("units")
     return io.ScorerEntry(
-        worker=entry["worker"],
+        scorer=entry["worker"],
         state=io.ScorerState(entry.get("state") or io.ScorerState.READY),
         kind=entry.get("family_type") or "",
         zone=entry.get("hall") or "",
@@ -60,21 +60,21 @@
     return io.AttemptEnded(
         request=body["tid"],
         attempt=body.get("try") or 0,
-        worker=body.get("worker") or 0,
-        ending=ENDINGS[body["ending"]],
+        scorer=body.get("worker") or 0,
+        result=ENDINGS[body["ending"]],
         took_ms=body.get("took") or 0.0,
         closed=bool(body.get("ended")),
         warmth=io.Warmth((remark or 0) & 7),
-        crowd=None if remark is None else remark >> 3,
+        reported_concurrency=None if remark is None else remark >> 3,
         report=body.get("health_info"),
     )
 
 
 def order_from(body: dict[str, Any]) -> io.LoadOrderAnswered:
     return io.LoadOrderAnswered(
-        worker=body["worker"],
+        scorer=body["worker"],
         function=body["fn"],
-        ending=ENDINGS[body["ending"]],
+        result=ENDINGS[body["ending"]],
         copies=body.get("how_many") or 0,
         took_ms=body.get("took") or 0.0,
     )
@@ -90,11 +90,11 @@
 }
 
 WRITERS = {
-    io.Send: lambda a: {"ATTEMPT": {"tid": a.request, "worker": a.worker}},
+    io.Send: lambda a: {"ATTEMPT": {"tid": a.request, "worker": a.scorer}},
     io.Cancel: lambda a: {"STOP_ATTEMPT": {"tid": a.request, "try": a.attempt}},
     io.Reject: lambda a: {"SAY_NO": {"tid": a.request, "hold_off": a.hold_off_ms}},
     io.Fail: lambda a: {"ERROR": {"tid": a.request}},
-    io.OrderCopies: lambda a: {"MOUNT": {"worker": a.worker, "fn": a.function, "how_many": a.copies}},
+    io.OrderCopies: lambda a: {"MOUNT": {"worker": a.scorer, "fn": a.function, "how_many": a.copies}},
     io.SetTimer: lambda a: {"NOTIFY_ME": {"sleep_for": a.delay_ms, "handle": a.token}},
     io.Log: lambda a: {"LOG": {"body_text": a.text}},
 }
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -73,7 +73,7 @@
         kept = (self.disk.saved, self.disk.number) if self.disk else (None, 0)
         name, seed = self.entry.name, deployment.seed
         self.core = Member(name, members, self.settings, now, seed, identity, *kept)
-        promise = min((c.promise_ms for c in deployment.settings.classes.values()), default=1_000.0)
+        promise = min((c.latency_target_ms for c in deployment.settings.classes.values()), default=1_000.0)
         self.observer = Observer(self.settings.evidence, promise)
         self._sold = sum(deployment.settings.quotas_rps.values())  # before any limit stands among them
         self._spill: dict[str, float] = {}  # the most that a policy lets zones take of others' calls
@@ -178,9 +178,9 @@
         """Take the batch's evidence on zones."""
         now = monotonic_ms()
         for event in events:
-            if isinstance(event, io.AttemptEnded | io.LoadOrderAnswered) and event.worker in self._zone_of:
-                zone = self._zone_of[event.worker]
-                self.observer.ended(now, zone, event.worker, event.ending, event.took_ms)
+            if isinstance(event, io.AttemptEnded | io.LoadOrderAnswered) and event.scorer in self._zone_of:
+                zone = self._zone_of[event.scorer]
+                self.observer.ended(now, zone, event.scorer, event.result, event.took_ms)
 
     def limits(self, sold_rps: float, spill: dict[str, float]) -> None:
         """Take a policy's total quota and spillover by zone.
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -47,7 +47,7 @@
         done = [action for action in actions if isinstance(action, io.OrderCopies) and action.copies]
         for action in actions:
             if isinstance(action, io.OrderCopies) and action.copies == 0:
-                done += self.count(action.worker, standing.get(action.worker, 0), action.function)
+                done += self.count(action.scorer, standing.get(action.scorer, 0), action.function)
         return done
 
     def end(
@@ -55,17 +55,17 @@
     ):
         closed = ending is io.AttemptResult.GOOD if closed is None else closed
         return self.feed(
-            io.AttemptEnded(send.request, attempt, send.worker, ending, 100.0, closed, warmth, crowd)
+            io.AttemptEnded(send.request, attempt, send.scorer, ending, 100.0, closed, warmth, crowd)
         )
 
     def warm(self, fn="f", lanes=1, spec="safe", load_ms=500):
         """A first request served, so that one worker holds a copy; that worker."""
         loads = of(self.answer_asks(self.ask("first-" + fn, fn, spec, lanes=lanes)), io.OrderCopies)
         self.now += load_ms
-        [send] = of(self.count(loads[0].worker, 1, fn), io.Send)
+        [send] = of(self.count(loads[0].scorer, 1, fn), io.Send)
         self.now += 100
         self.end(send)
-        return send.worker
+        return send.scorer
 
 
 def of(actions, kind):
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -150,14 +150,14 @@
 
     def _ordered(self, name, what):
         """Stands for the decision module and a scorer."""
-        front, place = self.fronts.get(name), (what.worker, what.function)
+        front, place = self.fronts.get(name), (what.scorer, what.function)
         if front is None:
             return
         life = front.life
 
         def answer(ending, copies):
             if (front := self.fronts.get(name)) and front.life == life:
-                event = io.LoadOrderAnswered(what.worker, what.function, ending, copies, 0.0)
+                event = io.LoadOrderAnswered(what.scorer, what.function, ending, copies, 0.0)
                 self.carry(name, front.answered(self.now, event))
 
         if isinstance(what, io.OrderCopies):
--- a/tests/support/prefetch_driver.py
+++ b/tests/support/prefetch_driver.py
@@ -10,7 +10,7 @@
 )
 
 UNIX = 1.7e12
-SPEC = io.ClassSpec("view", promise_ms=800.0, give_up_ms=3_000.0, late_share=0.2)
+SPEC = io.ClassSpec("view", latency_target_ms=800.0, deadline_ms=3_000.0, late_share=0.2)
 S = Bounds(least=30, copies=1, score_ms=300_000.0, allow=0.0)
 SITES = ("n", "s", "w")
 
@@ -58,7 +58,7 @@
 
 def wanted(beats):
     """The functions and scorers of all orders."""
-    return [(w.function, w.worker) for beat in beats for w in beat.wanted]
+    return [(w.function, w.scorer) for beat in beats for w in beat.wanted]
 
 
 def drained_site(one, calls, rows, now=0.0, seen=None):
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -8,13 +8,17 @@
 from fawnwharf.recovery_service.door import Door
 
 CLASSES = {
-    "settle": ClassSpec("settle", promise_ms=1_000.0, effect=Effect.AT_MOST_ONCE, worth=5.0),
+    "settle": ClassSpec("settle", latency_target_ms=1_000.0, effect=Effect.AT_MOST_ONCE, priority_weight=5.0),
     "keyed": ClassSpec(
-        "keyed", promise_ms=1_000.0, effect=Effect.DEDUPLICATED, dedup_window_ms=3_000.0, worth=1.0
+        "keyed",
+        latency_target_ms=1_000.0,
+        effect=Effect.DEDUPLICATED,
+        dedup_window_ms=3_000.0,
+        priority_weight=1.0,
     ),
-    "view": ClassSpec("view", promise_ms=1_000.0, effect=Effect.IDEMPOTENT, worth=1.0),
+    "view": ClassSpec("view", latency_target_ms=1_000.0, effect=Effect.IDEMPOTENT, priority_weight=1.0),
 }
-WORTHS = {name: spec.worth for name, spec in CLASSES.items()}
+WORTHS = {name: spec.priority_weight for name, spec in CLASSES.items()}
 LIMITS = Limits(
     fetches=4, scorer_rps=12.0, cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0,
     retry_most_ms=4_000.0,
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -70,11 +70,11 @@
 
     def endings(self):
         """How attempts ended, as the module was told."""
-        return [event.ending for event in self.told if isinstance(event, io.AttemptEnded)]
+        return [event.result for event in self.told if isinstance(event, io.AttemptEnded)]
 
     def order_endings(self):
         """How orders ended, as the module was told."""
-        return [event.ending for event in self.told if isinstance(event, io.LoadOrderAnswered)]
+        return [event.result for event in self.told if isinstance(event, io.LoadOrderAnswered)]
 
     def link_up(self, rig, peer, worker=BY_POOL):
         """A first link to a scorer, with nothing open on it; and no spare."""
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -15,7 +15,7 @@
 from fawnwharf.sessions.effects import Copies, Note, Words
 from fawnwharf.zones.settings import MemberEntry, Members
 
-CLASSES = {"view": ClassSpec("view", worth=1.0, give_up_ms=800.0)}
+CLASSES = {"view": ClassSpec("view", priority_weight=1.0, deadline_ms=800.0)}
 RULES = s.Settings(
     1,
     handover=Handover(
--- a/tests/support/session_front_ends.py
+++ b/tests/support/session_front_ends.py
@@ -23,7 +23,7 @@
 
 def ordered(router, event):
     """Stands for a decision module that does not know the event: it orders at once."""
-    router.actions.append(io.OrderCopies(event.worker, event.function, event.copies))
+    router.actions.append(io.OrderCopies(event.scorer, event.function, event.copies))
 
 
 class Held(Scorer):
--- a/tests/support/slow_start_world.py
+++ b/tests/support/slow_start_world.py
@@ -30,8 +30,9 @@
         self.now, self.due, self.count = 0.0, [], 0
         settings.setdefault("quotas_rps", {"t": quota * rate * workers} if quota else {})
         self.settings = {
-            "fleet_size": front_ends, "max_attempts": 3, "loads_on_miss": True, "cold_ms": COLD_MS,
-            "cold_share": COLD_SHARE, "fall_ms": FALL_MS, "fall_multiple": FALL_MULTIPLE, **settings,
+            "fleet_size": front_ends, "max_attempts": 3, "loads_on_miss": True, "slow_start_ms": COLD_MS,
+            "slow_start_initial_share": COLD_SHARE, "slow_start_window_ms": FALL_MS,
+            "slow_start_multiple": FALL_MULTIPLE, **settings,
         }  # fmt: skip
         self.entries = {n: io.ScorerEntry(n) for n in range(1, workers + 1)}
         self.routers, self.lives, self.names = {}, defaultdict(int), {}
@@ -66,13 +67,13 @@
 
     def tell(self, entry, latest_ms=300.0):
         """A change of the list reaches each front end at a moment of its own."""
-        self.entries[entry.worker] = entry
+        self.entries[entry.scorer] = entry
         for n in range(self.front_ends):
             self.later(latest_ms * self.random.random(), self.told, n, entry)
 
     def told(self, n, entry):
         """The front end takes in the entry, unless a newer one stands in its place or it is down."""
-        if n in self.routers and self.entries[entry.worker] is entry:
+        if n in self.routers and self.entries[entry.scorer] is entry:
             self.feed(n, self.lives[n], io.RosterChanged([entry], complete=False))
 
     def leave(self, worker):
@@ -103,7 +104,7 @@
         self.count += 1
         name = f"r{self.count}"
         self.tries[n, name] = (fn, tried)
-        self.feed(n, self.lives[n], io.RequestArrived(name, fn, "view", "", SPEC.give_up_ms, load_ms=300.0))
+        self.feed(n, self.lives[n], io.RequestArrived(name, fn, "view", "", SPEC.deadline_ms, load_ms=300.0))
 
     def feed(self, n, life, event):
         """Hand an event to this life of a front end and carry out its decisions; a former life gets none."""
@@ -123,7 +124,7 @@
                 self.later(AGAIN_MS, self.ask, n, fn, tried + 1)
         elif isinstance(action, io.OrderCopies):
             answer = io.LoadOrderAnswered(
-                action.worker, action.function, AttemptResult.GOOD, max(1, action.copies), 1.0
+                action.scorer, action.function, AttemptResult.GOOD, max(1, action.copies), 1.0
             )
             self.later(1.0, self.feed, n, life, answer)
         elif isinstance(action, io.Send):
@@ -131,7 +132,7 @@
 
     def send(self, n, life, send):
         """A worker takes an attempt, or answers FULL where all its lanes are busy; the end is scheduled."""
-        worker = send.worker
+        worker = send.scorer
         if worker in self.last_start:
             self.sends[worker].append(self.now)
         key = (n, life, send.request)
@@ -145,9 +146,9 @@
     def end(self, n, life, send, number, ending, took):
         """The attempt is over, and its front end learns how it ended."""
         good = ending is AttemptResult.GOOD
-        self.busy[send.worker] -= good
+        self.busy[send.scorer] -= good
         self.served += good
-        ended = io.AttemptEnded(send.request, number, send.worker, ending, took, good, Warmth.FOUND)
+        ended = io.AttemptEnded(send.request, number, send.scorer, ending, took, good, Warmth.FOUND)
         self.feed(n, life, ended)
 
     # --- what must hold -----------------------------------------------------------------------
@@ -193,8 +194,8 @@
         self.random = random.Random(f"saturated {front_ends} {seed}")
         self.settings = io.Settings(
             {"view": SPEC}, {"t": quota * self.RATE * self.WORKERS} if quota else {}, front_ends,
-            max_attempts=3, loads_on_miss=True, cold_ms=COLD_MS, cold_share=COLD_SHARE, fall_ms=FALL_MS,
-            fall_multiple=FALL_MULTIPLE, **settings,
+            max_attempts=3, loads_on_miss=True, slow_start_ms=COLD_MS, slow_start_initial_share=COLD_SHARE,
+            slow_start_window_ms=FALL_MS, slow_start_multiple=FALL_MULTIPLE, **settings,
         )  # fmt: skip
         self.now, self.swell, self.entries = (
             0.0,
@@ -225,10 +226,10 @@
         name, fn = f"r{self.count}", f"f{self.random.randrange(30)}"
         actions = router.handle(self.now, [io.RequestArrived(name, fn, "view", "", 300.0)])
         for hold in [action for action in actions if isinstance(action, io.OrderCopies)]:
-            answer = io.LoadOrderAnswered(hold.worker, fn, AttemptResult.GOOD, max(1, hold.copies), 1.0)
+            answer = io.LoadOrderAnswered(hold.scorer, fn, AttemptResult.GOOD, max(1, hold.copies), 1.0)
             actions = actions + router.handle(self.now, [answer])
         for send in [action for action in actions if isinstance(action, io.Send) and served]:
-            end = io.AttemptEnded(name, 0, send.worker, AttemptResult.GOOD, 50.0, True, Warmth.FOUND)
+            end = io.AttemptEnded(name, 0, send.scorer, AttemptResult.GOOD, 50.0, True, Warmth.FOUND)
             router.handle(self.now, [end])
         router.handle(self.now, [io.RequestCancelled(name)])
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -22,7 +22,7 @@
         self.assertEqual(scorer.runs, [])
         self.assertEqual([event.request for event in self.told(io.RequestCancelled)], [key])
         [ended] = self.told(io.AttemptEnded)
-        self.assertEqual((ended.request, ended.ending), (key, io.AttemptResult.NOT_SENT))
+        self.assertEqual((ended.request, ended.result), (key, io.AttemptResult.NOT_SENT))
 
     def test_a_send_for_a_client_that_left_while_reading_was_paused_is_not_made(self):
         scorer = ScorerPeer(copies=None)
--- a/tests/test_elsewhere_answers.py
+++ b/tests/test_elsewhere_answers.py
@@ -93,10 +93,10 @@
     )
     view.heard("j", 1, others(1, copies=(m.Copy(1, "f", 0, 20.0), m.Copy(1, "g", 0, 90.0)),
                               loading=(m.Load(2, "h", 300.0),)))  # fmt: skip
-    found = {event.worker: event for event in view.changes(0.0, set(), {1, 2}, 6)}
+    found = {event.scorer: event for event in view.changes(0.0, set(), {1, 2}, 6)}
     assert found[1].copies == {"g": 1} and found[2].loading == ("h",) and 99 not in found
     assert view.copies == 2
-    gone = {event.worker: event for event in view.changes(1_001.0, set(), {1, 2}, 6)}
+    gone = {event.scorer: event for event in view.changes(1_001.0, set(), {1, 2}, 6)}
     assert gone == {2: io.RemoteLoadReport(2, None, {}, (), 0.0)}
     assert view.changes(2_940.0, set(), {1, 2}, 6) == []
     assert view.changes(2_951.0, set(), {1, 2}, 6) == [io.RemoteLoadReport(1, None, {}, (), 0.0)]
@@ -108,7 +108,7 @@
     view = asked(1)
     copies = (m.Copy(7, "f", 1, 40.0), m.Copy(7, "g", 2, 400.0), m.Copy(8, "g", 2, 400.0))
     view.heard("k", 1, others(1, sent={"7": 3}, copies=copies))
-    found = {event.worker: event for event in view.changes(50.0, {7}, {7, 8}, 6)}
+    found = {event.scorer: event for event in view.changes(50.0, {7}, {7, 8}, 6)}
     assert found == {
         7: io.RemoteLoadReport(7, 3, {"f": 1}, (), 90.0),
         8: io.RemoteLoadReport(8, None, {"g": 2}, (), 450.0),
@@ -146,7 +146,7 @@
                     self.carry(name, core.tell_work(self.now))
 
     def seen(self, name):
-        return {e.worker: e for e in self.cores[name].elsewhere(self.now, 6)}
+        return {e.scorer: e for e in self.cores[name].elsewhere(self.now, 6)}
 
 
 def test_all_learn_what_the_others_sent_and_each_keeper_alone_is_enough():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
     """Carry out questions and orders where copies of everything stand; the sends that follow."""
     sends = of(actions, io.Send)
     for hold in of(actions, io.OrderCopies):
-        sends += standing(drive, drive.count(hold.worker, 1, hold.function))
+        sends += standing(drive, drive.count(hold.scorer, 1, hold.function))
     return sends
 
 
@@ -34,7 +34,7 @@
         for drive in drives:
             drive.now += 1000.0
             for send in standing(drive, drive.ask(f"r{turn}", lanes=2, tenant="t")):
-                homes[send.worker] += turn == 4
+                homes[send.scorer] += turn == 4
                 drive.now += 100.0
                 drive.end(send, crowd=3)
     assert sum(homes.values()) == 100 and len(homes) >= 10
@@ -42,19 +42,25 @@
 
 
 def test_a_rare_function_keeps_one_home_at_all_front_ends():
-    homes = {standing(drive, drive.ask("r", lanes=2, tenant="t"))[0].worker for drive in fleet(50)}
+    homes = {standing(drive, drive.ask("r", lanes=2, tenant="t"))[0].scorer for drive in fleet(50)}
     assert len(homes) == 1
 
 
 def test_front_ends_keep_a_cold_workers_budget_together():
-    drives = fleet(100, cold_ms=10_000.0, cold_share=0.2, fall_ms=1000.0, fall_multiple=2.0)
+    drives = fleet(
+        100,
+        slow_start_ms=10_000.0,
+        slow_start_initial_share=0.2,
+        slow_start_window_ms=1000.0,
+        slow_start_multiple=2.0,
+    )
     sent = []
     for drive in drives:
         drive.now = 20_000.0
         drive.feed(io.RosterChanged([io.ScorerEntry(n, up_since_ms=20_000.0) for n in range(1, 21)], False))
         for n in range(10):
             drive.now += 100.0
-            sent += [(drive.now, s.worker) for s in standing(drive, drive.ask(f"r{n}", tenant="t"))]
+            sent += [(drive.now, s.scorer) for s in standing(drive, drive.ask(f"r{n}", tenant="t"))]
     # 100 front ends with one or two requests a second each: some 100 a worker and second at the most
     most = Counter(worker for _, worker in sent).most_common(1)[0][1]
     rate = 100 * 10 / 20  # requests a worker can be held to do in the second, by what arrives
@@ -64,19 +70,19 @@
 def test_a_worker_that_is_full_is_passed_over_for_a_while():
     drive = fleet(100)[0]
     [send] = standing(drive, drive.ask("first", tenant="t"))
-    home = send.worker
+    home = send.scorer
     drive.end(send)
     drive.now += 60_000.0  # so rare that one worker is enough
     [send] = standing(drive, drive.ask("full", tenant="t"))
-    assert send.worker == home
+    assert send.scorer == home
     again = standing(drive, drive.end(send, AttemptResult.FULL, closed=False))
     again += standing(drive, drive.sweep(drive.now + 200))
-    assert [(a.request, a.worker != home) for a in again] == [("full", True)]
+    assert [(a.request, a.scorer != home) for a in again] == [("full", True)]
     drive.end(again[0], attempt=1)
     drive.now += 700.0
     sends = standing(drive, drive.ask("next", tenant="t"))
     sends += standing(drive, drive.sweep(drive.now + 200))
-    assert sends and sends[0].worker != home
+    assert sends and sends[0].scorer != home
 
 
 def overdue(spec, budget):
@@ -87,7 +93,7 @@
     [send] = [action for _, action in d.log if isinstance(action, io.Send)]
     for _ in range(50):  # the worker goes on answering all else
         d.sweep(d.now + 40)
-        d.count(send.worker, 1)
+        d.count(send.scorer, 1)
     sends = [(now, action) for now, action in d.log if isinstance(action, io.Send)]
     return send, sends
 
@@ -95,12 +101,12 @@
 def test_a_lost_answer_of_a_talking_worker_brings_a_second_attempt_in_time():
     send, sends = overdue("safe", 2500.0)
     assert len(sends) > 1 and sends[1][0] <= 700.0
-    assert len({action.worker for _, action in sends}) == len(sends)
+    assert len({action.scorer for _, action in sends}) == len(sends)
 
 
 def test_a_second_attempt_for_a_keyed_request_stays_in_its_group():
     send, sends = overdue("keyed", 4000.0)
-    assert len(sends) == 2 and sends[1][1].worker % 2 == send.worker % 2
+    assert len(sends) == 2 and sends[1][1].scorer % 2 == send.scorer % 2
 
 
 def test_no_second_attempt_for_an_unsafe_request():
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -227,4 +227,4 @@
     site, prices = site_from(
         {"costs": {"origin": 0.15, "waste": None}, "classes": [{"name": "c", "worth": 5}]}
     )
-    assert prices == Prices(0.15) and site.classes["c"].worth == 5.0
+    assert prices == Prices(0.15) and site.classes["c"].priority_weight == 5.0
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -19,7 +19,7 @@
 from fawnwharf.prefetch.worth import Facts, cost, loss, mean_worth
 from fawnwharf.session_types import LetGo, Move, Session
 
-SPEC = ClassSpec("view", promise_ms=800.0, give_up_ms=3_000.0, worth=1.0, late_share=0.2)
+SPEC = ClassSpec("view", latency_target_ms=800.0, deadline_ms=3_000.0, priority_weight=1.0, late_share=0.2)
 SITE = Settings(classes={"view": SPEC}, fleet_size=3, idle_life_ms=9_300.0)
 PRICES = Prices(origin=0.15, waste=0.16, probe=0.01)
 FACTS = Facts("view", 400.0, 900.0, 100.0)
@@ -106,7 +106,7 @@
     assert loss(SPEC, Facts("view", 400.0, 3_500.0, 100.0), 0.0) == 1.0
     lost = 0.15 + 0.16 * S.core_part * 9.0
     assert cost(S, PRICES, FACTS, 0.25, 0.0, 1e6, 0.0, 1.0) == pytest.approx(0.75 * lost + 0.01)
-    assert mean_worth({"a": ClassSpec("a", worth=5.0), "b": SPEC}, {"a": 1.0, "b": 3.0}) == 2.0
+    assert mean_worth({"a": ClassSpec("a", priority_weight=5.0), "b": SPEC}, {"a": 1.0, "b": 3.0}) == 2.0
 
 
 def test_a_stage_has_to_be_worth_its_price_and_the_best_go_first():
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -15,9 +15,9 @@
 from fawnwharf.testbed.promises import fleet_file
 
 CLASSES = {
-    "once": ClassSpec("once", promise_ms=400.0, effect=Effect.AT_MOST_ONCE),
-    "keyed": ClassSpec("keyed", promise_ms=400.0, effect=Effect.DEDUPLICATED, dedup_window_ms=3_000.0),
-    "view": ClassSpec("view", promise_ms=400.0, effect=Effect.IDEMPOTENT),
+    "once": ClassSpec("once", latency_target_ms=400.0, effect=Effect.AT_MOST_ONCE),
+    "keyed": ClassSpec("keyed", latency_target_ms=400.0, effect=Effect.DEDUPLICATED, dedup_window_ms=3_000.0),
+    "view": ClassSpec("view", latency_target_ms=400.0, effect=Effect.IDEMPOTENT),
 }
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -26,7 +26,7 @@
     def test_no_front_end_asks_after_a_copy_that_the_others_calls_keep(self):
         firsts = [drive.ask("r", fn="f", tenant="t") for drive in drives()]
         self.assertEqual([], [hold for actions in firsts for hold in of(actions, io.OrderCopies)])
-        self.assertEqual(1, len({send.worker for actions in firsts for send in of(actions, io.Send)}))
+        self.assertEqual(1, len({send.scorer for actions in firsts for send in of(actions, io.Send)}))
 
     def test_a_few_front_ends_ask_as_ever(self):
         few = Drive(WORKERS, fleet_size=2, quotas_rps=SOLD, loads_on_miss=True)
@@ -54,7 +54,7 @@
             drive.end(first)
             drive.router.functions["f"].crowd = 4.0  # the others' calls make it wide
             drive.now += 5_000.0
-            sends += [(first.worker, send.worker) for send in of(drive.ask("next", tenant="t"), io.Send)]
+            sends += [(first.scorer, send.scorer) for send in of(drive.ask("next", tenant="t"), io.Send)]
         moved = sum(first != then for first, then in sends)
         self.assertEqual(SIZE, len(sends))
         self.assertLessEqual(moved, SIZE // 4)
@@ -65,9 +65,9 @@
         drive.sweep(2_500.0)
         [first] = of(drive.ask("first", tenant="t"), io.Send)
         drive.end(first)
-        drive.router.workers[first.worker].suspect_ms = drive.now
+        drive.router.workers[first.scorer].suspect_ms = drive.now
         [then] = of(drive.ask("next", tenant="t"), io.Send)
-        self.assertNotEqual(first.worker, then.worker)
+        self.assertNotEqual(first.scorer, then.scorer)
 
     def test_of_two_drawn_places_the_near_one_comes_first_unless_it_is_strained(self):
         def far(strain):
@@ -85,7 +85,7 @@
                 drive.router.functions["f"].instances.clear()
                 drive.router.functions["f"].known = None
                 [send] = of(drive.ask("r", tenant="t"), io.Send)
-                crossed += drive.router.workers[send.worker].entry.zone == "b"
+                crossed += drive.router.workers[send.scorer].entry.zone == "b"
             return crossed
 
         self.assertLess(far(1.0), 40)
@@ -96,7 +96,7 @@
         drive.sweep(2_500.0)
         for n in range(8):
             [send] = of(drive.ask(f"first{n}", fn=f"f{n}", tenant="t"), io.Send)
-            homes[f"f{n}"] = send.worker
+            homes[f"f{n}"] = send.scorer
             drive.end(send)
         drive.feed(io.RosterChanged([io.ScorerEntry(n) for n in range(WORKERS + 1, 2 * WORKERS)], False))
         order = {name: drive.router._ordered(drive.router.functions[name])[0].id for name in homes}
@@ -104,7 +104,7 @@
         self.assertGreaterEqual(len(displaced), 2)
         for n, name in enumerate(displaced * 4):
             [send] = of(drive.ask(f"r{n}", fn=name, tenant="t"), io.Send)
-            moved += send.worker != homes[name]
+            moved += send.scorer != homes[name]
             drive.end(send)
             drive.now += 50.0
         self.assertLessEqual(moved, len(displaced))
@@ -119,7 +119,7 @@
         for n in range(60):
             drive.now += 200.0
             for send in of(drive.ask(f"r{n}", fn=f"f{n}", tenant="t"), io.Send):
-                homes.add(send.worker)
+                homes.add(send.scorer)
                 drive.end(send)
         self.assertEqual(set(range(1, 9)), homes)
         return drive
@@ -131,7 +131,7 @@
         self.assertEqual([], [worker.id for worker in drive.router.ready if worker.sign_ms and worker.id > 3])
         drive.router.actions.clear()
         drive.router._suspect(drive.router.workers[5])
-        self.assertEqual([7], [hold.worker for hold in of(drive.router.actions, io.OrderCopies)])
+        self.assertEqual([7], [hold.scorer for hold in of(drive.router.actions, io.OrderCopies)])
         drive.sweep(drive.now + 200.0)
         zone = {worker.id for worker in drive.router.ready if worker.suspect_ms is not None}
         self.assertEqual({1, 3, 5, 7}, zone)
@@ -141,7 +141,7 @@
         for worker in (1, 3, 5):
             drive.router._suspect(drive.router.workers[worker])
         [question] = of(drive.router.actions, io.OrderCopies)
-        drive.count(question.worker, 1, question.function)
+        drive.count(question.scorer, 1, question.function)
         drive.sweep(drive.now + 200.0)
         self.assertIsNone(drive.router.workers[7].suspect_ms)
 
@@ -158,7 +158,7 @@
 
     def test_calls_that_are_out_have_room_for_chance(self):
         drive = drives(1)[0]
-        even = 0.4 * drive.router.promise_ms / 2 / SIZE  # what the fleet gets through, in equal parts
+        even = 0.4 * drive.router.latency_target_ms / 2 / SIZE  # what the fleet gets through, in equal parts
         self.assertGreater(drive.router.limit, even + 1)
 
 
@@ -166,8 +166,8 @@
     def served(self, drive, name, took, ending=AttemptResult.GOOD, fn="f"):
         [send] = of(drive.ask(name, fn=fn, tenant="t"), io.Send)
         closed = ending is AttemptResult.GOOD
-        drive.feed(io.AttemptEnded(name, 0, send.worker, ending, took, closed, io.Warmth.FOUND))
-        return send.worker
+        drive.feed(io.AttemptEnded(name, 0, send.scorer, ending, took, closed, io.Warmth.FOUND))
+        return send.scorer
 
     def test_a_slow_worker_is_left_though_its_answers_were_called_off(self):
         drive = drives(1)[0]
@@ -179,7 +179,7 @@
             self.served(drive, f"slow{n}", 900.0, AttemptResult.CANCELLED)
             drive.feed(io.RequestCancelled(f"slow{n}"))
         drive.sweep(drive.now + 1_100.0)
-        self.assertNotEqual(home, of(drive.ask("next", tenant="t"), io.Send)[0].worker)
+        self.assertNotEqual(home, of(drive.ask("next", tenant="t"), io.Send)[0].scorer)
 
     def test_strain_that_all_workers_share_takes_none_of_them_away(self):
         drive = drives(1)[0]
@@ -193,12 +193,17 @@
         drive.sweep(2_500.0)
         [send] = of(drive.ask("r", tenant="t"), io.Send)
         [again] = of(drive.end(send, AttemptResult.FULL, closed=False), io.Send)
-        self.assertNotEqual(send.worker, again.worker)
+        self.assertNotEqual(send.scorer, again.scorer)
 
 
 class Cold(unittest.TestCase):
     def test_cold_workers_together_get_their_part_of_what_is_sold_and_not_more(self):
-        rules = {"cold_ms": 10_000.0, "cold_share": 0.2, "fall_ms": 1_000.0, "fall_multiple": 2.0}
+        rules = {
+            "slow_start_ms": 10_000.0,
+            "slow_start_initial_share": 0.2,
+            "slow_start_window_ms": 1_000.0,
+            "slow_start_multiple": 2.0,
+        }
         sent = Counter()
         for drive in drives(**rules):
             drive.now = 20_000.0
@@ -207,14 +212,19 @@
             for n in range(8):
                 drive.now += 125.0
                 for send in of(drive.ask(f"r{n}", fn=f"f{n}", tenant="t"), io.Send):
-                    sent[send.worker] += send.worker <= WORKERS // 2
+                    sent[send.scorer] += send.scorer <= WORKERS // 2
         sold = sum(SOLD.values()) / WORKERS  # a worker's part, a second
         self.assertLessEqual(max(sent.values()), 2.0 * 0.28 * sold + 3)
         self.assertGreater(sum(sent.values()), 5)  # of the 20 or so that four functions at home there allow
 
     def allowed(self, calls, ending):
         """What all front ends together may send a worker at its start, after so many calls each in 5 s."""
-        rules = {"cold_ms": 10_000.0, "cold_share": 0.2, "fall_ms": 1_000.0, "fall_multiple": 2.0}
+        rules = {
+            "slow_start_ms": 10_000.0,
+            "slow_start_initial_share": 0.2,
+            "slow_start_window_ms": 1_000.0,
+            "slow_start_multiple": 2.0,
+        }
         count = 0
         for drive in drives(**rules):
             for n in range(calls):
--- a/tests/test_load_orders.py
+++ b/tests/test_load_orders.py
@@ -22,9 +22,9 @@
 def test_a_held_retry_brings_no_orders_to_where_it_may_not_be_sent(window_ms):
     drive = Drive(2, load_window_ms=window_ms, free_loads=50.0)
     home = drive.warm()
-    [other] = [entry.worker for entry in drive.entries if entry.worker != home]
+    [other] = [entry.scorer for entry in drive.entries if entry.scorer != home]
     [send] = of(drive.ask("again"), io.Send)
-    assert send.worker == home
+    assert send.scorer == home
     actions = drive.end(send, io.AttemptResult.RESET)  # it may have run at its home: not there again
     given = []
     for _ in range(40):  # each answer of a scorer is one more chance to order
@@ -32,9 +32,9 @@
         held = of(actions, io.OrderCopies)
         actions = []
         for hold in held:
-            given += [hold.worker] if hold.copies else []
-            ending = io.AttemptResult.GOOD if hold.worker == home else io.AttemptResult.FULL
-            actions += drive.count(hold.worker, hold.copies or (hold.worker == home), ending=ending)
+            given += [hold.scorer] if hold.copies else []
+            ending = io.AttemptResult.GOOD if hold.scorer == home else io.AttemptResult.FULL
+            actions += drive.count(hold.scorer, hold.copies or (hold.scorer == home), ending=ending)
     assert home not in given
     assert given.count(other) <= 1
 
@@ -51,7 +51,7 @@
     drive = Drive(4, load_window_ms=WINDOW_MS, free_loads=1.0, load_part=0.0)
     [first] = ordered(drive.answer_asks(drive.ask("first", "f")))
     given_ms = drive.now
-    drive.count(first.worker, 1, "f", io.AttemptResult.NOT_SENT)
+    drive.count(first.scorer, 1, "f", io.AttemptResult.NOT_SENT)
     # At the end of its window it may have come at its scorer a moment ago.
     drive.now = given_ms + WINDOW_MS + loads.ORDER_TRANSIT_MS - 1.0
     assert ordered(drive.answer_asks(drive.ask("second", "g"))) == []
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -35,7 +35,7 @@
     site.until(lambda: b.outcome(5).state == "in force", "the outcome is known where it was said")
     site.until(lambda: all(n.front.router.settings.quotas_rps["acme"] == 12.0 for n in site.nodes), "quotas")
     for node in site.nodes:
-        assert node.part._follower.classes["view"].give_up_ms == 2_000.0
+        assert node.part._follower.classes["view"].deadline_ms == 2_000.0
         assert node.front._limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
         assert node.zones._spill == {"b": 0.25} and node.zones._sold == 12.0
         assert node.part.in_force.digest == b.part.in_force.digest
@@ -49,7 +49,7 @@
     assert client.kinds() == {2: "exception"}
     a.word(1, back=True)
     site.until(lambda: site.in_force(2), "the policy before is back")
-    assert c.part._follower.classes["view"].give_up_ms == 9_000.0
+    assert c.part._follower.classes["view"].deadline_ms == 9_000.0
     site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "quotas as sold")
     assert a.front._limits["policy"] == 1e9 and a.zones._spill == {} and a.zones._sold == 30.0
 
@@ -196,7 +196,9 @@
     site.until(lambda: site.in_force(1), "a first change")
     before = node.part
     node.front.seam.release()
-    assert node.front.port.table is node.front.table and node.front.port.classes["view"].give_up_ms == 9_000.0
+    assert (
+        node.front.port.table is node.front.table and node.front.port.classes["view"].deadline_ms == 9_000.0
+    )
     other.word(1, propose=document(8.0))
     site.until(lambda: site.in_force(2, [site.nodes[0], site.nodes[2]]), "a change without it")
     node.front.seam.take_back(node.front)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -16,14 +16,14 @@
     loads = of(d.answer_asks(asks), io.OrderCopies)
     assert [load.copies for load in loads] == [1]
     assert not of(d.sweep(280), io.OrderCopies)
-    assert [s.worker for s in of(d.count(loads[0].worker, 1), io.Send)] == [loads[0].worker]
+    assert [s.scorer for s in of(d.count(loads[0].scorer, 1), io.Send)] == [loads[0].scorer]
 
 
 def test_a_copy_found_by_asking_spares_the_load():
     d = Drive()
     asks = of(d.ask("r1"), io.OrderCopies)
-    actions = d.answer_asks(asks, {asks[2].worker: 1})
-    assert [send.worker for send in of(actions, io.Send)] == [asks[2].worker]
+    actions = d.answer_asks(asks, {asks[2].scorer: 1})
+    assert [send.scorer for send in of(actions, io.Send)] == [asks[2].scorer]
     assert not of(actions, io.OrderCopies) or all(load.copies == 0 for load in of(actions, io.OrderCopies))
 
 
@@ -38,7 +38,7 @@
     home = d.warm()
     [first] = of(d.ask("r1"), io.Send)
     race = of(d.ask("r2"), io.OrderCopies)
-    assert first.worker == home and [load.copies for load in race] == [1]
+    assert first.scorer == home and [load.copies for load in race] == [1]
     d.now += 50
     assert [s.request for s in of(d.end(first), io.Send)] == ["r2"]
 
@@ -49,32 +49,32 @@
     d.ask("r1")
     [load] = of(d.ask("r2"), io.OrderCopies)
     d.now += 300
-    [send] = of(d.count(load.worker, 1), io.Send)
-    assert send.request == "r2" and send.worker == load.worker != home
+    [send] = of(d.count(load.scorer, 1), io.Send)
+    assert send.request == "r2" and send.scorer == load.scorer != home
 
 
 def test_the_own_zones_free_lanes_and_raced_loads_come_first():
     for own in ("a", "b"):
         d = Drive(workers=8, zones=("a", "b"), zone=own)
-        zones = {entry.worker: entry.zone for entry in d.entries}
+        zones = {entry.scorer: entry.zone for entry in d.entries}
         d.warm()
         [first] = of(d.ask("r1"), io.Send)
         [load] = of(d.ask("r2"), io.OrderCopies)  # where a copy stands, the next is raced in the own zone
-        assert zones[load.worker] == own
-        [second] = of(d.count(load.worker, 1), io.Send)
-        [third] = [worker for worker in zones if zones[worker] != own and worker != first.worker][:1]
+        assert zones[load.scorer] == own
+        [second] = of(d.count(load.scorer, 1), io.Send)
+        [third] = [worker for worker in zones if zones[worker] != own and worker != first.scorer][:1]
         d.count(third, 1)
         d.end(first)
         d.end(second)
         sends = [send for n in range(3) for send in of(d.ask(f"r{3 + n}"), io.Send)]
-        assert [zones[send.worker] == own for send in sends] == sorted(
-            (zones[worker] == own for worker in (first.worker, second.worker, third)), reverse=True
+        assert [zones[send.scorer] == own for send in sends] == sorted(
+            (zones[worker] == own for worker in (first.scorer, second.scorer, third)), reverse=True
         )
 
 
 def test_a_stale_copy_of_the_own_zone_is_asked_before_a_call_crosses_but_not_waited_for_long():
     for answers in (True, False):
-        d = Drive(workers=2, zones=("a", "b"), zone="b", fall_ms=1.0)  # worker 1 is the near one
+        d = Drive(workers=2, zones=("a", "b"), zone="b", slow_start_window_ms=1.0)  # worker 1 is the near one
         d.warm()
         d.now += 1500
         d.count(2, 1)
@@ -82,9 +82,9 @@
         d.router.functions["f"].instances[1].copies = 1
         d.router.functions["f"].instances[1].seen_ms = d.now - 1500
         [question] = d.ask("r1")[:1]
-        assert (question.worker, question.copies) == (1, 0) and not of(d.log[-1:], io.Send)
+        assert (question.scorer, question.copies) == (1, 0) and not of(d.log[-1:], io.Send)
         [send] = of(d.count(1, 1) if answers else d.sweep(d.now + 40), io.Send)
-        assert send.worker == (1 if answers else 2)
+        assert send.scorer == (1 if answers else 2)
 
 
 def test_the_bound_is_wider_in_the_own_zone():
@@ -96,7 +96,7 @@
                 d.count(place, 1, fn)
         for n in range(20):
             d.ask(f"g{n}", "g", lanes=64)
-        sends = [send.worker for n in range(20) for send in of(d.ask(f"f{n}", "f", lanes=64), io.Send)]
+        sends = [send.scorer for n in range(20) for send in of(d.ask(f"f{n}", "f", lanes=64), io.Send)]
         assert next(n for n, worker in enumerate(sends) if worker != sends[0]) == most
 
 
@@ -111,8 +111,8 @@
             d.now += 1000.0
             for hold in of(d.feed(io.TimerDue(0)), io.OrderCopies):
                 if hold.function == "f":  # what is asked for the held one stays without an answer
-                    renewed += [(hold.worker, hold.copies)] * (hold.copies > 0)
-                    d.count(hold.worker, 1)
+                    renewed += [(hold.scorer, hold.copies)] * (hold.copies > 0)
+                    d.count(hold.scorer, 1)
         assert renewed == ([] if squeezed else [(home, 1)] * 3)
 
 
@@ -129,7 +129,7 @@
         d.now += 1000.0
         for hold in of(d.feed(io.TimerDue(0)), io.OrderCopies):
             orders += hold.copies > 0
-            d.count(hold.worker, 1, hold.function)
+            d.count(hold.scorer, 1, hold.function)
     assert orders == 3
 
 
@@ -151,9 +151,9 @@
     [load] = of(d.ask("r2"), io.OrderCopies)
     d.end(first)
     d.now += 20
-    d.count(load.worker, 1)
+    d.count(load.scorer, 1)
     d.now += 150  # the raced copy idles for longer than the run of 100 ms
-    d.router.workers[load.worker].entry.state = io.ScorerState.DRAINING  # and is out of reach
+    d.router.workers[load.scorer].entry.state = io.ScorerState.DRAINING  # and is out of reach
     actions = d.ask("r3")
     assert not [hold for hold in of(actions, io.OrderCopies) if hold.copies]
     waited = d.now
@@ -171,7 +171,7 @@
     for n in range(3 * FUNCTIONS_MOST):
         d.now += 0.01
         for action in of(d.ask(f"n{n}", f"f{n}"), io.OrderCopies):
-            d.count(action.worker, 0, action.function, AttemptResult.FULL)
+            d.count(action.scorer, 0, action.function, AttemptResult.FULL)
         d.feed(io.RequestCancelled(f"n{n}"))
     assert len(d.router.functions) <= FUNCTIONS_MOST and {"kept", "held"} <= d.router.functions.keys()
     d.end(send)
@@ -203,7 +203,7 @@
     home = d.warm()
     [send] = of(d.ask("r1"), io.Send)
     actions = d.end(send, AttemptResult.MISS, closed=False)
-    assert send.worker == home and not of(actions, io.Send)
+    assert send.scorer == home and not of(actions, io.Send)
     assert [hold.copies for hold in of(actions + d.sweep(d.now + 40), io.OrderCopies) if hold.copies] == [1]
 
 
@@ -219,7 +219,7 @@
     home = d.warm(lanes=16)
     other = next(n for n in (1, 2, 3, 4) if n != home)
     d.count(other, 1)
-    sends = [of(d.ask(f"r{n}", lanes=16), io.Send)[0].worker for n in range(6)]
+    sends = [of(d.ask(f"r{n}", lanes=16), io.Send)[0].scorer for n in range(6)]
     assert sends[0] == home and other in sends
 
 
@@ -253,7 +253,7 @@
     home = d.warm()
     [send] = of(d.ask("later", budget=450.0, tenant="acme"), io.Send)  # 0.18 of its class's time
     [refusal] = of(d.ask("later too", budget=450.0, tenant="acme"), io.Reject)
-    assert send.worker == home and refusal == io.Reject("later too", 900.0)
+    assert send.scorer == home and refusal == io.Reject("later too", 900.0)
     d.ask("first", tenant="acme")  # its share is still there, so it may wait
     assert not d.router.requests["first"].over_share and "later too" not in d.router.requests
     d.ask("impatient", fn="g", budget=700.0)  # 0.28: an impatient client's first try
--- a/tests/test_policy_crossing.py
+++ b/tests/test_policy_crossing.py
@@ -36,7 +36,7 @@
 )
 def test_nothing_is_sent_or_ordered_for_clients_that_left_in_whatever_order_the_batch_tells_it(order, ending):
     d, send = retried()
-    ended = io.AttemptEnded("out", 0, send.worker, ending, 50.0, ending is AttemptResult.GOOD)
+    ended = io.AttemptEnded("out", 0, send.scorer, ending, 50.0, ending is AttemptResult.GOOD)
     events = [ended, io.TimerDue(0), io.RequestCancelled("out"), io.RequestCancelled("held")]
     actions = d.feed(*[events[n] for n in order], events[3])
     loads = [hold for hold in of(actions, io.OrderCopies) if hold.copies]
@@ -83,8 +83,13 @@
         {},
         {"quotas_rps": {"t0": 0.0}},
         {"quotas_rps": {"t0": 50.0, "t1": 20.0}, "fleet_size": 60, "loads_on_miss": True},
-        {"load_window_ms": 1_000.0, "free_loads": 2.0, "cold_ms": 0.0, "fall_ms": 0.0},
-        {"cold_share": 0.0, "fall_multiple": 0.0, "weights_fixed": True, "max_retry_after_ms": 100.0},
+        {"load_window_ms": 1_000.0, "free_loads": 2.0, "slow_start_ms": 0.0, "slow_start_window_ms": 0.0},
+        {
+            "slow_start_initial_share": 0.0,
+            "slow_start_multiple": 0.0,
+            "weights_fixed": True,
+            "max_retry_after_ms": 100.0,
+        },
     ],
 )
 @pytest.mark.parametrize("workers", [1, 6])
--- a/tests/test_policy_elsewhere.py
+++ b/tests/test_policy_elsewhere.py
@@ -28,7 +28,7 @@
             d.router.functions["f"].instances[1].blocked_ms = 0.0
         elsewhere(d, copies={"f": 1, "other": 2}, age_ms=age_ms)
         actions = arrived(d, "r")
-        sends, questions = [send.worker for send in of(actions, io.Send)], asked(actions)
+        sends, questions = [send.scorer for send in of(actions, io.Send)], asked(actions)
         assert (sends == [2], questions == [2], len(questions) > 1) == (
             what == "sent",
             what == "asked",
@@ -113,7 +113,7 @@
     assert worker != 2
     d.now += 100.0
     [send] = of(elsewhere(d, copies={"f": 1}), io.Send)  # it has come
-    assert (send.request, send.worker) == ("r1", 2)
+    assert (send.request, send.scorer) == ("r1", 2)
     for after in ("a word without it", "an answer with it"):
         d = Drive()
         d.now = 5_000.0
@@ -130,7 +130,14 @@
 
 def cold(peers=4, calls=50, **told):
     """How many calls may go to a worker that has just started, of a fleet of two: now, and 500 ms later."""
-    d = Drive(workers=2, fleet_size=peers, fall_ms=FALL_MS, fall_multiple=2.0, cold_share=0.2, cold_ms=1e9)
+    d = Drive(
+        workers=2,
+        fleet_size=peers,
+        slow_start_window_ms=FALL_MS,
+        slow_start_multiple=2.0,
+        slow_start_initial_share=0.2,
+        slow_start_ms=1e9,
+    )
     d.router.chance = 5
     for n in range(calls):
         d.now += 5_000.0 / calls
@@ -177,7 +184,14 @@
     """Two of four have calls for it, as many as they may, and all tell each other each 100 ms."""
     budget, sent, drives = 2.0 * 0.2 * 0.6 * 20.0 * 4, 0, []
     for n in range(4):
-        d = Drive(workers=2, fleet_size=4, fall_ms=FALL_MS, cold_share=0.2, cold_ms=1e9, seed=99 * seed + n)
+        d = Drive(
+            workers=2,
+            fleet_size=4,
+            slow_start_window_ms=FALL_MS,
+            slow_start_initial_share=0.2,
+            slow_start_ms=1e9,
+            seed=99 * seed + n,
+        )
         for call in range(200):
             d.now += 25.0
             arrived(d, f"r{call}", f"f{call}")
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_health.py
@@ -14,14 +14,14 @@
     home = d.warm()
     d.ask("r1")
     actions = d.sweep(d.now + 360)
-    assert (home, 0) in [(a.worker, a.copies) for a in of(actions, io.OrderCopies)]
+    assert (home, 0) in [(a.scorer, a.copies) for a in of(actions, io.OrderCopies)]
     actions = d.sweep(d.now + 100)
     assert [a for a in of(actions, io.Log) if "silent" in a.text]
     actions += d.answer_asks(actions)
     d.sweep(d.now + 60)
     load = next(a for _, a in reversed(d.log) if isinstance(a, io.OrderCopies) and a.copies)
-    assert load.worker != home
-    assert [send.request for send in of(d.count(load.worker, 1), io.Send)] == ["r1"]
+    assert load.scorer != home
+    assert [send.request for send in of(d.count(load.scorer, 1), io.Send)] == ["r1"]
 
 
 def test_a_reset_asks_for_a_sign_and_only_its_absence_makes_the_worker_suspect():
@@ -30,12 +30,12 @@
         home = d.warm()
         [send] = of(d.ask("r1"), io.Send)
         signs = of(d.end(send, AttemptResult.RESET), io.OrderCopies)
-        assert (home, 0) in [(sign.worker, sign.copies) for sign in signs]
+        assert (home, 0) in [(sign.scorer, sign.copies) for sign in signs]
         if answered:
             d.count(home, 1)
         d.sweep(d.now + 200)
         assert (d.router.workers[home].suspect_ms is None) is answered
-        assert [send.worker for send in of(d.ask("r2"), io.Send)] == [home] * answered
+        assert [send.scorer for send in of(d.ask("r2"), io.Send)] == [home] * answered
 
 
 def lose_two():
@@ -43,7 +43,7 @@
     d = Drive()
     home = d.warm(lanes=2)
     lost = of(d.ask("r1", lanes=2) + d.ask("r2", lanes=2), io.Send)
-    assert [send.worker for send in lost] == [home] * 2
+    assert [send.scorer for send in lost] == [home] * 2
     since, done = d.now, []
     while d.now < since + 900:
         actions = d.sweep(d.now + 20)
@@ -54,13 +54,13 @@
 def test_a_class_whose_answers_a_worker_loses_rests_there_and_is_then_tried_by_one_call():
     d, home, lost, done = lose_two()
     assert not [action for action in of(done, io.Log) if "silent" in action.text]
-    assert home not in [send.worker for send in of(d.answer_asks(d.ask("r3", lanes=2), {home: 1}), io.Send)]
+    assert home not in [send.scorer for send in of(d.answer_asks(d.ask("r3", lanes=2), {home: 1}), io.Send)]
     router, fn, worker = d.router, d.router.functions["f"], d.router.workers[home]
     assert router._usable(worker, Function("g", "unsafe", 1, None, 0))  # another class goes on there
     for send in lost:
         d.end(send, AttemptResult.CANCELLED, closed=True)
     d.now += 2000
-    assert [(send.request, send.worker) for send in of(d.count(home, 1), io.Send)] == [("r3", home)]
+    assert [(send.request, send.scorer) for send in of(d.count(home, 1), io.Send)] == [("r3", home)]
     assert not router._usable(worker, fn)
     assert not of(d.ask("r4", lanes=2), io.Send)
 
--- a/tests/test_policy_replay.py
+++ b/tests/test_policy_replay.py
@@ -53,8 +53,8 @@
     ),
     "restless": (
         {"workers": 9, "zones": 3, "functions": 90, "rps": 25.0, "roster": 0.02, "pause_ms": 40_000.0},
-        {"max_attempts": 3, "fleet_size": 3, "may_cancel": False, "idle_life_ms": 4000.0, "cold_ms": 20_000.0,
-         "fall_ms": 1500.0, "second_copies": False},
+        {"max_attempts": 3, "fleet_size": 3, "cancellation_allowed": False, "idle_life_ms": 4000.0,
+         "slow_start_ms": 20_000.0, "slow_start_window_ms": 1500.0, "hedging": False},
     ),
 }  # fmt: skip
 
@@ -67,7 +67,7 @@
 }
 
 # The digests were recorded under these names of actions and fields; a name that is not listed is as it was.
-RECORDED_NAMES = {"Reject": "Refuse", "OrderCopies": "Hold"}
+RECORDED_NAMES = {"Reject": "Refuse", "OrderCopies": "Hold", "scorer": "worker"}
 NAME = re.compile(rf"\b({'|'.join(RECORDED_NAMES)})(?=[(=])")
 
 
@@ -130,7 +130,7 @@
             fn = kept if rush > 1 else int(self.functions * self.draw() ** 3)
             kind = KINDS[fn % len(KINDS)]
             spec = CLASSES.get(kind) or CLASSES["safe"]
-            budget = spec.give_up_ms * (0.5 + 0.5 * self.draw() if self.draw() < 0.9 else 0.3 * self.draw())
+            budget = spec.deadline_ms * (0.5 + 0.5 * self.draw() if self.draw() < 0.9 else 0.3 * self.draw())
             self.count += 1
             request, load = f"r{self.count}", (None, 300.0, 600.0)[fn % 3]
             tenant = f"t{self.below(4)}"
@@ -203,7 +203,7 @@
             self.later(1.0, self.end, action.request, action.attempt, AttemptResult.CANCELLED, Warmth.UNTOLD)
 
     def order(self, hold):
-        mood, key, drawn = self.mood.get(hold.worker), (hold.worker, hold.function), self.draw()
+        mood, key, drawn = self.mood.get(hold.scorer), (hold.scorer, hold.function), self.draw()
         if mood == "silent" and drawn < 0.9:
             ending, delay = (AttemptResult.CONNECT_FAILED, AttemptResult.TIMEOUT)[drawn < 0.5], 1500.0 * drawn
         elif hold.copies == 0:
@@ -228,8 +228,8 @@
         request, number = send.request, self.tries.get(send.request, 0)
         fn = self.router.attempts[request, number].function.name
         self.tries[request] = number + 1
-        self.open[request, number] = (send.worker, fn, self.now)
-        mood, drawn = self.mood.get(send.worker), self.draw()
+        self.open[request, number] = (send.scorer, fn, self.now)
+        mood, drawn = self.mood.get(send.scorer), self.draw()
         took, ending, warmth = self.run_ms * (0.5 + self.draw()), AttemptResult.GOOD, Warmth.FOUND
         if mood == "silent":
             took, ending = (400.0, AttemptResult.RESET) if drawn < 0.2 else (2500.0, AttemptResult.TIMEOUT)
@@ -242,11 +242,11 @@
                 5.0,
                 (AttemptResult.RESET, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)[self.below(3)],
             )
-        elif (send.worker, fn) not in self.standing:
+        elif (send.scorer, fn) not in self.standing:
             warmth = (Warmth.BEGAN_LOAD, Warmth.WAITED_FOR_LOAD, Warmth.LOAD_FAILED)[self.below(3)]
             ending = (AttemptResult.MISS, AttemptResult.GOOD)[self.router.settings.loads_on_miss]
             took = 2.0 if ending is AttemptResult.MISS else took + 400.0
-            self.standing[send.worker, fn] = 1
+            self.standing[send.scorer, fn] = 1
         elif drawn < 0.02:
             took, ending = 0.7 * took, AttemptResult.ERROR
         elif drawn < 0.05:
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -59,7 +59,7 @@
 def test_keyed_repeat_stays_in_its_group():
     send, actions, _ = keyed_retry(after=100)
     [again] = of(actions, io.Send)
-    assert again.worker != send.worker and again.worker % 2 == send.worker % 2
+    assert again.scorer != send.scorer and again.scorer % 2 == send.scorer % 2
 
 
 def test_keyed_repeat_ends_with_the_window():
@@ -79,8 +79,8 @@
         actions = d.ask("r1")
         actions += d.answer_asks(actions)
         actions += d.sweep(d.now + 100)
-        assert not [a for a in of(actions, io.Send) if a.worker == home]
-        assert not [a for a in of(actions, io.OrderCopies) if a.worker == home and a.copies]
+        assert not [a for a in of(actions, io.Send) if a.scorer == home]
+        assert not [a for a in of(actions, io.OrderCopies) if a.scorer == home and a.copies]
         assert [a for a in of(actions, io.OrderCopies) if a.copies]
 
 
@@ -88,7 +88,13 @@
 
 
 def test_cold_worker_gets_no_more_than_its_budget_in_any_window():
-    d = Drive(workers=1, cold_ms=10_000.0, cold_share=0.2, fall_ms=1000.0, fall_multiple=2.0)
+    d = Drive(
+        workers=1,
+        slow_start_ms=10_000.0,
+        slow_start_initial_share=0.2,
+        slow_start_window_ms=1000.0,
+        slow_start_multiple=2.0,
+    )
     d.now = 20_000.0
     d.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=20_000.0)], complete=False))
     d.ask("r")
@@ -111,7 +117,7 @@
     drive = Drive(workers=1)
     drive.now = 100.0
     drive.feed(io.RosterChanged([io.ScorerEntry(1, zone="a", up_since_ms=50.0)], complete=False))
-    drive.now += drive.router.settings.cold_ms
+    drive.now += drive.router.settings.slow_start_ms
     drive.warm()
     for n in range(50):
         [send] = of(drive.ask(f"r{n}"), io.Send)
@@ -166,11 +172,11 @@
     start = d.router.loads_limit
     loads = of(d.answer_asks(d.ask("r1", load_ms=100.0)), io.OrderCopies)
     d.now += 1000
-    d.count(loads[0].worker, 1)
+    d.count(loads[0].scorer, 1)
     low = d.router.loads_limit
     loads = of(d.answer_asks(d.ask("r2", fn="g")), io.OrderCopies)
     d.now += 200
-    d.count(loads[0].worker, 1, "g")
+    d.count(loads[0].scorer, 1, "g")
     assert low < start and d.router.loads_limit > low
 
 
--- a/tests/test_policy_told.py
+++ b/tests/test_policy_told.py
@@ -17,11 +17,11 @@
 
 
 def loads(actions):
-    return [(hold.worker, hold.copies) for hold in of(actions, io.OrderCopies) if hold.copies]
+    return [(hold.scorer, hold.copies) for hold in of(actions, io.OrderCopies) if hold.copies]
 
 
 def asked(actions):
-    return [hold.worker for hold in of(actions, io.OrderCopies) if not hold.copies]
+    return [hold.scorer for hold in of(actions, io.OrderCopies) if not hold.copies]
 
 
 def want(d, worker, copies=1, fn="f"):
@@ -59,7 +59,7 @@
     d = Drive()
     for name, promise_ms in told:
         d.feed(io.ClassChanged(io.ClassSpec(name, promise_ms)))
-    assert d.router.promise_ms == least
+    assert d.router.latency_target_ms == least
     assert d.router.settings.classes["safe"] == SAFE and "brand new" not in d.router.settings.classes
 
 
@@ -89,7 +89,7 @@
 
 def sites(own="a", workers=6):
     d = Drive(workers=workers, zones=("a", "b", "c"), zone=own, idle_life_ms=LIFE_MS)
-    return d, {entry.worker: entry.zone for entry in d.entries}
+    return d, {entry.scorer: entry.zone for entry in d.entries}
 
 
 def test_a_function_goes_by_the_site_of_its_latest_arrival():
@@ -100,9 +100,9 @@
             d.count(worker, 1)
         for n, site in enumerate(("b", "a", "", "c", "", "b")):
             [send] = of(arrived(d, f"r{n}", site=site), io.Send)
-            assert zones[send.worker] == (site or own)
+            assert zones[send.scorer] == (site or own)
             d.end(send)
-            d.count(send.worker, 1)
+            d.count(send.scorer, 1)
 
 
 def test_the_first_questions_the_first_copy_and_raced_ones_stand_at_the_site():
@@ -114,7 +114,7 @@
         [(first, _)] = loads(d.answer_asks(actions))
         [send] = of(d.count(first, 1), io.Send)
         [(second, _)] = loads(arrived(d, "r1", site=site))
-        assert {first, second} == set(there) and send.worker == first
+        assert {first, second} == set(there) and send.scorer == first
         other = Drive(workers=6, zones=("a", "b", "c"), zone=own)
         arrived(other, "r0")
         orders = [w.id for w in d.router._ordered(d.router.functions["f"])]
@@ -131,7 +131,7 @@
             d.count(place, 1, fn)
     for n in range(20):
         arrived(d, f"g{n}", "g", lanes=64)
-    sends = [s.worker for n in range(20) for s in of(arrived(d, f"f{n}", "f", site, lanes=64), io.Send)]
+    sends = [s.scorer for n in range(20) for s in of(arrived(d, f"f{n}", "f", site, lanes=64), io.Send)]
     assert next(n for n, worker in enumerate(sends) if worker != sends[0]) == most
 
 
@@ -149,16 +149,16 @@
     assert want(d, 3, copies=2) == [(3, 2)]
     d.count(3, 2)
     [send] = of(arrived(d, "r"), io.Send)
-    assert send.worker == 3
+    assert send.scorer == 3
 
 
 def wanted_case(case):
     settings = {"load_window_ms": 5000.0, "free_loads": 3.0, "idle_life_ms": LIFE_MS}
     worker, copies = 2, 1
     if case == "orders off":
-        settings["may_order"] = False
+        settings["load_orders_allowed"] = False
     if case == "cold":
-        settings |= {"cold_ms": 60_000.0, "fall_multiple": 0.0}
+        settings |= {"slow_start_ms": 60_000.0, "slow_start_multiple": 0.0}
     d = Drive(**settings)
     if case == "unknown worker":
         worker = 77
@@ -272,7 +272,7 @@
     d = Drive(load_window_ms=5000.0, free_loads=5.0)
     before = d.router._ration_left()
     d.feed(io.RemoteLoadReport(2, sent=3, copies={"f": 2}, loading=("f", "g")))
-    d.feed(io.ClassChanged(replace(UNSAFE, promise_ms=1.0)))
+    d.feed(io.ClassChanged(replace(UNSAFE, latency_target_ms=1.0)))
     assert d.router._ration_left() == before
     want(d, 1, fn="h")
     assert d.router._ration_left() == before - 1
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -214,7 +214,11 @@
 # --- budgets --------------------------------------------------------------------------------
 
 SITE = io.Settings(
-    cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0, max_retry_after_ms=4_000.0
+    slow_start_ms=10_000.0,
+    slow_start_initial_share=0.2,
+    slow_start_window_ms=1_000.0,
+    slow_start_multiple=2.0,
+    max_retry_after_ms=4_000.0,
 )
 LIMITS = budget.limits_from(SITE, 7, 12.0)
 NAMES = [f"n{i}" for i in range(200)]
@@ -266,10 +270,14 @@
         if wait == 0.0:
             used.append(now + budget.TICKET_MS * (n % 2))
         assert wait >= 0.0
-    room = SITE.fall_multiple * LIMITS.warmth(age) * LIMITS.scorer_rps * SITE.fall_ms / 1000.0
+    room = (
+        SITE.slow_start_multiple * LIMITS.warmth(age) * LIMITS.scorer_rps * SITE.slow_start_window_ms / 1000.0
+    )
     for at in used:
-        assert sum(at - SITE.fall_ms < other <= at for other in used) <= room
-    assert not used or used[0] >= SITE.fall_ms + budget.TICKET_MS  # another may have been its warden
+        assert sum(at - SITE.slow_start_window_ms < other <= at for other in used) <= room
+    assert (
+        not used or used[0] >= SITE.slow_start_window_ms + budget.TICKET_MS
+    )  # another may have been its warden
     core.known_from("t")
     assert core.ask(now, "t", age) == 0.0
 
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -305,7 +305,7 @@
     ground.holds.carry(race)
     assert len(ground.asked) == 1
     asked.ended(asked, None, ANSWER)
-    assert (ground.told[-1].worker, ground.told[-1].copies) == (7, 1)
+    assert (ground.told[-1].scorer, ground.told[-1].copies) == (7, 1)
     for stage in (Stage.RENEWAL, Stage.SPILL):
         ground.go_by(stage)
         ground.holds.carry(race)
@@ -326,12 +326,12 @@
             if isinstance(action, io.OrderCopies):
                 ground.holds.carry(action)
             elif isinstance(action, io.Send):
-                sent.append((now, action.worker))
+                sent.append((now, action.scorer))
         events, ground.told[:] = [*ground.told], []
         for order in ground.out:  # questions of the module's own
             assert order.copies == 0
-            copies = int(order.worker == place)
-            events.append(io.LoadOrderAnswered(order.worker, "f", io.AttemptResult.GOOD, copies, 1.0))
+            copies = int(order.scorer == place)
+            events.append(io.LoadOrderAnswered(order.scorer, "f", io.AttemptResult.GOOD, copies, 1.0))
         for order in ground.asked:
             order.ended(order, None, ANSWER)
         ground.out.clear(), ground.asked.clear()
@@ -351,7 +351,7 @@
             if isinstance(action, io.OrderCopies):
                 ground.holds.carry(action)
         ground.holds.events(ground.now, events)
-        none = [io.LoadOrderAnswered(o.worker, "f", io.AttemptResult.GOOD, 0, 1.0) for o in ground.out]
+        none = [io.LoadOrderAnswered(o.scorer, "f", io.AttemptResult.GOOD, 0, 1.0) for o in ground.out]
         events, ground.told[:] = [*ground.told, *none, io.TimerDue(0)], []
         ground.out.clear()
         ground.now += 5.0
@@ -368,7 +368,7 @@
     ground.go_by(Stage.REST)
     ground.requests["r1"] = type("Open", (), {"call": type("Of", (), {"function": "f"})})
     miss = io.AttemptEnded("r1", 0, 7, io.AttemptResult.MISS, 1.0, False)
-    good, other = replace(miss, ending=io.AttemptResult.GOOD), replace(miss, request="r2")
+    good, other = replace(miss, result=io.AttemptResult.GOOD), replace(miss, request="r2")
     answer = io.LoadOrderAnswered(7, "g", io.AttemptResult.GOOD, 1, 1.0)
     assert ground.holds.events(1.0, [miss, good, other, answer]) == [answer] and lost == [("f", 7)]
 
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -113,9 +113,9 @@
     )  # a question's of before
     assert orders(front.tick(2_870.0)) == orders(front.tick(3_400.0)) == []  # its load is under way
     front.answered(3_450.0, io.LoadOrderAnswered(7, "f", io.AttemptResult.FULL, 0, 1.0))
-    assert [order.worker for order in orders(front.tick(3_500.0))] == [7]
+    assert [order.scorer for order in orders(front.tick(3_500.0))] == [7]
     front.answered(3_550.0, io.LoadOrderAnswered(7, "g", io.AttemptResult.GOOD, 1, 1.0))
-    assert [order.worker for order in orders(front.tick(4_000.0))] == [8]
+    assert [order.scorer for order in orders(front.tick(4_000.0))] == [8]
     front.ordered(4_000.0, 8, "f")
     assert front.answered(4_400.0, io.LoadOrderAnswered(8, "f", io.AttemptResult.GOOD, 1, 400.0))
     assert front.place("f") == 8
@@ -177,7 +177,7 @@
         front.want(now, f"f{now}", 1.0, "view")
         for order in orders(front.tick(now)):
             made.append(now)
-            front.ordered(now, order.worker, order.function)
+            front.ordered(now, order.scorer, order.function)
             front.answered(now + 40, io.LoadOrderAnswered(7, order.function, io.AttemptResult.GOOD, 1, 40.0))
     assert 60 <= len(made) <= 20_000 * 0.2 / 40 + 1
 
--- a/tests/test_rejoin_tallies.py
+++ b/tests/test_rejoin_tallies.py
@@ -94,7 +94,9 @@
     now, told, answers = [0.0], [], []
     monkeypatch.setattr(counted, "monotonic_ms", lambda: now[0])
     below = Below()
-    table = Counted(below, {"view": io.ClassSpec("view", promise_ms=100.0)}, lambda *end: told.append(end))
+    table = Counted(
+        below, {"view": io.ClassSpec("view", latency_target_ms=100.0)}, lambda *end: told.append(end)
+    )
 
     def call():
         return SimpleNamespace(class_name="view", reply=answers.append)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -53,7 +53,7 @@
 
     def ask(self, name, fn):
         self.sent[name] = [fn, 0]
-        self.feed(io.RequestArrived(name, fn, "view", "", SPEC.give_up_ms, load_ms=LOAD_MS))
+        self.feed(io.RequestArrived(name, fn, "view", "", SPEC.deadline_ms, load_ms=LOAD_MS))
 
     def feed(self, event):
         for action in self.router.handle(self.now, [event]):
@@ -67,7 +67,7 @@
                 self.done.add(action.request)
 
     def order(self, hold):
-        key = hold.worker, hold.function
+        key = hold.scorer, hold.function
         if not hold.copies or self.standing.get(key, 0) >= hold.copies:
             if hold.copies:
                 self.orders.append(self.now)
@@ -91,7 +91,7 @@
     def send(self, send):
         fn, number = self.sent[send.request]
         self.sent[send.request][1] += 1
-        stands = self.standing.get((send.worker, fn), 0) > 0
+        stands = self.standing.get((send.scorer, fn), 0) > 0
         ending, took = (AttemptResult.GOOD, RUN_MS) if stands else (AttemptResult.MISS, 1.0)
         self.later(took, self.end, send, number, ending, took)
 
@@ -100,7 +100,7 @@
         if good:
             self.done.add(send.request)
             self.served.append(self.now)
-        self.feed(io.AttemptEnded(send.request, number, send.worker, ending, took, good, Warmth.FOUND))
+        self.feed(io.AttemptEnded(send.request, number, send.scorer, ending, took, good, Warmth.FOUND))
 
     def check(self):
         """At each order: those of the window before it against what it took in that window."""
--- a/tests/test_repeat_windows.py
+++ b/tests/test_repeat_windows.py
@@ -17,11 +17,11 @@
     group=DeduplicationGroup.ALL,
     effect=Effect.DEDUPLICATED,
     workers=4,
-    give_up_ms=GIVE_UP_MS,
+    deadline_ms=GIVE_UP_MS,
     zones=("a",),
 ):
     d = Drive(workers, zones)
-    spec = io.ClassSpec("class", 1_000.0, give_up_ms, effect, group, window_ms)
+    spec = io.ClassSpec("class", 1_000.0, deadline_ms, effect, group, window_ms)
     d.feed(io.ClassChanged(spec))
     return d
 
@@ -30,7 +30,7 @@
     """A copy stands at each worker that is asked, so that any of them may take it."""
     actions = d.ask(name, spec="class", budget=budget)
     for hold in of(actions, io.OrderCopies):
-        actions = actions + d.count(hold.worker, 1, hold.function)
+        actions = actions + d.count(hold.scorer, 1, hold.function)
     [send] = of(actions, io.Send)
     return send
 
@@ -39,7 +39,7 @@
     """What is sent on it, once a sign that was asked for has come."""
     actions = d.end(send, ending, attempt=attempt, closed=False)
     for hold in of(actions, io.OrderCopies):
-        actions = actions + d.count(hold.worker, 1, hold.function)
+        actions = actions + d.count(hold.scorer, 1, hold.function)
     return of(actions, io.Send)
 
 
@@ -118,7 +118,7 @@
 def test_second_attempts_of_every_kind_keep_to_class_and_window(way, effect, window_ms):
     d = drive(window_ms, effect=effect)
     send = first_send(d)
-    worker = d.router.workers[send.worker]
+    worker = d.router.workers[send.scorer]
     d.now += 350.0
     d.router.now, d.router.actions = d.now, []
     attempt = d.router.attempts["r", 0]
@@ -151,30 +151,30 @@
 
     d.feed(io.RosterChanged([entry(n, n % 2) for n in range(1, 5)], complete=True))
     send = first_send(d)
-    side = send.worker % 2
-    moved = [entry(send.worker, 1 - side)]
+    side = send.scorer % 2
+    moved = [entry(send.scorer, 1 - side)]
     d.feed(io.RosterChanged(moved, complete=False))
     d.now += 10.0
     [again] = end(d, send, AttemptResult.RESET)
-    assert again.worker % 2 == side and again.worker != send.worker
+    assert again.scorer % 2 == side and again.scorer != send.scorer
 
 
 def test_a_request_outlives_the_worker_of_its_first_attempt():
     """A class with ten minutes: its first worker is forgotten before there is a place for a repeat."""
-    d = drive(600_000.0, DeduplicationGroup.ZONE, workers=2, give_up_ms=600_000.0)
+    d = drive(600_000.0, DeduplicationGroup.ZONE, workers=2, deadline_ms=600_000.0)
     send = first_send(d, budget=600_000.0)
     d.now += 10.0
-    gone = io.ScorerEntry(send.worker, ScorerState.GONE, zone="a")
-    other = io.ScorerEntry(3 - send.worker, ScorerState.DRAINING, zone="a")
+    gone = io.ScorerEntry(send.scorer, ScorerState.GONE, zone="a")
+    other = io.ScorerEntry(3 - send.scorer, ScorerState.DRAINING, zone="a")
     d.feed(io.RosterChanged([gone, other], complete=False))
     assert not end(d, send, AttemptResult.RESET)
-    while send.worker in d.router.workers:
+    while send.scorer in d.router.workers:
         d.now += 5_000.0
         d.feed(io.TimerDue(0))
         assert d.now < 200_000.0
-    actions = d.feed(io.RosterChanged([io.ScorerEntry(3 - send.worker, zone="a")], complete=False))
+    actions = d.feed(io.RosterChanged([io.ScorerEntry(3 - send.scorer, zone="a")], complete=False))
     actions += d.sweep(d.now + 100.0)
     for hold in of(actions, io.OrderCopies):
-        actions = actions + d.count(hold.worker, 1, hold.function)
+        actions = actions + d.count(hold.scorer, 1, hold.function)
     [again] = of(actions, io.Send)
-    assert again.worker == 3 - send.worker
+    assert again.scorer == 3 - send.scorer
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -52,10 +52,10 @@
 
 def test_a_part_of_a_cold_scorers_budget_is_the_most_that_stages_take():
     one = staging()
-    usual = one.scorers.settings.fall_multiple
+    usual = one.scorers.settings.slow_start_multiple
     for budgets, part in (({"cold_part": 0.25}, 0.25), ({}, 1.0), ({"cold_part": 0.0}, 0.0)):
         one.go_by(budgets)
-        assert one.scorers.settings.fall_multiple == pytest.approx(part * usual)
+        assert one.scorers.settings.slow_start_multiple == pytest.approx(part * usual)
 
 
 def test_foresight_looks_by_the_policy_that_is_in_force_at_that_look():
--- a/tests/test_shutdown_answers.py
+++ b/tests/test_shutdown_answers.py
@@ -16,7 +16,7 @@
     [((400.0,), 900.0), ((400.0, 2_500.0), 3_000.0), ((2_000.0, 12_000.0), 3_500.0), ((), 500.0)],
 )
 def test_the_time_follows_the_longest_class_up_to_where_the_system_stops_waiting(give_ups, within_ms):
-    classes = {f"c{n}": io.ClassSpec(f"c{n}", give_up_ms=give_up) for n, give_up in enumerate(give_ups)}
+    classes = {f"c{n}": io.ClassSpec(f"c{n}", deadline_ms=give_up) for n, give_up in enumerate(give_ups)}
     assert graceful_shutdown.answer_within_ms(io.Settings(classes=classes)) == within_ms
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -158,7 +158,12 @@
 
 
 def cold_drive(**settings):
-    settings = {"cold_ms": 10_000.0, "cold_share": 0.2, "fall_ms": 1_000.0, "fall_multiple": 2.0} | settings
+    settings = {
+        "slow_start_ms": 10_000.0,
+        "slow_start_initial_share": 0.2,
+        "slow_start_window_ms": 1_000.0,
+        "slow_start_multiple": 2.0,
+    } | settings
     d = Drive(settings.pop("workers", 2), loads_on_miss=True, **settings)
     d.now = 20_000.0
     return d
@@ -185,7 +190,7 @@
     actions = d.ask(name, fn)
     sends = of(actions, io.Send)
     for hold in of(actions, io.OrderCopies):
-        sends += of(d.count(hold.worker, max(1, hold.copies), fn), io.Send)
+        sends += of(d.count(hold.scorer, max(1, hold.copies), fn), io.Send)
     return sends
 
 
@@ -205,8 +210,10 @@
 @pytest.mark.parametrize(
     "odd",
     [
-        {"cold_ms": 0.0}, {"cold_ms": 1.0}, {"cold_share": 0.0}, {"cold_share": 1.0}, {"fall_multiple": 0.0},
-        {"fall_ms": 0.0}, {"weights_fixed": True}, {"cold_share": 0.0, "cold_ms": 0.0, "fall_ms": 1.0},
+        {"slow_start_ms": 0.0}, {"slow_start_ms": 1.0}, {"slow_start_initial_share": 0.0},
+        {"slow_start_initial_share": 1.0}, {"slow_start_multiple": 0.0}, {"slow_start_window_ms": 0.0},
+        {"weights_fixed": True},
+        {"slow_start_initial_share": 0.0, "slow_start_ms": 0.0, "slow_start_window_ms": 1.0},
     ],
 )  # fmt: skip
 def test_odd_settings_divide_by_nothing_and_keep_to_n(odd, workers, sold, fleet_size):
@@ -218,16 +225,24 @@
     for n in range(40):
         d.now += 25.0
         d.ask(f"r{n}", f"f{n}")
-        share = min(1.0, settings.cold_share + (1 - settings.cold_share) * 25.0 * (n + 1) / 10_000.0)
-        if settings.cold_ms > 1 and settings.cold_share < 1 and settings.fall_ms > 0:
-            allowed = settings.fall_multiple * share * settings.fall_ms * capacity
+        share = min(
+            1.0,
+            settings.slow_start_initial_share
+            + (1 - settings.slow_start_initial_share) * 25.0 * (n + 1) / 10_000.0,
+        )
+        if (
+            settings.slow_start_ms > 1
+            and settings.slow_start_initial_share < 1
+            and settings.slow_start_window_ms > 0
+        ):
+            allowed = settings.slow_start_multiple * share * settings.slow_start_window_ms * capacity
             assert room(d) <= rule(allowed)
         else:
             assert room(d) == 999  # it is warm, or there is no such rule
 
 
 def test_nothing_goes_to_a_cold_worker_before_a_former_lifes_sends_have_left_the_window():
-    d = Drive(2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, fall_ms=1_000.0, fleet_size=200)
+    d = Drive(2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, slow_start_window_ms=1_000.0, fleet_size=200)
     d.router.began_ms = math.inf
     d.now = 5_000.0
     d.feed(io.TimerDue(0))  # its first event
@@ -242,7 +257,9 @@
 
 @pytest.mark.parametrize(("front_ends", "spare"), [(1, 8), (2, 3), (30, 0), (200, 0)])
 def test_few_front_ends_use_what_the_bound_leaves_beside_what_former_lives_sent(front_ends, spare):
-    d = Drive(1, loads_on_miss=True, quotas_rps={"t": 50.0}, fall_ms=1_000.0, fleet_size=front_ends)
+    d = Drive(
+        1, loads_on_miss=True, quotas_rps={"t": 50.0}, slow_start_window_ms=1_000.0, fleet_size=front_ends
+    )
     tell_start(d)  # N is 20: 16 more are within the bound
     allowed = 2.0 * 0.2 * 50.0
     assert room(d) == spare
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -141,7 +141,7 @@
 
 
 def test_a_stage_is_weighed_by_the_mean_worth_of_the_calls_that_come():
-    dear = replace(SPEC, name="bet", worth=9.0)
+    dear = replace(SPEC, name="bet", priority_weight=9.0)
     one, calls = staging(classes={"view": SPEC, "bet": dear, "none": dear}), Calls()
     assert one.core.planner._mean == pytest.approx(19 / 3)  # nothing came yet: equal parts
     for second in range(10):
