--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -15,23 +15,26 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Outcome, Refused
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.recovery_core import alone
-from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
-from fawnwharf.recovery_core.stages import Allowed
-from fawnwharf.recovery_service.giving import Giving
-from fawnwharf.recovery_service.outs import Stood, Ticket
-from fawnwharf.replication.claims import Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.gate import Gate, name_of
-
-HELD_MOST, HELD_BYTES_MOST = 4_096, 8 * 1024 * 1024
-HOLD_PART, LEAD_MS = 0.6, 100.0  # of a promise; and so long before the client gives up, at the least
-KEPT_BACK = 0.3  # of the burst, for the classes worth most
-LATER_MS = 1_000.0  # a class that is not taken yet: not before
-RATES_MOST, RATE_MS = 4_096, 5_000.0  # functions whose calls are counted, and for how long
-
-
-class Taking(Protocol):
+from fawnwharf.recovery_core import partitioned
+from fawnwharf.recovery_core.budget import AdmissionRateLimiter, FleetLimits, priority_classes
+from fawnwharf.recovery_core.phases import AllowedActions
+from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.replication.claim_gate import ClaimGate, call_key
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+
+MAX_WAITING_CALLS, MAX_WAITING_BYTES = 4_096, 8 * 1024 * 1024
+WAIT_FRACTION, CLIENT_MARGIN_MS = (
+    0.6,
+    100.0,
+)  # of a promise; and so long before the client gives up, at the least
+RESERVED_FRACTION = 0.3  # of the burst, for the classes worth most
+CLASS_REJECTED_MS = 1_000.0  # a class that is not taken yet: not before
+MAX_RATES, RATE_MS = 4_096, 5_000.0  # functions whose calls are counted, and for how long
+
+
+class RequestSink(Protocol):
     """What takes calls and withdraws them: the table, or what stands before it."""
 
     def take(self, call: Call) -> str | None: ...
@@ -39,7 +42,7 @@
     def withdraw(self, key: str) -> None: ...
 
 
-class Promises(Protocol):
+class ClaimStatus(Protocol):
     def repeat(self, call: Call) -> bool:
         """Whether a call has its answer, or none for good, by what is kept here."""
 
@@ -47,7 +50,7 @@
         """Whether calls of the class run only with their keepers' grants."""
 
 
-class NoPromises:
+class NoClaims:
     """Where there is no gate."""
 
     def repeat(self, call: Call) -> bool:
@@ -57,10 +60,10 @@
         return False
 
 
-class Kept:
+class StoredClaims:
     """What the gate and this front end's own shelf tell of a call, without asking anybody."""
 
-    def __init__(self, gate: Gate, core: Core) -> None:
+    def __init__(self, gate: ClaimGate, core: ReplicationCore) -> None:
         self._gate, self._core = gate, core
 
     def repeat(self, call: Call) -> bool:
@@ -68,12 +71,12 @@
         others alone can't be told from a new one."""
         if self._gate.modes.get(call.class_name, "off") == "off":
             return False
-        name, keeper = name_of(call), self._core.keeper
+        name, keeper = call_key(call), self._core.keeper
         if name in self._gate.held:
             return True
         entry = keeper.shelf.calls.get(name) if keeper else None
         claims = entry.standing() if entry else []
-        if any(claim.phase is Phase.ANSWERED for claim in claims):
+        if any(claim.phase is ClaimPhase.ANSWERED for claim in claims):
             return True
         return bool(claims) and self._gate.modes[call.class_name] == "before"
 
@@ -82,7 +85,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
+class _WaitingCall:
     """One call that was not let through at once, to its end."""
 
     key: str
@@ -97,32 +100,32 @@
     below: str | None = None  # as what stands below knows it
 
 
-class Door:
+class RecoveryAdmission:
     """Owns the calls that wait here for a copy, a ticket or a turn; takes and withdraws as the table does."""
 
     def __init__(
         self,
         loop: Loop,
-        below: Taking,
+        below: RequestSink,
         classes: dict[str, ClassSpec],
-        limits: Limits,
-        promises: Promises | None = None,
+        limits: FleetLimits,
+        promises: ClaimStatus | None = None,
         window_ms: float = 13_500.0,
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
         """`window_ms`: for so long after a start a repeat of a keyed call may come that its scorer forgot."""
         self._loop, self.below, self._classes, self._clock = loop, below, classes, clock
-        self._promises = promises or NoPromises()
+        self._promises = promises or NoClaims()
         self._window_ms, self._began_ms = window_ms, clock()
         self.open = False  # calm: all is passed on as it comes
-        self.doors = Doors(limits, at_ms=clock())
+        self.doors = AdmissionRateLimiter(limits, at_ms=clock())
         self.counts: dict[str, int] = {}
         self._since: dict[str, int] = {}
-        self._may = Allowed()
-        self._giving: Giving | None = None
+        self._may = AllowedActions()
+        self._giving: PermitIssuer | None = None
         self._first = frozenset[str]()
         self._numbers = itertools.count(1)
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _WaitingCall] = {}
         self._bytes = 0
         self._rows: dict[str, dict[str, None]] = {}  # keys that wait for a function's copy
         self._rates: dict[str, list[float]] = {}  # functions: since when, worth
@@ -138,21 +141,21 @@
         found, self._since = self._since, {}
         return found | {"held": len(self._held)} if found else {}
 
-    def go_by(self, allowed: Allowed, rate_ps: float, giving: Giving | None) -> None:
+    def go_by(self, allowed: AllowedActions, rate_ps: float, giving: PermitIssuer | None) -> None:
         """To be told at each change. `rate_ps`: calls a second that are let in here."""
         now = self._clock()
         self._may, self._giving, self.open = allowed, giving, allowed.spill
-        self._first = first_classes({name: spec.priority_weight for name, spec in self._classes.items()})
+        self._first = priority_classes({name: spec.priority_weight for name, spec in self._classes.items()})
         self.doors.pace(now, rate_ps)
         for held in [held for held in self._held.values() if not held.passed]:
             if self.open:
                 self._pass(held)
             elif not self._takes(held.call.class_name):
-                self._refuse(held, LATER_MS)
+                self._refuse(held, CLASS_REJECTED_MS)
         if self.open:
             self._rates.clear()
         for row in list(self._rows) if allowed.own_loads else ():  # the module orders what they need
-            self.told(Stood(row))
+            self.told(CopyAvailable(row))
 
     # --- from the port ----------------------------------------------------------------------------
 
@@ -187,8 +190,8 @@
             return True
         effect = self._classes[class_name].effect
         granted = effect is Effect.AT_MOST_ONCE and self._promises.asks(class_name)  # its keepers are asked
-        standing = alone.Standing(granted=granted, since_start_ms=self._clock() - self._began_ms)
-        return alone.call(effect, standing, self._window_ms) is alone.Alone.SERVE
+        standing = partitioned.CallKnowledge(granted=granted, since_start_ms=self._clock() - self._began_ms)
+        return partitioned.decide_call(effect, standing, self._window_ms) is partitioned.CallDecision.SERVE
 
     def _weigh(self, call: Call) -> str | None:
         now = self._clock()
@@ -196,16 +199,19 @@
             self._count("repeats")
             return self.below.take(call)
         if not self._takes(call.class_name):
-            return self._turn_away(call, "class", LATER_MS)
-        hold_ms = min(HOLD_PART * self._classes[call.class_name].latency_target_ms, call.budget_ms - LEAD_MS)
+            return self._turn_away(call, "class", CLASS_REJECTED_MS)
+        hold_ms = min(
+            WAIT_FRACTION * self._classes[call.class_name].latency_target_ms,
+            call.budget_ms - CLIENT_MARGIN_MS,
+        )
         bare = self._bare(call.function)
         if bare:
             self._want(now, call)
             if (eta_ms := self._giving.eta_ms(now, call.function)) > hold_ms:
                 return self._turn_away(call, "copy", eta_ms)
-        if not self.doors.let_in(now, 0.0 if call.class_name in self._first else KEPT_BACK):
+        if not self.doors.let_in(now, 0.0 if call.class_name in self._first else RESERVED_FRACTION):
             return self._turn_away(call, "pace")
-        if len(self._held) >= HELD_MOST or self._bytes + len(call.body) > HELD_BYTES_MOST:
+        if len(self._held) >= MAX_WAITING_CALLS or self._bytes + len(call.body) > MAX_WAITING_BYTES:
             return self._turn_away(call, "room")
         return self._place(now, call, hold_ms)
 
@@ -222,7 +228,7 @@
         worth = self._classes[call.class_name].priority_weight
         rate = self._rates.get(call.function)
         if rate is None or now - rate[0] > RATE_MS:
-            if rate is None and len(self._rates) >= RATES_MOST:
+            if rate is None and len(self._rates) >= MAX_RATES:
                 self._rates.clear()  # they are counted anew
             rate = self._rates[call.function] = [now, 0.0]
         rate[1] += worth
@@ -241,7 +247,7 @@
                 return self.below.take(call)
             if free_ms is not None and free_ms > hold_ms:
                 return self._turn_away(call, "ticket", free_ms)
-        held = self._held[key] = _Held(key, call, call.reply, now, now + hold_ms)
+        held = self._held[key] = _WaitingCall(key, call, call.reply, now, now + hold_ms)
         self._bytes += len(call.body)
         call.reply = lambda outcome: self._replied(held, outcome)
         held.end = self._loop.wheel.after(hold_ms, lambda: self._overdue(held))
@@ -258,7 +264,7 @@
         place = self._giving.place(row) if self._giving is not None else None
         return 0.0 if place is None else self._giving.ask(now, place, key)
 
-    def _try(self, held: _Held) -> None:
+    def _try(self, held: _WaitingCall) -> None:
         """Pass it on, or have it wait for what it lacks, or refuse it, if that comes too late."""
         now, row = self._clock(), held.call.function
         left_ms = held.until_ms - now
@@ -274,7 +280,7 @@
         if free_ms is not None:
             self._turn(held, free_ms)
 
-    def _turn(self, held: _Held, free_ms: float) -> None:
+    def _turn(self, held: _WaitingCall, free_ms: float) -> None:
         if free_ms <= 0.0:
             self._pass(held)
         elif free_ms > held.until_ms - self._clock():
@@ -282,13 +288,13 @@
         else:
             held.turn = self._loop.wheel.after(free_ms, lambda: self._try(held))
 
-    def _overdue(self, held: _Held) -> None:
+    def _overdue(self, held: _WaitingCall) -> None:
         now, row = self._clock(), held.call.function
         self._refuse(held, self._giving.eta_ms(now, row) if self._bare(row) else 0.0)
 
-    def told(self, out: Ticket | Stood) -> None:
+    def told(self, out: SlowStartPermit | CopyAvailable) -> None:
         """What `Giving` says of calls that wait here."""
-        if isinstance(out, Stood):
+        if isinstance(out, CopyAvailable):
             for key in self._rows.pop(out.row, ()):
                 if (held := self._held.get(key)) is not None:
                     self._try(held)
@@ -296,7 +302,7 @@
             held.ticket = False
             self._turn(held, out.free_ms)
 
-    def _pass(self, held: _Held) -> None:
+    def _pass(self, held: _WaitingCall) -> None:
         if held.key not in self._held:
             return
         self._rest(held)
@@ -307,17 +313,17 @@
         if held.below is None:  # it was answered at once
             self._end(held)
 
-    def _refuse(self, held: _Held, not_before_ms: float) -> None:
+    def _refuse(self, held: _WaitingCall, not_before_ms: float) -> None:
         """It never went further than here, so that to try again is harmless."""
         self._count("refused: waited")
         wait_ms = self.doors.pushback_ms(self._clock(), held.call.id.hex(), not_before_ms)
         self._replied(held, Refused(wait_ms))
 
-    def _replied(self, held: _Held, outcome: Outcome) -> None:
+    def _replied(self, held: _WaitingCall, outcome: Outcome) -> None:
         if self._end(held):
             held.reply(outcome)
 
-    def _rest(self, held: _Held) -> None:
+    def _rest(self, held: _WaitingCall) -> None:
         """It waits for nothing here any more."""
         for timer in (held.end, held.turn):
             if timer is not None:
@@ -331,7 +337,7 @@
             if not keys:
                 del self._rows[held.call.function]
 
-    def _end(self, held: _Held) -> bool:
+    def _end(self, held: _WaitingCall) -> bool:
         """Once each."""
         if self._held.pop(held.key, None) is None:
             return False
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -1,5 +1,5 @@
 """All clients at once at front ends that have just returned, in virtual time: with loaders, wardens and
-doors, and with the module alone. `python -m fawnwharf.recovery_service.trial [pairs]` prints means and
+doors, and with the module alone. `python -m fawnwharf.recovery_service.simulation [pairs]` prints means and
 differences.
 
 Real are the module, `Giving`, `Door` and `Holds`; small are scorers, the store and words (1 to 5 ms). Left
@@ -18,15 +18,15 @@
 from fawnwharf.net.streams import Answer, Order
 from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.policy import Router
-from fawnwharf.recovery_core.budget import limits_from
-from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_core.world import KINDS, WORTHS
-from fawnwharf.recovery_service.door import Door
-from fawnwharf.recovery_service.giving import TURN_MS, Giving
-from fawnwharf.recovery_service.holds import Holds
-from fawnwharf.recovery_service.outs import Order as Ordered
-from fawnwharf.recovery_service.outs import Out, Words
-from fawnwharf.replication.placement import weight
+from fawnwharf.recovery_core.budget import fleet_limits
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.uncoordinated_fleet import FUNCTION_KINDS, PRIORITY_WEIGHTS
+from fawnwharf.recovery_service.actions import Action, SendPermitMessage
+from fawnwharf.recovery_service.actions import LoadOrder as Ordered
+from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+from fawnwharf.replication.placement import rendezvous_weight
 
 FRONTS, SCORERS, FUNCTIONS, LANES, LOADS_MOST = 6, 6, 60, 8, 4
 PLACES, FETCH_PART = 4, 0.6  # fetches at a time that the store serves; their part of a load
@@ -41,7 +41,8 @@
 
 def site() -> io.Settings:
     classes = {
-        n: io.ClassSpec(n, k[1], k[2], io.Effect.IDEMPOTENT, priority_weight=k[3]) for n, k in KINDS.items()
+        n: io.ClassSpec(n, k[1], k[2], io.Effect.IDEMPOTENT, priority_weight=k[3])
+        for n, k in FUNCTION_KINDS.items()
     }
     return io.Settings(
         classes=classes,
@@ -75,11 +76,11 @@
         self.numbers = 0
         self.carry_hold: Callable[[io.OrderCopies], None] = self.order
         self.take: Callable[[Call], str | None] = self.taken
-        self.giving: Giving | None = None
+        self.giving: PermitIssuer | None = None
         if world.planned:
-            self.giving = Giving(name, life, world.limits, world.order)
-            self.holds = Holds(self.order, self.ask, self.tell, {}, lambda: world.now)
-            self.door = Door(self, self, site().classes, world.limits, clock=lambda: world.now)
+            self.giving = PermitIssuer(name, life, world.limits, world.order)
+            self.holds = LoadOrderGate(self.order, self.ask, self.tell, {}, lambda: world.now)
+            self.door = RecoveryAdmission(self, self, site().classes, world.limits, clock=lambda: world.now)
             self.carry_hold, self.door.below = self.holds.carry, _Below(self)
             self.take = self.door.take
 
@@ -162,12 +163,16 @@
     def __init__(self, seed: int, planned: bool) -> None:
         self.planned, self.now, self.heap, self.count = planned, BEGIN_MS, [], 0
         chance = self.chance = random.Random(f"given {seed}")
-        self.limits = limits_from(site(), round(PLACES / FETCH_PART), SCORER_PS)
+        self.limits = fleet_limits(site(), round(PLACES / FETCH_PART), SCORER_PS)
         self.scorers = [Scorer(n, BEGIN_MS + chance.uniform(0.0, 3_000.0)) for n in range(SCORERS)]
         self.facts = {}
         for n in range(FUNCTIONS):
-            kind = chance.choices(list(KINDS), [k[0] for k in KINDS.values()])[0]
-            self.facts[f"f{n}"] = kind, chance.uniform(*KINDS[kind][5]), chance.uniform(*KINDS[kind][6])
+            kind = chance.choices(list(FUNCTION_KINDS), [k[0] for k in FUNCTION_KINDS.values()])[0]
+            self.facts[f"f{n}"] = (
+                kind,
+                chance.uniform(*FUNCTION_KINDS[kind][5]),
+                chance.uniform(*FUNCTION_KINDS[kind][6]),
+            )
         self.rates = [(rank + 1) ** -0.6 for rank in range(FUNCTIONS)]
         self.store = [0.0] * PLACES
         self.seconds: dict[int, int] = {}
@@ -178,8 +183,10 @@
         if planned:
             self.turns()
             for n in range(FRONTS):
-                self.at(0.0 if not n else 50.0 * n, lambda n=n: self.see(self.fronts[n], Stage.REPEATS))
-                self.at(BURST_MS - BEGIN_MS, lambda n=n: self.see(self.fronts[n], Stage.REST))
+                self.at(
+                    0.0 if not n else 50.0 * n, lambda n=n: self.see(self.fronts[n], RecoveryPhase.REPEATS)
+                )
+                self.at(BURST_MS - BEGIN_MS, lambda n=n: self.see(self.fronts[n], RecoveryPhase.REST))
         self.at(4.0, self.wheels)
         functions, late = list(self.facts), chance.uniform
         times = [BURST_MS + late(0.0, 1_000.0) for _ in range(CALLS)]
@@ -202,7 +209,7 @@
 
     def order(self, row: str) -> list[int]:
         up = [s.id for s in self.scorers if s.up_ms <= self.now]
-        return sorted(up, key=lambda id: weight(str(id), row))
+        return sorted(up, key=lambda id: rendezvous_weight(str(id), row))
 
     def roster(self) -> None:
         for scorer in self.scorers:
@@ -215,8 +222,8 @@
             if front.giving is not None:
                 front.giving.scorer(self.now, scorer.id, self.now - scorer.up_ms)
 
-    def see(self, front: Front, stage: Stage) -> None:
-        names, may = [f.name for f in self.fronts], allowed(stage, WORTHS)
+    def see(self, front: Front, stage: RecoveryPhase) -> None:
+        names, may = [f.name for f in self.fronts], allowed_in_phase(stage, PRIORITY_WEIGHTS)
         front.giving.set(self.now, names, names, may, 1)
         front.holds.go_by(may, front.giving)
         self.pace(front)
@@ -224,14 +231,14 @@
     def pace(self, front: Front) -> None:
         ages = [self.now - s.up_ms for s in self.scorers if s.up_ms <= self.now]
         rate = self.limits.fall_multiple * self.limits.calls_rps(ages) / FRONTS
-        stage = Stage.REST if self.now >= BURST_MS else Stage.REPEATS
-        front.door.go_by(allowed(stage, WORTHS), rate, front.giving)
+        stage = RecoveryPhase.REST if self.now >= BURST_MS else RecoveryPhase.REPEATS
+        front.door.go_by(allowed_in_phase(stage, PRIORITY_WEIGHTS), rate, front.giving)
 
     def turns(self) -> None:
-        self.at(TURN_MS, self.turns)
+        self.at(TICK_MS, self.turns)
         for front in self.fronts:
             self.carry(front, front.giving.tick(self.now))
-            if int(self.now / TURN_MS) % 10 == 0:
+            if int(self.now / TICK_MS) % 10 == 0:
                 self.pace(front)
 
     def wheels(self) -> None:
@@ -239,9 +246,9 @@
         for front in self.fronts if self.planned else ():
             front.wheel.advance(self.now)
 
-    def carry(self, front: Front, outs: list[Out]) -> None:
+    def carry(self, front: Front, outs: list[Action]) -> None:
         for out in outs:
-            if isinstance(out, Words):
+            if isinstance(out, SendPermitMessage):
                 for other in self.fronts:
                     if other is not front and (not out.to or other.name in out.to):
                         self.at(self.chance.uniform(1.0, 5.0), self.heard(other, front.name, out))
@@ -250,15 +257,15 @@
             else:
                 front.door.told(out)
 
-    def heard(self, to: Front, sender: str, out: Words) -> Callable[[], None]:
+    def heard(self, to: Front, sender: str, out: SendPermitMessage) -> Callable[[], None]:
         return lambda: self.carry(to, to.giving.hear(self.now, sender, out.word))
 
     # --- clients ------------------------------------------------------------------------------
 
     def call(self, client: str, row: str, left: int) -> None:
         kind, _, _ = self.facts[row]
-        _, promise, give_up, worth, *_ = KINDS[kind]
-        front, came = self.fronts[weight("at", client, str(left)) % FRONTS], self.now
+        _, promise, give_up, worth, *_ = FUNCTION_KINDS[kind]
+        front, came = self.fronts[rendezvous_weight("at", client, str(left)) % FRONTS], self.now
         if left == TRIES:
             self.came, self.worth = self.came + 1, self.worth + worth
         over = False
@@ -277,7 +284,7 @@
                 if left > 1:
                     self.at(wait, lambda: self.call(client, row, left - 1))
 
-        id = weight(client, str(left)).to_bytes(8, "big")
+        id = rendezvous_weight(client, str(left)).to_bytes(8, "big")
         call = Call(id, kind, "t", row, give_up, b"", "", LANES, None, self.facts[row][1], reply)
         self.at(give_up, lambda: reply(Failed()))
         front.take(call)
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -10,16 +10,16 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import Limits
-from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_service.given_words import word_from
-from fawnwharf.recovery_service.giving import TURN_MS, Giving
-from fawnwharf.recovery_service.outs import Order, Ticket, Words
-from fawnwharf.replication.placement import weight
+from fawnwharf.recovery_core.budget import FleetLimits
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage, SlowStartPermit
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_service.permit_messages import permit_message_from
+from fawnwharf.replication.placement import rendezvous_weight
 
 WORTHS = {"view": 1.0, "settle": 5.0}
 RATION_MS = 5_000.0
-LIMITS = Limits(
+LIMITS = FleetLimits(
     fetches=4, scorer_rps=12.0, cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0,
     retry_most_ms=4_000.0,
 )  # fmt: skip
@@ -41,14 +41,14 @@
         self.ration = ration  # orders of a front end in `RATION_MS`; none: as many as it likes
         self.now, self.heap, self.count, self.lives = 0.0, [], 0, 0
         self.up, self.fronts, self.views, self.changes = set(), {}, {}, 0
-        self.may = allowed(Stage.REST, WORTHS)
+        self.may = allowed_in_phase(RecoveryPhase.REST, WORTHS)
         self.stands, self.loading = set(), {}  # (scorer, function); until when
         self.most = 0  # loads at a time
         self.orders = []  # when, by whom, of what, and whether that one lived on until it was answered
         self.sent, self.keys, self.words = [], 0, 0  # when calls went to the cold scorer 7
         for name in self.names:
             self.start(name)
-        self.at(TURN_MS, self._turns)
+        self.at(TICK_MS, self._turns)
 
     def at(self, delay_ms, call):
         """Plan a call."""
@@ -67,9 +67,9 @@
     def start(self, name):
         """Start a front end, which knows only itself at first."""
         self.lives += 1
-        order = lambda row: sorted(range(3), key=lambda s: weight(str(s), row))  # noqa: E731
+        order = lambda row: sorted(range(3), key=lambda s: rendezvous_weight(str(s), row))  # noqa: E731
         more = {} if self.ration is None else {"room": lambda: self.room(name)}
-        self.fronts[name] = Giving(name, self.lives, LIMITS, order, self.lag_ms, self.usual_ms, **more)
+        self.fronts[name] = PermitIssuer(name, self.lives, LIMITS, order, self.lag_ms, self.usual_ms, **more)
         self.views[name] = 0, frozenset((name,))
         self.fronts[name].scorer(self.now, 7, self.now)
         self.up.add(name)
@@ -113,20 +113,20 @@
     # --- what comes out -------------------------------------------------------------------------
 
     def _turns(self):
-        self.at(TURN_MS, self._turns)
+        self.at(TICK_MS, self._turns)
         for name, front in list(self.fronts.items()):
             self.carry(name, front.tick(self.now))
 
     def carry(self, name, outs):
         """Carry out the effects of a front end."""
         for out in outs:
-            if isinstance(out, Words):
+            if isinstance(out, SendPermitMessage):
                 for to in [other for other in out.to or self.names if other != name]:
                     if name in self.keepers or to in self.keepers:
                         self._say(name, to, out.word)
-            elif isinstance(out, Order):
+            elif isinstance(out, LoadOrder):
                 self.at(1.0, lambda what=out.what: self._ordered(name, what))
-            elif isinstance(out, Ticket) and out.free_ms == 0.0:
+            elif isinstance(out, SlowStartPermit) and out.free_ms == 0.0:
                 self.sent.append(self.now)
 
     def ask(self, name, count):
@@ -144,7 +144,7 @@
 
         def come():
             if to in self.fronts:
-                self.carry(to, self.fronts[to].hear(self.now, name, word_from(builtins(word))))
+                self.carry(to, self.fronts[to].hear(self.now, name, permit_message_from(builtins(word))))
 
         self.at(late, come)
 
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -3,9 +3,9 @@
 from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.requests import Call, Refused
 from fawnwharf.net.timer_wheel import Wheel
-from fawnwharf.recovery_core.budget import Limits
-from fawnwharf.recovery_core.stages import Stage, allowed
-from fawnwharf.recovery_service.door import Door
+from fawnwharf.recovery_core.budget import FleetLimits
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
 
 CLASSES = {
     "settle": ClassSpec("settle", latency_target_ms=1_000.0, effect=Effect.AT_MOST_ONCE, priority_weight=5.0),
@@ -19,7 +19,7 @@
     "view": ClassSpec("view", latency_target_ms=1_000.0, effect=Effect.IDEMPOTENT, priority_weight=1.0),
 }
 WORTHS = {name: spec.priority_weight for name, spec in CLASSES.items()}
-LIMITS = Limits(
+LIMITS = FleetLimits(
     fetches=4, scorer_rps=12.0, cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0,
     retry_most_ms=4_000.0,
 )  # fmt: skip
@@ -59,18 +59,18 @@
 class Ground:
     """The admission under test, and the table below it."""
 
-    def __init__(self, stage=Stage.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
+    def __init__(self, stage=RecoveryPhase.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
         self.now = 0.0
         self.wheel = Wheel(lambda: self.now)
         self.giving, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
-        self.door = Door(self, self, CLASSES, limits, promises, clock=lambda: self.now)
+        self.door = RecoveryAdmission(self, self, CLASSES, limits, promises, clock=lambda: self.now)
         self.numbers, self.taken, self.passed = 0, 0, set()
         self.go_by(stage, rate_ps, **more)
         self.pass_by(1_000.0)  # so that there is a burst to be let in
 
     def go_by(self, stage, rate_ps=1e6, **more):
         """Go by a phase, or by what is allowed."""
-        may = allowed(stage, WORTHS) if isinstance(stage, Stage) else stage
+        may = allowed_in_phase(stage, WORTHS) if isinstance(stage, RecoveryPhase) else stage
         self.door.go_by(may, rate_ps, self.giving)
 
     def pass_by(self, ms):
