--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -5,24 +5,29 @@
 """
 
 from collections.abc import Callable
-from typing import Any
-
-import msgspec
-
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.policy.state import Function, mark
-from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
+from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.policy.state import Function
+from fawnwharf.policy.state import mark
+from fawnwharf.recovery_core.budget import FleetLimits
+from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_core.register import PermitAssignment
 from fawnwharf.recovery_service import actions
 from fawnwharf.recovery_service import permit_messages as g
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission, StoredClaims
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import TICK_MS
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+from fawnwharf.recovery_service.recovery_admission import StoredClaims
 from fawnwharf.recovery_service.settings import Settings
 from fawnwharf.replication.service import ReplicationService
+from typing import Any
+import msgspec
+
 
 LOG_CLIENT = "recovery-given"  # by the logs of state
 CALM_TICK_MS = 250.0  # in calm little is to be said, and that to others that are not yet
@@ -68,8 +73,8 @@
         self._stopped = False
         self.door = door(front, state, settings, self.limits)
         self.holds: LoadOrderGate | None = None
-        self._order_out: Callable[[io.Hold], None] | None = None
-        front.stand_between(io.Hold, self._between)
+        self._order_out: Callable[[io.OrderCopies], None] | None = None
+        front.stand_between(io.OrderCopies, self._between)
         state.log_clients[LOG_CLIENT] = self._ridden
         self.roster()
         self._turn()
@@ -79,11 +84,11 @@
         self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.Hold, lambda _own: self._order_out)
+        self.front.stand_between(io.OrderCopies, lambda _own: self._order_out)
         if not self._going[0].spill:
             self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
-    def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
+    def _between(self, below: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
         front, self._order_out = self.front, below
         self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
         return self.holds.carry
@@ -116,7 +121,7 @@
             classes = self.front.deployment.settings.classes
             for (row, name), rps in self._used.items():
                 if name in classes:
-                    self.giving.want(now_ms, row, rps * classes[name].worth, name)
+                    self.giving.want(now_ms, row, rps * classes[name].priority_weight, name)
 
     # --- scorers --------------------------------------------------------------------------------
 
@@ -153,7 +158,7 @@
         """Orders that the module would make of `CopiesWanted`: one is left for each held call."""
         router = self.front.router
         held = sum(len(fn.queue) for fn in router.functions.values())
-        return router._ration_left() - held if router.settings.may_order else 0.0
+        return router._ration_left() - held if router.settings.load_orders_allowed else 0.0
 
     # --- turns, words and answers ---------------------------------------------------------------
 
@@ -182,7 +187,7 @@
             if isinstance(out, actions.SendPermitMessage):
                 self.state.send_message(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, actions.LoadOrder):
-                if isinstance(out.what, io.Hold):
+                if isinstance(out.what, io.OrderCopies):
                     self.front.table.order(out.what)
                 else:
                     self.front.loop.tell(out.what)
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -145,7 +145,7 @@
         """To be told at each change. `rate_ps`: calls a second that are let in here."""
         now = self._clock()
         self._may, self._giving, self.open = allowed, giving, allowed.spill
-        self._first = priority_classes({name: spec.worth for name, spec in self._classes.items()})
+        self._first = priority_classes({name: spec.priority_weight for name, spec in self._classes.items()})
         self.doors.pace(now, rate_ps)
         for held in [held for held in self._held.values() if not held.passed]:
             if self.open:
@@ -189,7 +189,7 @@
         if not self._may.alone:
             return True
         effect = self._classes[class_name].effect
-        granted = effect is Effect.UNSAFE and self._promises.asks(class_name)  # its keepers are asked
+        granted = effect is Effect.AT_MOST_ONCE and self._promises.asks(class_name)  # its keepers are asked
         standing = partitioned.CallKnowledge(granted=granted, since_start_ms=self._clock() - self._began_ms)
         return partitioned.decide_call(effect, standing, self._window_ms) is partitioned.CallDecision.SERVE
 
@@ -201,7 +201,8 @@
         if not self._takes(call.class_name):
             return self._turn_away(call, "class", CLASS_REJECTED_MS)
         hold_ms = min(
-            WAIT_FRACTION * self._classes[call.class_name].promise_ms, call.budget_ms - CLIENT_MARGIN_MS
+            WAIT_FRACTION * self._classes[call.class_name].latency_target_ms,
+            call.budget_ms - CLIENT_MARGIN_MS,
         )
         bare = self._bare(call.function)
         if bare:
@@ -224,7 +225,7 @@
 
     def _want(self, now: float, call: Call) -> None:
         """Its loader is to know, by what its calls of the last seconds were worth."""
-        worth = self._classes[call.class_name].worth
+        worth = self._classes[call.class_name].priority_weight
         rate = self._rates.get(call.function)
         if rate is None or now - rate[0] > RATE_MS:
             if rate is None and len(self._rates) >= MAX_RATES:
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -62,7 +62,9 @@
         self._used = UsageRecorder.read(self.kept.read(StateKind.USE))
         self._roster, self._use = RosterRecorder(), UsageRecorder(monotonic_ms())
         classes = deployment.settings.classes
-        self.tallies = FrontEndCounters({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
+        self.tallies = FrontEndCounters(
+            {n: c.priority_weight for n, c in classes.items()}, deployment.settings.slow_start_ms
+        )
         self.front: FrontEnd | None = None
         self.agent: RecoveryAgent | None = None
         self.joined: front_end_integration.FrontEndIntegration | None = None
@@ -148,7 +150,7 @@
             return
         now = monotonic_ms()
         for event in events:
-            worker = getattr(event, "worker", None)
+            worker = getattr(event, "scorer", None)
             age_ms = self.joined.age_ms(worker) if worker is not None else 0.0
             self.tallies.event(now, event, age_ms)
             if isinstance(event, io.RequestArrived):
--- a/fawnwharf/replication/call_owner.py
+++ b/fawnwharf/replication/call_owner.py
@@ -6,23 +6,22 @@
 answered from what was kept, failed or refused, and whatever was granted is given back.
 """
 
-from dataclasses import dataclass, field
-
-import msgspec
-from msgspec import Struct
-
+from dataclasses import dataclass
+from dataclasses import field
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claims import (
-    CallState,
-    Claim,
-    ClaimPhase,
-    ClaimSummary,
-    merge_claims,
-    summarize_claims,
-)
-from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
+from fawnwharf.replication.claims import CallState
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.claims import ClaimSummary
+from fawnwharf.replication.claims import merge_claims
+from fawnwharf.replication.claims import summarize_claims
+from fawnwharf.replication.placement import ReplicaPlacement
+from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.replication.settings import ReplicationSettings
+from msgspec import Struct
+import msgspec
+
 
 OPEN_MOST = 20_000
 SLOT_MS = 1_000.0
@@ -202,7 +201,7 @@
             return [*self._give_back(mine), *self._others(now_ms, mine, found)]
         denied = any(not word.granted and not word.complete for word in mine.replies.values())
         why = "keepers are not sure" if denied else "too few keepers"
-        if mine.effect is not Effect.UNSAFE or self.settings.unkept == "serve":
+        if mine.effect is not Effect.AT_MOST_ONCE or self.settings.unkept == "serve":
             mine.state = "going"
             self._count(f"not kept: {why}")
             return [RunCall(mine.key, False)]
@@ -233,7 +232,7 @@
             self._count("conflict")
             return self._end(mine, FailCall(mine.key, "two answers that differ"))
         age = max((word.age_ms for word in mine.replies.values()), default=0.0)
-        if mine.effect is Effect.KEYED and age < mine.dedup_ms - mine.wait_ms - DEDUP_MARGIN_MS:
+        if mine.effect is Effect.DEDUPLICATED and age < mine.dedup_ms - mine.wait_ms - DEDUP_MARGIN_MS:
             mine.state = "going"  # the scorers drop it if it ran
             self._count("run again within its window")
             return [RunCall(mine.key, False)]
--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -6,21 +6,35 @@
 again.
 """
 
-import base64
-import hashlib
-import itertools
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
-
-from fawnwharf.interface import ClassSpec, Effect
+from dataclasses import dataclass
+from dataclasses import field
+from dataclasses import replace
+from fawnwharf.interface import ClassSpec
+from fawnwharf.interface import Effect
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.replication.call_owner import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
+from fawnwharf.net.requests import Call
+from fawnwharf.net.requests import Failed
+from fawnwharf.net.requests import Outcome
+from fawnwharf.net.requests import Refused
+from fawnwharf.net.requests import RequestTable
+from fawnwharf.net.requests import Served
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.replication.call_owner import AnswerCall
+from fawnwharf.replication.call_owner import FailCall
+from fawnwharf.replication.call_owner import OwnerAction
+from fawnwharf.replication.call_owner import RejectCall
+from fawnwharf.replication.call_owner import RunCall
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.settings import ClaimMode, ReplicationSettings
+from fawnwharf.replication.settings import ClaimMode
+from fawnwharf.replication.settings import ReplicationSettings
+import base64
+import hashlib
+import itertools
+
 
 HELD_BYTES_MOST = 8 * 1024 * 1024  # bodies of calls that wait for their keepers
 HELD_MOST = 4_096
@@ -47,7 +61,11 @@
 
 def claim_mode(spec: ClassSpec, settings: ReplicationSettings) -> ClaimMode:
     """How calls of a class are kept: as the settings say, or as its effect asks."""
-    by_effect: dict[Effect, ClaimMode] = {Effect.UNSAFE: "before", Effect.KEYED: "after", Effect.SAFE: "off"}
+    by_effect: dict[Effect, ClaimMode] = {
+        Effect.AT_MOST_ONCE: "before",
+        Effect.DEDUPLICATED: "after",
+        Effect.IDEMPOTENT: "off",
+    }
     return settings.modes.get(spec.name, by_effect[spec.effect])
 
 
@@ -106,7 +124,7 @@
                 monotonic_ms(),
                 name,
                 spec.effect,
-                promise_ms=spec.promise_ms,
+                promise_ms=spec.latency_target_ms,
                 budget_ms=max(1.0, call.budget_ms - WAIT_LEAD_MS),
                 dedup_ms=spec.dedup_window_ms,
                 must=mode == "before",
@@ -152,7 +170,7 @@
         if not held.running:
             self._done(held)
             self._carry_out(self._core.client_left(monotonic_ms(), held.name))
-        elif held.spec.effect is not Effect.UNSAFE and held.table_key is not None:
+        elif held.spec.effect is not Effect.AT_MOST_ONCE and held.table_key is not None:
             self._table.withdraw(held.table_key)
             self._done(held)
             self._carry_out(self._core.call_ended(monotonic_ms(), held.name, ClaimPhase.FAILED))
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -77,7 +77,7 @@
         kept = (self.disk.saved, self.disk.record_number) if self.disk else (None, 0)
         name, seed = self.entry.name, deployment.seed
         self.core = MemberCore(name, members, self.settings, now, seed, identity, *kept)
-        promise = min((c.promise_ms for c in deployment.settings.classes.values()), default=1_000.0)
+        promise = min((c.latency_target_ms for c in deployment.settings.classes.values()), default=1_000.0)
         self.evidence_collector = EvidenceCollector(self.settings.evidence, promise)
         self._sold = sum(deployment.settings.quotas_rps.values())  # before any limit stands among them
         self._spill: dict[str, float] = {}  # the most that a policy lets zones take of others' calls
@@ -182,9 +182,9 @@
         """Take the batch's evidence on zones."""
         now = monotonic_ms()
         for event in events:
-            if isinstance(event, io.AttemptEnded | io.OrderAnswered) and event.worker in self._zone_of:
-                zone = self._zone_of[event.worker]
-                self.evidence_collector.record_ending(now, zone, event.worker, event.ending, event.took_ms)
+            if isinstance(event, io.AttemptEnded | io.LoadOrderAnswered) and event.scorer in self._zone_of:
+                zone = self._zone_of[event.scorer]
+                self.evidence_collector.record_ending(now, zone, event.scorer, event.result, event.took_ms)
 
     def apply_policy_limits(self, sold_rps: float, spill: dict[str, float]) -> None:
         """Take a policy's total quota and spillover by zone.
--- a/tests/test_elsewhere.py
+++ b/tests/test_elsewhere.py
@@ -1,17 +1,23 @@
 """What front ends tell each other of sends to cold scorers, of loads and copies: cores in virtual time."""
 
-import random
-
-import msgspec
-from hypothesis import given, settings, strategies
-from support.load_reports import greeted, own
-
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.load_report import COPIES_MOST, NEWS_MOST
-from fawnwharf.replication.remote_loads import PLACES_MOST, LoadReportStore, OwnerReport, RemoteLoads
+from fawnwharf.replication.load_report import COPIES_MOST
+from fawnwharf.replication.load_report import NEWS_MOST
+from fawnwharf.replication.remote_loads import LoadReportStore
+from fawnwharf.replication.remote_loads import OwnerReport
+from fawnwharf.replication.remote_loads import PLACES_MOST
+from fawnwharf.replication.remote_loads import RemoteLoads
+from hypothesis import given
+from hypothesis import settings
+from hypothesis import strategies
+from support.load_reports import greeted
+from support.load_reports import own
+import msgspec
+import random
+
 
-GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
+GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
 
 
 # --- what an owner tells ------------------------------------------------------------------------
@@ -52,10 +58,10 @@
         mine.ended(float(at), 1, "f", GOOD, UNTOLD)
         told += [(at, copy.copies) for copy in mine.word(float(at), {}).copies]
     assert told == [(0, 1), (1_000, 1), (2_000, 1)]
-    mine.ended(3_000.0, 1, "f", io.Ending.MISS, UNTOLD)
+    mine.ended(3_000.0, 1, "f", io.AttemptResult.MISS, UNTOLD)
     assert mine.word(3_000.0, {}).copies == (m.ProvenCopy(1, "f", 0, 0.0),)
-    mine.ended(3_100.0, 1, "f", io.Ending.TIMEOUT, UNTOLD)
-    mine.order_ended(3_100.0, 1, "f", 0, io.Ending.RESET, 0)
+    mine.ended(3_100.0, 1, "f", io.AttemptResult.TIMEOUT, UNTOLD)
+    mine.order_ended(3_100.0, 1, "f", 0, io.AttemptResult.RESET, 0)
     assert mine.word(3_200.0, {}).copies == ()  # neither proves anything
 
 
@@ -63,11 +69,11 @@
     mine = own()
     for worker in (1, 2, 3):
         mine.ended(0.0, worker, "f", GOOD, UNTOLD)
-    mine.roster(100.0, 5_100.0, [io.WorkerEntry(1, up_since_ms=5_050.0)], False)
-    mine.roster(100.0, 5_100.0, [io.WorkerEntry(2, state=io.State.GONE)], False)
+    mine.roster(100.0, 5_100.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], False)
+    mine.roster(100.0, 5_100.0, [io.ScorerEntry(2, state=io.ScorerState.GONE)], False)
     assert [copy.scorer for copy in mine.word(100.0, {}).copies] == [3]
     assert mine.cold(100.0) == {1} and 2 not in mine.known
-    mine.roster(200.0, 5_200.0, [io.WorkerEntry(1, up_since_ms=5_050.0)], True)
+    mine.roster(200.0, 5_200.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], True)
     assert mine.known == {1} and mine.cold(200.0) == {1}
 
 
@@ -82,7 +88,7 @@
     assert word.omitted == COPIES_MOST - NEWS_MOST + 512 - 64 == mine.cut
     assert [copy.function for copy in mine.word(1_201.0, {}).copies][0] == f"f{1_199 - NEWS_MOST}"
     for n in range(100):
-        mine.roster(0.0, 0.0, [io.WorkerEntry(100 + n, up_since_ms=0.0)], False)
+        mine.roster(0.0, 0.0, [io.ScorerEntry(100 + n, up_since_ms=0.0)], False)
         mine.sent(1_200.0, 100 + n)
     assert len(mine.word(1_201.0, {}).sent) == 64
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -15,9 +15,9 @@
 from fawnwharf.testbed.promises import fleet_file
 
 CLASSES = {
-    "once": ClassSpec("once", promise_ms=400.0, effect=Effect.UNSAFE),
-    "keyed": ClassSpec("keyed", promise_ms=400.0, effect=Effect.KEYED, dedup_window_ms=3_000.0),
-    "view": ClassSpec("view", promise_ms=400.0, effect=Effect.SAFE),
+    "once": ClassSpec("once", latency_target_ms=400.0, effect=Effect.AT_MOST_ONCE),
+    "keyed": ClassSpec("keyed", latency_target_ms=400.0, effect=Effect.DEDUPLICATED, dedup_window_ms=3_000.0),
+    "view": ClassSpec("view", latency_target_ms=400.0, effect=Effect.IDEMPOTENT),
 }
 
 
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -1,16 +1,25 @@
 """What front ends tell each other of use and of scorers: shares of quotas, and beliefs."""
 
 from cores import Cores
-from hypothesis import given, strategies
-
-from fawnwharf.config import Fleet, Member
-from fawnwharf.interface import Ending, Warmth
+from fawnwharf.config import Fleet
+from fawnwharf.config import Member
+from fawnwharf.interface import AttemptResult
+from fawnwharf.interface import Warmth
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker, OutlierEjections
-from fawnwharf.replication.outlier_ejection import OutlierEjector, excluding
-from fawnwharf.replication.usage import MIN_SHARE_PART, QuotaShares, UsageTable, quota_share
+from fawnwharf.replication.failure_reports import FailureReportStore
+from fawnwharf.replication.failure_reports import FailureTracker
+from fawnwharf.replication.failure_reports import OutlierEjections
+from fawnwharf.replication.outlier_ejection import OutlierEjector
+from fawnwharf.replication.outlier_ejection import excluding
+from fawnwharf.replication.usage import MIN_SHARE_PART
+from fawnwharf.replication.usage import QuotaShares
+from fawnwharf.replication.usage import UsageTable
+from fawnwharf.replication.usage import quota_share
+from hypothesis import given
+from hypothesis import strategies
+
 
 # --- use ----------------------------------------------------------------------------------------
 
@@ -88,14 +97,14 @@
 def test_signs_of_a_scorer_are_bad_until_one_good_sign():
     told, load = Warmth.UNTOLD, Warmth.WAITED_FOR_LOAD
     table = [  # ending, how long, warmth, whether one of these names a scorer, and whether two do
-        (Ending.TIMEOUT, 100.0, told, True, True),
-        (Ending.RESET, 5.0, told, True, True),
-        (Ending.CONNECT_FAILED, 5.0, told, True, True),
-        (Ending.CANCELLED, 900.0, told, False, True),
-        (Ending.CANCELLED, 20.0, told, False, False),
-        (Ending.GOOD, 900.0, told, False, True),
-        (Ending.GOOD, 900.0, load, False, False),
-        (Ending.NOT_SENT, 0.0, told, False, False),
+        (AttemptResult.TIMEOUT, 100.0, told, True, True),
+        (AttemptResult.RESET, 5.0, told, True, True),
+        (AttemptResult.CONNECT_FAILED, 5.0, told, True, True),
+        (AttemptResult.CANCELLED, 900.0, told, False, True),
+        (AttemptResult.CANCELLED, 20.0, told, False, False),
+        (AttemptResult.GOOD, 900.0, told, False, True),
+        (AttemptResult.GOOD, 900.0, load, False, False),
+        (AttemptResult.NOT_SENT, 0.0, told, False, False),
     ]
     for ending, took, warmth, once, twice in table:
         sights = FailureTracker()
@@ -103,11 +112,11 @@
         assert sights.named(10.0).failures == ({"7": 1} if once else {}), ending
         sights.ended(15.0, 7, ending, took, 400.0, warmth)
         assert sights.named(16.0).failures == ({"7": 2} if twice else {}), ending
-        sights.ended(20.0, 7, Ending.GOOD, 30.0, 400.0)
+        sights.ended(20.0, 7, AttemptResult.GOOD, 30.0, 400.0)
         assert sights.named(30.0).failures == {} and sights.good_ms(7) == 20.0
-        sights.ended(40.0, 7, Ending.GOOD, 900.0, 400.0)
+        sights.ended(40.0, 7, AttemptResult.GOOD, 900.0, 400.0)
         assert sights.named(41.0).failures == {}  # what was hard before counts no more
-    sights.ended(50.0, 7, Ending.TIMEOUT, 400.0, 400.0)
+    sights.ended(50.0, 7, AttemptResult.TIMEOUT, 400.0, 400.0)
     assert sights.named(51.0).failures == {"7": 2}
     assert sights.named(5_000.0).failures == {}  # it fades
 
@@ -143,7 +152,7 @@
 
 def test_who_has_a_good_sign_of_its_own_goes_by_that():
     rests, sights = OutlierEjections(), FailureTracker()
-    sights.ended(1_000.0, 1, Ending.GOOD, 10.0, 400.0)
+    sights.ended(1_000.0, 1, AttemptResult.GOOD, 10.0, 400.0)
     rests.heard(1_500.0, m.ReportedOutliers({"1": 9}), sights, {1: "a"}, {"a": 8})
     assert rests.resting(1_500.0) == set()
     rests.heard(1_700.0, m.ReportedOutliers({"1": 9}), sights, {1: "a"}, {"a": 8})
