--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -6,35 +6,21 @@
 again.
 """
 
+import base64
+import hashlib
+import itertools
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
-from dataclasses import replace
-from fawnwharf.interface import ClassSpec
-from fawnwharf.interface import Effect
+from dataclasses import dataclass, field, replace
+
+from fawnwharf.interface import ClassSpec, Effect
 from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call
-from fawnwharf.net.requests import Failed
-from fawnwharf.net.requests import Outcome
-from fawnwharf.net.requests import Refused
-from fawnwharf.net.requests import RequestTable
-from fawnwharf.net.requests import Served
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.replication.call_owner import AnswerCall
-from fawnwharf.replication.call_owner import FailCall
-from fawnwharf.replication.call_owner import OwnerAction
-from fawnwharf.replication.call_owner import RejectCall
-from fawnwharf.replication.call_owner import RunCall
+from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.replication.call_owner import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.settings import ClaimMode
-from fawnwharf.replication.settings import ReplicationSettings
-import base64
-import hashlib
-import itertools
-
+from fawnwharf.replication.settings import ClaimMode, ReplicationSettings
 
 HELD_BYTES_MOST = 8 * 1024 * 1024  # bodies of calls that wait for their keepers
 HELD_MOST = 4_096
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -4,27 +4,23 @@
 and, by the dozen, in virtual time.
 """
 
+from typing import Any
+
+import msgspec
+
 from fawnwharf import interface as io
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.call_owner import CallOwner
-from fawnwharf.replication.call_owner import OwnerAction
+from fawnwharf.replication.call_owner import CallOwner, OwnerAction
 from fawnwharf.replication.claims import ClaimPhase
-from fawnwharf.replication.failure_reports import FailureReportStore
-from fawnwharf.replication.failure_reports import FailureTracker
+from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker
 from fawnwharf.replication.load_report import LoadReporter
-from fawnwharf.replication.placement import ReplicaPlacement
-from fawnwharf.replication.placement import rendezvous_weight
-from fawnwharf.replication.remote_loads import LoadReportStore
-from fawnwharf.replication.remote_loads import RemoteLoads
+from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
+from fawnwharf.replication.remote_loads import LoadReportStore, RemoteLoads
 from fawnwharf.replication.replica import Replica
 from fawnwharf.replication.settings import ReplicationSettings
-from fawnwharf.replication.usage import QuotaShares
-from fawnwharf.replication.usage import UsageTable
+from fawnwharf.replication.usage import QuotaShares, UsageTable
 from fawnwharf.zones.settings import Membership
-from typing import Any
-import msgspec
-
 
 TICK_MS = 100.0
 
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -2,18 +2,15 @@
 others'. The thin part round `elsewhere.py` and `others.py`."""
 
 from collections.abc import Callable
+from typing import Any
+
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.streams import Attempt
-from fawnwharf.net.streams import Order
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.streams import Attempt, Order
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.load_report import LoadReporter
-from typing import Any
-
 
 GATHER_MS = 4.0  # keepers answer at nearly the same moment: the module hears once
 
@@ -27,7 +24,9 @@
         """Switches the telling on in this core."""
         self._core, self._note = core, note
         copies_ms = min(core.settings.copies_ms, settings.idle_life_ms / 2)
-        core.load_reporter = self.own = LoadReporter(settings.slow_start_ms, settings.slow_start_window_ms, copies_ms)
+        core.load_reporter = self.own = LoadReporter(
+            settings.slow_start_ms, settings.slow_start_window_ms, copies_ms
+        )
         self._fronts = settings.fleet_size
         self._front: FrontEnd | None = None
         self._carry_out: Callable[[list[OwnerAction]], None] | None = None
--- a/fawnwharf/testbed/promises.py
+++ b/fawnwharf/testbed/promises.py
@@ -5,28 +5,23 @@
 come back with nothing, or are paused without noticing. Clocks run at different rates, up to a minute apart.
 """
 
+import heapq
+import itertools
+import random
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
+from typing import Any
+
+import msgspec
+
 from fawnwharf.interface import Effect
-from fawnwharf.replication.call_owner import AnswerCall
-from fawnwharf.replication.call_owner import FailCall
-from fawnwharf.replication.call_owner import OwnerAction
-from fawnwharf.replication.call_owner import RejectCall
-from fawnwharf.replication.call_owner import RunCall
+from fawnwharf.replication.call_owner import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.messages import Send
 from fawnwharf.replication.settings import ReplicationSettings
-from fawnwharf.zones.settings import Membership
-from fawnwharf.zones.settings import membership_from
-from typing import Any
-import heapq
-import itertools
-import msgspec
-import random
-
+from fawnwharf.zones.settings import Membership, membership_from
 
 PROMISE_MS, BUDGET_MS = 800.0, 2_000.0
 SETTLE_MS = 1_000.0  # after the last fault, for lines that are on their way
--- a/tests/test_elsewhere.py
+++ b/tests/test_elsewhere.py
@@ -1,21 +1,15 @@
 """What front ends tell each other of sends to cold scorers, of loads and copies: cores in virtual time."""
 
-from fawnwharf import interface as io
-from fawnwharf.replication import messages as m
-from fawnwharf.replication.load_report import COPIES_MOST
-from fawnwharf.replication.load_report import NEWS_MOST
-from fawnwharf.replication.remote_loads import LoadReportStore
-from fawnwharf.replication.remote_loads import OwnerReport
-from fawnwharf.replication.remote_loads import PLACES_MOST
-from fawnwharf.replication.remote_loads import RemoteLoads
-from hypothesis import given
-from hypothesis import settings
-from hypothesis import strategies
-from support.load_reports import greeted
-from support.load_reports import own
-import msgspec
 import random
 
+import msgspec
+from hypothesis import given, settings, strategies
+from support.load_reports import greeted, own
+
+from fawnwharf import interface as io
+from fawnwharf.replication import messages as m
+from fawnwharf.replication.load_report import COPIES_MOST, NEWS_MOST
+from fawnwharf.replication.remote_loads import PLACES_MOST, LoadReportStore, OwnerReport, RemoteLoads
 
 GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
 
--- a/tests/test_elsewhere_answers.py
+++ b/tests/test_elsewhere_answers.py
@@ -1,18 +1,15 @@
 """What a front end makes of what keepers answer on others' work; several cores; faults of settings."""
 
+import msgspec
+import pytest
 from cores import Cores
+from support.load_reports import greeted, own
+
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.remote_loads import LoadReportStore
-from fawnwharf.replication.remote_loads import RemoteLoads
-from fawnwharf.replication.remote_loads import most_heard
+from fawnwharf.replication.remote_loads import LoadReportStore, RemoteLoads, most_heard
 from fawnwharf.zones.settings import SettingsFileError
-from support.load_reports import greeted
-from support.load_reports import own
-import msgspec
-import pytest
-
 
 GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
 
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -1,25 +1,16 @@
 """What front ends tell each other of use and of scorers: shares of quotas, and beliefs."""
 
 from cores import Cores
-from fawnwharf.config import Fleet
-from fawnwharf.config import Member
-from fawnwharf.interface import AttemptResult
-from fawnwharf.interface import Warmth
+from hypothesis import given, strategies
+
+from fawnwharf.config import Fleet, Member
+from fawnwharf.interface import AttemptResult, Warmth
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.failure_reports import FailureReportStore
-from fawnwharf.replication.failure_reports import FailureTracker
-from fawnwharf.replication.failure_reports import OutlierEjections
-from fawnwharf.replication.outlier_ejection import OutlierEjector
-from fawnwharf.replication.outlier_ejection import excluding
-from fawnwharf.replication.usage import MIN_SHARE_PART
-from fawnwharf.replication.usage import QuotaShares
-from fawnwharf.replication.usage import UsageTable
-from fawnwharf.replication.usage import quota_share
-from hypothesis import given
-from hypothesis import strategies
-
+from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker, OutlierEjections
+from fawnwharf.replication.outlier_ejection import OutlierEjector, excluding
+from fawnwharf.replication.usage import MIN_SHARE_PART, QuotaShares, UsageTable, quota_share
 
 # --- use ----------------------------------------------------------------------------------------
 
