--- a/fawnwharf/zones/bootstrap.py
+++ b/fawnwharf/zones/bootstrap.py
@@ -3,23 +3,27 @@
 from pathlib import Path
 
 from fawnwharf.config import ConfigError
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.disk import Disk
+from fawnwharf.consensus.records import DiskError
 from fawnwharf.consensus.voter import founding
-from fawnwharf.zones import settings as s
 from fawnwharf.zones.files import load_file
+from fawnwharf.zones.settings import membership_from, settings_from
 
 
 def bootstrap(path: str | Path, name: str) -> str:
-    """Make a member the first voter of a new fleet, once; its disk identity. Raises ConfigError."""
-    settings = load_file(Path(path), s.settings_from, "zones")
-    base = Path(path).parent
-    members = load_file(base / settings.membership_file, s.membership_from, "zones")
-    entry = members.named(name)
+    """Make a member the first voter of a new fleet and return its voter identity.
+
+    Raises ConfigError where the member is no voter, or where its disk already belongs to a fleet.
+    """
+    settings_path = Path(path)
+    folder = settings_path.parent
+    settings = load_file(settings_path, settings_from, "zones")
+    membership = load_file(folder / settings.membership_file, membership_from, "zones")
+    entry = membership.named(name)
     if entry is None or not entry.ballots:
         raise ConfigError(f"zones: {name} is no voter among the members")
-    folder = base / settings.state_folder
     try:
-        disk = Disk(folder, members.fleet, name)
+        disk = Disk(folder / settings.state_folder, membership.fleet, name)
     except DiskError as error:
         raise ConfigError(f"zones: {error}") from None
     try:
--- a/fawnwharf/zones/files.py
+++ b/fawnwharf/zones/files.py
@@ -1,37 +1,40 @@
-"""Files of a running front end: read at start, and checked for changes while it serves."""
+"""Operators' files of a running front end: read at the start, and watched for changes while it serves."""
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import TypeVar
 
 from fawnwharf.config import ConfigError
 from fawnwharf.zones.settings import SettingsFileError
 
+T = TypeVar("T")
+
 
 class WatchedFile:
-    """A file that is taken whole or not at all, when it has changed."""
+    """A file that is read as a whole whenever it has changed."""
 
     def __init__(self, path: Path) -> None:
-        self.path, self._seen = path, None
+        self.path = path
+        self._last_seen: tuple[int, int, int] | None = None  # modification time, size, inode
 
     def changed(self) -> bytes | None:
-        """The file's bytes where it changed since the last call; None where it did not, or can't be read."""
+        """The file's bytes if it changed since the last call; None if it did not or cannot be read."""
         try:
             stat = self.path.stat()
-            mark = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
-            if mark == self._seen:
+            seen = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
+            if seen == self._last_seen:
                 return None
             data = self.path.read_bytes()
         except OSError:
             return None
-        self._seen = mark
+        self._last_seen = seen
         return data
 
 
-def load_file(path: Path, read: Callable[[bytes], Any], key: str) -> Any:
-    """What `read` makes of a file; raises ConfigError with one line that begins with the key."""
+def load_file(path: Path, decode: Callable[[bytes], T], key: str) -> T:
+    """Decode a file; raises ConfigError with one line that begins with the key."""
     try:
-        return read(path.read_bytes())
+        return decode(path.read_bytes())
     except OSError as error:
         raise ConfigError(f"{key}: {path}: {error.strerror}") from None
     except SettingsFileError as error:
--- a/fawnwharf/zones/log_client.py
+++ b/fawnwharf/zones/log_client.py
@@ -1,22 +1,22 @@
-"""What a subsystem implements that uses the zones' logs and the consensus log."""
+"""The interface of subsystems that communicate through the member logs and the consensus log."""
 
 from typing import Any, Protocol
 
 
 class LogClient(Protocol):
-    """Another subsystem that uses these logs and the consensus log. None of its methods may raise."""
+    """A subsystem that uses these logs; none of its methods may raise."""
 
-    def on_messages(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
-        """Take messages of another member's client.
+    def on_messages(self, sender: str, messages: tuple[Any, ...], status: Any) -> None:
+        """Take messages of the same client at another member.
 
-        `standing`, where it is there, is that client's status.
+        `status` is that client's status, or None where the line has none.
         """
 
     def on_register_decided(self, text: str) -> None:
-        """Take a register of its kind that the consensus log decided."""
+        """Take a register of this client's kind that the consensus log decided."""
 
     def on_role_changed(self) -> None:
-        """Something was carried out: the voter may have begun or ceased to lead."""
+        """Effects were carried out: the voter may have started or stopped to lead."""
 
     def on_membership_changed(self) -> None:
-        """There is a later list of members."""
+        """A later membership is in use."""
--- a/fawnwharf/zones/operator_log.py
+++ b/fawnwharf/zones/operator_log.py
@@ -7,8 +7,10 @@
 
 import structlog
 
+WriteEvent = Callable[[str, dict[str, Any]], None]  # takes an event's name and its fields
 
-def writer(member: str) -> Callable[[str, dict[str, Any]], None]:
+
+def writer(member: str) -> WriteEvent:
     """A function that writes an event and its fields, with the member's name and the time in UTC."""
     log = structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
@@ -20,7 +22,7 @@
     )
 
     def write(event: str, fields: dict[str, Any]) -> None:
-        with contextlib.suppress(OSError):  # nobody reads the log: no reason to stop serving
+        with contextlib.suppress(OSError):  # that nobody reads the log is no reason to stop serving
             log.info(event, **{key.replace(" ", "_"): value for key, value in fields.items()})
 
     return write
