--- a/fawnwharf/replication/grant_log.py
+++ b/fawnwharf/replication/grant_log.py
@@ -17,8 +17,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.disk import DiskError
-from fawnwharf.consensus.records import encode, records
+from fawnwharf.consensus.records import encode_record, scan_records
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.replication.claims import CallKey, Claim
 
 VERSION = 1
@@ -115,7 +115,7 @@
             inode = path.stat().st_ino
         except OSError as error:
             raise DiskError(f"{path}: {error.strerror}") from None
-        found, _, damaged = records(data)
+        found, _, damaged = scan_records(data)
         try:
             head = msgspec.json.decode(found[0][1], type=Head) if found else None
             batches = [msgspec.json.decode(content, type=Batch) for _, content in found[1:]]
@@ -169,7 +169,7 @@
 
     def _append(self, value: Struct) -> None:
         self._number += 1
-        data = encode(self._number, value)
+        data = encode_record(self._number, value)
         if os.write(self._file, data) != len(data):
             raise OSError(28, "no room for a whole record")
 
--- a/fawnwharf/zones/bootstrap.py
+++ b/fawnwharf/zones/bootstrap.py
@@ -1,13 +1,14 @@
 """Bootstrap of a fleet: once, at one voter, by an operator's command."""
 
-from pathlib import Path
-
 from fawnwharf.config import ConfigError
-from fawnwharf.consensus.disk import Disk
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.consensus.voter import founding
+from fawnwharf.consensus.voter import bootstrap_state
+from fawnwharf.consensus.voter_store import DiskError
+from fawnwharf.consensus.voter_store import VoterStore
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.settings import membership_from, settings_from
+from fawnwharf.zones.settings import membership_from
+from fawnwharf.zones.settings import settings_from
+from pathlib import Path
 
 
 def bootstrap(path: str | Path, name: str) -> str:
@@ -23,13 +24,13 @@
     if entry is None or not entry.ballots:
         raise ConfigError(f"zones: {name} is no voter among the members")
     try:
-        disk = Disk(folder / settings.state_folder, membership.fleet, name)
+        disk = VoterStore(folder / settings.state_folder, membership.fleet, name)
     except DiskError as error:
         raise ConfigError(f"zones: {error}") from None
     try:
-        if disk.number or disk.saved.voters:
+        if disk.record_number or disk.saved.voters:
             raise ConfigError(f"zones: {disk.path}: not empty: this fleet has begun")
-        disk.save(founding(disk.label.identity))
+        disk.save(bootstrap_state(disk.identity.voter_identity))
     finally:
         disk.close()
-    return disk.label.identity
+    return disk.identity.voter_identity
--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -8,34 +8,33 @@
 the last) and, of voters only, one for the other voters (the consensus protocol itself).
 """
 
-from typing import Any
-
-import msgspec
-
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.voter import Timing, Voter
+from fawnwharf.consensus.timing import Timing
+from fawnwharf.consensus.voter import Voter
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.evidence import ZoneEvidence
-from fawnwharf.zones.log_lines import (
-    POLICY,
-    RECOVERY,
-    ConsensusStatus,
-    DropCounts,
-    Effect,
-    FollowPlan,
-    LogEvent,
-    LogLine,
-    LogLineError,
-    MessagesReceived,
-    PublishLine,
-    RegisterDecided,
-    SaveVoterState,
-    SendVoterMessage,
-    messages_for,
-)
-from fawnwharf.zones.plan import Plan, PlanError, plan_from
+from fawnwharf.zones.log_lines import ConsensusStatus
+from fawnwharf.zones.log_lines import DropCounts
+from fawnwharf.zones.log_lines import Effect
+from fawnwharf.zones.log_lines import FollowPlan
+from fawnwharf.zones.log_lines import LogEvent
+from fawnwharf.zones.log_lines import LogLine
+from fawnwharf.zones.log_lines import LogLineError
+from fawnwharf.zones.log_lines import MessagesReceived
+from fawnwharf.zones.log_lines import POLICY
+from fawnwharf.zones.log_lines import PublishLine
+from fawnwharf.zones.log_lines import RECOVERY
+from fawnwharf.zones.log_lines import RegisterDecided
+from fawnwharf.zones.log_lines import SaveVoterState
+from fawnwharf.zones.log_lines import SendVoterMessage
+from fawnwharf.zones.log_lines import messages_for
+from fawnwharf.zones.plan import Plan
+from fawnwharf.zones.plan import PlanError
+from fawnwharf.zones.plan import plan_from
 from fawnwharf.zones.planner import ZonePlanner
 from fawnwharf.zones.report import Report
+from typing import Any
+import msgspec
 
 
 class MemberCore:
@@ -52,7 +51,7 @@
         now_ms: float,
         seed: int,
         identity: str = "",
-        saved: m.Saved | None = None,
+        saved: m.PersistentState | None = None,
         saves: int = 0,
     ) -> None:
         """A voter brings its identity, its saved state and how often that was written; others only follow."""
@@ -62,7 +61,7 @@
         self.voter: Voter | None = None
         if identity:
             timing = Timing(voting.heartbeat_ms, voting.election_timeout_ms, voting.max_clock_skew)
-            self.voter = Voter(identity, saved or m.Saved(), timing, now_ms, seed)
+            self.voter = Voter(identity, saved or m.PersistentState(), timing, now_ms, seed)
         self.judge = ZonePlanner(settings, now_ms)
         self.plan, self.index = Plan(), 0  # the last decided one that is known
         self.text, self.published = "", 0  # as it was decided; the index that stands in the own log
@@ -240,10 +239,10 @@
     def _voted(self, now_ms: float, actions: list[m.Action]) -> list[Effect]:
         effects: list[Effect] = []
         for action in actions:
-            if isinstance(action, m.Save):
+            if isinstance(action, m.Persist):
                 self.saves += 1
                 effects.append(SaveVoterState(action.saved))
-            elif isinstance(action, m.Say):
+            elif isinstance(action, m.Send):
                 to = action.message.to.partition("#")[0]
                 ballot = msgspec.to_builtins(action.message)
                 effects.append(
@@ -262,12 +261,12 @@
         self.roles = role
         return effects + self._given_out(now_ms)
 
-    def _decided(self, decided: m.Decided) -> list[Effect]:
+    def _decided(self, decided: m.Committed) -> list[Effect]:
         if decided.kind == "voters":
             return [LogEvent("voters", {"index": decided.index, "voters": list(decided.voters)})]
         if decided.kind in (POLICY, RECOVERY):
-            return [RegisterDecided(decided.index, decided.plan, decided.kind)]
-        if decided.kind != "plan" or not self._learn(decided.index, decided.plan):
+            return [RegisterDecided(decided.index, decided.text, decided.kind)]
+        if decided.kind != "plan" or not self._learn(decided.index, decided.text):
             return []
         states = {name: f"{zone.state} {zone.fraction:g}" for name, zone in self.plan.zones.items()}
         return [LogEvent("plan", {"index": decided.index, "term": decided.term, "zones": states})]
@@ -288,9 +287,9 @@
         voter = self.voter
         if voter is None or not voter.is_leader:
             return ConsensusStatus()
-        settled = voter.commit == voter.saved.last_index
+        settled = voter.commit_index == voter.saved.last_index
         policy, recovery = voter.last(POLICY)[1], voter.last(RECOVERY)[1]
-        fresh = voter.fresh(now_ms)
+        fresh = voter.holds_read_lease(now_ms)
         return ConsensusStatus(voter.saved.term, fresh, settled, policy, recovery, voter.saved.voters)
 
     def propose_register(self, now_ms: float, text: str, kind: str = POLICY) -> tuple[bool, list[Effect]]:
@@ -305,7 +304,7 @@
         if now_ms >= self.judge_due_ms:
             self.judge_due_ms = now_ms + self.settings.evidence.report_interval_ms / 2
             effects += self._judge(now_ms)
-        if now_ms >= self.fresh_due_ms and self.voter.fresh(now_ms):
+        if now_ms >= self.fresh_due_ms and self.voter.holds_read_lease(now_ms):
             self.fresh_due_ms = now_ms + self.settings.consensus.freshness_interval_ms
             index, term = self.voter.plan[0], self.voter.saved.term
             if index:
@@ -314,8 +313,8 @@
         return effects
 
     def _judge(self, now_ms: float) -> list[Effect]:
-        settled = self.voter.commit == self.voter.saved.last_index
-        if not settled or not self.voter.fresh(now_ms):
+        settled = self.voter.commit_index == self.voter.saved.last_index
+        if not settled or not self.voter.holds_read_lease(now_ms):
             return []  # one decision at a time, and none on a view that may be old
         effects = self._reconcile(now_ms)
         if effects:
@@ -362,7 +361,7 @@
         replaced = [v for v in now if present.get(v.partition("#")[0], v) != v]
         missing = [v for name, v in sorted(present.items()) if v not in now]
         fresh = [v for v in missing if not any(v.partition("#")[0] == old.partition("#")[0] for old in now)]
-        others_first = sorted(replaced + gone, key=lambda v: v == self.voter.me)
+        others_first = sorted(replaced + gone, key=lambda v: v == self.voter.identity)
         if others_first and len(now) > 1:
             voters = tuple(v for v in now if v != others_first[0])
         elif fresh:
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster_closing
@@ -73,8 +73,8 @@
         self.entry, self.folder = self._own_entry(members), folder
         self.disk = self._open_disk(members.fleet) if self.entry.ballots else None
         now = monotonic_ms()
-        identity = self.disk.label.identity if self.disk else ""
-        kept = (self.disk.saved, self.disk.number) if self.disk else (None, 0)
+        identity = self.disk.identity.voter_identity if self.disk else ""
+        kept = (self.disk.saved, self.disk.record_number) if self.disk else (None, 0)
         name, seed = self.entry.name, deployment.seed
         self.core = MemberCore(name, members, self.settings, now, seed, identity, *kept)
         promise = min((c.promise_ms for c in deployment.settings.classes.values()), default=1_000.0)
@@ -109,9 +109,9 @@
             raise ConfigError(f"zones: {entry.name} is of {zones}")
         return entry
 
-    def _open_disk(self, fleet: str) -> Disk:
+    def _open_disk(self, fleet: str) -> VoterStore:
         try:
-            return Disk(self.folder, fleet, self.entry.name)
+            return VoterStore(self.folder, fleet, self.entry.name)
         except DiskError as error:
             raise ConfigError(f"zones: {error}") from None
 
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -12,9 +12,9 @@
 
 from fawnwharf import config
 from fawnwharf.admin import handoff_messages as successor
-from fawnwharf.admin import memory as beliefs
-from fawnwharf.consensus import disk as voter_disk
+from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.consensus import messages as consensus
+from fawnwharf.consensus import voter_store as voter_disk
 from fawnwharf.durable_store import form, ops
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import messages as policy
@@ -80,8 +80,8 @@
 
 BOUNDARIES: dict[str, Boundary] = {
     "consensus/message": line(consensus.Message, consensus.message_from),
-    "consensus/label": file(voter_disk.Label),
-    "consensus/saved": file(consensus.Saved),
+    "consensus/label": file(voter_disk.DiskIdentity),
+    "consensus/saved": file(consensus.PersistentState),
     "storage/head": file(form.Head),
     "storage/group": file(form.Group),
     "storage/piece": file(form.Piece),
@@ -103,7 +103,7 @@
     ),
     "migration/message": converted(migrations.Message),
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
-    "successor/memory": packed(beliefs.Memory),
+    "successor/memory": packed(beliefs.LearnedState),
     "recovery/register": Boundary(
         recovery_register.Register, lambda data: recovery_register.register_from(data.decode()),
         lambda value: value.encode().encode(),
