--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -22,7 +22,7 @@
     `zones` and `state` are the attached parts; `state` is None where no calls are replicated, and `staging`
     where nothing is prefetched.
     """
-    settings, members = deployment.settings, zones.core.members
+    settings, members = deployment.settings, zones.core.membership
     names = sorted(members.zones)
     spill = zones.settings.spillover
     values: dict[tuple[str, ...], Any] = {}
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -149,7 +149,7 @@
             self._write_trace()
 
     def _names(self) -> tuple[str, ...]:
-        return tuple(member.name for member in self.zones.core.members.members)
+        return tuple(member.name for member in self.zones.core.membership.members)
 
     def close(self) -> None:
         """Stop, refuse the held calls, and restore the settings in the other parts."""
@@ -342,7 +342,7 @@
         if self._stopped:
             return
         if not self.ready and monotonic_ms() - self._began_ms >= ALONE_MS:
-            voters = [e.name for e in self.zones.core.members.voters if e.name != self.zones.entry.name]
+            voters = [e.name for e in self.zones.core.membership.voters if e.name != self.zones.entry.name]
             silent = sorted(name for name in voters if name not in self.agent.standings)
             leads = [name for name, told in self.agent.standings.items() if told.term]
             why = self.agent.holder.fault or "no leader's steward has told what is in force"
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -1,46 +1,38 @@
 """Recovery in a running front end: its agent on the fleet's logs, what it counts, and what follows for its
 parts."""
 
+import hashlib
 from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
 from fawnwharf import interface as io
-from fawnwharf.config import Deployment
-from fawnwharf.config import Fleet
+from fawnwharf.config import Deployment, Fleet
 from fawnwharf.consensus.committed_log import last_appended
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.asking import Stand
-from fawnwharf.recovery_core.asking import What
-from fawnwharf.recovery_core.stages import Decide
-from fawnwharf.recovery_core.stages import Note
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_core.trust import Kind
-from fawnwharf.recovery_core.trust import Store
-from fawnwharf.recovery_service import front_end_integration
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.recovery_core.asking import Stand, What
+from fawnwharf.recovery_core.stages import Decide, Note, Stage
+from fawnwharf.recovery_core.trust import Kind, Store
+from fawnwharf.recovery_service import front_end_integration, status_display
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service import status_display
-from fawnwharf.recovery_service.agent import ApplyPhase
-from fawnwharf.recovery_service.agent import Effect
-from fawnwharf.recovery_service.agent import LocalStatus
-from fawnwharf.recovery_service.agent import RecoveryAgent
-from fawnwharf.recovery_service.agent import SendMessage
-from fawnwharf.recovery_service.agent import SignatureReported
+from fawnwharf.recovery_service.agent import (
+    ApplyPhase,
+    Effect,
+    LocalStatus,
+    RecoveryAgent,
+    SendMessage,
+    SignatureReported,
+)
 from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
 from fawnwharf.recovery_service.counters import FrontEndCounters
-from fawnwharf.recovery_service.hints import ENTRY_KEY
-from fawnwharf.recovery_service.hints import RosterRecorder
-from fawnwharf.recovery_service.hints import UsageRecorder
+from fawnwharf.recovery_service.hints import ENTRY_KEY, RosterRecorder, UsageRecorder
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.recovery_service.settings import Settings
-from fawnwharf.recovery_service.settings import settings_from
+from fawnwharf.recovery_service.settings import Settings, settings_from
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.log_lines import ClientMessage
-from fawnwharf.zones.log_lines import RECOVERY
-from pathlib import Path
-from typing import Any
-import hashlib
-import msgspec
-
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
 
 DISPLAY_INTERVAL_MS = 200.0  # how this one stands is told for people no more often than that
 MAX_MESSAGES_PER_LINE = 200  # in one line
@@ -93,7 +85,7 @@
         front.port.waits_for.add(RECOVERY)
         front.changelog.may_begin_anew = True
         self.agent = RecoveryAgent(
-            self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
+            self.zones.entry.name, self.zones.core.membership.fleet, self.life, self.kept.boot, self._lists(),
             self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
             monotonic_ms(), settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
         )  # fmt: skip
@@ -170,7 +162,7 @@
     # --- what this front end knows of itself ------------------------------------------------------
 
     def _lists(self) -> MemberLists:
-        members = self.zones.core.members
+        members = self.zones.core.membership
         names = tuple(entry.name for entry in members.members)
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
         who = sorted((e.name, e.zone, e.region, bool(e.ballots), bool(e.state)) for e in members.members)
--- a/fawnwharf/zones/bootstrap.py
+++ b/fawnwharf/zones/bootstrap.py
@@ -1,14 +1,13 @@
 """Bootstrap of a fleet: once, at one voter, by an operator's command."""
 
+from pathlib import Path
+
 from fawnwharf.config import ConfigError
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.consensus.voter import bootstrap_state
-from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.consensus.voter_store import VoterStore
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.settings import membership_from
-from fawnwharf.zones.settings import settings_from
-from pathlib import Path
+from fawnwharf.zones.settings import membership_from, settings_from
 
 
 def bootstrap(path: str | Path, name: str) -> str:
--- a/fawnwharf/zones/log_lines.py
+++ b/fawnwharf/zones/log_lines.py
@@ -1,6 +1,10 @@
-"""Lines of a member's log, and the effects that a member asks of its owner. Values alone."""
+"""Lines of a member log, the messages of log clients in them, and the counts of what was dropped.
+
+Values alone. A field whose outside name differs keeps that name on the wire.
+"""
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Annotated, Any
 
 import msgspec
@@ -8,18 +12,18 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.plan import Plan
 from fawnwharf.zones.report import Report
 
 MAX_TEXT = m.MAX_DATA_LENGTH
 MAX_MESSAGES = 1_024  # in one line
 
-
-POLICY, RECOVERY = "policy", "recovery"  # riders, and the kinds of their registers in the voters' log
+# The log clients; they are also the kinds of their registers in the consensus log.
+POLICY = "policy"
+RECOVERY = "recovery"
 
 
 class ClientMessage(Struct, frozen=True, omit_defaults=True):
-    """A message of a log client: to these members, or to whoever leads the voters where none is named."""
+    """A message of a log client to these members, or to the leader of the voters where none is named."""
 
     body: Any = msgspec.field(name="said")
     recipients: Annotated[tuple[s.Name, ...], Meta(max_length=s.MAX_MEMBERS)] = msgspec.field(
@@ -32,126 +36,72 @@
 
 
 class LogLine(Struct, frozen=True, omit_defaults=True):
-    """One line of a member's log, besides its number; one of the fields from `report` on is there."""
+    """One line of a member log, without its number; it has one of the fields from `report` on."""
 
     fleet: s.Name
     sender: s.Name
     report: Report | None = None
     plan: Annotated[str, Meta(max_length=MAX_TEXT)] | None = None
-    fresh: bool = False  # the leader's word, at this moment: no later plan is decided than this index
-    index: Annotated[int, Meta(ge=0)] = 0  # of the plan, or of what is fresh
+    # The leader states that no plan later than `index` is decided at this moment.
+    fresh: bool = False
+    index: Annotated[int, Meta(ge=0)] = 0
     term: Annotated[int, Meta(ge=0)] = 0
-    voter_message: Any = msgspec.field(name="ballot", default=None)  # a message of the voting
-    disk_writes: Annotated[int, Meta(ge=0)] = msgspec.field(
-        name="saves", default=0
-    )  # times that the voter's disk was written, ever, as of this ballot
-    messages: Any = msgspec.field(
-        name="words", default=None
-    )  # of a rider, checked by themselves: bad ones cost nothing else
-    policy: Any = None  # how this member stands to changes of policy
-    recovery: Any = None  # and in a recovery
+    # A message of the consensus protocol, and how often the voter's state was written to its disk before it.
+    voter_message: Any = msgspec.field(name="ballot", default=None)
+    disk_writes: Annotated[int, Meta(ge=0)] = msgspec.field(name="saves", default=0)
+    # Messages of log clients. They are validated apart: malformed ones do not cost the line.
+    messages: Any = msgspec.field(name="words", default=None)
+    # The status of each log client at this member.
+    policy: Any = None
+    recovery: Any = None
 
 
 class LogLineError(ValueError):
-    """A line that costs its sender the connection; the text says why."""
-
-
-# --- effects --------------------------------------------------------------------------------
-
-
-class SaveVoterState(Struct, frozen=True):
-    """Effect: save the voter's state to disk."""
-
-    saved: m.PersistentState
-
-
-class PublishLine(Struct, frozen=True):
-    """Effect: write a line to the own log."""
-
-    line: LogLine
-
-
-class SendVoterMessage(Struct, frozen=True):
-    """Effect: write a line to the log of ballots; only `to`, a member's name, has use of it."""
-
-    to: str
-    line: LogLine
-
-
-class FollowPlan(Struct, frozen=True):
-    """Effect: go by this plan from now on.
-
-    None stands for no plan that is known to be the last: each front end is on its own then.
-    """
-
-    plan: Plan | None
-    index: int
-
-
-class MessagesReceived(Struct, frozen=True):
-    """Effect, for a log client.
-
-    Another member's messages to this one, and its status; None where it tells none.
-    """
-
-    sender: str
-    messages: tuple[Any, ...]
-    status: Any
-    client: str = POLICY
-
-
-class RegisterDecided(Struct, frozen=True):
-    """Effect: the consensus log decided this register, of policy or of recovery."""
-
-    index: int
-    text: str
-    kind: str = POLICY
-
-
-class LogEvent(Struct, frozen=True):
-    """Effect: a line for the operators' log, an event and its fields."""
-
-    event: str
-    fields: dict[str, Any]
-
-
-Effect = (
-    SaveVoterState
-    | PublishLine
-    | SendVoterMessage
-    | FollowPlan
-    | MessagesReceived
-    | RegisterDecided
-    | LogEvent
-)
+    """A line that no correct member writes; it costs its sender the connection."""
 
 
 class ConsensusStatus(Struct, frozen=True):
     """The state of a member's voter at one moment."""
 
-    term: int = 0  # of its reign; 0: it does not lead
-    fresh: bool = False  # its last decided registers are the fleet's last, for certain
-    settled: bool = False  # nothing of its log is undecided
+    term: int = 0  # of its leadership; 0 while it does not lead
+    fresh: bool = False  # its last decided registers are certainly the fleet's last ones
+    settled: bool = False  # its log has no undecided entry
     policy: str = ""  # the last decided register of each kind
     recovery: str = ""
-    voters: tuple[str, ...] = ()  # identities, by the list in force
+    voters: tuple[str, ...] = ()  # the identities in the voter list in force
+
+
+class DropCause(StrEnum):
+    """Why a line, or a part of it, was dropped."""
+
+    UNKNOWN_MEMBER = "unknown member"
+    OLDER_PLAN = "freshness of an older plan"
+    UNKNOWN_PLAN = "freshness of an unknown plan"
+    MALFORMED_MESSAGES = "malformed messages"
+    MALFORMED_PLAN = "malformed decided plan"
+    MALFORMED_LINE = "malformed line"
+    NON_VOTER = "voter message of a non-voter"
+    OLDER_DISK = "voter message from an older disk"
 
 
 @dataclass(slots=True)
 class DropCounts:
-    """What was dropped, by cause."""
+    """How often something was dropped, by cause."""
 
     dropped: dict[str, int] = field(default_factory=dict)
 
-    def add(self, cause: str) -> None:
-        """Count something that was dropped."""
-        self.dropped[cause] = self.dropped.get(cause, 0) + 1
+    def add(self, cause: DropCause) -> None:
+        """Count one dropped item."""
+        self.dropped[cause.value] = self.dropped.get(cause.value, 0) + 1
 
 
 def messages_for(name: str, data: Any) -> dict[str, tuple[Any, ...]]:
-    """The messages to this member, or to whoever leads, by log client; raises msgspec.ValidationError."""
+    """The bodies of the messages to this member or to the leader, by log client.
+
+    Raises msgspec.ValidationError.
+    """
     found: dict[str, tuple[Any, ...]] = {}
-    for word in msgspec.convert(data, ClientMessages):
-        if not word.recipients or name in word.recipients:
-            found[word.client] = (*found.get(word.client, ()), word.body)
+    for message in msgspec.convert(data, ClientMessages):
+        if not message.recipients or name in message.recipients:
+            found[message.client] = (*found.get(message.client, ()), message.body)
     return found
--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -1,400 +1,243 @@
-"""The core of one member of the fleet: what it takes from others' logs, and what it writes into its own.
+"""The core of one member of the fleet: what it takes from other members' logs and writes into its own.
 
-Pure: lines, evidence, ticks and files come in with a time, and effects go out in order. A Keep has to be on
-disk before any later effect of the same list is carried out. The same core runs in `serve`, and by the
-thousand in virtual time.
+Pure: lines, evidence, ticks and files come in with a time, and effects are returned in order. A
+SaveVoterState must be on disk before any later effect of the same list is carried out. The same core runs in
+`serve` and in simulations in virtual time.
 
-There are two logs: one that everybody may follow (reports, the decided plan, a leader's statement that it is
-the last) and, of voters only, one for the other voters (the consensus protocol itself).
+There are two logs: one that every member may follow (reports, decided plans, the leader's statement that its
+plan is the latest one), and one of voters alone for the other voters (the consensus protocol).
 """
 
-from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.timing import Timing
+from typing import Any
+
+import msgspec
+
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.zones import settings as s
+from fawnwharf.zones.effects import Effect, MessagesReceived, PublishLine
 from fawnwharf.zones.evidence import ZoneEvidence
-from fawnwharf.zones.log_lines import ConsensusStatus
-from fawnwharf.zones.log_lines import DropCounts
-from fawnwharf.zones.log_lines import Effect
-from fawnwharf.zones.log_lines import FollowPlan
-from fawnwharf.zones.log_lines import LogEvent
-from fawnwharf.zones.log_lines import LogLine
-from fawnwharf.zones.log_lines import LogLineError
-from fawnwharf.zones.log_lines import MessagesReceived
-from fawnwharf.zones.log_lines import POLICY
-from fawnwharf.zones.log_lines import PublishLine
-from fawnwharf.zones.log_lines import RECOVERY
-from fawnwharf.zones.log_lines import RegisterDecided
-from fawnwharf.zones.log_lines import SaveVoterState
-from fawnwharf.zones.log_lines import SendVoterMessage
-from fawnwharf.zones.log_lines import messages_for
-from fawnwharf.zones.plan import Plan
-from fawnwharf.zones.plan import PlanError
-from fawnwharf.zones.plan import plan_from
-from fawnwharf.zones.planner import ZonePlanner
+from fawnwharf.zones.log_events import (
+    MalformedMessages,
+    MembershipIgnored,
+    MembershipLoaded,
+    OperatorRequestLoaded,
+)
+from fawnwharf.zones.log_lines import (
+    POLICY,
+    RECOVERY,
+    ConsensusStatus,
+    DropCause,
+    LogLine,
+    LogLineError,
+    messages_for,
+)
+from fawnwharf.zones.member_state import MemberState
+from fawnwharf.zones.plan import Plan, PlanError
 from fawnwharf.zones.report import Report
-from typing import Any
-import msgspec
+from fawnwharf.zones.settings import Membership, OperatorRequest, ZoneSettings
+from fawnwharf.zones.voter_role import VoterRole, VoterStart, voter_message_of
 
 
 class MemberCore:
-    """Owns a member's part in the fleet.
-
-    Its view of the plan, and as a voter also the voter and the judge.
-    """
+    """Owns a member's part in the fleet; a member that is a voter has a voter role besides."""
 
     def __init__(
         self,
         name: str,
-        members: s.Membership,
-        settings: s.ZoneSettings,
+        membership: Membership,
+        settings: ZoneSettings,
         now_ms: float,
-        seed: int,
-        identity: str = "",
-        saved: m.PersistentState | None = None,
-        saves: int = 0,
+        voter: VoterStart | None = None,
     ) -> None:
-        """A voter brings its identity, its saved state and how often that was written; others only follow."""
-        self.name, self.members, self.settings = name, members, settings
-        self.identity, self.counts = identity, DropCounts()
-        voting = settings.consensus
-        self.voter: Voter | None = None
-        if identity:
-            timing = Timing(voting.heartbeat_ms, voting.election_timeout_ms, voting.max_clock_skew)
-            self.voter = Voter(identity, saved or m.PersistentState(), timing, now_ms, seed)
-        self.judge = ZonePlanner(settings, now_ms)
-        self.plan, self.index = Plan(), 0  # the last decided one that is known
-        self.text, self.published = "", 0  # as it was decided; the index that stands in the own log
-        self.fresh_ms: float | None = None  # when it was last said to be the last
-        self.following: tuple[int, bool] = (0, False)  # what was last given out
-        self.number = 0  # of own reports
-        self.saves = saves
-        self.heard_saves: dict[str, int] = {}  # the most that each voter's ballots told
-        self.wishes = s.OperatorRequest()
-        self.report_due_ms = self.fresh_due_ms = self.judge_due_ms = self.watch_due_ms = now_ms
-        self.roles = ("", 0)
-        if self.voter:
-            self._learn(self.voter.plan[0], self.voter.plan[1])
+        """A voter brings what it starts with; other members only follow."""
+        self.name = name
+        self.state = MemberState(name, membership, settings, now_ms)
+        self.identity = voter.identity if voter else ""
+        self.voter_role = VoterRole(self.state, voter, now_ms) if voter else None
+        self._report_number = 0
+        self._report_due_ms = now_ms
+        self._operator_request = OperatorRequest()
+
+    @property
+    def membership(self) -> Membership:
+        """The membership in use."""
+        return self.state.membership
+
+    @property
+    def plan(self) -> Plan:
+        """The last decided plan that this member knows."""
+        return self.state.plan_tracker.plan
+
+    @property
+    def plan_index(self) -> int:
+        """The index of that plan; 0 before the first."""
+        return self.state.plan_tracker.index
+
+    @property
+    def voter(self) -> Voter | None:
+        """This member's voter, where it has one."""
+        return self.voter_role.voter if self.voter_role else None
 
     @property
     def zone(self) -> str:
-        """This member's zone; empty where it is on no list."""
-        entry = self.members.named(self.name)
+        """This member's zone; empty where it is not in the membership."""
+        entry = self.membership.named(self.name)
         return entry.zone if entry else ""
 
-    def due_ms(self) -> float:
-        """When `tick` is wanted next."""
-        dues = [self.report_due_ms]
-        if self.voter:
-            dues.append(self.voter.due_ms)
-            if self.voter.is_leader:
-                dues += [self.fresh_due_ms, self.judge_due_ms]
-            else:
-                dues.append(self.watch_due_ms)
-        if self.following[1] and self.fresh_ms is not None:
-            dues.append(self.fresh_ms + self.settings.consensus.plan_validity_ms)
-        return min(dues)
-
-    # --- what comes in --------------------------------------------------------------------------
-
-    def line(self, now_ms: float, sender: str, data: Any, ballots: bool) -> list[Effect]:
-        """Take one line of a member's log, or of its ballots.
-
-        Raises LineFault for what no correct member writes.
-        """
-        line = self._checked(sender, data)
-        if self.members.named(sender) is None:
-            self.counts.add("no member")
+    def is_plan_valid(self, now_ms: float) -> bool:
+        """Whether the plan was confirmed to be the latest within its time of validity."""
+        return self.state.plan_tracker.is_valid(now_ms)
+
+    def stop_voting(self) -> None:
+        """Take no part in votes any more: the voter's state could not be saved."""
+        self.voter_role = None
+
+    # --- lines of other members -----------------------------------------------------------------
+
+    def receive_line(self, now_ms: float, sender: str, data: Any) -> list[Effect]:
+        """Take one line of a member's log; raises LogLineError for one that no correct member writes."""
+        line = self._checked_line(sender, data)
+        if not self._is_member(sender):
             return []
-        if ballots:
-            return self._ballot(now_ms, sender, line)
         if line.report is not None:
             if line.report.name != sender:
                 raise LogLineError(f"a report of {line.report.name} from {sender}")
-            self.judge.receive(now_ms, line.report)
+            self.state.planner.receive(now_ms, line.report)
         if line.plan is not None:
-            self._told(line)
-        if line.fresh and line.index == self.index:
-            self.fresh_ms = now_ms
-        elif line.fresh:
-            self.counts.add(
-                "word on an older plan" if line.index < self.index else "word on a plan not known"
-            )
-        return [*self._given_out(now_ms), *self._heard(sender, line)]
-
-    def _checked(self, sender: str, data: Any) -> LogLine:
-        """The line, of this fleet and of its sender; raises LineFault for any other."""
+            self._learn_plan(line.index, line.plan)
+        if line.fresh:
+            self._confirm_plan(now_ms, line.index)
+        return [*self.state.plan_updates(now_ms), *self._received_messages(sender, line)]
+
+    def receive_voter_line(self, now_ms: float, sender: str, data: Any) -> list[Effect]:
+        """Take one line of a voter's log; raises LogLineError for one that no correct member writes."""
+        line = self._checked_line(sender, data)
+        if not self._is_member(sender):
+            return []
+        message = voter_message_of(line)
+        if self.voter_role is None:
+            self.state.drop_counts.add(DropCause.NON_VOTER)
+            return []
+        return self.voter_role.receive(now_ms, line, message)
+
+    def _checked_line(self, sender: str, data: Any) -> LogLine:
+        """The decoded line; raises LogLineError for one of another fleet or sender."""
         try:
             line = msgspec.convert(data, LogLine)
         except msgspec.ValidationError as error:
-            raise LogLineError(f"not a line of a member: {error}") from None
-        if line.fleet != self.members.fleet:
-            raise LogLineError(f"of fleet {line.fleet}")
+            raise LogLineError(f"malformed log line: {error}") from None
+        if line.fleet != self.membership.fleet:
+            raise LogLineError(f"a line of fleet {line.fleet}")
         if line.sender != sender:
-            raise LogLineError(f"says that it is {line.sender}, and is {sender}")
+            raise LogLineError(f"a line of {line.sender} in the log of {sender}")
         return line
 
-    def _heard(self, sender: str, line: LogLine) -> list[Effect]:
-        try:
-            words = messages_for(self.name, line.messages) if line.messages is not None else {}
-        except msgspec.ValidationError:
-            self.counts.add("bad words")
-            return [LogEvent("bad words", {"sender": sender, "counts": dict(self.counts.dropped)})]
-        stands = {POLICY: line.policy, RECOVERY: line.recovery}
-        riders = dict.fromkeys([*words, *(rider for rider, told in stands.items() if told is not None)])
-        return [MessagesReceived(sender, words.get(rider, ()), stands.get(rider), rider) for rider in riders]
-
-    def _told(self, line: LogLine) -> None:
-        """A decided plan from any member is as good as from the leader: a number is decided once."""
-        if line.index <= self.index:
-            return
+    def _is_member(self, sender: str) -> bool:
+        """Whether the sender is in the membership; counts the line as dropped where it is not."""
+        if self.membership.named(sender) is not None:
+            return True
+        self.state.drop_counts.add(DropCause.UNKNOWN_MEMBER)
+        return False
+
+    def _learn_plan(self, index: int, text: str) -> None:
         try:
-            plan = plan_from(line.plan)
+            self.state.plan_tracker.learn(index, text)
         except PlanError as error:
-            raise LogLineError(f"a plan that is none: {error}") from None
-        # Decided after the one before, so it is no older than that was.
-        self.plan, self.index, self.text = plan, line.index, line.plan
+            raise LogLineError(f"malformed plan: {error}") from None
+
+    def _confirm_plan(self, now_ms: float, index: int) -> None:
+        """Take a leader's statement that the plan with this index is the latest one."""
+        if index == self.plan_index:
+            self.state.plan_tracker.confirmed_ms = now_ms
+        elif index < self.plan_index:
+            self.state.drop_counts.add(DropCause.OLDER_PLAN)
+        else:
+            self.state.drop_counts.add(DropCause.UNKNOWN_PLAN)
 
-    def _ballot(self, now_ms: float, sender: str, line: LogLine) -> list[Effect]:
+    def _received_messages(self, sender: str, line: LogLine) -> list[Effect]:
+        """The messages and the status for each log client that the line has any for."""
         try:
-            message = m.message_from(line.voter_message)
-        except msgspec.ValidationError as error:
-            raise LogLineError(f"not a ballot: {error}") from None
-        if message.sender.partition("#")[0] != sender:
-            raise LogLineError(f"a ballot of {message.sender} from {sender}")
-        entry = self.members.named(sender)
-        if self.voter is None or not entry.ballots:
-            self.counts.add("ballot of no voter")
-            return []
-        if (most := self.heard_saves.get(message.sender, 0)) > line.disk_writes:
-            # Its disk is an older copy of itself: what it promised since is lost to it, and it might vote
-            # twice.
-            self.counts.add("ballot from an older disk")
-            fields = {"voter": message.sender, "saves": line.disk_writes, "told before": most}
-            return [LogEvent("older disk", fields)]
-        self.heard_saves[message.sender] = line.disk_writes
-        return self._voted(now_ms, self.voter.receive(now_ms, message))
-
-    def take_members(self, now_ms: float, members: s.Membership) -> list[Effect]:
-        """Take a later file of members; older ones and other fleets' are ignored."""
-        if members.fleet != self.members.fleet or members.number <= self.members.number:
-            why = (
-                "of another fleet" if members.fleet != self.members.fleet else "not later than the one in use"
-            )
-            return [LogEvent("members left aside", {"number": members.number, "why": why})]
-        self.members = members
-        return [LogEvent("members taken", {"number": members.number, "members": len(members.members)})]
-
-    def take_wishes(self, wishes: s.OperatorRequest) -> list[Effect]:
-        """Take a later file of operators' requests."""
-        if wishes.number <= self.wishes.number:
+            messages = messages_for(self.name, line.messages) if line.messages is not None else {}
+        except msgspec.ValidationError:
+            self.state.drop_counts.add(DropCause.MALFORMED_MESSAGES)
+            return [MalformedMessages(sender, dict(self.state.drop_counts.dropped))]
+        statuses = {POLICY: line.policy, RECOVERY: line.recovery}
+        with_status = [client for client, status in statuses.items() if status is not None]
+        return [
+            MessagesReceived(sender, messages.get(client, ()), statuses.get(client), client)
+            for client in dict.fromkeys([*messages, *with_status])
+        ]
+
+    # --- operators' files -----------------------------------------------------------------------
+
+    def take_membership(self, membership: Membership) -> list[Effect]:
+        """Take a later membership file; an older one, or one of another fleet, is ignored."""
+        if membership.fleet != self.membership.fleet:
+            return [MembershipIgnored(membership.number, "of another fleet")]
+        if membership.number <= self.membership.number:
+            return [MembershipIgnored(membership.number, "not later than the one in use")]
+        self.state.membership = membership
+        return [MembershipLoaded(membership.number, len(membership.members))]
+
+    def take_operator_request(self, request: OperatorRequest) -> list[Effect]:
+        """Take a later operator request, and report it at once; an older one is ignored."""
+        if request.number <= self._operator_request.number:
             return []
-        self.wishes = wishes
-        self.report_due_ms = 0.0
-        return [LogEvent("wishes taken", {"number": wishes.number, "drained": list(wishes.drained)})]
+        self._operator_request = request
+        self._report_due_ms = 0.0
+        return [OperatorRequestLoaded(request.number, request.drained)]
 
     # --- time -----------------------------------------------------------------------------------
 
+    def due_ms(self) -> float:
+        """When `tick` must be called next."""
+        due_ms = self._report_due_ms
+        if self.voter_role:
+            due_ms = min(due_ms, self.voter_role.due_ms)
+        expires_ms = self.state.plan_tracker.expires_ms
+        return due_ms if expires_ms is None else min(due_ms, expires_ms)
+
     def tick(
-        self, now_ms: float, seen: dict[str, ZoneEvidence], sizes: dict[str, float], roster_ms: float
+        self, now_ms: float, evidence: dict[str, ZoneEvidence], sizes: dict[str, float], roster_age_ms: float
     ) -> list[Effect]:
-        """Do what is due; `seen`, `sizes` and `roster_ms` are for the next report."""
+        """Do what is due; all but the time is for the next report."""
         effects: list[Effect] = []
-        if now_ms >= self.report_due_ms:
-            effects.append(self._report(now_ms, seen, sizes, roster_ms))
-        if self.voter:
-            effects += self._voted(now_ms, self.voter.tick(now_ms))
-            if self.voter.is_leader:
-                effects += self._lead(now_ms)
-            elif now_ms >= self.watch_due_ms:
-                self.watch_due_ms = now_ms + self.settings.evidence.report_interval_ms / 2
-                self.judge.watch(now_ms, self.members, self.plan)
-        return effects + self._given_out(now_ms)
-
-    def changed(self, now_ms: float) -> None:
-        """Take that this front end's view of a zone changed, and report it soon.
-
-        Such reports come at most three times as fast as usual.
-        """
-        soon = now_ms + self.settings.evidence.report_interval_ms / 3
-        self.report_due_ms = min(self.report_due_ms, soon)
-
-    def make_line(self, **parts: Any) -> LogLine:
-        """A line of this member's log with these fields."""
-        return LogLine(self.members.fleet, self.name, **parts)
+        if now_ms >= self._report_due_ms:
+            effects.append(self._report(now_ms, evidence, sizes, roster_age_ms))
+        if self.voter_role:
+            effects += self.voter_role.tick(now_ms)
+        return effects + self.state.plan_updates(now_ms)
+
+    def report_soon(self, now_ms: float) -> None:
+        """Report early because this front end's view of a zone changed, at most three times as often."""
+        soon_ms = now_ms + self.state.settings.evidence.report_interval_ms / 3
+        self._report_due_ms = min(self._report_due_ms, soon_ms)
 
     def _report(
-        self, now_ms: float, seen: dict[str, ZoneEvidence], sizes: dict[str, float], roster_ms: float
+        self, now_ms: float, evidence: dict[str, ZoneEvidence], sizes: dict[str, float], roster_age_ms: float
     ) -> PublishLine:
-        self.number += 1
-        self.report_due_ms = now_ms + self.settings.evidence.report_interval_ms
+        self._report_number += 1
+        self._report_due_ms = now_ms + self.state.settings.evidence.report_interval_ms
         report = Report(
-            self.name, self.zone, self.number, seen, sizes, max(0.0, roster_ms), self.identity, self.wishes
+            name=self.name,
+            zone=self.zone,
+            number=self._report_number,
+            evidence=evidence,
+            sizes=sizes,
+            roster_age_ms=max(0.0, roster_age_ms),
+            voter_identity=self.identity,
+            operator_request=self._operator_request,
         )
-        self.judge.receive(now_ms, report)
-        return PublishLine(self.make_line(report=report))
-
-    # --- voting and leading ---------------------------------------------------------------------
+        self.state.planner.receive(now_ms, report)
+        return PublishLine(self.state.make_line(report=report))
 
-    def _voted(self, now_ms: float, actions: list[m.Action]) -> list[Effect]:
-        effects: list[Effect] = []
-        for action in actions:
-            if isinstance(action, m.Persist):
-                self.saves += 1
-                effects.append(SaveVoterState(action.saved))
-            elif isinstance(action, m.Send):
-                to = action.message.to.partition("#")[0]
-                ballot = msgspec.to_builtins(action.message)
-                effects.append(
-                    SendVoterMessage(to, self.make_line(voter_message=ballot, disk_writes=self.saves))
-                )
-            else:
-                effects += self._decided(action)
-        role = (self.voter.role.value, self.voter.saved.term)
-        if role != self.roles and (role[0] == "leader" or self.roles[0] == "leader"):
-            effects.append(LogEvent("role", {"role": role[0], "term": role[1]}))
-            if role[0] == "leader":
-                # It has watched as a follower; where not for long enough to have heard all, it waits.
-                heard_all_ms = self.judge.watching_since_ms + self.settings.evidence.report_ttl_ms
-                self.judge_due_ms = max(now_ms, heard_all_ms)
-                self.fresh_due_ms = now_ms
-        self.roles = role
-        return effects + self._given_out(now_ms)
-
-    def _decided(self, decided: m.Committed) -> list[Effect]:
-        if decided.kind == "voters":
-            return [LogEvent("voters", {"index": decided.index, "voters": list(decided.voters)})]
-        if decided.kind in (POLICY, RECOVERY):
-            return [RegisterDecided(decided.index, decided.text, decided.kind)]
-        if decided.kind != "plan" or not self._learn(decided.index, decided.text):
-            return []
-        states = {name: f"{zone.state} {zone.fraction:g}" for name, zone in self.plan.zones.items()}
-        return [LogEvent("plan", {"index": decided.index, "term": decided.term, "zones": states})]
-
-    def _learn(self, index: int, text: str) -> bool:
-        if index <= self.index:
-            return False
-        try:
-            self.plan = plan_from(text)
-        except PlanError:
-            self.counts.add("a decided plan that is none")
-            return False
-        self.index, self.text = index, text
-        return True
+    # --- registers of log clients ---------------------------------------------------------------
 
     def consensus_status(self, now_ms: float) -> ConsensusStatus:
-        """The state of its voter, for those that change registers."""
-        voter = self.voter
-        if voter is None or not voter.is_leader:
-            return ConsensusStatus()
-        settled = voter.commit_index == voter.saved.last_index
-        policy, recovery = voter.last(POLICY)[1], voter.last(RECOVERY)[1]
-        fresh = voter.holds_read_lease(now_ms)
-        return ConsensusStatus(voter.saved.term, fresh, settled, policy, recovery, voter.saved.voters)
+        """The voter's state, for log clients that change registers."""
+        return self.voter_role.status(now_ms) if self.voter_role else ConsensusStatus()
 
     def propose_register(self, now_ms: float, text: str, kind: str = POLICY) -> tuple[bool, list[Effect]]:
-        """Propose a register to the consensus log; False where it never came into the log."""
-        if self.voter is None:
+        """Propose a register to the consensus log; False where it did not enter the log."""
+        if self.voter_role is None:
             return False, []
-        index, actions = self.voter.propose(now_ms, text, kind)
-        return index is not None, self._voted(now_ms, actions)
-
-    def _lead(self, now_ms: float) -> list[Effect]:
-        effects: list[Effect] = []
-        if now_ms >= self.judge_due_ms:
-            self.judge_due_ms = now_ms + self.settings.evidence.report_interval_ms / 2
-            effects += self._judge(now_ms)
-        if now_ms >= self.fresh_due_ms and self.voter.holds_read_lease(now_ms):
-            self.fresh_due_ms = now_ms + self.settings.consensus.freshness_interval_ms
-            index, term = self.voter.plan[0], self.voter.saved.term
-            if index:
-                self.fresh_ms = now_ms
-                effects.append(PublishLine(self.make_line(fresh=True, index=index, term=term)))
-        return effects
-
-    def _judge(self, now_ms: float) -> list[Effect]:
-        settled = self.voter.commit_index == self.voter.saved.last_index
-        if not settled or not self.voter.holds_read_lease(now_ms):
-            return []  # one decision at a time, and none on a view that may be old
-        effects = self._reconcile(now_ms)
-        if effects:
-            return effects
-        following = self.judge.next_plan(now_ms, self.members, self.plan)
-        for zone, why in self.judge.rejected.items():
-            effects.append(LogEvent("refused", {"zone": zone, "why": why}))
-        if following is None:
-            return effects
-        _, actions = self.voter.propose(now_ms, following.encode())
-        changed = {
-            name: {
-                "from": getattr(self.plan.zones.get(name), "state", ""),
-                "to": zone.state,
-                "why": zone.reason,
-            }
-            for name, zone in following.zones.items()
-            if zone != self.plan.zones.get(name)
-        }
-        seen = {
-            report.name: {zone: msgspec.to_builtins(signs) for zone, signs in report.evidence.items()}
-            for report in self.judge.current_reports(now_ms, self.members).values()
-        }
-        note = LogEvent("proposed", {"number": following.number, "changed": changed, "evidence": seen})
-        return [*effects, note, *self._voted(now_ms, actions)]
-
-    def _reconcile(self, now_ms: float) -> list[Effect]:
-        """Bring the list of voters to what the file of members wants, one at a time.
-
-        A voter with another disk than the one on the list is another voter: what the old one said may still
-        count, and the new one does not know what it had promised. The old one is taken off, then the new one
-        is added.
-        """
-        now = self.voter.saved.voters
-        wanted = {member.name for member in self.members.voters}
-        present = {
-            report.name: report.voter_identity
-            for report in self.judge.current_reports(now_ms, self.members).values()
-            if report.voter_identity
-            and report.name in wanted
-            and report.voter_identity.startswith(report.name + "#")
-        }
-        gone = [v for v in now if v.partition("#")[0] not in wanted]
-        replaced = [v for v in now if present.get(v.partition("#")[0], v) != v]
-        missing = [v for name, v in sorted(present.items()) if v not in now]
-        fresh = [v for v in missing if not any(v.partition("#")[0] == old.partition("#")[0] for old in now)]
-        others_first = sorted(replaced + gone, key=lambda v: v == self.voter.identity)
-        if others_first and len(now) > 1:
-            voters = tuple(v for v in now if v != others_first[0])
-        elif fresh:
-            voters = (*now, fresh[0])
-        else:
-            return []
-        index, actions = self.voter.propose_voters(now_ms, voters)
-        if index is None:
-            return []
-        note = LogEvent("voters proposed", {"index": index, "from": list(now), "to": list(voters)})
-        return [note, *self._voted(now_ms, actions)]
-
-    # --- what this front end goes by ------------------------------------------------------------
-
-    def valid(self, now_ms: float) -> bool:
-        """Whether the plan was said to be the last within the stated time."""
-        return (
-            self.index > 0
-            and self.fresh_ms is not None
-            and now_ms - self.fresh_ms < self.settings.consensus.plan_validity_ms
-        )
-
-    def _given_out(self, now_ms: float) -> list[Effect]:
-        effects: list[Effect] = []
-        if self.index > self.published:  # whoever asks any member may have it
-            self.published = self.index
-            effects.append(PublishLine(self.make_line(plan=self.text, index=self.index)))
-        state = (self.index, self.valid(now_ms))
-        if state == self.following:
-            return effects
-        before, self.following = self.following, state
-        if state[1]:
-            effects.append(FollowPlan(self.plan, self.index))
-        elif before[1]:
-            effects += [FollowPlan(None, self.index), LogEvent("plan old", {"index": self.index})]
-        return effects
+        return self.voter_role.propose_register(now_ms, text, kind)
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -17,28 +17,25 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster_closing
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.evidence import EvidenceCollector
-from fawnwharf.zones.files import WatchedFile, load_file
-from fawnwharf.zones.log_client import LogClient
-from fawnwharf.zones.log_lines import (
-    POLICY,
-    ClientMessage,
-    ConsensusStatus,
+from fawnwharf.zones.effects import (
     Effect,
     FollowPlan,
-    LogEvent,
-    LogLine,
-    LogLineError,
     MessagesReceived,
     PublishLine,
     RegisterDecided,
     SaveVoterState,
     SendVoterMessage,
 )
+from fawnwharf.zones.evidence import EvidenceCollector
+from fawnwharf.zones.files import WatchedFile, load_file
+from fawnwharf.zones.log_client import LogClient
+from fawnwharf.zones.log_events import LogEvent
+from fawnwharf.zones.log_lines import POLICY, ClientMessage, ConsensusStatus, DropCause, LogLine, LogLineError
 from fawnwharf.zones.member_core import MemberCore
 from fawnwharf.zones.member_log import LogServer, MemberLogFollower
 from fawnwharf.zones.plan import Plan, limit_spillover
 from fawnwharf.zones.probes import Probes
+from fawnwharf.zones.voter_role import VoterStart
 
 FILES_MS = 500.0  # pace of the look at the files
 READERS_SPARE = 16  # beyond the members, for operators
@@ -74,9 +71,12 @@
         self.disk = self._open_disk(members.fleet) if self.entry.ballots else None
         now = monotonic_ms()
         identity = self.disk.identity.voter_identity if self.disk else ""
-        kept = (self.disk.saved, self.disk.record_number) if self.disk else (None, 0)
-        name, seed = self.entry.name, deployment.seed
-        self.core = MemberCore(name, members, self.settings, now, seed, identity, *kept)
+        voter = (
+            VoterStart(identity, deployment.seed, self.disk.saved, self.disk.record_number)
+            if self.disk
+            else None
+        )
+        self.core = MemberCore(self.entry.name, members, self.settings, now, voter)
         promise = min((c.promise_ms for c in deployment.settings.classes.values()), default=1_000.0)
         self.evidence_collector = EvidenceCollector(self.settings.evidence, promise)
         self._sold = sum(deployment.settings.quotas_rps.values())  # before any limit stands among them
@@ -120,7 +120,7 @@
     def attach(self, front: FrontEnd) -> None:
         """Begin on the front end's loop."""
         self.front = front
-        most = len(self.core.members.members) + READERS_SPARE
+        most = len(self.core.membership.members) + READERS_SPARE
         self.public = self._server("listen", self.settings.listen or self.entry.address, most)
         if self.entry.ballots:
             place = self.settings.listen_voter_address or self.entry.ballots
@@ -132,7 +132,7 @@
             self.evidence_collector,
             self.settings.evidence,
             self.entry.name,
-            lambda: self.core.members.zones,
+            lambda: self.core.membership.zones,
             self._turned,
         )
         self.probes.look()
@@ -221,7 +221,7 @@
     def _carried(self, plan: Plan | None) -> float:
         """How many front ends' calls each of this zone's has: more than one where others of it are gone."""
         zone = plan.zones.get(self.entry.zone) if plan else None
-        members = sum(member.zone == self.entry.zone for member in self.core.members.members)
+        members = sum(member.zone == self.entry.zone for member in self.core.membership.members)
         return max(1.0, members / zone.front_ends) if zone and zone.front_ends else 1.0
 
     # --- time -----------------------------------------------------------------------------------
@@ -238,7 +238,7 @@
 
     def _turned(self, now_ms: float) -> None:
         """This front end's view of a zone has: it is told before its time."""
-        self.core.changed(now_ms)
+        self.core.report_soon(now_ms)
         self._set_timer()
 
     def _set_timer(self) -> None:
@@ -294,7 +294,7 @@
 
     def _write_line(self, counts_as: str | None = None, **parts: Any) -> None:
         if not self._stopped and self.public is not None:
-            line = LogLine(self.core.members.fleet, self.entry.name, **parts)
+            line = LogLine(self.core.membership.fleet, self.entry.name, **parts)
             self.public.write(msgspec.to_builtins(line), counts_as=counts_as)
 
     def consensus_status(self, now_ms: float) -> ConsensusStatus:
@@ -315,12 +315,12 @@
         except DiskError as error:
             self._failed = True
             self.note("disk failed: no part in votes until a restart", {"why": str(error)})
-            self.core.voter = None
+            self.core.stop_voting()
         return not self._failed
 
     def _note_once(self, note: LogEvent) -> None:
         now = monotonic_ms()
-        if note.event in ("refused", "older disk", "bad words"):
+        if note.rate_limited:
             if now - self._noted.get(note.event, -1e9) < LINE_S * 1000:
                 return
             self._noted[note.event] = now
@@ -331,7 +331,7 @@
     def _follow_members(self) -> None:
         """Voters follow all, the others follow the voters; who is no member any more is left."""
         wanted: dict[tuple[str, bool], str] = {}
-        for member in self.core.members.members:
+        for member in self.core.membership.members:
             if member.name == self.entry.name:
                 continue
             if self.entry.ballots or member.ballots:
@@ -352,9 +352,10 @@
     def _taker(self, name: str, ballots: bool) -> Callable[[Any], None]:
         def take(line: Any) -> None:
             try:
-                effects = self.core.line(monotonic_ms(), name, line, ballots)
+                receive = self.core.receive_voter_line if ballots else self.core.receive_line
+                effects = receive(monotonic_ms(), name, line)
             except LogLineError:
-                self.core.counts.add("bad line")
+                self.core.state.drop_counts.add(DropCause.MALFORMED_LINE)
                 raise
             self._carry_out(effects)
             self._set_timer()
@@ -365,7 +366,7 @@
         now = monotonic_ms()
         if now - self._noted.get("line", -1e9) >= LINE_S * 1000:
             self._noted["line"] = now
-            self.note("line dropped", {"why": text, "counts": dict(self.core.counts.dropped)})
+            self.note("line dropped", {"why": text, "counts": dict(self.core.state.drop_counts.dropped)})
 
     # --- files ----------------------------------------------------------------------------------
 
@@ -375,11 +376,13 @@
         if (data := self._members_file.changed()) is not None:
             self._take(data, "members", lambda: self._new_members(s.membership_from(data)))
         if (data := self._wishes_file.changed()) is not None:
-            zones = set(self.core.members.zones)
+            zones = set(self.core.membership.zones)
             self._take(
                 data,
                 "wishes",
-                lambda: self._carry_out(self.core.take_wishes(s.operator_request_from(data, zones))),
+                lambda: self._carry_out(
+                    self.core.take_operator_request(s.operator_request_from(data, zones))
+                ),
             )
         for feed in self._feeds.values():
             feed.tidy()
@@ -399,7 +402,7 @@
                 "members left aside, the old ones go on", {"fault": f"{self.entry.name} is not as it was"}
             )
             return
-        self._carry_out(self.core.take_members(monotonic_ms(), members))
+        self._carry_out(self.core.take_membership(members))
         self._follow_members()
         for rider in list(self.log_clients.values()):
             rider.on_membership_changed()
--- /dev/null
+++ b/fawnwharf/zones/voter_role.py
@@ -0,0 +1,281 @@
+"""The part of a member that votes: its voter in the consensus protocol, and its work while it leads.
+
+Pure. The leader proposes plans and voter lists, and states how fresh its plan is.
+"""
+
+from dataclasses import dataclass
+
+import msgspec
+
+from fawnwharf.consensus import messages as m
+from fawnwharf.consensus.timing import Timing
+from fawnwharf.consensus.voter import Voter
+from fawnwharf.consensus.voter_state import Role
+from fawnwharf.zones.effects import Effect, PublishLine, RegisterDecided, SaveVoterState, SendVoterMessage
+from fawnwharf.zones.log_events import (
+    OlderDisk,
+    PlanChangeRejected,
+    PlanDecided,
+    PlanProposed,
+    RoleChanged,
+    VotersDecided,
+    VotersProposed,
+    ZoneChange,
+)
+from fawnwharf.zones.log_lines import (
+    POLICY,
+    RECOVERY,
+    ConsensusStatus,
+    DropCause,
+    LogLine,
+    LogLineError,
+)
+from fawnwharf.zones.member_state import MemberState
+from fawnwharf.zones.plan import Plan, PlanError
+
+
+@dataclass(frozen=True)
+class VoterStart:
+    """What a voter starts with."""
+
+    identity: str
+    seed: int  # of the election timeouts
+    saved: m.PersistentState = m.PersistentState()
+    disk_writes: int = 0  # how often the state was written, ever
+
+
+def member_of(identity: str) -> str:
+    """The member's name in a voter identity."""
+    return identity.partition("#")[0]
+
+
+def voter_message_of(line: LogLine) -> m.Message:
+    """The line's message of the consensus protocol; raises LogLineError for a malformed or forged one."""
+    try:
+        message = m.message_from(line.voter_message)
+    except msgspec.ValidationError as error:
+        raise LogLineError(f"malformed voter message: {error}") from None
+    if member_of(message.sender) != line.sender:
+        raise LogLineError(f"a voter message of {message.sender} from {line.sender}")
+    return message
+
+
+class VoterRole:
+    """Owns the voter of a member."""
+
+    def __init__(self, state: MemberState, start: VoterStart, now_ms: float) -> None:
+        consensus = state.settings.consensus
+        timing = Timing(consensus.heartbeat_ms, consensus.election_timeout_ms, consensus.max_clock_skew)
+        self.voter = Voter(start.identity, start.saved, timing, now_ms, start.seed)
+        self.disk_writes = start.disk_writes
+        self.reported_disk_writes: dict[str, int] = {}  # the largest number that each voter has reported
+        self._state = state
+        self._role: Role | None = None  # as of the last check
+        self._term = 0
+        self._planning_due_ms = now_ms
+        self._freshness_due_ms = now_ms
+        self._watch_due_ms = now_ms
+        self._learn_plan(*self.voter.plan)
+
+    @property
+    def due_ms(self) -> float:
+        """When `tick` must be called next."""
+        if self.voter.is_leader:
+            return min(self.voter.due_ms, self._freshness_due_ms, self._planning_due_ms)
+        return min(self.voter.due_ms, self._watch_due_ms)
+
+    # --- the consensus protocol -----------------------------------------------------------------
+
+    def receive(self, now_ms: float, line: LogLine, message: m.Message) -> list[Effect]:
+        """Take a line of another voter's log with this message."""
+        entry = self._state.membership.named(line.sender)
+        if entry is None or not entry.ballots:
+            self._state.drop_counts.add(DropCause.NON_VOTER)
+            return []
+        reported_before = self.reported_disk_writes.get(message.sender, 0)
+        if reported_before > line.disk_writes:
+            # Its disk is an older copy of itself: it has lost what it promised since, and might vote twice.
+            self._state.drop_counts.add(DropCause.OLDER_DISK)
+            return [OlderDisk(message.sender, line.disk_writes, reported_before)]
+        self.reported_disk_writes[message.sender] = line.disk_writes
+        return self._carry_out(now_ms, self.voter.receive(now_ms, message))
+
+    def tick(self, now_ms: float) -> list[Effect]:
+        """Do what is due."""
+        effects = self._carry_out(now_ms, self.voter.tick(now_ms))
+        if self.voter.is_leader:
+            return effects + self._lead(now_ms)
+        if now_ms >= self._watch_due_ms:
+            self._watch_due_ms = now_ms + self._state.settings.evidence.report_interval_ms / 2
+            self._state.planner.watch(now_ms, self._state.membership, self._state.plan_tracker.plan)
+        return effects
+
+    def status(self, now_ms: float) -> ConsensusStatus:
+        """The voter's state, for log clients that change registers; a blank one while it does not lead."""
+        voter = self.voter
+        if not voter.is_leader:
+            return ConsensusStatus()
+        return ConsensusStatus(
+            term=voter.saved.term,
+            fresh=voter.holds_read_lease(now_ms),
+            settled=self._is_settled(),
+            policy=voter.last(POLICY)[1],
+            recovery=voter.last(RECOVERY)[1],
+            voters=voter.saved.voters,
+        )
+
+    def propose_register(self, now_ms: float, text: str, kind: str) -> tuple[bool, list[Effect]]:
+        """Propose a register to the consensus log; False where it did not enter the log."""
+        index, actions = self.voter.propose(now_ms, text, kind)
+        return index is not None, self._carry_out(now_ms, actions)
+
+    def _is_settled(self) -> bool:
+        return self.voter.commit_index == self.voter.saved.last_index
+
+    def _carry_out(self, now_ms: float, actions: list[m.Action]) -> list[Effect]:
+        """The effects of the voter's actions."""
+        effects: list[Effect] = []
+        for action in actions:
+            if isinstance(action, m.Persist):
+                self.disk_writes += 1
+                effects.append(SaveVoterState(action.saved))
+            elif isinstance(action, m.Send):
+                effects.append(self._send(action.message))
+            else:
+                effects += self._commit(action)
+        effects += self._role_change(now_ms)
+        return effects + self._state.plan_updates(now_ms)
+
+    def _send(self, message: m.Message) -> SendVoterMessage:
+        line = self._state.make_line(voter_message=msgspec.to_builtins(message), disk_writes=self.disk_writes)
+        return SendVoterMessage(member_of(message.to), line)
+
+    def _commit(self, committed: m.Committed) -> list[Effect]:
+        """The effects of one committed entry."""
+        if committed.kind == "voters":
+            return [VotersDecided(committed.index, committed.voters)]
+        if committed.kind in (POLICY, RECOVERY):
+            return [RegisterDecided(committed.index, committed.text, committed.kind)]
+        if committed.kind != "plan" or not self._learn_plan(committed.index, committed.text):
+            return []
+        plan = self._state.plan_tracker.plan
+        return [PlanDecided(committed.index, committed.term, describe_zones(plan))]
+
+    def _learn_plan(self, index: int, text: str) -> bool:
+        """Take a committed plan; False where it is malformed or not later than the known one."""
+        try:
+            return self._state.plan_tracker.learn(index, text)
+        except PlanError:
+            self._state.drop_counts.add(DropCause.MALFORMED_PLAN)
+            return False
+
+    def _role_change(self, now_ms: float) -> list[Effect]:
+        """The event of a change from or to leader."""
+        role, term = self.voter.role, self.voter.saved.term
+        changed = (role, term) != (self._role, self._term) and Role.LEADER in (role, self._role)
+        self._role, self._term = role, term
+        if not changed:
+            return []
+        if role is Role.LEADER:
+            # It has watched as a follower. If it has not watched for as long as a report counts, it may not
+            # have received the reports of all members yet, and waits.
+            watched_ms = self._state.planner.watching_since_ms
+            self._planning_due_ms = max(now_ms, watched_ms + self._state.settings.evidence.report_ttl_ms)
+            self._freshness_due_ms = now_ms
+        return [RoleChanged(role.value, term)]
+
+    # --- leading --------------------------------------------------------------------------------
+
+    def _lead(self, now_ms: float) -> list[Effect]:
+        effects: list[Effect] = []
+        if now_ms >= self._planning_due_ms:
+            self._planning_due_ms = now_ms + self._state.settings.evidence.report_interval_ms / 2
+            effects += self._propose_changes(now_ms)
+        if now_ms >= self._freshness_due_ms and self.voter.holds_read_lease(now_ms):
+            self._freshness_due_ms = now_ms + self._state.settings.consensus.freshness_interval_ms
+            effects += self._state_freshness(now_ms)
+        return effects
+
+    def _state_freshness(self, now_ms: float) -> list[Effect]:
+        """State that the last committed plan is the latest one."""
+        index, _ = self.voter.plan
+        if not index:
+            return []
+        self._state.plan_tracker.confirmed_ms = now_ms
+        line = self._state.make_line(fresh=True, index=index, term=self.voter.saved.term)
+        return [PublishLine(line)]
+
+    def _propose_changes(self, now_ms: float) -> list[Effect]:
+        """Propose another voter list, or else another plan.
+
+        One proposal at a time, and none on a view that may be stale.
+        """
+        if not self._is_settled() or not self.voter.holds_read_lease(now_ms):
+            return []
+        return self._propose_voters(now_ms) or self._propose_plan(now_ms)
+
+    def _propose_plan(self, now_ms: float) -> list[Effect]:
+        planner, membership = self._state.planner, self._state.membership
+        plan = self._state.plan_tracker.plan
+        next_plan = planner.next_plan(now_ms, membership, plan)
+        effects: list[Effect] = [PlanChangeRejected(*item) for item in planner.rejected.items()]
+        if next_plan is None:
+            return effects
+        _, actions = self.voter.propose(now_ms, next_plan.encode())
+        reports = planner.current_reports(now_ms, membership).values()
+        evidence = {report.name: report.evidence for report in reports}
+        effects.append(PlanProposed(next_plan.number, _zone_changes(plan, next_plan), evidence))
+        return effects + self._carry_out(now_ms, actions)
+
+    def _propose_voters(self, now_ms: float) -> list[Effect]:
+        before = self.voter.saved.voters
+        after = self._next_voters(now_ms)
+        if after is None:
+            return []
+        index, actions = self.voter.propose_voters(now_ms, after)
+        if index is None:
+            return []
+        return [VotersProposed(index, before, after), *self._carry_out(now_ms, actions)]
+
+    def _next_voters(self, now_ms: float) -> tuple[str, ...] | None:
+        """The voter list that comes closer to the membership by one voter; None where none is needed.
+
+        A voter with another disk is another voter: the messages of the old one may still count, and the new
+        one does not know what the old one promised. So the old one is removed first, then the new one added.
+        """
+        voters = self.voter.saved.voters
+        wanted = {member.name for member in self._state.membership.voters}
+        present = self._present_identities(now_ms, wanted)
+        removed = [voter for voter in voters if member_of(voter) not in wanted]
+        replaced = [voter for voter in voters if present.get(member_of(voter), voter) != voter]
+        if (removed or replaced) and len(voters) > 1:
+            # The leader removes itself last.
+            first = min(replaced + removed, key=lambda voter: voter == self.voter.identity)
+            return tuple(voter for voter in voters if voter != first)
+        listed = {member_of(voter) for voter in voters}
+        missing = [identity for name, identity in sorted(present.items()) if name not in listed]
+        return (*voters, missing[0]) if missing else None
+
+    def _present_identities(self, now_ms: float, wanted: set[str]) -> dict[str, str]:
+        """The voter identities that members which should vote currently report, by member."""
+        reports = self._state.planner.current_reports(now_ms, self._state.membership).values()
+        return {
+            report.name: report.voter_identity
+            for report in reports
+            if report.name in wanted and report.voter_identity.startswith(report.name + "#")
+        }
+
+
+def describe_zones(plan: Plan) -> dict[str, str]:
+    """The state and the open fraction of each zone, for operators."""
+    return {name: f"{zone.state} {zone.fraction:g}" for name, zone in plan.zones.items()}
+
+
+def _zone_changes(before: Plan, after: Plan) -> dict[str, ZoneChange]:
+    """The zones that differ between two plans."""
+    changes: dict[str, ZoneChange] = {}
+    for name, zone in after.zones.items():
+        old = before.zones.get(name)
+        if zone != old:
+            changes[name] = ZoneChange(old.state if old else "", zone.state, zone.reason)
+    return changes
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -20,7 +20,8 @@
     SignatureReported,
 )
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.zones.log_lines import RECOVERY, ClientMessage, MessagesReceived, RegisterDecided
+from fawnwharf.zones.effects import MessagesReceived, RegisterDecided
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
 from support.zone_files import members
 
 STEP_S = 0.02
@@ -121,7 +122,7 @@
                 self.noted.append((name, effect.event, effect.fields))
 
     def _say_by_zones(self, name, effect):
-        line = self.cores[name].make_line(
+        line = self.cores[name].state.make_line(
             messages=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
         )
         for other in self.names:
--- a/tests/test_disk_faults_service.py
+++ b/tests/test_disk_faults_service.py
@@ -41,7 +41,7 @@
             deployment, tmp_path / "zones.json", lambda event, fields: notes.append((event, fields))
         )
         zones.public, zones.ballots = Written(), Written()
-        zones.core.voter.heard_ms = monotonic_ms() - LONG_AGO_MS
+        zones.core.voter.leader_contact_ms = monotonic_ms() - LONG_AGO_MS
         return zones
 
     with faults.installed():
@@ -53,7 +53,7 @@
     ask = m.VoteRequest(f"{sender}#ab", zones.core.identity, term, 0, 0)
     line = LogLine("f", sender, voter_message=msgspec.to_builtins(ask), disk_writes=term)
     said = len(zones.ballots.lines)
-    zones._carry_out(zones.core.line(monotonic_ms(), sender, msgspec.to_builtins(line), True))
+    zones._carry_out(zones.core.receive_voter_line(monotonic_ms(), sender, msgspec.to_builtins(line)))
     return [line["ballot"]["granted"] for line in zones.ballots.lines[said:]]
 
 
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -12,7 +12,8 @@
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import OperatorRequest
 from fawnwharf.policy_rollout.simulation import KNOWN
-from fawnwharf.zones.log_lines import ClientMessage, MessagesReceived, RegisterDecided
+from fawnwharf.zones.effects import MessagesReceived, RegisterDecided
+from fawnwharf.zones.log_lines import ClientMessage
 
 STEP_S = 0.005
 
@@ -52,7 +53,7 @@
         for effect in effects:
             if isinstance(effect, m.Send):
                 to = () if effect.to == m.LEADER else (effect.to,)
-                self.tell(name, core.make_line(messages=[ClientMessage(effect.message, to)]))
+                self.tell(name, core.state.make_line(messages=[ClientMessage(effect.message, to)]))
             elif isinstance(effect, m.ProposeRegister):
                 put, more = core.propose_register(self.now, effect.register)
                 self.do(name, more)
@@ -82,7 +83,7 @@
                 agent = self.agents[name]
                 if self.now >= agent.due_ms():
                     self.act(name, agent.tick(self.now))
-                self.tell(name, self.cores[name].make_line(policy=agent.standing(self.now)))
+                self.tell(name, self.cores[name].state.make_line(policy=agent.standing(self.now)))
                 if agent.holder.leased(self.now):
                     acting.add(agent.holder.register.last.number)
             assert len(acting) <= 1
@@ -270,11 +271,14 @@
     core, agent = fleet.cores["n0"], fleet.agents["n0"]
     line = {"fleet": "f", "sender": "n1"}
     for words in (7, [{}], [{"said": 1, "to": "n0"}], [{"said": 1, "to": ["?"]}]):
-        [note] = core.line(fleet.now, "n1", line | {"words": words}, False)
-        assert note.event == "bad words"
-    [heard] = core.line(fleet.now, "n1", line | {"words": [{"said": {"type": "Grant"}}, {"said": 3}]}, False)
+        [note] = core.receive_line(fleet.now, "n1", line | {"words": words})
+        assert note.event == "malformed messages"
+    [heard] = core.receive_line(fleet.now, "n1", line | {"words": [{"said": {"type": "Grant"}}, {"said": 3}]})
     assert agent.heard(fleet.now, "n1", heard.messages) == []
     agent.standing_of(fleet.now, "n1", {"ready": 3})
-    assert agent.counts == {"bad word": 2, "bad standing": 1} and core.counts.dropped["bad words"] == 4
-    assert not core.line(fleet.now, "n1", line | {"words": [{"said": 1, "to": ["n2"]}]}, False)
+    assert (
+        agent.counts == {"bad word": 2, "bad standing": 1}
+        and core.state.drop_counts.dropped["malformed messages"] == 4
+    )
+    assert not core.receive_line(fleet.now, "n1", line | {"words": [{"said": 1, "to": ["n2"]}]})
     assert fleet.run(1.0) == {0}
--- a/tests/test_zone_members.py
+++ b/tests/test_zone_members.py
@@ -11,18 +11,18 @@
 from fawnwharf.consensus.voter import bootstrap_state
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.log_lines import (
-    ClientMessage,
+from fawnwharf.zones.effects import (
     FollowPlan,
-    LogEvent,
-    LogLineError,
     MessagesReceived,
     PublishLine,
     RegisterDecided,
     SaveVoterState,
     SendVoterMessage,
 )
+from fawnwharf.zones.log_events import LogEvent
+from fawnwharf.zones.log_lines import ClientMessage, LogLineError
 from fawnwharf.zones.member_core import MemberCore
+from fawnwharf.zones.voter_role import VoterStart
 
 
 class Fleet:
@@ -42,8 +42,10 @@
 
     def start(self, name, identity, seed=99):
         entry = self.file.named(name)
-        mine = identity if entry.ballots else ""
-        core = MemberCore(name, self.file, self.settings, self.now, seed, mine, self.disks.get(name))
+        voter = (
+            VoterStart(identity, seed, self.disks.get(name) or PersistentState()) if entry.ballots else None
+        )
+        core = MemberCore(name, self.file, self.settings, self.now, voter)
         self.cores[name] = core
         self.dead.discard(name)
         self.push(name, core)
@@ -65,7 +67,8 @@
                 self.push(name, core)
             else:
                 sender, data, ballots = line
-                self.do(name, core.line(self.now, sender, data, ballots))
+                receive = core.receive_voter_line if ballots else core.receive_line
+                self.do(name, receive(self.now, sender, data))
         self.now = end
         return self
 
@@ -107,7 +110,11 @@
         ]
 
     def valid(self):
-        return {name for name, core in self.cores.items() if name not in self.dead and core.valid(self.now)}
+        return {
+            name
+            for name, core in self.cores.items()
+            if name not in self.dead and core.is_plan_valid(self.now)
+        }
 
     def state(self, name, zone):
         return self.cores[name].plan.zones[zone].state
@@ -119,7 +126,7 @@
     leader = fleet.cores[fleet.leaders()[0]]
     assert {v.partition("#")[0] for v in leader.voter.saved.voters} == {"n0", "n1", "n2"}
     assert fleet.valid() == set(fleet.cores)
-    assert {effect.index for effect in fleet.following.values()} == {leader.index}
+    assert {effect.index for effect in fleet.following.values()} == {leader.plan_index}
 
 
 def lost(zone):
@@ -145,7 +152,7 @@
     fleet.seen = lambda member, other: DEAD if other == zone else GOOD
     fleet.run(6)
     led = min(at for at, _, note in fleet.notes if note.event == "role" and at > lost)
-    went = min(at for at, _, note in fleet.notes if note.event == "proposed" and at > lost)
+    went = min(at for at, _, note in fleet.notes if note.event == "plan proposed" and at > lost)
     rules = fleet.settings
     assert went - led <= rules.evidence.report_interval_ms
     assert went - lost <= 2 * rules.consensus.election_timeout_ms + 2 * rules.evidence.report_interval_ms
@@ -153,16 +160,16 @@
 
 def test_a_minority_decides_nothing_knows_that_its_plan_is_old_and_takes_the_new_one():
     fleet = Fleet(members("abcabcabc", 3)).run(15)
-    before = fleet.cores["n0"].index
+    before = fleet.cores["n0"].plan_index
     fleet.part("a")
     fleet.seen = lost("a")
     cut = fleet.now
     fleet.run(10)
     inside = {"n0", "n3", "n6"}
     assert fleet.valid() == set(fleet.cores) - inside
-    assert {fleet.cores[name].index for name in inside} == {before}
+    assert {fleet.cores[name].plan_index for name in inside} == {before}
     assert all(fleet.following[name].plan is None for name in inside)
-    old = [at for at, name, note in fleet.notes if name in inside and note.event == "plan old"]
+    old = [at for at, name, note in fleet.notes if name in inside and note.event == "plan expired"]
     most = fleet.settings.consensus.plan_validity_ms + fleet.settings.consensus.freshness_interval_ms
     assert len(old) == 3 and max(old) - cut <= most
     assert fleet.state("n1", "a") == p.OUT
@@ -170,7 +177,7 @@
     fleet.seen = lambda member, zone: GOOD
     fleet.run(3)
     assert fleet.valid() == set(fleet.cores)
-    assert len({fleet.cores[name].index for name in fleet.cores}) == 1
+    assert len({fleet.cores[name].plan_index for name in fleet.cores}) == 1
 
 
 def test_a_voter_with_an_empty_disk_is_another_voter_and_is_taken_in_as_such():
@@ -195,7 +202,7 @@
     fleet.file = later
     fleet.disks["n4"] = PersistentState()
     for name in ("n0", "n1", "n2", "n3", "n5"):
-        fleet.do(name, fleet.cores[name].take_members(fleet.now, later))
+        fleet.do(name, fleet.cores[name].take_membership(later))
     fleet.start("n4", "n4#0")
     fleet.run(20)
     [name] = fleet.leaders()
@@ -221,10 +228,20 @@
 def test_a_line_that_no_member_writes_is_a_fault_and_changes_nothing(data):
     fleet = Fleet(members("abc", 3)).run(10)
     core = fleet.cores["n0"]
-    before = core.plan, core.index, core.fresh_ms, dict(core.judge.reports.received)
+    before = (
+        core.plan,
+        core.plan_index,
+        core.state.plan_tracker.confirmed_ms,
+        dict(core.state.planner.reports.received),
+    )
     with pytest.raises(LogLineError):
-        core.line(fleet.now, "n1", data, False)
-    assert before == (core.plan, core.index, core.fresh_ms, dict(core.judge.reports.received))
+        core.receive_line(fleet.now, "n1", data)
+    assert before == (
+        core.plan,
+        core.plan_index,
+        core.state.plan_tracker.confirmed_ms,
+        dict(core.state.planner.reports.received),
+    )
 
 
 def test_a_forged_ballot_is_a_fault_and_one_of_no_voter_is_counted():
@@ -240,36 +257,38 @@
         "last_term": 99,
     }
     with pytest.raises(LogLineError):
-        core.line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": ballot}, True)
+        core.receive_voter_line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": ballot})
     for bad in ({}, {"type": "Vote"}, 7):
         with pytest.raises(LogLineError):
-            core.line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": bad}, True)
+            core.receive_voter_line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": bad})
     stray = ballot | {"sender": "n4#0"}
-    assert core.line(fleet.now, "n4", {"fleet": "f", "sender": "n4", "ballot": stray}, True) == []
-    assert core.voter.saved.term == term and core.counts.dropped["ballot of no voter"] == 1
+    assert core.receive_voter_line(fleet.now, "n4", {"fleet": "f", "sender": "n4", "ballot": stray}) == []
+    assert (
+        core.voter.saved.term == term and core.state.drop_counts.dropped["voter message of a non-voter"] == 1
+    )
 
 
 def test_an_old_leaders_word_on_an_older_plan_makes_nothing_fresh():
     fleet = Fleet(members("abc", 3)).run(10)
     core = fleet.cores["n0"]
-    core.fresh_ms = None
-    line = {"fleet": "f", "sender": "n1", "fresh": True, "index": core.index - 1, "term": 1}
-    core.line(fleet.now, "n1", line, False)
-    assert not core.valid(fleet.now)
-    core.line(fleet.now, "n1", line | {"index": core.index}, False)
-    assert core.valid(fleet.now)
+    core.state.plan_tracker.confirmed_ms = None
+    line = {"fleet": "f", "sender": "n1", "fresh": True, "index": core.plan_index - 1, "term": 1}
+    core.receive_line(fleet.now, "n1", line)
+    assert not core.is_plan_valid(fleet.now)
+    core.receive_line(fleet.now, "n1", line | {"index": core.plan_index})
+    assert core.is_plan_valid(fleet.now)
 
 
 def test_a_voter_whose_disk_is_an_older_copy_of_itself_is_not_heard():
     fleet = Fleet(members("abcabc", 3)).run(15)
     core = fleet.cores["n0"]
-    most = core.heard_saves["n1#0"]
+    most = core.voter_role.reported_disk_writes["n1#0"]
     vote = {"type": "Vote", "sender": "n1#0", "to": "n0#0", "term": 999, "last_index": 999, "last_term": 999}
     line = {"fleet": "f", "sender": "n1", "ballot": vote, "saves": most - 1}
     later = fleet.now + 60_000.0  # bound to nobody any more
-    [note] = core.line(later, "n1", line, True)
+    [note] = core.receive_voter_line(later, "n1", line)
     assert note.event == "older disk" and core.voter.saved.term < 999
-    effects = core.line(later, "n1", line | {"saves": most}, True)
+    effects = core.receive_voter_line(later, "n1", line | {"saves": most})
     assert any(isinstance(effect, SaveVoterState) for effect in effects)
 
 
@@ -277,7 +296,7 @@
     fleet = Fleet(members("abc", 3))
     line = {"fleet": "f", "sender": "n1", "policy": 1, "recovery": 2}
     line["words"] = [{"said": "p"}, {"said": "r", "rider": "recovery"}, {"said": "q", "to": ["n2"]}]
-    found = fleet.cores["n0"].line(1.0, "n1", line, False)
+    found = fleet.cores["n0"].receive_line(1.0, "n1", line)
     heard = {
         effect.client: (effect.messages, effect.status)
         for effect in found
