--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -1,38 +1,46 @@
 """Recovery in a running front end: its agent on the fleet's logs, what it counts, and what follows for its
 parts."""
 
-import hashlib
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any
-
-import msgspec
-
 from fawnwharf import interface as io
-from fawnwharf.config import Deployment, Fleet
+from fawnwharf.config import Deployment
+from fawnwharf.config import Fleet
 from fawnwharf.consensus.committed_log import last_appended
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.recovery_core.asking import Stand, What
-from fawnwharf.recovery_core.stages import Decide, Note, Stage
-from fawnwharf.recovery_core.trust import Kind, Store
-from fawnwharf.recovery_service import front_end_integration, status_display
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.recovery_core.phases import LogEvent
+from fawnwharf.recovery_core.phases import ProposeRegister
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.queries import QueryState
+from fawnwharf.recovery_core.queries import QueryTopic
+from fawnwharf.recovery_core.trust import StateKind
+from fawnwharf.recovery_core.trust import StoreCondition
+from fawnwharf.recovery_service import front_end_integration
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.agent import (
-    ApplyPhase,
-    Effect,
-    LocalStatus,
-    RecoveryAgent,
-    SendMessage,
-    SignatureReported,
-)
+from fawnwharf.recovery_service import status_display
+from fawnwharf.recovery_service.agent import ApplyPhase
+from fawnwharf.recovery_service.agent import Effect
+from fawnwharf.recovery_service.agent import LocalStatus
+from fawnwharf.recovery_service.agent import RecoveryAgent
+from fawnwharf.recovery_service.agent import SendMessage
+from fawnwharf.recovery_service.agent import SignatureReported
 from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
 from fawnwharf.recovery_service.counters import FrontEndCounters
-from fawnwharf.recovery_service.hints import ENTRY_KEY, RosterRecorder, UsageRecorder
+from fawnwharf.recovery_service.hints import ENTRY_KEY
+from fawnwharf.recovery_service.hints import RosterRecorder
+from fawnwharf.recovery_service.hints import UsageRecorder
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.recovery_service.settings import Settings, settings_from
+from fawnwharf.recovery_service.settings import Settings
+from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
+from fawnwharf.zones.log_lines import ClientMessage
+from fawnwharf.zones.log_lines import RECOVERY
+from pathlib import Path
+from typing import Any
+import hashlib
+import msgspec
+
 
 DISPLAY_INTERVAL_MS = 200.0  # how this one stands is told for people no more often than that
 MAX_MESSAGES_PER_LINE = 200  # in one line
@@ -59,7 +67,7 @@
         self.settings: Settings = load_file(Path(path), settings_from, RECOVERY)
         self.zones, self.kept, self.state = made["zones"], made["kept"], made["state"]
         self.life = self.kept.number
-        self._used = UsageRecorder.read(self.kept.read(Kind.USE))
+        self._used = UsageRecorder.read(self.kept.read(StateKind.USE))
         self._roster, self._use = RosterRecorder(), UsageRecorder(monotonic_ms())
         classes = deployment.settings.classes
         self.tallies = FrontEndCounters({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
@@ -129,7 +137,7 @@
         self._dialled = True
         if self.front.overlay.members:
             return
-        found = RosterRecorder.read(self.kept.read(Kind.ROSTER))
+        found = RosterRecorder.read(self.kept.read(StateKind.ROSTER))
         up_ms = self.front.loop.clock.now_ms()
         cold = [msgspec.structs.replace(member, up_since_ms=up_ms) for member in found]
         if cold:
@@ -139,7 +147,7 @@
             self.note("last roster dialled", {"scorers": len(cold)})
 
     def _keep_hints(self, now_ms: float) -> None:
-        for kind, hint in ((Kind.ROSTER, self._roster), (Kind.USE, self._use)):
+        for kind, hint in ((StateKind.ROSTER, self._roster), (StateKind.USE, self._use)):
             if (value := hint.due(now_ms)) is not None:
                 self.kept.keep(kind, ENTRY_KEY, value)
 
@@ -179,7 +187,7 @@
         serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
         return LocalStatus(
             settled=self.kept.settled,
-            whole=self.kept.whole is Store.WHOLE,
+            whole=self.kept.whole is StoreCondition.WHOLE,
             sure=keeper is None or keeper.sure(now),
             votes=voter is not None,
             plan=(number, _digest(text.encode())),
@@ -240,9 +248,9 @@
         self.calls.counting, self.tallies.calm = counting, not counting
         if not counting:
             self._keep_hints(now)
-            if self.kept.whole is Store.PART:
+            if self.kept.whole is StoreCondition.PART:
                 self._confirm()
-        if not self._dialled and self.agent.asking.stand(What.ROSTER) is Stand.WITHOUT:
+        if not self._dialled and self.agent.asking.stand(QueryTopic.ROSTER) is QueryState.WITHOUT:
             self._dial_last()
         self._carry_out(self.agent.tick(now, self._own()))
         if self._once("door") and (what := self.joined.door.since()):
@@ -262,21 +270,21 @@
         for effect in effects:
             if isinstance(effect, SendMessage):
                 self._say(effect)
-            elif isinstance(effect, Decide):
+            elif isinstance(effect, ProposeRegister):
                 if not self.zones.propose_register(effect.register, RECOVERY):
                     self.agent.not_put()
             elif isinstance(effect, ApplyPhase):
                 self._go_by(effect)
             elif isinstance(effect, SignatureReported):
                 self.kept.heard_sign(effect.sign)
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogEvent):
                 self.note(effect.event, effect.fields)
         self._show()
         self._set_timer()
 
     def _go_by(self, effect: ApplyPhase) -> None:
         allowed = effect.allowed
-        if effect.stage is not Stage.SPILL:
+        if effect.stage is not RecoveryPhase.SPILL:
             self._calm_ms = None
         elif self._calm_ms is None:
             self._calm_ms = monotonic_ms()
--- a/tests/test_recovery_search.py
+++ b/tests/test_recovery_search.py
@@ -7,8 +7,8 @@
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
 from fawnwharf.recovery_core import trust as t
-from fawnwharf.recovery_core.promises import Rules
-from fawnwharf.recovery_core.search import (
+from fawnwharf.recovery_core.claim_model import Rules
+from fawnwharf.recovery_core.model_checker import (
     SEARCHES,
     PolicyBounds,
     PolicySearch,
@@ -92,7 +92,7 @@
 
 
 def of_this_boot_alone(written, read, whole_ms):
-    return t.left_ms(written, read, whole_ms) if t.same_boot(written, read) else 0.0
+    return t.remaining_ms(written, read, whole_ms) if t.same_boot(written, read) else 0.0
 
 
 PLANTED = {
