--- a/fawnwharf/zones/command_helpers.py
+++ b/fawnwharf/zones/command_helpers.py
@@ -1,4 +1,4 @@
-"""Shared parts of operators' commands: a fleet's files, a member's address, the current lines of its log."""
+"""Helpers of operators' commands: a fleet's files, a member's address, the current lines of its log."""
 
 import json
 import socket
@@ -9,7 +9,7 @@
 
 import typer
 
-from fawnwharf.config import ConfigError, address_from
+from fawnwharf.config import Address, ConfigError, address_from
 from fawnwharf.zones import settings as s
 
 MemberOption = Annotated[
@@ -24,47 +24,53 @@
 
 
 def read_files(path: str) -> tuple[s.ZoneSettings, s.Membership]:
-    """The settings of zones and the members that they name; exits with status 2 where they can't be taken."""
+    """The settings of zones and the membership that they name; exits with status 2 for faulty files."""
     try:
         settings = s.settings_from(Path(path).read_bytes())
-        members = s.membership_from((Path(path).parent / settings.membership_file).read_bytes())
+        membership = s.membership_from((Path(path).parent / settings.membership_file).read_bytes())
     except OSError as error:
         fail(f"zones: {error.filename}: {error.strerror}")
     except s.SettingsFileError as error:
         fail(f"zones: {path}: {error}")
-    return settings, members
+    return settings, membership
 
 
-def log_address(settings: s.ZoneSettings, members: s.Membership, member: str) -> tuple[str, int]:
-    """The address of a member's log.
+def log_address(settings: s.ZoneSettings, membership: s.Membership, member: str) -> Address:
+    """The address of a member's log; of the settings' own listener for an empty name.
 
-    Without a name it is the settings' own listener. Exits with status 2 where there is none.
+    Exits with status 2 where there is none.
     """
-    try:
-        if not member:
-            if not settings.listen:
-                fail("zones: the settings have no listener of their own; name a member with --member")
-            return address_from(settings.listen, "zones.listen")
-        if (entry := members.named(member)) is None:
+    if member:
+        entry = membership.named(member)
+        if entry is None:
             fail(f"zones: no member {member}")
-        return address_from(entry.address, "members.address")
+        address, key = entry.address, "members.address"
+    elif settings.listen:
+        address, key = settings.listen, "zones.listen"
+    else:
+        fail("zones: the settings have no listener of their own; name a member with --member")
+    try:
+        return address_from(address, key)
     except ConfigError as error:
         fail(str(error))
 
 
-def current_lines(place: tuple[str, int], keys: Iterable[str], within_s: float) -> dict[str, Any]:
-    """The current lines of a member's log, the last one with each of these keys.
+def current_lines(address: Address, keys: Iterable[str], within_s: float) -> dict[str, Any]:
+    """The current lines of a member's log: the last one with each of these keys, by key.
 
-    Raises OSError where the log can't be read, ValueError where a line is malformed.
+    Raises OSError where the log cannot be read, and ValueError for a malformed line.
     """
     found: dict[str, Any] = {}
-    with socket.create_connection(place, within_s) as sock:
+    with socket.create_connection(address, within_s) as sock:
         sock.sendall(b"since 0\n")
-        reader, end = sock.makefile("rb"), time.monotonic() + within_s
+        reader = sock.makefile("rb")
+        end = time.monotonic() + within_s
         while time.monotonic() < end:
-            line = reader.readline()
-            read = json.loads(line) if line else 0
-            if not isinstance(read, dict) or not read.get("whole"):
-                break
-            found |= {key: read["line"] for key in keys if key in read.get("line", {})}
+            text = reader.readline()
+            numbered = json.loads(text) if text else None
+            if not isinstance(numbered, dict) or not numbered.get("whole"):
+                break  # all current lines have come
+            for key in keys:
+                if key in numbered.get("line", {}):
+                    found[key] = numbered["line"]
     return found
--- a/fawnwharf/zones/commands.py
+++ b/fawnwharf/zones/commands.py
@@ -1,120 +1,165 @@
-"""`fawnwharf zones`: what operators see of the fleet's zones, and what they ask of it."""
+"""`fawnwharf zones`: what operators see of the fleet's zones, and what they request of it."""
 
 import json
 import time
+from collections.abc import Collection
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Annotated, Any
 
+import msgspec
 import typer
 
 from fawnwharf.config import ConfigError
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
+from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING, SERVING
 
 app = typer.Typer(no_args_is_help=True, help="Zones that are decided in common.")
 File = Annotated[str, typer.Option("--zones", help="The settings of zones that this member serves with.")]
 Wait = Annotated[float, typer.Option("--wait", help="Seconds to wait for the fleet's decision.")]
 
+READ_WITHIN_S = 3.0  # a member's log
+POLL_INTERVAL_S = 0.2  # while waiting for a decision
 
-def look(place: tuple[str, int], within_s: float = 3.0) -> dict[str, Any]:
-    """The current lines of a member's log.
 
-    Its last plan and report. Raises OSError where it can't be read.
-    """
-    return current_lines(place, ("plan", "report"), within_s)
+@dataclass(frozen=True)
+class _MemberView:
+    """What a member's log says at the moment, as decoded JSON."""
 
+    plan_index: int | None = None  # None while the member knows no plan
+    plan: dict[str, Any] = field(default_factory=dict)
+    report: dict[str, Any] = field(default_factory=dict)
 
-def _look(path: str, member: str) -> dict[str, Any]:
-    settings, members = read_files(path)
+    def zone_state(self, zone: str) -> str | None:
+        """The decided state of a zone, where it is known."""
+        state: str | None = self.plan.get("zones", {}).get(zone, {}).get("state")
+        return state
+
+
+def _read_member(settings: s.ZoneSettings, membership: s.Membership, member: str) -> _MemberView:
+    """The last plan and report in a member's log; raises OSError or ValueError where it cannot be read."""
+    lines = current_lines(log_address(settings, membership, member), ("plan", "report"), READ_WITHIN_S)
+    report = lines.get("report", {}).get("report", {})
+    if "plan" not in lines:
+        return _MemberView(report=report)
+    return _MemberView(lines["plan"]["index"], json.loads(lines["plan"]["plan"]), report)
+
+
+def _view_of(path: str, member: str) -> _MemberView:
+    """The same; exits with status 1 where the log cannot be read."""
+    settings, membership = read_files(path)
     try:
-        return look(log_address(settings, members, member))
+        return _read_member(settings, membership, member)
     except (OSError, ValueError) as error:
         fail(f"zones: no answer: {error}", 1)
-    return {}
 
 
 @app.command()
 def show(zones: File, member: MemberOption = "") -> None:
     """The zones as a member knows them decided, and what it sees of each."""
-    found = _look(zones, member)
-    line, report = found.get("plan"), found.get("report", {}).get("report", {})
-    plan = json.loads(line["plan"]) if line else {"zones": {}}
-    typer.echo(f"member {report.get('name', '?')}  plan {line['index'] if line else 'none known'}")
-    seen = report.get("seen", {})
-    for name in sorted({*plan["zones"], *seen}):
-        zone, signs = plan["zones"].get(name, {}), seen.get(name, {})
-        told = "  ".join(f"{kind} {count}" for kind, count in signs.items() if count) or "no signs"
-        why = f"  ({zone['why']})" if zone.get("why") else ""
-        typer.echo(f"{name:12} {zone.get('state', '-'):10} share {zone.get('share', 1.0):4.2f}  {told}{why}")
-    for near, far in plan.get("apart", ()):
-        typer.echo(f"apart: {near} does not reach {far}")
+    view = _view_of(zones, member)
+    index = "none known" if view.plan_index is None else view.plan_index
+    typer.echo(f"member {view.report.get('name', '?')}  plan {index}")
+    planned = view.plan.get("zones", {})
+    evidence = view.report.get("seen", {})
+    for name in sorted({*planned, *evidence}):
+        typer.echo(_zone_line(name, planned.get(name, {}), evidence.get(name, {})))
+    for source, target in view.plan.get("apart", ()):
+        typer.echo(f"apart: {source} does not reach {target}")
+
+
+def _zone_line(name: str, zone: dict[str, Any], evidence: dict[str, Any]) -> str:
+    """One zone as operators see it."""
+    signs = "  ".join(f"{kind} {count}" for kind, count in evidence.items() if count) or "no signs"
+    reason = f"  ({zone['why']})" if zone.get("why") else ""
+    state, fraction = zone.get("state", "-"), zone.get("share", 1.0)
+    return f"{name:12} {state:10} share {fraction:4.2f}  {signs}{reason}"
 
 
 @app.command()
 def plan(zones: File, member: MemberOption = "") -> None:
     """The decided plan, as JSON."""
-    line = _look(zones, member).get("plan")
-    if line is None:
+    view = _view_of(zones, member)
+    if view.plan_index is None:
         fail("zones: this member knows no plan", 1)
-    typer.echo(json.dumps({"index": line["index"]} | json.loads(line["plan"]), indent=1))
-
-
-def _wish(path: str, change: Any, zone: str, states: tuple[str, ...], wait_s: float) -> None:
-    settings, members = read_files(path)
-    base = Path(path).parent
-    folder = base / settings.state_folder
-    place = (
-        base / settings.operator_request_file if settings.operator_request_file else folder / "wishes.json"
-    )
-    try:
-        before = (
-            s.operator_request_from(place.read_bytes(), set(members.zones))
-            if place.exists()
-            else s.OperatorRequest()
-        )
-        number = max(before.number + 1, int(time.time()))  # later than any other member's wish
-        wanted = {"version": 1, "number": number, "drained": sorted(change(set(before.drained)))}
-        s.operator_request_from(wanted, set(members.zones))
-    except s.SettingsFileError as error:
-        fail(f"zones: {error}")
-    folder.mkdir(parents=True, exist_ok=True)
-    beside = place.with_suffix(".new")
-    beside.write_text(json.dumps(wanted))
-    beside.rename(place)
-    typer.echo(f"asked: {', '.join(wanted['drained']) or 'no zone'} drained")
-    end = time.monotonic() + wait_s
-    while time.monotonic() < end:
-        try:
-            line = look(log_address(settings, members, "")).get("plan")
-        except (OSError, ValueError):
-            line = None
-        state = json.loads(line["plan"])["zones"].get(zone, {}).get("state") if line else None
-        if state in states:
-            typer.echo(f"decided: {zone} is {state}, plan {line['index']}")
-            return
-        time.sleep(0.2)
-    fail(f"zones: not decided within {wait_s:g} s; the wish stands", 1)
+    typer.echo(json.dumps({"index": view.plan_index} | view.plan, indent=1))
 
 
 @app.command()
 def drain(zone: str, zones: File, wait: Wait = 15.0) -> None:
     """Ask the fleet to take a zone out; it goes through the same decision as all else."""
-    _wish(zones, lambda drained: drained | {zone}, zone, ("leaving", "out"), wait)
+    _request(zones, zone, wait, drained=True)
 
 
 @app.command()
 def restore(zone: str, zones: File, wait: Wait = 15.0) -> None:
     """Ask the fleet to take a drained zone back."""
-    _wish(zones, lambda drained: drained - {zone}, zone, ("returning", "serving"), wait)
+    _request(zones, zone, wait, drained=False)
+
+
+def _request(path: str, zone: str, wait_s: float, *, drained: bool) -> None:
+    """Write an operator request, and wait until the fleet has decided as it says."""
+    settings, membership = read_files(path)
+    request_path = _request_path(path, settings)
+    try:
+        request = _next_request(request_path, set(membership.zones), zone, drained=drained)
+    except s.SettingsFileError as error:
+        fail(f"zones: {error}")
+    (Path(path).parent / settings.state_folder).mkdir(parents=True, exist_ok=True)
+    beside = request_path.with_suffix(".new")
+    beside.write_text(json.dumps(msgspec.to_builtins(request)))
+    beside.rename(request_path)
+    typer.echo(f"asked: {', '.join(request.drained) or 'no zone'} drained")
+    states = (DRAINING, OUT) if drained else (RECOVERING, SERVING)
+    if not _wait_for_state(settings, membership, zone, states, wait_s):
+        fail(f"zones: not decided within {wait_s:g} s; the wish stands", 1)
+
+
+def _request_path(path: str, settings: s.ZoneSettings) -> Path:
+    """Where the operator requests to this member are."""
+    base = Path(path).parent
+    if settings.operator_request_file:
+        return base / settings.operator_request_file
+    return base / settings.state_folder / "wishes.json"
+
+
+def _next_request(path: Path, zones: set[str], zone: str, *, drained: bool) -> s.OperatorRequest:
+    """The request that also drains a zone, or no longer; raises SettingsFileError for an invalid one."""
+    before = s.OperatorRequest()
+    if path.exists():
+        before = s.operator_request_from(path.read_bytes(), zones)
+    wanted = {*before.drained, zone} if drained else {*before.drained} - {zone}
+    number = max(before.number + 1, int(time.time()))  # later than any other member's request
+    document = {"version": s.VERSION, "number": number, "drained": sorted(wanted)}
+    return s.operator_request_from(document, zones)
+
+
+def _wait_for_state(
+    settings: s.ZoneSettings, membership: s.Membership, zone: str, states: Collection[str], wait_s: float
+) -> bool:
+    """Wait until a zone is decided to be in one of these states; False where it is not in time."""
+    end = time.monotonic() + wait_s
+    while time.monotonic() < end:
+        try:
+            view = _read_member(settings, membership, "")
+        except (OSError, ValueError):
+            view = _MemberView()
+        state = view.zone_state(zone)
+        if state in states:
+            typer.echo(f"decided: {zone} is {state}, plan {view.plan_index}")
+            return True
+        time.sleep(POLL_INTERVAL_S)
+    return False
 
 
 @app.command()
 def found(name: str, zones: File) -> None:
     """Begin a new fleet: once, at one voter, before it is started. The other voters join it by themselves."""
-    from fawnwharf.zones.bootstrap import bootstrap as begin
+    from fawnwharf.zones.bootstrap import bootstrap
 
     try:
-        typer.echo(f"founded: {begin(zones, name)} is the first voter")
+        typer.echo(f"founded: {bootstrap(zones, name)} is the first voter")
     except ConfigError as error:
         fail(str(error))
 
@@ -122,13 +167,11 @@
 @app.command()
 def check(zones: File) -> None:
     """Read and check the settings and the file of members."""
-    settings, members = read_files(zones)
-    voters = ", ".join(voter.name for voter in members.voters)
+    settings, membership = read_files(zones)
+    voters = ", ".join(voter.name for voter in membership.voters)
     typer.echo(
-        f"fawnwharf: good: {len(members.members)} members, zones {', '.join(members.zones)}, voters {voters}"
+        f"fawnwharf: good: {len(membership.members)} members, zones {', '.join(membership.zones)}, "
+        f"voters {voters}"
     )
-    if (
-        settings.operator_request_file
-        or (Path(zones).parent / settings.state_folder / "wishes.json").exists()
-    ):
+    if settings.operator_request_file or _request_path(zones, settings).exists():
         typer.echo("wishes stand; see zones show")
--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -8,34 +8,33 @@
 plan is the latest one), and one of voters alone for the other voters (the consensus protocol).
 """
 
+from typing import Any
+
+import msgspec
+
 from fawnwharf.consensus.voter import Voter
-from fawnwharf.zones.effects import Effect
-from fawnwharf.zones.effects import MessagesReceived
-from fawnwharf.zones.effects import PublishLine
+from fawnwharf.zones.effects import Effect, MessagesReceived, PublishLine
 from fawnwharf.zones.evidence import ZoneEvidence
-from fawnwharf.zones.log_events import MalformedMessages
-from fawnwharf.zones.log_events import MembershipIgnored
-from fawnwharf.zones.log_events import MembershipLoaded
-from fawnwharf.zones.log_events import OperatorRequestLoaded
-from fawnwharf.zones.log_lines import ConsensusStatus
-from fawnwharf.zones.log_lines import DropCause
-from fawnwharf.zones.log_lines import LogLine
-from fawnwharf.zones.log_lines import LogLineError
-from fawnwharf.zones.log_lines import POLICY
-from fawnwharf.zones.log_lines import RECOVERY
-from fawnwharf.zones.log_lines import messages_for
+from fawnwharf.zones.log_events import (
+    MalformedMessages,
+    MembershipIgnored,
+    MembershipLoaded,
+    OperatorRequestLoaded,
+)
+from fawnwharf.zones.log_lines import (
+    POLICY,
+    RECOVERY,
+    ConsensusStatus,
+    DropCause,
+    LogLine,
+    LogLineError,
+    messages_for,
+)
 from fawnwharf.zones.member_state import MemberState
-from fawnwharf.zones.plan import Plan
-from fawnwharf.zones.plan import PlanError
+from fawnwharf.zones.plan import Plan, PlanError
 from fawnwharf.zones.report import Report
-from fawnwharf.zones.settings import Membership
-from fawnwharf.zones.settings import OperatorRequest
-from fawnwharf.zones.settings import ZoneSettings
-from fawnwharf.zones.voter_role import VoterRole
-from fawnwharf.zones.voter_role import VoterStart
-from fawnwharf.zones.voter_role import voter_message_of
-from typing import Any
-import msgspec
+from fawnwharf.zones.settings import Membership, OperatorRequest, ZoneSettings
+from fawnwharf.zones.voter_role import VoterRole, VoterStart, voter_message_of
 
 
 class MemberCore:
--- a/fawnwharf/zones/voter_role.py
+++ b/fawnwharf/zones/voter_role.py
@@ -3,9 +3,8 @@
 Pure. The leader proposes plans and voter lists, and states how fresh its plan is.
 """
 
-from dataclasses import dataclass
-
 import msgspec
+from msgspec import Struct
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.timing import Timing
@@ -34,8 +33,7 @@
 from fawnwharf.zones.plan import Plan, PlanError
 
 
-@dataclass(frozen=True)
-class VoterStart:
+class VoterStart(Struct, frozen=True):
     """What a voter starts with."""
 
     identity: str
