--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -3,50 +3,39 @@
 Its part in the fleet's logs, its disk and files, and the seam to the module.
 """
 
+import time
 from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
 from fawnwharf import interface as io
-from fawnwharf.config import ConfigError
-from fawnwharf.config import Deployment
-from fawnwharf.config import Fleet
-from fawnwharf.config import address_from
-from fawnwharf.consensus.voter_store import DiskError
-from fawnwharf.consensus.voter_store import VoterStore
-from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
+from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster_closing
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.effects import Effect
-from fawnwharf.zones.effects import FollowPlan
-from fawnwharf.zones.effects import MessagesReceived
-from fawnwharf.zones.effects import PublishLine
-from fawnwharf.zones.effects import RegisterDecided
-from fawnwharf.zones.effects import SaveVoterState
-from fawnwharf.zones.effects import SendVoterMessage
+from fawnwharf.zones.effects import (
+    Effect,
+    FollowPlan,
+    MessagesReceived,
+    PublishLine,
+    RegisterDecided,
+    SaveVoterState,
+    SendVoterMessage,
+)
 from fawnwharf.zones.evidence import EvidenceCollector
-from fawnwharf.zones.files import WatchedFile
-from fawnwharf.zones.files import load_file
+from fawnwharf.zones.files import WatchedFile, load_file
 from fawnwharf.zones.log_client import LogClient
 from fawnwharf.zones.log_events import LogEvent
-from fawnwharf.zones.log_lines import ClientMessage
-from fawnwharf.zones.log_lines import ConsensusStatus
-from fawnwharf.zones.log_lines import DropCause
-from fawnwharf.zones.log_lines import LogLine
-from fawnwharf.zones.log_lines import LogLineError
-from fawnwharf.zones.log_lines import POLICY
+from fawnwharf.zones.log_lines import POLICY, ClientMessage, ConsensusStatus, DropCause, LogLine, LogLineError
 from fawnwharf.zones.member_core import MemberCore
-from fawnwharf.zones.member_log import LogServer
-from fawnwharf.zones.member_log import MemberLogFollower
-from fawnwharf.zones.plan import Plan
-from fawnwharf.zones.plan import limit_spillover
+from fawnwharf.zones.member_log import LogServer, MemberLogFollower
+from fawnwharf.zones.plan import Plan, limit_spillover
 from fawnwharf.zones.probes import Probes
 from fawnwharf.zones.voter_role import VoterStart
-from pathlib import Path
-from typing import Any
-import msgspec
-import time
-
 
 FILES_MS = 500.0  # pace of the look at the files
 READERS_SPARE = 16  # beyond the members, for operators
