--- a/fawnwharf/admin/__init__.py
+++ b/fawnwharf/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running front end: scorers taken out, drains, replacement of the process."""
+"""The operators' HTTP commands, draining, and hot restart: handing everything over to the next process."""
--- a/fawnwharf/admin/admin_listener.py
+++ b/fawnwharf/admin/admin_listener.py
@@ -1,4 +1,4 @@
-"""The second address: its listener and its connections, each with one call."""
+"""The listener for operators and their connections, each with one request."""
 
 import socket
 from collections.abc import Callable
@@ -13,40 +13,54 @@
 
 BACKLOG = 64
 MAX_READ_BYTES = 4 * 1024
-MAX_ACCEPTS = 16  # in a turn
+MAX_ACCEPTS = 16  # in one event loop iteration
 ACCEPT_PAUSE_MS = 50.0  # where the system has no descriptor or memory left
-MAX_CONNECTIONS, MIN_CONNECTIONS = 16, 4  # connections; a few operators at a time, and some that say nothing
-DESCRIPTORS_PER_CONNECTION = 32  # of the descriptors: one in so many
-REQUEST_TIMEOUT_MS = 5_000.0  # for a call to come in whole
+MAX_CONNECTIONS = 16  # a few operators at a time, and some that send nothing
+MIN_CONNECTIONS = 4
+DESCRIPTORS_PER_CONNECTION = 32
+REQUEST_TIMEOUT_MS = 5_000.0  # until a request is complete
 
 
 class AdminConnection:
-    """One operator's connection, and its one call."""
+    """One operator's connection, and its one request."""
 
-    def __init__(self, port: "AdminListener", sock: socket.socket) -> None:
-        self.port, self.since_ms = port, monotonic_ms()
+    def __init__(self, listener: "AdminListener", sock: socket.socket) -> None:
+        """Takes over an accepted socket."""
+        self.listener = listener
+        self.accepted_ms = monotonic_ms()
         self._reader = RequestReader()
-        self.connection = Connection.accepted(port.loop, sock, self, MAX_READ_BYTES, first=True)
+        self.connection = Connection.accepted(listener.loop, sock, self, MAX_READ_BYTES, first=True)
 
     @property
     def answered(self) -> bool:
-        return self._reader.done is not None
+        """Whether its response has been written."""
+        return self._reader.result is not None
 
-    def on_up(self) -> None: ...
+    def on_up(self) -> None:
+        """Nothing follows: the connection was accepted."""
 
-    def on_flushed(self) -> None: ...
+    def on_flushed(self) -> None:
+        """Nothing follows: there is one response."""
 
     def on_data(self, data: bytes) -> None:
-        if not self.answered and (found := self._reader.feed(data)) is not None:
-            self.answer(found if isinstance(found, AdminResponse) else self.port.take(found))
-
-    def answer(self, answer: AdminResponse) -> None:
-        self._reader.done = answer
-        self.connection.write(encode_response(answer))
+        """Takes bytes, and answers the request once it is complete."""
+        if self.answered:
+            return
+        found = self._reader.feed(data)
+        if isinstance(found, AdminRequest):
+            self.answer(self.listener.handle(found))
+        elif found is not None:
+            self.answer(found)
+
+    def answer(self, response: AdminResponse) -> None:
+        """Writes the response and ends the connection."""
+        self._reader.result = response
+        self.connection.write(encode_response(response))
         self.connection.finish(End.RETIRED)
 
-    def on_end(self, end: End) -> None:
-        self.port.callers.pop(self, None)
+    def on_end(self, _end: End) -> None:
+        """The connection has ended."""
+        self.listener.connections.pop(self, None)
 
 
 def _listening(address: Address) -> socket.socket:
@@ -64,14 +78,19 @@
 
 
 class AdminListener:
-    """Owns the listener for operators and their connections, a few of the descriptors."""
+    """Owns the listener for operators and their connections, a small part of the descriptors."""
 
     def __init__(
-        self, loop: Loop, address: Address, sockets: int, take: Callable[[AdminRequest], AdminResponse]
+        self, loop: Loop, address: Address, sockets: int, handle: Callable[[AdminRequest], AdminResponse]
     ) -> None:
-        self.loop, self.take = loop, take
-        self.callers: dict[AdminConnection, None] = {}
-        self._most = max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, sockets // DESCRIPTORS_PER_CONNECTION))
+        """Listens on an address; `sockets` is the number of descriptors that the process may use.
+
+        Raises OSError where the address can't be listened on.
+        """
+        self.loop = loop
+        self.handle = handle
+        self.connections: dict[AdminConnection, None] = {}  # in the order of their accepts
+        self._limit = max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, sockets // DESCRIPTORS_PER_CONNECTION))
         self._listener = once_free(lambda: _listening(address))
         self.address: Address = self._listener.getsockname()[:2]
         self._pause: Timer | None = None
@@ -83,37 +102,39 @@
                 sock, _ = self._listener.accept()
             except BlockingIOError:
                 return
-            except OSError:  # one that left, or no descriptor
-                self._rest()
+            except OSError:  # the peer has gone, or no descriptor is left
+                self._pause_accepting()
                 return
-            while len(self.callers) >= self._most:
-                self._give_way()
-            self.callers[AdminConnection(self, sock)] = None
+            while len(self.connections) >= self._limit:
+                self._evict_one()
+            self.connections[AdminConnection(self, sock)] = None
 
-    def _rest(self) -> None:
-        """Leave callers to the system's queue for a moment, rather than spin on them."""
+    def _pause_accepting(self) -> None:
+        """Leaves connections in the system's queue for a moment, instead of a busy loop."""
         if self._pause is None:
             self.loop.forget(self._listener)
-            self._pause = self.loop.wheel.after(ACCEPT_PAUSE_MS, self._go_on)
+            self._pause = self.loop.wheel.after(ACCEPT_PAUSE_MS, self._resume_accepting)
 
-    def _go_on(self) -> None:
+    def _resume_accepting(self) -> None:
         self._pause = None
         if self._listener.fileno() >= 0:
             self.loop.watch(self._listener, READ, self._accept, first=True)
 
-    def _give_way(self) -> None:
-        """Guards callers that ask against those that never do: one answered goes first, else the oldest."""
-        first = min(self.callers, key=lambda caller: (not caller.answered, caller.since_ms))
-        first.connection.close(End.IDLE)
+    def _evict_one(self) -> None:
+        """Makes place for operators that ask: an answered connection goes first, else the oldest one."""
+        evicted = min(self.connections, key=lambda each: (not each.answered, each.accepted_ms))
+        evicted.connection.close(End.IDLE)
 
     def tidy(self) -> None:
-        since = monotonic_ms() - REQUEST_TIMEOUT_MS
-        for caller in [caller for caller in self.callers if caller.since_ms < since]:
-            if not caller.answered:
-                caller.answer(AdminResponse(408, "the call did not come in whole"))
+        """Ends connections whose request did not become complete in time."""
+        oldest_ms = monotonic_ms() - REQUEST_TIMEOUT_MS
+        expired = [each for each in self.connections if each.accepted_ms < oldest_ms and not each.answered]
+        for connection in expired:
+            connection.answer(AdminResponse(408, "the call did not come in whole"))
 
     def close(self) -> None:
+        """Stops listening and ends all connections."""
         self.loop.forget(self._listener)
         self._listener.close()
-        for caller in list(self.callers):
-            caller.connection.close(End.STOPPED)
+        for each in list(self.connections):
+            each.connection.close(End.STOPPED)
--- a/fawnwharf/admin/command_handler.py
+++ b/fawnwharf/admin/command_handler.py
@@ -1,4 +1,4 @@
-"""What operators' calls mean: which scorers are out, whether this front end is on standby. Pure."""
+"""The meaning of the operators' commands: scorers in maintenance and this front end on standby. No I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -8,103 +8,106 @@
 
 @dataclass(slots=True, frozen=True)
 class EnterMaintenance:
-    """Nothing new may go to this scorer, whatever the change log says."""
+    """No new request may be sent to this scorer, whatever the change log reports."""
 
-    id: str
+    scorer_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class ExitMaintenance:
-    """This scorer may serve again; it comes back cold."""
+    """This scorer may serve again, beginning with a slow start."""
 
-    id: str
+    scorer_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class EnterStandby:
-    pass
+    """This front end drains its client connections."""
 
 
 @dataclass(slots=True, frozen=True)
 class ExitStandby:
-    pass
+    """This front end serves again."""
 
 
 Effect = EnterMaintenance | ExitMaintenance | EnterStandby | ExitStandby
+Result = tuple[AdminResponse, Effect | None]
 
 
 @dataclass(slots=True)
 class CommandHandler:
-    """Takes operators' calls; what they change is carried out by whoever asks it."""
+    """Decides the response to each command and its effect, which the caller carries out."""
 
-    knows: Callable[[str], bool]  # whether the roster has a scorer of this id
-    out: set[str] = field(default_factory=set)
+    is_known: Callable[[str], bool]  # whether the roster has a scorer of this id
+    in_maintenance: set[str] = field(default_factory=set)
     standby: bool = False
-    serving: bool = False  # it has started, and does not leave
-    leaving: bool = False
+    serving: bool = False  # it has started and can answer requests
+    shutting_down: bool = False
 
-    def take(self, asked: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        """The answer to a call, and what it is to bring about."""
-        route = ROUTES.get(asked.path)
+    def handle(self, request: AdminRequest) -> Result:
+        """The response to a command, and the effect that it is to have."""
+        route = ROUTES.get(request.path)
         if route is None:
             return AdminResponse(404, "no such call"), None
-        method, does = route
-        if asked.method != method:
+        method, handle = route
+        if request.method != method:
             return AdminResponse(405, f"this is called with {method}"), None
-        return does(self, asked)
+        return handle(self, request)
 
-    def _status(self, asked: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        if self.serving and not self.standby and not self.leaving:
+    def _status(self, _request: AdminRequest) -> Result:
+        if self.serving and not self.standby and not self.shutting_down:
             return AdminResponse(200, "ready"), None
-        state = "leaving" if self.leaving else "on standby" if self.standby else "starting"
+        state = "leaving" if self.shutting_down else "on standby" if self.standby else "starting"
         return AdminResponse(503, f"not ready: {state}"), None
 
-    def _enter(self, asked: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        if isinstance(id := _target(asked), AdminResponse):
-            return id, None
-        if id in self.out:
-            return AdminResponse(200, f"{id} is out already"), None
-        if not self.knows(id):
-            return AdminResponse(404, f"no scorer {id}"), None
-        self.out.add(id)
-        return AdminResponse(200, f"{id} is out"), EnterMaintenance(id)
-
-    def _exit(self, asked: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        if isinstance(id := _target(asked), AdminResponse):
-            return id, None
-        if id in self.out:
-            self.out.discard(id)
-            return AdminResponse(200, f"{id} may serve again"), ExitMaintenance(id)
-        if not self.knows(id):
-            return AdminResponse(404, f"no scorer {id}"), None
-        return AdminResponse(200, f"{id} was not out"), None
-
-    def _standby(self, asked: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        if self.leaving:
+    def _enter_maintenance(self, request: AdminRequest) -> Result:
+        scorer_id = _target(request)
+        if isinstance(scorer_id, AdminResponse):
+            return scorer_id, None
+        if scorer_id in self.in_maintenance:
+            return AdminResponse(200, f"{scorer_id} is out already"), None
+        if not self.is_known(scorer_id):
+            return AdminResponse(404, f"no scorer {scorer_id}"), None
+        self.in_maintenance.add(scorer_id)
+        return AdminResponse(200, f"{scorer_id} is out"), EnterMaintenance(scorer_id)
+
+    def _exit_maintenance(self, request: AdminRequest) -> Result:
+        scorer_id = _target(request)
+        if isinstance(scorer_id, AdminResponse):
+            return scorer_id, None
+        if scorer_id in self.in_maintenance:
+            self.in_maintenance.discard(scorer_id)
+            return AdminResponse(200, f"{scorer_id} may serve again"), ExitMaintenance(scorer_id)
+        if not self.is_known(scorer_id):
+            return AdminResponse(404, f"no scorer {scorer_id}"), None
+        return AdminResponse(200, f"{scorer_id} was not out"), None
+
+    def _enter_standby(self, _request: AdminRequest) -> Result:
+        if self.shutting_down:
             return AdminResponse(409, "it is leaving"), None
-        already, self.standby = self.standby, True
-        return AdminResponse(200, "draining"), None if already else EnterStandby()
+        effect = None if self.standby else EnterStandby()
+        self.standby = True
+        return AdminResponse(200, "draining"), effect
 
-    def _active(self, asked: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        if self.leaving:
+    def _exit_standby(self, _request: AdminRequest) -> Result:
+        if self.shutting_down:
             return AdminResponse(409, "it is leaving"), None
-        was, self.standby = self.standby, False
-        return AdminResponse(200, "back to work"), ExitStandby() if was else None
+        effect = ExitStandby() if self.standby else None
+        self.standby = False
+        return AdminResponse(200, "back to work"), effect
 
 
-def _target(asked: AdminRequest) -> str | AdminResponse:
-    found = [value for name, value in asked.query if name == "target"]
-    if len(found) != 1 or not 0 < len(found[0]) <= MAX_TARGET_LENGTH:
+def _target(request: AdminRequest) -> str | AdminResponse:
+    targets = [value for name, value in request.query if name == "target"]
+    if len(targets) != 1 or not 0 < len(targets[0]) <= MAX_TARGET_LENGTH:
         return AdminResponse(400, "one target is wanted: ?target=ID")
-    return found[0]
+    return targets[0]
 
 
-ROUTES: dict[
-    str, tuple[str, Callable[[CommandHandler, AdminRequest], tuple[AdminResponse, Effect | None]]]
-] = {
+ROUTES: dict[str, tuple[str, Callable[[CommandHandler, AdminRequest], Result]]] = {
     "/status": ("GET", CommandHandler._status),
-    "/maintenance/enter": ("POST", CommandHandler._enter),
-    "/maintenance/exit": ("POST", CommandHandler._exit),
-    "/standby": ("POST", CommandHandler._standby),
-    "/active": ("POST", CommandHandler._active),
+    "/maintenance/enter": ("POST", CommandHandler._enter_maintenance),
+    "/maintenance/exit": ("POST", CommandHandler._exit_maintenance),
+    "/standby": ("POST", CommandHandler._enter_standby),
+    "/active": ("POST", CommandHandler._exit_standby),
 }
--- a/fawnwharf/admin/draining.py
+++ b/fawnwharf/admin/draining.py
@@ -1,23 +1,31 @@
-"""Steps of a front end's drain: by the time since the call, which client connections are ended, and what is
-refused. Pure; milliseconds."""
+"""Steps of draining a front end on standby: which client connections end, and what is rejected. No I/O.
+
+Times are milliseconds.
+"""
 
 from enum import IntEnum
 
-# The front asks every 100 ms whether this front end is ready, and sends new connections for 200 ms after the
-# first no.
+# The load balancer checks readiness every 100 ms, and sends new connections for 200 ms after the first failed
+# check.
 CLOSE_IDLE_AFTER_MS = 400.0
-# Four seconds after the call no connection may be held idle or with a call of the last two: what is taken by
-# now has ended or is older by then.
+# Four seconds after the command no connection may be idle or carry a request of the last two seconds: what is
+# accepted by now has ended or is older by then.
 REJECT_AFTER_MS = 1_200.0
-TICK_INTERVAL_MS = 20.0  # pace of the look after connections that have fallen idle
+TICK_INTERVAL_MS = 20.0  # between checks for connections that have become idle
 
 
 class DrainStep(IntEnum):
-    NOTICED = 0  # all is served; the front is about to hear
-    EMPTYING = 1  # a connection ends as soon as nothing is open on it
-    REFUSING = 2  # and calls on the others are refused at once
+    """How far a drain has come."""
+
+    ACCEPTING = 0  # everything is served, until the load balancer notices
+    CLOSING_IDLE = 1  # a connection ends as soon as no request is open on it
+    REJECTING = 2  # and requests on the other connections are rejected at once
 
 
-def drain_step(since_ms: float) -> DrainStep:
-    """The step that a drain is in, so long after its call."""
-    return DrainStep((since_ms >= CLOSE_IDLE_AFTER_MS) + (since_ms >= REJECT_AFTER_MS))
+def drain_step(elapsed_ms: float) -> DrainStep:
+    """The step of a drain so long after its command."""
+    if elapsed_ms >= REJECT_AFTER_MS:
+        return DrainStep.REJECTING
+    if elapsed_ms >= CLOSE_IDLE_AFTER_MS:
+        return DrainStep.CLOSING_IDLE
+    return DrainStep.ACCEPTING
--- a/fawnwharf/admin/exclusive_extensions.py
+++ b/fawnwharf/admin/exclusive_extensions.py
@@ -1,8 +1,9 @@
-"""What speaks for a member of the fleet (zones, replicated state), in a replacement of its process.
+"""The extensions that speak for a member of the fleet (zones, replicated state) during a hot restart.
 
-One process at a time speaks for the member and has its disks: the old one lets go of them before the new one
-has them, and takes them back where the new one is gone before it took the place. Nothing is read from clients
-in between, as without these parts a call could run without its promise.
+Only one process at a time may speak for the member and have its disks. The old process releases the
+extensions before the new one acquires them, and reacquires them where the new one ends before it is ready.
+Nothing is read from clients in between, as a call could otherwise run without the promise that these
+extensions record.
 """
 
 from collections.abc import Callable
@@ -13,83 +14,103 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 POLL_INTERVAL_MS = 5.0
-# What is open ends by itself. The new process owes a yes within 6 s: a call that takes longer than this goes
-# on here, and its claim then reads as one that may have run.
+# Open requests end by themselves. The new process must be ready within 6 s: a request that takes longer than
+# this goes on here, and its claim then reads as one that may have run.
 DRAIN_TIMEOUT_MS = 3_500.0
 REACQUIRE_TIMEOUT_MS = 10_000.0
 
 
 class ExtensionState(Enum):
-    HERE = auto()
-    EMPTYING = auto()  # still here, until what is open has ended
-    AWAY = auto()  # let go of: the other process may have them
-    RETURNING = auto()
+    """Which process has the extensions."""
+
+    HELD = auto()
+    DRAINING = auto()  # still held, until the open requests have ended
+    RELEASED = auto()  # the other process may have them
+    REACQUIRING = auto()
 
 
 class ExclusiveExtensions:
-    """Owns where the parts of this process are."""
+    """Owns the state of this process's exclusive extensions."""
 
     def __init__(self, front: FrontEnd) -> None:
-        self.front, self.where = front, ExtensionState.HERE
+        """Begins with the front end's extensions held."""
+        self.front = front
+        self.state = ExtensionState.HELD
         self._since_ms = 0.0
 
     @property
-    def any(self) -> bool:
+    def exist(self) -> bool:
+        """Whether this process has any."""
         return self.front.seam is not None
 
     @property
-    def here(self) -> bool:
-        return self.where is ExtensionState.HERE
+    def are_held(self) -> bool:
+        """Whether this process speaks for the member."""
+        return self.state is ExtensionState.HELD
 
-    def let_go(self, done: Callable[[], None]) -> None:
-        """Read no further, let what is open end, and let go of the parts."""
-        self.where, self._since_ms = ExtensionState.EMPTYING, monotonic_ms()
+    def release(self, on_released: Callable[[], None]) -> None:
+        """Stops reading from clients, lets open requests end, and releases the extensions."""
+        self.state = ExtensionState.DRAINING
+        self._since_ms = monotonic_ms()
         self.front.port.accept(False)
         self.front.port.pause(True)
-        self._look(done)
+        self._drain(on_released)
 
-    def _look(self, done: Callable[[], None]) -> None:
+    def _drain(self, on_released: Callable[[], None]) -> None:
         front = self.front
-        if self.where is not ExtensionState.EMPTYING:
+        extension = front.seam
+        if self.state is not ExtensionState.DRAINING or extension is None:
             return
-        busy = front.table.open or front.port.unwritten() or front.seam.busy
+        busy = front.table.open or front.port.unwritten() or extension.busy
         if busy and monotonic_ms() - self._since_ms < DRAIN_TIMEOUT_MS:
-            front.loop.wheel.after(POLL_INTERVAL_MS, lambda: self._look(done))
+            front.loop.wheel.after(POLL_INTERVAL_MS, lambda: self._drain(on_released))
             return
-        front.loop.guarded(front.seam.release)  # after a fault, too: nobody is read until this has ended
-        self.where = ExtensionState.AWAY
-        took_ms = monotonic_ms() - self._since_ms
-        front.log(f"let go of what only one process may have, {took_ms:.0f} ms after it was asked")
-        done()
-
-    def take_back(self, done: Callable[[], None]) -> None:
-        """The other process is gone: go on as before."""
-        if self.where is ExtensionState.EMPTYING:
-            self.where = ExtensionState.HERE
-            done()
-        elif self.where is ExtensionState.AWAY:
-            self.where, self._since_ms = ExtensionState.RETURNING, monotonic_ms()
-            self._try(done)
-
-    def _try(self, done: Callable[[], None]) -> None:
-        """The system frees the disks and addresses of a process that ends one by one: the first try may be
-        too early. Where they stay another's, that one serves, and this one must not."""
+        front.loop.guarded(
+            extension.release
+        )  # even after an error, as no client is read until this has ended
+        self.state = ExtensionState.RELEASED
+        elapsed_ms = monotonic_ms() - self._since_ms
+        front.log(f"hot restart: released the exclusive extensions, {elapsed_ms:.0f} ms after the request")
+        on_released()
+
+    def reacquire(self, on_reacquired: Callable[[], None]) -> None:
+        """The other process has ended: goes on as before the release."""
+        if self.state is ExtensionState.DRAINING:
+            self.state = ExtensionState.HELD
+            on_reacquired()
+        elif self.state is ExtensionState.RELEASED:
+            self.state = ExtensionState.REACQUIRING
+            self._since_ms = monotonic_ms()
+            self._try_reacquire(on_reacquired)
+
+    def _try_reacquire(self, on_reacquired: Callable[[], None]) -> None:
+        """Retries, as the system frees the disks and addresses of an ended process one by one.
+
+        Where they stay in use, another process serves, and this one must not.
+        """
         front = self.front
-        why = "calls of before are open"
-        if not any(client.open for client in front.port.clients):
-            try:
-                front.seam.take_back(front)
-            except Exception as error:  # any fault: without another try no client would be read again
-                if not isinstance(error, ConfigError):
-                    front.loop.fault("taking parts back")
-                why = str(error)
-            else:
-                self.where = ExtensionState.HERE
-                front.log("taken back what only one process may have")
-                done()
-                return
-        if monotonic_ms() - self._since_ms > REACQUIRE_TIMEOUT_MS:
-            front.log(f"not taken back, this process ends: {why}")
+        failure = self._reacquire_failure()
+        if failure is None:
+            self.state = ExtensionState.HELD
+            front.log("hot restart: reacquired the exclusive extensions")
+            on_reacquired()
+        elif monotonic_ms() - self._since_ms > REACQUIRE_TIMEOUT_MS:
+            front.log(f"hot restart: exclusive extensions not reacquired, this process ends: {failure}")
             front.loop.running = False
         else:
-            front.loop.wheel.after(POLL_INTERVAL_MS, lambda: self._try(done))
+            front.loop.wheel.after(POLL_INTERVAL_MS, lambda: self._try_reacquire(on_reacquired))
+
+    def _reacquire_failure(self) -> str | None:
+        """Tries once; the reason why it failed, None on success."""
+        front = self.front
+        if any(client.open for client in front.port.clients):
+            return "requests from before are open"
+        try:
+            if front.seam is not None:
+                front.seam.take_back(front)
+        except ConfigError as error:
+            return str(error)
+        except Exception as error:  # without another attempt no client would be read again
+            front.loop.fault("reacquiring the exclusive extensions")
+            return str(error)
+        return None
--- /dev/null
+++ b/fawnwharf/admin/handoff_directory.py
@@ -0,0 +1,44 @@
+"""The directory in which the processes of one front end find each other."""
+
+import contextlib
+import os
+from collections.abc import Iterator
+from hashlib import blake2b
+from pathlib import Path
+
+from fawnwharf.admin.learned_state import MAX_BYTES
+from fawnwharf.config import Address
+
+
+class HandoffDirectory:
+    """The paths of the hand-off socket and of the learned state's file, both named after the front end."""
+
+    def __init__(self, folder: str, name: str, listen: Address) -> None:
+        """Another name or address in the same folder is another front end."""
+        digest = blake2b(f"{name}|{listen[0]}|{listen[1]}".encode(), digest_size=6).hexdigest()
+        self.folder = Path(folder)
+        self.socket_path = self.folder / f"fw-{digest}.sock"
+        self.state_path = self.folder / f"fw-{digest}.mem"
+
+    @contextlib.contextmanager
+    def socket_address(self) -> Iterator[str]:
+        """The socket's address by a descriptor of its folder, as a path of over 107 bytes can't be used."""
+        descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        try:
+            yield f"/proc/self/fd/{descriptor}/{self.socket_path.name}"
+        finally:
+            os.close(descriptor)
+
+    def write_state(self, data: bytes) -> None:
+        """Replaces the file atomically; raises OSError and leaves the old one where that fails."""
+        replacement = self.state_path.with_suffix(".new")
+        replacement.write_bytes(data)
+        os.replace(replacement, self.state_path)
+
+    def read_state(self) -> bytes:
+        """The file's bytes; none where there is no file."""
+        try:
+            with open(self.state_path, "rb") as file:
+                return file.read(MAX_BYTES + 1)
+        except OSError:
+            return b""
--- /dev/null
+++ b/fawnwharf/admin/handoff_listener.py
@@ -0,0 +1,70 @@
+"""The Unix listener on which a process awaits its successor."""
+
+import contextlib
+import os
+import socket
+from collections.abc import Callable
+
+from fawnwharf.admin.handoff_directory import HandoffDirectory
+from fawnwharf.net.loop import READ, Loop
+
+BACKLOG = 4
+ACCEPT_PAUSE_MS = 50.0  # where the system has no descriptor or memory left
+
+
+class HandoffListener:
+    """Owns the hand-off socket of a process until it is closed or another process replaces it."""
+
+    def __init__(
+        self, loop: Loop, directory: HandoffDirectory, on_accept: Callable[[socket.socket], None]
+    ) -> None:
+        """Raises OSError where no such socket can be created."""
+        self.loop = loop
+        self.directory = directory
+        self._on_accept = on_accept
+        self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        try:
+            self._inode = self._bind()
+        except OSError:
+            self._sock.close()
+            raise
+        self._watch()
+
+    def _bind(self) -> int:
+        """Replaces the socket file, which may be another process's; returns the inode of the new one."""
+        with self.directory.socket_address() as address:
+            with contextlib.suppress(FileNotFoundError):
+                os.unlink(self.directory.socket_path)
+            self._sock.bind(address)
+            inode = os.stat(address).st_ino
+        self._sock.listen(BACKLOG)
+        self._sock.setblocking(False)
+        return inode
+
+    def _watch(self) -> None:
+        if self._sock.fileno() >= 0:
+            self.loop.watch(self._sock, READ, self._accept, first=True)
+
+    def _accept(self, _mask: int) -> None:
+        try:
+            sock, _ = self._sock.accept()
+        except BlockingIOError:
+            return
+        except OSError:  # no descriptor: leaves it in the system's queue for a moment, instead of a busy loop
+            self.loop.forget(self._sock)
+            self.loop.wheel.after(ACCEPT_PAUSE_MS, self._watch)
+            return
+        self._on_accept(sock)
+
+    @property
+    def is_current(self) -> bool:
+        """Whether no other process has replaced the socket file by its own."""
+        try:
+            return os.stat(self.directory.socket_path).st_ino == self._inode
+        except OSError:
+            return True
+
+    def close(self) -> None:
+        """Stops listening; the file stays, as it may be another process's."""
+        self.loop.forget(self._sock)
+        self._sock.close()
--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -1,310 +1,358 @@
-"""Replacement of the process in a running front end: both sides' talk, and who accepts and owns what."""
+"""Hot restart of a running front end: the channels to both other processes, and who accepts and owns what."""
 
-import os
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin import learned_state as m
+from fawnwharf.admin import learned_state
 from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions
-from fawnwharf.admin.handoff_channel import HandoffChannel, HandoffDirectory, HandoffListener, request_handoff
-from fawnwharf.config import Deployment
+from fawnwharf.admin.handoff_channel import HandoffChannel, Outgoing
+from fawnwharf.admin.handoff_listener import HandoffListener
+from fawnwharf.admin.handoff_request import InheritedState
+from fawnwharf.admin.handoff_source import HandoffAction, HandoffPhase, HandoffSource
+from fawnwharf.admin.learned_state import LearnedState
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-TICK_INTERVAL_MS = 20.0  # pace of the look after connections that have fallen idle
-MAX_HANDOFFS_PER_TICK = 256  # connections in one look
+TICK_INTERVAL_MS = 20.0  # between checks for connections that have become idle
+MAX_HANDOFFS_PER_TICK = 256
+READY_TIMEOUT_MS = 6_000.0  # for the successor, after this process released its extensions
+STALL_TIMEOUT_MS = 3_000.0  # a successor that takes no message for so long has stalled
+SHARED_PART = 0.5  # of the descriptors, while two processes run
 
 
-@dataclass(slots=True)
-class InheritedState:
-    """What a start finds of the process before it; all empty where there is none."""
+@dataclass(frozen=True, slots=True)
+class AdminHooks:
+    """What the hot restart asks of the admin service."""
 
-    place: HandoffDirectory | None = None  # where the processes of this front end meet; None: nowhere
-    channel: socket.socket | None = None
-    memory: bytes = b""
-    listener: socket.socket | None = None
-
-
-def inherit_state(deployment: Deployment, parts: bool = False) -> InheritedState:
-    """Ask for what the process before this one has, at the start. `parts`: this one will have some, too."""
-    folder = os.environ.get("TMPDIR")
-    if not folder:
-        return InheritedState()
-    place = HandoffDirectory(folder, deployment.name, deployment.listen)
-    found = request_handoff(place, deployment.listen, parts) if os.path.exists(place.socket) else None
-    return InheritedState(place, *found) if found else InheritedState(place, memory=place.read())
+    on_command: Callable[
+        [str, str], None
+    ]  # an operator's command, by path and target, that another process got
+    in_maintenance: Callable[[], set[str]]  # ids of scorers
+    is_ready: Callable[[], bool]  # whether this front end takes new connections
 
 
 class HotRestart:
-    """Owns the talk with the process before this one, and with the one after it."""
-
-    def __init__(self, front: FrontEnd, inherited: InheritedState, heard: Callable[[str, str], None]) -> None:
-        """`heard` takes an operator's call, by path and target, that the other process was asked."""
-        self.front, self.place, self._heard = front, inherited.place, heard
-        self.giver = h.HandoffSource(front.address)
-        self.parts = ExclusiveExtensions(front)
-        self.before: HandoffChannel | None = None  # to the process whose place this one takes
-        self.after: HandoffChannel | None = None  # to the process that takes this one's place
-        self.out: Callable[[], set[str]] = set
-        self._inherited, self._rest, self._before_done = inherited, bytearray(), False
-        self._door: HandoffListener | None = None
-        self._looking = self._ended = False
-        self._said_done = self._all_came = False
-
-    def remembered(self) -> m.LearnedState | None:
-        """What the process before this one has learnt, where it can be read."""
-        memory = m.decode(self._inherited.memory) if self._inherited.memory else None
-        if self._inherited.memory and memory is None:
-            self.front.log("what the process before had learnt can't be read: starting without")
-        return memory
-
-    def begin(self, memory: m.LearnedState | None) -> None:
-        """Take the place: believe what was learnt, accept, and be there for the next one."""
-        front, now = self.front, monotonic_ms()
-        if memory is not None and m.is_fresh(memory, now):
-            front.loop.guarded(m.restore, front.router, memory, front.loop.clock.now_ms(), now)
-            front.log(f"taking over: {len(memory.functions)} functions, {len(memory.scorers)} scorers known")
+    """Owns the channels to the predecessor of this process and to its successor."""
+
+    def __init__(self, front: FrontEnd, inherited: InheritedState, hooks: AdminHooks) -> None:
+        """Begins without a successor; `start` takes over from the predecessor."""
+        self.front = front
+        self.directory = inherited.directory
+        self.source = HandoffSource(front.address)
+        self.extensions = ExclusiveExtensions(front)
+        self.predecessor: HandoffChannel | None = None
+        self.successor: HandoffChannel | None = None
+        self._hooks = hooks
+        self._inherited = inherited
+        self._unwritten = bytearray()  # chunks that belong to the next connection from the predecessor
+        self._predecessor_done = False
+        self._listener: HandoffListener | None = None
+        self._ticking = False
+        self._closed = False
+        self._sent_done = False
+        self._successor_done = False
+
+    def inherited_state(self) -> LearnedState | None:
+        """What the predecessor learned; None where there is none or it can't be decoded."""
+        data = self._inherited.learned
+        state = learned_state.decode(data) if data else None
+        if data and state is None:
+            self.front.log("learned state of the previous process can't be read: starting without it")
+        return state
+
+    def start(self, state: LearnedState | None) -> None:
+        """Takes over: restores the learned state, accepts connections, and listens for a successor."""
+        front = self.front
+        now_ms = monotonic_ms()
+        if state is not None and learned_state.is_fresh(state, now_ms):
+            clock_ms = front.loop.clock.now_ms()
+            front.loop.guarded(learned_state.restore, front.router, state, clock_ms, now_ms)
+            functions, scorers = len(state.functions), len(state.scorers)
+            front.log(f"hot restart: taking over {functions} functions, {scorers} scorers")
         front.port.accept(True)
         if self._inherited.channel is not None:
-            self.before = HandoffChannel(
-                front.loop, self._inherited.channel, self._from_before, self._before_ended
+            sock = self._inherited.channel
+            self.predecessor = HandoffChannel(
+                front.loop, sock, self._on_predecessor_message, self._on_predecessor_end
             )
-            self.before.say(h.Ready())
-        self._share()
-        self._open()
+            self.predecessor.send(h.Ready())
+        self._share_descriptors()
+        self._open_listener()
         self._inherited = InheritedState()
 
-    def _open(self) -> None:
-        if self.place is None:
+    def _open_listener(self) -> None:
+        if self.directory is None:
             return
         try:
-            self._door = HandoffListener(self.front.loop, self.place, self._came)
+            self._listener = HandoffListener(self.front.loop, self.directory, self._on_successor)
         except OSError as error:
-            self.front.log(f"no socket for a replacement in TMPDIR: {error.strerror}")
+            self.front.log(f"no hot restart: can't create its socket in TMPDIR: {error.strerror}")
 
-    def _close_door(self) -> None:
-        if self._door is not None:
-            self._door.close()
-            self._door = None
+    def _close_listener(self) -> None:
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
 
-    def _share(self) -> None:
-        """Guards the limits, which hold for both together while both run."""
-        self.front.keep_to(0.5 if self.before or self.after else 1.0)
+    def _share_descriptors(self) -> None:
+        """Protects the limits of descriptors, which hold for both processes together while both run."""
+        self.front.keep_to(SHARED_PART if self.predecessor or self.successor else 1.0)
 
-    def tell(self, path: str, target: str) -> None:
-        """An operator's call that holds for both."""
-        before = None if self._before_done else self.before
-        for channel in (before, self.after):
+    def send_command(self, path: str, target: str) -> None:
+        """Passes on an operator's command that applies to the other processes too."""
+        predecessor = None if self._predecessor_done else self.predecessor
+        for channel in (predecessor, self.successor):
             if channel is not None:
-                channel.say(h.OperatorCommand(path, target))
+                channel.send(h.OperatorCommand(path, target))
 
-    def remember(self) -> None:
-        """Keep what was learnt in the file, for a process that finds nobody to ask."""
-        if self.place is None or self.giver.gives or (self._door is not None and not self._door.mine):
-            return  # whoever has the place now knows better
+    def write_state(self) -> None:
+        """Writes the learned state to its file, for a process that finds no predecessor to ask."""
+        is_replaced = self._listener is not None and not self._listener.is_current
+        if self.directory is None or self.source.is_handing_off or is_replaced:
+            return  # the file is the newer process's
         try:
-            self.place.write(self._learnt())
+            self.directory.write_state(self._encoded_state())
         except OSError as error:
-            self.front.log(f"what was learnt is not kept: {error.strerror}")
+            self.front.log(f"learned state not written: {error.strerror}")
 
-    def _learnt(self) -> bytes:
+    def _encoded_state(self) -> bytes:
         front = self.front
-        now, at = front.loop.clock.now_ms(), monotonic_ms()
+        in_maintenance = self._hooks.in_maintenance()
+        clock_ms = front.loop.clock.now_ms()
+        now_ms = monotonic_ms()
         try:
-            return m.encode(m.capture(front.router, self.out(), now, at))
-        except Exception:  # what operators asked for must get over, whatever the beliefs are like
-            front.loop.fault("what was learnt")
-            return m.encode(m.LearnedState(at - 2 * m.MAX_AGE_MS, sorted(self.out())))
-
-    # --- as the new process ---------------------------------------------------------------------
-
-    def _from_before(self, message: h.Message, carried: socket.socket | None) -> None:
-        if isinstance(message, h.Chunk):
-            self._rest += message.data
-        elif isinstance(message, h.ConnectionHandoff) and carried is not None:
-            rest, self._rest = bytes(self._rest), bytearray()
-            self.front.port.adopt(self._handed(message, carried, rest))
-        elif isinstance(message, h.OperatorCommand):
-            self._heard(message.path, message.target)
-            if self.after is not None:
-                self.after.say(message)
-        elif isinstance(message, h.Done):
-            self.before.say(h.Done())
-            self._before_done = True
-        elif carried is not None:
-            carried.close()
-
-    def _handed(self, kept: h.ConnectionHandoff, sock: socket.socket, unwritten: bytes) -> HandedConnection:
-        return HandedConnection(sock, kept.partial, kept.skip, kept.spoke, unwritten, kept.empty_ms)
-
-    def _before_ended(self, channel: HandoffChannel) -> None:
-        self.before, self._before_done = None, False
-        if not self._ended:
-            self.front.log("the process before this one has ended")
-            self._share()
-
-    # --- as the old process ---------------------------------------------------------------------
-
-    def _came(self, sock: socket.socket) -> None:
-        if self.giver.gives or not self.parts.here:
+            state = learned_state.capture(front.router, in_maintenance, clock_ms, now_ms)
+            return learned_state.encode(state)
+        except Exception:  # the operators' commands must be handed on whatever the learned state is like
+            front.loop.fault("learned state")
+            expired_ms = now_ms - 2 * learned_state.MAX_AGE_MS
+            return learned_state.encode(LearnedState(expired_ms, sorted(in_maintenance)))
+
+    # --- as the successor of another process ------------------------------------------------------
+
+    def _on_predecessor_message(self, message: h.Message, carried: socket.socket | None) -> None:
+        match message:
+            case h.Chunk():
+                self._unwritten += message.data
+            case h.ConnectionHandoff() if carried is not None:
+                unwritten = bytes(self._unwritten)
+                self._unwritten.clear()
+                self.front.port.adopt(_handed_connection(message, carried, unwritten))
+            case h.OperatorCommand():
+                self._hooks.on_command(message.path, message.target)
+                if self.successor is not None:
+                    self.successor.send(message)
+            case h.Done():
+                if self.predecessor is not None:
+                    self.predecessor.send(h.Done())
+                self._predecessor_done = True
+            case _ if carried is not None:
+                carried.close()
+
+    def _on_predecessor_end(self, _channel: HandoffChannel) -> None:
+        self.predecessor = None
+        self._predecessor_done = False
+        if not self._closed:
+            self.front.log("hot restart: the previous process has ended")
+            self._share_descriptors()
+
+    # --- as the predecessor of another process ----------------------------------------------------
+
+    def _on_successor(self, sock: socket.socket) -> None:
+        if self.source.is_handing_off or not self.extensions.are_held:
             sock.close()
             return
-        if self.after is not None:  # it came first and did not get ready: the one that comes now counts
-            self.after.close()
-        self.after = HandoffChannel(self.front.loop, sock, self._from_after, self._after_ended)
-
-    def _from_after(self, message: h.Message, carried: socket.socket | None) -> None:
-        if isinstance(message, h.Hello):
-            self._do(self.giver.hello(message, self.parts.any))
-        elif isinstance(message, h.Ready):
-            self._do(self.giver.ready())
-        elif isinstance(message, h.OperatorCommand):
-            self._heard(message.path, message.target)
-            if self.before is not None and not self._before_done:
-                self.before.say(message)
-        elif isinstance(message, h.Done):
-            self._all_came = True
-
-    def _after_ended(self, channel: HandoffChannel) -> None:
-        if channel is self.after and not self._ended:
-            unsent, self.after = channel.take_back(), None
-            self._said_done = self._all_came = False
-            what = self.giver.lost()
-            if self.parts.here:
-                self._go_on(what, unsent)
-            else:
-                self.parts.take_back(lambda: self._go_on(what, unsent))
-
-    def _go_on(self, what: h.HandoffAction, unsent: list[tuple[h.Message, socket.socket | None]]) -> None:
-        """Without the other process, as before it came."""
-        self._do(what)
+        if self.successor is not None:  # an earlier one that did not become ready; the newest one counts
+            self.successor.close()
+        self.successor = HandoffChannel(
+            self.front.loop, sock, self._on_successor_message, self._on_successor_end
+        )
+
+    def _on_successor_message(self, message: h.Message, _carried: socket.socket | None) -> None:
+        match message:
+            case h.Hello():
+                self._act(self.source.on_hello(message, has_extensions=self.extensions.exist))
+            case h.Ready():
+                self._act(self.source.on_ready())
+            case h.OperatorCommand():
+                self._hooks.on_command(message.path, message.target)
+                if self.predecessor is not None and not self._predecessor_done:
+                    self.predecessor.send(message)
+            case h.Done():
+                self._successor_done = True
+
+    def _on_successor_end(self, channel: HandoffChannel) -> None:
+        if channel is not self.successor or self._closed:
+            return
+        unsent = channel.take_back()
+        self.successor = None
+        self._sent_done = False
+        self._successor_done = False
+        action = self.source.on_successor_lost()
+        if self.extensions.are_held:
+            self._resume(action, unsent)
+        else:
+            self.extensions.reacquire(lambda: self._resume(action, unsent))
+
+    def _resume(self, action: HandoffAction, unsent: list[Outgoing]) -> None:
+        """Serves alone, as before the successor came."""
+        self._act(action)
         self.front.port.accept(True)
         self.front.port.pause(False)
-        # Who asked here asked for the other process; from now on it is this one again that answers.
-        self.front.port.ready = self.front.admin.ready
-        self._adopt_again(unsent)
-        self._share()
+        # Readiness checks here were answered for the successor; from now on they are for this process.
+        self.front.port.ready = self._hooks.is_ready()
+        self._adopt_unsent(unsent)
+        self._share_descriptors()
 
-    def _adopt_again(self, unsent: list[tuple[h.Message, socket.socket | None]]) -> None:
-        rest = bytearray()
+    def _adopt_unsent(self, unsent: list[Outgoing]) -> None:
+        unwritten = bytearray()
         for message, carried in unsent:
             if isinstance(message, h.Chunk):
-                rest += message.data
-            elif isinstance(message, h.ConnectionHandoff):
-                self.front.port.adopt(self._handed(message, carried, bytes(rest)))
-                rest.clear()
+                unwritten += message.data
+            elif isinstance(message, h.ConnectionHandoff) and carried is not None:
+                self.front.port.adopt(_handed_connection(message, carried, bytes(unwritten)))
+                unwritten.clear()
             elif carried is not None:
                 carried.close()
 
-    def _do(self, what: h.HandoffAction) -> None:
-        front, after = self.front, self.after  # it may end with any word
-        if what is h.HandoffAction.TELL_ALL:
-            front.log("another process is about to take this one's place")
-            self._share()
-            self._tell_all()
-        elif what is h.HandoffAction.LET_GO:
-            front.log("another process is about to take this one's place")
-            self._share()
-            self.parts.let_go(self._tell_all)
-        elif what is h.HandoffAction.TURN_AWAY:
-            after.say(h.Rejected("another version, another address, or leaving"))
-            after.close()
-        elif what is h.HandoffAction.STOP_ACCEPTING:
-            front.log("another process has taken this one's place")
-            front.port.accept(False)
-            front.port.ready = True  # who asks on a kept connection asks for the other process, too
-            self._close_door()  # the other has one of its own
-            self._look()
-        elif what is h.HandoffAction.ACCEPT_AGAIN:
-            front.log("the process that took this one's place has ended: accepting again")
-            if not self.giver.leaving:  # the place may be a third process's by now
-                self._open()
-        elif what is h.HandoffAction.PAUSE:
-            front.port.pause(True)
-
-    def _tell_all(self) -> None:
-        channel = self.after
-        for part in h.chunks(self._learnt()):
-            channel.say(part)
-        channel.say(h.ListenerHandoff(), self.front.port.listener.dup())
-        if not self.parts.here:
-            self.front.loop.wheel.after(h.READY_TIMEOUT_MS, lambda: self._not_ready(channel))
-
-    def _not_ready(self, channel: HandoffChannel) -> None:
-        """Guards the clients, which nobody reads, against a new process that stands still: without the
-        channel it finds the disks and addresses taken, or this one does and ends."""
-        if channel is self.after and not self.giver.gives:
+    def _act(self, action: HandoffAction) -> None:
+        front = self.front
+        match action:
+            case HandoffAction.SEND_STATE:
+                self._on_handoff_request()
+                self._send_state()
+            case HandoffAction.RELEASE_EXTENSIONS:
+                self._on_handoff_request()
+                self.extensions.release(self._send_state)
+            case HandoffAction.REJECT:
+                self._reject()
+            case HandoffAction.STOP_ACCEPTING:
+                self._stop_accepting()
+            case HandoffAction.RESUME_ACCEPTING:
+                front.log("hot restart: the new process has ended: accepting again")
+                if not self.source.is_shutting_down:  # else the directory may be a third process's by now
+                    self._open_listener()
+            case HandoffAction.PAUSE_READING:
+                front.port.pause(True)
+
+    def _on_handoff_request(self) -> None:
+        self.front.log("hot restart: another process requests the hand-off")
+        self._share_descriptors()
+
+    def _reject(self) -> None:
+        successor = self.successor
+        if successor is not None:
+            successor.send(h.Rejected("another version, another address, or leaving"))
+            successor.close()
+
+    def _stop_accepting(self) -> None:
+        self.front.log("hot restart: handing off to the new process")
+        self.front.port.accept(False)
+        self.front.port.ready = True  # readiness checks on existing connections are for the successor, too
+        self._close_listener()  # the successor has its own
+        self._tick()
+
+    def _send_state(self) -> None:
+        channel = self.successor
+        listener = self.front.port.listener
+        if channel is None or listener is None:
+            return
+        for chunk in h.chunks(self._encoded_state()):
+            channel.send(chunk)
+        channel.send(h.ListenerHandoff(), listener.dup())
+        if not self.extensions.are_held:
+            self.front.loop.wheel.after(READY_TIMEOUT_MS, lambda: self._check_ready(channel))
+
+    def _check_ready(self, channel: HandoffChannel) -> None:
+        """Protects the clients, which no process reads, against a successor that has stalled.
+
+        Without the channel the successor finds the disks and addresses in use, or this process does and ends.
+        """
+        if channel is self.successor and not self.source.is_handing_off:
             channel.close()
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """This process was told to end."""
-        self.remember()
-        self.giver.leave(monotonic_ms())
+        self.write_state()
+        self.source.shut_down(monotonic_ms())
 
     @property
-    def takes_over(self) -> bool:
-        """Whether a process serves whose place this one will take as it begins."""
+    def will_take_over(self) -> bool:
+        """Whether there is a predecessor from which this process takes over at its start."""
         return self._inherited.channel is not None
 
     @property
-    def replaced(self) -> bool:
-        return self.giver.gives
+    def is_replaced(self) -> bool:
+        """Whether a successor has taken over."""
+        return self.source.is_handing_off
 
     @property
-    def busy(self) -> bool:
-        """Whether something is still to come, to be given over, or on its way."""
-        return not self._all_came if self.giver.gives else not self.parts.here
-
-    def _look(self) -> None:
-        if self._looking or not self.giver.gives:
+    def is_busy(self) -> bool:
+        """Whether something is still to be received, handed off, or in transit."""
+        if self.source.is_handing_off:
+            return not self._successor_done
+        return not self.extensions.are_held
+
+    def _tick(self) -> None:
+        successor = self.successor
+        if self._ticking or not self.source.is_handing_off or successor is None:
             return
-        # First: a fault in this look must not be the end of all, with clients that nobody reads.
-        self._looking = True
-        self.front.loop.wheel.after(TICK_INTERVAL_MS, self._look_again)
-        now = monotonic_ms()
-        if self.after.stuck_ms(now) > h.STALL_TIMEOUT_MS:
-            self.front.log("the process that took this one's place stands still")
-            self.after.close()
+        # First: an error in this tick must not be the end of all ticks, with clients that no process reads.
+        self._ticking = True
+        self.front.loop.wheel.after(TICK_INTERVAL_MS, self._tick_again)
+        now_ms = monotonic_ms()
+        if successor.stalled_ms(now_ms) > STALL_TIMEOUT_MS:
+            self.front.log("hot restart: the new process has stalled")
+            successor.close()
             return
-        self._do(self.giver.look(now))
-        self._give()
-        to_come = self.before is not None and self.giver.awaits(now)
-        if self.giver.phase is h.HandoffPhase.ENDING and not (
-            to_come or self.front.port.clients or self._said_done
-        ):
-            self._said_done = True
-            self.after.say(h.Done())
-
-    def _look_again(self) -> None:
-        self._looking = False
-        self._look()
-
-    def _give(self) -> None:
-        given, after = 0, self.after
-        for client in list(self.front.port.clients):
+        self._act(self.source.tick(now_ms))
+        self._hand_off_idle(successor)
+        if self._has_handed_off_everything(now_ms):
+            self._sent_done = True
+            successor.send(h.Done())
+
+    def _tick_again(self) -> None:
+        self._ticking = False
+        self._tick()
+
+    def _has_handed_off_everything(self, now_ms: float) -> bool:
+        if self.source.phase is not HandoffPhase.SHUTTING_DOWN or self._sent_done:
+            return False
+        awaits_predecessor = self.predecessor is not None and self.source.awaits_predecessor(now_ms)
+        return not awaits_predecessor and not self.front.port.clients
+
+    def _hand_off_idle(self, successor: HandoffChannel) -> None:
+        port = self.front.port
+        count = 0
+        for client in list(port.clients):
             connection = client.connection
-            if connection.finishing or connection.closed or given == MAX_HANDOFFS_PER_TICK:
+            if connection.finishing or connection.closed or count == MAX_HANDOFFS_PER_TICK:
                 continue
-            if self.giver.may_give(bool(client.open), bool(connection.waiting_bytes)):
-                handed = self.front.port.give(client)
-                for part in h.chunks(handed.unwritten):
-                    after.say(part)
-                if after.closed:  # it ended just now, and this one was not among what came back
-                    self.front.port.adopt(handed)
-                    return
-                after.say(
-                    h.ConnectionHandoff(handed.partial, handed.skip, handed.spoke, handed.empty_ms),
-                    handed.sock,
-                )
-                given += 1
+            unwritten = bool(connection.waiting_bytes)
+            if not self.source.may_hand_off(has_open=bool(client.open), unwritten=unwritten):
+                continue
+            handed = port.give(client)
+            for chunk in h.chunks(handed.unwritten):
+                successor.send(chunk)
+            if successor.closed:  # it ended just now, and this connection was not in its queue
+                port.adopt(handed)
+                return
+            message = h.ConnectionHandoff(handed.partial, handed.skip, handed.spoke, handed.empty_ms)
+            successor.send(message, handed.sock)
+            count += 1
 
     def close(self) -> None:
-        """This process ends: it takes nothing back, and leaves the meeting place to the other."""
-        self._ended = True
-        self._close_door()
-        for channel in (self.before, self.after, self._inherited.channel):
+        """This process ends: it takes nothing back, and leaves the hand-off directory to the successor."""
+        self._closed = True
+        self._close_listener()
+        for channel in (self.predecessor, self.successor, self._inherited.channel):
             if channel is not None:
                 channel.close()
+
+
+def _handed_connection(
+    message: h.ConnectionHandoff, sock: socket.socket, unwritten: bytes
+) -> HandedConnection:
+    return HandedConnection(sock, message.partial, message.skip, message.spoke, unwritten, message.empty_ms)
--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -1,97 +1,103 @@
-"""What a process has learnt, for the one that takes its place. Pure: beliefs in, bytes out, and back.
+"""The learned state of a process, for its successor: taken from the decision module, encoded, and restored.
 
-All times are ages at the moment of writing, so that clocks which differ do no harm. The bytes carry a version
-and a checksum; what is torn, of another version or too old is no memory, and whoever reads it starts without.
+All times are ages at the moment of writing, so that different clocks do no harm. The bytes carry a version
+and a checksum; what is truncated, of another version or too old is ignored, and its reader starts without it.
+An attribute whose name differs from the recorded one keeps that name in the bytes by `name=`.
 """
 
 import struct
 import zlib
-from typing import Annotated, Any
+from collections.abc import Iterable
+from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from fawnwharf.interface import State
 from fawnwharf.policy import Router, state
 
 MAGIC = b"fwmem\x01"  # the last byte is the version
-HEAD = struct.Struct(">6sII")  # magic, length, checksum
-MAX_AGE_MS = 20_000.0  # beliefs that are older say nothing; who is taken out holds for good
-MAX_FUNCTIONS = 500  # the ones called or wanted last
+HEADER = struct.Struct(">6sII")  # magic, length and checksum of the body
+MAX_AGE_MS = 20_000.0  # older state has no value, but for the scorers in maintenance
+MAX_FUNCTIONS = 500  # those called or wanted last
 MAX_BYTES = 4 * 1024 * 1024
 
-Age = Annotated[float, Meta(ge=-1e12)]
+Age = Annotated[float, Meta(ge=-1e12)]  # milliseconds
+AgedSamples = list[tuple[Age, float]]
 
 
 class LearnedCopies(msgspec.Struct, array_like=True):
-    """A function's copies at one scorer."""
+    """The copies of a function at one scorer."""
 
-    worker: int
+    scorer: int
     copies: int
-    seen: Age
-    counted: Age
-    blocked: Age
+    seen_age: Age
+    counted_age: Age
+    blocked_age: Age
 
 
 class LearnedFunction(msgspec.Struct, array_like=True):
-    """A function."""
+    """A function: its durations, its last calls, and where it is loaded."""
 
     name: str
     kind: str
     lanes: int
-    load_told_ms: float | None
-    runs: list[tuple[Age, float]]
-    loads: list[tuple[Age, float]]
-    waits: list[tuple[Age, float]]
-    called: list[Age]
+    reported_load_ms: float | None
+    run_samples: AgedSamples
+    load_samples: AgedSamples
+    wait_samples: AgedSamples
+    call_ages: list[Age]
     idle_ms: float
     load_path: bool
-    arrived: float
-    width: int
-    crowd: float
-    places: list[LearnedCopies]
+    arrivals: float
+    spread: int
+    reported_concurrency: float
+    copies: list[LearnedCopies]
 
 
 class LearnedScorer(msgspec.Struct, array_like=True):
-    worker: int
-    started: Age
-    strain: float
-    strain_seen: Age
-    suspect: Age | None
-    sent: list[Age]
-    lapses: dict[str, tuple[float, Age, float]]
+    """A scorer: its start, its slowdown, and its faults by request class."""
+
+    scorer: int
+    started_age: Age
+    slowdown: float
+    slowdown_age: Age
+    suspect_age: Age | None
+    send_ages: list[Age]
+    lapses: dict[str, tuple[float, Age, float]]  # losses, age of the ejection's end, its length
 
 
 class LearnedState(msgspec.Struct):
-    """All of it; `at_ms` is the monotonic clock's, the same for all processes of one machine."""
+    """Everything; `written_ms` is on the monotonic clock, which all processes of one machine share."""
 
-    at_ms: float
-    out: list[str]  # scorers taken out, by id
-    began: Age = 0.0
+    written_ms: float = field(name="at_ms")
+    in_maintenance: list[str] = field(name="out")  # ids of scorers
+    started_age: Age = field(default=0.0, name="began")
     run_ms: float = 0.0
-    loads_limit: float = 0.0
-    fleet: float = 0.0
-    hedges: float = 0.0
-    taken: list[Age] = []
-    ordered: list[Age] = []
-    tokens: dict[str, tuple[float, Age]] = {}
-    runs: list[tuple[Age, float]] = []
-    scorers: list[LearnedScorer] = []
-    functions: list[LearnedFunction] = []
+    load_limit: float = field(default=0.0, name="loads_limit")
+    fleet_size: float = field(default=0.0, name="fleet")
+    hedge_tokens: float = field(default=0.0, name="hedges")
+    request_ages: list[Age] = field(default_factory=list, name="taken")
+    load_order_ages: list[Age] = field(default_factory=list, name="ordered")
+    quota_tokens: dict[str, tuple[float, Age]] = field(default_factory=dict, name="tokens")
+    run_samples: AgedSamples = field(default_factory=list, name="runs")
+    scorers: list[LearnedScorer] = field(default_factory=list)
+    functions: list[LearnedFunction] = field(default_factory=list)
 
 
-def encode(memory: LearnedState) -> bytes:
-    body = msgspec.msgpack.encode(memory)
-    return HEAD.pack(MAGIC, len(body), zlib.crc32(body)) + body
+def encode(learned: LearnedState) -> bytes:
+    """The bytes of a state, with their header."""
+    body = msgspec.msgpack.encode(learned)
+    return HEADER.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
 def decode(data: bytes) -> LearnedState | None:
-    """None where it is torn, of another version, or none at all."""
-    if not HEAD.size <= len(data) <= MAX_BYTES:
+    """The state; None where the bytes are truncated, damaged or of another version."""
+    if not HEADER.size <= len(data) <= MAX_BYTES:
         return None
-    magic, length, check = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
-    if (magic, length, check) != (MAGIC, len(body), zlib.crc32(body)):
+    magic, length, checksum = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
+    if (magic, length, checksum) != (MAGIC, len(body), zlib.crc32(body)):
         return None
     try:
         return msgspec.msgpack.decode(body, type=LearnedState)
@@ -99,111 +105,184 @@
         return None
 
 
-def is_fresh(memory: LearnedState, now_ms: float) -> bool:
-    """Whether its beliefs may still hold; `now_ms` on the monotonic clock."""
-    return 0.0 <= now_ms - memory.at_ms <= MAX_AGE_MS
-
-
-# --- from the module and back -----------------------------------------------------------------------
-
+def is_fresh(learned: LearnedState, now_ms: float) -> bool:
+    """Whether a state is of this boot and recent enough; `now_ms` is on the monotonic clock."""
+    return 0.0 <= now_ms - learned.written_ms <= MAX_AGE_MS
 
-def capture(router: Router, out: set[str], now_ms: float, at_ms: float) -> LearnedState:
-    """What the module believes: `now_ms` on its clock, `at_ms` on the monotonic one."""
 
-    def ages(times: Any) -> list[float]:
-        return [now_ms - at for at in times]
+# --- from the decision module -------------------------------------------------------------------------
 
-    def aged(samples: state.Samples) -> list[tuple[float, float]]:
-        return [(now_ms - at, value) for at, value in samples.timed]
 
-    last = sorted(router.functions.values(), key=lambda fn: -fn.needed_ms)[:MAX_FUNCTIONS]
+def capture(router: Router, in_maintenance: set[str], now_ms: float, written_ms: float) -> LearnedState:
+    """The state of the decision module: `now_ms` is on its clock, `written_ms` on the monotonic one."""
     return LearnedState(
-        at_ms,
-        sorted(out),
-        began=now_ms - min(now_ms, router.began_ms),
+        written_ms,
+        sorted(in_maintenance),
+        started_age=now_ms - min(now_ms, router.began_ms),
         run_ms=router.run_ms,
-        loads_limit=router.loads_limit,
-        fleet=router.fleet,
-        hedges=router.hedges,
-        taken=ages(router.taken),
-        ordered=ages(router.ordered),
-        tokens={name: (tokens, now_ms - at) for name, (tokens, at) in router.tokens.items()},
-        runs=aged(router.runs),
-        scorers=[
-            LearnedScorer(
-                worker.id,
-                now_ms - worker.started_ms,
-                worker.strain,
-                now_ms - worker.strain_ms,
-                None if worker.suspect_ms is None else now_ms - worker.suspect_ms,
-                ages(worker.sent),
-                {kind: (x.losses, now_ms - x.rests_ms, x.rest_ms) for kind, x in worker.lapses.items()},
-            )
-            for worker in router.workers.values()
-            if worker.entry.state is not State.GONE
-        ],
-        functions=[
-            LearnedFunction(
-                fn.name, fn.kind, fn.lanes, fn.load_told_ms, aged(fn.runs), aged(fn.loads), aged(fn.waits),
-                ages(fn.last_ms), fn.idle_ms, fn.load_path, fn.arrived, fn.width, fn.crowd,
-                [
-                    LearnedCopies(
-                        id, i.copies, now_ms - i.seen_ms, now_ms - i.counted_ms, now_ms - i.blocked_ms
-                    )
-                    for id, i in fn.instances.items()
-                    if i.copies
-                ],
-            )
-            for fn in last
-        ],
-    )  # fmt: skip
-
-
-def restore(router: Router, memory: LearnedState, now_ms: float, at_ms: float) -> None:
-    """Have the module believe it, as far as its roster has the scorers; it has heard of no call yet."""
-    base = now_ms - (at_ms - memory.at_ms)  # the moment of writing, on this clock
-
-    def timed(samples: list[tuple[float, float]]) -> state.Samples:
-        made = state.Samples()
-        made.timed.extend((base - age, value) for age, value in samples)
-        return made
-
-    router.began_ms = base - memory.began
-    router.run_ms, router.loads_limit, router.hedges = memory.run_ms, memory.loads_limit, memory.hedges
-    router.fleet = max(router.fleet, memory.fleet)
-    router.taken.extend(base - age for age in memory.taken)
-    router.ordered.extend(base - age for age in memory.ordered)
-    router.tokens.update({name: (tokens, base - age) for name, (tokens, age) in memory.tokens.items()})
-    router.runs = timed(memory.runs)
-    for told in memory.scorers:
-        worker = router.workers.get(told.worker)
-        if worker is None:
-            continue
-        worker.started_ms = max(worker.started_ms, base - told.started)
-        worker.strain, worker.strain_ms = told.strain, base - told.strain_seen
-        worker.sent.extend(base - age for age in told.sent)
-        for kind, (losses, rests, rest_ms) in told.lapses.items():
-            lapse = worker.lapses[kind] = state.Lapse()
-            lapse.losses, lapse.rests_ms, lapse.rest_ms = losses, base - rests, rest_ms
-        if told.suspect is not None:
-            worker.suspect_ms = worker.sign_ms = base - told.suspect
-            router.watched[worker.id] = worker
-            router.suspects += worker.entry.state == State.READY
-    for known in memory.functions:
-        if (known.called or known.places) and known.name not in router.functions:
-            router.functions[known.name] = _function(router, known, base, timed)
-
-
-def _function(router: Router, known: LearnedFunction, base: float, timed: Any) -> state.Function:
-    fn = state.Function(known.name, known.kind, known.lanes, known.load_told_ms, state.mark(known.name))
-    fn.runs, fn.loads, fn.waits = timed(known.runs), timed(known.loads), timed(known.waits)
-    fn.last_ms.extend(base - age for age in known.called)
-    fn.needed_ms = max(fn.last_ms, default=base)
-    fn.idle_ms, fn.load_path, fn.arrived = known.idle_ms, known.load_path, known.arrived
-    fn.width, fn.crowd = known.width, known.crowd
-    for place in known.places:
-        if (worker := router.workers.get(place.worker)) is not None:
-            seen, counted, blocked = (base - age for age in (place.seen, place.counted, place.blocked))
-            fn.instances[place.worker] = state.Instance(place.copies, seen, counted, blocked_ms=blocked)
-            worker.last = fn
-    return fn
+        load_limit=router.loads_limit,
+        fleet_size=router.fleet,
+        hedge_tokens=router.hedges,
+        request_ages=_ages(router.taken, now_ms),
+        load_order_ages=_ages(router.ordered, now_ms),
+        quota_tokens={tenant: (tokens, now_ms - at_ms) for tenant, (tokens, at_ms) in router.tokens.items()},
+        run_samples=_aged(router.runs, now_ms),
+        scorers=_captured_scorers(router, now_ms),
+        functions=_captured_functions(router, now_ms),
+    )
+
+
+def _ages(times: Iterable[float], now_ms: float) -> list[Age]:
+    return [now_ms - at_ms for at_ms in times]
+
+
+def _aged(samples: state.Samples, now_ms: float) -> AgedSamples:
+    return [(now_ms - at_ms, value) for at_ms, value in samples.timed]
+
+
+def _captured_scorers(router: Router, now_ms: float) -> list[LearnedScorer]:
+    present = [scorer for scorer in router.workers.values() if scorer.entry.state is not State.GONE]
+    return [_captured_scorer(scorer, now_ms) for scorer in present]
+
+
+def _captured_scorer(scorer: state.Worker, now_ms: float) -> LearnedScorer:
+    return LearnedScorer(
+        scorer=scorer.id,
+        started_age=now_ms - scorer.started_ms,
+        slowdown=scorer.strain,
+        slowdown_age=now_ms - scorer.strain_ms,
+        suspect_age=None if scorer.suspect_ms is None else now_ms - scorer.suspect_ms,
+        send_ages=_ages(scorer.sent, now_ms),
+        lapses={
+            kind: (lapse.losses, now_ms - lapse.rests_ms, lapse.rest_ms)
+            for kind, lapse in scorer.lapses.items()
+        },
+    )
+
+
+def _captured_functions(router: Router, now_ms: float) -> list[LearnedFunction]:
+    latest = sorted(router.functions.values(), key=lambda function: -function.needed_ms)[:MAX_FUNCTIONS]
+    return [_captured_function(function, now_ms) for function in latest]
+
+
+def _captured_function(function: state.Function, now_ms: float) -> LearnedFunction:
+    return LearnedFunction(
+        name=function.name,
+        kind=function.kind,
+        lanes=function.lanes,
+        reported_load_ms=function.load_told_ms,
+        run_samples=_aged(function.runs, now_ms),
+        load_samples=_aged(function.loads, now_ms),
+        wait_samples=_aged(function.waits, now_ms),
+        call_ages=_ages(function.last_ms, now_ms),
+        idle_ms=function.idle_ms,
+        load_path=function.load_path,
+        arrivals=function.arrived,
+        spread=function.width,
+        reported_concurrency=function.crowd,
+        copies=_captured_copies(function, now_ms),
+    )
+
+
+def _captured_copies(function: state.Function, now_ms: float) -> list[LearnedCopies]:
+    return [
+        LearnedCopies(
+            scorer=scorer_id,
+            copies=instance.copies,
+            seen_age=now_ms - instance.seen_ms,
+            counted_age=now_ms - instance.counted_ms,
+            blocked_age=now_ms - instance.blocked_ms,
+        )
+        for scorer_id, instance in function.instances.items()
+        if instance.copies
+    ]
+
+
+# --- into the decision module -------------------------------------------------------------------------
+
+
+def restore(router: Router, learned: LearnedState, now_ms: float, monotonic_ms: float) -> None:
+    """Restores what concerns the scorers of the module's roster; the module has seen no request yet.
+
+    `now_ms` is on its clock, and `monotonic_ms` the same moment on the monotonic one.
+    """
+    written_ms = now_ms - (monotonic_ms - learned.written_ms)  # on the module's clock
+    router.began_ms = written_ms - learned.started_age
+    router.run_ms = learned.run_ms
+    router.loads_limit = learned.load_limit
+    router.hedges = learned.hedge_tokens
+    router.fleet = max(router.fleet, learned.fleet_size)
+    router.taken.extend(_times(learned.request_ages, written_ms))
+    router.ordered.extend(_times(learned.load_order_ages, written_ms))
+    for tenant, (tokens, age) in learned.quota_tokens.items():
+        router.tokens[tenant] = (tokens, written_ms - age)
+    router.runs = _samples(learned.run_samples, written_ms)
+    for scorer in learned.scorers:
+        _restore_scorer(router, scorer, written_ms)
+    for function in learned.functions:
+        if (function.call_ages or function.copies) and function.name not in router.functions:
+            router.functions[function.name] = _restored_function(router, function, written_ms)
+
+
+def _times(ages: Iterable[Age], written_ms: float) -> list[float]:
+    return [written_ms - age for age in ages]
+
+
+def _samples(aged: AgedSamples, written_ms: float) -> state.Samples:
+    samples = state.Samples()
+    samples.timed.extend((written_ms - age, value) for age, value in aged)
+    return samples
+
+
+def _restore_scorer(router: Router, learned: LearnedScorer, written_ms: float) -> None:
+    scorer = router.workers.get(learned.scorer)
+    if scorer is None:
+        return
+    scorer.started_ms = max(scorer.started_ms, written_ms - learned.started_age)
+    scorer.strain = learned.slowdown
+    scorer.strain_ms = written_ms - learned.slowdown_age
+    scorer.sent.extend(_times(learned.send_ages, written_ms))
+    for kind, (losses, ends_age, length_ms) in learned.lapses.items():
+        lapse = state.Lapse()
+        lapse.losses = losses
+        lapse.rests_ms = written_ms - ends_age
+        lapse.rest_ms = length_ms
+        scorer.lapses[kind] = lapse
+    if learned.suspect_age is not None:
+        scorer.suspect_ms = scorer.sign_ms = written_ms - learned.suspect_age
+        router.watched[scorer.id] = scorer
+        router.suspects += scorer.entry.state == State.READY
+
+
+def _restored_function(router: Router, learned: LearnedFunction, written_ms: float) -> state.Function:
+    function = state.Function(
+        learned.name, learned.kind, learned.lanes, learned.reported_load_ms, state.mark(learned.name)
+    )
+    function.runs = _samples(learned.run_samples, written_ms)
+    function.loads = _samples(learned.load_samples, written_ms)
+    function.waits = _samples(learned.wait_samples, written_ms)
+    function.last_ms.extend(_times(learned.call_ages, written_ms))
+    function.needed_ms = max(function.last_ms, default=written_ms)
+    function.idle_ms = learned.idle_ms
+    function.load_path = learned.load_path
+    function.arrived = learned.arrivals
+    function.width = learned.spread
+    function.crowd = learned.reported_concurrency
+    for copies in learned.copies:
+        _restore_copies(router, function, copies, written_ms)
+    return function
+
+
+def _restore_copies(
+    router: Router, function: state.Function, learned: LearnedCopies, written_ms: float
+) -> None:
+    scorer = router.workers.get(learned.scorer)
+    if scorer is None:
+        return
+    function.instances[learned.scorer] = state.Instance(
+        learned.copies,
+        written_ms - learned.seen_age,
+        written_ms - learned.counted_age,
+        blocked_ms=written_ms - learned.blocked_age,
+    )
+    scorer.last = function
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -1,4 +1,4 @@
-"""Operators in a running front end: what their calls bring about."""
+"""The admin service of a running front end: carries out the operators' commands."""
 
 from fawnwharf import interface as io
 from fawnwharf.admin import draining
@@ -11,7 +11,8 @@
     ExitMaintenance,
     ExitStandby,
 )
-from fawnwharf.admin.hot_restart import HotRestart, InheritedState
+from fawnwharf.admin.handoff_request import InheritedState
+from fawnwharf.admin.hot_restart import AdminHooks, HotRestart
 from fawnwharf.admin.http import AdminRequest, AdminResponse
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
@@ -20,131 +21,157 @@
 
 TIDY_INTERVAL_MS = 250.0
 CLOSER = LIMIT = "operators"
+MAX_LISTED_CHARACTERS = 200  # of scorers' ids in a log line
 
 
 class AdminService:
-    """Owns the second address, and carries out what is asked there."""
+    """Owns the operators' address, draining, and the hot restart."""
 
     def __init__(self, front: FrontEnd, address: Address, inherited: InheritedState | None = None) -> None:
-        """Raises ConfigError where the address can't be listened on. `inherited`: from the process before."""
+        """Listens on the operators' address; `inherited` is what the start found of its predecessor.
+
+        Raises ConfigError where the address can't be listened on.
+        """
         self.front = front
-        self.desk = CommandHandler(lambda id: id in front.overlay.members)
+        self.commands = CommandHandler(lambda scorer_id: scorer_id in front.overlay.members)
         try:
-            self.port = AdminListener(front.loop, address, front.deployment.sockets, self.take)
+            self.listener = AdminListener(front.loop, address, front.deployment.sockets, self.handle)
         except OSError as error:
             raise ConfigError(f"control: {error.strerror}: {address}") from None
-        self._draining_ms: float | None = None
-        self._refusing = False
-        self.replacement = HotRestart(front, inherited or InheritedState(), self._heard)
-        self.replacement.out = lambda: self.desk.out
-        self._memory = self.replacement.remembered()
-        if self._memory is not None and self._memory.out:
-            front.log(f"taken out before this process: {', '.join(self._memory.out)[:200]}")
-            self.desk.out.update(self._memory.out)
-            front.go_by(front.overlay.close(CLOSER, self._closer()))
+        self._draining_since_ms: float | None = None
+        self._rejecting = False
+        hooks = AdminHooks(
+            on_command=self._on_forwarded_command,
+            in_maintenance=lambda: self.commands.in_maintenance,
+            is_ready=lambda: self.ready,
+        )
+        self.hot_restart = HotRestart(front, inherited or InheritedState(), hooks)
+        self._inherited = self.hot_restart.inherited_state()
+        if self._inherited is not None:
+            self._restore_maintenance(self._inherited.in_maintenance)
         front.admin = self
         self._tidy()
 
+    def _restore_maintenance(self, scorer_ids: list[str]) -> None:
+        if not scorer_ids:
+            return
+        listed = ", ".join(scorer_ids)[:MAX_LISTED_CHARACTERS]
+        self.front.log(f"in maintenance since before this process: {listed}")
+        self.commands.in_maintenance.update(scorer_ids)
+        self.front.go_by(self.front.overlay.close(CLOSER, self._closer()))
+
     def begin(self) -> None:
-        self.replacement.begin(self._memory)
-        told = set(self._memory.out) if self._memory else set()
-        for id in told ^ self.desk.out:  # asked for here before the other process could be told
-            self.replacement.tell("/maintenance/enter" if id in self.desk.out else "/maintenance/exit", id)
-        self._memory = None
-
-    def take(self, asked: AdminRequest) -> AdminResponse:
-        """Take an operator's call that was made here."""
-        answer, effect = self._take(asked)
+        """The front end starts: takes over from the predecessor."""
+        self.hot_restart.start(self._inherited)
+        inherited = set(self._inherited.in_maintenance) if self._inherited else set()
+        # Commands that came here before the predecessor could receive them.
+        for scorer_id in inherited ^ self.commands.in_maintenance:
+            entered = scorer_id in self.commands.in_maintenance
+            path = "/maintenance/enter" if entered else "/maintenance/exit"
+            self.hot_restart.send_command(path, scorer_id)
+        self._inherited = None
+
+    def handle(self, request: AdminRequest) -> AdminResponse:
+        """Handles a command that an operator sent to this process."""
+        response, effect = self._handle(request)
         if effect is not None:
-            self.replacement.tell(
-                asked.path, effect.id if isinstance(effect, EnterMaintenance | ExitMaintenance) else ""
-            )
-        return answer
-
-    def _heard(self, path: str, target: str) -> None:
-        """Take one that was made at the other process's address. Its drain is the other's own, once that has
-        the clients."""
+            target = effect.scorer_id if isinstance(effect, EnterMaintenance | ExitMaintenance) else ""
+            self.hot_restart.send_command(request.path, target)
+        return response
+
+    def _on_forwarded_command(self, path: str, target: str) -> None:
+        """Handles a command that another process received.
+
+        Standby applies only to the process that has the clients.
+        """
         if not self.replaced or target:
-            self._take(AdminRequest("POST", path, (("target", target),) if target else ()))
-
-    def _take(self, asked: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        waits = bool(self.front.port.waits_for)
-        self.desk.serving, self.desk.leaving = self.front.started and not waits, self.front.leaving
-        answer, effect = self.desk.take(asked)
-        if asked.method != "GET":
-            self.front.log(f"operators: {asked.path}: {answer.status} {answer.text}")
+            self._handle(AdminRequest("POST", path, (("target", target),) if target else ()))
+
+    def _handle(self, request: AdminRequest) -> tuple[AdminResponse, Effect | None]:
+        self.commands.serving = self.front.started and not self.front.port.waits_for
+        self.commands.shutting_down = self.front.leaving
+        response, effect = self.commands.handle(request)
+        if request.method != "GET":
+            self.front.log(f"admin command {request.path}: {response.status} {response.text}")
         if effect is not None:
             self._carry_out(effect)
-        return answer, effect
+        return response, effect
 
     def _closer(self) -> Closer:
-        out = frozenset(self.desk.out)
-        return lambda member: member.id in out
+        in_maintenance = frozenset(self.commands.in_maintenance)
+        return lambda member: member.id in in_maintenance
 
     def _carry_out(self, effect: Effect) -> None:
         if isinstance(effect, EnterMaintenance | ExitMaintenance):
-            changes = self.front.overlay.close(CLOSER, self._closer())
-            if isinstance(effect, ExitMaintenance):
-                changes = self.front.overlay.returned([effect.id], self.front.loop.clock.now_ms())
-            self.front.go_by(changes)
-            self.replacement.remember()
+            self._update_roster(effect)
         elif self.replaced:
-            return  # the other process was told
+            return  # the command is passed on to the successor
         elif isinstance(effect, EnterStandby):
-            self._draining_ms = monotonic_ms()
-            self._look()
+            self._draining_since_ms = monotonic_ms()
+            self._drain()
         elif isinstance(effect, ExitStandby):
-            self._draining_ms = None
-            self._refuse(False)
+            self._draining_since_ms = None
+            self._set_rejecting(on=False)
         self.front.port.ready = self.ready
 
+    def _update_roster(self, effect: EnterMaintenance | ExitMaintenance) -> None:
+        overlay = self.front.overlay
+        changes = overlay.close(CLOSER, self._closer())
+        if isinstance(effect, ExitMaintenance):
+            changes = overlay.returned([effect.scorer_id], self.front.loop.clock.now_ms())
+        self.front.go_by(changes)
+        self.hot_restart.write_state()
+
     @property
     def ready(self) -> bool:
-        """Whether the front end is to say that it takes work."""
-        return self.front.started and not self.front.leaving and not self.desk.standby
+        """Whether readiness checks are to succeed."""
+        return self.front.started and not self.front.leaving and not self.commands.standby
 
     @property
     def takes_over(self) -> bool:
-        return self.replacement.takes_over
+        """Whether there is a predecessor from which this process takes over at its start."""
+        return self.hot_restart.will_take_over
 
     @property
     def replaced(self) -> bool:
-        return self.replacement.replaced
+        """Whether a successor has taken over."""
+        return self.hot_restart.is_replaced
 
     @property
     def busy(self) -> bool:
-        return self.replacement.busy
+        """Whether a hand-off is still going on."""
+        return self.hot_restart.is_busy
 
     def leave(self) -> None:
-        self.replacement.leave()
+        """The front end was told to end."""
+        self.hot_restart.shut_down()
 
     # --- draining -------------------------------------------------------------------------------
 
-    def _look(self) -> None:
-        if self._draining_ms is None or self.front.leaving:
+    def _drain(self) -> None:
+        if self._draining_since_ms is None or self.front.leaving:
             return
-        self.front.loop.wheel.after(
-            draining.TICK_INTERVAL_MS, self._look
-        )  # first: a fault must not be the last look
-        if self.replaced:  # its connections are the other's, which is ready: none is ended or refused
-            self._refuse(False)
+        self.front.loop.wheel.after(draining.TICK_INTERVAL_MS, self._drain)  # first: an error must not end it
+        if self.replaced:  # the connections are for the successor, which is ready: none is ended or rejected
+            self._set_rejecting(on=False)
             return
-        step = draining.drain_step(monotonic_ms() - self._draining_ms)
-        if step >= draining.DrainStep.EMPTYING:
+        step = draining.drain_step(monotonic_ms() - self._draining_since_ms)
+        if step >= draining.DrainStep.CLOSING_IDLE:
             self.front.port.end_idle()
-        self._refuse(step >= draining.DrainStep.REFUSING)
+        self._set_rejecting(on=step >= draining.DrainStep.REJECTING)
 
-    def _refuse(self, on: bool) -> None:
-        if on != self._refusing:
-            self._refusing = on
+    def _set_rejecting(self, *, on: bool) -> None:
+        if on != self._rejecting:
+            self._rejecting = on
             self.front.limit(LIMIT, 0.0 if on else io.UNLIMITED_RPS)
 
-    # --- now and then ---------------------------------------------------------------------------
+    # --- periodic work --------------------------------------------------------------------------
 
     def _tidy(self) -> None:
-        self.front.loop.wheel.after(TIDY_INTERVAL_MS, self._tidy)  # first: a fault must not be the last look
-        self.port.tidy()
+        self.front.loop.wheel.after(TIDY_INTERVAL_MS, self._tidy)  # first: an error must not end it
+        self.listener.tidy()
 
     def close(self) -> None:
-        self.replacement.close()
-        self.port.close()
+        """The front end ends."""
+        self.hot_restart.close()
+        self.listener.close()
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -101,9 +101,10 @@
     makers = _makers(deployment, files, fresh)
     inherited = None
     if deployment.control:
-        from fawnwharf.admin.hot_restart import inherit_state
+        from fawnwharf.admin.handoff_request import inherit_state
 
-        inherited = inherit_state(deployment, bool(makers))  # first: the process before may have their disks
+        # First: the process before may have the disks of these extensions.
+        inherited = inherit_state(deployment, needs_extensions=bool(makers))
     seam = Seams(makers, not (inherited and inherited.channel)) if makers else None
     listener = (inherited and inherited.listener) or _listener(deployment)
     front = FrontEnd(deployment, reread=lambda: config.load(path), seam=seam, listener=listener)
--- a/fawnwharf/testbed/operators.py
+++ b/fawnwharf/testbed/operators.py
@@ -19,12 +19,12 @@
 DIAL_MS = 1_000.0
 AGAIN_MS = 20.0  # between two looks at a process that starts
 KILL_MS = 15_000.0  # after SIGTERM: longer than the checker allows, as a machine may stand still for a while
-TAKEN = "another process has taken this one's place"
-ASKED = "another process is about to take this one's place"
-AWAY = "let go of what only one process may have"
-RETURNED = "taken back what only one process may have"
+TAKEN = "hot restart: handing off to the new process"
+ASKED = "hot restart: another process requests the hand-off"
+AWAY = "hot restart: released the exclusive extensions"
+RETURNED = "hot restart: reacquired the exclusive extensions"
 BACK = "accepting again"
-TOOK = "taking over: "  # the new process, before it says that it is ready: from then on it may have calls
+TOOK = "hot restart: taking over "  # the new process, before it is ready: from then on it may have calls
 CALLS_LEAST, CALLS_MS = 5, 2_000.0  # in a replacement; and no longer, as others may have all the calls
 LATELY = 500  # requests that are looked through for them
 MISSED_MOST = 4  # times that a kill may come too late before a step goes on without it
--- a/tests/test_operators.py
+++ b/tests/admin/test_admin_commands.py
@@ -72,64 +72,64 @@
     )
 
 
-def asked(path, method="POST", *targets):
+def request(path, method="POST", *targets):
     return AdminRequest(method, path, tuple(("target", target) for target in targets))
 
 
 ENTER, EXIT = "/maintenance/enter", "/maintenance/exit"
-DESK = [
-    ("ready", [], asked("/status", "GET"), 200, None),
-    ("on standby", [asked("/standby")], asked("/status", "GET"), 503, None),
-    ("back", [asked("/standby"), asked("/active")], asked("/status", "GET"), 200, None),
-    ("out", [], asked(ENTER, "POST", "s-1"), 200, EnterMaintenance("s-1")),
-    ("out twice", [asked(ENTER, "POST", "s-1")], asked(ENTER, "POST", "s-1"), 200, None),
+COMMANDS = [
+    ("ready", [], request("/status", "GET"), 200, None),
+    ("on standby", [request("/standby")], request("/status", "GET"), 503, None),
+    ("back", [request("/standby"), request("/active")], request("/status", "GET"), 200, None),
+    ("out", [], request(ENTER, "POST", "s-1"), 200, EnterMaintenance("s-1")),
+    ("out twice", [request(ENTER, "POST", "s-1")], request(ENTER, "POST", "s-1"), 200, None),
     (
         "two out, one back",
-        [asked(ENTER, "POST", "s-1")] * 2,
-        asked(EXIT, "POST", "s-1"),
+        [request(ENTER, "POST", "s-1")] * 2,
+        request(EXIT, "POST", "s-1"),
         200,
         ExitMaintenance("s-1"),
     ),
-    ("back without out", [], asked(EXIT, "POST", "s-1"), 200, None),
-    ("nobody's id", [], asked(ENTER, "POST", "s-9"), 404, None),
-    ("nobody's id back", [], asked(EXIT, "POST", "s-9"), 404, None),
-    ("no target", [], asked(ENTER), 400, None),
-    ("an empty target", [], asked(ENTER, "POST", ""), 400, None),
-    ("two targets", [], asked(ENTER, "POST", "s-1", "s-2"), 400, None),
-    ("standby", [], asked("/standby"), 200, EnterStandby()),
-    ("standby twice", [asked("/standby")], asked("/standby"), 200, None),
-    ("active", [asked("/standby")], asked("/active"), 200, ExitStandby()),
-    ("active without standby", [], asked("/active"), 200, None),
-    ("a wrong method", [], asked("/standby", "GET"), 405, None),
-    ("an unknown path", [], asked("/standby/"), 404, None),
+    ("back without out", [], request(EXIT, "POST", "s-1"), 200, None),
+    ("nobody's id", [], request(ENTER, "POST", "s-9"), 404, None),
+    ("nobody's id back", [], request(EXIT, "POST", "s-9"), 404, None),
+    ("no target", [], request(ENTER), 400, None),
+    ("an empty target", [], request(ENTER, "POST", ""), 400, None),
+    ("two targets", [], request(ENTER, "POST", "s-1", "s-2"), 400, None),
+    ("standby", [], request("/standby"), 200, EnterStandby()),
+    ("standby twice", [request("/standby")], request("/standby"), 200, None),
+    ("active", [request("/standby")], request("/active"), 200, ExitStandby()),
+    ("active without standby", [], request("/active"), 200, None),
+    ("a wrong method", [], request("/standby", "GET"), 405, None),
+    ("an unknown path", [], request("/standby/"), 404, None),
 ]
 
 
 @pytest.mark.parametrize(
-    ("before", "call", "status", "effect"), [c[1:] for c in DESK], ids=[c[0] for c in DESK]
+    ("before", "call", "status", "effect"), [c[1:] for c in COMMANDS], ids=[c[0] for c in COMMANDS]
 )
 def test_what_a_call_means(before, call, status, effect):
-    desk = CommandHandler({"s-1", "s-2"}.__contains__, serving=True)
+    handler = CommandHandler({"s-1", "s-2"}.__contains__, serving=True)
     for earlier in before:
-        desk.take(earlier)
-    answer, found = desk.take(call)
+        handler.handle(earlier)
+    answer, found = handler.handle(call)
     assert (answer.status, found) == (status, effect)
 
 
 def test_one_that_starts_or_leaves_is_not_ready_and_takes_no_drain():
-    desk = CommandHandler(lambda id: True)
-    assert desk.take(asked("/status", "GET"))[0].status == 503
-    desk.serving = desk.leaving = True
-    assert desk.take(asked("/status", "GET"))[0].status == 503
-    assert [desk.take(asked(path))[0].status for path in ("/standby", "/active")] == [409, 409]
+    handler = CommandHandler(lambda scorer_id: True)
+    assert handler.handle(request("/status", "GET"))[0].status == 503
+    handler.serving = handler.shutting_down = True
+    assert handler.handle(request("/status", "GET"))[0].status == 503
+    assert [handler.handle(request(path))[0].status for path in ("/standby", "/active")] == [409, 409]
 
 
 def test_one_taken_out_that_has_gone_may_be_brought_back_and_then_nobody_has_it():
     known = {"s-1"}
-    desk = CommandHandler(known.__contains__)
-    desk.take(asked(ENTER, "POST", "s-1"))
+    handler = CommandHandler(known.__contains__)
+    handler.handle(request(ENTER, "POST", "s-1"))
     known.clear()
-    assert [desk.take(asked(EXIT, "POST", "s-1"))[0].status for _ in range(2)] == [200, 404]
+    assert [handler.handle(request(EXIT, "POST", "s-1"))[0].status for _ in range(2)] == [200, 404]
 
 
 def test_an_overlay_only_closes_holds_whatever_is_told_and_brings_back_cold():
@@ -167,7 +167,7 @@
 
     def caller(self):
         self.clients.append(ClientPeer.__new__(ClientPeer))
-        Buffered.__init__(self.clients[-1], socket.create_connection(self.admin.port.address))
+        Buffered.__init__(self.clients[-1], socket.create_connection(self.admin.listener.address))
         self.clients[-1].pump = lambda peer=self.clients[-1]: Buffered.pump(peer)
         return self.clients[-1]
 
@@ -197,13 +197,15 @@
         idle = [rig.caller() for _ in range(admin_listener.MAX_CONNECTIONS)]
         for caller in idle[::2]:
             caller.sock.sendall(b"GET /sta")
-        rig.until(lambda: len(rig.admin.port.callers) == admin_listener.MAX_CONNECTIONS, "all are held")
+        rig.until(
+            lambda: len(rig.admin.listener.connections) == admin_listener.MAX_CONNECTIONS, "all are held"
+        )
         self.assertEqual(rig.ask("/status", "GET"), 200)
         self.assertTrue(idle[0].ended or idle[1].ended)  # the oldest gave way
         with mock.patch.object(admin_listener, "REQUEST_TIMEOUT_MS", 50.0):
             rig.until(lambda: all(caller.ended for caller in idle), "the others are ended in time")
         self.assertIn(b" 408 ", bytes(idle[-2].data))
-        rig.until(lambda: not rig.admin.port.callers, "no descriptor is left")
+        rig.until(lambda: not rig.admin.listener.connections, "no descriptor is left")
 
     def test_a_call_is_answered_in_a_turn_that_clients_fill(self):
         rig = self.rig(ScorerPeer(copies=None))
--- a/tests/test_handover.py
+++ b/tests/admin/test_admin_handoff.py
@@ -1,4 +1,4 @@
-"""The talk between a process and the one that takes its place: tables, memory, and each way it may break."""
+"""Hand-off between a process and its successor: states, learned state, and each way the channel may break."""
 
 import os
 import socket
@@ -12,69 +12,77 @@
 from hypothesis import strategies as st
 from peers import Buffered, Rig, ScorerPeer, ready
 
-from fawnwharf.admin import handoff_channel, service
+from fawnwharf.admin import handoff_channel, handoff_source, service
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import learned_state as m
-from fawnwharf.admin.handoff_messages import HandoffAction, HandoffPhase
-from fawnwharf.admin.hot_restart import HotRestart, InheritedState
+from fawnwharf.admin.handoff_directory import HandoffDirectory
+from fawnwharf.admin.handoff_listener import HandoffListener
+from fawnwharf.admin.handoff_request import InheritedState
+from fawnwharf.admin.handoff_source import HandoffAction, HandoffPhase
+from fawnwharf.admin.hot_restart import HotRestart
 from fawnwharf.admin.http import AdminRequest
 from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.loop import Loop
 
-HERE = ("127.0.0.1", 8000)
-HELLO = h.Hello(h.VERSION, HERE)
+ADDRESS = ("127.0.0.1", 8000)
+HELLO = h.Hello(h.VERSION, ADDRESS)
 
 
-def do(giver, word):
+def apply_step(source, word):
     """One step, by its word: `leave@5` at a time, `hello`, `other`, `ready`, `lost`, `look@9`."""
     name, _, at = word.partition("@")
     steps = {
-        "hello": lambda: giver.hello(HELLO),
-        "newer": lambda: giver.hello(h.Hello(h.VERSION + 1, HERE)),
-        "other": lambda: giver.hello(h.Hello(h.VERSION, ("127.0.0.1", 8001))),
-        "ready": giver.ready,
-        "lost": giver.lost,
-        "leave": lambda: giver.leave(float(at)),
-        "look": lambda: giver.look(float(at)),
+        "hello": lambda: source.on_hello(HELLO),
+        "newer": lambda: source.on_hello(h.Hello(h.VERSION + 1, ADDRESS)),
+        "other": lambda: source.on_hello(h.Hello(h.VERSION, ("127.0.0.1", 8001))),
+        "ready": source.on_ready,
+        "lost": source.on_successor_lost,
+        "leave": lambda: source.shut_down(float(at)),
+        "look": lambda: source.tick(float(at)),
     }
     return steps[name]()
 
 
-N, ALL, AWAY, STOP, AGAIN, PAUSE = (
-    HandoffAction.NOTHING, HandoffAction.TELL_ALL, HandoffAction.TURN_AWAY,
-    HandoffAction.STOP_ACCEPTING, HandoffAction.ACCEPT_AGAIN, HandoffAction.PAUSE,
+N, SEND, REJECT, STOP, RESUME, PAUSE = (
+    HandoffAction.NONE, HandoffAction.SEND_STATE, HandoffAction.REJECT,
+    HandoffAction.STOP_ACCEPTING, HandoffAction.RESUME_ACCEPTING, HandoffAction.PAUSE_READING,
 )  # fmt: skip
-GIVER = [
-    ("asked", "hello", [ALL], HandoffPhase.ASKED),
-    ("given", "hello ready", [ALL, STOP], HandoffPhase.GIVEN),
-    ("ready without a hello", "ready", [N], HandoffPhase.ALONE),
-    ("ready twice", "hello ready ready", [ALL, STOP, N], HandoffPhase.GIVEN),
-    ("asked twice", "hello hello ready hello", [ALL, AWAY, STOP, AWAY], HandoffPhase.GIVEN),
-    ("another version", "newer", [AWAY], HandoffPhase.ALONE),
-    ("another address", "other", [AWAY], HandoffPhase.ALONE),
-    ("one that leaves gives nothing new", "leave@0 hello", [None, AWAY], HandoffPhase.ALONE),
-    ("told to end", "hello ready leave@0 look@399", [ALL, STOP, None, N], HandoffPhase.ENDING),
-    ("paused once", "hello ready leave@0 look@400 look@500", [ALL, STOP, None, PAUSE, N],
-     HandoffPhase.ENDING),
-    ("told to end before it was ready", "hello leave@0 ready", [ALL, None, STOP], HandoffPhase.ENDING),
-    ("no pause while nobody asked it to end", "hello ready look@9999", [ALL, STOP, N], HandoffPhase.GIVEN),
-    ("lost before it was ready", "hello lost", [ALL, N], HandoffPhase.ALONE),
-    ("lost after", "hello ready lost", [ALL, STOP, AGAIN], HandoffPhase.ALONE),
-    ("lost at the end", "hello ready leave@0 look@400 lost look@500", [ALL, STOP, None, PAUSE, AGAIN, N],
-     HandoffPhase.ALONE),
-    ("and the next", "hello ready lost hello ready", [ALL, STOP, AGAIN, ALL, STOP], HandoffPhase.GIVEN),
+SEQUENCES = [
+    ("asked", "hello", [SEND], HandoffPhase.REQUESTED),
+    ("given", "hello ready", [SEND, STOP], HandoffPhase.HANDING_OFF),
+    ("ready without a hello", "ready", [N], HandoffPhase.NO_SUCCESSOR),
+    ("ready twice", "hello ready ready", [SEND, STOP, N], HandoffPhase.HANDING_OFF),
+    ("asked twice", "hello hello ready hello", [SEND, REJECT, STOP, REJECT], HandoffPhase.HANDING_OFF),
+    ("another version", "newer", [REJECT], HandoffPhase.NO_SUCCESSOR),
+    ("another address", "other", [REJECT], HandoffPhase.NO_SUCCESSOR),
+    ("one that leaves gives nothing new", "leave@0 hello", [None, REJECT], HandoffPhase.NO_SUCCESSOR),
+    ("shutting down", "hello ready leave@0 look@399", [SEND, STOP, None, N], HandoffPhase.SHUTTING_DOWN),
+    ("paused once", "hello ready leave@0 look@400 look@500", [SEND, STOP, None, PAUSE, N],
+     HandoffPhase.SHUTTING_DOWN),
+    ("shutting down before it is ready", "hello leave@0 ready", [SEND, None, STOP],
+     HandoffPhase.SHUTTING_DOWN),
+    ("no pause while it is not shutting down", "hello ready look@9999", [SEND, STOP, N],
+     HandoffPhase.HANDING_OFF),
+    ("lost before it was ready", "hello lost", [SEND, N], HandoffPhase.NO_SUCCESSOR),
+    ("lost after", "hello ready lost", [SEND, STOP, RESUME], HandoffPhase.NO_SUCCESSOR),
+    ("lost at the end", "hello ready leave@0 look@400 lost look@500", [SEND, STOP, None, PAUSE, RESUME, N],
+     HandoffPhase.NO_SUCCESSOR),
+    ("and the next", "hello ready lost hello ready", [SEND, STOP, RESUME, SEND, STOP],
+     HandoffPhase.HANDING_OFF),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("words", "wanted", "phase"), [c[1:] for c in GIVER], ids=[c[0] for c in GIVER])
+@pytest.mark.parametrize(
+    ("words", "wanted", "phase"), [c[1:] for c in SEQUENCES], ids=[c[0] for c in SEQUENCES]
+)
 def test_what_follows_for_the_old_process(words, wanted, phase):
-    giver = h.HandoffSource(HERE)
-    assert [do(giver, word) for word in words.split()] == wanted
-    assert giver.phase is phase
-    assert giver.gives == (phase in (HandoffPhase.GIVEN, HandoffPhase.ENDING))
+    source = handoff_source.HandoffSource(ADDRESS)
+    assert [apply_step(source, word) for word in words.split()] == wanted
+    assert source.phase is phase
+    assert source.is_handing_off == (phase in (HandoffPhase.HANDING_OFF, HandoffPhase.SHUTTING_DOWN))
 
 
-MAY = [
+HAND_OFFS = [
     ("hello", [False] * 4),
     ("hello ready", [True, False, False, False]),
     ("hello ready leave@0 look@399", [True, False, False, False]),
@@ -83,22 +91,29 @@
 ]
 
 
-@pytest.mark.parametrize(("words", "wanted"), MAY, ids=[case[0] for case in MAY])
+@pytest.mark.parametrize(("words", "wanted"), HAND_OFFS, ids=[case[0] for case in HAND_OFFS])
 def test_a_connection_goes_over_with_nothing_open_and_what_is_unwritten_at_the_end_only(words, wanted):
-    giver = h.HandoffSource(HERE)
+    source = handoff_source.HandoffSource(ADDRESS)
     for word in words.split():
-        do(giver, word)
-    found = [giver.may_give(*case) for case in ((False, False), (False, True), (True, False), (True, True))]
+        apply_step(source, word)
+    found = [
+        source.may_hand_off(has_open=has_open, unwritten=unwritten)
+        for has_open in (False, True)
+        for unwritten in (False, True)
+    ]
     assert found == wanted
 
 
 def test_one_that_ends_awaits_the_process_before_it_for_a_while():
-    giver = h.HandoffSource(HERE)
+    source = handoff_source.HandoffSource(ADDRESS)
     for word in ("hello", "ready"):
-        do(giver, word)
-    assert not giver.awaits(0.0)
-    giver.leave(0.0)
-    assert [giver.awaits(at) for at in (0.0, h.PREDECESSOR_TIMEOUT_MS - 1, h.PREDECESSOR_TIMEOUT_MS)] == [
+        apply_step(source, word)
+    assert not source.awaits_predecessor(0.0)
+    source.shut_down(0.0)
+    assert [
+        source.awaits_predecessor(at)
+        for at in (0.0, handoff_source.PREDECESSOR_TIMEOUT_MS - 1, handoff_source.PREDECESSOR_TIMEOUT_MS)
+    ] == [
         True,
         True,
         False,
@@ -109,11 +124,11 @@
     st.lists(st.sampled_from(["hello", "newer", "other", "ready", "lost", "leave@0", "look@1", "look@999"]))
 )
 def test_whatever_comes_in_whatever_order_it_accepts_exactly_while_it_does_not_give(words):
-    giver, accepts = h.HandoffSource(HERE), True
+    source, accepts = handoff_source.HandoffSource(ADDRESS), True
     for word in words:
-        what = do(giver, word)
-        accepts = accepts if what not in (STOP, AGAIN) else what is AGAIN
-        assert accepts != giver.gives
+        what = apply_step(source, word)
+        accepts = accepts if what not in (STOP, RESUME) else what is RESUME
+        assert accepts != source.is_handing_off
 
 
 @given(st.binary(max_size=300_000))
@@ -143,43 +158,47 @@
     return drive
 
 
-def near(one, two):
+def is_equal(one, two):
     """Equal but for the rounding of ages."""
     if isinstance(one, float):
         return two == pytest.approx(one, abs=1e-6)
     if isinstance(one, list | tuple):
-        return len(one) == len(two) and all(map(near, one, two))
+        return len(one) == len(two) and all(map(is_equal, one, two))
     if isinstance(one, dict):
-        return one.keys() == two.keys() and all(near(one[key], two[key]) for key in one)
+        return one.keys() == two.keys() and all(is_equal(one[key], two[key]) for key in one)
     if hasattr(one, "__struct_fields__"):
-        return all(near(getattr(one, name), getattr(two, name)) for name in one.__struct_fields__)
+        return all(is_equal(getattr(one, name), getattr(two, name)) for name in one.__struct_fields__)
     return one == two
 
 
 @pytest.mark.parametrize("later", [0.0, 700.0])
 def test_what_was_learnt_is_the_same_in_the_next_process_whose_clock_is_another(later):
     drive = used()
-    told = m.decode(m.encode(m.capture(drive.router, {"s-2", "s-1"}, drive.now, 5_000.0)))
+    learned = m.decode(m.encode(m.capture(drive.router, {"s-2", "s-1"}, drive.now, 5_000.0)))
     other = Drive(workers=4).router
-    m.restore(other, told, 123_456.0 + later, 5_000.0 + later)
-    again = m.capture(other, set(told.out), 123_456.0, 5_000.0)
-    assert told.out == ["s-1", "s-2"] and len(told.functions) == 3 and any(f.places for f in told.functions)
-    told.scorers.sort(key=lambda s: s.worker)
-    again.scorers.sort(key=lambda s: s.worker)
-    assert near(told, again)
+    m.restore(other, learned, 123_456.0 + later, 5_000.0 + later)
+    again = m.capture(other, set(learned.in_maintenance), 123_456.0, 5_000.0)
+    assert (
+        learned.in_maintenance == ["s-1", "s-2"]
+        and len(learned.functions) == 3
+        and any(f.copies for f in learned.functions)
+    )
+    learned.scorers.sort(key=lambda s: s.scorer)
+    again.scorers.sort(key=lambda s: s.scorer)
+    assert is_equal(learned, again)
 
 
 def test_scorers_that_the_new_roster_does_not_have_are_left_aside():
     drive = used()
-    told = m.capture(drive.router, set(), drive.now, 0.0)
+    learned = m.capture(drive.router, set(), drive.now, 0.0)
     other = Drive(workers=1).router
-    m.restore(other, told, 500.0, 0.0)
+    m.restore(other, learned, 500.0, 0.0)
     assert {id for fn in other.functions.values() for id in fn.instances} <= {1}
 
 
 @given(at=st.integers(0, 400), bit=st.integers(0, 7), cut=st.booleans())
 def test_a_memory_that_was_changed_anywhere_is_none(at, bit, cut):
-    data = bytearray(m.encode(m.LearnedState(1.0, ["s-1"], taken=[1.0] * 50)))
+    data = bytearray(m.encode(m.LearnedState(1.0, ["s-1"], request_ages=[1.0] * 50)))
     at %= len(data)
     if cut:
         del data[at:]
@@ -200,8 +219,8 @@
 def rig():
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
-        place = handoff_channel.HandoffDirectory(folder, "", made.front.address)
-        made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
+        directory = HandoffDirectory(folder, "", made.front.address)
+        made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(directory))
         made.admin.begin()
         made.peers = []
         yield made
@@ -210,10 +229,10 @@
             peer.close()
 
 
-def taker(rig):
-    """The process that takes its place, played by the test."""
+def connect_successor(rig):
+    """The process that takes its directory, played by the test."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with rig.admin.replacement.place.short() as address:
+    with rig.admin.hot_restart.directory.socket_address() as address:
         sock.connect(address)
     sock.setblocking(False)
     rig.peers.append(sock)
@@ -223,12 +242,14 @@
     return sock
 
 
-def before(rig):
-    """The process whose place this one took, played by the test."""
+def connect_predecessor(rig):
+    """The process whose directory this one took, played by the test."""
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     rig.peers.append(far)
-    talk = rig.admin.replacement
-    talk.before = handoff_channel.HandoffChannel(rig.front.loop, near, talk._from_before, talk._before_ended)
+    hot_restart = rig.admin.hot_restart
+    hot_restart.predecessor = handoff_channel.HandoffChannel(
+        rig.front.loop, near, hot_restart._on_predecessor_message, hot_restart._on_predecessor_end
+    )
     far.setblocking(False)
     return far
 
@@ -244,10 +265,10 @@
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs")
-    sock = taker(rig)
+    sock = connect_successor(rig)
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"y" * 5000)
-    replacement = rig.admin.replacement
-    replacement.giver._paused = True
+    hot_restart = rig.admin.hot_restart
+    hot_restart.source._paused = True
     [held] = rig.front.port.clients
     give = rig.front.port.give
 
@@ -269,12 +290,12 @@
 def test_one_that_asks_and_is_gone_at_once_is_no_fault(rig):
     for version in (h.VERSION, h.VERSION + 1):
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
-            with rig.admin.replacement.place.short() as address:
+            with rig.admin.hot_restart.directory.socket_address() as address:
                 sock.connect(address)
             handoff_channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
         came = []
         rig.front.loop.wheel.after(50.0, lambda: came.append(1))  # noqa: B023
-        rig.until(lambda: came and rig.admin.replacement.after is None, "it is gone")  # noqa: B023
+        rig.until(lambda: came and rig.admin.hot_restart.successor is None, "it is gone")  # noqa: B023
     assert not any("fault" in line for line in rig.lines)
 
 
@@ -282,7 +303,9 @@
     loop = Loop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     back = []
-    talk = handoff_channel.HandoffChannel(loop, near, mock.Mock(), lambda end: back.extend(end.take_back()))
+    channel = handoff_channel.HandoffChannel(
+        loop, near, mock.Mock(), lambda end: back.extend(end.take_back())
+    )
     data = os.urandom(900_000)
     for part in [
         *h.chunks(b"sent" * 20),
@@ -290,8 +313,8 @@
         *h.chunks(data),
         h.ConnectionHandoff(b"half"),
     ]:
-        talk.say(part)
-    assert talk.unsent
+        channel.send(part)
+    assert channel.has_unsent
     far.close()
     loop.turn(1.0)
     assert b"".join(message.data for message, _ in back[:-1]) == data and back[-1][0] == h.ConnectionHandoff(
@@ -303,30 +326,30 @@
 def test_too_many_descriptors_on_their_way_are_waited_for():
     loop = Loop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    talk = handoff_channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
+    channel = handoff_channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
     with mock.patch.object(handoff_channel, "send", side_effect=OSError(109, "too many references")):
-        talk.say(h.ConnectionHandoff(), near.dup())
-    assert talk.unsent and not talk.closed
+        channel.send(h.ConnectionHandoff(), near.dup())
+    assert channel.has_unsent and not channel.closed
     loop.turn(1.0)
-    assert not talk.unsent and handoff_channel.receive(far)[1] is not None
-    talk.close()
+    assert not channel.has_unsent and handoff_channel.receive(far)[1] is not None
+    channel.close()
     far.close()
     loop.close()
 
 
 def test_what_operators_ask_reaches_the_process_at_the_other_end_of_three(rig):
-    oldest, newest = before(rig), taker(rig)
+    oldest, newest = connect_predecessor(rig), connect_successor(rig)
     messages(newest)
     for sock, other in ((newest, oldest), (oldest, newest)):
-        told = h.OperatorCommand("/maintenance/enter", "s-1")
-        handoff_channel.send(sock, h.encode(told), None)
+        command = h.OperatorCommand("/maintenance/enter", "s-1")
+        handoff_channel.send(sock, h.encode(command), None)
         found = []
-        rig.until(lambda: found.extend(messages(other)) or told in found, "it is passed on")  # noqa: B023
+        rig.until(lambda: found.extend(messages(other)) or command in found, "it is passed on")  # noqa: B023
         assert not messages(sock)  # and not back
 
 
 def test_one_that_ends_waits_for_what_the_process_before_has_still_to_give(rig):
-    oldest, newest, said = before(rig), taker(rig), []
+    oldest, newest, said = connect_predecessor(rig), connect_successor(rig), []
     rig.admin.leave()
     assert rig.admin.busy
     over = []
@@ -339,7 +362,7 @@
     handoff_channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
     handoff_channel.send(newest, h.encode(h.Done()), None)
     rig.until(lambda: not rig.admin.busy, "it may end, with nothing unread")
-    assert rig.admin.desk.out == {"s-1"}
+    assert rig.admin.commands.in_maintenance == {"s-1"}
 
 
 def test_one_given_while_nothing_is_read_is_not_read_either(rig):
@@ -358,8 +381,8 @@
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs")
-    rig.admin.take(AdminRequest("POST", "/standby"))
-    taker(rig)
+    rig.admin.handle(AdminRequest("POST", "/standby"))
+    connect_successor(rig)
     over = []
     rig.front.loop.wheel.after(1_300.0, lambda: over.append(1))
     rig.until(lambda: over, "the drain would refuse")
@@ -370,30 +393,30 @@
 
 def test_a_call_that_comes_before_the_other_process_can_be_told_reaches_it_all_the_same(rig):
     other = service.AdminService(rig.front, ("127.0.0.1", 0))
-    other.take(AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),)))
-    with mock.patch.object(HotRestart, "tell") as tell:
+    other.handle(AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),)))
+    with mock.patch.object(HotRestart, "send_command") as send_command:
         other.begin()
-    tell.assert_called_once_with("/maintenance/enter", "s-1")
-    other.port.close()
+    send_command.assert_called_once_with("/maintenance/enter", "s-1")
+    other.listener.close()
     rig.front.admin = rig.admin
 
 
 def test_the_file_is_the_newer_ones_where_another_process_has_the_place(rig):
-    replacement = rig.admin.replacement
-    replacement.remember()
-    assert replacement.place.read()
-    door = handoff_channel.HandoffListener(rig.front.loop, replacement.place, mock.Mock())
-    replacement.place.write(b"newer")
-    replacement.remember()
-    assert replacement.place.read() == b"newer"
-    door.close()
+    hot_restart = rig.admin.hot_restart
+    hot_restart.write_state()
+    assert hot_restart.directory.read_state()
+    listener = HandoffListener(rig.front.loop, hot_restart.directory, mock.Mock())
+    hot_restart.directory.write_state(b"newer")
+    hot_restart.write_state()
+    assert hot_restart.directory.read_state() == b"newer"
+    listener.close()
 
 
 def test_one_that_ends_and_loses_the_next_leaves_the_meeting_place_to_whoever_has_it(rig):
-    sock = taker(rig)
-    door = handoff_channel.HandoffListener(rig.front.loop, rig.admin.replacement.place, mock.Mock())
+    sock = connect_successor(rig)
+    listener = HandoffListener(rig.front.loop, rig.admin.hot_restart.directory, mock.Mock())
     rig.admin.leave()
     sock.close()
     rig.until(lambda: not rig.admin.replaced, "it serves on by itself")
-    assert door.mine
-    door.close()
+    assert listener.is_current
+    listener.close()
--- a/tests/test_handover_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -9,10 +9,11 @@
 from peers import PATIENCE_S, Rig, ScorerPeer, ready
 from processes import Site
 
-from fawnwharf.admin import handoff_channel, service
+from fawnwharf.admin import handoff_channel, handoff_request, hot_restart, service
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions, ExtensionState
-from fawnwharf.admin.hot_restart import InheritedState
+from fawnwharf.admin.handoff_directory import HandoffDirectory
+from fawnwharf.admin.handoff_request import InheritedState
 from fawnwharf.admin.http import AdminRequest
 from fawnwharf.config import ConfigError
 from fawnwharf.net import graceful_shutdown
@@ -22,8 +23,8 @@
 def rig():
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
-        place = handoff_channel.HandoffDirectory(folder, "", made.front.address)
-        made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
+        directory = HandoffDirectory(folder, "", made.front.address)
+        made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(directory))
         made.admin.begin()
         made.peers = []
         yield made
@@ -32,10 +33,10 @@
             peer.close()
 
 
-def taker(rig):
-    """The process that takes its place, played by the test."""
+def connect_successor(rig):
+    """The process that takes its directory, played by the test."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with rig.admin.replacement.place.short() as address:
+    with rig.admin.hot_restart.directory.socket_address() as address:
         sock.connect(address)
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
@@ -55,11 +56,11 @@
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs, so that the connection stays here")
-    sock = taker(rig)
+    sock = connect_successor(rig)
     if why == "leaving":
         rig.front.leave()
     elif why == "standby":
-        rig.admin.desk.standby = True
+        rig.admin.commands.standby = True
     assert good(rig, client)  # for the other process's sake
     sock.close()
     rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
@@ -67,8 +68,8 @@
 
 
 def test_a_process_that_stands_still_gets_nothing_more_and_its_connections_come_back(rig):
-    sock = taker(rig)
-    talk = rig.admin.replacement.after
+    sock = connect_successor(rig)
+    channel = rig.admin.hot_restart.successor
     refused = mock.patch.object(handoff_channel, "send", side_effect=BlockingIOError)
     client = rig.client()
     with refused:  # its buffer is full, as it reads nothing
@@ -77,8 +78,8 @@
         rig.until(lambda: rig.scorers[0].runs, "it runs")
         rig.scorers[0].answer(rig.scorers[0].runs[0])
         rig.until(lambda: client.answers and not rig.front.port.clients, "its connection is on its way")
-        assert talk.unsent and not talk.closed
-        talk._moved_ms -= h.STALL_TIMEOUT_MS
+        assert channel.has_unsent and not channel.closed
+        channel._progress_ms -= hot_restart.STALL_TIMEOUT_MS
         rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
     assert rig.front.port.clients and good(rig, client) is True
     assert not ready(sock, 0.0) or handoff_channel.receive(sock)
@@ -88,16 +89,16 @@
     client = rig.client()
     rig.settle(client)
     with mock.patch.object(rig.front.port, "give", side_effect=RuntimeError("planted")) as give:
-        taker(rig)
+        connect_successor(rig)
         rig.until(lambda: give.call_count >= 2, "it tries again")
     rig.until(lambda: not rig.front.port.clients, "it is given")
 
 
 def test_a_fault_in_a_look_at_a_drain_or_in_tidying_is_not_the_last_one(rig):
-    rig.admin.take(AdminRequest("POST", "/standby"))
+    rig.admin.handle(AdminRequest("POST", "/standby"))
     with mock.patch.object(service.draining, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "it looks again")
-    with mock.patch.object(rig.admin.port, "tidy", side_effect=RuntimeError("planted")) as tidy:
+    with mock.patch.object(rig.admin.listener, "tidy", side_effect=RuntimeError("planted")) as tidy:
         rig.until(lambda: tidy.call_count >= 2, "it tidies again")
 
 
@@ -107,20 +108,20 @@
     seam.release.side_effect = RuntimeError("planted")
     seam.take_back.side_effect = [fault, None]
     rig.front._seam = seam
-    parts, steps = ExclusiveExtensions(rig.front), []
-    parts.let_go(lambda: steps.append("away"))
+    extensions, steps = ExclusiveExtensions(rig.front), []
+    extensions.release(lambda: steps.append("away"))
     rig.until(lambda: steps, "they are let go of")
-    assert parts.where is ExtensionState.AWAY
-    parts.take_back(lambda: steps.append("here"))
-    rig.until(lambda: parts.here, "they are back")
+    assert extensions.state is ExtensionState.RELEASED
+    extensions.reacquire(lambda: steps.append("here"))
+    rig.until(lambda: extensions.are_held, "they are back")
     assert steps == ["away", "here"]
     rig.front._seam = None
 
 
 def test_an_answer_in_drops_is_not_waited_for_longer_than_one_that_does_not_come(tmp_path):
-    place, now = handoff_channel.HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
+    directory, now = HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as door:
-        with place.short() as address:
+        with directory.socket_address() as address:
             door.bind(address)
         door.listen(1)
 
@@ -130,11 +131,11 @@
             return h.Chunk(b"x"), None
 
         with (
-            mock.patch.object(handoff_channel, "monotonic_ms", lambda: now[0]),
-            mock.patch.object(handoff_channel, "receive", drop),
+            mock.patch.object(handoff_request, "monotonic_ms", lambda: now[0]),
+            mock.patch.object(handoff_request, "receive", drop),
         ):
-            assert handoff_channel.request_handoff(place, ("127.0.0.1", 1)) is None
-    assert now[0] <= 1e3 * h.ANSWER_TIMEOUT_S + 1_000.0
+            assert handoff_request.request_handoff(directory, ("127.0.0.1", 1)) is None
+    assert now[0] <= 1e3 * handoff_request.ANSWER_TIMEOUT_S + 1_000.0
 
 
 def test_told_to_end_before_it_takes_the_place_it_leaves_the_place_alone():
@@ -144,7 +145,7 @@
             socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as meeting,
             socket.create_server(("127.0.0.1", 0)) as door,
         ):
-            with site.place.short() as address:
+            with site.place.socket_address() as address:
                 meeting.bind(address)
             meeting.listen(1)
             meeting.settimeout(PATIENCE_S)
@@ -165,7 +166,7 @@
 def test_told_to_end_with_the_place_given_no_connection_is_ended_here(rig):
     client = rig.client()
     rig.settle(client)
-    taker(rig)
+    connect_successor(rig)
     rig.front.leave()
     rig.front._leaving._since_ms -= graceful_shutdown.LATE_ARRIVALS_MS
     rig.until(lambda: not rig.front.port.clients, "its connection is given")
--- a/tests/test_replacement.py
+++ b/tests/admin/test_admin_hot_restart.py
@@ -3,6 +3,7 @@
 import contextlib
 import os
 import signal
+import socket
 import time
 import unittest
 from pathlib import Path
@@ -12,6 +13,7 @@
 
 from fawnwharf.admin import handoff_channel
 from fawnwharf.admin import handoff_messages as h
+from fawnwharf.admin.handoff_request import request_handoff
 
 
 def has_connected(pid):
@@ -78,11 +80,11 @@
 
     def taker(self, site):
         """A new process, played by the test, that was told all."""
-        found = handoff_channel.request_handoff(site.place, site.listen.address)
+        found = request_handoff(site.place, site.listen.address)
         self.assertIsNotNone(found, "the old process answers")
-        for sock in (found[0], found[2]):
+        for sock in (found.channel, found.listener):
             self.addCleanup(sock.close)
-        return found
+        return found.channel, found.learned, found.listener
 
     def half_asked(self, site, count, size=40_000):
         """Clients that have sent half of a long message each; the rest of it, by client."""
@@ -99,10 +101,8 @@
         site = self.site()
         old = site.start()
         kept = site.served()
-        with handoff_channel.socket.socket(
-            handoff_channel.socket.AF_UNIX, handoff_channel.socket.SOCK_SEQPACKET
-        ) as sock:
-            with site.place.short() as address:
+        with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
+            with site.place.socket_address() as address:
                 sock.connect(address)
             site.served(kept)
         old.child.send_signal(signal.SIGSTOP)  # it answers nothing, so that the new one can't get ready
@@ -110,13 +110,13 @@
         site.until(lambda: has_connected(new.child.pid), "it has connected")
         new.kill()
         old.child.send_signal(signal.SIGCONT)
-        site.until_logged(old, "another process is about to")
+        site.until_logged(old, "hot restart: another process requests")
         site.served(kept)
         site.served()
         self.settled(site)
         new = site.start()  # and the next one takes its place as if nothing had been
         self.assertLess(site.end(old), OUGHT_S)
-        self.assertIn("taking over", new.log)
+        self.assertIn("hot restart: taking over", new.log)
         site.served(kept)
         self.settled(site)
 
@@ -142,7 +142,7 @@
         rest = self.half_asked(site, 24)
         sock, _, door = self.taker(site)
         handoff_channel.send(sock, h.encode(h.Ready()), None)
-        site.until_logged(old, "has taken this one's place")
+        site.until_logged(old, "hot restart: handing off to the new process")
         sock.setblocking(True)
         sock.settimeout(10.0)
         given = [handoff_channel.receive(sock) for _ in range(2)]
@@ -167,7 +167,7 @@
         new = site.start()
         self.assertLess(site.end(old), OUGHT_S)
         site.served()
-        self.assertIn("taking over", new.log)
+        self.assertIn("hot restart: taking over", new.log)
         self.settled(site)
 
     def test_a_real_one_killed_as_soon_as_it_is_ready(self):
@@ -175,7 +175,7 @@
         old = site.start()
         busy = self.busy(site)
         new = site.begin()
-        site.until_logged(old, "has taken this one's place")
+        site.until_logged(old, "hot restart: handing off to the new process")
         new.kill()
         site.until_logged(old, "accepting again")
         site.served()
@@ -197,7 +197,7 @@
         site.until(held, "the long answers are half written")
         sock, _, door = self.taker(site)
         handoff_channel.send(sock, h.encode(h.Ready()), None)
-        site.until_logged(old, "has taken this one's place")
+        site.until_logged(old, "hot restart: handing off to the new process")
         old.signal(signal.SIGTERM)
         site.until(lambda: ready(sock, 0.0), "they are being given")
         sock.close()
@@ -219,7 +219,7 @@
         old = site.start()
         busy, kept = self.busy(site), site.served()
         new = site.begin()
-        site.until_logged(old, "has taken this one's place")
+        site.until_logged(old, "hot restart: handing off to the new process")
         old.kill()
         site.served()
         site.until_ready(new)
@@ -232,11 +232,9 @@
 
     def played(self, site, say):
         """The old process, played by the test; `say` tells what it does on the channel."""
-        door = handoff_channel.socket.socket(
-            handoff_channel.socket.AF_UNIX, handoff_channel.socket.SOCK_SEQPACKET
-        )
+        door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self.addCleanup(door.close)
-        with site.place.short() as address:
+        with site.place.socket_address() as address:
             door.bind(address)
         door.listen(4)
         door.settimeout(30.0)
@@ -267,9 +265,9 @@
                 self.settled(site)
 
     def with_door(self, sock):
-        with handoff_channel.socket.socket() as door:
-            door.setsockopt(handoff_channel.socket.SOL_SOCKET, handoff_channel.socket.SO_REUSEPORT, 1)
-            door.setsockopt(handoff_channel.socket.SOL_SOCKET, handoff_channel.socket.SO_REUSEADDR, 1)
+        with socket.socket() as door:
+            door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             door.bind(self.site_of_step.listen.address)
             door.listen(16)
             handoff_channel.send(sock, h.encode(h.Chunk(b"torn")), None)
--- a/tests/test_replacement_overlap.py
+++ b/tests/admin/test_admin_hot_restart_overlap.py
@@ -6,7 +6,7 @@
 
 from processes import OUGHT_S, START_S, Case
 
-from fawnwharf.admin import handoff_channel
+from fawnwharf.admin.handoff_directory import HandoffDirectory
 
 ENTER, EXIT = "/maintenance/enter?target=", "/maintenance/exit?target="
 
@@ -27,15 +27,15 @@
         self.addCleanup(old.signal, signal.SIGCONT)
         new = site.start()
         self.assertLess(time.monotonic() - new.began, max(START_S, 4 * took_s))
-        self.assertIn("taken out before this process: s-1", new.log)
+        self.assertIn("in maintenance since before this process: s-1", new.log)
         self.assertEqual(site.ask(new, ENTER + two.id), 200)
         old.signal(signal.SIGCONT)
-        site.until_logged(old, "another process is about to")  # it reads what was asked long ago
+        site.until_logged(old, "hot restart: another process requests")  # it reads what was asked long ago
         site.drop(site.served())  # by whichever has it
         self.assertLess(site.end(old), OUGHT_S)
         new.kill()
         last = site.start()  # and the file is the newer one's still
-        self.assertIn("taken out before this process: s-1, s-2", last.log)
+        self.assertIn("in maintenance since before this process: s-1, s-2", last.log)
         self.settled(site)
 
     def test_two_replacements_the_second_while_the_first_old_one_is_still_ending(self):
@@ -44,7 +44,7 @@
         busy = self.busy(site)
         second = site.start()
         third = site.begin()
-        site.until_logged(second, "has taken this one's place")
+        site.until_logged(second, "hot restart: handing off to the new process")
         self.assertEqual(site.ask(third, ENTER + "s-1"), 200)
         site.until_logged(first, "/maintenance/enter: 200")  # by way of the second
         self.assertLess(site.end(first, second), OUGHT_S)
@@ -53,7 +53,7 @@
         site.habits.clear()
         self.settled(site)
         fourth = self.replaced(site, third)
-        self.assertIn("taking over", fourth.log)
+        self.assertIn("hot restart: taking over", fourth.log)
         site.served(busy)
         self.settled(site)
 
@@ -98,9 +98,9 @@
         busy = self.busy(site)
         kept = site.served()
         new = site.begin()
-        site.until_logged(old, "another process is about to")
+        site.until_logged(old, "hot restart: another process requests")
         self.assertEqual(site.ask(old, "/standby"), 200)
-        site.until_logged(old, "has taken this one's place")
+        site.until_logged(old, "hot restart: handing off to the new process")
         if site.ask(new, "/status", "GET") != 200:  # it heard of it while it started
             self.assertEqual(site.ask(new, "/active"), 200)
         site.habits.clear()
@@ -140,9 +140,9 @@
         old = site.start()
         self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
         old.kill()
-        good = site.place.file.read_bytes()
-        self.assertTrue(site.place.socket.exists())
-        site.place.file.write_bytes(good)
+        good = site.place.state_path.read_bytes()
+        self.assertTrue(site.place.socket_path.exists())
+        site.place.state_path.write_bytes(good)
         for name, data in (
             ("torn", good[:-3]),
             ("cut in its head", good[:9]),
@@ -152,16 +152,16 @@
             ("none", None),
         ):
             with self.subTest(name):
-                site.place.file.unlink(missing_ok=True)
+                site.place.state_path.unlink(missing_ok=True)
                 if data is not None:
-                    site.place.file.write_bytes(data)
+                    site.place.state_path.write_bytes(data)
                 process = site.start()
-                self.assertNotIn("taken out", process.log)
+                self.assertNotIn("in maintenance", process.log)
                 self.assertEqual("can't be read" in process.log, bool(data))
                 site.drop(site.served())
                 process.kill()
-        site.place.file.write_bytes(good)
-        self.assertIn("taken out before this process: s-1", site.start().log)
+        site.place.state_path.write_bytes(good)
+        self.assertIn("in maintenance since before this process: s-1", site.start().log)
         self.settled(site)
 
     def test_another_front_end_of_the_same_folder_is_another(self):
@@ -169,7 +169,7 @@
         old = site.start()
         self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
         with_name = site.start(ROUTER_NAME="fe-2")
-        self.assertNotIn("taken out", with_name.log)
+        self.assertNotIn("in maintenance", with_name.log)
         self.assertNotIn("another process", old.log)
 
     def test_folders_that_can_be_used_and_that_can_not(self):
@@ -177,11 +177,11 @@
         (site.folder / "file").touch()
         deep = site.folder / ("d" * 120) / ("e" * 120)
         deep.mkdir(parents=True)
-        site.place = handoff_channel.HandoffDirectory(str(deep), "fe-1", site.listen.address)
+        site.place = HandoffDirectory(str(deep), "fe-1", site.listen.address)
         old = site.start()
         self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
         new = self.replace(site, old)
-        self.assertIn("taken out before this process: s-1", new.log)
+        self.assertIn("in maintenance since before this process: s-1", new.log)
         self.assertEqual(site.ask(new, EXIT + "s-1"), 200)
         site.served()
         new.kill()
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -13,7 +13,7 @@
 
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import learned_state as beliefs
-from fawnwharf.admin.handoff_channel import HandoffDirectory
+from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.cli import app
 from fawnwharf.consensus import records
 from fawnwharf.consensus import voter_store as voter_disk
@@ -269,8 +269,11 @@
     data = beliefs.encode(beliefs.LearnedState(1.5, ["s-1"]))
     assert data[:6] == b"fwmem\x01" and data[:14].hex() == "66776d656d010000009e64f90acf"
     assert beliefs.decode(data) == beliefs.LearnedState(1.5, ["s-1"])
-    place = HandoffDirectory("folder", "fe-1", ("127.0.0.1", 7000))
-    assert (place.socket.name, place.file.name) == ("fw-5b801ba12a0b.sock", "fw-5b801ba12a0b.mem")
+    directory = HandoffDirectory("folder", "fe-1", ("127.0.0.1", 7000))
+    assert (directory.socket_path.name, directory.state_path.name) == (
+        "fw-5b801ba12a0b.sock",
+        "fw-5b801ba12a0b.mem",
+    )
 
 
 def test_frames_to_scorers_have_their_recorded_bytes():
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -16,7 +16,7 @@
 
 from peers import ROW, SETTINGS, Buffered, ClientPeer, LogPeer, ScorerPeer, handle_frame
 
-from fawnwharf.admin.handoff_channel import HandoffDirectory
+from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.net import scorer_frames
 
 PATIENCE_S = 40.0  # on a machine that is busy with other things, too
--- a/tests/test_disk_faults_kept.py
+++ b/tests/test_disk_faults_kept.py
@@ -8,7 +8,7 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.admin.handoff_channel import HandoffDirectory
+from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.policy_rollout import policy_file
 
 ENDS = {
@@ -66,20 +66,20 @@
 
 
 def test_what_was_learnt_stays_as_it_was_where_the_new_file_has_no_room_or_no_name(tmp_path, monkeypatch):
-    place = HandoffDirectory(str(tmp_path), "front", ("127.0.0.1", 1))
-    place.write(b"before")
+    directory = HandoffDirectory(str(tmp_path), "front", ("127.0.0.1", 1))
+    directory.write_state(b"before")
     faults = FileFaults(tmp_path)
     with faults.installed():
         faults.fail(error=errno.EIO)  # of the name; a buffered write is none of the calls
         with pytest.raises(OSError, match="Input/output"):
-            place.write(b"after")
+            directory.write_state(b"after")
         faults.works()
-        assert place.read() == b"before"
-    os.unlink(place.file.with_suffix(".new"))
-    place.file.with_suffix(".new").symlink_to("/dev/full")
+        assert directory.read_state() == b"before"
+    os.unlink(directory.state_path.with_suffix(".new"))
+    directory.state_path.with_suffix(".new").symlink_to("/dev/full")
     with pytest.raises(OSError, match="No space left"):
-        place.write(b"after")
-    assert place.read() == b"before"
-    place.file.with_suffix(".new").unlink()
-    place.write(b"after")
-    assert place.read() == b"after"
+        directory.write_state(b"after")
+    assert directory.read_state() == b"before"
+    directory.state_path.with_suffix(".new").unlink()
+    directory.write_state(b"after")
+    assert directory.read_state() == b"after"
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -34,7 +34,7 @@
         clock.advance(admin_listener.ACCEPT_PAUSE_MS + 5.0)
         loop.turn(0.0)
         loop.turn(0.0)
-        assert len(control.callers) == 1
+        assert len(control.connections) == 1
         control.close()
         caller.close()
         loop.close()
