--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from fawnwharf.interface import State
+from fawnwharf.interface import ScorerState
 from fawnwharf.policy import Router, state
 
 MAGIC = b"fwmem\x01"  # the last byte is the version
@@ -141,7 +141,7 @@
 
 
 def _captured_scorers(router: Router, now_ms: float) -> list[LearnedScorer]:
-    present = [scorer for scorer in router.workers.values() if scorer.entry.state is not State.GONE]
+    present = [scorer for scorer in router.workers.values() if scorer.entry.state is not ScorerState.GONE]
     return [_captured_scorer(scorer, now_ms) for scorer in present]
 
 
@@ -251,7 +251,7 @@
     if learned.suspect_age is not None:
         scorer.suspect_ms = scorer.sign_ms = written_ms - learned.suspect_age
         router.watched[scorer.id] = scorer
-        router.suspects += scorer.entry.state == State.READY
+        router.suspects += scorer.entry.state == ScorerState.READY
 
 
 def _restored_function(router: Router, learned: LearnedFunction, written_ms: float) -> state.Function:
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -24,18 +24,18 @@
     """
     settings, members = deployment.settings, zones.core.members
     names = sorted(members.zones)
-    spill = zones.settings.spill
+    spill = zones.settings.spillover
     values: dict[tuple[str, ...], Any] = {}
     for name, spec in settings.classes.items():
-        values["classes", name, "promise_ms"] = spec.promise_ms
-        values["classes", name, "give_up_ms"] = spec.give_up_ms
+        values["classes", name, "promise_ms"] = spec.latency_target_ms
+        values["classes", name, "give_up_ms"] = spec.deadline_ms
         if state is not None:
             values["modes", name] = state.gate.modes[name]
             values["window_ms", name] = state.settings.window_ms
     values |= {("tenants", name, "quota_rps"): rps for name, rps in settings.quotas_rps.items()}
     values |= {("staging", key): value for key, value in (staging or {}).items()}
     values |= {("admission", name): 1.0 for name in names}
-    values |= {("spill", name): spill.zones.get(name, spill.share) for name in names}
+    values |= {("spill", name): spill.fraction_by_zone.get(name, spill.fraction) for name in names}
     found = DeploymentCapabilities(
         classes=frozenset(settings.classes),
         tenants=deployment.wire.tenants | frozenset(settings.quotas_rps),
@@ -60,7 +60,7 @@
         self._quotas = dict(deployment.settings.quotas_rps)  # as sold, before the module adds limits to them
         self._fronts, self._zone = deployment.settings.fleet_size, deployment.settings.zone
         self.classes = dict(self._base)
-        self._longest = {name: spec.give_up_ms for name, spec in self._base.items()}  # ever gone by
+        self._longest = {name: spec.deadline_ms for name, spec in self._base.items()}  # ever gone by
         self.quotas = dict(self._quotas)
         self._limit: float = io.UNLIMITED_RPS
         self._kept: tuple[Any, ...] = ()
@@ -75,11 +75,11 @@
         if rps != self._limit:
             self._limit = rps
             self.front.limit(LIMIT, rps)
-        told = self.zones.settings.spill
+        told = self.zones.settings.spillover
         spill = {name: float(part) for name, part in document.section("spill").items()}
         # The plan has the settings' own already.
         self.zones.apply_policy_limits(
-            sold, {n: p for n, p in spill.items() if p < told.zones.get(n, told.share)}
+            sold, {n: p for n, p in spill.items() if p < told.fraction_by_zone.get(n, told.fraction)}
         )
         return self._classes(document)
 
@@ -90,9 +90,9 @@
         # To wait for longer than a policy gives is no fault of clients, which know an earlier time: the
         # port refuses nothing for that, and a call is cut to its policy's time where it is taken (`Judged`).
         for name, spec in classes.items():
-            self._longest[name] = max(self._longest[name], spec.give_up_ms)
+            self._longest[name] = max(self._longest[name], spec.deadline_ms)
         self.front.port.classes = {
-            name: replace(spec, give_up_ms=self._longest[name]) for name, spec in classes.items()
+            name: replace(spec, deadline_ms=self._longest[name]) for name, spec in classes.items()
         }
         for spec in changed:
             self.front.loop.tell(io.ClassChanged(spec))
@@ -103,9 +103,9 @@
         if quotas == self.quotas:
             return
         before, self.quotas = self.quotas, quotas
-        shares = self.state.core.shares if self.state is not None else None
+        shares = self.state.core.quota_shares if self.state is not None else None
         if shares is not None:
-            changes = shares.sell(quotas)
+            changes = shares.change_quotas(quotas)
         else:
             changes = {name: rps / self._fronts for name, rps in quotas.items() if rps != before.get(name)}
         changes |= {name: io.UNLIMITED_RPS for name in before if name not in quotas}
@@ -114,14 +114,16 @@
 
     def keep_by(self, kept: dict[str, tuple[str, float]]) -> None:
         """Apply modes and windows of replication by class, as `Easing` has them."""
-        keeper = self.state.core.keeper if self.state is not None else None
+        keeper = self.state.core.replica if self.state is not None else None
         if self.state is None or (kept, keeper, self.classes) == self._kept:
             return
         self._kept = kept, keeper, self.classes
         gate = self.state.gate
-        gate.go_by(self.classes, gate.modes | {n: mode for n, (mode, _) in kept.items() if n in gate.modes})
+        gate.change_rules(
+            self.classes, gate.modes | {n: mode for n, (mode, _) in kept.items() if n in gate.modes}
+        )
         if keeper is not None:
-            keeper.shelf.windows = {name: window for name, (_, window) in kept.items()}
+            keeper.claim_store.class_windows_ms = {name: window for name, (_, window) in kept.items()}
 
     def undo(self, base: Document) -> None:
         """Restore the settings, for whoever takes the parts over."""
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -13,9 +13,9 @@
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
-from fawnwharf.recovery_core.budget import Limits, limits_from
-from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
+from fawnwharf.recovery_core.phases import AllowedActions
+from fawnwharf.recovery_core.register import PermitAssignment
 from fawnwharf.recovery_service import actions
 from fawnwharf.recovery_service import permit_messages as g
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
@@ -31,7 +31,7 @@
 
 
 def create_admission(
-    front: FrontEnd, state: ReplicationService, settings: Settings, limits: Limits
+    front: FrontEnd, state: ReplicationService, settings: Settings, limits: FleetLimits
 ) -> RecoveryAdmission:
     """The door, before whatever stands there."""
     classes, promises = front.deployment.settings.classes, StoredClaims(state.gate, state.core)
@@ -50,15 +50,15 @@
         settings: Settings,
         life: int,
         door: Callable[
-            [FrontEnd, ReplicationService, Settings, Limits], RecoveryAdmission
+            [FrontEnd, ReplicationService, Settings, FleetLimits], RecoveryAdmission
         ] = create_admission,
     ) -> None:
         self.front, self.state = front, state
-        self.limits = limits_from(front.deployment.settings, settings.fetches, settings.scorer_rps)
-        self.giving = PermitIssuer(state.entry.name, life, self.limits, self._order, room=self._room)
+        self.limits = fleet_limits(front.deployment.settings, settings.fetches, settings.scorer_rps)
+        self.giving = PermitIssuer(state.member.name, life, self.limits, self._order, room=self._room)
         self.giving.word_ms = settings.timing.alone_ms
         self.counts: dict[str, int] = {}
-        self._going: tuple[Allowed, int, int, Dealt | None] = (Allowed(), 0, 1, None)
+        self._going: tuple[AllowedActions, int, int, PermitAssignment | None] = (AllowedActions(), 0, 1, None)
         self._used: dict[tuple[str, str], float] = {}  # calls a second before the cut, by function and class
         self._used_ms = float("-inf")
         self._heard: frozenset[str] = frozenset()
@@ -68,29 +68,31 @@
         self._stopped = False
         self.door = door(front, state, settings, self.limits)
         self.holds: LoadOrderGate | None = None
-        self._order_out: Callable[[io.Hold], None] | None = None
-        front.stand_between(io.Hold, self._between)
-        state.riders[LOG_CLIENT] = self._ridden
+        self._order_out: Callable[[io.OrderCopies], None] | None = None
+        front.stand_between(io.OrderCopies, self._between)
+        state.log_clients[LOG_CLIENT] = self._ridden
         self.roster()
         self._turn()
 
     def close(self) -> None:
         self._stopped = True
-        self.state.riders.pop(LOG_CLIENT, None)
+        self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.Hold, lambda _own: self._order_out)
+        self.front.stand_between(io.OrderCopies, lambda _own: self._order_out)
         if not self._going[0].spill:
-            self.door.go_by(Allowed(), 0.0, self.giving)  # what waits may be asked for again elsewhere
+            self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
-    def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
+    def _between(self, below: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
         front, self._order_out = self.front, below
         self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
         return self.holds.carry
 
     # --- what is allowed ------------------------------------------------------------------------
 
-    def go_by(self, allowed: Allowed, cut: int, fronts: int, dealt: Dealt | None = None) -> None:
+    def go_by(
+        self, allowed: AllowedActions, cut: int, fronts: int, dealt: PermitAssignment | None = None
+    ) -> None:
         """`fronts`: among how many front ends the fleet's calls are divided; alone, among those that hear
         each other, whose part of the budgets `allowed` has."""
         self._going = (allowed, cut, fronts, dealt)
@@ -102,8 +104,8 @@
 
     def _set(self, now_ms: float) -> None:
         allowed, cut, fronts, dealt = self._going
-        self._heard = frozenset(self.state.alive(now_ms)) | {self.state.entry.name}
-        self.giving.set(now_ms, self._heard, self.state.core.placement.keepers, allowed, cut, dealt)
+        self._heard = frozenset(self.state.live_members(now_ms)) | {self.state.member.name}
+        self.giving.set(now_ms, self._heard, self.state.core.placement.replicas, allowed, cut, dealt)
         rate_ps = allowed.part * self.limits.fall_multiple * self.limits.calls_rps(self.ages()) / fronts
         self.door.go_by(allowed, rate_ps, self.giving)
         self.holds.go_by(allowed, self.giving)
@@ -114,7 +116,7 @@
             classes = self.front.deployment.settings.classes
             for (row, name), rps in self._used.items():
                 if name in classes:
-                    self.giving.want(now_ms, row, rps * classes[name].worth, name)
+                    self.giving.want(now_ms, row, rps * classes[name].priority_weight, name)
 
     # --- scorers --------------------------------------------------------------------------------
 
@@ -151,7 +153,7 @@
         """Orders that the module would make of `CopiesWanted`: one is left for each held call."""
         router = self.front.router
         held = sum(len(fn.queue) for fn in router.functions.values())
-        return router._ration_left() - held if router.settings.may_order else 0.0
+        return router._ration_left() - held if router.settings.load_orders_allowed else 0.0
 
     # --- turns, words and answers ---------------------------------------------------------------
 
@@ -178,9 +180,9 @@
     def _carry_out(self, found: list[actions.Action]) -> None:
         for out in found:
             if isinstance(out, actions.SendPermitMessage):
-                self.state.ride(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
+                self.state.send_message(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, actions.LoadOrder):
-                if isinstance(out.what, io.Hold):
+                if isinstance(out.what, io.OrderCopies):
                     self.front.table.order(out.what)
                 else:
                     self.front.loop.tell(out.what)
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -15,9 +15,9 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Outcome, Refused
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.recovery_core import alone
-from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
-from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.recovery_core import partitioned
+from fawnwharf.recovery_core.budget import AdmissionRateLimiter, FleetLimits, priority_classes
+from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 from fawnwharf.replication.claim_gate import ClaimGate, call_key
@@ -71,11 +71,11 @@
         others alone can't be told from a new one."""
         if self._gate.modes.get(call.class_name, "off") == "off":
             return False
-        name, keeper = call_key(call), self._core.keeper
-        if name in self._gate.held:
+        name, keeper = call_key(call), self._core.replica
+        if name in self._gate.calls:
             return True
-        entry = keeper.shelf.calls.get(name) if keeper else None
-        claims = entry.standing() if entry else []
+        entry = keeper.claim_store.calls.get(name) if keeper else None
+        claims = entry.active_claims() if entry else []
         if any(claim.phase is ClaimPhase.ANSWERED for claim in claims):
             return True
         return bool(claims) and self._gate.modes[call.class_name] == "before"
@@ -108,7 +108,7 @@
         loop: Loop,
         below: RequestSink,
         classes: dict[str, ClassSpec],
-        limits: Limits,
+        limits: FleetLimits,
         promises: ClaimStatus | None = None,
         window_ms: float = 13_500.0,
         clock: Callable[[], float] = monotonic_ms,
@@ -118,10 +118,10 @@
         self._promises = promises or NoClaims()
         self._window_ms, self._began_ms = window_ms, clock()
         self.open = False  # calm: all is passed on as it comes
-        self.doors = Doors(limits, at_ms=clock())
+        self.doors = AdmissionRateLimiter(limits, at_ms=clock())
         self.counts: dict[str, int] = {}
         self._since: dict[str, int] = {}
-        self._may = Allowed()
+        self._may = AllowedActions()
         self._giving: PermitIssuer | None = None
         self._first = frozenset[str]()
         self._numbers = itertools.count(1)
@@ -141,11 +141,11 @@
         found, self._since = self._since, {}
         return found | {"held": len(self._held)} if found else {}
 
-    def go_by(self, allowed: Allowed, rate_ps: float, giving: PermitIssuer | None) -> None:
+    def go_by(self, allowed: AllowedActions, rate_ps: float, giving: PermitIssuer | None) -> None:
         """To be told at each change. `rate_ps`: calls a second that are let in here."""
         now = self._clock()
         self._may, self._giving, self.open = allowed, giving, allowed.spill
-        self._first = first_classes({name: spec.worth for name, spec in self._classes.items()})
+        self._first = priority_classes({name: spec.priority_weight for name, spec in self._classes.items()})
         self.doors.pace(now, rate_ps)
         for held in [held for held in self._held.values() if not held.passed]:
             if self.open:
@@ -189,9 +189,9 @@
         if not self._may.alone:
             return True
         effect = self._classes[class_name].effect
-        granted = effect is Effect.UNSAFE and self._promises.asks(class_name)  # its keepers are asked
-        standing = alone.Standing(granted=granted, since_start_ms=self._clock() - self._began_ms)
-        return alone.call(effect, standing, self._window_ms) is alone.Alone.SERVE
+        granted = effect is Effect.AT_MOST_ONCE and self._promises.asks(class_name)  # its keepers are asked
+        standing = partitioned.CallKnowledge(granted=granted, since_start_ms=self._clock() - self._began_ms)
+        return partitioned.decide_call(effect, standing, self._window_ms) is partitioned.CallDecision.SERVE
 
     def _weigh(self, call: Call) -> str | None:
         now = self._clock()
@@ -201,7 +201,8 @@
         if not self._takes(call.class_name):
             return self._turn_away(call, "class", CLASS_REJECTED_MS)
         hold_ms = min(
-            WAIT_FRACTION * self._classes[call.class_name].promise_ms, call.budget_ms - CLIENT_MARGIN_MS
+            WAIT_FRACTION * self._classes[call.class_name].latency_target_ms,
+            call.budget_ms - CLIENT_MARGIN_MS,
         )
         bare = self._bare(call.function)
         if bare:
@@ -224,7 +225,7 @@
 
     def _want(self, now: float, call: Call) -> None:
         """Its loader is to know, by what its calls of the last seconds were worth."""
-        worth = self._classes[call.class_name].worth
+        worth = self._classes[call.class_name].priority_weight
         rate = self._rates.get(call.function)
         if rate is None or now - rate[0] > RATE_MS:
             if rate is None and len(self._rates) >= MAX_RATES:
--- a/fawnwharf/recovery_service/stored_state.py
+++ b/fawnwharf/recovery_service/stored_state.py
@@ -10,21 +10,21 @@
 
 import msgspec
 
-from fawnwharf.durable_store import form as f
-from fawnwharf.durable_store import reading
+from fawnwharf.durable_store import file_format as f
+from fawnwharf.durable_store import folder_reader
 from fawnwharf.recovery_core.trust import (
-    Age,
-    Clock,
-    Found,
-    Kind,
-    Span,
-    Spans,
-    Store,
-    Trust,
+    AgeLimits,
+    AgeSettings,
+    ClockReading,
+    StateAge,
+    StateKind,
+    StoreCondition,
+    StoredState,
+    TrustLevel,
     age_of,
-    left_ms,
+    remaining_ms,
     same_boot,
-    trust,
+    trust_level,
 )
 
 
@@ -40,21 +40,23 @@
 
 # 'Where copies stood' and 'load counts' are hardly ever more than gone, and terms are in the voters' file.
 ENTRY_RULES = {
-    Kind.PROMISE: EntryRule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
-    Kind.PLAN: EntryRule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    Kind.POLICY: EntryRule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    Kind.HOMES: EntryRule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
-    Kind.ROSTER: EntryRule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
-    Kind.USE: EntryRule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
+    StateKind.PROMISE: EntryRule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
+    StateKind.PLAN: EntryRule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
+    StateKind.POLICY: EntryRule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
+    StateKind.HOMES: EntryRule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
+    StateKind.ROSTER: EntryRule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
+    StateKind.USE: EntryRule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
 }
 START, DOUBT, COMPLETE, COMMIT_TICKET = "start", "doubt", "sure", "turn"  # the store's own, one entry each
 LAST = "last"
-STORE_KINDS = [f.Kind(rule.name, rule.mode, rule.most, rule.value_bytes) for rule in ENTRY_RULES.values()] + [
+STORE_KINDS = [
+    f.EntryKind(rule.name, rule.mode, rule.most, rule.value_bytes) for rule in ENTRY_RULES.values()
+] + [
     # A store that is full must not forget that it is in part, nor refuse the ticket of what it took.
-    f.Kind(START, f.SOON, 1, 256, reserved=True),
-    f.Kind(DOUBT, f.SOON, 1, 4_096, reserved=True),
-    f.Kind(COMPLETE, f.SOON, 1, 64, reserved=True),
-    f.Kind(COMMIT_TICKET, f.SYNCED, 1, 64, reserved=True),
+    f.EntryKind(START, f.SOON, 1, 256, reserved=True),
+    f.EntryKind(DOUBT, f.SOON, 1, 4_096, reserved=True),
+    f.EntryKind(COMPLETE, f.SOON, 1, 64, reserved=True),
+    f.EntryKind(COMMIT_TICKET, f.SYNCED, 1, 64, reserved=True),
 ]
 MAX_REASON_LENGTH = 500  # characters of a cause, of six bytes at the most as JSON
 
@@ -68,14 +70,14 @@
     value: Any
 
     @property
-    def clock(self) -> Clock:
-        return Clock(self.boot, self.mono_ms, self.wall_ms)
+    def clock(self) -> ClockReading:
+        return ClockReading(self.boot, self.mono_ms, self.wall_ms)
 
 
 class RecoveredEntry(NamedTuple):
     key: str
     value: Any
-    age: Age
+    age: StateAge
 
 
 class RecoveredState(NamedTuple):
@@ -89,7 +91,7 @@
     doubt: str
     new: bool
     sure: int  # the list of members by which the keeper knew all that it had granted; 0: it did not
-    rows: dict[Kind, list[RecoveredEntry]]
+    rows: dict[StateKind, list[RecoveredEntry]]
     old: list[tuple[str, str]]  # what is over or can't be read: it goes
 
 
@@ -98,20 +100,22 @@
     return hashlib.blake2b(mark.encode(), digest_size=6).hexdigest() if mark else ""
 
 
-def encode_entry(clock: Clock, value: Any) -> bytes:
+def encode_entry(clock: ClockReading, value: Any) -> bytes:
     return msgspec.json.encode(
         StampedEntry(clock.boot, round(clock.mono_ms, 1), float(round(clock.wall_ms)), value)
     )
 
 
-def recover_state(found: reading.Found, now: Clock, fresh: bool, spans: Spans) -> RecoveredState:
+def recover_state(
+    found: folder_reader.FolderState, now: ClockReading, fresh: bool, spans: AgeSettings
+) -> RecoveredState:
     """`now`: of this start, its boot as `short` has it. `fresh`: nobody in the fleet has promised anything,
     so that an empty folder has lost nothing."""
     entries, same, number = found.entries, False, 0
     if (data := entries.get((START, LAST))) is not None and (last := _decode_entry(data)) is not None:
         same = same_boot(last.clock, now)
         number = last.value if type(last.value) is int else 0
-    rows: dict[Kind, list[RecoveredEntry]] = {}
+    rows: dict[StateKind, list[RecoveredEntry]] = {}
     old, faulty = [], ""
     by_name = {rule.name: kind for kind, rule in ENTRY_RULES.items()}
     for (name, key), data in entries.items():
@@ -120,7 +124,7 @@
         row = _recover_entry(kind, key, data, now, spans)
         if row is None:
             faulty = faulty or f"{name}: an entry that can't be read"
-        if row is None or _trust(kind, row.age, same, found.ended, Store.WHOLE) is Trust.GONE:
+        if row is None or _trust(kind, row.age, same, found.ended, StoreCondition.WHOLE) is TrustLevel.GONE:
             old.append((name, key))
         else:
             rows.setdefault(kind, []).append(row)
@@ -139,24 +143,26 @@
         return None
 
 
-def _recover_entry(kind: Kind, key: str, data: bytes, now: Clock, spans: Spans) -> RecoveredEntry | None:
+def _recover_entry(
+    kind: StateKind, key: str, data: bytes, now: ClockReading, spans: AgeSettings
+) -> RecoveredEntry | None:
     """None where it is none. What is kept of a promise is a list that begins with how long it counts; it is
     read with what is left of that, and since when it stands, None where another boot wrote it."""
     if (found := _decode_entry(data)) is None:
         return None
-    if kind is not Kind.PROMISE:
+    if kind is not StateKind.PROMISE:
         return RecoveredEntry(key, found.value, age_of(kind, found.clock, now, spans.of(kind)))
     value = found.value
     if not isinstance(value, list) or not value or not isinstance(value[0], int | float):
         return None
-    left = left_ms(found.clock, now, value[0])
+    left = remaining_ms(found.clock, now, value[0])
     since = now.mono_ms - found.mono_ms if same_boot(found.clock, now) else None
     return RecoveredEntry(
-        key, [left, since, *value[1:]], age_of(kind, found.clock, now, Span(value[0], value[0]))
+        key, [left, since, *value[1:]], age_of(kind, found.clock, now, AgeLimits(value[0], value[0]))
     )
 
 
-def _folder_doubt(found: reading.Found, fresh: bool) -> str:
+def _folder_doubt(found: folder_reader.FolderState, fresh: bool) -> str:
     """What the folder itself says against it."""
     if found.repaired:
         return f"repaired: {found.repaired}"[:MAX_REASON_LENGTH]
@@ -175,14 +181,16 @@
     return found.value if found is not None and isinstance(found.value, int) else 0
 
 
-def _trust(kind: Kind, age: Age, same: bool, in_order: bool, store: Store) -> Trust:
-    return trust(Found(kind, age, in_order, same, store=store))
+def _trust(kind: StateKind, age: StateAge, same: bool, in_order: bool, store: StoreCondition) -> TrustLevel:
+    return trust_level(StoredState(kind, age, in_order, same, store=store))
 
 
-def read_entries(start: RecoveredState, kind: Kind, store: Store) -> list[tuple[str, Any, Trust]]:
+def read_entries(
+    start: RecoveredState, kind: StateKind, store: StoreCondition
+) -> list[tuple[str, Any, TrustLevel]]:
     """What was found of a kind, by the table, as the store is held to be now."""
     return [
         (row.key, row.value, held)
         for row in start.rows.get(kind, ())
-        if (held := _trust(kind, row.age, start.same_boot, start.in_order, store)) is not Trust.GONE
+        if (held := _trust(kind, row.age, start.same_boot, start.in_order, store)) is not TrustLevel.GONE
     ]
--- a/fawnwharf/wirehost.py
+++ b/fawnwharf/wirehost.py
@@ -13,18 +13,18 @@
 from fawnwharf.config import settings_from
 from fawnwharf.policy import Router
 
-ENDINGS = {ending.value: ending for ending in io.Ending}
+ENDINGS = {ending.value: ending for ending in io.AttemptResult}
 
 
 class BadBatch(ValueError):
     """A line that is no valid batch; the text names what is wrong."""
 
 
-def entry_from(entry: dict[str, Any]) -> io.WorkerEntry:
+def entry_from(entry: dict[str, Any]) -> io.ScorerEntry:
     units = entry.get("units")
-    return io.WorkerEntry(
-        worker=entry["worker"],
-        state=io.State(entry.get("state") or io.State.READY),
+    return io.ScorerEntry(
+        scorer=entry["worker"],
+        state=io.ScorerState(entry.get("state") or io.ScorerState.READY),
         kind=entry.get("family_type") or "",
         zone=entry.get("hall") or "",
         cell=entry.get("stripe") or 0,
@@ -60,21 +60,21 @@
     return io.AttemptEnded(
         request=body["tid"],
         attempt=body.get("try") or 0,
-        worker=body.get("worker") or 0,
-        ending=ENDINGS[body["ending"]],
+        scorer=body.get("worker") or 0,
+        result=ENDINGS[body["ending"]],
         took_ms=body.get("took") or 0.0,
         closed=bool(body.get("ended")),
         warmth=io.Warmth((remark or 0) & 7),
-        crowd=None if remark is None else remark >> 3,
+        reported_concurrency=None if remark is None else remark >> 3,
         report=body.get("health_info"),
     )
 
 
-def order_from(body: dict[str, Any]) -> io.OrderAnswered:
-    return io.OrderAnswered(
-        worker=body["worker"],
+def order_from(body: dict[str, Any]) -> io.LoadOrderAnswered:
+    return io.LoadOrderAnswered(
+        scorer=body["worker"],
         function=body["fn"],
-        ending=ENDINGS[body["ending"]],
+        result=ENDINGS[body["ending"]],
         copies=body.get("how_many") or 0,
         took_ms=body.get("took") or 0.0,
     )
@@ -83,18 +83,18 @@
 READERS = {
     "TARGETS": roster_from,
     "NEW_REQUEST": request_from,
-    "HANGUP": lambda body: io.ClientLeft(body["tid"]),
+    "HANGUP": lambda body: io.RequestCancelled(body["tid"]),
     "RESOLVED": attempt_from,
     "RESIDENT": order_from,
     "DEADLINE_HIT": lambda body: io.TimerDue(body["handle"]),
 }
 
 WRITERS = {
-    io.Send: lambda a: {"ATTEMPT": {"tid": a.request, "worker": a.worker}},
+    io.Send: lambda a: {"ATTEMPT": {"tid": a.request, "worker": a.scorer}},
     io.Cancel: lambda a: {"STOP_ATTEMPT": {"tid": a.request, "try": a.attempt}},
-    io.Refuse: lambda a: {"SAY_NO": {"tid": a.request, "hold_off": a.hold_off_ms}},
+    io.Reject: lambda a: {"SAY_NO": {"tid": a.request, "hold_off": a.hold_off_ms}},
     io.Fail: lambda a: {"ERROR": {"tid": a.request}},
-    io.Hold: lambda a: {"MOUNT": {"worker": a.worker, "fn": a.function, "how_many": a.copies}},
+    io.OrderCopies: lambda a: {"MOUNT": {"worker": a.scorer, "fn": a.function, "how_many": a.copies}},
     io.SetTimer: lambda a: {"NOTIFY_ME": {"sleep_for": a.delay_ms, "handle": a.token}},
     io.Log: lambda a: {"LOG": {"body_text": a.text}},
 }
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -7,16 +7,16 @@
 
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import store as stores
-from fawnwharf.durable_store.form import Limits
-from fawnwharf.durable_store.ops import carry_out
-from fawnwharf.durable_store.reading import Unreadable
+from fawnwharf.durable_store.file_format import StoreLimits
+from fawnwharf.durable_store.folder_reader import UnreadableFolderError
+from fawnwharf.durable_store.operations import execute_job
 from fawnwharf.fakes.disks import MemoryDisk, Plan
 from fawnwharf.recovery_service import recovery_store, stored_promises
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.settings import ReplicationSettings
 
-LIMITS = Limits(soon_ms=50.0, hint_ms=100.0, wait_ms=1_000.0, slow_ms=100.0, retry_ms=50.0)
+LIMITS = StoreLimits(soon_ms=50.0, hint_ms=100.0, wait_ms=1_000.0, slow_ms=100.0, retry_ms=50.0)
 
 
 class Writer:
@@ -36,7 +36,7 @@
         if self.job is None or self.machine.held:
             return None
         job, self.job = self.job, None
-        return carry_out(self.machine.disk, job)
+        return execute_job(self.machine.disk, job)
 
     def close(self):
         """Drop the job."""
@@ -74,7 +74,7 @@
 
     def __init__(self, patch, folder):
         self.now, self.folder, self.machines, self.notes = 1_000.0, folder, {}, []
-        patch.setattr(recovery_store, "open_folder", self._open)
+        patch.setattr(recovery_store, "open_store", self._open)
         patch.setattr(recovery_store, "monotonic_ms", lambda: self.now)
         patch.setattr(recovery_store, "unix_ms", lambda: 1e12 + self.now)
         patch.setattr(stored_promises, "monotonic_ms", lambda: self.now)
@@ -88,11 +88,11 @@
     def _open(self, path, fleet, name, kinds, limits, boot, empty_ok, within_s):
         machine = self.machine(name)
         try:
-            return stores.made(
+            return stores.create_store(
                 machine.disk, Writer(machine), fleet, name, kinds, limits, boot, lambda: "ab" * 8,
                 lambda: 1e12 + self.now, empty_ok,
             )  # fmt: skip
-        except Unreadable as error:
+        except UnreadableFolderError as error:
             raise DiskError(str(error)) from None
 
     def kept(self, name="n0", fresh=False, settle=True, limits=LIMITS, boot_file=None):
@@ -133,13 +133,13 @@
 
     def _give(self, name, fresh=False):
         self.kepts[name] = self.site.kept(name, fresh, settle=False)
-        self.disks[name] = self.kepts[name].promises(self.cores[name], None)
+        self.disks[name] = self.kepts[name].open_grant_storage(self.cores[name], None)
 
     def carry(self, name, effects):
         """Carry out the effects of a front end, through its store."""
         self.site.now = self.now
         if (disk := self.disks.get(name)) is not None:
-            effects = disk.written(effects, lambda more: super(StoreCores, self).carry(name, more))
+            effects = disk.persist(effects, lambda more: super(StoreCores, self).carry(name, more))
         super().carry(name, effects)
 
     def turn(self, *names):
@@ -162,23 +162,23 @@
             if name in self.site.machines:
                 getattr(self.site.machine(name), what)()
             self.cores[name] = ReplicationCore(
-                name, self.cores[name].life + 1, self.cores[name].members, self.rules, self.now
+                name, self.cores[name].incarnation + 1, self.cores[name].members, self.rules, self.now
             )
             if name in self.kepts:
                 self._give(name)
 
     def sure(self, name):
         """Whether a replica knows all that it promised."""
-        return self.cores[name].keeper.sure(self.now)
+        return self.cores[name].replica.is_complete(self.now)
 
 
 def asks(cores, owner, keeper, key="k"):
     """A replica's answer to a bare question, None while it gives none."""
     core, said = cores.cores[keeper], []
-    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].life}", 1, core.placement.number, 0)
-    line = msgspec.to_builtins(cores.cores[owner].wrapped(m.Send((keeper,), ask)))
+    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].incarnation}", 1, core.placement.number, 0)
+    line = msgspec.to_builtins(cores.cores[owner].log_line(m.Send((keeper,), ask)))
     cores.site.now = cores.now
-    said += cores.disks[keeper].written(core.line(cores.now, owner, line), said.extend)
+    said += cores.disks[keeper].persist(core.receive_line(cores.now, owner, line), said.extend)
     return lambda: next(
         (say.message for say in said if isinstance(getattr(say, "message", 0), m.ClaimReply)), None
     )
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -7,7 +7,7 @@
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import PolicyRolloutService
-from fawnwharf.recovery_core.stages import Stage
+from fawnwharf.recovery_core.phases import RecoveryPhase
 from fawnwharf.recovery_service.recovery_store import open_recovery_store
 from fawnwharf.recovery_service.service import RecoveryService
 from fawnwharf.replication.service import ReplicationService
@@ -115,7 +115,8 @@
         """Start a new fleet, until it is in its normal state and its boots are noted."""
         self.start(fresh=True)
         self.until(
-            lambda: all(node.stage() is Stage.SPILL and node.agent.asked for node in self.nodes), "calm"
+            lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.asked for node in self.nodes),
+            "calm",
         )
         noted = lambda: any(len(n.agent.lead.conductor.register.boots) == 3 for n in self.nodes)  # noqa: E731
         self.until(noted, "boots are noted")
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -35,7 +35,7 @@
     site.until(lambda: b.outcome(5).state == "in force", "the outcome is known where it was said")
     site.until(lambda: all(n.front.router.settings.quotas_rps["acme"] == 12.0 for n in site.nodes), "quotas")
     for node in site.nodes:
-        assert node.part._follower.classes["view"].give_up_ms == 2_000.0
+        assert node.part._follower.classes["view"].deadline_ms == 2_000.0
         assert node.front._limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
         assert node.zones._spill == {"b": 0.25} and node.zones._sold == 12.0
         assert node.part.in_force.digest == b.part.in_force.digest
@@ -49,7 +49,7 @@
     assert client.kinds() == {2: "exception"}
     a.word(1, back=True)
     site.until(lambda: site.in_force(2), "the policy before is back")
-    assert c.part._follower.classes["view"].give_up_ms == 9_000.0
+    assert c.part._follower.classes["view"].deadline_ms == 9_000.0
     site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "quotas as sold")
     assert a.front._limits["policy"] == 1e9 and a.zones._spill == {} and a.zones._sold == 30.0
 
@@ -196,7 +196,9 @@
     site.until(lambda: site.in_force(1), "a first change")
     before = node.part
     node.front.seam.release()
-    assert node.front.port.table is node.front.table and node.front.port.classes["view"].give_up_ms == 9_000.0
+    assert (
+        node.front.port.table is node.front.table and node.front.port.classes["view"].deadline_ms == 9_000.0
+    )
     other.word(1, propose=document(8.0))
     site.until(lambda: site.in_force(2, [site.nodes[0], site.nodes[2]]), "a change without it")
     node.front.seam.take_back(node.front)
@@ -218,21 +220,26 @@
     site.begin()
     node = site.nodes[0]
     gates = [n.front.seam._parts[1].gate for n in site.nodes]
-    shelves = [n.front.seam._parts[1].core.keeper.shelf for n in site.nodes]
+    shelves = [n.front.seam._parts[1].core.replica.claim_store for n in site.nodes]
     assert {gate.modes["view"] for gate in gates} == {"off"}
     strict = document(12.0, modes={"view": "before"}, window_ms={"view": 1_200.0})
     node.word(1, propose=strict)
     site.until(lambda: site.in_force(1), "the stricter one is in force")
     assert {gate.modes["view"] for gate in gates} == {"before"}
-    shares = node.front.seam._parts[1].core.shares
-    assert shares.quotas == {"acme": 12.0}
+    shares = node.front.seam._parts[1].core.quota_shares
+    assert shares.quotas_rps == {"acme": 12.0}
     site.until(
-        lambda: {shelf.windows.get("view") for shelf in shelves} == {1_200.0}, "the shorter window, later"
+        lambda: {shelf.class_windows_ms.get("view") for shelf in shelves} == {1_200.0},
+        "the shorter window, later",
+    )
+    assert (
+        shelves[0].claim_lifetime_ms("view:x")
+        < shelves[0].claim_lifetime_ms("save:x")
+        == shelves[0].claim_lifetime_ms()
     )
-    assert shelves[0].stretched("view:x") < shelves[0].stretched("save:x") == shelves[0].stretched()
     node.word(2, propose=document(12.0))
     site.until(lambda: node.by() == (2, "leased"), "the easier one is in force")
-    assert gates[0].modes["view"] == "before" and shelves[0].windows["view"] == 1_500.0
+    assert gates[0].modes["view"] == "before" and shelves[0].class_windows_ms["view"] == 1_500.0
     site.until(
         lambda: {gate.modes["view"] for gate in gates} == {"off"}, "easier once the old window is over"
     )
@@ -257,9 +264,9 @@
 
 def test_a_quota_that_changes_is_divided_as_the_one_before_was():
     shares = QuotaShares({"acme": 30.0, "other": 9.0}, 3)
-    shares.shares["acme"] = 20.0
-    assert shares.sell({"acme": 15.0, "new": 6.0}) == {"acme": 10.0, "new": 2.0}
-    assert shares.shares == {"acme": 10.0, "new": 2.0} and shares.changes(0.0) == {"acme": 5.0}
+    shares.shares_rps["acme"] = 20.0
+    assert shares.change_quotas({"acme": 15.0, "new": 6.0}) == {"acme": 10.0, "new": 2.0}
+    assert shares.shares_rps == {"acme": 10.0, "new": 2.0} and shares.changes(0.0) == {"acme": 5.0}
 
 
 def test_a_trace_that_is_not_written_drops_lines_and_counts_them(tmp_path):
