--- a/fawnwharf/admin/channel.py
+++ b/fawnwharf/admin/channel.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin.memory import SIZE_MOST
-from fawnwharf.net.loop import READ, WRITE, Loop
+from fawnwharf.net.loop import READ, WRITE, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 MESSAGE_MOST = 128 * 1024
@@ -124,7 +124,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         sock: socket.socket,
         told: Callable[[h.Message, socket.socket | None], None],
         ended: Callable[["Channel"], None],
@@ -216,7 +216,7 @@
 class Door:
     """The old process's end of the meeting place: listens for whoever takes its place."""
 
-    def __init__(self, loop: Loop, place: Place, came: Callable[[socket.socket], None]) -> None:
+    def __init__(self, loop: EventLoop, place: Place, came: Callable[[socket.socket], None]) -> None:
         """Raises OSError where no such socket can be had."""
         self.loop, self.place, self._came = loop, place, came
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
--- a/fawnwharf/admin/port.py
+++ b/fawnwharf/admin/port.py
@@ -6,9 +6,9 @@
 from fawnwharf.admin.http import Answer, Asked, CallReader, encode
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.listener import once_free
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.listener import listen_when_free
+from fawnwharf.net.loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 BACKLOG = 64
@@ -43,9 +43,9 @@
     def answer(self, answer: Answer) -> None:
         self._reader.done = answer
         self.connection.write(encode(answer))
-        self.connection.finish(End.RETIRED)
+        self.connection.finish(EndReason.RETIRED)
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         self.port.callers.pop(self, None)
 
 
@@ -66,11 +66,13 @@
 class ControlPort:
     """Owns the listener for operators and their connections, a few of the descriptors."""
 
-    def __init__(self, loop: Loop, address: Address, sockets: int, take: Callable[[Asked], Answer]) -> None:
+    def __init__(
+        self, loop: EventLoop, address: Address, sockets: int, take: Callable[[Asked], Answer]
+    ) -> None:
         self.loop, self.take = loop, take
         self.callers: dict[Caller, None] = {}
         self._most = max(HELD_LEAST, min(HELD_MOST, sockets // HELD_PART))
-        self._listener = once_free(lambda: _listening(address))
+        self._listener = listen_when_free(lambda: _listening(address))
         self.address: Address = self._listener.getsockname()[:2]
         self._pause: Timer | None = None
         loop.watch(self._listener, READ, self._accept, first=True)
@@ -102,7 +104,7 @@
     def _give_way(self) -> None:
         """Guards callers that ask against those that never do: one answered goes first, else the oldest."""
         first = min(self.callers, key=lambda caller: (not caller.answered, caller.since_ms))
-        first.connection.close(End.IDLE)
+        first.connection.close(EndReason.IDLE)
 
     def tidy(self) -> None:
         since = monotonic_ms() - UNFINISHED_MS
@@ -114,4 +116,4 @@
         self.loop.forget(self._listener)
         self._listener.close()
         for caller in list(self.callers):
-            caller.connection.close(End.STOPPED)
+            caller.connection.close(EndReason.STOPPED)
--- a/fawnwharf/admin/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -11,7 +11,7 @@
 from fawnwharf.admin.parts import Parts
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.handed import HandedConnection
+from fawnwharf.net.handed import HandedOffConnection
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LOOK_MS = 20.0  # pace of the look after connections that have fallen idle
@@ -135,8 +135,8 @@
         elif carried is not None:
             carried.close()
 
-    def _handed(self, kept: h.Kept, sock: socket.socket, unwritten: bytes) -> HandedConnection:
-        return HandedConnection(sock, kept.partial, kept.skip, kept.spoke, unwritten, kept.empty_ms)
+    def _handed(self, kept: h.Kept, sock: socket.socket, unwritten: bytes) -> HandedOffConnection:
+        return HandedOffConnection(sock, kept.partial, kept.skip, kept.spoke, unwritten, kept.empty_ms)
 
     def _before_ended(self, channel: Channel) -> None:
         self.before, self._before_done = None, False
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -8,7 +8,7 @@
 from fawnwharf.admin.replacement import Inherited, Replacement
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.roster_overlay import Closer
+from fawnwharf.net.roster_overlay import RosterFilter
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 TIDY_MS = 250.0
@@ -68,7 +68,7 @@
             self._carry_out(effect)
         return answer, effect
 
-    def _closer(self) -> Closer:
+    def _closer(self) -> RosterFilter:
         out = frozenset(self.desk.out)
         return lambda member: member.id in out
 
--- a/fawnwharf/durable_store/service.py
+++ b/fawnwharf/durable_store/service.py
@@ -5,7 +5,7 @@
 from typing import Any, BinaryIO
 
 from fawnwharf.durable_store.store import Store, Told
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 FULL_PIPE_MS = 4.0  # pace of writing on to a writer that takes no more at the moment
@@ -16,7 +16,7 @@
 class OnLoop:
     """Owns the store's timer and its place in the selector; says when it stops and begins to be durable."""
 
-    def __init__(self, loop: Loop, store: Store, note: Note) -> None:
+    def __init__(self, loop: EventLoop, store: Store, note: Note) -> None:
         """`store` writes by a `Writer`."""
         self.loop, self.store, self._note = loop, store, note
         self._timer: Timer | None = None
--- a/fawnwharf/fakes/asking.py
+++ b/fawnwharf/fakes/asking.py
@@ -5,8 +5,8 @@
 from fawnwharf.config import Address
 from fawnwharf.fakes.calls import question
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.loop import EventLoop
 
 DIAL_MS = 400.0
 ASK_MS = 100.0
@@ -16,7 +16,7 @@
 class Asking:
     """Asks one front end again and again whether it is ready, on a connection that is kept."""
 
-    def __init__(self, loop: Loop, front: str, address: Address, unready: set[str]) -> None:
+    def __init__(self, loop: EventLoop, front: str, address: Address, unready: set[str]) -> None:
         """`front` stands in `unready` as long as it says so."""
         self.loop, self.front, self.address, self.unready = loop, front, address, unready
         self.connection: Connection | None = None
@@ -30,7 +30,7 @@
         if self.connection is None:
             self._buffer.clear()
             made = Connection.dial(self.loop, self.address, self, DIAL_MS)
-            self.connection = None if isinstance(made, End) else made
+            self.connection = None if isinstance(made, EndReason) else made
         elif self.connection.up:
             self.on_up()
         self.loop.wheel.after(ASK_MS, self._ask)
@@ -38,7 +38,7 @@
     def stop(self) -> None:
         self._stopped = True
         if self.connection is not None:
-            self.connection.close(End.IDLE)
+            self.connection.close(EndReason.IDLE)
 
     def on_up(self) -> None:
         self._number += 1
@@ -59,6 +59,6 @@
     def on_flushed(self) -> None:
         pass
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         """It says nothing about who is ready: where nobody is there, calls tell."""
         self.connection = None
--- a/fawnwharf/fakes/changelog.py
+++ b/fawnwharf/fakes/changelog.py
@@ -8,8 +8,8 @@
 
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 PULSE_MS = 1_000.0
@@ -34,14 +34,14 @@
     def on_flushed(self) -> None:
         pass
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         self.log.followers.pop(self, None)
 
 
 class ChangeLogServer:
     """Owns the events of one front end's life; `told_ms` is when each was written."""
 
-    def __init__(self, loop: Loop, host: str) -> None:
+    def __init__(self, loop: EventLoop, host: str) -> None:
         self.loop, self.followers = loop, dict[_Follower, None]()
         self.events: list[dict[str, Any]] = []
         self.told_ms: list[float] = []
@@ -78,7 +78,7 @@
     def begin(self, members: list[dict[str, Any]]) -> dict[str, Any]:
         """A new life of the front end: what its configuration has as `known`."""
         for follower in list(self.followers):
-            follower.connection.close(End.RETIRED)
+            follower.connection.close(EndReason.RETIRED)
         self.events, self.told_ms = [], []
         self.add(members, complete=True)
         return {"seq": 1, "results": list(self.events)}
@@ -119,4 +119,4 @@
         self.loop.forget(self._listener)
         self._listener.close()
         for follower in list(self.followers):
-            follower.connection.close(End.RETIRED)
+            follower.connection.close(EndReason.RETIRED)
--- a/fawnwharf/fakes/clients.py
+++ b/fawnwharf/fakes/clients.py
@@ -16,8 +16,8 @@
 from fawnwharf.fakes.lines import DIAL_MS, Line, Probe
 from fawnwharf.net import thrift
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 PROBE_MS = 500.0  # pace of dials to a front end that is down; no call goes there until one comes up
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         seed: int,
         kinds: list[Kind],
         rates: dict[str, float],
@@ -179,7 +179,7 @@
             return min(lines, key=lambda line: len(line.open))
         line = Line(self, front)
         made = Connection.dial(self.loop, self._fronts()[front][1], line, DIAL_MS)
-        if isinstance(made, End):
+        if isinstance(made, EndReason):
             self._is_down(front)
             return None
         line.connection = made
@@ -208,7 +208,7 @@
             return
         probe = Probe(self, front)
         made = Connection.dial(self.loop, self._fronts()[front][1], probe, DIAL_MS)
-        if isinstance(made, End):
+        if isinstance(made, EndReason):
             self.probed(front, False)
         else:
             probe.connection = made
@@ -228,7 +228,7 @@
             self._is_down(line.front)
             for _, other in line.open.values():
                 other.left = True
-            line.connection.close(End.SILENT)
+            line.connection.close(EndReason.SILENT)
             return
         if not line.connection.closed and line.connection.up:
             line.connection.write(withdrawal(attempt))
--- a/fawnwharf/fakes/lines.py
+++ b/fawnwharf/fakes/lines.py
@@ -5,8 +5,8 @@
 
 from fawnwharf.fakes.calls import Request, Try, question
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.loop import EventLoop
 
 DIAL_MS = 400.0
 
@@ -14,7 +14,7 @@
 class Crowd(Protocol):
     """Whose connections they are."""
 
-    loop: Loop
+    loop: EventLoop
 
     def answered(self, line: "Line", data: bytes) -> None: ...
 
@@ -52,7 +52,7 @@
     def on_flushed(self) -> None:
         pass
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         self.crowd.line_ended(self)
 
 
@@ -65,16 +65,16 @@
 
     def on_up(self) -> None:
         self.connection.write(question(1))
-        self.crowd.loop.wheel.after(DIAL_MS, lambda: self.connection.close(End.SILENT))
+        self.crowd.loop.wheel.after(DIAL_MS, lambda: self.connection.close(EndReason.SILENT))
 
     def on_data(self, data: bytes) -> None:
         self._tell(True)
-        self.connection.close(End.IDLE)
+        self.connection.close(EndReason.IDLE)
 
     def on_flushed(self) -> None:
         pass
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         self._tell(False)
 
     def _tell(self, good: bool) -> None:
--- a/fawnwharf/fakes/nature.py
+++ b/fawnwharf/fakes/nature.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 
@@ -30,7 +30,7 @@
 class Store:
     """The module store: so many fetches at full pace, slower for all when there are more."""
 
-    loop: Loop
+    loop: EventLoop
     fetch_ms: float = 120.0
     at_once: int = 12
     under_way: int = 0
--- a/fawnwharf/fakes/relay.py
+++ b/fawnwharf/fakes/relay.py
@@ -15,8 +15,8 @@
 
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 FORWARD, BACKWARD = "forward", "backward"  # from who dials to who listens, and back
@@ -43,7 +43,7 @@
         if not self.closed:
             with contextlib.suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self.close(End.RETIRED)
+            self.close(EndReason.RETIRED)
 
 
 class _End:
@@ -63,7 +63,7 @@
     def on_flushed(self) -> None:
         pass
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         self.pipe.ended(self.direction, end)
 
 
@@ -80,7 +80,7 @@
         self.near, self.far = _End(self, FORWARD), _End(self, BACKWARD)
         self.near.connection = _Side.accepted(relay.loop, sock, self.near)
         made = _Side.dial(relay.loop, relay.target, self.far, DIAL_MS)
-        if isinstance(made, End):
+        if isinstance(made, EndReason):
             self.near.connection.abort()
             relay.pipes.pop(self, None)
             return
@@ -105,8 +105,8 @@
             self._in(way).read_on(False)
         self.push(way)
 
-    def ended(self, way: str, end: End) -> None:
-        self.reset[way] = end is not End.CLOSED_BY_PEER
+    def ended(self, way: str, end: EndReason) -> None:
+        self.reset[way] = end is not EndReason.CLOSED_BY_PEER
         self.ways[way].append((max(self.last_ms[way], monotonic_ms()), None))
         self.push(way)
 
@@ -126,7 +126,7 @@
                 if self.reset[way]:
                     out.abort()
                 else:
-                    out.finish(End.CLOSED_BY_PEER)
+                    out.finish(EndReason.CLOSED_BY_PEER)
                 return
             if fault.stall_after is not None and len(data) > fault.stall_after:
                 queue.appendleft((due, data[fault.stall_after :]))
@@ -167,7 +167,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         host: str,
         target: Address,
         seed: int = 0,
--- a/fawnwharf/fakes/scorers.py
+++ b/fawnwharf/fakes/scorers.py
@@ -18,11 +18,11 @@
 from fawnwharf.fakes.nature import Arrival, Nature, Store
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-WORDS = {frames.RUN: "run", frames.GIVE_UP: "give_up", frames.ENSURE: "order", frames.UNLOAD: "unload"}
+WORDS = {frames.RUN: "run", frames.ABANDON: "give_up", frames.LOAD: "order", frames.UNLOAD: "unload"}
 
 
 @dataclass(slots=True, eq=False)
@@ -75,12 +75,12 @@
         for frame in self.reader.feed(data):
             self.scorer.take(self, frame)
         if self.reader.fault:
-            self.connection.close(End.BAD_BYTES)
+            self.connection.close(EndReason.BAD_BYTES)
 
     def on_flushed(self) -> None:
         pass
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         self.scorer.link_ended(self)
 
     def answer(self, code: int, id: bytes, fields: str = "", body: bytes = b"") -> None:
@@ -93,7 +93,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         id: str,
         host: str,
         nature: Nature,
@@ -152,7 +152,7 @@
         self._listener.close()
         self._listens(self.id, False)
         for link in list(self.links):
-            link.connection.close(End.RETIRED)
+            link.connection.close(EndReason.RETIRED)
 
     def fall(self) -> None:
         self.fallen = True
--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -4,16 +4,16 @@
 import socket
 from collections.abc import Callable
 
-from fawnwharf.net.end_reasons import End, end_of
-from fawnwharf.net.log import Log
-from fawnwharf.net.loop import READ, Loop, Order
+from fawnwharf.net.end_reasons import EndReason, end_reason_of
+from fawnwharf.net.log import LogWriter
+from fawnwharf.net.loop import READ, EventLoop, ReadPriority
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-ACCEPTS_MOST = 64  # in a turn
+MAX_ACCEPTS = 64  # in a turn
 # Where the system has no descriptor or memory left, or the listener fails in a way that is unknown here.
 ACCEPT_PAUSE_MS = 50.0
 # Errors of a connection that ended, or of its network, before it was accepted: the next one may be well.
-OF_ONE_CONNECTION = frozenset(
+SINGLE_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -37,11 +37,11 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         listener: socket.socket,
         admit: Callable[[socket.socket, float], None],
         room: Callable[[], int],
-        log: Log,
+        log: LogWriter,
     ) -> None:
         """`admit` takes an accepted socket, and since when it may have waited by the monotonic clock; or it
         raises OSError and leaves it. `room`: how many more to accept in this turn; where it is 0, `go_on`
@@ -67,7 +67,7 @@
     def _watch(self, on: bool) -> None:
         if on:
             self._looked_ms = max(self._looked_ms, self.loop.turn_ms)
-            self.loop.watch(self.socket, READ, self._ready, order=lambda: Order.NEW)
+            self.loop.watch(self.socket, READ, self._ready, order=lambda: ReadPriority.NEW)
         else:
             self.loop.forget(self.socket)
 
@@ -75,7 +75,7 @@
         if self._waiting_ms is None or self._looked_ms < self.loop.empty_ms(self.socket.fileno()):
             self._waiting_ms = self.loop.ready_since_ms(self.socket.fileno())
         self._looked_ms = self.loop.turn_ms
-        most = min(ACCEPTS_MOST, self._room())
+        most = min(MAX_ACCEPTS, self._room())
         if not most:
             self.pause()
             return
@@ -107,10 +107,10 @@
             self.log(f"accepted, but of no use: {error}", "accept")
 
     def _failed(self, error: OSError) -> bool:
-        if error.errno in OF_ONE_CONNECTION:
+        if error.errno in SINGLE_CONNECTION_ERRORS:
             self._in_vain += 1
             return True
-        if end_of(error) is not End.NO_DESCRIPTOR:
+        if end_reason_of(error) is not EndReason.NO_DESCRIPTOR:
             self.log(f"accept: {error}", "accept")
         self.pause()
         return False
@@ -139,7 +139,7 @@
         """Accept all that the system's queue holds, then close the listener: closing it resets what it holds.
         False while there is no room for all of it, or the system has no descriptor."""
         self.accept(False)
-        for _ in range(ACCEPTS_MOST):
+        for _ in range(MAX_ACCEPTS):
             if self.socket is None:
                 return True
             if not self._room():
@@ -149,7 +149,7 @@
             except BlockingIOError:
                 self.close()
             except OSError as error:
-                if error.errno not in OF_ONE_CONNECTION:
+                if error.errno not in SINGLE_CONNECTION_ERRORS:
                     return False
             else:
                 self._take(accepted)
--- a/fawnwharf/net/calls.py
+++ b/fawnwharf/net/calls.py
@@ -8,9 +8,9 @@
 from fawnwharf.net import thrift
 from fawnwharf.net.requests import Call, Outcome
 
-TTL_ROOM = 1.1  # a client waits for its class's time at the most; room for rounding
-LANES_MOST = 4_096
-TENANT_MOST = 128  # characters of a tenant's name
+TTL_TOLERANCE = 1.1  # a client waits for its class's time at the most; room for rounding
+MAX_LANES = 4_096
+MAX_TENANT_LENGTH = 128  # characters of a tenant's name
 
 _HEX16 = re.compile(r"[0-9a-fA-F]{16}\Z")
 _TOKEN = re.compile(r"[0-9A-Za-z_.:-]{1,128}\Z")
@@ -58,21 +58,21 @@
     if text is None:
         return None
     if not _NUMBER.match(text):
-        raise thrift.Malformed(f"{name}: not a number")
+        raise thrift.MalformedMessageError(f"{name}: not a number")
     return float(text)
 
 
 def _spec(fields: dict[str, str], classes: dict[str, ClassSpec]) -> ClassSpec:
     spec = classes.get(fields.get("op", ""))
     if spec is None:
-        raise thrift.Malformed("op: no such class")
+        raise thrift.MalformedMessageError("op: no such class")
     return spec
 
 
 def _budget_ms(fields: dict[str, str], spec: ClassSpec) -> float:
     budget = _number(fields.get("ttl"), "ttl")
-    if not budget or budget > TTL_ROOM * spec.give_up_ms:
-        raise thrift.Malformed("ttl: missing, or not a time to wait")
+    if not budget or budget > TTL_TOLERANCE * spec.give_up_ms:
+        raise thrift.MalformedMessageError("ttl: missing, or not a time to wait")
     return budget
 
 
@@ -83,8 +83,8 @@
 
 def _lanes(props: dict[str, str]) -> int:
     lanes = _number(props.get("lanes"), "lanes") or 1
-    if lanes > LANES_MOST:
-        raise thrift.Malformed("lanes: too many")
+    if lanes > MAX_LANES:
+        raise thrift.MalformedMessageError("lanes: too many")
     return max(1, int(lanes))
 
 
@@ -95,18 +95,18 @@
     fields = message.fields
     spec, token = _spec(fields, classes), fields.get("dedupe", "")
     if tenants and fields.get("org") not in tenants:
-        raise thrift.Malformed("org: no such tenant")
+        raise thrift.MalformedMessageError("org: no such tenant")
     for name in ("call", "row"):
         if not _HEX16.match(fields.get(name, "")):
-            raise thrift.Malformed(f"{name}: not 16 hex digits")
+            raise thrift.MalformedMessageError(f"{name}: not 16 hex digits")
     if (token or spec.effect is Effect.KEYED) and not _TOKEN.match(token):
-        raise thrift.Malformed("dedupe: missing, or not a key")
+        raise thrift.MalformedMessageError("dedupe: missing, or not a key")
     budget_ms = _budget_ms(fields, spec)
     props = _props(fields)
     return ParsedCall(
         id=bytes.fromhex(fields["call"]),
         class_name=spec.name,
-        tenant=fields.get("org", "")[:TENANT_MOST],
+        tenant=fields.get("org", "")[:MAX_TENANT_LENGTH],
         function=fields["row"],
         budget_ms=budget_ms,
         body=message.body,
--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -7,27 +7,27 @@
 
 from fawnwharf.config import Address, ConfigError, Fleet, fleet_from
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.event_order import EventOrder, Told
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.event_order import EventMatch, EventOrder
 from fawnwharf.net.fleet_events import FleetRead, read_fleet
-from fawnwharf.net.log import Log
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.roster_overlay import Overlay
-from fawnwharf.net.starts import StepsBack
+from fawnwharf.net.log import LogWriter
+from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.roster_overlay import RosterOverlay
+from fawnwharf.net.starts import ClockStepCorrection
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 # What it has to tell counts as told 4 s after it stopped, and 2 s after it broke off: to notice, to dial and
 # to be told again must fit in, also where a first dial comes to nothing.
-SILENCE_MS = 1_800.0  # it writes a line a second; one missing and most of the next make it silent
-DIAL_MS = 500.0
-PAUSE_MS, PAUSE_MOST_MS = 50.0, 250.0  # before dialling again
-GAP_MOST = 1_000  # events that may be missing for good where the log can't be followed
-LINE_MOST = 4 * 1024 * 1024  # a list of thousands of scorers is shorter
+SILENCE_TIMEOUT_MS = 1_800.0  # it writes a line a second; one missing and most of the next make it silent
+CONNECT_TIMEOUT_MS = 500.0
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 250.0  # before dialling again
+MAX_GAP = 1_000  # events that may be missing for good where the log can't be followed
+MAX_LINE_BYTES = 4 * 1024 * 1024  # a list of thousands of scorers is shorter
 PROGRESS_BYTES = 16 * 1024  # of one line within the silence: a long list that is still coming, no trickle
 LINE_MS = 10_000.0  # within which a line has to be whole, however fast it comes
-LATE_MS = 7_000.0  # whatever the log has to tell is told by then: one that lags for longer numbers anew
+MAX_DELAY_MS = 7_000.0  # whatever the log has to tell is told by then: one that lags for longer numbers anew
 REPLAY_MS = 100.0  # to be told all of a new numbering; a drain in it has 250 ms
-SMALLER_MOST = 1  # numbers below the own in a row, before the log is asked what it has
+MAX_SMALLER_NUMBERS = 1  # numbers below the own in a row, before the log is asked what it has
 
 
 class ChangeLog:
@@ -36,10 +36,10 @@
     An event is passed on as soon as it is read, also ahead of missing ones: a drain in it holds from then on.
     What is missing is asked for, and counts where no later event has said otherwise (`EventOrder`)."""
 
-    pause_most_ms, line_most = PAUSE_MOST_MS, LINE_MOST
+    pause_most_ms, line_most = MAX_BACKOFF_MS, MAX_LINE_BYTES
 
     def __init__(
-        self, loop: Loop, address: Address, seq: int, told: Callable[[Fleet], None], log: Log
+        self, loop: EventLoop, address: Address, seq: int, told: Callable[[Fleet], None], log: LogWriter
     ) -> None:
         self.seq = seq  # all events up to this one are passed on, or missing for good
         self.told_all_ms: float | None = None  # when it said last that nothing more is to be told
@@ -51,16 +51,16 @@
         self._lived_ms = 0.0  # when the log last gave a sign of life on this connection
         self._line_ms = 0.0  # when the line that is coming began
         self._line_mark = 0  # bytes of it that counted as signs of life
-        self._pause_ms = PAUSE_MS
+        self._pause_ms = MIN_BACKOFF_MS
         self._retry: Timer | None = None  # of the next dial
         self._stumbled_at: int | None = None  # where the log could not be followed last time
         self._stopped = False
-        self._order, self._steps_back = EventOrder(), StepsBack()
+        self._order, self._steps_back = EventOrder(), ClockStepCorrection()
         self._smaller = 0  # numbers below the own in a row, on this connection
         self._smaller_ms: float | None = None  # since when the log says numbers below the own
         self._fresh = False  # nothing was said on this connection yet
         self._probing = False  # the next connection, or this one, asks for all events
-        self._replay: Overlay | None = None  # a new numbering that is being read from its start
+        self._replay: RosterOverlay | None = None  # a new numbering that is being read from its start
         self._replay_seq = 0
         self._replay_whole = False  # a list of all scorers was among it
         self._replay_timer: Timer | None = None
@@ -73,8 +73,8 @@
             self._retry.cancel()
             self._retry = None
         self._buffer.clear()
-        made = Connection.dial(self._loop, self._address, self, DIAL_MS, first=True)
-        if isinstance(made, End):
+        made = Connection.dial(self._loop, self._address, self, CONNECT_TIMEOUT_MS, first=True)
+        if isinstance(made, EndReason):
             self._again()
         else:
             self._connection = made
@@ -86,8 +86,8 @@
         self._address, self._stumbled_at = address, None
         self._probing, self._smaller_ms = False, None
         if self._connection:
-            self._connection.close(End.RETIRED)
-        self._pause_ms = PAUSE_MS
+            self._connection.close(EndReason.RETIRED)
+        self._pause_ms = MIN_BACKOFF_MS
         self.connect()
 
     def _again(self) -> None:
@@ -97,15 +97,15 @@
     def tidy(self) -> None:
         """Guards against a log that was cut off: its connection stays open and says nothing."""
         up = self._connection is not None and self._connection.up
-        if up and monotonic_ms() - self._lived_ms > SILENCE_MS:
+        if up and monotonic_ms() - self._lived_ms > SILENCE_TIMEOUT_MS:
             self._log("change log: silent, connecting again")
-            self._connection.close(End.SILENT)
+            self._connection.close(EndReason.SILENT)
 
     def close(self) -> None:
         """Follow no more."""
         self._stopped = True
         if self._connection:
-            self._connection.close(End.STOPPED)
+            self._connection.close(EndReason.STOPPED)
 
     # --- from the connection ------------------------------------------------------------------
 
@@ -136,11 +136,11 @@
     def on_flushed(self) -> None:
         pass
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         self._connection = None
         if self._replay is not None:  # what was gathered is to be told again, from the start
             self._stop_replay()
-            self._order, self._replay = EventOrder(), Overlay()
+            self._order, self._replay = EventOrder(), RosterOverlay()
         if not self._stopped:
             self._again()
 
@@ -152,7 +152,7 @@
             read = msgspec.json.decode(line)
         except (msgspec.DecodeError, RecursionError):
             return self._stumble(f"not JSON: {line[:60]!r}")
-        self._pause_ms = PAUSE_MS
+        self._pause_ms = MIN_BACKOFF_MS
         if isinstance(read, int) and not isinstance(read, bool):
             return self._number(read)
         if not self.event(read):
@@ -166,7 +166,7 @@
         fresh, self._fresh = self._fresh, False
         if read > self._at:
             passed_over = self._stumble(f"at {read}, but only {self._at} came")
-            if passed_over and monotonic_ms() - self._up_ms < LATE_MS:
+            if passed_over and monotonic_ms() - self._up_ms < MAX_DELAY_MS:
                 self._lived_ms = monotonic_ms()
             return passed_over
         self._lived_ms = monotonic_ms()
@@ -189,25 +189,25 @@
         self._smaller += 1
         if self._smaller_ms is None:
             self._smaller_ms = monotonic_ms()
-        if monotonic_ms() - self._smaller_ms > LATE_MS:
+        if monotonic_ms() - self._smaller_ms > MAX_DELAY_MS:
             return self._anew(read)
-        if not self._probing and (fresh or self._smaller > SMALLER_MOST):
+        if not self._probing and (fresh or self._smaller > MAX_SMALLER_NUMBERS):
             self._log(f"change log: at {read}, after {self.seq} before; asking for all it has")
             self._probing = True
-            self._connection.close(End.BAD_BYTES)
+            self._connection.close(EndReason.BAD_BYTES)
             return False
         return True
 
     def _anew(self, last: int) -> bool:
         """Its numbers began with 1 again: all that it has told since is to be told, its whole list first."""
         self._begin_anew(last)
-        self._connection.close(End.BAD_BYTES)
+        self._connection.close(EndReason.BAD_BYTES)
         return False
 
     def _begin_anew(self, last: int) -> None:
         self._log(f"change log: at {last}, after {self.seq} before: it has begun anew")
         self.seq, self._stumbled_at, self._smaller_ms, self._probing = 0, None, None, False
-        self._order, self._replay = EventOrder(), Overlay()
+        self._order, self._replay = EventOrder(), RosterOverlay()
 
     def _replayed(self, fleet: Fleet) -> None:
         """Gather what a new numbering says from its start: its first list is older than its last events, and
@@ -242,7 +242,7 @@
         if not isinstance(read, dict) or type(seq := read.get("seq")) is not int:
             return False
         # Guards against a number out of nowhere: all events after it would count as told before.
-        if seq > self._at + GAP_MOST and not of_start:
+        if seq > self._at + MAX_GAP and not of_start:
             return False
         try:
             if "fleet" not in read:
@@ -260,18 +260,18 @@
             self._log(f"change log: event {seq}: {fault}")
         fleet, follows = found.fleet, of_start or found.fleet.complete
         told, earlier = self._order.told(seq, fleet), seq <= self._at
-        if told is Told.SAME:
+        if told is EventMatch.SAME:
             return self._advance(seq, follows)
         if earlier and not of_start and self._replay is None and self._is_numbered_anew(seq, fleet, told):
             self._begin_anew(seq)
             if seq > 1:  # what came before it is wanted as well
-                self._connection.close(End.BAD_BYTES)
+                self._connection.close(EndReason.BAD_BYTES)
                 return False
         self._take(seq, found, earlier)
         return self._advance(seq, follows)
 
-    def _is_numbered_anew(self, seq: int, fleet: Fleet, told: Told) -> bool:
-        if told is Told.NEVER or (fleet.complete and seq > 1):
+    def _is_numbered_anew(self, seq: int, fleet: Fleet, told: EventMatch) -> bool:
+        if told is EventMatch.NEVER or (fleet.complete and seq > 1):
             return self._order.of_other_numbers(seq, fleet)
         return fleet.complete or seq > 1  # the first event is a whole list, or no event of the log
 
@@ -307,5 +307,5 @@
         self._log(f"change log: {why}; connecting again after {self._at}")
         self._stumbled_at = self._at
         if self._connection:
-            self._connection.close(End.BAD_BYTES)
+            self._connection.close(EndReason.BAD_BYTES)
         return False
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -9,33 +9,35 @@
 from fawnwharf.net.acceptor import Acceptor
 from fawnwharf.net.calls import call_from
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.handed import HandedConnection
-from fawnwharf.net.listener import listening
-from fawnwharf.net.log import Log
-from fawnwharf.net.loop import Loop, Order
-from fawnwharf.net.requests import Failed, Outcome, Refused, RequestTable, Served
-from fawnwharf.net.room import RoomMaker
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.handed import HandedOffConnection
+from fawnwharf.net.listener import open_listener
+from fawnwharf.net.log import LogWriter
+from fawnwharf.net.loop import EventLoop, ReadPriority
+from fawnwharf.net.requests import Failed, Outcome, Rejected, RequestTable, Succeeded
+from fawnwharf.net.room import IdleConnectionReleaser
 from fawnwharf.net.slow_clients import SlowClients
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-READ_MOST = 16 * 1024  # bytes of one client in a turn: the smallest messages in it take some 10 ms
-OPEN_MOST = 32  # requests open on one connection
-IDLE_MS = 30_000.0  # clients close after 4 s; one that asked and is still here holds its connection for good
+MAX_READ_BYTES = 16 * 1024  # bytes of one client in a turn: the smallest messages in it take some 10 ms
+MAX_OPEN_REQUESTS = 32  # requests open on one connection
+IDLE_TIMEOUT_MS = (
+    30_000.0  # clients close after 4 s; one that asked and is still here holds its connection for good
+)
 # A peer is owed an answer or a close within 3 s of connecting; what a client sends comes within a round trip.
-SPEAK_MS = 2_300.0  # for a first message, and for the rest of one that has begun
-SKIP_MS = 6_000.0  # for the rest of an oversized one, which was refused when its head came
-SPARED_MS = 50.0  # where room is made, one that said nothing yet is spared at first: it may be about to
+MESSAGE_TIMEOUT_MS = 2_300.0  # for a first message, and for the rest of one that has begun
+OVERSIZED_TIMEOUT_MS = 6_000.0  # for the rest of an oversized one, which was refused when its head came
+MIN_SILENT_MS = 50.0  # where room is made, one that said nothing yet is spared at first: it may be about to
 # One with half a message is ended last, and only if nothing came for so long: more than a round trip, and
 # short enough that half messages which hold all connections keep nobody out for long.
-PIECES_MS = 100.0
+PARTIAL_MESSAGE_MS = 100.0
 # A client sends again what crosses a close within 50 ms; the rest is for the way and for ticks.
 IDLE_LINGER_MS = 60.0
-RELEASE_READS_MOST = 4  # of an idle connection, before it is ended
-UNREAD_MOST = 8 * 1024 * 1024  # with these it is dropped: 32 of the longest answers
+MAX_RELEASE_READS = 4  # of an idle connection, before it is ended
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # with these it is dropped: 32 of the longest answers
 
 
-class Client:
+class ClientConnection:
     """One client connection and the requests open on it, by sequence number."""
 
     def __init__(self, port: "ClientPort", sock: socket.socket) -> None:
@@ -47,11 +49,11 @@
         self._reader = thrift.FrameReader()
         self._since_ms = monotonic_ms()  # it connected, or the message that is not whole yet began
         self.connection = Connection.accepted(
-            port.loop, sock, self, READ_MOST, order=self._order, half_close=True
+            port.loop, sock, self, MAX_READ_BYTES, order=self._order, half_close=True
         )
 
-    def _order(self) -> Order:
-        return Order.OPEN if self.open else Order.NEW
+    def _order(self) -> ReadPriority:
+        return ReadPriority.OPEN if self.open else ReadPriority.NEW
 
     def on_up(self) -> None:
         pass
@@ -72,17 +74,19 @@
                 end = self._take(item, withdrawn)
             except Exception:  # a fault here costs the connection, but no request on it its answer
                 self.port.loop.fault("reading")
-                end = End.BAD_BYTES
+                end = EndReason.BAD_BYTES
             if end is not None:
                 self._end_amid(items[place:], end)
                 return
         if self.open:  # also behind what was no request: an attempt may wait for its connection
             self.check()
 
-    def _take(self, item: thrift.Message | thrift.Malformed, withdrawn: set[int]) -> End | None:
+    def _take(
+        self, item: thrift.Message | thrift.MalformedMessageError, withdrawn: set[int]
+    ) -> EndReason | None:
         """Act on one message; why the connection has to end, where it has to. `withdrawn`: requests whose
         withdrawal was read along with it."""
-        if isinstance(item, thrift.Malformed):
+        if isinstance(item, thrift.MalformedMessageError):
             return self._malformed(item)
         if isinstance(item, thrift.Handle):
             return self._handle(item, withdrawn)
@@ -96,15 +100,15 @@
         if (key := self.open.pop(seqid, None)) is not None:
             self.port.table.withdraw(key)
 
-    def _malformed(self, error: thrift.Malformed) -> End | None:
+    def _malformed(self, error: thrift.MalformedMessageError) -> EndReason | None:
         self.port.log(f"client: {error}", "clients")
         # An exception under an open request's number would be that request's answer.
         if error.seqid is None or error.seqid in self.open:
-            return End.BAD_BYTES
+            return EndReason.BAD_BYTES
         self._write(thrift.application_exception(error.seqid, str(error), error.kind))
         return None
 
-    def _end_amid(self, items: list[thrift.Message | thrift.Malformed], end: End) -> None:
+    def _end_amid(self, items: list[thrift.Message | thrift.MalformedMessageError], end: EndReason) -> None:
         """End the connection at the first of these messages. Requests that were read whole after it are
         failed too: they were taken, and only their bytes' neighbour was bad."""
         for item in items:
@@ -118,7 +122,7 @@
                 self._reply(item.seqid, Failed())
         self._finish(end)
 
-    def _finish(self, end: End) -> None:
+    def _finish(self, end: EndReason) -> None:
         """End the connection; what is open on it is failed, so that each request has its answer."""
         self.fail_open()
         self.connection.finish(end)
@@ -155,7 +159,7 @@
     def state(self) -> tuple[bytes, int]:
         return self._reader.state()
 
-    def resume(self, handed: HandedConnection) -> None:
+    def resume(self, handed: HandedOffConnection) -> None:
         """Go on where another process was with this connection."""
         self._reader.resume(handed.partial, handed.skip)
         self.spoke = handed.spoke
@@ -171,19 +175,19 @@
         """Whether it may be ended for another's sake: nothing that it sends is likely to be under way."""
         unused_ms = now_ms - self.connection.used_ms
         if self.begun:
-            return unused_ms > PIECES_MS
-        return self.spoke or unused_ms > SPARED_MS
+            return unused_ms > PARTIAL_MESSAGE_MS
+        return self.spoke or unused_ms > MIN_SILENT_MS
 
     def end_overdue(self) -> None:
         """End one that has said nothing, or half a message, for too long, unless the rest lies unread."""
         if self._read_all() and self.overdue(monotonic_ms()):
-            self._finish(End.SILENT)
+            self._finish(EndReason.SILENT)
 
     def _read_all(self) -> bool:
         """Read and handle what has come; whether that is all, and the connection is still there."""
         if self.port.paused:
             return False  # what lies unread is for another process
-        for _ in range(RELEASE_READS_MOST):
+        for _ in range(MAX_RELEASE_READS):
             if self.connection.read_now():
                 return not (self.connection.closed or self.connection.finishing)
         return False
@@ -195,25 +199,25 @@
         used_ms = self.connection.used_ms
         if not self._read_all() or self.connection.used_ms != used_ms or not self.idle:
             return self.connection.closed
-        self.connection.finish(End.IDLE if self.spoke else End.SILENT, IDLE_LINGER_MS)
+        self.connection.finish(EndReason.IDLE if self.spoke else EndReason.SILENT, IDLE_LINGER_MS)
         return True
 
     def overdue(self, now_ms: float) -> bool:
         """Guards descriptors against peers that say nothing, or half a message."""
         if self.open or (self.spoke and not self._reader.waits):
             return False
-        most = SKIP_MS if self._reader.skips else SPEAK_MS
+        most = OVERSIZED_TIMEOUT_MS if self._reader.skips else MESSAGE_TIMEOUT_MS
         return now_ms - self._since_ms > most
 
-    def _handle(self, message: thrift.Handle, withdrawn: set[int]) -> End | None:
+    def _handle(self, message: thrift.Handle, withdrawn: set[int]) -> EndReason | None:
         seqid = message.seqid
         try:
             if seqid in self.open:
-                raise thrift.Malformed("a second request under an open number")
-            if len(self.open) >= OPEN_MOST:
-                raise thrift.Malformed("too many open requests")
+                raise thrift.MalformedMessageError("a second request under an open number")
+            if len(self.open) >= MAX_OPEN_REQUESTS:
+                raise thrift.MalformedMessageError("too many open requests")
             parsed = call_from(message, self.port.classes, self.port.tenants)
-        except thrift.Malformed as error:
+        except thrift.MalformedMessageError as error:
             error.seqid = seqid
             return self._malformed(error)
         self.check()
@@ -228,9 +232,9 @@
 
     def _reply(self, seqid: int, outcome: Outcome) -> None:
         self.open.pop(seqid, None)
-        if isinstance(outcome, Served):
+        if isinstance(outcome, Succeeded):
             self._write(thrift.answer("handle", seqid, outcome.body, {}, True))
-        elif isinstance(outcome, Refused):
+        elif isinstance(outcome, Rejected):
             wait = math.ceil(max(0.0, outcome.hold_off_ms))
             self._write(thrift.throttled(seqid, {"pushback": str(wait)}))
         elif isinstance(outcome, Failed):
@@ -241,14 +245,14 @@
 
     def on_flushed(self) -> None:
         """After the connection's own write of this turn: what is left is what the client does not read."""
-        if self.connection.waiting_bytes > UNREAD_MOST:
-            self.connection.close(End.STUFFED)
+        if self.connection.waiting_bytes > MAX_UNSENT_BYTES:
+            self.connection.close(EndReason.STUFFED)
             return
         self.port.slow.regulate(self)
         if not self.connection.reads:
             self.port.slow.shed()
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         keys, self.open = list(self.open.values()), {}
         for key in keys:
             self.port.table.withdraw(key)
@@ -260,13 +264,13 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: Address,
         table: RequestTable,
         classes: dict[str, ClassSpec],
         tenants: frozenset[str],
         most: int,
-        log: Log,
+        log: LogWriter,
         shared: bool = False,
         listener: socket.socket | None = None,
     ) -> None:
@@ -276,12 +280,14 @@
         self.classes, self.tenants = classes, tenants
         self.ready = False
         self.waits_for: set[str] = set()  # subsystems that have to know more before it may be ready
-        self.clients: dict[Client, None] = {}
+        self.clients: dict[ClientConnection, None] = {}
         self.most = most
-        self._acceptor = Acceptor(loop, listener or listening(address, shared), self._admit, self._room, log)
+        self._acceptor = Acceptor(
+            loop, listener or open_listener(address, shared), self._admit, self._room, log
+        )
         self.address: Address = self.listener.getsockname()[:2]
         self.slow = SlowClients(loop, self.clients)
-        self._room_maker = RoomMaker(loop, self.clients)
+        self._room_maker = IdleConnectionReleaser(loop, self.clients)
         if listener is None:
             self.accept(True)
 
@@ -306,7 +312,7 @@
         self._acceptor.accept(on)
 
     def _admit(self, sock: socket.socket, waiting_ms: float) -> None:
-        client = Client(self, sock)
+        client = ClientConnection(self, sock)
         client.connection.lay_unread(waiting_ms)
         self.clients[client] = None
 
@@ -320,18 +326,18 @@
 
     # --- to and from another process ------------------------------------------------------------
 
-    def give(self, client: Client) -> HandedConnection:
+    def give(self, client: ClientConnection) -> HandedOffConnection:
         """A connection for another process, on which nothing is open; this port has it no more."""
         del self.clients[client]
         empty_ms = client.connection.empty_ms
         sock, unwritten = client.connection.detach()
         partial, skip = client.state()
-        return HandedConnection(sock, partial, skip, client.spoke, unwritten, empty_ms)
+        return HandedOffConnection(sock, partial, skip, client.spoke, unwritten, empty_ms)
 
-    def adopt(self, handed: HandedConnection) -> None:
+    def adopt(self, handed: HandedOffConnection) -> None:
         """Go on with a connection that another process had."""
         try:
-            client = Client(self, handed.sock)
+            client = ClientConnection(self, handed.sock)
         except OSError as error:
             self.log(f"a connection of another process can't be kept: {error}")
             handed.sock.close()
@@ -362,7 +368,7 @@
         """Accept all that the system's queue holds and stop listening; False while some is left there."""
         return self._acceptor.drain()
 
-    def ended(self, client: Client) -> None:
+    def ended(self, client: ClientConnection) -> None:
         self.clients.pop(client, None)
         self._acceptor.go_on()
 
@@ -373,9 +379,9 @@
         for client in list(self.clients):
             if self.loop.crowded:  # by requests that were read just now: the rest at the next look
                 return
-            unused = not client.open and now - client.connection.used_ms > IDLE_MS
+            unused = not client.open and now - client.connection.used_ms > IDLE_TIMEOUT_MS
             if unused and client.connection.waiting_bytes:
-                client.connection.close(End.STUFFED)
+                client.connection.close(EndReason.STUFFED)
             elif unused:
                 client.release()
             elif client.overdue(now):
@@ -387,4 +393,4 @@
             if client.open:  # the loop was stopped before its time: each request has its answer all the same
                 client.fail_open()
                 client.connection.flush()
-            client.connection.close(End.STOPPED)
+            client.connection.close(EndReason.STOPPED)
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -10,45 +10,47 @@
 from collections.abc import Callable
 
 from fawnwharf.config import Address
-from fawnwharf.net.end_reasons import End, SystemCall, end_of
-from fawnwharf.net.loop import HELD_UP_MS, READ, WRITE, Loop, Order
-from fawnwharf.net.owners import NOBODY, Owner
-from fawnwharf.net.pieces import PartLimit, Piece
+from fawnwharf.net.end_reasons import EndReason, SystemCall, end_reason_of
+from fawnwharf.net.loop import READ, STALL_THRESHOLD_MS, WRITE, EventLoop, ReadPriority
+from fawnwharf.net.owners import NO_OWNER, ConnectionOwner
+from fawnwharf.net.pieces import PartialWriteLimit, WriteBuffer
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.net.unread import discard, peek, peer_ended
-from fawnwharf.net.writing import WritingHalf
+from fawnwharf.net.writing import ConnectionWriter
 
-READ_MOST = 64 * 1024  # bytes taken from one connection in a turn, so that none starves the others; the rest
+MAX_READ_BYTES = (
+    64 * 1024
+)  # bytes taken from one connection in a turn, so that none starves the others; the rest
 # stays in the system's buffer, which slows its sender, and is read in the turns to come
 SO_TIMESTAMPNS = 35  # Linux: each read tells when its bytes came in
-STAMP = struct.Struct("@qq")
-NOTES_MOST = socket.CMSG_SPACE(STAMP.size)
+TIMESTAMP = struct.Struct("@qq")
+MAX_ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESTAMP.size)
 COUNT = struct.Struct("@i")
 LINGER_MS = 1_000.0  # for a peer that is being finished with: it may still read, and end by itself
-FINISH_MOST_MS = 10_000.0  # for one that goes on taking what was queued for it
+MAX_FINISH_MS = 10_000.0  # for one that goes on taking what was queued for it
 READ_AGAIN_MS = 50.0  # after a read for which the system had no memory
 # Bytes that lay unread for this long, or a turn that runs for this long: the peer may have ended meanwhile.
 FRESH_MS = 40.0
 
 
-def stamp_reads(listener: socket.socket) -> None:
+def enable_receive_timestamps(listener: socket.socket) -> None:
     """Have the system stamp what comes in; set before listening, as connections inherit it from the start."""
     with contextlib.suppress(OSError):
         listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
-class Connection(WritingHalf):
+class Connection(ConnectionWriter):
     """One connection of the loop, from its dial or accept to its single end."""
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         sock: socket.socket,
-        owner: Owner,
+        owner: ConnectionOwner,
         up: bool = True,
-        read_most: int = READ_MOST,
+        read_most: int = MAX_READ_BYTES,
         first: bool = False,
-        order: Callable[[], Order] | None = None,
+        order: Callable[[], ReadPriority] | None = None,
         half_close: bool = False,
     ) -> None:
         """`order`: when it is served in a turn, where that changes. `half_close`: a peer that ends its output
@@ -64,12 +66,12 @@
         self._unread_since_ms: float | None = None  # where reads left something, or there were none
         self._left_ms = 0.0  # the turn in which that was noted, or reading went on
         self._sock, self._reading, self._blocked = sock, True, False
-        self._outbox: deque[Piece] = deque()
-        self._part_limit: PartLimit | None = None
+        self._outbox: deque[WriteBuffer] = deque()
+        self._part_limit: PartialWriteLimit | None = None
         self._write_pause: Timer | None = None
         self._dial: Timer | None = None
         self._first, self._order, self._half_close = first, order, half_close
-        self._finishing: End | None = None
+        self._finishing: EndReason | None = None
         self._linger_ms, self._finish_by_ms = LINGER_MS, 0.0
         self._input_over = self._output_over = False  # the peer has ended its output; this side has
         self.input_full = False  # the last read took as much as it may: there may be more
@@ -80,12 +82,12 @@
     @classmethod
     def accepted(
         cls,
-        loop: Loop,
+        loop: EventLoop,
         sock: socket.socket,
-        owner: Owner,
-        read_most: int = READ_MOST,
+        owner: ConnectionOwner,
+        read_most: int = MAX_READ_BYTES,
         first: bool = False,
-        order: Callable[[], Order] | None = None,
+        order: Callable[[], ReadPriority] | None = None,
         half_close: bool = False,
     ) -> "Connection":
         sock.setblocking(False)
@@ -94,14 +96,14 @@
 
     @classmethod
     def dial(
-        cls, loop: Loop, address: Address, owner: Owner, within_ms: float, first: bool = False
-    ) -> "Connection | End":
+        cls, loop: EventLoop, address: Address, owner: ConnectionOwner, within_ms: float, first: bool = False
+    ) -> "Connection | EndReason":
         """A connection that comes up or ends later, or why none can be tried. `first`: see `Loop.watch`."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         try:
             sock = socket.socket(family, socket.SOCK_STREAM)
         except OSError as error:
-            return end_of(error, SystemCall.SOCKET)
+            return end_reason_of(error, SystemCall.SOCKET)
         call = SystemCall.CONNECT
         try:
             sock.setblocking(False)
@@ -114,16 +116,16 @@
             made = cls(loop, sock, owner, up=False, first=first)
         except OSError as error:
             sock.close()
-            return end_of(error, call)
+            return end_reason_of(error, call)
         except BaseException:
             sock.close()
             raise
-        made._dial = loop.wheel.after(within_ms, lambda: made.close(End.DIAL_TIMED_OUT))
+        made._dial = loop.wheel.after(within_ms, lambda: made.close(EndReason.DIAL_TIMED_OUT))
         return made
 
     # --- ending ---------------------------------------------------------------------------------
 
-    def finish(self, end: End, linger_ms: float = LINGER_MS) -> None:
+    def finish(self, end: EndReason, linger_ms: float = LINGER_MS) -> None:
         """End it in order: what is queued is written, the output is ended, and what still comes is read and
         thrown away for `linger_ms`. Guards the last answers, which a close with bytes unread would reset.
         Harm: it lives on for that long, or until the peer ends it."""
@@ -131,7 +133,7 @@
             return
         self._finishing, self._linger_ms = end, linger_ms
         if self._outbox:
-            self._finish_by_ms = monotonic_ms() + FINISH_MOST_MS
+            self._finish_by_ms = monotonic_ms() + MAX_FINISH_MS
             self.loop.wheel.after(LINGER_MS, self._check_unwritten)
             self.loop.flush_later(self)
         else:
@@ -243,7 +245,7 @@
                 raise OSError(code, "connect")
             self.loop.change(self._sock, READ, self._ready)
         except OSError as error:
-            self.close(end_of(error, SystemCall.CONNECTED))
+            self.close(end_reason_of(error, SystemCall.CONNECTED))
             return
         self.up, self._mask = True, READ
         if self._dial:
@@ -254,7 +256,7 @@
     def _read(self) -> None:
         self.input_full = False
         try:
-            data, notes, _, _ = self._sock.recvmsg(self._read_most, NOTES_MOST)
+            data, notes, _, _ = self._sock.recvmsg(self._read_most, MAX_ANCILLARY_BYTES)
         except BlockingIOError:
             self._unread_since_ms = None if self.reads else self.loop.turn_ms
             return
@@ -279,12 +281,12 @@
             self.owner.on_data(data)
         except Exception:  # whatever a peer managed to send, it costs no more than its own connection
             self.loop.fault("reading")
-            self.close(End.BAD_BYTES)
+            self.close(EndReason.BAD_BYTES)
 
     def _read_failed(self, error: OSError) -> None:
         """A want of memory here passes and says nothing of the peer; any other error ends the connection."""
-        end = end_of(error)
-        if end is not End.NO_DESCRIPTOR:
+        end = end_reason_of(error)
+        if end is not EndReason.NO_DESCRIPTOR:
             self.close(end)
             return
         self._unread_since_ms = self._empty_ms()
@@ -301,11 +303,11 @@
         if self._half_close and not self._finishing:
             self.owner.on_half_close()
         if not self._outbox or not (self._half_close or self._finishing):
-            self.close(End.CLOSED_BY_PEER)
+            self.close(EndReason.CLOSED_BY_PEER)
             return
         self._input_over = True  # what has ended stays readable: it is not watched any more
         self._set_mask()
-        self.finish(End.CLOSED_BY_PEER)
+        self.finish(EndReason.CLOSED_BY_PEER)
 
     def _empty_ms(self) -> float:
         """When nothing lay unread on it, as far as is known."""
@@ -334,11 +336,11 @@
         loop = self.loop
         since_ms = self._empty_ms()  # they came later than that
         for level, kind, note in notes:
-            if (level, kind, len(note)) != (socket.SOL_SOCKET, SO_TIMESTAMPNS, STAMP.size):
+            if (level, kind, len(note)) != (socket.SOL_SOCKET, SO_TIMESTAMPNS, TIMESTAMP.size):
                 continue
             if since_ms <= loop.clock.stepped_ms:
                 break
-            seconds, nanoseconds = STAMP.unpack(note)
+            seconds, nanoseconds = TIMESTAMP.unpack(note)
             age = loop.turn_unix_ms - seconds * 1e3 - nanoseconds / 1e6
             gap = loop.turn_ms - loop.before_ms
             believed_ms = loop.stamps.age_ms(age, gap, looked_at=self._has_read)
@@ -350,11 +352,11 @@
         """The most that bytes read now may have waited; 0 where that is too little to matter."""
         loop, since_ms = self.loop, self._empty_ms()
         left_ms = loop.turn_ms - since_ms if since_ms < loop.before_ms else 0.0
-        return max(loop.held_ms, left_ms if left_ms > HELD_UP_MS else 0.0)
+        return max(loop.held_ms, left_ms if left_ms > STALL_THRESHOLD_MS else 0.0)
 
     def detach(self) -> tuple[socket.socket, bytes]:
         """Give the socket away, with what is unwritten on it; it is no connection of this loop any more."""
-        self.closed, self.owner, self._order = True, NOBODY, None
+        self.closed, self.owner, self._order = True, NO_OWNER, None
         if self._mask:
             self.loop.forget(self._sock)
         rest = b"".join(piece.data[piece.written :] for piece in self._outbox)
@@ -376,7 +378,7 @@
             self._sock.shutdown(socket.SHUT_WR)
         discard(self._sock)
 
-    def close(self, end: End) -> None:
+    def close(self, end: EndReason) -> None:
         """The one way out; the owner hears of it once."""
         if self.closed:
             return
@@ -385,11 +387,11 @@
             self._dial.cancel()
         if self._mask:
             self.loop.forget(self._sock)
-        if self.up and (self._finishing or end in (End.IDLE, End.STOPPED)):
+        if self.up and (self._finishing or end in (EndReason.IDLE, EndReason.STOPPED)):
             self._part()
         self._sock.close()
         self._outbox.clear()
         self.waiting_bytes = 0
         self._order = None  # it may hold the owner
-        owner, self.owner = self.owner, NOBODY
+        owner, self.owner = self.owner, NO_OWNER
         owner.on_end(end)
--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -6,7 +6,7 @@
 from fawnwharf.interface import Ending
 
 
-class End(Enum):
+class EndReason(Enum):
     REFUSED = auto()  # the dial was turned away
     UNREACHABLE = auto()  # the dial failed in some other way
     DIAL_TIMED_OUT = auto()
@@ -31,33 +31,33 @@
 # What the module is told of an attempt or order, by how far its frame had been written: not one byte, so that
 # it can't have run; in part, on a connection that ended then, so that the scorer never had it whole and can't
 # have run it either; whole, so that it may have run.
-TOLD: dict[End, tuple[Ending, Ending, Ending]] = {
-    End.REFUSED: (_FAILED, _RESET, _RESET),
-    End.UNREACHABLE: (_FAILED, _FAILED, _RESET),
-    End.DIAL_TIMED_OUT: (_FAILED, _RESET, _RESET),
-    End.NO_DESCRIPTOR: (_NONE, _RESET, _RESET),
-    End.LOCAL_FAULT: (_NONE, _NONE, _RESET),
+RESULT_BY_REASON: dict[EndReason, tuple[Ending, Ending, Ending]] = {
+    EndReason.REFUSED: (_FAILED, _RESET, _RESET),
+    EndReason.UNREACHABLE: (_FAILED, _FAILED, _RESET),
+    EndReason.DIAL_TIMED_OUT: (_FAILED, _RESET, _RESET),
+    EndReason.NO_DESCRIPTOR: (_NONE, _RESET, _RESET),
+    EndReason.LOCAL_FAULT: (_NONE, _NONE, _RESET),
     # In part: the next dial shows whether the scorer is there. A close while idle may have crossed the frame.
-    End.CLOSED_BY_PEER: (_FAILED, _NONE, _RESET),
-    End.RESET_BY_PEER: (_FAILED, _NONE, _RESET),
-    End.BAD_BYTES: (_FAILED, _FAILED, _RESET),
-    End.STUFFED: (_FAILED, _FAILED, _RESET),
-    End.SILENT: (_FAILED, _FAILED, _RESET),
-    End.IDLE: (_NONE, _RESET, _RESET),
-    End.RETIRED: (_NONE, _NONE, _RESET),
+    EndReason.CLOSED_BY_PEER: (_FAILED, _NONE, _RESET),
+    EndReason.RESET_BY_PEER: (_FAILED, _NONE, _RESET),
+    EndReason.BAD_BYTES: (_FAILED, _FAILED, _RESET),
+    EndReason.STUFFED: (_FAILED, _FAILED, _RESET),
+    EndReason.SILENT: (_FAILED, _FAILED, _RESET),
+    EndReason.IDLE: (_NONE, _RESET, _RESET),
+    EndReason.RETIRED: (_NONE, _NONE, _RESET),
     # From here on the connection lives on, and so may the rest of a frame that was written in part.
-    End.PULLED_BACK: (_NONE, _RESET, _RESET),
-    End.NEVER_SENT: (_NONE, _RESET, _RESET),
-    End.CALLED_OFF: (Ending.CANCELLED, Ending.CANCELLED, Ending.CANCELLED),
-    End.OUT_OF_TIME: (_NONE, Ending.TIMEOUT, Ending.TIMEOUT),
-    End.STOPPED: (_NONE, _RESET, _RESET),
+    EndReason.PULLED_BACK: (_NONE, _RESET, _RESET),
+    EndReason.NEVER_SENT: (_NONE, _RESET, _RESET),
+    EndReason.CALLED_OFF: (Ending.CANCELLED, Ending.CANCELLED, Ending.CANCELLED),
+    EndReason.OUT_OF_TIME: (_NONE, Ending.TIMEOUT, Ending.TIMEOUT),
+    EndReason.STOPPED: (_NONE, _RESET, _RESET),
 }
 
 
-def told(end: End, begun: bool, whole: bool = True) -> Ending:
+def attempt_result(end: EndReason, begun: bool, whole: bool = True) -> Ending:
     """What the module is told of a stream that had this end. `begun`: some of its frame was written; `whole`:
     all of it, or what was written is to count as all, as for calls that must not run twice."""
-    return TOLD[end][begun + (begun and whole)]
+    return RESULT_BY_REASON[end][begun + (begun and whole)]
 
 
 class SystemCall(Enum):
@@ -71,31 +71,35 @@
     OTHER = "other"
 
 
-_NO_ROOM = dict.fromkeys((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), End.NO_DESCRIPTOR)
-_NO_WAY = dict.fromkeys((errno.EADDRNOTAVAIL, errno.ENETDOWN), End.LOCAL_FAULT)  # no port left, no device
-_AGAIN = dict.fromkeys((errno.EINTR, errno.EAGAIN), End.LOCAL_FAULT)
+_NO_ROOM = dict.fromkeys((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), EndReason.NO_DESCRIPTOR)
+_NO_WAY = dict.fromkeys(
+    (errno.EADDRNOTAVAIL, errno.ENETDOWN), EndReason.LOCAL_FAULT
+)  # no port left, no device
+_AGAIN = dict.fromkeys((errno.EINTR, errno.EAGAIN), EndReason.LOCAL_FAULT)
 _PEER = {
-    errno.ECONNREFUSED: End.REFUSED,
-    errno.ECONNRESET: End.RESET_BY_PEER,
-    errno.EPIPE: End.RESET_BY_PEER,
-    errno.ECONNABORTED: End.RESET_BY_PEER,
-    errno.EHOSTUNREACH: End.UNREACHABLE,
-    errno.ETIMEDOUT: End.UNREACHABLE,
+    errno.ECONNREFUSED: EndReason.REFUSED,
+    errno.ECONNRESET: EndReason.RESET_BY_PEER,
+    errno.EPIPE: EndReason.RESET_BY_PEER,
+    errno.ECONNABORTED: EndReason.RESET_BY_PEER,
+    errno.EHOSTUNREACH: EndReason.UNREACHABLE,
+    errno.ETIMEDOUT: EndReason.UNREACHABLE,
 }
 # The end that an error stands for, by the call that failed; what is not listed is UNREACHABLE. ENETUNREACH
 # is this machine's own missing route where connect() itself fails, and a router's word about the other side
 # where it comes later.
-ERRORS: dict[SystemCall, dict[int, End]] = {
+REASON_BY_ERRNO: dict[SystemCall, dict[int, EndReason]] = {
     SystemCall.SOCKET: _NO_ROOM | _AGAIN,
-    SystemCall.CONNECT: _NO_ROOM | _NO_WAY | _AGAIN | _PEER | {errno.ENETUNREACH: End.LOCAL_FAULT},
-    SystemCall.CONNECTED: _NO_ROOM | _NO_WAY | _AGAIN | _PEER | {errno.ENETUNREACH: End.UNREACHABLE},
-    SystemCall.WATCH: _NO_ROOM | _AGAIN | {errno.ENOSPC: End.NO_DESCRIPTOR},
+    SystemCall.CONNECT: _NO_ROOM | _NO_WAY | _AGAIN | _PEER | {errno.ENETUNREACH: EndReason.LOCAL_FAULT},
+    SystemCall.CONNECTED: _NO_ROOM | _NO_WAY | _AGAIN | _PEER | {errno.ENETUNREACH: EndReason.UNREACHABLE},
+    SystemCall.WATCH: _NO_ROOM | _AGAIN | {errno.ENOSPC: EndReason.NO_DESCRIPTOR},
     SystemCall.SEND: _NO_ROOM | _NO_WAY | _AGAIN | _PEER,
     SystemCall.OTHER: _NO_ROOM | _PEER,
 }
-PASSING = frozenset((End.NO_DESCRIPTOR, End.LOCAL_FAULT))  # this machine's own: the call is tried again
+LOCAL_REASONS = frozenset(
+    (EndReason.NO_DESCRIPTOR, EndReason.LOCAL_FAULT)
+)  # this machine's own: the call is tried again
 
 
-def end_of(error: OSError, call: SystemCall = SystemCall.OTHER) -> End:
+def end_reason_of(error: OSError, call: SystemCall = SystemCall.OTHER) -> EndReason:
     """The end that an error of the system stands for."""
-    return ERRORS[call].get(error.errno or 0, End.UNREACHABLE)
+    return REASON_BY_ERRNO[call].get(error.errno or 0, EndReason.UNREACHABLE)
--- a/fawnwharf/net/event_order.py
+++ b/fawnwharf/net/event_order.py
@@ -13,13 +13,13 @@
 
 from fawnwharf.config import Fleet, Member
 
-EVENTS_MOST = 2_048  # whose content is remembered, those told last; and the first one
-SCORERS_MOST = 10_000  # whose last event is remembered, those told last; removed ones among them
+MAX_EVENTS = 2_048  # whose content is remembered, those told last; and the first one
+MAX_SCORERS = 10_000  # whose last event is remembered, those told last; removed ones among them
 
 _encode = msgspec.json.Encoder(order="deterministic").encode
 
 
-class Told(Enum):
+class EventMatch(Enum):
     """Whether an event of this number was told before."""
 
     NEVER = auto()
@@ -42,14 +42,14 @@
         """Whether no event was taken."""
         return not self._events
 
-    def told(self, seq: int, fleet: Fleet) -> Told:
+    def told(self, seq: int, fleet: Fleet) -> EventMatch:
         """Compare an event with the one that was taken under its number."""
         if (known := self._events.get(seq)) is None:
-            return Told.NEVER
+            return EventMatch.NEVER
         digest, complete, revision = known
         # A whole list may stand in for the change of the same number: the start's list does.
         summed_up = complete != fleet.complete and bool(revision) and revision == fleet.revision
-        return Told.SAME if summed_up or digest == _digest(fleet) else Told.OTHERWISE
+        return EventMatch.SAME if summed_up or digest == _digest(fleet) else EventMatch.OTHERWISE
 
     def of_other_numbers(self, seq: int, fleet: Fleet) -> bool:
         """Whether an event that was not told before can't be an earlier one of this numbering."""
@@ -92,13 +92,13 @@
     def _note(self, id: str, seq: int, listed: bool) -> None:
         self._scorers.pop(id, None)
         self._scorers[id] = seq, listed
-        if len(self._scorers) > SCORERS_MOST:
+        if len(self._scorers) > MAX_SCORERS:
             del self._scorers[next(iter(self._scorers))]
 
     def _remember(self, seq: int, fleet: Fleet) -> None:
         self._events.pop(seq, None)
         self._events[seq] = _digest(fleet), fleet.complete, fleet.revision
-        if len(self._events) > EVENTS_MOST:
+        if len(self._events) > MAX_EVENTS:
             oldest = next(number for number in self._events if number != 1)
             del self._events[oldest]
 
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -12,56 +12,56 @@
 from fawnwharf.config import Address, ConfigError, Deployment, Fleet, Member, address_from
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.clients import ClientPort
-from fawnwharf.net.graceful_shutdown import Leaving
-from fawnwharf.net.log import Log
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.graceful_shutdown import GracefulShutdown
+from fawnwharf.net.log import LogWriter
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.requests import RequestTable
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.net.scorers import ScorerPool
-from fawnwharf.net.starts import Starts
+from fawnwharf.net.starts import ScorerStartTimes
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy import Router
 
 TIDY_MS = 250.0  # pace of the look after idle and silent connections
 ROSTER = "roster"  # what a front end without a scorer in service waits for
-ROSTER_MOST_MS = 4_000.0  # ready within 6 s, where the change log is down and nobody is known
-ROSTER_LOOK_MS = 20.0
+MAX_ROSTER_WAIT_MS = 4_000.0  # ready within 6 s, where the change log is down and nobody is known
+ROSTER_SCAN_MS = 20.0
 CLIENT_SHARE = 0.4  # of the descriptors; clients hold a third at most
 SCORER_SHARE = 0.4
 # Left over by both, at small limits too: three standard streams, selector, listener, wake pair, change log,
 # the operators' listener and a connection to it, the socket for a replacement and the channel to it, one to
 # accept or dial with.
-KEPT_DESCRIPTORS = 13
+RESERVED_DESCRIPTORS = 13
 # Keys that a reload leaves alone.
-AT_START = ("name", "listen", "control", "memory_mb", "sockets", "settings", "wire")
+START_ONLY_KEYS = ("name", "listen", "control", "memory_mb", "sockets", "settings", "wire")
 AFTER_FAULT_MS = 40.0  # the module's sweep, set again where a fault may have lost it
 
 STATES = {"in_service": io.State.READY, "terminating": io.State.DRAINING, "terminated": io.State.GONE}
 
 
-def _part(sockets: int, share: float) -> int:
+def _descriptor_share(sockets: int, share: float) -> int:
     return max(4, int(sockets * share))
 
 
-def _scorer_part(sockets: int, part: float = 1.0) -> int:
+def _scorer_descriptors(sockets: int, part: float = 1.0) -> int:
     """The scorers' part: what is kept for everything else comes out of it at small limits."""
-    rest = sockets - _part(sockets, CLIENT_SHARE) - KEPT_DESCRIPTORS
+    rest = sockets - _descriptor_share(sockets, CLIENT_SHARE) - RESERVED_DESCRIPTORS
     return max(4, int(part * min(sockets * SCORER_SHARE, rest)))
 
 
-def worker_number(id: str) -> int:
+def scorer_number(id: str) -> int:
     """The same at every front end, so that all make the same hash orders."""
     return int.from_bytes(hashlib.blake2b(id.encode(), digest_size=4).digest(), "big")
 
 
-class Part(Protocol):
+class LifecycleComponent(Protocol):
     """What ends together with the front end."""
 
     def close(self) -> None:
         """The front end ends."""
 
 
-class OperatorsPart(Part, Protocol):
+class OperatorsComponent(LifecycleComponent, Protocol):
     """What operators ask, in a running front end."""
 
     replaced: bool  # another process has taken this one's place
@@ -75,7 +75,7 @@
         """It was told to end."""
 
 
-class Seam(Part, Protocol):
+class Extension(LifecycleComponent, Protocol):
     """What another subsystem hears of what this front end is told, and of what comes of it. What it closes
     it lays over the roster (`Overlay.close`)."""
 
@@ -102,30 +102,30 @@
     def __init__(
         self,
         deployment: Deployment,
-        log: Log | None = None,
+        log: LogWriter | None = None,
         reread: Callable[[], Deployment] | None = None,
-        seam: Seam | None = None,
+        seam: Extension | None = None,
         listener: socket.socket | None = None,
     ) -> None:
         """`reread` gives the configuration anew at each SIGHUP; without it, SIGHUP changes nothing.
         `seam` hears of the roster and of each batch. `listener` is one taken over."""
         self.deployment, self._reread, self._seam = deployment, reread, seam
-        self.log = log or Log(deployment.name or "fawnwharf")
+        self.log = log or LogWriter(deployment.name or "fawnwharf")
         settings, wire, sockets = deployment.settings, deployment.wire, deployment.sockets
-        self.loop = Loop(self._decide, self.log)
+        self.loop = EventLoop(self._decide, self.log)
         # A copy: the module writes what it is handed among them.
         own = replace(settings, classes=dict(settings.classes), quotas_rps=dict(settings.quotas_rps))
         self.router = Router(own, deployment.seed)
-        self.pool = ScorerPool(self.loop, wire, _scorer_part(sockets), deployment.seed, self.log)
+        self.pool = ScorerPool(self.loop, wire, _scorer_descriptors(sockets), deployment.seed, self.log)
         self.table = RequestTable(self.loop, self.pool, wire, settings.classes)
         self._news: io.RosterChanged | None = None  # that the next batch brings
-        self.overlay, self.starts = Overlay(), Starts()
+        self.overlay, self.starts = RosterOverlay(), ScorerStartTimes()
         self._limits: dict[str, float] = {}  # by who sets it
         self.changelog = ChangeLog(self.loop, deployment.changelog, 0, self._on_fleet, self.log)
         self._known()
         self.port = ClientPort(
             self.loop, deployment.listen, self.table, settings.classes, wire.tenants,
-            _part(sockets, CLIENT_SHARE), self.log, deployment.control is not None, listener,
+            _descriptor_share(sockets, CLIENT_SHARE), self.log, deployment.control is not None, listener,
         )  # fmt: skip
         self._carriers = {
             io.Send: self.table.send,
@@ -136,13 +136,13 @@
             io.SetTimer: self._set_timer,
             io.Log: lambda action: self.log(action.text),
         }
-        self._leaving: Leaving | None = None
+        self._leaving: GracefulShutdown | None = None
         self._start_ms = monotonic_ms()
         self.started = False
-        self.operators: OperatorsPart | None = None
+        self.operators: OperatorsComponent | None = None
 
     @property
-    def seam(self) -> Seam | None:
+    def seam(self) -> Extension | None:
         return self._seam
 
     @property
@@ -162,8 +162,8 @@
 
     def keep_to(self, part: float) -> None:
         """Keep to a part of the descriptors: another process has the rest."""
-        self.port.most = _part(self.deployment.sockets, part * CLIENT_SHARE)
-        self.pool.links_most = _scorer_part(self.deployment.sockets, part)
+        self.port.most = _descriptor_share(self.deployment.sockets, part * CLIENT_SHARE)
+        self.pool.links_most = _scorer_descriptors(self.deployment.sockets, part)
 
     def start(self) -> None:
         if self.operators:
@@ -197,7 +197,7 @@
         except ConfigError as error:
             self.log(f"configuration not taken over: {error}")
             return
-        at_start = [key for key in AT_START if getattr(read, key) != getattr(self.deployment, key)]
+        at_start = [key for key in START_ONLY_KEYS if getattr(read, key) != getattr(self.deployment, key)]
         rest = f"; changed, but read at a start only: {', '.join(at_start)}" if at_start else ""
         self.log(f"configuration read again: change log at {read.changelog[0]}:{read.changelog[1]}{rest}")
         self.changelog.move(read.changelog)
@@ -208,7 +208,7 @@
         if self._leaving is not None:
             return
         self.log("leaving")
-        self._leaving = Leaving(self)
+        self._leaving = GracefulShutdown(self)
         if self.operators:
             self.loop.guarded(self.operators.leave)
         self.port.ready = self.replaced  # the front asks for the other process's sake, too
@@ -251,11 +251,11 @@
         all be refused. Bounded, as a front end that never says that it is ready serves nobody."""
         told = self.changelog.told_all_ms is not None
         known = any(scorer.state is io.State.READY for scorer in self.pool.scorers.values())
-        if told or known or monotonic_ms() - self._start_ms > ROSTER_MOST_MS:
+        if told or known or monotonic_ms() - self._start_ms > MAX_ROSTER_WAIT_MS:
             self.port.waits_for.discard(ROSTER)
         else:
             self.port.waits_for.add(ROSTER)
-            self.loop.wheel.after(ROSTER_LOOK_MS, self._await_roster)
+            self.loop.wheel.after(ROSTER_SCAN_MS, self._await_roster)
 
     def _on_fleet(self, fleet: Fleet) -> None:
         heard_ms, before = self.changelog.told_all_ms, self.starts.apart
@@ -301,7 +301,7 @@
     def _entry(self, member: Member) -> tuple[io.WorkerEntry, Address | None]:
         address = address_from(member.host_port, "host_port") if member.host_port else None
         return io.WorkerEntry(
-            worker=worker_number(member.id),
+            worker=scorer_number(member.id),
             state=STATES[member.phase],
             kind=member.flavor,
             zone=member.locality,
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -5,22 +5,22 @@
 from fawnwharf import interface as io
 from fawnwharf.interface import Settings
 from fawnwharf.net import connection
-from fawnwharf.net.calls import TTL_ROOM
-from fawnwharf.net.clients import SPEAK_MS, Client
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.room import YOUNG_MS
+from fawnwharf.net.calls import TTL_TOLERANCE
+from fawnwharf.net.clients import MESSAGE_TIMEOUT_MS, ClientConnection
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.room import MIN_SILENT_AGE_MS
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 if TYPE_CHECKING:
     from fawnwharf.net.front_end import FrontEnd
 
-LATE_ARRIVALS_MS = 800.0  # after SIGTERM, connections and requests keep coming for 0.6 s
-LOOK_MS = 20.0  # pace of the look after connections that have fallen idle
-LIMIT_LEAST_MS = 20_000.0  # for readers that are slow, and for a hand-over to another process
+LATE_ARRIVAL_MS = 800.0  # after SIGTERM, connections and requests keep coming for 0.6 s
+SCAN_MS = 20.0  # pace of the look after connections that have fallen idle
+MIN_LIMIT_MS = 20_000.0  # for readers that are slow, and for a hand-over to another process
 MARGIN_MS = 500.0  # coarse timers and long turns
 # The system ends the process no earlier than so long after SIGTERM: the longest time that a class gives up
 # after, taken as `KILL_DEADLINE_MOST_MS` where it is longer, and `KILL_AFTER_MS`.
-KILL_DEADLINE_MOST_MS, KILL_AFTER_MS = 3_000.0, 700.0
+MAX_KILL_DEADLINE_MS, KILL_AFTER_MS = 3_000.0, 700.0
 ANSWER_MARGIN_MS = 200.0  # before that, for a long turn and the way to the client
 STALLED_MS = 1_000.0  # a peer whose system took nothing of its answer for so long does not read it
 LIMIT = "leaving"  # who sets the limit of calls taken
@@ -32,17 +32,17 @@
     A request read in the last moment of the late arrivals has its whole time; one that had only begun has the
     time of a message in pieces, and is refused once it is whole."""
     longest = max((spec.give_up_ms for spec in settings.classes.values()), default=0.0)
-    of_requests = max(TTL_ROOM * longest, SPEAK_MS)
-    return max(LIMIT_LEAST_MS, LATE_ARRIVALS_MS + of_requests + connection.LINGER_MS + MARGIN_MS)
+    of_requests = max(TTL_TOLERANCE * longest, MESSAGE_TIMEOUT_MS)
+    return max(MIN_LIMIT_MS, LATE_ARRIVAL_MS + of_requests + connection.LINGER_MS + MARGIN_MS)
 
 
 def answer_within_ms(settings: Settings) -> float:
     """How long after SIGTERM every request has its final answer: before the system may end the process."""
     longest_ms = max((spec.give_up_ms for spec in settings.classes.values()), default=0.0)
-    return min(longest_ms, KILL_DEADLINE_MOST_MS) + KILL_AFTER_MS - ANSWER_MARGIN_MS
+    return min(longest_ms, MAX_KILL_DEADLINE_MS) + KILL_AFTER_MS - ANSWER_MARGIN_MS
 
 
-class Leaving:
+class GracefulShutdown:
     """Ends a front end: serves on until late arrivals are in, then ends each connection as it falls idle.
 
     In order: all is accepted and served for `LATE_ARRIVALS_MS`. Then the accept queue is emptied and the
@@ -56,7 +56,9 @@
         self._limit_ms = limit_ms(front.deployment.settings)
         self._refusing = False
         front.loop.tell(io.Closing(answer_within_ms(front.deployment.settings)))
-        self._unsent: dict[Client, tuple[int, float]] = {}  # bytes at the last change, and when that was
+        self._unsent: dict[
+            ClientConnection, tuple[int, float]
+        ] = {}  # bytes at the last change, and when that was
 
     def look(self) -> None:
         """One look, and the next one in a while; the loop stops once all is done."""
@@ -65,11 +67,11 @@
             self._front.loop.running = False
             return
         # First, as a fault in this look must not be the last one.
-        self._front.loop.wheel.after(LOOK_MS, self.look)
+        self._front.loop.wheel.after(SCAN_MS, self.look)
         if self._front.replaced:
             done = not self._busy()
         else:
-            done = since_ms > LATE_ARRIVALS_MS and self._end_connections() and not self._busy()
+            done = since_ms > LATE_ARRIVAL_MS and self._end_connections() and not self._busy()
         if done:
             self._front.loop.running = False
 
@@ -91,20 +93,20 @@
         closed = front.port.close_listener()
         for client in list(front.port.clients):
             if self._ended_with(client):
-                client.connection.finish(End.STOPPED)
+                client.connection.finish(EndReason.STOPPED)
                 client.connection.flush()  # at once: nothing may be read between the look and the half-close
         return closed and not front.port.clients
 
-    def _ended_with(self, client: Client) -> bool:
+    def _ended_with(self, client: ClientConnection) -> bool:
         """Whether a half-close costs nobody an answer: a request that crosses it is sent again."""
         link = client.connection
         if not client.idle or client.begun or link.finishing:
             return False
-        if not client.spoke and monotonic_ms() - link.used_ms < YOUNG_MS:
+        if not client.spoke and monotonic_ms() - link.used_ms < MIN_SILENT_AGE_MS:
             return False
         return link.unread() is None and not self._is_being_sent(client)
 
-    def _is_being_sent(self, client: Client) -> bool:
+    def _is_being_sent(self, client: ClientConnection) -> bool:
         """Whether the system still holds bytes for this peer, and the peer takes some now and then."""
         unsent, now = client.connection.unsent(), monotonic_ms()
         before, changed_ms = self._unsent.get(client, (None, now))
--- a/fawnwharf/net/handed.py
+++ b/fawnwharf/net/handed.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedConnection:
+class HandedOffConnection:
     """A connection on which no request is open, and all that its next owner has to know of it."""
 
     sock: socket.socket
--- a/fawnwharf/net/log.py
+++ b/fawnwharf/net/log.py
@@ -6,11 +6,11 @@
 
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-LINES_A_SECOND = 20
-LENGTH_MOST = 600
+MAX_LINES_PER_SECOND = 20
+MAX_LINE_LENGTH = 600
 
 
-class Log:
+class LogWriter:
     """Guards against peers that make the program write: so many lines a second, the rest is counted.
 
     Each source has its share, so that what clients do wrong does not hide what scorers do."""
@@ -27,13 +27,13 @@
                 self._write(f"{self._left_out} lines left out")
             self._second, self._lines, self._left_out = second, {}, 0
         self._lines[source] = self._lines.get(source, 0) + 1
-        if self._lines[source] > LINES_A_SECOND:
+        if self._lines[source] > MAX_LINES_PER_SECOND:
             self._left_out += 1
             return
         self._write(text)
 
     def _write(self, text: str) -> None:
-        line = "".join(char if char.isprintable() else "?" for char in text[:LENGTH_MOST])
+        line = "".join(char if char.isprintable() else "?" for char in text[:MAX_LINE_LENGTH])
         try:
             self._out.write(f"{self._name}: {line}\n")
             self._out.flush()
--- a/fawnwharf/net/loop.py
+++ b/fawnwharf/net/loop.py
@@ -10,34 +10,34 @@
 from typing import Protocol
 
 from fawnwharf import interface as io
-from fawnwharf.net.timer_wheel import Clock, Wheel, monotonic_ms, unix_ms
+from fawnwharf.net.timer_wheel import Clock, TimerWheel, monotonic_ms, unix_ms
 
-SLOW_TURN_MS = 80.0  # a process that was held up for longer endangers answers that are due
+SLOW_ITERATION_MS = 80.0  # a process that was held up for longer endangers answers that are due
 
 # So many events end the gathering of a turn: what else is ready waits in the system's buffers for the next
 # one, and comes first there. Guards timers and final answers against a crowd that all asks at once.
-EVENTS_MOST = 64
+MAX_EVENTS = 64
 # What can end a request (an answer, a withdrawal, a close) is read before what can only bring new ones. Each
 # of the two has at least its part of the events of a turn, however much the other brings.
-OPEN_PART, NEW_PART = 0.5, 0.25
+ACTIVE_SHARE, IDLE_SHARE = 0.5, 0.25
 
 # After so long a turn, what is looked at first is read again before the turn writes: nothing new may be sent
 # to a scorer later than 250 ms after its drain was told.
-LOOK_AGAIN_MS = 50.0
+REREAD_AFTER_MS = 50.0
 
 # Bytes without a believed stamp count as old as they may be, where that is more than this: what is passed on
 # may exceed what the client has left by 150 ms at the most.
-HELD_UP_MS = 50.0
-NO_WAIT_MS = 1.0  # a shorter wait for the selector was none: something was ready before
+STALL_THRESHOLD_MS = 50.0
+MIN_WAIT_MS = 1.0  # a shorter wait for the selector was none: something was ready before
 
-AGE_MOST_MS = 60_000.0
+MAX_AGE_MS = 60_000.0
 # Reads that are paused, and more bytes than a turn takes, make some stamps old though they fit.
-STAMP_SLACK_MS, MISFITS_MOST = 1_000.0, 3
+TIMESTAMP_TOLERANCE_MS, MAX_MISMATCHES = 1_000.0, 3
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 
 
-class Order(IntEnum):
+class ReadPriority(IntEnum):
     """In which order sockets that are ready together are served in a turn."""
 
     FIRST = 0  # operators, and the process that takes this one's place: few, and never made to wait
@@ -49,7 +49,7 @@
     def flush(self) -> None: ...
 
 
-class StampTrust:
+class ReceiveTimestampCheck:
     """Whether the system's receive stamps fit the clock that the program reads.
 
     Bytes of a connection that was looked at in the turn before came in since then. Guards deadlines where the
@@ -61,33 +61,33 @@
     @property
     def trusted(self) -> bool:
         """Whether the stamps have fitted so far, but for a few."""
-        return self._misfits <= MISFITS_MOST + self._fits // 8
+        return self._misfits <= MAX_MISMATCHES + self._fits // 8
 
     def age_ms(self, age_ms: float, gap_ms: float, looked_at: bool) -> float:
         """The age to go by, of bytes of a connection that may have been looked at one turn ago."""
         if looked_at:
-            fits = -STAMP_SLACK_MS <= age_ms <= gap_ms + STAMP_SLACK_MS
+            fits = -TIMESTAMP_TOLERANCE_MS <= age_ms <= gap_ms + TIMESTAMP_TOLERANCE_MS
             self._fits, self._misfits = self._fits + fits, self._misfits + (not fits)
-        return age_ms if self.trusted and 0 < age_ms < AGE_MOST_MS else 0.0
+        return age_ms if self.trusted and 0 < age_ms < MAX_AGE_MS else 0.0
 
 
-class Loop:
+class EventLoop:
     """Owns the selector, the wheel and the events gathered for the next batch."""
 
     def __init__(self, decide: Callable[[float, list[io.Event]], None], log: Callable[[str], None]) -> None:
-        self.wheel, self.clock = Wheel(), Clock()
+        self.wheel, self.clock = TimerWheel(), Clock()
         self.running = True
         self.turn_ms, self.turn_unix_ms = monotonic_ms(), unix_ms()  # when the turn began, on both clocks
         self.before_ms = self.turn_ms  # when the turn before began
         self.held_ms = 0.0  # how long bytes may have waited for this turn, where the process was held up
-        self.stamps = StampTrust()
+        self.stamps = ReceiveTimestampCheck()
         self._decide, self._log = decide, log
         self._selector = selectors.DefaultSelector()
         self.wheel.on_fault = self.fault
         self._inbox: dict[int, io.Event] = {}  # by ticket, in order
         self._tickets = itertools.count()
         self._behind: set[int] = set()  # descriptors that the last turn left ready
-        self._orders: dict[int, Callable[[], Order]] = {}  # by descriptor; Order.OPEN for all others
+        self._orders: dict[int, Callable[[], ReadPriority]] = {}  # by descriptor; Order.OPEN for all others
         self._left: dict[int, float] = {}  # of these, when each was last known to have nothing unread
         self._dirty: dict[Flushable, None] = {}
         self._wake: tuple[socket.socket, socket.socket] | None = None
@@ -100,13 +100,13 @@
         mask: int,
         ready: Callable[[int], None],
         first: bool = False,
-        order: Callable[[], Order] | None = None,
+        order: Callable[[], ReadPriority] | None = None,
     ) -> None:
         """`first`: before all others in each turn, however many of these are ready. `order` tells the order
         where it changes; it is asked in each turn in which the socket is ready."""
         self._selector.register(sock, mask, ready)
         if first:
-            self._orders[sock.fileno()] = lambda: Order.FIRST
+            self._orders[sock.fileno()] = lambda: ReadPriority.FIRST
         elif order is not None:
             self._orders[sock.fileno()] = order
 
@@ -139,7 +139,7 @@
     @property
     def crowded(self) -> bool:
         """Whether the next batch has as many events as the gathering of a turn may bring."""
-        return len(self._inbox) >= EVENTS_MOST
+        return len(self._inbox) >= MAX_EVENTS
 
     def left_behind(self, sock: socket.socket) -> bool:
         """Whether this turn's gathering ended before a socket that was ready."""
@@ -158,7 +158,7 @@
         now_ms = self.clock.now_ms()
         self._serve(ready, now_ms)
         self._left = {fd: self._left.get(fd, self.before_ms) for fd in self._behind}
-        if (took := monotonic_ms() - self.turn_ms) > SLOW_TURN_MS:
+        if (took := monotonic_ms() - self.turn_ms) > SLOW_ITERATION_MS:
             self._log(f"a slow turn: {took:.0f} ms for {len(ready)} sockets")
 
     def _held_ms(self, began_ms: float, sleep_s: float | None) -> float:
@@ -167,10 +167,10 @@
         What was ready as the wait began may have come since the turn before looked; what came during the wait
         ended it at once, unless the process was held up meanwhile."""
         waited_ms = self.turn_ms - began_ms
-        if waited_ms < NO_WAIT_MS:
-            return self.turn_ms - self.before_ms if began_ms - self.before_ms > HELD_UP_MS else 0.0
+        if waited_ms < MIN_WAIT_MS:
+            return self.turn_ms - self.before_ms if began_ms - self.before_ms > STALL_THRESHOLD_MS else 0.0
         late_ms = 0.0 if sleep_s is None else waited_ms - sleep_s * 1000.0
-        return waited_ms if late_ms > HELD_UP_MS else 0.0
+        return waited_ms if late_ms > STALL_THRESHOLD_MS else 0.0
 
     def empty_ms(self, fd: int) -> float:
         """When a descriptor that is watched was last known to have nothing unread."""
@@ -187,28 +187,30 @@
         if self._inbox:
             events, self._inbox = self._inbox, {}
             self._decide(now_ms, list(events.values()))
-        if monotonic_ms() - self.turn_ms > LOOK_AGAIN_MS:
+        if monotonic_ms() - self.turn_ms > REREAD_AFTER_MS:
             self._look_at_first()
         dirty, self._dirty = self._dirty, {}
         for part in dirty:
             self.guarded(part.flush)
 
     def _gather(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
-        groups: dict[Order, list[tuple[selectors.SelectorKey, int]]] = {order: [] for order in Order}
+        groups: dict[ReadPriority, list[tuple[selectors.SelectorKey, int]]] = {
+            order: [] for order in ReadPriority
+        }
         for item in sorted(ready, key=lambda item: item[0].fd not in self._behind):
             groups[self._order(item[0].fd)].append(item)
         self._behind = set()
-        self._serve_ready(groups[Order.FIRST], None)
-        self._serve_ready(groups[Order.OPEN], self._events_until(OPEN_PART))
-        self._serve_ready(groups[Order.NEW], self._events_until(NEW_PART))
+        self._serve_ready(groups[ReadPriority.FIRST], None)
+        self._serve_ready(groups[ReadPriority.OPEN], self._events_until(ACTIVE_SHARE))
+        self._serve_ready(groups[ReadPriority.NEW], self._events_until(IDLE_SHARE))
 
-    def _order(self, descriptor: int) -> Order:
+    def _order(self, descriptor: int) -> ReadPriority:
         order = self._orders.get(descriptor)
-        return Order.OPEN if order is None else order()
+        return ReadPriority.OPEN if order is None else order()
 
     def _events_until(self, part: float) -> int:
         """How many events end the gathering of a group that has this part of them for itself."""
-        return max(EVENTS_MOST, len(self._inbox) + max(1, int(part * EVENTS_MOST)))
+        return max(MAX_EVENTS, len(self._inbox) + max(1, int(part * MAX_EVENTS)))
 
     def _serve_ready(self, ready: list[tuple[selectors.SelectorKey, int]], most: int | None) -> None:
         for place, (key, mask) in enumerate(ready):
@@ -223,7 +225,7 @@
         """Read what is looked at first once more before anything is written. Guards drains: one that was told
         while the process was held up in this turn binds what the turn is about to send."""
         for key, mask in self._selector.select(0):
-            if self._order(key.fd) is Order.FIRST and self._selector.get_map().get(key.fd) is key:
+            if self._order(key.fd) is ReadPriority.FIRST and self._selector.get_map().get(key.fd) is key:
                 self.guarded(key.data, mask)
 
     def guarded(self, call: Callable[..., None], *arguments: object) -> None:
--- a/fawnwharf/net/owners.py
+++ b/fawnwharf/net/owners.py
@@ -2,10 +2,10 @@
 
 from typing import Protocol
 
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net.end_reasons import EndReason
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """Whoever is told what happens on a connection."""
 
     def on_up(self) -> None: ...
@@ -14,16 +14,16 @@
 
     def on_flushed(self) -> None: ...
 
-    def on_end(self, end: End) -> None: ...
+    def on_end(self, end: EndReason) -> None: ...
 
 
-class HalfCloseOwner(Owner, Protocol):
+class HalfCloseOwner(ConnectionOwner, Protocol):
     """One that is also told that the peer has ended its output, and may still queue what the peer is owed."""
 
     def on_half_close(self) -> None: ...
 
 
-class _Nobody:
+class _NoOwner:
     """Owns connections that have ended. Guards the memory: owner and connection would hold each other until
     a full collection, which comes ever more seldom."""
 
@@ -33,7 +33,7 @@
 
     def on_flushed(self) -> None: ...
 
-    def on_end(self, end: End) -> None: ...
+    def on_end(self, end: EndReason) -> None: ...
 
 
-NOBODY = _Nobody()
+NO_OWNER = _NoOwner()
--- a/fawnwharf/net/pieces.py
+++ b/fawnwharf/net/pieces.py
@@ -4,10 +4,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from fawnwharf.net.timer_wheel import Timer, Wheel, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, TimerWheel, monotonic_ms
 
 
-class Piece:
+class WriteBuffer:
     """Bytes to be written, and how many have been.
 
     With `make` they are made anew for each write until the first of them has left, and `size` is an estimate
@@ -37,11 +37,11 @@
         return count - step
 
 
-class PartLimit:
+class PartialWriteLimit:
     """Guards what is passed on against being completed long after it was made: a first piece that stays
     written in part for too long is reported. `pieces` is the connection's own queue."""
 
-    def __init__(self, wheel: Wheel, pieces: deque[Piece], most_ms: float) -> None:
+    def __init__(self, wheel: TimerWheel, pieces: deque[WriteBuffer], most_ms: float) -> None:
         self._wheel, self._pieces, self._most_ms = wheel, pieces, most_ms
         self._timer: Timer | None = None
 
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -12,24 +12,24 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Wire
-from fawnwharf.net.end_reasons import End, told
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.end_reasons import EndReason, attempt_result
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.scorers import ScorerPool
-from fawnwharf.net.streams import Answer, Attempt, Order
+from fawnwharf.net.streams import Answer, Attempt, LoadOrder
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-BODIES_MOST = 32 * 1024 * 1024  # bytes of open requests' bodies: part of the memory limit
-FULL_PUSHBACK_MS = 250.0  # advice where this front end can hold no more; the module never saw the request
-CROWD_MOST = 30
+MAX_BODY_BYTES = 32 * 1024 * 1024  # bytes of open requests' bodies: part of the memory limit
+FULL_RETRY_AFTER_MS = 250.0  # advice where this front end can hold no more; the module never saw the request
+MAX_CONCURRENCY = 30
 
 
 @dataclass(slots=True)
-class Served:
+class Succeeded:
     body: bytes
 
 
 @dataclass(slots=True)
-class Refused:
+class Rejected:
     hold_off_ms: float
 
 
@@ -38,7 +38,7 @@
     pass
 
 
-Outcome = Served | Refused | Failed
+Outcome = Succeeded | Rejected | Failed
 
 
 def _nothing_to_check() -> None:
@@ -75,16 +75,16 @@
     left: bool = False  # its client waits no more, or its time is up
 
 
-class Witness(Protocol):
+class RequestObserver(Protocol):
     """Who is told what goes to scorers and comes back, as it does."""
 
     def sent(self, attempt: Attempt) -> None: ...
 
     def ended(self, attempt: Attempt, ending: io.Ending, warmth: io.Warmth) -> None: ...
 
-    def ordered(self, order: Order) -> None: ...
+    def ordered(self, order: LoadOrder) -> None: ...
 
-    def order_ended(self, order: Order, ending: io.Ending, copies: int) -> None: ...
+    def order_ended(self, order: LoadOrder, ending: io.Ending, copies: int) -> None: ...
 
 
 class RequestTable:
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         pool: ScorerPool,
         wire: Wire,
         classes: Mapping[str, io.ClassSpec] = MappingProxyType({}),
@@ -101,13 +101,13 @@
         self._classes = classes
         self.open: dict[str, OpenRequest] = {}
         self._loop, self._pool, self._wire = loop, pool, wire
-        self.witness: Witness | None = None
+        self.witness: RequestObserver | None = None
         self._bodies = 0
         self._numbers = itertools.count(1)
         # Attempts that are out, also of requests that are over: the module may still call them off.
         self._out: dict[tuple[str, int], Attempt] = {}
         # Orders to load that are out, by function, if a request for it was open here as they were made.
-        self._orders: dict[str, list[Order]] = {}
+        self._orders: dict[str, list[LoadOrder]] = {}
         # Tickets of arrivals that the module is yet to be handed: what ends before then it never hears of.
         self._untold: dict[str, int] = {}
         # Requests that ended while the module did not know it yet, of this batch and of the one before.
@@ -118,8 +118,8 @@
 
     def take(self, call: Call) -> str | None:
         """The key of a new request; None where it was refused at once, untouched."""
-        if len(self.open) >= self._wire.max_open or self._bodies + len(call.body) > BODIES_MOST:
-            call.reply(Refused(FULL_PUSHBACK_MS))
+        if len(self.open) >= self._wire.max_open or self._bodies + len(call.body) > MAX_BODY_BYTES:
+            call.reply(Rejected(FULL_RETRY_AFTER_MS))
             return None
         key = f"r{next(self._numbers)}"
         self._bodies += len(call.body)
@@ -229,7 +229,7 @@
             self._pool.cancel(attempt)
 
     def refuse(self, action: io.Refuse) -> None:
-        self._finish(action.request, Refused(action.hold_off_ms))
+        self._finish(action.request, Rejected(action.hold_off_ms))
 
     def fail(self, action: io.Fail) -> None:
         self._finish(action.request, Failed())
@@ -237,12 +237,15 @@
     # --- from scorers -------------------------------------------------------------------------
 
     def _attempt_ended(
-        self, key: str, number: int, attempt: Attempt, end: End | None, answer: Answer | None
+        self, key: str, number: int, attempt: Attempt, end: EndReason | None, answer: Answer | None
     ) -> None:
         del self._out[key, number]
         if answer is None:
             whole = attempt.whole or not self._may_repeat(attempt)
-            ending, warmth = told(end or End.NEVER_SENT, attempt.begun, whole), io.Warmth.UNTOLD
+            ending, warmth = (
+                attempt_result(end or EndReason.NEVER_SENT, attempt.begun, whole),
+                io.Warmth.UNTOLD,
+            )
             crowd = None
         else:
             ending, warmth, crowd = answer.ending, answer.warmth, self._crowd(answer)
@@ -254,7 +257,7 @@
         # Told before it is finished, as that ends its other attempts: the module takes ends in their order.
         self._loop.tell(io.AttemptEnded(key, number, attempt.worker, ending, took, closed, warmth, crowd))
         if good:
-            self._finish(key, Served(answer.body))
+            self._finish(key, Succeeded(answer.body))
 
     def _may_repeat(self, attempt: Attempt) -> bool:
         """Whether what can't have run may be sent again, though some of it was written."""
@@ -264,10 +267,10 @@
     def _crowd(self, answer: Answer) -> int | None:
         if not self._wire.tells_crowd or answer.ending not in (io.Ending.GOOD, io.Ending.FULL):
             return None
-        return min(CROWD_MOST, answer.crowd)
+        return min(MAX_CONCURRENCY, answer.crowd)
 
     def order(self, action: io.Hold) -> None:
-        order = Order(action.worker, self._order_ended, action.function, action.copies)
+        order = LoadOrder(action.worker, self._order_ended, action.function, action.copies)
         if self.witness:
             self.witness.ordered(order)
         if order.copies:
@@ -275,7 +278,7 @@
         if order.copies and self._is_asked(order.function):
             self._orders.setdefault(order.function, []).append(order)
         elif order.copies and self._was_asked(order.function):
-            self._order_ended(order, End.NEVER_SENT, None)
+            self._order_ended(order, EndReason.NEVER_SENT, None)
             return
         self._pool.order(order)
 
@@ -284,16 +287,18 @@
         ended = itertools.chain(self._ended.values(), self._ended_before.values())
         return any(request.left and request.call.function == function for request in ended)
 
-    def _order_ended(self, order: Order, end: End | None, answer: Answer | None) -> None:
+    def _order_ended(self, order: LoadOrder, end: EndReason | None, answer: Answer | None) -> None:
         self._forget(order)
         took = monotonic_ms() - order.began_ms
-        ending = answer.ending if answer else told(end or End.NEVER_SENT, order.begun, order.whole)
+        ending = (
+            answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, order.begun, order.whole)
+        )
         copies = answer.copies if answer else 0
         if self.witness:
             self.witness.order_ended(order, ending, copies)
         self._loop.tell(io.OrderAnswered(order.worker, order.function, ending, copies, took))
 
-    def _forget(self, order: Order) -> None:
+    def _forget(self, order: LoadOrder) -> None:
         orders = self._orders.get(order.function, [])
         if order in orders:
             orders.remove(order)
--- a/fawnwharf/net/roster_overlay.py
+++ b/fawnwharf/net/roster_overlay.py
@@ -12,16 +12,16 @@
 
 from fawnwharf.config import Fleet, Member
 
-Closer = Callable[[Member], bool]
+RosterFilter = Callable[[Member], bool]
 
 
-class Overlay:
+class RosterOverlay:
     """Keeps the scorers as they are told, and tells them as the closers leave them."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}  # as told
         self.revision = 0
-        self._closers: dict[str, Closer] = {}
+        self._closers: dict[str, RosterFilter] = {}
         self._returned: dict[str, float] = {}  # cold since then, whatever was told; Unix milliseconds
 
     def told(self, fleet: Fleet) -> Fleet:
@@ -43,7 +43,7 @@
                 self._returned.pop(member.id, None)
         return Fleet(laid, fleet.complete, fleet.revision)
 
-    def close(self, who: str, closer: Closer | None) -> Fleet:
+    def close(self, who: str, closer: RosterFilter | None) -> Fleet:
         """Lay a closer over the roster in place of `who`'s earlier one, or take it away; the changes that it
         makes to what was told last.
 
--- a/fawnwharf/net/scorer_frames.py
+++ b/fawnwharf/net/scorer_frames.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 FROM_FRONT_END, FROM_SCORER = 128, 129
-RUN, GIVE_UP, ENSURE, UNLOAD = 1, 2, 5, 7
-OK, MISS, FULL, ERROR, OVER = 0, 2, 3, 4, 5
-BODY_MOST = 256 * 1024  # far over any body that a client may be passed; a length beyond it is no frame
+RUN, ABANDON, LOAD, UNLOAD = 1, 2, 5, 7
+OK, MISS, FULL, ERROR, EXPIRED = 0, 2, 3, 4, 5
+MAX_BODY_BYTES = 256 * 1024  # far over any body that a client may be passed; a length beyond it is no frame
 
-HEAD_ROUGH = 100  # bytes of a frame without its token and its body
+APPROXIMATE_HEADER_BYTES = 100  # bytes of a frame without its token and its body
 
 _HEADER = struct.Struct(">BBHI8s")
 _CHECK = struct.Struct(">I")
@@ -40,12 +40,12 @@
     return encode(RUN, id, f"{fields},token={token}" if token else fields, body)
 
 
-def give_up(id: bytes) -> bytes:
-    return encode(GIVE_UP, id)
+def abandon(id: bytes) -> bytes:
+    return encode(ABANDON, id)
 
 
-def ensure(id: bytes, function: str, copies: int) -> bytes:
-    return encode(ENSURE, id, f"obj={function},slots_up={copies}")
+def load(id: bytes, function: str, copies: int) -> bytes:
+    return encode(LOAD, id, f"obj={function},slots_up={copies}")
 
 
 def unload(function: str) -> bytes:
@@ -77,7 +77,7 @@
         start = 0
         while len(self._buffer) - start >= _HEADER.size:
             mark, code, fields, body, id = _HEADER.unpack_from(self._buffer, start)
-            if mark != self._mark or body > BODY_MOST:
+            if mark != self._mark or body > MAX_BODY_BYTES:
                 self.fault = f"mark {mark}, body of {body} bytes"
                 break
             end = start + _HEADER.size + fields + body
--- a/fawnwharf/net/scorer_links.py
+++ b/fawnwharf/net/scorer_links.py
@@ -5,7 +5,7 @@
 
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net.end_reasons import EndReason
 from fawnwharf.net.streams import Attempt, Stream
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
@@ -15,13 +15,13 @@
 STALL_MS = 250.0  # half a frame that goes no further for this long was cut off: nothing after it can be read
 # A frame that stays written in part for this long ends its link: what would be completed later was made for a
 # client that may have gone, and passes on a time that has run out. Below 100 ms by what a turn may take.
-PART_MOST_MS = 80.0
-SPENT_MOST = 1_024  # ids remembered on one link, as late answers or second copies may still come
-ANSWERED_MOST = 64  # and of those answered well, whose second copies come at once if at all
-WAITING_BYTES_MOST = 256 * 1024  # unwritten on one link: a scorer that does not read gets no more
+MAX_PARTIAL_WRITE_MS = 80.0
+MAX_USED_IDS = 1_024  # ids remembered on one link, as late answers or second copies may still come
+MAX_ANSWERED_IDS = 64  # and of those answered well, whose second copies come at once if at all
+MAX_UNWRITTEN_BYTES = 256 * 1024  # unwritten on one link: a scorer that does not read gets no more
 
 
-class Link:
+class ScorerConnection:
     """One connection to a scorer, and what is open on it."""
 
     def __init__(self, pool: "ScorerPool", scorer: "Scorer") -> None:
@@ -56,14 +56,14 @@
     def takes(self, id: bytes) -> bool:
         room = len(self.streams) < self.pool.wire.streams_per_conn
         fresh = id not in self.streams and id not in self._spent and id not in self._answered
-        return room and fresh and self.connection.waiting_bytes < WAITING_BYTES_MOST
+        return room and fresh and self.connection.waiting_bytes < MAX_UNWRITTEN_BYTES
 
     def idle_ms(self) -> float:
         return 0.0 if self.streams else monotonic_ms() - self.connection.used_ms
 
-    def stale_after_ms(self, end: End, within_ms: float) -> float | None:
+    def stale_after_ms(self, end: EndReason, within_ms: float) -> float | None:
         """How long it was idle, where it broke so soon after it was used again."""
-        broke = end in (End.RESET_BY_PEER, End.CLOSED_BY_PEER) and self.streams
+        broke = end in (EndReason.RESET_BY_PEER, EndReason.CLOSED_BY_PEER) and self.streams
         return self._gap_ms if broke and monotonic_ms() - self._owed_ms < within_ms else None
 
     def start(self, stream: Stream) -> None:
@@ -87,11 +87,11 @@
             return
         self._last_gave_up_ms = monotonic_ms()
         if isinstance(stream, Attempt):
-            self.connection.write(frames.give_up(stream.id))
+            self.connection.write(frames.abandon(stream.id))
         self._spend(stream.id)
 
     def _spend(self, id: bytes, good: bool = False) -> None:
-        spent, most = (self._answered, ANSWERED_MOST) if good else (self._spent, SPENT_MOST)
+        spent, most = (self._answered, MAX_ANSWERED_IDS) if good else (self._spent, MAX_USED_IDS)
         spent[id] = None
         if len(spent) > most:
             del spent[next(iter(spent))]
@@ -115,7 +115,7 @@
                 self.pool.answered(stream, frame)
         if self._reader.fault:
             self.pool.log(f"scorer {self.scorer.id}: bad frame: {self._reader.fault}")
-            self.connection.close(End.BAD_BYTES)
+            self.connection.close(EndReason.BAD_BYTES)
         elif self._reader.waits and self._stall is None:
             self._stall = self.pool.loop.wheel.after(STALL_MS, self._stalled)
 
@@ -128,7 +128,7 @@
             self._stall = self.pool.loop.wheel.after(left, self._stalled)
         else:
             self.pool.log(f"scorer {self.scorer.id}: a frame was cut off")
-            self.connection.close(End.SILENT)
+            self.connection.close(EndReason.SILENT)
 
     def on_flushed(self) -> None:
         late, self._late = self._late, []
@@ -136,5 +136,5 @@
             self.streams.pop(stream.id, None)
             self.pool.too_late(stream)
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         self.pool.link_ended(self, end)
--- a/fawnwharf/net/scorers.py
+++ b/fawnwharf/net/scorers.py
@@ -9,25 +9,35 @@
 from fawnwharf.interface import State, Warmth
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import PASSING, End
-from fawnwharf.net.log import Log
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.scorer_links import PART_MOST_MS, Link
-from fawnwharf.net.streams import WARMTHS, Answer, Attempt, Order, Stream, number
+from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason
+from fawnwharf.net.log import LogWriter
+from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.scorer_links import MAX_PARTIAL_WRITE_MS, ScorerConnection
+from fawnwharf.net.streams import WARMTH_BY_FIELD, Answer, Attempt, LoadOrder, Stream, parse_count
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-QUIET_MS = 1_000.0  # a link that owes an answer and says nothing for this long gets nothing new
-IDLE_PART = 0.7  # of the keep-alive: closed here before the scorer does, so that no send crosses a close
+SILENT_MS = 1_000.0  # a link that owes an answer and says nothing for this long gets nothing new
+KEEPALIVE_SHARE = (
+    0.7  # of the keep-alive: closed here before the scorer does, so that no send crosses a close
+)
 # Something on the way may forget links that were idle for far less than the keep-alive: a call that is reset
 # at once on such a link says how long is too long. The trust grows again while nothing of the kind happens.
-STALE_SIGN_MS = 20.0  # a reset so soon after the first bytes was none by the call
-TRUST_LEAST_MS, TRUST_PART, TRUST_GROWTH = 50.0, 0.7, 1.02  # the last at each look, four times a second
-DIAL_PAUSE_MS = 20.0  # after a dial that failed by a fault of this machine's own, which may have passed then
-REDIALS_MOST = 3  # in a row: a dial that is reset as it comes up shows that somebody listens
-LINKS_MOST = 6  # to one scorer
-LINKS_SPREAD = 4  # up to so many, a call finds a link of its own: what spoils one ends all that is on it
-HANDSHAKE_DEAR = 0.02  # where a handshake costs more points, calls share links while these have room
-SPREAD_PART = 0.7  # of the descriptors for links: the rest is kept for calls that find none
+STALE_RESET_MS = 20.0  # a reset so soon after the first bytes was none by the call
+MIN_REUSE_IDLE_MS, REUSE_IDLE_DECREASE, REUSE_IDLE_GROWTH = (
+    50.0,
+    0.7,
+    1.02,
+)  # the last at each look, four times a second
+REDIAL_DELAY_MS = (
+    20.0  # after a dial that failed by a fault of this machine's own, which may have passed then
+)
+MAX_REDIALS = 3  # in a row: a dial that is reset as it comes up shows that somebody listens
+MAX_CONNECTIONS = 6  # to one scorer
+SPREAD_CONNECTIONS = (
+    4  # up to so many, a call finds a link of its own: what spoils one ends all that is on it
+)
+EXPENSIVE_HANDSHAKE = 0.02  # where a handshake costs more points, calls share links while these have room
+SPREAD_SHARE = 0.7  # of the descriptors for links: the rest is kept for calls that find none
 
 
 @dataclass(slots=True, eq=False)
@@ -39,29 +49,29 @@
     state: State
     up_since_ms: float
     redials: int = 0  # since a link came up
-    links: list[Link] = field(default_factory=list)
+    links: list[ScorerConnection] = field(default_factory=list)
     waiting: deque[Stream] = field(default_factory=deque)
     redial: Timer | None = None  # set while a fault of this machine's own keeps it from being dialled
 
-    def link_for(self, id: bytes, trust_ms: float) -> Link | None:
+    def link_for(self, id: bytes, trust_ms: float) -> ScorerConnection | None:
         able = [link for link in self.links if link.up and not link.retired and link.takes(id)]
         able = [link for link in able if link.idle_ms() <= trust_ms]
-        lively = [link for link in able if not link.quiet(QUIET_MS)]
-        if not lively and len(self.links) >= LINKS_MOST:
+        lively = [link for link in able if not link.quiet(SILENT_MS)]
+        if not lively and len(self.links) >= MAX_CONNECTIONS:
             lively = able
         # Of links that are as empty, the one used last: one long idle may be about to be closed.
         best = min(lively, key=lambda link: (len(link.streams), -link.connection.used_ms), default=None)
         if best and not best.streams and best.connection.unread() == b"":
             # Guards calls that may not run twice: what is written to an ended connection may have run.
-            best.connection.close(End.CLOSED_BY_PEER)
+            best.connection.close(EndReason.CLOSED_BY_PEER)
             return self.link_for(id, trust_ms)
         return best
 
     def crowded(self) -> bool:
         """Whether the next call would share a link, while there may be more of them."""
-        return len(self.links) < LINKS_SPREAD and all(link.up and link.streams for link in self.links)
+        return len(self.links) < SPREAD_CONNECTIONS and all(link.up and link.streams for link in self.links)
 
-    def current(self) -> list[Link]:
+    def current(self) -> list[ScorerConnection]:
         """Its links, without those to an address or a process that it had before."""
         return [link for link in self.links if not link.retired]
 
@@ -73,11 +83,11 @@
 class ScorerPool:
     """Owns the scorers and their links, within a share of the descriptors."""
 
-    def __init__(self, loop: Loop, wire: Wire, links_most: int, seed: int, log: Log) -> None:
+    def __init__(self, loop: EventLoop, wire: Wire, links_most: int, seed: int, log: LogWriter) -> None:
         self.loop, self.wire, self.log = loop, wire, log
         self.scorers: dict[int, Scorer] = {}
         self.links_most, self._links = links_most, 0
-        self._trust_most_ms = max(TRUST_LEAST_MS, IDLE_PART * wire.keepalive_ms)
+        self._trust_most_ms = max(MIN_REUSE_IDLE_MS, KEEPALIVE_SHARE * wire.keepalive_ms)
         self._trust_ms = self._trust_most_ms  # a link idle for longer is not used again
         self._order_ids = itertools.count(random.Random(seed).getrandbits(62))
 
@@ -116,7 +126,7 @@
         for stream in [*scorer.waiting, *unwritten]:
             if stream.is_new_work or scorer.state is State.GONE:
                 self._take_off(stream)
-                self._end(stream, End.PULLED_BACK)
+                self._end(stream, EndReason.PULLED_BACK)
 
     def _retire(self, scorer: Scorer) -> list[Stream]:
         """Use its links for nothing new; the streams on them of which nothing was written, taken off."""
@@ -128,7 +138,7 @@
                 stream.link = stream.piece = None
                 unsent.append(stream)
             if link.up and not link.streams:
-                link.connection.close(End.RETIRED)
+                link.connection.close(EndReason.RETIRED)
         return unsent
 
     def _drop_if_empty(self, scorer: Scorer) -> None:
@@ -151,7 +161,7 @@
         else:
             self._out_of_time(attempt)
 
-    def order(self, order: Order) -> None:
+    def order(self, order: LoadOrder) -> None:
         order.id = next(self._order_ids).to_bytes(8, "big")
         order.timer = self.loop.wheel.after(self.wire.load_wait_ms, lambda: self._out_of_time(order))
         self._place(order)
@@ -172,7 +182,7 @@
         scorer = self.scorers.get(stream.worker)
         closed = scorer is None or scorer.state is State.GONE
         if closed or (stream.is_new_work and scorer.state is not State.READY) or stream.too_late():
-            self._end(stream, End.NEVER_SENT)
+            self._end(stream, EndReason.NEVER_SENT)
         elif link := scorer.link_for(stream.id, self._trust_ms):
             stream.wait_no_longer()
             link.start(stream)
@@ -191,7 +201,7 @@
 
     def _waited_out(self, stream: Stream) -> None:
         self._take_off(stream)
-        self._end(stream, End.NEVER_SENT)
+        self._end(stream, EndReason.NEVER_SENT)
         if scorer := self.scorers.get(stream.worker):
             self._drop_if_empty(scorer)
 
@@ -202,15 +212,15 @@
 
     def _may_spread(self) -> bool:
         """Guards scorers' connections and the price: many front ends with links to each run them short."""
-        cheap = self.wire.handshake_price < HANDSHAKE_DEAR
-        return cheap and self._links < SPREAD_PART * self.links_most
+        cheap = self.wire.handshake_price < EXPENSIVE_HANDSHAKE
+        return cheap and self._links < SPREAD_SHARE * self.links_most
 
     def _dial(self, scorer: Scorer) -> None:
         """As many dials as the waiting streams need; none while a fault of this machine's own may last."""
         while scorer.redial is None and scorer.dialling() * self.wire.streams_per_conn < len(scorer.waiting):
-            full = len(scorer.current()) >= LINKS_MOST or not self._has_room()
-            failed = End.NO_DESCRIPTOR if full else self._dial_one(scorer)
-            if failed in PASSING and not full:
+            full = len(scorer.current()) >= MAX_CONNECTIONS or not self._has_room()
+            failed = EndReason.NO_DESCRIPTOR if full else self._dial_one(scorer)
+            if failed in LOCAL_REASONS and not full:
                 self._dial_later(scorer)
             elif failed and not scorer.dialling():
                 self._fail_waiting(scorer, failed)
@@ -224,54 +234,54 @@
         if self._links >= self.links_most:
             links = [link for scorer in self.scorers.values() for link in scorer.links]
             idle = [link for link in links if link.up and not link.streams]
-            if longest := max(idle, key=Link.idle_ms, default=None):
-                longest.connection.close(End.IDLE)
+            if longest := max(idle, key=ScorerConnection.idle_ms, default=None):
+                longest.connection.close(EndReason.IDLE)
         return self._links < self.links_most
 
     def _dial_later(self, scorer: Scorer) -> None:
         """Guards the scorer's good name, the loop and the requests against a passing fault of this machine:
         what waits goes on waiting, and is dialled for again after a pause."""
         if scorer.redial is None:
-            scorer.redial = self.loop.wheel.after(DIAL_PAUSE_MS, lambda: self._dial_again(scorer))
+            scorer.redial = self.loop.wheel.after(REDIAL_DELAY_MS, lambda: self._dial_again(scorer))
 
     def _dial_again(self, scorer: Scorer) -> None:
         scorer.redial = None
         self._place_waiting(scorer)
 
-    def _dial_one(self, scorer: Scorer) -> End | None:
-        link = Link(self, scorer)
+    def _dial_one(self, scorer: Scorer) -> EndReason | None:
+        link = ScorerConnection(self, scorer)
         made = Connection.dial(self.loop, scorer.address, link, self.wire.dial_timeout_ms)
-        if isinstance(made, End):
+        if isinstance(made, EndReason):
             return made
         link.connection = made
-        made.limit_parts(PART_MOST_MS)
+        made.limit_parts(MAX_PARTIAL_WRITE_MS)
         scorer.links.append(link)
         self._links += 1
         return None
 
-    def _fail_waiting(self, scorer: Scorer, end: End) -> None:
+    def _fail_waiting(self, scorer: Scorer, end: EndReason) -> None:
         waiting, scorer.waiting = scorer.waiting, deque()
         for stream in waiting:
             self._end(stream, end)
 
-    def link_up(self, link: Link) -> None:
+    def link_up(self, link: ScorerConnection) -> None:
         if not link.retired:
             link.scorer.redials = 0
             self._place_waiting(link.scorer)
         if link.retired and not link.streams:  # its scorer went while it was dialled
-            link.connection.close(End.RETIRED)
+            link.connection.close(EndReason.RETIRED)
 
     # --- ends ---------------------------------------------------------------------------------
 
-    def link_ended(self, link: Link, end: End) -> None:
+    def link_ended(self, link: ScorerConnection, end: EndReason) -> None:
         scorer = link.scorer
         scorer.links.remove(link)
         self._links -= 1
-        if (gap := link.stale_after_ms(end, STALE_SIGN_MS)) is not None and gap >= TRUST_LEAST_MS:
-            self._trust_ms = min(self._trust_ms, max(TRUST_LEAST_MS, TRUST_PART * gap))
+        if (gap := link.stale_after_ms(end, STALE_RESET_MS)) is not None and gap >= MIN_REUSE_IDLE_MS:
+            self._trust_ms = min(self._trust_ms, max(MIN_REUSE_IDLE_MS, REUSE_IDLE_DECREASE * gap))
         streams, link.streams = list(link.streams.values()), {}
         for stream in streams:
-            if stream.begun or end is End.STOPPED:
+            if stream.begun or end is EndReason.STOPPED:
                 self._end(stream, end)
             else:  # the scorer saw none of it: another connection may serve
                 stream.link = stream.piece = None
@@ -280,12 +290,12 @@
             self._dial_failed(scorer, end)
         self._drop_if_empty(scorer)
 
-    def _dial_failed(self, scorer: Scorer, end: End) -> None:
-        if end in PASSING:
+    def _dial_failed(self, scorer: Scorer, end: EndReason) -> None:
+        if end in LOCAL_REASONS:
             self._dial_later(scorer)
         elif scorer.dialling():
             return
-        elif end is End.RESET_BY_PEER and scorer.redials < REDIALS_MOST:
+        elif end is EndReason.RESET_BY_PEER and scorer.redials < MAX_REDIALS:
             scorer.redials += 1
             self._dial(scorer)
         else:
@@ -293,29 +303,29 @@
 
     def answered(self, stream: Stream, frame: frames.Frame) -> None:
         fields = frame.fields
-        warmth = WARMTHS.get(fields.get("res", ""), Warmth.UNTOLD)
-        crowd, copies = number(fields.get("company")), number(fields.get("slots_up"))
+        warmth = WARMTH_BY_FIELD.get(fields.get("res", ""), Warmth.UNTOLD)
+        crowd, copies = parse_count(fields.get("company")), parse_count(fields.get("slots_up"))
         self._end(stream, None, Answer(stream.ending(frame.code), frame.body, warmth, crowd, copies))
 
     def cancel(self, stream: Stream) -> None:
         if not stream.over:
             self._take_off(stream)
-            self._end(stream, End.CALLED_OFF)
+            self._end(stream, EndReason.CALLED_OFF)
 
     def take_back(self, stream: Stream) -> None:
         """End it as never sent where nothing of it has been written; else leave it as it is."""
         if not stream.over and not stream.begun:
             self._take_off(stream)
-            self._end(stream, End.NEVER_SENT)
+            self._end(stream, EndReason.NEVER_SENT)
 
     def too_late(self, stream: Stream) -> None:
         """It was too late when it was to be written; the link has let go of it."""
-        self._end(stream, End.NEVER_SENT)
+        self._end(stream, EndReason.NEVER_SENT)
 
     def _out_of_time(self, stream: Stream) -> None:
         begun = stream.begun
         self._take_off(stream)
-        self._end(stream, End.OUT_OF_TIME if begun else End.NEVER_SENT)
+        self._end(stream, EndReason.OUT_OF_TIME if begun else EndReason.NEVER_SENT)
 
     def _take_off(self, stream: Stream) -> None:
         if stream.link is not None:
@@ -323,7 +333,7 @@
         elif (scorer := self.scorers.get(stream.worker)) and stream in scorer.waiting:
             scorer.waiting.remove(stream)
 
-    def _end(self, stream: Stream, end: End | None, answer: Answer | None = None) -> None:
+    def _end(self, stream: Stream, end: EndReason | None, answer: Answer | None = None) -> None:
         if stream.over:
             return
         stream.over = True
@@ -333,23 +343,23 @@
         link, stream.link = stream.link, None
         stream.ended(stream, end, answer)
         if link and link.retired and not link.streams and link.up:
-            link.connection.close(End.RETIRED)
+            link.connection.close(EndReason.RETIRED)
 
     # --- now and then -------------------------------------------------------------------------
 
     def tidy(self) -> None:
         """Close what has been idle, and what has owed an answer in silence to the last."""
-        self._trust_ms = min(self._trust_most_ms, TRUST_GROWTH * self._trust_ms)
+        self._trust_ms = min(self._trust_most_ms, REUSE_IDLE_GROWTH * self._trust_ms)
         for scorer in list(self.scorers.values()):
             for link in list(scorer.links):
                 if not link.up or link.streams:
                     continue
-                silent = link.given_up_unheard(QUIET_MS)
+                silent = link.given_up_unheard(SILENT_MS)
                 if silent or link.idle_ms() > self._trust_ms:
-                    link.connection.close(End.SILENT if silent else End.IDLE)
+                    link.connection.close(EndReason.SILENT if silent else EndReason.IDLE)
 
     def close(self) -> None:
         for scorer in list(self.scorers.values()):
             for link in list(scorer.links):
                 if link.connection:
-                    link.connection.close(End.STOPPED)
+                    link.connection.close(EndReason.STOPPED)
--- a/fawnwharf/net/streams.py
+++ b/fawnwharf/net/streams.py
@@ -7,29 +7,29 @@
 
 from fawnwharf.interface import Ending, Warmth
 from fawnwharf.net import scorer_frames as frames
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.pieces import Piece
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.pieces import WriteBuffer
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 if TYPE_CHECKING:
-    from fawnwharf.net.scorer_links import Link
+    from fawnwharf.net.scorer_links import ScorerConnection
 
-WARMTHS = {
+WARMTH_BY_FIELD = {
     "reused": Warmth.FOUND,
     "init": Warmth.BEGAN_LOAD,
     "shared_init": Warmth.WAITED_FOR_LOAD,
     "init_error": Warmth.LOAD_FAILED,
 }
-ATTEMPT_ENDINGS = {
+ATTEMPT_RESULT_BY_CODE = {
     frames.OK: Ending.GOOD,
     frames.MISS: Ending.MISS,
     frames.FULL: Ending.FULL,
-    frames.OVER: Ending.NOT_SENT,
+    frames.EXPIRED: Ending.NOT_SENT,
 }
 # An order to load that could not leave for so long does not leave any more: the decisions count it against
 # the ration from when they gave it, a scorer from when it comes.
-ORDER_WAIT_MS = 100.0
-ORDER_ENDINGS = {frames.OK: Ending.GOOD, frames.FULL: Ending.FULL}
+LOAD_ORDER_WAIT_MS = 100.0
+LOAD_ORDER_RESULT_BY_CODE = {frames.OK: Ending.GOOD, frames.FULL: Ending.FULL}
 
 
 @dataclass(slots=True)
@@ -46,10 +46,10 @@
     """Something sent to a scorer that gets one end: by an answer or by an End."""
 
     worker: int
-    ended: Callable[["Stream", End | None, Answer | None], None]
+    ended: Callable[["Stream", EndReason | None, Answer | None], None]
     began_ms: float = field(default_factory=monotonic_ms, init=False)
-    link: "Link | None" = field(default=None, init=False)
-    piece: Piece | None = field(default=None, init=False)
+    link: "ScorerConnection | None" = field(default=None, init=False)
+    piece: WriteBuffer | None = field(default=None, init=False)
     timer: Timer | None = field(default=None, init=False)
     wait_timer: Timer | None = field(default=None, init=False)  # set while it waits for a connection
     over: bool = field(default=False, init=False)
@@ -91,24 +91,24 @@
 
     def rough_size(self) -> int:
         """About how many bytes its frame will have."""
-        return frames.HEAD_ROUGH + len(self.token) + len(self.body)
+        return frames.APPROXIMATE_HEADER_BYTES + len(self.token) + len(self.body)
 
     def frame(self) -> bytes:
         left = self.deadline_ms - monotonic_ms()
         return frames.run(self.id, self.kind, self.function, left, self.token, self.body)
 
     def ending(self, code: int) -> Ending:
-        return ATTEMPT_ENDINGS.get(code, Ending.ERROR)  # what it can't read may have run
+        return ATTEMPT_RESULT_BY_CODE.get(code, Ending.ERROR)  # what it can't read may have run
 
 
 @dataclass(slots=True, eq=False)
-class Order(Stream):
+class LoadOrder(Stream):
     function: str = ""
     copies: int = 0
 
     def too_late(self) -> bool:
         """Whether it must not begin to be written any more, as the ration counts it from when it was made."""
-        return self.is_new_work and monotonic_ms() >= self.began_ms + ORDER_WAIT_MS
+        return self.is_new_work and monotonic_ms() >= self.began_ms + LOAD_ORDER_WAIT_MS
 
     @property
     def is_new_work(self) -> bool:  # a question is none
@@ -116,14 +116,14 @@
 
     def rough_size(self) -> int:
         """About how many bytes its frame will have."""
-        return frames.HEAD_ROUGH
+        return frames.APPROXIMATE_HEADER_BYTES
 
     def frame(self) -> bytes:
-        return frames.ensure(self.id, self.function, self.copies)
+        return frames.load(self.id, self.function, self.copies)
 
     def ending(self, code: int) -> Ending:
-        return ORDER_ENDINGS.get(code, Ending.ERROR)
+        return LOAD_ORDER_RESULT_BY_CODE.get(code, Ending.ERROR)
 
 
-def number(text: str | None) -> int:
+def parse_count(text: str | None) -> int:
     return int(text) if text and text.isascii() and text.isdigit() and len(text) < 10 else 0
--- a/fawnwharf/net/thrift.py
+++ b/fawnwharf/net/thrift.py
@@ -6,12 +6,12 @@
 import struct
 from dataclasses import dataclass
 
-FRAME_MOST = 48 * 1024  # a body of 16 KiB and its fields take far less
-HEAD_MOST = 256  # bytes kept of an oversized frame, to read its sequence number from
-BODY_MOST = 16 * 1024
-NAME_MOST = 64
-DEPTH_MOST = 16  # of nested values in a field that is passed over
-ENTRIES_MOST = 64  # in a map of fields
+MAX_FRAME_BYTES = 48 * 1024  # a body of 16 KiB and its fields take far less
+MAX_HEADER_BYTES = 256  # bytes kept of an oversized frame, to read its sequence number from
+MAX_BODY_BYTES = 16 * 1024
+MAX_NAME_LENGTH = 64
+MAX_DEPTH = 16  # of nested values in a field that is passed over
+MAX_MAP_ENTRIES = 64  # in a map of fields
 
 VERSION = 0x80010000
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
@@ -26,7 +26,7 @@
 _MAP = struct.Struct(">bbi")
 
 
-class Malformed(ValueError):
+class MalformedMessageError(ValueError):
     """A frame that is no valid message; `seqid` is None where it can't be told what it answers to."""
 
     def __init__(self, text: str, seqid: int | None = None, kind: int = PROTOCOL_ERROR) -> None:
@@ -34,7 +34,7 @@
         self.seqid, self.kind = seqid, kind
 
 
-class CutShort(Malformed):
+class TruncatedMessageError(MalformedMessageError):
     """A message that ends within its head."""
 
 
@@ -82,16 +82,16 @@
         """Go on from another reader's state."""
         self._buffer, self._skip = bytearray(partial), skip
 
-    def feed(self, data: bytes) -> list[Message | Malformed]:
+    def feed(self, data: bytes) -> list[Message | MalformedMessageError]:
         self._buffer += data
-        found: list[Message | Malformed] = []
+        found: list[Message | MalformedMessageError] = []
         start = 0
         while True:
             start = self._pass_over(start)
             if len(self._buffer) - start < 4:
                 break
             (size,) = _U32.unpack_from(self._buffer, start)
-            if size > FRAME_MOST:
+            if size > MAX_FRAME_BYTES:
                 if (fault := self._oversized(start + 4, size)) is None:
                     break
                 found.append(fault)
@@ -111,15 +111,15 @@
         self._skip -= step
         return start + step
 
-    def _oversized(self, start: int, size: int) -> Malformed | None:
+    def _oversized(self, start: int, size: int) -> MalformedMessageError | None:
         """What it answers to, once enough of it has come to tell; None until then."""
-        fault = Malformed(f"a frame of {size} bytes")
+        fault = MalformedMessageError(f"a frame of {size} bytes")
         if size < 2**31:
             try:
-                fault.seqid = _head(bytes(self._buffer[start : start + HEAD_MOST]))[2]
-            except CutShort:
+                fault.seqid = _head(bytes(self._buffer[start : start + MAX_HEADER_BYTES]))[2]
+            except TruncatedMessageError:
                 return None
-            except Malformed:
+            except MalformedMessageError:
                 pass
         return fault
 
@@ -129,32 +129,32 @@
     try:
         (version,) = _U32.unpack_from(data, 0)
         if version & 0xFFFF0000 != VERSION:
-            raise Malformed("not the strict binary protocol")
+            raise MalformedMessageError("not the strict binary protocol")
         (length,) = _I32.unpack_from(data, 4)
-        if not 0 <= length <= NAME_MOST:
-            raise Malformed("the name has no sensible length")
+        if not 0 <= length <= MAX_NAME_LENGTH:
+            raise MalformedMessageError("the name has no sensible length")
         name = data[8 : 8 + length].decode("ascii", "replace")
         (seqid,) = _I32.unpack_from(data, 8 + length)
     except struct.error:
-        raise CutShort("the message is cut short") from None
+        raise TruncatedMessageError("the message is cut short") from None
     return version & 0xFF, name, seqid, 12 + length
 
 
-def _message(data: bytes) -> Message | Malformed:
+def _message(data: bytes) -> Message | MalformedMessageError:
     seqid = None
     try:
         kind, name, seqid, start = _head(data)
         reader = _READERS.get(name)
         if reader is None:
-            return Malformed("no such method", seqid, UNKNOWN_METHOD)
+            return MalformedMessageError("no such method", seqid, UNKNOWN_METHOD)
         if kind not in (CALL, ONEWAY):
-            return Malformed("not a call", seqid, INVALID_TYPE)
+            return MalformedMessageError("not a call", seqid, INVALID_TYPE)
         return reader(seqid, _Arguments(data, start).read())
-    except Malformed as error:
+    except MalformedMessageError as error:
         error.seqid = seqid
         return error
     except (struct.error, UnicodeDecodeError, IndexError):
-        return Malformed("the arguments can't be read", seqid)
+        return MalformedMessageError("the arguments can't be read", seqid)
 
 
 class _Arguments:
@@ -170,7 +170,7 @@
             self.at += 2
             found[number, kind] = self._value(kind, 0)
         if self.at != len(self.data):
-            raise Malformed("bytes follow the arguments")
+            raise MalformedMessageError("bytes follow the arguments")
         return found
 
     def _byte(self) -> int:
@@ -186,7 +186,7 @@
         """A number of elements; one that the rest of the frame can't hold is refused before any work."""
         count = self._int()
         if not 0 <= count <= (len(self.data) - self.at) // max(1, least_width):
-            raise Malformed("a length that the frame can't hold")
+            raise MalformedMessageError("a length that the frame can't hold")
         return count
 
     def _string(self) -> bytes:
@@ -195,8 +195,8 @@
         return self.data[self.at - length : self.at]
 
     def _value(self, kind: int, depth: int) -> object:
-        if depth > DEPTH_MOST:
-            raise Malformed("values nested too deep")
+        if depth > MAX_DEPTH:
+            raise MalformedMessageError("values nested too deep")
         if kind == STRING:
             return self._string()
         if kind == I32:
@@ -216,13 +216,13 @@
                 self.at += 2
                 self._value(inner, depth + 1)
             return None
-        raise Malformed("an unknown type of field")
+        raise MalformedMessageError("an unknown type of field")
 
     def _map(self, depth: int) -> dict[object, object]:
         key, value = self._byte(), self._byte()
         count = self._count(2)
-        if count > ENTRIES_MOST:
-            raise Malformed("too many fields")
+        if count > MAX_MAP_ENTRIES:
+            raise MalformedMessageError("too many fields")
         found = {}
         for _ in range(count):
             name = self._value(key, depth + 1)
@@ -235,9 +235,9 @@
 def _handle(seqid: int, arguments: dict[tuple[int, int], object]) -> Handle:
     fields, body = arguments.get((1, MAP)), arguments.get((2, STRING), b"")
     if not isinstance(fields, dict):
-        raise Malformed("no fields")
-    if len(body) > BODY_MOST:
-        raise Malformed("the body is too large")
+        raise MalformedMessageError("no fields")
+    if len(body) > MAX_BODY_BYTES:
+        raise MalformedMessageError("the body is too large")
     texts = {name.decode(): value.decode() for name, value in fields.items() if isinstance(value, bytes)}
     return Handle(seqid, texts, body)
 
@@ -245,7 +245,7 @@
 def _withdraw(seqid: int, arguments: dict[tuple[int, int], object]) -> Withdraw:
     target = arguments.get((1, I32))
     if not isinstance(target, int):
-        raise Malformed("no sequence number to withdraw")
+        raise MalformedMessageError("no sequence number to withdraw")
     return Withdraw(target)
 
 
--- a/fawnwharf/net/timer_wheel.py
+++ b/fawnwharf/net/timer_wheel.py
@@ -6,9 +6,11 @@
 
 TICK_MS = 4.0
 SLOTS = 512  # a turn of the wheel takes two seconds; longer timers stay on it for some turns
-STEP_MS = 100.0  # by which the system's clocks move apart at once where its Unix time is set; drift is slower
-READ_MOST_MS = 20.0  # between two readings that are held against each other
-SLEW = 0.005  # part of the time passed by which the shown clock may run fast or slow
+MIN_STEP_MS = (
+    100.0  # by which the system's clocks move apart at once where its Unix time is set; drift is slower
+)
+MAX_READING_GAP_MS = 20.0  # between two readings that are held against each other
+MAX_SLEW = 0.005  # part of the time passed by which the shown clock may run fast or slow
 
 
 def monotonic_ms() -> float:
@@ -43,16 +45,16 @@
     def now_ms(self) -> float:
         """Now, as the module is shown it."""
         before, wall, at = self._steady(), self._wall(), self._steady()
-        if at - before < READ_MOST_MS:  # held up between the readings, they say nothing of each other
+        if at - before < MAX_READING_GAP_MS:  # held up between the readings, they say nothing of each other
             self._follow(at, wall - at)
         self._at = at
         return at + self._offset
 
     def _follow(self, at: float, apart: float) -> None:
         step, self._apart = apart - self._apart, apart
-        if abs(step) >= STEP_MS:
+        if abs(step) >= MIN_STEP_MS:
             self.stepped_ms, self.stepped_by_ms = at, self.stepped_by_ms + step
-        most = SLEW * (at - self._at)
+        most = MAX_SLEW * (at - self._at)
         self._offset += max(-most, min(most, apart - self.stepped_by_ms - self._offset))
 
 
@@ -66,7 +68,7 @@
         self.callback = None
 
 
-class Wheel:
+class TimerWheel:
     """Never early, and late by a tick at the most."""
 
     def __init__(self, steady: Callable[[], float] = monotonic_ms) -> None:
--- a/fawnwharf/net/writing.py
+++ b/fawnwharf/net/writing.py
@@ -5,33 +5,33 @@
 from collections.abc import Callable
 from itertools import islice
 
-from fawnwharf.net.end_reasons import PASSING, End, SystemCall, end_of
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.owners import Owner
-from fawnwharf.net.pieces import PartLimit, Piece
+from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason, SystemCall, end_reason_of
+from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.owners import ConnectionOwner
+from fawnwharf.net.pieces import PartialWriteLimit, WriteBuffer
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-PIECES_MOST = 64  # in one write
+MAX_BUFFERS = 64  # in one write
 WRITE_PAUSE_MS = 20.0  # after a write that failed for want of memory: the system gets time to find some
 
 
-class WritingHalf:
+class ConnectionWriter:
     """What a `Connection` writes; it has the socket, and says how the connection ends."""
 
-    loop: Loop
-    owner: Owner
+    loop: EventLoop
+    owner: ConnectionOwner
     up: bool
     closed: bool
     used_ms: float
     waiting_bytes: int
     _sock: socket.socket
-    _outbox: deque[Piece]
+    _outbox: deque[WriteBuffer]
     _blocked: bool
-    _part_limit: PartLimit | None
+    _part_limit: PartialWriteLimit | None
     _write_pause: Timer | None
-    _finishing: End | None
+    _finishing: EndReason | None
 
-    def close(self, end: End) -> None:
+    def close(self, end: EndReason) -> None:
         """End the connection at once."""
         raise NotImplementedError
 
@@ -41,27 +41,27 @@
     def _set_mask(self) -> None:
         raise NotImplementedError
 
-    def write(self, data: bytes) -> Piece:
+    def write(self, data: bytes) -> WriteBuffer:
         """Queue bytes for this turn's one write."""
-        return self._queue(Piece(data))
+        return self._queue(WriteBuffer(data))
 
-    def write_late(self, make: Callable[[], bytes | None], size: int) -> Piece:
+    def write_late(self, make: Callable[[], bytes | None], size: int) -> WriteBuffer:
         """Queue what is made as its first byte is about to leave, for what goes stale while it waits; `size`:
         about how many bytes that will be. None from `make`: it is not written any more."""
-        return self._queue(Piece(b"", make, size))
+        return self._queue(WriteBuffer(b"", make, size))
 
     def limit_parts(self, most_ms: float) -> None:
         """End it where a piece stays written in part for longer than this."""
-        self._part_limit = PartLimit(self.loop.wheel, self._outbox, most_ms)
+        self._part_limit = PartialWriteLimit(self.loop.wheel, self._outbox, most_ms)
 
-    def _queue(self, piece: Piece) -> Piece:
+    def _queue(self, piece: WriteBuffer) -> WriteBuffer:
         if not self.closed:
             self._outbox.append(piece)
             self.waiting_bytes += piece.size
             self.loop.flush_later(self)
         return piece
 
-    def take_back(self, piece: Piece) -> bool:
+    def take_back(self, piece: WriteBuffer) -> bool:
         """Unqueue a piece of which nothing has been written; False where it is too late."""
         if piece.begun or piece not in self._outbox:
             return False
@@ -83,14 +83,14 @@
         if self._part_limit and self._part_limit.overdue():
             self._part_overdue()
             return
-        pieces = [piece for piece in list(islice(self._outbox, PIECES_MOST)) if self._made(piece)]
+        pieces = [piece for piece in list(islice(self._outbox, MAX_BUFFERS)) if self._made(piece)]
         views = [memoryview(piece.data)[piece.written :] for piece in pieces]
         try:
             count = self._sock.sendmsg(views) if views else 0
         except BlockingIOError:
             count = 0
         except OSError as error:
-            self._write_failed(end_of(error, SystemCall.SEND))
+            self._write_failed(end_reason_of(error, SystemCall.SEND))
             return
         self.waiting_bytes -= count
         now = monotonic_ms()
@@ -105,7 +105,7 @@
         if self._part_limit:
             self._part_limit.watch(self._part_overdue)
 
-    def _made(self, piece: Piece) -> bool:
+    def _made(self, piece: WriteBuffer) -> bool:
         """Have a piece's bytes made for the write that follows; one that must not leave is taken out."""
         if piece.make is None:
             return True
@@ -117,10 +117,10 @@
         piece.data, piece.size = data, len(data)
         return True
 
-    def _write_failed(self, end: End) -> None:
+    def _write_failed(self, end: EndReason) -> None:
         """Try again after a pause where the fault is this machine's own and passes; else end it, once what
         the peer sent before is read: an answer may lie there that came after the turn's reads."""
-        if end not in PASSING:
+        if end not in LOCAL_REASONS:
             if self._reading:
                 self._read()
             self.close(end)
@@ -128,7 +128,7 @@
         self._write_pause = self.loop.wheel.after(WRITE_PAUSE_MS, self._write_on)
 
     def _part_overdue(self) -> None:
-        self.close(End.LOCAL_FAULT if self._write_pause else End.STUFFED)
+        self.close(EndReason.LOCAL_FAULT if self._write_pause else EndReason.STUFFED)
 
     def _write_on(self) -> None:
         self._write_pause = None
--- a/fawnwharf/policy_rollout/judged.py
+++ b/fawnwharf/policy_rollout/judged.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Outcome, Refused
+from fawnwharf.net.requests import Call, Outcome, Rejected
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import InForce
@@ -95,13 +95,13 @@
         if by.how != "waiting":
             self._hand_down(number, taken)
         elif len(self._held) >= HELD_MOST or self._held_bytes + len(call.body) > HELD_BYTES_MOST:
-            call.reply(Refused(PUSHBACK_MS))
+            call.reply(Rejected(PUSHBACK_MS))
         else:
             self._done(number)
             self._held[number] = taken
             self._held_bytes += len(call.body)
             most_ms = min(HOLD_MOST_MS, HOLD_PART * call.budget_ms)
-            taken.timer = self._after(most_ms, lambda: call.reply(Refused(PUSHBACK_MS)))
+            taken.timer = self._after(most_ms, lambda: call.reply(Rejected(PUSHBACK_MS)))
         return number if number in self._open else None
 
     def _hand_down(self, number: str, taken: _Taken) -> None:
@@ -129,7 +129,7 @@
     def refuse(self) -> None:
         """Refuse the held calls, as nobody will tell the policy here: they may be tried elsewhere."""
         for taken in list(self._held.values()):
-            taken.call.reply(Refused(PUSHBACK_MS))
+            taken.call.reply(Rejected(PUSHBACK_MS))
 
     def _let_go(self, number: str, taken: _Taken) -> None:
         if self._held.pop(number, None) is not None:
--- a/fawnwharf/policy_rollout/outbox.py
+++ b/fawnwharf/policy_rollout/outbox.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.zones.lines import Word
 from fawnwharf.zones.service import Zones
@@ -17,7 +17,7 @@
 class Outbox:
     """Queues messages up to the end of the event loop iteration; lease renewals wait a little for others."""
 
-    def __init__(self, loop: Loop, zones: Zones, dropped: Callable[[str], None]) -> None:
+    def __init__(self, loop: EventLoop, zones: Zones, dropped: Callable[[str], None]) -> None:
         """`dropped` is told why messages are dropped."""
         self._loop, self._zones, self._dropped = loop, zones, dropped
         self._queue: list[m.Say] = []
--- a/fawnwharf/recovery_service/counted.py
+++ b/fawnwharf/recovery_service/counted.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Outcome, Served
+from fawnwharf.net.requests import Call, Outcome, Succeeded
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 
@@ -40,7 +40,7 @@
         self._open[number] = call.class_name, monotonic_ms(), None
 
         def replied(outcome: Outcome) -> None:
-            self._over(number, isinstance(outcome, Served))
+            self._over(number, isinstance(outcome, Succeeded))
             reply(outcome)
 
         call.reply = replied
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -12,8 +12,8 @@
 from typing import Protocol
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call, Outcome, Refused
+from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.requests import Call, Outcome, Rejected
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core import alone
 from fawnwharf.recovery_core.budget import Doors, Limits, first_classes
@@ -102,7 +102,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         below: Taking,
         classes: dict[str, ClassSpec],
         limits: Limits,
@@ -211,7 +211,7 @@
 
     def _turn_away(self, call: Call, cause: str, not_before_ms: float = 0.0) -> None:
         self._count(f"refused: {cause}")
-        call.reply(Refused(self.doors.pushback_ms(self._clock(), call.id.hex(), not_before_ms)))
+        call.reply(Rejected(self.doors.pushback_ms(self._clock(), call.id.hex(), not_before_ms)))
 
     def _bare(self, row: str) -> bool:
         """No copy of it stands, and the module may order none."""
@@ -311,7 +311,7 @@
         """It never went further than here, so that to try again is harmless."""
         self._count("refused: waited")
         wait_ms = self.doors.pushback_ms(self._clock(), held.call.id.hex(), not_before_ms)
-        self._replied(held, Refused(wait_ms))
+        self._replied(held, Rejected(wait_ms))
 
     def _replied(self, held: _Held, outcome: Outcome) -> None:
         if self._end(held):
--- a/fawnwharf/recovery_service/holds.py
+++ b/fawnwharf/recovery_service/holds.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 
 from fawnwharf import interface as io
-from fawnwharf.net.end_reasons import End, told
+from fawnwharf.net.end_reasons import EndReason, attempt_result
 from fawnwharf.net.requests import OpenRequest
-from fawnwharf.net.streams import Answer, Order
+from fawnwharf.net.streams import Answer, LoadOrder
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service.giving import Giving
@@ -32,7 +32,7 @@
     def __init__(
         self,
         below: Callable[[io.Hold], None],
-        ask: Callable[[Order], None],
+        ask: Callable[[LoadOrder], None],
         tell: Callable[[io.Event], object],
         open: dict[str, OpenRequest],
         clock: Callable[[], float] = monotonic_ms,
@@ -83,7 +83,7 @@
             if len(self._asked) >= ASKED_MOST:
                 self._asked.clear()
             self._asked[action.function] = now
-            self._ask(Order(place, self._answered, action.function, 0))
+            self._ask(LoadOrder(place, self._answered, action.function, 0))
         event = io.OrderAnswered(action.worker, action.function, io.Ending.NOT_SENT, 0, 0.0)
         rate = self._rates.get(action.function)
         if rate is None or now - rate[0] >= WINDOW_MS:
@@ -96,8 +96,8 @@
         else:
             self._open.append((rate[0] + WINDOW_MS, event))
 
-    def _answered(self, order: Order, end: End | None, answer: Answer | None) -> None:
-        ending = answer.ending if answer else told(end or End.NEVER_SENT, order.begun)
+    def _answered(self, order: LoadOrder, end: EndReason | None, answer: Answer | None) -> None:
+        ending = answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, order.begun)
         copies, took_ms = answer.copies if answer else 0, self._clock() - order.began_ms
         self._tell(io.OrderAnswered(order.worker, order.function, ending, copies, took_ms))
 
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
 from fawnwharf.recovery_core.budget import Limits, limits_from
@@ -117,7 +117,7 @@
         now, found = monotonic_ms(), {}
         for member in self.front.overlay.members.values():
             if member.phase == "in_service":
-                found[worker_number(member.id)] = member.up_since_ms or None
+                found[scorer_number(member.id)] = member.up_since_ms or None
         for id in [id for id in self._up_ms if id not in found]:
             self._carry_out(self.giving.gone(now, id))
         self._up_ms = found
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -14,7 +14,7 @@
 from fawnwharf.durable_store.service import OnLoop
 from fawnwharf.durable_store.store import open_folder, unix_ms
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
 from fawnwharf.recovery_service import kept as k
@@ -92,7 +92,7 @@
 
     # --- life -----------------------------------------------------------------------------------
 
-    def attach(self, front: FrontEnd | Loop) -> None:
+    def attach(self, front: FrontEnd | EventLoop) -> None:
         """Begin, on the front end's loop."""
         self._loop = OnLoop(getattr(front, "loop", front), self.store, self._note)
         self._note("store read", {
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Failed, Outcome, Refused, Served
-from fawnwharf.net.streams import Answer, Order
-from fawnwharf.net.timer_wheel import Wheel
+from fawnwharf.net.requests import Call, Failed, Outcome, Rejected, Succeeded
+from fawnwharf.net.streams import Answer, LoadOrder
+from fawnwharf.net.timer_wheel import TimerWheel
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
@@ -67,7 +67,7 @@
     def __init__(self, world: "World", name: str, life: int) -> None:
         self.world, self.name = world, name
         self.router = Router(site(), life)
-        self.wheel = Wheel(lambda: world.now)
+        self.wheel = TimerWheel(lambda: world.now)
         self.open: dict[str, Call] = {}
         self.inbox: list[io.Event] = []
         self.numbers = 0
@@ -98,7 +98,7 @@
             elif isinstance(action, io.SetTimer):
                 self.world.at(action.delay_ms, lambda t=action.token: self.tell(io.TimerDue(t)))
             elif isinstance(action, io.Refuse | io.Fail) and (call := self.open.pop(action.request, None)):
-                call.reply(Refused(action.hold_off_ms) if isinstance(action, io.Refuse) else Failed())
+                call.reply(Rejected(action.hold_off_ms) if isinstance(action, io.Refuse) else Failed())
 
     def taken(self, call: Call) -> str:
         self.numbers += 1
@@ -119,7 +119,7 @@
 
         def ended(ending: io.Ending, _: int) -> None:
             if ending is io.Ending.GOOD and (call := self.open.pop(key, None)):
-                call.reply(Served(b""))
+                call.reply(Succeeded(b""))
             took, closed = self.world.now - began, key not in self.open
             self.tell(io.AttemptEnded(key, number, worker, ending, took, closed))
 
@@ -134,7 +134,7 @@
 
         self.world.hold_at(action.worker, action.function, action.copies, ended)
 
-    def ask(self, order: Order) -> None:
+    def ask(self, order: LoadOrder) -> None:
         def ended(ending: io.Ending, copies: int) -> None:
             order.ended(order, None, Answer(ending, b"", io.Warmth.UNTOLD, 0, copies))
 
@@ -266,12 +266,12 @@
             if over:
                 return
             over = True
-            if isinstance(outcome, Served) and self.now - came <= promise:
+            if isinstance(outcome, Succeeded) and self.now - came <= promise:
                 self.in_time, self.worth_in_time = self.in_time + 1, self.worth_in_time + worth
-            elif not isinstance(outcome, Served):
-                self.refused += isinstance(outcome, Refused)
+            elif not isinstance(outcome, Succeeded):
+                self.refused += isinstance(outcome, Rejected)
                 self.failed += isinstance(outcome, Failed)
-                wait = outcome.hold_off_ms if isinstance(outcome, Refused) else 0.0
+                wait = outcome.hold_off_ms if isinstance(outcome, Rejected) else 0.0
                 if left > 1:
                     self.at(wait, lambda: self.call(client, row, left - 1))
 
--- a/fawnwharf/replication/gate.py
+++ b/fawnwharf/replication/gate.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field, replace
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
+from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.requests import Call, Failed, Outcome, Rejected, RequestTable, Succeeded
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.claimant import Answer, GiveUp, Go, Out, TurnAway
 from fawnwharf.replication.claims import Phase
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         table: RequestTable,
         core: Core,
         settings: Settings,
@@ -93,7 +93,7 @@
         if mode == "off":
             return self._table.take(call)
         if len(self.held) >= HELD_MOST or self._bytes + len(call.body) > HELD_BYTES_MOST:
-            call.reply(Refused(FULL_PUSHBACK_MS))
+            call.reply(Rejected(FULL_PUSHBACK_MS))
             return None
         name, key = name_of(call), f"g{next(self._numbers)}"
         held = self.held.get(name)
@@ -170,11 +170,11 @@
             if held.table_key is not None:  # it runs, but was answered before
                 self._table.withdraw(held.table_key)
             kept = effect.answer
-            self._finish(held, Failed() if kept is None else Served(base64.b64decode(kept)))
+            self._finish(held, Failed() if kept is None else Succeeded(base64.b64decode(kept)))
         elif isinstance(effect, GiveUp):
             self._finish(held, Failed())
         else:
-            self._finish(held, Refused(effect.pushback_ms))
+            self._finish(held, Rejected(effect.pushback_ms))
 
     def _go(self, held: _Held) -> None:
         now = monotonic_ms()
@@ -192,13 +192,13 @@
         """The table's final answer: the keepers are told, and so is everybody who waits here."""
         held.table_key = None
         digest, answer = "", None
-        if isinstance(outcome, Served):
+        if isinstance(outcome, Succeeded):
             phase = Phase.ANSWERED
             digest = hashlib.blake2b(outcome.body, digest_size=16).hexdigest()
             if len(outcome.body) <= self._settings.bounds.answer_bytes:
                 answer = base64.b64encode(outcome.body).decode()
         else:
-            phase = Phase.CLEAR if isinstance(outcome, Refused) else Phase.FAILED
+            phase = Phase.CLEAR if isinstance(outcome, Rejected) else Phase.FAILED
         self._finish(held, outcome)
         self._carry_out(self._core.ended(monotonic_ms(), held.name, phase, digest, answer))
 
--- a/fawnwharf/replication/links.py
+++ b/fawnwharf/replication/links.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from fawnwharf.config import Address
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.zones.links import LogServer, MemberLog, encoder
 
 NAMES_MOST = 4_000
@@ -20,7 +20,7 @@
 class DirectedServer(LogServer):
     """Owns a listener and its readers, each with numbers of its own."""
 
-    def __init__(self, loop: Loop, address: Address, life: int, readers_most: int) -> None:
+    def __init__(self, loop: EventLoop, address: Address, life: int, readers_most: int) -> None:
         super().__init__(loop, address, life, readers_most)
         self._names: dict[int, str] = {}  # by the number that a reader asked with
         self._sent: dict[Any, int] = {}  # lines, by reader
@@ -81,7 +81,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: Address,
         told: Callable[[Any], None],
         log: Callable[[str], None],
--- a/fawnwharf/replication/resting.py
+++ b/fawnwharf/replication/resting.py
@@ -9,15 +9,15 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Fleet
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.roster_overlay import Closer, Overlay
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterFilter, RosterOverlay
 from fawnwharf.replication.beliefs import Rests, Sights, counts_by
 from fawnwharf.replication.messages import Hints
 
 CLOSER = "state"
 
 
-def closer(ids: frozenset[str]) -> Closer | None:
+def closer(ids: frozenset[str]) -> RosterFilter | None:
     """Closes these; None where there are none."""
     return (lambda member: member.id in ids) if ids else None
 
@@ -37,13 +37,13 @@
                 warmth = getattr(event, "warmth", io.Warmth.UNTOLD)  # an order's answer has none
                 self.sights.ended(now_ms, event.worker, event.ending, event.took_ms, self._promise_ms, warmth)
 
-    def look(self, now_ms: float, heard: Iterable[Hints], overlay: Overlay) -> Fleet:
+    def look(self, now_ms: float, heard: Iterable[Hints], overlay: RosterOverlay) -> Fleet:
         """Take what was heard, and let those rest that are to; the changes that it makes to the roster."""
         nothing = Fleet([], False, overlay.revision)
         heard = list(heard)
         if not heard and not self.ids and not self.rests.resting(now_ms):
             return nothing  # spares a walk over the fleet at each look
-        scorers = {worker_number(member.id): member for member in overlay.left_to(CLOSER)}
+        scorers = {scorer_number(member.id): member for member in overlay.left_to(CLOSER)}
         zones = {worker: member.locality for worker, member in scorers.items()}
         counts = counts_by(zones.values())
         for hints in heard:
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.streams import Attempt, Order
+from fawnwharf.net.front_end import FrontEnd, scorer_number
+from fawnwharf.net.streams import Attempt, LoadOrder
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.claimant import Out
 from fawnwharf.replication.core import Core
@@ -38,7 +38,7 @@
         self._front, self._carry_out = front, carry_out
         front.table.witness = self
         entries = [
-            io.WorkerEntry(worker_number(member.id), up_since_ms=member.up_since_ms or None)
+            io.WorkerEntry(scorer_number(member.id), up_since_ms=member.up_since_ms or None)
             for member in front.overlay.members.values()
         ]
         self.own.roster(monotonic_ms(), front.loop.clock.now_ms(), entries, True)
@@ -65,12 +65,12 @@
     def ended(self, attempt: Attempt, ending: io.Ending, warmth: io.Warmth) -> None:
         self.own.ended(monotonic_ms(), attempt.worker, attempt.function, ending, warmth)
 
-    def ordered(self, order: Order) -> None:
+    def ordered(self, order: LoadOrder) -> None:
         self.own.ordered(monotonic_ms(), order.worker, order.function, order.copies)
         if order.copies:
             self._hasten()
 
-    def order_ended(self, order: Order, ending: io.Ending, copies: int) -> None:
+    def order_ended(self, order: LoadOrder, ending: io.Ending, copies: int) -> None:
         now = monotonic_ms()
         self.own.order_ended(now, order.worker, order.function, order.copies, ending, copies)
         if order.copies:
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -10,7 +10,7 @@
 from fawnwharf import config
 from fawnwharf import interface as io
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.listener import listening, once_free, told_to_end
+from fawnwharf.net.listener import listen_when_free, open_listener, termination_pending
 
 LAID = "zones", "state"  # what subsystems lay over the roster, which begins anew with them
 # What goes by whose logs.
@@ -42,7 +42,7 @@
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
-    if front.operators is not None and front.operators.takes_over and told_to_end():
+    if front.operators is not None and front.operators.takes_over and termination_pending():
         front.close()  # the process that serves goes on as if this one had not come
         return 0
     gc.freeze()  # what the start has made stays: no collection needs to walk it
@@ -117,7 +117,7 @@
 def _listener(deployment: config.Deployment) -> socket.socket:
     shared = deployment.control is not None  # another process may listen there, to take this one's place
     try:
-        return once_free(lambda: listening(deployment.listen, shared))
+        return listen_when_free(lambda: open_listener(deployment.listen, shared))
     except OSError as error:
         raise config.ConfigError(f"listen: {error.strerror}: {deployment.listen}") from None
 
--- a/fawnwharf/testbed/operators.py
+++ b/fawnwharf/testbed/operators.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net.end_reasons import EndReason
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed.fleet import Fleet
@@ -39,7 +39,7 @@
         self._data = bytearray()
         self._asks = f"{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n".encode()
         made = Connection.dial(fleet.loop, address, self, DIAL_MS)
-        self.connection = None if isinstance(made, End) else made
+        self.connection = None if isinstance(made, EndReason) else made
         self.ended = self.connection is None
 
     def on_up(self) -> None:
@@ -52,13 +52,13 @@
         head, end, _ = bytes(self._data).partition(b"\r\n")
         if end and not self.status:
             self.status = int(head.split()[1])
-            self.connection.close(End.IDLE)
+            self.connection.close(EndReason.IDLE)
 
     def on_flushed(self) -> None:
         """Nothing to do."""
         ...
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         """The connection ended."""
         self.ended = True
 
--- a/fawnwharf/testbed/processes.py
+++ b/fawnwharf/testbed/processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from fawnwharf.fakes.changelog import ChangeLogServer
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.loop import READ, EventLoop
 
 READ_BYTES = 65536
 LINES_KEPT = 200  # of a life
@@ -128,7 +128,7 @@
 class Pipe:
     """What one life of a process writes to its standard error, line by line."""
 
-    def __init__(self, loop: Loop, front: Front, wrote: Callable[[Front, str], None]) -> None:
+    def __init__(self, loop: EventLoop, front: Front, wrote: Callable[[Front, str], None]) -> None:
         """`wrote` takes each line."""
         self.loop, self.front, self.wrote, self.buffer = loop, front, wrote, bytearray()
         # Unbuffered: who reads the file finds all that was read so far.
--- a/fawnwharf/testbed/topology.py
+++ b/fawnwharf/testbed/topology.py
@@ -19,7 +19,7 @@
 from fawnwharf.fakes.relay import Relay
 from fawnwharf.fakes.scorers import Scorer
 from fawnwharf.fakes.sessions import SessionClients
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import unix_ms
 from fawnwharf.testbed.processes import Front, LabFault
 from fawnwharf.testbed.scenario import Scenario
@@ -69,7 +69,7 @@
     def __init__(self, scenario: Scenario, seed: int, folder: Path) -> None:
         self.scenario, self.seed = scenario, seed
         self.folder = folder
-        self.loop = Loop(lambda now_ms, events: None, lambda text: self.complaints.append(text))
+        self.loop = EventLoop(lambda now_ms, events: None, lambda text: self.complaints.append(text))
         self.complaints: list[str] = []
         self.slot = Slot()
         self.arrivals: list[Arrival] = []
--- a/fawnwharf/zones/links.py
+++ b/fawnwharf/zones/links.py
@@ -18,8 +18,8 @@
 from fawnwharf.config import Address
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LINE_MOST = 512 * 1024  # of a member's log, in bytes
@@ -40,7 +40,7 @@
     pause_most_ms, line_most = PAUSE_MOST_MS, LINE_MOST
 
     def __init__(
-        self, loop: Loop, address: Address, told: Callable[[Any], None], log: Callable[[str], None]
+        self, loop: EventLoop, address: Address, told: Callable[[Any], None], log: Callable[[str], None]
     ) -> None:
         """`told` takes what each line says; a ValueError of it says that no member writes such a line."""
         super().__init__(loop, address, 0, told, log)
@@ -84,7 +84,7 @@
 
     def _stumble(self, why: str) -> bool:
         if self._connection:
-            self._connection.close(End.BAD_BYTES)
+            self._connection.close(EndReason.BAD_BYTES)
         return False
 
 
@@ -104,16 +104,16 @@
     def on_data(self, data: bytes) -> None:
         """Take the reader's one request."""
         if self.since is not None:  # it has asked, and has nothing more to say
-            self.connection.close(End.BAD_BYTES)
+            self.connection.close(EndReason.BAD_BYTES)
             return
         self._asked += data
         line, end, rest = bytes(self._asked).partition(b"\n")
         word, _, number = line.partition(b" ")
         if not end:
             if len(self._asked) > ASK_MOST:
-                self.connection.close(End.BAD_BYTES)
+                self.connection.close(EndReason.BAD_BYTES)
         elif rest or word != b"since" or not number.isdigit() or len(number) > 16:
-            self.connection.close(End.BAD_BYTES)
+            self.connection.close(EndReason.BAD_BYTES)
         else:
             self.since = int(number)
             self.server.begin(self)
@@ -121,9 +121,9 @@
     def on_flushed(self) -> None:
         """Drop a reader that does not read."""
         if self.connection.waiting_bytes > UNREAD_MOST:
-            self.connection.close(End.STUFFED)
+            self.connection.close(EndReason.STUFFED)
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         """Forget the reader."""
         self.server.readers.pop(self, None)
 
@@ -131,7 +131,7 @@
 class LogServer:
     """Owns a listener, the log behind it, and its readers."""
 
-    def __init__(self, loop: Loop, address: Address, life: int, readers_most: int) -> None:
+    def __init__(self, loop: EventLoop, address: Address, life: int, readers_most: int) -> None:
         """Raises OSError where the address can't be had."""
         self.loop, self.life, self.seq = loop, life, 0
         self.readers: dict[_Reader, None] = {}
@@ -211,7 +211,7 @@
             if reader.since is not None:
                 reader.connection.write(b"%d\n" % self.number(reader))
             elif now - reader.began_ms > ASK_MS:
-                reader.connection.close(End.SILENT)
+                reader.connection.close(EndReason.SILENT)
         self.loop.wheel.after(PULSE_MS, self._pulse)
 
     def close(self) -> None:
@@ -220,4 +220,4 @@
         self.loop.forget(self._listener)
         self._listener.close()
         for reader in list(self.readers):
-            reader.connection.close(End.STOPPED)
+            reader.connection.close(EndReason.STOPPED)
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -4,9 +4,9 @@
 
 from fawnwharf.config import address_from
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import PASSING, End
-from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
+from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason
+from fawnwharf.net.front_end import FrontEnd, scorer_number
+from fawnwharf.net.timer_wheel import TimerWheel, monotonic_ms
 from fawnwharf.zones import roster
 from fawnwharf.zones.evidence import Observer, View, view
 from fawnwharf.zones.settings import Evidence
@@ -21,7 +21,7 @@
     Guards against what stands before a dead scorer and accepts its connections only to close them.
     """
 
-    def __init__(self, wheel: Wheel, told: Callable[[bool], None]) -> None:
+    def __init__(self, wheel: TimerWheel, told: Callable[[bool], None]) -> None:
         self.connection: Connection | None = None
         self._wheel = wheel
         self._told: Callable[[bool], None] | None = told
@@ -38,7 +38,7 @@
     def _held(self) -> None:
         if not self.connection.closed:
             self._tell(True)
-            self.connection.close(End.IDLE)
+            self.connection.close(EndReason.IDLE)
 
     def on_data(self, data: bytes) -> None:
         """Nothing is expected."""
@@ -48,7 +48,7 @@
         """Nothing is sent."""
         ...
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         """The probe has failed."""
         self._tell(False)
 
@@ -67,7 +67,7 @@
     ) -> None:
         """`zones` tells all that there are now; `turned` is called when a view of one has changed."""
         self._front, self._observer, self._rules = front, observer, rules
-        self._first = worker_number(name)  # members begin at different scorers
+        self._first = scorer_number(name)  # members begin at different scorers
         self._zones, self._turned = zones, turned
         self._dead: set[str] = set()  # as told last
         self._places: dict[str, int] = {}  # zone to the place of the next scorer
@@ -115,7 +115,7 @@
 
         def told(good: bool) -> None:
             now = monotonic_ms()
-            self._observer.dialled(now, zone, worker_number(member.id), good)
+            self._observer.dialled(now, zone, scorer_number(member.id), good)
             if not good and zone not in self._dead:
                 for _ in range(2 - more):
                     self._dial(zone, more=2)
@@ -125,8 +125,8 @@
         within = min(self._front.deployment.wire.dial_timeout_ms, self._rules.window_ms / 2)
         address = address_from(member.host_port, "host_port")
         made = Connection.dial(self._front.loop, address, probe, within)
-        if isinstance(made, End):
-            if made not in PASSING:
+        if isinstance(made, EndReason):
+            if made not in LOCAL_REASONS:
                 told(False)
         else:
             probe.connection = made
--- a/fawnwharf/zones/roster.py
+++ b/fawnwharf/zones/roster.py
@@ -9,11 +9,11 @@
 from collections.abc import Iterable
 
 from fawnwharf.config import Member
-from fawnwharf.net.roster_overlay import Closer
+from fawnwharf.net.roster_overlay import RosterFilter
 from fawnwharf.zones import plan as p
 
 
-def closer(plan: p.Plan | None, zone: str) -> Closer | None:
+def closer(plan: p.Plan | None, zone: str) -> RosterFilter | None:
     """The predicate of scorers that this plan closes for a front end of this zone; None without a plan."""
     if plan is None:
         return None
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -13,7 +13,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
 from fawnwharf.consensus.disk import Disk, DiskError
-from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster
 from fawnwharf.zones import settings as s
@@ -167,7 +167,7 @@
         self._told_ms = monotonic_ms()
         for member in fleet.members:
             if member.locality:
-                self._zone_of[worker_number(member.id)] = member.locality
+                self._zone_of[scorer_number(member.id)] = member.locality
 
     @property
     def busy(self) -> bool:
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from fawnwharf.durable_store.form import Limits
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
@@ -34,7 +34,7 @@
 def run(kind, folder, rate, calls):
     """Times from ask to grant in ms; CPU of the loop a call, in µs, less that of an idle loop's pace."""
     core = Core("n0", 1, MEMBERS, Settings(1, "members"), monotonic_ms(), fresh=True)
-    loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
+    loop = EventLoop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
     kept = None
     if kind == "store":
         kept = Kept(folder, "f", "n0", str(BOOT_ID), Limits(), lambda what, more: None, fresh=True)
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -21,7 +21,7 @@
 from fawnwharf.durable_store import form
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import service as policy_service
@@ -74,7 +74,7 @@
 @pytest.fixture
 def served():
     """A log server of life 7 on a loopback port, and its loop."""
-    loop = Loop(lambda now_ms, events: None, lambda text: None)
+    loop = EventLoop(lambda now_ms, events: None, lambda text: None)
     server = links.LogServer(loop, ("127.0.0.1", 0), 7, 8)
     yield loop, server
     server.close()
@@ -109,7 +109,7 @@
 def test_a_follower_takes_recorded_lines():
     """In order, by life and number; a gap or another life has it ask anew."""
     told = []
-    loop = Loop(lambda now_ms, events: None, lambda text: None)
+    loop = EventLoop(lambda now_ms, events: None, lambda text: None)
     log = links.MemberLog(loop, ("127.0.0.1", 9), told.append, lambda text: None)
     rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
     assert [log.event(json.loads(row)) for row in rows] == [True, True]
@@ -278,8 +278,8 @@
     id = bytes.fromhex("0011223344556677")
     frames = [
         scorer_frames.run(id, "gold", "8899aabbccddeeff", 12.0, "t1", b"body"),
-        scorer_frames.give_up(id),
-        scorer_frames.ensure(id, "8899aabbccddeeff", 2),
+        scorer_frames.abandon(id),
+        scorer_frames.load(id, "8899aabbccddeeff", 2),
         scorer_frames.unload("8899aabbccddeeff"),
     ]
     assert [frame.hex() for frame in frames] == [
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -82,7 +82,7 @@
             data, link.data = bytes(link.data), bytearray()
             for frame in reader.feed(data):
                 self.frames.append((link, frame))
-                if frame.code == scorer_frames.ENSURE and self.copies is not None:
+                if frame.code == scorer_frames.LOAD and self.copies is not None:
                     self.answer((link, frame), 0, f"slots_up={self.copies}")
 
     def answer(self, item, code=0, fields="res=reused", body=b""):
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -63,7 +63,7 @@
 
     def answer(self, item, code=0, fields="res=reused", body=b""):
         link, frame = item
-        if frame.code == scorer_frames.ENSURE:
+        if frame.code == scorer_frames.LOAD:
             if frame.fields["slots_up"] != "0":
                 self.stands.add(frame.fields["obj"])
             fields = f"slots_up={self.copies * (frame.fields['obj'] in self.stands)}"
@@ -72,7 +72,7 @@
 
     @property
     def loads(self):
-        return [frame for _, frame in self.of(scorer_frames.ENSURE) if frame.fields["slots_up"] != "0"]
+        return [frame for _, frame in self.of(scorer_frames.LOAD) if frame.fields["slots_up"] != "0"]
 
 
 def flush(link, outbox):
--- a/tests/support/change_log_front_end.py
+++ b/tests/support/change_log_front_end.py
@@ -7,7 +7,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import change_log, connection
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.front_end import scorer_number
 
 
 def event(seq, *members, complete=False, **more):
@@ -61,7 +61,7 @@
         """What the module goes by, of the scorers that are not gone."""
         self.until(lambda: self.front._news is None, "the module is told")
         workers = self.front.router.workers
-        found = {id: workers.get(worker_number(id)) for id in self.by_id}
+        found = {id: workers.get(scorer_number(id)) for id in self.by_id}
         states = {id: worker.entry.state for id, worker in found.items() if worker}
         return {id: state for id, state in states.items() if state is not io.State.GONE}
 
--- a/tests/support/client_cases.py
+++ b/tests/support/client_cases.py
@@ -60,7 +60,7 @@
 
 def given_up(scorer):
     """Frames by which the front end gave up attempts at this scorer."""
-    return scorer.of(scorer_frames.GIVE_UP)
+    return scorer.of(scorer_frames.ABANDON)
 
 
 def arrivals(case):
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -1,8 +1,8 @@
 """Recovery admission in virtual time: a real timer wheel, and answers of all others by the test."""
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.requests import Call, Refused
-from fawnwharf.net.timer_wheel import Wheel
+from fawnwharf.net.requests import Call, Rejected
+from fawnwharf.net.timer_wheel import TimerWheel
 from fawnwharf.recovery_core.budget import Limits
 from fawnwharf.recovery_core.stages import Stage, allowed
 from fawnwharf.recovery_service.door import Door
@@ -55,7 +55,7 @@
 
     def __init__(self, stage=Stage.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
         self.now = 0.0
-        self.wheel = Wheel(lambda: self.now)
+        self.wheel = TimerWheel(lambda: self.now)
         self.giving, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
         self.door = Door(self, self, CLASSES, limits, promises, clock=lambda: self.now)
         self.numbers, self.taken, self.passed = 0, 0, set()
@@ -79,7 +79,7 @@
         assert call.id not in self.passed, "a call twice"
         self.passed.add(call.id)
         if self.at_once:
-            call.reply(Refused(9.0))
+            call.reply(Rejected(9.0))
             return None
         self.taken += 1
         key = f"r{self.taken}"
--- a/tests/support/request_model.py
+++ b/tests/support/request_model.py
@@ -14,7 +14,7 @@
 # may then wait to be accepted until its time is over.
 CROWDED_SLACK_MS = 500.0
 RATION_FACTOR, RATION_MORE = 1.15, 1.0
-NEVER_RAN = (scorer_frames.MISS, scorer_frames.FULL, scorer_frames.OVER)
+NEVER_RAN = (scorer_frames.MISS, scorer_frames.FULL, scorer_frames.EXPIRED)
 
 
 @dataclass(eq=False)
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -18,7 +18,7 @@
 DUE_MOST_MS = 60.0  # a sweep of the decisions is due within 40 ms
 COMING_MS = 600.0  # after SIGTERM clients still come for so long
 CLIENTS_MOST, REQUESTS_MOST = 3, 10
-CODES = (scorer_frames.OK, scorer_frames.ERROR, scorer_frames.FULL, scorer_frames.MISS, scorer_frames.OVER)
+CODES = (scorer_frames.OK, scorer_frames.ERROR, scorer_frames.FULL, scorer_frames.MISS, scorer_frames.EXPIRED)
 CROWD = 6  # silent clients that connect at once
 
 
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -35,7 +35,7 @@
 
 def order(worker, ended, copies=1):
     """The same for an order."""
-    return streams.Order(
+    return streams.LoadOrder(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), ROW, copies
     )
 
--- a/tests/support/scripted_peers.py
+++ b/tests/support/scripted_peers.py
@@ -171,10 +171,10 @@
         """Take in a whole frame; `begun` is the attempt that it completes, if it is one."""
         if begun is not None:
             begun.whole_ms, begun.fields, begun.body = now_ms, frame.fields, frame.body
-        elif frame.code == scorer_frames.GIVE_UP:
+        elif frame.code == scorer_frames.ABANDON:
             for run in self.runs:
                 run.given_up = run.given_up or (run.id == frame.id and run.link is link)
-        elif frame.code == scorer_frames.ENSURE:
+        elif frame.code == scorer_frames.LOAD:
             self._ensure(frame, link, now_ms)
 
     def _ensure(self, frame: scorer_frames.Frame, link: ScorerLink, now_ms: float) -> None:
--- a/tests/test_client_accepting.py
+++ b/tests/test_client_accepting.py
@@ -11,7 +11,7 @@
 
 from fawnwharf.net import acceptor
 from fawnwharf.net.connection import READ_AGAIN_MS, Connection
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net.end_reasons import EndReason
 
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
@@ -27,7 +27,7 @@
         return lambda sock: sock is rig.front.port.listener
 
     def test_an_error_of_one_connection_leaves_the_next_one_to_be_accepted_in_the_same_turn(self):
-        for error in sorted(acceptor.OF_ONE_CONNECTION):
+        for error in sorted(acceptor.SINGLE_CONNECTION_ERRORS):
             with self.subTest(errno.errorcode[error]):
                 rig = self.rig(ScorerPeer())
                 fault = self.faults.fail("accept", error, where=self.at_listener(rig))
@@ -66,7 +66,7 @@
         late = rig.client()
         late.status(1)
         wait(rig, 4 * acceptor.ACCEPT_PAUSE_MS)
-        self.assertLessEqual(fault.hits, 5 * acceptor.ACCEPTS_MOST)
+        self.assertLessEqual(fault.hits, 5 * acceptor.MAX_ACCEPTS)
         fault.times = 0
         rig.until(lambda: late.answers, "it is accepted in the end")
 
@@ -162,12 +162,12 @@
 
     def test_any_other_error_of_a_read_ends_the_connection_and_withdraws_what_is_open(self):
         ends = {
-            errno.ECONNRESET: End.RESET_BY_PEER,
-            errno.EPIPE: End.RESET_BY_PEER,
-            errno.ETIMEDOUT: End.UNREACHABLE,
-            errno.EHOSTUNREACH: End.UNREACHABLE,
-            errno.ENETDOWN: End.UNREACHABLE,
-            errno.EIO: End.UNREACHABLE,
+            errno.ECONNRESET: EndReason.RESET_BY_PEER,
+            errno.EPIPE: EndReason.RESET_BY_PEER,
+            errno.ETIMEDOUT: EndReason.UNREACHABLE,
+            errno.EHOSTUNREACH: EndReason.UNREACHABLE,
+            errno.ENETDOWN: EndReason.UNREACHABLE,
+            errno.EIO: EndReason.UNREACHABLE,
         }
         for error, end in ends.items():
             with self.subTest(errno.errorcode[error]):
--- a/tests/test_client_closing.py
+++ b/tests/test_client_closing.py
@@ -37,7 +37,7 @@
     def test_by_the_look_after_idle_ones(self):
         rig, client = self.idle()
         client.call()
-        with mock.patch.object(clients, "IDLE_MS", -1.0):
+        with mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0):
             rig.front.port.tidy()
         self.is_served(rig, client)
 
@@ -46,8 +46,8 @@
         served = self.served(rig, client)
         client.call()
         with (
-            mock.patch.object(loop.Loop, "_events_until", return_value=0),
-            mock.patch.object(clients, "IDLE_MS", -1.0),
+            mock.patch.object(loop.EventLoop, "_events_until", return_value=0),
+            mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0),
         ):
             rig.front.loop.turn(0.0)
             self.assertTrue(rig.front.loop.left_behind(served.connection._sock))
@@ -84,7 +84,7 @@
         served = self.served(rig, client)
         rig.until(lambda: served.begun, "it has begun")
         client.sock.sendall(data[50:])
-        with mock.patch.object(clients, "SPEAK_MS", -1.0):
+        with mock.patch.object(clients, "MESSAGE_TIMEOUT_MS", -1.0):
             rig.front.port.tidy()
         self.is_served(rig, client)
 
@@ -92,7 +92,10 @@
         rig, client = self.idle()
         rig.front.port.pause(True)
         client.call()
-        with mock.patch.object(clients, "IDLE_MS", -1.0), mock.patch.object(clients, "SPEAK_MS", -1.0):
+        with (
+            mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0),
+            mock.patch.object(clients, "MESSAGE_TIMEOUT_MS", -1.0),
+        ):
             rig.front.port.tidy()
         rig.front.port.end_idle()
         self.assertEqual(rig.front.table.open, {})
@@ -171,7 +174,7 @@
         begun.sock.sendall(call_frame(1)[:60])
         rig.until(lambda: self.served(rig, begun).begun, "one has begun")
         rig.front.port.most = 6  # up to three are ended at a time
-        with mock.patch.object(clients, "PIECES_MS", 60_000.0):
+        with mock.patch.object(clients, "PARTIAL_MESSAGE_MS", 60_000.0):
             rig.front.port._room_maker.make(rig.front.port.most)
             rig.front.port._room_maker.make(rig.front.port.most)
         finishing = [self.served(rig, c).connection.finishing for c in (asked, begun, idle)]
@@ -182,7 +185,7 @@
         client, idle = rig.client(), rig.client()
         rig.settle(idle)
         rig.front.port.most = 6
-        with mock.patch.object(clients, "SPARED_MS", 60_000.0):
+        with mock.patch.object(clients, "MIN_SILENT_MS", 60_000.0):
             rig.front.port._room_maker.make(rig.front.port.most)
         finishing = [self.served(rig, c).connection.finishing for c in (client, idle)]
         self.assertEqual(finishing, [False, True])
@@ -193,7 +196,7 @@
         begun.sock.sendall(call_frame(1)[:60])
         rig.settle(idle)
         rig.until(lambda: self.served(rig, begun).begun, "one has begun")
-        with mock.patch.object(clients, "PIECES_MS", -1.0):
+        with mock.patch.object(clients, "PARTIAL_MESSAGE_MS", -1.0):
             by_idleness = [client for client, _ in rig.front.port._room_maker._by_idleness()]
         self.assertEqual(by_idleness, [self.served(rig, idle), self.served(rig, begun)])
 
