--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -9,14 +9,14 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import clients, connection, loop, scorer_frames, slow_clients
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.front_end import scorer_number
 
 
 class BehindUnreadBytes(Case):
     """The client's end can't be read yet, and a send for one of its requests comes due."""
 
     def no_send(self, rig, key, scorer):
-        rig.front.table.send(io.Send(key, worker_number("s-1")))
+        rig.front.table.send(io.Send(key, scorer_number("s-1")))
         self.assertNotIn(key, rig.front.table.open)
         wait(rig, 100.0)
         self.assertEqual(scorer.runs, [])
@@ -29,7 +29,7 @@
         rig = self.rig(scorer)
         client = rig.client()
         key = self.asked(rig, client)
-        with mock.patch.object(slow_clients, "LOOK_MS", 60_000.0):
+        with mock.patch.object(slow_clients, "SCAN_MS", 60_000.0):
             rig.front.port.pause(True)
             client.sock.sendall(call_frame(2))
             client.sock.close()
@@ -49,7 +49,7 @@
         first.call()
         left.sock.close()
         left.ended = True
-        with mock.patch.object(loop, "EVENTS_MOST", 1):
+        with mock.patch.object(loop, "MAX_EVENTS", 1):
             rig.front.loop._behind = {descriptor}  # so it is read before the one that left
             rig.front.loop.turn(0.0)
         self.assertIn(key, rig.front.table.open)
@@ -104,7 +104,7 @@
         key = self.asked(rig, client)
         rig.front.port.pause(True)
         client.sock.sendall(call_frame(2))
-        wait(rig, 3 * slow_clients.LOOK_MS)
+        wait(rig, 3 * slow_clients.SCAN_MS)
         self.assertEqual(list(rig.front.table.open), [key])
         rig.front.port.pause(False)
         rig.until(lambda: len(rig.front.table.open) == 2, "what lay unread is read")
@@ -130,7 +130,7 @@
         rig.front.port.pause(True)
         client.sock.shutdown(socket.SHUT_WR)
         with mock.patch("select.poll", side_effect=OSError(38, "not there")):
-            wait(rig, 3 * slow_clients.LOOK_MS)
+            wait(rig, 3 * slow_clients.SCAN_MS)
             self.assertEqual(list(rig.front.table.open), [key])
 
 
@@ -165,10 +165,10 @@
         rig = self.rig(scorer)
         client = rig.client()
         self.asked(rig, client)
-        rig.until(lambda: scorer.of(scorer_frames.ENSURE), "a copy is asked for")
+        rig.until(lambda: scorer.of(scorer_frames.LOAD), "a copy is asked for")
 
         def answer():
-            for order in scorer.of(scorer_frames.ENSURE):
+            for order in scorer.of(scorer_frames.LOAD):
                 scorer.answer(order, 0, "slots_up=4")
 
         self.leaves(rig, client, scorer, answer)
@@ -196,7 +196,7 @@
         client.sock.close()
         client.ended = True
         rig.front.loop.turn_ms -= 2 * connection.FRESH_MS  # the turn has run for so long by now
-        rig.front.table.send(io.Send(key, worker_number("s-1")))
+        rig.front.table.send(io.Send(key, scorer_number("s-1")))
         self.assertNotIn(key, rig.front.table.open)
         wait(rig, 50.0)
         self.assertEqual(scorer.runs, [])
@@ -231,7 +231,7 @@
 class ReadForLong(Case):
     def test_an_end_behind_more_than_some_turns_read_is_found_by_the_look(self):
         rig = self.rig(ScorerPeer(copies=None))
-        with mock.patch.object(clients, "READ_MOST", 8):  # so that the rest takes thousands of turns
+        with mock.patch.object(clients, "MAX_READ_BYTES", 8):  # so that the rest takes thousands of turns
             client = rig.client()
             self.asked(rig, client)
             served = self.served(rig, client)
@@ -305,7 +305,7 @@
         for number, peer in enumerate(crowd):
             peer.call(call=f"{number + 2:016x}")
         client.withdraw(1)
-        with mock.patch.object(loop, "EVENTS_MOST", 2):
+        with mock.patch.object(loop, "MAX_EVENTS", 2):
             crowd_fds = {self.served(rig, peer).connection._sock.fileno() for peer in crowd}
             rig.front.loop._behind = crowd_fds  # all of these were left behind
             rig.front.loop.turn(0.0)
@@ -315,12 +315,12 @@
         rig = self.rig(ScorerPeer(copies=None))
         client = rig.client()
         self.asked(rig, client)
-        for order, first in ((loop.Order.FIRST, True), (loop.Order.OPEN, False)):
+        for order, first in ((loop.ReadPriority.FIRST, True), (loop.ReadPriority.OPEN, False)):
             sock = socket.socketpair()
             sock[0].setblocking(False)
             self.addCleanup(sock[1].close)
             here = connection.Connection(rig.front.loop, sock[0], mock.Mock(), first=first)
-            self.addCleanup(here.close, connection.End.STOPPED)
+            self.addCleanup(here.close, connection.EndReason.STOPPED)
             here.read_on(False)
             here.read_on(True)
             self.assertEqual(rig.front.loop._order(sock[0].fileno()), order)
@@ -334,7 +334,7 @@
         for peer in known:
             peer.call()
         new.call()
-        with mock.patch.object(loop, "EVENTS_MOST", 2):
+        with mock.patch.object(loop, "MAX_EVENTS", 2):
             rig.front.loop.turn(0.0)
         self.assertTrue(self.served(rig, new).open)
 
--- a/tests/test_client_gone_sends.py
+++ b/tests/test_client_gone_sends.py
@@ -61,7 +61,7 @@
                 client.withdraw(client.seqid)
                 rig.until(lambda rig=rig: not rig.front.table.open, "it has left")
                 rig.settle(client)
-                self.assertEqual(len(scorer.of(scorer_frames.GIVE_UP)), int(cancel))
+                self.assertEqual(len(scorer.of(scorer_frames.ABANDON)), int(cancel))
 
     def test_the_other_attempts_of_a_request_that_is_answered_are_taken_back(self):
         first, second = ScorerPeer(), ScorerPeer()
@@ -118,19 +118,19 @@
     def test_one_that_another_request_waits_for_goes_out(self):
         rig, scorer, [(client, key), _] = self.ordered(linked=False, asked=2)
         self.leave(rig, client, key, "close")
-        rig.until(lambda: scorer.of(scorer_frames.ENSURE), "it goes out")
+        rig.until(lambda: scorer.of(scorer_frames.LOAD), "it goes out")
         self.assertEqual(self.order_endings(), [])
 
     def test_questions_and_orders_made_with_no_request_open_go_out(self):
         rig, scorer, [(client, key)] = self.ordered(linked=False, copies=0)
         self.leave(rig, client, key, "close")
-        rig.until(lambda: scorer.of(scorer_frames.ENSURE), "the question goes out")
+        rig.until(lambda: scorer.of(scorer_frames.LOAD), "the question goes out")
         scorer = ScorerPeer(copies=None)
         rig = self.rig(scorer)
         rig.front.table.order(io.Hold(BY_POOL, ROW, 1))
         call = Call(b"12345678", "view", "acme", ROW, 8000.0, b"", "", 1, None, None, lambda outcome: None)
         rig.front.table.withdraw(rig.front.table.take(call))
-        rig.until(lambda: scorer.of(scorer_frames.ENSURE), "the order goes out")
+        rig.until(lambda: scorer.of(scorer_frames.LOAD), "the order goes out")
 
     def test_one_made_in_the_batch_in_which_the_client_left_is_not_sent(self):
         scorer = ScorerPeer(copies=None)
@@ -150,7 +150,7 @@
         rig.front.table.fail(io.Fail(key))
         rig.front.table.begin_batch()
         rig.front.table.order(io.Hold(BY_POOL, ROW, 1))
-        rig.until(lambda: scorer.of(scorer_frames.ENSURE), "it goes out")
+        rig.until(lambda: scorer.of(scorer_frames.LOAD), "it goes out")
 
     def test_the_module_holds_one_taken_back_for_no_load_under_way(self):
         scorer = ScorerPeer()
--- a/tests/test_client_slow.py
+++ b/tests/test_client_slow.py
@@ -49,7 +49,7 @@
 
         rig.until(all_answered, "all are answered, and none is read")
         [served] = rig.front.port.clients
-        self.assertGreater(served.connection.waiting_bytes, clients.READ_MOST)
+        self.assertGreater(served.connection.waiting_bytes, clients.MAX_READ_BYTES)
 
         def all_read():
             client.data += self.step(client)
@@ -78,22 +78,22 @@
 
     def test_it_is_read_as_its_bytes_come_as_soon_as_there_is_room(self):
         rig, client, served = self.stuck()
-        while served.connection.waiting_bytes >= slow_clients.UNREAD_STOP:
+        while served.connection.waiting_bytes >= slow_clients.UNSENT_PAUSE_BYTES:
             self.step(client)
             rig.front.loop.turn(0.0)
         self.assertTrue(served.connection.reads)
 
     def test_one_that_reads_nothing_and_sends_on_is_kept_to_a_bound(self):
         rig, client, served = self.stuck()
-        one_read = clients.READ_MOST // len(junk_statuses(0)) + 1
-        with mock.patch.object(slow_clients, "LOOK_MS", 0.0):
+        one_read = clients.MAX_READ_BYTES // len(junk_statuses(0)) + 1
+        with mock.patch.object(slow_clients, "SCAN_MS", 0.0):
             sent = 0
             for _ in range(100):
                 with contextlib.suppress(BlockingIOError):
                     sent += client.sock.send(junk_statuses(64 * 1024))
                 rig.front.loop.turn(0.01)
-        self.assertGreater(sent, 4 * clients.READ_MOST)
-        self.assertLessEqual(served.connection.waiting_pieces, slow_clients.PIECES_MOST + one_read)
+        self.assertGreater(sent, 4 * clients.MAX_READ_BYTES)
+        self.assertLessEqual(served.connection.waiting_pieces, slow_clients.MAX_UNSENT_ANSWERS + one_read)
 
     def test_where_too_much_waits_for_all_the_one_that_took_nothing_for_longest_is_dropped(self):
         rig, _, longest = self.stuck()
@@ -103,7 +103,7 @@
         self.addCleanup(other.sock.close)
         other_served = self.served(rig, other)
         most = longest.connection.waiting_bytes * 3 // 2
-        with mock.patch.object(slow_clients, "UNREAD_ALL_MOST", most):
+        with mock.patch.object(slow_clients, "MAX_TOTAL_UNSENT_BYTES", most):
             other_served._write(STUCK)
             rig.front.loop.turn(0.0)
         self.assertTrue(longest.connection.closed)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -65,7 +65,7 @@
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         bad, good = rig.client(), rig.client()
-        with mock.patch.object(clients.Client, "_handle", side_effect=KeyError("boom")):
+        with mock.patch.object(clients.ClientConnection, "_handle", side_effect=KeyError("boom")):
             bad.call()
             rig.until(lambda: bad.ended, "the connection ends")
         good.call()
@@ -109,7 +109,7 @@
         late.status(1)
         rig.until(lambda: asked.answers and late.answers, "two are answered")
         late.sock.sendall(handle_frame(2, {})[:9])
-        with mock.patch.object(clients, "SPEAK_MS", 0.0):
+        with mock.patch.object(clients, "MESSAGE_TIMEOUT_MS", 0.0):
             rig.until(lambda: silent.ended and half.ended and late.ended, "three are closed")
         self.assertFalse(asked.ended)
 
@@ -132,7 +132,7 @@
         client = rig.client()
         rig.settle(client)
         [served] = rig.front.port.clients
-        with mock.patch.object(clients, "UNREAD_MOST", 8 * 1024 * 1024):
+        with mock.patch.object(clients, "MAX_UNSENT_BYTES", 8 * 1024 * 1024):
             served._write(b"x" * 7_000_000)
             rig.front.loop.turn(0)
             rig.front.loop.turn(0)
@@ -158,7 +158,7 @@
         port, room = rig.front.port, int(32 * front_end.CLIENT_SHARE)
         maker = port._room_maker
         with (
-            mock.patch("fawnwharf.net.room.ROOM_LOOK_MS", 60_000.0),
+            mock.patch("fawnwharf.net.room.SCAN_MS", 60_000.0),
             mock.patch.object(port, "tidy"),
             mock.patch.object(maker, "_by_idleness", wraps=maker._by_idleness) as looks,
         ):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -69,7 +69,7 @@
             for size in (1, len(data)):
                 with self.subTest(name, size=size):
                     found = pieces(thrift.FrameReader(), data, size)
-                    self.assertIsInstance(found[0], thrift.Malformed)
+                    self.assertIsInstance(found[0], thrift.MalformedMessageError)
                     self.assertEqual(found[0].seqid, seqid)
 
     def test_an_oversized_frame_is_passed_over_without_being_kept(self):
@@ -77,7 +77,7 @@
         found = []
         for start in range(0, len(large), 65536):
             found += reader.feed(large[start : start + 65536])
-            self.assertLess(len(reader._buffer), thrift.FRAME_MOST)
+            self.assertLess(len(reader._buffer), thrift.MAX_FRAME_BYTES)
         found += reader.feed(handle_frame(8, FIELDS))
         self.assertEqual([item.seqid for item in found], [7, 8])
         self.assertIsInstance(found[1], thrift.Handle)
@@ -111,7 +111,7 @@
             {"props": "lanes:-1"}, {"props": "lanes:999999"}, {"props": "memory_mb:inf"}, {"row": "७" * 16},
         ]  # fmt: skip
         for change in cases:
-            with self.subTest(change), self.assertRaises(thrift.Malformed):
+            with self.subTest(change), self.assertRaises(thrift.MalformedMessageError):
                 call_from(thrift.Handle(1, FIELDS | change, b""), self.CLASSES)
 
 
--- a/tests/test_discovery_life.py
+++ b/tests/test_discovery_life.py
@@ -42,7 +42,7 @@
 def test_bytes_that_make_no_whole_line_are_no_sign_of_life(rig, noise):
     for _ in range(3):
         read_by_front_end(rig, noise)
-        rig.later_ms += change_log.SILENCE_MS / 2.5
+        rig.later_ms += change_log.SILENCE_TIMEOUT_MS / 2.5
     assert rig.asked_times(2) == ["since", "1"]
     assert len(silent(rig)) == 1
 
@@ -52,7 +52,7 @@
     rig.asked_times(2)
     for _ in range(3):
         read_by_front_end(rig, b"garbage\n")
-        rig.later_ms += change_log.SILENCE_MS / 2.5
+        rig.later_ms += change_log.SILENCE_TIMEOUT_MS / 2.5
     rig.asked_times(3)
     assert len(silent(rig)) == 1
 
@@ -60,7 +60,7 @@
 def test_numbers_and_events_are_signs_of_life(rig):
     for line in (b"1\n", json.dumps(event(2)).encode() + b"\n", b"2\n", b"2\n"):
         read_by_front_end(rig, line)
-        rig.later_ms += 0.9 * change_log.SILENCE_MS
+        rig.later_ms += 0.9 * change_log.SILENCE_TIMEOUT_MS
         rig.front.changelog.tidy()
     assert (len(rig.log.asked()), silent(rig)) == (1, [])
 
@@ -96,7 +96,7 @@
         log.tidy()
         if silent(rig):
             break
-    assert change_log.LINE_MS <= number * 1_000.0 <= change_log.LINE_MS + 2 * change_log.SILENCE_MS
+    assert change_log.LINE_MS <= number * 1_000.0 <= change_log.LINE_MS + 2 * change_log.SILENCE_TIMEOUT_MS
 
 
 def test_a_log_that_owes_events_for_longer_than_it_may_be_late_is_asked_again(rig):
@@ -108,7 +108,9 @@
         rig.front.changelog.tidy()
         if silent(rig):
             break
-    assert change_log.LATE_MS <= rig.later_ms <= change_log.LATE_MS + 2 * change_log.SILENCE_MS
+    assert (
+        change_log.MAX_DELAY_MS <= rig.later_ms <= change_log.MAX_DELAY_MS + 2 * change_log.SILENCE_TIMEOUT_MS
+    )
     rig.asked_times(3)
     for seq in (2, 3):
         rig.log.say(event(seq))
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -8,7 +8,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import change_log
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.front_end import scorer_number
 
 READY, DRAINING = io.State.READY, io.State.DRAINING
 
@@ -199,7 +199,7 @@
         rig.log.say(event(2))
         rig.log.say(2)
         rig.until(lambda: rig.front.changelog._smaller == 1, "it says less than it said before")
-        rig.later_ms += change_log.LATE_MS + 1.0
+        rig.later_ms += change_log.MAX_DELAY_MS + 1.0
         rig.log.say(2)
         assert rig.asked_times(4) == ["since", "0"]
         rig.log.say(first_list(rig))
@@ -276,7 +276,7 @@
     rig.log.say(event(4, rig.member("s-1") | {"host_port": moved}))
     rig.at(4)
     assert rig.states() == {"s-1": READY, "s-3": READY}
-    scorer = rig.front.pool.scorers[worker_number("s-1")]
+    scorer = rig.front.pool.scorers[scorer_number("s-1")]
     assert f"{scorer.address[0]}:{scorer.address[1]}" == moved
 
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -7,7 +7,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import change_log, loop, scorer_frames
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.front_end import scorer_number
 
 CALLS = 1_024
 DRAIN_MS = 250.0  # the rule on drains
@@ -24,7 +24,7 @@
 
 def new_work(peer):
     """Calls that came, and orders that were to load."""
-    loads = [frame for _, frame in peer.of(scorer_frames.ENSURE) if frame.fields["slots_up"] != "0"]
+    loads = [frame for _, frame in peer.of(scorer_frames.LOAD) if frame.fields["slots_up"] != "0"]
     return [frame for _, frame in peer.runs] + loads
 
 
@@ -107,7 +107,9 @@
 
 
 def test_a_drain_by_a_log_that_began_anew_holds_within_its_time(rig):
-    assert change_log.PAUSE_MS + change_log.REPLAY_MS < DRAIN_MS - 50.0  # to ask again, and to be told all
+    assert (
+        change_log.MIN_BACKOFF_MS + change_log.REPLAY_MS < DRAIN_MS - 50.0
+    )  # to ask again, and to be told all
     rig.log.say(event(2))
     rig.at(2)
     rig.log.say(event(2, rig.member("s-1", "terminating")))
@@ -173,7 +175,7 @@
     client.call(row="bb" * 8)
     rig.until(lambda: other.runs, "the next one goes to the other one")
     assert len(busy.runs) == 1
-    assert worker_number(busy.id) not in rig.front.pool.scorers
+    assert scorer_number(busy.id) not in rig.front.pool.scorers
 
 
 def test_the_log_is_read_before_clients_that_were_ready_earlier(rig):
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -19,7 +19,7 @@
 from fawnwharf.durable_store.reading import Sign
 from fawnwharf.durable_store.service import OnLoop
 from fawnwharf.durable_store.store import look, open_folder
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LIMITS = f.Limits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
@@ -119,7 +119,7 @@
 
 
 def test_in_the_loop_what_comes_in_a_turn_goes_to_disk_together_and_faults_are_said(tmp_path):
-    said, told, loop = [], [], Loop(lambda now_ms, events: None, print)
+    said, told, loop = [], [], EventLoop(lambda now_ms, events: None, print)
     store = OnLoop(loop, opened(tmp_path, empty_ok=True), lambda text, about: said.append(text))
 
     def turn_until(done):
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -6,8 +6,8 @@
 from fawnwharf import interface as io
 from fawnwharf.fakes.scorers import Arrival
 from fawnwharf.net import scorer_frames
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.links import DirectedLog, DirectedServer
@@ -27,7 +27,7 @@
 
     def orders(self, load):
         """Those that came, loads or questions."""
-        return [i for i in self.of(scorer_frames.ENSURE) if (i[1].fields["slots_up"] != "0") == load]
+        return [i for i in self.of(scorer_frames.LOAD) if (i[1].fields["slots_up"] != "0") == load]
 
 
 def rig_with(scorer, cold_ms=60_000.0):
@@ -45,7 +45,7 @@
 def test_the_table_tells_what_went_and_what_came_of_it():
     scorer = Cold()
     rig, working, told = rig_with(scorer)
-    worker = worker_number("s-1")
+    worker = scorer_number("s-1")
     try:
         client = rig.client()
         client.call()
@@ -90,7 +90,7 @@
 
 
 def test_a_hello_is_heard_by_one_that_follows_only_later_and_it_sends_no_more_than_is_for_whom_it_knows():
-    loop = Loop(lambda now_ms, events: None, lambda text: None)
+    loop = EventLoop(lambda now_ms, events: None, lambda text: None)
     a, b = (DirectedServer(loop, ("127.0.0.1", 0), life, 4) for life in (1, 2))
     told, feeds = [], []
 
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -6,9 +6,9 @@
 
 from fawnwharf.config import ConfigError, Fleet, Member
 from fawnwharf.net import event_order
-from fawnwharf.net.event_order import EventOrder, Told
+from fawnwharf.net.event_order import EventMatch, EventOrder
 from fawnwharf.net.fleet_events import read_fleet
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.roster_overlay import RosterOverlay
 
 
 def member(id, phase="in_service"):
@@ -25,7 +25,7 @@
 
 
 def outcome(numbers):
-    order, overlay = EventOrder(), Overlay()
+    order, overlay = EventOrder(), RosterOverlay()
     for number in numbers:
         overlay.told(order.take(number, EVENTS[number]))
     return {id: found.phase for id, found in overlay.members.items()}
@@ -39,14 +39,14 @@
 def test_an_event_is_told_never_the_same_or_otherwise():
     order = EventOrder()
     order.take(1, EVENTS[1])
-    assert order.told(1, EVENTS[1]) is Told.SAME
-    assert order.told(1, EVENTS[4]) is Told.OTHERWISE
-    assert order.told(2, EVENTS[1]) is Told.NEVER
+    assert order.told(1, EVENTS[1]) is EventMatch.SAME
+    assert order.told(1, EVENTS[4]) is EventMatch.OTHERWISE
+    assert order.told(2, EVENTS[1]) is EventMatch.NEVER
 
 
 @pytest.mark.parametrize(
     ("complete", "revision", "told"),
-    [(True, 7, Told.SAME), (True, 8, Told.OTHERWISE), (False, 7, Told.OTHERWISE)],
+    [(True, 7, EventMatch.SAME), (True, 8, EventMatch.OTHERWISE), (False, 7, EventMatch.OTHERWISE)],
 )
 def test_a_whole_list_of_one_revision_stands_in_for_the_change_of_its_number(complete, revision, told):
     order = EventOrder()
@@ -64,13 +64,13 @@
 
 
 def test_what_is_remembered_is_bounded_and_the_first_event_stays(monkeypatch):
-    monkeypatch.setattr(event_order, "EVENTS_MOST", 5)
-    monkeypatch.setattr(event_order, "SCORERS_MOST", 5)
+    monkeypatch.setattr(event_order, "MAX_EVENTS", 5)
+    monkeypatch.setattr(event_order, "MAX_SCORERS", 5)
     order = EventOrder()
     for number in range(1, 40):
         order.take(number, Fleet([member(f"s{number}")], complete=number == 1))
     assert (len(order._events), len(order._scorers)) == (5, 5)
-    assert order.told(1, Fleet([member("s1")], complete=True)) is Told.SAME
+    assert order.told(1, Fleet([member("s1")], complete=True)) is EventMatch.SAME
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fair_turns.py
+++ b/tests/test_fair_turns.py
@@ -9,7 +9,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import clients, loop, thrift
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.front_end import scorer_number
 
 CALL = {"op": "view", "ttl": "8000", "org": "acme", "row": ROW}
 
@@ -63,7 +63,7 @@
         client.sock.sendall(data)
         client.sock.setblocking(False)
         rig.settle(client)
-        reads = -(-len(data) // clients.READ_MOST)
+        reads = -(-len(data) // clients.MAX_READ_BYTES)
         self.assertLess(reads, 10)
         self.assertLessEqual(len(rig.front.router.taken), reads)
         self.assertEqual(len(self.told(io.RequestArrived)), len(self.told(io.ClientLeft)))
@@ -104,7 +104,7 @@
 
     def test_what_is_left_keeps_its_order(self):
         told = []
-        turning = loop.Loop(lambda now_ms, events: told.extend(events), mock.Mock())
+        turning = loop.EventLoop(lambda now_ms, events: told.extend(events), mock.Mock())
         self.addCleanup(turning.close)
         first, out, last = io.TimerDue(1), io.TimerDue(2), io.TimerDue(3)
         tickets = [turning.tell(event) for event in (first, out, last)]
@@ -118,13 +118,13 @@
         rig = self.rig(ScorerPeer())
         client = rig.client()
         count, sizes = 2_000, []
-        read = clients.Client.on_data
+        read = clients.ClientConnection.on_data
 
         def on_data(client, data):
             sizes.append(len(data))
             read(client, data)
 
-        with mock.patch.object(clients.Client, "on_data", on_data):
+        with mock.patch.object(clients.ClientConnection, "on_data", on_data):
             client.sock.setblocking(True)
             for n in range(1, count + 1):
                 client.status(n)
@@ -141,7 +141,7 @@
             client.sock.sendall(b"".join(handle(n) for n in range(1, 33)))
         rig.until(lambda: len(self.told(io.RequestArrived)) == 12 * 32, "all are heard of")
         # The last client that is read may bring its 32 on top.
-        self.assertLess(max(map(len, self.heard)), loop.EVENTS_MOST + 40)
+        self.assertLess(max(map(len, self.heard)), loop.MAX_EVENTS + 40)
 
     def test_who_was_left_behind_comes_first_in_the_next_turn(self):
         rig = self.rig(ScorerPeer())
@@ -150,7 +150,7 @@
             rig.settle(client)
         self.heard.clear()
         number = 0
-        with mock.patch.object(loop, "EVENTS_MOST", 1):
+        with mock.patch.object(loop, "MAX_EVENTS", 1):
             for _ in range(2 * len(crowd)):
                 for client in crowd:  # each has more to ask at all times
                     number += 1
@@ -185,7 +185,7 @@
         rig.until(lambda: rig.front.changelog.seq == 4, "all have come")
         told = self.told(io.RosterChanged)
         self.assertEqual([(len(e.entries), e.complete) for e in told], [(1, False), (2, True)])
-        self.assertEqual([w.id for w in rig.front.router.ready], [worker_number("s-1")])
+        self.assertEqual([w.id for w in rig.front.router.ready], [scorer_number("s-1")])
 
 
 if __name__ == "__main__":
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -6,7 +6,7 @@
 import pytest
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.requests import Call, Failed, Refused, Served
+from fawnwharf.net.requests import Call, Failed, Rejected, Succeeded
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.claims import Claim, Phase
@@ -57,7 +57,7 @@
 
     def take(self, call):
         if self.full:
-            call.reply(Refused(9.0))
+            call.reply(Rejected(9.0))
             return None
         key = f"r{len(self.calls) + 1}"
         self.calls[key] = call
@@ -92,10 +92,10 @@
     _, one = ground.ask()
     _, other = ground.ask()
     assert len(ground.calls) == 1 and one == other == []
-    ground.calls["r1"].reply(Served(b"x"))
-    assert one == other == [Served(b"x")]
+    ground.calls["r1"].reply(Succeeded(b"x"))
+    assert one == other == [Succeeded(b"x")]
     _, third = ground.ask()
-    assert third == [Served(b"x")] and len(ground.calls) == 1 and not ground.gate.busy
+    assert third == [Succeeded(b"x")] and len(ground.calls) == 1 and not ground.gate.busy
 
 
 def test_a_client_that_leaves_takes_nothing_of_a_running_at_most_once_call_along():
@@ -103,9 +103,9 @@
     key, got = ground.ask()
     ground.gate.withdraw(key)
     assert ground.withdrawn == []
-    ground.calls["r1"].reply(Served(b"x"))
+    ground.calls["r1"].reply(Succeeded(b"x"))
     assert got == []
-    assert ground.ask()[1] == [Served(b"x")]
+    assert ground.ask()[1] == [Succeeded(b"x")]
 
 
 def test_a_client_that_leaves_a_keyed_call_takes_it_along_and_it_may_have_run():
@@ -129,16 +129,16 @@
 def test_what_the_table_refuses_never_ran_and_what_it_fails_may_have():
     ground = Ground()
     _, one = ground.ask(id=1)
-    ground.calls["r1"].reply(Refused(50.0))
+    ground.calls["r1"].reply(Rejected(50.0))
     _, other = ground.ask(id=2)
     ground.calls["r2"].reply(Failed())
-    assert (one, other) == ([Refused(50.0)], [Failed()])
+    assert (one, other) == ([Rejected(50.0)], [Failed()])
     assert sorted(claim.phase for claim in ground.claims()) == [Phase.CLEAR, Phase.FAILED]
     assert ground.ask(id=2)[1] == [Failed()]  # at once: nobody will ever know
     ground.ask(id=1)
     assert len(ground.calls) == 3
     ground.full = True
-    assert ground.ask(id=3)[1] == [Refused(9.0)]
+    assert ground.ask(id=3)[1] == [Rejected(9.0)]
     assert ground.gate.held.keys() == {name_of(ground.calls["r3"])}
 
 
@@ -147,16 +147,16 @@
     """A key for what has its answer would stand open at the client's connection for good."""
     ground = Ground()
     _, first = ground.ask(kind, token="t1")
-    ground.calls["r1"].reply(Served(b"done"))
+    ground.calls["r1"].reply(Succeeded(b"done"))
     key, again = ground.ask(kind, token="t1")
-    assert first == again == [Served(b"done")] and key is None
+    assert first == again == [Succeeded(b"done")] and key is None
     assert not ground.gate.busy and not ground.gate.held
 
 
 def test_an_answer_too_long_to_be_kept_fails_who_comes_again():
     ground = Ground()
     ground.ask()
-    ground.calls["r1"].reply(Served(b"x" * 65))
+    ground.calls["r1"].reply(Succeeded(b"x" * 65))
     assert ground.ask()[1] == [Failed()]
     assert [(claim.phase, claim.answer) for claim in ground.claims()] == [(Phase.ANSWERED, None)]
 
@@ -183,7 +183,7 @@
     assert delay == 2_000.0 - LEAD_MS  # the answer has a way to go
     timer.callback()
     assert got == [Failed()]
-    ground.calls["r1"].reply(Served(b"x"))
+    ground.calls["r1"].reply(Succeeded(b"x"))
     assert got == [Failed()]
 
 
@@ -197,14 +197,14 @@
     word = m.Word(name, ground.core.owner, 1, False, True, (answered,))
     line = {"fleet": "f", "sender": keeper, "life": 1, "to": [ground.core.name]}
     ground.carry(ground.core.line(10.0, keeper, line | {"say": msgspec.to_builtins(word)}))
-    assert got == [Served(b"x")] and ground.withdrawn == ["r1"] and ground.gate.held == {}
+    assert got == [Succeeded(b"x")] and ground.withdrawn == ["r1"] and ground.gate.held == {}
 
 
 def test_too_many_waiting_calls_are_refused_at_once(monkeypatch):
     monkeypatch.setattr("fawnwharf.replication.gate.HELD_MOST", 2)
     ground = Ground("abcabc")
     got = [ground.ask(id=n)[1] for n in range(1, 5)]
-    assert got == [[], [], [Refused(250.0)], [Refused(250.0)]]
+    assert got == [[], [], [Rejected(250.0)], [Rejected(250.0)]]
 
 
 def test_tries_of_one_thing_have_one_name_and_other_things_others():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,8 +18,8 @@
 from fawnwharf.admin.handoff_messages import Do, Phase
 from fawnwharf.admin.http import Asked
 from fawnwharf.admin.replacement import Inherited, Replacement
-from fawnwharf.net.handed import HandedConnection
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.handed import HandedOffConnection
+from fawnwharf.net.loop import EventLoop
 
 HERE = ("127.0.0.1", 8000)
 HELLO = h.Hello(h.VERSION, HERE)
@@ -273,7 +273,7 @@
 
 
 def test_parts_of_what_is_not_sent_whole_are_taken_back_with_it():
-    loop = Loop(lambda now_ms, events: None, mock.Mock())
+    loop = EventLoop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     back = []
     talk = channel.Channel(loop, near, mock.Mock(), lambda end: back.extend(end.take_back()))
@@ -288,7 +288,7 @@
 
 
 def test_too_many_descriptors_on_their_way_are_waited_for():
-    loop = Loop(lambda now_ms, events: None, mock.Mock())
+    loop = EventLoop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     talk = channel.Channel(loop, near, mock.Mock(), mock.Mock())
     with mock.patch.object(channel, "send", side_effect=OSError(109, "too many references")):
@@ -333,7 +333,7 @@
     rig.front.port.pause(True)
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = Buffered(socket.create_connection(server.getsockname()))
-        rig.front.port.adopt(HandedConnection(server.accept()[0]))
+        rig.front.port.adopt(HandedOffConnection(server.accept()[0]))
     [adopted] = rig.front.port.clients
     assert not adopted.connection._reading
     rig.front.port.pause(False)
--- a/tests/test_handover_age.py
+++ b/tests/test_handover_age.py
@@ -5,7 +5,7 @@
 import pytest
 from peers import ClientPeer, Rig, ScorerPeer
 
-from fawnwharf.net.handed import HandedConnection
+from fawnwharf.net.handed import HandedOffConnection
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 
@@ -23,7 +23,7 @@
     client.call(ttl="8000")
     sock.setblocking(False)
     rig.clients.append(client)
-    rig.front.port.adopt(HandedConnection(sock, empty_ms=monotonic_ms() - 3_000.0))
+    rig.front.port.adopt(HandedOffConnection(sock, empty_ms=monotonic_ms() - 3_000.0))
     rig.until(lambda: rig.scorers[0].runs, "it runs")
     [(_, frame)] = rig.scorers[0].runs
     assert int(frame.fields["ms"]) <= 5_000
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -167,6 +167,6 @@
     rig.settle(client)
     taker(rig)
     rig.front.leave()
-    rig.front._leaving._since_ms -= graceful_shutdown.LATE_ARRIVALS_MS
+    rig.front._leaving._since_ms -= graceful_shutdown.LATE_ARRIVAL_MS
     rig.until(lambda: not rig.front.port.clients, "its connection is given")
     assert not client.ended and rig.front.loop.running  # until the other one says that all has come
--- a/tests/test_load_order_client_gone.py
+++ b/tests/test_load_order_client_gone.py
@@ -19,7 +19,7 @@
     rig = Rig(scorer)
     first, leaver = rig.client(), rig.client()
     first.call(row="00000000000000aa")  # its order brings a link up, so that another one would leave at once
-    rig.until(lambda: scorer.of(scorer_frames.ENSURE), "a load is ordered")
+    rig.until(lambda: scorer.of(scorer_frames.LOAD), "a load is ordered")
     rig.settle(leaver)
     decide, left = rig.front.router.handle, []
 
@@ -41,6 +41,6 @@
     rig.until(lambda: left, "its load is decided")
     rig.clients.remove(leaver)
     rig.settle(first)
-    ordered = [frame.fields for _, frame in scorer.of(scorer_frames.ENSURE) if frame.fields["obj"] == COLD]
+    ordered = [frame.fields for _, frame in scorer.of(scorer_frames.LOAD) if frame.fields["obj"] == COLD]
     assert [fields for fields in ordered if fields["slots_up"] != "0"] == []
     rig.close()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,8 +13,8 @@
 from fawnwharf.admin.http import Answer, Asked, CallReader, encode
 from fawnwharf.config import ConfigError, Fleet, Member, deployment_from
 from fawnwharf.interface import State
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterOverlay
 
 CALL = b"POST /maintenance/enter?target=s-1 HTTP/1.1\r\nHost: x\r\n\r\n"
 BODY = b"POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
@@ -115,7 +115,7 @@
 
 
 def test_an_overlay_only_closes_holds_whatever_is_told_and_brings_back_cold():
-    overlay = Overlay()
+    overlay = RosterOverlay()
     member = Member("s-1", "in_service", "127.0.0.1:1", locality="a")
     overlay.told(Fleet([member, Member("s-2", "in_service", "127.0.0.1:2")], complete=True))
     [closed] = overlay.close("one", lambda m: m.id == "s-1").members
@@ -196,7 +196,7 @@
         caller = rig.caller()
         rig.front.loop.turn(0.2)  # its connection is accepted, and clients fill the rest of the turn
         caller.sock.sendall(b"GET /status HTTP/1.1\r\n\r\n")
-        with mock.patch("fawnwharf.net.loop.EVENTS_MOST", 1):
+        with mock.patch("fawnwharf.net.loop.MAX_EVENTS", 1):
             for client in clients:
                 client.call()
             rig.front.loop.turn(0.2)
@@ -220,7 +220,7 @@
         client.call()
         rig.until(lambda: other.runs, "the next goes elsewhere")
         self.assertEqual(len(home.runs), 1)
-        worker = rig.front.router.workers[worker_number(home.id)]
+        worker = rig.front.router.workers[scorer_number(home.id)]
         self.assertIs(worker.entry.state, State.DRAINING)
         before = rig.front.loop.clock.now_ms()
         self.assertEqual(rig.ask(f"{EXIT}?target={home.id}"), 200)
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -9,8 +9,8 @@
 
 from fawnwharf.config import Fleet, Member
 from fawnwharf.interface import State
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.replication import resting
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import roster
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("order", itertools.permutations(LAYERS))
 @pytest.mark.parametrize("back", itertools.permutations(LAYERS))
 def test_a_scorer_is_closed_while_anyone_closes_it_in_whatever_order_they_come_and_go(order, back):
-    overlay, closing = Overlay(), {}
+    overlay, closing = RosterOverlay(), {}
     overlay.told(Fleet([told(id) for id in IDS], complete=True))
     steps = [(who, 1) for who in order] + [(who, 0) for who in back]
     before = set()
@@ -63,7 +63,7 @@
     """What is gone by, from the roster as told and from who closes what; and what has been told of it."""
 
     def __init__(self):
-        self.overlay = Overlay()
+        self.overlay = RosterOverlay()
         self.roster, self.closing, self.gone_by = {}, {}, {}
 
     def phase(self, id):
@@ -143,8 +143,8 @@
         rig.log.say({"seq": 2, "fleet": {"members": [one.member(), two.member()]}})
         rig.until(lambda: rig.front.changelog.seq == 2 and not rig.front._news, "it is taken")
         self.assertEqual(seam.heard, [(id, "in_service", "in_service") for id in ("s-1", "s-2")])
-        found = {id: workers[worker_number(id)].entry.state for id in ("s-1", "s-2")}
+        found = {id: workers[scorer_number(id)].entry.state for id in ("s-1", "s-2")}
         self.assertEqual(found, {"s-1": State.DRAINING, "s-2": State.READY})
         rig.front.go_by(rig.front.overlay.close("zones", None))
         rig.front.go_by(rig.front.overlay.close("state", None))
-        rig.until(lambda: workers[worker_number("s-1")].entry.state is State.READY, "it is open again")
+        rig.until(lambda: workers[scorer_number("s-1")].entry.state is State.READY, "it is open again")
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,10 +8,10 @@
 
 from fawnwharf.config import ConfigError, deployment_from, fleet_from, load
 from fawnwharf.interface import Ending
-from fawnwharf.net.end_reasons import End, told
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.log import LINES_A_SECOND, Log
-from fawnwharf.net.timer_wheel import SLOTS, TICK_MS, Clock, Wheel
+from fawnwharf.net.end_reasons import EndReason, attempt_result
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.log import MAX_LINES_PER_SECOND, LogWriter
+from fawnwharf.net.timer_wheel import SLOTS, TICK_MS, Clock, TimerWheel
 
 
 class Hands:
@@ -26,7 +26,7 @@
 class WheelTurns(unittest.TestCase):
     def test_timers_are_never_early_and_late_by_a_tick_at_most(self):
         hands = Hands()
-        wheel, fired = Wheel(lambda: hands.steady), {}
+        wheel, fired = TimerWheel(lambda: hands.steady), {}
         delays = [0.0, 1.0, 3.9, 4.0, 40.0, 250.0, SLOTS * TICK_MS, SLOTS * TICK_MS * 2 + 5, 10_000.0]
         for delay in delays:
             wheel.after(delay, lambda delay=delay: fired.setdefault(delay, hands.steady - 1000.0))
@@ -39,7 +39,7 @@
 
     def test_a_long_halt_fires_all_that_is_due_in_order_and_nothing_else(self):
         hands = Hands()
-        wheel, fired = Wheel(lambda: hands.steady), []
+        wheel, fired = TimerWheel(lambda: hands.steady), []
         for delay in (9_000.0, 50.0, 30_000.0, 2_100.0):
             wheel.after(delay, lambda delay=delay: fired.append(delay))
         wheel.after(60.0, lambda: fired.append("cancelled")).cancel()
@@ -49,7 +49,7 @@
 
     def test_a_fault_in_one_timer_leaves_the_others_alone(self):
         hands, faults, fired = Hands(), [], []
-        wheel = Wheel(lambda: hands.steady)
+        wheel = TimerWheel(lambda: hands.steady)
         wheel.on_fault = faults.append
         wheel.after(4.0, lambda: 1 / 0)
         wheel.after(4.0, lambda: fired.append("second"))
@@ -80,29 +80,29 @@
     PROOFS = {Ending.NOT_SENT, Ending.CONNECT_FAILED}
 
     def test_every_end_is_told_and_only_the_unsent_are_proofs(self):
-        for end in End:
+        for end in EndReason:
             with self.subTest(end.name):
-                self.assertNotIn(told(end, begun=True), self.PROOFS)
-                if end is not End.CALLED_OFF:
-                    self.assertIn(told(end, begun=False), self.PROOFS)
+                self.assertNotIn(attempt_result(end, begun=True), self.PROOFS)
+                if end is not EndReason.CALLED_OFF:
+                    self.assertIn(attempt_result(end, begun=False), self.PROOFS)
 
     def test_scorers_have_the_same_numbers_everywhere(self):
-        self.assertEqual(worker_number("s-00c41f7a"), 3020732781)
+        self.assertEqual(scorer_number("s-00c41f7a"), 3020732781)
 
     def test_the_log_leaves_floods_out_and_counts_them(self):
         out, at = text.StringIO(), [0.0]
-        log = Log("n1", out, lambda: at[0])
+        log = LogWriter("n1", out, lambda: at[0])
         for _ in range(1000):
             log("x\ny" * 1000)
         at[0] = 1000.0
         log("after")
         lines = out.getvalue().splitlines()
-        self.assertEqual(len(lines), LINES_A_SECOND + 2)
+        self.assertEqual(len(lines), MAX_LINES_PER_SECOND + 2)
         self.assertEqual(lines[-2:], ["n1: 980 lines left out", "n1: after"])
 
     def test_a_flood_from_one_source_hides_no_other(self):
         out = text.StringIO()
-        log = Log("n1", out, lambda: 0.0)
+        log = LogWriter("n1", out, lambda: 0.0)
         for _ in range(1000):
             log("noise", "clients")
         log("news")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -43,7 +43,7 @@
         rig = self.rig(ScorerPeer())
         rig.log.say(self.event(2))
         rig.until(lambda: rig.front.changelog.seq == 2, "an event is told")
-        with mock.patch.object(change_log, "SILENCE_MS", -1.0):
+        with mock.patch.object(change_log, "SILENCE_TIMEOUT_MS", -1.0):
             rig.until(lambda: len(rig.log.asked()) == 2, "it is asked again")
         self.assertEqual(rig.log.asked(), [["since", "1"], ["since", "2"]])
 
@@ -66,7 +66,7 @@
                 rig.log.say(line)
                 rig.log.say(self.event(3, scorer.member("terminating")))
                 rig.until(lambda rig=rig: rig.front.changelog.seq == 3, "the next event is told")
-                state = rig.front.pool.scorers[front_end.worker_number(scorer.id)].state
+                state = rig.front.pool.scorers[front_end.scorer_number(scorer.id)].state
                 self.assertEqual(state, io.State.DRAINING)
 
     def test_a_stumble_after_all_was_well_is_a_new_one(self):
@@ -82,7 +82,7 @@
             with self.subTest(broken=broken):
                 rig, moved = self.rig(ScorerPeer()), LogPeer()
                 self.addCleanup(moved.close)
-                with mock.patch.object(change_log, "PAUSE_MS", 30.0):
+                with mock.patch.object(change_log, "MIN_BACKOFF_MS", 30.0):
                     rig.log.say(self.event(2))
                     rig.until(lambda rig=rig: rig.front.changelog.seq == 2, "an event is told")
                     if broken:  # the next dial to the old address is planned already
@@ -102,7 +102,7 @@
         rig = self.rig(old)
         rig.log.say(self.event(2, new.member(), complete=True))
         rig.until(lambda: rig.front.changelog.seq == 2, "the list is told")
-        self.assertEqual(list(rig.front.pool.scorers), [front_end.worker_number("s-2")])
+        self.assertEqual(list(rig.front.pool.scorers), [front_end.scorer_number("s-2")])
 
 
 class Program(unittest.TestCase):
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -12,7 +12,7 @@
 from fawnwharf import interface as io
 from fawnwharf.admin import port
 from fawnwharf.net import connection
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 
 __all__ = ["clock", "rig"]
 
@@ -20,7 +20,7 @@
 def test_a_shortage_at_the_second_address_does_not_spin_the_loop(clock):
     faults = SystemFaults()
     with faults.installed():
-        loop = Loop(lambda now_ms, events: None, lambda line: None)
+        loop = EventLoop(lambda now_ms, events: None, lambda line: None)
         control = port.ControlPort(loop, ("127.0.0.1", 0), 1024, mock.Mock())
         caller = socket.create_connection(control.address)
         fault = faults.fail("accept", errno.EMFILE, times=2)
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -9,7 +9,7 @@
 from support.recovery_admission import CLASSES, LIMITS, WORTHS, Ground
 
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Failed, Refused, Served
+from fawnwharf.net.requests import Call, Failed, Rejected, Succeeded
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
@@ -42,7 +42,7 @@
         key, got = ground.ask(kind)
         assert (key is not None) == (kind in passed) == (got == [])
         if got:
-            assert isinstance(got[0], Refused) and 1_000.0 <= got[0].hold_off_ms <= LIMITS.retry_most_ms
+            assert isinstance(got[0], Rejected) and 1_000.0 <= got[0].hold_off_ms <= LIMITS.retry_most_ms
     assert [call.class_name for call in ground.calls.values()] == passed
 
 
@@ -60,7 +60,7 @@
 def test_where_clients_take_no_advice_none_is_given():
     ground = Ground(limits=replace(LIMITS, retry_most_ms=0.0))
     ground.giving.etas["f"] = 2_000.0
-    assert ground.ask() == (None, [Refused(0.0)])
+    assert ground.ask() == (None, [Rejected(0.0)])
 
 
 def test_a_call_whose_copy_comes_within_its_promise_is_held_till_then_and_not_longer():
@@ -74,8 +74,8 @@
     ground.door.told(Stood("f"))
     [call] = ground.calls.values()
     assert call.budget_ms == pytest.approx(1_750.0)
-    call.reply(Served(b"x"))
-    assert got == [Served(b"x")]
+    call.reply(Succeeded(b"x"))
+    assert got == [Succeeded(b"x")]
     ground.giving.etas["g"] = 800.0  # it takes longer than was said
     ground.pass_by(HOLD_PART * 1_000.0 - 250.0 - 8.0)
     assert late == []
@@ -88,7 +88,7 @@
 
 def test_a_short_budget_is_not_held_beyond():
     ground = Ground()
-    assert isinstance(ground.ask(budget_ms=350.0)[1][0], Refused)
+    assert isinstance(ground.ask(budget_ms=350.0)[1][0], Rejected)
     assert ground.ask(budget_ms=450.0)[0]
 
 
@@ -117,7 +117,7 @@
     ground.door.told(Ticket(key, 0.0))
     assert len(ground.calls) == 1
     ground.door.withdraw(key)
-    ground.calls["r1"].reply(Served(b"crossed"))
+    ground.calls["r1"].reply(Succeeded(b"crossed"))
     assert ground.withdrawn == ["r1"] and got == left == []
     turn, got = ground.ask(row="g")  # not before a turn: it asks again then
     ground.pass_by(150.0)
@@ -197,12 +197,12 @@
     ground.knows("settle", (2).to_bytes(8, "big"), Phase.TAKEN)
     ground.knows("settle", (3).to_bytes(8, "big"), Phase.CLEAR)
     answers = [ground.ask("settle")[1] for _ in range(4)]
-    assert answers[:2] == [[Served(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
-    assert all(isinstance(got[0], Refused) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
+    assert answers[:2] == [[Succeeded(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
+    assert all(isinstance(got[0], Rejected) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
     assert ground.calls == {} and ground.door.counts["repeats"] == 2
     ground.go_by(Stage.LISTENING)
     ground.numbers = 0
-    assert isinstance(ground.ask("settle")[1][0], Refused)  # not before its stage
+    assert isinstance(ground.ask("settle")[1][0], Rejected)  # not before its stage
 
 
 DOES = ["take"] * 3 + ["answer", "withdraw", "go_by", "wait", "stood", "ticket", "copy", "gone", "at_once"]
@@ -229,7 +229,7 @@
             assert (key is None) == bool(got)
         elif what == "answer" and ground.calls:
             ground.calls.pop([*ground.calls][n % len(ground.calls)]).reply(
-                [Served(b"x"), Failed(), Refused(1.0)][n % 3]
+                [Succeeded(b"x"), Failed(), Rejected(1.0)][n % 3]
             )
         elif what == "withdraw" and asked:
             key, got = asked[n % len(asked)]
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -5,7 +5,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames as frames
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.front_end import scorer_number
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import limits_from
 from fawnwharf.recovery_core.stages import Stage, allowed
@@ -24,14 +24,14 @@
 
     def pump(self):
         super().pump()
-        for item in self.of(frames.ENSURE)[self.seen :]:
+        for item in self.of(frames.LOAD)[self.seen :]:
             self.seen += 1
             if int(item[1].fields["slots_up"]) <= self.stand:
                 self.answer(item, 0, f"slots_up={self.stand}")
 
     @property
     def orders(self):
-        return [item for item in self.of(frames.ENSURE) if item[1].fields["slots_up"] != "0"]
+        return [item for item in self.of(frames.LOAD) if item[1].fields["slots_up"] != "0"]
 
 
 class Joined:
@@ -40,7 +40,7 @@
     def __init__(self, front, settings):
         self.front, self.busy = front, False
         limits = limits_from(settings, 2, 100.0)
-        self.giving = Giving("n0", 1, limits, lambda row: [worker_number("s-1")], 50.0, 50.0)
+        self.giving = Giving("n0", 1, limits, lambda row: [scorer_number("s-1")], 50.0, 50.0)
         self.door = front.port.table = Door(front.loop, front.table, settings.classes, limits)
         front.stand_between(io.Hold, self.between)
         front._seam = self
@@ -101,7 +101,7 @@
     scorer.answer(scorer.runs[0], 0, "res=reused", b"done")
     joined.until(lambda: seqid in client.kinds(), "it is answered")
     assert client.kinds() == {seqid: "answer"} and len(scorer.orders) == 1
-    assert not joined.joined.door.busy and joined.joined.giving.place(ROW) == worker_number("s-1")
+    assert not joined.joined.door.busy and joined.joined.giving.place(ROW) == scorer_number("s-1")
 
 
 def test_before_its_stage_a_call_is_refused_with_advice_and_the_module_sees_nothing(joined):
--- a/tests/test_rejoin_tallies.py
+++ b/tests/test_rejoin_tallies.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Refused, Served
+from fawnwharf.net.requests import Rejected, Succeeded
 from fawnwharf.recovery_service import counted
 from fawnwharf.recovery_service.counted import Counted
 from fawnwharf.recovery_service.tallies import SPAN_MS, Tallies
@@ -95,20 +95,20 @@
         return SimpleNamespace(class_name="view", reply=answers.append)
 
     keys = [table.take(call()) for _ in range(5)]
-    below.calls["r0"].reply(Served(b"x"))
+    below.calls["r0"].reply(Succeeded(b"x"))
     now[0] = 50.0
     table.withdraw(keys[1])  # before its time: nobody's fault
-    below.calls["r1"].reply(Refused(1.0))
+    below.calls["r1"].reply(Rejected(1.0))
     now[0] = 150.0
-    below.calls["r2"].reply(Served(b"late"))
-    below.calls["r3"].reply(Refused(1.0))
+    below.calls["r2"].reply(Succeeded(b"late"))
+    below.calls["r3"].reply(Rejected(1.0))
     table.withdraw(keys[4])
     assert [good for _, _, good in told] == [True, False, False, False]
-    assert below.left == ["r1", "r4"] and answers[0] == Served(b"x") and len(answers) == 4
-    below.at_once = Refused(2.0)
+    assert below.left == ["r1", "r4"] and answers[0] == Succeeded(b"x") and len(answers) == 4
+    below.at_once = Rejected(2.0)
     assert table.take(call()) is None and len(told) == 5 and not table._open
     table.counting, below.at_once = False, None
     key = table.take(call())
-    below.calls[key].reply(Served(b"y"))
+    below.calls[key].reply(Succeeded(b"y"))
     table.withdraw(key)
     assert key == "r5" and len(told) == 5 and below.left[-1] == "r5"
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -5,8 +5,8 @@
 
 from fawnwharf.config import Fleet, Member
 from fawnwharf.interface import Ending, Warmth
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.beliefs import Rests, Sightings, Sights
 from fawnwharf.replication.resting import Resting, closer
@@ -153,7 +153,7 @@
 
 
 def test_a_resting_scorer_is_told_as_draining_and_what_drains_or_is_gone_stays_so():
-    overlay = Overlay()
+    overlay = RosterOverlay()
     told = overlay.told(Fleet([entry("s1"), entry("s2"), entry("s3", phase="terminating")], True, 1))
     assert [member.phase for member in told.members] == ["in_service", "in_service", "terminating"]
     changes = overlay.close("state", closer(frozenset({"s1", "s3"})))
@@ -168,11 +168,11 @@
 
 
 def hint(*ids):
-    return m.Hints({str(worker_number(id)): 9 for id in ids})
+    return m.Hints({str(scorer_number(id)): 9 for id in ids})
 
 
 def test_a_hint_is_gone_by_for_its_time_and_told_once():
-    overlay, notes = Overlay(), []
+    overlay, notes = RosterOverlay(), []
     resting = Resting(400.0, lambda event, fields: notes.append(fields))
     overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
     steps = [
@@ -191,7 +191,7 @@
 
 
 def test_what_others_close_neither_rests_nor_counts_among_those_that_may():
-    overlay, resting = Overlay(), Resting(400.0, lambda event, fields: None)
+    overlay, resting = RosterOverlay(), Resting(400.0, lambda event, fields: None)
     overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
     overlay.close("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
     changes = resting.look(1_000.0, [hint("s0", "s1", "s2")], overlay)
--- a/tests/test_request_age.py
+++ b/tests/test_request_age.py
@@ -4,7 +4,7 @@
 from peers import Rig, ScorerPeer
 from test_clock_steps import HOUR, clock, rig, settled_client, without_stamps
 
-from fawnwharf.net.handed import HandedConnection
+from fawnwharf.net.handed import HandedOffConnection
 
 __all__ = ["clock", "rig"]
 TTL_MS = 8_000.0
@@ -72,7 +72,7 @@
     [served] = rig.front.port.clients
     handed = rig.front.port.give(served)
     idle(rig, clock, 200.0)
-    assert isinstance(handed, HandedConnection)
+    assert isinstance(handed, HandedOffConnection)
     rig.front.port.adopt(handed)
     idle(rig, clock, 7_000.0)
     client.answers.clear()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -54,7 +54,7 @@
         seqid = client.call()
         rig.until(lambda: scorer.runs, "it runs")
         client.withdraw(seqid)
-        rig.until(lambda: scorer.of(scorer_frames.GIVE_UP), "it is given up")
+        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
         scorer.answer(scorer.runs[0], body=b"late")
         second = client.call()
         rig.until(lambda: len(scorer.runs) == 2, "the next one runs")
@@ -83,7 +83,7 @@
         rig.until(lambda: scorer.runs, "it runs")
         client.sock.close()
         client.ended = True
-        rig.until(lambda: scorer.of(scorer_frames.GIVE_UP), "it is given up")
+        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
         self.assertFalse(rig.front.table.open or rig.front.port.clients)
 
     def test_a_fault_in_the_decisions_still_leaves_each_request_one_answer(self):
@@ -123,8 +123,8 @@
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         client = rig.client()
-        with mock.patch.object(requests, "BODIES_MOST", 10):
+        with mock.patch.object(requests, "MAX_BODY_BYTES", 10):
             seqid = client.call(body=b"x" * 11)
             rig.until(lambda: client.answers, "it is refused")
-        expected = {1: {"pushback": str(int(requests.FULL_PUSHBACK_MS)).encode()}}
+        expected = {1: {"pushback": str(int(requests.FULL_RETRY_AFTER_MS)).encode()}}
         self.assertEqual(client.answers, [(seqid, "throttled", expected)])
--- a/tests/test_scorer_answers.py
+++ b/tests/test_scorer_answers.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames, scorers
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net.end_reasons import EndReason
 
 CLASSES = ("view", "save", "settle")
 DIAL_MS = 250.0
@@ -108,7 +108,7 @@
         rig.front.table.cancel(io.Cancel(key, 0))
         self.assertEqual((self.endings(), link.streams), ([io.Ending.CANCELLED], {}))
         self.unblock(blocked)
-        rig.until(lambda: scorer.of(scorer_frames.GIVE_UP), "it is given up")
+        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
 
 
 class Dials(Case):
@@ -121,7 +121,7 @@
         [link] = self.links(rig)
         self.clock.advance(DIAL_MS + 5.0)
         rig.front.loop.wheel.advance()  # its time runs out as it is up, and not read yet
-        self.assertEqual((ended, link.connection.closed), ([(End.DIAL_TIMED_OUT, False)], True))
+        self.assertEqual((ended, link.connection.closed), ([(EndReason.DIAL_TIMED_OUT, False)], True))
         rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees it end")
         self.assertEqual((scorer.frames, rig.front.pool._links), ([], 0))
 
@@ -144,7 +144,7 @@
         pool.send(attempt(77, ended, id=b"abcdefgh"))
         [new] = self.links(rig, 77)
         rig.until(lambda: scorer.runs and old.connection.closed, "the next one runs its own")
-        self.assertEqual(ended, [(End.PULLED_BACK, False)])
+        self.assertEqual(ended, [(EndReason.PULLED_BACK, False)])
         self.assertEqual([frame.id for _, frame in scorer.frames], [b"abcdefgh"])
         self.assertEqual(new.streams.keys(), {b"abcdefgh"})
 
@@ -165,7 +165,7 @@
         rig.front.pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
         rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
-        link.connection.close(End.REFUSED)
+        link.connection.close(EndReason.REFUSED)
         self.assertEqual(ended, [])
         rig.until(lambda: new.runs, "it runs at the new address")
 
@@ -177,9 +177,9 @@
         [link] = self.links(rig)
         self.faults.fail("connect", errno.EADDRNOTAVAIL)
         rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
-        link.connection.close(End.REFUSED)
+        link.connection.close(EndReason.REFUSED)
         self.assertEqual(ended, [])
-        self.clock.advance(scorers.DIAL_PAUSE_MS + 5.0)
+        self.clock.advance(scorers.REDIAL_DELAY_MS + 5.0)
         rig.until(lambda: new.runs, "it runs at the new address")
 
     def test_a_second_dial_makes_nothing_wait_for_longer_than_one_takes(self):
@@ -192,7 +192,7 @@
         self.clock.advance(DIAL_MS / 2 + 5.0)
         rig.front.loop.wheel.advance()  # before either is seen to be up
         self.assertEqual((first.connection.closed, second.connection.closed), (True, False))
-        self.assertEqual(ended, [(End.NEVER_SENT, False)])
+        self.assertEqual(ended, [(EndReason.NEVER_SENT, False)])
         rig.until(lambda: scorer.runs, "the second one's call runs")
         self.assertEqual([frame.id for _, frame in scorer.runs], [b"abcdefgh"])
 
@@ -209,12 +209,12 @@
     def test_links_to_the_process_before_leave_room_for_those_to_the_new_one(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS | {"streams_per_conn": 1}})
-        for number in range(scorers.LINKS_MOST):
+        for number in range(scorers.MAX_CONNECTIONS):
             rig.front.pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
-        rig.until(lambda: len(scorer.runs) == scorers.LINKS_MOST, "all links are in use")
+        rig.until(lambda: len(scorer.runs) == scorers.MAX_CONNECTIONS, "all links are in use")
         rig.front.pool.update(BY_POOL, None, io.State.READY, 5.0)
         rig.front.pool.send(attempt(BY_POOL, ended, id=b"abcdefgh"))
-        rig.until(lambda: len(scorer.runs) > scorers.LINKS_MOST, "the new process runs it")
+        rig.until(lambda: len(scorer.runs) > scorers.MAX_CONNECTIONS, "the new process runs it")
         self.assertEqual(ended, [])
 
 
@@ -225,7 +225,7 @@
         self.link_up(rig, scorer)
         rig.front.pool.send(attempt(BY_POOL, ended))
         rig.front.pool.close()
-        self.assertEqual((ended, rig.front.pool._links), ([(End.STOPPED, False)], 0))
+        self.assertEqual((ended, rig.front.pool._links), ([(EndReason.STOPPED, False)], 0))
 
     def test_an_idle_link_gives_way_where_there_are_more_scorers_than_links(self):
         peers = [ScorerPeer(f"s-{number}", copies=None) for number in range(3)]
@@ -249,7 +249,7 @@
         rig.front.pool.send(attempt(BY_POOL, ended))
         rig.until(lambda: peers[0].runs, "it runs")
         rig.front.pool.send(attempt(BY_POOL + 1, ended))
-        self.assertEqual(ended, [(End.NO_DESCRIPTOR, False)])
+        self.assertEqual(ended, [(EndReason.NO_DESCRIPTOR, False)])
         self.assertEqual(len(self.links(rig)), 1)
 
 
@@ -293,7 +293,7 @@
             scorer.answer(scorer.runs[0], body=b"late")
         rig.until(lambda: len(scorer.runs) == 2, "the later one runs")
         rig.settle(rig.client())
-        self.assertEqual((ended, later), ([(End.CALLED_OFF, True)], []))
+        self.assertEqual((ended, later), ([(EndReason.CALLED_OFF, True)], []))
         self.assertFalse(self.links(rig)[0].connection.closed)
 
     def test_an_answer_to_what_is_not_written_yet_is_none(self):
@@ -352,8 +352,8 @@
         rig.front.pool.send(attempt(BY_POOL, ended, id=next_id.to_bytes(8, "big")))
         rig.until(lambda: scorer.runs, "the call runs")
         rig.front.pool.order(order(BY_POOL, ended))
-        rig.until(lambda: scorer.of(scorer_frames.ENSURE), "the order has come")
-        [(link, frame)], [(of_call, call)] = scorer.of(scorer_frames.ENSURE), scorer.runs
+        rig.until(lambda: scorer.of(scorer_frames.LOAD), "the order has come")
+        [(link, frame)], [(of_call, call)] = scorer.of(scorer_frames.LOAD), scorer.runs
         self.assertEqual(frame.id, call.id)
         self.assertIsNot(link, of_call)
         scorer.answer((link, frame), 0, "slots_up=1")
@@ -364,7 +364,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        with mock.patch("fawnwharf.net.scorer_links.ANSWERED_MOST", 4):
+        with mock.patch("fawnwharf.net.scorer_links.MAX_ANSWERED_IDS", 4):
             for number in range(6):
                 rig.front.pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
                 rig.until(lambda number=number: len(scorer.runs) > number, "it runs")
--- a/tests/test_scorer_faults.py
+++ b/tests/test_scorer_faults.py
@@ -10,8 +10,15 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import connection, scorers, writing
-from fawnwharf.net.end_reasons import ERRORS, PASSING, End, SystemCall, end_of, told
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.end_reasons import (
+    LOCAL_REASONS,
+    REASON_BY_ERRNO,
+    EndReason,
+    SystemCall,
+    attempt_result,
+    end_reason_of,
+)
+from fawnwharf.net.front_end import scorer_number
 
 LOCAL = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR")
 # Which errors of a call pass by themselves, and what the others tell of the scorer.
@@ -23,17 +30,17 @@
 }
 OF_PEER = {
     "connect": {
-        "ECONNREFUSED": End.REFUSED, "EHOSTUNREACH": End.UNREACHABLE, "ETIMEDOUT": End.UNREACHABLE,
+        "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE, "ETIMEDOUT": EndReason.UNREACHABLE,
     },
     "so_error": {
-        "ECONNREFUSED": End.REFUSED, "EHOSTUNREACH": End.UNREACHABLE, "ETIMEDOUT": End.UNREACHABLE,
-        "ENETUNREACH": End.UNREACHABLE,
+        "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE, "ETIMEDOUT": EndReason.UNREACHABLE,
+        "ENETUNREACH": EndReason.UNREACHABLE,
     },
     "sendmsg": {
-        "ECONNRESET": End.RESET_BY_PEER, "EPIPE": End.RESET_BY_PEER, "ETIMEDOUT": End.UNREACHABLE,
+        "ECONNRESET": EndReason.RESET_BY_PEER, "EPIPE": EndReason.RESET_BY_PEER, "ETIMEDOUT": EndReason.UNREACHABLE,
     },
 }  # fmt: skip
-PAUSE_MS = scorers.DIAL_PAUSE_MS + 5.0
+PAUSE_MS = scorers.REDIAL_DELAY_MS + 5.0
 DIAL_MS = 250.0
 BOUNDS = {"max_attempts": 3, "cancel": True, "second_copies": True, "dial_timeout": DIAL_MS}
 
@@ -72,9 +79,9 @@
                     self.clock.advance(5.0)
                     self.turn(rig, times=1)
                 fault.times = fault.hits
-                self.assertEqual(told(*ended[0]), io.Ending.NOT_SENT)
+                self.assertEqual(attempt_result(*ended[0]), io.Ending.NOT_SENT)
                 self.assertLessEqual(abs(self.clock.monotonic_ms - started_ms - DIAL_MS), 10.0)
-                self.assertTrue(2 <= fault.hits <= DIAL_MS / scorers.DIAL_PAUSE_MS + 1, fault.hits)
+                self.assertTrue(2 <= fault.hits <= DIAL_MS / scorers.REDIAL_DELAY_MS + 1, fault.hits)
                 self.assertEqual((self.links(rig), rig.front.pool._links), ([], 0))
 
     def test_a_lasting_fault_ends_nothing_before_a_later_one_has_waited_as_long(self):
@@ -96,7 +103,7 @@
                     rig, _, ended, _ = self.waiting(call, name)
                     rig.until(lambda ended=ended: ended, "it ends")
                     self.assertEqual(ended, [(end, False)])
-                    self.assertEqual(told(*ended[0]), io.Ending.CONNECT_FAILED)
+                    self.assertEqual(attempt_result(*ended[0]), io.Ending.CONNECT_FAILED)
 
     def test_the_errors_are_those_of_the_table(self):
         calls = {
@@ -105,13 +112,13 @@
         }  # fmt: skip
         for call, names in PASSES.items():
             for name in names:
-                self.assertIn(end_of(OSError(number(name), ""), calls[call]), PASSING)
+                self.assertIn(end_reason_of(OSError(number(name), ""), calls[call]), LOCAL_REASONS)
         for call, rows in OF_PEER.items():
             for name, end in rows.items():
-                self.assertIs(end_of(OSError(number(name), ""), calls[call]), end)
+                self.assertIs(end_reason_of(OSError(number(name), ""), calls[call]), end)
         for call in calls.values():
-            self.assertIs(end_of(OSError(errno.EXDEV, ""), call), End.UNREACHABLE)
-            self.assertNotIn(errno.EXDEV, ERRORS[call])
+            self.assertIs(end_reason_of(OSError(errno.EXDEV, ""), call), EndReason.UNREACHABLE)
+            self.assertNotIn(errno.EXDEV, REASON_BY_ERRNO[call])
 
     def test_a_drain_told_in_the_pause_brings_new_work_back_at_once(self):
         for state in (io.State.DRAINING, io.State.GONE):
@@ -119,7 +126,7 @@
                 rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL")
                 self.turn(rig)
                 rig.front.pool.update(BY_POOL, None, state, 0.0)
-                self.assertEqual(ended, [(End.PULLED_BACK, False)])
+                self.assertEqual(ended, [(EndReason.PULLED_BACK, False)])
                 self.clock.advance(PAUSE_MS)
                 self.turn(rig)
                 self.assertEqual(scorer.links, [])
@@ -130,7 +137,7 @@
         rig.front.pool.cancel(stream)
         self.clock.advance(PAUSE_MS)
         self.turn(rig)
-        self.assertEqual((ended, scorer.links), ([(End.CALLED_OFF, False)], []))
+        self.assertEqual((ended, scorer.links), ([(EndReason.CALLED_OFF, False)], []))
 
     def test_an_address_told_in_the_pause_is_the_one_that_is_dialled(self):
         rig, scorer, ended, _ = self.waiting("connect", "ENETUNREACH")
@@ -155,7 +162,7 @@
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 scorer.answer(scorer.runs[0])
                 rig.until(lambda client=client: client.answers, "it is answered")
-                worker = rig.front.router.workers[worker_number(scorer.id)]
+                worker = rig.front.router.workers[scorer_number(scorer.id)]
                 self.assertEqual((client.kinds(), worker.suspect_ms), ({1: "answer"}, None))
 
     def test_no_descriptor_is_leaked_where_a_dial_fails_half_way(self):
@@ -234,8 +241,8 @@
             self.turn(rig, times=1)
         fault.times = fault.hits
         rig.settle(rig.client())
-        self.assertEqual((ended, scorer.frames), ([(End.LOCAL_FAULT, True)], []))
-        self.assertEqual(told(*ended[0], whole=False), io.Ending.NOT_SENT)
+        self.assertEqual((ended, scorer.frames), ([(EndReason.LOCAL_FAULT, True)], []))
+        self.assertEqual(attempt_result(*ended[0], whole=False), io.Ending.NOT_SENT)
 
 
 if __name__ == "__main__":
--- a/tests/test_scorer_links.py
+++ b/tests/test_scorer_links.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import front_end, scorer_frames, scorers, streams
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net.end_reasons import EndReason
 
 ROOT = Path(__file__).parent.parent
 
@@ -39,7 +39,7 @@
 
 
 def order(worker, ended, copies=1):
-    return streams.Order(
+    return streams.LoadOrder(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), ROW, copies
     )
 
@@ -81,11 +81,11 @@
             rig.front.pool.update(9, silent.getsockname(), io.State.READY, 0.0)
             rig.front.pool.send(attempt(9, ended))
             rig.until(lambda: ended, "it ends")
-        self.assertEqual(ended, [(End.REFUSED, False)])
+        self.assertEqual(ended, [(EndReason.REFUSED, False)])
 
     def test_a_dial_that_is_reset_as_it_comes_up_is_tried_again_but_not_for_ever(self):
-        most = scorers.REDIALS_MOST
-        for resets, ends in ((most, []), (most + 1, [(End.RESET_BY_PEER, False)])):
+        most = scorers.MAX_REDIALS
+        for resets, ends in ((most, []), (most + 1, [(EndReason.RESET_BY_PEER, False)])):
             rig, ended = self.rig(), []
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 rig.front.pool.update(9, listener.getsockname(), io.State.READY, 0.0)
@@ -101,7 +101,7 @@
 class Drains(Case):
     def pool(self, scorer):
         rig = self.rig(scorer)
-        return rig, rig.front.pool, front_end.worker_number(scorer.id)
+        return rig, rig.front.pool, front_end.scorer_number(scorer.id)
 
     def test_what_waits_for_a_dial_or_is_unwritten_is_pulled_back(self):
         for state in (io.State.DRAINING, io.State.GONE):
@@ -116,7 +116,7 @@
                     pool.send(attempt(id, ended))
                     pool.order(order(id, ended))
                     pool.update(id, None, state, 0.0)
-                    self.assertEqual(ended, [(End.PULLED_BACK, False)] * 2)
+                    self.assertEqual(ended, [(EndReason.PULLED_BACK, False)] * 2)
                     rig.settle(rig.client())
                     self.assertEqual(len(scorer.frames), before)
 
@@ -126,7 +126,7 @@
         pool.update(id, None, io.State.DRAINING, 0.0)
         pool.send(attempt(id, ended))
         pool.order(order(id, ended))
-        self.assertEqual(ended, [(End.NEVER_SENT, False)] * 2)
+        self.assertEqual(ended, [(EndReason.NEVER_SENT, False)] * 2)
         pool.order(order(id, ended, copies=0))
         rig.until(lambda: len(ended) == 3, "the question is answered")
         self.assertEqual(ended[2], (io.Ending.GOOD, True))
@@ -182,18 +182,18 @@
         peers = ScorerPeer("s-1"), ScorerPeer("s-2")
         rig, ended = self.rig(*peers), {"s-1": [], "s-2": []}
         for peer in peers:
-            rig.front.pool.send(attempt(front_end.worker_number(peer.id), ended[peer.id]))
+            rig.front.pool.send(attempt(front_end.scorer_number(peer.id), ended[peer.id]))
         rig.until(lambda: all(peer.runs for peer in peers), "both run")
         peers[0].runs[0][0].sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
         rig.until(lambda: ended["s-1"], "the first one ends")
         peers[1].answer(peers[1].runs[0])
         rig.until(lambda: ended["s-2"], "the second one ends")
-        self.assertEqual(ended, {"s-1": [(End.BAD_BYTES, True)], "s-2": [(io.Ending.GOOD, True)]})
+        self.assertEqual(ended, {"s-1": [(EndReason.BAD_BYTES, True)], "s-2": [(io.Ending.GOOD, True)]})
 
     def test_what_spoils_a_link_leaves_the_calls_on_the_others_alone(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
-        id = front_end.worker_number(scorer.id)
+        id = front_end.scorer_number(scorer.id)
         for n in range(3):
             rig.front.pool.send(attempt(id, ended, id=b"%08d" % n))
             links = rig.front.pool.scorers[id].links
@@ -204,12 +204,12 @@
         for item in (scorer.runs[0], scorer.runs[2]):
             scorer.answer(item)
         rig.until(lambda: len(ended) == 3, "the others are answered")
-        self.assertEqual(ended, [(End.BAD_BYTES, True)] + [(io.Ending.GOOD, True)] * 2)
+        self.assertEqual(ended, [(EndReason.BAD_BYTES, True)] + [(io.Ending.GOOD, True)] * 2)
 
     def test_a_link_that_the_scorer_has_just_ended_is_not_used_again(self):
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
-        id = front_end.worker_number(scorer.id)
+        id = front_end.scorer_number(scorer.id)
         rig.front.pool.order(order(id, ended))
         rig.until(lambda: ended and len(scorer.links) == 2, "a link and a spare are idle")
         for peer, link in zip(scorer.links, list(rig.front.pool.scorers[id].links), strict=True):
@@ -224,7 +224,7 @@
     def test_a_connection_carries_so_many_streams_and_no_id_twice(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
-        id = front_end.worker_number(scorer.id)
+        id = front_end.scorer_number(scorer.id)
         for n in range(33):
             rig.front.pool.send(attempt(id, ended, id=b"%08d" % n))
         rig.front.pool.send(attempt(id, ended, id=b"%08d" % 0))
@@ -237,7 +237,7 @@
     def test_an_id_that_was_given_up_is_not_used_again_on_its_connection(self):
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
-        id, first = front_end.worker_number(scorer.id), []
+        id, first = front_end.scorer_number(scorer.id), []
         rig.front.pool.send(given_up := attempt(id, first))
         rig.until(lambda: scorer.runs, "it runs")
         rig.front.pool.cancel(given_up)
@@ -247,7 +247,7 @@
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
         scorer.answer(scorer.runs[1], 2, "")
         rig.until(lambda: ended, "the second ends")
-        self.assertEqual((first, ended), ([(End.CALLED_OFF, True)], [(io.Ending.MISS, True)]))
+        self.assertEqual((first, ended), ([(EndReason.CALLED_OFF, True)], [(io.Ending.MISS, True)]))
 
     def test_silence_ends_in_time_for_attempts_orders_and_dials(self):
         scorer, ended = ScorerPeer(copies=None), []
@@ -261,7 +261,7 @@
         for sock in (full, *fillers):
             self.addCleanup(sock.close)
         rig = self.rig(scorer)
-        id, pool = front_end.worker_number(scorer.id), rig.front.pool
+        id, pool = front_end.scorer_number(scorer.id), rig.front.pool
         pool.order(order(id, [], copies=0))
         rig.until(lambda: scorer.frames, "a link is up")
         pool.wire = msgspec.structs.replace(pool.wire, load_wait_ms=500.0, dial_timeout_ms=60.0)
@@ -272,23 +272,23 @@
         rig.until(lambda: len(ended) == 2, "the order ends")
         rig.front.pool.send(attempt(9, ended))
         rig.until(lambda: len(ended) == 3, "the dial ends")
-        self.assertEqual(ended, [(End.OUT_OF_TIME, True)] * 2 + [(End.DIAL_TIMED_OUT, False)])
+        self.assertEqual(ended, [(EndReason.OUT_OF_TIME, True)] * 2 + [(EndReason.DIAL_TIMED_OUT, False)])
 
     def test_a_link_forgotten_while_idle_makes_others_as_idle_unused(self):
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
-        id, pool = front_end.worker_number(scorer.id), rig.front.pool
+        id, pool = front_end.scorer_number(scorer.id), rig.front.pool
         pool.order(order(id, ended))
         rig.until(lambda: ended and len(scorer.links) == 2, "a link and a spare are idle")
         used, spare = pool.scorers[id].links
         rig.until(lambda: min(used.idle_ms(), spare.idle_ms()) > 100.0, "both are idle for long")
         scorer.copies = None
         pool.order(order(id, ended))
-        with mock.patch.object(scorers, "STALE_SIGN_MS", 60_000.0):
+        with mock.patch.object(scorers, "STALE_RESET_MS", 60_000.0):
             rig.until(lambda: len(scorer.frames) == 2, "it is used again")
             reset(scorer.frames[1][0].sock)
             rig.until(lambda: len(ended) == 2, "it is reset")
-        self.assertEqual(ended[1], (End.RESET_BY_PEER, True))
+        self.assertEqual(ended[1], (EndReason.RESET_BY_PEER, True))
         pool.send(attempt(id, ended))
         rig.until(lambda: scorer.runs, "a call runs")
         self.assertNotIn(scorer.runs[0][0], scorer.links[:2])
@@ -296,19 +296,19 @@
     def test_half_a_frame_that_goes_no_further_ends_its_link(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
-        rig.front.pool.send(attempt(front_end.worker_number(scorer.id), ended))
+        rig.front.pool.send(attempt(front_end.scorer_number(scorer.id), ended))
         rig.until(lambda: scorer.runs, "it runs")
         link, frame = scorer.runs[0]
         whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, mark=scorer_frames.FROM_SCORER)
         link.sock.sendall(whole[:40])
         rig.until(lambda: ended, "it ends")
-        self.assertEqual(ended, [(End.SILENT, True)])
+        self.assertEqual(ended, [(EndReason.SILENT, True)])
 
     def test_a_second_copy_of_an_answer_ends_no_later_attempt(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
-        id = front_end.worker_number(scorer.id)
-        with mock.patch.object(scorers, "LINKS_SPREAD", 1):
+        id = front_end.scorer_number(scorer.id)
+        with mock.patch.object(scorers, "SPREAD_CONNECTIONS", 1):
             rig.front.pool.send(attempt(id, ended))
             rig.until(lambda: scorer.runs, "it runs")
             scorer.answer(scorer.runs[0], 3, "")
@@ -323,10 +323,10 @@
     def test_a_link_that_owes_an_answer_in_silence_gets_nothing_new(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
-        id = front_end.worker_number(scorer.id)
+        id = front_end.scorer_number(scorer.id)
         rig.front.pool.send(attempt(id, ended))
         rig.until(lambda: scorer.runs, "it runs")
-        with mock.patch.object(scorers, "QUIET_MS", -1.0):
+        with mock.patch.object(scorers, "SILENT_MS", -1.0):
             rig.front.pool.send(attempt(id, ended, id=b"abcdefgh"))
             rig.until(lambda: len(scorer.runs) == 2, "the second runs")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
@@ -335,7 +335,7 @@
         busy, idle = ScorerPeer("s-1", copies=None), ScorerPeer("s-2")
         rig, ended = self.rig(busy, idle, settings={"bounds": {"keepalive": 0.0}}), []
         for peer in (busy, idle):
-            rig.front.pool.order(order(front_end.worker_number(peer.id), ended))
+            rig.front.pool.order(order(front_end.scorer_number(peer.id), ended))
         rig.until(lambda: ended and busy.frames, "one is answered")
         rig.until(lambda: idle.links[0].ended, "the idle one is closed")
         self.assertFalse(busy.links[0].ended)
@@ -343,9 +343,9 @@
     def test_links_keep_to_their_share_of_descriptors(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, limits={"sockets": 32}, settings={"bounds": {"streams_per_conn": 1}})
-        id = front_end.worker_number(scorer.id)
+        id = front_end.scorer_number(scorer.id)
         for n in range(40):
             rig.front.pool.send(attempt(id, ended, id=b"%08d" % n))
         rig.until(lambda: len(scorer.runs) + len(ended) == 40, "all run or end")
-        self.assertEqual(set(ended), {(End.NO_DESCRIPTOR, False)})
+        self.assertEqual(set(ended), {(EndReason.NO_DESCRIPTOR, False)})
         self.assertLessEqual(len(scorer.links), 32 * front_end.SCORER_SHARE)
--- a/tests/test_scorer_shuffles.py
+++ b/tests/test_scorer_shuffles.py
@@ -10,7 +10,7 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt, order, reset
 
 from fawnwharf import interface as io
-from fawnwharf.net.end_reasons import End, told
+from fawnwharf.net.end_reasons import EndReason, attempt_result
 from fawnwharf.net.streams import Attempt
 
 SEEDS, STEPS = 40, 60
@@ -195,8 +195,8 @@
             if isinstance(stream, Attempt):
                 self.case.assertIn(stream, self.ends, "no end, though its time is over")
             end = self.ends.get(stream)
-            if isinstance(end, End) and end is not End.CALLED_OFF and not self.begun[stream]:
-                self.case.assertIn(told(end, False), NEVER_WRITTEN)
+            if isinstance(end, EndReason) and end is not EndReason.CALLED_OFF and not self.begun[stream]:
+                self.case.assertIn(attempt_result(end, False), NEVER_WRITTEN)
 
 
 class Shuffles(Case):
--- a/tests/test_shutdown_orders.py
+++ b/tests/test_shutdown_orders.py
@@ -27,7 +27,7 @@
 def arrivals_over(rig):
     """The late arrivals are in: from here on connections are ended."""
     since_ms = rig.front._leaving._since_ms
-    rig.front._leaving._since_ms = min(since_ms, since_ms - graceful_shutdown.LATE_ARRIVALS_MS)
+    rig.front._leaving._since_ms = min(since_ms, since_ms - graceful_shutdown.LATE_ARRIVAL_MS)
 
 
 def asked(rig, client, **fields):
@@ -40,10 +40,10 @@
 
 def test_the_limit_of_an_end_follows_the_longest_class():
     rig = Rig(ScorerPeer(), settings={"classes": [*SETTINGS["classes"], SLOW_CLASS]})
-    most_ms = graceful_shutdown.TTL_ROOM * SLOW_CLASS["give_up"]
+    most_ms = graceful_shutdown.TTL_TOLERANCE * SLOW_CLASS["give_up"]
     assert (
         graceful_shutdown.limit_ms(rig.front.deployment.settings)
-        > graceful_shutdown.LATE_ARRIVALS_MS + most_ms
+        > graceful_shutdown.LATE_ARRIVAL_MS + most_ms
     )
     client = rig.client()
     asked(rig, client, op="slow", ttl="66000")
@@ -78,7 +78,7 @@
     served.connection.read_on(False)
     client.call()  # unread at each look
     looks = []
-    rig.front.loop.wheel.after(3 * graceful_shutdown.LOOK_MS, lambda: looks.append(1))
+    rig.front.loop.wheel.after(3 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
     assert not client.ended and not served.connection.finishing
     served.connection.read_on(True)
@@ -170,7 +170,7 @@
     rig.front.leave()
     arrivals_over(rig)
     looks = []
-    rig.front.loop.wheel.after(5 * graceful_shutdown.LOOK_MS, lambda: looks.append(1))
+    rig.front.loop.wheel.after(5 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
     assert not served.connection.finishing and rig.front.loop.running
     with mock.patch.object(
--- a/tests/test_stamps.py
+++ b/tests/test_stamps.py
@@ -5,7 +5,7 @@
 import unittest
 
 from fawnwharf.net import connection
-from fawnwharf.net.loop import Loop, StampTrust
+from fawnwharf.net.loop import EventLoop, ReceiveTimestampCheck
 
 
 class Trust(unittest.TestCase):
@@ -19,22 +19,22 @@
         )
         for age, gap, looked_at, taken in cases:
             with self.subTest(age=age, gap=gap):
-                self.assertEqual(taken, StampTrust().age_ms(age, gap, looked_at))
+                self.assertEqual(taken, ReceiveTimestampCheck().age_ms(age, gap, looked_at))
 
     def test_stamps_of_a_clock_that_is_seconds_behind_are_left_after_a_few_reads(self):
-        trust = StampTrust()
+        trust = ReceiveTimestampCheck()
         ages = [trust.age_ms(5_000.0, 40.0, True) for _ in range(50)]
         self.assertEqual(0.0, sum(ages[3:]))
         self.assertEqual(0.0, trust.age_ms(5_000.0, 40.0, False))
 
     def test_stamps_of_a_clock_that_runs_away_are_left_too(self):
-        trust = StampTrust()
+        trust = ReceiveTimestampCheck()
         for _ in range(10):
             trust.age_ms(-3_000.0, 40.0, True)
         self.assertEqual(0.0, trust.age_ms(30.0, 40.0, False))
 
     def test_a_few_old_reads_among_many_change_nothing(self):
-        trust = StampTrust()
+        trust = ReceiveTimestampCheck()
         for n in range(400):
             trust.age_ms(6_000.0 if n % 20 == 0 else 10.0, 40.0, True)
         self.assertEqual(25.0, trust.age_ms(25.0, 40.0, True))
@@ -57,7 +57,7 @@
             pass
 
     def test_reads_without_stamps_and_with_another_clocks_go_on(self):
-        loop = Loop(lambda now, events: None, lambda text: None)
+        loop = EventLoop(lambda now, events: None, lambda text: None)
         self.addCleanup(loop.close)
         near, far = socket.socketpair()
         self.addCleanup(far.close)
@@ -68,10 +68,10 @@
             loop.turn(1.0)
         self.assertEqual([0.0] * 3, owner.ages)
         seconds = int(time.time()) - 7
-        note = (socket.SOL_SOCKET, connection.SO_TIMESTAMPNS, connection.STAMP.pack(seconds, 0))
+        note = (socket.SOL_SOCKET, connection.SO_TIMESTAMPNS, connection.TIMESTAMP.pack(seconds, 0))
         ages = [owner.connection._age([note]) for _ in range(8)]
         self.assertEqual([0.0] * 4, ages[4:])
-        owner.connection.close(connection.End.STOPPED)
+        owner.connection.close(connection.EndReason.STOPPED)
 
 
 class _NoDelay:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -11,14 +11,14 @@
 from fawnwharf.fakes.scorers import Nature, Scorer, Store
 from fawnwharf.fakes.sessions import SessionClients
 from fawnwharf.net import scorer_frames as frames
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 
 PATIENCE_S = 10.0
 
 
 class Case(unittest.TestCase):
     def setUp(self):
-        self.loop = Loop(lambda now_ms, events: None, mock.Mock())
+        self.loop = EventLoop(lambda now_ms, events: None, mock.Mock())
         self.addCleanup(self.loop.close)
 
     def until(self, condition, what):
@@ -308,7 +308,7 @@
     def test_an_order_is_answered_when_the_copies_stand(self):
         scorer = self.scorer()
         sock = self.link(scorer)
-        sock.sendall(frames.ensure(b"1" * 8, "f", 2) + frames.ensure(b"2" * 8, "f", 0))
+        sock.sendall(frames.load(b"1" * 8, "f", 2) + frames.load(b"2" * 8, "f", 0))
         self.until(lambda: len(self.pump(sock)) == 2, "both are answered")
         told = {frame.id[:1]: frame.fields["slots_up"] for frame in self.frames}
         self.assertEqual(told, {b"1": "2", b"2": "0"})
@@ -319,11 +319,11 @@
     def test_idle_copies_go_at_a_word_and_those_that_no_call_had_are_noted(self):
         scorer, function = self.scorer(), bytes.fromhex("00000000000000ab")
         sock = self.link(scorer)
-        sock.sendall(frames.ensure(b"1" * 8, function.hex(), 2))
+        sock.sendall(frames.load(b"1" * 8, function.hex(), 2))
         self.until(lambda: self.pump(sock), "they stand")
         sock.sendall(frames.run(b"2" * 8, "view", function.hex(), 1000.0, "", b""))
         self.until(lambda: len(self.pump(sock)) == 2, "one is used")
-        sock.sendall(frames.unload(function.hex()) + frames.ensure(b"3" * 8, function.hex(), 0))
+        sock.sendall(frames.unload(function.hex()) + frames.load(b"3" * 8, function.hex(), 0))
         self.until(lambda: len(self.pump(sock)) == 3, "the question is answered, the word is not")
         self.assertEqual(self.frames[-1].fields["slots_up"], "0")
         self.assertEqual(self.whats("loaded", "wasted", "unload"), ["loaded", "loaded", "unload", "wasted"])
@@ -332,7 +332,7 @@
     def test_copies_at_work_stay_at_a_word_and_go_when_they_are_done_at_a_release(self):
         scorer = self.scorer(work_ms=60.0, lanes=1)
         sock = self.link(scorer)
-        sock.sendall(frames.ensure(b"1" * 8, "f", 2))
+        sock.sendall(frames.load(b"1" * 8, "f", 2))
         self.until(lambda: self.pump(sock), "they stand")
         sock.sendall(frames.run(b"2" * 8, "view", "f", 1000.0, "", b""))
         self.until(lambda: scorer.functions["f"].running, "it runs")
--- a/tests/test_start_orders.py
+++ b/tests/test_start_orders.py
@@ -26,19 +26,19 @@
     holder = socket.create_server(("127.0.0.1", 0))
     address = holder.getsockname()
     monkeypatch.setattr(listener, "sleep_s", lambda _span: holder.close())  # it ends in the first wait
-    with listener.once_free(lambda: listener.listening(address, False)) as made:
+    with listener.listen_when_free(lambda: listener.open_listener(address, False)) as made:
         assert made.getsockname() == address
 
 
 def test_an_address_that_stays_anothers_or_a_signal_ends_the_wait(monkeypatch):
     with socket.create_server(("127.0.0.1", 0)) as holder:
-        listen = lambda: listener.listening(holder.getsockname(), False)  # noqa: E731
+        listen = lambda: listener.open_listener(holder.getsockname(), False)  # noqa: E731
         with pytest.raises(OSError) as raised:
-            listener.once_free(listen, most_s=0.0)
+            listener.listen_when_free(listen, most_s=0.0)
         assert raised.value.errno == errno.EADDRINUSE
         monkeypatch.setattr(listener.signal, "sigpending", lambda: {listener.signal.SIGTERM})
         with pytest.raises(OSError):
-            listener.once_free(listen)
+            listener.listen_when_free(listen)
 
 
 def test_a_faulty_event_among_the_known_ones_costs_itself_alone():
@@ -74,7 +74,7 @@
         rig.until(lambda: rig.log.asked(), "the change log is asked")
         rig.log.say(b"1")
     else:
-        rig.front._start_ms -= front_end.ROSTER_MOST_MS
+        rig.front._start_ms -= front_end.MAX_ROSTER_WAIT_MS
     rig.until(lambda: rig.front.port.takes_work, "it takes work")
     rig.settle(client)
     assert client.answers[-1][2][3] is True
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -4,8 +4,8 @@
 from peers import Rig, ScorerPeer
 
 from fawnwharf.config import Fleet, Member
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.starts import KNOWN_MOST, LATE_MS, Starts
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.starts import MAX_DELAY_MS, MAX_SCORERS, ScorerStartTimes
 from fawnwharf.net.timer_wheel import unix_ms
 
 NOW, HOUR, NEVER = 1_000_000_000.0, 3_600_000.0, float("inf")
@@ -23,8 +23,14 @@
     [
         (0.0, 500.0, False, 0.0, 0),  # no late start
         (NOW - 300.0, 500.0, False, NOW - 300.0, 0),
-        (NOW - LATE_MS - 400.0, 500.0, False, NOW - LATE_MS - 400.0, 0),  # as late as it may be told
-        (NOW - LATE_MS - 600.0, 500.0, False, NOW, 1),  # own clock ahead
+        (
+            NOW - MAX_DELAY_MS - 400.0,
+            500.0,
+            False,
+            NOW - MAX_DELAY_MS - 400.0,
+            0,
+        ),  # as late as it may be told
+        (NOW - MAX_DELAY_MS - 600.0, 500.0, False, NOW, 1),  # own clock ahead
         (NOW - HOUR, 500.0, False, NOW, 1),
         (NOW - HOUR, HOUR, False, NOW - HOUR, 0),  # nothing was heard for so long
         (NOW - HOUR, NEVER, False, NOW - HOUR, 0),  # not followed yet
@@ -37,31 +43,31 @@
 def test_a_start_is_gone_by_as_what_is_known_without_a_clock_allows(
     start_ms, unheard_ms, complete, gone_by_ms, apart
 ):
-    starts = Starts()
+    starts = ScorerStartTimes()
     assert told(starts, start_ms, unheard_ms=unheard_ms, complete=complete) == gone_by_ms
     assert starts.apart == apart
 
 
 def test_what_is_told_again_keeps_its_start_and_a_later_one_is_later():
-    starts = Starts()
+    starts = ScorerStartTimes()
     first = told(starts, NOW + HOUR)
     assert told(starts, NOW + HOUR, NOW + 60_000.0) == first
     assert told(starts, NOW + HOUR, NOW + 61_000.0, phase="terminated") == first
     assert told(starts, NOW + HOUR, NOW + 62_000.0) == first  # listed again, and not started anew
     assert told(starts, NOW + HOUR, NOW + 63_000.0, complete=True) == first
     assert told(starts, NOW + HOUR + 64_000.0, NOW + 64_000.0) == NOW + 64_000.0 > first
-    ahead = Starts()
+    ahead = ScorerStartTimes()
     first = told(ahead, NOW - HOUR, unheard_ms=NEVER)
     assert told(ahead, NOW - HOUR + 60_000.0, NOW + 60_000.0) == NOW + 60_000.0 > first
     assert ahead.apart == 1
 
 
 def test_what_is_remembered_is_bounded():
-    starts = Starts()
-    for n in range(KNOWN_MOST + 10):
+    starts = ScorerStartTimes()
+    for n in range(MAX_SCORERS + 10):
         told(starts, NOW + HOUR, id=f"s-{n}")
-    assert len(starts._known) == KNOWN_MOST
-    assert told(starts, NOW + HOUR, NOW + 5.0, id=f"s-{KNOWN_MOST + 9}") == NOW
+    assert len(starts._known) == MAX_SCORERS
+    assert told(starts, NOW + HOUR, NOW + 5.0, id=f"s-{MAX_SCORERS + 9}") == NOW
 
 
 @pytest.fixture
@@ -75,7 +81,7 @@
 def test_a_scorer_that_restarts_by_another_clock_is_cold_now_and_its_copies_are_believed(rig, apart_ms):
     rig.log.say(rig.front.changelog.seq)
     rig.until(lambda: rig.front.changelog.told_all_ms is not None, "the log is followed")
-    seq, worker = rig.front.changelog.seq + 1, rig.front.router.workers[worker_number("s-1")]
+    seq, worker = rig.front.changelog.seq + 1, rig.front.router.workers[scorer_number("s-1")]
     cold_ms = rig.front.deployment.settings.cold_ms
     member = rig.scorers[0].member(up_since_ms=unix_ms() + apart_ms)
     rig.log.say({"seq": seq, "fleet": {"members": [member]}})
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from fawnwharf.net import connection
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.loop import EventLoop
 from fawnwharf.zones import links
 from fawnwharf.zones.links import LogServer, MemberLog
 
@@ -17,7 +17,7 @@
 
 class Case(unittest.TestCase):
     def setUp(self):
-        self.loop = Loop(lambda now_ms, events: None, mock.Mock())
+        self.loop = EventLoop(lambda now_ms, events: None, mock.Mock())
         self.addCleanup(self.loop.close)
         self.told, self.dropped = [], []
 
@@ -56,7 +56,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
-        feed._connection.close(links.End.RETIRED)
+        feed._connection.close(links.EndReason.RETIRED)
         server.write({"n": 1})
         server.write({"n": 2})
         self.until(lambda: feed.seq == 3, "the others are told")
@@ -67,7 +67,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
-        feed._connection.close(links.End.RETIRED)
+        feed._connection.close(links.EndReason.RETIRED)
         for n in range(1, links.KEPT_MOST + 10):
             server.write({"n": n}, counts_as="n")
         self.until(lambda: feed.seq == links.KEPT_MOST + 10, "it has caught up")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,7 +6,7 @@
 
 from fawnwharf import config
 from fawnwharf.interface import Ending
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import roster
 from fawnwharf.zones import settings as s
@@ -146,7 +146,7 @@
 
 
 def test_a_plan_closes_scorers_and_never_opens_one_that_drains():
-    overlay = Overlay()
+    overlay = RosterOverlay()
     fleet = config.Fleet([*scorers("a1", "b1"), *scorers("b2", phase="terminating")], complete=True)
     assert phases(overlay.told(fleet)) == {"a1": "in_service", "b1": "in_service", "b2": "terminating"}
     out = plan(a=(p.SERVING, 2, 0.5, "x"), b=(p.OUT, 2, 0.5, "x"))
@@ -159,7 +159,7 @@
 
 
 def test_the_roster_keeps_what_a_change_does_not_tell_again():
-    overlay = Overlay()
+    overlay = RosterOverlay()
     overlay.told(config.Fleet(scorers("b1"), complete=True))
     gone = config.Member("b1", "terminated")
     [told] = overlay.told(config.Fleet([gone])).members
