--- a/fawnwharf/net/streams.py
+++ b/fawnwharf/net/streams.py
@@ -8,8 +8,8 @@
 from fawnwharf.interface import Ending, Warmth
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.pieces import WriteBuffer
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.net.write_buffer import WriteBuffer
 
 if TYPE_CHECKING:
     from fawnwharf.net.scorer_links import ScorerConnection
--- a/fawnwharf/net/writing.py
+++ b/fawnwharf/net/writing.py
@@ -8,8 +8,8 @@
 from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason, SystemCall, end_reason_of
 from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.owners import ConnectionOwner
-from fawnwharf.net.pieces import PartialWriteLimit, WriteBuffer
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.net.write_buffer import PartialWriteLimit, WriteBuffer
 
 MAX_BUFFERS = 64  # in one write
 WRITE_PAUSE_MS = 20.0  # after a write that failed for want of memory: the system gets time to find some
