--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -8,7 +8,7 @@
 from fawnwharf.net.calls import TTL_TOLERANCE
 from fawnwharf.net.clients import MESSAGE_TIMEOUT_MS, ClientConnection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.room import MIN_SILENT_AGE_MS
+from fawnwharf.net.idle_connections import MIN_SILENT_AGE_MS
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 if TYPE_CHECKING:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -158,7 +158,7 @@
         port, room = rig.front.port, int(32 * front_end.CLIENT_SHARE)
         maker = port._room_maker
         with (
-            mock.patch("fawnwharf.net.room.SCAN_MS", 60_000.0),
+            mock.patch("fawnwharf.net.idle_connections.SCAN_MS", 60_000.0),
             mock.patch.object(port, "tidy"),
             mock.patch.object(maker, "_by_idleness", wraps=maker._by_idleness) as looks,
         ):
