--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -13,7 +13,7 @@
 from fawnwharf.net.log import LogWriter
 from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.roster_overlay import RosterOverlay
-from fawnwharf.net.starts import ClockStepCorrection
+from fawnwharf.net.scorer_start_times import ClockStepCorrection
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 # What it has to tell counts as told 4 s after it stopped, and 2 s after it broke off: to notice, to dial and
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -5,7 +5,7 @@
 
 from fawnwharf.config import Fleet, Member
 from fawnwharf.net.front_end import scorer_number
-from fawnwharf.net.starts import MAX_DELAY_MS, MAX_SCORERS, ScorerStartTimes
+from fawnwharf.net.scorer_start_times import MAX_DELAY_MS, MAX_SCORERS, ScorerStartTimes
 from fawnwharf.net.timer_wheel import unix_ms
 
 NOW, HOUR, NEVER = 1_000_000_000.0, 3_600_000.0, float("inf")
