--- a/fawnwharf/admin/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -10,8 +10,8 @@
 from fawnwharf.admin.channel import Channel, Door, Place, ask
 from fawnwharf.admin.parts import Parts
 from fawnwharf.config import Deployment
+from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.handed import HandedOffConnection
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LOOK_MS = 20.0  # pace of the look after connections that have fallen idle
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -9,8 +9,8 @@
 from fawnwharf.net.acceptor import Acceptor
 from fawnwharf.net.calls import call_from
 from fawnwharf.net.connection import Connection
+from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.handed import HandedOffConnection
 from fawnwharf.net.idle_connections import IdleConnectionReleaser
 from fawnwharf.net.listener import open_listener
 from fawnwharf.net.log import LogWriter
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from fawnwharf.admin.handoff_messages import Do, Phase
 from fawnwharf.admin.http import Asked
 from fawnwharf.admin.replacement import Inherited, Replacement
-from fawnwharf.net.handed import HandedOffConnection
+from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.loop import EventLoop
 
 HERE = ("127.0.0.1", 8000)
--- a/tests/test_handover_age.py
+++ b/tests/test_handover_age.py
@@ -5,7 +5,7 @@
 import pytest
 from peers import ClientPeer, Rig, ScorerPeer
 
-from fawnwharf.net.handed import HandedOffConnection
+from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 
--- a/tests/test_request_age.py
+++ b/tests/test_request_age.py
@@ -4,7 +4,7 @@
 from peers import Rig, ScorerPeer
 from test_clock_steps import HOUR, clock, rig, settled_client, without_stamps
 
-from fawnwharf.net.handed import HandedOffConnection
+from fawnwharf.net.connection_handoff import HandedOffConnection
 
 __all__ = ["clock", "rig"]
 TTL_MS = 8_000.0
