--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -13,8 +13,8 @@
 from fawnwharf.net.end_reasons import EndReason, SystemCall, end_reason_of
 from fawnwharf.net.loop import READ, STALL_THRESHOLD_MS, WRITE, EventLoop, ReadPriority
 from fawnwharf.net.owners import NO_OWNER, ConnectionOwner
+from fawnwharf.net.socket_inspection import discard, peek, peer_ended
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.net.unread import discard, peek, peer_ended
 from fawnwharf.net.write_buffer import PartialWriteLimit, WriteBuffer
 from fawnwharf.net.writing import ConnectionWriter
 
