--- a/fawnwharf/net/writing.py
+++ b/fawnwharf/net/writing.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from itertools import islice
 
+from fawnwharf.net.connection_owner import ConnectionOwner
 from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason, SystemCall, end_reason_of
 from fawnwharf.net.loop import EventLoop
-from fawnwharf.net.owners import ConnectionOwner
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.net.write_buffer import PartialWriteLimit, WriteBuffer
 
