--- a/tests/test_scorer_faults.py
+++ b/tests/test_scorer_faults.py
@@ -9,7 +9,7 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt
 
 from fawnwharf import interface as io
-from fawnwharf.net import connection, scorers, writing
+from fawnwharf.net import connection, connection_writer, scorers
 from fawnwharf.net.end_reasons import (
     LOCAL_REASONS,
     REASON_BY_ERRNO,
@@ -201,7 +201,7 @@
                 self.turn(rig, times=20)
                 self.assertEqual((fault.hits, ended, link.connection.closed), (1, [], False))
                 fault.times = fault.hits
-                self.clock.advance(writing.WRITE_PAUSE_MS + 5.0)
+                self.clock.advance(connection_writer.WRITE_PAUSE_MS + 5.0)
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
 
     def test_what_the_other_side_did_ends_the_link_and_nothing_of_it_had_left(self):
@@ -225,7 +225,7 @@
         client.status(7)
         self.turn(rig)
         self.assertEqual(client.answers, [])
-        self.clock.advance(writing.WRITE_PAUSE_MS + 5.0)
+        self.clock.advance(connection_writer.WRITE_PAUSE_MS + 5.0)
         rig.until(lambda: client.answers, "it has its answer")
 
     def test_a_fault_in_the_middle_of_a_frame_does_not_make_it_late(self):
