--- a/fawnwharf/net/scorer_links.py
+++ b/fawnwharf/net/scorer_links.py
@@ -6,7 +6,7 @@
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.streams import Attempt, Stream
+from fawnwharf.net.scorer_streams import Attempt, Stream
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 if TYPE_CHECKING:
--- a/fawnwharf/net/scorers.py
+++ b/fawnwharf/net/scorers.py
@@ -13,7 +13,7 @@
 from fawnwharf.net.log import LogWriter
 from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.scorer_links import MAX_PARTIAL_WRITE_MS, ScorerConnection
-from fawnwharf.net.streams import WARMTH_BY_FIELD, Answer, Attempt, LoadOrder, Stream, parse_count
+from fawnwharf.net.scorer_streams import WARMTH_BY_FIELD, Answer, Attempt, LoadOrder, Stream, parse_count
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 SILENT_MS = 1_000.0  # a link that owes an answer and says nothing for this long gets nothing new
--- a/fawnwharf/recovery_service/holds.py
+++ b/fawnwharf/recovery_service/holds.py
@@ -15,7 +15,7 @@
 from fawnwharf import interface as io
 from fawnwharf.net.end_reasons import EndReason, attempt_result
 from fawnwharf.net.requests import OpenRequest
-from fawnwharf.net.streams import Answer, LoadOrder
+from fawnwharf.net.scorer_streams import Answer, LoadOrder
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.stages import Allowed
 from fawnwharf.recovery_service.giving import Giving
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -15,7 +15,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Call, Failed, Outcome, Rejected, Succeeded
-from fawnwharf.net.streams import Answer, LoadOrder
+from fawnwharf.net.scorer_streams import Answer, LoadOrder
 from fawnwharf.net.timer_wheel import TimerWheel
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import limits_from
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -6,7 +6,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.front_end import FrontEnd, scorer_number
-from fawnwharf.net.streams import Attempt, LoadOrder
+from fawnwharf.net.scorer_streams import Attempt, LoadOrder
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.claimant import Out
 from fawnwharf.replication.core import Core
--- a/tests/test_load_orders.py
+++ b/tests/test_load_orders.py
@@ -6,7 +6,7 @@
 from support.scorer_link_cases import BY_POOL, Case, order
 
 from fawnwharf import interface as io
-from fawnwharf.net import streams
+from fawnwharf.net import scorer_streams
 from fawnwharf.net.end_reasons import EndReason
 from fawnwharf.policy import loads
 
@@ -73,14 +73,17 @@
         return ended, len(scorer.frames)
 
     def test_one_that_waited_too_long_is_not_sent(self):
-        ended, frames = self.order_that_waits(streams.LOAD_ORDER_WAIT_MS, copies=1)
+        ended, frames = self.order_that_waits(scorer_streams.LOAD_ORDER_WAIT_MS, copies=1)
         self.assertEqual((ended, frames), ([(EndReason.NEVER_SENT, False)], 0))
 
     def test_one_in_time_is_sent_and_so_is_a_question_at_any_time(self):
-        for wait_ms, copies in ((streams.LOAD_ORDER_WAIT_MS / 2, 1), (streams.LOAD_ORDER_WAIT_MS, 0)):
+        for wait_ms, copies in (
+            (scorer_streams.LOAD_ORDER_WAIT_MS / 2, 1),
+            (scorer_streams.LOAD_ORDER_WAIT_MS, 0),
+        ):
             with self.subTest(wait_ms=wait_ms, copies=copies):
                 _, frames = self.order_that_waits(wait_ms, copies)
                 self.assertEqual(frames, 1)
 
     def test_its_wait_and_the_way_lie_within_what_the_decisions_count(self):
-        self.assertLess(streams.LOAD_ORDER_WAIT_MS, loads.ORDER_TRANSIT_MS)
+        self.assertLess(scorer_streams.LOAD_ORDER_WAIT_MS, loads.ORDER_TRANSIT_MS)
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Call, Failed, Rejected, Succeeded
-from fawnwharf.net.streams import Answer
+from fawnwharf.net.scorer_streams import Answer
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.stages import Allowed, Stage, allowed
 from fawnwharf.recovery_service.door import HOLD_PART, Kept
--- a/tests/test_scorer_links.py
+++ b/tests/test_scorer_links.py
@@ -9,7 +9,7 @@
 from peers import ROW, Rig, ScorerPeer, ready
 
 from fawnwharf import interface as io
-from fawnwharf.net import front_end, scorer_frames, scorers, streams
+from fawnwharf.net import front_end, scorer_frames, scorer_streams, scorers
 from fawnwharf.net.end_reasons import EndReason
 
 ROOT = Path(__file__).parent.parent
@@ -32,14 +32,14 @@
 
 
 def attempt(worker, ended, id=b"12345678", body=b"", within_ms=8000.0):
-    return streams.Attempt(
+    return scorer_streams.Attempt(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), id=id,
         kind="view", function=ROW, body=body, deadline_ms=scorers.monotonic_ms() + within_ms,
     )  # fmt: skip
 
 
 def order(worker, ended, copies=1):
-    return streams.LoadOrder(
+    return scorer_streams.LoadOrder(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), ROW, copies
     )
 
--- a/tests/test_scorer_shuffles.py
+++ b/tests/test_scorer_shuffles.py
@@ -11,7 +11,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net.end_reasons import EndReason, attempt_result
-from fawnwharf.net.streams import Attempt
+from fawnwharf.net.scorer_streams import Attempt
 
 SEEDS, STEPS = 40, 60
 DIAL_MS, LIFE_MS = 250.0, 900.0
