--- a/fawnwharf/net/scorer_streams.py
+++ b/fawnwharf/net/scorer_streams.py
@@ -12,7 +12,7 @@
 from fawnwharf.net.write_buffer import WriteBuffer
 
 if TYPE_CHECKING:
-    from fawnwharf.net.scorer_links import ScorerConnection
+    from fawnwharf.net.scorer_connection import ScorerConnection
 
 WARMTH_BY_FIELD = {
     "reused": Warmth.FOUND,
--- a/tests/test_link_writes.py
+++ b/tests/test_link_writes.py
@@ -7,7 +7,7 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt, order
 
 from fawnwharf import interface as io
-from fawnwharf.net import scorer_links, timer_wheel
+from fawnwharf.net import scorer_connection, timer_wheel
 from fawnwharf.net.end_reasons import EndReason
 
 WITHIN_MS = 100.0  # of a repeat, until its first byte must have left
@@ -196,7 +196,7 @@
     def test_it_ends_its_link_in_time_and_is_never_completed(self):
         rig, scorer, link, blocked, (client, key) = self.part()
         self.leave(rig, client, key, "close")
-        self.clock.advance(scorer_links.MAX_PARTIAL_WRITE_MS - 1.0)
+        self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS - 1.0)
         self.turn(rig)
         self.assertFalse(link.connection.closed)
         self.clock.advance(10.0)
@@ -209,7 +209,7 @@
     def test_it_ends_its_link_where_the_process_was_held_up_and_the_link_takes_more(self):
         rig, scorer, link, blocked, _ = self.part()
         self.unblock(blocked)
-        self.clock.advance(scorer_links.MAX_PARTIAL_WRITE_MS)
+        self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS)
         link.connection._blocked = False
         link.connection.flush()  # before a timer has run
         self.assertTrue(link.connection.closed)
@@ -218,7 +218,7 @@
 
     def test_it_is_completed_where_the_link_takes_more_in_time(self):
         rig, scorer, link, blocked, _ = self.part()
-        self.clock.advance(scorer_links.MAX_PARTIAL_WRITE_MS - 10.0)
+        self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS - 10.0)
         self.unblock(blocked)
         rig.until(lambda: scorer.runs, "it runs")
         self.clock.advance(20.0)
@@ -230,7 +230,7 @@
         ended = []
         other = attempt(BY_POOL, ended, id=b"abcdefgh", body=b"other")
         rig, scorer, link, blocked, _ = self.part(more=[other])
-        self.clock.advance(scorer_links.MAX_PARTIAL_WRITE_MS + 5.0)
+        self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
         rig.until(lambda: link.connection.closed, "its link ends")
         self.unblock(blocked)
         rig.until(lambda: scorer.runs, "the other runs")
@@ -253,7 +253,7 @@
                     rig.front.pool.order(order(BY_POOL, ended))
                 self.turn(rig)
                 before = len(scorer.frames)
-                self.clock.advance(scorer_links.MAX_PARTIAL_WRITE_MS + 5.0)
+                self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
                 rig.until(lambda link=link: link.connection.closed, "its link ends")
                 self.unblock(blocked)
                 rig.settle(rig.client())
@@ -263,7 +263,7 @@
         endings = {}
         for op in ("view", "save", "settle"):
             rig, _, link, _, _ = self.part(op=op)
-            self.clock.advance(scorer_links.MAX_PARTIAL_WRITE_MS + 5.0)
+            self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
             rig.until(lambda link=link: link.connection.closed, "its link ends")
             endings[op] = self.endings()
         never = [io.Ending.CONNECT_FAILED]
@@ -295,7 +295,7 @@
 
 class Spans(unittest.TestCase):
     def test_the_limit_on_parts_leaves_room_for_a_tick_and_a_turn(self):
-        self.assertLess(scorer_links.MAX_PARTIAL_WRITE_MS + timer_wheel.TICK_MS, 90.0)
+        self.assertLess(scorer_connection.MAX_PARTIAL_WRITE_MS + timer_wheel.TICK_MS, 90.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_scorer_answers.py
+++ b/tests/test_scorer_answers.py
@@ -364,7 +364,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        with mock.patch("fawnwharf.net.scorer_links.MAX_ANSWERED_IDS", 4):
+        with mock.patch("fawnwharf.net.scorer_connection.MAX_ANSWERED_IDS", 4):
             for number in range(6):
                 rig.front.pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
                 rig.until(lambda number=number: len(scorer.runs) > number, "it runs")
