--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -17,8 +17,8 @@
 from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.requests import RequestTable
 from fawnwharf.net.roster_overlay import RosterOverlay
+from fawnwharf.net.scorer_pool import ScorerPool
 from fawnwharf.net.scorer_start_times import ScorerStartTimes
-from fawnwharf.net.scorers import ScorerPool
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy import Router
 
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -14,8 +14,8 @@
 from fawnwharf.config import Wire
 from fawnwharf.net.end_reasons import EndReason, attempt_result
 from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.scorer_pool import ScorerPool
 from fawnwharf.net.scorer_streams import Answer, Attempt, LoadOrder
-from fawnwharf.net.scorers import ScorerPool
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 MAX_BODY_BYTES = 32 * 1024 * 1024  # bytes of open requests' bodies: part of the memory limit
--- a/fawnwharf/net/scorer_connection.py
+++ b/fawnwharf/net/scorer_connection.py
@@ -10,7 +10,7 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 if TYPE_CHECKING:
-    from fawnwharf.net.scorers import Scorer, ScorerPool
+    from fawnwharf.net.scorer_pool import Scorer, ScorerPool
 
 STALL_MS = 250.0  # half a frame that goes no further for this long was cut off: nothing after it can be read
 # A frame that stays written in part for this long ends its link: what would be completed later was made for a
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -11,7 +11,7 @@
 from peers import ROW, Rig, ready
 
 from fawnwharf import interface as io
-from fawnwharf.net import scorer_streams, scorers
+from fawnwharf.net import scorer_pool, scorer_streams
 from fawnwharf.net.loop import READ
 from support.clocks import SettableClock
 from support.system_faults import SystemFaults
@@ -29,7 +29,7 @@
     """An attempt of which `ended` hears how it ended, and whether a byte had been written."""
     return scorer_streams.Attempt(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), id=id,
-        kind="view", function=ROW, body=body, deadline_ms=scorers.monotonic_ms() + within_ms, **more,
+        kind="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms, **more,
     )  # fmt: skip
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -9,7 +9,7 @@
 from fawnwharf import config
 from fawnwharf import interface as io
 from fawnwharf.interface import Ending
-from fawnwharf.net import scorers
+from fawnwharf.net import scorer_pool
 
 SOLD = {"t": 400.0}
 SIZE, WORKERS = 40, 40
@@ -242,7 +242,7 @@
 class Handshakes(unittest.TestCase):
     def spreads(self, price):
         wire = config.Wire(handshake_price=price)
-        return scorers.ScorerPool(mock.Mock(), wire, 100, 1, mock.Mock())._may_spread()
+        return scorer_pool.ScorerPool(mock.Mock(), wire, 100, 1, mock.Mock())._may_spread()
 
     def test_links_are_spread_only_where_a_handshake_is_cheap(self):
         self.assertTrue(self.spreads(0.0))
--- a/tests/test_scorer_answers.py
+++ b/tests/test_scorer_answers.py
@@ -9,7 +9,7 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt, order, reset
 
 from fawnwharf import interface as io
-from fawnwharf.net import scorer_frames, scorers
+from fawnwharf.net import scorer_frames, scorer_pool
 from fawnwharf.net.end_reasons import EndReason
 
 CLASSES = ("view", "save", "settle")
@@ -179,7 +179,7 @@
         rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
         link.connection.close(EndReason.REFUSED)
         self.assertEqual(ended, [])
-        self.clock.advance(scorers.REDIAL_DELAY_MS + 5.0)
+        self.clock.advance(scorer_pool.REDIAL_DELAY_MS + 5.0)
         rig.until(lambda: new.runs, "it runs at the new address")
 
     def test_a_second_dial_makes_nothing_wait_for_longer_than_one_takes(self):
@@ -209,12 +209,12 @@
     def test_links_to_the_process_before_leave_room_for_those_to_the_new_one(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS | {"streams_per_conn": 1}})
-        for number in range(scorers.MAX_CONNECTIONS):
+        for number in range(scorer_pool.MAX_CONNECTIONS):
             rig.front.pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
-        rig.until(lambda: len(scorer.runs) == scorers.MAX_CONNECTIONS, "all links are in use")
+        rig.until(lambda: len(scorer.runs) == scorer_pool.MAX_CONNECTIONS, "all links are in use")
         rig.front.pool.update(BY_POOL, None, io.State.READY, 5.0)
         rig.front.pool.send(attempt(BY_POOL, ended, id=b"abcdefgh"))
-        rig.until(lambda: len(scorer.runs) > scorers.MAX_CONNECTIONS, "the new process runs it")
+        rig.until(lambda: len(scorer.runs) > scorer_pool.MAX_CONNECTIONS, "the new process runs it")
         self.assertEqual(ended, [])
 
 
--- a/tests/test_scorer_faults.py
+++ b/tests/test_scorer_faults.py
@@ -9,7 +9,7 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt
 
 from fawnwharf import interface as io
-from fawnwharf.net import connection, connection_writer, scorers
+from fawnwharf.net import connection, connection_writer, scorer_pool
 from fawnwharf.net.end_reasons import (
     LOCAL_REASONS,
     REASON_BY_ERRNO,
@@ -40,7 +40,7 @@
         "ECONNRESET": EndReason.RESET_BY_PEER, "EPIPE": EndReason.RESET_BY_PEER, "ETIMEDOUT": EndReason.UNREACHABLE,
     },
 }  # fmt: skip
-PAUSE_MS = scorers.REDIAL_DELAY_MS + 5.0
+PAUSE_MS = scorer_pool.REDIAL_DELAY_MS + 5.0
 DIAL_MS = 250.0
 BOUNDS = {"max_attempts": 3, "cancel": True, "second_copies": True, "dial_timeout": DIAL_MS}
 
@@ -81,7 +81,7 @@
                 fault.times = fault.hits
                 self.assertEqual(attempt_result(*ended[0]), io.Ending.NOT_SENT)
                 self.assertLessEqual(abs(self.clock.monotonic_ms - started_ms - DIAL_MS), 10.0)
-                self.assertTrue(2 <= fault.hits <= DIAL_MS / scorers.REDIAL_DELAY_MS + 1, fault.hits)
+                self.assertTrue(2 <= fault.hits <= DIAL_MS / scorer_pool.REDIAL_DELAY_MS + 1, fault.hits)
                 self.assertEqual((self.links(rig), rig.front.pool._links), ([], 0))
 
     def test_a_lasting_fault_ends_nothing_before_a_later_one_has_waited_as_long(self):
--- a/tests/test_scorer_links.py
+++ b/tests/test_scorer_links.py
@@ -9,7 +9,7 @@
 from peers import ROW, Rig, ScorerPeer, ready
 
 from fawnwharf import interface as io
-from fawnwharf.net import front_end, scorer_frames, scorer_streams, scorers
+from fawnwharf.net import front_end, scorer_frames, scorer_pool, scorer_streams
 from fawnwharf.net.end_reasons import EndReason
 
 ROOT = Path(__file__).parent.parent
@@ -34,7 +34,7 @@
 def attempt(worker, ended, id=b"12345678", body=b"", within_ms=8000.0):
     return scorer_streams.Attempt(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), id=id,
-        kind="view", function=ROW, body=body, deadline_ms=scorers.monotonic_ms() + within_ms,
+        kind="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms,
     )  # fmt: skip
 
 
@@ -84,7 +84,7 @@
         self.assertEqual(ended, [(EndReason.REFUSED, False)])
 
     def test_a_dial_that_is_reset_as_it_comes_up_is_tried_again_but_not_for_ever(self):
-        most = scorers.MAX_REDIALS
+        most = scorer_pool.MAX_REDIALS
         for resets, ends in ((most, []), (most + 1, [(EndReason.RESET_BY_PEER, False)])):
             rig, ended = self.rig(), []
             with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -284,7 +284,7 @@
         rig.until(lambda: min(used.idle_ms(), spare.idle_ms()) > 100.0, "both are idle for long")
         scorer.copies = None
         pool.order(order(id, ended))
-        with mock.patch.object(scorers, "STALE_RESET_MS", 60_000.0):
+        with mock.patch.object(scorer_pool, "STALE_RESET_MS", 60_000.0):
             rig.until(lambda: len(scorer.frames) == 2, "it is used again")
             reset(scorer.frames[1][0].sock)
             rig.until(lambda: len(ended) == 2, "it is reset")
@@ -308,7 +308,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
-        with mock.patch.object(scorers, "SPREAD_CONNECTIONS", 1):
+        with mock.patch.object(scorer_pool, "SPREAD_CONNECTIONS", 1):
             rig.front.pool.send(attempt(id, ended))
             rig.until(lambda: scorer.runs, "it runs")
             scorer.answer(scorer.runs[0], 3, "")
@@ -326,7 +326,7 @@
         id = front_end.scorer_number(scorer.id)
         rig.front.pool.send(attempt(id, ended))
         rig.until(lambda: scorer.runs, "it runs")
-        with mock.patch.object(scorers, "SILENT_MS", -1.0):
+        with mock.patch.object(scorer_pool, "SILENT_MS", -1.0):
             rig.front.pool.send(attempt(id, ended, id=b"abcdefgh"))
             rig.until(lambda: len(scorer.runs) == 2, "the second runs")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
