--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -10,7 +10,7 @@
 from fawnwharf.net.end_reasons import EndReason
 from fawnwharf.net.event_order import EventMatch, EventOrder
 from fawnwharf.net.fleet_events import FleetRead, read_fleet
-from fawnwharf.net.log import LogWriter
+from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.net.scorer_start_times import ClockStepCorrection
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -13,7 +13,7 @@
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.clients import ClientPort
 from fawnwharf.net.graceful_shutdown import GracefulShutdown
-from fawnwharf.net.log import LogWriter
+from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.requests import RequestTable
 from fawnwharf.net.roster_overlay import RosterOverlay
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,7 +10,7 @@
 from fawnwharf.interface import Ending
 from fawnwharf.net.end_reasons import EndReason, attempt_result
 from fawnwharf.net.front_end import scorer_number
-from fawnwharf.net.log import MAX_LINES_PER_SECOND, LogWriter
+from fawnwharf.net.log_writer import MAX_LINES_PER_SECOND, LogWriter
 from fawnwharf.net.timer_wheel import SLOTS, TICK_MS, Clock, TimerWheel
 
 
