--- a/fawnwharf/admin/channel.py
+++ b/fawnwharf/admin/channel.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin.memory import SIZE_MOST
-from fawnwharf.net.loop import READ, WRITE, EventLoop
+from fawnwharf.net.event_loop import READ, WRITE, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 MESSAGE_MOST = 128 * 1024
--- a/fawnwharf/admin/port.py
+++ b/fawnwharf/admin/port.py
@@ -7,8 +7,8 @@
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.listener import listen_when_free
-from fawnwharf.net.loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 BACKLOG = 64
--- a/fawnwharf/durable_store/service.py
+++ b/fawnwharf/durable_store/service.py
@@ -5,7 +5,7 @@
 from typing import Any, BinaryIO
 
 from fawnwharf.durable_store.store import Store, Told
-from fawnwharf.net.loop import READ, EventLoop
+from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 FULL_PIPE_MS = 4.0  # pace of writing on to a writer that takes no more at the moment
--- a/fawnwharf/fakes/asking.py
+++ b/fawnwharf/fakes/asking.py
@@ -6,7 +6,7 @@
 from fawnwharf.fakes.calls import question
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 
 DIAL_MS = 400.0
 ASK_MS = 100.0
--- a/fawnwharf/fakes/changelog.py
+++ b/fawnwharf/fakes/changelog.py
@@ -9,7 +9,7 @@
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.loop import READ, EventLoop
+from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 PULSE_MS = 1_000.0
--- a/fawnwharf/fakes/clients.py
+++ b/fawnwharf/fakes/clients.py
@@ -17,7 +17,7 @@
 from fawnwharf.net import thrift
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 PROBE_MS = 500.0  # pace of dials to a front end that is down; no call goes there until one comes up
--- a/fawnwharf/fakes/lines.py
+++ b/fawnwharf/fakes/lines.py
@@ -6,7 +6,7 @@
 from fawnwharf.fakes.calls import Request, Try, question
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 
 DIAL_MS = 400.0
 
--- a/fawnwharf/fakes/nature.py
+++ b/fawnwharf/fakes/nature.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 
--- a/fawnwharf/fakes/relay.py
+++ b/fawnwharf/fakes/relay.py
@@ -16,7 +16,7 @@
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.loop import READ, EventLoop
+from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 FORWARD, BACKWARD = "forward", "backward"  # from who dials to who listens, and back
--- a/fawnwharf/fakes/scorers.py
+++ b/fawnwharf/fakes/scorers.py
@@ -19,7 +19,7 @@
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.loop import READ, EventLoop
+from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 WORDS = {frames.RUN: "run", frames.ABANDON: "give_up", frames.LOAD: "order", frames.UNLOAD: "unload"}
--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from fawnwharf.net.end_reasons import EndReason, end_reason_of
+from fawnwharf.net.event_loop import READ, EventLoop, ReadPriority
 from fawnwharf.net.log_writer import LogWriter
-from fawnwharf.net.loop import READ, EventLoop, ReadPriority
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 MAX_ACCEPTS = 64  # in a turn
--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -8,10 +8,10 @@
 from fawnwharf.config import Address, ConfigError, Fleet, fleet_from
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.event_order import EventMatch, EventOrder
 from fawnwharf.net.fleet_events import FleetRead, read_fleet
 from fawnwharf.net.log_writer import LogWriter
-from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.net.scorer_start_times import ClockStepCorrection
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -11,10 +11,10 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.event_loop import EventLoop, ReadPriority
 from fawnwharf.net.idle_connections import IdleConnectionReleaser
 from fawnwharf.net.listener import open_listener
 from fawnwharf.net.log_writer import LogWriter
-from fawnwharf.net.loop import EventLoop, ReadPriority
 from fawnwharf.net.requests import Failed, Outcome, Rejected, RequestTable, Succeeded
 from fawnwharf.net.slow_clients import SlowClients
 from fawnwharf.net.timer_wheel import monotonic_ms
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -13,7 +13,7 @@
 from fawnwharf.net.connection_owner import NO_OWNER, ConnectionOwner
 from fawnwharf.net.connection_writer import ConnectionWriter
 from fawnwharf.net.end_reasons import EndReason, SystemCall, end_reason_of
-from fawnwharf.net.loop import READ, STALL_THRESHOLD_MS, WRITE, EventLoop, ReadPriority
+from fawnwharf.net.event_loop import READ, STALL_THRESHOLD_MS, WRITE, EventLoop, ReadPriority
 from fawnwharf.net.socket_inspection import discard, peek, peer_ended
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.net.write_buffer import PartialWriteLimit, WriteBuffer
--- a/fawnwharf/net/connection_writer.py
+++ b/fawnwharf/net/connection_writer.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.net.connection_owner import ConnectionOwner
 from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason, SystemCall, end_reason_of
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.net.write_buffer import PartialWriteLimit, WriteBuffer
 
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -12,9 +12,9 @@
 from fawnwharf.config import Address, ConfigError, Deployment, Fleet, Member, address_from
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.clients import ClientPort
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.graceful_shutdown import GracefulShutdown
 from fawnwharf.net.log_writer import LogWriter
-from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.requests import RequestTable
 from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.net.scorer_pool import ScorerPool
--- a/fawnwharf/net/idle_connections.py
+++ b/fawnwharf/net/idle_connections.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 if TYPE_CHECKING:
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -13,7 +13,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import Wire
 from fawnwharf.net.end_reasons import EndReason, attempt_result
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.scorer_pool import ScorerPool
 from fawnwharf.net.scorer_streams import Answer, Attempt, LoadOrder
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -10,8 +10,8 @@
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.log_writer import LogWriter
-from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.scorer_connection import MAX_PARTIAL_WRITE_MS, ScorerConnection
 from fawnwharf.net.scorer_streams import WARMTH_BY_FIELD, Answer, Attempt, LoadOrder, Stream, parse_count
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 
 if TYPE_CHECKING:
     from fawnwharf.net.clients import ClientConnection
--- a/fawnwharf/policy_rollout/outbox.py
+++ b/fawnwharf/policy_rollout/outbox.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.zones.lines import Word
 from fawnwharf.zones.service import Zones
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.requests import Call, Outcome, Rejected
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core import alone
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -13,8 +13,8 @@
 from fawnwharf.durable_store.reading import Found, Sign, older
 from fawnwharf.durable_store.service import OnLoop
 from fawnwharf.durable_store.store import open_folder, unix_ms
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Clock, Kind, Spans, Store, Trust
 from fawnwharf.recovery_service import kept as k
--- a/fawnwharf/replication/gate.py
+++ b/fawnwharf/replication/gate.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.requests import Call, Failed, Outcome, Rejected, RequestTable, Succeeded
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.claimant import Answer, GiveUp, Go, Out, TurnAway
--- a/fawnwharf/replication/links.py
+++ b/fawnwharf/replication/links.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from fawnwharf.config import Address
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.zones.links import LogServer, MemberLog, encoder
 
 NAMES_MOST = 4_000
--- a/fawnwharf/testbed/processes.py
+++ b/fawnwharf/testbed/processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from fawnwharf.fakes.changelog import ChangeLogServer
-from fawnwharf.net.loop import READ, EventLoop
+from fawnwharf.net.event_loop import READ, EventLoop
 
 READ_BYTES = 65536
 LINES_KEPT = 200  # of a life
--- a/fawnwharf/testbed/topology.py
+++ b/fawnwharf/testbed/topology.py
@@ -19,7 +19,7 @@
 from fawnwharf.fakes.relay import Relay
 from fawnwharf.fakes.scorers import Scorer
 from fawnwharf.fakes.sessions import SessionClients
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import unix_ms
 from fawnwharf.testbed.processes import Front, LabFault
 from fawnwharf.testbed.scenario import Scenario
--- a/fawnwharf/zones/links.py
+++ b/fawnwharf/zones/links.py
@@ -19,7 +19,7 @@
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.loop import READ, EventLoop
+from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LINE_MOST = 512 * 1024  # of a member's log, in bytes
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from fawnwharf.durable_store.form import Limits
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -21,7 +21,7 @@
 from fawnwharf.durable_store import form
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.policy_rollout import keeping
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import service as policy_service
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -62,7 +62,7 @@
 
 
 def package_of(module: str) -> str:
-    """The package of a module: of `fawnwharf.net.loop` it is `net`, of `fawnwharf.config` it is `config`."""
+    """The package of a module: of `fawnwharf.net.event_loop` it is `net`, of `fawnwharf.config` it is `config`."""
     parts = module.split(".")
     return parts[1] if len(parts) > 1 else PROGRAM
 
--- a/tests/support/request_driver.py
+++ b/tests/support/request_driver.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from fawnwharf.config import deployment_from
+from fawnwharf.net.event_loop import READ, WRITE
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.loop import READ, WRITE
 from support.clocks import SettableClock
 from support.request_model import RequestModel
 from support.request_site import Site
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -6,8 +6,8 @@
 from peers import handle_frame
 
 from fawnwharf.net import scorer_frames
+from fawnwharf.net.event_loop import WRITE
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.loop import WRITE
 from support.clocks import SettableClock
 from support.request_model import Request, RequestModel
 from support.request_site import EFFECTS, Site
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_pool, scorer_streams
-from fawnwharf.net.loop import READ
+from fawnwharf.net.event_loop import READ
 from support.clocks import SettableClock
 from support.system_faults import SystemFaults
 
--- a/tests/test_client_closing.py
+++ b/tests/test_client_closing.py
@@ -7,7 +7,7 @@
 from peers import ScorerPeer
 from support.client_cases import Case, arrivals, call_frame
 
-from fawnwharf.net import clients, loop
+from fawnwharf.net import clients, event_loop
 
 
 class UnreadAtTheClose(Case):
@@ -46,7 +46,7 @@
         served = self.served(rig, client)
         client.call()
         with (
-            mock.patch.object(loop.EventLoop, "_events_until", return_value=0),
+            mock.patch.object(event_loop.EventLoop, "_events_until", return_value=0),
             mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0),
         ):
             rig.front.loop.turn(0.0)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -8,7 +8,7 @@
 from support.client_cases import Case, arrivals, call_frame, given_up, junk_statuses, wait
 
 from fawnwharf import interface as io
-from fawnwharf.net import clients, connection, loop, scorer_frames, slow_clients
+from fawnwharf.net import clients, connection, event_loop, scorer_frames, slow_clients
 from fawnwharf.net.front_end import scorer_number
 
 
@@ -49,7 +49,7 @@
         first.call()
         left.sock.close()
         left.ended = True
-        with mock.patch.object(loop, "MAX_EVENTS", 1):
+        with mock.patch.object(event_loop, "MAX_EVENTS", 1):
             rig.front.loop._behind = {descriptor}  # so it is read before the one that left
             rig.front.loop.turn(0.0)
         self.assertIn(key, rig.front.table.open)
@@ -305,7 +305,7 @@
         for number, peer in enumerate(crowd):
             peer.call(call=f"{number + 2:016x}")
         client.withdraw(1)
-        with mock.patch.object(loop, "MAX_EVENTS", 2):
+        with mock.patch.object(event_loop, "MAX_EVENTS", 2):
             crowd_fds = {self.served(rig, peer).connection._sock.fileno() for peer in crowd}
             rig.front.loop._behind = crowd_fds  # all of these were left behind
             rig.front.loop.turn(0.0)
@@ -315,7 +315,7 @@
         rig = self.rig(ScorerPeer(copies=None))
         client = rig.client()
         self.asked(rig, client)
-        for order, first in ((loop.ReadPriority.FIRST, True), (loop.ReadPriority.OPEN, False)):
+        for order, first in ((event_loop.ReadPriority.FIRST, True), (event_loop.ReadPriority.OPEN, False)):
             sock = socket.socketpair()
             sock[0].setblocking(False)
             self.addCleanup(sock[1].close)
@@ -334,7 +334,7 @@
         for peer in known:
             peer.call()
         new.call()
-        with mock.patch.object(loop, "MAX_EVENTS", 2):
+        with mock.patch.object(event_loop, "MAX_EVENTS", 2):
             rig.front.loop.turn(0.0)
         self.assertTrue(self.served(rig, new).open)
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,7 +7,7 @@
 from peers import Rig, ScorerPeer
 from support.clocks import SettableClock
 
-from fawnwharf.net import connection, loop, timer_wheel
+from fawnwharf.net import connection, event_loop, timer_wheel
 from fawnwharf.net.front_end import scorer_number
 
 HOUR = 3_600_000.0
@@ -73,7 +73,7 @@
     client = settled_client(rig)
     client.call(ttl="8000")
     clock.step_wall(step)
-    assert budget_left(rig) == pytest.approx(8_000.0, abs=loop.STALL_THRESHOLD_MS)
+    assert budget_left(rig) == pytest.approx(8_000.0, abs=event_loop.STALL_THRESHOLD_MS)
 
 
 @pytest.mark.parametrize("step", [0.0, *STEPS])
@@ -86,7 +86,7 @@
     client.call(ttl="8000")
     clock.advance(400.0)  # the turn before took so long
     clock.step_wall(step)
-    assert budget_left(rig) == pytest.approx(7_600.0, abs=loop.STALL_THRESHOLD_MS)
+    assert budget_left(rig) == pytest.approx(7_600.0, abs=event_loop.STALL_THRESHOLD_MS)
 
 
 def test_a_call_that_a_short_turn_left_keeps_its_time(rig, clock, monkeypatch):
@@ -106,7 +106,7 @@
         clock.advance(20.0)
         rig.front.loop.turn(0.0)
     rig.front.port.pause(False)
-    assert budget_left(rig) == pytest.approx(7_400.0, abs=loop.STALL_THRESHOLD_MS)
+    assert budget_left(rig) == pytest.approx(7_400.0, abs=event_loop.STALL_THRESHOLD_MS)
 
 
 def test_a_connection_that_another_process_had_counts_since_that_one_read_it(rig, clock, monkeypatch):
@@ -115,7 +115,7 @@
     [taken] = rig.front.port.clients
     taken.connection.lay_unread(clock.monotonic_ms - 700.0)
     client.call(ttl="8000")
-    assert budget_left(rig) == pytest.approx(7_300.0, abs=loop.STALL_THRESHOLD_MS)
+    assert budget_left(rig) == pytest.approx(7_300.0, abs=event_loop.STALL_THRESHOLD_MS)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -154,7 +154,7 @@
     rig.front.loop.turn(0.0)
     for number, client in enumerate(crowd):
         client.call(ttl="8000", call=f"{number:016x}")
-    monkeypatch.setattr(loop, "MAX_EVENTS", 1)
+    monkeypatch.setattr(event_loop, "MAX_EVENTS", 1)
     assert budgets_by_turns(rig, clock, 2) == pytest.approx([8_000.0, 7_920.0])
 
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -6,7 +6,7 @@
 from support.change_log_front_end import LogRig, event, new_log
 
 from fawnwharf import interface as io
-from fawnwharf.net import change_log, loop, scorer_frames
+from fawnwharf.net import change_log, event_loop, scorer_frames
 from fawnwharf.net.front_end import scorer_number
 
 CALLS = 1_024
@@ -123,8 +123,8 @@
 
 
 def test_a_drain_told_while_a_turn_is_held_up_binds_what_the_turn_sends(rig, monkeypatch):
-    held, decide, true = [0.0], rig.front.loop._decide, loop.monotonic_ms
-    monkeypatch.setattr(loop, "monotonic_ms", lambda: true() + held[0])
+    held, decide, true = [0.0], rig.front.loop._decide, event_loop.monotonic_ms
+    monkeypatch.setattr(event_loop, "monotonic_ms", lambda: true() + held[0])
 
     def new_work_unwritten():
         links = [link for scorer in rig.front.pool.scorers.values() for link in scorer.links if link.up]
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -19,7 +19,7 @@
 from fawnwharf.durable_store.reading import Sign
 from fawnwharf.durable_store.service import OnLoop
 from fawnwharf.durable_store.store import look, open_folder
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LIMITS = f.Limits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -6,8 +6,8 @@
 from fawnwharf import interface as io
 from fawnwharf.fakes.scorers import Arrival
 from fawnwharf.net import scorer_frames
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.front_end import scorer_number
-from fawnwharf.net.loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.links import DirectedLog, DirectedServer
--- a/tests/test_fair_turns.py
+++ b/tests/test_fair_turns.py
@@ -8,7 +8,7 @@
 from peers import ROW, Rig, ScorerPeer, handle_frame
 
 from fawnwharf import interface as io
-from fawnwharf.net import clients, loop, thrift
+from fawnwharf.net import clients, event_loop, thrift
 from fawnwharf.net.front_end import scorer_number
 
 CALL = {"op": "view", "ttl": "8000", "org": "acme", "row": ROW}
@@ -104,7 +104,7 @@
 
     def test_what_is_left_keeps_its_order(self):
         told = []
-        turning = loop.EventLoop(lambda now_ms, events: told.extend(events), mock.Mock())
+        turning = event_loop.EventLoop(lambda now_ms, events: told.extend(events), mock.Mock())
         self.addCleanup(turning.close)
         first, out, last = io.TimerDue(1), io.TimerDue(2), io.TimerDue(3)
         tickets = [turning.tell(event) for event in (first, out, last)]
@@ -141,7 +141,7 @@
             client.sock.sendall(b"".join(handle(n) for n in range(1, 33)))
         rig.until(lambda: len(self.told(io.RequestArrived)) == 12 * 32, "all are heard of")
         # The last client that is read may bring its 32 on top.
-        self.assertLess(max(map(len, self.heard)), loop.MAX_EVENTS + 40)
+        self.assertLess(max(map(len, self.heard)), event_loop.MAX_EVENTS + 40)
 
     def test_who_was_left_behind_comes_first_in_the_next_turn(self):
         rig = self.rig(ScorerPeer())
@@ -150,7 +150,7 @@
             rig.settle(client)
         self.heard.clear()
         number = 0
-        with mock.patch.object(loop, "MAX_EVENTS", 1):
+        with mock.patch.object(event_loop, "MAX_EVENTS", 1):
             for _ in range(2 * len(crowd)):
                 for client in crowd:  # each has more to ask at all times
                     number += 1
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,7 +19,7 @@
 from fawnwharf.admin.http import Asked
 from fawnwharf.admin.replacement import Inherited, Replacement
 from fawnwharf.net.connection_handoff import HandedOffConnection
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 
 HERE = ("127.0.0.1", 8000)
 HELLO = h.Hello(h.VERSION, HERE)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -196,7 +196,7 @@
         caller = rig.caller()
         rig.front.loop.turn(0.2)  # its connection is accepted, and clients fill the rest of the turn
         caller.sock.sendall(b"GET /status HTTP/1.1\r\n\r\n")
-        with mock.patch("fawnwharf.net.loop.MAX_EVENTS", 1):
+        with mock.patch("fawnwharf.net.event_loop.MAX_EVENTS", 1):
             for client in clients:
                 client.call()
             rig.front.loop.turn(0.2)
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -12,7 +12,7 @@
 from fawnwharf import interface as io
 from fawnwharf.admin import port
 from fawnwharf.net import connection
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 
 __all__ = ["clock", "rig"]
 
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -17,7 +17,7 @@
 import json, sys
 from fawnwharf.durable_store.form import Limits
 from fawnwharf.testbed.promises import fleet_file
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.onstore import Kept
 from fawnwharf.replication import messages as m
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from peers import ROW, Rig, ScorerPeer
 
 from fawnwharf import interface as io
-from fawnwharf.net import loop, requests, scorer_frames, timer_wheel
+from fawnwharf.net import event_loop, requests, scorer_frames, timer_wheel
 
 ROOT = Path(__file__).parent.parent
 
@@ -112,7 +112,7 @@
     def test_the_time_that_a_call_lay_unread_counts(self):
         rig = self.rig(ScorerPeer(copies=None))
         rig.client().call(ttl="8000")
-        with mock.patch.object(loop, "unix_ms", lambda: timer_wheel.unix_ms() + 3000.0):
+        with mock.patch.object(event_loop, "unix_ms", lambda: timer_wheel.unix_ms() + 3000.0):
             rig.until(lambda: rig.front.table.open, "it is read")
         [request] = rig.front.table.open.values()
         self.assertTrue(0 <= request.deadline_ms - rig.front.loop.turn_ms <= 5000.0)
--- a/tests/test_stamps.py
+++ b/tests/test_stamps.py
@@ -5,7 +5,7 @@
 import unittest
 
 from fawnwharf.net import connection
-from fawnwharf.net.loop import EventLoop, ReceiveTimestampCheck
+from fawnwharf.net.event_loop import EventLoop, ReceiveTimestampCheck
 
 
 class Trust(unittest.TestCase):
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -11,7 +11,7 @@
 from fawnwharf.fakes.scorers import Nature, Scorer, Store
 from fawnwharf.fakes.sessions import SessionClients
 from fawnwharf.net import scorer_frames as frames
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 
 PATIENCE_S = 10.0
 
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from fawnwharf.net import connection
-from fawnwharf.net.loop import EventLoop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.zones import links
 from fawnwharf.zones.links import LogServer, MemberLog
 
