--- a/fawnwharf/admin/channel.py
+++ b/fawnwharf/admin/channel.py
@@ -185,7 +185,7 @@
         mask = READ | (WRITE * bool(self._queue))
         if mask != self._mask and not self.closed:
             self._mask = mask
-            self.loop.change(self._sock, mask, self._ready)
+            self.loop.modify(self._sock, mask, self._ready)
 
     def _ready(self, mask: int) -> None:
         if mask & WRITE:
@@ -208,7 +208,7 @@
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.loop.forget(self._sock)
+            self.loop.unwatch(self._sock)
             self._sock.close()
             self._ended(self)
 
@@ -239,8 +239,8 @@
         except BlockingIOError:
             return
         except OSError:  # no descriptor: rather than spin, leave it in the system's queue for a moment
-            self.loop.forget(self._sock)
-            self.loop.wheel.after(ACCEPT_PAUSE_MS, self._watch)
+            self.loop.unwatch(self._sock)
+            self.loop.timers.after(ACCEPT_PAUSE_MS, self._watch)
             return
         self._came(sock)
 
@@ -257,5 +257,5 @@
             return True
 
     def close(self) -> None:
-        self.loop.forget(self._sock)
+        self.loop.unwatch(self._sock)
         self._sock.close()
--- a/fawnwharf/admin/parts.py
+++ b/fawnwharf/admin/parts.py
@@ -54,9 +54,9 @@
             return
         busy = front.table.open or front.port.unwritten() or front.seam.busy
         if busy and monotonic_ms() - self._since_ms < EMPTY_MOST_MS:
-            front.loop.wheel.after(LOOK_MS, lambda: self._look(done))
+            front.loop.timers.after(LOOK_MS, lambda: self._look(done))
             return
-        front.loop.guarded(front.seam.release)  # after a fault, too: nobody is read until this has ended
+        front.loop.run_guarded(front.seam.release)  # after a fault, too: nobody is read until this has ended
         self.where = Where.AWAY
         took_ms = monotonic_ms() - self._since_ms
         front.log(f"let go of what only one process may have, {took_ms:.0f} ms after it was asked")
@@ -81,7 +81,7 @@
                 front.seam.take_back(front)
             except Exception as error:  # any fault: without another try no client would be read again
                 if not isinstance(error, ConfigError):
-                    front.loop.fault("taking parts back")
+                    front.loop.log_exception("taking parts back")
                 why = str(error)
             else:
                 self.where = Where.HERE
@@ -92,4 +92,4 @@
             front.log(f"not taken back, this process ends: {why}")
             front.loop.running = False
         else:
-            front.loop.wheel.after(LOOK_MS, lambda: self._try(done))
+            front.loop.timers.after(LOOK_MS, lambda: self._try(done))
--- a/fawnwharf/admin/port.py
+++ b/fawnwharf/admin/port.py
@@ -93,8 +93,8 @@
     def _rest(self) -> None:
         """Leave callers to the system's queue for a moment, rather than spin on them."""
         if self._pause is None:
-            self.loop.forget(self._listener)
-            self._pause = self.loop.wheel.after(ACCEPT_PAUSE_MS, self._go_on)
+            self.loop.unwatch(self._listener)
+            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self._go_on)
 
     def _go_on(self) -> None:
         self._pause = None
@@ -113,7 +113,7 @@
                 caller.answer(Answer(408, "the call did not come in whole"))
 
     def close(self) -> None:
-        self.loop.forget(self._listener)
+        self.loop.unwatch(self._listener)
         self._listener.close()
         for caller in list(self.callers):
             caller.connection.close(EndReason.STOPPED)
--- a/fawnwharf/admin/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -65,7 +65,7 @@
         """Take the place: believe what was learnt, accept, and be there for the next one."""
         front, now = self.front, monotonic_ms()
         if memory is not None and m.fresh(memory, now):
-            front.loop.guarded(m.restore, front.router, memory, front.loop.clock.now_ms(), now)
+            front.loop.run_guarded(m.restore, front.router, memory, front.loop.clock.now_ms(), now)
             front.log(f"taking over: {len(memory.functions)} functions, {len(memory.scorers)} scorers known")
         front.port.accept(True)
         if self._inherited.channel is not None:
@@ -114,7 +114,7 @@
         try:
             return m.encode(m.learnt(front.router, self.out(), now, at))
         except Exception:  # what operators asked for must get over, whatever the beliefs are like
-            front.loop.fault("what was learnt")
+            front.loop.log_exception("what was learnt")
             return m.encode(m.Memory(at - 2 * m.OLD_MS, sorted(self.out())))
 
     # --- as the new process ---------------------------------------------------------------------
@@ -229,7 +229,7 @@
             channel.say(part)
         channel.say(h.Door(), self.front.port.listener.dup())
         if not self.parts.here:
-            self.front.loop.wheel.after(h.READY_MOST_MS, lambda: self._not_ready(channel))
+            self.front.loop.timers.after(h.READY_MOST_MS, lambda: self._not_ready(channel))
 
     def _not_ready(self, channel: Channel) -> None:
         """Guards the clients, which nobody reads, against a new process that stands still: without the
@@ -261,7 +261,7 @@
             return
         # First: a fault in this look must not be the end of all, with clients that nobody reads.
         self._looking = True
-        self.front.loop.wheel.after(LOOK_MS, self._look_again)
+        self.front.loop.timers.after(LOOK_MS, self._look_again)
         now = monotonic_ms()
         if self.after.stuck_ms(now) > h.STUCK_MS:
             self.front.log("the process that took this one's place stands still")
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -114,7 +114,7 @@
     def _look(self) -> None:
         if self._draining_ms is None or self.front.leaving:
             return
-        self.front.loop.wheel.after(drain.LOOK_MS, self._look)  # first: a fault must not be the last look
+        self.front.loop.timers.after(drain.LOOK_MS, self._look)  # first: a fault must not be the last look
         if self.replaced:  # its connections are the other's, which is ready: none is ended or refused
             self._refuse(False)
             return
@@ -131,7 +131,7 @@
     # --- now and then ---------------------------------------------------------------------------
 
     def _tidy(self) -> None:
-        self.front.loop.wheel.after(TIDY_MS, self._tidy)  # first: a fault must not be the last look
+        self.front.loop.timers.after(TIDY_MS, self._tidy)  # first: a fault must not be the last look
         self.port.tidy()
 
     def close(self) -> None:
--- a/fawnwharf/durable_store/service.py
+++ b/fawnwharf/durable_store/service.py
@@ -22,15 +22,15 @@
         self._timer: Timer | None = None
         self._said = ""
         runner = store.runner
-        runner.begun, runner.gone = self._watch, self.loop.forget
+        runner.begun, runner.gone = self._watch, self.loop.unwatch
         if runner.incoming is not None:
             self._watch(runner.incoming)
-        loop.flush_later(self)
+        loop.schedule_flush(self)
 
     def put(self, kind: str, key: str, value: Any, told: Told | None = None) -> None:
         """`Store.put`, now. What comes in one turn goes to disk together. Raises Refused."""
         self.store.put(monotonic_ms(), kind, key, value, told)
-        self.loop.flush_later(self)
+        self.loop.schedule_flush(self)
 
     def flush(self) -> None:
         """Once a turn, at its end."""
@@ -43,7 +43,7 @@
         """As `Store.close`; the loop stands still meanwhile."""
         runner = self.store.runner
         if runner.incoming is not None:
-            self.loop.forget(runner.incoming)
+            self.loop.unwatch(runner.incoming)
         runner.begun = runner.gone = lambda _end: None
         if self._timer is not None:
             self._timer.cancel()
@@ -53,7 +53,7 @@
         self.loop.watch(end, READ, lambda _mask: self._again())
 
     def _again(self) -> None:
-        self.loop.flush_later(self)
+        self.loop.schedule_flush(self)
 
     def _plan(self, now_ms: float) -> None:
         core, due = self.store.core, self.store.due_ms()
@@ -66,7 +66,7 @@
             self._timer.cancel()
             self._timer = None
         if times:
-            self._timer = self.loop.wheel.after(max(0.0, min(times) - now_ms), self._again)
+            self._timer = self.loop.timers.after(max(0.0, min(times) - now_ms), self._again)
 
     def _say(self, now_ms: float) -> None:
         standing = self.store.standing(now_ms)
--- a/fawnwharf/fakes/asking.py
+++ b/fawnwharf/fakes/asking.py
@@ -33,7 +33,7 @@
             self.connection = None if isinstance(made, EndReason) else made
         elif self.connection.up:
             self.on_up()
-        self.loop.wheel.after(ASK_MS, self._ask)
+        self.loop.timers.after(ASK_MS, self._ask)
 
     def stop(self) -> None:
         self._stopped = True
--- a/fawnwharf/fakes/changelog.py
+++ b/fawnwharf/fakes/changelog.py
@@ -48,7 +48,7 @@
         self._closed = self.dark = False
         self._listen((host, 0))
         self.address: Address = self._listener.getsockname()[:2]
-        self._timer = loop.wheel.after(PULSE_MS, self._pulse)
+        self._timer = loop.timers.after(PULSE_MS, self._pulse)
 
     def _listen(self, address: Address) -> None:
         self._listener = socket.create_server(address)
@@ -68,7 +68,7 @@
         if again:
             self.events, self.told_ms = [], []
         self.add(members, complete=True)
-        self._timer = self.loop.wheel.after(PULSE_MS, self._pulse)
+        self._timer = self.loop.timers.after(PULSE_MS, self._pulse)
 
     @property
     def unheard(self) -> bool:
@@ -109,14 +109,14 @@
         for follower in self.followers:
             if follower.since is not None:
                 follower.connection.write(b"%d\n" % len(self.events))
-        self._timer = self.loop.wheel.after(PULSE_MS, self._pulse)
+        self._timer = self.loop.timers.after(PULSE_MS, self._pulse)
 
     def close(self) -> None:
         if self._closed:
             return
         self._closed = True
         self._timer.cancel()
-        self.loop.forget(self._listener)
+        self.loop.unwatch(self._listener)
         self._listener.close()
         for follower in list(self.followers):
             follower.connection.close(EndReason.RETIRED)
--- a/fawnwharf/fakes/clients.py
+++ b/fawnwharf/fakes/clients.py
@@ -85,12 +85,12 @@
         def over() -> None:
             self.factor = before
 
-        self.loop.wheel.after(for_ms, over)
+        self.loop.timers.after(for_ms, over)
 
     def _next(self, zone: str) -> None:
         rate = self.rates[zone] * self.factor
         if self.running and rate > 0:
-            self.loop.wheel.after(self.chance.expovariate(rate) * 1000.0, lambda: self._arrive(zone))
+            self.loop.timers.after(self.chance.expovariate(rate) * 1000.0, lambda: self._arrive(zone))
 
     def _arrive(self, zone: str) -> None:
         if not self.running:
@@ -159,7 +159,7 @@
             line.connection.write(data)
         else:
             line.waiting.append(data)
-        request.timer = self.loop.wheel.after(left + LATE_MS, lambda: self._overdue(line, request, attempt))
+        request.timer = self.loop.timers.after(left + LATE_MS, lambda: self._overdue(line, request, attempt))
 
     def _choose(self, zone: str) -> str | None:
         fronts = self._fronts()
@@ -201,7 +201,7 @@
         if front in self._down:
             return
         self._down.add(front)
-        self.loop.wheel.after(PROBE_MS, lambda: self._probe(front))
+        self.loop.timers.after(PROBE_MS, lambda: self._probe(front))
 
     def _probe(self, front: str) -> None:
         if not self.running:
@@ -217,7 +217,7 @@
         if good:
             self._down.discard(front)
         else:
-            self.loop.wheel.after(PROBE_MS, lambda: self._probe(front))
+            self.loop.timers.after(PROBE_MS, lambda: self._probe(front))
 
     def _overdue(self, line: Line, request: Request, attempt: Try) -> None:
         if line.open.pop(attempt.seqid, None) is None:
@@ -259,7 +259,7 @@
             self._close(request, outcome)
             return
         wait = attempt.pushback_ms if outcome == "refused" else self.chance.uniform(5.0, 40.0)
-        self.loop.wheel.after(wait, lambda: self._try(request))
+        self.loop.timers.after(wait, lambda: self._try(request))
 
     def _close(self, request: Request, outcome: str) -> None:
         if not request.outcome:
--- a/fawnwharf/fakes/lines.py
+++ b/fawnwharf/fakes/lines.py
@@ -65,7 +65,7 @@
 
     def on_up(self) -> None:
         self.connection.write(question(1))
-        self.crowd.loop.wheel.after(DIAL_MS, lambda: self.connection.close(EndReason.SILENT))
+        self.crowd.loop.timers.after(DIAL_MS, lambda: self.connection.close(EndReason.SILENT))
 
     def on_data(self, data: bytes) -> None:
         self._tell(True)
--- a/fawnwharf/fakes/nature.py
+++ b/fawnwharf/fakes/nature.py
@@ -60,7 +60,7 @@
                 self.under_way -= 1
                 done()
 
-        self.loop.wheel.after(self.fetch_ms * crowd, came)
+        self.loop.timers.after(self.fetch_ms * crowd, came)
 
     def up(self) -> None:
         self.down = False
--- a/fawnwharf/fakes/relay.py
+++ b/fawnwharf/fakes/relay.py
@@ -153,7 +153,7 @@
             self.timers.discard(way)
             self.push(way)
 
-        self.relay.loop.wheel.after(delay_ms, due)
+        self.relay.loop.timers.after(delay_ms, due)
 
     def abort(self) -> None:
         for side in (self.near, self.far):
@@ -205,7 +205,7 @@
         if self._blocked:
             return  # nothing comes up as it is; healing looks again
         if on:
-            self.loop.forget(self._listener)
+            self.loop.unwatch(self._listener)
             self._listener.close()
         else:
             self._listener = self._listening(self.address)
@@ -263,7 +263,7 @@
         if on:
             if self._refuses:
                 self._listener = self._listening(self.address)
-            self.loop.forget(self._listener)
+            self.loop.unwatch(self._listener)
             self._listener.listen(0)
             for _ in range(2):
                 filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -292,7 +292,7 @@
         if self._closed:
             return
         if not self._blocked and not self._refuses:
-            self.loop.forget(self._listener)
+            self.loop.unwatch(self._listener)
         self._closed = True
         for filler in self._fillers:
             filler.close()
--- a/fawnwharf/fakes/scorers.py
+++ b/fawnwharf/fakes/scorers.py
@@ -148,7 +148,7 @@
         if not self.up:
             return
         self.up = False
-        self.loop.forget(self._listener)
+        self.loop.unwatch(self._listener)
         self._listener.close()
         self._listens(self.id, False)
         for link in list(self.links):
@@ -326,7 +326,7 @@
             self._begin_loads()
             self._work(name)
 
-        return lambda: self.loop.wheel.after(self.nature.load_ms / max(0.2, self.share()), loaded)
+        return lambda: self.loop.timers.after(self.nature.load_ms / max(0.2, self.share()), loaded)
 
     # --- runs -----------------------------------------------------------------------------------
 
@@ -342,7 +342,7 @@
             crowd = max(1.0, self.busy / n.cores)
             work = self.chance.expovariate(1.0) * 0.5 * n.work_ms + 0.5 * n.work_ms
             took = work * crowd * self.slow / self.share()
-            run.timer = self.loop.wheel.after(took, self._finisher(name, run, self.life))
+            run.timer = self.loop.timers.after(took, self._finisher(name, run, self.life))
 
     def _finisher(self, name: str, run: _Run, life: int) -> Callable[[], None]:
         def finished() -> None:
--- a/fawnwharf/fakes/sessions.py
+++ b/fawnwharf/fakes/sessions.py
@@ -79,7 +79,7 @@
     def _next(self, zone: str) -> None:
         rate = sum(self.rates.values()) * self.factor
         if self.running and rate > 0:
-            self.loop.wheel.after(self.chance.expovariate(rate) * 1000.0, lambda: self._arrive(""))
+            self.loop.timers.after(self.chance.expovariate(rate) * 1000.0, lambda: self._arrive(""))
 
     def _arrive(self, zone: str) -> None:
         if not self.running:
@@ -157,4 +157,4 @@
             site = next((p.whither for p in reversed(self.planned) if p.live is live), live.site)
             whither = self._moving.choice([other for other in self.rates if other != site])
             self.planned.append(Planned(at_ms, live, site, whither))
-        self.loop.wheel.after(max(1.0, self.planned[0].at_ms - now), self._bounce_on)
+        self.loop.timers.after(max(1.0, self.planned[0].at_ms - now), self._bounce_on)
--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -66,15 +66,15 @@
 
     def _watch(self, on: bool) -> None:
         if on:
-            self._looked_ms = max(self._looked_ms, self.loop.turn_ms)
+            self._looked_ms = max(self._looked_ms, self.loop.iteration_ms)
             self.loop.watch(self.socket, READ, self._ready, order=lambda: ReadPriority.NEW)
         else:
-            self.loop.forget(self.socket)
+            self.loop.unwatch(self.socket)
 
     def _ready(self, _mask: int) -> None:
         if self._waiting_ms is None or self._looked_ms < self.loop.empty_ms(self.socket.fileno()):
             self._waiting_ms = self.loop.ready_since_ms(self.socket.fileno())
-        self._looked_ms = self.loop.turn_ms
+        self._looked_ms = self.loop.iteration_ms
         most = min(MAX_ACCEPTS, self._room())
         if not most:
             self.pause()
@@ -100,7 +100,7 @@
 
     def _take(self, accepted: socket.socket) -> None:
         try:
-            self._admit(accepted, self.loop.turn_ms if self._waiting_ms is None else self._waiting_ms)
+            self._admit(accepted, self.loop.iteration_ms if self._waiting_ms is None else self._waiting_ms)
         except OSError as error:
             # Reset already, or the selector has no memory: this one is lost, the next may be well.
             accepted.close()
@@ -119,7 +119,7 @@
         """Leave new connections to the system's queue for a moment, rather than spin on them."""
         if self.socket is not None and self._on and self._pause is None:
             self._watch(False)
-            self._pause = self.loop.wheel.after(ACCEPT_PAUSE_MS, self.go_on)
+            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.go_on)
 
     def go_on(self) -> None:
         """There may be room, or the system may have descriptors again."""
@@ -133,7 +133,7 @@
             self._watch(True)
         except OSError as error:  # the selector has no memory: a listener that nobody watches would be lost
             self.log(f"accept: {error}", "accept")
-            self._pause = self.loop.wheel.after(ACCEPT_PAUSE_MS, self.go_on)
+            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.go_on)
 
     def drain(self) -> bool:
         """Accept all that the system's queue holds, then close the listener: closing it resets what it holds.
--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -91,7 +91,7 @@
         self.connect()
 
     def _again(self) -> None:
-        self._retry = self._loop.wheel.after(self._pause_ms, self.connect)
+        self._retry = self._loop.timers.after(self._pause_ms, self.connect)
         self._pause_ms = min(self.pause_most_ms, 2 * self._pause_ms)
 
     def tidy(self) -> None:
@@ -213,7 +213,7 @@
         """Gather what a new numbering says from its start: its first list is older than its last events, and
         a scorer that these drain must not come back for a moment."""
         if self._replay_timer is None:
-            self._replay_timer = self._loop.wheel.after(REPLAY_MS, self._end_replay)
+            self._replay_timer = self._loop.timers.after(REPLAY_MS, self._end_replay)
         self._replay_whole = self._replay_whole or fleet.complete
         self._replay.told(fleet)
 
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -73,7 +73,7 @@
             try:
                 end = self._take(item, withdrawn)
             except Exception:  # a fault here costs the connection, but no request on it its answer
-                self.port.loop.fault("reading")
+                self.port.loop.log_exception("reading")
                 end = EndReason.BAD_BYTES
             if end is not None:
                 self._end_amid(items[place:], end)
@@ -360,7 +360,7 @@
     def end_idle(self) -> None:
         """End every connection on which nothing is open and nothing has begun to arrive."""
         for client in [client for client in self.clients if client.idle and not client.begun]:
-            if self.loop.crowded:  # by requests that were read just now: the rest at the next look
+            if self.loop.batch_full:  # by requests that were read just now: the rest at the next look
                 return
             client.release()
 
@@ -377,7 +377,7 @@
         now = monotonic_ms()
         self._room_maker.forget()
         for client in list(self.clients):
-            if self.loop.crowded:  # by requests that were read just now: the rest at the next look
+            if self.loop.batch_full:  # by requests that were read just now: the rest at the next look
                 return
             unused = not client.open and now - client.connection.used_ms > IDLE_TIMEOUT_MS
             if unused and client.connection.waiting_bytes:
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -120,7 +120,7 @@
         except BaseException:
             sock.close()
             raise
-        made._dial = loop.wheel.after(within_ms, lambda: made.close(EndReason.DIAL_TIMED_OUT))
+        made._dial = loop.timers.after(within_ms, lambda: made.close(EndReason.DIAL_TIMED_OUT))
         return made
 
     # --- ending ---------------------------------------------------------------------------------
@@ -134,8 +134,8 @@
         self._finishing, self._linger_ms = end, linger_ms
         if self._outbox:
             self._finish_by_ms = monotonic_ms() + MAX_FINISH_MS
-            self.loop.wheel.after(LINGER_MS, self._check_unwritten)
-            self.loop.flush_later(self)
+            self.loop.timers.after(LINGER_MS, self._check_unwritten)
+            self.loop.schedule_flush(self)
         else:
             self._end_output()
 
@@ -146,7 +146,7 @@
         now = monotonic_ms()
         left = min(self.used_ms + LINGER_MS, self._finish_by_ms) - now
         if left > 0:
-            self.loop.wheel.after(left, self._check_unwritten)
+            self.loop.timers.after(left, self._check_unwritten)
         else:
             self.close(self._finishing)
 
@@ -159,7 +159,7 @@
             return
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
-        self.loop.wheel.after(self._linger_ms, lambda: self.close(self._finishing))
+        self.loop.timers.after(self._linger_ms, lambda: self.close(self._finishing))
 
     @property
     def finishing(self) -> bool:
@@ -178,9 +178,9 @@
 
     def may_have_ended(self) -> bool:
         """Whether the peer may have ended its output some time ago without this turn's reads showing it."""
-        if not self.reads or self.input_full or self.loop.left_behind(self._sock):
+        if not self.reads or self.input_full or self.loop.was_deferred(self._sock):
             return True
-        return max(self.age_ms, monotonic_ms() - self.loop.turn_ms) > FRESH_MS
+        return max(self.age_ms, monotonic_ms() - self.loop.iteration_ms) > FRESH_MS
 
     def peer_ended(self) -> bool:
         """Whether the peer has ended its output or reset the connection, also behind unread bytes. False
@@ -206,7 +206,7 @@
             self._reading = on
             if not on:
                 self._unread_since_ms = self._empty_ms()
-            self._left_ms = self.loop.turn_ms
+            self._left_ms = self.loop.iteration_ms
             self._set_mask()
 
     def _set_mask(self) -> None:
@@ -216,17 +216,17 @@
         try:
             self._watch_for(mask)
         except OSError:  # the selector has no memory: else it would never be read, or written, again
-            self.loop.wheel.after(READ_AGAIN_MS, self._set_mask)
+            self.loop.timers.after(READ_AGAIN_MS, self._set_mask)
             return
         self._mask = mask
 
     def _watch_for(self, mask: int) -> None:
         if not mask:  # a selector takes no empty one
-            self.loop.forget(self._sock)
+            self.loop.unwatch(self._sock)
         elif not self._mask:
             self.loop.watch(self._sock, mask, self._ready, self._first, self._order)
         else:
-            self.loop.change(self._sock, mask, self._ready)
+            self.loop.modify(self._sock, mask, self._ready)
 
     def _ready(self, mask: int) -> None:
         if not self.up:
@@ -234,7 +234,7 @@
             return
         if mask & WRITE:
             self._blocked = False
-            self.loop.flush_later(self)
+            self.loop.schedule_flush(self)
         if mask & READ:
             self._read()
 
@@ -243,7 +243,7 @@
             code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, "connect")
-            self.loop.change(self._sock, READ, self._ready)
+            self.loop.modify(self._sock, READ, self._ready)
         except OSError as error:
             self.close(end_reason_of(error, SystemCall.CONNECTED))
             return
@@ -258,7 +258,7 @@
         try:
             data, notes, _, _ = self._sock.recvmsg(self._read_most, MAX_ANCILLARY_BYTES)
         except BlockingIOError:
-            self._unread_since_ms = None if self.reads else self.loop.turn_ms
+            self._unread_since_ms = None if self.reads else self.loop.iteration_ms
             return
         except InterruptedError:
             return
@@ -276,11 +276,11 @@
         self.oldest_age_ms = max(self.age_ms, self._age_bound_ms())  # the stamp is the last byte's
         self._has_read = True
         self._unread_since_ms = self._empty_ms() if self.input_full else None
-        self._left_ms = self.loop.turn_ms
+        self._left_ms = self.loop.iteration_ms
         try:
             self.owner.on_data(data)
         except Exception:  # whatever a peer managed to send, it costs no more than its own connection
-            self.loop.fault("reading")
+            self.loop.log_exception("reading")
             self.close(EndReason.BAD_BYTES)
 
     def _read_failed(self, error: OSError) -> None:
@@ -292,10 +292,10 @@
         self._unread_since_ms = self._empty_ms()
         self._resting = True
         self._set_mask()
-        self.loop.wheel.after(READ_AGAIN_MS, self._rested)
+        self.loop.timers.after(READ_AGAIN_MS, self._rested)
 
     def _rested(self) -> None:
-        self._resting, self._left_ms = False, self.loop.turn_ms
+        self._resting, self._left_ms = False, self.loop.iteration_ms
         self._set_mask()
 
     def _peer_closed(self) -> None:
@@ -320,14 +320,14 @@
     @property
     def empty_ms(self) -> float:
         """When nothing lay unread on it at the latest, by the monotonic clock."""
-        if self.reads and self._unread_since_ms is None and not self.loop.left_behind(self._sock):
-            return self.loop.turn_ms  # it was not ready as the turn began
+        if self.reads and self._unread_since_ms is None and not self.loop.was_deferred(self._sock):
+            return self.loop.iteration_ms  # it was not ready as the turn began
         return self._empty_ms()
 
     def lay_unread(self, since_ms: float) -> None:
         """It may have bytes unread that came since this moment of the monotonic clock, before it was watched
         here: another process had the connection."""
-        self._unread_since_ms, self._left_ms = since_ms, self.loop.turn_ms
+        self._unread_since_ms, self._left_ms = since_ms, self.loop.iteration_ms
 
     def _age(self, notes: list[tuple[int, int, bytes]]) -> float:
         """How long the last of the bytes just read had waited when the turn began, by the system's stamp.
@@ -341,24 +341,24 @@
             if since_ms <= loop.clock.stepped_ms:
                 break
             seconds, nanoseconds = TIMESTAMP.unpack(note)
-            age = loop.turn_unix_ms - seconds * 1e3 - nanoseconds / 1e6
-            gap = loop.turn_ms - loop.before_ms
-            believed_ms = loop.stamps.age_ms(age, gap, looked_at=self._has_read)
-            if loop.stamps.trusted:
+            age = loop.iteration_unix_ms - seconds * 1e3 - nanoseconds / 1e6
+            gap = loop.iteration_ms - loop.previous_iteration_ms
+            believed_ms = loop.timestamps.age_ms(age, gap, looked_at=self._has_read)
+            if loop.timestamps.trusted:
                 return believed_ms
         return self._age_bound_ms()
 
     def _age_bound_ms(self) -> float:
         """The most that bytes read now may have waited; 0 where that is too little to matter."""
         loop, since_ms = self.loop, self._empty_ms()
-        left_ms = loop.turn_ms - since_ms if since_ms < loop.before_ms else 0.0
-        return max(loop.held_ms, left_ms if left_ms > STALL_THRESHOLD_MS else 0.0)
+        left_ms = loop.iteration_ms - since_ms if since_ms < loop.previous_iteration_ms else 0.0
+        return max(loop.stall_ms, left_ms if left_ms > STALL_THRESHOLD_MS else 0.0)
 
     def detach(self) -> tuple[socket.socket, bytes]:
         """Give the socket away, with what is unwritten on it; it is no connection of this loop any more."""
         self.closed, self.owner, self._order = True, NO_OWNER, None
         if self._mask:
-            self.loop.forget(self._sock)
+            self.loop.unwatch(self._sock)
         rest = b"".join(piece.data[piece.written :] for piece in self._outbox)
         self._outbox.clear()
         self.waiting_bytes = 0
@@ -386,7 +386,7 @@
         if self._dial:
             self._dial.cancel()
         if self._mask:
-            self.loop.forget(self._sock)
+            self.loop.unwatch(self._sock)
         if self.up and (self._finishing or end in (EndReason.IDLE, EndReason.STOPPED)):
             self._part()
         self._sock.close()
--- a/fawnwharf/net/connection_writer.py
+++ b/fawnwharf/net/connection_writer.py
@@ -52,13 +52,13 @@
 
     def limit_parts(self, most_ms: float) -> None:
         """End it where a piece stays written in part for longer than this."""
-        self._part_limit = PartialWriteLimit(self.loop.wheel, self._outbox, most_ms)
+        self._part_limit = PartialWriteLimit(self.loop.timers, self._outbox, most_ms)
 
     def _queue(self, piece: WriteBuffer) -> WriteBuffer:
         if not self.closed:
             self._outbox.append(piece)
             self.waiting_bytes += piece.size
-            self.loop.flush_later(self)
+            self.loop.schedule_flush(self)
         return piece
 
     def take_back(self, piece: WriteBuffer) -> bool:
@@ -125,7 +125,7 @@
                 self._read()
             self.close(end)
             return
-        self._write_pause = self.loop.wheel.after(WRITE_PAUSE_MS, self._write_on)
+        self._write_pause = self.loop.timers.after(WRITE_PAUSE_MS, self._write_on)
 
     def _part_overdue(self) -> None:
         self.close(EndReason.LOCAL_FAULT if self._write_pause else EndReason.STUFFED)
@@ -133,4 +133,4 @@
     def _write_on(self) -> None:
         self._write_pause = None
         if not self.closed:
-            self.loop.flush_later(self)
+            self.loop.schedule_flush(self)
--- a/fawnwharf/net/event_loop.py
+++ b/fawnwharf/net/event_loop.py
@@ -75,22 +75,29 @@
     """Owns the selector, the wheel and the events gathered for the next batch."""
 
     def __init__(self, decide: Callable[[float, list[io.Event]], None], log: Callable[[str], None]) -> None:
-        self.wheel, self.clock = TimerWheel(), Clock()
+        self.timers, self.clock = TimerWheel(), Clock()
         self.running = True
-        self.turn_ms, self.turn_unix_ms = monotonic_ms(), unix_ms()  # when the turn began, on both clocks
-        self.before_ms = self.turn_ms  # when the turn before began
-        self.held_ms = 0.0  # how long bytes may have waited for this turn, where the process was held up
-        self.stamps = ReceiveTimestampCheck()
+        self.iteration_ms, self.iteration_unix_ms = (
+            monotonic_ms(),
+            unix_ms(),
+        )  # when the turn began, on both clocks
+        self.previous_iteration_ms = self.iteration_ms  # when the turn before began
+        self.stall_ms = 0.0  # how long bytes may have waited for this turn, where the process was held up
+        self.timestamps = ReceiveTimestampCheck()
         self._decide, self._log = decide, log
         self._selector = selectors.DefaultSelector()
-        self.wheel.on_fault = self.fault
-        self._inbox: dict[int, io.Event] = {}  # by ticket, in order
-        self._tickets = itertools.count()
-        self._behind: set[int] = set()  # descriptors that the last turn left ready
-        self._orders: dict[int, Callable[[], ReadPriority]] = {}  # by descriptor; Order.OPEN for all others
-        self._left: dict[int, float] = {}  # of these, when each was last known to have nothing unread
+        self.timers.on_fault = self.log_exception
+        self._batch: dict[int, io.Event] = {}  # by ticket, in order
+        self._event_ids = itertools.count()
+        self._deferred: set[int] = set()  # descriptors that the last turn left ready
+        self._priorities: dict[
+            int, Callable[[], ReadPriority]
+        ] = {}  # by descriptor; Order.OPEN for all others
+        self._last_empty_ms: dict[
+            int, float
+        ] = {}  # of these, when each was last known to have nothing unread
         self._dirty: dict[Flushable, None] = {}
-        self._wake: tuple[socket.socket, socket.socket] | None = None
+        self._wakeup_sockets: tuple[socket.socket, socket.socket] | None = None
 
     # --- what the parts use -----------------------------------------------------------------
 
@@ -106,11 +113,11 @@
         where it changes; it is asked in each turn in which the socket is ready."""
         self._selector.register(sock, mask, ready)
         if first:
-            self._orders[sock.fileno()] = lambda: ReadPriority.FIRST
+            self._priorities[sock.fileno()] = lambda: ReadPriority.FIRST
         elif order is not None:
-            self._orders[sock.fileno()] = order
+            self._priorities[sock.fileno()] = order
 
-    def change(self, sock: socket.socket, mask: int, ready: Callable[[int], None]) -> None:
+    def modify(self, sock: socket.socket, mask: int, ready: Callable[[int], None]) -> None:
         """Watch a socket for something else. Raises OSError, and then it is watched no more."""
         self._selector.modify(sock, mask, ready)
 
@@ -118,145 +125,155 @@
         """Whether a socket is watched."""
         return sock.fileno() in self._selector.get_map()
 
-    def forget(self, sock: socket.socket) -> None:
+    def unwatch(self, sock: socket.socket) -> None:
         """Watch a socket no more, if it is watched."""
         if self.watches(sock):
             self._selector.unregister(sock)
-        self._orders.pop(sock.fileno(), None)
+        self._priorities.pop(sock.fileno(), None)
 
-    def tell(self, event: io.Event) -> int:
+    def enqueue(self, event: io.Event) -> int:
         """An event for the next batch. One that carrying out a batch brings waits for the one after.
 
         The ticket that comes back takes it out again, until the batch is handed over."""
-        ticket = next(self._tickets)
-        self._inbox[ticket] = event
+        ticket = next(self._event_ids)
+        self._batch[ticket] = event
         return ticket
 
-    def untell(self, ticket: int) -> None:
+    def discard(self, ticket: int) -> None:
         """The module is never to hear of this event, which is still to be handed over."""
-        del self._inbox[ticket]
+        del self._batch[ticket]
 
     @property
-    def crowded(self) -> bool:
+    def batch_full(self) -> bool:
         """Whether the next batch has as many events as the gathering of a turn may bring."""
-        return len(self._inbox) >= MAX_EVENTS
+        return len(self._batch) >= MAX_EVENTS
 
-    def left_behind(self, sock: socket.socket) -> bool:
+    def was_deferred(self, sock: socket.socket) -> bool:
         """Whether this turn's gathering ended before a socket that was ready."""
-        return sock.fileno() in self._behind
+        return sock.fileno() in self._deferred
 
-    def flush_later(self, part: Flushable) -> None:
+    def schedule_flush(self, part: Flushable) -> None:
         self._dirty[part] = None
 
     # --- the turns --------------------------------------------------------------------------
 
-    def turn(self, most_s: float | None = None) -> None:
-        sleep_s, began_ms = self._sleep_s(most_s), monotonic_ms()
+    def run_iteration(self, most_s: float | None = None) -> None:
+        sleep_s, began_ms = self._wait_s(most_s), monotonic_ms()
         ready = self._selector.select(sleep_s)
-        self.before_ms, self.turn_ms, self.turn_unix_ms = self.turn_ms, monotonic_ms(), unix_ms()
-        self.held_ms = self._held_ms(began_ms, sleep_s)
+        self.previous_iteration_ms, self.iteration_ms, self.iteration_unix_ms = (
+            self.iteration_ms,
+            monotonic_ms(),
+            unix_ms(),
+        )
+        self.stall_ms = self._stall_ms(began_ms, sleep_s)
         now_ms = self.clock.now_ms()
-        self._serve(ready, now_ms)
-        self._left = {fd: self._left.get(fd, self.before_ms) for fd in self._behind}
-        if (took := monotonic_ms() - self.turn_ms) > SLOW_ITERATION_MS:
+        self._process(ready, now_ms)
+        self._last_empty_ms = {
+            fd: self._last_empty_ms.get(fd, self.previous_iteration_ms) for fd in self._deferred
+        }
+        if (took := monotonic_ms() - self.iteration_ms) > SLOW_ITERATION_MS:
             self._log(f"a slow turn: {took:.0f} ms for {len(ready)} sockets")
 
-    def _held_ms(self, began_ms: float, sleep_s: float | None) -> float:
+    def _stall_ms(self, began_ms: float, sleep_s: float | None) -> float:
         """The longest that bytes may have waited which are read in this turn, where the process was held up.
 
         What was ready as the wait began may have come since the turn before looked; what came during the wait
         ended it at once, unless the process was held up meanwhile."""
-        waited_ms = self.turn_ms - began_ms
+        waited_ms = self.iteration_ms - began_ms
         if waited_ms < MIN_WAIT_MS:
-            return self.turn_ms - self.before_ms if began_ms - self.before_ms > STALL_THRESHOLD_MS else 0.0
+            return (
+                self.iteration_ms - self.previous_iteration_ms
+                if began_ms - self.previous_iteration_ms > STALL_THRESHOLD_MS
+                else 0.0
+            )
         late_ms = 0.0 if sleep_s is None else waited_ms - sleep_s * 1000.0
         return waited_ms if late_ms > STALL_THRESHOLD_MS else 0.0
 
     def empty_ms(self, fd: int) -> float:
         """When a descriptor that is watched was last known to have nothing unread."""
-        return self._left.get(fd, self.before_ms)
+        return self._last_empty_ms.get(fd, self.previous_iteration_ms)
 
     def ready_since_ms(self, fd: int) -> float:
         """The earliest moment from which on a descriptor that is ready in this turn may have been ready."""
-        return self._left.get(fd, self.turn_ms - self.held_ms)
+        return self._last_empty_ms.get(fd, self.iteration_ms - self.stall_ms)
 
-    def _serve(self, ready: list[tuple[selectors.SelectorKey, int]], now_ms: float) -> None:
+    def _process(self, ready: list[tuple[selectors.SelectorKey, int]], now_ms: float) -> None:
         # All of a turn happens at the moment at which it began, however long the process is held up in it.
         self._gather(ready)
-        self.wheel.advance(self.turn_ms)
-        if self._inbox:
-            events, self._inbox = self._inbox, {}
+        self.timers.advance(self.iteration_ms)
+        if self._batch:
+            events, self._batch = self._batch, {}
             self._decide(now_ms, list(events.values()))
-        if monotonic_ms() - self.turn_ms > REREAD_AFTER_MS:
-            self._look_at_first()
+        if monotonic_ms() - self.iteration_ms > REREAD_AFTER_MS:
+            self._reread_first()
         dirty, self._dirty = self._dirty, {}
         for part in dirty:
-            self.guarded(part.flush)
+            self.run_guarded(part.flush)
 
     def _gather(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
         groups: dict[ReadPriority, list[tuple[selectors.SelectorKey, int]]] = {
             order: [] for order in ReadPriority
         }
-        for item in sorted(ready, key=lambda item: item[0].fd not in self._behind):
-            groups[self._order(item[0].fd)].append(item)
-        self._behind = set()
+        for item in sorted(ready, key=lambda item: item[0].fd not in self._deferred):
+            groups[self._priority(item[0].fd)].append(item)
+        self._deferred = set()
         self._serve_ready(groups[ReadPriority.FIRST], None)
         self._serve_ready(groups[ReadPriority.OPEN], self._events_until(ACTIVE_SHARE))
         self._serve_ready(groups[ReadPriority.NEW], self._events_until(IDLE_SHARE))
 
-    def _order(self, descriptor: int) -> ReadPriority:
-        order = self._orders.get(descriptor)
+    def _priority(self, descriptor: int) -> ReadPriority:
+        order = self._priorities.get(descriptor)
         return ReadPriority.OPEN if order is None else order()
 
     def _events_until(self, part: float) -> int:
         """How many events end the gathering of a group that has this part of them for itself."""
-        return max(MAX_EVENTS, len(self._inbox) + max(1, int(part * MAX_EVENTS)))
+        return max(MAX_EVENTS, len(self._batch) + max(1, int(part * MAX_EVENTS)))
 
     def _serve_ready(self, ready: list[tuple[selectors.SelectorKey, int]], most: int | None) -> None:
         for place, (key, mask) in enumerate(ready):
-            if most is not None and len(self._inbox) >= most:
-                self._behind |= {key.fd for key, _ in ready[place:]}
+            if most is not None and len(self._batch) >= most:
+                self._deferred |= {key.fd for key, _ in ready[place:]}
                 return
             # One that an earlier part of this turn closed is no longer registered under its key.
             if self._selector.get_map().get(key.fd) is key:
-                self.guarded(key.data, mask)
+                self.run_guarded(key.data, mask)
 
-    def _look_at_first(self) -> None:
+    def _reread_first(self) -> None:
         """Read what is looked at first once more before anything is written. Guards drains: one that was told
         while the process was held up in this turn binds what the turn is about to send."""
         for key, mask in self._selector.select(0):
-            if self._order(key.fd) is ReadPriority.FIRST and self._selector.get_map().get(key.fd) is key:
-                self.guarded(key.data, mask)
+            if self._priority(key.fd) is ReadPriority.FIRST and self._selector.get_map().get(key.fd) is key:
+                self.run_guarded(key.data, mask)
 
-    def guarded(self, call: Callable[..., None], *arguments: object) -> None:
+    def run_guarded(self, call: Callable[..., None], *arguments: object) -> None:
         """Guards the loop: a fault in one part must not take down what is open in all the others."""
         try:
             call(*arguments)
         except Exception:
-            self.fault(getattr(call, "__qualname__", "a part"))
+            self.log_exception(getattr(call, "__qualname__", "a part"))
 
-    def fault(self, where: str) -> None:
+    def log_exception(self, where: str) -> None:
         """Report the exception that is being handled."""
         self._log(f"fault in {where}: " + traceback.format_exc(limit=-3).replace("\n", " | "))
 
-    def _sleep_s(self, most_s: float | None) -> float | None:
-        if self._inbox or self._dirty:
+    def _wait_s(self, most_s: float | None) -> float | None:
+        if self._batch or self._dirty:
             return 0.0
-        idle = self.wheel.idle_s()
+        idle = self.timers.idle_s()
         if idle is None or most_s is None:
             return most_s if idle is None else idle
         return min(idle, most_s)
 
     def run(self) -> None:
         while self.running:
-            self.turn()
+            self.run_iteration()
 
-    def on_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
+    def handle_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
         """Signals wake the selector by a socket pair and are then handled in the loop like all else."""
         near, far = socket.socketpair()
         near.setblocking(False)
         far.setblocking(False)
-        self._wake = near, far
+        self._wakeup_sockets = near, far
         signal.set_wakeup_fd(far.fileno(), warn_on_full_buffer=False)
         for number in handlers:
             signal.signal(number, lambda *_: None)
@@ -270,8 +287,8 @@
         self.watch(near, READ, ready)
 
     def close(self) -> None:
-        if self._wake:
+        if self._wakeup_sockets:
             signal.set_wakeup_fd(-1)
-            for end in self._wake:
+            for end in self._wakeup_sockets:
                 end.close()
         self._selector.close()
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -167,11 +167,13 @@
 
     def start(self) -> None:
         if self.operators:
-            self.loop.turn(0.0)  # the module has its roster before it is told what another process learnt
+            self.loop.run_iteration(
+                0.0
+            )  # the module has its roster before it is told what another process learnt
             self.operators.begin()
         self.port.accept(True)
         self.changelog.connect()
-        self.loop.wheel.after(TIDY_MS, self._tidy)
+        self.loop.timers.after(TIDY_MS, self._tidy)
         self._start_ms = monotonic_ms()
         self._await_roster()
         self.started = self.port.ready = True
@@ -181,7 +183,9 @@
         self.start()  # signals that come before are taken after: the start would undo what they bring
         calls = {signal.SIGTERM: self.leave, signal.SIGINT: self.leave, signal.SIGHUP: self.reload}
         # Each by itself: a fault in a reload must not swallow the signal that was read along with it.
-        self.loop.on_signals({number: partial(self.loop.guarded, call) for number, call in calls.items()})
+        self.loop.handle_signals(
+            {number: partial(self.loop.run_guarded, call) for number, call in calls.items()}
+        )
         self.log(f"serving on {self.address[0]}:{self.address[1]}")
         try:
             self.loop.run()
@@ -210,7 +214,7 @@
         self.log("leaving")
         self._leaving = GracefulShutdown(self)
         if self.operators:
-            self.loop.guarded(self.operators.leave)
+            self.loop.run_guarded(self.operators.leave)
         self.port.ready = self.replaced  # the front asks for the other process's sake, too
         self._leaving.look()
 
@@ -225,9 +229,9 @@
 
     def _tidy(self) -> None:
         # First, and each part by itself: a fault in one must not end the tidying of all.
-        self.loop.wheel.after(TIDY_MS, self._tidy)
+        self.loop.timers.after(TIDY_MS, self._tidy)
         for part in (self.changelog, self.pool, self.port):
-            self.loop.guarded(part.tidy)
+            self.loop.run_guarded(part.tidy)
 
     # --- the roster -----------------------------------------------------------------------------
 
@@ -255,7 +259,7 @@
             self.port.waits_for.discard(ROSTER)
         else:
             self.port.waits_for.add(ROSTER)
-            self.loop.wheel.after(ROSTER_SCAN_MS, self._await_roster)
+            self.loop.timers.after(ROSTER_SCAN_MS, self._await_roster)
 
     def _on_fleet(self, fleet: Fleet) -> None:
         heard_ms, before = self.changelog.told_all_ms, self.starts.apart
@@ -282,7 +286,7 @@
         before = min(self._limits.values(), default=io.UNLIMITED_RPS)
         self._limits[who] = calls_rps
         if (least := min(self._limits.values())) != before:
-            self.loop.tell(io.LimitsChanged(least))
+            self.loop.enqueue(io.LimitsChanged(least))
 
     def go_by(self, fleet: Fleet) -> None:
         """Go by this roster, or by these changes of it, from now on."""
@@ -296,7 +300,7 @@
             self._news.entries += told.entries  # the same in sum, and the module goes over its fleet once
         else:
             self._news = told
-            self.loop.tell(told)
+            self.loop.enqueue(told)
 
     def _entry(self, member: Member) -> tuple[io.WorkerEntry, Address | None]:
         address = address_from(member.host_port, "host_port") if member.host_port else None
@@ -316,16 +320,16 @@
         self._news = None
         self.table.begin_batch()
         if self._seam:
-            self.loop.guarded(self._seam.events, events)
+            self.loop.run_guarded(self._seam.events, events)
         try:
             actions: list[Any] = self.router.handle(now_ms, events)
         except Exception:
             # A fault in the decisions must not take down what is open: each request has its backstop.
-            self.loop.fault("the decisions")
-            self.loop.wheel.after(AFTER_FAULT_MS, lambda: self.loop.tell(io.TimerDue(0)))
+            self.loop.log_exception("the decisions")
+            self.loop.timers.after(AFTER_FAULT_MS, lambda: self.loop.enqueue(io.TimerDue(0)))
             return
         for action in actions:
-            self.loop.guarded(self._carriers[type(action)], action)  # a fault costs that one alone
+            self.loop.run_guarded(self._carriers[type(action)], action)  # a fault costs that one alone
 
     def _set_timer(self, action: io.SetTimer) -> None:
-        self.loop.wheel.after(action.delay_ms, lambda: self.loop.tell(io.TimerDue(action.token)))
+        self.loop.timers.after(action.delay_ms, lambda: self.loop.enqueue(io.TimerDue(action.token)))
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -55,7 +55,7 @@
         self._since_ms = monotonic_ms()
         self._limit_ms = limit_ms(front.deployment.settings)
         self._refusing = False
-        front.loop.tell(io.Closing(answer_within_ms(front.deployment.settings)))
+        front.loop.enqueue(io.Closing(answer_within_ms(front.deployment.settings)))
         self._unsent: dict[
             ClientConnection, tuple[int, float]
         ] = {}  # bytes at the last change, and when that was
@@ -67,7 +67,7 @@
             self._front.loop.running = False
             return
         # First, as a fault in this look must not be the last one.
-        self._front.loop.wheel.after(SCAN_MS, self.look)
+        self._front.loop.timers.after(SCAN_MS, self.look)
         if self._front.replaced:
             done = not self._busy()
         else:
--- a/fawnwharf/net/idle_connections.py
+++ b/fawnwharf/net/idle_connections.py
@@ -30,7 +30,7 @@
         wanted -= sum(client.connection.finishing for client in self._clients)
         for _ in range(2):  # from the last look, then from a new one
             while self._idlest and monotonic_ms() - self._looked_ms < SCAN_MS:
-                if wanted <= 0 or self._loop.crowded:
+                if wanted <= 0 or self._loop.batch_full:
                     return
                 client, used_ms = self._idlest.popleft()
                 if client.idle and client.connection.used_ms == used_ms:
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -123,9 +123,9 @@
             return None
         key = f"r{next(self._numbers)}"
         self._bodies += len(call.body)
-        backstop = self._loop.wheel.after(call.budget_ms, lambda: self._overdue(key))
-        self.open[key] = OpenRequest(key, call, self._loop.turn_ms + call.budget_ms, backstop)
-        self._untold[key] = self._loop.tell(
+        backstop = self._loop.timers.after(call.budget_ms, lambda: self._overdue(key))
+        self.open[key] = OpenRequest(key, call, self._loop.iteration_ms + call.budget_ms, backstop)
+        self._untold[key] = self._loop.enqueue(
             io.RequestArrived(
                 key, call.function, call.class_name, call.tenant, call.budget_ms, call.lanes,
                 call.memory_mb, call.load_ms,
@@ -149,10 +149,10 @@
         if request := self._close(key):
             request.left = True
             if (ticket := self._untold.pop(key, None)) is not None:
-                self._loop.untell(ticket)
+                self._loop.discard(ticket)
             else:
                 self._ended[key] = request
-                self._loop.tell(io.ClientLeft(key))
+                self._loop.enqueue(io.ClientLeft(key))
             self._take_back(request)
         return request
 
@@ -206,7 +206,7 @@
             request.call.check_client()
         number, request.attempts = request.attempts, request.attempts + 1
         if key not in self.open:  # it ended in the very batch that this answers
-            self._loop.tell(io.AttemptEnded(key, number, worker, io.Ending.NOT_SENT, 0.0, closed=True))
+            self._loop.enqueue(io.AttemptEnded(key, number, worker, io.Ending.NOT_SENT, 0.0, closed=True))
             return
         call = request.call
         attempt = self._out[key, number] = Attempt(
@@ -218,7 +218,7 @@
             token=call.token,
             body=call.body,
             deadline_ms=request.deadline_ms,
-            begin_by_ms=self._loop.turn_ms + action.within_ms,
+            begin_by_ms=self._loop.iteration_ms + action.within_ms,
         )
         if self.witness:
             self.witness.sent(attempt)
@@ -255,7 +255,7 @@
         took = monotonic_ms() - attempt.began_ms
         closed = good or key not in self.open
         # Told before it is finished, as that ends its other attempts: the module takes ends in their order.
-        self._loop.tell(io.AttemptEnded(key, number, attempt.worker, ending, took, closed, warmth, crowd))
+        self._loop.enqueue(io.AttemptEnded(key, number, attempt.worker, ending, took, closed, warmth, crowd))
         if good:
             self._finish(key, Succeeded(answer.body))
 
@@ -296,7 +296,7 @@
         copies = answer.copies if answer else 0
         if self.witness:
             self.witness.order_ended(order, ending, copies)
-        self._loop.tell(io.OrderAnswered(order.worker, order.function, ending, copies, took))
+        self._loop.enqueue(io.OrderAnswered(order.worker, order.function, ending, copies, took))
 
     def _forget(self, order: LoadOrder) -> None:
         orders = self._orders.get(order.function, [])
--- a/fawnwharf/net/scorer_connection.py
+++ b/fawnwharf/net/scorer_connection.py
@@ -117,7 +117,7 @@
             self.pool.log(f"scorer {self.scorer.id}: bad frame: {self._reader.fault}")
             self.connection.close(EndReason.BAD_BYTES)
         elif self._reader.waits and self._stall is None:
-            self._stall = self.pool.loop.wheel.after(STALL_MS, self._stalled)
+            self._stall = self.pool.loop.timers.after(STALL_MS, self._stalled)
 
     def _stalled(self) -> None:
         self._stall = None
@@ -125,7 +125,7 @@
             return
         left = STALL_MS - (monotonic_ms() - self.connection.heard_ms)
         if left > 0:
-            self._stall = self.pool.loop.wheel.after(left, self._stalled)
+            self._stall = self.pool.loop.timers.after(left, self._stalled)
         else:
             self.pool.log(f"scorer {self.scorer.id}: a frame was cut off")
             self.connection.close(EndReason.SILENT)
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -153,7 +153,7 @@
 
     def _watch_time(self, attempt: Attempt) -> None:
         due_ms = attempt.deadline_ms if attempt.begun else min(attempt.deadline_ms, attempt.begin_by_ms)
-        attempt.timer = self.loop.wheel.after(due_ms - monotonic_ms(), lambda: self._time_is_up(attempt))
+        attempt.timer = self.loop.timers.after(due_ms - monotonic_ms(), lambda: self._time_is_up(attempt))
 
     def _time_is_up(self, attempt: Attempt) -> None:
         if attempt.begun and monotonic_ms() < attempt.deadline_ms:
@@ -163,7 +163,7 @@
 
     def order(self, order: LoadOrder) -> None:
         order.id = next(self._order_ids).to_bytes(8, "big")
-        order.timer = self.loop.wheel.after(self.wire.load_wait_ms, lambda: self._out_of_time(order))
+        order.timer = self.loop.timers.after(self.wire.load_wait_ms, lambda: self._out_of_time(order))
         self._place(order)
 
     def unload(self, worker: int, function: str) -> bool:
@@ -197,7 +197,7 @@
         self._dial(scorer)
         if stream.wait_timer is None and not stream.over:
             most = self.wire.dial_timeout_ms
-            stream.wait_timer = self.loop.wheel.after(most, lambda: self._waited_out(stream))
+            stream.wait_timer = self.loop.timers.after(most, lambda: self._waited_out(stream))
 
     def _waited_out(self, stream: Stream) -> None:
         self._take_off(stream)
@@ -242,7 +242,7 @@
         """Guards the scorer's good name, the loop and the requests against a passing fault of this machine:
         what waits goes on waiting, and is dialled for again after a pause."""
         if scorer.redial is None:
-            scorer.redial = self.loop.wheel.after(REDIAL_DELAY_MS, lambda: self._dial_again(scorer))
+            scorer.redial = self.loop.timers.after(REDIAL_DELAY_MS, lambda: self._dial_again(scorer))
 
     def _dial_again(self, scorer: Scorer) -> None:
         scorer.redial = None
--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -40,7 +40,7 @@
         self._held[client] = None
         if not self._looks:
             self._looks = True
-            self._loop.wheel.after(SCAN_MS, self._look)
+            self._loop.timers.after(SCAN_MS, self._look)
 
     def pause(self, on: bool) -> None:
         """Read no further on any connection, or go on."""
@@ -52,7 +52,7 @@
         self._looks = False
         held, self._held = self._held, {}
         for client in held:
-            self._loop.guarded(self._look_at, client)
+            self._loop.run_guarded(self._look_at, client)
 
     def _look_at(self, client: "ClientConnection") -> None:
         client.check()
@@ -64,7 +64,7 @@
         connection = client.connection
         for _ in range(MAX_READS):
             ended = connection.closed or connection.finishing
-            if ended or connection.waiting_pieces > MAX_UNSENT_ANSWERS or self._loop.crowded:
+            if ended or connection.waiting_pieces > MAX_UNSENT_ANSWERS or self._loop.batch_full:
                 return
             if connection.read_now():
                 return
--- a/fawnwharf/policy_rollout/follow.py
+++ b/fawnwharf/policy_rollout/follow.py
@@ -91,7 +91,7 @@
             name: replace(spec, give_up_ms=self._longest[name]) for name, spec in classes.items()
         }
         for spec in changed:
-            self.front.loop.tell(io.ClassChanged(spec))
+            self.front.loop.enqueue(io.ClassChanged(spec))
         return bool(changed)
 
     def _tenants(self, document: Document) -> None:
@@ -106,7 +106,7 @@
             changes = {name: rps / self._fronts for name, rps in quotas.items() if rps != before.get(name)}
         changes |= {name: io.UNLIMITED_RPS for name in before if name not in quotas}
         for name, rps in changes.items():
-            self.front.loop.tell(io.LimitsChanged(rps, name))
+            self.front.loop.enqueue(io.LimitsChanged(rps, name))
 
     def keep_by(self, kept: dict[str, tuple[str, float]]) -> None:
         """Apply modes and windows of replication by class, as `Easing` has them."""
--- a/fawnwharf/policy_rollout/outbox.py
+++ b/fawnwharf/policy_rollout/outbox.py
@@ -32,10 +32,10 @@
         """Queue a message."""
         self._queue.append(say)
         if not self._is_renewal(say):
-            self._loop.flush_later(self)
+            self._loop.schedule_flush(self)
         elif not self._renews:
             self._renews = True
-            self._loop.wheel.after(RENEW_MS, self.flush)
+            self._loop.timers.after(RENEW_MS, self.flush)
 
     def _is_renewal(self, say: m.Say) -> bool:
         """Whether it is a lease like the member's last one, which is noted."""
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -128,7 +128,7 @@
         front.port.waits_for.add(NAME)
         below = front.port.table
         self.calls = Judged(
-            below, self._take, self.agent.holder.done, self._ended, unix_ms, front.loop.wheel.after
+            below, self._take, self.agent.holder.done, self._ended, unix_ms, front.loop.timers.after
         )
         front.port.table = self.calls
         self.zones.riders[NAME] = self
@@ -195,7 +195,7 @@
     def _write_trace(self) -> None:
         if not self._stopped:
             self._flush_trace()
-            self.front.loop.wheel.after(TRACE_MS, self._write_trace)
+            self.front.loop.timers.after(TRACE_MS, self._write_trace)
 
     def _flush_trace(self) -> None:
         try:
@@ -252,7 +252,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - now, self._tick)
+        self._timer = self.front.loop.timers.after(due - now, self._tick)
 
     def _carry_out(self, effects: list[m.Effect]) -> None:
         for effect in effects:
@@ -273,7 +273,7 @@
             if self.in_force.how == "leased":
                 self.calls.release()
             else:  # its first lease comes a round trip later
-                self.front.loop.wheel.after(LEASE_MS, self._release)
+                self.front.loop.timers.after(LEASE_MS, self._release)
         self._stand()
         self._set_timer()
 
@@ -319,7 +319,7 @@
         if now - self._told_ms < STAND_MS:
             if not self._stands_later:
                 self._stands_later = True
-                self.front.loop.wheel.after(STAND_MS, self._stand_later)
+                self.front.loop.timers.after(STAND_MS, self._stand_later)
             return
         self._told, self._told_ms = standing, now
         self.zones.stand(msgspec.to_builtins(standing))
@@ -339,7 +339,7 @@
             why = self.agent.holder.fault or "no leader's steward has told what is in force"
             fields = {"why": why, "leads": leads, "voters that tell nothing of policy": silent}
             self.note("policy: not ready", fields)
-        self.front.loop.wheel.after(ALONE_MS, self._look_alone)
+        self.front.loop.timers.after(ALONE_MS, self._look_alone)
 
     # --- the operators' file --------------------------------------------------------------------
 
@@ -349,7 +349,7 @@
         if (data := self._said_file.changed()) is not None:
             self._said(data)
         self._follower.keep_by(dict(self.agent.holder.keeping.now))  # a keeper may be new
-        self.front.loop.wheel.after(FILES_MS, self._look_at_files)
+        self.front.loop.timers.after(FILES_MS, self._look_at_files)
 
     def _said(self, data: bytes) -> None:
         """A word that can't be taken changes nothing, and is said once with its key and cause."""
--- a/fawnwharf/recovery_service/door.py
+++ b/fawnwharf/recovery_service/door.py
@@ -244,13 +244,13 @@
         held = self._held[key] = _Held(key, call, call.reply, now, now + hold_ms)
         self._bytes += len(call.body)
         call.reply = lambda outcome: self._replied(held, outcome)
-        held.end = self._loop.wheel.after(hold_ms, lambda: self._overdue(held))
+        held.end = self._loop.timers.after(hold_ms, lambda: self._overdue(held))
         if bare:
             self._rows.setdefault(row, {})[key] = None
         elif free_ms is None:
             held.ticket = True
         else:
-            held.turn = self._loop.wheel.after(free_ms, lambda: self._try(held))
+            held.turn = self._loop.timers.after(free_ms, lambda: self._try(held))
         return key
 
     def _ask(self, now: float, row: str, key: str) -> float | None:
@@ -280,7 +280,7 @@
         elif free_ms > held.until_ms - self._clock():
             self._refuse(held, free_ms)
         else:
-            held.turn = self._loop.wheel.after(free_ms, lambda: self._try(held))
+            held.turn = self._loop.timers.after(free_ms, lambda: self._try(held))
 
     def _overdue(self, held: _Held) -> None:
         now, row = self._clock(), held.call.function
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -79,7 +79,7 @@
 
     def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
         front, self._order_out = self.front, below
-        self.holds = Holds(below, front.pool.order, front.loop.tell, front.table.open)
+        self.holds = Holds(below, front.pool.order, front.loop.enqueue, front.table.open)
         return self.holds.carry
 
     # --- what is allowed ------------------------------------------------------------------------
@@ -156,7 +156,7 @@
         self._set(now)
         self._carry_out(self.giving.tick(now))
         calm = self._going[0].spill
-        self._timer = self.front.loop.wheel.after(CALM_TURN_MS if calm else TURN_MS, self._turn)
+        self._timer = self.front.loop.timers.after(CALM_TURN_MS if calm else TURN_MS, self._turn)
 
     def _ridden(self, now_ms: float, sender: str, _life: int, data: Any) -> None:
         try:
@@ -177,6 +177,6 @@
                 if isinstance(out.what, io.Hold):
                     self.front.table.order(out.what)
                 else:
-                    self.front.loop.tell(out.what)
+                    self.front.loop.enqueue(out.what)
             else:
                 self.door.told(out)
--- a/fawnwharf/recovery_service/onstore.py
+++ b/fawnwharf/recovery_service/onstore.py
@@ -186,7 +186,7 @@
         self._put(k.DOUBT, k.LAST, None)
         self.store.core.confirm()
         if self._loop is not None:
-            self._loop.loop.flush_later(self._loop)
+            self._loop.loop.schedule_flush(self._loop)
 
     # --- what is kept ---------------------------------------------------------------------------
 
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -246,7 +246,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - now, self._tick)
+        self._timer = self.front.loop.timers.after(due - now, self._tick)
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -288,7 +288,7 @@
         word = msgspec.to_builtins(say.word)
         if say.zone:
             self._words.append(Word(word, say.to, RECOVERY))
-            self.front.loop.flush_later(self)
+            self.front.loop.schedule_flush(self)
         else:
             self.state.ride(w.RIDER, say.to, word)
 
--- a/fawnwharf/recovery_service/trial.py
+++ b/fawnwharf/recovery_service/trial.py
@@ -67,7 +67,7 @@
     def __init__(self, world: "World", name: str, life: int) -> None:
         self.world, self.name = world, name
         self.router = Router(site(), life)
-        self.wheel = TimerWheel(lambda: world.now)
+        self.timers = TimerWheel(lambda: world.now)
         self.open: dict[str, Call] = {}
         self.inbox: list[io.Event] = []
         self.numbers = 0
@@ -235,7 +235,7 @@
     def wheels(self) -> None:
         self.at(4.0, self.wheels)
         for front in self.fronts if self.planned else ():
-            front.wheel.advance(self.now)
+            front.timers.advance(self.now)
 
     def carry(self, front: Front, outs: list[Out]) -> None:
         for out in outs:
--- a/fawnwharf/replication/gate.py
+++ b/fawnwharf/replication/gate.py
@@ -121,7 +121,7 @@
         held.waiting[key] = call.reply
         self._by_key[key] = held
         left_ms = max(1.0, call.budget_ms - LEAD_MS)
-        held.timers[key] = self._loop.wheel.after(left_ms, lambda: self._overdue(held, key))
+        held.timers[key] = self._loop.timers.after(left_ms, lambda: self._overdue(held, key))
 
     def _overdue(self, held: _Held, key: str) -> None:
         """Guards the one final answer, as the table's backstop does: it may have run."""
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -234,7 +234,7 @@
         if due == float("inf"):
             return
         self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - now, self._tick)
+        self._timer = self.front.loop.timers.after(due - now, self._tick)
 
     def _look_after(self, now_ms: float) -> None:
         keeper = self.core.keeper
@@ -264,8 +264,8 @@
         self._carry_out(self.core.tell_use(now))
         if self.core.shares:
             for tenant, rps in self.core.shares.changes(now).items():
-                self.front.loop.tell(io.LimitsChanged(rps, tenant))
-        self.front.loop.wheel.after(self.settings.use_ms, self._use)
+                self.front.loop.enqueue(io.LimitsChanged(rps, tenant))
+        self.front.loop.timers.after(self.settings.use_ms, self._use)
 
     def _beliefs(self) -> None:
         """Tell which scorers are bad, and let those rest that several front ends name."""
@@ -277,7 +277,7 @@
         self.core.hints.clear()
         if changes.members:
             self.front.go_by(changes)
-        self.front.loop.wheel.after(self.settings.hints_ms, self._beliefs)
+        self.front.loop.timers.after(self.settings.hints_ms, self._beliefs)
 
     def _status(self) -> None:
         if self._stopped:
@@ -288,7 +288,7 @@
         )
         status = Say((), found)
         self.server.say(msgspec.to_builtins(self.core.wrapped(status)), counts_as="status")
-        self.front.loop.wheel.after(STATUS_MS, self._status)
+        self.front.loop.timers.after(STATUS_MS, self._status)
 
     # --- others' logs ---------------------------------------------------------------------------
 
@@ -364,7 +364,7 @@
             self._new_members()
         for feed in self._feeds.values():
             feed.tidy()
-        self.front.loop.wheel.after(FILES_MS, self._look_at_files)
+        self.front.loop.timers.after(FILES_MS, self._look_at_files)
 
     def _new_members(self) -> None:
         try:
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -102,17 +102,17 @@
 
     def _set(self, due_ms: float) -> None:
         self._due_ms = due_ms
-        self._timer = self._front.loop.wheel.after(max(0.0, due_ms - monotonic_ms()), self._tell)
+        self._timer = self._front.loop.timers.after(max(0.0, due_ms - monotonic_ms()), self._tell)
 
     def answered(self) -> None:
         """Lines came; if a keeper's answer is among them, the module hears of it in a moment."""
         if self._core.view.news and not self._gathers and self._front is not None:
             self._gathers = True
-            self._front.loop.wheel.after(GATHER_MS, self._hand_on)
+            self._front.loop.timers.after(GATHER_MS, self._hand_on)
 
     def _hand_on(self) -> None:
         self._gathers = self._core.view.news = False
         if self._front is not None:
             self._handed_ms = monotonic_ms()
             for event in self._core.elsewhere(self._handed_ms, self._fronts):
-                self._front.loop.tell(event)
+                self._front.loop.enqueue(event)
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -125,7 +125,7 @@
             self.staging.go_by(self.policies.staging)
         beat = self.staging.beat(now, self._seen)
         self._carry_out(now, beat)
-        self._timer = self.front.loop.wheel.after(beat.again_ms, self._beat)
+        self._timer = self.front.loop.timers.after(beat.again_ms, self._beat)
 
     def _foretold(self, now_ms: float) -> None:
         """A trial tells of moves as it draws them; a file that can't be read changes nothing."""
@@ -160,7 +160,7 @@
             self.state.ride(RIDER, (), word)
         self.ordered += len(beat.wanted)
         for wanted in beat.wanted:
-            self.front.loop.tell(wanted)
+            self.front.loop.enqueue(wanted)
         if beat.moves:
             self.agent.expected(now_ms, beat.moves)
 
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -219,7 +219,7 @@
             if isinstance(order, io.Hold):
                 self._ask(order)
             else:
-                self.front.loop.tell(order)
+                self.front.loop.enqueue(order)
 
     def _ask(self, question: io.Hold) -> None:
         """Probe a scorer for copies of a function.
@@ -250,7 +250,7 @@
         if all_words:
             self._outbox.hurry()
         if self._outbox.urgent:
-            self.front.loop.flush_later(self._outbox)
+            self.front.loop.schedule_flush(self._outbox)
         if self.agent.pace_ms() < self._timer_ms - now_ms:
             self._set_timer(now_ms)
 
@@ -332,7 +332,7 @@
             self._timer.cancel()
         pace = self.agent.pace_ms()
         self._timer_ms = now_ms + pace
-        self._timer = self.front.loop.wheel.after(pace, self._look)
+        self._timer = self.front.loop.timers.after(pace, self._look)
 
     def _closed(self, now_ms: float) -> dict[str, str]:
         """Sites that are to be empty: by the decided plan, and by operators' words here and elsewhere."""
--- a/fawnwharf/testbed/fleet.py
+++ b/fawnwharf/testbed/fleet.py
@@ -262,7 +262,7 @@
 
     def turn(self, most_s: float = 0.02) -> None:
         """Run one iteration of the event loop."""
-        self.loop.turn(most_s)
+        self.loop.run_iteration(most_s)
         self.reap()
         if (now := monotonic_ms()) - self._looked_ms >= LOOK_MS:
             stood_ms, self._looked_ms = now - self._looked_ms - STOOD_MS, now
--- a/fawnwharf/testbed/power.py
+++ b/fawnwharf/testbed/power.py
@@ -100,7 +100,7 @@
         if not what:
             fleet.store.cut()
         since_ms = monotonic_ms() - LAST_MS
-        fleet.loop.wheel.after(AGAIN_MS, lambda: fleet.clients.ask_again(since_ms))
+        fleet.loop.timers.after(AGAIN_MS, lambda: fleet.clients.ask_again(since_ms))
 
     def back(self, step: Step) -> None:
         """Let what lost its power come back."""
@@ -127,7 +127,7 @@
                 self._scorer(name, returns.new_ids)
 
         for at_s, name in drawn(chance, step.value, machines, others, returns):
-            self._coming[name] = fleet.loop.wheel.after(1000.0 * at_s, lambda name=name: come(name))
+            self._coming[name] = fleet.loop.timers.after(1000.0 * at_s, lambda name=name: come(name))
 
     def rush(self, factor: float) -> None:
         """Let all clients come at once."""
--- a/fawnwharf/testbed/processes.py
+++ b/fawnwharf/testbed/processes.py
@@ -178,7 +178,7 @@
         """Close the pipe."""
         if self.file.closed:
             return
-        self.loop.forget(self.pipe)
+        self.loop.unwatch(self.pipe)
         self.pipe.close()
         self.file.close()
         if rest := bytes(self.buffer):  # a last line without its end
--- a/fawnwharf/testbed/sessions.py
+++ b/fawnwharf/testbed/sessions.py
@@ -85,7 +85,7 @@
 
     def _tell_on(self) -> None:
         self.tell_oracle()
-        self.fleet.loop.wheel.after(TOLD_MS, self._tell_on)
+        self.fleet.loop.timers.after(TOLD_MS, self._tell_on)
 
     def disturb(self, zone: str) -> None:
         """Let a zone's sessions call elsewhere from now on, or come back."""
--- a/fawnwharf/zones/links.py
+++ b/fawnwharf/zones/links.py
@@ -152,7 +152,7 @@
         self.address: Address = self._listener.getsockname()[:2]
         self._closed = False
         loop.watch(self._listener, READ, self._accept)
-        loop.wheel.after(PULSE_MS, self._pulse)
+        loop.timers.after(PULSE_MS, self._pulse)
 
     def write(self, line: Any, counts_as: Hashable = None) -> None:
         """Write a line for all readers.
@@ -212,12 +212,12 @@
                 reader.connection.write(b"%d\n" % self.number(reader))
             elif now - reader.began_ms > ASK_MS:
                 reader.connection.close(EndReason.SILENT)
-        self.loop.wheel.after(PULSE_MS, self._pulse)
+        self.loop.timers.after(PULSE_MS, self._pulse)
 
     def close(self) -> None:
         """Close the listener and all readers' connections."""
         self._closed = True
-        self.loop.forget(self._listener)
+        self.loop.unwatch(self._listener)
         self._listener.close()
         for reader in list(self.readers):
             reader.connection.close(EndReason.STOPPED)
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -92,7 +92,7 @@
             if few or self._observer.quiet_ms(now, zone) >= PROBE_MS:
                 self._dial(zone)
         self._look_at_views(now)
-        self._front.loop.wheel.after(PROBE_MS, self.look)
+        self._front.loop.timers.after(PROBE_MS, self.look)
 
     def _look_at_views(self, now_ms: float) -> None:
         """A view that has turned is told before its time."""
@@ -121,7 +121,7 @@
                     self._dial(zone, more=2)
                 self._look_at_views(now)
 
-        probe = _Probe(self._front.loop.wheel, told)
+        probe = _Probe(self._front.loop.timers, told)
         within = min(self._front.deployment.wire.dial_timeout_ms, self._rules.window_ms / 2)
         address = address_from(member.host_port, "host_port")
         made = Connection.dial(self._front.loop, address, probe, within)
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -242,7 +242,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - monotonic_ms(), self._tick)
+        self._timer = self.front.loop.timers.after(due - monotonic_ms(), self._tick)
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -376,7 +376,7 @@
         for feed in self._feeds.values():
             feed.tidy()
         self._set_timer()
-        self.front.loop.wheel.after(FILES_MS, self._look_at_files)
+        self.front.loop.timers.after(FILES_MS, self._look_at_files)
 
     def _take(self, data: bytes, what: str, take: Callable[[], None]) -> None:
         try:
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -41,7 +41,7 @@
         disk = kept.promises(core, None)
         kept.attach(loop)
         while not kept.settled:
-            loop.turn(0.01)
+            loop.run_iteration(0.01)
     else:
         disk = OnFile(Path(folder), core, "n0", lambda what, more: None)
     asked, took, refused = {}, [], 0
@@ -68,7 +68,7 @@
             asked[number] = monotonic_ms()
             hear(m.Ask(f"transfer-settle:{number:032x}", "n1#1", number, 1, 0))
         say(disk.written(core.tick(monotonic_ms()), say))
-        loop.turn(min(0.02, max(0.0, begun + number * pause - time.monotonic())))
+        loop.run_iteration(min(0.02, max(0.0, begun + number * pause - time.monotonic())))
     cpu = time.process_time() - cpu
     disk.close()
     if kept:
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -62,7 +62,7 @@
         for _ in range(2_000):
             if self.data.count(b"\n") >= count:
                 break
-            self.loop.turn(0.002)
+            self.loop.run_iteration(0.002)
             try:
                 self.data += self.sock.recv(65_536)
             except BlockingIOError:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -207,7 +207,7 @@
         end = time.monotonic() + PATIENCE_S
         while not condition():
             assert time.monotonic() < end, f"waited in vain until {what}"
-            self.front.loop.turn(0.005)
+            self.front.loop.run_iteration(0.005)
             for peer in [self.log, *self.scorers, *self.clients]:
                 peer.pump()
 
--- a/tests/support/client_cases.py
+++ b/tests/support/client_cases.py
@@ -54,7 +54,7 @@
 def wait(rig, ms):
     """Let the loop run for a while, by a timer of its own wheel."""
     over = []
-    rig.front.loop.wheel.after(ms, lambda: over.append(True))
+    rig.front.loop.timers.after(ms, lambda: over.append(True))
     rig.until(lambda: over, "the time is over")
 
 
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -136,7 +136,7 @@
         """Run one iteration of each loop and peer."""
         for node in self.nodes:
             if node.front is not None:
-                node.front.loop.turn(0.001)
+                node.front.loop.run_iteration(0.001)
             node.log.pump()
             node.scorer.pump()
         for client in self.clients:
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -55,7 +55,7 @@
 
     def __init__(self, stage=Stage.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
         self.now = 0.0
-        self.wheel = TimerWheel(lambda: self.now)
+        self.timers = TimerWheel(lambda: self.now)
         self.giving, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
         self.door = Door(self, self, CLASSES, limits, promises, clock=lambda: self.now)
         self.numbers, self.taken, self.passed = 0, 0, set()
@@ -72,7 +72,7 @@
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 4.0)
-            self.wheel.advance()
+            self.timers.advance()
 
     def take(self, call):
         """Take a call, as the table below; fails for a call taken twice."""
--- a/tests/support/request_driver.py
+++ b/tests/support/request_driver.py
@@ -93,8 +93,8 @@
         """One turn of the loop, then all that came of it; whether anything moved."""
         if not self.front.loop.running:
             return False
-        moved = bool(self.front.loop._selector.select(0)) or self.front.loop._sleep_s(1.0) == 0.0
-        self.front.loop.turn(0)
+        moved = bool(self.front.loop._selector.select(0)) or self.front.loop._wait_s(1.0) == 0.0
+        self.front.loop.run_iteration(0)
         self.clock.advance(TURN_MS)
         return self._pump() or moved
 
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -241,7 +241,7 @@
         for sock, ready in held:
             # One that its scorer ended while it was held is up already, and reads that end.
             if sock.fileno() >= 0 and self.front.loop.running and not ready.__self__.up:
-                self.front.loop.change(sock, WRITE, ready)
+                self.front.loop.modify(sock, WRITE, ready)
 
     def _do_short_write(self, _first: int, second: int) -> None:
         """The next write to a scorer takes a few bytes only."""
@@ -250,7 +250,7 @@
 
     def _do_due(self, _first: int, _second: int) -> None:
         """Time passes up to the next timer, which is then due with whatever else is ready."""
-        self._hold_up(min(DUE_MOST_MS, 1_000.0 * (self.front.loop.wheel.idle_s() or 0.0)))
+        self._hold_up(min(DUE_MOST_MS, 1_000.0 * (self.front.loop.timers.idle_s() or 0.0)))
 
     def _hold_up(self, span_ms: float) -> None:
         self.model.halts_ms += span_ms
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -60,8 +60,8 @@
             rig.scorers.append(peer)
             rig.front.pool.update(number, self.address(peer), io.State.READY, 0.0)
         self.told = []  # events, in order
-        tell = rig.front.loop.tell
-        rig.front.loop.tell = lambda event: self.told.append(event) or tell(event)
+        tell = rig.front.loop.enqueue
+        rig.front.loop.enqueue = lambda event: self.told.append(event) or tell(event)
         return rig
 
     def address(self, peer):
@@ -141,6 +141,6 @@
     def turn(self, rig, times=3):
         """So many turns of the loop and of the peers."""
         for _ in range(times):
-            rig.front.loop.turn(0.005)
+            rig.front.loop.run_iteration(0.005)
             for peer in [*rig.scorers, *rig.clients]:
                 peer.pump()
--- a/tests/support/session_front_ends.py
+++ b/tests/support/session_front_ends.py
@@ -121,7 +121,7 @@
     def turn(self):
         """Run one iteration of each loop and peer."""
         for front in self.fronts.values():
-            front.loop.turn(0.0005)
+            front.loop.run_iteration(0.0005)
         for peer in [self.log, *self.scorers, *self.clients]:
             peer.pump()
         for link in self.log.links:
--- a/tests/test_client_accepting.py
+++ b/tests/test_client_accepting.py
@@ -32,7 +32,7 @@
                 rig = self.rig(ScorerPeer())
                 fault = self.faults.fail("accept", error, where=self.at_listener(rig))
                 rig.client()
-                rig.front.loop.turn(1.0)
+                rig.front.loop.run_iteration(1.0)
                 self.assertEqual((fault.hits, len(rig.front.port.clients)), (1, 1))
 
     def test_a_shortage_is_waited_out_without_spinning_and_the_rest_goes_on(self):
@@ -75,7 +75,7 @@
         self.faults.fail("accept", errno.EMFILE, where=self.at_listener(rig))
         late = rig.client()
         late.status(1)
-        rig.front.loop.turn(1.0)
+        rig.front.loop.run_iteration(1.0)
         lack = OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
         with mock.patch.object(rig.front.loop._selector, "register", side_effect=lack) as register:
             rig.until(lambda: register.called, "the listener can't be watched")
@@ -89,7 +89,7 @@
         late = rig.client()
         late.status(1)
         with mock.patch.object(acceptor, "ACCEPT_PAUSE_MS", 60_000.0):
-            rig.front.loop.turn(1.0)
+            rig.front.loop.run_iteration(1.0)
             client.sock.close()
             client.ended = True
             rig.until(lambda: late.answers, "its descriptor serves the next one")
--- a/tests/test_client_closing.py
+++ b/tests/test_client_closing.py
@@ -49,8 +49,8 @@
             mock.patch.object(event_loop.EventLoop, "_events_until", return_value=0),
             mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0),
         ):
-            rig.front.loop.turn(0.0)
-            self.assertTrue(rig.front.loop.left_behind(served.connection._sock))
+            rig.front.loop.run_iteration(0.0)
+            self.assertTrue(rig.front.loop.was_deferred(served.connection._sock))
             rig.front.port.tidy()
         self.assertTrue(served.open)
         self.is_served(rig, client)
@@ -128,13 +128,13 @@
         client.status(1)
         served = None
         while served is None or not served.spoke:
-            rig.front.loop.turn(0.01)  # the client does not read meanwhile
+            rig.front.loop.run_iteration(0.01)  # the client does not read meanwhile
             served = self.served(rig, client)
-        rig.front.loop.turn(0.0)
+        rig.front.loop.run_iteration(0.0)
         rig.front.port.end_idle()
         client.call()
         while not served.connection.closed:
-            rig.front.loop.turn(0.01)
+            rig.front.loop.run_iteration(0.01)
         rig.until(lambda: client.ended, "the end is read")
         self.assertEqual(client.kinds(), {1: "answer"})
 
@@ -142,7 +142,7 @@
         rig, _, served = self.released()
         closed = []
         # Timers that are late together are called in their order.
-        rig.front.loop.wheel.after(50.0, lambda: closed.append(served.connection.closed))
+        rig.front.loop.timers.after(50.0, lambda: closed.append(served.connection.closed))
         rig.until(lambda: closed, "that time is over")
         self.assertEqual(closed, [False])
 
@@ -151,7 +151,7 @@
             rig, client, served = self.released()
         client.sock.close()
         client.ended = True
-        rig.front.loop.turn(1.0)
+        rig.front.loop.run_iteration(1.0)
         self.assertTrue(served.connection.closed)
 
     def test_what_comes_meanwhile_is_not_kept(self):
@@ -159,7 +159,7 @@
             rig, client, served = self.released()
         for _ in range(50):
             client.sock.send(call_frame(1) * 20)
-            rig.front.loop.turn(0.0)
+            rig.front.loop.run_iteration(0.0)
         self.assertEqual(served.state(), (b"", 0))
         self.assertEqual((arrivals(self), served.connection.waiting_bytes), ([], 0))
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -34,7 +34,7 @@
             client.sock.sendall(call_frame(2))
             client.sock.close()
             client.ended = True
-            rig.front.loop.turn(0.0)
+            rig.front.loop.run_iteration(0.0)
             self.assertIn(key, rig.front.table.open)  # no read has shown the end
             self.no_send(rig, key, scorer)
         self.assertEqual(len(arrivals(self)), 1)
@@ -50,8 +50,8 @@
         left.sock.close()
         left.ended = True
         with mock.patch.object(event_loop, "MAX_EVENTS", 1):
-            rig.front.loop._behind = {descriptor}  # so it is read before the one that left
-            rig.front.loop.turn(0.0)
+            rig.front.loop._deferred = {descriptor}  # so it is read before the one that left
+            rig.front.loop.run_iteration(0.0)
         self.assertIn(key, rig.front.table.open)
         self.no_send(rig, key, scorer)
 
@@ -115,11 +115,11 @@
         self.asked(rig, client)
         served = self.served(rig, client)
         served._write(b"x" * 7_000_000)
-        rig.front.loop.turn(0.0)
+        rig.front.loop.run_iteration(0.0)
         self.assertFalse(served.connection.reads)
         client.sock.shutdown(socket.SHUT_WR)
         while rig.front.table.open:
-            rig.front.loop.turn(0.05)  # the client reads nothing meanwhile
+            rig.front.loop.run_iteration(0.05)  # the client reads nothing meanwhile
         self.assertTrue(served.gone)  # rather than the request's time over
         self.assertFalse(served.connection.closed)  # it may still read what it is owed
 
@@ -195,7 +195,7 @@
         key = self.asked(rig, client)
         client.sock.close()
         client.ended = True
-        rig.front.loop.turn_ms -= 2 * connection.FRESH_MS  # the turn has run for so long by now
+        rig.front.loop.iteration_ms -= 2 * connection.FRESH_MS  # the turn has run for so long by now
         rig.front.table.send(io.Send(key, scorer_number("s-1")))
         self.assertNotIn(key, rig.front.table.open)
         wait(rig, 50.0)
@@ -264,7 +264,7 @@
         self.asked(rig, client)
         served, filler = self.served(rig, client), b"x" * 7_000_000
         served._write(filler)
-        rig.front.loop.turn(0.0)
+        rig.front.loop.run_iteration(0.0)
         self.assertTrue(served.connection.waiting_bytes)
         client.sock.shutdown(socket.SHUT_WR)
         rig.until(lambda: rig.clients.clear() or not rig.front.table.open, "its end is seen")
@@ -279,7 +279,7 @@
 
     def read(self, rig, client):
         while True:
-            rig.front.loop.turn(0.0)
+            rig.front.loop.run_iteration(0.0)
             try:
                 return client.sock.recv(1 << 20)
             except BlockingIOError:
@@ -291,7 +291,7 @@
         rig.settle(client)
         served = self.served(rig, client)
         client.sock.shutdown(socket.SHUT_WR)
-        rig.front.loop.turn(1.0)
+        rig.front.loop.run_iteration(1.0)
         self.assertTrue(served.connection.closed)
 
 
@@ -307,8 +307,8 @@
         client.withdraw(1)
         with mock.patch.object(event_loop, "MAX_EVENTS", 2):
             crowd_fds = {self.served(rig, peer).connection._sock.fileno() for peer in crowd}
-            rig.front.loop._behind = crowd_fds  # all of these were left behind
-            rig.front.loop.turn(0.0)
+            rig.front.loop._deferred = crowd_fds  # all of these were left behind
+            rig.front.loop.run_iteration(0.0)
         self.assertNotIn(key, rig.front.table.open)
 
     def test_a_connection_that_is_read_on_after_a_pause_keeps_its_place_in_the_order(self):
@@ -323,7 +323,7 @@
             self.addCleanup(here.close, connection.EndReason.STOPPED)
             here.read_on(False)
             here.read_on(True)
-            self.assertEqual(rig.front.loop._order(sock[0].fileno()), order)
+            self.assertEqual(rig.front.loop._priority(sock[0].fileno()), order)
 
     def test_new_requests_have_their_part_of_each_turn(self):
         rig = self.rig(ScorerPeer(copies=None))
@@ -335,7 +335,7 @@
             peer.call()
         new.call()
         with mock.patch.object(event_loop, "MAX_EVENTS", 2):
-            rig.front.loop.turn(0.0)
+            rig.front.loop.run_iteration(0.0)
         self.assertTrue(self.served(rig, new).open)
 
 
--- a/tests/test_client_slow.py
+++ b/tests/test_client_slow.py
@@ -25,7 +25,7 @@
         self.addCleanup(client.sock.close)
         served = self.served(rig, client)
         served._write(STUCK)
-        rig.front.loop.turn(0.0)
+        rig.front.loop.run_iteration(0.0)
         self.assertFalse(served.connection.reads)
         return rig, client, served
 
@@ -80,7 +80,7 @@
         rig, client, served = self.stuck()
         while served.connection.waiting_bytes >= slow_clients.UNSENT_PAUSE_BYTES:
             self.step(client)
-            rig.front.loop.turn(0.0)
+            rig.front.loop.run_iteration(0.0)
         self.assertTrue(served.connection.reads)
 
     def test_one_that_reads_nothing_and_sends_on_is_kept_to_a_bound(self):
@@ -91,7 +91,7 @@
             for _ in range(100):
                 with contextlib.suppress(BlockingIOError):
                     sent += client.sock.send(junk_statuses(64 * 1024))
-                rig.front.loop.turn(0.01)
+                rig.front.loop.run_iteration(0.01)
         self.assertGreater(sent, 4 * clients.MAX_READ_BYTES)
         self.assertLessEqual(served.connection.waiting_pieces, slow_clients.MAX_UNSENT_ANSWERS + one_read)
 
@@ -105,7 +105,7 @@
         most = longest.connection.waiting_bytes * 3 // 2
         with mock.patch.object(slow_clients, "MAX_TOTAL_UNSENT_BYTES", most):
             other_served._write(STUCK)
-            rig.front.loop.turn(0.0)
+            rig.front.loop.run_iteration(0.0)
         self.assertTrue(longest.connection.closed)
         self.assertFalse(other_served.connection.closed)
 
--- a/tests/test_client_streams.py
+++ b/tests/test_client_streams.py
@@ -58,7 +58,7 @@
             client.sock.sendall(data[:cut])
             client.sock.setblocking(False)
             del data[:cut]
-            rig.front.loop.turn(0.0)
+            rig.front.loop.run_iteration(0.0)
         return rig, scorer, client, good, bad, withdrawn
 
     def test_each_request_is_answered_once_whatever_lies_between(self):
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -134,11 +134,11 @@
         [served] = rig.front.port.clients
         with mock.patch.object(clients, "MAX_UNSENT_BYTES", 8 * 1024 * 1024):
             served._write(b"x" * 7_000_000)
-            rig.front.loop.turn(0)
-            rig.front.loop.turn(0)
+            rig.front.loop.run_iteration(0)
+            rig.front.loop.run_iteration(0)
             self.assertFalse(served.connection._reading)
         served._write(b"x" * 9_000_000)
-        rig.front.loop.turn(0)
+        rig.front.loop.run_iteration(0)
         self.assertTrue(served.connection.closed)
 
     def test_connections_keep_to_their_share_of_descriptors(self):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -26,7 +26,7 @@
 def rig(clock, monkeypatch):
     made = Rig(ScorerPeer(copies=None), start=False)
     for _ in range(5):  # it comes up and asks the change log
-        made.front.loop.turn(0.0)
+        made.front.loop.run_iteration(0.0)
         made.log.pump()
     yield made
     made.close()
@@ -46,7 +46,7 @@
     """The time that the one open call has, as the front end counts it."""
     rig.until(lambda: rig.front.table.open, "it is read")
     [request] = rig.front.table.open.values()
-    return request.deadline_ms - rig.front.loop.turn_ms
+    return request.deadline_ms - rig.front.loop.iteration_ms
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -82,7 +82,7 @@
 ):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     client.call(ttl="8000")
     clock.advance(400.0)  # the turn before took so long
     clock.step_wall(step)
@@ -104,7 +104,7 @@
     client.call(ttl="8000")
     for _ in range(30):
         clock.advance(20.0)
-        rig.front.loop.turn(0.0)
+        rig.front.loop.run_iteration(0.0)
     rig.front.port.pause(False)
     assert budget_left(rig) == pytest.approx(7_400.0, abs=event_loop.STALL_THRESHOLD_MS)
 
@@ -124,7 +124,7 @@
     rig.until(lambda: rig.front.changelog.told_all_ms is not None, "the log is followed")
     clock.advance(100.0)
     clock.step_wall(step)
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     clock.advance(100.0)
     member = rig.scorers[0].member(up_since_ms=clock.wall_ms - 50.0)
     for seq in (2, 3):  # told again, it is the same start
@@ -141,17 +141,17 @@
     found, known = [], set()
     while len(found) < count:
         clock.advance(40.0)
-        rig.front.loop.turn(0.0)
+        rig.front.loop.run_iteration(0.0)
         new = [request for key, request in rig.front.table.open.items() if key not in known]
         known.update(rig.front.table.open)
-        found += [request.deadline_ms - rig.front.loop.turn_ms for request in new]
+        found += [request.deadline_ms - rig.front.loop.iteration_ms for request in new]
     return found
 
 
 def test_a_call_that_a_full_turn_left_behind_counts_since_it_could_have_come(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     crowd = [settled_client(rig) for _ in range(2)]
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     for number, client in enumerate(crowd):
         client.call(ttl="8000", call=f"{number:016x}")
     monkeypatch.setattr(event_loop, "MAX_EVENTS", 1)
@@ -162,7 +162,7 @@
     without_stamps(monkeypatch)
     client = settled_client(rig)
     client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # all of it lies unread at once
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     for number in range(3):
         client.call(ttl="8000", call=f"{number:016x}", body=b"x" * 15_000)
     assert budgets_by_turns(rig, clock, 3) == pytest.approx([8_000.0, 7_920.0, 7_880.0])
--- a/tests/test_discovery_life.py
+++ b/tests/test_discovery_life.py
@@ -203,7 +203,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(change_log.Connection, "dial", counted)
-        rig.front.loop.wheel.after(span_ms, lambda: over.append(1))
+        rig.front.loop.timers.after(span_ms, lambda: over.append(1))
         rig.until(lambda: over, "the time is over")
     return made
 
@@ -234,8 +234,8 @@
     rig.until(lambda: rig.front.changelog._connection is None, "it breaks off")
     with SystemFaults().installed() as faults:
         fault = faults.fail(call, getattr(errno, name), times=3)
-        turns, turn = [], rig.front.loop.turn
-        rig.front.loop.turn = lambda most_s=None: (turns.append(1), turn(most_s))
+        turns, turn = [], rig.front.loop.run_iteration
+        rig.front.loop.run_iteration = lambda most_s=None: (turns.append(1), turn(most_s))
         assert rig.asked_times(2) == ["since", "1"]
     assert fault.hits == 3
     assert faults.calls["socket"] <= 4 + 2  # the dials, and what the peers accept
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -286,7 +286,7 @@
     seen = []
     for place in range(0, len(data), 7):
         rig.log.links[-1].sock.sendall(data[place : place + 7])
-        rig.front.loop.turn(0.05)
+        rig.front.loop.run_iteration(0.05)
         seen.append(rig.front.changelog.seq)
     rig.at(3)
     assert seen == sorted(seen)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -153,9 +153,9 @@
         return [scorer.id for scorer in pool.scorers.values() if scorer.waiting]
 
     while not dialled():
-        rig.front.loop.turn(0.005)
+        rig.front.loop.run_iteration(0.005)
     rig.log.say(event(2, complete=True))
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     assert dialled() == []
     rig.settle(client)
     assert [new_work(peer) for peer in rig.scorers] == [[], []]
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -125,7 +125,7 @@
     def turn_until(done):
         end = time.monotonic() + 20.0
         while not done() and time.monotonic() < end:
-            loop.turn(1.0)
+            loop.run_iteration(1.0)
         assert done()
 
     turn_until(lambda: store.store.core.settled and not store.store.core.job_out)
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -66,7 +66,7 @@
         scorer.answer(scorer.runs[0])
         rig.until(lambda: client.answers, "the answer")
         working.close()
-        rig.front.loop.tell(io.LimitsChanged())  # the loop goes on without it
+        rig.front.loop.enqueue(io.LimitsChanged())  # the loop goes on without it
         rig.settle(client)
         assert rig.front.table.witness is None
     finally:
@@ -82,7 +82,7 @@
             while len(times) < 4:
                 count = len(told())
                 rig.until(lambda told=told, count=count: len(told()) > count, "one more")
-                times.append(rig.front.loop.turn_ms)
+                times.append(rig.front.loop.iteration_ms)
             spans = sorted(b - a for a, b in zip(times, times[1:], strict=False))
             assert spans[0] >= least - 20.0 and (spans[0] < most)  # one that was held up is followed sooner
         finally:
@@ -98,7 +98,7 @@
         end = monotonic_ms() + 1_000.0 * PATIENCE_S
         while not condition():
             assert monotonic_ms() < end
-            loop.turn(0.005)
+            loop.run_iteration(0.005)
 
     def follow(server, take, hello):
         feeds.append(DirectedLog(loop, server.address, take, lambda text: None, hello))
--- a/tests/test_fair_turns.py
+++ b/tests/test_fair_turns.py
@@ -107,9 +107,9 @@
         turning = event_loop.EventLoop(lambda now_ms, events: told.extend(events), mock.Mock())
         self.addCleanup(turning.close)
         first, out, last = io.TimerDue(1), io.TimerDue(2), io.TimerDue(3)
-        tickets = [turning.tell(event) for event in (first, out, last)]
-        turning.untell(tickets[1])
-        turning.turn(0.0)
+        tickets = [turning.enqueue(event) for event in (first, out, last)]
+        turning.discard(tickets[1])
+        turning.run_iteration(0.0)
         self.assertEqual(told, [first, last])
 
 
@@ -155,7 +155,7 @@
                 for client in crowd:  # each has more to ask at all times
                     number += 1
                     client.call(seqid=number, call=f"{number:016x}")
-                rig.front.loop.turn(0.0)
+                rig.front.loop.run_iteration(0.0)
         keys = [event.request for event in self.told(io.RequestArrived)]
         owners = {key: n for n, owner in enumerate(rig.front.port.clients) for key in owner.open.values()}
         self.assertEqual({owners[key] for key in keys}, set(range(len(crowd))))
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -34,7 +34,7 @@
     only keeper, or one whose keepers say nothing."""
 
     def __init__(self, zones="a", fresh=True):
-        self.wheel, self.timers = self, []
+        self.timers, self.planned = self, []
         rules = s.Settings(1, "m", zones=1 if zones == "a" else 3, bounds=s.Bounds(answer_bytes=64))
         file = fleet_file(zones)
         keepers = Core("n0", 1, file, rules, 0.0).placement.keepers
@@ -45,8 +45,8 @@
         self.said = []
 
     def after(self, delay_ms, callback):
-        self.timers.append((delay_ms, Timer(callback)))
-        return self.timers[-1][1]
+        self.planned.append((delay_ms, Timer(callback)))
+        return self.planned[-1][1]
 
     def carry(self, effects):
         for effect in effects:
@@ -179,7 +179,7 @@
     ground = Ground()
     ground.ask()
     _, got = ground.ask()
-    delay, timer = ground.timers[-1]
+    delay, timer = ground.planned[-1]
     assert delay == 2_000.0 - LEAD_MS  # the answer has a way to go
     timer.callback()
     assert got == [Failed()]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -267,7 +267,7 @@
                 sock.connect(address)
             channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
         came = []
-        rig.front.loop.wheel.after(50.0, lambda: came.append(1))  # noqa: B023
+        rig.front.loop.timers.after(50.0, lambda: came.append(1))  # noqa: B023
         rig.until(lambda: came and rig.operators.replacement.after is None, "it is gone")  # noqa: B023
     assert not any("fault" in line for line in rig.lines)
 
@@ -282,7 +282,7 @@
         talk.say(part)
     assert talk.unsent
     far.close()
-    loop.turn(1.0)
+    loop.run_iteration(1.0)
     assert b"".join(message.data for message, _ in back[:-1]) == data and back[-1][0] == h.Kept(b"half")
     loop.close()
 
@@ -294,7 +294,7 @@
     with mock.patch.object(channel, "send", side_effect=OSError(109, "too many references")):
         talk.say(h.Kept(), near.dup())
     assert talk.unsent and not talk.closed
-    loop.turn(1.0)
+    loop.run_iteration(1.0)
     assert not talk.unsent and channel.receive(far)[1] is not None
     talk.close()
     far.close()
@@ -317,7 +317,7 @@
     rig.operators.leave()
     assert rig.operators.busy
     over = []
-    rig.front.loop.wheel.after(50.0, lambda: over.append(1))
+    rig.front.loop.timers.after(50.0, lambda: over.append(1))
     rig.until(lambda: over, "it has looked twice")
     assert h.Done() not in messages(newest)  # not while something is to come
     oldest.close()
@@ -348,7 +348,7 @@
     rig.operators.take(Asked("POST", "/standby"))
     taker(rig)
     over = []
-    rig.front.loop.wheel.after(1_300.0, lambda: over.append(1))
+    rig.front.loop.timers.after(1_300.0, lambda: over.append(1))
     rig.until(lambda: over, "the drain would refuse")
     client.call()
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "it is served")
--- a/tests/test_handover_age.py
+++ b/tests/test_handover_age.py
@@ -33,11 +33,11 @@
     client = rig.client()
     rig.settle(client)
     before_ms = monotonic_ms()
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     rig.front.port.pause(True)  # from here on nothing is read
     paused_ms = monotonic_ms()
     for _ in range(3):
-        rig.front.loop.turn(0.0)
+        rig.front.loop.run_iteration(0.0)
     [served] = rig.front.port.clients
     handed = rig.front.port.give(served)
     assert before_ms - 1_000.0 <= handed.empty_ms <= paused_ms
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -162,7 +162,7 @@
     def after(self, ms):
         """Let the loop run until a timer of its own says so."""
         due = []
-        self.front.loop.wheel.after(ms, lambda: due.append(1))
+        self.front.loop.timers.after(ms, lambda: due.append(1))
         self.until(lambda: due, "the time is over")
 
 
@@ -194,12 +194,12 @@
             for _ in range(20):
                 client.call()
         caller = rig.caller()
-        rig.front.loop.turn(0.2)  # its connection is accepted, and clients fill the rest of the turn
+        rig.front.loop.run_iteration(0.2)  # its connection is accepted, and clients fill the rest of the turn
         caller.sock.sendall(b"GET /status HTTP/1.1\r\n\r\n")
         with mock.patch("fawnwharf.net.event_loop.MAX_EVENTS", 1):
             for client in clients:
                 client.call()
-            rig.front.loop.turn(0.2)
+            rig.front.loop.run_iteration(0.2)
         caller.pump()
         self.assertIn(b" 200 ", bytes(caller.data))
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -91,7 +91,7 @@
                         rig.until(lambda rig=rig: rig.front.changelog._connection is None, "it breaks off")
                     rig.front.changelog.move(("127.0.0.1", int(moved.host_port.split(":")[1])))
                 later = []
-                rig.front.loop.wheel.after(60.0, lambda later=later: later.append(1))
+                rig.front.loop.timers.after(60.0, lambda later=later: later.append(1))
                 rig.scorers.append(moved)
                 rig.until(lambda later=later, moved=moved: later and moved.asked(), "the new one is asked")
                 self.assertEqual((moved.asked(), len(moved.links)), ([["since", "2"]], 1))
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -25,15 +25,15 @@
         caller = socket.create_connection(control.address)
         fault = faults.fail("accept", errno.EMFILE, times=2)
         for _ in range(20):
-            loop.turn(0.0)
+            loop.run_iteration(0.0)
         assert fault.hits == 1
         clock.advance(port.ACCEPT_PAUSE_MS + 5.0)
-        loop.turn(0.0)
-        loop.turn(0.0)
+        loop.run_iteration(0.0)
+        loop.run_iteration(0.0)
         assert fault.hits == 2
         clock.advance(port.ACCEPT_PAUSE_MS + 5.0)
-        loop.turn(0.0)
-        loop.turn(0.0)
+        loop.run_iteration(0.0)
+        loop.run_iteration(0.0)
         assert len(control.callers) == 1
         control.close()
         caller.close()
@@ -43,10 +43,10 @@
 def test_a_call_that_wakes_the_loop_after_a_turn_of_much_work_has_its_time(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    rig.front.loop.turn(0.0)
-    rig.front.loop.wheel.after(0.0, lambda: clock.advance(60.0))  # so long a turn works
+    rig.front.loop.run_iteration(0.0)
+    rig.front.loop.timers.after(0.0, lambda: clock.advance(60.0))  # so long a turn works
     clock.advance(5.0)
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     select = rig.front.loop._selector.select
 
     def asleep(_timeout=None):
@@ -54,9 +54,9 @@
         client.call(ttl="8000")
         return select(0.5)
 
-    monkeypatch.setattr(rig.front.loop, "_sleep_s", lambda most: 0.25)
+    monkeypatch.setattr(rig.front.loop, "_wait_s", lambda most: 0.25)
     monkeypatch.setattr(rig.front.loop._selector, "select", asleep)
-    rig.front.loop.turn()
+    rig.front.loop.run_iteration()
     [request] = rig.front.table.open.values()
     assert request.deadline_ms - clock.monotonic_ms == 8_000.0
 
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -171,7 +171,7 @@
         rules, file = s.Settings(1, "m", zones=1), fleet_file("a")
         keeper = Core("n0", 1, file, rules, 0.0).placement.keepers[0]
         self.core = Core(keeper, 1, file, rules, 0.0, True)
-        self.wheel = self  # the gate's timers never ring here
+        self.timers = self  # the gate's timers never ring here
         self.gate = Gate(self, self, self.core, rules, CLASSES, self.carry)
         super().__init__(stage, promises=Kept(self.gate, self.core))
         self.door.below = self.gate
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -48,7 +48,7 @@
 
     def between(self, below):
         front = self.front
-        self.holds = Holds(below, front.pool.order, front.loop.tell, front.table.open)
+        self.holds = Holds(below, front.pool.order, front.loop.enqueue, front.table.open)
         return self.holds.carry
 
     def go_by(self, stage):
@@ -60,7 +60,7 @@
 
     def turn(self):
         self.carry(self.giving.tick(monotonic_ms()))
-        self.front.loop.wheel.after(20.0, self.turn)
+        self.front.loop.timers.after(20.0, self.turn)
 
     def events(self, events):
         self.carry(self.holds.events(monotonic_ms(), events))
@@ -68,7 +68,7 @@
     def carry(self, outs):
         for out in outs:
             if isinstance(out, Order):
-                tell = self.front.table.order if isinstance(out.what, io.Hold) else self.front.loop.tell
+                tell = self.front.table.order if isinstance(out.what, io.Hold) else self.front.loop.enqueue
                 tell(out.what)
             elif isinstance(out, Ticket | Stood):
                 self.door.told(out)
--- a/tests/test_request_age.py
+++ b/tests/test_request_age.py
@@ -15,7 +15,7 @@
     """Let time pass with turns in which nothing comes from clients."""
     for _ in range(int(span_ms / turn_ms)):
         clock.advance(turn_ms)
-        front_end.front.loop.turn(0.0)
+        front_end.front.loop.run_iteration(0.0)
         front_end.log.pump()
 
 
@@ -25,7 +25,7 @@
     client.call(ttl=str(int(TTL_MS)))
     front_end.until(lambda: set(front_end.front.table.open) - known or client.answers, "it is taken")
     [key] = set(front_end.front.table.open) - known
-    return front_end.front.table.open[key].deadline_ms - front_end.front.loop.turn_ms
+    return front_end.front.table.open[key].deadline_ms - front_end.front.loop.iteration_ms
 
 
 def test_the_first_connection_after_an_idle_start(rig, clock, monkeypatch):
@@ -82,9 +82,9 @@
 def test_a_connection_of_which_reading_was_paused_long_ago(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     rig.front.port.pause(True)
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     rig.front.port.pause(False)
     idle(rig, clock, 7_000.0)
     client.answers.clear()
@@ -104,6 +104,6 @@
     client.call(ttl=str(int(TTL_MS)))
     for _ in range(3):
         clock.advance(40.0)
-        rig.front.loop.turn(0.0)
+        rig.front.loop.run_iteration(0.0)
     [request] = rig.front.table.open.values()
-    assert request.deadline_ms - rig.front.loop.turn_ms > TTL_MS - 3 * SLACK_MS
+    assert request.deadline_ms - rig.front.loop.iteration_ms > TTL_MS - 3 * SLACK_MS
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -115,7 +115,7 @@
         with mock.patch.object(event_loop, "unix_ms", lambda: timer_wheel.unix_ms() + 3000.0):
             rig.until(lambda: rig.front.table.open, "it is read")
         [request] = rig.front.table.open.values()
-        self.assertTrue(0 <= request.deadline_ms - rig.front.loop.turn_ms <= 5000.0)
+        self.assertTrue(0 <= request.deadline_ms - rig.front.loop.iteration_ms <= 5000.0)
         [known] = rig.front.router.requests.values()
         self.assertTrue(0 <= known.deadline_ms - known.arrived_ms <= 5000.0)
 
--- a/tests/test_scorer_answers.py
+++ b/tests/test_scorer_answers.py
@@ -120,7 +120,7 @@
         rig.front.pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
         self.clock.advance(DIAL_MS + 5.0)
-        rig.front.loop.wheel.advance()  # its time runs out as it is up, and not read yet
+        rig.front.loop.timers.advance()  # its time runs out as it is up, and not read yet
         self.assertEqual((ended, link.connection.closed), ([(EndReason.DIAL_TIMED_OUT, False)], True))
         rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees it end")
         self.assertEqual((scorer.frames, rig.front.pool._links), ([], 0))
@@ -190,7 +190,7 @@
         rig.front.pool.send(attempt(BY_POOL, [], id=b"abcdefgh"))
         first, second = self.links(rig)
         self.clock.advance(DIAL_MS / 2 + 5.0)
-        rig.front.loop.wheel.advance()  # before either is seen to be up
+        rig.front.loop.timers.advance()  # before either is seen to be up
         self.assertEqual((first.connection.closed, second.connection.closed), (True, False))
         self.assertEqual(ended, [(EndReason.NEVER_SENT, False)])
         rig.until(lambda: scorer.runs, "the second one's call runs")
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -64,7 +64,7 @@
     foreseen._stopped, foreseen._seen, foreseen._seen_ms = False, Seen(), float("inf")
     foreseen._carry_out = lambda now, beat: None
     foreseen.policies = SimpleNamespace(staging={"fetches_rps": 2.0})
-    foreseen.front = SimpleNamespace(loop=SimpleNamespace(wheel=SimpleNamespace(after=lambda *of: None)))
+    foreseen.front = SimpleNamespace(loop=SimpleNamespace(timers=SimpleNamespace(after=lambda *of: None)))
     beat = SimpleNamespace(again_ms=4.0)
     foreseen.staging = SimpleNamespace(go_by=seen.append, beat=lambda now, what: seen.append(None) or beat)
     foreseen._beat()
--- a/tests/test_shutdown_orders.py
+++ b/tests/test_shutdown_orders.py
@@ -78,7 +78,7 @@
     served.connection.read_on(False)
     client.call()  # unread at each look
     looks = []
-    rig.front.loop.wheel.after(3 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
+    rig.front.loop.timers.after(3 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
     assert not client.ended and not served.connection.finishing
     served.connection.read_on(True)
@@ -170,7 +170,7 @@
     rig.front.leave()
     arrivals_over(rig)
     looks = []
-    rig.front.loop.wheel.after(5 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
+    rig.front.loop.timers.after(5 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
     assert not served.connection.finishing and rig.front.loop.running
     with mock.patch.object(
@@ -217,7 +217,7 @@
     with (
         mock.patch.object(rig.front, "start"),
         mock.patch.object(rig.front, "close"),
-        mock.patch.object(rig.front.loop, "on_signals", handlers.update),
+        mock.patch.object(rig.front.loop, "handle_signals", handlers.update),
         mock.patch.object(rig.front.loop, "run"),
     ):
         rig.front.serve()
--- a/tests/test_slow_start_sockets.py
+++ b/tests/test_slow_start_sockets.py
@@ -48,7 +48,7 @@
         while len(scorer.at_ms) < ARRIVALS:
             assert time.monotonic() < end, f"{len(scorer.at_ms)} calls have arrived"
             for rig in rigs:
-                rig.front.loop.turn(0.001)
+                rig.front.loop.run_iteration(0.001)
                 for peer in [rig.log, *rig.clients]:
                     peer.pump()
             scorer.pump()
--- a/tests/test_stamps.py
+++ b/tests/test_stamps.py
@@ -65,7 +65,7 @@
         owner.connection = connection.Connection.accepted(loop, _NoDelay(near), owner)
         for _ in range(3):
             far.send(b"x")
-            loop.turn(1.0)
+            loop.run_iteration(1.0)
         self.assertEqual([0.0] * 3, owner.ages)
         seconds = int(time.time()) - 7
         note = (socket.SOL_SOCKET, connection.SO_TIMESTAMPNS, connection.TIMESTAMP.pack(seconds, 0))
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -25,12 +25,12 @@
         end = time.monotonic() + PATIENCE_S
         while not condition():
             self.assertLess(time.monotonic(), end, f"waited in vain until {what}")
-            self.loop.turn(0.005)
+            self.loop.run_iteration(0.005)
 
     def turns(self, seconds):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self.loop.turn(0.005)
+            self.loop.run_iteration(0.005)
 
 
 class Relays(Case):
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -25,7 +25,7 @@
         end = time.monotonic() + PATIENCE_S
         while not condition():
             self.assertLess(time.monotonic(), end, f"waited in vain until {what}")
-            self.loop.turn(0.005)
+            self.loop.run_iteration(0.005)
 
     def server(self, life=1, most=8, address=("127.0.0.1", 0)):
         server = LogServer(self.loop, address, life, most)
@@ -157,7 +157,7 @@
             while server.readers:
                 self.assertLess(time.monotonic(), end)
                 server.write({"text": "x" * 50_000})
-                self.loop.turn(0.0)
+                self.loop.run_iteration(0.0)
         self.assertLessEqual(server._kept_bytes, links.KEPT_BYTES_MOST)
         sock.close()
 
