--- a/fawnwharf/admin/parts.py
+++ b/fawnwharf/admin/parts.py
@@ -35,7 +35,7 @@
 
     @property
     def any(self) -> bool:
-        return self.front.seam is not None
+        return self.front.extension is not None
 
     @property
     def here(self) -> bool:
@@ -44,19 +44,21 @@
     def let_go(self, done: Callable[[], None]) -> None:
         """Read no further, let what is open end, and let go of the parts."""
         self.where, self._since_ms = Where.EMPTYING, monotonic_ms()
-        self.front.port.accept(False)
-        self.front.port.pause(True)
+        self.front.client_port.set_accepting(False)
+        self.front.client_port.set_paused(True)
         self._look(done)
 
     def _look(self, done: Callable[[], None]) -> None:
         front = self.front
         if self.where is not Where.EMPTYING:
             return
-        busy = front.table.open or front.port.unwritten() or front.seam.busy
+        busy = front.requests.open or front.client_port.has_unwritten() or front.extension.busy
         if busy and monotonic_ms() - self._since_ms < EMPTY_MOST_MS:
             front.loop.timers.after(LOOK_MS, lambda: self._look(done))
             return
-        front.loop.run_guarded(front.seam.release)  # after a fault, too: nobody is read until this has ended
+        front.loop.run_guarded(
+            front.extension.suspend
+        )  # after a fault, too: nobody is read until this has ended
         self.where = Where.AWAY
         took_ms = monotonic_ms() - self._since_ms
         front.log(f"let go of what only one process may have, {took_ms:.0f} ms after it was asked")
@@ -76,9 +78,9 @@
         too early. Where they stay another's, that one serves, and this one must not."""
         front = self.front
         why = "calls of before are open"
-        if not any(client.open for client in front.port.clients):
+        if not any(client.open for client in front.client_port.clients):
             try:
-                front.seam.take_back(front)
+                front.extension.resume(front)
             except Exception as error:  # any fault: without another try no client would be read again
                 if not isinstance(error, ConfigError):
                     front.loop.log_exception("taking parts back")
--- a/fawnwharf/admin/replacement.py
+++ b/fawnwharf/admin/replacement.py
@@ -67,7 +67,7 @@
         if memory is not None and m.fresh(memory, now):
             front.loop.run_guarded(m.restore, front.router, memory, front.loop.clock.now_ms(), now)
             front.log(f"taking over: {len(memory.functions)} functions, {len(memory.scorers)} scorers known")
-        front.port.accept(True)
+        front.client_port.set_accepting(True)
         if self._inherited.channel is not None:
             self.before = Channel(front.loop, self._inherited.channel, self._from_before, self._before_ended)
             self.before.say(h.Ready())
@@ -90,7 +90,7 @@
 
     def _share(self) -> None:
         """Guards the limits, which hold for both together while both run."""
-        self.front.keep_to(0.5 if self.before or self.after else 1.0)
+        self.front.use_share(0.5 if self.before or self.after else 1.0)
 
     def tell(self, path: str, target: str) -> None:
         """An operator's call that holds for both."""
@@ -124,7 +124,7 @@
             self._rest += message.data
         elif isinstance(message, h.Kept) and carried is not None:
             rest, self._rest = bytes(self._rest), bytearray()
-            self.front.port.adopt(self._handed(message, carried, rest))
+            self.front.client_port.take_over(self._handed(message, carried, rest))
         elif isinstance(message, h.Told):
             self._heard(message.path, message.target)
             if self.after is not None:
@@ -179,10 +179,10 @@
     def _go_on(self, what: h.Do, unsent: list[tuple[h.Message, socket.socket | None]]) -> None:
         """Without the other process, as before it came."""
         self._do(what)
-        self.front.port.accept(True)
-        self.front.port.pause(False)
+        self.front.client_port.set_accepting(True)
+        self.front.client_port.set_paused(False)
         # Who asked here asked for the other process; from now on it is this one again that answers.
-        self.front.port.ready = self.front.operators.ready
+        self.front.client_port.ready = self.front.operators.ready
         self._adopt_again(unsent)
         self._share()
 
@@ -192,7 +192,7 @@
             if isinstance(message, h.Part):
                 rest += message.data
             elif isinstance(message, h.Kept):
-                self.front.port.adopt(self._handed(message, carried, bytes(rest)))
+                self.front.client_port.take_over(self._handed(message, carried, bytes(rest)))
                 rest.clear()
             elif carried is not None:
                 carried.close()
@@ -212,8 +212,8 @@
             after.close()
         elif what is h.Do.STOP_ACCEPTING:
             front.log("another process has taken this one's place")
-            front.port.accept(False)
-            front.port.ready = True  # who asks on a kept connection asks for the other process, too
+            front.client_port.set_accepting(False)
+            front.client_port.ready = True  # who asks on a kept connection asks for the other process, too
             self._close_door()  # the other has one of its own
             self._look()
         elif what is h.Do.ACCEPT_AGAIN:
@@ -221,13 +221,13 @@
             if not self.giver.leaving:  # the place may be a third process's by now
                 self._open()
         elif what is h.Do.PAUSE:
-            front.port.pause(True)
+            front.client_port.set_paused(True)
 
     def _tell_all(self) -> None:
         channel = self.after
         for part in h.parts(self._learnt()):
             channel.say(part)
-        channel.say(h.Door(), self.front.port.listener.dup())
+        channel.say(h.Door(), self.front.client_port.listener.dup())
         if not self.parts.here:
             self.front.loop.timers.after(h.READY_MOST_MS, lambda: self._not_ready(channel))
 
@@ -270,7 +270,9 @@
         self._do(self.giver.look(now))
         self._give()
         to_come = self.before is not None and self.giver.awaits(now)
-        if self.giver.phase is h.Phase.ENDING and not (to_come or self.front.port.clients or self._said_done):
+        if self.giver.phase is h.Phase.ENDING and not (
+            to_come or self.front.client_port.clients or self._said_done
+        ):
             self._said_done = True
             self.after.say(h.Done())
 
@@ -280,16 +282,16 @@
 
     def _give(self) -> None:
         given, after = 0, self.after
-        for client in list(self.front.port.clients):
+        for client in list(self.front.client_port.clients):
             connection = client.connection
             if connection.finishing or connection.closed or given == GIVE_MOST:
                 continue
             if self.giver.may_give(bool(client.open), bool(connection.waiting_bytes)):
-                handed = self.front.port.give(client)
+                handed = self.front.client_port.hand_off(client)
                 for part in h.parts(handed.unwritten):
                     after.say(part)
                 if after.closed:  # it ended just now, and this one was not among what came back
-                    self.front.port.adopt(handed)
+                    self.front.client_port.take_over(handed)
                     return
                 after.say(h.Kept(handed.partial, handed.skip, handed.spoke, handed.empty_ms), handed.sock)
                 given += 1
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -21,7 +21,7 @@
     def __init__(self, front: FrontEnd, address: Address, inherited: Inherited | None = None) -> None:
         """Raises ConfigError where the address can't be listened on. `inherited`: from the process before."""
         self.front = front
-        self.desk = Desk(lambda id: id in front.overlay.members)
+        self.desk = Desk(lambda id: id in front.roster_overlay.members)
         try:
             self.port = ControlPort(front.loop, address, front.deployment.sockets, self.take)
         except OSError as error:
@@ -34,7 +34,7 @@
         if self._memory is not None and self._memory.out:
             front.log(f"taken out before this process: {', '.join(self._memory.out)[:200]}")
             self.desk.out.update(self._memory.out)
-            front.go_by(front.overlay.close(CLOSER, self._closer()))
+            front.apply_fleet(front.roster_overlay.set_filter(CLOSER, self._closer()))
         front.operators = self
         self._tidy()
 
@@ -59,8 +59,8 @@
             self._take(Asked("POST", path, (("target", target),) if target else ()))
 
     def _take(self, asked: Asked) -> tuple[Answer, Effect | None]:
-        waits = bool(self.front.port.waits_for)
-        self.desk.serving, self.desk.leaving = self.front.started and not waits, self.front.leaving
+        waits = bool(self.front.client_port.not_ready_reasons)
+        self.desk.serving, self.desk.leaving = self.front.started and not waits, self.front.shutting_down
         answer, effect = self.desk.take(asked)
         if asked.method != "GET":
             self.front.log(f"operators: {asked.path}: {answer.status} {answer.text}")
@@ -74,10 +74,12 @@
 
     def _carry_out(self, effect: Effect) -> None:
         if isinstance(effect, TakeOut | BringBack):
-            changes = self.front.overlay.close(CLOSER, self._closer())
+            changes = self.front.roster_overlay.set_filter(CLOSER, self._closer())
             if isinstance(effect, BringBack):
-                changes = self.front.overlay.returned([effect.id], self.front.loop.clock.now_ms())
-            self.front.go_by(changes)
+                changes = self.front.roster_overlay.mark_restarted(
+                    [effect.id], self.front.loop.clock.now_ms()
+                )
+            self.front.apply_fleet(changes)
             self.replacement.remember()
         elif self.replaced:
             return  # the other process was told
@@ -87,12 +89,12 @@
         elif isinstance(effect, Resume):
             self._draining_ms = None
             self._refuse(False)
-        self.front.port.ready = self.ready
+        self.front.client_port.ready = self.ready
 
     @property
     def ready(self) -> bool:
         """Whether the front end is to say that it takes work."""
-        return self.front.started and not self.front.leaving and not self.desk.standby
+        return self.front.started and not self.front.shutting_down and not self.desk.standby
 
     @property
     def takes_over(self) -> bool:
@@ -112,7 +114,7 @@
     # --- draining -------------------------------------------------------------------------------
 
     def _look(self) -> None:
-        if self._draining_ms is None or self.front.leaving:
+        if self._draining_ms is None or self.front.shutting_down:
             return
         self.front.loop.timers.after(drain.LOOK_MS, self._look)  # first: a fault must not be the last look
         if self.replaced:  # its connections are the other's, which is ready: none is ended or refused
@@ -120,13 +122,13 @@
             return
         step = drain.step(monotonic_ms() - self._draining_ms)
         if step >= drain.Step.EMPTYING:
-            self.front.port.end_idle()
+            self.front.client_port.end_idle()
         self._refuse(step >= drain.Step.REFUSING)
 
     def _refuse(self, on: bool) -> None:
         if on != self._refusing:
             self._refusing = on
-            self.front.limit(LIMIT, 0.0 if on else io.UNLIMITED_RPS)
+            self.front.limit_calls(LIMIT, 0.0 if on else io.UNLIMITED_RPS)
 
     # --- now and then ---------------------------------------------------------------------------
 
--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -94,7 +94,7 @@
         self._retry = self._loop.timers.after(self._pause_ms, self.connect)
         self._pause_ms = min(self.pause_most_ms, 2 * self._pause_ms)
 
-    def tidy(self) -> None:
+    def run_maintenance(self) -> None:
         """Guards against a log that was cut off: its connection stays open and says nothing."""
         up = self._connection is not None and self._connection.up
         if up and monotonic_ms() - self._lived_ms > SILENCE_TIMEOUT_MS:
@@ -215,7 +215,7 @@
         if self._replay_timer is None:
             self._replay_timer = self._loop.timers.after(REPLAY_MS, self._end_replay)
         self._replay_whole = self._replay_whole or fleet.complete
-        self._replay.told(fleet)
+        self._replay.apply(fleet)
 
     def _end_replay(self) -> None:
         replay, seq, whole = self._replay, self._replay_seq, self._replay_whole
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -65,7 +65,7 @@
             self._since_ms = monotonic_ms() if items or self.spoke else self._since_ms
         self.spoke = self.spoke or bool(items)
         if self.connection.input_full and self.open:
-            self.port.slow.look_later(self)
+            self.port.slow_clients.look_later(self)
         withdrawn = {item.seqid for item in items if isinstance(item, thrift.Withdraw)}
         for place, item in enumerate(items):
             is_newest = place == len(items) - 1 and not self._reader.waits
@@ -93,12 +93,12 @@
         if isinstance(item, thrift.Withdraw):
             self._withdraw(item.seqid)
         else:
-            self._write(thrift.answer("status", item.seqid, b"", {}, self.port.takes_work))
+            self._write(thrift.answer("status", item.seqid, b"", {}, self.port.accepts_requests))
         return None
 
     def _withdraw(self, seqid: int) -> None:
         if (key := self.open.pop(seqid, None)) is not None:
-            self.port.table.withdraw(key)
+            self.port.requests.withdraw(key)
 
     def _malformed(self, error: thrift.MalformedMessageError) -> EndReason | None:
         self.port.log(f"client: {error}", "clients")
@@ -130,7 +130,7 @@
     def fail_open(self) -> None:
         """Give each open request its final answer: failed."""
         for seqid, key in list(self.open.items()):
-            self.port.table.withdraw(key)
+            self.port.requests.withdraw(key)
             self._reply(seqid, Failed())
 
     # --- the client's end -----------------------------------------------------------------------
@@ -226,7 +226,7 @@
                 self._reply(seqid, Failed())
             return None
         call = parsed.open(self._age_ms, lambda outcome: self._reply(seqid, outcome), self.check)
-        if (key := self.port.table.take(call)) is not None:
+        if (key := self.port.requests.take(call)) is not None:
             self.open[seqid] = key
         return None
 
@@ -248,14 +248,14 @@
         if self.connection.waiting_bytes > MAX_UNSENT_BYTES:
             self.connection.close(EndReason.STUFFED)
             return
-        self.port.slow.regulate(self)
+        self.port.slow_clients.regulate(self)
         if not self.connection.reads:
-            self.port.slow.shed()
+            self.port.slow_clients.shed()
 
     def on_end(self, end: EndReason) -> None:
         keys, self.open = list(self.open.values()), {}
         for key in keys:
-            self.port.table.withdraw(key)
+            self.port.requests.withdraw(key)
         self.port.ended(self)
 
 
@@ -276,25 +276,25 @@
     ) -> None:
         """`shared`: another process may listen on the same address, to take this one's place. `listener`: one
         that listens already, taken over from another process; nothing is accepted until `accept` says so."""
-        self.loop, self.table, self.log = loop, table, log
+        self.loop, self.requests, self.log = loop, table, log
         self.classes, self.tenants = classes, tenants
         self.ready = False
-        self.waits_for: set[str] = set()  # subsystems that have to know more before it may be ready
+        self.not_ready_reasons: set[str] = set()  # subsystems that have to know more before it may be ready
         self.clients: dict[ClientConnection, None] = {}
-        self.most = most
+        self.max_connections = most
         self._acceptor = Acceptor(
             loop, listener or open_listener(address, shared), self._admit, self._room, log
         )
         self.address: Address = self.listener.getsockname()[:2]
-        self.slow = SlowClients(loop, self.clients)
+        self.slow_clients = SlowClients(loop, self.clients)
         self._room_maker = IdleConnectionReleaser(loop, self.clients)
         if listener is None:
-            self.accept(True)
+            self.set_accepting(True)
 
     @property
     def paused(self) -> bool:
         """Whether nothing is read, as what comes is another process's."""
-        return self.slow.paused
+        return self.slow_clients.paused
 
     @property
     def listener(self) -> socket.socket | None:
@@ -302,12 +302,12 @@
         return self._acceptor.socket
 
     @property
-    def takes_work(self) -> bool:
-        return self.ready and not self.waits_for
+    def accepts_requests(self) -> bool:
+        return self.ready and not self.not_ready_reasons
 
     # --- new connections and room for them ------------------------------------------------------
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         """Accept new connections, or leave them to whoever else has the listener."""
         self._acceptor.accept(on)
 
@@ -319,14 +319,14 @@
     def _room(self) -> int:
         """How many connections to accept now: never more than half of all, so that a first request can be
         read. Where there is no room, some is made, which takes until the connections have lingered."""
-        if len(self.clients) >= self.most:
-            self._room_maker.make(self.most)
-        free = self.most - len(self.clients)
-        return max(0, min(free, max(1, self.most // 2)))
+        if len(self.clients) >= self.max_connections:
+            self._room_maker.make(self.max_connections)
+        free = self.max_connections - len(self.clients)
+        return max(0, min(free, max(1, self.max_connections // 2)))
 
     # --- to and from another process ------------------------------------------------------------
 
-    def give(self, client: ClientConnection) -> HandedOffConnection:
+    def hand_off(self, client: ClientConnection) -> HandedOffConnection:
         """A connection for another process, on which nothing is open; this port has it no more."""
         del self.clients[client]
         empty_ms = client.connection.empty_ms
@@ -334,7 +334,7 @@
         partial, skip = client.state()
         return HandedOffConnection(sock, partial, skip, client.spoke, unwritten, empty_ms)
 
-    def adopt(self, handed: HandedOffConnection) -> None:
+    def take_over(self, handed: HandedOffConnection) -> None:
         """Go on with a connection that another process had."""
         try:
             client = ClientConnection(self, handed.sock)
@@ -346,13 +346,13 @@
         if handed.empty_ms is not None:
             client.connection.lay_unread(handed.empty_ms)
         client.resume(handed)
-        self.slow.regulate(client)
+        self.slow_clients.regulate(client)
 
-    def pause(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Read no further on any connection, or go on: what lies unread is for another process."""
-        self.slow.pause(on)
+        self.slow_clients.pause(on)
 
-    def unwritten(self) -> bool:
+    def has_unwritten(self) -> bool:
         return any(client.connection.waiting_bytes for client in self.clients)
 
     # --- ends -----------------------------------------------------------------------------------
@@ -372,7 +372,7 @@
         self.clients.pop(client, None)
         self._acceptor.go_on()
 
-    def tidy(self) -> None:
+    def run_maintenance(self) -> None:
         """End connections that have been idle, silent or stuck for too long."""
         now = monotonic_ms()
         self._room_maker.forget()
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -79,16 +79,16 @@
     """What another subsystem hears of what this front end is told, and of what comes of it. What it closes
     it lays over the roster (`Overlay.close`)."""
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """What the change log told, once it is taken."""
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """A batch, before the module has it."""
 
-    def release(self) -> None:
+    def suspend(self) -> None:
         """Another process is to have what only one may have: close it all."""
 
-    def take_back(self, front: "FrontEnd") -> None:
+    def resume(self, front: "FrontEnd") -> None:
         """Begin anew, as that process is gone; raises ConfigError while it still has something."""
 
     @property
@@ -104,50 +104,52 @@
         deployment: Deployment,
         log: LogWriter | None = None,
         reread: Callable[[], Deployment] | None = None,
-        seam: Extension | None = None,
+        extension: Extension | None = None,
         listener: socket.socket | None = None,
     ) -> None:
         """`reread` gives the configuration anew at each SIGHUP; without it, SIGHUP changes nothing.
         `seam` hears of the roster and of each batch. `listener` is one taken over."""
-        self.deployment, self._reread, self._seam = deployment, reread, seam
+        self.deployment, self._reread_configuration, self._extension = deployment, reread, extension
         self.log = log or LogWriter(deployment.name or "fawnwharf")
         settings, wire, sockets = deployment.settings, deployment.wire, deployment.sockets
         self.loop = EventLoop(self._decide, self.log)
         # A copy: the module writes what it is handed among them.
         own = replace(settings, classes=dict(settings.classes), quotas_rps=dict(settings.quotas_rps))
         self.router = Router(own, deployment.seed)
-        self.pool = ScorerPool(self.loop, wire, _scorer_descriptors(sockets), deployment.seed, self.log)
-        self.table = RequestTable(self.loop, self.pool, wire, settings.classes)
-        self._news: io.RosterChanged | None = None  # that the next batch brings
-        self.overlay, self.starts = RosterOverlay(), ScorerStartTimes()
-        self._limits: dict[str, float] = {}  # by who sets it
-        self.changelog = ChangeLog(self.loop, deployment.changelog, 0, self._on_fleet, self.log)
-        self._known()
-        self.port = ClientPort(
-            self.loop, deployment.listen, self.table, settings.classes, wire.tenants,
+        self.scorer_pool = ScorerPool(
+            self.loop, wire, _scorer_descriptors(sockets), deployment.seed, self.log
+        )
+        self.requests = RequestTable(self.loop, self.scorer_pool, wire, settings.classes)
+        self._pending_change: io.RosterChanged | None = None  # that the next batch brings
+        self.roster_overlay, self.start_times = RosterOverlay(), ScorerStartTimes()
+        self._call_limits: dict[str, float] = {}  # by who sets it
+        self.change_log = ChangeLog(self.loop, deployment.changelog, 0, self._on_fleet_event, self.log)
+        self._apply_known_events()
+        self.client_port = ClientPort(
+            self.loop, deployment.listen, self.requests, settings.classes, wire.tenants,
             _descriptor_share(sockets, CLIENT_SHARE), self.log, deployment.control is not None, listener,
         )  # fmt: skip
-        self._carriers = {
-            io.Send: self.table.send,
-            io.Cancel: self.table.cancel,
-            io.Refuse: self.table.refuse,
-            io.Fail: self.table.fail,
-            io.Hold: self.table.order,
+        self._action_handlers = {
+            io.Send: self.requests.send,
+            io.Cancel: self.requests.cancel,
+            io.Refuse: self.requests.reject,
+            io.Fail: self.requests.fail,
+            io.Hold: self.requests.start_load,
             io.SetTimer: self._set_timer,
             io.Log: lambda action: self.log(action.text),
         }
-        self._leaving: GracefulShutdown | None = None
+        self._shutdown: GracefulShutdown | None = None
         self._start_ms = monotonic_ms()
         self.started = False
         self.operators: OperatorsComponent | None = None
 
     @property
-    def seam(self) -> Extension | None:
-        return self._seam
+    def extension(self) -> Extension | None:
+        return self._extension
 
     @property
-    def leaving(self) -> bool:
-        return self._leaving is not None
+    def shutting_down(self) -> bool:
+        return self._shutdown is not None
 
     @property
     def replaced(self) -> bool:
@@ -156,14 +158,14 @@
 
     @property
     def address(self) -> Address:
-        return self.port.address
+        return self.client_port.address
 
     # --- life -----------------------------------------------------------------------------------
 
-    def keep_to(self, part: float) -> None:
+    def use_share(self, part: float) -> None:
         """Keep to a part of the descriptors: another process has the rest."""
-        self.port.most = _descriptor_share(self.deployment.sockets, part * CLIENT_SHARE)
-        self.pool.links_most = _scorer_descriptors(self.deployment.sockets, part)
+        self.client_port.max_connections = _descriptor_share(self.deployment.sockets, part * CLIENT_SHARE)
+        self.scorer_pool.max_connections = _scorer_descriptors(self.deployment.sockets, part)
 
     def start(self) -> None:
         if self.operators:
@@ -171,17 +173,17 @@
                 0.0
             )  # the module has its roster before it is told what another process learnt
             self.operators.begin()
-        self.port.accept(True)
-        self.changelog.connect()
-        self.loop.timers.after(TIDY_MS, self._tidy)
+        self.client_port.set_accepting(True)
+        self.change_log.connect()
+        self.loop.timers.after(TIDY_MS, self._run_maintenance)
         self._start_ms = monotonic_ms()
-        self._await_roster()
-        self.started = self.port.ready = True
+        self._wait_for_roster()
+        self.started = self.client_port.ready = True
 
     def serve(self) -> None:
         """Serve until SIGTERM or SIGINT, then until all that was taken has its answer."""
         self.start()  # signals that come before are taken after: the start would undo what they bring
-        calls = {signal.SIGTERM: self.leave, signal.SIGINT: self.leave, signal.SIGHUP: self.reload}
+        calls = {signal.SIGTERM: self.shut_down, signal.SIGINT: self.shut_down, signal.SIGHUP: self.reload}
         # Each by itself: a fault in a reload must not swallow the signal that was read along with it.
         self.loop.handle_signals(
             {number: partial(self.loop.run_guarded, call) for number, call in calls.items()}
@@ -194,112 +196,112 @@
 
     def reload(self) -> None:
         """Read the configuration again. The change log moves; requests and links stay as they are."""
-        if self._reread is None:
+        if self._reread_configuration is None:
             return
         try:
-            read = self._reread()
+            read = self._reread_configuration()
         except ConfigError as error:
             self.log(f"configuration not taken over: {error}")
             return
         at_start = [key for key in START_ONLY_KEYS if getattr(read, key) != getattr(self.deployment, key)]
         rest = f"; changed, but read at a start only: {', '.join(at_start)}" if at_start else ""
         self.log(f"configuration read again: change log at {read.changelog[0]}:{read.changelog[1]}{rest}")
-        self.changelog.move(read.changelog)
+        self.change_log.move(read.changelog)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Begin to end: keep accepting and serving until late arrivals are in and all is answered. Told
         again, it goes on as it was."""
-        if self._leaving is not None:
+        if self._shutdown is not None:
             return
         self.log("leaving")
-        self._leaving = GracefulShutdown(self)
+        self._shutdown = GracefulShutdown(self)
         if self.operators:
             self.loop.run_guarded(self.operators.leave)
-        self.port.ready = self.replaced  # the front asks for the other process's sake, too
-        self._leaving.look()
+        self.client_port.ready = self.replaced  # the front asks for the other process's sake, too
+        self._shutdown.look()
 
     def close(self) -> None:
-        for part in (self.operators, self._seam):
+        for part in (self.operators, self._extension):
             if part:
                 part.close()
-        self.port.close()
-        self.changelog.close()
-        self.pool.close()
+        self.client_port.close()
+        self.change_log.close()
+        self.scorer_pool.close()
         self.loop.close()
 
-    def _tidy(self) -> None:
+    def _run_maintenance(self) -> None:
         # First, and each part by itself: a fault in one must not end the tidying of all.
-        self.loop.timers.after(TIDY_MS, self._tidy)
-        for part in (self.changelog, self.pool, self.port):
-            self.loop.run_guarded(part.tidy)
+        self.loop.timers.after(TIDY_MS, self._run_maintenance)
+        for part in (self.change_log, self.scorer_pool, self.client_port):
+            self.loop.run_guarded(part.run_maintenance)
 
     # --- the roster -----------------------------------------------------------------------------
 
-    def _known(self) -> None:
+    def _apply_known_events(self) -> None:
         """Take the events of the start. A faulty one costs itself alone, as a refused start costs all; where
         nothing can be read, the configuration is another one's."""
         events = self.deployment.known_events
-        taken = [self.changelog.event(event, of_start=True) for event in events]
+        taken = [self.change_log.event(event, of_start=True) for event in events]
         faulty = [event for event, sound in zip(events, taken, strict=True) if not sound]
         for event in faulty:
             if len(faulty) == len(events):
                 raise ConfigError(f"known.results: not an event: {str(event)[:80]}")
             self.log(f"known.results: passed over, not an event: {str(event)[:80]}")
         if faulty and not taken[0]:  # what came first, the whole list, is to be told by the log
-            self.changelog.seq = 0
+            self.change_log.seq = 0
         else:
-            self.changelog.seq = max(self.changelog.seq, self.deployment.known_seq)
+            self.change_log.seq = max(self.change_log.seq, self.deployment.known_seq)
 
-    def _await_roster(self) -> None:
+    def _wait_for_roster(self) -> None:
         """Take no work while no scorer in service is known, unless the log has nothing more to tell: it would
         all be refused. Bounded, as a front end that never says that it is ready serves nobody."""
-        told = self.changelog.told_all_ms is not None
-        known = any(scorer.state is io.State.READY for scorer in self.pool.scorers.values())
+        told = self.change_log.told_all_ms is not None
+        known = any(scorer.state is io.State.READY for scorer in self.scorer_pool.scorers.values())
         if told or known or monotonic_ms() - self._start_ms > MAX_ROSTER_WAIT_MS:
-            self.port.waits_for.discard(ROSTER)
+            self.client_port.not_ready_reasons.discard(ROSTER)
         else:
-            self.port.waits_for.add(ROSTER)
-            self.loop.timers.after(ROSTER_SCAN_MS, self._await_roster)
+            self.client_port.not_ready_reasons.add(ROSTER)
+            self.loop.timers.after(ROSTER_SCAN_MS, self._wait_for_roster)
 
-    def _on_fleet(self, fleet: Fleet) -> None:
-        heard_ms, before = self.changelog.told_all_ms, self.starts.apart
+    def _on_fleet_event(self, fleet: Fleet) -> None:
+        heard_ms, before = self.change_log.told_all_ms, self.start_times.apart
         unheard_ms = float("inf") if heard_ms is None else monotonic_ms() - heard_ms
-        fleet = self.starts.own(fleet, self.loop.clock.now_ms(), unheard_ms)
-        if self.starts.apart > before:
+        fleet = self.start_times.own(fleet, self.loop.clock.now_ms(), unheard_ms)
+        if self.start_times.apart > before:
             self.log("starts of scorers are told by a clock that is apart from this one", "clock")
-        self.take_fleet(fleet)
-        if self._seam:
-            self._seam.told(fleet)
+        self.receive_fleet(fleet)
+        if self._extension:
+            self._extension.on_fleet(fleet)
 
-    def take_fleet(self, fleet: Fleet) -> None:
+    def receive_fleet(self, fleet: Fleet) -> None:
         """Take this roster, or these changes of it, and go by what is laid over it."""
-        self.go_by(self.overlay.told(fleet))
+        self.apply_fleet(self.roster_overlay.apply(fleet))
 
-    def stand_between(
-        self, kind: type, part: Callable[[Callable[[Any], None]], Callable[[Any], None]]
-    ) -> None:
+    def intercept(self, kind: type, part: Callable[[Callable[[Any], None]], Callable[[Any], None]]) -> None:
         """Have a part carry out all actions of a kind from now on; it is handed what did so before."""
-        self._carriers[kind] = part(self._carriers[kind])
+        self._action_handlers[kind] = part(self._action_handlers[kind])
 
-    def limit(self, who: str, calls_rps: float) -> None:
+    def limit_calls(self, who: str, calls_rps: float) -> None:
         """No more than so many calls a second are to be taken here, as `who` has it; the least counts."""
-        before = min(self._limits.values(), default=io.UNLIMITED_RPS)
-        self._limits[who] = calls_rps
-        if (least := min(self._limits.values())) != before:
+        before = min(self._call_limits.values(), default=io.UNLIMITED_RPS)
+        self._call_limits[who] = calls_rps
+        if (least := min(self._call_limits.values())) != before:
             self.loop.enqueue(io.LimitsChanged(least))
 
-    def go_by(self, fleet: Fleet) -> None:
+    def apply_fleet(self, fleet: Fleet) -> None:
         """Go by this roster, or by these changes of it, from now on."""
         entries = [self._entry(member) for member in fleet.members]
         for entry, address in entries:
-            self.pool.update(entry.worker, address, entry.state, entry.up_since_ms or 0.0)
+            self.scorer_pool.update(entry.worker, address, entry.state, entry.up_since_ms or 0.0)
         if fleet.complete:
-            self.pool.gone_but({entry.worker for entry, _ in entries})
+            self.scorer_pool.remove_unlisted({entry.worker for entry, _ in entries})
         told = io.RosterChanged([entry for entry, _ in entries], fleet.complete)
-        if self._news is not None and not told.complete:
-            self._news.entries += told.entries  # the same in sum, and the module goes over its fleet once
+        if self._pending_change is not None and not told.complete:
+            self._pending_change.entries += (
+                told.entries
+            )  # the same in sum, and the module goes over its fleet once
         else:
-            self._news = told
+            self._pending_change = told
             self.loop.enqueue(told)
 
     def _entry(self, member: Member) -> tuple[io.WorkerEntry, Address | None]:
@@ -317,10 +319,10 @@
     # --- decisions ------------------------------------------------------------------------------
 
     def _decide(self, now_ms: float, events: list[io.Event]) -> None:
-        self._news = None
-        self.table.begin_batch()
-        if self._seam:
-            self.loop.run_guarded(self._seam.events, events)
+        self._pending_change = None
+        self.requests.begin_batch()
+        if self._extension:
+            self.loop.run_guarded(self._extension.on_events, events)
         try:
             actions: list[Any] = self.router.handle(now_ms, events)
         except Exception:
@@ -329,7 +331,7 @@
             self.loop.timers.after(AFTER_FAULT_MS, lambda: self.loop.enqueue(io.TimerDue(0)))
             return
         for action in actions:
-            self.loop.run_guarded(self._carriers[type(action)], action)  # a fault costs that one alone
+            self.loop.run_guarded(self._action_handlers[type(action)], action)  # a fault costs that one alone
 
     def _set_timer(self, action: io.SetTimer) -> None:
         self.loop.timers.after(action.delay_ms, lambda: self.loop.enqueue(io.TimerDue(action.token)))
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -78,9 +78,11 @@
     def _busy(self) -> bool:
         """Whether anybody is still to be answered or given to another process."""
         front = self._front
-        if front.table.open or front.port.unwritten():
+        if front.requests.open or front.client_port.has_unwritten():
             return True
-        return bool(front.seam and front.seam.busy) or bool(front.operators and front.operators.busy)
+        return bool(front.extension and front.extension.busy) or bool(
+            front.operators and front.operators.busy
+        )
 
     def _end_connections(self) -> bool:
         """Whether none is left, neither in the accept queue nor here."""
@@ -89,13 +91,13 @@
             return False
         if not self._refusing:
             self._refusing = True
-            front.limit(LIMIT, 0.0)
-        closed = front.port.close_listener()
-        for client in list(front.port.clients):
+            front.limit_calls(LIMIT, 0.0)
+        closed = front.client_port.close_listener()
+        for client in list(front.client_port.clients):
             if self._ended_with(client):
                 client.connection.finish(EndReason.STOPPED)
                 client.connection.flush()  # at once: nothing may be read between the look and the half-close
-        return closed and not front.port.clients
+        return closed and not front.client_port.clients
 
     def _ended_with(self, client: ClientConnection) -> bool:
         """Whether a half-close costs nobody an answer: a request that crosses it is sent again."""
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -101,7 +101,7 @@
         self._classes = classes
         self.open: dict[str, OpenRequest] = {}
         self._loop, self._pool, self._wire = loop, pool, wire
-        self.witness: RequestObserver | None = None
+        self.observer: RequestObserver | None = None
         self._bodies = 0
         self._numbers = itertools.count(1)
         # Attempts that are out, also of requests that are over: the module may still call them off.
@@ -153,7 +153,7 @@
             else:
                 self._ended[key] = request
                 self._loop.enqueue(io.ClientLeft(key))
-            self._take_back(request)
+            self._cancel_unsent_work(request)
         return request
 
     def _close(self, key: str) -> OpenRequest | None:
@@ -167,20 +167,20 @@
         if request := self._close(key):
             self._ended[key] = request
             request.call.reply(outcome)
-            self._take_back(request)
+            self._cancel_unsent_work(request)
 
-    def _take_back(self, request: OpenRequest) -> None:
+    def _cancel_unsent_work(self, request: OpenRequest) -> None:
         """What no byte has left of, of a request that is over: its attempts, and orders to load that were
         made for requests of its function of which none waits any more. Settings don't matter here, as no
         scorer hears of it."""
         for number in range(request.attempts):
             if attempt := self._out.get((request.key, number)):
-                self._pool.take_back(attempt)
+                self._pool.cancel_unsent(attempt)
         function = request.call.function
         orders = [order for order in self._orders.get(function, ()) if not order.begun]
         if orders and not self._is_asked(function):
             for order in orders:
-                self._pool.take_back(order)
+                self._pool.cancel_unsent(order)
 
     def _check_clients(self, function: str) -> None:
         """Have requests for the function withdrawn whose client has ended its connection meanwhile."""
@@ -220,15 +220,15 @@
             deadline_ms=request.deadline_ms,
             begin_by_ms=self._loop.iteration_ms + action.within_ms,
         )
-        if self.witness:
-            self.witness.sent(attempt)
+        if self.observer:
+            self.observer.sent(attempt)
         self._pool.send(attempt)
 
     def cancel(self, action: io.Cancel) -> None:
         if attempt := self._out.get((action.request, action.attempt)):
             self._pool.cancel(attempt)
 
-    def refuse(self, action: io.Refuse) -> None:
+    def reject(self, action: io.Refuse) -> None:
         self._finish(action.request, Rejected(action.hold_off_ms))
 
     def fail(self, action: io.Fail) -> None:
@@ -250,8 +250,8 @@
         else:
             ending, warmth, crowd = answer.ending, answer.warmth, self._crowd(answer)
         good = answer is not None and ending is io.Ending.GOOD
-        if self.witness:
-            self.witness.ended(attempt, ending, warmth)
+        if self.observer:
+            self.observer.ended(attempt, ending, warmth)
         took = monotonic_ms() - attempt.began_ms
         closed = good or key not in self.open
         # Told before it is finished, as that ends its other attempts: the module takes ends in their order.
@@ -269,10 +269,10 @@
             return None
         return min(MAX_CONCURRENCY, answer.crowd)
 
-    def order(self, action: io.Hold) -> None:
+    def start_load(self, action: io.Hold) -> None:
         order = LoadOrder(action.worker, self._order_ended, action.function, action.copies)
-        if self.witness:
-            self.witness.ordered(order)
+        if self.observer:
+            self.observer.ordered(order)
         if order.copies:
             self._check_clients(order.function)
         if order.copies and self._is_asked(order.function):
@@ -280,7 +280,7 @@
         elif order.copies and self._was_asked(order.function):
             self._order_ended(order, EndReason.NEVER_SENT, None)
             return
-        self._pool.order(order)
+        self._pool.start_load(order)
 
     def _was_asked(self, function: str) -> bool:
         """Whether a client left that waited for the function in the very batch that is carried out."""
@@ -294,8 +294,8 @@
             answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, order.begun, order.whole)
         )
         copies = answer.copies if answer else 0
-        if self.witness:
-            self.witness.order_ended(order, ending, copies)
+        if self.observer:
+            self.observer.order_ended(order, ending, copies)
         self._loop.enqueue(io.OrderAnswered(order.worker, order.function, ending, copies, took))
 
     def _forget(self, order: LoadOrder) -> None:
--- a/fawnwharf/net/roster_overlay.py
+++ b/fawnwharf/net/roster_overlay.py
@@ -21,10 +21,10 @@
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}  # as told
         self.revision = 0
-        self._closers: dict[str, RosterFilter] = {}
-        self._returned: dict[str, float] = {}  # cold since then, whatever was told; Unix milliseconds
+        self._filters: dict[str, RosterFilter] = {}
+        self._restarted_ms: dict[str, float] = {}  # cold since then, whatever was told; Unix milliseconds
 
-    def told(self, fleet: Fleet) -> Fleet:
+    def apply(self, fleet: Fleet) -> Fleet:
         """Take what is told, and give it as it is to be gone by."""
         if fleet.complete:
             self.members.clear()
@@ -36,14 +36,14 @@
                 member = msgspec.structs.replace(member, **changes)
             self.members[member.id] = member
         self.revision = max(self.revision, fleet.revision)
-        laid = [self._laid(self.members[member.id]) for member in fleet.members]
+        laid = [self._filtered(self.members[member.id]) for member in fleet.members]
         for member in fleet.members:
             if member.phase == "terminated":
                 self.members.pop(member.id, None)
-                self._returned.pop(member.id, None)
+                self._restarted_ms.pop(member.id, None)
         return Fleet(laid, fleet.complete, fleet.revision)
 
-    def close(self, who: str, closer: RosterFilter | None) -> Fleet:
+    def set_filter(self, who: str, closer: RosterFilter | None) -> Fleet:
         """Lay a closer over the roster in place of `who`'s earlier one, or take it away; the changes that it
         makes to what was told last.
 
@@ -51,31 +51,31 @@
         rest), a new one is laid: one that changed its mind by itself would change nothing that was told."""
         before = {id: self._phase(member) for id, member in self.members.items()}
         if closer is None:
-            self._closers.pop(who, None)
+            self._filters.pop(who, None)
         else:
-            self._closers[who] = closer
+            self._filters[who] = closer
         return self._changes(id for id, member in self.members.items() if self._phase(member) != before[id])
 
-    def left_to(self, who: str) -> list[Member]:
+    def open_except_for(self, who: str) -> list[Member]:
         """The scorers in service that nobody but `who` closes: what it may go on closing, or open again."""
-        return [m for m in self.members.values() if m.phase == "in_service" and not self._closed(m, who)]
+        return [m for m in self.members.values() if m.phase == "in_service" and not self._is_closed(m, who)]
 
-    def returned(self, ids: Iterable[str], now_ms: float) -> Fleet:
+    def mark_restarted(self, ids: Iterable[str], now_ms: float) -> Fleet:
         """These count as started at this moment: they come back cold. The changes that it makes."""
         found = [id for id in ids if id in self.members]
-        self._returned.update(dict.fromkeys(found, now_ms))
+        self._restarted_ms.update(dict.fromkeys(found, now_ms))
         return self._changes(found)
 
     def _changes(self, ids: Iterable[str]) -> Fleet:
-        return Fleet([self._laid(self.members[id]) for id in ids], False, self.revision)
+        return Fleet([self._filtered(self.members[id]) for id in ids], False, self.revision)
 
     def _phase(self, member: Member) -> str:
         """Closers only ever close; what drains or is gone as told stays so."""
-        return "terminating" if member.phase == "in_service" and self._closed(member) else member.phase
+        return "terminating" if member.phase == "in_service" and self._is_closed(member) else member.phase
 
-    def _closed(self, member: Member, but: str | None = None) -> bool:
-        return any(closer(member) for who, closer in self._closers.items() if who != but)
+    def _is_closed(self, member: Member, but: str | None = None) -> bool:
+        return any(closer(member) for who, closer in self._filters.items() if who != but)
 
-    def _laid(self, member: Member) -> Member:
-        up_since_ms = max(member.up_since_ms, self._returned.get(member.id, 0.0))
+    def _filtered(self, member: Member) -> Member:
+        up_since_ms = max(member.up_since_ms, self._restarted_ms.get(member.id, 0.0))
         return msgspec.structs.replace(member, phase=self._phase(member), up_since_ms=up_since_ms)
--- a/fawnwharf/net/scorer_connection.py
+++ b/fawnwharf/net/scorer_connection.py
@@ -134,7 +134,7 @@
         late, self._late = self._late, []
         for stream in late:
             self.streams.pop(stream.id, None)
-            self.pool.too_late(stream)
+            self.pool.expired(stream)
 
     def on_end(self, end: EndReason) -> None:
         self.pool.link_ended(self, end)
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -86,7 +86,7 @@
     def __init__(self, loop: EventLoop, wire: Wire, links_most: int, seed: int, log: LogWriter) -> None:
         self.loop, self.wire, self.log = loop, wire, log
         self.scorers: dict[int, Scorer] = {}
-        self.links_most, self._links = links_most, 0
+        self.max_connections, self._links = links_most, 0
         self._trust_most_ms = max(MIN_REUSE_IDLE_MS, KEEPALIVE_SHARE * wire.keepalive_ms)
         self._trust_ms = self._trust_most_ms  # a link idle for longer is not used again
         self._order_ids = itertools.count(random.Random(seed).getrandbits(62))
@@ -115,7 +115,7 @@
                 self._place(stream)
             self._place_waiting(scorer)
 
-    def gone_but(self, named: set[int]) -> None:
+    def remove_unlisted(self, named: set[int]) -> None:
         """A complete list was told: whoever it does not name is gone."""
         for id in [id for id in self.scorers if id not in named]:
             self.update(id, None, State.GONE, 0.0)
@@ -161,7 +161,7 @@
         else:
             self._out_of_time(attempt)
 
-    def order(self, order: LoadOrder) -> None:
+    def start_load(self, order: LoadOrder) -> None:
         order.id = next(self._order_ids).to_bytes(8, "big")
         order.timer = self.loop.timers.after(self.wire.load_wait_ms, lambda: self._out_of_time(order))
         self._place(order)
@@ -213,7 +213,7 @@
     def _may_spread(self) -> bool:
         """Guards scorers' connections and the price: many front ends with links to each run them short."""
         cheap = self.wire.handshake_price < EXPENSIVE_HANDSHAKE
-        return cheap and self._links < SPREAD_SHARE * self.links_most
+        return cheap and self._links < SPREAD_SHARE * self.max_connections
 
     def _dial(self, scorer: Scorer) -> None:
         """As many dials as the waiting streams need; none while a fault of this machine's own may last."""
@@ -231,12 +231,12 @@
         """Whether there may be one more link; an idle one gives way where all are in use.
 
         Guards calls where there are more scorers than links: they would be turned away for idle links."""
-        if self._links >= self.links_most:
+        if self._links >= self.max_connections:
             links = [link for scorer in self.scorers.values() for link in scorer.links]
             idle = [link for link in links if link.up and not link.streams]
             if longest := max(idle, key=ScorerConnection.idle_ms, default=None):
                 longest.connection.close(EndReason.IDLE)
-        return self._links < self.links_most
+        return self._links < self.max_connections
 
     def _dial_later(self, scorer: Scorer) -> None:
         """Guards the scorer's good name, the loop and the requests against a passing fault of this machine:
@@ -312,13 +312,13 @@
             self._take_off(stream)
             self._end(stream, EndReason.CALLED_OFF)
 
-    def take_back(self, stream: Stream) -> None:
+    def cancel_unsent(self, stream: Stream) -> None:
         """End it as never sent where nothing of it has been written; else leave it as it is."""
         if not stream.over and not stream.begun:
             self._take_off(stream)
             self._end(stream, EndReason.NEVER_SENT)
 
-    def too_late(self, stream: Stream) -> None:
+    def expired(self, stream: Stream) -> None:
         """It was too late when it was to be written; the link has let go of it."""
         self._end(stream, EndReason.NEVER_SENT)
 
@@ -347,7 +347,7 @@
 
     # --- now and then -------------------------------------------------------------------------
 
-    def tidy(self) -> None:
+    def run_maintenance(self) -> None:
         """Close what has been idle, and what has owed an answer in silence to the last."""
         self._trust_ms = min(self._trust_most_ms, REUSE_IDLE_GROWTH * self._trust_ms)
         for scorer in list(self.scorers.values()):
--- a/fawnwharf/policy_rollout/follow.py
+++ b/fawnwharf/policy_rollout/follow.py
@@ -72,7 +72,7 @@
         rps = float(part) * sold / self._fronts if limited else io.UNLIMITED_RPS
         if rps != self._limit:
             self._limit = rps
-            self.front.limit(LIMIT, rps)
+            self.front.limit_calls(LIMIT, rps)
         told = self.zones.settings.spill
         spill = {name: float(part) for name, part in document.section("spill").items()}
         # The plan has the settings' own already.
@@ -87,7 +87,7 @@
         # port refuses nothing for that, and a call is cut to its policy's time where it is taken (`Judged`).
         for name, spec in classes.items():
             self._longest[name] = max(self._longest[name], spec.give_up_ms)
-        self.front.port.classes = {
+        self.front.client_port.classes = {
             name: replace(spec, give_up_ms=self._longest[name]) for name, spec in classes.items()
         }
         for spec in changed:
@@ -123,4 +123,4 @@
         """Restore the settings, for whoever takes the parts over."""
         self._classes(base)
         self._tenants(base)
-        self.front.limit(LIMIT, io.UNLIMITED_RPS)
+        self.front.limit_calls(LIMIT, io.UNLIMITED_RPS)
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -125,12 +125,12 @@
         self._outbox = Outbox(front.loop, self.zones, self._too_much)
         self._follower = Follower(self.deployment, front, self.zones, state)
         self._module = dict(self._follower.classes)
-        front.port.waits_for.add(NAME)
-        below = front.port.table
+        front.client_port.not_ready_reasons.add(NAME)
+        below = front.client_port.requests
         self.calls = Judged(
             below, self._take, self.agent.holder.done, self._ended, unix_ms, front.loop.timers.after
         )
-        front.port.table = self.calls
+        front.client_port.requests = self.calls
         self.zones.riders[NAME] = self
         if self._said_file.changed() is not None:
             self.note("proposal left aside", {"why": "it was said before this start"})
@@ -149,9 +149,9 @@
         self._stopped = True
         if self.front is not None:
             self.calls.refuse()
-            if self.front.port.table is self.calls:
-                self.front.port.table = self.calls.below
-            self.front.port.waits_for.discard(NAME)
+            if self.front.client_port.requests is self.calls:
+                self.front.client_port.requests = self.calls.below
+            self.front.client_port.not_ready_reasons.discard(NAME)
             self._follower.undo(self.agent.known.base)
         if self.trace:
             self._flush_trace()
@@ -159,11 +159,11 @@
 
     # --- the seam -------------------------------------------------------------------------------
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Changes of the roster matter nothing here."""
         ...
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Hand calls that waited at the claim gate through a change over as they are judged."""
         if monotonic_ms() < self._mixed_ms:
             events[:] = handed_over(events, self._module, self._own_spec)
@@ -174,7 +174,7 @@
         return self.calls is not None and self.calls.held > 0  # the table and the gate know of the others
 
     def _own_spec(self, event: io.RequestArrived) -> io.ClassSpec | None:
-        request = self.front.table.open.get(event.request)
+        request = self.front.requests.open.get(event.request)
         base = self.deployment.settings.classes.get(event.class_name)
         if request is None or base is None or request.call.judged is None:
             return None
@@ -268,7 +268,11 @@
             elif isinstance(effect, m.Note):
                 self.note(effect.event, effect.fields)
         self._follower.keep_by(dict(self.agent.holder.keeping.now))
-        (self.front.port.waits_for.discard if self.ready else self.front.port.waits_for.add)(NAME)
+        (
+            self.front.client_port.not_ready_reasons.discard
+            if self.ready
+            else self.front.client_port.not_ready_reasons.add
+        )(NAME)
         if self.ready and self.calls.held:
             if self.in_force.how == "leased":
                 self.calls.release()
--- a/fawnwharf/recovery_service/joined.py
+++ b/fawnwharf/recovery_service/joined.py
@@ -33,7 +33,7 @@
 def made(front: FrontEnd, state: State, settings: Settings, limits: Limits) -> Door:
     """The door, before whatever stands there."""
     classes, promises = front.deployment.settings.classes, Kept(state.gate, state.core)
-    return Door(front.loop, front.port.table, classes, limits, promises, settings.timing.window_ms)
+    return Door(front.loop, front.client_port.requests, classes, limits, promises, settings.timing.window_ms)
 
 
 class Joined:
@@ -63,7 +63,7 @@
         self.door = door(front, state, settings, self.limits)
         self.holds: Holds | None = None
         self._order_out: Callable[[io.Hold], None] | None = None
-        front.stand_between(io.Hold, self._between)
+        front.intercept(io.Hold, self._between)
         state.riders[RIDER] = self._ridden
         self.roster()
         self._turn()
@@ -73,13 +73,13 @@
         self.state.riders.pop(RIDER, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.Hold, lambda _own: self._order_out)
+        self.front.intercept(io.Hold, lambda _own: self._order_out)
         if not self._going[0].spill:
             self.door.go_by(Allowed(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
     def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
         front, self._order_out = self.front, below
-        self.holds = Holds(below, front.pool.order, front.loop.enqueue, front.table.open)
+        self.holds = Holds(below, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open)
         return self.holds.carry
 
     # --- what is allowed ------------------------------------------------------------------------
@@ -115,7 +115,7 @@
     def roster(self) -> None:
         """The roster as it is told by now."""
         now, found = monotonic_ms(), {}
-        for member in self.front.overlay.members.values():
+        for member in self.front.roster_overlay.members.values():
             if member.phase == "in_service":
                 found[scorer_number(member.id)] = member.up_since_ms or None
         for id in [id for id in self._up_ms if id not in found]:
@@ -175,7 +175,7 @@
                 self.state.ride(RIDER, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, outs.Order):
                 if isinstance(out.what, io.Hold):
-                    self.front.table.order(out.what)
+                    self.front.requests.start_load(out.what)
                 else:
                     self.front.loop.enqueue(out.what)
             else:
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -74,8 +74,8 @@
     def attach(self, front: FrontEnd) -> None:
         """Begin, on the front end's loop; the parts before this one are attached."""
         self.front, settings = front, self.settings
-        front.port.waits_for.add(RECOVERY)
-        front.changelog.may_begin_anew = True
+        front.client_port.not_ready_reasons.add(RECOVERY)
+        front.change_log.may_begin_anew = True
         self.agent = Agent(
             self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
             self._own(), self.zones.seat, self.tallies.worths, settings.timing.of_stages, monotonic_ms(),
@@ -84,7 +84,7 @@
         self.joined = self._join(front, self.state, settings, self.life)
         self.joined.use_before(self._used)
         self.calls = Counted(self.joined.door, self.deployment.settings.classes, self.tallies.ended)
-        front.port.table = self.calls
+        front.client_port.requests = self.calls
         self.zones.riders[RECOVERY] = self
         self.state.riders[w.RIDER] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
@@ -102,29 +102,29 @@
         # The tables stay where they are: what is open here may still be withdrawn, by its keys.
         self.calls.counting = False
         self.joined.close()
-        self.front.port.waits_for.discard(RECOVERY)
+        self.front.client_port.not_ready_reasons.discard(RECOVERY)
         self.zones.riders.pop(RECOVERY, None)
         self.state.riders.pop(w.RIDER, None)
 
     # --- the seam -------------------------------------------------------------------------------
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         if self.joined is not None:
             self._rostered = True  # by the log, in this life; what the start knew came before
-            self._roster.told(Fleet(list(self.front.overlay.members.values()), True))
+            self._roster.told(Fleet(list(self.front.roster_overlay.members.values()), True))
             self.joined.roster()
 
     def _dial_last(self) -> None:
         """No change log, and no roster of the start: the scorers of the last one are tried, all cold."""
         self._dialled = True
-        if self.front.overlay.members:
+        if self.front.roster_overlay.members:
             return
         found = LastRoster.read(self.kept.read(Kind.ROSTER))
         up_ms = self.front.loop.clock.now_ms()
         cold = [msgspec.structs.replace(member, up_since_ms=up_ms) for member in found]
         if cold:
-            self.front.take_fleet(Fleet(cold, True))
-            self.zones.told(Fleet(cold, True))
+            self.front.receive_fleet(Fleet(cold, True))
+            self.zones.on_fleet(Fleet(cold, True))
             self.joined.roster()
             self.note("last roster dialled", {"scorers": len(cold)})
 
@@ -133,7 +133,7 @@
             if (value := hint.due(now_ms)) is not None:
                 self.kept.keep(kind, KEY, value)
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         if self.joined is None or self._stopped:
             return
         now = monotonic_ms()
@@ -165,8 +165,10 @@
         now, keeper, voter = monotonic_ms(), self.state.core.keeper, self.zones.core.voter
         number, text = last_put(voter.saved, "plan") if voter is not None else (0, "")
         seen = self.zones.observer.seen(now)
-        rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
-        serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
+        rostered = self._rostered or (
+            self.front is not None and self.front.change_log.told_all_ms is not None
+        )
+        serves = any(m.phase == "in_service" for m in self.front.roster_overlay.members.values())
         return Own(
             settled=self.kept.settled,
             whole=self.kept.whole is Store.WHOLE,
@@ -270,7 +272,7 @@
             self._calm_ms = None
         elif self._calm_ms is None:
             self._calm_ms = monotonic_ms()
-        waits_for = self.front.port.waits_for
+        waits_for = self.front.client_port.not_ready_reasons
         (waits_for.discard if allowed.status else waits_for.add)(RECOVERY)
         self.joined.go_by(allowed, effect.cut, effect.fronts, effect.dealt)
 
--- a/fawnwharf/replication/resting.py
+++ b/fawnwharf/replication/resting.py
@@ -43,7 +43,7 @@
         heard = list(heard)
         if not heard and not self.ids and not self.rests.resting(now_ms):
             return nothing  # spares a walk over the fleet at each look
-        scorers = {scorer_number(member.id): member for member in overlay.left_to(CLOSER)}
+        scorers = {scorer_number(member.id): member for member in overlay.open_except_for(CLOSER)}
         zones = {worker: member.locality for worker, member in scorers.items()}
         counts = counts_by(zones.values())
         for hints in heard:
@@ -53,4 +53,4 @@
             return nothing
         self._note("scorers rest", {"now": sorted(ids), "before": sorted(self.ids)})
         self.ids = ids
-        return overlay.close(CLOSER, closer(ids))
+        return overlay.set_filter(CLOSER, closer(ids))
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -120,13 +120,13 @@
         self.server.followed = self._followed
         self.gate = Gate(
             front.loop,
-            front.table,
+            front.requests,
             self.core,
             self.settings,
             self.deployment.settings.classes,
             self._carry_out,
         )
-        front.port.table = self.gate
+        front.client_port.requests = self.gate
         self._follow()
         self._look_at_files()
         self._status()
@@ -153,9 +153,9 @@
         if self.disk:
             self.disk.close()
 
-    def told(self, fleet: Fleet) -> None: ...
+    def on_fleet(self, fleet: Fleet) -> None: ...
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         if self.core.shares:
             self.core.shares.came(e.tenant for e in events if isinstance(e, io.RequestArrived))
         self.resting.events(monotonic_ms(), events)
@@ -273,10 +273,10 @@
             return
         now = monotonic_ms()
         self._carry_out(self.core.tell_named(now, self.resting.sights))
-        changes = self.resting.look(now, self.core.hints, self.front.overlay)
+        changes = self.resting.look(now, self.core.hints, self.front.roster_overlay)
         self.core.hints.clear()
         if changes.members:
-            self.front.go_by(changes)
+            self.front.apply_fleet(changes)
         self.front.loop.timers.after(self.settings.hints_ms, self._beliefs)
 
     def _status(self) -> None:
@@ -363,7 +363,7 @@
             self._members_seen = mark
             self._new_members()
         for feed in self._feeds.values():
-            feed.tidy()
+            feed.run_maintenance()
         self.front.loop.timers.after(FILES_MS, self._look_at_files)
 
     def _new_members(self) -> None:
--- a/fawnwharf/replication/working.py
+++ b/fawnwharf/replication/working.py
@@ -36,17 +36,17 @@
 
     def attach(self, front: FrontEnd, carry_out: Callable[[list[Out]], None]) -> None:
         self._front, self._carry_out = front, carry_out
-        front.table.witness = self
+        front.requests.observer = self
         entries = [
             io.WorkerEntry(scorer_number(member.id), up_since_ms=member.up_since_ms or None)
-            for member in front.overlay.members.values()
+            for member in front.roster_overlay.members.values()
         ]
         self.own.roster(monotonic_ms(), front.loop.clock.now_ms(), entries, True)
         self._tell()
 
     def close(self) -> None:
         if self._front is not None:
-            self._front.table.witness = None
+            self._front.requests.observer = None
             self._timer.cancel()
             self._front = None
 
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -102,11 +102,11 @@
         from fawnwharf.admin.replacement import inherit
 
         inherited = inherit(deployment, bool(makers))  # first: the process before may have their disks
-    seam = Seams(makers, not (inherited and inherited.channel)) if makers else None
+    extension = ExtensionGroup(makers, not (inherited and inherited.channel)) if makers else None
     listener = (inherited and inherited.listener) or _listener(deployment)
-    front = FrontEnd(deployment, reread=lambda: config.load(path), seam=seam, listener=listener)
-    if seam:
-        seam.attach(front)
+    front = FrontEnd(deployment, reread=lambda: config.load(path), extension=extension, listener=listener)
+    if extension:
+        extension.attach(front)
     if deployment.control:
         from fawnwharf.admin.service import Operators
 
@@ -122,7 +122,7 @@
         raise config.ConfigError(f"listen: {error.strerror}: {deployment.listen}") from None
 
 
-class Seams:
+class ExtensionGroup:
     """The subsystems at the one seam, in their order: all of them, or none while another process has them."""
 
     def __init__(self, makers: dict[str, Maker], first: bool) -> None:
@@ -147,29 +147,31 @@
         for part in self._parts:
             part.attach(front)
 
-    def release(self) -> None:
+    def suspend(self) -> None:
         self.close()
         self._parts = []
 
-    def take_back(self, front: FrontEnd) -> None:
+    def resume(self, front: FrontEnd) -> None:
         self._parts = self._made(first=False)
         for who in LAID:
-            front.go_by(front.overlay.close(who, None))
-        front.limit(LAID[0], io.UNLIMITED_RPS)
-        self.told(config.Fleet(list(front.overlay.members.values()), True, front.overlay.revision))
+            front.apply_fleet(front.roster_overlay.set_filter(who, None))
+        front.limit_calls(LAID[0], io.UNLIMITED_RPS)
+        self.on_fleet(
+            config.Fleet(list(front.roster_overlay.members.values()), True, front.roster_overlay.revision)
+        )
         try:
             self.attach(front)
         except config.ConfigError:
-            self.release()
+            self.suspend()
             raise
 
-    def told(self, fleet: config.Fleet) -> None:
+    def on_fleet(self, fleet: config.Fleet) -> None:
         for part in self._parts:
-            part.told(fleet)
+            part.on_fleet(fleet)
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         for part in self._parts:
-            part.events(events)
+            part.on_events(events)
 
     @property
     def busy(self) -> bool:
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -152,7 +152,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Changes of the roster matter nothing here."""
 
     @property
@@ -162,7 +162,7 @@
 
     # --- what happens here ----------------------------------------------------------------------
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Set the placement of each call that came, and take how calls and load orders ended."""
         now = monotonic_ms()
         if self.foreseen is not None:
@@ -228,7 +228,7 @@
         own order, so where one is in progress that is waited for.
         """
         if not self._is_loading(question.worker, question.function):
-            self.front.table.order(question)
+            self.front.requests.start_load(question)
 
     def _is_loading(self, worker: int, row: str) -> bool:
         """Whether the module has an order for a function there."""
@@ -271,7 +271,7 @@
             return
         try:
             for worker in self.stages.where(now_ms, effect.row):
-                if self.front.pool.unload(worker, effect.row):
+                if self.front.scorer_pool.unload(worker, effect.row):
                     self._ask(io.Hold(worker, effect.row, 0))
         except ValueError as error:
             self._once("not let go", {"why": str(error)})
@@ -316,7 +316,7 @@
                 self._wished(data)
         agent.close(now, self._closed(now), self._shares())
         agent.room = self._room()
-        agent.tick(now, self.state.alive(now), self.front.table.open.__contains__)
+        agent.tick(now, self.state.alive(now), self.front.requests.open.__contains__)
         self._tell(self.stages.tick(now))
         self._staged(now)
         if (sure := agent.sure(now)) != self._was_sure and agent.keeper is not None:
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -104,7 +104,7 @@
 
     def _dial(self, zone: str, more: int = 0) -> None:
         """Dial one scorer of the zone; where it fails and the zone was well till now, two others at once."""
-        scorers = roster.in_zone(self._front.overlay.members.values(), zone)
+        scorers = roster.in_zone(self._front.roster_overlay.members.values(), zone)
         if not scorers:
             return
         place = self._places.get(zone, self._first) + 1  # not all at the same one
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -162,7 +162,7 @@
 
     # --- the seam -------------------------------------------------------------------------------
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Take changes of the roster, as the change log tells them."""
         self._told_ms = monotonic_ms()
         for member in fleet.members:
@@ -174,7 +174,7 @@
         """Nothing here keeps a leaving front end up."""
         return False
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Take the batch's evidence on zones."""
         now = monotonic_ms()
         for event in events:
@@ -196,14 +196,14 @@
         self._followed = effect
         if effect.plan is not None and self._spill:
             effect = Follow(spilling(effect.plan, self._spill), effect.index)
-        overlay, zone = self.front.overlay, self.entry.zone
-        changes = overlay.close(CLOSER, roster.closer(effect.plan, zone))
+        overlay, zone = self.front.roster_overlay, self.entry.zone
+        changes = overlay.set_filter(CLOSER, roster.closer(effect.plan, zone))
         if changes.members:
-            self.front.go_by(changes)
+            self.front.apply_fleet(changes)
         part = roster.admission(effect.plan, zone)
         limited = part < 1.0 and self._sold > 0
         rps = part * self._sold / self.deployment.settings.fleet_size * self._carried(effect.plan)
-        self.front.limit(LIMIT, rps if limited else io.UNLIMITED_RPS)
+        self.front.limit_calls(LIMIT, rps if limited else io.UNLIMITED_RPS)
         fields = {"index": effect.index, "scorers changed": len(changes.members), "admission": round(part, 3)}
         if effect.plan is None:
             self.note("on its own", fields)
@@ -226,7 +226,7 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        sizes = roster.sizes(self.front.overlay.members.values())
+        sizes = roster.sizes(self.front.roster_overlay.members.values())
         self._carry_out(self.core.tick(now, self.observer.seen(now), sizes, now - self._told_ms))
         self._set_timer()
 
@@ -374,7 +374,7 @@
                 data, "wishes", lambda: self._carry_out(self.core.take_wishes(s.wishes_from(data, zones)))
             )
         for feed in self._feeds.values():
-            feed.tidy()
+            feed.run_maintenance()
         self._set_timer()
         self.front.loop.timers.after(FILES_MS, self._look_at_files)
 
--- a/tests/support/change_log_front_end.py
+++ b/tests/support/change_log_front_end.py
@@ -21,8 +21,8 @@
     def __init__(self, *ids, **more):
         super().__init__(*map(ScorerPeer, ids), **more)
         self.by_id = {peer.id: peer for peer in self.scorers}
-        self.later_ms, self.told, take = 0.0, [], self.front.changelog._told
-        self.front.changelog._told = lambda fleet: (self.told.append(fleet), take(fleet))
+        self.later_ms, self.told, take = 0.0, [], self.front.change_log._told
+        self.front.change_log._told = lambda fleet: (self.told.append(fleet), take(fleet))
 
     def member(self, id, phase="in_service", **more):
         """The entry of a scorer in an event."""
@@ -49,17 +49,17 @@
 
     def at(self, seq):
         """Wait until this event is taken."""
-        self.until(lambda: self.front.changelog.seq == seq, f"event {seq} is taken")
+        self.until(lambda: self.front.change_log.seq == seq, f"event {seq} is taken")
 
     def log_read(self, seq):
         """All that the log has written, up to this event, was read: its number makes the round."""
-        self.front.changelog.told_all_ms = None
+        self.front.change_log.told_all_ms = None
         self.log.say(seq)
-        self.until(lambda: self.front.changelog.told_all_ms is not None, "the log is read")
+        self.until(lambda: self.front.change_log.told_all_ms is not None, "the log is read")
 
     def states(self):
         """What the module goes by, of the scorers that are not gone."""
-        self.until(lambda: self.front._news is None, "the module is told")
+        self.until(lambda: self.front._pending_change is None, "the module is told")
         workers = self.front.router.workers
         found = {id: workers.get(scorer_number(id)) for id in self.by_id}
         states = {id: worker.entry.state for id, worker in found.items() if worker}
@@ -68,7 +68,7 @@
     def move_to(self, peer):
         """Follow another change log from now on."""
         host, port = peer.host_port.split(":")
-        self.front.changelog.move((host, int(port)))
+        self.front.change_log.move((host, int(port)))
 
 
 def new_log(rig, request):
--- a/tests/support/client_cases.py
+++ b/tests/support/client_cases.py
@@ -38,16 +38,16 @@
 
     def asked(self, rig, client, **fields):
         """The client asks, and the request is open at the front end; its key."""
-        before = set(rig.front.table.open)
+        before = set(rig.front.requests.open)
         client.call(**fields)
-        rig.until(lambda: set(rig.front.table.open) - before, "the request is open")
-        [key] = set(rig.front.table.open) - before
+        rig.until(lambda: set(rig.front.requests.open) - before, "the request is open")
+        [key] = set(rig.front.requests.open) - before
         return key
 
     def served(self, rig, client):
         """The front end's side of a client's connection."""
         name = client.sock.getsockname()
-        found = [c for c in rig.front.port.clients if c.connection._sock.getpeername() == name]
+        found = [c for c in rig.front.client_port.clients if c.connection._sock.getpeername() == name]
         return found[0] if found else None
 
 
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -10,7 +10,7 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import Policies
 from fawnwharf.replication.service import State
-from fawnwharf.serving import Seams
+from fawnwharf.serving import ExtensionGroup
 from fawnwharf.zones.founding import found
 from fawnwharf.zones.service import Zones
 
@@ -55,21 +55,23 @@
         if self.policy:
             path = self.folder / "settings.json"
             made["policy"] = lambda first, made: Policies(deployment, path, write, made)
-        seam = Seams(made, True)
+        extension = ExtensionGroup(made, True)
         self.lines = []
-        self.front = FrontEnd(deployment, lambda text, source="": self.lines.append(text), seam=seam)
-        seam.attach(self.front)
+        self.front = FrontEnd(
+            deployment, lambda text, source="": self.lines.append(text), extension=extension
+        )
+        extension.attach(self.front)
         self.front.start()
 
     @property
     def part(self):
         """The part under test, the last one made."""
-        return self.front.seam._parts[-1]
+        return self.front.extension._parts[-1]
 
     @property
     def zones(self):
         """Its part for zones."""
-        return self.front.seam._parts[0]
+        return self.front.extension._parts[0]
 
     def close(self):
         """Close the front end, if it runs."""
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -11,7 +11,7 @@
 from fawnwharf.recovery_service.onstore import kept
 from fawnwharf.recovery_service.service import Rejoin
 from fawnwharf.replication.service import State
-from fawnwharf.serving import Seams
+from fawnwharf.serving import ExtensionGroup
 from fawnwharf.zones.founding import found
 from fawnwharf.zones.service import Zones
 from support import policy_front_ends
@@ -62,10 +62,12 @@
         }  # fmt: skip
         if not self.site.policy:
             del made["policy"]
-        seam = Seams(made, True)
+        extension = ExtensionGroup(made, True)
         self.lines = []
-        self.front = FrontEnd(deployment, lambda text, source="": self.lines.append(text), seam=seam)
-        seam.attach(self.front)
+        self.front = FrontEnd(
+            deployment, lambda text, source="": self.lines.append(text), extension=extension
+        )
+        extension.attach(self.front)
         self.front.start()
 
     @property
--- a/tests/support/request_driver.py
+++ b/tests/support/request_driver.py
@@ -183,20 +183,20 @@
 
     def _check_nothing_left(self) -> None:
         front = self.front
-        links = [link for scorer in front.pool.scorers.values() for link in scorer.links]
+        links = [link for scorer in front.scorer_pool.scorers.values() for link in scorer.links]
         left = {
-            "requests": dict(front.table.open),
-            "attempts": dict(front.table._out),
-            "bytes of bodies": front.table._bodies,
+            "requests": dict(front.requests.open),
+            "attempts": dict(front.requests._out),
+            "bytes of bodies": front.requests._bodies,
             "streams": [stream for link in links for stream in link.streams.values()],
-            "waiting": [stream for scorer in front.pool.scorers.values() for stream in scorer.waiting],
+            "waiting": [stream for scorer in front.scorer_pool.scorers.values() for stream in scorer.waiting],
             "requests decided on": dict(front.router.requests),
             "attempts decided on": dict(front.router.attempts),
-            "clients": list(front.port.clients),
+            "clients": list(front.client_port.clients),
         }
         left = {name: found for name, found in left.items() if found}
         assert not left, left
-        assert front.pool._links == len(links)
+        assert front.scorer_pool._links == len(links)
 
     def close(self) -> None:
         """End the front end and all peers, and take the clock and the faults out again."""
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -297,4 +297,4 @@
     def _do_leave(self, _first: int, _second: int) -> None:
         if self.front.loop.running:
             self._left_ms = self.now if self._left_ms is None else self._left_ms
-            self.front.leave()
+            self.front.shut_down()
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -54,11 +54,11 @@
         rig = Rig(*known, **more)
         self.addCleanup(rig.close)
         # Handshakes are dear: no link is dialled that nothing waits for.
-        rig.front.pool.wire = msgspec.structs.replace(rig.front.pool.wire, handshake_price=1.0)
-        rig.front.table._classes = rig.front.deployment.settings.classes
+        rig.front.scorer_pool.wire = msgspec.structs.replace(rig.front.scorer_pool.wire, handshake_price=1.0)
+        rig.front.requests._classes = rig.front.deployment.settings.classes
         for number, peer in enumerate(peers, BY_POOL):
             rig.scorers.append(peer)
-            rig.front.pool.update(number, self.address(peer), io.State.READY, 0.0)
+            rig.front.scorer_pool.update(number, self.address(peer), io.State.READY, 0.0)
         self.told = []  # events, in order
         tell = rig.front.loop.enqueue
         rig.front.loop.enqueue = lambda event: self.told.append(event) or tell(event)
@@ -79,7 +79,7 @@
     def link_up(self, rig, peer, worker=BY_POOL):
         """A first link to a scorer, with nothing open on it; and no spare."""
         ended, answers, peer.copies = [], peer.copies, 0
-        rig.front.pool.order(order(worker, ended, copies=0))
+        rig.front.scorer_pool.start_load(order(worker, ended, copies=0))
         rig.until(lambda: ended and self.links(rig, worker)[0].up, "a link is up")
         [link] = self.links(rig, worker)
         peer.frames.clear()
@@ -88,27 +88,27 @@
 
     def links(self, rig, worker=BY_POOL):
         """The links to a scorer, oldest first."""
-        return rig.front.pool.scorers[worker].links
+        return rig.front.scorer_pool.scorers[worker].links
 
     def asked(self, rig, op="view", **fields):
         """A client, and the key of its request, which the module holds: it knows of no scorer."""
         client = rig.client()
-        before = set(rig.front.table.open)
+        before = set(rig.front.requests.open)
         client.call(op, **fields)
-        rig.until(lambda: set(rig.front.table.open) - before, "the request is open")
-        [key] = set(rig.front.table.open) - before
+        rig.until(lambda: set(rig.front.requests.open) - before, "the request is open")
+        [key] = set(rig.front.requests.open) - before
         return client, key
 
     def leave(self, rig, client, key, how):
         """The client goes, and the front end reads that before anything else happens."""
-        [port] = [port for port in rig.front.port.clients if key in port.open.values()]
+        [port] = [port for port in rig.front.client_port.clients if key in port.open.values()]
         if how == "withdraw":
             client.withdraw(client.seqid)
         else:
             client.sock.close()
             client.ended = True
         self.read(port.connection)
-        self.assertNotIn(key, rig.front.table.open)
+        self.assertNotIn(key, rig.front.requests.open)
 
     def read(self, connection):
         """Have this connection alone read what has come for it."""
--- a/tests/support/session_front_ends.py
+++ b/tests/support/session_front_ends.py
@@ -62,7 +62,7 @@
         ]
         self.write("members.json", {"version": 1, "fleet": "f", "number": 1, "members": members})
         self.write("state.json", {"version": 1, "members": "members.json", "quiet_ms": 1_500.0})
-        self.seen, self.fronts, self.seams = {name: [] for name in names}, {}, {}
+        self.seen, self.fronts, self.extensions = {name: [] for name in names}, {}, {}
         for name in names:
             rules = {"version": 1, "folder": name, "handover": handover or {}, "drain": drain or {}} | more
             self.write(f"sessions-{name}.json", rules)
@@ -92,10 +92,12 @@
             "state": str(self.folder / "state.json"),
             "sessions": str(self.folder / f"sessions-{name}.json"),
         }
-        seam = serving.Seams(serving._makers(deployment, files, fresh), True)
-        front = self.fronts[name] = FrontEnd(deployment, log=lambda text, source="": None, seam=seam)
-        seam.attach(front)
-        self.seams[name] = seam
+        extension = serving.ExtensionGroup(serving._makers(deployment, files, fresh), True)
+        front = self.fronts[name] = FrontEnd(
+            deployment, log=lambda text, source="": None, extension=extension
+        )
+        extension.attach(front)
+        self.extensions[name] = extension
         handle = front.router.handle
 
         def spied(now, events):
@@ -107,7 +109,7 @@
 
     def part(self, name, place=1):
         """A part of a front end, by its place in the order in which they are made."""
-        return self.seams[name]._parts[place]
+        return self.extensions[name]._parts[place]
 
     def agent(self, name):
         """The agent of a front end."""
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -275,7 +275,7 @@
         def reread():
             raise ConfigError("settings.fleet_size: faulty")
 
-        rig.front._reread = reread
+        rig.front._reread_configuration = reread
         client = rig.client()
         client.call(seqid=1)
         run_of(rig, 1)
--- a/tests/test_client_accepting.py
+++ b/tests/test_client_accepting.py
@@ -24,7 +24,7 @@
         self.addCleanup(installed.__exit__, None, None, None)
 
     def at_listener(self, rig):
-        return lambda sock: sock is rig.front.port.listener
+        return lambda sock: sock is rig.front.client_port.listener
 
     def test_an_error_of_one_connection_leaves_the_next_one_to_be_accepted_in_the_same_turn(self):
         for error in sorted(acceptor.SINGLE_CONNECTION_ERRORS):
@@ -33,7 +33,7 @@
                 fault = self.faults.fail("accept", error, where=self.at_listener(rig))
                 rig.client()
                 rig.front.loop.run_iteration(1.0)
-                self.assertEqual((fault.hits, len(rig.front.port.clients)), (1, 1))
+                self.assertEqual((fault.hits, len(rig.front.client_port.clients)), (1, 1))
 
     def test_a_shortage_is_waited_out_without_spinning_and_the_rest_goes_on(self):
         for error in SHORTAGES:
@@ -102,7 +102,7 @@
         lost, good = rig.client(), rig.client()
         good.status(1)
         rig.until(lambda: lost.ended and good.answers, "one is closed, the next one is served")
-        self.assertEqual(len(rig.front.port.clients), 1)
+        self.assertEqual(len(rig.front.client_port.clients), 1)
 
     def test_an_option_that_can_not_be_set_costs_that_connection_only(self):
         rig = self.rig(ScorerPeer())
@@ -184,7 +184,7 @@
                         client.status(7)
                         rig.until(lambda client=client: client.ended, "the connection ends")
                 ended.assert_called_once_with(end)
-                self.assertEqual(list(rig.front.table.open), [kept])
+                self.assertEqual(list(rig.front.requests.open), [kept])
 
 
 if __name__ == "__main__":
--- a/tests/test_client_closing.py
+++ b/tests/test_client_closing.py
@@ -38,7 +38,7 @@
         rig, client = self.idle()
         client.call()
         with mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0):
-            rig.front.port.tidy()
+            rig.front.client_port.run_maintenance()
         self.is_served(rig, client)
 
     def test_by_the_look_where_the_gathering_ended_before_it(self):
@@ -51,21 +51,21 @@
         ):
             rig.front.loop.run_iteration(0.0)
             self.assertTrue(rig.front.loop.was_deferred(served.connection._sock))
-            rig.front.port.tidy()
+            rig.front.client_port.run_maintenance()
         self.assertTrue(served.open)
         self.is_served(rig, client)
 
     def test_by_the_end_of_all_idle_ones(self):
         rig, client = self.idle()
         client.call()
-        rig.front.port.end_idle()
+        rig.front.client_port.end_idle()
         self.is_served(rig, client)
 
     def test_by_one_that_needs_room(self):
         rig, client = self.idle()
         client.call()
-        rig.front.port.most = 1
-        rig.front.port._room_maker.make(rig.front.port.most)
+        rig.front.client_port.max_connections = 1
+        rig.front.client_port._room_maker.make(rig.front.client_port.max_connections)
         self.is_served(rig, client)
 
     def test_with_more_unread_than_a_release_reads(self):
@@ -73,7 +73,7 @@
         client.sock.setblocking(True)
         client.sock.sendall(b"".join(call_frame(n, pad="x" * 4000) for n in range(1, 31)))
         client.sock.setblocking(False)
-        rig.front.port.end_idle()
+        rig.front.client_port.end_idle()
         self.is_served(rig, client, 30)
 
     def test_the_rest_of_a_request_that_began_too_long_ago(self):
@@ -85,22 +85,22 @@
         rig.until(lambda: served.begun, "it has begun")
         client.sock.sendall(data[50:])
         with mock.patch.object(clients, "MESSAGE_TIMEOUT_MS", -1.0):
-            rig.front.port.tidy()
+            rig.front.client_port.run_maintenance()
         self.is_served(rig, client)
 
     def test_while_what_lies_unread_is_for_another_process_nothing_is_read_or_closed(self):
         rig, client = self.idle()
-        rig.front.port.pause(True)
+        rig.front.client_port.set_paused(True)
         client.call()
         with (
             mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0),
             mock.patch.object(clients, "MESSAGE_TIMEOUT_MS", -1.0),
         ):
-            rig.front.port.tidy()
-        rig.front.port.end_idle()
-        self.assertEqual(rig.front.table.open, {})
+            rig.front.client_port.run_maintenance()
+        rig.front.client_port.end_idle()
+        self.assertEqual(rig.front.requests.open, {})
         self.assertFalse(self.served(rig, client).connection.finishing)
-        rig.front.port.pause(False)
+        rig.front.client_port.set_paused(False)
         self.is_served(rig, client)
 
 
@@ -111,7 +111,7 @@
         client = rig.client()
         rig.settle(client)
         served = self.served(rig, client)
-        rig.front.port.end_idle()
+        rig.front.client_port.end_idle()
         self.assertTrue(served.connection.finishing)
         return rig, client, served
 
@@ -131,7 +131,7 @@
             rig.front.loop.run_iteration(0.01)  # the client does not read meanwhile
             served = self.served(rig, client)
         rig.front.loop.run_iteration(0.0)
-        rig.front.port.end_idle()
+        rig.front.client_port.end_idle()
         client.call()
         while not served.connection.closed:
             rig.front.loop.run_iteration(0.01)
@@ -173,10 +173,10 @@
         self.asked(rig, asked)
         begun.sock.sendall(call_frame(1)[:60])
         rig.until(lambda: self.served(rig, begun).begun, "one has begun")
-        rig.front.port.most = 6  # up to three are ended at a time
+        rig.front.client_port.max_connections = 6  # up to three are ended at a time
         with mock.patch.object(clients, "PARTIAL_MESSAGE_MS", 60_000.0):
-            rig.front.port._room_maker.make(rig.front.port.most)
-            rig.front.port._room_maker.make(rig.front.port.most)
+            rig.front.client_port._room_maker.make(rig.front.client_port.max_connections)
+            rig.front.client_port._room_maker.make(rig.front.client_port.max_connections)
         finishing = [self.served(rig, c).connection.finishing for c in (asked, begun, idle)]
         self.assertEqual(finishing, [False, False, True])
 
@@ -184,9 +184,9 @@
         rig = self.rig(ScorerPeer())
         client, idle = rig.client(), rig.client()
         rig.settle(idle)
-        rig.front.port.most = 6
+        rig.front.client_port.max_connections = 6
         with mock.patch.object(clients, "MIN_SILENT_MS", 60_000.0):
-            rig.front.port._room_maker.make(rig.front.port.most)
+            rig.front.client_port._room_maker.make(rig.front.client_port.max_connections)
         finishing = [self.served(rig, c).connection.finishing for c in (client, idle)]
         self.assertEqual(finishing, [False, True])
 
@@ -197,7 +197,7 @@
         rig.settle(idle)
         rig.until(lambda: self.served(rig, begun).begun, "one has begun")
         with mock.patch.object(clients, "PARTIAL_MESSAGE_MS", -1.0):
-            by_idleness = [client for client, _ in rig.front.port._room_maker._by_idleness()]
+            by_idleness = [client for client, _ in rig.front.client_port._room_maker._by_idleness()]
         self.assertEqual(by_idleness, [self.served(rig, idle), self.served(rig, begun)])
 
     def flood(self, first_bytes):
@@ -236,7 +236,7 @@
         client.sock.sendall(call_frame(1) + self.BAD + call_frame(2) + call_frame(3))
         rig.until(lambda: client.ended, "the connection ends")
         self.assertEqual([answer[:2] for answer in client.answers], [(n, "broken") for n in (1, 2, 3)])
-        self.assertEqual((rig.front.table.open, scorer.runs, arrivals(self)), ({}, [], []))
+        self.assertEqual((rig.front.requests.open, scorer.runs, arrivals(self)), ({}, [], []))
 
     def test_an_open_number_used_again_fails_that_request_once_and_those_after_it(self):
         rig = self.rig(ScorerPeer(copies=None))
@@ -252,7 +252,7 @@
         client.sock.sendall(self.BAD)
         client.withdraw(1)
         rig.until(lambda: client.ended, "the connection ends")
-        self.assertNotIn(key, rig.front.table.open)
+        self.assertNotIn(key, rig.front.requests.open)
         self.assertEqual(client.answers, [])
 
     def test_a_fault_in_this_program_fails_what_was_read_whole(self):
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -16,8 +16,8 @@
     """The client's end can't be read yet, and a send for one of its requests comes due."""
 
     def no_send(self, rig, key, scorer):
-        rig.front.table.send(io.Send(key, scorer_number("s-1")))
-        self.assertNotIn(key, rig.front.table.open)
+        rig.front.requests.send(io.Send(key, scorer_number("s-1")))
+        self.assertNotIn(key, rig.front.requests.open)
         wait(rig, 100.0)
         self.assertEqual(scorer.runs, [])
         self.assertEqual([event.request for event in self.told(io.ClientLeft)], [key])
@@ -30,12 +30,12 @@
         client = rig.client()
         key = self.asked(rig, client)
         with mock.patch.object(slow_clients, "SCAN_MS", 60_000.0):
-            rig.front.port.pause(True)
+            rig.front.client_port.set_paused(True)
             client.sock.sendall(call_frame(2))
             client.sock.close()
             client.ended = True
             rig.front.loop.run_iteration(0.0)
-            self.assertIn(key, rig.front.table.open)  # no read has shown the end
+            self.assertIn(key, rig.front.requests.open)  # no read has shown the end
             self.no_send(rig, key, scorer)
         self.assertEqual(len(arrivals(self)), 1)
 
@@ -52,7 +52,7 @@
         with mock.patch.object(event_loop, "MAX_EVENTS", 1):
             rig.front.loop._deferred = {descriptor}  # so it is read before the one that left
             rig.front.loop.run_iteration(0.0)
-        self.assertIn(key, rig.front.table.open)
+        self.assertIn(key, rig.front.requests.open)
         self.no_send(rig, key, scorer)
 
     def test_a_request_behind_which_the_client_left_long_ago_is_not_begun(self):
@@ -64,7 +64,7 @@
         client.sock.sendall(call_frame(1) + junk_statuses(64 * 1024))  # four reads
         client.sock.close()
         client.ended = True
-        rig.until(lambda: not rig.front.port.clients, "the connection has ended")
+        rig.until(lambda: not rig.front.client_port.clients, "the connection has ended")
         self.assertEqual(arrivals(self), [])
         self.assertEqual(scorer.frames, [])
 
@@ -73,11 +73,11 @@
         rig = self.rig(scorer)
         client = rig.client()
         self.asked(rig, client)
-        rig.front.port.pause(True)
+        rig.front.client_port.set_paused(True)
         client.sock.sendall(call_frame(2) + call_frame(3))
         client.sock.shutdown(socket.SHUT_WR)
-        rig.until(lambda: not rig.front.table.open, "the first one is withdrawn")
-        rig.front.port.pause(False)
+        rig.until(lambda: not rig.front.requests.open, "the first one is withdrawn")
+        rig.front.client_port.set_paused(False)
         rig.until(lambda: client.ended, "the connection has ended")
         self.assertEqual(client.kinds(), dict.fromkeys((1, 2, 3), "broken"))
         self.assertEqual(len(arrivals(self)), 1)
@@ -90,11 +90,11 @@
         rig = self.rig(ScorerPeer(copies=None))
         client = rig.client()
         key = self.asked(rig, client)
-        rig.front.port.pause(True)
+        rig.front.client_port.set_paused(True)
         client.sock.sendall(call_frame(2))
         client.sock.close()
         client.ended = True
-        rig.until(lambda: not rig.front.table.open, "its request is withdrawn")
+        rig.until(lambda: not rig.front.requests.open, "its request is withdrawn")
         rig.until(lambda: self.told(io.ClientLeft), "the module hears of it")
         self.assertEqual([event.request for event in self.told(io.ClientLeft)], [key])
 
@@ -102,12 +102,12 @@
         rig = self.rig(ScorerPeer(copies=None))
         client = rig.client()
         key = self.asked(rig, client)
-        rig.front.port.pause(True)
+        rig.front.client_port.set_paused(True)
         client.sock.sendall(call_frame(2))
         wait(rig, 3 * slow_clients.SCAN_MS)
-        self.assertEqual(list(rig.front.table.open), [key])
-        rig.front.port.pause(False)
-        rig.until(lambda: len(rig.front.table.open) == 2, "what lay unread is read")
+        self.assertEqual(list(rig.front.requests.open), [key])
+        rig.front.client_port.set_paused(False)
+        rig.until(lambda: len(rig.front.requests.open) == 2, "what lay unread is read")
 
     def test_a_client_that_reads_no_answers_and_leaves_is_found_gone(self):
         rig = self.rig(ScorerPeer(copies=None))
@@ -118,7 +118,7 @@
         rig.front.loop.run_iteration(0.0)
         self.assertFalse(served.connection.reads)
         client.sock.shutdown(socket.SHUT_WR)
-        while rig.front.table.open:
+        while rig.front.requests.open:
             rig.front.loop.run_iteration(0.05)  # the client reads nothing meanwhile
         self.assertTrue(served.gone)  # rather than the request's time over
         self.assertFalse(served.connection.closed)  # it may still read what it is owed
@@ -127,11 +127,11 @@
         rig = self.rig(ScorerPeer(copies=None))
         client = rig.client()
         key = self.asked(rig, client)
-        rig.front.port.pause(True)
+        rig.front.client_port.set_paused(True)
         client.sock.shutdown(socket.SHUT_WR)
         with mock.patch("select.poll", side_effect=OSError(38, "not there")):
             wait(rig, 3 * slow_clients.SCAN_MS)
-            self.assertEqual(list(rig.front.table.open), [key])
+            self.assertEqual(list(rig.front.requests.open), [key])
 
 
 class InTheSameTurn(Case):
@@ -143,11 +143,11 @@
         client.sock.close()
         client.ended = True
         runs = len(scorer.runs)
-        rig.until(lambda: self.told(io.ClientLeft) or not rig.front.port.clients, "its end is seen")
+        rig.until(lambda: self.told(io.ClientLeft) or not rig.front.client_port.clients, "its end is seen")
         wait(rig, 100.0)
         scorer.pump()
         self.assertEqual(len(scorer.runs), runs)
-        self.assertEqual(rig.front.table.open, {})
+        self.assertEqual(rig.front.requests.open, {})
 
     def test_an_answer_that_has_a_request_tried_again_comes_with_the_end(self):
         for code in (scorer_frames.MISS, scorer_frames.FULL, scorer_frames.ERROR):
@@ -196,8 +196,8 @@
         client.sock.close()
         client.ended = True
         rig.front.loop.iteration_ms -= 2 * connection.FRESH_MS  # the turn has run for so long by now
-        rig.front.table.send(io.Send(key, scorer_number("s-1")))
-        self.assertNotIn(key, rig.front.table.open)
+        rig.front.requests.send(io.Send(key, scorer_number("s-1")))
+        self.assertNotIn(key, rig.front.requests.open)
         wait(rig, 50.0)
         self.assertEqual(scorer.runs, [])
 
@@ -210,7 +210,7 @@
         client.ended = True
         age_ms = 2 * connection.FRESH_MS
         with mock.patch.object(connection.Connection, "_age", return_value=age_ms):
-            rig.until(lambda: not rig.front.port.clients, "the connection has ended")
+            rig.until(lambda: not rig.front.client_port.clients, "the connection has ended")
         self.assertEqual(arrivals(self), [])
 
     def test_on_the_ordinary_way_nothing_is_asked_of_the_system(self):
@@ -239,7 +239,7 @@
         client.sock.sendall(junk_statuses(256 * 1024))
         client.sock.shutdown(socket.SHUT_WR)  # a close with answers unread would reset it
         client.sock.setblocking(False)
-        rig.until(lambda: not rig.front.table.open, "its request is withdrawn")
+        rig.until(lambda: not rig.front.requests.open, "its request is withdrawn")
         self.assertTrue(served.gone)
         self.assertTrue(served.connection.unread())  # and the end is not read yet
 
@@ -255,7 +255,7 @@
         client.sock.shutdown(socket.SHUT_WR)
         rig.until(lambda: client.ended and given_up(scorer), "it has ended, and the run is given up")
         self.assertEqual([answer[:2] for answer in client.answers], [(1, "broken"), (2, "broken")])
-        self.assertEqual((rig.front.table.open, list(rig.front.port.clients)), ({}, []))
+        self.assertEqual((rig.front.requests.open, list(rig.front.client_port.clients)), ({}, []))
 
     def test_answers_that_were_on_their_way_are_written_whole_first(self):
         scorer = ScorerPeer()
@@ -267,7 +267,7 @@
         rig.front.loop.run_iteration(0.0)
         self.assertTrue(served.connection.waiting_bytes)
         client.sock.shutdown(socket.SHUT_WR)
-        rig.until(lambda: rig.clients.clear() or not rig.front.table.open, "its end is seen")
+        rig.until(lambda: rig.clients.clear() or not rig.front.requests.open, "its end is seen")
         got = bytearray()
         while chunk := self.read(rig, client):
             got += chunk
@@ -309,7 +309,7 @@
             crowd_fds = {self.served(rig, peer).connection._sock.fileno() for peer in crowd}
             rig.front.loop._deferred = crowd_fds  # all of these were left behind
             rig.front.loop.run_iteration(0.0)
-        self.assertNotIn(key, rig.front.table.open)
+        self.assertNotIn(key, rig.front.requests.open)
 
     def test_a_connection_that_is_read_on_after_a_pause_keeps_its_place_in_the_order(self):
         rig = self.rig(ScorerPeer(copies=None))
--- a/tests/test_client_gone_sends.py
+++ b/tests/test_client_gone_sends.py
@@ -25,7 +25,7 @@
                 if linked:
                     self.link_up(rig, scorer)
                 client, key = self.asked(rig)
-                rig.front.table.send(io.Send(key, BY_POOL))
+                rig.front.requests.send(io.Send(key, BY_POOL))
                 self.leave(rig, client, key, how)
                 self.assertEqual(self.endings(), [io.Ending.NOT_SENT])
                 rig.until(lambda rig=rig: all(link.up for link in self.links(rig)), "the dial is up")
@@ -40,7 +40,7 @@
                 link = self.link_up(rig, scorer)
                 blocked = self.block(scorer)
                 client, key = self.asked(rig)
-                rig.front.table.send(io.Send(key, BY_POOL))
+                rig.front.requests.send(io.Send(key, BY_POOL))
                 self.turn(rig)
                 self.assertEqual(len(link.streams), 1)
                 self.leave(rig, client, key, "withdraw")
@@ -59,7 +59,7 @@
                 client.call()
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 client.withdraw(client.seqid)
-                rig.until(lambda rig=rig: not rig.front.table.open, "it has left")
+                rig.until(lambda rig=rig: not rig.front.requests.open, "it has left")
                 rig.settle(client)
                 self.assertEqual(len(scorer.of(scorer_frames.ABANDON)), int(cancel))
 
@@ -68,10 +68,10 @@
         rig = self.rig(first, second, settings=bounds(False))
         link = self.link_up(rig, first)
         client, key = self.asked(rig)
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         rig.until(lambda: first.runs, "the first runs")
         first.answer(first.runs[0], body=b"served")
-        rig.front.table.send(io.Send(key, BY_POOL + 1))
+        rig.front.requests.send(io.Send(key, BY_POOL + 1))
         self.read(link.connection)
         self.assertEqual(self.endings(), [io.Ending.GOOD, io.Ending.NOT_SENT])
         rig.until(lambda: client.answers and second.links, "it is answered")
@@ -83,8 +83,8 @@
         rig = self.rig(scorer)
         client, key = self.asked(rig)
         self.leave(rig, client, key, "close")
-        rig.front.table.begin_batch()
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.begin_batch()
+        rig.front.requests.send(io.Send(key, BY_POOL))
         self.assertEqual(self.endings(), [io.Ending.NOT_SENT])
         self.turn(rig)
         self.assertEqual((scorer.links, scorer.frames), ([], []))
@@ -99,10 +99,10 @@
         if linked:
             self.link_up(rig, scorer)
         if not before:
-            rig.front.table.order(io.Hold(BY_POOL, ROW, copies))
+            rig.front.requests.start_load(io.Hold(BY_POOL, ROW, copies))
         clients = [self.asked(rig) for _ in range(asked)]
         if before:
-            rig.front.table.order(io.Hold(BY_POOL, ROW, copies))
+            rig.front.requests.start_load(io.Hold(BY_POOL, ROW, copies))
         return rig, scorer, clients
 
     def test_one_made_for_it_is_taken_back(self):
@@ -113,7 +113,7 @@
                 self.assertEqual(self.order_endings(), [io.Ending.NOT_SENT])
                 rig.until(lambda rig=rig: all(link.up for link in self.links(rig)), "the dial is up")
                 rig.settle(rig.client())
-                self.assertEqual((scorer.frames, rig.front.table._orders), ([], {}))
+                self.assertEqual((scorer.frames, rig.front.requests._orders), ([], {}))
 
     def test_one_that_another_request_waits_for_goes_out(self):
         rig, scorer, [(client, key), _] = self.ordered(linked=False, asked=2)
@@ -127,9 +127,9 @@
         rig.until(lambda: scorer.of(scorer_frames.LOAD), "the question goes out")
         scorer = ScorerPeer(copies=None)
         rig = self.rig(scorer)
-        rig.front.table.order(io.Hold(BY_POOL, ROW, 1))
+        rig.front.requests.start_load(io.Hold(BY_POOL, ROW, 1))
         call = Call(b"12345678", "view", "acme", ROW, 8000.0, b"", "", 1, None, None, lambda outcome: None)
-        rig.front.table.withdraw(rig.front.table.take(call))
+        rig.front.requests.withdraw(rig.front.requests.take(call))
         rig.until(lambda: scorer.of(scorer_frames.LOAD), "the order goes out")
 
     def test_one_made_in_the_batch_in_which_the_client_left_is_not_sent(self):
@@ -137,8 +137,8 @@
         rig = self.rig(scorer)
         client, key = self.asked(rig)
         self.leave(rig, client, key, "withdraw")
-        rig.front.table.begin_batch()
-        rig.front.table.order(io.Hold(BY_POOL, ROW, 1))
+        rig.front.requests.begin_batch()
+        rig.front.requests.start_load(io.Hold(BY_POOL, ROW, 1))
         self.assertEqual(self.order_endings(), [io.Ending.NOT_SENT])
         self.turn(rig)
         self.assertEqual((scorer.links, scorer.frames), ([], []))
@@ -147,9 +147,9 @@
         scorer = ScorerPeer(copies=None)
         rig = self.rig(scorer)
         _, key = self.asked(rig)
-        rig.front.table.fail(io.Fail(key))
-        rig.front.table.begin_batch()
-        rig.front.table.order(io.Hold(BY_POOL, ROW, 1))
+        rig.front.requests.fail(io.Fail(key))
+        rig.front.requests.begin_batch()
+        rig.front.requests.start_load(io.Hold(BY_POOL, ROW, 1))
         rig.until(lambda: scorer.of(scorer_frames.LOAD), "it goes out")
 
     def test_the_module_holds_one_taken_back_for_no_load_under_way(self):
@@ -165,7 +165,7 @@
         rig.until(lambda: router.loading == 1, "a load is ordered")
         client.sock.close()
         client.ended = True
-        rig.until(lambda: not rig.front.table.open and not router.loading, "the client has left")
+        rig.until(lambda: not rig.front.requests.open and not router.loading, "the client has left")
         self.unblock(blocked)
         rig.settle(rig.client())
         self.assertEqual([frame.fields["slots_up"] for _, frame in scorer.frames], ["0"])
--- a/tests/test_client_slow.py
+++ b/tests/test_client_slow.py
@@ -45,10 +45,10 @@
                 scorer.links[0].sock.setblocking(True)
                 scorer.answer(run, body=b"y" * LONG)
                 scorer.links[0].sock.setblocking(False)
-            return len(answered) == 32 and not rig.front.table.open
+            return len(answered) == 32 and not rig.front.requests.open
 
         rig.until(all_answered, "all are answered, and none is read")
-        [served] = rig.front.port.clients
+        [served] = rig.front.client_port.clients
         self.assertGreater(served.connection.waiting_bytes, clients.MAX_READ_BYTES)
 
         def all_read():
@@ -69,12 +69,12 @@
     def test_a_request_and_its_withdrawal_are_seen_while_answers_wait(self):
         rig, client, _ = self.stuck()
         client.call(seqid=1)
-        rig.until(lambda: rig.front.table.open, "the request is read")
+        rig.until(lambda: rig.front.requests.open, "the request is read")
         client.call(seqid=2, body=b"z" * 16_000, call=f"{2:016x}")
         client.withdraw(1)
         rig.until(lambda: self.told(io.ClientLeft), "the withdrawal behind another request is seen")
         rig.until(lambda: len(arrivals(self)) == 2, "and that request")
-        self.assertEqual(len(rig.front.table.open), 1)
+        self.assertEqual(len(rig.front.requests.open), 1)
 
     def test_it_is_read_as_its_bytes_come_as_soon_as_there_is_room(self):
         rig, client, served = self.stuck()
@@ -113,7 +113,7 @@
         rig, client, served = self.stuck()
         client.sock.close()
         rig.until(lambda: served.connection.closed, "the connection ends")
-        self.assertEqual(list(rig.front.port.clients), [])
+        self.assertEqual(list(rig.front.client_port.clients), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_client_streams.py
+++ b/tests/test_client_streams.py
@@ -129,7 +129,7 @@
         rig.until(is_answered, "it is answered")
         self.assertEqual([answer[:2] for answer in good.answers], [(1, "answer")])
         self.assertEqual(bad.kinds(), {5: "broken"})
-        self.assertEqual(rig.front.table.open, {})
+        self.assertEqual(rig.front.requests.open, {})
 
 
 if __name__ == "__main__":
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -34,9 +34,9 @@
         client.call(org="nobody", seqid=6)
         client.call(ttl="9999999", seqid=7)
         client.call(seqid=5)
-        rig.until(lambda: len(client.answers) >= 6 and rig.front.table.open, "all are read")
+        rig.until(lambda: len(client.answers) >= 6 and rig.front.requests.open, "all are read")
         self.assertEqual(client.kinds(), dict.fromkeys((1, 2, 3, 4, 6, 7), "exception"))
-        self.assertEqual(len(rig.front.table.open), 1)
+        self.assertEqual(len(rig.front.requests.open), 1)
 
     def test_bytes_without_a_number_end_the_connection_only(self):
         scorer = ScorerPeer()
@@ -51,14 +51,14 @@
         rig = self.rig(ScorerPeer())
         client = rig.client()
         rig.settle(client)
-        [served] = rig.front.port.clients
+        [served] = rig.front.client_port.clients
         gone = weakref.ref(served.connection)
         gc.disable()
         self.addCleanup(gc.enable)
         del served
         client.sock.close()
         client.ended = True
-        rig.until(lambda: not rig.front.port.clients, "it ends")
+        rig.until(lambda: not rig.front.client_port.clients, "it ends")
         self.assertIsNone(gone())
 
     def test_a_fault_in_a_handler_costs_the_connection_only(self):
@@ -79,7 +79,7 @@
             client.call()
         rig.until(lambda: client.answers, "one is answered")
         self.assertEqual(client.kinds(), {33: "exception"})
-        self.assertEqual(len(rig.front.table.open), 32)
+        self.assertEqual(len(rig.front.requests.open), 32)
 
     def test_an_open_number_used_again_ends_the_connection(self):
         rig = self.rig(ScorerPeer(copies=None))
@@ -87,7 +87,7 @@
         client.call(seqid=5)
         client.call(seqid=5)
         rig.until(lambda: client.ended, "the connection ends")
-        self.assertEqual((client.kinds(), rig.front.table.open), ({5: "broken"}, {}))
+        self.assertEqual((client.kinds(), rig.front.requests.open), ({5: "broken"}, {}))
 
     def test_answers_queued_before_a_bad_message_reach_a_client_that_goes_on_sending(self):
         rig = self.rig(ScorerPeer())
@@ -131,7 +131,7 @@
         rig = self.rig(ScorerPeer())
         client = rig.client()
         rig.settle(client)
-        [served] = rig.front.port.clients
+        [served] = rig.front.client_port.clients
         with mock.patch.object(clients, "MAX_UNSENT_BYTES", 8 * 1024 * 1024):
             served._write(b"x" * 7_000_000)
             rig.front.loop.run_iteration(0)
@@ -145,21 +145,21 @@
         rig = self.rig(ScorerPeer(copies=None), limits={"sockets": 32})
         first = rig.client()
         first.call()
-        rig.until(lambda: rig.front.table.open, "the first one asks")
+        rig.until(lambda: rig.front.requests.open, "the first one asks")
         for _ in range(30):
             client = rig.client()
             client.status()
             rig.until(lambda client=client: client.answers, "each is answered")
-            self.assertLessEqual(len(rig.front.port.clients), 32 * front_end.CLIENT_SHARE)
+            self.assertLessEqual(len(rig.front.client_port.clients), 32 * front_end.CLIENT_SHARE)
         self.assertFalse(first.ended)
 
     def test_a_crowd_that_connects_does_not_cost_a_look_over_all_clients_each(self):
         rig = self.rig(limits={"sockets": 32})
-        port, room = rig.front.port, int(32 * front_end.CLIENT_SHARE)
+        port, room = rig.front.client_port, int(32 * front_end.CLIENT_SHARE)
         maker = port._room_maker
         with (
             mock.patch("fawnwharf.net.idle_connections.SCAN_MS", 60_000.0),
-            mock.patch.object(port, "tidy"),
+            mock.patch.object(port, "run_maintenance"),
             mock.patch.object(maker, "_by_idleness", wraps=maker._by_idleness) as looks,
         ):
             peers = []
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -44,8 +44,8 @@
 
 def budget_left(rig):
     """The time that the one open call has, as the front end counts it."""
-    rig.until(lambda: rig.front.table.open, "it is read")
-    [request] = rig.front.table.open.values()
+    rig.until(lambda: rig.front.requests.open, "it is read")
+    [request] = rig.front.requests.open.values()
     return request.deadline_ms - rig.front.loop.iteration_ms
 
 
@@ -100,19 +100,19 @@
 def test_a_call_that_came_while_nothing_was_read_counts_since_then(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    rig.front.port.pause(True)
+    rig.front.client_port.set_paused(True)
     client.call(ttl="8000")
     for _ in range(30):
         clock.advance(20.0)
         rig.front.loop.run_iteration(0.0)
-    rig.front.port.pause(False)
+    rig.front.client_port.set_paused(False)
     assert budget_left(rig) == pytest.approx(7_400.0, abs=event_loop.STALL_THRESHOLD_MS)
 
 
 def test_a_connection_that_another_process_had_counts_since_that_one_read_it(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    [taken] = rig.front.port.clients
+    [taken] = rig.front.client_port.clients
     taken.connection.lay_unread(clock.monotonic_ms - 700.0)
     client.call(ttl="8000")
     assert budget_left(rig) == pytest.approx(7_300.0, abs=event_loop.STALL_THRESHOLD_MS)
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_a_start_told_after_a_step_is_not_older_than_it_is(rig, clock, step):
     rig.log.say(1)
-    rig.until(lambda: rig.front.changelog.told_all_ms is not None, "the log is followed")
+    rig.until(lambda: rig.front.change_log.told_all_ms is not None, "the log is followed")
     clock.advance(100.0)
     clock.step_wall(step)
     rig.front.loop.run_iteration(0.0)
@@ -129,7 +129,9 @@
     member = rig.scorers[0].member(up_since_ms=clock.wall_ms - 50.0)
     for seq in (2, 3):  # told again, it is the same start
         rig.log.say({"seq": seq, "fleet": {"members": [member]}})
-        rig.until(lambda seq=seq: rig.front.changelog.seq == seq and not rig.front._news, "it is taken")
+        rig.until(
+            lambda seq=seq: rig.front.change_log.seq == seq and not rig.front._pending_change, "it is taken"
+        )
         clock.advance(500.0)
     worker = rig.front.router.workers[scorer_number("s-1")]
     age_ms = rig.front.loop.clock.now_ms() - worker.started_ms
@@ -142,8 +144,8 @@
     while len(found) < count:
         clock.advance(40.0)
         rig.front.loop.run_iteration(0.0)
-        new = [request for key, request in rig.front.table.open.items() if key not in known]
-        known.update(rig.front.table.open)
+        new = [request for key, request in rig.front.requests.open.items() if key not in known]
+        known.update(rig.front.requests.open)
         found += [request.deadline_ms - rig.front.loop.iteration_ms for request in new]
     return found
 
--- a/tests/test_discovery_life.py
+++ b/tests/test_discovery_life.py
@@ -25,7 +25,7 @@
 
 def read_by_front_end(rig, data):
     """Bytes of the log that the front end has read."""
-    connection = rig.front.changelog._connection
+    connection = rig.front.change_log._connection
     before = connection.heard_ms
     rig.log.links[-1].sock.sendall(data)
     rig.until(lambda: connection.heard_ms > before or connection.closed, "the bytes are read")
@@ -61,7 +61,7 @@
     for line in (b"1\n", json.dumps(event(2)).encode() + b"\n", b"2\n", b"2\n"):
         read_by_front_end(rig, line)
         rig.later_ms += 0.9 * change_log.SILENCE_TIMEOUT_MS
-        rig.front.changelog.tidy()
+        rig.front.change_log.run_maintenance()
     assert (len(rig.log.asked()), silent(rig)) == (1, [])
 
 
@@ -75,9 +75,9 @@
     part = len(data) // 8
     for place in range(0, len(data), part):
         read_by_front_end(rig, data[place : place + part])
-        rig.until(lambda: len(rig.front.changelog._buffer) % part == 0, "all of it is read")
+        rig.until(lambda: len(rig.front.change_log._buffer) % part == 0, "all of it is read")
         rig.later_ms += 1_000.0
-        rig.front.changelog.tidy()
+        rig.front.change_log.run_maintenance()
         if place + part >= len(data) - 1:
             break
     rig.log.links[-1].sock.sendall(data[place + part :])
@@ -86,14 +86,14 @@
 
 
 def test_a_line_that_takes_too_long_is_not_waited_for(rig):
-    data, log = long_list(rig), rig.front.changelog
+    data, log = long_list(rig), rig.front.change_log
     for number in range(20):
         place = number * 17_000
         rig.log.links[-1].sock.sendall(data[place : place + 17_000])
         size = place + 17_000
         rig.until(lambda size=size: len(log._buffer) == size or not log._connection, "it is read")
         rig.later_ms += 1_000.0
-        log.tidy()
+        log.run_maintenance()
         if silent(rig):
             break
     assert change_log.LINE_MS <= number * 1_000.0 <= change_log.LINE_MS + 2 * change_log.SILENCE_TIMEOUT_MS
@@ -105,7 +105,7 @@
     for _ in range(12):
         read_by_front_end(rig, b"4\n")
         rig.later_ms += 1_000.0
-        rig.front.changelog.tidy()
+        rig.front.change_log.run_maintenance()
         if silent(rig):
             break
     assert (
@@ -184,9 +184,9 @@
 def test_a_dial_that_is_under_way_at_the_move_asks_nobody(rig, request):
     first, second = new_log(rig, request), new_log(rig, request)
     break_off(rig)
-    rig.until(lambda: rig.front.changelog._connection is None, "it breaks off")
+    rig.until(lambda: rig.front.change_log._connection is None, "it breaks off")
     rig.move_to(first)
-    dial = rig.front.changelog._connection
+    dial = rig.front.change_log._connection
     assert not dial.up
     rig.move_to(second)
     rig.until(lambda: second.asked(), "the last one is asked")
@@ -212,7 +212,7 @@
     nobody = socket.create_server(("127.0.0.1", 0))
     address = nobody.getsockname()
     nobody.close()
-    rig.front.changelog.move(address)
+    rig.front.change_log.move(address)
     made = dials_within(rig, 500.0)
     assert {*made} == {address}
     assert len(made) <= 5
@@ -231,7 +231,7 @@
 @pytest.mark.parametrize("call", ["socket", "connect", "so_error"])
 def test_a_dial_that_the_system_fails_is_tried_again_after_a_pause(rig, call, name):
     break_off(rig)
-    rig.until(lambda: rig.front.changelog._connection is None, "it breaks off")
+    rig.until(lambda: rig.front.change_log._connection is None, "it breaks off")
     with SystemFaults().installed() as faults:
         fault = faults.fail(call, getattr(errno, name), times=3)
         turns, turn = [], rig.front.loop.run_iteration
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -58,11 +58,11 @@
     asked = 1
     for number in order:
         rig.log.say(events[number])
-        if number > rig.front.changelog.seq + 1 and asked == 1:
+        if number > rig.front.change_log.seq + 1 and asked == 1:
             asked += 1
             rig.asked_times(asked)
             rig.log.say(events[number])
-        rig.until(lambda number=number: number in rig.front.changelog._order._events, "it is taken")
+        rig.until(lambda number=number: number in rig.front.change_log._order._events, "it is taken")
     rig.at(4)
     assert rig.states() == {"s-1": READY, "s-3": DRAINING}
 
@@ -83,14 +83,14 @@
 
 
 def test_an_event_that_could_not_be_passed_on_is_taken_when_it_comes_again(rig):
-    take, faults = rig.front.changelog._told, [KeyError("boom")]
+    take, faults = rig.front.change_log._told, [KeyError("boom")]
 
     def told(fleet):
         if faults:
             raise faults.pop()
         take(fleet)
 
-    rig.front.changelog._told = told
+    rig.front.change_log._told = told
     rig.log.say(event(2, rig.member("s-1", "terminating")))
     assert rig.asked_times(2) == ["since", "1"]
     rig.log.say(event(2, rig.member("s-1", "terminating")))
@@ -198,7 +198,7 @@
         rig.log.say(first_list(rig))
         rig.log.say(event(2))
         rig.log.say(2)
-        rig.until(lambda: rig.front.changelog._smaller == 1, "it says less than it said before")
+        rig.until(lambda: rig.front.change_log._smaller == 1, "it says less than it said before")
         rig.later_ms += change_log.MAX_DELAY_MS + 1.0
         rig.log.say(2)
         assert rig.asked_times(4) == ["since", "0"]
@@ -215,7 +215,7 @@
     rig.told.clear()
     rig.log.say(event(1, *[rig.member(id) for id in rig.by_id], complete=True, revision=9))
     rig.log.say(event(2, rig.member("s-2", "terminating"), revision=10))
-    rig.until(lambda: rig.front.changelog._at == 2, "two events are read")
+    rig.until(lambda: rig.front.change_log._at == 2, "two events are read")
     assert rig.states()["s-3"] is DRAINING
     rig.log.say(event(3, rig.member("s-3", "terminating"), revision=11))
     rig.log.say(3)
@@ -229,7 +229,7 @@
     far_on(rig)
     break_off(rig, 2)
     rig.log.say(event(1, rig.member("s-1"), complete=True, revision=9))
-    rig.until(lambda: rig.front.changelog._at == 1, "the first event is read")
+    rig.until(lambda: rig.front.change_log._at == 1, "the first event is read")
     assert break_off(rig, 3) == ["since", "0"]
     rig.log.say(event(1, rig.member("s-1"), complete=True, revision=9))
     rig.at(1)  # without the log's number, after a while
@@ -276,7 +276,7 @@
     rig.log.say(event(4, rig.member("s-1") | {"host_port": moved}))
     rig.at(4)
     assert rig.states() == {"s-1": READY, "s-3": READY}
-    scorer = rig.front.pool.scorers[scorer_number("s-1")]
+    scorer = rig.front.scorer_pool.scorers[scorer_number("s-1")]
     assert f"{scorer.address[0]}:{scorer.address[1]}" == moved
 
 
@@ -287,7 +287,7 @@
     for place in range(0, len(data), 7):
         rig.log.links[-1].sock.sendall(data[place : place + 7])
         rig.front.loop.run_iteration(0.05)
-        seen.append(rig.front.changelog.seq)
+        seen.append(rig.front.change_log.seq)
     rig.at(3)
     assert seen == sorted(seen)
     assert rig.states() == {"s-1": DRAINING, "s-2": DRAINING, "s-3": READY}
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -127,7 +127,9 @@
     monkeypatch.setattr(event_loop, "monotonic_ms", lambda: true() + held[0])
 
     def new_work_unwritten():
-        links = [link for scorer in rig.front.pool.scorers.values() for link in scorer.links if link.up]
+        links = [
+            link for scorer in rig.front.scorer_pool.scorers.values() for link in scorer.links if link.up
+        ]
         return [stream for link in links for stream in link.unwritten() if stream.is_new_work]
 
     def decide_and_hold(now_ms, events):
@@ -139,7 +141,7 @@
     rig.front.loop._decide = decide_and_hold
     client = rig.client()
     client.call()
-    rig.until(lambda: rig.front.changelog.seq == 2, "the drain is told")
+    rig.until(lambda: rig.front.change_log.seq == 2, "the drain is told")
     rig.settle(client)
     assert [new_work(peer) for peer in rig.scorers] == [[], []]
 
@@ -147,7 +149,7 @@
 def test_an_order_and_a_call_that_wait_for_a_dial_are_pulled_back_by_a_whole_list(rig):
     client = rig.client()
     client.call()
-    pool = rig.front.pool
+    pool = rig.front.scorer_pool
 
     def dialled():
         return [scorer.id for scorer in pool.scorers.values() if scorer.waiting]
@@ -175,7 +177,7 @@
     client.call(row="bb" * 8)
     rig.until(lambda: other.runs, "the next one goes to the other one")
     assert len(busy.runs) == 1
-    assert scorer_number(busy.id) not in rig.front.pool.scorers
+    assert scorer_number(busy.id) not in rig.front.scorer_pool.scorers
 
 
 def test_the_log_is_read_before_clients_that_were_ready_earlier(rig):
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -68,7 +68,7 @@
         working.close()
         rig.front.loop.enqueue(io.LimitsChanged())  # the loop goes on without it
         rig.settle(client)
-        assert rig.front.table.witness is None
+        assert rig.front.requests.observer is None
     finally:
         rig.close()
 
--- a/tests/test_event_order.py
+++ b/tests/test_event_order.py
@@ -27,7 +27,7 @@
 def outcome(numbers):
     order, overlay = EventOrder(), RosterOverlay()
     for number in numbers:
-        overlay.told(order.take(number, EVENTS[number]))
+        overlay.apply(order.take(number, EVENTS[number]))
     return {id: found.phase for id, found in overlay.members.items()}
 
 
--- a/tests/test_fair_turns.py
+++ b/tests/test_fair_turns.py
@@ -52,7 +52,7 @@
         client.sock.sendall(pairs(60))
         rig.settle(client)
         self.assertEqual(self.told(io.RequestArrived, io.ClientLeft), [])
-        self.assertEqual((len(rig.front.router.taken), rig.front.table.open), (0, {}))
+        self.assertEqual((len(rig.front.router.taken), rig.front.requests.open), (0, {}))
         self.assertEqual([kind for seqid, kind, _ in client.answers if seqid < 1000], [])
 
     def test_pairs_that_are_cut_by_a_read_cost_one_call_a_read_at_the_most(self):
@@ -67,7 +67,7 @@
         self.assertLess(reads, 10)
         self.assertLessEqual(len(rig.front.router.taken), reads)
         self.assertEqual(len(self.told(io.RequestArrived)), len(self.told(io.ClientLeft)))
-        self.assertEqual(rig.front.table.open, {})
+        self.assertEqual(rig.front.requests.open, {})
 
     def test_pairs_spread_over_many_sockets_are_unknown_to_the_module_too(self):
         rig = self.rig(ScorerPeer())
@@ -87,7 +87,7 @@
         rig.until(lambda: self.told(io.RequestArrived), "the call is heard of")
         client.sock.sendall(last[10:])
         rig.until(lambda: self.told(io.ClientLeft), "and that it was withdrawn")
-        self.assertEqual(rig.front.table.open, {})
+        self.assertEqual(rig.front.requests.open, {})
 
     def test_withdrawals_of_numbers_that_are_not_open_touch_nothing(self):
         scorer = ScorerPeer()
@@ -157,7 +157,9 @@
                     client.call(seqid=number, call=f"{number:016x}")
                 rig.front.loop.run_iteration(0.0)
         keys = [event.request for event in self.told(io.RequestArrived)]
-        owners = {key: n for n, owner in enumerate(rig.front.port.clients) for key in owner.open.values()}
+        owners = {
+            key: n for n, owner in enumerate(rig.front.client_port.clients) for key in owner.open.values()
+        }
         self.assertEqual({owners[key] for key in keys}, set(range(len(crowd))))
 
     def test_changes_of_the_list_that_come_together_are_told_as_one(self):
@@ -171,7 +173,7 @@
             members = [peer.member(phase)]
             lines.append(json.dumps({"seq": seq, "fleet": {"complete": False, "members": members}}).encode())
         rig.log.links[0].sock.sendall(b"\n".join(lines) + b"\n")
-        rig.until(lambda: rig.front.changelog.seq == 201, "all have come")
+        rig.until(lambda: rig.front.change_log.seq == 201, "all have come")
         self.assertEqual([len(event.entries) for event in self.told(io.RosterChanged)], [200])
         self.assertEqual(len(rig.front.router.ready), 1)
 
@@ -182,7 +184,7 @@
         some, whole = [peers[0].member("terminating")], [peers[1].member()]
         for seq, members, complete in ((2, some, False), (3, whole, True), (4, some, False)):
             rig.log.say({"seq": seq, "fleet": {"complete": complete, "members": members}})
-        rig.until(lambda: rig.front.changelog.seq == 4, "all have come")
+        rig.until(lambda: rig.front.change_log.seq == 4, "all have come")
         told = self.told(io.RosterChanged)
         self.assertEqual([(len(e.entries), e.complete) for e in told], [(1, False), (2, True)])
         self.assertEqual([w.id for w in rig.front.router.ready], [scorer_number("s-1")])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -242,18 +242,18 @@
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"y" * 5000)
     replacement = rig.operators.replacement
     replacement.giver._paused = True
-    [held] = rig.front.port.clients
-    give = rig.front.port.give
+    [held] = rig.front.client_port.clients
+    give = rig.front.client_port.hand_off
 
     def broken(client):
         sock.close()  # between the look and the word
         return replace(give(client), unwritten=b"")
 
     with (
-        mock.patch.object(rig.front.port, "give", broken),
+        mock.patch.object(rig.front.client_port, "hand_off", broken),
         mock.patch.object(h, "parts", lambda data: [h.Part(b"")]),
     ):
-        rig.until(lambda: held not in rig.front.port.clients, "it was given, and came back")
+        rig.until(lambda: held not in rig.front.client_port.clients, "it was given, and came back")
     rig.until(lambda: client.answers, "its answer is there")
     client.call()
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "and it is served on")
@@ -330,13 +330,13 @@
 
 
 def test_one_given_while_nothing_is_read_is_not_read_either(rig):
-    rig.front.port.pause(True)
+    rig.front.client_port.set_paused(True)
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = Buffered(socket.create_connection(server.getsockname()))
-        rig.front.port.adopt(HandedOffConnection(server.accept()[0]))
-    [adopted] = rig.front.port.clients
+        rig.front.client_port.take_over(HandedOffConnection(server.accept()[0]))
+    [adopted] = rig.front.client_port.clients
     assert not adopted.connection._reading
-    rig.front.port.pause(False)
+    rig.front.client_port.set_paused(False)
     assert adopted.connection._reading
     client.sock.close()
 
--- a/tests/test_handover_age.py
+++ b/tests/test_handover_age.py
@@ -23,7 +23,7 @@
     client.call(ttl="8000")
     sock.setblocking(False)
     rig.clients.append(client)
-    rig.front.port.adopt(HandedOffConnection(sock, empty_ms=monotonic_ms() - 3_000.0))
+    rig.front.client_port.take_over(HandedOffConnection(sock, empty_ms=monotonic_ms() - 3_000.0))
     rig.until(lambda: rig.scorers[0].runs, "it runs")
     [(_, frame)] = rig.scorers[0].runs
     assert int(frame.fields["ms"]) <= 5_000
@@ -34,11 +34,11 @@
     rig.settle(client)
     before_ms = monotonic_ms()
     rig.front.loop.run_iteration(0.0)
-    rig.front.port.pause(True)  # from here on nothing is read
+    rig.front.client_port.set_paused(True)  # from here on nothing is read
     paused_ms = monotonic_ms()
     for _ in range(3):
         rig.front.loop.run_iteration(0.0)
-    [served] = rig.front.port.clients
-    handed = rig.front.port.give(served)
+    [served] = rig.front.client_port.clients
+    handed = rig.front.client_port.hand_off(served)
     assert before_ms - 1_000.0 <= handed.empty_ms <= paused_ms
     handed.sock.close()
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -57,7 +57,7 @@
     rig.until(lambda: rig.scorers[0].runs, "it runs, so that the connection stays here")
     sock = taker(rig)
     if why == "leaving":
-        rig.front.leave()
+        rig.front.shut_down()
     elif why == "standby":
         rig.operators.desk.standby = True
     assert good(rig, client)  # for the other process's sake
@@ -72,25 +72,27 @@
     refused = mock.patch.object(channel, "send", side_effect=BlockingIOError)
     client = rig.client()
     with refused:  # its buffer is full, as it reads nothing
-        rig.front.port.accept(True)
+        rig.front.client_port.set_accepting(True)
         client.call()
         rig.until(lambda: rig.scorers[0].runs, "it runs")
         rig.scorers[0].answer(rig.scorers[0].runs[0])
-        rig.until(lambda: client.answers and not rig.front.port.clients, "its connection is on its way")
+        rig.until(
+            lambda: client.answers and not rig.front.client_port.clients, "its connection is on its way"
+        )
         assert talk.unsent and not talk.closed
         talk._moved_ms -= h.STUCK_MS
         rig.until(lambda: not rig.operators.replaced, "it goes on by itself")
-    assert rig.front.port.clients and good(rig, client) is True
+    assert rig.front.client_port.clients and good(rig, client) is True
     assert not ready(sock, 0.0) or channel.receive(sock)
 
 
 def test_a_fault_in_a_look_at_what_is_to_be_given_is_not_the_last_one(rig):
     client = rig.client()
     rig.settle(client)
-    with mock.patch.object(rig.front.port, "give", side_effect=RuntimeError("planted")) as give:
+    with mock.patch.object(rig.front.client_port, "hand_off", side_effect=RuntimeError("planted")) as give:
         taker(rig)
         rig.until(lambda: give.call_count >= 2, "it tries again")
-    rig.until(lambda: not rig.front.port.clients, "it is given")
+    rig.until(lambda: not rig.front.client_port.clients, "it is given")
 
 
 def test_a_fault_in_a_look_at_a_drain_or_in_tidying_is_not_the_last_one(rig):
@@ -103,10 +105,10 @@
 
 @pytest.mark.parametrize("fault", [ConfigError("held"), OSError("planted"), RuntimeError("planted")])
 def test_parts_come_back_after_any_fault_on_the_way(rig, fault):
-    seam = mock.Mock(busy=False)
-    seam.release.side_effect = RuntimeError("planted")
-    seam.take_back.side_effect = [fault, None]
-    rig.front._seam = seam
+    extension = mock.Mock(busy=False)
+    extension.suspend.side_effect = RuntimeError("planted")
+    extension.resume.side_effect = [fault, None]
+    rig.front._extension = extension
     parts, steps = Parts(rig.front), []
     parts.let_go(lambda: steps.append("away"))
     rig.until(lambda: steps, "they are let go of")
@@ -114,7 +116,7 @@
     parts.take_back(lambda: steps.append("here"))
     rig.until(lambda: parts.here, "they are back")
     assert steps == ["away", "here"]
-    rig.front._seam = None
+    rig.front._extension = None
 
 
 def test_an_answer_in_drops_is_not_waited_for_longer_than_one_that_does_not_come(tmp_path):
@@ -166,7 +168,7 @@
     client = rig.client()
     rig.settle(client)
     taker(rig)
-    rig.front.leave()
-    rig.front._leaving._since_ms -= graceful_shutdown.LATE_ARRIVAL_MS
-    rig.until(lambda: not rig.front.port.clients, "its connection is given")
+    rig.front.shut_down()
+    rig.front._shutdown._since_ms -= graceful_shutdown.LATE_ARRIVAL_MS
+    rig.until(lambda: not rig.front.client_port.clients, "its connection is given")
     assert not client.ended and rig.front.loop.running  # until the other one says that all has come
--- a/tests/test_link_writes.py
+++ b/tests/test_link_writes.py
@@ -23,7 +23,7 @@
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         _, key = self.asked(rig, ttl="8000")
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         self.clock.advance(1_000.0)
         rig.until(lambda: scorer.runs, "it runs")
         self.assertLessEqual(self.passed_on(scorer), 7_000)
@@ -34,7 +34,7 @@
         self.link_up(rig, scorer)
         blocked = self.block(scorer)
         _, key = self.asked(rig, ttl="8000")
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         for _ in range(3):
             self.turn(rig)
             self.clock.advance(1_000.0)
@@ -46,12 +46,12 @@
         first, second = ScorerPeer(), ScorerPeer()
         rig = self.rig(first, second)
         _, key = self.asked(rig, ttl="8000")
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         rig.until(lambda: first.runs, "it runs")
         first.answer(first.runs[0], 3, "")
         rig.until(lambda: self.endings(), "it is full")
         self.clock.advance(1_000.0)
-        rig.front.table.send(io.Send(key, BY_POOL + 1))
+        rig.front.requests.send(io.Send(key, BY_POOL + 1))
         self.clock.advance(1_000.0)
         rig.until(lambda: second.runs, "it runs")
         self.assertLessEqual(self.passed_on(second), 6_000)
@@ -63,12 +63,12 @@
         blocked = self.block(scorer)
         streams = [attempt(BY_POOL, ended, id=b"%08d" % n, body=BODY) for n in range(3)]
         for stream in streams:
-            rig.front.pool.send(stream)
-        rig.front.pool.order(order(BY_POOL, ended))
+            rig.front.scorer_pool.send(stream)
+        rig.front.scorer_pool.start_load(order(BY_POOL, ended))
         self.assertGreaterEqual(link.connection.waiting_bytes, 3 * len(BODY))
         self.turn(rig)
         self.assertEqual(link.connection.waiting_bytes, sum(piece.size for piece in link.connection._outbox))
-        rig.front.pool.cancel(streams[1])
+        rig.front.scorer_pool.cancel(streams[1])
         self.unblock(blocked)
         rig.until(lambda: len(scorer.frames) == 3, "the others are written")
         self.assertEqual(link.connection.waiting_bytes, 0)
@@ -79,7 +79,7 @@
 
     def sent(self, rig, **more):
         _, key = self.asked(rig)
-        rig.front.table.send(io.Send(key, BY_POOL, **more))
+        rig.front.requests.send(io.Send(key, BY_POOL, **more))
         return key
 
     def assert_never_sent(self, rig, scorer):
@@ -93,7 +93,7 @@
         self.link_up(rig, scorer)
         _, key = self.asked(rig)
         self.clock.advance(WITHIN_MS)
-        rig.front.table.send(io.Send(key, BY_POOL, WITHIN_MS))
+        rig.front.requests.send(io.Send(key, BY_POOL, WITHIN_MS))
         self.assertEqual(self.endings(), [io.Ending.NOT_SENT])
         self.assert_never_sent(rig, scorer)
 
@@ -169,7 +169,7 @@
     def test_one_that_began_in_time_ends_at_its_deadline(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
-        rig.front.pool.send(given := attempt(BY_POOL, ended := [], within_ms=500.0))
+        rig.front.scorer_pool.send(given := attempt(BY_POOL, ended := [], within_ms=500.0))
         given.begin_by_ms = self.clock.monotonic_ms + WITHIN_MS
         rig.until(lambda: scorer.runs, "it runs")
         for _ in range(2):
@@ -187,9 +187,9 @@
         link = self.link_up(rig, scorer)
         blocked = self.block(scorer, after_bytes=40)
         client, key = self.asked(rig, body=BODY, **fields)
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         for stream in more:
-            rig.front.pool.send(stream)
+            rig.front.scorer_pool.send(stream)
         rig.until(lambda: link.connection._outbox and link.connection._outbox[0].begun, "it is in part")
         return rig, scorer, link, blocked, (client, key)
 
@@ -244,13 +244,13 @@
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
                 if kind == "give up":
-                    rig.front.pool.send(stream := attempt(BY_POOL, ended))
+                    rig.front.scorer_pool.send(stream := attempt(BY_POOL, ended))
                     rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 blocked = self.block(scorer, after_bytes=5)
                 if kind == "give up":
-                    rig.front.pool.cancel(stream)
+                    rig.front.scorer_pool.cancel(stream)
                 else:
-                    rig.front.pool.order(order(BY_POOL, ended))
+                    rig.front.scorer_pool.start_load(order(BY_POOL, ended))
                 self.turn(rig)
                 before = len(scorer.frames)
                 self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
@@ -287,7 +287,7 @@
         rig = self.rig()
         client = rig.client()
         rig.settle(client)
-        [port] = rig.front.port.clients
+        [port] = rig.front.client_port.clients
         port.connection.write(b"")
         rig.settle(client)
         self.assertEqual(len(port.connection._outbox), 0)
--- a/tests/test_load_orders.py
+++ b/tests/test_load_orders.py
@@ -66,7 +66,7 @@
         """How one ends whose connection is up after so long, and whether the scorer had it."""
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
-        rig.front.pool.order(order(BY_POOL, ended, copies))
+        rig.front.scorer_pool.start_load(order(BY_POOL, ended, copies))
         self.clock.advance(wait_ms)
         rig.until(lambda: ended or scorer.frames, "it is sent, or ends")
         rig.settle(rig.client())
--- a/tests/test_log_anew.py
+++ b/tests/test_log_anew.py
@@ -13,13 +13,13 @@
 
 def far_on(rig):
     """The log has told up to number 40."""
-    rig.front.changelog.seq = 40
+    rig.front.change_log.seq = 40
     rig.log.say(40)
-    rig.until(lambda: rig.front.changelog.told_all_ms is not None, "it has told all")
+    rig.until(lambda: rig.front.change_log.told_all_ms is not None, "it has told all")
 
 
 def test_a_log_that_lost_its_numbers_is_asked_for_all_and_its_list_taken(rig):
-    rig.front.changelog.may_begin_anew = True
+    rig.front.change_log.may_begin_anew = True
     far_on(rig)
     rig.log.say(2)
     rig.until(lambda: len(rig.log.asked()) == 2, "it is asked again")
@@ -28,8 +28,8 @@
     rig.log.say({"seq": 1, "fleet": {"complete": True, "members": [one]}})
     rig.log.say({"seq": 2, "fleet": {"members": [one]}})
     rig.log.say(2)
-    rig.until(lambda: rig.front.changelog.seq == 2 and not rig.front._news, "it is taken")
-    phases = {member.id: member.phase for member in rig.front.overlay.members.values()}
+    rig.until(lambda: rig.front.change_log.seq == 2 and not rig.front._pending_change, "it is taken")
+    phases = {member.id: member.phase for member in rig.front.roster_overlay.members.values()}
     assert phases.get("s-new") == "in_service" and phases.get("s-old", "terminated") == "terminated"
     assert [line for line in rig.lines if "begun anew" in line] == [
         "change log: at 2, after 40 before: it has begun anew"
@@ -40,5 +40,5 @@
     far_on(rig)
     rig.log.say(2)
     rig.log.say({"seq": 41, "fleet": {"members": [rig.scorers[0].member("terminating")]}})
-    rig.until(lambda: rig.front.changelog.seq == 41, "the log goes on")
+    rig.until(lambda: rig.front.change_log.seq == 41, "the log goes on")
     assert len(rig.log.asked()) == 1
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -117,18 +117,18 @@
 def test_an_overlay_only_closes_holds_whatever_is_told_and_brings_back_cold():
     overlay = RosterOverlay()
     member = Member("s-1", "in_service", "127.0.0.1:1", locality="a")
-    overlay.told(Fleet([member, Member("s-2", "in_service", "127.0.0.1:2")], complete=True))
-    [closed] = overlay.close("one", lambda m: m.id == "s-1").members
+    overlay.apply(Fleet([member, Member("s-2", "in_service", "127.0.0.1:2")], complete=True))
+    [closed] = overlay.set_filter("one", lambda m: m.id == "s-1").members
     assert (closed.id, closed.phase) == ("s-1", "terminating")
-    assert not overlay.close("two", lambda m: m.id == "s-1").members  # closed already
-    told = [overlay.told(Fleet([Member("s-1", phase)])).members[0] for phase in ("terminated", "in_service")]
+    assert not overlay.set_filter("two", lambda m: m.id == "s-1").members  # closed already
+    told = [overlay.apply(Fleet([Member("s-1", phase)])).members[0] for phase in ("terminated", "in_service")]
     assert [m.phase for m in told] == ["terminated", "terminating"]
-    overlay.told(Fleet([member]))
-    assert not overlay.close("one", None).members  # the other one still closes it
-    assert [m.phase for m in overlay.close("two", None).members] == ["in_service"]
-    [back] = overlay.returned(["s-1", "s-9"], 5000.0).members
+    overlay.apply(Fleet([member]))
+    assert not overlay.set_filter("one", None).members  # the other one still closes it
+    assert [m.phase for m in overlay.set_filter("two", None).members] == ["in_service"]
+    [back] = overlay.mark_restarted(["s-1", "s-9"], 5000.0).members
     assert (back.up_since_ms, back.host_port, back.locality) == (5000.0, "127.0.0.1:1", "a")
-    assert overlay.told(Fleet([member], complete=True)).members[0].up_since_ms == 5000.0
+    assert overlay.apply(Fleet([member], complete=True)).members[0].up_since_ms == 5000.0
 
 
 def test_a_faulty_second_address_is_named_by_its_key():
@@ -216,7 +216,7 @@
         rig.until(lambda: client.answers, "it is served")
         self.assertEqual(rig.ask(f"{ENTER}?target={home.id}"), 200)
         rig.log.say({"seq": 2, "fleet": {"members": [home.member()]}})
-        rig.until(lambda: rig.front.changelog.seq == 2, "the log has it in service")
+        rig.until(lambda: rig.front.change_log.seq == 2, "the log has it in service")
         client.call()
         rig.until(lambda: other.runs, "the next goes elsewhere")
         self.assertEqual(len(home.runs), 1)
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -46,14 +46,14 @@
 @pytest.mark.parametrize("back", itertools.permutations(LAYERS))
 def test_a_scorer_is_closed_while_anyone_closes_it_in_whatever_order_they_come_and_go(order, back):
     overlay, closing = RosterOverlay(), {}
-    overlay.told(Fleet([told(id) for id in IDS], complete=True))
+    overlay.apply(Fleet([told(id) for id in IDS], complete=True))
     steps = [(who, 1) for who in order] + [(who, 0) for who in back]
     before = set()
     for who, place in steps:
         laid, closes = LAYERS[who][place]
         closing[who] = set(closes.split())
         closed = set().union(*closing.values())
-        changes = phases(overlay.close(who, closer(who, laid)))
+        changes = phases(overlay.set_filter(who, closer(who, laid)))
         assert changes == {id: "terminating" if id in closed else "in_service" for id in closed ^ before}
         before = closed
     assert not before
@@ -75,7 +75,7 @@
             self.roster, self.gone_by = {}, {}
         self.roster |= found
         fleet = Fleet([told(id, phase) for id, phase in found.items()], complete)
-        assert phases(laid := self.overlay.told(fleet)) == {id: self.phase(id) for id in found}
+        assert phases(laid := self.overlay.apply(fleet)) == {id: self.phase(id) for id in found}
         self.gone_by |= phases(laid)
         self.roster = {id: phase for id, phase in self.roster.items() if phase != "terminated"}
         self.gone_by = {id: phase for id, phase in self.gone_by.items() if phase != "terminated"}
@@ -83,7 +83,7 @@
     def lay(self, who, place):
         laid, closes = LAYERS[who][place]
         self.closing[who] = set(closes.split())
-        changes = phases(self.overlay.close(who, closer(who, laid)))
+        changes = phases(self.overlay.set_filter(who, closer(who, laid)))
         assert all(self.gone_by[id] != phase for id, phase in changes.items())  # nothing is told twice
         self.gone_by |= changes
 
@@ -92,7 +92,7 @@
         for who in LAYERS:
             others = set().union(*(ids for other, ids in self.closing.items() if other != who))
             left = {id for id, phase in self.roster.items() if phase == "in_service"} - others
-            assert {member.id for member in self.overlay.left_to(who)} == left
+            assert {member.id for member in self.overlay.open_except_for(who)} == left
 
 
 TELLS = strategies.tuples(
@@ -121,10 +121,10 @@
     def __init__(self):
         self.front, self.heard = None, []
 
-    def told(self, fleet):
-        self.heard += [(m.id, m.phase, self.front.overlay.members[m.id].phase) for m in fleet.members]
+    def on_fleet(self, fleet):
+        self.heard += [(m.id, m.phase, self.front.roster_overlay.members[m.id].phase) for m in fleet.members]
 
-    def events(self, events): ...
+    def on_events(self, events): ...
 
     def close(self): ...
 
@@ -132,19 +132,19 @@
 class AtTheSeam(unittest.TestCase):
     def test_a_seam_hears_what_the_change_log_told_and_the_module_what_is_left_of_it(self):
         one, two = ScorerPeer("s-1"), ScorerPeer("s-2")
-        seam = Recorder()
+        extension = Recorder()
         rig = Rig(one, two)
         self.addCleanup(rig.close)
-        rig.front._seam, seam.front = seam, rig.front
+        rig.front._extension, extension.front = extension, rig.front
         workers = rig.front.router.workers
         rig.until(lambda: len(workers) == 2, "both are known")
         for who in ("zones", "state"):
-            rig.front.go_by(rig.front.overlay.close(who, lambda member: member.id == "s-1"))
+            rig.front.apply_fleet(rig.front.roster_overlay.set_filter(who, lambda member: member.id == "s-1"))
         rig.log.say({"seq": 2, "fleet": {"members": [one.member(), two.member()]}})
-        rig.until(lambda: rig.front.changelog.seq == 2 and not rig.front._news, "it is taken")
-        self.assertEqual(seam.heard, [(id, "in_service", "in_service") for id in ("s-1", "s-2")])
+        rig.until(lambda: rig.front.change_log.seq == 2 and not rig.front._pending_change, "it is taken")
+        self.assertEqual(extension.heard, [(id, "in_service", "in_service") for id in ("s-1", "s-2")])
         found = {id: workers[scorer_number(id)].entry.state for id in ("s-1", "s-2")}
         self.assertEqual(found, {"s-1": State.DRAINING, "s-2": State.READY})
-        rig.front.go_by(rig.front.overlay.close("zones", None))
-        rig.front.go_by(rig.front.overlay.close("state", None))
+        rig.front.apply_fleet(rig.front.roster_overlay.set_filter("zones", None))
+        rig.front.apply_fleet(rig.front.roster_overlay.set_filter("state", None))
         rig.until(lambda: workers[scorer_number("s-1")].entry.state is State.READY, "it is open again")
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -36,13 +36,13 @@
     site.until(lambda: all(n.front.router.settings.quotas_rps["acme"] == 12.0 for n in site.nodes), "quotas")
     for node in site.nodes:
         assert node.part._follower.classes["view"].give_up_ms == 2_000.0
-        assert node.front._limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
+        assert node.front._call_limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
         assert node.zones._spill == {"b": 0.25} and node.zones._sold == 12.0
         assert node.part.in_force.digest == b.part.in_force.digest
     client = site.client(c)
     client.call(ttl="8000")  # by the settings' time, which the client knows
-    site.until(lambda: c.front.table.open, "it is taken")
-    [request] = c.front.table.open.values()
+    site.until(lambda: c.front.requests.open, "it is taken")
+    [request] = c.front.requests.open.values()
     assert request.call.budget_ms == 2_000.0
     client.call(ttl="10500")
     site.until(lambda: client.kinds(), "one that would wait for longer than any of both is none")
@@ -51,7 +51,7 @@
     site.until(lambda: site.in_force(2), "the policy before is back")
     assert c.part._follower.classes["view"].give_up_ms == 9_000.0
     site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "quotas as sold")
-    assert a.front._limits["policy"] == 1e9 and a.zones._spill == {} and a.zones._sold == 30.0
+    assert a.front._call_limits["policy"] == 1e9 and a.zones._spill == {} and a.zones._sold == 30.0
 
 
 def test_a_call_keeps_the_policy_by_which_it_was_taken_and_the_trace_says_so(site):
@@ -71,7 +71,7 @@
     gone = client.call(call="00000000000000cc")
     site.until(lambda: len(node.scorer.runs) == 3, "one more runs")
     client.withdraw(gone)
-    site.until(lambda: not node.front.table.open, "its client has left")
+    site.until(lambda: not node.front.requests.open, "its client has left")
     assert not node.part.agent.holder.calls and not len(node.part.calls)
     trace = node.folder / "trace.jsonl"
     site.until(lambda: trace.read_bytes().count(b"\n") == 3, "the trace is written")
@@ -195,36 +195,39 @@
     node.word(1, propose=document(9.0, classes={"view": {"give_up_ms": 5_000.0, "promise_ms": 400.0}}))
     site.until(lambda: site.in_force(1), "a first change")
     before = node.part
-    node.front.seam.release()
-    assert node.front.port.table is node.front.table and node.front.port.classes["view"].give_up_ms == 9_000.0
+    node.front.extension.suspend()
+    assert (
+        node.front.client_port.requests is node.front.requests
+        and node.front.client_port.classes["view"].give_up_ms == 9_000.0
+    )
     other.word(1, propose=document(8.0))
     site.until(lambda: site.in_force(2, [site.nodes[0], site.nodes[2]]), "a change without it")
-    node.front.seam.take_back(node.front)
-    assert node.part is not before and not node.front.port.takes_work
+    node.front.extension.resume(node.front)
+    assert node.part is not before and not node.front.client_port.accepts_requests
     client = site.client(node)
     client.call(ttl="9000")
     site.until(lambda: node.part.calls.held, "a call that comes before it is told is held")
-    assert node.front.seam.busy and not node.front.table.open
+    assert node.front.extension.busy and not node.front.requests.open
     site.until(lambda: site.in_force(2), "it goes by the last one")
-    site.until(lambda: node.front.table.open, "it goes on")
-    [request] = node.front.table.open.values()
+    site.until(lambda: node.front.requests.open, "it goes on")
+    [request] = node.front.requests.open.values()
     assert (request.call.judged.number, request.call.judged.how) == (2, "leased")
     site.until(lambda: node.front.router.settings.quotas_rps["acme"] == 8.0, "quotas too")
-    assert node.front.port.takes_work and node.part.life > before.life
+    assert node.front.client_port.accepts_requests and node.part.life > before.life
 
 
 @pytest.mark.parametrize("site", [{"state": True}], indirect=True)
 def test_modes_and_windows_are_stricter_at_once_and_easier_after_the_old_window(site):
     site.begin()
     node = site.nodes[0]
-    gates = [n.front.seam._parts[1].gate for n in site.nodes]
-    shelves = [n.front.seam._parts[1].core.keeper.shelf for n in site.nodes]
+    gates = [n.front.extension._parts[1].gate for n in site.nodes]
+    shelves = [n.front.extension._parts[1].core.keeper.shelf for n in site.nodes]
     assert {gate.modes["view"] for gate in gates} == {"off"}
     strict = document(12.0, modes={"view": "before"}, window_ms={"view": 1_200.0})
     node.word(1, propose=strict)
     site.until(lambda: site.in_force(1), "the stricter one is in force")
     assert {gate.modes["view"] for gate in gates} == {"before"}
-    shares = node.front.seam._parts[1].core.shares
+    shares = node.front.extension._parts[1].core.shares
     assert shares.quotas == {"acme": 12.0}
     site.until(
         lambda: {shelf.windows.get("view") for shelf in shelves} == {1_200.0}, "the shorter window, later"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -33,16 +33,16 @@
 
     def test_events_told_twice_or_out_of_date_are_passed_over(self):
         rig = self.rig(ScorerPeer())
-        with mock.patch.object(rig.front.changelog, "_told") as told:
+        with mock.patch.object(rig.front.change_log, "_told") as told:
             for seq in (2, 2, 1, 3):
                 rig.log.say(self.event(seq))
-            rig.until(lambda: rig.front.changelog.seq == 3, "the last one is told")
+            rig.until(lambda: rig.front.change_log.seq == 3, "the last one is told")
         self.assertEqual(told.call_count, 2)
 
     def test_a_silent_log_is_asked_again_from_where_it_stopped(self):
         rig = self.rig(ScorerPeer())
         rig.log.say(self.event(2))
-        rig.until(lambda: rig.front.changelog.seq == 2, "an event is told")
+        rig.until(lambda: rig.front.change_log.seq == 2, "an event is told")
         with mock.patch.object(change_log, "SILENCE_TIMEOUT_MS", -1.0):
             rig.until(lambda: len(rig.log.asked()) == 2, "it is asked again")
         self.assertEqual(rig.log.asked(), [["since", "1"], ["since", "2"]])
@@ -65,8 +65,8 @@
                 rig.until(lambda rig=rig: len(rig.log.asked()) == 2, "it is asked again")
                 rig.log.say(line)
                 rig.log.say(self.event(3, scorer.member("terminating")))
-                rig.until(lambda rig=rig: rig.front.changelog.seq == 3, "the next event is told")
-                state = rig.front.pool.scorers[front_end.scorer_number(scorer.id)].state
+                rig.until(lambda rig=rig: rig.front.change_log.seq == 3, "the next event is told")
+                state = rig.front.scorer_pool.scorers[front_end.scorer_number(scorer.id)].state
                 self.assertEqual(state, io.State.DRAINING)
 
     def test_a_stumble_after_all_was_well_is_a_new_one(self):
@@ -75,7 +75,7 @@
             rig.log.say(b"{")
             rig.until(lambda asked=asked: len(rig.log.asked()) == asked, "it is asked again")
             rig.log.say(b"1")
-            rig.until(lambda: rig.front.changelog._stumbled_at is None, "all is well again")
+            rig.until(lambda: rig.front.change_log._stumbled_at is None, "all is well again")
 
     def test_a_move_leaves_one_connection_to_the_new_address_and_no_late_dial(self):
         for broken in (False, True):
@@ -84,12 +84,12 @@
                 self.addCleanup(moved.close)
                 with mock.patch.object(change_log, "MIN_BACKOFF_MS", 30.0):
                     rig.log.say(self.event(2))
-                    rig.until(lambda rig=rig: rig.front.changelog.seq == 2, "an event is told")
+                    rig.until(lambda rig=rig: rig.front.change_log.seq == 2, "an event is told")
                     if broken:  # the next dial to the old address is planned already
                         rig.log.links[0].sock.close()
                         rig.log.links[0].ended = True
-                        rig.until(lambda rig=rig: rig.front.changelog._connection is None, "it breaks off")
-                    rig.front.changelog.move(("127.0.0.1", int(moved.host_port.split(":")[1])))
+                        rig.until(lambda rig=rig: rig.front.change_log._connection is None, "it breaks off")
+                    rig.front.change_log.move(("127.0.0.1", int(moved.host_port.split(":")[1])))
                 later = []
                 rig.front.loop.timers.after(60.0, lambda later=later: later.append(1))
                 rig.scorers.append(moved)
@@ -101,8 +101,8 @@
         old, new = ScorerPeer("s-1"), ScorerPeer("s-2")
         rig = self.rig(old)
         rig.log.say(self.event(2, new.member(), complete=True))
-        rig.until(lambda: rig.front.changelog.seq == 2, "the list is told")
-        self.assertEqual(list(rig.front.pool.scorers), [front_end.scorer_number("s-2")])
+        rig.until(lambda: rig.front.change_log.seq == 2, "the list is told")
+        self.assertEqual(list(rig.front.scorer_pool.scorers), [front_end.scorer_number("s-2")])
 
 
 class Program(unittest.TestCase):
--- a/tests/test_rare_losses.py
+++ b/tests/test_rare_losses.py
@@ -18,7 +18,7 @@
         clients = [made.client() for _ in range(3)]
         for client in clients:
             made.settle(client)
-        made.front.port.pause(True)
+        made.front.client_port.set_paused(True)
         wait(made, 100)
         failures = [OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))]
         register = made.front.loop._selector.register
@@ -29,7 +29,7 @@
             return register(*arguments)
 
         with mock.patch.object(made.front.loop._selector, "register", registering):
-            made.front.port.pause(False)
+            made.front.client_port.set_paused(False)
         assert not failures
         for client in clients:
             client.status(77)
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -57,7 +57,7 @@
     monkeypatch.setattr(rig.front.loop, "_wait_s", lambda most: 0.25)
     monkeypatch.setattr(rig.front.loop._selector, "select", asleep)
     rig.front.loop.run_iteration()
-    [request] = rig.front.table.open.values()
+    [request] = rig.front.requests.open.values()
     assert request.deadline_ms - clock.monotonic_ms == 8_000.0
 
 
@@ -69,7 +69,7 @@
                 scorer = ScorerPeer()
                 made = self.rig(scorer)
                 client, key = self.asked(made)
-                made.front.table.send(io.Send(key, BY_POOL))  # a dial is under way
+                made.front.requests.send(io.Send(key, BY_POOL))  # a dial is under way
                 client.status(9) if tail == "status" else client.withdraw(77)
                 client.sock.close()
                 made.clients.remove(client)
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -41,14 +41,14 @@
         self.front, self.busy = front, False
         limits = limits_from(settings, 2, 100.0)
         self.giving = Giving("n0", 1, limits, lambda row: [scorer_number("s-1")], 50.0, 50.0)
-        self.door = front.port.table = Door(front.loop, front.table, settings.classes, limits)
-        front.stand_between(io.Hold, self.between)
-        front._seam = self
+        self.door = front.client_port.requests = Door(front.loop, front.requests, settings.classes, limits)
+        front.intercept(io.Hold, self.between)
+        front._extension = self
         self.turn()
 
     def between(self, below):
         front = self.front
-        self.holds = Holds(below, front.pool.order, front.loop.enqueue, front.table.open)
+        self.holds = Holds(below, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open)
         return self.holds.carry
 
     def go_by(self, stage):
@@ -62,18 +62,22 @@
         self.carry(self.giving.tick(monotonic_ms()))
         self.front.loop.timers.after(20.0, self.turn)
 
-    def events(self, events):
+    def on_events(self, events):
         self.carry(self.holds.events(monotonic_ms(), events))
 
     def carry(self, outs):
         for out in outs:
             if isinstance(out, Order):
-                tell = self.front.table.order if isinstance(out.what, io.Hold) else self.front.loop.enqueue
+                tell = (
+                    self.front.requests.start_load
+                    if isinstance(out.what, io.Hold)
+                    else self.front.loop.enqueue
+                )
                 tell(out.what)
             elif isinstance(out, Ticket | Stood):
                 self.door.told(out)
 
-    def told(self, fleet): ...
+    def on_fleet(self, fleet): ...
 
     def close(self): ...
 
@@ -93,7 +97,7 @@
     joined.joined.go_by(Stage.REST)
     seqid = client.call()
     joined.until(lambda: scorer.orders, "the loader's order goes out by the module")
-    assert not joined.front.table.open and joined.front.router.loading == 1
+    assert not joined.front.requests.open and joined.front.router.loading == 1
     [order] = scorer.orders
     scorer.stand = 1
     scorer.answer(order, 0, "slots_up=1")
@@ -123,7 +127,7 @@
 def test_an_order_of_the_modules_own_does_not_go_out_before_renewal(joined):
     scorer, client = joined.scorers[0], joined.client()
     joined.joined.go_by(Stage.REST)
-    joined.front.port.table = joined.front.table  # this call passes no door
+    joined.front.client_port.requests = joined.front.requests  # this call passes no door
     client.call()
     joined.until(lambda: joined.joined.holds.held_back, "the module orders")
     joined.settle(client)
@@ -140,4 +144,4 @@
     client.sock.close()
     joined.clients.clear()
     joined.until(lambda: not joined.joined.door.busy, "it is let go of")
-    assert not joined.joined.door.counts and not joined.front.table.open
+    assert not joined.joined.door.counts and not joined.front.requests.open
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -139,7 +139,7 @@
     pump, node.log.pump = node.log.pump, lambda: None  # it takes connections and says nothing
     site.start([node])
     site.until(lambda: node.noted("last roster dialled"), "it goes by the last roster")
-    assert list(node.front.overlay.members) == [node.scorer.member()["id"]]
+    assert list(node.front.roster_overlay.members) == [node.scorer.member()["id"]]
     site.until(lambda: node.stage() is Stage.SPILL and site.ready(node), "it serves")
     assert "addresses" in node.noted("asked")[0]["without"][0]
     node.log.pump = pump
@@ -160,11 +160,11 @@
 def test_one_that_gave_its_parts_to_another_process_and_takes_them_back_asks_anew(site):
     site.begin()
     node = site.nodes[2]
-    seam, life = node.front.seam, node.part.life
-    order = node.front._carriers[io.Hold]
-    seam.release()
-    assert node.front._carriers[io.Hold] != order and not node.front.port.waits_for
-    seam.take_back(node.front)
+    extension, life = node.front.extension, node.part.life
+    order = node.front._action_handlers[io.Hold]
+    extension.suspend()
+    assert node.front._action_handlers[io.Hold] != order and not node.front.client_port.not_ready_reasons
+    extension.resume(node.front)
     assert node.part.life > life and not site.ready(node)
     site.until(
         lambda: node.stage() is Stage.SPILL and site.ready(node), "it is calm here, and its status good"
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -154,15 +154,15 @@
 
 def test_a_resting_scorer_is_told_as_draining_and_what_drains_or_is_gone_stays_so():
     overlay = RosterOverlay()
-    told = overlay.told(Fleet([entry("s1"), entry("s2"), entry("s3", phase="terminating")], True, 1))
+    told = overlay.apply(Fleet([entry("s1"), entry("s2"), entry("s3", phase="terminating")], True, 1))
     assert [member.phase for member in told.members] == ["in_service", "in_service", "terminating"]
-    changes = overlay.close("state", closer(frozenset({"s1", "s3"})))
+    changes = overlay.set_filter("state", closer(frozenset({"s1", "s3"})))
     phases = {member.id: member.phase for member in changes.members}
     assert phases == {"s1": "terminating"}  # of s3 there is nothing new to tell
-    told = overlay.told(Fleet([entry("s1"), entry("s3", phase="terminating")], False, 2))
+    told = overlay.apply(Fleet([entry("s1"), entry("s3", phase="terminating")], False, 2))
     assert [member.phase for member in told.members] == ["terminating", "terminating"]
-    overlay.told(Fleet([entry("s2", phase="terminating")], False, 3))
-    changes = overlay.close("state", closer(frozenset()))
+    overlay.apply(Fleet([entry("s2", phase="terminating")], False, 3))
+    changes = overlay.set_filter("state", closer(frozenset()))
     phases = {member.id: member.phase for member in changes.members}
     assert phases == {"s1": "in_service"}
 
@@ -174,7 +174,7 @@
 def test_a_hint_is_gone_by_for_its_time_and_told_once():
     overlay, notes = RosterOverlay(), []
     resting = Resting(400.0, lambda event, fields: notes.append(fields))
-    overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
+    overlay.apply(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
     steps = [
         (1_000.0, [], {}),
         (1_250.0, [hint("s1", "s9")], {"s1": "terminating"}),
@@ -192,10 +192,10 @@
 
 def test_what_others_close_neither_rests_nor_counts_among_those_that_may():
     overlay, resting = RosterOverlay(), Resting(400.0, lambda event, fields: None)
-    overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
-    overlay.close("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
+    overlay.apply(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
+    overlay.set_filter("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
     changes = resting.look(1_000.0, [hint("s0", "s1", "s2")], overlay)
     assert [member.id for member in changes.members] == ["s1"] and resting.rests.refused == 1
-    overlay.close("zones", None)
+    overlay.set_filter("zones", None)
     changes = resting.look(1_250.0, [hint("s0")], overlay)
     assert [member.id for member in changes.members] == ["s0"] and resting.ids == {"s0", "s1"}
--- a/tests/test_request_age.py
+++ b/tests/test_request_age.py
@@ -21,11 +21,11 @@
 
 def time_left(front_end, client):
     """The time that a call written now has, as the front end counts it."""
-    known = set(front_end.front.table.open)
+    known = set(front_end.front.requests.open)
     client.call(ttl=str(int(TTL_MS)))
-    front_end.until(lambda: set(front_end.front.table.open) - known or client.answers, "it is taken")
-    [key] = set(front_end.front.table.open) - known
-    return front_end.front.table.open[key].deadline_ms - front_end.front.loop.iteration_ms
+    front_end.until(lambda: set(front_end.front.requests.open) - known or client.answers, "it is taken")
+    [key] = set(front_end.front.requests.open) - known
+    return front_end.front.requests.open[key].deadline_ms - front_end.front.loop.iteration_ms
 
 
 def test_the_first_connection_after_an_idle_start(rig, clock, monkeypatch):
@@ -46,7 +46,7 @@
     front_end = Rig(ScorerPeer(copies=None), limits={"sockets": 32}, start=False)
     try:
         idle(front_end, clock, 500.0)
-        held = [front_end.client() for _ in range(front_end.front.port.most // 2)]
+        held = [front_end.client() for _ in range(front_end.front.client_port.max_connections // 2)]
         for client in held:
             front_end.settle(client)
         idle(front_end, clock, 3_000.0)
@@ -69,11 +69,11 @@
 def test_a_connection_that_was_handed_over_long_ago(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    [served] = rig.front.port.clients
-    handed = rig.front.port.give(served)
+    [served] = rig.front.client_port.clients
+    handed = rig.front.client_port.hand_off(served)
     idle(rig, clock, 200.0)
     assert isinstance(handed, HandedOffConnection)
-    rig.front.port.adopt(handed)
+    rig.front.client_port.take_over(handed)
     idle(rig, clock, 7_000.0)
     client.answers.clear()
     assert time_left(rig, client) > TTL_MS - SLACK_MS
@@ -83,9 +83,9 @@
     without_stamps(monkeypatch)
     client = settled_client(rig)
     rig.front.loop.run_iteration(0.0)
-    rig.front.port.pause(True)
+    rig.front.client_port.set_paused(True)
     rig.front.loop.run_iteration(0.0)
-    rig.front.port.pause(False)
+    rig.front.client_port.set_paused(False)
     idle(rig, clock, 7_000.0)
     client.answers.clear()
     assert time_left(rig, client) > TTL_MS - SLACK_MS
@@ -94,9 +94,9 @@
 def test_a_slow_reader_that_was_found_empty_at_each_look(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    [served] = rig.front.port.clients
+    [served] = rig.front.client_port.clients
     served.connection.read_on(False)  # as where much waits for it
-    slow = rig.front.port.slow
+    slow = rig.front.client_port.slow_clients
     monkeypatch.setattr(slow, "regulate", slow.look_later)
     slow.look_later(served)
     idle(rig, clock, 7_000.0)
@@ -105,5 +105,5 @@
     for _ in range(3):
         clock.advance(40.0)
         rig.front.loop.run_iteration(0.0)
-    [request] = rig.front.table.open.values()
+    [request] = rig.front.requests.open.values()
     assert request.deadline_ms - rig.front.loop.iteration_ms > TTL_MS - 3 * SLACK_MS
--- a/tests/test_request_orders.py
+++ b/tests/test_request_orders.py
@@ -85,7 +85,7 @@
     """Else the plays would run on two clocks: the settable one and the system's."""
     parts = [path for part in ("net", "policy") for path in (ROOT / "fawnwharf" / part).glob("*.py")]
     pattern = re.compile(r"^\s*(import|from) (time|datetime)\b", re.MULTILINE)
-    assert [path.name for path in parts if pattern.search(path.read_text())] == ["wheel.py"]
+    assert [path.name for path in parts if pattern.search(path.read_text())] == ["timer_wheel.py"]
 
 
 def test_a_plain_call_is_served():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -61,7 +61,7 @@
         scorer.answer(scorer.runs[1], body=b"in time")
         rig.until(lambda: client.answers, "the next one is answered")
         self.assertEqual([answer[0] for answer in client.answers], [second])
-        self.assertFalse(rig.front.table.open)
+        self.assertFalse(rig.front.requests.open)
 
     def test_a_second_answer_of_a_scorer_is_dropped(self):
         scorer = ScorerPeer()
@@ -84,7 +84,7 @@
         client.sock.close()
         client.ended = True
         rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
-        self.assertFalse(rig.front.table.open or rig.front.port.clients)
+        self.assertFalse(rig.front.requests.open or rig.front.client_port.clients)
 
     def test_a_fault_in_the_decisions_still_leaves_each_request_one_answer(self):
         scorer = ScorerPeer()
@@ -102,7 +102,7 @@
         scorer = ScorerPeer(copies=4)
         rig = self.rig(scorer)
         client, failing = rig.client(), mock.Mock(side_effect=KeyError("boom"))
-        with mock.patch.dict(rig.front._carriers, {io.Send: failing}):
+        with mock.patch.dict(rig.front._action_handlers, {io.Send: failing}):
             client.call()
             rig.until(lambda: failing.called, "the call is to be sent")
         client.call(body=b"next")
@@ -113,8 +113,8 @@
         rig = self.rig(ScorerPeer(copies=None))
         rig.client().call(ttl="8000")
         with mock.patch.object(event_loop, "unix_ms", lambda: timer_wheel.unix_ms() + 3000.0):
-            rig.until(lambda: rig.front.table.open, "it is read")
-        [request] = rig.front.table.open.values()
+            rig.until(lambda: rig.front.requests.open, "it is read")
+        [request] = rig.front.requests.open.values()
         self.assertTrue(0 <= request.deadline_ms - rig.front.loop.iteration_ms <= 5000.0)
         [known] = rig.front.router.requests.values()
         self.assertTrue(0 <= known.deadline_ms - known.arrived_ms <= 5000.0)
--- a/tests/test_scorer_answers.py
+++ b/tests/test_scorer_answers.py
@@ -26,8 +26,8 @@
         rig = self.rig(scorer)
         self.link_up(rig, scorer)
         self.clock.advance(60_000.0)
-        rig.front.pool.tidy()
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.run_maintenance()
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.until(lambda: scorer.runs, "it runs")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[1], []))
 
@@ -35,10 +35,10 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        self.clock.advance(rig.front.pool._trust_ms)  # the last moment at which it is used
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        self.clock.advance(rig.front.scorer_pool._trust_ms)  # the last moment at which it is used
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.clock.advance(60.0)
-        rig.front.pool.tidy()
+        rig.front.scorer_pool.run_maintenance()
         self.assertFalse(link.connection.closed)
         rig.until(lambda: scorer.runs, "it runs")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[0], []))
@@ -47,7 +47,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         reset(scorer.links[0].sock)
         self.read(link.connection)
         rig.until(lambda: scorer.runs, "it runs on another link")
@@ -60,9 +60,9 @@
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
                 client, key = self.asked(rig, op)
-                rig.front.table.send(io.Send(key, BY_POOL))
+                rig.front.requests.send(io.Send(key, BY_POOL))
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
-                rig.front.pool.send(attempt(BY_POOL, [], id=b"abcdefgh"))
+                rig.front.scorer_pool.send(attempt(BY_POOL, [], id=b"abcdefgh"))
                 scorer.answer(scorer.runs[0], body=b"done")
                 reset(scorer.links[0].sock)
                 link.connection.flush()  # after the turn's reads
@@ -78,7 +78,7 @@
                 link = self.link_up(rig, scorer)
                 _, key = self.asked(rig, op, body=b"x" * 500)
                 self.block(scorer, after_bytes=100)
-                rig.front.table.send(io.Send(key, BY_POOL))
+                rig.front.requests.send(io.Send(key, BY_POOL))
                 self.turn(rig, times=1)
                 how(scorer.links[0].sock)
                 self.read(link.connection)
@@ -91,7 +91,7 @@
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
                 _, key = self.asked(rig, op)
-                rig.front.table.send(io.Send(key, BY_POOL))
+                rig.front.requests.send(io.Send(key, BY_POOL))
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 how(scorer.links[0].sock)
                 self.read(link.connection)
@@ -103,9 +103,9 @@
         link = self.link_up(rig, scorer)
         _, key = self.asked(rig, "settle", body=b"x" * 500)
         blocked = self.block(scorer, after_bytes=100)
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         self.turn(rig, times=1)
-        rig.front.table.cancel(io.Cancel(key, 0))
+        rig.front.requests.cancel(io.Cancel(key, 0))
         self.assertEqual((self.endings(), link.streams), ([io.Ending.CANCELLED], {}))
         self.unblock(blocked)
         rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
@@ -117,18 +117,18 @@
     def test_one_that_comes_up_after_its_time_is_closed_unused(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS})
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
         self.clock.advance(DIAL_MS + 5.0)
         rig.front.loop.timers.advance()  # its time runs out as it is up, and not read yet
         self.assertEqual((ended, link.connection.closed), ([(EndReason.DIAL_TIMED_OUT, False)], True))
         rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees it end")
-        self.assertEqual((scorer.frames, rig.front.pool._links), ([], 0))
+        self.assertEqual((scorer.frames, rig.front.scorer_pool._links), ([], 0))
 
     def test_one_that_is_seen_up_in_the_turn_in_which_its_time_runs_out_is_used(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS})
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.clock.advance(DIAL_MS + 5.0)
         rig.until(lambda: scorer.runs, "it runs")
         self.assertEqual(ended, [])
@@ -136,7 +136,7 @@
     def test_one_to_a_gone_scorer_carries_nothing_for_the_next_at_its_address(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
-        pool, address = rig.front.pool, self.address(scorer)
+        pool, address = rig.front.scorer_pool, self.address(scorer)
         pool.send(attempt(BY_POOL, ended))
         [old] = self.links(rig)
         pool.update(BY_POOL, None, io.State.GONE, 0.0)
@@ -152,9 +152,9 @@
         old, new, ended = ScorerPeer(copies=None), ScorerPeer(copies=None), []
         rig = self.rig(old)
         rig.scorers.append(new)
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
-        rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
+        rig.front.scorer_pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
         rig.until(lambda: new.runs and link.connection.closed, "it runs at the new address")
         self.assertEqual((old.frames, ended), ([], []))
 
@@ -162,9 +162,9 @@
         old, new, ended = ScorerPeer(copies=None), ScorerPeer(copies=None), []
         rig = self.rig(old)
         rig.scorers.append(new)
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
-        rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
+        rig.front.scorer_pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
         link.connection.close(EndReason.REFUSED)
         self.assertEqual(ended, [])
         rig.until(lambda: new.runs, "it runs at the new address")
@@ -173,10 +173,10 @@
         old, new, ended = ScorerPeer(copies=None), ScorerPeer(copies=None), []
         rig = self.rig(old)
         rig.scorers.append(new)
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
         self.faults.fail("connect", errno.EADDRNOTAVAIL)
-        rig.front.pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
+        rig.front.scorer_pool.update(BY_POOL, self.address(new), io.State.READY, 0.0)
         link.connection.close(EndReason.REFUSED)
         self.assertEqual(ended, [])
         self.clock.advance(scorer_pool.REDIAL_DELAY_MS + 5.0)
@@ -185,9 +185,9 @@
     def test_a_second_dial_makes_nothing_wait_for_longer_than_one_takes(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS | {"streams_per_conn": 1}})
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.clock.advance(DIAL_MS / 2)
-        rig.front.pool.send(attempt(BY_POOL, [], id=b"abcdefgh"))
+        rig.front.scorer_pool.send(attempt(BY_POOL, [], id=b"abcdefgh"))
         first, second = self.links(rig)
         self.clock.advance(DIAL_MS / 2 + 5.0)
         rig.front.loop.timers.advance()  # before either is seen to be up
@@ -200,8 +200,8 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        rig.front.pool.send(attempt(BY_POOL, ended))
-        rig.front.pool.update(BY_POOL, None, io.State.READY, 5.0)
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.update(BY_POOL, None, io.State.READY, 5.0)
         self.assertTrue(link.connection.closed)
         rig.until(lambda: scorer.runs, "it runs")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[1], []))
@@ -210,10 +210,10 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS | {"streams_per_conn": 1}})
         for number in range(scorer_pool.MAX_CONNECTIONS):
-            rig.front.pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
+            rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
         rig.until(lambda: len(scorer.runs) == scorer_pool.MAX_CONNECTIONS, "all links are in use")
-        rig.front.pool.update(BY_POOL, None, io.State.READY, 5.0)
-        rig.front.pool.send(attempt(BY_POOL, ended, id=b"abcdefgh"))
+        rig.front.scorer_pool.update(BY_POOL, None, io.State.READY, 5.0)
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=b"abcdefgh"))
         rig.until(lambda: len(scorer.runs) > scorer_pool.MAX_CONNECTIONS, "the new process runs it")
         self.assertEqual(ended, [])
 
@@ -223,18 +223,18 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         self.link_up(rig, scorer)
-        rig.front.pool.send(attempt(BY_POOL, ended))
-        rig.front.pool.close()
-        self.assertEqual((ended, rig.front.pool._links), ([(EndReason.STOPPED, False)], 0))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.close()
+        self.assertEqual((ended, rig.front.scorer_pool._links), ([(EndReason.STOPPED, False)], 0))
 
     def test_an_idle_link_gives_way_where_there_are_more_scorers_than_links(self):
         peers = [ScorerPeer(f"s-{number}", copies=None) for number in range(3)]
         rig = self.rig(*peers)
-        rig.front.pool.links_most = 2
+        rig.front.scorer_pool.max_connections = 2
         ended = []
         for number, peer in enumerate(peers):
             self.clock.advance(1.0)
-            rig.front.pool.send(attempt(BY_POOL + number, ended))
+            rig.front.scorer_pool.send(attempt(BY_POOL + number, ended))
             rig.until(lambda peer=peer: peer.runs, "it runs")
             peer.answer(peer.runs[0])
             rig.until(lambda number=number: len(ended) > number, "it is answered")
@@ -244,11 +244,11 @@
     def test_a_link_with_something_open_does_not(self):
         peers = [ScorerPeer(f"s-{number}", copies=None) for number in range(2)]
         rig = self.rig(*peers)
-        rig.front.pool.links_most = 1
+        rig.front.scorer_pool.max_connections = 1
         ended = []
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.until(lambda: peers[0].runs, "it runs")
-        rig.front.pool.send(attempt(BY_POOL + 1, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL + 1, ended))
         self.assertEqual(ended, [(EndReason.NO_DESCRIPTOR, False)])
         self.assertEqual(len(self.links(rig)), 1)
 
@@ -257,11 +257,11 @@
     def test_a_second_good_answer_ends_no_later_attempt_under_its_id(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.until(lambda: scorer.runs, "it runs")
         scorer.answer(scorer.runs[0], body=b"first")
         rig.until(lambda: ended, "it is answered")
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         scorer.answer(scorer.runs[0], body=b"first")
         rig.until(lambda: len(scorer.runs) == 2, "the next one runs")
         rig.settle(rig.client())
@@ -271,9 +271,9 @@
     def test_an_id_that_is_open_twice_is_answered_on_each_link_for_itself(self):
         scorer, first, second = ScorerPeer(copies=None), [], []
         rig = self.rig(scorer)
-        rig.front.pool.send(attempt(BY_POOL, first))
+        rig.front.scorer_pool.send(attempt(BY_POOL, first))
         rig.until(lambda: scorer.runs, "the first runs")
-        rig.front.pool.send(attempt(BY_POOL, second))
+        rig.front.scorer_pool.send(attempt(BY_POOL, second))
         rig.until(lambda: len(scorer.runs) == 2, "the second runs")
         scorer.answer(scorer.runs[1], 3, "")
         rig.until(lambda: second, "the second is full")
@@ -285,10 +285,10 @@
     def test_an_answer_after_giving_up_and_its_second_copy_end_nothing(self):
         scorer, ended, later = ScorerPeer(copies=None), [], []
         rig = self.rig(scorer)
-        rig.front.pool.send(given_up := attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(given_up := attempt(BY_POOL, ended))
         rig.until(lambda: scorer.runs, "it runs")
-        rig.front.pool.cancel(given_up)
-        rig.front.pool.send(attempt(BY_POOL, later, id=b"abcdefgh"))
+        rig.front.scorer_pool.cancel(given_up)
+        rig.front.scorer_pool.send(attempt(BY_POOL, later, id=b"abcdefgh"))
         for _ in range(2):
             scorer.answer(scorer.runs[0], body=b"late")
         rig.until(lambda: len(scorer.runs) == 2, "the later one runs")
@@ -303,7 +303,7 @@
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
                 blocked = self.block(scorer, after_bytes)
-                rig.front.pool.send(attempt(BY_POOL, ended))
+                rig.front.scorer_pool.send(attempt(BY_POOL, ended))
                 self.turn(rig)
                 before = scorer_frames.Frame(0, b"12345678", {}, b"")
                 scorer.answer((scorer.links[0], before), body=b"of an earlier one")
@@ -321,7 +321,7 @@
                 scorer = ScorerPeer()
                 rig = self.rig(scorer)
                 client, key = self.asked(rig, op)
-                rig.front.table.send(io.Send(key, BY_POOL))
+                rig.front.requests.send(io.Send(key, BY_POOL))
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 link, frame = scorer.runs[0]
                 whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, mark=scorer_frames.FROM_SCORER)
@@ -334,7 +334,7 @@
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         client, key = self.asked(rig)
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         rig.until(lambda: scorer.runs, "it runs")
         scorer.links[0].sock.sendall(b"\x81\0")
         [link] = self.links(rig)
@@ -348,10 +348,10 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         next_id = (1 << 62) - 5
-        rig.front.pool._order_ids = itertools.count(next_id)
-        rig.front.pool.send(attempt(BY_POOL, ended, id=next_id.to_bytes(8, "big")))
+        rig.front.scorer_pool._order_ids = itertools.count(next_id)
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=next_id.to_bytes(8, "big")))
         rig.until(lambda: scorer.runs, "the call runs")
-        rig.front.pool.order(order(BY_POOL, ended))
+        rig.front.scorer_pool.start_load(order(BY_POOL, ended))
         rig.until(lambda: scorer.of(scorer_frames.LOAD), "the order has come")
         [(link, frame)], [(of_call, call)] = scorer.of(scorer_frames.LOAD), scorer.runs
         self.assertEqual(frame.id, call.id)
@@ -366,7 +366,7 @@
         link = self.link_up(rig, scorer)
         with mock.patch("fawnwharf.net.scorer_connection.MAX_ANSWERED_IDS", 4):
             for number in range(6):
-                rig.front.pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
+                rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
                 rig.until(lambda number=number: len(scorer.runs) > number, "it runs")
                 scorer.answer(scorer.runs[number])
                 rig.until(lambda number=number: len(ended) > number, "it is answered")
