--- a/tests/test_scorer_faults.py
+++ b/tests/test_scorer_faults.py
@@ -56,7 +56,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS})
         fault = self.faults.fail(call, number(name), times=times)
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         return rig, scorer, ended, fault
 
     def test_a_passing_fault_is_tried_again_after_a_pause(self):
@@ -82,13 +82,13 @@
                 self.assertEqual(attempt_result(*ended[0]), io.Ending.NOT_SENT)
                 self.assertLessEqual(abs(self.clock.monotonic_ms - started_ms - DIAL_MS), 10.0)
                 self.assertTrue(2 <= fault.hits <= DIAL_MS / scorer_pool.REDIAL_DELAY_MS + 1, fault.hits)
-                self.assertEqual((self.links(rig), rig.front.pool._links), ([], 0))
+                self.assertEqual((self.links(rig), rig.front.scorer_pool._links), ([], 0))
 
     def test_a_lasting_fault_ends_nothing_before_a_later_one_has_waited_as_long(self):
         rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL", times=10**9)
         self.clock.advance(DIAL_MS / 2)
         later = []
-        rig.front.pool.send(attempt(BY_POOL, later, id=b"abcdefgh"))
+        rig.front.scorer_pool.send(attempt(BY_POOL, later, id=b"abcdefgh"))
         self.clock.advance(DIAL_MS / 2 + 5.0)
         self.turn(rig)
         self.assertEqual((len(ended), later), (1, []))
@@ -125,7 +125,7 @@
             with self.subTest(state.name):
                 rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL")
                 self.turn(rig)
-                rig.front.pool.update(BY_POOL, None, state, 0.0)
+                rig.front.scorer_pool.update(BY_POOL, None, state, 0.0)
                 self.assertEqual(ended, [(EndReason.PULLED_BACK, False)])
                 self.clock.advance(PAUSE_MS)
                 self.turn(rig)
@@ -133,8 +133,8 @@
 
     def test_one_called_off_in_the_pause_is_not_dialled_for(self):
         rig, scorer, ended, _ = self.waiting("connect", "ENETUNREACH")
-        [stream] = rig.front.pool.scorers[BY_POOL].waiting
-        rig.front.pool.cancel(stream)
+        [stream] = rig.front.scorer_pool.scorers[BY_POOL].waiting
+        rig.front.scorer_pool.cancel(stream)
         self.clock.advance(PAUSE_MS)
         self.turn(rig)
         self.assertEqual((ended, scorer.links), ([(EndReason.CALLED_OFF, False)], []))
@@ -142,7 +142,7 @@
     def test_an_address_told_in_the_pause_is_the_one_that_is_dialled(self):
         rig, scorer, ended, _ = self.waiting("connect", "ENETUNREACH")
         rig.scorers.append(moved := ScorerPeer(copies=None))
-        rig.front.pool.update(BY_POOL, self.address(moved), io.State.READY, 0.0)
+        rig.front.scorer_pool.update(BY_POOL, self.address(moved), io.State.READY, 0.0)
         self.clock.advance(PAUSE_MS)
         rig.until(lambda: moved.runs, "it runs at the new one")
         self.assertEqual((scorer.links, ended), ([], []))
@@ -153,7 +153,7 @@
                 scorer = ScorerPeer()
                 rig = self.rig(known=[scorer])
                 client = rig.client()
-                rig.until(lambda rig=rig: rig.front.port.clients, "the client is accepted")
+                rig.until(lambda rig=rig: rig.front.client_port.clients, "the client is accepted")
                 fault = self.faults.fail(call, number(name), times=2)
                 client.call()
                 for hits in (1, 2):
@@ -170,7 +170,7 @@
         rig = self.rig(scorer)
         before = len(os.listdir("/proc/self/fd"))
         with mock.patch.object(rig.front.loop, "watch", side_effect=OSError(errno.ENOSPC, "watch")):
-            rig.front.pool.send(attempt(BY_POOL, ended))
+            rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.assertEqual(len(os.listdir("/proc/self/fd")), before)
         with (
             mock.patch.object(rig.front.loop, "watch", side_effect=KeyError("watch")),
@@ -185,7 +185,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         with mock.patch.object(connection.socket.socket, "setsockopt", side_effect=OSError(1, "no")):
-            rig.front.pool.send(attempt(BY_POOL, ended))
+            rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.until(lambda: scorer.runs, "it runs")
 
 
@@ -197,7 +197,7 @@
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
                 fault = self.faults.fail("sendmsg", number(name), times=10**9, where=self.to(scorer))
-                rig.front.pool.send(attempt(BY_POOL, ended))
+                rig.front.scorer_pool.send(attempt(BY_POOL, ended))
                 self.turn(rig, times=20)
                 self.assertEqual((fault.hits, ended, link.connection.closed), (1, [], False))
                 fault.times = fault.hits
@@ -213,7 +213,7 @@
                 self.faults.fail("sendmsg", number(name), where=self.to(scorer))
                 ends, end_of_link = [], link.on_end
                 link.on_end = lambda end, ends=ends, then=end_of_link: (ends.append(end), then(end))
-                rig.front.pool.send(attempt(BY_POOL, ended))
+                rig.front.scorer_pool.send(attempt(BY_POOL, ended))
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs on another link")
                 self.assertEqual((ends, ended), ([end], []))
 
@@ -234,7 +234,7 @@
         link = self.link_up(rig, scorer)
         self.faults.shorten("sendmsg", 30, where=self.to(scorer))
         fault = self.faults.fail("sendmsg", errno.ENOMEM, times=10**9, where=self.to(scorer))
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.until(lambda: fault.hits, "it is in part")
         while not link.connection.closed:
             self.clock.advance(10.0)
--- a/tests/test_scorer_links.py
+++ b/tests/test_scorer_links.py
@@ -28,7 +28,7 @@
 
 
 def links_of(rig):
-    return [link for scorer in rig.front.pool.scorers.values() for link in scorer.links]
+    return [link for scorer in rig.front.scorer_pool.scorers.values() for link in scorer.links]
 
 
 def attempt(worker, ended, id=b"12345678", body=b"", within_ms=8000.0):
@@ -78,8 +78,8 @@
         rig, ended = self.rig(), []
         with socket.socket() as silent:  # bound, so that nobody else gets the port, but not listening
             silent.bind(("127.0.0.1", 0))
-            rig.front.pool.update(9, silent.getsockname(), io.State.READY, 0.0)
-            rig.front.pool.send(attempt(9, ended))
+            rig.front.scorer_pool.update(9, silent.getsockname(), io.State.READY, 0.0)
+            rig.front.scorer_pool.send(attempt(9, ended))
             rig.until(lambda: ended, "it ends")
         self.assertEqual(ended, [(EndReason.REFUSED, False)])
 
@@ -88,8 +88,8 @@
         for resets, ends in ((most, []), (most + 1, [(EndReason.RESET_BY_PEER, False)])):
             rig, ended = self.rig(), []
             with socket.create_server(("127.0.0.1", 0)) as listener:
-                rig.front.pool.update(9, listener.getsockname(), io.State.READY, 0.0)
-                rig.front.pool.send(attempt(9, ended))
+                rig.front.scorer_pool.update(9, listener.getsockname(), io.State.READY, 0.0)
+                rig.front.scorer_pool.send(attempt(9, ended))
                 for _ in range(resets):
                     [dial] = links_of(rig)
                     reset(listener.accept()[0])
@@ -101,7 +101,7 @@
 class Drains(Case):
     def pool(self, scorer):
         rig = self.rig(scorer)
-        return rig, rig.front.pool, front_end.scorer_number(scorer.id)
+        return rig, rig.front.scorer_pool, front_end.scorer_number(scorer.id)
 
     def test_what_waits_for_a_dial_or_is_unwritten_is_pulled_back(self):
         for state in (io.State.DRAINING, io.State.GONE):
@@ -110,11 +110,11 @@
                     scorer = ScorerPeer(copies=None)
                     rig, pool, id = self.pool(scorer)
                     if linked:
-                        pool.order(order(id, []))
+                        pool.start_load(order(id, []))
                         rig.until(lambda scorer=scorer: scorer.frames, "a link is up")
                     ended, before = [], len(scorer.frames)
                     pool.send(attempt(id, ended))
-                    pool.order(order(id, ended))
+                    pool.start_load(order(id, ended))
                     pool.update(id, None, state, 0.0)
                     self.assertEqual(ended, [(EndReason.PULLED_BACK, False)] * 2)
                     rig.settle(rig.client())
@@ -125,9 +125,9 @@
         rig, pool, id = self.pool(scorer)
         pool.update(id, None, io.State.DRAINING, 0.0)
         pool.send(attempt(id, ended))
-        pool.order(order(id, ended))
+        pool.start_load(order(id, ended))
         self.assertEqual(ended, [(EndReason.NEVER_SENT, False)] * 2)
-        pool.order(order(id, ended, copies=0))
+        pool.start_load(order(id, ended, copies=0))
         rig.until(lambda: len(ended) == 3, "the question is answered")
         self.assertEqual(ended[2], (io.Ending.GOOD, True))
 
@@ -138,7 +138,7 @@
         client.call()
         rig.until(lambda: scorer.runs, "it runs")
         rig.log.say({"seq": 2, "fleet": {"complete": False, "members": [scorer.member("terminating")]}})
-        rig.until(lambda: rig.front.changelog.seq == 2, "the drain is told")
+        rig.until(lambda: rig.front.change_log.seq == 2, "the drain is told")
         scorer.answer(scorer.runs[0], body=b"done")
         rig.until(lambda: client.answers, "it is answered")
         self.assertEqual(client.kinds(), {1: "answer"})
@@ -182,7 +182,7 @@
         peers = ScorerPeer("s-1"), ScorerPeer("s-2")
         rig, ended = self.rig(*peers), {"s-1": [], "s-2": []}
         for peer in peers:
-            rig.front.pool.send(attempt(front_end.scorer_number(peer.id), ended[peer.id]))
+            rig.front.scorer_pool.send(attempt(front_end.scorer_number(peer.id), ended[peer.id]))
         rig.until(lambda: all(peer.runs for peer in peers), "both run")
         peers[0].runs[0][0].sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
         rig.until(lambda: ended["s-1"], "the first one ends")
@@ -195,8 +195,8 @@
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
         for n in range(3):
-            rig.front.pool.send(attempt(id, ended, id=b"%08d" % n))
-            links = rig.front.pool.scorers[id].links
+            rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % n))
+            links = rig.front.scorer_pool.scorers[id].links
             rig.until(lambda n=n, links=links: [link.up for link in links] == [True] * (n + 2), "a spare")
             rig.until(lambda n=n: len(scorer.runs) > n, "it runs")
         scorer.runs[1][0].sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
@@ -210,13 +210,13 @@
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
-        rig.front.pool.order(order(id, ended))
+        rig.front.scorer_pool.start_load(order(id, ended))
         rig.until(lambda: ended and len(scorer.links) == 2, "a link and a spare are idle")
-        for peer, link in zip(scorer.links, list(rig.front.pool.scorers[id].links), strict=True):
+        for peer, link in zip(scorer.links, list(rig.front.scorer_pool.scorers[id].links), strict=True):
             peer.sock.shutdown(socket.SHUT_WR)
             self.assertTrue(ready(link.connection._sock))
-        rig.front.pool.send(attempt(id, ended))  # before the loop has read the ends
-        for link in rig.front.pool.scorers[id].links:
+        rig.front.scorer_pool.send(attempt(id, ended))  # before the loop has read the ends
+        for link in rig.front.scorer_pool.scorers[id].links:
             link.connection.flush()
         rig.until(lambda: scorer.runs, "it runs")
         self.assertEqual(ended, [(io.Ending.GOOD, True)])
@@ -226,8 +226,8 @@
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
         for n in range(33):
-            rig.front.pool.send(attempt(id, ended, id=b"%08d" % n))
-        rig.front.pool.send(attempt(id, ended, id=b"%08d" % 0))
+            rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % n))
+        rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % 0))
         rig.until(lambda: len(scorer.runs) == 34, "all run")
         for link in scorer.links:
             ids = [frame.id for at, frame in scorer.runs if at is link]
@@ -238,10 +238,10 @@
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
         id, first = front_end.scorer_number(scorer.id), []
-        rig.front.pool.send(given_up := attempt(id, first))
+        rig.front.scorer_pool.send(given_up := attempt(id, first))
         rig.until(lambda: scorer.runs, "it runs")
-        rig.front.pool.cancel(given_up)
-        rig.front.pool.send(attempt(id, ended))
+        rig.front.scorer_pool.cancel(given_up)
+        rig.front.scorer_pool.send(attempt(id, ended))
         rig.until(lambda: len(scorer.runs) == 2, "the second runs")
         scorer.answer(scorer.runs[0], body=b"of the first")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
@@ -261,29 +261,29 @@
         for sock in (full, *fillers):
             self.addCleanup(sock.close)
         rig = self.rig(scorer)
-        id, pool = front_end.scorer_number(scorer.id), rig.front.pool
-        pool.order(order(id, [], copies=0))
+        id, pool = front_end.scorer_number(scorer.id), rig.front.scorer_pool
+        pool.start_load(order(id, [], copies=0))
         rig.until(lambda: scorer.frames, "a link is up")
         pool.wire = msgspec.structs.replace(pool.wire, load_wait_ms=500.0, dial_timeout_ms=60.0)
-        rig.front.pool.update(9, full.getsockname(), io.State.READY, 0.0)
-        rig.front.pool.send(attempt(id, ended, within_ms=500.0))
+        rig.front.scorer_pool.update(9, full.getsockname(), io.State.READY, 0.0)
+        rig.front.scorer_pool.send(attempt(id, ended, within_ms=500.0))
         rig.until(lambda: ended, "the attempt ends")
-        rig.front.pool.order(order(id, ended))
+        rig.front.scorer_pool.start_load(order(id, ended))
         rig.until(lambda: len(ended) == 2, "the order ends")
-        rig.front.pool.send(attempt(9, ended))
+        rig.front.scorer_pool.send(attempt(9, ended))
         rig.until(lambda: len(ended) == 3, "the dial ends")
         self.assertEqual(ended, [(EndReason.OUT_OF_TIME, True)] * 2 + [(EndReason.DIAL_TIMED_OUT, False)])
 
     def test_a_link_forgotten_while_idle_makes_others_as_idle_unused(self):
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
-        id, pool = front_end.scorer_number(scorer.id), rig.front.pool
-        pool.order(order(id, ended))
+        id, pool = front_end.scorer_number(scorer.id), rig.front.scorer_pool
+        pool.start_load(order(id, ended))
         rig.until(lambda: ended and len(scorer.links) == 2, "a link and a spare are idle")
         used, spare = pool.scorers[id].links
         rig.until(lambda: min(used.idle_ms(), spare.idle_ms()) > 100.0, "both are idle for long")
         scorer.copies = None
-        pool.order(order(id, ended))
+        pool.start_load(order(id, ended))
         with mock.patch.object(scorer_pool, "STALE_RESET_MS", 60_000.0):
             rig.until(lambda: len(scorer.frames) == 2, "it is used again")
             reset(scorer.frames[1][0].sock)
@@ -296,7 +296,7 @@
     def test_half_a_frame_that_goes_no_further_ends_its_link(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
-        rig.front.pool.send(attempt(front_end.scorer_number(scorer.id), ended))
+        rig.front.scorer_pool.send(attempt(front_end.scorer_number(scorer.id), ended))
         rig.until(lambda: scorer.runs, "it runs")
         link, frame = scorer.runs[0]
         whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, mark=scorer_frames.FROM_SCORER)
@@ -309,11 +309,11 @@
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
         with mock.patch.object(scorer_pool, "SPREAD_CONNECTIONS", 1):
-            rig.front.pool.send(attempt(id, ended))
+            rig.front.scorer_pool.send(attempt(id, ended))
             rig.until(lambda: scorer.runs, "it runs")
             scorer.answer(scorer.runs[0], 3, "")
             rig.until(lambda: ended, "it is full")
-            rig.front.pool.send(attempt(id, ended))
+            rig.front.scorer_pool.send(attempt(id, ended))
             scorer.answer(scorer.runs[0], 3, "")
             rig.until(lambda: len(scorer.runs) == 2, "it runs again")
         scorer.answer(scorer.runs[1])
@@ -324,10 +324,10 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
-        rig.front.pool.send(attempt(id, ended))
+        rig.front.scorer_pool.send(attempt(id, ended))
         rig.until(lambda: scorer.runs, "it runs")
         with mock.patch.object(scorer_pool, "SILENT_MS", -1.0):
-            rig.front.pool.send(attempt(id, ended, id=b"abcdefgh"))
+            rig.front.scorer_pool.send(attempt(id, ended, id=b"abcdefgh"))
             rig.until(lambda: len(scorer.runs) == 2, "the second runs")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
 
@@ -335,7 +335,7 @@
         busy, idle = ScorerPeer("s-1", copies=None), ScorerPeer("s-2")
         rig, ended = self.rig(busy, idle, settings={"bounds": {"keepalive": 0.0}}), []
         for peer in (busy, idle):
-            rig.front.pool.order(order(front_end.scorer_number(peer.id), ended))
+            rig.front.scorer_pool.start_load(order(front_end.scorer_number(peer.id), ended))
         rig.until(lambda: ended and busy.frames, "one is answered")
         rig.until(lambda: idle.links[0].ended, "the idle one is closed")
         self.assertFalse(busy.links[0].ended)
@@ -345,7 +345,7 @@
         rig = self.rig(scorer, limits={"sockets": 32}, settings={"bounds": {"streams_per_conn": 1}})
         id = front_end.scorer_number(scorer.id)
         for n in range(40):
-            rig.front.pool.send(attempt(id, ended, id=b"%08d" % n))
+            rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % n))
         rig.until(lambda: len(scorer.runs) + len(ended) == 40, "all run or end")
         self.assertEqual(set(ended), {(EndReason.NO_DESCRIPTOR, False)})
         self.assertLessEqual(len(scorer.links), 32 * front_end.SCORER_SHARE)
--- a/tests/test_scorer_shuffles.py
+++ b/tests/test_scorer_shuffles.py
@@ -39,7 +39,7 @@
         self.case, self.chance = case, random.Random(seed)
         self.peers = [ApartScorer(f"s-{number}") for number in range(2)]
         self.rig = case.rig(*self.peers, settings={"bounds": BOUNDS})
-        self.pool = self.rig.front.pool
+        self.pool = self.rig.front.scorer_pool
         if self.chance.random() < 0.5:  # calls find links of their own
             self.pool.wire = self.rig.front.deployment.wire
         self.streams, self.ends, self.begun = [], {}, {}
@@ -85,7 +85,7 @@
 
     def order(self):
         self.add(stream := order(self.worker(), [], copies=self.chance.randrange(2)))
-        self.pool.order(stream)
+        self.pool.start_load(stream)
 
     def open(self):
         return [stream for stream in self.streams if stream not in self.ends]
@@ -97,7 +97,7 @@
     def take_back(self):
         if found := self.open():
             stream = self.chance.choice(found)
-            self.pool.take_back(stream)
+            self.pool.cancel_unsent(stream)
             self.case.assertTrue(stream in self.ends or stream.begun)
 
     def advance(self):
@@ -166,7 +166,7 @@
         self.case.faults.fail(call, error, where=where)
 
     def tidy(self):
-        self.pool.tidy()
+        self.pool.run_maintenance()
 
     # --- what always holds --------------------------------------------------------------------
 
--- a/tests/test_sessions_service.py
+++ b/tests/test_sessions_service.py
@@ -142,10 +142,10 @@
     client = rig.client("a0")
     rig.call(client)
     rig.until(lambda: rig.agent("a0").keeper.records, "the keeper knows it")
-    seam = rig.seams["a0"]
-    seam.release()
+    extension = rig.extensions["a0"]
+    extension.suspend()
     assert rig.call(client) == "answer"  # nobody asks for homes meanwhile
-    seam.take_back(rig.fronts["a0"])
+    extension.resume(rig.fronts["a0"])
     assert rig.agent("a0").keeper.records == {} and not rig.agent("a0").sure(monotonic_ms())
     rig.until(lambda: rig.agent("a0").sure(monotonic_ms()), "it heard the others")
     assert SESSION in rig.agent("a0").keeper.records and rig.call(client) == "answer"
@@ -180,8 +180,8 @@
     rig.until(lambda: rig.part("b0").foreseen.bad == 1, "a bad word is counted")
     assert rig.part("b0").foreseen._look(0.0).heard == ("a0", "b0", "c0")
     (rig.folder / "b0").mkdir()
-    rig.seams["b0"].release()
-    rig.seams["b0"].take_back(rig.fronts["b0"])
+    rig.extensions["b0"].suspend()
+    rig.extensions["b0"].resume(rig.fronts["b0"])
     assert rig.part("b0").foreseen.staging.functions.facts(ROW).class_name == "view"  # was left by the first
 
 
--- a/tests/test_shutdown_answers.py
+++ b/tests/test_shutdown_answers.py
@@ -33,7 +33,7 @@
         client.call(op=op)
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "both run")
     with mock.patch.object(graceful_shutdown, "answer_within_ms", lambda settings: SHORT_MS):
-        rig.front.leave()
+        rig.front.shut_down()
     rig.until(lambda: len(client.answers) == 2, "both are answered")
     assert client.kinds() == {1: "throttled", 2: "broken"}
 
@@ -43,7 +43,7 @@
     rig.settle(client)
     client.answers.clear()
     with mock.patch.object(graceful_shutdown, "answer_within_ms", lambda settings: 0.0):
-        rig.front.leave()
+        rig.front.shut_down()
     client.call()
     rig.until(lambda: client.answers, "it is answered")
     assert client.kinds() == {1: "throttled"}
--- a/tests/test_start_orders.py
+++ b/tests/test_start_orders.py
@@ -50,7 +50,7 @@
         ([{"seq": 1, "fleet": 5}, event(2, scorer.member()), event(3, other.member())], 0),
     ):
         front, lines = front_of(log, results)
-        assert len(front.pool.scorers) == 2 and front.changelog.seq == seq
+        assert len(front.scorer_pool.scorers) == 2 and front.change_log.seq == seq
         assert sum("known.results" in line for line in lines) == 1
         front.close()
     with pytest.raises(ConfigError):
@@ -75,7 +75,7 @@
         rig.log.say(b"1")
     else:
         rig.front._start_ms -= front_end.MAX_ROSTER_WAIT_MS
-    rig.until(lambda: rig.front.port.takes_work, "it takes work")
+    rig.until(lambda: rig.front.client_port.accepts_requests, "it takes work")
     rig.settle(client)
     assert client.answers[-1][2][3] is True
     rig.close()
@@ -83,5 +83,5 @@
 
 def test_with_a_scorer_in_service_known_it_says_good_at_once_whatever_the_log_does():
     rig = Rig(ScorerPeer(), start=False)
-    assert rig.front.port.takes_work
+    assert rig.front.client_port.accepts_requests
     rig.close()
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -79,13 +79,13 @@
 
 @pytest.mark.parametrize("apart_ms", [2 * HOUR, -2 * HOUR])
 def test_a_scorer_that_restarts_by_another_clock_is_cold_now_and_its_copies_are_believed(rig, apart_ms):
-    rig.log.say(rig.front.changelog.seq)
-    rig.until(lambda: rig.front.changelog.told_all_ms is not None, "the log is followed")
-    seq, worker = rig.front.changelog.seq + 1, rig.front.router.workers[scorer_number("s-1")]
+    rig.log.say(rig.front.change_log.seq)
+    rig.until(lambda: rig.front.change_log.told_all_ms is not None, "the log is followed")
+    seq, worker = rig.front.change_log.seq + 1, rig.front.router.workers[scorer_number("s-1")]
     cold_ms = rig.front.deployment.settings.cold_ms
     member = rig.scorers[0].member(up_since_ms=unix_ms() + apart_ms)
     rig.log.say({"seq": seq, "fleet": {"members": [member]}})
-    rig.until(lambda: rig.front.changelog.seq == seq and not rig.front._news, "it is taken")
+    rig.until(lambda: rig.front.change_log.seq == seq and not rig.front._pending_change, "it is taken")
     assert 0.0 <= rig.front.loop.clock.now_ms() - worker.started_ms < cold_ms
     rig.client().call(seqid=1)
     fns, copies = rig.front.router.functions, rig.front.router._copies
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -99,7 +99,7 @@
         heard = feed._connection.heard_ms
         self.until(lambda: feed._connection.heard_ms > heard, "a pulse comes")
         with mock.patch("fawnwharf.net.change_log.monotonic_ms", lambda: connection.monotonic_ms() + 5_000.0):
-            feed.tidy()
+            feed.run_maintenance()
         self.assertIn("silent", self.dropped[-1])
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -148,21 +148,21 @@
 def test_a_plan_closes_scorers_and_never_opens_one_that_drains():
     overlay = RosterOverlay()
     fleet = config.Fleet([*scorers("a1", "b1"), *scorers("b2", phase="terminating")], complete=True)
-    assert phases(overlay.told(fleet)) == {"a1": "in_service", "b1": "in_service", "b2": "terminating"}
+    assert phases(overlay.apply(fleet)) == {"a1": "in_service", "b1": "in_service", "b2": "terminating"}
     out = plan(a=(p.SERVING, 2, 0.5, "x"), b=(p.OUT, 2, 0.5, "x"))
-    assert phases(overlay.close("zones", roster.closer(out, "a"))) == {"b1": "terminating"}
-    assert phases(overlay.told(config.Fleet(scorers("b3")))) == {"b3": "terminating"}
+    assert phases(overlay.set_filter("zones", roster.closer(out, "a"))) == {"b1": "terminating"}
+    assert phases(overlay.apply(config.Fleet(scorers("b3")))) == {"b3": "terminating"}
     assert [m.id for m in roster.in_zone(overlay.members.values(), "b")] == ["b1", "b3"]
-    back = overlay.close("zones", roster.closer(None, "a"))
+    back = overlay.set_filter("zones", roster.closer(None, "a"))
     assert phases(back) == {"b1": "in_service", "b3": "in_service"}
     assert roster.sizes(overlay.members.values()) == {"a": 2.0, "b": 4.0}
 
 
 def test_the_roster_keeps_what_a_change_does_not_tell_again():
     overlay = RosterOverlay()
-    overlay.told(config.Fleet(scorers("b1"), complete=True))
+    overlay.apply(config.Fleet(scorers("b1"), complete=True))
     gone = config.Member("b1", "terminated")
-    [told] = overlay.told(config.Fleet([gone])).members
+    [told] = overlay.apply(config.Fleet([gone])).members
     assert (told.phase, told.host_port, told.locality) == ("terminated", "127.0.0.1:1", "b")
     assert overlay.members == {}
 
