--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -141,7 +141,7 @@
         self._shutdown: GracefulShutdown | None = None
         self._start_ms = monotonic_ms()
         self.started = False
-        self.operators: OperatorsComponent | None = None
+        self.admin: OperatorsComponent | None = None
 
     @property
     def extension(self) -> Extension | None:
@@ -154,7 +154,7 @@
     @property
     def replaced(self) -> bool:
         """Whether another process has taken this one's place."""
-        return self.operators is not None and self.operators.replaced
+        return self.admin is not None and self.admin.replaced
 
     @property
     def address(self) -> Address:
@@ -168,11 +168,11 @@
         self.scorer_pool.max_connections = _scorer_descriptors(self.deployment.sockets, part)
 
     def start(self) -> None:
-        if self.operators:
+        if self.admin:
             self.loop.run_iteration(
                 0.0
             )  # the module has its roster before it is told what another process learnt
-            self.operators.begin()
+            self.admin.begin()
         self.client_port.set_accepting(True)
         self.change_log.connect()
         self.loop.timers.after(TIDY_MS, self._run_maintenance)
@@ -215,13 +215,13 @@
             return
         self.log("leaving")
         self._shutdown = GracefulShutdown(self)
-        if self.operators:
-            self.loop.run_guarded(self.operators.leave)
+        if self.admin:
+            self.loop.run_guarded(self.admin.leave)
         self.client_port.ready = self.replaced  # the front asks for the other process's sake, too
         self._shutdown.look()
 
     def close(self) -> None:
-        for part in (self.operators, self._extension):
+        for part in (self.admin, self._extension):
             if part:
                 part.close()
         self.client_port.close()
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -42,7 +42,7 @@
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
-    if front.operators is not None and front.operators.takes_over and termination_pending():
+    if front.admin is not None and front.admin.takes_over and termination_pending():
         front.close()  # the process that serves goes on as if this one had not come
         return 0
     gc.freeze()  # what the start has made stays: no collection needs to walk it
@@ -59,29 +59,31 @@
             raise config.ConfigError(f"--{name}: goes by the logs of --{missing[0]}, which is not given")
     makers: dict[str, Maker] = {}
     if files:
-        from fawnwharf.zones.log import writer
+        from fawnwharf.zones.operator_log import writer
 
         write = writer(deployment.name)
     if place := files.get("zones"):
-        from fawnwharf.zones.service import Zones
+        from fawnwharf.zones.service import ZoneService
 
-        makers["zones"] = lambda first, made, place=place: Zones(deployment, place, write)
+        makers["zones"] = lambda first, made, place=place: ZoneService(deployment, place, write)
     if place := files.get("recovery"):
-        from fawnwharf.recovery_service.onstore import kept
+        from fawnwharf.recovery_service.recovery_store import open_recovery_store
 
-        makers["kept"] = lambda first, made, place=place: kept(
+        makers["kept"] = lambda first, made, place=place: open_recovery_store(
             deployment, place, files["state"], write, fresh and first
         )
     if place := files.get("state"):
-        from fawnwharf.replication.service import State
+        from fawnwharf.replication.service import ReplicationService
 
-        makers["state"] = lambda first, made, place=place: State(
+        makers["state"] = lambda first, made, place=place: ReplicationService(
             deployment, place, write, fresh and first, made.get("kept")
         )
     if place := files.get("policy"):
-        from fawnwharf.policy_rollout.service import Policies
+        from fawnwharf.policy_rollout.service import PolicyRolloutService
 
-        makers["policy"] = lambda first, made, place=place: Policies(deployment, place, write, made)
+        makers["policy"] = lambda first, made, place=place: PolicyRolloutService(
+            deployment, place, write, made
+        )
     if place := files.get("sessions"):
         from fawnwharf.sessions.service import Sessions
 
@@ -89,9 +91,9 @@
             deployment, place, write, made, fresh and first
         )
     if place := files.get("recovery"):
-        from fawnwharf.recovery_service.service import Rejoin
+        from fawnwharf.recovery_service.service import RecoveryService
 
-        makers["recovery"] = lambda first, made, place=place: Rejoin(deployment, place, write, made)
+        makers["recovery"] = lambda first, made, place=place: RecoveryService(deployment, place, write, made)
     return makers
 
 
@@ -99,18 +101,18 @@
     makers = _makers(deployment, files, fresh)
     inherited = None
     if deployment.control:
-        from fawnwharf.admin.replacement import inherit
+        from fawnwharf.admin.hot_restart import inherit_state
 
-        inherited = inherit(deployment, bool(makers))  # first: the process before may have their disks
+        inherited = inherit_state(deployment, bool(makers))  # first: the process before may have their disks
     extension = ExtensionGroup(makers, not (inherited and inherited.channel)) if makers else None
     listener = (inherited and inherited.listener) or _listener(deployment)
     front = FrontEnd(deployment, reread=lambda: config.load(path), extension=extension, listener=listener)
     if extension:
         extension.attach(front)
     if deployment.control:
-        from fawnwharf.admin.service import Operators
+        from fawnwharf.admin.service import AdminService
 
-        Operators(front, deployment.control, inherited)
+        AdminService(front, deployment.control, inherited)
     return front
 
 
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -7,9 +7,9 @@
 from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason
 from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import TimerWheel, monotonic_ms
-from fawnwharf.zones import roster
-from fawnwharf.zones.evidence import Observer, View, view
-from fawnwharf.zones.settings import Evidence
+from fawnwharf.zones import roster_closing
+from fawnwharf.zones.evidence import EvidenceCollector, ZoneHealth, zone_health
+from fawnwharf.zones.settings import EvidenceSettings
 
 PROBE_MS = 250.0  # pace of dials into zones that give no sign by themselves
 HELD_MS = 60.0  # a probe that came up stays for so long
@@ -59,8 +59,8 @@
     def __init__(
         self,
         front: FrontEnd,
-        observer: Observer,
-        rules: Evidence,
+        observer: EvidenceCollector,
+        rules: EvidenceSettings,
         name: str,
         zones: Callable[[], Iterable[str]],
         turned: Callable[[float], None],
@@ -85,26 +85,26 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        seen = self._observer.seen(now)
+        seen = self._observer.evidence(now)
         for zone in self._zones():
             signs = seen.get(zone)
-            few = signs is None or signs.heard + signs.bad < 2 * self._rules.least
-            if few or self._observer.quiet_ms(now, zone) >= PROBE_MS:
+            few = signs is None or signs.responses + signs.failures < 2 * self._rules.min_signs
+            if few or self._observer.since_success_ms(now, zone) >= PROBE_MS:
                 self._dial(zone)
         self._look_at_views(now)
         self._front.loop.timers.after(PROBE_MS, self.look)
 
     def _look_at_views(self, now_ms: float) -> None:
         """A view that has turned is told before its time."""
-        seen = self._observer.seen(now_ms)
-        dead = {zone for zone, signs in seen.items() if view(signs, self._rules) is View.DEAD}
+        seen = self._observer.evidence(now_ms)
+        dead = {zone for zone, signs in seen.items() if zone_health(signs, self._rules) is ZoneHealth.DEAD}
         if dead != self._dead:
             self._dead = dead
             self._turned(now_ms)
 
     def _dial(self, zone: str, more: int = 0) -> None:
         """Dial one scorer of the zone; where it fails and the zone was well till now, two others at once."""
-        scorers = roster.in_zone(self._front.roster_overlay.members.values(), zone)
+        scorers = roster_closing.in_zone(self._front.roster_overlay.members.values(), zone)
         if not scorers:
             return
         place = self._places.get(zone, self._first) + 1  # not all at the same one
@@ -115,7 +115,7 @@
 
         def told(good: bool) -> None:
             now = monotonic_ms()
-            self._observer.dialled(now, zone, scorer_number(member.id), good)
+            self._observer.record_probe(now, zone, scorer_number(member.id), connected=good)
             if not good and zone not in self._dead:
                 for _ in range(2 - more):
                     self._dial(zone, more=2)
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -1,46 +1,49 @@
-"""The operators' files for zones: settings, members and requests. Pure.
+"""Files that operators write for zones: settings, membership and operator requests.
 
-Each is JSON, taken whole or not at all; a faulty one raises FileFault, whose text names the key. Durations
-are milliseconds, shares are parts of one.
+Each file is JSON and is accepted as a whole or rejected as a whole. A faulty file raises SettingsFileError,
+whose text names the key. Durations are in milliseconds, fractions are between 0 and 1. The module is pure.
 """
 
-from typing import Annotated, Any
+from collections.abc import Collection
+from typing import Annotated, Any, Protocol, TypeVar
 
 import msgspec
 from msgspec import Meta, Struct
 
 VERSION = 1
-MEMBERS_MOST = 2_000
-VOTER_COUNTS = (1, 3, 5, 7)  # one alone is for trials: nothing is decided while it is away
+MAX_MEMBERS = 2_000
+VOTER_COUNTS = (1, 3, 5, 7)  # a single voter is for trials: nothing is decided while it is down
 
 Name = Annotated[str, Meta(min_length=1, max_length=48, pattern=r"^[0-9A-Za-z_.:-]+$")]
-Share = Annotated[float, Meta(ge=0.0, le=1.0)]
-Span = Annotated[float, Meta(gt=0.0, le=3_600_000.0)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
+DurationMs = Annotated[float, Meta(gt=0.0, le=3_600_000.0)]
 HostPort = Annotated[str, Meta(min_length=3, max_length=64, pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
 
 
-class FileFault(ValueError):
-    """A file that can't be taken; the text names the key."""
+class SettingsFileError(ValueError):
+    """A file that cannot be accepted; the text names the key."""
 
 
 class MemberEntry(Struct, frozen=True):
-    """One front end: the address of its log, and of its ballots where it votes."""
+    """One front end of the fleet, as the membership file names it."""
 
     name: Name
     zone: Name
-    address: HostPort
+    address: HostPort  # of its member log
     region: Annotated[str, Meta(max_length=48)] = ""
-    ballots: HostPort | None = None  # voters have one
-    state: HostPort | None = None  # where its log of replicated state is, where it keeps any
+    # The address of its voter log; only voters have one.
+    ballots: HostPort | None = None
+    # The address of its log of replicated state; only members that keep such state have one.
+    state: HostPort | None = None
 
 
-class Members(Struct, frozen=True):
+class Membership(Struct, frozen=True):
     """The members of the fleet; a later file has a larger number."""
 
     version: int
     fleet: Name
     number: Annotated[int, Meta(ge=1)]
-    members: Annotated[list[MemberEntry], Meta(min_length=1, max_length=MEMBERS_MOST)]
+    members: Annotated[list[MemberEntry], Meta(min_length=1, max_length=MAX_MEMBERS)]
 
     @property
     def voters(self) -> list[MemberEntry]:
@@ -49,176 +52,242 @@
 
     @property
     def zones(self) -> dict[str, str]:
-        """Each zone and its region."""
+        """The region of each zone, by zone name."""
         return {member.zone: member.region for member in self.members}
 
     def named(self, name: str) -> MemberEntry | None:
-        """The member of this name; None for an unknown one."""
+        """The member with this name, or None."""
         return next((member for member in self.members if member.name == name), None)
 
 
-class Evidence(Struct, frozen=True):
-    """When evidence on a zone counts, and for what."""
+class EvidenceSettings(Struct, frozen=True):
+    """How much health evidence amounts to a view of a zone, and how long it counts."""
 
-    window_ms: Span = 2_000.0  # what was seen longer ago is forgotten
-    least: Annotated[int, Meta(ge=1)] = 3  # signs that a view of a zone rests on
-    dead_share: Share = 0.8  # of the signs bad: the zone is dead for this observer
-    slow_share: Share = 0.5  # of the answers slow
-    report_ms: Span = 300.0  # pace of reports
-    report_life_ms: Span = 1_200.0  # and how long one counts
-    quiet_ms: Span = 400.0  # with no good sign for so long, `least` bad scorers are enough
-    hush_ms: Span = 700.0  # a front end without a report for so long does not speak for its zone
-    witnesses: Annotated[int, Meta(ge=1)] = 2  # observers that a zone's word takes, where it has so many
+    # Evidence older than this is forgotten.
+    window_ms: DurationMs = 2_000.0
+    # The fewest signs, or failing scorers, that a view of a zone is based on.
+    min_signs: Annotated[int, Meta(ge=1)] = msgspec.field(name="least", default=3)
+    # With this fraction of failures among all signs, a zone is dead for the observer.
+    dead_fraction: Fraction = msgspec.field(name="dead_share", default=0.8)
+    # With this fraction of slow responses among all responses, a zone is slow for the observer.
+    slow_fraction: Fraction = msgspec.field(name="slow_share", default=0.5)
+    # The interval between two reports of a member, and the time for which a report counts.
+    report_interval_ms: DurationMs = msgspec.field(name="report_ms", default=300.0)
+    report_ttl_ms: DurationMs = msgspec.field(name="report_life_ms", default=1_200.0)
+    # After this time without a success, `min_signs` failing scorers make a zone dead.
+    no_success_ms: DurationMs = msgspec.field(name="quiet_ms", default=400.0)
+    # A front end that has not reported for this long is not counted as present in its zone.
+    reporter_silence_ms: DurationMs = msgspec.field(name="hush_ms", default=700.0)
+    # The fewest observers that a zone's opinion is based on, where the zone has that many.
+    min_observers: Annotated[int, Meta(ge=1)] = msgspec.field(name="witnesses", default=2)
 
 
-class Damping(Struct, frozen=True):
-    """How long evidence has to last before anything follows from it."""
+class DampingSettings(Struct, frozen=True):
+    """How long a condition must last before the plan changes."""
 
-    out_ms: Span = 1_500.0
-    sure_ms: Span = 400.0  # the same where nobody in the zone is heard, and all that see others agree
-    slow_ms: Span = 5_000.0
-    back_ms: Span = 3_000.0  # and twice that for each time it went out lately
-    back_most_ms: Span = 60_000.0
-    flap_ms: Span = 600_000.0  # for so long a time out counts
-    leave_ms: Span = 3_000.0  # from leaving to out
+    # For a zone that is lost, and the same where all observers agree and the zone itself is silent.
+    failover_delay_ms: DurationMs = msgspec.field(name="out_ms", default=1_500.0)
+    unanimous_failover_delay_ms: DurationMs = msgspec.field(name="sure_ms", default=400.0)
+    slow_delay_ms: DurationMs = msgspec.field(name="slow_ms", default=5_000.0)
+    # Before a zone recovers; doubled for each recent failure, up to the maximum.
+    recovery_delay_ms: DurationMs = msgspec.field(name="back_ms", default=3_000.0)
+    max_recovery_delay_ms: DurationMs = msgspec.field(name="back_most_ms", default=60_000.0)
+    # After this time in service one recent failure is forgotten.
+    flap_memory_ms: DurationMs = msgspec.field(name="flap_ms", default=600_000.0)
+    # How long a zone drains before it is out.
+    drain_ms: DurationMs = msgspec.field(name="leave_ms", default=3_000.0)
 
 
-class Ramp(Struct, frozen=True):
-    """How a zone returns: what parts of its scorers, and for how long each."""
+class RampSettings(Struct, frozen=True):
+    """How a zone recovers: which fractions of its scorers are opened, and for how long each."""
 
-    shares: Annotated[tuple[Share, ...], Meta(min_length=1, max_length=20)] = (0.25, 0.5, 0.75)
-    step_ms: Span = 3_000.0
+    fractions: Annotated[tuple[Fraction, ...], Meta(min_length=1, max_length=20)] = msgspec.field(
+        name="shares", default=(0.25, 0.5, 0.75)
+    )
+    step_ms: DurationMs = 3_000.0
 
 
-class Spill(Struct, frozen=True):
-    """What a zone may be sent from others' front ends, as a part of its size."""
+class SpilloverSettings(Struct, frozen=True):
+    """How much traffic of other zones a zone takes, as a fraction of its size."""
 
-    share: Share = 0.5
-    zones: dict[str, Share] = {}  # where it differs
+    fraction: Fraction = msgspec.field(name="share", default=0.5)
+    # The zones for which it differs.
+    fraction_by_zone: dict[str, Fraction] = msgspec.field(name="zones", default_factory=dict)
 
 
-class Voting(Struct, frozen=True):
-    """Times of the consensus protocol, and the part by which clocks' rates may differ."""
+class ConsensusSettings(Struct, frozen=True):
+    """Timing of the consensus protocol."""
 
-    beat_ms: Span = 150.0
-    election_ms: Span = 1_000.0
-    skew: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.1
-    fresh_ms: Span = 500.0  # pace at which a leader says that its plan is the last one
-    valid_ms: Span = 2_000.0  # without hearing so for this long a plan is old
+    heartbeat_ms: DurationMs = msgspec.field(name="beat_ms", default=150.0)
+    election_timeout_ms: DurationMs = msgspec.field(name="election_ms", default=1_000.0)
+    # The fraction by which the rates of two clocks may differ.
+    max_clock_skew: Annotated[float, Meta(ge=0.0, le=0.5)] = msgspec.field(name="skew", default=0.1)
+    # How often a leader states that its plan is the latest one.
+    freshness_interval_ms: DurationMs = msgspec.field(name="fresh_ms", default=500.0)
+    # A plan is stale when it has not been stated to be the latest for this long.
+    plan_validity_ms: DurationMs = msgspec.field(name="valid_ms", default=2_000.0)
 
 
-class Settings(Struct, frozen=True):
-    """The file that switches zones on; relative paths are from its own folder."""
+class ZoneSettings(Struct, frozen=True):
+    """The file that switches zones on; relative paths start at its own folder."""
 
     version: int
-    members: str
-    folder: str  # for terms, votes and decisions; it has to outlive the process
-    wishes: str = ""  # what operators ask of this member; in `folder` where it is not said
-    listen: str = ""  # where it differs from the member's address
-    listen_ballots: str = ""
-    evidence: Evidence = msgspec.field(default_factory=Evidence)
-    damping: Damping = msgspec.field(default_factory=Damping)
-    ramp: Ramp = msgspec.field(default_factory=Ramp)
-    spill: Spill = msgspec.field(default_factory=Spill)
-    voting: Voting = msgspec.field(default_factory=Voting)
-
-
-class Wishes(Struct, frozen=True):
-    """An operator's request: these zones drained. A later one has a larger number."""
+    membership_file: str = msgspec.field(name="members")
+    # For terms, votes and decisions; it must outlive the process.
+    state_folder: str = msgspec.field(name="folder")
+    # The operator requests to this member; `wishes.json` in the state folder where it is empty.
+    operator_request_file: str = msgspec.field(name="wishes", default="")
+    # Addresses to listen at, where they differ from those in the membership file.
+    listen: str = ""
+    listen_voter_address: str = msgspec.field(name="listen_ballots", default="")
+    evidence: EvidenceSettings = msgspec.field(default_factory=EvidenceSettings)
+    damping: DampingSettings = msgspec.field(default_factory=DampingSettings)
+    ramp: RampSettings = msgspec.field(default_factory=RampSettings)
+    spillover: SpilloverSettings = msgspec.field(name="spill", default_factory=SpilloverSettings)
+    consensus: ConsensusSettings = msgspec.field(name="voting", default_factory=ConsensusSettings)
+
+
+class OperatorRequest(Struct, frozen=True):
+    """An operator's request to drain these zones; a later request has a larger number."""
 
     version: int = VERSION
     number: Annotated[int, Meta(ge=0)] = 0
     drained: Annotated[tuple[Name, ...], Meta(max_length=64)] = ()
 
 
-def file_from(data: bytes, kind: type, what: str, version: int) -> Any:
-    """Decode a file of JSON by its type, whose `version` has to be this one.
+class VersionedFile(Protocol):
+    """A decoded file with a format version."""
+
+    @property
+    def version(self) -> int:
+        """The version of the file's format."""
+
+
+VersionedT = TypeVar("VersionedT", bound=VersionedFile)
+FileT = TypeVar("FileT")
 
-    Raises FileFault with the key at fault, or `what` for the whole file.
+
+def decode_versioned_file(data: bytes, kind: type[VersionedT], what: str, version: int) -> VersionedT:
+    """Decode a JSON file into its type and check its version.
+
+    Raises SettingsFileError with the faulty key, or with `what` for a fault of the whole file.
     """
     try:
-        found = msgspec.json.decode(data, type=kind)
+        decoded = msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        raise FileFault(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
+        raise _validation_error(error, what) from None
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FileFault(f"{what}: not JSON: {error}") from None
-    if found.version != version:
-        raise FileFault(f"version: {found.version}, and this program knows {version}")
-    return found
+        raise SettingsFileError(f"{what}: not JSON: {error}") from None
+    if decoded.version != version:
+        raise SettingsFileError(f"version: {decoded.version}, and this program knows {version}")
+    return decoded
+
 
+def _validation_error(error: msgspec.ValidationError, what: str) -> SettingsFileError:
+    """The error for a value that fails validation, beginning with its key."""
+    text, _, path = str(error).partition(" - at `$")
+    key = path.rstrip("`").lstrip(".")
+    return SettingsFileError(f"{key or what}: {text}")
 
-def _read(data: bytes | Any, kind: type, what: str) -> Any:
+
+def _decode(data: bytes | Any, kind: type[FileT], what: str) -> FileT:
+    """Decode a file or an already decoded value; the version is checked before all other keys."""
     try:
         value = msgspec.json.decode(data) if isinstance(data, bytes) else data
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FileFault(f"{what}: not JSON: {error}") from None
+        raise SettingsFileError(f"{what}: not JSON: {error}") from None
     if isinstance(value, dict) and value.get("version") != VERSION:
-        raise FileFault(f"version: {value.get('version')!r}, and this program knows {VERSION}")
+        raise SettingsFileError(f"version: {value.get('version')!r}, and this program knows {VERSION}")
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        raise FileFault(f"{place.rstrip('`').lstrip('.') or what}: {text}") from None
+        raise _validation_error(error, what) from None
 
 
-def members_from(data: bytes | Any) -> Members:
-    """Parse a file of members and check it; raises FileFault.
+def membership_from(data: bytes | Any) -> Membership:
+    """Parse a membership file and check it; raises SettingsFileError.
 
-    Voters are spread: no zone goes without one while another has two.
+    Voters must be spread: no zone may be without a voter while another one has two.
     """
-    members: Members = _read(data, Members, "members")
-    seen: dict[str, int] = {}
-    used: dict[str, int] = {}
+    membership = _decode(data, Membership, "members")
+    _check_entries(membership.members)
+    _check_voters(membership)
+    return membership
+
+
+def _check_entries(entries: list[MemberEntry]) -> None:
+    """Names and addresses must be unique, and all members of a zone in one region."""
+    names: set[str] = set()
+    addresses: set[str] = set()
     regions: dict[str, str] = {}
-    for n, member in enumerate(members.members):
-        if member.name in seen:
-            raise FileFault(f"members[{n}].name: {member.name} stands twice")
-        seen[member.name] = n
-        for key in ("address", "ballots", "state"):
-            place = getattr(member, key)
-            if place is not None and place in used:
-                raise FileFault(f"members[{n}].{key}: {place} stands twice")
-            used[place] = n
-        if regions.setdefault(member.zone, member.region) != member.region:
-            raise FileFault(f"members[{n}].region: zone {member.zone} stands in two")
-    voters = members.voters
+    for index, entry in enumerate(entries):
+        if entry.name in names:
+            raise SettingsFileError(f"members[{index}].name: {entry.name} stands twice")
+        names.add(entry.name)
+        for key, address in (("address", entry.address), ("ballots", entry.ballots), ("state", entry.state)):
+            if address is None:
+                continue
+            if address in addresses:
+                raise SettingsFileError(f"members[{index}].{key}: {address} stands twice")
+            addresses.add(address)
+        if regions.setdefault(entry.zone, entry.region) != entry.region:
+            raise SettingsFileError(f"members[{index}].region: zone {entry.zone} stands in two")
+
+
+def _check_voters(membership: Membership) -> None:
+    """The number of voters must be allowed, and the voters spread over the zones."""
+    voters = membership.voters
     if len(voters) not in VOTER_COUNTS:
-        raise FileFault(f"members: {len(voters)} voters, and it takes 3, 5 or 7")
-    counts = {zone: sum(voter.zone == zone for voter in voters) for zone in regions}
-    bare = [zone for zone, count in counts.items() if count == 0]
-    if bare and max(counts.values()) > 1:
-        raise FileFault(f"members: zone {bare[0]} has no voter, and another has two")
-    return members
-
-
-def settings_from(data: bytes | Any) -> Settings:
-    """Parse and check the settings; raises FileFault."""
-    settings: Settings = _read(data, Settings, "settings")
-    if list(settings.ramp.shares) != sorted(settings.ramp.shares):
-        raise FileFault("ramp.shares: not in rising order")
-    if settings.evidence.report_life_ms < 2 * settings.evidence.report_ms:
-        raise FileFault("evidence.report_life_ms: less than two reports")
-    if settings.evidence.hush_ms < 2 * settings.evidence.report_ms:
-        raise FileFault("evidence.hush_ms: less than two reports")
-    if settings.damping.sure_ms > settings.damping.out_ms:
-        raise FileFault("damping.sure_ms: longer than damping.out_ms")
-    if settings.voting.beat_ms * 3 > settings.voting.election_ms:
-        raise FileFault("voting.beat_ms: three do not fit into voting.election_ms")
-    if settings.voting.fresh_ms * 2 > settings.voting.valid_ms:
-        raise FileFault("voting.fresh_ms: two do not fit into voting.valid_ms")
+        raise SettingsFileError(f"members: {len(voters)} voters, and it takes 3, 5 or 7")
+    counts = {zone: sum(voter.zone == zone for voter in voters) for zone in membership.zones}
+    zones_without = [zone for zone, count in counts.items() if count == 0]
+    if zones_without and max(counts.values()) > 1:
+        raise SettingsFileError(f"members: zone {zones_without[0]} has no voter, and another has two")
+
+
+def settings_from(data: bytes | Any) -> ZoneSettings:
+    """Parse and check the settings; raises SettingsFileError."""
+    settings = _decode(data, ZoneSettings, "settings")
+    evidence, damping, consensus = settings.evidence, settings.damping, settings.consensus
+    fractions = list(settings.ramp.fractions)
+    checks = (
+        (fractions == sorted(fractions), "ramp.shares: not in rising order"),
+        (
+            evidence.report_ttl_ms >= 2 * evidence.report_interval_ms,
+            "evidence.report_life_ms: less than two reports",
+        ),
+        (
+            evidence.reporter_silence_ms >= 2 * evidence.report_interval_ms,
+            "evidence.hush_ms: less than two reports",
+        ),
+        (
+            damping.unanimous_failover_delay_ms <= damping.failover_delay_ms,
+            "damping.sure_ms: longer than damping.out_ms",
+        ),
+        (
+            consensus.heartbeat_ms * 3 <= consensus.election_timeout_ms,
+            "voting.beat_ms: three do not fit into voting.election_ms",
+        ),
+        (
+            consensus.freshness_interval_ms * 2 <= consensus.plan_validity_ms,
+            "voting.fresh_ms: two do not fit into voting.valid_ms",
+        ),
+    )
+    for holds, text in checks:
+        if not holds:
+            raise SettingsFileError(text)
     return settings
 
 
-def wishes_from(data: bytes | Any, zones: set[str]) -> Wishes:
-    """Parse requests: they may name zones of the fleet, and have to leave one that serves.
+def operator_request_from(data: bytes | Any, zones: Collection[str]) -> OperatorRequest:
+    """Parse an operator request; raises SettingsFileError.
 
-    Raises FileFault.
+    It may only name zones of the fleet, and must leave at least one zone in service.
     """
-    wishes: Wishes = _read(data, Wishes, "wishes")
-    for n, zone in enumerate(wishes.drained):
+    request = _decode(data, OperatorRequest, "wishes")
+    for index, zone in enumerate(request.drained):
         if zone not in zones:
-            raise FileFault(f"drained[{n}]: no zone {zone}")
-    if zones and set(wishes.drained) >= zones:
-        raise FileFault("drained: all zones would be out")
-    return wishes
+            raise SettingsFileError(f"drained[{index}]: no zone {zone}")
+    if zones and set(request.drained) >= set(zones):
+        raise SettingsFileError("drained: all zones would be out")
+    return request
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -6,14 +6,14 @@
 
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy_rollout.service import Policies
-from fawnwharf.recovery_core.stages import Stage
-from fawnwharf.recovery_service.onstore import kept
-from fawnwharf.recovery_service.service import Rejoin
-from fawnwharf.replication.service import State
+from fawnwharf.policy_rollout.service import PolicyRolloutService
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_service.recovery_store import open_recovery_store
+from fawnwharf.recovery_service.service import RecoveryService
+from fawnwharf.replication.service import ReplicationService
 from fawnwharf.serving import ExtensionGroup
-from fawnwharf.zones.founding import found
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.bootstrap import bootstrap
+from fawnwharf.zones.service import ZoneService
 from support import policy_front_ends
 from support.policy_front_ends import STATE, VOTING
 
@@ -48,15 +48,15 @@
         here = self.folder
         write = lambda event, fields: self.notes.append((event, dict(fields)))  # noqa: E731
         made = {
-            "zones": lambda first, made: Zones(deployment, here / "zones.json", write),
-            "kept": lambda first, made: kept(
+            "zones": lambda first, made: ZoneService(deployment, here / "zones.json", write),
+            "kept": lambda first, made: open_recovery_store(
                 deployment, str(here / "recovery.json"), str(here / "state.json"), write, fresh
             ),
-            "state": lambda first, made: State(
+            "state": lambda first, made: ReplicationService(
                 deployment, here / "state.json", write, fresh, made["kept"]
             ),
-            "policy": lambda first, made: Policies(deployment, here / "policy.json", write, made),
-            "recovery": lambda first, made: Rejoin(
+            "policy": lambda first, made: PolicyRolloutService(deployment, here / "policy.json", write, made),
+            "recovery": lambda first, made: RecoveryService(
                 deployment, here / "recovery.json", write, made
             ),
         }  # fmt: skip
@@ -81,11 +81,11 @@
 
     def stages(self):
         """The power losses and phases by which it went, each once."""
-        found = []
+        bootstrap = []
         for fields in self.noted("stage"):
-            if not found or found[-1] != (fields["cut"], fields["stage"]):
-                found.append((fields["cut"], fields["stage"]))
-        return found
+            if not bootstrap or bootstrap[-1] != (fields["cut"], fields["stage"]):
+                bootstrap.append((fields["cut"], fields["stage"]))
+        return bootstrap
 
 
 class Site(policy_front_ends.Site):
@@ -106,7 +106,7 @@
             settings |= {"boot_file": str(node.folder / "boot"), "pace": PACE, "timing": TIMING | timing}
             node.write("recovery.json", settings)
             node.write("policy.json", {"version": 1} | LEASES)
-        found(self.nodes[0].folder / "zones.json", "n0")
+        bootstrap(self.nodes[0].folder / "zones.json", "n0")
 
     def start(self, nodes=None, fresh=False):
         """Start front ends, all by default."""
@@ -117,7 +117,8 @@
         """Start a new fleet, until it is in its normal state and its boots are noted."""
         self.start(fresh=True)
         self.until(
-            lambda: all(node.stage() is Stage.SPILL and node.agent.asked for node in self.nodes), "calm"
+            lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.asked for node in self.nodes),
+            "calm",
         )
         noted = lambda: any(len(n.agent.lead.conductor.register.boots) == 3 for n in self.nodes)  # noqa: E731
         self.until(noted, "boots are noted")
--- a/tests/test_epochs_voters.py
+++ b/tests/test_epochs_voters.py
@@ -1,13 +1,13 @@
 """Stewards at real voters: what an owner has to do with both, in steps of virtual time."""
 
 from fawnwharf.consensus import messages as a
-from fawnwharf.consensus.voter import Timing as Voting
-from fawnwharf.consensus.voter import Voter, founding
+from fawnwharf.consensus.timing import Timing as Voting
+from fawnwharf.consensus.voter import Voter, bootstrap_state
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import register_from
-from fawnwharf.policy_rollout.holder import Holder
-from fawnwharf.policy_rollout.steward import Steward, Timing
-from fawnwharf.policy_rollout.walk import KNOWN
+from fawnwharf.policy_rollout.document import parse_register
+from fawnwharf.policy_rollout.lease_holder import LeaseHolder
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
+from fawnwharf.policy_rollout.simulation import KNOWN
 from fawnwharf.testbed.explore import replace_voters
 
 NAMES, STEP_MS = ("a", "b", "c"), 10.0
@@ -17,48 +17,51 @@
     """One voter with its steward and its holder; `serve` does the same with sockets and a disk."""
 
     def __init__(self, fleet, name, n):
-        saved = replace_voters(founding("a"), NAMES)
+        saved = replace_voters(bootstrap_state("a"), NAMES)
         self.fleet, self.name = fleet, name
         self.voter = Voter(name, saved, Voting(), 0.0, 7_919 * n)
-        self.steward, self.holder = Steward(Timing(), NAMES), Holder(KNOWN, Timing(), 1)
+        self.steward, self.holder = (
+            RolloutCoordinator(RolloutTiming(), NAMES),
+            LeaseHolder(KNOWN, RolloutTiming(), 1),
+        )
 
     def does(self, effects):
         for effect in effects:
-            if isinstance(effect, m.Decide):
+            if isinstance(effect, m.ProposeRegister):
                 index, actions = self.voter.propose(self.fleet.now, effect.register, "policy")
                 self.votes(actions)
                 if index is None:
                     self.does(self.steward.not_put(self.fleet.now))
-            elif isinstance(effect, m.Say):
+            elif isinstance(effect, m.Send):
                 self.fleet.say(self.name, effect.to, effect.message)
 
     def votes(self, actions):
         now, voter = self.fleet.now, self.voter
         for action in actions:
-            if isinstance(action, a.Say):
+            if isinstance(action, a.Send):
                 self.fleet.say(self.name, action.message.to, action.message)
-            elif isinstance(action, a.Decided) and action.kind == "policy" and self.steward.term:
-                self.does(self.steward.decided(now, action.plan, voter.fresh(now)))
+            elif isinstance(action, a.Committed) and action.kind == "policy" and self.steward.term:
+                self.does(self.steward.decided(now, action.text, voter.holds_read_lease(now)))
 
     def takes(self, sender, message):
         now = self.fleet.now
         if isinstance(message, a.Message):
             self.votes(self.voter.receive(now, message))
-        elif isinstance(message, m.Vote | m.Status | m.Changed):
-            self.does(self.steward.heard(now, sender, message, self.voter.fresh(now)))
+        elif isinstance(message, m.Vote | m.LeaseRequest | m.EpochAdopted):
+            self.does(self.steward.heard(now, sender, message, self.voter.holds_read_lease(now)))
         else:
             self.does(self.holder.heard(now, sender, message))
 
     def step(self):
         now, voter = self.fleet.now, self.voter
         self.votes(voter.tick(now))
-        settled = voter.fresh(now) and voter.commit == voter.saved.last_index
+        settled = voter.holds_read_lease(now) and voter.commit_index == voter.saved.last_index
         if self.steward.term and self.steward.term != (voter.is_leader and voter.saved.term):
             self.steward.rest()
         if settled and not self.steward.term:
             self.does(self.steward.lead(now, voter.saved.term, voter.policy[1]))
         if (due := self.steward.due_ms()) is not None and now >= due:
-            self.does(self.steward.tick(now, voter.fresh(now)))
+            self.does(self.steward.tick(now, voter.holds_read_lease(now)))
         if now >= self.holder.due_ms():
             self.does(self.holder.tick(now))
 
@@ -107,7 +110,7 @@
     fleet.propose(6)
     first = fleet.leader
     for _ in range(200):
-        if register_from(fleet.members[first].voter.policy[1]).last.number >= 2:
+        if parse_register(fleet.members[first].voter.policy[1]).last.number >= 2:
             break
         fleet.run(STEP_MS)
     else:
--- a/tests/test_handover_orders.py
+++ b/tests/test_handover_orders.py
@@ -9,11 +9,11 @@
 from peers import PATIENCE_S, Rig, ScorerPeer, ready
 from processes import Site
 
-from fawnwharf.admin import channel, service
+from fawnwharf.admin import handoff_channel, service
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin.http import Asked
-from fawnwharf.admin.parts import Parts, Where
-from fawnwharf.admin.replacement import Inherited
+from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions, ExtensionState
+from fawnwharf.admin.hot_restart import InheritedState
+from fawnwharf.admin.http import AdminRequest
 from fawnwharf.config import ConfigError
 from fawnwharf.net import graceful_shutdown
 
@@ -22,9 +22,9 @@
 def rig():
     with tempfile.TemporaryDirectory() as folder:
         made = Rig(ScorerPeer(copies=4))
-        place = channel.Place(folder, "", made.front.address)
-        made.operators = service.Operators(made.front, ("127.0.0.1", 0), Inherited(place))
-        made.operators.begin()
+        place = handoff_channel.HandoffDirectory(folder, "", made.front.address)
+        made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(place))
+        made.admin.begin()
         made.peers = []
         yield made
         made.close()
@@ -35,12 +35,12 @@
 def taker(rig):
     """The process that takes its place, played by the test."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with rig.operators.replacement.place.short() as address:
+    with rig.admin.replacement.place.short() as address:
         sock.connect(address)
     rig.peers.append(sock)
-    channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
-    channel.send(sock, h.encode(h.Ready()), None)
-    rig.until(lambda: rig.operators.replaced, "it gives")
+    handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
+    handoff_channel.send(sock, h.encode(h.Ready()), None)
+    rig.until(lambda: rig.admin.replaced, "it gives")
     return sock
 
 
@@ -59,17 +59,17 @@
     if why == "leaving":
         rig.front.shut_down()
     elif why == "standby":
-        rig.operators.desk.standby = True
+        rig.admin.desk.standby = True
     assert good(rig, client)  # for the other process's sake
     sock.close()
-    rig.until(lambda: not rig.operators.replaced, "it goes on by itself")
+    rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
     assert good(rig, client) is (why == "neither")
 
 
 def test_a_process_that_stands_still_gets_nothing_more_and_its_connections_come_back(rig):
     sock = taker(rig)
-    talk = rig.operators.replacement.after
-    refused = mock.patch.object(channel, "send", side_effect=BlockingIOError)
+    talk = rig.admin.replacement.after
+    refused = mock.patch.object(handoff_channel, "send", side_effect=BlockingIOError)
     client = rig.client()
     with refused:  # its buffer is full, as it reads nothing
         rig.front.client_port.set_accepting(True)
@@ -80,10 +80,10 @@
             lambda: client.answers and not rig.front.client_port.clients, "its connection is on its way"
         )
         assert talk.unsent and not talk.closed
-        talk._moved_ms -= h.STUCK_MS
-        rig.until(lambda: not rig.operators.replaced, "it goes on by itself")
+        talk._moved_ms -= h.STALL_TIMEOUT_MS
+        rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
     assert rig.front.client_port.clients and good(rig, client) is True
-    assert not ready(sock, 0.0) or channel.receive(sock)
+    assert not ready(sock, 0.0) or handoff_channel.receive(sock)
 
 
 def test_a_fault_in_a_look_at_what_is_to_be_given_is_not_the_last_one(rig):
@@ -96,10 +96,10 @@
 
 
 def test_a_fault_in_a_look_at_a_drain_or_in_tidying_is_not_the_last_one(rig):
-    rig.operators.take(Asked("POST", "/standby"))
-    with mock.patch.object(service.drain, "step", side_effect=RuntimeError("planted")) as step:
+    rig.admin.take(AdminRequest("POST", "/standby"))
+    with mock.patch.object(service.draining, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "it looks again")
-    with mock.patch.object(rig.operators.port, "tidy", side_effect=RuntimeError("planted")) as tidy:
+    with mock.patch.object(rig.admin.port, "tidy", side_effect=RuntimeError("planted")) as tidy:
         rig.until(lambda: tidy.call_count >= 2, "it tidies again")
 
 
@@ -109,10 +109,10 @@
     extension.suspend.side_effect = RuntimeError("planted")
     extension.resume.side_effect = [fault, None]
     rig.front._extension = extension
-    parts, steps = Parts(rig.front), []
+    parts, steps = ExclusiveExtensions(rig.front), []
     parts.let_go(lambda: steps.append("away"))
     rig.until(lambda: steps, "they are let go of")
-    assert parts.where is Where.AWAY
+    assert parts.where is ExtensionState.AWAY
     parts.take_back(lambda: steps.append("here"))
     rig.until(lambda: parts.here, "they are back")
     assert steps == ["away", "here"]
@@ -120,7 +120,7 @@
 
 
 def test_an_answer_in_drops_is_not_waited_for_longer_than_one_that_does_not_come(tmp_path):
-    place, now = channel.Place(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
+    place, now = handoff_channel.HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as door:
         with place.short() as address:
             door.bind(address)
@@ -129,14 +129,14 @@
         def drop(_sock):
             now[0] += 1_000.0  # each part comes in time by itself
             assert now[0] < 1e5, "it waits for as long as parts come"
-            return h.Part(b"x"), None
+            return h.Chunk(b"x"), None
 
         with (
-            mock.patch.object(channel, "monotonic_ms", lambda: now[0]),
-            mock.patch.object(channel, "receive", drop),
+            mock.patch.object(handoff_channel, "monotonic_ms", lambda: now[0]),
+            mock.patch.object(handoff_channel, "receive", drop),
         ):
-            assert channel.ask(place, ("127.0.0.1", 1)) is None
-    assert now[0] <= 1e3 * h.ANSWER_S + 1_000.0
+            assert handoff_channel.request_handoff(place, ("127.0.0.1", 1)) is None
+    assert now[0] <= 1e3 * h.ANSWER_TIMEOUT_S + 1_000.0
 
 
 def test_told_to_end_before_it_takes_the_place_it_leaves_the_place_alone():
@@ -153,10 +153,10 @@
             new = site.begin()
             sock, _ = meeting.accept()
             sock.settimeout(PATIENCE_S)
-            assert isinstance(channel.receive(sock)[0], h.Hello)
+            assert isinstance(handoff_channel.receive(sock)[0], h.Hello)
             new.signal(signal.SIGTERM)
-            channel.send(sock, h.encode(h.Door()), door)
-            assert channel.receive(sock) is None  # no word that it is ready
+            handoff_channel.send(sock, h.encode(h.ListenerHandoff()), door)
+            assert handoff_channel.receive(sock) is None  # no word that it is ready
             sock.close()
             site.until(lambda: new.ended, "it has ended")
             assert new.child.returncode == 0, new.log
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -9,26 +9,26 @@
 from support.power_losses import WINDOW_MS, PowerFleet
 
 from fawnwharf.durable_store import folder
-from fawnwharf.durable_store.form import Limits
-from fawnwharf.recovery_core.trust import Kind, Store, Trust
-from fawnwharf.recovery_service.onstore import Kept
+from fawnwharf.durable_store.file_format import StoreLimits
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition, TrustLevel
+from fawnwharf.recovery_service.recovery_store import RecoveryStore
 
 GRANTING = """
 import json, sys
-from fawnwharf.durable_store.form import Limits
+from fawnwharf.durable_store.file_format import Limits
 from fawnwharf.testbed.promises import fleet_file
-from fawnwharf.net.event_loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_service.onstore import Kept
+from fawnwharf.recovery_service.recovery_store import RecoveryStore
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import Core
 from fawnwharf.replication.settings import Settings
 
 members, name, folder, boot = fleet_file("abc"), "n0", sys.argv[1], sys.argv[2]
-kept = Kept(folder, "f", name, boot, Limits(wait_ms=20_000.0), lambda what, more: None, fresh=True)
+kept = RecoveryStore(folder, "f", name, boot, Limits(wait_ms=20_000.0), lambda what, more: None, fresh=True)
 core = Core(name, 1, members, Settings(1, "members"), monotonic_ms(), fresh=True)
 disk = kept.promises(core, None)
-loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
+loop = EventLoop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
 kept.attach(loop)
 
 def say(effects):
@@ -42,7 +42,7 @@
     ask = m.Say((name,), m.Ask(f"k{number}", "n1#1", number, members.number, 0))
     line = json.loads(__import__("msgspec").json.encode(m.Line("f", "n1", 1, ask.to, ask.message)))
     say(disk.written(core.line(monotonic_ms(), "n1", line), say))
-    loop.turn(0.002)
+    loop.run_iteration(0.002)
 """
 
 
@@ -60,14 +60,19 @@
     child.send_signal(signal.SIGKILL)
     said += [line.strip() for line in child.stdout if line.endswith("\n")]
     child.wait()
-    folder.unlock(folder.lock(tmp_path / "d", within_s=20.0))
+    folder.unlock_folder(folder.lock_folder(tmp_path / "d", within_s=20.0))
     boot.write_text("another")
-    kept = Kept(tmp_path / "d", "f", "n0", str(boot), Limits(), lambda what, more: None)
+    kept = RecoveryStore(tmp_path / "d", "f", "n0", str(boot), StoreLimits(), lambda what, more: None)
     try:
-        assert (kept.whole, kept.same_boot, kept.in_order, kept.sure) == (Store.WHOLE, False, False, 1)
-        found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(Kind.PROMISE)}
+        assert (kept.whole, kept.same_boot, kept.in_order, kept.sure) == (
+            StoreCondition.WHOLE,
+            False,
+            False,
+            1,
+        )
+        found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(StateKind.PROMISE)}
         assert set(said) <= found.keys() and all(value[1] is None for value in found.values())
-        assert {trust for _, _, trust in kept.read(Kind.PROMISE)} == {Trust.NOW}
+        assert {trust for _, _, trust in kept.read(StateKind.PROMISE)} == {TrustLevel.NOW}
     finally:
         kept.close()
 
