--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -203,7 +203,7 @@
     )
     assert done.returncode == 0, done.stderr
     imported = done.stdout.split()
-    assert f"{PROGRAM}.net.loop" in imported
+    assert f"{PROGRAM}.net.event_loop" in imported
     assert [name for name in imported if name.startswith(f"{PROGRAM}.") and package_of(name) in OFF] == []
     assert [name for name in imported if name.split(".")[0] in OFF_LIBRARIES] == []
 
