--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -13,8 +13,8 @@
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState, rollback_reason
 from fawnwharf.durable_store.store import open_store, unix_ms
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import AgeSettings, ClockReading, StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service import stored_state as k
@@ -92,7 +92,7 @@
 
     # --- life -----------------------------------------------------------------------------------
 
-    def attach(self, front: FrontEnd | Loop) -> None:
+    def attach(self, front: FrontEnd | EventLoop) -> None:
         """Begin, on the front end's loop."""
         self._loop = EventLoopStore(getattr(front, "loop", front), self.store, self._note)
         self._note("store read", {
@@ -110,9 +110,9 @@
         else:
             self.store.close(monotonic_ms, CLOSE_MS)
 
-    def told(self, fleet: Fleet) -> None: ...
+    def on_fleet(self, fleet: Fleet) -> None: ...
 
-    def events(self, events: list[Any]) -> None: ...
+    def on_events(self, events: list[Any]) -> None: ...
 
     @property
     def busy(self) -> bool:
@@ -186,7 +186,7 @@
         self._put(k.DOUBT, k.LAST, None)
         self.store.core.confirm()
         if self._loop is not None:
-            self._loop.loop.flush_later(self._loop)
+            self._loop.loop.schedule_flush(self._loop)
 
     # --- what is kept ---------------------------------------------------------------------------
 
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -84,8 +84,8 @@
     def attach(self, front: FrontEnd) -> None:
         """Begin, on the front end's loop; the parts before this one are attached."""
         self.front, settings = front, self.settings
-        front.port.waits_for.add(RECOVERY)
-        front.changelog.may_begin_anew = True
+        front.client_port.not_ready_reasons.add(RECOVERY)
+        front.change_log.may_begin_anew = True
         self.agent = RecoveryAgent(
             self.zones.entry.name, self.zones.core.membership.fleet, self.life, self.kept.boot, self._lists(),
             self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
@@ -96,7 +96,7 @@
         self.calls = CallOutcomeRecorder(
             self.joined.door, self.deployment.settings.classes, self.tallies.ended
         )
-        front.port.table = self.calls
+        front.client_port.requests = self.calls
         self.zones.log_clients[RECOVERY] = self
         self.state.log_clients[w.LOG_CLIENT] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
@@ -114,29 +114,29 @@
         # The tables stay where they are: what is open here may still be withdrawn, by its keys.
         self.calls.counting = False
         self.joined.close()
-        self.front.port.waits_for.discard(RECOVERY)
+        self.front.client_port.not_ready_reasons.discard(RECOVERY)
         self.zones.log_clients.pop(RECOVERY, None)
         self.state.log_clients.pop(w.LOG_CLIENT, None)
 
     # --- the seam -------------------------------------------------------------------------------
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         if self.joined is not None:
             self._rostered = True  # by the log, in this life; what the start knew came before
-            self._roster.told(Fleet(list(self.front.overlay.members.values()), True))
+            self._roster.told(Fleet(list(self.front.roster_overlay.members.values()), True))
             self.joined.roster()
 
     def _dial_last(self) -> None:
         """No change log, and no roster of the start: the scorers of the last one are tried, all cold."""
         self._dialled = True
-        if self.front.overlay.members:
+        if self.front.roster_overlay.members:
             return
         found = RosterRecorder.read(self.kept.read(StateKind.ROSTER))
         up_ms = self.front.loop.clock.now_ms()
         cold = [msgspec.structs.replace(member, up_since_ms=up_ms) for member in found]
         if cold:
-            self.front.take_fleet(Fleet(cold, True))
-            self.zones.told(Fleet(cold, True))
+            self.front.receive_fleet(Fleet(cold, True))
+            self.zones.on_fleet(Fleet(cold, True))
             self.joined.roster()
             self.note("last roster dialled", {"scorers": len(cold)})
 
@@ -145,7 +145,7 @@
             if (value := hint.due(now_ms)) is not None:
                 self.kept.keep(kind, ENTRY_KEY, value)
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         if self.joined is None or self._stopped:
             return
         now = monotonic_ms()
@@ -177,8 +177,10 @@
         now, keeper, voter = monotonic_ms(), self.state.core.replica, self.zones.core.voter
         number, text = last_appended(voter.saved, "plan") if voter is not None else (0, "")
         seen = self.zones.evidence_collector.evidence(now)
-        rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
-        serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
+        rostered = self._rostered or (
+            self.front is not None and self.front.change_log.told_all_ms is not None
+        )
+        serves = any(m.phase == "in_service" for m in self.front.roster_overlay.members.values())
         return LocalStatus(
             settled=self.kept.settled,
             whole=self.kept.whole is StoreCondition.WHOLE,
@@ -258,7 +260,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - now, self._tick)
+        self._timer = self.front.loop.timers.after(due - now, self._tick)
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -282,7 +284,7 @@
             self._calm_ms = None
         elif self._calm_ms is None:
             self._calm_ms = monotonic_ms()
-        waits_for = self.front.port.waits_for
+        waits_for = self.front.client_port.not_ready_reasons
         (waits_for.discard if allowed.status else waits_for.add)(RECOVERY)
         self.joined.go_by(allowed, effect.cut, effect.fronts, effect.dealt)
 
@@ -300,7 +302,7 @@
         word = msgspec.to_builtins(say.word)
         if say.zone:
             self._words.append(ClientMessage(word, say.to, RECOVERY))
-            self.front.loop.flush_later(self)
+            self.front.loop.schedule_flush(self)
         else:
             self.state.send_message(w.LOG_CLIENT, say.to, word)
 
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -124,13 +124,13 @@
         self.log_server.followed = self._followed
         self.gate = ClaimGate(
             front.loop,
-            front.table,
+            front.requests,
             self.core,
             self.settings,
             self.deployment.settings.classes,
             self._carry_out,
         )
-        front.port.table = self.gate
+        front.client_port.requests = self.gate
         self._follow()
         self._look_at_files()
         self._status()
@@ -159,9 +159,9 @@
         if self.grant_storage:
             self.grant_storage.close()
 
-    def told(self, fleet: Fleet) -> None: ...
+    def on_fleet(self, fleet: Fleet) -> None: ...
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         if self.core.quota_shares:
             self.core.quota_shares.count_calls(e.tenant for e in events if isinstance(e, io.RequestArrived))
         self.outlier_ejector.events(monotonic_ms(), events)
@@ -240,7 +240,7 @@
         if due == float("inf"):
             return
         self._timer_ms = due
-        self._timer = self.front_end.loop.wheel.after(due - now, self._tick)
+        self._timer = self.front_end.loop.timers.after(due - now, self._tick)
 
     def _look_after(self, now_ms: float) -> None:
         keeper = self.core.replica
@@ -270,8 +270,8 @@
         self._carry_out(self.core.send_usage(now))
         if self.core.quota_shares:
             for tenant, rps in self.core.quota_shares.changes(now).items():
-                self.front_end.loop.tell(io.LimitsChanged(rps, tenant))
-        self.front_end.loop.wheel.after(self.settings.use_ms, self._use)
+                self.front_end.loop.enqueue(io.LimitsChanged(rps, tenant))
+        self.front_end.loop.timers.after(self.settings.use_ms, self._use)
 
     def _beliefs(self) -> None:
         """Tell which scorers are bad, and let those rest that several front ends name."""
@@ -279,11 +279,11 @@
             return
         now = monotonic_ms()
         self._carry_out(self.core.send_failure_report(now, self.outlier_ejector.sights))
-        changes = self.outlier_ejector.look(now, self.core.reported_outliers, self.front_end.overlay)
+        changes = self.outlier_ejector.look(now, self.core.reported_outliers, self.front_end.roster_overlay)
         self.core.reported_outliers.clear()
         if changes.members:
-            self.front_end.go_by(changes)
-        self.front_end.loop.wheel.after(self.settings.hints_ms, self._beliefs)
+            self.front_end.apply_fleet(changes)
+        self.front_end.loop.timers.after(self.settings.hints_ms, self._beliefs)
 
     def _status(self) -> None:
         if self._stopped:
@@ -294,7 +294,7 @@
         )
         status = Send((), found)
         self.log_server.say(msgspec.to_builtins(self.core.log_line(status)), counts_as="status")
-        self.front_end.loop.wheel.after(STATUS_MS, self._status)
+        self.front_end.loop.timers.after(STATUS_MS, self._status)
 
     # --- others' logs ---------------------------------------------------------------------------
 
@@ -369,8 +369,8 @@
             self._members_seen = mark
             self._new_members()
         for feed in self._feeds.values():
-            feed.tidy()
-        self.front_end.loop.wheel.after(FILES_MS, self._look_at_files)
+            feed.run_maintenance()
+        self.front_end.loop.timers.after(FILES_MS, self._look_at_files)
 
     def _new_members(self) -> None:
         try:
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -13,7 +13,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
 from fawnwharf.consensus.voter_store import DiskError, VoterStore
-from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import roster_closing
 from fawnwharf.zones import settings as s
@@ -166,19 +166,19 @@
 
     # --- the seam -------------------------------------------------------------------------------
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Take changes of the roster, as the change log tells them."""
         self._told_ms = monotonic_ms()
         for member in fleet.members:
             if member.locality:
-                self._zone_of[worker_number(member.id)] = member.locality
+                self._zone_of[scorer_number(member.id)] = member.locality
 
     @property
     def busy(self) -> bool:
         """Nothing here keeps a leaving front end up."""
         return False
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Take the batch's evidence on zones."""
         now = monotonic_ms()
         for event in events:
@@ -200,14 +200,14 @@
         self._followed = effect
         if effect.plan is not None and self._spill:
             effect = FollowPlan(limit_spillover(effect.plan, self._spill), effect.index)
-        overlay, zone = self.front.overlay, self.entry.zone
-        changes = overlay.close(CLOSER, roster_closing.plan_closer(effect.plan, zone))
+        overlay, zone = self.front.roster_overlay, self.entry.zone
+        changes = overlay.set_filter(CLOSER, roster_closing.plan_closer(effect.plan, zone))
         if changes.members:
-            self.front.go_by(changes)
+            self.front.apply_fleet(changes)
         part = roster_closing.admitted_fraction(effect.plan, zone)
         limited = part < 1.0 and self._sold > 0
         rps = part * self._sold / self.deployment.settings.fleet_size * self._carried(effect.plan)
-        self.front.limit(LIMIT, rps if limited else io.UNLIMITED_RPS)
+        self.front.limit_calls(LIMIT, rps if limited else io.UNLIMITED_RPS)
         fields = {"index": effect.index, "scorers changed": len(changes.members), "admission": round(part, 3)}
         if effect.plan is None:
             self.note("on its own", fields)
@@ -230,7 +230,7 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        sizes = roster_closing.zone_sizes(self.front.overlay.members.values())
+        sizes = roster_closing.zone_sizes(self.front.roster_overlay.members.values())
         self._carry_out(
             self.core.tick(now, self.evidence_collector.evidence(now), sizes, now - self._told_ms)
         )
@@ -248,7 +248,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - monotonic_ms(), self._tick)
+        self._timer = self.front.loop.timers.after(due - monotonic_ms(), self._tick)
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -385,9 +385,9 @@
                 ),
             )
         for feed in self._feeds.values():
-            feed.tidy()
+            feed.run_maintenance()
         self._set_timer()
-        self.front.loop.wheel.after(FILES_MS, self._look_at_files)
+        self.front.loop.timers.after(FILES_MS, self._look_at_files)
 
     def _take(self, data: bytes, what: str, take: Callable[[], None]) -> None:
         try:
--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -21,8 +21,8 @@
 from fawnwharf.admin.handoff_source import HandoffAction, HandoffPhase
 from fawnwharf.admin.hot_restart import HotRestart
 from fawnwharf.admin.http import AdminRequest
-from fawnwharf.net.handed import HandedConnection
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.connection_handoff import HandedOffConnection
+from fawnwharf.net.event_loop import EventLoop
 
 ADDRESS = ("127.0.0.1", 8000)
 HELLO = h.Hello(h.VERSION, ADDRESS)
@@ -269,18 +269,18 @@
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"y" * 5000)
     hot_restart = rig.admin.hot_restart
     hot_restart.source._paused = True
-    [held] = rig.front.port.clients
-    give = rig.front.port.give
+    [held] = rig.front.client_port.clients
+    give = rig.front.client_port.hand_off
 
     def broken(client):
         sock.close()  # between the look and the word
         return replace(give(client), unwritten=b"")
 
     with (
-        mock.patch.object(rig.front.port, "give", broken),
+        mock.patch.object(rig.front.client_port, "hand_off", broken),
         mock.patch.object(h, "chunks", lambda data: [h.Chunk(b"")]),
     ):
-        rig.until(lambda: held not in rig.front.port.clients, "it was given, and came back")
+        rig.until(lambda: held not in rig.front.client_port.clients, "it was given, and came back")
     rig.until(lambda: client.answers, "its answer is there")
     client.call()
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "and it is served on")
@@ -294,13 +294,13 @@
                 sock.connect(address)
             handoff_channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
         came = []
-        rig.front.loop.wheel.after(50.0, lambda: came.append(1))  # noqa: B023
+        rig.front.loop.timers.after(50.0, lambda: came.append(1))  # noqa: B023
         rig.until(lambda: came and rig.admin.hot_restart.successor is None, "it is gone")  # noqa: B023
     assert not any("fault" in line for line in rig.lines)
 
 
 def test_parts_of_what_is_not_sent_whole_are_taken_back_with_it():
-    loop = Loop(lambda now_ms, events: None, mock.Mock())
+    loop = EventLoop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     back = []
     channel = handoff_channel.HandoffChannel(
@@ -316,7 +316,7 @@
         channel.send(part)
     assert channel.has_unsent
     far.close()
-    loop.turn(1.0)
+    loop.run_iteration(1.0)
     assert b"".join(message.data for message, _ in back[:-1]) == data and back[-1][0] == h.ConnectionHandoff(
         b"half"
     )
@@ -324,13 +324,13 @@
 
 
 def test_too_many_descriptors_on_their_way_are_waited_for():
-    loop = Loop(lambda now_ms, events: None, mock.Mock())
+    loop = EventLoop(lambda now_ms, events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     channel = handoff_channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
     with mock.patch.object(handoff_channel, "send", side_effect=OSError(109, "too many references")):
         channel.send(h.ConnectionHandoff(), near.dup())
     assert channel.has_unsent and not channel.closed
-    loop.turn(1.0)
+    loop.run_iteration(1.0)
     assert not channel.has_unsent and handoff_channel.receive(far)[1] is not None
     channel.close()
     far.close()
@@ -353,7 +353,7 @@
     rig.admin.leave()
     assert rig.admin.busy
     over = []
-    rig.front.loop.wheel.after(50.0, lambda: over.append(1))
+    rig.front.loop.timers.after(50.0, lambda: over.append(1))
     rig.until(lambda: over, "it has looked twice")
     assert h.Done() not in messages(newest)  # not while something is to come
     oldest.close()
@@ -366,13 +366,13 @@
 
 
 def test_one_given_while_nothing_is_read_is_not_read_either(rig):
-    rig.front.port.pause(True)
+    rig.front.client_port.set_paused(True)
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = Buffered(socket.create_connection(server.getsockname()))
-        rig.front.port.adopt(HandedConnection(server.accept()[0]))
-    [adopted] = rig.front.port.clients
+        rig.front.client_port.take_over(HandedOffConnection(server.accept()[0]))
+    [adopted] = rig.front.client_port.clients
     assert not adopted.connection._reading
-    rig.front.port.pause(False)
+    rig.front.client_port.set_paused(False)
     assert adopted.connection._reading
     client.sock.close()
 
@@ -384,7 +384,7 @@
     rig.admin.handle(AdminRequest("POST", "/standby"))
     connect_successor(rig)
     over = []
-    rig.front.loop.wheel.after(1_300.0, lambda: over.append(1))
+    rig.front.loop.timers.after(1_300.0, lambda: over.append(1))
     rig.until(lambda: over, "the drain would refuse")
     client.call()
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "it is served")
--- a/tests/test_client_accepting.py
+++ b/tests/test_client_accepting.py
@@ -11,7 +11,7 @@
 
 from fawnwharf.net import acceptor
 from fawnwharf.net.connection import READ_AGAIN_MS, Connection
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net.end_reasons import EndReason
 
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
@@ -24,16 +24,16 @@
         self.addCleanup(installed.__exit__, None, None, None)
 
     def at_listener(self, rig):
-        return lambda sock: sock is rig.front.port.listener
+        return lambda sock: sock is rig.front.client_port.listener
 
     def test_an_error_of_one_connection_leaves_the_next_one_to_be_accepted_in_the_same_turn(self):
-        for error in sorted(acceptor.OF_ONE_CONNECTION):
+        for error in sorted(acceptor.SINGLE_CONNECTION_ERRORS):
             with self.subTest(errno.errorcode[error]):
                 rig = self.rig(ScorerPeer())
                 fault = self.faults.fail("accept", error, where=self.at_listener(rig))
                 rig.client()
-                rig.front.loop.turn(1.0)
-                self.assertEqual((fault.hits, len(rig.front.port.clients)), (1, 1))
+                rig.front.loop.run_iteration(1.0)
+                self.assertEqual((fault.hits, len(rig.front.client_port.clients)), (1, 1))
 
     def test_a_shortage_is_waited_out_without_spinning_and_the_rest_goes_on(self):
         for error in SHORTAGES:
@@ -66,7 +66,7 @@
         late = rig.client()
         late.status(1)
         wait(rig, 4 * acceptor.ACCEPT_PAUSE_MS)
-        self.assertLessEqual(fault.hits, 5 * acceptor.ACCEPTS_MOST)
+        self.assertLessEqual(fault.hits, 5 * acceptor.MAX_ACCEPTS)
         fault.times = 0
         rig.until(lambda: late.answers, "it is accepted in the end")
 
@@ -75,7 +75,7 @@
         self.faults.fail("accept", errno.EMFILE, where=self.at_listener(rig))
         late = rig.client()
         late.status(1)
-        rig.front.loop.turn(1.0)
+        rig.front.loop.run_iteration(1.0)
         lack = OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
         with mock.patch.object(rig.front.loop._selector, "register", side_effect=lack) as register:
             rig.until(lambda: register.called, "the listener can't be watched")
@@ -89,7 +89,7 @@
         late = rig.client()
         late.status(1)
         with mock.patch.object(acceptor, "ACCEPT_PAUSE_MS", 60_000.0):
-            rig.front.loop.turn(1.0)
+            rig.front.loop.run_iteration(1.0)
             client.sock.close()
             client.ended = True
             rig.until(lambda: late.answers, "its descriptor serves the next one")
@@ -102,7 +102,7 @@
         lost, good = rig.client(), rig.client()
         good.status(1)
         rig.until(lambda: lost.ended and good.answers, "one is closed, the next one is served")
-        self.assertEqual(len(rig.front.port.clients), 1)
+        self.assertEqual(len(rig.front.client_port.clients), 1)
 
     def test_an_option_that_can_not_be_set_costs_that_connection_only(self):
         rig = self.rig(ScorerPeer())
@@ -162,12 +162,12 @@
 
     def test_any_other_error_of_a_read_ends_the_connection_and_withdraws_what_is_open(self):
         ends = {
-            errno.ECONNRESET: End.RESET_BY_PEER,
-            errno.EPIPE: End.RESET_BY_PEER,
-            errno.ETIMEDOUT: End.UNREACHABLE,
-            errno.EHOSTUNREACH: End.UNREACHABLE,
-            errno.ENETDOWN: End.UNREACHABLE,
-            errno.EIO: End.UNREACHABLE,
+            errno.ECONNRESET: EndReason.RESET_BY_PEER,
+            errno.EPIPE: EndReason.RESET_BY_PEER,
+            errno.ETIMEDOUT: EndReason.UNREACHABLE,
+            errno.EHOSTUNREACH: EndReason.UNREACHABLE,
+            errno.ENETDOWN: EndReason.UNREACHABLE,
+            errno.EIO: EndReason.UNREACHABLE,
         }
         for error, end in ends.items():
             with self.subTest(errno.errorcode[error]):
@@ -184,7 +184,7 @@
                         client.status(7)
                         rig.until(lambda client=client: client.ended, "the connection ends")
                 ended.assert_called_once_with(end)
-                self.assertEqual(list(rig.front.table.open), [kept])
+                self.assertEqual(list(rig.front.requests.open), [kept])
 
 
 if __name__ == "__main__":
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -19,7 +19,7 @@
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.durable_store.store import inspect_folder, open_store
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LIMITS = f.StoreLimits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
@@ -121,13 +121,13 @@
 
 
 def test_in_the_loop_what_comes_in_a_turn_goes_to_disk_together_and_faults_are_said(tmp_path):
-    said, told, loop = [], [], Loop(lambda now_ms, events: None, print)
+    said, told, loop = [], [], EventLoop(lambda now_ms, events: None, print)
     store = EventLoopStore(loop, opened(tmp_path, empty_ok=True), lambda text, about: said.append(text))
 
     def turn_until(done):
         end = time.monotonic() + 20.0
         while not done() and time.monotonic() < end:
-            loop.turn(1.0)
+            loop.run_iteration(1.0)
         assert done()
 
     turn_until(lambda: store.store.core.settled and not store.store.core.job_out)
