--- a/fawnwharf/fakes/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -17,12 +17,14 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.durable_store import writer
-from fawnwharf.durable_store.ops import Job, Outcome, carry_out
+from fawnwharf.durable_store import writer_process
+from fawnwharf.durable_store.operations import DiskJob, JobResult, execute_job
 
 BLOCK = 64  # bytes that are on the disk together, as on the disk in memory
 VARIABLE = "FAWNWHARF_LOSSY"
-SAYS = {writer.INSTEAD: "fawnwharf.fakes.lossy"}  # the environment that puts it in the writer's place
+SAYS = {
+    writer_process.TEST_WRITER_VARIABLE: "fawnwharf.fakes.lossy"
+}  # the environment that puts it in the writer's place
 
 
 class Lossy(Struct, frozen=True, forbid_unknown_fields=True):
@@ -171,16 +173,16 @@
     folder, pid = Path(asked.folder), os.getpid()
     files = LossyFolder(path, folder / f"cache-{pid}")
 
-    def carry(job: Job) -> Outcome:
-        return carry_out(files, job)
+    def carry(job: DiskJob) -> JobResult:
+        return execute_job(files, job)
 
     if asked.bug:
-        from fawnwharf.durable_store.planted import PLANTED
+        from fawnwharf.durable_store.mutants import MUTANTS
 
-        bend = PLANTED[asked.bug].bend
+        bend = MUTANTS[asked.bug].bend
 
-        def carry(job: Job) -> Outcome:
-            return carry_out(files, bend(job))
+        def carry(job: DiskJob) -> JobResult:
+            return execute_job(files, bend(job))
 
     def power(_number: int, _frame: object) -> None:
         files.tear(random.Random(f"{asked.seed}/{path}"), asked.share)
@@ -190,6 +192,6 @@
     mark = folder / f"writer-{pid}"
     mark.with_name(f"new-{pid}").write_bytes(Path("/proc/self/cmdline").read_bytes())
     os.rename(mark.with_name(f"new-{pid}"), mark)
-    writer.serve(carry)
+    writer_process.serve(carry)
     files.settle()
     mark.unlink(missing_ok=True)
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -5,24 +5,29 @@
 """
 
 from collections.abc import Callable
-from typing import Any
-
-import msgspec
-
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.policy.state import Function, mark
-from fawnwharf.recovery_core.budget import Limits, limits_from
-from fawnwharf.recovery_core.register import Dealt
-from fawnwharf.recovery_core.stages import Allowed
+from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.policy.state import Function
+from fawnwharf.policy.state import mark
+from fawnwharf.recovery_core.budget import FleetLimits
+from fawnwharf.recovery_core.budget import fleet_limits
+from fawnwharf.recovery_core.phases import AllowedActions
+from fawnwharf.recovery_core.register import PermitAssignment
 from fawnwharf.recovery_service import actions
 from fawnwharf.recovery_service import permit_messages as g
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission, StoredClaims
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import TICK_MS
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+from fawnwharf.recovery_service.recovery_admission import StoredClaims
 from fawnwharf.recovery_service.settings import Settings
 from fawnwharf.replication.service import ReplicationService
+from typing import Any
+import msgspec
+
 
 LOG_CLIENT = "recovery-given"  # by the logs of state
 CALM_TICK_MS = 250.0  # in calm little is to be said, and that to others that are not yet
@@ -31,7 +36,7 @@
 
 
 def create_admission(
-    front: FrontEnd, state: ReplicationService, settings: Settings, limits: Limits
+    front: FrontEnd, state: ReplicationService, settings: Settings, limits: FleetLimits
 ) -> RecoveryAdmission:
     """The door, before whatever stands there."""
     classes, promises = front.deployment.settings.classes, StoredClaims(state.gate, state.core)
@@ -50,15 +55,15 @@
         settings: Settings,
         life: int,
         door: Callable[
-            [FrontEnd, ReplicationService, Settings, Limits], RecoveryAdmission
+            [FrontEnd, ReplicationService, Settings, FleetLimits], RecoveryAdmission
         ] = create_admission,
     ) -> None:
         self.front, self.state = front, state
-        self.limits = limits_from(front.deployment.settings, settings.fetches, settings.scorer_rps)
+        self.limits = fleet_limits(front.deployment.settings, settings.fetches, settings.scorer_rps)
         self.giving = PermitIssuer(state.member.name, life, self.limits, self._order, room=self._room)
         self.giving.word_ms = settings.timing.alone_ms
         self.counts: dict[str, int] = {}
-        self._going: tuple[Allowed, int, int, Dealt | None] = (Allowed(), 0, 1, None)
+        self._going: tuple[AllowedActions, int, int, PermitAssignment | None] = (AllowedActions(), 0, 1, None)
         self._used: dict[tuple[str, str], float] = {}  # calls a second before the cut, by function and class
         self._used_ms = float("-inf")
         self._heard: frozenset[str] = frozenset()
@@ -81,7 +86,7 @@
             self._timer.cancel()
         self.front.stand_between(io.Hold, lambda _own: self._order_out)
         if not self._going[0].spill:
-            self.door.go_by(Allowed(), 0.0, self.giving)  # what waits may be asked for again elsewhere
+            self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
     def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
         front, self._order_out = self.front, below
@@ -90,7 +95,9 @@
 
     # --- what is allowed ------------------------------------------------------------------------
 
-    def go_by(self, allowed: Allowed, cut: int, fronts: int, dealt: Dealt | None = None) -> None:
+    def go_by(
+        self, allowed: AllowedActions, cut: int, fronts: int, dealt: PermitAssignment | None = None
+    ) -> None:
         """`fronts`: among how many front ends the fleet's calls are divided; alone, among those that hear
         each other, whose part of the budgets `allowed` has."""
         self._going = (allowed, cut, fronts, dealt)
--- a/fawnwharf/recovery_service/hints.py
+++ b/fawnwharf/recovery_service/hints.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.config import Fleet, Member
-from fawnwharf.recovery_core.trust import Trust
+from fawnwharf.recovery_core.trust import TrustLevel
 
 ENTRY_KEY = "last"  # of the one entry of each kind
 ROSTER_MS = 2_000.0
@@ -21,7 +21,7 @@
 MAX_FUNCTIONS = 2_000
 MAX_COUNTED = 4 * MAX_FUNCTIONS  # rows of one window; later ones of it are not told apart, and left out
 
-StoredEntries = list[tuple[str, Any, Trust]]  # as `Kept.read` gives them
+StoredEntries = list[tuple[str, Any, TrustLevel]]  # as `Kept.read` gives them
 
 
 class _StoredScorer(Struct, frozen=True, array_like=True):
@@ -120,7 +120,7 @@
 
 def _decode(rows: StoredEntries, kind: Any, most: int) -> list[Any]:
     for key, value, trusted in rows:
-        if key == ENTRY_KEY and trusted >= Trust.HINT:
+        if key == ENTRY_KEY and trusted >= TrustLevel.HINT:
             try:
                 return msgspec.convert(value, kind)[:most]
             except msgspec.ValidationError:
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -5,22 +5,27 @@
 never said, and stands in the way of others as if it had been: it may be found on the disk later.
 """
 
-import contextlib
-import heapq
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from pathlib import Path
-from typing import Any, Protocol
-
-import msgspec
-
+from dataclasses import dataclass
+from dataclasses import field
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.trust import Kind, Trust
-from fawnwharf.replication.call_owner import OwnerAction, RunCall
-from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.recovery_core.trust import StateKind
+from fawnwharf.recovery_core.trust import TrustLevel
+from fawnwharf.replication.call_owner import OwnerAction
+from fawnwharf.replication.call_owner import RunCall
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.grant_storage import without_grant
-from fawnwharf.replication.messages import Send, StateChunk
+from fawnwharf.replication.messages import Send
+from fawnwharf.replication.messages import StateChunk
+from pathlib import Path
+from typing import Any
+from typing import Protocol
+import contextlib
+import heapq
+import msgspec
+
 
 SWEEP_MS = 1_000.0  # pace at which entries go whose time is over
 OTHER_BOOT_AGE_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
@@ -37,9 +42,9 @@
 
     @property
     def failing(self) -> str: ...
-    def read(self, kind: Kind) -> list[tuple[str, Any, Trust]]: ...
-    def dropped(self, kind: Kind) -> None: ...
-    def keep(self, kind: Kind, key: str, value: Any | None) -> bool: ...
+    def read(self, kind: StateKind) -> list[tuple[str, Any, TrustLevel]]: ...
+    def dropped(self, kind: StateKind) -> None: ...
+    def keep(self, kind: StateKind, key: str, value: Any | None) -> bool: ...
     def keep_sure(self, members: int) -> None: ...
     def on_disk(self, told: Callable[[bool, str], None]) -> None: ...
     def doubt(self, why: str) -> None: ...
@@ -101,14 +106,14 @@
     def _found(self, now_ms: float) -> bool:
         """What was kept, on the shelf; False: not all had room there."""
         shelf, room = self._core.replica.claim_store, True
-        for name, value, trusted in self._kept.read(Kind.PROMISE):
-            if trusted is not Trust.NOW:
+        for name, value, trusted in self._kept.read(StateKind.PROMISE):
+            if trusted is not TrustLevel.NOW:
                 continue
             left_ms, since_ms, age_ms, data = value
             claim, key = msgspec.convert(data, Claim), name.split("/", 2)[2]
             age_ms = OTHER_BOOT_AGE_MS if since_ms is None else min(OTHER_BOOT_AGE_MS, age_ms + since_ms)
             if since_ms is None:  # from now on it counts by this boot's clock
-                self._kept.keep(Kind.PROMISE, name, [left_ms, age_ms, claim])
+                self._kept.keep(StateKind.PROMISE, name, [left_ms, age_ms, claim])
             if (entry := shelf.get_or_create(now_ms, key)) is None:
                 room = False
                 continue
@@ -116,7 +121,7 @@
             entry.created_ms = min(entry.created_ms, now_ms - age_ms)
             self._entries[name] = claim, now_ms + left_ms
             heapq.heappush(self._ends, (now_ms + left_ms, name))
-        self._kept.dropped(Kind.PROMISE)
+        self._kept.dropped(StateKind.PROMISE)
         return room
 
     def _doubted(self) -> None:
@@ -135,12 +140,12 @@
         entry = self._core.replica.claim_store.calls.get(key)
         age_ms = now_ms - entry.created_ms if entry is not None else 0.0
         value = [round(until_ms - now_ms, 1), round(age_ms, 1), claim]
-        if not self._kept.keep(Kind.PROMISE, name, value):
+        if not self._kept.keep(StateKind.PROMISE, name, value):
             self._count("not kept")
             if claim.answer is None:
                 return False
             value[2] = msgspec.structs.replace(claim, answer=None)
-            if not self._kept.keep(Kind.PROMISE, name, value):
+            if not self._kept.keep(StateKind.PROMISE, name, value):
                 return False
         self._entries[name] = claim, until_ms
         heapq.heappush(self._ends, (until_ms, name))
@@ -156,7 +161,7 @@
             found = self._entries.get(name)
             if found is not None and found[1] <= now_ms:  # else it counts for longer by now
                 del self._entries[name]
-                self._kept.keep(Kind.PROMISE, name, None)
+                self._kept.keep(StateKind.PROMISE, name, None)
 
     def _keep_sure(self, now_ms: float) -> None:
         """Whether this keeper knows all, and would after a restart, where that has changed. That it does not
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -15,7 +15,7 @@
 from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import voter_store as voter_disk
-from fawnwharf.durable_store import form, ops
+from fawnwharf.durable_store import file_format, operations
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import policy_file as policy_file
@@ -31,7 +31,7 @@
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import log_lines, member_log, plan, planner
+from fawnwharf.zones import log_lines, member_log, plan, report
 from fawnwharf.zones import settings as zone_settings
 
 CORPUS = Path(__file__).parent / "corpus"
@@ -82,12 +82,12 @@
     "consensus/message": line(consensus.Message, consensus.message_from),
     "consensus/label": file(voter_disk.DiskIdentity),
     "consensus/saved": file(consensus.PersistentState),
-    "storage/head": file(form.Head),
-    "storage/group": file(form.Group),
-    "storage/piece": file(form.Piece),
-    "storage/foot": file(form.Foot),
-    "storage/job": packed(ops.Job, "ops"),
-    "storage/outcome": packed(ops.Outcome),
+    "storage/head": file(file_format.FileHeader),
+    "storage/group": file(file_format.CommitGroup),
+    "storage/piece": file(file_format.SnapshotChunk),
+    "storage/foot": file(file_format.SnapshotFooter),
+    "storage/job": packed(operations.DiskJob, "ops"),
+    "storage/outcome": packed(operations.JobResult),
     "policy/message": line(policy.Message, policy.decode_message),
     "policy/standing": line(policy.MemberStatus, policy.decode_member_status),
     "policy/kept": file(policy_file.StoredPolicy),
@@ -105,7 +105,7 @@
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
     "successor/memory": packed(beliefs.LearnedState),
     "recovery/register": Boundary(
-        recovery_register.Register, lambda data: recovery_register.register_from(data.decode()),
+        recovery_register.RecoveryRegister, lambda data: recovery_register.parse_register(data.decode()),
         lambda value: value.encode().encode(),
     ),
     "recovery/word": line(recovery_words.RecoveryMessage, recovery_words.recovery_message_from),
@@ -127,7 +127,7 @@
     "zones/plan": Boundary(
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
-    "zones/report": converted(planner.Report),
+    "zones/report": converted(report.Report),
     "zones/wishes": file(zone_settings.OperatorRequest),
     "zones/members": file(zone_settings.Membership),
     "scorers/fleet": Boundary(
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -16,7 +16,7 @@
 import fawnwharf
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.recovery_core import asking, register
+from fawnwharf.recovery_core import queries, register
 from fawnwharf.recovery_service import permit_messages
 from fawnwharf.replication import claims
 from fawnwharf.sessions import settings as session_settings
@@ -182,7 +182,7 @@
         (session_settings.Wishes, "version"),
         (zone_settings.OperatorRequest, "version"),
         (plan.Plan, "version"),
-        (register.Register, "recovery"),
+        (register.RecoveryRegister, "recovery"),
     }
 
 
@@ -223,14 +223,20 @@
             permit_messages.DelegatedLoadResult.STANDS,
             permit_messages.DelegatedLoadResult.FAILED,
         ],
-        [asking.What.MEMBERS, asking.What.PLAN, asking.What.PROMISES, asking.What.ROSTER, asking.What.USE],
         [
-            register.Stage.LISTENING,
-            register.Stage.REPEATS,
-            register.Stage.WORTH,
-            register.Stage.REST,
-            register.Stage.RENEWAL,
-            register.Stage.SPILL,
+            queries.QueryTopic.MEMBERS,
+            queries.QueryTopic.PLAN,
+            queries.QueryTopic.PROMISES,
+            queries.QueryTopic.ROSTER,
+            queries.QueryTopic.USE,
+        ],
+        [
+            register.RecoveryPhase.LISTENING,
+            register.RecoveryPhase.REPEATS,
+            register.RecoveryPhase.WORTH,
+            register.RecoveryPhase.REST,
+            register.RecoveryPhase.RENEWAL,
+            register.RecoveryPhase.SPILL,
         ],
     ],
 )
