--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -31,7 +31,7 @@
         values["classes", name, "give_up_ms"] = spec.give_up_ms
         if state is not None:
             values["modes", name] = state.gate.modes[name]
-            values["window_ms", name] = state.settings.window_ms
+            values["window_ms", name] = state.settings.repeat_window_ms
     values |= {("tenants", name, "quota_rps"): rps for name, rps in settings.quotas_rps.items()}
     values |= {("staging", key): value for key, value in (staging or {}).items()}
     values |= {("admission", name): 1.0 for name in names}
@@ -47,7 +47,7 @@
     if state is None:
         return found
     kept = state.settings
-    window = 2 * kept.wait_most_ms, kept.window_ms
+    window = 2 * kept.max_wait_ms, kept.repeat_window_ms
     return msgspec.structs.replace(found, give_up_most_ms=kept.call_most_ms, window_ms=window)
 
 
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -5,29 +5,24 @@
 """
 
 from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.policy.state import Function
-from fawnwharf.policy.state import mark
-from fawnwharf.recovery_core.budget import FleetLimits
-from fawnwharf.recovery_core.budget import fleet_limits
+from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.policy.state import Function, mark
+from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
 from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_core.register import PermitAssignment
 from fawnwharf.recovery_service import actions
 from fawnwharf.recovery_service import permit_messages as g
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.recovery_service.permit_issuing import TICK_MS
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
-from fawnwharf.recovery_service.recovery_admission import StoredClaims
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission, StoredClaims
 from fawnwharf.recovery_service.settings import Settings
 from fawnwharf.replication.service import ReplicationService
-from typing import Any
-import msgspec
-
 
 LOG_CLIENT = "recovery-given"  # by the logs of state
 CALM_TICK_MS = 250.0  # in calm little is to be said, and that to others that are not yet
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -255,8 +255,8 @@
     """The store of a front end, by the files of recovery and of replicated state. Raises ConfigError."""
     settings = load_file(Path(place), settings_from, "recovery")
     rules = load_file(Path(state), state_settings, "state")
-    members = load_file(Path(state).parent / rules.members, membership_from, "state")
-    spans = AgeSettings(window_ms=rules.longest_ms * (1.0 + 2.0 * rules.skew))
+    members = load_file(Path(state).parent / rules.membership_file, membership_from, "state")
+    spans = AgeSettings(window_ms=rules.max_claim_lifetime_ms * (1.0 + 2.0 * rules.clock_skew))
     folder = Path(place).parent / settings.folder
     return RecoveryStore(
         folder, members.fleet, deployment.name, settings.boot_file, settings.store, note, fresh, spans
--- a/fawnwharf/replication/call_owner.py
+++ b/fawnwharf/replication/call_owner.py
@@ -116,7 +116,7 @@
         if len(self.calls) >= OPEN_MOST:
             self._count("too many")
             return [RejectCall(key, self._spread(key), "too many")] if must else [RunCall(key, False)]
-        wait = min(self.settings.wait_most_ms, self.settings.wait_part * promise_ms)
+        wait = min(self.settings.max_wait_ms, self.settings.wait_fraction * promise_ms)
         mine = OwnedCall(
             key=key,
             effect=effect,
@@ -202,7 +202,7 @@
             return [*self._give_back(mine), *self._others(now_ms, mine, found)]
         denied = any(not word.granted and not word.complete for word in mine.replies.values())
         why = "keepers are not sure" if denied else "too few keepers"
-        if mine.effect is not Effect.UNSAFE or self.settings.unkept == "serve":
+        if mine.effect is not Effect.UNSAFE or self.settings.on_unclaimed == "serve":
             mine.state = "going"
             self._count(f"not kept: {why}")
             return [RunCall(mine.key, False)]
--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -195,7 +195,7 @@
         if isinstance(outcome, Served):
             phase = ClaimPhase.ANSWERED
             digest = hashlib.blake2b(outcome.body, digest_size=16).hexdigest()
-            if len(outcome.body) <= self._settings.bounds.answer_bytes:
+            if len(outcome.body) <= self._settings.limits.max_single_answer_bytes:
                 answer = base64.b64encode(outcome.body).decode()
         else:
             phase = ClaimPhase.RELEASED if isinstance(outcome, Refused) else ClaimPhase.FAILED
--- a/fawnwharf/replication/claim_store.py
+++ b/fawnwharf/replication/claim_store.py
@@ -92,7 +92,7 @@
         """The call's entry, made where there is none; None where there is no room."""
         found = self.calls.get(key)
         if found is None:
-            if len(self.calls) >= self.settings.bounds.calls:
+            if len(self.calls) >= self.settings.limits.max_calls:
                 self.count("full")
                 return None
             found = self.calls[key] = CallEntry(now_ms, self.replicas_of(key))
@@ -117,7 +117,7 @@
             return
         if before is not None:
             self._add_to_bucket(now_ms, key, entry, before, -1, until)
-        if after.answer and self.answer_bytes + len(after.answer) > self.settings.bounds.bytes:
+        if after.answer and self.answer_bytes + len(after.answer) > self.settings.limits.max_answer_bytes:
             self.count("answer dropped")
             after = Claim(
                 after.owner, after.request_number, after.version, after.bucket, after.phase, after.digest
@@ -133,9 +133,9 @@
         """The time that a claim counts, by the slowest clock; of a call, by its class. Keepers
         pass on what is left as it is: stretched each time, what two of them tell each other would never
         end."""
-        window_ms = self.class_windows_ms.get(key.rpartition(":")[0], self.settings.window_ms)
-        longest_ms = self.settings.call_most_ms + min(window_ms, self.settings.window_ms)
-        return longest_ms * (1.0 + 2.0 * self.settings.skew)
+        window_ms = self.class_windows_ms.get(key.rpartition(":")[0], self.settings.repeat_window_ms)
+        longest_ms = self.settings.max_call_ms + min(window_ms, self.settings.repeat_window_ms)
+        return longest_ms * (1.0 + 2.0 * self.settings.clock_skew)
 
     def _record_conflict(self, cause: str, key: str, one: Claim, other: Claim) -> None:
         self.count(cause)
@@ -195,7 +195,7 @@
         """By owner, the slots that another keeper should hold as they are here: they change no more, and are
         not over for a clock that is a little faster. Neighbouring ones only."""
         # What a slower and a faster clock make of the longest time, and what a line takes.
-        margin = 2.0 * self.settings.skew * self.claim_lifetime_ms() + self.settings.wait_most_ms
+        margin = 2.0 * self.settings.clock_skew * self.claim_lifetime_ms() + self.settings.max_wait_ms
         found: dict[str, dict[int, int]] = {}
         for (owner, slot), parts in self._buckets.items():
             shared = [part for keepers, part in parts.items() if name in keepers]
--- a/fawnwharf/replication/claims.py
+++ b/fawnwharf/replication/claims.py
@@ -1,12 +1,12 @@
-"""What the fleet knows of one call, by who said it: claims, how differing copies merge, and how they read.
+"""Claims on one call: how differing versions merge, and what all of them together say about the call.
 
-A claim belongs to one ask of one life of one front end, which alone writes it, with numbers that only rise.
-So of two copies the one with the larger number stands. That is commutative,
-associative and idempotent. Two records of one owner with one number and different contents are a fault (a
-disk or a memory that went wrong); the stricter one stands, by an order that all share, and it is told.
+A claim belongs to one request of one incarnation of one front end (its owner), which alone writes it, with
+version numbers that only rise. Of two versions the larger one wins, so merging is commutative, associative
+and idempotent. Two records of one owner with one version and different contents are a fault of a disk or of
+memory: the stricter one wins, by an order that all replicas share, and the fault is reported.
 
-Nothing here has a clock: `left_ms` is how long a claim still counts at the one who says so, and whoever takes
-it over counts from when it came. A delay can only lengthen a window.
+Nothing here reads a clock: a sender says how long a claim still counts, and the receiver counts from the
+arrival. A delay can only lengthen that time.
 """
 
 from enum import IntEnum
@@ -17,81 +17,94 @@
 
 OwnerId = Annotated[str, Meta(min_length=3, max_length=80, pattern=r"^[0-9A-Za-z_.:-]+#[0-9]+$")]
 CallKey = Annotated[str, Meta(min_length=1, max_length=160)]
+ClaimId = tuple[str, int]  # owner and number of the request
 
 
 class ClaimPhase(IntEnum):
-    """What an owner says of a call, by rising strictness where two records contradict each other."""
+    """What an owner says of a call; where two records contradict each other, the larger one wins."""
 
-    RELEASED = 0  # it never ran here, and will not
+    RELEASED = 0  # it did not run there and will not
     ANSWERED = 1  # it ran, and the client has, or may have, this answer
     FAILED = 2  # it may have run, and nothing more will be known
     GRANTED = 3  # it may run at any moment
 
 
-class Claim(Struct, frozen=True, order=True, gc=False):  # thousands are held, of plain values
-    """An owner's last word on one of its asks for a call: what it says of a later ask says nothing of an
-    earlier one. `digest` is of the answer, also where that is too long to be kept."""
+class Claim(Struct, frozen=True, order=True, gc=False):  # thousands are stored, with plain values only
+    """An owner's latest message on one of its requests for a call; it says nothing about other requests.
+
+    `digest` is that of the answer, also where the answer is too long to be stored; `answer` is base64.
+    """
 
     owner: OwnerId
-    request_number: Annotated[int, Meta(ge=1)] = msgspec.field(name="ask")  # the number of the ask
+    request_number: Annotated[int, Meta(ge=1)] = msgspec.field(name="ask")
     version: Annotated[int, Meta(ge=1)] = msgspec.field(name="number")
-    bucket: Annotated[int, Meta(ge=0, le=1 << 53)] = msgspec.field(
-        name="slot"
-    )  # second of the owner's clock in which it asked; a label only
+    # The second of the owner's clock in which it requested the call; a label that is never compared with a
+    # clock.
+    bucket: Annotated[int, Meta(ge=0, le=1 << 53)] = msgspec.field(name="slot")
     phase: ClaimPhase
     digest: Annotated[str, Meta(max_length=32)] = ""
-    answer: Annotated[str, Meta(max_length=24_000)] | None = None  # base64
+    answer: Annotated[str, Meta(max_length=24_000)] | None = None
 
     @property
-    def claim_id(self) -> tuple[str, int]:
+    def claim_id(self) -> ClaimId:
+        """Owner and number of the request: versions of one claim share it."""
         return self.owner, self.request_number
 
     @property
     def precedence(self) -> tuple[int, int, str, str, int]:
-        """An order of all that can have been said on one ask, without ties; larger wins."""
+        """The key by which versions of one claim are ordered, without ties; the larger one wins."""
         return self.version, int(self.phase), self.digest, self.answer or "", self.bucket
 
 
 def merge_claims(one: Claim, other: Claim) -> Claim:
-    """Of two words of the same owner on the same ask, the one that stands."""
+    """Of two versions of one claim, the one that wins."""
     return max(one, other, key=lambda claim: claim.precedence)
 
 
 def contradicts(one: Claim, other: Claim) -> bool:
-    """Whether an owner has said two things under one number; an answer dropped for room is no
-    contradiction."""
+    """Whether an owner has said two things under one version; an answer dropped for lack of space is none."""
     if one.version != other.version:
         return False
-    same = (one.phase, one.digest, one.bucket) == (other.phase, other.digest, other.bucket)
-    return not same or None not in (one.answer, other.answer) and one.answer != other.answer
+    if (one.phase, one.digest, one.bucket) != (other.phase, other.digest, other.bucket):
+        return True
+    return None not in (one.answer, other.answer) and one.answer != other.answer
 
 
 class CallState(IntEnum):
-    """How all claims on a call read for somebody who is asked for it again."""
+    """What all claims on a call say to a front end that is asked to run it again."""
 
-    FREE = 0  # nobody has it
+    FREE = 0  # no front end has it
     ANSWERED = 1
-    RUNNING = 2  # its owner lives: an answer may come
-    UNKNOWN = 3  # it may have run, and nobody will say what came of it
-    CONFLICT = 4  # two answers that differ: at most one of them is what happened first
+    RUNNING = 2  # its owner is alive, so an answer may come
+    UNKNOWN = 3  # it may have run, and no front end will say what came of it
+    CONFLICT = 4  # two different answers: at most one of them is what happened first
 
 
 class ClaimSummary(Struct, frozen=True):
-    state: CallState = msgspec.field(name="standing")
-    claim: Claim | None = None  # the answered one, or the one that stands in the way
-    active_claims: tuple[Claim, ...] = msgspec.field(default=(), name="all")
+    """The state of a call, the claim that decides it, and all claims that are not released."""
+
+    state: CallState
+    claim: Claim | None = None
+    active_claims: tuple[Claim, ...] = ()
+
+    @property
+    def answer(self) -> str | None:
+        """The stored answer of an answered call, in base64; None where it is not stored."""
+        return self.claim.answer if self.claim is not None else None
 
 
-def summarize_claims(claims: list[Claim], alive: set[str]) -> ClaimSummary:
-    """The strictest reading of others' claims; `alive` are owners that are heard."""
-    live = sorted(claim for claim in claims if claim.phase is not ClaimPhase.RELEASED)
-    answered = [claim for claim in live if claim.phase is ClaimPhase.ANSWERED]
+def summarize_claims(claims: list[Claim], live_owners: set[str]) -> ClaimSummary:
+    """The strictest reading of these claims; an owner that is not alive answers nothing more."""
+    active = sorted(claim for claim in claims if claim.phase is not ClaimPhase.RELEASED)
+    answered = [claim for claim in active if claim.phase is ClaimPhase.ANSWERED]
     if len({claim.digest for claim in answered}) > 1:
-        return ClaimSummary(CallState.CONFLICT, answered[0], tuple(live))
+        return ClaimSummary(CallState.CONFLICT, answered[0], tuple(active))
     if answered:
-        kept = [claim for claim in answered if claim.answer is not None]
-        return ClaimSummary(CallState.ANSWERED, (kept or answered)[0], tuple(live))
-    under_way = [claim for claim in live if claim.phase is ClaimPhase.GRANTED and claim.owner in alive]
-    if under_way:
-        return ClaimSummary(CallState.RUNNING, under_way[0], tuple(live))
-    return ClaimSummary(CallState.UNKNOWN, live[0], tuple(live)) if live else ClaimSummary(CallState.FREE)
+        with_answer = [claim for claim in answered if claim.answer is not None]
+        return ClaimSummary(CallState.ANSWERED, (with_answer or answered)[0], tuple(active))
+    running = [claim for claim in active if claim.phase is ClaimPhase.GRANTED and claim.owner in live_owners]
+    if running:
+        return ClaimSummary(CallState.RUNNING, running[0], tuple(active))
+    return (
+        ClaimSummary(CallState.UNKNOWN, active[0], tuple(active)) if active else ClaimSummary(CallState.FREE)
+    )
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -29,7 +29,7 @@
 def _files(path: str) -> tuple[s.ReplicationSettings, Membership]:
     try:
         settings = s.parse_settings(Path(path).read_bytes())
-        members = membership_from((Path(path).parent / settings.members).read_bytes())
+        members = membership_from((Path(path).parent / settings.membership_file).read_bytes())
         s.check_members(members, settings)
     except OSError as error:
         _fail(f"state: {error.filename}: {error.strerror}")
@@ -78,7 +78,7 @@
 def show(state: File, member: Member = "") -> None:
     """How each keeper stands, or one front end, with what it counted. Status 1 where one gave no answer."""
     settings, members = _files(state)
-    placement = ReplicaPlacement(members, settings.zones, settings.per_zone)
+    placement = ReplicaPlacement(members, settings.replica_zones, settings.replicas_per_zone)
     silent = False
     for name in [member] if member else placement.replicas:
         found = _look(members, name)
@@ -86,7 +86,7 @@
             silent = True
             typer.echo(f"{name:16} no answer: {found}")
             continue
-        typer.echo(f"{name:16} members {found.members_number}  {_standing(found)}")
+        typer.echo(f"{name:16} members {found.membership_number}  {_standing(found)}")
         half, most = found.wait_ms
         typer.echo(
             f"{'':16} calls wait {half:g} ms (median), {most:g} ms (99 %); {found.sent_bytes} bytes sent"
@@ -159,6 +159,6 @@
 def check(state: File) -> None:
     """Read and check the settings and the file of members, and say who keeps."""
     settings, members = _files(state)
-    placement = ReplicaPlacement(members, settings.zones, settings.per_zone)
+    placement = ReplicaPlacement(members, settings.replica_zones, settings.replicas_per_zone)
     keepers = "; ".join(f"{zone}: {', '.join(names)}" for zone, names in sorted(placement.by_zone.items()))
     typer.echo(f"fawnwharf: good: {len(members.members)} members, keepers {keepers}")
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -43,7 +43,7 @@
     ) -> None:
         """`life` is another one with each start. `fresh`: the fleet begins, nobody has promised anything."""
         self.name, self.incarnation, self.members, self.settings = name, life, members, settings
-        self.placement = ReplicaPlacement(members, settings.zones, settings.per_zone)
+        self.placement = ReplicaPlacement(members, settings.replica_zones, settings.replicas_per_zone)
         self.owner_id = f"{name}#{life}"
         self.call_owner = CallOwner(self.owner_id, self.placement, settings)
         self.replica: Replica | None = None
@@ -62,8 +62,10 @@
         self._reported_failures = False  # bad scorers were told last time
         self.quota_shares: QuotaShares | None = None  # where quotas are kept by the fleet
         self.load_reporter: LoadReporter | None = None  # where work is told to others
-        self.load_report_store = LoadReportStore(settings.word_ms, settings.copies_ms, life)
-        self.remote_loads = RemoteLoads(settings.word_ms, settings.copies_ms)
+        self.load_report_store = LoadReportStore(
+            settings.load_report_lifetime_ms, settings.copy_lifetime_ms, life
+        )
+        self.remote_loads = RemoteLoads(settings.load_report_lifetime_ms, settings.copy_lifetime_ms)
         self._tick_due_ms = now_ms
 
     def _count(self, cause: str) -> None:
@@ -206,7 +208,7 @@
             complete=keeper.is_complete(now_ms),
             calls=len(shelf.calls),
             answer_bytes=shelf.answer_bytes,
-            members_number=self.placement.number,
+            membership_number=self.placement.number,
             lags_ms=lags,
             buckets=sums.get(self.name, {}),
         )
@@ -300,7 +302,9 @@
             self._count("members left aside")
             return
         self.members, before = members, self.placement
-        self.placement = ReplicaPlacement(members, self.settings.zones, self.settings.per_zone)
+        self.placement = ReplicaPlacement(
+            members, self.settings.replica_zones, self.settings.replicas_per_zone
+        )
         self.call_owner.placement = self.placement
         self.remote_loads.forget_keepers(set(before.replicas) - set(self.placement.replicas))
         if self.replica is None and self.name in self.placement.replicas:
@@ -314,7 +318,7 @@
         found: list[OwnerAction] = list(self.call_owner.tick(now_ms))
         if self.replica and now_ms >= min(self._tick_due_ms, self.replica.due_ms(now_ms)):
             self._tick_due_ms = now_ms + TICK_MS
-            quiet = self.settings.quiet_ms
+            quiet = self.settings.silence_timeout_ms
             alive = {f"{n}#{life}" for n, (life, at) in self.last_heard.items() if now_ms - at <= quiet}
             told = self.replica.change_live_owners(now_ms, alive | {self.owner_id})
             found += [*told, *self.replica.tick(now_ms)]
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -23,7 +23,7 @@
     ) -> None:
         """Switches the telling on in this core."""
         self._core, self._note = core, note
-        copies_ms = min(core.settings.copies_ms, settings.idle_life_ms / 2)
+        copies_ms = min(core.settings.copy_lifetime_ms, settings.idle_life_ms / 2)
         core.load_reporter = self.own = LoadReporter(settings.cold_ms, settings.fall_ms, copies_ms)
         self._fronts = settings.fleet_size
         self._front: FrontEnd | None = None
@@ -88,14 +88,16 @@
             self._was_sure = sure
             self._note("work elsewhere", {"known": sure, "heard": heard})
         rules = self._core.settings
-        if now - self._handed_ms > rules.word_ms:  # no keeper answers: what was told is taken back
+        if (
+            now - self._handed_ms > rules.load_report_lifetime_ms
+        ):  # no keeper answers: what was told is taken back
             self._hand_on()
         quick = bool(self.own.loads or self.own.cold(now))
-        self._set(now + (rules.cold_told_ms if quick else rules.elsewhere_ms))
+        self._set(now + (rules.slow_start_report_interval_ms if quick else rules.load_report_interval_ms))
 
     def _hasten(self) -> None:
         """There is news: the next word goes at the quick pace."""
-        due = self._told_ms + self._core.settings.cold_told_ms
+        due = self._told_ms + self._core.settings.slow_start_report_interval_ms
         if self._front is not None and due < self._due_ms:
             self._timer.cancel()
             self._set(due)
--- a/fawnwharf/replication/placement.py
+++ b/fawnwharf/replication/placement.py
@@ -1,7 +1,8 @@
-"""Who keeps what: a pure function of the members, the same at every front end that has the same file.
+"""Which replicas store which call: a pure function of the membership, the same at every front end.
 
 Rendezvous hashing (Thaler and Ravishankar 1998): of the zones, and in each zone of its front ends, those with
-the highest hash together with what is placed. A member that comes or goes moves only what it keeps itself.
+the highest hash together with the key. A member that comes or goes moves only the calls that it stores
+itself.
 """
 
 import hashlib
@@ -10,36 +11,36 @@
 
 
 def rendezvous_weight(*parts: str) -> int:
+    """The 64-bit hash of these texts, by which candidates are ranked."""
     return int.from_bytes(hashlib.blake2b("\0".join(parts).encode(), digest_size=8).digest(), "big")
 
 
 class ReplicaPlacement:
-    """Owns the keepers of one file of members. `zones` keep each call, by one of `per_zone` each."""
+    """The replicas of one membership."""
 
     def __init__(self, members: Membership, zones: int, per_zone: int) -> None:
+        """Each call is stored in `zones` zones, by one of `per_zone` replicas in each."""
         self.number = members.number
-        able: dict[str, list[str]] = {}
+        candidates: dict[str, list[str]] = {}
         for member in members.members:
             if member.state:
-                able.setdefault(member.zone, []).append(member.name)
-        # Few keepers, so that nobody has to be connected to all others.
+                candidates.setdefault(member.zone, []).append(member.name)
+        # Few replicas, so that not every front end has to be connected to all others.
         self.by_zone = {
             zone: sorted(names, key=lambda name: rendezvous_weight("keeper", name), reverse=True)[:per_zone]
-            for zone, names in able.items()
+            for zone, names in candidates.items()
         }
         self._zones = zones
         self.replicas = sorted(name for names in self.by_zone.values() for name in names)
 
     def replicas_of(self, key: str) -> tuple[str, ...]:
-        """The keepers of a call, a zone each, the same order everywhere."""
-        zones = sorted(self.by_zone, key=lambda zone: rendezvous_weight(zone, key), reverse=True)[
-            : self._zones
-        ]
+        """The replicas of a call, one in each zone, in the same order everywhere."""
+        ranked = sorted(self.by_zone, key=lambda zone: rendezvous_weight(zone, key), reverse=True)
         return tuple(
             max(self.by_zone[zone], key=lambda name: rendezvous_weight("call", name, key))
-            for zone in sorted(zones)
+            for zone in sorted(ranked[: self._zones])
         )
 
     def quorum(self, key: str) -> int:
-        """Keepers whose word makes a promise: any two such sets have one in common."""
+        """How many replicas have to grant a call: any two such sets have one in common."""
         return len(self.replicas_of(key)) // 2 + 1
--- a/fawnwharf/replication/replica.py
+++ b/fawnwharf/replication/replica.py
@@ -37,7 +37,7 @@
         self.state_transfer = StateTransfer(settings, self.claim_store, life)
         self.live_owners: set[str] = set()  # owners that are heard
         self._since_ms = now_ms
-        self._due_ms = {"forget": now_ms, "compare": now_ms + settings.compare_ms}
+        self._due_ms = {"forget": now_ms, "compare": now_ms + settings.compare_interval_ms}
         self._earlier_placements: list[ReplicaPlacement] = []  # lists before, until their keepers were heard
         self._max_requested_members = 0  # the largest number of a list that another keeper went by
         self.storage_failed = False  # what it grants can't be written down
@@ -51,7 +51,7 @@
 
     def max_grant_age_ms(self) -> float:
         """For so long an owner may rest on a grant."""
-        return self.settings.wait_most_ms * (1.0 + 2.0 * self.settings.skew)
+        return self.settings.max_wait_ms * (1.0 + 2.0 * self.settings.clock_skew)
 
     def is_complete(self, now_ms: float) -> bool:
         """Whether it knows all that it ever granted and that still counts.
@@ -71,7 +71,7 @@
                 for old in self._earlier_placements
             ]
             self._complete = (
-                max(unheard) <= self.settings.zones // 2
+                max(unheard) <= self.settings.replica_zones // 2
                 and not self._unheard_replicas & self._other_replicas()
             )
         else:
@@ -112,7 +112,7 @@
 
     def handle_claim_request(self, now_ms: float, sender: str, ask: m.ClaimRequest) -> list[m.Send]:
         """Grant the call, or say who has it."""
-        sure = self.is_complete(now_ms) and ask.members_number == self.placement.number
+        sure = self.is_complete(now_ms) and ask.membership_number == self.placement.number
         if self.name not in self.placement.replicas_of(ask.key):
             self.claim_store.count("no keeper of it")
             sure = False
@@ -130,7 +130,9 @@
             claim = Claim(ask.owner, ask.number, ask.number, ask.bucket, ClaimPhase.GRANTED)
             self.claim_store.merge(now_ms, ask.key, entry, claim, self.claim_store.claim_lifetime_ms(ask.key))
             entry.waiters.pop(ask.owner, None)
-        elif not free and (ask.owner in entry.waiters or len(entry.waiters) < self.settings.bounds.waiters):
+        elif not free and (
+            ask.owner in entry.waiters or len(entry.waiters) < self.settings.limits.max_waiters
+        ):
             entry.waiters[ask.owner] = ask.number
         return [self._reply(now_ms, ask.owner, ask.number, ask.key, entry, free and sure, sure or not free)]
 
@@ -210,7 +212,7 @@
                 found += self.state_transfer.want(now_ms, name, self.placement.number)
         found += self.state_transfer.pieces(now_ms, sure)
         if now_ms >= self._due_ms["compare"]:
-            self._due_ms["compare"] = now_ms + self.settings.compare_ms
+            self._due_ms["compare"] = now_ms + self.settings.compare_interval_ms
             for name in sorted(self._other_replicas()):
                 found.append(m.Send((name,), m.StoreDigests(self.claim_store.bucket_digests(now_ms, name))))
         return found
@@ -222,8 +224,8 @@
     def handle_state_request(self, now_ms: float, sender: str, want: m.StateRequest) -> list[m.Send]:
         """Another keeper wants what is here. One that goes by a later list has all, and nothing is granted
         by the earlier one any more."""
-        ahead = want.members_number > self.placement.number
-        self._max_requested_members = max(self._max_requested_members, want.members_number)
+        ahead = want.membership_number > self.placement.number
+        self._max_requested_members = max(self._max_requested_members, want.membership_number)
         if not ahead and sender not in self.placement.replicas and sender not in self._earlier_replicas():
             self.claim_store.count("want of no keeper")
             return []
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -53,7 +53,7 @@
         place = Path(path)
         self.settings: ReplicationSettings = load_file(place, parse_settings, "state")
         self.folder = place.parent / self.settings.folder if self.settings.folder else None
-        self._members_path = place.parent / self.settings.members
+        self._members_path = place.parent / self.settings.membership_file
         members: Membership = load_file(self._members_path, membership_from, "state")
         self._members_seen = self._mark()
         entry = members.named(deployment.name)
@@ -73,14 +73,14 @@
         self.core = ReplicationCore(
             entry.name, self.incarnation, members, self.settings, monotonic_ms(), fresh
         )
-        if self.settings.shares:
+        if self.settings.quota_shares:
             # The module adds what it is handed to the quotas: these are as they were sold.
             quotas = dict(deployment.settings.quotas_rps)
             self.core.quota_shares = QuotaShares(quotas, deployment.settings.fleet_size)
         promises = (spec.promise_ms for spec in deployment.settings.classes.values())
         self.outlier_ejector = OutlierEjector(min(promises, default=1_000.0), self.log_event)
         self.load_reporting: LoadReporting | None = None
-        if self.settings.elsewhere:
+        if self.settings.load_reports:
             self.load_reporting = LoadReporting(self.core, deployment.settings, self.log_event)
         self.grant_storage: GrantStorage | None = None
         self._kept = kept
@@ -134,9 +134,9 @@
         self._follow()
         self._look_at_files()
         self._status()
-        if self.settings.shares:
+        if self.settings.quota_shares:
             self._use()
-        if self.settings.hints:
+        if self.settings.outlier_ejection:
             self._beliefs()
         if self.load_reporting:
             self.load_reporting.attach(front, self._carry_out)
@@ -191,7 +191,7 @@
     def live_members(self, now_ms: float) -> dict[str, int]:
         """Members whose logs are followed here and gave a sign within `quiet_ms`, with their lives."""
         self._hear()
-        quiet = self.settings.quiet_ms
+        quiet = self.settings.silence_timeout_ms
         return {name: life for name, (life, at_ms) in self.core.last_heard.items() if now_ms - at_ms <= quiet}
 
     def _hear(self) -> None:
@@ -271,7 +271,7 @@
         if self.core.quota_shares:
             for tenant, rps in self.core.quota_shares.changes(now).items():
                 self.front_end.loop.tell(io.LimitsChanged(rps, tenant))
-        self.front_end.loop.wheel.after(self.settings.use_ms, self._use)
+        self.front_end.loop.wheel.after(self.settings.usage_interval_ms, self._use)
 
     def _beliefs(self) -> None:
         """Tell which scorers are bad, and let those rest that several front ends name."""
@@ -283,7 +283,7 @@
         self.core.reported_outliers.clear()
         if changes.members:
             self.front_end.go_by(changes)
-        self.front_end.loop.wheel.after(self.settings.hints_ms, self._beliefs)
+        self.front_end.loop.wheel.after(self.settings.failure_report_interval_ms, self._beliefs)
 
     def _status(self) -> None:
         if self._stopped:
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -36,7 +36,7 @@
         settings = s.settings_from(Path(sessions).read_bytes())
         place = state
         kept = rs.parse_settings(Path(state).read_bytes())
-        members = membership_from((Path(state).parent / kept.members).read_bytes())
+        members = membership_from((Path(state).parent / kept.membership_file).read_bytes())
     except OSError as error:
         _fail(f"sessions: {error.filename}: {error.strerror}")
     except SettingsFileError as error:
--- a/fawnwharf/testbed/promises.py
+++ b/fawnwharf/testbed/promises.py
@@ -106,7 +106,7 @@
     ) -> None:
         self.chance, self.weather = random.Random(seed), weather
         self.settings = settings or ReplicationSettings(
-            1, "members", call_most_ms=BUDGET_MS, window_ms=4_000.0, compare_ms=1_000.0
+            1, "members", max_call_ms=BUDGET_MS, repeat_window_ms=4_000.0, compare_interval_ms=1_000.0
         )
         self.file = fleet_file(zones)
         self.make_core = make_core
@@ -266,7 +266,7 @@
                 self._ask(key)
             else:
                 for _ in range(chance.randrange(1, 4)):
-                    wait = chance.uniform(0.0, self.settings.window_ms * 0.9)
+                    wait = chance.uniform(0.0, self.settings.repeat_window_ms * 0.9)
                     self.at(self.now + wait, lambda: self._ask(key))
 
     def _ask(self, key: str) -> None:
@@ -307,7 +307,7 @@
         runs = self.runs.setdefault(key, [])
         self.outcome.runs += 1
         for at, who, _ in runs:
-            if self.now - at <= self.settings.window_ms:
+            if self.now - at <= self.settings.repeat_window_ms:
                 self._break(f"{key} ran at {who}, and {self.now - at:.0f} ms later at {owner}")
         runs.append((self.now, owner, answer))
         core = front.core
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -3,6 +3,14 @@
 The expected texts are those that commit 9d9ccab wrote.
 """
 
+import json
+import re
+import socket
+
+import msgspec
+import pytest
+from typer.testing import CliRunner
+
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.admin.handoff_channel import HandoffDirectory
@@ -19,39 +27,24 @@
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
-from fawnwharf.policy_rollout.document import Document
-from fawnwharf.policy_rollout.document import parse_register
+from fawnwharf.policy_rollout.document import Document, parse_register
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_core.trust import ClockReading
-from fawnwharf.recovery_core.trust import StateKind
-from fawnwharf.recovery_service import front_end_integration
+from fawnwharf.recovery_core.trust import ClockReading, StateKind
+from fawnwharf.recovery_service import front_end_integration, stored_state
 from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.recovery_service import settings as recovery_settings
-from fawnwharf.recovery_service import stored_state
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
-from fawnwharf.session_types import Home
-from fawnwharf.session_types import Session
-from fawnwharf.sessions import foreseen
-from fawnwharf.sessions import left
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.session_types import Home, Session
+from fawnwharf.sessions import foreseen, left
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import log_lines
-from fawnwharf.zones import member_log
-from fawnwharf.zones import plan
+from fawnwharf.zones import log_lines, member_log, plan
 from fawnwharf.zones import settings as zone_settings
-from typer.testing import CliRunner
-import json
-import msgspec
-import pytest
-import re
-import socket
-
 
 RUNNER = CliRunner()
 SITES = {"a", "b", "c"}
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -10,7 +10,7 @@
 from fawnwharf.testbed.promises import fleet_file
 
 FLEET = fleet_file("abcabc")
-RULES = s.ReplicationSettings(1, "members", call_most_ms=2_000.0, window_ms=4_000.0)
+RULES = s.ReplicationSettings(1, "members", max_call_ms=2_000.0, repeat_window_ms=4_000.0)
 
 
 class Cores:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -36,7 +36,10 @@
     def __init__(self, zones="a", fresh=True):
         self.wheel, self.timers = self, []
         rules = s.ReplicationSettings(
-            1, "m", zones=1 if zones == "a" else 3, bounds=s.StoreLimits(answer_bytes=64)
+            1,
+            "m",
+            replica_zones=1 if zones == "a" else 3,
+            limits=s.ClaimStoreLimits(max_single_answer_bytes=64),
         )
         file = fleet_file(zones)
         keepers = ReplicationCore("n0", 1, file, rules, 0.0).placement.replicas
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -173,7 +173,7 @@
     """With the real gate and keeper below."""
 
     def __init__(self, stage):
-        rules, file = s.ReplicationSettings(1, "m", zones=1), fleet_file("a")
+        rules, file = s.ReplicationSettings(1, "m", replica_zones=1), fleet_file("a")
         keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.replicas[0]
         self.core = ReplicationCore(keeper, 1, file, rules, 0.0, True)
         self.wheel = self  # the gate's timers never ring here
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -287,7 +287,7 @@
 
 
 def test_a_call_of_one_keeper_alone_that_it_can_t_write_is_turned_away(site):
-    cores = StoreCores(site, rules=msgspec.structs.replace(RULES, zones=1))
+    cores = StoreCores(site, rules=msgspec.structs.replace(RULES, replica_zones=1))
     [keeper] = cores.cores[cores.keepers[0]].placement.replicas_of("k")
     cores.kepts[keeper]._bytes["promise"] = 8 * 1024 * 1024 - 10
     cores.begin(keeper)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -74,7 +74,7 @@
     cores.begin(other)
     assert cores.what(other) == []  # it waits for the answer
     cores.lost.add(one)
-    cores.wait(RULES.quiet_ms + 300)
+    cores.wait(RULES.silence_timeout_ms + 300)
     assert cores.what(other) == [FailCall("k", "it may have run")]
     cores.begin(third)
     assert cores.what(third) == [FailCall("k", "it may have run")]
@@ -110,7 +110,7 @@
     one = cores.owners[0]
     cores.hold = lambda sender, to, say: isinstance(say, m.ClaimReply)
     cores.begin(one)
-    cores.now += RULES.wait_most_ms + 1  # it stood still
+    cores.now += RULES.max_wait_ms + 1  # it stood still
     cores.release()
     assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
@@ -261,7 +261,7 @@
 
 
 def test_a_shelf_that_is_full_takes_nothing_new_and_drops_answers_first():
-    rules = msgspec.structs.replace(RULES, bounds=s.StoreLimits(calls=2, bytes=1_024))
+    rules = msgspec.structs.replace(RULES, limits=s.ClaimStoreLimits(max_calls=2, max_answer_bytes=1_024))
     cores = Cores(rules)
     one = cores.owners[0]
     for n in range(2):
--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -164,7 +164,7 @@
     shelf = shelf_of(items)
     held = sum(len(c.answer or "") for entry in shelf.calls.values() for c in entry.claims.values())
     assert shelf.answer_bytes == held
-    shelf.remove_expired(RULES.longest_ms * 2)
+    shelf.remove_expired(RULES.max_claim_lifetime_ms * 2)
     assert (shelf.calls, shelf.answer_bytes, shelf._buckets) == ({}, 0, {})
 
 
@@ -225,9 +225,10 @@
     assert policy_settings((folder / "policy-settings.json").read_bytes()).timing == RolloutTiming()
     zones = zone_settings((folder / "zones.json").read_bytes())
     state = s.parse_settings((folder / "state.json").read_bytes())
-    assert zones.members == state.members == "members.json"
+    assert zones.membership_file == state.membership_file == "members.json"
     members = membership_from((folder / "members.json").read_bytes())
     s.check_members(members, state)
     assert (
-        len(members.voters) == 3 and ReplicaPlacement(members, state.zones, state.per_zone).quorum("k") == 2
+        len(members.voters) == 3
+        and ReplicaPlacement(members, state.replica_zones, state.replicas_per_zone).quorum("k") == 2
     )
