--- a/fawnwharf/recovery_core/coordinated_fleet.py
+++ b/fawnwharf/recovery_core/coordinated_fleet.py
@@ -35,7 +35,11 @@
 from fawnwharf.replication.placement import rendezvous_weight
 
 ASKS_MS, ELECTS_MS, TICK_MS, CHOOSE_MS = 2_000.0, 2_000.0, 250.0, 2_000.0
-EFFECTS = {"points-view": Effect.SAFE, "lineup-save": Effect.KEYED, "transfer-settle": Effect.UNSAFE}
+EFFECTS = {
+    "points-view": Effect.IDEMPOTENT,
+    "lineup-save": Effect.DEDUPLICATED,
+    "transfer-settle": Effect.AT_MOST_ONCE,
+}
 KEPT_BACK = 0.3  # of the burst at a door, for the classes worth most
 
 
@@ -90,7 +94,7 @@
             self._order(now, loader)
         rate = self.limits.calls_rps(self._age(now, s) for s in self._live(now))
         for front in self.up:
-            self.doors[front.name].pace(now, SITE.fall_multiple * rate / len(up))
+            self.doors[front.name].pace(now, SITE.slow_start_multiple * rate / len(up))
 
     def _live(self, now: float) -> list[int]:
         return [s for s, scorer in enumerate(self.scorers) if scorer.up_ms <= now]
@@ -229,7 +233,7 @@
 
     def _ticket(self, now: float, s: int) -> float:
         age = self._age(now, s)
-        if age >= SITE.cold_ms:
+        if age >= SITE.slow_start_ms:
             return 0.0
         name = self.warden[s][0]
         warden = self.wardens.setdefault(name, SlowStartCoordinator(self.limits))
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -68,8 +68,8 @@
         self._stopped = False
         self.door = door(front, state, settings, self.limits)
         self.holds: LoadOrderGate | None = None
-        self._order_out: Callable[[io.Hold], None] | None = None
-        front.stand_between(io.Hold, self._between)
+        self._order_out: Callable[[io.OrderCopies], None] | None = None
+        front.stand_between(io.OrderCopies, self._between)
         state.log_clients[LOG_CLIENT] = self._ridden
         self.roster()
         self._turn()
@@ -79,11 +79,11 @@
         self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.Hold, lambda _own: self._order_out)
+        self.front.stand_between(io.OrderCopies, lambda _own: self._order_out)
         if not self._going[0].spill:
             self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
-    def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
+    def _between(self, below: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
         front, self._order_out = self.front, below
         self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
         return self.holds.carry
@@ -116,7 +116,7 @@
             classes = self.front.deployment.settings.classes
             for (row, name), rps in self._used.items():
                 if name in classes:
-                    self.giving.want(now_ms, row, rps * classes[name].worth, name)
+                    self.giving.want(now_ms, row, rps * classes[name].priority_weight, name)
 
     # --- scorers --------------------------------------------------------------------------------
 
@@ -153,7 +153,7 @@
         """Orders that the module would make of `CopiesWanted`: one is left for each held call."""
         router = self.front.router
         held = sum(len(fn.queue) for fn in router.functions.values())
-        return router._ration_left() - held if router.settings.may_order else 0.0
+        return router._ration_left() - held if router.settings.load_orders_allowed else 0.0
 
     # --- turns, words and answers ---------------------------------------------------------------
 
@@ -182,7 +182,7 @@
             if isinstance(out, actions.SendPermitMessage):
                 self.state.send_message(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, actions.LoadOrder):
-                if isinstance(out.what, io.Hold):
+                if isinstance(out.what, io.OrderCopies):
                     self.front.table.order(out.what)
                 else:
                     self.front.loop.tell(out.what)
--- a/fawnwharf/recovery_service/load_coordination.py
+++ b/fawnwharf/recovery_service/load_coordination.py
@@ -28,7 +28,11 @@
 MIN_ETA_MS = 50.0  # no copy is expected earlier
 MAX_FUNCTIONS = 20_000  # functions
 
-COUNTING_RESULTS = (io.Ending.GOOD, io.Ending.FULL, io.Ending.ERROR)  # an order's answer that counts copies
+COUNTING_RESULTS = (
+    io.AttemptResult.GOOD,
+    io.AttemptResult.FULL,
+    io.AttemptResult.ERROR,
+)  # an order's answer that counts copies
 
 
 @dataclass(slots=True)
@@ -162,7 +166,7 @@
             lend = DelegatedLoadOrder(life, number, able[0], row, facts.kind, facts.lanes, facts.load_ms)
             return SendPermitMessage((name,), lend)
         self.under_way[row] = _OpenLoadOrder(able[0], now_ms)
-        return LoadOrder(io.CopiesWanted(able[0], row, facts.kind, 1, facts.lanes, facts.load_ms))
+        return LoadOrder(io.PrefetchRequested(able[0], row, facts.kind, 1, facts.lanes, facts.load_ms))
 
     def ordered(self, now_ms: float, worker: int, row: str) -> None:
         """The module made an order of what it was told: its load is under way."""
@@ -175,13 +179,13 @@
         way = self.under_way.get(row)
         return way is not None and way.worker == worker
 
-    def answered(self, now_ms: float, event: io.OrderAnswered) -> bool:
+    def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> bool:
         """A scorer's answer to an order or a question, whoever's that was. Whether a copy stands that was
         ordered here."""
         row, way = event.function, self.under_way.get(event.function)
-        if way is None or way.worker != event.worker:
+        if way is None or way.worker != event.scorer:
             return False
-        if event.ending in COUNTING_RESULTS and event.copies:
+        if event.result in COUNTING_RESULTS and event.copies:
             del self.under_way[row]
             took_ms = now_ms - way.told_ms if way.went else self.loader.fetch_ms
             self.loader.ended(row, True, took_ms)
@@ -191,7 +195,7 @@
             return False  # whoever made the order tells
         # None stands: that answers a question, maybe the module's own of before. An order that is under way
         # it does not end, and one that the module is yet to make neither.
-        counted = event.ending is io.Ending.GOOD
+        counted = event.result is io.AttemptResult.GOOD
         if way.went != counted and (way.went or way.asked_ms is not None):
             self._failed(now_ms, row, way, way.went)
         return False
@@ -244,7 +248,7 @@
                 self._failed(now_ms, row, way, True)
             elif not way.went and way.asked_ms is None and waited_ms >= ORDER_MS:
                 way.asked_ms = now_ms
-                found.append(LoadOrder(io.Hold(way.worker, row, 0)))
+                found.append(LoadOrder(io.OrderCopies(way.worker, row, 0)))
             elif not way.went and waited_ms >= ORDER_MS + UNMADE_MS:
                 self._failed(now_ms, row, way, True)
         return found
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -62,7 +62,9 @@
         self._used = UsageRecorder.read(self.kept.read(StateKind.USE))
         self._roster, self._use = RosterRecorder(), UsageRecorder(monotonic_ms())
         classes = deployment.settings.classes
-        self.tallies = FrontEndCounters({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
+        self.tallies = FrontEndCounters(
+            {n: c.priority_weight for n, c in classes.items()}, deployment.settings.slow_start_ms
+        )
         self.front: FrontEnd | None = None
         self.agent: RecoveryAgent | None = None
         self.joined: front_end_integration.FrontEndIntegration | None = None
@@ -85,7 +87,7 @@
         front.port.waits_for.add(RECOVERY)
         front.changelog.may_begin_anew = True
         self.agent = RecoveryAgent(
-            self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
+            self.zones.entry.name, self.zones.core.membership.fleet, self.life, self.kept.boot, self._lists(),
             self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
             monotonic_ms(), settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
         )  # fmt: skip
@@ -148,7 +150,7 @@
             return
         now = monotonic_ms()
         for event in events:
-            worker = getattr(event, "worker", None)
+            worker = getattr(event, "scorer", None)
             age_ms = self.joined.age_ms(worker) if worker is not None else 0.0
             self.tallies.event(now, event, age_ms)
             if isinstance(event, io.RequestArrived):
@@ -162,7 +164,7 @@
     # --- what this front end knows of itself ------------------------------------------------------
 
     def _lists(self) -> MemberLists:
-        members = self.zones.core.members
+        members = self.zones.core.membership
         names = tuple(entry.name for entry in members.members)
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
         who = sorted((e.name, e.zone, e.region, bool(e.ballots), bool(e.state)) for e in members.members)
--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -47,7 +47,11 @@
 
 def claim_mode(spec: ClassSpec, settings: ReplicationSettings) -> ClaimMode:
     """How calls of a class are kept: as the settings say, or as its effect asks."""
-    by_effect: dict[Effect, ClaimMode] = {Effect.UNSAFE: "before", Effect.KEYED: "after", Effect.SAFE: "off"}
+    by_effect: dict[Effect, ClaimMode] = {
+        Effect.AT_MOST_ONCE: "before",
+        Effect.DEDUPLICATED: "after",
+        Effect.IDEMPOTENT: "off",
+    }
     return settings.modes.get(spec.name, by_effect[spec.effect])
 
 
@@ -106,7 +110,7 @@
                 monotonic_ms(),
                 name,
                 spec.effect,
-                promise_ms=spec.promise_ms,
+                promise_ms=spec.latency_target_ms,
                 budget_ms=max(1.0, call.budget_ms - WAIT_LEAD_MS),
                 dedup_ms=spec.dedup_window_ms,
                 must=mode == "before",
@@ -152,7 +156,7 @@
         if not held.running:
             self._done(held)
             self._carry_out(self._core.client_left(monotonic_ms(), held.name))
-        elif held.spec.effect is not Effect.UNSAFE and held.table_key is not None:
+        elif held.spec.effect is not Effect.AT_MOST_ONCE and held.table_key is not None:
             self._table.withdraw(held.table_key)
             self._done(held)
             self._carry_out(self._core.call_ended(monotonic_ms(), held.name, ClaimPhase.FAILED))
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -265,7 +265,7 @@
         self.remote_loads.asked(now_ms, word.number)
         return self._deliver_own(now_ms, [m.Send(tuple(self.placement.replicas[:16]), word)])
 
-    def remote_load_events(self, now_ms: float, fronts: int) -> list[io.Elsewhere]:
+    def remote_load_events(self, now_ms: float, fronts: int) -> list[io.RemoteLoadReport]:
         """What the module is to hear of others' work; `fronts` are all of the fleet, as it was told."""
         return self.remote_loads.changes(
             now_ms, self.load_reporter.cold(now_ms), self.load_reporter.known, self._fleet_size(fronts)
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -2,15 +2,18 @@
 others'. The thin part round `elsewhere.py` and `others.py`."""
 
 from collections.abc import Callable
-from typing import Any
-
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.streams import Attempt, Order
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.streams import Attempt
+from fawnwharf.net.streams import Order
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.load_report import LoadReporter
+from typing import Any
+
 
 GATHER_MS = 4.0  # keepers answer at nearly the same moment: the module hears once
 
@@ -24,7 +27,9 @@
         """Switches the telling on in this core."""
         self._core, self._note = core, note
         copies_ms = min(core.settings.copy_lifetime_ms, settings.idle_life_ms / 2)
-        core.load_reporter = self.own = LoadReporter(settings.cold_ms, settings.fall_ms, copies_ms)
+        core.load_reporter = self.own = LoadReporter(
+            settings.slow_start_ms, settings.slow_start_window_ms, copies_ms
+        )
         self._fronts = settings.fleet_size
         self._front: FrontEnd | None = None
         self._carry_out: Callable[[list[OwnerAction]], None] | None = None
@@ -38,7 +43,7 @@
         self._front, self._carry_out = front, carry_out
         front.table.witness = self
         entries = [
-            io.WorkerEntry(worker_number(member.id), up_since_ms=member.up_since_ms or None)
+            io.ScorerEntry(worker_number(member.id), up_since_ms=member.up_since_ms or None)
             for member in front.overlay.members.values()
         ]
         self.own.roster(monotonic_ms(), front.loop.clock.now_ms(), entries, True)
@@ -62,7 +67,7 @@
     def sent(self, attempt: Attempt) -> None:
         self.own.sent(monotonic_ms(), attempt.worker)
 
-    def ended(self, attempt: Attempt, ending: io.Ending, warmth: io.Warmth) -> None:
+    def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None:
         self.own.ended(monotonic_ms(), attempt.worker, attempt.function, ending, warmth)
 
     def ordered(self, order: Order) -> None:
@@ -70,7 +75,7 @@
         if order.copies:
             self._hasten()
 
-    def order_ended(self, order: Order, ending: io.Ending, copies: int) -> None:
+    def order_ended(self, order: Order, ending: io.AttemptResult, copies: int) -> None:
         now = monotonic_ms()
         self.own.order_ended(now, order.worker, order.function, order.copies, ending, copies)
         if order.copies:
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -77,7 +77,7 @@
             # The module adds what it is handed to the quotas: these are as they were sold.
             quotas = dict(deployment.settings.quotas_rps)
             self.core.quota_shares = QuotaShares(quotas, deployment.settings.fleet_size)
-        promises = (spec.promise_ms for spec in deployment.settings.classes.values())
+        promises = (spec.latency_target_ms for spec in deployment.settings.classes.values())
         self.outlier_ejector = OutlierEjector(min(promises, default=1_000.0), self.log_event)
         self.load_reporting: LoadReporting | None = None
         if self.settings.load_reports:
--- a/fawnwharf/zones/evidence.py
+++ b/fawnwharf/zones/evidence.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 from fawnwharf.zones.settings import EvidenceSettings
 
 Count = Annotated[int, Meta(ge=0, le=10_000_000)]
@@ -83,13 +83,13 @@
 
 
 _SIGN_OF_ENDING = {
-    Ending.GOOD: _Sign.RESPONSE,
-    Ending.ERROR: _Sign.RESPONSE,
-    Ending.FULL: _Sign.RESPONSE,
-    Ending.MISS: _Sign.RESPONSE,
-    Ending.TIMEOUT: _Sign.TIMEOUT,
-    Ending.CONNECT_FAILED: _Sign.CONNECT_FAILURE,
-    Ending.RESET: _Sign.RESET,
+    AttemptResult.GOOD: _Sign.RESPONSE,
+    AttemptResult.ERROR: _Sign.RESPONSE,
+    AttemptResult.FULL: _Sign.RESPONSE,
+    AttemptResult.MISS: _Sign.RESPONSE,
+    AttemptResult.TIMEOUT: _Sign.TIMEOUT,
+    AttemptResult.CONNECT_FAILED: _Sign.CONNECT_FAILURE,
+    AttemptResult.RESET: _Sign.RESET,
 }
 
 _SLICES = 4  # of the window; evidence is forgotten one slice at a time
@@ -120,13 +120,15 @@
         self._slices: deque[_Slice] = deque()
         self._runs: dict[str, _FailureRun] = {}
 
-    def record_ending(self, now_ms: float, zone: str, scorer: int, ending: Ending, took_ms: float) -> None:
+    def record_ending(
+        self, now_ms: float, zone: str, scorer: int, ending: AttemptResult, took_ms: float
+    ) -> None:
         """Record the end of an attempt or of a load order.
 
         A cancelled one counts as a timeout where it had taken longer than the latency objective, and as
         nothing otherwise.
         """
-        if ending is Ending.CANCELLED and took_ms > self._latency_objective_ms:
+        if ending is AttemptResult.CANCELLED and took_ms > self._latency_objective_ms:
             self._record(now_ms, zone, scorer, _Sign.TIMEOUT)
         elif (sign := _SIGN_OF_ENDING.get(ending)) is not None:
             self._record(now_ms, zone, scorer, sign)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,7 +11,7 @@
 from support.slow_start_world import FALL_MS, Fleet, Saturated, rule
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Ending, State
+from fawnwharf.interface import AttemptResult, ScorerState
 from fawnwharf.policy import slow_start
 
 ALLOWED = (
@@ -144,7 +144,7 @@
     fleet = Fleet(front_ends, 1, workers=6, load=1.0)
     for worker in fleet.entries:
         fleet.last_start[worker] = 0.0
-        fleet.entries[worker] = io.WorkerEntry(worker, up_since_ms=0.0)
+        fleet.entries[worker] = io.ScorerEntry(worker, up_since_ms=0.0)
     fleet.now = 1.0
     fleet.start_all()
     fleet.run(FALL_MS)
@@ -158,7 +158,12 @@
 
 
 def cold_drive(**settings):
-    settings = {"cold_ms": 10_000.0, "cold_share": 0.2, "fall_ms": 1_000.0, "fall_multiple": 2.0} | settings
+    settings = {
+        "slow_start_ms": 10_000.0,
+        "slow_start_initial_share": 0.2,
+        "slow_start_window_ms": 1_000.0,
+        "slow_start_multiple": 2.0,
+    } | settings
     d = Drive(settings.pop("workers", 2), loads_on_miss=True, **settings)
     d.now = 20_000.0
     return d
@@ -166,7 +171,7 @@
 
 def tell_start(d, worker=1, up_since_ms=None):
     since = d.now if up_since_ms is None else up_since_ms
-    return d.feed(io.RosterChanged([io.WorkerEntry(worker, up_since_ms=since)], complete=False))
+    return d.feed(io.RosterChanged([io.ScorerEntry(worker, up_since_ms=since)], complete=False))
 
 
 def room(d, worker=1):
@@ -184,8 +189,8 @@
     """What is sent for a request; a copy stands wherever one is asked after."""
     actions = d.ask(name, fn)
     sends = of(actions, io.Send)
-    for hold in of(actions, io.Hold):
-        sends += of(d.count(hold.worker, max(1, hold.copies), fn), io.Send)
+    for hold in of(actions, io.OrderCopies):
+        sends += of(d.count(hold.scorer, max(1, hold.copies), fn), io.Send)
     return sends
 
 
@@ -196,7 +201,7 @@
         name = f"a{d.now}-{n}"
         for send in sends_for(d, name, f"g{n}"):
             d.end(send)
-        d.feed(io.ClientLeft(name))
+        d.feed(io.RequestCancelled(name))
 
 
 @pytest.mark.parametrize("fleet_size", [1, 2, 200])
@@ -205,29 +210,39 @@
 @pytest.mark.parametrize(
     "odd",
     [
-        {"cold_ms": 0.0}, {"cold_ms": 1.0}, {"cold_share": 0.0}, {"cold_share": 1.0}, {"fall_multiple": 0.0},
-        {"fall_ms": 0.0}, {"weights_fixed": True}, {"cold_share": 0.0, "cold_ms": 0.0, "fall_ms": 1.0},
+        {"slow_start_ms": 0.0}, {"slow_start_ms": 1.0}, {"slow_start_initial_share": 0.0},
+        {"slow_start_initial_share": 1.0}, {"slow_start_multiple": 0.0}, {"slow_start_window_ms": 0.0},
+        {"weights_fixed": True},
+        {"slow_start_initial_share": 0.0, "slow_start_ms": 0.0, "slow_start_window_ms": 1.0},
     ],
 )  # fmt: skip
 def test_odd_settings_divide_by_nothing_and_keep_to_n(odd, workers, sold, fleet_size):
     d = cold_drive(workers=workers, fleet_size=fleet_size, quotas_rps={"t": sold} if sold else {}, **odd)
     for worker in range(1, workers + 1):
-        entry = io.WorkerEntry(worker, units=0.0, up_since_ms=d.now)
+        entry = io.ScorerEntry(worker, units=0.0, up_since_ms=d.now)
         d.feed(io.RosterChanged([entry], complete=False))
     settings, capacity = d.router.settings, max(40.0, sold) / 1000.0 / workers
     for n in range(40):
         d.now += 25.0
         d.ask(f"r{n}", f"f{n}")
-        share = min(1.0, settings.cold_share + (1 - settings.cold_share) * 25.0 * (n + 1) / 10_000.0)
-        if settings.cold_ms > 1 and settings.cold_share < 1 and settings.fall_ms > 0:
-            allowed = settings.fall_multiple * share * settings.fall_ms * capacity
+        share = min(
+            1.0,
+            settings.slow_start_initial_share
+            + (1 - settings.slow_start_initial_share) * 25.0 * (n + 1) / 10_000.0,
+        )
+        if (
+            settings.slow_start_ms > 1
+            and settings.slow_start_initial_share < 1
+            and settings.slow_start_window_ms > 0
+        ):
+            allowed = settings.slow_start_multiple * share * settings.slow_start_window_ms * capacity
             assert room(d) <= rule(allowed)
         else:
             assert room(d) == 999  # it is warm, or there is no such rule
 
 
 def test_nothing_goes_to_a_cold_worker_before_a_former_lifes_sends_have_left_the_window():
-    d = Drive(2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, fall_ms=1_000.0, fleet_size=200)
+    d = Drive(2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, slow_start_window_ms=1_000.0, fleet_size=200)
     d.router.began_ms = math.inf
     d.now = 5_000.0
     d.feed(io.TimerDue(0))  # its first event
@@ -242,7 +257,9 @@
 
 @pytest.mark.parametrize(("front_ends", "spare"), [(1, 8), (2, 3), (30, 0), (200, 0)])
 def test_few_front_ends_use_what_the_bound_leaves_beside_what_former_lives_sent(front_ends, spare):
-    d = Drive(1, loads_on_miss=True, quotas_rps={"t": 50.0}, fall_ms=1_000.0, fleet_size=front_ends)
+    d = Drive(
+        1, loads_on_miss=True, quotas_rps={"t": 50.0}, slow_start_window_ms=1_000.0, fleet_size=front_ends
+    )
     tell_start(d)  # N is 20: 16 more are within the bound
     allowed = 2.0 * 0.2 * 50.0
     assert room(d) == spare
@@ -285,7 +302,14 @@
 
 
 @pytest.mark.parametrize(
-    "ending", [Ending.FULL, Ending.MISS, Ending.RESET, Ending.CANCELLED, Ending.NOT_SENT]
+    "ending",
+    [
+        AttemptResult.FULL,
+        AttemptResult.MISS,
+        AttemptResult.RESET,
+        AttemptResult.CANCELLED,
+        AttemptResult.NOT_SENT,
+    ],
 )
 def test_each_send_counts_whatever_came_of_it_and_orders_do_not(ending):
     d = cold_drive(workers=1, quotas_rps={"t": 50.0})
@@ -296,13 +320,17 @@
     sends = sends_for(d, "r", "f")
     for attempt, send in enumerate(list(sends)):
         sends += of(d.end(send, ending, attempt=attempt, closed=False), io.Send)
-    d.feed(io.CopiesWanted(1, "h", "safe"))
+    d.feed(io.PrefetchRequested(1, "h", "safe"))
     assert len(d.router.workers[1].sent) == len(sends) >= 1
 
 
 def test_a_draining_worker_still_counts_in_the_fleet_that_the_quotas_were_sold_for():
     d = cold_drive(workers=2, quotas_rps={"t": 50.0})
-    entries = [io.WorkerEntry(1), io.WorkerEntry(2, State.DRAINING), io.WorkerEntry(3, up_since_ms=d.now)]
+    entries = [
+        io.ScorerEntry(1),
+        io.ScorerEntry(2, ScorerState.DRAINING),
+        io.ScorerEntry(3, up_since_ms=d.now),
+    ]
     d.feed(io.RosterChanged(entries, complete=True))
     assert d.router.listed == 3.0
 
