--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -48,7 +48,7 @@
         return found
     kept = state.settings
     window = 2 * kept.max_wait_ms, kept.repeat_window_ms
-    return msgspec.structs.replace(found, give_up_most_ms=kept.call_most_ms, window_ms=window)
+    return msgspec.structs.replace(found, give_up_most_ms=kept.max_call_ms, window_ms=window)
 
 
 class PolicyApplier:
--- a/fawnwharf/replication/call_owner.py
+++ b/fawnwharf/replication/call_owner.py
@@ -6,22 +6,23 @@
 answered from what was kept, failed or refused, and whatever was granted is given back.
 """
 
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
+
+import msgspec
+from msgspec import Struct
+
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claims import CallState
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
-from fawnwharf.replication.claims import ClaimSummary
-from fawnwharf.replication.claims import merge_claims
-from fawnwharf.replication.claims import summarize_claims
-from fawnwharf.replication.placement import ReplicaPlacement
-from fawnwharf.replication.placement import rendezvous_weight
+from fawnwharf.replication.claims import (
+    CallState,
+    Claim,
+    ClaimPhase,
+    ClaimSummary,
+    merge_claims,
+    summarize_claims,
+)
+from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
 from fawnwharf.replication.settings import ReplicationSettings
-from msgspec import Struct
-import msgspec
-
 
 OPEN_MOST = 20_000
 SLOT_MS = 1_000.0
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -2,18 +2,15 @@
 others'. The thin part round `elsewhere.py` and `others.py`."""
 
 from collections.abc import Callable
+from typing import Any
+
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.streams import Attempt
-from fawnwharf.net.streams import Order
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.streams import Attempt, Order
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.load_report import LoadReporter
-from typing import Any
-
 
 GATHER_MS = 4.0  # keepers answer at nearly the same moment: the module hears once
 
