--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -1,30 +1,42 @@
 """Replicated state in a running front end: its log, the logs it follows, its files, the gate for calls."""
 
-import secrets
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any
-
-import msgspec
-
 from fawnwharf import interface as io
-from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
+from fawnwharf.config import ConfigError
+from fawnwharf.config import Deployment
+from fawnwharf.config import Fleet
+from fawnwharf.config import address_from
 from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer
+from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.claim_gate import ClaimGate
-from fawnwharf.replication.core import LineError, ReplicationCore
-from fawnwharf.replication.directed_log import DirectedLog, DirectedLogServer
-from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
+from fawnwharf.replication.core import LineError
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.directed_log import DirectedLog
+from fawnwharf.replication.directed_log import DirectedLogServer
+from fawnwharf.replication.grant_storage import GrantLogStorage
+from fawnwharf.replication.grant_storage import GrantStorage
+from fawnwharf.replication.grant_storage import GrantStorageFactory
 from fawnwharf.replication.load_reporting import LoadReporting
-from fawnwharf.replication.messages import Hello, Send
+from fawnwharf.replication.messages import Hello
+from fawnwharf.replication.messages import Send
 from fawnwharf.replication.outlier_ejection import OutlierEjector
-from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
+from fawnwharf.replication.settings import ReplicationSettings
+from fawnwharf.replication.settings import check_members
+from fawnwharf.replication.settings import parse_settings
 from fawnwharf.replication.usage import QuotaShares
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
+from fawnwharf.zones.settings import Membership
+from fawnwharf.zones.settings import SettingsFileError
+from fawnwharf.zones.settings import membership_from
+from pathlib import Path
+from typing import Any
+import msgspec
+import secrets
+
 
 FILES_MS = 500.0
 STATUS_MS = 2_000.0
@@ -53,7 +65,7 @@
         place = Path(path)
         self.settings: ReplicationSettings = load_file(place, parse_settings, "state")
         self.folder = place.parent / self.settings.folder if self.settings.folder else None
-        self._members_path = place.parent / self.settings.members
+        self._members_path = place.parent / self.settings.membership_file
         members: Membership = load_file(self._members_path, membership_from, "state")
         self._members_seen = self._mark()
         entry = members.named(deployment.name)
@@ -73,14 +85,14 @@
         self.core = ReplicationCore(
             entry.name, self.incarnation, members, self.settings, monotonic_ms(), fresh
         )
-        if self.settings.shares:
+        if self.settings.quota_shares:
             # The module adds what it is handed to the quotas: these are as they were sold.
             quotas = dict(deployment.settings.quotas_rps)
             self.core.quota_shares = QuotaShares(quotas, deployment.settings.fleet_size)
         promises = (spec.latency_target_ms for spec in deployment.settings.classes.values())
         self.outlier_ejector = OutlierEjector(min(promises, default=1_000.0), self.log_event)
         self.load_reporting: LoadReporting | None = None
-        if self.settings.elsewhere:
+        if self.settings.load_reports:
             self.load_reporting = LoadReporting(self.core, deployment.settings, self.log_event)
         self.grant_storage: GrantStorage | None = None
         self._kept = kept
@@ -134,9 +146,9 @@
         self._follow()
         self._look_at_files()
         self._status()
-        if self.settings.shares:
+        if self.settings.quota_shares:
             self._use()
-        if self.settings.hints:
+        if self.settings.outlier_ejection:
             self._beliefs()
         if self.load_reporting:
             self.load_reporting.attach(front, self._carry_out)
@@ -191,7 +203,7 @@
     def live_members(self, now_ms: float) -> dict[str, int]:
         """Members whose logs are followed here and gave a sign within `quiet_ms`, with their lives."""
         self._hear()
-        quiet = self.settings.quiet_ms
+        quiet = self.settings.silence_timeout_ms
         return {name: life for name, (life, at_ms) in self.core.last_heard.items() if now_ms - at_ms <= quiet}
 
     def _hear(self) -> None:
@@ -271,7 +283,7 @@
         if self.core.quota_shares:
             for tenant, rps in self.core.quota_shares.changes(now).items():
                 self.front_end.loop.enqueue(io.LimitsChanged(rps, tenant))
-        self.front_end.loop.timers.after(self.settings.use_ms, self._use)
+        self.front_end.loop.timers.after(self.settings.usage_interval_ms, self._use)
 
     def _beliefs(self) -> None:
         """Tell which scorers are bad, and let those rest that several front ends name."""
@@ -283,7 +295,7 @@
         self.core.reported_outliers.clear()
         if changes.members:
             self.front_end.apply_fleet(changes)
-        self.front_end.loop.timers.after(self.settings.hints_ms, self._beliefs)
+        self.front_end.loop.timers.after(self.settings.failure_report_interval_ms, self._beliefs)
 
     def _status(self) -> None:
         if self._stopped:
