--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -1,42 +1,30 @@
 """Replicated state in a running front end: its log, the logs it follows, its files, the gate for calls."""
 
+import secrets
 from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
 from fawnwharf import interface as io
-from fawnwharf.config import ConfigError
-from fawnwharf.config import Deployment
-from fawnwharf.config import Fleet
-from fawnwharf.config import address_from
+from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
 from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.claim_gate import ClaimGate
-from fawnwharf.replication.core import LineError
-from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.directed_log import DirectedLog
-from fawnwharf.replication.directed_log import DirectedLogServer
-from fawnwharf.replication.grant_storage import GrantLogStorage
-from fawnwharf.replication.grant_storage import GrantStorage
-from fawnwharf.replication.grant_storage import GrantStorageFactory
+from fawnwharf.replication.core import LineError, ReplicationCore
+from fawnwharf.replication.directed_log import DirectedLog, DirectedLogServer
+from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
 from fawnwharf.replication.load_reporting import LoadReporting
-from fawnwharf.replication.messages import Hello
-from fawnwharf.replication.messages import Send
+from fawnwharf.replication.messages import Hello, Send
 from fawnwharf.replication.outlier_ejection import OutlierEjector
-from fawnwharf.replication.settings import ReplicationSettings
-from fawnwharf.replication.settings import check_members
-from fawnwharf.replication.settings import parse_settings
+from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
 from fawnwharf.replication.usage import QuotaShares
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.settings import Membership
-from fawnwharf.zones.settings import SettingsFileError
-from fawnwharf.zones.settings import membership_from
-from pathlib import Path
-from typing import Any
-import msgspec
-import secrets
-
+from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
 
 FILES_MS = 500.0
 STATUS_MS = 2_000.0
