--- a/fawnwharf/recovery_core/claim_model.py
+++ b/fawnwharf/recovery_core/claim_model.py
@@ -95,7 +95,7 @@
         if self.cuts and known:
             yield from self._cuts(rules, self, "")
         for place in KEEPERS:
-            keeper = self._reborn(rules, place, self.keepers[place], t.StoreCondition.WHOLE)
+            keeper = self._reborn(rules, place, self.keepers[place], t.StoreCondition.INTACT)
             if keeper != self.keepers[place]:
                 yield f"{place} is restarted", replace(self, keepers=_with(self.keepers, place, keeper))
 
@@ -136,7 +136,7 @@
             disk=None if empty else keeper.disk,
         )
         return self._reborn(
-            rules, place, keeper, t.StoreCondition.PART if empty or unsure else t.StoreCondition.WHOLE
+            rules, place, keeper, t.StoreCondition.PARTIAL if empty or unsure else t.StoreCondition.INTACT
         )
 
     def _reborn(self, rules: Rules, place: int, keeper: Keeper, store: t.StoreCondition) -> Keeper:
@@ -144,8 +144,8 @@
         if keeper.disk is not None:
             owner, written, whole_ms = keeper.disk
             left = rules.left_ms(written, read, whole_ms)
-            age = t.StateAge.FRESH if left > 0 else t.StateAge.OLD
-            found = t.StoredState(t.StateKind.PROMISE, age, False, t.same_boot(written, read), store=store)
+            age = t.StateAge.FRESH if left > 0 else t.StateAge.EXPIRED
+            found = t.StoredState(t.StateKind.GRANT, age, False, t.same_boot(written, read), store=store)
             if t.trust_level(found) is t.TrustLevel.NOW:
                 given = owner, read.mono_ms + left
         if rules.knows_all(store):
--- a/fawnwharf/recovery_core/coordinated_fleet.py
+++ b/fawnwharf/recovery_core/coordinated_fleet.py
@@ -78,7 +78,11 @@
         self.leads_ms = (self.leads_ms or now) if 2 * len(here) > len(self.voters) else 0.0
         if self.leads_ms and now - self.leads_ms >= ELECTS_MS:
             self._conduct(now, len(up), asked, here)
-        if not self.leads_ms or self.conductor.register.stage < RecoveryPhase.WORTH or not self.stages:
+        if (
+            not self.leads_ms
+            or self.conductor.register.stage < RecoveryPhase.PRIORITY_CALLS
+            or not self.stages
+        ):
             self.may = partitioned.allowed_when_partitioned(
                 PRIORITY_WEIGHTS, len(up), self.scene.fronts, True, asked > 0
             )
--- a/fawnwharf/recovery_core/phases.py
+++ b/fawnwharf/recovery_core/phases.py
@@ -138,7 +138,7 @@
             self._entered(now_ms)
         fields = {
             "cut": register.cut,
-            "stage": RecoveryPhase(register.stage).name.lower(),
+            "stage": RecoveryPhase(register.stage).label,
             "why": register.why,
         }
         return [LogEvent("stage", fields)]
@@ -161,11 +161,11 @@
         register, stage = self.register, RecoveryPhase(self.register.stage)
         if effects := self._back(now_ms, stage, seen, boots):
             return effects
-        if stage is RecoveryPhase.SPILL:
+        if stage is RecoveryPhase.NORMAL:
             return self._calm(now_ms, seen, boots)
         if why := self._exit(now_ms, stage, seen):
-            part = min(1.0, 1.5 * register.part) if stage >= RecoveryPhase.WORTH else register.part
-            part = 1.0 if stage is RecoveryPhase.RENEWAL else part
+            part = min(1.0, 1.5 * register.part) if stage >= RecoveryPhase.PRIORITY_CALLS else register.part
+            part = 1.0 if stage is RecoveryPhase.COPY_REFRESH else part
             return self._put(RecoveryPhase(stage + 1), seen, boots, why, part=part)
         if abs(seen.heard - register.fronts) * 4 > max(1, register.fronts):
             return self._put(stage, seen, boots, "front ends came or went")
@@ -194,12 +194,12 @@
         if stage is RecoveryPhase.LISTENING:
             ready = 2 * seen.heard > seen.members and seen.asked >= timing.good * seen.heard
             return "asked" if ready else "no more came" if stood_ms >= timing.listen_ms else ""
-        if stage is RecoveryPhase.REPEATS:
+        if stage is RecoveryPhase.RETRIES:
             held = stood_ms >= timing.hold_ms * 2**self.backs if self.backs else True
             if seen.sure >= timing.good and held:
                 return "keepers know all"
             return "windows are over" if stood_ms >= timing.window_ms else ""
-        good = seen.first if stage is RecoveryPhase.WORTH else seen.served
+        good = seen.first if stage is RecoveryPhase.PRIORITY_CALLS else seen.served
         self.good_ms = None if good < timing.good else now_ms if self.good_ms is None else self.good_ms
         if self.good_ms is not None and now_ms - self.good_ms >= timing.hold_ms * 2**self.backs:
             return "served"
@@ -213,10 +213,10 @@
         self.slow_ms = None if not slow else now_ms if self.slow_ms is None else self.slow_ms
         crowded = self.slow_ms is not None and now_ms - self.slow_ms >= self.timing.over_ms
         # Calm may be crowded for other reasons than a power loss: it is stepped back only while it is new.
-        new = stage is not RecoveryPhase.SPILL or now_ms - self.since_ms < self.timing.most_ms
-        if stage < RecoveryPhase.WORTH or not new or not (crowded or seen.fell):
+        new = stage is not RecoveryPhase.NORMAL or now_ms - self.since_ms < self.timing.most_ms
+        if stage < RecoveryPhase.PRIORITY_CALLS or not new or not (crowded or seen.fell):
             return []
-        if stage is RecoveryPhase.SPILL and not self.register.cut:
+        if stage is RecoveryPhase.NORMAL and not self.register.cut:
             return []
         self.backs = min(MAX_STEPS_BACK, self.backs + 1)
         why = f"{seen.fell} scorers fell" if seen.fell else "the store is crowded"
@@ -236,7 +236,7 @@
         self.calm_ms = now_ms if self.calm_ms is None else self.calm_ms
         if any(name in noted for name in news) and now_ms - self.calm_ms < self.timing.settle_ms:
             return []
-        return self._put(RecoveryPhase.SPILL, seen, boots, "boots noted", part=1.0)
+        return self._put(RecoveryPhase.NORMAL, seen, boots, "boots noted", part=1.0)
 
     def _put(
         self,
@@ -254,11 +254,11 @@
         marks = {n: boots.get(n, known.get(n, "")) for n in self.voters}
         begun = now.deals if cut is None else 0
         givers, deals = (seen.givers if anew or not begun else now.givers or seen.givers), begun
-        if stage is RecoveryPhase.SPILL:
+        if stage is RecoveryPhase.NORMAL:
             givers = ()
         elif begun:
             deals += givers != now.givers
-        elif stage >= RecoveryPhase.WORTH:
+        elif stage >= RecoveryPhase.PRIORITY_CALLS:
             deals = 2 if seen.gave else 1  # the first of the cut; where one gave before, all wait
         self.lost_ms = None if anew or not begun else self.lost_ms
         self.asked = RecoveryRegister(
@@ -295,15 +295,15 @@
 
 def allowed_in_phase(stage: RecoveryPhase, worths: Mapping[str, float], part: float = 1.0) -> AllowedActions:
     """What a phase allows, the same at every front end."""
-    some = priority_classes(worths) if stage is RecoveryPhase.WORTH else frozenset(worths)
+    some = priority_classes(worths) if stage is RecoveryPhase.PRIORITY_CALLS else frozenset(worths)
     return AllowedActions(
-        status=stage >= RecoveryPhase.WORTH,
-        repeats=stage >= RecoveryPhase.REPEATS,
-        classes=some if stage >= RecoveryPhase.WORTH else frozenset(),
-        loads=stage >= RecoveryPhase.WORTH,
-        own_loads=stage >= RecoveryPhase.RENEWAL,
-        renewal=stage >= RecoveryPhase.RENEWAL,
-        spill=stage >= RecoveryPhase.SPILL,
+        status=stage >= RecoveryPhase.PRIORITY_CALLS,
+        repeats=stage >= RecoveryPhase.RETRIES,
+        classes=some if stage >= RecoveryPhase.PRIORITY_CALLS else frozenset(),
+        loads=stage >= RecoveryPhase.PRIORITY_CALLS,
+        own_loads=stage >= RecoveryPhase.COPY_REFRESH,
+        renewal=stage >= RecoveryPhase.COPY_REFRESH,
+        spill=stage >= RecoveryPhase.NORMAL,
         part=part,
     )
 
@@ -334,7 +334,7 @@
             return [LogEvent("recovery not read", {"why": str(error)})]
         if self.register is not None and register.number < self.register.number:
             return []
-        if register.stage == RecoveryPhase.SPILL:
+        if register.stage == RecoveryPhase.NORMAL:
             self.up_in = register.cut
         self.register, self.word_ms = register, max(self.word_ms, asked_ms)
         return []
@@ -349,11 +349,11 @@
         register = self.register
         if register is None:
             found = RecoveryPhase.LISTENING if now_ms - self.began_ms < self.timing.alone_ms else None
-        elif register.stage == RecoveryPhase.SPILL or now_ms - self.word_ms < self.timing.alone_ms:
+        elif register.stage == RecoveryPhase.NORMAL or now_ms - self.word_ms < self.timing.alone_ms:
             found = RecoveryPhase(register.stage)
         else:
             found = None
-        self.lone = found is None or (self.lone and found < RecoveryPhase.WORTH)
+        self.lone = found is None or (self.lone and found < RecoveryPhase.PRIORITY_CALLS)
         return None if self.lone else found
 
     def dealt(self, now_ms: float) -> PermitAssignment | None:
@@ -362,7 +362,7 @@
         None where it goes by what is heard: without a leader, in the normal state, or where nothing was told.
         """
         stage, register = self.stage(now_ms), self.register
-        if stage is None or stage is RecoveryPhase.SPILL or register is None or not register.givers:
+        if stage is None or stage is RecoveryPhase.NORMAL or register is None or not register.givers:
             return None
         return PermitAssignment(register.givers, register.cut, register.deals)
 
@@ -379,12 +379,12 @@
         if stage is None:
             return None
         part = self.register.part if self.register else MIN_BUDGET_SHARE
-        if not self.fresh(now_ms) and stage is not RecoveryPhase.SPILL:
+        if not self.fresh(now_ms) and stage is not RecoveryPhase.NORMAL:
             part /= 2  # it may have been stepped back since
         if (
             self.register is not None
             and 0 <= self.up_in < self.register.cut
-            and stage < RecoveryPhase.RENEWAL
+            and stage < RecoveryPhase.COPY_REFRESH
         ):
-            return allowed_in_phase(RecoveryPhase.REST, worths, part)
+            return allowed_in_phase(RecoveryPhase.ALL_CALLS, worths, part)
         return allowed_in_phase(stage, worths, part)
--- a/fawnwharf/recovery_core/queries.py
+++ b/fawnwharf/recovery_core/queries.py
@@ -21,21 +21,29 @@
 
 
 class QueryTopic(IntEnum):
-    """What is asked, in this order."""
+    """What is asked, in this order; the numbers are sent."""
 
     MEMBERS = 0
     PLAN = 1  # and policy
-    PROMISES = 2
+    GRANTS = 2
     ROSTER = 3
-    USE = 4
+    USAGE = 4
+
+    @property
+    def label(self) -> str:
+        """The topic's name in the status that members exchange; it stays as it is."""
+        return _TOPIC_LABELS[self]
+
+
+_TOPIC_LABELS = ("members", "plan", "promises", "roster", "use")
 
 
 class QueryTarget(Enum):
     """Who is asked."""
 
     VOTERS = "voters"
-    KEEPERS = "keepers"
-    LOG = "change log"
+    REPLICAS = "keepers"
+    CHANGE_LOG = "change log"
 
 
 class AnswersNeeded(Enum):
@@ -49,10 +57,10 @@
 class QueryState(Enum):
     """How far a question has come."""
 
-    AHEAD = "not asked yet"
+    NOT_ASKED = "not asked yet"
     WAITING = "asked"
     ANSWERED = "answered"
-    WITHOUT = "gone on without; an answer is still taken"
+    TIMED_OUT = "gone on without; an answer is still taken"
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,20 +86,23 @@
         1_500.0,
         "no plan; the stricter of the policy on its disk and the floor",
     ),
-    QueryTopic.PROMISES: QueryStep(
-        QueryTarget.KEEPERS,
+    QueryTopic.GRANTS: QueryStep(
+        QueryTarget.REPLICAS,
         AnswersNeeded.ALL,
         1_000.0,
         "grants nothing until all that it may have granted is over",
     ),
     QueryTopic.ROSTER: QueryStep(
-        QueryTarget.LOG,
+        QueryTarget.CHANGE_LOG,
         AnswersNeeded.ONE,
         1_000.0,
         "addresses of the last roster that come up when dialled, all cold",
     ),
-    QueryTopic.USE: QueryStep(
-        QueryTarget.KEEPERS, AnswersNeeded.ONE, 400.0, "an even part of each budget, functions by worth alone"
+    QueryTopic.USAGE: QueryStep(
+        QueryTarget.REPLICAS,
+        AnswersNeeded.ONE,
+        400.0,
+        "an even part of each budget, functions by worth alone",
     ),
 }
 
@@ -140,7 +151,7 @@
 
 @dataclass(slots=True)
 class _Open:
-    stand: QueryState = QueryState.AHEAD
+    stand: QueryState = QueryState.NOT_ASKED
     since_ms: float = 0.0
     again_ms: float = 0.0
     answers: dict[str, Answer] = field(default_factory=dict)
@@ -184,17 +195,17 @@
     @property
     def done(self) -> bool:
         """Whether nothing is waited for any more."""
-        return all(o.stand in (QueryState.ANSWERED, QueryState.WITHOUT) for o in self.opens.values())
+        return all(o.stand in (QueryState.ANSWERED, QueryState.TIMED_OUT) for o in self.opens.values())
 
     def without(self) -> dict[QueryTopic, str]:
         """The levels at which it goes on, as far as they are lower than they might be."""
-        return {w: self.steps[w].without for w, o in self.opens.items() if o.stand is QueryState.WITHOUT}
+        return {w: self.steps[w].without for w, o in self.opens.items() if o.stand is QueryState.TIMED_OUT}
 
     def others(self, what: QueryTopic) -> MajorityAnswer:
         """What those asked say of the own copy, for `trust`."""
         open_ = self.opens[what]
         if open_.stand is not QueryState.ANSWERED:
-            return MajorityAnswer.SILENT
+            return MajorityAnswer.NO_ANSWER
         leased = [a for a in open_.answers.values() if a.leased]
         said = [(a.number, a.digest) for a in leased or open_.answers.values()]
         number, digest = self.own.get(what, (0, ""))
@@ -202,7 +213,7 @@
         if most > number:
             return MajorityAnswer.LATER
         same = all(d == digest for n, d in said if n == number)
-        return MajorityAnswer.SAME if same else MajorityAnswer.OTHER
+        return MajorityAnswer.CONFIRMED if same else MajorityAnswer.CONFLICTING
 
     # --- time -----------------------------------------------------------------------------------
 
@@ -212,7 +223,7 @@
         for what, o in self.opens.items():
             if o.stand is QueryState.WAITING:
                 dues.append(o.since_ms + self.steps[what].bound_ms)
-            if o.stand in (QueryState.WAITING, QueryState.WITHOUT):
+            if o.stand in (QueryState.WAITING, QueryState.TIMED_OUT):
                 dues.append(o.again_ms)
         return min(dues, default=None)
 
@@ -221,22 +232,22 @@
         said: list[SendQuery] = []
         for what, o in self.opens.items():
             if o.stand is QueryState.WAITING and now_ms >= o.since_ms + self.steps[what].bound_ms:
-                o.stand = QueryState.WITHOUT
+                o.stand = QueryState.TIMED_OUT
                 self._next(now_ms, what)
-            if o.stand in (QueryState.WAITING, QueryState.WITHOUT) and now_ms >= o.again_ms:
+            if o.stand in (QueryState.WAITING, QueryState.TIMED_OUT) and now_ms >= o.again_ms:
                 o.again_ms = now_ms + self.pace.again_ms * (1 if o.stand is QueryState.WAITING else 5)
                 said += self._ask(what)
         return said
 
     def _begin(self, now_ms: float, what: QueryTopic) -> None:
         o = self.opens[what]
-        part = rendezvous_weight(self.me, str(self.life), what.name) / 2**64
+        part = rendezvous_weight(self.me, str(self.life), what.label.upper()) / 2**64
         o.stand, o.since_ms, o.again_ms = QueryState.WAITING, now_ms, now_ms + part * self.pace.spread_ms
         self._look(now_ms, what)
 
     def _next(self, now_ms: float, what: QueryTopic) -> None:
         for later in QueryTopic:
-            if later > what and self.opens[later].stand is QueryState.AHEAD:
+            if later > what and self.opens[later].stand is QueryState.NOT_ASKED:
                 self._begin(now_ms, later)
                 return
 
@@ -294,7 +305,7 @@
     def _look(self, now_ms: float, what: QueryTopic) -> None:
         """Whether that is enough, and what comes next then."""
         o = self.opens[what]
-        if o.stand in (QueryState.AHEAD, QueryState.ANSWERED) or not self._enough(what):
+        if o.stand in (QueryState.NOT_ASKED, QueryState.ANSWERED) or not self._enough(what):
             return
         waited, o.stand = o.stand is QueryState.WAITING, QueryState.ANSWERED
         if waited:
--- a/fawnwharf/recovery_core/register.py
+++ b/fawnwharf/recovery_core/register.py
@@ -17,14 +17,22 @@
 
 
 class RecoveryPhase(IntEnum):
-    """The phases of a recovery."""
+    """The phases of a recovery, in their order; the numbers stand in the register."""
 
     LISTENING = 0
-    REPEATS = 1
-    WORTH = 2
-    REST = 3
-    RENEWAL = 4
-    SPILL = 5
+    RETRIES = 1
+    PRIORITY_CALLS = 2
+    ALL_CALLS = 3
+    COPY_REFRESH = 4
+    NORMAL = 5
+
+    @property
+    def label(self) -> str:
+        """The phase's name in log lines and in the status that members exchange; these stay as they are."""
+        return _PHASE_LABELS[self]
+
+
+_PHASE_LABELS = ("listening", "repeats", "worth", "rest", "renewal", "spill")
 
 
 class RegisterError(ValueError):
@@ -37,7 +45,7 @@
     recovery: int = VERSION
     number: Number = 0
     cut: Number = 0
-    stage: Annotated[int, Meta(ge=0, le=5)] = int(RecoveryPhase.SPILL)
+    stage: Annotated[int, Meta(ge=0, le=5)] = int(RecoveryPhase.NORMAL)
     part: Annotated[float, Meta(gt=0.0, le=1.0)] = 1.0  # of the fleet's budgets
     fronts: Number = 0  # front ends that were heard
     boots: Annotated[dict[Identity, Annotated[str, Meta(max_length=64)]], Meta(max_length=VOTERS_MOST)] = {}
--- a/fawnwharf/recovery_core/trust.py
+++ b/fawnwharf/recovery_core/trust.py
@@ -17,12 +17,12 @@
     TERM = "term and vote"
     PLAN = "plan"
     POLICY = "policy register"
-    PROMISE = "promise on a call that may have run"
+    GRANT = "promise on a call that may have run"
     ROSTER = "roster"
-    USE = "use by window"
+    USAGE = "use by window"
     COPIES = "where copies stood"
     LOADS = "load counts"
-    HOMES = "homes of sessions"
+    PLACEMENTS = "homes of sessions"
 
 
 class TrustLevel(IntEnum):
@@ -38,24 +38,28 @@
     """How old a piece of state is."""
 
     FRESH = 0  # younger than `Span.fresh_ms`
-    LIFE = 1  # younger than `Span.life_ms`
-    OLD = 2
+    STALE = 1  # younger than `Span.life_ms`
+    EXPIRED = 2
 
 
 class MajorityAnswer(Enum):
     """What a majority says: of the voters on a plan, of a call's replicas on a promise."""
 
-    SILENT = "no majority answered"
-    SAME = "this is the last one"
+    NO_ANSWER = "no majority answered"
+    CONFIRMED = "this is the last one"
     LATER = "there is a later one"
-    OTHER = "it is not as this disk says"  # another content under one number; a write it does not know of
+    CONFLICTING = (
+        "it is not as this disk says"  # another content under one number; a write it does not know of
+    )
 
 
 class StoreCondition(Enum):
     """Whether the store is intact."""
 
-    WHOLE = "whole"  # all that was ever told is there: synced, checked, by its number the newest known
-    PART = "in part"  # damaged in the middle, an older copy, not synced before another boot, not of this disk
+    INTACT = "whole"  # all that was ever told is there: synced, checked, by its number the newest known
+    PARTIAL = (
+        "in part"  # damaged in the middle, an older copy, not synced before another boot, not of this disk
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,8 +87,8 @@
     age: StateAge
     in_order: bool  # its writer said so at its end
     same_boot: bool
-    others: MajorityAnswer = MajorityAnswer.SILENT
-    store: StoreCondition = StoreCondition.WHOLE
+    others: MajorityAnswer = MajorityAnswer.NO_ANSWER
+    store: StoreCondition = StoreCondition.INTACT
 
 
 _LETTERS = {"G": TrustLevel.GONE, "H": TrustLevel.HINT, "M": TrustLevel.MAJORITY, "N": TrustLevel.NOW}
@@ -101,17 +105,17 @@
         "MMM",
     ),  # decided it is for good; whether it is the last, others know
     StateKind.POLICY: ("MMM", "MMM", "MMM", "MMM"),  # nobody acts by one without a lease of this life
-    StateKind.PROMISE: ("NNG", "NNG", "NNG", "NNG"),
+    StateKind.GRANT: ("NNG", "NNG", "NNG", "NNG"),
     StateKind.ROSTER: (
         "NHG",
         "NHG",
         "HHG",
         "HHG",
     ),  # scorers come back with new ids, the log with new numbers
-    StateKind.USE: ("NHG", "HHG", "HHG", "HHG"),  # what was wanted most before is what will be wanted first
+    StateKind.USAGE: ("NHG", "HHG", "HHG", "HHG"),  # what was wanted most before is what will be wanted first
     StateKind.COPIES: ("HHG", "HGG", "GGG", "GGG"),  # scorers are empty
     StateKind.LOADS: ("HGG", "GGG", "GGG", "GGG"),
-    StateKind.HOMES: ("NMH", "NMH", "MMH", "MMH"),  # a number is never given twice, however old
+    StateKind.PLACEMENTS: ("NMH", "NMH", "MMH", "MMH"),  # a number is never given twice, however old
 }
 
 # What is left of each kind where the store is not whole. What stands there was said; what is missing may
@@ -120,22 +124,22 @@
     StateKind.TERM: TrustLevel.HINT,  # the least term there was; the disk votes no more under this identity
     StateKind.PLAN: TrustLevel.MAJORITY,
     StateKind.POLICY: TrustLevel.MAJORITY,
-    StateKind.PROMISE: TrustLevel.NOW,
+    StateKind.GRANT: TrustLevel.NOW,
     StateKind.ROSTER: TrustLevel.HINT,
-    StateKind.USE: TrustLevel.HINT,
+    StateKind.USAGE: TrustLevel.HINT,
     StateKind.COPIES: TrustLevel.GONE,
     StateKind.LOADS: TrustLevel.GONE,
-    StateKind.HOMES: TrustLevel.HINT,
+    StateKind.PLACEMENTS: TrustLevel.HINT,
 }
 
 # A majority's word that there is a later one, or that it is not so. What is not named is gone then.
 _LATER = {
     StateKind.TERM: TrustLevel.NOW,
-    StateKind.PROMISE: TrustLevel.NOW,
+    StateKind.GRANT: TrustLevel.NOW,
 }  # a later term takes its place by the voters' rules
 _OTHER = {
     StateKind.TERM: TrustLevel.HINT,
-    StateKind.PROMISE: TrustLevel.NOW,
+    StateKind.GRANT: TrustLevel.NOW,
 }  # of two words on a call the stricter stands
 
 
@@ -143,13 +147,13 @@
     """The table: total over all that can be found."""
     column = (0 if found.same_boot else 2) + (0 if found.in_order else 1)
     held = _LETTERS[TRUST_TABLE[found.kind][column][found.age]]
-    if found.store is StoreCondition.PART:
+    if found.store is StoreCondition.PARTIAL:
         held = min(held, PARTIAL_STORE_TRUST[found.kind])
     if found.others is MajorityAnswer.LATER:
         return min(held, _LATER.get(found.kind, TrustLevel.GONE))
-    if found.others is MajorityAnswer.OTHER:
+    if found.others is MajorityAnswer.CONFLICTING:
         return min(held, _OTHER.get(found.kind, TrustLevel.GONE))
-    if found.others is MajorityAnswer.SAME and held is TrustLevel.MAJORITY:
+    if found.others is MajorityAnswer.CONFIRMED and held is TrustLevel.MAJORITY:
         return TrustLevel.NOW
     return held
 
@@ -165,7 +169,7 @@
     One that does not hears every other replica that does, or waits until all that it may have granted is
     over.
     """
-    return store is StoreCondition.WHOLE
+    return store is StoreCondition.INTACT
 
 
 # --- clocks and boots -----------------------------------------------------------------------
@@ -194,14 +198,18 @@
     that went back makes it fresh, and nothing that is fresh in another boot is more than a hint until others
     confirm it.
     """
-    if kind is StateKind.PROMISE:
-        return StateAge.FRESH if remaining_ms(written, read, span.life_ms) > 0 else StateAge.OLD
+    if kind is StateKind.GRANT:
+        return StateAge.FRESH if remaining_ms(written, read, span.life_ms) > 0 else StateAge.EXPIRED
     if same_boot(written, read):
         age_ms = read.mono_ms - written.mono_ms
     else:
         age_ms = max(0.0, read.wall_ms - written.wall_ms)
     return (
-        StateAge.FRESH if age_ms < span.fresh_ms else StateAge.LIFE if age_ms < span.life_ms else StateAge.OLD
+        StateAge.FRESH
+        if age_ms < span.fresh_ms
+        else StateAge.STALE
+        if age_ms < span.life_ms
+        else StateAge.EXPIRED
     )
 
 
@@ -223,12 +231,12 @@
             StateKind.TERM: AgeLimits(0.0, 0.0),
             StateKind.PLAN: AgeLimits(self.valid_ms, self.valid_ms),
             StateKind.POLICY: AgeLimits(0.0, 0.0),
-            StateKind.PROMISE: AgeLimits(self.window_ms, self.window_ms),
+            StateKind.GRANT: AgeLimits(self.window_ms, self.window_ms),
             StateKind.ROSTER: AgeLimits(self.fresh_ms, self.roster_ms),
-            StateKind.USE: AgeLimits(self.fresh_ms, self.use_ms),
+            StateKind.USAGE: AgeLimits(self.fresh_ms, self.use_ms),
             StateKind.COPIES: AgeLimits(self.fresh_ms, self.idle_life_ms),
             StateKind.LOADS: AgeLimits(self.fresh_ms, self.fresh_ms),
-            StateKind.HOMES: AgeLimits(self.valid_ms, self.still_ms),
+            StateKind.PLACEMENTS: AgeLimits(self.valid_ms, self.still_ms),
         }[kind]
 
 
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -136,11 +136,11 @@
         if self.name in lists.voters and own.votes and own.whole:
             found |= {QueryTopic.MEMBERS: (lists.number, lists.digest), QueryTopic.PLAN: own.plan}
         if own.sure or self.name not in lists.keepers:
-            found[QueryTopic.PROMISES] = (0, "")
+            found[QueryTopic.GRANTS] = (0, "")
         asked_of = {
             QueryTarget.VOTERS: lists.voters,
-            QueryTarget.KEEPERS: lists.keepers,
-            QueryTarget.LOG: (CHANGE_LOG,),
+            QueryTarget.REPLICAS: lists.keepers,
+            QueryTarget.CHANGE_LOG: (CHANGE_LOG,),
         }
         self.asking = StartupQueries(
             self.name, self.fleet, self.life, asked_of, self.now_ms, found, self.pace
@@ -228,7 +228,7 @@
         if isinstance(word, Query):
             return self._answer(now_ms, sender, word, zone=False)
         if isinstance(word, Answer):
-            return self._answered(now_ms, sender, word, QueryTarget.KEEPERS)
+            return self._answered(now_ms, sender, word, QueryTarget.REPLICAS)
         self._count("by the wrong log")
         return []
 
@@ -249,7 +249,7 @@
             number, digest, sure = self.lists.number, self.lists.digest, own.votes
         elif what is QueryTopic.PLAN:
             (number, digest), sure, leased = own.plan, own.votes, self.seat(now_ms).fresh
-        elif what is QueryTopic.USE:
+        elif what is QueryTopic.USAGE:
             sure = own.uses
         answer = Answer(self.fleet, ask.life, ask.turn, ask.what, self.life, False)
         if own.settled and sure:
@@ -258,7 +258,7 @@
         return [SendMessage((sender,), answer, zone)]
 
     def _answered(self, now_ms: float, sender: str, answer: Answer, of: QueryTarget) -> list[Effect]:
-        if answer.what > QueryTopic.USE or self.asking.steps[QueryTopic(answer.what)].of is not of:
+        if answer.what > QueryTopic.USAGE or self.asking.steps[QueryTopic(answer.what)].of is not of:
             self._count("by the wrong log")
             return []
         self.asking.heard(now_ms, sender, answer)
@@ -328,7 +328,7 @@
     def take_lists(self, now_ms: float, lists: MemberLists) -> list[Effect]:
         """There is a later file of members."""
         self.lists = self.lead.lists = lists
-        self.asking.lists |= {QueryTarget.VOTERS: lists.voters, QueryTarget.KEEPERS: lists.keepers}
+        self.asking.lists |= {QueryTarget.VOTERS: lists.voters, QueryTarget.REPLICAS: lists.keepers}
         self.signs = {name: signs for name, signs in self.signs.items() if name in lists.members}
         self.lead.forget()
         return self._go(now_ms)
@@ -337,7 +337,7 @@
 
     def due_ms(self, now_ms: float) -> float:
         """When `tick` is wanted next."""
-        calm = self._going is not None and self._going[1] is RecoveryPhase.SPILL and not self.lead.term
+        calm = self._going is not None and self._going[1] is RecoveryPhase.NORMAL and not self.lead.term
         dues = [now_ms + (CALM_TICK_MS if calm else TICK_MS), self._stand_due_ms]
         if (due := self.asking.due_ms()) is not None:
             dues.append(due)
@@ -347,9 +347,9 @@
         """Call it at `due_ms` at the latest. `own` counts until the next one."""
         self.own = own
         if own.sure:
-            self.asking.knows(now_ms, QueryTopic.PROMISES)
+            self.asking.knows(now_ms, QueryTopic.GRANTS)
         if own.rostered and self.asking.stand(QueryTopic.ROSTER) not in (
-            QueryState.AHEAD,
+            QueryState.NOT_ASKED,
             QueryState.ANSWERED,
         ):
             said = Answer(self.fleet, self.life, self.asking.turn, int(QueryTopic.ROSTER), 1, True)
@@ -363,7 +363,7 @@
             effects.insert(0, self._boot())  # a voter that answers knows it
         effects += self._go(now_ms)
         if now_ms >= self._stand_due_ms:
-            calm = self._going is not None and self._going[1] is RecoveryPhase.SPILL
+            calm = self._going is not None and self._going[1] is RecoveryPhase.NORMAL
             self._stand_due_ms = now_ms + self.stand_ms * (CALM_INTERVAL_FACTOR if calm else 1)
             effects += [self._boot(), SendMessage((), self._standing(now_ms))]
         self.lead.booted(now_ms, self.name, w.BootReport(self.life, self.mark, own.sign))
@@ -398,14 +398,14 @@
         stage, register = self.stage(now_ms), self.follower.register
         fronts = self.own.heard if stage is None or register is None else register.fronts
         going = (self.allowed(now_ms), stage, self.cut, max(1, fronts), self.follower.dealt(now_ms))
-        if going[0].loads and not going[0].spill and (stage is None or stage < RecoveryPhase.WORTH):
+        if going[0].loads and not going[0].spill and (stage is None or stage < RecoveryPhase.PRIORITY_CALLS):
             self._gave_ms = now_ms
         if going == self._going:
             return effects
         before, self._going = self._going, going
         effects.append(ApplyPhase(*going))
         if before is None or (before[1:3], before[0].part) != (going[1:3], going[0].part):
-            stage = "alone" if going[1] is None else going[1].name.lower()
+            stage = "alone" if going[1] is None else going[1].label
             fields = {"stage": stage, "cut": going[2], "part": going[0].part, "status": going[0].status}
             effects.append(LogEvent("stage", fields))
         if before is not None and before[1] is not going[1]:
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -91,7 +91,7 @@
                 del held[name]
 
     def _alive(self, now_ms: float) -> dict[str, w.StatusReport]:
-        most_ms = self.heard_ms if self.conductor.register.stage == RecoveryPhase.SPILL else self.soon_ms
+        most_ms = self.heard_ms if self.conductor.register.stage == RecoveryPhase.NORMAL else self.soon_ms
         return {n: told for n, (told, at_ms) in self.standings.items() if now_ms - at_ms < most_ms}
 
     def heard(self, now_ms: float) -> int:
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -61,7 +61,7 @@
         now = self._clock()
         self._start = k.recover_state(found, now, fresh, spans or AgeSettings())
         self.same_boot, self.in_order, self.sure = self._start.same_boot, found.ended, self._start.sure
-        self.whole = StoreCondition.PART if self._start.doubt else StoreCondition.WHOLE
+        self.whole = StoreCondition.PARTIAL if self._start.doubt else StoreCondition.INTACT
         self.why, self.fresh, self.life = self._start.doubt, found.fresh, found.sign.life + 1
         # By which others know this life: larger than the one before, also by a clock that was set back.
         self.number = max(self._start.number + 1, self.life, int(unix_ms() * 1_000))
@@ -169,7 +169,7 @@
         self._doubt(why)
 
     def _doubt(self, why: str) -> None:
-        self.whole, self.why, self.sure = StoreCondition.PART, why, 0
+        self.whole, self.why, self.sure = StoreCondition.PARTIAL, why, 0
         self._put(k.DOUBT, k.LAST, k.encode_entry(self._clock(), why))
         self._put(k.COMPLETE, k.LAST, None)
         self._note("the store is in part", {"why": why})
@@ -182,7 +182,7 @@
     def confirm(self) -> None:
         """Others confirmed what was found: the store is whole from now on, and in lives to come. Raises
         nothing; what a keeper knows of its grants is another matter."""
-        self.whole, self.why, self._passed = StoreCondition.WHOLE, "", self._later
+        self.whole, self.why, self._passed = StoreCondition.INTACT, "", self._later
         self._put(k.DOUBT, k.LAST, None)
         self.store.core.confirm()
         if self._loop is not None:
@@ -215,12 +215,14 @@
     def homes(self) -> list[tuple[str, Any]]:
         """Homes of sessions that were kept; no hints: a number that is over may have been given anew."""
         return [
-            (key, value) for key, value, trust in self.read(StateKind.HOMES) if trust is not TrustLevel.HINT
+            (key, value)
+            for key, value, trust in self.read(StateKind.PLACEMENTS)
+            if trust is not TrustLevel.HINT
         ]
 
     def keep_home(self, key: str, value: Any | None) -> bool:
         """As `keep`, of one session."""
-        return self.keep(StateKind.HOMES, key, value)
+        return self.keep(StateKind.PLACEMENTS, key, value)
 
     def keep_sure(self, members: int) -> None:
         """The keeper knows all that it granted, by this list of members; 0: it does not."""
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -59,7 +59,7 @@
         self.settings: Settings = load_file(Path(path), settings_from, RECOVERY)
         self.zones, self.kept, self.state = made["zones"], made["kept"], made["state"]
         self.life = self.kept.number
-        self._used = UsageRecorder.read(self.kept.read(StateKind.USE))
+        self._used = UsageRecorder.read(self.kept.read(StateKind.USAGE))
         self._roster, self._use = RosterRecorder(), UsageRecorder(monotonic_ms())
         classes = deployment.settings.classes
         self.tallies = FrontEndCounters({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
@@ -139,7 +139,7 @@
             self.note("last roster dialled", {"scorers": len(cold)})
 
     def _keep_hints(self, now_ms: float) -> None:
-        for kind, hint in ((StateKind.ROSTER, self._roster), (StateKind.USE, self._use)):
+        for kind, hint in ((StateKind.ROSTER, self._roster), (StateKind.USAGE, self._use)):
             if (value := hint.due(now_ms)) is not None:
                 self.kept.keep(kind, ENTRY_KEY, value)
 
@@ -179,7 +179,7 @@
         serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
         return LocalStatus(
             settled=self.kept.settled,
-            whole=self.kept.whole is StoreCondition.WHOLE,
+            whole=self.kept.whole is StoreCondition.INTACT,
             sure=keeper is None or keeper.sure(now),
             votes=voter is not None,
             plan=(number, _digest(text.encode())),
@@ -240,9 +240,9 @@
         self.calls.counting, self.tallies.calm = counting, not counting
         if not counting:
             self._keep_hints(now)
-            if self.kept.whole is StoreCondition.PART:
+            if self.kept.whole is StoreCondition.PARTIAL:
                 self._confirm()
-        if not self._dialled and self.agent.asking.stand(QueryTopic.ROSTER) is QueryState.WITHOUT:
+        if not self._dialled and self.agent.asking.stand(QueryTopic.ROSTER) is QueryState.TIMED_OUT:
             self._dial_last()
         self._carry_out(self.agent.tick(now, self._own()))
         if self._once("door") and (what := self.joined.door.since()):
@@ -276,7 +276,7 @@
 
     def _go_by(self, effect: ApplyPhase) -> None:
         allowed = effect.allowed
-        if effect.stage is not RecoveryPhase.SPILL:
+        if effect.stage is not RecoveryPhase.NORMAL:
             self._calm_ms = None
         elif self._calm_ms is None:
             self._calm_ms = monotonic_ms()
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -181,9 +181,9 @@
             self.turns()
             for n in range(FRONTS):
                 self.at(
-                    0.0 if not n else 50.0 * n, lambda n=n: self.see(self.fronts[n], RecoveryPhase.REPEATS)
+                    0.0 if not n else 50.0 * n, lambda n=n: self.see(self.fronts[n], RecoveryPhase.RETRIES)
                 )
-                self.at(BURST_MS - BEGIN_MS, lambda n=n: self.see(self.fronts[n], RecoveryPhase.REST))
+                self.at(BURST_MS - BEGIN_MS, lambda n=n: self.see(self.fronts[n], RecoveryPhase.ALL_CALLS))
         self.at(4.0, self.wheels)
         functions, late = list(self.facts), chance.uniform
         times = [BURST_MS + late(0.0, 1_000.0) for _ in range(CALLS)]
@@ -228,7 +228,7 @@
     def pace(self, front: Front) -> None:
         ages = [self.now - s.up_ms for s in self.scorers if s.up_ms <= self.now]
         rate = self.limits.fall_multiple * self.limits.calls_rps(ages) / FRONTS
-        stage = RecoveryPhase.REST if self.now >= BURST_MS else RecoveryPhase.REPEATS
+        stage = RecoveryPhase.ALL_CALLS if self.now >= BURST_MS else RecoveryPhase.RETRIES
         front.door.go_by(allowed_in_phase(stage, PRIORITY_WEIGHTS), rate, front.giving)
 
     def turns(self) -> None:
--- a/fawnwharf/recovery_service/status_display.py
+++ b/fawnwharf/recovery_service/status_display.py
@@ -24,7 +24,7 @@
     return w.DisplayedStatus(
         life=agent.life,
         boot=agent.mark,
-        stage="" if stage is None else stage.name.lower(),
+        stage="" if stage is None else stage.label,
         how=how,
         cut=agent.cut,
         part=allowed.part,
@@ -32,7 +32,7 @@
         why=register.why if register is not None else "",
         fronts=agent.lead.heard(now_ms) if agent.lead.term else 0,
         heard=agent.heard_lately(now_ms),
-        asked={what.name.lower(): asking.stand(what).value for what in QueryTopic},
+        asked={what.label: asking.stand(what).value for what in QueryTopic},
         without=tuple(asking.without().values())[:MAX_ITEMS],
         doubts=tuple(doubts[:MAX_ITEMS]),
         counts=dict(sorted(counts.items())[:64]),
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -101,14 +101,14 @@
     def _found(self, now_ms: float) -> bool:
         """What was kept, on the shelf; False: not all had room there."""
         shelf, room = self._core.keeper.shelf, True
-        for name, value, trusted in self._kept.read(StateKind.PROMISE):
+        for name, value, trusted in self._kept.read(StateKind.GRANT):
             if trusted is not TrustLevel.NOW:
                 continue
             left_ms, since_ms, age_ms, data = value
             claim, key = msgspec.convert(data, Claim), name.split("/", 2)[2]
             age_ms = OTHER_BOOT_AGE_MS if since_ms is None else min(OTHER_BOOT_AGE_MS, age_ms + since_ms)
             if since_ms is None:  # from now on it counts by this boot's clock
-                self._kept.keep(StateKind.PROMISE, name, [left_ms, age_ms, claim])
+                self._kept.keep(StateKind.GRANT, name, [left_ms, age_ms, claim])
             if (entry := shelf.entry(now_ms, key)) is None:
                 room = False
                 continue
@@ -116,7 +116,7 @@
             entry.first_ms = min(entry.first_ms, now_ms - age_ms)
             self._entries[name] = claim, now_ms + left_ms
             heapq.heappush(self._ends, (now_ms + left_ms, name))
-        self._kept.dropped(StateKind.PROMISE)
+        self._kept.dropped(StateKind.GRANT)
         return room
 
     def _doubted(self) -> None:
@@ -135,12 +135,12 @@
         entry = self._core.keeper.shelf.calls.get(key)
         age_ms = now_ms - entry.first_ms if entry is not None else 0.0
         value = [round(until_ms - now_ms, 1), round(age_ms, 1), claim]
-        if not self._kept.keep(StateKind.PROMISE, name, value):
+        if not self._kept.keep(StateKind.GRANT, name, value):
             self._count("not kept")
             if claim.answer is None:
                 return False
             value[2] = msgspec.structs.replace(claim, answer=None)
-            if not self._kept.keep(StateKind.PROMISE, name, value):
+            if not self._kept.keep(StateKind.GRANT, name, value):
                 return False
         self._entries[name] = claim, until_ms
         heapq.heappush(self._ends, (until_ms, name))
@@ -156,7 +156,7 @@
             found = self._entries.get(name)
             if found is not None and found[1] <= now_ms:  # else it counts for longer by now
                 del self._entries[name]
-                self._kept.keep(StateKind.PROMISE, name, None)
+                self._kept.keep(StateKind.GRANT, name, None)
 
     def _keep_sure(self, now_ms: float) -> None:
         """Whether this keeper knows all, and would after a restart, where that has changed. That it does not
--- a/fawnwharf/recovery_service/stored_state.py
+++ b/fawnwharf/recovery_service/stored_state.py
@@ -40,12 +40,12 @@
 
 # 'Where copies stood' and 'load counts' are hardly ever more than gone, and terms are in the voters' file.
 ENTRY_RULES = {
-    StateKind.PROMISE: EntryRule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
+    StateKind.GRANT: EntryRule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
     StateKind.PLAN: EntryRule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
     StateKind.POLICY: EntryRule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    StateKind.HOMES: EntryRule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
+    StateKind.PLACEMENTS: EntryRule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
     StateKind.ROSTER: EntryRule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
-    StateKind.USE: EntryRule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
+    StateKind.USAGE: EntryRule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
 }
 START, DOUBT, COMPLETE, COMMIT_TICKET = "start", "doubt", "sure", "turn"  # the store's own, one entry each
 LAST = "last"
@@ -124,7 +124,7 @@
         row = _recover_entry(kind, key, data, now, spans)
         if row is None:
             faulty = faulty or f"{name}: an entry that can't be read"
-        if row is None or _trust(kind, row.age, same, found.ended, StoreCondition.WHOLE) is TrustLevel.GONE:
+        if row is None or _trust(kind, row.age, same, found.ended, StoreCondition.INTACT) is TrustLevel.GONE:
             old.append((name, key))
         else:
             rows.setdefault(kind, []).append(row)
@@ -150,7 +150,7 @@
     read with what is left of that, and since when it stands, None where another boot wrote it."""
     if (found := _decode_entry(data)) is None:
         return None
-    if kind is not StateKind.PROMISE:
+    if kind is not StateKind.GRANT:
         return RecoveredEntry(key, found.value, age_of(kind, found.clock, now, spans.of(kind)))
     value = found.value
     if not isinstance(value, list) or not value or not isinstance(value[0], int | float):
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -316,8 +316,8 @@
         "turn",
     )
     assert {kind: rule.name for kind, rule in stored_state.ENTRY_RULES.items()} == {
-        StateKind.PROMISE: "promise", StateKind.PLAN: "plan", StateKind.POLICY: "policy",
-        StateKind.HOMES: "homes", StateKind.ROSTER: "roster", StateKind.USE: "use",
+        StateKind.GRANT: "promise", StateKind.PLAN: "plan", StateKind.POLICY: "policy",
+        StateKind.PLACEMENTS: "homes", StateKind.ROSTER: "roster", StateKind.USAGE: "use",
     }  # fmt: skip
     assert {rule.name: rule.mode for rule in stored_state.ENTRY_RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -41,7 +41,7 @@
         self.ration = ration  # orders of a front end in `RATION_MS`; none: as many as it likes
         self.now, self.heap, self.count, self.lives = 0.0, [], 0, 0
         self.up, self.fronts, self.views, self.changes = set(), {}, {}, 0
-        self.may = allowed_in_phase(RecoveryPhase.REST, WORTHS)
+        self.may = allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
         self.stands, self.loading = set(), {}  # (scorer, function); until when
         self.most = 0  # loads at a time
         self.orders = []  # when, by whom, of what, and whether that one lived on until it was answered
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -53,7 +53,7 @@
 class Ground:
     """The admission under test, and the table below it."""
 
-    def __init__(self, stage=RecoveryPhase.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
+    def __init__(self, stage=RecoveryPhase.ALL_CALLS, rate_ps=1e6, promises=None, limits=LIMITS, **more):
         self.now = 0.0
         self.wheel = Wheel(lambda: self.now)
         self.giving, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -197,7 +197,7 @@
     def calm(self):
         """Run until the fleet is in its normal state and all boots are noted."""
         self.until(lambda: all(len(self.cores[n].voter.saved.voters) == 3 for n in self.names[:3]))
-        self.until_stage(RecoveryPhase.SPILL)
+        self.until_stage(RecoveryPhase.NORMAL)
         self.until(lambda: all(agent.asked for agent in self.agents.values()))
         leader = self.leader
         self.until(lambda: len(self.agents[leader].lead.conductor.register.boots) == 3)
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -115,7 +115,7 @@
         """Start a new fleet, until it is in its normal state and its boots are noted."""
         self.start(fresh=True)
         self.until(
-            lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.asked for node in self.nodes),
+            lambda: all(node.stage() is RecoveryPhase.NORMAL and node.agent.asked for node in self.nodes),
             "calm",
         )
         noted = lambda: any(len(n.agent.lead.conductor.register.boots) == 3 for n in self.nodes)  # noqa: E731
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -14,7 +14,7 @@
 
 WORD_MS, VALID = 1_500.0, 0.4
 OPEN_MS = 1_000.0  # `worth` is entered
-REST = allowed_in_phase(RecoveryPhase.REST, WORTHS)
+REST = allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
 
 
 class DealtFleet(Fleet):
@@ -51,7 +51,7 @@
 
     def _stale(self, name, before):
         if name in self.up and self.goes[name][1] == before:
-            self.goes[name] = (allowed_in_phase(RecoveryPhase.REST, WORTHS, 0.5), before)
+            self.goes[name] = (allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS, 0.5), before)
 
     def _told(self, name, dealt):
         known = self.goes[name][1]
--- a/tests/test_disk_faults_promises.py
+++ b/tests/test_disk_faults_promises.py
@@ -9,7 +9,7 @@
 from fawnwharf.recovery_core.trust import StateKind, StoreCondition
 from fawnwharf.recovery_service import stored_state as k
 
-PROMISES = k.ENTRY_RULES[StateKind.PROMISE]
+PROMISES = k.ENTRY_RULES[StateKind.GRANT]
 
 
 @pytest.fixture
@@ -62,7 +62,7 @@
     """All bytes of the store are used, but for fewer than one more entry takes."""
     numbers = itertools.count()
     for size in (1_000, 100, 1):
-        while kept.keep(StateKind.HOMES, str(next(numbers)), "x" * size):
+        while kept.keep(StateKind.PLACEMENTS, str(next(numbers)), "x" * size):
             pass
 
 
@@ -78,7 +78,7 @@
     assert told == [(True, "")] * 12
     site.machine().cut(share=0.0)
     again = site.kept(limits=limits)
-    assert again.whole is StoreCondition.PART and again.why.startswith("a reason of some length")
+    assert again.whole is StoreCondition.PARTIAL and again.why.startswith("a reason of some length")
 
 
 def test_a_cause_of_any_characters_has_room(site):
@@ -88,4 +88,4 @@
         site.pump(kept, 200.0)
         site.machine().cut(share=0.0)
         kept = site.kept()
-        assert kept.whole is StoreCondition.PART and kept.why == why[: k.MAX_REASON_LENGTH]
+        assert kept.whole is StoreCondition.PARTIAL and kept.why == why[: k.MAX_REASON_LENGTH]
--- a/tests/test_recovery_asking.py
+++ b/tests/test_recovery_asking.py
@@ -15,8 +15,8 @@
 
 LISTS = {
     QueryTarget.VOTERS: ("v1", "v2", "v3"),
-    QueryTarget.KEEPERS: ("k1", "k2", "v1"),
-    QueryTarget.LOG: ("log",),
+    QueryTarget.REPLICAS: ("k1", "k2", "v1"),
+    QueryTarget.CHANGE_LOG: ("log",),
 }
 
 
@@ -52,7 +52,7 @@
     core.heard(now, "log", answer(core, QueryTopic.ROSTER))
     assert (
         core.stand(QueryTopic.ROSTER) is QueryState.ANSWERED
-        and core.stand(QueryTopic.PLAN) is QueryState.WITHOUT
+        and core.stand(QueryTopic.PLAN) is QueryState.TIMED_OUT
     )
 
 
@@ -96,29 +96,29 @@
 
 
 def test_a_keeper_asks_all_others_unless_its_own_store_is_whole():
-    for own, found in (({}, QueryState.WAITING), ({QueryTopic.PROMISES: (0, "")}, QueryState.ANSWERED)):
+    for own, found in (({}, QueryState.WAITING), ({QueryTopic.GRANTS: (0, "")}, QueryState.ANSWERED)):
         core = asking("k1", own)
         for now in (600.0, 2_100.0):
             core.tick(now)
-        assert core.stand(QueryTopic.PROMISES) is found
+        assert core.stand(QueryTopic.GRANTS) is found
     core = asking("k1")
     for now in (600.0, 2_100.0, 2_400.0):
         core.tick(now)
-    core.heard(2_400.0, "k2", answer(core, QueryTopic.PROMISES))
+    core.heard(2_400.0, "k2", answer(core, QueryTopic.GRANTS))
     assert (
-        core.stand(QueryTopic.PROMISES) is QueryState.WAITING
+        core.stand(QueryTopic.GRANTS) is QueryState.WAITING
     )  # a majority is not enough: v1 may hold the rest
-    core.heard(2_400.0, "v1", answer(core, QueryTopic.PROMISES))
-    assert core.stand(QueryTopic.PROMISES) is QueryState.ANSWERED
+    core.heard(2_400.0, "v1", answer(core, QueryTopic.GRANTS))
+    assert core.stand(QueryTopic.GRANTS) is QueryState.ANSWERED
 
 
 def test_what_others_say_of_the_own_plan():
     for answers, found in (
-        ([("v1", 4, "p", False), ("v2", 3, "o", False)], MajorityAnswer.SAME),
+        ([("v1", 4, "p", False), ("v2", 3, "o", False)], MajorityAnswer.CONFIRMED),
         ([("v1", 4, "p", False), ("v2", 5, "q", False)], MajorityAnswer.LATER),
-        ([("v1", 4, "x", False), ("v2", 4, "p", False)], MajorityAnswer.OTHER),
-        ([("v1", 4, "p", False)], MajorityAnswer.SILENT),
-        ([("v1", 4, "p", True)], MajorityAnswer.SAME),  # a leader's, under its lease
+        ([("v1", 4, "x", False), ("v2", 4, "p", False)], MajorityAnswer.CONFLICTING),
+        ([("v1", 4, "p", False)], MajorityAnswer.NO_ANSWER),
+        ([("v1", 4, "p", True)], MajorityAnswer.CONFIRMED),  # a leader's, under its lease
     ):
         core = asking(own={QueryTopic.PLAN: (4, "p")})
         for now in (600.0, 900.0):
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -58,7 +58,7 @@
 
 
 def test_a_return_goes_through_all_stages_in_order_and_then_is_calm():
-    led = Led().until(RecoveryPhase.SPILL)
+    led = Led().until(RecoveryPhase.NORMAL)
     assert [r.stage for r in led.told] == list(RecoveryPhase) and {r.cut for r in led.told} == {3}
     for _ in range(50):
         led.step()
@@ -73,13 +73,13 @@
         mark = f"again {len(led.told)}"
         assert led.step(mark=mark) is RecoveryPhase.LISTENING and led.told[-1].boots == boots(mark)
     assert led.told[-1].cut == 6
-    assert led.until(RecoveryPhase.SPILL, mark=mark).told[-1].cut == 6
+    assert led.until(RecoveryPhase.NORMAL, mark=mark).told[-1].cut == 6
 
 
 def test_another_leader_goes_on_with_the_stage():
-    led = Led().until(RecoveryPhase.REST)
+    led = Led().until(RecoveryPhase.ALL_CALLS)
     led.lead()
-    assert led.step() is RecoveryPhase.REST and led.until(RecoveryPhase.SPILL).told[-1].cut == 3
+    assert led.step() is RecoveryPhase.ALL_CALLS and led.until(RecoveryPhase.NORMAL).told[-1].cut == 3
 
 
 def test_boots_of_one_after_the_other_are_no_power_loss():
@@ -117,15 +117,16 @@
 def test_listening_and_repeats_do_not_wait_for_those_that_never_come():
     few = FleetObservation(members=12, heard=3, asked=3, sure=0.3)
     led = Led()
-    led.until(RecoveryPhase.REPEATS, few)
+    led.until(RecoveryPhase.RETRIES, few)
     assert TIMING.listen_ms <= led.now <= TIMING.listen_ms + 300
     began = led.now
-    led.until(RecoveryPhase.WORTH, few)
+    led.until(RecoveryPhase.PRIORITY_CALLS, few)
     assert TIMING.window_ms <= led.now - began <= TIMING.window_ms + 300
 
 
 @pytest.mark.parametrize(
-    "stage", [RecoveryPhase.WORTH, RecoveryPhase.REST, RecoveryPhase.RENEWAL, RecoveryPhase.SPILL]
+    "stage",
+    [RecoveryPhase.PRIORITY_CALLS, RecoveryPhase.ALL_CALLS, RecoveryPhase.COPY_REFRESH, RecoveryPhase.NORMAL],
 )
 @pytest.mark.parametrize("fell", [0, 1])
 def test_a_stage_that_overruns_is_stepped_back_with_half_the_budget_and_held_for_longer(stage, fell):
@@ -138,13 +139,13 @@
     again = led.now
     led.until(stage)
     assert led.now - again >= 2 * TIMING.hold_ms
-    led.until(RecoveryPhase.SPILL)
+    led.until(RecoveryPhase.NORMAL)
     assert led.core.register.part == 1.0
 
 
 def test_a_stage_that_stays_short_of_its_goal_without_a_crowd_is_left_in_the_end():
     led = Led()
-    led.until(RecoveryPhase.REST, FleetObservation(12, 9, 9, first=0.5, served=0.5))
+    led.until(RecoveryPhase.ALL_CALLS, FleetObservation(12, 9, 9, first=0.5, served=0.5))
     assert led.now <= TIMING.most_ms + 1_000
 
 
@@ -177,7 +178,7 @@
 def test_a_front_end_goes_by_fresh_words_and_is_alone_without_any():
     core = PhaseFollower(TIMING, 0.0)
     assert core.stage(10.0) is RecoveryPhase.LISTENING and core.stage(TIMING.alone_ms) is None
-    rest = RecoveryRegister(number=5, cut=1, stage=int(RecoveryPhase.REST), part=0.5)
+    rest = RecoveryRegister(number=5, cut=1, stage=int(RecoveryPhase.ALL_CALLS), part=0.5)
     core.told(rest.encode(), 6_000.0)
     assert core.allowed(6_100.0, WORTHS).part == 0.5 and not core.lone
     assert core.allowed(6_000.0 + TIMING.valid_ms, WORTHS).part == 0.25  # it may have been stepped back
@@ -189,11 +190,11 @@
     core.told(RecoveryRegister(number=6, cut=1, stage=1).encode(), 20_000.0)
     assert core.stage(20_000.0) is None  # what is safe alone stays so, until a stage allows more
     core.told(RecoveryRegister(number=7, cut=1, stage=2).encode(), 20_000.0)
-    assert core.stage(20_000.0) is RecoveryPhase.WORTH
+    assert core.stage(20_000.0) is RecoveryPhase.PRIORITY_CALLS
     core.told(RecoveryRegister(number=9, cut=1, stage=5).encode(), 20_000.0)
-    assert core.stage(1e9) is RecoveryPhase.SPILL  # calm without a leader is no power loss
+    assert core.stage(1e9) is RecoveryPhase.NORMAL  # calm without a leader is no power loss
     core.told(RecoveryRegister(number=10, cut=2, stage=0).encode(), 30_000.0)  # it served through this one
-    assert core.allowed(30_000.0, WORTHS) == allowed_in_phase(RecoveryPhase.REST, WORTHS)
+    assert core.allowed(30_000.0, WORTHS) == allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
     assert PhaseFollower(TIMING, 30_000.0).allowed(30_000.0, WORTHS) == allowed_in_phase(
         RecoveryPhase.LISTENING, WORTHS, 0.0625
     )
--- a/tests/test_recovery_trust.py
+++ b/tests/test_recovery_trust.py
@@ -36,12 +36,12 @@
     StateKind.TERM: "NOW NOW NOW",
     StateKind.PLAN: "MAJORITY MAJORITY MAJORITY",
     StateKind.POLICY: "MAJORITY MAJORITY MAJORITY",
-    StateKind.PROMISE: "NOW NOW GONE",
+    StateKind.GRANT: "NOW NOW GONE",
     StateKind.ROSTER: "HINT HINT GONE",
-    StateKind.USE: "HINT HINT GONE",
+    StateKind.USAGE: "HINT HINT GONE",
     StateKind.COPIES: "GONE GONE GONE",
     StateKind.LOADS: "GONE GONE GONE",
-    StateKind.HOMES: "MAJORITY MAJORITY HINT",
+    StateKind.PLACEMENTS: "MAJORITY MAJORITY HINT",
 }
 
 
@@ -60,24 +60,24 @@
         k, a, o, b, others, s = (getattr(found, n) for n in found.__slots__)
         worse = [StoredState(k, later, o, b, others, s) for later in StateAge if later > a]
         worse += [StoredState(k, a, False, b, others, s), StoredState(k, a, o, False, others, s)]
-        worse += [StoredState(k, a, o, b, others, StoreCondition.PART)]
+        worse += [StoredState(k, a, o, b, others, StoreCondition.PARTIAL)]
         assert all(held[other] <= level for other in worse), found
         if k is StateKind.TERM:
-            sound = s is StoreCondition.WHOLE and others is not MajorityAnswer.OTHER
+            sound = s is StoreCondition.INTACT and others is not MajorityAnswer.CONFLICTING
             assert may_vote(level) == sound
-        elif k is StateKind.PROMISE:
-            assert level is (TrustLevel.GONE if a is StateAge.OLD else TrustLevel.NOW)
-        elif others in (MajorityAnswer.LATER, MajorityAnswer.OTHER):
+        elif k is StateKind.GRANT:
+            assert level is (TrustLevel.GONE if a is StateAge.EXPIRED else TrustLevel.NOW)
+        elif others in (MajorityAnswer.LATER, MajorityAnswer.CONFLICTING):
             assert level is TrustLevel.GONE
-        elif not b and others is MajorityAnswer.SILENT:
+        elif not b and others is MajorityAnswer.NO_ANSWER:
             assert level is not TrustLevel.NOW
         if k in (StateKind.LOADS, StateKind.COPIES) and not b:
             assert level is TrustLevel.GONE
-        if s is StoreCondition.PART and others is MajorityAnswer.SILENT:
+        if s is StoreCondition.PARTIAL and others is MajorityAnswer.NO_ANSWER:
             assert level <= PARTIAL_STORE_TRUST[k]
-        if others is MajorityAnswer.SAME:
+        if others is MajorityAnswer.CONFIRMED:
             assert level is not TrustLevel.MAJORITY
-    assert knows_all_grants(StoreCondition.WHOLE) and not knows_all_grants(StoreCondition.PART)
+    assert knows_all_grants(StoreCondition.INTACT) and not knows_all_grants(StoreCondition.PARTIAL)
 
 
 WALL = st.floats(-1e8, 1e8)
@@ -108,9 +108,7 @@
         if true_ms < window_ms:
             assert left > 0
             assert (
-                age_of(
-                    StateKind.PROMISE, written, read, AgeSettings(window_ms=whole_ms).of(StateKind.PROMISE)
-                )
+                age_of(StateKind.GRANT, written, read, AgeSettings(window_ms=whole_ms).of(StateKind.GRANT))
                 is StateAge.FRESH
             )
         if end != "s":
@@ -130,7 +128,7 @@
         level = trust_level(
             StoredState(kind, age_of(kind, written, ClockReading("c", 5.0, at), span), in_order, False)
         )
-        assert kind in (StateKind.TERM, StateKind.PROMISE) or level is not TrustLevel.NOW
+        assert kind in (StateKind.TERM, StateKind.GRANT) or level is not TrustLevel.NOW
 
 
 def test_a_boot_is_told_from_a_restart():
--- a/tests/test_recovery_world.py
+++ b/tests/test_recovery_world.py
@@ -37,7 +37,8 @@
     before = range(int(LAST.roster_ms / 1000) - 2)  # those that came then have given up
     assert sum(runs[UncoordinatedFleet].seconds[s][1] for s in before) == 0.0
     began = int(
-        next(at for at, stage in runs[CoordinatedFleet].stages if stage is RecoveryPhase.WORTH) / 1000
+        next(at for at, stage in runs[CoordinatedFleet].stages if stage is RecoveryPhase.PRIORITY_CALLS)
+        / 1000
     )
     assert sum(runs[CoordinatedFleet].seconds[s][1] for s in before) > 0.0
     lone = [row for row in runs[CoordinatedFleet].seconds[: began - 1] if row[1]]
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -39,11 +39,13 @@
     fleet.power_loss("boot 2")
     assert fleet.stages() == {RecoveryPhase.LISTENING}
     assert not any(agent.allowed(fleet.now).status for agent in fleet.agents.values())
-    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.NORMAL, cut=1)
     for name in fleet.names:
         assert trail(fleet, name, since) == RETURN, name
     statuses = [
-        allowed.status for who, stage, _, allowed in fleet.trail[since:] if stage < RecoveryPhase.WORTH
+        allowed.status
+        for who, stage, _, allowed in fleet.trail[since:]
+        if stage < RecoveryPhase.PRIORITY_CALLS
     ]
     assert not any(statuses)
     whys = [fields["why"] for _, event, fields in fleet.noted if event == "stage decided"]
@@ -54,10 +56,10 @@
     fleet = Agents().calm()
     since = len(fleet.trail)
     fleet.power_loss("boot 2", "n1")
-    fleet.until(lambda: fleet.agents["n1"].stage(fleet.now) is RecoveryPhase.SPILL)
+    fleet.until(lambda: fleet.agents["n1"].stage(fleet.now) is RecoveryPhase.NORMAL)
     fleet.run(1.0)
     assert {cut for _, _, cut, _ in fleet.trail[since:]} == {0}
-    assert trail(fleet, "n1", since) == [RecoveryPhase.LISTENING, RecoveryPhase.SPILL]
+    assert trail(fleet, "n1", since) == [RecoveryPhase.LISTENING, RecoveryPhase.NORMAL]
     fleet.run(TIMING.settle_ms / 1000 + 1)
     leader = fleet.agents[fleet.leader]
     assert leader.cut == 0 and "boot 2" in leader.lead.conductor.register.boots.values()
@@ -67,9 +69,9 @@
     fleet = Agents().calm()
     since = len(fleet.trail)
     fleet.power_loss("")
-    fleet.until_stage(RecoveryPhase.SPILL)
+    fleet.until_stage(RecoveryPhase.NORMAL)
     found = {(stage, cut) for _, stage, cut, _ in fleet.trail[since:]}
-    assert found == {(RecoveryPhase.LISTENING, 0), (RecoveryPhase.SPILL, 0)}
+    assert found == {(RecoveryPhase.LISTENING, 0), (RecoveryPhase.NORMAL, 0)}
 
 
 @pytest.mark.parametrize("stage", RETURN[:-1])
@@ -81,10 +83,10 @@
     first, since = fleet.leader, len(fleet.trail)
     fleet.end(first)
     fleet.until(lambda: fleet.leader not in (None, first))
-    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.NORMAL, cut=1)
     for name in fleet.up:
         seen = [s for s in trail(fleet, name, since) if s is not None]  # one may have been alone between
-        assert seen == sorted(seen) and seen[-1] is RecoveryPhase.SPILL
+        assert seen == sorted(seen) and seen[-1] is RecoveryPhase.NORMAL
     assert {fleet.agents[name].cut for name in fleet.up} == {1}
 
 
@@ -95,7 +97,7 @@
     fleet.until(lambda: any(a.stage(fleet.now) is stage and a.cut == 1 for a in fleet.agents.values()))
     fleet.power_loss("boot 3")
     since = len(fleet.trail)
-    fleet.until_stage(RecoveryPhase.SPILL, cut=2)
+    fleet.until_stage(RecoveryPhase.NORMAL, cut=2)
     for name in fleet.names:
         assert trail(fleet, name, since)[-len(RETURN) + 1 :] == RETURN[1:]
 
@@ -114,9 +116,9 @@
         without = fleet.agents[name].asking.without()
         assert QueryTopic.MEMBERS in without and QueryTopic.PLAN in without
     fleet.begin("boot 2", "n1", "n2", "n4")
-    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.NORMAL, cut=1)
     lone = [stage for stage in trail(fleet, "n0") if stage is not None]
-    assert RecoveryPhase.REPEATS not in lone[-3:] and lone[-1] is RecoveryPhase.SPILL
+    assert RecoveryPhase.RETRIES not in lone[-3:] and lone[-1] is RecoveryPhase.NORMAL
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -124,8 +126,8 @@
     fleet = Agents(seed=seed, lost=0.3, late_ms=150.0).calm()
     since = len(fleet.trail)
     fleet.power_loss("boot 2")
-    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
-    calm = [entry for entry in fleet.trail[since:] if entry[1] is RecoveryPhase.SPILL]
+    fleet.until_stage(RecoveryPhase.NORMAL, cut=1)
+    calm = [entry for entry in fleet.trail[since:] if entry[1] is RecoveryPhase.NORMAL]
     assert calm and all(cut == 1 for _, _, cut, _ in calm)
 
 
@@ -135,7 +137,7 @@
     others = [name for name in fleet.names if name != leader]
     since = len(fleet.trail)
     fleet.power_loss("boot 2", *others)
-    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.NORMAL, cut=1)
     for name in others:
         assert trail(fleet, name, since) == RETURN, name
     through = [allowed for who, stage, cut, allowed in fleet.trail[since:] if who == leader and cut == 1]
@@ -145,14 +147,16 @@
 def test_crowded_loads_and_fallen_scorers_step_the_stage_back():
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
-    fleet.until_stage(RecoveryPhase.REST, cut=1)
+    fleet.until_stage(RecoveryPhase.ALL_CALLS, cut=1)
     fleet.standing["n4"] = w.StatusReport(0, True, True, fell=1)
-    fleet.until_stage(RecoveryPhase.WORTH, cut=1)
+    fleet.until_stage(RecoveryPhase.PRIORITY_CALLS, cut=1)
     fleet.standing["n3"] = w.StatusReport(0, True, True, w.CallCounts(1, 9), w.CallCounts(1, 9))
     fleet.run(1.5)
-    assert fleet.stages() == {RecoveryPhase.WORTH} and fleet.agents["n0"].allowed(fleet.now).part < 1.0
+    assert (
+        fleet.stages() == {RecoveryPhase.PRIORITY_CALLS} and fleet.agents["n0"].allowed(fleet.now).part < 1.0
+    )
     fleet.standing.clear()
-    fleet.until_stage(RecoveryPhase.SPILL, cut=1)
+    fleet.until_stage(RecoveryPhase.NORMAL, cut=1)
     whys = [fields["why"] for _, event, fields in fleet.noted if event == "stage decided"]
     assert "1 scorers fell" in whys
 
@@ -185,7 +189,7 @@
         (agent.hear_zone, "n1", ask, "another fleet's"),
         (agent.hear_zone, "x", ask, "of no member"),
         (agent.hear_state, "x", ask, "of no member"),
-        (agent.hear_zone, "n1", Query("f", 1, 1, int(QueryTopic.USE)), "by the wrong log"),
+        (agent.hear_zone, "n1", Query("f", 1, 1, int(QueryTopic.USAGE)), "by the wrong log"),
         (agent.hear_state, "n1", Query("f", 1, 1, int(QueryTopic.MEMBERS)), "by the wrong log"),
         (agent.hear_state, "n1", w.StatusReport(1, True, True), "by the wrong log"),
         (agent.hear_state, "n1", answer, "by the wrong log"),
@@ -277,7 +281,7 @@
     agent.hear_zone(fleet.now, leader, Answer("f", agent.life, ask.word.turn, 0, 1, False))
     assert agent.asking.stand(QueryTopic.MEMBERS) is QueryState.WAITING  # it was no word on the members
     agent.hear_zone(fleet.now, leader, told)
-    assert agent.stage(fleet.now) is RecoveryPhase.SPILL
+    assert agent.stage(fleet.now) is RecoveryPhase.NORMAL
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -46,7 +46,7 @@
         fleet.begin("boot 2", name)
     fleet.until(lambda: fleet.orders)
     assert fleet.orders[0][0] - min(fleet.entered.values()) <= TICK_MS + STEP_MS
-    fleet.until_stage(RecoveryPhase.REST, cut=1)
+    fleet.until_stage(RecoveryPhase.ALL_CALLS, cut=1)
     dealt = fleet.agents["n0"].follower.register
     assert dealt.deals == 1 and set(dealt.givers) <= set(fleet.agents["n0"].lists.keepers)
 
@@ -111,7 +111,7 @@
 def test_a_later_dealing_waits_for_the_word_of_the_one_before_and_a_missed_one_for_all():
     fleet = DealtFleet()
     fleet.run(1_200.0)
-    seats, rest = fleet.fronts["n0"].seats, allowed_in_phase(RecoveryPhase.REST, WORTHS)
+    seats, rest = fleet.fronts["n0"].seats, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
     fleet.fronts["n0"].set(1_200.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(fleet.dealt.givers, 1, 1))
     assert seats.mine == seats.ready(1_200.0) == 1
     fleet.fronts["n0"].set(2_000.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 2))
@@ -138,7 +138,7 @@
 
 
 def test_the_conductor_deals_with_worth_and_again_only_when_a_giver_is_gone_for_a_time():
-    led = Led().until(RecoveryPhase.WORTH, seen("a", "b"))
+    led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     assert [(r.stage, r.givers, r.deals) for r in led.told] == [
         (0, ("a", "b"), 0), (1, ("a", "b"), 0), (2, ("a", "b"), 1),
     ]  # fmt: skip
@@ -156,22 +156,22 @@
     for _ in range(15):
         led.step(seen("a", "c", "d", "e", "f"))  # they are more than twice as many
     assert led.told[-1].deals == 3 and len(led.told[-1].givers) == 5
-    led.until(RecoveryPhase.SPILL, seen("a", "c", "d", "e", "f"))
+    led.until(RecoveryPhase.NORMAL, seen("a", "c", "d", "e", "f"))
     assert led.told[-1].givers == () and led.told[-1].deals == 3
 
 
 def test_a_stage_that_is_entered_while_a_giver_is_not_heard_for_a_moment_changes_no_dealing():
-    led = Led().until(RecoveryPhase.WORTH, seen("a", "b"))
+    led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     while led.now < led.core.since_ms + PhaseTiming().most_ms - 300.0:
         led.step(seen("a", "b"))
-    led.until(RecoveryPhase.REST, seen("a"))
+    led.until(RecoveryPhase.ALL_CALLS, seen("a"))
     assert (led.told[-1].givers, led.told[-1].deals) == (("a", "b"), 1)
     led.step(seen("a", "b"))
     assert led.core.lost_ms is None
 
 
 def test_where_one_gave_without_a_stage_the_first_dealing_waits_as_a_later_one():
-    led = Led().until(RecoveryPhase.WORTH, seen("a", gave=True))
+    led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", gave=True))
     assert led.told[-1].deals == 2
     lead = RecoveryLeader(
         PhaseTiming(), MemberLists(tuple("abcd"), tuple("abc"), tuple("bcd")), 1_000.0, 1_000.0, 100.0
@@ -185,7 +185,7 @@
     old = '{"recovery":1,"number":4,"cut":1,"stage":2,"part":1.0,"fronts":3,"boots":{},"why":""}'
     follower = PhaseFollower(PhaseTiming(), 0.0)
     follower.told(old, 0.0)
-    assert follower.stage(1.0) is RecoveryPhase.WORTH and follower.dealt(1.0) is None
+    assert follower.stage(1.0) is RecoveryPhase.PRIORITY_CALLS and follower.dealt(1.0) is None
     follower.told(RecoveryRegister(number=5, cut=1, stage=2, givers=("a",), deals=1).encode(), 0.0)
     assert follower.dealt(1.0) == PermitAssignment(("a",), 1, 1) and follower.dealt(6_000.0) is None  # alone
     names = tuple(f"n{i}" for i in range(500))
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -24,7 +24,7 @@
 
 
 def test_in_calm_all_is_passed_on_as_it_comes():
-    ground = Ground(RecoveryPhase.SPILL, rate_ps=0.0)
+    ground = Ground(RecoveryPhase.NORMAL, rate_ps=0.0)
     key, got = ground.ask()
     assert key == "r1" and got == [] and ground.giving.wanted == []
     ground.door.withdraw(key)
@@ -35,9 +35,9 @@
     "stage, passed",
     [
         (RecoveryPhase.LISTENING, []),
-        (RecoveryPhase.REPEATS, []),
-        (RecoveryPhase.WORTH, ["settle"]),
-        (RecoveryPhase.REST, [*CLASSES]),
+        (RecoveryPhase.RETRIES, []),
+        (RecoveryPhase.PRIORITY_CALLS, ["settle"]),
+        (RecoveryPhase.ALL_CALLS, [*CLASSES]),
     ],
 )
 def test_classes_are_taken_by_their_stage_and_the_rest_is_refused_at_once(stage, passed):
@@ -135,7 +135,11 @@
 
 
 def test_calm_and_renewal_let_go_what_is_held_and_a_step_back_refuses_what_is_not_taken():
-    for stage, passed in ((RecoveryPhase.SPILL, 1), (RecoveryPhase.RENEWAL, 1), (RecoveryPhase.WORTH, 0)):
+    for stage, passed in (
+        (RecoveryPhase.NORMAL, 1),
+        (RecoveryPhase.COPY_REFRESH, 1),
+        (RecoveryPhase.PRIORITY_CALLS, 0),
+    ):
         ground = Ground()
         _, got = ground.ask("view")
         ground.go_by(stage)
@@ -149,7 +153,7 @@
     ground.at_once = True
     held = ground.door._held
     held[next(iter(held))].reply = lambda outcome: ground.door.withdraw(other)
-    ground.go_by(RecoveryPhase.SPILL)
+    ground.go_by(RecoveryPhase.NORMAL)
     assert len(ground.passed) == 1 and left == [] and not ground.door.busy
 
 
@@ -197,7 +201,7 @@
 
 
 def test_repeats_of_promised_calls_have_their_answer_before_new_calls_are_taken():
-    ground = Promised(RecoveryPhase.REPEATS)
+    ground = Promised(RecoveryPhase.RETRIES)
     ground.knows("settle", (1).to_bytes(8, "big"), ClaimPhase.ANSWERED, base64.b64encode(b"kept").decode())
     ground.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.TAKEN)
     ground.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.CLEAR)
@@ -299,7 +303,7 @@
 
 def test_before_renewal_the_modules_own_orders_do_not_go_out_and_change_nothing_it_believes():
     ground = Holding(own=[(7, "own")])
-    ground.go_by(RecoveryPhase.REST)
+    ground.go_by(RecoveryPhase.ALL_CALLS)
     race, own, question = io.Hold(8, "f", 2), io.Hold(7, "own", 1), io.Hold(9, "f", 0)
     for order in (race, own, question):
         ground.holds.carry(order)
@@ -311,7 +315,7 @@
     assert len(ground.asked) == 1
     asked.ended(asked, None, ANSWER)
     assert (ground.told[-1].worker, ground.told[-1].copies) == (7, 1)
-    for stage in (RecoveryPhase.RENEWAL, RecoveryPhase.SPILL):
+    for stage in (RecoveryPhase.COPY_REFRESH, RecoveryPhase.NORMAL):
         ground.go_by(stage)
         ground.holds.carry(race)
     assert ground.out[2:] == [race, race] and ground.holds.held_back == 2
@@ -324,7 +328,7 @@
     entries = [io.WorkerEntry(n) for n in range(6)]
     events = [io.RosterChanged(entries, True), io.RequestArrived("r1", "f", "view", "t", 2_000.0)]
     ground.places["f"] = place
-    ground.go_by(RecoveryPhase.REST)
+    ground.go_by(RecoveryPhase.ALL_CALLS)
     sent = []
     for _ in range(8):
         for action in router.handle(now, events):
@@ -347,7 +351,7 @@
 def test_a_module_that_tries_all_scorers_for_calls_that_wait_is_told_of_a_few_at_once():
     site = io.Settings(classes=dict(CLASSES), quotas_rps={"t": 1e4}, tick_ms=1.0)
     router, ground = Router(site, 1), Holding()
-    ground.go_by(RecoveryPhase.REST)
+    ground.go_by(RecoveryPhase.ALL_CALLS)
     calls = [io.RequestArrived(f"r{n}", "f", "view", "t", 60_000.0) for n in range(3)]
     events = [io.RosterChanged([io.WorkerEntry(n) for n in range(100)], True), *calls]
     held = []
@@ -362,7 +366,7 @@
         ground.now += 5.0
         held.append(ground.holds.held_back)
     assert 3 <= held[199] <= 8 < held[-1] <= 24  # it goes on trying, some a second
-    ground.go_by(RecoveryPhase.RENEWAL)
+    ground.go_by(RecoveryPhase.COPY_REFRESH)
     assert ground.told and not ground.holds._open
 
 
@@ -370,7 +374,7 @@
     ground, lost = Holding(), []
     ground.lost = lambda now, row, worker: lost.append((row, worker))
     ground.answered = lambda now, event: [event]
-    ground.go_by(RecoveryPhase.REST)
+    ground.go_by(RecoveryPhase.ALL_CALLS)
     ground.requests["r1"] = type("Open", (), {"call": type("Of", (), {"function": "f"})})
     miss = io.AttemptEnded("r1", 0, 7, io.Ending.MISS, 1.0, False)
     good, other = replace(miss, ending=io.Ending.GOOD), replace(miss, request="r2")
@@ -379,7 +383,7 @@
 
 
 def test_what_became_of_calls_is_told_by_cause_since_it_was_told_last_and_not_in_calm():
-    ground = Ground(RecoveryPhase.WORTH)
+    ground = Ground(RecoveryPhase.PRIORITY_CALLS)
     assert ground.door.since() == {}
     ground.giving.places["f"] = 7
     ground.ask("view")  # not its stage
@@ -393,6 +397,6 @@
     ground.giving.places["h"] = 7
     ground.door.told(CopyAvailable("h"))
     assert ground.door.since() == {"let in after a wait": 1, "held": 1} and ground.door.since() == {}
-    ground.go_by(RecoveryPhase.SPILL)
+    ground.go_by(RecoveryPhase.NORMAL)
     ground.ask("view")
     assert ground.door.since() == {}
--- a/tests/test_rejoin_giving.py
+++ b/tests/test_rejoin_giving.py
@@ -102,7 +102,7 @@
 
 def test_an_order_that_the_module_does_not_make_is_asked_after_and_made_again_elsewhere_if_it_fails():
     front = PermitIssuer("n0", 1, replace(LIMITS, fetches=1), lambda row: [7, 8], 100.0, 200.0)
-    front.set(0.0, {"n0"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
+    front.set(0.0, {"n0"}, {"n0"}, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS), 1)
     front.want(0.0, "f", 1.0, "view", 2, 400.0)
     [order] = orders(front.tick(2_000.0))
     assert order == io.CopiesWanted(7, "f", "view", 1, 2, 400.0)
@@ -125,7 +125,7 @@
 
 def test_a_late_word_does_not_bring_back_a_copy_that_is_gone():
     front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
+    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS), 1)
     first, gone = (
         m.CopyReport(9, 1, (m.CopyPlacement("f", 7),)),
         m.CopyReport(9, 2, (m.CopyPlacement("f", 0, None),)),
@@ -152,7 +152,7 @@
 
 def test_the_eta_is_what_the_loader_says_less_what_went_by():
     front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
+    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS), 1)
     front.want(0.0, "f", 1.0, "view")
     assert front.eta_ms(0.0, "f") >= 500.0
     front.hear(100.0, "n0", m.CopyReport(9, 1, (m.CopyPlacement("f", 0, 2_000.0),)))
@@ -165,7 +165,7 @@
     monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.MAX_LOAD_REQUESTS", 2)
     monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.MAX_PLACEMENTS", 1)
     front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
+    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS), 1)
     for row in "abc":
         front.want(0.0, row, 1.0, "view")
     [words] = [out for out in front.tick(50.0) if isinstance(out, SendPermitMessage)]
@@ -177,7 +177,7 @@
 def test_a_front_end_that_hears_no_keeper_loads_for_itself_a_part_of_the_time():
     front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
     front.set(
-        0.0, {"n4", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS, 0.05), 1
+        0.0, {"n4", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS, 0.05), 1
     )  # a fifth of one fetch
     made = []
     for now in range(0, 20_000, 50):
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -90,7 +90,7 @@
 
 def test_a_call_waits_at_the_door_for_the_loaders_copy_and_is_served_by_the_module(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     seqid = client.call()
     joined.until(lambda: scorer.orders, "the loader's order goes out by the module")
     assert not joined.front.table.open and joined.front.router.loading == 1
@@ -106,11 +106,11 @@
 
 def test_before_its_stage_a_call_is_refused_with_advice_and_the_module_sees_nothing(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.WORTH)
+    joined.joined.go_by(RecoveryPhase.PRIORITY_CALLS)
     seqid = client.call("view")
     joined.until(lambda: seqid in client.kinds(), "it is refused")
     assert client.kinds() == {seqid: "throttled"} and not scorer.frames
-    joined.joined.go_by(RecoveryPhase.SPILL)
+    joined.joined.go_by(RecoveryPhase.NORMAL)
     later = client.call("view")
     joined.until(lambda: scorer.orders, "the module orders for itself")
     scorer.answer(scorer.orders[0], 0, "slots_up=1")
@@ -122,19 +122,19 @@
 
 def test_an_order_of_the_modules_own_does_not_go_out_before_renewal(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     joined.front.port.table = joined.front.table  # this call passes no door
     client.call()
     joined.until(lambda: joined.joined.holds.held_back, "the module orders")
     joined.settle(client)
     assert scorer.orders == []
-    joined.joined.go_by(RecoveryPhase.RENEWAL)
+    joined.joined.go_by(RecoveryPhase.COPY_REFRESH)
     joined.until(lambda: scorer.orders, "its place has rested, and the order goes out")
 
 
 def test_a_client_that_ends_takes_its_held_call_along(joined):
     client = joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     client.call()
     joined.until(lambda: joined.joined.door.busy, "it is held")
     client.sock.close()
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -42,17 +42,17 @@
         name = f"m{number}"
         kept = site.kept(name, fresh=True)
         on_disk(site, kept, StateKind.PLAN, "last", {"number": 7})
-        kept.keep(StateKind.USE, "last", [1])
+        kept.keep(StateKind.USAGE, "last", [1])
         site.pump(kept, 200.0)
         if order:
             ended_in_order(site, kept)
         site.machine(name).kill() if end == "kill" else site.machine(name).cut(share=1.0)
         kept = site.kept(name)
         assert (kept.whole, kept.same_boot, kept.in_order, kept.life) == (
-            StoreCondition.WHOLE, end == "kill", order, 2,
+            StoreCondition.INTACT, end == "kill", order, 2,
         )  # fmt: skip
         assert kept.read(StateKind.PLAN) == [("last", {"number": 7}, plan)]
-        assert kept.read(StateKind.USE) == [("last", [1], use)]
+        assert kept.read(StateKind.USAGE) == [("last", [1], use)]
         site.now += 20_000.0
         site.machine(name).kill()
         [(_, _, later)] = site.kept(name).read(StateKind.PLAN)
@@ -73,25 +73,25 @@
 
 def test_a_promise_counts_down_within_a_boot_and_whole_in_another_one(site):
     kept = site.kept(fresh=True)
-    on_disk(site, kept, StateKind.PROMISE, "a", [5_000.0, "x"])
+    on_disk(site, kept, StateKind.GRANT, "a", [5_000.0, "x"])
     site.now += 3_000.0
     site.machine().kill()
     kept = site.kept()
-    assert kept.read(StateKind.PROMISE) == [("a", [2_000.0, 3_000.0, "x"], TrustLevel.NOW)]
+    assert kept.read(StateKind.GRANT) == [("a", [2_000.0, 3_000.0, "x"], TrustLevel.NOW)]
     site.machine().cut()
     site.now += 60_000.0
     kept = site.kept()
-    assert kept.read(StateKind.PROMISE) == [("a", [5_000.0, None, "x"], TrustLevel.NOW)]
+    assert kept.read(StateKind.GRANT) == [("a", [5_000.0, None, "x"], TrustLevel.NOW)]
     site.now = 500.0  # its mark is the same, and its clock went back: another boot
     site.machine().kill()
     kept = site.kept()
-    assert not kept.same_boot and kept.read(StateKind.PROMISE)[0][1][:2] == [5_000.0, None]
+    assert not kept.same_boot and kept.read(StateKind.GRANT)[0][1][:2] == [5_000.0, None]
     site.now = 5_000.0
-    on_disk(site, kept, StateKind.PROMISE, "a", [100.0, "x"])
+    on_disk(site, kept, StateKind.GRANT, "a", [100.0, "x"])
     site.now += 200.0
     site.machine().kill()
     kept = site.kept()
-    assert kept.read(StateKind.PROMISE) == [] and kept.store.items("promise") == []  # over, and gone
+    assert kept.read(StateKind.GRANT) == [] and kept.store.items("promise") == []  # over, and gone
 
 
 def test_where_the_system_tells_no_boot_each_start_is_another_one(site, tmp_path):
@@ -104,18 +104,18 @@
 
 def test_an_empty_folder_of_a_fleet_that_goes_on_is_in_part_until_others_confirm(site):
     kept = site.kept()
-    assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PART, "empty", True)
+    assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PARTIAL, "empty", True)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
     for end in ("kill", "cut", "cut"):
         getattr(site.machine(), end)()
         kept = site.kept()
-        assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PART, "empty", False)
+        assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PARTIAL, "empty", False)
         assert kept.read(StateKind.PLAN)[0][2] is TrustLevel.MAJORITY
     kept.confirm()
-    assert kept.whole is StoreCondition.WHOLE
+    assert kept.whole is StoreCondition.INTACT
     site.pump(kept, 200.0)
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.WHOLE
+    assert site.kept().whole is StoreCondition.INTACT
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 1.0])
@@ -129,13 +129,13 @@
         with pytest.raises(PowerCut):
             site.kept(f"m{at}")
         machine.cut(at, share)
-        assert site.kept(f"m{at}").whole is StoreCondition.PART
+        assert site.kept(f"m{at}").whole is StoreCondition.PARTIAL
 
 
 def test_a_fleet_that_begins_has_lost_nothing_by_an_empty_folder(site):
-    assert site.kept(fresh=True).whole is StoreCondition.WHOLE
+    assert site.kept(fresh=True).whole is StoreCondition.INTACT
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.WHOLE
+    assert site.kept().whole is StoreCondition.INTACT
 
 
 def test_a_repaired_folder_is_in_part_and_what_its_keeper_knew_is_forgotten_once(site):
@@ -152,16 +152,16 @@
     outcome = execute_job(disk, repairs.first_repair_job(plan))
     execute_job(disk, repairs.second_repair_job(plan, outcome.inode, 1e12))
     kept = site.kept()
-    assert kept.whole is StoreCondition.PART and kept.why.startswith("repaired") and kept.sure == 0
+    assert kept.whole is StoreCondition.PARTIAL and kept.why.startswith("repaired") and kept.sure == 0
     kept.keep_sure(3)  # it waited, and knows all again: that is its own, and outlives
     site.pump(kept, 200.0)
     site.machine().cut()
     kept = site.kept()
-    assert (kept.whole, kept.sure) == (StoreCondition.PART, 3)
+    assert (kept.whole, kept.sure) == (StoreCondition.PARTIAL, 3)
     kept.confirm()
     site.pump(kept, 200.0)
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.WHOLE
+    assert site.kept().whole is StoreCondition.INTACT
 
 
 def test_an_older_copy_is_shown_by_what_others_heard_and_own_words_are_none(site):
@@ -178,21 +178,21 @@
     machine.disk = older
     kept, told = site.kept(), []
     kept.on_doubt(lambda: told.append(kept.whole))
-    assert kept.whole is StoreCondition.WHOLE and kept.sure == 3  # by the folder alone nothing shows it
+    assert kept.whole is StoreCondition.INTACT and kept.sure == 3  # by the folder alone nothing shows it
     assert not kept.heard_sign(heard)
-    assert told == [StoreCondition.PART] and kept.sure == 0 and kept.why.startswith("rolled back")
-    assert not kept.heard_sign(heard) and told == [StoreCondition.PART]  # said once
+    assert told == [StoreCondition.PARTIAL] and kept.sure == 0 and kept.why.startswith("rolled back")
+    assert not kept.heard_sign(heard) and told == [StoreCondition.PARTIAL]  # said once
     site.pump(kept, 200.0)
     machine.cut()
     kept = site.kept()
-    assert (kept.whole, kept.sure) == (StoreCondition.PART, 0)
+    assert (kept.whole, kept.sure) == (StoreCondition.PARTIAL, 0)
     far = FolderPosition(heard.mark, 9, 9)
     assert not kept.heard_sign(far)
     kept.confirm()
-    assert kept.heard_sign(far) and kept.whole is StoreCondition.WHOLE  # others went over it
+    assert kept.heard_sign(far) and kept.whole is StoreCondition.INTACT  # others went over it
     site.pump(kept, 200.0)
     kept = site.kept()
-    assert kept.whole is StoreCondition.WHOLE and not kept.heard_sign(far)  # a start hears of it anew
+    assert kept.whole is StoreCondition.INTACT and not kept.heard_sign(far)  # a start hears of it anew
 
 
 def test_a_copy_of_within_the_last_life_is_shown_to_a_store_that_has_settled_too(site):
@@ -206,10 +206,10 @@
     kept = site.kept()
     now = kept.sign()
     assert (heard.life, now.life) == (1, 2) and kept.settled and heard.number > now.number
-    assert kept.heard_sign(now) and kept.heard_sign(between) and kept.whole is StoreCondition.WHOLE
+    assert kept.heard_sign(now) and kept.heard_sign(between) and kept.whole is StoreCondition.INTACT
     assert (
         not kept.heard_sign(heard)
-        and kept.whole is StoreCondition.PART
+        and kept.whole is StoreCondition.PARTIAL
         and kept.why.startswith("rolled back")
     )
     assert f"life 1, number {between.number}" in kept.why
@@ -217,15 +217,15 @@
 
 def test_what_is_beyond_the_bounds_is_refused_and_said_once(site):
     kept = site.kept(fresh=True)
-    told, whole = [], "x" * (k.ENTRY_RULES[StateKind.HOMES].value_bytes - 100)
-    rule = k.ENTRY_RULES[StateKind.HOMES]
+    told, whole = [], "x" * (k.ENTRY_RULES[StateKind.PLACEMENTS].value_bytes - 100)
+    rule = k.ENTRY_RULES[StateKind.PLACEMENTS]
     for n in range(rule.all_bytes // rule.value_bytes + 20):
-        kept.keep(StateKind.HOMES, str(n), whole, lambda good, why: told.append((good, why)))
+        kept.keep(StateKind.PLACEMENTS, str(n), whole, lambda good, why: told.append((good, why)))
         site.pump(kept)
     assert told[0] == (True, "") and told[-1] == (False, "homes: 1048576 bytes in all is the most")
     assert sum(what == "not kept" for what, _ in site.notes) == 1
-    assert kept.keep(StateKind.HOMES, "0", None) and kept.keep(StateKind.HOMES, "new", whole)
-    assert not kept.keep(StateKind.PROMISE, "p", "x" * 40_000) and kept.keep(StateKind.PROMISE, "p", [1.0])
+    assert kept.keep(StateKind.PLACEMENTS, "0", None) and kept.keep(StateKind.PLACEMENTS, "new", whole)
+    assert not kept.keep(StateKind.GRANT, "p", "x" * 40_000) and kept.keep(StateKind.GRANT, "p", [1.0])
 
 
 def test_what_is_on_disk_is_told_and_what_a_failing_disk_may_have_is_unsure(site):
@@ -302,7 +302,7 @@
     assert len(value) == hints.MAX_FUNCTIONS and {rps for _, _, rps in value} == {0.2}
     assert recorder.due(60_000.0) is None  # nothing came
     kept = site.kept(fresh=True, limits=LIMITS)
-    assert kept.keep(StateKind.USE, hints.ENTRY_KEY, value)
+    assert kept.keep(StateKind.USAGE, hints.ENTRY_KEY, value)
     site.pump(kept, 300.0)
     site.machine().cut(share=1.0)
-    assert hints.UsageRecorder.read(site.kept().read(StateKind.USE))["g00000", "low"] == 0.2
+    assert hints.UsageRecorder.read(site.kept().read(StateKind.USAGE))["g00000", "low"] == 0.2
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -146,7 +146,9 @@
     assert cores.what(owner) == [RunCall("k", True)]
     cores.end_all("cut")
     cores.turn()
-    assert all(cores.sure(name) and cores.kepts[name].whole is StoreCondition.WHOLE for name in cores.keepers)
+    assert all(
+        cores.sure(name) and cores.kepts[name].whole is StoreCondition.INTACT for name in cores.keepers
+    )
     cores.told.clear()
     for n, again in enumerate((owner, cores.owners[1])):
         cores.begin(again, effect=effect, dedup_ms=60_000.0)  # scorers know no key any more
@@ -198,7 +200,7 @@
     for _ in range(3):
         cores.end_all("cut", lost)
         cores.turn(lost)
-        assert cores.kepts[lost].whole is StoreCondition.PART and not cores.sure(lost)
+        assert cores.kepts[lost].whole is StoreCondition.PARTIAL and not cores.sure(lost)
         assert not asks(cores, cores.owners[1], lost)().granted
         cores.wait(1_000)
     cores.wait(8_000)
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -65,14 +65,14 @@
     kept = RecoveryStore(tmp_path / "d", "f", "n0", str(boot), StoreLimits(), lambda what, more: None)
     try:
         assert (kept.whole, kept.same_boot, kept.in_order, kept.sure) == (
-            StoreCondition.WHOLE,
+            StoreCondition.INTACT,
             False,
             False,
             1,
         )
-        found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(StateKind.PROMISE)}
+        found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(StateKind.GRANT)}
         assert set(said) <= found.keys() and all(value[1] is None for value in found.values())
-        assert {trust for _, _, trust in kept.read(StateKind.PROMISE)} == {TrustLevel.NOW}
+        assert {trust for _, _, trust in kept.read(StateKind.GRANT)} == {TrustLevel.NOW}
     finally:
         kept.close()
 
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -29,7 +29,7 @@
     site.start()
     assert not any(site.ready(node) for node in site.nodes)
     site.until(
-        lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.cut == 1 for node in site.nodes),
+        lambda: all(node.stage() is RecoveryPhase.NORMAL and node.agent.cut == 1 for node in site.nodes),
         "calm",
     )
     for node in site.nodes:
@@ -41,7 +41,7 @@
         site.until(lambda node=node: node.agent.asking.without() == {}, "all is answered")
         assert len(node.noted("asked")) == 1
         assert (
-            node.part.kept.whole is StoreCondition.WHOLE
+            node.part.kept.whole is StoreCondition.INTACT
             and node.noted("recovery on")[0]["same boot"] is False
         )
     whys = [fields["why"] for node in site.nodes for fields in node.noted("stage decided")]
@@ -55,7 +55,7 @@
         site.power_loss(number, [back])
         site.start([back])
         assert not site.ready(back)
-        site.until(lambda: back.stage() is RecoveryPhase.SPILL and back.agent.asked, "it is calm here")
+        site.until(lambda: back.stage() is RecoveryPhase.NORMAL and back.agent.asked, "it is calm here")
         site.until(lambda: site.ready(back), "and its status good")
         assert {cut for cut, _ in back.stages()} == {0} and back.stages()[-1] == (0, "spill")
         assert "repeats" not in [stage for _, stage in back.stages()]
@@ -85,7 +85,7 @@
     alone.scorer.answer(alone.scorer.runs[0])
     site.start(site.nodes[1:])
     site.until(
-        lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.cut == 1 for node in site.nodes),
+        lambda: all(node.stage() is RecoveryPhase.NORMAL and node.agent.cut == 1 for node in site.nodes),
         "calm",
     )
     assert "listening" not in [stage for cut, stage in alone.stages() if cut == 1]
@@ -99,7 +99,7 @@
     site.power_loss(2)
     site.start()
     site.until(
-        lambda: all((n.stage() or 0) >= RecoveryPhase.REST for n in site.nodes), "all calls are let in"
+        lambda: all((n.stage() or 0) >= RecoveryPhase.ALL_CALLS for n in site.nodes), "all calls are let in"
     )
     client, done, answered = site.client(node), [], set()
 
@@ -125,16 +125,16 @@
     site.power_loss(1, [back])
     shutil.rmtree(back.folder / "kept")
     site.start([back])
-    assert back.part.kept.whole is StoreCondition.PART and not back.agent.own.whole
+    assert back.part.kept.whole is StoreCondition.PARTIAL and not back.agent.own.whole
     site.until(lambda: back.noted("the store is confirmed"), "others confirm it")
     assert (
-        back.part.kept.whole is StoreCondition.WHOLE
+        back.part.kept.whole is StoreCondition.INTACT
         and back.agent.own.sure
-        and back.stage() is RecoveryPhase.SPILL
+        and back.stage() is RecoveryPhase.NORMAL
     )
     site.power_loss(1, [back])
     site.start([back])
-    assert back.part.kept.whole is StoreCondition.WHOLE
+    assert back.part.kept.whole is StoreCondition.INTACT
 
 
 def test_one_without_a_change_log_dials_the_scorers_of_its_last_roster(site):
@@ -151,7 +151,7 @@
     site.start([node])
     site.until(lambda: node.noted("last roster dialled"), "it goes by the last roster")
     assert list(node.front.overlay.members) == [node.scorer.member()["id"]]
-    site.until(lambda: node.stage() is RecoveryPhase.SPILL and site.ready(node), "it serves")
+    site.until(lambda: node.stage() is RecoveryPhase.NORMAL and site.ready(node), "it serves")
     assert "addresses" in node.noted("asked")[0]["without"][0]
     node.log.pump = pump
 
@@ -178,7 +178,7 @@
     seam.take_back(node.front)
     assert node.part.life > life and not site.ready(node)
     site.until(
-        lambda: node.stage() is RecoveryPhase.SPILL and site.ready(node),
+        lambda: node.stage() is RecoveryPhase.NORMAL and site.ready(node),
         "it is calm here, and its status good",
     )
     client = site.client(node)
