--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.consensus.records import encode
+from fawnwharf.consensus.records import encode_record
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState
 from fawnwharf.durable_store.operations import (
@@ -350,7 +350,7 @@
     def _snapshot(self, seq: int, number: int, entries: f.Entries) -> _Script:
         name = f.snapshot_name(seq)
         head = yield from self._begin(name)
-        data, written = encode(0, msgspec.structs.replace(head, number=number)), 0
+        data, written = encode_record(0, msgspec.structs.replace(head, number=number)), 0
         for piece in f.encode_snapshot(entries, self.limits.piece_bytes):
             written += len(data) + len(piece)
             yield _Step(
@@ -377,7 +377,7 @@
             entries.append(dict(self.entries))
         commits = self.number if ops else 0
         self._log_from = self.number + 1
-        data = encode(0, msgspec.structs.replace(head, number=self._log_from))
+        data = encode_record(0, msgspec.structs.replace(head, number=self._log_from))
         self._marked = self.number  # the new head tells as much
         beside = name + f.TEMPORARY_SUFFIX
         ops += [AppendBytes(beside, data), SyncFile(beside), RenameFile(beside, name), SyncFolder()]
--- a/fawnwharf/durable_store/file_format.py
+++ b/fawnwharf/durable_store/file_format.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.records import OVERHEAD, encode
+from fawnwharf.consensus.records import HEADER_BYTES, encode_record
 
 VERSION = 1
 SYNCED, SOON, HINT = "synced", "soon", "hint"
@@ -113,15 +113,17 @@
     number, piece, held = 1, [], 0
     for (kind, key), value in entries.items():
         piece.append((kind, key, msgspec.Raw(value)))
-        held += entry_size((kind, key), value) + OVERHEAD
+        held += entry_size((kind, key), value) + HEADER_BYTES
         if held >= piece_bytes:
-            yield encode(number, SnapshotChunk(piece))
+            yield encode_record(number, SnapshotChunk(piece))
             number, piece, held = number + 1, [], 0
-    yield encode(number, SnapshotChunk(piece)) + encode(number + 1, SnapshotFooter(len(entries)))
+    yield encode_record(number, SnapshotChunk(piece)) + encode_record(
+        number + 1, SnapshotFooter(len(entries))
+    )
 
 
 def encode_group(
     number: int, synced: int, at_ms: float, changes: Iterable[tuple[EntryKey, bytes | None]], ended: bool
 ) -> bytes:
     rows = [(kind, key, msgspec.Raw(DELETED if value is None else value)) for (kind, key), value in changes]
-    return encode(number, CommitGroup(synced, at_ms, rows, ended))
+    return encode_record(number, CommitGroup(synced, at_ms, rows, ended))
--- a/fawnwharf/durable_store/folder_reader.py
+++ b/fawnwharf/durable_store/folder_reader.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.consensus.records import later, leading
+from fawnwharf.consensus.records import leading_records, records_after
 from fawnwharf.durable_store import file_format as f
 
 FileContent = tuple[bytes, int]  # of a file, and its inode
@@ -79,7 +79,7 @@
     found.fresh = False
     for place, each in enumerate(order):
         data, inode = files[each]
-        records, end = leading(data)
+        records, end = leading_records(data)
         head = _head(each, records, fleet, name)
         if head.inode != inode and not copies:
             raise UnreadableFolderError(each, "a copy of another file, and may be an older one")
@@ -159,7 +159,7 @@
 
 
 def _not_damaged(each: str, data: bytes, end: int, number: int) -> None:
-    for _, content in later(data, end):
+    for _, content in records_after(data, end):
         try:
             synced = msgspec.json.decode(content, type=f.CommitGroup).synced
         except msgspec.DecodeError:
--- a/fawnwharf/durable_store/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from fawnwharf.consensus.records import encode, leading
+from fawnwharf.consensus.records import encode_record, leading_records
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.folder_reader import (
     FileContent,
@@ -61,7 +61,7 @@
 def _from(files: Mapping[str, FileContent], part: list[str]) -> FolderState | None:
     """What these files hold, the last of them up to its first record that is not whole."""
     data, inode = files[part[-1]]
-    cut = data[: leading(data)[1]]
+    cut = data[: leading_records(data)[1]]
     for end in (data, cut):
         try:
             return read_folder({**files, part[-1]: (end, inode)}, part, copies=True)
@@ -72,7 +72,7 @@
 
 def _lost(files: Mapping[str, FileContent], order: list[str], found: FolderState) -> list[str]:
     number, last = found.sign.number, found.read[-1]
-    size, whole = len(files[last][0]), leading(files[last][0])[1]
+    size, whole = len(files[last][0]), leading_records(files[last][0])[1]
     lines = [f"{each}: all of its {len(files[each][0])} bytes" for each in order if each not in found.read]
     if whole < size:
         lines.append(f"{last}: from byte {whole} of {size} on, what came after number {number}")
@@ -92,7 +92,7 @@
         f.VERSION, found.fleet, found.name, found.sign.mark, found.sign.life + 1, found.boot, at_ms,
         f.SNAPSHOT, found.sign.number, inode, plan.why,
     )  # fmt: skip
-    data = encode(0, head) + b"".join(f.encode_snapshot(found.entries, f.StoreLimits().piece_bytes))
+    data = encode_record(0, head) + b"".join(f.encode_snapshot(found.entries, f.StoreLimits().piece_bytes))
     beside = name + f.TEMPORARY_SUFFIX
     aside = [RenameFile(each, each + ASIDE_SUFFIX) for each in plan.aside]
     return DiskJob(
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment, Fleet
-from fawnwharf.consensus.decided import last_put
+from fawnwharf.consensus.committed_log import last_appended
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core.phases import LogEvent, ProposeRegister, RecoveryPhase
@@ -173,8 +173,8 @@
 
     def _own(self) -> LocalStatus:
         now, keeper, voter = monotonic_ms(), self.state.core.keeper, self.zones.core.voter
-        number, text = last_put(voter.saved, "plan") if voter is not None else (0, "")
-        seen = self.zones.observer.seen(now)
+        number, text = last_appended(voter.saved, "plan") if voter is not None else (0, "")
+        seen = self.zones.evidence_collector.evidence(now)
         rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
         serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
         return LocalStatus(
@@ -186,7 +186,7 @@
             sign=self.kept.sign(),
             uses=bool(self._used or self.state.core.uses.owners),
             rostered=rostered,
-            scorers=(rostered and serves) or self.tallies.up or any(s.heard for s in seen.values()),
+            scorers=(rostered and serves) or self.tallies.up or any(s.responses for s in seen.values()),
             heard=len(set(self.state.alive(now)) | {self.zones.entry.name}),
             standing=self.tallies.standing(now),
         )
--- a/fawnwharf/replication/grant_storage.py
+++ b/fawnwharf/replication/grant_storage.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fawnwharf.consensus.disk import DiskError
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.core import ReplicationCore
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -42,7 +42,7 @@
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
-    if front.operators is not None and front.operators.takes_over and told_to_end():
+    if front.admin is not None and front.admin.takes_over and told_to_end():
         front.close()  # the process that serves goes on as if this one had not come
         return 0
     gc.freeze()  # what the start has made stays: no collection needs to walk it
@@ -101,18 +101,18 @@
     makers = _makers(deployment, files, fresh)
     inherited = None
     if deployment.control:
-        from fawnwharf.admin.replacement import inherit
+        from fawnwharf.admin.hot_restart import inherit_state
 
-        inherited = inherit(deployment, bool(makers))  # first: the process before may have their disks
+        inherited = inherit_state(deployment, bool(makers))  # first: the process before may have their disks
     seam = Seams(makers, not (inherited and inherited.channel)) if makers else None
     listener = (inherited and inherited.listener) or _listener(deployment)
     front = FrontEnd(deployment, reread=lambda: config.load(path), seam=seam, listener=listener)
     if seam:
         seam.attach(front)
     if deployment.control:
-        from fawnwharf.admin.service import Operators
+        from fawnwharf.admin.service import AdminService
 
-        Operators(front, deployment.control, inherited)
+        AdminService(front, deployment.control, inherited)
     return front
 
 
--- a/fawnwharf/zones/log_lines.py
+++ b/fawnwharf/zones/log_lines.py
@@ -9,9 +9,9 @@
 from fawnwharf.consensus import messages as m
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.plan import Plan
-from fawnwharf.zones.planner import Report
+from fawnwharf.zones.report import Report
 
-MAX_TEXT = m.DATA_MOST
+MAX_TEXT = m.MAX_DATA_LENGTH
 MAX_MESSAGES = 1_024  # in one line
 
 
@@ -62,7 +62,7 @@
 class SaveVoterState(Struct, frozen=True):
     """Effect: save the voter's state to disk."""
 
-    saved: m.Saved
+    saved: m.PersistentState
 
 
 class PublishLine(Struct, frozen=True):
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -12,9 +12,9 @@
 
 from fawnwharf import config
 from fawnwharf.admin import handoff_messages as successor
-from fawnwharf.admin import memory as beliefs
-from fawnwharf.consensus import disk as voter_disk
+from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.consensus import messages as consensus
+from fawnwharf.consensus import voter_store as voter_disk
 from fawnwharf.durable_store import file_format, operations
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import messages as policy
@@ -31,7 +31,7 @@
 from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import log_lines, member_log, plan, planner
+from fawnwharf.zones import log_lines, member_log, plan, report
 from fawnwharf.zones import settings as zone_settings
 
 CORPUS = Path(__file__).parent / "corpus"
@@ -80,8 +80,8 @@
 
 BOUNDARIES: dict[str, Boundary] = {
     "consensus/message": line(consensus.Message, consensus.message_from),
-    "consensus/label": file(voter_disk.Label),
-    "consensus/saved": file(consensus.Saved),
+    "consensus/label": file(voter_disk.DiskIdentity),
+    "consensus/saved": file(consensus.PersistentState),
     "storage/head": file(file_format.FileHeader),
     "storage/group": file(file_format.CommitGroup),
     "storage/piece": file(file_format.SnapshotChunk),
@@ -103,7 +103,7 @@
     ),
     "migration/message": converted(migrations.Message),
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
-    "successor/memory": packed(beliefs.Memory),
+    "successor/memory": packed(beliefs.LearnedState),
     "recovery/register": Boundary(
         recovery_register.RecoveryRegister, lambda data: recovery_register.parse_register(data.decode()),
         lambda value: value.encode().encode(),
@@ -127,7 +127,7 @@
     "zones/plan": Boundary(
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
-    "zones/report": converted(planner.Report),
+    "zones/report": converted(report.Report),
     "zones/wishes": file(zone_settings.OperatorRequest),
     "zones/members": file(zone_settings.Membership),
     "scorers/fleet": Boundary(
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -12,8 +12,8 @@
 from typer.testing import CliRunner
 
 from fawnwharf.cli import app
-from fawnwharf.consensus.disk import DiskError
-from fawnwharf.consensus.records import leading
+from fawnwharf.consensus.records import encode_record, leading_records
+from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
@@ -159,10 +159,10 @@
     for name in os.listdir(path):
         if f.parse_file_name(name):
             data = (path / name).read_bytes()
-            records, _ = leading(data)
+            records, _ = leading_records(data)
             head = msgspec.json.decode(records[0][1], type=f.FileHeader)
-            rest = data[len(f.encode(0, head)) :]
-            (path / name).write_bytes(f.encode(0, msgspec.structs.replace(head, **what)) + rest)
+            rest = data[len(encode_record(0, head)) :]
+            (path / name).write_bytes(encode_record(0, msgspec.structs.replace(head, **what)) + rest)
 
 
 def flipped(path, name, back):
