--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -1,391 +1,402 @@
-"""What is written to disk, and when; who is told, and when. Pure: times handed in, jobs out, outcomes in.
+"""Decides what is written to disk and when, and when callers are notified. Pure.
 
-One job is out at a time, and what comes meanwhile gathers for the next group. No log is open at first, nor
-after a failure: then all is written anew, a snapshot and then a log, before anything is told to be on disk.
+Times come in, jobs go out, their results come in. One job is in progress at a time; changes that arrive
+meanwhile are collected for the next commit group. No log
+is open at first, nor after a failure: then everything is rewritten, a snapshot and then a log, before any
+change is reported as being on disk.
 """
 
 from collections.abc import Callable, Generator
 from typing import Any, NamedTuple
 
 import msgspec
-from msgspec import Struct
 
 from fawnwharf.consensus.records import encode_record
-from fawnwharf.durable_store import file_format as f
+from fawnwharf.durable_store import file_format
+from fawnwharf.durable_store.disk_faults import DiskFaults
+from fawnwharf.durable_store.entry_table import ChangeRejectedError, EntryTable
+from fawnwharf.durable_store.file_format import Durability
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState
 from fawnwharf.durable_store.operations import (
     AppendBytes,
     CreateFile,
     DiskJob,
+    DiskOperation,
     JobResult,
     RemoveFile,
     RenameFile,
     SyncFile,
     SyncFolder,
 )
+from fawnwharf.durable_store.pending_changes import PendingChanges
+from fawnwharf.durable_store.status import StoreStatus, TicketResult
 
 
-class ChangeRejectedError(Exception):
-    """A change that was not taken; the text says why. Nothing has changed."""
-
-
-class TicketResult(NamedTuple):
-    """A ticket's end. `on_disk` false: unsure, it may or may not be found later; nothing may rest on it."""
-
-    ticket: int
-    on_disk: bool
-    why: str = ""
-
-
-class StoreStatus(Struct, frozen=True):
-    """How the store stands. `failing`: why nothing is durable now; `slow_ms`: for how long a job is out,
-    where that is long; `behind_ms`: for how long the oldest change that is owed to the disk has waited."""
-
-    failing: str = ""
-    slow_ms: float = 0.0
-    behind_ms: float = 0.0
-    entries: int = 0
-    state_bytes: int = 0
-    number: int = 0
-    synced: int = 0
-    counts: dict[str, int] = {}
-
-
-class _Step(NamedTuple):
-    """A job, and up to which number all is on disk once it is done (0: no further than before); the log that
-    is open then, and how long it is (empty: as before)."""
+class Step(NamedTuple):
+    """A job, and what its success means."""
 
     job: DiskJob
-    commits: int = 0
-    opens: str = ""
-    opens_bytes: int = 0
-    ends: bool = False  # the last one
+    commits: int = 0  # all groups up to this one are on disk; 0: no further than before
+    opens: str = ""  # the log that is open then; empty: as before
+    opens_bytes: int = 0  # its size
+    is_last: bool = False
 
 
-_Script = Generator[_Step, JobResult, None]
+Rewrite = Generator[Step, JobResult | None, None]
 
 
 class StoreCore:
-    """Owns the entries, what of them is not written yet, and who waits for it."""
+    """Owns the entries, the changes that are not written yet, and the commit tickets."""
 
     def __init__(
         self,
-        limits: f.StoreLimits,
-        kinds: list[f.EntryKind],
-        head: f.FileHeader,
-        found: FolderState,
+        limits: file_format.StoreLimits,
+        kinds: list[file_format.EntryKind],
+        header: file_format.FileHeader,
+        recovered: FolderState,
         unix_ms: Callable[[], float],
     ) -> None:
-        """`head`: a template for files of this life. What is found of kinds unknown here is kept as it is."""
-        self.limits, self.kinds, self._unix_ms = limits, {kind.name: kind for kind in kinds}, unix_ms
-        self._head, self._sign = head, FolderPosition(head.mark, 0, 0)
-        self.entries = found.entries
-        self.number = self.synced = found.sign.number
+        """`header` is a template for files of this incarnation; `recovered` is the folder's state."""
+        self.limits = limits
+        self.number = recovered.position.number  # of the last commit group
+        self.synced = self.number
         self.counts: dict[str, int] = {}
-        self._bytes = sum(f.entry_size(key, value) for key, value in found.entries.items())
-        self._held: dict[str, int] = {}  # entries by kind
-        for kind, _ in found.entries:
-            self._held[kind] = self._held.get(kind, 0) + 1
-        self._seq, self._names = found.seq, set(found.names)
-        self._dirty: dict[f.EntryKey, None] = {}
-        self._churned = False  # more changed than `_dirty` may name
-        self._since: dict[str, float] = {}  # mode -> when the first change of the next group came
-        self._tickets = 0
-        self._waiting: dict[int, float] = {}  # ticket -> until when, for the next group
-        self._out: dict[int, float] = {}  # the same, for the group that is out
-        self._segment, self._segment_bytes, self._snapshot_bytes = "", 0, 0
-        self._marked = 0  # the last `synced` that a record in the log tells
-        self._synced_ms = 0.0  # when that came about
-        self._log_from = 0  # the number of the log's first group
-        self._script: _Script | None = None
-        self._answer: JobResult | None = None
-        self._turn_of_script = self._script_out = False
-        self._behind_ms: float | None = None  # since when a change that is no hint is owed to the disk
-        self._step: _Step | None = None  # the one that is out
+        self.finished = False  # the last group of a graceful shutdown is on disk
+        self._table = EntryTable(recovered.entries, kinds, limits.state_bytes)
+        self._header = header
+        self._unix_ms = unix_ms
+        self._position = FolderPosition(header.disk_id, 0, 0)
+        self._shutting_down = False
+
+        self._pending = PendingChanges(limits)
+        self._last_ticket = 0
+        self._waiting: dict[int, float] = {}  # tickets of the next group, with their timeouts
+        self._in_progress: dict[int, float] = {}  # tickets of the group that is being written
+        self._unsynced_since_ms: float | None = None  # oldest change, `BEST_EFFORT` aside
+
+        self._sequence = recovered.last_sequence
+        self._file_names = set(recovered.file_names)
+        self._log = ""  # the log that is open, if any
+        self._log_bytes = 0
+        self._log_from = 0  # the number of its first group
+        self._snapshot_bytes = 0
+        self._synced_in_log = 0  # the last value of `synced` that a record of the log contains
+        self._synced_ms = 0.0  # when `synced` last changed
+
+        self._rewrite: Rewrite | None = None  # a sequence of jobs that replaces files
+        self._rewrite_answer: JobResult | None = None
+        self._rewrite_is_next = False  # groups and rewrites alternate
+        self._step: Step | None = None  # the job in progress
+        self._step_is_of_rewrite = False
         self._step_ms = 0.0
-        self._failing, self._failures, self._retry_ms = "", 0, 0.0
-        self._ending = self.ended = False
+        self._faults = DiskFaults(limits)
 
     # --- changes ------------------------------------------------------------------------------------
 
+    @property
+    def entries(self) -> file_format.Entries:
+        """All entries as they were last changed, on disk or not."""
+        return self._table.entries
+
     def put(self, now_ms: float, kind: str, key: str, value: Any) -> int:
-        """An entry is this from now on, JSON or None for gone; gives a ticket for a `synced` kind, else 0.
-        Raises Refused."""
-        rules, place = self.kinds[kind], (kind, key)
+        """Set an entry to a value that JSON can represent, or delete it for None.
+
+        Returns a commit ticket for a kind that is `SYNCED`, else 0. Raises ChangeRejectedError.
+        """
+        durability = self._table.kinds[kind].durability
         data = None if value is None else msgspec.json.encode(value)
-        if data == f.DELETED:  # as JSON has it, of what is no number
+        if data == file_format.DELETED:  # JSON has no other form for NaN
             data = None
-        before = self.entries.get(place)
-        if self._ending:
+        if self._shutting_down:
             raise ChangeRejectedError("the store is ending")
-        if rules.mode == f.SYNCED and self._failing:
-            raise ChangeRejectedError(f"not durable now: {self._failing}")
-        grows = self._grows(place, before, data)
-        if data is not None:
-            if len(data) > rules.value_bytes:
-                raise ChangeRejectedError(f"{kind}: {len(data)} bytes, and {rules.value_bytes} is the most")
-            if before is None and self._held.get(kind, 0) >= rules.most:
-                raise ChangeRejectedError(f"{kind}: {rules.most} entries is the most")
-            if not rules.reserved and grows > 0 and self._bytes + grows > self.limits.state_bytes:
-                raise ChangeRejectedError(f"{kind}: {self.limits.state_bytes} bytes in all is the most")
-        self._bytes += grows
-        self._held[kind] = self._held.get(kind, 0) + (data is not None) - (before is not None)
-        if data is None:
-            self.entries.pop(place, None)
-        else:
-            self.entries[place] = data
-        self._dirty[place] = None
-        if len(self._dirty) > 2 * len(self.entries) + self.limits.churn:
-            # A slow disk must not let them grow for ever.
-            self._dirty, self._churned = {}, True
-        self._since.setdefault(rules.mode, now_ms)
-        if self._behind_ms is None and rules.mode != f.HINT:
-            self._behind_ms = now_ms
-        if rules.mode != f.SYNCED:
+        if durability == Durability.SYNCED and self._faults.reason:
+            raise ChangeRejectedError(f"not durable now: {self._faults.reason}")
+        self._table.change((kind, key), data)
+        self._pending.add(now_ms, (kind, key), durability, len(self.entries))
+        if self._unsynced_since_ms is None and durability != Durability.BEST_EFFORT:
+            self._unsynced_since_ms = now_ms
+        if durability != Durability.SYNCED:
             return 0
-        self._tickets += 1
-        self._waiting[self._tickets] = now_ms + self.limits.wait_ms
-        return self._tickets
+        self._last_ticket += 1
+        self._waiting[self._last_ticket] = now_ms + self.limits.wait_ms
+        return self._last_ticket
 
-    def _grows(self, key: f.EntryKey, before: bytes | None, after: bytes | None) -> int:
-        return sum(
-            f.entry_size(key, each) * by for each, by in ((after, 1), (before, -1)) if each is not None
-        )
-
-    def end(self) -> None:
-        """Nothing more is taken; the next groups bring what there is to disk, the last one says so."""
-        self._ending = True
+    def shut_down(self) -> None:
+        """Accept no further changes; the next groups write what there is, and the last one says so."""
+        self._shutting_down = True
 
     def confirm(self) -> None:
-        """Others have confirmed what was found: a repair is no longer told of in files from now on."""
-        self._head = msgspec.structs.replace(self._head, repaired="")
-        if self._segment and self._script is None:
-            self._script = self._rotate()
+        """Note that other members have confirmed the state found; new files do not mention a repair then."""
+        self._header = msgspec.structs.replace(self._header, repaired="")
+        if self._log and self._rewrite is None:
+            self._rewrite = self._rotate()
 
-    # --- the disk's turns ---------------------------------------------------------------------------
+    # --- jobs ---------------------------------------------------------------------------------------
 
     def due_ms(self) -> float | None:
-        """When `take` or `late` is to be asked next; None: not before something happens."""
-        times = list(self._waiting.values())[:1] + list(self._out.values())[:1]
+        """When `next_job` or `expire_tickets` has to be called; None: not before something happens."""
+        times: list[float | None] = [*list(self._waiting.values())[:1], *list(self._in_progress.values())[:1]]
         if self._step is None:
-            times += [self._group_due_ms(), self._script_due_ms()]
-        return min((each for each in times if each is not None), default=None)
+            times += [self._group_due_ms(), self._rewrite_due_ms()]
+        return min((time for time in times if time is not None), default=None)
 
     @property
-    def job_out(self) -> bool:
+    def job_in_progress(self) -> bool:
+        """Whether a job was given out whose result is not known yet."""
         return self._step is not None
 
     def _group_due_ms(self) -> float | None:
-        if not self._segment or self.ended:
+        if not self._log or self.finished:
             return None
-        after = {f.SYNCED: 0.0, f.SOON: self.limits.soon_ms, f.HINT: self.limits.hint_ms}
-        times = [since + after[mode] for mode, since in self._since.items()]
-        if self._final:
+        times = self._pending.due_ms()
+        if self._next_group_is_last:
             times.append(0.0)
-        elif self._marked < self.synced:
+        elif self._synced_in_log < self.synced:
             times.append(self._synced_ms + self.limits.soon_ms)
         return min(times, default=None)
 
     @property
-    def _final(self) -> bool:
-        return self._ending and self._script is None
+    def _next_group_is_last(self) -> bool:
+        return self._shutting_down and self._rewrite is None
 
-    def _script_due_ms(self) -> float | None:
-        if self._script is not None:
+    def _rewrite_due_ms(self) -> float | None:
+        if self._rewrite is not None:
             return 0.0
-        return None if self._segment or self.ended else self._retry_ms
+        return None if self._log or self.finished else self._faults.retry_ms
 
-    def take(self, now_ms: float) -> DiskJob | None:
-        """The next job for the disk; None where there is none now, or one is out."""
+    def next_job(self, now_ms: float) -> DiskJob | None:
+        """The next job for the disk; None while there is none or one is in progress."""
         if self._step is not None:
             return None
-        if self._churned:
-            self._segment, self._script, self._churned = "", None, False
-        group, script = self._group_due_ms(), self._script_due_ms()
-        step, self._script_out = None, False
-        due = group is not None and group <= now_ms
-        if script is not None and script <= now_ms and (self._turn_of_script or not due):
-            step = self._next_of_script()
-            self._script_out = step is not None
-        if step is None and (due := self._group_due_ms()) is not None and due <= now_ms:
+        if self._pending.overflowed:
+            self._pending.overflowed = False
+            self._log = ""
+            self._rewrite = None
+        group_is_due = _is_due(self._group_due_ms(), now_ms)
+        step = None
+        if _is_due(self._rewrite_due_ms(), now_ms) and (self._rewrite_is_next or not group_is_due):
+            step = self._next_rewrite_step()
+        self._step_is_of_rewrite = step is not None
+        if step is None and _is_due(self._group_due_ms(), now_ms):
             step = self._next_group()
-        self._turn_of_script = not self._turn_of_script
-        self._step, self._step_ms = step, now_ms
+        self._rewrite_is_next = not self._rewrite_is_next
+        self._step = step
+        self._step_ms = now_ms
         return None if step is None else step.job
 
-    def done(self, now_ms: float, outcome: JobResult) -> list[TicketResult]:
-        """What came of the job that is out."""
-        step, self._step = self._step, None
+    def finish_job(self, now_ms: float, result: JobResult) -> list[TicketResult]:
+        """Take the result of the job in progress; the tickets that it decides."""
+        step = self._step
+        self._step = None
         if step is None:
             return []
-        if outcome.failed:
-            return self._fail(now_ms, outcome.failed)
-        if self._script_out:
-            self._answer = outcome
+        if result.error:
+            return self._fail(now_ms, result.error)
+        if self._step_is_of_rewrite:
+            self._rewrite_answer = result
         if step.opens:
-            self._segment, self._segment_bytes = step.opens, step.opens_bytes
-            self._failing, self._failures = "", 0
+            self._log = step.opens
+            self._log_bytes = step.opens_bytes
+            self._faults.clear()
         if not step.commits:
             return []
-        self.synced, self._synced_ms = step.commits, now_ms
-        self._sign = FolderPosition(self._head.mark, self._head.life, self.synced)
-        self._behind_ms = min((at for mode, at in self._since.items() if mode != f.HINT), default=None)
-        self.ended = step.ends
-        told, self._out = self._out, {}
-        return [TicketResult(ticket, True) for ticket in told]
-
-    def late(self, now_ms: float) -> list[TicketResult]:
-        """The tickets that have waited for as long as they may."""
-        queues = (self._out, self._waiting)
-        gone = [each for queue in queues for each, until in queue.items() if until <= now_ms]
-        for ticket in gone:
-            self._out.pop(ticket, None)
+        return self._commit(now_ms, step)
+
+    def _commit(self, now_ms: float, step: Step) -> list[TicketResult]:
+        self.synced = step.commits
+        self._synced_ms = now_ms
+        self._position = FolderPosition(self._header.disk_id, self._header.incarnation, self.synced)
+        self._unsynced_since_ms = self._pending.oldest_owed_ms()
+        self.finished = step.is_last
+        tickets = self._in_progress
+        self._in_progress = {}
+        return [TicketResult(ticket, True) for ticket in tickets]
+
+    def expire_tickets(self, now_ms: float) -> list[TicketResult]:
+        """End the tickets whose timeout is over."""
+        queues = (self._in_progress, self._waiting)
+        expired = [ticket for queue in queues for ticket, timeout_ms in queue.items() if timeout_ms <= now_ms]
+        for ticket in expired:
+            self._in_progress.pop(ticket, None)
             self._waiting.pop(ticket, None)
-        self._count("late", len(gone))
-        return [TicketResult(ticket, False, "the disk is slow") for ticket in gone]
+        self._count("late", len(expired))
+        return [TicketResult(ticket, False, "the disk is slow") for ticket in expired]
 
     def _fail(self, now_ms: float, why: str) -> list[TicketResult]:
-        # A failed sync may have lost what came before it in the same file, and a second one would not say so.
-        self._failing, self._failures = why, self._failures + 1
-        pause = self.limits.retry_ms * 2 ** min(self._failures - 1, 16)
-        self._retry_ms = now_ms + min(pause, self.limits.retry_most_ms)
-        self._segment, self._script = "", None
+        # A failed sync may have lost earlier data of the same file, and a second sync would not report it.
+        self._faults.record(now_ms, why)
+        self._log = ""
+        self._rewrite = None
         self._count("failures", 1)
-        told = [*self._out, *self._waiting]
-        self._out, self._waiting = {}, {}
-        self._since.pop(f.SYNCED, None)
-        return [TicketResult(ticket, False, why) for ticket in told]
-
-    def standing(self, now_ms: float) -> StoreStatus:
-        out_ms = now_ms - self._step_ms if self._step is not None else 0.0
-        behind = 0.0 if self._behind_ms is None else now_ms - self._behind_ms
+        tickets = [*self._in_progress, *self._waiting]
+        self._in_progress = {}
+        self._waiting = {}
+        self._pending.drop_urgency()
+        return [TicketResult(ticket, False, why) for ticket in tickets]
+
+    def status(self, now_ms: float) -> StoreStatus:
+        """The store's status; times in milliseconds."""
+        job_ms = 0.0 if self._step is None else now_ms - self._step_ms
+        since_ms = self._unsynced_since_ms
         return StoreStatus(
-            self._failing, out_ms if out_ms > self.limits.slow_ms else 0.0, behind,
-            len(self.entries), self._bytes, self.number, self.synced, dict(self.counts),
-        )  # fmt: skip
+            failing=self._faults.reason,
+            slow_ms=job_ms if job_ms > self.limits.slow_ms else 0.0,
+            behind_ms=0.0 if since_ms is None else now_ms - since_ms,
+            entries=len(self.entries),
+            state_bytes=self._table.size_bytes,
+            number=self.number,
+            synced=self.synced,
+            counts=dict(self.counts),
+        )
 
-    def sign(self) -> FolderPosition:
-        """What others may be told of how far this folder has come; of life 0 until it is settled."""
-        return self._sign
+    def position(self) -> FolderPosition:
+        """What other members may be sent of how far this folder has come.
+
+        Its incarnation is 0 until the store is settled.
+        """
+        return self._position
 
     @property
     def settled(self) -> bool:
-        """What was found is on disk for certain. What a killed process wrote is read, but a power cut may
-        still take it: nothing that others are told may rest on it before."""
-        return self._sign.life > 0
+        """Whether the state found at the start is certain to be on disk.
+
+        What a killed process wrote can be read, but a power loss may still remove it. Until it is rewritten,
+        nothing that other members are sent may rely on it.
+        """
+        return self._position.incarnation > 0
 
     def _count(self, what: str, by: int) -> None:
         if by:
             self.counts[what] = self.counts.get(what, 0) + by
 
-    # --- groups -------------------------------------------------------------------------------------
+    # --- commit groups ------------------------------------------------------------------------------
 
-    def _next_group(self) -> _Step:
-        final = self._final
-        synced = final or bool(self._since.keys() & {f.SYNCED, f.SOON})
-        ops = [self._group(final)]
-        if synced:
-            ops.append(SyncFile(self._segment))
-        self._count("syncs" if synced else "marks", 1)
-        return _Step(DiskJob(tuple(ops)), self.number if synced else 0, ends=final)
+    def _next_group(self) -> Step:
+        is_last = self._next_group_is_last
+        needs_sync = is_last or self._pending.need_sync
+        operations: list[DiskOperation] = [self._append_group(is_last=is_last)]
+        if needs_sync:
+            operations.append(SyncFile(self._log))
+        self._count("syncs" if needs_sync else "marks", 1)
+        commits = self.number if needs_sync else 0
+        return Step(DiskJob(tuple(operations)), commits, is_last=is_last)
 
-    def _group(self, final: bool = False) -> AppendBytes:
-        """All that changed, under the next number; its tickets go out with it."""
+    def _append_group(self, *, is_last: bool = False) -> AppendBytes:
+        """All pending changes under the next number; their tickets are in progress from now on."""
         self.number += 1
-        changes = [(key, self.entries.get(key)) for key in self._dirty]
-        data = f.encode_group(self.number, self.synced, self._unix_ms(), changes, final)
-        self._marked = self.synced
-        self._segment_bytes += len(data)
-        self._clear()
-        most = max(self.limits.segment_bytes, self._snapshot_bytes)
-        if self._script is None and not final and self._segment_bytes > most:
-            self._script = self._rotate()
-        return AppendBytes(self._segment, data)
-
-    def _clear(self) -> None:
-        self._out.update(self._waiting)
-        self._dirty, self._waiting, self._since = {}, {}, {}
+        changes = [(key, self.entries.get(key)) for key in self._pending.keys]
+        data = file_format.encode_group(self.number, self.synced, self._unix_ms(), changes, is_last)
+        self._synced_in_log = self.synced
+        self._log_bytes += len(data)
+        self._clear_pending()
+        max_bytes = max(self.limits.segment_bytes, self._snapshot_bytes)
+        if self._rewrite is None and not is_last and self._log_bytes > max_bytes:
+            self._rewrite = self._rotate()
+        return AppendBytes(self._log, data)
+
+    def _clear_pending(self) -> None:
+        self._in_progress.update(self._waiting)
+        self._waiting = {}
+        self._pending.clear()
 
     # --- snapshots and logs -------------------------------------------------------------------------
 
-    def _next_of_script(self) -> _Step | None:
-        if self._script is None:
-            self._script, self._answer = self._anew(), None
+    def _next_rewrite_step(self) -> Step | None:
+        if self._rewrite is None:
+            self._rewrite = self._rewrite_all()
+            self._rewrite_answer = None
+        answer = self._rewrite_answer
+        self._rewrite_answer = None
         try:
-            step = self._script.send(self._answer)
+            return self._rewrite.send(answer)
         except StopIteration:
-            self._script = step = None
-        self._answer = None
-        return step
+            self._rewrite = None
+            return None
 
-    def _anew(self) -> _Script:
-        """Everything, into new files, while no log is open."""
-        self._seq += 1
+    def _rewrite_all(self) -> Rewrite:
+        """Write everything into new files, while no log is open."""
+        self._sequence += 1
         self.number += 1
-        number, entries = self.number, dict(self.entries)
-        beside = {name for name in self._names if name.endswith(f.TEMPORARY_SUFFIX)}
-        self._clear()
-        if beside:  # on a full disk they may be what fills it
-            yield _Step(DiskJob(tuple(RemoveFile(name) for name in sorted(beside))))
-            self._names -= beside
-        yield from self._snapshot(self._seq, number, entries)
-        yield from self._log(self._seq, None)
-        yield from self._remove_older(self._seq)
-
-    def _rotate(self) -> _Script:
-        """A new log, and a snapshot beside it, while groups go on."""
-        self._seq += 1
-        entries: list[f.Entries] = []
-        seq = self._seq
-        yield from self._log(seq, entries)
-        yield from self._snapshot(seq, self._log_from - 1, entries[0])
-        yield from self._remove_older(seq)
-
-    def _begin(self, name: str) -> Generator[_Step, JobResult, f.FileHeader]:
-        self._names |= {name, name + f.TEMPORARY_SUFFIX}
-        outcome = yield _Step(DiskJob((CreateFile(name + f.TEMPORARY_SUFFIX),)))
-        what = f.parse_file_name(name)[0]
-        return msgspec.structs.replace(self._head, inode=outcome.inode, what=what, at_ms=self._unix_ms())
-
-    def _snapshot(self, seq: int, number: int, entries: f.Entries) -> _Script:
-        name = f.snapshot_name(seq)
-        head = yield from self._begin(name)
-        data, written = encode_record(0, msgspec.structs.replace(head, number=number)), 0
-        for piece in f.encode_snapshot(entries, self.limits.piece_bytes):
-            written += len(data) + len(piece)
-            yield _Step(
-                DiskJob(
-                    (
-                        AppendBytes(name + f.TEMPORARY_SUFFIX, data + piece),
-                        SyncFile(name + f.TEMPORARY_SUFFIX),
-                    )
-                )
-            )
+        number = self.number
+        entries = dict(self.entries)
+        temporary = {name for name in self._file_names if name.endswith(file_format.TEMPORARY_SUFFIX)}
+        self._clear_pending()
+        if temporary:  # on a full disk they may be what fills it
+            yield Step(_removal(temporary))
+            self._file_names -= temporary
+        yield from self._write_snapshot(self._sequence, number, entries)
+        yield from self._open_log(self._sequence, None)
+        yield from self._remove_older(self._sequence)
+
+    def _rotate(self) -> Rewrite:
+        """Open a new log and write a snapshot beside it, while groups are written."""
+        self._sequence += 1
+        sequence = self._sequence
+        entries: list[file_format.Entries] = []
+        yield from self._open_log(sequence, entries)
+        yield from self._write_snapshot(sequence, self._log_from - 1, entries[0])
+        yield from self._remove_older(sequence)
+
+    def _create_file(
+        self, file_kind: file_format.FileKind, name: str
+    ) -> Generator[Step, JobResult | None, file_format.FileHeader]:
+        temporary = name + file_format.TEMPORARY_SUFFIX
+        self._file_names |= {name, temporary}
+        result = yield Step(DiskJob((CreateFile(temporary),)))
+        inode = 0 if result is None else result.inode
+        return msgspec.structs.replace(self._header, inode=inode, file_kind=file_kind, at_ms=self._unix_ms())
+
+    def _write_snapshot(self, sequence: int, number: int, entries: file_format.Entries) -> Rewrite:
+        name = file_format.snapshot_name(sequence)
+        temporary = name + file_format.TEMPORARY_SUFFIX
+        header = yield from self._create_file(file_format.SNAPSHOT, name)
+        data = encode_record(0, msgspec.structs.replace(header, number=number))
+        written = 0
+        for chunk in file_format.encode_snapshot(entries, self.limits.piece_bytes):
+            written += len(data) + len(chunk)
+            yield Step(DiskJob((AppendBytes(temporary, data + chunk), SyncFile(temporary))))
             data = b""
-        commits = 0 if self._segment else number
-        yield _Step(DiskJob((RenameFile(name + f.TEMPORARY_SUFFIX, name), SyncFolder())), commits)
+        commits = 0 if self._log else number
+        yield Step(DiskJob((RenameFile(temporary, name), SyncFolder())), commits)
         self._snapshot_bytes = written
-        self._names.discard(name + f.TEMPORARY_SUFFIX)
-
-    def _log(self, seq: int, entries: list[f.Entries] | None) -> _Script:
-        """A new log. One that is open gets a last group, and `entries` is given what they are after it."""
-        name = f.log_name(seq)
-        head = yield from self._begin(name)
-        ops: list[Any] = []
-        if entries is not None:
-            ops = [self._group(), SyncFile(self._segment)]
-            entries.append(dict(self.entries))
-        commits = self.number if ops else 0
+        self._file_names.discard(temporary)
+
+    def _open_log(self, sequence: int, final_entries: list[file_format.Entries] | None) -> Rewrite:
+        """Open a new log.
+
+        A log that is open gets a last group; `final_entries` then receives the entries as they are after it.
+        """
+        name = file_format.log_name(sequence)
+        temporary = name + file_format.TEMPORARY_SUFFIX
+        header = yield from self._create_file(file_format.LOG, name)
+        operations: list[DiskOperation] = []
+        if final_entries is not None:
+            operations = [self._append_group(), SyncFile(self._log)]
+            final_entries.append(dict(self.entries))
+        commits = self.number if operations else 0
         self._log_from = self.number + 1
-        data = encode_record(0, msgspec.structs.replace(head, number=self._log_from))
-        self._marked = self.number  # the new head tells as much
-        beside = name + f.TEMPORARY_SUFFIX
-        ops += [AppendBytes(beside, data), SyncFile(beside), RenameFile(beside, name), SyncFolder()]
-        yield _Step(DiskJob(tuple(ops)), commits, name, len(data))
-        self._names.discard(beside)
-
-    def _remove_older(self, seq: int) -> _Script:
-        older = sorted(n for n in self._names if f.parse_file_name(n)[1] < seq)
+        data = encode_record(0, msgspec.structs.replace(header, number=self._log_from))
+        self._synced_in_log = self.number  # the new header says as much
+        operations += [
+            AppendBytes(temporary, data),
+            SyncFile(temporary),
+            RenameFile(temporary, name),
+            SyncFolder(),
+        ]
+        yield Step(DiskJob(tuple(operations)), commits, name, len(data))
+        self._file_names.discard(temporary)
+
+    def _remove_older(self, sequence: int) -> Rewrite:
+        files = file_format.store_files(self._file_names)
+        older = {name for name, file in files.items() if file.sequence < sequence}
         if older:
-            yield _Step(DiskJob(tuple(RemoveFile(name) for name in older)))
-            self._names -= set(older)
+            yield Step(_removal(older))
+            self._file_names -= older
+
+
+def _is_due(due_ms: float | None, now_ms: float) -> bool:
+    return due_ms is not None and due_ms <= now_ms
+
+
+def _removal(names: set[str]) -> DiskJob:
+    return DiskJob(tuple(RemoveFile(name) for name in sorted(names)))
--- a/fawnwharf/durable_store/event_loop_store.py
+++ b/fawnwharf/durable_store/event_loop_store.py
@@ -1,5 +1,4 @@
-"""A store in the one loop: its turns come after the decisions of a turn, at its own times, and as its writer
-answers."""
+"""A store driven by the event loop: after each iteration, at its due times, and as its writer answers."""
 
 from collections.abc import Callable
 from typing import Any, BinaryIO
@@ -8,70 +7,79 @@
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-FULL_PIPE_RETRY_MS = 4.0  # pace of writing on to a writer that takes no more at the moment
+FULL_PIPE_RETRY_MS = 4.0  # interval of writing to a writer process whose pipe is full
 
 LogCallback = Callable[[str, dict[str, Any]], None]
 
+_EVENTS = {"failing": "not durable now", "slow": "the disk is slow", "": "durable again"}
+
 
 class EventLoopStore:
-    """Owns the store's timer and its place in the selector; says when it stops and begins to be durable."""
+    """Owns the store's timer and its place in the selector; logs when durability is lost and regained."""
 
-    def __init__(self, loop: Loop, store: Store, note: LogCallback) -> None:
-        """`store` writes by a `Writer`."""
-        self.loop, self.store, self._note = loop, store, note
+    def __init__(self, loop: Loop, store: Store, log: LogCallback) -> None:
+        self.loop = loop
+        self.store = store
+        self._log = log
         self._timer: Timer | None = None
-        self._said = ""
+        self._logged = ""  # the key of the last event logged
         runner = store.runner
-        runner.begun, runner.gone = self._watch, self.loop.forget
-        if runner.incoming is not None:
-            self._watch(runner.incoming)
+        runner.on_output_opened = self._watch
+        runner.on_output_closing = self.loop.forget
+        if runner.output is not None:
+            self._watch(runner.output)
         loop.flush_later(self)
 
-    def put(self, kind: str, key: str, value: Any, told: CommitCallback | None = None) -> None:
-        """`Store.put`, now. What comes in one turn goes to disk together. Raises Refused."""
-        self.store.put(monotonic_ms(), kind, key, value, told)
+    def put(self, kind: str, key: str, value: Any, callback: CommitCallback | None = None) -> None:
+        """`Store.put` now; changes of one iteration are committed together. Raises ChangeRejectedError."""
+        self.store.put(monotonic_ms(), kind, key, value, callback)
         self.loop.flush_later(self)
 
     def flush(self) -> None:
-        """Once a turn, at its end."""
-        self.store.turn(monotonic_ms())
-        now = monotonic_ms()
-        self._say(now)
-        self._plan(now)
+        """Advance the store; the loop calls it at the end of an iteration."""
+        self.store.advance(monotonic_ms())
+        now_ms = monotonic_ms()
+        self._log_changes(now_ms)
+        self._schedule(now_ms)
 
     def close(self, within_ms: float) -> bool:
-        """As `Store.close`; the loop stands still meanwhile."""
+        """As `Store.close`, for at most this many milliseconds, during which the loop stands still."""
         runner = self.store.runner
-        if runner.incoming is not None:
-            self.loop.forget(runner.incoming)
-        runner.begun = runner.gone = lambda _end: None
+        if runner.output is not None:
+            self.loop.forget(runner.output)
+        runner.on_output_opened = _ignore
+        runner.on_output_closing = _ignore
         if self._timer is not None:
             self._timer.cancel()
         return self.store.close(monotonic_ms, within_ms)
 
-    def _watch(self, end: BinaryIO) -> None:
-        self.loop.watch(end, READ, lambda _mask: self._again())
+    def _watch(self, output: BinaryIO) -> None:
+        self.loop.watch(output, READ, lambda _mask: self._wake())
 
-    def _again(self) -> None:
+    def _wake(self) -> None:
         self.loop.flush_later(self)
 
-    def _plan(self, now_ms: float) -> None:
-        core, due = self.store.core, self.store.due_ms()
-        times = [] if due is None else [due]
-        if core.job_out:
-            times.append(now_ms + core.limits.slow_ms)  # to see that it is slow
+    def _schedule(self, now_ms: float) -> None:
+        core = self.store.core
+        due_ms = self.store.due_ms()
+        times = [] if due_ms is None else [due_ms]
+        if core.job_in_progress:
+            times.append(now_ms + core.limits.slow_ms)  # to notice that it is slow
         if self.store.runner.unsent:
             times.append(now_ms + FULL_PIPE_RETRY_MS)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if times:
-            self._timer = self.loop.wheel.after(max(0.0, min(times) - now_ms), self._again)
-
-    def _say(self, now_ms: float) -> None:
-        standing = self.store.standing(now_ms)
-        says = "failing" if standing.failing else "slow" if standing.slow_ms else ""
-        if says != self._said:
-            self._said = says
-            text = {"failing": "not durable now", "slow": "the disk is slow", "": "durable again"}[says]
-            self._note(text, {"why": standing.failing, "behind_ms": round(standing.behind_ms)})
+            self._timer = self.loop.wheel.after(max(0.0, min(times) - now_ms), self._wake)
+
+    def _log_changes(self, now_ms: float) -> None:
+        status = self.store.status(now_ms)
+        event = "failing" if status.failing else "slow" if status.slow_ms else ""
+        if event != self._logged:
+            self._logged = event
+            self._log(_EVENTS[event], {"why": status.failing, "behind_ms": round(status.behind_ms)})
+
+
+def _ignore(_output: BinaryIO) -> None:
+    pass
--- a/fawnwharf/durable_store/file_format.py
+++ b/fawnwharf/durable_store/file_format.py
@@ -1,12 +1,13 @@
-"""What the files of durable state hold: heads, groups of changes, pieces of snapshots; and the bounds. Pure.
+"""Format of the store's files: file headers, commit groups, snapshot chunks and footers, file names. Pure.
 
-Keys of entries are (kind, key). Values are JSON, which the store passes on as bytes. Times named `at_ms` are
-Unix milliseconds and serve people and trust alone; durations are milliseconds of the monotonic clock.
+An entry is addressed by its kind and its key. Its value is JSON, which the store passes on as bytes. Fields
+named `at_ms` are Unix milliseconds and are informative only; durations are in milliseconds.
 """
 
 import re
 from collections.abc import Iterable, Iterator
-from typing import Annotated, Literal
+from enum import StrEnum
+from typing import Annotated, Literal, NamedTuple
 
 import msgspec
 from msgspec import Meta, Struct
@@ -14,116 +15,156 @@
 from fawnwharf.consensus.records import HEADER_BYTES, encode_record
 
 VERSION = 1
-SYNCED, SOON, HINT = "synced", "soon", "hint"
-SNAPSHOT, LOG = "snapshot", "log"
+SNAPSHOT: Literal["snapshot"] = "snapshot"
+LOG: Literal["log"] = "log"
+FileKind = Literal["snapshot", "log"]
 TEMPORARY_SUFFIX = ".new"
 DELETED = b"null"
-ENTRY_OVERHEAD_BYTES = 24  # what an entry takes beside its kind, key and value
-_NAME = re.compile(r"^(?:snap-(\d{1,18})\.snap|log-(\d{1,18})\.seg)(\.new)?$")
+ENTRY_OVERHEAD_BYTES = 24  # counted for each entry beside its kind, key and value
+_FILE_NAME = re.compile(r"^(?:snap-(\d{1,18})\.snap|log-(\d{1,18})\.seg)(\.new)?$")
 
-EntryKey = tuple[str, str]
+EntryKey = tuple[str, str]  # kind and key
 Entries = dict[EntryKey, bytes]
+EntryRow = tuple[str, str, msgspec.Raw]  # kind, key and value, as they are written
+
+
+class Durability(StrEnum):
+    """When changes of a kind are synced to disk."""
+
+    SYNCED = "synced"  # with the next group; each change has a commit ticket
+    DELAYED = "soon"  # within `StoreLimits.soon_ms`
+    BEST_EFFORT = "hint"  # written within `StoreLimits.hint_ms`, and synced with the next group that is
 
 
 class EntryKind(Struct, frozen=True):
-    """One kind of what is kept: its mode, and its bounds."""
+    """One kind of entries: its durability and its limits."""
 
     name: Annotated[str, Meta(min_length=1, max_length=32)]
-    mode: Literal["synced", "soon", "hint"]
-    most: Annotated[int, Meta(ge=1)] = 1_000  # entries
-    value_bytes: Annotated[int, Meta(ge=1, le=1024 * 1024)] = 16 * 1024
-    reserved: bool = False  # taken also where all entries together have reached their bound
+    durability: Durability
+    max_entries: Annotated[int, Meta(ge=1)] = 1_000
+    max_value_bytes: Annotated[int, Meta(ge=1, le=1024 * 1024)] = 16 * 1024
+    reserved: bool = False  # accepted even when all entries together have reached their limit
 
 
 class StoreLimits(Struct, frozen=True):
+    """Sizes and times of a store. The names of the fields are keys of the recovery settings."""
+
     state_bytes: int = 16 * 1024 * 1024  # all entries together
-    segment_bytes: int = 1024 * 1024  # past this, or the last snapshot's size, a new log follows
-    piece_bytes: int = 256 * 1024  # of a snapshot, written between two groups
-    soon_ms: float = 100.0
-    hint_ms: float = 2_000.0
-    wait_ms: float = 1_000.0  # the longest that a ticket waits
-    slow_ms: float = 250.0  # a job that takes longer is said
-    retry_ms: float = 100.0  # after a failure, and twice as long after each further one
+    segment_bytes: int = 1024 * 1024  # a log larger than this and than the last snapshot is replaced
+    piece_bytes: int = 256 * 1024  # one chunk of a snapshot, written between two groups
+    soon_ms: float = 100.0  # delay of `Durability.DELAYED`
+    hint_ms: float = 2_000.0  # delay of `Durability.BEST_EFFORT`
+    wait_ms: float = 1_000.0  # timeout of a commit ticket
+    slow_ms: float = 250.0  # a job that takes longer is reported as slow
+    retry_ms: float = 100.0  # after the first failure; doubled with each further one
     retry_most_ms: float = 5_000.0
-    churn: int = 1_000  # changes that wait, beyond twice the entries: all is written anew then
+    churn: int = 1_000  # pending changes beyond twice the entries, above which everything is rewritten
 
     @property
     def folder_bytes(self) -> int:
-        """More than a folder of this program's can hold: two snapshots, two logs, what came beside."""
+        """A size that no folder of this program reaches: two snapshots, two logs, temporary files."""
         return 8 * (self.state_bytes + self.segment_bytes)
 
 
 class FileHeader(Struct, frozen=True):
-    """Whose file it is. `mark` tells this folder from one that the same member had before."""
+    """The first record of each file: which member's disk it belongs to, and where its content begins."""
 
     version: int
     fleet: str
     name: str
-    mark: Annotated[str, Meta(pattern="^[0-9a-f]{8,32}$")]
-    life: Annotated[int, Meta(ge=1)]  # counts the openings of the folder
-    boot: str  # of the machine, in which it was written; empty: not known
+    disk_id: Annotated[str, Meta(pattern="^[0-9a-f]{8,32}$")] = msgspec.field(name="mark")
+    incarnation: Annotated[int, Meta(ge=1)] = msgspec.field(name="life")  # counts openings of the folder
+    boot: str  # boot of the machine in which the file was written; empty if unknown
     at_ms: float
-    what: Literal["snapshot", "log"]
-    number: int  # snapshot: up to which it holds all; log: of its first group
-    inode: int = 0  # of the file itself: a copy of it may be older
-    repaired: str = ""  # why the folder was repaired, since when it holds what was left
+    file_kind: FileKind = msgspec.field(name="what")
+    number: int  # snapshot: the last group it contains; log: its first group
+    inode: int = 0  # of the file itself: a copy has another one and may be older
+    repaired: str = ""  # why the folder was repaired; empty once other members confirmed the content
 
 
 class CommitGroup(Struct, frozen=True, omit_defaults=True):
-    """What changed in a turn; null: the entry is gone. `synced`: up to which number all was on disk before
-    this was written."""
+    """All changes that are written together; a value of null deletes its entry."""
 
-    synced: int
+    synced: int  # the last group that was on disk before this one was written
     at_ms: float
-    changes: list[tuple[str, str, msgspec.Raw]] = []
-    ended: bool = False
+    changes: list[EntryRow] = []
+    closed_cleanly: bool = msgspec.field(default=False, name="ended")
 
 
 class SnapshotChunk(Struct, frozen=True):
-    entries: list[tuple[str, str, msgspec.Raw]]
+    """A part of a snapshot's entries."""
+
+    entries: list[EntryRow]
 
 
 class SnapshotFooter(Struct, frozen=True):
+    """The last record of a snapshot: the number of its entries."""
+
     count: int
 
 
-def snapshot_name(seq: int) -> str:
-    return f"snap-{seq}.snap"
+class FileName(NamedTuple):
+    """A parsed file name of the store."""
 
+    file_kind: FileKind
+    sequence: int
+    is_complete: bool  # not a temporary file
 
-def log_name(seq: int) -> str:
-    return f"log-{seq}.seg"
 
+def snapshot_name(sequence: int) -> str:
+    """The file name of a snapshot."""
+    return f"snap-{sequence}.snap"
 
-def parse_file_name(name: str) -> tuple[str, int, bool] | None:
-    """What a file of this name is, its sequence number, whether it is finished; None: none of the store's."""
-    found = _NAME.match(name)
-    if found is None:
+
+def log_name(sequence: int) -> str:
+    """The file name of a log."""
+    return f"log-{sequence}.seg"
+
+
+def parse_file_name(name: str) -> FileName | None:
+    """Parse a file name; None if the store has no files of this name."""
+    match = _FILE_NAME.match(name)
+    if match is None:
         return None
-    what = SNAPSHOT if found[1] else LOG
-    return what, int(found[1] or found[2]), not found[3]
+    return FileName(SNAPSHOT if match[1] else LOG, int(match[1] or match[2]), not match[3])
 
 
-def entry_size(key: EntryKey, value: bytes) -> int:
-    return len(key[0]) + len(key[1]) + len(value) + ENTRY_OVERHEAD_BYTES
+def store_files(names: Iterable[str]) -> dict[str, FileName]:
+    """The files of the store among these names, with their parsed names."""
+    parsed = ((name, parse_file_name(name)) for name in names)
+    return {name: file for name, file in parsed if file is not None}
 
 
-def encode_snapshot(entries: Entries, piece_bytes: int) -> Iterator[bytes]:
-    """A snapshot's records after its head, piece by piece."""
-    number, piece, held = 1, [], 0
-    for (kind, key), value in entries.items():
-        piece.append((kind, key, msgspec.Raw(value)))
-        held += entry_size((kind, key), value) + HEADER_BYTES
-        if held >= piece_bytes:
-            yield encode_record(number, SnapshotChunk(piece))
-            number, piece, held = number + 1, [], 0
-    yield encode_record(number, SnapshotChunk(piece)) + encode_record(
-        number + 1, SnapshotFooter(len(entries))
-    )
+def entry_size(key: EntryKey, value: bytes) -> int:
+    """The bytes that an entry counts for in the limits."""
+    kind, name = key
+    return len(kind) + len(name) + len(value) + ENTRY_OVERHEAD_BYTES
+
+
+def encode_snapshot(entries: Entries, chunk_bytes: int) -> Iterator[bytes]:
+    """The records of a snapshot after its header, chunk by chunk."""
+    record_number = 1
+    rows: list[EntryRow] = []
+    size = 0
+    for key, value in entries.items():
+        rows.append((*key, msgspec.Raw(value)))
+        size += entry_size(key, value) + HEADER_BYTES
+        if size >= chunk_bytes:
+            yield encode_record(record_number, SnapshotChunk(rows))
+            record_number += 1
+            rows = []
+            size = 0
+    last_chunk = encode_record(record_number, SnapshotChunk(rows))
+    yield last_chunk + encode_record(record_number + 1, SnapshotFooter(len(entries)))
 
 
 def encode_group(
-    number: int, synced: int, at_ms: float, changes: Iterable[tuple[EntryKey, bytes | None]], ended: bool
+    number: int,
+    synced: int,
+    at_ms: float,
+    changes: Iterable[tuple[EntryKey, bytes | None]],
+    closed_cleanly: bool,
 ) -> bytes:
-    rows = [(kind, key, msgspec.Raw(DELETED if value is None else value)) for (kind, key), value in changes]
-    return encode_record(number, CommitGroup(synced, at_ms, rows, ended))
+    """The record of a commit group; a change to None deletes its entry."""
+    rows = [(*key, msgspec.Raw(DELETED if value is None else value)) for key, value in changes]
+    return encode_record(number, CommitGroup(synced, at_ms, rows, closed_cleanly))
--- a/fawnwharf/durable_store/folder_reader.py
+++ b/fawnwharf/durable_store/folder_reader.py
@@ -1,7 +1,7 @@
-"""What a found folder means. Pure: the files' bytes in, what is kept or one cause out.
+"""Interpretation of a folder's files. Pure: the files' bytes in; the folder's state or one error out.
 
-A power cut leaves a torn tail in the last log and files that were not finished, and never anything else. What
-else is found is damage, or not this member's, and is refused by name.
+A power loss leaves a torn tail in the last log and unfinished files, and nothing else. Any other irregularity
+is damage, or belongs to another member, and is rejected with the file's name and the cause.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,52 +10,59 @@
 from msgspec import Struct
 
 from fawnwharf.consensus.records import leading_records, records_after
-from fawnwharf.durable_store import file_format as f
+from fawnwharf.durable_store import file_format
 
-FileContent = tuple[bytes, int]  # of a file, and its inode
+FileContent = tuple[bytes, int]  # content and inode of a file
+Record = tuple[int, bytes]  # number and JSON
 
 
 class UnreadableFolderError(Exception):
-    """What can't be read over: the file's name, empty for the folder, and why."""
+    """A folder that must not be read; `name` is the file, empty for the folder itself, `why` the cause."""
 
     def __init__(self, name: str, why: str) -> None:
         super().__init__(f"{name}: {why}" if name else why)
-        self.name, self.why = name, why
+        self.name = name
+        self.why = why
 
 
 class FolderPosition(Struct, frozen=True):
-    """How far a folder had come: what members may tell each other, so that an older copy is known."""
+    """How far a folder has come. Members exchange it, so that an older copy of a folder is detected."""
 
-    mark: str
-    life: int
-    number: int  # synced
+    disk_id: str = msgspec.field(name="mark")
+    incarnation: int = msgspec.field(name="life")
+    number: int  # of the last group that is synced
 
 
 class FolderState(Struct):
-    """What a folder holds. `fresh`: nothing, as nothing was ever told from it."""
+    """What a folder contains. `fresh`: nothing, as nothing was ever committed in it."""
 
     fresh: bool = True
     fleet: str = ""
     name: str = ""
-    entries: f.Entries = {}
-    sign: FolderPosition = FolderPosition("", 0, 0)
-    boot: str = ""  # in which it was last written
-    at_ms: float = 0.0  # when, by its writer's wall clock
-    ended: bool = False  # its last writer ended in order
-    repaired: str = ""  # why it was repaired, where nobody has confirmed it since
-    seq: int = 0  # the largest that any file has
-    names: list[str] = []  # all files of the store
-    read: list[str] = []  # those that this came from
-    torn: int = 0  # bytes of a torn tail, which do not count
+    entries: file_format.Entries = {}
+    position: FolderPosition = FolderPosition("", 0, 0)
+    boot: str = ""  # boot of the machine in which it was last written
+    at_ms: float = 0.0  # when it was last written, by the wall clock of its writer
+    closed_cleanly: bool = False  # its last incarnation shut down gracefully
+    repaired: str = ""  # why it was repaired, unless other members have confirmed it since
+    last_sequence: int = 0  # the largest sequence number of any file
+    file_names: list[str] = []  # all files of the store
+    files_read: list[str] = []  # those that this state was read from
+    torn_bytes: int = 0  # size of a torn tail, which is ignored
+
+
+class _VersionOnly(Struct):
+    version: int
 
 
 def files_in_use(names: Iterable[str]) -> list[str]:
-    """Which files a folder's state is read from: the last snapshot, and the logs since it."""
-    known = [(part, name) for name in names if (part := f.parse_file_name(name)) is not None and part[2]]
-    snaps = [part[1] for part, _ in known if part[0] == f.SNAPSHOT]
-    last = max(snaps, default=0)
-    logs = sorted(part[1] for part, _ in known if part[0] == f.LOG and part[1] >= last)
-    return [f.snapshot_name(last)] * bool(snaps) + [f.log_name(seq) for seq in logs]
+    """The files that a folder's state is read from: the last snapshot and the logs since then."""
+    complete = [file for file in file_format.store_files(names).values() if file.is_complete]
+    snapshots = [file.sequence for file in complete if file.file_kind == file_format.SNAPSHOT]
+    logs = [file.sequence for file in complete if file.file_kind == file_format.LOG]
+    last_snapshot = max(snapshots, default=0)
+    found = [file_format.snapshot_name(last_snapshot)] if snapshots else []
+    return found + [file_format.log_name(sequence) for sequence in sorted(logs) if sequence >= last_snapshot]
 
 
 def read_folder(
@@ -63,120 +70,144 @@
     names: Iterable[str],
     fleet: str = "",
     name: str = "",
-    copies: bool = False,
+    *,
+    accept_copies: bool = False,
 ) -> FolderState:
-    """`files`: those that `used` names. An empty fleet and name take any, `copies` takes copies of files,
-    too. Raises Unreadable."""
-    mine = [each for each in names if f.parse_file_name(each) is not None]
-    order = files_in_use(mine)
-    found = FolderState(
-        names=mine, read=order, seq=max((f.parse_file_name(each)[1] for each in mine), default=0)
-    )
+    """Read a folder's state.
+
+    `files` holds at least the files that `files_in_use` names. An empty `fleet` or `name` accepts any;
+    `accept_copies` also accepts files that were copied. Raises UnreadableFolderError.
+    """
+    own_files = file_format.store_files(names)
+    order = files_in_use(own_files)
+    last_sequence = max((file.sequence for file in own_files.values()), default=0)
+    state = FolderState(file_names=list(own_files), files_read=order, last_sequence=last_sequence)
     if not order:
-        return found
-    if f.parse_file_name(order[0])[0] != f.SNAPSHOT:
+        return state
+    if own_files[order[0]].file_kind != file_format.SNAPSHOT:
         raise UnreadableFolderError(order[0], "the snapshot before it is missing")
-    found.fresh = False
-    for place, each in enumerate(order):
-        data, inode = files[each]
+    state.fresh = False
+    for file_name in order:
+        data, inode = files[file_name]
         records, end = leading_records(data)
-        head = _head(each, records, fleet, name)
-        if head.inode != inode and not copies:
-            raise UnreadableFolderError(each, "a copy of another file, and may be an older one")
-        if place and head.mark != found.sign.mark:
-            raise UnreadableFolderError(each, f"of the disk {head.mark}, beside files of {found.sign.mark}")
-        found.fleet, found.name = head.fleet, head.name
-        found.boot, found.at_ms, found.repaired = head.boot, head.at_ms, head.repaired
-        if not place:
-            found.entries = _snapshot(each, records, end == len(data))
-            found.sign = FolderPosition(head.mark, head.life, head.number)
-            continue
-        if head.number != found.sign.number + 1:
-            why = f"begins with group {head.number}, and {found.sign.number} is the last before it"
-            raise UnreadableFolderError(each, f"{why}: files are missing or damaged")
-        number = _groups(each, records, found)
-        found.torn = len(data) - end
-        _not_damaged(each, data, end, number)
-        found.sign = FolderPosition(head.mark, head.life, number)
-    return found
-
-
-def _head(each: str, records: list[tuple[int, bytes]], fleet: str, name: str) -> f.FileHeader:
+        header = _read_header(file_name, records, fleet, name)
+        if header.inode != inode and not accept_copies:
+            raise UnreadableFolderError(file_name, "a copy of another file, and may be an older one")
+        state.at_ms = header.at_ms
+        if file_name == order[0]:
+            state.entries = _read_snapshot(file_name, records, is_intact=end == len(data))
+            number = header.number
+        else:
+            number = _read_log(file_name, header, data, state)
+        _take_header(state, header)
+        state.position = FolderPosition(header.disk_id, header.incarnation, number)
+    return state
+
+
+def _take_header(state: FolderState, header: file_format.FileHeader) -> None:
+    state.fleet = header.fleet
+    state.name = header.name
+    state.boot = header.boot
+    state.repaired = header.repaired
+
+
+def _read_header(file_name: str, records: list[Record], fleet: str, name: str) -> file_format.FileHeader:
     if not records:
-        raise UnreadableFolderError(each, "damaged at byte 0")
+        raise UnreadableFolderError(file_name, "damaged at byte 0")
+    content = records[0][1]
     try:
-        version = msgspec.json.decode(records[0][1], type=_Version).version
-        if version != f.VERSION:
-            raise UnreadableFolderError(each, f"version {version}, and this program knows {f.VERSION}")
-        head = msgspec.json.decode(records[0][1], type=f.FileHeader)
+        version = msgspec.json.decode(content, type=_VersionOnly).version
+        known = version == file_format.VERSION
+        header = msgspec.json.decode(content, type=file_format.FileHeader) if known else None
     except msgspec.DecodeError as error:
-        raise UnreadableFolderError(each, f"no head of durable state: {error}") from None
-    if fleet and head.fleet != fleet:
-        raise UnreadableFolderError(each, f"of fleet {head.fleet}, not of {fleet}")
-    if name and head.name != name:
-        raise UnreadableFolderError(each, f"the disk of member {head.name}, not of {name}")
-    if head.what != f.parse_file_name(each)[0]:
-        raise UnreadableFolderError(each, f"holds a {head.what}")
-    return head
-
-
-class _Version(Struct):
-    version: int
-
-
-def _snapshot(each: str, records: list[tuple[int, bytes]], whole: bool) -> f.Entries:
-    entries: f.Entries = {}
+        raise UnreadableFolderError(file_name, f"no head of durable state: {error}") from None
+    if header is None:
+        raise UnreadableFolderError(
+            file_name, f"version {version}, and this program knows {file_format.VERSION}"
+        )
+    if fleet and header.fleet != fleet:
+        raise UnreadableFolderError(file_name, f"of fleet {header.fleet}, not of {fleet}")
+    if name and header.name != name:
+        raise UnreadableFolderError(file_name, f"the disk of member {header.name}, not of {name}")
+    if header.file_kind != file_format.store_files([file_name])[file_name].file_kind:
+        raise UnreadableFolderError(file_name, f"holds a {header.file_kind}")
+    return header
+
+
+def _read_snapshot(file_name: str, records: list[Record], *, is_intact: bool) -> file_format.Entries:
+    entries: file_format.Entries = {}
     try:
-        foot = msgspec.json.decode(records[-1][1], type=f.SnapshotFooter)
+        footer = msgspec.json.decode(records[-1][1], type=file_format.SnapshotFooter)
         for _, content in records[1:-1]:
-            piece = msgspec.json.decode(content, type=f.SnapshotChunk)
-            entries.update(((kind, key), bytes(value)) for kind, key, value in piece.entries)
+            chunk = msgspec.json.decode(content, type=file_format.SnapshotChunk)
+            entries.update(((kind, key), bytes(value)) for kind, key, value in chunk.entries)
     except msgspec.DecodeError:
-        raise UnreadableFolderError(each, "damaged: a snapshot that is not whole") from None
+        raise UnreadableFolderError(file_name, "damaged: the snapshot is incomplete") from None
     numbers = [number for number, _ in records]
-    if not whole or foot.count != len(entries) or numbers != list(range(len(numbers))):
-        raise UnreadableFolderError(each, "damaged: a snapshot that is not whole")
+    if not is_intact or footer.count != len(entries) or numbers != list(range(len(numbers))):
+        raise UnreadableFolderError(file_name, "damaged: the snapshot is incomplete")
     return entries
 
 
-def _groups(each: str, records: list[tuple[int, bytes]], found: FolderState) -> int:
-    """The number of the last whole group."""
-    last = found.sign.number
+def _read_log(file_name: str, header: file_format.FileHeader, data: bytes, state: FolderState) -> int:
+    """Apply a log's groups to the state; the number of the last complete group."""
+    position = state.position
+    if header.disk_id != position.disk_id:
+        cause = f"of the disk {header.disk_id}, beside files of {position.disk_id}"
+        raise UnreadableFolderError(file_name, cause)
+    if header.number != position.number + 1:
+        cause = f"begins with group {header.number}, and {position.number} is the last before it"
+        raise UnreadableFolderError(file_name, f"{cause}: files are missing or damaged")
+    records, end = leading_records(data)
+    number = _apply_groups(file_name, records, state)
+    state.torn_bytes = len(data) - end
+    _check_tail(file_name, data, end, number)
+    return number
+
+
+def _apply_groups(file_name: str, records: list[Record], state: FolderState) -> int:
+    last = state.position.number
     for number, content in records[1:]:
         if number != last + 1:
-            raise UnreadableFolderError(each, f"damaged: group {number} after {last}")
+            raise UnreadableFolderError(file_name, f"damaged: group {number} after {last}")
         try:
-            group = msgspec.json.decode(content, type=f.CommitGroup)
+            group = msgspec.json.decode(content, type=file_format.CommitGroup)
         except msgspec.DecodeError as error:
-            raise UnreadableFolderError(each, f"group {number}: {error}") from None
+            raise UnreadableFolderError(file_name, f"group {number}: {error}") from None
         for kind, key, value in group.changes:
-            if (data := bytes(value)) == f.DELETED:
-                found.entries.pop((kind, key), None)
+            if (data := bytes(value)) == file_format.DELETED:
+                state.entries.pop((kind, key), None)
             else:
-                found.entries[kind, key] = data
-        last, found.at_ms, found.ended = number, group.at_ms, group.ended
+                state.entries[kind, key] = data
+        last = number
+        state.at_ms = group.at_ms
+        state.closed_cleanly = group.closed_cleanly
     return last
 
 
-def _not_damaged(each: str, data: bytes, end: int, number: int) -> None:
+def _check_tail(file_name: str, data: bytes, end: int, number: int) -> None:
+    """Raise UnreadableFolderError if the tail from byte `end` on is damaged rather than torn.
+
+    It is damaged if a later record says that more than group `number` was already synced.
+    """
     for _, content in records_after(data, end):
         try:
-            synced = msgspec.json.decode(content, type=f.CommitGroup).synced
+            synced = msgspec.json.decode(content, type=file_format.CommitGroup).synced
         except msgspec.DecodeError:
             synced = 0
         if synced > number:
-            why = f"damaged at byte {end}: group {number + 1} was on disk before a later one was written"
-            raise UnreadableFolderError(each, why)
+            cause = f"damaged at byte {end}: group {number + 1} was on disk before a later one was written"
+            raise UnreadableFolderError(file_name, cause)
 
 
-def rollback_reason(found: FolderState, heard: Iterable[FolderPosition]) -> str:
-    """Why the folder is an older copy by what others had heard of it; empty where they know nothing later."""
-    mine = found.sign
-    later = [sign for sign in heard if sign.mark == mine.mark]
-    last = max(later, key=lambda sign: (sign.life, sign.number), default=mine)
-    if (last.life, last.number) <= (mine.life, mine.number):
+def rollback_reason(state: FolderState, reported: Iterable[FolderPosition]) -> str:
+    """Why the folder is an older copy, by the positions that other members report; empty if it is not."""
+    own = state.position
+    same_disk = [position for position in reported if position.disk_id == own.disk_id]
+    last = max(same_disk, key=lambda position: (position.incarnation, position.number), default=own)
+    if (last.incarnation, last.number) <= (own.incarnation, own.number):
         return ""
     return (
-        f"rolled back: stands at life {mine.life}, number {mine.number}, "
-        f"and others have heard of life {last.life}, number {last.number}"
+        f"rolled back: stands at life {own.incarnation}, number {own.number}, "
+        f"and others have heard of life {last.incarnation}, number {last.number}"
     )
--- a/fawnwharf/durable_store/mutants.py
+++ b/fawnwharf/durable_store/mutants.py
@@ -1,100 +1,124 @@
-"""Stores with a planted bug each: what the crash tests have to find."""
+"""Mutants of the store, which the crash simulation has to detect."""
 
 import contextlib
 from collections.abc import Callable, Iterator
+from contextlib import AbstractContextManager
+from dataclasses import dataclass
 from unittest import mock
 
 from fawnwharf.consensus import records
-from fawnwharf.durable_store.core import StoreCore
-from fawnwharf.durable_store.operations import DiskJob, RenameFile, SyncFile, SyncFolder
-
-Bend = Callable[[DiskJob], DiskJob]
-
-
-def straight(job: DiskJob) -> DiskJob:
+from fawnwharf.durable_store.core import Rewrite, Step, StoreCore
+from fawnwharf.durable_store.operations import (
+    AppendBytes,
+    DiskJob,
+    JobResult,
+    RenameFile,
+    SyncFile,
+    SyncFolder,
+)
+from fawnwharf.durable_store.status import TicketResult
+
+JobChange = Callable[[DiskJob], DiskJob]
+
+
+def unchanged(job: DiskJob) -> DiskJob:
+    """The job as it is."""
     return job
 
 
-def _no_folder(job: DiskJob) -> DiskJob:
-    return DiskJob(tuple(op for op in job.ops if not isinstance(op, SyncFolder)))
+def _without_folder_sync(job: DiskJob) -> DiskJob:
+    return DiskJob(tuple(operation for operation in job.operations if not isinstance(operation, SyncFolder)))
 
 
-def _early_rename(job: DiskJob) -> DiskJob:
-    """The name comes first, and a sync of what it names after it."""
-    names = {op.old: op.new for op in job.ops if isinstance(op, RenameFile)}
-    ops = [op for op in job.ops if not (isinstance(op, SyncFile) and op.name in names)]
-    return DiskJob((*ops, *(SyncFile(new) for new in names.values())))
+def _rename_before_sync(job: DiskJob) -> DiskJob:
+    """Rename files first, and sync their content after it."""
+    new_names = {
+        operation.old: operation.new for operation in job.operations if isinstance(operation, RenameFile)
+    }
+    operations = [
+        operation
+        for operation in job.operations
+        if not (isinstance(operation, SyncFile) and operation.name in new_names)
+    ]
+    return DiskJob((*operations, *(SyncFile(name) for name in new_names.values())))
 
 
-def _early_word(job: DiskJob) -> DiskJob:
-    """Groups are told of once they are written."""
-    if any(isinstance(op, RenameFile) for op in job.ops):
+def _report_before_sync(job: DiskJob) -> DiskJob:
+    """Report groups once they are written."""
+    if any(isinstance(operation, RenameFile) for operation in job.operations):
         return job
-    return DiskJob(tuple(op for op in job.ops if not isinstance(op, SyncFile)))
+    return DiskJob(tuple(operation for operation in job.operations if not isinstance(operation, SyncFile)))
 
 
 class EarlyRemoval(StoreCore):
-    """Throws older files away before what takes their place is there."""
-
-    def _anew(self):
-        yield from self._remove_older(self._seq + 1)
-        yield from super()._anew()
+    """Removes older files before their replacement exists."""
 
+    def _rewrite_all(self) -> Rewrite:
+        yield from self._remove_older(self._sequence + 1)
+        yield from super()._rewrite_all()
 
-class SyncsAgain(StoreCore):
-    """Takes a failed sync for one that can be done again."""
 
-    def done(self, now_ms, outcome):
-        if outcome.failed and self._step is not None and self._segment and not self._script:
-            self._again, self._step = self._step, None
-            return []
-        return super().done(now_ms, outcome)
-
-    def take(self, now_ms):
-        again, self._again = getattr(self, "_again", None), None
-        if again is None:
-            return super().take(now_ms)
-        self._step, self._step_ms = again, now_ms
-        return DiskJob(tuple(op for op in again.job.ops if isinstance(op, SyncFile)))
+class RetriedSync(StoreCore):
+    """Treats a failed sync as one that can be repeated."""
 
+    _repeated_step: Step | None = None
 
-class NoLooks(StoreCore):
-    """Tells of no earlier sync, so that damage reads as a torn tail."""
-
-    def _group(self, final=False):
-        said, self.synced = self.synced, 0
+    def finish_job(self, now_ms: float, result: JobResult) -> list[TicketResult]:
+        """Keep a failed step of a group, to repeat its syncs."""
+        if result.error and self._step is not None and self._log and not self._rewrite:
+            self._repeated_step = self._step
+            self._step = None
+            return []
+        return super().finish_job(now_ms, result)
+
+    def next_job(self, now_ms: float) -> DiskJob | None:
+        """The syncs of the step that failed, if one did."""
+        step = self._repeated_step
+        self._repeated_step = None
+        if step is None:
+            return super().next_job(now_ms)
+        self._step = step
+        self._step_ms = now_ms
+        return DiskJob(
+            tuple(operation for operation in step.job.operations if isinstance(operation, SyncFile))
+        )
+
+
+class UntoldSyncs(StoreCore):
+    """Records no earlier sync in its groups, so that damage reads as a torn tail."""
+
+    def _append_group(self, *, is_last: bool = False) -> AppendBytes:
+        synced = self.synced
+        self.synced = 0
         try:
-            return super()._group(final)
+            return super()._append_group(is_last=is_last)
         finally:
-            self.synced = said
+            self.synced = synced
 
 
 @contextlib.contextmanager
-def _number_alone() -> Iterator[None]:
-    """The checksum is taken over the record's number, and not over what it holds."""
-    with mock.patch.object(records, "checksum", lambda number, data: number * 2_654_435_761 % 2**32):
+def _checksum_of_number() -> Iterator[None]:
+    """Compute the checksum from the record's number alone."""
+    with mock.patch.object(records, "checksum", lambda number, _data: number * 2_654_435_761 % 2**32):
         yield
 
 
+@dataclass(frozen=True, slots=True)
 class Mutant:
-    """One planted bug: a way to bend jobs, another core, or a patch that holds during a run."""
+    """One fault: a change of jobs, another core, or a patch that is active during a run."""
 
-    def __init__(
-        self,
-        bend: Bend = straight,
-        core: type[StoreCore] = StoreCore,
-        patch: Callable = contextlib.nullcontext,
-    ) -> None:
-        self.bend, self.core, self.patch = bend, core, patch
+    change_job: JobChange = unchanged
+    core: type[StoreCore] = StoreCore
+    patch: Callable[[], AbstractContextManager[None]] = contextlib.nullcontext
 
 
 UNCHANGED = Mutant()
 MUTANTS = {
-    "no sync of the folder": Mutant(bend=_no_folder),
-    "rename before sync": Mutant(bend=_early_rename),
-    "told before sync": Mutant(bend=_early_word),
-    "checksum over the number alone": Mutant(patch=_number_alone),
+    "no sync of the folder": Mutant(change_job=_without_folder_sync),
+    "rename before sync": Mutant(change_job=_rename_before_sync),
+    "told before sync": Mutant(change_job=_report_before_sync),
+    "checksum over the number alone": Mutant(patch=_checksum_of_number),
     "older files removed first": Mutant(core=EarlyRemoval),
-    "a failed sync done again": Mutant(core=SyncsAgain),
-    "damage read as a torn tail": Mutant(core=NoLooks),
+    "a failed sync done again": Mutant(core=RetriedSync),
+    "damage read as a torn tail": Mutant(core=UntoldSyncs),
 }
--- a/fawnwharf/durable_store/operations.py
+++ b/fawnwharf/durable_store/operations.py
@@ -1,41 +1,46 @@
-"""What is asked of a disk: jobs of few operations, and the small file system that carries them out.
+"""Jobs for a disk, made of a few operations, and the small file system interface that executes them.
 
-Names are of files within one folder. A job is carried out in its order, up to the first operation that fails.
+Names are those of files within one folder. A job is executed in order, up to the first operation that fails.
 """
 
 from typing import Protocol
 
+import msgspec
 from msgspec import Struct
 
 
 class CreateFile(Struct, frozen=True, tag="Begin"):
-    """A new, empty file of this name; one that was there is emptied."""
+    """Create an empty file; an existing one of this name is truncated."""
 
     name: str
 
 
 class AppendBytes(Struct, frozen=True, tag="Append"):
+    """Append data to a file that was created by this process."""
+
     name: str
     data: bytes
 
 
 class SyncFile(Struct, frozen=True, tag="Sync"):
-    """What was appended to it is on disk; whether the folder has its name is another matter."""
+    """Sync a file's content to disk; its name needs `SyncFolder`."""
 
     name: str
 
 
 class RenameFile(Struct, frozen=True, tag="Rename"):
+    """Rename a file; an existing one of the new name is replaced."""
+
     old: str
     new: str
 
 
 class SyncFolder(Struct, frozen=True, tag="SyncFolder"):
-    """Names and removals are on disk."""
+    """Sync the folder itself: names and removals are on disk."""
 
 
 class RemoveFile(Struct, frozen=True, tag="Remove"):
-    """Nothing is asked of a file that is not there."""
+    """Remove a file, if there is one of this name."""
 
     name: str
 
@@ -44,53 +49,82 @@
 
 
 class DiskJob(Struct, frozen=True):
-    ops: tuple[DiskOperation, ...]
+    """Operations that are executed one after the other."""
+
+    operations: tuple[DiskOperation, ...] = msgspec.field(name="ops")
 
 
 class JobResult(Struct, frozen=True):
-    """`failed` names what went wrong, empty: nothing. `inode` of the file that was begun last, or 0."""
+    """The result of a job."""
 
-    failed: str = ""
-    inode: int = 0
+    error: str = msgspec.field(default="", name="failed")  # file and cause; empty on success
+    inode: int = 0  # of the file that was created last, or 0
 
 
 class FileSystem(Protocol):
-    """One folder. Every method may raise OSError."""
+    """The files of one folder. Every method may raise OSError."""
 
     def begin(self, name: str) -> int:
-        """The inode of the new file."""
+        """Create or truncate a file; its inode."""
+
+    def append(self, name: str, data: bytes) -> None:
+        """Append to a file that was begun."""
+
+    def sync(self, name: str) -> None:
+        """Sync a file's content to disk."""
 
-    def append(self, name: str, data: bytes) -> None: ...
-    def sync(self, name: str) -> None: ...
-    def rename(self, old: str, new: str) -> None: ...
-    def sync_folder(self) -> None: ...
-    def remove(self, name: str) -> None: ...
+    def rename(self, old: str, new: str) -> None:
+        """Rename a file."""
+
+    def sync_folder(self) -> None:
+        """Sync names and removals to disk."""
+
+    def remove(self, name: str) -> None:
+        """Remove a file, if it exists."""
 
     def names(self) -> dict[str, int]:
-        """Of all files in the folder, with their sizes in bytes."""
+        """All files of the folder, with their sizes in bytes."""
 
     def read(self, name: str) -> tuple[bytes, int]:
-        """All of a file, and its inode."""
+        """A file's content and its inode."""
 
 
 def execute_job(files: FileSystem, job: DiskJob) -> JobResult:
+    """Execute a job up to its first operation that fails."""
     inode = 0
-    for op in job.ops:
+    for operation in job.operations:
         try:
-            match op:
-                case CreateFile(name):
-                    inode = files.begin(name)
-                case AppendBytes(name, data):
-                    files.append(name, data)
-                case SyncFile(name):
-                    files.sync(name)
-                case RenameFile(old, new):
-                    files.rename(old, new)
-                case SyncFolder():
-                    files.sync_folder()
-                case RemoveFile(name):
-                    files.remove(name)
+            if isinstance(operation, CreateFile):
+                inode = files.begin(operation.name)
+            else:
+                _execute(files, operation)
         except OSError as error:
-            which = getattr(op, "name", "") or getattr(op, "new", "") or "folder"
-            return JobResult(f"{which}: {error.strerror or error}")
+            return JobResult(f"{_file_of(operation)}: {error.strerror or error}")
     return JobResult("", inode)
+
+
+def _execute(
+    files: FileSystem, operation: AppendBytes | SyncFile | RenameFile | SyncFolder | RemoveFile
+) -> None:
+    match operation:
+        case AppendBytes(name, data):
+            files.append(name, data)
+        case SyncFile(name):
+            files.sync(name)
+        case RenameFile(old, new):
+            files.rename(old, new)
+        case SyncFolder():
+            files.sync_folder()
+        case RemoveFile(name):
+            files.remove(name)
+
+
+def _file_of(operation: DiskOperation) -> str:
+    """The name of the file that an operation concerns, for error texts."""
+    match operation:
+        case SyncFolder():
+            return "folder"
+        case RenameFile(_, new):
+            return new
+        case _:
+            return operation.name
--- a/fawnwharf/durable_store/repairs.py
+++ b/fawnwharf/durable_store/repairs.py
@@ -1,7 +1,7 @@
-"""What can be done about a folder that can't be read. Pure.
+"""Repair of a folder that can't be read. Pure.
 
-A repair takes nothing away: it writes what is certain anew, and gives the files that this came from a further
-ending. What is lost with it is said first, and whoever reads the folder later is told why it was repaired.
+A repair deletes nothing: it writes a new snapshot of what is certain, and renames the files that this was
+read from. What is lost is reported first, and whoever reads the folder later is told why it was repaired.
 """
 
 from collections.abc import Mapping
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from fawnwharf.consensus.records import encode_record, leading_records
-from fawnwharf.durable_store import file_format as f
+from fawnwharf.durable_store import file_format
 from fawnwharf.durable_store.folder_reader import (
     FileContent,
     FolderState,
@@ -30,78 +30,110 @@
 
 
 class RepairPlan(Struct, frozen=True):
-    """`why` the folder can't be read; `keeps`: what a repair goes on from; `loses`: what it can't tell of any
-    more, a line each; `aside`: the files that get another name."""
+    """A repair that is possible."""
 
-    why: str
-    keeps: FolderState
-    loses: list[str]
-    aside: list[str]
+    why: str  # the folder can't be read
+    state: FolderState  # what is retained
+    losses: list[str]  # what may be lost, a line each
+    files_set_aside: list[str]
+
+    @property
+    def snapshot_name(self) -> str:
+        """The file that the repair writes."""
+        return file_format.snapshot_name(self.state.last_sequence + 1)
 
 
 def plan_repair(files: Mapping[str, FileContent]) -> RepairPlan | None:
-    """What to do about a folder, of which all files of the store are given; None where nothing is wrong.
-    Raises Unreadable where nothing is left to go on from."""
+    """Plan the repair of a folder, given all files of the store; None if it is readable.
+
+    Raises UnreadableFolderError if nothing is left to recover from.
+    """
     names = sorted(files)
     try:
         read_folder(files, names)
-        return None
     except UnreadableFolderError as error:
         why = str(error)
-    left = list(names)
-    while order := files_in_use(left):
+    else:
+        return None
+    state = _last_readable_state(files, names)
+    if state is None:
+        raise UnreadableFolderError("", f"nothing is left to go on from: {why}")
+    state.last_sequence = max(file.sequence for file in file_format.store_files(names).values())
+    return RepairPlan(why, state, _losses(files, files_in_use(names), state), names)
+
+
+def _last_readable_state(files: Mapping[str, FileContent], names: list[str]) -> FolderState | None:
+    """The state from the last snapshot and the longest run of logs that can be read."""
+    remaining = list(names)
+    while order := files_in_use(remaining):
         for count in range(len(order), 0, -1):
-            if (found := _from(files, order[:count])) is not None:
-                found.seq = max(f.parse_file_name(name)[1] for name in names)
-                return RepairPlan(why, found, _lost(files, files_in_use(names), found), names)
-        left.remove(order[0])
-    raise UnreadableFolderError("", f"nothing is left to go on from: {why}")
-
-
-def _from(files: Mapping[str, FileContent], part: list[str]) -> FolderState | None:
-    """What these files hold, the last of them up to its first record that is not whole."""
-    data, inode = files[part[-1]]
-    cut = data[: leading_records(data)[1]]
-    for end in (data, cut):
+            if (state := _read_leading(files, order[:count])) is not None:
+                return state
+        remaining.remove(order[0])
+    return None
+
+
+def _read_leading(files: Mapping[str, FileContent], order: list[str]) -> FolderState | None:
+    """What these files contain, the last one up to its first damaged record; None if that can't be read."""
+    data, inode = files[order[-1]]
+    leading = data[: leading_records(data)[1]]
+    for content in (data, leading):
         try:
-            return read_folder({**files, part[-1]: (end, inode)}, part, copies=True)
+            return read_folder({**files, order[-1]: (content, inode)}, order, accept_copies=True)
         except UnreadableFolderError:
             continue
     return None
 
 
-def _lost(files: Mapping[str, FileContent], order: list[str], found: FolderState) -> list[str]:
-    number, last = found.sign.number, found.read[-1]
-    size, whole = len(files[last][0]), leading_records(files[last][0])[1]
-    lines = [f"{each}: all of its {len(files[each][0])} bytes" for each in order if each not in found.read]
-    if whole < size:
-        lines.append(f"{last}: from byte {whole} of {size} on, what came after number {number}")
+def _losses(files: Mapping[str, FileContent], order: list[str], state: FolderState) -> list[str]:
+    number = state.position.number
+    last = state.files_read[-1]
+    data = files[last][0]
+    intact_bytes = leading_records(data)[1]
+    lines = [
+        f"{name}: all of its {len(files[name][0])} bytes" for name in order if name not in state.files_read
+    ]
+    if intact_bytes < len(data):
+        lines.append(f"{last}: from byte {intact_bytes} of {len(data)} on, what came after number {number}")
     return lines or [f"nothing that can be seen here; what came after number {number}, if this is older"]
 
 
 def first_repair_job(plan: RepairPlan) -> DiskJob:
-    """The first job of a repair; its outcome tells the inode for the second."""
-    return DiskJob((CreateFile(f.snapshot_name(plan.keeps.seq + 1) + f.TEMPORARY_SUFFIX),))
+    """The first job of a repair; its result has the inode for the second one."""
+    return DiskJob((CreateFile(plan.snapshot_name + file_format.TEMPORARY_SUFFIX),))
 
 
 def second_repair_job(plan: RepairPlan, inode: int, at_ms: float) -> DiskJob:
-    """The new snapshot gets its name before the others lose theirs. It counts as a life of its own, so that
-    others' word of the life before does not make it an older copy."""
-    found, name = plan.keeps, f.snapshot_name(plan.keeps.seq + 1)
-    head = f.FileHeader(
-        f.VERSION, found.fleet, found.name, found.sign.mark, found.sign.life + 1, found.boot, at_ms,
-        f.SNAPSHOT, found.sign.number, inode, plan.why,
-    )  # fmt: skip
-    data = encode_record(0, head) + b"".join(f.encode_snapshot(found.entries, f.StoreLimits().piece_bytes))
-    beside = name + f.TEMPORARY_SUFFIX
-    aside = [RenameFile(each, each + ASIDE_SUFFIX) for each in plan.aside]
+    """The second job: the new snapshot gets its name before the other files lose theirs.
+
+    It counts as a new incarnation, so that what other members report of the last one does not make it an
+    older copy. `at_ms` is the wall clock.
+    """
+    state = plan.state
+    header = file_format.FileHeader(
+        version=file_format.VERSION,
+        fleet=state.fleet,
+        name=state.name,
+        disk_id=state.position.disk_id,
+        incarnation=state.position.incarnation + 1,
+        boot=state.boot,
+        at_ms=at_ms,
+        file_kind=file_format.SNAPSHOT,
+        number=state.position.number,
+        inode=inode,
+        repaired=plan.why,
+    )
+    chunks = file_format.encode_snapshot(state.entries, file_format.StoreLimits().piece_bytes)
+    data = encode_record(0, header) + b"".join(chunks)
+    temporary = plan.snapshot_name + file_format.TEMPORARY_SUFFIX
+    set_aside = [RenameFile(name, name + ASIDE_SUFFIX) for name in plan.files_set_aside]
     return DiskJob(
         (
-            AppendBytes(beside, data),
-            SyncFile(beside),
-            RenameFile(beside, name),
+            AppendBytes(temporary, data),
+            SyncFile(temporary),
+            RenameFile(temporary, plan.snapshot_name),
             SyncFolder(),
-            *aside,
+            *set_aside,
             SyncFolder(),
         )
     )
--- a/fawnwharf/durable_store/store.py
+++ b/fawnwharf/durable_store/store.py
@@ -1,19 +1,20 @@
-"""The store: a folder's entries, as one front end reads and changes them in its loop.
+"""The store: a folder's entries, as one front end reads and changes them in its event loop.
 
-Nothing here waits for the disk but `open_folder`, which reads, and `close`, which is given a bound.
+Nothing here waits for the disk except `open_store`, which reads, and `Store.close`, whose wait is bounded.
 """
 
 import os
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
 from fawnwharf.consensus.records import DiskError
-from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore, StoreStatus
+from fawnwharf.durable_store import file_format
+from fawnwharf.durable_store.core import StoreCore
 from fawnwharf.durable_store.folder import DiskFolder, lock_folder
 from fawnwharf.durable_store.folder_reader import (
     FolderPosition,
@@ -24,149 +25,192 @@
     rollback_reason,
 )
 from fawnwharf.durable_store.operations import FileSystem
+from fawnwharf.durable_store.status import StoreStatus
 from fawnwharf.durable_store.writer_process import JobRunner, WriterProcess
 
-__all__ = ["ChangeRejectedError", "Store", "inspect_folder", "open_store"]
-
-CommitCallback = Callable[[bool, str], None]  # whether it is on disk; if not, why that is unsure
-POLL_INTERVAL_S = 0.005  # pace of looks at the writer while the store ends
+CommitCallback = Callable[[bool, str], None]  # whether the change is on disk; if not, why that is unknown
+CLOSE_POLL_INTERVAL_S = 0.005
 
 
 def unix_ms() -> float:
+    """The wall clock, in Unix milliseconds."""
     return time.time() * 1_000.0
 
 
 class Store:
-    """Owns the core, the runner and who is told of which ticket."""
-
-    def __init__(
-        self,
-        core: StoreCore,
-        runner: JobRunner,
-        found: FolderState,
-        release: Callable[[], None] = lambda: None,
-    ) -> None:
-        """`found`: what was there at the start; `release` gives the folder back."""
-        self.core, self.runner, self.found, self._release = core, runner, found, release
-        self._told: dict[int, CommitCallback] = {}
+    """Owns the core, the job runner, and the callbacks of commit tickets."""
+
+    def __init__(self, core: StoreCore, runner: JobRunner, recovered: FolderState) -> None:
+        """`recovered` is the folder's state at the start."""
+        self.core = core
+        self.runner = runner
+        self.recovered = recovered
+        self._callbacks: dict[int, CommitCallback] = {}
+        self._release: Callable[[], None] = lambda: None
+
+    def on_release(self, release: Callable[[], None]) -> None:
+        """Set what `close` calls last, to unlock the folder."""
+        self._release = release
 
     def get(self, kind: str, key: str) -> Any:
-        """The entry as it was last put, on disk or not; None where there is none."""
+        """An entry's value as it was last changed, on disk or not; None if there is no entry."""
         value = self.core.entries.get((kind, key))
         return None if value is None else msgspec.json.decode(value)
 
     def items(self, kind: str) -> list[tuple[str, Any]]:
-        mine = [(key[1], value) for key, value in self.core.entries.items() if key[0] == kind]
-        return [(key, msgspec.json.decode(value)) for key, value in mine]
+        """All entries of a kind: keys and values."""
+        own = [(key[1], value) for key, value in self.core.entries.items() if key[0] == kind]
+        return [(key, msgspec.json.decode(value)) for key, value in own]
 
-    def put(self, now_ms: float, kind: str, key: str, value: Any, told: CommitCallback | None = None) -> None:
-        """The entry is this from now on; None: there is none. `told` is called once, from `turn`, and only
-        for a `synced` kind. Raises Refused, and then nothing has changed."""
+    def put(
+        self, now_ms: float, kind: str, key: str, value: Any, callback: CommitCallback | None = None
+    ) -> None:
+        """Set an entry, or delete it for None.
+
+        `callback` is called once, from `advance`, and only for a kind that is `SYNCED`. Raises
+        ChangeRejectedError; then nothing has changed.
+        """
         ticket = self.core.put(now_ms, kind, key, value)
-        if ticket and told is not None:
-            self._told[ticket] = told
-
-    def turn(self, now_ms: float) -> None:
-        """At the end of each turn of the loop, and when `due_ms` is reached or the writer's output is
-        readable: takes in what came of the last job, tells who waited, gives out the next job."""
-        ended = []
-        outcome = self.runner.poll()
-        if outcome is not None:
-            ended += self.core.done(now_ms, outcome)
-        ended += self.core.late(now_ms)
-        job = self.core.take(now_ms)
+        if ticket and callback is not None:
+            self._callbacks[ticket] = callback
+
+    def advance(self, now_ms: float) -> None:
+        """Take the last job's result, call the callbacks of decided tickets, and start the next job.
+
+        Call it at the end of each event loop iteration, when `due_ms` is reached, and when the writer's
+        output is readable.
+        """
+        decided = []
+        result = self.runner.poll()
+        if result is not None:
+            decided += self.core.finish_job(now_ms, result)
+        decided += self.core.expire_tickets(now_ms)
+        job = self.core.next_job(now_ms)
         if job is not None:
             self.runner.start(job)
-        for end in ended:
-            told = self._told.pop(end.ticket, None)
-            if told is not None:
-                told(end.on_disk, end.why)
+        for ticket in decided:
+            callback = self._callbacks.pop(ticket.ticket, None)
+            if callback is not None:
+                callback(ticket.on_disk, ticket.why)
 
     def due_ms(self) -> float | None:
+        """When `advance` has to be called; None: not before something happens."""
         return self.core.due_ms()
 
-    def standing(self, now_ms: float) -> StoreStatus:
-        return self.core.standing(now_ms)
+    def status(self, now_ms: float) -> StoreStatus:
+        """The store's status."""
+        return self.core.status(now_ms)
 
-    def sign(self) -> FolderPosition:
-        return self.core.sign()
+    def position(self) -> FolderPosition:
+        """What other members may be sent of how far this folder has come."""
+        return self.core.position()
 
     def close(self, clock: Callable[[], float], within_ms: float = 2_000.0) -> bool:
-        """Brings everything to disk and says there that it ended in order; whether that was done in time. The
-        folder is given back in any case, once the job that is out is done."""
-        self.core.end()
-        until = clock() + within_ms
-        while not self.core.ended and (now := clock()) < until:
-            self.turn(now)
-            if not self.core.ended:
-                time.sleep(POLL_INTERVAL_S)
+        """Write everything to disk, mark the shutdown as graceful, and release the folder.
+
+        Returns whether that was done in time. The folder is released in any case, once the job in progress
+        has ended.
+        """
+        self.core.shut_down()
+        deadline_ms = clock() + within_ms
+        while not self.core.finished and (now_ms := clock()) < deadline_ms:
+            self.advance(now_ms)
+            if not self.core.finished:
+                time.sleep(CLOSE_POLL_INTERVAL_S)
         self.runner.close()
         self._release()
-        return self.core.ended
+        return self.core.finished
+
 
+@dataclass(frozen=True, slots=True)
+class StoreOwner:
+    """Whose store it is, and what the process that opens it knows."""
 
-def inspect_folder(files: FileSystem, fleet: str, name: str, limits: f.StoreLimits) -> FolderState:
-    """What the files of a folder hold. Raises Unreadable, OSError."""
+    fleet: str
+    name: str
+    boot: str = ""  # this boot of the machine; empty if unknown
+    empty_ok: bool = False  # the member is new, so that its folder may be empty
+    reported: tuple[FolderPosition, ...] = ()  # how far other members know this folder to have come
+
+
+@dataclass(frozen=True, slots=True)
+class Sources:
+    """Where a store takes time and identities from; tests replace them."""
+
+    unix_ms: Callable[[], float] = unix_ms
+    draw_disk_id: Callable[[], str] = lambda: os.urandom(8).hex()
+    core: type[StoreCore] = StoreCore
+
+
+def inspect_folder(files: FileSystem, fleet: str, name: str, limits: file_format.StoreLimits) -> FolderState:
+    """Read the state of a folder; an empty `fleet` or `name` accepts any.
+
+    Raises UnreadableFolderError and OSError.
+    """
     names = files.names()
     order = files_in_use(names)
     size = sum(names[each] for each in order)
     if size > limits.folder_bytes:
-        raise UnreadableFolderError(
-            "", f"{size} bytes, more than a folder of {limits.state_bytes} can have grown to"
-        )
+        cause = f"{size} bytes, more than a folder of {limits.state_bytes} can have grown to"
+        raise UnreadableFolderError("", cause)
     return read_folder({each: files.read(each) for each in order}, names, fleet, name)
 
 
 def create_store(
     files: FileSystem,
     runner: JobRunner,
-    fleet: str,
-    name: str,
-    kinds: list[f.EntryKind],
-    limits: f.StoreLimits,
-    boot: str,
-    draw: Callable[[], str],
-    unix: Callable[[], float],
-    empty_ok: bool,
-    heard: Iterable[FolderPosition] = (),
-    release: Callable[[], None] = lambda: None,
-    core: type[StoreCore] = StoreCore,
+    owner: StoreOwner,
+    kinds: list[file_format.EntryKind],
+    limits: file_format.StoreLimits,
+    sources: Sources | None = None,
 ) -> Store:
-    """A store on any file system. Raises Unreadable, OSError."""
-    found = inspect_folder(files, fleet, name, limits)
-    if found.fresh and not empty_ok:
+    """A store on any file system. Raises UnreadableFolderError and OSError."""
+    sources = sources or Sources()
+    recovered = inspect_folder(files, owner.fleet, owner.name, limits)
+    if recovered.fresh and not owner.empty_ok:
         raise UnreadableFolderError("", "empty, and this member is not said to be new")
-    if why := rollback_reason(found, heard):
-        raise UnreadableFolderError(found.read[-1], why)
-    head = f.FileHeader(
-        f.VERSION, fleet, name, found.sign.mark or draw(), found.sign.life + 1, boot, unix(), f.SNAPSHOT, 0,
-        repaired=found.repaired,
-    )  # fmt: skip
-    return Store(core(limits, kinds, head, found, unix), runner, found, release)
+    if why := rollback_reason(recovered, owner.reported):
+        raise UnreadableFolderError(recovered.files_read[-1], why)
+    header = file_format.FileHeader(
+        version=file_format.VERSION,
+        fleet=owner.fleet,
+        name=owner.name,
+        disk_id=recovered.position.disk_id or sources.draw_disk_id(),
+        incarnation=recovered.position.incarnation + 1,
+        boot=owner.boot,
+        at_ms=sources.unix_ms(),
+        file_kind=file_format.SNAPSHOT,
+        number=0,
+        repaired=recovered.repaired,
+    )
+    core = sources.core(limits, kinds, header, recovered, sources.unix_ms)
+    return Store(core, runner, recovered)
 
 
 def open_store(
-    path: str | Path, fleet: str, name: str, kinds: list[f.EntryKind], limits: f.StoreLimits | None = None,
-    boot: str = "", empty_ok: bool = False, heard: Iterable[FolderPosition] = (), within_s: float = 0.0,
-) -> Store:  # fmt: skip
-    """The store in a folder. `boot` names this boot of the machine; `empty_ok`: the member is new; `heard`:
-    how far others have heard that this folder had come; `within_s`: for so long the lock is asked for, as the
-    writer of a process that was killed has it until its last job is done. Raises DiskError, one line that
-    names path and cause, and has then changed nothing but made a folder that was not there."""
-    path, limits = Path(path), limits or f.StoreLimits()
-    held = lock_folder(path, within_s=within_s)
-    writer = WriterProcess(path, held)
+    path: str | Path,
+    owner: StoreOwner,
+    kinds: list[file_format.EntryKind],
+    limits: file_format.StoreLimits | None = None,
+    within_s: float = 0.0,
+) -> Store:
+    """The store in a folder.
+
+    `within_s` is for how long the lock is tried, as the writer of a killed process has it until its last job
+    is done. Raises DiskError with one line that names path and cause; nothing has changed then, except that a
+    folder that did not exist was created.
+    """
+    folder = Path(path)
+    lock = lock_folder(folder, within_s=within_s)
+    writer = WriterProcess(folder, lock)
     try:
-        store = create_store(
-            DiskFolder(path), writer, fleet, name, kinds, limits, boot, lambda: os.urandom(8).hex(),
-            unix_ms, empty_ok, heard, lambda: os.close(held),
-        )  # fmt: skip
-        writer.begin()
-        return store
-    except (UnreadableFolderError, OSError) as error:
-        os.close(held)
-        if isinstance(error, UnreadableFolderError):
-            text = f"{path / error.name if error.name else path}: {error.why}"
-        else:
-            text = f"{error.filename or path}: {error.strerror}"
-        raise DiskError(text) from None
+        store = create_store(DiskFolder(folder), writer, owner, kinds, limits or file_format.StoreLimits())
+    except UnreadableFolderError as error:
+        os.close(lock)
+        raise DiskError(f"{folder / error.name if error.name else folder}: {error.why}") from None
+    except OSError as error:
+        os.close(lock)
+        raise DiskError(f"{error.filename or folder}: {error.strerror}") from None
+    store.on_release(lambda: os.close(lock))
+    writer.begin()
+    return store
--- a/fawnwharf/durable_store/writer_process.py
+++ b/fawnwharf/durable_store/writer_process.py
@@ -1,8 +1,8 @@
-"""The process that waits for the disk in the front end's place, and the front end's end of it.
+"""The process that waits for the disk in place of the front end, and the front end's handle of it.
 
-It reads jobs from its input, one at a time, carries each out, and writes its outcome. It holds the folder's
-lock as long as it lives, so that no other process comes in between a front end's kill and the end of the job
-that was out, and it ends with its input.
+It reads jobs from its input, one at a time, executes each, and writes its result. It holds the folder's lock
+as long as it lives, so that no other process gets the folder between a front end's kill and the end of the
+job in progress. It ends with its input.
 """
 
 import contextlib
@@ -13,7 +13,7 @@
 import sys
 from collections.abc import Callable
 from pathlib import Path
-from typing import BinaryIO, Protocol
+from typing import IO, BinaryIO, Protocol, cast
 
 import msgspec
 
@@ -22,8 +22,9 @@
 
 _LENGTH = struct.Struct(">I")
 MAX_READ_BYTES = 64 * 1024
+MAX_WRITE_BYTES = 1024 * 1024
 
-# Without the package's own first lines, which bring all decisions along: less to start, less to hold.
+# Without the package's own __init__, which imports the decision module: a faster start and less memory.
 _PROGRAM = """
 import sys, types
 package = types.ModuleType("fawnwharf")
@@ -32,153 +33,202 @@
 import importlib
 importlib.import_module(sys.argv[3]).main(sys.argv[2])
 """
-# For tests alone: the module whose `main` is run in this one's place, as one that loses what was not synced.
+# For tests only: the module whose `main` replaces this one's, as a writer that loses what was not synced.
 TEST_WRITER_VARIABLE = "FAWNWHARF_TEST_WRITER"
 
+OutputCallback = Callable[[BinaryIO], None]
+
 
 class JobRunner(Protocol):
-    """Carries out one job at a time."""
+    """Executes one job at a time, without blocking its caller."""
+
+    on_output_opened: OutputCallback
+    on_output_closing: OutputCallback
 
-    def start(self, job: DiskJob) -> None: ...
+    def start(self, job: DiskJob) -> None:
+        """Start a job; none is in progress."""
 
     def poll(self) -> JobResult | None:
-        """The outcome of the job that is out, once; None while there is none. Never blocks."""
+        """The result of the job in progress, once; None until there is one."""
+
+    @property
+    def output(self) -> BinaryIO | None:
+        """What becomes readable when a result is there."""
 
     @property
     def unsent(self) -> bool:
-        """Part of the job waits for room: `poll` is to be called again soon."""
+        """Whether part of the job waits for a full pipe: `poll` is to be called again soon."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """End the runner, once the job in progress is done."""
+
+
+def _ignore(_output: BinaryIO) -> None:
+    pass
 
 
 class WriterProcess:
-    """A process that carries out jobs; begun when there is one, and again after it has ended."""
+    """Owns a process that executes jobs; it is started on demand, and again after it has ended."""
 
     def __init__(self, path: Path, lock: int) -> None:
-        """`lock`: the descriptor of the folder's lock."""
-        self.path, self._lock = path, lock
-        self.process: subprocess.Popen | None = None
-        self.begun: Callable[[BinaryIO], None] = lambda _end: None  # told of `incoming` as it comes
-        self.gone: Callable[[BinaryIO], None] = lambda _end: None  # and before it is closed
-        self._out, self._in, self._failed = bytearray(), bytearray(), ""
+        """`lock` is the descriptor of the folder's lock, which the process inherits."""
+        self.path = path
+        self.process: subprocess.Popen[bytes] | None = None
+        self.on_output_opened: OutputCallback = _ignore
+        self.on_output_closing: OutputCallback = _ignore
+        self._lock = lock
+        self._unsent = bytearray()
+        self._received = bytearray()
+        self._error = ""  # the result of the job in progress, if the process has ended
 
     @property
-    def incoming(self) -> BinaryIO | None:
-        """What is readable once an outcome is there; another one after the process ended."""
-        return self.process.stdout if self.process else None
+    def output(self) -> BinaryIO | None:
+        """What becomes readable when a result is there; another stream after the process was restarted."""
+        return None if self.process is None else _pipe(self.process.stdout)
 
     def start(self, job: DiskJob) -> None:
+        """Send a job to the process; start the process if there is none."""
         data = msgspec.msgpack.encode(job)
-        self._out = bytearray(_LENGTH.pack(len(data)) + data)
-        self._in.clear()
+        self._unsent = bytearray(_LENGTH.pack(len(data)) + data)
+        self._received.clear()
         self.begin()
         if self.process is not None:
-            self._push()
+            self._send(self.process)
 
     def begin(self) -> None:
-        """Starts the process, where there is none; it takes a while before it is ready for its first job."""
+        """Start the process, if there is none; it takes a while until it is ready for its first job."""
         try:
             if self.process is None:
-                self._begin()
+                self._start_process()
         except OSError as error:
-            self._failed = f"no writer: {error.strerror}"
+            self._error = f"no writer: {error.strerror}"
 
-    def _begin(self) -> None:
+    def _start_process(self) -> None:
         module = os.environ.get(TEST_WRITER_VARIABLE) or __name__
-        command = [sys.executable, "-c", _PROGRAM, str(Path(__file__).parent.parent), str(self.path), module]
-        self.process = subprocess.Popen(
-            command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, bufsize=0, pass_fds=[self._lock],
+        package_path = str(Path(__file__).parent.parent)
+        process = subprocess.Popen(
+            [sys.executable, "-c", _PROGRAM, package_path, str(self.path), module],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            bufsize=0,
+            pass_fds=[self._lock],
             start_new_session=True,
-        )  # fmt: skip
-        for end in (self.process.stdin, self.process.stdout):
-            os.set_blocking(end.fileno(), False)
-        self.begun(self.process.stdout)
+        )
+        self.process = process
+        for end in (process.stdin, process.stdout):
+            os.set_blocking(_pipe(end).fileno(), False)
+        self.on_output_opened(_pipe(process.stdout))
 
-    def _push(self) -> None:
-        """As much of the job as the pipe takes now."""
+    def _send(self, process: subprocess.Popen[bytes]) -> None:
+        """Send as much of the job as the pipe takes now."""
         try:
-            while self._out:
-                del self._out[: os.write(self.process.stdin.fileno(), self._out[: 1024 * 1024])]
+            while self._unsent:
+                written = os.write(_pipe(process.stdin).fileno(), self._unsent[:MAX_WRITE_BYTES])
+                del self._unsent[:written]
         except BlockingIOError:
             pass
         except OSError as error:
-            self._gone(f"the writer ended: {error.strerror}")
+            self._end_process(process, f"the writer ended: {error.strerror}")
 
     def poll(self) -> JobResult | None:
-        if self._failed:
-            failed, self._failed = self._failed, ""
-            return JobResult(failed)
+        """The result of the job in progress, once; None until there is one. Never blocks."""
+        if self._error:
+            return self._take_error()
+        if self.process is not None and self._unsent:
+            self._send(self.process)
         if self.process is None:
-            return None
-        if self._out:
-            self._push()
+            return self._take_error() if self._error else None
         try:
-            data = os.read(self.process.stdout.fileno(), MAX_READ_BYTES)
+            data = os.read(_pipe(self.process.stdout).fileno(), MAX_READ_BYTES)
         except BlockingIOError:
             return None
         except OSError as error:
-            data, self._failed = b"", f"the writer ended: {error.strerror}"
+            self._end_process(self.process, f"the writer ended: {error.strerror}")
+            return self._take_error()
         if not data:
-            self._gone(self._failed or "the writer ended")
-            return self.poll()
-        self._in += data
-        if len(self._in) < _LENGTH.size or len(self._in) < _LENGTH.size + _LENGTH.unpack_from(self._in)[0]:
+            self._end_process(self.process, "the writer ended")
+            return self._take_error()
+        self._received += data
+        return self._take_result()
+
+    def _take_error(self) -> JobResult:
+        error = self._error
+        self._error = ""
+        return JobResult(error)
+
+    def _take_result(self) -> JobResult | None:
+        received = len(self._received) - _LENGTH.size
+        if received < 0 or received < _LENGTH.unpack_from(self._received)[0]:
             return None
-        found = msgspec.msgpack.decode(bytes(self._in[_LENGTH.size :]), type=JobResult)
-        self._in.clear()
-        return found
+        result = msgspec.msgpack.decode(bytes(self._received[_LENGTH.size :]), type=JobResult)
+        self._received.clear()
+        return result
 
     @property
     def unsent(self) -> bool:
-        """The pipe was full."""
-        return bool(self._out)
-
-    def _gone(self, why: str) -> None:
-        process, self.process, self._failed = self.process, None, why
-        self._out.clear()
-        self.gone(process.stdout)
+        """Whether part of the job waits for a full pipe."""
+        return bool(self._unsent)
+
+    def _end_process(self, process: subprocess.Popen[bytes], why: str) -> None:
+        self.process = None
+        self._error = why
+        self._unsent.clear()
+        self.on_output_closing(_pipe(process.stdout))
         for end in (process.stdin, process.stdout):
             with contextlib.suppress(OSError):
-                end.close()
-        process.kill()  # one that only closed its output would hold the lock
+                _pipe(end).close()
+        process.kill()  # one that only closed its output would keep the lock
         with contextlib.suppress(subprocess.TimeoutExpired):
             process.wait(0.0)
 
     def close(self, wait_s: float = 1.0) -> None:
-        """Its input ends, and so does it, once the job that is out is done; it is waited for so long."""
-        if self.process is not None:
-            process, self.process = self.process, None
-            process.stdin.close()
-            with contextlib.suppress(subprocess.TimeoutExpired):
-                process.wait(wait_s)
-            process.stdout.close()
+        """Close the process's input, and wait this many seconds for its end.
+
+        It ends once the job in progress is done.
+        """
+        if self.process is None:
+            return
+        process = self.process
+        self.process = None
+        _pipe(process.stdin).close()
+        with contextlib.suppress(subprocess.TimeoutExpired):
+            process.wait(wait_s)
+        _pipe(process.stdout).close()
 
 
-def _whole(data: BinaryIO, size: int) -> bytes:
-    found = bytearray()
-    while len(found) < size and (piece := data.read(size - len(found))):
-        found += piece
-    return bytes(found) if len(found) == size else b""
+def _pipe(end: IO[bytes] | None) -> BinaryIO:
+    """The pipe at one end of a process that was started with pipes."""
+    if end is None:
+        raise TypeError("the process was started without this pipe")
+    return cast(BinaryIO, end)
 
 
 def main(path: str) -> None:
-    """Serves jobs until its input ends."""
+    """Execute jobs in the folder until the input ends."""
     files = DiskFolder(path)
     serve(lambda job: execute_job(files, job))
 
 
-def serve(carry: Callable[[DiskJob], JobResult]) -> None:
-    """Has each job carried out, until the input ends."""
-    for number in (signal.SIGINT, signal.SIGTERM):  # its front end says when it ends
+def serve(execute: Callable[[DiskJob], JobResult]) -> None:
+    """Read jobs, have each executed, and write its result, until the input ends."""
+    for number in (signal.SIGINT, signal.SIGTERM):  # the front end decides when this process ends
         signal.signal(number, signal.SIG_IGN)
     jobs = sys.stdin.buffer
-    while head := _whole(jobs, _LENGTH.size):
-        data = _whole(jobs, _LENGTH.unpack(head)[0])
+    while head := _read_exactly(jobs, _LENGTH.size):
+        data = _read_exactly(jobs, _LENGTH.unpack(head)[0])
         if not data:
             return
-        answer = msgspec.msgpack.encode(carry(msgspec.msgpack.decode(data, type=DiskJob)))
+        answer = msgspec.msgpack.encode(execute(msgspec.msgpack.decode(data, type=DiskJob)))
         try:
             sys.stdout.buffer.write(_LENGTH.pack(len(answer)) + answer)
             sys.stdout.buffer.flush()
         except OSError:
             return
+
+
+def _read_exactly(stream: BinaryIO, size: int) -> bytes:
+    """This many bytes; none if the stream ends before."""
+    data = bytearray()
+    while len(data) < size and (chunk := stream.read(size - len(data))):
+        data += chunk
+    return bytes(data) if len(data) == size else b""
--- a/fawnwharf/fakes/disks.py
+++ b/fawnwharf/fakes/disks.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class MemoryDisk:
-    """One folder on it, in the form of `durable.ops.Files`."""
+    """One folder on it, in the form of `durable_store.operations.FileSystem`."""
 
     plan: Plan = field(default_factory=Plan)
     count: int = 0  # operations so far
--- a/fawnwharf/fakes/lossy.py
+++ b/fawnwharf/fakes/lossy.py
@@ -1,6 +1,7 @@
 """A writer of durable state on a machine that can lose its power: what was not synced is in its memory.
 
-It takes the place of `durable.writer` where `FAWNWHARF_TEST_WRITER` names this module. Files, and the names
+It takes the place of `durable_store.writer_process` where `FAWNWHARF_TEST_WRITER` names this module. Files,
+and the names
 of a folder, are in the real folder once they were synced, or once the writer ends in order, as a page cache
 outlives the processes that wrote. `SIGUSR1` is the loss of power with a last write that is torn: of each
 file any blocks of what was not synced are there, and any changes of names, as its seed draws. `SIGKILL` is
@@ -30,7 +31,7 @@
 class Lossy(Struct, frozen=True, forbid_unknown_fields=True):
     """`folder` gets a file for each of these writers that lives, named by its process id, and what is not in
     its place yet; it is on the file system of what is written. `bug`: one of those planted in
-    `durable.planted`, by name."""
+    `durable_store.mutants`, by name."""
 
     folder: str
     seed: int = 0
@@ -48,7 +49,7 @@
 
 
 class LossyFolder:
-    """One folder, in the form of `durable.ops.Files`; `cache` holds files whose names are not synced yet."""
+    """One folder, as an `operations.FileSystem`; `cache` holds files whose names are not synced yet."""
 
     def __init__(self, path: str | Path, cache: Path) -> None:
         self.path, self._cache, self._count = Path(path), cache, 0
@@ -168,7 +169,7 @@
 
 
 def main(path: str) -> None:
-    """As `durable.writer.main`."""
+    """As `durable_store.writer_process.main`."""
     asked = msgspec.json.decode(os.environ[VARIABLE], type=Lossy)
     folder, pid = Path(asked.folder), os.getpid()
     files = LossyFolder(path, folder / f"cache-{pid}")
@@ -179,10 +180,10 @@
     if asked.bug:
         from fawnwharf.durable_store.mutants import MUTANTS
 
-        bend = MUTANTS[asked.bug].bend
+        change_job = MUTANTS[asked.bug].change_job
 
         def carry(job: DiskJob) -> JobResult:
-            return execute_job(files, bend(job))
+            return execute_job(files, change_job(job))
 
     def power(_number: int, _frame: object) -> None:
         files.tear(random.Random(f"{asked.seed}/{path}"), asked.share)
--- a/fawnwharf/file_writes.py
+++ b/fawnwharf/file_writes.py
@@ -1,18 +1,18 @@
-"""Writes to files that are whole, and on disk, once they return."""
+"""Complete and durable writes to files."""
 
 import os
 from pathlib import Path
 
 
 def write_all(file: int, data: bytes) -> None:
-    """All of it to an open file, however little each call takes."""
-    rest = memoryview(data)
-    while rest:
-        rest = rest[os.write(file, rest) :]
+    """Write all data to an open file, however little each call writes. Raises OSError."""
+    unwritten = memoryview(data)
+    while unwritten:
+        unwritten = unwritten[os.write(file, unwritten) :]
 
 
 def sync_folder(path: Path) -> None:
-    """The names in a folder, and what was removed from it, are on disk."""
+    """Sync a folder to disk: the names of its files, and removals. Raises OSError."""
     folder = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     try:
         os.fsync(folder)
@@ -21,16 +21,16 @@
 
 
 def replace_file(path: Path, data: bytes, mode: int = 0o644) -> None:
-    """Replace a file's contents atomically, on disk when this returns.
+    """Replace a file's content atomically; it is on disk when this returns.
 
-    After a crash it is found whole or as it was before. Raises OSError.
+    After a crash the file has either the old or the new content. Raises OSError.
     """
-    beside = path.with_suffix(".new")
-    file = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, mode)
+    temporary = path.with_suffix(".new")
+    file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, mode)
     try:
         write_all(file, data)
         os.fsync(file)
     finally:
         os.close(file)
-    os.replace(beside, path)
+    os.replace(temporary, path)
     sync_folder(path.parent)
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -268,13 +268,13 @@
         """Tell one that started anew how far its folder had come by its own earlier word; it may be an older
         copy."""
         sign, disks = boot.sign, self.signs.setdefault(sender, {})
-        if not sign.mark or not sign.life:  # it has no store, or that has not written all anew yet
+        if not sign.disk_id or not sign.incarnation:  # it has no store, or that has not written all anew yet
             return []
-        heard = disks.get(sign.mark)
+        heard = disks.get(sign.disk_id)
         if heard is None:
             while len(disks) > 1:
                 del disks[next(iter(disks))]
-            disks[sign.mark] = _ReportedSignatures(boot.life, sign)
+            disks[sign.disk_id] = _ReportedSignatures(boot.life, sign)
             return []
         if boot.life != heard.life:
             heard.before = max(heard.last, heard.before or heard.last, key=_signature_order)
@@ -414,4 +414,4 @@
 
 
 def _signature_order(sign: FolderPosition) -> tuple[int, int]:
-    return sign.life, sign.number
+    return sign.incarnation, sign.number
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -12,7 +12,7 @@
 from fawnwharf.durable_store.core import ChangeRejectedError
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState, rollback_reason
-from fawnwharf.durable_store.store import open_store, unix_ms
+from fawnwharf.durable_store.store import StoreOwner, open_store, unix_ms
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
@@ -52,20 +52,23 @@
         self.boot, self._note = read_boot_id(boot_file), note
         self._mark = k.boot_digest(self.boot)
         try:
-            self.store = open_store(
-                folder, fleet, member, k.STORE_KINDS, limits, self.boot, empty_ok=True, within_s=LOCK_S
-            )
+            owner = StoreOwner(fleet, member, self.boot, empty_ok=True)
+            self.store = open_store(folder, owner, k.STORE_KINDS, limits, within_s=LOCK_S)
         except DiskError as error:
             raise ConfigError(f"recovery.folder: {error}") from None
-        found = self.store.found
+        found = self.store.recovered
         now = self._clock()
         self._start = k.recover_state(found, now, fresh, spans or AgeSettings())
-        self.same_boot, self.in_order, self.sure = self._start.same_boot, found.ended, self._start.sure
+        self.same_boot, self.in_order, self.sure = (
+            self._start.same_boot,
+            found.closed_cleanly,
+            self._start.sure,
+        )
         self.whole = StoreCondition.PARTIAL if self._start.doubt else StoreCondition.INTACT
-        self.why, self.fresh, self.life = self._start.doubt, found.fresh, found.sign.life + 1
+        self.why, self.fresh, self.life = self._start.doubt, found.fresh, found.position.incarnation + 1
         # By which others know this life: larger than the one before, also by a clock that was set back.
         self.number = max(self._start.number + 1, self.life, int(unix_ms() * 1_000))
-        self._found, self._told = found.sign, FolderPosition("", 0, 0)
+        self._found, self._told = found.position, FolderPosition("", 0, 0)
         self._later = self._passed = (0, 0)  # life and number that others told, and that were confirmed over
         self._doubted: list[Callable[[], None]] = []  # who is told of a doubt that comes up later
         self._loop: EventLoopStore | None = None
@@ -97,7 +100,7 @@
         self._loop = EventLoopStore(getattr(front, "loop", front), self.store, self._note)
         self._note("store read", {
             "life": self.life, "same_boot": self.same_boot, "in_order": self.in_order, "why": self.why,
-            "entries": len(self.store.core.entries), "torn": self.store.found.torn,
+            "entries": len(self.store.core.entries), "torn": self.store.recovered.torn_bytes,
         })  # fmt: skip
 
     def close(self) -> None:
@@ -132,7 +135,7 @@
     @property
     def failing(self) -> str:
         """Why nothing is durable now; empty: it is."""
-        return self.store.standing(monotonic_ms()).failing
+        return self.store.status(monotonic_ms()).failing
 
     def read(self, kind: StateKind) -> list[tuple[str, Any, TrustLevel]]:
         """Key, value and trust of what was found at the start, by the table, as the store is held to be now.
@@ -146,20 +149,22 @@
 
     def sign(self) -> FolderPosition:
         """How far this folder has come, for others; of life 0 until it is settled."""
-        sign = self.store.sign()
-        self._told = sign if sign.life else self._told
+        sign = self.store.position()
+        self._told = sign if sign.incarnation else self._told
         return sign
 
     def heard_sign(self, sign: FolderPosition) -> bool:
         """Another member's word of a sign that it heard of this one. False: it is a later one than this
         folder has, which is an older copy; the store is in part from then on."""
-        if sign.mark != self._found.mark or (sign.life, sign.number) <= self._passed:
+        if sign.disk_id != self._found.disk_id or (sign.incarnation, sign.number) <= self._passed:
             return True
-        here = sign.life > self._found.life and self._told.life  # of this life; else of what was found
+        here = (
+            sign.incarnation > self._found.incarnation and self._told.incarnation
+        )  # of this life; else of what was found
         mine = self._told if here else self._found
-        why = rollback_reason(FolderState(sign=mine), [sign])
+        why = rollback_reason(FolderState(position=mine), [sign])
         if why:
-            self._later = max(self._later, (sign.life, sign.number))
+            self._later = max(self._later, (sign.incarnation, sign.number))
             if self.why != why[: k.MAX_REASON_LENGTH]:
                 self._doubt(why[: k.MAX_REASON_LENGTH])
         return not why
--- a/fawnwharf/recovery_service/stored_state.py
+++ b/fawnwharf/recovery_service/stored_state.py
@@ -32,7 +32,7 @@
     """One kind's name in the store, its mode, and its bounds: entries, bytes of one, bytes of all."""
 
     name: str
-    mode: str
+    mode: f.Durability
     most: int
     value_bytes: int
     all_bytes: int
@@ -40,12 +40,12 @@
 
 # 'Where copies stood' and 'load counts' are hardly ever more than gone, and terms are in the voters' file.
 ENTRY_RULES = {
-    StateKind.GRANT: EntryRule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
-    StateKind.PLAN: EntryRule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    StateKind.POLICY: EntryRule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    StateKind.PLACEMENTS: EntryRule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
-    StateKind.ROSTER: EntryRule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
-    StateKind.USAGE: EntryRule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
+    StateKind.GRANT: EntryRule("promise", f.Durability.DELAYED, 40_000, 32 * 1024, 8 * 1024 * 1024),
+    StateKind.PLAN: EntryRule("plan", f.Durability.DELAYED, 16, 256 * 1024, 1024 * 1024),
+    StateKind.POLICY: EntryRule("policy", f.Durability.DELAYED, 16, 256 * 1024, 1024 * 1024),
+    StateKind.PLACEMENTS: EntryRule("homes", f.Durability.DELAYED, 10_000, 4 * 1024, 1024 * 1024),
+    StateKind.ROSTER: EntryRule("roster", f.Durability.BEST_EFFORT, 16, 1024 * 1024, 1024 * 1024),
+    StateKind.USAGE: EntryRule("use", f.Durability.BEST_EFFORT, 16, 512 * 1024, 512 * 1024),
 }
 START, DOUBT, COMPLETE, COMMIT_TICKET = "start", "doubt", "sure", "turn"  # the store's own, one entry each
 LAST = "last"
@@ -53,10 +53,10 @@
     f.EntryKind(rule.name, rule.mode, rule.most, rule.value_bytes) for rule in ENTRY_RULES.values()
 ] + [
     # A store that is full must not forget that it is in part, nor refuse the ticket of what it took.
-    f.EntryKind(START, f.SOON, 1, 256, reserved=True),
-    f.EntryKind(DOUBT, f.SOON, 1, 4_096, reserved=True),
-    f.EntryKind(COMPLETE, f.SOON, 1, 64, reserved=True),
-    f.EntryKind(COMMIT_TICKET, f.SYNCED, 1, 64, reserved=True),
+    f.EntryKind(START, f.Durability.DELAYED, 1, 256, reserved=True),
+    f.EntryKind(DOUBT, f.Durability.DELAYED, 1, 4_096, reserved=True),
+    f.EntryKind(COMPLETE, f.Durability.DELAYED, 1, 64, reserved=True),
+    f.EntryKind(COMMIT_TICKET, f.Durability.SYNCED, 1, 64, reserved=True),
 ]
 MAX_REASON_LENGTH = 500  # characters of a cause, of six bytes at the most as JSON
 
@@ -124,7 +124,10 @@
         row = _recover_entry(kind, key, data, now, spans)
         if row is None:
             faulty = faulty or f"{name}: an entry that can't be read"
-        if row is None or _trust(kind, row.age, same, found.ended, StoreCondition.INTACT) is TrustLevel.GONE:
+        if (
+            row is None
+            or _trust(kind, row.age, same, found.closed_cleanly, StoreCondition.INTACT) is TrustLevel.GONE
+        ):
             old.append((name, key))
         else:
             rows.setdefault(kind, []).append(row)
@@ -132,7 +135,14 @@
     doubt = faulty or _folder_doubt(found, fresh) or before
     new = bool(doubt) and (bool(faulty) or doubt != before)
     return RecoveredState(
-        number, same, found.ended, doubt, new, 0 if new else _stored_complete_list(entries), rows, old
+        number,
+        same,
+        found.closed_cleanly,
+        doubt,
+        new,
+        0 if new else _stored_complete_list(entries),
+        rows,
+        old,
     )
 
 
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -19,7 +19,7 @@
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus.voter_store import VoterStore
 from fawnwharf.durable_store import file_format
-from fawnwharf.durable_store.store import open_store
+from fawnwharf.durable_store.store import StoreOwner, open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout.document import Register, parse_document
@@ -27,7 +27,10 @@
 from fawnwharf.replication.grant_log import GrantLog
 from fawnwharf.zones.bootstrap import bootstrap
 
-KINDS = [file_format.EntryKind("term", file_format.SYNCED), file_format.EntryKind("use", file_format.SOON)]
+KINDS = [
+    file_format.EntryKind("term", file_format.Durability.SYNCED),
+    file_format.EntryKind("use", file_format.Durability.DELAYED),
+]
 IDENTITIES = ("n0#00112233445566aa", "n1#00112233445566bb")
 POLICY = '{"version":1,"number":%d,"tenants":{"acme":{"quota_rps":%d}}}'
 
@@ -47,7 +50,7 @@
 def store(folder: Path) -> None:
     """A durable store after two lives: a snapshot of the first, and a segment with changes and removals."""
     for life in (1, 2):
-        held = open_store(folder, "fleet-1", "n0", KINDS, boot=f"boot-{life}", empty_ok=life == 1)
+        held = open_store(folder, StoreOwner("fleet-1", "n0", f"boot-{life}", empty_ok=life == 1), KINDS)
         told: list[bool] = []
         for n in range(3):
             value = {"life": life, "n": n, "text": "\u00e9"}
@@ -60,7 +63,7 @@
             )
             held.put(monotonic_ms(), "use", f"u{n}", [life, n])
             while len(told) <= n:
-                held.turn(monotonic_ms())
+                held.advance(monotonic_ms())
                 time.sleep(0.002)
         held.put(monotonic_ms(), "use", "u0", None)
         if not held.close(monotonic_ms, 20_000.0) or told != [True] * 3:
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -10,7 +10,7 @@
 from fawnwharf.consensus import records
 from fawnwharf.consensus.voter_store import DiskError, VoterStore
 from fawnwharf.durable_store import file_format
-from fawnwharf.durable_store.store import open_store
+from fawnwharf.durable_store.store import StoreOwner, open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout.document import parse_document, parse_register
@@ -20,8 +20,8 @@
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
 BASE = consensus.Snapshot(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
 STORE_KINDS = [
-    file_format.EntryKind("term", file_format.SYNCED),
-    file_format.EntryKind("use", file_format.SOON),
+    file_format.EntryKind("term", file_format.Durability.SYNCED),
+    file_format.EntryKind("use", file_format.Durability.DELAYED),
 ]
 HELD = [
     ("key-0", Claim("n0#7", 1, 2, 100, ClaimPhase.CLEAR, "", None), 30_000.0),
@@ -70,11 +70,11 @@
     """Values of the first life come from the snapshot, changes and removals from the segment."""
     folder = copied("store", tmp_path)
     assert names(folder) == {"snap-2.snap", "log-2.seg"}
-    store = open_store(folder, "fleet-1", "n0", STORE_KINDS, boot="boot-3")
+    store = open_store(folder, StoreOwner("fleet-1", "n0", boot="boot-3"), STORE_KINDS)
     try:
-        found = store.found
-        assert (found.fresh, found.boot, found.ended, found.torn) == (False, "boot-2", True, 0)
-        assert found.sign.life == 2 and len(found.sign.mark) == 16
+        found = store.recovered
+        assert (found.fresh, found.boot, found.closed_cleanly, found.torn_bytes) == (False, "boot-2", True, 0)
+        assert found.position.incarnation == 2 and len(found.position.disk_id) == 16
         texts = {"t0": (2, 0), "t1": (1, 1), "t2": (2, 1), "t4": (2, 2)}
         assert dict(store.items("term")) == {
             key: {"life": life, "n": n, "text": "\u00e9"} for key, (life, n) in texts.items()
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -306,7 +306,7 @@
         ".new",
     )
     assert (file_format.SNAPSHOT, file_format.LOG) == ("snapshot", "log")
-    assert (file_format.SYNCED, file_format.SOON, file_format.HINT) == ("synced", "soon", "hint")
+    assert tuple(file_format.Durability) == ("synced", "soon", "hint")
     assert (policy_service.POLICY_FILE, policy_service.REQUEST_FILE) == ("policy.json", "proposal.json")
     assert keeper_disk.INCOMPLETE == -1 and stored_state.LAST == "last"
     assert (stored_state.START, stored_state.DOUBT, stored_state.COMPLETE, stored_state.COMMIT_TICKET) == (
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -22,7 +22,7 @@
 class Writer:
     """Carries a job out when asked for its outcome, unless it is held."""
 
-    incoming, unsent = None, False
+    output, unsent = None, False
 
     def __init__(self, machine):
         self.machine, self.job = machine, None
@@ -85,13 +85,11 @@
             self.machines[name] = Machine(self.folder / f"boot-{name}")
         return self.machines[name]
 
-    def _open(self, path, fleet, name, kinds, limits, boot, empty_ok, within_s):
-        machine = self.machine(name)
+    def _open(self, path, owner, kinds, limits, within_s):
+        machine = self.machine(owner.name)
+        sources = stores.Sources(lambda: 1e12 + self.now, lambda: "ab" * 8)
         try:
-            return stores.create_store(
-                machine.disk, Writer(machine), fleet, name, kinds, limits, boot, lambda: "ab" * 8,
-                lambda: 1e12 + self.now, empty_ok,
-            )  # fmt: skip
+            return stores.create_store(machine.disk, Writer(machine), owner, kinds, limits, sources)
         except UnreadableFolderError as error:
             raise DiskError(str(error)) from None
 
@@ -109,9 +107,9 @@
         """Run a store until nothing is due, now or within a span."""
         end = self.now + span_ms
         for _ in range(10_000):
-            kept.store.turn(self.now)
+            kept.store.advance(self.now)
             due = kept.store.due_ms()
-            if kept.store.core.job_out and not self.machines[kept.store.core._head.name].held:
+            if kept.store.core.job_in_progress and not self.machines[kept.store.core._header.name].held:
                 continue
             if due is None or due > end:
                 break
--- a/tests/test_disk_faults_store.py
+++ b/tests/test_disk_faults_store.py
@@ -8,10 +8,10 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.durable_store.crash_simulation import CrashSimulation, InvariantViolationError
 from fawnwharf.durable_store.folder import DiskFolder
 from fawnwharf.durable_store.folder_reader import UnreadableFolderError
 from fawnwharf.durable_store.mutants import MUTANTS, UNCHANGED
+from fawnwharf.durable_store.simulated_folder import InvariantViolationError, SimulatedFolder
 
 TURNS = 12
 ENDS = {
@@ -27,30 +27,30 @@
     def __init__(self, folder, bug=UNCHANGED):
         folder.mkdir()
         self.faults = FileFaults(folder)
-        self.world = CrashSimulation(bug, DiskFolder(folder))
+        self.world = SimulatedFolder(bug, DiskFolder(folder))
 
     def live(self, seed, turns=TURNS):
         self.world.open()
-        self.world.live(Random(seed), turns)
+        self.world.run(Random(seed), turns)
 
     def found(self, end):
         """What a start after that finds is what was told, or given to the disk later."""
         ENDS[end](self.faults)
         self.world.disk = DiskFolder(self.faults.folder)
-        self.world.check(self.world.found())
+        self.world.check(self.world.inspect())
 
     def works_again(self):
         """Without a restart: a change is told to be on disk, and it is."""
         self.faults.works()
         told = []
         for _ in range(60):
-            if not self.world.store.standing(self.world.now_ms).failing:
+            if not self.world.store.status(self.world.now_ms).failing:
                 break
-            self.world.turn([], 100.0)
+            self.world.advance([], 100.0)
         self.world.store.put(self.world.now_ms, "term", "k1", None)  # there is room for four
         self.world.store.put(self.world.now_ms, "term", "k0", "put", lambda *how: told.append(how))
         for _ in range(60):
-            self.world.turn([], 10.0)
+            self.world.advance([], 10.0)
         assert told == [(True, "")]
 
 
@@ -59,7 +59,7 @@
     with site.faults.installed():
         site.live(1)
         before = site.faults.count
-        site.world.end()
+        site.world.shut_down()
         site.found("kill")
         site.live(2)
         return site.faults.count - before
@@ -73,7 +73,7 @@
         site = Site(tmp_path / f"{at}-{error}")
         with site.faults.installed():
             site.live(1)
-            site.world.end()
+            site.world.shut_down()
             site.found("kill")
             site.faults.plan = Faults(site.faults.count + at, times, error, half=half)
             with suppress(OSError):  # of the start
@@ -84,7 +84,7 @@
             site.live(3)
             site.works_again()
             site.found("cut")
-            assert site.world.found().entries["term", "k0"] == b'"put"'
+            assert site.world.inspect().entries["term", "k0"] == b'"put"'
 
 
 @pytest.mark.parametrize("name", ["a failed sync done again", "no sync of the folder", "told before sync"])
@@ -126,10 +126,10 @@
     with site.faults.installed():
         site.faults.plan = Faults(most_bytes=5)
         site.live(1)
-        site.world.end()
-        assert site.world.store.core.ended
+        site.world.shut_down()
+        assert site.world.store.core.finished
         site.found("cut")
-        assert site.world.found().ended
+        assert site.world.inspect().closed_cleanly
 
 
 def test_a_folder_cut_at_every_byte_of_its_last_file_gives_back_the_groups_before_it(tmp_path):
@@ -138,7 +138,7 @@
     with site.faults.installed():
         site.live(1)
         while len(heads) <= 4:  # a head and some groups
-            site.world.live(Random(turns := turns + 1), 1)
+            site.world.run(Random(turns := turns + 1), 1)
             last = max(folder.glob("log-*.seg"), key=lambda path: int(path.stem[4:]))
             data = last.read_bytes()
             heads = [at for at in range(len(data)) if data.startswith(b"fwv1", at)]
@@ -148,8 +148,8 @@
         with open(last, "r+b") as file:
             file.truncate(0)
             file.write(data[:size])
-        found = site.world.found()
-        numbers.append(found.sign.number)
-        site.world.was_given(found)
-        assert found.torn == size - max(at for at in [*heads, len(data)] if at <= size)
+        found = site.world.inspect()
+        numbers.append(found.position.number)
+        site.world.check_written(found)
+        assert found.torn_bytes == size - max(at for at in [*heads, len(data)] if at <= size)
     assert numbers == sorted(numbers) and len(set(numbers)) == len(heads)
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -5,15 +5,22 @@
 
 import pytest
 
-from fawnwharf.durable_store import crash_simulation, repairs
+from fawnwharf.durable_store import crash_simulation, repairs, simulated_folder
 from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store.core import ChangeRejectedError, StoreCore
+from fawnwharf.durable_store.core import StoreCore
+from fawnwharf.durable_store.entry_table import ChangeRejectedError
 from fawnwharf.durable_store.folder_reader import FolderState, UnreadableFolderError
+from fawnwharf.durable_store.mutants import MUTANTS
 from fawnwharf.durable_store.operations import AppendBytes, JobResult, SyncFile, execute_job
+from fawnwharf.durable_store.store import inspect_folder
 from fawnwharf.fakes.disks import MemoryDisk, Plan, PowerCut
 
 LIMITS = f.StoreLimits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
-KINDS = [f.EntryKind("term", f.SYNCED, 4, 500), f.EntryKind("use", f.SOON), f.EntryKind("copies", f.HINT)]
+KINDS = [
+    f.EntryKind("term", f.Durability.SYNCED, 4, 500),
+    f.EntryKind("use", f.Durability.DELAYED),
+    f.EntryKind("copies", f.Durability.BEST_EFFORT),
+]
 HEAD = f.FileHeader(f.VERSION, "fleet", "a", "ab" * 8, 1, "boot", 0.0, f.SNAPSHOT, 0)
 
 
@@ -26,8 +33,8 @@
 
 def settle(made, disk, now):
     ended = []
-    while (job := made.take(now)) is not None:
-        ended += made.done(now, execute_job(disk, job))
+    while (job := made.next_job(now)) is not None:
+        ended += made.finish_job(now, execute_job(disk, job))
     return ended
 
 
@@ -37,62 +44,64 @@
 def test_one_sync_serves_all_that_came_while_the_last_one_ran():
     made, disk = core()
     first = made.put(0.0, "term", "t", 1)
-    job = made.take(0.0)
+    job = made.next_job(0.0)
     later = [made.put(1.0, "term", key, 2) for key in "tuv"]
-    assert made.take(1.0) is None
-    assert [end[:2] for end in made.done(2.0, execute_job(disk, job))] == [(first, True)]
-    job = made.take(2.0)
-    assert [type(op) for op in job.ops] == [AppendBytes, SyncFile]
-    assert [end[:2] for end in made.done(3.0, execute_job(disk, job))] == [(each, True) for each in later]
+    assert made.next_job(1.0) is None
+    assert [end[:2] for end in made.finish_job(2.0, execute_job(disk, job))] == [(first, True)]
+    job = made.next_job(2.0)
+    assert [type(op) for op in job.operations] == [AppendBytes, SyncFile]
+    assert [end[:2] for end in made.finish_job(3.0, execute_job(disk, job))] == [
+        (each, True) for each in later
+    ]
 
 
 def test_soon_is_synced_within_its_time_and_a_hint_only_goes_along():
     made, disk = core()
     made.put(0.0, "use", "u", 1)
     made.put(0.0, "copies", "c", 1)
-    assert made.due_ms() == LIMITS.soon_ms and made.take(LIMITS.soon_ms - 1) is None
-    job = made.take(LIMITS.soon_ms)
-    assert isinstance(job.ops[-1], SyncFile)
-    made.done(50.0, execute_job(disk, job))
-    assert made.standing(60.0).behind_ms == 0.0
+    assert made.due_ms() == LIMITS.soon_ms and made.next_job(LIMITS.soon_ms - 1) is None
+    job = made.next_job(LIMITS.soon_ms)
+    assert isinstance(job.operations[-1], SyncFile)
+    made.finish_job(50.0, execute_job(disk, job))
+    assert made.status(60.0).behind_ms == 0.0
     made.put(60.0, "copies", "c", 2)
-    mark = made.take(50.0 + LIMITS.soon_ms)  # what proves the last group goes with it
-    assert [type(op) for op in mark.ops] == [AppendBytes]
+    mark = made.next_job(50.0 + LIMITS.soon_ms)  # what proves the last group goes with it
+    assert [type(op) for op in mark.operations] == [AppendBytes]
 
 
 def test_a_ticket_ends_unsure_when_the_disk_is_slow_and_at_once_when_it_fails():
     made, disk = core()
     slow = made.put(0.0, "term", "t", 1)
-    job = made.take(0.0)
-    assert made.late(LIMITS.wait_ms - 1) == []
-    assert made.standing(LIMITS.wait_ms).slow_ms == LIMITS.wait_ms
-    assert [end[:2] for end in made.late(LIMITS.wait_ms)] == [(slow, False)]
+    job = made.next_job(0.0)
+    assert made.expire_tickets(LIMITS.wait_ms - 1) == []
+    assert made.status(LIMITS.wait_ms).slow_ms == LIMITS.wait_ms
+    assert [end[:2] for end in made.expire_tickets(LIMITS.wait_ms)] == [(slow, False)]
     behind = made.put(LIMITS.wait_ms, "term", "u", 1)
-    ended = made.done(500.0, JobResult("log-1.seg: Input/output error"))
+    ended = made.finish_job(500.0, JobResult("log-1.seg: Input/output error"))
     assert [end[:2] for end in ended] == [(behind, False)] and job is not None
     with pytest.raises(ChangeRejectedError, match="Input/output"):
         made.put(500.0, "term", "t", 2)
     assert made.entries["term", "t"] == b"1"
     made.put(501.0, "use", "u", 7)  # taken, and said not to be durable
-    assert "Input/output" in made.standing(600.0).failing and made.standing(600.0).behind_ms == 600.0
-    assert made.take(500.0 + LIMITS.retry_ms - 1) is None
+    assert "Input/output" in made.status(600.0).failing and made.status(600.0).behind_ms == 600.0
+    assert made.next_job(500.0 + LIMITS.retry_ms - 1) is None
     settle(made, disk, 500.0 + LIMITS.retry_ms)
-    assert made.standing(700.0).failing == "" and made.standing(700.0).behind_ms == 0.0
-    assert crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert made.status(700.0).failing == "" and made.status(700.0).behind_ms == 0.0
+    assert inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
     assert made.put(700.0, "term", "t", 3) > 0
 
 
 def test_a_failing_disk_is_tried_less_and_less_often():
     made, _ = core()
     made.put(0.0, "term", "t", 1)
-    made.take(0.0)
-    made.done(0.0, JobResult("gone"))
+    made.next_job(0.0)
+    made.finish_job(0.0, JobResult("gone"))
     pauses, now = [], 0.0
     for _ in range(5):
         pauses.append(made.due_ms() - now)
         now = made.due_ms()
-        made.take(now)
-        made.done(now, JobResult("gone"))
+        made.next_job(now)
+        made.finish_job(now, JobResult("gone"))
     assert pauses == [30.0, 60.0, 120.0, 200.0, 200.0]
 
 
@@ -108,7 +117,7 @@
     made.put(0.0, "term", "e", 1)
     with pytest.raises(ChangeRejectedError, match="10000 bytes in all"):
         made.put(0.0, "use", "u", "x" * 9_900)
-    assert made.standing(0.0).state_bytes == sum(
+    assert made.status(0.0).state_bytes == sum(
         f.entry_size(key, value) for key, value in made.entries.items()
     )
 
@@ -122,7 +131,7 @@
         sizes.append(sum(disk.names().values()))
         names |= disk.names().keys()
     assert len(names) > 20 and max(sizes) < 12_000 and sizes[-1] < 8_000
-    assert crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
 
 
 def test_changes_that_come_and_go_on_a_slow_disk_are_bounded_and_none_is_lost():
@@ -130,16 +139,16 @@
     made.put(0.0, "use", "old", 1)
     settle(made, disk, 100.0)
     made.put(100.0, "term", "t", 1)
-    job = made.take(100.0)  # and the disk stands still
+    job = made.next_job(100.0)  # and the disk stands still
     made.put(101.0, "use", "old", None)
     for n in range(5_000):
         made.put(101.0, "use", f"u{n}", float("nan") if n % 2 else n)
         made.put(101.0, "use", f"u{n}", None)
-        assert len(made._dirty) < 1_100
+        assert len(made._pending.keys) < 1_100
     ticket = made.put(102.0, "term", "u", 2)
-    made.done(200.0, execute_job(disk, job))
+    made.finish_job(200.0, execute_job(disk, job))
     assert [(end.ticket, end.on_disk) for end in settle(made, disk, 200.0)] == [(ticket, True)]
-    held = crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS).entries
+    held = inspect_folder(disk, "fleet", "a", LIMITS).entries
     assert held == made.entries == {("term", "t"): b"1", ("term", "u"): b"2"}
 
 
@@ -147,17 +156,17 @@
     """What a killed process wrote is read, but may go with the next power cut."""
     made, disk = core()
     made.put(0.0, "term", "t", 1)
-    execute_job(disk, without_sync(made.take(0.0)))
-    found = crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS)
+    execute_job(disk, without_sync(made.next_job(0.0)))
+    found = inspect_folder(disk, "fleet", "a", LIMITS)
     assert found.entries == {("term", "t"): b"1"}
     again = StoreCore(LIMITS, KINDS, HEAD, found, lambda: 0.0)
-    assert not again.settled and again.sign().life == 0
+    assert not again.settled and again.position().incarnation == 0
     settle(again, disk, 0.0)
     assert again.settled and disk.reboot(random.Random(1), 0.0).names().keys() >= {"snap-2.snap", "log-2.seg"}
 
 
 def without_sync(job):
-    return type(job)(tuple(op for op in job.ops if not isinstance(op, SyncFile)))
+    return type(job)(tuple(op for op in job.operations if not isinstance(op, SyncFile)))
 
 
 # --- crash tests, a sample ----------------------------------------------------------------------------
@@ -165,8 +174,8 @@
 
 def test_every_operation_and_a_sample_of_bytes_of_a_scripted_run_can_be_cut():
     assert crash_simulation.check_points(61, 10_000) > 500
-    whole = crash_simulation.CrashSimulation()
-    crash_simulation._scripted(whole)
+    whole = simulated_folder.SimulatedFolder()
+    crash_simulation.run_script(whole)
     assert [what for what, _ in whole.disk.marks].count("rename") >= 6  # logs followed each other
 
 
@@ -175,10 +184,10 @@
     assert len(ends) >= 9 and ends["cut or killed, as it was told"] > 800
 
 
-@pytest.mark.parametrize("name", crash_simulation.MUTANTS)
+@pytest.mark.parametrize("name", MUTANTS)
 def test_crash_tests_find_what_is_planted(name):
-    with pytest.raises(crash_simulation.InvariantViolationError):
-        crash_simulation.check_random(1_500, 1, crash_simulation.MUTANTS[name])
+    with pytest.raises(simulated_folder.InvariantViolationError):
+        crash_simulation.check_random(1_500, 1, MUTANTS[name])
 
 
 def test_a_repair_that_is_cut_leaves_a_folder_that_is_refused_or_repaired():
@@ -198,8 +207,8 @@
                 execute_job(disk, repairs.second_repair_job(plan, outcome.inode, 0.0))
             disk = disk.reboot(random.Random(cut), share)
             try:
-                found = crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS)
-                assert found.entries == plan.keeps.entries and "damaged" in found.repaired
+                found = inspect_folder(disk, "fleet", "a", LIMITS)
+                assert found.entries == plan.state.entries and "damaged" in found.repaired
                 seen.add("repaired")
             except UnreadableFolderError:
                 seen.add("refused")
@@ -210,12 +219,12 @@
     made, disk = core()
     disk.plan = Plan(room=sum(disk.names().values()) + 100)
     ticket = made.put(0.0, "term", "t", "x" * 300)
-    ended = made.done(0.0, execute_job(disk, made.take(0.0)))
+    ended = made.finish_job(0.0, execute_job(disk, made.next_job(0.0)))
     assert [(end.ticket, end.on_disk) for end in ended] == [(ticket, False)] and "No space" in ended[0].why
     for turn in range(1, 20):
         assert settle(made, disk, turn * 250.0) == []
     disk.plan = Plan()
     settle(made, disk, 10_000.0)
-    assert made.standing(10_000.0).failing == ""
-    assert crash_simulation.inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
+    assert made.status(10_000.0).failing == ""
+    assert inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
     assert len(disk.names()) == 2  # what was begun on the full disk is gone
--- a/tests/test_durable_folder.py
+++ b/tests/test_durable_folder.py
@@ -17,23 +17,25 @@
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
+from fawnwharf.durable_store.file_format import Durability
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.durable_store.store import inspect_folder, open_store
+from fawnwharf.durable_store.store import StoreOwner, inspect_folder, open_store
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LIMITS = f.StoreLimits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
-KINDS = [f.EntryKind("term", f.SYNCED, 4, 500), f.EntryKind("use", f.SOON)]
+KINDS = [f.EntryKind("term", Durability.SYNCED, 4, 500), f.EntryKind("use", Durability.DELAYED)]
 
 
-def opened(path, **words):
-    return open_store(path, "fleet", words.pop("name", "a"), KINDS, words.pop("limits", LIMITS), **words)
+def opened(path, limits=LIMITS, **words):
+    owner = StoreOwner("fleet", words.pop("name", "a"), **words)
+    return open_store(path, owner, KINDS, limits)
 
 
 def until(store, done, within_s=20.0):
     end = time.monotonic() + within_s
     while not done() and time.monotonic() < end:
-        store.turn(monotonic_ms())
+        store.advance(monotonic_ms())
         time.sleep(0.001)
     assert done()
 
@@ -51,7 +53,11 @@
 def test_a_folder_gives_back_what_was_told_and_how_it_ended(tmp_path):
     filled(tmp_path / "d")
     store = opened(tmp_path / "d")
-    assert store.found.ended and store.found.sign.life == 1 and store.get("term", "t") == 4
+    assert (
+        store.recovered.closed_cleanly
+        and store.recovered.position.incarnation == 1
+        and store.get("term", "t") == 4
+    )
     with pytest.raises(DiskError, match="in use by a live process"):
         opened(tmp_path / "d")
     store.close(monotonic_ms, 20_000.0)
@@ -60,18 +66,18 @@
 
 WRITING = """
 import sys, time
-from fawnwharf.durable_store.file_format import EntryKind, StoreLimits
-from fawnwharf.durable_store.store import open_store
+from fawnwharf.durable_store.file_format import Durability, EntryKind, StoreLimits
+from fawnwharf.durable_store.store import StoreOwner, open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
-kinds = [EntryKind("term", "synced")]
+kinds = [EntryKind("term", Durability.SYNCED)]
 limits = StoreLimits(segment_bytes=3_000, wait_ms=20_000)
-store = open_store(sys.argv[1], "fleet", "a", kinds, limits, empty_ok=True)
+store = open_store(sys.argv[1], StoreOwner("fleet", "a", empty_ok=True), kinds, limits)
 n = store.get("term", "t") or 0
 while True:
     n += 1
     store.put(monotonic_ms(), "term", "t", n, lambda ok, why, n=n: print(n, flush=True) if ok else None)
     for _ in range(3):
-        store.turn(monotonic_ms())
+        store.advance(monotonic_ms())
         time.sleep(0.0005)
 """
 
@@ -93,7 +99,7 @@
             folder.lock_folder(tmp_path, within_s=20.0)
         )  # its writer may still be at the last job
         found = inspect_folder(folder.DiskFolder(tmp_path), "fleet", "a", f.StoreLimits())
-        assert int(found.entries["term", "t"]) >= last and not found.ended
+        assert int(found.entries["term", "t"]) >= last and not found.closed_cleanly
 
 
 def test_a_slow_disk_holds_up_no_turn_and_a_killed_writer_is_replaced(tmp_path):
@@ -107,15 +113,15 @@
     end = time.monotonic() + 20.0
     while not told and time.monotonic() < end:
         begun = time.process_time()
-        store.turn(monotonic_ms())
+        store.advance(monotonic_ms())
         longest = max(longest, time.process_time() - begun)
         time.sleep(0.002)
     assert told == [(False, "the disk is slow")] and longest < 0.1
-    assert store.standing(monotonic_ms()).slow_ms >= LIMITS.wait_ms - 1
+    assert store.status(monotonic_ms()).slow_ms >= LIMITS.wait_ms - 1
     os.kill(writer.pid, signal.SIGKILL)
-    until(store, lambda: store.standing(monotonic_ms()).failing)
-    assert "the writer ended" in store.standing(monotonic_ms()).failing
-    until(store, lambda: not store.standing(monotonic_ms()).failing)
+    until(store, lambda: store.status(monotonic_ms()).failing)
+    assert "the writer ended" in store.status(monotonic_ms()).failing
+    until(store, lambda: not store.status(monotonic_ms()).failing)
     assert store.runner.process.pid != writer.pid
     assert store.close(monotonic_ms, 20_000.0)
 
@@ -130,7 +136,7 @@
             loop.turn(1.0)
         assert done()
 
-    turn_until(lambda: store.store.core.settled and not store.store.core.job_out)
+    turn_until(lambda: store.store.core.settled and not store.store.core.job_in_progress)
     said.clear()  # on a busy machine the start may be slow
     for n in range(4):
         store.put("term", f"t{n}", n, lambda on_disk, why: told.append(on_disk))
@@ -202,12 +208,12 @@
     shutil.copytree(tmp_path / "d", tmp_path / "copy")
     with pytest.raises(DiskError, match="a copy of another file, and may be an older one"):
         opened(tmp_path / "copy")
-    mark = inspect_folder(folder.DiskFolder(tmp_path / "d"), "fleet", "a", f.StoreLimits()).sign.mark
-    opened(tmp_path / "d", heard=[FolderPosition(mark, 1, 3), FolderPosition("other", 9, 9)]).close(
+    mark = inspect_folder(folder.DiskFolder(tmp_path / "d"), "fleet", "a", f.StoreLimits()).position.disk_id
+    opened(tmp_path / "d", reported=[FolderPosition(mark, 1, 3), FolderPosition("other", 9, 9)]).close(
         monotonic_ms, 20_000.0
     )
     with pytest.raises(DiskError, match="rolled back: stands at life 2, number"):
-        opened(tmp_path / "d", heard=[FolderPosition(mark, 2, 900)])
+        opened(tmp_path / "d", reported=[FolderPosition(mark, 2, 900)])
 
 
 def test_a_file_and_a_folder_that_cannot_be_made_are_refused(tmp_path):
@@ -254,7 +260,11 @@
     names = os.listdir(tmp_path / "d")
     assert {"snap-1.snap.aside", "log-1.seg.aside", "snap-2.snap"} <= set(names)
     store = opened(tmp_path / "d")
-    assert "damaged" in store.found.repaired and store.get("term", "t") < 4 and not store.found.ended
+    assert (
+        "damaged" in store.recovered.repaired
+        and store.get("term", "t") < 4
+        and not store.recovered.closed_cleanly
+    )
     until(store, lambda: store.core.settled)
     assert "repaired, and not confirmed" in told_of(store, tmp_path / "d")
     store = opened(tmp_path / "d")
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -21,6 +21,7 @@
     f"{PROGRAM}.{name}"
     for name in (
         "durable_store.crash_simulation",
+        "durable_store.simulated_folder",
         "policy_rollout.model_checker",
         "policy_rollout.rollout_measurement",
         "policy_rollout.scenario",
--- a/tests/test_lossy.py
+++ b/tests/test_lossy.py
@@ -72,7 +72,7 @@
     end = time.monotonic() + 20.0
     while (outcome := writer.poll()) is None and time.monotonic() < end:
         time.sleep(0.001)
-    assert outcome is not None and not outcome.failed
+    assert outcome is not None and not outcome.error
 
 
 @pytest.mark.parametrize("end", ["power", "kill of who writes"])
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -246,7 +246,7 @@
         FolderPosition("m", 6, 101),
         FolderPosition("m", 5, 205),
     ):  # of a copy that was taken while life 5 wrote
-        life = 11 if sign.life == 6 else 12
+        life = 11 if sign.incarnation == 6 else 12
         for _ in range(3):
             (said,) = agent.hear_zone(fleet.now, "n4", w.BootReport(life, "b", sign))
             assert said.to == ("n4",) and said.word.life == life
--- a/tests/test_rejoin_kept.py
+++ b/tests/test_rejoin_kept.py
@@ -6,7 +6,7 @@
 
 from fawnwharf.config import ConfigError, Fleet, Member
 from fawnwharf.durable_store import repairs
-from fawnwharf.durable_store.file_format import HINT, StoreLimits
+from fawnwharf.durable_store.file_format import Durability, StoreLimits
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.durable_store.operations import execute_job
 from fawnwharf.fakes.disks import Plan, PowerCut
@@ -174,7 +174,9 @@
     kept = site.kept()
     on_disk(site, kept, StateKind.PLAN, "last", 2)
     heard = kept.sign()
-    assert heard.life == 2 and kept.heard_sign(heard) and kept.heard_sign(FolderPosition("cd" * 8, 9, 9))
+    assert (
+        heard.incarnation == 2 and kept.heard_sign(heard) and kept.heard_sign(FolderPosition("cd" * 8, 9, 9))
+    )
     machine.disk = older
     kept, told = site.kept(), []
     kept.on_doubt(lambda: told.append(kept.whole))
@@ -186,7 +188,7 @@
     machine.cut()
     kept = site.kept()
     assert (kept.whole, kept.sure) == (StoreCondition.PARTIAL, 0)
-    far = FolderPosition(heard.mark, 9, 9)
+    far = FolderPosition(heard.disk_id, 9, 9)
     assert not kept.heard_sign(far)
     kept.confirm()
     assert kept.heard_sign(far) and kept.whole is StoreCondition.INTACT  # others went over it
@@ -205,7 +207,7 @@
     site.machine().disk = older
     kept = site.kept()
     now = kept.sign()
-    assert (heard.life, now.life) == (1, 2) and kept.settled and heard.number > now.number
+    assert (heard.incarnation, now.incarnation) == (1, 2) and kept.settled and heard.number > now.number
     assert kept.heard_sign(now) and kept.heard_sign(between) and kept.whole is StoreCondition.INTACT
     assert (
         not kept.heard_sign(heard)
@@ -254,9 +256,9 @@
     kept = site.kept(fresh=True)
     site.machine().kill()
     kept = site.kept(settle=False)
-    assert not kept.settled and kept.sign().life == 0
+    assert not kept.settled and kept.sign().incarnation == 0
     site.pump(kept)
-    assert kept.settled and kept.sign().life == 2
+    assert kept.settled and kept.sign().incarnation == 2
     kept.close()
     kept.close()
     assert not kept.keep(StateKind.PLAN, "last", 1)
@@ -282,7 +284,7 @@
     value = recorder.due(2_000.0)
     assert len(value) == 2 and recorder.due(9_000.0) is None
     site.pump(kept, 300.0)
-    assert k.ENTRY_RULES[StateKind.ROSTER].mode == HINT
+    assert k.ENTRY_RULES[StateKind.ROSTER].mode == Durability.BEST_EFFORT
     site.machine().cut(share=1.0)
     assert hints.RosterRecorder.read(site.kept().read(StateKind.ROSTER)) == [one]
     assert hints.RosterRecorder.read([(hints.ENTRY_KEY, [["broken"]], TrustLevel.HINT)]) == []
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -171,8 +171,8 @@
         cores.begin(cores.owners[0], "k2")
         for name in itertools.islice(itertools.cycle(cores.keepers), jobs):
             cores.site.machine(name).held = False
-            cores.kepts[name].store.turn(cores.now)
-            cores.kepts[name].store.turn(cores.now)
+            cores.kepts[name].store.advance(cores.now)
+            cores.kepts[name].store.advance(cores.now)
             cores.site.machine(name).held = True
         first = {effect.key for _, effect in cores.told if isinstance(effect, RunCall)}
         for name in cores.keepers:
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -143,7 +143,7 @@
     event = {"seq": 2, "fleet": {"complete": True, "members": [node.scorer.member(locality="a")]}}
     node.log.links[-1].sock.sendall(json.dumps(event).encode() + b"\n")
     site.until(lambda: node.part._roster._kept, "the roster is kept")
-    site.until(lambda: node.part.kept.store.standing(time.monotonic() * 1000.0).failing == "", "on disk")
+    site.until(lambda: node.part.kept.store.status(time.monotonic() * 1000.0).failing == "", "on disk")
     site.rest(0.3)
     site.power_loss(2, [node])
     node.known = False
