--- a/tests/test_durable.py
+++ b/tests/durable_store/test_durable_store_core.py
@@ -41,7 +41,7 @@
 # --- what is told, and when ---------------------------------------------------------------------------
 
 
-def test_one_sync_serves_all_that_came_while_the_last_one_ran():
+def test_one_sync_commits_all_changes_that_arrived_during_the_last_one():
     made, disk = core()
     first = made.put(0.0, "term", "t", 1)
     job = made.next_job(0.0)
@@ -55,11 +55,12 @@
     ]
 
 
-def test_soon_is_synced_within_its_time_and_a_hint_only_goes_along():
+def test_delayed_changes_are_synced_within_their_delay_and_best_effort_ones_with_others():
     made, disk = core()
     made.put(0.0, "use", "u", 1)
     made.put(0.0, "copies", "c", 1)
-    assert made.due_ms() == LIMITS.soon_ms and made.next_job(LIMITS.soon_ms - 1) is None
+    assert made.due_ms() == LIMITS.soon_ms
+    assert made.next_job(LIMITS.soon_ms - 1) is None
     job = made.next_job(LIMITS.soon_ms)
     assert isinstance(job.operations[-1], SyncFile)
     made.finish_job(50.0, execute_job(disk, job))
@@ -69,7 +70,7 @@
     assert [type(op) for op in mark.operations] == [AppendBytes]
 
 
-def test_a_ticket_ends_unsure_when_the_disk_is_slow_and_at_once_when_it_fails():
+def test_a_ticket_ends_unknown_when_the_disk_is_slow_and_at_once_when_it_fails():
     made, disk = core()
     slow = made.put(0.0, "term", "t", 1)
     job = made.next_job(0.0)
@@ -78,20 +79,23 @@
     assert [end[:2] for end in made.expire_tickets(LIMITS.wait_ms)] == [(slow, False)]
     behind = made.put(LIMITS.wait_ms, "term", "u", 1)
     ended = made.finish_job(500.0, JobResult("log-1.seg: Input/output error"))
-    assert [end[:2] for end in ended] == [(behind, False)] and job is not None
+    assert [end[:2] for end in ended] == [(behind, False)]
+    assert job is not None
     with pytest.raises(ChangeRejectedError, match="Input/output"):
         made.put(500.0, "term", "t", 2)
     assert made.entries["term", "t"] == b"1"
     made.put(501.0, "use", "u", 7)  # taken, and said not to be durable
-    assert "Input/output" in made.status(600.0).failing and made.status(600.0).behind_ms == 600.0
+    assert "Input/output" in made.status(600.0).failing
+    assert made.status(600.0).behind_ms == 600.0
     assert made.next_job(500.0 + LIMITS.retry_ms - 1) is None
     settle(made, disk, 500.0 + LIMITS.retry_ms)
-    assert made.status(700.0).failing == "" and made.status(700.0).behind_ms == 0.0
+    assert made.status(700.0).failing == ""
+    assert made.status(700.0).behind_ms == 0.0
     assert inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
     assert made.put(700.0, "term", "t", 3) > 0
 
 
-def test_a_failing_disk_is_tried_less_and_less_often():
+def test_a_failing_disk_is_retried_with_exponential_backoff():
     made, _ = core()
     made.put(0.0, "term", "t", 1)
     made.next_job(0.0)
@@ -105,7 +109,7 @@
     assert pauses == [30.0, 60.0, 120.0, 200.0, 200.0]
 
 
-def test_bounds_of_kinds_and_of_all_are_kept_and_named():
+def test_limits_of_kinds_and_of_all_entries_are_enforced_and_named():
     made, _ = core()
     with pytest.raises(ChangeRejectedError, match="term: 502 bytes, and 500"):
         made.put(0.0, "term", "t", "x" * 500)
@@ -122,7 +126,7 @@
     )
 
 
-def test_logs_follow_each_other_while_groups_go_on_and_the_folder_stays_small():
+def test_logs_rotate_while_groups_are_written_and_the_folder_stays_small():
     made, disk = core()
     sizes, names = [], set()
     for turn in range(400):
@@ -130,11 +134,13 @@
         settle(made, disk, turn * 50.0 + LIMITS.soon_ms)
         sizes.append(sum(disk.names().values()))
         names |= disk.names().keys()
-    assert len(names) > 20 and max(sizes) < 12_000 and sizes[-1] < 8_000
+    assert len(names) > 20
+    assert max(sizes) < 12_000
+    assert sizes[-1] < 8_000
     assert inspect_folder(disk, "fleet", "a", LIMITS).entries == made.entries
 
 
-def test_changes_that_come_and_go_on_a_slow_disk_are_bounded_and_none_is_lost():
+def test_transient_changes_on_a_slow_disk_are_bounded_and_none_is_lost():
     made, disk = core()
     made.put(0.0, "use", "old", 1)
     settle(made, disk, 100.0)
@@ -152,7 +158,7 @@
     assert held == made.entries == {("term", "t"): b"1", ("term", "u"): b"2"}
 
 
-def test_nothing_of_a_folder_is_told_before_a_new_life_has_written_it_anew():
+def test_nothing_of_a_folder_is_reported_before_a_new_incarnation_has_rewritten_it():
     """What a killed process wrote is read, but may go with the next power cut."""
     made, disk = core()
     made.put(0.0, "term", "t", 1)
@@ -160,9 +166,11 @@
     found = inspect_folder(disk, "fleet", "a", LIMITS)
     assert found.entries == {("term", "t"): b"1"}
     again = StoreCore(LIMITS, KINDS, HEAD, found, lambda: 0.0)
-    assert not again.settled and again.position().incarnation == 0
+    assert not again.settled
+    assert again.position().incarnation == 0
     settle(again, disk, 0.0)
-    assert again.settled and disk.reboot(random.Random(1), 0.0).names().keys() >= {"snap-2.snap", "log-2.seg"}
+    assert again.settled
+    assert disk.reboot(random.Random(1), 0.0).names().keys() >= {"snap-2.snap", "log-2.seg"}
 
 
 def without_sync(job):
@@ -172,25 +180,26 @@
 # --- crash tests, a sample ----------------------------------------------------------------------------
 
 
-def test_every_operation_and_a_sample_of_bytes_of_a_scripted_run_can_be_cut():
+def test_a_scripted_run_survives_a_power_loss_at_every_operation_and_sampled_bytes():
     assert crash_simulation.check_points(61, 10_000) > 500
     whole = simulated_folder.SimulatedFolder()
     crash_simulation.run_script(whole)
     assert [what for what, _ in whole.disk.marks].count("rename") >= 6  # logs followed each other
 
 
-def test_random_runs_hold_through_cuts_kills_failures_flips_and_older_copies():
+def test_random_runs_survive_power_losses_kills_failures_flipped_bits_and_older_copies():
     ends = crash_simulation.check_random(2_000, 1)
-    assert len(ends) >= 9 and ends["cut or killed, as it was told"] > 800
+    assert len(ends) >= 9
+    assert ends["cut or killed, as it was told"] > 800
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_crash_tests_find_what_is_planted(name):
+def test_the_crash_simulation_detects_the_mutants(name):
     with pytest.raises(simulated_folder.InvariantViolationError):
         crash_simulation.check_random(1_500, 1, MUTANTS[name])
 
 
-def test_a_repair_that_is_cut_leaves_a_folder_that_is_refused_or_repaired():
+def test_an_interrupted_repair_leaves_a_folder_that_is_rejected_or_repaired():
     seen = set()
     for cut in range(12):
         for share in crash_simulation.SHARES:
@@ -208,19 +217,21 @@
             disk = disk.reboot(random.Random(cut), share)
             try:
                 found = inspect_folder(disk, "fleet", "a", LIMITS)
-                assert found.entries == plan.state.entries and "damaged" in found.repaired
+                assert found.entries == plan.state.entries
+                assert "damaged" in found.repaired
                 seen.add("repaired")
             except UnreadableFolderError:
                 seen.add("refused")
     assert seen == {"repaired", "refused"}
 
 
-def test_a_full_disk_refuses_and_comes_back_with_all_that_was_put():
+def test_a_full_disk_fails_and_recovers_with_all_changes():
     made, disk = core()
     disk.plan = Plan(room=sum(disk.names().values()) + 100)
     ticket = made.put(0.0, "term", "t", "x" * 300)
     ended = made.finish_job(0.0, execute_job(disk, made.next_job(0.0)))
-    assert [(end.ticket, end.on_disk) for end in ended] == [(ticket, False)] and "No space" in ended[0].why
+    assert [(end.ticket, end.on_disk) for end in ended] == [(ticket, False)]
+    assert "No space" in ended[0].why
     for turn in range(1, 20):
         assert settle(made, disk, turn * 250.0) == []
     disk.plan = Plan()
--- a/tests/test_disk_faults_store.py
+++ b/tests/durable_store/test_durable_store_disk_faults.py
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("times", [1, 3, ALWAYS])
-def test_each_call_can_fail_once_or_for_a_while_and_what_was_told_is_found(tmp_path, end, times):
+def test_reported_changes_are_found_when_any_file_call_fails_once_or_repeatedly(tmp_path, end, times):
     count = calls_of_a_life(tmp_path / "measured")
     for at, (error, half) in product(range(0, count), ((errno.ENOSPC, True), (errno.EIO, False))):
         site = Site(tmp_path / f"{at}-{error}")
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("name", ["a failed sync done again", "no sync of the folder", "told before sync"])
-def test_the_faults_find_what_is_planted(tmp_path, name):
+def test_file_faults_detect_the_mutants(tmp_path, name):
     count, broken = calls_of_a_life(tmp_path / "measured"), 0
     for at in range(count):
         site = Site(tmp_path / str(at), MUTANTS[name])
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("end", ENDS)
-def test_a_kill_at_each_call_loses_nothing_that_was_told(tmp_path, end):
+def test_a_kill_at_any_file_call_loses_no_reported_change(tmp_path, end):
     count = calls_of_a_life(tmp_path / "measured")
     for at, half in product(range(count), (False, True)):
         site = Site(tmp_path / f"{at}-{half}")
@@ -121,7 +121,7 @@
             site.found("cut")
 
 
-def test_writes_that_fall_short_are_gone_on_with(tmp_path):
+def test_short_writes_are_continued(tmp_path):
     site = Site(tmp_path / "folder")
     with site.faults.installed():
         site.faults.plan = Faults(most_bytes=5)
@@ -132,7 +132,7 @@
         assert site.world.inspect().closed_cleanly
 
 
-def test_a_folder_cut_at_every_byte_of_its_last_file_gives_back_the_groups_before_it(tmp_path):
+def test_a_log_truncated_at_any_byte_gives_back_the_groups_before_it(tmp_path):
     site = Site(tmp_path / "folder")
     folder, heads, turns = site.faults.folder, [], 0
     with site.faults.installed():
@@ -152,4 +152,5 @@
         numbers.append(found.position.number)
         site.world.check_written(found)
         assert found.torn_bytes == size - max(at for at in [*heads, len(data)] if at <= size)
-    assert numbers == sorted(numbers) and len(set(numbers)) == len(heads)
+    assert numbers == sorted(numbers)
+    assert len(set(numbers)) == len(heads)
--- a/tests/test_durable_folder.py
+++ b/tests/durable_store/test_durable_store_folder.py
@@ -44,20 +44,19 @@
     store = opened(path, empty_ok=True, limits=f.StoreLimits(wait_ms=20_000.0))
     told = []
     for n in range(count):
-        store.put(monotonic_ms(), "term", "t", n, lambda on_disk, why: told.append(on_disk))
+        store.put(monotonic_ms(), "term", "t", n, lambda on_disk, _why: told.append(on_disk))
         until(store, lambda n=n: len(told) > n)
-    assert told == [True] * count and store.close(monotonic_ms, 20_000.0)
+    assert told == [True] * count
+    assert store.close(monotonic_ms, 20_000.0)
     return store
 
 
-def test_a_folder_gives_back_what_was_told_and_how_it_ended(tmp_path):
+def test_a_folder_gives_back_reported_changes_and_whether_it_was_closed_cleanly(tmp_path):
     filled(tmp_path / "d")
     store = opened(tmp_path / "d")
-    assert (
-        store.recovered.closed_cleanly
-        and store.recovered.position.incarnation == 1
-        and store.get("term", "t") == 4
-    )
+    assert store.recovered.closed_cleanly
+    assert store.recovered.position.incarnation == 1
+    assert store.get("term", "t") == 4
     with pytest.raises(DiskError, match="in use by a live process"):
         opened(tmp_path / "d")
     store.close(monotonic_ms, 20_000.0)
@@ -82,7 +81,7 @@
 """
 
 
-def test_a_process_killed_in_the_middle_of_writes_leaves_all_that_it_told(tmp_path):
+def test_a_process_killed_during_writes_leaves_all_reported_changes(tmp_path):
     for seen in (20, 37):
         child = subprocess.Popen(
             [sys.executable, "-c", WRITING, str(tmp_path)], stdout=subprocess.PIPE, text=True
@@ -99,10 +98,11 @@
             folder.lock_folder(tmp_path, within_s=20.0)
         )  # its writer may still be at the last job
         found = inspect_folder(folder.DiskFolder(tmp_path), "fleet", "a", f.StoreLimits())
-        assert int(found.entries["term", "t"]) >= last and not found.closed_cleanly
+        assert int(found.entries["term", "t"]) >= last
+        assert not found.closed_cleanly
 
 
-def test_a_slow_disk_holds_up_no_turn_and_a_killed_writer_is_replaced(tmp_path):
+def test_a_slow_disk_blocks_no_iteration_and_a_killed_writer_is_replaced(tmp_path):
     store = opened(tmp_path, empty_ok=True)
     until(store, lambda: store.core.settled)
     writer = store.runner.process
@@ -116,7 +116,8 @@
         store.advance(monotonic_ms())
         longest = max(longest, time.process_time() - begun)
         time.sleep(0.002)
-    assert told == [(False, "the disk is slow")] and longest < 0.1
+    assert told == [(False, "the disk is slow")]
+    assert longest < 0.1
     assert store.status(monotonic_ms()).slow_ms >= LIMITS.wait_ms - 1
     os.kill(writer.pid, signal.SIGKILL)
     until(store, lambda: store.status(monotonic_ms()).failing)
@@ -126,9 +127,9 @@
     assert store.close(monotonic_ms, 20_000.0)
 
 
-def test_in_the_loop_what_comes_in_a_turn_goes_to_disk_together_and_faults_are_said(tmp_path):
-    said, told, loop = [], [], Loop(lambda now_ms, events: None, print)
-    store = EventLoopStore(loop, opened(tmp_path, empty_ok=True), lambda text, about: said.append(text))
+def test_changes_of_one_loop_iteration_are_committed_together_and_faults_are_logged(tmp_path):
+    said, told, loop = [], [], Loop(lambda _now_ms, _events: None, print)
+    store = EventLoopStore(loop, opened(tmp_path, empty_ok=True), lambda text, _fields: said.append(text))
 
     def turn_until(done):
         end = time.monotonic() + 20.0
@@ -139,12 +140,12 @@
     turn_until(lambda: store.store.core.settled and not store.store.core.job_in_progress)
     said.clear()  # on a busy machine the start may be slow
     for n in range(4):
-        store.put("term", f"t{n}", n, lambda on_disk, why: told.append(on_disk))
+        store.put("term", f"t{n}", n, lambda on_disk, _why: told.append(on_disk))
     before = store.store.core.number
     turn_until(lambda: len(told) == 4)
     assert store.store.core.number == before + 1
     os.kill(store.store.runner.process.pid, signal.SIGSTOP)
-    store.put("term", "t0", 5, lambda on_disk, why: told.append(why))
+    store.put("term", "t0", 5, lambda _on_disk, why: told.append(why))
     turn_until(lambda: "the disk is slow" in told and said[-1:] == ["the disk is slow"])
     os.kill(store.store.runner.process.pid, signal.SIGKILL)
     turn_until(lambda: said[-2:] == ["not durable now", "durable again"])
@@ -189,13 +190,14 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_folder_that_is_not_to_be_read_over_is_refused_by_path_and_cause(tmp_path, fault):
+def test_an_unreadable_folder_is_rejected_with_path_and_cause(tmp_path, fault):
     filled(tmp_path / "d")
     FAULTS[fault][0](tmp_path / "d")
     before = contents(tmp_path / "d")
     with pytest.raises(DiskError, match=FAULTS[fault][1]) as raised:
         opened(tmp_path / "d")
-    assert str(raised.value).startswith(str(tmp_path / "d")) and "\n" not in str(raised.value)
+    assert str(raised.value).startswith(str(tmp_path / "d"))
+    assert "\n" not in str(raised.value)
     assert contents(tmp_path / "d") == before | {folder.LOCK_FILE: b""}
 
 
@@ -203,7 +205,7 @@
     return {each.name: each.read_bytes() for each in path.iterdir()}
 
 
-def test_a_copy_of_the_files_is_refused_and_one_in_place_is_known_by_others_word_alone(tmp_path):
+def test_a_copy_of_the_files_is_rejected_and_a_rollback_is_detected_by_reported_positions(tmp_path):
     filled(tmp_path / "d")
     shutil.copytree(tmp_path / "d", tmp_path / "copy")
     with pytest.raises(DiskError, match="a copy of another file, and may be an older one"):
@@ -216,7 +218,7 @@
         opened(tmp_path / "d", reported=[FolderPosition(mark, 2, 900)])
 
 
-def test_a_file_and_a_folder_that_cannot_be_made_are_refused(tmp_path):
+def test_a_file_and_a_folder_that_cannot_be_created_are_rejected(tmp_path):
     (tmp_path / "file").write_text("x")
     with pytest.raises(DiskError, match="file: not a folder"):
         opened(tmp_path / "file", empty_ok=True)
@@ -231,15 +233,19 @@
     return CliRunner().invoke(app, ["recovery", *map(str, words)])
 
 
-def test_verify_says_what_a_folder_holds_and_faults_end_with_one_line(tmp_path):
+def test_verify_shows_a_folder_and_errors_end_with_one_line(tmp_path):
     filled(tmp_path / "d")
     done = asked("verify", tmp_path / "d")
-    assert done.exit_code == 0 and "ended in order" in done.output and "term: 1" in done.output
+    assert done.exit_code == 0
+    assert "ended in order" in done.output
+    assert "term: 1" in done.output
     (tmp_path / "none").mkdir()
     (tmp_path / "file").write_text("x")
     for path, why in (("none", "holds no"), ("gone", "no such folder"), ("file", "not a folder")):
         done = asked("verify", tmp_path / path)
-        assert done.exit_code == 2 and why in done.stderr and len(done.stderr.splitlines()) == 1
+        assert done.exit_code == 2
+        assert why in done.stderr
+        assert len(done.stderr.splitlines()) == 1
         assert str(tmp_path / path) in done.stderr
     assert os.listdir(tmp_path / "none") == []
     store = opened(tmp_path / "d")
@@ -247,24 +253,24 @@
     store.close(monotonic_ms, 20_000.0)
 
 
-def test_repair_says_what_is_lost_sets_files_aside_and_the_next_life_is_told(tmp_path):
+def test_repair_shows_losses_sets_files_aside_and_the_next_incarnation_reports_it(tmp_path):
     filled(tmp_path / "d")
     flipped(tmp_path / "d", "log-1.seg", 200)
     before = contents(tmp_path / "d")
     done = asked("verify", tmp_path / "d")
-    assert done.exit_code == 2 and f"{tmp_path / 'd' / 'log-1.seg'}: damaged at byte" in done.stderr
+    assert done.exit_code == 2
+    assert f"{tmp_path / 'd' / 'log-1.seg'}: damaged at byte" in done.stderr
     done = asked("repair", tmp_path / "d", "--dry-run")
-    assert done.exit_code == 0 and "lost: log-1.seg: from byte" in done.output
+    assert done.exit_code == 0
+    assert "lost: log-1.seg: from byte" in done.output
     assert contents(tmp_path / "d") == before
     assert asked("repair", tmp_path / "d").exit_code == 0
     names = os.listdir(tmp_path / "d")
     assert {"snap-1.snap.aside", "log-1.seg.aside", "snap-2.snap"} <= set(names)
     store = opened(tmp_path / "d")
-    assert (
-        "damaged" in store.recovered.repaired
-        and store.get("term", "t") < 4
-        and not store.recovered.closed_cleanly
-    )
+    assert "damaged" in store.recovered.repaired
+    assert store.get("term", "t") < 4
+    assert not store.recovered.closed_cleanly
     until(store, lambda: store.core.settled)
     assert "repaired, and not confirmed" in told_of(store, tmp_path / "d")
     store = opened(tmp_path / "d")
