--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -46,7 +46,7 @@
 @dataclass(slots=True, eq=False)
 class Worker:
     id: int
-    entry: io.WorkerEntry
+    entry: io.ScorerEntry
     mark: int  # its number as 64 well-mixed bits, for the hash orders
     own: int = 0  # own attempts out
     started_ms: float = -math.inf  # told, or guessed when a silent worker came back empty
@@ -61,11 +61,11 @@
     last: "Function | None" = None  # the function last seen there
     gone_ms: float | None = None  # since when
     lapses: dict[str, "Lapse"] = field(default_factory=dict)  # by class
-    told: io.Elsewhere = field(default_factory=lambda: io.Elsewhere(0))  # by others, last
+    told: io.RemoteLoadReport = field(default_factory=lambda: io.RemoteLoadReport(0))  # by others, last
     told_ms: float = -math.inf  # of the oldest word that it rests on
 
     def takes_new(self) -> bool:  # the rule on drains: one that drains gets questions, but no calls and loads
-        return self.entry.state == io.State.READY
+        return self.entry.state == io.ScorerState.READY
 
 
 class Lapse:  # answers of a class that a worker lost or turned to errors, though it answers others
@@ -163,8 +163,10 @@
         self.peers, self.silent_ms = max(1, settings.fleet_size), SILENT_MS  # front ends; see _watch
         self.sold = sum(settings.quotas_rps.values()) / 1000  # by all together, a millisecond
         self.limit, self.worker_most, self.strain_most = math.inf, 0.0, math.inf  # in flight: own; a worker's
-        self.promise_ms = min((spec.promise_ms for spec in settings.classes.values()), default=1000.0)
-        self.runs, self.run_ms = Samples(), self.promise_ms / 5
+        self.latency_target_ms = min(
+            (spec.latency_target_ms for spec in settings.classes.values()), default=1000.0
+        )
+        self.runs, self.run_ms = Samples(), self.latency_target_ms / 5
         self.stretch_ms = settings.load_window_ms or RATE_MS  # over which arrivals are counted
         self.answer_by_ms = math.inf  # this front end ends: no request may stay open for longer
         self.sweeping, self.refreshed_ms, self.forgot_ms = False, -math.inf, -math.inf
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -1,26 +1,37 @@
 """The door before the gate: one final answer each, advice that is honest, classes, repeats, tickets."""
 
-import base64
 from dataclasses import replace
-
-import pytest
-from hypothesis import given, settings
-from hypothesis import strategies as st
-from support.recovery_admission import CLASSES, LIMITS, WORTHS, Ground
-
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Failed, Refused, Served
+from fawnwharf.net.requests import Call
+from fawnwharf.net.requests import Failed
+from fawnwharf.net.requests import Refused
+from fawnwharf.net.requests import Served
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
-from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
+from fawnwharf.recovery_core.phases import AllowedActions
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.phases import allowed_in_phase
+from fawnwharf.recovery_service.actions import CopyAvailable
+from fawnwharf.recovery_service.actions import SlowStartPermit
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION, StoredClaims
+from fawnwharf.recovery_service.recovery_admission import StoredClaims
+from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claim_gate import ClaimGate, call_key
-from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.claim_gate import ClaimGate
+from fawnwharf.replication.claim_gate import call_key
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.testbed.promises import fleet_file
+from hypothesis import given
+from hypothesis import settings
+from hypothesis import strategies as st
+from support.recovery_admission import CLASSES
+from support.recovery_admission import Ground
+from support.recovery_admission import LIMITS
+from support.recovery_admission import WORTHS
+import base64
+import pytest
 
 
 def test_in_calm_all_is_passed_on_as_it_comes():
@@ -178,7 +189,7 @@
 
     def __init__(self, stage):
         rules, file = s.ReplicationSettings(1, "m", zones=1), fleet_file("a")
-        keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.keepers[0]
+        keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.replicas[0]
         self.core = ReplicationCore(keeper, 1, file, rules, 0.0, True)
         self.wheel = self  # the gate's timers never ring here
         self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
@@ -191,20 +202,20 @@
     def carry(self, effects):
         for effect in effects:
             if hasattr(effect, "key"):
-                self.gate.told(effect)
+                self.gate.apply(effect)
 
     def knows(self, kind, id, phase, answer=None):
         call = Call(id, kind, "t", "f", 1.0, b"", "" if kind != "keyed" else id.hex(), 1, None, None, print)
         claim = Claim("n9#3", 1, 1, 0, phase, "d", answer)
-        shelf, name = self.core.keeper.shelf, call_key(call)
-        shelf.put(1.0, name, shelf.entry(1.0, name), claim, 10_000.0)
+        shelf, name = self.core.replica.claim_store, call_key(call)
+        shelf.merge(1.0, name, shelf.get_or_create(1.0, name), claim, 10_000.0)
 
 
 def test_repeats_of_promised_calls_have_their_answer_before_new_calls_are_taken():
     ground = Promised(RecoveryPhase.RETRIES)
     ground.knows("settle", (1).to_bytes(8, "big"), ClaimPhase.ANSWERED, base64.b64encode(b"kept").decode())
-    ground.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.TAKEN)
-    ground.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.CLEAR)
+    ground.knows("settle", (2).to_bytes(8, "big"), ClaimPhase.GRANTED)
+    ground.knows("settle", (3).to_bytes(8, "big"), ClaimPhase.RELEASED)
     answers = [ground.ask("settle")[1] for _ in range(4)]
     assert answers[:2] == [[Served(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
     assert all(isinstance(got[0], Refused) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
@@ -273,7 +284,7 @@
 # --- orders of the module -------------------------------------------------------------------------
 
 
-ANSWER = Answer(io.Ending.GOOD, b"", io.Warmth.UNTOLD, 0, 1)
+ANSWER = Answer(io.AttemptResult.GOOD, b"", io.Warmth.UNTOLD, 0, 1)
 
 
 class Holding:
@@ -304,17 +315,17 @@
 def test_before_renewal_the_modules_own_orders_do_not_go_out_and_change_nothing_it_believes():
     ground = Holding(own=[(7, "own")])
     ground.go_by(RecoveryPhase.ALL_CALLS)
-    race, own, question = io.Hold(8, "f", 2), io.Hold(7, "own", 1), io.Hold(9, "f", 0)
+    race, own, question = io.OrderCopies(8, "f", 2), io.OrderCopies(7, "own", 1), io.OrderCopies(9, "f", 0)
     for order in (race, own, question):
         ground.holds.carry(order)
     assert ground.out == [own, question] and ground.made == [(7, "own")]
-    assert ground.told == [io.OrderAnswered(8, "f", io.Ending.NOT_SENT, 0, 0.0)]
+    assert ground.told == [io.LoadOrderAnswered(8, "f", io.AttemptResult.NOT_SENT, 0, 0.0)]
     [asked] = ground.asked  # where its copy stands, once a second
     assert (asked.worker, asked.function, asked.copies) == (7, "f", 0)
     ground.holds.carry(race)
     assert len(ground.asked) == 1
     asked.ended(asked, None, ANSWER)
-    assert (ground.told[-1].worker, ground.told[-1].copies) == (7, 1)
+    assert (ground.told[-1].scorer, ground.told[-1].copies) == (7, 1)
     for stage in (RecoveryPhase.COPY_REFRESH, RecoveryPhase.NORMAL):
         ground.go_by(stage)
         ground.holds.carry(race)
@@ -325,22 +336,22 @@
 def test_the_module_sends_where_the_loaders_copy_stands_though_it_ordered_nothing(place):
     site = io.Settings(classes=dict(CLASSES), quotas_rps={"t": 100.0}, tick_ms=1.0)
     router, ground, now = Router(site, 1), Holding(), 1_000.0
-    entries = [io.WorkerEntry(n) for n in range(6)]
+    entries = [io.ScorerEntry(n) for n in range(6)]
     events = [io.RosterChanged(entries, True), io.RequestArrived("r1", "f", "view", "t", 2_000.0)]
     ground.places["f"] = place
     ground.go_by(RecoveryPhase.ALL_CALLS)
     sent = []
     for _ in range(8):
         for action in router.handle(now, events):
-            if isinstance(action, io.Hold):
+            if isinstance(action, io.OrderCopies):
                 ground.holds.carry(action)
             elif isinstance(action, io.Send):
-                sent.append((now, action.worker))
+                sent.append((now, action.scorer))
         events, ground.told[:] = [*ground.told], []
         for order in ground.out:  # questions of the module's own
             assert order.copies == 0
-            copies = int(order.worker == place)
-            events.append(io.OrderAnswered(order.worker, "f", io.Ending.GOOD, copies, 1.0))
+            copies = int(order.scorer == place)
+            events.append(io.LoadOrderAnswered(order.scorer, "f", io.AttemptResult.GOOD, copies, 1.0))
         for order in ground.asked:
             order.ended(order, None, ANSWER)
         ground.out.clear(), ground.asked.clear()
@@ -353,14 +364,14 @@
     router, ground = Router(site, 1), Holding()
     ground.go_by(RecoveryPhase.ALL_CALLS)
     calls = [io.RequestArrived(f"r{n}", "f", "view", "t", 60_000.0) for n in range(3)]
-    events = [io.RosterChanged([io.WorkerEntry(n) for n in range(100)], True), *calls]
+    events = [io.RosterChanged([io.ScorerEntry(n) for n in range(100)], True), *calls]
     held = []
     while ground.now < 8_000.0:
         for action in router.handle(ground.now, events):
-            if isinstance(action, io.Hold):
+            if isinstance(action, io.OrderCopies):
                 ground.holds.carry(action)
         ground.holds.events(ground.now, events)
-        none = [io.OrderAnswered(o.worker, "f", io.Ending.GOOD, 0, 1.0) for o in ground.out]
+        none = [io.LoadOrderAnswered(o.scorer, "f", io.AttemptResult.GOOD, 0, 1.0) for o in ground.out]
         events, ground.told[:] = [*ground.told, *none, io.TimerDue(0)], []
         ground.out.clear()
         ground.now += 5.0
@@ -376,9 +387,9 @@
     ground.answered = lambda now, event: [event]
     ground.go_by(RecoveryPhase.ALL_CALLS)
     ground.requests["r1"] = type("Open", (), {"call": type("Of", (), {"function": "f"})})
-    miss = io.AttemptEnded("r1", 0, 7, io.Ending.MISS, 1.0, False)
-    good, other = replace(miss, ending=io.Ending.GOOD), replace(miss, request="r2")
-    answer = io.OrderAnswered(7, "g", io.Ending.GOOD, 1, 1.0)
+    miss = io.AttemptEnded("r1", 0, 7, io.AttemptResult.MISS, 1.0, False)
+    good, other = replace(miss, result=io.AttemptResult.GOOD), replace(miss, request="r2")
+    answer = io.LoadOrderAnswered(7, "g", io.AttemptResult.GOOD, 1, 1.0)
     assert ground.holds.events(1.0, [miss, good, other, answer]) == [answer] and lost == [("f", 7)]
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,7 @@
 from support.zone_files import members_data, settings
 
 from fawnwharf import config
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 from fawnwharf.net.roster_overlay import Overlay
 from fawnwharf.zones import plan as p
 from fawnwharf.zones import roster_closing
@@ -198,11 +198,11 @@
 
 def test_an_observer_forgets_what_is_older_than_its_window():
     observer = EvidenceCollector(s.EvidenceSettings(window_ms=1_000.0), latency_objective_ms=200.0)
-    observer.record_ending(0.0, "a", 1, Ending.GOOD, 50.0)
-    observer.record_ending(400.0, "a", 1, Ending.GOOD, 300.0)
-    observer.record_ending(900.0, "a", 1, Ending.CANCELLED, 250.0)
-    observer.record_ending(900.0, "a", 1, Ending.CANCELLED, 20.0)
-    observer.record_ending(900.0, "b", 2, Ending.NOT_SENT, 0.0)
+    observer.record_ending(0.0, "a", 1, AttemptResult.GOOD, 50.0)
+    observer.record_ending(400.0, "a", 1, AttemptResult.GOOD, 300.0)
+    observer.record_ending(900.0, "a", 1, AttemptResult.CANCELLED, 250.0)
+    observer.record_ending(900.0, "a", 1, AttemptResult.CANCELLED, 20.0)
+    observer.record_ending(900.0, "b", 2, AttemptResult.NOT_SENT, 0.0)
     observer.record_probe(900.0, "b", 2, connected=False)
     a, b = (
         ZoneEvidence(responses=2, slow_responses=1, timeouts=1, failing_scorers=1, since_success_ms=550.0),
@@ -227,5 +227,5 @@
     )
     assert zone_health(observer.evidence(500.0)["a"], s.EvidenceSettings()) is ZoneHealth.DEAD
     assert observer.since_success_ms(500.0, "a") == 500.0
-    observer.record_ending(600.0, "a", 2, Ending.GOOD, 10.0)
+    observer.record_ending(600.0, "a", 2, AttemptResult.GOOD, 10.0)
     assert observer.evidence(600.0)["a"] == ZoneEvidence(responses=2, connect_failures=4)
