--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -86,7 +86,7 @@
     "storage/group": file(file_format.CommitGroup),
     "storage/piece": file(file_format.SnapshotChunk),
     "storage/foot": file(file_format.SnapshotFooter),
-    "storage/job": packed(operations.DiskJob, "ops"),
+    "storage/job": packed(operations.DiskJob, "operations"),
     "storage/outcome": packed(operations.JobResult),
     "policy/message": line(policy.Message, policy.decode_message),
     "policy/standing": line(policy.MemberStatus, policy.decode_member_status),
--- a/tests/compatibility/sample_corpus.py
+++ b/tests/compatibility/sample_corpus.py
@@ -160,7 +160,7 @@
         for member in kind.types:
             yield f"{name}/{_tag(member)}", Sampler(full).make(member)
     elif through:
-        field = next(field for field in kind.fields if field.encode_name == through)
+        field = next(field for field in kind.fields if field.name == through)
         many = isinstance(field.type, inspect.VarTupleType)
         for member in (field.type.item_type if many else field.type).types:
             sampler = Sampler(full)
