--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -1,22 +1,27 @@
 """The store of a running front end: its folder and the boot's mark, on the loop."""
 
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any
-
-import msgspec
-
-from fawnwharf.config import ConfigError, Deployment, Fleet
+from fawnwharf.config import ConfigError
+from fawnwharf.config import Deployment
+from fawnwharf.config import Fleet
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
-from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState, rollback_reason
-from fawnwharf.durable_store.store import open_store, unix_ms
+from fawnwharf.durable_store.folder_reader import FolderPosition
+from fawnwharf.durable_store.folder_reader import FolderState
+from fawnwharf.durable_store.folder_reader import rollback_reason
+from fawnwharf.durable_store.store import StoreOwner
+from fawnwharf.durable_store.store import open_store
+from fawnwharf.durable_store.store import unix_ms
 from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.trust import AgeSettings, ClockReading, StateKind, StoreCondition, TrustLevel
+from fawnwharf.recovery_core.trust import AgeSettings
+from fawnwharf.recovery_core.trust import ClockReading
+from fawnwharf.recovery_core.trust import StateKind
+from fawnwharf.recovery_core.trust import StoreCondition
+from fawnwharf.recovery_core.trust import TrustLevel
 from fawnwharf.recovery_service import stored_state as k
 from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.recovery_service.stored_promises import StoredPromises
@@ -24,6 +29,10 @@
 from fawnwharf.replication.settings import parse_settings as state_settings
 from fawnwharf.zones.files import load_file
 from fawnwharf.zones.settings import membership_from
+from pathlib import Path
+from typing import Any
+import msgspec
+
 
 LOCK_S = 3.0  # a writer of a process that was killed has the folder until its last job is done
 CLOSE_MS = 1_000.0  # for the last groups, and the word that it ended in order
@@ -52,20 +61,23 @@
         self.boot, self._note = read_boot_id(boot_file), note
         self._mark = k.boot_digest(self.boot)
         try:
-            self.store = open_store(
-                folder, fleet, member, k.STORE_KINDS, limits, self.boot, empty_ok=True, within_s=LOCK_S
-            )
+            owner = StoreOwner(fleet, member, self.boot, empty_ok=True)
+            self.store = open_store(folder, owner, k.STORE_KINDS, limits, within_s=LOCK_S)
         except DiskError as error:
             raise ConfigError(f"recovery.folder: {error}") from None
-        found = self.store.found
+        found = self.store.recovered
         now = self._clock()
         self._start = k.recover_state(found, now, fresh, spans or AgeSettings())
-        self.same_boot, self.in_order, self.sure = self._start.same_boot, found.ended, self._start.sure
-        self.whole = StoreCondition.PART if self._start.doubt else StoreCondition.WHOLE
-        self.why, self.fresh, self.life = self._start.doubt, found.fresh, found.sign.life + 1
+        self.same_boot, self.in_order, self.sure = (
+            self._start.same_boot,
+            found.closed_cleanly,
+            self._start.sure,
+        )
+        self.whole = StoreCondition.PARTIAL if self._start.doubt else StoreCondition.INTACT
+        self.why, self.fresh, self.life = self._start.doubt, found.fresh, found.position.incarnation + 1
         # By which others know this life: larger than the one before, also by a clock that was set back.
         self.number = max(self._start.number + 1, self.life, int(unix_ms() * 1_000))
-        self._found, self._told = found.sign, FolderPosition("", 0, 0)
+        self._found, self._told = found.position, FolderPosition("", 0, 0)
         self._later = self._passed = (0, 0)  # life and number that others told, and that were confirmed over
         self._doubted: list[Callable[[], None]] = []  # who is told of a doubt that comes up later
         self._loop: EventLoopStore | None = None
@@ -97,7 +109,7 @@
         self._loop = EventLoopStore(getattr(front, "loop", front), self.store, self._note)
         self._note("store read", {
             "life": self.life, "same_boot": self.same_boot, "in_order": self.in_order, "why": self.why,
-            "entries": len(self.store.core.entries), "torn": self.store.found.torn,
+            "entries": len(self.store.core.entries), "torn": self.store.recovered.torn_bytes,
         })  # fmt: skip
 
     def close(self) -> None:
@@ -132,7 +144,7 @@
     @property
     def failing(self) -> str:
         """Why nothing is durable now; empty: it is."""
-        return self.store.standing(monotonic_ms()).failing
+        return self.store.status(monotonic_ms()).failing
 
     def read(self, kind: StateKind) -> list[tuple[str, Any, TrustLevel]]:
         """Key, value and trust of what was found at the start, by the table, as the store is held to be now.
@@ -146,20 +158,22 @@
 
     def sign(self) -> FolderPosition:
         """How far this folder has come, for others; of life 0 until it is settled."""
-        sign = self.store.sign()
-        self._told = sign if sign.life else self._told
+        sign = self.store.position()
+        self._told = sign if sign.incarnation else self._told
         return sign
 
     def heard_sign(self, sign: FolderPosition) -> bool:
         """Another member's word of a sign that it heard of this one. False: it is a later one than this
         folder has, which is an older copy; the store is in part from then on."""
-        if sign.mark != self._found.mark or (sign.life, sign.number) <= self._passed:
+        if sign.disk_id != self._found.disk_id or (sign.incarnation, sign.number) <= self._passed:
             return True
-        here = sign.life > self._found.life and self._told.life  # of this life; else of what was found
+        here = (
+            sign.incarnation > self._found.incarnation and self._told.incarnation
+        )  # of this life; else of what was found
         mine = self._told if here else self._found
-        why = rollback_reason(FolderState(sign=mine), [sign])
+        why = rollback_reason(FolderState(position=mine), [sign])
         if why:
-            self._later = max(self._later, (sign.life, sign.number))
+            self._later = max(self._later, (sign.incarnation, sign.number))
             if self.why != why[: k.MAX_REASON_LENGTH]:
                 self._doubt(why[: k.MAX_REASON_LENGTH])
         return not why
@@ -169,7 +183,7 @@
         self._doubt(why)
 
     def _doubt(self, why: str) -> None:
-        self.whole, self.why, self.sure = StoreCondition.PART, why, 0
+        self.whole, self.why, self.sure = StoreCondition.PARTIAL, why, 0
         self._put(k.DOUBT, k.LAST, k.encode_entry(self._clock(), why))
         self._put(k.COMPLETE, k.LAST, None)
         self._note("the store is in part", {"why": why})
@@ -182,7 +196,7 @@
     def confirm(self) -> None:
         """Others confirmed what was found: the store is whole from now on, and in lives to come. Raises
         nothing; what a keeper knows of its grants is another matter."""
-        self.whole, self.why, self._passed = StoreCondition.WHOLE, "", self._later
+        self.whole, self.why, self._passed = StoreCondition.INTACT, "", self._later
         self._put(k.DOUBT, k.LAST, None)
         self.store.core.confirm()
         if self._loop is not None:
@@ -215,12 +229,14 @@
     def homes(self) -> list[tuple[str, Any]]:
         """Homes of sessions that were kept; no hints: a number that is over may have been given anew."""
         return [
-            (key, value) for key, value, trust in self.read(StateKind.HOMES) if trust is not TrustLevel.HINT
+            (key, value)
+            for key, value, trust in self.read(StateKind.PLACEMENTS)
+            if trust is not TrustLevel.HINT
         ]
 
     def keep_home(self, key: str, value: Any | None) -> bool:
         """As `keep`, of one session."""
-        return self.keep(StateKind.HOMES, key, value)
+        return self.keep(StateKind.PLACEMENTS, key, value)
 
     def keep_sure(self, members: int) -> None:
         """The keeper knows all that it granted, by this list of members; 0: it does not."""
