--- a/fawnwharf/durable_store/event_loop_store.py
+++ b/fawnwharf/durable_store/event_loop_store.py
@@ -1,15 +1,11 @@
 """A store driven by the event loop: after each iteration, at its due times, and as its writer answers."""
 
 from collections.abc import Callable
-from fawnwharf.durable_store.store import CommitCallback
-from fawnwharf.durable_store.store import Store
-from fawnwharf.net.event_loop import EventLoop
-from fawnwharf.net.event_loop import READ
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
-from typing import Any
-from typing import BinaryIO
+from typing import Any, BinaryIO
 
+from fawnwharf.durable_store.store import CommitCallback, Store
+from fawnwharf.net.event_loop import READ, EventLoop
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 FULL_PIPE_RETRY_MS = 4.0  # interval of writing to a writer process whose pipe is full
 
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -1,27 +1,22 @@
 """The store of a running front end: its folder and the boot's mark, on the loop."""
 
 from collections.abc import Callable
-from fawnwharf.config import ConfigError
-from fawnwharf.config import Deployment
-from fawnwharf.config import Fleet
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
-from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.durable_store.folder_reader import FolderState
-from fawnwharf.durable_store.folder_reader import rollback_reason
-from fawnwharf.durable_store.store import StoreOwner
-from fawnwharf.durable_store.store import open_store
-from fawnwharf.durable_store.store import unix_ms
+from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState, rollback_reason
+from fawnwharf.durable_store.store import StoreOwner, open_store, unix_ms
 from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.trust import AgeSettings
-from fawnwharf.recovery_core.trust import ClockReading
-from fawnwharf.recovery_core.trust import StateKind
-from fawnwharf.recovery_core.trust import StoreCondition
-from fawnwharf.recovery_core.trust import TrustLevel
+from fawnwharf.recovery_core.trust import AgeSettings, ClockReading, StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service import stored_state as k
 from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.recovery_service.stored_promises import StoredPromises
@@ -29,10 +24,6 @@
 from fawnwharf.replication.settings import parse_settings as state_settings
 from fawnwharf.zones.files import load_file
 from fawnwharf.zones.settings import membership_from
-from pathlib import Path
-from typing import Any
-import msgspec
-
 
 LOCK_S = 3.0  # a writer of a process that was killed has the folder until its last job is done
 CLOSE_MS = 1_000.0  # for the last groups, and the word that it ended in order
--- a/tests/durable_store/test_durable_store_folder.py
+++ b/tests/durable_store/test_durable_store_folder.py
@@ -1,29 +1,27 @@
 """The durable store in real folders: kills, slow disks, what is refused, and the command."""
 
+import os
+import shutil
+import signal
+import subprocess
+import sys
+import time
+
+import msgspec
+import pytest
+from typer.testing import CliRunner
+
 from fawnwharf.cli import app
-from fawnwharf.consensus.records import encode_record
-from fawnwharf.consensus.records import leading_records
+from fawnwharf.consensus.records import encode_record, leading_records
 from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store import folder
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
 from fawnwharf.durable_store.file_format import Durability
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.durable_store.store import StoreOwner
-from fawnwharf.durable_store.store import inspect_folder
-from fawnwharf.durable_store.store import open_store
+from fawnwharf.durable_store.store import StoreOwner, inspect_folder, open_store
 from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from typer.testing import CliRunner
-import msgspec
-import os
-import pytest
-import shutil
-import signal
-import subprocess
-import sys
-import time
-
 
 LIMITS = f.StoreLimits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
 KINDS = [f.EntryKind("term", Durability.SYNCED, 4, 500), f.EntryKind("use", Durability.DELAYED)]
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -1,23 +1,18 @@
 """A front end with a door, orders held back and a loader of its own, on its real loop, by real sockets."""
 
+import pytest
+from peers import ROW, SETTINGS, Rig, ScorerPeer
+
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.front_end import scorer_number
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import fleet_limits
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import allowed_in_phase
-from fawnwharf.recovery_service.actions import CopyAvailable
-from fawnwharf.recovery_service.actions import LoadOrder
-from fawnwharf.recovery_service.actions import SlowStartPermit
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_service.actions import CopyAvailable, LoadOrder, SlowStartPermit
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
 from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
-from peers import ROW
-from peers import Rig
-from peers import SETTINGS
-from peers import ScorerPeer
-import pytest
 
 
 class Loading(ScorerPeer):
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -1,14 +1,15 @@
 """Recovery over real sockets: three front ends with stores, boots' marks in files, calls and `status`."""
 
-from fawnwharf import interface as io
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.trust import StoreCondition
-from support.recovery_front_ends import Site
 import json
-import pytest
 import shutil
 import time
 
+import pytest
+from support.recovery_front_ends import Site
+
+from fawnwharf import interface as io
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.trust import StoreCondition
 
 RETURN = ["listening", "repeats", "worth", "rest", "renewal", "spill"]
 
