--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -68,9 +68,17 @@
 class OperatorsPart(Part, Protocol):
     """What operators ask, in a running front end."""
 
-    replaced: bool  # another process has taken this one's place
-    takes_over: bool  # this one is about to take another process's place
-    busy: bool  # something is still to be given to it
+    @property
+    def replaced(self) -> bool:
+        """Whether another process has taken over from this one."""
+
+    @property
+    def takes_over(self) -> bool:
+        """Whether this process is about to take over from another one."""
+
+    @property
+    def busy(self) -> bool:
+        """Whether a hand-off is still going on."""
 
     def begin(self) -> None:
         """The front end starts."""
