--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -58,18 +58,18 @@
 
 @pytest.mark.parametrize(("data", "wanted"), [case[1:] for case in READS], ids=[case[0] for case in READS])
 @pytest.mark.parametrize("piece", [1, 7, 1 << 20])
-def test_a_call_is_read_from_pieces_of_any_size(data, wanted, piece):
+def test_a_request_is_read_from_chunks_of_any_size(data, wanted, piece):
     reader, found = RequestReader(), None
     for at in range(0, len(data), piece):
         found = reader.feed(data[at : at + piece])
     assert (found.status if isinstance(found, AdminResponse) else found) == wanted
 
 
-def test_an_answer_is_one_line_whatever_a_caller_wrote():
+def test_a_response_is_one_line_whatever_the_request_contains():
     head, body = encode_response(AdminResponse(404, "no scorer a\r\nb\n")).split(b"\r\n\r\n")
-    assert (
-        body == b"no scorer a??b?\n" and b"Content-Length: 16" in head and head.startswith(b"HTTP/1.1 404 ")
-    )
+    assert body == b"no scorer a??b?\n"
+    assert b"Content-Length: 16" in head
+    assert head.startswith(b"HTTP/1.1 404 ")
 
 
 def request(path, method="POST", *targets):
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize(
     ("before", "call", "status", "effect"), [c[1:] for c in COMMANDS], ids=[c[0] for c in COMMANDS]
 )
-def test_what_a_call_means(before, call, status, effect):
+def test_commands_have_their_status_and_effect(before, call, status, effect):
     handler = CommandHandler({"s-1", "s-2"}.__contains__, serving=True)
     for earlier in before:
         handler.handle(earlier)
@@ -116,15 +116,15 @@
     assert (answer.status, found) == (status, effect)
 
 
-def test_one_that_starts_or_leaves_is_not_ready_and_takes_no_drain():
-    handler = CommandHandler(lambda scorer_id: True)
+def test_a_front_end_that_starts_or_shuts_down_is_not_ready_and_not_drained():
+    handler = CommandHandler(lambda _scorer_id: True)
     assert handler.handle(request("/status", "GET"))[0].status == 503
     handler.serving = handler.shutting_down = True
     assert handler.handle(request("/status", "GET"))[0].status == 503
     assert [handler.handle(request(path))[0].status for path in ("/standby", "/active")] == [409, 409]
 
 
-def test_one_taken_out_that_has_gone_may_be_brought_back_and_then_nobody_has_it():
+def test_a_removed_scorer_may_leave_maintenance_once():
     known = {"s-1"}
     handler = CommandHandler(known.__contains__)
     handler.handle(request(ENTER, "POST", "s-1"))
@@ -132,7 +132,7 @@
     assert [handler.handle(request(EXIT, "POST", "s-1"))[0].status for _ in range(2)] == [200, 404]
 
 
-def test_an_overlay_only_closes_holds_whatever_is_told_and_brings_back_cold():
+def test_a_roster_overlay_closes_scorers_and_restores_them_with_a_slow_start():
     overlay = Overlay()
     member = Member("s-1", "in_service", "127.0.0.1:1", locality="a")
     overlay.told(Fleet([member, Member("s-2", "in_service", "127.0.0.1:2")], complete=True))
@@ -149,16 +149,16 @@
     assert overlay.told(Fleet([member], complete=True)).members[0].up_since_ms == 5000.0
 
 
-def test_a_faulty_second_address_is_named_by_its_key():
+def test_an_invalid_admin_address_is_reported_by_its_key():
     base = {"settings": {}, "changelog": "127.0.0.1:1", "listen": "127.0.0.1:0"}
     assert deployment_from(base, {}).control is None
     assert deployment_from(base | {"control": "127.0.0.1:5"}, {}).control == ("127.0.0.1", 5)
     assert deployment_from(base, {"ROUTER_CONTROL": "127.0.0.1:6"}).control == ("127.0.0.1", 6)
-    with pytest.raises(ConfigError, match="^control: "):
+    with pytest.raises(ConfigError, match=r"^control: "):
         deployment_from(base | {"control": "here"}, {})
 
 
-class Operated(Rig):
+class RigWithAdmin(Rig):
     """A front end in this thread that operators may call."""
 
     def __init__(self, *scorers, **more):
@@ -186,13 +186,13 @@
 
 class Case(unittest.TestCase):
     def rig(self, *peers, **more):
-        rig = Operated(*peers, **more)
+        rig = RigWithAdmin(*peers, **more)
         self.addCleanup(rig.close)
         return rig
 
 
-class SecondAddress(Case):
-    def test_callers_that_finish_nothing_keep_no_other_from_an_answer_and_end_in_time(self):
+class AdminAddress(Case):
+    def test_incomplete_requests_time_out_and_do_not_block_others(self):
         rig = self.rig(ScorerPeer())
         idle = [rig.caller() for _ in range(admin_listener.MAX_CONNECTIONS)]
         for caller in idle[::2]:
@@ -200,14 +200,14 @@
         rig.until(
             lambda: len(rig.admin.listener.connections) == admin_listener.MAX_CONNECTIONS, "all are held"
         )
-        self.assertEqual(rig.ask("/status", "GET"), 200)
-        self.assertTrue(idle[0].ended or idle[1].ended)  # the oldest gave way
+        assert rig.ask("/status", "GET") == 200
+        assert idle[0].ended or idle[1].ended  # the oldest gave way
         with mock.patch.object(admin_listener, "REQUEST_TIMEOUT_MS", 50.0):
             rig.until(lambda: all(caller.ended for caller in idle), "the others are ended in time")
-        self.assertIn(b" 408 ", bytes(idle[-2].data))
+        assert b" 408 " in bytes(idle[-2].data)
         rig.until(lambda: not rig.admin.listener.connections, "no descriptor is left")
 
-    def test_a_call_is_answered_in_a_turn_that_clients_fill(self):
+    def test_a_request_is_answered_in_an_iteration_that_clients_fill(self):
         rig = self.rig(ScorerPeer(copies=None))
         clients = [rig.client() for _ in range(8)]
         for client in clients:
@@ -221,11 +221,11 @@
                 client.call()
             rig.front.loop.turn(0.2)
         caller.pump()
-        self.assertIn(b" 200 ", bytes(caller.data))
+        assert b" 200 " in bytes(caller.data)
 
 
-class TakingOut(Case):
-    def test_nothing_new_goes_there_whatever_the_change_log_says_until_it_is_called_back(self):
+class Maintenance(Case):
+    def test_a_scorer_in_maintenance_gets_nothing_new_whatever_the_change_log_reports(self):
         one, two = ScorerPeer("s-1"), ScorerPeer("s-2")
         rig = self.rig(one, two)
         client = rig.client()
@@ -234,28 +234,28 @@
         home, other = (one, two) if one.runs else (two, one)
         home.answer(home.runs[0])
         rig.until(lambda: client.answers, "it is served")
-        self.assertEqual(rig.ask(f"{ENTER}?target={home.id}"), 200)
+        assert rig.ask(f"{ENTER}?target={home.id}") == 200
         rig.log.say({"seq": 2, "fleet": {"members": [home.member()]}})
         rig.until(lambda: rig.front.changelog.seq == 2, "the log has it in service")
         client.call()
         rig.until(lambda: other.runs, "the next goes elsewhere")
-        self.assertEqual(len(home.runs), 1)
+        assert len(home.runs) == 1
         worker = rig.front.router.workers[worker_number(home.id)]
-        self.assertIs(worker.entry.state, ScorerState.DRAINING)
+        assert worker.entry.state is ScorerState.DRAINING
         before = rig.front.loop.clock.now_ms()
-        self.assertEqual(rig.ask(f"{EXIT}?target={home.id}"), 200)
+        assert rig.ask(f"{EXIT}?target={home.id}") == 200
         rig.until(lambda: worker.entry is not None and rig.front.router.workers[worker.id].entry.state == 1)
-        self.assertGreaterEqual(worker.started_ms, before)  # it is cold, and its copies are gone
+        assert worker.started_ms >= before  # it is cold, and its copies are gone
         router = rig.front.router
-        self.assertEqual({router._copies(fn, worker) for fn in router.functions.values()}, {0})
+        assert {router._copies(fn, worker) for fn in router.functions.values()} == {0}
 
-    def test_with_all_scorers_out_each_call_still_has_its_one_answer(self):
+    def test_with_all_scorers_in_maintenance_each_call_gets_one_answer(self):
         rig = self.rig(ScorerPeer("s-1"))
         client = rig.client()
-        self.assertEqual(rig.ask(f"{ENTER}?target=s-1"), 200)
+        assert rig.ask(f"{ENTER}?target=s-1") == 200
         seqid = client.call(ttl="200")
         rig.until(lambda: client.answers, "it is answered")
-        self.assertEqual(client.kinds(), {seqid: "throttled"})
+        assert client.kinds() == {seqid: "throttled"}
 
 
 class Draining(Case):
@@ -265,25 +265,25 @@
         rig.until(lambda: seqid in client.kinds(), "the status comes")
         return next(content[3] for number, _, content in client.answers if number == seqid)
 
-    def test_kept_connections_are_used_on_at_first_and_end_when_nothing_is_open_on_them(self):
+    def test_connections_are_served_at_first_and_end_when_idle(self):
         scorer = ScorerPeer(copies=4)
         rig = self.rig(scorer)
         idle, busy = rig.client(), rig.client()
         busy.call()
         rig.until(lambda: len(scorer.runs) == 1, "it runs")
-        self.assertEqual(rig.ask("/standby"), 200)
-        self.assertEqual(rig.ask("/status", "GET"), 503)
+        assert rig.ask("/standby") == 200
+        assert rig.ask("/status", "GET") == 503
         idle.call()
         rig.until(lambda: len(scorer.runs) == 2, "a kept connection is used on")
         scorer.answer(scorer.runs[1])
         rig.until(lambda: idle.ended, "and ended once it is idle")
-        self.assertEqual(list(idle.kinds().values()), ["answer"])
-        self.assertFalse(busy.ended)
+        assert list(idle.kinds().values()) == ["answer"]
+        assert not busy.ended
         scorer.answer(scorer.runs[0])
         rig.until(lambda: busy.ended, "the busy one is ended after its answer")
-        self.assertEqual(list(busy.kinds().values()), ["answer"])
+        assert list(busy.kinds().values()) == ["answer"]
 
-    def test_a_connection_that_never_falls_idle_has_its_calls_refused_in_the_end(self):
+    def test_calls_on_a_connection_that_is_never_idle_are_rejected_in_the_end(self):
         scorer = ScorerPeer(copies=4)
         rig = self.rig(scorer)
         client = rig.client()
@@ -293,11 +293,11 @@
         rig.after(draining.REJECT_AFTER_MS + 50.0)
         second = client.call()
         rig.until(lambda: client.answers, "the second is answered at once")
-        self.assertEqual(client.kinds(), {second: "throttled"})
+        assert client.kinds() == {second: "throttled"}
         scorer.answer(scorer.runs[0])
         rig.until(lambda: client.ended, "and then nothing holds the connection")
 
-    def test_back_to_work_at_once_with_all_that_was_learnt_and_twice_is_no_harm(self):
+    def test_active_resumes_at_once_with_the_learned_state_and_is_idempotent(self):
         scorer = ScorerPeer(copies=4)
         rig = self.rig(scorer)
         first = rig.client()
@@ -307,16 +307,16 @@
         rig.until(lambda: first.answers, "a copy is known")
         loads = [f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"]
         for path in ("/active", "/standby", "/standby"):
-            self.assertEqual(rig.ask(path), 200)
+            assert rig.ask(path) == 200
         rig.after(draining.REJECT_AFTER_MS + 50.0)
         client = rig.client()
-        self.assertFalse(self.status(rig, client))
+        assert not self.status(rig, client)
         began = time.monotonic()
-        self.assertEqual(rig.ask("/active"), 200)
-        self.assertEqual(rig.ask("/status", "GET"), 200)
-        self.assertLess(time.monotonic() - began, 2.0)
+        assert rig.ask("/active") == 200
+        assert rig.ask("/status", "GET") == 200
+        assert time.monotonic() - began < 2.0
         client = rig.client()
-        self.assertTrue(self.status(rig, client))
+        assert self.status(rig, client)
         client.call()
         rig.until(lambda: len(scorer.runs) == 2, "it serves")
-        self.assertEqual([f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"], loads)  # no load
+        assert [f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"] == loads  # no load
--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize(
     ("words", "wanted", "phase"), [c[1:] for c in SEQUENCES], ids=[c[0] for c in SEQUENCES]
 )
-def test_what_follows_for_the_old_process(words, wanted, phase):
+def test_actions_of_the_hand_off_source(words, wanted, phase):
     source = handoff_source.HandoffSource(ADDRESS)
     assert [apply_step(source, word) for word in words.split()] == wanted
     assert source.phase is phase
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(("words", "wanted"), HAND_OFFS, ids=[case[0] for case in HAND_OFFS])
-def test_a_connection_goes_over_with_nothing_open_and_what_is_unwritten_at_the_end_only(words, wanted):
+def test_a_connection_is_handed_off_without_open_requests_and_with_unwritten_bytes_at_the_end(words, wanted):
     source = handoff_source.HandoffSource(ADDRESS)
     for word in words.split():
         apply_step(source, word)
@@ -104,7 +104,7 @@
     assert found == wanted
 
 
-def test_one_that_ends_awaits_the_process_before_it_for_a_while():
+def test_a_shutdown_awaits_the_predecessor_for_a_limited_time():
     source = handoff_source.HandoffSource(ADDRESS)
     for word in ("hello", "ready"):
         apply_step(source, word)
@@ -123,7 +123,7 @@
 @given(
     st.lists(st.sampled_from(["hello", "newer", "other", "ready", "lost", "leave@0", "look@1", "look@999"]))
 )
-def test_whatever_comes_in_whatever_order_it_accepts_exactly_while_it_does_not_give(words):
+def test_in_any_order_of_events_it_accepts_exactly_while_it_does_not_hand_off(words):
     source, accepts = handoff_source.HandoffSource(ADDRESS), True
     for word in words:
         what = apply_step(source, word)
@@ -133,14 +133,14 @@
 
 @given(st.binary(max_size=300_000))
 @settings(max_examples=20)
-def test_parts_make_the_whole_again(data):
+def test_chunks_contain_all_data_in_messages_of_limited_size(data):
     found = [h.decode(h.encode(part)) for part in h.chunks(data)]
     assert b"".join(part.data for part in found) == data
     assert all(len(h.encode(part)) < handoff_channel.MAX_MESSAGE_BYTES for part in found)
 
 
 @given(st.binary(max_size=200))
-def test_bytes_from_anywhere_are_a_message_or_none(data):
+def test_any_bytes_are_decoded_or_rejected(data):
     h.decode(data)
     assert m.decode(data) is None
 
@@ -172,32 +172,30 @@
 
 
 @pytest.mark.parametrize("later", [0.0, 700.0])
-def test_what_was_learnt_is_the_same_in_the_next_process_whose_clock_is_another(later):
+def test_learned_state_is_the_same_in_a_process_with_another_clock(later):
     drive = used()
     learned = m.decode(m.encode(m.capture(drive.router, {"s-2", "s-1"}, drive.now, 5_000.0)))
     other = Drive(workers=4).router
     m.restore(other, learned, 123_456.0 + later, 5_000.0 + later)
     again = m.capture(other, set(learned.in_maintenance), 123_456.0, 5_000.0)
-    assert (
-        learned.in_maintenance == ["s-1", "s-2"]
-        and len(learned.functions) == 3
-        and any(f.copies for f in learned.functions)
-    )
+    assert learned.in_maintenance == ["s-1", "s-2"]
+    assert len(learned.functions) == 3
+    assert any(f.copies for f in learned.functions)
     learned.scorers.sort(key=lambda s: s.scorer)
     again.scorers.sort(key=lambda s: s.scorer)
     assert is_equal(learned, again)
 
 
-def test_scorers_that_the_new_roster_does_not_have_are_left_aside():
+def test_learned_state_of_scorers_missing_in_the_roster_is_ignored():
     drive = used()
     learned = m.capture(drive.router, set(), drive.now, 0.0)
     other = Drive(workers=1).router
     m.restore(other, learned, 500.0, 0.0)
-    assert {id for fn in other.functions.values() for id in fn.instances} <= {1}
+    assert {scorer for fn in other.functions.values() for scorer in fn.instances} <= {1}
 
 
 @given(at=st.integers(0, 400), bit=st.integers(0, 7), cut=st.booleans())
-def test_a_memory_that_was_changed_anywhere_is_none(at, bit, cut):
+def test_damaged_or_truncated_learned_state_is_rejected(at, bit, cut):
     data = bytearray(m.encode(m.LearnedState(1.0, ["s-1"], request_ages=[1.0] * 50)))
     at %= len(data)
     if cut:
@@ -208,7 +206,7 @@
 
 
 @pytest.mark.parametrize(("age", "wanted"), [(0.0, True), (20_000.0, True), (20_001.0, False), (-1.0, False)])
-def test_beliefs_of_another_time_are_left_aside_and_so_are_those_of_another_boot(age, wanted):
+def test_learned_state_that_is_old_or_of_another_boot_is_not_fresh(age, wanted):
     assert m.is_fresh(m.LearnedState(50_000.0, []), 50_000.0 + age) is wanted
 
 
@@ -261,7 +259,7 @@
     return [message for message, _ in filter(None, found)]
 
 
-def test_one_that_ends_while_it_is_given_something_costs_no_connection(rig):
+def test_a_successor_that_ends_during_a_hand_off_costs_no_connection(rig):
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs")
@@ -278,16 +276,17 @@
 
     with (
         mock.patch.object(rig.front.port, "give", broken),
-        mock.patch.object(h, "chunks", lambda data: [h.Chunk(b"")]),
+        mock.patch.object(h, "chunks", return_value=[h.Chunk(b"")]),
     ):
         rig.until(lambda: held not in rig.front.port.clients, "it was given, and came back")
     rig.until(lambda: client.answers, "its answer is there")
     client.call()
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "and it is served on")
-    assert not client.ended and not any("fault" in line for line in rig.lines)
+    assert not client.ended
+    assert not any("fault" in line for line in rig.lines)
 
 
-def test_one_that_asks_and_is_gone_at_once_is_no_fault(rig):
+def test_a_successor_that_ends_at_once_causes_no_fault(rig):
     for version in (h.VERSION, h.VERSION + 1):
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
             with rig.admin.hot_restart.directory.socket_address() as address:
@@ -299,8 +298,8 @@
     assert not any("fault" in line for line in rig.lines)
 
 
-def test_parts_of_what_is_not_sent_whole_are_taken_back_with_it():
-    loop = Loop(lambda now_ms, events: None, mock.Mock())
+def test_chunks_of_an_unsent_connection_are_taken_back_with_it():
+    loop = Loop(lambda _now_ms, _events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     back = []
     channel = handoff_channel.HandoffChannel(
@@ -317,27 +316,28 @@
     assert channel.has_unsent
     far.close()
     loop.turn(1.0)
-    assert b"".join(message.data for message, _ in back[:-1]) == data and back[-1][0] == h.ConnectionHandoff(
-        b"half"
-    )
+    assert b"".join(message.data for message, _ in back[:-1]) == data
+    assert back[-1][0] == h.ConnectionHandoff(b"half")
     loop.close()
 
 
-def test_too_many_descriptors_on_their_way_are_waited_for():
-    loop = Loop(lambda now_ms, events: None, mock.Mock())
+def test_sending_continues_after_too_many_descriptors_in_transit():
+    loop = Loop(lambda _now_ms, _events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     channel = handoff_channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
     with mock.patch.object(handoff_channel, "send", side_effect=OSError(109, "too many references")):
         channel.send(h.ConnectionHandoff(), near.dup())
-    assert channel.has_unsent and not channel.closed
+    assert channel.has_unsent
+    assert not channel.closed
     loop.turn(1.0)
-    assert not channel.has_unsent and handoff_channel.receive(far)[1] is not None
+    assert not channel.has_unsent
+    assert handoff_channel.receive(far)[1] is not None
     channel.close()
     far.close()
     loop.close()
 
 
-def test_what_operators_ask_reaches_the_process_at_the_other_end_of_three(rig):
+def test_a_command_reaches_the_process_at_the_other_end_of_three(rig):
     oldest, newest = connect_predecessor(rig), connect_successor(rig)
     messages(newest)
     for sock, other in ((newest, oldest), (oldest, newest)):
@@ -348,7 +348,7 @@
         assert not messages(sock)  # and not back
 
 
-def test_one_that_ends_waits_for_what_the_process_before_has_still_to_give(rig):
+def test_a_shutdown_waits_for_what_the_predecessor_still_hands_off(rig):
     oldest, newest, said = connect_predecessor(rig), connect_successor(rig), []
     rig.admin.leave()
     assert rig.admin.busy
@@ -365,7 +365,7 @@
     assert rig.admin.commands.in_maintenance == {"s-1"}
 
 
-def test_one_given_while_nothing_is_read_is_not_read_either(rig):
+def test_a_connection_adopted_while_reading_is_paused_is_paused_too(rig):
     rig.front.port.pause(True)
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = Buffered(socket.create_connection(server.getsockname()))
@@ -377,7 +377,7 @@
     client.sock.close()
 
 
-def test_on_standby_with_the_place_taken_no_connection_is_ended_and_no_call_refused(rig):
+def test_on_standby_with_a_successor_no_connection_ends_and_no_call_is_rejected(rig):
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs")
@@ -391,7 +391,7 @@
     assert not client.answers
 
 
-def test_a_call_that_comes_before_the_other_process_can_be_told_reaches_it_all_the_same(rig):
+def test_a_command_before_the_start_reaches_the_predecessor_at_the_start(rig):
     other = service.AdminService(rig.front, ("127.0.0.1", 0))
     other.handle(AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),)))
     with mock.patch.object(HotRestart, "send_command") as send_command:
@@ -401,7 +401,7 @@
     rig.front.admin = rig.admin
 
 
-def test_the_file_is_the_newer_ones_where_another_process_has_the_place(rig):
+def test_a_process_does_not_overwrite_the_state_file_of_a_newer_one(rig):
     hot_restart = rig.admin.hot_restart
     hot_restart.write_state()
     assert hot_restart.directory.read_state()
@@ -412,7 +412,7 @@
     listener.close()
 
 
-def test_one_that_ends_and_loses_the_next_leaves_the_meeting_place_to_whoever_has_it(rig):
+def test_a_shutdown_without_successor_leaves_the_directory_to_a_newer_process(rig):
     sock = connect_successor(rig)
     listener = HandoffListener(rig.front.loop, rig.admin.hot_restart.directory, mock.Mock())
     rig.admin.leave()
--- a/tests/admin/test_admin_handoff_event_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("why", ["leaving", "standby", "neither"])
-def test_once_the_other_process_is_gone_it_says_good_only_where_it_takes_work(rig, why):
+def test_after_the_successor_is_lost_readiness_is_that_of_this_process(rig, why):
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs, so that the connection stays here")
@@ -67,7 +67,7 @@
     assert good(rig, client) is (why == "neither")
 
 
-def test_a_process_that_stands_still_gets_nothing_more_and_its_connections_come_back(rig):
+def test_a_stalled_successor_is_given_up_and_its_connections_come_back(rig):
     sock = connect_successor(rig)
     channel = rig.admin.hot_restart.successor
     refused = mock.patch.object(handoff_channel, "send", side_effect=BlockingIOError)
@@ -78,14 +78,16 @@
         rig.until(lambda: rig.scorers[0].runs, "it runs")
         rig.scorers[0].answer(rig.scorers[0].runs[0])
         rig.until(lambda: client.answers and not rig.front.port.clients, "its connection is on its way")
-        assert channel.has_unsent and not channel.closed
+        assert channel.has_unsent
+        assert not channel.closed
         channel._progress_ms -= hot_restart.STALL_TIMEOUT_MS
         rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
-    assert rig.front.port.clients and good(rig, client) is True
+    assert rig.front.port.clients
+    assert good(rig, client) is True
     assert not ready(sock, 0.0) or handoff_channel.receive(sock)
 
 
-def test_a_fault_in_a_look_at_what_is_to_be_given_is_not_the_last_one(rig):
+def test_an_error_in_a_hand_off_tick_does_not_end_the_ticks(rig):
     client = rig.client()
     rig.settle(client)
     with mock.patch.object(rig.front.port, "give", side_effect=RuntimeError("planted")) as give:
@@ -94,7 +96,7 @@
     rig.until(lambda: not rig.front.port.clients, "it is given")
 
 
-def test_a_fault_in_a_look_at_a_drain_or_in_tidying_is_not_the_last_one(rig):
+def test_an_error_in_a_drain_tick_or_in_tidying_does_not_end_them(rig):
     rig.admin.handle(AdminRequest("POST", "/standby"))
     with mock.patch.object(service.draining, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "it looks again")
@@ -103,7 +105,7 @@
 
 
 @pytest.mark.parametrize("fault", [ConfigError("held"), OSError("planted"), RuntimeError("planted")])
-def test_parts_come_back_after_any_fault_on_the_way(rig, fault):
+def test_extensions_are_reacquired_after_any_error(rig, fault):
     seam = mock.Mock(busy=False)
     seam.release.side_effect = RuntimeError("planted")
     seam.take_back.side_effect = [fault, None]
@@ -118,7 +120,7 @@
     rig.front._seam = None
 
 
-def test_an_answer_in_drops_is_not_waited_for_longer_than_one_that_does_not_come(tmp_path):
+def test_a_slow_answer_in_chunks_has_the_same_deadline(tmp_path):
     directory, now = HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as door:
         with directory.socket_address() as address:
@@ -131,14 +133,14 @@
             return h.Chunk(b"x"), None
 
         with (
-            mock.patch.object(handoff_request, "monotonic_ms", lambda: now[0]),
+            mock.patch.object(handoff_request, "monotonic_ms", side_effect=lambda: now[0]),
             mock.patch.object(handoff_request, "receive", drop),
         ):
             assert handoff_request.request_handoff(directory, ("127.0.0.1", 1)) is None
     assert now[0] <= 1e3 * handoff_request.ANSWER_TIMEOUT_S + 1_000.0
 
 
-def test_told_to_end_before_it_takes_the_place_it_leaves_the_place_alone():
+def test_a_successor_told_to_end_before_its_start_does_not_take_over():
     site = Site()
     try:
         with (
@@ -163,11 +165,12 @@
         site.close()
 
 
-def test_told_to_end_with_the_place_given_no_connection_is_ended_here(rig):
+def test_a_shutdown_during_the_hand_off_ends_no_connection(rig):
     client = rig.client()
     rig.settle(client)
     connect_successor(rig)
     rig.front.leave()
     rig.front._leaving._since_ms -= graceful_shutdown.LATE_ARRIVALS_MS
     rig.until(lambda: not rig.front.port.clients, "its connection is given")
-    assert not client.ended and rig.front.loop.running  # until the other one says that all has come
+    assert not client.ended
+    assert rig.front.loop.running
--- a/tests/admin/test_admin_hot_restart.py
+++ b/tests/admin/test_admin_hot_restart.py
@@ -27,7 +27,7 @@
 
 
 class Upgrade(Case):
-    def test_clients_of_every_kind_come_through_an_upgrade_under_load(self):
+    def test_clients_of_every_kind_survive_a_hot_restart_under_load(self):
         site = self.site(3, delay_s=0.05)
         old = site.start()
         first = site.served()
@@ -61,9 +61,9 @@
         site.until(lambda: unsent_of(site.listen.address, slow) > 0, "the long answer is half written")
         new = site.begin()
         site.until_ready(new)
-        self.assertLess(unsent_of(site.listen.address, slow), 150_000)
-        self.assertGreater(busy.open, 0)
-        self.assertLess(site.end(old), OUGHT_S)
+        assert unsent_of(site.listen.address, slow) < 150000
+        assert busy.open > 0
+        assert site.end(old) < OUGHT_S
         before = {caller: len(caller.seen) for caller in (*kept, busy, trickle, halves)}
         site.until(lambda: all(len(c.seen) > n + 3 for c, n in before.items()), "all are served by the new")
         site.habits.clear()
@@ -71,17 +71,17 @@
         trickle.outbox += pieces
         slow.reads = True
         self.settled(site)
-        self.assertGreater(len(site.gone), 10)
-        self.assertEqual([kind for caller in kept for _, kind, _ in caller.answers if kind != "answer"], [])
+        assert len(site.gone) > 10
+        assert [kind for caller in kept for _, kind, _ in caller.answers if kind != "answer"] == []
 
 
-class NewOneKilled(Case):
+class SuccessorKilled(Case):
     """The old one serves on, whatever becomes of the one that was to take its place."""
 
-    def taker(self, site):
+    def connected_successor(self, site):
         """A new process, played by the test, that was told all."""
         found = request_handoff(site.place, site.listen.address)
-        self.assertIsNotNone(found, "the old process answers")
+        assert found is not None, "the old process answers"
         for sock in (found.channel, found.listener):
             self.addCleanup(sock.close)
         return found.channel, found.learned, found.listener
@@ -97,7 +97,7 @@
         site.until(lambda: not any(caller.outbox for caller in rest), "half is sent")
         return rest
 
-    def test_while_it_connects(self):
+    def test_killed_while_it_connects(self):
         site = self.site()
         old = site.start()
         kept = site.served()
@@ -115,17 +115,17 @@
         site.served()
         self.settled(site)
         new = site.start()  # and the next one takes its place as if nothing had been
-        self.assertLess(site.end(old), OUGHT_S)
-        self.assertIn("hot restart: taking over", new.log)
+        assert site.end(old) < OUGHT_S
+        assert "hot restart: taking over" in new.log
         site.served(kept)
         self.settled(site)
 
-    def test_after_it_was_told_all_and_before_it_is_ready(self):
+    def test_killed_after_the_state_was_sent_and_before_it_is_ready(self):
         site = self.site()
         site.start()
         kept = site.served()
-        sock, memory, door = self.taker(site)
-        self.assertTrue(memory)
+        sock, memory, door = self.connected_successor(site)
+        assert memory
         site.served(kept)
         site.served()  # the old one still accepts
         sock.close()
@@ -134,20 +134,20 @@
         site.served()
         self.settled(site)
 
-    def test_right_after_it_is_ready_with_half_of_the_connections_given(self):
+    def test_killed_with_half_of_the_connections_handed_off(self):
         site = self.site()
         old = site.start()
         site.served()
         site.drop(site.callers[0])
         rest = self.half_asked(site, 24)
-        sock, _, door = self.taker(site)
+        sock, _, door = self.connected_successor(site)
         handoff_channel.send(sock, h.encode(h.Ready()), None)
         site.until_logged(old, "hot restart: handing off to the new process")
         sock.setblocking(True)
         sock.settimeout(10.0)
         given = [handoff_channel.receive(sock) for _ in range(2)]
         for message, carried in given:
-            self.assertIsInstance(message, h.ConnectionHandoff)
+            assert isinstance(message, h.ConnectionHandoff)
             carried.close()
         waiting = site.caller()  # in the queue of the listener, which nobody accepts from
         waiting.ask()
@@ -160,17 +160,17 @@
             caller.outbox += data
         site.until(lambda: all(c.ended or not c.open for c in rest), "those that were not sent are served")
         lost = [caller for caller in rest if caller.ended]
-        self.assertTrue(2 <= len(lost) < 16, len(lost))  # what was on its way went down with the other
+        assert 2 <= len(lost) < 16, len(lost)  # what was on its way went down with the other
         for caller in lost:
             site.callers.remove(caller)
         self.settled(site)
         new = site.start()
-        self.assertLess(site.end(old), OUGHT_S)
+        assert site.end(old) < OUGHT_S
         site.served()
-        self.assertIn("hot restart: taking over", new.log)
+        assert "hot restart: taking over" in new.log
         self.settled(site)
 
-    def test_a_real_one_killed_as_soon_as_it_is_ready(self):
+    def test_a_real_process_killed_as_soon_as_it_is_ready(self):
         site = self.site(delay_s=0.3)
         old = site.start()
         busy = self.busy(site)
@@ -184,7 +184,7 @@
         site.habits.clear()
         self.settled(site)
 
-    def test_what_is_unwritten_is_taken_back_whole(self):
+    def test_unwritten_bytes_are_taken_back_completely(self):
         site = self.site()
         old = site.start()
         site.served()
@@ -195,7 +195,7 @@
             caller.reads = False
         held = lambda: all(unsent_of(site.listen.address, caller) > 0 for caller in slow)  # noqa: E731
         site.until(held, "the long answers are half written")
-        sock, _, door = self.taker(site)
+        sock, _, door = self.connected_successor(site)
         handoff_channel.send(sock, h.encode(h.Ready()), None)
         site.until_logged(old, "hot restart: handing off to the new process")
         old.signal(signal.SIGTERM)
@@ -207,14 +207,14 @@
             caller.reads = True
         site.until(lambda: all(c.ended or not c.open for c in slow), "what is left of them is whole")
         back = [caller for caller in slow if not caller.ended or not caller.open]
-        self.assertGreaterEqual(len(back), 2)  # one was on its way; none is torn
-        self.assertEqual([text for caller in back for text in caller.faults], [])
+        assert len(back) >= 2  # one was on its way; none is torn
+        assert [text for caller in back for text in caller.faults] == []
         site.until(lambda: old.ended, "it ends after that")
-        self.assertEqual(old.child.returncode, 0)
+        assert old.child.returncode == 0
 
 
 class OldOneKilled(Case):
-    def test_in_the_middle_of_the_hand_over(self):
+    def test_killed_in_the_middle_of_the_hand_off(self):
         site = self.site(delay_s=0.2)
         old = site.start()
         busy, kept = self.busy(site), site.served()
@@ -241,14 +241,14 @@
         new = site.begin()
         sock, _ = door.accept()
         sock.settimeout(30.0)
-        self.assertEqual(handoff_channel.receive(sock)[0], h.Hello(h.VERSION, site.listen.address))
+        assert handoff_channel.receive(sock)[0] == h.Hello(h.VERSION, site.listen.address)
         say(sock)
         sock.close()
         return new
 
-    def test_by_each_step(self):
+    def test_predecessor_lost_at_each_step(self):
         for name, say in (
-            ("before a word", lambda sock: None),
+            ("before a word", lambda _sock: None),
             (
                 "amid what was learnt",
                 lambda sock: handoff_channel.send(sock, h.encode(h.Chunk(b"x" * 99)), None),
--- a/tests/admin/test_admin_hot_restart_overlap.py
+++ b/tests/admin/test_admin_hot_restart_overlap.py
@@ -14,57 +14,57 @@
 class Overlap(Case):
     def replaced(self, site, old, **env):
         new = site.start(**env)
-        self.assertLess(site.end(old), OUGHT_S)
+        assert site.end(old) < OUGHT_S
         return new
 
-    def test_one_that_is_stopped_is_passed_by_and_does_no_harm_when_it_runs_on(self):
+    def test_a_stopped_predecessor_is_skipped_and_harmless_when_it_continues(self):
         site = self.site(3)
         one, two, _ = site.scorers
         old = site.start()
         took_s = time.monotonic() - old.began  # which tells how busy the machine is
-        self.assertEqual(site.ask(old, ENTER + one.id), 200)
+        assert site.ask(old, ENTER + one.id) == 200
         old.signal(signal.SIGSTOP)
         self.addCleanup(old.signal, signal.SIGCONT)
         new = site.start()
-        self.assertLess(time.monotonic() - new.began, max(START_S, 4 * took_s))
-        self.assertIn("in maintenance since before this process: s-1", new.log)
-        self.assertEqual(site.ask(new, ENTER + two.id), 200)
+        assert time.monotonic() - new.began < max(START_S, 4 * took_s)
+        assert "in maintenance since before this process: s-1" in new.log
+        assert site.ask(new, ENTER + two.id) == 200
         old.signal(signal.SIGCONT)
         site.until_logged(old, "hot restart: another process requests")  # it reads what was asked long ago
         site.drop(site.served())  # by whichever has it
-        self.assertLess(site.end(old), OUGHT_S)
+        assert site.end(old) < OUGHT_S
         new.kill()
         last = site.start()  # and the file is the newer one's still
-        self.assertIn("in maintenance since before this process: s-1, s-2", last.log)
+        assert "in maintenance since before this process: s-1, s-2" in last.log
         self.settled(site)
 
-    def test_two_replacements_the_second_while_the_first_old_one_is_still_ending(self):
+    def test_a_second_hot_restart_while_the_first_predecessor_is_still_ending(self):
         site = self.site(delay_s=0.6)
         first = site.start()
         busy = self.busy(site)
         second = site.start()
         third = site.begin()
         site.until_logged(second, "hot restart: handing off to the new process")
-        self.assertEqual(site.ask(third, ENTER + "s-1"), 200)
+        assert site.ask(third, ENTER + "s-1") == 200
         site.until_logged(first, "/maintenance/enter: 200")  # by way of the second
-        self.assertLess(site.end(first, second), OUGHT_S)
+        assert site.end(first, second) < OUGHT_S
         before = len(busy.seen)
         site.until(lambda: len(busy.seen) > before + 4, "the third serves")
         site.habits.clear()
         self.settled(site)
         fourth = self.replaced(site, third)
-        self.assertIn("hot restart: taking over", fourth.log)
+        assert "hot restart: taking over" in fourth.log
         site.served(busy)
         self.settled(site)
 
-    def test_scorers_taken_out_at_either_address_stay_out_until_brought_back_at_the_new(self):
+    def test_maintenance_entered_at_either_address_lasts_until_exited_at_the_new_one(self):
         site = self.site(3)
         old = site.start()
-        self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
+        assert site.ask(old, ENTER + "s-1") == 200
         busy = self.busy(site)
         new = site.start()
-        self.assertEqual(site.ask(new, ENTER + "s-2"), 200)
-        self.assertEqual(site.ask(old, ENTER + "s-3"), 200)
+        assert site.ask(new, ENTER + "s-2") == 200
+        assert site.ask(old, ENTER + "s-3") == 200
         site.until_logged(new, "/maintenance/enter: 200 s-3")
         site.until_logged(old, "/maintenance/enter: 200 s-2")
         site.habits.clear()
@@ -73,75 +73,76 @@
         refused = site.caller()
         refused.ask(ttl="300")
         site.until(lambda: not refused.open, "nobody is left to serve")
-        self.assertLess(site.end(old), OUGHT_S)
+        assert site.end(old) < OUGHT_S
         last = self.replaced(site, new)
-        self.assertEqual([len(scorer.runs) for scorer in site.scorers], counts)
-        self.assertEqual(site.ask(last, EXIT + "s-2"), 200)
-        self.assertEqual(site.served().answers[0][1], "answer")
+        assert [len(scorer.runs) for scorer in site.scorers] == counts
+        assert site.ask(last, EXIT + "s-2") == 200
+        assert site.served().answers[0][1] == "answer"
         after = [len(scorer.runs) for scorer in site.scorers]
-        self.assertEqual([after[0], after[2]], [counts[0], counts[2]])
+        assert [after[0], after[2]] == [counts[0], counts[2]]
         self.settled(site)
 
-    def test_one_on_standby_is_replaced_by_one_that_is_ready(self):
+    def test_a_successor_of_a_process_on_standby_is_ready(self):
         site = self.site()
         old = site.start()
-        self.assertEqual(site.ask(old, "/standby"), 200)
+        assert site.ask(old, "/standby") == 200
         new = site.start()
-        self.assertEqual([site.ask(p, "/status", "GET") for p in (old, new)], [503, 200])
-        self.assertLess(site.end(old), OUGHT_S)
+        assert [site.ask(p, "/status", "GET") for p in (old, new)] == [503, 200]
+        assert site.end(old) < OUGHT_S
         site.served()
         self.settled(site)
 
-    def test_standby_at_either_address_while_both_run_is_the_new_ones(self):
+    def test_standby_at_either_address_applies_to_the_successor(self):
         site = self.site()
         old = site.start()
         busy = self.busy(site)
         kept = site.served()
         new = site.begin()
         site.until_logged(old, "hot restart: another process requests")
-        self.assertEqual(site.ask(old, "/standby"), 200)
+        assert site.ask(old, "/standby") == 200
         site.until_logged(old, "hot restart: handing off to the new process")
         if site.ask(new, "/status", "GET") != 200:  # it heard of it while it started
-            self.assertEqual(site.ask(new, "/active"), 200)
+            assert site.ask(new, "/active") == 200
         site.habits.clear()
         last = site.begin()
         site.until_ready(last)
-        self.assertEqual(site.ask(last, "/status", "GET"), 200)
-        self.assertEqual(site.ask(last, "/standby"), 200)
-        self.assertEqual(site.ask(last, "/status", "GET"), 503)
+        assert site.ask(last, "/status", "GET") == 200
+        assert site.ask(last, "/standby") == 200
+        assert site.ask(last, "/status", "GET") == 503
         for process in (old, new):
-            self.assertLess(site.end(process), OUGHT_S)
+            assert site.end(process) < OUGHT_S
         site.until(lambda: kept.ended and busy.ended, "kept connections end, and calls on them do not")
-        self.assertFalse(kept.open or busy.open)
-        self.assertEqual(site.ask(last, "/active"), 200)
+        assert not (kept.open)
+        assert not (busy.open)
+        assert site.ask(last, "/active") == 200
         site.callers.clear()
         site.served()
         self.settled(site)
 
-    def test_what_was_learnt_serves_from_the_first_call(self):
+    def test_learned_state_is_used_from_the_first_call(self):
         site = self.site(3)
         old = site.start()
         kept = site.served()
         self.replaced(site, old)
         loads = [list(scorer.loads) for scorer in site.scorers]
-        self.assertTrue(any(loads))
+        assert any(loads)
         site.served(kept)
         site.served()
-        self.assertEqual([kind for c in site.callers for _, kind, _ in c.answers], ["answer"] * 3)
-        self.assertEqual([scorer.loads for scorer in site.scorers], loads)
+        assert [kind for c in site.callers for _, kind, _ in c.answers] == ["answer"] * 3
+        assert [scorer.loads for scorer in site.scorers] == loads
         self.settled(site)
 
 
 class Leftovers(Case):
     """What lies where processes meet may be anything: a start goes on as if there were none."""
 
-    def test_a_file_that_is_no_memory_and_a_socket_of_the_dead(self):
+    def test_an_invalid_state_file_and_a_stale_socket_are_ignored(self):
         site = self.site()
         old = site.start()
-        self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
+        assert site.ask(old, ENTER + "s-1") == 200
         old.kill()
         good = site.place.state_path.read_bytes()
-        self.assertTrue(site.place.socket_path.exists())
+        assert site.place.socket_path.exists()
         site.place.state_path.write_bytes(good)
         for name, data in (
             ("torn", good[:-3]),
@@ -156,33 +157,33 @@
                 if data is not None:
                     site.place.state_path.write_bytes(data)
                 process = site.start()
-                self.assertNotIn("in maintenance", process.log)
-                self.assertEqual("can't be read" in process.log, bool(data))
+                assert "in maintenance" not in process.log
+                assert ("can't be read" in process.log) == bool(data)
                 site.drop(site.served())
                 process.kill()
         site.place.state_path.write_bytes(good)
-        self.assertIn("in maintenance since before this process: s-1", site.start().log)
+        assert "in maintenance since before this process: s-1" in site.start().log
         self.settled(site)
 
-    def test_another_front_end_of_the_same_folder_is_another(self):
+    def test_front_ends_that_share_a_folder_are_separate(self):
         site = self.site()
         old = site.start()
-        self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
+        assert site.ask(old, ENTER + "s-1") == 200
         with_name = site.start(ROUTER_NAME="fe-2")
-        self.assertNotIn("in maintenance", with_name.log)
-        self.assertNotIn("another process", old.log)
+        assert "in maintenance" not in with_name.log
+        assert "another process" not in old.log
 
-    def test_folders_that_can_be_used_and_that_can_not(self):
+    def test_folders_that_are_usable_and_not_usable(self):
         site = self.site()
         (site.folder / "file").touch()
         deep = site.folder / ("d" * 120) / ("e" * 120)
         deep.mkdir(parents=True)
         site.place = HandoffDirectory(str(deep), "fe-1", site.listen.address)
         old = site.start()
-        self.assertEqual(site.ask(old, ENTER + "s-1"), 200)
+        assert site.ask(old, ENTER + "s-1") == 200
         new = self.replace(site, old)
-        self.assertIn("in maintenance since before this process: s-1", new.log)
-        self.assertEqual(site.ask(new, EXIT + "s-1"), 200)
+        assert "in maintenance since before this process: s-1" in new.log
+        assert site.ask(new, EXIT + "s-1") == 200
         site.served()
         new.kill()
         unusable = [None, "", str(site.folder / "file"), str(site.folder / "nowhere"), "/proc", "x" * 5000]
@@ -190,14 +191,14 @@
         together = [site.begin(TMPDIR=folder) for folder in unusable]  # each beside the others
         for process in together:
             site.until_ready(process)
-            self.assertEqual(site.ask(process, ENTER + "s-1"), 200)
+            assert site.ask(process, ENTER + "s-1") == 200
         site.drop(site.served())
-        self.assertLess(site.end(*together), OUGHT_S)
+        assert site.end(*together) < OUGHT_S
         self.settled(site)
 
     def replace(self, site, old):
         new = site.start()
-        self.assertLess(site.end(old), OUGHT_S)
+        assert site.end(old) < OUGHT_S
         return new
 
 
--- a/tests/test_event_order_pages.py
+++ b/tests/test_event_order_pages.py
@@ -31,7 +31,7 @@
     """Functions and methods that pytest collects, by their names."""
     return {
         node.name
-        for path in TESTS.glob("test_*.py")
+        for path in TESTS.rglob("test_*.py")
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.FunctionDef) and node.name.startswith("test_")
     }
