--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -87,7 +87,7 @@
         front.port.waits_for.add(RECOVERY)
         front.changelog.may_begin_anew = True
         self.agent = RecoveryAgent(
-            self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
+            self.zones.entry.name, self.zones.core.membership.fleet, self.life, self.kept.boot, self._lists(),
             self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
             monotonic_ms(), settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
         )  # fmt: skip
@@ -164,7 +164,7 @@
     # --- what this front end knows of itself ------------------------------------------------------
 
     def _lists(self) -> MemberLists:
-        members = self.zones.core.members
+        members = self.zones.core.membership
         names = tuple(entry.name for entry in members.members)
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
         who = sorted((e.name, e.zone, e.region, bool(e.ballots), bool(e.state)) for e in members.members)
