--- a/tests/admin/test_admin_handoff_event_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -1,22 +1,27 @@
 """Hand-over between processes and what crosses it: each order forced, in the test's own thread."""
 
-import signal
-import socket
-import tempfile
-from unittest import mock
-
-import pytest
-from peers import PATIENCE_S, Rig, ScorerPeer, ready
-from processes import Site
-
-from fawnwharf.admin import handoff_channel, handoff_request, hot_restart, service
+from fawnwharf.admin import handoff_channel
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions, ExtensionState
+from fawnwharf.admin import handoff_request
+from fawnwharf.admin import hot_restart
+from fawnwharf.admin import service
+from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions
+from fawnwharf.admin.exclusive_extensions import ExtensionState
 from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.admin.handoff_request import InheritedState
 from fawnwharf.admin.http import AdminRequest
 from fawnwharf.config import ConfigError
 from fawnwharf.net import graceful_shutdown
+from peers import PATIENCE_S
+from peers import Rig
+from peers import ScorerPeer
+from peers import ready
+from processes import Site
+from unittest import mock
+import pytest
+import signal
+import socket
+import tempfile
 
 
 @pytest.fixture
@@ -52,7 +57,7 @@
 
 
 @pytest.mark.parametrize("why", ["leaving", "standby", "neither"])
-def test_once_the_other_process_is_gone_it_says_good_only_where_it_takes_work(rig, why):
+def test_after_the_successor_is_lost_readiness_is_that_of_this_process(rig, why):
     client = rig.client()
     client.call()
     rig.until(lambda: rig.scorers[0].runs, "it runs, so that the connection stays here")
@@ -67,7 +72,7 @@
     assert good(rig, client) is (why == "neither")
 
 
-def test_a_process_that_stands_still_gets_nothing_more_and_its_connections_come_back(rig):
+def test_a_stalled_successor_is_given_up_and_its_connections_come_back(rig):
     sock = connect_successor(rig)
     channel = rig.admin.hot_restart.successor
     refused = mock.patch.object(handoff_channel, "send", side_effect=BlockingIOError)
@@ -80,14 +85,16 @@
         rig.until(
             lambda: client.answers and not rig.front.client_port.clients, "its connection is on its way"
         )
-        assert channel.has_unsent and not channel.closed
+        assert channel.has_unsent
+        assert not channel.closed
         channel._progress_ms -= hot_restart.STALL_TIMEOUT_MS
         rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
-    assert rig.front.client_port.clients and good(rig, client) is True
+    assert rig.front.client_port.clients
+    assert good(rig, client) is True
     assert not ready(sock, 0.0) or handoff_channel.receive(sock)
 
 
-def test_a_fault_in_a_look_at_what_is_to_be_given_is_not_the_last_one(rig):
+def test_an_error_in_a_hand_off_tick_does_not_end_the_ticks(rig):
     client = rig.client()
     rig.settle(client)
     with mock.patch.object(rig.front.client_port, "hand_off", side_effect=RuntimeError("planted")) as give:
@@ -96,7 +103,7 @@
     rig.until(lambda: not rig.front.client_port.clients, "it is given")
 
 
-def test_a_fault_in_a_look_at_a_drain_or_in_tidying_is_not_the_last_one(rig):
+def test_an_error_in_a_drain_tick_or_in_tidying_does_not_end_them(rig):
     rig.admin.handle(AdminRequest("POST", "/standby"))
     with mock.patch.object(service.draining, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "it looks again")
@@ -105,7 +112,7 @@
 
 
 @pytest.mark.parametrize("fault", [ConfigError("held"), OSError("planted"), RuntimeError("planted")])
-def test_parts_come_back_after_any_fault_on_the_way(rig, fault):
+def test_extensions_are_reacquired_after_any_error(rig, fault):
     extension = mock.Mock(busy=False)
     extension.suspend.side_effect = RuntimeError("planted")
     extension.resume.side_effect = [fault, None]
@@ -120,7 +127,7 @@
     rig.front._extension = None
 
 
-def test_an_answer_in_drops_is_not_waited_for_longer_than_one_that_does_not_come(tmp_path):
+def test_a_slow_answer_in_chunks_has_the_same_deadline(tmp_path):
     directory, now = HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as door:
         with directory.socket_address() as address:
@@ -133,14 +140,14 @@
             return h.Chunk(b"x"), None
 
         with (
-            mock.patch.object(handoff_request, "monotonic_ms", lambda: now[0]),
+            mock.patch.object(handoff_request, "monotonic_ms", side_effect=lambda: now[0]),
             mock.patch.object(handoff_request, "receive", drop),
         ):
             assert handoff_request.request_handoff(directory, ("127.0.0.1", 1)) is None
     assert now[0] <= 1e3 * handoff_request.ANSWER_TIMEOUT_S + 1_000.0
 
 
-def test_told_to_end_before_it_takes_the_place_it_leaves_the_place_alone():
+def test_a_successor_told_to_end_before_its_start_does_not_take_over():
     site = Site()
     try:
         with (
@@ -165,11 +172,12 @@
         site.close()
 
 
-def test_told_to_end_with_the_place_given_no_connection_is_ended_here(rig):
+def test_a_shutdown_during_the_hand_off_ends_no_connection(rig):
     client = rig.client()
     rig.settle(client)
     connect_successor(rig)
     rig.front.shut_down()
     rig.front._shutdown._since_ms -= graceful_shutdown.LATE_ARRIVAL_MS
     rig.until(lambda: not rig.front.client_port.clients, "its connection is given")
-    assert not client.ended and rig.front.loop.running  # until the other one says that all has come
+    assert not client.ended
+    assert rig.front.loop.running
