--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -1,34 +1,26 @@
 """Operators' calls: tables for the pure parts, and one test with real sockets for each rule."""
 
-from fawnwharf.admin import admin_listener
-from fawnwharf.admin import draining
-from fawnwharf.admin import service
-from fawnwharf.admin.command_handler import CommandHandler
-from fawnwharf.admin.command_handler import EnterMaintenance
-from fawnwharf.admin.command_handler import EnterStandby
-from fawnwharf.admin.command_handler import ExitMaintenance
-from fawnwharf.admin.command_handler import ExitStandby
-from fawnwharf.admin.http import AdminRequest
-from fawnwharf.admin.http import AdminResponse
-from fawnwharf.admin.http import RequestReader
-from fawnwharf.admin.http import encode_response
-from fawnwharf.config import ConfigError
-from fawnwharf.config import Fleet
-from fawnwharf.config import Member
-from fawnwharf.config import deployment_from
-from fawnwharf.interface import ScorerState
-from fawnwharf.net.front_end import scorer_number
-from fawnwharf.net.roster_overlay import RosterOverlay
-from peers import Buffered
-from peers import ClientPeer
-from peers import Rig
-from peers import ScorerPeer
-from unittest import mock
-import pytest
 import socket
 import time
 import unittest
+from unittest import mock
 
+import pytest
+from peers import Buffered, ClientPeer, Rig, ScorerPeer
+
+from fawnwharf.admin import admin_listener, draining, service
+from fawnwharf.admin.command_handler import (
+    CommandHandler,
+    EnterMaintenance,
+    EnterStandby,
+    ExitMaintenance,
+    ExitStandby,
+)
+from fawnwharf.admin.http import AdminRequest, AdminResponse, RequestReader, encode_response
+from fawnwharf.config import ConfigError, Fleet, Member, deployment_from
+from fawnwharf.interface import ScorerState
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterOverlay
 
 CALL = b"POST /maintenance/enter?target=s-1 HTTP/1.1\r\nHost: x\r\n\r\n"
 BODY = b"POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
