--- a/fawnwharf/testbed/fleet.py
+++ b/fawnwharf/testbed/fleet.py
@@ -133,8 +133,8 @@
         self.notes.append(Noted(now, front.name, event, fields))
         if event == "following":
             front.plan, front.index = fields.get("zones", {}), fields.get("index", 0)
-            front.apart = fields.get("apart", [])
-        elif event == "on its own":
+            front.apart = fields.get("unreachable", [])
+        elif event == "standalone":
             front.plan = None
         elif event == "role":
             front.role = fields.get("role", "")
--- a/fawnwharf/zones/commands.py
+++ b/fawnwharf/zones/commands.py
@@ -101,7 +101,7 @@
 def _request(path: str, zone: str, wait_s: float, *, drained: bool) -> None:
     """Write an operator request, and wait until the fleet has decided as it says."""
     settings, membership = read_files(path)
-    request_path = _request_path(path, settings)
+    request_path = settings.operator_request_path(Path(path).parent)
     try:
         request = _next_request(request_path, set(membership.zones), zone, drained=drained)
     except s.SettingsFileError as error:
@@ -116,14 +116,6 @@
         fail(f"zones: not decided within {wait_s:g} s; the wish stands", 1)
 
 
-def _request_path(path: str, settings: s.ZoneSettings) -> Path:
-    """Where the operator requests to this member are."""
-    base = Path(path).parent
-    if settings.operator_request_file:
-        return base / settings.operator_request_file
-    return base / settings.state_folder / "wishes.json"
-
-
 def _next_request(path: Path, zones: set[str], zone: str, *, drained: bool) -> s.OperatorRequest:
     """The request that also drains a zone, or no longer; raises SettingsFileError for an invalid one."""
     before = s.OperatorRequest()
@@ -173,5 +165,5 @@
         f"fawnwharf: good: {len(membership.members)} members, zones {', '.join(membership.zones)}, "
         f"voters {voters}"
     )
-    if settings.operator_request_file or _request_path(zones, settings).exists():
+    if settings.operator_request_file or settings.operator_request_path(Path(zones).parent).exists():
         typer.echo("wishes stand; see zones show")
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -1,10 +1,10 @@
-"""Logs of members over TCP, in the change log's line form.
+"""Logs of members over TCP, in the form of the change log.
 
-A reader asks `since N` and gets numbered lines of JSON, and at least the last number every second. A line is
-`{"seq":N,"life":L,"line":{...}}`. Each start of a process is an incarnation with numbers of its own; a reader
-that asks since a number that is not at hand, or of another incarnation, gets the lines that are still
-current, marked `whole`, and goes on from their number. Nothing is buffered for a reader that does not read:
-it is dropped, and gets the current lines when it comes again.
+A reader requests `since N` and gets numbered lines of JSON, and at least the last number every second. A line
+is `{"seq":N,"life":L,"line":{...}}`. Each start of a process is an incarnation with numbers of its own. A
+reader that requests a number that is not stored any more, or is of another incarnation, gets the lines that
+are still current, marked `whole`, and goes on from their number. No more than a bound is buffered for a
+reader that does not read: it is disconnected, and gets the current lines when it connects again.
 """
 
 import contextlib
@@ -19,33 +19,35 @@
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import End
+from fawnwharf.net.log import Log
 from fawnwharf.net.loop import READ, Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-LINE_MOST = 512 * 1024  # of a member's log, in bytes
-KEPT_MOST, KEPT_BYTES_MOST = 256, 1024 * 1024  # lines at hand for readers that come again
-UNREAD_MOST = 1024 * 1024  # bytes that wait for one reader
-ASK_MOST = 64  # bytes of what a reader asks
-ASK_MS = 2_000.0  # for it to ask
-PULSE_MS = 1_000.0
-ACCEPTS_MOST = 32  # in a turn
-PAUSE_MOST_MS = 1_000.0  # between dials to a member that is away
+MAX_LINE_BYTES = 512 * 1024  # of a member's log
+MAX_STORED_LINES = 256  # for readers that connect again
+MAX_STORED_BYTES = 1024 * 1024
+MAX_UNREAD_BYTES = 1024 * 1024  # that wait for one reader
+MAX_REQUEST_BYTES = 64  # of a reader
+MAX_NUMBER_DIGITS = 16  # in a request
+REQUEST_TIMEOUT_MS = 2_000.0
+HEARTBEAT_MS = 1_000.0  # between two statements of the last number
+MAX_ACCEPTS = 32  # in one iteration of the loop
+MAX_BACKOFF_MS = 1_000.0  # between dials to a member that is away
 
 line_encoder = msgspec.json.Encoder()
 
 
 class MemberLogFollower(ChangeLog):
-    """Follows one member's log; a line that can't be taken costs the connection and nothing else."""
+    """Follows one member's log; a line that is rejected costs the connection and nothing else."""
 
-    pause_most_ms, line_most = PAUSE_MOST_MS, LINE_MOST
+    pause_most_ms = MAX_BACKOFF_MS
+    line_most = MAX_LINE_BYTES
 
-    def __init__(
-        self, loop: Loop, address: Address, told: Callable[[Any], None], log: Callable[[str], None]
-    ) -> None:
-        """`told` takes what each line says; a ValueError of it says that no member writes such a line."""
-        super().__init__(loop, address, 0, told, log)
-        self.life = 0
-        self.lines = 0
+    def __init__(self, loop: Loop, address: Address, receive: Callable[[Any], None], log: Log) -> None:
+        """`receive` takes the content of each line; it raises ValueError for one that no member writes."""
+        super().__init__(loop, address, 0, receive, log)
+        self.life = 0  # the incarnation that is followed
+        self.lines = 0  # that were received
 
     @property
     def up(self) -> bool:
@@ -54,165 +56,178 @@
 
     @property
     def heard_ms(self) -> float:
-        """When the log was last heard, if only its number."""
+        """When anything was last received from the log, if only its number."""
         return self._connection.heard_ms if self._connection else 0.0
 
-    def event(self, read: Any, of_start: bool = False) -> bool:
-        """Take a parsed line; False where it is malformed."""
+    def event(self, read: Any, _of_start: bool = False) -> bool:
+        """Take a decoded line; False where it is malformed or does not follow the last one."""
         if not isinstance(read, dict):
             return False
         seq, life, whole = read.get("seq"), read.get("life"), read.get("whole") is True
         if type(seq) is not int or type(life) is not int or seq < 0 or life <= 0:
             return False
-        if life != self.life and not whole:
-            self.seq = self.life = 0  # asked again from the start, it tells what counts
+        if not whole:
+            if life != self.life:
+                return self._restart()
+            if seq <= self.seq:
+                return True
+            if seq != self.seq + 1:
+                return self._restart()
+        if "line" in read and not self._receive(read["line"]):
             return False
-        if not whole and seq <= self.seq:
-            return True
-        if not whole and seq != self.seq + 1:
-            self.seq = self.life = 0
-            return False
-        if "line" in read:
-            try:
-                self._told(read["line"])
-            except ValueError as error:
-                self._log(f"{self._address[0]}:{self._address[1]}: {error}")
-                return False
-            self.lines += 1
         self.life, self.seq = life, seq
         return True
 
-    def _stumble(self, why: str) -> bool:
+    def _restart(self) -> bool:
+        """Request all current lines with the next connection."""
+        self.seq = self.life = 0
+        return False
+
+    def _receive(self, line: Any) -> bool:
+        """Pass a line on; False where it was rejected."""
+        try:
+            self._told(line)
+        except ValueError as error:
+            self._log(f"{self._address[0]}:{self._address[1]}: {error}")
+            return False
+        self.lines += 1
+        return True
+
+    def _stumble(self, _why: str) -> bool:
+        """Give the connection up, without the change log's further attempts."""
         if self._connection:
             self._connection.close(End.BAD_BYTES)
         return False
 
 
 class _Reader:
-    """One that follows the log here."""
+    """One connection that follows the log."""
 
     def __init__(self, server: "LogServer", sock: socket.socket) -> None:
-        self.server, self.since = server, None
-        self.began_ms = monotonic_ms()
-        self._asked = bytearray()
-        self.connection = Connection.accepted(server.loop, sock, self, ASK_MOST)
+        self.since: int | None = None  # None until it has sent its request
+        self.accepted_ms = monotonic_ms()
+        self.connection = Connection.accepted(server.loop, sock, self, MAX_REQUEST_BYTES)
+        self._server = server
+        self._received = bytearray()
 
     def on_up(self) -> None:
-        """Nothing to do: the connection was accepted."""
-        pass
+        """Do nothing: the connection was accepted."""
 
     def on_data(self, data: bytes) -> None:
-        """Take the reader's one request."""
-        if self.since is not None:  # it has asked, and has nothing more to say
+        """Take the reader's one request; anything else ends the connection."""
+        if self.since is not None:
             self.connection.close(End.BAD_BYTES)
             return
-        self._asked += data
-        line, end, rest = bytes(self._asked).partition(b"\n")
-        word, _, number = line.partition(b" ")
-        if not end:
-            if len(self._asked) > ASK_MOST:
+        self._received += data
+        line, newline, rest = bytes(self._received).partition(b"\n")
+        if not newline:
+            if len(self._received) > MAX_REQUEST_BYTES:
                 self.connection.close(End.BAD_BYTES)
-        elif rest or word != b"since" or not number.isdigit() or len(number) > 16:
+            return
+        command, _, number = line.partition(b" ")
+        if rest or command != b"since" or not number.isdigit() or len(number) > MAX_NUMBER_DIGITS:
             self.connection.close(End.BAD_BYTES)
-        else:
-            self.since = int(number)
-            self.server.begin(self)
+            return
+        self.since = int(number)
+        self._server.begin(self)
 
     def on_flushed(self) -> None:
-        """Drop a reader that does not read."""
-        if self.connection.waiting_bytes > UNREAD_MOST:
+        """Disconnect a reader that does not read."""
+        if self.connection.waiting_bytes > MAX_UNREAD_BYTES:
             self.connection.close(End.STUFFED)
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, _end: End) -> None:
         """Forget the reader."""
-        self.server.readers.pop(self, None)
+        self._server.readers.pop(self, None)
 
 
 class LogServer:
     """Owns a listener, the log behind it, and its readers."""
 
-    def __init__(self, loop: Loop, address: Address, life: int, readers_most: int) -> None:
-        """Raises OSError where the address can't be had."""
-        self.loop, self.life, self.seq = loop, life, 0
+    def __init__(self, loop: Loop, address: Address, life: int, max_readers: int) -> None:
+        """`life` is this process's incarnation. Raises OSError where the address cannot be bound."""
+        self.loop = loop
+        self.life = life
+        self.seq = 0
         self.readers: dict[_Reader, None] = {}
-        self._most = readers_most
-        self._kept: deque[tuple[int, bytes]] = deque()
-        self._kept_bytes = 0
-        self._counting: dict[Hashable, Any] = {}  # the last line of each kind that still counts
-        family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        self._listener = socket.socket(family, socket.SOCK_STREAM)
-        try:
-            self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._listener.bind(address)
-            self._listener.listen(256)
-        except OSError:
-            self._listener.close()
-            raise
-        self._listener.setblocking(False)
+        self._max_readers = max_readers
+        self._stored: deque[tuple[int, bytes]] = deque()
+        self._stored_bytes = 0
+        self._counting: dict[Hashable, Any] = {}  # the current line of each key
+        self._listener = _listen(address)
         self.address: Address = self._listener.getsockname()[:2]
         self._closed = False
         loop.watch(self._listener, READ, self._accept)
-        loop.wheel.after(PULSE_MS, self._pulse)
+        loop.wheel.after(HEARTBEAT_MS, self._heartbeat)
 
     def write(self, line: Any, counts_as: Hashable = None) -> None:
         """Write a line for all readers.
 
-        With a key, it is current until the next line of that key, and sent to whoever comes.
+        With a key, it is current until the next line with that key, and sent to each new reader.
         """
         self.seq += 1
         if counts_as is not None:
             self._counting[counts_as] = line
         data = line_encoder.encode({"seq": self.seq, "life": self.life, "line": line}) + b"\n"
-        self._kept.append((self.seq, data))
-        self._kept_bytes += len(data)
-        while len(self._kept) > KEPT_MOST or self._kept_bytes > KEPT_BYTES_MOST:
-            self._kept_bytes -= len(self._kept.popleft()[1])
+        self._store(data)
         for reader in self.readers:
             if reader.since is not None:
                 reader.connection.write(data)
 
+    def _store(self, data: bytes) -> None:
+        self._stored.append((self.seq, data))
+        self._stored_bytes += len(data)
+        while len(self._stored) > MAX_STORED_LINES or self._stored_bytes > MAX_STORED_BYTES:
+            _, dropped = self._stored.popleft()
+            self._stored_bytes -= len(dropped)
+
     def begin(self, reader: _Reader) -> None:
-        """Send what a reader lacks.
+        """Send what a reader that has requested lines lacks.
 
-        The lines after its number where all are at hand, else the current ones.
+        These are the lines after its number where all are stored, or else the current ones.
         """
-        first = self._kept[0][0] if self._kept else self.seq + 1
-        if reader.since == 0 or not first - 1 <= reader.since <= self.seq:
-            head = {"seq": self.seq, "life": self.life, "whole": True}
-            told = [{**head, "line": line} for line in self._counting.values()] or [head]
-            for item in told:
-                reader.connection.write(line_encoder.encode(item) + b"\n")
+        since = reader.since or 0
+        first = self._stored[0][0] if self._stored else self.seq + 1
+        if since == 0 or not first - 1 <= since <= self.seq:
+            self._send_current(reader)
             return
-        for seq, data in self._kept:
-            if seq > reader.since:
+        for seq, data in self._stored:
+            if seq > since:
                 reader.connection.write(data)
 
-    def number(self, reader: _Reader) -> int:
+    def _send_current(self, reader: _Reader) -> None:
+        head = {"seq": self.seq, "life": self.life, "whole": True}
+        numbered = [{**head, "line": line} for line in self._counting.values()]
+        for item in numbered or [head]:
+            reader.connection.write(line_encoder.encode(item) + b"\n")
+
+    def number(self, _reader: _Reader) -> int:
         """The number of the last line that a reader was sent."""
         return self.seq
 
     def _accept(self, _mask: int) -> None:
-        for _ in range(ACCEPTS_MOST):
+        for _ in range(MAX_ACCEPTS):
             try:
                 sock, _ = self._listener.accept()
-            except OSError:  # none is left, or no descriptor: the next turn looks again
+            except OSError:  # none is left, or no descriptor: the next iteration tries again
                 return
-            if len(self.readers) >= self._most:
+            if len(self.readers) >= self._max_readers:
                 with contextlib.suppress(OSError):
                     sock.close()
                 continue
             self.readers[_Reader(self, sock)] = None
 
-    def _pulse(self) -> None:
+    def _heartbeat(self) -> None:
+        """Send its last number to each reader, and disconnect those that do not send a request."""
         if self._closed:
             return
         now = monotonic_ms()
         for reader in list(self.readers):
             if reader.since is not None:
                 reader.connection.write(b"%d\n" % self.number(reader))
-            elif now - reader.began_ms > ASK_MS:
+            elif now - reader.accepted_ms > REQUEST_TIMEOUT_MS:
                 reader.connection.close(End.SILENT)
-        self.loop.wheel.after(PULSE_MS, self._pulse)
+        self.loop.wheel.after(HEARTBEAT_MS, self._heartbeat)
 
     def close(self) -> None:
         """Close the listener and all readers' connections."""
@@ -221,3 +236,18 @@
         self._listener.close()
         for reader in list(self.readers):
             reader.connection.close(End.STOPPED)
+
+
+def _listen(address: Address) -> socket.socket:
+    """A listener that does not block; raises OSError where the address cannot be bound."""
+    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+    listener = socket.socket(family, socket.SOCK_STREAM)
+    try:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(address)
+        listener.listen(256)
+    except OSError:
+        listener.close()
+        raise
+    listener.setblocking(False)
+    return listener
--- /dev/null
+++ b/fawnwharf/zones/plan_application.py
@@ -0,0 +1,76 @@
+"""How a front end applies a plan: which scorers it closes, and how many calls it admits."""
+
+from collections.abc import Callable
+
+from fawnwharf.config import Deployment
+from fawnwharf.interface import UNLIMITED_RPS
+from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.zones import roster_closing
+from fawnwharf.zones.effects import FollowPlan
+from fawnwharf.zones.log_events import FollowingPlan, LogEvent, OperatingStandalone
+from fawnwharf.zones.plan import Plan, limit_spillover
+from fawnwharf.zones.settings import Membership
+from fawnwharf.zones.voter_role import describe_zones
+
+CLOSER = "zones"  # who closes scorers and limits calls, among others that do so
+LIMIT = "zones"
+
+
+class PlanApplication:
+    """Owns the limits that follow from the plan and the policy for this front end."""
+
+    def __init__(self, deployment: Deployment, zone: str, membership: Callable[[], Membership]) -> None:
+        """`membership` gives the membership in use."""
+        self.sold_rps = sum(deployment.settings.quotas_rps.values())  # the total quota of all tenants
+        self.spillover_limits: dict[str, float] = {}  # of a policy, by zone
+        self._settings = deployment.settings
+        self._zone = zone
+        self._membership = membership
+        self._followed: FollowPlan | None = None
+
+    def set_policy_limits(
+        self, front: FrontEnd, sold_rps: float, spillover_limits: dict[str, float]
+    ) -> LogEvent | None:
+        """Take a policy's total quota and spillover limits; they count where stricter than the plan."""
+        if (sold_rps, spillover_limits) == (self.sold_rps, self.spillover_limits):
+            return None
+        self.sold_rps = sold_rps
+        self.spillover_limits = spillover_limits
+        return self.apply(front, self._followed) if self._followed is not None else None
+
+    def apply(self, front: FrontEnd, effect: FollowPlan) -> LogEvent:
+        """Apply a plan, or none; the event that says so."""
+        self._followed = effect
+        plan = effect.plan
+        if plan is not None and self.spillover_limits:
+            plan = limit_spillover(plan, self.spillover_limits)
+        changes = front.overlay.close(CLOSER, roster_closing.plan_closer(plan, self._zone))
+        if changes.members:
+            front.go_by(changes)
+        admission = roster_closing.admitted_fraction(plan, self._zone)
+        front.limit(LIMIT, self._admitted_rps(plan, admission))
+        scorers_changed, rounded = len(changes.members), round(admission, 3)
+        if plan is None:
+            return OperatingStandalone(effect.index, scorers_changed, rounded)
+        return FollowingPlan(
+            index=effect.index,
+            scorers_changed=scorers_changed,
+            admission=rounded,
+            number=plan.number,
+            zones=describe_zones(plan),
+            unreachable=plan.unreachable,
+        )
+
+    def _admitted_rps(self, plan: Plan | None, admission: float) -> float:
+        """The calls per second that this front end may admit."""
+        if admission >= 1.0 or self.sold_rps <= 0:
+            return UNLIMITED_RPS
+        return admission * self.sold_rps / self._settings.fleet_size * self._load_factor(plan)
+
+    def _load_factor(self, plan: Plan | None) -> float:
+        """How many front ends' calls each one of this zone has: more than one where others are gone."""
+        zone = plan.zones.get(self._zone) if plan else None
+        if zone is None or not zone.front_ends:
+            return 1.0
+        members = sum(member.zone == self._zone for member in self._membership().members)
+        return max(1.0, members / zone.front_ends)
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -1,4 +1,4 @@
-"""Probes of zones with too little evidence, and the periodic look at what all evidence amounts to."""
+"""Health checks of zones with too little evidence, and the periodic check of what all evidence amounts to."""
 
 from collections.abc import Callable, Iterable
 
@@ -7,126 +7,131 @@
 from fawnwharf.net.end_reasons import PASSING, End
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
-from fawnwharf.zones import roster_closing
 from fawnwharf.zones.evidence import EvidenceCollector, ZoneHealth, zone_health
+from fawnwharf.zones.roster_closing import in_zone
 from fawnwharf.zones.settings import EvidenceSettings
 
-PROBE_MS = 250.0  # pace of dials into zones that give no sign by themselves
-HELD_MS = 60.0  # a probe that came up stays for so long
+PROBE_INTERVAL_MS = 250.0  # between health checks of a zone without a recent success
+SETTLE_MS = 60.0  # a connection that stays open for this long is a success
+PROBES_AFTER_FAILURE = 2  # further health checks at once, where a healthy zone fails one
 
 
 class _Probe:
-    """One connection to a scorer, which tells whether it is accepted and stays open for a moment.
+    """One connection to a scorer, which succeeds when it is accepted and stays open for a moment.
 
-    Guards against what stands before a dead scorer and accepts its connections only to close them.
+    Guards against a proxy before a dead scorer that accepts connections only to close them.
     """
 
-    def __init__(self, wheel: Wheel, told: Callable[[bool], None]) -> None:
+    def __init__(self, wheel: Wheel, report: Callable[[bool], None]) -> None:
+        """`report` is called once, with whether the probe succeeded."""
         self.connection: Connection | None = None
         self._wheel = wheel
-        self._told: Callable[[bool], None] | None = told
+        self._report: Callable[[bool], None] | None = report
 
-    def _tell(self, good: bool) -> None:
-        told, self._told = self._told, None
-        if told:
-            told(good)
+    def _finish(self, *, succeeded: bool) -> None:
+        report, self._report = self._report, None
+        if report:
+            report(succeeded)
 
     def on_up(self) -> None:
-        """Wait for a moment whether it stays."""
-        self._wheel.after(HELD_MS, self._held)
+        """Wait whether the connection stays open."""
+        self._wheel.after(SETTLE_MS, self._settled)
 
-    def _held(self) -> None:
-        if not self.connection.closed:
-            self._tell(True)
+    def _settled(self) -> None:
+        if self.connection is not None and not self.connection.closed:
+            self._finish(succeeded=True)
             self.connection.close(End.IDLE)
 
-    def on_data(self, data: bytes) -> None:
-        """Nothing is expected."""
-        ...
+    def on_data(self, _data: bytes) -> None:
+        """Ignore what the scorer sends."""
 
     def on_flushed(self) -> None:
-        """Nothing is sent."""
-        ...
+        """Do nothing: a probe sends nothing."""
 
-    def on_end(self, end: End) -> None:
-        """The probe has failed."""
-        self._tell(False)
+    def on_end(self, _end: End) -> None:
+        """Report a failure, where no success was reported."""
+        self._finish(succeeded=False)
 
 
-class Probes:
-    """Owns which zones are dead for this front end, and whom it probes next in each."""
+class ZoneProber:
+    """Owns which zones are dead for this front end, and which scorer it probes next in each."""
 
     def __init__(
         self,
         front: FrontEnd,
-        observer: EvidenceCollector,
-        rules: EvidenceSettings,
-        name: str,
+        collector: EvidenceCollector,
+        settings: EvidenceSettings,
         zones: Callable[[], Iterable[str]],
-        turned: Callable[[float], None],
+        on_view_changed: Callable[[float], None],
     ) -> None:
-        """`zones` tells all that there are now; `turned` is called when a view of one has changed."""
-        self._front, self._observer, self._rules = front, observer, rules
-        self._first = worker_number(name)  # members begin at different scorers
-        self._zones, self._turned = zones, turned
-        self._dead: set[str] = set()  # as told last
-        self._places: dict[str, int] = {}  # zone to the place of the next scorer
+        """`zones` gives the present zones; `on_view_changed` is called when the set of dead zones changed."""
+        self._front = front
+        self._collector = collector
+        self._settings = settings
+        self._zones = zones
+        self._on_view_changed = on_view_changed
+        self._dead_zones: set[str] = set()
+        self._positions: dict[str, int] = {}  # of the last scorer probed, by zone
+        self._first_position = worker_number(front.deployment.name)  # members start at different scorers
         self._stopped = False
 
     def close(self) -> None:
         """Stop probing."""
         self._stopped = True
 
-    def look(self) -> None:
-        """Probe each zone without a recent success, and go on doing so.
+    def run(self) -> None:
+        """Probe each zone without a recent success, now and at each interval.
 
-        A closed zone must be seen to come back, and one that falls silent must be seen to be gone.
+        Thus a closed zone is seen to be back, and a zone that falls silent is seen to be gone.
         """
         if self._stopped:
             return
         now = monotonic_ms()
-        seen = self._observer.evidence(now)
+        evidence = self._collector.evidence(now)
         for zone in self._zones():
-            signs = seen.get(zone)
-            few = signs is None or signs.responses + signs.failures < 2 * self._rules.min_signs
-            if few or self._observer.since_success_ms(now, zone) >= PROBE_MS:
-                self._dial(zone)
-        self._look_at_views(now)
-        self._front.loop.wheel.after(PROBE_MS, self.look)
-
-    def _look_at_views(self, now_ms: float) -> None:
-        """A view that has turned is told before its time."""
-        seen = self._observer.evidence(now_ms)
-        dead = {zone for zone, signs in seen.items() if zone_health(signs, self._rules) is ZoneHealth.DEAD}
-        if dead != self._dead:
-            self._dead = dead
-            self._turned(now_ms)
-
-    def _dial(self, zone: str, more: int = 0) -> None:
-        """Dial one scorer of the zone; where it fails and the zone was well till now, two others at once."""
-        scorers = roster_closing.in_zone(self._front.overlay.members.values(), zone)
+            signs = evidence[zone].signs if zone in evidence else 0
+            too_few = signs < 2 * self._settings.min_signs
+            if too_few or self._collector.since_success_ms(now, zone) >= PROBE_INTERVAL_MS:
+                self._probe(zone, PROBES_AFTER_FAILURE)
+        self._check_views(now)
+        self._front.loop.wheel.after(PROBE_INTERVAL_MS, self.run)
+
+    def _check_views(self, now_ms: float) -> None:
+        """Report a change of the dead zones at once."""
+        evidence = self._collector.evidence(now_ms)
+        dead = {
+            zone for zone, signs in evidence.items() if zone_health(signs, self._settings) is ZoneHealth.DEAD
+        }
+        if dead != self._dead_zones:
+            self._dead_zones = dead
+            self._on_view_changed(now_ms)
+
+    def _probe(self, zone: str, further_probes: int) -> None:
+        """Probe the next scorer of a zone; where it fails and the zone was not dead, some others at once."""
+        scorers = in_zone(self._front.overlay.members.values(), zone)
         if not scorers:
             return
-        place = self._places.get(zone, self._first) + 1  # not all at the same one
-        self._places[zone] = place
-        member = scorers[place % len(scorers)]
-        if not member.host_port:
+        position = self._positions.get(zone, self._first_position) + 1
+        self._positions[zone] = position
+        scorer = scorers[position % len(scorers)]
+        if not scorer.host_port:
             return
 
-        def told(good: bool) -> None:
+        def report(succeeded: bool) -> None:
             now = monotonic_ms()
-            self._observer.record_probe(now, zone, worker_number(member.id), connected=good)
-            if not good and zone not in self._dead:
-                for _ in range(2 - more):
-                    self._dial(zone, more=2)
-                self._look_at_views(now)
-
-        probe = _Probe(self._front.loop.wheel, told)
-        within = min(self._front.deployment.wire.dial_timeout_ms, self._rules.window_ms / 2)
-        address = address_from(member.host_port, "host_port")
-        made = Connection.dial(self._front.loop, address, probe, within)
-        if isinstance(made, End):
-            if made not in PASSING:
-                told(False)
-        else:
-            probe.connection = made
+            self._collector.record_probe(now, zone, worker_number(scorer.id), connected=succeeded)
+            if not succeeded and zone not in self._dead_zones:
+                for _ in range(further_probes):
+                    self._probe(zone, 0)
+                self._check_views(now)
+
+        self._dial(scorer.host_port, report)
+
+    def _dial(self, host_port: str, report: Callable[[bool], None]) -> None:
+        probe = _Probe(self._front.loop.wheel, report)
+        timeout_ms = min(self._front.deployment.wire.dial_timeout_ms, self._settings.window_ms / 2)
+        dialed = Connection.dial(self._front.loop, address_from(host_port, "host_port"), probe, timeout_ms)
+        if not isinstance(dialed, End):
+            probe.connection = dialed
+        elif dialed not in PASSING:
+            report(False)
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -1,10 +1,6 @@
-"""Zones in a running front end.
-
-Its part in the fleet's logs, its disk and files, and the seam to the module.
-"""
+"""Zones in a running front end: its logs, its disk and files, and its extension of the front end."""
 
 import time
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -12,11 +8,11 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
-from fawnwharf.consensus.voter_store import DiskError, VoterStore
+from fawnwharf.consensus.records import DiskError
+from fawnwharf.consensus.voter_store import VoterStore
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.zones import roster_closing
-from fawnwharf.zones import settings as s
+from fawnwharf.zones import log_events
 from fawnwharf.zones.effects import (
     Effect,
     FollowPlan,
@@ -30,83 +26,79 @@
 from fawnwharf.zones.files import WatchedFile, load_file
 from fawnwharf.zones.log_client import LogClient
 from fawnwharf.zones.log_events import LogEvent
-from fawnwharf.zones.log_lines import POLICY, ClientMessage, ConsensusStatus, DropCause, LogLine, LogLineError
+from fawnwharf.zones.log_lines import POLICY, ClientMessage, ConsensusStatus, DropCause, LogLineError
 from fawnwharf.zones.member_core import MemberCore
-from fawnwharf.zones.member_log import LogServer, MemberLogFollower
-from fawnwharf.zones.plan import Plan, limit_spillover
-from fawnwharf.zones.probes import Probes
+from fawnwharf.zones.member_feeds import LogName, MemberFeeds
+from fawnwharf.zones.member_log import LogServer
+from fawnwharf.zones.operator_log import WriteEvent
+from fawnwharf.zones.plan_application import PlanApplication
+from fawnwharf.zones.probes import ZoneProber
+from fawnwharf.zones.roster_closing import zone_sizes
+from fawnwharf.zones.settings import (
+    MemberEntry,
+    Membership,
+    SettingsFileError,
+    membership_from,
+    operator_request_from,
+    settings_from,
+)
 from fawnwharf.zones.voter_role import VoterStart
 
-FILES_MS = 500.0  # pace of the look at the files
-READERS_SPARE = 16  # beyond the members, for operators
-LINE_S = 1.0  # one line a second for each cause of dropped lines
-CLOSER = LIMIT = "zones"
-
-Write = Callable[[str, dict[str, Any]], None]
+FILE_CHECK_INTERVAL_MS = 500.0
+OPERATOR_READERS = 16  # of a log, besides the members
+EVENT_INTERVAL_MS = 1_000.0  # between two rate-limited events with the same name
+DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0  # where no class of calls has one
 
 
 class ZoneService:
-    """Owns this front end's membership.
+    """Owns this front end's membership: the core, its servers and feeds, and its timers.
 
-    The core, its servers and feeds, its timers; a Seam of the front end.
+    It is an extension of the front end.
     """
 
-    def __init__(self, deployment: Deployment, path: str | Path, write: Write) -> None:
-        """Reads and checks all files; raises ConfigError with one line. `write` takes structured notes."""
-        self.deployment, self._write = deployment, write
-        place = Path(path)
-        self.settings = load_file(place, s.settings_from, "zones")
-        base = place.parent
-        self._members_file = WatchedFile(base / self.settings.membership_file)
-        folder = base / self.settings.state_folder
-        wishes = (
-            base / self.settings.operator_request_file
-            if self.settings.operator_request_file
-            else folder / "wishes.json"
-        )
-        self._wishes_file = WatchedFile(wishes)
-        members = load_file(self._members_file.path, s.membership_from, "zones")
-        self._members_file.changed()
-        self.entry, self.folder = self._own_entry(members), folder
-        self.disk = self._open_disk(members.fleet) if self.entry.ballots else None
+    def __init__(self, deployment: Deployment, path: str | Path, write: WriteEvent) -> None:
+        """Read and check all files; raises ConfigError with one line. `write` takes events."""
+        settings_path = Path(path)
+        base = settings_path.parent
+        self.deployment = deployment
+        self.settings = load_file(settings_path, settings_from, "zones")
+        self.folder = base / self.settings.state_folder
+        self._membership_file = WatchedFile(base / self.settings.membership_file)
+        self._request_file = WatchedFile(self.settings.operator_request_path(base))
+        membership = load_file(self._membership_file.path, membership_from, "zones")
+        self._membership_file.changed()
+        self.entry = self._own_entry(membership)
+        self.disk = self._open_disk(membership.fleet) if self.entry.ballots else None
         now = monotonic_ms()
-        identity = self.disk.identity.voter_identity if self.disk else ""
-        voter = (
-            VoterStart(identity, deployment.seed, self.disk.saved, self.disk.record_number)
-            if self.disk
-            else None
-        )
-        self.core = MemberCore(self.entry.name, members, self.settings, now, voter)
-        promise = min((c.promise_ms for c in deployment.settings.classes.values()), default=1_000.0)
-        self.evidence_collector = EvidenceCollector(self.settings.evidence, promise)
-        self._sold = sum(deployment.settings.quotas_rps.values())  # before any limit stands among them
-        self._spill: dict[str, float] = {}  # the most that a policy lets zones take of others' calls
-        self._followed: FollowPlan | None = None
-        self.log_clients: dict[str, LogClient] = {}  # by the kinds of their registers
-        self._zone_of: dict[int, str] = {}
-        self._told_ms = now
-        self._life = time.time_ns() // 1_000
-        self._feeds: dict[tuple[str, bool], MemberLogFollower] = {}
-        self._noted: dict[str, float] = {}
+        self.core = MemberCore(self.entry.name, membership, self.settings, now, self._voter_start())
+        objectives = [spec.promise_ms for spec in deployment.settings.classes.values()]
+        latency_objective_ms = min(objectives, default=DEFAULT_LATENCY_OBJECTIVE_MS)
+        self.evidence_collector = EvidenceCollector(self.settings.evidence, latency_objective_ms)
+        self.plan_application = PlanApplication(deployment, self.entry.zone, lambda: self.core.membership)
+        self.log_clients: dict[str, LogClient] = {}  # by the kind of their registers
+        self.public: LogServer | None = None
+        self.ballots: LogServer | None = None
+        self._front: FrontEnd | None = None
+        self._feeds: MemberFeeds | None = None
+        self._prober: ZoneProber | None = None
+        self._write = write
+        self._written_ms: dict[str, float] = {}  # rate-limited events, by name
+        self._zone_of_scorer: dict[int, str] = {}
+        self._roster_ms = now  # when the change log last reported on scorers
+        self._incarnation = time.time_ns() // 1_000
         self._timer: Timer | None = None
         self._timer_ms = 0.0
         self._stopped = False
-        self._failed = False  # the disk: no part in votes any more
-        self.front: FrontEnd | None = None
-        self.probes: Probes | None = None
-        self.public: LogServer | None = None
-        self.ballots: LogServer | None = None
+        self._disk_failed = False
 
-    def _own_entry(self, members: s.Membership) -> s.MemberEntry:
-        """This front end among the members; raises ConfigError where it is none, or of another zone."""
-        deployment = self.deployment
-        entry = members.named(deployment.name)
+    def _own_entry(self, membership: Membership) -> MemberEntry:
+        """This front end's entry; raises ConfigError where it has none, or one of another zone."""
+        name, zone = self.deployment.name, self.deployment.settings.zone
+        entry = membership.named(name)
         if entry is None:
-            place = self._members_file.path
-            raise ConfigError(f"zones: {deployment.name} is not among the members of {place}")
-        if entry.zone != deployment.settings.zone:
-            zones = f"zone {entry.zone}, and its configuration says {deployment.settings.zone}"
-            raise ConfigError(f"zones: {entry.name} is of {zones}")
+            raise ConfigError(f"zones: {name} is not among the members of {self._membership_file.path}")
+        if entry.zone != zone:
+            raise ConfigError(f"zones: {name} is of zone {entry.zone}, and its configuration says {zone}")
         return entry
 
     def _open_disk(self, fleet: str) -> VoterStore:
@@ -115,114 +107,98 @@
         except DiskError as error:
             raise ConfigError(f"zones: {error}") from None
 
-    # --- life -----------------------------------------------------------------------------------
+    def _voter_start(self) -> VoterStart | None:
+        if self.disk is None:
+            return None
+        return VoterStart(
+            identity=self.disk.identity.voter_identity,
+            seed=self.deployment.seed,
+            saved=self.disk.saved,
+            disk_writes=self.disk.record_number,
+        )
+
+    # --- start and stop -------------------------------------------------------------------------
+
+    @property
+    def front(self) -> FrontEnd:
+        """The front end that this service is attached to."""
+        if self._front is None:
+            raise RuntimeError("zones: not attached to a front end")
+        return self._front
 
     def attach(self, front: FrontEnd) -> None:
-        """Begin on the front end's loop."""
-        self.front = front
-        most = len(self.core.membership.members) + READERS_SPARE
-        self.public = self._server("listen", self.settings.listen or self.entry.address, most)
+        """Start on the front end's loop."""
+        self._front = front
+        max_readers = len(self.core.membership.members) + OPERATOR_READERS
+        listen = self.settings.listen or self.entry.address
+        self.public = self._server("listen", listen, max_readers)
         if self.entry.ballots:
-            place = self.settings.listen_voter_address or self.entry.ballots
-            self.ballots = self._server("listen_ballots", place, most)
-        self._follow_members()
-        self._look_at_files()
-        self.probes = Probes(
+            listen = self.settings.listen_voter_address or self.entry.ballots
+            self.ballots = self._server("listen_ballots", listen, max_readers)
+        self._feeds = MemberFeeds(front.loop, self.entry, self._receive, self._on_line_rejected)
+        self._feeds.follow(self.core.membership)
+        self._check_files()
+        self._prober = ZoneProber(
             front,
             self.evidence_collector,
             self.settings.evidence,
-            self.entry.name,
             lambda: self.core.membership.zones,
-            self._turned,
+            self._on_view_changed,
         )
-        self.probes.look()
+        self._prober.run()
         self._tick()
-        self.note(
-            "zones on", {"member": self.entry.name, "zone": self.entry.zone, "voter": self.disk is not None}
-        )
+        self._log(log_events.ZonesEnabled(self.entry.name, self.entry.zone, self.disk is not None))
 
-    def _server(self, key: str, place: str, most: int) -> LogServer:
+    def _server(self, key: str, host_port: str, max_readers: int) -> LogServer:
+        address = address_from(host_port, f"zones.{key}")
         try:
-            return LogServer(self.front.loop, address_from(place, f"zones.{key}"), self._life, most)
+            return LogServer(self.front.loop, address, self._incarnation, max_readers)
         except OSError as error:
-            raise ConfigError(f"zones.{key}: {error.strerror}: {place}") from None
+            raise ConfigError(f"zones.{key}: {error.strerror}: {host_port}") from None
 
     def close(self) -> None:
-        """Stop: close the probes, feeds, servers and the disk."""
+        """Close the health checks, the feeds, the servers and the disk."""
         self._stopped = True
-        if self.probes:
-            self.probes.close()
-        for feed in self._feeds.values():
-            feed.close()
-        for server in (self.public, self.ballots):
-            if server:
-                server.close()
-        if self.disk:
-            self.disk.close()
-
-    def note(self, event: str, fields: dict[str, Any]) -> None:
-        """Write an event to the operators' log."""
-        self._write(event, fields)
-
-    # --- the seam -------------------------------------------------------------------------------
+        for part in (self._prober, self._feeds, self.public, self.ballots, self.disk):
+            if part is not None:
+                part.close()
+
+    def _log(self, event: LogEvent) -> None:
+        """Write an event into the operators' log; a rate-limited one only if it was not written just now."""
+        if event.rate_limited:
+            now = monotonic_ms()
+            if now - self._written_ms.get(event.event, float("-inf")) < EVENT_INTERVAL_MS:
+                return
+            self._written_ms[event.event] = now
+        self._write(event.event, event.fields)
+
+    # --- extension of the front end -------------------------------------------------------------
 
     def told(self, fleet: Fleet) -> None:
-        """Take changes of the roster, as the change log tells them."""
-        self._told_ms = monotonic_ms()
+        """Take changes of the roster, as the change log reports them."""
+        self._roster_ms = monotonic_ms()
         for member in fleet.members:
             if member.locality:
-                self._zone_of[worker_number(member.id)] = member.locality
+                self._zone_of_scorer[worker_number(member.id)] = member.locality
 
     @property
     def busy(self) -> bool:
-        """Nothing here keeps a leaving front end up."""
+        """Nothing here delays a graceful shutdown."""
         return False
 
     def events(self, events: list[io.Event]) -> None:
-        """Take the batch's evidence on zones."""
+        """Record a batch's evidence on zones."""
         now = monotonic_ms()
         for event in events:
-            if isinstance(event, io.AttemptEnded | io.OrderAnswered) and event.worker in self._zone_of:
-                zone = self._zone_of[event.worker]
+            if isinstance(event, io.AttemptEnded | io.OrderAnswered) and event.worker in self._zone_of_scorer:
+                zone = self._zone_of_scorer[event.worker]
                 self.evidence_collector.record_ending(now, zone, event.worker, event.ending, event.took_ms)
 
-    def apply_policy_limits(self, sold_rps: float, spill: dict[str, float]) -> None:
-        """Take a policy's total quota and spillover by zone.
-
-        They count where they are stricter than the plan.
-        """
-        if (sold_rps, spill) != (self._sold, self._spill):
-            self._sold, self._spill = sold_rps, spill
-            if self._followed is not None:
-                self._go_by(self._followed)
-
-    def _go_by(self, effect: FollowPlan) -> None:
-        self._followed = effect
-        if effect.plan is not None and self._spill:
-            effect = FollowPlan(limit_spillover(effect.plan, self._spill), effect.index)
-        overlay, zone = self.front.overlay, self.entry.zone
-        changes = overlay.close(CLOSER, roster_closing.plan_closer(effect.plan, zone))
-        if changes.members:
-            self.front.go_by(changes)
-        part = roster_closing.admitted_fraction(effect.plan, zone)
-        limited = part < 1.0 and self._sold > 0
-        rps = part * self._sold / self.deployment.settings.fleet_size * self._carried(effect.plan)
-        self.front.limit(LIMIT, rps if limited else io.UNLIMITED_RPS)
-        fields = {"index": effect.index, "scorers changed": len(changes.members), "admission": round(part, 3)}
-        if effect.plan is None:
-            self.note("on its own", fields)
-        else:
-            states = {name: f"{zone.state} {zone.fraction:g}" for name, zone in effect.plan.zones.items()}
-            self.note(
-                "following",
-                fields | {"number": effect.plan.number, "zones": states, "apart": effect.plan.unreachable},
-            )
-
-    def _carried(self, plan: Plan | None) -> float:
-        """How many front ends' calls each of this zone's has: more than one where others of it are gone."""
-        zone = plan.zones.get(self.entry.zone) if plan else None
-        members = sum(member.zone == self.entry.zone for member in self.core.membership.members)
-        return max(1.0, members / zone.front_ends) if zone and zone.front_ends else 1.0
+    def apply_policy_limits(self, sold_rps: float, spillover_limits: dict[str, float]) -> None:
+        """Take a policy's total quota and spillover limits; they count where stricter than the plan."""
+        event = self.plan_application.set_policy_limits(self.front, sold_rps, spillover_limits)
+        if event is not None:
+            self._log(event)
 
     # --- time -----------------------------------------------------------------------------------
 
@@ -230,179 +206,152 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        sizes = roster_closing.zone_sizes(self.front.overlay.members.values())
-        self._carry_out(
-            self.core.tick(now, self.evidence_collector.evidence(now), sizes, now - self._told_ms)
-        )
+        sizes = zone_sizes(self.front.overlay.members.values())
+        evidence = self.evidence_collector.evidence(now)
+        self._carry_out(self.core.tick(now, evidence, sizes, now - self._roster_ms))
         self._set_timer()
 
-    def _turned(self, now_ms: float) -> None:
-        """This front end's view of a zone has: it is told before its time."""
+    def _on_view_changed(self, now_ms: float) -> None:
+        """Report early that this front end's view of a zone has changed."""
         self.core.report_soon(now_ms)
         self._set_timer()
 
     def _set_timer(self) -> None:
-        due = max(self.core.due_ms(), monotonic_ms() + 1.0)
-        if self._timer is not None and self._timer.callback and self._timer_ms <= due:
-            return
+        """Set the timer of the next tick, unless it is set early enough."""
+        due_ms = max(self.core.due_ms(), monotonic_ms() + 1.0)
         if self._timer is not None:
+            if self._timer.callback and self._timer_ms <= due_ms:
+                return
             self._timer.cancel()
-        self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - monotonic_ms(), self._tick)
+        self._timer_ms = due_ms
+        self._timer = self.front.loop.wheel.after(due_ms - monotonic_ms(), self._tick)
+
+    # --- effects --------------------------------------------------------------------------------
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SaveVoterState):
-                if not self._keep(effect):
-                    return  # nothing that rests on it may be said
+                if not self._save(effect):
+                    return  # no later effect may be carried out
             elif isinstance(effect, PublishLine | SendVoterMessage):
-                self._write_out(effect)
+                self._write_line(effect)
             elif isinstance(effect, FollowPlan):
-                self._go_by(effect)
+                self._log(self.plan_application.apply(self.front, effect))
             elif isinstance(effect, LogEvent):
-                self._note_once(effect)
-            elif isinstance(effect, MessagesReceived | RegisterDecided):
+                self._log(effect)
+            else:
                 self._pass_on(effect)
-        for rider in list(self.log_clients.values()):
-            rider.on_role_changed()
+        for client in list(self.log_clients.values()):
+            client.on_role_changed()
 
-    def _write_out(self, effect: PublishLine | SendVoterMessage) -> None:
-        line = effect.line
-        if isinstance(effect, PublishLine):
-            kind = "plan" if line.plan is not None else "report" if line.report is not None else None
-            self.public.write(msgspec.to_builtins(line), counts_as=kind)
-        elif self.ballots:
-            self.ballots.write(msgspec.to_builtins(line))
+    def _save(self, effect: SaveVoterState) -> bool:
+        """Write the voter's state to disk; False after the disk has failed."""
+        if self.disk is None or self._disk_failed:
+            return False
+        try:
+            self.disk.save(effect.saved)
+        except DiskError as error:
+            self._disk_failed = True
+            self._log(log_events.DiskFailed(str(error)))
+            self.core.stop_voting()
+        return not self._disk_failed
+
+    def _write_line(self, effect: PublishLine | SendVoterMessage) -> None:
+        line = msgspec.to_builtins(effect.line)
+        if isinstance(effect, SendVoterMessage):
+            if self.ballots is not None:
+                self.ballots.write(line)
+        elif self.public is not None:
+            current = next((key for key in ("plan", "report") if key in line), None)
+            self.public.write(line, counts_as=current)
 
     def _pass_on(self, effect: MessagesReceived | RegisterDecided) -> None:
-        """Hand a client of the logs what is for it."""
+        """Pass messages or a register on to its log client."""
         if isinstance(effect, MessagesReceived):
-            if rider := self.log_clients.get(effect.client):
-                rider.on_messages(effect.sender, effect.messages, effect.status)
-        elif rider := self.log_clients.get(effect.kind):
-            rider.on_register_decided(effect.text)
+            if client := self.log_clients.get(effect.client):
+                client.on_messages(effect.sender, effect.messages, effect.status)
+        elif client := self.log_clients.get(effect.kind):
+            client.on_register_decided(effect.text)
 
-    # --- for riders -----------------------------------------------------------------------------
+    # --- for log clients ------------------------------------------------------------------------
 
-    def send_messages(self, words: list[ClientMessage]) -> None:
-        """Send a client's messages by this member's log: voters hear all, the others hear the voters."""
-        self._write_line(messages=words)
+    def send_messages(self, messages: list[ClientMessage]) -> None:
+        """Send messages by this member's log: voters receive all, other members those of voters."""
+        self._publish(None, messages=messages)
 
-    def publish_status(self, standing: Any, rider: str = POLICY) -> None:
-        """Tell a client's status, to whoever comes, until its next one."""
-        self._write_line(rider, **{rider: standing})
+    def publish_status(self, status: Any, client: str = POLICY) -> None:
+        """Publish a client's status, which each new reader gets until the next one."""
+        self._publish(client, **{client: status})
 
-    def _write_line(self, counts_as: str | None = None, **parts: Any) -> None:
+    def _publish(self, counts_as: str | None, **fields: Any) -> None:
         if not self._stopped and self.public is not None:
-            line = LogLine(self.core.membership.fleet, self.entry.name, **parts)
+            line = self.core.state.make_line(**fields)
             self.public.write(msgspec.to_builtins(line), counts_as=counts_as)
 
     def consensus_status(self, now_ms: float) -> ConsensusStatus:
         """The state of this member's voter; a blank one after its disk has failed."""
-        return ConsensusStatus() if self._failed else self.core.consensus_status(now_ms)
+        return self.core.consensus_status(now_ms)
 
     def propose_register(self, text: str, kind: str = POLICY) -> bool:
-        """Propose a register to the consensus log; False where it never came into the log."""
-        put, effects = self.core.propose_register(monotonic_ms(), text, kind)
+        """Propose a register to the consensus log; False where it did not enter the log."""
+        entered, effects = self.core.propose_register(monotonic_ms(), text, kind)
         self._carry_out(effects)
         self._set_timer()
-        return put
+        return entered
+
+    # --- other members' logs --------------------------------------------------------------------
 
-    def _keep(self, effect: SaveVoterState) -> bool:
+    def _receive(self, name: LogName, line: Any) -> None:
+        """Take a line of another member's log; raises LogLineError for one that no member writes."""
+        receive = self.core.receive_voter_line if name.is_voter_log else self.core.receive_line
         try:
-            if not self._failed:
-                self.disk.save(effect.saved)
-        except DiskError as error:
-            self._failed = True
-            self.note("disk failed: no part in votes until a restart", {"why": str(error)})
-            self.core.stop_voting()
-        return not self._failed
+            effects = receive(monotonic_ms(), name.member, line)
+        except LogLineError:
+            self.core.state.drop_counts.add(DropCause.MALFORMED_LINE)
+            raise
+        self._carry_out(effects)
+        self._set_timer()
 
-    def _note_once(self, note: LogEvent) -> None:
-        now = monotonic_ms()
-        if note.rate_limited:
-            if now - self._noted.get(note.event, -1e9) < LINE_S * 1000:
-                return
-            self._noted[note.event] = now
-        self.note(note.event, note.fields)
-
-    # --- others' logs ---------------------------------------------------------------------------
-
-    def _follow_members(self) -> None:
-        """Voters follow all, the others follow the voters; who is no member any more is left."""
-        wanted: dict[tuple[str, bool], str] = {}
-        for member in self.core.membership.members:
-            if member.name == self.entry.name:
-                continue
-            if self.entry.ballots or member.ballots:
-                wanted[member.name, False] = member.address
-            if self.entry.ballots and member.ballots:
-                wanted[member.name, True] = member.ballots
-        for key in [key for key in self._feeds if key not in wanted]:
-            self._feeds.pop(key).close()
-        for key, place in wanted.items():
-            address = address_from(place, "members.address")
-            if key in self._feeds:
-                self._feeds[key].move(address)
-                continue
-            feed = MemberLogFollower(self.front.loop, address, self._taker(*key), self._dropped)
-            self._feeds[key] = feed
-            feed.connect()
-
-    def _taker(self, name: str, ballots: bool) -> Callable[[Any], None]:
-        def take(line: Any) -> None:
-            try:
-                receive = self.core.receive_voter_line if ballots else self.core.receive_line
-                effects = receive(monotonic_ms(), name, line)
-            except LogLineError:
-                self.core.state.drop_counts.add(DropCause.MALFORMED_LINE)
-                raise
-            self._carry_out(effects)
-            self._set_timer()
-
-        return take
-
-    def _dropped(self, text: str) -> None:
-        now = monotonic_ms()
-        if now - self._noted.get("line", -1e9) >= LINE_S * 1000:
-            self._noted["line"] = now
-            self.note("line dropped", {"why": text, "counts": dict(self.core.state.drop_counts.dropped)})
+    def _on_line_rejected(self, reason: str) -> None:
+        self._log(log_events.LogLineRejected(reason, dict(self.core.state.drop_counts.dropped)))
 
     # --- files ----------------------------------------------------------------------------------
 
-    def _look_at_files(self) -> None:
+    def _check_files(self) -> None:
+        """Take files that have changed, now and at each interval."""
         if self._stopped:
             return
-        if (data := self._members_file.changed()) is not None:
-            self._take(data, "members", lambda: self._new_members(s.membership_from(data)))
-        if (data := self._wishes_file.changed()) is not None:
-            zones = set(self.core.membership.zones)
-            self._take(
-                data,
-                "wishes",
-                lambda: self._carry_out(
-                    self.core.take_operator_request(s.operator_request_from(data, zones))
-                ),
-            )
-        for feed in self._feeds.values():
-            feed.tidy()
+        membership_data = self._membership_file.changed()
+        if membership_data is not None:
+            self._take_membership(membership_data)
+        request_data = self._request_file.changed()
+        if request_data is not None:
+            self._take_operator_request(request_data)
+        if self._feeds is not None:
+            self._feeds.check_silence()
         self._set_timer()
-        self.front.loop.wheel.after(FILES_MS, self._look_at_files)
+        self.front.loop.wheel.after(FILE_CHECK_INTERVAL_MS, self._check_files)
+
+    def _take_membership(self, data: bytes) -> None:
+        try:
+            membership = membership_from(data)
+        except SettingsFileError as error:
+            self._log(log_events.MembershipRejected(str(error)))
+            return
+        entry = membership.named(self.entry.name)
+        if entry is None or entry.zone != self.entry.zone:
+            self._log(log_events.MembershipRejected(f"{self.entry.name} is missing or in another zone"))
+            return
+        self._carry_out(self.core.take_membership(membership))
+        if self._feeds is not None:
+            self._feeds.follow(self.core.membership)
+        for client in list(self.log_clients.values()):
+            client.on_membership_changed()
 
-    def _take(self, data: bytes, what: str, take: Callable[[], None]) -> None:
+    def _take_operator_request(self, data: bytes) -> None:
         try:
-            take()
-        except s.SettingsFileError as error:
-            self.note(f"{what} left aside, the old ones go on", {"fault": str(error)})
-
-    def _new_members(self, members: s.Membership) -> None:
-        now = members.named(self.entry.name)
-        if now is None or now.zone != self.entry.zone:
-            self.note(
-                "members left aside, the old ones go on", {"fault": f"{self.entry.name} is not as it was"}
-            )
+            request = operator_request_from(data, set(self.core.membership.zones))
+        except SettingsFileError as error:
+            self._log(log_events.OperatorRequestRejected(str(error)))
             return
-        self._carry_out(self.core.take_membership(members))
-        self._follow_members()
-        for rider in list(self.log_clients.values()):
-            rider.on_membership_changed()
+        self._carry_out(self.core.take_operator_request(request))
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Collection
+from pathlib import Path
 from typing import Annotated, Any, Protocol, TypeVar
 
 import msgspec
@@ -146,6 +147,12 @@
     spillover: SpilloverSettings = msgspec.field(name="spill", default_factory=SpilloverSettings)
     consensus: ConsensusSettings = msgspec.field(name="voting", default_factory=ConsensusSettings)
 
+    def operator_request_path(self, base: Path) -> Path:
+        """The file of operator requests to this member; `base` is the folder of the settings file."""
+        if self.operator_request_file:
+            return base / self.operator_request_file
+        return base / self.state_folder / "wishes.json"
+
 
 class OperatorRequest(Struct, frozen=True):
     """An operator's request to drain these zones; a later request has a larger number."""
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -37,7 +37,8 @@
     for node in site.nodes:
         assert node.part._follower.classes["view"].give_up_ms == 2_000.0
         assert node.front._limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
-        assert node.zones._spill == {"b": 0.25} and node.zones._sold == 12.0
+        limits = node.zones.plan_application
+        assert limits.spillover_limits == {"b": 0.25} and limits.sold_rps == 12.0
         assert node.part.in_force.digest == b.part.in_force.digest
     client = site.client(c)
     client.call(ttl="8000")  # by the settings' time, which the client knows
@@ -51,7 +52,8 @@
     site.until(lambda: site.in_force(2), "the policy before is back")
     assert c.part._follower.classes["view"].give_up_ms == 9_000.0
     site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "quotas as sold")
-    assert a.front._limits["policy"] == 1e9 and a.zones._spill == {} and a.zones._sold == 30.0
+    limits = a.zones.plan_application
+    assert a.front._limits["policy"] == 1e9 and limits.spillover_limits == {} and limits.sold_rps == 30.0
 
 
 def test_a_call_keeps_the_policy_by_which_it_was_taken_and_the_trace_says_so(site):
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -68,10 +68,10 @@
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
         feed._connection.close(member_log.End.RETIRED)
-        for n in range(1, member_log.KEPT_MOST + 10):
+        for n in range(1, member_log.MAX_STORED_LINES + 10):
             server.write({"n": n}, counts_as="n")
-        self.until(lambda: feed.seq == member_log.KEPT_MOST + 10, "it has caught up")
-        self.assertEqual(self.told, [{"n": 0}, {"n": member_log.KEPT_MOST + 9}])
+        self.until(lambda: feed.seq == member_log.MAX_STORED_LINES + 10, "it has caught up")
+        self.assertEqual(self.told, [{"n": 0}, {"n": member_log.MAX_STORED_LINES + 9}])
 
     def test_a_new_life_is_told_from_its_start_whatever_number_was_reached_before(self):
         for later in (1, 9):
@@ -135,7 +135,10 @@
         self.until(lambda: not server.readers, "none is kept")
 
     def test_one_that_asks_nothing_is_ended(self):
-        with mock.patch.object(member_log, "ASK_MS", 50.0), mock.patch.object(member_log, "PULSE_MS", 60.0):
+        with (
+            mock.patch.object(member_log, "REQUEST_TIMEOUT_MS", 50.0),
+            mock.patch.object(member_log, "HEARTBEAT_MS", 60.0),
+        ):
             server = self.server()
             sock = self.asked(server, b"sin")
             self.until(lambda: self.ended(sock), "it is ended")
@@ -152,13 +155,13 @@
         server = self.server()
         sock = self.asked(server, b"since 0\n")
         self.until(lambda: any(reader.since is not None for reader in server.readers), "it has asked")
-        with mock.patch.object(member_log, "UNREAD_MOST", 10_000):
+        with mock.patch.object(member_log, "MAX_UNREAD_BYTES", 10_000):
             end = time.monotonic() + PATIENCE_S
             while server.readers:
                 self.assertLess(time.monotonic(), end)
                 server.write({"text": "x" * 50_000})
                 self.loop.turn(0.0)
-        self.assertLessEqual(server._kept_bytes, member_log.KEPT_BYTES_MOST)
+        self.assertLessEqual(server._stored_bytes, member_log.MAX_STORED_BYTES)
         sock.close()
 
 
