--- a/fawnwharf/recovery_core/partitioned.py
+++ b/fawnwharf/recovery_core/partitioned.py
@@ -42,9 +42,9 @@
     """
     if standing.known:
         return CallDecision.ANSWER
-    if effect is io.Effect.SAFE or standing.granted:
+    if effect is io.Effect.IDEMPOTENT or standing.granted:
         return CallDecision.SERVE
-    if effect is io.Effect.KEYED and standing.since_start_ms >= window_ms:
+    if effect is io.Effect.DEDUPLICATED and standing.since_start_ms >= window_ms:
         return CallDecision.SERVE
     return CallDecision.LATER
 
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -55,7 +55,7 @@
     ) -> None:
         self.front, self.state = front, state
         self.limits = fleet_limits(front.deployment.settings, settings.fetches, settings.scorer_rps)
-        self.giving = PermitIssuer(state.entry.name, life, self.limits, self._order, room=self._room)
+        self.giving = PermitIssuer(state.member.name, life, self.limits, self._order, room=self._room)
         self.giving.word_ms = settings.timing.alone_ms
         self.counts: dict[str, int] = {}
         self._going: tuple[AllowedActions, int, int, PermitAssignment | None] = (AllowedActions(), 0, 1, None)
@@ -68,22 +68,22 @@
         self._stopped = False
         self.door = door(front, state, settings, self.limits)
         self.holds: LoadOrderGate | None = None
-        self._order_out: Callable[[io.Hold], None] | None = None
-        front.stand_between(io.Hold, self._between)
-        state.riders[LOG_CLIENT] = self._ridden
+        self._order_out: Callable[[io.OrderCopies], None] | None = None
+        front.stand_between(io.OrderCopies, self._between)
+        state.log_clients[LOG_CLIENT] = self._ridden
         self.roster()
         self._turn()
 
     def close(self) -> None:
         self._stopped = True
-        self.state.riders.pop(LOG_CLIENT, None)
+        self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.Hold, lambda _own: self._order_out)
+        self.front.stand_between(io.OrderCopies, lambda _own: self._order_out)
         if not self._going[0].spill:
             self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
-    def _between(self, below: Callable[[io.Hold], None]) -> Callable[[io.Hold], None]:
+    def _between(self, below: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
         front, self._order_out = self.front, below
         self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
         return self.holds.carry
@@ -104,8 +104,8 @@
 
     def _set(self, now_ms: float) -> None:
         allowed, cut, fronts, dealt = self._going
-        self._heard = frozenset(self.state.alive(now_ms)) | {self.state.entry.name}
-        self.giving.set(now_ms, self._heard, self.state.core.placement.keepers, allowed, cut, dealt)
+        self._heard = frozenset(self.state.live_members(now_ms)) | {self.state.member.name}
+        self.giving.set(now_ms, self._heard, self.state.core.placement.replicas, allowed, cut, dealt)
         rate_ps = allowed.part * self.limits.fall_multiple * self.limits.calls_rps(self.ages()) / fronts
         self.door.go_by(allowed, rate_ps, self.giving)
         self.holds.go_by(allowed, self.giving)
@@ -116,7 +116,7 @@
             classes = self.front.deployment.settings.classes
             for (row, name), rps in self._used.items():
                 if name in classes:
-                    self.giving.want(now_ms, row, rps * classes[name].worth, name)
+                    self.giving.want(now_ms, row, rps * classes[name].priority_weight, name)
 
     # --- scorers --------------------------------------------------------------------------------
 
@@ -153,7 +153,7 @@
         """Orders that the module would make of `CopiesWanted`: one is left for each held call."""
         router = self.front.router
         held = sum(len(fn.queue) for fn in router.functions.values())
-        return router._ration_left() - held if router.settings.may_order else 0.0
+        return router._ration_left() - held if router.settings.load_orders_allowed else 0.0
 
     # --- turns, words and answers ---------------------------------------------------------------
 
@@ -180,9 +180,9 @@
     def _carry_out(self, found: list[actions.Action]) -> None:
         for out in found:
             if isinstance(out, actions.SendPermitMessage):
-                self.state.ride(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
+                self.state.send_message(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, actions.LoadOrder):
-                if isinstance(out.what, io.Hold):
+                if isinstance(out.what, io.OrderCopies):
                     self.front.table.order(out.what)
                 else:
                     self.front.loop.tell(out.what)
--- a/fawnwharf/recovery_service/permit_issuing.py
+++ b/fawnwharf/recovery_service/permit_issuing.py
@@ -287,13 +287,13 @@
         """Whether an order there is one that a loader wants, this one or one that lent it."""
         return self.loading.is_own(worker, row) or self.helping.is_own(worker, row)
 
-    def answered(self, now_ms: float, event: io.OrderAnswered) -> list[Action]:
+    def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> list[Action]:
         """A scorer's answer to an order or a question, whoever's that was."""
-        if event.ending in COUNTING_RESULTS and not event.copies:
-            self.lost(now_ms, event.function, event.worker)
-        found: list[Action] = [*self.helping.answered(event, event.ending in COUNTING_RESULTS)]
+        if event.result in COUNTING_RESULTS and not event.copies:
+            self.lost(now_ms, event.function, event.scorer)
+        found: list[Action] = [*self.helping.answered(event, event.result in COUNTING_RESULTS)]
         if self.loading.answered(now_ms, event):
-            found += self._stood(now_ms, event.function, event.worker)
+            found += self._stood(now_ms, event.function, event.scorer)
         return found
 
     def _stood(self, now_ms: float, row: str, worker: int) -> list[Action]:
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -62,7 +62,9 @@
         self._used = UsageRecorder.read(self.kept.read(StateKind.USE))
         self._roster, self._use = RosterRecorder(), UsageRecorder(monotonic_ms())
         classes = deployment.settings.classes
-        self.tallies = FrontEndCounters({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
+        self.tallies = FrontEndCounters(
+            {n: c.priority_weight for n, c in classes.items()}, deployment.settings.slow_start_ms
+        )
         self.front: FrontEnd | None = None
         self.agent: RecoveryAgent | None = None
         self.joined: front_end_integration.FrontEndIntegration | None = None
@@ -96,7 +98,7 @@
         )
         front.port.table = self.calls
         self.zones.log_clients[RECOVERY] = self
-        self.state.riders[w.LOG_CLIENT] = self._heard_state
+        self.state.log_clients[w.LOG_CLIENT] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
         self.note("recovery on", told | {"store": self.kept.whole.value, "why": self.kept.why})
         self._tick()
@@ -114,7 +116,7 @@
         self.joined.close()
         self.front.port.waits_for.discard(RECOVERY)
         self.zones.log_clients.pop(RECOVERY, None)
-        self.state.riders.pop(w.LOG_CLIENT, None)
+        self.state.log_clients.pop(w.LOG_CLIENT, None)
 
     # --- the seam -------------------------------------------------------------------------------
 
@@ -148,7 +150,7 @@
             return
         now = monotonic_ms()
         for event in events:
-            worker = getattr(event, "worker", None)
+            worker = getattr(event, "scorer", None)
             age_ms = self.joined.age_ms(worker) if worker is not None else 0.0
             self.tallies.event(now, event, age_ms)
             if isinstance(event, io.RequestArrived):
@@ -166,13 +168,13 @@
         names = tuple(entry.name for entry in members.members)
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
         who = sorted((e.name, e.zone, e.region, bool(e.ballots), bool(e.state)) for e in members.members)
-        keepers = tuple(self.state.core.placement.keepers)
+        keepers = tuple(self.state.core.placement.replicas)
         voters = tuple(entry.name for entry in members.voters)
         by_zone = tuple(map(tuple, self.state.core.placement.by_zone.values()))
         return MemberLists(names, voters, keepers, members.number, _digest(msgspec.json.encode(who)), by_zone)
 
     def _own(self) -> LocalStatus:
-        now, keeper, voter = monotonic_ms(), self.state.core.keeper, self.zones.core.voter
+        now, keeper, voter = monotonic_ms(), self.state.core.replica, self.zones.core.voter
         number, text = last_appended(voter.saved, "plan") if voter is not None else (0, "")
         seen = self.zones.evidence_collector.evidence(now)
         rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
@@ -180,14 +182,14 @@
         return LocalStatus(
             settled=self.kept.settled,
             whole=self.kept.whole is StoreCondition.WHOLE,
-            sure=keeper is None or keeper.sure(now),
+            sure=keeper is None or keeper.is_complete(now),
             votes=voter is not None,
             plan=(number, _digest(text.encode())),
             sign=self.kept.sign(),
-            uses=bool(self._used or self.state.core.uses.owners),
+            uses=bool(self._used or self.state.core.usage_table.owners),
             rostered=rostered,
             scorers=(rostered and serves) or self.tallies.up or any(s.responses for s in seen.values()),
-            heard=len(set(self.state.alive(now)) | {self.zones.entry.name}),
+            heard=len(set(self.state.live_members(now)) | {self.zones.entry.name}),
             standing=self.tallies.standing(now),
         )
 
@@ -300,7 +302,7 @@
             self._words.append(ClientMessage(word, say.to, RECOVERY))
             self.front.loop.flush_later(self)
         else:
-            self.state.ride(w.LOG_CLIENT, say.to, word)
+            self.state.send_message(w.LOG_CLIENT, say.to, word)
 
     def flush(self) -> None:
         """The end of the turn."""
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -58,7 +58,7 @@
         self.site = self._own_zone()
         self.agent = self._made_agent(fresh)
         module = deployment.settings
-        self.stages = Stages(self._order, module.may_order, module.idle_life_ms, self._is_loading)
+        self.stages = Stages(self._order, module.load_orders_allowed, module.idle_life_ms, self._is_loading)
         self._wishes_file = WatchedFile(wishes_place(read, place, self.state.folder))
         self.wishes = Wishes()
         self._left = Left(self._wishes_file.path.with_name("homes"), made.get("kept"))
@@ -85,7 +85,7 @@
 
     def _own_zone(self) -> str:
         """This front end's zone; raises ConfigError where the file of members says another one."""
-        entry, zone = self.state.entry, self.deployment.settings.zone
+        entry, zone = self.state.member, self.deployment.settings.zone
         if entry.zone != zone:
             told = f"{entry.name} is of zone {entry.zone}, and its configuration says {zone}"
             raise ConfigError(f"sessions: {told}")
@@ -94,18 +94,18 @@
     def _made_agent(self, fresh: bool) -> Agent:
         core = self.state.core
         agent = Agent(
-            self.state.entry.name,
-            self.state.life,
+            self.state.member.name,
+            self.state.incarnation,
             self._sites(),
-            core.placement.keepers,
-            lambda key: self.state.core.placement.of(key),
+            core.placement.replicas,
+            lambda key: self.state.core.placement.replicas_of(key),
             self.settings,
             self.deployment.settings.classes,
             monotonic_ms(),
             fresh,
             core.placement.number,
         )
-        agent.spent = lambda org: core.shares.counts.get(org, 0) if core.shares else 0
+        agent.spent = lambda org: core.quota_shares.counts.get(org, 0) if core.quota_shares else 0
         return agent
 
     def _open_trace(self, folder: Path, name: str) -> Trace | None:
@@ -126,8 +126,8 @@
         """Begin on the front end's loop."""
         self.front, self.places = front, Places(front, self.site)
         self.agent.router.uses = self.places.uses
-        self.state.riders[w.RIDER] = self._heard
-        self.state.followers.append(self.agent.followed)
+        self.state.log_clients[w.RIDER] = self._heard
+        self.state.follower_callbacks.append(self.agent.followed)
         self._left.take(self.agent.router, set(self.agent.sites.values()), monotonic_ms(), unix_ms())
         if (data := self._wishes_file.changed()) is not None:
             self._wished(data, begin=False)  # what was asked of an earlier process was begun there
@@ -143,7 +143,7 @@
             self._left.leave(self.agent.router, monotonic_ms(), unix_ms())
         self._stopped = True
         self._outbox.close()
-        self.state.riders.pop(w.RIDER, None)
+        self.state.log_clients.pop(w.RIDER, None)
         if self.trace is not None:
             self.trace.close()
             self.trace = None
@@ -172,10 +172,10 @@
                 self._came(now, event)
             elif isinstance(event, io.AttemptEnded):
                 self._ended(now, event)
-            elif isinstance(event, io.ClientLeft):
+            elif isinstance(event, io.RequestCancelled):
                 self.agent.ended(now, event.request)
-            elif isinstance(event, io.OrderAnswered):
-                if event.ending is io.Ending.GOOD and event.copies and event.took_ms > 0:
+            elif isinstance(event, io.LoadOrderAnswered):
+                if event.result is io.AttemptResult.GOOD and event.copies and event.took_ms > 0:
                     self.agent.known.loaded(event.function, event.took_ms)
                 self._tell(self.stages.answered(now, event))
                 self._staged(now)
@@ -201,13 +201,13 @@
         call = self.agent.router.calls.get(event.request)
         if call is None:
             return
-        if event.ending is io.Ending.GOOD:
+        if event.result is io.AttemptResult.GOOD:
             row = call.session.row
             if event.warmth in (io.Warmth.FOUND, io.Warmth.UNTOLD):
                 self.agent.known.ran(row, event.took_ms)
-            worker = self.front.router.workers.get(event.worker)
+            worker = self.front.router.workers.get(event.scorer)
             if worker is not None and worker.entry.zone == self.site:
-                self.stages.seen(now_ms, row, event.worker, 1)
+                self.stages.seen(now_ms, row, event.scorer, 1)
         if event.closed:
             self.agent.ended(now_ms, event.request, WARM.get(event.warmth))
 
@@ -216,18 +216,18 @@
 
     def _tell(self, orders: Orders) -> None:
         for order in orders:
-            if isinstance(order, io.Hold):
+            if isinstance(order, io.OrderCopies):
                 self._ask(order)
             else:
                 self.front.loop.tell(order)
 
-    def _ask(self, question: io.Hold) -> None:
+    def _ask(self, question: io.OrderCopies) -> None:
         """Probe a scorer for copies of a function.
 
         The module hears the answer too, and so what it believed wrongly. It takes an answer for that of its
         own order, so where one is in progress that is waited for.
         """
-        if not self._is_loading(question.worker, question.function):
+        if not self._is_loading(question.scorer, question.function):
             self.front.table.order(question)
 
     def _is_loading(self, worker: int, row: str) -> bool:
@@ -267,12 +267,12 @@
             self.note(effect.event, effect.fields)
 
     def _let_go(self, now_ms: float, effect: LetGo) -> None:
-        if not self.settings.handover.unload or not self.deployment.settings.may_order:
+        if not self.settings.handover.unload or not self.deployment.settings.load_orders_allowed:
             return
         try:
             for worker in self.stages.where(now_ms, effect.row):
                 if self.front.pool.unload(worker, effect.row):
-                    self._ask(io.Hold(worker, effect.row, 0))
+                    self._ask(io.OrderCopies(worker, effect.row, 0))
         except ValueError as error:
             self._once("not let go", {"why": str(error)})
         self.stages.let_go(effect.row)
@@ -308,7 +308,7 @@
         now, agent = monotonic_ms(), self.agent
         if (placed := self.state.core.placement) is not self._placed:
             self._placed = placed
-            agent.place(now, self._sites(), placed.keepers, placed.number)
+            agent.place(now, self._sites(), placed.replicas, placed.number)
         self._left.look(agent.router, now, unix_ms())
         if now - self._files_ms >= FILES_MS:
             self._files_ms = now
@@ -316,7 +316,7 @@
                 self._wished(data)
         agent.close(now, self._closed(now), self._shares())
         agent.room = self._room()
-        agent.tick(now, self.state.alive(now), self.front.table.open.__contains__)
+        agent.tick(now, self.state.live_members(now), self.front.table.open.__contains__)
         self._tell(self.stages.tick(now))
         self._staged(now)
         if (sure := agent.sure(now)) != self._was_sure and agent.keeper is not None:
@@ -397,4 +397,4 @@
             answers=tuple(agent.asking.answers.values()),
             foreseen=self.foreseen.counts() if self.foreseen is not None else {},
         )
-        self.state.stands(w.RIDER, status)
+        self.state.publish(w.RIDER, status)
--- a/tests/test_elsewhere_answers.py
+++ b/tests/test_elsewhere_answers.py
@@ -11,7 +11,7 @@
 from fawnwharf.replication.remote_loads import LoadReportStore, RemoteLoads, most_heard
 from fawnwharf.zones.settings import SettingsFileError
 
-GOOD, UNTOLD = io.Ending.GOOD, io.Warmth.UNTOLD
+GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
 
 
 def others(number, heard=6, sent=None, answer=None, age=10.0, loading=(), copies=()):
@@ -36,18 +36,20 @@
     view.heard("k", 1, others(1, 5, {"7": 4, "8": 9}))
     assert view.changes(10.0, {7}, {7, 8}, 6) == []
     view.heard("k", 1, others(2, 6, {"7": 4, "8": 9}))
-    assert view.changes(10.0, {7}, {7, 8}, 6) == [io.Elsewhere(7, 4, {}, (), 20.0)]
+    assert view.changes(10.0, {7}, {7, 8}, 6) == [io.RemoteLoadReport(7, 4, {}, (), 20.0)]
     assert view.changes(10.0, {7}, {7, 8}, 6) == []  # it was told
-    assert view.changes(10.0, {7}, {7, 8}, 9) == [io.Elsewhere(7, None, {}, (), 0.0)]
+    assert view.changes(10.0, {7}, {7, 8}, 9) == [io.RemoteLoadReport(7, None, {}, (), 0.0)]
     view.heard("j", 1, others(3, 6, {"7": 1}))
     assert view.changes(20.0, {7}, {7, 8}, 6)[0].sent == 4  # as good as the other one
-    assert view.changes(995.0, {7}, {7, 8}, 6) == [io.Elsewhere(7, None, {}, (), 0.0)]  # all of it is old
+    assert view.changes(995.0, {7}, {7, 8}, 6) == [
+        io.RemoteLoadReport(7, None, {}, (), 0.0)
+    ]  # all of it is old
 
 
 def test_a_cold_scorer_to_which_nobody_sent_is_known_to_have_room():
     view = asked(1)
     view.heard("k", 1, others(1))
-    assert view.changes(10.0, {7}, {7}, 6) == [io.Elsewhere(7, 0, {}, (), 20.0)]
+    assert view.changes(10.0, {7}, {7}, 6) == [io.RemoteLoadReport(7, 0, {}, (), 20.0)]
 
 
 def test_answers_repeated_reordered_or_to_no_word_of_ours_change_nothing():
@@ -70,7 +72,7 @@
     view.heard("j", 1, others(1, answer=50))
     view.heard("k", 1, m.RemoteLoadReport(1, 1, 70))  # it only answers
     assert view.wants(300.0, keepers, 6) == ("j", 50) and view.after() == {"j": 50, "k": 70}
-    assert view.best(300.0).others.answer == 50
+    assert view.best(300.0).others.answer_number == 50
     view.heard("j", 1, m.RemoteLoadReport(2, 1, 51))
     assert view.wants(400.0, keepers, 6) == ("j", 50)
     assert view.wants(500.0, keepers, 6) == ("k", 0)  # it told nothing for long
@@ -104,13 +106,13 @@
     )
     view.heard("j", 1, others(1, copies=(m.ProvenCopy(1, "f", 0, 20.0), m.ProvenCopy(1, "g", 0, 90.0)),
                               loading=(m.PendingLoad(2, "h", 300.0),)))  # fmt: skip
-    found = {event.worker: event for event in view.changes(0.0, set(), {1, 2}, 6)}
+    found = {event.scorer: event for event in view.changes(0.0, set(), {1, 2}, 6)}
     assert found[1].copies == {"g": 1} and found[2].loading == ("h",) and 99 not in found
     assert view.copies == 2
-    gone = {event.worker: event for event in view.changes(1_001.0, set(), {1, 2}, 6)}
-    assert gone == {2: io.Elsewhere(2, None, {}, (), 0.0)}
+    gone = {event.scorer: event for event in view.changes(1_001.0, set(), {1, 2}, 6)}
+    assert gone == {2: io.RemoteLoadReport(2, None, {}, (), 0.0)}
     assert view.changes(2_940.0, set(), {1, 2}, 6) == []
-    assert view.changes(2_951.0, set(), {1, 2}, 6) == [io.Elsewhere(1, None, {}, (), 0.0)]
+    assert view.changes(2_951.0, set(), {1, 2}, 6) == [io.RemoteLoadReport(1, None, {}, (), 0.0)]
     assert view.changes(2_981.0, set(), {1, 2}, 6) == []
     assert view.copies == 0 and view.changes(3_000.0, set(), {1, 2}, 6) == []
 
@@ -119,8 +121,11 @@
     view = asked(1)
     copies = (m.ProvenCopy(7, "f", 1, 40.0), m.ProvenCopy(7, "g", 2, 400.0), m.ProvenCopy(8, "g", 2, 400.0))
     view.heard("k", 1, others(1, sent={"7": 3}, copies=copies))
-    found = {event.worker: event for event in view.changes(50.0, {7}, {7, 8}, 6)}
-    assert found == {7: io.Elsewhere(7, 3, {"f": 1}, (), 90.0), 8: io.Elsewhere(8, None, {"g": 2}, (), 450.0)}
+    found = {event.scorer: event for event in view.changes(50.0, {7}, {7, 8}, 6)}
+    assert found == {
+        7: io.RemoteLoadReport(7, 3, {"f": 1}, (), 90.0),
+        8: io.RemoteLoadReport(8, None, {"g": 2}, (), 450.0),
+    }
 
 
 def test_what_stays_the_same_is_told_again_when_it_is_fresher():
@@ -144,17 +149,17 @@
             self.begin_own(name)
 
     def begin_own(self, name):
-        self.cores[name].own = own(7, now=self.now)
+        self.cores[name].load_reporter = own(7, now=self.now)
 
     def tell(self, times=2):
         for _ in range(times):
             self.now += 100.0
             for name, core in self.cores.items():
-                if name not in self.lost and core.own:
-                    self.carry(name, core.tell_work(self.now))
+                if name not in self.lost and core.load_reporter:
+                    self.carry(name, core.send_load_report(self.now))
 
     def seen(self, name):
-        return {e.worker: e for e in self.cores[name].elsewhere(self.now, 6)}
+        return {e.scorer: e for e in self.cores[name].remote_load_events(self.now, 6)}
 
 
 def test_all_learn_what_the_others_sent_and_each_keeper_alone_is_enough():
@@ -163,8 +168,8 @@
         fleet.tell()
         for n, core in enumerate(fleet.cores.values()):
             for _ in range(n + 1):
-                core.own.sent(fleet.now, 7)
-        fleet.cores["n0"].own.ordered(fleet.now, 3, "f", 1)
+                core.load_reporter.sent(fleet.now, 7)
+        fleet.cores["n0"].load_reporter.ordered(fleet.now, 3, "f", 1)
         fleet.tell(1)
         fleet.tell(1)
         seen = {name: fleet.seen(name) for name in fleet.cores}
@@ -186,7 +191,7 @@
     fleet.restart(keeper)
     fleet.begin_own(keeper)
     for name in fleet.owners:
-        fleet.cores[name].own.sent(fleet.now, 7)
+        fleet.cores[name].load_reporter.sent(fleet.now, 7)
     fleet.tell(3)
     assert fleet.seen(keeper)[7].sent == 3
     fleet.lost = {away}
@@ -201,7 +206,7 @@
 def test_who_has_it_off_answers_nobody_and_is_not_heard():
     fleet = Fleet()
     off, one = fleet.keepers[0], fleet.owners[0]
-    fleet.cores[off].own = None
+    fleet.cores[off].load_reporter = None
     fleet.tell(8)
     assert 7 not in fleet.seen(one)
     counts = fleet.cores[one].status(fleet.now).counts
