--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -1,54 +1,48 @@
 """Zones in a running front end: its logs, its disk and files, and its extension of the front end."""
 
+import time
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
 from fawnwharf import interface as io
-from fawnwharf.config import ConfigError
-from fawnwharf.config import Deployment
-from fawnwharf.config import Fleet
-from fawnwharf.config import address_from
+from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.consensus.voter_store import VoterStore
-from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import log_events
-from fawnwharf.zones.effects import Effect
-from fawnwharf.zones.effects import FollowPlan
-from fawnwharf.zones.effects import MessagesReceived
-from fawnwharf.zones.effects import PublishLine
-from fawnwharf.zones.effects import RegisterDecided
-from fawnwharf.zones.effects import SaveVoterState
-from fawnwharf.zones.effects import SendVoterMessage
+from fawnwharf.zones.effects import (
+    Effect,
+    FollowPlan,
+    MessagesReceived,
+    PublishLine,
+    RegisterDecided,
+    SaveVoterState,
+    SendVoterMessage,
+)
 from fawnwharf.zones.evidence import EvidenceCollector
-from fawnwharf.zones.files import WatchedFile
-from fawnwharf.zones.files import load_file
+from fawnwharf.zones.files import WatchedFile, load_file
 from fawnwharf.zones.log_client import LogClient
 from fawnwharf.zones.log_events import LogEvent
-from fawnwharf.zones.log_lines import ClientMessage
-from fawnwharf.zones.log_lines import ConsensusStatus
-from fawnwharf.zones.log_lines import DropCause
-from fawnwharf.zones.log_lines import LogLineError
-from fawnwharf.zones.log_lines import POLICY
+from fawnwharf.zones.log_lines import POLICY, ClientMessage, ConsensusStatus, DropCause, LogLineError
 from fawnwharf.zones.member_core import MemberCore
-from fawnwharf.zones.member_feeds import LogName
-from fawnwharf.zones.member_feeds import MemberFeeds
+from fawnwharf.zones.member_feeds import LogName, MemberFeeds
 from fawnwharf.zones.member_log import LogServer
 from fawnwharf.zones.operator_log import WriteEvent
 from fawnwharf.zones.plan_application import PlanApplication
 from fawnwharf.zones.probes import ZoneProber
 from fawnwharf.zones.roster_closing import zone_sizes
-from fawnwharf.zones.settings import MemberEntry
-from fawnwharf.zones.settings import Membership
-from fawnwharf.zones.settings import SettingsFileError
-from fawnwharf.zones.settings import membership_from
-from fawnwharf.zones.settings import operator_request_from
-from fawnwharf.zones.settings import settings_from
+from fawnwharf.zones.settings import (
+    MemberEntry,
+    Membership,
+    SettingsFileError,
+    membership_from,
+    operator_request_from,
+    settings_from,
+)
 from fawnwharf.zones.voter_role import VoterStart
-from pathlib import Path
-from typing import Any
-import msgspec
-import time
-
 
 FILE_CHECK_INTERVAL_MS = 500.0
 OPERATOR_READERS = 16  # of a log, besides the members
@@ -196,7 +190,10 @@
         """Record a batch's evidence on zones."""
         now = monotonic_ms()
         for event in events:
-            if isinstance(event, io.AttemptEnded | io.LoadOrderAnswered) and event.scorer in self._zone_of_scorer:
+            if (
+                isinstance(event, io.AttemptEnded | io.LoadOrderAnswered)
+                and event.scorer in self._zone_of_scorer
+            ):
                 zone = self._zone_of_scorer[event.scorer]
                 self.evidence_collector.record_ending(now, zone, event.scorer, event.result, event.took_ms)
 
