--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -6,7 +6,6 @@
 import random
 
 import msgspec
-from test_zone_members import Fleet
 
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_core.phases import LogEvent, PhaseTiming, ProposeRegister, RecoveryPhase
@@ -23,13 +22,14 @@
 from fawnwharf.zones.effects import MessagesReceived, RegisterDecided
 from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
 from support.zone_files import members
+from support.zone_fleet import ZoneFleet
 
 STEP_S = 0.02
 WORTHS = {"view": 1.0, "save": 5.0}
 TIMING = PhaseTiming(settle_ms=3_000.0)
 
 
-class Agents(Fleet):
+class Agents(ZoneFleet):
     """Members with an agent of recovery each."""
 
     def __init__(self, zones="abcab", seed=1, lost=0.0, late_ms=0.0):
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from support.zone_files import members
-from test_zone_members import Fleet
+from support.zone_fleet import ZoneFleet
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
@@ -18,7 +18,7 @@
 STEP_S = 0.005
 
 
-class Agents(Fleet):
+class Agents(ZoneFleet):
     """A fleet whose members have agents; their words are carried as the service does it."""
 
     def __init__(self, zones="abc", known=None, lost=0.0):
--- a/tests/test_zone_links.py
+++ b/tests/zones/test_zones_member_log.py
@@ -1,5 +1,7 @@
-"""Members' logs over sockets: who follows gets each line once and in order, and what is no line costs its
-sender only."""
+"""Member logs over sockets: a follower gets each line once and in order.
+
+A malformed line costs the connection that it came by, and nothing else.
+"""
 
 import json
 import socket
@@ -17,14 +19,14 @@
 
 class Case(unittest.TestCase):
     def setUp(self):
-        self.loop = Loop(lambda now_ms, events: None, mock.Mock())
+        self.loop = Loop(lambda _now_ms, _events: None, mock.Mock())
         self.addCleanup(self.loop.close)
         self.told, self.dropped = [], []
 
     def until(self, condition, what):
         end = time.monotonic() + PATIENCE_S
         while not condition():
-            self.assertLess(time.monotonic(), end, f"waited in vain until {what}")
+            assert time.monotonic() < end, f"waited in vain until {what}"
             self.loop.turn(0.005)
 
     def server(self, life=1, most=8, address=("127.0.0.1", 0)):
@@ -40,7 +42,7 @@
 
 
 class Following(Case):
-    def test_a_reader_gets_what_counts_and_then_each_new_line_once(self):
+    def test_a_reader_gets_the_current_lines_and_then_each_new_line_once(self):
         server = self.server()
         for n in range(5):
             server.write({"n": n}, counts_as="n")
@@ -49,9 +51,9 @@
         server.write({"m": 1})
         server.write({"n": 5}, counts_as="n")
         self.until(lambda: feed.seq == 7, "all is told")
-        self.assertEqual(self.told, [{"n": 4}, {"m": 1}, {"n": 5}])
+        assert self.told == [{"n": 4}, {"m": 1}, {"n": 5}]
 
-    def test_one_that_comes_again_goes_on_from_its_number(self):
+    def test_a_reader_that_reconnects_continues_from_its_number(self):
         server = self.server()
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
@@ -60,9 +62,9 @@
         server.write({"n": 1})
         server.write({"n": 2})
         self.until(lambda: feed.seq == 3, "the others are told")
-        self.assertEqual(self.told, [{"n": 0}, {"n": 1}, {"n": 2}])
+        assert self.told == [{"n": 0}, {"n": 1}, {"n": 2}]
 
-    def test_one_that_was_away_for_too_long_gets_what_counts_alone(self):
+    def test_a_reader_that_was_away_for_too_long_gets_the_current_lines_only(self):
         server = self.server()
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
@@ -71,9 +73,9 @@
         for n in range(1, member_log.MAX_STORED_LINES + 10):
             server.write({"n": n}, counts_as="n")
         self.until(lambda: feed.seq == member_log.MAX_STORED_LINES + 10, "it has caught up")
-        self.assertEqual(self.told, [{"n": 0}, {"n": member_log.MAX_STORED_LINES + 9}])
+        assert self.told == [{"n": 0}, {"n": member_log.MAX_STORED_LINES + 9}]
 
-    def test_a_new_life_is_told_from_its_start_whatever_number_was_reached_before(self):
+    def test_a_new_incarnation_is_read_from_its_start_whatever_number_was_reached(self):
         for later in (1, 9):
             with self.subTest(later=later):
                 self.told.clear()
@@ -90,17 +92,18 @@
                 self.until(lambda last=last: last in self.told, "the new life is followed")
                 again.write({"new": "more"})
                 self.until(lambda: {"new": "more"} in self.told, "and goes on")
-                self.assertEqual((feed.life, feed.seq), (6, later + 1))
+                assert (feed.life, feed.seq) == (6, later + 1)
 
-    def test_a_pulse_says_that_the_log_lives_and_a_silent_one_is_dialled_again(self):
+    def test_heartbeats_keep_a_log_alive_and_a_silent_one_is_dialed_again(self):
         server = self.server()
         feed = self.follow(server.address)
         self.until(lambda: feed.up and server.readers, "it is followed")
         heard = feed._connection.heard_ms
         self.until(lambda: feed._connection.heard_ms > heard, "a pulse comes")
-        with mock.patch("fawnwharf.net.change_log.monotonic_ms", lambda: connection.monotonic_ms() + 5_000.0):
+        later_ms = connection.monotonic_ms() + 5_000.0
+        with mock.patch("fawnwharf.net.change_log.monotonic_ms", return_value=later_ms):
             feed.tidy()
-        self.assertIn("silent", self.dropped[-1])
+        assert "silent" in self.dropped[-1]
 
 
 class Readers(Case):
@@ -119,7 +122,7 @@
         except ConnectionResetError:
             return True
 
-    def test_what_is_no_question_ends_the_connection(self):
+    def test_an_invalid_request_ends_the_connection(self):
         server = self.server()
         for data in (
             b"since x\n",
@@ -134,7 +137,7 @@
                 self.until(lambda sock=sock: self.ended(sock), "it is ended")
         self.until(lambda: not server.readers, "none is kept")
 
-    def test_one_that_asks_nothing_is_ended(self):
+    def test_a_reader_without_a_request_is_disconnected(self):
         with (
             mock.patch.object(member_log, "REQUEST_TIMEOUT_MS", 50.0),
             mock.patch.object(member_log, "HEARTBEAT_MS", 60.0),
@@ -143,25 +146,25 @@
             sock = self.asked(server, b"sin")
             self.until(lambda: self.ended(sock), "it is ended")
 
-    def test_more_readers_than_there_is_room_for_are_closed(self):
+    def test_readers_above_the_maximum_are_closed(self):
         server = self.server(most=2)
         kept = [self.asked(server, b"since 0\n") for _ in range(2)]
         self.until(lambda: len(server.readers) == 2, "both are there")
         third = self.asked(server, b"since 0\n")
         self.until(lambda: self.ended(third), "it is closed")
-        self.assertFalse(any(self.ended(sock) for sock in kept))
+        assert not any(self.ended(sock) for sock in kept)
 
-    def test_one_that_does_not_read_is_dropped_and_nothing_is_kept_for_it(self):
+    def test_a_reader_that_does_not_read_is_disconnected_and_nothing_is_buffered_for_it(self):
         server = self.server()
         sock = self.asked(server, b"since 0\n")
         self.until(lambda: any(reader.since is not None for reader in server.readers), "it has asked")
         with mock.patch.object(member_log, "MAX_UNREAD_BYTES", 10_000):
             end = time.monotonic() + PATIENCE_S
             while server.readers:
-                self.assertLess(time.monotonic(), end)
+                assert time.monotonic() < end
                 server.write({"text": "x" * 50_000})
                 self.loop.turn(0.0)
-        self.assertLessEqual(server._stored_bytes, member_log.MAX_STORED_BYTES)
+        assert server._stored_bytes <= member_log.MAX_STORED_BYTES
         sock.close()
 
 
@@ -193,7 +196,7 @@
         for line in lines:
             sock.sendall(line if isinstance(line, bytes) else json.dumps(line).encode() + b"\n")
 
-    def test_what_can_not_be_taken_costs_the_connection_and_is_asked_for_again(self):
+    def test_a_rejected_line_costs_the_connection_and_is_requested_again(self):
         def told(line):
             if line == "forged":
                 raise ValueError("no member writes that")
@@ -220,9 +223,9 @@
                 self.say(sock, line)
                 self.until(lambda: not feed.up, "the connection is given up")
                 sock.close()
-        self.assertEqual(self.told, ["first"] * len(bad))
+        assert self.told == ["first"] * len(bad)
 
-    def test_a_torn_line_says_nothing_and_one_without_an_end_is_not_kept(self):
+    def test_a_partial_line_is_ignored_and_one_without_an_end_is_not_buffered(self):
         feed = self.follow(self.listener.getsockname())
         sock = self.far()
         self.say(sock, {"seq": 1, "life": 8, "whole": True, "line": "whole"}, b'{"seq":2,"life":8,"li')
@@ -234,9 +237,9 @@
         with mock.patch.object(MemberLogFollower, "line_most", 1_000):
             self.say(sock, b"x" * 5_000)
             self.until(lambda: not feed.up, "the connection is given up")
-        self.assertEqual(self.told, ["whole", "second"])
+        assert self.told == ["whole", "second"]
 
-    def test_a_repeated_line_is_taken_once(self):
+    def test_a_repeated_line_is_received_once(self):
         feed = self.follow(self.listener.getsockname())
         sock = self.far()
         line = {"seq": 2, "life": 8, "line": "second"}
@@ -244,7 +247,7 @@
         self.until(lambda: feed.seq == 2, "it is taken")
         self.say(sock, {"seq": 3, "life": 8, "line": "third"})
         self.until(lambda: feed.seq == 3, "the next is taken")
-        self.assertEqual(self.told, ["first", "second", "third"])
+        assert self.told == ["first", "second", "third"]
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/zones/test_zones_roster_closing.py
@@ -0,0 +1,38 @@
+"""A plan laid over the roster."""
+
+from support.zone_plans import plan
+
+from fawnwharf import config
+from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.zones import plan as p
+from fawnwharf.zones import roster_closing
+
+
+def scorers(*names, phase="in_service"):
+    return [config.Member(name, phase, "127.0.0.1:1", locality=name[0], size=2.0) for name in names]
+
+
+def phases(fleet):
+    return {member.id: member.phase for member in fleet.members}
+
+
+def test_a_plan_closes_scorers_and_never_opens_a_draining_one():
+    overlay = Overlay()
+    fleet = config.Fleet([*scorers("a1", "b1"), *scorers("b2", phase="terminating")], complete=True)
+    assert phases(overlay.told(fleet)) == {"a1": "in_service", "b1": "in_service", "b2": "terminating"}
+    out = plan(a=(p.SERVING, 2, 0.5, "x"), b=(p.OUT, 2, 0.5, "x"))
+    assert phases(overlay.close("zones", roster_closing.plan_closer(out, "a"))) == {"b1": "terminating"}
+    assert phases(overlay.told(config.Fleet(scorers("b3")))) == {"b3": "terminating"}
+    assert [m.id for m in roster_closing.in_zone(overlay.members.values(), "b")] == ["b1", "b3"]
+    back = overlay.close("zones", roster_closing.plan_closer(None, "a"))
+    assert phases(back) == {"b1": "in_service", "b3": "in_service"}
+    assert roster_closing.zone_sizes(overlay.members.values()) == {"a": 2.0, "b": 4.0}
+
+
+def test_the_roster_keeps_what_a_change_does_not_repeat():
+    overlay = Overlay()
+    overlay.told(config.Fleet(scorers("b1"), complete=True))
+    gone = config.Member("b1", "terminated")
+    [told] = overlay.told(config.Fleet([gone])).members
+    assert (told.phase, told.host_port, told.locality) == ("terminated", "127.0.0.1:1", "b")
+    assert overlay.members == {}
