--- a/fawnwharf/admin/handoff_listener.py
+++ b/fawnwharf/admin/handoff_listener.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from fawnwharf.admin.handoff_directory import HandoffDirectory
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.event_loop import READ, EventLoop
 
 BACKLOG = 4
 ACCEPT_PAUSE_MS = 50.0  # where the system has no descriptor or memory left
@@ -16,7 +16,7 @@
     """Owns the hand-off socket of a process until it is closed or another process replaces it."""
 
     def __init__(
-        self, loop: Loop, directory: HandoffDirectory, on_accept: Callable[[socket.socket], None]
+        self, loop: EventLoop, directory: HandoffDirectory, on_accept: Callable[[socket.socket], None]
     ) -> None:
         """Raises OSError where no such socket can be created."""
         self.loop = loop
@@ -51,8 +51,8 @@
         except BlockingIOError:
             return
         except OSError:  # no descriptor: leaves it in the system's queue for a moment, instead of a busy loop
-            self.loop.forget(self._sock)
-            self.loop.wheel.after(ACCEPT_PAUSE_MS, self._watch)
+            self.loop.unwatch(self._sock)
+            self.loop.timers.after(ACCEPT_PAUSE_MS, self._watch)
             return
         self._on_accept(sock)
 
@@ -66,5 +66,5 @@
 
     def close(self) -> None:
         """Stops listening; the file stays, as it may be another process's."""
-        self.loop.forget(self._sock)
+        self.loop.unwatch(self._sock)
         self._sock.close()
--- a/fawnwharf/fakes/clients.py
+++ b/fawnwharf/fakes/clients.py
@@ -16,8 +16,8 @@
 from fawnwharf.fakes.lines import DIAL_MS, Line, Probe
 from fawnwharf.net import thrift
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 PROBE_MS = 500.0  # pace of dials to a front end that is down; no call goes there until one comes up
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         seed: int,
         kinds: list[Kind],
         rates: dict[str, float],
@@ -85,12 +85,12 @@
         def over() -> None:
             self.factor = before
 
-        self.loop.wheel.after(for_ms, over)
+        self.loop.timers.after(for_ms, over)
 
     def _next(self, zone: str) -> None:
         rate = self.rates[zone] * self.factor
         if self.running and rate > 0:
-            self.loop.wheel.after(self.chance.expovariate(rate) * 1000.0, lambda: self._arrive(zone))
+            self.loop.timers.after(self.chance.expovariate(rate) * 1000.0, lambda: self._arrive(zone))
 
     def _arrive(self, zone: str) -> None:
         if not self.running:
@@ -159,7 +159,7 @@
             line.connection.write(data)
         else:
             line.waiting.append(data)
-        request.timer = self.loop.wheel.after(left + LATE_MS, lambda: self._overdue(line, request, attempt))
+        request.timer = self.loop.timers.after(left + LATE_MS, lambda: self._overdue(line, request, attempt))
 
     def _choose(self, zone: str) -> str | None:
         fronts = self._fronts()
@@ -179,7 +179,7 @@
             return min(lines, key=lambda line: len(line.open))
         line = Line(self, front)
         made = Connection.dial(self.loop, self._fronts()[front][1], line, DIAL_MS)
-        if isinstance(made, End):
+        if isinstance(made, EndReason):
             self._is_down(front)
             return None
         line.connection = made
@@ -201,14 +201,14 @@
         if front in self._down:
             return
         self._down.add(front)
-        self.loop.wheel.after(PROBE_MS, lambda: self._probe(front))
+        self.loop.timers.after(PROBE_MS, lambda: self._probe(front))
 
     def _probe(self, front: str) -> None:
         if not self.running:
             return
         probe = Probe(self, front)
         made = Connection.dial(self.loop, self._fronts()[front][1], probe, DIAL_MS)
-        if isinstance(made, End):
+        if isinstance(made, EndReason):
             self.probed(front, False)
         else:
             probe.connection = made
@@ -217,7 +217,7 @@
         if good:
             self._down.discard(front)
         else:
-            self.loop.wheel.after(PROBE_MS, lambda: self._probe(front))
+            self.loop.timers.after(PROBE_MS, lambda: self._probe(front))
 
     def _overdue(self, line: Line, request: Request, attempt: Try) -> None:
         if line.open.pop(attempt.seqid, None) is None:
@@ -228,7 +228,7 @@
             self._is_down(line.front)
             for _, other in line.open.values():
                 other.left = True
-            line.connection.close(End.SILENT)
+            line.connection.close(EndReason.SILENT)
             return
         if not line.connection.closed and line.connection.up:
             line.connection.write(withdrawal(attempt))
@@ -259,7 +259,7 @@
             self._close(request, outcome)
             return
         wait = attempt.pushback_ms if outcome == "refused" else self.chance.uniform(5.0, 40.0)
-        self.loop.wheel.after(wait, lambda: self._try(request))
+        self.loop.timers.after(wait, lambda: self._try(request))
 
     def _close(self, request: Request, outcome: str) -> None:
         if not request.outcome:
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -53,7 +53,7 @@
         place = Path(path)
         self.settings: ReplicationSettings = load_file(place, parse_settings, "state")
         self.folder = place.parent / self.settings.folder if self.settings.folder else None
-        self._members_path = place.parent / self.settings.members
+        self._members_path = place.parent / self.settings.membership_file
         members: Membership = load_file(self._members_path, membership_from, "state")
         self._members_seen = self._mark()
         entry = members.named(deployment.name)
@@ -73,14 +73,14 @@
         self.core = ReplicationCore(
             entry.name, self.incarnation, members, self.settings, monotonic_ms(), fresh
         )
-        if self.settings.shares:
+        if self.settings.quota_shares:
             # The module adds what it is handed to the quotas: these are as they were sold.
             quotas = dict(deployment.settings.quotas_rps)
             self.core.quota_shares = QuotaShares(quotas, deployment.settings.fleet_size)
         promises = (spec.latency_target_ms for spec in deployment.settings.classes.values())
         self.outlier_ejector = OutlierEjector(min(promises, default=1_000.0), self.log_event)
         self.load_reporting: LoadReporting | None = None
-        if self.settings.elsewhere:
+        if self.settings.load_reports:
             self.load_reporting = LoadReporting(self.core, deployment.settings, self.log_event)
         self.grant_storage: GrantStorage | None = None
         self._kept = kept
@@ -124,19 +124,19 @@
         self.log_server.followed = self._followed
         self.gate = ClaimGate(
             front.loop,
-            front.table,
+            front.requests,
             self.core,
             self.settings,
             self.deployment.settings.classes,
             self._carry_out,
         )
-        front.port.table = self.gate
+        front.client_port.requests = self.gate
         self._follow()
         self._look_at_files()
         self._status()
-        if self.settings.shares:
+        if self.settings.quota_shares:
             self._use()
-        if self.settings.hints:
+        if self.settings.outlier_ejection:
             self._beliefs()
         if self.load_reporting:
             self.load_reporting.attach(front, self._carry_out)
@@ -159,9 +159,9 @@
         if self.grant_storage:
             self.grant_storage.close()
 
-    def told(self, fleet: Fleet) -> None: ...
+    def on_fleet(self, fleet: Fleet) -> None: ...
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         if self.core.quota_shares:
             self.core.quota_shares.count_calls(e.tenant for e in events if isinstance(e, io.RequestArrived))
         self.outlier_ejector.events(monotonic_ms(), events)
@@ -191,7 +191,7 @@
     def live_members(self, now_ms: float) -> dict[str, int]:
         """Members whose logs are followed here and gave a sign within `quiet_ms`, with their lives."""
         self._hear()
-        quiet = self.settings.quiet_ms
+        quiet = self.settings.silence_timeout_ms
         return {name: life for name, (life, at_ms) in self.core.last_heard.items() if now_ms - at_ms <= quiet}
 
     def _hear(self) -> None:
@@ -240,7 +240,7 @@
         if due == float("inf"):
             return
         self._timer_ms = due
-        self._timer = self.front_end.loop.wheel.after(due - now, self._tick)
+        self._timer = self.front_end.loop.timers.after(due - now, self._tick)
 
     def _look_after(self, now_ms: float) -> None:
         keeper = self.core.replica
@@ -270,8 +270,8 @@
         self._carry_out(self.core.send_usage(now))
         if self.core.quota_shares:
             for tenant, rps in self.core.quota_shares.changes(now).items():
-                self.front_end.loop.tell(io.LimitsChanged(rps, tenant))
-        self.front_end.loop.wheel.after(self.settings.use_ms, self._use)
+                self.front_end.loop.enqueue(io.LimitsChanged(rps, tenant))
+        self.front_end.loop.timers.after(self.settings.usage_interval_ms, self._use)
 
     def _beliefs(self) -> None:
         """Tell which scorers are bad, and let those rest that several front ends name."""
@@ -279,11 +279,11 @@
             return
         now = monotonic_ms()
         self._carry_out(self.core.send_failure_report(now, self.outlier_ejector.sights))
-        changes = self.outlier_ejector.look(now, self.core.reported_outliers, self.front_end.overlay)
+        changes = self.outlier_ejector.look(now, self.core.reported_outliers, self.front_end.roster_overlay)
         self.core.reported_outliers.clear()
         if changes.members:
-            self.front_end.go_by(changes)
-        self.front_end.loop.wheel.after(self.settings.hints_ms, self._beliefs)
+            self.front_end.apply_fleet(changes)
+        self.front_end.loop.timers.after(self.settings.failure_report_interval_ms, self._beliefs)
 
     def _status(self) -> None:
         if self._stopped:
@@ -294,7 +294,7 @@
         )
         status = Send((), found)
         self.log_server.say(msgspec.to_builtins(self.core.log_line(status)), counts_as="status")
-        self.front_end.loop.wheel.after(STATUS_MS, self._status)
+        self.front_end.loop.timers.after(STATUS_MS, self._status)
 
     # --- others' logs ---------------------------------------------------------------------------
 
@@ -369,8 +369,8 @@
             self._members_seen = mark
             self._new_members()
         for feed in self._feeds.values():
-            feed.tidy()
-        self.front_end.loop.wheel.after(FILES_MS, self._look_at_files)
+            feed.run_maintenance()
+        self.front_end.loop.timers.after(FILES_MS, self._look_at_files)
 
     def _new_members(self) -> None:
         try:
--- a/fawnwharf/zones/member_feeds.py
+++ b/fawnwharf/zones/member_feeds.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from fawnwharf.config import address_from
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.zones.member_log import MemberLogFollower
 from fawnwharf.zones.settings import MemberEntry, Membership
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         own: MemberEntry,
         receive: Callable[[LogName, Any], None],
         log: Callable[[str], None],
@@ -72,7 +72,7 @@
     def check_silence(self) -> None:
         """Reconnect to logs that are silent although their connection is open."""
         for feed in self._feeds.values():
-            feed.tidy()
+            feed.run_maintenance()
 
     def close(self) -> None:
         """Follow no log any more."""
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -18,9 +18,9 @@
 from fawnwharf.config import Address
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.log import Log
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.event_loop import READ, EventLoop
+from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 MAX_LINE_BYTES = 512 * 1024  # of a member's log
@@ -43,7 +43,9 @@
     pause_most_ms = MAX_BACKOFF_MS
     line_most = MAX_LINE_BYTES
 
-    def __init__(self, loop: Loop, address: Address, receive: Callable[[Any], None], log: Log) -> None:
+    def __init__(
+        self, loop: EventLoop, address: Address, receive: Callable[[Any], None], log: LogWriter
+    ) -> None:
         """`receive` takes the content of each line; it raises ValueError for one that no member writes."""
         super().__init__(loop, address, 0, receive, log)
         self.life = 0  # the incarnation that is followed
@@ -96,7 +98,7 @@
     def _stumble(self, _why: str) -> bool:
         """Give the connection up, without the change log's further attempts."""
         if self._connection:
-            self._connection.close(End.BAD_BYTES)
+            self._connection.close(EndReason.BAD_BYTES)
         return False
 
 
@@ -116,17 +118,17 @@
     def on_data(self, data: bytes) -> None:
         """Take the reader's one request; anything else ends the connection."""
         if self.since is not None:
-            self.connection.close(End.BAD_BYTES)
+            self.connection.close(EndReason.BAD_BYTES)
             return
         self._received += data
         line, newline, rest = bytes(self._received).partition(b"\n")
         if not newline:
             if len(self._received) > MAX_REQUEST_BYTES:
-                self.connection.close(End.BAD_BYTES)
+                self.connection.close(EndReason.BAD_BYTES)
             return
         command, _, number = line.partition(b" ")
         if rest or command != b"since" or not number.isdigit() or len(number) > MAX_NUMBER_DIGITS:
-            self.connection.close(End.BAD_BYTES)
+            self.connection.close(EndReason.BAD_BYTES)
             return
         self.since = int(number)
         self._server.begin(self)
@@ -134,9 +136,9 @@
     def on_flushed(self) -> None:
         """Disconnect a reader that does not read."""
         if self.connection.waiting_bytes > MAX_UNREAD_BYTES:
-            self.connection.close(End.STUFFED)
+            self.connection.close(EndReason.STUFFED)
 
-    def on_end(self, _end: End) -> None:
+    def on_end(self, _end: EndReason) -> None:
         """Forget the reader."""
         self._server.readers.pop(self, None)
 
@@ -144,7 +146,7 @@
 class LogServer:
     """Owns a listener, the log behind it, and its readers."""
 
-    def __init__(self, loop: Loop, address: Address, life: int, max_readers: int) -> None:
+    def __init__(self, loop: EventLoop, address: Address, life: int, max_readers: int) -> None:
         """`life` is this process's incarnation. Raises OSError where the address cannot be bound."""
         self.loop = loop
         self.life = life
@@ -158,7 +160,7 @@
         self.address: Address = self._listener.getsockname()[:2]
         self._closed = False
         loop.watch(self._listener, READ, self._accept)
-        loop.wheel.after(HEARTBEAT_MS, self._heartbeat)
+        loop.timers.after(HEARTBEAT_MS, self._heartbeat)
 
     def write(self, line: Any, counts_as: Hashable = None) -> None:
         """Write a line for all readers.
@@ -226,16 +228,16 @@
             if reader.since is not None:
                 reader.connection.write(b"%d\n" % self.number(reader))
             elif now - reader.accepted_ms > REQUEST_TIMEOUT_MS:
-                reader.connection.close(End.SILENT)
-        self.loop.wheel.after(HEARTBEAT_MS, self._heartbeat)
+                reader.connection.close(EndReason.SILENT)
+        self.loop.timers.after(HEARTBEAT_MS, self._heartbeat)
 
     def close(self) -> None:
         """Close the listener and all readers' connections."""
         self._closed = True
-        self.loop.forget(self._listener)
+        self.loop.unwatch(self._listener)
         self._listener.close()
         for reader in list(self.readers):
-            reader.connection.close(End.STOPPED)
+            reader.connection.close(EndReason.STOPPED)
 
 
 def _listen(address: Address) -> socket.socket:
--- a/fawnwharf/zones/plan_application.py
+++ b/fawnwharf/zones/plan_application.py
@@ -44,11 +44,11 @@
         plan = effect.plan
         if plan is not None and self.spillover_limits:
             plan = limit_spillover(plan, self.spillover_limits)
-        changes = front.overlay.close(CLOSER, roster_closing.plan_closer(plan, self._zone))
+        changes = front.roster_overlay.set_filter(CLOSER, roster_closing.plan_closer(plan, self._zone))
         if changes.members:
-            front.go_by(changes)
+            front.apply_fleet(changes)
         admission = roster_closing.admitted_fraction(plan, self._zone)
-        front.limit(LIMIT, self._admitted_rps(plan, admission))
+        front.limit_calls(LIMIT, self._admitted_rps(plan, admission))
         scorers_changed, rounded = len(changes.members), round(admission, 3)
         if plan is None:
             return OperatingStandalone(effect.index, scorers_changed, rounded)
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -4,9 +4,9 @@
 
 from fawnwharf.config import address_from
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import PASSING, End
-from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
+from fawnwharf.net.end_reasons import LOCAL_REASONS, EndReason
+from fawnwharf.net.front_end import FrontEnd, scorer_number
+from fawnwharf.net.timer_wheel import TimerWheel, monotonic_ms
 from fawnwharf.zones.evidence import EvidenceCollector, ZoneHealth, zone_health
 from fawnwharf.zones.roster_closing import in_zone
 from fawnwharf.zones.settings import EvidenceSettings
@@ -22,7 +22,7 @@
     Guards against a proxy before a dead scorer that accepts connections only to close them.
     """
 
-    def __init__(self, wheel: Wheel, report: Callable[[bool], None]) -> None:
+    def __init__(self, wheel: TimerWheel, report: Callable[[bool], None]) -> None:
         """`report` is called once, with whether the probe succeeded."""
         self.connection: Connection | None = None
         self._wheel = wheel
@@ -40,7 +40,7 @@
     def _settled(self) -> None:
         if self.connection is not None and not self.connection.closed:
             self._finish(succeeded=True)
-            self.connection.close(End.IDLE)
+            self.connection.close(EndReason.IDLE)
 
     def on_data(self, _data: bytes) -> None:
         """Ignore what the scorer sends."""
@@ -48,7 +48,7 @@
     def on_flushed(self) -> None:
         """Do nothing: a probe sends nothing."""
 
-    def on_end(self, _end: End) -> None:
+    def on_end(self, _end: EndReason) -> None:
         """Report a failure, where no success was reported."""
         self._finish(succeeded=False)
 
@@ -72,7 +72,7 @@
         self._on_view_changed = on_view_changed
         self._dead_zones: set[str] = set()
         self._positions: dict[str, int] = {}  # of the last scorer probed, by zone
-        self._first_position = worker_number(front.deployment.name)  # members start at different scorers
+        self._first_position = scorer_number(front.deployment.name)  # members start at different scorers
         self._stopped = False
 
     def close(self) -> None:
@@ -94,7 +94,7 @@
             if too_few or self._collector.since_success_ms(now, zone) >= PROBE_INTERVAL_MS:
                 self._probe(zone, PROBES_AFTER_FAILURE)
         self._check_views(now)
-        self._front.loop.wheel.after(PROBE_INTERVAL_MS, self.run)
+        self._front.loop.timers.after(PROBE_INTERVAL_MS, self.run)
 
     def _check_views(self, now_ms: float) -> None:
         """Report a change of the dead zones at once."""
@@ -108,7 +108,7 @@
 
     def _probe(self, zone: str, further_probes: int) -> None:
         """Probe the next scorer of a zone; where it fails and the zone was not dead, some others at once."""
-        scorers = in_zone(self._front.overlay.members.values(), zone)
+        scorers = in_zone(self._front.roster_overlay.members.values(), zone)
         if not scorers:
             return
         position = self._positions.get(zone, self._first_position) + 1
@@ -119,7 +119,7 @@
 
         def report(succeeded: bool) -> None:
             now = monotonic_ms()
-            self._collector.record_probe(now, zone, worker_number(scorer.id), connected=succeeded)
+            self._collector.record_probe(now, zone, scorer_number(scorer.id), connected=succeeded)
             if not succeeded and zone not in self._dead_zones:
                 for _ in range(further_probes):
                     self._probe(zone, 0)
@@ -128,10 +128,10 @@
         self._dial(scorer.host_port, report)
 
     def _dial(self, host_port: str, report: Callable[[bool], None]) -> None:
-        probe = _Probe(self._front.loop.wheel, report)
+        probe = _Probe(self._front.loop.timers, report)
         timeout_ms = min(self._front.deployment.wire.dial_timeout_ms, self._settings.window_ms / 2)
         dialed = Connection.dial(self._front.loop, address_from(host_port, "host_port"), probe, timeout_ms)
-        if not isinstance(dialed, End):
+        if not isinstance(dialed, EndReason):
             probe.connection = dialed
-        elif dialed not in PASSING:
+        elif dialed not in LOCAL_REASONS:
             report(False)
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -10,7 +10,7 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.consensus.voter_store import VoterStore
-from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import log_events
 from fawnwharf.zones.effects import (
@@ -174,19 +174,19 @@
 
     # --- extension of the front end -------------------------------------------------------------
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Take changes of the roster, as the change log reports them."""
         self._roster_ms = monotonic_ms()
         for member in fleet.members:
             if member.locality:
-                self._zone_of_scorer[worker_number(member.id)] = member.locality
+                self._zone_of_scorer[scorer_number(member.id)] = member.locality
 
     @property
     def busy(self) -> bool:
         """Nothing here delays a graceful shutdown."""
         return False
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Record a batch's evidence on zones."""
         now = monotonic_ms()
         for event in events:
@@ -209,7 +209,7 @@
         if self._stopped:
             return
         now = monotonic_ms()
-        sizes = zone_sizes(self.front.overlay.members.values())
+        sizes = zone_sizes(self.front.roster_overlay.members.values())
         evidence = self.evidence_collector.evidence(now)
         self._carry_out(self.core.tick(now, evidence, sizes, now - self._roster_ms))
         self._set_timer()
@@ -227,7 +227,7 @@
                 return
             self._timer.cancel()
         self._timer_ms = due_ms
-        self._timer = self.front.loop.wheel.after(due_ms - monotonic_ms(), self._tick)
+        self._timer = self.front.loop.timers.after(due_ms - monotonic_ms(), self._tick)
 
     # --- effects --------------------------------------------------------------------------------
 
@@ -333,7 +333,7 @@
         if self._feeds is not None:
             self._feeds.check_silence()
         self._set_timer()
-        self.front.loop.wheel.after(FILE_CHECK_INTERVAL_MS, self._check_files)
+        self.front.loop.timers.after(FILE_CHECK_INTERVAL_MS, self._check_files)
 
     def _take_membership(self, data: bytes) -> None:
         try:
--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -19,8 +19,8 @@
 from fawnwharf.admin.http import AdminRequest, AdminResponse, RequestReader, encode_response
 from fawnwharf.config import ConfigError, Fleet, Member, deployment_from
 from fawnwharf.interface import ScorerState
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterOverlay
 
 CALL = b"POST /maintenance/enter?target=s-1 HTTP/1.1\r\nHost: x\r\n\r\n"
 BODY = b"POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
@@ -133,20 +133,20 @@
 
 
 def test_an_overlay_only_closes_holds_whatever_is_told_and_brings_back_cold():
-    overlay = Overlay()
+    overlay = RosterOverlay()
     member = Member("s-1", "in_service", "127.0.0.1:1", locality="a")
-    overlay.told(Fleet([member, Member("s-2", "in_service", "127.0.0.1:2")], complete=True))
-    [closed] = overlay.close("one", lambda m: m.id == "s-1").members
+    overlay.apply(Fleet([member, Member("s-2", "in_service", "127.0.0.1:2")], complete=True))
+    [closed] = overlay.set_filter("one", lambda m: m.id == "s-1").members
     assert (closed.id, closed.phase) == ("s-1", "terminating")
-    assert not overlay.close("two", lambda m: m.id == "s-1").members  # closed already
-    told = [overlay.told(Fleet([Member("s-1", phase)])).members[0] for phase in ("terminated", "in_service")]
+    assert not overlay.set_filter("two", lambda m: m.id == "s-1").members  # closed already
+    told = [overlay.apply(Fleet([Member("s-1", phase)])).members[0] for phase in ("terminated", "in_service")]
     assert [m.phase for m in told] == ["terminated", "terminating"]
-    overlay.told(Fleet([member]))
-    assert not overlay.close("one", None).members  # the other one still closes it
-    assert [m.phase for m in overlay.close("two", None).members] == ["in_service"]
-    [back] = overlay.returned(["s-1", "s-9"], 5000.0).members
+    overlay.apply(Fleet([member]))
+    assert not overlay.set_filter("one", None).members  # the other one still closes it
+    assert [m.phase for m in overlay.set_filter("two", None).members] == ["in_service"]
+    [back] = overlay.mark_restarted(["s-1", "s-9"], 5000.0).members
     assert (back.up_since_ms, back.host_port, back.locality) == (5000.0, "127.0.0.1:1", "a")
-    assert overlay.told(Fleet([member], complete=True)).members[0].up_since_ms == 5000.0
+    assert overlay.apply(Fleet([member], complete=True)).members[0].up_since_ms == 5000.0
 
 
 def test_a_faulty_second_address_is_named_by_its_key():
@@ -180,7 +180,7 @@
     def after(self, ms):
         """Let the loop run until a timer of its own says so."""
         due = []
-        self.front.loop.wheel.after(ms, lambda: due.append(1))
+        self.front.loop.timers.after(ms, lambda: due.append(1))
         self.until(lambda: due, "the time is over")
 
 
@@ -214,12 +214,12 @@
             for _ in range(20):
                 client.call()
         caller = rig.caller()
-        rig.front.loop.turn(0.2)  # its connection is accepted, and clients fill the rest of the turn
+        rig.front.loop.run_iteration(0.2)  # its connection is accepted, and clients fill the rest of the turn
         caller.sock.sendall(b"GET /status HTTP/1.1\r\n\r\n")
-        with mock.patch("fawnwharf.net.loop.EVENTS_MOST", 1):
+        with mock.patch("fawnwharf.net.event_loop.MAX_EVENTS", 1):
             for client in clients:
                 client.call()
-            rig.front.loop.turn(0.2)
+            rig.front.loop.run_iteration(0.2)
         caller.pump()
         self.assertIn(b" 200 ", bytes(caller.data))
 
@@ -236,11 +236,11 @@
         rig.until(lambda: client.answers, "it is served")
         self.assertEqual(rig.ask(f"{ENTER}?target={home.id}"), 200)
         rig.log.say({"seq": 2, "fleet": {"members": [home.member()]}})
-        rig.until(lambda: rig.front.changelog.seq == 2, "the log has it in service")
+        rig.until(lambda: rig.front.change_log.seq == 2, "the log has it in service")
         client.call()
         rig.until(lambda: other.runs, "the next goes elsewhere")
         self.assertEqual(len(home.runs), 1)
-        worker = rig.front.router.workers[worker_number(home.id)]
+        worker = rig.front.router.workers[scorer_number(home.id)]
         self.assertIs(worker.entry.state, ScorerState.DRAINING)
         before = rig.front.loop.clock.now_ms()
         self.assertEqual(rig.ask(f"{EXIT}?target={home.id}"), 200)
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -21,7 +21,7 @@
 from fawnwharf.durable_store import folder as durable_folder
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.policy_rollout import call_trace as policy_trace
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import policy_file
@@ -62,7 +62,7 @@
         for _ in range(2_000):
             if self.data.count(b"\n") >= count:
                 break
-            self.loop.turn(0.002)
+            self.loop.run_iteration(0.002)
             try:
                 self.data += self.sock.recv(65_536)
             except BlockingIOError:
@@ -74,7 +74,7 @@
 @pytest.fixture
 def served():
     """A log server of life 7 on a loopback port, and its loop."""
-    loop = Loop(lambda now_ms, events: None, lambda text: None)
+    loop = EventLoop(lambda now_ms, events: None, lambda text: None)
     server = member_log.LogServer(loop, ("127.0.0.1", 0), 7, 8)
     yield loop, server
     server.close()
@@ -109,7 +109,7 @@
 def test_a_follower_takes_recorded_lines():
     """In order, by life and number; a gap or another life has it ask anew."""
     told = []
-    loop = Loop(lambda now_ms, events: None, lambda text: None)
+    loop = EventLoop(lambda now_ms, events: None, lambda text: None)
     log = member_log.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
     rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
     assert [log.event(json.loads(row)) for row in rows] == [True, True]
@@ -281,8 +281,8 @@
     id = bytes.fromhex("0011223344556677")
     frames = [
         scorer_frames.run(id, "gold", "8899aabbccddeeff", 12.0, "t1", b"body"),
-        scorer_frames.give_up(id),
-        scorer_frames.ensure(id, "8899aabbccddeeff", 2),
+        scorer_frames.abandon(id),
+        scorer_frames.load(id, "8899aabbccddeeff", 2),
         scorer_frames.unload("8899aabbccddeeff"),
     ]
     assert [frame.hex() for frame in frames] == [
@@ -309,7 +309,7 @@
         ".new",
     )
     assert (file_format.SNAPSHOT, file_format.LOG) == ("snapshot", "log")
-    assert (file_format.SYNCED, file_format.SOON, file_format.HINT) == ("synced", "soon", "hint")
+    assert tuple(file_format.Durability) == ("synced", "soon", "hint")
     assert (policy_service.POLICY_FILE, policy_service.REQUEST_FILE) == ("policy.json", "proposal.json")
     assert keeper_disk.INCOMPLETE == -1 and stored_state.LAST == "last"
     assert (stored_state.START, stored_state.DOUBT, stored_state.COMPLETE, stored_state.COMMIT_TICKET) == (
@@ -319,8 +319,8 @@
         "turn",
     )
     assert {kind: rule.name for kind, rule in stored_state.ENTRY_RULES.items()} == {
-        StateKind.PROMISE: "promise", StateKind.PLAN: "plan", StateKind.POLICY: "policy",
-        StateKind.HOMES: "homes", StateKind.ROSTER: "roster", StateKind.USE: "use",
+        StateKind.GRANT: "promise", StateKind.PLAN: "plan", StateKind.POLICY: "policy",
+        StateKind.PLACEMENTS: "homes", StateKind.ROSTER: "roster", StateKind.USAGE: "use",
     }  # fmt: skip
     assert {rule.name: rule.mode for rule in stored_state.ENTRY_RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -10,7 +10,7 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import PolicyRolloutService
 from fawnwharf.replication.service import ReplicationService
-from fawnwharf.serving import Seams
+from fawnwharf.serving import ExtensionGroup
 from fawnwharf.zones.bootstrap import bootstrap
 from fawnwharf.zones.service import ZoneService
 
@@ -57,21 +57,23 @@
         if self.policy:
             path = self.folder / "settings.json"
             made["policy"] = lambda first, made: PolicyRolloutService(deployment, path, write, made)
-        seam = Seams(made, True)
+        extension = ExtensionGroup(made, True)
         self.lines = []
-        self.front = FrontEnd(deployment, lambda text, source="": self.lines.append(text), seam=seam)
-        seam.attach(self.front)
+        self.front = FrontEnd(
+            deployment, lambda text, source="": self.lines.append(text), extension=extension
+        )
+        extension.attach(self.front)
         self.front.start()
 
     @property
     def part(self):
         """The part under test, the last one made."""
-        return self.front.seam._parts[-1]
+        return self.front.extension._parts[-1]
 
     @property
     def zones(self):
         """Its part for zones."""
-        return self.front.seam._parts[0]
+        return self.front.extension._parts[0]
 
     def close(self):
         """Close the front end, if it runs."""
@@ -138,7 +140,7 @@
         """Run one iteration of each loop and peer."""
         for node in self.nodes:
             if node.front is not None:
-                node.front.loop.turn(0.001)
+                node.front.loop.run_iteration(0.001)
             node.log.pump()
             node.scorer.pump()
         for client in self.clients:
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -6,8 +6,8 @@
 from fawnwharf import interface as io
 from fawnwharf.fakes.scorers import Arrival
 from fawnwharf.net import scorer_frames
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
+from fawnwharf.net.front_end import scorer_number
 from fawnwharf.net.timer_wheel import monotonic_ms, unix_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.directed_log import DirectedLog, DirectedLogServer
@@ -27,7 +27,7 @@
 
     def orders(self, load):
         """Those that came, loads or questions."""
-        return [i for i in self.of(scorer_frames.ENSURE) if (i[1].fields["slots_up"] != "0") == load]
+        return [i for i in self.of(scorer_frames.LOAD) if (i[1].fields["slots_up"] != "0") == load]
 
 
 def rig_with(scorer, cold_ms=60_000.0):
@@ -45,7 +45,7 @@
 def test_the_table_tells_what_went_and_what_came_of_it():
     scorer = Cold()
     rig, working, told = rig_with(scorer)
-    worker = worker_number("s-1")
+    worker = scorer_number("s-1")
     try:
         client = rig.client()
         client.call()
@@ -66,9 +66,9 @@
         scorer.answer(scorer.runs[0])
         rig.until(lambda: client.answers, "the answer")
         working.close()
-        rig.front.loop.tell(io.LimitsChanged())  # the loop goes on without it
+        rig.front.loop.enqueue(io.LimitsChanged())  # the loop goes on without it
         rig.settle(client)
-        assert rig.front.table.witness is None
+        assert rig.front.requests.observer is None
     finally:
         rig.close()
 
@@ -82,7 +82,7 @@
             while len(times) < 4:
                 count = len(told())
                 rig.until(lambda told=told, count=count: len(told()) > count, "one more")
-                times.append(rig.front.loop.turn_ms)
+                times.append(rig.front.loop.iteration_ms)
             spans = sorted(b - a for a, b in zip(times, times[1:], strict=False))
             assert spans[0] >= least - 20.0 and (spans[0] < most)  # one that was held up is followed sooner
         finally:
@@ -90,7 +90,7 @@
 
 
 def test_a_hello_is_heard_by_one_that_follows_only_later_and_it_sends_no_more_than_is_for_whom_it_knows():
-    loop = Loop(lambda now_ms, events: None, lambda text: None)
+    loop = EventLoop(lambda now_ms, events: None, lambda text: None)
     a, b = (DirectedLogServer(loop, ("127.0.0.1", 0), life, 4) for life in (1, 2))
     told, feeds = [], []
 
@@ -98,7 +98,7 @@
         end = monotonic_ms() + 1_000.0 * PATIENCE_S
         while not condition():
             assert monotonic_ms() < end
-            loop.turn(0.005)
+            loop.run_iteration(0.005)
 
     def follow(server, take, hello):
         feeds.append(DirectedLog(loop, server.address, take, lambda text: None, hello))
--- a/tests/test_rare_shortages.py
+++ b/tests/test_rare_shortages.py
@@ -12,7 +12,7 @@
 from fawnwharf import interface as io
 from fawnwharf.admin import admin_listener
 from fawnwharf.net import connection
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 
 __all__ = ["clock", "rig"]
 
@@ -20,20 +20,20 @@
 def test_a_shortage_at_the_second_address_does_not_spin_the_loop(clock):
     faults = SystemFaults()
     with faults.installed():
-        loop = Loop(lambda now_ms, events: None, lambda line: None)
+        loop = EventLoop(lambda now_ms, events: None, lambda line: None)
         control = admin_listener.AdminListener(loop, ("127.0.0.1", 0), 1024, mock.Mock())
         caller = socket.create_connection(control.address)
         fault = faults.fail("accept", errno.EMFILE, times=2)
         for _ in range(20):
-            loop.turn(0.0)
+            loop.run_iteration(0.0)
         assert fault.hits == 1
         clock.advance(admin_listener.ACCEPT_PAUSE_MS + 5.0)
-        loop.turn(0.0)
-        loop.turn(0.0)
+        loop.run_iteration(0.0)
+        loop.run_iteration(0.0)
         assert fault.hits == 2
         clock.advance(admin_listener.ACCEPT_PAUSE_MS + 5.0)
-        loop.turn(0.0)
-        loop.turn(0.0)
+        loop.run_iteration(0.0)
+        loop.run_iteration(0.0)
         assert len(control.connections) == 1
         control.close()
         caller.close()
@@ -43,10 +43,10 @@
 def test_a_call_that_wakes_the_loop_after_a_turn_of_much_work_has_its_time(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    rig.front.loop.turn(0.0)
-    rig.front.loop.wheel.after(0.0, lambda: clock.advance(60.0))  # so long a turn works
+    rig.front.loop.run_iteration(0.0)
+    rig.front.loop.timers.after(0.0, lambda: clock.advance(60.0))  # so long a turn works
     clock.advance(5.0)
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     select = rig.front.loop._selector.select
 
     def asleep(_timeout=None):
@@ -54,10 +54,10 @@
         client.call(ttl="8000")
         return select(0.5)
 
-    monkeypatch.setattr(rig.front.loop, "_sleep_s", lambda most: 0.25)
+    monkeypatch.setattr(rig.front.loop, "_wait_s", lambda most: 0.25)
     monkeypatch.setattr(rig.front.loop._selector, "select", asleep)
-    rig.front.loop.turn()
-    [request] = rig.front.table.open.values()
+    rig.front.loop.run_iteration()
+    [request] = rig.front.requests.open.values()
     assert request.deadline_ms - clock.monotonic_ms == 8_000.0
 
 
@@ -69,7 +69,7 @@
                 scorer = ScorerPeer()
                 made = self.rig(scorer)
                 client, key = self.asked(made)
-                made.front.table.send(io.Send(key, BY_POOL))  # a dial is under way
+                made.front.requests.send(io.Send(key, BY_POOL))  # a dial is under way
                 client.status(9) if tail == "status" else client.withdraw(77)
                 client.sock.close()
                 made.clients.remove(client)
--- a/tests/test_scorer_shuffles.py
+++ b/tests/test_scorer_shuffles.py
@@ -10,8 +10,8 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt, order, reset
 
 from fawnwharf import interface as io
-from fawnwharf.net.end_reasons import End, told
-from fawnwharf.net.streams import Attempt
+from fawnwharf.net.end_reasons import EndReason, attempt_result
+from fawnwharf.net.scorer_streams import Attempt
 
 SEEDS, STEPS = 40, 60
 DIAL_MS, LIFE_MS = 250.0, 900.0
@@ -39,7 +39,7 @@
         self.case, self.chance = case, random.Random(seed)
         self.peers = [ApartScorer(f"s-{number}") for number in range(2)]
         self.rig = case.rig(*self.peers, settings={"bounds": BOUNDS})
-        self.pool = self.rig.front.pool
+        self.pool = self.rig.front.scorer_pool
         if self.chance.random() < 0.5:  # calls find links of their own
             self.pool.wire = self.rig.front.deployment.wire
         self.streams, self.ends, self.begun = [], {}, {}
@@ -85,7 +85,7 @@
 
     def order(self):
         self.add(stream := order(self.worker(), [], copies=self.chance.randrange(2)))
-        self.pool.order(stream)
+        self.pool.start_load(stream)
 
     def open(self):
         return [stream for stream in self.streams if stream not in self.ends]
@@ -97,7 +97,7 @@
     def take_back(self):
         if found := self.open():
             stream = self.chance.choice(found)
-            self.pool.take_back(stream)
+            self.pool.cancel_unsent(stream)
             self.case.assertTrue(stream in self.ends or stream.begun)
 
     def advance(self):
@@ -166,7 +166,7 @@
         self.case.faults.fail(call, error, where=where)
 
     def tidy(self):
-        self.pool.tidy()
+        self.pool.run_maintenance()
 
     # --- what always holds --------------------------------------------------------------------
 
@@ -195,8 +195,8 @@
             if isinstance(stream, Attempt):
                 self.case.assertIn(stream, self.ends, "no end, though its time is over")
             end = self.ends.get(stream)
-            if isinstance(end, End) and end is not End.CALLED_OFF and not self.begun[stream]:
-                self.case.assertIn(told(end, False), NEVER_WRITTEN)
+            if isinstance(end, EndReason) and end is not EndReason.CALLED_OFF and not self.begun[stream]:
+                self.case.assertIn(attempt_result(end, False), NEVER_WRITTEN)
 
 
 class Shuffles(Case):
--- a/tests/zones/test_zones_member_log.py
+++ b/tests/zones/test_zones_member_log.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from fawnwharf.net import connection
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.zones import member_log
 from fawnwharf.zones.member_log import LogServer, MemberLogFollower
 
@@ -19,7 +19,7 @@
 
 class Case(unittest.TestCase):
     def setUp(self):
-        self.loop = Loop(lambda _now_ms, _events: None, mock.Mock())
+        self.loop = EventLoop(lambda _now_ms, _events: None, mock.Mock())
         self.addCleanup(self.loop.close)
         self.told, self.dropped = [], []
 
@@ -27,7 +27,7 @@
         end = time.monotonic() + PATIENCE_S
         while not condition():
             assert time.monotonic() < end, f"waited in vain until {what}"
-            self.loop.turn(0.005)
+            self.loop.run_iteration(0.005)
 
     def server(self, life=1, most=8, address=("127.0.0.1", 0)):
         server = LogServer(self.loop, address, life, most)
@@ -58,7 +58,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
-        feed._connection.close(member_log.End.RETIRED)
+        feed._connection.close(member_log.EndReason.RETIRED)
         server.write({"n": 1})
         server.write({"n": 2})
         self.until(lambda: feed.seq == 3, "the others are told")
@@ -69,7 +69,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
-        feed._connection.close(member_log.End.RETIRED)
+        feed._connection.close(member_log.EndReason.RETIRED)
         for n in range(1, member_log.MAX_STORED_LINES + 10):
             server.write({"n": n}, counts_as="n")
         self.until(lambda: feed.seq == member_log.MAX_STORED_LINES + 10, "it has caught up")
@@ -102,7 +102,7 @@
         self.until(lambda: feed._connection.heard_ms > heard, "a pulse comes")
         later_ms = connection.monotonic_ms() + 5_000.0
         with mock.patch("fawnwharf.net.change_log.monotonic_ms", return_value=later_ms):
-            feed.tidy()
+            feed.run_maintenance()
         assert "silent" in self.dropped[-1]
 
 
@@ -163,7 +163,7 @@
             while server.readers:
                 assert time.monotonic() < end
                 server.write({"text": "x" * 50_000})
-                self.loop.turn(0.0)
+                self.loop.run_iteration(0.0)
         assert server._stored_bytes <= member_log.MAX_STORED_BYTES
         sock.close()
 
