--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -28,17 +28,17 @@
 HELLO = h.Hello(h.VERSION, ADDRESS)
 
 
-def apply_step(source, word):
-    """One step, by its word: `leave@5` at a time, `hello`, `other`, `ready`, `lost`, `look@9`."""
-    name, _, at = word.partition("@")
+def apply_step(source, step):
+    """One step by its name: `shutdown@5` at a time, `hello`, `other`, `ready`, `lost`, `tick@9`."""
+    name, _, at = step.partition("@")
     steps = {
         "hello": lambda: source.on_hello(HELLO),
         "newer": lambda: source.on_hello(h.Hello(h.VERSION + 1, ADDRESS)),
         "other": lambda: source.on_hello(h.Hello(h.VERSION, ("127.0.0.1", 8001))),
         "ready": source.on_ready,
         "lost": source.on_successor_lost,
-        "leave": lambda: source.shut_down(float(at)),
-        "look": lambda: source.tick(float(at)),
+        "shutdown": lambda: source.shut_down(float(at)),
+        "tick": lambda: source.tick(float(at)),
     }
     return steps[name]()
 
@@ -48,24 +48,24 @@
     HandoffAction.STOP_ACCEPTING, HandoffAction.RESUME_ACCEPTING, HandoffAction.PAUSE_READING,
 )  # fmt: skip
 SEQUENCES = [
-    ("asked", "hello", [SEND], HandoffPhase.REQUESTED),
-    ("given", "hello ready", [SEND, STOP], HandoffPhase.HANDING_OFF),
+    ("requested", "hello", [SEND], HandoffPhase.REQUESTED),
+    ("handing off", "hello ready", [SEND, STOP], HandoffPhase.HANDING_OFF),
     ("ready without a hello", "ready", [N], HandoffPhase.NO_SUCCESSOR),
     ("ready twice", "hello ready ready", [SEND, STOP, N], HandoffPhase.HANDING_OFF),
-    ("asked twice", "hello hello ready hello", [SEND, REJECT, STOP, REJECT], HandoffPhase.HANDING_OFF),
+    ("requested twice", "hello hello ready hello", [SEND, REJECT, STOP, REJECT], HandoffPhase.HANDING_OFF),
     ("another version", "newer", [REJECT], HandoffPhase.NO_SUCCESSOR),
     ("another address", "other", [REJECT], HandoffPhase.NO_SUCCESSOR),
-    ("one that leaves gives nothing new", "leave@0 hello", [None, REJECT], HandoffPhase.NO_SUCCESSOR),
-    ("shutting down", "hello ready leave@0 look@399", [SEND, STOP, None, N], HandoffPhase.SHUTTING_DOWN),
-    ("paused once", "hello ready leave@0 look@400 look@500", [SEND, STOP, None, PAUSE, N],
+    ("shutting down before a request", "shutdown@0 hello", [None, REJECT], HandoffPhase.NO_SUCCESSOR),
+    ("shutting down", "hello ready shutdown@0 tick@399", [SEND, STOP, None, N], HandoffPhase.SHUTTING_DOWN),
+    ("paused once", "hello ready shutdown@0 tick@400 tick@500", [SEND, STOP, None, PAUSE, N],
      HandoffPhase.SHUTTING_DOWN),
-    ("shutting down before it is ready", "hello leave@0 ready", [SEND, None, STOP],
+    ("shutting down before it is ready", "hello shutdown@0 ready", [SEND, None, STOP],
      HandoffPhase.SHUTTING_DOWN),
-    ("no pause while it is not shutting down", "hello ready look@9999", [SEND, STOP, N],
+    ("no pause while it is not shutting down", "hello ready tick@9999", [SEND, STOP, N],
      HandoffPhase.HANDING_OFF),
     ("lost before it was ready", "hello lost", [SEND, N], HandoffPhase.NO_SUCCESSOR),
-    ("lost after", "hello ready lost", [SEND, STOP, RESUME], HandoffPhase.NO_SUCCESSOR),
-    ("lost at the end", "hello ready leave@0 look@400 lost look@500", [SEND, STOP, None, PAUSE, RESUME, N],
+    ("lost after it was ready", "hello ready lost", [SEND, STOP, RESUME], HandoffPhase.NO_SUCCESSOR),
+    ("lost at the end", "hello ready shutdown@0 tick@400 lost tick@500", [SEND, STOP, None, PAUSE, RESUME, N],
      HandoffPhase.NO_SUCCESSOR),
     ("and the next", "hello ready lost hello ready", [SEND, STOP, RESUME, SEND, STOP],
      HandoffPhase.HANDING_OFF),
@@ -73,11 +73,11 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "wanted", "phase"), [c[1:] for c in SEQUENCES], ids=[c[0] for c in SEQUENCES]
+    ("steps", "wanted", "phase"), [c[1:] for c in SEQUENCES], ids=[c[0] for c in SEQUENCES]
 )
-def test_actions_of_the_hand_off_source(words, wanted, phase):
+def test_actions_of_the_hand_off_source(steps, wanted, phase):
     source = handoff_source.HandoffSource(ADDRESS)
-    assert [apply_step(source, word) for word in words.split()] == wanted
+    assert [apply_step(source, step) for step in steps.split()] == wanted
     assert source.phase is phase
     assert source.is_handing_off == (phase in (HandoffPhase.HANDING_OFF, HandoffPhase.SHUTTING_DOWN))
 
@@ -85,17 +85,17 @@
 HAND_OFFS = [
     ("hello", [False] * 4),
     ("hello ready", [True, False, False, False]),
-    ("hello ready leave@0 look@399", [True, False, False, False]),
-    ("hello ready leave@0 look@400", [True, True, False, False]),
-    ("hello ready leave@0 look@400 lost", [False] * 4),
+    ("hello ready shutdown@0 tick@399", [True, False, False, False]),
+    ("hello ready shutdown@0 tick@400", [True, True, False, False]),
+    ("hello ready shutdown@0 tick@400 lost", [False] * 4),
 ]
 
 
-@pytest.mark.parametrize(("words", "wanted"), HAND_OFFS, ids=[case[0] for case in HAND_OFFS])
-def test_a_connection_is_handed_off_without_open_requests_and_with_unwritten_bytes_at_the_end(words, wanted):
+@pytest.mark.parametrize(("steps", "wanted"), HAND_OFFS, ids=[case[0] for case in HAND_OFFS])
+def test_a_connection_is_handed_off_without_open_requests_and_with_unwritten_bytes_at_the_end(steps, wanted):
     source = handoff_source.HandoffSource(ADDRESS)
-    for word in words.split():
-        apply_step(source, word)
+    for step in steps.split():
+        apply_step(source, step)
     found = [
         source.may_hand_off(has_open=has_open, unwritten=unwritten)
         for has_open in (False, True)
@@ -106,8 +106,8 @@
 
 def test_a_shutdown_awaits_the_predecessor_for_a_limited_time():
     source = handoff_source.HandoffSource(ADDRESS)
-    for word in ("hello", "ready"):
-        apply_step(source, word)
+    for step in ("hello", "ready"):
+        apply_step(source, step)
     assert not source.awaits_predecessor(0.0)
     source.shut_down(0.0)
     assert [
@@ -121,12 +121,14 @@
 
 
 @given(
-    st.lists(st.sampled_from(["hello", "newer", "other", "ready", "lost", "leave@0", "look@1", "look@999"]))
+    st.lists(
+        st.sampled_from(["hello", "newer", "other", "ready", "lost", "shutdown@0", "tick@1", "tick@999"])
+    )
 )
-def test_in_any_order_of_events_it_accepts_exactly_while_it_does_not_hand_off(words):
+def test_in_any_order_of_events_it_accepts_exactly_while_it_does_not_hand_off(steps):
     source, accepts = handoff_source.HandoffSource(ADDRESS), True
-    for word in words:
-        what = apply_step(source, word)
+    for step in steps:
+        what = apply_step(source, step)
         accepts = accepts if what not in (STOP, RESUME) else what is RESUME
         assert accepts != source.is_handing_off
 
@@ -148,7 +150,7 @@
 # --- memory -------------------------------------------------------------------------------------------
 
 
-def used():
+def trained_drive():
     """A module that has served for a while."""
     drive = Drive(workers=4)
     for turn in range(6):
@@ -173,7 +175,7 @@
 
 @pytest.mark.parametrize("later", [0.0, 700.0])
 def test_learned_state_is_the_same_in_a_process_with_another_clock(later):
-    drive = used()
+    drive = trained_drive()
     learned = m.decode(m.encode(m.capture(drive.router, {"s-2", "s-1"}, drive.now, 5_000.0)))
     other = Drive(workers=4).router
     m.restore(other, learned, 123_456.0 + later, 5_000.0 + later)
@@ -187,7 +189,7 @@
 
 
 def test_learned_state_of_scorers_missing_in_the_roster_is_ignored():
-    drive = used()
+    drive = trained_drive()
     learned = m.capture(drive.router, set(), drive.now, 0.0)
     other = Drive(workers=1).router
     m.restore(other, learned, 500.0, 0.0)
@@ -236,7 +238,7 @@
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
     handoff_channel.send(sock, h.encode(h.Ready()), None)
-    rig.until(lambda: rig.admin.replaced, "it gives")
+    rig.until(lambda: rig.admin.replaced, "it hands off")
     return sock
 
 
@@ -271,17 +273,17 @@
     give = rig.front.port.give
 
     def broken(client):
-        sock.close()  # between the look and the word
+        sock.close()  # between the check and the message
         return replace(give(client), unwritten=b"")
 
     with (
         mock.patch.object(rig.front.port, "give", broken),
         mock.patch.object(h, "chunks", return_value=[h.Chunk(b"")]),
     ):
-        rig.until(lambda: held not in rig.front.port.clients, "it was given, and came back")
+        rig.until(lambda: held not in rig.front.port.clients, "it was handed off, and came back")
     rig.until(lambda: client.answers, "its answer is there")
     client.call()
-    rig.until(lambda: len(rig.scorers[0].runs) == 2, "and it is served on")
+    rig.until(lambda: len(rig.scorers[0].runs) == 2, "and it is still served")
     assert not client.ended
     assert not any("fault" in line for line in rig.lines)
 
@@ -292,9 +294,9 @@
             with rig.admin.hot_restart.directory.socket_address() as address:
                 sock.connect(address)
             handoff_channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
-        came = []
-        rig.front.loop.wheel.after(50.0, lambda: came.append(1))  # noqa: B023
-        rig.until(lambda: came and rig.admin.hot_restart.successor is None, "it is gone")  # noqa: B023
+        timers = []
+        rig.front.loop.wheel.after(50.0, lambda: timers.append(1))  # noqa: B023
+        rig.until(lambda: timers and rig.admin.hot_restart.successor is None, "it is gone")  # noqa: B023
     assert not any("fault" in line for line in rig.lines)
 
 
@@ -344,7 +346,7 @@
         command = h.OperatorCommand("/maintenance/enter", "s-1")
         handoff_channel.send(sock, h.encode(command), None)
         found = []
-        rig.until(lambda: found.extend(messages(other)) or command in found, "it is passed on")  # noqa: B023
+        rig.until(lambda: found.extend(messages(other)) or command in found, "it is forwarded")  # noqa: B023
         assert not messages(sock)  # and not back
 
 
@@ -352,13 +354,13 @@
     oldest, newest, said = connect_predecessor(rig), connect_successor(rig), []
     rig.admin.leave()
     assert rig.admin.busy
-    over = []
-    rig.front.loop.wheel.after(50.0, lambda: over.append(1))
-    rig.until(lambda: over, "it has looked twice")
-    assert h.Done() not in messages(newest)  # not while something is to come
+    timers = []
+    rig.front.loop.wheel.after(50.0, lambda: timers.append(1))
+    rig.until(lambda: timers, "two ticks are over")
+    assert h.Done() not in messages(newest)  # not while the predecessor still hands off
     oldest.close()
-    rig.until(lambda: said.extend(messages(newest)) or h.Done() in said, "it has given everything")
-    assert rig.admin.busy  # until the other says that all has come
+    rig.until(lambda: said.extend(messages(newest)) or h.Done() in said, "it has handed off everything")
+    assert rig.admin.busy  # until the successor has received everything
     handoff_channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
     handoff_channel.send(newest, h.encode(h.Done()), None)
     rig.until(lambda: not rig.admin.busy, "it may end, with nothing unread")
@@ -383,9 +385,9 @@
     rig.until(lambda: rig.scorers[0].runs, "it runs")
     rig.admin.handle(AdminRequest("POST", "/standby"))
     connect_successor(rig)
-    over = []
-    rig.front.loop.wheel.after(1_300.0, lambda: over.append(1))
-    rig.until(lambda: over, "the drain would refuse")
+    timers = []
+    rig.front.loop.wheel.after(1_300.0, lambda: timers.append(1))
+    rig.until(lambda: timers, "the drain would reject")
     client.call()
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "it is served")
     assert not client.answers
@@ -417,6 +419,6 @@
     listener = HandoffListener(rig.front.loop, rig.admin.hot_restart.directory, mock.Mock())
     rig.admin.leave()
     sock.close()
-    rig.until(lambda: not rig.admin.replaced, "it serves on by itself")
+    rig.until(lambda: not rig.admin.replaced, "it serves alone")
     assert listener.is_current
     listener.close()
--- a/tests/admin/test_admin_handoff_event_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -41,12 +41,12 @@
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
     handoff_channel.send(sock, h.encode(h.Ready()), None)
-    rig.until(lambda: rig.admin.replaced, "it gives")
+    rig.until(lambda: rig.admin.replaced, "it hands off")
     return sock
 
 
-def good(rig, client):
-    """What a client is told that asks whether this front end takes work."""
+def is_ready(rig, client):
+    """The answer to a client's readiness check."""
     rig.settle(client)
     return client.answers[-1][2][3]
 
@@ -61,10 +61,10 @@
         rig.front.leave()
     elif why == "standby":
         rig.admin.commands.standby = True
-    assert good(rig, client)  # for the other process's sake
+    assert is_ready(rig, client)  # for the other process's sake
     sock.close()
-    rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
-    assert good(rig, client) is (why == "neither")
+    rig.until(lambda: not rig.admin.replaced, "it serves alone")
+    assert is_ready(rig, client) is (why == "neither")
 
 
 def test_a_stalled_successor_is_given_up_and_its_connections_come_back(rig):
@@ -81,9 +81,9 @@
         assert channel.has_unsent
         assert not channel.closed
         channel._progress_ms -= hot_restart.STALL_TIMEOUT_MS
-        rig.until(lambda: not rig.admin.replaced, "it goes on by itself")
+        rig.until(lambda: not rig.admin.replaced, "it serves alone")
     assert rig.front.port.clients
-    assert good(rig, client) is True
+    assert is_ready(rig, client) is True
     assert not ready(sock, 0.0) or handoff_channel.receive(sock)
 
 
@@ -92,14 +92,14 @@
     rig.settle(client)
     with mock.patch.object(rig.front.port, "give", side_effect=RuntimeError("planted")) as give:
         connect_successor(rig)
-        rig.until(lambda: give.call_count >= 2, "it tries again")
-    rig.until(lambda: not rig.front.port.clients, "it is given")
+        rig.until(lambda: give.call_count >= 2, "the next tick comes")
+    rig.until(lambda: not rig.front.port.clients, "it is handed off")
 
 
 def test_an_error_in_a_drain_tick_or_in_tidying_does_not_end_them(rig):
     rig.admin.handle(AdminRequest("POST", "/standby"))
     with mock.patch.object(service.draining, "drain_step", side_effect=RuntimeError("planted")) as step:
-        rig.until(lambda: step.call_count >= 2, "it looks again")
+        rig.until(lambda: step.call_count >= 2, "the next tick comes")
     with mock.patch.object(rig.admin.listener, "tidy", side_effect=RuntimeError("planted")) as tidy:
         rig.until(lambda: tidy.call_count >= 2, "it tidies again")
 
@@ -111,25 +111,25 @@
     seam.take_back.side_effect = [fault, None]
     rig.front._seam = seam
     extensions, steps = ExclusiveExtensions(rig.front), []
-    extensions.release(lambda: steps.append("away"))
-    rig.until(lambda: steps, "they are let go of")
+    extensions.release(lambda: steps.append("released"))
+    rig.until(lambda: steps, "they are released")
     assert extensions.state is ExtensionState.RELEASED
-    extensions.reacquire(lambda: steps.append("here"))
-    rig.until(lambda: extensions.are_held, "they are back")
-    assert steps == ["away", "here"]
+    extensions.reacquire(lambda: steps.append("reacquired"))
+    rig.until(lambda: extensions.are_held, "they are reacquired")
+    assert steps == ["released", "reacquired"]
     rig.front._seam = None
 
 
 def test_a_slow_answer_in_chunks_has_the_same_deadline(tmp_path):
     directory, now = HandoffDirectory(str(tmp_path), "", ("127.0.0.1", 1)), [0.0]
-    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as door:
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as carried:
         with directory.socket_address() as address:
-            door.bind(address)
-        door.listen(1)
+            carried.bind(address)
+        carried.listen(1)
 
         def drop(_sock):
-            now[0] += 1_000.0  # each part comes in time by itself
-            assert now[0] < 1e5, "it waits for as long as parts come"
+            now[0] += 1_000.0  # each chunk comes in time by itself
+            assert now[0] < 1e5, "it waits for as long as chunks come"
             return h.Chunk(b"x"), None
 
         with (
@@ -144,20 +144,20 @@
     site = Site()
     try:
         with (
-            socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as meeting,
-            socket.create_server(("127.0.0.1", 0)) as door,
+            socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener,
+            socket.create_server(("127.0.0.1", 0)) as carried,
         ):
             with site.place.socket_address() as address:
-                meeting.bind(address)
-            meeting.listen(1)
-            meeting.settimeout(PATIENCE_S)
+                listener.bind(address)
+            listener.listen(1)
+            listener.settimeout(PATIENCE_S)
             new = site.begin()
-            sock, _ = meeting.accept()
+            sock, _ = listener.accept()
             sock.settimeout(PATIENCE_S)
             assert isinstance(handoff_channel.receive(sock)[0], h.Hello)
             new.signal(signal.SIGTERM)
-            handoff_channel.send(sock, h.encode(h.ListenerHandoff()), door)
-            assert handoff_channel.receive(sock) is None  # no word that it is ready
+            handoff_channel.send(sock, h.encode(h.ListenerHandoff()), carried)
+            assert handoff_channel.receive(sock) is None  # no message that it is ready
             sock.close()
             site.until(lambda: new.ended, "it has ended")
             assert new.child.returncode == 0, new.log
@@ -171,6 +171,6 @@
     connect_successor(rig)
     rig.front.leave()
     rig.front._leaving._since_ms -= graceful_shutdown.LATE_ARRIVALS_MS
-    rig.until(lambda: not rig.front.port.clients, "its connection is given")
+    rig.until(lambda: not rig.front.port.clients, "its connection is handed off")
     assert not client.ended
     assert rig.front.loop.running
--- a/tests/admin/test_admin_hot_restart.py
+++ b/tests/admin/test_admin_hot_restart.py
@@ -76,10 +76,10 @@
 
 
 class SuccessorKilled(Case):
-    """The old one serves on, whatever becomes of the one that was to take its place."""
+    """The predecessor continues to serve whenever its successor is lost."""
 
     def connected_successor(self, site):
-        """A new process, played by the test, that was told all."""
+        """A successor, played by the test, that has received the state."""
         found = request_handoff(site.place, site.listen.address)
         assert found is not None, "the old process answers"
         for sock in (found.channel, found.listener):
@@ -145,8 +145,8 @@
         site.until_logged(old, "hot restart: handing off to the new process")
         sock.setblocking(True)
         sock.settimeout(10.0)
-        given = [handoff_channel.receive(sock) for _ in range(2)]
-        for message, carried in given:
+        handed_off = [handoff_channel.receive(sock) for _ in range(2)]
+        for message, carried in handed_off:
             assert isinstance(message, h.ConnectionHandoff)
             carried.close()
         waiting = site.caller()  # in the queue of the listener, which nobody accepts from
@@ -199,7 +199,7 @@
         handoff_channel.send(sock, h.encode(h.Ready()), None)
         site.until_logged(old, "hot restart: handing off to the new process")
         old.signal(signal.SIGTERM)
-        site.until(lambda: ready(sock, 0.0), "they are being given")
+        site.until(lambda: ready(sock, 0.0), "they are being handed off")
         sock.close()
         door.close()
         site.until_logged(old, "accepting again")
@@ -213,7 +213,7 @@
         assert old.child.returncode == 0
 
 
-class OldOneKilled(Case):
+class PredecessorKilled(Case):
     def test_killed_in_the_middle_of_the_hand_off(self):
         site = self.site(delay_s=0.2)
         old = site.start()
@@ -226,7 +226,7 @@
         site.until(lambda: busy.ended, "the busy one, which was the old one's, is at its end")
         site.callers.remove(busy)
         site.served(kept)
-        if kept.ended:  # given or not, by the moment
+        if kept.ended:  # handed off or not, depending on the moment
             site.callers.remove(kept)
         self.settled(site)
 
@@ -248,9 +248,9 @@
 
     def test_predecessor_lost_at_each_step(self):
         for name, say in (
-            ("before a word", lambda _sock: None),
+            ("before any message", lambda _sock: None),
             (
-                "amid what was learnt",
+                "within the learned state",
                 lambda sock: handoff_channel.send(sock, h.encode(h.Chunk(b"x" * 99)), None),
             ),
             ("no message", lambda sock: sock.send(b"\xc1")),
