--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -1,34 +1,28 @@
 """Hand-off between a process and its successor: states, learned state, and each way the channel may break."""
 
-from bench import Drive
+import os
+import socket
+import tempfile
 from dataclasses import replace
-from fawnwharf.admin import handoff_channel
+from unittest import mock
+
+import pytest
+from bench import Drive
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from peers import Buffered, Rig, ScorerPeer, ready
+
+from fawnwharf.admin import handoff_channel, handoff_source, service
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin import handoff_source
 from fawnwharf.admin import learned_state as m
-from fawnwharf.admin import service
 from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.admin.handoff_listener import HandoffListener
 from fawnwharf.admin.handoff_request import InheritedState
-from fawnwharf.admin.handoff_source import HandoffAction
-from fawnwharf.admin.handoff_source import HandoffPhase
+from fawnwharf.admin.handoff_source import HandoffAction, HandoffPhase
 from fawnwharf.admin.hot_restart import HotRestart
 from fawnwharf.admin.http import AdminRequest
 from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.event_loop import EventLoop
-from hypothesis import given
-from hypothesis import settings
-from hypothesis import strategies as st
-from peers import Buffered
-from peers import Rig
-from peers import ScorerPeer
-from peers import ready
-from unittest import mock
-import os
-import pytest
-import socket
-import tempfile
-
 
 ADDRESS = ("127.0.0.1", 8000)
 HELLO = h.Hello(h.VERSION, ADDRESS)
--- a/tests/admin/test_admin_handoff_event_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -1,27 +1,22 @@
 """Hand-over between processes and what crosses it: each order forced, in the test's own thread."""
 
-from fawnwharf.admin import handoff_channel
+import signal
+import socket
+import tempfile
+from unittest import mock
+
+import pytest
+from peers import PATIENCE_S, Rig, ScorerPeer, ready
+from processes import Site
+
+from fawnwharf.admin import handoff_channel, handoff_request, hot_restart, service
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin import handoff_request
-from fawnwharf.admin import hot_restart
-from fawnwharf.admin import service
-from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions
-from fawnwharf.admin.exclusive_extensions import ExtensionState
+from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions, ExtensionState
 from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.admin.handoff_request import InheritedState
 from fawnwharf.admin.http import AdminRequest
 from fawnwharf.config import ConfigError
 from fawnwharf.net import graceful_shutdown
-from peers import PATIENCE_S
-from peers import Rig
-from peers import ScorerPeer
-from peers import ready
-from processes import Site
-from unittest import mock
-import pytest
-import signal
-import socket
-import tempfile
 
 
 @pytest.fixture
