--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -123,34 +123,37 @@
         began=now_ms - min(now_ms, router.began_ms),
         run_ms=router.run_ms,
         loads_limit=router.loads_limit,
-        fleet=router.fleet,
-        hedges=router.hedges,
-        taken=ages(router.taken),
-        ordered=ages(router.ordered),
-        tokens={name: (tokens, now_ms - at) for name, (tokens, at) in router.tokens.items()},
+        fleet=router.largest_fleet,
+        hedges=router.hedge_tokens,
+        taken=ages(router.arrivals_ms),
+        ordered=ages(router.load_orders_ms),
+        tokens={name: (tokens, now_ms - at) for name, (tokens, at) in router.quota_tokens.items()},
         runs=aged(router.runs),
         scorers=[
             LearnedScorer(
                 worker.id,
                 now_ms - worker.started_ms,
-                worker.strain,
-                now_ms - worker.strain_ms,
+                worker.slowdown,
+                now_ms - worker.slowdown_ms,
                 None if worker.suspect_ms is None else now_ms - worker.suspect_ms,
-                ages(worker.sent),
-                {kind: (x.losses, now_ms - x.rests_ms, x.rest_ms) for kind, x in worker.lapses.items()},
+                ages(worker.slow_start_sends),
+                {
+                    kind: (x.losses, now_ms - x.ejected_until_ms, x.ejection_ms)
+                    for kind, x in worker.loss_records.items()
+                },
             )
-            for worker in router.workers.values()
+            for worker in router.scorers.values()
             if worker.entry.state is not ScorerState.GONE
         ],
         functions=[
             LearnedFunction(
                 fn.name, fn.kind, fn.lanes, fn.load_told_ms, aged(fn.runs), aged(fn.loads), aged(fn.waits),
-                ages(fn.last_ms), fn.idle_ms, fn.load_path, fn.arrived, fn.width, fn.crowd,
+                ages(fn.last_ms), fn.idle_ms, fn.load_path, fn.arrived, fn.spread, fn.reported_concurrency,
                 [
                     LearnedCopies(
                         id, i.copies, now_ms - i.seen_ms, now_ms - i.counted_ms, now_ms - i.blocked_ms
                     )
-                    for id, i in fn.instances.items()
+                    for id, i in fn.copies_by_scorer.items()
                     if i.copies
                 ],
             )
@@ -169,24 +172,24 @@
         return made
 
     router.began_ms = base - memory.began
-    router.run_ms, router.loads_limit, router.hedges = memory.run_ms, memory.loads_limit, memory.hedges
-    router.fleet = max(router.fleet, memory.fleet)
-    router.taken.extend(base - age for age in memory.taken)
-    router.ordered.extend(base - age for age in memory.ordered)
-    router.tokens.update({name: (tokens, base - age) for name, (tokens, age) in memory.tokens.items()})
+    router.run_ms, router.loads_limit, router.hedge_tokens = memory.run_ms, memory.loads_limit, memory.hedges
+    router.largest_fleet = max(router.largest_fleet, memory.fleet)
+    router.arrivals_ms.extend(base - age for age in memory.taken)
+    router.load_orders_ms.extend(base - age for age in memory.ordered)
+    router.quota_tokens.update({name: (tokens, base - age) for name, (tokens, age) in memory.tokens.items()})
     router.runs = timed(memory.runs)
     for told in memory.scorers:
-        worker = router.workers.get(told.worker)
+        worker = router.scorers.get(told.worker)
         if worker is None:
             continue
         worker.started_ms = max(worker.started_ms, base - told.started)
-        worker.strain, worker.strain_ms = told.strain, base - told.strain_seen
-        worker.sent.extend(base - age for age in told.sent)
+        worker.slowdown, worker.slowdown_ms = told.strain, base - told.strain_seen
+        worker.slow_start_sends.extend(base - age for age in told.sent)
         for kind, (losses, rests, rest_ms) in told.lapses.items():
-            lapse = worker.lapses[kind] = state.Lapse()
-            lapse.losses, lapse.rests_ms, lapse.rest_ms = losses, base - rests, rest_ms
+            lapse = worker.loss_records[kind] = state.LossRecord()
+            lapse.losses, lapse.ejected_until_ms, lapse.ejection_ms = losses, base - rests, rest_ms
         if told.suspect is not None:
-            worker.suspect_ms = worker.sign_ms = base - told.suspect
+            worker.suspect_ms = worker.probed_ms = base - told.suspect
             router.watched[worker.id] = worker
             router.suspects += worker.entry.state == ScorerState.READY
     for known in memory.functions:
@@ -200,10 +203,12 @@
     fn.last_ms.extend(base - age for age in known.called)
     fn.needed_ms = max(fn.last_ms, default=base)
     fn.idle_ms, fn.load_path, fn.arrived = known.idle_ms, known.load_path, known.arrived
-    fn.width, fn.crowd = known.width, known.crowd
+    fn.spread, fn.reported_concurrency = known.width, known.crowd
     for place in known.places:
-        if (worker := router.workers.get(place.worker)) is not None:
+        if (worker := router.scorers.get(place.worker)) is not None:
             seen, counted, blocked = (base - age for age in (place.seen, place.counted, place.blocked))
-            fn.instances[place.worker] = state.Instance(place.copies, seen, counted, blocked_ms=blocked)
-            worker.last = fn
+            fn.copies_by_scorer[place.worker] = state.ScorerCopies(
+                place.copies, seen, counted, blocked_ms=blocked
+            )
+            worker.last_function = fn
     return fn
--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -3,44 +3,56 @@
 import math
 
 from fawnwharf import interface as io
-from fawnwharf.policy.state import LATE_MOST, LATE_RUNS, LEAD_MS, SWEEP_MS, WINDOW_MS, Known, Request, Worker
+from fawnwharf.policy.state import (
+    LATE_RUNS,
+    LEAD_MS,
+    MAX_LATE_PART,
+    SWEEP_MS,
+    WINDOW_MS,
+    Known,
+    Request,
+    Scorer,
+)
 
 WINDOW_MARGIN_MS = 100.0  # a keyed repeat must arrive inside the window, not just leave inside it
-TRY_LEAST, HELD_PART = 0.2, 0.5  # of its class's time: a try with less is a later one; late by then, given up
+MIN_ATTEMPT_PART, HELD_PART = (
+    0.2,
+    0.5,
+)  # of its class's time: a try with less is a later one; late by then, given up
 
 
 class Admission(Known):
     def _over_share(self, tenant: str) -> bool:  # a token bucket of its share, in part
         if tenant not in self.settings.quotas_rps:
             return False
-        rate = self.settings.quotas_rps[tenant] / self.peers
-        most = rate + self.wide * 2 * math.sqrt(rate * WINDOW_MS / 1000)  # a second's, and for chance
-        tokens, since = self.tokens.get(tenant, (most, self.now))
+        rate = self.settings.quotas_rps[tenant] / self.front_ends
+        most = rate + self.is_wide * 2 * math.sqrt(rate * WINDOW_MS / 1000)  # a second's, and for chance
+        tokens, since = self.quota_tokens.get(tenant, (most, self.now))
         tokens = min(most, tokens + rate * (self.now - since) / 1000)
-        self.tokens[tenant] = (tokens - (tokens >= 1), self.now)
+        self.quota_tokens[tenant] = (tokens - (tokens >= 1), self.now)
         return tokens < 1
 
     def _urgency(self, request: Request) -> tuple[bool, bool, float, str]:
-        return request.over_share, self._late(request), request.arrived_ms, request.id
+        return request.over_share, self._is_late(request), request.arrived_ms, request.id
 
-    def _late(self, request: Request) -> bool:  # hardly to be answered in time any more
-        most = request.spec.latency_target_ms * LATE_MOST  # where runs are so long that all would be
-        return request.aim_ms - self.now < min(LATE_RUNS * self._te(request.function), most)
+    def _is_late(self, request: Request) -> bool:  # hardly to be answered in time any more
+        most = request.spec.latency_target_ms * MAX_LATE_PART  # where runs are so long that all would be
+        return request.aim_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), most)
 
-    def _hopeless(self, request: Request) -> bool:
+    def _is_hopeless(self, request: Request) -> bool:
         """Never sent, and hardly to be on time: given up. Harm: a late answer that it might have had."""
         half = request.arrived_ms + HELD_PART * (request.deadline_ms - request.arrived_ms)
         past = request.over_share or self.now + SWEEP_MS + LEAD_MS >= half
-        return past and not request.attempts and self._late(request)
+        return past and not request.attempts and self._is_late(request)
 
-    def _may_send_here(self, request: Request, worker: Worker, part: float) -> bool:  # now?
-        if not self._able(worker, request.function) or worker.own >= worker.limit * part:
+    def _may_send_here(self, request: Request, worker: Scorer, part: float) -> bool:  # now?
+        if not self._can_take(worker, request.function) or worker.in_flight >= worker.limit * part:
             return False
         return self._may_run_at(request, worker)
 
-    def _may_run_at(self, request: Request, worker: Worker) -> bool:
+    def _may_run_at(self, request: Request, worker: Scorer) -> bool:
         """Whether its class, and what it ran at before, let it be sent to this worker."""
-        if any(attempt.worker == worker.id and attempt.may_have_run for attempt in request.attempts):
+        if any(attempt.scorer == worker.id and attempt.may_have_run for attempt in request.attempts):
             return False
         if (first := request.first_run()) is None or request.spec.effect is io.Effect.IDEMPOTENT:
             return True
@@ -64,7 +76,7 @@
             return -math.inf
         return first.sent_ms + spec.dedup_window_ms - WINDOW_MARGIN_MS - self.now
 
-    def _again(self, request: Request) -> None:  # hold it again, or end it
+    def _requeue(self, request: Request) -> None:  # hold it again, or end it
         if self._may_send_again(request):
             request.held_ms = self.now
             request.function.queue.append(request)
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -4,9 +4,9 @@
 
 from fawnwharf import interface as io
 from fawnwharf.policy import admission, health, loads, routing, state
-from fawnwharf.policy.state import Attempt, Function, Request, Worker, mark, mix
+from fawnwharf.policy.state import Attempt, Function, Request, Scorer, mark, mix
 
-FUNCTIONS_MOST, FORGET_MS = 2_000, 60_000.0  # kept in mind; forgotten if not called, or gone, for so long
+MAX_FUNCTIONS, FORGET_MS = 2_000, 60_000.0  # kept in mind; forgotten if not called, or gone, for so long
 ENDS = 1  # token of a timer for one request's end; the sweep's is 0
 RUN_GAIN, ROOM_SPREAD = 0.02, 1.5  # weight of an uncrowded run; room in limits, in square roots of means
 
@@ -16,12 +16,12 @@
         """Take the events of one moment; the actions take effect at that moment. Clients that left are heard
         first, as nothing may be sent or ordered for them any more; the rest goes in order."""
         self.now, self.began_ms, self.actions = now_ms, min(self.began_ms, now_ms), []
-        while self.taken and self.taken[0] <= now_ms - self.stretch_ms:
-            self.taken.popleft()
+        while self.arrivals_ms and self.arrivals_ms[0] <= now_ms - self.stretch_ms:
+            self.arrivals_ms.popleft()
         left = {event.request for event in events if isinstance(event, io.RequestCancelled)}
         for event in events if left else ():
             if isinstance(event, io.RequestCancelled):
-                self._on_left(event)
+                self._on_cancelled(event)
         for event in events:
             if not (isinstance(event, io.RequestArrived | io.RequestCancelled) and event.request in left):
                 self.handlers[type(event)](self, event)
@@ -32,156 +32,176 @@
 
     def _on_roster(self, event: io.RosterChanged) -> None:
         if event.complete:
-            for missing in self.workers.keys() - {entry.scorer for entry in event.entries}:
-                self.workers[missing].entry.state = io.ScorerState.GONE
+            for missing in self.scorers.keys() - {entry.scorer for entry in event.entries}:
+                self.scorers[missing].entry.state = io.ScorerState.GONE
         for entry in event.entries:
-            new = Worker(entry.scorer, entry, mark(str(entry.scorer)))
-            worker = self.workers.setdefault(entry.scorer, new)
+            new = Scorer(entry.scorer, entry, mark(str(entry.scorer)))
+            worker = self.scorers.setdefault(entry.scorer, new)
             worker.entry, worker.gone_ms = entry, None
             if entry.up_since_ms is not None and entry.up_since_ms > worker.started_ms:
                 self._begin_slow_start(worker, entry.up_since_ms, since_ms=entry.up_since_ms)
-        self.ready = [worker for worker in self.workers.values() if worker.takes_new()]
+        self.ready = [worker for worker in self.scorers.values() if worker.takes_new()]
         self.suspects = sum(worker.suspect_ms is not None for worker in self.ready)
         self._refresh()
         self._dispatch_all()
 
     def _on_request(self, event: io.RequestArrived) -> None:
-        self.taken.append(self.now)
+        self.arrivals_ms.append(self.now)
         fn, spec = self._function(event), self.classes.get(event.class_name) or io.ClassSpec(event.class_name)
         fn.site, fn.order_members = event.site, fn.order_members if event.site == fn.site else None
         self.seed, draw = self.seed + 1, mix(mix(self.seed))
         leaves_ms = self.now + event.budget_ms  # the client does
         deadline = min(leaves_ms, self.answer_by_ms)
-        later = event.budget_ms < admission.TRY_LEAST * spec.deadline_ms  # the first try took its share
+        later = (
+            event.budget_ms < admission.MIN_ATTEMPT_PART * spec.deadline_ms
+        )  # the first try took its share
         aim = (leaves_ms - spec.deadline_ms if later else self.now) + spec.latency_target_ms
         over = later or self._over_share(event.tenant)
         short = spec.deadline_ms <= state.SHORT_MS
         lead_ms = min(state.LEAD_MS, event.budget_ms / 4) if short else state.SWEEP_MS + state.LEAD_MS
         ends_ms = deadline - lead_ms
         request = Request(event.request, fn, spec, self.now, deadline, over, self.now, draw, aim, ends_ms)
-        self._measure(fn)
-        self.hedges = min(state.HEDGES_MOST, self.hedges + state.HEDGE_SHARE)
+        self._update_spread(fn)
+        self.hedge_tokens = min(state.MAX_HEDGE_TOKENS, self.hedge_tokens + state.HEDGE_TOKENS_PER_REQUEST)
         self.requests[request.id] = request
         fn.queue.append(request)
         if self._over_share(io.ALL) or self.now >= ends_ms:
             self._finish(request)  # the next sweep may be too late: a client's last try has little time
-        elif not self.wide and not self._is_warm(fn):
-            for worker in self._ordered(fn)[: state.SURVEY_WIDTH]:
-                self._spread(fn, worker)
+        elif not self.is_wide and not self._is_warm(fn):
+            for worker in self._ordered(fn)[: state.PROBED_SCORERS]:
+                self._probe_place(fn, worker)
         if short and request.id in self.requests:
             self.actions.append(io.SetTimer(ends_ms - self.now, ENDS))
-        self._fill(fn)
-        if request in fn.queue and self._hopeless(request):
+        self._send_queued(fn)
+        if request in fn.queue and self._is_hopeless(request):
             self._finish(request)  # the next sweep is past half its time
         self._dispatch(fn)
 
     def _function(self, event: io.RequestArrived | io.PrefetchRequested) -> Function:  # known, or made of it
-        if len(self.functions) >= FUNCTIONS_MOST and event.function not in self.functions:
+        if len(self.functions) >= MAX_FUNCTIONS and event.function not in self.functions:
             self._forget()
         name, kind, lanes = event.function, event.class_name, max(1, event.lanes)
         return self.functions.setdefault(name, Function(name, kind, lanes, event.load_ms, mark(name)))
 
-    def _on_left(self, event: io.RequestCancelled) -> None:
+    def _on_cancelled(self, event: io.RequestCancelled) -> None:
         if request := self.requests.get(event.request):
             self._close(request)
 
-    def _on_closing(self, event: io.ShutdownStarted) -> None:
+    def _on_shutdown(self, event: io.ShutdownStarted) -> None:
         self.answer_by_ms = min(self.answer_by_ms, self.now + event.within_ms)
         for request in self.requests.values():
             request.deadline_ms = min(request.deadline_ms, self.answer_by_ms)
             request.ends_ms = min(request.ends_ms, self.answer_by_ms - state.SWEEP_MS - state.LEAD_MS)
 
     def _on_limits(self, event: io.LimitsChanged) -> None:  # one more share, of all calls, or another one
-        self.settings.quotas_rps[event.tenant] = event.calls_rps * self.peers
+        self.settings.quotas_rps[event.tenant] = event.calls_rps * self.front_ends
         if event.tenant == io.ALL:  # no burst at first
-            self.tokens[io.ALL] = (event.calls_rps / 10, self.now)
+            self.quota_tokens[io.ALL] = (event.calls_rps / 10, self.now)
 
     def _on_class(self, event: io.ClassChanged) -> None:  # a call keeps what it came with
         self.classes = {**self.classes, event.spec.name: event.spec}
         self.latency_target_ms = min(spec.latency_target_ms for spec in self.classes.values())
 
-    def _on_elsewhere(self, event: io.RemoteLoadReport) -> None:  # for functions not known yet see _ordered
-        if worker := self.workers.get(event.scorer):
-            worker.told, worker.told_ms = event, self.now - max(0.0, event.age_ms)
+    def _on_remote_load(self, event: io.RemoteLoadReport) -> None:  # for functions not known yet see _ordered
+        if worker := self.scorers.get(event.scorer):
+            worker.remote_load, worker.remote_load_ms = event, self.now - max(0.0, event.age_ms)
             for fn in filter(None, map(self.functions.get, [*event.copies, *event.loading])):
-                self._believe(fn, [worker])
+                self._apply_remote_load(fn, [worker])
             self._dispatch_all(worker)
 
-    def _believe(self, fn: Function, workers: list[Worker]) -> None:  # as an answer of that time
-        for worker in [w for w in workers if fn.name in w.told.copies or fn.name in w.told.loading]:
-            instance, copies = self._instance(fn, worker), worker.told.copies.get(fn.name, 0)
-            if copies > 0 and worker.told_ms > instance.seen_ms:
-                instance.copies, instance.seen_ms = max(copies, self._copies(fn, worker)), worker.told_ms
+    def _apply_remote_load(self, fn: Function, workers: list[Scorer]) -> None:  # as an answer of that time
+        for worker in [
+            w for w in workers if fn.name in w.remote_load.copies or fn.name in w.remote_load.loading
+        ]:
+            instance, copies = self._copies_at(fn, worker), worker.remote_load.copies.get(fn.name, 0)
+            if copies > 0 and worker.remote_load_ms > instance.seen_ms:
+                instance.copies, instance.seen_ms = (
+                    max(copies, self._copies(fn, worker)),
+                    worker.remote_load_ms,
+                )
 
     def _on_attempt(self, event: io.AttemptEnded) -> None:
         if (attempt := self.attempts.pop((event.request, event.attempt), None)) is None:
             return
-        self.flying.discard(attempt)
-        fn, worker, te = attempt.function, self.workers[attempt.worker], self._te(attempt.function)
-        instance = fn.instances[worker.id]
-        attempt.open, instance.own, worker.own = False, instance.own - 1, worker.own - 1
-        attempt.may_have_run, slow = event.result not in io.NEVER_RAN, event.took_ms > health.STRAINED * te
+        self.recent_attempts.discard(attempt)
+        fn, worker, te = attempt.function, self.scorers[attempt.scorer], self._run_time_ms(attempt.function)
+        instance = fn.copies_by_scorer[worker.id]
+        attempt.open, instance.in_flight, worker.in_flight = (
+            False,
+            instance.in_flight - 1,
+            worker.in_flight - 1,
+        )
+        attempt.may_have_run, slow = (
+            event.result not in io.NEVER_RAN,
+            event.took_ms > health.OUTLIER_SLOWDOWN * te,
+        )
         if event.result in (
             io.AttemptResult.GOOD,
             io.AttemptResult.ERROR,
             io.AttemptResult.FULL,
             io.AttemptResult.MISS,
         ):
-            self._heard(worker)
+            self._mark_alive(worker)
         if event.result is io.AttemptResult.GOOD:
             instance.copies, instance.seen_ms = max(1, instance.copies), self.now
             if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
                 fn.runs.timed.append((self.now, event.took_ms))
                 self.runs.timed.append((self.now, event.took_ms))
                 self.run_ms += RUN_GAIN * (event.took_ms - self.run_ms) * attempt.alone
-                self._strain(worker, event.took_ms / te)
-            if lapse := worker.lapses.get(fn.kind):
+                self._record_slowdown(worker, event.took_ms / te)
+            if lapse := worker.loss_records.get(fn.kind):
                 lapse.losses = lapse.losses - 1 if attempt.lost else lapse.losses * health.LOSS_KEPT
                 if lapse.losses < 1:
-                    del worker.lapses[fn.kind]
+                    del worker.loss_records[fn.kind]
         elif event.result in (io.AttemptResult.CANCELLED, io.AttemptResult.TIMEOUT) and slow:
-            self._strain(worker, event.took_ms / te)  # it may be the slow ones that never get to answer
+            self._record_slowdown(
+                worker, event.took_ms / te
+            )  # it may be the slow ones that never get to answer
         elif event.result is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED:
             instance.copies, instance.seen_ms = 0, self.now
         elif event.result is io.AttemptResult.ERROR and fn.runs.timed:  # else the call itself may be at fault
-            self._lose(worker, fn)
+            self._record_loss(worker, fn)
         elif event.result is io.AttemptResult.FULL:
             instance.blocked_ms = self.now + te
-            self._strain(worker, 3 * health.STRAINED)
-        self._broke(worker, event.result)
+            self._record_slowdown(worker, 3 * health.OUTLIER_SLOWDOWN)
+        self._note_failed_connection(worker, event.result)
         if event.reported_concurrency is not None and event.result in (
             io.AttemptResult.GOOD,
             io.AttemptResult.FULL,
         ):
-            fn.crowd += health.ANSWER_GAIN * (event.reported_concurrency * attempt.among - fn.crowd)
+            fn.reported_concurrency += health.ANSWER_GAIN * (
+                event.reported_concurrency * attempt.among - fn.reported_concurrency
+            )
         request = self.requests.get(event.request)
         if request is not None and event.closed:
-            self.hedges += attempt is not request.attempts[0] and request.attempts[0].open  # worth its token
+            self.hedge_tokens += (
+                attempt is not request.attempts[0] and request.attempts[0].open
+            )  # worth its token
             self._close(request)
         elif request is not None and request not in fn.queue:
-            self._again(request)
+            self._requeue(request)
         self._dispatch_all(worker)
         self._dispatch(fn)
 
     def _on_order(self, event: io.LoadOrderAnswered) -> None:
-        fn, worker = self.functions.get(event.function), self.workers.get(event.scorer)
+        fn, worker = self.functions.get(event.function), self.scorers.get(event.scorer)
         if fn is None or worker is None:
             return
-        instance = self._instance(fn, worker)
+        instance = self._copies_at(fn, worker)
         short = event.result is io.AttemptResult.GOOD and event.copies < instance.order_count
-        is_load = instance.order_ms is not None and not (instance.asks and short)
+        is_load = instance.order_ms is not None and not (instance.open_probes and short)
         if event.result in (io.AttemptResult.GOOD, io.AttemptResult.FULL, io.AttemptResult.ERROR):
             if worker.suspect_ms is not None and instance.copies and not event.copies:
                 self._begin_slow_start(worker, self.now, since_ms=-math.inf)  # a restart that is not told
-            self._heard(worker, health.TRIAL_MS)  # a sign lasts for longer than a run
-            if is_load and instance.raced and event.result is io.AttemptResult.GOOD:
+            self._mark_alive(worker, health.SUSPECT_PROBE_MS)  # a sign lasts for longer than a run
+            if is_load and instance.speculative and event.result is io.AttemptResult.GOOD:
                 instance.unused_ms, instance.lanes_before = self.now, instance.copies * fn.lanes
             instance.copies, instance.counted_ms, instance.seen_ms = event.copies, self.now, self.now
-        self._broke(worker, event.result)
+        self._note_failed_connection(worker, event.result)
         if is_load:
             self._load_answered(fn, instance, event)
         else:
-            instance.asks = max(0, instance.asks - 1)
+            instance.open_probes = max(0, instance.open_probes - 1)
         self._dispatch(fn)
 
     def _on_timer(self, event: io.TimerDue) -> None:
@@ -191,58 +211,64 @@
             return
         self.sweeping = False
         for request in list(self.requests.values()):
-            if self._hopeless(request) or self.now >= request.ends_ms:
+            if self._is_hopeless(request) or self.now >= request.ends_ms:
                 self._finish(request)
-            elif self.wide and self.hedges >= 1 and request not in request.function.queue:
-                self._hasten(request, request.attempts[-1])
-        self._miss_answers()
-        self.flying = {
-            a for a in self.flying if self.now - a.sent_ms <= self.latency_target_ms
+            elif self.is_wide and self.hedge_tokens >= 1 and request not in request.function.queue:
+                self._hedge(request, request.attempts[-1])
+        self._mark_lost_attempts()
+        self.recent_attempts = {
+            a for a in self.recent_attempts if self.now - a.sent_ms <= self.latency_target_ms
         }  # the rest is lost
         for worker in list(self.watched.values()):
-            self._watch(worker)
+            self._watch_scorer(worker)
         if self.now - self.refreshed_ms >= state.REFRESH_MS:
             self._refresh()
-        if len(self.flying) < self.limit:
+        if len(self.recent_attempts) < self.limit:
             self._dispatch_all()
 
-    def _dispatch_all(self, there: Worker | None = None) -> None:  # most urgent first
+    def _dispatch_all(self, there: Scorer | None = None) -> None:  # most urgent first
         self.waiting = {fn for fn in self.waiting if fn.queue}
-        held = [fn for fn in self.waiting if there is None or there.id in fn.instances]
+        held = [fn for fn in self.waiting if there is None or there.id in fn.copies_by_scorer]
         for fn in sorted(held, key=lambda fn: min(map(self._urgency, fn.queue))):
             self._dispatch(fn)
 
     def _dispatch(self, fn: Function) -> None:
-        self._fill(fn)
+        self._send_queued(fn)
         if fn.queue:
             self.waiting.add(fn)
-            self._race(fn)
+            self._load_speculatively(fn)
 
-    def _fill(self, fn: Function) -> None:  # the only place that sends
+    def _send_queued(self, fn: Function) -> None:  # the only place that sends
         fn.queue.sort(key=self._urgency)
         for request in list(fn.queue):
-            if (worker := self._lane(fn, request)) is not None:
+            if (worker := self._choose_scorer(fn, request)) is not None:
                 self._send(request, worker)
             elif request.first_run() is None:
                 break
 
-    def _send(self, request: Request, worker: Worker) -> None:
-        fn, instance = request.function, self._instance(request.function, worker)
-        among = max(1, sum(w.id in fn.instances for w in fn.order[: fn.width]))
+    def _send(self, request: Request, worker: Scorer) -> None:
+        fn, instance = request.function, self._copies_at(request.function, worker)
+        among = max(1, sum(w.id in fn.copies_by_scorer for w in fn.order[: fn.spread]))
         here, within_ms = worker.entry, self._window_left(request)
-        attempt = Attempt(request.id, worker.id, fn, self.now, worker.own < 2, among, here.zone, here.cell)
+        attempt = Attempt(
+            request.id, worker.id, fn, self.now, worker.in_flight < 2, among, here.zone, here.cell
+        )
         self.attempts[request.id, len(request.attempts)] = attempt
-        self.flying.add(attempt)
+        self.recent_attempts.add(attempt)
         request.attempts.append(attempt)
         fn.queue.remove(request)
         fn.waits.timed.extend([(self.now, self.now - request.held_ms)] * (self.now > request.held_ms))
-        instance.own, worker.own, instance.seen_ms = instance.own + 1, worker.own + 1, self.now
+        instance.in_flight, worker.in_flight, instance.seen_ms = (
+            instance.in_flight + 1,
+            worker.in_flight + 1,
+            self.now,
+        )
         self._count_send(worker)
-        self._owe(worker)
-        if (lapse := worker.lapses.get(fn.kind)) and lapse.losses >= health.LOSSES:
-            lapse.rest_ms = min(state.REST_MOST_MS, 2 * lapse.rest_ms)  # this one tries it
-            lapse.rests_ms = self.now + lapse.rest_ms
-        if instance.unused_ms is not None and instance.own > instance.lanes_before:
+        self._expect_answer(worker)
+        if (lapse := worker.loss_records.get(fn.kind)) and lapse.losses >= health.EJECTION_LOSSES:
+            lapse.ejection_ms = min(state.MAX_EJECTION_MS, 2 * lapse.ejection_ms)  # this one tries it
+            lapse.ejected_until_ms = self.now + lapse.ejection_ms
+        if instance.unused_ms is not None and instance.in_flight > instance.lanes_before:
             fn.idle_ms, instance.unused_ms = self.now - instance.unused_ms, None
         self.actions.append(io.Send(request.id, worker.id, within_ms))
 
@@ -250,30 +276,32 @@
         """Limits: the rate sold times an uncrowded run is what the fleet works on at once (Little's law)."""
         sizes = {worker.id: self._units(worker) for worker in self.ready}
         self.members = self.members if sizes == self.members else sizes
-        self._renew()
+        self._refresh_copies()
         if self.now - self.forgot_ms >= FORGET_MS / 4:
             self._forget()
         self.total = sum(self._size(worker) for worker in self.ready) or 1.0
         self._note_total()
-        self.fleet = max(self.fleet, sum(sizes.values()))
-        draining = [w for w in self.workers.values() if w.entry.state is io.ScorerState.DRAINING]
-        self.listed = max(self.listed, self.fleet, sum(sizes.values()) + sum(map(self._units, draining)))
-        self.refreshed_ms, peers, sold, most = self.now, self.peers, self.sold, 0.0
+        self.largest_fleet = max(self.largest_fleet, sum(sizes.values()))
+        draining = [w for w in self.scorers.values() if w.entry.state is io.ScorerState.DRAINING]
+        self.largest_listed = max(
+            self.largest_listed, self.largest_fleet, sum(sizes.values()) + sum(map(self._units, draining))
+        )
+        self.refreshed_ms, peers, sold, most = self.now, self.front_ends, self.sold_rate, 0.0
         for worker in self.ready:
-            mean = sold * self.run_ms * self._size(worker) / self.fleet  # of all front ends
+            mean = sold * self.run_ms * self._size(worker) / self.largest_fleet  # of all front ends
             most, own = most + self._room(mean), self._room(mean / peers)
-            worker.limit = max(2.0 if self.wide else 1.0, own) if sold > 0 else math.inf
-        self.worker_most = most / max(1, len(self.ready)) if sold > 0 else 2 * routing.BOUND_FLOOR
-        self.wide = wide = self.worker_most < peers
-        usual = sorted(self._strained(worker) for worker in self.ready)[len(self.ready) // 2 :]
-        self.strain_most = health.STRAINED * usual[0] if self.wide and usual else math.inf
+            worker.limit = max(2.0 if self.is_wide else 1.0, own) if sold > 0 else math.inf
+        self.max_in_flight = most / max(1, len(self.ready)) if sold > 0 else 2 * routing.BOUND_FLOOR
+        self.is_wide = wide = self.max_in_flight < peers
+        usual = sorted(self._slowdown_of(worker) for worker in self.ready)[len(self.ready) // 2 :]
+        self.max_slowdown = health.OUTLIER_SLOWDOWN * usual[0] if self.is_wide and usual else math.inf
         self.silent_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0) if wide else state.SILENT_MS
         through = (
-            sold * self.latency_target_ms * state.LATE_MOST / peers or math.inf
+            sold * self.latency_target_ms * state.MAX_LATE_PART / peers or math.inf
         )  # beyond, all would be late
-        self.limit = self._room(through) if self.wide else math.inf
+        self.limit = self._room(through) if self.is_wide else math.inf
 
-    def _units(self, worker: Worker) -> float:  # as told, where that tells its size
+    def _units(self, worker: Scorer) -> float:  # as told, where that tells its size
         return max(worker.entry.units, 0.01) if self.settings.weights_fixed else 1.0
 
     def _room(self, mean: float) -> float:  # for chance
@@ -282,19 +310,34 @@
     def _forget(self) -> None:
         """Guards the memory: what is long past goes, and of too many functions those longest not called."""
         self.forgot_ms, past = self.now, self.now - FORGET_MS
-        used = {worker.last for worker in self.workers.values()}
-        half = FUNCTIONS_MOST // 2 * (len(self.functions) >= FUNCTIONS_MOST)
+        used = {worker.last_function for worker in self.scorers.values()}
+        half = MAX_FUNCTIONS // 2 * (len(self.functions) >= MAX_FUNCTIONS)
         for n, fn in enumerate(sorted(self.functions.values(), key=lambda fn: fn.needed_ms)):
-            busy = any(i.own or i.asks or i.order_ms is not None for i in fn.instances.values())
+            busy = any(
+                i.in_flight or i.open_probes or i.order_ms is not None for i in fn.copies_by_scorer.values()
+            )
             if not (busy or fn.queue or fn in used) and (n < half or fn.needed_ms < past):
                 del self.functions[fn.name]
-        for worker in [w for w in self.workers.values() if w.entry.state is io.ScorerState.GONE]:
+        for worker in [w for w in self.scorers.values() if w.entry.state is io.ScorerState.GONE]:
             worker.gone_ms = worker.gone_ms or self.now
-            if worker.gone_ms < past and not worker.own:
-                for held in (self.workers, self.watched, *(fn.instances for fn in self.functions.values())):
+            if worker.gone_ms < past and not worker.in_flight:
+                for held in (
+                    self.scorers,
+                    self.watched,
+                    *(fn.copies_by_scorer for fn in self.functions.values()),
+                ):
                     held.pop(worker.id, None)
 
-    handlers = {io.RosterChanged: _on_roster, io.RequestArrived: _on_request, io.RequestCancelled: _on_left,
-                io.AttemptEnded: _on_attempt, io.LoadOrderAnswered: _on_order, io.TimerDue: _on_timer,
-                io.LimitsChanged: _on_limits, io.ClassChanged: _on_class, io.RemoteLoadReport: _on_elsewhere,
-                io.PrefetchRequested: loads.Loads._on_wanted, io.ShutdownStarted: _on_closing}  # fmt: skip
+    handlers = {
+        io.RosterChanged: _on_roster,
+        io.RequestArrived: _on_request,
+        io.RequestCancelled: _on_cancelled,
+        io.AttemptEnded: _on_attempt,
+        io.LoadOrderAnswered: _on_order,
+        io.TimerDue: _on_timer,
+        io.LimitsChanged: _on_limits,
+        io.ClassChanged: _on_class,
+        io.RemoteLoadReport: _on_remote_load,
+        io.PrefetchRequested: loads.Loads._on_prefetch,
+        io.ShutdownStarted: _on_shutdown,
+    }
--- a/fawnwharf/policy/slow_start.py
+++ b/fawnwharf/policy/slow_start.py
@@ -34,13 +34,13 @@
 import math
 from collections import deque
 
-from fawnwharf.policy.state import REFRESH_MS, WINDOW_MS, Known, Worker, mix
+from fawnwharf.policy.state import REFRESH_MS, WINDOW_MS, Known, Scorer, mix
 
 MARGIN_MS = 50.0  # two sends may arrive that much nearer to each other than they left: one had to wait
 COLD_SAFETY = 0.6  # of own arrivals, a guess: they swell where clients try again
 ANSWERED_PART = 0.45  # of a front end's part that follows its answers; the rest is the same for all
 BURST_MS = 250.0  # answers that came at once are counted over that much: a rate, not a burst
-FORMER_LIVES = 2  # of a front end within a window, of which it is not to know
+FORMER_INCARNATIONS = 2  # of a front end within a window, of which it is not to know
 FAILURE = 1e-6  # accepted probability that chance takes all front ends past the bound: a worker, a window
 CHERNOFF = 5 * FAILURE  # the inequality gives that much more than the true probability; tests compute it
 SMALL = 30.0  # below this N, the bound has wider terms
@@ -89,53 +89,61 @@
 class SlowStart(Known):
     """The part of each worker's slow start that is this front end's; see the module for the bound."""
 
-    def _within_cold_budget(self, worker: Worker) -> bool:
+    def _within_slow_start_limit(self, worker: Scorer) -> bool:
         """May one more request go there now?"""
         share, fall_ms = self._warmth(worker), self.settings.slow_start_window_ms
         if share >= 1.0 or fall_ms <= 0:  # warm, or no such rule
             return True
-        self._prune(worker.sent)
+        self._prune(worker.slow_start_sends)
         factor = self.settings.slow_start_multiple * share * fall_ms
         if self.now < self.began_ms + fall_ms + MARGIN_MS:
-            return len(worker.sent) + 1 <= self._spare(self._allowed(worker, factor))
-        left = own = self._part(worker, factor)
-        if worker.told.sent is not None and self._is_told(worker, fall_ms):
-            past = (self.now - worker.told_ms) / fall_ms  # others have sent their parts since
-            left = own * (self.peers - past * (self.peers - 1)) - worker.told.sent  # all see it at once
-        left = min(left, own + (left - own) / self.peers) + mix(mix(self.chance ^ worker.mark)) / 2**64
-        return len(worker.sent) + 1 <= left  # by chance: a part below one falls to as many front ends
-
-    def _allowed(self, worker: Worker, factor: float) -> float:
+            return len(worker.slow_start_sends) + 1 <= self._spare_sends(self._allowed_sends(worker, factor))
+        left = own = self._slow_start_part(worker, factor)
+        if worker.remote_load.sent is not None and self._has_remote_load(worker, fall_ms):
+            past = (self.now - worker.remote_load_ms) / fall_ms  # others have sent their parts since
+            left = (
+                own * (self.front_ends - past * (self.front_ends - 1)) - worker.remote_load.sent
+            )  # all see it at once
+        left = (
+            min(left, own + (left - own) / self.front_ends) + mix(mix(self.chance ^ worker.hash_bits)) / 2**64
+        )
+        return (
+            len(worker.slow_start_sends) + 1 <= left
+        )  # by chance: a part below one falls to as many front ends
+
+    def _allowed_sends(self, worker: Scorer, factor: float) -> float:
         """N, as far as this front end can tell: the worker's rate when warm times `factor`."""
-        if self.sold > 0:
-            return factor * self.sold * self._unit_part(worker)
-        return factor * self._cold_rate(worker) * self.peers
+        if self.sold_rate > 0:
+            return factor * self.sold_rate * self._unit_part(worker)
+        return factor * self._warm_rate(worker) * self.front_ends
 
-    def _part(self, worker: Worker, factor: float) -> float:
+    def _slow_start_part(self, worker: Scorer, factor: float) -> float:
         """Of what all front ends may send there in a window, this one's."""
-        return factor * self._cold_rate(worker) * self._sure(self._allowed(worker, factor))
+        return factor * self._warm_rate(worker) * self._safe_part(self._allowed_sends(worker, factor))
 
-    def _spare(self, allowed: float) -> int:
+    def _spare_sends(self, allowed: float) -> int:
         """What each of few front ends may send beside what its former life may have sent."""
-        return math.floor((first_past(allowed) - allowed - self.peers) / (FORMER_LIVES * self.peers))
+        return math.floor(
+            (first_past(allowed) - allowed - self.front_ends) / (FORMER_INCARNATIONS * self.front_ends)
+        )
 
-    def _sure(self, allowed: float) -> float:
+    def _safe_part(self, allowed: float) -> float:
         """The part of N that all front ends together may take in the mean."""
         past = first_past(allowed)
-        if allowed + self.peers <= past:
+        if allowed + self.front_ends <= past:
             return 1.0
         if past not in self.sure:
-            self.sure[past] = safe_mean(past, self.peers)
+            self.sure[past] = safe_mean(past, self.front_ends)
         return min(1.0, self.sure[past] / allowed) if allowed > 0 else 0.0
 
-    def _cold_rate(self, worker: Worker) -> float:
+    def _warm_rate(self, worker: Scorer) -> float:
         """This front end's part of what the worker can do when warm, in requests a millisecond."""
-        arrivals = COLD_SAFETY * len(self.taken) / self.stretch_ms / max(1, len(self.ready))
+        arrivals = COLD_SAFETY * len(self.arrivals_ms) / self.stretch_ms / max(1, len(self.ready))
         answered = self._answered()
-        if self.sold > 0:
-            sold = self.sold / self.peers
+        if self.sold_rate > 0:
+            sold = self.sold_rate / self.front_ends
             rate = (sold + ANSWERED_PART * (answered - sold)) * self._unit_part(worker)
-            return rate if self.wide else min(rate, arrivals)
+            return rate if self.is_wide else min(rate, arrivals)
         if answered > 0:  # by as much of the fleet as was warm at the most meanwhile
             able = max(total for _, total in self.totals)
             return min(arrivals, answered * self.members.get(worker.id, 1.0) / able)
@@ -151,9 +159,9 @@
             return (len(timed) - 1) / max(BURST_MS, self.now - timed[0][0])
         return len(timed) / max(REFRESH_MS, min(WINDOW_MS, self.now - self.began_ms))
 
-    def _unit_part(self, worker: Worker) -> float:
+    def _unit_part(self, worker: Scorer) -> float:
         """The worker's part of the largest fleet seen: what is sold was sold for all of it."""
-        return self.members.get(worker.id, 1.0) / self.listed
+        return self.members.get(worker.id, 1.0) / self.largest_listed
 
     def _note_total(self) -> None:
         """The size of the ready fleet, for as long as answers count."""
@@ -161,28 +169,28 @@
             self.totals.popleft()
         self.totals.append((self.now, self.total))
 
-    def _begin_slow_start(self, worker: Worker, started_ms: float, since_ms: float) -> None:
+    def _begin_slow_start(self, worker: Scorer, started_ms: float, since_ms: float) -> None:
         """A start was told, or guessed. What left for the worker from `since_ms` on, while it was held to be
         another life of it, may have met this one."""
         worker.started_ms = started_ms
-        self._prune(worker.recent)
-        worker.sent = deque(sent_ms for sent_ms in worker.recent if sent_ms >= since_ms)
+        self._prune(worker.recent_sends)
+        worker.slow_start_sends = deque(sent_ms for sent_ms in worker.recent_sends if sent_ms >= since_ms)
 
-    def _count_send(self, worker: Worker) -> None:
-        self._prune(worker.recent)
-        worker.recent.append(self.now)
+    def _count_send(self, worker: Scorer) -> None:
+        self._prune(worker.recent_sends)
+        worker.recent_sends.append(self.now)
         if self._warmth(worker) < 1.0:
-            worker.sent.append(self.now)
+            worker.slow_start_sends.append(self.now)
 
     def _prune(self, sends: deque[float]) -> None:
         while sends and sends[0] <= self.now - self.settings.slow_start_window_ms - MARGIN_MS:
             sends.popleft()
 
-    def _warmth(self, worker: Worker) -> float:  # the part of its capacity that a worker has at the least
+    def _warmth(self, worker: Scorer) -> float:  # the part of its capacity that a worker has at the least
         age = max(0.0, self.now - worker.started_ms) / max(1.0, self.settings.slow_start_ms)
         return min(
             1.0, self.settings.slow_start_initial_share + (1 - self.settings.slow_start_initial_share) * age
         )
 
-    def _size(self, worker: Worker) -> float:
+    def _size(self, worker: Scorer) -> float:
         return self.members[worker.id] * self._warmth(worker)
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -12,7 +12,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
-from fawnwharf.policy.state import Function, Worker, mark
+from fawnwharf.policy.state import Function, Scorer, mark
 from fawnwharf.prefetch.kept import Kept
 from fawnwharf.prefetch.worth import Facts
 from fawnwharf.session_types import Text
@@ -49,12 +49,12 @@
     def at(self, now_ms: float) -> None:
         """Set the moment that later questions are about."""
         self.handle(now_ms, [])
-        self._ration_left()  # what is past its window goes
+        self._load_rate_left()  # what is past its window goes
         self._rests = {worker: until for worker, until in self._rests.items() if until > now_ms}
 
     def arrived(self, now_ms: float) -> None:
         """Count an arrival for the load rate limit."""
-        self.taken.append(now_ms)
+        self.arrivals_ms.append(now_ms)
 
     def rest(self, now_ms: float, worker: int) -> None:
         """Give no prefetch order to a scorer for `RESTS_MS`: it was full, or failed."""
@@ -62,12 +62,12 @@
 
     def zone(self, worker: int) -> str:
         """The zone of a scorer; empty where it is unknown."""
-        found = self.workers.get(worker)
+        found = self.scorers.get(worker)
         return found.entry.zone if found else ""
 
-    def takes(self, worker: int) -> Worker | None:
+    def takes(self, worker: int) -> Scorer | None:
         """The scorer if it may be given something new, else None."""
-        found = self.workers.get(worker)
+        found = self.scorers.get(worker)
         return found if found and found.takes_new() else None
 
     def sites(self) -> list[str]:
@@ -95,13 +95,13 @@
             return 0.0
         if self._warmth(found) >= 1.0:
             return float("inf")
-        return 1.0 if self._within_cold_budget(found) else 0.0
+        return 1.0 if self._within_slow_start_limit(found) else 0.0
 
     def gave(self, now_ms: float, worker: int) -> None:
         """Count a call or load that was given to a scorer, if it is in slow start."""
         found = self.takes(worker)
         if found and self._warmth(found) < 1.0:
-            found.sent.append(now_ms)
+            found.slow_start_sends.append(now_ms)
 
     def ration(self, orders: float | None, told: int) -> tuple[float, float]:
         """What the load rate limit leaves now, and would leave if no order had been given.
@@ -113,13 +113,13 @@
         settings = self.settings
         if settings.load_window_ms <= 0:
             return float("inf"), float("inf")
-        left = self._ration_left()
-        most = left + len(self.ordered)
-        return most - (len(self.ordered) if orders is None else orders) - told, most
+        left = self._load_rate_left()
+        most = left + len(self.load_orders_ms)
+        return most - (len(self.load_orders_ms) if orders is None else orders) - told, most
 
     def rate_ps(self) -> float:
         """Own arrivals a second, over the window of the load rate limit."""
-        return 1_000.0 * len(self.taken) / max(1.0, self.stretch_ms)
+        return 1_000.0 * len(self.arrivals_ms) / max(1.0, self.stretch_ms)
 
 
 AMOUNT_MOST = 1e9
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -153,7 +153,7 @@
         """Orders that the module would make of `CopiesWanted`: one is left for each held call."""
         router = self.front.router
         held = sum(len(fn.queue) for fn in router.functions.values())
-        return router._ration_left() - held if router.settings.load_orders_allowed else 0.0
+        return router._load_rate_left() - held if router.settings.load_orders_allowed else 0.0
 
     # --- turns, words and answers ---------------------------------------------------------------
 
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -150,7 +150,7 @@
             heard=tuple(n for n in agent.keepers if n in agent.alive or n == agent.name),
             waiting=sum(request not in sent for request in module.requests),
             refused=agent.counts["calls without an answer"],
-            ordered=len(module.ordered),
+            ordered=len(module.load_orders_ms),
             disturbed=frozenset(name for name, state in states.items() if state == OUT),
             out=frozenset(out_by_plan | agent.moves.closed.keys()),
         )
--- a/fawnwharf/sessions/places.py
+++ b/fawnwharf/sessions/places.py
@@ -26,6 +26,6 @@
     def uses(self, row: str, site: str) -> bool:
         """Whether calls from here are at a zone's scorers now, as placements do not bind the module."""
         fn = self._router.functions.get(row)
-        busy = (id for id, instance in fn.instances.items() if instance.own > 0) if fn else ()
-        workers = (self._router.workers.get(id) for id in busy)
+        busy = (id for id, instance in fn.copies_by_scorer.items() if instance.in_flight > 0) if fn else ()
+        workers = (self._router.scorers.get(id) for id in busy)
         return any(worker is not None and worker.entry.zone == site for worker in workers)
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -205,7 +205,7 @@
             row = call.session.row
             if event.warmth in (io.Warmth.FOUND, io.Warmth.UNTOLD):
                 self.agent.known.ran(row, event.took_ms)
-            worker = self.front.router.workers.get(event.scorer)
+            worker = self.front.router.scorers.get(event.scorer)
             if worker is not None and worker.entry.zone == self.site:
                 self.stages.seen(now_ms, row, event.scorer, 1)
         if event.closed:
@@ -233,7 +233,7 @@
     def _is_loading(self, worker: int, row: str) -> bool:
         """Whether the module has an order for a function there."""
         fn = self.front.router.functions.get(row)
-        return bool(fn and (held := fn.instances.get(worker)) and held.order_ms is not None)
+        return bool(fn and (held := fn.copies_by_scorer.get(worker)) and held.order_ms is not None)
 
     def _staged(self, now_ms: float) -> None:
         came, self.stages.came = self.stages.came, []
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -227,7 +227,7 @@
                 self.functions.loaded(session.row, max(1.0, event.took_ms - facts.run_ms))
 
     def _answered(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
-        self.scorers.ordered.append(now_ms)
+        self.scorers.load_orders_ms.append(now_ms)
         key = (event.function, self.scorers.zone(event.scorer))
         pending = self._pending.get(key)
         asked = pending is not None and event.scorer in pending[1]
--- a/tests/support/change_log_front_end.py
+++ b/tests/support/change_log_front_end.py
@@ -60,7 +60,7 @@
     def states(self):
         """What the module goes by, of the scorers that are not gone."""
         self.until(lambda: self.front._news is None, "the module is told")
-        workers = self.front.router.workers
+        workers = self.front.router.scorers
         found = {id: workers.get(worker_number(id)) for id in self.by_id}
         states = {id: worker.entry.state for id, worker in found.items() if worker}
         return {id: state for id, state in states.items() if state is not io.ScorerState.GONE}
--- a/tests/support/slow_start_world.py
+++ b/tests/support/slow_start_world.py
@@ -257,8 +257,8 @@
             for router in self.routers:
                 router.handle(self.now, [])
                 for worker in router.ready:
-                    while router._warmth(worker) < 1.0 and router._within_cold_budget(worker):
-                        worker.sent.append(self.now)
+                    while router._warmth(worker) < 1.0 and router._within_slow_start_limit(worker):
+                        worker.slow_start_sends.append(self.now)
                         self.sends[worker.id].append(self.now)
             for worker, sends in self.sends.items():
                 share = COLD_SHARE + (1 - COLD_SHARE) * (self.now - self.began_ms) / COLD_MS
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -131,7 +131,7 @@
         rig.log.say({"seq": seq, "fleet": {"members": [member]}})
         rig.until(lambda seq=seq: rig.front.changelog.seq == seq and not rig.front._news, "it is taken")
         clock.advance(500.0)
-    worker = rig.front.router.workers[worker_number("s-1")]
+    worker = rig.front.router.scorers[worker_number("s-1")]
     age_ms = rig.front.loop.clock.now_ms() - worker.started_ms
     assert 1_000.0 - 1.0 <= age_ms <= 1_050.0 + 1.0
 
--- a/tests/test_discovery_orders.py
+++ b/tests/test_discovery_orders.py
@@ -256,7 +256,7 @@
     rig.log.say(event(2, {"id": "s-9", "phase": "in_service"}, rig.member("s-1", "terminating")))
     rig.at(2)
     rig.states()
-    assert len(rig.front.router.workers) == 3
+    assert len(rig.front.router.scorers) == 3
 
 
 @pytest.mark.parametrize("order", [1, -1])
--- a/tests/test_fair_turns.py
+++ b/tests/test_fair_turns.py
@@ -52,7 +52,7 @@
         client.sock.sendall(pairs(60))
         rig.settle(client)
         self.assertEqual(self.told(io.RequestArrived, io.RequestCancelled), [])
-        self.assertEqual((len(rig.front.router.taken), rig.front.table.open), (0, {}))
+        self.assertEqual((len(rig.front.router.arrivals_ms), rig.front.table.open), (0, {}))
         self.assertEqual([kind for seqid, kind, _ in client.answers if seqid < 1000], [])
 
     def test_pairs_that_are_cut_by_a_read_cost_one_call_a_read_at_the_most(self):
@@ -65,7 +65,7 @@
         rig.settle(client)
         reads = -(-len(data) // clients.READ_MOST)
         self.assertLess(reads, 10)
-        self.assertLessEqual(len(rig.front.router.taken), reads)
+        self.assertLessEqual(len(rig.front.router.arrivals_ms), reads)
         self.assertEqual(len(self.told(io.RequestArrived)), len(self.told(io.RequestCancelled)))
         self.assertEqual(rig.front.table.open, {})
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -131,10 +131,10 @@
     limit = drive.router.limit
     for n in range(12):
         standing(drive, drive.ask(f"r{n}", fn=f"f{n}", tenant="t"))
-    held = len(drive.router.flying)
+    held = len(drive.router.recent_attempts)
     assert held <= limit + 1 < 12
     drive.sweep(drive.now + 1200)
-    assert not any(drive.now - a.sent_ms > 1100 for a in drive.router.flying)
+    assert not any(drive.now - a.sent_ms > 1100 for a in drive.router.recent_attempts)
 
 
 def steps(workers):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -139,7 +139,7 @@
     for turn in range(6):
         worker = drive.warm(f"f{turn % 3}")
         drive.now += 40.0
-    drive.router.workers[worker].strain, drive.router.workers[worker].strain_ms = 2.5, drive.now - 30.0
+    drive.router.scorers[worker].strain, drive.router.scorers[worker].strain_ms = 2.5, drive.now - 30.0
     return drive
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -52,20 +52,20 @@
         for drive in fleet:
             [first] = of(drive.ask("first", tenant="t"), io.Send)
             drive.end(first)
-            drive.router.functions["f"].crowd = 4.0  # the others' calls make it wide
+            drive.router.functions["f"].reported_concurrency = 4.0  # the others' calls make it wide
             drive.now += 5_000.0
             sends += [(first.scorer, send.scorer) for send in of(drive.ask("next", tenant="t"), io.Send)]
         moved = sum(first != then for first, then in sends)
         self.assertEqual(SIZE, len(sends))
         self.assertLessEqual(moved, SIZE // 4)
-        self.assertTrue(all(drive.router.functions["f"].width > 1 for drive in fleet))
+        self.assertTrue(all(drive.router.functions["f"].spread > 1 for drive in fleet))
 
     def test_a_place_that_can_take_nothing_gives_way_to_the_next(self):
         drive = drives(1)[0]
         drive.sweep(2_500.0)
         [first] = of(drive.ask("first", tenant="t"), io.Send)
         drive.end(first)
-        drive.router.workers[first.scorer].suspect_ms = drive.now
+        drive.router.scorers[first.scorer].suspect_ms = drive.now
         [then] = of(drive.ask("next", tenant="t"), io.Send)
         self.assertNotEqual(first.scorer, then.scorer)
 
@@ -79,13 +79,16 @@
                 drive.sweep(2_500.0)
                 drive.ask("wide", tenant="t")
                 drive.feed(io.RequestCancelled("wide"))
-                drive.router.functions["f"].crowd = 9.0
+                drive.router.functions["f"].reported_concurrency = 9.0
                 for worker in drive.router.ready:
-                    worker.strain, worker.strain_ms = strain if worker.entry.zone == "a" else 1.0, drive.now
-                drive.router.functions["f"].instances.clear()
+                    worker.slowdown, worker.slowdown_ms = (
+                        strain if worker.entry.zone == "a" else 1.0,
+                        drive.now,
+                    )
+                drive.router.functions["f"].copies_by_scorer.clear()
                 drive.router.functions["f"].known = None
                 [send] = of(drive.ask("r", tenant="t"), io.Send)
-                crossed += drive.router.workers[send.scorer].entry.zone == "b"
+                crossed += drive.router.scorers[send.scorer].entry.zone == "b"
             return crossed
 
         self.assertLess(far(1.0), 40)
@@ -127,10 +130,12 @@
     def test_some_silent_scorers_of_one_zone_have_all_that_are_there_asked(self):
         drive = self.drive()
         for worker in (1, 3):
-            drive.router._suspect(drive.router.workers[worker])
-        self.assertEqual([], [worker.id for worker in drive.router.ready if worker.sign_ms and worker.id > 3])
+            drive.router._suspect(drive.router.scorers[worker])
+        self.assertEqual(
+            [], [worker.id for worker in drive.router.ready if worker.probed_ms and worker.id > 3]
+        )
         drive.router.actions.clear()
-        drive.router._suspect(drive.router.workers[5])
+        drive.router._suspect(drive.router.scorers[5])
         self.assertEqual([7], [hold.scorer for hold in of(drive.router.actions, io.OrderCopies)])
         drive.sweep(drive.now + 200.0)
         zone = {worker.id for worker in drive.router.ready if worker.suspect_ms is not None}
@@ -139,11 +144,11 @@
     def test_one_that_answers_stays(self):
         drive = self.drive()
         for worker in (1, 3, 5):
-            drive.router._suspect(drive.router.workers[worker])
+            drive.router._suspect(drive.router.scorers[worker])
         [question] = of(drive.router.actions, io.OrderCopies)
         drive.count(question.scorer, 1, question.function)
         drive.sweep(drive.now + 200.0)
-        self.assertIsNone(drive.router.workers[7].suspect_ms)
+        self.assertIsNone(drive.router.scorers[7].suspect_ms)
 
 
 class Width(unittest.TestCase):
@@ -154,7 +159,7 @@
             [send] = of(drive.ask(f"r{n}", tenant="t"), io.Send)
             drive.now += 100.0
             drive.end(send, crowd=0)
-        self.assertLessEqual(drive.router.functions["f"].width, 2)
+        self.assertLessEqual(drive.router.functions["f"].spread, 2)
 
     def test_calls_that_are_out_have_room_for_chance(self):
         drive = drives(1)[0]
@@ -184,9 +189,9 @@
     def test_strain_that_all_workers_share_takes_none_of_them_away(self):
         drive = drives(1)[0]
         for worker in drive.router.ready:
-            worker.strain, worker.strain_ms = 9.0, drive.now
+            worker.slowdown, worker.slowdown_ms = 9.0, drive.now
         drive.sweep(drive.now + 1_100.0)
-        self.assertGreater(drive.router.strain_most, 9.0)
+        self.assertGreater(drive.router.max_slowdown, 9.0)
 
     def test_a_call_that_found_a_full_worker_goes_on_at_once(self):
         drive = drives(1)[0]
@@ -233,10 +238,10 @@
                     drive.end(send, ending)
                 drive.feed(io.RequestCancelled(f"r{n}"))
             drive.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=drive.now)], False))
-            cold = drive.router.workers[1]
-            while drive.router._within_cold_budget(cold):
-                cold.sent.append(drive.now)
-            count += len(cold.sent)
+            cold = drive.router.scorers[1]
+            while drive.router._within_slow_start_limit(cold):
+                cold.slow_start_sends.append(drive.now)
+            count += len(cold.slow_start_sends)
         return count
 
     def test_clients_that_all_come_again_bring_a_cold_worker_no_more_than_is_sold(self):
--- a/tests/test_load_orders.py
+++ b/tests/test_load_orders.py
@@ -42,9 +42,9 @@
 def test_no_order_names_more_copies_than_one_may_name():
     drive = Drive(1, free_loads=50.0)
     home = drive.warm()
-    drive.count(home, loads.COPIES_MOST)
+    drive.count(home, loads.MAX_COPIES)
     held = [action for n in range(40) for action in drive.ask(f"r{n}", lanes=1)]
-    assert all(action.copies <= loads.COPIES_MOST for action in ordered(held))
+    assert all(action.copies <= loads.MAX_COPIES for action in ordered(held))
 
 
 def test_an_order_leaves_the_window_of_the_ration_as_its_scorer_counts_it():
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -238,11 +238,11 @@
         client.call()
         rig.until(lambda: other.runs, "the next goes elsewhere")
         self.assertEqual(len(home.runs), 1)
-        worker = rig.front.router.workers[worker_number(home.id)]
+        worker = rig.front.router.scorers[worker_number(home.id)]
         self.assertIs(worker.entry.state, ScorerState.DRAINING)
         before = rig.front.loop.clock.now_ms()
         self.assertEqual(rig.ask(f"{EXIT}?target={home.id}"), 200)
-        rig.until(lambda: worker.entry is not None and rig.front.router.workers[worker.id].entry.state == 1)
+        rig.until(lambda: worker.entry is not None and rig.front.router.scorers[worker.id].entry.state == 1)
         self.assertGreaterEqual(worker.started_ms, before)  # it is cold, and its copies are gone
         router = rig.front.router
         self.assertEqual({router._copies(fn, worker) for fn in router.functions.values()}, {0})
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -136,7 +136,7 @@
         rig = Rig(one, two)
         self.addCleanup(rig.close)
         rig.front._seam, seam.front = seam, rig.front
-        workers = rig.front.router.workers
+        workers = rig.front.router.scorers
         rig.until(lambda: len(workers) == 2, "both are known")
         for who in ("zones", "state"):
             rig.front.go_by(rig.front.overlay.close(who, lambda member: member.id == "s-1"))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,7 +4,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.interface import AttemptResult
-from fawnwharf.policy.router import FUNCTIONS_MOST
+from fawnwharf.policy.router import MAX_FUNCTIONS
 
 # --- the ordinary path ---------------------------------------------------------------------
 
@@ -79,8 +79,8 @@
         d.now += 1500
         d.count(2, 1)
         d.now += 10  # the far copy was just counted, the near one is in doubt
-        d.router.functions["f"].instances[1].copies = 1
-        d.router.functions["f"].instances[1].seen_ms = d.now - 1500
+        d.router.functions["f"].copies_by_scorer[1].copies = 1
+        d.router.functions["f"].copies_by_scorer[1].seen_ms = d.now - 1500
         [question] = d.ask("r1")[:1]
         assert (question.scorer, question.copies) == (1, 0) and not of(d.log[-1:], io.Send)
         [send] = of(d.count(1, 1) if answers else d.sweep(d.now + 40), io.Send)
@@ -153,7 +153,7 @@
     d.now += 20
     d.count(load.scorer, 1)
     d.now += 150  # the raced copy idles for longer than the run of 100 ms
-    d.router.workers[load.scorer].entry.state = io.ScorerState.DRAINING  # and is out of reach
+    d.router.scorers[load.scorer].entry.state = io.ScorerState.DRAINING  # and is out of reach
     actions = d.ask("r3")
     assert not [hold for hold in of(actions, io.OrderCopies) if hold.copies]
     waited = d.now
@@ -168,12 +168,12 @@
     d.warm("kept")
     [send] = of(d.ask("r1", "kept"), io.Send)
     d.ask("r2", "held")
-    for n in range(3 * FUNCTIONS_MOST):
+    for n in range(3 * MAX_FUNCTIONS):
         d.now += 0.01
         for action in of(d.ask(f"n{n}", f"f{n}"), io.OrderCopies):
             d.count(action.scorer, 0, action.function, AttemptResult.FULL)
         d.feed(io.RequestCancelled(f"n{n}"))
-    assert len(d.router.functions) <= FUNCTIONS_MOST and {"kept", "held"} <= d.router.functions.keys()
+    assert len(d.router.functions) <= MAX_FUNCTIONS and {"kept", "held"} <= d.router.functions.keys()
     d.end(send)
 
 
@@ -186,12 +186,12 @@
         for _ in range(100):
             d.now += 1000
             d.feed(io.TimerDue(0))
-        known = home in d.router.workers
+        known = home in d.router.scorers
         assert known is bool(d.router.attempts)  # as long as an attempt is out there
         if known:
             d.end(send, AttemptResult.RESET)
-    assert "g" not in d.router.functions and len(d.router.workers) == 3
-    assert not [fn for fn in d.router.functions.values() if home in fn.instances]
+    assert "g" not in d.router.functions and len(d.router.scorers) == 3
+    assert not [fn for fn in d.router.functions.values() if home in fn.copies_by_scorer]
 
 
 def test_same_home_at_all_front_ends():
--- a/tests/test_policy_elsewhere.py
+++ b/tests/test_policy_elsewhere.py
@@ -25,7 +25,7 @@
         if known:
             d.feed(io.PrefetchRequested(1, "f", "safe"))
             d.count(1, 0, ending=AttemptResult.FULL)
-            d.router.functions["f"].instances[1].blocked_ms = 0.0
+            d.router.functions["f"].copies_by_scorer[1].blocked_ms = 0.0
         elsewhere(d, copies={"f": 1, "other": 2}, age_ms=age_ms)
         actions = arrived(d, "r")
         sends, questions = [send.scorer for send in of(actions, io.Send)], asked(actions)
@@ -46,7 +46,7 @@
             d.end(send, AttemptResult.MISS, closed=False)
         else:
             d.count(1, 0)
-        fn, worker = d.router.functions["f"], d.router.workers[1]
+        fn, worker = d.router.functions["f"], d.router.scorers[1]
         d.now += 100.0
         for age_ms, copies in ((101.0, 0), (100.0, 0), (99.0, 3)):
             elsewhere(d, 1, copies={"f": 3}, age_ms=age_ms)
@@ -59,7 +59,7 @@
     d.feed(io.RequestCancelled("first"))
     d.count(1, 0)
     d.now = 5_000.0
-    fn, worker = d.router.functions["f"], d.router.workers[1]
+    fn, worker = d.router.functions["f"], d.router.scorers[1]
     start = io.RosterChanged([io.ScorerEntry(1, up_since_ms=d.now - 100.0)], False)
     elsewhere(d, 1, copies={"f": 1}, loading=("f",), sent=0, age_ms=200.0)
     assert d.router._copies(fn, worker) == 1
@@ -146,12 +146,12 @@
     d.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=d.now - 5_000.0)], False))
     if told:
         elsewhere(d, 1, **told)
-    worker, counts = d.router.workers[1], []
+    worker, counts = d.router.scorers[1], []
     for _ in range(2):
-        worker.sent.clear()
-        while d.router._within_cold_budget(worker) and len(worker.sent) < 999:
-            worker.sent.append(d.now)
-        counts.append(len(worker.sent))
+        worker.slow_start_sends.clear()
+        while d.router._within_slow_start_limit(worker) and len(worker.slow_start_sends) < 999:
+            worker.slow_start_sends.append(d.now)
+        counts.append(len(worker.slow_start_sends))
         d.now += 500.0
     return counts
 
@@ -199,13 +199,13 @@
         d.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=d.now - 1.0)], False))
         drives.append(d)
     for _ in range(10):
-        told = [len(d.router.workers[1].sent) for d in drives]
+        told = [len(d.router.scorers[1].slow_start_sends) for d in drives]
         for n, d in enumerate(drives):
             elsewhere(d, 1, sent=sum(told) - told[n])
-            worker = d.router.workers[1]
+            worker = d.router.scorers[1]
             for _ in range(4 * (n < 2)):
-                if d.router._within_cold_budget(worker):
-                    worker.sent.append(d.now)
+                if d.router._within_slow_start_limit(worker):
+                    worker.slow_start_sends.append(d.now)
                     sent += 1
             d.now += 100.0
     assert 2 * (budget / 4 + 1) < sent <= budget + 4  # the guess gives two parts; four cross with a word
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_health.py
@@ -34,7 +34,7 @@
         if answered:
             d.count(home, 1)
         d.sweep(d.now + 200)
-        assert (d.router.workers[home].suspect_ms is None) is answered
+        assert (d.router.scorers[home].suspect_ms is None) is answered
         assert [send.scorer for send in of(d.ask("r2"), io.Send)] == [home] * answered
 
 
@@ -55,13 +55,13 @@
     d, home, lost, done = lose_two()
     assert not [action for action in of(done, io.Log) if "silent" in action.text]
     assert home not in [send.scorer for send in of(d.answer_asks(d.ask("r3", lanes=2), {home: 1}), io.Send)]
-    router, fn, worker = d.router, d.router.functions["f"], d.router.workers[home]
-    assert router._usable(worker, Function("g", "unsafe", 1, None, 0))  # another class goes on there
+    router, fn, worker = d.router, d.router.functions["f"], d.router.scorers[home]
+    assert router._is_usable(worker, Function("g", "unsafe", 1, None, 0))  # another class goes on there
     for send in lost:
         d.end(send, AttemptResult.CANCELLED, closed=True)
     d.now += 2000
     assert [(send.request, send.scorer) for send in of(d.count(home, 1), io.Send)] == [("r3", home)]
-    assert not router._usable(worker, fn)
+    assert not router._is_usable(worker, fn)
     assert not of(d.ask("r4", lanes=2), io.Send)
 
 
@@ -69,20 +69,20 @@
     for served in (True, False):
         d = Drive()
         home = d.warm(lanes=4, spec="unsafe")
-        worker, fn = d.router.workers[home], d.router.functions["f"]
+        worker, fn = d.router.scorers[home], d.router.functions["f"]
         if not served:
             fn.runs.timed.clear()
         sends = of(d.ask("r1", spec="unsafe", lanes=4) + d.ask("r2", spec="unsafe", lanes=4), io.Send)
         for send in sends:
             d.end(send, AttemptResult.ERROR, closed=False)
-        assert len(sends) == 2 and d.router._usable(worker, fn) is not served
+        assert len(sends) == 2 and d.router._is_usable(worker, fn) is not served
 
 
 def test_answers_that_come_after_all_take_their_losses_back():
     d, home, lost, _ = lose_two()
     for send in lost:
         d.end(send)
-    assert not d.router.workers[home].lapses
+    assert not d.router.scorers[home].loss_records
 
 
 def test_silent_worker_that_answers_is_used_again():
@@ -91,11 +91,11 @@
     d.ask("r1")
     d.sweep(d.now + 1000)
     assert [a for a in of(d.count(home, 1), io.Log) if "again" in a.text]
-    assert d.router.workers[home].suspect_ms is None
+    assert d.router.scorers[home].suspect_ms is None
 
 
 def test_suspicion_never_takes_most_of_the_fleet():
     d = Drive(workers=2)
     for n in (1, 2):
-        d.router._suspect(d.router.workers[n])
+        d.router._suspect(d.router.scorers[n])
     assert [hold for hold in of(d.ask("r1"), io.OrderCopies)]
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -122,7 +122,7 @@
     for n in range(50):
         [send] = of(drive.ask(f"r{n}"), io.Send)
         drive.end(send)
-    assert len(drive.router.workers[1].sent) == 0
+    assert len(drive.router.scorers[1].slow_start_sends) == 0
 
 
 def test_restart_takes_beliefs_away():
@@ -189,10 +189,10 @@
 
 def test_workers_that_leave_do_not_raise_the_limit_of_the_others():
     d = Drive(workers=4, quotas_rps={"t": 40.0})
-    before = d.router.workers[1].limit
+    before = d.router.scorers[1].limit
     d.feed(io.RosterChanged([io.ScorerEntry(n, io.ScorerState.GONE) for n in (2, 3, 4)], complete=False))
     d.sweep(40)
-    assert d.router.workers[1].limit == before < 20
+    assert d.router.scorers[1].limit == before < 20
 
 
 def test_a_limit_that_was_handed_in_refuses_what_goes_beyond_it_at_once_and_can_be_lifted():
--- a/tests/test_policy_told.py
+++ b/tests/test_policy_told.py
@@ -141,7 +141,7 @@
 def test_a_copy_wanted_is_ordered_answered_and_used_by_the_first_call():
     d = Drive(idle_life_ms=LIFE_MS)
     assert want(d, 3) == [(3, 1)]
-    assert d.router.loading == 1 and len(d.router.ordered) == 1
+    assert d.router.loading == 1 and len(d.router.load_orders_ms) == 1
     assert want(d, 3) == []  # it is under way
     d.now += LOAD_MS
     d.count(3, 1)
@@ -166,9 +166,9 @@
         state = ScorerState.DRAINING if case == "draining" else ScorerState.GONE
         d.feed(io.RosterChanged([io.ScorerEntry(2, state)], False))
     elif case == "suspect":
-        d.router._suspect(d.router.workers[2])
+        d.router._suspect(d.router.scorers[2])
     elif case == "ration exhausted":
-        d.router.ordered.extend([d.now] * 3)
+        d.router.load_orders_ms.extend([d.now] * 3)
     elif case == "blocked":
         want(d, 2)
         d.count(2, 0, ending=AttemptResult.FULL)
@@ -181,7 +181,7 @@
     elif case == "cold":
         d.now += 1000.0
         d.feed(io.RosterChanged([io.ScorerEntry(2, up_since_ms=d.now)], False))
-        d.router.chance = next(n for n in range(99) if not d.router._within_cold_budget(cold_with(d, n)))
+        d.router.chance = next(n for n in range(99) if not d.router._within_slow_start_limit(cold_with(d, n)))
     elif case == "too many under way":
         d.router.loading = 99
     return want(d, worker, copies)
@@ -189,8 +189,8 @@
 
 def cold_with(d, chance):
     d.router.chance = chance
-    d.router.workers[2].sent.append(d.now)
-    return d.router.workers[2]
+    d.router.scorers[2].slow_start_sends.append(d.now)
+    return d.router.scorers[2]
 
 
 @pytest.mark.parametrize(
@@ -219,7 +219,7 @@
         d = Drive(load_window_ms=5000.0, free_loads=4.0)
         arrived(d, "r0", "g0")
         arrived(d, "r1", "g1")
-        d.router.ordered.extend([d.now] * (4 - left))
+        d.router.load_orders_ms.extend([d.now] * (4 - left))
         assert want(d, 2) == ([(2, 1)] if left == 3 else [])
 
 
@@ -230,8 +230,8 @@
     d.now += LIFE_MS - 2500.0
     assert want(d, 2) == []
     d.now += 1000.0
-    given = len(d.router.ordered)
-    assert want(d, 2) == [(2, 1)] and (d.router.loading, len(d.router.ordered)) == (0, given + 1)
+    given = len(d.router.load_orders_ms)
+    assert want(d, 2) == [(2, 1)] and (d.router.loading, len(d.router.load_orders_ms)) == (0, given + 1)
     d.count(2, 1)
     assert want(d, 2) == []
     d.now += LIFE_MS + 1.0
@@ -258,7 +258,7 @@
     told = learned_state.capture(d.router, set(), d.now, 0.0)
     other = Drive(idle_life_ms=1e9).router
     learned_state.restore(other, told, 1000.0, 0.0)
-    assert other._copies(other.functions["f"], other.workers[2]) == 1
+    assert other._copies(other.functions["f"], other.scorers[2]) == 1
     for _ in range(61):
         d.now += 1000.0
         d.feed(io.TimerDue(0))
@@ -270,9 +270,9 @@
 
 def test_events_from_outside_leave_the_ration_of_orders_alone():
     d = Drive(load_window_ms=5000.0, free_loads=5.0)
-    before = d.router._ration_left()
+    before = d.router._load_rate_left()
     d.feed(io.RemoteLoadReport(2, sent=3, copies={"f": 2}, loading=("f", "g")))
     d.feed(io.ClassChanged(replace(UNSAFE, latency_target_ms=1.0)))
-    assert d.router._ration_left() == before
+    assert d.router._load_rate_left() == before
     want(d, 1, fn="h")
-    assert d.router._ration_left() == before - 1
+    assert d.router._load_rate_left() == before - 1
--- a/tests/test_repeat_windows.py
+++ b/tests/test_repeat_windows.py
@@ -91,7 +91,7 @@
 
 def held(d):
     """All workers rest for a moment, so that a repeat is held."""
-    for worker in d.router.workers.values():
+    for worker in d.router.scorers.values():
         d.feed(io.RosterChanged([io.ScorerEntry(worker.id, ScorerState.DRAINING)], complete=False))
 
 
@@ -118,7 +118,7 @@
 def test_second_attempts_of_every_kind_keep_to_class_and_window(way, effect, window_ms):
     d = drive(window_ms, effect=effect)
     send = first_send(d)
-    worker = d.router.workers[send.scorer]
+    worker = d.router.scorers[send.scorer]
     d.now += 350.0
     d.router.now, d.router.actions = d.now, []
     attempt = d.router.attempts["r", 0]
@@ -126,13 +126,13 @@
         d.router._suspect(worker)
     elif way == "hasten":
         d.router.functions["f"].runs.timed.extend([(d.now, 10.0)] * 5)
-        d.router._hasten(d.router.requests["r"], attempt)
+        d.router._hedge(d.router.requests["r"], attempt)
         d.router._dispatch_all()
     else:
         d.router.functions["f"].runs.timed.extend([(d.now, 10.0)] * 5)
-        d.router._lose(worker, attempt.function)
-        d.router._lose(worker, attempt.function)
-        d.router._miss_answers()
+        d.router._record_loss(worker, attempt.function)
+        d.router._record_loss(worker, attempt.function)
+        d.router._mark_lost_attempts()
     sends = of(d.router.actions, io.Send)
     if effect is Effect.DEDUPLICATED and window_ms == 3e3:
         assert [s.within_ms for s in sends] == [window_ms - WINDOW_MARGIN_MS - 350.0]
@@ -168,7 +168,7 @@
     other = io.ScorerEntry(3 - send.scorer, ScorerState.DRAINING, zone="a")
     d.feed(io.RosterChanged([gone, other], complete=False))
     assert not end(d, send, AttemptResult.RESET)
-    while send.scorer in d.router.workers:
+    while send.scorer in d.router.scorers:
         d.now += 5_000.0
         d.feed(io.TimerDue(0))
         assert d.now < 200_000.0
--- a/tests/test_scorer_faults.py
+++ b/tests/test_scorer_faults.py
@@ -155,7 +155,7 @@
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 scorer.answer(scorer.runs[0])
                 rig.until(lambda client=client: client.answers, "it is answered")
-                worker = rig.front.router.workers[worker_number(scorer.id)]
+                worker = rig.front.router.scorers[worker_number(scorer.id)]
                 self.assertEqual((client.kinds(), worker.suspect_ms), ({1: "answer"}, None))
 
     def test_no_descriptor_is_leaked_where_a_dial_fails_half_way(self):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -176,12 +176,12 @@
 
 def room(d, worker=1):
     """How many more may go there at this moment."""
-    cold, before = d.router.workers[worker], len(d.router.workers[worker].sent)
-    while d.router._within_cold_budget(cold) and len(cold.sent) < before + 999:
-        cold.sent.append(d.now)
-    count = len(cold.sent) - before
+    cold, before = d.router.scorers[worker], len(d.router.scorers[worker].slow_start_sends)
+    while d.router._within_slow_start_limit(cold) and len(cold.slow_start_sends) < before + 999:
+        cold.slow_start_sends.append(d.now)
+    count = len(cold.slow_start_sends) - before
     for _ in range(count):
-        cold.sent.pop()
+        cold.slow_start_sends.pop()
     return count
 
 
@@ -249,7 +249,7 @@
     for worker in (1, 2):
         tell_start(d, worker, 4_000.0)
     answer(d, 300, 1_000.0)
-    assert not room(d) and not d.router.workers[1].sent
+    assert not room(d) and not d.router.scorers[1].slow_start_sends
     d.now += slow_start.MARGIN_MS + 1.0
     d.feed()
     assert room(d)
@@ -274,7 +274,7 @@
         answer(d, 5, 200.0)
         d.now = 20_000.0
         tell_start(d, 1, up_since)
-        assert len(d.router.workers[1].sent) == counted
+        assert len(d.router.scorers[1].slow_start_sends) == counted
 
 
 def test_a_second_start_forgets_sends_to_the_life_before_it():
@@ -283,22 +283,22 @@
     d.now += 1.0
     tell_start(d, 1)
     answer(d, 1, 100.0)
-    assert len(d.router.workers[1].sent) == 1
+    assert len(d.router.scorers[1].slow_start_sends) == 1
     d.now += 100.0
     tell_start(d, 1)
-    assert not d.router.workers[1].sent
+    assert not d.router.scorers[1].slow_start_sends
     tell_start(d, 1, d.now - 150.0)  # an older word changes nothing
-    assert d.router.workers[1].started_ms == d.now
+    assert d.router.scorers[1].started_ms == d.now
 
 
 def test_all_sends_of_the_window_count_where_a_worker_came_back_empty_untold():
     d = cold_drive(workers=1, quotas_rps={"t": 50.0})
     answer(d, 1, 10.0)
     d.now += 200.0
-    d.router._suspect(d.router.workers[1])
+    d.router._suspect(d.router.scorers[1])
     d.count(1, 0, "g0")
-    assert d.router._warmth(d.router.workers[1]) < 1.0
-    assert len(d.router.workers[1].sent) == 1
+    assert d.router._warmth(d.router.scorers[1]) < 1.0
+    assert len(d.router.scorers[1].slow_start_sends) == 1
 
 
 @pytest.mark.parametrize(
@@ -321,7 +321,7 @@
     for attempt, send in enumerate(list(sends)):
         sends += of(d.end(send, ending, attempt=attempt, closed=False), io.Send)
     d.feed(io.PrefetchRequested(1, "h", "safe"))
-    assert len(d.router.workers[1].sent) == len(sends) >= 1
+    assert len(d.router.scorers[1].slow_start_sends) == len(sends) >= 1
 
 
 def test_a_draining_worker_still_counts_in_the_fleet_that_the_quotas_were_sold_for():
@@ -332,7 +332,7 @@
         io.ScorerEntry(3, up_since_ms=d.now),
     ]
     d.feed(io.RosterChanged(entries, complete=True))
-    assert d.router.listed == 3.0
+    assert d.router.largest_listed == 3.0
 
 
 def test_answers_of_many_front_ends_with_few_each_do_not_add_up_to_more_than_there_were():
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -65,14 +65,14 @@
         came = io.RequestArrived(f"r{n}", "f", "view", "club", 3_000.0)
         one.events(1.0 * n, UNIX + n, [came])
         router.handle(UNIX + n, [came])
-    router.ordered.clear()
-    router.ordered.extend([router.now] * (ordered or 0))
+    router.load_orders_ms.clear()
+    router.load_orders_ms.extend([router.now] * (ordered or 0))
     one.events(30.0, UNIX, [io.LoadOrderAnswered(0, "f", io.AttemptResult.GOOD, 1, 5.0)] * answers)
     one._wanted = [(30.0, told)]
     one.beat(40.0, Seen(ordered=ordered))
     view = one._view(40.0)
     assert view.ration == pytest.approx(left) and view.ration_most == pytest.approx(6.0 + 0.3 * arrivals)
-    assert view.ration <= router._ration_left() or ordered is None
+    assert view.ration <= router._load_rate_left() or ordered is None
     one.scorers.at(6_000.0)
     assert one._view(6_000.0).ration_most == 6.0  # the window has passed
     assert staging(load_window_ms=0.0)._view(0.0).ration == math.inf
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -75,7 +75,7 @@
 def test_a_scorer_that_restarts_by_another_clock_is_cold_now_and_its_copies_are_believed(rig, apart_ms):
     rig.log.say(rig.front.changelog.seq)
     rig.until(lambda: rig.front.changelog.told_all_ms is not None, "the log is followed")
-    seq, worker = rig.front.changelog.seq + 1, rig.front.router.workers[worker_number("s-1")]
+    seq, worker = rig.front.changelog.seq + 1, rig.front.router.scorers[worker_number("s-1")]
     cold_ms = rig.front.deployment.settings.slow_start_ms
     member = rig.scorers[0].member(up_since_ms=unix_ms() + apart_ms)
     rig.log.say({"seq": seq, "fleet": {"members": [member]}})
