--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -1,4 +1,4 @@
-"""Which calls are taken, sent again or given up: shares, repeats, lateness, final answers."""
+"""Admission, retries and final answers: which calls are taken, sent again, late or ended."""
 
 import math
 
@@ -14,69 +14,96 @@
     Scorer,
 )
 
-WINDOW_MARGIN_MS = 100.0  # a keyed repeat must arrive inside the window, not just leave inside it
-MIN_ATTEMPT_PART, HELD_PART = (
-    0.2,
-    0.5,
-)  # of its class's time: a try with less is a later one; late by then, given up
+WINDOW_MARGIN_MS = 100.0  # a repeat must arrive inside the deduplication window, not just leave inside it
+MIN_ATTEMPT_PART = 0.2  # a call with less than this part of its deadline left is a later try of a client
+HELD_PART = 0.5  # a request never sent by this part of its time is given up if it will hardly be on time
 
 
 class Admission(Known):
-    def _over_share(self, tenant: str) -> bool:  # a token bucket of its share, in part
+    """Tenant quotas, the rules on repeats, and the final answers that the front end gives by itself."""
+
+    def _over_share(self, tenant: str) -> bool:
+        """Take one token of a tenant's quota; tells whether there was none.
+
+        The bucket holds a second's part of the quota, in a wide fleet also what chance may add to it.
+        """
         if tenant not in self.settings.quotas_rps:
             return False
         rate = self.settings.quotas_rps[tenant] / self.front_ends
-        most = rate + self.is_wide * 2 * math.sqrt(rate * WINDOW_MS / 1000)  # a second's, and for chance
-        tokens, since = self.quota_tokens.get(tenant, (most, self.now))
-        tokens = min(most, tokens + rate * (self.now - since) / 1000)
+        capacity = rate + self.is_wide * 2 * math.sqrt(rate * WINDOW_MS / 1000)
+        tokens, since_ms = self.quota_tokens.get(tenant, (capacity, self.now))
+        tokens = min(capacity, tokens + rate * (self.now - since_ms) / 1000)
         self.quota_tokens[tenant] = (tokens - (tokens >= 1), self.now)
         return tokens < 1
 
     def _urgency(self, request: Request) -> tuple[bool, bool, float, str]:
+        """Sort key of waiting requests: within the quota, then not late, then by arrival."""
         return request.over_share, self._is_late(request), request.arrived_ms, request.id
 
-    def _is_late(self, request: Request) -> bool:  # hardly to be answered in time any more
-        most = request.spec.latency_target_ms * MAX_LATE_PART  # where runs are so long that all would be
-        return request.aim_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), most)
+    def _is_late(self, request: Request) -> bool:
+        """Whether a request can hardly be answered within its latency target any more."""
+        # Where runs are so long that all requests would be late, a part of the target counts instead.
+        longest_ms = request.spec.latency_target_ms * MAX_LATE_PART
+        return request.aim_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), longest_ms)
 
     def _is_hopeless(self, request: Request) -> bool:
-        """Never sent, and hardly to be on time: given up. Harm: a late answer that it might have had."""
-        half = request.arrived_ms + HELD_PART * (request.deadline_ms - request.arrived_ms)
-        past = request.over_share or self.now + SWEEP_MS + LEAD_MS >= half
-        return past and not request.attempts and self._is_late(request)
+        """Whether to give up a request that was never sent and is hardly to be on time.
+
+        The cost: a late answer that its client might have had.
+        """
+        half_ms = request.arrived_ms + HELD_PART * (request.deadline_ms - request.arrived_ms)
+        is_past = request.over_share or self.now + SWEEP_MS + LEAD_MS >= half_ms
+        return is_past and not request.attempts and self._is_late(request)
 
-    def _may_send_here(self, request: Request, worker: Scorer, part: float) -> bool:  # now?
-        if not self._can_take(worker, request.function) or worker.in_flight >= worker.limit * part:
+    def _may_send_here(self, request: Request, scorer: Scorer, part: float) -> bool:
+        """Whether a request may be sent to a scorer now, where it may fill `part` of the limit."""
+        if not self._can_take(scorer, request.function) or scorer.in_flight >= scorer.limit * part:
             return False
-        return self._may_run_at(request, worker)
+        return self._may_run_at(request, scorer)
 
-    def _may_run_at(self, request: Request, worker: Scorer) -> bool:
-        """Whether its class, and what it ran at before, let it be sent to this worker."""
-        if any(attempt.scorer == worker.id and attempt.may_have_run for attempt in request.attempts):
+    def _may_run_at(self, request: Request, scorer: Scorer) -> bool:
+        """Whether its class, and where it ran before, let a request be sent to this scorer."""
+        if any(attempt.scorer == scorer.id and attempt.may_have_run for attempt in request.attempts):
             return False
-        if (first := request.first_run()) is None or request.spec.effect is io.Effect.IDEMPOTENT:
+        first = request.first_run()
+        if first is None or request.spec.effect is io.Effect.IDEMPOTENT:
             return True
-        here, group = worker.entry, request.spec.group
-        same = first.zone == here.zone if group is io.DeduplicationGroup.ZONE else first.cell == here.cell
-        return (group is io.DeduplicationGroup.ALL or same) and self._may_send_again(request)
+        group = request.spec.group
+        if group is io.DeduplicationGroup.ALL:
+            return self._may_send_again(request)
+        if group is io.DeduplicationGroup.ZONE:
+            is_same_group = first.zone == scorer.entry.zone
+        else:
+            is_same_group = first.cell == scorer.entry.cell
+        return is_same_group and self._may_send_again(request)
 
-    def _may_send_again(self, request: Request) -> bool:  # may another attempt be made at all?
-        twice, first, spec = any(a.open for a in request.attempts), request.first_run(), request.spec
-        if len(request.attempts) >= self.settings.max_attempts or (twice and not self.settings.hedging):
+    def _may_send_again(self, request: Request) -> bool:
+        """Whether another attempt of a request may be made at all."""
+        is_in_flight = any(attempt.open for attempt in request.attempts)
+        if len(request.attempts) >= self.settings.max_attempts:
             return False
-        return first is None or spec.effect is io.Effect.IDEMPOTENT or self._window_left(request) > 0
+        if is_in_flight and not self.settings.hedging:
+            return False
+        first = request.first_run()
+        is_safe = first is None or request.spec.effect is io.Effect.IDEMPOTENT
+        return is_safe or self._window_left(request) > 0
 
     def _window_left(self, request: Request) -> float:
-        """For how long a request may begin to be written from now on: a keyed repeat must arrive while its
-        workers drop it. Their window begins when the first attempt arrives, at the earliest when it left."""
-        first, spec = request.first_run(), request.spec
+        """For how long a request may begin to be written from now on, in milliseconds.
+
+        A repeat must arrive while its scorers drop repeats. Their window begins when the first attempt
+        arrives, at the earliest when it left.
+        """
+        first = request.first_run()
+        spec = request.spec
         if first is None or spec.effect is io.Effect.IDEMPOTENT:
             return math.inf
         if spec.effect is io.Effect.AT_MOST_ONCE:
             return -math.inf
         return first.sent_ms + spec.dedup_window_ms - WINDOW_MARGIN_MS - self.now
 
-    def _requeue(self, request: Request) -> None:  # hold it again, or end it
+    def _requeue(self, request: Request) -> None:
+        """Queue a request for another attempt; end it where none may be made and none is in flight."""
         if self._may_send_again(request):
             request.held_ms = self.now
             request.function.queue.append(request)
@@ -84,19 +111,20 @@
         elif not any(attempt.open for attempt in request.attempts):
             self._finish(request)
 
-    def _finish(self, request: Request) -> None:  # the one final answer that this front end gives itself
-        advice = self.settings.max_retry_after_ms * (request.over_share or not request.attempts)  # no room
-        keyed = (
-            request.spec.effect is io.Effect.DEDUPLICATED and request.spec.group is io.DeduplicationGroup.ALL
-        )
-        harmless = keyed or request.spec.effect is io.Effect.IDEMPOTENT or request.first_run() is None
+    def _finish(self, request: Request) -> None:
+        """End a request by the one final answer that the front end gives itself."""
+        # Retry-After is advised where capacity was missing, not after failed attempts.
+        retry_after_ms = self.settings.max_retry_after_ms * (request.over_share or not request.attempts)
+        effect = request.spec.effect
+        is_deduplicated = effect is io.Effect.DEDUPLICATED and request.spec.group is io.DeduplicationGroup.ALL
+        is_harmless = is_deduplicated or effect is io.Effect.IDEMPOTENT or request.first_run() is None
         self._close(request)
-        self.actions.append(io.Reject(request.id, advice) if harmless else io.Fail(request.id))
+        self.actions.append(io.Reject(request.id, retry_after_ms) if is_harmless else io.Fail(request.id))
 
     def _close(self, request: Request) -> None:
+        """Forget a request, and cancel what is in flight of it where that is allowed."""
         del self.requests[request.id]
         request.function.queue = [held for held in request.function.queue if held is not request]
-        numbers = [number for number, attempt in enumerate(request.attempts) if attempt.open]
-        self.actions.extend(
-            io.Cancel(request.id, number) for number in numbers * self.settings.cancellation_allowed
-        )
+        if self.settings.cancellation_allowed:
+            numbers = [number for number, attempt in enumerate(request.attempts) if attempt.open]
+            self.actions.extend(io.Cancel(request.id, number) for number in numbers)
--- a/fawnwharf/policy/health.py
+++ b/fawnwharf/policy/health.py
@@ -1,4 +1,4 @@
-"""Which workers to trust: signs of life, suspects, strain, and answers that got lost."""
+"""Failure detection: which scorers may get calls, by probes, slowdown, lost answers and connections."""
 
 import math
 
@@ -14,145 +14,179 @@
     Scorer,
 )
 
-PROBE_TIMEOUT_MS, SUSPECT_PROBE_MS = (
-    80.0,
-    1_000.0,
-)  # for a sign, a round trip; pause between those asked of a suspect
-ZONE_PROBES, ANSWER_GAIN = 3, 0.4  # so many silent or asked in a zone: all are asked; weight of a rare answer
-OUTLIER_SLOWDOWN, FAR_COST = (
-    2.0,
-    0.5,
-)  # in usual runs: from so many on a worker is left; crossing, as places go
-OVERDUE_RUNS, LOST_RUNS = 3.0, 8.0  # out for so many runs, an attempt deserves a second; it is held lost
-EJECTION_LOSSES, LOSS_KEPT = (
-    2.0,
-    0.7,
-)  # so many lost rest a class at a worker; each answer takes part of them back
+PROBE_TIMEOUT_MS = 80.0  # a scorer that does not answer a probe within this is suspect
+SUSPECT_PROBE_MS = 1_000.0  # pause between two probes of a suspect
+ZONE_PROBES = 3  # with so many scorers of a zone silent or probed, all of the zone are probed
+ANSWER_GAIN = 0.4  # weight of the newest answer in a smoothed value, as answers are rare
+OUTLIER_SLOWDOWN = 2.0  # from this slowdown on a scorer is left for others
+FAR_COST = 0.5  # price of another zone, in usual runs
+OVERDUE_RUNS = 3.0  # an attempt in flight for so many runs may be hedged
+LOST_RUNS = 8.0  # an attempt in flight for so many runs is held lost
+EJECTION_LOSSES = 2.0  # so many lost answers eject a scorer for the class of the calls
+LOSS_KEPT = 0.7  # part of the losses that is left after each answer
 
 
 class Health(Known):
-    def _is_usable(self, worker: Scorer, fn: Function) -> bool:  # ready, and not suspect unless most are
-        heard = worker.suspect_ms is None or self.suspects * 2 > len(self.ready)
-        return heard and worker.takes_new() and not (worker.loss_records and self._is_ejected(worker, fn))
-
-    def _record_slowdown(self, worker: Scorer, runs: float) -> None:
-        """Long runs and full answers tell of others' load. Harm: a heavy request moves the next ones on."""
-        worker.slowdown, worker.slowdown_ms = (
-            (s := self._slowdown_of(worker)) + ANSWER_GAIN * (runs - s),
-            self.now,
-        )
-
-    def _slowdown_of(self, worker: Scorer) -> float:
-        return 1 + (worker.slowdown - 1) * math.exp((worker.slowdown_ms - self.now) / FADE_MS)
-
-    def _cost(self, worker: Scorer, fn: Function) -> float:  # of a run there, in usual ones
-        return max(1.0, self._slowdown_of(worker)) + FAR_COST * self._is_far(worker, fn)
-
-    def _expect_answer(self, worker: Scorer) -> None:
-        worker.owed_ms = self.now if worker.owed_ms is None else worker.owed_ms  # if it owes none yet
-        self.watched[worker.id] = worker
-
-    def _mark_alive(self, worker: Scorer, after_ms: float = 0.0) -> None:
-        worker.owed_ms, worker.probed_ms = self.now + after_ms if worker.in_flight else None, None
-        if worker.suspect_ms is not None:
-            self.suspects, worker.suspect_ms = self.suspects - worker.takes_new(), None
-            self.actions.append(io.Log(f"worker {worker.id} answers again"))
-
-    def _watch_scorer(self, worker: Scorer) -> None:
-        """Ask a silent worker for a sign; without one, leave it. Harm: a busy one loses its traffic."""
-        asked, suspect = worker.probed_ms is not None, worker.suspect_ms is not None  # a suspect was asked
-        since_ms = worker.probed_ms if asked else worker.owed_ms
+    """Failure detection of scorers, hedging of overdue attempts and outlier ejection by class."""
+
+    def _is_usable(self, scorer: Scorer, fn: Function) -> bool:
+        """Whether a scorer may get calls of a function.
+
+        A suspect may not, unless most of the fleet are suspects: then the fault is on this side.
+        """
+        heard = scorer.suspect_ms is None or self.suspects * 2 > len(self.ready)
+        return heard and scorer.takes_new() and not (scorer.loss_records and self._is_ejected(scorer, fn))
+
+    def _record_slowdown(self, scorer: Scorer, runs: float) -> None:
+        """Smooth a scorer's slowdown by one answer that took `runs` usual runs.
+
+        Long runs and rejections for lack of capacity show the load of other front ends. The cost: a call that
+        is slow by itself moves the next ones elsewhere.
+        """
+        before = self._slowdown_of(scorer)
+        scorer.slowdown = before + ANSWER_GAIN * (runs - before)
+        scorer.slowdown_ms = self.now
+
+    def _slowdown_of(self, scorer: Scorer) -> float:
+        """A scorer's run time as a multiple of the usual one; it decays to 1 while nothing is seen."""
+        return 1 + (scorer.slowdown - 1) * math.exp((scorer.slowdown_ms - self.now) / FADE_MS)
+
+    def _cost(self, scorer: Scorer, fn: Function) -> float:
+        """Cost of a run at a scorer, in usual runs; another zone costs more."""
+        return max(1.0, self._slowdown_of(scorer)) + FAR_COST * self._is_far(scorer, fn)
+
+    def _expect_answer(self, scorer: Scorer) -> None:
+        """Something was sent that a scorer answers: watch it from now on, if it was not watched before."""
+        if scorer.owed_ms is None:
+            scorer.owed_ms = self.now
+        self.watched[scorer.id] = scorer
+
+    def _mark_alive(self, scorer: Scorer, after_ms: float = 0.0) -> None:
+        """An answer came; with calls in flight, the next is expected from `after_ms` later on."""
+        scorer.owed_ms = self.now + after_ms if scorer.in_flight else None
+        scorer.probed_ms = None
+        if scorer.suspect_ms is not None:
+            self.suspects -= scorer.takes_new()
+            scorer.suspect_ms = None
+            self.actions.append(io.Log(f"scorer {scorer.id} responds again"))
+
+    def _watch_scorer(self, scorer: Scorer) -> None:
+        """Probe a silent scorer; suspect it where a probe has no answer.
+
+        The cost: a scorer that is only busy loses its calls for a while.
+        """
+        is_probed = scorer.probed_ms is not None
+        is_suspect = scorer.suspect_ms is not None
+        since_ms = scorer.probed_ms if is_probed else scorer.owed_ms
         if since_ms is None:
-            del self.watched[worker.id]
-        elif self.now - since_ms >= (
-            SUSPECT_PROBE_MS if suspect else PROBE_TIMEOUT_MS if asked else self.silent_ms
-        ):
-            (self._suspect if asked and not suspect else self._probe_scorer)(worker)
-
-    def _probe_scorer(self, worker: Scorer) -> None:
-        worker.probed_ms = self.now
-        if (
-            worker.last_function
-            and self.settings.load_orders_allowed
-            and worker.entry.state != io.ScorerState.GONE
-        ):
-            self._probe(worker.last_function, worker)
-
-    def _note_failed_connection(self, worker: Scorer, ending: io.AttemptResult) -> None:
-        """Ask for a sign: a break tells little of the process. Harm: if it died, calls are lost there."""
-        if ending is io.AttemptResult.CONNECT_FAILED and worker.suspect_ms is None:
-            self._suspect(worker)
-        elif ending is io.AttemptResult.RESET and worker.suspect_ms is None and worker.probed_ms is None:
-            self._probe_scorer(worker)
-
-    def _suspect(self, worker: Scorer) -> None:
-        worker.suspect_ms = worker.probed_ms = self.now
-        self.watched[worker.id] = worker
-        self.suspects += worker.takes_new()
-        self.actions.append(io.Log(f"worker {worker.id} is silent: nothing new goes there"))
-        for attempt in [attempt for attempt in self.attempts.values() if attempt.scorer == worker.id]:
-            if (request := self.requests.get(attempt.request)) and request not in attempt.function.queue:
+            del self.watched[scorer.id]
+            return
+        wait_ms = self.silent_ms
+        if is_suspect:
+            wait_ms = SUSPECT_PROBE_MS
+        elif is_probed:
+            wait_ms = PROBE_TIMEOUT_MS
+        if self.now - since_ms < wait_ms:
+            return
+        if is_probed and not is_suspect:
+            self._suspect(scorer)
+        else:
+            self._probe_scorer(scorer)
+
+    def _probe_scorer(self, scorer: Scorer) -> None:
+        """Probe whether a scorer answers, by the function last seen there."""
+        scorer.probed_ms = self.now
+        may_probe = self.settings.load_orders_allowed and scorer.entry.state != io.ScorerState.GONE
+        if scorer.last_function and may_probe:
+            self._probe(scorer.last_function, scorer)
+
+    def _note_failed_connection(self, scorer: Scorer, result: io.AttemptResult) -> None:
+        """Suspect a scorer that can't be connected to, and probe one whose connection was reset.
+
+        A reset alone does not show that the process is gone. The cost: if it is, calls are lost until the
+        probe has no answer.
+        """
+        if scorer.suspect_ms is not None:
+            return
+        if result is io.AttemptResult.CONNECT_FAILED:
+            self._suspect(scorer)
+        elif result is io.AttemptResult.RESET and scorer.probed_ms is None:
+            self._probe_scorer(scorer)
+
+    def _suspect(self, scorer: Scorer) -> None:
+        """Take a silent scorer for failed: retry its attempts elsewhere."""
+        scorer.suspect_ms = scorer.probed_ms = self.now
+        self.watched[scorer.id] = scorer
+        self.suspects += scorer.takes_new()
+        self.actions.append(io.Log(f"scorer {scorer.id} does not respond: no new calls go there"))
+        for attempt in [attempt for attempt in self.attempts.values() if attempt.scorer == scorer.id]:
+            request = self.requests.get(attempt.request)
+            if request and request not in attempt.function.queue:
                 self._requeue(request)
                 self._dispatch(attempt.function)
-        near = (
-            [other for other in self.ready if other.entry.zone == worker.entry.zone] if self.is_wide else []
-        )
-        quiet = [
+        if self.is_wide:
+            self._probe_zone(scorer.entry.zone)
+
+    def _probe_zone(self, zone: str) -> None:
+        """Probe a whole zone once some of it are silent; else calls would find out, one for each scorer."""
+        near = [other for other in self.ready if other.entry.zone == zone]
+        unprobed = [
             other
             for other in near
             if other.suspect_ms is None and other.probed_ms is None and other.last_function
         ]
-        for other in quiet if len(near) - len(quiet) >= ZONE_PROBES else ():  # else calls find out, each one
-            self._probe_scorer(other)
+        if len(near) - len(unprobed) >= ZONE_PROBES:
+            for other in unprobed:
+                self._probe_scorer(other)
 
     def _mark_lost_attempts(self) -> None:
-        """Hold overdue answers lost, try elsewhere, rest their class. Harm: a long call runs twice."""
+        """Hold overdue attempts lost, eject their scorers for the class and retry at once if possible.
+
+        The cost: a call that is slow by itself runs twice.
+        """
         for attempt in list(self.attempts.values()):
-            fn, worker = attempt.function, self.scorers[attempt.scorer]
-            runs = (
-                OVERDUE_RUNS
-                if worker.loss_records.get(fn.kind, LossRecord()).losses >= EJECTION_LOSSES
-                else LOST_RUNS
-            )
+            fn = attempt.function
+            scorer = self.scorers[attempt.scorer]
+            record = scorer.loss_records.get(fn.kind)
+            runs = OVERDUE_RUNS if record is not None and record.losses >= EJECTION_LOSSES else LOST_RUNS
             due_ms = attempt.sent_ms + runs * max(self._run_time_ms(fn), self.runs.median(self.now) or 0.0)
-            if attempt.lost or worker.suspect_ms is not None or self.now < due_ms:
+            if attempt.lost or scorer.suspect_ms is not None or self.now < due_ms:
                 continue
-            attempt.lost, request, rests = (
-                True,
-                self.requests.get(attempt.request),
-                self._record_loss(worker, fn),
-            )
-            if rests and request and request not in fn.queue and self._may_send_again(request):
+            attempt.lost = True
+            request = self.requests.get(attempt.request)
+            is_ejected = self._record_loss(scorer, fn)
+            if is_ejected and request and request not in fn.queue and self._may_send_again(request):
                 fn.queue.append(request)
                 self._send_queued(fn)
-                fn.queue = [held for held in fn.queue if held is not request]  # not worth a wait or a load
+                # A lost attempt is not worth a wait or a load: the request leaves the queue again.
+                fn.queue = [held for held in fn.queue if held is not request]
 
     def _hedge(self, request: Request, attempt: Attempt) -> None:
-        """A second attempt for one out far longer than a run, while tokens last. Harm: work done twice."""
-        due = min(
-            OVERDUE_RUNS * self._run_time_ms(request.function), request.spec.latency_target_ms * MAX_LATE_PART
-        )
-        if attempt.open and self.now - attempt.sent_ms > due and self._may_send_again(request):
+        """Hedge a request that is in flight for far longer than a run.
+
+        The cost: work that is done twice; the tokens bound it.
+        """
+        overdue_ms = OVERDUE_RUNS * self._run_time_ms(request.function)
+        due_ms = min(overdue_ms, request.spec.latency_target_ms * MAX_LATE_PART)
+        if attempt.open and self.now - attempt.sent_ms > due_ms and self._may_send_again(request):
             self.hedge_tokens -= 1
             self._requeue(request)
 
-    def _record_loss(self, worker: Scorer, fn: Function) -> bool:
-        lapse = worker.loss_records.setdefault(fn.kind, LossRecord())
-        lapse.losses += 1
-        lapse.ejected_until_ms = max(
-            lapse.ejected_until_ms, self.now + lapse.ejection_ms * (lapse.losses >= EJECTION_LOSSES)
-        )
-        return lapse.losses >= EJECTION_LOSSES
-
-    def _is_ejected(self, worker: Scorer, fn: Function) -> bool:  # unless most of the fleet would
-        if (
-            not (lapse := worker.loss_records.get(fn.kind))
-            or lapse.losses < EJECTION_LOSSES
-            or self.now >= lapse.ejected_until_ms
-        ):
+    def _record_loss(self, scorer: Scorer, fn: Function) -> bool:
+        """Count a lost answer; tells whether the scorer is ejected for the function's class by now."""
+        record = scorer.loss_records.setdefault(fn.kind, LossRecord())
+        record.losses += 1
+        is_ejected = record.losses >= EJECTION_LOSSES
+        record.ejected_until_ms = max(record.ejected_until_ms, self.now + record.ejection_ms * is_ejected)
+        return is_ejected
+
+    def _is_ejected(self, scorer: Scorer, fn: Function) -> bool:
+        """Whether a scorer is ejected for a function's class; nobody is where most of the fleet would be."""
+        record = scorer.loss_records.get(fn.kind)
+        if not record or record.losses < EJECTION_LOSSES or self.now >= record.ejected_until_ms:
             return False
-        resting = sum(
-            fn.kind in w.loss_records and w.loss_records[fn.kind].ejected_until_ms > self.now
-            for w in self.ready
+        ejected = sum(
+            fn.kind in other.loss_records and other.loss_records[fn.kind].ejected_until_ms > self.now
+            for other in self.ready
         )
-        return resting * 2 <= len(self.ready)
+        return ejected * 2 <= len(self.ready)
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_health.py
@@ -16,7 +16,7 @@
     actions = d.sweep(d.now + 360)
     assert (home, 0) in [(a.scorer, a.copies) for a in of(actions, io.OrderCopies)]
     actions = d.sweep(d.now + 100)
-    assert [a for a in of(actions, io.Log) if "silent" in a.text]
+    assert [a for a in of(actions, io.Log) if "does not respond" in a.text]
     actions += d.answer_asks(actions)
     d.sweep(d.now + 60)
     load = next(a for _, a in reversed(d.log) if isinstance(a, io.OrderCopies) and a.copies)
@@ -53,7 +53,7 @@
 
 def test_a_class_whose_answers_a_worker_loses_rests_there_and_is_then_tried_by_one_call():
     d, home, lost, done = lose_two()
-    assert not [action for action in of(done, io.Log) if "silent" in action.text]
+    assert not [action for action in of(done, io.Log) if "does not respond" in action.text]
     assert home not in [send.scorer for send in of(d.answer_asks(d.ask("r3", lanes=2), {home: 1}), io.Send)]
     router, fn, worker = d.router, d.router.functions["f"], d.router.scorers[home]
     assert router._is_usable(worker, Function("g", "unsafe", 1, None, 0))  # another class goes on there
--- a/tests/test_policy_replay.py
+++ b/tests/test_policy_replay.py
@@ -66,14 +66,25 @@
     "restless": "4727619cf793280f32641ca708ef8495071e17bfbaad9cb43af9f43bfb4d7d51",
 }
 
-# The digests were recorded under these names of actions and fields; a name that is not listed is as it was.
+# The digests were recorded under these names of actions and fields and with these log lines; what is
+# not listed is as it was.
 RECORDED_NAMES = {"Reject": "Refuse", "OrderCopies": "Hold", "scorer": "worker"}
 NAME = re.compile(rf"\b({'|'.join(RECORDED_NAMES)})(?=[(=])")
+RECORDED_LINES = (
+    (re.compile(r"'scorer (\d+) responds again'"), r"'worker \1 answers again'"),
+    (
+        re.compile(r"'scorer (\d+) does not respond: no new calls go there'"),
+        r"'worker \1 is silent: nothing new goes there'",
+    ),
+)
 
 
 def recorded(now, actions):
     """The text of a moment's actions as the digests were recorded: other names for the same decisions."""
-    return NAME.sub(lambda found: RECORDED_NAMES[found[0]], repr((now, actions)))
+    text = NAME.sub(lambda found: RECORDED_NAMES[found[0]], repr((now, actions)))
+    for line, before in RECORDED_LINES:
+        text = line.sub(before, text)
+    return text
 
 
 class World:
