--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -1,4 +1,7 @@
-"""What a front end knows: samples, workers, the copies there, calls and their attempts."""
+"""What a front end knows: samples, scorers, the copies there, requests and their attempts.
+
+Times are milliseconds of the caller's clock.
+"""
 
 import hashlib
 import math
@@ -7,115 +10,125 @@
 
 from fawnwharf import interface as io
 
-WINDOW_MS, MAX_SAMPLES = 10_000.0, 64  # samples of a median: the design's window; more would not move it
-SWEEP_MS, LEAD_MS = 40.0, 20.0  # pace of the timer; a final answer comes so long before the client leaves
-REFRESH_MS, STALE_MS = 1_000.0, 1_000.0  # pace of sums over the fleet; a copy unseen so long may be gone
-RATE_MS, SILENT_MS = 5_000.0, 300.0  # of arrivals, between questions for a place; owed so long: ask a sign
-PROBED_SCORERS, PROBE_WAIT_MS = (
-    4,
-    12.0,
-)  # workers asked after an unknown function; a load waits so long for them
-FADE_MS, BURST_ARRIVALS = (
-    30_000.0,
-    3,
-)  # a function's width forgets over this; so many arrivals at once turn it hot
-SHORT_MS = 5 * (SWEEP_MS + LEAD_MS)  # requests of classes with no more time have timers of their own
-MAX_TOTALS = 1_000  # sizes of the ready fleet that are kept: each change of the list brings one
-EJECTION_MS, MAX_EJECTION_MS = (
-    2_000.0,
-    8_000.0,
-)  # then one call tries it, and after each try it rests for longer
-HEDGE_TOKENS_PER_REQUEST, MAX_HEDGE_TOKENS = (
-    0.1,
-    3.0,
-)  # second attempts a request, and saved up; what came first is given back
-LATE_RUNS, MAX_LATE_PART = (
-    2.0,
-    0.5,
-)  # late with fewer runs left, but not with more than this part of the promise
-
-
-def mix(bits: int) -> int:  # 64 bits, well mixed (the end of splitmix64)
+WINDOW_MS = 10_000.0  # window of the medians
+MAX_SAMPLES = 64  # samples of a median; more would not move it
+SWEEP_MS = 40.0  # period of the timer
+LEAD_MS = 20.0  # a final answer is given so long before its client leaves
+REFRESH_MS = 1_000.0  # period of the sums over the fleet
+STALE_MS = 1_000.0  # a copy that was not seen for so long may be gone
+RATE_MS = 5_000.0  # window of the arrival rate, and pause between two probes of a place without a copy
+SILENT_MS = 300.0  # a scorer that owes an answer for so long is probed
+PROBED_SCORERS = 4  # scorers that are probed for the copies of an unknown function
+PROBE_WAIT_MS = 12.0  # a load waits so long for the answers to probes
+FADE_MS = 30_000.0  # time constant of a function's arrivals and of slowdowns
+BURST_ARRIVALS = 3  # so many arrivals at once count as a rate by themselves
+SHORT_MS = 5 * (SWEEP_MS + LEAD_MS)  # requests of classes with no longer deadline have timers of their own
+MAX_TOTALS = 1_000  # sizes of the ready fleet that are stored: each change of the roster brings one
+EJECTION_MS = 2_000.0  # the first ejection; a call then tries the scorer, and each trial doubles the time
+MAX_EJECTION_MS = 8_000.0  # the longest ejection
+HEDGE_TOKENS_PER_REQUEST = 0.1  # hedged requests that each request allows
+MAX_HEDGE_TOKENS = 3.0  # hedged requests that may be saved up
+LATE_RUNS = 2.0  # a request with less time than so many runs left is late
+MAX_LATE_PART = 0.5  # a request with more than this part of its latency target left is never late
+
+
+def mix(bits: int) -> int:
+    """64 bits, well mixed: the end of splitmix64."""
     bits = (bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9 % 2**64
     bits = (bits ^ (bits >> 27)) * 0x94D049BB133111EB % 2**64
     return bits ^ (bits >> 31)
 
 
 def mark(name: str) -> int:
+    """A stable hash of a name, in 64 bits."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
-class Samples:  # timed, of the window; their median is worked out anew once a sweep at the most
+class Samples:
+    """Timed values of the last `WINDOW_MS`; their median is computed once in `SWEEP_MS` at the most."""
+
     def __init__(self) -> None:
-        self.timed, self.at_ms = deque[tuple[float, float]](maxlen=MAX_SAMPLES), -math.inf
+        self.timed = deque[tuple[float, float]](maxlen=MAX_SAMPLES)
+        self.at_ms = -math.inf
+        self.value: float | None = None
 
     def median(self, now_ms: float) -> float | None:
+        """The median; None without values."""
         if now_ms - self.at_ms >= SWEEP_MS:
             while self.timed and self.timed[0][0] < now_ms - WINDOW_MS:
                 self.timed.popleft()
             values = sorted(value for _, value in self.timed)
-            self.value, self.at_ms = values[len(values) // 2] if values else None, now_ms
+            self.value = values[len(values) // 2] if values else None
+            self.at_ms = now_ms
         return self.value
 
 
 @dataclass(slots=True, eq=False)
 class Scorer:
+    """A scorer as this front end knows it."""
+
     id: int
     entry: io.ScorerEntry
     hash_bits: int  # its number as 64 well-mixed bits, for the hash orders
-    in_flight: int = 0  # own attempts out
-    started_ms: float = -math.inf  # told, or guessed when a silent worker came back empty
-    owed_ms: float | None = None  # since when an answer is owed with nothing heard
-    slowdown: float = 1.0  # its runs, as a multiple of what the function's take elsewhere
-    slowdown_ms: float = -math.inf  # when that was last seen; it fades
-    probed_ms: float | None = None  # when the last sign was asked for
-    suspect_ms: float | None = None  # since when it is held silent
+    in_flight: int = 0  # own attempts
+    started_ms: float = -math.inf  # by the roster, or guessed when a silent scorer came back without copies
+    owed_ms: float | None = None  # since when an answer is expected and nothing came
+    slowdown: float = 1.0  # its run times, as a multiple of the functions' run times elsewhere
+    slowdown_ms: float = -math.inf  # when that was last seen; it decays
+    probed_ms: float | None = None  # when the probe was sent that has no answer yet
+    suspect_ms: float | None = None  # since when it is held failed
     limit: float = math.inf  # own requests that it can work on well, as of the last refresh
     slow_start_sends: deque[float] = field(default_factory=deque)  # sends that count for its slow start
-    recent_sends: deque[float] = field(
-        default_factory=deque
-    )  # sends of the last `fall_ms`, as of the last one
+    recent_sends: deque[float] = field(default_factory=deque)  # sends of the last slow start window
     last_function: "Function | None" = None  # the function last seen there
-    gone_ms: float | None = None  # since when
+    gone_ms: float | None = None  # since when it is gone from the roster
     loss_records: dict[str, "LossRecord"] = field(default_factory=dict)  # by class
-    remote_load: io.RemoteLoadReport = field(
-        default_factory=lambda: io.RemoteLoadReport(0)
-    )  # by others, last
-    remote_load_ms: float = -math.inf  # of the oldest word that it rests on
+    remote_load: io.RemoteLoadReport = field(default_factory=lambda: io.RemoteLoadReport(0))  # the last
+    remote_load_ms: float = -math.inf  # of the oldest message that the report rests on
 
-    def takes_new(self) -> bool:  # the rule on drains: one that drains gets questions, but no calls and loads
+    def takes_new(self) -> bool:
+        """Whether it takes new calls and loads; a draining scorer is only probed."""
         return self.entry.state == io.ScorerState.READY
 
 
-class LossRecord:  # answers of a class that a worker lost or turned to errors, though it answers others
-    losses, ejected_until_ms, ejection_ms = 0.0, -math.inf, EJECTION_MS  # it rests until, and for so long
+@dataclass(slots=True, eq=False)
+class LossRecord:
+    """Answers of a class that a scorer lost or turned to errors, though it answers other calls."""
+
+    losses: float = 0.0
+    ejected_until_ms: float = -math.inf
+    ejection_ms: float = EJECTION_MS  # length of the next ejection
 
 
 @dataclass(slots=True, eq=False)
 class ScorerCopies:
+    """A function's copies at one scorer, and the load orders and probes for them."""
+
     copies: int = 0
-    seen_ms: float = -math.inf  # last sign that one stands
-    counted_ms: float = -math.inf
-    in_flight: int = 0
-    open_probes: int = 0  # questions out
-    probed_ms: float = -math.inf
-    order_ms: float | None = None  # when the order under way was given
-    order_count: int = 0
-    speculative: bool = False  # that order raced a warm instance
+    seen_ms: float = -math.inf  # when something last showed that one is loaded
+    counted_ms: float = -math.inf  # when an answer last gave their number
+    in_flight: int = 0  # own attempts
+    open_probes: int = 0  # probes without an answer
+    probed_ms: float = -math.inf  # when the last probe was sent
+    order_ms: float | None = None  # when the load order in progress was sent
+    order_count: int = 0  # copies that it names
+    speculative: bool = False  # that order was sent while a warm copy existed
     blocked_ms: float = -math.inf  # takes nothing until then
-    unused_ms: float | None = None  # a raced copy stands since then and has not been needed
-    lanes_before: int = 0
+    unused_ms: float | None = None  # since when a speculative copy is loaded and was not needed
+    lanes_before: int = 0  # lanes that were there before that copy
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt of a request at a scorer."""
+
     request: str
     scorer: int
     function: "Function"
     sent_ms: float
-    alone: bool  # the worker was not crowded when it left
-    among: int  # warm workers that it was drawn from
-    zone: str  # of the worker, when it left: the roster may move the worker, or forget it
+    alone: bool  # the scorer had next to no other call of this front end when it left
+    among: int  # warm scorers that it was drawn from
+    zone: str  # of the scorer when it left: the roster may move the scorer, or forget it
     cell: int
     open: bool = True
     lost: bool = False
@@ -124,113 +137,133 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """A client's request that has no final answer yet."""
+
     id: str
     function: "Function"
     spec: io.ClassSpec
     arrived_ms: float
     deadline_ms: float
-    over_share: bool
-    held_ms: float
-    draw: int  # where in a wide function's first workers it starts
-    aim_ms: float  # an answer by then is on time
+    over_share: bool  # beyond the tenant's quota, or a client's later try
+    held_ms: float  # since when it waits in the queue
+    draw: int  # where among the first scorers of a widely spread function it starts
+    aim_ms: float  # an answer by then is within the latency target
     ends_ms: float  # without an answer by then it is given one here, so that it comes in time
     attempts: list[Attempt] = field(default_factory=list)
 
-    def first_run(self) -> Attempt | None:  # the first that may have run
+    def first_run(self) -> Attempt | None:
+        """The first attempt that may have run."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
 @dataclass(slots=True, eq=False)
 class Function:
+    """A function, its queue, and what is known of its copies, run times and load times."""
+
     name: str
     kind: str  # class of its calls
-    lanes: int
-    load_told_ms: float | None
+    lanes: int  # calls that a copy runs at once
+    load_told_ms: float | None  # load time as requests give it
     hash_bits: int
     queue: list[Request] = field(default_factory=list)
     copies_by_scorer: dict[int, ScorerCopies] = field(default_factory=dict)
-    order: list[Scorer] = field(default_factory=list)  # workers in hash order
-    order_members: dict[int, float] | None = None  # that it was made of
-    known: list[Scorer] | None = None  # those with an instance, in hash order
-    runs: Samples = field(default_factory=Samples)  # for Te
-    loads: Samples = field(default_factory=Samples)  # for Tp
-    waits: Samples = field(default_factory=Samples)  # for Td
-    idle_ms: float = 0.0  # Ti, of the last raced load that was used
-    load_path: bool = True
-    probed_ms: float = -math.inf
-    arrived: float = 0.0  # own arrivals, fading
-    last_ms: deque[float] = field(default_factory=lambda: deque(maxlen=BURST_ARRIVALS))  # the last arrivals
-    spread: int = 1  # first workers in order that the whole fleet's calls need
-    reported_concurrency: float = 0.0  # calls of all front ends in flight, as answers tell
-    site: str = ""  # the zone that is near for its calls, where one is told
-    needed_ms: float = -math.inf  # last call, or copies wanted last
+    order: list[Scorer] = field(default_factory=list)  # scorers in hash order
+    order_members: dict[int, float] | None = None  # the sizes that the order was made of
+    known: list[Scorer] | None = None  # those with an entry in `copies_by_scorer`, in hash order
+    runs: Samples = field(default_factory=Samples)  # run times: Te of the paper
+    loads: Samples = field(default_factory=Samples)  # load times: Tp
+    waits: Samples = field(default_factory=Samples)  # waits in the queue: Td
+    idle_ms: float = 0.0  # Ti: how long the last speculative copy stood unused before its first call
+    load_path: bool = True  # speculative loads are on
+    probed_ms: float = -math.inf  # when a probe for it was last sent anywhere
+    arrived: float = 0.0  # own arrivals, decaying
+    last_ms: deque[float] = field(default_factory=lambda: deque(maxlen=BURST_ARRIVALS))  # last arrivals
+    spread: int = 1  # first scorers in order that the whole fleet's calls need
+    reported_concurrency: float = 0.0  # calls of all front ends in flight, as answers report
+    site: str = ""  # the zone that is near for its calls, where requests name one
+    needed_ms: float = -math.inf  # when it was last called or prefetched
 
 
 class Known:
+    """The state that all parts of the router share, and what is read from it."""
+
     def __init__(self, settings: io.Settings, seed: int) -> None:
-        self.settings, self.seed, self.chance, self.now, self.began_ms = settings, seed, seed, 0.0, math.inf
-        self.actions, self.ready = list[io.Action](), list[Scorer]()
-        self.scorers, self.watched = dict[int, Scorer](), dict[int, Scorer]()  # watched: owe one, or suspect
-        self.members, self.quota_tokens = (
-            dict[int, float](),
-            dict[str, tuple[float, float]](),
-        )  # sizes; shares
-        self.functions, self.waiting, self.classes = dict[str, Function](), set[Function](), settings.classes
-        self.requests, self.attempts = dict[str, Request](), dict[tuple[str, int], Attempt]()
-        self.suspects, self.hedge_tokens, self.is_wide = (
-            0,
-            MAX_HEDGE_TOKENS,
-            False,
-        )  # wide: its part of a worker is below 1
-        self.arrivals_ms, self.load_orders_ms, self.recent_attempts = (
-            deque[float](),
-            deque[float](),
-            set[Attempt](),
-        )  # out lately
-        self.total, self.largest_fleet = (
-            1.0,
-            0.01,
-        )  # size of the ready fleet, cold workers in part; the largest seen
-        self.largest_listed, self.sure = 0.01, dict[int, float]()  # the largest fleet listed; see slow_start
-        self.totals = deque[tuple[float, float]](maxlen=MAX_TOTALS)  # timed sizes of the ready fleet, lately
-        self.front_ends, self.silent_ms = max(1, settings.fleet_size), SILENT_MS  # front ends; see _watch
-        self.sold_rate = sum(settings.quotas_rps.values()) / 1000  # by all together, a millisecond
-        self.limit, self.max_in_flight, self.max_slowdown = (
-            math.inf,
-            0.0,
-            math.inf,
-        )  # in flight: own; a worker's
+        self.settings = settings
+        self.seed = seed
+        self.chance = seed  # bits of this front end's own, for draws that stay as they are
+        self.now = 0.0
+        self.began_ms = math.inf
+        self.actions = list[io.Action]()
+        # The roster and what follows from it.
+        self.scorers = dict[int, Scorer]()
+        self.ready = list[Scorer]()
+        self.watched = dict[int, Scorer]()  # those that owe an answer, or are suspect
+        self.suspects = 0
+        self.members = dict[int, float]()  # sizes of the ready scorers
+        self.total = 1.0  # size of the ready fleet; scorers in slow start count in part
+        self.totals = deque[tuple[float, float]](maxlen=MAX_TOTALS)  # timed sizes of the ready fleet
+        self.largest_fleet = 0.01  # the largest ready fleet seen
+        self.largest_listed = 0.01  # the largest fleet seen, with its draining scorers
+        # Calls.
+        self.classes = settings.classes
+        self.functions = dict[str, Function]()
+        self.waiting = set[Function]()  # those with a queue
+        self.requests = dict[str, Request]()
+        self.attempts = dict[tuple[str, int], Attempt]()
+        self.recent_attempts = set[Attempt]()  # in flight for no longer than the latency target
+        self.arrivals_ms = deque[float]()  # within `stretch_ms`
+        self.load_orders_ms = deque[float]()  # within the window of the load rate limit
+        self.quota_tokens = dict[str, tuple[float, float]]()  # by tenant: tokens, as of when
+        self.hedge_tokens = MAX_HEDGE_TOKENS
+        # Limits that are worked out from the settings and the roster.
+        self.front_ends = max(1, settings.fleet_size)
+        self.is_wide = False  # this front end's part of a scorer is less than one call
+        self.sold_rate = sum(settings.quotas_rps.values()) / 1000  # quotas of all front ends, a millisecond
+        self.sure = dict[int, float]()  # see `safe_mean` of the module slow_start
+        self.limit = math.inf  # own attempts in flight
+        self.max_in_flight = 0.0  # calls of all front ends in flight at a scorer
+        self.max_slowdown = math.inf
+        self.silent_ms = SILENT_MS
         self.latency_target_ms = min(
             (spec.latency_target_ms for spec in settings.classes.values()), default=1000.0
         )
-        self.runs, self.run_ms = Samples(), self.latency_target_ms / 5
+        self.runs = Samples()
+        self.run_ms = self.latency_target_ms / 5
         self.stretch_ms = settings.load_window_ms or RATE_MS  # over which arrivals are counted
-        self.answer_by_ms = math.inf  # this front end ends: no request may stay open for longer
-        self.sweeping, self.refreshed_ms, self.forgot_ms = False, -math.inf, -math.inf
-
-    def _run_time_ms(
-        self, fn: Function
-    ) -> float:  # te: the median run, of all functions while this one has none
+        self.answer_by_ms = math.inf  # graceful shutdown: no request may stay open for longer
+        # The timer.
+        self.sweeping = False
+        self.refreshed_ms = -math.inf
+        self.forgot_ms = -math.inf
+
+    def _run_time_ms(self, fn: Function) -> float:
+        """The median run time of a function, of all functions while it has none: Te."""
         return fn.runs.median(self.now) or self.runs.median(self.now) or 200.0
 
-    def _load_time_ms(self, fn: Function) -> float:  # tp: the median load, as told while none was seen
+    def _load_time_ms(self, fn: Function) -> float:
+        """The median load time of a function, as its requests give it while none was seen: Tp."""
         return fn.loads.median(self.now) or fn.load_told_ms or 1000.0
 
-    def _copies(self, fn: Function, worker: Scorer) -> int:  # none after a restart or a keep-alive
-        instance = fn.copies_by_scorer.get(worker.id) or ScorerCopies()
-        lapsed = instance.in_flight == 0 and self.now - instance.seen_ms > self.settings.idle_life_ms
-        return 0 if lapsed or instance.seen_ms <= worker.started_ms else instance.copies
-
-    def _copies_at(self, fn: Function, worker: Scorer) -> ScorerCopies:
-        worker.last_function = fn
-        if worker.id not in fn.copies_by_scorer:
-            fn.copies_by_scorer[worker.id], fn.known = ScorerCopies(), None
-        return fn.copies_by_scorer[worker.id]
-
-    def _is_far(self, worker: Scorer, fn: Function) -> bool:  # a call there crosses zones, at a price
-        return worker.entry.zone != (fn.site or self.settings.zone)
-
-    def _has_remote_load(
-        self, worker: Scorer, span_ms: float
-    ) -> bool:  # by others, so lately, and since it started
-        return worker.remote_load_ms > max(worker.started_ms, self.now - span_ms)
+    def _copies(self, fn: Function, scorer: Scorer) -> int:
+        """A function's copies at a scorer; none after a restart or once their idle lifetime has passed."""
+        held = fn.copies_by_scorer.get(scorer.id)
+        if held is None:
+            return 0
+        expired = held.in_flight == 0 and self.now - held.seen_ms > self.settings.idle_life_ms
+        return 0 if expired or held.seen_ms <= scorer.started_ms else held.copies
+
+    def _copies_at(self, fn: Function, scorer: Scorer) -> ScorerCopies:
+        """The entry of a function at a scorer, made if there is none."""
+        scorer.last_function = fn
+        if scorer.id not in fn.copies_by_scorer:
+            fn.copies_by_scorer[scorer.id] = ScorerCopies()
+            fn.known = None
+        return fn.copies_by_scorer[scorer.id]
+
+    def _is_far(self, scorer: Scorer, fn: Function) -> bool:
+        """Whether a call there crosses zones, which has a price."""
+        return scorer.entry.zone != (fn.site or self.settings.zone)
+
+    def _has_remote_load(self, scorer: Scorer, span_ms: float) -> bool:
+        """Whether others reported on a scorer within `span_ms`, and since it started."""
+        return scorer.remote_load_ms > max(scorer.started_ms, self.now - span_ms)
