--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -67,7 +67,7 @@
     def _watch(self, on: bool) -> None:
         if on:
             self._looked_ms = max(self._looked_ms, self.loop.iteration_ms)
-            self.loop.watch(self.socket, READ, self._ready, order=lambda: ReadPriority.NEW)
+            self.loop.watch(self.socket, READ, self._ready, order=lambda: ReadPriority.IDLE)
         else:
             self.loop.unwatch(self.socket)
 
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -53,7 +53,7 @@
         )
 
     def _order(self) -> ReadPriority:
-        return ReadPriority.OPEN if self.open else ReadPriority.NEW
+        return ReadPriority.ACTIVE if self.open else ReadPriority.IDLE
 
     def on_up(self) -> None:
         pass
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -343,7 +343,7 @@
             seconds, nanoseconds = TIMESTAMP.unpack(note)
             age = loop.iteration_unix_ms - seconds * 1e3 - nanoseconds / 1e6
             gap = loop.iteration_ms - loop.previous_iteration_ms
-            believed_ms = loop.timestamps.age_ms(age, gap, looked_at=self._has_read)
+            believed_ms = loop.timestamps.age_ms(age, gap, previously_read=self._has_read)
             if loop.timestamps.trusted:
                 return believed_ms
         return self._age_bound_ms()
--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection, or what travels on it, can end, and what the module is told."""
+"""Why connections and streams end, and which attempt result the router is given for each reason."""
 
 import errno
 from enum import Enum, auto
@@ -7,37 +7,39 @@
 
 
 class EndReason(Enum):
-    REFUSED = auto()  # the dial was turned away
-    UNREACHABLE = auto()  # the dial failed in some other way
+    """Why a connection, an attempt or a load order ended."""
+
+    REFUSED = auto()  # the connection was refused
+    UNREACHABLE = auto()  # connecting failed in another way
     DIAL_TIMED_OUT = auto()
-    NO_DESCRIPTOR = auto()  # this process has no room for another connection
-    LOCAL_FAULT = auto()  # a passing fault of this machine, which says nothing about the peer
+    NO_DESCRIPTOR = auto()  # this process has no descriptor or memory for another connection
+    LOCAL_FAULT = auto()  # a transient error of this machine, which says nothing about the peer
     CLOSED_BY_PEER = auto()
     RESET_BY_PEER = auto()
     BAD_BYTES = auto()  # the peer sent what its protocol does not allow
-    STUFFED = auto()  # the peer does not read, and too much waits for it, or a frame stays written in part
-    SILENT = auto()  # nothing came for too long
+    STUFFED = auto()  # the peer does not read: too much is unsent, or a frame stays partially written
+    SILENT = auto()  # nothing was received for too long
     IDLE = auto()  # closed here, with nothing open on it
-    RETIRED = auto()  # closed here, as its scorer is gone or has started anew
-    PULLED_BACK = auto()  # the scorer may be sent nothing new
+    RETIRED = auto()  # closed here, as its scorer has gone or restarted
+    PULLED_BACK = auto()  # the scorer may receive nothing new
     NEVER_SENT = auto()  # the request was over, or the scorer unknown
-    CALLED_OFF = auto()  # cancelled by the module
+    CALLED_OFF = auto()  # cancelled by the router
     OUT_OF_TIME = auto()  # no answer in time
-    STOPPED = auto()  # this front end ends
+    STOPPED = auto()  # this front end is closing
 
 
 _NONE, _FAILED, _RESET = Ending.NOT_SENT, Ending.CONNECT_FAILED, Ending.RESET
 
-# What the module is told of an attempt or order, by how far its frame had been written: not one byte, so that
-# it can't have run; in part, on a connection that ended then, so that the scorer never had it whole and can't
-# have run it either; whole, so that it may have run.
+# The result of an attempt or load order, by how much of its frame was written: nothing, so that it can't have
+# run; a part, on a connection that ended then, so that the scorer never received all of it and can't have
+# run it either; all of it, so that it may have run.
 RESULT_BY_REASON: dict[EndReason, tuple[Ending, Ending, Ending]] = {
     EndReason.REFUSED: (_FAILED, _RESET, _RESET),
     EndReason.UNREACHABLE: (_FAILED, _FAILED, _RESET),
     EndReason.DIAL_TIMED_OUT: (_FAILED, _RESET, _RESET),
     EndReason.NO_DESCRIPTOR: (_NONE, _RESET, _RESET),
     EndReason.LOCAL_FAULT: (_NONE, _NONE, _RESET),
-    # In part: the next dial shows whether the scorer is there. A close while idle may have crossed the frame.
+    # Partial: the next connect shows whether the scorer is there. An idle close may have crossed the frame.
     EndReason.CLOSED_BY_PEER: (_FAILED, _NONE, _RESET),
     EndReason.RESET_BY_PEER: (_FAILED, _NONE, _RESET),
     EndReason.BAD_BYTES: (_FAILED, _FAILED, _RESET),
@@ -45,7 +47,7 @@
     EndReason.SILENT: (_FAILED, _FAILED, _RESET),
     EndReason.IDLE: (_NONE, _RESET, _RESET),
     EndReason.RETIRED: (_NONE, _NONE, _RESET),
-    # From here on the connection lives on, and so may the rest of a frame that was written in part.
+    # From here on the connection stays open, so the rest of a partial frame may still be sent.
     EndReason.PULLED_BACK: (_NONE, _RESET, _RESET),
     EndReason.NEVER_SENT: (_NONE, _RESET, _RESET),
     EndReason.CALLED_OFF: (Ending.CANCELLED, Ending.CANCELLED, Ending.CANCELLED),
@@ -55,13 +57,16 @@
 
 
 def attempt_result(end: EndReason, begun: bool, whole: bool = True) -> Ending:
-    """What the module is told of a stream that had this end. `begun`: some of its frame was written; `whole`:
-    all of it, or what was written is to count as all, as for calls that must not run twice."""
+    """The attempt result of a stream that ended for this reason.
+
+    `begun`: some of its frame was written; `whole`: all of it, or the written part counts as all of it, as for
+    calls that must not run twice.
+    """
     return RESULT_BY_REASON[end][begun + (begun and whole)]
 
 
 class SystemCall(Enum):
-    """The calls of the system whose errors are told apart; any other is OTHER."""
+    """The system calls whose errors are distinguished; any other is OTHER."""
 
     SOCKET = "socket"
     CONNECT = "connect"
@@ -97,9 +102,9 @@
 }
 LOCAL_REASONS = frozenset(
     (EndReason.NO_DESCRIPTOR, EndReason.LOCAL_FAULT)
-)  # this machine's own: the call is tried again
+)  # errors of this machine: the call is retried
 
 
 def end_reason_of(error: OSError, call: SystemCall = SystemCall.OTHER) -> EndReason:
-    """The end that an error of the system stands for."""
+    """The end reason for an error of a system call."""
     return REASON_BY_ERRNO[call].get(error.errno or 0, EndReason.UNREACHABLE)
--- a/fawnwharf/net/event_loop.py
+++ b/fawnwharf/net/event_loop.py
@@ -1,4 +1,4 @@
-"""The one loop: gather all that is ready, hand it to the module in one go, carry out, flush."""
+"""The event loop: each iteration collects events, decides on them in one batch, executes and flushes."""
 
 import itertools
 import selectors
@@ -12,94 +12,104 @@
 from fawnwharf import interface as io
 from fawnwharf.net.timer_wheel import Clock, TimerWheel, monotonic_ms, unix_ms
 
-SLOW_ITERATION_MS = 80.0  # a process that was held up for longer endangers answers that are due
+SLOW_ITERATION_MS = 80.0  # a longer iteration endangers answers that are due
 
-# So many events end the gathering of a turn: what else is ready waits in the system's buffers for the next
-# one, and comes first there. Guards timers and final answers against a crowd that all asks at once.
+# With this many events the collection of an iteration ends: other ready sockets wait for the next iteration
+# and are served first there. Protects timers and final answers when many clients send at the same time.
 MAX_EVENTS = 64
-# What can end a request (an answer, a withdrawal, a close) is read before what can only bring new ones. Each
-# of the two has at least its part of the events of a turn, however much the other brings.
+# What can end a request (an answer, a withdrawal, a close) is read before what can only bring new requests.
+# Each of the two groups has at least its share of the events of an iteration.
 ACTIVE_SHARE, IDLE_SHARE = 0.5, 0.25
 
-# After so long a turn, what is looked at first is read again before the turn writes: nothing new may be sent
-# to a scorer later than 250 ms after its drain was told.
+# After an iteration has taken this long, the sockets of the first priority are read again before anything is
+# written: nothing new may be sent to a scorer later than 250 ms after its drain was announced.
 REREAD_AFTER_MS = 50.0
 
-# Bytes without a believed stamp count as old as they may be, where that is more than this: what is passed on
-# may exceed what the client has left by 150 ms at the most.
+# Bytes without a trusted timestamp count as old as they can be, where that is more than this: the time budget
+# that is forwarded may exceed what the client has left by 150 ms at most.
 STALL_THRESHOLD_MS = 50.0
-MIN_WAIT_MS = 1.0  # a shorter wait for the selector was none: something was ready before
+MIN_WAIT_MS = 1.0  # after a shorter wait, something was ready before the selector was called
 
 MAX_AGE_MS = 60_000.0
-# Reads that are paused, and more bytes than a turn takes, make some stamps old though they fit.
+# Paused reads, and more bytes than one iteration reads, make some timestamps old although the clocks agree.
 TIMESTAMP_TOLERANCE_MS, MAX_MISMATCHES = 1_000.0, 3
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
+ReadySocket = tuple[selectors.SelectorKey, int]
 
 
 class ReadPriority(IntEnum):
-    """In which order sockets that are ready together are served in a turn."""
+    """The order in which sockets that are ready in the same iteration are served."""
 
-    FIRST = 0  # operators, and the process that takes this one's place: few, and never made to wait
-    OPEN = 1  # something may be open on it
-    NEW = 2  # nothing is open on it: it can only bring what is new
+    FIRST = 0  # operators, change log, hot restart: few sockets that never wait
+    ACTIVE = 1  # a request may be open on it
+    IDLE = 2  # nothing is open on it: it can only bring new requests or connections
 
 
 class Flushable(Protocol):
-    def flush(self) -> None: ...
+    """A component with output to write at the end of an iteration."""
+
+    def flush(self) -> None:
+        """Write what is queued."""
 
 
 class ReceiveTimestampCheck:
-    """Whether the system's receive stamps fit the clock that the program reads.
+    """Checks whether the kernel's receive timestamps agree with the clock that the program reads.
 
-    Bytes of a connection that was looked at in the turn before came in since then. Guards deadlines where the
-    stamps are another clock's: each call would seem to have waited for as long as the two differ."""
+    Bytes of a connection that was read in the previous iteration arrived since then. Protects deadlines where
+    the timestamps come from a different clock: each call would seem to have waited for the difference.
+    """
 
     def __init__(self) -> None:
-        self._fits, self._misfits = 0, 0
+        self._matches = 0
+        self._mismatches = 0
 
     @property
     def trusted(self) -> bool:
-        """Whether the stamps have fitted so far, but for a few."""
-        return self._misfits <= MAX_MISMATCHES + self._fits // 8
-
-    def age_ms(self, age_ms: float, gap_ms: float, looked_at: bool) -> float:
-        """The age to go by, of bytes of a connection that may have been looked at one turn ago."""
-        if looked_at:
-            fits = -TIMESTAMP_TOLERANCE_MS <= age_ms <= gap_ms + TIMESTAMP_TOLERANCE_MS
-            self._fits, self._misfits = self._fits + fits, self._misfits + (not fits)
+        """Whether all but a few timestamps have agreed so far."""
+        return self._mismatches <= MAX_MISMATCHES + self._matches // 8
+
+    def age_ms(self, age_ms: float, gap_ms: float, previously_read: bool) -> float:
+        """The age to use for bytes just read, in milliseconds; 0 where it is not trusted.
+
+        `age_ms`: by the timestamp; `gap_ms`: time since the previous iteration; `previously_read`: whether
+        the connection was read before, so that the age can be checked against the gap.
+        """
+        if previously_read:
+            matches = -TIMESTAMP_TOLERANCE_MS <= age_ms <= gap_ms + TIMESTAMP_TOLERANCE_MS
+            self._matches += matches
+            self._mismatches += not matches
         return age_ms if self.trusted and 0 < age_ms < MAX_AGE_MS else 0.0
 
 
 class EventLoop:
-    """Owns the selector, the wheel and the events gathered for the next batch."""
+    """Owns the selector, the timers and the events collected for the next batch."""
 
     def __init__(self, decide: Callable[[float, list[io.Event]], None], log: Callable[[str], None]) -> None:
-        self.timers, self.clock = TimerWheel(), Clock()
+        self.timers = TimerWheel()
+        self.clock = Clock()
         self.running = True
-        self.iteration_ms, self.iteration_unix_ms = (
-            monotonic_ms(),
-            unix_ms(),
-        )  # when the turn began, on both clocks
-        self.previous_iteration_ms = self.iteration_ms  # when the turn before began
-        self.stall_ms = 0.0  # how long bytes may have waited for this turn, where the process was held up
+        # When this iteration began, on both clocks, and when the previous one did.
+        self.iteration_ms = monotonic_ms()
+        self.iteration_unix_ms = unix_ms()
+        self.previous_iteration_ms = self.iteration_ms
+        self.stall_ms = 0.0  # how long bytes may have waited because the process was not running
         self.timestamps = ReceiveTimestampCheck()
-        self._decide, self._log = decide, log
+        self._decide = decide
+        self._log = log
         self._selector = selectors.DefaultSelector()
         self.timers.on_fault = self.log_exception
-        self._batch: dict[int, io.Event] = {}  # by ticket, in order
+        self._batch: dict[int, io.Event] = {}  # by event number, in order
         self._event_ids = itertools.count()
-        self._deferred: set[int] = set()  # descriptors that the last turn left ready
+        self._deferred: set[int] = set()  # descriptors that were ready but not served in the last iteration
         self._priorities: dict[
             int, Callable[[], ReadPriority]
         ] = {}  # by descriptor; Order.OPEN for all others
-        self._last_empty_ms: dict[
-            int, float
-        ] = {}  # of these, when each was last known to have nothing unread
+        self._last_empty_ms: dict[int, float] = {}  # by deferred descriptor
         self._dirty: dict[Flushable, None] = {}
         self._wakeup_sockets: tuple[socket.socket, socket.socket] | None = None
 
-    # --- what the parts use -----------------------------------------------------------------
+    # --- interface of the components ----------------------------------------------------------
 
     def watch(
         self,
@@ -109,8 +119,11 @@
         first: bool = False,
         order: Callable[[], ReadPriority] | None = None,
     ) -> None:
-        """`first`: before all others in each turn, however many of these are ready. `order` tells the order
-        where it changes; it is asked in each turn in which the socket is ready."""
+        """Call `ready` with the events of a socket whenever it has any of `mask`.
+
+        `first`: serve it before all others in each iteration. `order`: returns the priority where that
+        changes; it is called in each iteration in which the socket is ready.
+        """
         self._selector.register(sock, mask, ready)
         if first:
             self._priorities[sock.fileno()] = lambda: ReadPriority.FIRST
@@ -118,7 +131,7 @@
             self._priorities[sock.fileno()] = order
 
     def modify(self, sock: socket.socket, mask: int, ready: Callable[[int], None]) -> None:
-        """Watch a socket for something else. Raises OSError, and then it is watched no more."""
+        """Watch a socket for other events. Raises OSError; the socket is then no longer watched."""
         self._selector.modify(sock, mask, ready)
 
     def watches(self, sock: socket.socket) -> bool:
@@ -126,150 +139,156 @@
         return sock.fileno() in self._selector.get_map()
 
     def unwatch(self, sock: socket.socket) -> None:
-        """Watch a socket no more, if it is watched."""
+        """Stop watching a socket, if it is watched."""
         if self.watches(sock):
             self._selector.unregister(sock)
         self._priorities.pop(sock.fileno(), None)
 
     def enqueue(self, event: io.Event) -> int:
-        """An event for the next batch. One that carrying out a batch brings waits for the one after.
+        """Add an event to the next batch and return its number.
 
-        The ticket that comes back takes it out again, until the batch is handed over."""
-        ticket = next(self._event_ids)
-        self._batch[ticket] = event
-        return ticket
+        Until the batch is decided, the number can be passed to `discard`. Events that arise while a batch is
+        executed wait for the following batch.
+        """
+        number = next(self._event_ids)
+        self._batch[number] = event
+        return number
 
-    def discard(self, ticket: int) -> None:
-        """The module is never to hear of this event, which is still to be handed over."""
-        del self._batch[ticket]
+    def discard(self, number: int) -> None:
+        """Remove an event from the next batch."""
+        del self._batch[number]
 
     @property
     def batch_full(self) -> bool:
-        """Whether the next batch has as many events as the gathering of a turn may bring."""
+        """Whether the next batch has as many events as one iteration may collect."""
         return len(self._batch) >= MAX_EVENTS
 
     def was_deferred(self, sock: socket.socket) -> bool:
-        """Whether this turn's gathering ended before a socket that was ready."""
+        """Whether a socket was ready in this iteration but left for the next one."""
         return sock.fileno() in self._deferred
 
-    def schedule_flush(self, part: Flushable) -> None:
-        self._dirty[part] = None
-
-    # --- the turns --------------------------------------------------------------------------
-
-    def run_iteration(self, most_s: float | None = None) -> None:
-        sleep_s, began_ms = self._wait_s(most_s), monotonic_ms()
-        ready = self._selector.select(sleep_s)
-        self.previous_iteration_ms, self.iteration_ms, self.iteration_unix_ms = (
-            self.iteration_ms,
-            monotonic_ms(),
-            unix_ms(),
-        )
-        self.stall_ms = self._stall_ms(began_ms, sleep_s)
+    def schedule_flush(self, component: Flushable) -> None:
+        """Have a component flushed at the end of this iteration, or of the next one if none is under way."""
+        self._dirty[component] = None
+
+    # --- iterations -------------------------------------------------------------------------
+
+    def run_iteration(self, max_wait_s: float | None = None) -> None:
+        """Wait for ready sockets or due timers, then collect, decide, execute and flush once."""
+        wait_s = self._wait_s(max_wait_s)
+        wait_began_ms = monotonic_ms()
+        ready = self._selector.select(wait_s)
+        self.previous_iteration_ms = self.iteration_ms
+        self.iteration_ms = monotonic_ms()
+        self.iteration_unix_ms = unix_ms()
+        self.stall_ms = self._stall_ms(wait_began_ms, wait_s)
         now_ms = self.clock.now_ms()
-        self._process(ready, now_ms)
+        self._collect(ready)
+        # Everything in an iteration happens at the time at which it began, however long it takes.
+        self.timers.advance(self.iteration_ms)
+        self._decide_batch(now_ms)
+        if monotonic_ms() - self.iteration_ms > REREAD_AFTER_MS:
+            self._reread_first()
+        self._flush()
         self._last_empty_ms = {
             fd: self._last_empty_ms.get(fd, self.previous_iteration_ms) for fd in self._deferred
         }
-        if (took := monotonic_ms() - self.iteration_ms) > SLOW_ITERATION_MS:
-            self._log(f"a slow turn: {took:.0f} ms for {len(ready)} sockets")
+        if (took_ms := monotonic_ms() - self.iteration_ms) > SLOW_ITERATION_MS:
+            self._log(f"slow event loop iteration: {took_ms:.0f} ms for {len(ready)} sockets")
 
-    def _stall_ms(self, began_ms: float, sleep_s: float | None) -> float:
-        """The longest that bytes may have waited which are read in this turn, where the process was held up.
+    def _stall_ms(self, wait_began_ms: float, wait_s: float | None) -> float:
+        """The longest time that bytes read now may have waited because the process was not running.
 
-        What was ready as the wait began may have come since the turn before looked; what came during the wait
-        ended it at once, unless the process was held up meanwhile."""
-        waited_ms = self.iteration_ms - began_ms
+        What was ready when the wait began may have arrived since the previous iteration read; what arrived
+        during the wait ended it at once, unless the process was stalled meanwhile.
+        """
+        waited_ms = self.iteration_ms - wait_began_ms
         if waited_ms < MIN_WAIT_MS:
-            return (
-                self.iteration_ms - self.previous_iteration_ms
-                if began_ms - self.previous_iteration_ms > STALL_THRESHOLD_MS
-                else 0.0
-            )
-        late_ms = 0.0 if sleep_s is None else waited_ms - sleep_s * 1000.0
+            stalled = wait_began_ms - self.previous_iteration_ms > STALL_THRESHOLD_MS
+            return self.iteration_ms - self.previous_iteration_ms if stalled else 0.0
+        late_ms = 0.0 if wait_s is None else waited_ms - wait_s * 1000.0
         return waited_ms if late_ms > STALL_THRESHOLD_MS else 0.0
 
     def empty_ms(self, fd: int) -> float:
-        """When a descriptor that is watched was last known to have nothing unread."""
+        """When a watched descriptor was last known to have nothing unread, on the monotonic clock."""
         return self._last_empty_ms.get(fd, self.previous_iteration_ms)
 
     def ready_since_ms(self, fd: int) -> float:
-        """The earliest moment from which on a descriptor that is ready in this turn may have been ready."""
+        """The earliest time since when a descriptor that is ready in this iteration may have been ready."""
         return self._last_empty_ms.get(fd, self.iteration_ms - self.stall_ms)
 
-    def _process(self, ready: list[tuple[selectors.SelectorKey, int]], now_ms: float) -> None:
-        # All of a turn happens at the moment at which it began, however long the process is held up in it.
-        self._gather(ready)
-        self.timers.advance(self.iteration_ms)
-        if self._batch:
-            events, self._batch = self._batch, {}
-            self._decide(now_ms, list(events.values()))
-        if monotonic_ms() - self.iteration_ms > REREAD_AFTER_MS:
-            self._reread_first()
-        dirty, self._dirty = self._dirty, {}
-        for part in dirty:
-            self.run_guarded(part.flush)
-
-    def _gather(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
-        groups: dict[ReadPriority, list[tuple[selectors.SelectorKey, int]]] = {
-            order: [] for order in ReadPriority
-        }
+    def _collect(self, ready: list[ReadySocket]) -> None:
+        groups: dict[ReadPriority, list[ReadySocket]] = {priority: [] for priority in ReadPriority}
         for item in sorted(ready, key=lambda item: item[0].fd not in self._deferred):
             groups[self._priority(item[0].fd)].append(item)
         self._deferred = set()
         self._serve_ready(groups[ReadPriority.FIRST], None)
-        self._serve_ready(groups[ReadPriority.OPEN], self._events_until(ACTIVE_SHARE))
-        self._serve_ready(groups[ReadPriority.NEW], self._events_until(IDLE_SHARE))
+        self._serve_ready(groups[ReadPriority.ACTIVE], self._event_limit(ACTIVE_SHARE))
+        self._serve_ready(groups[ReadPriority.IDLE], self._event_limit(IDLE_SHARE))
 
-    def _priority(self, descriptor: int) -> ReadPriority:
-        order = self._priorities.get(descriptor)
-        return ReadPriority.OPEN if order is None else order()
+    def _priority(self, fd: int) -> ReadPriority:
+        priority = self._priorities.get(fd)
+        return ReadPriority.ACTIVE if priority is None else priority()
 
-    def _events_until(self, part: float) -> int:
-        """How many events end the gathering of a group that has this part of them for itself."""
-        return max(MAX_EVENTS, len(self._batch) + max(1, int(part * MAX_EVENTS)))
+    def _event_limit(self, share: float) -> int:
+        """The batch size that ends a group which has at least this share of the events to itself."""
+        return max(MAX_EVENTS, len(self._batch) + max(1, int(share * MAX_EVENTS)))
 
-    def _serve_ready(self, ready: list[tuple[selectors.SelectorKey, int]], most: int | None) -> None:
-        for place, (key, mask) in enumerate(ready):
-            if most is not None and len(self._batch) >= most:
-                self._deferred |= {key.fd for key, _ in ready[place:]}
+    def _serve_ready(self, ready: list[ReadySocket], max_events: int | None) -> None:
+        for position, (key, mask) in enumerate(ready):
+            if max_events is not None and len(self._batch) >= max_events:
+                self._deferred |= {key.fd for key, _ in ready[position:]}
                 return
-            # One that an earlier part of this turn closed is no longer registered under its key.
+            # A socket that was closed earlier in this iteration is no longer registered under its key.
             if self._selector.get_map().get(key.fd) is key:
                 self.run_guarded(key.data, mask)
 
+    def _decide_batch(self, now_ms: float) -> None:
+        if self._batch:
+            events, self._batch = self._batch, {}
+            self._decide(now_ms, list(events.values()))
+
     def _reread_first(self) -> None:
-        """Read what is looked at first once more before anything is written. Guards drains: one that was told
-        while the process was held up in this turn binds what the turn is about to send."""
+        """Read the sockets of the first priority once more before anything is written.
+
+        Protects drains: one that was announced during a long iteration applies to what is about to be sent.
+        """
         for key, mask in self._selector.select(0):
             if self._priority(key.fd) is ReadPriority.FIRST and self._selector.get_map().get(key.fd) is key:
                 self.run_guarded(key.data, mask)
 
-    def run_guarded(self, call: Callable[..., None], *arguments: object) -> None:
-        """Guards the loop: a fault in one part must not take down what is open in all the others."""
+    def _flush(self) -> None:
+        dirty, self._dirty = self._dirty, {}
+        for component in dirty:
+            self.run_guarded(component.flush)
+
+    def run_guarded(self, call: Callable[..., object], *arguments: object) -> None:
+        """Call it and log any exception, so that an error in one component does not end the others."""
         try:
             call(*arguments)
         except Exception:
-            self.log_exception(getattr(call, "__qualname__", "a part"))
+            self.log_exception(getattr(call, "__qualname__", "a component"))
 
     def log_exception(self, where: str) -> None:
-        """Report the exception that is being handled."""
+        """Log the exception that is being handled, on one line."""
         self._log(f"fault in {where}: " + traceback.format_exc(limit=-3).replace("\n", " | "))
 
-    def _wait_s(self, most_s: float | None) -> float | None:
+    def _wait_s(self, max_wait_s: float | None) -> float | None:
+        """How long the selector may wait; None: until a socket is ready."""
         if self._batch or self._dirty:
             return 0.0
-        idle = self.timers.idle_s()
-        if idle is None or most_s is None:
-            return most_s if idle is None else idle
-        return min(idle, most_s)
+        until_timer_s = self.timers.idle_s()
+        if until_timer_s is None:
+            return max_wait_s
+        return until_timer_s if max_wait_s is None else min(until_timer_s, max_wait_s)
 
     def run(self) -> None:
+        """Run iterations until `running` is false."""
         while self.running:
             self.run_iteration()
 
     def handle_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
-        """Signals wake the selector by a socket pair and are then handled in the loop like all else."""
+        """Handle these signals inside the loop: a socket pair wakes the selector."""
         near, far = socket.socketpair()
         near.setblocking(False)
         far.setblocking(False)
@@ -277,7 +296,7 @@
         signal.set_wakeup_fd(far.fileno(), warn_on_full_buffer=False)
         for number in handlers:
             signal.signal(number, lambda *_: None)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)  # one that came during the start is taken now
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)  # one that arrived during the start is taken now
 
         def ready(_mask: int) -> None:
             for number in near.recv(64):
@@ -287,8 +306,9 @@
         self.watch(near, READ, ready)
 
     def close(self) -> None:
+        """Close the selector and the wake-up sockets; the components close their own sockets."""
         if self._wakeup_sockets:
             signal.set_wakeup_fd(-1)
-            for end in self._wakeup_sockets:
-                end.close()
+            for wakeup_socket in self._wakeup_sockets:
+                wakeup_socket.close()
         self._selector.close()
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -1,4 +1,4 @@
-"""The front end as an object that others can embed: the parts, wired round one Router."""
+"""The front end as an embeddable object: its components, connected to one Router."""
 
 import hashlib
 import signal
@@ -22,9 +22,9 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy import Router
 
-TIDY_MS = 250.0  # pace of the look after idle and silent connections
-ROSTER = "roster"  # what a front end without a scorer in service waits for
-MAX_ROSTER_WAIT_MS = 4_000.0  # ready within 6 s, where the change log is down and nobody is known
+MAINTENANCE_MS = 250.0  # between checks for idle and silent connections
+ROSTER = "roster"  # the reason of a front end that knows no scorer in service for not being ready
+MAX_ROSTER_WAIT_MS = 4_000.0  # ready within 6 s also where the change log is down and no scorer is known
 ROSTER_SCAN_MS = 20.0
 CLIENT_SHARE = 0.4  # of the descriptors; clients hold a third at most
 SCORER_SHARE = 0.4
@@ -34,8 +34,9 @@
 RESERVED_DESCRIPTORS = 13
 # Keys that a reload leaves alone.
 START_ONLY_KEYS = ("name", "listen", "control", "memory_mb", "sockets", "settings", "wire")
-AFTER_FAULT_MS = 40.0  # the module's sweep, set again where a fault may have lost it
+AFTER_ERROR_MS = 40.0  # until the router's timer is set again, where an error may have lost it
 
+ActionHandler = Callable[[Any], object]
 STATES = {"in_service": io.State.READY, "terminating": io.State.DRAINING, "terminated": io.State.GONE}
 
 
@@ -44,60 +45,62 @@
 
 
 def _scorer_descriptors(sockets: int, part: float = 1.0) -> int:
-    """The scorers' part: what is kept for everything else comes out of it at small limits."""
+    """The scorers' share; at small limits the reserved descriptors are taken from it."""
     rest = sockets - _descriptor_share(sockets, CLIENT_SHARE) - RESERVED_DESCRIPTORS
     return max(4, int(part * min(sockets * SCORER_SHARE, rest)))
 
 
-def scorer_number(id: str) -> int:
-    """The same at every front end, so that all make the same hash orders."""
-    return int.from_bytes(hashlib.blake2b(id.encode(), digest_size=4).digest(), "big")
+def scorer_number(name: str) -> int:
+    """The number of a scorer: the same at every front end, so that all compute the same hash orders."""
+    return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 class LifecycleComponent(Protocol):
-    """What ends together with the front end."""
+    """A component that is closed together with the front end."""
 
     def close(self) -> None:
-        """The front end ends."""
+        """Release all resources; the front end is closing."""
 
 
 class OperatorsComponent(LifecycleComponent, Protocol):
-    """What operators ask, in a running front end."""
+    """The admin interface of a running front end, with hot restart."""
 
-    replaced: bool  # another process has taken this one's place
-    takes_over: bool  # this one is about to take another process's place
-    busy: bool  # something is still to be given to it
+    replaced: bool  # another process has replaced this one
+    takes_over: bool  # this process is about to replace another one
+    busy: bool  # something has still to be handed off to the other process
 
     def begin(self) -> None:
-        """The front end starts."""
+        """Start; called once, before connections are accepted."""
 
     def leave(self) -> None:
-        """It was told to end."""
+        """Begin the graceful shutdown."""
 
 
 class Extension(LifecycleComponent, Protocol):
-    """What another subsystem hears of what this front end is told, and of what comes of it. What it closes
-    it lays over the roster (`Overlay.close`)."""
+    """A subsystem that observes the endpoint list and every batch of events.
+
+    It takes scorers out of service with a filter over the roster (`RosterOverlay.set_filter`).
+    """
 
     def on_fleet(self, fleet: Fleet) -> None:
-        """What the change log told, once it is taken."""
+        """Called with each change of the endpoint list, after the front end has applied it."""
 
     def on_events(self, events: list[io.Event]) -> None:
-        """A batch, before the module has it."""
+        """Called with each batch of events, before the router decides on it."""
 
     def suspend(self) -> None:
-        """Another process is to have what only one may have: close it all."""
+        """Close what only one process may hold, because another process takes it."""
 
     def resume(self, front: "FrontEnd") -> None:
-        """Begin anew, as that process is gone; raises ConfigError while it still has something."""
+        """Start again because that process has ended; raises ConfigError while it still holds something."""
 
     @property
     def busy(self) -> bool:
-        """Whether somebody waits for an answer of whom the table of requests does not know."""
+        """Whether a call is waiting that is not in the request table."""
 
 
 class FrontEnd:
-    """One front end: owns the loop and the parts, and carries the module's actions out."""
+    """One front end: owns the event loop and the components, and executes the router's actions."""
 
     def __init__(
         self,
@@ -107,29 +110,32 @@
         extension: Extension | None = None,
         listener: socket.socket | None = None,
     ) -> None:
-        """`reread` gives the configuration anew at each SIGHUP; without it, SIGHUP changes nothing.
-        `seam` hears of the roster and of each batch. `listener` is one taken over."""
+        """Create all components; nothing is accepted before `start`.
+
+        `reread` returns the configuration again at each SIGHUP; without it, SIGHUP changes nothing.
+        `extension` observes the roster and each batch. `listener` is inherited from another process.
+        """
         self.deployment, self._reread_configuration, self._extension = deployment, reread, extension
         self.log = log or LogWriter(deployment.name or "fawnwharf")
         settings, wire, sockets = deployment.settings, deployment.wire, deployment.sockets
         self.loop = EventLoop(self._decide, self.log)
-        # A copy: the module writes what it is handed among them.
+        # A copy: the router changes its settings when a class or a limit changes.
         own = replace(settings, classes=dict(settings.classes), quotas_rps=dict(settings.quotas_rps))
         self.router = Router(own, deployment.seed)
         self.scorer_pool = ScorerPool(
             self.loop, wire, _scorer_descriptors(sockets), deployment.seed, self.log
         )
         self.requests = RequestTable(self.loop, self.scorer_pool, wire, settings.classes)
-        self._pending_change: io.RosterChanged | None = None  # that the next batch brings
+        self._pending_change: io.RosterChanged | None = None  # already in the next batch
         self.roster_overlay, self.start_times = RosterOverlay(), ScorerStartTimes()
-        self._call_limits: dict[str, float] = {}  # by who sets it
+        self._call_limits: dict[str, float] = {}  # by name of the component that set it, per second
         self.change_log = ChangeLog(self.loop, deployment.changelog, 0, self._on_fleet_event, self.log)
         self._apply_known_events()
         self.client_port = ClientPort(
             self.loop, deployment.listen, self.requests, settings.classes, wire.tenants,
             _descriptor_share(sockets, CLIENT_SHARE), self.log, deployment.control is not None, listener,
         )  # fmt: skip
-        self._action_handlers = {
+        self._action_handlers: dict[type, ActionHandler] = {
             io.Send: self.requests.send,
             io.Cancel: self.requests.cancel,
             io.Refuse: self.requests.reject,
@@ -145,46 +151,50 @@
 
     @property
     def extension(self) -> Extension | None:
+        """The subsystems that observe this front end; None where there are none."""
         return self._extension
 
     @property
     def shutting_down(self) -> bool:
+        """Whether the graceful shutdown has begun."""
         return self._shutdown is not None
 
     @property
     def replaced(self) -> bool:
-        """Whether another process has taken this one's place."""
+        """Whether another process has replaced this one."""
         return self.admin is not None and self.admin.replaced
 
     @property
     def address(self) -> Address:
+        """The address that clients connect to."""
         return self.client_port.address
 
-    # --- life -----------------------------------------------------------------------------------
+    # --- lifecycle ------------------------------------------------------------------------------
 
-    def use_share(self, part: float) -> None:
-        """Keep to a part of the descriptors: another process has the rest."""
-        self.client_port.max_connections = _descriptor_share(self.deployment.sockets, part * CLIENT_SHARE)
-        self.scorer_pool.max_connections = _scorer_descriptors(self.deployment.sockets, part)
+    def use_share(self, share: float) -> None:
+        """Use only this share of the descriptors, because another process uses the rest."""
+        self.client_port.max_connections = _descriptor_share(self.deployment.sockets, share * CLIENT_SHARE)
+        self.scorer_pool.max_connections = _scorer_descriptors(self.deployment.sockets, share)
 
     def start(self) -> None:
+        """Start the admin interface, accept connections and follow the change log."""
         if self.admin:
             self.loop.run_iteration(
                 0.0
-            )  # the module has its roster before it is told what another process learnt
+            )  # the router gets its roster before it receives another process's state
             self.admin.begin()
         self.client_port.set_accepting(True)
         self.change_log.connect()
-        self.loop.timers.after(TIDY_MS, self._run_maintenance)
+        self.loop.timers.after(MAINTENANCE_MS, self._run_maintenance)
         self._start_ms = monotonic_ms()
         self._wait_for_roster()
         self.started = self.client_port.ready = True
 
     def serve(self) -> None:
-        """Serve until SIGTERM or SIGINT, then until all that was taken has its answer."""
-        self.start()  # signals that come before are taken after: the start would undo what they bring
+        """Serve until SIGTERM or SIGINT, then until every accepted request has its answer."""
+        self.start()  # signals that arrive earlier are handled later: the start would undo their effect
         calls = {signal.SIGTERM: self.shut_down, signal.SIGINT: self.shut_down, signal.SIGHUP: self.reload}
-        # Each by itself: a fault in a reload must not swallow the signal that was read along with it.
+        # Each by itself: an error in a reload must not lose a signal that was read together with it.
         self.loop.handle_signals(
             {number: partial(self.loop.run_guarded, call) for number, call in calls.items()}
         )
@@ -195,32 +205,35 @@
             self.close()
 
     def reload(self) -> None:
-        """Read the configuration again. The change log moves; requests and links stay as they are."""
+        """Reload the configuration: the change log's address is applied, all else needs a restart."""
         if self._reread_configuration is None:
             return
         try:
             read = self._reread_configuration()
         except ConfigError as error:
-            self.log(f"configuration not taken over: {error}")
+            self.log(f"configuration not reloaded: {error}")
             return
         at_start = [key for key in START_ONLY_KEYS if getattr(read, key) != getattr(self.deployment, key)]
-        rest = f"; changed, but read at a start only: {', '.join(at_start)}" if at_start else ""
-        self.log(f"configuration read again: change log at {read.changelog[0]}:{read.changelog[1]}{rest}")
+        ignored = f"; changed, but read at a start only: {', '.join(at_start)}" if at_start else ""
+        self.log(f"configuration reloaded: change log at {read.changelog[0]}:{read.changelog[1]}{ignored}")
         self.change_log.move(read.changelog)
 
     def shut_down(self) -> None:
-        """Begin to end: keep accepting and serving until late arrivals are in and all is answered. Told
-        again, it goes on as it was."""
+        """Begin the graceful shutdown; a second call changes nothing.
+
+        Connections and requests are accepted until late arrivals are in and all requests are answered.
+        """
         if self._shutdown is not None:
             return
-        self.log("leaving")
+        self.log("shutting down")
         self._shutdown = GracefulShutdown(self)
         if self.admin:
             self.loop.run_guarded(self.admin.leave)
-        self.client_port.ready = self.replaced  # the front asks for the other process's sake, too
+        self.client_port.ready = self.replaced  # readiness checks here may be meant for the other process
         self._shutdown.look()
 
     def close(self) -> None:
+        """Close all components and the event loop."""
         for part in (self.admin, self._extension):
             if part:
                 part.close()
@@ -230,31 +243,37 @@
         self.loop.close()
 
     def _run_maintenance(self) -> None:
-        # First, and each part by itself: a fault in one must not end the tidying of all.
-        self.loop.timers.after(TIDY_MS, self._run_maintenance)
+        # First, and each component by itself: an error in one must not end the maintenance of all.
+        self.loop.timers.after(MAINTENANCE_MS, self._run_maintenance)
         for part in (self.change_log, self.scorer_pool, self.client_port):
             self.loop.run_guarded(part.run_maintenance)
 
     # --- the roster -----------------------------------------------------------------------------
 
     def _apply_known_events(self) -> None:
-        """Take the events of the start. A faulty one costs itself alone, as a refused start costs all; where
-        nothing can be read, the configuration is another one's."""
+        """Apply the events that the configuration knows; raises ConfigError where none can be read.
+
+        A malformed event is skipped alone: refusing to start would cost more.
+        """
         events = self.deployment.known_events
         taken = [self.change_log.event(event, of_start=True) for event in events]
         faulty = [event for event, sound in zip(events, taken, strict=True) if not sound]
         for event in faulty:
             if len(faulty) == len(events):
                 raise ConfigError(f"known.results: not an event: {str(event)[:80]}")
-            self.log(f"known.results: passed over, not an event: {str(event)[:80]}")
-        if faulty and not taken[0]:  # what came first, the whole list, is to be told by the log
+            self.log(f"known.results: skipped, not an event: {str(event)[:80]}")
+        if (
+            faulty and not taken[0]
+        ):  # the first event is the complete list: it is to be read from the change log
             self.change_log.seq = 0
         else:
             self.change_log.seq = max(self.change_log.seq, self.deployment.known_seq)
 
     def _wait_for_roster(self) -> None:
-        """Take no work while no scorer in service is known, unless the log has nothing more to tell: it would
-        all be refused. Bounded, as a front end that never says that it is ready serves nobody."""
+        """Report not ready while no scorer in service is known: every request would be rejected.
+
+        Ends when the change log has no more events, and after MAX_ROSTER_WAIT_MS in any case.
+        """
         told = self.change_log.told_all_ms is not None
         known = any(scorer.state is io.State.READY for scorer in self.scorer_pool.scorers.values())
         if told or known or monotonic_ms() - self._start_ms > MAX_ROSTER_WAIT_MS:
@@ -268,28 +287,28 @@
         unheard_ms = float("inf") if heard_ms is None else monotonic_ms() - heard_ms
         fleet = self.start_times.own(fleet, self.loop.clock.now_ms(), unheard_ms)
         if self.start_times.apart > before:
-            self.log("starts of scorers are told by a clock that is apart from this one", "clock")
+            self.log("start times of scorers come from a clock that differs from this one", "clock")
         self.receive_fleet(fleet)
         if self._extension:
             self._extension.on_fleet(fleet)
 
     def receive_fleet(self, fleet: Fleet) -> None:
-        """Take this roster, or these changes of it, and go by what is laid over it."""
+        """Apply a complete list or changes of it, as the roster overlay filters them."""
         self.apply_fleet(self.roster_overlay.apply(fleet))
 
-    def intercept(self, kind: type, part: Callable[[Callable[[Any], None]], Callable[[Any], None]]) -> None:
-        """Have a part carry out all actions of a kind from now on; it is handed what did so before."""
-        self._action_handlers[kind] = part(self._action_handlers[kind])
+    def intercept(self, kind: type, wrap: Callable[[ActionHandler], ActionHandler]) -> None:
+        """Have all actions of a kind executed by `wrap(previous handler)` from now on."""
+        self._action_handlers[kind] = wrap(self._action_handlers[kind])
 
     def limit_calls(self, who: str, calls_rps: float) -> None:
-        """No more than so many calls a second are to be taken here, as `who` has it; the least counts."""
+        """Admit at most this many calls per second as far as `who` is concerned; the lowest limit applies."""
         before = min(self._call_limits.values(), default=io.UNLIMITED_RPS)
         self._call_limits[who] = calls_rps
         if (least := min(self._call_limits.values())) != before:
             self.loop.enqueue(io.LimitsChanged(least))
 
     def apply_fleet(self, fleet: Fleet) -> None:
-        """Go by this roster, or by these changes of it, from now on."""
+        """Pass a complete list, or changes of it, to the scorer pool and the router."""
         entries = [self._entry(member) for member in fleet.members]
         for entry, address in entries:
             self.scorer_pool.update(entry.worker, address, entry.state, entry.up_since_ms or 0.0)
@@ -299,7 +318,7 @@
         if self._pending_change is not None and not told.complete:
             self._pending_change.entries += (
                 told.entries
-            )  # the same in sum, and the module goes over its fleet once
+            )  # the same in total, and the router updates its fleet once
         else:
             self._pending_change = told
             self.loop.enqueue(told)
@@ -326,12 +345,14 @@
         try:
             actions: list[Any] = self.router.handle(now_ms, events)
         except Exception:
-            # A fault in the decisions must not take down what is open: each request has its backstop.
+            # An error in the decisions must not end open requests: each has its deadline timer.
             self.loop.log_exception("the decisions")
-            self.loop.timers.after(AFTER_FAULT_MS, lambda: self.loop.enqueue(io.TimerDue(0)))
+            self.loop.timers.after(AFTER_ERROR_MS, lambda: self.loop.enqueue(io.TimerDue(0)))
             return
         for action in actions:
-            self.loop.run_guarded(self._action_handlers[type(action)], action)  # a fault costs that one alone
+            self.loop.run_guarded(
+                self._action_handlers[type(action)], action
+            )  # an error costs that action alone
 
     def _set_timer(self, action: io.SetTimer) -> None:
         self.loop.timers.after(action.delay_ms, lambda: self.loop.enqueue(io.TimerDue(action.token)))
--- a/fawnwharf/net/timer_wheel.py
+++ b/fawnwharf/net/timer_wheel.py
@@ -1,37 +1,37 @@
-"""Timers as coarse ticks on a wheel, and the clock that the module is shown."""
+"""A timer wheel with coarse ticks, and a Unix clock without steps for the decisions."""
 
 import math
 import time
 from collections.abc import Callable
 
 TICK_MS = 4.0
-SLOTS = 512  # a turn of the wheel takes two seconds; longer timers stay on it for some turns
-MIN_STEP_MS = (
-    100.0  # by which the system's clocks move apart at once where its Unix time is set; drift is slower
-)
-MAX_READING_GAP_MS = 20.0  # between two readings that are held against each other
-MAX_SLEW = 0.005  # part of the time passed by which the shown clock may run fast or slow
+SLOTS = 512  # one round of the wheel takes two seconds; longer timers stay on it for several rounds
+MIN_STEP_MS = 100.0  # a smaller change between the system's clocks is drift, a larger one a step
+MAX_READING_GAP_MS = 20.0  # between two readings that are compared with each other
+MAX_SLEW = 0.005  # share of elapsed time by which this clock may run fast or slow
 
 
 def monotonic_ms() -> float:
+    """The monotonic clock in milliseconds."""
     return time.monotonic() * 1000.0
 
 
 def unix_ms() -> float:
+    """The system's Unix time in milliseconds."""
     return time.time() * 1000.0
 
 
 def sleep_s(span_s: float) -> None:
-    """Halt the process: only before its loop runs."""
+    """Block the process; allowed only before the event loop runs."""
     time.sleep(span_s)
 
 
 class Clock:
     """The Unix time in milliseconds, without its steps.
 
-    Guards against a system clock that is set while requests are open: the module's deadlines and
-    windows all live on this clock. It runs with the monotonic one and closes in on the system's where that
-    drifts; a step of the system's is never followed, so that spans stay exact after it.
+    Protects against a system clock that is set while requests are open: the router's deadlines and windows
+    all use this clock. It runs with the monotonic clock and slews towards the system's Unix time where that
+    drifts; it never follows a step, so that durations stay exact after one.
     """
 
     def __init__(self, steady: Callable[[], float] = monotonic_ms, wall: Callable[[], float] = unix_ms):
@@ -39,13 +39,13 @@
         self._at = steady()
         self._apart = wall() - self._at  # of the system's two clocks
         self._offset = self._apart
-        self.stepped_ms = -math.inf  # when the last step was found, on the monotonic clock
-        self.stepped_by_ms = 0.0  # all steps together: by so much the system's time is apart from this one
+        self.stepped_ms = -math.inf  # when the last step was detected, on the monotonic clock
+        self.stepped_by_ms = 0.0  # sum of all steps: the difference between the system's time and this clock
 
     def now_ms(self) -> float:
-        """Now, as the module is shown it."""
+        """The current time for the decisions, in Unix milliseconds."""
         before, wall, at = self._steady(), self._wall(), self._steady()
-        if at - before < MAX_READING_GAP_MS:  # held up between the readings, they say nothing of each other
+        if at - before < MAX_READING_GAP_MS:  # a stall between the readings makes them incomparable
             self._follow(at, wall - at)
         self._at = at
         return at + self._offset
@@ -59,34 +59,45 @@
 
 
 class Timer:
-    __slots__ = ("due_tick", "callback")
+    """A callback that is due at a tick, until it is cancelled."""
 
-    def __init__(self, due_tick: int, callback: Callable[[], None] | None) -> None:
-        self.due_tick, self.callback = due_tick, callback
+    __slots__ = ("callback", "due_tick")
 
-    def cancel(self) -> None:  # it stays in its slot, with nothing to call
+    def __init__(self, due_tick: int, callback: Callable[[], object] | None) -> None:
+        self.due_tick = due_tick
+        self.callback = callback
+
+    def cancel(self) -> None:
+        """Cancel it; it stays in its slot with nothing to call."""
         self.callback = None
 
 
+def _ignore(_where: str) -> None:
+    """Report errors of timers to nobody."""
+
+
 class TimerWheel:
-    """Never early, and late by a tick at the most."""
+    """Calls timers never early, and late by at most one tick."""
 
     def __init__(self, steady: Callable[[], float] = monotonic_ms) -> None:
         self._steady = steady
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
         self._tick = math.floor(steady() / TICK_MS)
-        self.on_fault: Callable[[str], None] = lambda where: None
+        self.on_fault: Callable[[str], None] = _ignore
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
+    def after(self, delay_ms: float, callback: Callable[[], object]) -> Timer:
+        """Call `callback` once, this many milliseconds from now."""
         due = math.floor((self._steady() + max(0.0, delay_ms)) / TICK_MS) + 1
         timer = Timer(max(due, self._tick + 1), callback)
         self._slots[timer.due_tick % SLOTS].append(timer)
         return timer
 
     def advance(self, at_ms: float | None = None) -> None:
-        """Call what has come due by now, or by a moment just past."""
+        """Call every timer that is due now, or at a given time just past."""
         now = math.floor((self._steady() if at_ms is None else at_ms) / TICK_MS)
-        first = max(self._tick + 1, now - SLOTS + 1)  # after a long halt, one turn of the wheel sees all
+        first = max(
+            self._tick + 1, now - SLOTS + 1
+        )  # after a long stall, one round of the wheel covers every slot
         self._tick = max(self._tick, now)
         due: list[Timer] = []
         for tick in range(first, now + 1):
@@ -99,15 +110,15 @@
                 timer.callback = None
                 self._call(callback)
 
-    def _call(self, callback: Callable[[], None]) -> None:
-        """Guards the other timers against a fault in one."""
+    def _call(self, callback: Callable[[], object]) -> None:
+        """Protect the other timers from an error in one."""
         try:
             callback()
         except Exception:
             self.on_fault("a timer")
 
     def idle_s(self) -> float | None:
-        """How long the loop may sleep; None where no timer is set."""
+        """How long the loop may wait, in seconds; None if no timer is set."""
         for tick in range(self._tick + 1, self._tick + 1 + SLOTS):
             slot = self._slots[tick % SLOTS]
             if any(timer.callback for timer in slot):
--- a/tests/test_client_closing.py
+++ b/tests/test_client_closing.py
@@ -46,7 +46,7 @@
         served = self.served(rig, client)
         client.call()
         with (
-            mock.patch.object(event_loop.EventLoop, "_events_until", return_value=0),
+            mock.patch.object(event_loop.EventLoop, "_event_limit", return_value=0),
             mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0),
         ):
             rig.front.loop.run_iteration(0.0)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -315,7 +315,7 @@
         rig = self.rig(ScorerPeer(copies=None))
         client = rig.client()
         self.asked(rig, client)
-        for order, first in ((event_loop.ReadPriority.FIRST, True), (event_loop.ReadPriority.OPEN, False)):
+        for order, first in ((event_loop.ReadPriority.FIRST, True), (event_loop.ReadPriority.ACTIVE, False)):
             sock = socket.socketpair()
             sock[0].setblocking(False)
             self.addCleanup(sock[1].close)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -141,7 +141,7 @@
         client.call()
         self.pump(client, lambda: scorer.runs, scorer)
         program.send_signal(signal.SIGTERM)
-        self.assertIn("leaving", program.stderr.readline())
+        self.assertIn("shutting down", program.stderr.readline())
         late = ClientPeer((host, int(port)))
         late.call(call="ff" * 8)
         scorer.answer(scorer.runs[0], body=b"one")
@@ -177,12 +177,12 @@
             os.close(pipe)
             self.assertIn("serving", program.stderr.readline())
             self.feed(path, second)
-            self.assertIn("read again", program.stderr.readline())
+            self.assertIn("configuration reloaded", program.stderr.readline())
             for bad, key in ((b"{", "JSON"), ({**first, "changelog": "x"}, "changelog"), ({}, "settings")):
                 program.send_signal(signal.SIGHUP)
                 self.feed(path, bad)
                 line = program.stderr.readline()
-                self.assertIn("not taken over", line)
+                self.assertIn("not reloaded", line)
                 self.assertIn(key, line)
             while not self.log.asked():
                 self.log.pump()
--- a/tests/test_shutdown_orders.py
+++ b/tests/test_shutdown_orders.py
@@ -205,7 +205,7 @@
     rig.front.shut_down()
     first = rig.front._shutdown
     rig.front.shut_down()
-    assert rig.front._shutdown is first and rig.lines.count("leaving") == 1
+    assert rig.front._shutdown is first and rig.lines.count("shutting down") == 1
     rig.scorers[0].answer(rig.scorers[0].runs[0])
     arrivals_over(rig)
     rig.until(lambda: client.answers and client.ended, "it has its answer, then the end")
--- a/tests/test_shutdown_signals.py
+++ b/tests/test_shutdown_signals.py
@@ -88,7 +88,7 @@
 def test_told_to_end_before_it_can_serve_it_serves_what_comes_and_ends_with_0(program, number):
     program.configure(before=[number])
     program.serving()
-    program.line("leaving")
+    program.line("shutting down")
     client = program.client()
     client.status()
     client.call()
@@ -106,7 +106,7 @@
     try:
         made.configure(before=[signal.SIGTERM])
         made.serving()
-        made.line("leaving")
+        made.line("shutting down")
         made.child.send_signal(signal.SIGTERM)
         assert made.child.wait(PATIENCE_S) == 0
     finally:
@@ -120,12 +120,12 @@
     client.call()
     program.until(lambda: program.scorer.runs)
     program.child.send_signal(signal.SIGTERM)
-    program.line("leaving")
+    program.line("shutting down")
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGTERM):
         program.child.send_signal(number)
     program.child.send_signal(signal.SIGHUP)
     program.configure()  # read again
-    program.line("read again")
+    program.line("configuration reloaded")
     client.status()
     program.until(lambda: client.answers)
     assert client.answers[0][2][3] is False
@@ -140,7 +140,7 @@
     for each in (client, late):
         each.sock.close()
     assert program.child.wait(PATIENCE_S) == 0
-    assert "leaving" not in program.child.stderr.read()
+    assert "shutting down" not in program.child.stderr.read()
 
 
 LAST_SIGNAL = """
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -90,4 +90,4 @@
     rig.client().call(seqid=1)
     fns, copies = rig.front.router.functions, rig.front.router._copies
     rig.until(lambda: any(copies(fn, worker) for fn in fns.values()), "the copy that answers is believed")
-    assert [line for line in rig.lines if "apart from this one" in line]
+    assert [line for line in rig.lines if "differs from this one" in line]
