--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -3,7 +3,7 @@
 import errno
 from enum import Enum, auto
 
-from fawnwharf.interface import Ending
+from fawnwharf.interface import AttemptResult
 
 
 class EndReason(Enum):
@@ -28,12 +28,12 @@
     STOPPED = auto()  # this front end is closing
 
 
-_NONE, _FAILED, _RESET = Ending.NOT_SENT, Ending.CONNECT_FAILED, Ending.RESET
+_NONE, _FAILED, _RESET = AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET
 
 # The result of an attempt or load order, by how much of its frame was written: nothing, so that it can't have
 # run; a part, on a connection that ended then, so that the scorer never received all of it and can't have
 # run it either; all of it, so that it may have run.
-RESULT_BY_REASON: dict[EndReason, tuple[Ending, Ending, Ending]] = {
+RESULT_BY_REASON: dict[EndReason, tuple[AttemptResult, AttemptResult, AttemptResult]] = {
     EndReason.REFUSED: (_FAILED, _RESET, _RESET),
     EndReason.UNREACHABLE: (_FAILED, _FAILED, _RESET),
     EndReason.DIAL_TIMED_OUT: (_FAILED, _RESET, _RESET),
@@ -50,13 +50,13 @@
     # From here on the connection stays open, so the rest of a partial frame may still be sent.
     EndReason.PULLED_BACK: (_NONE, _RESET, _RESET),
     EndReason.NEVER_SENT: (_NONE, _RESET, _RESET),
-    EndReason.CALLED_OFF: (Ending.CANCELLED, Ending.CANCELLED, Ending.CANCELLED),
-    EndReason.OUT_OF_TIME: (_NONE, Ending.TIMEOUT, Ending.TIMEOUT),
+    EndReason.CALLED_OFF: (AttemptResult.CANCELLED, AttemptResult.CANCELLED, AttemptResult.CANCELLED),
+    EndReason.OUT_OF_TIME: (_NONE, AttemptResult.TIMEOUT, AttemptResult.TIMEOUT),
     EndReason.STOPPED: (_NONE, _RESET, _RESET),
 }
 
 
-def attempt_result(end: EndReason, begun: bool, whole: bool = True) -> Ending:
+def attempt_result(end: EndReason, begun: bool, whole: bool = True) -> AttemptResult:
     """The attempt result of a stream that ended for this reason.
 
     `begun`: some of its frame was written; `whole`: all of it, or the written part counts as all of it, as for
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -37,7 +37,11 @@
 AFTER_ERROR_MS = 40.0  # until the router's timer is set again, where an error may have lost it
 
 ActionHandler = Callable[[Any], object]
-STATES = {"in_service": io.State.READY, "terminating": io.State.DRAINING, "terminated": io.State.GONE}
+STATES = {
+    "in_service": io.ScorerState.READY,
+    "terminating": io.ScorerState.DRAINING,
+    "terminated": io.ScorerState.GONE,
+}
 
 
 def _descriptor_share(sockets: int, share: float) -> int:
@@ -138,9 +142,9 @@
         self._action_handlers: dict[type, ActionHandler] = {
             io.Send: self.requests.send,
             io.Cancel: self.requests.cancel,
-            io.Refuse: self.requests.reject,
+            io.Reject: self.requests.reject,
             io.Fail: self.requests.fail,
-            io.Hold: self.requests.start_load,
+            io.OrderCopies: self.requests.start_load,
             io.SetTimer: self._set_timer,
             io.Log: lambda action: self.log(action.text),
         }
@@ -275,7 +279,7 @@
         Ends when the change log has no more events, and after MAX_ROSTER_WAIT_MS in any case.
         """
         told = self.change_log.told_all_ms is not None
-        known = any(scorer.state is io.State.READY for scorer in self.scorer_pool.scorers.values())
+        known = any(scorer.state is io.ScorerState.READY for scorer in self.scorer_pool.scorers.values())
         if told or known or monotonic_ms() - self._start_ms > MAX_ROSTER_WAIT_MS:
             self.client_port.not_ready_reasons.discard(ROSTER)
         else:
@@ -311,9 +315,9 @@
         """Pass a complete list, or changes of it, to the scorer pool and the router."""
         entries = [self._entry(member) for member in fleet.members]
         for entry, address in entries:
-            self.scorer_pool.update(entry.worker, address, entry.state, entry.up_since_ms or 0.0)
+            self.scorer_pool.update(entry.scorer, address, entry.state, entry.up_since_ms or 0.0)
         if fleet.complete:
-            self.scorer_pool.remove_unlisted({entry.worker for entry, _ in entries})
+            self.scorer_pool.remove_unlisted({entry.scorer for entry, _ in entries})
         told = io.RosterChanged([entry for entry, _ in entries], fleet.complete)
         if self._pending_change is not None and not told.complete:
             self._pending_change.entries += (
@@ -323,10 +327,10 @@
             self._pending_change = told
             self.loop.enqueue(told)
 
-    def _entry(self, member: Member) -> tuple[io.WorkerEntry, Address | None]:
+    def _entry(self, member: Member) -> tuple[io.ScorerEntry, Address | None]:
         address = address_from(member.host_port, "host_port") if member.host_port else None
-        return io.WorkerEntry(
-            worker=scorer_number(member.id),
+        return io.ScorerEntry(
+            scorer=scorer_number(member.id),
             state=STATES[member.phase],
             kind=member.flavor,
             zone=member.locality,
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -31,14 +31,14 @@
 
     A request read in the last moment of the late arrivals has its whole time; one that had only begun has the
     time of a message in pieces, and is refused once it is whole."""
-    longest = max((spec.give_up_ms for spec in settings.classes.values()), default=0.0)
+    longest = max((spec.deadline_ms for spec in settings.classes.values()), default=0.0)
     of_requests = max(TTL_TOLERANCE * longest, MESSAGE_TIMEOUT_MS)
     return max(MIN_LIMIT_MS, LATE_ARRIVAL_MS + of_requests + connection.LINGER_MS + MARGIN_MS)
 
 
 def answer_within_ms(settings: Settings) -> float:
     """How long after SIGTERM every request has its final answer: before the system may end the process."""
-    longest_ms = max((spec.give_up_ms for spec in settings.classes.values()), default=0.0)
+    longest_ms = max((spec.deadline_ms for spec in settings.classes.values()), default=0.0)
     return min(longest_ms, MAX_KILL_DEADLINE_MS) + KILL_AFTER_MS - ANSWER_MARGIN_MS
 
 
@@ -55,7 +55,7 @@
         self._since_ms = monotonic_ms()
         self._limit_ms = limit_ms(front.deployment.settings)
         self._refusing = False
-        front.loop.enqueue(io.Closing(answer_within_ms(front.deployment.settings)))
+        front.loop.enqueue(io.ShutdownStarted(answer_within_ms(front.deployment.settings)))
         self._unsent: dict[
             ClientConnection, tuple[int, float]
         ] = {}  # bytes at the last change, and when that was
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -80,11 +80,11 @@
 
     def sent(self, attempt: Attempt) -> None: ...
 
-    def ended(self, attempt: Attempt, ending: io.Ending, warmth: io.Warmth) -> None: ...
+    def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None: ...
 
     def ordered(self, order: LoadOrder) -> None: ...
 
-    def order_ended(self, order: LoadOrder, ending: io.Ending, copies: int) -> None: ...
+    def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None: ...
 
 
 class RequestTable:
@@ -152,7 +152,7 @@
                 self._loop.discard(ticket)
             else:
                 self._ended[key] = request
-                self._loop.enqueue(io.ClientLeft(key))
+                self._loop.enqueue(io.RequestCancelled(key))
             self._cancel_unsent_work(request)
         return request
 
@@ -198,7 +198,7 @@
         self._untold.clear()
 
     def send(self, action: io.Send) -> None:
-        key, worker = action.request, action.worker
+        key, worker = action.request, action.scorer
         request = self.open.get(key) or self._ended.get(key) or self._ended_before.get(key)
         if request is None:
             return
@@ -206,7 +206,9 @@
             request.call.check_client()
         number, request.attempts = request.attempts, request.attempts + 1
         if key not in self.open:  # it ended in the very batch that this answers
-            self._loop.enqueue(io.AttemptEnded(key, number, worker, io.Ending.NOT_SENT, 0.0, closed=True))
+            self._loop.enqueue(
+                io.AttemptEnded(key, number, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True)
+            )
             return
         call = request.call
         attempt = self._out[key, number] = Attempt(
@@ -228,7 +230,7 @@
         if attempt := self._out.get((action.request, action.attempt)):
             self._pool.cancel(attempt)
 
-    def reject(self, action: io.Refuse) -> None:
+    def reject(self, action: io.Reject) -> None:
         self._finish(action.request, Rejected(action.hold_off_ms))
 
     def fail(self, action: io.Fail) -> None:
@@ -249,7 +251,7 @@
             crowd = None
         else:
             ending, warmth, crowd = answer.ending, answer.warmth, self._crowd(answer)
-        good = answer is not None and ending is io.Ending.GOOD
+        good = answer is not None and ending is io.AttemptResult.GOOD
         if self.observer:
             self.observer.ended(attempt, ending, warmth)
         took = monotonic_ms() - attempt.began_ms
@@ -262,15 +264,15 @@
     def _may_repeat(self, attempt: Attempt) -> bool:
         """Whether what can't have run may be sent again, though some of it was written."""
         spec = self._classes.get(attempt.kind)
-        return spec is not None and spec.effect is not io.Effect.UNSAFE
+        return spec is not None and spec.effect is not io.Effect.AT_MOST_ONCE
 
     def _crowd(self, answer: Answer) -> int | None:
-        if not self._wire.tells_crowd or answer.ending not in (io.Ending.GOOD, io.Ending.FULL):
+        if not self._wire.tells_crowd or answer.ending not in (io.AttemptResult.GOOD, io.AttemptResult.FULL):
             return None
         return min(MAX_CONCURRENCY, answer.crowd)
 
-    def start_load(self, action: io.Hold) -> None:
-        order = LoadOrder(action.worker, self._order_ended, action.function, action.copies)
+    def start_load(self, action: io.OrderCopies) -> None:
+        order = LoadOrder(action.scorer, self._order_ended, action.function, action.copies)
         if self.observer:
             self.observer.ordered(order)
         if order.copies:
@@ -296,7 +298,7 @@
         copies = answer.copies if answer else 0
         if self.observer:
             self.observer.order_ended(order, ending, copies)
-        self._loop.enqueue(io.OrderAnswered(order.worker, order.function, ending, copies, took))
+        self._loop.enqueue(io.LoadOrderAnswered(order.worker, order.function, ending, copies, took))
 
     def _forget(self, order: LoadOrder) -> None:
         orders = self._orders.get(order.function, [])
--- a/fawnwharf/recovery_service/load_order_gate.py
+++ b/fawnwharf/recovery_service/load_order_gate.py
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        below: Callable[[io.Hold], None],
+        below: Callable[[io.OrderCopies], None],
         ask: Callable[[LoadOrder], None],
         tell: Callable[[io.Event], object],
         open: dict[str, OpenRequest],
@@ -48,7 +48,7 @@
         self.held_back = 0
         self._asked: dict[str, float] = {}  # functions: when their place was asked
         self._rates: dict[str, list[float]] = {}  # functions: since when, how many were held back
-        self._open: list[tuple[float, io.OrderAnswered]] = []  # that the module is to be told, and when
+        self._open: list[tuple[float, io.LoadOrderAnswered]] = []  # that the module is to be told, and when
 
     def go_by(self, allowed: AllowedActions, giving: PermitIssuer | None) -> None:
         self.calm = allowed.spill or giving is None
@@ -66,20 +66,20 @@
             else:
                 self._open.append((at_ms, event))
 
-    def carry(self, action: io.Hold) -> None:
+    def carry(self, action: io.OrderCopies) -> None:
         """As RequestTable.order, for the module's actions."""
         if self.calm or not action.copies:
             self._below(action)
             return
-        if self.giving.is_own(action.worker, action.function):
-            self.giving.ordered(self._clock(), action.worker, action.function)
+        if self.giving.is_own(action.scorer, action.function):
+            self.giving.ordered(self._clock(), action.scorer, action.function)
             self._below(action)
         elif self.own_loads:
             self._below(action)
         else:
             self._hold_back(action)
 
-    def _hold_back(self, action: io.Hold) -> None:
+    def _hold_back(self, action: io.OrderCopies) -> None:
         self.held_back += 1
         now, place = self._clock(), self.giving.place(action.function)
         if place is not None and now - self._asked.get(action.function, float("-inf")) >= QUERY_INTERVAL_MS:
@@ -87,7 +87,7 @@
                 self._asked.clear()
             self._asked[action.function] = now
             self._ask(LoadOrder(place, self._answered, action.function, 0))
-        event = io.OrderAnswered(action.worker, action.function, io.Ending.NOT_SENT, 0, 0.0)
+        event = io.LoadOrderAnswered(action.scorer, action.function, io.AttemptResult.NOT_SENT, 0, 0.0)
         rate = self._rates.get(action.function)
         if rate is None or now - rate[0] >= WINDOW_MS:
             if rate is None and len(self._rates) >= MAX_QUERIED_FUNCTIONS:
@@ -102,21 +102,21 @@
     def _answered(self, order: LoadOrder, end: EndReason | None, answer: Answer | None) -> None:
         ending = answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, order.begun)
         copies, took_ms = answer.copies if answer else 0, self._clock() - order.began_ms
-        self._tell(io.OrderAnswered(order.worker, order.function, ending, copies, took_ms))
+        self._tell(io.LoadOrderAnswered(order.worker, order.function, ending, copies, took_ms))
 
     def events(self, now_ms: float, events: list[io.Event]) -> list[Action]:
         """What a batch tells of copies: scorers' answers to orders, and calls that found none."""
         self._release(now_ms)
         found: list[Action] = []
         for event in events if self.giving is not None else ():
-            if isinstance(event, io.OrderAnswered):
+            if isinstance(event, io.LoadOrderAnswered):
                 found += self.giving.answered(now_ms, event)
             elif isinstance(event, io.AttemptEnded) and _found_none(event):
                 request = self._requests.get(event.request)
                 if request is not None:
-                    self.giving.lost(now_ms, request.call.function, event.worker)
+                    self.giving.lost(now_ms, request.call.function, event.scorer)
         return found
 
 
 def _found_none(event: io.AttemptEnded) -> bool:
-    return event.ending is io.Ending.MISS or event.warmth is io.Warmth.LOAD_FAILED
+    return event.result is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED
--- a/tests/test_overlay.py
+++ b/tests/test_overlay.py
@@ -8,7 +8,7 @@
 from peers import Rig, ScorerPeer
 
 from fawnwharf.config import Fleet, Member
-from fawnwharf.interface import State
+from fawnwharf.interface import ScorerState
 from fawnwharf.net.front_end import scorer_number
 from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.replication import outlier_ejection
@@ -144,7 +144,7 @@
         rig.until(lambda: rig.front.change_log.seq == 2 and not rig.front._pending_change, "it is taken")
         self.assertEqual(extension.heard, [(id, "in_service", "in_service") for id in ("s-1", "s-2")])
         found = {id: workers[scorer_number(id)].entry.state for id in ("s-1", "s-2")}
-        self.assertEqual(found, {"s-1": State.DRAINING, "s-2": State.READY})
+        self.assertEqual(found, {"s-1": ScorerState.DRAINING, "s-2": ScorerState.READY})
         rig.front.apply_fleet(rig.front.roster_overlay.set_filter("zones", None))
         rig.front.apply_fleet(rig.front.roster_overlay.set_filter("state", None))
-        rig.until(lambda: workers[scorer_number("s-1")].entry.state is State.READY, "it is open again")
+        rig.until(lambda: workers[scorer_number("s-1")].entry.state is ScorerState.READY, "it is open again")
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -202,13 +202,13 @@
 def test_what_is_safe_alone():
     window = 10_000.0
     for effect, standing, found in (
-        (io.Effect.SAFE, CallKnowledge(), CallDecision.SERVE),
-        (io.Effect.UNSAFE, CallKnowledge(since_start_ms=1e9), CallDecision.LATER),
-        (io.Effect.UNSAFE, CallKnowledge(granted=True), CallDecision.SERVE),
-        (io.Effect.UNSAFE, CallKnowledge(known=True, granted=True), CallDecision.ANSWER),
-        (io.Effect.KEYED, CallKnowledge(since_start_ms=window - 1), CallDecision.LATER),
-        (io.Effect.KEYED, CallKnowledge(since_start_ms=window), CallDecision.SERVE),
-        (io.Effect.KEYED, CallKnowledge(granted=True), CallDecision.SERVE),
+        (io.Effect.IDEMPOTENT, CallKnowledge(), CallDecision.SERVE),
+        (io.Effect.AT_MOST_ONCE, CallKnowledge(since_start_ms=1e9), CallDecision.LATER),
+        (io.Effect.AT_MOST_ONCE, CallKnowledge(granted=True), CallDecision.SERVE),
+        (io.Effect.AT_MOST_ONCE, CallKnowledge(known=True, granted=True), CallDecision.ANSWER),
+        (io.Effect.DEDUPLICATED, CallKnowledge(since_start_ms=window - 1), CallDecision.LATER),
+        (io.Effect.DEDUPLICATED, CallKnowledge(since_start_ms=window), CallDecision.SERVE),
+        (io.Effect.DEDUPLICATED, CallKnowledge(granted=True), CallDecision.SERVE),
     ):
         assert partitioned.decide_call(effect, standing, window) is found
     lone = partitioned.allowed_when_partitioned(WORTHS, 3, 12, rostered=True, asked=True)
@@ -224,7 +224,11 @@
 # --- budgets --------------------------------------------------------------------------------
 
 SITE = io.Settings(
-    cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0, max_retry_after_ms=4_000.0
+    slow_start_ms=10_000.0,
+    slow_start_initial_share=0.2,
+    slow_start_window_ms=1_000.0,
+    slow_start_multiple=2.0,
+    max_retry_after_ms=4_000.0,
 )
 LIMITS = budget.fleet_limits(SITE, 7, 12.0)
 NAMES = [f"n{i}" for i in range(200)]
@@ -278,10 +282,14 @@
         if wait == 0.0:
             used.append(now + budget.PERMIT_MS * (n % 2))
         assert wait >= 0.0
-    room = SITE.fall_multiple * LIMITS.warmth(age) * LIMITS.scorer_rps * SITE.fall_ms / 1000.0
+    room = (
+        SITE.slow_start_multiple * LIMITS.warmth(age) * LIMITS.scorer_rps * SITE.slow_start_window_ms / 1000.0
+    )
     for at in used:
-        assert sum(at - SITE.fall_ms < other <= at for other in used) <= room
-    assert not used or used[0] >= SITE.fall_ms + budget.PERMIT_MS  # another may have been its warden
+        assert sum(at - SITE.slow_start_window_ms < other <= at for other in used) <= room
+    assert (
+        not used or used[0] >= SITE.slow_start_window_ms + budget.PERMIT_MS
+    )  # another may have been its warden
     core.known_from("t")
     assert core.ask(now, "t", age) == 0.0
 
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -44,7 +44,7 @@
         self.door = front.client_port.requests = RecoveryAdmission(
             front.loop, front.requests, settings.classes, limits
         )
-        front.intercept(io.Hold, self.between)
+        front.intercept(io.OrderCopies, self.between)
         front._extension = self
         self.turn()
 
@@ -74,7 +74,7 @@
             if isinstance(out, LoadOrder):
                 tell = (
                     self.front.requests.start_load
-                    if isinstance(out.what, io.Hold)
+                    if isinstance(out.what, io.OrderCopies)
                     else self.front.loop.enqueue
                 )
                 tell(out.what)
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -172,9 +172,11 @@
     site.begin()
     node = site.nodes[2]
     extension, life = node.front.extension, node.part.life
-    order = node.front._action_handlers[io.Hold]
+    order = node.front._action_handlers[io.OrderCopies]
     extension.suspend()
-    assert node.front._action_handlers[io.Hold] != order and not node.front.client_port.not_ready_reasons
+    assert (
+        node.front._action_handlers[io.OrderCopies] != order and not node.front.client_port.not_ready_reasons
+    )
     extension.resume(node.front)
     assert node.part.life > life and not site.ready(node)
     site.until(
