--- a/tests/test_clients.py
+++ b/tests/net/test_net_clients.py
@@ -13,7 +13,7 @@
     front_end,
 )
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 class Case(unittest.TestCase):
--- a/tests/test_rare_losses.py
+++ b/tests/net/test_net_rare_losses.py
@@ -7,7 +7,7 @@
 from peers import ScorerPeer
 from support.change_log_front_end import event
 from support.client_cases import Case, wait
-from test_discovery_orders import rig
+from test_net_discovery_orders import rig
 
 __all__ = ["rig"]
 
--- a/tests/test_rare_shortages.py
+++ b/tests/net/test_net_rare_resource_shortages.py
@@ -7,7 +7,7 @@
 from peers import ScorerPeer
 from support.scorer_link_cases import BY_POOL, Case
 from support.system_faults import SystemFaults
-from test_clock_steps import clock, rig, settled_client, without_stamps
+from test_net_clock_steps import clock, rig, settled_client, without_stamps
 
 from fawnwharf import interface as io
 from fawnwharf.admin import admin_listener
--- a/tests/test_request_age.py
+++ b/tests/net/test_net_request_age.py
@@ -2,7 +2,7 @@
 
 import pytest
 from peers import Rig, ScorerPeer
-from test_clock_steps import HOUR, clock, rig, settled_client, without_stamps
+from test_net_clock_steps import HOUR, clock, rig, settled_client, without_stamps
 
 from fawnwharf.net.connection_handoff import HandedOffConnection
 
--- a/tests/test_request_orders.py
+++ b/tests/net/test_net_request_orders.py
@@ -8,7 +8,7 @@
 from support.request_driver import play
 from support.request_site import Site
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PACES = ("batched", "turn", "quiet")
 CLIENT_STEPS = ("call", "call", "pair", "call_in_part", "rest", "withdraw", "close", "reset", "half_close")
 SCORER_STEPS = ("answer", "serve", "answer_again", "answer_in_part", "scorer_reset", "scorer_close")
--- a/tests/test_rules.py
+++ b/tests/net/test_net_request_rules.py
@@ -9,7 +9,7 @@
 from fawnwharf import interface as io
 from fawnwharf.net import event_loop, requests, scorer_frames, timer_wheel
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 class Case(unittest.TestCase):
--- a/tests/test_scorer_links.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -12,7 +12,7 @@
 from fawnwharf.net import front_end, scorer_frames, scorer_pool, scorer_streams
 from fawnwharf.net.end_reasons import EndReason
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 class Case(unittest.TestCase):
