--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -69,9 +69,17 @@
 class OperatorsComponent(LifecycleComponent, Protocol):
     """The admin interface of a running front end, with hot restart."""
 
-    replaced: bool  # another process has replaced this one
-    takes_over: bool  # this process is about to replace another one
-    busy: bool  # something has still to be handed off to the other process
+    @property
+    def replaced(self) -> bool:
+        """Whether another process has taken over from this one."""
+
+    @property
+    def takes_over(self) -> bool:
+        """Whether this process is about to take over from another one."""
+
+    @property
+    def busy(self) -> bool:
+        """Whether a hand-off is still going on."""
 
     def begin(self) -> None:
         """Start; called once, before connections are accepted."""
--- a/tests/test_disk_faults_store.py
+++ b/tests/durable_store/test_durable_store_disk_faults.py
@@ -8,10 +8,10 @@
 import pytest
 from support.file_faults import ALWAYS, Faults, FileFaults, Killed
 
-from fawnwharf.durable_store.crash_simulation import CrashSimulation, InvariantViolationError
 from fawnwharf.durable_store.folder import DiskFolder
 from fawnwharf.durable_store.folder_reader import UnreadableFolderError
 from fawnwharf.durable_store.mutants import MUTANTS, UNCHANGED
+from fawnwharf.durable_store.simulated_folder import InvariantViolationError, SimulatedFolder
 
 TURNS = 12
 ENDS = {
@@ -27,30 +27,30 @@
     def __init__(self, folder, bug=UNCHANGED):
         folder.mkdir()
         self.faults = FileFaults(folder)
-        self.world = CrashSimulation(bug, DiskFolder(folder))
+        self.world = SimulatedFolder(bug, DiskFolder(folder))
 
     def live(self, seed, turns=TURNS):
         self.world.open()
-        self.world.live(Random(seed), turns)
+        self.world.run(Random(seed), turns)
 
     def found(self, end):
         """What a start after that finds is what was told, or given to the disk later."""
         ENDS[end](self.faults)
         self.world.disk = DiskFolder(self.faults.folder)
-        self.world.check(self.world.found())
+        self.world.check(self.world.inspect())
 
     def works_again(self):
         """Without a restart: a change is told to be on disk, and it is."""
         self.faults.works()
         told = []
         for _ in range(60):
-            if not self.world.store.standing(self.world.now_ms).failing:
+            if not self.world.store.status(self.world.now_ms).failing:
                 break
-            self.world.turn([], 100.0)
+            self.world.advance([], 100.0)
         self.world.store.put(self.world.now_ms, "term", "k1", None)  # there is room for four
         self.world.store.put(self.world.now_ms, "term", "k0", "put", lambda *how: told.append(how))
         for _ in range(60):
-            self.world.turn([], 10.0)
+            self.world.advance([], 10.0)
         assert told == [(True, "")]
 
 
@@ -59,7 +59,7 @@
     with site.faults.installed():
         site.live(1)
         before = site.faults.count
-        site.world.end()
+        site.world.shut_down()
         site.found("kill")
         site.live(2)
         return site.faults.count - before
@@ -67,13 +67,13 @@
 
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("times", [1, 3, ALWAYS])
-def test_each_call_can_fail_once_or_for_a_while_and_what_was_told_is_found(tmp_path, end, times):
+def test_reported_changes_are_found_when_any_file_call_fails_once_or_repeatedly(tmp_path, end, times):
     count = calls_of_a_life(tmp_path / "measured")
     for at, (error, half) in product(range(0, count), ((errno.ENOSPC, True), (errno.EIO, False))):
         site = Site(tmp_path / f"{at}-{error}")
         with site.faults.installed():
             site.live(1)
-            site.world.end()
+            site.world.shut_down()
             site.found("kill")
             site.faults.plan = Faults(site.faults.count + at, times, error, half=half)
             with suppress(OSError):  # of the start
@@ -84,11 +84,11 @@
             site.live(3)
             site.works_again()
             site.found("cut")
-            assert site.world.found().entries["term", "k0"] == b'"put"'
+            assert site.world.inspect().entries["term", "k0"] == b'"put"'
 
 
 @pytest.mark.parametrize("name", ["a failed sync done again", "no sync of the folder", "told before sync"])
-def test_the_faults_find_what_is_planted(tmp_path, name):
+def test_file_faults_detect_the_mutants(tmp_path, name):
     count, broken = calls_of_a_life(tmp_path / "measured"), 0
     for at in range(count):
         site = Site(tmp_path / str(at), MUTANTS[name])
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("end", ENDS)
-def test_a_kill_at_each_call_loses_nothing_that_was_told(tmp_path, end):
+def test_a_kill_at_any_file_call_loses_no_reported_change(tmp_path, end):
     count = calls_of_a_life(tmp_path / "measured")
     for at, half in product(range(count), (False, True)):
         site = Site(tmp_path / f"{at}-{half}")
@@ -121,24 +121,24 @@
             site.found("cut")
 
 
-def test_writes_that_fall_short_are_gone_on_with(tmp_path):
+def test_short_writes_are_continued(tmp_path):
     site = Site(tmp_path / "folder")
     with site.faults.installed():
         site.faults.plan = Faults(most_bytes=5)
         site.live(1)
-        site.world.end()
-        assert site.world.store.core.ended
+        site.world.shut_down()
+        assert site.world.store.core.finished
         site.found("cut")
-        assert site.world.found().ended
+        assert site.world.inspect().closed_cleanly
 
 
-def test_a_folder_cut_at_every_byte_of_its_last_file_gives_back_the_groups_before_it(tmp_path):
+def test_a_log_truncated_at_any_byte_gives_back_the_groups_before_it(tmp_path):
     site = Site(tmp_path / "folder")
     folder, heads, turns = site.faults.folder, [], 0
     with site.faults.installed():
         site.live(1)
         while len(heads) <= 4:  # a head and some groups
-            site.world.live(Random(turns := turns + 1), 1)
+            site.world.run(Random(turns := turns + 1), 1)
             last = max(folder.glob("log-*.seg"), key=lambda path: int(path.stem[4:]))
             data = last.read_bytes()
             heads = [at for at in range(len(data)) if data.startswith(b"fwv1", at)]
@@ -148,8 +148,9 @@
         with open(last, "r+b") as file:
             file.truncate(0)
             file.write(data[:size])
-        found = site.world.found()
-        numbers.append(found.sign.number)
-        site.world.was_given(found)
-        assert found.torn == size - max(at for at in [*heads, len(data)] if at <= size)
-    assert numbers == sorted(numbers) and len(set(numbers)) == len(heads)
+        found = site.world.inspect()
+        numbers.append(found.position.number)
+        site.world.check_written(found)
+        assert found.torn_bytes == size - max(at for at in [*heads, len(data)] if at <= size)
+    assert numbers == sorted(numbers)
+    assert len(set(numbers)) == len(heads)
--- a/tests/net/test_net_scorer_faults.py
+++ b/tests/net/test_net_scorer_faults.py
@@ -30,14 +30,17 @@
 }
 OF_PEER = {
     "connect": {
-        "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE, "ETIMEDOUT": EndReason.UNREACHABLE,
+        "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE,
+        "ETIMEDOUT": EndReason.UNREACHABLE,
     },
     "so_error": {
-        "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE, "ETIMEDOUT": EndReason.UNREACHABLE,
+        "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE,
+        "ETIMEDOUT": EndReason.UNREACHABLE,
         "ENETUNREACH": EndReason.UNREACHABLE,
     },
     "sendmsg": {
-        "ECONNRESET": EndReason.RESET_BY_PEER, "EPIPE": EndReason.RESET_BY_PEER, "ETIMEDOUT": EndReason.UNREACHABLE,
+        "ECONNRESET": EndReason.RESET_BY_PEER, "EPIPE": EndReason.RESET_BY_PEER,
+        "ETIMEDOUT": EndReason.UNREACHABLE,
     },
 }  # fmt: skip
 PAUSE_MS = scorer_pool.REDIAL_DELAY_MS + 5.0
