--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -167,7 +167,10 @@
         members = self.zones.core.membership
         names = tuple(entry.name for entry in members.members)
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
-        who = sorted((e.name, e.zone, e.region, bool(e.ballots), bool(e.state)) for e in members.members)
+        who = sorted(
+            (e.name, e.zone, e.region, bool(e.voter_address), bool(e.replication_address))
+            for e in members.members
+        )
         keepers = tuple(self.state.core.placement.replicas)
         voters = tuple(entry.name for entry in members.voters)
         by_zone = tuple(map(tuple, self.state.core.placement.by_zone.values()))
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -57,11 +57,11 @@
 
 
 def _look(members: Membership, name: str) -> m.Status | str:
-    entry = members.named(name)
-    if entry is None or not entry.state:
+    entry = members.find_member(name)
+    if entry is None or not entry.replication_address:
         _fail(f"state: no member {name} with a log of state")
     try:
-        return fetch_status(entry.state)
+        return fetch_status(entry.replication_address)
     except (OSError, ValueError, msgspec.ValidationError) as error:
         return str(error) or type(error).__name__
 
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -100,7 +100,7 @@
             raise LineError(f"of fleet {line.fleet}")
         if line.sender != sender:
             raise LineError(f"says that it is {line.sender}, and is {sender}")
-        if self.members.named(sender) is None:
+        if self.members.find_member(sender) is None:
             self._count("no member")
             return []
         self.last_heard[sender] = line.incarnation, now_ms
@@ -277,7 +277,7 @@
         return self.remote_loads.sure(now_ms, self._fleet_size(fronts)), best.others.front_ends if best else 0
 
     def _fleet_size(self, fronts: int) -> int:
-        return max(fronts, sum(bool(member.state) for member in self.members.members))
+        return max(fronts, sum(bool(member.replication_address) for member in self.members.members))
 
     def _load_report_counts(self, now_ms: float) -> dict[str, int]:
         if self.load_reporter is None:
--- a/fawnwharf/replication/directed_log.py
+++ b/fawnwharf/replication/directed_log.py
@@ -44,18 +44,18 @@
 
     def forget(self, name: str) -> None:
         """Its log is not followed any more."""
-        self._counting.pop(("hello", name), None)
+        self._current_lines.pop(("hello", name), None)
 
     def say(self, line: Any, to: tuple[str, ...] = (), counts_as: str | None = None) -> None:
         """A line for these readers, for all where none is named."""
         if counts_as is not None:
-            self._counting[counts_as] = line
+            self._current_lines[counts_as] = line
         data = line_encoder.encode(line)
         for reader in self.readers:
             if reader.since is None or (to and self._names.get(reader.since, to[0]) not in to):
                 continue
             self._sent[reader] = number = self._sent.get(reader, 0) + 1
-            text = b'{"seq":%d,"life":%d,"line":%b}\n' % (number, self.life, data)
+            text = b'{"seq":%d,"life":%d,"line":%b}\n' % (number, self.incarnation, data)
             self.lines, self.bytes = self.lines + 1, self.bytes + len(text)
             reader.connection.write(text)
 
@@ -63,8 +63,8 @@
         """What counts, and the numbers begin."""
         self._sent = {known: number for known, number in self._sent.items() if known in self.readers}
         self._sent[reader] = 1
-        head = {"seq": 1, "life": self.life, "whole": True}
-        for item in [{**head, "line": line} for line in self._counting.values()] or [head]:
+        head = {"seq": 1, "life": self.incarnation, "whole": True}
+        for item in [{**head, "line": line} for line in self._current_lines.values()] or [head]:
             reader.connection.write(line_encoder.encode(item) + b"\n")
         if name := self._names.get(reader.since):
             self.followed(name)
@@ -92,7 +92,7 @@
         self._hello = hello
 
     def on_up(self) -> None:
-        self.seq = self.life = 0
+        self.seq = self.incarnation = 0
         asked = secrets.randbits(50) + 2
         self._connection.write(b"since %d\n" % asked)
         self._hello(asked)
--- a/fawnwharf/replication/placement.py
+++ b/fawnwharf/replication/placement.py
@@ -23,7 +23,7 @@
         self.number = members.number
         candidates: dict[str, list[str]] = {}
         for member in members.members:
-            if member.state:
+            if member.replication_address:
                 candidates.setdefault(member.zone, []).append(member.name)
         # Few replicas, so that not every front end has to be connected to all others.
         self.by_zone = {
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -56,10 +56,10 @@
         self._members_path = place.parent / self.settings.membership_file
         members: Membership = load_file(self._members_path, membership_from, "state")
         self._members_seen = self._mark()
-        entry = members.named(deployment.name)
+        entry = members.find_member(deployment.name)
         if entry is None:
             raise ConfigError(f"state: {deployment.name} is not among the members of {self._members_path}")
-        if not entry.state:
+        if not entry.replication_address:
             raise ConfigError(f"state: {deployment.name} has no `state` in {self._members_path}")
         try:
             check_members(members, self.settings)
@@ -111,7 +111,7 @@
     def attach(self, front: FrontEnd) -> None:
         """Begin, on the front end's loop."""
         self.front_end = front
-        place = self.settings.listen or self.member.state
+        place = self.settings.listen or self.member.replication_address
         try:
             self.log_server = DirectedLogServer(
                 front.loop,
@@ -196,8 +196,8 @@
 
     def _hear(self) -> None:
         for name, feed in self._feeds.items():
-            if feed.up and feed.life:
-                self.core.record_sign_of_life(feed.heard_ms, name, feed.life)
+            if feed.up and feed.incarnation:
+                self.core.record_sign_of_life(feed.heard_ms, name, feed.incarnation)
 
     # --- what the core says ---------------------------------------------------------------------
 
@@ -304,9 +304,9 @@
         if self.core.replica:
             keepers |= {member.name for member in self.core.members.members}
         wanted = {
-            member.name: member.state
+            member.name: member.replication_address
             for member in self.core.members.members
-            if member.state and member.name in keepers and member.name != self.member.name
+            if member.replication_address and member.name in keepers and member.name != self.member.name
         }
         for name in [name for name in self._feeds if name not in wanted]:
             self._feeds.pop(name).close()
@@ -376,8 +376,8 @@
         try:
             members = membership_from(self._members_path.read_bytes())
             check_members(members, self.settings)
-            now = members.named(self.member.name)
-            if now is None or now.state != self.member.state:
+            now = members.find_member(self.member.name)
+            if now is None or now.replication_address != self.member.replication_address:
                 raise SettingsFileError(f"members: {self.member.name} is not as it was")
         except (OSError, SettingsFileError) as error:
             self.log_event("members left aside, the old ones go on", {"fault": str(error)})
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -69,11 +69,11 @@
 
 
 def _look(members: Membership, name: str) -> w.Status | str:
-    entry = members.named(name)
-    if entry is None or not entry.state:
+    entry = members.find_member(name)
+    if entry is None or not entry.replication_address:
         _fail(f"sessions: no member {name} with a `state`")
     try:
-        return look(entry.state)
+        return look(entry.replication_address)
     except (OSError, ValueError, msgspec.ValidationError) as error:
         return str(error)
 
@@ -83,7 +83,9 @@
     """How front ends stand; status 1 where one gave no answer."""
     _, _, members = _files(sessions, state)
     silent = False
-    for name in [member] if member else [entry.name for entry in members.members if entry.state]:
+    for name in (
+        [member] if member else [entry.name for entry in members.members if entry.replication_address]
+    ):
         found = _look(members, name)
         if isinstance(found, str):
             silent = True
@@ -109,7 +111,7 @@
     place: Path, members: Membership, change: Callable[[s.Wishes], s.Wishes]
 ) -> tuple[s.Wishes, Callable[[], None]]:
     """Write what is asked; the second value takes it back."""
-    sites = {entry.zone for entry in members.members if entry.state}
+    sites = {entry.zone for entry in members.members if entry.replication_address}
     try:
         before = place.read_bytes() if place.exists() else None
         known = s.wishes_from(before, sites) if before is not None else s.Wishes()
@@ -173,7 +175,7 @@
     site: str, sessions: str, state: str, member: str, wait: float, change: Callable[[set[str]], set[str]]
 ) -> None:
     _, place, members = _files(sessions, state)
-    if site not in {entry.zone for entry in members.members if entry.state}:
+    if site not in {entry.zone for entry in members.members if entry.replication_address}:
         _fail(f"sessions: no site {site}")
     wanted, _ = _wish(
         place,
--- a/fawnwharf/zones/bootstrap.py
+++ b/fawnwharf/zones/bootstrap.py
@@ -19,8 +19,8 @@
     folder = settings_path.parent
     settings = load_file(settings_path, settings_from, "zones")
     membership = load_file(folder / settings.membership_file, membership_from, "zones")
-    entry = membership.named(name)
-    if entry is None or not entry.ballots:
+    entry = membership.find_member(name)
+    if entry is None or not entry.voter_address:
         raise ConfigError(f"zones: {name} is no voter among the members")
     try:
         disk = VoterStore(folder / settings.state_folder, membership.fleet, name)
--- a/fawnwharf/zones/command_helpers.py
+++ b/fawnwharf/zones/command_helpers.py
@@ -41,7 +41,7 @@
     Exits with status 2 where there is none.
     """
     if member:
-        entry = membership.named(member)
+        entry = membership.find_member(member)
         if entry is None:
             fail(f"zones: no member {member}")
         address, key = entry.address, "members.address"
--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -80,7 +80,7 @@
     @property
     def zone(self) -> str:
         """This member's zone; empty where it is not in the membership."""
-        entry = self.membership.named(self.name)
+        entry = self.membership.find_member(self.name)
         return entry.zone if entry else ""
 
     def is_plan_valid(self, now_ms: float) -> bool:
@@ -133,7 +133,7 @@
 
     def _is_member(self, sender: str) -> bool:
         """Whether the sender is in the membership; counts the line as dropped where it is not."""
-        if self.membership.named(sender) is not None:
+        if self.membership.find_member(sender) is not None:
             return True
         self.state.drop_counts.add(DropCause.UNKNOWN_MEMBER)
         return False
--- a/fawnwharf/zones/member_feeds.py
+++ b/fawnwharf/zones/member_feeds.py
@@ -56,14 +56,14 @@
     def _wanted(self, membership: Membership) -> dict[LogName, str]:
         """The addresses of the logs to follow."""
         wanted: dict[LogName, str] = {}
-        votes = bool(self._own.ballots)
+        votes = bool(self._own.voter_address)
         for member in membership.members:
             if member.name == self._own.name:
                 continue
-            if votes or member.ballots:
+            if votes or member.voter_address:
                 wanted[LogName(member.name, is_voter_log=False)] = member.address
-            if votes and member.ballots:
-                wanted[LogName(member.name, is_voter_log=True)] = member.ballots
+            if votes and member.voter_address:
+                wanted[LogName(member.name, is_voter_log=True)] = member.voter_address
         return wanted
 
     def _receiver(self, name: LogName) -> Callable[[Any], None]:
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -48,7 +48,7 @@
     ) -> None:
         """`receive` takes the content of each line; it raises ValueError for one that no member writes."""
         super().__init__(loop, address, 0, receive, log)
-        self.life = 0  # the incarnation that is followed
+        self.incarnation = 0  # the incarnation that is followed
         self.lines = 0  # that were received
 
     @property
@@ -69,7 +69,7 @@
         if type(seq) is not int or type(life) is not int or seq < 0 or life <= 0:
             return False
         if not whole:
-            if life != self.life:
+            if life != self.incarnation:
                 return self._restart()
             if seq <= self.seq:
                 return True
@@ -77,12 +77,12 @@
                 return self._restart()
         if "line" in read and not self._receive(read["line"]):
             return False
-        self.life, self.seq = life, seq
+        self.incarnation, self.seq = life, seq
         return True
 
     def _restart(self) -> bool:
         """Request all current lines with the next connection."""
-        self.seq = self.life = 0
+        self.seq = self.incarnation = 0
         return False
 
     def _receive(self, line: Any) -> bool:
@@ -146,16 +146,16 @@
 class LogServer:
     """Owns a listener, the log behind it, and its readers."""
 
-    def __init__(self, loop: EventLoop, address: Address, life: int, max_readers: int) -> None:
-        """`life` is this process's incarnation. Raises OSError where the address cannot be bound."""
+    def __init__(self, loop: EventLoop, address: Address, incarnation: int, max_readers: int) -> None:
+        """`incarnation` is that of this process. Raises OSError where the address cannot be bound."""
         self.loop = loop
-        self.life = life
+        self.incarnation = incarnation
         self.seq = 0
         self.readers: dict[_Reader, None] = {}
         self._max_readers = max_readers
         self._stored: deque[tuple[int, bytes]] = deque()
         self._stored_bytes = 0
-        self._counting: dict[Hashable, Any] = {}  # the current line of each key
+        self._current_lines: dict[Hashable, Any] = {}  # the current line of each key
         self._listener = _listen(address)
         self.address: Address = self._listener.getsockname()[:2]
         self._closed = False
@@ -169,8 +169,8 @@
         """
         self.seq += 1
         if counts_as is not None:
-            self._counting[counts_as] = line
-        data = line_encoder.encode({"seq": self.seq, "life": self.life, "line": line}) + b"\n"
+            self._current_lines[counts_as] = line
+        data = line_encoder.encode({"seq": self.seq, "life": self.incarnation, "line": line}) + b"\n"
         self._store(data)
         for reader in self.readers:
             if reader.since is not None:
@@ -198,8 +198,8 @@
                 reader.connection.write(data)
 
     def _send_current(self, reader: _Reader) -> None:
-        head = {"seq": self.seq, "life": self.life, "whole": True}
-        numbered = [{**head, "line": line} for line in self._counting.values()]
+        head = {"seq": self.seq, "life": self.incarnation, "whole": True}
+        numbered = [{**head, "line": line} for line in self._current_lines.values()]
         for item in numbered or [head]:
             reader.connection.write(line_encoder.encode(item) + b"\n")
 
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -68,7 +68,7 @@
         membership = load_file(self._membership_file.path, membership_from, "zones")
         self._membership_file.changed()
         self.entry = self._own_entry(membership)
-        self.disk = self._open_disk(membership.fleet) if self.entry.ballots else None
+        self.disk = self._open_disk(membership.fleet) if self.entry.voter_address else None
         now = monotonic_ms()
         self.core = MemberCore(self.entry.name, membership, self.settings, now, self._voter_start())
         objectives = [spec.latency_target_ms for spec in deployment.settings.classes.values()]
@@ -76,8 +76,8 @@
         self.evidence_collector = EvidenceCollector(self.settings.evidence, latency_objective_ms)
         self.plan_application = PlanApplication(deployment, self.entry.zone, lambda: self.core.membership)
         self.log_clients: dict[str, LogClient] = {}  # by the kind of their registers
-        self.public: LogServer | None = None
-        self.ballots: LogServer | None = None
+        self.log_server: LogServer | None = None
+        self.voter_log_server: LogServer | None = None
         self._front: FrontEnd | None = None
         self._feeds: MemberFeeds | None = None
         self._prober: ZoneProber | None = None
@@ -94,7 +94,7 @@
     def _own_entry(self, membership: Membership) -> MemberEntry:
         """This front end's entry; raises ConfigError where it has none, or one of another zone."""
         name, zone = self.deployment.name, self.deployment.settings.zone
-        entry = membership.named(name)
+        entry = membership.find_member(name)
         if entry is None:
             raise ConfigError(f"zones: {name} is not among the members of {self._membership_file.path}")
         if entry.zone != zone:
@@ -131,10 +131,10 @@
         self._front = front
         max_readers = len(self.core.membership.members) + OPERATOR_READERS
         listen = self.settings.listen or self.entry.address
-        self.public = self._server("listen", listen, max_readers)
-        if self.entry.ballots:
-            listen = self.settings.listen_voter_address or self.entry.ballots
-            self.ballots = self._server("listen_ballots", listen, max_readers)
+        self.log_server = self._server("listen", listen, max_readers)
+        if self.entry.voter_address:
+            listen = self.settings.listen_voter_address or self.entry.voter_address
+            self.voter_log_server = self._server("listen_ballots", listen, max_readers)
         self._feeds = MemberFeeds(front.loop, self.entry, self._receive, self._on_line_rejected)
         self._feeds.follow(self.core.membership)
         self._check_files()
@@ -159,7 +159,7 @@
     def close(self) -> None:
         """Close the health checks, the feeds, the servers and the disk."""
         self._stopped = True
-        for part in (self._prober, self._feeds, self.public, self.ballots, self.disk):
+        for part in (self._prober, self._feeds, self.log_server, self.voter_log_server, self.disk):
             if part is not None:
                 part.close()
 
@@ -262,11 +262,11 @@
     def _write_line(self, effect: PublishLine | SendVoterMessage) -> None:
         line = msgspec.to_builtins(effect.line)
         if isinstance(effect, SendVoterMessage):
-            if self.ballots is not None:
-                self.ballots.write(line)
-        elif self.public is not None:
+            if self.voter_log_server is not None:
+                self.voter_log_server.write(line)
+        elif self.log_server is not None:
             current = next((key for key in ("plan", "report") if key in line), None)
-            self.public.write(line, counts_as=current)
+            self.log_server.write(line, counts_as=current)
 
     def _pass_on(self, effect: MessagesReceived | RegisterDecided) -> None:
         """Pass messages or a register on to its log client."""
@@ -287,9 +287,9 @@
         self._publish(client, **{client: status})
 
     def _publish(self, counts_as: str | None, **fields: Any) -> None:
-        if not self._stopped and self.public is not None:
+        if not self._stopped and self.log_server is not None:
             line = self.core.state.make_line(**fields)
-            self.public.write(msgspec.to_builtins(line), counts_as=counts_as)
+            self.log_server.write(msgspec.to_builtins(line), counts_as=counts_as)
 
     def consensus_status(self, now_ms: float) -> ConsensusStatus:
         """The state of this member's voter; a blank one after its disk has failed."""
@@ -341,7 +341,7 @@
         except SettingsFileError as error:
             self._log(log_events.MembershipRejected(str(error)))
             return
-        entry = membership.named(self.entry.name)
+        entry = membership.find_member(self.entry.name)
         if entry is None or entry.zone != self.entry.zone:
             self._log(log_events.MembershipRejected(f"{self.entry.name} is missing or in another zone"))
             return
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -33,9 +33,9 @@
     address: HostPort  # of its member log
     region: Annotated[str, Meta(max_length=48)] = ""
     # The address of its voter log; only voters have one.
-    ballots: HostPort | None = None
+    voter_address: HostPort | None = msgspec.field(name="ballots", default=None)
     # The address of its log of replicated state; only members that keep such state have one.
-    state: HostPort | None = None
+    replication_address: HostPort | None = msgspec.field(name="state", default=None)
 
 
 class Membership(Struct, frozen=True):
@@ -49,14 +49,14 @@
     @property
     def voters(self) -> list[MemberEntry]:
         """The members that vote."""
-        return [member for member in self.members if member.ballots]
+        return [member for member in self.members if member.voter_address]
 
     @property
     def zones(self) -> dict[str, str]:
         """The region of each zone, by zone name."""
         return {member.zone: member.region for member in self.members}
 
-    def named(self, name: str) -> MemberEntry | None:
+    def find_member(self, name: str) -> MemberEntry | None:
         """The member with this name, or None."""
         return next((member for member in self.members if member.name == name), None)
 
@@ -231,7 +231,11 @@
         if entry.name in names:
             raise SettingsFileError(f"members[{index}].name: {entry.name} stands twice")
         names.add(entry.name)
-        for key, address in (("address", entry.address), ("ballots", entry.ballots), ("state", entry.state)):
+        for key, address in (
+            ("address", entry.address),
+            ("ballots", entry.voter_address),
+            ("state", entry.replication_address),
+        ):
             if address is None:
                 continue
             if address in addresses:
--- a/fawnwharf/zones/voter_role.py
+++ b/fawnwharf/zones/voter_role.py
@@ -86,8 +86,8 @@
 
     def receive(self, now_ms: float, line: LogLine, message: m.Message) -> list[Effect]:
         """Take a line of another voter's log with this message."""
-        entry = self._state.membership.named(line.sender)
-        if entry is None or not entry.ballots:
+        entry = self._state.membership.find_member(line.sender)
+        if entry is None or not entry.voter_address:
             self._state.drop_counts.add(DropCause.NON_VOTER)
             return []
         reported_before = self.reported_disk_writes.get(message.sender, 0)
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -113,7 +113,7 @@
     log = member_log.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
     rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
     assert [log.event(json.loads(row)) for row in rows] == [True, True]
-    assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.life) == (3, 7)
+    assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.incarnation) == (3, 7)
     assert log.event(json.loads('{"seq":5,"life":7,"line":{}}')) is False and log.seq == 0
 
 
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -126,7 +126,7 @@
             messages=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
         )
         for other in self.names:
-            voter = self.file.named(name).ballots or self.file.named(other).ballots
+            voter = self.file.find_member(name).voter_address or self.file.find_member(other).voter_address
             if other != name and voter and self.chance.random() >= self.lost:
                 self.send(name, other, line, False)
 
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -42,7 +42,7 @@
         self.chance, self.rules, self.now = random.Random(seed), rules, 0.0
         self.fronts = {f"{zone}{n}": Front(f"{zone}{n}", zone) for zone in zones for n in range(per_zone)}
         entries = [
-            MemberEntry(name, front.site, "127.0.0.1:1", state=f"127.0.0.1:{n + 2}")
+            MemberEntry(name, front.site, "127.0.0.1:1", replication_address=f"127.0.0.1:{n + 2}")
             for n, (name, front) in enumerate(self.fronts.items())
         ]
         self.entries, self.placement = entries, ReplicaPlacement(Membership(1, "f", 1, entries), 3, 1)
--- a/tests/support/zone_fleet.py
+++ b/tests/support/zone_fleet.py
@@ -25,15 +25,17 @@
         self.disks, self.cores, self.notes, self.lines = {}, {}, [], 0
         self.following = {}
         for n, entry in enumerate(file.members):
-            if entry.ballots:
+            if entry.voter_address:
                 self.disks[entry.name] = bootstrap_state(entry.name + "#0") if n == 0 else PersistentState()
             self.start(entry.name, f"{entry.name}#0", seed + n)
 
     def start(self, name, identity, seed=99):
         """Start a member, again with its disk or for the first time."""
-        entry = self.file.named(name)
+        entry = self.file.find_member(name)
         voter = (
-            VoterStart(identity, seed, self.disks.get(name) or PersistentState()) if entry.ballots else None
+            VoterStart(identity, seed, self.disks.get(name) or PersistentState())
+            if entry.voter_address
+            else None
         )
         core = MemberCore(name, self.file, self.settings, self.now, voter)
         self.cores[name] = core
@@ -52,7 +54,7 @@
             if self.cores[name] is not core or name in self.dead:
                 continue
             if line is None:
-                entry = self.file.named(name)
+                entry = self.file.find_member(name)
                 seen = {zone: self.seen(entry, zone) for zone in self.file.zones}
                 seen = {zone: signs for zone, signs in seen.items() if signs}
                 self.do(name, core.tick(self.now, seen, dict.fromkeys(self.file.zones, 8.0), 0.0))
@@ -70,9 +72,9 @@
             if isinstance(effect, SaveVoterState):
                 self.disks[name] = effect.saved
             elif isinstance(effect, PublishLine):
-                voter = self.file.named(name).ballots
+                voter = self.file.find_member(name).voter_address
                 for other in self.file.members:
-                    if other.name != name and (voter or other.ballots):
+                    if other.name != name and (voter or other.voter_address):
                         self.send(name, other.name, effect.line, False)
             elif isinstance(effect, SendVoterMessage):
                 self.send(name, effect.to, effect.line, True)
--- a/tests/test_disk_faults_service.py
+++ b/tests/test_disk_faults_service.py
@@ -40,7 +40,7 @@
         zones = ZoneService(
             deployment, tmp_path / "zones.json", lambda event, fields: notes.append((event, fields))
         )
-        zones.public, zones.ballots = Written(), Written()
+        zones.log_server, zones.voter_log_server = Written(), Written()
         zones.core.voter.leader_contact_ms = monotonic_ms() - LONG_AGO_MS
         return zones
 
@@ -52,9 +52,9 @@
     """The voter's word on another's wish to lead in a term; None: it says nothing."""
     ask = m.VoteRequest(f"{sender}#ab", zones.core.identity, term, 0, 0)
     line = LogLine("f", sender, voter_message=msgspec.to_builtins(ask), disk_writes=term)
-    said = len(zones.ballots.lines)
+    said = len(zones.voter_log_server.lines)
     zones._carry_out(zones.core.receive_voter_line(monotonic_ms(), sender, msgspec.to_builtins(line)))
-    return [line["ballot"]["granted"] for line in zones.ballots.lines[said:]]
+    return [line["ballot"]["granted"] for line in zones.voter_log_server.lines[said:]]
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
@@ -70,9 +70,9 @@
         assert (
             asked(zones, "n2", 3) == [] and zones.core.voter is None and not zones.consensus_status(0.0).fresh
         )
-        told = len(zones.public.lines)
+        told = len(zones.log_server.lines)
         zones._carry_out(zones.core.tick(monotonic_ms() + LONG_AGO_MS, {}, {}, 0.0))
-        assert len(zones.public.lines) == told + 1  # its report, for the rest of the fleet
+        assert len(zones.log_server.lines) == told + 1  # its report, for the rest of the fleet
         faults.cut(late_names=False)
         zones = start()
         assert zones.disk.saved.term == 1 and asked(zones, "n2", 1) == [False]
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -114,7 +114,7 @@
         until(lambda: told)
         assert told == [{"n": 2}]
         a.forget("b")
-        assert a._counting == {}
+        assert a._current_lines == {}
     finally:
         for part in (*feeds, a, b, loop):
             part.close()
--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -67,7 +67,7 @@
     def tell(self, name, line):
         for other in self.file.members:
             lost = self.chance.random() < self.lost
-            voter = self.file.named(name).ballots or other.ballots
+            voter = self.file.find_member(name).voter_address or other.voter_address
             if other.name != name and voter and not lost:
                 self.send(name, other.name, line, False)
 
@@ -172,7 +172,7 @@
 def test_a_leader_that_is_cut_off_rests_and_its_words_count_for_nothing():
     fleet = begun()
     first, name = fleet.leader(), fleet.follower()
-    zone = fleet.file.named(first).zone
+    zone = fleet.file.find_member(first).zone
     fleet.part(zone)
     fleet.say(first, 1, propose=quota(5))  # to itself: it does not know yet
     fleet.until(lambda: fleet.leader() not in (None, first))
--- a/tests/zones/test_zones_member_core.py
+++ b/tests/zones/test_zones_member_core.py
@@ -27,7 +27,7 @@
 
 def test_a_zone_lost_together_with_the_leader_is_put_out_by_the_remaining_members():
     fleet = ZoneFleet(members("abcabcabc", 3)).run(15)
-    zone = fleet.file.named(fleet.leaders()[0]).zone
+    zone = fleet.file.find_member(fleet.leaders()[0]).zone
     fleet.dead = {member.name for member in fleet.file.members if member.zone == zone}
     fleet.seen = lambda _member, other: DEAD if other == zone else GOOD
     fleet.run(12)
@@ -38,7 +38,7 @@
 
 def test_a_new_leader_uses_what_it_observed_as_a_follower():
     fleet = ZoneFleet(members("abcabcabc", 3)).run(15)
-    zone = fleet.file.named(fleet.leaders()[0]).zone
+    zone = fleet.file.find_member(fleet.leaders()[0]).zone
     lost = fleet.now
     fleet.dead = {member.name for member in fleet.file.members if member.zone == zone}
     fleet.seen = lambda _member, other: DEAD if other == zone else GOOD
--- a/tests/zones/test_zones_member_log.py
+++ b/tests/zones/test_zones_member_log.py
@@ -92,7 +92,7 @@
                 self.until(lambda last=last: last in self.told, "the new life is followed")
                 again.write({"new": "more"})
                 self.until(lambda: {"new": "more"} in self.told, "and goes on")
-                assert (feed.life, feed.seq) == (6, later + 1)
+                assert (feed.incarnation, feed.seq) == (6, later + 1)
 
     def test_heartbeats_keep_a_log_alive_and_a_silent_one_is_dialed_again(self):
         server = self.server()
