--- a/fawnwharf/zones/evidence.py
+++ b/fawnwharf/zones/evidence.py
@@ -5,7 +5,7 @@
 
 from collections import deque
 from dataclasses import dataclass, field
-from enum import Enum, IntEnum
+from enum import Enum
 from typing import Annotated
 
 import msgspec
@@ -72,24 +72,22 @@
     return ZoneHealth.GOOD
 
 
-class _Sign(IntEnum):
-    """One kind of evidence; the value is its place in a list of counts."""
-
-    RESPONSE = 0
-    SLOW_RESPONSE = 1
-    TIMEOUT = 2
-    CONNECT_FAILURE = 3
-    RESET = 4
-
-
-_SIGN_OF_ENDING = {
-    AttemptResult.GOOD: _Sign.RESPONSE,
-    AttemptResult.ERROR: _Sign.RESPONSE,
-    AttemptResult.FULL: _Sign.RESPONSE,
-    AttemptResult.MISS: _Sign.RESPONSE,
-    AttemptResult.TIMEOUT: _Sign.TIMEOUT,
-    AttemptResult.CONNECT_FAILED: _Sign.CONNECT_FAILURE,
-    AttemptResult.RESET: _Sign.RESET,
+# The kinds of signs, as places in a list of counts: plain numbers, since each event of a batch counts one.
+_RESPONSE = 0
+_SLOW_RESPONSE = 1
+_TIMEOUT = 2
+_CONNECT_FAILURE = 3
+_RESET = 4
+_KINDS = 5
+
+_KIND_OF_RESULT = {
+    AttemptResult.GOOD: _RESPONSE,
+    AttemptResult.ERROR: _RESPONSE,
+    AttemptResult.FULL: _RESPONSE,
+    AttemptResult.MISS: _RESPONSE,
+    AttemptResult.TIMEOUT: _TIMEOUT,
+    AttemptResult.CONNECT_FAILED: _CONNECT_FAILURE,
+    AttemptResult.RESET: _RESET,
 }
 
 _SLICES = 4  # of the window; evidence is forgotten one slice at a time
@@ -129,20 +127,20 @@
         nothing otherwise.
         """
         if ending is AttemptResult.CANCELLED and took_ms > self._latency_objective_ms:
-            self._record(now_ms, zone, scorer, _Sign.TIMEOUT)
-        elif (sign := _SIGN_OF_ENDING.get(ending)) is not None:
-            self._record(now_ms, zone, scorer, sign)
-            if sign is _Sign.RESPONSE and took_ms > self._latency_objective_ms:
-                self._count(now_ms, zone, _Sign.SLOW_RESPONSE)
+            self._record(now_ms, zone, scorer, _TIMEOUT)
+        elif (kind := _KIND_OF_RESULT.get(ending)) is not None:
+            self._record(now_ms, zone, scorer, kind)
+            if kind == _RESPONSE and took_ms > self._latency_objective_ms:
+                self._count(now_ms, zone, _SLOW_RESPONSE)
 
     def record_probe(self, now_ms: float, zone: str, scorer: int, *, connected: bool) -> None:
         """Record the result of a probe."""
-        self._record(now_ms, zone, scorer, _Sign.RESPONSE if connected else _Sign.CONNECT_FAILURE)
+        self._record(now_ms, zone, scorer, _RESPONSE if connected else _CONNECT_FAILURE)
 
-    def _record(self, now_ms: float, zone: str, scorer: int, sign: _Sign) -> None:
-        self._count(now_ms, zone, sign)
+    def _record(self, now_ms: float, zone: str, scorer: int, kind: int) -> None:
+        self._count(now_ms, zone, kind)
         run = self._runs.setdefault(zone, _FailureRun(now_ms))
-        if sign is _Sign.RESPONSE:
+        if kind == _RESPONSE:
             run.success_ms = now_ms
             run.failing_scorers.clear()
         else:
@@ -153,14 +151,14 @@
         run = self._runs.get(zone)
         return now_ms - run.success_ms if run else float("inf")
 
-    def _count(self, now_ms: float, zone: str, sign: _Sign) -> None:
+    def _count(self, now_ms: float, zone: str, kind: int) -> None:
         self._forget_old(now_ms)
         if not self._slices or now_ms - self._slices[-1].began_ms >= self._settings.window_ms / _SLICES:
             self._slices.append(_Slice(now_ms))
-        counts = self._slices[-1].counts
-        if zone not in counts:
-            counts[zone] = [0] * len(_Sign)
-        counts[zone][sign] += 1
+        counts = self._slices[-1].counts.get(zone)
+        if counts is None:
+            counts = self._slices[-1].counts[zone] = [0] * _KINDS
+        counts[kind] += 1
 
     def _forget_old(self, now_ms: float) -> None:
         while self._slices and now_ms - self._slices[0].began_ms > self._settings.window_ms:
@@ -172,19 +170,20 @@
         totals: dict[str, list[int]] = {}
         for part in self._slices:
             for zone, counts in part.counts.items():
-                total = totals.get(zone, [0] * len(_Sign))
-                totals[zone] = [before + count for before, count in zip(total, counts, strict=True)]
+                total = totals.setdefault(zone, [0] * _KINDS)
+                for kind, count in enumerate(counts):
+                    total[kind] += count
         return {zone: self._zone_evidence(now_ms, zone, counts) for zone, counts in totals.items()}
 
     def _zone_evidence(self, now_ms: float, zone: str, counts: list[int]) -> ZoneEvidence:
         run = self._runs[zone]
         failing = len(run.failing_scorers)
         return ZoneEvidence(
-            responses=counts[_Sign.RESPONSE],
-            slow_responses=counts[_Sign.SLOW_RESPONSE],
-            timeouts=counts[_Sign.TIMEOUT],
-            connect_failures=counts[_Sign.CONNECT_FAILURE],
-            resets=counts[_Sign.RESET],
+            responses=counts[_RESPONSE],
+            slow_responses=counts[_SLOW_RESPONSE],
+            timeouts=counts[_TIMEOUT],
+            connect_failures=counts[_CONNECT_FAILURE],
+            resets=counts[_RESET],
             failing_scorers=failing,
             since_success_ms=round(now_ms - run.success_ms) if failing else 0.0,
         )
