--- a/fawnwharf/recovery_core/queries.py
+++ b/fawnwharf/recovery_core/queries.py
@@ -1,9 +1,9 @@
-"""What a starting front end asks, of whom, in which order, and how long it waits.
+"""What a starting front end queries, of whom, in which order, and how long it waits.
 
-Pure; times are milliseconds of its own monotonic clock. One thing is asked after the other, each until it is
-answered or its bound is over; then it goes on at the stated lower level, and takes the answer whenever it
-comes. A majority is one of all that are on the list, never of those that happen to be up: so the silence of
-the dead is no answer. And as nothing waits beyond its bound, whoever will not come is not waited for.
+Pure; times are milliseconds of its own monotonic clock. One topic is queried after the other, each until it
+is answered or its timeout is over; then the front end continues at the stated lower level, and takes the
+answer whenever it comes. A majority is one of all members on the list, never of those that happen to be up: so the
+silence of a failed member is no answer. As nothing waits beyond its timeout, no member is waited for forever.
 """
 
 from collections.abc import Mapping
@@ -11,6 +11,7 @@
 from enum import Enum, IntEnum
 from typing import Annotated
 
+import msgspec
 from msgspec import Meta, Struct
 
 from fawnwharf.recovery_core.trust import MajorityAnswer
@@ -18,10 +19,11 @@
 from fawnwharf.zones.settings import Name
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
+TopicNumber = Annotated[int, Meta(ge=0, le=4)]
 
 
 class QueryTopic(IntEnum):
-    """What is asked, in this order; the numbers are sent."""
+    """What is queried, in this order; the numbers are sent."""
 
     MEMBERS = 0
     PLAN = 1  # and policy
@@ -39,7 +41,7 @@
 
 
 class QueryTarget(Enum):
-    """Who is asked."""
+    """Who is queried."""
 
     VOTERS = "voters"
     REPLICAS = "keepers"
@@ -55,7 +57,7 @@
 
 
 class QueryState(Enum):
-    """How far a question has come."""
+    """How far a query has come; the values appear in the status."""
 
     NOT_ASKED = "not asked yet"
     WAITING = "asked"
@@ -65,12 +67,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryStep:
-    """How one question is asked, and what it is to go on without an answer."""
+    """How one topic is queried, and the level at which the front end continues without an answer."""
 
-    of: QueryTarget
-    need: AnswersNeeded
-    bound_ms: float
-    without: str  # the level at which it goes on
+    target: QueryTarget
+    needed: AnswersNeeded
+    timeout_ms: float
+    fallback: str  # as it appears in the status
 
 
 QUERY_STEPS: Mapping[QueryTopic, QueryStep] = {
@@ -108,34 +110,33 @@
 
 
 class Query(Struct, frozen=True, tag="Ask"):
-    """A question.
+    """A query.
 
-    `life` and `turn` come back with the answer: what an earlier incarnation asked is not answered to this
-    one.
+    `incarnation` and `sequence` come back with the answer: an answer to an earlier incarnation is dropped.
     """
 
     fleet: Name
-    life: Number
-    turn: Number
-    what: Annotated[int, Meta(ge=0, le=4)]
+    incarnation: Number = msgspec.field(name="life")
+    sequence: Number = msgspec.field(name="turn")
+    topic: TopicNumber = msgspec.field(name="what")
 
 
 class Answer(Struct, frozen=True, tag="Answer"):
-    """The answer; `number` and `digest` are of the file of members, of the last plan, or of the roster."""
+    """An answer; `number` and `digest` are of the membership file, of the last plan, or of the roster."""
 
     fleet: Name
-    life: Number  # the asker's
-    turn: Number
-    what: Annotated[int, Meta(ge=0, le=4)]
-    sender_life: Number
-    sure: bool  # it trusts what it says: from a whole store, or heard in this life
+    incarnation: Number = msgspec.field(name="life")  # of the front end that asked
+    sequence: Number = msgspec.field(name="turn")
+    topic: TopicNumber = msgspec.field(name="what")
+    sender_incarnation: Number = msgspec.field(name="sender_life")
+    trusted: bool = msgspec.field(name="sure")  # by the sender: from an intact store, or since its start
     number: Number = 0
     digest: Annotated[str, Meta(max_length=64)] = ""
-    leased: bool = False  # a leader's word, under its lease, that this is the last one
+    leased: bool = False  # a leader says under its lease that this is the last one
 
 
 class SendQuery(Struct, frozen=True):
-    """Effect: send a question."""
+    """Action: send a query."""
 
     to: str
     message: Query
@@ -143,182 +144,215 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryPace:
-    """How fast questions are repeated and spread."""
+    """How fast queries are repeated and spread. The names of the fields are keys of the recovery settings."""
 
-    again_ms: float = 200.0  # what is not answered is asked again
-    spread_ms: float = 200.0  # front ends that start together ask spread over this
+    again_ms: float = 200.0  # what is not answered is queried again
+    spread_ms: float = 200.0  # front ends that start together spread their queries over this
+
+
+LATE_RETRY_FACTOR = 5  # a query that has timed out is repeated so much less often
+
+
+@dataclass(frozen=True, slots=True)
+class Querier:
+    """The front end that asks, and what it knows at its start."""
+
+    name: str
+    fleet: str
+    incarnation: int
+    lists: Mapping[QueryTarget, tuple[str, ...]]  # all that there are by the membership file, up or not
+    own: Mapping[QueryTopic, tuple[int, str]] = field(default_factory=dict)
+    """Number and digest of what its own intact store says. Without it, its own answer counts in no majority.
+    A replica whose store is intact has an entry for GRANTS and asks nobody."""
 
 
 @dataclass(slots=True)
-class _Open:
-    stand: QueryState = QueryState.NOT_ASKED
+class OpenQuery:
+    """One topic's state and the answers so far."""
+
+    state: QueryState = QueryState.NOT_ASKED
     since_ms: float = 0.0
-    again_ms: float = 0.0
-    answers: dict[str, Answer] = field(default_factory=dict)
+    retry_ms: float = 0.0
+    answers: dict[str, Answer] = field(default_factory=dict)  # by sender
 
 
 class StartupQueries:
-    """Owns what one incarnation of a front end has asked, and the answers."""
+    """Owns the queries of one incarnation of a front end, and the answers."""
 
     def __init__(
         self,
-        me: str,
-        fleet: str,
-        life: int,
-        lists: Mapping[QueryTarget, tuple[str, ...]],
+        querier: Querier,
         now_ms: float,
-        own: Mapping[QueryTopic, tuple[int, str]] | None = None,
         pace: QueryPace | None = None,
         steps: Mapping[QueryTopic, QueryStep] = QUERY_STEPS,
     ) -> None:
-        """`lists`: all that there are by the file of members, up or not.
-
-        `own`: number and digest of what its own intact store says; without it, its own answer counts in no
-        majority. A replica whose store is intact gives `own` for PROMISES and asks nobody.
-        """
-        self.me, self.fleet, self.life = me, fleet, life
-        self.lists, self.own, self.steps = dict(lists), dict(own or {}), steps
+        self.name = querier.name
+        self.fleet = querier.fleet
+        self.incarnation = querier.incarnation
+        self.lists = dict(querier.lists)
+        self.own = dict(querier.own)
+        self.steps = steps
         self.pace = pace or QueryPace()
-        self.turn = 0
-        self.behind = 0  # the largest number of a file of members that a voter went by, beyond the own one
-        self.dropped: dict[str, int] = {}
-        self.opens = {what: _Open() for what in QueryTopic}
-        self.lives: dict[str, int] = {}
+        self.sequence = 0
+        self.newer_membership = 0  # the largest number of a membership file that a voter has, beyond the own
+        self.dropped: dict[str, int] = {}  # answers that were dropped, by reason
+        self.queries = {topic: OpenQuery() for topic in QueryTopic}
+        self.incarnations: dict[str, int] = {}  # the last one of each sender
         self._begin(now_ms, QueryTopic.MEMBERS)
 
-    # --- what stands ----------------------------------------------------------------------------
+    # --- state ----------------------------------------------------------------------------------
 
-    def stand(self, what: QueryTopic) -> QueryState:
-        """How far a question has come."""
-        return self.opens[what].stand
+    def state(self, topic: QueryTopic) -> QueryState:
+        """How far a query has come."""
+        return self.queries[topic].state
 
     @property
-    def done(self) -> bool:
+    def finished(self) -> bool:
         """Whether nothing is waited for any more."""
-        return all(o.stand in (QueryState.ANSWERED, QueryState.TIMED_OUT) for o in self.opens.values())
-
-    def without(self) -> dict[QueryTopic, str]:
-        """The levels at which it goes on, as far as they are lower than they might be."""
-        return {w: self.steps[w].without for w, o in self.opens.items() if o.stand is QueryState.TIMED_OUT}
-
-    def others(self, what: QueryTopic) -> MajorityAnswer:
-        """What those asked say of the own copy, for `trust`."""
-        open_ = self.opens[what]
-        if open_.stand is not QueryState.ANSWERED:
+        done = (QueryState.ANSWERED, QueryState.TIMED_OUT)
+        return all(query.state in done for query in self.queries.values())
+
+    def fallbacks(self) -> dict[QueryTopic, str]:
+        """The lower levels at which the front end continues, by topic."""
+        return {
+            topic: self.steps[topic].fallback
+            for topic, query in self.queries.items()
+            if query.state is QueryState.TIMED_OUT
+        }
+
+    def majority_answer(self, topic: QueryTopic) -> MajorityAnswer:
+        """What those queried say of the own copy, for `trust_level`."""
+        query = self.queries[topic]
+        if query.state is not QueryState.ANSWERED:
             return MajorityAnswer.NO_ANSWER
-        leased = [a for a in open_.answers.values() if a.leased]
-        said = [(a.number, a.digest) for a in leased or open_.answers.values()]
-        number, digest = self.own.get(what, (0, ""))
-        most = max((n for n, _ in said), default=0)
-        if most > number:
-            return MajorityAnswer.LATER
-        same = all(d == digest for n, d in said if n == number)
+        leased = [answer for answer in query.answers.values() if answer.leased]
+        reported = [(answer.number, answer.digest) for answer in leased or query.answers.values()]
+        own_number, own_digest = self.own.get(topic, (0, ""))
+        if max((number for number, _ in reported), default=0) > own_number:
+            return MajorityAnswer.NEWER
+        same = all(digest == own_digest for number, digest in reported if number == own_number)
         return MajorityAnswer.CONFIRMED if same else MajorityAnswer.CONFLICTING
 
     # --- time -----------------------------------------------------------------------------------
 
     def due_ms(self) -> float | None:
-        """When `tick` is wanted; None where all is answered."""
-        dues = []
-        for what, o in self.opens.items():
-            if o.stand is QueryState.WAITING:
-                dues.append(o.since_ms + self.steps[what].bound_ms)
-            if o.stand in (QueryState.WAITING, QueryState.TIMED_OUT):
-                dues.append(o.again_ms)
-        return min(dues, default=None)
+        """When `tick` has to be called; None once everything is answered."""
+        times = []
+        for topic, query in self.queries.items():
+            if query.state is QueryState.WAITING:
+                times.append(query.since_ms + self.steps[topic].timeout_ms)
+            if query.state in (QueryState.WAITING, QueryState.TIMED_OUT):
+                times.append(query.retry_ms)
+        return min(times, default=None)
 
     def tick(self, now_ms: float) -> list[SendQuery]:
         """Do what is due; call it at `due_ms` at the latest."""
-        said: list[SendQuery] = []
-        for what, o in self.opens.items():
-            if o.stand is QueryState.WAITING and now_ms >= o.since_ms + self.steps[what].bound_ms:
-                o.stand = QueryState.TIMED_OUT
-                self._next(now_ms, what)
-            if o.stand in (QueryState.WAITING, QueryState.TIMED_OUT) and now_ms >= o.again_ms:
-                o.again_ms = now_ms + self.pace.again_ms * (1 if o.stand is QueryState.WAITING else 5)
-                said += self._ask(what)
-        return said
-
-    def _begin(self, now_ms: float, what: QueryTopic) -> None:
-        o = self.opens[what]
-        part = rendezvous_weight(self.me, str(self.life), what.label.upper()) / 2**64
-        o.stand, o.since_ms, o.again_ms = QueryState.WAITING, now_ms, now_ms + part * self.pace.spread_ms
-        self._look(now_ms, what)
-
-    def _next(self, now_ms: float, what: QueryTopic) -> None:
+        actions: list[SendQuery] = []
+        for topic, query in self.queries.items():
+            timeout_ms = self.steps[topic].timeout_ms
+            if query.state is QueryState.WAITING and now_ms >= query.since_ms + timeout_ms:
+                query.state = QueryState.TIMED_OUT
+                self._begin_next(now_ms, topic)
+            if query.state in (QueryState.WAITING, QueryState.TIMED_OUT) and now_ms >= query.retry_ms:
+                factor = 1 if query.state is QueryState.WAITING else LATE_RETRY_FACTOR
+                query.retry_ms = now_ms + self.pace.again_ms * factor
+                actions += self._send_queries(topic)
+        return actions
+
+    def _begin(self, now_ms: float, topic: QueryTopic) -> None:
+        query = self.queries[topic]
+        offset = rendezvous_weight(self.name, str(self.incarnation), topic.label.upper()) / 2**64
+        query.state = QueryState.WAITING
+        query.since_ms = now_ms
+        query.retry_ms = now_ms + offset * self.pace.spread_ms
+        self._check_answered(now_ms, topic)
+
+    def _begin_next(self, now_ms: float, topic: QueryTopic) -> None:
         for later in QueryTopic:
-            if later > what and self.opens[later].stand is QueryState.NOT_ASKED:
+            if later > topic and self.queries[later].state is QueryState.NOT_ASKED:
                 self._begin(now_ms, later)
                 return
 
-    def _targets(self, what: QueryTopic) -> list[str]:
-        return [name for name in self.lists.get(self.steps[what].of, ()) if name != self.me]
+    def _targets(self, topic: QueryTopic) -> list[str]:
+        return [name for name in self.lists.get(self.steps[topic].target, ()) if name != self.name]
+
+    def _send_queries(self, topic: QueryTopic) -> list[SendQuery]:
+        query = self._next_query(topic)
+        answered = self.queries[topic].answers
+        return [SendQuery(to, query) for to in self._targets(topic) if to not in answered]
 
-    def _ask(self, what: QueryTopic) -> list[SendQuery]:
-        self.turn += 1
-        ask = Query(self.fleet, self.life, self.turn, int(what))
-        heard = self.opens[what].answers
-        return [SendQuery(to, ask) for to in self._targets(what) if to not in heard]
+    def _next_query(self, topic: QueryTopic) -> Query:
+        self.sequence += 1
+        return Query(self.fleet, self.incarnation, self.sequence, int(topic))
 
     # --- answers --------------------------------------------------------------------------------
 
-    def heard(self, now_ms: float, sender: str, answer: Answer) -> None:
-        """Take an answer; what doesn't count is dropped and counted."""
-        if why := self._unfit(sender, answer):
-            self.dropped[why] = self.dropped.get(why, 0) + 1
+    def receive(self, now_ms: float, sender: str, answer: Answer) -> None:
+        """Take an answer; one that doesn't count is dropped and counted."""
+        if reason := self._drop_reason(sender, answer):
+            self.dropped[reason] = self.dropped.get(reason, 0) + 1
+            return
+        topic = QueryTopic(answer.topic)
+        self._note_incarnation(sender, answer.sender_incarnation)
+        if not answer.trusted:
+            return  # the sender is up, but does not know
+        self.queries[topic].answers[sender] = answer
+        if topic is QueryTopic.MEMBERS and answer.number > self.own.get(topic, (0, ""))[0]:
+            self.newer_membership = max(self.newer_membership, answer.number)
+        self._check_answered(now_ms, topic)
+
+    def _note_incarnation(self, sender: str, incarnation: int) -> None:
+        """Drop the answers of a sender's earlier incarnation, which may rest on what it has lost since."""
+        if incarnation <= self.incarnations.get(sender, 0):
             return
-        what = QueryTopic(answer.what)
-        if answer.sender_life > self.lives.get(sender, 0):
-            self.lives[sender] = answer.sender_life
-            for o in self.opens.values():  # what its earlier life said, it may have said of what is lost
-                if o.stand is not QueryState.ANSWERED:
-                    o.answers.pop(sender, None)
-        if not answer.sure:
-            return  # heard, and no word on it
-        self.opens[what].answers[sender] = answer
-        if what is QueryTopic.MEMBERS and answer.number > self.own.get(what, (0, ""))[0]:
-            self.behind = max(self.behind, answer.number)
-        self._look(now_ms, what)
-
-    def ask_one(self, to: str, what: QueryTopic) -> SendQuery:
-        """Ask one again, whatever came so far: an answer tells at least that it knows of this incarnation."""
-        self.turn += 1
-        return SendQuery(to, Query(self.fleet, self.life, self.turn, int(what)))
-
-    def knows(self, now_ms: float, what: QueryTopic) -> None:
-        """Take that it has the answer by itself, and need not wait for the others."""
-        if what not in self.own:
-            self.own[what] = (0, "")
-            self._look(now_ms, what)
-
-    def _unfit(self, sender: str, answer: Answer) -> str:
+        self.incarnations[sender] = incarnation
+        for query in self.queries.values():
+            if query.state is not QueryState.ANSWERED:
+                query.answers.pop(sender, None)
+
+    def query_one(self, to: str, topic: QueryTopic) -> SendQuery:
+        """Query one member again: its answer says at least that it knows of this incarnation."""
+        return SendQuery(to, self._next_query(topic))
+
+    def answer_by_itself(self, now_ms: float, topic: QueryTopic) -> None:
+        """Note that the front end has the answer by itself, and need not wait for others."""
+        if topic not in self.own:
+            self.own[topic] = (0, "")
+            self._check_answered(now_ms, topic)
+
+    def _drop_reason(self, sender: str, answer: Answer) -> str:
+        """Why an answer doesn't count; empty if it does."""
         if answer.fleet != self.fleet:
             return "another fleet's"
-        if answer.life != self.life or answer.turn > self.turn:
+        if answer.incarnation != self.incarnation or answer.sequence > self.sequence:
             return "to another life"
-        if answer.what not in list(QueryTopic) or sender not in self._targets(QueryTopic(answer.what)):
+        if answer.topic not in list(QueryTopic) or sender not in self._targets(QueryTopic(answer.topic)):
             return "not asked"
-        if answer.sender_life < self.lives.get(sender, 0):
+        if answer.sender_incarnation < self.incarnations.get(sender, 0):
             return "of an earlier life"
         return ""
 
-    def _look(self, now_ms: float, what: QueryTopic) -> None:
-        """Whether that is enough, and what comes next then."""
-        o = self.opens[what]
-        if o.stand in (QueryState.NOT_ASKED, QueryState.ANSWERED) or not self._enough(what):
+    def _check_answered(self, now_ms: float, topic: QueryTopic) -> None:
+        """Begin the next query, if the answers to this one are enough."""
+        query = self.queries[topic]
+        if query.state in (QueryState.NOT_ASKED, QueryState.ANSWERED) or not self._is_enough(topic):
             return
-        waited, o.stand = o.stand is QueryState.WAITING, QueryState.ANSWERED
+        waited = query.state is QueryState.WAITING
+        query.state = QueryState.ANSWERED
         if waited:
-            self._next(now_ms, what)
+            self._begin_next(now_ms, topic)
 
-    def _enough(self, what: QueryTopic) -> bool:
-        need, answers = self.steps[what].need, self.opens[what].answers
-        if any(a.leased for a in answers.values()):
+    def _is_enough(self, topic: QueryTopic) -> bool:
+        step = self.steps[topic]
+        answers = self.queries[topic].answers
+        if any(answer.leased for answer in answers.values()):
             return True
-        everyone = self.lists.get(self.steps[what].of, ())
-        if need is AnswersNeeded.MAJORITY:
-            mine = self.me in everyone and what in self.own
-            return 2 * (len(answers) + mine) > len(everyone)
-        if need is AnswersNeeded.ALL:
-            return what in self.own or all(name in answers for name in everyone if name != self.me)
-        return bool(answers)
+        members = self.lists.get(step.target, ())
+        match step.needed:
+            case AnswersNeeded.MAJORITY:
+                own_answer = self.name in members and topic in self.own
+                return 2 * (len(answers) + own_answer) > len(members)
+            case AnswersNeeded.ALL:
+                return topic in self.own or all(name in answers for name in members if name != self.name)
+            case AnswersNeeded.ONE:
+                return bool(answers)
--- a/fawnwharf/recovery_core/trust.py
+++ b/fawnwharf/recovery_core/trust.py
@@ -47,7 +47,7 @@
 
     NO_ANSWER = "no majority answered"
     CONFIRMED = "this is the last one"
-    LATER = "there is a later one"
+    NEWER = "there is a later one"
     CONFLICTING = (
         "it is not as this disk says"  # another content under one number; a write it does not know of
     )
@@ -149,7 +149,7 @@
     held = _LETTERS[TRUST_TABLE[found.kind][column][found.age]]
     if found.store is StoreCondition.PARTIAL:
         held = min(held, PARTIAL_STORE_TRUST[found.kind])
-    if found.others is MajorityAnswer.LATER:
+    if found.others is MajorityAnswer.NEWER:
         return min(held, _LATER.get(found.kind, TrustLevel.GONE))
     if found.others is MajorityAnswer.CONFLICTING:
         return min(held, _OTHER.get(found.kind, TrustLevel.GONE))
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -26,6 +26,7 @@
 )
 from fawnwharf.recovery_core.queries import (
     Answer,
+    Querier,
     Query,
     QueryPace,
     QueryState,
@@ -142,9 +143,8 @@
             QueryTarget.REPLICAS: lists.keepers,
             QueryTarget.CHANGE_LOG: (CHANGE_LOG,),
         }
-        self.asking = StartupQueries(
-            self.name, self.fleet, self.life, asked_of, self.now_ms, found, self.pace
-        )
+        querier = Querier(self.name, self.fleet, self.life, asked_of, found)
+        self.asking = StartupQueries(querier, self.now_ms, self.pace)
         self.follower = PhaseFollower(self.timing, self.now_ms)
         self.lead = RecoveryLeader(self.timing, lists, self.heard_ms, 3.0 * self.stand_ms, self.stage_ms)
         self._stand_due_ms = self._ask_due_ms = self.now_ms
@@ -156,7 +156,7 @@
 
     @property
     def asked(self) -> bool:
-        return self.asking.done
+        return self.asking.finished
 
     @property
     def cut(self) -> int:
@@ -186,11 +186,11 @@
         """Most voters go by this list of members, or by an earlier one, and the keeper here knows all that it
         granted: nothing that was not found is missed any more."""
         asking, lists = self.asking, self.lists
-        if asking.stand(QueryTopic.MEMBERS) is not QueryState.ANSWERED or not (
+        if asking.state(QueryTopic.MEMBERS) is not QueryState.ANSWERED or not (
             self.own.sure and self.own.settled
         ):
             return False
-        said = [(a.number, a.digest) for a in asking.opens[QueryTopic.MEMBERS].answers.values()]
+        said = [(a.number, a.digest) for a in asking.queries[QueryTopic.MEMBERS].answers.values()]
         return all(n < lists.number or (n, d) == (lists.number, lists.digest) for n, d in said)
 
     # --- what comes in --------------------------------------------------------------------------
@@ -235,7 +235,7 @@
     def _answer(self, now_ms: float, sender: str, ask: Query, zone: bool) -> list[Effect]:
         """What is not sure, or found in a store that has not all anew yet, is not told: such an answer says
         of whom it is, and no more."""
-        own, what = self.own, QueryTopic(ask.what)
+        own, what = self.own, QueryTopic(ask.topic)
         if ask.fleet != self.fleet:
             self._count("another fleet's")
             return []
@@ -251,17 +251,17 @@
             (number, digest), sure, leased = own.plan, own.votes, self.seat(now_ms).fresh
         elif what is QueryTopic.USAGE:
             sure = own.uses
-        answer = Answer(self.fleet, ask.life, ask.turn, ask.what, self.life, False)
+        answer = Answer(self.fleet, ask.incarnation, ask.sequence, ask.topic, self.life, False)
         if own.settled and sure:
-            told = {"sure": True, "number": number, "digest": digest, "leased": leased}
+            told = {"trusted": True, "number": number, "digest": digest, "leased": leased}
             answer = msgspec.structs.replace(answer, **told)
         return [SendMessage((sender,), answer, zone)]
 
     def _answered(self, now_ms: float, sender: str, answer: Answer, of: QueryTarget) -> list[Effect]:
-        if answer.what > QueryTopic.USAGE or self.asking.steps[QueryTopic(answer.what)].of is not of:
+        if answer.topic > QueryTopic.USAGE or self.asking.steps[QueryTopic(answer.topic)].target is not of:
             self._count("by the wrong log")
             return []
-        self.asking.heard(now_ms, sender, answer)
+        self.asking.receive(now_ms, sender, answer)
         return self._go(now_ms)
 
     def _signed(self, sender: str, boot: w.BootReport) -> list[Effect]:
@@ -289,16 +289,16 @@
         if sender not in self.lists.voters or word.term < self._term:
             self._count("a stage of no leader")
             return []
-        if self.asking.lives.get(sender, 0) > word.life:
+        if self.asking.incarnations.get(sender, 0) > word.life:
             self._count("of an earlier life")
             return []
-        if sender != self.name and self.follower.register is None and sender not in self.asking.lives:
+        if sender != self.name and self.follower.register is None and sender not in self.asking.incarnations:
             if now_ms < self._ask_due_ms:
                 return []
             self._ask_due_ms = now_ms + self.pace.again_ms
             return [
                 self._boot(),
-                SendMessage((sender,), self.asking.ask_one(sender, QueryTopic.MEMBERS).message),
+                SendMessage((sender,), self.asking.query_one(sender, QueryTopic.MEMBERS).message),
             ]
         late = now_ms - word.at_ms  # and the two clocks' difference, which the least of it stands for
         life, least = self._told.get(sender, (0, 0.0))
@@ -347,17 +347,17 @@
         """Call it at `due_ms` at the latest. `own` counts until the next one."""
         self.own = own
         if own.sure:
-            self.asking.knows(now_ms, QueryTopic.GRANTS)
-        if own.rostered and self.asking.stand(QueryTopic.ROSTER) not in (
+            self.asking.answer_by_itself(now_ms, QueryTopic.GRANTS)
+        if own.rostered and self.asking.state(QueryTopic.ROSTER) not in (
             QueryState.NOT_ASKED,
             QueryState.ANSWERED,
         ):
-            said = Answer(self.fleet, self.life, self.asking.turn, int(QueryTopic.ROSTER), 1, True)
-            self.asking.heard(now_ms, CHANGE_LOG, said)
+            said = Answer(self.fleet, self.life, self.asking.sequence, int(QueryTopic.ROSTER), 1, True)
+            self.asking.receive(now_ms, CHANGE_LOG, said)
         effects: list[Effect] = [*self.turned(now_ms)]
         for said in self.asking.tick(now_ms):
             if said.to != CHANGE_LOG:
-                zone = self.asking.steps[QueryTopic(said.message.what)].of is QueryTarget.VOTERS
+                zone = self.asking.steps[QueryTopic(said.message.topic)].target is QueryTarget.VOTERS
                 effects.append(SendMessage((said.to,), said.message, zone))
         if any(isinstance(effect, SendMessage) for effect in effects):
             effects.insert(0, self._boot())  # a voter that answers knows it
@@ -394,7 +394,7 @@
         effects: list[Effect] = []
         if self.asked and not self._asked:
             self._asked = True
-            effects.append(LogEvent("asked", {"without": list(self.asking.without().values())}))
+            effects.append(LogEvent("asked", {"without": list(self.asking.fallbacks().values())}))
         stage, register = self.stage(now_ms), self.follower.register
         fronts = self.own.heard if stage is None or register is None else register.fronts
         going = (self.allowed(now_ms), stage, self.cut, max(1, fronts), self.follower.dealt(now_ms))
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -1,46 +1,38 @@
 """Recovery in a running front end: its agent on the fleet's logs, what it counts, and what follows for its
 parts."""
 
+import hashlib
 from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
 from fawnwharf import interface as io
-from fawnwharf.config import Deployment
-from fawnwharf.config import Fleet
+from fawnwharf.config import Deployment, Fleet
 from fawnwharf.consensus.committed_log import last_appended
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.phases import LogEvent
-from fawnwharf.recovery_core.phases import ProposeRegister
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.queries import QueryState
-from fawnwharf.recovery_core.queries import QueryTopic
-from fawnwharf.recovery_core.trust import StateKind
-from fawnwharf.recovery_core.trust import StoreCondition
-from fawnwharf.recovery_service import front_end_integration
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.recovery_core.phases import LogEvent, ProposeRegister, RecoveryPhase
+from fawnwharf.recovery_core.queries import QueryState, QueryTopic
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition
+from fawnwharf.recovery_service import front_end_integration, status_display
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service import status_display
-from fawnwharf.recovery_service.agent import ApplyPhase
-from fawnwharf.recovery_service.agent import Effect
-from fawnwharf.recovery_service.agent import LocalStatus
-from fawnwharf.recovery_service.agent import RecoveryAgent
-from fawnwharf.recovery_service.agent import SendMessage
-from fawnwharf.recovery_service.agent import SignatureReported
+from fawnwharf.recovery_service.agent import (
+    ApplyPhase,
+    Effect,
+    LocalStatus,
+    RecoveryAgent,
+    SendMessage,
+    SignatureReported,
+)
 from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
 from fawnwharf.recovery_service.counters import FrontEndCounters
-from fawnwharf.recovery_service.hints import ENTRY_KEY
-from fawnwharf.recovery_service.hints import RosterRecorder
-from fawnwharf.recovery_service.hints import UsageRecorder
+from fawnwharf.recovery_service.hints import ENTRY_KEY, RosterRecorder, UsageRecorder
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.recovery_service.settings import Settings
-from fawnwharf.recovery_service.settings import settings_from
+from fawnwharf.recovery_service.settings import Settings, settings_from
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.log_lines import ClientMessage
-from fawnwharf.zones.log_lines import RECOVERY
-from pathlib import Path
-from typing import Any
-import hashlib
-import msgspec
-
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
 
 DISPLAY_INTERVAL_MS = 200.0  # how this one stands is told for people no more often than that
 MAX_MESSAGES_PER_LINE = 200  # in one line
@@ -252,7 +244,7 @@
             self._keep_hints(now)
             if self.kept.whole is StoreCondition.PARTIAL:
                 self._confirm()
-        if not self._dialled and self.agent.asking.stand(QueryTopic.ROSTER) is QueryState.TIMED_OUT:
+        if not self._dialled and self.agent.asking.state(QueryTopic.ROSTER) is QueryState.TIMED_OUT:
             self._dial_last()
         self._carry_out(self.agent.tick(now, self._own()))
         if self._once("door") and (what := self.joined.door.since()):
--- a/fawnwharf/recovery_service/status_display.py
+++ b/fawnwharf/recovery_service/status_display.py
@@ -14,8 +14,10 @@
     doubts += [] if own.settled else ["its store has not written all anew"]
     doubts += [] if own.sure else ["its keeper does not know all that it granted"]
     doubts += [] if agent.mark else ["the system tells no boot"]
-    if asking.behind:
-        doubts.append(f"a voter goes by list of members {asking.behind}, which is later than its own")
+    if asking.newer_membership:
+        doubts.append(
+            f"a voter goes by list of members {asking.newer_membership}, which is later than its own"
+        )
     fresh = agent.follower.fresh(now_ms)
     how = "alone" if stage is None else "a leader's word" if fresh else "the last word"
     if stage is not None and register is None:
@@ -32,8 +34,8 @@
         why=register.why if register is not None else "",
         fronts=agent.lead.heard(now_ms) if agent.lead.term else 0,
         heard=agent.heard_lately(now_ms),
-        asked={what.label: asking.stand(what).value for what in QueryTopic},
-        without=tuple(asking.without().values())[:MAX_ITEMS],
+        asked={what.label: asking.state(what).value for what in QueryTopic},
+        without=tuple(asking.fallbacks().values())[:MAX_ITEMS],
         doubts=tuple(doubts[:MAX_ITEMS]),
         counts=dict(sorted(counts.items())[:64]),
     )
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -5,27 +5,22 @@
 never said, and stands in the way of others as if it had been: it may be found on the disk later.
 """
 
-from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
-from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_core.trust import StateKind
-from fawnwharf.recovery_core.trust import TrustLevel
-from fawnwharf.replication.call_owner import OwnerAction
-from fawnwharf.replication.call_owner import RunCall
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
-from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.grant_storage import without_grant
-from fawnwharf.replication.messages import Send
-from fawnwharf.replication.messages import StateChunk
-from pathlib import Path
-from typing import Any
-from typing import Protocol
 import contextlib
 import heapq
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any, Protocol
+
 import msgspec
 
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.recovery_core.trust import StateKind, TrustLevel
+from fawnwharf.replication.call_owner import OwnerAction, RunCall
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.grant_storage import without_grant
+from fawnwharf.replication.messages import Send, StateChunk
 
 SWEEP_MS = 1_000.0  # pace at which entries go whose time is over
 OTHER_BOOT_AGE_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
--- a/tests/test_recovery_trust.py
+++ b/tests/test_recovery_trust.py
@@ -67,7 +67,7 @@
             assert may_vote(level) == sound
         elif k is StateKind.GRANT:
             assert level is (TrustLevel.GONE if a is StateAge.EXPIRED else TrustLevel.NOW)
-        elif others in (MajorityAnswer.LATER, MajorityAnswer.CONFLICTING):
+        elif others in (MajorityAnswer.NEWER, MajorityAnswer.CONFLICTING):
             assert level is TrustLevel.GONE
         elif not b and others is MajorityAnswer.NO_ANSWER:
             assert level is not TrustLevel.NOW
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -113,7 +113,7 @@
     for name in ("n0", "n3"):
         allowed = fleet.agents[name].allowed(fleet.now)
         assert allowed.alone and allowed.status and allowed.part == 0.2 and not allowed.spill
-        without = fleet.agents[name].asking.without()
+        without = fleet.agents[name].asking.fallbacks()
         assert QueryTopic.MEMBERS in without and QueryTopic.PLAN in without
     fleet.begin("boot 2", "n1", "n2", "n4")
     fleet.until_stage(RecoveryPhase.NORMAL, cut=1)
@@ -227,13 +227,18 @@
     agent = fleet.agents["n0"]
     ask = Query("f", 7, 3, int(QueryTopic.PLAN))
     (said,) = agent.hear_zone(fleet.now, "n4", ask)
-    assert said.word.sure and said.word.number > 0 and said.to == ("n4",)
+    assert said.word.trusted and said.word.number > 0 and said.to == ("n4",)
     for change in ({"settled": False}, {"votes": False}):
         agent.own = fleet.own("n0").__class__(**{
             key: getattr(fleet.own("n0"), key) for key in fleet.own("n0").__slots__
         } | change)  # fmt: skip
         (said,) = agent.hear_zone(fleet.now, "n4", ask)
-        assert (said.word.sure, said.word.number, said.word.digest, said.word.life) == (False, 0, "", 7)
+        assert (said.word.trusted, said.word.number, said.word.digest, said.word.incarnation) == (
+            False,
+            0,
+            "",
+            7,
+        )
     assert fleet.agents["n4"].hear_zone(fleet.now, "n0", ask) == []  # it votes not, and is not asked
 
 
@@ -278,8 +283,8 @@
     boot, ask = agent.hear_zone(fleet.now, leader, told)
     assert isinstance(boot.word, w.BootReport) and isinstance(ask.word, Query) and ask.to == (leader,)
     assert agent.follower.register is None and agent.hear_zone(fleet.now, leader, told) == []
-    agent.hear_zone(fleet.now, leader, Answer("f", agent.life, ask.word.turn, 0, 1, False))
-    assert agent.asking.stand(QueryTopic.MEMBERS) is QueryState.WAITING  # it was no word on the members
+    agent.hear_zone(fleet.now, leader, Answer("f", agent.life, ask.word.sequence, 0, 1, False))
+    assert agent.asking.state(QueryTopic.MEMBERS) is QueryState.WAITING  # it was no word on the members
     agent.hear_zone(fleet.now, leader, told)
     assert agent.stage(fleet.now) is RecoveryPhase.NORMAL
 
--- a/tests/test_rejoin_disks.py
+++ b/tests/test_rejoin_disks.py
@@ -170,7 +170,7 @@
     snap, log = last(disk, "snap-*.snap"), last(disk, "log-*.seg")
     fleet.start(fleet.second)
     place = flip(snap, snap.stat().st_size // 2)
-    assert f"{snap.name}: damaged: a snapshot that is not whole" in fleet.refused(fleet.one)[0]
+    assert f"{snap.name}: damaged: the snapshot is incomplete" in fleet.refused(fleet.one)[0]
     flip(snap, place)
     flip(log, proven(log))
     assert f"{log.name}: damaged at byte " in fleet.refused(fleet.one)[0]
--- a/tests/test_rejoin_service.py
+++ b/tests/test_rejoin_service.py
@@ -38,7 +38,7 @@
         assert stages == [stage for stage in RETURN if stage in stages] and stages[-1] == "spill"
         assert not any(f["status"] for f in node.noted("stage") if f["stage"] in RETURN[:2])
         assert site.ready(node) is True
-        site.until(lambda node=node: node.agent.asking.without() == {}, "all is answered")
+        site.until(lambda node=node: node.agent.asking.fallbacks() == {}, "all is answered")
         assert len(node.noted("asked")) == 1
         assert (
             node.part.kept.whole is StoreCondition.INTACT
