--- a/fawnwharf/admin/admin_listener.py
+++ b/fawnwharf/admin/admin_listener.py
@@ -6,9 +6,9 @@
 from fawnwharf.admin.http import AdminRequest, AdminResponse, RequestReader, encode_response
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
-from fawnwharf.net.listener import once_free
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.event_loop import READ, EventLoop
+from fawnwharf.net.listener import listen_when_free
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 BACKLOG = 64
@@ -56,9 +56,9 @@
         """Writes the response and ends the connection."""
         self._reader.result = response
         self.connection.write(encode_response(response))
-        self.connection.finish(End.RETIRED)
+        self.connection.finish(EndReason.RETIRED)
 
-    def on_end(self, _end: End) -> None:
+    def on_end(self, _end: EndReason) -> None:
         """The connection has ended."""
         self.listener.connections.pop(self, None)
 
@@ -81,7 +81,7 @@
     """Owns the listener for operators and their connections, a small part of the descriptors."""
 
     def __init__(
-        self, loop: Loop, address: Address, sockets: int, handle: Callable[[AdminRequest], AdminResponse]
+        self, loop: EventLoop, address: Address, sockets: int, handle: Callable[[AdminRequest], AdminResponse]
     ) -> None:
         """Listens on an address; `sockets` is the number of descriptors that the process may use.
 
@@ -91,7 +91,7 @@
         self.handle = handle
         self.connections: dict[AdminConnection, None] = {}  # in the order of their accepts
         self._limit = max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, sockets // DESCRIPTORS_PER_CONNECTION))
-        self._listener = once_free(lambda: _listening(address))
+        self._listener = listen_when_free(lambda: _listening(address))
         self.address: Address = self._listener.getsockname()[:2]
         self._pause: Timer | None = None
         loop.watch(self._listener, READ, self._accept, first=True)
@@ -112,8 +112,8 @@
     def _pause_accepting(self) -> None:
         """Leaves connections in the system's queue for a moment, instead of a busy loop."""
         if self._pause is None:
-            self.loop.forget(self._listener)
-            self._pause = self.loop.wheel.after(ACCEPT_PAUSE_MS, self._resume_accepting)
+            self.loop.unwatch(self._listener)
+            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
         self._pause = None
@@ -123,7 +123,7 @@
     def _evict_one(self) -> None:
         """Makes place for operators that ask: an answered connection goes first, else the oldest one."""
         evicted = min(self.connections, key=lambda each: (not each.answered, each.accepted_ms))
-        evicted.connection.close(End.IDLE)
+        evicted.connection.close(EndReason.IDLE)
 
     def tidy(self) -> None:
         """Ends connections whose request did not become complete in time."""
@@ -134,7 +134,7 @@
 
     def close(self) -> None:
         """Stops listening and ends all connections."""
-        self.loop.forget(self._listener)
+        self.loop.unwatch(self._listener)
         self._listener.close()
         for each in list(self.connections):
-            each.connection.close(End.STOPPED)
+            each.connection.close(EndReason.STOPPED)
--- a/fawnwharf/durable_store/event_loop_store.py
+++ b/fawnwharf/durable_store/event_loop_store.py
@@ -4,7 +4,7 @@
 from typing import Any, BinaryIO
 
 from fawnwharf.durable_store.store import CommitCallback, Store
-from fawnwharf.net.loop import READ, Loop
+from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 FULL_PIPE_RETRY_MS = 4.0  # interval of writing to a writer process whose pipe is full
@@ -17,7 +17,7 @@
 class EventLoopStore:
     """Owns the store's timer and its place in the selector; logs when durability is lost and regained."""
 
-    def __init__(self, loop: Loop, store: Store, log: LogCallback) -> None:
+    def __init__(self, loop: EventLoop, store: Store, log: LogCallback) -> None:
         self.loop = loop
         self.store = store
         self._log = log
@@ -25,15 +25,15 @@
         self._logged = ""  # the key of the last event logged
         runner = store.runner
         runner.on_output_opened = self._watch
-        runner.on_output_closing = self.loop.forget
+        runner.on_output_closing = self.loop.unwatch
         if runner.output is not None:
             self._watch(runner.output)
-        loop.flush_later(self)
+        loop.schedule_flush(self)
 
     def put(self, kind: str, key: str, value: Any, callback: CommitCallback | None = None) -> None:
         """`Store.put` now; changes of one iteration are committed together. Raises ChangeRejectedError."""
         self.store.put(monotonic_ms(), kind, key, value, callback)
-        self.loop.flush_later(self)
+        self.loop.schedule_flush(self)
 
     def flush(self) -> None:
         """Advance the store; the loop calls it at the end of an iteration."""
@@ -46,7 +46,7 @@
         """As `Store.close`, for at most this many milliseconds, during which the loop stands still."""
         runner = self.store.runner
         if runner.output is not None:
-            self.loop.forget(runner.output)
+            self.loop.unwatch(runner.output)
         runner.on_output_opened = _ignore
         runner.on_output_closing = _ignore
         if self._timer is not None:
@@ -57,7 +57,7 @@
         self.loop.watch(output, READ, lambda _mask: self._wake())
 
     def _wake(self) -> None:
-        self.loop.flush_later(self)
+        self.loop.schedule_flush(self)
 
     def _schedule(self, now_ms: float) -> None:
         core = self.store.core
@@ -71,7 +71,7 @@
             self._timer.cancel()
             self._timer = None
         if times:
-            self._timer = self.loop.wheel.after(max(0.0, min(times) - now_ms), self._wake)
+            self._timer = self.loop.timers.after(max(0.0, min(times) - now_ms), self._wake)
 
     def _log_changes(self, now_ms: float) -> None:
         status = self.store.status(now_ms)
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -12,8 +12,8 @@
 from typing import Protocol
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call, Outcome, Refused
+from fawnwharf.net.event_loop import EventLoop
+from fawnwharf.net.requests import Call, Outcome, Rejected
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core import partitioned
 from fawnwharf.recovery_core.budget import AdmissionRateLimiter, FleetLimits, priority_classes
@@ -105,7 +105,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         below: RequestSink,
         classes: dict[str, ClassSpec],
         limits: FleetLimits,
@@ -217,7 +217,7 @@
 
     def _turn_away(self, call: Call, cause: str, not_before_ms: float = 0.0) -> None:
         self._count(f"refused: {cause}")
-        call.reply(Refused(self.doors.pushback_ms(self._clock(), call.id.hex(), not_before_ms)))
+        call.reply(Rejected(self.doors.pushback_ms(self._clock(), call.id.hex(), not_before_ms)))
 
     def _bare(self, row: str) -> bool:
         """No copy of it stands, and the module may order none."""
@@ -250,13 +250,13 @@
         held = self._held[key] = _WaitingCall(key, call, call.reply, now, now + hold_ms)
         self._bytes += len(call.body)
         call.reply = lambda outcome: self._replied(held, outcome)
-        held.end = self._loop.wheel.after(hold_ms, lambda: self._overdue(held))
+        held.end = self._loop.timers.after(hold_ms, lambda: self._overdue(held))
         if bare:
             self._rows.setdefault(row, {})[key] = None
         elif free_ms is None:
             held.ticket = True
         else:
-            held.turn = self._loop.wheel.after(free_ms, lambda: self._try(held))
+            held.turn = self._loop.timers.after(free_ms, lambda: self._try(held))
         return key
 
     def _ask(self, now: float, row: str, key: str) -> float | None:
@@ -286,7 +286,7 @@
         elif free_ms > held.until_ms - self._clock():
             self._refuse(held, free_ms)
         else:
-            held.turn = self._loop.wheel.after(free_ms, lambda: self._try(held))
+            held.turn = self._loop.timers.after(free_ms, lambda: self._try(held))
 
     def _overdue(self, held: _WaitingCall) -> None:
         now, row = self._clock(), held.call.function
@@ -317,7 +317,7 @@
         """It never went further than here, so that to try again is harmless."""
         self._count("refused: waited")
         wait_ms = self.doors.pushback_ms(self._clock(), held.call.id.hex(), not_before_ms)
-        self._replied(held, Refused(wait_ms))
+        self._replied(held, Rejected(wait_ms))
 
     def _replied(self, held: _WaitingCall, outcome: Outcome) -> None:
         if self._end(held):
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -13,8 +13,8 @@
 from fawnwharf.durable_store.event_loop_store import EventLoopStore
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState, rollback_reason
 from fawnwharf.durable_store.store import StoreOwner, open_store, unix_ms
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import AgeSettings, ClockReading, StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service import stored_state as k
@@ -95,7 +95,7 @@
 
     # --- life -----------------------------------------------------------------------------------
 
-    def attach(self, front: FrontEnd | Loop) -> None:
+    def attach(self, front: FrontEnd | EventLoop) -> None:
         """Begin, on the front end's loop."""
         self._loop = EventLoopStore(getattr(front, "loop", front), self.store, self._note)
         self._note("store read", {
@@ -113,9 +113,9 @@
         else:
             self.store.close(monotonic_ms, CLOSE_MS)
 
-    def told(self, fleet: Fleet) -> None: ...
+    def on_fleet(self, fleet: Fleet) -> None: ...
 
-    def events(self, events: list[Any]) -> None: ...
+    def on_events(self, events: list[Any]) -> None: ...
 
     @property
     def busy(self) -> bool:
@@ -191,7 +191,7 @@
         self._put(k.DOUBT, k.LAST, None)
         self.store.core.confirm()
         if self._loop is not None:
-            self._loop.loop.flush_later(self._loop)
+            self._loop.loop.schedule_flush(self._loop)
 
     # --- what is kept ---------------------------------------------------------------------------
 
@@ -262,8 +262,8 @@
     """The store of a front end, by the files of recovery and of replicated state. Raises ConfigError."""
     settings = load_file(Path(place), settings_from, "recovery")
     rules = load_file(Path(state), state_settings, "state")
-    members = load_file(Path(state).parent / rules.members, membership_from, "state")
-    spans = AgeSettings(window_ms=rules.longest_ms * (1.0 + 2.0 * rules.skew))
+    members = load_file(Path(state).parent / rules.membership_file, membership_from, "state")
+    spans = AgeSettings(window_ms=rules.max_claim_lifetime_ms * (1.0 + 2.0 * rules.clock_skew))
     folder = Path(place).parent / settings.folder
     return RecoveryStore(
         folder, members.fleet, deployment.name, settings.boot_file, settings.store, note, fresh, spans
--- a/tests/durable_store/test_durable_store_folder.py
+++ b/tests/durable_store/test_durable_store_folder.py
@@ -20,7 +20,7 @@
 from fawnwharf.durable_store.file_format import Durability
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.durable_store.store import StoreOwner, inspect_folder, open_store
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 LIMITS = f.StoreLimits(10_000, 600, 200, 40.0, 300.0, 400.0, 100.0, 30.0, 200.0)
@@ -128,13 +128,13 @@
 
 
 def test_changes_of_one_loop_iteration_are_committed_together_and_faults_are_logged(tmp_path):
-    said, told, loop = [], [], Loop(lambda _now_ms, _events: None, print)
+    said, told, loop = [], [], EventLoop(lambda _now_ms, _events: None, print)
     store = EventLoopStore(loop, opened(tmp_path, empty_ok=True), lambda text, _fields: said.append(text))
 
     def turn_until(done):
         end = time.monotonic() + 20.0
         while not done() and time.monotonic() < end:
-            loop.turn(1.0)
+            loop.run_iteration(1.0)
         assert done()
 
     turn_until(lambda: store.store.core.settled and not store.store.core.job_in_progress)
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -6,8 +6,8 @@
 from peers import handle_frame
 
 from fawnwharf.net import scorer_frames
+from fawnwharf.net.event_loop import WRITE
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.loop import WRITE
 from support.clocks import SettableClock
 from support.request_model import Request, RequestModel
 from support.request_site import EFFECTS, Site
@@ -18,7 +18,7 @@
 DUE_MOST_MS = 60.0  # a sweep of the decisions is due within 40 ms
 COMING_MS = 600.0  # after SIGTERM clients still come for so long
 CLIENTS_MOST, REQUESTS_MOST = 3, 10
-CODES = (scorer_frames.OK, scorer_frames.ERROR, scorer_frames.FULL, scorer_frames.MISS, scorer_frames.OVER)
+CODES = (scorer_frames.OK, scorer_frames.ERROR, scorer_frames.FULL, scorer_frames.MISS, scorer_frames.EXPIRED)
 CROWD = 6  # silent clients that connect at once
 
 
@@ -241,7 +241,7 @@
         for sock, ready in held:
             # One that its scorer ended while it was held is up already, and reads that end.
             if sock.fileno() >= 0 and self.front.loop.running and not ready.__self__.up:
-                self.front.loop.change(sock, WRITE, ready)
+                self.front.loop.modify(sock, WRITE, ready)
 
     def _do_short_write(self, _first: int, second: int) -> None:
         """The next write to a scorer takes a few bytes only."""
@@ -250,7 +250,7 @@
 
     def _do_due(self, _first: int, _second: int) -> None:
         """Time passes up to the next timer, which is then due with whatever else is ready."""
-        self._hold_up(min(DUE_MOST_MS, 1_000.0 * (self.front.loop.wheel.idle_s() or 0.0)))
+        self._hold_up(min(DUE_MOST_MS, 1_000.0 * (self.front.loop.timers.idle_s() or 0.0)))
 
     def _hold_up(self, span_ms: float) -> None:
         self.model.halts_ms += span_ms
@@ -297,4 +297,4 @@
     def _do_leave(self, _first: int, _second: int) -> None:
         if self.front.loop.running:
             self._left_ms = self.now if self._left_ms is None else self._left_ms
-            self.front.leave()
+            self.front.shut_down()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from peers import ROW, Rig, ScorerPeer
 
 from fawnwharf import interface as io
-from fawnwharf.net import loop, requests, scorer_frames, timer_wheel
+from fawnwharf.net import event_loop, requests, scorer_frames, timer_wheel
 
 ROOT = Path(__file__).parent.parent
 
@@ -54,14 +54,14 @@
         seqid = client.call()
         rig.until(lambda: scorer.runs, "it runs")
         client.withdraw(seqid)
-        rig.until(lambda: scorer.of(scorer_frames.GIVE_UP), "it is given up")
+        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
         scorer.answer(scorer.runs[0], body=b"late")
         second = client.call()
         rig.until(lambda: len(scorer.runs) == 2, "the next one runs")
         scorer.answer(scorer.runs[1], body=b"in time")
         rig.until(lambda: client.answers, "the next one is answered")
         self.assertEqual([answer[0] for answer in client.answers], [second])
-        self.assertFalse(rig.front.table.open)
+        self.assertFalse(rig.front.requests.open)
 
     def test_a_second_answer_of_a_scorer_is_dropped(self):
         scorer = ScorerPeer()
@@ -83,8 +83,8 @@
         rig.until(lambda: scorer.runs, "it runs")
         client.sock.close()
         client.ended = True
-        rig.until(lambda: scorer.of(scorer_frames.GIVE_UP), "it is given up")
-        self.assertFalse(rig.front.table.open or rig.front.port.clients)
+        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
+        self.assertFalse(rig.front.requests.open or rig.front.client_port.clients)
 
     def test_a_fault_in_the_decisions_still_leaves_each_request_one_answer(self):
         scorer = ScorerPeer()
@@ -102,7 +102,7 @@
         scorer = ScorerPeer(copies=4)
         rig = self.rig(scorer)
         client, failing = rig.client(), mock.Mock(side_effect=KeyError("boom"))
-        with mock.patch.dict(rig.front._carriers, {io.Send: failing}):
+        with mock.patch.dict(rig.front._action_handlers, {io.Send: failing}):
             client.call()
             rig.until(lambda: failing.called, "the call is to be sent")
         client.call(body=b"next")
@@ -112,10 +112,10 @@
     def test_the_time_that_a_call_lay_unread_counts(self):
         rig = self.rig(ScorerPeer(copies=None))
         rig.client().call(ttl="8000")
-        with mock.patch.object(loop, "unix_ms", lambda: timer_wheel.unix_ms() + 3000.0):
-            rig.until(lambda: rig.front.table.open, "it is read")
-        [request] = rig.front.table.open.values()
-        self.assertTrue(0 <= request.deadline_ms - rig.front.loop.turn_ms <= 5000.0)
+        with mock.patch.object(event_loop, "unix_ms", lambda: timer_wheel.unix_ms() + 3000.0):
+            rig.until(lambda: rig.front.requests.open, "it is read")
+        [request] = rig.front.requests.open.values()
+        self.assertTrue(0 <= request.deadline_ms - rig.front.loop.iteration_ms <= 5000.0)
         [known] = rig.front.router.requests.values()
         self.assertTrue(0 <= known.deadline_ms - known.arrived_ms <= 5000.0)
 
@@ -123,8 +123,8 @@
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         client = rig.client()
-        with mock.patch.object(requests, "BODIES_MOST", 10):
+        with mock.patch.object(requests, "MAX_BODY_BYTES", 10):
             seqid = client.call(body=b"x" * 11)
             rig.until(lambda: client.answers, "it is refused")
-        expected = {1: {"pushback": str(int(requests.FULL_PUSHBACK_MS)).encode()}}
+        expected = {1: {"pushback": str(int(requests.FULL_RETRY_AFTER_MS)).encode()}}
         self.assertEqual(client.answers, [(seqid, "throttled", expected)])
--- a/tests/test_zone_links.py
+++ b/tests/test_zone_links.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from fawnwharf.net import connection
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.zones import member_log
 from fawnwharf.zones.member_log import LogServer, MemberLogFollower
 
@@ -17,7 +17,7 @@
 
 class Case(unittest.TestCase):
     def setUp(self):
-        self.loop = Loop(lambda now_ms, events: None, mock.Mock())
+        self.loop = EventLoop(lambda now_ms, events: None, mock.Mock())
         self.addCleanup(self.loop.close)
         self.told, self.dropped = [], []
 
@@ -25,7 +25,7 @@
         end = time.monotonic() + PATIENCE_S
         while not condition():
             self.assertLess(time.monotonic(), end, f"waited in vain until {what}")
-            self.loop.turn(0.005)
+            self.loop.run_iteration(0.005)
 
     def server(self, life=1, most=8, address=("127.0.0.1", 0)):
         server = LogServer(self.loop, address, life, most)
@@ -56,7 +56,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
-        feed._connection.close(member_log.End.RETIRED)
+        feed._connection.close(member_log.EndReason.RETIRED)
         server.write({"n": 1})
         server.write({"n": 2})
         self.until(lambda: feed.seq == 3, "the others are told")
@@ -67,7 +67,7 @@
         server.write({"n": 0}, counts_as="n")
         feed = self.follow(server.address)
         self.until(lambda: self.told, "the first is told")
-        feed._connection.close(member_log.End.RETIRED)
+        feed._connection.close(member_log.EndReason.RETIRED)
         for n in range(1, member_log.KEPT_MOST + 10):
             server.write({"n": n}, counts_as="n")
         self.until(lambda: feed.seq == member_log.KEPT_MOST + 10, "it has caught up")
@@ -99,7 +99,7 @@
         heard = feed._connection.heard_ms
         self.until(lambda: feed._connection.heard_ms > heard, "a pulse comes")
         with mock.patch("fawnwharf.net.change_log.monotonic_ms", lambda: connection.monotonic_ms() + 5_000.0):
-            feed.tidy()
+            feed.run_maintenance()
         self.assertIn("silent", self.dropped[-1])
 
 
@@ -157,7 +157,7 @@
             while server.readers:
                 self.assertLess(time.monotonic(), end)
                 server.write({"text": "x" * 50_000})
-                self.loop.turn(0.0)
+                self.loop.run_iteration(0.0)
         self.assertLessEqual(server._kept_bytes, member_log.KEPT_BYTES_MOST)
         sock.close()
 
