--- a/fawnwharf/recovery_core/coordinated_fleet.py
+++ b/fawnwharf/recovery_core/coordinated_fleet.py
@@ -88,7 +88,10 @@
             or not self.stages
         ):
             self.may = partitioned.allowed_when_partitioned(
-                PRIORITY_WEIGHTS, len(up), self.scene.fronts, True, asked > 0
+                PRIORITY_WEIGHTS,
+                partitioned.budget_share(len(up), self.scene.fronts),
+                has_roster=True,
+                queries_finished=asked > 0,
             )
         most = max(1, int(self.limits.fetches * self.may.part)) if self.may.loads else 0
         if now >= self.choose_ms:
--- a/fawnwharf/recovery_core/partitioned.py
+++ b/fawnwharf/recovery_core/partitioned.py
@@ -1,7 +1,7 @@
 """What is safe without agreement: for a minority that returns first, or a single front end. Pure.
 
-The others may be serving too, and not be heard. So without a leader a front end does only what stays right if
-all others do the same at this moment.
+The other members may be serving as well, unreachable from here. So without a leader a front end does only
+what stays correct if all others do the same at this moment.
 """
 
 from collections.abc import Mapping
@@ -24,55 +24,56 @@
 class CallKnowledge:
     """What this front end knows of a call.
 
-    Windows count from its start, as scorers may have lost power with it and remember no key.
+    Windows count from its start, as scorers may have lost power with it and remember no idempotency key.
     """
 
-    known: bool = False  # its own whole store, or an answer of enough keepers, has the call's answer
-    granted: bool = False  # more than half of the call's own keepers granted it, as ever
+    known: bool = False  # its own intact store, or enough replicas, have the call's answer
+    granted: bool = False  # a majority of the call's own replicas granted it
     since_start_ms: float = 0.0
 
 
-def decide_call(effect: io.Effect, standing: CallKnowledge, window_ms: float) -> CallDecision:
+def decide_call(effect: io.Effect, knowledge: CallKnowledge, window_ms: float) -> CallDecision:
     """What to do with a call.
 
-    `window_ms` is for how long a repeat of a keyed call may come, by the slowest clock. An at-most-once call
-    takes the grants of its own replicas, however few front ends are up: two of three are on one side only. A
-    keyed call is dropped as a repeat by scorers that ran it; those that lost power do not know. Until all
-    repeats are over, it is treated as at most once.
+    `window_ms` is for how long a retry of a call with an idempotency key may come, by the slowest clock. An
+    at-most-once call needs the grants of its own replicas, however few front ends are up: two of three are on
+    one side only. Scorers drop the retry of a call with a key if they ran it; those that lost power do not
+    know. Until no retry can come any more, it is treated as at most once.
     """
-    if standing.known:
+    if knowledge.known:
         return CallDecision.ANSWER
-    if effect is io.Effect.IDEMPOTENT or standing.granted:
+    if effect is io.Effect.IDEMPOTENT or knowledge.granted:
         return CallDecision.SERVE
-    if effect is io.Effect.DEDUPLICATED and standing.since_start_ms >= window_ms:
+    if effect is io.Effect.DEDUPLICATED and knowledge.since_start_ms >= window_ms:
         return CallDecision.SERVE
     return CallDecision.LATER
 
 
-def budget_share(mine: int, members: int) -> float:
-    """The part of the fleet's budgets for `mine` front ends that hear each other: their share of the list.
+def budget_share(reachable: int, members: int) -> float:
+    """The share of the fleet's budgets for the front ends that reach each other: their share of the list.
 
-    Whoever else is up does the same.
+    The front ends on the other side do the same.
     """
-    return min(1.0, mine / max(1, members))
+    return min(1.0, reachable / max(1, members))
 
 
 def allowed_when_partitioned(
-    worths: Mapping[str, float], mine: int, members: int, rostered: bool, asked: bool
+    weights: Mapping[str, float], share: float, *, has_roster: bool, queries_finished: bool
 ) -> AllowedActions:
-    """What a front end may do while it is alone.
+    """What a front end may do while it is partitioned.
 
-    `rostered`: some scorers came up when dialled, or the roster was heard. `status` is good then, once the
-    asking is over: a front end that refuses half of its calls serves more than none. Not allowed alone: new
-    plans, policies, placement numbers, phases; and what costs others, as refreshes of copies, speculative
-    loads and spillover.
+    `weights` are the priority weights of all classes, `share` is its part of the fleet's budgets, and
+    `has_roster` whether some scorers were reached or the roster was received. `status` is good then, once the
+    queries are finished: a front end that rejects half of its calls serves more than none. Not allowed: new
+    plans, policies, placement numbers and phases; and what costs others, as copy refreshes, speculative loads
+    and spillover.
     """
-    able = rostered and asked
+    able = has_roster and queries_finished
     return AllowedActions(
         status=able,
-        repeats=asked,
-        classes=frozenset(worths) if able else frozenset(),
+        repeats=queries_finished,
+        classes=frozenset(weights) if able else frozenset(),
         loads=able,
-        part=budget_share(mine, members),
+        part=share,
         alone=True,
     )
--- a/fawnwharf/recovery_core/queries.py
+++ b/fawnwharf/recovery_core/queries.py
@@ -2,8 +2,9 @@
 
 Pure; times are milliseconds of its own monotonic clock. One topic is queried after the other, each until it
 is answered or its timeout is over; then the front end continues at the stated lower level, and takes the
-answer whenever it comes. A majority is one of all members on the list, never of those that happen to be up: so the
-silence of a failed member is no answer. As nothing waits beyond its timeout, no member is waited for forever.
+answer whenever it comes. A majority is one of all members on the list, never of those that happen to be up:
+so the silence of a failed member is no answer. As nothing waits beyond its timeout, no member is waited for
+forever.
 """
 
 from collections.abc import Mapping
--- a/fawnwharf/recovery_core/trust.py
+++ b/fawnwharf/recovery_core/trust.py
@@ -1,9 +1,9 @@
-"""What a starting front end may believe of what it finds on its disk: one table, one pure function.
+"""What a starting front end may believe of the state on its disk: one table, one pure function.
 
-Two rules stand above the table. Nothing gets more trust by being older, by a writer that was killed, by
-another boot or by a store that is not intact. And no clock makes a promise shorter: it is counted by the
-monotonic clock within one boot, and anew and in full from its reading in any other one. A wall clock says how
-old a hint may be, and decides nothing that is relied on.
+Two rules stand above the table. No state gains trust by being older, by a writer that was killed, by another
+boot or by a store that is not intact. And no clock shortens a grant: its time is counted by the monotonic
+clock within one boot, and again in full from its reading in any other one. A wall clock says how old a hint
+may be, and decides nothing that is relied on.
 """
 
 from collections.abc import Mapping
@@ -12,24 +12,24 @@
 
 
 class StateKind(Enum):
-    """What outlives a front end on its disk, or might."""
+    """State that outlives a front end on its disk, or might."""
 
     TERM = "term and vote"
     PLAN = "plan"
     POLICY = "policy register"
-    GRANT = "promise on a call that may have run"
+    GRANT = "grant to a call that may have run"
     ROSTER = "roster"
-    USAGE = "use by window"
-    COPIES = "where copies stood"
+    USAGE = "usage by window"
+    COPIES = "where copies were loaded"
     LOADS = "load counts"
-    PLACEMENTS = "homes of sessions"
+    PLACEMENTS = "placements of sessions"
 
 
 class TrustLevel(IntEnum):
-    """For what a piece of state may be used."""
+    """What a piece of state may be used for."""
 
-    GONE = 0  # thrown away
-    HINT = 1  # where to look and what to expect first; nothing rests on it
+    GONE = 0  # discarded
+    HINT = 1  # where to look and what to expect first; nothing relies on it
     MAJORITY = 2  # once a majority confirms it, and a hint until then
     NOW = 3  # at once
 
@@ -37,91 +37,87 @@
 class StateAge(IntEnum):
     """How old a piece of state is."""
 
-    FRESH = 0  # younger than `Span.fresh_ms`
-    STALE = 1  # younger than `Span.life_ms`
+    FRESH = 0  # younger than `AgeLimits.fresh_ms`
+    STALE = 1  # younger than `AgeLimits.lifetime_ms`
     EXPIRED = 2
 
 
 class MajorityAnswer(Enum):
-    """What a majority says: of the voters on a plan, of a call's replicas on a promise."""
+    """What a majority says: of the voters on a plan, of a call's replicas on a grant."""
 
     NO_ANSWER = "no majority answered"
     CONFIRMED = "this is the last one"
     NEWER = "there is a later one"
-    CONFLICTING = (
-        "it is not as this disk says"  # another content under one number; a write it does not know of
-    )
+    CONFLICTING = "it is not as this disk says"  # other content of the same number; a write it does not know
 
 
 class StoreCondition(Enum):
-    """Whether the store is intact."""
+    """Whether the store is intact; the values appear in a log line."""
 
-    INTACT = "whole"  # all that was ever told is there: synced, checked, by its number the newest known
-    PARTIAL = (
-        "in part"  # damaged in the middle, an older copy, not synced before another boot, not of this disk
-    )
+    INTACT = "whole"  # everything ever reported is there: synced, checked, by its number the newest known
+    PARTIAL = "in part"  # damaged, an older copy, not synced before another boot, or another disk's
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """One reading; `boot` marks a boot of the machine, and is empty where the system does not tell."""
+    """One reading of a machine's clocks, in milliseconds."""
 
-    boot: str
-    mono_ms: float  # of the monotonic clock, which goes on from process to process within a boot
-    wall_ms: float  # anything: hours off, stepping
+    boot: str  # marks a boot of the machine; empty if the system does not tell
+    mono_ms: float  # the monotonic clock, which continues across processes within a boot
+    wall_ms: float  # may be hours off, and may step
 
 
 @dataclass(frozen=True, slots=True)
 class AgeLimits:
-    """The ages of one kind, in milliseconds."""
+    """The limits of age of one kind, in milliseconds."""
 
     fresh_ms: float
-    life_ms: float
+    lifetime_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """One piece of state as it is found."""
+    """One piece of state as it is found on disk."""
 
     kind: StateKind
     age: StateAge
-    in_order: bool  # its writer said so at its end
+    closed_cleanly: bool  # its writer shut down gracefully
     same_boot: bool
-    others: MajorityAnswer = MajorityAnswer.NO_ANSWER
+    majority: MajorityAnswer = MajorityAnswer.NO_ANSWER
     store: StoreCondition = StoreCondition.INTACT
 
 
-_LETTERS = {"G": TrustLevel.GONE, "H": TrustLevel.HINT, "M": TrustLevel.MAJORITY, "N": TrustLevel.NOW}
+_LEVEL_BY_LETTER = {
+    "G": TrustLevel.GONE,
+    "H": TrustLevel.HINT,
+    "M": TrustLevel.MAJORITY,
+    "N": TrustLevel.NOW,
+}
 
-# Three letters each: fresh, within its life, old. A promise is old once its window is over (`left_ms`).
-#                    same boot          another boot
-#                in order  killed   in order  killed
+# Three letters each: fresh, stale, expired. A grant is expired once its window is over (`remaining_ms`).
+#                          same boot              another boot
+#                      closed   killed          closed   killed
 TRUST_TABLE: Mapping[StateKind, tuple[str, str, str, str]] = {
     StateKind.TERM: ("NNN", "NNN", "NNN", "NNN"),
-    StateKind.PLAN: (
-        "NMM",
-        "NMM",
-        "MMM",
-        "MMM",
-    ),  # decided it is for good; whether it is the last, others know
-    StateKind.POLICY: ("MMM", "MMM", "MMM", "MMM"),  # nobody acts by one without a lease of this life
+    StateKind.PLAN: ("NMM", "NMM", "MMM", "MMM"),  # it stays decided; whether it is the last, others know
+    StateKind.POLICY: ("MMM", "MMM", "MMM", "MMM"),  # applied only under a lease of this incarnation
     StateKind.GRANT: ("NNG", "NNG", "NNG", "NNG"),
     StateKind.ROSTER: (
         "NHG",
         "NHG",
         "HHG",
         "HHG",
-    ),  # scorers come back with new ids, the log with new numbers
-    StateKind.USAGE: ("NHG", "HHG", "HHG", "HHG"),  # what was wanted most before is what will be wanted first
+    ),  # scorers come back with new ids, the log renumbered
+    StateKind.USAGE: ("NHG", "HHG", "HHG", "HHG"),  # what was used most before is what will be wanted first
     StateKind.COPIES: ("HHG", "HGG", "GGG", "GGG"),  # scorers are empty
     StateKind.LOADS: ("HGG", "GGG", "GGG", "GGG"),
     StateKind.PLACEMENTS: ("NMH", "NMH", "MMH", "MMH"),  # a number is never given twice, however old
 }
 
-# What is left of each kind where the store is not whole. What stands there was said; what is missing may
-# have been said as well, so nothing that rests on 'and nothing else' is left: no vote, no number.
+# The most that a partial store leaves of each kind. What is found there was reported; what is missing may
+# have been reported as well. So nothing is left that relies on "and nothing else": no vote, no number.
 PARTIAL_STORE_TRUST: Mapping[StateKind, TrustLevel] = {
-    StateKind.TERM: TrustLevel.HINT,  # the least term there was; the disk votes no more under this identity
+    StateKind.TERM: TrustLevel.HINT,  # the smallest possible term; this identity votes no more
     StateKind.PLAN: TrustLevel.MAJORITY,
     StateKind.POLICY: TrustLevel.MAJORITY,
     StateKind.GRANT: TrustLevel.NOW,
@@ -132,42 +128,43 @@
     StateKind.PLACEMENTS: TrustLevel.HINT,
 }
 
-# A majority's word that there is a later one, or that it is not so. What is not named is gone then.
-_LATER = {
-    StateKind.TERM: TrustLevel.NOW,
+# The most that is left once a majority contradicts; kinds that are not named are discarded.
+_NEWER_TRUST = {
+    StateKind.TERM: TrustLevel.NOW,  # a later term replaces it by the voters' rules
     StateKind.GRANT: TrustLevel.NOW,
-}  # a later term takes its place by the voters' rules
-_OTHER = {
+}
+_CONFLICTING_TRUST = {
     StateKind.TERM: TrustLevel.HINT,
-    StateKind.GRANT: TrustLevel.NOW,
-}  # of two words on a call the stricter stands
+    StateKind.GRANT: TrustLevel.NOW,  # of two statements on a call the stricter counts
+}
 
 
-def trust_level(found: StoredState) -> TrustLevel:
-    """The table: total over all that can be found."""
-    column = (0 if found.same_boot else 2) + (0 if found.in_order else 1)
-    held = _LETTERS[TRUST_TABLE[found.kind][column][found.age]]
-    if found.store is StoreCondition.PARTIAL:
-        held = min(held, PARTIAL_STORE_TRUST[found.kind])
-    if found.others is MajorityAnswer.NEWER:
-        return min(held, _LATER.get(found.kind, TrustLevel.GONE))
-    if found.others is MajorityAnswer.CONFLICTING:
-        return min(held, _OTHER.get(found.kind, TrustLevel.GONE))
-    if found.others is MajorityAnswer.CONFIRMED and held is TrustLevel.MAJORITY:
-        return TrustLevel.NOW
-    return held
+def trust_level(state: StoredState) -> TrustLevel:
+    """What a piece of state may be used for; defined for everything that can be found."""
+    column = (0 if state.same_boot else 2) + (0 if state.closed_cleanly else 1)
+    level = _LEVEL_BY_LETTER[TRUST_TABLE[state.kind][column][state.age]]
+    if state.store is StoreCondition.PARTIAL:
+        level = min(level, PARTIAL_STORE_TRUST[state.kind])
+    match state.majority:
+        case MajorityAnswer.NEWER:
+            return min(level, _NEWER_TRUST.get(state.kind, TrustLevel.GONE))
+        case MajorityAnswer.CONFLICTING:
+            return min(level, _CONFLICTING_TRUST.get(state.kind, TrustLevel.GONE))
+        case MajorityAnswer.CONFIRMED if level is TrustLevel.MAJORITY:
+            return TrustLevel.NOW
+        case _:
+            return level
 
 
 def may_vote(term: TrustLevel) -> bool:
-    """Whether this disk's voter may go on under its identity; else it comes back as a new one."""
+    """Whether this disk's voter may continue under its identity; else it comes back as a new one."""
     return term is TrustLevel.NOW
 
 
 def knows_all_grants(store: StoreCondition) -> bool:
-    """Whether a replica knows all that it ever promised, and may grant at once.
+    """Whether a replica knows all that it ever granted, and may grant at once.
 
-    One that does not hears every other replica that does, or waits until all that it may have granted is
-    over.
+    One that does not queries every other replica, or waits until all that it may have granted is over.
     """
     return store is StoreCondition.INTACT
 
@@ -180,87 +177,85 @@
     return bool(written.boot) and written.boot == read.boot and written.mono_ms <= read.mono_ms
 
 
-def remaining_ms(written: ClockReading, read: ClockReading, whole_ms: float) -> float:
-    """For how long a promise still counts from `read`, at the least; 0 where it is over.
+def remaining_ms(written: ClockReading, read: ClockReading, duration_ms: float) -> float:
+    """For how long a grant still counts from `read`, at the least; 0 if it is over.
 
-    `whole_ms` is what it counted for when it was written, by the slowest clock. In another boot it begins
-    anew. Rejected: to subtract the time since this boot, as a disk may be moved to a machine that is up for
-    long.
+    `duration_ms` is its duration when it was written, by the slowest clock. In another boot the duration
+    starts again. Rejected: to subtract the time since this boot, as a disk may be moved to a machine that has
+    been up for long.
     """
-    gone_ms = read.mono_ms - written.mono_ms if same_boot(written, read) else 0.0
-    return max(0.0, whole_ms - gone_ms)
+    elapsed_ms = read.mono_ms - written.mono_ms if same_boot(written, read) else 0.0
+    return max(0.0, duration_ms - elapsed_ms)
 
 
-def age_of(kind: StateKind, written: ClockReading, read: ClockReading, span: AgeLimits) -> StateAge:
+def age_of(kind: StateKind, written: ClockReading, read: ClockReading, limits: AgeLimits) -> StateAge:
     """The age of a piece of state.
 
-    By the monotonic clock within a boot. In another one by the wall clocks, where that is no promise; a clock
-    that went back makes it fresh, and nothing that is fresh in another boot is more than a hint until others
-    confirm it.
+    By the monotonic clock within a boot; in another one by the wall clocks, except for grants. A clock that
+    went back makes it fresh, and nothing that is fresh in another boot is more than a hint until other
+    members confirm it.
     """
     if kind is StateKind.GRANT:
-        return StateAge.FRESH if remaining_ms(written, read, span.life_ms) > 0 else StateAge.EXPIRED
+        is_valid = remaining_ms(written, read, limits.lifetime_ms) > 0
+        return StateAge.FRESH if is_valid else StateAge.EXPIRED
     if same_boot(written, read):
         age_ms = read.mono_ms - written.mono_ms
     else:
         age_ms = max(0.0, read.wall_ms - written.wall_ms)
-    return (
-        StateAge.FRESH
-        if age_ms < span.fresh_ms
-        else StateAge.STALE
-        if age_ms < span.life_ms
-        else StateAge.EXPIRED
-    )
+    if age_ms < limits.fresh_ms:
+        return StateAge.FRESH
+    return StateAge.STALE if age_ms < limits.lifetime_ms else StateAge.EXPIRED
 
 
 @dataclass(frozen=True, slots=True)
 class AgeSettings:
-    """The ages by kind, from the current settings; milliseconds."""
+    """Ages of all kinds, from the current settings; milliseconds."""
 
-    valid_ms: float = 2_000.0  # zones: a leader's word that a plan is the last one
-    window_ms: float = 13_500.0  # state: a call's time and window, by the slowest clock
-    fresh_ms: float = 1_000.0  # counts and beliefs
-    idle_life_ms: float = 10_000.0  # of a copy
+    valid_ms: float = 2_000.0  # zones: for how long a leader's message counts that a plan is the last one
+    window_ms: float = 13_500.0  # state: a call's duration and idempotency window, by the slowest clock
+    fresh_ms: float = 1_000.0  # counts and estimates
+    copy_idle_ms: float = 10_000.0  # an idle copy expires
     roster_ms: float = 600_000.0
-    use_ms: float = 3_600_000.0
-    still_ms: float = 30_000.0  # sessions
+    usage_ms: float = 3_600_000.0
+    session_idle_ms: float = 30_000.0
 
     def of(self, kind: StateKind) -> AgeLimits:
-        """The ages of a kind."""
+        """The limits of age of a kind."""
         return {
             StateKind.TERM: AgeLimits(0.0, 0.0),
             StateKind.PLAN: AgeLimits(self.valid_ms, self.valid_ms),
             StateKind.POLICY: AgeLimits(0.0, 0.0),
             StateKind.GRANT: AgeLimits(self.window_ms, self.window_ms),
             StateKind.ROSTER: AgeLimits(self.fresh_ms, self.roster_ms),
-            StateKind.USAGE: AgeLimits(self.fresh_ms, self.use_ms),
-            StateKind.COPIES: AgeLimits(self.fresh_ms, self.idle_life_ms),
+            StateKind.USAGE: AgeLimits(self.fresh_ms, self.usage_ms),
+            StateKind.COPIES: AgeLimits(self.fresh_ms, self.copy_idle_ms),
             StateKind.LOADS: AgeLimits(self.fresh_ms, self.fresh_ms),
-            StateKind.PLACEMENTS: AgeLimits(self.valid_ms, self.still_ms),
+            StateKind.PLACEMENTS: AgeLimits(self.valid_ms, self.session_idle_ms),
         }[kind]
 
 
 class RestartScope(Enum):
-    """What has ended with this front end's last incarnation."""
+    """What has restarted together with this front end."""
 
     PROCESS = "the process alone"
-    MACHINE = "the machine, and most of the others go on"
+    MACHINE = "the machine, and most of the others continue"
     FLEET = "the fleet: a majority of the voters is in another boot"
     UNKNOWN = "no majority of the voters was heard"
 
 
 def restart_scope(
-    mine_same: bool, voters: tuple[str, ...], boots: Mapping[str, str], now: Mapping[str, str]
+    same_boot_here: bool, voters: tuple[str, ...], boots: Mapping[str, str], current: Mapping[str, str]
 ) -> RestartScope:
     """What a restart is part of.
 
-    `boots` are the marks of voters' boots as decided last, `now` those heard since this start, by voter.
-    Voters that are not heard are in neither half.
+    `boots` are the boot marks of voters as decided last, `current` those received since this start. Voters
+    that were not heard count on neither side.
     """
-    most = len(voters) // 2 + 1
-    changed = sum(name in now and now[name] != boots.get(name, now[name]) for name in voters)
-    if changed >= most:
+    majority = len(voters) // 2 + 1
+    changed = sum(name in current and current[name] != boots.get(name, current[name]) for name in voters)
+    if changed >= majority:
         return RestartScope.FLEET
-    if sum(name in now for name in voters) < most:
-        return RestartScope.PROCESS if mine_same else RestartScope.UNKNOWN
-    return RestartScope.PROCESS if mine_same else RestartScope.MACHINE
+    if same_boot_here:
+        return RestartScope.PROCESS
+    heard = sum(name in current for name in voters)
+    return RestartScope.UNKNOWN if heard < majority else RestartScope.MACHINE
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -170,8 +170,9 @@
         found = self.follower.allowed(now_ms, self.worths)
         if found is None:
             own, members = self.own, len(self.lists.members)
+            share = partitioned.budget_share(own.heard, members)
             found = partitioned.allowed_when_partitioned(
-                self.worths, own.heard, members, own.scorers, self.asked
+                self.worths, share, has_roster=own.scorers, queries_finished=self.asked
             )
         return found if self.asked else replace(found, status=False)
 
--- a/tests/test_recovery_trust.py
+++ b/tests/recovery_core/test_recovery_core_trust.py
@@ -1,4 +1,4 @@
-"""What is trusted after a start: the whole product of the table, and its laws."""
+"""What is trusted after a start: all combinations of the table, and its laws."""
 
 from itertools import product
 
@@ -46,14 +46,14 @@
 
 
 @pytest.mark.parametrize("kind", StateKind)
-def test_after_a_power_loss(kind):
+def test_trust_levels_after_a_power_loss(kind):
     for in_order in (True, False):
         assert [trust_level(StoredState(kind, age, in_order, False)).name for age in StateAge] == AFTER_A_CUT[
             kind
         ].split()
 
 
-def test_the_whole_product_keeps_the_laws():
+def test_the_whole_table_obeys_its_laws():
     assert len(SPACE) == 9 * 3 * 2 * 2 * 4 * 2
     held = {found: trust_level(found) for found in SPACE}
     for found, level in held.items():
@@ -77,7 +77,8 @@
             assert level <= PARTIAL_STORE_TRUST[k]
         if others is MajorityAnswer.CONFIRMED:
             assert level is not TrustLevel.MAJORITY
-    assert knows_all_grants(StoreCondition.INTACT) and not knows_all_grants(StoreCondition.PARTIAL)
+    assert knows_all_grants(StoreCondition.INTACT)
+    assert not knows_all_grants(StoreCondition.PARTIAL)
 
 
 WALL = st.floats(-1e8, 1e8)
@@ -89,9 +90,12 @@
     st.lists(st.tuples(st.floats(0, 9_000), st.sampled_from("skm"), WALL), max_size=8),
     st.floats(1 - SKEW, 1 + SKEW),
 )
-def test_no_clock_makes_a_promise_shorter(spans, rate):
-    """Lives of a keeper, each ended by a restart (s), a power loss (k) or a move of the disk to a machine
-    that is up for long (m). Whatever the wall clocks say, it counts at every reading within its window."""
+def test_no_clock_shortens_a_grant(spans, rate):
+    """A grant counts at every reading within its window, whatever the wall clocks say.
+
+    Incarnations of a replica end by a restart (s), a power loss (k), or a move of the disk to a machine that has
+    been up for long (m).
+    """
     window_ms = 10_000.0
     whole_ms = window_ms * (1 + SKEW) / (1 - SKEW)
     boot, mono, true_ms = 0, 5_000.0, 0.0
@@ -117,7 +121,9 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.sampled_from(StateKind), st.booleans(), st.floats(0, 1e7), st.floats(0, 1e7), WALL, WALL)
-def test_older_is_never_more_trusted_and_no_wall_clock_makes_trust(kind, in_order, one, more, wall, step):
+def test_older_state_is_never_more_trusted_and_no_wall_clock_gives_trust(
+    kind, in_order, one, more, wall, step
+):
     span = AgeSettings().of(kind)
     written = ClockReading("b", 1_000.0, 0.0)
     ages = [age_of(kind, written, ClockReading("b", 1_000.0 + at, wall), span) for at in (one, one + more)]
@@ -131,7 +137,7 @@
         assert kind in (StateKind.TERM, StateKind.GRANT) or level is not TrustLevel.NOW
 
 
-def test_a_boot_is_told_from_a_restart():
+def test_a_boot_is_distinguished_from_a_restart():
     written = ClockReading("b", 50.0, 0.0)
     assert same_boot(written, ClockReading("b", 60.0, -1e9))
     for other in (ClockReading("c", 60.0, 0.0), ClockReading("", 60.0, 0.0), ClockReading("b", 40.0, 0.0)):
@@ -151,5 +157,5 @@
         (False, {"a": "2", "x": "2", "y": "2"}, RestartScope.UNKNOWN),  # who is no voter counts for nothing
     ],
 )
-def test_what_ended(mine, now, found):
+def test_scope_of_a_restart(mine, now, found):
     assert restart_scope(mine, ("a", "b", "c"), {"a": "1", "b": "1", "c": "1"}, now) is found
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -212,14 +212,18 @@
         (io.Effect.DEDUPLICATED, CallKnowledge(granted=True), CallDecision.SERVE),
     ):
         assert partitioned.decide_call(effect, standing, window) is found
-    lone = partitioned.allowed_when_partitioned(WORTHS, 3, 12, rostered=True, asked=True)
+    lone = partitioned.allowed_when_partitioned(
+        WORTHS, partitioned.budget_share(3, 12), has_roster=True, queries_finished=True
+    )
     assert (
         lone.part == 0.25
         and lone.status
         and lone.loads
         and not (lone.spill or lone.renewal or lone.own_loads)
     )
-    assert not partitioned.allowed_when_partitioned(WORTHS, 3, 12, rostered=False, asked=True).status
+    assert not partitioned.allowed_when_partitioned(
+        WORTHS, partitioned.budget_share(3, 12), has_roster=False, queries_finished=True
+    ).status
 
 
 # --- budgets --------------------------------------------------------------------------------
