--- a/fawnwharf/recovery_core/coordinated_fleet.py
+++ b/fawnwharf/recovery_core/coordinated_fleet.py
@@ -13,12 +13,12 @@
     choose_load_coordinators,
     start_offset_ms,
 )
+from fawnwharf.recovery_core.coordinator import RecoveryCoordinator
 from fawnwharf.recovery_core.phases import (
     AllowedActions,
     FleetObservation,
     PhaseTiming,
     ProposeRegister,
-    RecoveryCoordinator,
     RecoveryPhase,
     RecoveryRegister,
     allowed_in_phase,
@@ -108,7 +108,7 @@
 
     def _conduct(self, now: float, heard: int, asked: int, here: list[str]) -> None:
         if not self.conductor.leads:
-            self.conductor.lead(now, self.text, self.voters)
+            self.conductor.begin_term(now, self.text, self.voters)
         at = max(1, int(now / 1000) - 1)  # the last whole seconds of tries
         came, served, first, first_served = map(sum, zip(*self.seconds[at - 1 : at + 1], strict=True))
         slow = self.slow[-20:]
@@ -123,7 +123,7 @@
             fell=self.fell_now,
         )
         self.fell_now = 0
-        for effect in self.conductor.tick(now, seen, dict.fromkeys(here, "after"), True):
+        for effect in self.conductor.tick(now, seen, dict.fromkeys(here, "after"), holds_lease=True):
             if isinstance(effect, ProposeRegister):
                 self.text = effect.register
                 self.conductor.decided(now, self.text)
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -163,7 +163,7 @@
         return self.follower.register.cut if self.follower.register is not None else 0
 
     def stage(self, now_ms: float) -> RecoveryPhase | None:
-        return self.follower.stage(now_ms)
+        return self.follower.phase(now_ms)
 
     def allowed(self, now_ms: float) -> AllowedActions:
         """What this front end does now."""
@@ -305,7 +305,7 @@
         life, least = self._told.get(sender, (0, 0.0))
         least = min(least, late) if life == word.life else late
         self._told[sender], self._term = (word.life, least), word.term
-        notes = self.follower.told(word.register, word.at_ms + least)
+        notes = self.follower.receive(word.register, word.at_ms + least)
         return [*notes, *self._go(now_ms)]
 
     # --- the voters' log ------------------------------------------------------------------------
@@ -320,7 +320,7 @@
 
     def not_put(self) -> None:
         """What was to be decided never came into the log."""
-        self.lead.conductor.not_put()
+        self.lead.conductor.proposal_failed()
 
     def turned(self, now_ms: float) -> list[Effect]:
         """The voter may lead, or not lead any more."""
@@ -398,7 +398,13 @@
             effects.append(LogEvent("asked", {"without": list(self.asking.fallbacks().values())}))
         stage, register = self.stage(now_ms), self.follower.register
         fronts = self.own.heard if stage is None or register is None else register.fronts
-        going = (self.allowed(now_ms), stage, self.cut, max(1, fronts), self.follower.dealt(now_ms))
+        going = (
+            self.allowed(now_ms),
+            stage,
+            self.cut,
+            max(1, fronts),
+            self.follower.permit_assignment(now_ms),
+        )
         if going[0].loads and not going[0].spill and (stage is None or stage < RecoveryPhase.PRIORITY_CALLS):
             self._gave_ms = now_ms
         if going == self._going:
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.recovery_core.budget import choose_load_coordinators
+from fawnwharf.recovery_core.coordinator import RecoveryCoordinator
 from fawnwharf.recovery_core.phases import (
     Effect,
     FleetObservation,
     LogEvent,
     PhaseTiming,
-    RecoveryCoordinator,
     RecoveryPhase,
 )
 from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS
@@ -131,11 +131,11 @@
         """A reign begins when its voter leads, its last decision is the fleet's last for certain, and
         nothing of its log is undecided."""
         if self.term and self.term != seat.term:
-            self.conductor.rest()
+            self.conductor.end_term()
             self.term = 0
         if self.term or not seat.fresh or not seat.settled or seat.term == self.unread:
             return []
-        effects = self.conductor.lead(now_ms, seat.recovery, seat.voters)
+        effects = self.conductor.begin_term(now_ms, seat.recovery, seat.voters)
         self.term = seat.term if self.conductor.leads else 0
         self.unread = 0 if self.term else seat.term
         self._word = (-1, 0.0)
@@ -165,7 +165,7 @@
         boots, heard = self._boots(now_ms)
         if 2 * heard <= len(seat.voters):  # it can't tell yet whether the fleet lost its power
             return []
-        return self.conductor.tick(now_ms, self.seen(now_ms), boots, seat.fresh)
+        return self.conductor.tick(now_ms, self.seen(now_ms), boots, holds_lease=seat.fresh)
 
     def word(self, now_ms: float, seat: ConsensusStatus) -> str | None:
         """The register for all; None: it is not time, or it may not be the last word.
--- a/tests/recovery_core/test_recovery_core_trust.py
+++ b/tests/recovery_core/test_recovery_core_trust.py
@@ -93,8 +93,8 @@
 def test_no_clock_shortens_a_grant(spans, rate):
     """A grant counts at every reading within its window, whatever the wall clocks say.
 
-    Incarnations of a replica end by a restart (s), a power loss (k), or a move of the disk to a machine that has
-    been up for long (m).
+    Incarnations of a replica end by a restart (s), a power loss (k), or a move of the disk to a machine that
+    has been up for long (m).
     """
     window_ms = 10_000.0
     whole_ms = window_ms * (1 + SKEW) / (1 - SKEW)
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -202,5 +202,5 @@
         self.until(lambda: all(agent.asked for agent in self.agents.values()))
         leader = self.leader
         self.until(lambda: len(self.agents[leader].lead.conductor.register.boots) == 3)
-        self.until(lambda: self.agents[leader].lead.conductor.asked is None)
+        self.until(lambda: self.agents[leader].lead.conductor.proposed is None)
         return self
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -92,7 +92,7 @@
             super().run(STEP_S)
             for name in sorted(self.up):
                 agent, giving = self.agents[name], self.giving[name]
-                may, dealt = agent.allowed(self.now), agent.follower.dealt(self.now)
+                may, dealt = agent.allowed(self.now), agent.follower.permit_assignment(self.now)
                 giving.set(self.now, self.up, agent.lists.keepers, may, agent.cut, dealt)
                 if may.loads and not may.spill:
                     self.entered.setdefault(name, self.now)
--- a/tests/test_recovery_stages.py
+++ b/tests/test_recovery_stages.py
@@ -6,13 +6,13 @@
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core import budget, partitioned
+from fawnwharf.recovery_core.coordinator import RecoveryCoordinator
 from fawnwharf.recovery_core.partitioned import CallDecision, CallKnowledge
 from fawnwharf.recovery_core.phases import (
     FleetObservation,
     PhaseFollower,
     PhaseTiming,
     ProposeRegister,
-    RecoveryCoordinator,
     RecoveryPhase,
     RecoveryRegister,
     RegisterError,
@@ -39,11 +39,11 @@
         self.lead()
 
     def lead(self):
-        self.core.lead(self.now, self.text, VOTERS)
+        self.core.begin_term(self.now, self.text, VOTERS)
 
     def step(self, seen=GOOD, mark="new", ms=100.0):
         self.now += ms
-        for effect in self.core.tick(self.now, seen, boots(mark), True):
+        for effect in self.core.tick(self.now, seen, boots(mark), holds_lease=True):
             assert isinstance(effect, ProposeRegister)
             self.text = effect.register
             self.core.decided(self.now, self.text)
@@ -88,7 +88,7 @@
         marks = marks | {name: "new"}
         for _ in range(400):
             led.now += 100.0
-            for effect in led.core.tick(led.now, GOOD, marks, True):
+            for effect in led.core.tick(led.now, GOOD, marks, holds_lease=True):
                 led.core.decided(led.now, effect.register)
     assert led.core.register.cut == 2 and led.core.register.boots == boots("new")
 
@@ -99,19 +99,21 @@
     assert led.core.register.boots == boots("old") and led.told[-1].cut == 2
     core, marks = led.core, boots("old") | {"b#1": "new"}
     core.voters = (*VOTERS, "d#1")
-    assert core.tick(led.now, GOOD, marks | {"d#1": "new"}, True) == []  # b's may be the first of many
-    (put,) = core.tick(led.now + TIMING.settle_ms, GOOD, marks | {"d#1": "new"}, True)
+    assert (
+        core.tick(led.now, GOOD, marks | {"d#1": "new"}, holds_lease=True) == []
+    )  # b's may be the first of many
+    (put,) = core.tick(led.now + TIMING.settle_ms, GOOD, marks | {"d#1": "new"}, holds_lease=True)
     assert parse_register(put.register).boots == marks | {"d#1": "new"}
 
 
 def test_nothing_is_put_without_a_lease_or_while_something_is_put():
     core = RecoveryCoordinator(TIMING)
-    core.lead(0.0, RecoveryRegister(1, 4, 2, 5, 1.0, 9, boots("old")).encode(), VOTERS)
-    assert core.tick(1.0, GOOD, boots("new"), False) == []
-    (put,) = core.tick(1.0, GOOD, boots("new"), True)
-    assert core.tick(2.0, GOOD, boots("new"), True) == []
-    core.not_put()
-    assert core.tick(3.0, GOOD, boots("new"), True) == [put]
+    core.begin_term(0.0, RecoveryRegister(1, 4, 2, 5, 1.0, 9, boots("old")).encode(), VOTERS)
+    assert core.tick(1.0, GOOD, boots("new"), holds_lease=False) == []
+    (put,) = core.tick(1.0, GOOD, boots("new"), holds_lease=True)
+    assert core.tick(2.0, GOOD, boots("new"), holds_lease=True) == []
+    core.proposal_failed()
+    assert core.tick(3.0, GOOD, boots("new"), holds_lease=True) == [put]
 
 
 def test_listening_and_repeats_do_not_wait_for_those_that_never_come():
@@ -156,7 +158,11 @@
     with pytest.raises(RegisterError, match=r"^\w+.*: "):
         parse_register(text)
     follower, core = PhaseFollower(TIMING, 0.0), RecoveryCoordinator(TIMING)
-    assert follower.told(text, 1.0)[0].event == core.lead(0.0, text, VOTERS)[0].event == "recovery not read"
+    assert (
+        follower.receive(text, 1.0)[0].event
+        == core.begin_term(0.0, text, VOTERS)[0].event
+        == "recovery not read"
+    )
     assert follower.register is None and not core.leads
 
 
@@ -177,23 +183,23 @@
 
 def test_a_front_end_goes_by_fresh_words_and_is_alone_without_any():
     core = PhaseFollower(TIMING, 0.0)
-    assert core.stage(10.0) is RecoveryPhase.LISTENING and core.stage(TIMING.alone_ms) is None
+    assert core.phase(10.0) is RecoveryPhase.LISTENING and core.phase(TIMING.alone_ms) is None
     rest = RecoveryRegister(number=5, cut=1, stage=int(RecoveryPhase.ALL_CALLS), part=0.5)
-    core.told(rest.encode(), 6_000.0)
-    assert core.allowed(6_100.0, WORTHS).part == 0.5 and not core.lone
+    core.receive(rest.encode(), 6_000.0)
+    assert core.allowed(6_100.0, WORTHS).part == 0.5 and not core.partitioned
     assert core.allowed(6_000.0 + TIMING.valid_ms, WORTHS).part == 0.25  # it may have been stepped back
     assert core.allowed(6_000.0 + TIMING.alone_ms, WORTHS) is None
-    core.told(
+    core.receive(
         RecoveryRegister(number=4, cut=1, stage=5).encode(), 20_000.0
     )  # late, and of an earlier decision
-    assert core.stage(20_000.0) is None
-    core.told(RecoveryRegister(number=6, cut=1, stage=1).encode(), 20_000.0)
-    assert core.stage(20_000.0) is None  # what is safe alone stays so, until a stage allows more
-    core.told(RecoveryRegister(number=7, cut=1, stage=2).encode(), 20_000.0)
-    assert core.stage(20_000.0) is RecoveryPhase.PRIORITY_CALLS
-    core.told(RecoveryRegister(number=9, cut=1, stage=5).encode(), 20_000.0)
-    assert core.stage(1e9) is RecoveryPhase.NORMAL  # calm without a leader is no power loss
-    core.told(RecoveryRegister(number=10, cut=2, stage=0).encode(), 30_000.0)  # it served through this one
+    assert core.phase(20_000.0) is None
+    core.receive(RecoveryRegister(number=6, cut=1, stage=1).encode(), 20_000.0)
+    assert core.phase(20_000.0) is None  # what is safe alone stays so, until a stage allows more
+    core.receive(RecoveryRegister(number=7, cut=1, stage=2).encode(), 20_000.0)
+    assert core.phase(20_000.0) is RecoveryPhase.PRIORITY_CALLS
+    core.receive(RecoveryRegister(number=9, cut=1, stage=5).encode(), 20_000.0)
+    assert core.phase(1e9) is RecoveryPhase.NORMAL  # calm without a leader is no power loss
+    core.receive(RecoveryRegister(number=10, cut=2, stage=0).encode(), 30_000.0)  # it served through this one
     assert core.allowed(30_000.0, WORTHS) == allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
     assert PhaseFollower(TIMING, 30_000.0).allowed(30_000.0, WORTHS) == allowed_in_phase(
         RecoveryPhase.LISTENING, WORTHS, 0.0625
--- a/tests/test_rejoin_agent.py
+++ b/tests/test_rejoin_agent.py
@@ -268,9 +268,9 @@
     fleet = Agents().calm()
     agent, leader = fleet.agents["n4"], fleet.leader
     told = w.PhaseAnnouncement(1, fleet.agents[leader].lead.term, fleet.now, agent.follower.register.encode())
-    before = agent.follower.word_ms
+    before = agent.follower.confirmed_ms
     agent.hear_zone(fleet.now + 9_000.0, leader, told)
-    assert before <= agent.follower.word_ms <= fleet.now + 30.0
+    assert before <= agent.follower.confirmed_ms <= fleet.now + 30.0
 
 
 def test_a_start_takes_no_stage_of_one_that_has_not_answered_it():
--- a/tests/test_rejoin_dealt.py
+++ b/tests/test_rejoin_dealt.py
@@ -167,7 +167,7 @@
     led.until(RecoveryPhase.ALL_CALLS, seen("a"))
     assert (led.told[-1].givers, led.told[-1].deals) == (("a", "b"), 1)
     led.step(seen("a", "b"))
-    assert led.core.lost_ms is None
+    assert led.core.issuers_differ_since_ms is None
 
 
 def test_where_one_gave_without_a_stage_the_first_dealing_waits_as_a_later_one():
@@ -184,10 +184,13 @@
 def test_a_text_of_before_deals_nothing_and_many_keepers_are_bounded():
     old = '{"recovery":1,"number":4,"cut":1,"stage":2,"part":1.0,"fronts":3,"boots":{},"why":""}'
     follower = PhaseFollower(PhaseTiming(), 0.0)
-    follower.told(old, 0.0)
-    assert follower.stage(1.0) is RecoveryPhase.PRIORITY_CALLS and follower.dealt(1.0) is None
-    follower.told(RecoveryRegister(number=5, cut=1, stage=2, givers=("a",), deals=1).encode(), 0.0)
-    assert follower.dealt(1.0) == PermitAssignment(("a",), 1, 1) and follower.dealt(6_000.0) is None  # alone
+    follower.receive(old, 0.0)
+    assert follower.phase(1.0) is RecoveryPhase.PRIORITY_CALLS and follower.permit_assignment(1.0) is None
+    follower.receive(RecoveryRegister(number=5, cut=1, stage=2, givers=("a",), deals=1).encode(), 0.0)
+    assert (
+        follower.permit_assignment(1.0) == PermitAssignment(("a",), 1, 1)
+        and follower.permit_assignment(6_000.0) is None
+    )  # alone
     names = tuple(f"n{i}" for i in range(500))
     lead = RecoveryLeader(PhaseTiming(), MemberLists(names, names[:3], names), 1_000.0, 1_000.0, 100.0)
     for name in names:
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -1,37 +1,26 @@
 """The door before the gate: one final answer each, advice that is honest, classes, repeats, tickets."""
 
+import base64
 from dataclasses import replace
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.recovery_admission import CLASSES, LIMITS, WORTHS, Ground
+
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call
-from fawnwharf.net.requests import Failed
-from fawnwharf.net.requests import Rejected
-from fawnwharf.net.requests import Succeeded
+from fawnwharf.net.requests import Call, Failed, Rejected, Succeeded
 from fawnwharf.net.scorer_streams import Answer
 from fawnwharf.policy import Router
-from fawnwharf.recovery_core.phases import AllowedActions
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import allowed_in_phase
-from fawnwharf.recovery_service.actions import CopyAvailable
-from fawnwharf.recovery_service.actions import SlowStartPermit
+from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.recovery_admission import StoredClaims
-from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION
+from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION, StoredClaims
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claim_gate import ClaimGate
-from fawnwharf.replication.claim_gate import call_key
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.claim_gate import ClaimGate, call_key
+from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.testbed.promises import fleet_file
-from hypothesis import given
-from hypothesis import settings
-from hypothesis import strategies as st
-from support.recovery_admission import CLASSES
-from support.recovery_admission import Ground
-from support.recovery_admission import LIMITS
-from support.recovery_admission import WORTHS
-import base64
-import pytest
 
 
 def test_in_calm_all_is_passed_on_as_it_comes():
