--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -249,7 +249,7 @@
             self._keep_hints(now)
             if self.kept.whole is StoreCondition.PARTIAL:
                 self._confirm()
-        if not self._dialled and self.agent.asking.stand(QueryTopic.ROSTER) is QueryState.TIMED_OUT:
+        if not self._dialled and self.agent.asking.state(QueryTopic.ROSTER) is QueryState.TIMED_OUT:
             self._dial_last()
         self._carry_out(self.agent.tick(now, self._own()))
         if self._once("door") and (what := self.joined.door.since()):
