--- a/fawnwharf/policy_rollout/call_binding.py
+++ b/fawnwharf/policy_rollout/call_binding.py
@@ -1,17 +1,16 @@
 """Binds each call to the policy at its arrival.
 
-Stands before the table of requests, or before the claim gate.
+The binding stands before the table of requests, or before the claim gate. A call gets the policy of the
+moment at which it is taken, and keeps it up to its final answer, whatever changes; it waits no longer than
+that policy's deadline.
 
-A call gets the policy of the moment at which it is taken, and keeps it up to its final answer, whatever
-comes; it waits no longer than that policy's deadline.
-
-The decision module judges a call by its class as it stands when the call reaches it. A call that waited at
-the claim gate through a change is therefore handed over between two changes of its class: to its own version,
-and back to the present one.
+The decision module decides on a call by its class as it stands when the call reaches it. A call that waited
+at the claim gate through a change is therefore passed on between two changes of its class: to its own
+version, and back to the present one.
 """
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Protocol
 
 from fawnwharf import interface as io
@@ -20,9 +19,11 @@
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import ActivePolicy
 
-# A call that comes before a leader has told what is in force: for so long it is held, then refused untouched.
-HOLD_PART, HOLD_MOST_MS = 0.5, 2_000.0  # of the time that its client waits, and at the most
-HELD_MOST, HELD_BYTES_MOST = 1_024, 8 * 1024 * 1024
+# A call that arrives before a leader has sent what is in force waits for so long, then it is rejected.
+HOLD_PART = 0.5  # of the time that its client waits
+MAX_HOLD_MS = 2_000.0
+MAX_WAITING_CALLS = 1_024
+MAX_WAITING_BYTES = 8 * 1024 * 1024
 PUSHBACK_MS = 250.0
 
 
@@ -38,17 +39,33 @@
         ...
 
 
+class PolicySource(Protocol):
+    """The lease holder, as a call needs it."""
+
+    def bind(self, call: str) -> ActivePolicy:
+        """The policy of this moment, which applies to the call from now on."""
+        ...
+
+    def release(self, call: str) -> None:
+        """Forget the policy of a call."""
+        ...
+
+    def ended(self, call: bytes, policy: ActivePolicy, taken_ms: float) -> None:
+        """Note a call that ended, by the client's id for it; `taken_ms` is Unix time."""
+        ...
+
+
 @dataclass(slots=True, eq=False)
 class _BoundCall:
-    """One open call. While nobody has told what is in force it is held, and judged by nothing."""
+    """One open call. While the policy in force is not known it waits, and no policy applies to it."""
 
     call: Call
     reply: Callable[[Outcome], None]
-    by: ActivePolicy
-    at_ms: float  # Unix, when it was judged
-    came_ms: float  # of the loop's clock
-    key: str | None = None  # as what stands below knows it
-    timer: Timer | None = None  # of one that is held
+    policy: ActivePolicy
+    taken_ms: float  # Unix, when it was bound
+    arrived_ms: float  # of the loop's clock
+    key: str | None = None  # of the call in the table below
+    timer: Timer | None = None  # of one that waits
 
 
 class CallPolicyBinding:
@@ -57,137 +74,161 @@
     def __init__(
         self,
         below: CallTable,
-        take: Callable[[str], ActivePolicy],
-        done: Callable[[str], None],
-        ended: Callable[[bytes, ActivePolicy, float], None],
+        policies: PolicySource,
         unix_ms: Callable[[], float],
         after: Callable[[float, Callable[[], None]], Timer],
     ) -> None:
-        """`take` and `done` are the lease holder's; `after` sets a timer.
-
-        `ended` gets a call's id, its policy, and when it was judged.
-        """
+        """`after` sets a timer."""
         self.below = below
-        self._take, self._done, self._told, self._unix_ms = take, done, ended, unix_ms
+        self._policies = policies
+        self._unix_ms = unix_ms
         self._after = after
         self._open: dict[str, _BoundCall] = {}
-        self._held: dict[str, _BoundCall] = {}
-        self._held_bytes = 0
-        self._number = 0
-        self._by: ActivePolicy | None = None  # of the last call
-        self._give_up: dict[str, float | None] = {}  # by class, as that has it
+        self._waiting: dict[str, _BoundCall] = {}
+        self._waiting_bytes = 0
+        self._last_key = 0
+        self._last_policy: ActivePolicy | None = None  # of the last call
+        self._give_up_ms: dict[str, float] = {}  # by class, of that policy
 
     def __len__(self) -> int:
         return len(self._open)
 
     @property
-    def held(self) -> int:
-        """The number of calls that wait until somebody tells what is in force."""
-        return len(self._held)
+    def waiting(self) -> int:
+        """The number of calls that wait until the policy in force is known."""
+        return len(self._waiting)
 
     def take(self, call: Call) -> str | None:
         """Take a call, as `RequestTable.take` does."""
-        self._number += 1
-        number, at_ms = f"p{self._number}", self._unix_ms()
-        by = self._take(number)
-        taken = self._open[number] = _BoundCall(call, call.reply, by, at_ms, monotonic_ms())
-        call.reply = lambda outcome: self._replied(number, outcome)
-        if by.how != "waiting":
-            self._hand_down(number, taken)
-        elif len(self._held) >= HELD_MOST or self._held_bytes + len(call.body) > HELD_BYTES_MOST:
-            call.reply(Refused(PUSHBACK_MS))
+        self._last_key += 1
+        key = f"p{self._last_key}"
+        taken_ms = self._unix_ms()
+        policy = self._policies.bind(key)
+        bound = _BoundCall(call, call.reply, policy, taken_ms, monotonic_ms())
+        self._open[key] = bound
+        call.reply = lambda outcome: self._reply(key, outcome)
+        if policy.basis != "waiting":
+            self._pass_on(key, bound)
+        elif self._has_capacity_for(call):
+            self._wait(key, bound)
         else:
-            self._done(number)
-            self._held[number] = taken
-            self._held_bytes += len(call.body)
-            most_ms = min(HOLD_MOST_MS, HOLD_PART * call.budget_ms)
-            taken.timer = self._after(most_ms, lambda: call.reply(Refused(PUSHBACK_MS)))
-        return number if number in self._open else None
-
-    def _hand_down(self, number: str, taken: _BoundCall) -> None:
-        call, by = taken.call, taken.by
-        call.judged = by
-        if by is not self._by:
-            classes = by.document.nested().get("classes", {})
-            self._by, self._give_up = by, {name: told.get("give_up_ms") for name, told in classes.items()}
-        if (most_ms := self._give_up.get(call.class_name)) is not None:
-            call.budget_ms = min(call.budget_ms, most_ms)
-        taken.key = self.below.take(call)
-        if taken.key is None:  # it was answered at once, or what stands below has let go of it
-            self._end(number)
+            call.reply(Refused(PUSHBACK_MS))
+        return key if key in self._open else None
+
+    def _has_capacity_for(self, call: Call) -> bool:
+        """Whether one more call may wait."""
+        if len(self._waiting) >= MAX_WAITING_CALLS:
+            return False
+        return self._waiting_bytes + len(call.body) <= MAX_WAITING_BYTES
+
+    def _wait(self, key: str, bound: _BoundCall) -> None:
+        """Let a call wait until the policy in force is known."""
+        call = bound.call
+        self._policies.release(key)
+        self._waiting[key] = bound
+        self._waiting_bytes += len(call.body)
+        wait_ms = min(MAX_HOLD_MS, HOLD_PART * call.budget_ms)
+        bound.timer = self._after(wait_ms, lambda: call.reply(Refused(PUSHBACK_MS)))
+
+    def _pass_on(self, key: str, bound: _BoundCall) -> None:
+        """Give a call to the table below, with the deadline of its policy."""
+        call = bound.call
+        call.judged = bound.policy
+        if bound.policy is not self._last_policy:
+            self._last_policy = bound.policy
+            self._give_up_ms = _give_up_by_class(bound.policy.document)
+        give_up_ms = self._give_up_ms.get(call.class_name)
+        if give_up_ms is not None:
+            call.budget_ms = min(call.budget_ms, give_up_ms)
+        bound.key = self.below.take(call)
+        if bound.key is None:  # it was answered at once, or the table below has released it
+            self._end(key)
 
     def release(self) -> None:
-        """Judge the held calls by the policy that is now known."""
-        for number, taken in list(self._held.items()):
-            if number not in self._held:  # to judge one may have released all
+        """Bind the waiting calls to the policy that is now known."""
+        for key, bound in list(self._waiting.items()):
+            if key not in self._waiting:  # passing one on may have released all
                 continue
-            self._let_go(number, taken)
-            taken.at_ms, taken.by = self._unix_ms(), self._take(number)
-            taken.call.budget_ms = max(1.0, taken.call.budget_ms - (monotonic_ms() - taken.came_ms))
-            self._hand_down(number, taken)
-
-    def refuse(self) -> None:
-        """Refuse the held calls, as nobody will tell the policy here: they may be tried elsewhere."""
-        for taken in list(self._held.values()):
-            taken.call.reply(Refused(PUSHBACK_MS))
-
-    def _let_go(self, number: str, taken: _BoundCall) -> None:
-        if self._held.pop(number, None) is not None:
-            self._held_bytes -= len(taken.call.body)
-            taken.timer.cancel()
-
-    def withdraw(self, number: str) -> None:
+            self._stop_waiting(key, bound)
+            bound.taken_ms = self._unix_ms()
+            bound.policy = self._policies.bind(key)
+            waited_ms = monotonic_ms() - bound.arrived_ms
+            bound.call.budget_ms = max(1.0, bound.call.budget_ms - waited_ms)
+            self._pass_on(key, bound)
+
+    def reject_waiting(self) -> None:
+        """Reject the waiting calls, as the policy will not be known here: clients may retry elsewhere."""
+        for bound in list(self._waiting.values()):
+            bound.call.reply(Refused(PUSHBACK_MS))
+
+    def _stop_waiting(self, key: str, bound: _BoundCall) -> None:
+        if self._waiting.pop(key, None) is None:
+            return
+        self._waiting_bytes -= len(bound.call.body)
+        if bound.timer is not None:
+            bound.timer.cancel()
+
+    def withdraw(self, key: str) -> None:
         """Withdraw a call, as `RequestTable.withdraw` does."""
-        if (taken := self._end(number)) is not None and taken.key is not None:
-            self.below.withdraw(taken.key)
+        bound = self._end(key)
+        if bound is not None and bound.key is not None:
+            self.below.withdraw(bound.key)
 
-    def _replied(self, number: str, outcome: Outcome) -> None:
-        if (taken := self._end(number)) is not None:
-            taken.reply(outcome)
+    def _reply(self, key: str, outcome: Outcome) -> None:
+        bound = self._end(key)
+        if bound is not None:
+            bound.reply(outcome)
 
-    def _end(self, number: str) -> _BoundCall | None:
+    def _end(self, key: str) -> _BoundCall | None:
         """Forget a call, once."""
-        taken = self._open.pop(number, None)
-        if taken is not None:
-            self._let_go(number, taken)
-            self._done(number)
-            self._told(taken.call.id, taken.by, taken.at_ms)
-        return taken
+        bound = self._open.pop(key, None)
+        if bound is None:
+            return None
+        self._stop_waiting(key, bound)
+        self._policies.release(key)
+        self._policies.ended(bound.call.id, bound.policy, bound.taken_ms)
+        return bound
+
+
+def _give_up_by_class(document: Document) -> dict[str, float]:
+    """The deadlines that a document has, by class, in milliseconds."""
+    return {
+        path[1]: float(value)
+        for path, value in document.values
+        if path[0] == "classes" and path[-1] == "give_up_ms"
+    }
 
 
 def class_spec_under(base: io.ClassSpec, document: Document) -> io.ClassSpec:
-    """A class as the policy has it, over the settings."""
-    promise, give_up = (document.value("classes", base.name, key) for key in ("promise_ms", "give_up_ms"))
-    return io.ClassSpec(
-        name=base.name,
-        promise_ms=base.promise_ms if promise is None else float(promise),
-        give_up_ms=base.give_up_ms if give_up is None else float(give_up),
-        effect=base.effect,
-        group=base.group,
-        dedup_window_ms=base.dedup_window_ms,
-        worth=base.worth,
-        late_share=base.late_share,
+    """A class of the settings as the policy changes it."""
+    promise_ms = document.limit("classes", base.name, "promise_ms")
+    give_up_ms = document.limit("classes", base.name, "give_up_ms")
+    return replace(
+        base,
+        promise_ms=base.promise_ms if promise_ms is None else promise_ms,
+        give_up_ms=base.give_up_ms if give_up_ms is None else give_up_ms,
     )
 
 
 def with_bound_classes(
     events: list[io.Event],
     classes: dict[str, io.ClassSpec],
-    own: Callable[[io.RequestArrived], io.ClassSpec | None],
+    bound_spec: Callable[[io.RequestArrived], io.ClassSpec | None],
 ) -> list[io.Event]:
     """The batch, with each call of an older version of its class put between two changes of the class.
 
-    `classes` is what the module goes by, and is kept up to date; `own` gives the class as the call has it, or
-    None where that is not known.
+    `classes` is what the module has, and is kept up to date; `bound_spec` gives the class as the call has it,
+    or None where that is not known.
     """
-    found: list[io.Event] = []
+    result: list[io.Event] = []
     for event in events:
         if isinstance(event, io.ClassChanged):
             classes[event.spec.name] = event.spec
-        elif isinstance(event, io.RequestArrived) and (spec := own(event)) is not None:
+        elif isinstance(event, io.RequestArrived):
+            spec = bound_spec(event)
             present = classes.get(event.class_name)
-            if present is not None and spec != present:
-                found += [io.ClassChanged(spec), event, io.ClassChanged(present)]
+            if spec is not None and present is not None and spec != present:
+                result += [io.ClassChanged(spec), event, io.ClassChanged(present)]
                 continue
-        found.append(event)
-    return found
+        result.append(event)
+    return result
--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -1,9 +1,9 @@
-"""`fawnwharf policy`: what operators see of the policy in force, and how they change it."""
+"""`fawnwharf policy`: shows operators the policy in force, and takes their requests to change it."""
 
 import json
 import time
 from pathlib import Path
-from typing import Annotated, Any
+from typing import Annotated, Any, NamedTuple
 
 import typer
 
@@ -15,57 +15,91 @@
     find_incompatibility,
     parse_document,
 )
-from fawnwharf.policy_rollout.service import REQUEST_FILE
+from fawnwharf.policy_rollout.request_file import REQUEST_FILE
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.looking import Member, address, fail, files, lines
 
-LOOK_S = 0.1
+POLL_S = 0.1
+READ_TIMEOUT_S = 3.0
+MAX_CANCEL_REASON = 200
+CLASS_SECTIONS = ("classes", "modes", "window_ms")
+TENANT_SECTIONS = ("tenants",)
+
 app = typer.Typer(no_args_is_help=True, help="The policy that front ends decide by.")
 File = Annotated[str, typer.Option("--zones", help="The settings of zones that this member serves with.")]
 Wait = Annotated[float, typer.Option("--wait", help="Seconds to wait for the fleet's decision; 0: none.")]
+Address = tuple[str, int]
+
+
+class _Fleet(NamedTuple):
+    """The zones' files of a fleet, as read by a command."""
+
+    settings: s.Settings
+    members: s.Members
+    path: Path
+
+
+def _fleet(zones: str) -> _Fleet:
+    """Read the files of a fleet; exits with status 2 where they can't be read."""
+    settings, members = files(zones)
+    return _Fleet(settings, members, Path(zones))
 
 
-def look(place: tuple[str, int], within_s: float = 3.0) -> m.MemberStatus | None:
-    """A member's status; None where it tells nothing of policy.
+def read_member_status(member: Address, timeout_s: float = READ_TIMEOUT_S) -> m.MemberStatus | None:
+    """A member's status; None where it publishes none of policy.
 
     Raises OSError where its log can't be read, ValueError where the status is malformed.
     """
-    line = lines(place, ("policy",), within_s).get("policy")
+    line = lines(member, ("policy",), timeout_s).get("policy")
     return None if line is None else m.decode_member_status(line["policy"])
 
 
-def _told(outcome: m.RequestOutcome) -> str:
+def _outcome_text(outcome: m.RequestOutcome) -> str:
     number = f" number {outcome.number}" if outcome.number else ""
-    return f"{outcome.state}{number}" + (f": {outcome.why}" if outcome.why else "")
+    reason = f": {outcome.reason}" if outcome.reason else ""
+    return f"{outcome.state}{number}{reason}"
 
 
 @app.command()
 def show(zones: File, member: Member = "") -> None:
-    """How a member stands: what it knows to be decided, by what it judges, what is under way."""
+    """Show a member's status: what it knows to be decided, the policy it uses, what is in progress."""
     try:
-        found = look(address(*files(zones), member))
+        status = read_member_status(address(*files(zones), member))
     except (OSError, ValueError) as error:
         fail(f"policy: no answer: {error}", 1)
-    if found is None:
-        fail("policy: this member tells nothing of policy; it needs `serve --policy`", 1)
-    ready = "ready" if found.ready else "NOT READY"
-    typer.echo(f"{ready}  number {found.number}  digest {found.digest}  by {found.how}")
-    if found.fault:
-        typer.echo(f"the decided document can't be read here: {found.fault}")
-    if found.prepared:
-        typer.echo(f"prepared for number {found.prepared}")
-    if found.term:
-        state = "in force" if found.settled else "not in force yet"
-        typer.echo(f"leads, term {found.term}; number {found.number} is {state}")
-        if found.open:
-            typer.echo(f"number {found.open} is under way; no yes yet from {', '.join(found.missing) or '-'}")
-        for outcome in found.outcomes:
-            typer.echo(f"word {outcome.wish} of {outcome.by}: {_told(outcome)}")
+    if status is None:
+        fail("policy: this member publishes no policy status; it needs `serve --policy`", 1)
+    for line in _status_lines(status):
+        typer.echo(line)
+
+
+def _status_lines(status: m.MemberStatus) -> list[str]:
+    """A status as lines of text."""
+    ready = "ready" if status.ready else "NOT READY"
+    found = [f"{ready}  number {status.number}  digest {status.digest}  by {status.basis}"]
+    if status.error:
+        found.append(f"the decided document can't be read here: {status.error}")
+    if status.prepared:
+        found.append(f"prepared for number {status.prepared}")
+    if status.term:
+        found += _leader_lines(status)
     else:
-        for outcome in found.wishes:
-            typer.echo(f"word {outcome.wish}: {_told(outcome)}")
-    for cause, count in sorted(found.counts.items()):
-        typer.echo(f"dropped, {cause}: {count}")
+        found += [f"request {each.request_number}: {_outcome_text(each)}" for each in status.requests]
+    found += [f"dropped, {cause}: {count}" for cause, count in sorted(status.dropped.items())]
+    return found
+
+
+def _leader_lines(status: m.MemberStatus) -> list[str]:
+    """What the status of a leader has beyond that of others, as lines of text."""
+    state = "in force" if status.in_force else "not in force yet"
+    found = [f"leads, term {status.term}; number {status.number} is {state}"]
+    if status.open_number:
+        missing = ", ".join(status.missing) or "-"
+        found.append(f"number {status.open_number} is under way; votes missing from {missing}")
+    found += [
+        f"request {each.request_number} of {each.origin}: {_outcome_text(each)}" for each in status.outcomes
+    ]
+    return found
 
 
 @app.command()
@@ -76,6 +110,7 @@
 
 
 def _document(file: str, members: s.Members | None) -> Document:
+    """Read a document and check it; exits with status 2 where it can't be accepted."""
     try:
         document = parse_document(Path(file).read_bytes())
     except OSError as error:
@@ -83,76 +118,85 @@
     except DocumentError as error:
         fail(f"policy: {file}: {error}")
     if members is not None:
-        # Classes and tenants stand in front ends' configurations: those say no by themselves.
-        named = {part: frozenset(path[1] for path, _ in document.values if path[0] in part) for part in PARTS}
-        known = DeploymentCapabilities(named[PARTS[0]], named[PARTS[1]], frozenset(members.zones))
-        if fault := find_incompatibility(document, known):
-            fail(f"policy: {file}: {fault}")
+        # Classes and tenants stand in front ends' configurations: those reject unknown ones themselves.
+        capabilities = DeploymentCapabilities(
+            _names_in(document, CLASS_SECTIONS),
+            _names_in(document, TENANT_SECTIONS),
+            frozenset(members.zones),
+        )
+        if error_text := find_incompatibility(document, capabilities):
+            fail(f"policy: {file}: {error_text}")
     return document
 
 
-PARTS = ("classes", "modes", "window_ms"), ("tenants",)
+def _names_in(document: Document, sections: tuple[str, ...]) -> frozenset[str]:
+    return frozenset(path[1] for path, _ in document.values if path[0] in sections)
 
 
 @app.command()
 def propose(file: str, zones: File, wait: Wait = 0.0) -> None:
-    """Ask the fleet to go by a document. With --wait, tell what came of it: status 0 where it is in force."""
-    settings, members = files(zones)
-    document = _document(file, members)
-    _say(settings, members, zones, {"propose": {"version": 1, **document.nested()}}, wait, "in force")
+    """Propose a document to the fleet. With --wait, show the outcome: status 0 where it is in force."""
+    fleet = _fleet(zones)
+    document = _document(file, fleet.members)
+    _request(fleet, {"propose": {"version": 1, **document.nested()}}, wait, "in force")
 
 
 @app.command("call-off")
-def call_off(zones: File, why: Annotated[str, typer.Option("--why")] = "", wait: Wait = 0.0) -> None:
+def cancel(zones: File, why: Annotated[str, typer.Option("--why")] = "", wait: Wait = 0.0) -> None:
     """End what is being prepared. What is decided stays: see `back`."""
-    settings, members = files(zones)
-    _say(settings, members, zones, {"call_off": why[:200]}, wait, "ended")
+    _request(_fleet(zones), {"call_off": why[:MAX_CANCEL_REASON]}, wait, "ended")
 
 
-@app.command()
-def back(zones: File, wait: Wait = 0.0) -> None:
-    """Go back to the policy before the last one, as a new change."""
-    settings, members = files(zones)
-    _say(settings, members, zones, {"back": True}, wait, "in force")
+@app.command("back")
+def roll_back(zones: File, wait: Wait = 0.0) -> None:
+    """Return to the policy before the last one, as a new change."""
+    _request(_fleet(zones), {"back": True}, wait, "in force")
 
 
-def _say(
-    settings: s.Settings, members: s.Members, path: str, word: dict[str, Any], wait_s: float, good: str
-) -> None:
-    """Leave a word for this member's process, and wait for what comes of it."""
-    log = address(settings, members, "") if wait_s > 0.0 else None  # before anything is written
-    folder = Path(path).parent / settings.folder
-    place = folder / REQUEST_FILE
+def _request(fleet: _Fleet, request: dict[str, Any], wait_s: float, wanted: m.RequestState) -> None:
+    """Write a request for this member's process, and wait for its outcome."""
+    member = (
+        address(fleet.settings, fleet.members, "") if wait_s > 0.0 else None
+    )  # before anything is written
+    path = fleet.path.parent / fleet.settings.folder / REQUEST_FILE
+    number = _next_request_number(path)
     try:
-        before = json.loads(place.read_bytes())["number"] if place.exists() else 0
+        path.parent.mkdir(parents=True, exist_ok=True)
+        beside = path.with_suffix(".new")
+        beside.write_text(json.dumps({"version": 1, "number": number} | request))
+        beside.rename(path)
+    except OSError as error:
+        fail(f"policy: {path}: {error.strerror}")
+    typer.echo(f"asked: request {number}")
+    if member is not None:
+        _wait_for_outcome(member, number, wait_s, wanted)
+
+
+def _next_request_number(path: Path) -> int:
+    """A number larger than that of the request in the file, if there is one."""
+    try:
+        before = json.loads(path.read_bytes())["number"] if path.exists() else 0
     except (OSError, ValueError, KeyError, TypeError):
         before = 0
-    number = max(before + 1 if type(before) is int else 0, time.time_ns() // 1_000_000)
-    try:
-        folder.mkdir(parents=True, exist_ok=True)
-        beside = place.with_suffix(".new")
-        beside.write_text(json.dumps({"version": 1, "number": number} | word))
-        beside.rename(place)
-    except OSError as error:
-        fail(f"policy: {place}: {error.strerror}")
-    typer.echo(f"asked: word {number}")
-    if log is not None:
-        _wait(log, number, wait_s, good)
+    return max(before + 1 if type(before) is int else 0, time.time_ns() // 1_000_000)
 
 
-def _wait(place: tuple[str, int], number: int, wait_s: float, good: str) -> None:
-    end, last = time.monotonic() + wait_s, "this member has not taken the word"
+def _wait_for_outcome(member: Address, number: int, wait_s: float, wanted: m.RequestState) -> None:
+    """Show the outcome of a request and exit, with status 0 if it is the wanted one; 1 after `wait_s`."""
+    end = time.monotonic() + wait_s
+    last = "this member has not taken the request"
     while time.monotonic() < end:
+        status: m.MemberStatus | None = None
         try:
-            found = look(place)
+            status = read_member_status(member)
         except (OSError, ValueError) as error:
-            found, last = None, f"no answer: {error}"
-        for outcome in found.wishes if found else ():
-            if outcome.wish != number:
+            last = f"no answer: {error}"
+        for outcome in status.requests if status else ():
+            if outcome.request_number != number:
                 continue
-            last = _told(outcome)
+            last = _outcome_text(outcome)
             if outcome.state in m.FINAL_STATES:
                 typer.echo(last)
-                raise typer.Exit(0 if outcome.state == good else 1)
-        time.sleep(LOOK_S)
+                raise typer.Exit(0 if outcome.state == wanted else 1)
+        time.sleep(POLL_S)
     fail(f"policy: not done within {wait_s:g} s: {last}", 1)
--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -1,14 +1,15 @@
-"""The policy document: what may be changed while front ends run. Pure: text in, a value or one line out.
+"""The policy document: what may be changed while front ends run.
 
-JSON, taken whole or not at all; a faulty one raises DocumentError, whose text is 'key: cause'. What is absent
-is as the deployment's settings have it. A key that this version does not know is a fault, never passed over:
-two front ends of which one leaves a key aside would decide by different policies under one number.
+Pure: text in, a value or an error out. A document is JSON, accepted as a whole or not at all; a malformed one
+raises DocumentError, whose text is 'key: cause'. An absent key has the value of the deployment's settings. A
+key that this version does not know is an error, never ignored: two front ends of which one ignores a key
+would decide by different policies under one number.
 
     {"version": 1, "number": 7,
      "classes": {"gold": {"promise_ms": 300, "give_up_ms": 900}},    milliseconds
      "tenants": {"acme": {"quota_rps": 200}},                        calls a second, over the fleet
-     "admission": {"z1": 0.8}, "spill": {"z1": 0.5},                 parts of one, by zone
-     "modes": {"gold": "before"}, "window_ms": {"gold": 6000},       keeping, by class
+     "admission": {"z1": 0.8}, "spill": {"z1": 0.5},                 fractions, by zone
+     "modes": {"gold": "before"}, "window_ms": {"gold": 6000},       replication, by class
      "staging": {"fetches_rps": 5, "free_part": 0.2, "cold_part": 0.1, "memory_mb": 64}}
 """
 
@@ -24,7 +25,9 @@
 from fawnwharf.zones.settings import Name, Share, Span
 
 VERSION = 1
-MAX_TEXT_LENGTH = 24_000  # characters: two of them, and what is around them, fit into one decision of the log
+MAX_TEXT_LENGTH = 24_000  # characters: two documents and their envelope fit into one decision of the log
+MAX_ERROR_LENGTH = 200
+MAX_SHOWN_NAME = 48
 
 Mode = Literal["off", "after", "before"]
 Rate = Annotated[float, Meta(ge=0.0, le=10_000_000.0)]
@@ -34,48 +37,57 @@
 
 
 class DocumentError(ValueError):
-    """A document that can't be taken; the text is 'key: cause' in one line."""
+    """A document that can't be accepted; the text is 'key: cause' in one line."""
 
 
-def _more_careful(one: Value, other: Value) -> Value:
+def _stricter_mode(one: str, other: str) -> str:
     return max(one, other, key=MODES_BY_STRICTNESS.index)
 
 
 class KeyRule(Struct, frozen=True):
     """One kind of key: the type of its value, which of two values is stricter, and whether it is a limit.
 
-    `stricter` is None where there is no order; then the older document's value stands. `halved` marks a
-    limit, of which `floor` takes half.
+    `stricter` is None where there is no order; then the older document's value stands.
     """
 
     kind: Any
     stricter: Callable[[Any, Any], Any] | None
-    halved: bool = False  # a limit, of which `floor` takes half
+    halved: bool = False  # a limit, of which `fallback_limits` takes half
 
 
 KEY_RULES: dict[Path, KeyRule] = {
     ("classes", "*", "promise_ms"): KeyRule(Span, None),
     ("classes", "*", "give_up_ms"): KeyRule(Span, min),
-    ("tenants", "*", "quota_rps"): KeyRule(Rate, min, True),
-    ("admission", "*"): KeyRule(Share, min, True),
-    ("spill", "*"): KeyRule(Share, min, True),
-    ("modes", "*"): KeyRule(Mode, _more_careful),
+    ("tenants", "*", "quota_rps"): KeyRule(Rate, min, halved=True),
+    ("admission", "*"): KeyRule(Share, min, halved=True),
+    ("spill", "*"): KeyRule(Share, min, halved=True),
+    ("modes", "*"): KeyRule(Mode, _stricter_mode),
     ("window_ms", "*"): KeyRule(Span, max),
-    ("staging", "fetches_rps"): KeyRule(Rate, min, True),
-    ("staging", "free_part"): KeyRule(Share, min, True),
-    ("staging", "cold_part"): KeyRule(Share, min, True),
-    ("staging", "memory_mb"): KeyRule(Rate, min, True),
+    ("staging", "fetches_rps"): KeyRule(Rate, min, halved=True),
+    ("staging", "free_part"): KeyRule(Share, min, halved=True),
+    ("staging", "cold_part"): KeyRule(Share, min, halved=True),
+    ("staging", "memory_mb"): KeyRule(Rate, min, halved=True),
 }
 
 
-def _shape(path: Path) -> Path | None:
-    """The kind of key that a path is; also of the beginning of one."""
-    for shape in KEY_RULES:
-        if len(path) <= len(shape) and all(s in ("*", p) for s, p in zip(shape, path, strict=False)):
-            return shape
+def _matching_pattern(path: Path) -> Path | None:
+    """The pattern in `KEY_RULES` that a path, or the beginning of one, matches."""
+    for pattern in KEY_RULES:
+        if len(path) > len(pattern):
+            continue
+        if all(part in ("*", name) for part, name in zip(pattern, path, strict=False)):
+            return pattern
     return None
 
 
+def _rule_of(path: Path) -> KeyRule:
+    """The rule of a complete path in a document that was checked."""
+    pattern = _matching_pattern(path)
+    if pattern is None:
+        raise DocumentError(f"{'.'.join(path)}: unknown key")
+    return KEY_RULES[pattern]
+
+
 class Document(Struct, frozen=True):
     """One policy: the number of its epoch, and its values by path, sorted. Hashable, equal by contents."""
 
@@ -86,31 +98,42 @@
         """The value under a path; None where it is left to the settings."""
         return dict(self.values).get(path)
 
+    def limit(self, *path: str) -> float | None:
+        """The number under a path; None where it is left to the settings."""
+        value = self.value(*path)
+        return None if value is None else float(value)
+
     def section(self, *path: str) -> dict[str, Value]:
-        """All values directly under a path: `section("spill")` gives shares by zone."""
+        """All values directly under a path: `section("spill")` gives fractions by zone."""
         depth = len(path)
-        return {p[depth]: v for p, v in self.values if len(p) == depth + 1 and p[:depth] == path}
+        return {
+            key[depth]: value for key, value in self.values if len(key) == depth + 1 and key[:depth] == path
+        }
+
+    def limits(self, *path: str) -> dict[str, float]:
+        """All numbers directly under a path, as `section`."""
+        return {name: float(value) for name, value in self.section(*path).items()}
 
     def nested(self) -> dict[str, Any]:
         """The values as nested objects, as in the JSON, without version and number."""
-        found: dict[str, Any] = {}
+        root: dict[str, Any] = {}
         for path, value in self.values:
-            place = found
+            branch = root
             for part in path[:-1]:
-                place = place.setdefault(part, {})
-            place[path[-1]] = value
-        return found
+                branch = branch.setdefault(part, {})
+            branch[path[-1]] = value
+        return root
 
     def encode(self) -> str:
         """The document as JSON text, with sorted keys."""
-        whole = {"version": VERSION, "number": self.number, **self.nested()}
-        return msgspec.json.encode(whole, order="sorted").decode()
+        complete = {"version": VERSION, "number": self.number, **self.nested()}
+        return msgspec.json.encode(complete, order="sorted").decode()
 
     @property
     def digest(self) -> str:
         """Digest of the values, without the number.
 
-        A return to an earlier policy has that one's digest again, under a new number.
+        A rollback to an earlier policy has the digest of that one again, under a new number.
         """
         text = msgspec.json.encode(self.nested(), order="sorted")
         return hashlib.blake2b(text, digest_size=12).hexdigest()
@@ -125,116 +148,155 @@
     return Document(number, tuple(sorted(values.items())))
 
 
-# --- reading ----------------------------------------------------------------------------------
+# --- decoding ---------------------------------------------------------------------------------
 
 
-@functools.lru_cache(maxsize=32)  # the same text comes again with each repeat, and from each that asks
+@functools.lru_cache(maxsize=32)  # each retry, and each member that asks, brings the same text again
 def parse_document(text: str | bytes) -> Document:
-    """Parse a document and check it by itself. Raises DocumentError."""
+    """Parse a document and check it by itself; raises DocumentError."""
     if len(text) > MAX_TEXT_LENGTH:
         raise DocumentError(f"document: {len(text)} characters, and {MAX_TEXT_LENGTH} are the most")
     try:
-        raw = msgspec.json.decode(text)
+        decoded = msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise DocumentError(f"document: not JSON: {_line(error)}") from None
-    return document_from_object(raw)
+        raise DocumentError(f"document: not JSON: {_one_line(error)}") from None
+    return document_from_object(decoded)
 
 
-def document_from_object(raw: Any) -> Document:
-    """The same, from what was decoded already."""
-    if not isinstance(raw, dict):
+def document_from_object(decoded: Any) -> Document:
+    """A document of decoded JSON, checked by itself; raises DocumentError."""
+    if not isinstance(decoded, dict):
         raise DocumentError("document: not an object")
-    if raw.get("version") != VERSION:
-        raise DocumentError(f"version: {raw.get('version')!r}, and this program knows {VERSION}")
-    number = raw.get("number", 0)
+    if decoded.get("version") != VERSION:
+        raise DocumentError(f"version: {decoded.get('version')!r}, and this program knows {VERSION}")
+    number = decoded.get("number", 0)
     if type(number) is not int or not 0 <= number < 2**53:
         raise DocumentError(f"number: {number!r} is none")
     values: dict[Path, Value] = {}
-    for name, part in raw.items():
+    for name, part in decoded.items():
         if name not in ("version", "number"):
-            _read((name,), part, values)
+            _collect((name,), part, values)
+    _check_values(values)
+    return make_document(number, values)
+
+
+def _check_values(values: Mapping[Path, Value]) -> None:
+    """Check the values of one document against each other; raises DocumentError."""
     for path, value in values.items():
         if path[-1] == "quota_rps" and value == 0.0:
             raise DocumentError(f"{'.'.join(path)}: shuts out tenant {path[1]}")
-        if path[-1] == "promise_ms" and value > values.get((*path[:2], "give_up_ms"), value):
-            raise DocumentError(f"{'.'.join(path)}: longer than give_up_ms")
-    return make_document(number, values)
+        if path[-1] == "promise_ms":
+            give_up_ms = values.get((*path[:2], "give_up_ms"))
+            if give_up_ms is not None and float(value) > float(give_up_ms):
+                raise DocumentError(f"{'.'.join(path)}: longer than give_up_ms")
 
 
-def _read(path: Path, raw: Any, values: dict[Path, Value]) -> None:
-    key, shape = ".".join(path), _shape(path)
-    if shape is None:
+def _collect(path: Path, decoded: Any, values: dict[Path, Value]) -> None:
+    """Add all values below a path to `values`; raises DocumentError."""
+    key = ".".join(path)
+    pattern = _matching_pattern(path)
+    if pattern is None:
         raise DocumentError(f"{key}: unknown key")
-    if shape[len(path) - 1] == "*":
-        try:
-            msgspec.convert(path[-1], Name)
-        except msgspec.ValidationError:
-            raise DocumentError(f"{'.'.join(path[:-1])}: {path[-1][:48]!r} is no name") from None
-    if len(path) < len(shape):
-        if not isinstance(raw, dict):
+    if pattern[len(path) - 1] == "*":
+        _check_name(path)
+    if len(path) < len(pattern):
+        if not isinstance(decoded, dict):
             raise DocumentError(f"{key}: not an object")
-        for name, part in raw.items():
-            _read((*path, name), part, values)
+        for name, part in decoded.items():
+            _collect((*path, name), part, values)
         return
     try:
-        values[path] = msgspec.convert(raw, KEY_RULES[shape].kind)
+        values[path] = msgspec.convert(decoded, KEY_RULES[pattern].kind)
     except msgspec.ValidationError as error:
-        raise DocumentError(f"{key}: {_line(error)}") from None
+        raise DocumentError(f"{key}: {_one_line(error)}") from None
 
 
-def _line(error: Exception) -> str:
-    return " ".join(str(error).split())[:200]
+def _check_name(path: Path) -> None:
+    """Check the last part of a path, a name that operators chose; raises DocumentError."""
+    try:
+        msgspec.convert(path[-1], Name)
+    except msgspec.ValidationError:
+        shown = path[-1][:MAX_SHOWN_NAME]
+        raise DocumentError(f"{'.'.join(path[:-1])}: {shown!r} is no name") from None
+
+
+def _one_line(error: Exception) -> str:
+    return " ".join(str(error).split())[:MAX_ERROR_LENGTH]
+
+
+# --- compatibility with a deployment ------------------------------------------------------------
 
 
 class DeploymentCapabilities(Struct, frozen=True):
     """What one deployment has, for a document to be checked against.
 
-    `base` are the settings' own values as a document with the number 0: the meaning of absent keys.
+    `base` holds the settings' own values as a document with the number 0: the meaning of absent keys.
     """
 
     classes: frozenset[str]
     tenants: frozenset[str]
     zones: frozenset[str]
-    keeps: bool = True  # it keeps state over front ends, so that modes and windows mean something
-    stages: bool = True  # it stages what sessions will need
-    give_up_most_ms: float = math.inf  # of a class, as what is kept counts on
-    window_ms: tuple[float, float] = (0.0, math.inf)  # the least and the most that can be kept
+    replicates: bool = True  # it replicates calls over front ends, so that modes and windows mean something
+    prefetches: bool = True  # it prefetches what sessions will need
+    max_give_up_ms: float = math.inf  # of a class, as replication assumes
+    window_range_ms: tuple[float, float] = (0.0, math.inf)  # the shortest and the longest that can be stored
     base: Document = Document()
 
 
-def find_incompatibility(document: Document, known: DeploymentCapabilities) -> str | None:
-    """None where this deployment can go by it, else 'key: cause'."""
-    names = {
-        "classes": ("class", known.classes),
-        "modes": ("class", known.classes),
-        "window_ms": ("class", known.classes),
-        "tenants": ("tenant", known.tenants),
-        "admission": ("zone", known.zones),
-        "spill": ("zone", known.zones),
-    }
+SECTION_NAMES = {
+    "classes": "class",
+    "modes": "class",
+    "window_ms": "class",
+    "tenants": "tenant",
+    "admission": "zone",
+    "spill": "zone",
+}
+
+
+def find_incompatibility(document: Document, capabilities: DeploymentCapabilities) -> str | None:
+    """Why this deployment can't apply the document, as 'key: cause'; None where it can."""
     for path, value in document.values:
-        key, section = ".".join(path), path[0]
-        if section in names and path[1] not in names[section][1]:
-            return f"{section}.{path[1]}: no such {names[section][0]}"
-        if section == "modes" and value != "off" and not known.keeps:
-            return f"{key}: nothing is kept here"
-        if section == "staging" and value > 0.0 and not known.stages:
-            return f"{key}: nothing is staged here"
-        if path[-1] == "give_up_ms" and value > known.give_up_most_ms:
-            return f"{key}: longer than the {known.give_up_most_ms:g} that kept calls may take"
-        if section == "window_ms" and not known.window_ms[0] <= value <= known.window_ms[1]:
-            return f"{key}: not from {known.window_ms[0]:g} to {known.window_ms[1]:g}, as can be kept here"
-    full = with_defaults(known.base, document)
-    if known.zones and all(full.value("admission", zone) == 0.0 for zone in known.zones):
+        if found := _incompatible_name(path, capabilities) or _incompatible_value(path, value, capabilities):
+            return found
+    complete = with_defaults(capabilities.base, document)
+    if capabilities.zones and all(complete.value("admission", zone) == 0.0 for zone in capabilities.zones):
         return "admission: shuts out every zone"
-    for name in known.classes:
-        promise, give_up = (full.value("classes", name, key) for key in ("promise_ms", "give_up_ms"))
-        if promise is not None and give_up is not None and promise > give_up:
+    for name in capabilities.classes:
+        promise_ms = complete.limit("classes", name, "promise_ms")
+        give_up_ms = complete.limit("classes", name, "give_up_ms")
+        if promise_ms is not None and give_up_ms is not None and promise_ms > give_up_ms:
             return f"classes.{name}.promise_ms: longer than give_up_ms"
     return None
 
 
-# --- laws -------------------------------------------------------------------------------------
+def _incompatible_name(path: Path, capabilities: DeploymentCapabilities) -> str | None:
+    """Why a name in a path is unknown to the deployment; None where it is known."""
+    kind = SECTION_NAMES.get(path[0])
+    if kind is None:
+        return None
+    known = {"class": capabilities.classes, "tenant": capabilities.tenants, "zone": capabilities.zones}[kind]
+    return None if path[1] in known else f"{path[0]}.{path[1]}: no such {kind}"
+
+
+def _incompatible_value(path: Path, value: Value, capabilities: DeploymentCapabilities) -> str | None:
+    """Why the deployment can't apply one value; None where it can."""
+    key = ".".join(path)
+    if path[0] == "modes":
+        if value != "off" and not capabilities.replicates:
+            return f"{key}: nothing is replicated here"
+        return None
+    limit = float(value)
+    if path[0] == "staging" and limit > 0.0 and not capabilities.prefetches:
+        return f"{key}: nothing is prefetched here"
+    if path[-1] == "give_up_ms" and limit > capabilities.max_give_up_ms:
+        return f"{key}: longer than the {capabilities.max_give_up_ms:g} that replicated calls may take"
+    shortest, longest = capabilities.window_range_ms
+    if path[0] == "window_ms" and not shortest <= limit <= longest:
+        return f"{key}: not from {shortest:g} to {longest:g}, as can be stored here"
+    return None
+
+
+# --- combining documents ------------------------------------------------------------------------
 
 
 def with_defaults(base: Document, document: Document) -> Document:
@@ -243,29 +305,27 @@
 
 
 def stricter(one: Document, other: Document) -> Document:
-    """Key by key the value that admits less or keeps more: a meet of two policies, under the later number.
+    """Key by key the value that admits less or stores more: a meet of two policies, under the later number.
 
-    Commutative, associative and idempotent for each key that has an order. Latency targets have none: the
+    Commutative, associative and idempotent for each key that has an order. Latency objectives have none: the
     value of the document with the smaller number stands. A key that only one of them has is no limit in the
-    other; fill in by `over` first where the settings have one.
+    other; fill in by `with_defaults` first where the settings have one.
     """
     old, new = sorted((one, other), key=lambda document: (document.number, document.values))
-    values, more = dict(old.values), dict(new.values)
-    for path, value in more.items():
-        order = KEY_RULES[_shape(path)].stricter
+    values = dict(old.values)
+    for path, value in new.values:
+        choose = _rule_of(path).stricter
         if path not in values:
             values[path] = value
-        elif order is not None:
-            values[path] = order(values[path], value)
+        elif choose is not None:
+            values[path] = choose(values[path], value)
     return make_document(new.number, values)
 
 
 def fallback_limits(document: Document) -> Document:
-    """Half of each limit, for one that knows of no next policy: it may be tighter than what is known."""
-    return make_document(
-        document.number,
-        {path: value / 2 if KEY_RULES[_shape(path)].halved else value for path, value in document.values},
-    )
+    """Half of each limit, for a front end that knows no next policy, which may be tighter than the known."""
+    values = {path: float(value) / 2 if _rule_of(path).halved else value for path, value in document.values}
+    return make_document(document.number, values)
 
 
 # --- the register -----------------------------------------------------------------------------
@@ -297,10 +357,10 @@
     if not text:
         return Register()
     try:
-        raw = msgspec.json.decode(text)
+        decoded = msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise DocumentError(f"register: not JSON: {_line(error)}") from None
-    if not isinstance(raw, dict) or raw.get("policy") != 1 or "last" not in raw:
+        raise DocumentError(f"register: not JSON: {_one_line(error)}") from None
+    if not isinstance(decoded, dict) or decoded.get("policy") != 1 or "last" not in decoded:
         raise DocumentError("register: none of this version")
-    before = raw.get("before")
-    return Register(document_from_object(raw["last"]), document_from_object(before) if before else None)
+    before = decoded.get("before")
+    return Register(document_from_object(decoded["last"]), document_from_object(before) if before else None)
--- a/fawnwharf/policy_rollout/lease_holder.py
+++ b/fawnwharf/policy_rollout/lease_holder.py
@@ -1,20 +1,21 @@
-"""The lease holder at each front end: by which policy a call is judged at this moment.
+"""The lease holder at each front end: the policy by which a call is decided at this moment.
 
-No I/O, no clock and no randomness but what is handed in; times are milliseconds of its own clock. It acts by
-an epoch only under a lease for it. Between two epochs it goes by the stricter of both, key by key, which
-admits no more than either policy would; where it has lost its lease and knows of no next epoch, by the
-stricter of the last one and `floor`.
+No I/O, no clock and no randomness but what is passed in; times are milliseconds of its own clock. It acts by
+an epoch only under a lease for it. Between two epochs it uses the stricter of both, key by key, which admits
+no more than either policy would; where it has lost its lease and knows of no next epoch, it uses the stricter
+of the last one and its fallback limits.
 
 Whatever it knows to be decided binds it at once: from then on no lease of an earlier number counts. After a
 restart it has no lease and nothing that may be relied on, whatever its disk says; it is not ready before a
-leader's coordinator has told it the last decided document.
+leader's coordinator has sent it the last decided document.
 """
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.delayed_relaxation import DelayedRelaxation
 from fawnwharf.policy_rollout.document import (
-    MODES_BY_STRICTNESS,
     DeploymentCapabilities,
     Document,
     DocumentError,
@@ -26,236 +27,240 @@
     stricter,
     with_defaults,
 )
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.rollout_coordinator import LeaseRecord, RolloutTiming
 
+NO_LEASE = LeaseRecord(-1, 0.0)
 
-@dataclass(slots=True)
-class DelayedRelaxation:
-    """Modes and windows of replication, following the policy: stricter at once, looser only with a delay.
-
-    A call that was taken under an old window may be repeated until that has passed. So a shorter window, or a
-    less careful mode, takes effect only after the old window, by the slowest clock.
-    """
-
-    skew: float
-    now: dict[str, tuple[str, float]] = field(default_factory=dict)  # by class: mode, window in ms
-    later: dict[str, tuple[str, float, float]] = field(default_factory=dict)  # and from when
-
-    def follow(self, now_ms: float, document: Document) -> None:
-        """Take the document that is in force from now on."""
-        modes, windows = document.section("modes"), document.section("window_ms")
-        self.step(now_ms)
-        for name in {*modes, *windows, *self.now}:
-            new = str(modes.get(name, "off")), float(windows.get(name, 0.0))
-            old = self.now.get(name, new)
-            kept = max(old[0], new[0], key=MODES_BY_STRICTNESS.index), max(old[1], new[1])
-            self.now[name] = kept
-            if kept == new:
-                self.later.pop(name, None)
-            elif self.later.get(name, ("", -1.0))[:2] != new:
-                self.later[name] = *new, now_ms + old[1] * (1 + self.skew) / (1 - self.skew)
-
-    def step(self, now_ms: float) -> None:
-        """Apply what was delayed until now."""
-        for name, (mode, window, at_ms) in list(self.later.items()):
-            if now_ms >= at_ms:
-                self.now[name] = mode, window
-                del self.later[name]
+
+class PolicyBasis(NamedTuple):
+    """The documents in effect: one under a lease, the stricter of two, or one with its fallback limits."""
+
+    kind: m.Basis
+    document: Document
+    other: Document | None = None
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """Owns one front end's lease, what it knows to be decided, and what it was asked to prepare for."""
+    """Owns one front end's lease, what it knows to be decided, and what it was asked to prepare."""
 
-    known: DeploymentCapabilities
+    capabilities: DeploymentCapabilities
     timing: RolloutTiming
-    life: int  # a larger one after each restart
-    disk: str = ""  # what `Keep` left there; nothing rests on it but the limits while no leader is heard
+    incarnation: int  # another one after each restart
+    stored_register: str = ""  # as stored before; used for the limits only while no leader is reached
     register: Register = field(default_factory=Register)
     ready: bool = False
-    lease: tuple[int, float] = (-1, 0.0)  # number, over when
-    granted: int = -1
+    lease: LeaseRecord = NO_LEASE
+    granted_number: int = -1
     prepared: Document | None = None
-    word: tuple[int, int] = (0, 0)  # term and turn of the newest word of a steward
-    open_ms: float = 0.0  # when to ask next
-    calls: dict[str, m.ActivePolicy] = field(default_factory=dict)  # by what each was taken
-    last: m.ActivePolicy | None = None  # as told to the owner
-    stance: tuple[str, Document, Document | None] | None = None  # of `last`
-    keeping: DelayedRelaxation | None = None
-    fault: str = ""  # of a decided document that this version does not know
+    newest_message: tuple[int, int] = (0, 0)  # term and sequence of a coordinator's newest message
+    next_request_ms: float = 0.0
+    calls: dict[str, m.ActivePolicy] = field(default_factory=dict)  # the policy of each open call
+    active: m.ActivePolicy | None = None  # as announced to the owner
+    active_basis: PolicyBasis | None = None  # of `active`
+    relaxation: DelayedRelaxation = field(init=False)
+    error: str = ""  # of a decided document that this version does not know
 
     def __post_init__(self) -> None:
-        self.keeping = DelayedRelaxation(self.timing.skew)
-        if self.disk:
+        self.relaxation = DelayedRelaxation(self.timing.skew)
+        if self.stored_register:
             try:
-                self.register = parse_register(self.disk)
+                self.register = parse_register(self.stored_register)
             except DocumentError:
-                self.disk = ""
+                self.stored_register = ""
 
-    # --- what calls are judged by ---------------------------------------------------------------
+    # --- the policy of this moment --------------------------------------------------------------
 
-    def leased(self, now_ms: float) -> bool:
+    def has_lease(self, now_ms: float) -> bool:
         """Whether it has a lease for the last decided document."""
-        number, until_ms = self.lease
-        return self.ready and number == self.register.last.number and now_ms < until_ms
+        number, expires_ms = self.lease
+        return self.ready and number == self.register.last.number and now_ms < expires_ms
 
-    def _stance(self, now_ms: float) -> tuple[str, Document, Document | None]:
-        """By what it decides: the lease; or the stricter of two documents; or one document and its floor."""
+    def _basis(self, now_ms: float) -> PolicyBasis:
+        """The documents in effect at this moment."""
         last, before = self.register.last, self.register.before
-        if self.leased(now_ms):
-            return "leased", last, None
+        if self.has_lease(now_ms):
+            return PolicyBasis("leased", last)
         if not self.ready:
-            return "waiting", last, None
+            return PolicyBasis("waiting", last)
         if self.prepared is not None:
-            return "strict", last, self.prepared
-        if before is not None and self.granted != last.number:
-            return "strict", before, last
-        return "floor", last, None
-
-    def judged_by(self, now_ms: float) -> m.ActivePolicy:
-        """The policy of this moment, over the settings."""
-        stance = self._stance(now_ms)
-        if self.last is not None and stance == self.stance:
-            return self.last
-        how, one, other = stance
-        whole = with_defaults(self.known.base, one)
-        if other is not None:
-            whole = stricter(whole, with_defaults(self.known.base, other))
-        elif how != "leased":
-            whole = stricter(whole, fallback_limits(whole))
-        return m.ActivePolicy(whole.number, one.digest if how == "leased" else whole.digest, whole, how)
-
-    def take(self, now_ms: float, call: str) -> m.ActivePolicy:
-        """Begin a call: the policy of this moment judges it up to its final answer."""
-        return self.calls.setdefault(call, self.judged_by(now_ms))
-
-    def of(self, call: str) -> m.ActivePolicy | None:
+            return PolicyBasis("strict", last, self.prepared)
+        if before is not None and self.granted_number != last.number:
+            return PolicyBasis("strict", before, last)
+        return PolicyBasis("floor", last)
+
+    def policy_at(self, now_ms: float) -> m.ActivePolicy:
+        """The policy of this moment, with absent keys filled in from the settings."""
+        basis = self._basis(now_ms)
+        if self.active is not None and basis == self.active_basis:
+            return self.active
+        complete = with_defaults(self.capabilities.base, basis.document)
+        if basis.kind == "leased":
+            return m.ActivePolicy(complete.number, basis.document.digest, complete, basis.kind)
+        if basis.other is not None:
+            complete = stricter(complete, with_defaults(self.capabilities.base, basis.other))
+        else:
+            complete = stricter(complete, fallback_limits(complete))
+        return m.ActivePolicy(complete.number, complete.digest, complete, basis.kind)
+
+    def bind_call(self, now_ms: float, call: str) -> m.ActivePolicy:
+        """Begin a call: the policy of this moment applies to it up to its final answer."""
+        return self.calls.setdefault(call, self.policy_at(now_ms))
+
+    def policy_of_call(self, call: str) -> m.ActivePolicy | None:
         """The policy of an open call; None for an unknown one."""
         return self.calls.get(call)
 
-    def done(self, call: str) -> None:
+    def release_call(self, call: str) -> None:
         """End a call."""
         self.calls.pop(call, None)
 
-    def _given_out(self, now_ms: float) -> list[m.Effect]:
-        """Tell the owner the policy of this moment, if it is another one than before."""
-        new = self.judged_by(now_ms)
-        self.keeping.step(now_ms)
-        if new == self.last:
+    def _announce_change(self, now_ms: float) -> list[m.Effect]:
+        """The policy of this moment as an effect, if it is another one than before."""
+        new = self.policy_at(now_ms)
+        self.relaxation.apply_due(now_ms)
+        if new == self.active:
             return []
-        self.last, self.stance = new, self._stance(now_ms)
-        self.keeping.follow(now_ms, new.document)
+        self.active = new
+        self.active_basis = self._basis(now_ms)
+        self.relaxation.follow(now_ms, new.document)
         return [new]
 
     # --- time -----------------------------------------------------------------------------------
 
     def due_ms(self) -> float:
         """When `tick` has to be called at the latest."""
-        dues = [self.open_ms, *(at_ms for _, _, at_ms in self.keeping.later.values())]
-        if self.last is not None and self.last.how == "leased":
-            dues.append(self.lease[1])
-        return min(dues)
+        deadlines = [self.next_request_ms]
+        deadlines.extend(pending.effective_ms for pending in self.relaxation.pending.values())
+        if self.active is not None and self.active.basis == "leased":
+            deadlines.append(self.lease.expires_ms)
+        return min(deadlines)
 
     def tick(self, now_ms: float) -> list[m.Effect]:
         """Do what is due; call it at `due_ms` at the latest, as a lease that is over ends here."""
-        effects = self._given_out(now_ms)
-        if now_ms >= self.open_ms:
-            self.open_ms = now_ms + self.timing.renew_ms
+        effects = self._announce_change(now_ms)
+        if now_ms >= self.next_request_ms:
+            self.next_request_ms = now_ms + self.timing.renew_ms
             known = self.register.last.number if self.ready else -1
-            effects.append(m.Send(m.LEADER, m.LeaseRequest(self.life, now_ms, known, self.granted)))
+            request = m.LeaseRequest(self.incarnation, now_ms, known, self.granted_number)
+            effects.append(m.Send(m.LEADER, request))
         return effects
 
-    def heard(self, now_ms: float, sender: str, message: m.Message) -> list[m.Effect]:
-        """Take any message that is for a holder; others change nothing."""
-        if isinstance(message, m.LeaseGrant):
-            return self.grant(now_ms, message)
-        if isinstance(message, m.Prepare):
-            return self.prepare(now_ms, sender, message)
-        if isinstance(message, m.Abort):
-            return self.abort(now_ms, message)
-        return self.decided(now_ms, message.register) if isinstance(message, m.Decided) else []
-
-    # --- what comes in --------------------------------------------------------------------------
-
-    def prepare(self, now_ms: float, sender: str, word: m.Prepare) -> list[m.Effect]:
+    # --- messages -------------------------------------------------------------------------------
+
+    def receive(self, now_ms: float, sender: str, message: m.Message) -> list[m.Effect]:
+        """Handle any message that is for a holder; others change nothing."""
+        match message:
+            case m.LeaseGrant():
+                return self.receive_grant(now_ms, message)
+            case m.Prepare():
+                return self.receive_prepare(now_ms, sender, message)
+            case m.Abort():
+                return self.receive_abort(now_ms, message)
+            case m.Decided():
+                return self.receive_decision(now_ms, message.register)
+            case _:
+                return []
+
+    def receive_prepare(self, now_ms: float, sender: str, message: m.Prepare) -> list[m.Effect]:
         """Answer a proposal with yes, or with no, key and cause.
 
         A yes binds to nothing but the stricter of both documents, and to that only while there is no lease.
         """
-        if (word.term, word.turn) < self.word or word.number <= self.register.last.number:
+        order = message.term, message.sequence
+        if order < self.newest_message or message.number <= self.register.last.number:
             return []
         if not self.ready:
             return []  # it has no lease, so nobody waits for it
-        self.word = word.term, word.turn
+        self.newest_message = order
+        document: Document | None = None
         try:
-            document = parse_document(word.text)
-            fault = find_incompatibility(document, self.known) or ""
-        except DocumentError as error:
-            document, fault = None, str(error)
-        self.prepared = None if fault else document
-        vote = m.Vote(self.life, word.term, word.turn, word.number, fault[:300])
-        return [m.Send(sender, vote), *self._given_out(now_ms)]
-
-    def abort(self, now_ms: float, word: m.Abort) -> list[m.Effect]:
-        """Take that a proposal was ended."""
-        if (word.term, word.turn) < self.word:
+            document = parse_document(message.text)
+            error = find_incompatibility(document, self.capabilities) or ""
+        except DocumentError as caught:
+            error = str(caught)
+        self.prepared = None if error else document
+        short = error[: m.MAX_SHORT_TEXT]
+        vote = m.Vote(self.incarnation, message.term, message.sequence, message.number, short)
+        return [m.Send(sender, vote), *self._announce_change(now_ms)]
+
+    def receive_abort(self, now_ms: float, message: m.Abort) -> list[m.Effect]:
+        """Discard a proposal that was ended."""
+        order = message.term, message.sequence
+        if order < self.newest_message:
             return []
-        self.word = word.term, word.turn
-        if self.prepared is not None and self.prepared.number <= word.number:
+        self.newest_message = order
+        if self.prepared is not None and self.prepared.number <= message.number:
             self.prepared = None
-        return self._given_out(now_ms)
+        return self._announce_change(now_ms)
 
-    def decided(self, now_ms: float, text: str) -> list[m.Effect]:
-        """Take the register from whoever has it: change over, and tell the leader's coordinator."""
-        effects = self._learn(text)
+    def receive_decision(self, now_ms: float, text: str) -> list[m.Effect]:
+        """Adopt the register, whoever sent it, and report that to the leader's coordinator."""
+        effects = self._adopt_register(text)
         if self.ready:
-            effects.append(self._changed(now_ms))
-        return effects + self._given_out(now_ms)
+            effects.append(self._adopted_message(now_ms))
+        return effects + self._announce_change(now_ms)
 
-    def _changed(self, now_ms: float) -> m.Send:
+    def _adopted_message(self, now_ms: float) -> m.Send:
         number = self.register.last.number
-        return m.Send(m.LEADER, m.EpochAdopted(self.life, now_ms, number, self.granted))
+        message = m.EpochAdopted(self.incarnation, now_ms, number, self.granted_number)
+        return m.Send(m.LEADER, message)
 
-    def _learn(self, text: str, anew: bool = False) -> list[m.Effect]:
-        """Take a later register; with `anew` take this one, whatever the disk said.
+    def _adopt_register(self, text: str, *, replace: bool = False) -> list[m.Effect]:
+        """Adopt a later register; with `replace` adopt this one, whatever the disk said.
 
         A register that this version can't read ends its readiness, as others may act by it already.
         """
         try:
             register = parse_register(text)
         except DocumentError as error:
-            new, self.fault = str(error) != self.fault, str(error)
-            self.ready, self.lease, self.granted = False, (-1, 0.0), -1
-            return [m.LogEvent("policy not read", {"why": self.fault})] if new else []
-        if not anew and register.last.number <= self.register.last.number:
+            return self._lose_readiness(str(error))
+        if not replace and register.last.number <= self.register.last.number:
             return []
-        self.register, self.fault = register, ""
+        self.register = register
+        self.error = ""
         if self.prepared is not None and self.prepared.number <= register.last.number:
             self.prepared = None
         return [m.StoreRegister(text)]
 
-    def grant(self, now_ms: float, word: m.LeaseGrant) -> list[m.Effect]:
-        """Take a coordinator's answer.
+    def _lose_readiness(self, error: str) -> list[m.Effect]:
+        """Give up the lease, as the decided register can't be read; each cause is logged once."""
+        is_new = error != self.error
+        self.error = error
+        self.ready = False
+        self.lease = NO_LEASE
+        self.granted_number = -1
+        return [m.LogEvent("policy register unreadable", {"reason": error})] if is_new else []
+
+    def receive_grant(self, now_ms: float, message: m.LeaseGrant) -> list[m.Effect]:
+        """Handle a coordinator's answer.
 
-        One for an earlier incarnation, or of an older document, is ignored.
+        One for another incarnation, or of an older document, is ignored.
         """
-        if word.life != self.life:
+        if message.incarnation != self.incarnation:
             return []
         effects: list[m.Effect] = []
-        if word.register and (not self.ready or word.number > self.register.last.number):
-            effects = self._learn(word.register, anew=not self.ready)
-            if self.fault:
-                return effects + self._given_out(now_ms)
+        if message.register and (not self.ready or message.number > self.register.last.number):
+            effects = self._adopt_register(message.register, replace=not self.ready)
+            if self.error:
+                return effects + self._announce_change(now_ms)
             self.ready = True
-            effects.append(self._changed(now_ms))
-        if (word.term, word.turn) >= self.word:
-            self.word = word.term, word.turn
-            if self.prepared is not None and word.open != self.prepared.number:
+            effects.append(self._adopted_message(now_ms))
+        order = message.term, message.sequence
+        if order >= self.newest_message:
+            self.newest_message = order
+            if self.prepared is not None and message.open_number != self.prepared.number:
                 self.prepared = None
-        until_ms = word.sent_ms + word.lease_ms
-        if self.ready and word.lease_ms and word.number == self.register.last.number:
-            if self.lease[0] != word.number or until_ms > self.lease[1]:
-                self.lease = word.number, until_ms
-            if now_ms < until_ms:
-                self.granted = word.number
-        return effects + self._given_out(now_ms)
+        self._take_lease(now_ms, message)
+        return effects + self._announce_change(now_ms)
+
+    def _take_lease(self, now_ms: float, message: m.LeaseGrant) -> None:
+        """Take the lease in a grant, where it has one for the last decided document."""
+        number = message.number
+        if not self.ready or not message.lease_ms or number != self.register.last.number:
+            return
+        expires_ms = message.sent_ms + message.lease_ms
+        if self.lease.number != number or expires_ms > self.lease.expires_ms:
+            self.lease = LeaseRecord(number, expires_ms)
+        if now_ms < expires_ms:
+            self.granted_number = number
--- a/fawnwharf/policy_rollout/message_batcher.py
+++ b/fawnwharf/policy_rollout/message_batcher.py
@@ -1,6 +1,7 @@
-"""Messages of a front end on policy rollouts, gathered for few lines in the zones' log."""
+"""Collects a front end's messages on policy rollouts, to send them in few lines of the member's log."""
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import msgspec
 
@@ -9,57 +10,80 @@
 from fawnwharf.zones.lines import Word
 from fawnwharf.zones.service import Zones
 
-RENEW_MS = 50.0  # renewals wait for so long, to be sent together: each line goes to all readers
-LINE_MOST = 96 * 1024  # characters of the messages in one line
-ITERATION_MOST = 512 * 1024  # and in one event loop iteration; the rest is dropped, as all is repeated
+RENEWAL_DELAY_MS = 50.0  # renewals wait for so long, to be sent together: each line goes to all readers
+MAX_LINE_SIZE = 96 * 1024  # characters of the messages in one line
+MAX_ITERATION_SIZE = 512 * 1024  # and in one event loop iteration; more is dropped, as all is repeated
+
+
+@dataclass(frozen=True, slots=True)
+class _Granted:
+    """The last lease that was sent to a member."""
+
+    incarnation: int
+    number: int
 
 
 class MessageBatcher:
     """Queues messages up to the end of the event loop iteration; lease renewals wait a little for others."""
 
-    def __init__(self, loop: Loop, zones: Zones, dropped: Callable[[str], None]) -> None:
-        """`dropped` is told why messages are dropped."""
-        self._loop, self._zones, self._dropped = loop, zones, dropped
+    def __init__(self, loop: Loop, zones: Zones, report_drop: Callable[[str], None]) -> None:
+        """`report_drop` is called with the cause when messages are dropped."""
+        self._loop = loop
+        self._zones = zones
+        self._report_drop = report_drop
         self._queue: list[m.Send] = []
-        self._granted: dict[str, tuple[int, int]] = {}  # by member: incarnation and number of its last lease
-        self._renews = False  # some wait to be renewed
+        self._granted: dict[str, _Granted] = {}  # by member
+        self._renewals_wait = False
 
     def forget_grants(self) -> None:
         """Send the next lease of each member without delay."""
         self._granted.clear()
 
-    def send(self, say: m.Send) -> None:
+    def send(self, send: m.Send) -> None:
         """Queue a message."""
-        self._queue.append(say)
-        if not self._is_renewal(say):
+        self._queue.append(send)
+        if not self._is_renewal(send):
             self._loop.flush_later(self)
-        elif not self._renews:
-            self._renews = True
-            self._loop.wheel.after(RENEW_MS, self.flush)
+        elif not self._renewals_wait:
+            self._renewals_wait = True
+            self._loop.wheel.after(RENEWAL_DELAY_MS, self.flush)
 
-    def _is_renewal(self, say: m.Send) -> bool:
-        """Whether it is a lease like the member's last one, which is noted."""
-        word = say.message
-        if not isinstance(word, m.LeaseGrant) or not word.lease_ms:
+    def _is_renewal(self, send: m.Send) -> bool:
+        """Whether the message is a lease like the member's last one, which is noted."""
+        message = send.message
+        if not isinstance(message, m.LeaseGrant) or not message.lease_ms:
             return False
-        held, self._granted[say.to] = self._granted.get(say.to), (word.life, word.number)
-        return held == self._granted[say.to]
+        granted = _Granted(message.incarnation, message.number)
+        before = self._granted.get(send.to)
+        self._granted[send.to] = granted
+        return before == granted
 
     def flush(self) -> None:
-        """Send what is queued, at the end of the iteration or of the wait."""
-        queue, self._queue, self._renews = self._queue, [], False
-        to: dict[m.Message, list[str]] = {}  # what is the same for several is sent once
-        for say in queue:
-            to.setdefault(say.message, []).append(say.to)
-        words, size, total = [], 0, 0
-        for message, names in to.items():
+        """Send what is queued, at the end of the iteration or of the delay."""
+        queue = self._queue
+        self._queue = []
+        self._renewals_wait = False
+        receivers: dict[m.Message, list[str]] = {}  # a message to several members is sent once
+        for send in queue:
+            receivers.setdefault(send.message, []).append(send.to)
+        self._send_lines(receivers)
+
+    def _send_lines(self, receivers: dict[m.Message, list[str]]) -> None:
+        """Send messages in lines of limited size; what exceeds the limit of one iteration is dropped."""
+        line: list[Word] = []
+        size = 0
+        sent = 0
+        for message, names in receivers.items():
             size += len(msgspec.json.encode(message))
-            if total + size > ITERATION_MOST:
-                self._dropped(f"more than {ITERATION_MOST} characters in a turn")
+            if sent + size > MAX_ITERATION_SIZE:
+                self._report_drop(f"more than {MAX_ITERATION_SIZE} characters in one iteration")
                 break
-            words.append(Word(msgspec.to_builtins(message), () if m.LEADER in names else tuple(names)))
-            if size > LINE_MOST:
-                self._zones.say(words)
-                words, size, total = [], 0, total + size
-        if words:
-            self._zones.say(words)
+            to = () if m.LEADER in names else tuple(names)
+            line.append(Word(msgspec.to_builtins(message), to))
+            if size > MAX_LINE_SIZE:
+                self._zones.say(line)
+                line = []
+                sent += size
+                size = 0
+        if line:
+            self._zones.say(line)
--- a/fawnwharf/policy_rollout/messages.py
+++ b/fawnwharf/policy_rollout/messages.py
@@ -1,17 +1,20 @@
-"""Messages between coordinators and lease holders, and the effects that both ask of their owners.
+"""Messages between rollout coordinators and lease holders, and the effects that both return to their owners.
 
-Values alone.
+This module holds values only.
 
-Documents travel as text, so that a front end of another version can still read the rest of the message, and
-answer no with the key. Times are milliseconds of the holder's own clock and come back to it unread. A
-coordinator's messages carry `term`, as in the consensus log, and `turn`, which counts what it began and ended
-in that term: a message with a smaller pair is older, and begins or ends nothing.
+Policy documents travel as text, so that a front end of another version can still read the rest of the message
+and reject the proposal with the key that it does not know. Times are milliseconds of the holder's own clock
+and come back to it unchanged. The messages of a coordinator carry `term`, as in the consensus log, and
+`sequence`, which counts the proposals that were begun and ended in that term: a message with a smaller pair
+is older, and begins or ends nothing.
+
+Field names on the wire are those of the first version; `msgspec.field(name=...)` maps them.
 """
 
 from typing import Annotated, Any, Literal
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from fawnwharf.policy_rollout.document import MAX_TEXT_LENGTH, Document
 from fawnwharf.zones.settings import Name
@@ -19,205 +22,220 @@
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
 Text = Annotated[str, Meta(max_length=MAX_TEXT_LENGTH)]
 ShortText = Annotated[str, Meta(max_length=300)]
-EpochOrNone = Annotated[int, Meta(ge=-1, lt=2**53)]  # an epoch's number; -1: none
+RegisterText = Annotated[str, Meta(max_length=64 * 1024)]
+EpochOrNone = Annotated[int, Meta(ge=-1, lt=2**53)]  # the number of a policy epoch; -1: none
+MAX_SHORT_TEXT = 300
+
+Basis = Literal["leased", "strict", "floor", "waiting"]
 
 
 class _Message(Struct, frozen=True):
-    pass
+    """Base of all messages."""
 
 
 class Propose(_Message, frozen=True, tag="Propose"):
-    """An operator's proposal, from the front end where it was made to the leader's coordinator.
+    """An operator's proposal, from the front end that received it to the leader's coordinator.
 
-    `wish` is its number there: a repeat has the same number. `term` is the term that it is meant for.
+    `request_number` is its number at that front end: a retry has the same number. `term` is the term of the
+    leader that it is meant for.
     """
 
     text: Text
-    wish: Number = 0
+    request_number: Number = field(default=0, name="wish")
     term: Number = 0
 
 
 class Rollback(_Message, frozen=True, tag="Back"):
-    """An operator's request to go from this decided number back to the one before it, as a new change."""
+    """An operator's request to return from this decided number to the one before it, as a new change."""
 
     number: Number
-    wish: Number = 0
+    request_number: Number = field(default=0, name="wish")
     term: Number = 0
 
 
 class Cancel(_Message, frozen=True, tag="CallOff"):
     """An operator's request to end the proposal with this number; 0 stands for any."""
 
-    why: ShortText = ""
+    reason: ShortText = field(default="", name="why")
     number: Number = 0
-    wish: Number = 0
+    request_number: Number = field(default=0, name="wish")
     term: Number = 0
 
 
 class Prepare(_Message, frozen=True, tag="Prepare"):
-    """Asks whether a member can go by this document, which is in force nowhere and may never be."""
+    """Asks whether a member can apply this document, which is not in force anywhere and may never be."""
 
     term: Number
-    turn: Number
+    sequence: Number = field(name="turn")
     number: Number
     text: Text
 
 
 class Vote(_Message, frozen=True, tag="Vote"):
-    """Yes, or no with key and cause. A yes is of one incarnation: the next one knows nothing of it."""
+    """The answer to `Prepare`: yes, or no with key and cause in `error`.
+
+    A yes belongs to one incarnation of the member: the next incarnation does not know of it.
+    """
 
-    life: Number
+    incarnation: Number = field(name="life")
     term: Number
-    turn: Number
+    sequence: Number = field(name="turn")
     number: Number
-    fault: ShortText = ""
+    error: ShortText = field(default="", name="fault")
 
 
 class Abort(_Message, frozen=True, tag="Abort"):
-    """The proposal was not decided, and will not be: forget it."""
+    """The proposal was not decided and will not be: receivers discard it."""
 
     term: Number
-    turn: Number
+    sequence: Number = field(name="turn")
     number: Number
-    why: ShortText = ""
+    reason: ShortText = field(default="", name="why")
 
 
 class Decided(_Message, frozen=True, tag="Decided"):
-    """The log's register; as good from any member as from the leader, since a number is decided once."""
+    """The replicated register; valid from any member, since each number is decided once."""
 
-    register: Annotated[str, Meta(max_length=64 * 1024)]
+    register: RegisterText
 
 
 class LeaseRequest(_Message, frozen=True, tag="Status"):
-    """A holder's heartbeat and its question for a lease, which counts from `sent_ms`.
+    """A holder's heartbeat and its request for a lease, which counts from `sent_ms`.
 
-    What it knows to be decided binds it: it takes no lease of an earlier number any more.
+    What the holder knows to be decided binds it: it accepts no lease of an earlier number any more.
     """
 
-    life: Number  # another one after each restart: what is meant for, or said by, an earlier one is not taken
+    incarnation: Number = field(name="life")  # messages for, or of, another incarnation are ignored
     sent_ms: float
-    known: EpochOrNone  # the last decided that it knows
-    granted: EpochOrNone  # the last for which it had a lease in this life: that one has been in force
+    known_number: EpochOrNone = field(name="known")  # the last decided one that it knows
+    granted_number: EpochOrNone = field(name="granted")  # the last that it had a lease for since its start
 
 
 class EpochAdopted(_Message, frozen=True, tag="Changed"):
-    """A holder does not act by anything before this number any more; also a question for a lease."""
+    """A holder no longer acts by anything before this number; also a request for a lease."""
 
-    life: Number
+    incarnation: Number = field(name="life")
     sent_ms: float
     number: Number
-    granted: EpochOrNone = -1
+    granted_number: EpochOrNone = field(default=-1, name="granted")
 
 
 class LeaseGrant(_Message, frozen=True, tag="Grant"):
-    """The answer to one Status or Changed: a lease for an epoch, or none where `lease_ms` is 0."""
+    """The answer to one `LeaseRequest` or `EpochAdopted`: a lease, or none where `lease_ms` is 0."""
 
     term: Number
-    turn: Number
-    life: Number
+    sequence: Number = field(name="turn")
+    incarnation: Number = field(name="life")
     sent_ms: float
     number: Number
     lease_ms: Annotated[float, Meta(ge=0.0)]
-    open: Number = 0  # the number that is being prepared; 0: none, and a prepared one is to be forgotten
-    register: Annotated[str, Meta(max_length=64 * 1024)] = ""  # where the asker does not know the last
+    open_number: Number = field(default=0, name="open")  # of the open proposal; 0: none, discard the prepared
+    register: RegisterText = ""  # given where the holder does not know the last decision
 
 
 Message = (
     Propose | Rollback | Cancel | Prepare | Vote | Abort | Decided | LeaseRequest | EpochAdopted | LeaseGrant
 )
+RequestMessage = Propose | Rollback | Cancel
 
 
 def decode_message(data: object) -> Message:
     """The message in a decoded line; raises msgspec.ValidationError for anything else."""
-    return msgspec.convert(data, Message, strict=True)
+    message: Message = msgspec.convert(data, Message, strict=True)
+    return message
 
 
-# --- how a member stands, told to all that follow its log -----------------------------------------
+# --- the status of a member, sent to all that read its log ----------------------------------------
 
 RequestState = Literal["asked", "preparing", "ended", "refused", "decided", "in force"]
 FINAL_STATES = ("ended", "refused", "in force")
 
 
 class RequestOutcome(Struct, frozen=True):
-    """What came of an operator's word so far: given at front end `by` under the number `wish`."""
+    """The present state of an operator's request, made at front end `origin` under this request number."""
 
-    by: Annotated[str, Meta(max_length=48)]
-    wish: Number
+    origin: Annotated[str, Meta(max_length=48)] = field(name="by")
+    request_number: Number = field(name="wish")
     state: RequestState
     number: Number = 0  # of the policy
-    why: ShortText = ""
+    reason: ShortText = field(default="", name="why")
 
 
 class MemberStatus(Struct, frozen=True):
-    """For operators and for those that wait for an outcome. The last five are of a leader's steward."""
+    """Read by operators and by whoever waits for an outcome.
+
+    The last five fields are set by a leader's coordinator only.
+    """
 
     ready: bool
-    how: Annotated[str, Meta(max_length=16)]
-    number: Number  # the last decided that it knows
+    basis: Annotated[str, Meta(max_length=16)] = field(name="how")
+    number: Number  # the last decided one that it knows
     digest: Annotated[str, Meta(max_length=32)]
-    prepared: Number = 0  # that it was asked to prepare for
-    life: Number = 0
-    fault: ShortText = ""  # of a decided document that it can't read
-    wishes: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = ()  # of the last words given here
-    counts: Annotated[dict[str, int], Meta(max_length=64)] = {}
-    term: Number = 0  # of its reign; 0: it does not lead
-    open: Number = 0  # what is being prepared or decided
-    missing: Annotated[tuple[str, ...], Meta(max_length=8)] = ()  # whose yes is wanted still, of these some
-    settled: bool = False  # the last decided is in force
+    prepared: Number = 0  # the number that it was asked to prepare
+    incarnation: Number = field(default=0, name="life")
+    error: ShortText = field(default="", name="fault")  # of a decided document that it can't read
+    requests: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = field(default=(), name="wishes")
+    dropped: Annotated[dict[str, int], Meta(max_length=64)] = field(default_factory=dict, name="counts")
+    term: Number = 0  # that it leads; 0: it does not lead
+    open_number: Number = field(default=0, name="open")  # of the proposal that is being prepared or decided
+    missing: Annotated[tuple[str, ...], Meta(max_length=8)] = ()  # some of those whose vote is missing
+    in_force: bool = field(default=False, name="settled")  # the last decided is in force
     outcomes: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = ()
 
 
 def decode_member_status(data: object) -> MemberStatus:
-    """Raises msgspec.ValidationError."""
+    """The status in decoded data; raises msgspec.ValidationError for anything else."""
     return msgspec.convert(data, MemberStatus)
 
 
-# --- what is done by the owner ------------------------------------------------------------------
+# --- effects: what the owner of a coordinator or a holder carries out ------------------------------
+
+LEADER = "@leader"  # addresses whichever member leads the voters
 
 
 class Send(Struct, frozen=True):
-    """Effect: send a message to a member; LEADER stands for whoever leads the voters."""
+    """Effect: send a message to a member; LEADER stands for whichever member leads the voters."""
 
-    to: Name  # LEADER: whoever leads the voters
+    to: Name
     message: Message
 
 
 class ProposeRegister(Struct, frozen=True):
     """Effect: propose this register to the consensus log, once.
 
-    `Steward.decided` tells what came of it, or `Steward.not_put` where it never came into the log.
+    `RolloutCoordinator.receive_decision` is called with the decision, or
+    `RolloutCoordinator.proposal_not_logged` where the register never came into the log.
     """
 
     register: str
 
 
 class StoreRegister(Struct, frozen=True):
-    """Effect: write to disk, without haste.
+    """Effect: write the register to disk, without haste.
 
-    For people, and for the limits of a front end that hears no leader.
+    It serves people, and the limits of a front end that reaches no leader.
     """
 
     register: str
 
 
 class ActivePolicy(Struct, frozen=True):
-    """Effect: calls are judged by this from now on.
+    """Effect: calls are decided by this policy from now on.
 
-    `number` of a strict one is the later of its documents.
+    `number` of a strict one is that of the later of its two documents.
     """
 
     number: int
     digest: str
     document: Document
-    how: Literal["leased", "strict", "floor", "waiting"] = "leased"
+    basis: Basis = "leased"
 
 
 class LogEvent(Struct, frozen=True):
-    """Effect: a line for the operators' log."""
+    """Effect: an entry for the operators' log."""
 
     event: str
     fields: dict[str, Any]
 
 
-LEADER = "@leader"
 Effect = Send | ProposeRegister | StoreRegister | ActivePolicy | LogEvent
--- a/fawnwharf/policy_rollout/model_checker.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -1,12 +1,12 @@
 """Model checker for a policy rollout: every interleaving, breadth first, to a depth.
 
 The coordinator and the lease holders are the real ones. There are three members' holders, two members that
-may be the leader, and the consensus log reduced to what it promises: a register whose every decision stands,
-and at any moment at most one member that may say so (`Voter.fresh`). A leader that was replaced goes on as it
-was, without that. What it had proposed is decided by the change of leader, or lost.
+may be the leader, and the consensus log reduced to what it guarantees: a register whose every decision
+stands, and at any moment at most one member that is certain of it (`Voter.fresh`). A leader that was replaced
+goes on as it was, without that certainty. What it had proposed is decided by the change of leader, or lost.
 
-Messages may come in any order, late, twice or never; holders' answers come at once, except for a number of
-them that are late.
+Messages may arrive in any order, late, twice or never; holders' answers arrive at once, except for a number
+of them that are late.
 
     python -m fawnwharf.policy_rollout.model_checker [--states N]
 """
@@ -14,17 +14,32 @@
 import argparse
 import sys
 import time
-from collections import deque
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, replace
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import Register, parse_register
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
-from fawnwharf.policy_rollout.scenario import KNOWN, NAMES, STEWARD_STATE, TIMING, ModelState, Scenario
+from fawnwharf.policy_rollout.rollout_coordinator import (
+    LeaseRecord,
+    ReceivedRequest,
+    RolloutCoordinator,
+)
+from fawnwharf.policy_rollout.scenario import (
+    CAPABILITIES,
+    NAMES,
+    TIMING,
+    CoordinatorView,
+    MemberState,
+    MessageInFlight,
+    ModelState,
+    Scenario,
+    freeze_coordinator,
+)
+from fawnwharf.testbed.breadth_first import Found, search
 
 TEXTS = tuple(f'{{"version":1,"tenants":{{"t":{{"quota_rps":{n}}}}}}}' for n in (5, 6, 7))
+Step = Callable[[Scenario], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,182 +48,210 @@
 
     depth: int = 40
     states: int = 20_000
-    turns: int = 4  # of the clock
+    ticks: int = 4  # of the clock
     proposals: int = 1
-    called_off: int = 0
-    asks: int = 1  # of holders for a lease, beyond those that a change brings
-    kills: int = 0  # of holders, which come back at once
-    leaders: int = 0  # changes of leader
-    repeats: int = 0
-    late: int = 0  # answers of holders that are not heard at once
-
-
-@dataclass(slots=True)
-class CheckResult:
-    """The result of a search; `path` leads to what is broken, if anything is."""
-
-    states: int = 0
-    depth: int = 0
-    complete: bool = True
-    broken: str = ""
-    path: list[str] = field(default_factory=list)
+    cancellations: int = 0
+    lease_requests: int = 1  # of holders, beyond those that a change brings
+    kills: int = 0  # of holders, which are restarted at once
+    leader_changes: int = 0
+    duplicates: int = 0
+    late_answers: int = 0  # of holders, that do not arrive at once
 
 
 class ModelChecker:
-    """Searches breadth first, so that what is found broken comes with a shortest path."""
+    """Searches breadth first, so that a violated invariant comes with a shortest path."""
 
     def __init__(
-        self, bounds: Bounds, steward: type = RolloutCoordinator, holder: type = LeaseHolder
+        self,
+        bounds: Bounds,
+        coordinator_type: type[RolloutCoordinator] = RolloutCoordinator,
+        holder_type: type[LeaseHolder] = LeaseHolder,
     ) -> None:
-        self.bounds, self.steward, self.holder = bounds, steward, holder
+        """The types may be mutants with a bug on purpose."""
+        self.bounds = bounds
+        self.coordinator_type = coordinator_type
+        self.holder_type = holder_type
 
     def start(self) -> ModelState:
-        """The first state: all three hold leases of epoch 0, granted at this moment."""
+        """The first state: all three have leases of epoch 0, granted at this moment."""
         leader = RolloutCoordinator(TIMING, NAMES)
         leader.lead(0.0, 1, "")
-        leader.clear_ms = 0.0
-        blank = RolloutCoordinator(TIMING, NAMES)
-        states = [(*(getattr(s, key) for key in STEWARD_STATE), None) for s in (leader, blank)]
-        views = ((False, (0, TIMING.over_ms), (1, 0.0, 0.0), True, 1), (False, None, None, False, 0))
-        holder = (1, Register(), True, (0, TIMING.lease_ms), 0, None, (1, 1))
-        return ModelState(((holder, "", 0, views, frozenset()),) * len(NAMES), tuple(states))
-
-    def run(self) -> CheckResult:
+        leader.unknown_leases_until_ms = 0.0
+        other = RolloutCoordinator(TIMING, NAMES)
+        known = CoordinatorView(
+            agreed=False,
+            lease=LeaseRecord(0, TIMING.over_ms),
+            request=ReceivedRequest(1, 0.0, 0.0),
+            informed=True,
+            incarnation=1,
+        )
+        unknown = CoordinatorView(agreed=False, lease=None, request=None, informed=False, incarnation=0)
+        holder = (1, Register(), True, LeaseRecord(0, TIMING.lease_ms), 0, None, (1, 1))
+        member = MemberState(holder, "", 0, (known, unknown), frozenset())
+        return ModelState((member,) * len(NAMES), (freeze_coordinator(leader), freeze_coordinator(other)))
+
+    def run(self) -> Found:
         """Search all states within the bounds, or up to the first one that is broken."""
-        found, start = CheckResult(), self.start()
-        seen, edge = {start}, deque([(start, 0)])
-        parents: dict[ModelState, tuple[ModelState, str]] = {}
-        while edge and not found.broken:
-            world, depth = edge.popleft()
-            found.depth = depth
-            if depth >= self.bounds.depth or len(seen) >= self.bounds.states:
-                found.complete = False
-                break
-            for label, after in self._steps(world):
-                if after in seen:
-                    continue
-                seen.add(after)
-                parents[after] = world, label
-                if after.broken:
-                    found.broken, found.complete = after.broken, False
-                    while after in parents:
-                        after, label = parents[after]
-                        found.path.insert(0, label)
-                    break
-                edge.append((after, depth + 1))
-        found.states = len(seen)
-        return found
-
-    def _steps(self, world: ModelState) -> Iterator[tuple[str, ModelState]]:
+        bounds = self.bounds
+        return search(self.start(), self._steps, lambda state: state.broken, bounds.depth, bounds.states)
+
+    def _steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
         """All that may happen next, by a label each, and the states after it."""
-        yield from self._of_clock_and_operators(world)
-        yield from self._of_leaders(world)
-        for place, part in enumerate(world.members):
-            if part not in world.members[:place]:  # else as one before it
-                yield from self._of_member(world, place)
-
-    def _after(self, world: ModelState, do: Callable[[Scenario], None], **change: int) -> ModelState:
-        scene = Scenario(world, self)
-        do(scene)
-        return scene.frozen(**change)
-
-    def _of_clock_and_operators(self, world: ModelState) -> Iterator[tuple[str, ModelState]]:
+        yield from self._clock_and_operator_steps(state)
+        yield from self._leader_steps(state)
+        for index, member in enumerate(state.members):
+            if member not in state.members[:index]:  # else the same as one before it
+                yield from self._member_steps(state, index)
+
+    def _after(self, state: ModelState, step: Step, **change: int) -> ModelState:
+        """The state after a step; `change` gives the counts that it changes."""
+        scenario = Scenario(state, self)
+        step(scenario)
+        return scenario.frozen(**change)
+
+    def _clock_and_operator_steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
         bounds = self.bounds
-        if world.turn < bounds.turns:
-            turns = self._after(world, lambda s: setattr(s, "now", s.now + 1), turn=world.turn + 1)
-            yield "the clock turns", turns
-        at = world.crown
-        if world.proposals < bounds.proposals:
-            text = TEXTS[world.proposals]
-            step = lambda s: s.steward_does(at, s.stewards[at].propose(s.fast, text))  # noqa: E731
-            yield "a proposal", self._after(world, step, proposals=world.proposals + 1)
-        if world.called_off < bounds.called_off:
-            step = lambda s: s.steward_does(at, s.stewards[at].call_off(s.fast))  # noqa: E731
-            yield "it is called off", self._after(world, step, called_off=world.called_off + 1)
-
-    def _of_leaders(self, world: ModelState) -> Iterator[tuple[str, ModelState]]:
-        at = world.crown
-        step = lambda s: s.steward_does(at, s.stewards[at].tick(s.fast, True))  # noqa: E731
-        yield "the steward looks", self._after(world, step)
-        if world.pending:
-            yield "the log decides", self._after(world, _decides)
-        if world.leaders < self.bounds.leaders:
-            for lost in (True, False) if world.pending else (True,):
-                label = f"another leader; what is put is {'lost' if lost else 'decided'}"
-                yield label, self._after(world, _replaced(lost), leaders=world.leaders + 1)
-
-    def _of_member(self, world: ModelState, place: int) -> Iterator[tuple[str, ModelState]]:
-        bounds, name = self.bounds, NAMES[place]
-        if world.asks < bounds.asks:
-            yield f"{name} asks", self._after(world, _asks(place), asks=world.asks + 1)
-        if world.kills < bounds.kills:
-            after = self._after(world, _reborn(place, self), kills=world.kills + 1)
-            yield f"{name} is killed and comes back", after
-        for way, message in world.members[place][4]:
-            label = f"{name} {'takes' if way[0] == 's' else 'is heard:'} {message}"
-            yield label, self._after(world, _arrives(place, way, message, False))
-            if world.late < bounds.late and way[0] == "s" and not isinstance(message, m.Abort):
-                step = _arrives(place, way, message, False, True)
-                yield label + ", and answers late", self._after(world, step, late=world.late + 1)
-            if world.repeats < bounds.repeats:
-                step = _arrives(place, way, message, True)
-                yield label + ", to come again", self._after(world, step, repeats=world.repeats + 1)
-
-
-def _decides(scene: Scenario) -> None:
-    scene.commit()
-    at = scene.crown
-    scene.steward_does(at, scene.stewards[at].decided(scene.fast, scene.log, True))
-
-
-def _replaced(lost: bool) -> Callable[[Scenario], None]:
-    def do(scene: Scenario) -> None:
-        if scene.pending and not lost:
-            scene.commit()
-        scene.pending = ""
-        term = scene.stewards[scene.crown].term + 1
-        scene.crown = 1 - scene.crown
-        at = scene.crown
-        scene.steward_does(at, scene.stewards[at].lead(scene.fast, term, scene.log))
-
-    return do
-
-
-def _asks(place: int) -> Callable[[Scenario], None]:
-    def do(scene: Scenario) -> None:
-        holder = scene.holders[place]
-        holder.open_ms = 0.0
-        scene.holder_does(place, holder.tick(scene.slow), late=True)
-
-    return do
-
-
-def _reborn(place: int, search: ModelChecker) -> Callable[[Scenario], None]:
-    def do(scene: Scenario) -> None:
-        born = search.holder(KNOWN, TIMING, scene.holders[place].life + 1, scene.disks[place])
-        scene.holders[place] = born
-        scene.least[place] = parse_register(scene.log).last.number
-        scene.holder_does(place, born.tick(scene.slow))
-
-    return do
-
-
-def _arrives(place: int, way: str, message: m.Message, again: bool, late: bool = False) -> Callable:
-    def do(scene: Scenario) -> None:
-        if not again:
-            scene.flying[place].discard((way, message))
-        scene.arrives(place, way, message, late)
-
-    return do
+        if state.tick < bounds.ticks:
+            yield "the clock ticks", self._after(state, _clock_tick, tick=state.tick + 1)
+        if state.proposals < bounds.proposals:
+            step = _propose(TEXTS[state.proposals])
+            yield "a proposal", self._after(state, step, proposals=state.proposals + 1)
+        if state.cancellations < bounds.cancellations:
+            after = self._after(state, _cancel, cancellations=state.cancellations + 1)
+            yield "it is cancelled", after
+
+    def _leader_steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
+        yield "the coordinator ticks", self._after(state, _coordinator_tick)
+        if state.pending:
+            yield "the log decides", self._after(state, _decide)
+        if state.leader_changes >= self.bounds.leader_changes:
+            return
+        for lost in (True, False) if state.pending else (True,):
+            label = f"another leader; what is proposed is {'lost' if lost else 'decided'}"
+            step = _replace_leader(lost=lost)
+            yield label, self._after(state, step, leader_changes=state.leader_changes + 1)
+
+    def _member_steps(self, state: ModelState, index: int) -> Iterator[tuple[str, ModelState]]:
+        bounds, name = self.bounds, NAMES[index]
+        if state.lease_requests < bounds.lease_requests:
+            after = self._after(state, _request_lease(index), lease_requests=state.lease_requests + 1)
+            yield f"{name} requests a lease", after
+        if state.kills < bounds.kills:
+            after = self._after(state, restart_holder(index, self.holder_type), kills=state.kills + 1)
+            yield f"{name} is killed and restarted", after
+        for in_flight in state.members[index].in_flight:
+            yield from self._message_steps(state, index, in_flight)
+
+    def _message_steps(
+        self, state: ModelState, index: int, in_flight: MessageInFlight
+    ) -> Iterator[tuple[str, ModelState]]:
+        """What may happen with a message that is in flight."""
+        to_coordinator = in_flight.route.to_coordinator
+        what = "is heard" if to_coordinator else "receives"
+        label = f"{NAMES[index]} {what}: {in_flight.message}"
+        yield label, self._after(state, _deliver(index, in_flight))
+        may_be_late = not to_coordinator and not isinstance(in_flight.message, m.Abort)
+        if may_be_late and state.late_answers < self.bounds.late_answers:
+            step = _deliver(index, in_flight, late=True)
+            after = self._after(state, step, late_answers=state.late_answers + 1)
+            yield f"{label}, and answers late", after
+        if state.duplicates < self.bounds.duplicates:
+            step = _deliver(index, in_flight, duplicate=True)
+            after = self._after(state, step, duplicates=state.duplicates + 1)
+            yield f"{label}, and again later", after
+
+
+# --- steps ------------------------------------------------------------------------------------
+
+
+def _clock_tick(scenario: Scenario) -> None:
+    scenario.tick += 1
+
+
+def _propose(text: str) -> Step:
+    def step(scenario: Scenario) -> None:
+        leader = scenario.leader
+        effects = scenario.coordinators[leader].propose(scenario.coordinator_ms, text)
+        scenario.carry_out_coordinator(leader, effects)
+
+    return step
+
+
+def _cancel(scenario: Scenario) -> None:
+    leader = scenario.leader
+    scenario.carry_out_coordinator(leader, scenario.coordinators[leader].cancel())
+
+
+def _coordinator_tick(scenario: Scenario) -> None:
+    leader = scenario.leader
+    effects = scenario.coordinators[leader].tick(scenario.coordinator_ms, fresh=True)
+    scenario.carry_out_coordinator(leader, effects)
+
+
+def _decide(scenario: Scenario) -> None:
+    scenario.commit()
+    leader = scenario.leader
+    coordinator = scenario.coordinators[leader]
+    effects = coordinator.receive_decision(scenario.coordinator_ms, scenario.log, fresh=True)
+    scenario.carry_out_coordinator(leader, effects)
+
+
+def _replace_leader(*, lost: bool) -> Step:
+    def step(scenario: Scenario) -> None:
+        if scenario.pending and not lost:
+            scenario.commit()
+        scenario.pending = ""
+        term = scenario.coordinators[scenario.leader].term + 1
+        scenario.leader = 1 - scenario.leader
+        coordinator = scenario.coordinators[scenario.leader]
+        effects = coordinator.lead(scenario.coordinator_ms, term, scenario.log)
+        scenario.carry_out_coordinator(scenario.leader, effects)
+
+    return step
+
+
+def _request_lease(index: int) -> Step:
+    def step(scenario: Scenario) -> None:
+        holder = scenario.holders[index]
+        holder.next_request_ms = 0.0
+        scenario.carry_out_holder(index, holder.tick(scenario.holder_ms))
+
+    return step
+
+
+def restart_holder(index: int, holder_type: type[LeaseHolder]) -> Step:
+    """The step in which a member is killed and restarted with what its disk has."""
+
+    def step(scenario: Scenario) -> None:
+        incarnation = scenario.holders[index].incarnation + 1
+        holder = holder_type(CAPABILITIES, TIMING, incarnation, scenario.disks[index])
+        scenario.holders[index] = holder
+        scenario.min_numbers[index] = parse_register(scenario.log).last.number
+        scenario.carry_out_holder(index, holder.tick(scenario.holder_ms))
+
+    return step
+
+
+def _deliver(index: int, in_flight: MessageInFlight, *, duplicate: bool = False, late: bool = False) -> Step:
+    """The step in which a message arrives; a duplicate stays in flight, a late answer too."""
+
+    def step(scenario: Scenario) -> None:
+        if not duplicate:
+            scenario.in_flight[index].discard(in_flight)
+        scenario.deliver(index, in_flight, late=late)
+
+    return step
+
 
+# --- all searches -----------------------------------------------------------------------------
 
 SEARCHES = {
-    "calm": Bounds(turns=4, asks=1, late=1),
-    "kills": Bounds(turns=3, asks=0, kills=1),
-    "called off": Bounds(turns=1, asks=0, called_off=1, repeats=1, late=1),
-    "leaders": Bounds(turns=3, asks=0, leaders=1),
-    "leaders, asks": Bounds(turns=4, asks=1, leaders=1),
-    "two changes": Bounds(turns=3, asks=0, proposals=2, leaders=1),
+    "calm": Bounds(ticks=4, lease_requests=1, late_answers=1),
+    "kills": Bounds(ticks=3, lease_requests=0, kills=1),
+    "called off": Bounds(ticks=1, lease_requests=0, cancellations=1, duplicates=1, late_answers=1),
+    "leaders": Bounds(ticks=3, lease_requests=0, leader_changes=1),
+    "leaders, asks": Bounds(ticks=4, lease_requests=1, leader_changes=1),
+    "two changes": Bounds(ticks=3, lease_requests=0, proposals=2, leader_changes=1),
 }
 
 
@@ -221,8 +264,9 @@
     for name, bounds in SEARCHES.items():
         began = time.perf_counter()
         found = ModelChecker(replace(bounds, states=states)).run()
-        whole = "whole" if found.complete else f"to depth {found.depth}"
-        print(f"{name}: {found.states} states, {whole}, {time.perf_counter() - began:.0f} s {found.broken}")
+        extent = "complete" if found.complete else f"to depth {found.depth}"
+        took_s = time.perf_counter() - began
+        print(f"{name}: {found.states} states, {extent}, {took_s:.0f} s {found.broken}")
         for label in found.path:
             print("   ", label)
         broken = broken or bool(found.broken)
--- /dev/null
+++ b/fawnwharf/policy_rollout/operator_requests.py
@@ -0,0 +1,229 @@
+"""Operators' requests: at the front end where they were made, and at the leader that carries them out.
+
+Pure. A request is repeated until the status of a leader tells its outcome. The leader takes each request
+once, and only if it is meant for its term: an old one may be repeated by a log that was cut off, and had its
+outcome long ago.
+"""
+
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+import msgspec
+
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import DocumentError, parse_document
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+
+MAX_OUTCOMES = 8  # of one term, in the leader's status
+MAX_SUBMITTED = 4
+NO_ANSWER_MS = 10_000.0  # a request that no leader answers for so long is given up
+
+
+# --- at the front end where they were made ----------------------------------------------------------
+
+
+@dataclass(slots=True)
+class SubmittedRequest:
+    """An operator's request that was made at this member."""
+
+    message: m.RequestMessage
+    digest: str  # of the policy that it asks for; "": not known
+    began_ms: float
+    outcome: m.RequestOutcome
+    term: int = 0  # of the leader that reported the outcome
+    sent_ms: float = 0.0
+
+    @property
+    def is_unanswered(self) -> bool:
+        """Whether no leader has reported an outcome yet."""
+        return self.outcome.state == "asked"
+
+
+@dataclass(slots=True)
+class SubmittedRequests:
+    """Owns the last requests that were made at one member."""
+
+    origin: str  # the member's name
+    retry_ms: float
+    requests: deque[SubmittedRequest] = field(default_factory=lambda: deque(maxlen=MAX_SUBMITTED))
+
+    def __len__(self) -> int:
+        return len(self.requests)
+
+    def __iter__(self) -> Iterator[SubmittedRequest]:
+        return iter(self.requests)
+
+    def submit(self, now_ms: float, message: m.RequestMessage, digest: str) -> m.Send:
+        """Send a request to the leader; it is repeated by `retry`."""
+        outcome = m.RequestOutcome(self.origin, message.request_number, "asked")
+        self.requests.append(SubmittedRequest(message, digest, now_ms, outcome, 0, now_ms))
+        return m.Send(m.LEADER, message)
+
+    def reject(self, now_ms: float, request_number: int, reason: str) -> None:
+        """Note a request that can't be taken, and why."""
+        short = reason[: m.MAX_SHORT_TEXT]
+        outcome = m.RequestOutcome(self.origin, request_number, "refused", 0, short)
+        message = m.Cancel("", 0, request_number)
+        self.requests.append(SubmittedRequest(message, "", now_ms, outcome))
+
+    def due_ms(self) -> float | None:
+        """When `retry` has to be called at the latest; None where no request waits for an answer."""
+        sent = [request.sent_ms for request in self.requests if request.is_unanswered]
+        return min(sent) + self.retry_ms if sent else None
+
+    def retry(self, now_ms: float, term: int) -> list[m.Effect]:
+        """Send requests without an answer again, to the leader of this term; old ones are given up."""
+        effects: list[m.Effect] = []
+        for request in self.requests:
+            if not request.is_unanswered:
+                continue
+            if now_ms - request.began_ms >= NO_ANSWER_MS:
+                number = request.message.request_number
+                request.outcome = m.RequestOutcome(self.origin, number, "ended", 0, "no leader answered")
+            elif now_ms - request.sent_ms >= self.retry_ms:
+                request.sent_ms = now_ms
+                request.message = msgspec.structs.replace(request.message, term=term)
+                effects.append(m.Send(m.LEADER, request.message))
+        return effects
+
+    def learn_outcomes(self, leader: m.MemberStatus) -> None:
+        """Take the outcomes in the status of a leader."""
+        reported = {
+            outcome.request_number: outcome for outcome in leader.outcomes if outcome.origin == self.origin
+        }
+        for request in self.requests:
+            if leader.term < request.term:
+                continue
+            outcome = reported.get(request.message.request_number)
+            if outcome is not None:
+                request.outcome = outcome
+                request.term = leader.term
+            elif leader.term > request.term:
+                request.outcome = _outcome_under_next_leader(request, leader)
+
+
+def _outcome_under_next_leader(request: SubmittedRequest, leader: m.MemberStatus) -> m.RequestOutcome:
+    """The outcome of a request that an earlier leader reported on, by what is decided under this one."""
+    last = request.outcome
+    if last.state not in ("preparing", "decided"):
+        return last
+    is_same = last.state == "decided" or leader.digest == request.digest
+    if leader.number >= last.number and is_same:
+        return msgspec.structs.replace(last, state="in force" if leader.in_force else "decided")
+    reason = "its leader was replaced before it was decided"
+    return msgspec.structs.replace(last, state="ended", reason=reason)
+
+
+# --- at the leader ------------------------------------------------------------------------------
+
+
+@dataclass(slots=True)
+class LeaderRequests:
+    """Owns the outcomes of the requests that a leader took in its term."""
+
+    outcomes: deque[m.RequestOutcome] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
+    latest: dict[str, int] = field(default_factory=dict)  # by front end: the number of its last request
+
+    def clear(self) -> None:
+        """Forget all, at the end of a term."""
+        self.outcomes.clear()
+        self.latest.clear()
+
+    def receive(
+        self, now_ms: float, origin: str, message: m.RequestMessage, coordinator: RolloutCoordinator
+    ) -> list[m.Effect]:
+        """Carry out a request, once."""
+        if message.request_number <= self.latest.get(origin, 0):
+            return []
+        self.latest[origin] = message.request_number
+        match message:
+            case m.Cancel():
+                return self._cancel(origin, message, coordinator)
+            case m.Rollback():
+                return self._roll_back(now_ms, origin, message, coordinator)
+            case m.Propose():
+                return self._propose(now_ms, origin, message, message.text, coordinator)
+
+    def _cancel(self, origin: str, message: m.Cancel, coordinator: RolloutCoordinator) -> list[m.Effect]:
+        number = coordinator.proposal.number if coordinator.proposal else 0
+        effects: list[m.Effect]
+        if message.number not in (0, number):
+            reason = f"{message.number} is not being prepared"
+            effects = [m.LogEvent("rejected", {"reason": reason})]
+        else:
+            effects = coordinator.cancel(message.reason)
+        rejected = _first_event(effects, "rejected")
+        if rejected is not None:
+            self._add(origin, message, "refused", number, rejected.fields["reason"])
+        else:
+            self._add(origin, message, "ended", number, "cancelled")
+        return effects
+
+    def _roll_back(
+        self, now_ms: float, origin: str, message: m.Rollback, coordinator: RolloutCoordinator
+    ) -> list[m.Effect]:
+        last, before = coordinator.register.last, coordinator.register.before
+        if before is not None and message.number == last.number:
+            return self._propose(now_ms, origin, message, before.encode(), coordinator)
+        reason = "there is none before it"
+        if before is not None:
+            reason = f"{last.number} is the last, not {message.number}"
+        self._add(origin, message, "refused", 0, reason)
+        return [m.LogEvent("rejected", {"reason": reason})]
+
+    def _propose(
+        self,
+        now_ms: float,
+        origin: str,
+        message: m.RequestMessage,
+        text: str,
+        coordinator: RolloutCoordinator,
+    ) -> list[m.Effect]:
+        if _is_last_decision(text, coordinator):
+            # It was carried out under a leader before this one, or changes nothing.
+            state: m.RequestState = "in force" if coordinator.in_force else "decided"
+            self._add(origin, message, state, coordinator.register.last.number)
+            return []
+        effects = coordinator.propose(now_ms, text)
+        prepare = _first_event(effects, "prepare")
+        rejected = _first_event(effects, "rejected")
+        if prepare is not None:
+            self._add(origin, message, "preparing", prepare.fields["number"])
+        elif rejected is not None:
+            self._add(origin, message, "refused", 0, rejected.fields["reason"])
+        return effects
+
+    def _add(
+        self, origin: str, message: m.RequestMessage, state: m.RequestState, number: int, reason: str = ""
+    ) -> None:
+        short = reason[: m.MAX_SHORT_TEXT]
+        self.outcomes.append(m.RequestOutcome(origin, message.request_number, state, number, short))
+
+    def note(self, event: m.LogEvent) -> None:
+        """Update the outcomes of requests by an event of the coordinator."""
+        state = event.event
+        if state not in ("ended", "decided", "in force"):
+            return
+        for index, outcome in enumerate(self.outcomes):
+            if outcome.number == event.fields["number"] and outcome.state not in m.FINAL_STATES:
+                reason = str(event.fields.get("reason", ""))[: m.MAX_SHORT_TEXT]
+                self.outcomes[index] = msgspec.structs.replace(outcome, state=state, reason=reason)
+
+
+def _is_last_decision(text: str, coordinator: RolloutCoordinator) -> bool:
+    """Whether a proposed document has the values of the last decided one, and no proposal is open."""
+    if coordinator.proposal is not None:
+        return False
+    try:
+        return parse_document(text).digest == coordinator.register.last.digest
+    except DocumentError:
+        return False  # the coordinator reports the cause
+
+
+def _first_event(effects: list[m.Effect], name: str) -> m.LogEvent | None:
+    """The first log event of this name among effects."""
+    for effect in effects:
+        if isinstance(effect, m.LogEvent) and effect.event == name:
+            return effect
+    return None
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -1,7 +1,7 @@
 """Applies the policy in force to this front end's parts."""
 
 from dataclasses import replace
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 
@@ -9,120 +9,183 @@
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.call_binding import class_spec_under
-from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, make_document
+from fawnwharf.policy_rollout.delayed_relaxation import ReplicationRule
+from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, Value, make_document
+from fawnwharf.zones.service import Zones
 
-LIMIT = "policy"
+LIMIT = "policy"  # the name of this package's rate limit at the front end
+
+
+class ClaimGate(Protocol):
+    """The gate before replicated calls, as a policy changes it."""
+
+    modes: dict[str, Any]  # by class
+
+    def go_by(self, classes: dict[str, io.ClassSpec], modes: dict[str, Any]) -> None:
+        """Use these classes and modes for calls that arrive from now on."""
+        ...
+
+
+class ReplicatedCalls(Protocol):
+    """The part that replicates calls, as a policy needs it."""
+
+    gate: ClaimGate
+    settings: Any
+    core: Any
 
 
 def deployment_capabilities(
-    deployment: Deployment, zones: Any, state: Any, staging: dict[str, float] | None
+    deployment: Deployment, zones: Zones, state: ReplicatedCalls | None, staging: dict[str, float] | None
 ) -> DeploymentCapabilities:
     """What this deployment has, and its settings as a document, which gives absent keys their meaning.
 
     `zones` and `state` are the attached parts; `state` is None where no calls are replicated, and `staging`
     where nothing is prefetched.
     """
-    settings, members = deployment.settings, zones.core.members
-    names = sorted(members.zones)
+    settings = deployment.settings
+    names = frozenset(zones.core.members.zones)
+    capabilities = DeploymentCapabilities(
+        classes=frozenset(settings.classes),
+        tenants=deployment.wire.tenants | frozenset(settings.quotas_rps),
+        zones=names,
+        replicates=state is not None,
+        prefetches=staging is not None,
+        base=_settings_as_document(deployment, zones, state, staging),
+    )
+    if state is None:
+        return capabilities
+    limits = state.settings
+    return msgspec.structs.replace(
+        capabilities,
+        max_give_up_ms=limits.call_most_ms,
+        window_range_ms=(2 * limits.wait_most_ms, limits.window_ms),
+    )
+
+
+def _settings_as_document(
+    deployment: Deployment, zones: Zones, state: ReplicatedCalls | None, staging: dict[str, float] | None
+) -> Document:
+    """The values that the settings have for all keys of a document."""
+    settings = deployment.settings
     spill = zones.settings.spill
-    values: dict[tuple[str, ...], Any] = {}
+    values: dict[tuple[str, ...], Value] = {}
     for name, spec in settings.classes.items():
         values["classes", name, "promise_ms"] = spec.promise_ms
         values["classes", name, "give_up_ms"] = spec.give_up_ms
         if state is not None:
             values["modes", name] = state.gate.modes[name]
             values["window_ms", name] = state.settings.window_ms
-    values |= {("tenants", name, "quota_rps"): rps for name, rps in settings.quotas_rps.items()}
-    values |= {("staging", key): value for key, value in (staging or {}).items()}
-    values |= {("admission", name): 1.0 for name in names}
-    values |= {("spill", name): spill.zones.get(name, spill.share) for name in names}
-    found = DeploymentCapabilities(
-        classes=frozenset(settings.classes),
-        tenants=deployment.wire.tenants | frozenset(settings.quotas_rps),
-        zones=frozenset(names),
-        keeps=state is not None,
-        stages=staging is not None,
-        base=make_document(0, values),
-    )
-    if state is None:
-        return found
-    kept = state.settings
-    window = 2 * kept.wait_most_ms, kept.window_ms
-    return msgspec.structs.replace(found, give_up_most_ms=kept.call_most_ms, window_ms=window)
+    for name, quota_rps in settings.quotas_rps.items():
+        values["tenants", name, "quota_rps"] = quota_rps
+    for key, value in (staging or {}).items():
+        values["staging", key] = value
+    for name in zones.core.members.zones:
+        values["admission", name] = 1.0
+        values["spill", name] = spill.zones.get(name, spill.share)
+    return make_document(0, values)
 
 
 class PolicyApplier:
     """Owns what was last applied to the parts, and applies what changes."""
 
-    def __init__(self, deployment: Deployment, front: FrontEnd, zones: Any, state: Any) -> None:
-        self.front, self.zones, self.state = front, zones, state
-        self._base = dict(deployment.settings.classes)
-        self._quotas = dict(deployment.settings.quotas_rps)  # as sold, before the module adds limits to them
-        self._fronts, self._zone = deployment.settings.fleet_size, deployment.settings.zone
-        self.classes = dict(self._base)
-        self._longest = {name: spec.give_up_ms for name, spec in self._base.items()}  # ever gone by
-        self.quotas = dict(self._quotas)
-        self._limit: float = io.UNLIMITED_RPS
-        self._kept: tuple[Any, ...] = ()
-
-    def go_by(self, document: Document) -> bool:
+    def __init__(
+        self, deployment: Deployment, front: FrontEnd, zones: Zones, state: ReplicatedCalls | None
+    ) -> None:
+        """`state` is None where no calls are replicated."""
+        settings = deployment.settings
+        self._front = front
+        self._zones = zones
+        self._state = state
+        self._base_classes = dict(settings.classes)
+        self._base_quotas_rps = dict(settings.quotas_rps)  # before the decision module adds limits to them
+        self._front_ends = settings.fleet_size
+        self._zone = settings.zone
+        self.classes = dict(self._base_classes)
+        self._longest_give_up_ms = {name: spec.give_up_ms for name, spec in self._base_classes.items()}
+        self.quotas_rps = dict(self._base_quotas_rps)
+        self._limit_rps: float = io.UNLIMITED_RPS
+        self._replication: tuple[Any, ...] = ()  # what was last applied by `apply_replication`
+
+    def apply(self, document: Document) -> bool:
         """Apply a document; True where classes changed."""
-        self._tenants(document)
-        sold = sum(self.quotas.values())
-        part = document.value("admission", self._zone)
-        limited = part is not None and part < 1.0 and (sold > 0.0 or part == 0.0)
-        rps = float(part) * sold / self._fronts if limited else io.UNLIMITED_RPS
-        if rps != self._limit:
-            self._limit = rps
-            self.front.limit(LIMIT, rps)
-        told = self.zones.settings.spill
-        spill = {name: float(part) for name, part in document.section("spill").items()}
-        # The plan has the settings' own already.
-        self.zones.limits(sold, {n: p for n, p in spill.items() if p < told.zones.get(n, told.share)})
-        return self._classes(document)
-
-    def _classes(self, document: Document) -> bool:
-        classes = {name: class_spec_under(spec, document) for name, spec in self._base.items()}
+        self._apply_quotas(document)
+        total_rps = sum(self.quotas_rps.values())
+        self._apply_admission(document, total_rps)
+        self._apply_spill(document, total_rps)
+        return self._apply_classes(document)
+
+    def _apply_admission(self, document: Document, total_rps: float) -> None:
+        """Limit this front end to its part of what the zone admits."""
+        part = document.limit("admission", self._zone)
+        limit_rps: float = io.UNLIMITED_RPS
+        if part is not None and part < 1.0 and (total_rps > 0.0 or part == 0.0):
+            limit_rps = part * total_rps / self._front_ends
+        if limit_rps != self._limit_rps:
+            self._limit_rps = limit_rps
+            self._front.limit(LIMIT, limit_rps)
+
+    def _apply_spill(self, document: Document, total_rps: float) -> None:
+        """Limit what other zones are sent; the zone plan already has the limits of the settings."""
+        settings = self._zones.settings.spill
+        spill = {
+            name: part
+            for name, part in document.limits("spill").items()
+            if part < settings.zones.get(name, settings.share)
+        }
+        self._zones.limits(total_rps, spill)
+
+    def _apply_classes(self, document: Document) -> bool:
+        classes = {name: class_spec_under(spec, document) for name, spec in self._base_classes.items()}
         changed = [spec for name, spec in classes.items() if spec != self.classes[name]]
         self.classes = classes
-        # To wait for longer than a policy gives is no fault of clients, which know an earlier time: the
-        # port refuses nothing for that, and a call is cut to its policy's time where it is taken (`Judged`).
+        # A client that waits for longer than a policy gives made no error, as it knows an earlier time: the
+        # port rejects nothing for that, and a call is cut to its policy's time by `CallPolicyBinding`.
         for name, spec in classes.items():
-            self._longest[name] = max(self._longest[name], spec.give_up_ms)
-        self.front.port.classes = {
-            name: replace(spec, give_up_ms=self._longest[name]) for name, spec in classes.items()
+            self._longest_give_up_ms[name] = max(self._longest_give_up_ms[name], spec.give_up_ms)
+        self._front.port.classes = {
+            name: replace(spec, give_up_ms=self._longest_give_up_ms[name]) for name, spec in classes.items()
         }
         for spec in changed:
-            self.front.loop.tell(io.ClassChanged(spec))
+            self._front.loop.tell(io.ClassChanged(spec))
         return bool(changed)
 
-    def _tenants(self, document: Document) -> None:
-        quotas = {path[1]: float(rps) for path, rps in document.values if path[0] == "tenants"}
-        if quotas == self.quotas:
+    def _apply_quotas(self, document: Document) -> None:
+        quotas_rps = {path[1]: float(rps) for path, rps in document.values if path[0] == "tenants"}
+        if quotas_rps == self.quotas_rps:
             return
-        before, self.quotas = self.quotas, quotas
-        shares = self.state.core.shares if self.state is not None else None
+        before = self.quotas_rps
+        self.quotas_rps = quotas_rps
+        for name, rps in self._quota_changes(before, quotas_rps).items():
+            self._front.loop.tell(io.LimitsChanged(rps, name))
+
+    def _quota_changes(self, before: dict[str, float], after: dict[str, float]) -> dict[str, float]:
+        """The limits of this front end that change, by tenant."""
+        shares = self._state.core.shares if self._state is not None else None
+        changes: dict[str, float]
         if shares is not None:
-            changes = shares.sell(quotas)
+            changes = shares.sell(after)
         else:
-            changes = {name: rps / self._fronts for name, rps in quotas.items() if rps != before.get(name)}
-        changes |= {name: io.UNLIMITED_RPS for name in before if name not in quotas}
-        for name, rps in changes.items():
-            self.front.loop.tell(io.LimitsChanged(rps, name))
-
-    def keep_by(self, kept: dict[str, tuple[str, float]]) -> None:
-        """Apply modes and windows of replication by class, as `Easing` has them."""
-        keeper = self.state.core.keeper if self.state is not None else None
-        if self.state is None or (kept, keeper, self.classes) == self._kept:
+            changes = {name: rps / self._front_ends for name, rps in after.items() if rps != before.get(name)}
+        removed = {name: io.UNLIMITED_RPS for name in before if name not in after}
+        return changes | removed
+
+    def apply_replication(self, rules: dict[str, ReplicationRule]) -> None:
+        """Apply modes and windows of replication by class, as `DelayedRelaxation` has them."""
+        if self._state is None:
+            return
+        replica = self._state.core.keeper
+        replication = (rules, replica, self.classes)
+        if replication == self._replication:
             return
-        self._kept = kept, keeper, self.classes
-        gate = self.state.gate
-        gate.go_by(self.classes, gate.modes | {n: mode for n, (mode, _) in kept.items() if n in gate.modes})
-        if keeper is not None:
-            keeper.shelf.windows = {name: window for name, (_, window) in kept.items()}
+        self._replication = replication
+        gate = self._state.gate
+        modes = {name: rule.mode for name, rule in rules.items() if name in gate.modes}
+        gate.go_by(self.classes, gate.modes | modes)
+        if replica is not None:
+            replica.shelf.windows = {name: rule.window_ms for name, rule in rules.items()}
 
-    def undo(self, base: Document) -> None:
+    def restore(self, base: Document) -> None:
         """Restore the settings, for whoever takes the parts over."""
-        self._classes(base)
-        self._tenants(base)
-        self.front.limit(LIMIT, io.UNLIMITED_RPS)
+        self._apply_classes(base)
+        self._apply_quotas(base)
+        self._front.limit(LIMIT, io.UNLIMITED_RPS)
--- /dev/null
+++ b/fawnwharf/policy_rollout/request_file.py
@@ -0,0 +1,66 @@
+"""The operators' request file: watched while the front end runs, each request is taken once."""
+
+from collections.abc import Callable
+from pathlib import Path
+
+from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.policy_rollout import messages as m
+from fawnwharf.policy_rollout.document import document_from_object, find_incompatibility
+from fawnwharf.policy_rollout.rate_limited_log import Write
+from fawnwharf.policy_rollout.rollout_member import RolloutMember
+from fawnwharf.policy_rollout.settings import OperatorRequest, decode_operator_request
+from fawnwharf.zones.files import WatchedFile
+from fawnwharf.zones.settings import FileFault
+
+REQUEST_FILE = "proposal.json"
+
+
+class RequestFile:
+    """Owns the number of the last request that was read."""
+
+    def __init__(
+        self, path: Path, log: Write, member: RolloutMember, carry_out: Callable[[list[m.Effect]], None]
+    ) -> None:
+        """A request from before this start is not taken; `carry_out` executes effects of the member."""
+        self._file = WatchedFile(path)
+        self._log = log
+        self._member = member
+        self._carry_out = carry_out
+        self._last_number = 0
+        if self._file.changed() is not None:
+            self._log("proposal rejected", {"error": "it was written before this start"})
+
+    def poll(self) -> None:
+        """Take the file if it has changed.
+
+        A request that can't be taken changes nothing, and is logged once with its key and cause.
+        """
+        data = self._file.changed()
+        if data is None:
+            return
+        try:
+            request = decode_operator_request(data)
+        except FileFault as error:
+            self._log("proposal rejected", {"error": str(error)})
+            return
+        if error_text := self._find_error(request):
+            self._reject(request, error_text)
+            return
+        self._last_number = request.number
+        self._log("proposal taken", {"number": request.number, "what": request.kind})
+        self._carry_out(self._member.submit(monotonic_ms(), request))
+
+    def _find_error(self, request: OperatorRequest) -> str | None:
+        """Why a request can't be taken, with its key; None where it can."""
+        if request.number <= self._last_number:
+            return f"number: {request.number} is not larger than {self._last_number}, of the request before"
+        if request.propose is None:
+            return None
+        return find_incompatibility(document_from_object(request.propose), self._member.capabilities)
+
+    def _reject(self, request: OperatorRequest, error: str) -> None:
+        self._log("proposal rejected", {"error": error})
+        if request.number > self._last_number:
+            self._last_number = request.number
+            self._member.reject(monotonic_ms(), request.number, error)
+            self._carry_out([])
--- a/fawnwharf/policy_rollout/rollout_coordinator.py
+++ b/fawnwharf/policy_rollout/rollout_coordinator.py
@@ -1,8 +1,8 @@
-"""The rollout coordinator at the voters' leader: takes one change through, and grants the leases behind it.
+"""The rollout coordinator at the voters' leader: carries one change through, and grants leases.
 
-No I/O, no clock and no randomness but what is handed in; times are milliseconds of its own clock, which may
+No I/O, no clock and no randomness but what is passed in; times are milliseconds of its own clock, which may
 run fast or slow against a holder's by `skew` and must not step back. Leases are after Gray and Cheriton,
-'Leases' (1989): a lease counts from the sending of its holder's question, so that no delay of the answer
+'Leases' (1989): a lease counts from the sending of its holder's request, so that no delay of the answer
 makes it longer, and the coordinator takes it to be over by the slowest clock that a holder may have, on the
 fastest of its own.
 
@@ -11,11 +11,12 @@
 it open.
 
 A new leader does not know which leases the one before it granted. So it assumes that every holder has one for
-a lease's time from when it began, unless a holder shows that the last epoch has been in force: then no lease
-of an earlier one is left.
+a lease's time from when its term began, unless a holder shows that the last epoch has been in force: then no
+lease of an earlier one is left.
 """
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import (
@@ -26,15 +27,19 @@
     parse_register,
 )
 
+MAX_NAMED_MEMBERS = 5  # in the cause of an abort
+
 
 @dataclass(frozen=True, slots=True)
 class RolloutTiming:
     """Times in milliseconds, and the part by which a clock's rate may differ from true time."""
 
     lease_ms: float = 2_000.0
-    renew_ms: float = 500.0  # pace of holders' questions
-    prepare_ms: float = 6_000.0  # for all to answer; longer than `over_ms`, which one that is cut off takes
-    again_ms: float = 500.0  # pace at which what is not answered is said again
+    renew_ms: float = 500.0  # interval of holders' lease requests
+    prepare_ms: float = (
+        6_000.0  # for all to vote; longer than `over_ms`, which a member that is cut off takes
+    )
+    again_ms: float = 500.0  # interval at which what is not answered is sent again
     skew: float = 0.1
 
     @property
@@ -43,38 +48,58 @@
         return self.lease_ms * (1 + self.skew) / (1 - self.skew)
 
 
+class LeaseRecord(NamedTuple):
+    """A lease that was granted: its epoch, and when it is over by the coordinator's clock."""
+
+    number: int
+    expires_ms: float
+
+
+class ReceivedRequest(NamedTuple):
+    """A holder's newest lease request: `sent_ms` by its clock, `received_ms` by the coordinator's."""
+
+    incarnation: int
+    sent_ms: float
+    received_ms: float
+
+
 @dataclass(slots=True)
 class OpenProposal:
     """The one proposal in progress."""
 
     document: Document
-    turn: int
-    until_ms: float
-    yes: frozenset[str] = frozenset()
-    deciding: bool = False  # it is put to the vote: from here nothing ends it
+    sequence: int
+    deadline_ms: float
+    agreed: frozenset[str] = frozenset()
+    deciding: bool = False  # it was proposed to the log: from here nothing ends it
+
+    @property
+    def number(self) -> int:
+        """The number of the proposed document."""
+        return self.document.number
 
 
 @dataclass(slots=True)
 class RolloutCoordinator:
-    """Owns what is proposed, who has agreed, and who may hold which lease."""
+    """Owns the open proposal, the votes for it, and the record of who may hold which lease."""
 
     timing: RolloutTiming
     members: tuple[str, ...] = ()
-    term: int = 0  # of its reign; 0: it does not lead
-    turn: int = 0
+    term: int = 0  # that it leads; 0: it does not lead
+    sequence: int = 0
     register: Register = field(default_factory=Register)
-    settled: bool = False  # the last decided is in force: nobody has a lease of an earlier one
-    clear_ms: float = 0.0  # until then holders may have leases that nobody here granted
-    leases: dict[str, tuple[int, float]] = field(default_factory=dict)  # by holder: epoch, over when
-    asked: dict[str, tuple[int, float, float]] = field(default_factory=dict)  # life, sent, heard here
-    lives: dict[str, int] = field(default_factory=dict)  # the last that each was heard in
-    told: frozenset[str] = frozenset()  # those that are known to know the last decided
-    open: OpenProposal | None = None
-    top: int = 0  # the largest number given in this reign
-    again_ms: float = 0.0
+    in_force: bool = False  # the last decided one: nobody has a lease of an earlier one
+    unknown_leases_until_ms: float = 0.0  # until then holders may have leases of an earlier coordinator
+    leases: dict[str, LeaseRecord] = field(default_factory=dict)  # by holder
+    requests: dict[str, ReceivedRequest] = field(default_factory=dict)  # by holder
+    incarnations: dict[str, int] = field(default_factory=dict)  # the last of each that was observed
+    informed: frozenset[str] = frozenset()  # those that are known to know the last decision
+    proposal: OpenProposal | None = None
+    highest_number: int = 0  # the largest number given in this term
+    repeat_ms: float = 0.0  # when messages are sent again
     ticked_ms: float = 0.0
 
-    # --- reigns ---------------------------------------------------------------------------------
+    # --- terms ----------------------------------------------------------------------------------
 
     def lead(self, now_ms: float, term: int, text: str) -> list[m.Effect]:
         """Begin a term.
@@ -82,272 +107,324 @@
         This member's voter leads, what it decided last is certainly the fleet's last (`Voter.fresh`), and
         nothing in its log is undecided. `text` is the register there; empty for none yet.
         """
-        self.rest()
+        self.step_down()
         try:
             self.register = parse_register(text)
         except DocumentError as error:
-            return [m.LogEvent("policy not read", {"why": str(error), "term": term})]
-        self.term, self.turn = term, 1
-        self.top = self.register.last.number
-        self.clear_ms = now_ms + self.timing.over_ms
-        self.settled = self.register.before is None
-        return [m.LogEvent("steward", {"term": term, "number": self.top})]
-
-    def rest(self) -> None:
+            return [m.LogEvent("policy register unreadable", {"reason": str(error), "term": term})]
+        self.term = term
+        self.sequence = 1
+        self.highest_number = self.register.last.number
+        self.unknown_leases_until_ms = now_ms + self.timing.over_ms
+        self.in_force = self.register.before is None
+        fields = {"term": term, "number": self.highest_number}
+        return [m.LogEvent("rollout coordinator started", fields)]
+
+    def step_down(self) -> None:
         """End the term: the voter does not lead any more.
 
-        What was being prepared is the next coordinator's to end.
+        It is up to the next coordinator to end what was being prepared.
         """
-        self.term, self.open, self.settled = 0, None, False
-        self.leases, self.asked, self.lives, self.told = {}, {}, {}, frozenset()
+        self.term = 0
+        self.proposal = None
+        self.in_force = False
+        self.leases = {}
+        self.requests = {}
+        self.incarnations = {}
+        self.informed = frozenset()
 
     def due_ms(self) -> float | None:
-        """When `tick` is wanted next; None for not before something comes in."""
-        if not self.term or (self.open is None and self.settled):
+        """When `tick` has to be called next; None for not before a message arrives."""
+        if not self.term or (self.proposal is None and self.in_force):
             return None
-        ends = [self.clear_ms, *(until for _, until in self.leases.values())]
-        if self.open:
-            ends.append(self.open.until_ms)
-        return min([self.again_ms, *(end for end in ends if end > self.ticked_ms)])
-
-    def heard(self, now_ms: float, sender: str, message: m.Message, fresh: bool) -> list[m.Effect]:
-        """Take any message that is for a coordinator; others change nothing. `fresh` as for `status`."""
-        if isinstance(message, m.Vote):
-            return self.vote(now_ms, sender, message)
-        if isinstance(message, m.LeaseRequest):
-            return self.status(now_ms, sender, message, fresh)
-        if isinstance(message, m.EpochAdopted):
-            return self.changed(now_ms, sender, message, fresh)
-        if isinstance(message, m.Propose):
-            return self.propose(now_ms, message.text)
-        return self.call_off(now_ms, message.why) if isinstance(message, m.Cancel) else []
+        deadlines = [self.unknown_leases_until_ms]
+        deadlines.extend(lease.expires_ms for lease in self.leases.values())
+        if self.proposal:
+            deadlines.append(self.proposal.deadline_ms)
+        return min([self.repeat_ms, *(deadline for deadline in deadlines if deadline > self.ticked_ms)])
+
+    def receive(self, now_ms: float, sender: str, message: m.Message, fresh: bool) -> list[m.Effect]:
+        """Handle any message for a coordinator; others change nothing. `fresh` as for lease requests."""
+        match message:
+            case m.Vote():
+                return self.receive_vote(now_ms, sender, message)
+            case m.LeaseRequest():
+                return self.receive_lease_request(now_ms, sender, message, fresh)
+            case m.EpochAdopted():
+                return self.receive_epoch_adopted(now_ms, sender, message, fresh)
+            case m.Propose():
+                return self.propose(now_ms, message.text)
+            case m.Cancel():
+                return self.cancel(message.reason)
+            case _:
+                return []
 
     # --- a proposal -----------------------------------------------------------------------------
 
     def propose(self, now_ms: float, text: str) -> list[m.Effect]:
-        """Take an operator's proposal; refused with a cause while another one is in progress."""
+        """Begin an operator's proposal; rejected with a cause while another one is in progress."""
         if not self.term:
-            return [_refused("this one does not lead")]
-        if cause := self._busy():
-            return [_refused(cause)]
+            return [_rejected("this member does not lead")]
+        if cause := self._cause_to_reject():
+            return [_rejected(cause)]
         try:
             document = parse_document(text)
         except DocumentError as error:
-            return [_refused(str(error))]
-        self.top += 1
-        self.turn += 1
-        self.open = OpenProposal(document.numbered(self.top), self.turn, now_ms + self.timing.prepare_ms)
-        self.again_ms = now_ms + self.timing.again_ms
-        fields = {"number": self.top, "digest": document.digest, "members": len(self.members)}
-        return [m.LogEvent("prepare", fields), *self._prepare(), *self._next(now_ms)]
-
-    def _busy(self) -> str:
-        if self.open is not None:
-            return f"number {self.open.document.number} is under way"
-        return "" if self.settled else f"number {self.register.last.number} is not in force yet"
-
-    def _prepare(self) -> list[m.Effect]:
-        return [m.Send(to, self._preparing()) for to in self.members if to not in self.open.yes]
-
-    def _preparing(self) -> m.Prepare:
-        document = self.open.document
-        return m.Prepare(self.term, self.open.turn, document.number, document.encode())
-
-    def vote(self, now_ms: float, sender: str, vote: m.Vote) -> list[m.Effect]:
-        """Take a member's answer to the proposal."""
-        if self.open is None or self.open.deciding or sender not in self.members:
+            return [_rejected(str(error))]
+        self.highest_number += 1
+        self.sequence += 1
+        numbered = document.numbered(self.highest_number)
+        self.proposal = OpenProposal(numbered, self.sequence, now_ms + self.timing.prepare_ms)
+        self.repeat_ms = now_ms + self.timing.again_ms
+        fields = {"number": numbered.number, "digest": document.digest, "members": len(self.members)}
+        return [
+            m.LogEvent("prepare", fields),
+            *self._prepare_messages(self.proposal),
+            *self._decide_if_agreed(now_ms),
+        ]
+
+    def _cause_to_reject(self) -> str:
+        """Why no proposal can begin now; empty where one can."""
+        if self.proposal is not None:
+            return f"number {self.proposal.number} is under way"
+        return "" if self.in_force else f"number {self.register.last.number} is not in force yet"
+
+    def _prepare_messages(self, proposal: OpenProposal) -> list[m.Effect]:
+        message = self._prepare_message(proposal)
+        return [m.Send(to, message) for to in self.members if to not in proposal.agreed]
+
+    def _prepare_message(self, proposal: OpenProposal) -> m.Prepare:
+        return m.Prepare(self.term, proposal.sequence, proposal.number, proposal.document.encode())
+
+    def receive_vote(self, now_ms: float, sender: str, vote: m.Vote) -> list[m.Effect]:
+        """Handle a member's answer to the proposal."""
+        if self.proposal is None or self.proposal.deciding or sender not in self.members:
             return []
-        if (vote.term, vote.turn) != (self.term, self.open.turn):
-            return []  # on another proposal, or another reign's
-        if vote.life < self.lives.get(sender, 0):
+        if (vote.term, vote.sequence) != (self.term, self.proposal.sequence):
+            return []  # on another proposal, or of another term
+        if vote.incarnation < self.incarnations.get(sender, 0):
             return []
-        self._lives(sender, vote.life)
-        if vote.fault:
-            return self._end(f"{sender}: {vote.fault}")
-        self.open.yes |= {sender}
-        return self._next(now_ms)
+        self._note_incarnation(sender, vote.incarnation)
+        if vote.error:
+            return self._abort(self.proposal, f"{sender}: {vote.error}")
+        self.proposal.agreed |= {sender}
+        return self._decide_if_agreed(now_ms)
 
-    def call_off(self, now_ms: float, why: str = "") -> list[m.Effect]:
+    def cancel(self, reason: str = "") -> list[m.Effect]:
         """End what is being prepared, on an operator's request, while nothing is decided."""
-        if self.open is None:
-            return [_refused("nothing is being prepared")]
-        if self.open.deciding:
-            return [_refused(f"number {self.open.document.number} is being decided")]
-        return self._end(f"called off {why}".strip())
-
-    def take_members(self, now_ms: float, members: tuple[str, ...]) -> list[m.Effect]:
-        """Take another list of members; whoever is taken off keeps its lease until that is over."""
+        if self.proposal is None:
+            return [_rejected("nothing is being prepared")]
+        if self.proposal.deciding:
+            return [_rejected(f"number {self.proposal.number} is being decided")]
+        return self._abort(self.proposal, f"cancelled {reason}".strip())
+
+    def set_members(self, members: tuple[str, ...]) -> list[m.Effect]:
+        """Change the list of members; a member that is removed keeps its lease until that is over."""
         effects: list[m.Effect] = []
-        if members != self.members and self.open and not self.open.deciding:
-            effects = self._end("the list of members changed")
+        if members != self.members and self.proposal and not self.proposal.deciding:
+            effects = self._abort(self.proposal, "the list of members changed")
         self.members = members
         return effects
 
-    def _end(self, why: str) -> list[m.Effect]:
-        number = self.open.document.number
-        self.turn += 1  # so that a prepare that comes late begins nothing anew
-        self.open = None
-        word = m.Abort(self.term, self.turn, number, why[:300])
-        return [
-            *(m.Send(to, word) for to in self.members),
-            m.LogEvent("ended", {"number": number, "why": why}),
-        ]
+    def _abort(self, proposal: OpenProposal, reason: str) -> list[m.Effect]:
+        self.sequence += 1  # so that a prepare that arrives late does not begin it again
+        self.proposal = None
+        message = m.Abort(self.term, self.sequence, proposal.number, reason[: m.MAX_SHORT_TEXT])
+        event = m.LogEvent("ended", {"number": proposal.number, "reason": reason})
+        return [*(m.Send(to, message) for to in self.members), event]
 
-    def _held(self, now_ms: float, name: str) -> bool:
+    def _may_hold_lease(self, now_ms: float, name: str) -> bool:
         """Whether a member may have a lease of this term, of whatever number, at this moment."""
-        return name in self.leases and now_ms < self.leases[name][1]
+        return name in self.leases and now_ms < self.leases[name].expires_ms
 
     def missing(self, now_ms: float) -> list[str]:
-        """Whose agreement is still wanted, for operators; empty where nothing is being prepared."""
-        return self._missing(now_ms) if self.open and not self.open.deciding else []
+        """Whose vote is missing, for operators; empty where nothing is being prepared."""
+        if self.proposal is None or self.proposal.deciding:
+            return []
+        return self._missing_votes(now_ms, self.proposal)
 
-    def _missing(self, now_ms: float) -> list[str]:
-        """Whose agreement is still wanted: also of those taken off the list, until their leases are over."""
-        names = {*self.members, *self.leases}
-        return sorted(n for n in names if n not in self.open.yes and self._held(now_ms, n))
+    def _missing_votes(self, now_ms: float, proposal: OpenProposal) -> list[str]:
+        """Whose vote is missing: also of members that were removed, until their leases are over."""
+        names = {*self.members, *self.leases} - proposal.agreed
+        return sorted(name for name in names if self._may_hold_lease(now_ms, name))
 
-    def _next(self, now_ms: float) -> list[m.Effect]:
-        """Ask for the decision once nobody is missing."""
-        if self.open is None or self.open.deciding or self._missing(now_ms):
+    def _decide_if_agreed(self, now_ms: float) -> list[m.Effect]:
+        """Propose the decision to the log once no vote is missing."""
+        proposal = self.proposal
+        if proposal is None or proposal.deciding or self._missing_votes(now_ms, proposal):
             return []
-        if now_ms < self.clear_ms:
-            return []  # the leader before may have granted to some that are on no list any more
-        if not self.open.yes:
-            return []  # nobody lives that would go by it
-        self.open.deciding = True
-        return [m.ProposeRegister(self.register.followed_by(self.open.document).encode())]
+        if now_ms < self.unknown_leases_until_ms:
+            return []  # the leader before may have granted leases to some that are on no list any more
+        if not proposal.agreed:
+            return []  # no live member would apply it
+        proposal.deciding = True
+        return [m.ProposeRegister(self.register.followed_by(proposal.document).encode())]
 
     # --- the decision ---------------------------------------------------------------------------
 
-    def not_put(self, now_ms: float) -> list[m.Effect]:
-        """Take that what was proposed to the log certainly never came into it."""
-        return self._end("the voters' log did not take it") if self.open and self.open.deciding else []
+    def proposal_not_logged(self) -> list[m.Effect]:
+        """Note that what was proposed to the log certainly never came into it."""
+        if self.proposal is None or not self.proposal.deciding:
+            return []
+        return self._abort(self.proposal, "the voters' log did not accept it")
 
-    def decided(self, now_ms: float, text: str, fresh: bool) -> list[m.Effect]:
-        """Take the log's register, as it was decided while this one leads. `fresh` as for `status`.
+    def receive_decision(self, now_ms: float, text: str, fresh: bool) -> list[m.Effect]:
+        """Take the log's register, as it was decided while this one leads. `fresh` as for lease requests.
 
-        Raises DocumentError for a malformed text; what it asked for itself never is.
+        Raises DocumentError for a malformed text; what it proposed itself never is.
         """
         register = parse_register(text)
         if not self.term or register.last.number <= self.register.last.number:
             return []
-        self.register, self.open, self.settled = register, None, False
-        self.top = max(self.top, register.last.number)
-        self.turn += 1
-        self.told = frozenset()
-        self.again_ms = now_ms + self.timing.again_ms
-        note = m.LogEvent("decided", {"number": register.last.number, "digest": register.last.digest})
-        return [note, *self._tell(), *(self._settle(now_ms) if fresh else [])]
-
-    def _tell(self) -> list[m.Effect]:
-        word = m.Decided(self.register.encode())
-        return [m.Send(to, word) for to in self.members if to not in self.told]
-
-    def _early(self) -> list[str]:
-        return [name for name, (number, _) in self.leases.items() if number < self.register.last.number]
-
-    def _settle(self, now_ms: float, proof: bool = False) -> list[m.Effect]:
+        self.register = register
+        self.proposal = None
+        self.in_force = False
+        self.highest_number = max(self.highest_number, register.last.number)
+        self.sequence += 1
+        self.informed = frozenset()
+        self.repeat_ms = now_ms + self.timing.again_ms
+        event = m.LogEvent("decided", {"number": register.last.number, "digest": register.last.digest})
+        in_force = self._declare_in_force(now_ms) if fresh else []
+        return [event, *self._decision_messages(), *in_force]
+
+    def _decision_messages(self) -> list[m.Effect]:
+        message = m.Decided(self.register.encode())
+        return [m.Send(to, message) for to in self.members if to not in self.informed]
+
+    def _holders_of_earlier_epochs(self) -> list[str]:
+        return [name for name, lease in self.leases.items() if lease.number < self.register.last.number]
+
+    def _declare_in_force(self, now_ms: float, *, proven: bool = False) -> list[m.Effect]:
         """Declare the register in force, once no lease of an earlier number can be left.
 
-        `proof` tells that it has been in force already.
+        `proven` tells that it has been in force already.
         """
-        if self.settled or not self.term:
-            return []
-        if not proof and (now_ms < self.clear_ms or any(self._held(now_ms, name) for name in self._early())):
+        if self.in_force or not self.term:
             return []
-        self.settled = True
-        for name in self._early():
+        if not proven:
+            earlier = self._holders_of_earlier_epochs()
+            if now_ms < self.unknown_leases_until_ms:
+                return []
+            if any(self._may_hold_lease(now_ms, name) for name in earlier):
+                return []
+        self.in_force = True
+        for name in self._holders_of_earlier_epochs():
             del self.leases[name]
         effects: list[m.Effect] = [m.LogEvent("in force", {"number": self.register.last.number})]
-        for name, (life, sent_ms, heard_ms) in self.asked.items():
-            if name in self.told and name in self.members:  # an answer to what it asked last
-                effects.append(m.Send(name, self._grant(name, life, sent_ms, heard_ms, "")))
+        for name, request in self.requests.items():
+            if name in self.informed and name in self.members:  # an answer to its last request
+                effects.append(m.Send(name, self._grant(name, request, "")))
         return effects
 
     # --- leases ---------------------------------------------------------------------------------
 
-    def status(self, now_ms: float, sender: str, word: m.LeaseRequest, fresh: bool) -> list[m.Effect]:
-        """Answer a holder's question for a lease.
+    def receive_lease_request(
+        self, now_ms: float, sender: str, message: m.LeaseRequest, fresh: bool
+    ) -> list[m.Effect]:
+        """Answer a holder's request for a lease.
 
         `fresh` is `Voter.fresh` at this moment; without it nothing is granted, as there may be another
         coordinator.
         """
         if not self.term or not fresh or sender not in self.members:
             return []
-        if word.life < self.lives.get(sender, 0):
+        if message.incarnation < self.incarnations.get(sender, 0):
             return []
-        self._lives(sender, word.life)
-        life, sent_ms, _ = self.asked.get(sender, (0, 0.0, 0.0))
-        if word.life == life and word.sent_ms < sent_ms:
-            return []  # overtaken by a later one, which told more
-        self.asked[sender] = word.life, word.sent_ms, now_ms
+        self._note_incarnation(sender, message.incarnation)
+        before = self.requests.get(sender)
+        if before and message.incarnation == before.incarnation and message.sent_ms < before.sent_ms:
+            return []  # overtaken by a later request, which was more up to date
+        request = ReceivedRequest(message.incarnation, message.sent_ms, now_ms)
+        self.requests[sender] = request
+        self._note_known_number(sender, message.known_number)
         last = self.register.last.number
-        effects: list[m.Effect] = []
-        if word.known < last:
-            self.told -= {sender}
-        else:
-            self.told |= {sender}
-            if sender in self.leases and self.leases[sender][0] < last:
-                del self.leases[sender]
-        effects += self._settle(now_ms, proof=word.granted == last)
-        text = "" if word.known >= last else self.register.encode()
+        effects = self._declare_in_force(now_ms, proven=message.granted_number == last)
+        text = "" if message.known_number >= last else self.register.encode()
         if effects and not text:
             return effects  # its grant is among those
-        effects.append(m.Send(sender, self._grant(sender, word.life, word.sent_ms, now_ms, text)))
-        if self.open and sender not in self.open.yes and not self.open.deciding:
-            effects.append(m.Send(sender, self._preparing()))
+        effects.append(m.Send(sender, self._grant(sender, request, text)))
+        proposal = self.proposal
+        if proposal and sender not in proposal.agreed and not proposal.deciding:
+            effects.append(m.Send(sender, self._prepare_message(proposal)))
         return effects
 
-    def changed(self, now_ms: float, sender: str, word: m.EpochAdopted, fresh: bool) -> list[m.Effect]:
-        """Take that a holder does not act by anything before that number any more."""
-        status = m.LeaseRequest(word.life, word.sent_ms, word.number, word.granted)
-        effects = self.status(now_ms, sender, status, fresh)
-        return effects if self.settled else []  # an answer follows once there is a lease to be had
-
-    def _lives(self, name: str, life: int) -> None:
-        """Note a member's incarnation: one that was restarted has forgotten what it agreed to."""
-        if life > self.lives.get(name, 0):
-            self.lives[name] = life
-            self.told -= {name}
-            if self.open:
-                self.open.yes -= {name}
-
-    def _grant(self, name: str, life: int, sent_ms: float, heard_ms: float, register: str) -> m.LeaseGrant:
-        """The answer to a holder: a lease where there may be one.
+    def _note_known_number(self, sender: str, known: int) -> None:
+        """Note the last decision that a holder knows: it does not use an earlier lease any more."""
+        last = self.register.last.number
+        if known < last:
+            self.informed -= {sender}
+            return
+        self.informed |= {sender}
+        if sender in self.leases and self.leases[sender].number < last:
+            del self.leases[sender]
+
+    def receive_epoch_adopted(
+        self, now_ms: float, sender: str, message: m.EpochAdopted, fresh: bool
+    ) -> list[m.Effect]:
+        """Note that a holder does not act by anything before that number any more."""
+        request = m.LeaseRequest(message.incarnation, message.sent_ms, message.number, message.granted_number)
+        effects = self.receive_lease_request(now_ms, sender, request, fresh)
+        return effects if self.in_force else []  # an answer follows once a lease can be granted
+
+    def _note_incarnation(self, name: str, incarnation: int) -> None:
+        """Note a member's incarnation: one that was restarted has lost what it agreed to."""
+        if incarnation <= self.incarnations.get(name, 0):
+            return
+        self.incarnations[name] = incarnation
+        self.informed -= {name}
+        if self.proposal:
+            self.proposal.agreed -= {name}
+
+    def _grant(self, name: str, request: ReceivedRequest, register: str) -> m.LeaseGrant:
+        """The answer to a holder: a lease where it may have one.
 
         A holder that has not agreed to what is being decided gets none, as it would have to be waited for
         again. Nor does one that has not shown that it can read the last document: it would hold up every
         change, also the one that helps it.
         """
-        last, opened = self.register.last.number, self.open
-        late = opened is not None and opened.deciding and name not in opened.yes
-        able = self.settled and name in self.told and not late
-        lease_ms = self.timing.lease_ms if able else 0.0
+        last = self.register.last.number
+        proposal = self.proposal
+        not_agreed = proposal is not None and proposal.deciding and name not in proposal.agreed
+        may_have_lease = self.in_force and name in self.informed and not not_agreed
+        lease_ms = self.timing.lease_ms if may_have_lease else 0.0
         if lease_ms:
-            before = self.leases.get(name, (last, 0.0))[1]
-            self.leases[name] = last, max(before, heard_ms + self.timing.over_ms)
-        number = opened.document.number if opened else 0
-        return m.LeaseGrant(self.term, self.turn, life, sent_ms, last, lease_ms, number, register)
+            before = self.leases[name].expires_ms if name in self.leases else 0.0
+            expires_ms = max(before, request.received_ms + self.timing.over_ms)
+            self.leases[name] = LeaseRecord(last, expires_ms)
+        return m.LeaseGrant(
+            self.term,
+            self.sequence,
+            request.incarnation,
+            request.sent_ms,
+            last,
+            lease_ms,
+            proposal.number if proposal else 0,
+            register,
+        )
 
     # --- time -----------------------------------------------------------------------------------
 
     def tick(self, now_ms: float, fresh: bool) -> list[m.Effect]:
-        """Do what is due; call it at `due_ms` at the latest. `fresh` as for `status`."""
+        """Do what is due; call it at `due_ms` at the latest. `fresh` as for lease requests."""
         self.ticked_ms = now_ms
         if not self.term or not fresh:
-            self.again_ms = now_ms + self.timing.again_ms
+            self.repeat_ms = now_ms + self.timing.again_ms
             return []
-        if self.open and not self.open.deciding and now_ms >= self.open.until_ms:
-            return self._end(f"no answer from {', '.join(self._missing(now_ms)[:5]) or 'anybody'}")
-        effects = [*self._next(now_ms), *self._settle(now_ms)]
-        if now_ms >= self.again_ms and (self.open or not self.settled):
-            self.again_ms = now_ms + self.timing.again_ms
-            if self.open and not self.open.deciding:
-                effects += self._prepare()
-            elif not self.settled:
-                effects += self._tell()
+        proposal = self.proposal
+        if proposal and not proposal.deciding and now_ms >= proposal.deadline_ms:
+            silent = ", ".join(self._missing_votes(now_ms, proposal)[:MAX_NAMED_MEMBERS])
+            return self._abort(proposal, f"no answer from {silent or 'any member'}")
+        effects = [*self._decide_if_agreed(now_ms), *self._declare_in_force(now_ms)]
+        if now_ms >= self.repeat_ms and (self.proposal or not self.in_force):
+            self.repeat_ms = now_ms + self.timing.again_ms
+            effects += self._repeated_messages()
         return effects
 
+    def _repeated_messages(self) -> list[m.Effect]:
+        if self.proposal and not self.proposal.deciding:
+            return self._prepare_messages(self.proposal)
+        return [] if self.in_force else self._decision_messages()
+
 
-def _refused(why: str) -> m.LogEvent:
-    return m.LogEvent("refused", {"why": why})
+def _rejected(reason: str) -> m.LogEvent:
+    return m.LogEvent("rejected", {"reason": reason})
