--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -17,7 +17,7 @@
 )
 from fawnwharf.policy_rollout.request_file import REQUEST_FILE
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.looking import Member, address, fail, files, lines
+from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
 
 POLL_S = 0.1
 READ_TIMEOUT_S = 3.0
@@ -34,14 +34,14 @@
 class _Fleet(NamedTuple):
     """The zones' files of a fleet, as read by a command."""
 
-    settings: s.Settings
-    members: s.Members
+    settings: s.ZoneSettings
+    members: s.Membership
     path: Path
 
 
 def _fleet(zones: str) -> _Fleet:
     """Read the files of a fleet; exits with status 2 where they can't be read."""
-    settings, members = files(zones)
+    settings, members = read_files(zones)
     return _Fleet(settings, members, Path(zones))
 
 
@@ -50,7 +50,7 @@
 
     Raises OSError where its log can't be read, ValueError where the status is malformed.
     """
-    line = lines(member, ("policy",), timeout_s).get("policy")
+    line = current_lines(member, ("policy",), timeout_s).get("policy")
     return None if line is None else m.decode_member_status(line["policy"])
 
 
@@ -61,10 +61,10 @@
 
 
 @app.command()
-def show(zones: File, member: Member = "") -> None:
+def show(zones: File, member: MemberOption = "") -> None:
     """Show a member's status: what it knows to be decided, the policy it uses, what is in progress."""
     try:
-        status = read_member_status(address(*files(zones), member))
+        status = read_member_status(log_address(*read_files(zones), member))
     except (OSError, ValueError) as error:
         fail(f"policy: no answer: {error}", 1)
     if status is None:
@@ -105,11 +105,11 @@
 @app.command()
 def check(file: str, zones: Annotated[str, typer.Option("--zones")] = "") -> None:
     """Read and check a document; by itself, and against the zones of the fleet where those are given."""
-    document = _document(file, files(zones)[1] if zones else None)
+    document = _document(file, read_files(zones)[1] if zones else None)
     typer.echo(f"fawnwharf: good: {len(document.values)} keys, digest {document.digest}")
 
 
-def _document(file: str, members: s.Members | None) -> Document:
+def _document(file: str, members: s.Membership | None) -> Document:
     """Read a document and check it; exits with status 2 where it can't be accepted."""
     try:
         document = parse_document(Path(file).read_bytes())
@@ -156,7 +156,7 @@
 def _request(fleet: _Fleet, request: dict[str, Any], wait_s: float, wanted: m.RequestState) -> None:
     """Write a request for this member's process, and wait for its outcome."""
     member = (
-        address(fleet.settings, fleet.members, "") if wait_s > 0.0 else None
+        log_address(fleet.settings, fleet.members, "") if wait_s > 0.0 else None
     )  # before anything is written
     path = fleet.path.parent / fleet.settings.folder / REQUEST_FILE
     number = _next_request_number(path)
--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -22,7 +22,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.zones.settings import Name, Share, Span
+from fawnwharf.zones.settings import DurationMs, Fraction, Name
 
 VERSION = 1
 MAX_TEXT_LENGTH = 24_000  # characters: two documents and their envelope fit into one decision of the log
@@ -56,16 +56,16 @@
 
 
 KEY_RULES: dict[Path, KeyRule] = {
-    ("classes", "*", "promise_ms"): KeyRule(Span, None),
-    ("classes", "*", "give_up_ms"): KeyRule(Span, min),
+    ("classes", "*", "promise_ms"): KeyRule(DurationMs, None),
+    ("classes", "*", "give_up_ms"): KeyRule(DurationMs, min),
     ("tenants", "*", "quota_rps"): KeyRule(Rate, min, halved=True),
-    ("admission", "*"): KeyRule(Share, min, halved=True),
-    ("spill", "*"): KeyRule(Share, min, halved=True),
+    ("admission", "*"): KeyRule(Fraction, min, halved=True),
+    ("spill", "*"): KeyRule(Fraction, min, halved=True),
     ("modes", "*"): KeyRule(Mode, _stricter_mode),
-    ("window_ms", "*"): KeyRule(Span, max),
+    ("window_ms", "*"): KeyRule(DurationMs, max),
     ("staging", "fetches_rps"): KeyRule(Rate, min, halved=True),
-    ("staging", "free_part"): KeyRule(Share, min, halved=True),
-    ("staging", "cold_part"): KeyRule(Share, min, halved=True),
+    ("staging", "free_part"): KeyRule(Fraction, min, halved=True),
+    ("staging", "cold_part"): KeyRule(Fraction, min, halved=True),
     ("staging", "memory_mb"): KeyRule(Rate, min, halved=True),
 }
 
--- a/fawnwharf/policy_rollout/message_batcher.py
+++ b/fawnwharf/policy_rollout/message_batcher.py
@@ -7,8 +7,8 @@
 
 from fawnwharf.net.loop import Loop
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.zones.lines import Word
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.log_lines import ClientMessage
+from fawnwharf.zones.service import ZoneService
 
 RENEWAL_DELAY_MS = 50.0  # renewals wait for so long, to be sent together: each line goes to all readers
 MAX_LINE_SIZE = 96 * 1024  # characters of the messages in one line
@@ -26,7 +26,7 @@
 class MessageBatcher:
     """Queues messages up to the end of the event loop iteration; lease renewals wait a little for others."""
 
-    def __init__(self, loop: Loop, zones: Zones, report_drop: Callable[[str], None]) -> None:
+    def __init__(self, loop: Loop, zones: ZoneService, report_drop: Callable[[str], None]) -> None:
         """`report_drop` is called with the cause when messages are dropped."""
         self._loop = loop
         self._zones = zones
@@ -70,7 +70,7 @@
 
     def _send_lines(self, receivers: dict[m.Message, list[str]]) -> None:
         """Send messages in lines of limited size; what exceeds the limit of one iteration is dropped."""
-        line: list[Word] = []
+        line: list[ClientMessage] = []
         size = 0
         sent = 0
         for message, names in receivers.items():
@@ -79,11 +79,11 @@
                 self._report_drop(f"more than {MAX_ITERATION_SIZE} characters in one iteration")
                 break
             to = () if m.LEADER in names else tuple(names)
-            line.append(Word(msgspec.to_builtins(message), to))
+            line.append(ClientMessage(msgspec.to_builtins(message), to))
             if size > MAX_LINE_SIZE:
-                self._zones.say(line)
+                self._zones.send_messages(line)
                 line = []
                 sent += size
                 size = 0
         if line:
-            self._zones.say(line)
+            self._zones.send_messages(line)
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -11,7 +11,7 @@
 from fawnwharf.policy_rollout.call_binding import class_spec_under
 from fawnwharf.policy_rollout.delayed_relaxation import ReplicationRule
 from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, Value, make_document
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.service import ZoneService
 
 LIMIT = "policy"  # the name of this package's rate limit at the front end
 
@@ -35,7 +35,10 @@
 
 
 def deployment_capabilities(
-    deployment: Deployment, zones: Zones, state: ReplicatedCalls | None, staging: dict[str, float] | None
+    deployment: Deployment,
+    zones: ZoneService,
+    state: ReplicatedCalls | None,
+    staging: dict[str, float] | None,
 ) -> DeploymentCapabilities:
     """What this deployment has, and its settings as a document, which gives absent keys their meaning.
 
@@ -63,7 +66,10 @@
 
 
 def _settings_as_document(
-    deployment: Deployment, zones: Zones, state: ReplicatedCalls | None, staging: dict[str, float] | None
+    deployment: Deployment,
+    zones: ZoneService,
+    state: ReplicatedCalls | None,
+    staging: dict[str, float] | None,
 ) -> Document:
     """The values that the settings have for all keys of a document."""
     settings = deployment.settings
@@ -89,7 +95,7 @@
     """Owns what was last applied to the parts, and applies what changes."""
 
     def __init__(
-        self, deployment: Deployment, front: FrontEnd, zones: Zones, state: ReplicatedCalls | None
+        self, deployment: Deployment, front: FrontEnd, zones: ZoneService, state: ReplicatedCalls | None
     ) -> None:
         """`state` is None where no calls are replicated."""
         settings = deployment.settings
@@ -132,7 +138,7 @@
             for name, part in document.limits("spill").items()
             if part < settings.zones.get(name, settings.share)
         }
-        self._zones.limits(total_rps, spill)
+        self._zones.apply_policy_limits(total_rps, spill)
 
     def _apply_classes(self, document: Document) -> bool:
         classes = {name: class_spec_under(spec, document) for name, spec in self._base_classes.items()}
--- a/fawnwharf/policy_rollout/request_file.py
+++ b/fawnwharf/policy_rollout/request_file.py
@@ -10,7 +10,7 @@
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import OperatorRequest, decode_operator_request
 from fawnwharf.zones.files import WatchedFile
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.zones.settings import SettingsFileError
 
 REQUEST_FILE = "proposal.json"
 
@@ -40,7 +40,7 @@
             return
         try:
             request = decode_operator_request(data)
-        except FileFault as error:
+        except SettingsFileError as error:
             self._log("proposal rejected", {"error": str(error)})
             return
         if error_text := self._find_error(request):
--- a/fawnwharf/policy_rollout/rollout_member.py
+++ b/fawnwharf/policy_rollout/rollout_member.py
@@ -27,7 +27,7 @@
 from fawnwharf.policy_rollout.operator_requests import LeaderRequests, SubmittedRequests
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
 from fawnwharf.policy_rollout.settings import OperatorRequest
-from fawnwharf.zones.lines import Seat
+from fawnwharf.zones.log_lines import ConsensusStatus
 
 MAX_CANCEL_REASON = 200
 MAX_MISSING = 8  # members whose vote is missing, in a status
@@ -42,7 +42,7 @@
     capabilities: DeploymentCapabilities
     timing: RolloutTiming
     incarnation: int
-    seat: Callable[[float], Seat]  # the state of its voter
+    consensus_status: Callable[[float], ConsensusStatus]  # the state of its voter
     votes: bool = False
     stored_register: str = ""
     holder: LeaseHolder = field(init=False)
@@ -69,8 +69,8 @@
         """Whether this member leads for certain at this moment."""
         if self.coordinator is None or not self.coordinator.term:
             return False
-        seat = self.seat(now_ms)
-        return seat.fresh and seat.term == self.coordinator.term
+        status = self.consensus_status(now_ms)
+        return status.fresh and status.term == self.coordinator.term
 
     # --- messages and decisions -----------------------------------------------------------------
 
@@ -177,15 +177,15 @@
         coordinator = self.coordinator
         if coordinator is None:
             return []
-        seat = self.seat(now_ms)
+        status = self.consensus_status(now_ms)
         effects: list[m.Effect] = []
-        if coordinator.term and coordinator.term != seat.term:
+        if coordinator.term and coordinator.term != status.term:
             effects.append(m.LogEvent("rollout coordinator stopped", {"term": coordinator.term}))
             coordinator.step_down()
             self.leader_requests.clear()
-        if not coordinator.term and seat.fresh and seat.settled and seat.term != self.unreadable_term:
-            effects += coordinator.lead(now_ms, seat.term, seat.policy)
-            self.unreadable_term = 0 if coordinator.term else seat.term
+        if not coordinator.term and status.fresh and status.settled and status.term != self.unreadable_term:
+            effects += coordinator.lead(now_ms, status.term, status.policy)
+            self.unreadable_term = 0 if coordinator.term else status.term
             self.term = max(self.term, coordinator.term)
             self._request_lease_at_once(now_ms)
         return self._deliver(now_ms, effects) if effects else []
--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -32,7 +32,7 @@
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import RolloutSettings
 from fawnwharf.policy_rollout.status_publisher import StatusPublisher
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.service import ZoneService
 
 NAME = "policy"
 POLL_FILES_MS = 200.0  # interval at which the operators' file is read
@@ -53,7 +53,7 @@
     deployment: Deployment
     settings: RolloutSettings
     front: FrontEnd
-    zones: Zones
+    zones: ZoneService
     state: ReplicatedCalls | None  # None where no calls are replicated
     file: PolicyFile
     trace: CallTrace | None
@@ -93,7 +93,7 @@
             capabilities(),
             context.settings.timing,
             context.file.incarnation,
-            context.zones.seat,
+            context.zones.consensus_status,
             voter,
             context.file.register,
         )
@@ -105,7 +105,7 @@
         self._front.port.waits_for.add(NAME)
         self.calls = CallPolicyBinding(self._front.port.table, self, unix_ms, wheel.after)
         self._set_table(self.calls)
-        self._zones.riders[NAME] = self
+        self._zones.log_clients[NAME] = self
         self._requests = RequestFile(context.request_path, context.log, self.member, self._carry_out)
         context.log("policy on", {"life": context.file.incarnation, "voter": voter})
 
@@ -195,28 +195,28 @@
 
     # --- as a client of the zones' logs ---------------------------------------------------------
 
-    def heard(self, sender: str, words: tuple[Any, ...], standing: Any) -> None:
+    def on_messages(self, sender: str, messages: tuple[Any, ...], status: Any) -> None:
         """Handle messages and the status of another member."""
         now_ms = monotonic_ms()
         dropped = sum(self.member.dropped.values())
-        effects = self.member.receive(now_ms, sender, words)
-        if standing is not None:
-            self.member.receive_status(now_ms, sender, standing)
+        effects = self.member.receive(now_ms, sender, messages)
+        if status is not None:
+            self.member.receive_status(now_ms, sender, status)
         if sum(self.member.dropped.values()) > dropped:
             fields = {"sender": sender, "counts": dict(self.member.dropped)}
             self._log.write_limited("message dropped", fields)
         self._carry_out(effects)
 
-    def decided(self, text: str) -> None:
+    def on_register_decided(self, text: str) -> None:
         """Handle a register that the consensus log decided."""
         self._carry_out(self.member.receive_decision(monotonic_ms(), text))
 
-    def turned(self) -> None:
+    def on_role_changed(self) -> None:
         """Handle that this member's voter may have begun or ceased to lead."""
         if not self._stopped and (effects := self.member.leadership_changed(monotonic_ms())):
             self._carry_out(effects)
 
-    def members_taken(self) -> None:
+    def on_membership_changed(self) -> None:
         """Handle a change of the list of members."""
         self._batcher.forget_grants()
         capabilities = self._capabilities()
@@ -277,7 +277,7 @@
                 case m.Send():
                     self._batcher.send(effect)
                 case m.ProposeRegister():
-                    if not self._zones.put(effect.register):
+                    if not self._zones.propose_register(effect.register):
                         self._carry_out(self.member.proposal_not_logged(monotonic_ms()))
                 case m.StoreRegister():
                     self._store(effect.register)
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -17,8 +17,8 @@
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.running_rollout import NAME, RolloutContext, RunningRollout
 from fawnwharf.policy_rollout.settings import RolloutSettings, decode_settings
-from fawnwharf.zones.files import load
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.files import load_file
+from fawnwharf.zones.service import ZoneService
 
 POLICY_FILE = "policy.json"
 
@@ -45,10 +45,10 @@
         of the operators' log.
         """
         self.deployment = deployment
-        self.zones: Zones = made["zones"]
+        self.zones: ZoneService = made["zones"]
         self._log = write
         self._made = made
-        self._settings: RolloutSettings = load(Path(path), decode_settings, NAME)
+        self._settings: RolloutSettings = load_file(Path(path), decode_settings, NAME)
         policy_path = self.zones.folder / POLICY_FILE
         try:
             self._file = PolicyFile(policy_path)
--- a/fawnwharf/policy_rollout/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -1,7 +1,7 @@
 """The operators' files for policy rollouts: settings, and requests to a running front end.
 
-Pure. Files are JSON, accepted as a whole or not at all; a malformed one raises FileFault, whose text names
-the key. Durations are milliseconds.
+Pure. Files are JSON, accepted as a whole or not at all; a malformed one raises SettingsFileError, whose text
+names the key. Durations are milliseconds.
 """
 
 from typing import Annotated, Any, TypeVar
@@ -11,7 +11,7 @@
 
 from fawnwharf.policy_rollout.document import DocumentError, document_from_object
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
-from fawnwharf.zones.settings import FileFault, Span
+from fawnwharf.zones.settings import DurationMs, SettingsFileError
 
 VERSION = 1
 MAX_ERROR_LENGTH = 200
@@ -23,10 +23,10 @@
     """The file that switches policy rollouts on; the voters' values count for the fleet."""
 
     version: int
-    lease_ms: Span = 2_000.0  # for how long a front end acts by an epoch without reaching a leader
-    renew_ms: Span = 500.0  # interval of its lease requests
-    prepare_ms: Span = 6_000.0  # for all to answer a proposal
-    again_ms: Span = 500.0  # interval at which what is not answered is sent again
+    lease_ms: DurationMs = 2_000.0  # for how long a front end acts by an epoch without reaching a leader
+    renew_ms: DurationMs = 500.0  # interval of its lease requests
+    prepare_ms: DurationMs = 6_000.0  # for all to answer a proposal
+    again_ms: DurationMs = 500.0  # interval at which what is not answered is sent again
     skew: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.1  # by which the rates of clocks may differ
     trace: str = ""  # a file for one line per call, in trials; relative to the folder of the settings
 
@@ -54,41 +54,41 @@
 
 
 def _decode(data: bytes, kind: type[Decoded], what: str) -> Decoded:
-    """Decode a file; raises FileFault, whose text begins with the key, or with `what` the file is."""
+    """Decode a file; raises SettingsFileError, whose text begins with the key, or with `what` the file is."""
     try:
         decoded = msgspec.json.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
         text = " ".join(str(error).split())[:MAX_ERROR_LENGTH]
-        raise FileFault(f"{what}: not JSON: {text}") from None
+        raise SettingsFileError(f"{what}: not JSON: {text}") from None
     if isinstance(decoded, dict) and decoded.get("version") != VERSION:
-        raise FileFault(f"version: {decoded.get('version')!r}, and this program knows {VERSION}")
+        raise SettingsFileError(f"version: {decoded.get('version')!r}, and this program knows {VERSION}")
     try:
         return msgspec.convert(decoded, kind)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
         key = place.rstrip("`").lstrip(".")
-        raise FileFault(f"{key or what}: {text}") from None
+        raise SettingsFileError(f"{key or what}: {text}") from None
 
 
 def decode_settings(data: bytes) -> RolloutSettings:
-    """Parse and check the settings; raises FileFault."""
+    """Parse and check the settings; raises SettingsFileError."""
     settings = _decode(data, RolloutSettings, "settings")
     if settings.renew_ms * 2 > settings.lease_ms:
-        raise FileFault("renew_ms: two do not fit into lease_ms")
+        raise SettingsFileError("renew_ms: two do not fit into lease_ms")
     over_ms = settings.timing.over_ms
     if settings.prepare_ms < over_ms:
-        raise FileFault(f"prepare_ms: less than a lease by the slowest clock, {over_ms:.0f}")
+        raise SettingsFileError(f"prepare_ms: less than a lease by the slowest clock, {over_ms:.0f}")
     return settings
 
 
 def decode_operator_request(data: bytes) -> OperatorRequest:
-    """Parse a request and check its document, where it has one, by itself; raises FileFault."""
+    """Parse a request and check its document, where it has one, by itself; raises SettingsFileError."""
     request = _decode(data, OperatorRequest, "proposal")
     if (request.propose is not None) + (request.cancel is not None) + request.rollback != 1:
-        raise FileFault("proposal: one of propose, call_off and back is wanted")
+        raise SettingsFileError("proposal: one of propose, call_off and back is wanted")
     if request.propose is not None:
         try:
             document_from_object(request.propose)
         except DocumentError as error:
-            raise FileFault(str(error)) from None
+            raise SettingsFileError(str(error)) from None
     return request
--- a/fawnwharf/policy_rollout/simulation.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -5,7 +5,8 @@
 leaders change, with what they had proposed decided or lost; the list of members changes.
 
     python -m fawnwharf.policy_rollout.simulation [--steps N] [--seeds N]   whether an invariant is violated
-    python -m fawnwharf.policy_rollout.simulation --measure                 times and messages of a change
+    python -m fawnwharf.policy_rollout.simulation --measure                 times and messages of a
+                                                                    change
 """
 
 import argparse
@@ -23,12 +24,7 @@
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.reference_model import ReferenceModel
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
-from fawnwharf.policy_rollout.simulation_types import (
-    NO_FAULTS,
-    FaultRates,
-    SimulatedMember,
-    SimulationResult,
-)
+from fawnwharf.policy_rollout.simulation_types import NO_FAULTS, FaultRates, SimulatedMember, SimulationResult
 
 CAPABILITIES = DeploymentCapabilities(frozenset({"c"}), frozenset({"t"}), frozenset())
 VOTERS = 3
--- a/fawnwharf/policy_rollout/status_publisher.py
+++ b/fawnwharf/policy_rollout/status_publisher.py
@@ -6,7 +6,7 @@
 
 from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
 from fawnwharf.policy_rollout.messages import MemberStatus
-from fawnwharf.zones.service import Zones
+from fawnwharf.zones.service import ZoneService
 
 INTERVAL_MS = 40.0  # a status is published no more often than that
 
@@ -14,7 +14,7 @@
 class StatusPublisher:
     """Owns the last status that was published."""
 
-    def __init__(self, wheel: Wheel, zones: Zones, status: Callable[[float], MemberStatus]) -> None:
+    def __init__(self, wheel: Wheel, zones: ZoneService, status: Callable[[float], MemberStatus]) -> None:
         """`status` gives this member's status at a time in milliseconds."""
         self._wheel = wheel
         self._zones = zones
@@ -35,7 +35,7 @@
         if now_ms - self._published_ms >= INTERVAL_MS:
             self._published = status
             self._published_ms = now_ms
-            self._zones.stand(msgspec.to_builtins(status))
+            self._zones.publish_status(msgspec.to_builtins(status))
         elif not self._timer_runs:
             self._timer_runs = True
             self._wheel.after(INTERVAL_MS, self._publish_later)
--- a/fawnwharf/recovery_service/promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -16,20 +16,20 @@
 
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import Kind, Trust
-from fawnwharf.replication.claimant import Go, Out
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.core import Core
-from fawnwharf.replication.messages import Piece, Say
-from fawnwharf.replication.onfile import ungranted
+from fawnwharf.replication.call_owner import OwnerAction, RunCall
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.replication.grant_storage import without_grant
+from fawnwharf.replication.messages import Send, StateChunk
 
 SWEEP_MS = 1_000.0  # pace at which entries go whose time is over
-LONG_AGO_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
+OTHER_BOOT_AGE_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
 
-Later = Callable[[list[Out]], None]
+Later = Callable[[list[OwnerAction]], None]
 Note = Callable[[str, dict[str, Any]], None]
 
 
-class Keeps(Protocol):
+class PromiseStore(Protocol):
     """The store, as it is used here: `onstore.Kept`."""
 
     sure: int
@@ -47,25 +47,29 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Batch:
+class _PendingCommit:
     """What waits for one ticket: effects in their order, and the own calls whose grants it tells of."""
 
-    held: list[Out] = field(default_factory=list)
+    held: list[OwnerAction] = field(default_factory=list)
     own: dict[str, int] = field(default_factory=dict)  # call -> number of the ask
 
 
-class OnStore:
+class StoredPromises:
     """Owns what of a keeper's shelf is in the store, and what waits until it is on disk."""
 
-    def __init__(self, kept: Keeps, core: Core, note: Note, folder: Path | None = None) -> None:
+    def __init__(
+        self, kept: PromiseStore, core: ReplicationCore, note: Note, folder: Path | None = None
+    ) -> None:
         """What this keeper granted before is on its shelf then, and it grants at once where it is sure that
         this is all. `folder`: where a life without a store would have left a file; one that is there makes
         the store one in part."""
         self._kept, self._core, self._note = kept, core, note
         self._entries: dict[str, tuple[Claim, float]] = {}  # by name, and until when
         self._ends: list[tuple[float, str]] = []
-        self._open: dict[str, tuple[int, _Batch]] = {}  # own calls whose grants wait: ask, and for what
-        self._shy: _Batch | None = None  # until it is on disk that this keeper knows not all
+        self._open: dict[
+            str, tuple[int, _PendingCommit]
+        ] = {}  # own calls whose grants wait: ask, and for what
+        self._shy: _PendingCommit | None = None  # until it is on disk that this keeper knows not all
         self._sweep_ms = 0.0
         self._lacks_ms = 0.0  # until when a claim counts that the shelf has and the store could not take
         self.counts: dict[str, int] = {}
@@ -102,7 +106,7 @@
                 continue
             left_ms, since_ms, age_ms, data = value
             claim, key = msgspec.convert(data, Claim), name.split("/", 2)[2]
-            age_ms = LONG_AGO_MS if since_ms is None else min(LONG_AGO_MS, age_ms + since_ms)
+            age_ms = OTHER_BOOT_AGE_MS if since_ms is None else min(OTHER_BOOT_AGE_MS, age_ms + since_ms)
             if since_ms is None:  # from now on it counts by this boot's clock
                 self._kept.keep(Kind.PROMISE, name, [left_ms, age_ms, claim])
             if (entry := shelf.entry(now_ms, key)) is None:
@@ -166,43 +170,45 @@
             return
         self._sure_kept = sure
         self._kept.keep_sure(sure)
-        self._shy = None if sure else self._shy or _Batch()
+        self._shy = None if sure else self._shy or _PendingCommit()
 
     def _count(self, cause: str) -> None:
         self.counts[cause] = self.counts.get(cause, 0) + 1
 
     # --- what may be said -----------------------------------------------------------------------
 
-    def written(self, effects: list[Out], later: Later) -> list[Out]:
+    def written(self, effects: list[OwnerAction], later: Later) -> list[OwnerAction]:
         """What may be said and done now; what rests on grants that are not on disk yet goes to `later` once
         they are, or as it is without them."""
         now, core = monotonic_ms(), self._core
         shelf = core.keeper.shelf
         rows, shelf.unwritten = shelf.unwritten, []
         self._sweep(now)
-        batch, refused = _Batch(), set()
+        batch, refused = _PendingCommit(), set()
         for key, claim, until_ms in rows:
             if not self._keep(now, key, claim, until_ms):
                 refused.add(key)
                 self._lacks_ms = max(self._lacks_ms, until_ms)
             mine = core.claimant.mine.get(key)
             own = mine is not None and claim.id == (core.owner, mine.number)
-            if own and mine.must and claim.phase is Phase.TAKEN:
+            if own and mine.must and claim.phase is ClaimPhase.TAKEN:
                 batch.own[key] = mine.number
                 self._open[key] = mine.number, batch
         shy = self._shy
         self._keep_sure(now)
-        found: list[Out] = []
+        found: list[OwnerAction] = []
         for effect in effects:
-            if isinstance(effect, Go) and effect.kept and effect.key in self._open:
+            if isinstance(effect, RunCall) and effect.kept and effect.key in self._open:
                 core.claimant.hold(effect.key)
                 self._open[effect.key][1].held.append(effect)
-            elif isinstance(effect, Say) and getattr(effect.message, "granted", False):
+            elif isinstance(effect, Send) and getattr(effect.message, "granted", False):
                 if effect.message.key in refused:
-                    found.append(ungranted(effect))
+                    found.append(without_grant(effect))
                 else:
                     batch.held.append(effect)
-            elif isinstance(effect, Say) and isinstance(effect.message, Piece) and self._shy is not None:
+            elif (
+                isinstance(effect, Send) and isinstance(effect.message, StateChunk) and self._shy is not None
+            ):
                 self._shy.held.append(effect)
             else:
                 found.append(effect)
@@ -215,10 +221,10 @@
             self._wait(batch, later)
         return found
 
-    def _wait(self, batch: _Batch, later: Later) -> None:
+    def _wait(self, batch: _PendingCommit, later: Later) -> None:
         self._kept.on_disk(lambda on_disk, why: self._told(batch, on_disk, later))
 
-    def _told(self, batch: _Batch, on_disk: bool, later: Later) -> None:
+    def _told(self, batch: _PendingCommit, on_disk: bool, later: Later) -> None:
         now, core = monotonic_ms(), self._core
         if self._shy is batch:
             self._shy = None
@@ -228,15 +234,15 @@
             if (held := self._open.get(key)) is not None and held[1] is batch:
                 del self._open[key]
         self._count("on disk" if on_disk else "unsure")
-        found: list[Out] = []
+        found: list[OwnerAction] = []
         for effect in batch.held:
-            if isinstance(effect, Go):
+            if isinstance(effect, RunCall):
                 if on_disk and core.claimant.release(effect.key, batch.own.get(effect.key, 0)):
                     found.append(effect)
             elif on_disk:
                 found.append(effect)
-            elif not isinstance(effect.message, Piece):  # pieces are wanted again
-                found.append(ungranted(effect))
+            elif not isinstance(effect.message, StateChunk):  # pieces are wanted again
+                found.append(without_grant(effect))
         if not on_disk:
             for key, ask in batch.own.items():
                 found += core.ungranted(now, key, ask)
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -5,17 +5,13 @@
 """
 
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any, NamedTuple
-
-import msgspec
-
 from fawnwharf import config
 from fawnwharf.admin import handoff_messages as successor
-from fawnwharf.admin import memory as beliefs
-from fawnwharf.consensus import disk as voter_disk
+from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.consensus import messages as consensus
-from fawnwharf.durable_store import form, ops
+from fawnwharf.consensus import voter_store as voter_disk
+from fawnwharf.durable_store import form
+from fawnwharf.durable_store import ops
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import policy_file as policy_file
@@ -23,16 +19,27 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_service import given_words, hints, kept
-from fawnwharf.recovery_service import words as recovery_words
+from fawnwharf.recovery_service import hints
+from fawnwharf.recovery_service import messages as recovery_words
+from fawnwharf.recovery_service import permit_messages
+from fawnwharf.recovery_service import stored_state
 from fawnwharf.replication import claims
-from fawnwharf.replication import disk as keeper_disk
+from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
-from fawnwharf.sessions import left, staging
+from fawnwharf.sessions import left
 from fawnwharf.sessions import settings as session_settings
+from fawnwharf.sessions import staging
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import judge, lines, links, plan
+from fawnwharf.zones import log_lines
+from fawnwharf.zones import member_log
+from fawnwharf.zones import plan
+from fawnwharf.zones import planner
 from fawnwharf.zones import settings as zone_settings
+from pathlib import Path
+from typing import Any
+from typing import NamedTuple
+import msgspec
+
 
 CORPUS = Path(__file__).parent / "corpus"
 
@@ -53,7 +60,7 @@
 
 def on_line(value: Any) -> bytes:
     """Encode a value as it goes into a line of a log: as builtins, by the logs' encoder."""
-    return links.encoder.encode(msgspec.to_builtins(value))
+    return member_log.line_encoder.encode(msgspec.to_builtins(value))
 
 
 def line(kind: Any, read: Callable[[Any], Any], through: str = "") -> Boundary:
@@ -80,8 +87,8 @@
 
 BOUNDARIES: dict[str, Boundary] = {
     "consensus/message": line(consensus.Message, consensus.message_from),
-    "consensus/label": file(voter_disk.Label),
-    "consensus/saved": file(consensus.Saved),
+    "consensus/label": file(voter_disk.DiskIdentity),
+    "consensus/saved": file(consensus.PersistentState),
     "storage/head": file(form.Head),
     "storage/group": file(form.Group),
     "storage/piece": file(form.Piece),
@@ -93,7 +100,8 @@
     "policy/kept": file(policy_file.StoredPolicy),
     "policy/request": Boundary(
         policy_settings.OperatorRequest,
-        lambda data: msgspec.json.decode(data, type=policy_settings.OperatorRequest),
+        lambda data: msgspec.json.decode(data,
+        type=policy_settings.OperatorRequest),
         msgspec.json.encode, strict=True,
     ),
     "prefetch/word": converted(staging.Word),
@@ -103,33 +111,33 @@
     ),
     "migration/message": converted(migrations.Message),
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
-    "successor/memory": packed(beliefs.Memory),
+    "successor/memory": packed(beliefs.LearnedState),
     "recovery/register": Boundary(
         recovery_register.Register, lambda data: recovery_register.register_from(data.decode()),
         lambda value: value.encode().encode(),
     ),
-    "recovery/word": line(recovery_words.Word, recovery_words.word_from),
-    "recovery/shown": converted(recovery_words.Shown),
-    "recovery/given": line(given_words.Word, given_words.word_from),
-    "recovery/stamped": file(kept.Stamped),
+    "recovery/word": line(recovery_words.RecoveryMessage, recovery_words.recovery_message_from),
+    "recovery/shown": converted(recovery_words.DisplayedStatus),
+    "recovery/given": line(permit_messages.PermitMessage, permit_messages.permit_message_from),
+    "recovery/stamped": file(stored_state.StampedEntry),
     "recovery/claim": converted(claims.Claim),
-    "recovery/scorers": converted(list[hints._Scorer]),
-    "recovery/use": converted(list[hints._Use]),
-    "state/line": line(state.Line, state.line_from, "say"),
+    "recovery/scorers": converted(list[hints._StoredScorer]),
+    "recovery/use": converted(list[hints._StoredUsage]),
+    "state/line": line(state.LogLine, state.parse_line, "say"),
     "state/head": file(keeper_disk.Head),
     "state/batch": file(keeper_disk.Batch),
     "sessions/word": line(session_words.Word, session_words.word_from),
     "sessions/left": file(left._Left),
     "sessions/stored": converted(left._One),
     "sessions/wishes": file(session_settings.Wishes),
-    "zones/line": converted(lines.Line),
-    "zones/words": converted(lines.Words),
+    "zones/line": converted(log_lines.LogLine),
+    "zones/words": converted(log_lines.ClientMessages),
     "zones/plan": Boundary(
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
-    "zones/report": converted(judge.Report),
-    "zones/wishes": file(zone_settings.Wishes),
-    "zones/members": file(zone_settings.Members),
+    "zones/report": converted(planner.Report),
+    "zones/wishes": file(zone_settings.OperatorRequest),
+    "zones/members": file(zone_settings.Membership),
     "scorers/fleet": Boundary(
         config.Fleet, lambda data: config.fleet_from(msgspec.json.decode(data)), msgspec.json.encode
     ),
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -17,15 +17,15 @@
 from compatibility_process import FILES, Front
 
 from fawnwharf.consensus import messages as consensus
-from fawnwharf.consensus.disk import Disk
+from fawnwharf.consensus.voter_store import VoterStore
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout.document import Register, parse_document
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.disk import KeeperDisk
-from fawnwharf.zones.founding import found
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.grant_log import GrantLog
+from fawnwharf.zones.bootstrap import bootstrap
 
 KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 IDENTITIES = ("n0#00112233445566aa", "n1#00112233445566bb")
@@ -34,13 +34,13 @@
 
 def voter(folder: Path) -> None:
     """A voter's file after four saves."""
-    disk = Disk(folder, "fleet-1", "n0", lambda: "00112233445566aa")
-    base = consensus.Base(5, 2, '{"number":3}', 4, IDENTITIES, '{"policy":1}', 3, '{"recovery":1}', 2)
+    disk = VoterStore(folder, "fleet-1", "n0", lambda: "00112233445566aa")
+    base = consensus.Snapshot(5, 2, '{"number":3}', 4, IDENTITIES, '{"policy":1}', 3, '{"recovery":1}', 2)
     entries = (consensus.Entry(2, "plan", '{"number":4}'), consensus.Entry(3, "voters", "", IDENTITIES[:1]))
-    disk.save(consensus.Saved(1, IDENTITIES[1]))
-    disk.save(consensus.Saved(2, IDENTITIES[0], base))
-    disk.save(consensus.Saved(2, IDENTITIES[0], base, entries[:1]))
-    disk.save(consensus.Saved(3, IDENTITIES[1], base, entries))
+    disk.save(consensus.PersistentState(1, IDENTITIES[1]))
+    disk.save(consensus.PersistentState(2, IDENTITIES[0], base))
+    disk.save(consensus.PersistentState(2, IDENTITIES[0], base, entries[:1]))
+    disk.save(consensus.PersistentState(3, IDENTITIES[1], base, entries))
     disk.close()
 
 
@@ -69,10 +69,10 @@
 
 def replica(folder: Path) -> None:
     """A replica's two files: one that begins with all it held, and the next."""
-    disk = KeeperDisk(folder, "fleet-1", "n0", 1_000.0, 10_000.0, "boot-1")
+    disk = GrantLog(folder, "fleet-1", "n0", 1_000.0, 10_000.0, "boot-1")
     claims = [
         Claim(f"n{n}#{n + 7}", n + 1, n + 2, 100 + n, phase, "d" * n, "YW5zd2Vy" if n == 1 else None)
-        for n, phase in enumerate(Phase)
+        for n, phase in enumerate(ClaimPhase)
     ]
     disk.begin(1_000.0, 4, [("key-0", claims[0], 30_000.0)])
     disk.write(2_000.0, [("key-1", claims[1], 31_000.0), ("key-2", claims[2], 32_000.0)], 0)
@@ -96,7 +96,7 @@
         (folder / name).write_text(json.dumps(data), encoding="utf-8")
     front = Front(folder)
     try:
-        found(folder / "zones.json", "fe-1")
+        bootstrap(folder / "zones.json", "fe-1")
         for more in (["--fresh"], []):
             one = front.start(*more)
             for _ in range(5):
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -8,23 +8,23 @@
 
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import records
-from fawnwharf.consensus.disk import Disk, DiskError
+from fawnwharf.consensus.voter_store import DiskError, VoterStore
 from fawnwharf.durable_store import form
 from fawnwharf.durable_store.store import open_folder
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
 from fawnwharf.policy_rollout.document import parse_document, parse_register
-from fawnwharf.replication.claims import Claim, Phase
-from fawnwharf.replication.disk import KeeperDisk
+from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.grant_log import GrantLog
 
 FIRST, SECOND = "n0#00112233445566aa", "n1#00112233445566bb"
-BASE = consensus.Base(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
+BASE = consensus.Snapshot(5, 2, '{"number":3}', 4, (FIRST, SECOND), '{"policy":1}', 3, '{"recovery":1}', 2)
 STORE_KINDS = [form.Kind("term", form.SYNCED), form.Kind("use", form.SOON)]
 HELD = [
-    ("key-0", Claim("n0#7", 1, 2, 100, Phase.CLEAR, "", None), 30_000.0),
-    ("key-1", Claim("n1#8", 2, 3, 101, Phase.ANSWERED, "d", "YW5zd2Vy"), 31_000.0),
-    ("key-2", Claim("n2#9", 3, 4, 102, Phase.FAILED, "dd", None), 32_000.0),
-    ("key-3", Claim("n3#10", 4, 5, 103, Phase.TAKEN, "ddd", None), 33_000.0),
+    ("key-0", Claim("n0#7", 1, 2, 100, ClaimPhase.CLEAR, "", None), 30_000.0),
+    ("key-1", Claim("n1#8", 2, 3, 101, ClaimPhase.ANSWERED, "d", "YW5zd2Vy"), 31_000.0),
+    ("key-2", Claim("n2#9", 3, 4, 102, ClaimPhase.FAILED, "dd", None), 32_000.0),
+    ("key-3", Claim("n3#10", 4, 5, 103, ClaimPhase.TAKEN, "ddd", None), 33_000.0),
 ]
 
 
@@ -38,12 +38,12 @@
     """The disk's identity as well; and the file's last record is what was saved last."""
     folder = copied("voter", tmp_path)
     before = (folder / "voter.log").read_bytes()
-    disk = Disk(folder, "fleet-1", "n0")
+    disk = VoterStore(folder, "fleet-1", "n0")
     try:
-        assert not disk.fresh and disk.number == 4
-        assert disk.label.identity == FIRST
+        assert not disk.is_new and disk.record_number == 4
+        assert disk.identity.voter_identity == FIRST
         entries = (consensus.Entry(2, "plan", '{"number":4}'), consensus.Entry(3, "voters", "", (FIRST,)))
-        assert disk.saved == consensus.Saved(3, SECOND, BASE, entries)
+        assert disk.saved == consensus.PersistentState(3, SECOND, BASE, entries)
         assert (folder / "voter.log").read_bytes() == before
         disk.save(disk.saved)
     finally:
@@ -58,9 +58,9 @@
     """The label is compared, not taken over."""
     folder = copied("voter", tmp_path)
     with pytest.raises(DiskError, match="the disk of member n0, not of n1"):
-        Disk(folder, "fleet-1", "n1")
+        VoterStore(folder, "fleet-1", "n1")
     with pytest.raises(DiskError, match="of fleet fleet-1, not of fleet-2"):
-        Disk(folder, "fleet-2", "n0")
+        VoterStore(folder, "fleet-2", "n0")
 
 
 def test_a_store_finds_its_snapshot_and_its_segment(tmp_path):
@@ -85,7 +85,7 @@
 def test_a_replica_finds_its_claims_and_the_list_by_which_it_was_sure(tmp_path):
     """Of both files, in the boot in which they were written."""
     folder = copied("replica", tmp_path)
-    disk = KeeperDisk(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
+    disk = GrantLog(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
     try:
         assert (disk.why, disk.sure, disk.kept) == ("", 5, HELD)
     finally:
@@ -96,11 +96,11 @@
 def test_a_replica_does_not_trust_its_files_of_another_boot_or_copies(tmp_path):
     """As before: what was not synced may be gone."""
     folder = copied("replica", tmp_path)
-    disk = KeeperDisk(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-2")
+    disk = GrantLog(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-2")
     assert (disk.why, disk.kept) == ("of another boot", [])
     disk.close()
     shutil.copytree(FOLDERS / "replica", tmp_path / "as recorded")
-    disk = KeeperDisk(tmp_path / "as recorded", "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
+    disk = GrantLog(tmp_path / "as recorded", "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
     assert "a copy" in disk.why
     disk.close()
 
@@ -123,7 +123,7 @@
     """Magic, length, checksum, number: read here without the program, and written by it to equal bytes."""
     data = (FOLDERS / name).read_bytes()
     rows = list(records_of(data))
-    found, end = records.leading(data)
+    found, end = records.leading_records(data)
     assert end == len(data) and [number for number, _ in found] == [number for number, _ in rows]
-    assert b"".join(records.encode(number, value) for number, value in rows) == data
+    assert b"".join(records.encode_record(number, value) for number, value in rows) == data
     assert b"".join(framed(number, value) for number, value in rows) == data
--- a/tests/policy_rollout/test_policy_rollout_front_ends.py
+++ b/tests/policy_rollout/test_policy_rollout_front_ends.py
@@ -14,8 +14,8 @@
 from fawnwharf.policy_rollout.call_trace import MAX_PENDING_LINES, CallTrace
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import ActivePolicy
-from fawnwharf.replication.use import Shares
-from fawnwharf.zones.settings import FileFault
+from fawnwharf.replication.usage import QuotaShares
+from fawnwharf.zones.settings import SettingsFileError
 
 
 @pytest.fixture
@@ -268,7 +268,7 @@
 
 
 def test_a_quota_that_changes_is_divided_as_the_one_before_was():
-    shares = Shares({"acme": 30.0, "other": 9.0}, 3)
+    shares = QuotaShares({"acme": 30.0, "other": 9.0}, 3)
     shares.shares["acme"] = 20.0
     assert shares.sell({"acme": 15.0, "new": 6.0}) == {"acme": 10.0, "new": 2.0}
     assert shares.shares == {"acme": 10.0, "new": 2.0}
@@ -347,6 +347,6 @@
     ],
 )
 def test_a_malformed_settings_file_names_its_key(data, line):
-    with pytest.raises(FileFault) as caught:
+    with pytest.raises(SettingsFileError) as caught:
         s.decode_settings(data)
     assert str(caught.value).startswith(line)
--- a/tests/policy_rollout/test_policy_rollout_incarnations.py
+++ b/tests/policy_rollout/test_policy_rollout_incarnations.py
@@ -6,14 +6,20 @@
 from fawnwharf.policy_rollout.document import DeploymentCapabilities
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
-from fawnwharf.zones.lines import Seat
+from fawnwharf.zones.log_lines import ConsensusStatus
 
 
 def leader():
     """A voter that leads, a lease's time after its term began: it may grant."""
     capabilities = DeploymentCapabilities(frozenset(), frozenset(), frozenset({"a"}))
     member = RolloutMember(
-        "n0", ("n0", "n1"), capabilities, RolloutTiming(), 50, lambda _: Seat(1, True, True, ""), True
+        "n0",
+        ("n0", "n1"),
+        capabilities,
+        RolloutTiming(),
+        50,
+        lambda _: ConsensusStatus(1, True, True, ""),
+        True,
     )
     now = 0.0
     for _ in range(40):
--- a/tests/policy_rollout/test_policy_rollout_member.py
+++ b/tests/policy_rollout/test_policy_rollout_member.py
@@ -12,7 +12,7 @@
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import OperatorRequest
 from fawnwharf.policy_rollout.simulation import CAPABILITIES
-from fawnwharf.zones.lines import Heard, Ruled, Word
+from fawnwharf.zones.log_lines import ClientMessage, MessagesReceived, RegisterDecided
 
 STEP_S = 0.005
 
@@ -40,7 +40,7 @@
             self.capabilities.get(name, CAPABILITIES),
             RolloutTiming(),
             before.incarnation + 1 if before else 1,
-            core.seat,
+            core.consensus_status,
             core.voter is not None,
             self.disk_of.get(name, ""),
         )
@@ -49,11 +49,11 @@
         super().do(name, effects)
         member = self.rollouts[name]
         for effect in effects:
-            if isinstance(effect, Heard):
-                self.act(name, member.receive(self.now, effect.sender, effect.words))
-                if effect.standing is not None:
-                    member.receive_status(self.now, effect.sender, effect.standing)
-            elif isinstance(effect, Ruled):
+            if isinstance(effect, MessagesReceived):
+                self.act(name, member.receive(self.now, effect.sender, effect.messages))
+                if effect.status is not None:
+                    member.receive_status(self.now, effect.sender, effect.status)
+            elif isinstance(effect, RegisterDecided):
                 self.act(name, member.receive_decision(self.now, effect.text))
         self.act(name, member.leadership_changed(self.now))
 
@@ -62,9 +62,9 @@
         for effect in effects:
             if isinstance(effect, m.Send):
                 to = () if effect.to == m.LEADER else (effect.to,)
-                self.tell(name, core._line(words=[Word(effect.message, to)]))
+                self.tell(name, core.make_line(messages=[ClientMessage(effect.message, to)]))
             elif isinstance(effect, m.ProposeRegister):
-                put, more = core.put(self.now, effect.register)
+                put, more = core.propose_register(self.now, effect.register)
                 self.do(name, more)
                 if not put:
                     self.act(name, member.proposal_not_logged(self.now))
@@ -92,7 +92,7 @@
                 member = self.rollouts[name]
                 if self.now >= member.due_ms():
                     self.act(name, member.tick(self.now))
-                self.tell(name, self.cores[name]._line(policy=member.status(self.now)))
+                self.tell(name, self.cores[name].make_line(policy=member.status(self.now)))
                 if member.holder.has_lease(self.now):
                     acting.add(member.holder.register.last.number)
             assert len(acting) <= 1
@@ -161,7 +161,7 @@
     fleet = begun()
     first, name = fleet.leader(), fleet.follower()
     # It asks its voters, or doesn't get that far; what they answer, and what it says after, is lost.
-    fleet.hold = lambda sender, line: line.ballot is not None and (sender != first or not reaches)
+    fleet.hold = lambda sender, line: line.voter_message is not None and (sender != first or not reaches)
     fleet.request(name, 1, propose=quota(5))
     coordinator = fleet.rollouts[first].coordinator
     fleet.until(lambda: coordinator.proposal is not None and coordinator.proposal.deciding)
@@ -272,7 +272,7 @@
     fleet.dead.add(back)
     fleet.request(name, 2, propose=quota(6))
     assert fleet.done(name, 2).state == "in force"  # once its lease was over
-    fleet.hold = lambda sender, line: sender == leader and line.words is not None
+    fleet.hold = lambda sender, line: sender == leader and line.messages is not None
     fleet.start(back, f"{back}#0")
     fleet.run(1.0)
     holder = fleet.rollouts[back].holder
@@ -294,7 +294,7 @@
         [note] = core.line(fleet.now, "n1", line | {"words": words}, False)
         assert note.event == "bad words"
     [heard] = core.line(fleet.now, "n1", line | {"words": [{"said": {"type": "Grant"}}, {"said": 3}]}, False)
-    assert member.receive(fleet.now, "n1", heard.words) == []
+    assert member.receive(fleet.now, "n1", heard.messages) == []
     member.receive_status(fleet.now, "n1", {"ready": 3})
     assert member.dropped == {"invalid message": 2, "invalid status": 1}
     assert core.counts.dropped["bad words"] == 4
--- a/tests/policy_rollout/test_policy_rollout_voters.py
+++ b/tests/policy_rollout/test_policy_rollout_voters.py
@@ -1,8 +1,8 @@
 """Rollout coordinators at real voters: what an owner has to do with both, in steps of virtual time."""
 
 from fawnwharf.consensus import messages as a
-from fawnwharf.consensus.voter import Timing as Voting
-from fawnwharf.consensus.voter import Voter, founding
+from fawnwharf.consensus.timing import Timing as Voting
+from fawnwharf.consensus.voter import Voter, bootstrap_state
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import parse_register
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
@@ -17,7 +17,7 @@
     """One voter with its coordinator and its holder; `serve` does the same with sockets and a disk."""
 
     def __init__(self, fleet, name, n):
-        saved = replace_voters(founding("a"), NAMES)
+        saved = replace_voters(bootstrap_state("a"), NAMES)
         self.fleet, self.name = fleet, name
         self.voter = Voter(name, saved, Voting(), 0.0, 7_919 * n)
         self.coordinator, self.holder = (
@@ -38,30 +38,30 @@
     def votes(self, actions):
         now, voter = self.fleet.now, self.voter
         for action in actions:
-            if isinstance(action, a.Say):
+            if isinstance(action, a.Send):
                 self.fleet.say(self.name, action.message.to, action.message)
-            elif isinstance(action, a.Decided) and action.kind == "policy" and self.coordinator.term:
-                self.does(self.coordinator.receive_decision(now, action.plan, voter.fresh(now)))
+            elif isinstance(action, a.Committed) and action.kind == "policy" and self.coordinator.term:
+                self.does(self.coordinator.receive_decision(now, action.text, voter.holds_read_lease(now)))
 
     def takes(self, sender, message):
         now = self.fleet.now
         if isinstance(message, a.Message):
             self.votes(self.voter.receive(now, message))
         elif isinstance(message, m.Vote | m.LeaseRequest | m.EpochAdopted):
-            self.does(self.coordinator.receive(now, sender, message, self.voter.fresh(now)))
+            self.does(self.coordinator.receive(now, sender, message, self.voter.holds_read_lease(now)))
         else:
             self.does(self.holder.receive(now, sender, message))
 
     def step(self):
         now, voter = self.fleet.now, self.voter
         self.votes(voter.tick(now))
-        settled = voter.fresh(now) and voter.commit == voter.saved.last_index
+        settled = voter.holds_read_lease(now) and voter.commit_index == voter.saved.last_index
         if self.coordinator.term and self.coordinator.term != (voter.is_leader and voter.saved.term):
             self.coordinator.step_down()
         if settled and not self.coordinator.term:
             self.does(self.coordinator.lead(now, voter.saved.term, voter.policy[1]))
         if (due := self.coordinator.due_ms()) is not None and now >= due:
-            self.does(self.coordinator.tick(now, voter.fresh(now)))
+            self.does(self.coordinator.tick(now, voter.holds_read_lease(now)))
         if now >= self.holder.due_ms():
             self.does(self.holder.tick(now))
 
