--- a/fawnwharf/policy_rollout/model_checker.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -147,7 +147,7 @@
     ) -> Iterator[tuple[str, ModelState]]:
         """What may happen with a message that is in flight."""
         to_coordinator = in_flight.route.to_coordinator
-        what = "is heard" if to_coordinator else "receives"
+        what = "reaches the coordinator with" if to_coordinator else "receives"
         label = f"{NAMES[index]} {what}: {in_flight.message}"
         yield label, self._after(state, _deliver(index, in_flight))
         may_be_late = not to_coordinator and not isinstance(in_flight.message, m.Abort)
--- a/fawnwharf/testbed/proposals.py
+++ b/fawnwharf/testbed/proposals.py
@@ -108,14 +108,14 @@
     One of `prepare`, `decided`, `ended`, `over` for one of these two; or `refused`, of any request since.
     `why` is to be part of its cause.
     """
-    said = ("decided", "ended") if what == "over" else (what,)
+    said = {"over": ("decided", "ended"), "refused": ("rejected",)}.get(what, (what,))
     last = fleet.proposed[-1]
     notes, mine = fleet.notes[last.notes :], set[int]()
     for note in notes:
         if note.event in ("prepare", "decided") and note.fields.get("digest") == last.document.digest:
             mine.add(note.fields["number"])
         about = what == "refused" or note.fields.get("number") in mine
-        if note.event in said and about and why in str(note.fields.get("why", "")):
+        if note.event in said and about and why in str(note.fields.get("reason", "")):
             return True
     return False
 
