--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -5,13 +5,17 @@
 """
 
 from collections.abc import Callable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
+
 from fawnwharf import config
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import learned_state as beliefs
 from fawnwharf.consensus import messages as consensus
 from fawnwharf.consensus import voter_store as voter_disk
-from fawnwharf.durable_store import form
-from fawnwharf.durable_store import ops
+from fawnwharf.durable_store import form, ops
 from fawnwharf.migration import messages as migrations
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import policy_file as policy_file
@@ -19,27 +23,16 @@
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_service import hints
+from fawnwharf.recovery_service import hints, permit_messages, stored_state
 from fawnwharf.recovery_service import messages as recovery_words
-from fawnwharf.recovery_service import permit_messages
-from fawnwharf.recovery_service import stored_state
 from fawnwharf.replication import claims
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
-from fawnwharf.sessions import left
+from fawnwharf.sessions import left, staging
 from fawnwharf.sessions import settings as session_settings
-from fawnwharf.sessions import staging
 from fawnwharf.sessions import words as session_words
-from fawnwharf.zones import log_lines
-from fawnwharf.zones import member_log
-from fawnwharf.zones import plan
-from fawnwharf.zones import planner
+from fawnwharf.zones import log_lines, member_log, plan, planner
 from fawnwharf.zones import settings as zone_settings
-from pathlib import Path
-from typing import Any
-from typing import NamedTuple
-import msgspec
-
 
 CORPUS = Path(__file__).parent / "corpus"
 
