--- a/fawnwharf/policy_rollout/lease_holder.py
+++ b/fawnwharf/policy_rollout/lease_holder.py
@@ -73,8 +73,8 @@
 
     def has_lease(self, now_ms: float) -> bool:
         """Whether it has a lease for the last decided document."""
-        number, expires_ms = self.lease
-        return self.ready and number == self.register.last.number and now_ms < expires_ms
+        lease = self.lease
+        return self.ready and now_ms < lease.expires_ms and lease.number == self.register.last.number
 
     def _basis(self, now_ms: float) -> PolicyBasis:
         """The documents in effect at this moment."""
@@ -91,9 +91,13 @@
 
     def policy_at(self, now_ms: float) -> m.ActivePolicy:
         """The policy of this moment, with absent keys filled in from the settings."""
+        active, before = self.active, self.active_basis
+        is_same = before is not None and before.document is self.register.last
+        if active and is_same and active.basis == "leased" and self.has_lease(now_ms):
+            return active  # the usual case for a call: it needs no new basis
         basis = self._basis(now_ms)
-        if self.active is not None and basis == self.active_basis:
-            return self.active
+        if active is not None and basis == before:
+            return active
         complete = with_defaults(self.capabilities.base, basis.document)
         if basis.kind == "leased":
             return m.ActivePolicy(complete.number, basis.document.digest, complete, basis.kind)
