--- a/fawnwharf/net/calls.py
+++ b/fawnwharf/net/calls.py
@@ -71,7 +71,7 @@
 
 def _budget_ms(fields: dict[str, str], spec: ClassSpec) -> float:
     budget = _number(fields.get("ttl"), "ttl")
-    if not budget or budget > TTL_ROOM * spec.give_up_ms:
+    if not budget or budget > TTL_ROOM * spec.deadline_ms:
         raise thrift.Malformed("ttl: missing, or not a time to wait")
     return budget
 
@@ -99,7 +99,7 @@
     for name in ("call", "row"):
         if not _HEX16.match(fields.get(name, "")):
             raise thrift.Malformed(f"{name}: not 16 hex digits")
-    if (token or spec.effect is Effect.KEYED) and not _TOKEN.match(token):
+    if (token or spec.effect is Effect.DEDUPLICATED) and not _TOKEN.match(token):
         raise thrift.Malformed("dedupe: missing, or not a key")
     budget_ms = _budget_ms(fields, spec)
     props = _props(fields)
--- a/fawnwharf/policy_rollout/call_binding.py
+++ b/fawnwharf/policy_rollout/call_binding.py
@@ -88,7 +88,7 @@
         self._waiting_bytes = 0
         self._last_key = 0
         self._last_policy: ActivePolicy | None = None  # of the last call
-        self._give_up_ms: dict[str, float] = {}  # by class, of that policy
+        self._deadline_ms: dict[str, float] = {}  # by class, of that policy
 
     def __len__(self) -> int:
         return len(self._open)
@@ -136,10 +136,10 @@
         call.judged = bound.policy
         if bound.policy is not self._last_policy:
             self._last_policy = bound.policy
-            self._give_up_ms = _give_up_by_class(bound.policy.document)
-        give_up_ms = self._give_up_ms.get(call.class_name)
-        if give_up_ms is not None:
-            call.budget_ms = min(call.budget_ms, give_up_ms)
+            self._deadline_ms = _deadlines_by_class(bound.policy.document)
+        deadline_ms = self._deadline_ms.get(call.class_name)
+        if deadline_ms is not None:
+            call.budget_ms = min(call.budget_ms, deadline_ms)
         bound.key = self.below.take(call)
         if bound.key is None:  # it was answered at once, or the table below has released it
             self._end(key)
@@ -190,7 +190,7 @@
         return bound
 
 
-def _give_up_by_class(document: Document) -> dict[str, float]:
+def _deadlines_by_class(document: Document) -> dict[str, float]:
     """The deadlines that a document has, by class, in milliseconds."""
     return {
         path[1]: float(value)
@@ -201,12 +201,12 @@
 
 def class_spec_under(base: io.ClassSpec, document: Document) -> io.ClassSpec:
     """A class of the settings as the policy changes it."""
-    promise_ms = document.limit("classes", base.name, "promise_ms")
-    give_up_ms = document.limit("classes", base.name, "give_up_ms")
+    latency_target_ms = document.limit("classes", base.name, "promise_ms")
+    deadline_ms = document.limit("classes", base.name, "give_up_ms")
     return replace(
         base,
-        promise_ms=base.promise_ms if promise_ms is None else promise_ms,
-        give_up_ms=base.give_up_ms if give_up_ms is None else give_up_ms,
+        latency_target_ms=base.latency_target_ms if latency_target_ms is None else latency_target_ms,
+        deadline_ms=base.deadline_ms if deadline_ms is None else deadline_ms,
     )
 
 
--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -158,7 +158,7 @@
     member = (
         log_address(fleet.settings, fleet.members, "") if wait_s > 0.0 else None
     )  # before anything is written
-    path = fleet.path.parent / fleet.settings.folder / REQUEST_FILE
+    path = fleet.path.parent / fleet.settings.state_folder / REQUEST_FILE
     number = _next_request_number(path)
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -21,7 +21,7 @@
 
     modes: dict[str, Any]  # by class
 
-    def go_by(self, classes: dict[str, io.ClassSpec], modes: dict[str, Any]) -> None:
+    def change_rules(self, classes: dict[str, io.ClassSpec], modes: dict[str, Any]) -> None:
         """Use these classes and modes for calls that arrive from now on."""
         ...
 
@@ -46,7 +46,7 @@
     where nothing is prefetched.
     """
     settings = deployment.settings
-    names = frozenset(zones.core.members.zones)
+    names = frozenset(zones.core.membership.zones)
     capabilities = DeploymentCapabilities(
         classes=frozenset(settings.classes),
         tenants=deployment.wire.tenants | frozenset(settings.quotas_rps),
@@ -73,11 +73,11 @@
 ) -> Document:
     """The values that the settings have for all keys of a document."""
     settings = deployment.settings
-    spill = zones.settings.spill
+    spill = zones.settings.spillover
     values: dict[tuple[str, ...], Value] = {}
     for name, spec in settings.classes.items():
-        values["classes", name, "promise_ms"] = spec.promise_ms
-        values["classes", name, "give_up_ms"] = spec.give_up_ms
+        values["classes", name, "promise_ms"] = spec.latency_target_ms
+        values["classes", name, "give_up_ms"] = spec.deadline_ms
         if state is not None:
             values["modes", name] = state.gate.modes[name]
             values["window_ms", name] = state.settings.window_ms
@@ -85,9 +85,9 @@
         values["tenants", name, "quota_rps"] = quota_rps
     for key, value in (staging or {}).items():
         values["staging", key] = value
-    for name in zones.core.members.zones:
+    for name in zones.core.membership.zones:
         values["admission", name] = 1.0
-        values["spill", name] = spill.zones.get(name, spill.share)
+        values["spill", name] = spill.fraction_by_zone.get(name, spill.fraction)
     return make_document(0, values)
 
 
@@ -107,7 +107,7 @@
         self._front_ends = settings.fleet_size
         self._zone = settings.zone
         self.classes = dict(self._base_classes)
-        self._longest_give_up_ms = {name: spec.give_up_ms for name, spec in self._base_classes.items()}
+        self._longest_deadline_ms = {name: spec.deadline_ms for name, spec in self._base_classes.items()}
         self.quotas_rps = dict(self._base_quotas_rps)
         self._limit_rps: float = io.UNLIMITED_RPS
         self._replication: tuple[Any, ...] = ()  # what was last applied by `apply_replication`
@@ -132,11 +132,11 @@
 
     def _apply_spill(self, document: Document, total_rps: float) -> None:
         """Limit what other zones are sent; the zone plan already has the limits of the settings."""
-        settings = self._zones.settings.spill
+        settings = self._zones.settings.spillover
         spill = {
             name: part
             for name, part in document.limits("spill").items()
-            if part < settings.zones.get(name, settings.share)
+            if part < settings.fraction_by_zone.get(name, settings.fraction)
         }
         self._zones.apply_policy_limits(total_rps, spill)
 
@@ -147,9 +147,9 @@
         # A client that waits for longer than a policy gives made no error, as it knows an earlier time: the
         # port rejects nothing for that, and a call is cut to its policy's time by `CallPolicyBinding`.
         for name, spec in classes.items():
-            self._longest_give_up_ms[name] = max(self._longest_give_up_ms[name], spec.give_up_ms)
+            self._longest_deadline_ms[name] = max(self._longest_deadline_ms[name], spec.deadline_ms)
         self._front.port.classes = {
-            name: replace(spec, give_up_ms=self._longest_give_up_ms[name]) for name, spec in classes.items()
+            name: replace(spec, deadline_ms=self._longest_deadline_ms[name]) for name, spec in classes.items()
         }
         for spec in changed:
             self._front.loop.tell(io.ClassChanged(spec))
@@ -166,10 +166,10 @@
 
     def _quota_changes(self, before: dict[str, float], after: dict[str, float]) -> dict[str, float]:
         """The limits of this front end that change, by tenant."""
-        shares = self._state.core.shares if self._state is not None else None
+        shares = self._state.core.quota_shares if self._state is not None else None
         changes: dict[str, float]
         if shares is not None:
-            changes = shares.sell(after)
+            changes = shares.change_quotas(after)
         else:
             changes = {name: rps / self._front_ends for name, rps in after.items() if rps != before.get(name)}
         removed = {name: io.UNLIMITED_RPS for name in before if name not in after}
@@ -179,16 +179,16 @@
         """Apply modes and windows of replication by class, as `DelayedRelaxation` has them."""
         if self._state is None:
             return
-        replica = self._state.core.keeper
+        replica = self._state.core.replica
         replication = (rules, replica, self.classes)
         if replication == self._replication:
             return
         self._replication = replication
         gate = self._state.gate
         modes = {name: rule.mode for name, rule in rules.items() if name in gate.modes}
-        gate.go_by(self.classes, gate.modes | modes)
+        gate.change_rules(self.classes, gate.modes | modes)
         if replica is not None:
-            replica.shelf.windows = {name: rule.window_ms for name, rule in rules.items()}
+            replica.claim_store.class_windows_ms = {name: rule.window_ms for name, rule in rules.items()}
 
     def restore(self, base: Document) -> None:
         """Restore the settings, for whoever takes the parts over."""
--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -67,7 +67,7 @@
 
     def member_names(self) -> tuple[str, ...]:
         """The present members of the fleet."""
-        return tuple(member.name for member in self.zones.core.members.members)
+        return tuple(member.name for member in self.zones.core.membership.members)
 
 
 class RunningRollout:
@@ -259,7 +259,7 @@
         if not self.ready and monotonic_ms() - self._began_ms >= NOT_READY_MS:
             statuses = self.member.statuses
             own = self._zones.entry.name
-            voters = [entry.name for entry in self._zones.core.members.voters if entry.name != own]
+            voters = [entry.name for entry in self._zones.core.membership.voters if entry.name != own]
             fields = {
                 "reason": self.member.holder.error or "no leader's rollout coordinator has sent the policy",
                 "leaders": [name for name, status in statuses.items() if status.term],
--- a/fawnwharf/recovery_core/search.py
+++ b/fawnwharf/recovery_core/model_checker.py
@@ -3,7 +3,7 @@
 A power loss ends all members at once, between any two things that one of them does: what was synced is found
 again, what was on its way is lost, and clocks come back with anything.
 
-    python -m fawnwharf.recovery_core.search [--states N]
+    python -m fawnwharf.recovery_core.model_checker [--states N]
 """
 
 import argparse
@@ -19,7 +19,7 @@
 from fawnwharf.policy_rollout import model_checker, scenario
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
-from fawnwharf.recovery_core.promises import Promises, Rules
+from fawnwharf.recovery_core.claim_model import Promises, Rules
 from fawnwharf.testbed import explore
 
 
--- a/fawnwharf/recovery_service/actions.py
+++ b/fawnwharf/recovery_service/actions.py
@@ -16,7 +16,7 @@
 class LoadOrder(Struct, frozen=True):
     """An event for the module; a `Hold` of no copies is a question for the table."""
 
-    what: io.CopiesWanted | io.Hold
+    what: io.PrefetchRequested | io.OrderCopies
 
 
 class SlowStartPermit(Struct, frozen=True):
--- a/fawnwharf/recovery_service/delegated_loads.py
+++ b/fawnwharf/recovery_service/delegated_loads.py
@@ -107,7 +107,9 @@
         if not may or place in self._loans:
             return [self._word(sender, place, m.DelegatedLoadResult.NOT)]
         self._loans[place] = _OpenDelegatedLoad(sender, now_ms)
-        return [LoadOrder(io.CopiesWanted(word.worker, word.row, word.kind, 1, word.lanes, word.load_ms))]
+        return [
+            LoadOrder(io.PrefetchRequested(word.worker, word.row, word.kind, 1, word.lanes, word.load_ms))
+        ]
 
     def _word(self, to: str, place: tuple[int, str], what: m.DelegatedLoadResult) -> SendPermitMessage:
         return SendPermitMessage((to,), m.DelegatedLoadReport(place[0], place[1], int(what)))
@@ -122,16 +124,16 @@
             loan.made = True
             self._out.append(self._word(loan.loader, (worker, row), m.DelegatedLoadResult.MADE))
 
-    def answered(self, event: io.OrderAnswered, proves: bool) -> list[SendPermitMessage]:
+    def answered(self, event: io.LoadOrderAnswered, proves: bool) -> list[SendPermitMessage]:
         """`proves`: the answer counts copies."""
-        place = event.worker, event.function
+        place = event.scorer, event.function
         loan = self._loans.get(place)
         if loan is None:
             return []
         if proves and event.copies:
             del self._loans[place]
             return [self._word(loan.loader, place, m.DelegatedLoadResult.STANDS)]
-        if not loan.made or event.ending is io.Ending.GOOD:
+        if not loan.made or event.result is io.AttemptResult.GOOD:
             return []  # that answers a question
         del self._loans[place]
         return [self._word(loan.loader, place, m.DelegatedLoadResult.FAILED)]
--- a/fawnwharf/recovery_service/messages.py
+++ b/fawnwharf/recovery_service/messages.py
@@ -8,8 +8,8 @@
 from msgspec import Meta, Struct
 
 from fawnwharf.consensus.messages import MAX_DATA_LENGTH
-from fawnwharf.durable_store.reading import Sign
-from fawnwharf.recovery_core.asking import Answer, Ask, Number
+from fawnwharf.durable_store.folder_reader import FolderPosition
+from fawnwharf.recovery_core.queries import Answer, Number, Query
 from fawnwharf.zones.settings import Name
 
 LOG_CLIENT = "recovery"  # by both logs; the kind of its register as well
@@ -24,14 +24,14 @@
 
     life: Number
     mark: Mark  # empty: the system tells none
-    sign: Sign
+    sign: FolderPosition
 
 
 class KnownSignature(Struct, frozen=True, tag="Known"):
     """A voter's word to one that started anew: so far its folder had come by an earlier word of its own."""
 
     life: Number  # of the one that is told
-    sign: Sign
+    sign: FolderPosition
 
 
 class CallCounts(Struct, frozen=True, array_like=True):
@@ -69,7 +69,7 @@
     register: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)]
 
 
-RecoveryMessage = Ask | Answer | BootReport | KnownSignature | StatusReport | PhaseAnnouncement
+RecoveryMessage = Query | Answer | BootReport | KnownSignature | StatusReport | PhaseAnnouncement
 
 
 def recovery_message_from(data: Any) -> RecoveryMessage:
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -13,9 +13,9 @@
 from fawnwharf.consensus.committed_log import last_appended
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.recovery_core.asking import Stand, What
-from fawnwharf.recovery_core.stages import Decide, Note, Stage
-from fawnwharf.recovery_core.trust import Kind, Store
+from fawnwharf.recovery_core.phases import LogEvent, ProposeRegister, RecoveryPhase
+from fawnwharf.recovery_core.queries import QueryState, QueryTopic
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition
 from fawnwharf.recovery_service import front_end_integration, status_display
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import (
@@ -59,10 +59,12 @@
         self.settings: Settings = load_file(Path(path), settings_from, RECOVERY)
         self.zones, self.kept, self.state = made["zones"], made["kept"], made["state"]
         self.life = self.kept.number
-        self._used = UsageRecorder.read(self.kept.read(Kind.USE))
+        self._used = UsageRecorder.read(self.kept.read(StateKind.USE))
         self._roster, self._use = RosterRecorder(), UsageRecorder(monotonic_ms())
         classes = deployment.settings.classes
-        self.tallies = FrontEndCounters({n: c.worth for n, c in classes.items()}, deployment.settings.cold_ms)
+        self.tallies = FrontEndCounters(
+            {n: c.priority_weight for n, c in classes.items()}, deployment.settings.slow_start_ms
+        )
         self.front: FrontEnd | None = None
         self.agent: RecoveryAgent | None = None
         self.joined: front_end_integration.FrontEndIntegration | None = None
@@ -85,7 +87,7 @@
         front.port.waits_for.add(RECOVERY)
         front.changelog.may_begin_anew = True
         self.agent = RecoveryAgent(
-            self.zones.entry.name, self.zones.core.members.fleet, self.life, self.kept.boot, self._lists(),
+            self.zones.entry.name, self.zones.core.membership.fleet, self.life, self.kept.boot, self._lists(),
             self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
             monotonic_ms(), settings.pace.of_asking, settings.pace.stand_ms, settings.pace.stage_ms,
         )  # fmt: skip
@@ -96,7 +98,7 @@
         )
         front.port.table = self.calls
         self.zones.log_clients[RECOVERY] = self
-        self.state.riders[w.LOG_CLIENT] = self._heard_state
+        self.state.log_clients[w.LOG_CLIENT] = self._heard_state
         told = {"life": self.life, "boot": self.kept.boot, "same boot": self.kept.same_boot}
         self.note("recovery on", told | {"store": self.kept.whole.value, "why": self.kept.why})
         self._tick()
@@ -114,7 +116,7 @@
         self.joined.close()
         self.front.port.waits_for.discard(RECOVERY)
         self.zones.log_clients.pop(RECOVERY, None)
-        self.state.riders.pop(w.LOG_CLIENT, None)
+        self.state.log_clients.pop(w.LOG_CLIENT, None)
 
     # --- the seam -------------------------------------------------------------------------------
 
@@ -129,7 +131,7 @@
         self._dialled = True
         if self.front.overlay.members:
             return
-        found = RosterRecorder.read(self.kept.read(Kind.ROSTER))
+        found = RosterRecorder.read(self.kept.read(StateKind.ROSTER))
         up_ms = self.front.loop.clock.now_ms()
         cold = [msgspec.structs.replace(member, up_since_ms=up_ms) for member in found]
         if cold:
@@ -139,7 +141,7 @@
             self.note("last roster dialled", {"scorers": len(cold)})
 
     def _keep_hints(self, now_ms: float) -> None:
-        for kind, hint in ((Kind.ROSTER, self._roster), (Kind.USE, self._use)):
+        for kind, hint in ((StateKind.ROSTER, self._roster), (StateKind.USE, self._use)):
             if (value := hint.due(now_ms)) is not None:
                 self.kept.keep(kind, ENTRY_KEY, value)
 
@@ -148,7 +150,7 @@
             return
         now = monotonic_ms()
         for event in events:
-            worker = getattr(event, "worker", None)
+            worker = getattr(event, "scorer", None)
             age_ms = self.joined.age_ms(worker) if worker is not None else 0.0
             self.tallies.event(now, event, age_ms)
             if isinstance(event, io.RequestArrived):
@@ -162,32 +164,32 @@
     # --- what this front end knows of itself ------------------------------------------------------
 
     def _lists(self) -> MemberLists:
-        members = self.zones.core.members
+        members = self.zones.core.membership
         names = tuple(entry.name for entry in members.members)
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
         who = sorted((e.name, e.zone, e.region, bool(e.ballots), bool(e.state)) for e in members.members)
-        keepers = tuple(self.state.core.placement.keepers)
+        keepers = tuple(self.state.core.placement.replicas)
         voters = tuple(entry.name for entry in members.voters)
         by_zone = tuple(map(tuple, self.state.core.placement.by_zone.values()))
         return MemberLists(names, voters, keepers, members.number, _digest(msgspec.json.encode(who)), by_zone)
 
     def _own(self) -> LocalStatus:
-        now, keeper, voter = monotonic_ms(), self.state.core.keeper, self.zones.core.voter
+        now, keeper, voter = monotonic_ms(), self.state.core.replica, self.zones.core.voter
         number, text = last_appended(voter.saved, "plan") if voter is not None else (0, "")
-        seen = self.zones.observer.seen(now)
+        seen = self.zones.evidence_collector.evidence(now)
         rostered = self._rostered or (self.front is not None and self.front.changelog.told_all_ms is not None)
         serves = any(m.phase == "in_service" for m in self.front.overlay.members.values())
         return LocalStatus(
             settled=self.kept.settled,
-            whole=self.kept.whole is Store.WHOLE,
-            sure=keeper is None or keeper.sure(now),
+            whole=self.kept.whole is StoreCondition.WHOLE,
+            sure=keeper is None or keeper.is_complete(now),
             votes=voter is not None,
             plan=(number, _digest(text.encode())),
             sign=self.kept.sign(),
-            uses=bool(self._used or self.state.core.uses.owners),
+            uses=bool(self._used or self.state.core.usage_table.owners),
             rostered=rostered,
-            scorers=(rostered and serves) or self.tallies.up or any(s.heard for s in seen.values()),
-            heard=len(set(self.state.alive(now)) | {self.zones.entry.name}),
+            scorers=(rostered and serves) or self.tallies.up or any(s.responses for s in seen.values()),
+            heard=len(set(self.state.live_members(now)) | {self.zones.entry.name}),
             standing=self.tallies.standing(now),
         )
 
@@ -240,9 +242,9 @@
         self.calls.counting, self.tallies.calm = counting, not counting
         if not counting:
             self._keep_hints(now)
-            if self.kept.whole is Store.PART:
+            if self.kept.whole is StoreCondition.PART:
                 self._confirm()
-        if not self._dialled and self.agent.asking.stand(What.ROSTER) is Stand.WITHOUT:
+        if not self._dialled and self.agent.asking.stand(QueryTopic.ROSTER) is QueryState.WITHOUT:
             self._dial_last()
         self._carry_out(self.agent.tick(now, self._own()))
         if self._once("door") and (what := self.joined.door.since()):
@@ -262,21 +264,21 @@
         for effect in effects:
             if isinstance(effect, SendMessage):
                 self._say(effect)
-            elif isinstance(effect, Decide):
+            elif isinstance(effect, ProposeRegister):
                 if not self.zones.propose_register(effect.register, RECOVERY):
                     self.agent.not_put()
             elif isinstance(effect, ApplyPhase):
                 self._go_by(effect)
             elif isinstance(effect, SignatureReported):
                 self.kept.heard_sign(effect.sign)
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogEvent):
                 self.note(effect.event, effect.fields)
         self._show()
         self._set_timer()
 
     def _go_by(self, effect: ApplyPhase) -> None:
         allowed = effect.allowed
-        if effect.stage is not Stage.SPILL:
+        if effect.stage is not RecoveryPhase.SPILL:
             self._calm_ms = None
         elif self._calm_ms is None:
             self._calm_ms = monotonic_ms()
@@ -300,7 +302,7 @@
             self._words.append(ClientMessage(word, say.to, RECOVERY))
             self.front.loop.flush_later(self)
         else:
-            self.state.ride(w.LOG_CLIENT, say.to, word)
+            self.state.send_message(w.LOG_CLIENT, say.to, word)
 
     def flush(self) -> None:
         """The end of the turn."""
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -13,12 +13,12 @@
 
 from fawnwharf.admin import handoff_messages as successor
 from fawnwharf.admin import learned_state as beliefs
-from fawnwharf.admin.handoff_channel import HandoffDirectory
+from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.cli import app
 from fawnwharf.consensus import records
 from fawnwharf.consensus import voter_store as voter_disk
+from fawnwharf.durable_store import file_format
 from fawnwharf.durable_store import folder as durable_folder
-from fawnwharf.durable_store import form
 from fawnwharf.migration import messages as migrations
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.loop import Loop
@@ -30,7 +30,7 @@
 from fawnwharf.policy_rollout.document import Document, parse_register
 from fawnwharf.prefetch import memory as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
-from fawnwharf.recovery_core.trust import Clock, Kind
+from fawnwharf.recovery_core.trust import ClockReading, StateKind
 from fawnwharf.recovery_service import front_end_integration, stored_state
 from fawnwharf.recovery_service import messages as recovery_words
 from fawnwharf.recovery_service import settings as recovery_settings
@@ -247,8 +247,8 @@
 
 def test_an_entry_of_the_store_has_its_recorded_form():
     """Stamped with the clock; a grant is a list that begins with how long it counts."""
-    claim = Claim("n0#7", 1, 2, 100, ClaimPhase.TAKEN, "d1", None)
-    data = stored_state.encode_entry(Clock("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
+    claim = Claim("n0#7", 1, 2, 100, ClaimPhase.GRANTED, "d1", None)
+    data = stored_state.encode_entry(ClockReading("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
         b'["b00t",10.0,21.0,[5000.0,3.0,{"owner":"n0#7","ask":1,"number":2,"slot":100,"phase":3,'
         b'"digest":"d1","answer":null}]]'
@@ -269,8 +269,11 @@
     data = beliefs.encode(beliefs.LearnedState(1.5, ["s-1"]))
     assert data[:6] == b"fwmem\x01" and data[:14].hex() == "66776d656d010000009e64f90acf"
     assert beliefs.decode(data) == beliefs.LearnedState(1.5, ["s-1"])
-    place = HandoffDirectory("folder", "fe-1", ("127.0.0.1", 7000))
-    assert (place.socket.name, place.file.name) == ("fw-5b801ba12a0b.sock", "fw-5b801ba12a0b.mem")
+    directory = HandoffDirectory("folder", "fe-1", ("127.0.0.1", 7000))
+    assert (directory.socket_path.name, directory.state_path.name) == (
+        "fw-5b801ba12a0b.sock",
+        "fw-5b801ba12a0b.mem",
+    )
 
 
 def test_frames_to_scorers_have_their_recorded_bytes():
@@ -295,15 +298,18 @@
 def test_names_and_numbers_that_are_stored_or_sent_are_as_recorded():
     """Versions, magic numbers, names of files, of kinds of entries and of states."""
     versions = [
-        voter_disk, form, policy_file, policy_settings, prefetch_memory, successor, recovery_register,
+        voter_disk, file_format, policy_file, policy_settings, prefetch_memory, successor, recovery_register,
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
     ]  # fmt: skip
     assert {module.VERSION for module in versions} == {1}
-    assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK) == (b"fwv1", b"fwmem\x01", "durable.lock")
-    assert (form.snap_name(3), form.log_name(4), form.BESIDE) == ("snap-3.snap", "log-4.seg", ".new")
-    assert (form.SNAPSHOT, form.LOG, form.SYNCED, form.SOON, form.HINT) == (
-        "snapshot", "log", "synced", "soon", "hint",
-    )  # fmt: skip
+    assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK_FILE) == (b"fwv1", b"fwmem\x01", "durable.lock")
+    assert (file_format.snapshot_name(3), file_format.log_name(4), file_format.TEMPORARY_SUFFIX) == (
+        "snap-3.snap",
+        "log-4.seg",
+        ".new",
+    )
+    assert (file_format.SNAPSHOT, file_format.LOG) == ("snapshot", "log")
+    assert (file_format.SYNCED, file_format.SOON, file_format.HINT) == ("synced", "soon", "hint")
     assert (policy_service.POLICY_FILE, policy_service.REQUEST_FILE) == ("policy.json", "proposal.json")
     assert keeper_disk.INCOMPLETE == -1 and stored_state.LAST == "last"
     assert (stored_state.START, stored_state.DOUBT, stored_state.COMPLETE, stored_state.COMMIT_TICKET) == (
@@ -313,8 +319,8 @@
         "turn",
     )
     assert {kind: rule.name for kind, rule in stored_state.ENTRY_RULES.items()} == {
-        Kind.PROMISE: "promise", Kind.PLAN: "plan", Kind.POLICY: "policy", Kind.HOMES: "homes",
-        Kind.ROSTER: "roster", Kind.USE: "use",
+        StateKind.PROMISE: "promise", StateKind.PLAN: "plan", StateKind.POLICY: "policy",
+        StateKind.HOMES: "homes", StateKind.ROSTER: "roster", StateKind.USE: "use",
     }  # fmt: skip
     assert {rule.name: rule.mode for rule in stored_state.ENTRY_RULES.values()} == {
         "promise": "soon", "plan": "soon", "policy": "soon", "homes": "soon", "roster": "hint", "use": "hint",
--- a/tests/policy_rollout/test_policy_rollout_front_ends.py
+++ b/tests/policy_rollout/test_policy_rollout_front_ends.py
@@ -35,7 +35,7 @@
     site.until(lambda: b.outcome(5).state == "in force", "the outcome is known where it was said")
     site.until(lambda: all(n.front.router.settings.quotas_rps["acme"] == 12.0 for n in site.nodes), "quotas")
     for node in site.nodes:
-        assert node.part.running.applier.classes["view"].give_up_ms == 2_000.0
+        assert node.part.running.applier.classes["view"].deadline_ms == 2_000.0
         assert node.front._limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
         assert node.zones._spill == {"b": 0.25}
         assert node.zones._sold == 12.0
@@ -50,7 +50,7 @@
     assert client.kinds() == {2: "exception"}
     a.request(1, back=True)
     site.until(lambda: site.in_force(2), "the policy before is back")
-    assert c.part.running.applier.classes["view"].give_up_ms == 9_000.0
+    assert c.part.running.applier.classes["view"].deadline_ms == 9_000.0
     site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "quotas as sold")
     assert a.front._limits["policy"] == 1e9
     assert a.zones._spill == {}
@@ -204,7 +204,7 @@
     before = node.part
     node.front.seam.release()
     assert node.front.port.table is node.front.table
-    assert node.front.port.classes["view"].give_up_ms == 9_000.0
+    assert node.front.port.classes["view"].deadline_ms == 9_000.0
     other.request(1, propose=document(8.0))
     site.until(lambda: site.in_force(2, [site.nodes[0], site.nodes[2]]), "a change without it")
     node.front.seam.take_back(node.front)
@@ -229,22 +229,27 @@
     site.begin()
     node = site.nodes[0]
     gates = [n.front.seam._parts[1].gate for n in site.nodes]
-    shelves = [n.front.seam._parts[1].core.keeper.shelf for n in site.nodes]
+    stores = [n.front.seam._parts[1].core.replica.claim_store for n in site.nodes]
     assert {gate.modes["view"] for gate in gates} == {"off"}
     strict = document(12.0, modes={"view": "before"}, window_ms={"view": 1_200.0})
     node.request(1, propose=strict)
     site.until(lambda: site.in_force(1), "the stricter one is in force")
     assert {gate.modes["view"] for gate in gates} == {"before"}
-    shares = node.front.seam._parts[1].core.shares
-    assert shares.quotas == {"acme": 12.0}
+    shares = node.front.seam._parts[1].core.quota_shares
+    assert shares.quotas_rps == {"acme": 12.0}
     site.until(
-        lambda: {shelf.windows.get("view") for shelf in shelves} == {1_200.0}, "the shorter window, later"
+        lambda: {store.class_windows_ms.get("view") for store in stores} == {1_200.0},
+        "the shorter window, later",
+    )
+    assert (
+        stores[0].claim_lifetime_ms("view:x")
+        < stores[0].claim_lifetime_ms("save:x")
+        == stores[0].claim_lifetime_ms()
     )
-    assert shelves[0].stretched("view:x") < shelves[0].stretched("save:x") == shelves[0].stretched()
     node.request(2, propose=document(12.0))
     site.until(lambda: node.by() == (2, "leased"), "the easier one is in force")
     assert gates[0].modes["view"] == "before"
-    assert shelves[0].windows["view"] == 1_500.0
+    assert stores[0].class_windows_ms["view"] == 1_500.0
     site.until(
         lambda: {gate.modes["view"] for gate in gates} == {"off"}, "easier once the old window is over"
     )
@@ -269,9 +274,9 @@
 
 def test_a_quota_that_changes_is_divided_as_the_one_before_was():
     shares = QuotaShares({"acme": 30.0, "other": 9.0}, 3)
-    shares.shares["acme"] = 20.0
-    assert shares.sell({"acme": 15.0, "new": 6.0}) == {"acme": 10.0, "new": 2.0}
-    assert shares.shares == {"acme": 10.0, "new": 2.0}
+    shares.shares_rps["acme"] = 20.0
+    assert shares.change_quotas({"acme": 15.0, "new": 6.0}) == {"acme": 10.0, "new": 2.0}
+    assert shares.shares_rps == {"acme": 10.0, "new": 2.0}
     assert shares.changes(0.0) == {"acme": 5.0}
 
 
--- a/tests/policy_rollout/test_policy_rollout_member.py
+++ b/tests/policy_rollout/test_policy_rollout_member.py
@@ -12,7 +12,8 @@
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import OperatorRequest
 from fawnwharf.policy_rollout.simulation import CAPABILITIES
-from fawnwharf.zones.log_lines import ClientMessage, MessagesReceived, RegisterDecided
+from fawnwharf.zones.effects import MessagesReceived, RegisterDecided
+from fawnwharf.zones.log_lines import ClientMessage
 
 STEP_S = 0.005
 
@@ -62,7 +63,7 @@
         for effect in effects:
             if isinstance(effect, m.Send):
                 to = () if effect.to == m.LEADER else (effect.to,)
-                self.tell(name, core.make_line(messages=[ClientMessage(effect.message, to)]))
+                self.tell(name, core.state.make_line(messages=[ClientMessage(effect.message, to)]))
             elif isinstance(effect, m.ProposeRegister):
                 put, more = core.propose_register(self.now, effect.register)
                 self.do(name, more)
@@ -92,7 +93,7 @@
                 member = self.rollouts[name]
                 if self.now >= member.due_ms():
                     self.act(name, member.tick(self.now))
-                self.tell(name, self.cores[name].make_line(policy=member.status(self.now)))
+                self.tell(name, self.cores[name].state.make_line(policy=member.status(self.now)))
                 if member.holder.has_lease(self.now):
                     acting.add(member.holder.register.last.number)
             assert len(acting) <= 1
@@ -291,12 +292,12 @@
     core, member = fleet.cores["n0"], fleet.rollouts["n0"]
     line = {"fleet": "f", "sender": "n1"}
     for words in (7, [{}], [{"said": 1, "to": "n0"}], [{"said": 1, "to": ["?"]}]):
-        [note] = core.line(fleet.now, "n1", line | {"words": words}, False)
-        assert note.event == "bad words"
-    [heard] = core.line(fleet.now, "n1", line | {"words": [{"said": {"type": "Grant"}}, {"said": 3}]}, False)
+        [note] = core.receive_line(fleet.now, "n1", line | {"words": words})
+        assert note.event == "malformed messages"
+    [heard] = core.receive_line(fleet.now, "n1", line | {"words": [{"said": {"type": "Grant"}}, {"said": 3}]})
     assert member.receive(fleet.now, "n1", heard.messages) == []
     member.receive_status(fleet.now, "n1", {"ready": 3})
     assert member.dropped == {"invalid message": 2, "invalid status": 1}
-    assert core.counts.dropped["bad words"] == 4
-    assert not core.line(fleet.now, "n1", line | {"words": [{"said": 1, "to": ["n2"]}]}, False)
+    assert core.state.drop_counts.dropped["malformed messages"] == 4
+    assert not core.receive_line(fleet.now, "n1", line | {"words": [{"said": 1, "to": ["n2"]}]})
     assert fleet.run(1.0) == {0}
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import Limits
-from fawnwharf.recovery_core.stages import Stage, allowed
+from fawnwharf.recovery_core.budget import FleetLimits
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage, SlowStartPermit
 from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
 from fawnwharf.recovery_service.permit_messages import permit_message_from
@@ -19,7 +19,7 @@
 
 WORTHS = {"view": 1.0, "settle": 5.0}
 RATION_MS = 5_000.0
-LIMITS = Limits(
+LIMITS = FleetLimits(
     fetches=4, scorer_rps=12.0, cold_ms=10_000.0, cold_share=0.2, fall_ms=1_000.0, fall_multiple=2.0,
     retry_most_ms=4_000.0,
 )  # fmt: skip
@@ -41,7 +41,7 @@
         self.ration = ration  # orders of a front end in `RATION_MS`; none: as many as it likes
         self.now, self.heap, self.count, self.lives = 0.0, [], 0, 0
         self.up, self.fronts, self.views, self.changes = set(), {}, {}, 0
-        self.may = allowed(Stage.REST, WORTHS)
+        self.may = allowed_in_phase(RecoveryPhase.REST, WORTHS)
         self.stands, self.loading = set(), {}  # (scorer, function); until when
         self.most = 0  # loads at a time
         self.orders = []  # when, by whom, of what, and whether that one lived on until it was answered
@@ -150,18 +150,18 @@
 
     def _ordered(self, name, what):
         """Stands for the decision module and a scorer."""
-        front, place = self.fronts.get(name), (what.worker, what.function)
+        front, place = self.fronts.get(name), (what.scorer, what.function)
         if front is None:
             return
         life = front.life
 
         def answer(ending, copies):
             if (front := self.fronts.get(name)) and front.life == life:
-                event = io.OrderAnswered(what.worker, what.function, ending, copies, 0.0)
+                event = io.LoadOrderAnswered(what.scorer, what.function, ending, copies, 0.0)
                 self.carry(name, front.answered(self.now, event))
 
-        if isinstance(what, io.Hold):
-            self.at(2.0, lambda: answer(io.Ending.GOOD, int(place in self.stands)))
+        if isinstance(what, io.OrderCopies):
+            self.at(2.0, lambda: answer(io.AttemptResult.GOOD, int(place in self.stands)))
             return
         if self.chance.random() < self.lost or (self.ration is not None and self.room(name) < 1):
             return  # the module has none to spare
@@ -173,7 +173,7 @@
             self.at(took, lambda: self._loaded(place))
         took = max(took, self.loading.get(place, self.now) - self.now)
         self.orders.append((self.now, name, what.function, True, self.now + took))
-        self.at(took + 1.0, lambda: answer(io.Ending.GOOD, 1))
+        self.at(took + 1.0, lambda: answer(io.AttemptResult.GOOD, 1))
 
     def _loaded(self, place):
         del self.loading[place]
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -4,14 +4,18 @@
 not in the table fails here, and so does an entry of the table that no import needs any more.
 """
 
+from pathlib import Path
+from support.imports import ImportGraph
+from support.imports import PROGRAM
+from support.imports import cycle
+from support.imports import package_of
+from support.imports import reduction
 import json
+import pytest
 import re
 import subprocess
 import sys
-from pathlib import Path
 
-import pytest
-from support.imports import PROGRAM, ImportGraph, cycle, package_of, reduction
 
 ROOT = Path(__file__).resolve().parents[1]
 
@@ -20,7 +24,7 @@
 TRIALS = {
     f"{PROGRAM}.{name}"
     for name in (
-        "durable_store.crash",
+        "durable_store.crash_simulation",
         "policy_rollout.fault_injection",
         "policy_rollout.model_checker",
         "policy_rollout.reference_model",
@@ -37,11 +41,11 @@
         "migration.relisted",
         "migration.walk",
         "migration.world",
-        "recovery_core.planned",
-        "recovery_core.promises",
-        "recovery_core.search",
+        "recovery_core.coordinated_fleet",
+        "recovery_core.claim_model",
+        "recovery_core.model_checker",
         "recovery_core.trial",
-        "recovery_core.world",
+        "recovery_core.uncoordinated_fleet",
         "recovery_service.simulation",
         "sessions.measure",
     )
--- a/tests/test_rejoin_disks.py
+++ b/tests/test_rejoin_disks.py
@@ -13,7 +13,7 @@
 from support.power_losses import PowerFleet
 
 from fawnwharf.consensus.records import leading_records
-from fawnwharf.durable_store import form as f
+from fawnwharf.durable_store import file_format as f
 
 TIMING = {"hold_ms": 100.0, "listen_ms": 1_000.0, "most_ms": 300.0, "settle_ms": 100.0}
 PACE = {"again_ms": 50.0, "spread_ms": 20.0, "stand_ms": 50.0, "stage_ms": 100.0}
@@ -91,7 +91,7 @@
 
 
 def last(folder, pattern):
-    return max(folder.glob(pattern), key=lambda path: f.parts(path.name)[1])
+    return max(folder.glob(pattern), key=lambda path: f.parse_file_name(path.name)[1])
 
 
 def proven(log):
@@ -100,7 +100,10 @@
     groups = [content for _, content in leading_records(data)[0][1:]]
     if not groups:
         return 0
-    synced, number = msgspec.json.decode(groups[-1], type=f.Group).synced, leading_records(data)[0][1][0]
+    synced, number = (
+        msgspec.json.decode(groups[-1], type=f.CommitGroup).synced,
+        leading_records(data)[0][1][0],
+    )
     return data.index(groups[0]) + 5 if synced >= number else 0
 
 
