--- a/tests/test_replication_claims.py
+++ b/tests/test_replication_claims.py
@@ -225,7 +225,7 @@
     assert policy_settings((folder / "policy-settings.json").read_bytes()).timing == RolloutTiming()
     zones = zone_settings((folder / "zones.json").read_bytes())
     state = s.parse_settings((folder / "state.json").read_bytes())
-    assert zones.members == state.members == "members.json"
+    assert zones.membership_file == state.members == "members.json"
     members = membership_from((folder / "members.json").read_bytes())
     s.check_members(members, state)
     assert (
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -206,9 +206,9 @@
 
 def test_a_larger_budget_counts_only_once_its_policy_is_in_force_and_half_of_it_without_a_leader():
     policies = object.__new__(PolicyRolloutService)
-    settings = SimpleNamespace(spill=SimpleNamespace(zones={}, share=0.5))
+    settings = SimpleNamespace(spillover=SimpleNamespace(fraction_by_zone={}, fraction=0.5))
     policies.zones = SimpleNamespace(
-        core=SimpleNamespace(members=SimpleNamespace(zones={"n": ()})), settings=settings
+        core=SimpleNamespace(membership=SimpleNamespace(zones={"n": ()})), settings=settings
     )
     policies.deployment = SimpleNamespace(settings=rules(), wire=SimpleNamespace(tenants=frozenset()))
     policies._made = {"sessions": SimpleNamespace(foreseen=SimpleNamespace(staging=staging()))}
