--- a/fawnwharf/migration/explore.py
+++ b/fawnwharf/migration/explore.py
@@ -20,7 +20,7 @@
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.world import Bounds, Kinds, World, use
-from fawnwharf.session_types import Home, LetGo, Move, Session, Stage
+from fawnwharf.session_types import Placement, PredictedMove, PrefetchOrder, PrefetchRelease, Session
 from fawnwharf.testbed.breadth_first import Found, search
 
 RULES = Settings()
@@ -49,7 +49,7 @@
         keepers = tuple(
             self._kept(self._keeper(n, (m.Record(), True, frozenset(), 1, None))) for n in KEEPERS
         )
-        home = Home(SESSION, "x", 0)
+        home = Placement(SESSION, "x", 0)
         fronts = tuple((1, None, self._seen_by(n), home, (), "", "", (), (), 0, True, ()) for n in self.names)
         self.start = World(keepers, fronts, standing=frozenset({"x"}))
 
@@ -157,7 +157,7 @@
         home = self._home_at(world, name)
         if home is None or home.site == whither:
             return f"{name} has nothing to wish", after
-        move = Move(SESSION, home.site, whither, 0.0, 1.0, "")
+        move = PredictedMove(SESSION, home.site, whither, 0.0, 1.0, "")
         step = self._as_mover(lambda mv: mv.begin(0.0, move, home.number, 1, haste))
         return f"{name} begins {home.site} to {whither}", self._at(after, name, step)
 
@@ -186,7 +186,7 @@
             if not sure and hearing is None:
                 yield f"{name} asks its fellows", self._lapse(world, place, name)
 
-    def _home_at(self, world: World, name: str) -> Home | None:
+    def _home_at(self, world: World, name: str) -> Placement | None:
         frozen = world.fronts[self.names.index(name)]
         return frozen[3] if frozen else None
 
@@ -281,9 +281,9 @@
                 decided[home.number] = site
                 if max(decided) > home.number and home.number not in dict(world.decided):
                     broken = f"{home.number} was decided after {max(decided)}"
-            elif isinstance(effect, Stage):
+            elif isinstance(effect, PrefetchOrder):
                 standing.add(effect.site)
-            elif isinstance(effect, LetGo):
+            elif isinstance(effect, PrefetchRelease):
                 standing.discard(effect.site)
             elif isinstance(effect, m.Say) and isinstance(effect.message, m.Release):
                 broken = broken or self._unsettled(world, effect.message.number)
--- a/fawnwharf/migration/hand.py
+++ b/fawnwharf/migration/hand.py
@@ -4,7 +4,7 @@
 
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.homes import EMPTY
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 
 UNSTAGED = "not staged in time"
 ASKING, STAGING, SWITCHING, SETTLING = "asking", "staging", "switching", "settling"
@@ -17,7 +17,7 @@
     session: Session
     whence: str
     whither: str  # empty: one that is taken over
-    known: Home
+    known: Placement
     turn: m.Turn
     copies: int = 1
     haste: bool = False  # its old site is dead
@@ -35,6 +35,6 @@
     stands: bool = False
     has: bool = False
     context: m.Context | None = None
-    home: Home | None = None  # decided
+    home: Placement | None = None  # decided
     left: frozenset[str] = frozenset()  # front ends that have left the old site
     others: frozenset[str] = frozenset()  # of those, who use it for other sessions
--- a/fawnwharf/migration/homes.py
+++ b/fawnwharf/migration/homes.py
@@ -25,7 +25,7 @@
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.settings import Settings
 from fawnwharf.replication.placement import rendezvous_weight
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 
 Before = tuple[int, dict[str, str], int]  # a list: number, its keepers' zones, zones that may be silent
 
@@ -191,7 +191,7 @@
             self._count("two homes under one number")
         return self._put(now_ms, session, merged(before, record))
 
-    def _known(self, now_ms: float, home: Home | None) -> None:
+    def _known(self, now_ms: float, home: Placement | None) -> None:
         """A home that somebody goes by was decided: nobody goes by any other."""
         if home is None:
             return
@@ -291,7 +291,7 @@
         return []
 
     def _tell(self, session: Session, mine: m.Record) -> m.Told:
-        return m.Told(Home(session, mine.site, mine.number), mine.whence, mine.step)
+        return m.Told(Placement(session, mine.site, mine.number), mine.whence, mine.step)
 
     # --- among keepers ----------------------------------------------------------------------------
 
--- a/fawnwharf/migration/in_use.py
+++ b/fawnwharf/migration/in_use.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 
 Spent = tuple[tuple[str, int], ...]
 
@@ -25,7 +25,7 @@
 class Seen(Struct, gc=False):
     """A session's placement as this front end goes by it, and its use."""
 
-    home: Home
+    home: Placement
     used_ms: float
     told_ms: float  # when keepers were last told that it is in use
     under_way: dict[int, int] | None = None  # calls by number
--- a/fawnwharf/migration/many.py
+++ b/fawnwharf/migration/many.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.windows import Windows
-from fawnwharf.session_types import Home, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, Session
 
 AHEAD = 32  # sessions that may begin before one whose site takes no other yet
 
@@ -32,7 +32,7 @@
 class Begin(Struct, frozen=True):
     """Begin this migration; `number` is that of the placement that it has."""
 
-    move: Move
+    move: PredictedMove
     number: int
     haste: bool
 
@@ -165,7 +165,7 @@
             going.whither, going.tries, going.began_ms = whither, going.tries + 1, now_ms
             self.going[going.live.session] = going
             left = max(0.0, min(3_600_000.0, self.until_ms - now_ms))
-            move = Move(going.live.session, going.at, whither, left, 1.0, "drain")
+            move = PredictedMove(going.live.session, going.at, whither, left, 1.0, "drain")
             found.append(Begin(move, going.number, self.haste or going.at != self.site))
         return found
 
@@ -192,7 +192,7 @@
         self.left[going.live.session] = why
         return Leave(going.live.session, why)
 
-    def ended(self, now_ms: float, home: Home, why: str) -> list[Leave]:
+    def ended(self, now_ms: float, home: Placement, why: str) -> list[Leave]:
         """Take that a migration ended.
 
         The session is placed there. If that is still the zone, it is tried again.
@@ -216,7 +216,9 @@
         self.waiting.append(going)
         return []
 
-    def lost(self, now_ms: float, site: str, stands: bool, homes: dict[Session, Home]) -> list[Begin | Leave]:
+    def lost(
+        self, now_ms: float, site: str, stands: bool, homes: dict[Session, Placement]
+    ) -> list[Begin | Leave]:
         """Take that a destination failed half-way.
 
         What was moved there goes on to another zone or, while the old zone `stands` and no other has room,
@@ -240,5 +242,5 @@
 
     def _back(self, now_ms: float, going: _Going) -> Begin:
         self.left[going.live.session] = "back: its new home is lost"
-        move = Move(going.live.session, going.at, self.site, 0.0, 1.0, "back")
+        move = PredictedMove(going.live.session, going.at, self.site, 0.0, 1.0, "back")
         return Begin(move, going.number, True)
--- a/fawnwharf/migration/measure.py
+++ b/fawnwharf/migration/measure.py
@@ -15,7 +15,7 @@
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.walk import CALM, Walk
-from fawnwharf.session_types import Home, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, Session
 
 AT_ONCE = 32
 LINKS = replace(CALM, delay_ms=(1.0, 5.0))
@@ -64,7 +64,7 @@
         session = self.left.pop()
         node = self.nodes[f"{self.sites[len(self.left) % 3]}1"]
         self.begun[session] = self.now
-        move = Move(session, "x", "y", 0.0, 1.0, "measure")
+        move = PredictedMove(session, "x", "y", 0.0, 1.0, "measure")
         self._carry_out(node, node.mover.begin(self._clock(node), move))
         for n in range(8):  # calls come while it is under way, at any front end
             self._soon(n * 5.0, self._comes, session, self.chance.choice(sorted(self.nodes)))
@@ -101,7 +101,7 @@
     rules = Settings()
     keeper = Keeper("k", ("a", "b"), rules, 0.0, 1, fresh=True)
     router = Router("f", "x", rules, lambda _: ("k", "a", "b"), 0.0, fresh=True)
-    homes = [Home(Session(f"org{n}", f"row{n}"), "y", 1) for n in range(count)]
+    homes = [Placement(Session(f"org{n}", f"row{n}"), "y", 1) for n in range(count)]
     base = tracemalloc.get_traced_memory()[0]
     for home in homes:
         told = m.Told(home, "x", m.Step.RELEASED)
--- a/fawnwharf/migration/messages.py
+++ b/fawnwharf/migration/messages.py
@@ -12,7 +12,15 @@
 
 from msgspec import Meta, Struct
 
-from fawnwharf.session_types import Home, LetGo, Move, Session, Span, Stage, Text
+from fawnwharf.session_types import (
+    DurationMs,
+    Identifier,
+    Placement,
+    PredictedMove,
+    PrefetchOrder,
+    PrefetchRelease,
+    Session,
+)
 
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 Name = Annotated[str, Meta(max_length=80)]
@@ -40,7 +48,7 @@
 
     number: Count
     turn: Turn
-    whither: Text
+    whither: Identifier
 
 
 class Grant(Struct, frozen=True, order=True, gc=False):
@@ -48,7 +56,7 @@
 
     number: Annotated[int, Meta(ge=1, le=1 << 53)]
     turn: Turn
-    site: Text
+    site: Identifier
     whence: Site
 
 
@@ -83,8 +91,8 @@
 
     kind: Name  # the class
     lanes: Annotated[int, Meta(ge=1, le=1_024)] = 1
-    load_ms: Span = 0.0
-    run_ms: Span = 0.0
+    load_ms: DurationMs = 0.0
+    run_ms: DurationMs = 0.0
     rate: Annotated[float, Meta(ge=0.0, le=1e6)] = 0.0  # calls a second
 
 
@@ -99,7 +107,7 @@
 
     session: Session
     turn: Turn
-    known: Home | None
+    known: Placement | None
     whither: Site = ""
     list: Count = 0  # number of the list of members that the mover goes by
 
@@ -109,8 +117,8 @@
 
     session: Session
     turn: Turn
-    before: Home
-    site: Text
+    before: Placement
+    site: Identifier
     list: Count = 0
 
 
@@ -128,7 +136,7 @@
 class Told(Struct, frozen=True, tag="told"):
     """What was decided and how far it has come, to replicas and front ends; whoever knows less goes by it."""
 
-    home: Home
+    home: Placement
     whence: Site
     step: Step
 
@@ -136,7 +144,7 @@
 class Met(Struct, frozen=True, tag="met"):
     """A front end uses this placement of a session; a replica that knows a later one answers."""
 
-    home: Home
+    home: Placement
     facts: Facts | None = None
 
 
@@ -149,7 +157,7 @@
 class Please(Struct, frozen=True, tag="please"):
     """Requests a migration from the session's coordinator, which answers `Begun` and how it ends."""
 
-    move: Move
+    move: PredictedMove
 
 
 class Begun(Struct, frozen=True, tag="begun"):
@@ -159,7 +167,7 @@
     """
 
     session: Session
-    home: Home | None
+    home: Placement | None
     why: Name
     over: bool
 
@@ -226,7 +234,7 @@
     turn: Turn
     number: Count
     copies: Annotated[int, Meta(ge=1, le=16)]
-    until_ms: Span
+    until_ms: DurationMs
     context: Context | None = None
     facts: Facts | None = None
 
@@ -276,8 +284,8 @@
     as long as their answer counts, prove that it is not too late.
     """
 
-    home: Home
-    site: Text
+    home: Placement
+    site: Identifier
     list: Count = 0
 
 
@@ -328,7 +336,7 @@
 class Moved(Struct, frozen=True):
     """Effect, decided: from now on whoever hears of it sends the session's new calls there."""
 
-    home: Home
+    home: Placement
     whence: str
     lost: tuple[str, ...] = ()  # what could not be carried over
 
@@ -339,7 +347,7 @@
     `home` is the last placement it knows; `done` says that all steps were completed.
     """
 
-    home: Home
+    home: Placement
     why: str
     done: bool = False
 
@@ -348,7 +356,7 @@
     """Effect: a call that was not yet sent goes to another zone."""
 
     call: str
-    home: Home
+    home: Placement
 
 
-Out = Say | Stage | LetGo | Moved | Ended | Reroute
+Out = Say | PrefetchOrder | PrefetchRelease | Moved | Ended | Reroute
--- a/fawnwharf/migration/mover.py
+++ b/fawnwharf/migration/mover.py
@@ -15,7 +15,7 @@
 from fawnwharf.migration.homes import is_open, key_of, merged
 from fawnwharf.migration.settings import Settings
 from fawnwharf.replication.placement import rendezvous_weight
-from fawnwharf.session_types import Home, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, Session
 
 HANDS_MOST = 20_000
 LOST_IN_HASTE = ("quota spent since it was last told", "rate of calls", "calls under way without a claim")
@@ -109,13 +109,13 @@
     # --- beginning --------------------------------------------------------------------------------
 
     def begin(
-        self, now_ms: float, move: Move, number: int = 0, copies: int = 1, haste: bool = False
+        self, now_ms: float, move: PredictedMove, number: int = 0, copies: int = 1, haste: bool = False
     ) -> list[m.Out]:
         """Begin a migration.
 
         `number` is that of the placement known here, `haste` says that its zone is dead.
         """
-        known = Home(move.session, move.whence, number)
+        known = Placement(move.session, move.whence, number)
         if move.session in self.hands or len(self.hands) >= HANDS_MOST:
             return [m.Ended(known, "one is in hand" if move.session in self.hands else "too many")]
         hand = Hand(move.session, move.whence, move.whither, known, m.Turn(), copies, haste)
@@ -126,7 +126,7 @@
         """Go on with what replicas hold of a session whose coordinator is gone."""
         if resume.session in self.hands or len(self.hands) >= HANDS_MOST:
             return []
-        hand = Hand(resume.session, "", "", Home(resume.session, "", 0), m.Turn())
+        hand = Hand(resume.session, "", "", Placement(resume.session, "", 0), m.Turn())
         self.hands[resume.session] = hand
         return self._ask(now_ms, hand)
 
@@ -169,7 +169,7 @@
         """It has its turn: go on from what most keepers hold."""
         base = hand.base = reduce(merged, hand.records.values())
         if base.number or base.site:
-            hand.known = Home(hand.session, base.site, base.number)
+            hand.known = Placement(hand.session, base.site, base.number)
         if base.grant is not None:  # it may be decided: nothing else can be, by this number
             wish = hand.whither
             hand.whence, hand.whither, hand.adopted = base.grant.whence, base.grant.site, True
@@ -195,7 +195,7 @@
 
     def _beaten(self, now_ms: float, hand: Hand, record: m.Record) -> list[m.Out]:
         """Another mover's switch was decided: nothing is done in the name of a smaller number."""
-        home = Home(hand.session, record.site, record.number)
+        home = Placement(hand.session, record.site, record.number)
         hand.known = home
         return self._end(hand, "a larger number was met")
 
@@ -246,13 +246,13 @@
             hand.step, hand.step_ms = SWITCHING, now_ms
         hand.round_ms, hand.words, hand.records, hand.open = now_ms, {}, {}, True
         hand.tries += 1
-        before = Home(hand.session, hand.whence, hand.base.number)
+        before = Placement(hand.session, hand.whence, hand.base.number)
         switch = m.Switch(hand.session, hand.turn, before, hand.whither, self.list)
         return [m.Say(self.keepers_of(key_of(hand.session)), switch)]
 
     def _decided(self, now_ms: float, hand: Hand) -> list[m.Out]:
         """Two keepers have granted it: from here on it is told, and never taken back."""
-        hand.home = hand.known = Home(hand.session, hand.whither, hand.base.number + 1)
+        hand.home = hand.known = Placement(hand.session, hand.whither, hand.base.number + 1)
         hand.base = m.Record(hand.home.number, hand.home.site, hand.whence, m.Step.SWITCHED)
         self._count("switched")
         lost = () if hand.has else LOST_ADOPTED if hand.adopted else LOST_IN_HASTE
--- a/fawnwharf/migration/planted.py
+++ b/fawnwharf/migration/planted.py
@@ -5,7 +5,7 @@
 from fawnwharf.migration.mover import Hand, Mover
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.world import Kinds
-from fawnwharf.session_types import Home
+from fawnwharf.session_types import Placement
 
 
 class _Early(Mover):
@@ -47,7 +47,7 @@
 class _Old(Router):
     """Says that it goes by a larger number, and begins calls by the old one."""
 
-    def meet(self, now_ms: float, home: Home, whence: str = "") -> list[m.Out]:
+    def meet(self, now_ms: float, home: Placement, whence: str = "") -> list[m.Out]:
         """Ignores placements that it meets."""
         return []
 
--- a/fawnwharf/migration/router.py
+++ b/fawnwharf/migration/router.py
@@ -16,7 +16,7 @@
 from fawnwharf.migration.homes import key_of
 from fawnwharf.migration.in_use import OpenCall, Seen, spent
 from fawnwharf.migration.settings import Settings
-from fawnwharf.session_types import Home, LetGo, Session, Stage
+from fawnwharf.session_types import Placement, PrefetchOrder, PrefetchRelease, Session
 
 CALLS_MOST = 50_000
 LOOKS = 200  # sessions that are told of anew in one tick
@@ -65,7 +65,7 @@
 
     # --- homes ------------------------------------------------------------------------------------
 
-    def home(self, session: Session) -> Home | None:
+    def home(self, session: Session) -> Placement | None:
         """The placement of a session.
 
         None where none is known: calls are served where they came, and replicas asked.
@@ -73,7 +73,7 @@
         seen = self.homes.get(session)
         return seen.home if seen else None
 
-    def _goes_by(self, now_ms: float, home: Home) -> Seen:
+    def _goes_by(self, now_ms: float, home: Placement) -> Seen:
         seen = self.homes.pop(home.session, None)
         if seen is None:
             if len(self.homes) >= self.settings.sessions:
@@ -88,7 +88,7 @@
         self.homes[home.session] = seen
         return seen
 
-    def _at(self, home: Home, by: int) -> None:
+    def _at(self, home: Placement, by: int) -> None:
         place = (home.session.row, home.site)
         self.elsewhere += by * (home.site != self.site)
         self.at_home[place] = self.at_home.get(place, 0) + by
@@ -107,7 +107,7 @@
         """
         self._anew_ms, self._untold = now_ms, list(self.homes)
 
-    def meet(self, now_ms: float, home: Home, whence: str = "") -> list[m.Out]:
+    def meet(self, now_ms: float, home: Placement, whence: str = "") -> list[m.Out]:
         """Take a placement that somebody goes by.
 
         If its number is larger, so does this front end from now on.
@@ -137,7 +137,7 @@
         """
         found: list[m.Out] = []
         home = self.home(session)
-        seen = self._goes_by(now_ms, home or Home(session, self.site, 0))
+        seen = self._goes_by(now_ms, home or Placement(session, self.site, 0))
         if session.row in self._settling:
             self._touched[session.row] = max(until_ms, self._touched.get(session.row, until_ms))
             found += self._used_since(now_ms, session.row)
@@ -241,7 +241,7 @@
             context = m.Context(receive.context.rate, receive.context.copies, both)
             self.contexts[receive.session] = context
         row, why = receive.session.row, f"hand-over by {sender}"
-        return [Stage(row, self.site, receive.copies, receive.until_ms, why)]
+        return [PrefetchOrder(row, self.site, receive.copies, receive.until_ms, why)]
 
     def stood(self, now_ms: float, to: str, receive: m.Receive, stands: bool) -> list[m.Out]:
         """Take that the copies which `receive` asked for stand, by their scorers' own answers, or can't."""
@@ -268,7 +268,7 @@
             return []
         return self._ask_keepers(now_ms, home)
 
-    def _ask_keepers(self, now_ms: float, home: Home) -> list[m.Out]:
+    def _ask_keepers(self, now_ms: float, home: Placement) -> list[m.Out]:
         """Ask the replicas whether copies may be released.
 
         Another front end of this zone may know more, or have prefetched them for another coordinator; and
@@ -305,7 +305,7 @@
         if used or now_ms < self._sure_ms:
             self._count("kept: others use it, or may")
             return []
-        return [LetGo(session.row, self.site)]
+        return [PrefetchRelease(session.row, self.site)]
 
     # --- time -------------------------------------------------------------------------------------
 
--- a/fawnwharf/migration/walk.py
+++ b/fawnwharf/migration/walk.py
@@ -20,7 +20,7 @@
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.world import Kinds
-from fawnwharf.session_types import Home, LetGo, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, PrefetchRelease, Session
 
 RULES = Settings(
     still_ms=8_000.0,
@@ -151,7 +151,7 @@
             node.keeper = self.kinds.keeper(node.name, self.keepers, RULES, now, node.life, fresh)
         if fresh:
             for session in self.sessions:
-                node.router.meet(now, Home(session, "x", 0))
+                node.router.meet(now, Placement(session, "x", 0))
 
     # --- messages ---------------------------------------------------------------------------------
 
@@ -192,14 +192,14 @@
                     self._send(node.name, to, effect.message)
             elif isinstance(effect, m.Moved):
                 self._decide(effect.home)
-            elif isinstance(effect, LetGo):
+            elif isinstance(effect, PrefetchRelease):
                 self._let_go(effect)
             elif isinstance(effect, m.Ended):
                 self.outcome.counts[effect.why] += 1
 
     # --- the ghost --------------------------------------------------------------------------------
 
-    def _decide(self, home: Home) -> None:
+    def _decide(self, home: Placement) -> None:
         self.outcome.counts["switched"] += 1
         decided = self.decided.setdefault(home.session, {})
         if decided.setdefault(home.number, home.site) != home.site:
@@ -236,14 +236,14 @@
             if home.number < release.number or old:
                 self.outcome.broken = f"{release.number} was released before {node.name} had left"
 
-    def _let_go(self, effect: LetGo) -> None:
+    def _let_go(self, effect: PrefetchRelease) -> None:
         self.outcome.counts["let go"] += 1
         session = Session("org", effect.row)
         decided = {0: "x", **self.decided.get(session, {})}
         if decided[max(decided)] == effect.site:
             self.outcome.broken = f"the home of {effect.row} was let go"
 
-    def _check(self, node: _Node, before: dict[Session, Home | None]) -> None:
+    def _check(self, node: _Node, before: dict[Session, Placement | None]) -> None:
         for session, home in before.items():
             now = node.router.home(session)
             if home and now and now.number < home.number:
@@ -309,7 +309,7 @@
         if home is None:
             return
         whither = chance.choice([site for site in self.sites if site != home.site])
-        move = Move(session, home.site, whither, 0.0, 1.0, "walk")
+        move = PredictedMove(session, home.site, whither, 0.0, 1.0, "walk")
         haste = chance.random() < self.weather.haste
         self.outcome.counts["begun"] += 1
         self._carry_out(node, node.mover.begin(self._clock(node), move, home.number, 1, haste))
--- a/fawnwharf/prefetch/core.py
+++ b/fawnwharf/prefetch/core.py
@@ -25,7 +25,7 @@
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.slices import Slices, drained
-from fawnwharf.session_types import LetGo, Move, Session
+from fawnwharf.session_types import PredictedMove, PrefetchRelease, Session
 
 # Of an idle life: the rest is for the load.
 SPAN_PART = 0.8
@@ -63,7 +63,7 @@
         self.life_ms = max(site.idle_life_ms, bounds.beat_ms)
         self.span_ms = max(SPAN_PART * site.idle_life_ms, bounds.beat_ms)
         self.best: str | None = None
-        self.moves: list[Move] = []
+        self.moves: list[PredictedMove] = []
 
     def go_by(self, bounds: Bounds) -> None:
         """Use other budgets from now on."""
@@ -86,14 +86,14 @@
         """The message for the other front ends: own counters that rose since the last one."""
         return self.watch.word()
 
-    def step(self, now_ms: float, view: View) -> Sequence[m.Order | LetGo]:
+    def step(self, now_ms: float, view: View) -> Sequence[m.Order | PrefetchRelease]:
         """One pass over what has changed.
 
         Count, learn, predict and plan; the orders, and what is not needed any more.
         """
         return drained(self.look(now_ms, lambda: view))
 
-    def look(self, now_ms: float, view: Callable[[], View]) -> Slices[list[m.Order | LetGo]]:
+    def look(self, now_ms: float, view: Callable[[], View]) -> Slices[list[m.Order | PrefetchRelease]]:
         """The same as `step` in slices, between which calls, messages and plans may come in.
 
         `view` is called once, as late as possible.
@@ -101,9 +101,9 @@
         watch, scores, planner = self.watch, self.scores, self.planner
         beat = yield from watch.look(now_ms)
         yield from scores.scoring(now_ms, beat)
-        found: list[m.Order | LetGo] = list((yield from planner.marking(now_ms, beat)))
+        found: list[m.Order | PrefetchRelease] = list((yield from planner.marking(now_ms, beat)))
         able = (self.trend, self.learnt)
-        made: dict[str, list[Move]] = {}
+        made: dict[str, list[PredictedMove]] = {}
         for predictor in able:
             yield from predictor.learn(now_ms, watch, beat)
             made[predictor.name] = yield from predictor.moves(now_ms, watch, self.span_ms)
@@ -124,7 +124,7 @@
         )
         return found + planned
 
-    def _due(self, certain: list[Move], heard: int) -> list[Move]:
+    def _due(self, certain: list[PredictedMove], heard: int) -> list[PredictedMove]:
         """Those certain moves whose copies have to be ordered by now.
 
         As late as the queue of orders allows, so that copies do not expire before they are needed.
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -15,7 +15,7 @@
 from fawnwharf.policy.state import Function, Worker, mark
 from fawnwharf.prefetch.kept import Kept
 from fawnwharf.prefetch.worth import Facts
-from fawnwharf.session_types import Text
+from fawnwharf.session_types import Identifier
 
 ORDERS_MOST = 512  # hash orders kept in mind
 PLACES_MOST = 20_000  # functions with copies, of a site
@@ -129,8 +129,8 @@
 class Told(Struct, frozen=True, array_like=True, gc=False):
     """What a front end tells the others of a function."""
 
-    row: Text
-    class_name: Text
+    row: Identifier
+    class_name: Identifier
     lanes: Annotated[int, Meta(ge=1, le=1_024)]
     memory_mb: Amount | None
     load_ms: Amount | None
--- a/fawnwharf/prefetch/messages.py
+++ b/fawnwharf/prefetch/messages.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct
 
-from fawnwharf.session_types import Part, Session, Span, Stage, Text
+from fawnwharf.session_types import DurationMs, Fraction, Identifier, PrefetchOrder, Session
 
 Number = Annotated[int, Meta(ge=0, le=1 << 53)]
 ENTRIES_MOST = 500  # of one word: a line that is longer is a fault, or an attack
@@ -18,7 +18,7 @@
     """Calls of a session at a zone that one owner counted since its message with the number `since`."""
 
     session: Session
-    site: Text
+    site: Identifier
     since: Annotated[int, Meta(ge=0, le=1 << 31)]
     calls: Annotated[int, Meta(ge=0, le=(1 << 31) - 1)]
 
@@ -37,8 +37,8 @@
 class Step(Struct, frozen=True):
     """From `in_ms` after the plan was told, this part of a zone is open."""
 
-    in_ms: Span
-    open: Part
+    in_ms: DurationMs
+    open: Fraction
 
 
 class Announced(Struct, frozen=True):
@@ -47,7 +47,7 @@
     A later plan of the same zone has a larger number; one without steps cancels what was announced.
     """
 
-    site: Text
+    site: Identifier
     number: Number
     kind: Literal["drain", "return", "standby"]
     steps: Annotated[tuple[Step, ...], Meta(max_length=20)] = ()
@@ -59,16 +59,16 @@
     They come in the order in which calls will look.
     """
 
-    stage: Stage
-    scorers: tuple[Text, ...]
+    stage: PrefetchOrder
+    scorers: tuple[Identifier, ...]
 
 
 class Moved(Struct, frozen=True, gc=False):
     """A session's calls are found at another zone than before, first at `at_ms`."""
 
     session: Session
-    whence: Text
-    whither: Text
+    whence: Identifier
+    whither: Identifier
     at_ms: float = 0.0
 
 
@@ -76,7 +76,7 @@
     """A session had no calls for so long that it counts as over; `age_ms` is how long it lasted."""
 
     session: Session
-    site: Text
+    site: Identifier
     age_ms: float
 
 
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -17,7 +17,7 @@
 from fawnwharf.prefetch.settings import Foresight, Prices
 from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.prefetch.worth import Facts, cost, fetched, loss, mean_worth
-from fawnwharf.session_types import LetGo, Move, Session, Stage
+from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
 
 HELD_MOST = 4_096  # stages of one front end
 AWAY_MS = 500.0  # a stage's load may end so much before its calls come
@@ -42,7 +42,7 @@
 class _Wish:
     """Expected moves to one zone that copies of one function would serve."""
 
-    moves: list[Move] = field(default_factory=list)
+    moves: list[PredictedMove] = field(default_factory=list)
 
     @property
     def chance(self) -> float:
@@ -99,14 +99,14 @@
     def _skip(self, cause: str) -> None:
         self.skipped[cause] = self.skipped.get(cause, 0) + 1
 
-    def seen(self, now_ms: float, beat: m.Beat) -> list[LetGo]:
+    def seen(self, now_ms: float, beat: m.Beat) -> list[PrefetchRelease]:
         """Mark prefetched copies that are used, and release those whose time is over.
 
         Predictors are scored.
         """
         return drained(self.marking(now_ms, beat))
 
-    def marking(self, now_ms: float, beat: m.Beat) -> Slices[list[LetGo]]:
+    def marking(self, now_ms: float, beat: m.Beat) -> Slices[list[PrefetchRelease]]:
         """The same as `seen`, in slices."""
         for n, calls in enumerate(beat.called if self.held else ()):
             if n % CALLED == CALLED - 1:
@@ -122,12 +122,12 @@
                 self.wasted += 1
                 self._settle(now_ms, key, -held.price)
                 self._rest(now_ms, key)
-                gone.append(LetGo(*key))
+                gone.append(PrefetchRelease(*key))
         return gone
 
     def step(
-        self, now_ms: float, moves: Sequence[Move], view: View, rate_ps: Callable[[Session], float]
-    ) -> list[m.Order | LetGo]:
+        self, now_ms: float, moves: Sequence[PredictedMove], view: View, rate_ps: Callable[[Session], float]
+    ) -> list[m.Order | PrefetchRelease]:
         """The orders of this pass, and the copies that are released.
 
         `rate_ps` gives a session's calls a second.
@@ -135,11 +135,11 @@
         return drained(self.planning(now_ms, moves, view, rate_ps))
 
     def planning(
-        self, now_ms: float, moves: Sequence[Move], view: View, rate_ps: Callable[[Session], float]
-    ) -> Slices[list[m.Order | LetGo]]:
+        self, now_ms: float, moves: Sequence[PredictedMove], view: View, rate_ps: Callable[[Session], float]
+    ) -> Slices[list[m.Order | PrefetchRelease]]:
         """The same as `step`, in slices."""
         self._note_disturbances(now_ms, view)
-        found: list[m.Order | LetGo] = [*self._release_for_calls(now_ms, view)]
+        found: list[m.Order | PrefetchRelease] = [*self._release_for_calls(now_ms, view)]
         if now_ms < self._quiet_ms:
             self._skip("not calm")
             return found
@@ -155,17 +155,17 @@
         if not view.calm:
             self._quiet_ms = now_ms + self.settings.quiet_ms
 
-    def _release_for_calls(self, now_ms: float, view: View) -> list[LetGo]:
+    def _release_for_calls(self, now_ms: float, view: View) -> list[PrefetchRelease]:
         """Unused copies that make room for calls: all of them in a surge, else those at disturbed zones."""
         found = []
         for key in list(self.held):
             if not view.calm or key[1] in view.disturbed:
                 self._settle(now_ms, key, 0.0)  # nobody's fault
                 self._rest(now_ms, key)
-                found.append(LetGo(*key))
+                found.append(PrefetchRelease(*key))
         return found
 
-    def _wishes(self, moves: Sequence[Move]) -> Slices[dict[tuple[str, str], _Wish]]:
+    def _wishes(self, moves: Sequence[PredictedMove]) -> Slices[dict[tuple[str, str], _Wish]]:
         """The moves by function and zone, without those to disturbed zones."""
         wishes: dict[tuple[str, str], _Wish] = {}
         for n, move in enumerate(moves):
@@ -279,12 +279,12 @@
 
     def _take(
         self, now_ms: float, candidates: Sequence[_Candidate], view: View
-    ) -> Slices[list[m.Order | LetGo]]:
+    ) -> Slices[list[m.Order | PrefetchRelease]]:
         """Orders for the candidates in their order, as far as the budgets go."""
         yield
         share = parts(view, self.site.fleet_size)
         budgets = self._budgets(now_ms, view, share)
-        found: list[m.Order | LetGo] = []
+        found: list[m.Order | PrefetchRelease] = []
         asked = 0
         for one in candidates:
             if len(self.held) >= HELD_MOST:
@@ -352,7 +352,7 @@
         self._rests.pop(one.key, None)
         self.ordered += one.copies
         why = "+".join(sorted(one.held.by)) + f" {one.chance:.2f}"
-        return m.Order(Stage(row, site, one.copies, one.held.until_ms - now_ms, why), tuple(scorers))
+        return m.Order(PrefetchOrder(row, site, one.copies, one.held.until_ms - now_ms, why), tuple(scorers))
 
     def failed(self, now_ms: float, row: str, site: str) -> bool:
         """Take that an order did not lead to a copy; False where none was held.
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -16,7 +16,7 @@
 from fawnwharf.prefetch.seen import Group, Track, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
-from fawnwharf.session_types import Move, Session
+from fawnwharf.session_types import PredictedMove, Session
 
 SPAN_MOST_MS = 3_600_000.0
 MOVES, GROUPS, RISING = 40, 30, 30  # of one slice
@@ -37,7 +37,7 @@
         """Take the result of one pass."""
         ...
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
         """The moves expected within `span_ms`, with their probabilities."""
         ...
 
@@ -51,7 +51,7 @@
         """Nothing is learnt."""
         yield
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
         """No moves."""
         yield
         return []
@@ -70,12 +70,12 @@
     settings: Foresight,
     span_ms: float,
     ahead: float,
-) -> Slices[list[Move]]:
+) -> Slices[list[PredictedMove]]:
     """Moves of the sessions in `ways`, the likeliest first, until there are twice as many as may be named.
 
     `past` gives the chance that a session lives for `ahead` milliseconds more.
     """
-    found: list[Move] = []
+    found: list[PredictedMove] = []
     for chance, group, whence, whither in sorted(ways, key=lambda way: -way[0]):
         if len(found) >= 2 * settings.most:
             break
@@ -84,7 +84,7 @@
             if track is None:
                 continue
             lives = past.lives(now_ms, session, track, ahead) if past else 1.0
-            found.append(Move(session, whence, whither, span_ms, chance * lives, by))
+            found.append(PredictedMove(session, whence, whither, span_ms, chance * lives, by))
             if len(found) % MOVES == 0:
                 yield
     return found
@@ -142,7 +142,7 @@
         fast = flux.fast * math.exp(span / self.settings.fast_ms)
         return _Flux(fast, flux.slow * math.exp(span / self.settings.slow_ms), now_ms)
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
         """Sessions that follow a flux, and sessions whose calls shift to another zone."""
         settings = self.settings
         ways: list[_Way] = []
@@ -167,14 +167,14 @@
                 found += self._rising(session, track, span_ms)
         return heapq.nlargest(settings.most, found, key=lambda move: move.chance)
 
-    def _rising(self, session: Session, track: Track, span_ms: float) -> list[Move]:
+    def _rising(self, session: Session, track: Track, span_ms: float) -> list[PredictedMove]:
         fast, slow = (sum(getattr(f, n) for f in track.flows) or 1.0 for n in ("fast", "slow"))
         found = []
         for flow in track.flows:
             share, before = flow.fast / fast, flow.slow / slow
             ahead = min(0.95, share + (share - before) * span_ms / self.settings.slow_ms)
             if flow.site != track.site and share > before and ahead >= self.settings.floor:
-                found.append(Move(session, track.site, flow.site, span_ms, ahead, self.name))
+                found.append(PredictedMove(session, track.site, flow.site, span_ms, ahead, self.name))
         return found
 
 
@@ -191,7 +191,7 @@
         """Add the result of one pass to the history."""
         yield from self.past.learning(now_ms, watch, beat)
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
         """Moves by the hazards of the history."""
         settings = self.settings
         ways: list[_Way] = []
@@ -260,9 +260,9 @@
         """Nothing is learnt."""
         yield
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
         """Moves by the steps of the announced plans that are due within `span_ms`."""
-        found: list[Move] = []
+        found: list[PredictedMove] = []
         for site, (told_ms, plan) in sorted(self._plans.items()):
             was = 1.0 if plan.kind == "drain" else 0.0
             for step in plan.steps:
@@ -280,8 +280,8 @@
 
     def _leave(
         self, now_ms: float, watch: Watcher, site: str, was: float, left: float, ahead: float
-    ) -> Slices[list[Move]]:
-        found: list[Move] = []
+    ) -> Slices[list[PredictedMove]]:
+        found: list[PredictedMove] = []
         group = watch.here.get(site, Group())
         for n, session in enumerate(group.busiest(4 * self.settings.most)):
             if n % MOVES == MOVES - 1:
@@ -298,13 +298,15 @@
             for target, share in self.whither(session, site):
                 if part * share > 0 and target != site:
                     within = min(SPAN_MOST_MS, max(0.0, ahead) + self.settings.fast_ms)
-                    found.append(Move(session, site, target, within, min(1.0, part * share), self.name))
+                    found.append(
+                        PredictedMove(session, site, target, within, min(1.0, part * share), self.name)
+                    )
         return found
 
     def _return(
         self, now_ms: float, watch: Watcher, site: str, was: float, open_: float, ahead: float
-    ) -> Slices[list[Move]]:
-        found: list[Move] = []
+    ) -> Slices[list[PredictedMove]]:
+        found: list[PredictedMove] = []
         back = watch.left.get(site, Group()).busiest(4 * self.settings.most)
         yield
         # Those that began while the site was out have never been there. Bounded: the last that called.
@@ -331,5 +333,5 @@
             part *= self._lives(now_ms, session, track, max(0.0, ahead))
             if part > 0:
                 within = min(SPAN_MOST_MS, max(0.0, ahead) + self.settings.fast_ms)
-                found.append(Move(session, track.site, site, within, min(1.0, part), self.name))
+                found.append(PredictedMove(session, track.site, site, within, min(1.0, part), self.name))
         return found
--- a/fawnwharf/prefetch/score.py
+++ b/fawnwharf/prefetch/score.py
@@ -16,7 +16,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices, drained
-from fawnwharf.session_types import Move, Session
+from fawnwharf.session_types import PredictedMove, Session
 
 BINS = 10
 OPEN_MOST = 20_000  # predictions of one predictor whose end is awaited
@@ -90,11 +90,11 @@
         self._dues: dict[str, list[tuple[float, int, Key]]] = {}  # heaps, of the same
         self._numbers = itertools.count()
 
-    def predicted(self, now_ms: float, moves: list[Move]) -> None:
+    def predicted(self, now_ms: float, moves: list[PredictedMove]) -> None:
         """Take the predictions of one pass."""
         drained(self.noting(now_ms, moves))
 
-    def noting(self, now_ms: float, moves: list[Move]) -> Slices[None]:
+    def noting(self, now_ms: float, moves: list[PredictedMove]) -> Slices[None]:
         """The same as `predicted`, in slices."""
         for n, move in enumerate(moves):
             if n % KEYS == KEYS - 1:
--- a/fawnwharf/prefetch/ways.py
+++ b/fawnwharf/prefetch/ways.py
@@ -20,7 +20,7 @@
 from fawnwharf.prefetch.seen import Group, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
-from fawnwharf.session_types import Session, Stage, Text
+from fawnwharf.session_types import Identifier, PrefetchOrder, Session
 from fawnwharf.zones.settings import SettingsFileError
 
 QUEUE_MOST = 20_000
@@ -34,9 +34,9 @@
     """A line of the oracle's file: from `at_ms` (Unix) on the session's calls go to another zone."""
 
     at_ms: Annotated[float, Meta(ge=0.0)]
-    org: Text
-    row: Text
-    whither: Text
+    org: Identifier
+    row: Identifier
+    whither: Identifier
 
 
 def foretold_from(data: bytes) -> list[Foretold]:
@@ -184,5 +184,5 @@
                 left -= 1.0
                 self._fleet.tokens -= share
                 self._pace.tokens -= 1.0
-            found.append(m.Order(Stage(row, site, 1, self.idle_ms, self.bounds.mode), (scorer,)))
+            found.append(m.Order(PrefetchOrder(row, site, 1, self.idle_ms, self.bounds.mode), (scorer,)))
         return found
--- a/fawnwharf/sessions/agent.py
+++ b/fawnwharf/sessions/agent.py
@@ -20,7 +20,7 @@
 from fawnwharf.migration.homes import Keeper, key_of, mover_of
 from fawnwharf.migration.mover import Mover
 from fawnwharf.migration.router import Router
-from fawnwharf.session_types import Home, LetGo, Move, Session, Stage
+from fawnwharf.session_types import Placement, PredictedMove, PrefetchOrder, PrefetchRelease, Session
 from fawnwharf.sessions.asking import Asking, why_not
 from fawnwharf.sessions.completing import context_of, filled, with_copies
 from fawnwharf.sessions.effects import Key, Note, Out, Words, named
@@ -98,7 +98,7 @@
         lanes: int,
         load_ms: float | None,
         budget_ms: float,
-    ) -> Home:
+    ) -> Placement:
         """Take a call that the module is about to get; the placement that it goes by."""
         self.known.came(now_ms, session, kind, lanes, load_ms)
         urgent = self.router.home(session) is None
@@ -151,7 +151,9 @@
         if self.mover is not None:
             found += self.mover.receive(now_ms, sender, word)
         self._note_moves(now_ms, sender, word)
-        found += [out for out in self.router.receive(now_ms, sender, word) if not isinstance(out, Stage)]
+        found += [
+            out for out in self.router.receive(now_ms, sender, word) if not isinstance(out, PrefetchOrder)
+        ]
         if self.keeper is not None:
             found += self.keeper.receive(now_ms, sender, word)
         if isinstance(word, m.Receive):
@@ -213,7 +215,7 @@
         wanted = []
         for session, site in moves:
             whence = getattr(self.router.home(session), "site", self.site)
-            wanted.append(Move(session, whence, site, 0.0, 1.0, "operator"))
+            wanted.append(PredictedMove(session, whence, site, 0.0, 1.0, "operator"))
         self.asking.ask(now_ms, wanted)
         self._carry(now_ms, self.asking.due(now_ms, self.mover_for))
 
@@ -237,12 +239,12 @@
         self._pleased[move.session] = sender
         return [begun, *self._begin(now_ms, replace(move, whence=home.site), home.number)]
 
-    def _home(self, session: Session) -> Home | None:
+    def _home(self, session: Session) -> Placement | None:
         """The last home that is known here, as a keeper or of calls."""
         seen = self.router.home(session)
         record = self.keeper.record(session) if self.keeper else m.Record()
         if record.site and (seen is None or record.number >= seen.number):
-            return Home(session, record.site, record.number)
+            return Placement(session, record.site, record.number)
         return seen
 
     def close(self, now_ms: float, closed: dict[str, str], shares: dict[str, float] | None = None) -> None:
@@ -255,13 +257,13 @@
         room = {name: room for name, room in self.room.items() if name not in self._closed and name != site}
         return target(session, room)
 
-    def expected(self, now_ms: float, moves: Iterable[Move]) -> None:
+    def expected(self, now_ms: float, moves: Iterable[PredictedMove]) -> None:
         """Take moves that are predicted."""
         self.moves.expected(now_ms, moves)
 
     # --- hand-overs -------------------------------------------------------------------------------
 
-    def _begin(self, now_ms: float, move: Move, number: int, haste: bool = False) -> list[m.Out]:
+    def _begin(self, now_ms: float, move: PredictedMove, number: int, haste: bool = False) -> list[m.Out]:
         best = self.known.best(now_ms, move.session)
         return self.mover.begin(now_ms, move, number, copies(best), haste)
 
@@ -295,7 +297,7 @@
                 waiting.extendleft(reversed(self._moved(now_ms, effect)))
             elif isinstance(effect, m.Ended):
                 waiting.extendleft(reversed(self._over(now_ms, effect)))
-            elif isinstance(effect, LetGo):
+            elif isinstance(effect, PrefetchRelease):
                 self.counts["let go"] += 1
                 self._out.append(effect)
 
@@ -315,7 +317,7 @@
         self._out.append(Note("hand-over ended", fields | {"why": ended.why, "done": ended.done}))
         return self._please_over(home, ended.why)
 
-    def _please_over(self, home: Home, why: str) -> list[m.Out]:
+    def _please_over(self, home: Placement, why: str) -> list[m.Out]:
         wisher = self._pleased.pop(home.session, None)
         return [m.Say((wisher,), m.Begun(home.session, home, why, True))] if wisher else []
 
--- a/fawnwharf/sessions/asking.py
+++ b/fawnwharf/sessions/asking.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.migration import messages as m
-from fawnwharf.session_types import Home, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, Session
 from fawnwharf.sessions.words import Answer
 
 ANSWERS_MOST = 1_000
 AGAIN_MS, MOST_MS = 1_000.0, 8_000.0  # a mover that says nothing is asked again, for so long
 
 
-def why_not(home: Home | None, whither: str, sites: Collection[str], closed: Collection[str]) -> str:
+def why_not(home: Placement | None, whither: str, sites: Collection[str], closed: Collection[str]) -> str:
     """Why a session of this placement can't move there; empty where it can."""
     if home is None:
         return "no such session"
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class _Wish:
-    move: Move
+    move: PredictedMove
     asked_ms: float
     said_ms: float = field(default=float("-inf"))
 
@@ -42,7 +42,7 @@
     def __bool__(self) -> bool:
         return bool(self._open)
 
-    def ask(self, now_ms: float, moves: Iterable[Move]) -> None:
+    def ask(self, now_ms: float, moves: Iterable[PredictedMove]) -> None:
         """Take requests in place of the earlier ones."""
         self.answers.clear()
         self._open.clear()
--- a/fawnwharf/sessions/effects.py
+++ b/fawnwharf/sessions/effects.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from fawnwharf.migration import messages as m
-from fawnwharf.session_types import LetGo, Session
+from fawnwharf.session_types import PrefetchRelease, Session
 
 Key = tuple[Session, m.Turn]
 
@@ -41,7 +41,7 @@
     fields: dict[str, Any]
 
 
-Out = Words | Copies | Dropped | LetGo | Note
+Out = Words | Copies | Dropped | PrefetchRelease | Note
 
 
 def named(session: Session) -> dict[str, Any]:
--- a/fawnwharf/sessions/known.py
+++ b/fawnwharf/sessions/known.py
@@ -10,7 +10,7 @@
 from fawnwharf.interface import ClassSpec
 from fawnwharf.migration import messages as m
 from fawnwharf.migration.many import Live
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions.settings import Settings
 
 FADE_MS = 10_000.0  # over which calls are counted
@@ -123,7 +123,7 @@
         self._sessions: dict[Session, int] = {}
         self._calls: dict[str, Session] = {}
 
-    def met(self, told: m.Told, before: Home | None) -> None:
+    def met(self, told: m.Told, before: Placement | None) -> None:
         """Take a decided placement; `before` is the one that is known here."""
         if told.step is m.Step.SWITCHED and before is not None and told.home.number > before.number:
             _put(self._sessions, told.home.session, told.home.number, FIRSTS_MOST)
--- a/fawnwharf/sessions/left.py
+++ b/fawnwharf/sessions/left.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from fawnwharf.migration.router import Router
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 
 VERSION = 1
 LEFT_MOST = 20_000  # those that were used last
@@ -70,7 +70,7 @@
     for one in homes:
         still_ms = unix_ms - one.used_ms
         if one.number > 0 and one.site in sites and 0.0 <= still_ms < router.settings.still_ms:
-            router.meet(now_ms - still_ms, Home(Session(one.org, one.row), one.site, one.number))
+            router.meet(now_ms - still_ms, Placement(Session(one.org, one.row), one.site, one.number))
             taken += 1
     return taken
 
--- a/fawnwharf/sessions/moves.py
+++ b/fawnwharf/sessions/moves.py
@@ -18,7 +18,7 @@
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.windows import Windows
 from fawnwharf.replication.placement import rendezvous_weight
-from fawnwharf.session_types import Home, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, Session
 
 LOOKS, HASHES = 2_000, 150  # records, and placements worked out, in one look
 BATCH = 256  # sessions that are emptied in the order of their worth; the next ones when these are done
@@ -160,7 +160,7 @@
         if len(self.wanted) < WAIT_MOST:
             self.wanted[session] = wanted
 
-    def expected(self, now_ms: float, moves: Iterable[Move]) -> None:
+    def expected(self, now_ms: float, moves: Iterable[PredictedMove]) -> None:
         """Take predicted moves; one that is not all but certain changes no placement."""
         for move in moves:
             known = move.session in self.wanted or move.whence in self.closed or move.whither in self.closed
@@ -274,13 +274,13 @@
             self._under_way[session] = wanted
             self.windows.begun(session, wanted.whither)
             self._count(f"begun: {wanted.by}")
-            move = Move(session, record.site, wanted.whither, 0.0, 1.0, wanted.by)
+            move = PredictedMove(session, record.site, wanted.whither, 0.0, 1.0, wanted.by)
             found.append(Begin(move, record.number, False))
         return found
 
     # --- what came of it --------------------------------------------------------------------------
 
-    def switched(self, now_ms: float, home: Home, whence: str) -> None:
+    def switched(self, now_ms: float, home: Placement, whence: str) -> None:
         """Take that a switch is decided: it uses no budget any more, though it has yet to settle."""
         self.windows.ended(now_ms, home.session, "switched")
         for site, closed in self.closed.items():
@@ -290,7 +290,7 @@
         self.seen(now_ms, home, whence)
         self._under_way.pop(home.session, None)
 
-    def seen(self, now_ms: float, home: Home, whence: str) -> None:
+    def seen(self, now_ms: float, home: Placement, whence: str) -> None:
         """Take a decided switch, whoever drove it: another coordinator may have to bring the session back."""
         self.dwell.moved(now_ms, home.session, whence, home.site)
         if whence in self.closed and self.whence(home.session) != home.site:
@@ -300,7 +300,7 @@
             self.away.pop(home.session, None)
             self.wanted.pop(home.session, None)
 
-    def ended(self, now_ms: float, home: Home, why: str) -> None:
+    def ended(self, now_ms: float, home: Placement, why: str) -> None:
         """Take that a migration ended."""
         self.windows.ended(now_ms, home.session, why)
         for site, closed in self.closed.items():
@@ -315,7 +315,7 @@
             wanted.next_ms = now_ms + AGAIN_MS
             self._want(home.session, wanted)
 
-    def _over(self, now_ms: float, site: str, drain: Drain, home: Home, why: str) -> None:
+    def _over(self, now_ms: float, site: str, drain: Drain, home: Placement, why: str) -> None:
         for leave in drain.ended(now_ms, home, why):
             self._left(now_ms, leave)
         if home.session in drain.moved:
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -10,7 +10,7 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
-from fawnwharf.session_types import LetGo, Session
+from fawnwharf.session_types import PrefetchRelease, Session
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.effects import Copies, Dropped, Note, Out, Words
@@ -261,12 +261,12 @@
             self._tell(self.stages.want(now_ms, effect))
         elif isinstance(effect, Dropped):
             self.stages.drop(effect.key)
-        elif isinstance(effect, LetGo):
+        elif isinstance(effect, PrefetchRelease):
             self._let_go(now_ms, effect)
         elif isinstance(effect, Note):
             self.note(effect.event, effect.fields)
 
-    def _let_go(self, now_ms: float, effect: LetGo) -> None:
+    def _let_go(self, now_ms: float, effect: PrefetchRelease) -> None:
         if not self.settings.handover.unload or not self.deployment.settings.load_orders_allowed:
             return
         try:
--- a/fawnwharf/sessions/settings.py
+++ b/fawnwharf/sessions/settings.py
@@ -14,7 +14,7 @@
 from fawnwharf.interface import ClassSpec
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.settings import Settings as Handover
-from fawnwharf.session_types import Session, Text
+from fawnwharf.session_types import Identifier, Session
 from fawnwharf.zones.settings import Name, SettingsFileError, decode_versioned_file
 
 VERSION = 1
@@ -35,8 +35,8 @@
 class Asked(Struct, frozen=True):
     """A request: one session is to be placed at a zone."""
 
-    org: Text
-    row: Text
+    org: Identifier
+    row: Identifier
     site: Name
 
     @property
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -28,7 +28,7 @@
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.prefetch.ways import Foretold, Ways
 from fawnwharf.replication.placement import rendezvous_weight
-from fawnwharf.session_types import LetGo, Move, Session, Stage
+from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
 from fawnwharf.zones.evidence import EvidenceCollector
 from fawnwharf.zones.evidence import ZoneHealth as Sight
 from fawnwharf.zones.evidence import zone_health as sight
@@ -71,9 +71,9 @@
 
     words: list[Word] = []  # of a keeper to all, of others to the keepers
     wanted: list[io.PrefetchRequested] = []  # events for the module
-    stages: list[Stage] = []  # the same by function and site
-    let_gos: list[LetGo] = []  # staged, and not needed: nothing renews it any more
-    moves: list[Move] | None = None  # that are expected; None: no look has ended since the last beat
+    stages: list[PrefetchOrder] = []  # the same by function and site
+    let_gos: list[PrefetchRelease] = []  # staged, and not needed: nothing renews it any more
+    moves: list[PredictedMove] | None = None  # that are expected; None: no look has ended since the last beat
     again_ms: float = SLICE_MS
 
 
@@ -323,7 +323,7 @@
         found.words.append(Word(watch.part(COUNTS), functions, self.calm))
         return True
 
-    def _look(self, now_ms: float) -> Slices[list[m.Order | LetGo]]:
+    def _look(self, now_ms: float) -> Slices[list[m.Order | PrefetchRelease]]:
         while self.copies.sweep(now_ms):
             yield
         mode = self.bounds.mode
@@ -335,11 +335,11 @@
         yield from self.core.watch.look(now_ms)
         return (yield from self.ways.look(now_ms, self._view(now_ms), self._out(now_ms)))
 
-    def _end(self, now_ms: float, orders: list[m.Order | LetGo], found: Beat) -> None:
+    def _end(self, now_ms: float, orders: list[m.Order | PrefetchRelease], found: Beat) -> None:
         found.moves = list(self.core.moves)
         found.again_ms = max(SLICE_MS, self._look_ms + self.bounds.beat_ms - now_ms)
         for order in orders:
-            if isinstance(order, LetGo):
+            if isinstance(order, PrefetchRelease):
                 found.let_gos.append(order)
                 continue
             stage, facts = order.stage, self.functions.facts(order.stage.row)
--- a/fawnwharf/sessions/trace.py
+++ b/fawnwharf/sessions/trace.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.migration import messages as m
 from fawnwharf.net.timer_wheel import unix_ms
-from fawnwharf.session_types import Home
+from fawnwharf.session_types import Placement
 
 
 class Trace:
@@ -26,7 +26,7 @@
         """Close the file."""
         self._file.close()
 
-    def taken(self, call: str, home: Home) -> None:
+    def taken(self, call: str, home: Placement) -> None:
         """Write a call's line; `sent_ms` is the Unix millisecond at which the module got the call."""
         session = home.session
         said = {"call": call, "org": session.org, "row": session.row}
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -38,7 +38,7 @@
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
 from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions import foreseen, left
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
@@ -234,7 +234,7 @@
     )
     session = Session("acme", "r1")
     trace = session_trace.Trace(tmp_path / "sessions")
-    trace.taken("c1", Home(session, "b", 4))
+    trace.taken("c1", Placement(session, "b", 4))
     context = migrations.Context(1.0, 1, (("n0", 5),))
     trace.received([migrations.Receive(session, migrations.Turn(1, "n0"), 5, 1, 10.0, context)])
     trace.close()
--- a/tests/support/session_agents.py
+++ b/tests/support/session_agents.py
@@ -8,7 +8,7 @@
 from fawnwharf.migration.settings import DrainSettings
 from fawnwharf.migration.settings import Settings as Handover
 from fawnwharf.replication.placement import ReplicaPlacement
-from fawnwharf.session_types import LetGo, Session
+from fawnwharf.session_types import PrefetchRelease, Session
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.agent import Agent
@@ -150,7 +150,7 @@
             elif isinstance(effect, Copies):
                 front.staged.append(effect.row)
                 self.soon(self.chance.uniform(20.0, 120.0), self.stood, front, front.life, effect.key)
-            elif isinstance(effect, LetGo):
+            elif isinstance(effect, PrefetchRelease):
                 front.let_go.append((effect.row, effect.site))
                 self.check_let_go(effect)
             elif isinstance(effect, Note):
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -17,7 +17,7 @@
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.trial import compare, interval
 from fawnwharf.prefetch.worth import Facts, cost, loss, mean_worth
-from fawnwharf.session_types import LetGo, Move, Session
+from fawnwharf.session_types import PredictedMove, PrefetchRelease, Session
 
 SPEC = ClassSpec("view", latency_target_ms=800.0, deadline_ms=3_000.0, priority_weight=1.0, late_share=0.2)
 SITE = Settings(classes={"view": SPEC}, fleet_size=3, idle_life_ms=9_300.0)
@@ -37,7 +37,7 @@
 
 
 def move(n, chance=0.9, by="learnt", whither="s", within=5_000.0):
-    return Move(Session("club", f"f{n}"), "n", whither, within, chance, by)
+    return PredictedMove(Session("club", f"f{n}"), "n", whither, within, chance, by)
 
 
 def planner(bounds=S, site=SITE):
@@ -177,9 +177,9 @@
 def test_it_yields_in_a_surge_a_loss_and_a_power_up_and_waits_a_while_after():
     plan = planner()
     assert len(orders(step(plan, 0.0, [move(1), move(2, whither="t")], view()))) == 2
-    assert step(plan, 500.0, [move(3)], view(disturbed=frozenset("t")))[:1] == [LetGo("f2", "t")]
+    assert step(plan, 500.0, [move(3)], view(disturbed=frozenset("t")))[:1] == [PrefetchRelease("f2", "t")]
     assert step(plan, 1_000.0, [move(4, whither="t")], view()) == []
-    assert LetGo("f1", "s") in step(plan, 1_500.0, [move(5)], view(calm=False))
+    assert PrefetchRelease("f1", "s") in step(plan, 1_500.0, [move(5)], view(calm=False))
     assert step(plan, 1_500.0 + S.quiet_ms - 1, [move(5)], view()) == []
     assert len(orders(step(plan, 1_500.0 + S.quiet_ms, [move(5)], view()))) == 1
     assert plan.scores.sums == {}  # a surge is no fault of a predictor
@@ -189,7 +189,7 @@
     plan = planner()
     (order,) = orders(step(plan, 0.0, [move(1, 0.4)], view()))
     assert plan.seen(order.stage.until_ms - 1, m.Beat()) == []
-    assert plan.seen(order.stage.until_ms, m.Beat()) == [LetGo("f1", "s")]
+    assert plan.seen(order.stage.until_ms, m.Beat()) == [PrefetchRelease("f1", "s")]
     assert plan.wasted == 1 and plan.scores.sums["learnt"].net < -0.15
     assert step(plan, order.stage.until_ms, [move(1, 0.4)], view()) == []
     assert len(orders(step(plan, order.stage.until_ms + S.dwell_ms, [move(1, 0.4)], view()))) == 1
--- a/tests/test_handover_core.py
+++ b/tests/test_handover_core.py
@@ -12,7 +12,7 @@
 from fawnwharf.migration.mover import Mover
 from fawnwharf.migration.router import Router
 from fawnwharf.migration.settings import Settings
-from fawnwharf.session_types import Home, LetGo, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, PrefetchRelease, Session
 
 RULES = Settings()
 S = Session("org", "row")
@@ -73,7 +73,7 @@
 
 
 def test_all_messages_come_back_from_their_lines():
-    home, turn = Home(S, "x", 1), m.Turn(1, "a#1")
+    home, turn = Placement(S, "x", 1), m.Turn(1, "a#1")
     record = m.Record(1, "x", "y", m.Step.SETTLED, turn, m.Offer(2, turn, "z"), m.Grant(2, turn, "z", "x"))
     for message in (
         m.Ask(S, turn, None),
@@ -95,12 +95,12 @@
 
 
 def ask(at, count, by="a", now=0.0, number=0):
-    [say] = at.ask(now, by, m.Ask(S, m.Turn(count, f"{by}#1"), Home(S, "x", number), "y"))
+    [say] = at.ask(now, by, m.Ask(S, m.Turn(count, f"{by}#1"), Placement(S, "x", number), "y"))
     return say.message
 
 
 def switch(at, count, by="a", site="y", number=0, now=0.0):
-    [say] = at.switch(now, by, m.Switch(S, m.Turn(count, f"{by}#1"), Home(S, "x", number), site))
+    [say] = at.switch(now, by, m.Switch(S, m.Turn(count, f"{by}#1"), Placement(S, "x", number), site))
     return say.message
 
 
@@ -112,18 +112,18 @@
     assert switch(at, 1, "b", "z").yes
     word = ask(at, 2)
     assert word.yes and word.record.grant.site == "z"  # what may be decided is found
-    at.told(0.0, "b", m.Told(Home(S, "z", 1), "x", m.Step.SWITCHED))
+    at.told(0.0, "b", m.Told(Placement(S, "z", 1), "x", m.Step.SWITCHED))
     assert not switch(at, 9).yes
-    [say] = at.told(0.0, "a", m.Told(Home(S, "x", 0), "", m.Step.RELEASED))
-    assert say.message.home == Home(S, "z", 1)
-    [say] = at.met(0.0, "c", m.Met(Home(S, "x", 0)))
+    [say] = at.told(0.0, "a", m.Told(Placement(S, "x", 0), "", m.Step.RELEASED))
+    assert say.message.home == Placement(S, "z", 1)
+    [say] = at.met(0.0, "c", m.Met(Placement(S, "x", 0)))
     assert say.message.home.number == 1
 
 
 def test_a_keeper_that_starts_anew_waits_and_asks_its_fellows_and_is_told_all_in_parts():
     old = Keeper("k1", KEEPERS, RULES, 0.0, 1, True)
     for n in range(1_200):
-        old.told(0.0, "a", m.Told(Home(Session("org", f"r{n}"), "y", 1), "x", m.Step.RELEASED))
+        old.told(0.0, "a", m.Told(Placement(Session("org", f"r{n}"), "y", 1), "x", m.Step.RELEASED))
     new = keeper(fresh=False)
     assert not ask(new, 1).sure and new.tick(RULES.wait_ms) == []
     now = RULES.wait_ms * RULES.stretch + 1.0
@@ -143,7 +143,7 @@
 
 def test_keepers_that_all_forgot_wait_the_window_out():
     new = keeper(fresh=False)
-    new.met(0.0, "a", m.Met(Home(S, "y", 3)))
+    new.met(0.0, "a", m.Met(Placement(S, "y", 3)))
     assert not new.sure(RULES.window_ms - 1.0)
     assert new.sure(RULES.window_ms)
     assert ask(new, 1, now=RULES.window_ms).record.number == 3
@@ -152,7 +152,7 @@
 def test_a_full_keeper_takes_nothing_new_and_forgets_only_what_is_over():
     at = keeper(sessions=2)
     for n in range(3):
-        at.told(0.0, "a", m.Told(Home(Session("org", f"r{n}"), "y", 1), "x", m.Step.RELEASED))
+        at.told(0.0, "a", m.Told(Placement(Session("org", f"r{n}"), "y", 1), "x", m.Step.RELEASED))
     assert len(at.records) == 2 and not ask(at, 1).yes
     assert ask(at, 1, now=3 * RULES.window_ms).yes
 
@@ -169,7 +169,7 @@
 
 def test_no_turn_begins_while_old_copies_are_let_go_and_none_go_where_it_is_offered_back():
     at = keeper()
-    home = Home(S, "y", 1)
+    home = Placement(S, "y", 1)
     assert at.let(0.0, "a", m.MayLetGo(home, "x"))[0].message.yes
     assert not ask(at, 1, number=1).yes
     later = RULES.wait_ms * RULES.stretch + 1.0
@@ -183,28 +183,28 @@
 
 def router(**more):
     at = Router("f", "x", RULES, placed, 0.0, **{"fresh": True} | more)
-    at.meet(0.0, Home(S, "x", 0))
+    at.meet(0.0, Placement(S, "x", 0))
     return at
 
 
 def test_calls_not_yet_sent_go_to_the_new_home_and_sent_ones_end_at_the_old_one():
     at = router()
     for call in ("sent", "taken"):
-        assert at.begin(0.0, call, S, 5_000.0)[0] == m.Reroute(call, Home(S, "x", 0))
+        assert at.begin(0.0, call, S, 5_000.0)[0] == m.Reroute(call, Placement(S, "x", 0))
     at.sent("sent")
-    new = Home(S, "y", 1)
+    new = Placement(S, "y", 1)
     found = at.told(1.0, "mover", m.Told(new, "x", m.Step.SWITCHED))
     assert found == [m.Reroute("taken", new), m.Say(("mover",), m.Left(S, 1, 1, 0))]
     assert at.begin(2.0, "later", S, 5_000.0)[0].home == new
     assert at.ended(3.0, "sent") == [m.Say(("mover",), m.Left(S, 1, 0, 0))]
-    assert at.meet(4.0, Home(S, "x", 0)) == [] and at.home(S) == new
+    assert at.meet(4.0, Placement(S, "x", 0)) == [] and at.home(S) == new
 
 
 def test_a_call_past_its_time_is_given_up_and_a_still_session_forgotten():
     at = router()
     at.begin(0.0, "c", S, 100.0)
     at.sent("c")
-    at.told(1.0, "mover", m.Told(Home(S, "y", 1), "x", m.Step.SWITCHED))
+    at.told(1.0, "mover", m.Told(Placement(S, "y", 1), "x", m.Step.SWITCHED))
     assert [say.message.under_way for say in at.tick(100.0)] == [0]
     at.tick(RULES.still_ms + 2.0)
     assert at.home(S) is None and not at.at_home
@@ -214,25 +214,25 @@
 def test_old_copies_go_only_when_nobody_else_uses_them_and_nothing_was_forgotten(others, fresh, goes):
     at = router(fresh=fresh)
     for n in range(others):
-        at.meet(0.0, Home(Session(f"other{n}", "row"), "x", 0))
+        at.meet(0.0, Placement(Session(f"other{n}", "row"), "x", 0))
     assert at.release(0.0, "mover", m.Release(S, 1)) == []  # it has not met that number
-    at.meet(0.0, Home(S, "y", 1))
+    at.meet(0.0, Placement(S, "y", 1))
     [say] = at.release(0.0, "mover", m.Release(S, 1))
-    assert say.message == m.MayLetGo(Home(S, "y", 1), "x")
+    assert say.message == m.MayLetGo(Placement(S, "y", 1), "x")
     assert at.let(1.0, "k0", m.Let(S, 1, True)) == [] == at.let(1.0, "k1", m.Let(S, 1, False))
-    assert at.let(2.0, "k2", m.Let(S, 1, True)) == ([LetGo("row", "x")] if goes else [])
+    assert at.let(2.0, "k2", m.Let(S, 1, True)) == ([PrefetchRelease("row", "x")] if goes else [])
 
 
 def test_stages_of_several_turns_stand_until_the_last_is_dropped():
     at = Router("f", "x", RULES, placed, 0.0, fresh=True)
-    at.meet(0.0, Home(S, "y", 0))
+    at.meet(0.0, Placement(S, "y", 0))
     for count in (1, 2):
         at.take(0.0, "mover", m.Receive(S, m.Turn(count, "a"), 1, 1, 1_000.0))
     assert at.drop(1.0, "mover", m.Drop(S, m.Turn(1, "a"))) == []
     [say] = at.drop(1.0, "mover", m.Drop(S, m.Turn(2, "a")))
-    assert say == m.Say(KEEPERS, m.MayLetGo(Home(S, "y", 0), "x"))  # others may know more
+    assert say == m.Say(KEEPERS, m.MayLetGo(Placement(S, "y", 0), "x"))  # others may know more
     assert at.let(2.0, "k0", m.Let(S, 0, True)) == []
-    assert at.let(2.0, "k1", m.Let(S, 0, True)) == [LetGo("row", "x")]
+    assert at.let(2.0, "k1", m.Let(S, 0, True)) == [PrefetchRelease("row", "x")]
 
 
 # --- a mover ------------------------------------------------------------------------------------
@@ -241,7 +241,7 @@
 def test_without_two_keepers_it_ends_and_the_session_stays():
     at = Mover("f", RULES, placed, 0.0)
     at.heard(0.0, {"f": "x", "g": "y"})
-    found = at.begin(0.0, Move(S, "x", "y", 0.0, 1.0, ""))
+    found = at.begin(0.0, PredictedMove(S, "x", "y", 0.0, 1.0, ""))
     now = 0.0
     turns = [found[0].message.turn]
     for _ in range(40):
@@ -250,7 +250,7 @@
         turns += [o.message.turn for o in found if isinstance(o, m.Say) and isinstance(o.message, m.Ask)]
         if any(isinstance(o, m.Ended) for o in found):
             break
-    assert found[-1] == m.Ended(Home(S, "x", 0), "too few keepers") and not at.hands
+    assert found[-1] == m.Ended(Placement(S, "x", 0), "too few keepers") and not at.hands
     assert all(one < other for one, other in itertools.pairwise(turns))
     late = m.Word(S, turns[-1], 0, True, True, m.Record(0, "x"))
     assert at.word(now, "k0", late) == []
--- a/tests/test_handover_core_hard.py
+++ b/tests/test_handover_core_hard.py
@@ -16,7 +16,7 @@
 from fawnwharf.migration.walk import CALM, RULES, Walk
 from fawnwharf.migration.windows import Windows
 from fawnwharf.replication.call_owner import RunCall
-from fawnwharf.session_types import Home, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, Session
 
 
 class Fleet(Walk):
@@ -33,7 +33,7 @@
 
     def begin(self, name, whither, session=None, whence="x", number=0, haste=False):
         node, session = self.nodes[name], session or self.sessions[0]
-        move = Move(session, whence, whither, 0.0, 1.0, "test")
+        move = PredictedMove(session, whence, whither, 0.0, 1.0, "test")
         self._carry_out(node, node.mover.begin(self._clock(node), move, number, 1, haste))
 
     def kill(self, *names):
@@ -122,8 +122,8 @@
     kept = tuple(cores.keepers)
     old, new = (Router(n, site, RULES, lambda _: kept, 0.0) for n, site in ((one, "x"), (other, "y")))
     session = Session("org", "row")
-    old.meet(0.0, Home(session, "x", 0))
-    new.meet(0.0, Home(session, "y", 1))
+    old.meet(0.0, Placement(session, "x", 0))
+    new.meet(0.0, Placement(session, "y", 1))
     sites = [at.begin(0.0, "k", session, 1_000.0)[0].home.site for at in (old, new)]
     assert sites == ["x", "y"]
     for name in (one, other):
@@ -164,7 +164,7 @@
         found = drain.tick(fleet.now)
         if fails and len(drain.moved) > 100 and fleet.nodes[f"{fails}0"].up:
             fleet.kill(f"{fails}0", f"{fails}1")
-            homes = {s: Home(s, at, 1) for s, at in drain.moved.items()}
+            homes = {s: Placement(s, at, 1) for s, at in drain.moved.items()}
             found += drain.lost(fleet.now, fails, True, homes)
         for begin in found:
             if isinstance(begin, Begin):
@@ -220,7 +220,7 @@
     assert [(b.move.session, b.number) for b in found if isinstance(b, Begin)] == [(B, 0)]
     assert drain.tick(50.0) == []  # one each tenth of a second
     assert [b.move.session for b in drain.tick(100.0)] == [A]
-    drain.ended(200.0, Home(A, "x", 3), "not staged in time")
+    drain.ended(200.0, Placement(A, "x", 3), "not staged in time")
     assert drain.room == {"y": 4}
     assert [one.why for one in drain.tick(9_700.0)] == ["no time is left"]
 
@@ -269,5 +269,5 @@
     drain = Drain("x", 0.0, 60_000.0, lives, {"y": 50, "z": 50}, rules, Dwell(rules), False, prefers, windows)
     begun = [begin.move.whither for begin in drain.tick(0.0)]
     assert begun == ["y", "y", "z", "z"]
-    drain.ended(5.0, Home(Session("o", "r0"), "y", 1), "switched")
+    drain.ended(5.0, Placement(Session("o", "r0"), "y", 1), "switched")
     assert [begin.move.whither for begin in drain.tick(10.0)] == ["y"]
--- a/tests/test_handover_core_search.py
+++ b/tests/test_handover_core_search.py
@@ -8,7 +8,7 @@
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.walk import STORM, Walk, Weather
 from fawnwharf.migration.world import Bounds, Kinds
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 
 TWO, THREE = {"a": "x", "b": "y"}, {"a": "x", "b": "y", "c": "z"}
 CONTEST = Weather(rivals=1.0, lost=0.1, late=0.05, moves=8.0)
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize(("kinds", "twice"), [(Kinds(), False), (PLANTED["grants after forgetting"], True)])
 def test_a_keeper_that_forgot_grants_a_number_twice_only_with_the_planted_bug(kinds, twice):
     """A search finds it too, after 22,869 states: too long for each time."""
-    session, home = Session("org", "row"), Home(Session("org", "row"), "x", 0)
+    session, home = Session("org", "row"), Placement(Session("org", "row"), "x", 0)
     keepers = {name: kinds.keeper(name, KEEPERS, Settings(), 0.0, 1, True) for name in KEEPERS}
 
     def decides(mover, site, names):
--- a/tests/test_handover_relisted.py
+++ b/tests/test_handover_relisted.py
@@ -10,10 +10,10 @@
 from fawnwharf.migration.settings import Settings
 from fawnwharf.migration.walk import STORM, Weather
 from fawnwharf.migration.world import Kinds
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 
 SESSION, ROW = Session("org", "row"), Session("acme", "7f3a9c21e0b4d655")
-HOME = Home(SESSION, "x", 0)
+HOME = Placement(SESSION, "x", 0)
 OLD, NEW = ("a0", "b0", "c0"), ("a0", "b1", "c1")
 ZONES = {name: name[0] for name in (*OLD, *NEW)}
 LATER_MS = Settings().wait_ms * Settings().stretch + 1.0
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -4,18 +4,14 @@
 not in the table fails here, and so does an entry of the table that no import needs any more.
 """
 
-from pathlib import Path
-from support.imports import ImportGraph
-from support.imports import PROGRAM
-from support.imports import cycle
-from support.imports import package_of
-from support.imports import reduction
 import json
-import pytest
 import re
 import subprocess
 import sys
+from pathlib import Path
 
+import pytest
+from support.imports import PROGRAM, ImportGraph, cycle, package_of, reduction
 
 ROOT = Path(__file__).resolve().parents[1]
 
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -14,7 +14,7 @@
 from fawnwharf.migration import messages as m
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.prefetch.ways import foretold_from
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.moves import target
 from fawnwharf.sessions.trace import Trace
@@ -162,7 +162,7 @@
     fleet = runner.fleet
     front = fleet.fronts["n1"]
     trace = Trace(front.folder / "trace.jsonl")
-    trace.taken("r1", Home(Session("t", "f"), "b", 3))
+    trace.taken("r1", Placement(Session("t", "f"), "b", 3))
     context = m.Context(spent=(("n0#7", 9),))
     words = [m.Receive(Session("t", "f"), m.Turn(), 4, 1, 10.0, context), m.Give(Session("t", "f"), m.Turn())]
     trace.received([*words, m.Receive(Session("t", "f"), m.Turn(), 4, 1, 10.0)])
--- a/tests/test_sessions_agent.py
+++ b/tests/test_sessions_agent.py
@@ -4,7 +4,7 @@
 from support.session_agents import RULES, Fleet
 
 from fawnwharf.migration import messages as m
-from fawnwharf.session_types import Home, Move, Session
+from fawnwharf.session_types import Placement, PredictedMove, Session
 
 ROW = Session("acme", "7f3a9c21e0b4d655")
 
@@ -278,7 +278,7 @@
     used(fleet, front, ROW)
     for chance, homes in ((0.6, {"a"}), (1.0, {"b"})):
         for keeper in fleet.keepers():
-            keeper.agent.expected(fleet.now, [Move(ROW, "a", "b", 500.0, chance, "announced")])
+            keeper.agent.expected(fleet.now, [PredictedMove(ROW, "a", "b", 500.0, chance, "announced")])
         fleet.run(3_000.0)
         assert {fleet.home(ROW)} == homes
     assert len(fleet.moved()) == 1
@@ -317,9 +317,11 @@
 def test_a_word_of_no_member_and_a_home_of_no_session_change_nothing():
     fleet = Fleet()
     front = fleet.keepers()[0]
-    told = m.Told(Home(ROW, "b", 7), "a", m.Step.SWITCHED)
+    told = m.Told(Placement(ROW, "b", 7), "a", m.Step.SWITCHED)
     front.agent.hear(fleet.now, "stranger", 1, [told])
     assert front.agent.router.home(ROW) is None and front.agent.counts["no member"] == 1
     other = fleet.others()[0]
-    other.agent.hear(fleet.now, front.name, front.life, [m.Please(Move(ROW, "a", "b", 0.0, 1.0, "x"))])
+    other.agent.hear(
+        fleet.now, front.name, front.life, [m.Please(PredictedMove(ROW, "a", "b", 0.0, 1.0, "x"))]
+    )
     assert other.agent.take() == []
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -19,7 +19,7 @@
     with_defaults,
 )
 from fawnwharf.policy_rollout.service import PolicyRolloutService
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions import left
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.staging import Seen
@@ -99,11 +99,11 @@
 def test_homes_that_were_moved_outlive_their_process_while_the_session_is_in_use():
     one, heir = router(), router()
     for n, used_ms in ((1, 1_000.0), (2, 9_000.0), (3, 30_000.0)):
-        one.meet(used_ms, Home(Session("acme", f"f{n}"), "b", n))
-    one.meet(30_000.0, Home(Session("acme", "f4"), "gone", 4))
+        one.meet(used_ms, Placement(Session("acme", f"f{n}"), "b", n))
+    one.meet(30_000.0, Placement(Session("acme", "f4"), "gone", 4))
     one.begin(30_000.0, "r", Session("acme", "f5"), 31_000.0)  # never moved: begins anew anywhere
     data = left.left(one, 30_000.0, 1e12)
-    heir.meet(0.0, Home(Session("acme", "f3"), "c", 7))
+    heir.meet(0.0, Placement(Session("acme", "f3"), "c", 7))
     assert left.take(heir, data, {"a", "b", "c"}, 500.0, 1e12 - 1_000.0 + 1_500.0) == 1
     assert [(s.row, seen.home.site, seen.home.number) for s, seen in heir.homes.items()] == [("f3", "c", 7)]
     fresh = router()
@@ -137,7 +137,7 @@
 def test_homes_are_in_the_store_while_they_are_known_and_are_met_after_a_loss_of_power(tmp_path):
     store, one = InMemory(refuses=1), router()
     kept = left.Left(tmp_path / "homes", store)
-    one.meet(1_000.0, Home(Session("acme", "f1"), "b", 1))
+    one.meet(1_000.0, Placement(Session("acme", "f1"), "b", 1))
     one.begin(1_000.0, "r", Session("acme", "f5"), 2_000.0)  # never moved
     kept.look(one, 1_000.0, 1e12)
     assert store.writes == []  # it was refused, and is tried again
@@ -146,12 +146,14 @@
     for now in (1_600.0, 2_200.0):
         kept.look(one, now, 1e12 + now - 1_000.0)
     assert store.writes == ["f1/acme"]  # once, as nothing changes
-    one.meet(3_000.0, Home(Session("acme", "f1"), "c", 2))
+    one.meet(3_000.0, Placement(Session("acme", "f1"), "c", 2))
     kept.look(one, 3_000.0, 1e12 + 2_000.0)
     store.entries["bad"] = [1]
     heir = router()
     left.Left(tmp_path / "homes", store).take(heir, {"b", "c"}, 50.0, 1e12 + 9_000.0)
-    assert heir.home(Session("acme", "f1")) == Home(Session("acme", "f1"), "c", 2) and len(heir.homes) == 1
+    assert (
+        heir.home(Session("acme", "f1")) == Placement(Session("acme", "f1"), "c", 2) and len(heir.homes) == 1
+    )
     for unix_ms in (1e12 + 2_000.0 + 20_000.0, 1e12):  # over by now; by a clock that was set back
         other = router()
         left.Left(tmp_path / "homes", store).take(other, {"b", "c"}, 50.0, unix_ms)
@@ -165,7 +167,7 @@
     store, one = InMemory(), router()
     kept = left.Left(tmp_path / "homes", store)
     for n in range(left.STORED_A_LOOK + 30):
-        one.meet(0.0, Home(Session("acme", f"f{n}"), "b", 1))
+        one.meet(0.0, Placement(Session("acme", f"f{n}"), "b", 1))
     kept.look(one, 0.0, 1e12)
     assert len(store.entries) == left.STORED_A_LOOK
     kept.look(one, left.STORE_MS, 1e12)
@@ -198,7 +200,7 @@
         rig.until(lambda: any(note["done"] for note in rig.noted("hand-over ended")), "it is moved")
         rig.fronts["a1"].close()
         rig.start("a1")
-        assert rig.agent("a1").router.home(SESSION) == Home(SESSION, "b", 1)
+        assert rig.agent("a1").router.home(SESSION) == Placement(SESSION, "b", 1)
         assert rig.call(rig.client("a1")) == "answer" and rig.seen["a1"][-1].site == "b"
     finally:
         rig.close()
--- a/tests/test_sessions_service.py
+++ b/tests/test_sessions_service.py
@@ -16,7 +16,7 @@
 from fawnwharf.net import scorer_frames
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication import messages as rm
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions.moves import place_of
 from fawnwharf.sessions.service import Sessions
@@ -156,7 +156,7 @@
 def test_lines_out_of_nowhere_are_counted_and_change_nothing(fronts):
     rig = fronts()
     state, part = rig.part("a1", 0), rig.part("a0")
-    home = m.Told(Home(SESSION, "b", 1), "a", m.Step.SWITCHED)
+    home = m.Told(Placement(SESSION, "b", 1), "a", m.Step.SWITCHED)
     good = msgspec.to_builtins(home)
     words = [
         7, None, [], {"type": "hands"}, {"type": "nobody", "words": []},
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -9,7 +9,7 @@
 from fawnwharf.prefetch.budgets import orderer
 from fawnwharf.prefetch.settings import foresight_from
 from fawnwharf.prefetch.ways import foretold_from
-from fawnwharf.session_types import LetGo, Session
+from fawnwharf.session_types import PrefetchRelease, Session
 from fawnwharf.sessions.staging import (
     Seen,
     announced_from,
@@ -54,7 +54,10 @@
             one.events(
                 1_000.0 * second, UNIX, [io.LoadOrderAnswered(scorer, fn, io.AttemptResult.GOOD, 1, 700.0)]
             )
-    assert sorted(let.row for let in gone) == sorted((lost, row)) and LetGo(row, SITES[other % 3]) in gone
+    assert (
+        sorted(let.row for let in gone) == sorted((lost, row))
+        and PrefetchRelease(row, SITES[other % 3]) in gone
+    )
     assert one.core.planner.wasted == 2 and one.counts == {"a stage that failed": 1}
 
 
