--- a/fawnwharf/fakes/sessions.py
+++ b/fawnwharf/fakes/sessions.py
@@ -34,8 +34,8 @@
     at_ms: float
     org: str
     row: str
-    whence: str
-    whither: str
+    source: str
+    destination: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,8 +44,8 @@
 
     at_ms: float
     live: Live
-    whence: str
-    whither: str
+    source: str
+    destination: str
 
 
 class SessionClients(Clients):
@@ -98,7 +98,7 @@
 
     def draw(
         self,
-        whence: str,
+        source: str,
         share: float = 1.0,
         tenant: str = "",
         count: int | None = None,
@@ -110,7 +110,7 @@
         there = [
             live
             for live in self.live
-            if whence in (ANY, live.site)
+            if source in (ANY, live.site)
             and live.site != but
             and tenant in ("", live.org)
             and (not served or any(request.outcome == "served" for request in live.recent))
@@ -118,20 +118,20 @@
         count = round(share * len(there)) if count is None else min(count, len(there))
         return self._moving.sample(there, count)
 
-    def elsewhere(self, live: Live, whither: str, open_: list[str] | None = None) -> str:
+    def elsewhere(self, live: Live, destination: str, open_: list[str] | None = None) -> str:
         """The site itself, or one by chance for `*`."""
-        if whither != ANY:
-            return whither
+        if destination != ANY:
+            return destination
         return self._moving.choice([site for site in open_ or self.rates if site != live.site])
 
-    def move(self, live: Live, whither: str) -> Moved:
+    def move(self, live: Live, destination: str) -> Moved:
         now = monotonic_ms()
-        moved = Moved(now, live.org, live.row, live.site, whither)
+        moved = Moved(now, live.org, live.row, live.site, destination)
         self.moved.append(moved)
-        live.site = whither
+        live.site = destination
         for request in list(live.recent):
             if request.began_ms > now - AGAIN_MS and self._comes_again.random() < self._again_part:
-                self._try(self._again(request, whither))
+                self._try(self._again(request, destination))
         return moved
 
     def bounce(self, moves_ps: float, tenant: str = "") -> None:
@@ -149,12 +149,12 @@
         now = monotonic_ms()
         while self.planned and self.planned[0].at_ms <= now:
             planned = self.planned.popleft()
-            self.move(planned.live, planned.whither)
+            self.move(planned.live, planned.destination)
         while len(self.planned) < AHEAD:
             last_ms = self.planned[-1].at_ms if self.planned else now
             at_ms = last_ms + self._moving.expovariate(self._bounces_ps) * 1000.0
             [live] = self.draw(ANY, tenant=self._bounced, count=1)
-            site = next((p.whither for p in reversed(self.planned) if p.live is live), live.site)
-            whither = self._moving.choice([other for other in self.rates if other != site])
-            self.planned.append(Planned(at_ms, live, site, whither))
+            site = next((p.destination for p in reversed(self.planned) if p.live is live), live.site)
+            destination = self._moving.choice([other for other in self.rates if other != site])
+            self.planned.append(Planned(at_ms, live, site, destination))
         self.loop.wheel.after(max(1.0, self.planned[0].at_ms - now), self._bounce_on)
--- a/fawnwharf/migration/explore.py
+++ b/fawnwharf/migration/explore.py
@@ -85,7 +85,7 @@
         return keeper.record(SESSION), sure, missing, keeper.life, hearing
 
     def _front(self, name: str, frozen: tuple) -> tuple[Mover, Router]:
-        life, hand, seen, home, under, asks, whence, calls, staged, _, fresh, lives = frozen
+        life, hand, seen, home, under, asks, source, calls, staged, _, fresh, lives = frozen
         mover = self.kinds.mover(name, RULES, _placed, 0.0, life)
         mover.seen, mover.lives = dict(seen), dict(lives)
         if hand is not None:
@@ -94,7 +94,7 @@
             mover.hands[SESSION] = Hand(**values)
         router = self.kinds.router(name, self.sites[name], RULES, _placed, 0.0, fresh, life)
         if home is not None:
-            router.homes[SESSION] = Seen(home, 0.0, 0.0, dict(under) or None, asks, whence)
+            router.homes[SESSION] = Seen(home, 0.0, 0.0, dict(under) or None, asks, source)
             router._at(home, 1)
         router.calls = {call: OpenCall(SESSION, number, LATER_MS, True) for call, number in calls}
         if staged:
@@ -113,7 +113,7 @@
             seen.home if seen else None,
             _hashable(seen.under_way or {}) if seen else (),
             seen.asks if seen else "",
-            seen.whence if seen else "",
+            seen.source if seen else "",
             tuple(sorted((name, call.number) for name, call in router.calls.items())),
             tuple(sorted((turn, number) for (_, turn), (_, number) in router.staged.get("row", {}).items())),
             max(met, seen.home.number if seen else 0),
@@ -152,14 +152,14 @@
                 yield label + ", to come again", self._deliver(use(world, 4), to, sender, what)
 
     def _wish(self, world: World) -> tuple[str, World]:
-        name, whither, haste = self.bounds.wishes[world.wished]
+        name, destination, haste = self.bounds.wishes[world.wished]
         after = replace(world, wished=world.wished + 1)
         home = self._home_at(world, name)
-        if home is None or home.site == whither:
+        if home is None or home.site == destination:
             return f"{name} has nothing to wish", after
-        move = PredictedMove(SESSION, home.site, whither, 0.0, 1.0, "")
+        move = PredictedMove(SESSION, home.site, destination, 0.0, 1.0, "")
         step = self._as_mover(lambda mv: mv.begin(0.0, move, home.number, 1, haste))
-        return f"{name} begins {home.site} to {whither}", self._at(after, name, step)
+        return f"{name} begins {home.site} to {destination}", self._at(after, name, step)
 
     def _of_front(self, world: World, name: str, frozen: tuple) -> Iterator[tuple[str, World]]:
         patience, _, front_kills, calls, _ = world.used
--- a/fawnwharf/migration/hand.py
+++ b/fawnwharf/migration/hand.py
@@ -15,8 +15,8 @@
     """One migration that this coordinator drives."""
 
     session: Session
-    whence: str
-    whither: str  # empty: one that is taken over
+    source: str
+    destination: str  # empty: one that is taken over
     known: Placement
     turn: m.Turn
     copies: int = 1
--- a/fawnwharf/migration/homes.py
+++ b/fawnwharf/migration/homes.py
@@ -51,13 +51,13 @@
     semilattice, so commutative, associative and idempotent. Two placements under one number are a fault; the
     one that is later in the order of all records stands, the same at every replica.
     """
-    first = max(one, other, key=lambda record: (record.number, record.site, record.whence, record.step))
+    first = max(one, other, key=lambda record: (record.number, record.site, record.source, record.step))
     offers = [r.offer for r in (one, other) if r.offer and r.offer.number > first.number]
     grants = [r.grant for r in (one, other) if r.grant and r.grant.number > first.number]
     return m.Record(
         first.number,
         first.site,
-        first.whence,
+        first.source,
         first.step,
         max(one.promised, other.promised),
         max(offers, default=None),
@@ -208,7 +208,7 @@
         mine, sure = self.record(ask.session), self.sure(now_ms)
         yes = sure and ask.turn > mine.promised and not self._letting_go(now_ms, ask.session)
         if yes:
-            offer = m.Offer(mine.number + 1, ask.turn, ask.whither) if ask.whither else mine.offer
+            offer = m.Offer(mine.number + 1, ask.turn, ask.destination) if ask.destination else mine.offer
             yes = self._put(now_ms, ask.session, replace(mine, promised=ask.turn, offer=offer))
         return [self._word(sender, ask.session, ask.turn, 0, yes, sure, mine)]
 
@@ -241,7 +241,7 @@
         session = may.home.session
         self._known(now_ms, may.home)
         mine = self.record(session)
-        back = mine.offer is not None and mine.offer.whither == may.site
+        back = mine.offer is not None and mine.offer.destination == may.site
         back = back or mine.grant is not None or mine.site == may.site
         yes = self.sure(now_ms) and mine.number == may.home.number and not back
         if yes:
@@ -277,7 +277,7 @@
         home, mine = told.home, self.record(told.home.session)
         if home.number < mine.number:
             return [m.Say((sender,), self._tell(home.session, mine))]
-        self._take(now_ms, home.session, m.Record(home.number, home.site, told.whence, told.step))
+        self._take(now_ms, home.session, m.Record(home.number, home.site, told.source, told.step))
         return []
 
     def met(self, now_ms: float, sender: str, met: m.Met) -> list[m.Say]:
@@ -291,7 +291,7 @@
         return []
 
     def _tell(self, session: Session, mine: m.Record) -> m.Told:
-        return m.Told(Placement(session, mine.site, mine.number), mine.whence, mine.step)
+        return m.Told(Placement(session, mine.site, mine.number), mine.source, mine.step)
 
     # --- among keepers ----------------------------------------------------------------------------
 
--- a/fawnwharf/migration/in_use.py
+++ b/fawnwharf/migration/in_use.py
@@ -30,7 +30,7 @@
     told_ms: float  # when keepers were last told that it is in use
     under_way: dict[int, int] | None = None  # calls by number
     asks: str = ""  # the mover that waits for those of smaller numbers
-    whence: str = ""
+    source: str = ""
     used_there: bool = False  # it was told that others use the old site from here
 
 
--- a/fawnwharf/migration/many.py
+++ b/fawnwharf/migration/many.py
@@ -47,7 +47,7 @@
 @dataclass(slots=True)
 class _Last:
     at_ms: float
-    whence: str
+    source: str
     dwell_ms: float
 
 
@@ -58,14 +58,14 @@
         self.settings = settings
         self._last: dict[Session, _Last] = {}
 
-    def moved(self, now_ms: float, session: Session, whence: str, whither: str) -> None:
+    def moved(self, now_ms: float, session: Session, source: str, destination: str) -> None:
         """Take a move; a session that returns within `bounce_ms` stays twice as long as the last time."""
         rules, before = self.settings, self._last.pop(session, None)
-        back = before is not None and before.whence == whither and now_ms - before.at_ms < rules.bounce_ms
+        back = before is not None and before.source == destination and now_ms - before.at_ms < rules.bounce_ms
         dwell = min(rules.dwell_most_ms, 2 * before.dwell_ms) if back else rules.dwell_ms
         while len(self._last) >= rules.memory:
             del self._last[next(iter(self._last))]
-        self._last[session] = _Last(now_ms, whence, dwell)
+        self._last[session] = _Last(now_ms, source, dwell)
 
     def left_ms(self, now_ms: float, session: Session) -> float:
         """For how long a session stays where it is, except in haste."""
@@ -82,7 +82,7 @@
 class _Going:
     live: Live
     number: int
-    whither: str
+    destination: str
     tries: int
     began_ms: float
     at: str  # where it is at home by the last word
@@ -152,29 +152,29 @@
             found += [self._leave(going, "no time is left") for going in self.waiting]
             self.waiting = []
         while self.waiting and len(self.going) < rules.at_once and self._tokens >= 1.0:
-            place, whither = self._next()
+            place, destination = self._next()
             if place is None:
                 break
             going = self.waiting.pop(place)
-            if not whither:
+            if not destination:
                 found.append(self._leave(going, "no site has room"))
                 continue
             self._tokens -= 1.0
-            self.windows.begun(going.live.session, whither)
-            self.room[whither] -= 1
-            going.whither, going.tries, going.began_ms = whither, going.tries + 1, now_ms
+            self.windows.begun(going.live.session, destination)
+            self.room[destination] -= 1
+            going.destination, going.tries, going.began_ms = destination, going.tries + 1, now_ms
             self.going[going.live.session] = going
             left = max(0.0, min(3_600_000.0, self.until_ms - now_ms))
-            move = PredictedMove(going.live.session, going.at, whither, left, 1.0, "drain")
+            move = PredictedMove(going.live.session, going.at, destination, left, 1.0, "drain")
             found.append(Begin(move, going.number, self.haste or going.at != self.site))
         return found
 
     def _next(self) -> tuple[int | None, str]:
         """The place of the first one whose site takes another now, of the next few, and that site."""
         for place, going in enumerate(self.waiting[:AHEAD]):
-            whither = self._where(going)
-            if not whither or self.windows.may(whither):
-                return place, whither
+            destination = self._where(going)
+            if not destination or self.windows.may(destination):
+                return place, destination
         return None, ""
 
     def _where(self, going: _Going) -> str:
@@ -183,7 +183,7 @@
         Never the zone where it is, and the one that was tried last only if there is no other.
         """
         able = [site for site, room in self.room.items() if room > 0 and site not in (self.site, going.at)]
-        fresh = [site for site in able if site != going.whither] or able
+        fresh = [site for site in able if site != going.destination] or able
         if (wish := self.prefers(going.live.session)) in fresh:
             return wish
         return max(sorted(fresh), key=lambda site: self.room[site], default="")
@@ -202,8 +202,8 @@
             return []
         self.windows.ended(now_ms, home.session, why)
         going.number, going.at = home.number, home.site or going.at
-        if going.at != going.whither and going.whither in self.room:
-            self.room[going.whither] += 1
+        if going.at != going.destination and going.destination in self.room:
+            self.room[going.destination] += 1
         if going.at != self.site:
             if going.at in self.room:
                 self.moved[home.session] = going.at
--- a/fawnwharf/migration/messages.py
+++ b/fawnwharf/migration/messages.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import Annotated
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from fawnwharf.session_types import (
     DurationMs,
@@ -48,7 +48,7 @@
 
     number: Count
     turn: Turn
-    whither: Identifier
+    destination: Identifier = field(name="whither")
 
 
 class Grant(Struct, frozen=True, order=True, gc=False):
@@ -57,7 +57,7 @@
     number: Annotated[int, Meta(ge=1, le=1 << 53)]
     turn: Turn
     site: Identifier
-    whence: Site
+    source: Site = field(name="whence")
 
 
 class Record(Struct, frozen=True, gc=False):
@@ -65,7 +65,7 @@
 
     number: Count = 0
     site: Site = ""  # its home by that number; empty where nobody said
-    whence: Site = ""
+    source: Site = field(default="", name="whence")
     step: Step = Step.RELEASED
     promised: Turn = Turn()  # nothing of an earlier turn is granted any more
     offer: Offer | None = None
@@ -102,13 +102,13 @@
 class Ask(Struct, frozen=True, tag="ask"):
     """A coordinator wants a ballot for a session.
 
-    `known` is the placement it goes by, `whither` its offer; a backup has neither.
+    `known` is the placement it goes by, `destination` its offer; a backup has neither.
     """
 
     session: Session
     turn: Turn
     known: Placement | None
-    whither: Site = ""
+    destination: Site = field(default="", name="whither")
     list: Count = 0  # number of the list of members that the mover goes by
 
 
@@ -137,7 +137,7 @@
     """What was decided and how far it has come, to replicas and front ends; whoever knows less goes by it."""
 
     home: Placement
-    whence: Site
+    source: Site = field(name="whence")
     step: Step
 
 
@@ -337,7 +337,7 @@
     """Effect, decided: from now on whoever hears of it sends the session's new calls there."""
 
     home: Placement
-    whence: str
+    source: str
     lost: tuple[str, ...] = ()  # what could not be carried over
 
 
--- a/fawnwharf/migration/mover.py
+++ b/fawnwharf/migration/mover.py
@@ -115,10 +115,10 @@
 
         `number` is that of the placement known here, `haste` says that its zone is dead.
         """
-        known = Placement(move.session, move.whence, number)
+        known = Placement(move.session, move.source, number)
         if move.session in self.hands or len(self.hands) >= HANDS_MOST:
             return [m.Ended(known, "one is in hand" if move.session in self.hands else "too many")]
-        hand = Hand(move.session, move.whence, move.whither, known, m.Turn(), copies, haste)
+        hand = Hand(move.session, move.source, move.destination, known, m.Turn(), copies, haste)
         self.hands[move.session] = hand
         return self._ask(now_ms, hand)
 
@@ -137,7 +137,7 @@
         hand.turn = m.Turn(met + 1, f"{self.name}#{self.life}")
         hand.tries += 1
         known = hand.known if hand.known.site else None
-        ask = m.Ask(hand.session, hand.turn, known, hand.whither, self.list)
+        ask = m.Ask(hand.session, hand.turn, known, hand.destination, self.list)
         return [m.Say(self.keepers_of(key_of(hand.session)), ask)]
 
     # --- keepers' words ---------------------------------------------------------------------------
@@ -171,24 +171,26 @@
         if base.number or base.site:
             hand.known = Placement(hand.session, base.site, base.number)
         if base.grant is not None:  # it may be decided: nothing else can be, by this number
-            wish = hand.whither
-            hand.whence, hand.whither, hand.adopted = base.grant.whence, base.grant.site, True
-            self._count("completed its own switch" if wish == hand.whither else "completed another's switch")
+            wish = hand.destination
+            hand.source, hand.destination, hand.adopted = base.grant.source, base.grant.site, True
+            self._count(
+                "completed its own switch" if wish == hand.destination else "completed another's switch"
+            )
             return [*self._receive(now_ms, hand), *self._switch(now_ms, hand)]
         if is_open(base) and base.step is not m.Step.RELEASED and not hand.haste:
-            hand.home, hand.whence, hand.whither = hand.known, base.whence, hand.known.site
+            hand.home, hand.source, hand.destination = hand.known, base.source, hand.known.site
             return self._settle(now_ms, hand)
-        if not hand.whither and base.offer is not None:
-            hand.whence, hand.whither = hand.known.site, base.offer.whither
-        if not hand.whither or hand.whither == hand.known.site:
+        if not hand.destination and base.offer is not None:
+            hand.source, hand.destination = hand.known.site, base.offer.destination
+        if not hand.destination or hand.destination == hand.known.site:
             if base.number:  # one keeper may not have heard how far it is
-                told = m.Told(hand.known, base.whence, base.step)
-                end = self._end(hand, "nothing is under way", done=bool(hand.whither))
+                told = m.Told(hand.known, base.source, base.step)
+                end = self._end(hand, "nothing is under way", done=bool(hand.destination))
                 keepers = self.keepers_of(key_of(hand.session))
                 drop = m.Drop(hand.session, hand.turn)
                 return [m.Say(keepers, told), m.Say(keepers, drop), *end]
-            return self._end(hand, "nothing is under way", done=bool(hand.whither))
-        if hand.whence != hand.known.site:
+            return self._end(hand, "nothing is under way", done=bool(hand.destination))
+        if hand.source != hand.known.site:
             return self._end(hand, "it is at home elsewhere")
         hand.step, hand.step_ms = STAGING, now_ms
         return [*self._receive(now_ms, hand), *self._wanted(now_ms, hand)]
@@ -203,7 +205,7 @@
 
     def _receive(self, now_ms: float, hand: Hand) -> list[m.Out]:
         """Have copies stand at the new site, by one of its front ends."""
-        hand.receiver, hand.stands = self._at(hand.whither, key_of(hand.session)), False
+        hand.receiver, hand.stands = self._at(hand.destination, key_of(hand.session)), False
         hand.has = False
         if not hand.receiver:
             return self._end(hand, "the new site is not heard") if hand.step == STAGING else []
@@ -217,7 +219,7 @@
     def _wanted(self, now_ms: float, hand: Hand) -> list[m.Out]:
         """Ask the old site for the context; where it is dead, do without."""
         hand.round_ms = now_ms
-        old = "" if hand.haste or hand.context else self._at(hand.whence, key_of(hand.session))
+        old = "" if hand.haste or hand.context else self._at(hand.source, key_of(hand.session))
         return [m.Say((old,), m.Give(hand.session, hand.turn))] if old else []
 
     def given(self, now_ms: float, sender: str, given: m.Given) -> list[m.Out]:
@@ -234,7 +236,7 @@
         if hand is None or ready.turn != hand.turn or hand.step != STAGING or sender != hand.receiver:
             return []
         hand.stands, hand.has = ready.stands, hand.has or ready.has
-        without = hand.haste or not self._at(hand.whence, key_of(hand.session))
+        without = hand.haste or not self._at(hand.source, key_of(hand.session))
         if hand.stands and (hand.has or without):
             return self._switch(now_ms, hand)
         return []
@@ -246,23 +248,23 @@
             hand.step, hand.step_ms = SWITCHING, now_ms
         hand.round_ms, hand.words, hand.records, hand.open = now_ms, {}, {}, True
         hand.tries += 1
-        before = Placement(hand.session, hand.whence, hand.base.number)
-        switch = m.Switch(hand.session, hand.turn, before, hand.whither, self.list)
+        before = Placement(hand.session, hand.source, hand.base.number)
+        switch = m.Switch(hand.session, hand.turn, before, hand.destination, self.list)
         return [m.Say(self.keepers_of(key_of(hand.session)), switch)]
 
     def _decided(self, now_ms: float, hand: Hand) -> list[m.Out]:
         """Two keepers have granted it: from here on it is told, and never taken back."""
-        hand.home = hand.known = Placement(hand.session, hand.whither, hand.base.number + 1)
-        hand.base = m.Record(hand.home.number, hand.home.site, hand.whence, m.Step.SWITCHED)
+        hand.home = hand.known = Placement(hand.session, hand.destination, hand.base.number + 1)
+        hand.base = m.Record(hand.home.number, hand.home.site, hand.source, m.Step.SWITCHED)
         self._count("switched")
         lost = () if hand.has else LOST_ADOPTED if hand.adopted else LOST_IN_HASTE
-        return [m.Moved(hand.home, hand.whence, lost), *self._settle(now_ms, hand)]
+        return [m.Moved(hand.home, hand.source, lost), *self._settle(now_ms, hand)]
 
     # --- after it ---------------------------------------------------------------------------------
 
     def _tell(self, hand: Hand, to: Iterable[str], step: m.Step) -> list[m.Out]:
         names = tuple(sorted(to))
-        return [m.Say(names, m.Told(hand.home, hand.whence, step))] if names else []
+        return [m.Say(names, m.Told(hand.home, hand.source, step))] if names else []
 
     def _settle(self, now_ms: float, hand: Hand) -> list[m.Out]:
         hand.step, hand.step_ms, hand.round_ms = SETTLING, now_ms, now_ms
@@ -307,8 +309,8 @@
         self._count("settled")
         keepers = self.keepers_of(key_of(hand.session))
         found = self._tell(hand, keepers, m.Step.SETTLED)
-        old = self._at(hand.whence, key_of(hand.session))  # that is told of what is staged there, too
-        if old and not hand.others and hand.whence != hand.home.site:
+        old = self._at(hand.source, key_of(hand.session))  # that is told of what is staged there, too
+        if old and not hand.others and hand.source != hand.home.site:
             found.append(m.Say((old,), m.Release(hand.session, hand.home.number)))
         found += self._tell(hand, keepers, m.Step.RELEASED)
         return found + self._end(hand, "used by others there" if hand.others else "released", done=True)
@@ -364,7 +366,7 @@
             return self._end(hand, UNSTAGED)
         if now_ms - hand.round_ms <= self.settings.again_ms:
             return []
-        if not self._at(hand.whence, key_of(hand.session)) and hand.stands:
+        if not self._at(hand.source, key_of(hand.session)) and hand.stands:
             return self._switch(now_ms, hand)  # the old site died meanwhile
         return [*self._stage(hand), *self._wanted(now_ms, hand)]
 
--- a/fawnwharf/migration/planted.py
+++ b/fawnwharf/migration/planted.py
@@ -47,7 +47,7 @@
 class _Old(Router):
     """Says that it goes by a larger number, and begins calls by the old one."""
 
-    def meet(self, now_ms: float, home: Placement, whence: str = "") -> list[m.Out]:
+    def meet(self, now_ms: float, home: Placement, source: str = "") -> list[m.Out]:
         """Ignores placements that it meets."""
         return []
 
--- a/fawnwharf/migration/router.py
+++ b/fawnwharf/migration/router.py
@@ -107,7 +107,7 @@
         """
         self._anew_ms, self._untold = now_ms, list(self.homes)
 
-    def meet(self, now_ms: float, home: Placement, whence: str = "") -> list[m.Out]:
+    def meet(self, now_ms: float, home: Placement, source: str = "") -> list[m.Out]:
         """Take a placement that somebody goes by.
 
         If its number is larger, so does this front end from now on.
@@ -116,7 +116,7 @@
         if before is not None and home.number <= before.number:
             return []
         seen = self._goes_by(now_ms, home)
-        seen.whence = whence
+        seen.source = source
         claims = self.staged.get(home.session.row, {})
         for claim in [c for c, (_, n) in claims.items() if c[0] == home.session and n <= home.number]:
             del claims[claim]  # it is at home, or that hand-over is over
@@ -194,17 +194,17 @@
 
         A coordinator that settles it hears what is in flight by smaller numbers.
         """
-        found = self.meet(now_ms, told.home, told.whence)
+        found = self.meet(now_ms, told.home, told.source)
         seen = self.homes.get(told.home.session)
         if seen is None or told.step is not m.Step.SWITCHED:
             return found
-        seen.asks, seen.whence, seen.used_there = sender, told.whence, False
+        seen.asks, seen.source, seen.used_there = sender, told.source, False
         waits = self._settling.setdefault(told.home.session.row, {})
         waits[told.home.session] = now_ms + self.settings.settle_ms * self.settings.stretch
         return [*found, *self._left(told.home.session, seen)]
 
     def _left(self, session: Session, seen: Seen) -> list[m.Out]:
-        others = self._others(session, seen.whence)
+        others = self._others(session, seen.source)
         seen.used_there = others > 0
         left = m.Left(session, seen.home.number, self._older(seen), others, self.life)
         return [m.Say((seen.asks,), left)]
@@ -214,7 +214,7 @@
         found: list[m.Out] = []
         for session in self._settling[row]:
             seen = self.homes.get(session)
-            if seen and not seen.used_there and self._others(session, seen.whence):
+            if seen and not seen.used_there and self._others(session, seen.source):
                 found += self._left(session, seen)
         return found
 
--- a/fawnwharf/migration/walk.py
+++ b/fawnwharf/migration/walk.py
@@ -308,8 +308,8 @@
         home = node.router.home(session)
         if home is None:
             return
-        whither = chance.choice([site for site in self.sites if site != home.site])
-        move = PredictedMove(session, home.site, whither, 0.0, 1.0, "walk")
+        destination = chance.choice([site for site in self.sites if site != home.site])
+        move = PredictedMove(session, home.site, destination, 0.0, 1.0, "walk")
         haste = chance.random() < self.weather.haste
         self.outcome.counts["begun"] += 1
         self._carry_out(node, node.mover.begin(self._clock(node), move, home.number, 1, haste))
--- a/fawnwharf/prefetch/core.py
+++ b/fawnwharf/prefetch/core.py
@@ -12,10 +12,10 @@
 from fawnwharf.prefetch.predictors import (
     Belongs,
     Learnt,
+    NextZones,
     Place,
     Plans,
     Trend,
-    Whither,
     _homeless,
     _nowhere,
     _unplaced,
@@ -45,7 +45,7 @@
         site: Settings,
         prices: Prices,
         me: str,
-        whither: Whither = _nowhere,
+        destination: NextZones = _nowhere,
         place: Place = _unplaced,
         belongs: Belongs = _homeless,
     ) -> None:
@@ -56,7 +56,7 @@
         self.trend, self.learnt, self.plans = (
             Trend(bounds),
             Learnt(bounds),
-            Plans(bounds, whither, place, belongs),
+            Plans(bounds, destination, place, belongs),
         )
         self.plans.past = self.trend.past = self.learnt.past
         # A stage is worth the chance that it is used while it stands; idle for longer it may lapse.
@@ -115,7 +115,7 @@
         still = self.plans.standby()
         # All that are good: each is scored by what it foretold itself, so of two the scores say little.
         good = [name for name in made if scores.good(name)]
-        guessed = [move for name in good for move in made[name] if move.whither not in still]
+        guessed = [move for name in good for move in made[name] if move.destination not in still]
         seen = view()
         self.moves = self._due(certain, len(seen.heard)) + guessed
         yield
@@ -129,7 +129,7 @@
 
         As late as the queue of orders allows, so that copies do not expire before they are needed.
         """
-        rows = len({(move.session.row, move.whither) for move in certain} - self.planner.held.keys())
+        rows = len({(move.session.row, move.destination) for move in certain} - self.planner.held.keys())
         bounds = self.bounds
         pace = max(0.1, min(bounds.fetches_ps, bounds.pace_ps * max(1, heard)))
         lead = bounds.lead_ms + 1_000.0 * rows / pace + bounds.fast_ms
--- a/fawnwharf/prefetch/messages.py
+++ b/fawnwharf/prefetch/messages.py
@@ -67,8 +67,8 @@
     """A session's calls are found at another zone than before, first at `at_ms`."""
 
     session: Session
-    whence: Identifier
-    whither: Identifier
+    source: Identifier
+    destination: Identifier
     at_ms: float = 0.0
 
 
--- a/fawnwharf/prefetch/past.py
+++ b/fawnwharf/prefetch/past.py
@@ -19,7 +19,7 @@
 AGES = 16  # doublings of a second
 GROUPS = 30  # of one slice
 
-Move = tuple[str, str, int, str, float]  # tenant, whence, phase, whither, moves
+Move = tuple[str, str, int, str, float]  # tenant, source, phase, destination, moves
 Stay = tuple[str, str, int, float]  # tenant, site, phase, milliseconds
 Age = tuple[str, int, float, float]  # tenant, doubling, ends, milliseconds
 
@@ -30,7 +30,7 @@
     def __init__(self, settings: Foresight) -> None:
         self.settings = settings
         self.dropped = 0
-        self._moves: dict[tuple[str, str, int], dict[str, list[float]]] = {}  # whither: [moves, when]
+        self._moves: dict[tuple[str, str, int], dict[str, list[float]]] = {}  # destination: [moves, when]
         self._stays: dict[tuple[str, str, int], list[float]] = {}  # [milliseconds, when]
         self._ages: dict[tuple[str, int], list[float]] = {}  # [ends, milliseconds, when]
         self._last_ms: float | None = None
@@ -61,8 +61,8 @@
         for n, moved in enumerate(beat.moved):
             if n % GROUPS == GROUPS - 1:
                 yield
-            key = (moved.session.org, moved.whence, self.phase(moved.at_ms))
-            count = self._row(self._moves, key, {}).setdefault(moved.whither, [0.0, now_ms])
+            key = (moved.session.org, moved.source, self.phase(moved.at_ms))
+            count = self._row(self._moves, key, {}).setdefault(moved.destination, [0.0, now_ms])
             self._fade(count, now_ms)
             count[0] += 1.0
         for n, ended in enumerate(beat.ended):
@@ -85,9 +85,9 @@
             if rows:
                 stay = self._stays.get(key, [0.0, now_ms])
                 exposed = self._now(stay, now_ms) + PRIOR_MS
-                for whither, count in rows.items():
-                    found[whither] = (
-                        found.get(whither, 0.0) + self._now(count, now_ms) * (until - at) / exposed
+                for destination, count in rows.items():
+                    found[destination] = (
+                        found.get(destination, 0.0) + self._now(count, now_ms) * (until - at) / exposed
                     )
             at = until
         return found
@@ -118,9 +118,9 @@
     def rows(self, now_ms: float, most: int) -> tuple[list[Move], list[Stay], list[Age]]:
         """The history decayed to now, at most `most` rows of each table, the largest ones."""
         moves = [
-            (*key, whither, self._now(count, now_ms))
+            (*key, destination, self._now(count, now_ms))
             for key, row in self._moves.items()
-            for whither, count in row.items()
+            for destination, count in row.items()
         ]
         stays = [(*key, self._now(stay, now_ms)) for key, stay in self._stays.items()]
         ages = [
@@ -132,8 +132,8 @@
 
     def take(self, at_ms: float, moves: list[Move], stays: list[Stay], ages: list[Age]) -> None:
         """Take the history of another process, as of `at_ms` of this clock, into an empty one."""
-        for org, site, phase, whither, count in moves:
-            self._row(self._moves, (org, site, phase), {})[whither] = [count, at_ms]
+        for org, site, phase, destination, count in moves:
+            self._row(self._moves, (org, site, phase), {})[destination] = [count, at_ms]
         for org, site, phase, stay_ms in stays:
             self._row(self._stays, (org, site, phase), [0.0, at_ms])[:] = [stay_ms, at_ms]
         for org, doubling, ends, stay_ms in ages:
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -48,7 +48,7 @@
     def chance(self) -> float:
         best: dict[Session, float] = {}
         for move in self.moves:
-            best[move.session] = max(move.chance, best.get(move.session, 0.0))
+            best[move.session] = max(move.probability, best.get(move.session, 0.0))
         return 1.0 - math.prod(1.0 - chance for chance in best.values())
 
 
@@ -171,10 +171,10 @@
         for n, move in enumerate(moves):
             if n % CALLED == CALLED - 1:
                 yield
-            if move.whither in self._disturbed:
+            if move.destination in self._disturbed:
                 self._skip("a disturbed site")
             else:
-                wishes.setdefault((move.session.row, move.whither), _Wish()).moves.append(move)
+                wishes.setdefault((move.session.row, move.destination), _Wish()).moves.append(move)
         return wishes
 
     def _rank(
@@ -213,7 +213,7 @@
         if orderer(row, site, view.heard) != view.me or not self._due(now_ms, old):
             return None
         chance = wish.chance
-        rate = sum({move.session: move.chance * rate_ps(move.session) for move in wish.moves}.values())
+        rate = sum({move.session: move.probability * rate_ps(move.session) for move in wish.moves}.values())
         standing = view.standing(row, site)
         needed = max(1, math.ceil(rate * facts.run_ms / 1000.0 / max(1, facts.lanes)))
         copies = min(self.settings.copies, needed) - (0 if old is not None else standing)
@@ -269,7 +269,7 @@
         """What is held once the copies are ordered; the predictors share it by their parts of the chance."""
         by: dict[str, float] = {}
         for move in wish.moves:
-            by[move.by] = by.get(move.by, 0.0) + move.chance
+            by[move.predictor] = by.get(move.predictor, 0.0) + move.probability
         total = sum(by.values())
         until = min(facts.load_ms + self._life_ms(facts), SPAN_MOST_MS)
         wasted = copies * (fetched(self.settings, self.prices, facts) + self.prices.probe)
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -23,7 +23,7 @@
 FLUXES_MOST = 10_000
 
 Parts = tuple[tuple[str, float], ...]  # sites and the parts of a session's calls that go there
-Whither = Callable[[Session, str], Parts]
+NextZones = Callable[[Session, str], Parts]
 Place = Callable[[Session, str], float | None]
 Belongs = Callable[[Session], str]
 
@@ -57,7 +57,7 @@
         return []
 
 
-# Sessions that stand in one group and go the same way: (chance, group, whence, whither).
+# Sessions that stand in one group and go the same way: (chance, group, source, destination).
 _Way = tuple[float, Group, str, str]
 
 
@@ -76,7 +76,7 @@
     `past` gives the chance that a session lives for `ahead` milliseconds more.
     """
     found: list[PredictedMove] = []
-    for chance, group, whence, whither in sorted(ways, key=lambda way: -way[0]):
+    for chance, group, source, destination in sorted(ways, key=lambda way: -way[0]):
         if len(found) >= 2 * settings.most:
             break
         for session in group.busiest(settings.most):
@@ -84,7 +84,7 @@
             if track is None:
                 continue
             lives = past.lives(now_ms, session, track, ahead) if past else 1.0
-            found.append(PredictedMove(session, whence, whither, span_ms, chance * lives, by))
+            found.append(PredictedMove(session, source, destination, span_ms, chance * lives, by))
             if len(found) % MOVES == 0:
                 yield
     return found
@@ -119,7 +119,7 @@
         for n, moved in enumerate(beat.moved):
             if n % MOVES == MOVES - 1:
                 yield
-            key = (moved.session.org, moved.whence, moved.whither)
+            key = (moved.session.org, moved.source, moved.destination)
             flux = self._flux.pop(key, None) or _Flux(0.0, 0.0, now_ms)
             self._flux[key] = self._faded(flux, now_ms)  # the last one, so that the first is the oldest
             self._flux[key].fast += 1.0
@@ -146,10 +146,10 @@
         """Sessions that follow a flux, and sessions whose calls shift to another zone."""
         settings = self.settings
         ways: list[_Way] = []
-        for n, ((org, whence, whither), held) in enumerate(self._flux.items()):
+        for n, ((org, source, destination), held) in enumerate(self._flux.items()):
             if n % GROUPS == GROUPS - 1:
                 yield
-            group = watch.groups.get((org, whence))
+            group = watch.groups.get((org, source))
             flux = self._faded(held, now_ms)
             if not group or flux.fast < 0.5:
                 continue
@@ -157,7 +157,7 @@
             hazard = max(0.0, fast + max(0.0, fast - slow)) / (len(group) + flux.fast)
             chance = 1.0 - math.exp(-hazard * span_ms)
             if chance >= settings.floor:
-                ways.append((chance, group, whence, whither))
+                ways.append((chance, group, source, destination))
         found = yield from _by_chance(now_ms, watch, ways, self.name, self.past, settings, span_ms, 0.0)
         for n, session in enumerate(self._called):
             if n % RISING == RISING - 1:
@@ -165,7 +165,7 @@
             track = watch.tracks.get(session)
             if track is not None and len(track.flows) > 1 and len(found) < 3 * settings.most:
                 found += self._rising(session, track, span_ms)
-        return heapq.nlargest(settings.most, found, key=lambda move: move.chance)
+        return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
     def _rising(self, session: Session, track: Track, span_ms: float) -> list[PredictedMove]:
         fast, slow = (sum(getattr(f, n) for f in track.flows) or 1.0 for n in ("fast", "slow"))
@@ -203,12 +203,12 @@
             if total <= 0.0:
                 continue
             leaves = 1.0 - math.exp(-total)
-            for whither, hazard in sorted(hazards.items()):
+            for destination, hazard in sorted(hazards.items()):
                 chance = leaves * hazard / total
-                if chance >= settings.floor and whither != site:
-                    ways.append((chance, group, site, whither))
+                if chance >= settings.floor and destination != site:
+                    ways.append((chance, group, site, destination))
         found = yield from _by_chance(now_ms, watch, ways, self.name, self.past, settings, span_ms, span_ms)
-        return heapq.nlargest(settings.most, found, key=lambda move: move.chance)
+        return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
 
 def _nowhere(_session: Session, _site: str) -> Parts:
@@ -226,8 +226,8 @@
 class Plans:
     """Predicts what was announced, as certain.
 
-    A session at a zone that is drained goes where `whither` says (zones and shares, as the plan's flows have
-    it). One that left a zone which returns goes back once the open part covers its place; where its place is
+    A session at a zone that is drained goes where `destination` says (zones and shares, as the plan's flows
+    have     it). One that left a zone which returns goes back once the open part covers its place; where its place is
     unknown, the chance is the step's share of those that are left.
     """
 
@@ -236,11 +236,11 @@
     def __init__(
         self,
         settings: Foresight,
-        whither: Whither = _nowhere,
+        destination: NextZones = _nowhere,
         place: Place = _unplaced,
         belongs: Belongs = _homeless,
     ) -> None:
-        self.settings, self.whither, self.place, self.belongs = settings, whither, place, belongs
+        self.settings, self.destination, self.place, self.belongs = settings, destination, place, belongs
         self.past: Past | None = None  # for survival; None: all live on
         self._plans: dict[str, tuple[float, m.Announced]] = {}
 
@@ -273,7 +273,7 @@
                     way = self._leave if falls else self._return
                     found += yield from way(now_ms, watch, site, was, step.open, ahead)
                 was = step.open
-        return heapq.nlargest(self.settings.most, found, key=lambda move: move.chance)
+        return heapq.nlargest(self.settings.most, found, key=lambda move: move.probability)
 
     def _lives(self, now_ms: float, session: Session, track: Track, ahead_ms: float) -> float:
         return self.past.lives(now_ms, session, track, ahead_ms) if self.past else 1.0
@@ -295,7 +295,7 @@
             if part <= 0.0:
                 continue
             part *= self._lives(now_ms, session, track, max(0.0, ahead))
-            for target, share in self.whither(session, site):
+            for target, share in self.destination(session, site):
                 if part * share > 0 and target != site:
                     within = min(SPAN_MOST_MS, max(0.0, ahead) + self.settings.fast_ms)
                     found.append(
--- a/fawnwharf/prefetch/scenes.py
+++ b/fawnwharf/prefetch/scenes.py
@@ -49,8 +49,8 @@
 
     at_ms: float
     session: Session
-    whence: str
-    whither: str
+    source: str
+    destination: str
 
 
 @dataclass(slots=True)
@@ -89,7 +89,7 @@
     return SITES[rendezvous_weight("home", session.org, session.row) % len(SITES)]
 
 
-def whither(session: Session, site: str) -> str:
+def next_zone(session: Session, site: str) -> str:
     """Where a session goes whose zone is closed: by rendezvous hash over the others."""
     return max(
         (s for s in SITES if s != site), key=lambda s: rendezvous_weight("site", s, session.org, session.row)
@@ -150,9 +150,9 @@
         if home != "north":
             return [(begins, home)]
         if begins >= 60_000.0:
-            return [(begins, whither(session, home))]
+            return [(begins, next_zone(session, home))]
         goes = 60_000.0 + chance.uniform(0.0, 1_500.0)
-        return [(begins, home), *([(goes, whither(session, home))] if goes < ends else [])]
+        return [(begins, home), *([(goes, next_zone(session, home))] if goes < ends else [])]
 
     return made, route
 
@@ -175,7 +175,7 @@
     def route(chance, session, home, begins, ends):
         if home != "north":
             return [(begins, home)]
-        away = whither(session, home)
+        away = next_zone(session, home)
         back = next(at for part, at in opens if place(session, home) < part) + chance.uniform(0.0, 500.0)
         goes = 60_000.0 + chance.uniform(0.0, 400.0)
         if begins >= back:
--- a/fawnwharf/prefetch/score.py
+++ b/fawnwharf/prefetch/score.py
@@ -99,15 +99,15 @@
         for n, move in enumerate(moves):
             if n % KEYS == KEYS - 1:
                 yield
-            held = self._open.setdefault(move.by, {})
-            if self._count.get(move.by, 0) >= OPEN_MOST:
+            held = self._open.setdefault(move.predictor, {})
+            if self._count.get(move.predictor, 0) >= OPEN_MOST:
                 self.dropped += 1
                 continue
-            self._count[move.by] = self._count.get(move.by, 0) + 1
+            self._count[move.predictor] = self._count.get(move.predictor, 0) + 1
             due = now_ms + move.within_ms + self.grace_ms
-            key = (move.session, move.whither)
-            held.setdefault(key, []).append((move.chance, due))
-            heapq.heappush(self._dues.setdefault(move.by, []), (due, next(self._numbers), key))
+            key = (move.session, move.destination)
+            held.setdefault(key, []).append((move.probability, due))
+            heapq.heappush(self._dues.setdefault(move.predictor, []), (due, next(self._numbers), key))
 
     def seen(self, now_ms: float, beat: m.Beat) -> None:
         """Score the predictions that came true in one pass, and those whose time is over."""
@@ -128,7 +128,7 @@
         for n, move in enumerate(beat.moved):
             if n % KEYS == KEYS - 1:
                 yield
-            key = (move.session, move.whither)
+            key = (move.session, move.destination)
             moved[key] = None
             self.missed += not any(key in held for held in self._open.values())
         return moved
--- a/fawnwharf/prefetch/seen.py
+++ b/fawnwharf/prefetch/seen.py
@@ -324,14 +324,14 @@
                 track.level = level
                 self._join(session, track)
             return None
-        whence = track.site
+        source = track.site
         self._leave(session, track)
         track.level = level
-        if whence:
-            track.was = whence
+        if source:
+            track.was = source
         track.site = most.site
         self._join(session, track)
-        return m.Moved(session, whence, most.site, most.since_ms) if whence else None
+        return m.Moved(session, source, most.site, most.since_ms) if source else None
 
     def _forget(self, session: Session) -> Track:
         track = self.tracks.pop(session)
--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -13,7 +13,18 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import View
 from fawnwharf.prefetch.core import Foresight
-from fawnwharf.prefetch.scenes import CONFIG, DAY_MS, SCENES, SITES, Scene, Turn, home, place, scene, whither
+from fawnwharf.prefetch.scenes import (
+    CONFIG,
+    DAY_MS,
+    SCENES,
+    SITES,
+    Scene,
+    Turn,
+    home,
+    next_zone,
+    place,
+    scene,
+)
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import site_from
 from fawnwharf.prefetch.world import Tally, World
@@ -51,7 +62,7 @@
         self.site, self.prices = site_from(CONFIG)
         self.world = World(self.site, SITES, EACH, MEMORY_MB, made.facts)
         self.core = Foresight(
-            BOUNDS, self.site, self.prices, "a", lambda s, at: ((whither(s, at), 1.0),), place, home
+            BOUNDS, self.site, self.prices, "a", lambda s, at: ((next_zone(s, at), 1.0),), place, home
         )
         self.live: dict = {}  # session to (site, when it called last)
         self.left = PACE_PS  # fetches that this way may begin now
@@ -109,7 +120,7 @@
         for turn in turned:
             for session, (at, _) in sorted(self.live.items()):
                 if at == turn.site and turn.open == 0.0:
-                    self.queue.append((session.row, whither(session, at)))
+                    self.queue.append((session.row, next_zone(session, at)))
                 elif home(session) == turn.site and turn.was <= place(session, turn.site) < turn.open:
                     self.queue.append((session.row, turn.site))
 
--- a/fawnwharf/prefetch/ways.py
+++ b/fawnwharf/prefetch/ways.py
@@ -16,7 +16,7 @@
 from fawnwharf.interface import Settings
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import Bucket, View, orderer, parts
-from fawnwharf.prefetch.predictors import Belongs, Whither
+from fawnwharf.prefetch.predictors import Belongs, NextZones
 from fawnwharf.prefetch.seen import Group, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
@@ -36,7 +36,7 @@
     at_ms: Annotated[float, Meta(ge=0.0)]
     org: Identifier
     row: Identifier
-    whither: Identifier
+    destination: Identifier = msgspec.field(name="whither")
 
 
 def foretold_from(data: bytes) -> list[Foretold]:
@@ -62,13 +62,13 @@
         bounds: Foresight,
         site: Settings,
         watch: Watcher,
-        whither: Whither,
+        destination: NextZones,
         belongs: Belongs,
         sites: Callable[[], Sequence[str]],
     ) -> None:
         """`sites`: those with a scorer that takes calls."""
         self.sites = sites
-        self.bounds, self.watch, self.whither, self.belongs = bounds, watch, whither, belongs
+        self.bounds, self.watch, self.destination, self.belongs = bounds, watch, destination, belongs
         self.idle_ms = site.idle_life_ms
         self.fleet_size = site.fleet_size
         self.dropped = 0
@@ -85,7 +85,7 @@
 
     def foretold(self, now_ms: float, unix_ms: float, moves: list[Foretold]) -> None:
         """Take all that is known of future moves; it replaces what was told before."""
-        self._told = [(one.at_ms - unix_ms + now_ms, one.row, one.whither) for one in moves]
+        self._told = [(one.at_ms - unix_ms + now_ms, one.row, one.destination) for one in moves]
         heapq.heapify(self._told)
 
     def look(self, now_ms: float, view: View, out: frozenset[str]) -> Slices[list[m.Order]]:
@@ -116,7 +116,7 @@
             for n, session in enumerate(watch.here.get(site, Group()).busiest(most)):
                 if n % LOOKED == LOOKED - 1:
                     yield
-                for target, _ in self.whither(session, site):
+                for target, _ in self.destination(session, site):
                     self._want(session.row, target)
         for site in sorted(self._out - out):
             back = watch.left.get(site, Group()).busiest(most)
--- a/fawnwharf/session_types.py
+++ b/fawnwharf/session_types.py
@@ -1,8 +1,11 @@
-"""Values that the packages for moving sessions exchange. Durations are milliseconds."""
+"""Values that the packages for moving sessions exchange. Durations are milliseconds.
+
+Field names on the wire are those of the first version; `msgspec.field(name=...)` maps them.
+"""
 
 from typing import Annotated
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 Identifier = Annotated[str, Meta(min_length=1, max_length=128)]
 DurationMs = Annotated[float, Meta(ge=0.0, le=3_600_000.0)]
@@ -20,21 +23,21 @@
     """A prediction: a session is expected to move to another zone within a time, with this probability."""
 
     session: Session
-    whence: Identifier
-    whither: Identifier
+    source: Identifier = field(name="whence")
+    destination: Identifier = field(name="whither")
     within_ms: DurationMs
-    chance: Fraction
-    by: Identifier  # the predictor
+    probability: Fraction = field(name="chance")
+    predictor: Identifier = field(name="by")  # the name of the predictor that made it
 
 
 class PrefetchOrder(Struct, frozen=True):
-    """A prefetch order: so many loaded copies of a function are to stand at a zone, for so long if unused."""
+    """So many loaded copies of a function are to stand at a zone, for so long if they are not used."""
 
     row: Identifier
     site: Identifier
     copies: Annotated[int, Meta(ge=1, le=16)]
     until_ms: DurationMs
-    why: Identifier
+    reason: Identifier = field(name="why")
 
 
 class PrefetchRelease(Struct, frozen=True):
--- a/fawnwharf/sessions/agent.py
+++ b/fawnwharf/sessions/agent.py
@@ -181,7 +181,7 @@
             self.firsts.met(word, self.router.home(word.home.session))
             known = self.keeper.record(word.home.session).number if self.keeper else word.home.number
             if word.home.number > known and sender != self.name:
-                self.moves.seen(now_ms, word.home, word.whence)
+                self.moves.seen(now_ms, word.home, word.source)
         elif isinstance(word, m.Piece):
             for held in word.held:
                 if held.away:
@@ -214,8 +214,8 @@
         """Take operators' requests: these sessions are to be placed at these zones."""
         wanted = []
         for session, site in moves:
-            whence = getattr(self.router.home(session), "site", self.site)
-            wanted.append(PredictedMove(session, whence, site, 0.0, 1.0, "operator"))
+            source = getattr(self.router.home(session), "site", self.site)
+            wanted.append(PredictedMove(session, source, site, 0.0, 1.0, "operator"))
         self.asking.ask(now_ms, wanted)
         self._carry(now_ms, self.asking.due(now_ms, self.mover_for))
 
@@ -229,7 +229,7 @@
         if self.mover is None or self.keeper is None:
             return []
         home = self._home(move.session)
-        if why := why_not(home, move.whither, self.sites.values(), self._closed):
+        if why := why_not(home, move.destination, self.sites.values(), self._closed):
             return [m.Say((sender,), m.Begun(move.session, home, why, True))]
         begun = m.Say((sender,), m.Begun(move.session, home, "begun", False))
         if self._pleased.get(move.session) == sender and move.session in self.mover.hands:
@@ -237,7 +237,7 @@
         if move.session in self.mover.hands:
             return [m.Say((sender,), m.Begun(move.session, home, "one is in hand", True))]
         self._pleased[move.session] = sender
-        return [begun, *self._begin(now_ms, replace(move, whence=home.site), home.number)]
+        return [begun, *self._begin(now_ms, replace(move, source=home.site), home.number)]
 
     def _home(self, session: Session) -> Placement | None:
         """The last home that is known here, as a keeper or of calls."""
@@ -304,9 +304,9 @@
     def _moved(self, now_ms: float, moved: m.Moved) -> list[m.Out]:
         home = moved.home
         self.counts["moved"] += 1
-        self.moves.switched(now_ms, home, moved.whence)
+        self.moves.switched(now_ms, home, moved.source)
         fields = named(home.session) | {"site": home.site, "number": home.number}
-        self._out.append(Note("session moved", fields | {"whence": moved.whence, "lost": list(moved.lost)}))
+        self._out.append(Note("session moved", fields | {"whence": moved.source, "lost": list(moved.lost)}))
         return self._please_over(home, "switched")
 
     def _over(self, now_ms: float, ended: m.Ended) -> list[m.Out]:
--- a/fawnwharf/sessions/asking.py
+++ b/fawnwharf/sessions/asking.py
@@ -14,15 +14,15 @@
 AGAIN_MS, MOST_MS = 1_000.0, 8_000.0  # a mover that says nothing is asked again, for so long
 
 
-def why_not(home: Placement | None, whither: str, sites: Collection[str], closed: Collection[str]) -> str:
+def why_not(home: Placement | None, destination: str, sites: Collection[str], closed: Collection[str]) -> str:
     """Why a session of this placement can't move there; empty where it can."""
     if home is None:
         return "no such session"
-    if home.site == whither:
+    if home.site == destination:
         return "at home there"
-    if whither not in sites:
+    if destination not in sites:
         return "no such site"
-    return "the site is closed" if whither in closed else ""
+    return "the site is closed" if destination in closed else ""
 
 
 @dataclass(slots=True)
--- a/fawnwharf/sessions/completing.py
+++ b/fawnwharf/sessions/completing.py
@@ -18,7 +18,7 @@
     if isinstance(message, m.Receive):
         return replace(message, facts=known.best(now_ms, message.session))
     if isinstance(message, m.Piece):
-        held = tuple(replace(one, away=moves.whence(one.session)) for one in message.held)
+        held = tuple(replace(one, away=moves.source(one.session)) for one in message.held)
         return replace(message, held=held)
     if isinstance(message, m.MayLetGo):
         return replace(message, list=number)
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -54,7 +54,7 @@
             bounds,
             deployment.settings,
             Prices(costs.origin, costs.waste, costs.probe, costs.memory),
-            whither=self._whither,
+            destination=self._next_zones,
             place=place_of,
             belongs=lambda session: agent.moves.away.get(session, ""),
         )
@@ -73,7 +73,7 @@
         self._stopped = False
         self.front: FrontEnd | None = None
 
-    def _whither(self, session: Session, site: str) -> tuple[tuple[str, float], ...]:
+    def _next_zones(self, session: Session, site: str) -> tuple[tuple[str, float], ...]:
         found = self.agent.target(session, site)
         return ((found, 1.0),) if found else ()
 
--- a/fawnwharf/sessions/moves.py
+++ b/fawnwharf/sessions/moves.py
@@ -76,8 +76,8 @@
 
 @dataclass(slots=True)
 class _Wanted:
-    whence: str
-    whither: str
+    source: str
+    destination: str
     by: str
     until_ms: float
     place: float = 0.0  # it goes once so much of the site is open
@@ -119,10 +119,10 @@
                     if other.drain is not None:
                         other.drain.room.pop(site, None)  # its own sessions move on from there
             self.closed[site].why = why
-        for session in [s for s, wanted in self.wanted.items() if wanted.whither in self.closed]:
+        for session in [s for s, wanted in self.wanted.items() if wanted.destination in self.closed]:
             wanted = self.wanted.pop(session)
             if wanted.by == "return":
-                self._away(session, wanted.whither)
+                self._away(session, wanted.destination)
 
     def _opened(self, now_ms: float, site: str) -> None:
         """It is open again: its sessions may return, each when its dwell is over."""
@@ -138,17 +138,17 @@
         if session in self.away or len(self.away) < WAIT_MOST:
             self.away.setdefault(session, site)
 
-    def whence(self, session: Session) -> str:
+    def source(self, session: Session) -> str:
         """The zone to which a session is to return, once that is open; empty where there is none."""
         wanted = self.wanted.get(session) or self._under_way.get(session)
-        return self.away.get(session, wanted.whither if wanted and wanted.by == "return" else "")
+        return self.away.get(session, wanted.destination if wanted and wanted.by == "return" else "")
 
     def taken_from(self, now_ms: float, session: Session, site: str) -> None:
         """Take from another replica that a session is to return there.
 
         This one restarted and did not see it.
         """
-        if self.whence(session):
+        if self.source(session):
             return
         self.dwell.moved(now_ms, session, site, "")  # which sites are closed need not be known here yet
         if site in self.closed:
@@ -163,10 +163,12 @@
     def expected(self, now_ms: float, moves: Iterable[PredictedMove]) -> None:
         """Take predicted moves; one that is not all but certain changes no placement."""
         for move in moves:
-            known = move.session in self.wanted or move.whence in self.closed or move.whither in self.closed
-            if move.chance >= self.rules.sure and not known:
+            known = (
+                move.session in self.wanted or move.source in self.closed or move.destination in self.closed
+            )
+            if move.probability >= self.rules.sure and not known:
                 until_ms = now_ms + move.within_ms + EXPECTED_MS
-                self._want(move.session, _Wanted(move.whence, move.whither, move.by, until_ms))
+                self._want(move.session, _Wanted(move.source, move.destination, move.predictor, until_ms))
 
     # --- what to begin ----------------------------------------------------------------------------
 
@@ -229,7 +231,7 @@
                 self._left(now_ms, effect)
         begun = [effect for effect in out if isinstance(effect, Begin)]
         for begin in begun:
-            self._count(f"begun: {begin.move.by}")
+            self._count(f"begun: {begin.move.predictor}")
         return begun
 
     def _left(self, now_ms: float, leave: Leave) -> None:
@@ -252,12 +254,14 @@
                 break
             wanted = self.wanted.pop(session)
             record, _ = view.records.get(session, (Record(), 0.0))
-            there = record.site in ("", wanted.whither) or (wanted.whence and record.site != wanted.whence)
+            there = record.site in ("", wanted.destination) or (
+                wanted.source and record.site != wanted.source
+            )
             if there or now_ms >= wanted.until_ms:
                 continue
             self.wanted[session] = wanted  # behind the others
-            early = wanted.place >= self.shares.get(wanted.whither, 1.0) or now_ms < wanted.next_ms
-            if early or self.dwell.left_ms(now_ms, session) or not self.windows.may(wanted.whither):
+            early = wanted.place >= self.shares.get(wanted.destination, 1.0) or now_ms < wanted.next_ms
+            if early or self.dwell.left_ms(now_ms, session) or not self.windows.may(wanted.destination):
                 continue
             if hashes >= HASHES:
                 break
@@ -272,30 +276,30 @@
             del self.wanted[session]
             self._tokens -= 1.0
             self._under_way[session] = wanted
-            self.windows.begun(session, wanted.whither)
+            self.windows.begun(session, wanted.destination)
             self._count(f"begun: {wanted.by}")
-            move = PredictedMove(session, record.site, wanted.whither, 0.0, 1.0, wanted.by)
+            move = PredictedMove(session, record.site, wanted.destination, 0.0, 1.0, wanted.by)
             found.append(Begin(move, record.number, False))
         return found
 
     # --- what came of it --------------------------------------------------------------------------
 
-    def switched(self, now_ms: float, home: Placement, whence: str) -> None:
+    def switched(self, now_ms: float, home: Placement, source: str) -> None:
         """Take that a switch is decided: it uses no budget any more, though it has yet to settle."""
         self.windows.ended(now_ms, home.session, "switched")
         for site, closed in self.closed.items():
             if closed.drain is not None and home.session in closed.drain.going:
                 self._over(now_ms, site, closed.drain, home, "switched")
                 return
-        self.seen(now_ms, home, whence)
+        self.seen(now_ms, home, source)
         self._under_way.pop(home.session, None)
 
-    def seen(self, now_ms: float, home: Placement, whence: str) -> None:
+    def seen(self, now_ms: float, home: Placement, source: str) -> None:
         """Take a decided switch, whoever drove it: another coordinator may have to bring the session back."""
-        self.dwell.moved(now_ms, home.session, whence, home.site)
-        if whence in self.closed and self.whence(home.session) != home.site:
+        self.dwell.moved(now_ms, home.session, source, home.site)
+        if source in self.closed and self.source(home.session) != home.site:
             if home.site not in self.closed:
-                self._away(home.session, whence)
+                self._away(home.session, source)
         elif home.site not in self.closed:
             self.away.pop(home.session, None)
             self.wanted.pop(home.session, None)
@@ -311,7 +315,7 @@
         if wanted is None:
             return
         wanted.tries += 1
-        if home.site != wanted.whither and wanted.tries < self.rules.tries:
+        if home.site != wanted.destination and wanted.tries < self.rules.tries:
             wanted.next_ms = now_ms + AGAIN_MS
             self._want(home.session, wanted)
 
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -21,7 +21,7 @@
 from fawnwharf.prefetch.budgets import View, shared
 from fawnwharf.prefetch.core import Foresight
 from fawnwharf.prefetch.known import Copies, Functions, Scorers, Told
-from fawnwharf.prefetch.predictors import Belongs, Parts, Place, Whither, _homeless, _unplaced
+from fawnwharf.prefetch.predictors import Belongs, NextZones, Parts, Place, _homeless, _unplaced
 from fawnwharf.prefetch.seen import OWNERS_MOST
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
@@ -105,18 +105,18 @@
         bounds: Bounds,
         site: io.Settings,
         prices: Prices,
-        whither: Whither | None = None,
+        destination: NextZones | None = None,
         place: Place = _unplaced,
         belongs: Belongs = _homeless,
     ) -> None:
-        """`whither` says where a session goes whose site is closed; without it, by hash over the others."""
+        """`destination` gives the next zones of a session whose zone is closed; without it, a hash does."""
         self.me, self.bounds = me, bounds
         self.scorers = Scorers(site)
         self.functions = Functions(bounds.sessions)
         self.copies = Copies(self.scorers, self.functions, site.idle_life_ms)
-        whither, rules = whither or self._whither, self.scorers.settings
-        self.core = Foresight(bounds, rules, prices, me, whither, place, belongs)
-        self.ways = Ways(bounds, rules, self.core.watch, whither, belongs, self.scorers.sites)
+        destination, rules = destination or self._next_zones, self.scorers.settings
+        self.core = Foresight(bounds, rules, prices, me, destination, place, belongs)
+        self.ways = Ways(bounds, rules, self.core.watch, destination, belongs, self.scorers.sites)
         self.calm = True
         self.counts: dict[str, int] = {}
         promise_ms = min((spec.latency_target_ms for spec in site.classes.values()), default=1_000.0)
@@ -396,7 +396,7 @@
             mean_ps=scorers.rate_ps() * max(1, scorers.settings.fleet_size),
         )
 
-    def _whither(self, session: Session, site: str) -> Parts:
+    def _next_zones(self, session: Session, site: str) -> Parts:
         others = [other for other in self.scorers.sites() if other != site]
         if not others:
             return ()
--- a/fawnwharf/testbed/moves.py
+++ b/fawnwharf/testbed/moves.py
@@ -243,7 +243,7 @@
         for move in moved
         if (first := min(
             (w.at_ms for w in by_session[move.org, move.row]
-             if w.site == move.whither and w.at_ms >= move.at_ms), default=0.0))
+             if w.site == move.destination and w.at_ms >= move.at_ms), default=0.0))
     )  # fmt: skip
     if not took:
         return 0.0, 0.0
--- a/fawnwharf/testbed/sessions.py
+++ b/fawnwharf/testbed/sessions.py
@@ -46,23 +46,23 @@
         move each session to.
         """
         clients = self.fleet.clients
-        whence, _, tenant = step.what.partition("/")
+        source, _, tenant = step.what.partition("/")
         if step.to == "target":
-            drawn = clients.draw(whence or ANY, step.value or 1.0, tenant)
+            drawn = clients.draw(source or ANY, step.value or 1.0, tenant)
             zones = self.fleet.scenario.zones
             return [Planned(at_ms, live, live.site, handed_over(live, zones)) for live in drawn]
         open_ = step.to.split(",") if "," in step.to else None
-        whither = ANY if open_ else step.to or ANY
+        destination = ANY if open_ else step.to or ANY
         return [
-            Planned(at_ms, live, live.site, clients.elsewhere(live, whither, open_))
-            for live in clients.draw(whence or ANY, step.value or 1.0, tenant, but=whither)
+            Planned(at_ms, live, live.site, clients.elsewhere(live, destination, open_))
+            for live in clients.draw(source or ANY, step.value or 1.0, tenant, but=destination)
         ]
 
     def move_clients(self, step: Step) -> None:
         """Move clients of sessions to another zone."""
         drawn, self._drawn = self._drawn, None
         for planned in drawn if drawn is not None else self._draw(step, monotonic_ms()):
-            self.fleet.clients.move(planned.live, planned.whither)
+            self.fleet.clients.move(planned.live, planned.destination)
 
     def bounce(self, step: Step) -> None:
         """Let clients call elsewhere for a moment and come back."""
@@ -75,7 +75,7 @@
         offset = unix_ms() - monotonic_ms()
         planned = sorted([*(self._drawn or ()), *self.fleet.clients.planned], key=lambda p: p.at_ms)
         moves = [
-            {"at_ms": p.at_ms + offset, "org": p.live.org, "row": p.live.row, "whither": p.whither}
+            {"at_ms": p.at_ms + offset, "org": p.live.org, "row": p.live.row, "whither": p.destination}
             for p in planned
         ]
         for front in self.fleet.fronts.values():
@@ -101,10 +101,10 @@
             raise LabFault("no keeper lives that could be asked")
         return found
 
-    def asked(self, whither: str) -> Front:
-        """The replica that an operator turns to: one of a zone that is not emptied, of `whither` at best."""
+    def asked(self, destination: str) -> Front:
+        """The replica that an operator turns to: one of a zone that is not drained, `destination` at best."""
         found = [front for front in self.keepers() if front.zone not in self.drained] or self.keepers()
-        front = next((front for front in found if front.zone == whither), found[0])
+        front = next((front for front in found if front.zone == destination), found[0])
         self.fleet.asked = front.name
         return front
 
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -147,9 +147,9 @@
     watch = days(learnt, 3.28)  # in the third day, 2 s before they go
     early = foreseen(learnt, 315_000.0, watch, 9_000.0)
     late = foreseen(learnt, 327_000.0, watch, 9_000.0)
-    assert not early or max(move.chance for move in early) < 0.1
-    assert len(late) == 20 and min(move.chance for move in late) > 0.5
-    assert {(move.whence, move.whither) for move in late} == {("n", "s")}
+    assert not early or max(move.probability for move in early) < 0.1
+    assert len(late) == 20 and min(move.probability for move in late) > 0.5
+    assert {(move.source, move.destination) for move in late} == {("n", "s")}
     still = Learnt(S)
     assert foreseen(still, 327_000.0, days(still, 3.28, moves=False), 9_000.0) == []
     assert foreseen(Nothing(), 0.0, watch, 9_000.0) == []
@@ -181,8 +181,8 @@
             watch.called(1_000.0 * second, Session("club", f"f{n}"), "s" if gone else "n")
             watch.called(1_000.0 * second, Session("club", f"f{n}"), "s" if gone else "n")
         drained(trend.learn(1_000.0 * second, watch, watch.beat(1_000.0 * second)))
-    made = [move for move in foreseen(trend, 23_000.0, watch, 9_000.0) if move.whither == "s"]
-    assert len({move.session for move in made}) >= 8 and max(move.chance for move in made) > 0.5
+    made = [move for move in foreseen(trend, 23_000.0, watch, 9_000.0) if move.destination == "s"]
+    assert len({move.session for move in made}) >= 8 and max(move.probability for move in made) > 0.5
 
 
 def test_announced_plans_are_certain_and_later_ones_hold():
@@ -196,7 +196,11 @@
     drain = m.Announced("n", 2, "drain", (m.Step(5_000.0, 0.0),))
     assert plans.announced(9_000.0, drain) and not plans.announced(9_500.0, drain)
     (one, two) = foreseen(plans, 9_500.0, watch, 9_000.0)
-    assert {one.session, two.session} == {A, B} and one.chance == two.chance == 1.0 and one.by == "announced"
+    assert (
+        {one.session, two.session} == {A, B}
+        and one.probability == two.probability == 1.0
+        and one.predictor == "announced"
+    )
     assert foreseen(plans, 9_500.0, watch, 1_000.0) == [] and foreseen(plans, 24_000.0, watch, 9_000.0) == []
     for second in range(10, 20):
         watch.called(1_000.0 * second, A, "s")
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -36,8 +36,8 @@
     return View(**(told | changes))
 
 
-def move(n, chance=0.9, by="learnt", whither="s", within=5_000.0):
-    return PredictedMove(Session("club", f"f{n}"), "n", whither, within, chance, by)
+def move(n, chance=0.9, by="learnt", destination="s", within=5_000.0):
+    return PredictedMove(Session("club", f"f{n}"), "n", destination, within, chance, by)
 
 
 def planner(bounds=S, site=SITE):
@@ -132,7 +132,9 @@
     held_mb = {"s": 0.0, "t": 0.0}
     for look in range(12):
         now, room = 500.0 * look, {scorer: chance.choice([0.0, 1.0, 2.5]) for scorer in SCORERS}
-        moves = [move(chance.randrange(60), chance.random(), whither=chance.choice("st")) for _ in range(40)]
+        moves = [
+            move(chance.randrange(60), chance.random(), destination=chance.choice("st")) for _ in range(40)
+        ]
         for name in names:
             ration, most, waiting = chance.uniform(0, 9), 10.0, chance.randrange(3)
             seen = view(me=name, heard=names, ration=ration, ration_most=most, waiting=waiting,
@@ -176,9 +178,9 @@
 
 def test_it_yields_in_a_surge_a_loss_and_a_power_up_and_waits_a_while_after():
     plan = planner()
-    assert len(orders(step(plan, 0.0, [move(1), move(2, whither="t")], view()))) == 2
+    assert len(orders(step(plan, 0.0, [move(1), move(2, destination="t")], view()))) == 2
     assert step(plan, 500.0, [move(3)], view(disturbed=frozenset("t")))[:1] == [PrefetchRelease("f2", "t")]
-    assert step(plan, 1_000.0, [move(4, whither="t")], view()) == []
+    assert step(plan, 1_000.0, [move(4, destination="t")], view()) == []
     assert PrefetchRelease("f1", "s") in step(plan, 1_500.0, [move(5)], view(calm=False))
     assert step(plan, 1_500.0 + S.quiet_ms - 1, [move(5)], view()) == []
     assert len(orders(step(plan, 1_500.0 + S.quiet_ms, [move(5)], view()))) == 1
--- a/tests/test_handover_core_hard.py
+++ b/tests/test_handover_core_hard.py
@@ -31,9 +31,9 @@
         self.out += [(node.name, effect) for effect in out if not isinstance(effect, m.Say)]
         super()._carry_out(node, out)
 
-    def begin(self, name, whither, session=None, whence="x", number=0, haste=False):
+    def begin(self, name, destination, session=None, source="x", number=0, haste=False):
         node, session = self.nodes[name], session or self.sessions[0]
-        move = PredictedMove(session, whence, whither, 0.0, 1.0, "test")
+        move = PredictedMove(session, source, destination, 0.0, 1.0, "test")
         self._carry_out(node, node.mover.begin(self._clock(node), move, number, 1, haste))
 
     def kill(self, *names):
@@ -172,7 +172,9 @@
                 session = begin.move.session
                 begun[session] = begun.get(session, 0) + 1
                 name = mover_of(session, up)
-                fleet.begin(name, begin.move.whither, session, begin.move.whence, begin.number, begin.haste)
+                fleet.begin(
+                    name, begin.move.destination, session, begin.move.source, begin.number, begin.haste
+                )
         fleet.until(fleet.now + 20.0)
         for _, effect in fleet.out[seen:]:
             if isinstance(effect, m.Ended):
@@ -267,7 +269,7 @@
     lives = [(Live(Session("o", f"r{n}"), 1.0, 0.1, 60_000.0), 0) for n in range(8)]
     prefers = lambda session: "y" if session.row < "r5" else "z"  # noqa: E731
     drain = Drain("x", 0.0, 60_000.0, lives, {"y": 50, "z": 50}, rules, Dwell(rules), False, prefers, windows)
-    begun = [begin.move.whither for begin in drain.tick(0.0)]
+    begun = [begin.move.destination for begin in drain.tick(0.0)]
     assert begun == ["y", "y", "z", "z"]
     drain.ended(5.0, Placement(Session("o", "r0"), "y", 1), "switched")
-    assert [begin.move.whither for begin in drain.tick(10.0)] == ["y"]
+    assert [begin.move.destination for begin in drain.tick(10.0)] == ["y"]
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -242,9 +242,9 @@
     [first, *_] = ahead = foretold_from((fleet.fronts["n4"].folder / "told.jsonl").read_bytes())
     assert len(ahead) == 6
     steps.move_clients(step)
-    went = [(m.org, m.row, m.whither) for m in fleet.clients.moved]
-    assert [(m.org, m.row, m.whither) for m in ahead] == went
-    assert {m.whence for m in fleet.clients.moved} == {"a"} and first.at_ms > 1e12  # of the Unix clock
+    went = [(m.org, m.row, m.destination) for m in fleet.clients.moved]
+    assert [(m.org, m.row, m.destination) for m in ahead] == went
+    assert {m.source for m in fleet.clients.moved} == {"a"} and first.at_ms > 1e12  # of the Unix clock
 
 
 def test_clients_may_follow_their_sessions_to_where_front_ends_hand_them_over():
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -25,7 +25,7 @@
     orders = wanted(found)
     assert sorted(row for row, _ in orders) == [f"f{n}" for n in range(4)]
     for row, worker in orders:
-        site = one.core.plans.whither(Session("club", row), "n")[0][0]
+        site = one.core.plans.destination(Session("club", row), "n")[0][0]
         assert worker == one.scorers.order(row, site)[0] and site != "n"
     want = next(want for beat in found for want in beat.wanted)
     assert (want.class_name, want.copies, want.lanes, want.load_ms) == ("view", 1, 1, 900.0)
@@ -123,14 +123,16 @@
         star.second(calling)
     for one in star.members.values():
         one.announced(star.now, m.Announced("n", 1, "drain", (m.Step(8_000.0, 0.0),)))
-    whither = {row: star.members["o1"].core.plans.whither(Session("club", row), "n")[0][0] for row in rows}
-    due = {row: orderer(row, whither[row], star.keepers) for row in rows}
+    destination = {
+        row: star.members["o1"].core.plans.destination(Session("club", row), "n")[0][0] for row in rows
+    }
+    due = {row: orderer(row, destination[row], star.keepers) for row in rows}
     dead = due[rows[0]]
     star.kill(dead)
     for _ in range(8):
         star.second(calling)
     left = [name for name in star.keepers if name != dead]
-    assert sorted(star.orders) == sorted((row, orderer(row, whither[row], left)) for row in rows)
+    assert sorted(star.orders) == sorted((row, orderer(row, destination[row], left)) for row in rows)
     assert {name for _, name in star.orders} <= set(left)
     stays = [(row, name) for row, name in star.orders if due[row] != dead]
     assert stays and all(due[row] == name for row, name in stays)  # the others' own are as they were
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -243,7 +243,7 @@
         for live in half:
             crowd.move(live, crowd.elsewhere(live, "*"))
         self.assertEqual([live.site for live in half], ["b", "b"])
-        self.assertEqual([(m.whence, m.whither) for m in crowd.moved], [("a", "b")] * 2)
+        self.assertEqual([(m.source, m.destination) for m in crowd.moved], [("a", "b")] * 2)
 
     def test_a_partner_bounces_them_at_a_pace_by_moves_that_are_known_ahead(self):
         crowd = self.crowd()
@@ -252,8 +252,8 @@
         ahead = list(crowd.planned)
         self.until(lambda: len(crowd.moved) >= 10, "they move")
         crowd.bounce(0.0)
-        went = [(m.org, m.row, m.whence, m.whither) for m in crowd.moved[:10]]
-        self.assertEqual(went, [(p.live.org, p.live.row, p.whence, p.whither) for p in ahead[:10]])
+        went = [(m.org, m.row, m.source, m.destination) for m in crowd.moved[:10]]
+        self.assertEqual(went, [(p.live.org, p.live.row, p.source, p.destination) for p in ahead[:10]])
         self.assertEqual({moved.org for moved in crowd.moved}, {"t"})
         self.until(lambda: not crowd.planned, "it is over")
         crowd.stop()
