--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -227,8 +227,8 @@
     """Predicts what was announced, as certain.
 
     A session at a zone that is drained goes where `destination` says (zones and shares, as the plan's flows
-    have     it). One that left a zone which returns goes back once the open part covers its place; where its place is
-    unknown, the chance is the step's share of those that are left.
+    have it). One that left a zone which returns goes back once the open part covers its place; where its place
+    is unknown, the chance is the step's share of those that are left.
     """
 
     name = "announced"
