--- a/fawnwharf/prefetch/memory.py
+++ b/fawnwharf/prefetch/memory.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.prefetch.core import Foresight
 from fawnwharf.prefetch.known import Functions, Told
 from fawnwharf.prefetch.past import Age, Move, Stay
+from fawnwharf.prefetch.prefetcher import Foresight
 from fawnwharf.prefetch.score import Sums
 
 VERSION = 1
--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import View
-from fawnwharf.prefetch.core import Foresight
+from fawnwharf.prefetch.prefetcher import Foresight
 from fawnwharf.prefetch.scenes import (
     CONFIG,
     DAY_MS,
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -19,9 +19,9 @@
 from fawnwharf.prefetch import memory
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import View, shared
-from fawnwharf.prefetch.core import Foresight
 from fawnwharf.prefetch.known import Copies, Functions, Scorers, Told
 from fawnwharf.prefetch.predictors import Belongs, NextZones, Parts, Place, _homeless, _unplaced
+from fawnwharf.prefetch.prefetcher import Foresight
 from fawnwharf.prefetch.seen import OWNERS_MOST
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -9,8 +9,8 @@
 from fawnwharf.interface import ClassSpec, Settings
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import View, orderer
-from fawnwharf.prefetch.core import Foresight
 from fawnwharf.prefetch.planner import Planner
+from fawnwharf.prefetch.prefetcher import Foresight
 from fawnwharf.prefetch.score import LEAST_CHANCE, Scores
 from fawnwharf.prefetch.seen import Flow
 from fawnwharf.prefetch.settings import Foresight as Bounds
