--- a/fawnwharf/prefetch/past.py
+++ b/fawnwharf/prefetch/past.py
@@ -9,7 +9,7 @@
 import math
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.seen import Track, Watcher
+from fawnwharf.prefetch.session_monitor import Track, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.session_types import Session
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -13,7 +13,7 @@
 
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.past import Past
-from fawnwharf.prefetch.seen import Group, Track, Watcher
+from fawnwharf.prefetch.session_monitor import Group, Track, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.session_types import PredictedMove, Session
--- a/fawnwharf/prefetch/prefetcher.py
+++ b/fawnwharf/prefetch/prefetcher.py
@@ -21,7 +21,7 @@
     _unplaced,
 )
 from fawnwharf.prefetch.score import Scores
-from fawnwharf.prefetch.seen import Watcher
+from fawnwharf.prefetch.session_monitor import Watcher
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.slices import Slices, drained
--- a/fawnwharf/prefetch/ways.py
+++ b/fawnwharf/prefetch/ways.py
@@ -17,7 +17,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import Bucket, View, orderer, parts
 from fawnwharf.prefetch.predictors import Belongs, NextZones
-from fawnwharf.prefetch.seen import Group, Watcher
+from fawnwharf.prefetch.session_monitor import Group, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.session_types import Identifier, PrefetchOrder, Session
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -22,7 +22,7 @@
 from fawnwharf.prefetch.known import Copies, Functions, Scorers, Told
 from fawnwharf.prefetch.predictors import Belongs, NextZones, Parts, Place, _homeless, _unplaced
 from fawnwharf.prefetch.prefetcher import Foresight
-from fawnwharf.prefetch.seen import OWNERS_MOST
+from fawnwharf.prefetch.session_monitor import OWNERS_MOST
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.slices import Slices
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -9,7 +9,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.past import Past
 from fawnwharf.prefetch.predictors import Learnt, Nothing, Plans, Trend
-from fawnwharf.prefetch.seen import OWNERS_MOST, SITES_MOST, Watcher
+from fawnwharf.prefetch.session_monitor import OWNERS_MOST, SITES_MOST, Watcher
 from fawnwharf.prefetch.settings import Foresight, Prices, foresight_from, site_from
 from fawnwharf.prefetch.slices import drained
 from fawnwharf.session_types import Session
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -12,7 +12,7 @@
 from fawnwharf.prefetch.planner import Planner
 from fawnwharf.prefetch.prefetcher import Foresight
 from fawnwharf.prefetch.score import LEAST_CHANCE, Scores
-from fawnwharf.prefetch.seen import Flow
+from fawnwharf.prefetch.session_monitor import Flow
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.trial import compare, interval
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -11,7 +11,7 @@
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.seen import Watcher
+from fawnwharf.prefetch.session_monitor import Watcher
 from fawnwharf.prefetch.slices import drained
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.staging import (
