--- a/fawnwharf/prefetch/memory.py
+++ b/fawnwharf/prefetch/memory.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from fawnwharf.prefetch.known import Functions, Told
-from fawnwharf.prefetch.past import Age, Move, Stay
+from fawnwharf.prefetch.move_history import Age, Move, Stay
 from fawnwharf.prefetch.prefetcher import Foresight
 from fawnwharf.prefetch.score import Sums
 
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.past import Past
+from fawnwharf.prefetch.move_history import Past
 from fawnwharf.prefetch.session_monitor import Group, Track, Watcher
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings, strategies
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.past import Past
+from fawnwharf.prefetch.move_history import Past
 from fawnwharf.prefetch.predictors import Learnt, Nothing, Plans, Trend
 from fawnwharf.prefetch.session_monitor import OWNERS_MOST, SITES_MOST, Watcher
 from fawnwharf.prefetch.settings import Foresight, Prices, foresight_from, site_from
