--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -13,7 +13,7 @@
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
 from fawnwharf.policy.state import Function, Worker, mark
-from fawnwharf.prefetch.kept import Kept
+from fawnwharf.prefetch.lru_map import Kept
 from fawnwharf.prefetch.worth import Facts
 from fawnwharf.session_types import Identifier
 
--- a/fawnwharf/prefetch/session_monitor.py
+++ b/fawnwharf/prefetch/session_monitor.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.kept import Kept
+from fawnwharf.prefetch.lru_map import Kept
 from fawnwharf.prefetch.settings import Foresight
 from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.session_types import Session
