--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -13,8 +13,8 @@
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
+from fawnwharf.prefetch.baseline_strategies import foretold_from
 from fawnwharf.prefetch.settings import Prices, foresight_from
-from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.replication.service import ReplicationService
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.agent import Agent
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -18,6 +18,7 @@
 from fawnwharf import interface as io
 from fawnwharf.prefetch import memory
 from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.baseline_strategies import Foretold, Ways
 from fawnwharf.prefetch.budgets import View, shared
 from fawnwharf.prefetch.known import Copies, Functions, Scorers, Told
 from fawnwharf.prefetch.predictors import Belongs, NextZones, Parts, Place, _homeless, _unplaced
@@ -26,7 +27,6 @@
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.slices import Slices
-from fawnwharf.prefetch.ways import Foretold, Ways
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
 from fawnwharf.zones.evidence import EvidenceCollector
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -20,8 +20,8 @@
 from fawnwharf.policy_rollout import messages as policy
 from fawnwharf.policy_rollout import policy_file as policy_file
 from fawnwharf.policy_rollout import settings as policy_settings
+from fawnwharf.prefetch import baseline_strategies
 from fawnwharf.prefetch import memory as prefetch_memory
-from fawnwharf.prefetch import ways
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_service import hints, permit_messages, stored_state
 from fawnwharf.recovery_service import messages as recovery_words
@@ -100,7 +100,7 @@
     "prefetch/word": converted(staging.Word),
     "prefetch/memory": packed(prefetch_memory.Memory),
     "prefetch/foretold": Boundary(
-        ways.Foretold, lambda data: ways.foretold_from(data)[0], msgspec.json.encode
+        baseline_strategies.Foretold, lambda data: baseline_strategies.foretold_from(data)[0], msgspec.json.encode
     ),
     "migration/message": converted(migrations.Message),
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -13,7 +13,7 @@
 from fawnwharf.fakes.sessions import Live
 from fawnwharf.migration import messages as m
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.prefetch.ways import foretold_from
+from fawnwharf.prefetch.baseline_strategies import foretold_from
 from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.moves import target
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -6,9 +6,9 @@
 
 from fawnwharf import interface as io
 from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.baseline_strategies import foretold_from
 from fawnwharf.prefetch.budgets import orderer
 from fawnwharf.prefetch.settings import foresight_from
-from fawnwharf.prefetch.ways import foretold_from
 from fawnwharf.session_types import PrefetchRelease, Session
 from fawnwharf.sessions.staging import (
     Seen,
