--- a/fawnwharf/prefetch/budgets.py
+++ b/fawnwharf/prefetch/budgets.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from fawnwharf.prefetch.worth import Facts
+from fawnwharf.prefetch.copy_value import Facts
 from fawnwharf.replication.placement import rendezvous_weight
 
 BURST_S = 2.0  # of the fleet's fetches, and of the own pace
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -13,8 +13,8 @@
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
 from fawnwharf.policy.state import Function, Worker, mark
+from fawnwharf.prefetch.copy_value import Facts
 from fawnwharf.prefetch.lru_map import Kept
-from fawnwharf.prefetch.worth import Facts
 from fawnwharf.session_types import Identifier
 
 ORDERS_MOST = 512  # hash orders kept in mind
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -13,10 +13,10 @@
 from fawnwharf.interface import Settings
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import Bucket, View, orderer, parts
+from fawnwharf.prefetch.copy_value import Facts, cost, fetched, loss, mean_worth
 from fawnwharf.prefetch.score import Scores
 from fawnwharf.prefetch.settings import Foresight, Prices
 from fawnwharf.prefetch.slices import Slices, drained
-from fawnwharf.prefetch.worth import Facts, cost, fetched, loss, mean_worth
 from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
 
 HELD_MOST = 4_096  # stages of one front end
--- a/fawnwharf/prefetch/scenes.py
+++ b/fawnwharf/prefetch/scenes.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from fawnwharf.prefetch import messages as m
+from fawnwharf.prefetch.copy_value import Facts
 from fawnwharf.prefetch.world import Call
-from fawnwharf.prefetch.worth import Facts
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
 
--- a/fawnwharf/prefetch/world.py
+++ b/fawnwharf/prefetch/world.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.interface import Settings
+from fawnwharf.prefetch.copy_value import Facts, mean_worth
 from fawnwharf.prefetch.settings import Prices
-from fawnwharf.prefetch.worth import Facts, mean_worth
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
 
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -9,6 +9,7 @@
 from fawnwharf.interface import ClassSpec, Settings
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import View, orderer
+from fawnwharf.prefetch.copy_value import Facts, cost, loss, mean_worth
 from fawnwharf.prefetch.planner import Planner
 from fawnwharf.prefetch.prefetcher import Foresight
 from fawnwharf.prefetch.score import LEAST_CHANCE, Scores
@@ -16,7 +17,6 @@
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.trial import compare, interval
-from fawnwharf.prefetch.worth import Facts, cost, loss, mean_worth
 from fawnwharf.session_types import PredictedMove, PrefetchRelease, Session
 
 SPEC = ClassSpec("view", latency_target_ms=800.0, deadline_ms=3_000.0, priority_weight=1.0, late_share=0.2)
