--- a/fawnwharf/prefetch/memory.py
+++ b/fawnwharf/prefetch/memory.py
@@ -12,8 +12,8 @@
 
 from fawnwharf.prefetch.known import Functions, Told
 from fawnwharf.prefetch.move_history import Age, Move, Stay
+from fawnwharf.prefetch.prediction_scores import Sums
 from fawnwharf.prefetch.prefetcher import Foresight
-from fawnwharf.prefetch.score import Sums
 
 VERSION = 1
 ROWS_MOST, FUNCTIONS_MOST = 5_000, 2_000
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -14,7 +14,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import Bucket, View, orderer, parts
 from fawnwharf.prefetch.copy_value import Facts, cost, fetched, loss, mean_worth
-from fawnwharf.prefetch.score import Scores
+from fawnwharf.prefetch.prediction_scores import Scores
 from fawnwharf.prefetch.settings import Foresight, Prices
 from fawnwharf.prefetch.slices import Slices, drained
 from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
--- a/fawnwharf/prefetch/prefetcher.py
+++ b/fawnwharf/prefetch/prefetcher.py
@@ -9,6 +9,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import View
 from fawnwharf.prefetch.planner import Planner
+from fawnwharf.prefetch.prediction_scores import Scores
 from fawnwharf.prefetch.predictors import (
     Belongs,
     Learnt,
@@ -20,7 +21,6 @@
     _nowhere,
     _unplaced,
 )
-from fawnwharf.prefetch.score import Scores
 from fawnwharf.prefetch.session_monitor import Watcher
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -11,8 +11,8 @@
 from fawnwharf.prefetch.budgets import View, orderer
 from fawnwharf.prefetch.copy_value import Facts, cost, loss, mean_worth
 from fawnwharf.prefetch.planner import Planner
+from fawnwharf.prefetch.prediction_scores import LEAST_CHANCE, Scores
 from fawnwharf.prefetch.prefetcher import Foresight
-from fawnwharf.prefetch.score import LEAST_CHANCE, Scores
 from fawnwharf.prefetch.session_monitor import Flow
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import Prices
