--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -13,7 +13,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import View
 from fawnwharf.prefetch.prefetcher import Foresight
-from fawnwharf.prefetch.scenes import (
+from fawnwharf.prefetch.scenarios import (
     CONFIG,
     DAY_MS,
     SCENES,
