--- a/fawnwharf/prefetch/scenarios.py
+++ b/fawnwharf/prefetch/scenarios.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.copy_value import Facts
-from fawnwharf.prefetch.world import Call
+from fawnwharf.prefetch.fleet_model import Call
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
 
--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -12,6 +12,7 @@
 
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import View
+from fawnwharf.prefetch.fleet_model import Tally, World
 from fawnwharf.prefetch.prefetcher import Foresight
 from fawnwharf.prefetch.scenarios import (
     CONFIG,
@@ -27,7 +28,6 @@
 )
 from fawnwharf.prefetch.settings import Foresight as Bounds
 from fawnwharf.prefetch.settings import site_from
-from fawnwharf.prefetch.world import Tally, World
 
 WAYS = ("none", "react", "everything", "foresight", "oracle")
 SEEDS = tuple(range(1, 11))
