--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -16,7 +16,7 @@
 from msgspec import Meta, Struct
 
 from fawnwharf import interface as io
-from fawnwharf.prefetch import memory
+from fawnwharf.prefetch import learned_state
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.baseline_strategies import Foretold, Ways
 from fawnwharf.prefetch.budgets import View, shared
@@ -276,11 +276,11 @@
 
     def learnt(self, now_ms: float) -> bytes:
         """What was learnt, for the next process (`foresight.memory` says what is in it)."""
-        return memory.learnt(now_ms, self.core, self.functions)
+        return learned_state.learnt(now_ms, self.core, self.functions)
 
     def learn(self, now_ms: float, data: bytes) -> bool:
         """Take what another process has learnt, before any call came here; False where nothing was taken."""
-        return memory.take(now_ms, data, self.core, self.functions)
+        return learned_state.take(now_ms, data, self.core, self.functions)
 
     # --- looks ----------------------------------------------------------------------------------
 
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -21,7 +21,7 @@
 from fawnwharf.policy_rollout import policy_file as policy_file
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.prefetch import baseline_strategies
-from fawnwharf.prefetch import memory as prefetch_memory
+from fawnwharf.prefetch import learned_state as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_service import hints, permit_messages, stored_state
 from fawnwharf.recovery_service import messages as recovery_words
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -28,7 +28,7 @@
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.policy_rollout.document import Document, parse_register
-from fawnwharf.prefetch import memory as prefetch_memory
+from fawnwharf.prefetch import learned_state as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_core.trust import ClockReading, StateKind
 from fawnwharf.recovery_service import front_end_integration, stored_state
