--- a/fawnwharf/prefetch/baseline_strategies.py
+++ b/fawnwharf/prefetch/baseline_strategies.py
@@ -15,10 +15,10 @@
 
 from fawnwharf.interface import Settings
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.budgets import Bucket, View, orderer, parts
-from fawnwharf.prefetch.predictors import Belongs, NextZones
-from fawnwharf.prefetch.session_monitor import Group, Watcher
-from fawnwharf.prefetch.settings import Foresight
+from fawnwharf.prefetch.budgets import PlannerView, TokenBucket, fetch_shares, ordering_front_end
+from fawnwharf.prefetch.predictors import HomeZone, NextZones
+from fawnwharf.prefetch.session_monitor import SessionGroup, SessionMonitor
+from fawnwharf.prefetch.settings import PrefetchSettings
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.session_types import Identifier, PrefetchOrder, Session
 from fawnwharf.zones.settings import SettingsFileError
@@ -30,7 +30,7 @@
 LINES_MOST = 200_000
 
 
-class Foretold(Struct, frozen=True):
+class KnownMove(Struct, frozen=True):
     """A line of the oracle's file: from `at_ms` (Unix) on the session's calls go to another zone."""
 
     at_ms: Annotated[float, Meta(ge=0.0)]
@@ -39,31 +39,31 @@
     destination: Identifier = msgspec.field(name="whither")
 
 
-def foretold_from(data: bytes) -> list[Foretold]:
+def parse_known_moves(data: bytes) -> list[KnownMove]:
     """Parse JSON lines; raises FileFault, which names the line."""
-    found: list[Foretold] = []
+    found: list[KnownMove] = []
     for n, line in enumerate(data.splitlines(), 1):
         if not line.strip():
             continue
         if len(found) >= LINES_MOST:
             raise SettingsFileError(f"foresight.told: line {n}: more than {LINES_MOST}")
         try:
-            found.append(msgspec.json.decode(line, type=Foretold))
+            found.append(msgspec.json.decode(line, type=KnownMove))
         except (msgspec.DecodeError, RecursionError) as error:
             raise SettingsFileError(f"foresight.told: line {n}: {error}") from None
     return found
 
 
-class Ways:
+class BaselineStrategies:
     """Owns what is to be ordered, and when each was ordered."""
 
     def __init__(
         self,
-        bounds: Foresight,
+        bounds: PrefetchSettings,
         site: Settings,
-        watch: Watcher,
+        watch: SessionMonitor,
         destination: NextZones,
-        belongs: Belongs,
+        belongs: HomeZone,
         sites: Callable[[], Sequence[str]],
     ) -> None:
         """`sites`: those with a scorer that takes calls."""
@@ -77,18 +77,18 @@
         self._out: frozenset[str] = frozenset()
         self._told: list[tuple[float, str, str]] = []
         self._turn: list[Session] = []  # sessions that are yet to be looked at, of all
-        self._fleet, self._pace = Bucket(bounds.fetches_ps), Bucket(bounds.pace_ps)
+        self._fleet, self._pace = TokenBucket(bounds.fetches_ps), TokenBucket(bounds.pace_ps)
 
     def fetches(self, rate_ps: float) -> None:
         """Set the fleet's rate of fetches."""
         self._fleet.rate_ps = rate_ps
 
-    def foretold(self, now_ms: float, unix_ms: float, moves: list[Foretold]) -> None:
+    def foretold(self, now_ms: float, unix_ms: float, moves: list[KnownMove]) -> None:
         """Take all that is known of future moves; it replaces what was told before."""
         self._told = [(one.at_ms - unix_ms + now_ms, one.row, one.destination) for one in moves]
         heapq.heapify(self._told)
 
-    def look(self, now_ms: float, view: View, out: frozenset[str]) -> Slices[list[m.Order]]:
+    def look(self, now_ms: float, view: PlannerView, out: frozenset[str]) -> Slices[list[m.AssignedOrder]]:
         """One pass, in slices: the orders of the strategy that is set.
 
         `out` are the zones without service.
@@ -113,13 +113,13 @@
     def _react(self, out: frozenset[str]) -> Slices[None]:
         watch, most = self.watch, 4 * self.bounds.most
         for site in sorted(out - self._out):
-            for n, session in enumerate(watch.here.get(site, Group()).busiest(most)):
+            for n, session in enumerate(watch.here.get(site, SessionGroup()).busiest(most)):
                 if n % LOOKED == LOOKED - 1:
                     yield
                 for target, _ in self.destination(session, site):
                     self._want(session.row, target)
         for site in sorted(self._out - out):
-            back = watch.left.get(site, Group()).busiest(most)
+            back = watch.left.get(site, SessionGroup()).busiest(most)
             back |= dict.fromkeys(one for one in watch.tracks.latest(most) if self.belongs(one) == site)
             for n, session in enumerate(back):
                 if n % LOOKED == LOOKED - 1:
@@ -143,7 +143,7 @@
                 if site != track.site and late:
                     self._want(*key)
 
-    def _oracle(self, now_ms: float, view: View) -> None:
+    def _oracle(self, now_ms: float, view: PlannerView) -> None:
         while self._told:
             at_ms, row, site = self._told[0]
             facts = view.facts(row)
@@ -154,8 +154,8 @@
             if at_ms + LEAD_MS >= now_ms:
                 self._want(row, site)
 
-    def _order(self, now_ms: float, view: View) -> Slices[list[m.Order]]:
-        share = parts(view, self.fleet_size)
+    def _order(self, now_ms: float, view: PlannerView) -> Slices[list[m.AssignedOrder]]:
+        share = fetch_shares(view, self.fleet_size)
         left = min(self._fleet.left(now_ms) / share, self._pace.left(now_ms))
         free = self.bounds.mode == "oracle"
         ration, found = view.ration, []
@@ -165,7 +165,11 @@
             if n >= self.bounds.most or ration < 1.0:
                 break
             row, site = key
-            if not view.heard or orderer(row, site, view.heard) != view.me or view.facts(row) is None:
+            if (
+                not view.heard
+                or ordering_front_end(row, site, view.heard) != view.me
+                or view.facts(row) is None
+            ):
                 del self._queue[key]
                 continue
             fetch = view.standing(row, site) == 0
@@ -184,5 +188,7 @@
                 left -= 1.0
                 self._fleet.tokens -= share
                 self._pace.tokens -= 1.0
-            found.append(m.Order(PrefetchOrder(row, site, 1, self.idle_ms, self.bounds.mode), (scorer,)))
+            found.append(
+                m.AssignedOrder(PrefetchOrder(row, site, 1, self.idle_ms, self.bounds.mode), (scorer,))
+            )
         return found
--- a/fawnwharf/prefetch/budgets.py
+++ b/fawnwharf/prefetch/budgets.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from fawnwharf.prefetch.copy_value import Facts
+from fawnwharf.prefetch.copy_value import FunctionProfile
 from fawnwharf.replication.placement import rendezvous_weight
 
 BURST_S = 2.0  # of the fleet's fetches, and of the own pace
 
 
 @dataclass(slots=True)
-class View:
+class PlannerView:
     """What a front end sees during a pass; the callables are asked only for what may be prefetched."""
 
     me: str
@@ -20,7 +20,7 @@
     ration: float  # orders to load that the module's ration leaves now; infinite where there is none
     ration_most: float  # and would leave if none had been given
     waiting: int  # calls that wait for a load now
-    facts: Callable[[str], Facts | None]  # of a function; None: not known
+    facts: Callable[[str], FunctionProfile | None]  # of a function; None: not known
     order: Callable[[str, str], Sequence[str]]  # function, site: scorers as its calls will look
     cold_room: Callable[[str], float]  # loads that a scorer may take now, beside its calls: infinite if warm
     spare_mb: Callable[[str], float]  # memory that a site can give to stages, copies staged before not in it
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """A token bucket that is full at the start."""
 
     rate_ps: float
@@ -49,21 +49,21 @@
         return self.tokens
 
 
-def orderer(row: str, site: str, heard: Sequence[str]) -> str:
+def ordering_front_end(row: str, site: str, heard: Sequence[str]) -> str:
     """The front end that orders for a function at a zone, out of those that are heard."""
     return max(heard, key=lambda name: (rendezvous_weight("stage", name, row, site), name))
 
 
-def parts(view: View, fleet_size: int) -> float:
+def fetch_shares(view: PlannerView, fleet_size: int) -> float:
     """Among how many front ends the fleet's fetches are divided.
 
     Those that are heard, or all members where these are half of them or less: both sides of a partition
     together then fetch little more than the fleet may.
     """
-    return shared(len(view.heard), fleet_size)
+    return share_count(len(view.heard), fleet_size)
 
 
-def shared(heard: int, fleet_size: int) -> float:
+def share_count(heard: int, fleet_size: int) -> float:
     """The same by numbers: `heard` front ends out of `fleet_size`."""
     fleet = max(1, fleet_size)
     return float(heard if 2 * heard > fleet else fleet)
--- a/fawnwharf/prefetch/copy_value.py
+++ b/fawnwharf/prefetch/copy_value.py
@@ -10,10 +10,10 @@
 from msgspec import Struct
 
 from fawnwharf.interface import ClassSpec
-from fawnwharf.prefetch.settings import Foresight, Prices
+from fawnwharf.prefetch.settings import PrefetchSettings, Prices
 
 
-class Facts(Struct, frozen=True):
+class FunctionProfile(Struct, frozen=True):
     """What is known of a function: megabytes of a copy, milliseconds of a load and of a run, its class."""
 
     class_name: str
@@ -35,7 +35,7 @@
     return mean if mean > 0 else 1.0
 
 
-def loss(spec: ClassSpec, facts: Facts, rate_ps: float, slack: float = 1.0) -> float:
+def waiting_loss(spec: ClassSpec, facts: FunctionProfile, rate_ps: float, slack: float = 1.0) -> float:
     """What a session's calls lose while the first one waits for a load, in units of a call of worth 1.
 
     The first call comes as the load begins, the others at `rate_ps`; a call that comes t into it waits for
@@ -51,15 +51,15 @@
     return spec.priority_weight * (first + others)
 
 
-def fetched(settings: Foresight, prices: Prices, facts: Facts) -> float:
+def unused_load_cost(settings: PrefetchSettings, prices: Prices, facts: FunctionProfile) -> float:
     """The cost of a load that serves nothing: the fetch, and the core time it takes."""
     return prices.origin + prices.waste * settings.core_part * facts.load_ms / max(1.0, facts.run_ms)
 
 
-def cost(
-    settings: Foresight,
+def copy_cost(
+    settings: PrefetchSettings,
     prices: Prices,
-    facts: Facts,
+    facts: FunctionProfile,
     chance: float,
     idle_ms: float,
     memory_mb: float,
@@ -71,6 +71,6 @@
     `memory_mb` is the memory of the whole fleet, `mean_ps` its calls a second. `pushes_out` is the part of a
     copy in use that is displaced: that one's next call is then late, at the price of this copy's fetch.
     """
-    lost = (1.0 - chance) * fetched(settings, prices, facts)
+    lost = (1.0 - chance) * unused_load_cost(settings, prices, facts)
     room = prices.memory * facts.memory_mb / max(1.0, memory_mb) * mean_ps * idle_ms / 1000.0
-    return lost + prices.probe + room + pushes_out * (1.0 + fetched(settings, prices, facts))
+    return lost + prices.probe + room + pushes_out * (1.0 + unused_load_cost(settings, prices, facts))
--- a/fawnwharf/prefetch/fleet_model.py
+++ b/fawnwharf/prefetch/fleet_model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.interface import Settings
-from fawnwharf.prefetch.copy_value import Facts, mean_worth
+from fawnwharf.prefetch.copy_value import FunctionProfile, mean_worth
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
@@ -102,11 +102,16 @@
         return self.service() - (spent + prices.waste * self.wasted_ms / run_ms) / max(1, self.calls)
 
 
-class World:
+class FleetModel:
     """Owns scorers and copies. `call` is what a call finds, `stage` a prefetch order."""
 
     def __init__(
-        self, site: Settings, sites: Iterable[str], each: int, memory_mb: float, facts: dict[str, Facts]
+        self,
+        site: Settings,
+        sites: Iterable[str],
+        each: int,
+        memory_mb: float,
+        facts: dict[str, FunctionProfile],
     ) -> None:
         self.settings, self.facts = site, facts
         self.scorers = {
@@ -218,7 +223,9 @@
             return None
         return copy
 
-    def _load(self, now_ms: float, scorer: Scorer, facts: Facts, row: str, staged: bool) -> Copy | None:
+    def _load(
+        self, now_ms: float, scorer: Scorer, facts: FunctionProfile, row: str, staged: bool
+    ) -> Copy | None:
         while scorer.held_mb() + facts.memory_mb > scorer.memory_mb:
             idle = [copy for copy in scorer.copies.values() if max(copy.used_ms, copy.ready_ms) <= now_ms]
             if not idle:
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -13,18 +13,18 @@
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
 from fawnwharf.policy.state import Function, Worker, mark
-from fawnwharf.prefetch.copy_value import Facts
-from fawnwharf.prefetch.lru_map import Kept
+from fawnwharf.prefetch.copy_value import FunctionProfile
+from fawnwharf.prefetch.lru_map import LruMap
 from fawnwharf.session_types import Identifier
 
-ORDERS_MOST = 512  # hash orders kept in mind
-PLACES_MOST = 20_000  # functions with copies, of a site
+MAX_HASH_ORDERS = 512  # hash orders kept in mind
+MAX_PLACES = 20_000  # functions with copies, of a site
 RESTS_MS = 5_000.0  # a scorer that was full, or bad, is not staged at for so long
 GAIN = 0.2  # weight of one run or load in what is held of a function
 RUN_MS, LOAD_MS, MEMORY_MB = 200.0, 1_000.0, 256.0  # guesses where nothing was seen or told
 
 
-class Scorers(Router):
+class ScorerView(Router):
     """The decision module, fed with the roster and with the number of arrivals and orders.
 
     No call ever comes to it.
@@ -80,7 +80,7 @@
 
     def order(self, row: str, site: str) -> list[int]:
         """The scorers of a zone in the hash order in which a function's calls look for copies."""
-        if row not in self._kept and len(self._kept) >= ORDERS_MOST:
+        if row not in self._kept and len(self._kept) >= MAX_HASH_ORDERS:
             self._kept.clear()
         fn = self._kept.setdefault(row, Function(row, "", 1, None, mark(row)))
         return [w.id for w in self._ordered(fn) if w.entry.zone == site and w.id not in self._rests]
@@ -126,7 +126,7 @@
 Amount = Annotated[float, Meta(ge=0.0, le=AMOUNT_MOST)]
 
 
-class Told(Struct, frozen=True, array_like=True, gc=False):
+class FunctionReport(Struct, frozen=True, array_like=True, gc=False):
     """What a front end tells the others of a function."""
 
     row: Identifier
@@ -148,12 +148,12 @@
     mark: int = 0
 
 
-class Functions:
+class FunctionTable:
     """What calls and answers told of each function; the `most` functions heard of last are kept."""
 
     def __init__(self, most: int, tell_ms: float = 60_000.0) -> None:
         self.most, self.tell_ms = most, tell_ms
-        self._facts: Kept[str, _Fact] = Kept()
+        self._facts: LruMap[str, _Fact] = LruMap()
         self._due: dict[str, None] = {}  # to be told
         self.memory_mb, self.load_ms, self.run_ms = MEMORY_MB, LOAD_MS, RUN_MS  # means of all
 
@@ -184,7 +184,7 @@
             fact.load_ms = _toward(fact.load_ms, took_ms)
             self.load_ms = _toward(self.load_ms, took_ms)
 
-    def heard(self, told: Told) -> None:
+    def heard(self, told: FunctionReport) -> None:
         """Take what another front end tells of a function; what was seen here has priority."""
         fact = self._fact(told.row, told.class_name, max(1, told.lanes))
         if not fact.own:
@@ -193,15 +193,15 @@
             if getattr(fact, name) is None or not fact.own:
                 setattr(fact, name, getattr(told, name))
 
-    def last(self, most: int) -> list[Told]:
+    def last(self, most: int) -> list[FunctionReport]:
         """At most `most` functions heard of last, the latest at the end."""
         return [self._tell(row) for row in reversed(self._facts.latest(most))]
 
-    def _tell(self, row: str) -> Told:
+    def _tell(self, row: str) -> FunctionReport:
         fact = self._facts[row]
-        return Told(row, fact.class_name, fact.lanes, fact.memory_mb, fact.load_ms, fact.run_ms)
+        return FunctionReport(row, fact.class_name, fact.lanes, fact.memory_mb, fact.load_ms, fact.run_ms)
 
-    def tells(self, now_ms: float, most: int) -> tuple[Told, ...]:
+    def tells(self, now_ms: float, most: int) -> tuple[FunctionReport, ...]:
         """What is to be told to others now; the rest follows in later calls."""
         found = []
         while self._due and len(found) < most:
@@ -213,7 +213,7 @@
                 found.append(self._tell(row))
         return tuple(found)
 
-    def facts(self, row: str) -> Facts | None:
+    def facts(self, row: str) -> FunctionProfile | None:
         """What is known of a function; None where nobody told its class.
 
         What was not told is guessed as the mean of the functions that did.
@@ -222,7 +222,7 @@
         if fact is None:
             return None
         memory = self.memory_mb if fact.memory_mb is None else fact.memory_mb
-        return Facts(
+        return FunctionProfile(
             fact.class_name, memory, fact.load_ms or self.load_ms, fact.run_ms or self.run_ms, fact.lanes
         )
 
@@ -249,15 +249,15 @@
     mark: int = 0
 
 
-class Copies:
+class CopyTable:
     """Where copies of functions stand, by answers and by other front ends' messages.
 
     The places seen last are kept. What nobody used or refreshed for an idle life counts as expired.
     """
 
-    def __init__(self, scorers: Scorers, functions: Functions, idle_ms: float) -> None:
+    def __init__(self, scorers: ScorerView, functions: FunctionTable, idle_ms: float) -> None:
         self.scorers, self.functions, self.idle_ms = scorers, functions, idle_ms
-        self._sites: dict[str, Kept[str, _Place]] = {}
+        self._sites: dict[str, LruMap[str, _Place]] = {}
         self._held_mb: dict[str, float] = {}
 
     def __len__(self) -> int:
@@ -314,10 +314,10 @@
         return False
 
     def _place(self, now_ms: float, row: str, site: str) -> _Place:
-        rows = self._sites.setdefault(site, Kept())
+        rows = self._sites.setdefault(site, LruMap())
         place = rows.get(row)
         if place is None:
-            if len(rows) >= PLACES_MOST:
+            if len(rows) >= MAX_PLACES:
                 self._drop(rows.oldest(), site)
             place = _Place()
         rows.use(row, place)
--- a/fawnwharf/prefetch/learned_state.py
+++ b/fawnwharf/prefetch/learned_state.py
@@ -10,10 +10,10 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.prefetch.known import Functions, Told
+from fawnwharf.prefetch.known import FunctionReport, FunctionTable
 from fawnwharf.prefetch.move_history import Age, Move, Stay
-from fawnwharf.prefetch.prediction_scores import Sums
-from fawnwharf.prefetch.prefetcher import Foresight
+from fawnwharf.prefetch.prediction_scores import ScoreSums
+from fawnwharf.prefetch.prefetcher import Prefetcher
 
 VERSION = 1
 ROWS_MOST, FUNCTIONS_MOST = 5_000, 2_000
@@ -21,7 +21,7 @@
 SUMS = ("weight", "brier", "base", "loss", "base_loss", "net", "spent")
 
 
-class Memory(Struct):
+class LearnedState(Struct):
     """What is handed over; `at_ms` is when it was written."""
 
     version: int
@@ -32,10 +32,10 @@
     stays: list[Stay]
     ages: list[Age]
     scores: dict[str, tuple[float, ...]]
-    functions: list[Told]
+    functions: list[FunctionReport]
 
 
-def learnt(now_ms: float, core: Foresight, functions: Functions) -> bytes:
+def encode_learned_state(now_ms: float, core: Prefetcher, functions: FunctionTable) -> bytes:
     """Encode what `core` and `functions` have learnt, within the bounds on rows and functions."""
     moves, stays, ages = core.learnt.past.rows(now_ms, ROWS_MOST)
     scores = {}
@@ -45,11 +45,11 @@
     told = functions.last(FUNCTIONS_MOST)
     bounds = core.bounds
     return msgspec.msgpack.encode(
-        Memory(VERSION, now_ms, bounds.day_ms, bounds.phases, moves, stays, ages, scores, told)
+        LearnedState(VERSION, now_ms, bounds.day_ms, bounds.phases, moves, stays, ages, scores, told)
     )
 
 
-def take(now_ms: float, data: bytes, core: Foresight, functions: Functions) -> bool:
+def restore_learned_state(now_ms: float, data: bytes, core: Prefetcher, functions: FunctionTable) -> bool:
     """Take what an earlier process handed over; False where it can't be used.
 
     That is so where it is malformed, of another version, of other day settings, or from before a reboot.
@@ -57,7 +57,7 @@
     if len(data) > SIZE_MOST:
         return False
     try:
-        held = msgspec.msgpack.decode(data, type=Memory)
+        held = msgspec.msgpack.decode(data, type=LearnedState)
     except (msgspec.DecodeError, RecursionError):
         return False
     bounds = core.bounds
@@ -67,7 +67,7 @@
     core.learnt.past.take(held.at_ms, held.moves, held.stays, held.ages)
     for name, values in held.scores.items():
         if len(values) == len(SUMS):
-            core.scores.sums[name] = Sums(**dict(zip(SUMS, values, strict=True)), at_ms=held.at_ms)
+            core.scores.sums[name] = ScoreSums(**dict(zip(SUMS, values, strict=True)), at_ms=held.at_ms)
     for told in held.functions:
         functions.heard(told)
     return True
--- a/fawnwharf/prefetch/lru_map.py
+++ b/fawnwharf/prefetch/lru_map.py
@@ -22,7 +22,7 @@
 Value = TypeVar("Value", bound=Marked)
 
 
-class Kept(Generic[Key, Value]):
+class LruMap(Generic[Key, Value]):
     """The map: the least recently used entry comes first."""
 
     def __init__(self) -> None:
--- a/fawnwharf/prefetch/messages.py
+++ b/fawnwharf/prefetch/messages.py
@@ -11,10 +11,10 @@
 from fawnwharf.session_types import DurationMs, Fraction, Identifier, PrefetchOrder, Session
 
 Number = Annotated[int, Meta(ge=0, le=1 << 53)]
-ENTRIES_MOST = 500  # of one word: a line that is longer is a fault, or an attack
+MAX_ENTRIES = 500  # of one word: a line that is longer is a fault, or an attack
 
 
-class Count(Struct, frozen=True, array_like=True, gc=False):
+class CallCounter(Struct, frozen=True, array_like=True, gc=False):
     """Calls of a session at a zone that one owner counted since its message with the number `since`."""
 
     session: Session
@@ -23,7 +23,7 @@
     calls: Annotated[int, Meta(ge=0, le=(1 << 31) - 1)]
 
 
-class Word(Struct, frozen=True):
+class CounterMessage(Struct, frozen=True):
     """Counters of one owner that rose since its last message.
 
     Each entry is the counter's value, so that a lost message is made up for by the next one with that
@@ -31,17 +31,17 @@
     """
 
     number: Annotated[int, Meta(ge=1, le=1 << 31)]
-    counts: Annotated[tuple[Count, ...], Meta(max_length=ENTRIES_MOST)] = ()
+    counts: Annotated[tuple[CallCounter, ...], Meta(max_length=MAX_ENTRIES)] = ()
 
 
-class Step(Struct, frozen=True):
+class PlanStep(Struct, frozen=True):
     """From `in_ms` after the plan was told, this part of a zone is open."""
 
     in_ms: DurationMs
     open: Fraction
 
 
-class Announced(Struct, frozen=True):
+class AnnouncedPlan(Struct, frozen=True):
     """What is to become of a zone: a drain, a return in steps, or standby.
 
     A later plan of the same zone has a larger number; one without steps cancels what was announced.
@@ -50,10 +50,10 @@
     site: Identifier
     number: Number
     kind: Literal["drain", "return", "standby"]
-    steps: Annotated[tuple[Step, ...], Meta(max_length=20)] = ()
+    steps: Annotated[tuple[PlanStep, ...], Meta(max_length=20)] = ()
 
 
-class Order(Struct, frozen=True):
+class AssignedOrder(Struct, frozen=True):
     """A prefetch order, and the scorers that are to load a copy each.
 
     They come in the order in which calls will look.
@@ -63,7 +63,7 @@
     scorers: tuple[Identifier, ...]
 
 
-class Moved(Struct, frozen=True, gc=False):
+class SessionMoved(Struct, frozen=True, gc=False):
     """A session's calls are found at another zone than before, first at `at_ms`."""
 
     session: Session
@@ -72,7 +72,7 @@
     at_ms: float = 0.0
 
 
-class Ended(Struct, frozen=True, gc=False):
+class SessionEnded(Struct, frozen=True, gc=False):
     """A session had no calls for so long that it counts as over; `age_ms` is how long it lasted."""
 
     session: Session
@@ -80,16 +80,16 @@
     age_ms: float
 
 
-class Calls(Protocol):
+class SessionCalls(Protocol):
     """The calls of a session at a zone."""
 
     session: Session
     site: str
 
 
-class Beat(Struct, frozen=True):
+class ScanResult(Struct, frozen=True):
     """The result of one pass over the counters."""
 
-    moved: tuple[Moved, ...] = ()
-    ended: tuple[Ended, ...] = ()
-    called: Collection[Calls] = ()  # sessions and the sites at which they called
+    moved: tuple[SessionMoved, ...] = ()
+    ended: tuple[SessionEnded, ...] = ()
+    called: Collection[SessionCalls] = ()  # sessions and the sites at which they called
--- a/fawnwharf/prefetch/move_history.py
+++ b/fawnwharf/prefetch/move_history.py
@@ -9,13 +9,13 @@
 import math
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.session_monitor import Track, Watcher
-from fawnwharf.prefetch.settings import Foresight
-from fawnwharf.prefetch.slices import Slices, drained
+from fawnwharf.prefetch.session_monitor import SessionMonitor, SessionRate
+from fawnwharf.prefetch.settings import PrefetchSettings
+from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import Session
 
 PRIOR_MS = 10_000.0  # of a session's time without a move, held to be seen: guards against rates of few moves
-KEYS_MOST = 50_000
+MAX_KEYS = 50_000
 AGES = 16  # doublings of a second
 GROUPS = 30  # of one slice
 
@@ -24,10 +24,10 @@
 Age = tuple[str, int, float, float]  # tenant, doubling, ends, milliseconds
 
 
-class Past:
+class MoveHistory:
     """Estimates hazards of moves, and the chance that a session lives on, from the history."""
 
-    def __init__(self, settings: Foresight) -> None:
+    def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
         self.dropped = 0
         self._moves: dict[tuple[str, str, int], dict[str, list[float]]] = {}  # destination: [moves, when]
@@ -40,11 +40,11 @@
         day = self.settings.day_ms
         return int((now_ms % day) / day * self.settings.phases) % self.settings.phases
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> None:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> None:
         """Take the result of one pass."""
-        drained(self.learning(now_ms, watch, beat))
+        run_slices(self.learning(now_ms, watch, beat))
 
-    def learning(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learning(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """The same as `learn`, in slices."""
         span = 0.0 if self._last_ms is None else min(now_ms - self._last_ms, 10 * self.settings.beat_ms)
         self._last_ms = now_ms
@@ -100,7 +100,7 @@
         ends, exposed = (row[n] * math.exp((row[2] - now_ms) / self.settings.learn_ms) for n in (0, 1))
         return ends / (exposed + PRIOR_MS)
 
-    def lives(self, now_ms: float, session: Session, track: Track, span_ms: float) -> float:
+    def lives(self, now_ms: float, session: Session, track: SessionRate, span_ms: float) -> float:
         """The chance that a session is alive although it was silent of late, and goes on calling for a span.
 
         With calls at rate r and ends at rate e, the sessions that are silent for x and alive relate to those
@@ -146,7 +146,7 @@
 
     def _row(self, table: dict, key: tuple, fresh):
         if key not in table:
-            if len(table) >= KEYS_MOST:
+            if len(table) >= MAX_KEYS:
                 del table[next(iter(table))]
                 self.dropped += 1
             table[key] = fresh
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -12,11 +12,17 @@
 
 from fawnwharf.interface import Settings
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.budgets import Bucket, View, orderer, parts
-from fawnwharf.prefetch.copy_value import Facts, cost, fetched, loss, mean_worth
-from fawnwharf.prefetch.prediction_scores import Scores
-from fawnwharf.prefetch.settings import Foresight, Prices
-from fawnwharf.prefetch.slices import Slices, drained
+from fawnwharf.prefetch.budgets import PlannerView, TokenBucket, fetch_shares, ordering_front_end
+from fawnwharf.prefetch.copy_value import (
+    FunctionProfile,
+    copy_cost,
+    mean_worth,
+    unused_load_cost,
+    waiting_loss,
+)
+from fawnwharf.prefetch.prediction_scores import PredictionScores
+from fawnwharf.prefetch.settings import PrefetchSettings, Prices
+from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
 
 HELD_MOST = 4_096  # stages of one front end
@@ -76,19 +82,21 @@
 class Planner:
     """Owns the orders of one front end, the copies it has had loaded, and their use."""
 
-    def __init__(self, settings: Foresight, site: Settings, prices: Prices, scores: Scores) -> None:
+    def __init__(
+        self, settings: PrefetchSettings, site: Settings, prices: Prices, scores: PredictionScores
+    ) -> None:
         self.settings, self.site, self.prices, self.scores = settings, site, prices, scores
         self.held: dict[tuple[str, str], _Held] = {}
         self.skipped: dict[str, int] = {}
         self.ordered = self.used = self.wasted = 0
-        self._fleet = Bucket(settings.fetches_ps)
-        self._pace = Bucket(settings.pace_ps)
+        self._fleet = TokenBucket(settings.fetches_ps)
+        self._pace = TokenBucket(settings.pace_ps)
         self._rests: dict[tuple[str, str], float] = {}  # let go: until when
         self._quiet_ms = -math.inf
         self._disturbed: dict[str, float] = {}
         self._mean = mean_worth(site.classes)
 
-    def go_by(self, settings: Foresight) -> None:
+    def go_by(self, settings: PrefetchSettings) -> None:
         """Use other settings of the same shape from now on."""
         self.settings, self._fleet.rate_ps = settings, settings.fetches_ps
 
@@ -99,14 +107,14 @@
     def _skip(self, cause: str) -> None:
         self.skipped[cause] = self.skipped.get(cause, 0) + 1
 
-    def seen(self, now_ms: float, beat: m.Beat) -> list[PrefetchRelease]:
+    def seen(self, now_ms: float, beat: m.ScanResult) -> list[PrefetchRelease]:
         """Mark prefetched copies that are used, and release those whose time is over.
 
         Predictors are scored.
         """
-        return drained(self.marking(now_ms, beat))
+        return run_slices(self.marking(now_ms, beat))
 
-    def marking(self, now_ms: float, beat: m.Beat) -> Slices[list[PrefetchRelease]]:
+    def marking(self, now_ms: float, beat: m.ScanResult) -> Slices[list[PrefetchRelease]]:
         """The same as `seen`, in slices."""
         for n, calls in enumerate(beat.called if self.held else ()):
             if n % CALLED == CALLED - 1:
@@ -126,20 +134,28 @@
         return gone
 
     def step(
-        self, now_ms: float, moves: Sequence[PredictedMove], view: View, rate_ps: Callable[[Session], float]
-    ) -> list[m.Order | PrefetchRelease]:
+        self,
+        now_ms: float,
+        moves: Sequence[PredictedMove],
+        view: PlannerView,
+        rate_ps: Callable[[Session], float],
+    ) -> list[m.AssignedOrder | PrefetchRelease]:
         """The orders of this pass, and the copies that are released.
 
         `rate_ps` gives a session's calls a second.
         """
-        return drained(self.planning(now_ms, moves, view, rate_ps))
+        return run_slices(self.planning(now_ms, moves, view, rate_ps))
 
     def planning(
-        self, now_ms: float, moves: Sequence[PredictedMove], view: View, rate_ps: Callable[[Session], float]
-    ) -> Slices[list[m.Order | PrefetchRelease]]:
+        self,
+        now_ms: float,
+        moves: Sequence[PredictedMove],
+        view: PlannerView,
+        rate_ps: Callable[[Session], float],
+    ) -> Slices[list[m.AssignedOrder | PrefetchRelease]]:
         """The same as `step`, in slices."""
         self._note_disturbances(now_ms, view)
-        found: list[m.Order | PrefetchRelease] = [*self._release_for_calls(now_ms, view)]
+        found: list[m.AssignedOrder | PrefetchRelease] = [*self._release_for_calls(now_ms, view)]
         if now_ms < self._quiet_ms:
             self._skip("not calm")
             return found
@@ -148,14 +164,14 @@
         candidates = yield from self._rank(now_ms, wishes, view, rate_ps)
         return found + (yield from self._take(now_ms, candidates, view))
 
-    def _note_disturbances(self, now_ms: float, view: View) -> None:
+    def _note_disturbances(self, now_ms: float, view: PlannerView) -> None:
         for site in view.disturbed:
             self._disturbed[site] = now_ms
         self._disturbed = {s: t for s, t in self._disturbed.items() if now_ms - t < self.settings.quiet_ms}
         if not view.calm:
             self._quiet_ms = now_ms + self.settings.quiet_ms
 
-    def _release_for_calls(self, now_ms: float, view: View) -> list[PrefetchRelease]:
+    def _release_for_calls(self, now_ms: float, view: PlannerView) -> list[PrefetchRelease]:
         """Unused copies that make room for calls: all of them in a surge, else those at disturbed zones."""
         found = []
         for key in list(self.held):
@@ -181,7 +197,7 @@
         self,
         now_ms: float,
         wishes: dict[tuple[str, str], _Wish],
-        view: View,
+        view: PlannerView,
         rate_ps: Callable[[Session], float],
     ) -> Slices[list[_Candidate]]:
         """What is worth ordering, the best value for the price first."""
@@ -200,7 +216,7 @@
         now_ms: float,
         key: tuple[str, str],
         wish: _Wish,
-        view: View,
+        view: PlannerView,
         rate_ps: Callable[[Session], float],
     ) -> _Candidate | None:
         """What to order for a wish; None where this front end has nothing to order, or it is not worth it."""
@@ -210,7 +226,7 @@
         if facts is None or spec is None:
             return self._skip("an unknown function")
         old = self.held.get(key)
-        if orderer(row, site, view.heard) != view.me or not self._due(now_ms, old):
+        if ordering_front_end(row, site, view.heard) != view.me or not self._due(now_ms, old):
             return None
         chance = wish.chance
         rate = sum({move.session: move.probability * rate_ps(move.session) for move in wish.moves}.values())
@@ -219,7 +235,7 @@
         copies = min(self.settings.copies, needed) - (0 if old is not None else standing)
         if copies < 1:
             return None
-        gain = loss(spec, facts, rate / max(chance, 1e-9), self.settings.slack) / self._mean
+        gain = waiting_loss(spec, facts, rate / max(chance, 1e-9), self.settings.slack) / self._mean
         if old is not None and standing >= copies:
             price = copies * self.prices.probe  # what it was fetched for is spent either way
         else:
@@ -238,13 +254,15 @@
         soon = old.until_ms - now_ms <= 2 * self.settings.beat_ms
         return soon and old.renewed < self.settings.renewals
 
-    def _life_ms(self, facts: Facts) -> float:
+    def _life_ms(self, facts: FunctionProfile) -> float:
         return max(self.site.idle_life_ms, facts.load_ms)
 
-    def _price(self, wish: _Wish, facts: Facts, chance: float, site: str, view: View) -> float:
+    def _price(
+        self, wish: _Wish, facts: FunctionProfile, chance: float, site: str, view: PlannerView
+    ) -> float:
         """The price of one copy."""
         idle_ms = min(max(move.within_ms for move in wish.moves), self._life_ms(facts))
-        return cost(
+        return copy_cost(
             self.settings,
             self.prices,
             facts,
@@ -265,26 +283,28 @@
             return False
         return worth > price * (self.settings.hysteresis if again else 1.0)
 
-    def _held_for(self, now_ms: float, wish: _Wish, facts: Facts, copies: int, gain: float) -> _Held:
+    def _held_for(
+        self, now_ms: float, wish: _Wish, facts: FunctionProfile, copies: int, gain: float
+    ) -> _Held:
         """What is held once the copies are ordered; the predictors share it by their parts of the chance."""
         by: dict[str, float] = {}
         for move in wish.moves:
             by[move.predictor] = by.get(move.predictor, 0.0) + move.probability
         total = sum(by.values())
         until = min(facts.load_ms + self._life_ms(facts), SPAN_MOST_MS)
-        wasted = copies * (fetched(self.settings, self.prices, facts) + self.prices.probe)
+        wasted = copies * (unused_load_cost(self.settings, self.prices, facts) + self.prices.probe)
         sessions = frozenset(move.session for move in wish.moves)
         shares = {name: part / total for name, part in by.items()}
         return _Held(now_ms + until, now_ms, shares, sessions, wasted, gain, facts.memory_mb * copies)
 
     def _take(
-        self, now_ms: float, candidates: Sequence[_Candidate], view: View
-    ) -> Slices[list[m.Order | PrefetchRelease]]:
+        self, now_ms: float, candidates: Sequence[_Candidate], view: PlannerView
+    ) -> Slices[list[m.AssignedOrder | PrefetchRelease]]:
         """Orders for the candidates in their order, as far as the budgets go."""
         yield
-        share = parts(view, self.site.fleet_size)
+        share = fetch_shares(view, self.site.fleet_size)
         budgets = self._budgets(now_ms, view, share)
-        found: list[m.Order | PrefetchRelease] = []
+        found: list[m.AssignedOrder | PrefetchRelease] = []
         asked = 0
         for one in candidates:
             if len(self.held) >= HELD_MOST:
@@ -305,7 +325,7 @@
             found.append(self._order(now_ms, one, scorers))
         return found
 
-    def _budgets(self, now_ms: float, view: View, share: float) -> _Budgets:
+    def _budgets(self, now_ms: float, view: PlannerView, share: float) -> _Budgets:
         fetches = min(self._fleet.left(now_ms) / share, self._pace.left(now_ms))
         kept = 0.0
         if math.isfinite(view.ration):
@@ -316,7 +336,7 @@
         """Memory that a candidate takes beyond what is held for it already."""
         return one.held.memory_mb - (self.held[one.key].memory_mb if one.key in self.held else 0.0)
 
-    def _lacks(self, one: _Candidate, budgets: _Budgets, view: View) -> str:
+    def _lacks(self, one: _Candidate, budgets: _Budgets, view: PlannerView) -> str:
         """Which budget has no room for a candidate; empty where all have."""
         if min(budgets.fetches, budgets.orders) < one.copies:
             return "no fetch left" if budgets.fetches < one.copies else "no ration left"
@@ -326,7 +346,7 @@
             budgets.spare_mb[site] = view.spare_mb(site) - mine
         return "no memory to spare" if budgets.spare_mb[site] < self._more_mb(one) else ""
 
-    def _scorers(self, one: _Candidate, budgets: _Budgets, view: View) -> list[str] | None:
+    def _scorers(self, one: _Candidate, budgets: _Budgets, view: PlannerView) -> list[str] | None:
         """The first scorers in hash order that may load a copy each; None where there are too few."""
         found: list[str] = []
         room = budgets.cold_room
@@ -346,13 +366,15 @@
         self._fleet.tokens -= one.copies * share
         self._pace.tokens -= one.copies
 
-    def _order(self, now_ms: float, one: _Candidate, scorers: list[str]) -> m.Order:
+    def _order(self, now_ms: float, one: _Candidate, scorers: list[str]) -> m.AssignedOrder:
         row, site = one.key
         self.held[one.key] = one.held
         self._rests.pop(one.key, None)
         self.ordered += one.copies
         why = "+".join(sorted(one.held.by)) + f" {one.chance:.2f}"
-        return m.Order(PrefetchOrder(row, site, one.copies, one.held.until_ms - now_ms, why), tuple(scorers))
+        return m.AssignedOrder(
+            PrefetchOrder(row, site, one.copies, one.held.until_ms - now_ms, why), tuple(scorers)
+        )
 
     def failed(self, now_ms: float, row: str, site: str) -> bool:
         """Take that an order did not lead to a copy; False where none was held.
--- a/fawnwharf/prefetch/prediction_scores.py
+++ b/fawnwharf/prefetch/prediction_scores.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.settings import Foresight
-from fawnwharf.prefetch.slices import Slices, drained
+from fawnwharf.prefetch.settings import PrefetchSettings
+from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import PredictedMove, Session
 
 BINS = 10
-OPEN_MOST = 20_000  # predictions of one predictor whose end is awaited
+MAX_OPEN = 20_000  # predictions of one predictor whose end is awaited
 KEYS = 100  # of one slice
 Key = tuple[Session, str]  # a session and where it is expected
 Open = tuple[float, float]  # an open prediction: its chance, and when it is due
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Sums:
+class ScoreSums:
     """Decaying sums of one predictor."""
 
     weight: float = 0.0
@@ -71,7 +71,7 @@
     return min(1.0 - LEAST_CHANCE, max(LEAST_CHANCE, chance))
 
 
-class Scores:
+class PredictionScores:
     """The scores of all predictors.
 
     A prediction is open until its session is found there or its time is over, with `grace_ms` for moves to be
@@ -79,10 +79,10 @@
     one alone would be the least certain.
     """
 
-    def __init__(self, settings: Foresight) -> None:
+    def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
         self.grace_ms = settings.fast_ms + settings.beat_ms
-        self.sums: dict[str, Sums] = {}
+        self.sums: dict[str, ScoreSums] = {}
         self.dropped = 0  # predictions that were not scored, as too many were open
         self.missed = 0  # moves that no predictor foresaw
         self._open: dict[str, dict[Key, list[Open]]] = {}  # by predictor
@@ -92,7 +92,7 @@
 
     def predicted(self, now_ms: float, moves: list[PredictedMove]) -> None:
         """Take the predictions of one pass."""
-        drained(self.noting(now_ms, moves))
+        run_slices(self.noting(now_ms, moves))
 
     def noting(self, now_ms: float, moves: list[PredictedMove]) -> Slices[None]:
         """The same as `predicted`, in slices."""
@@ -100,7 +100,7 @@
             if n % KEYS == KEYS - 1:
                 yield
             held = self._open.setdefault(move.predictor, {})
-            if self._count.get(move.predictor, 0) >= OPEN_MOST:
+            if self._count.get(move.predictor, 0) >= MAX_OPEN:
                 self.dropped += 1
                 continue
             self._count[move.predictor] = self._count.get(move.predictor, 0) + 1
@@ -109,11 +109,11 @@
             held.setdefault(key, []).append((move.probability, due))
             heapq.heappush(self._dues.setdefault(move.predictor, []), (due, next(self._numbers), key))
 
-    def seen(self, now_ms: float, beat: m.Beat) -> None:
+    def seen(self, now_ms: float, beat: m.ScanResult) -> None:
         """Score the predictions that came true in one pass, and those whose time is over."""
-        drained(self.scoring(now_ms, beat))
+        run_slices(self.scoring(now_ms, beat))
 
-    def scoring(self, now_ms: float, beat: m.Beat) -> Slices[None]:
+    def scoring(self, now_ms: float, beat: m.ScanResult) -> Slices[None]:
         """The same as `seen`, in slices."""
         for sums in self.sums.values():
             sums.fade(now_ms, self.settings.score_ms)
@@ -122,7 +122,7 @@
             closing = yield from self._closing(by, moved, now_ms)
             yield from self._close(by, held, closing, moved, now_ms)
 
-    def _moved(self, beat: m.Beat) -> Slices[dict[Key, None]]:
+    def _moved(self, beat: m.ScanResult) -> Slices[dict[Key, None]]:
         """The moves of a pass; those that nobody predicted are counted."""
         moved: dict[Key, None] = {}
         for n, move in enumerate(beat.moved):
@@ -198,8 +198,8 @@
 
         The count, the mean chance, and the part that came true.
         """
-        rows = self.sums.get(by, Sums()).bins
+        rows = self.sums.get(by, ScoreSums()).bins
         return [(n, p / n if n else 0.0, seen / n if n else 0.0) for n, p, seen in rows]
 
-    def _of(self, by: str, now_ms: float) -> Sums:
-        return self.sums.setdefault(by, Sums(at_ms=now_ms))
+    def _of(self, by: str, now_ms: float) -> ScoreSums:
+        return self.sums.setdefault(by, ScoreSums(at_ms=now_ms))
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -12,9 +12,9 @@
 from typing import Protocol
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.move_history import Past
-from fawnwharf.prefetch.session_monitor import Group, Track, Watcher
-from fawnwharf.prefetch.settings import Foresight
+from fawnwharf.prefetch.move_history import MoveHistory
+from fawnwharf.prefetch.session_monitor import SessionGroup, SessionMonitor, SessionRate
+from fawnwharf.prefetch.settings import PrefetchSettings
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.session_types import PredictedMove, Session
 
@@ -22,10 +22,10 @@
 MOVES, GROUPS, RISING = 40, 30, 30  # of one slice
 FLUXES_MOST = 10_000
 
-Parts = tuple[tuple[str, float], ...]  # sites and the parts of a session's calls that go there
-NextZones = Callable[[Session, str], Parts]
-Place = Callable[[Session, str], float | None]
-Belongs = Callable[[Session], str]
+ZoneShares = tuple[tuple[str, float], ...]  # sites and the parts of a session's calls that go there
+NextZones = Callable[[Session, str], ZoneShares]
+ReturnPosition = Callable[[Session, str], float | None]
+HomeZone = Callable[[Session], str]
 
 
 class Predictor(Protocol):
@@ -33,41 +33,41 @@
 
     name: str
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """Take the result of one pass."""
         ...
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
         """The moves expected within `span_ms`, with their probabilities."""
         ...
 
 
-class Nothing:
+class NoMovePredictor:
     """Predicts no move: the baseline of the others."""
 
     name = "nothing"
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """Nothing is learnt."""
         yield
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
         """No moves."""
         yield
         return []
 
 
 # Sessions that stand in one group and go the same way: (chance, group, source, destination).
-_Way = tuple[float, Group, str, str]
+_Way = tuple[float, SessionGroup, str, str]
 
 
 def _by_chance(
     now_ms: float,
-    watch: Watcher,
+    watch: SessionMonitor,
     ways: list[_Way],
     by: str,
-    past: Past | None,
-    settings: Foresight,
+    past: MoveHistory | None,
+    settings: PrefetchSettings,
     span_ms: float,
     ahead: float,
 ) -> Slices[list[PredictedMove]]:
@@ -99,7 +99,7 @@
     at_ms: float
 
 
-class Trend:
+class TrendPredictor:
     """Predicts from recent rates and their slope.
 
     Sessions follow others that have just left the same zone: the flux of the fast window, increased by its
@@ -108,13 +108,13 @@
 
     name = "trend"
 
-    def __init__(self, settings: Foresight) -> None:
+    def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
-        self.past: Past | None = None  # for survival; None: all live on
+        self.past: MoveHistory | None = None  # for survival; None: all live on
         self._flux: dict[tuple[str, str, str], _Flux] = {}
         self._called: dict[Session, None] = {}
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """Count moves, and remember which sessions called at several zones."""
         for n, moved in enumerate(beat.moved):
             if n % MOVES == MOVES - 1:
@@ -142,7 +142,7 @@
         fast = flux.fast * math.exp(span / self.settings.fast_ms)
         return _Flux(fast, flux.slow * math.exp(span / self.settings.slow_ms), now_ms)
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
         """Sessions that follow a flux, and sessions whose calls shift to another zone."""
         settings = self.settings
         ways: list[_Way] = []
@@ -167,7 +167,7 @@
                 found += self._rising(session, track, span_ms)
         return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
-    def _rising(self, session: Session, track: Track, span_ms: float) -> list[PredictedMove]:
+    def _rising(self, session: Session, track: SessionRate, span_ms: float) -> list[PredictedMove]:
         fast, slow = (sum(getattr(f, n) for f in track.flows) or 1.0 for n in ("fast", "slow"))
         found = []
         for flow in track.flows:
@@ -178,20 +178,20 @@
         return found
 
 
-class Learnt:
+class HistoryPredictor:
     """Predicts from the history by tenant, zones and phase of the day, and from how long sessions live."""
 
     name = "learnt"
 
-    def __init__(self, settings: Foresight) -> None:
+    def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
-        self.past = Past(settings)
+        self.past = MoveHistory(settings)
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """Add the result of one pass to the history."""
         yield from self.past.learning(now_ms, watch, beat)
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
         """Moves by the hazards of the history."""
         settings = self.settings
         ways: list[_Way] = []
@@ -211,7 +211,7 @@
         return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
 
-def _nowhere(_session: Session, _site: str) -> Parts:
+def _nowhere(_session: Session, _site: str) -> ZoneShares:
     return ()
 
 
@@ -223,28 +223,28 @@
     return None
 
 
-class Plans:
+class PlanPredictor:
     """Predicts what was announced, as certain.
 
     A session at a zone that is drained goes where `destination` says (zones and shares, as the plan's flows
-    have it). One that left a zone which returns goes back once the open part covers its place; where its place
-    is unknown, the chance is the step's share of those that are left.
+    have it). One that left a zone which returns goes back once the open part covers its position; where that
+    is unknown, the probability is the step's share of those that are left.
     """
 
     name = "announced"
 
     def __init__(
         self,
-        settings: Foresight,
+        settings: PrefetchSettings,
         destination: NextZones = _nowhere,
-        place: Place = _unplaced,
-        belongs: Belongs = _homeless,
+        place: ReturnPosition = _unplaced,
+        belongs: HomeZone = _homeless,
     ) -> None:
         self.settings, self.destination, self.place, self.belongs = settings, destination, place, belongs
-        self.past: Past | None = None  # for survival; None: all live on
-        self._plans: dict[str, tuple[float, m.Announced]] = {}
+        self.past: MoveHistory | None = None  # for survival; None: all live on
+        self._plans: dict[str, tuple[float, m.AnnouncedPlan]] = {}
 
-    def announced(self, now_ms: float, plan: m.Announced) -> bool:
+    def announced(self, now_ms: float, plan: m.AnnouncedPlan) -> bool:
         """Take a plan, unless a later one of that zone is known. Repeats change nothing."""
         known = self._plans.get(plan.site)
         if known is not None and plan.number <= known[1].number:
@@ -256,11 +256,11 @@
         """Zones on standby: no session goes there by itself."""
         return frozenset(site for site, (_, plan) in self._plans.items() if plan.kind == "standby")
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """Nothing is learnt."""
         yield
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[PredictedMove]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
         """Moves by the steps of the announced plans that are due within `span_ms`."""
         found: list[PredictedMove] = []
         for site, (told_ms, plan) in sorted(self._plans.items()):
@@ -275,14 +275,14 @@
                 was = step.open
         return heapq.nlargest(self.settings.most, found, key=lambda move: move.probability)
 
-    def _lives(self, now_ms: float, session: Session, track: Track, ahead_ms: float) -> float:
+    def _lives(self, now_ms: float, session: Session, track: SessionRate, ahead_ms: float) -> float:
         return self.past.lives(now_ms, session, track, ahead_ms) if self.past else 1.0
 
     def _leave(
-        self, now_ms: float, watch: Watcher, site: str, was: float, left: float, ahead: float
+        self, now_ms: float, watch: SessionMonitor, site: str, was: float, left: float, ahead: float
     ) -> Slices[list[PredictedMove]]:
         found: list[PredictedMove] = []
-        group = watch.here.get(site, Group())
+        group = watch.here.get(site, SessionGroup())
         for n, session in enumerate(group.busiest(4 * self.settings.most)):
             if n % MOVES == MOVES - 1:
                 yield
@@ -304,10 +304,10 @@
         return found
 
     def _return(
-        self, now_ms: float, watch: Watcher, site: str, was: float, open_: float, ahead: float
+        self, now_ms: float, watch: SessionMonitor, site: str, was: float, open_: float, ahead: float
     ) -> Slices[list[PredictedMove]]:
         found: list[PredictedMove] = []
-        back = watch.left.get(site, Group()).busiest(4 * self.settings.most)
+        back = watch.left.get(site, SessionGroup()).busiest(4 * self.settings.most)
         yield
         # Those that began while the site was out have never been there. Bounded: the last that called.
         latest = watch.tracks.latest(4 * self.settings.most)
--- a/fawnwharf/prefetch/prefetcher.py
+++ b/fawnwharf/prefetch/prefetcher.py
@@ -7,31 +7,31 @@
 
 from fawnwharf.interface import Settings
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.budgets import View
+from fawnwharf.prefetch.budgets import PlannerView
 from fawnwharf.prefetch.planner import Planner
-from fawnwharf.prefetch.prediction_scores import Scores
+from fawnwharf.prefetch.prediction_scores import PredictionScores
 from fawnwharf.prefetch.predictors import (
-    Belongs,
-    Learnt,
+    HistoryPredictor,
+    HomeZone,
     NextZones,
-    Place,
-    Plans,
-    Trend,
+    PlanPredictor,
+    ReturnPosition,
+    TrendPredictor,
     _homeless,
     _nowhere,
     _unplaced,
 )
-from fawnwharf.prefetch.session_monitor import Watcher
-from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.session_monitor import SessionMonitor
+from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
 from fawnwharf.prefetch.settings import Prices
-from fawnwharf.prefetch.slices import Slices, drained
+from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import PredictedMove, PrefetchRelease, Session
 
 # Of an idle life: the rest is for the load.
 SPAN_PART = 0.8
 
 
-class Foresight:
+class Prefetcher:
     """Joins the session monitor, the predictors, their scores and the planner.
 
     A host calls `called` for each call that ran somewhere, `heard` for each message of another front end and
@@ -46,17 +46,17 @@
         prices: Prices,
         me: str,
         destination: NextZones = _nowhere,
-        place: Place = _unplaced,
-        belongs: Belongs = _homeless,
+        place: ReturnPosition = _unplaced,
+        belongs: HomeZone = _homeless,
     ) -> None:
         self.bounds = bounds
-        self.watch = Watcher(bounds, me)
-        self.scores = Scores(bounds)
+        self.watch = SessionMonitor(bounds, me)
+        self.scores = PredictionScores(bounds)
         self.planner = Planner(bounds, site, prices, self.scores)
         self.trend, self.learnt, self.plans = (
-            Trend(bounds),
-            Learnt(bounds),
-            Plans(bounds, destination, place, belongs),
+            TrendPredictor(bounds),
+            HistoryPredictor(bounds),
+            PlanPredictor(bounds, destination, place, belongs),
         )
         self.plans.past = self.trend.past = self.learnt.past
         # A stage is worth the chance that it is used while it stands; idle for longer it may lapse.
@@ -74,26 +74,28 @@
         """Count a call of a session at a zone."""
         self.watch.called(now_ms, session, site)
 
-    def heard(self, now_ms: float, owner: str, word: m.Word) -> None:
+    def heard(self, now_ms: float, owner: str, word: m.CounterMessage) -> None:
         """Take the counters that another front end sent."""
         self.watch.heard(now_ms, owner, word)
 
-    def announced(self, now_ms: float, plan: m.Announced) -> bool:
+    def announced(self, now_ms: float, plan: m.AnnouncedPlan) -> bool:
         """Take a plan for a zone; False where a later one is known."""
         return self.plans.announced(now_ms, plan)
 
-    def word(self) -> m.Word:
+    def word(self) -> m.CounterMessage:
         """The message for the other front ends: own counters that rose since the last one."""
         return self.watch.word()
 
-    def step(self, now_ms: float, view: View) -> Sequence[m.Order | PrefetchRelease]:
+    def step(self, now_ms: float, view: PlannerView) -> Sequence[m.AssignedOrder | PrefetchRelease]:
         """One pass over what has changed.
 
         Count, learn, predict and plan; the orders, and what is not needed any more.
         """
-        return drained(self.look(now_ms, lambda: view))
+        return run_slices(self.look(now_ms, lambda: view))
 
-    def look(self, now_ms: float, view: Callable[[], View]) -> Slices[list[m.Order | PrefetchRelease]]:
+    def look(
+        self, now_ms: float, view: Callable[[], PlannerView]
+    ) -> Slices[list[m.AssignedOrder | PrefetchRelease]]:
         """The same as `step` in slices, between which calls, messages and plans may come in.
 
         `view` is called once, as late as possible.
@@ -101,7 +103,7 @@
         watch, scores, planner = self.watch, self.scores, self.planner
         beat = yield from watch.look(now_ms)
         yield from scores.scoring(now_ms, beat)
-        found: list[m.Order | PrefetchRelease] = list((yield from planner.marking(now_ms, beat)))
+        found: list[m.AssignedOrder | PrefetchRelease] = list((yield from planner.marking(now_ms, beat)))
         able = (self.trend, self.learnt)
         made: dict[str, list[PredictedMove]] = {}
         for predictor in able:
--- a/fawnwharf/prefetch/scenarios.py
+++ b/fawnwharf/prefetch/scenarios.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.copy_value import Facts
+from fawnwharf.prefetch.copy_value import FunctionProfile
 from fawnwharf.prefetch.fleet_model import Call
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Shift:
+class ScenarioMove:
     """A session's move from one zone to another."""
 
     at_ms: float
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Turn:
+class ZoneChange:
     """From `at_ms` on the part `open` of a zone is open, where `was` was open before."""
 
     at_ms: float
@@ -64,18 +64,18 @@
 
 
 @dataclass(slots=True)
-class Scene:
+class Scenario:
     """One scenario; only what happens between `from_ms` and `until_ms` is measured."""
 
     name: str
     end_ms: float
     from_ms: float  # what was before isn't measured
     calls: list[Call] = field(default_factory=list)
-    shifts: list[Shift] = field(default_factory=list)
-    facts: dict[str, Facts] = field(default_factory=dict)
-    plans: list[tuple[float, m.Announced]] = field(default_factory=list)  # when each is told
+    shifts: list[ScenarioMove] = field(default_factory=list)
+    facts: dict[str, FunctionProfile] = field(default_factory=dict)
+    plans: list[tuple[float, m.AnnouncedPlan]] = field(default_factory=list)  # when each is told
     losses: list[tuple[float, str]] = field(default_factory=list)
-    turns: list[Turn] = field(default_factory=list)
+    turns: list[ZoneChange] = field(default_factory=list)
     until_ms: float = math.inf  # and what is after that isn't either
 
 
@@ -96,14 +96,14 @@
     )
 
 
-def scene(name: str, seed: int, sessions: int = SESSIONS) -> Scene:
+def draw_scenario(name: str, seed: int, sessions: int = SESSIONS) -> Scenario:
     """The scenario `name` of `SCENES` drawn from `seed`; raises KeyError for another name."""
     chance = random.Random(f"{name} {seed}")
-    made, route = SCENES[name](chance)
+    made, route = SCENARIOS[name](chance)
     for n in range(ROWS):
         kind = chance.choices(list(_KINDS), [part for part, *_ in _KINDS.values()])[0]
         _, load, run, memory = _KINDS[kind]
-        made.facts[f"f{n}"] = Facts(
+        made.facts[f"f{n}"] = FunctionProfile(
             kind, chance.uniform(*memory), chance.uniform(*load), chance.uniform(*run)
         )
     names = [tenant["name"] for tenant in CONFIG["tenants"]]
@@ -124,13 +124,13 @@
     return made
 
 
-def _run(made: Scene, chance: random.Random, session: Session, begins: float, ends: float, route) -> None:
+def _run(made: Scenario, chance: random.Random, session: Session, begins: float, ends: float, route) -> None:
     legs = route(chance, session, home(session), begins, ends)  # [(from when, site)], the first at its begin
     rate = min(2.0, max(0.25, chance.lognormvariate(-0.5, 0.6)))
     facts = made.facts[session.row]
     at, leg, fresh = begins + chance.expovariate(rate) * 1000.0, 0, False
     for n in range(1, len(legs)):
-        made.shifts.append(Shift(legs[n][0], session, legs[n - 1][1], legs[n][1]))
+        made.shifts.append(ScenarioMove(legs[n][0], session, legs[n - 1][1], legs[n][1]))
     while at < ends:
         while leg + 1 < len(legs) and legs[leg + 1][0] <= at:
             leg, fresh = leg + 1, True
@@ -142,9 +142,9 @@
 
 
 def _drain(chance: random.Random):
-    made = Scene("drain", 100_000.0, 40_000.0)
-    made.plans.append((40_000.0, m.Announced("north", 1, "drain", (m.Step(20_000.0, 0.0),))))
-    made.turns.append(Turn(60_000.0, "north", 1.0, 0.0))
+    made = Scenario("drain", 100_000.0, 40_000.0)
+    made.plans.append((40_000.0, m.AnnouncedPlan("north", 1, "drain", (m.PlanStep(20_000.0, 0.0),))))
+    made.turns.append(ZoneChange(60_000.0, "north", 1.0, 0.0))
 
     def route(chance, session, home, begins, ends):
         if home != "north":
@@ -164,13 +164,13 @@
 
 
 def _return(chance: random.Random):
-    made = Scene("return", 130_000.0, 90_000.0)
+    made = Scenario("return", 130_000.0, 90_000.0)
     opens = [(0.25, 100_000.0), (0.5, 105_000.0), (0.75, 110_000.0), (1.0, 115_000.0)]
     made.losses.append((60_000.0, "north"))
-    made.turns.append(Turn(60_400.0, "north", 1.0, 0.0))
-    made.turns += [Turn(at, "north", part - 0.25, part) for part, at in opens]
-    steps = tuple(m.Step(at - 92_000.0, part) for part, at in opens)
-    made.plans.append((92_000.0, m.Announced("north", 1, "return", steps)))
+    made.turns.append(ZoneChange(60_400.0, "north", 1.0, 0.0))
+    made.turns += [ZoneChange(at, "north", part - 0.25, part) for part, at in opens]
+    steps = tuple(m.PlanStep(at - 92_000.0, part) for part, at in opens)
+    made.plans.append((92_000.0, m.AnnouncedPlan("north", 1, "return", steps)))
 
     def route(chance, session, home, begins, ends):
         if home != "north":
@@ -188,7 +188,7 @@
 
 
 def _days(chance: random.Random):
-    made = Scene("days and a week's end", 8 * DAY_MS, 2 * DAY_MS)
+    made = Scenario("days and a week's end", 8 * DAY_MS, 2 * DAY_MS)
 
     def route(chance, session, home, begins, ends):
         if home != "north" or session.org != "medijska-hisa":
@@ -211,7 +211,7 @@
 
 
 def _random(chance: random.Random):
-    made = Scene("moves at random", 240_000.0, 60_000.0)
+    made = Scenario("moves at random", 240_000.0, 60_000.0)
 
     def route(chance, session, home, begins, ends):
         legs, at = [(begins, home)], begins
@@ -230,7 +230,7 @@
     return made, route
 
 
-SCENES = {
+SCENARIOS = {
     "drain": _drain,
     "loss": _loss,
     "return": _return,
--- a/fawnwharf/prefetch/session_monitor.py
+++ b/fawnwharf/prefetch/session_monitor.py
@@ -15,17 +15,17 @@
 from msgspec import Struct
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.lru_map import Kept
-from fawnwharf.prefetch.settings import Foresight
-from fawnwharf.prefetch.slices import Slices, drained
+from fawnwharf.prefetch.lru_map import LruMap
+from fawnwharf.prefetch.settings import PrefetchSettings
+from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import Session
 
 _BITS = 31
 _MASK = (1 << _BITS) - 1
-MOVED_SHARE = 0.6  # of a session's calls of late, for a site to be held where it is
+MIN_MOVED_SHARE = 0.6  # of a session's calls of late, for a site to be held where it is
 BEGAN = 0.2  # of a call in the fast window: a site with less had none of late
-OWNERS_MOST = 512
-SITES_MOST = 8  # of one session: one that calls everywhere moves nowhere
+MAX_OWNERS = 512
+MAX_ZONES = 8  # of one session: one that calls everywhere moves nowhere
 RISES, PLACES, ENDS = 150, 80, 40  # of one slice
 RISES_MOST, ENDS_MOST = 20_000, 5_000  # of one look: what is beyond stays for the next ones
 
@@ -42,7 +42,7 @@
     since_ms: float = 0.0
 
 
-class Track(Struct, eq=False, gc=False):
+class SessionRate(Struct, eq=False, gc=False):
     """A session: its zone, the one before, and its flows by zone."""
 
     began_ms: float
@@ -53,7 +53,7 @@
     level: int = 0  # doublings of its calls of late, as of the last look that saw one
     flows: tuple[Flow, ...] = ()
 
-    def rate_ps(self, settings: Foresight, now_ms: float) -> float:
+    def rate_ps(self, settings: PrefetchSettings, now_ms: float) -> float:
         """Calls a second at all zones, by the slow window, or since its first call where that is shorter."""
         span = min(settings.slow_ms, max(2 * settings.beat_ms, now_ms - self.began_ms))
         return (
@@ -61,13 +61,13 @@
         )
 
 
-class Group:
+class SessionGroup:
     """Sessions by level of activity, so that the busiest are found without a pass over all of them."""
 
     __slots__ = ("_levels", "_size")
 
     def __init__(self) -> None:
-        self._levels: dict[int, dict[Session, Track]] = {}
+        self._levels: dict[int, dict[Session, SessionRate]] = {}
         self._size = 0
 
     def __len__(self) -> int:
@@ -76,13 +76,13 @@
     def __contains__(self, session: Session) -> bool:
         return any(session in some for some in self._levels.values())
 
-    def add(self, session: Session, track: Track) -> None:
+    def add(self, session: Session, track: SessionRate) -> None:
         """Add a session at its track's level."""
         some = self._levels.setdefault(track.level, {})
         self._size += session not in some
         some[session] = track
 
-    def remove(self, session: Session, track: Track) -> None:
+    def remove(self, session: Session, track: SessionRate) -> None:
         """Remove a session from its track's level, if it is there."""
         some = self._levels.get(track.level, {})
         if some.pop(session, None) is not None:
@@ -90,7 +90,7 @@
             if not some:
                 del self._levels[track.level]
 
-    def one(self) -> Track:
+    def one(self) -> SessionRate:
         """Any one of them."""
         return next(iter(next(iter(self._levels.values())).values()))
 
@@ -103,19 +103,19 @@
         return dict.fromkeys(islice(chain.from_iterable(levels), most))
 
 
-class Watcher:
+class SessionMonitor:
     """The session monitor of one front end.
 
     Counts its own calls, merges others' counters, and finds moves.
     """
 
-    def __init__(self, settings: Foresight, me: str = "me") -> None:
+    def __init__(self, settings: PrefetchSettings, me: str = "me") -> None:
         self.settings, self.me = settings, me
         self.number = 1
-        self.tracks: Kept[Session, Track] = Kept()  # those still for longest first
-        self.groups: dict[tuple[str, str], Group] = {}  # by tenant and site
-        self.here: dict[str, Group] = {}  # by site
-        self.left: dict[str, Group] = {}  # by the site that they were at before
+        self.tracks: LruMap[Session, SessionRate] = LruMap()  # those still for longest first
+        self.groups: dict[tuple[str, str], SessionGroup] = {}  # by tenant and site
+        self.here: dict[str, SessionGroup] = {}  # by site
+        self.left: dict[str, SessionGroup] = {}  # by the site that they were at before
         self.dropped: dict[str, int] = {}
         self._counters: dict[str, dict[Flow, int]] = {me: {}}
         self._numbers: dict[str, int] = {}
@@ -139,16 +139,16 @@
         self._told[flow] = None
         self._touch(now_ms, flow.session)
 
-    def word(self) -> m.Word:
+    def word(self) -> m.CounterMessage:
         """The own counters that rose since the last message.
 
         What exceeds its bound follows in the next ones.
         """
-        word = self.part(m.ENTRIES_MOST)
+        word = self.part(m.MAX_ENTRIES)
         self.number += 1
         return word
 
-    def part(self, most: int) -> m.Word:
+    def part(self, most: int) -> m.CounterMessage:
         """At most `most` of these counters, under the current number.
 
         The parts with one number are one message.
@@ -156,8 +156,8 @@
         mine, counts = self._counters[self.me], []
         for flow in list(islice(self._told, most)):
             del self._told[flow]
-            counts.append(m.Count(flow.session, flow.site, mine[flow] >> _BITS, mine[flow] & _MASK))
-        return m.Word(self.number, tuple(counts))
+            counts.append(m.CallCounter(flow.session, flow.site, mine[flow] >> _BITS, mine[flow] & _MASK))
+        return m.CounterMessage(self.number, tuple(counts))
 
     @property
     def untold(self) -> int:
@@ -169,14 +169,14 @@
         track.last_ms = max(track.last_ms, now_ms)
         self.tracks.use(session, track)
 
-    def heard(self, now_ms: float, owner: str, word: m.Word) -> None:
+    def heard(self, now_ms: float, owner: str, word: m.CounterMessage) -> None:
         """Merge the counters of one incarnation of another front end; what is not larger changes nothing."""
         held = self._counters.get(owner)
         if owner == self.me:
             self._drop("a word of my own")
             return
         if held is None:
-            if len(self._counters) >= OWNERS_MOST:
+            if len(self._counters) >= MAX_OWNERS:
                 self._drop("an owner beyond the bound")
                 return
             held = self._counters[owner] = {}
@@ -200,11 +200,11 @@
             self._numbers.pop(owner, None)
             self._graves += [held, self._rose.pop(owner)]
 
-    def beat(self, now_ms: float) -> m.Beat:
+    def beat(self, now_ms: float) -> m.ScanResult:
         """A whole pass at once."""
-        return drained(self.look(now_ms))
+        return run_slices(self.look(now_ms))
 
-    def look(self, now_ms: float) -> Slices[m.Beat]:
+    def look(self, now_ms: float) -> Slices[m.ScanResult]:
         """A pass over what rose since the last one, in slices: moves, ends, and who called where."""
         self._looks += 1
         # No lists of all of them: the garbage collector would walk them.
@@ -213,13 +213,13 @@
         yield from self._count_rises(now_ms, called, sessions)
         yield
         moved = yield from self._find_moves(now_ms, sessions)
-        ended: list[m.Ended] = []
+        ended: list[m.SessionEnded] = []
         while len(ended) < ENDS_MOST and (end := self._end_still(now_ms)) is not None:
             ended.append(end)
             if len(ended) % ENDS == 0:
                 yield
         yield from self._free_graves()
-        return m.Beat(tuple(moved), tuple(ended), called)
+        return m.ScanResult(tuple(moved), tuple(ended), called)
 
     def _count_rises(
         self, now_ms: float, called: dict[Flow, None], sessions: dict[Session, None]
@@ -250,9 +250,9 @@
         flow.fast += rise
         flow.slow += rise
 
-    def _find_moves(self, now_ms: float, sessions: dict[Session, None]) -> Slices[list[m.Moved]]:
+    def _find_moves(self, now_ms: float, sessions: dict[Session, None]) -> Slices[list[m.SessionMoved]]:
         """Place the sessions that called; those found at another zone than before have moved."""
-        moved: list[m.Moved] = []
+        moved: list[m.SessionMoved] = []
         for n, session in enumerate(sessions):
             if n % PLACES == PLACES - 1:
                 yield
@@ -300,25 +300,25 @@
             while len(self.tracks) >= self.settings.sessions:
                 self._forget(self.tracks.oldest())
                 self._drop("a session beyond the bound")
-            track = Track(now_ms, now_ms)
+            track = SessionRate(now_ms, now_ms)
             self.tracks.use(session, track)
         for flow in track.flows:
             if flow.site == site:
                 return flow
-        if len(track.flows) >= SITES_MOST:
+        if len(track.flows) >= MAX_ZONES:
             self._drop("a site beyond the bound")
             return None
         flow = Flow(session, site, now_ms)
         track.flows += (flow,)
         return flow
 
-    def _place(self, session: Session, track: Track, now_ms: float) -> m.Moved | None:
+    def _place(self, session: Session, track: SessionRate, now_ms: float) -> m.SessionMoved | None:
         for flow in track.flows:
             self._fade(flow, now_ms)
         total = sum(flow.fast for flow in track.flows)
         most = max(track.flows, key=lambda flow: (flow.fast, flow.site))
         level = max(0, math.frexp(sum(flow.slow for flow in track.flows))[1])
-        if most.site == track.site or (track.site and most.fast < MOVED_SHARE * total):
+        if most.site == track.site or (track.site and most.fast < MIN_MOVED_SHARE * total):
             if level != track.level:
                 self._leave(session, track)
                 track.level = level
@@ -331,9 +331,9 @@
             track.was = source
         track.site = most.site
         self._join(session, track)
-        return m.Moved(session, source, most.site, most.since_ms) if source else None
+        return m.SessionMoved(session, source, most.site, most.since_ms) if source else None
 
-    def _forget(self, session: Session) -> Track:
+    def _forget(self, session: Session) -> SessionRate:
         track = self.tracks.pop(session)
         for flow in track.flows:
             self._told.pop(flow, None)
@@ -343,13 +343,13 @@
         self._leave(session, track)
         return track
 
-    def _join(self, session: Session, track: Track) -> None:
-        self.groups.setdefault((session.org, track.site), Group()).add(session, track)
-        self.here.setdefault(track.site, Group()).add(session, track)
+    def _join(self, session: Session, track: SessionRate) -> None:
+        self.groups.setdefault((session.org, track.site), SessionGroup()).add(session, track)
+        self.here.setdefault(track.site, SessionGroup()).add(session, track)
         if track.was:
-            self.left.setdefault(track.was, Group()).add(session, track)
+            self.left.setdefault(track.was, SessionGroup()).add(session, track)
 
-    def _leave(self, session: Session, track: Track) -> None:
+    def _leave(self, session: Session, track: SessionRate) -> None:
         groups = ((self.groups, (session.org, track.site)), (self.here, track.site), (self.left, track.was))
         for table, key in groups:
             group = table.get(key)
@@ -358,9 +358,9 @@
                 if not group:
                     del table[key]
 
-    def _end_still(self, now_ms: float) -> m.Ended | None:
+    def _end_still(self, now_ms: float) -> m.SessionEnded | None:
         session = self.tracks.oldest()
         if session is None or now_ms - self.tracks[session].last_ms <= self.settings.still_ms:
             return None
         track = self._forget(session)
-        return m.Ended(session, track.site, track.last_ms - track.began_ms)
+        return m.SessionEnded(session, track.site, track.last_ms - track.began_ms)
--- a/fawnwharf/prefetch/settings.py
+++ b/fawnwharf/prefetch/settings.py
@@ -19,7 +19,7 @@
 Mode = Literal["foresight", "none", "react", "everything", "oracle"]
 
 
-class Foresight(Struct, frozen=True):
+class PrefetchSettings(Struct, frozen=True):
     """The settings: times are milliseconds, rates are per second, shares are parts of one."""
 
     beat_ms: DurationMs = 1_000.0  # pace of looks at the counters, and of words
@@ -78,10 +78,10 @@
 
 class _File(Struct):
     version: int
-    foresight: Foresight = msgspec.field(default_factory=Foresight)
+    foresight: PrefetchSettings = msgspec.field(default_factory=PrefetchSettings)
 
 
-def foresight_from(data: bytes) -> Foresight:
+def decode_prefetch_settings(data: bytes) -> PrefetchSettings:
     """The part `foresight` of the operators' file; other parts are checked by their own readers.
 
     Raises FileFault.
@@ -94,7 +94,7 @@
     return read.foresight
 
 
-def site_from(config: Mapping[str, Any]) -> tuple[io.Settings, Prices]:
+def decode_site_settings(config: Mapping[str, Any]) -> tuple[io.Settings, Prices]:
     """The site's settings and prices, from the object that an instance is given. Raises ConfigError."""
     settings = settings_from(config)
     parts = {key: config.get(key) or {} for key in ("costs", "family_info")}
--- a/fawnwharf/prefetch/slices.py
+++ b/fawnwharf/prefetch/slices.py
@@ -10,7 +10,7 @@
 Slices = Generator[None, None, Kind]  # a slice up to each yield; what comes of it all is returned
 
 
-def drained(slices: Slices[Kind]) -> Kind:
+def run_slices(slices: Slices[Kind]) -> Kind:
     """Run all slices, one after the other, and return the result."""
     while True:
         try:
--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -11,25 +11,25 @@
 from collections.abc import Sequence
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.budgets import View
-from fawnwharf.prefetch.fleet_model import Tally, World
-from fawnwharf.prefetch.prefetcher import Foresight
+from fawnwharf.prefetch.budgets import PlannerView
+from fawnwharf.prefetch.fleet_model import FleetModel, Tally
+from fawnwharf.prefetch.prefetcher import Prefetcher
 from fawnwharf.prefetch.scenarios import (
     CONFIG,
     DAY_MS,
-    SCENES,
+    SCENARIOS,
     SITES,
-    Scene,
-    Turn,
+    Scenario,
+    ZoneChange,
+    draw_scenario,
     home,
     next_zone,
     place,
-    scene,
 )
-from fawnwharf.prefetch.settings import Foresight as Bounds
-from fawnwharf.prefetch.settings import site_from
+from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
+from fawnwharf.prefetch.settings import decode_site_settings
 
-WAYS = ("none", "react", "everything", "foresight", "oracle")
+STRATEGIES = ("none", "react", "everything", "foresight", "oracle")
 SEEDS = tuple(range(1, 11))
 EACH = 4  # scorers of a site
 MEMORY_MB = 16_000.0
@@ -57,11 +57,11 @@
 class Run:
     """One scenario with one strategy."""
 
-    def __init__(self, way: str, made: Scene) -> None:
+    def __init__(self, way: str, made: Scenario) -> None:
         self.way, self.made = way, made
-        self.site, self.prices = site_from(CONFIG)
-        self.world = World(self.site, SITES, EACH, MEMORY_MB, made.facts)
-        self.core = Foresight(
+        self.site, self.prices = decode_site_settings(CONFIG)
+        self.world = FleetModel(self.site, SITES, EACH, MEMORY_MB, made.facts)
+        self.core = Prefetcher(
             BOUNDS, self.site, self.prices, "a", lambda s, at: ((next_zone(s, at), 1.0),), place, home
         )
         self.live: dict = {}  # session to (site, when it called last)
@@ -101,7 +101,7 @@
             world.call(call)
         return world.end()
 
-    def _look(self, now: float, turned: list[Turn], firsts: list[tuple[float, str, str]]) -> None:
+    def _look(self, now: float, turned: list[ZoneChange], firsts: list[tuple[float, str, str]]) -> None:
         world = self.world
         self.live = {s: held for s, held in self.live.items() if now - held[1] < 10_000.0}
         world.waits = [until for until in world.waits if until > now]
@@ -116,7 +116,7 @@
             self._foresight(now)
         self._order(now)
 
-    def _react(self, turned: list[Turn]) -> None:
+    def _react(self, turned: list[ZoneChange]) -> None:
         for turn in turned:
             for session, (at, _) in sorted(self.live.items()):
                 if at == turn.site and turn.open == 0.0:
@@ -131,7 +131,7 @@
 
     def _foresight(self, now: float) -> None:
         for order in self.core.step(now, self._view(now)):
-            if isinstance(order, m.Order):
+            if isinstance(order, m.AssignedOrder):
                 for scorer in order.scorers:
                     self.world.stage(now, order.stage.row, self.world.by_name[scorer])
 
@@ -161,11 +161,11 @@
                 found.append((call.at_ms - 1.5 * load - LEAD_MS, call.session.row, call.site))
         return sorted(found)
 
-    def _view(self, now: float) -> View:
+    def _view(self, now: float) -> PlannerView:
         world = self.world
         left, most = world.ration(now)
         waiting = len(world.waits)
-        return View(
+        return PlannerView(
             me="a",
             heard=("a", "b")[:1],
             calm=waiting <= max(3.0, WAITING_PART * len(self.live)),
@@ -188,7 +188,7 @@
     Service in the measured part, of all calls and of those soon after a move, and the part of first calls
     that found a copy; counts and the total result are of the whole run.
     """
-    prices = site_from(CONFIG)[1]
+    prices = decode_site_settings(CONFIG)[1]
     return {
         "service": window.service(),
         "1 s": window.service(1),
@@ -211,9 +211,11 @@
     return mean, mean - half, mean + half
 
 
-def compare(name: str, seeds: Sequence[int] = SEEDS, ways: Sequence[str] = WAYS) -> dict[str, list[Figures]]:
+def compare(
+    name: str, seeds: Sequence[int] = SEEDS, ways: Sequence[str] = STRATEGIES
+) -> dict[str, list[Figures]]:
     """Figures of each strategy by seed."""
-    return {way: [figures(*Run(way, scene(name, seed)).run()) for seed in seeds] for way in ways}
+    return {way: [figures(*Run(way, draw_scenario(name, seed)).run()) for seed in seeds] for way in ways}
 
 
 def shown(name: str, found: dict[str, list[Figures]]) -> str:
@@ -262,7 +264,7 @@
 
 def main(arguments: Sequence[str]) -> None:
     """Print the comparison of the scenarios named, or of all."""
-    for name in arguments or SCENES:
+    for name in arguments or SCENARIOS:
         print(shown(name, compare(name)), flush=True)
         print()
 
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -193,12 +193,12 @@
 @app.command()
 def check(sessions: File) -> None:
     """Read and check the settings."""
-    from fawnwharf.prefetch.settings import foresight_from
+    from fawnwharf.prefetch.settings import decode_prefetch_settings
 
     try:
         data = Path(sessions).read_bytes()
         found = s.settings_from(data)
-        foresight_from(data)
+        decode_prefetch_settings(data)
     except OSError as error:
         _fail(f"sessions: {error.filename}: {error.strerror}")
     except SettingsFileError as error:
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -13,8 +13,8 @@
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
-from fawnwharf.prefetch.baseline_strategies import foretold_from
-from fawnwharf.prefetch.settings import Prices, foresight_from
+from fawnwharf.prefetch.baseline_strategies import parse_known_moves
+from fawnwharf.prefetch.settings import Prices, decode_prefetch_settings
 from fawnwharf.replication.service import ReplicationService
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.agent import Agent
@@ -47,7 +47,7 @@
         `memory` is the file for the next process, `policies` the part by which policy changes.
         """
         self.state, self.agent, self.zones, self.policies = state, agent, zones, policies
-        bounds = load_file(path, foresight_from, "sessions")
+        bounds = load_file(path, decode_prefetch_settings, "sessions")
         costs = deployment.costs
         self.staging = Staging(
             agent.name,
@@ -61,7 +61,7 @@
         self._told = WatchedFile(path.parent / bounds.told) if bounds.told else None
         self._told_ms = float("-inf")
         if bounds.told:
-            load_file(path.parent / bounds.told, foretold_from, "sessions")
+            load_file(path.parent / bounds.told, parse_known_moves, "sessions")
         self._memory = memory
         with contextlib.suppress(OSError):  # none was left
             self.staging.learn(monotonic_ms(), memory.read_bytes())
@@ -132,7 +132,7 @@
         self._told_ms = now_ms
         if (data := self._told.changed()) is not None:
             with contextlib.suppress(SettingsFileError):
-                self.staging.foretold(now_ms, unix_ms(), foretold_from(data))
+                self.staging.foretold(now_ms, unix_ms(), parse_known_moves(data))
 
     def _look(self, now_ms: float) -> Seen:
         if self._told is not None and now_ms - self._told_ms >= TOLD_MS:
--- a/fawnwharf/sessions/measure.py
+++ b/fawnwharf/sessions/measure.py
@@ -16,7 +16,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.settings import Foresight, Prices
+from fawnwharf.prefetch.settings import PrefetchSettings, Prices
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.staging import COUNTS, SLICE_MS, Seen, Staging, Word
 
@@ -33,7 +33,7 @@
         spec = io.ClassSpec("view", 800.0, 3_000.0, late_share=0.2)
         site = io.Settings(classes={"view": spec}, fleet_size=6, load_window_ms=5_000.0, free_loads=6.0)
         site.load_part = 0.3
-        self.staging = Staging("a", Foresight(), site, Prices(0.15, 0.16, 0.01))
+        self.staging = Staging("a", PrefetchSettings(), site, Prices(0.15, 0.16, 0.01))
         entries = [io.ScorerEntry(n, zone=SITES[n % 3]) for n in range(WORKERS)]
         self.staging.events(0.0, 1e9, [io.RosterChanged(entries, True)])
         self.sessions = [Session(f"t{n % TENANTS}", f"f{n}") for n in range(sessions)]
@@ -63,7 +63,7 @@
     def second(self, part: float) -> None:
         """One second: a part of the sessions call, here and at another front end, spread over its passes."""
         callers = self.chance.sample(range(len(self.sessions)), max(1, int(part * len(self.sessions))))
-        others = [m.Count(self.sessions[n], SITES[self.at[n]], 1, self.requests + 1) for n in callers]
+        others = [m.CallCounter(self.sessions[n], SITES[self.at[n]], 1, self.requests + 1) for n in callers]
         until, seen, done = self.now + 1_000.0, Seen(heard=KEEPERS, ordered=0), 0
         while self.now < until:
             beat = self.timed("beat", lambda: self.staging.beat(self.now, seen))
@@ -73,7 +73,9 @@
             for n in callers[done:due]:
                 self.call(n)
             for first in range(done, due, COUNTS):
-                word = Word(m.Word(1 + int(self.now / 1e3), tuple(others[first : min(due, first + COUNTS)])))
+                word = Word(
+                    m.CounterMessage(1 + int(self.now / 1e3), tuple(others[first : min(due, first + COUNTS)]))
+                )
                 self.timed("word", lambda w=word: self.staging.heard(self.now, "b", w))
             done = due
 
@@ -101,7 +103,7 @@
     for _ in range(10):
         scene.second(PART)
     scene.show("some have moved")
-    scene.staging.announced(scene.now, m.Announced("north", 1, "drain", (m.Step(10_000.0, 0.0),)))
+    scene.staging.announced(scene.now, m.AnnouncedPlan("north", 1, "drain", (m.PlanStep(10_000.0, 0.0),)))
     for _ in range(10):
         scene.second(PART)
     scene.show("a drain ahead")
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -18,13 +18,20 @@
 from fawnwharf import interface as io
 from fawnwharf.prefetch import learned_state
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.baseline_strategies import Foretold, Ways
-from fawnwharf.prefetch.budgets import View, shared
-from fawnwharf.prefetch.known import Copies, Functions, Scorers, Told
-from fawnwharf.prefetch.predictors import Belongs, NextZones, Parts, Place, _homeless, _unplaced
-from fawnwharf.prefetch.prefetcher import Foresight
-from fawnwharf.prefetch.session_monitor import OWNERS_MOST
-from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.baseline_strategies import BaselineStrategies, KnownMove
+from fawnwharf.prefetch.budgets import PlannerView, share_count
+from fawnwharf.prefetch.known import CopyTable, FunctionReport, FunctionTable, ScorerView
+from fawnwharf.prefetch.predictors import (
+    HomeZone,
+    NextZones,
+    ReturnPosition,
+    ZoneShares,
+    _homeless,
+    _unplaced,
+)
+from fawnwharf.prefetch.prefetcher import Prefetcher
+from fawnwharf.prefetch.session_monitor import MAX_OWNERS
+from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.replication.placement import rendezvous_weight
@@ -61,8 +68,8 @@
 class Word(Struct, frozen=True):
     """What one front end tells others: calls by session and zone, functions, and whether it has no surge."""
 
-    counts: m.Word
-    functions: Annotated[tuple[Told, ...], Meta(max_length=TOLD_MOST)] = ()
+    counts: m.CounterMessage
+    functions: Annotated[tuple[FunctionReport, ...], Meta(max_length=TOLD_MOST)] = ()
     calm: bool = True
 
 
@@ -77,7 +84,7 @@
     again_ms: float = SLICE_MS
 
 
-def announced_from(plan: Plan, ramp: RampSettings) -> list[m.Announced]:
+def announced_from(plan: Plan, ramp: RampSettings) -> list[m.AnnouncedPlan]:
     """What a plan in force announces.
 
     These are the steps of zones that return, the zones that are drained, and those on standby.
@@ -86,13 +93,13 @@
     for site, zone in sorted(plan.zones.items()):
         kind, steps = "return", ()
         if zone.state == DRAINING:
-            kind, steps = "drain", (m.Step(0.0, 0.0),)
+            kind, steps = "drain", (m.PlanStep(0.0, 0.0),)
         elif zone.state == OUT:
             kind = "standby"
         elif zone.state == RECOVERING:
             shares = [zone.fraction, *(share for share in ramp.fractions if share > zone.fraction), 1.0]
-            steps = tuple(m.Step(n * ramp.step_ms, share) for n, share in enumerate(shares))
-        found.append(m.Announced(site, plan.number, kind, steps))
+            steps = tuple(m.PlanStep(n * ramp.step_ms, share) for n, share in enumerate(shares))
+        found.append(m.AnnouncedPlan(site, plan.number, kind, steps))
     return found
 
 
@@ -106,17 +113,19 @@
         site: io.Settings,
         prices: Prices,
         destination: NextZones | None = None,
-        place: Place = _unplaced,
-        belongs: Belongs = _homeless,
+        place: ReturnPosition = _unplaced,
+        belongs: HomeZone = _homeless,
     ) -> None:
         """`destination` gives the next zones of a session whose zone is closed; without it, a hash does."""
         self.me, self.bounds = me, bounds
-        self.scorers = Scorers(site)
-        self.functions = Functions(bounds.sessions)
-        self.copies = Copies(self.scorers, self.functions, site.idle_life_ms)
+        self.scorers = ScorerView(site)
+        self.functions = FunctionTable(bounds.sessions)
+        self.copies = CopyTable(self.scorers, self.functions, site.idle_life_ms)
         destination, rules = destination or self._next_zones, self.scorers.settings
-        self.core = Foresight(bounds, rules, prices, me, destination, place, belongs)
-        self.ways = Ways(bounds, rules, self.core.watch, destination, belongs, self.scorers.sites)
+        self.core = Prefetcher(bounds, rules, prices, me, destination, place, belongs)
+        self.ways = BaselineStrategies(
+            bounds, rules, self.core.watch, destination, belongs, self.scorers.sites
+        )
         self.calm = True
         self.counts: dict[str, int] = {}
         promise_ms = min((spec.latency_target_ms for spec in site.classes.values()), default=1_000.0)
@@ -160,7 +169,7 @@
         if (most := self._budgets.get("memory_mb")) is None:
             return spare
         heard, fleet = len(self._seen.heard), self.scorers.settings.fleet_size
-        return min(spare, most / shared(heard, fleet))
+        return min(spare, most / share_count(heard, fleet))
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -258,7 +267,7 @@
             self.functions.heard(told)
         for count in word.counts.counts:
             self.copies.used(now_ms, count.session.row, count.site)
-        if owner in self._calm_of or len(self._calm_of) < OWNERS_MOST:
+        if owner in self._calm_of or len(self._calm_of) < MAX_OWNERS:
             self._calm_of[owner] = now_ms, word.calm
 
     def gone(self, owner: str) -> None:
@@ -266,21 +275,21 @@
         self.core.watch.gone(owner)
         self._calm_of.pop(owner, None)
 
-    def announced(self, now_ms: float, plan: m.Announced) -> bool:
+    def announced(self, now_ms: float, plan: m.AnnouncedPlan) -> bool:
         """Take a plan for a zone; False for an older one than is known."""
         return self.core.announced(now_ms, plan)
 
-    def foretold(self, now_ms: float, unix_ms: float, moves: list[Foretold]) -> None:
+    def foretold(self, now_ms: float, unix_ms: float, moves: list[KnownMove]) -> None:
         """For trials: take the moves that the mode `oracle` goes by (`ways.foretold_from`)."""
         self.ways.foretold(now_ms, unix_ms, moves)
 
     def learnt(self, now_ms: float) -> bytes:
         """What was learnt, for the next process (`foresight.memory` says what is in it)."""
-        return learned_state.learnt(now_ms, self.core, self.functions)
+        return learned_state.encode_learned_state(now_ms, self.core, self.functions)
 
     def learn(self, now_ms: float, data: bytes) -> bool:
         """Take what another process has learnt, before any call came here; False where nothing was taken."""
-        return learned_state.take(now_ms, data, self.core, self.functions)
+        return learned_state.restore_learned_state(now_ms, data, self.core, self.functions)
 
     # --- looks ----------------------------------------------------------------------------------
 
@@ -323,7 +332,7 @@
         found.words.append(Word(watch.part(COUNTS), functions, self.calm))
         return True
 
-    def _look(self, now_ms: float) -> Slices[list[m.Order | PrefetchRelease]]:
+    def _look(self, now_ms: float) -> Slices[list[m.AssignedOrder | PrefetchRelease]]:
         while self.copies.sweep(now_ms):
             yield
         mode = self.bounds.mode
@@ -335,7 +344,7 @@
         yield from self.core.watch.look(now_ms)
         return (yield from self.ways.look(now_ms, self._view(now_ms), self._out(now_ms)))
 
-    def _end(self, now_ms: float, orders: list[m.Order | PrefetchRelease], found: Beat) -> None:
+    def _end(self, now_ms: float, orders: list[m.AssignedOrder | PrefetchRelease], found: Beat) -> None:
         found.moves = list(self.core.moves)
         found.again_ms = max(SLICE_MS, self._look_ms + self.bounds.beat_ms - now_ms)
         for order in orders:
@@ -375,11 +384,11 @@
         dead = {site for site, signs in seen if sight(signs, self._evidence) is Sight.DEAD}
         return self._seen.out | dead
 
-    def _view(self, now_ms: float) -> View:
+    def _view(self, now_ms: float) -> PlannerView:
         seen, scorers = self._seen, self.scorers
         self._wanted = [one for one in self._wanted if now_ms - one[0] < ORDER_LAG_MS]
         left, most = scorers.ration(seen.ordered, sum(count for _, count in self._wanted))
-        return View(
+        return PlannerView(
             me=self.me,
             heard=tuple(seen.heard),
             calm=self._all_calm(now_ms),
@@ -396,7 +405,7 @@
             mean_ps=scorers.rate_ps() * max(1, scorers.settings.fleet_size),
         )
 
-    def _next_zones(self, session: Session, site: str) -> Parts:
+    def _next_zones(self, session: Session, site: str) -> ZoneShares:
         others = [other for other in self.scorers.sites() if other != site]
         if not others:
             return ()
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -98,9 +98,9 @@
         msgspec.json.encode, strict=True,
     ),
     "prefetch/word": converted(staging.Word),
-    "prefetch/memory": packed(prefetch_memory.Memory),
+    "prefetch/memory": packed(prefetch_memory.LearnedState),
     "prefetch/foretold": Boundary(
-        baseline_strategies.Foretold, lambda data: baseline_strategies.foretold_from(data)[0], msgspec.json.encode
+        baseline_strategies.KnownMove, lambda data: baseline_strategies.parse_known_moves(data)[0], msgspec.json.encode
     ),
     "migration/message": converted(migrations.Message),
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -45,7 +45,7 @@
     "state": Kind(state.parse_settings, state.ReplicationSettings),
     "recovery": Kind(recovery.settings_from, recovery.Settings),
     "sessions": Kind(sessions.settings_from, sessions.Settings),
-    "sessions-foresight": Kind(prefetch.foresight_from),
+    "sessions-foresight": Kind(prefetch.decode_prefetch_settings),
     "sessions-wishes": Kind(lambda data: sessions.wishes_from(data, SITES), sessions.Wishes),
     "policy-settings": Kind(policy.decode_settings, policy.RolloutSettings),
     "policy-request": Kind(policy.decode_operator_request, policy.OperatorRequest),
@@ -94,7 +94,7 @@
 def test_the_prefetcher_s_part_of_the_sessions_file_arrives():
     """All its keys, none at its default."""
     data = raw("sessions")
-    found = prefetch.foresight_from(msgspec.json.encode(data))
+    found = prefetch.decode_prefetch_settings(msgspec.json.encode(data))
     assert json.loads(msgspec.json.encode(found)) == data["foresight"] and defaults_in(found) == []
 
 
--- a/tests/support/prefetch_driver.py
+++ b/tests/support/prefetch_driver.py
@@ -2,7 +2,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.sessions.staging import (
     Seen,
@@ -67,4 +67,4 @@
         for row in rows:
             one.events(now + 1_000.0 * second, UNIX, calls.events(row, "n"))
         look(one, now + 1_000.0 * second, seen)
-    one.announced(now + 5_000.0, m.Announced("n", 1, "drain", (m.Step(8_000.0, 0.0),)))
+    one.announced(now + 5_000.0, m.AnnouncedPlan("n", 1, "drain", (m.PlanStep(8_000.0, 0.0),)))
--- a/tests/test_foresight.py
+++ b/tests/test_foresight.py
@@ -7,19 +7,24 @@
 from hypothesis import given, settings, strategies
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.move_history import Past
-from fawnwharf.prefetch.predictors import Learnt, Nothing, Plans, Trend
-from fawnwharf.prefetch.session_monitor import OWNERS_MOST, SITES_MOST, Watcher
-from fawnwharf.prefetch.settings import Foresight, Prices, foresight_from, site_from
-from fawnwharf.prefetch.slices import drained
+from fawnwharf.prefetch.move_history import MoveHistory
+from fawnwharf.prefetch.predictors import HistoryPredictor, NoMovePredictor, PlanPredictor, TrendPredictor
+from fawnwharf.prefetch.session_monitor import MAX_OWNERS, MAX_ZONES, SessionMonitor
+from fawnwharf.prefetch.settings import (
+    PrefetchSettings,
+    Prices,
+    decode_prefetch_settings,
+    decode_site_settings,
+)
+from fawnwharf.prefetch.slices import run_slices
 from fawnwharf.session_types import Session
 from fawnwharf.zones.settings import SettingsFileError
 
-S = Foresight(day_ms=100_000.0, phases=20)
+S = PrefetchSettings(day_ms=100_000.0, phases=20)
 A, B = Session("club", "f1"), Session("club", "f2")
 
 counts = strategies.builds(
-    m.Count,
+    m.CallCounter,
     strategies.sampled_from([A, B, Session("media", "f1")]),
     strategies.sampled_from(["n", "s"]),
     strategies.integers(0, 3),
@@ -28,7 +33,9 @@
 words = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(["o1", "o2"]),
-        strategies.builds(m.Word, strategies.integers(1, 5), strategies.lists(counts, max_size=4).map(tuple)),
+        strategies.builds(
+            m.CounterMessage, strategies.integers(1, 5), strategies.lists(counts, max_size=4).map(tuple)
+        ),
     ),
     max_size=8,
 )
@@ -41,7 +48,7 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(words, strategies.randoms(use_true_random=False))
 def test_words_merge_in_whatever_order_and_however_often_they_come(told, chance):
-    plain, mixed = Watcher(S), Watcher(S)
+    plain, mixed = SessionMonitor(S), SessionMonitor(S)
     for owner, word in told:
         plain.heard(0.0, owner, word)
     again = told + told[:3]
@@ -57,7 +64,7 @@
 
 
 def test_own_counters_reach_another_front_end_by_words_and_a_lost_one_is_made_good():
-    one, other = Watcher(S, "a"), Watcher(S, "b")
+    one, other = SessionMonitor(S, "a"), SessionMonitor(S, "b")
     for n in range(3):
         one.called(1_000.0 * n, A, "n")
         word = one.word()
@@ -70,27 +77,29 @@
 
 
 def test_a_session_that_comes_with_its_past_is_no_burst():
-    watch = Watcher(S)
-    watch.heard(0.0, "a", m.Word(90, (m.Count(A, "n", 3, 5_000), m.Count(B, "n", 89, 7))))
+    watch = SessionMonitor(S)
+    watch.heard(
+        0.0, "a", m.CounterMessage(90, (m.CallCounter(A, "n", 3, 5_000), m.CallCounter(B, "n", 89, 7)))
+    )
     watch.beat(1_000.0)
     assert watch.tracks[A].flows[0].fast == 1.0 and watch.tracks[B].flows[0].fast == 7.0
 
 
 def test_a_move_is_seen_once_and_a_still_session_ends():
-    watch, moved, ended = Watcher(S), [], []
+    watch, moved, ended = SessionMonitor(S), [], []
     for second in range(60):
         if second < 20:
             watch.called(1_000.0 * second, A, "n" if second < 10 else "s")
         beat = watch.beat(1_000.0 * second)
         moved += beat.moved
         ended += beat.ended
-    assert moved == [m.Moved(A, "n", "s", 10_000.0)]
-    assert ended == [m.Ended(A, "s", 19_000.0)]
+    assert moved == [m.SessionMoved(A, "n", "s", 10_000.0)]
+    assert ended == [m.SessionEnded(A, "s", 19_000.0)]
     assert not watch.tracks and not watch.groups and not watch.counters()
 
 
 def test_a_flood_of_sessions_out_of_nowhere_stays_within_bounds_and_is_counted():
-    watch = Watcher(msgspec.structs.replace(S, sessions=500))
+    watch = SessionMonitor(msgspec.structs.replace(S, sessions=500))
     for n in range(400):
         watch.called(0.0, Session("club", f"live{n}"), "n")
     watch.beat(0.0)
@@ -105,17 +114,17 @@
     assert len(watch.counters()) <= 500 and len(watch.word().counts) <= 500
     for n in range(50):
         watch.called(2.0, A, f"site{n}")
-    assert len(watch.tracks[A].flows) == SITES_MOST
-    for n in range(OWNERS_MOST + 50):
-        watch.heard(2.0, f"o{n}", m.Word(1))
+    assert len(watch.tracks[A].flows) == MAX_ZONES
+    for n in range(MAX_OWNERS + 50):
+        watch.heard(2.0, f"o{n}", m.CounterMessage(1))
     assert watch.dropped["an owner beyond the bound"] == 51
 
 
 def test_a_dead_owner_takes_nothing_along():
-    watch = Watcher(S)
-    watch.heard(0.0, "a", m.Word(1, (m.Count(A, "n", 1, 5),)))
+    watch = SessionMonitor(S)
+    watch.heard(0.0, "a", m.CounterMessage(1, (m.CallCounter(A, "n", 1, 5),)))
     watch.beat(0.0)
-    watch.heard(0.0, "a", m.Word(2, (m.Count(A, "n", 1, 9),)))
+    watch.heard(0.0, "a", m.CounterMessage(2, (m.CallCounter(A, "n", 1, 9),)))
     watch.gone("a")
     assert not watch.beat(1_000.0).called and watch.counters() == {}
     assert 0.0 < watch.tracks[A].rate_ps(S, 1_000.0) <= 5.0
@@ -125,12 +134,12 @@
 
 
 def foreseen(predictor, now, watch, span):
-    return drained(predictor.moves(now, watch, span))
+    return run_slices(predictor.moves(now, watch, span))
 
 
 def days(predictor, count, moves=True, seed=1):
     """Sessions of one tenant that go from n to s at 30 s of each day, and back at 80 s."""
-    watch, chance = Watcher(S), random.Random(seed)
+    watch, chance = SessionMonitor(S), random.Random(seed)
     for second in range(int(count * 100)):
         now, day = 1_000.0 * second, second % 100
         away = moves and 30 <= day < 80
@@ -138,62 +147,62 @@
             if chance.random() < 0.8:
                 watch.called(now, Session("club", f"f{n}"), "s" if away else "n")
         beat = watch.beat(now)
-        drained(predictor.learn(now, watch, beat))
+        run_slices(predictor.learn(now, watch, beat))
     return watch
 
 
 def test_learnt_foresees_what_comes_back_each_day_and_nothing_else():
-    learnt = Learnt(S)
+    learnt = HistoryPredictor(S)
     watch = days(learnt, 3.28)  # in the third day, 2 s before they go
     early = foreseen(learnt, 315_000.0, watch, 9_000.0)
     late = foreseen(learnt, 327_000.0, watch, 9_000.0)
     assert not early or max(move.probability for move in early) < 0.1
     assert len(late) == 20 and min(move.probability for move in late) > 0.5
     assert {(move.source, move.destination) for move in late} == {("n", "s")}
-    still = Learnt(S)
+    still = HistoryPredictor(S)
     assert foreseen(still, 327_000.0, days(still, 3.28, moves=False), 9_000.0) == []
-    assert foreseen(Nothing(), 0.0, watch, 9_000.0) == []
+    assert foreseen(NoMovePredictor(), 0.0, watch, 9_000.0) == []
 
 
 def test_hazards_are_moves_over_the_time_at_risk():
-    past, watch = Past(S), Watcher(S)
+    past, watch = MoveHistory(S), SessionMonitor(S)
     for n in range(10):
         watch.called(0.0, Session("club", f"f{n}"), "n")
     watch.beat(0.0)
-    past.learn(0.0, watch, m.Beat())
-    moved = tuple(m.Moved(Session("club", f"f{n}"), "n", "s", 900.0) for n in range(4))
-    past.learn(1_000.0, watch, m.Beat(moved))
+    past.learn(0.0, watch, m.ScanResult())
+    moved = tuple(m.SessionMoved(Session("club", f"f{n}"), "n", "s", 900.0) for n in range(4))
+    past.learn(1_000.0, watch, m.ScanResult(moved))
     # 4 moves in 10 x 1 s and a prior of 10 s without any: 4/20 a second; the window holds 4 s of this phase
     assert past.hazards(1_000.0, "club", "n", 10_000.0)["s"] == pytest.approx(4 * 4 / 20, rel=1e-3)
     assert past.ending(0.0, "other", 5_000.0) == 0.0
     track = watch.tracks[Session("club", "f0")]
     assert past.lives(500.0, Session("club", "f0"), track, 9_000.0) == 1.0  # no end was ever seen
-    past.learn(2_000.0, watch, m.Beat((), (m.Ended(Session("club", "f9"), "n", 500.0),)))
+    past.learn(2_000.0, watch, m.ScanResult((), (m.SessionEnded(Session("club", "f9"), "n", 500.0),)))
     lives = [past.lives(2_000.0 + 2_000.0 * n, Session("club", "f0"), track, 9_000.0) for n in range(5)]
     assert lives == sorted(lives, reverse=True) and lives[0] > 0.5 > 0.3 > lives[-1]
 
 
 def test_trend_follows_those_that_have_just_left():
-    trend, watch = Trend(S), Watcher(S)
+    trend, watch = TrendPredictor(S), SessionMonitor(S)
     for second in range(24):
         for n in range(20):
             gone = second >= 20 and n < 4 * (second - 19)
             watch.called(1_000.0 * second, Session("club", f"f{n}"), "s" if gone else "n")
             watch.called(1_000.0 * second, Session("club", f"f{n}"), "s" if gone else "n")
-        drained(trend.learn(1_000.0 * second, watch, watch.beat(1_000.0 * second)))
+        run_slices(trend.learn(1_000.0 * second, watch, watch.beat(1_000.0 * second)))
     made = [move for move in foreseen(trend, 23_000.0, watch, 9_000.0) if move.destination == "s"]
     assert len({move.session for move in made}) >= 8 and max(move.probability for move in made) > 0.5
 
 
 def test_announced_plans_are_certain_and_later_ones_hold():
-    watch = Watcher(S)
+    watch = SessionMonitor(S)
     for second in range(10):
         watch.called(1_000.0 * second, A, "n")
         watch.called(1_000.0 * second, B, "n")
         watch.beat(1_000.0 * second)
     place = {A: 0.2, B: 0.8}
-    plans = Plans(S, lambda _session, _site: (("s", 1.0),), lambda session, _site: place[session])
-    drain = m.Announced("n", 2, "drain", (m.Step(5_000.0, 0.0),))
+    plans = PlanPredictor(S, lambda _session, _site: (("s", 1.0),), lambda session, _site: place[session])
+    drain = m.AnnouncedPlan("n", 2, "drain", (m.PlanStep(5_000.0, 0.0),))
     assert plans.announced(9_000.0, drain) and not plans.announced(9_500.0, drain)
     (one, two) = foreseen(plans, 9_500.0, watch, 9_000.0)
     assert (
@@ -206,20 +215,20 @@
         watch.called(1_000.0 * second, A, "s")
         watch.called(1_000.0 * second, B, "s")
         watch.beat(1_000.0 * second)
-    steps = (m.Step(2_000.0, 0.25), m.Step(20_000.0, 1.0))
-    plans.announced(19_000.0, m.Announced("n", 3, "return", steps))
+    steps = (m.PlanStep(2_000.0, 0.25), m.PlanStep(20_000.0, 1.0))
+    plans.announced(19_000.0, m.AnnouncedPlan("n", 3, "return", steps))
     assert [move.session for move in foreseen(plans, 19_500.0, watch, 9_000.0)] == [
         A
     ]  # B's scorer opens later
-    assert plans.announced(20_000.0, m.Announced("n", 4, "return")) and not foreseen(
+    assert plans.announced(20_000.0, m.AnnouncedPlan("n", 4, "return")) and not foreseen(
         plans, 20_000.0, watch, 9e3
     )
-    plans.announced(20_000.0, m.Announced("s", 1, "standby"))
+    plans.announced(20_000.0, m.AnnouncedPlan("s", 1, "standby"))
     assert plans.standby() == {"s"}
 
 
 def test_settings_are_checked_by_key():
-    assert foresight_from(b'{"version": 1, "foresight": {"margin": 0.1}, "other": 3}').margin == 0.1
+    assert decode_prefetch_settings(b'{"version": 1, "foresight": {"margin": 0.1}, "other": 3}').margin == 0.1
     for text, key in (
         (b'{"version": 1, "foresight": {"margin": 2}}', "foresight.margin"),
         (b'{"version": 2}', "version"),
@@ -227,8 +236,8 @@
         (b'{"version": 1, "foresight": {"fast_ms": 9e5}}', "foresight.slow_ms"),
     ):
         with pytest.raises(SettingsFileError, match=key):
-            foresight_from(text)
-    site, prices = site_from(
+            decode_prefetch_settings(text)
+    site, prices = decode_site_settings(
         {"costs": {"origin": 0.15, "waste": None}, "classes": [{"name": "c", "worth": 5}]}
     )
     assert prices == Prices(0.15) and site.classes["c"].priority_weight == 5.0
--- a/tests/test_foresight_planner.py
+++ b/tests/test_foresight_planner.py
@@ -8,13 +8,13 @@
 
 from fawnwharf.interface import ClassSpec, Settings
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.budgets import View, orderer
-from fawnwharf.prefetch.copy_value import Facts, cost, loss, mean_worth
+from fawnwharf.prefetch.budgets import PlannerView, ordering_front_end
+from fawnwharf.prefetch.copy_value import FunctionProfile, copy_cost, mean_worth, waiting_loss
 from fawnwharf.prefetch.planner import Planner
-from fawnwharf.prefetch.prediction_scores import LEAST_CHANCE, Scores
-from fawnwharf.prefetch.prefetcher import Foresight
+from fawnwharf.prefetch.prediction_scores import LEAST_CHANCE, PredictionScores
+from fawnwharf.prefetch.prefetcher import Prefetcher
 from fawnwharf.prefetch.session_monitor import Flow
-from fawnwharf.prefetch.settings import Foresight as Bounds
+from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.trial import compare, interval
 from fawnwharf.session_types import PredictedMove, PrefetchRelease, Session
@@ -22,7 +22,7 @@
 SPEC = ClassSpec("view", latency_target_ms=800.0, deadline_ms=3_000.0, priority_weight=1.0, late_share=0.2)
 SITE = Settings(classes={"view": SPEC}, fleet_size=3, idle_life_ms=9_300.0)
 PRICES = Prices(origin=0.15, waste=0.16, probe=0.01)
-FACTS = Facts("view", 400.0, 900.0, 100.0)
+FACTS = FunctionProfile("view", 400.0, 900.0, 100.0)
 S = Bounds(least=30, copies=1)
 SCORERS = tuple(f"w{n}" for n in range(6))
 
@@ -33,7 +33,7 @@
         waiting=0, facts=lambda _row: FACTS, order=lambda _row, _site: SCORERS, cold_room=lambda _scorer:
         math.inf, spare_mb=lambda _site: 1e6, standing=lambda _row, _site: 0,
     )  # fmt: skip
-    return View(**(told | changes))
+    return PlannerView(**(told | changes))
 
 
 def move(n, chance=0.9, by="learnt", destination="s", within=5_000.0):
@@ -41,11 +41,11 @@
 
 
 def planner(bounds=S, site=SITE):
-    return Planner(bounds, site, PRICES, Scores(bounds))
+    return Planner(bounds, site, PRICES, PredictionScores(bounds))
 
 
 def orders(found):
-    return [one for one in found if isinstance(one, m.Order)]
+    return [one for one in found if isinstance(one, m.AssignedOrder)]
 
 
 def step(plan, now, moves, seen):
@@ -56,12 +56,15 @@
 
 
 def test_scores_are_those_worked_out_by_hand():
-    scores = Scores(S)
+    scores = PredictionScores(S)
     scores.predicted(0.0, [move(1, 0.8), move(2, 0.8), move(3, 0.4)])
-    scores.seen(1_000.0, m.Beat((m.Moved(move(1).session, "n", "s"), m.Moved(move(9).session, "n", "s"))))
-    scores.seen(9_999.0, m.Beat())
+    scores.seen(
+        1_000.0,
+        m.ScanResult((m.SessionMoved(move(1).session, "n", "s"), m.SessionMoved(move(9).session, "n", "s"))),
+    )
+    scores.seen(9_999.0, m.ScanResult())
     assert scores.sums["learnt"].weight == pytest.approx(1.0, rel=0.02)
-    scores.seen(10_001.0, m.Beat())
+    scores.seen(10_001.0, m.ScanResult())
     sums = scores.sums["learnt"]
     assert sums.weight == pytest.approx(3.0, rel=0.02) and scores.missed == 1
     assert sums.brier == pytest.approx(0.04 + 0.64 + 0.16, rel=0.02) and sums.base == pytest.approx(
@@ -72,19 +75,19 @@
     assert sums.skill == pytest.approx(0.16, abs=0.02)
     table = scores.table("learnt")
     assert table[4][1:] == pytest.approx((0.4, 0.0)) and table[8][1:] == pytest.approx((0.8, 0.5), rel=0.02)
-    scores.seen(10_001.0 + 20 * S.score_ms, m.Beat())
+    scores.seen(10_001.0 + 20 * S.score_ms, m.ScanResult())
     assert sums.weight < 1e-6
 
 
 def test_a_predictor_is_used_only_while_it_beats_nothing_and_its_stages_pay():
-    scores = Scores(S)
+    scores = PredictionScores(S)
 
     def round_(now, chance, came):
         moves = [move(n, chance) for n in range(40)]
         scores.predicted(now, moves)
-        moved = tuple(m.Moved(one.session, "n", "s") for one in moves[: int(40 * came)])
-        scores.seen(now + 1.0, m.Beat(moved))
-        scores.seen(now + 20_000.0, m.Beat())
+        moved = tuple(m.SessionMoved(one.session, "n", "s") for one in moves[: int(40 * came)])
+        scores.seen(now + 1.0, m.ScanResult(moved))
+        scores.seen(now + 20_000.0, m.ScanResult())
 
     round_(0.0, 0.7, 0.5)
     assert scores.best(["learnt", "trend"]) == "learnt"
@@ -101,11 +104,11 @@
 
 def test_worth_and_price_are_those_worked_out_by_hand():
     # 100 + 900 ms is 200 past the promise: the first call is late, and those of the load's first 200 ms
-    assert loss(SPEC, FACTS, 5.0) == pytest.approx(0.8 * (1 + 5.0 * 0.2))
-    assert loss(SPEC, Facts("view", 400.0, 600.0, 100.0), 5.0) == 0.0
-    assert loss(SPEC, Facts("view", 400.0, 3_500.0, 100.0), 0.0) == 1.0
+    assert waiting_loss(SPEC, FACTS, 5.0) == pytest.approx(0.8 * (1 + 5.0 * 0.2))
+    assert waiting_loss(SPEC, FunctionProfile("view", 400.0, 600.0, 100.0), 5.0) == 0.0
+    assert waiting_loss(SPEC, FunctionProfile("view", 400.0, 3_500.0, 100.0), 0.0) == 1.0
     lost = 0.15 + 0.16 * S.core_part * 9.0
-    assert cost(S, PRICES, FACTS, 0.25, 0.0, 1e6, 0.0, 1.0) == pytest.approx(0.75 * lost + 0.01)
+    assert copy_cost(S, PRICES, FACTS, 0.25, 0.0, 1e6, 0.0, 1.0) == pytest.approx(0.75 * lost + 0.01)
     assert mean_worth({"a": ClassSpec("a", priority_weight=5.0), "b": SPEC}, {"a": 1.0, "b": 3.0}) == 2.0
 
 
@@ -127,7 +130,7 @@
     bounds = Bounds(fetches_ps=fetches, pace_ps=3.0, copies=2)
     names = tuple(f"n{n}" for n in range(fronts))
     site = Settings(classes={"view": SPEC}, fleet_size=fronts, idle_life_ms=9_300.0)
-    plans = {name: Planner(bounds, site, PRICES, Scores(bounds)) for name in names}
+    plans = {name: Planner(bounds, site, PRICES, PredictionScores(bounds)) for name in names}
     issued: dict[str, list[float]] = {name: [] for name in names}
     held_mb = {"s": 0.0, "t": 0.0}
     for look in range(12):
@@ -166,14 +169,14 @@
     assert len(rows) == len(set(rows)) and len(rows) >= 6
     row = next(one.stage.row for one in found["b"])
     left = ("a", "c")
-    heir = orderer(row, "s", left)
+    heir = ordering_front_end(row, "s", left)
     assert heir in left
     again = orders(
         step(planner(), 0.0, [one for one in moves if one.session.row == row], view(me=heir, heard=left))
     )
     assert [one.stage.row for one in again] == [row]
-    stays = [r for r in rows if orderer(r, "s", names) != "b"]
-    assert all(orderer(r, "s", names) == orderer(r, "s", left) for r in stays)
+    stays = [r for r in rows if ordering_front_end(r, "s", names) != "b"]
+    assert all(ordering_front_end(r, "s", names) == ordering_front_end(r, "s", left) for r in stays)
 
 
 def test_it_yields_in_a_surge_a_loss_and_a_power_up_and_waits_a_while_after():
@@ -190,17 +193,17 @@
 def test_a_stage_that_is_not_used_is_let_go_charged_and_not_tried_at_once_again():
     plan = planner()
     (order,) = orders(step(plan, 0.0, [move(1, 0.4)], view()))
-    assert plan.seen(order.stage.until_ms - 1, m.Beat()) == []
-    assert plan.seen(order.stage.until_ms, m.Beat()) == [PrefetchRelease("f1", "s")]
+    assert plan.seen(order.stage.until_ms - 1, m.ScanResult()) == []
+    assert plan.seen(order.stage.until_ms, m.ScanResult()) == [PrefetchRelease("f1", "s")]
     assert plan.wasted == 1 and plan.scores.sums["learnt"].net < -0.15
     assert step(plan, order.stage.until_ms, [move(1, 0.4)], view()) == []
     assert len(orders(step(plan, order.stage.until_ms + S.dwell_ms, [move(1, 0.4)], view()))) == 1
-    plan.seen(99_000.0, m.Beat(called=(Flow(move(1).session, "s", 0.0),)))
+    plan.seen(99_000.0, m.ScanResult(called=(Flow(move(1).session, "s", 0.0),)))
     assert plan.used == 1 and plan.scores.sums["learnt"].net > 0.0
 
 
 def test_all_predictors_that_are_good_are_followed_and_none_that_is_not():
-    core = Foresight(S, SITE, PRICES, "a")
+    core = Prefetcher(S, SITE, PRICES, "a")
     made = {"trend": [move(1, by="trend")], "learnt": [move(2), move(3)]}
     for name, good in (("trend", 0.9), ("learnt", 0.6)):
         for _ in range(60):
@@ -222,13 +225,13 @@
 def test_false_signs_stop_staging_by_their_own_score():
     """Sessions that look as if they were going, by turns, and never do."""
     core, chance, staged = (
-        Foresight(Bounds(least=30, score_ms=300_000.0, allow=0.0), SITE, PRICES, "a"),
+        Prefetcher(Bounds(least=30, score_ms=300_000.0, allow=0.0), SITE, PRICES, "a"),
         random.Random(3),
         [],
     )
     core.scores.predicted(0.0, [move(n, 0.9, "trend") for n in range(40)])
     core.scores.seen(
-        1.0, m.Beat(tuple(m.Moved(move(n).session, "n", "s") for n in range(40)))
+        1.0, m.ScanResult(tuple(m.SessionMoved(move(n).session, "n", "s") for n in range(40)))
     )  # a good start
     assert core.scores.best(["trend"]) == "trend"
     for second in range(300):
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -13,7 +13,7 @@
 from fawnwharf.fakes.sessions import Live
 from fawnwharf.migration import messages as m
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.prefetch.baseline_strategies import foretold_from
+from fawnwharf.prefetch.baseline_strategies import parse_known_moves
 from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.moves import target
@@ -239,7 +239,7 @@
         {"do": "move_clients", "what": "a", "to": "b,c", "value": 0.5, "when": {"after_s": 2}}, Step
     )
     steps.ahead(step)
-    [first, *_] = ahead = foretold_from((fleet.fronts["n4"].folder / "told.jsonl").read_bytes())
+    [first, *_] = ahead = parse_known_moves((fleet.fronts["n4"].folder / "told.jsonl").read_bytes())
     assert len(ahead) == 6
     steps.move_clients(step)
     went = [(m.org, m.row, m.destination) for m in fleet.clients.moved]
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -11,8 +11,8 @@
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.session_monitor import Watcher
-from fawnwharf.prefetch.slices import drained
+from fawnwharf.prefetch.session_monitor import SessionMonitor
+from fawnwharf.prefetch.slices import run_slices
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.staging import (
     COUNTS,
@@ -93,7 +93,7 @@
     assert calm(20) and not calm(60)
     assert not calm(5, refused=3) and calm(5, refused=3)
     for n, owner in enumerate("bcdef"):
-        one.heard(now, owner, Word(m.Word(1), (), calm=n >= 2))
+        one.heard(now, owner, Word(m.CounterMessage(1), (), calm=n >= 2))
     assert not one._view(now).calm  # two of six
     one.gone("b")
     assert one._view(now).calm and not one._view(now + 1).disturbed
@@ -128,7 +128,7 @@
     one.events(0.0, UNIX, calls.events("f1", "s"))
     one.events(0.0, UNIX, [io.LoadOrderAnswered(4, "f1", io.AttemptResult.GOOD, 2, 800.0)])
     one.events(500.0, UNIX, [io.RemoteLoadReport(7, copies={"f2": 1}, age_ms=400.0)])
-    one.heard(0.0, "b", Word(m.Word(1, (m.Count(Session("club", "f3"), "w", 1, 4),))))
+    one.heard(0.0, "b", Word(m.CounterMessage(1, (m.CallCounter(Session("club", "f3"), "w", 1, 4),))))
     stands = one.copies.standing
     assert [stands(500.0, row, site) for row, site in (("f1", "s"), ("f2", "s"), ("f3", "w"))] == [3, 1, 1]
     assert stands(500.0, "f1", "n") == 0 == stands(9_101.0, "f2", "s") and stands(9_099.0, "f2", "s") == 1
@@ -179,7 +179,7 @@
 
 
 def test_a_look_in_slices_loses_no_call_that_comes_between_them():
-    chance, whole, sliced = random.Random(4), Watcher(S, "a"), Watcher(S, "a")
+    chance, whole, sliced = random.Random(4), SessionMonitor(S, "a"), SessionMonitor(S, "a")
     for second in range(1, 6):
         slices = sliced.look(1_000.0 * second)
         whole.beat(1_000.0 * second)
@@ -189,7 +189,7 @@
                 slices = None
             for watch in (whole, sliced):
                 watch.called(1_000.0 * second + n, session, SITES[n % 2])
-        drained(slices) if slices is not None else None
+        run_slices(slices) if slices is not None else None
     for watch in (whole, sliced):
         watch.beat(7_000.0)
         watch.beat(7_000.0)
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -6,9 +6,9 @@
 
 from fawnwharf import interface as io
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.baseline_strategies import foretold_from
-from fawnwharf.prefetch.budgets import orderer
-from fawnwharf.prefetch.settings import foresight_from
+from fawnwharf.prefetch.baseline_strategies import parse_known_moves
+from fawnwharf.prefetch.budgets import ordering_front_end
+from fawnwharf.prefetch.settings import decode_prefetch_settings
 from fawnwharf.session_types import PrefetchRelease, Session
 from fawnwharf.sessions.staging import (
     Seen,
@@ -122,17 +122,19 @@
     for _ in range(5):
         star.second(calling)
     for one in star.members.values():
-        one.announced(star.now, m.Announced("n", 1, "drain", (m.Step(8_000.0, 0.0),)))
+        one.announced(star.now, m.AnnouncedPlan("n", 1, "drain", (m.PlanStep(8_000.0, 0.0),)))
     destination = {
         row: star.members["o1"].core.plans.destination(Session("club", row), "n")[0][0] for row in rows
     }
-    due = {row: orderer(row, destination[row], star.keepers) for row in rows}
+    due = {row: ordering_front_end(row, destination[row], star.keepers) for row in rows}
     dead = due[rows[0]]
     star.kill(dead)
     for _ in range(8):
         star.second(calling)
     left = [name for name in star.keepers if name != dead]
-    assert sorted(star.orders) == sorted((row, orderer(row, destination[row], left)) for row in rows)
+    assert sorted(star.orders) == sorted(
+        (row, ordering_front_end(row, destination[row], left)) for row in rows
+    )
     assert {name for _, name in star.orders} <= set(left)
     stays = [(row, name) for row, name in star.orders if due[row] != dead]
     assert stays and all(due[row] == name for row, name in stays)  # the others' own are as they were
@@ -166,7 +168,7 @@
         msgspec.json.encode({"at_ms": UNIX + at, "org": "club", "row": "f1", "whither": site}) + b"\n"
         for at, site in ((6_000.0, "s"), (90_000.0, "w"))
     )
-    oracle.foretold(0.0, UNIX, foretold_from(lines))
+    oracle.foretold(0.0, UNIX, parse_known_moves(lines))
     oracle.events(0.0, UNIX, calls.events("f1", "n"))
     orders = {second: wanted(look(oracle, 1_000.0 * second)) for second in range(6)}
     assert {second: len(some) for second, some in orders.items() if some} == {4: 1}  # 1.5 loads ahead
@@ -174,16 +176,16 @@
 
 
 def test_settings_of_trials_are_checked_by_key_and_line():
-    assert foresight_from(b'{"version": 1, "foresight": {"mode": "react"}}').mode == "react"
+    assert decode_prefetch_settings(b'{"version": 1, "foresight": {"mode": "react"}}').mode == "react"
     for text, key in (
         (b'{"version": 1, "foresight": {"mode": "all"}}', "foresight.mode"),
         (b'{"version": 1, "foresight": {"mode": "oracle"}}', "foresight.told"),
         (b'{"version": 1, "foresight": {"told": "moves.jsonl"}}', "foresight.told"),
     ):
         with pytest.raises(SettingsFileError, match=key):
-            foresight_from(text)
+            decode_prefetch_settings(text)
     with pytest.raises(SettingsFileError, match="line 2"):
-        foretold_from(b'{"at_ms": 1, "org": "a", "row": "f", "whither": "n"}\n{"at_ms": -1}\n')
+        parse_known_moves(b'{"at_ms": 1, "org": "a", "row": "f", "whither": "n"}\n{"at_ms": -1}\n')
 
 
 def test_a_plan_says_what_is_to_come_of_its_sites():
@@ -197,9 +199,11 @@
         one.site: one
         for one in announced_from(Plan(number=7, zones=zones), RampSettings((0.25, 0.5, 0.75), 3_000.0))
     }
-    assert told["n"] == m.Announced("n", 7, "drain", (m.Step(0.0, 0.0),)) and told["w"].kind == "standby"
-    assert told["s"].steps == (m.Step(0.0, 0.5), m.Step(3_000.0, 0.75), m.Step(6_000.0, 1.0))
-    assert told["e"] == m.Announced("e", 7, "return")
+    assert (
+        told["n"] == m.AnnouncedPlan("n", 7, "drain", (m.PlanStep(0.0, 0.0),)) and told["w"].kind == "standby"
+    )
+    assert told["s"].steps == (m.PlanStep(0.0, 0.5), m.PlanStep(3_000.0, 0.75), m.PlanStep(6_000.0, 1.0))
+    assert told["e"] == m.AnnouncedPlan("e", 7, "return")
 
 
 def test_what_was_learnt_outlives_its_process_and_nothing_else_is_taken():
