--- a/fawnwharf/prefetch/baseline_strategies.py
+++ b/fawnwharf/prefetch/baseline_strategies.py
@@ -137,7 +137,9 @@
                 yield
             session = self._turn.pop()
             track = self.watch.tracks.get(session)
-            for site in sites if track is not None else ():
+            if track is None:
+                continue
+            for site in sites:
                 key = (session.row, site)
                 late = now_ms - self._asked.get(key, -self.idle_ms) >= RENEW_PART * self.idle_ms
                 if site != track.site and late:
--- a/fawnwharf/prefetch/copy_value.py
+++ b/fawnwharf/prefetch/copy_value.py
@@ -56,21 +56,28 @@
     return prices.origin + prices.waste * settings.core_part * facts.load_ms / max(1.0, facts.run_ms)
 
 
+class IdleCopy(Struct, frozen=True):
+    """For how long a copy stands idle, and what it takes from the fleet meanwhile.
+
+    `displaced` is the part of a copy in use that is displaced: its next call is then late, at the price of
+    this copy's fetch.
+    """
+
+    idle_ms: float
+    fleet_memory_mb: float
+    displaced: float
+    fleet_calls_ps: float
+
+
 def copy_cost(
     settings: PrefetchSettings,
     prices: Prices,
     facts: FunctionProfile,
     chance: float,
-    idle_ms: float,
-    memory_mb: float,
-    pushes_out: float,
-    mean_ps: float,
+    idle: IdleCopy,
 ) -> float:
-    """The price of one copy that stands idle for `idle_ms` and is used with probability `chance`.
-
-    `memory_mb` is the memory of the whole fleet, `mean_ps` its calls a second. `pushes_out` is the part of a
-    copy in use that is displaced: that one's next call is then late, at the price of this copy's fetch.
-    """
+    """The price of one copy that is used with probability `chance`."""
     lost = (1.0 - chance) * unused_load_cost(settings, prices, facts)
-    room = prices.memory * facts.memory_mb / max(1.0, memory_mb) * mean_ps * idle_ms / 1000.0
-    return lost + prices.probe + room + pushes_out * (1.0 + unused_load_cost(settings, prices, facts))
+    part = facts.memory_mb / max(1.0, idle.fleet_memory_mb)
+    room = prices.memory * part * idle.fleet_calls_ps * idle.idle_ms / 1000.0
+    return lost + prices.probe + room + idle.displaced * (1.0 + unused_load_cost(settings, prices, facts))
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -33,7 +33,7 @@
     def __init__(self, site: io.Settings) -> None:
         super().__init__(replace(site, quotas_rps=dict(site.quotas_rps), classes=dict(site.classes)), 0)
         self._kept: dict[str, Function] = {}
-        self._rests: dict[int, float] = {}
+        self._resting_until_ms: dict[int, float] = {}
 
     def roster(self, now_ms: float, behind_ms: float, told: io.RosterChanged) -> None:
         """Take a change of the roster.
@@ -50,7 +50,9 @@
         """Set the moment that later questions are about."""
         self.handle(now_ms, [])
         self._ration_left()  # what is past its window goes
-        self._rests = {worker: until for worker, until in self._rests.items() if until > now_ms}
+        self._resting_until_ms = {
+            worker: until for worker, until in self._resting_until_ms.items() if until > now_ms
+        }
 
     def arrived(self, now_ms: float) -> None:
         """Count an arrival for the load rate limit."""
@@ -58,7 +60,7 @@
 
     def rest(self, now_ms: float, worker: int) -> None:
         """Give no prefetch order to a scorer for `RESTS_MS`: it was full, or failed."""
-        self._rests[worker] = now_ms + RESTS_MS
+        self._resting_until_ms[worker] = now_ms + RESTS_MS
 
     def zone(self, worker: int) -> str:
         """The zone of a scorer; empty where it is unknown."""
@@ -83,7 +85,9 @@
         if row not in self._kept and len(self._kept) >= MAX_HASH_ORDERS:
             self._kept.clear()
         fn = self._kept.setdefault(row, Function(row, "", 1, None, mark(row)))
-        return [w.id for w in self._ordered(fn) if w.entry.zone == site and w.id not in self._rests]
+        return [
+            w.id for w in self._ordered(fn) if w.entry.zone == site and w.id not in self._resting_until_ms
+        ]
 
     def cold_room(self, worker: int) -> float:
         """Loads that a scorer may be given now.
@@ -145,7 +149,7 @@
     load_ms: float | None = None
     run_ms: float | None = None
     told_ms: float = float("-inf")
-    mark: int = 0
+    chunk_index: int = 0
 
 
 class FunctionTable:
@@ -203,7 +207,7 @@
 
     def tells(self, now_ms: float, most: int) -> tuple[FunctionReport, ...]:
         """What is to be told to others now; the rest follows in later calls."""
-        found = []
+        found: list[FunctionReport] = []
         while self._due and len(found) < most:
             row = next(iter(self._due))
             del self._due[row]
@@ -230,9 +234,10 @@
         fact = self._facts.get(row) or _Fact(class_name, lanes)
         self._facts.use(row, fact)
         if len(self._facts) > self.most:
-            gone = self._facts.oldest()
-            self._facts.pop(gone)
-            self._due.pop(gone, None)
+            oldest = self._facts.oldest()
+            if oldest is not None:
+                self._facts.pop(oldest)
+                self._due.pop(oldest, None)
         return fact
 
 
@@ -246,7 +251,7 @@
     copies: dict[int, int] = {}  # by scorer
     seen_ms: dict[int, float] = {}  # when that was seen
     used_ms: float = float("-inf")  # a call of others ran, wherever it stands
-    mark: int = 0
+    chunk_index: int = 0
 
 
 class CopyTable:
@@ -268,7 +273,7 @@
         site = self.scorers.zone(worker)
         if copies <= 0:
             place = self._sites[site].get(row) if site in self._sites else None
-            if place is not None and place.copies.pop(worker, None):
+            if place is not None and place.copies.pop(worker, 0):
                 self._count(row, site, place)
             return
         place = self._place(now_ms, row, site)
@@ -317,8 +322,9 @@
         rows = self._sites.setdefault(site, LruMap())
         place = rows.get(row)
         if place is None:
-            if len(rows) >= MAX_PLACES:
-                self._drop(rows.oldest(), site)
+            oldest = rows.oldest()
+            if oldest is not None and len(rows) >= MAX_PLACES:
+                self._drop(oldest, site)
             place = _Place()
         rows.use(row, place)
         place.at_ms = max(place.at_ms, now_ms)
@@ -333,4 +339,6 @@
 
     def _drop(self, row: str, site: str) -> None:
         place = self._sites[site].pop(row)
+        if place is None:
+            return
         self._held_mb[site] = max(0.0, self._held_mb.get(site, 0.0) - place.memory_mb)
--- a/fawnwharf/prefetch/learned_state.py
+++ b/fawnwharf/prefetch/learned_state.py
@@ -67,7 +67,10 @@
     core.learnt.past.take(held.at_ms, held.moves, held.stays, held.ages)
     for name, values in held.scores.items():
         if len(values) == len(SUMS):
-            core.scores.sums[name] = ScoreSums(**dict(zip(SUMS, values, strict=True)), at_ms=held.at_ms)
+            sums = ScoreSums(at_ms=held.at_ms)
+            for key, value in zip(SUMS, values, strict=True):
+                setattr(sums, key, value)
+            core.scores.sums[name] = sums
     for told in held.functions:
         functions.heard(told)
     return True
--- a/fawnwharf/prefetch/lru_map.py
+++ b/fawnwharf/prefetch/lru_map.py
@@ -1,82 +1,84 @@
-"""A map in order of last use, built to be cheap for the garbage collector. Pure.
+"""A map in order of last use that is cheap for the garbage collector. Pure.
 
-It is made of dicts of about a thousand entries each, because neither an OrderedDict nor a single dict would
-do: the collector walks all of the former, and finding the first entry of the latter means skipping all that
-were removed before it. Keys and values that the collector does not track leave it nothing to walk here.
+It consists of chunks, dicts of about a thousand entries each. The collector would walk all entries of an
+OrderedDict, and finding the first entry of a single dict means skipping all that were removed before it. Keys
+and values that the collector does not track leave it nothing to walk here.
 """
 
 from collections.abc import Iterator
 from itertools import chain, islice
 from typing import Generic, Protocol, TypeVar
 
-SIZE = 1_000  # entries of one dict
+CHUNK_SIZE = 1_000  # entries
 
 
-class Marked(Protocol):
-    """A value of the map; `mark` belongs to the map and tells the dict that the entry is in."""
+class Indexed(Protocol):
+    """A value of the map; `chunk_index` belongs to the map and tells the chunk that the entry is in."""
 
-    mark: int
+    chunk_index: int
 
 
 Key = TypeVar("Key")
-Value = TypeVar("Value", bound=Marked)
+Value = TypeVar("Value", bound=Indexed)
 
 
 class LruMap(Generic[Key, Value]):
     """The map: the least recently used entry comes first."""
 
     def __init__(self) -> None:
-        self._all: dict[Key, Value] = {}
-        self._rows: dict[int, dict[Key, Value]] = {0: {}}
-        self._last = 0
+        self._values: dict[Key, Value] = {}
+        self._chunks: dict[int, dict[Key, Value]] = {0: {}}
+        self._last_index = 0
 
     def __len__(self) -> int:
-        return len(self._all)
+        return len(self._values)
 
     def __contains__(self, key: object) -> bool:
-        return key in self._all
+        return key in self._values
 
     def __iter__(self) -> Iterator[Key]:
         """Keys, the least recently used first."""
-        return chain.from_iterable(self._rows.values())
+        return chain.from_iterable(self._chunks.values())
 
     def __getitem__(self, key: Key) -> Value:
-        return self._all[key]
+        return self._values[key]
 
     def get(self, key: Key) -> Value | None:
         """The value of a key, or None; this is no use of it."""
-        return self._all.get(key)
+        return self._values.get(key)
 
     def use(self, key: Key, value: Value) -> None:
         """Make the entry, new or not, the one most recently used."""
-        if key in self._all:
-            self._out(key, value)
+        if key in self._values:
+            self._remove_from_chunk(key, value)
         else:
-            self._all[key] = value
-        row = self._rows[self._last]
-        if len(row) >= SIZE:
-            self._last += 1
-            row = self._rows[self._last] = {}
-        row[key], value.mark = value, self._last
+            self._values[key] = value
+        chunk = self._chunks[self._last_index]
+        if len(chunk) >= CHUNK_SIZE:
+            self._last_index += 1
+            chunk = self._chunks[self._last_index] = {}
+        chunk[key] = value
+        value.chunk_index = self._last_index
 
     def pop(self, key: Key) -> Value | None:
         """Remove an entry and return its value; None where there is none."""
-        value = self._all.pop(key, None)
+        value = self._values.pop(key, None)
         if value is not None:
-            self._out(key, value)
+            self._remove_from_chunk(key, value)
         return value
 
     def oldest(self) -> Key | None:
         """The key least recently used; None for an empty map."""
         return next(iter(self), None)
 
-    def latest(self, most: int) -> dict[Key, None]:
-        """At most `most` keys, the most recently used first."""
-        rows = (reversed(row) for row in reversed(self._rows.values()))
-        return dict.fromkeys(islice(chain.from_iterable(rows), most))
-
-    def _out(self, key: Key, value: Value) -> None:
-        row = self._rows[value.mark]
-        del row[key]
-        if not row and value.mark != self._last:
-            del self._rows[value.mark]
+    def latest(self, limit: int) -> dict[Key, None]:
+        """At most `limit` keys, the most recently used first."""
+        chunks = (reversed(chunk) for chunk in reversed(self._chunks.values()))
+        return dict.fromkeys(islice(chain.from_iterable(chunks), limit))
+
+    def _remove_from_chunk(self, key: Key, value: Value) -> None:
+        index = value.chunk_index
+        chunk = self._chunks[index]
+        del chunk[key]
+        if not chunk and index != self._last_index:
+            del self._chunks[index]
--- a/fawnwharf/prefetch/move_history.py
+++ b/fawnwharf/prefetch/move_history.py
@@ -7,6 +7,7 @@
 
 import heapq
 import math
+from typing import TypeVar
 
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.session_monitor import SessionMonitor, SessionRate
@@ -23,6 +24,10 @@
 Stay = tuple[str, str, int, float]  # tenant, site, phase, milliseconds
 Age = tuple[str, int, float, float]  # tenant, doubling, ends, milliseconds
 
+Key = TypeVar("Key")
+Row = TypeVar("Row")
+RankedRow = TypeVar("RankedRow", Move, Stay, Age)
+
 
 class MoveHistory:
     """Estimates hazards of moves, and the chance that a session lives on, from the history."""
@@ -123,12 +128,11 @@
             for destination, count in row.items()
         ]
         stays = [(*key, self._now(stay, now_ms)) for key, stay in self._stays.items()]
-        ages = [
-            (*key, *(row[n] * math.exp((row[2] - now_ms) / self.settings.learn_ms) for n in (0, 1)))
-            for key, row in self._ages.items()
-        ]
-        largest = (heapq.nlargest(most, some, key=lambda row: row[-1]) for some in (moves, stays, ages))
-        return tuple(largest)
+        ages: list[Age] = []
+        for (org, doubling), row in self._ages.items():
+            part = math.exp((row[2] - now_ms) / self.settings.learn_ms)
+            ages.append((org, doubling, row[0] * part, row[1] * part))
+        return _largest(most, moves), _largest(most, stays), _largest(most, ages)
 
     def take(self, at_ms: float, moves: list[Move], stays: list[Stay], ages: list[Age]) -> None:
         """Take the history of another process, as of `at_ms` of this clock, into an empty one."""
@@ -144,7 +148,8 @@
         part = math.exp((row[2] - now_ms) / self.settings.learn_ms)
         row[0], row[1], row[2] = row[0] * part + ends, row[1] * part + exposed_ms, now_ms
 
-    def _row(self, table: dict, key: tuple, fresh):
+    def _row(self, table: dict[Key, Row], key: Key, fresh: Row) -> Row:
+        """The row of a key; a new one replaces the oldest where the table is full."""
         if key not in table:
             if len(table) >= MAX_KEYS:
                 del table[next(iter(table))]
@@ -159,5 +164,10 @@
         return row[0] * math.exp((row[1] - now_ms) / self.settings.learn_ms)
 
 
+def _largest(most: int, rows: list[RankedRow]) -> list[RankedRow]:
+    """At most `most` rows, those with the largest last value first."""
+    return heapq.nlargest(most, rows, key=lambda row: row[-1])
+
+
 def _doubling(age_ms: float) -> int:
     return min(AGES - 1, max(0, int(math.log2(max(1.0, age_ms / 1000.0)))))
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -15,6 +15,7 @@
 from fawnwharf.prefetch.budgets import PlannerView, TokenBucket, fetch_shares, ordering_front_end
 from fawnwharf.prefetch.copy_value import (
     FunctionProfile,
+    IdleCopy,
     copy_cost,
     mean_worth,
     unused_load_cost,
@@ -224,7 +225,8 @@
         facts = view.facts(row)
         spec = self.site.classes.get(facts.class_name) if facts else None
         if facts is None or spec is None:
-            return self._skip("an unknown function")
+            self._skip("an unknown function")
+            return None
         old = self.held.get(key)
         if ordering_front_end(row, site, view.heard) != view.me or not self._due(now_ms, old):
             return None
@@ -241,7 +243,8 @@
         else:
             price = copies * self._price(wish, facts, chance, site, view)
         if not self._pays(now_ms, key, chance, chance * gain, price):
-            return self._skip("not worth it")
+            self._skip("not worth it")
+            return None
         held = self._held_for(now_ms, wish, facts, copies, gain)
         if old is not None:
             held.renewed, held.price = old.renewed + 1, old.price + copies * self.prices.probe
@@ -262,16 +265,8 @@
     ) -> float:
         """The price of one copy."""
         idle_ms = min(max(move.within_ms for move in wish.moves), self._life_ms(facts))
-        return copy_cost(
-            self.settings,
-            self.prices,
-            facts,
-            chance,
-            idle_ms,
-            view.memory_mb,
-            view.pushes_out(site),
-            view.mean_ps,
-        )
+        idle = IdleCopy(idle_ms, view.memory_mb, view.pushes_out(site), view.mean_ps)
+        return copy_cost(self.settings, self.prices, facts, chance, idle)
 
     def _pays(self, now_ms: float, key: tuple[str, str], chance: float, worth: float, price: float) -> bool:
         """Whether the worth exceeds the price.
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -33,11 +33,11 @@
 
     name: str
 
-    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult, /) -> Slices[None]:
         """Take the result of one pass."""
         ...
 
-    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float, /) -> Slices[list[PredictedMove]]:
         """The moves expected within `span_ms`, with their probabilities."""
         ...
 
@@ -47,11 +47,11 @@
 
     name = "nothing"
 
-    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
+    def learn(self, _now_ms: float, _watch: SessionMonitor, _beat: m.ScanResult) -> Slices[None]:
         """Nothing is learnt."""
         yield
 
-    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
+    def moves(self, _now_ms: float, _watch: SessionMonitor, _span_ms: float) -> Slices[list[PredictedMove]]:
         """No moves."""
         yield
         return []
@@ -61,30 +61,37 @@
 _Way = tuple[float, SessionGroup, str, str]
 
 
-def _by_chance(
-    now_ms: float,
-    watch: SessionMonitor,
-    ways: list[_Way],
-    by: str,
-    past: MoveHistory | None,
-    settings: PrefetchSettings,
-    span_ms: float,
-    ahead: float,
-) -> Slices[list[PredictedMove]]:
-    """Moves of the sessions in `ways`, the likeliest first, until there are twice as many as may be named.
+@dataclass(frozen=True, slots=True)
+class _Pass:
+    """What one predictor uses in one pass.
 
-    `past` gives the chance that a session lives for `ahead` milliseconds more.
+    `past` gives the chance that a session lives for `alive_ms` more; None: all live on.
     """
+
+    now_ms: float
+    watch: SessionMonitor
+    settings: PrefetchSettings
+    predictor: str
+    span_ms: float
+    past: MoveHistory | None
+    alive_ms: float
+
+
+def _by_chance(this: _Pass, ways: list[_Way]) -> Slices[list[PredictedMove]]:
+    """Moves of the sessions in `ways`, the likeliest first, until there are twice as many as may be named."""
+    most = this.settings.most
     found: list[PredictedMove] = []
     for chance, group, source, destination in sorted(ways, key=lambda way: -way[0]):
-        if len(found) >= 2 * settings.most:
+        if len(found) >= 2 * most:
             break
-        for session in group.busiest(settings.most):
-            track = watch.tracks.get(session)
+        for session in group.busiest(most):
+            track = this.watch.tracks.get(session)
             if track is None:
                 continue
-            lives = past.lives(now_ms, session, track, ahead) if past else 1.0
-            found.append(PredictedMove(session, source, destination, span_ms, chance * lives, by))
+            lives = this.past.lives(this.now_ms, session, track, this.alive_ms) if this.past else 1.0
+            found.append(
+                PredictedMove(session, source, destination, this.span_ms, chance * lives, this.predictor)
+            )
             if len(found) % MOVES == 0:
                 yield
     return found
@@ -158,7 +165,8 @@
             chance = 1.0 - math.exp(-hazard * span_ms)
             if chance >= settings.floor:
                 ways.append((chance, group, source, destination))
-        found = yield from _by_chance(now_ms, watch, ways, self.name, self.past, settings, span_ms, 0.0)
+        this = _Pass(now_ms, watch, settings, self.name, span_ms, self.past, 0.0)
+        found = yield from _by_chance(this, ways)
         for n, session in enumerate(self._called):
             if n % RISING == RISING - 1:
                 yield
@@ -207,7 +215,8 @@
                 chance = leaves * hazard / total
                 if chance >= settings.floor and destination != site:
                     ways.append((chance, group, site, destination))
-        found = yield from _by_chance(now_ms, watch, ways, self.name, self.past, settings, span_ms, span_ms)
+        this = _Pass(now_ms, watch, settings, self.name, span_ms, self.past, span_ms)
+        found = yield from _by_chance(this, ways)
         return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
 
@@ -223,6 +232,15 @@
     return None
 
 
+@dataclass(frozen=True, slots=True)
+class ZoneRules:
+    """Where sessions belong, and where they go while a zone is closed."""
+
+    destination: NextZones = _nowhere  # zones and shares for a session whose zone is closed
+    place: ReturnPosition = _unplaced  # position of a session in a zone's order of return, from 0 to 1
+    belongs: HomeZone = _homeless  # the zone of a session
+
+
 class PlanPredictor:
     """Predicts what was announced, as certain.
 
@@ -256,7 +274,7 @@
         """Zones on standby: no session goes there by itself."""
         return frozenset(site for site, (_, plan) in self._plans.items() if plan.kind == "standby")
 
-    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
+    def learn(self, _now_ms: float, _watch: SessionMonitor, _beat: m.ScanResult) -> Slices[None]:
         """Nothing is learnt."""
         yield
 
--- a/fawnwharf/prefetch/prefetcher.py
+++ b/fawnwharf/prefetch/prefetcher.py
@@ -12,14 +12,9 @@
 from fawnwharf.prefetch.prediction_scores import PredictionScores
 from fawnwharf.prefetch.predictors import (
     HistoryPredictor,
-    HomeZone,
-    NextZones,
     PlanPredictor,
-    ReturnPosition,
     TrendPredictor,
-    _homeless,
-    _nowhere,
-    _unplaced,
+    ZoneRules,
 )
 from fawnwharf.prefetch.session_monitor import SessionMonitor
 from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
@@ -45,10 +40,9 @@
         site: Settings,
         prices: Prices,
         me: str,
-        destination: NextZones = _nowhere,
-        place: ReturnPosition = _unplaced,
-        belongs: HomeZone = _homeless,
+        rules: ZoneRules | None = None,
     ) -> None:
+        rules = rules or ZoneRules()
         self.bounds = bounds
         self.watch = SessionMonitor(bounds, me)
         self.scores = PredictionScores(bounds)
@@ -56,7 +50,7 @@
         self.trend, self.learnt, self.plans = (
             TrendPredictor(bounds),
             HistoryPredictor(bounds),
-            PlanPredictor(bounds, destination, place, belongs),
+            PlanPredictor(bounds, rules.destination, rules.place, rules.belongs),
         )
         self.plans.past = self.trend.past = self.learnt.past
         # A stage is worth the chance that it is used while it stands; idle for longer it may lapse.
--- a/fawnwharf/prefetch/scenarios.py
+++ b/fawnwharf/prefetch/scenarios.py
@@ -7,6 +7,7 @@
 
 import math
 import random
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -79,6 +80,10 @@
     until_ms: float = math.inf  # and what is after that isn't either
 
 
+Leg = tuple[float, str]  # from when on a session is at a zone
+Route = Callable[[random.Random, Session, str, float, float], list[Leg]]
+
+
 def place(session: Session, site: str) -> float:
     """The place of a session in a zone's order of return, from 0 to 1."""
     return rendezvous_weight("place", session.org, session.row, site) / 2**64
@@ -99,7 +104,7 @@
 def draw_scenario(name: str, seed: int, sessions: int = SESSIONS) -> Scenario:
     """The scenario `name` of `SCENES` drawn from `seed`; raises KeyError for another name."""
     chance = random.Random(f"{name} {seed}")
-    made, route = SCENARIOS[name](chance)
+    made, route = SCENARIOS[name]()
     for n in range(ROWS):
         kind = chance.choices(list(_KINDS), [part for part, *_ in _KINDS.values()])[0]
         _, load, run, memory = _KINDS[kind]
@@ -124,7 +129,9 @@
     return made
 
 
-def _run(made: Scenario, chance: random.Random, session: Session, begins: float, ends: float, route) -> None:
+def _run(
+    made: Scenario, chance: random.Random, session: Session, begins: float, ends: float, route: Route
+) -> None:
     legs = route(chance, session, home(session), begins, ends)  # [(from when, site)], the first at its begin
     rate = min(2.0, max(0.25, chance.lognormvariate(-0.5, 0.6)))
     facts = made.facts[session.row]
@@ -141,12 +148,12 @@
         at += chance.expovariate(rate) * 1000.0
 
 
-def _drain(chance: random.Random):
+def _drain() -> tuple[Scenario, Route]:
     made = Scenario("drain", 100_000.0, 40_000.0)
     made.plans.append((40_000.0, m.AnnouncedPlan("north", 1, "drain", (m.PlanStep(20_000.0, 0.0),))))
     made.turns.append(ZoneChange(60_000.0, "north", 1.0, 0.0))
 
-    def route(chance, session, home, begins, ends):
+    def route(chance: random.Random, session: Session, home: str, begins: float, ends: float) -> list[Leg]:
         if home != "north":
             return [(begins, home)]
         if begins >= 60_000.0:
@@ -157,13 +164,13 @@
     return made, route
 
 
-def _loss(chance: random.Random):
-    made, route = _return(chance)
+def _loss() -> tuple[Scenario, Route]:
+    made, route = _return()
     made.name, made.from_ms, made.until_ms = "loss", 50_000.0, 90_000.0
     return made, route
 
 
-def _return(chance: random.Random):
+def _return() -> tuple[Scenario, Route]:
     made = Scenario("return", 130_000.0, 90_000.0)
     opens = [(0.25, 100_000.0), (0.5, 105_000.0), (0.75, 110_000.0), (1.0, 115_000.0)]
     made.losses.append((60_000.0, "north"))
@@ -172,7 +179,7 @@
     steps = tuple(m.PlanStep(at - 92_000.0, part) for part, at in opens)
     made.plans.append((92_000.0, m.AnnouncedPlan("north", 1, "return", steps)))
 
-    def route(chance, session, home, begins, ends):
+    def route(chance: random.Random, session: Session, home: str, begins: float, ends: float) -> list[Leg]:
         if home != "north":
             return [(begins, home)]
         away = next_zone(session, home)
@@ -187,13 +194,13 @@
     return made, route
 
 
-def _days(chance: random.Random):
+def _days() -> tuple[Scenario, Route]:
     made = Scenario("days and a week's end", 8 * DAY_MS, 2 * DAY_MS)
 
-    def route(chance, session, home, begins, ends):
+    def route(chance: random.Random, session: Session, home: str, begins: float, ends: float) -> list[Leg]:
         if home != "north" or session.org != "medijska-hisa":
             return [(begins, home)]
-        legs = []
+        legs: list[Leg] = []
         for day in range(8):
             if day not in (5, 6):  # the week's end: nobody goes
                 legs.append((day * DAY_MS + 40_000.0 + chance.gauss(0.0, 1_000.0), "south"))
@@ -204,16 +211,16 @@
     return made, route
 
 
-def _weekdays(chance: random.Random):
-    made, route = _days(chance)
+def _weekdays() -> tuple[Scenario, Route]:
+    made, route = _days()
     made.name, made.end_ms = "days, before the week's end", 5 * DAY_MS
     return made, route
 
 
-def _random(chance: random.Random):
+def _random() -> tuple[Scenario, Route]:
     made = Scenario("moves at random", 240_000.0, 60_000.0)
 
-    def route(chance, session, home, begins, ends):
+    def route(chance: random.Random, _session: Session, home: str, begins: float, ends: float) -> list[Leg]:
         legs, at = [(begins, home)], begins
         while True:
             at += chance.expovariate(1 / 60_000.0)
@@ -230,7 +237,7 @@
     return made, route
 
 
-SCENARIOS = {
+SCENARIOS: dict[str, Callable[[], tuple[Scenario, Route]]] = {
     "drain": _drain,
     "loss": _loss,
     "return": _return,
--- a/fawnwharf/prefetch/session_monitor.py
+++ b/fawnwharf/prefetch/session_monitor.py
@@ -11,6 +11,7 @@
 
 import math
 from itertools import chain, islice
+from typing import TypeVar
 
 from msgspec import Struct
 
@@ -49,7 +50,7 @@
     last_ms: float
     site: str = ""
     was: str = ""
-    mark: int = 0  # where it is kept
+    chunk_index: int = 0  # of the map of all sessions
     level: int = 0  # doublings of its calls of late, as of the last look that saw one
     flows: tuple[Flow, ...] = ()
 
@@ -103,6 +104,20 @@
         return dict.fromkeys(islice(chain.from_iterable(levels), most))
 
 
+GroupKey = TypeVar("GroupKey")
+
+
+def _leave_group(
+    groups: dict[GroupKey, SessionGroup], key: GroupKey, session: Session, track: SessionRate
+) -> None:
+    """Remove a session from one of some groups, and the group with its last session."""
+    group = groups.get(key)
+    if group is not None:
+        group.remove(session, track)
+        if not group:
+            del groups[key]
+
+
 class SessionMonitor:
     """The session monitor of one front end.
 
@@ -122,7 +137,9 @@
         self._rose: dict[str, dict[Flow, int | None]] = {me: {}}  # what stood before, since the last look
         self._told: dict[Flow, None] = {}  # own counters that are to be told
         self._looks = 0
-        self._graves: list[dict[Flow, int]] = []  # counters of owners that are gone, freed by and by
+        self._graves: list[
+            dict[Flow, int] | dict[Flow, int | None]
+        ] = []  # counters of owners that are gone, freed by and by
 
     def _drop(self, cause: str, count: int = 1) -> None:
         self.dropped[cause] = self.dropped.get(cause, 0) + count
@@ -298,7 +315,10 @@
         track = self.tracks.get(session)
         if track is None:
             while len(self.tracks) >= self.settings.sessions:
-                self._forget(self.tracks.oldest())
+                oldest = self.tracks.oldest()
+                if oldest is None:
+                    break
+                self._forget(oldest)
                 self._drop("a session beyond the bound")
             track = SessionRate(now_ms, now_ms)
             self.tracks.use(session, track)
@@ -334,7 +354,8 @@
         return m.SessionMoved(session, source, most.site, most.since_ms) if source else None
 
     def _forget(self, session: Session) -> SessionRate:
-        track = self.tracks.pop(session)
+        track = self.tracks[session]
+        self.tracks.pop(session)
         for flow in track.flows:
             self._told.pop(flow, None)
             for owner, held in self._counters.items():
@@ -350,13 +371,9 @@
             self.left.setdefault(track.was, SessionGroup()).add(session, track)
 
     def _leave(self, session: Session, track: SessionRate) -> None:
-        groups = ((self.groups, (session.org, track.site)), (self.here, track.site), (self.left, track.was))
-        for table, key in groups:
-            group = table.get(key)
-            if group is not None:
-                group.remove(session, track)
-                if not group:
-                    del table[key]
+        _leave_group(self.groups, (session.org, track.site), session, track)
+        _leave_group(self.here, track.site, session, track)
+        _leave_group(self.left, track.was, session, track)
 
     def _end_still(self, now_ms: float) -> m.SessionEnded | None:
         session = self.tracks.oldest()
--- a/fawnwharf/prefetch/slices.py
+++ b/fawnwharf/prefetch/slices.py
@@ -16,4 +16,5 @@
         try:
             next(slices)
         except StopIteration as end:
-            return end.value
+            result: Kind = end.value
+            return result
--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -13,6 +13,7 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import PlannerView
 from fawnwharf.prefetch.fleet_model import FleetModel, Tally
+from fawnwharf.prefetch.predictors import ZoneRules
 from fawnwharf.prefetch.prefetcher import Prefetcher
 from fawnwharf.prefetch.scenarios import (
     CONFIG,
@@ -28,6 +29,7 @@
 )
 from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
 from fawnwharf.prefetch.settings import decode_site_settings
+from fawnwharf.session_types import Session
 
 STRATEGIES = ("none", "react", "everything", "foresight", "oracle")
 SEEDS = tuple(range(1, 11))
@@ -62,9 +64,13 @@
         self.site, self.prices = decode_site_settings(CONFIG)
         self.world = FleetModel(self.site, SITES, EACH, MEMORY_MB, made.facts)
         self.core = Prefetcher(
-            BOUNDS, self.site, self.prices, "a", lambda s, at: ((next_zone(s, at), 1.0),), place, home
+            BOUNDS,
+            self.site,
+            self.prices,
+            "a",
+            ZoneRules(lambda session, site: ((next_zone(session, site), 1.0),), place, home),
         )
-        self.live: dict = {}  # session to (site, when it called last)
+        self.live: dict[Session, tuple[str, float]] = {}  # session to (site, when it called last)
         self.left = PACE_PS  # fetches that this way may begin now
         self.asked: dict[tuple[str, str], float] = {}
         self.queue: list[
@@ -246,8 +252,10 @@
             none = " none" if low <= 0.0 <= high else ""
             parts.append(f"{key} {mean:+.4f} [{low:+.4f}, {high:+.4f}]{none}")
         lines.append(f"{one} - {other}: " + "; ".join(parts))
-    for key in ("1 s", "5 s", "20 s"):
-        lines.append(f"part of the oracle's gain over react, {key}: {_part(found, key):.2f}")
+    lines += [
+        f"part of the oracle's gain over react, {key}: {_part(found, key):.2f}"
+        for key in ("1 s", "5 s", "20 s")
+    ]
     ratio = _mean(found, "foresight", "staged") / max(1e-9, _mean(found, "everything", "staged"))
     lines.append(f"staged loads, foresight to everything: {ratio:.2f}")
     return "\n".join(lines)
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -25,6 +25,7 @@
     HomeZone,
     NextZones,
     ReturnPosition,
+    ZoneRules,
     ZoneShares,
     _homeless,
     _unplaced,
@@ -122,7 +123,7 @@
         self.functions = FunctionTable(bounds.sessions)
         self.copies = CopyTable(self.scorers, self.functions, site.idle_life_ms)
         destination, rules = destination or self._next_zones, self.scorers.settings
-        self.core = Prefetcher(bounds, rules, prices, me, destination, place, belongs)
+        self.core = Prefetcher(bounds, rules, prices, me, ZoneRules(destination, place, belongs))
         self.ways = BaselineStrategies(
             bounds, rules, self.core.watch, destination, belongs, self.scorers.sites
         )
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -100,7 +100,9 @@
     "prefetch/word": converted(staging.Word),
     "prefetch/memory": packed(prefetch_memory.LearnedState),
     "prefetch/foretold": Boundary(
-        baseline_strategies.KnownMove, lambda data: baseline_strategies.parse_known_moves(data)[0], msgspec.json.encode
+        baseline_strategies.KnownMove,
+        lambda data: baseline_strategies.parse_known_moves(data)[0],
+        msgspec.json.encode,
     ),
     "migration/message": converted(migrations.Message),
     "successor/message": Boundary(successor.Message, successor.decode, successor.encode, binary=True),
--- a/tests/test_foresight_planner.py
+++ b/tests/prefetch/test_prefetch_planner.py
@@ -9,7 +9,7 @@
 from fawnwharf.interface import ClassSpec, Settings
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.budgets import PlannerView, ordering_front_end
-from fawnwharf.prefetch.copy_value import FunctionProfile, copy_cost, mean_worth, waiting_loss
+from fawnwharf.prefetch.copy_value import FunctionProfile, IdleCopy, copy_cost, mean_worth, waiting_loss
 from fawnwharf.prefetch.planner import Planner
 from fawnwharf.prefetch.prediction_scores import LEAST_CHANCE, PredictionScores
 from fawnwharf.prefetch.prefetcher import Prefetcher
@@ -55,7 +55,7 @@
 # --- scores ---------------------------------------------------------------------------------------
 
 
-def test_scores_are_those_worked_out_by_hand():
+def test_scores_are_those_computed_by_hand():
     scores = PredictionScores(S)
     scores.predicted(0.0, [move(1, 0.8), move(2, 0.8), move(3, 0.4)])
     scores.seen(
@@ -66,20 +66,21 @@
     assert scores.sums["learnt"].weight == pytest.approx(1.0, rel=0.02)
     scores.seen(10_001.0, m.ScanResult())
     sums = scores.sums["learnt"]
-    assert sums.weight == pytest.approx(3.0, rel=0.02) and scores.missed == 1
-    assert sums.brier == pytest.approx(0.04 + 0.64 + 0.16, rel=0.02) and sums.base == pytest.approx(
-        1.0, rel=0.02
-    )
+    assert sums.weight == pytest.approx(3.0, rel=0.02)
+    assert scores.missed == 1
+    assert sums.brier == pytest.approx(0.04 + 0.64 + 0.16, rel=0.02)
+    assert sums.base == pytest.approx(1.0, rel=0.02)
     assert sums.loss == pytest.approx(-math.log(0.8) - math.log(0.2) - math.log(0.6), rel=0.02)
     assert sums.base_loss == pytest.approx(-math.log(LEAST_CHANCE), rel=0.02)
     assert sums.skill == pytest.approx(0.16, abs=0.02)
     table = scores.table("learnt")
-    assert table[4][1:] == pytest.approx((0.4, 0.0)) and table[8][1:] == pytest.approx((0.8, 0.5), rel=0.02)
+    assert table[4][1:] == pytest.approx((0.4, 0.0))
+    assert table[8][1:] == pytest.approx((0.8, 0.5), rel=0.02)
     scores.seen(10_001.0 + 20 * S.score_ms, m.ScanResult())
     assert sums.weight < 1e-6
 
 
-def test_a_predictor_is_used_only_while_it_beats_nothing_and_its_stages_pay():
+def test_a_predictor_is_used_only_while_it_beats_the_baseline_and_its_orders_pay():
     scores = PredictionScores(S)
 
     def round_(now, chance, came):
@@ -96,28 +97,34 @@
     scores.credit(20_000.0, "learnt", 2.0)
     assert scores.best(["learnt"]) == "learnt"
     round_(30_000.0, 0.7, 0.1)
-    assert scores.best(["learnt"]) is None and scores.sums["learnt"].skill < 0
+    assert scores.best(["learnt"]) is None
+    assert scores.sums["learnt"].skill < 0
 
 
 # --- worth ----------------------------------------------------------------------------------------
 
 
-def test_worth_and_price_are_those_worked_out_by_hand():
+def test_value_and_cost_are_those_computed_by_hand():
     # 100 + 900 ms is 200 past the promise: the first call is late, and those of the load's first 200 ms
     assert waiting_loss(SPEC, FACTS, 5.0) == pytest.approx(0.8 * (1 + 5.0 * 0.2))
     assert waiting_loss(SPEC, FunctionProfile("view", 400.0, 600.0, 100.0), 5.0) == 0.0
     assert waiting_loss(SPEC, FunctionProfile("view", 400.0, 3_500.0, 100.0), 0.0) == 1.0
     lost = 0.15 + 0.16 * S.core_part * 9.0
-    assert copy_cost(S, PRICES, FACTS, 0.25, 0.0, 1e6, 0.0, 1.0) == pytest.approx(0.75 * lost + 0.01)
+    assert copy_cost(S, PRICES, FACTS, 0.25, IdleCopy(0.0, 1e6, 0.0, 1.0)) == pytest.approx(
+        0.75 * lost + 0.01
+    )
     assert mean_worth({"a": ClassSpec("a", priority_weight=5.0), "b": SPEC}, {"a": 1.0, "b": 3.0}) == 2.0
 
 
-def test_a_stage_has_to_be_worth_its_price_and_the_best_go_first():
+def test_a_prefetch_order_exceeds_its_cost_and_the_best_go_first():
     plan = planner()
     found = orders(step(plan, 0.0, [move(1, 0.1), move(2, 0.9), move(3, 0.5)], view()))
     assert [one.stage.row for one in found] == ["f2", "f3"]
-    assert found[0].scorers == ("w0",) and found[0].stage.copies == 1 and found[0].stage.site == "s"
-    assert found[0].stage.until_ms == pytest.approx(900.0 + 9_300.0) and plan.skipped == {"not worth it": 1}
+    assert found[0].scorers == ("w0",)
+    assert found[0].stage.copies == 1
+    assert found[0].stage.site == "s"
+    assert found[0].stage.until_ms == pytest.approx(900.0 + 9_300.0)
+    assert plan.skipped == {"not worth it": 1}
     assert step(plan, 500.0, [move(2)], view()) == []  # it is held already
     assert step(planner(), 0.0, [move(2)], view(standing=lambda *_: 1)) == []
     assert step(planner(), 0.0, [move(2)], view(facts=lambda _row: None)) == []
@@ -161,12 +168,13 @@
         assert len(times) <= 6.0 + 3.0 * 5.5 + 1e-6
 
 
-def test_one_front_end_orders_and_another_stands_in_when_it_is_gone():
+def test_one_front_end_orders_and_another_takes_over_when_it_is_gone():
     names = ("a", "b", "c")
     moves = [move(n) for n in range(12)]
     found = {name: orders(step(planner(), 0.0, moves, view(me=name, heard=names))) for name in names}
     rows = [one.stage.row for some in found.values() for one in some]
-    assert len(rows) == len(set(rows)) and len(rows) >= 6
+    assert len(rows) == len(set(rows))
+    assert len(rows) >= 6
     row = next(one.stage.row for one in found["b"])
     left = ("a", "c")
     heir = ordering_front_end(row, "s", left)
@@ -179,7 +187,7 @@
     assert all(ordering_front_end(r, "s", names) == ordering_front_end(r, "s", left) for r in stays)
 
 
-def test_it_yields_in_a_surge_a_loss_and_a_power_up_and_waits_a_while_after():
+def test_nothing_is_ordered_in_a_surge_a_loss_and_a_power_up_and_shortly_after():
     plan = planner()
     assert len(orders(step(plan, 0.0, [move(1), move(2, destination="t")], view()))) == 2
     assert step(plan, 500.0, [move(3)], view(disturbed=frozenset("t")))[:1] == [PrefetchRelease("f2", "t")]
@@ -190,31 +198,34 @@
     assert plan.scores.sums == {}  # a surge is no fault of a predictor
 
 
-def test_a_stage_that_is_not_used_is_let_go_charged_and_not_tried_at_once_again():
+def test_an_unused_order_is_released_charged_and_not_repeated_at_once():
     plan = planner()
     (order,) = orders(step(plan, 0.0, [move(1, 0.4)], view()))
     assert plan.seen(order.stage.until_ms - 1, m.ScanResult()) == []
     assert plan.seen(order.stage.until_ms, m.ScanResult()) == [PrefetchRelease("f1", "s")]
-    assert plan.wasted == 1 and plan.scores.sums["learnt"].net < -0.15
+    assert plan.wasted == 1
+    assert plan.scores.sums["learnt"].net < -0.15
     assert step(plan, order.stage.until_ms, [move(1, 0.4)], view()) == []
     assert len(orders(step(plan, order.stage.until_ms + S.dwell_ms, [move(1, 0.4)], view()))) == 1
     plan.seen(99_000.0, m.ScanResult(called=(Flow(move(1).session, "s", 0.0),)))
-    assert plan.used == 1 and plan.scores.sums["learnt"].net > 0.0
+    assert plan.used == 1
+    assert plan.scores.sums["learnt"].net > 0.0
 
 
-def test_all_predictors_that_are_good_are_followed_and_none_that_is_not():
+def test_all_good_predictors_are_used_and_no_other():
     core = Prefetcher(S, SITE, PRICES, "a")
     made = {"trend": [move(1, by="trend")], "learnt": [move(2), move(3)]}
     for name, good in (("trend", 0.9), ("learnt", 0.6)):
         for _ in range(60):
             core.scores._of(name, 0.0).add(good, True)
         predictor = getattr(core, name)
-        predictor.moves = lambda now, watch, span, some=made[name]: iter_(some)
+        predictor.moves = lambda _now, _watch, _span, some=made[name]: iter_(some)
     core.step(0.0, view())
     assert {one.session.row for one in core.moves} == {"f1", "f2", "f3"}
     core.scores.charge(0.0, "trend", 99.0)
     core.step(1_000.0, view())
-    assert {one.session.row for one in core.moves} == {"f2", "f3"} and core.best == "learnt"
+    assert {one.session.row for one in core.moves} == {"f2", "f3"}
+    assert core.best == "learnt"
 
 
 def iter_(found):
@@ -222,7 +233,7 @@
     return found
 
 
-def test_false_signs_stop_staging_by_their_own_score():
+def test_false_predictions_stop_prefetching_by_their_own_score():
     """Sessions that look as if they were going, by turns, and never do."""
     core, chance, staged = (
         Prefetcher(Bounds(least=30, score_ms=300_000.0, allow=0.0), SITE, PRICES, "a"),
@@ -241,10 +252,12 @@
             if chance.random() < 0.01:
                 core.called(now, Session("club", f"f{n}"), "s")
         staged.append(len(orders(core.step(now, view()))))
-    assert core.best is None and sum(staged) > 0 and sum(staged[150:]) == 0
+    assert core.best is None
+    assert sum(staged) > 0
+    assert sum(staged[150:]) == 0
 
 
-def test_in_the_trial_an_announced_drain_is_met_nearly_as_well_as_by_who_knows():
+def test_in_the_trial_an_announced_drain_is_handled_nearly_as_well_as_by_the_oracle():
     found = compare("drain", (1,), ("react", "foresight", "oracle"))
     react, foresight, oracle = (found[way][0] for way in ("react", "foresight", "oracle"))
     assert foresight["5 s"] - react["5 s"] > 0.8 * (oracle["5 s"] - react["5 s"]) > 0.0
--- a/tests/test_foresight.py
+++ b/tests/prefetch/test_prefetch_predictions.py
@@ -47,7 +47,7 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(words, strategies.randoms(use_true_random=False))
-def test_words_merge_in_whatever_order_and_however_often_they_come(told, chance):
+def test_messages_merge_in_any_order_and_however_often_they_arrive(told, chance):
     plain, mixed = SessionMonitor(S), SessionMonitor(S)
     for owner, word in told:
         plain.heard(0.0, owner, word)
@@ -57,13 +57,14 @@
         mixed.heard(0.0, owner, word)
     assert plain.counters() == mixed.counters()
     one, other = plain.beat(1_000.0), mixed.beat(1_000.0)
-    assert set(one.moved) == set(other.moved) and calls(one) == calls(other)
+    assert set(one.moved) == set(other.moved)
+    assert calls(one) == calls(other)
     for session in plain.tracks:
         seen = {f.site: (f.fast, f.slow) for f in plain.tracks[session].flows}
         assert seen == {f.site: (f.fast, f.slow) for f in mixed.tracks[session].flows}
 
 
-def test_own_counters_reach_another_front_end_by_words_and_a_lost_one_is_made_good():
+def test_own_counters_reach_another_front_end_and_a_lost_message_is_compensated():
     one, other = SessionMonitor(S, "a"), SessionMonitor(S, "b")
     for n in range(3):
         one.called(1_000.0 * n, A, "n")
@@ -73,19 +74,21 @@
     assert other.counters()["a", A, "n"] == (1, 3)
     other.beat(2_000.0)
     assert other.tracks[A].flows[0].fast == 3.0
-    assert other.heard(2_000.0, "b", word) is None and other.dropped == {"a word of my own": 1}
+    assert other.heard(2_000.0, "b", word) is None
+    assert other.dropped == {"a word of my own": 1}
 
 
-def test_a_session_that_comes_with_its_past_is_no_burst():
+def test_a_session_that_arrives_with_its_history_is_no_burst():
     watch = SessionMonitor(S)
     watch.heard(
         0.0, "a", m.CounterMessage(90, (m.CallCounter(A, "n", 3, 5_000), m.CallCounter(B, "n", 89, 7)))
     )
     watch.beat(1_000.0)
-    assert watch.tracks[A].flows[0].fast == 1.0 and watch.tracks[B].flows[0].fast == 7.0
+    assert watch.tracks[A].flows[0].fast == 1.0
+    assert watch.tracks[B].flows[0].fast == 7.0
 
 
-def test_a_move_is_seen_once_and_a_still_session_ends():
+def test_a_move_is_detected_once_and_a_silent_session_ends():
     watch, moved, ended = SessionMonitor(S), [], []
     for second in range(60):
         if second < 20:
@@ -95,10 +98,12 @@
         ended += beat.ended
     assert moved == [m.SessionMoved(A, "n", "s", 10_000.0)]
     assert ended == [m.SessionEnded(A, "s", 19_000.0)]
-    assert not watch.tracks and not watch.groups and not watch.counters()
+    assert not watch.tracks
+    assert not watch.groups
+    assert not watch.counters()
 
 
-def test_a_flood_of_sessions_out_of_nowhere_stays_within_bounds_and_is_counted():
+def test_a_flood_of_sessions_stays_within_bounds_and_is_counted():
     watch = SessionMonitor(msgspec.structs.replace(S, sessions=500))
     for n in range(400):
         watch.called(0.0, Session("club", f"live{n}"), "n")
@@ -109,9 +114,11 @@
             for k in range(20):
                 watch.called(1.0, Session("club", f"live{k}"), "n")
             watch.beat(1.0)
-    assert len(watch.tracks) == 500 and watch.dropped["a session beyond the bound"] == 4_900
+    assert len(watch.tracks) == 500
+    assert watch.dropped["a session beyond the bound"] == 4_900
     assert sum(s.org == "club" for s in watch.tracks) == 20  # those that call stay
-    assert len(watch.counters()) <= 500 and len(watch.word().counts) <= 500
+    assert len(watch.counters()) <= 500
+    assert len(watch.word().counts) <= 500
     for n in range(50):
         watch.called(2.0, A, f"site{n}")
     assert len(watch.tracks[A].flows) == MAX_ZONES
@@ -120,13 +127,14 @@
     assert watch.dropped["an owner beyond the bound"] == 51
 
 
-def test_a_dead_owner_takes_nothing_along():
+def test_rates_remain_after_an_owner_is_gone():
     watch = SessionMonitor(S)
     watch.heard(0.0, "a", m.CounterMessage(1, (m.CallCounter(A, "n", 1, 5),)))
     watch.beat(0.0)
     watch.heard(0.0, "a", m.CounterMessage(2, (m.CallCounter(A, "n", 1, 9),)))
     watch.gone("a")
-    assert not watch.beat(1_000.0).called and watch.counters() == {}
+    assert not watch.beat(1_000.0).called
+    assert watch.counters() == {}
     assert 0.0 < watch.tracks[A].rate_ps(S, 1_000.0) <= 5.0
 
 
@@ -151,13 +159,14 @@
     return watch
 
 
-def test_learnt_foresees_what_comes_back_each_day_and_nothing_else():
+def test_history_predicts_what_repeats_each_day_and_nothing_else():
     learnt = HistoryPredictor(S)
     watch = days(learnt, 3.28)  # in the third day, 2 s before they go
     early = foreseen(learnt, 315_000.0, watch, 9_000.0)
     late = foreseen(learnt, 327_000.0, watch, 9_000.0)
     assert not early or max(move.probability for move in early) < 0.1
-    assert len(late) == 20 and min(move.probability for move in late) > 0.5
+    assert len(late) == 20
+    assert min(move.probability for move in late) > 0.5
     assert {(move.source, move.destination) for move in late} == {("n", "s")}
     still = HistoryPredictor(S)
     assert foreseen(still, 327_000.0, days(still, 3.28, moves=False), 9_000.0) == []
@@ -179,10 +188,11 @@
     assert past.lives(500.0, Session("club", "f0"), track, 9_000.0) == 1.0  # no end was ever seen
     past.learn(2_000.0, watch, m.ScanResult((), (m.SessionEnded(Session("club", "f9"), "n", 500.0),)))
     lives = [past.lives(2_000.0 + 2_000.0 * n, Session("club", "f0"), track, 9_000.0) for n in range(5)]
-    assert lives == sorted(lives, reverse=True) and lives[0] > 0.5 > 0.3 > lives[-1]
+    assert lives == sorted(lives, reverse=True)
+    assert lives[0] > 0.5 > 0.3 > lives[-1]
 
 
-def test_trend_follows_those_that_have_just_left():
+def test_trend_follows_sessions_that_have_just_left():
     trend, watch = TrendPredictor(S), SessionMonitor(S)
     for second in range(24):
         for n in range(20):
@@ -191,10 +201,11 @@
             watch.called(1_000.0 * second, Session("club", f"f{n}"), "s" if gone else "n")
         run_slices(trend.learn(1_000.0 * second, watch, watch.beat(1_000.0 * second)))
     made = [move for move in foreseen(trend, 23_000.0, watch, 9_000.0) if move.destination == "s"]
-    assert len({move.session for move in made}) >= 8 and max(move.probability for move in made) > 0.5
+    assert len({move.session for move in made}) >= 8
+    assert max(move.probability for move in made) > 0.5
 
 
-def test_announced_plans_are_certain_and_later_ones_hold():
+def test_announced_plans_are_certain_and_later_ones_replace_them():
     watch = SessionMonitor(S)
     for second in range(10):
         watch.called(1_000.0 * second, A, "n")
@@ -203,14 +214,14 @@
     place = {A: 0.2, B: 0.8}
     plans = PlanPredictor(S, lambda _session, _site: (("s", 1.0),), lambda session, _site: place[session])
     drain = m.AnnouncedPlan("n", 2, "drain", (m.PlanStep(5_000.0, 0.0),))
-    assert plans.announced(9_000.0, drain) and not plans.announced(9_500.0, drain)
+    assert plans.announced(9_000.0, drain)
+    assert not plans.announced(9_500.0, drain)
     (one, two) = foreseen(plans, 9_500.0, watch, 9_000.0)
-    assert (
-        {one.session, two.session} == {A, B}
-        and one.probability == two.probability == 1.0
-        and one.predictor == "announced"
-    )
-    assert foreseen(plans, 9_500.0, watch, 1_000.0) == [] and foreseen(plans, 24_000.0, watch, 9_000.0) == []
+    assert {one.session, two.session} == {A, B}
+    assert one.probability == two.probability == 1.0
+    assert one.predictor == "announced"
+    assert foreseen(plans, 9_500.0, watch, 1_000.0) == []
+    assert foreseen(plans, 24_000.0, watch, 9_000.0) == []
     for second in range(10, 20):
         watch.called(1_000.0 * second, A, "s")
         watch.called(1_000.0 * second, B, "s")
@@ -220,9 +231,8 @@
     assert [move.session for move in foreseen(plans, 19_500.0, watch, 9_000.0)] == [
         A
     ]  # B's scorer opens later
-    assert plans.announced(20_000.0, m.AnnouncedPlan("n", 4, "return")) and not foreseen(
-        plans, 20_000.0, watch, 9e3
-    )
+    assert plans.announced(20_000.0, m.AnnouncedPlan("n", 4, "return"))
+    assert not foreseen(plans, 20_000.0, watch, 9e3)
     plans.announced(20_000.0, m.AnnouncedPlan("s", 1, "standby"))
     assert plans.standby() == {"s"}
 
@@ -240,4 +250,5 @@
     site, prices = decode_site_settings(
         {"costs": {"origin": 0.15, "waste": None}, "classes": [{"name": "c", "worth": 5}]}
     )
-    assert prices == Prices(0.15) and site.classes["c"].priority_weight == 5.0
+    assert prices == Prices(0.15)
+    assert site.classes["c"].priority_weight == 5.0
