--- a/fawnwharf/policy_rollout/call_binding.py
+++ b/fawnwharf/policy_rollout/call_binding.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Outcome, Refused
+from fawnwharf.net.requests import Call, Outcome, Rejected
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import ActivePolicy
@@ -112,7 +112,7 @@
         elif self._has_capacity_for(call):
             self._wait(key, bound)
         else:
-            call.reply(Refused(PUSHBACK_MS))
+            call.reply(Rejected(PUSHBACK_MS))
         return key if key in self._open else None
 
     def _has_capacity_for(self, call: Call) -> bool:
@@ -128,7 +128,7 @@
         self._waiting[key] = bound
         self._waiting_bytes += len(call.body)
         wait_ms = min(MAX_HOLD_MS, HOLD_PART * call.budget_ms)
-        bound.timer = self._after(wait_ms, lambda: call.reply(Refused(PUSHBACK_MS)))
+        bound.timer = self._after(wait_ms, lambda: call.reply(Rejected(PUSHBACK_MS)))
 
     def _pass_on(self, key: str, bound: _BoundCall) -> None:
         """Give a call to the table below, with the deadline of its policy."""
@@ -159,7 +159,7 @@
     def reject_waiting(self) -> None:
         """Reject the waiting calls, as the policy will not be known here: clients may retry elsewhere."""
         for bound in list(self._waiting.values()):
-            bound.call.reply(Refused(PUSHBACK_MS))
+            bound.call.reply(Rejected(PUSHBACK_MS))
 
     def _stop_waiting(self, key: str, bound: _BoundCall) -> None:
         if self._waiting.pop(key, None) is None:
--- a/fawnwharf/policy_rollout/message_batcher.py
+++ b/fawnwharf/policy_rollout/message_batcher.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.zones.log_lines import ClientMessage
 from fawnwharf.zones.service import ZoneService
@@ -26,7 +26,7 @@
 class MessageBatcher:
     """Queues messages up to the end of the event loop iteration; lease renewals wait a little for others."""
 
-    def __init__(self, loop: Loop, zones: ZoneService, report_drop: Callable[[str], None]) -> None:
+    def __init__(self, loop: EventLoop, zones: ZoneService, report_drop: Callable[[str], None]) -> None:
         """`report_drop` is called with the cause when messages are dropped."""
         self._loop = loop
         self._zones = zones
@@ -43,10 +43,10 @@
         """Queue a message."""
         self._queue.append(send)
         if not self._is_renewal(send):
-            self._loop.flush_later(self)
+            self._loop.schedule_flush(self)
         elif not self._renewals_wait:
             self._renewals_wait = True
-            self._loop.wheel.after(RENEWAL_DELAY_MS, self.flush)
+            self._loop.timers.after(RENEWAL_DELAY_MS, self.flush)
 
     def _is_renewal(self, send: m.Send) -> bool:
         """Whether the message is a lease like the member's last one, which is noted."""
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -60,8 +60,8 @@
     limits = state.settings
     return msgspec.structs.replace(
         capabilities,
-        max_give_up_ms=limits.call_most_ms,
-        window_range_ms=(2 * limits.wait_most_ms, limits.window_ms),
+        max_give_up_ms=limits.max_call_ms,
+        window_range_ms=(2 * limits.max_wait_ms, limits.repeat_window_ms),
     )
 
 
@@ -80,7 +80,7 @@
         values["classes", name, "give_up_ms"] = spec.deadline_ms
         if state is not None:
             values["modes", name] = state.gate.modes[name]
-            values["window_ms", name] = state.settings.window_ms
+            values["window_ms", name] = state.settings.repeat_window_ms
     for name, quota_rps in settings.quotas_rps.items():
         values["tenants", name, "quota_rps"] = quota_rps
     for key, value in (staging or {}).items():
@@ -128,7 +128,7 @@
             limit_rps = part * total_rps / self._front_ends
         if limit_rps != self._limit_rps:
             self._limit_rps = limit_rps
-            self._front.limit(LIMIT, limit_rps)
+            self._front.limit_calls(LIMIT, limit_rps)
 
     def _apply_spill(self, document: Document, total_rps: float) -> None:
         """Limit what other zones are sent; the zone plan already has the limits of the settings."""
@@ -148,11 +148,11 @@
         # port rejects nothing for that, and a call is cut to its policy's time by `CallPolicyBinding`.
         for name, spec in classes.items():
             self._longest_deadline_ms[name] = max(self._longest_deadline_ms[name], spec.deadline_ms)
-        self._front.port.classes = {
+        self._front.client_port.classes = {
             name: replace(spec, deadline_ms=self._longest_deadline_ms[name]) for name, spec in classes.items()
         }
         for spec in changed:
-            self._front.loop.tell(io.ClassChanged(spec))
+            self._front.loop.enqueue(io.ClassChanged(spec))
         return bool(changed)
 
     def _apply_quotas(self, document: Document) -> None:
@@ -162,7 +162,7 @@
         before = self.quotas_rps
         self.quotas_rps = quotas_rps
         for name, rps in self._quota_changes(before, quotas_rps).items():
-            self._front.loop.tell(io.LimitsChanged(rps, name))
+            self._front.loop.enqueue(io.LimitsChanged(rps, name))
 
     def _quota_changes(self, before: dict[str, float], after: dict[str, float]) -> dict[str, float]:
         """The limits of this front end that change, by tenant."""
@@ -194,4 +194,4 @@
         """Restore the settings, for whoever takes the parts over."""
         self._apply_classes(base)
         self._apply_quotas(base)
-        self._front.limit(LIMIT, io.UNLIMITED_RPS)
+        self._front.limit_calls(LIMIT, io.UNLIMITED_RPS)
--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -97,13 +97,13 @@
             voter,
             context.file.register,
         )
-        wheel = self._front.loop.wheel
+        timers = self._front.loop.timers
         self._batcher = MessageBatcher(self._front.loop, context.zones, self._report_drop)
-        self._publisher = StatusPublisher(wheel, context.zones, self.member.status)
+        self._publisher = StatusPublisher(timers, context.zones, self.member.status)
         self.applier = PolicyApplier(context.deployment, self._front, context.zones, context.state)
         self._module_classes = dict(self.applier.classes)  # as the decision module has them
-        self._front.port.waits_for.add(NAME)
-        self.calls = CallPolicyBinding(self._front.port.table, self, unix_ms, wheel.after)
+        self._front.client_port.not_ready_reasons.add(NAME)
+        self.calls = CallPolicyBinding(self._front.client_port.requests, self, unix_ms, timers.after)
         self._set_table(self.calls)
         self._zones.log_clients[NAME] = self
         self._requests = RequestFile(context.request_path, context.log, self.member, self._carry_out)
@@ -122,17 +122,17 @@
         self._stopped = True
         self._publisher.stop()
         self.calls.reject_waiting()
-        table: CallTable = self._front.port.table
+        table: CallTable = self._front.client_port.requests
         if table is self.calls:
             self._set_table(self.calls.below)
-        self._front.port.waits_for.discard(NAME)
+        self._front.client_port.not_ready_reasons.discard(NAME)
         self.applier.restore(self.member.capabilities.base)
         if self._trace is not None:
             self._flush_trace(self._trace)
 
     def _set_table(self, table: CallTable) -> None:
         """Let the port give calls to another table, which has the methods that it uses."""
-        self._front.port.table = cast(RequestTable, table)
+        self._front.client_port.requests = cast(RequestTable, table)
 
     @property
     def in_force(self) -> m.ActivePolicy:
@@ -174,7 +174,7 @@
 
     def _bound_spec(self, event: io.RequestArrived) -> io.ClassSpec | None:
         """The class of a call under its policy; None where that is not known."""
-        request = self._front.table.open.get(event.request)
+        request = self._front.requests.open.get(event.request)
         base = self._context.deployment.settings.classes.get(event.class_name)
         if request is None or base is None or request.call.judged is None:
             return None
@@ -184,7 +184,7 @@
         """Flush the trace now, and after each interval."""
         if not self._stopped:
             self._flush_trace(trace)
-            self._front.loop.wheel.after(FLUSH_TRACE_MS, lambda: self._flush_trace_later(trace))
+            self._front.loop.timers.after(FLUSH_TRACE_MS, lambda: self._flush_trace_later(trace))
 
     def _flush_trace(self, trace: CallTrace) -> None:
         try:
@@ -243,14 +243,14 @@
                 return
             self._timer.cancel()
         self._timer_ms = due_ms
-        self._timer = self._front.loop.wheel.after(due_ms - now_ms, self._tick)
+        self._timer = self._front.loop.timers.after(due_ms - now_ms, self._tick)
 
     def _poll_files(self) -> None:
         if self._stopped:
             return
         self._requests.poll()
         self._apply_replication()  # a replica may be new
-        self._front.loop.wheel.after(POLL_FILES_MS, self._poll_files)
+        self._front.loop.timers.after(POLL_FILES_MS, self._poll_files)
 
     def _log_not_ready(self) -> None:
         """Log who is missing, where no leader's coordinator sends what is in force."""
@@ -266,7 +266,7 @@
                 "voters without policy status": sorted(name for name in voters if name not in statuses),
             }
             self._log.write("policy: not ready", fields)
-        self._front.loop.wheel.after(NOT_READY_MS, self._log_not_ready)
+        self._front.loop.timers.after(NOT_READY_MS, self._log_not_ready)
 
     # --- effects --------------------------------------------------------------------------------
 
@@ -292,17 +292,17 @@
 
     def _update_readiness(self) -> None:
         """Tell the port whether it may be ready, and release calls that waited for that."""
-        waits_for = self._front.port.waits_for
+        reasons = self._front.client_port.not_ready_reasons
         if not self.ready:
-            waits_for.add(NAME)
+            reasons.add(NAME)
             return
-        waits_for.discard(NAME)
+        reasons.discard(NAME)
         if not self.calls.waiting:
             return
         if self.in_force.basis == "leased":
             self.calls.release()
         else:  # its first lease arrives a round trip later
-            self._front.loop.wheel.after(FIRST_LEASE_MS, self._release_calls)
+            self._front.loop.timers.after(FIRST_LEASE_MS, self._release_calls)
 
     def _release_calls(self) -> None:
         if self.ready and not self._stopped:
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -136,10 +136,10 @@
         if self._trace is not None:
             self._trace.close()
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Changes of the roster do not matter here."""
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Pass calls that waited at the claim gate through a change on under their own class."""
         if self._running is not None:
             self._running.events(events)
--- a/fawnwharf/policy_rollout/status_publisher.py
+++ b/fawnwharf/policy_rollout/status_publisher.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fawnwharf.net.timer_wheel import Wheel, monotonic_ms
+from fawnwharf.net.timer_wheel import TimerWheel, monotonic_ms
 from fawnwharf.policy_rollout.messages import MemberStatus
 from fawnwharf.zones.service import ZoneService
 
@@ -14,9 +14,11 @@
 class StatusPublisher:
     """Owns the last status that was published."""
 
-    def __init__(self, wheel: Wheel, zones: ZoneService, status: Callable[[float], MemberStatus]) -> None:
+    def __init__(
+        self, timers: TimerWheel, zones: ZoneService, status: Callable[[float], MemberStatus]
+    ) -> None:
         """`status` gives this member's status at a time in milliseconds."""
-        self._wheel = wheel
+        self._timers = timers
         self._zones = zones
         self._status = status
         self._published: MemberStatus | None = None
@@ -38,7 +40,7 @@
             self._zones.publish_status(msgspec.to_builtins(status))
         elif not self._timer_runs:
             self._timer_runs = True
-            self._wheel.after(INTERVAL_MS, self._publish_later)
+            self._timers.after(INTERVAL_MS, self._publish_later)
 
     def _publish_later(self) -> None:
         self._timer_runs = False
--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field, replace
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
+from fawnwharf.net.event_loop import EventLoop
+from fawnwharf.net.requests import Call, Failed, Outcome, Rejected, RequestTable, Succeeded
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.call_owner import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         table: RequestTable,
         core: ReplicationCore,
         settings: ReplicationSettings,
@@ -97,7 +97,7 @@
         if mode == "off":
             return self._table.take(call)
         if len(self.calls) >= HELD_MOST or self._bytes + len(call.body) > HELD_BYTES_MOST:
-            call.reply(Refused(FULL_PUSHBACK_MS))
+            call.reply(Rejected(FULL_PUSHBACK_MS))
             return None
         name, key = call_key(call), f"g{next(self._numbers)}"
         held = self.calls.get(name)
@@ -125,7 +125,7 @@
         held.waiting[key] = call.reply
         self._by_key[key] = held
         left_ms = max(1.0, call.budget_ms - LEAD_MS)
-        held.timers[key] = self._loop.wheel.after(left_ms, lambda: self._overdue(held, key))
+        held.timers[key] = self._loop.timers.after(left_ms, lambda: self._overdue(held, key))
 
     def _overdue(self, held: _Held, key: str) -> None:
         """Guards the one final answer, as the table's backstop does: it may have run."""
@@ -174,11 +174,11 @@
             if held.table_key is not None:  # it runs, but was answered before
                 self._table.withdraw(held.table_key)
             kept = effect.answer
-            self._finish(held, Failed() if kept is None else Served(base64.b64decode(kept)))
+            self._finish(held, Failed() if kept is None else Succeeded(base64.b64decode(kept)))
         elif isinstance(effect, FailCall):
             self._finish(held, Failed())
         else:
-            self._finish(held, Refused(effect.pushback_ms))
+            self._finish(held, Rejected(effect.pushback_ms))
 
     def _go(self, held: _Held) -> None:
         now = monotonic_ms()
@@ -196,13 +196,13 @@
         """The table's final answer: the keepers are told, and so is everybody who waits here."""
         held.table_key = None
         digest, answer = "", None
-        if isinstance(outcome, Served):
+        if isinstance(outcome, Succeeded):
             phase = ClaimPhase.ANSWERED
             digest = hashlib.blake2b(outcome.body, digest_size=16).hexdigest()
-            if len(outcome.body) <= self._settings.bounds.answer_bytes:
+            if len(outcome.body) <= self._settings.limits.max_single_answer_bytes:
                 answer = base64.b64encode(outcome.body).decode()
         else:
-            phase = ClaimPhase.RELEASED if isinstance(outcome, Refused) else ClaimPhase.FAILED
+            phase = ClaimPhase.RELEASED if isinstance(outcome, Rejected) else ClaimPhase.FAILED
         self._finish(held, outcome)
         self._carry_out(self._core.call_ended(monotonic_ms(), held.name, phase, digest, answer))
 
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -10,7 +10,7 @@
 from fawnwharf import config
 from fawnwharf import interface as io
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.listener import listening, once_free, told_to_end
+from fawnwharf.net.listener import listen_when_free, open_listener, termination_pending
 
 LAID = "zones", "state"  # what subsystems lay over the roster, which begins anew with them
 # What goes by whose logs.
@@ -42,7 +42,7 @@
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
-    if front.admin is not None and front.admin.takes_over and told_to_end():
+    if front.admin is not None and front.admin.takes_over and termination_pending():
         front.close()  # the process that serves goes on as if this one had not come
         return 0
     gc.freeze()  # what the start has made stays: no collection needs to walk it
@@ -105,11 +105,11 @@
 
         # First: the process before may have the disks of these extensions.
         inherited = inherit_state(deployment, needs_extensions=bool(makers))
-    seam = Seams(makers, not (inherited and inherited.channel)) if makers else None
+    extension = ExtensionGroup(makers, not (inherited and inherited.channel)) if makers else None
     listener = (inherited and inherited.listener) or _listener(deployment)
-    front = FrontEnd(deployment, reread=lambda: config.load(path), seam=seam, listener=listener)
-    if seam:
-        seam.attach(front)
+    front = FrontEnd(deployment, reread=lambda: config.load(path), extension=extension, listener=listener)
+    if extension:
+        extension.attach(front)
     if deployment.control:
         from fawnwharf.admin.service import AdminService
 
@@ -120,12 +120,12 @@
 def _listener(deployment: config.Deployment) -> socket.socket:
     shared = deployment.control is not None  # another process may listen there, to take this one's place
     try:
-        return once_free(lambda: listening(deployment.listen, shared))
+        return listen_when_free(lambda: open_listener(deployment.listen, shared))
     except OSError as error:
         raise config.ConfigError(f"listen: {error.strerror}: {deployment.listen}") from None
 
 
-class Seams:
+class ExtensionGroup:
     """The subsystems at the one seam, in their order: all of them, or none while another process has them."""
 
     def __init__(self, makers: dict[str, Maker], first: bool) -> None:
@@ -150,29 +150,31 @@
         for part in self._parts:
             part.attach(front)
 
-    def release(self) -> None:
+    def suspend(self) -> None:
         self.close()
         self._parts = []
 
-    def take_back(self, front: FrontEnd) -> None:
+    def resume(self, front: FrontEnd) -> None:
         self._parts = self._made(first=False)
         for who in LAID:
-            front.go_by(front.overlay.close(who, None))
-        front.limit(LAID[0], io.UNLIMITED_RPS)
-        self.told(config.Fleet(list(front.overlay.members.values()), True, front.overlay.revision))
+            front.apply_fleet(front.roster_overlay.set_filter(who, None))
+        front.limit_calls(LAID[0], io.UNLIMITED_RPS)
+        self.on_fleet(
+            config.Fleet(list(front.roster_overlay.members.values()), True, front.roster_overlay.revision)
+        )
         try:
             self.attach(front)
         except config.ConfigError:
-            self.release()
+            self.suspend()
             raise
 
-    def told(self, fleet: config.Fleet) -> None:
+    def on_fleet(self, fleet: config.Fleet) -> None:
         for part in self._parts:
-            part.told(fleet)
+            part.on_fleet(fleet)
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         for part in self._parts:
-            part.events(events)
+            part.on_events(events)
 
     @property
     def busy(self) -> bool:
--- a/fawnwharf/testbed/fleet.py
+++ b/fawnwharf/testbed/fleet.py
@@ -133,8 +133,8 @@
         self.notes.append(Noted(now, front.name, event, fields))
         if event == "following":
             front.plan, front.index = fields.get("zones", {}), fields.get("index", 0)
-            front.apart = fields.get("apart", [])
-        elif event == "on its own":
+            front.apart = fields.get("unreachable", [])
+        elif event == "standalone":
             front.plan = None
         elif event == "role":
             front.role = fields.get("role", "")
@@ -262,7 +262,7 @@
 
     def turn(self, most_s: float = 0.02) -> None:
         """Run one iteration of the event loop."""
-        self.loop.turn(most_s)
+        self.loop.run_iteration(most_s)
         self.reap()
         if (now := monotonic_ms()) - self._looked_ms >= LOOK_MS:
             stood_ms, self._looked_ms = now - self._looked_ms - STOOD_MS, now
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -82,7 +82,7 @@
             data, link.data = bytes(link.data), bytearray()
             for frame in reader.feed(data):
                 self.frames.append((link, frame))
-                if frame.code == scorer_frames.ENSURE and self.copies is not None:
+                if frame.code == scorer_frames.LOAD and self.copies is not None:
                     self.answer((link, frame), 0, f"slots_up={self.copies}")
 
     def answer(self, item, code=0, fields="res=reused", body=b""):
@@ -207,7 +207,7 @@
         end = time.monotonic() + PATIENCE_S
         while not condition():
             assert time.monotonic() < end, f"waited in vain until {what}"
-            self.front.loop.turn(0.005)
+            self.front.loop.run_iteration(0.005)
             for peer in [self.log, *self.scorers, *self.clients]:
                 peer.pump()
 
--- a/tests/policy_rollout/test_policy_rollout_front_ends.py
+++ b/tests/policy_rollout/test_policy_rollout_front_ends.py
@@ -36,14 +36,14 @@
     site.until(lambda: all(n.front.router.settings.quotas_rps["acme"] == 12.0 for n in site.nodes), "quotas")
     for node in site.nodes:
         assert node.part.running.applier.classes["view"].deadline_ms == 2_000.0
-        assert node.front._limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
-        assert node.zones._spill == {"b": 0.25}
-        assert node.zones._sold == 12.0
+        assert node.front._call_limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
+        assert node.zones.plan_application.spillover_limits == {"b": 0.25}
+        assert node.zones.plan_application.sold_rps == 12.0
         assert node.part.in_force.digest == b.part.in_force.digest
     client = site.client(c)
     client.call(ttl="8000")  # by the settings' time, which the client knows
-    site.until(lambda: c.front.table.open, "it is taken")
-    [request] = c.front.table.open.values()
+    site.until(lambda: c.front.requests.open, "it is taken")
+    [request] = c.front.requests.open.values()
     assert request.call.budget_ms == 2_000.0
     client.call(ttl="10500")
     site.until(client.kinds, "one that would wait for longer than any of both is none")
@@ -52,9 +52,9 @@
     site.until(lambda: site.in_force(2), "the policy before is back")
     assert c.part.running.applier.classes["view"].deadline_ms == 9_000.0
     site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "quotas as sold")
-    assert a.front._limits["policy"] == 1e9
-    assert a.zones._spill == {}
-    assert a.zones._sold == 30.0
+    assert a.front._call_limits["policy"] == 1e9
+    assert a.zones.plan_application.spillover_limits == {}
+    assert a.zones.plan_application.sold_rps == 30.0
 
 
 def test_a_call_keeps_the_policy_of_its_arrival_and_the_trace_shows_it(site):
@@ -74,7 +74,7 @@
     gone = client.call(call="00000000000000cc")
     site.until(lambda: len(node.scorer.runs) == 3, "one more runs")
     client.withdraw(gone)
-    site.until(lambda: not node.front.table.open, "its client has left")
+    site.until(lambda: not node.front.requests.open, "its client has left")
     assert not node.part.member.holder.calls
     assert not len(node.part.calls)
     trace = node.folder / "trace.jsonl"
@@ -202,25 +202,25 @@
     node.request(1, propose=document(9.0, classes={"view": {"give_up_ms": 5_000.0, "promise_ms": 400.0}}))
     site.until(lambda: site.in_force(1), "a first change")
     before = node.part
-    node.front.seam.release()
-    assert node.front.port.table is node.front.table
-    assert node.front.port.classes["view"].deadline_ms == 9_000.0
+    node.front.extension.suspend()
+    assert node.front.client_port.requests is node.front.requests
+    assert node.front.client_port.classes["view"].deadline_ms == 9_000.0
     other.request(1, propose=document(8.0))
     site.until(lambda: site.in_force(2, [site.nodes[0], site.nodes[2]]), "a change without it")
-    node.front.seam.take_back(node.front)
+    node.front.extension.resume(node.front)
     assert node.part is not before
-    assert not node.front.port.takes_work
+    assert not node.front.client_port.accepts_requests
     client = site.client(node)
     client.call(ttl="9000")
     site.until(lambda: node.part.calls.waiting, "a call that comes before it is told is held")
-    assert node.front.seam.busy
-    assert not node.front.table.open
+    assert node.front.extension.busy
+    assert not node.front.requests.open
     site.until(lambda: site.in_force(2), "it goes by the last one")
-    site.until(lambda: node.front.table.open, "it goes on")
-    [request] = node.front.table.open.values()
+    site.until(lambda: node.front.requests.open, "it goes on")
+    [request] = node.front.requests.open.values()
     assert (request.call.judged.number, request.call.judged.basis) == (2, "leased")
     site.until(lambda: node.front.router.settings.quotas_rps["acme"] == 8.0, "quotas too")
-    assert node.front.port.takes_work
+    assert node.front.client_port.accepts_requests
     assert node.part.incarnation > before.incarnation
 
 
@@ -228,14 +228,14 @@
 def test_modes_and_windows_are_stricter_at_once_and_looser_after_the_old_window(site):
     site.begin()
     node = site.nodes[0]
-    gates = [n.front.seam._parts[1].gate for n in site.nodes]
-    stores = [n.front.seam._parts[1].core.replica.claim_store for n in site.nodes]
+    gates = [n.front.extension._parts[1].gate for n in site.nodes]
+    stores = [n.front.extension._parts[1].core.replica.claim_store for n in site.nodes]
     assert {gate.modes["view"] for gate in gates} == {"off"}
     strict = document(12.0, modes={"view": "before"}, window_ms={"view": 1_200.0})
     node.request(1, propose=strict)
     site.until(lambda: site.in_force(1), "the stricter one is in force")
     assert {gate.modes["view"] for gate in gates} == {"before"}
-    shares = node.front.seam._parts[1].core.quota_shares
+    shares = node.front.extension._parts[1].core.quota_shares
     assert shares.quotas_rps == {"acme": 12.0}
     site.until(
         lambda: {store.class_windows_ms.get("view") for store in stores} == {1_200.0},
--- a/tests/policy_rollout/test_policy_rollout_member.py
+++ b/tests/policy_rollout/test_policy_rollout_member.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from support.zone_files import members
-from test_zone_members import Fleet
+from support.zone_fleet import ZoneFleet
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
@@ -22,7 +22,7 @@
     return False
 
 
-class RolloutFleet(Fleet):
+class RolloutFleet(ZoneFleet):
     """A fleet whose members take part in rollouts; their messages are sent as the service does it."""
 
     def __init__(self, zones="abc", capabilities=None, lost=0.0):
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -21,6 +21,7 @@
     f"{PROGRAM}.{name}"
     for name in (
         "durable_store.crash_simulation",
+        "durable_store.simulated_folder",
         "policy_rollout.fault_injection",
         "policy_rollout.model_checker",
         "policy_rollout.reference_model",
@@ -205,7 +206,7 @@
     )
     assert done.returncode == 0, done.stderr
     imported = done.stdout.split()
-    assert f"{PROGRAM}.net.loop" in imported
+    assert f"{PROGRAM}.net.event_loop" in imported
     assert [name for name in imported if name.startswith(f"{PROGRAM}.") and package_of(name) in OFF] == []
     assert [name for name in imported if name.split(".")[0] in OFF_LIBRARIES] == []
 
