--- a/fawnwharf/prefetch/past.py
+++ b/fawnwharf/prefetch/move_history.py
@@ -7,30 +7,35 @@
 
 import heapq
 import math
+from typing import TypeVar
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.seen import Track, Watcher
-from fawnwharf.prefetch.settings import Foresight
-from fawnwharf.prefetch.slices import Slices, drained
+from fawnwharf.prefetch.session_monitor import SessionMonitor, SessionRate
+from fawnwharf.prefetch.settings import PrefetchSettings
+from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import Session
 
 PRIOR_MS = 10_000.0  # of a session's time without a move, held to be seen: guards against rates of few moves
-KEYS_MOST = 50_000
+MAX_KEYS = 50_000
 AGES = 16  # doublings of a second
 GROUPS = 30  # of one slice
 
-Move = tuple[str, str, int, str, float]  # tenant, whence, phase, whither, moves
+Move = tuple[str, str, int, str, float]  # tenant, source, phase, destination, moves
 Stay = tuple[str, str, int, float]  # tenant, site, phase, milliseconds
 Age = tuple[str, int, float, float]  # tenant, doubling, ends, milliseconds
 
+Key = TypeVar("Key")
+Row = TypeVar("Row")
+RankedRow = TypeVar("RankedRow", Move, Stay, Age)
 
-class Past:
+
+class MoveHistory:
     """Estimates hazards of moves, and the chance that a session lives on, from the history."""
 
-    def __init__(self, settings: Foresight) -> None:
+    def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
         self.dropped = 0
-        self._moves: dict[tuple[str, str, int], dict[str, list[float]]] = {}  # whither: [moves, when]
+        self._moves: dict[tuple[str, str, int], dict[str, list[float]]] = {}  # destination: [moves, when]
         self._stays: dict[tuple[str, str, int], list[float]] = {}  # [milliseconds, when]
         self._ages: dict[tuple[str, int], list[float]] = {}  # [ends, milliseconds, when]
         self._last_ms: float | None = None
@@ -40,11 +45,11 @@
         day = self.settings.day_ms
         return int((now_ms % day) / day * self.settings.phases) % self.settings.phases
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> None:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> None:
         """Take the result of one pass."""
-        drained(self.learning(now_ms, watch, beat))
+        run_slices(self.learning(now_ms, watch, beat))
 
-    def learning(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learning(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """The same as `learn`, in slices."""
         span = 0.0 if self._last_ms is None else min(now_ms - self._last_ms, 10 * self.settings.beat_ms)
         self._last_ms = now_ms
@@ -61,8 +66,8 @@
         for n, moved in enumerate(beat.moved):
             if n % GROUPS == GROUPS - 1:
                 yield
-            key = (moved.session.org, moved.whence, self.phase(moved.at_ms))
-            count = self._row(self._moves, key, {}).setdefault(moved.whither, [0.0, now_ms])
+            key = (moved.session.org, moved.source, self.phase(moved.at_ms))
+            count = self._row(self._moves, key, {}).setdefault(moved.destination, [0.0, now_ms])
             self._fade(count, now_ms)
             count[0] += 1.0
         for n, ended in enumerate(beat.ended):
@@ -85,9 +90,9 @@
             if rows:
                 stay = self._stays.get(key, [0.0, now_ms])
                 exposed = self._now(stay, now_ms) + PRIOR_MS
-                for whither, count in rows.items():
-                    found[whither] = (
-                        found.get(whither, 0.0) + self._now(count, now_ms) * (until - at) / exposed
+                for destination, count in rows.items():
+                    found[destination] = (
+                        found.get(destination, 0.0) + self._now(count, now_ms) * (until - at) / exposed
                     )
             at = until
         return found
@@ -100,7 +105,7 @@
         ends, exposed = (row[n] * math.exp((row[2] - now_ms) / self.settings.learn_ms) for n in (0, 1))
         return ends / (exposed + PRIOR_MS)
 
-    def lives(self, now_ms: float, session: Session, track: Track, span_ms: float) -> float:
+    def lives(self, now_ms: float, session: Session, track: SessionRate, span_ms: float) -> float:
         """The chance that a session is alive although it was silent of late, and goes on calling for a span.
 
         With calls at rate r and ends at rate e, the sessions that are silent for x and alive relate to those
@@ -118,22 +123,21 @@
     def rows(self, now_ms: float, most: int) -> tuple[list[Move], list[Stay], list[Age]]:
         """The history decayed to now, at most `most` rows of each table, the largest ones."""
         moves = [
-            (*key, whither, self._now(count, now_ms))
+            (*key, destination, self._now(count, now_ms))
             for key, row in self._moves.items()
-            for whither, count in row.items()
+            for destination, count in row.items()
         ]
         stays = [(*key, self._now(stay, now_ms)) for key, stay in self._stays.items()]
-        ages = [
-            (*key, *(row[n] * math.exp((row[2] - now_ms) / self.settings.learn_ms) for n in (0, 1)))
-            for key, row in self._ages.items()
-        ]
-        largest = (heapq.nlargest(most, some, key=lambda row: row[-1]) for some in (moves, stays, ages))
-        return tuple(largest)
+        ages: list[Age] = []
+        for (org, doubling), row in self._ages.items():
+            part = math.exp((row[2] - now_ms) / self.settings.learn_ms)
+            ages.append((org, doubling, row[0] * part, row[1] * part))
+        return _largest(most, moves), _largest(most, stays), _largest(most, ages)
 
     def take(self, at_ms: float, moves: list[Move], stays: list[Stay], ages: list[Age]) -> None:
         """Take the history of another process, as of `at_ms` of this clock, into an empty one."""
-        for org, site, phase, whither, count in moves:
-            self._row(self._moves, (org, site, phase), {})[whither] = [count, at_ms]
+        for org, site, phase, destination, count in moves:
+            self._row(self._moves, (org, site, phase), {})[destination] = [count, at_ms]
         for org, site, phase, stay_ms in stays:
             self._row(self._stays, (org, site, phase), [0.0, at_ms])[:] = [stay_ms, at_ms]
         for org, doubling, ends, stay_ms in ages:
@@ -144,9 +148,10 @@
         part = math.exp((row[2] - now_ms) / self.settings.learn_ms)
         row[0], row[1], row[2] = row[0] * part + ends, row[1] * part + exposed_ms, now_ms
 
-    def _row(self, table: dict, key: tuple, fresh):
+    def _row(self, table: dict[Key, Row], key: Key, fresh: Row) -> Row:
+        """The row of a key; a new one replaces the oldest where the table is full."""
         if key not in table:
-            if len(table) >= KEYS_MOST:
+            if len(table) >= MAX_KEYS:
                 del table[next(iter(table))]
                 self.dropped += 1
             table[key] = fresh
@@ -159,5 +164,10 @@
         return row[0] * math.exp((row[1] - now_ms) / self.settings.learn_ms)
 
 
+def _largest(most: int, rows: list[RankedRow]) -> list[RankedRow]:
+    """At most `most` rows, those with the largest last value first."""
+    return heapq.nlargest(most, rows, key=lambda row: row[-1])
+
+
 def _doubling(age_ms: float) -> int:
     return min(AGES - 1, max(0, int(math.log2(max(1.0, age_ms / 1000.0)))))
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -6,10 +6,10 @@
 
 from fawnwharf import interface as io
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.budgets import orderer
-from fawnwharf.prefetch.settings import foresight_from
-from fawnwharf.prefetch.ways import foretold_from
-from fawnwharf.session_types import LetGo, Session
+from fawnwharf.prefetch.baseline_strategies import parse_known_moves
+from fawnwharf.prefetch.budgets import ordering_front_end
+from fawnwharf.prefetch.settings import decode_prefetch_settings
+from fawnwharf.session_types import PrefetchRelease, Session
 from fawnwharf.sessions.staging import (
     Seen,
     announced_from,
@@ -25,7 +25,7 @@
     orders = wanted(found)
     assert sorted(row for row, _ in orders) == [f"f{n}" for n in range(4)]
     for row, worker in orders:
-        site = one.core.plans.whither(Session("club", row), "n")[0][0]
+        site = one.core.plans.destination(Session("club", row), "n")[0][0]
         assert worker == one.scorers.order(row, site)[0] and site != "n"
     want = next(want for beat in found for want in beat.wanted)
     assert (want.class_name, want.copies, want.lanes, want.load_ms) == ("view", 1, 1, 900.0)
@@ -54,7 +54,10 @@
             one.events(
                 1_000.0 * second, UNIX, [io.LoadOrderAnswered(scorer, fn, io.AttemptResult.GOOD, 1, 700.0)]
             )
-    assert sorted(let.row for let in gone) == sorted((lost, row)) and LetGo(row, SITES[other % 3]) in gone
+    assert (
+        sorted(let.row for let in gone) == sorted((lost, row))
+        and PrefetchRelease(row, SITES[other % 3]) in gone
+    )
     assert one.core.planner.wasted == 2 and one.counts == {"a stage that failed": 1}
 
 
@@ -119,15 +122,19 @@
     for _ in range(5):
         star.second(calling)
     for one in star.members.values():
-        one.announced(star.now, m.Announced("n", 1, "drain", (m.Step(8_000.0, 0.0),)))
-    whither = {row: star.members["o1"].core.plans.whither(Session("club", row), "n")[0][0] for row in rows}
-    due = {row: orderer(row, whither[row], star.keepers) for row in rows}
+        one.announced(star.now, m.AnnouncedPlan("n", 1, "drain", (m.PlanStep(8_000.0, 0.0),)))
+    destination = {
+        row: star.members["o1"].core.plans.destination(Session("club", row), "n")[0][0] for row in rows
+    }
+    due = {row: ordering_front_end(row, destination[row], star.keepers) for row in rows}
     dead = due[rows[0]]
     star.kill(dead)
     for _ in range(8):
         star.second(calling)
     left = [name for name in star.keepers if name != dead]
-    assert sorted(star.orders) == sorted((row, orderer(row, whither[row], left)) for row in rows)
+    assert sorted(star.orders) == sorted(
+        (row, ordering_front_end(row, destination[row], left)) for row in rows
+    )
     assert {name for _, name in star.orders} <= set(left)
     stays = [(row, name) for row, name in star.orders if due[row] != dead]
     assert stays and all(due[row] == name for row, name in stays)  # the others' own are as they were
@@ -161,7 +168,7 @@
         msgspec.json.encode({"at_ms": UNIX + at, "org": "club", "row": "f1", "whither": site}) + b"\n"
         for at, site in ((6_000.0, "s"), (90_000.0, "w"))
     )
-    oracle.foretold(0.0, UNIX, foretold_from(lines))
+    oracle.foretold(0.0, UNIX, parse_known_moves(lines))
     oracle.events(0.0, UNIX, calls.events("f1", "n"))
     orders = {second: wanted(look(oracle, 1_000.0 * second)) for second in range(6)}
     assert {second: len(some) for second, some in orders.items() if some} == {4: 1}  # 1.5 loads ahead
@@ -169,16 +176,16 @@
 
 
 def test_settings_of_trials_are_checked_by_key_and_line():
-    assert foresight_from(b'{"version": 1, "foresight": {"mode": "react"}}').mode == "react"
+    assert decode_prefetch_settings(b'{"version": 1, "foresight": {"mode": "react"}}').mode == "react"
     for text, key in (
         (b'{"version": 1, "foresight": {"mode": "all"}}', "foresight.mode"),
         (b'{"version": 1, "foresight": {"mode": "oracle"}}', "foresight.told"),
         (b'{"version": 1, "foresight": {"told": "moves.jsonl"}}', "foresight.told"),
     ):
         with pytest.raises(SettingsFileError, match=key):
-            foresight_from(text)
+            decode_prefetch_settings(text)
     with pytest.raises(SettingsFileError, match="line 2"):
-        foretold_from(b'{"at_ms": 1, "org": "a", "row": "f", "whither": "n"}\n{"at_ms": -1}\n')
+        parse_known_moves(b'{"at_ms": 1, "org": "a", "row": "f", "whither": "n"}\n{"at_ms": -1}\n')
 
 
 def test_a_plan_says_what_is_to_come_of_its_sites():
@@ -192,9 +199,11 @@
         one.site: one
         for one in announced_from(Plan(number=7, zones=zones), RampSettings((0.25, 0.5, 0.75), 3_000.0))
     }
-    assert told["n"] == m.Announced("n", 7, "drain", (m.Step(0.0, 0.0),)) and told["w"].kind == "standby"
-    assert told["s"].steps == (m.Step(0.0, 0.5), m.Step(3_000.0, 0.75), m.Step(6_000.0, 1.0))
-    assert told["e"] == m.Announced("e", 7, "return")
+    assert (
+        told["n"] == m.AnnouncedPlan("n", 7, "drain", (m.PlanStep(0.0, 0.0),)) and told["w"].kind == "standby"
+    )
+    assert told["s"].steps == (m.PlanStep(0.0, 0.5), m.PlanStep(3_000.0, 0.75), m.PlanStep(6_000.0, 1.0))
+    assert told["e"] == m.AnnouncedPlan("e", 7, "return")
 
 
 def test_what_was_learnt_outlives_its_process_and_nothing_else_is_taken():
