--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -1,4 +1,4 @@
-"""Loads of copies: the race, its switch, the ration of load orders, renewal, copies wanted, questions."""
+"""Loads of copies: speculative loads and their switch, the load rate limit, copy refresh, prefetch, probes."""
 
 import math
 
@@ -14,154 +14,206 @@
     ScorerCopies,
 )
 
-INITIAL_LOADS, MIN_LOADS, MAX_LOADS = 8.0, 2.0, 24.0  # own loads under way: at the start, and at all times
-ORDER_TRANSIT_MS = 150.0  # an order counts at the scorer that much later at the most: its wait, and the way
-MAX_COPIES = 16  # that an order may name
-BLOCK_MS, LOAD_SLOW = 1_000.0, 2.5  # no room, or failed: a place rests; so much slower: the store is crowded
-REFRESH_LIFETIMES, REFRESH_QUEUE_RATIO = (
-    3.0,
-    8,
-)  # copies are renewed for so long, while fewer than one in so many is held
+INITIAL_LOADS = 8.0  # own loads in progress, at the start
+MIN_LOADS = 2.0  # own loads in progress that are always allowed
+MAX_LOADS = 24.0  # own loads in progress that are never exceeded
+ORDER_TRANSIT_MS = 150.0  # a load order counts at the scorer so much later at the most: its wait and its way
+MAX_COPIES = 16  # copies that an order may name
+BLOCK_MS = 1_000.0  # a scorer without capacity, or whose load failed, gets no load for so long
+LOAD_SLOW = 2.5  # a load that is slower by this factor shows that the store is crowded
+REFRESH_LIFETIMES = 3.0  # copies are refreshed for so many idle lifetimes after the last call
+REFRESH_QUEUE_RATIO = 8  # copies are refreshed while fewer than one request in so many waits
 
 
 class Loads(Known):
-    loading, loads_limit = 0, INITIAL_LOADS  # own ones under way
-
-    def _load_speculatively(
-        self, fn: Function
-    ) -> None:  # the loads that held requests need, one for the lanes of a copy
-        warm, waited = self._is_warm(fn), self.now - min(r.held_ms for r in fn.queue)
-        early = self.is_wide and waited < self._run_time_ms(fn)  # others load too
-        idle = early or len(self.recent_attempts) >= self.limit or not self._load_path(fn, waited)
-        if self._awaits_probe(fn) or (warm and idle):
+    """Load orders of this front end: when, where and how many."""
+
+    loading = 0  # own ones in progress
+    loads_limit = INITIAL_LOADS  # of those in progress: fewer while the store is crowded
+
+    def _load_speculatively(self, fn: Function) -> None:
+        """Order the copies that waiting requests need: one for each `lanes` of them."""
+        is_warm = self._is_warm(fn)
+        waited_ms = self.now - min(request.held_ms for request in fn.queue)
+        is_early = self.is_wide and waited_ms < self._run_time_ms(fn)  # other front ends load too
+        may_wait = (
+            is_early or len(self.recent_attempts) >= self.limit or not self._is_load_path_on(fn, waited_ms)
+        )
+        if self._awaits_probe(fn) or (is_warm and may_wait):
             return
-        pending = sum(self._is_loading(fn, w) for w in self._known_scorers(fn) if self._is_usable(w, fn))
-        held = sum(not (warm and (r.over_share or (self.is_wide and self._is_late(r)))) for r in fn.queue)
-        for _ in range(math.ceil(held / fn.lanes) - pending):
+        pending = sum(
+            self._is_loading(fn, scorer) for scorer in self._known_scorers(fn) if self._is_usable(scorer, fn)
+        )
+        waiting = sum(self._deserves_load(request, is_warm) for request in fn.queue)
+        for _ in range(math.ceil(waiting / fn.lanes) - pending):
             if not self._may_load():
                 return
-            order = self._rotated_order(fn, fn.queue[0]) + self._ordered(fn)
-            order.sort(key=lambda w: warm and self._is_far(w, fn))  # the first copy stands at its home
-            able = [w for w in order if self._may_load_at(fn, w, warm) and self._serves_any(fn.queue, w)]
-            bare = (w for w in able if not self._copies(fn, w) and w.in_flight < self._in_flight_bound(w, fn))
-            if able:
-                self._load(fn, next(bare, able[0]), warm)
-
-    def _serves_any(self, queue: list[Request], worker: Scorer) -> bool:
+            if (scorer := self._place_for_load(fn, is_warm)) is not None:
+                self._load(fn, scorer, is_warm)
+
+    def _deserves_load(self, request: Request, is_warm: bool) -> bool:
+        """Whether a request counts for another copy, where one is there already."""
+        return not (is_warm and (request.over_share or (self.is_wide and self._is_late(request))))
+
+    def _place_for_load(self, fn: Function, is_warm: bool) -> Scorer | None:
+        """The scorer for one more copy: the first without one and within its bound, else the first that may."""
+        order = self._rotated_order(fn, fn.queue[0]) + self._ordered(fn)
+        order.sort(
+            key=lambda scorer: is_warm and self._is_far(scorer, fn)
+        )  # the first copy goes by hash order
+        able = [
+            scorer
+            for scorer in order
+            if self._may_load_at(fn, scorer, is_warm) and self._serves_any(fn.queue, scorer)
+        ]
+        if not able:
+            return None
+        for scorer in able:
+            if not self._copies(fn, scorer) and scorer.in_flight < self._in_flight_bound(scorer, fn):
+                return scorer
+        return able[0]
+
+    def _serves_any(self, queue: list[Request], scorer: Scorer) -> bool:
         """Whether a copy there helps: one of these requests may be sent to it by its class."""
-        return any(self._may_run_at(request, worker) for request in queue)
-
-    def _load(self, fn: Function, worker: Scorer, warm: bool) -> None:
-        instance = self._copies_at(fn, worker)
-        instance.order_ms, instance.speculative, self.loading = self.now, warm, self.loading + 1
-        instance.order_count = self._copies(fn, worker) + 1
+        return any(self._may_run_at(request, scorer) for request in queue)
+
+    def _load(self, fn: Function, scorer: Scorer, is_warm: bool) -> None:
+        """Order one copy more at a scorer."""
+        place = self._copies_at(fn, scorer)
+        place.order_ms = self.now
+        place.speculative = is_warm
+        place.order_count = self._copies(fn, scorer) + 1
+        self.loading += 1
         self.load_orders_ms.append(self.now)
-        self._expect_answer(worker)
-        self.actions.append(io.OrderCopies(worker.id, fn.name, instance.order_count))
-
-    def _load_answered(self, fn: Function, instance: ScorerCopies, event: io.LoadOrderAnswered) -> None:
-        good, took = event.result is io.AttemptResult.GOOD, self.now - instance.order_ms
-        timely = took < LOAD_SLOW * (fn.load_told_ms or self._load_time_ms(fn)) and good
-        instance.order_ms, self.loading = None, self.loading - 1
-        fn.loads.timed.extend([(self.now, took)] * good)
-        instance.blocked_ms = instance.blocked_ms if good else self.now + BLOCK_MS
-        if event.result in (
-            io.AttemptResult.GOOD,
-            io.AttemptResult.ERROR,
-        ):  # fewer after slow or failed: guards the store
-            limit = self.loads_limit + (1 / self.loads_limit if timely else -0.2 * self.loads_limit)
-            self.loads_limit = min(MAX_LOADS, max(MIN_LOADS, limit))
-
-    def _load_path(self, fn: Function, waited_ms: float) -> bool:  # the switch: off at Ti > Te, on at Td > Tp
+        self._expect_answer(scorer)
+        self.actions.append(io.OrderCopies(scorer.id, fn.name, place.order_count))
+
+    def _load_answered(self, fn: Function, place: ScorerCopies, event: io.LoadOrderAnswered) -> None:
+        """Take the answer to a load order: its time, and what it shows of the store."""
+        is_good = event.result is io.AttemptResult.GOOD
+        took_ms = self.now - place.order_ms
+        is_timely = took_ms < LOAD_SLOW * (fn.load_told_ms or self._load_time_ms(fn)) and is_good
+        place.order_ms = None
+        self.loading -= 1
+        if is_good:
+            fn.loads.timed.append((self.now, took_ms))
+        else:
+            place.blocked_ms = self.now + BLOCK_MS
+        if event.result in (io.AttemptResult.GOOD, io.AttemptResult.ERROR):
+            # Slow and failed loads are followed by fewer at once: this guards the store.
+            change = 1 / self.loads_limit if is_timely else -0.2 * self.loads_limit
+            self.loads_limit = min(MAX_LOADS, max(MIN_LOADS, self.loads_limit + change))
+
+    def _is_load_path_on(self, fn: Function, waited_ms: float) -> bool:
+        """Switch speculative loads off when Ti > Te and on when Td > Tp; tells whether they are on."""
         if fn.load_path:
-            unused = [self.now - i.unused_ms for i in fn.copies_by_scorer.values() if i.unused_ms is not None]
-            flip = (
-                max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.is_wide
-            )  # others use it too
+            unused = [
+                self.now - place.unused_ms
+                for place in fn.copies_by_scorer.values()
+                if place.unused_ms is not None
+            ]
+            # In a wide fleet other front ends use the copy too.
+            flips = max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.is_wide
         else:
-            flip = max(waited_ms, fn.waits.median(self.now) or 0.0) > self._load_time_ms(fn)
-        if flip:
-            fn.load_path, fn.idle_ms, fn.waits = not fn.load_path, 0.0, Samples()
-        for instance in fn.copies_by_scorer.values() if flip else ():
-            instance.unused_ms = None
+            flips = max(waited_ms, fn.waits.median(self.now) or 0.0) > self._load_time_ms(fn)
+        if flips:
+            fn.load_path = not fn.load_path
+            fn.idle_ms = 0.0
+            fn.waits = Samples()
+            for place in fn.copies_by_scorer.values():
+                place.unused_ms = None
         return fn.load_path
 
-    def _may_load(self) -> bool:  # anything, anywhere
-        return (
-            self.loading < self.loads_limit
-            and self.settings.load_orders_allowed
-            and self._load_rate_left() >= 1
-        )
-
-    def _may_load_at(self, fn: Function, worker: Scorer, warm: bool) -> bool:
-        blocked_ms = (fn.copies_by_scorer.get(worker.id) or ScorerCopies()).blocked_ms
-        free = self.now >= blocked_ms and self._is_usable(worker, fn) and not self._is_loading(fn, worker)
-        free = free and self._copies(fn, worker) < MAX_COPIES
-        return free and not (
-            warm and (worker.in_flight >= worker.limit or not self._within_slow_start_limit(worker))
+    def _may_load(self) -> bool:
+        """Whether any load may be ordered now, wherever."""
+        is_allowed = self.loading < self.loads_limit and self.settings.load_orders_allowed
+        return is_allowed and self._load_rate_left() >= 1
+
+    def _may_load_at(self, fn: Function, scorer: Scorer, is_warm: bool) -> bool:
+        """Whether a load may be ordered at a scorer; while warm copies exist, not where calls have no room."""
+        place = fn.copies_by_scorer.get(scorer.id)
+        if place is not None and self.now < place.blocked_ms:
+            return False
+        if not self._is_usable(scorer, fn) or self._is_loading(fn, scorer):
+            return False
+        if self._copies(fn, scorer) >= MAX_COPIES:
+            return False
+        return not (
+            is_warm and (scorer.in_flight >= scorer.limit or not self._within_slow_start_limit(scorer))
         )
 
-    def _is_loading(self, fn: Function, worker: Scorer) -> bool:  # by an own order, or another's, as told
-        told, own = (
-            worker.remote_load,
-            (fn.copies_by_scorer.get(worker.id) or ScorerCopies()).order_ms is not None,
-        )
-        others = fn.name in told.loading and self._has_remote_load(worker, self._load_time_ms(fn))
-        return own or (others and self._copies(fn, worker) <= told.copies.get(fn.name, 0))  # else it has come
-
-    def _load_rate_left(self) -> float:  # of orders to load: some are free, and a part of the arrivals
-        window = self.settings.load_window_ms
-        while (
-            self.load_orders_ms
-            and self.load_orders_ms[0] < self.now - window - self.settings.tick_ms - ORDER_TRANSIT_MS
-        ):
+    def _is_loading(self, fn: Function, scorer: Scorer) -> bool:
+        """Whether a load is in progress there, by an own order or by another's that was reported."""
+        place = fn.copies_by_scorer.get(scorer.id)
+        if place is not None and place.order_ms is not None:
+            return True
+        report = scorer.remote_load
+        if fn.name not in report.loading or not self._has_remote_load(scorer, self._load_time_ms(fn)):
+            return False
+        return self._copies(fn, scorer) <= report.copies.get(fn.name, 0)  # else it is complete
+
+    def _load_rate_left(self) -> float:
+        """Load orders that the rate limit leaves: some are free, the rest is a part of the arrivals."""
+        window_ms = self.settings.load_window_ms
+        kept_from_ms = self.now - window_ms - self.settings.tick_ms - ORDER_TRANSIT_MS
+        while self.load_orders_ms and self.load_orders_ms[0] < kept_from_ms:
             self.load_orders_ms.popleft()
-        ration = self.settings.free_loads + self.settings.load_part * len(self.arrivals_ms)
-        return ration - len(self.load_orders_ms) if window > 0 else math.inf
+        limit = self.settings.free_loads + self.settings.load_part * len(self.arrivals_ms)
+        return limit - len(self.load_orders_ms) if window_ms > 0 else math.inf
 
     def _refresh_copies(self) -> None:
-        """Renew a copy of each function called lately before it lapses. Harm: less room in a squeeze."""
-        held, life = sum(len(fn.queue) for fn in self.functions.values()), self.settings.idle_life_ms
-        calm = REFRESH_QUEUE_RATIO * held <= len(self.requests) and not self.is_wide and self._may_load()
-        for fn in self.functions.values() if calm else ():  # in a wide fleet others' calls renew as well
-            told = [
-                (i.seen_ms, n) for n, i in fn.copies_by_scorer.items() if self._copies(fn, self.scorers[n])
+        """Refresh one copy of each function called lately before it expires.
+
+        The cost: less capacity in a shortage. In a wide fleet the calls of other front ends do it.
+        """
+        waiting = sum(len(fn.queue) for fn in self.functions.values())
+        is_calm = REFRESH_QUEUE_RATIO * waiting <= len(self.requests) and not self.is_wide
+        if not (is_calm and self._may_load()):
+            return
+        for fn in self.functions.values():
+            seen = [
+                (place.seen_ms, number)
+                for number, place in fn.copies_by_scorer.items()
+                if self._copies(fn, self.scorers[number])
             ]
-            called = max(fn.last_ms, default=-math.inf) + REFRESH_LIFETIMES * life > self.now
-            if told and called and self._load_rate_left() > len(self.load_orders_ms):
-                self._keep_copies(fn, self.scorers[max(told)[1]], 1)
-
-    def _keep_copies(
-        self, fn: Function, worker: Scorer, copies: int
-    ) -> None:  # one more, or those about to lapse
-        if worker in self._ordered(fn) and self._may_load_at(fn, worker, warm=True):
-            if self._copies(fn, worker) < copies:
-                self._load(fn, worker, warm=False)
-            elif (
-                fn.copies_by_scorer[worker.id].seen_ms + self.settings.idle_life_ms
-                < self.now + 2 * REFRESH_MS
-            ):
-                self.load_orders_ms.append(self.now)
-                self._probe(fn, worker, copies)
-
-    def _on_prefetch(
-        self, event: io.PrefetchRequested
-    ) -> None:  # calls first: an order for each held one is left
-        worker, held = self.scorers.get(event.scorer), sum(len(fn.queue) for fn in self.functions.values())
-        if worker and event.copies > 0 and self._may_load() and self._load_rate_left() >= held + 1:
+            refreshed_until_ms = (
+                max(fn.last_ms, default=-math.inf) + REFRESH_LIFETIMES * self.settings.idle_life_ms
+            )
+            # Half of the load rate is left to loads.
+            if seen and refreshed_until_ms > self.now and self._load_rate_left() > len(self.load_orders_ms):
+                self._keep_copies(fn, self.scorers[max(seen)[1]], 1)
+
+    def _keep_copies(self, fn: Function, scorer: Scorer, copies: int) -> None:
+        """Have `copies` copies at a scorer: order one more, or refresh those that are about to expire."""
+        if scorer not in self._ordered(fn) or not self._may_load_at(fn, scorer, is_warm=True):
+            return
+        if self._copies(fn, scorer) < copies:
+            self._load(fn, scorer, is_warm=False)
+            return
+        expires_ms = fn.copies_by_scorer[scorer.id].seen_ms + self.settings.idle_life_ms
+        if expires_ms < self.now + 2 * REFRESH_MS:
+            self.load_orders_ms.append(self.now)
+            self._probe(fn, scorer, copies)
+
+    def _on_prefetch(self, event: io.PrefetchRequested) -> None:
+        """Prefetch copies, if a load order for each waiting call is left besides."""
+        scorer = self.scorers.get(event.scorer)
+        waiting = sum(len(fn.queue) for fn in self.functions.values())
+        if scorer and event.copies > 0 and self._may_load() and self._load_rate_left() >= waiting + 1:
             fn = self._function(event)
             fn.needed_ms = self.now
-            self._keep_copies(fn, worker, event.copies)
-
-    def _probe(self, fn: Function, worker: Scorer, copies: int = 0) -> None:
-        instance = self._copies_at(fn, worker)
-        instance.open_probes, instance.probed_ms, fn.probed_ms = instance.open_probes + 1, self.now, self.now
-        self._expect_answer(worker)
-        self.actions.append(io.OrderCopies(worker.id, fn.name, copies))
-
-    def _awaits_probe(
-        self, fn: Function
-    ) -> bool:  # answers to questions are awaited, for a round trip at the most
-        return self.now - fn.probed_ms < PROBE_WAIT_MS and any(
-            i.open_probes for i in fn.copies_by_scorer.values()
-        )
+            self._keep_copies(fn, scorer, event.copies)
+
+    def _probe(self, fn: Function, scorer: Scorer, copies: int = 0) -> None:
+        """Ask a scorer how many copies are loaded; with `copies`, that many are refreshed as well."""
+        place = self._copies_at(fn, scorer)
+        place.open_probes += 1
+        place.probed_ms = self.now
+        fn.probed_ms = self.now
+        self._expect_answer(scorer)
+        self.actions.append(io.OrderCopies(scorer.id, fn.name, copies))
+
+    def _awaits_probe(self, fn: Function) -> bool:
+        """Whether answers to probes are awaited, for a round trip at the most."""
+        is_recent = self.now - fn.probed_ms < PROBE_WAIT_MS
+        return is_recent and any(place.open_probes for place in fn.copies_by_scorer.values())
