--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -1,4 +1,4 @@
-"""Loads of copies: speculative loads and their switch, the load rate limit, copy refresh, prefetch, probes."""
+"""Loads of copies: speculative loads, their switch, the load rate limit, copy refresh, prefetch, probes."""
 
 import math
 
@@ -56,11 +56,10 @@
         return not (is_warm and (request.over_share or (self.is_wide and self._is_late(request))))
 
     def _place_for_load(self, fn: Function, is_warm: bool) -> Scorer | None:
-        """The scorer for one more copy: the first without one and within its bound, else the first that may."""
+        """The scorer for one more copy: the first without one and within its bound, else the first."""
         order = self._rotated_order(fn, fn.queue[0]) + self._ordered(fn)
-        order.sort(
-            key=lambda scorer: is_warm and self._is_far(scorer, fn)
-        )  # the first copy goes by hash order
+        # The first copy goes by hash order alone.
+        order.sort(key=lambda scorer: is_warm and self._is_far(scorer, fn))
         able = [
             scorer
             for scorer in order
@@ -130,7 +129,7 @@
         return is_allowed and self._load_rate_left() >= 1
 
     def _may_load_at(self, fn: Function, scorer: Scorer, is_warm: bool) -> bool:
-        """Whether a load may be ordered at a scorer; while warm copies exist, not where calls have no room."""
+        """Whether a load may be ordered at a scorer; beside warm copies, only where calls have capacity."""
         place = fn.copies_by_scorer.get(scorer.id)
         if place is not None and self.now < place.blocked_ms:
             return False
@@ -144,13 +143,13 @@
 
     def _is_loading(self, fn: Function, scorer: Scorer) -> bool:
         """Whether a load is in progress there, by an own order or by another's that was reported."""
+        report = scorer.remote_load
+        # First of all, as the median load time is computed anew when it is asked for.
+        is_reported = fn.name in report.loading and self._has_remote_load(scorer, self._load_time_ms(fn))
         place = fn.copies_by_scorer.get(scorer.id)
         if place is not None and place.order_ms is not None:
             return True
-        report = scorer.remote_load
-        if fn.name not in report.loading or not self._has_remote_load(scorer, self._load_time_ms(fn)):
-            return False
-        return self._copies(fn, scorer) <= report.copies.get(fn.name, 0)  # else it is complete
+        return is_reported and self._copies(fn, scorer) <= report.copies.get(fn.name, 0)  # else complete
 
     def _load_rate_left(self) -> float:
         """Load orders that the rate limit leaves: some are free, the rest is a part of the arrivals."""
