--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -12,24 +12,24 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Wire
-from fawnwharf.net.end_reasons import End, told
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.scorers import ScorerPool
-from fawnwharf.net.streams import Answer, Attempt, Order
+from fawnwharf.net.end_reasons import EndReason, attempt_result
+from fawnwharf.net.event_loop import EventLoop
+from fawnwharf.net.scorer_pool import ScorerPool
+from fawnwharf.net.scorer_streams import Answer, Attempt, LoadOrder
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-BODIES_MOST = 32 * 1024 * 1024  # bytes of open requests' bodies: part of the memory limit
-FULL_PUSHBACK_MS = 250.0  # advice where this front end can hold no more; the module never saw the request
-CROWD_MOST = 30
+MAX_BODY_BYTES = 32 * 1024 * 1024  # bytes of open requests' bodies: part of the memory limit
+FULL_RETRY_AFTER_MS = 250.0  # advice where this front end can hold no more; the module never saw the request
+MAX_CONCURRENCY = 30
 
 
 @dataclass(slots=True)
-class Served:
+class Succeeded:
     body: bytes
 
 
 @dataclass(slots=True)
-class Refused:
+class Rejected:
     hold_off_ms: float
 
 
@@ -38,7 +38,7 @@
     pass
 
 
-Outcome = Served | Refused | Failed
+Outcome = Succeeded | Rejected | Failed
 
 
 def _nothing_to_check() -> None:
@@ -75,16 +75,16 @@
     left: bool = False  # its client waits no more, or its time is up
 
 
-class Witness(Protocol):
+class RequestObserver(Protocol):
     """Who is told what goes to scorers and comes back, as it does."""
 
     def sent(self, attempt: Attempt) -> None: ...
 
     def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None: ...
 
-    def ordered(self, order: Order) -> None: ...
+    def ordered(self, order: LoadOrder) -> None: ...
 
-    def order_ended(self, order: Order, ending: io.AttemptResult, copies: int) -> None: ...
+    def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None: ...
 
 
 class RequestTable:
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         pool: ScorerPool,
         wire: Wire,
         classes: Mapping[str, io.ClassSpec] = MappingProxyType({}),
@@ -101,13 +101,13 @@
         self._classes = classes
         self.open: dict[str, OpenRequest] = {}
         self._loop, self._pool, self._wire = loop, pool, wire
-        self.witness: Witness | None = None
+        self.observer: RequestObserver | None = None
         self._bodies = 0
         self._numbers = itertools.count(1)
         # Attempts that are out, also of requests that are over: the module may still call them off.
         self._out: dict[tuple[str, int], Attempt] = {}
         # Orders to load that are out, by function, if a request for it was open here as they were made.
-        self._orders: dict[str, list[Order]] = {}
+        self._orders: dict[str, list[LoadOrder]] = {}
         # Tickets of arrivals that the module is yet to be handed: what ends before then it never hears of.
         self._untold: dict[str, int] = {}
         # Requests that ended while the module did not know it yet, of this batch and of the one before.
@@ -118,14 +118,14 @@
 
     def take(self, call: Call) -> str | None:
         """The key of a new request; None where it was refused at once, untouched."""
-        if len(self.open) >= self._wire.max_open or self._bodies + len(call.body) > BODIES_MOST:
-            call.reply(Refused(FULL_PUSHBACK_MS))
+        if len(self.open) >= self._wire.max_open or self._bodies + len(call.body) > MAX_BODY_BYTES:
+            call.reply(Rejected(FULL_RETRY_AFTER_MS))
             return None
         key = f"r{next(self._numbers)}"
         self._bodies += len(call.body)
-        backstop = self._loop.wheel.after(call.budget_ms, lambda: self._overdue(key))
-        self.open[key] = OpenRequest(key, call, self._loop.turn_ms + call.budget_ms, backstop)
-        self._untold[key] = self._loop.tell(
+        backstop = self._loop.timers.after(call.budget_ms, lambda: self._overdue(key))
+        self.open[key] = OpenRequest(key, call, self._loop.iteration_ms + call.budget_ms, backstop)
+        self._untold[key] = self._loop.enqueue(
             io.RequestArrived(
                 key, call.function, call.class_name, call.tenant, call.budget_ms, call.lanes,
                 call.memory_mb, call.load_ms,
@@ -149,11 +149,11 @@
         if request := self._close(key):
             request.left = True
             if (ticket := self._untold.pop(key, None)) is not None:
-                self._loop.untell(ticket)
+                self._loop.discard(ticket)
             else:
                 self._ended[key] = request
-                self._loop.tell(io.RequestCancelled(key))
-            self._take_back(request)
+                self._loop.enqueue(io.RequestCancelled(key))
+            self._cancel_unsent_work(request)
         return request
 
     def _close(self, key: str) -> OpenRequest | None:
@@ -167,20 +167,20 @@
         if request := self._close(key):
             self._ended[key] = request
             request.call.reply(outcome)
-            self._take_back(request)
+            self._cancel_unsent_work(request)
 
-    def _take_back(self, request: OpenRequest) -> None:
+    def _cancel_unsent_work(self, request: OpenRequest) -> None:
         """What no byte has left of, of a request that is over: its attempts, and orders to load that were
         made for requests of its function of which none waits any more. Settings don't matter here, as no
         scorer hears of it."""
         for number in range(request.attempts):
             if attempt := self._out.get((request.key, number)):
-                self._pool.take_back(attempt)
+                self._pool.cancel_unsent(attempt)
         function = request.call.function
         orders = [order for order in self._orders.get(function, ()) if not order.begun]
         if orders and not self._is_asked(function):
             for order in orders:
-                self._pool.take_back(order)
+                self._pool.cancel_unsent(order)
 
     def _check_clients(self, function: str) -> None:
         """Have requests for the function withdrawn whose client has ended its connection meanwhile."""
@@ -206,7 +206,9 @@
             request.call.check_client()
         number, request.attempts = request.attempts, request.attempts + 1
         if key not in self.open:  # it ended in the very batch that this answers
-            self._loop.tell(io.AttemptEnded(key, number, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True))
+            self._loop.enqueue(
+                io.AttemptEnded(key, number, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True)
+            )
             return
         call = request.call
         attempt = self._out[key, number] = Attempt(
@@ -218,18 +220,18 @@
             token=call.token,
             body=call.body,
             deadline_ms=request.deadline_ms,
-            begin_by_ms=self._loop.turn_ms + action.within_ms,
+            begin_by_ms=self._loop.iteration_ms + action.within_ms,
         )
-        if self.witness:
-            self.witness.sent(attempt)
+        if self.observer:
+            self.observer.sent(attempt)
         self._pool.send(attempt)
 
     def cancel(self, action: io.Cancel) -> None:
         if attempt := self._out.get((action.request, action.attempt)):
             self._pool.cancel(attempt)
 
-    def refuse(self, action: io.Reject) -> None:
-        self._finish(action.request, Refused(action.hold_off_ms))
+    def reject(self, action: io.Reject) -> None:
+        self._finish(action.request, Rejected(action.hold_off_ms))
 
     def fail(self, action: io.Fail) -> None:
         self._finish(action.request, Failed())
@@ -237,24 +239,27 @@
     # --- from scorers -------------------------------------------------------------------------
 
     def _attempt_ended(
-        self, key: str, number: int, attempt: Attempt, end: End | None, answer: Answer | None
+        self, key: str, number: int, attempt: Attempt, end: EndReason | None, answer: Answer | None
     ) -> None:
         del self._out[key, number]
         if answer is None:
             whole = attempt.whole or not self._may_repeat(attempt)
-            ending, warmth = told(end or End.NEVER_SENT, attempt.begun, whole), io.Warmth.UNTOLD
+            ending, warmth = (
+                attempt_result(end or EndReason.NEVER_SENT, attempt.begun, whole),
+                io.Warmth.UNTOLD,
+            )
             crowd = None
         else:
             ending, warmth, crowd = answer.ending, answer.warmth, self._crowd(answer)
         good = answer is not None and ending is io.AttemptResult.GOOD
-        if self.witness:
-            self.witness.ended(attempt, ending, warmth)
+        if self.observer:
+            self.observer.ended(attempt, ending, warmth)
         took = monotonic_ms() - attempt.began_ms
         closed = good or key not in self.open
         # Told before it is finished, as that ends its other attempts: the module takes ends in their order.
-        self._loop.tell(io.AttemptEnded(key, number, attempt.worker, ending, took, closed, warmth, crowd))
+        self._loop.enqueue(io.AttemptEnded(key, number, attempt.worker, ending, took, closed, warmth, crowd))
         if good:
-            self._finish(key, Served(answer.body))
+            self._finish(key, Succeeded(answer.body))
 
     def _may_repeat(self, attempt: Attempt) -> bool:
         """Whether what can't have run may be sent again, though some of it was written."""
@@ -264,36 +269,38 @@
     def _crowd(self, answer: Answer) -> int | None:
         if not self._wire.tells_crowd or answer.ending not in (io.AttemptResult.GOOD, io.AttemptResult.FULL):
             return None
-        return min(CROWD_MOST, answer.crowd)
+        return min(MAX_CONCURRENCY, answer.crowd)
 
-    def order(self, action: io.OrderCopies) -> None:
-        order = Order(action.scorer, self._order_ended, action.function, action.copies)
-        if self.witness:
-            self.witness.ordered(order)
+    def start_load(self, action: io.OrderCopies) -> None:
+        order = LoadOrder(action.scorer, self._order_ended, action.function, action.copies)
+        if self.observer:
+            self.observer.ordered(order)
         if order.copies:
             self._check_clients(order.function)
         if order.copies and self._is_asked(order.function):
             self._orders.setdefault(order.function, []).append(order)
         elif order.copies and self._was_asked(order.function):
-            self._order_ended(order, End.NEVER_SENT, None)
+            self._order_ended(order, EndReason.NEVER_SENT, None)
             return
-        self._pool.order(order)
+        self._pool.start_load(order)
 
     def _was_asked(self, function: str) -> bool:
         """Whether a client left that waited for the function in the very batch that is carried out."""
         ended = itertools.chain(self._ended.values(), self._ended_before.values())
         return any(request.left and request.call.function == function for request in ended)
 
-    def _order_ended(self, order: Order, end: End | None, answer: Answer | None) -> None:
+    def _order_ended(self, order: LoadOrder, end: EndReason | None, answer: Answer | None) -> None:
         self._forget(order)
         took = monotonic_ms() - order.began_ms
-        ending = answer.ending if answer else told(end or End.NEVER_SENT, order.begun, order.whole)
+        ending = (
+            answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, order.begun, order.whole)
+        )
         copies = answer.copies if answer else 0
-        if self.witness:
-            self.witness.order_ended(order, ending, copies)
-        self._loop.tell(io.LoadOrderAnswered(order.worker, order.function, ending, copies, took))
+        if self.observer:
+            self.observer.order_ended(order, ending, copies)
+        self._loop.enqueue(io.LoadOrderAnswered(order.worker, order.function, ending, copies, took))
 
-    def _forget(self, order: Order) -> None:
+    def _forget(self, order: LoadOrder) -> None:
         orders = self._orders.get(order.function, [])
         if order in orders:
             orders.remove(order)
--- a/fawnwharf/policy_rollout/message_batcher.py
+++ b/fawnwharf/policy_rollout/message_batcher.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.zones.log_lines import ClientMessage
 from fawnwharf.zones.service import ZoneService
@@ -17,7 +17,7 @@
 class MessageBatcher:
     """Queues messages up to the end of the event loop iteration; lease renewals wait a little for others."""
 
-    def __init__(self, loop: Loop, zones: ZoneService, dropped: Callable[[str], None]) -> None:
+    def __init__(self, loop: EventLoop, zones: ZoneService, dropped: Callable[[str], None]) -> None:
         """`dropped` is told why messages are dropped."""
         self._loop, self._zones, self._dropped = loop, zones, dropped
         self._queue: list[m.Send] = []
@@ -32,10 +32,10 @@
         """Queue a message."""
         self._queue.append(say)
         if not self._is_renewal(say):
-            self._loop.flush_later(self)
+            self._loop.schedule_flush(self)
         elif not self._renews:
             self._renews = True
-            self._loop.wheel.after(RENEW_MS, self.flush)
+            self._loop.timers.after(RENEW_MS, self.flush)
 
     def _is_renewal(self, say: m.Send) -> bool:
         """Whether it is a lease like the member's last one, which is noted."""
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
 from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
@@ -36,7 +36,7 @@
     """The door, before whatever stands there."""
     classes, promises = front.deployment.settings.classes, StoredClaims(state.gate, state.core)
     return RecoveryAdmission(
-        front.loop, front.port.table, classes, limits, promises, settings.timing.window_ms
+        front.loop, front.client_port.requests, classes, limits, promises, settings.timing.window_ms
     )
 
 
@@ -55,7 +55,7 @@
     ) -> None:
         self.front, self.state = front, state
         self.limits = fleet_limits(front.deployment.settings, settings.fetches, settings.scorer_rps)
-        self.giving = PermitIssuer(state.entry.name, life, self.limits, self._order, room=self._room)
+        self.giving = PermitIssuer(state.member.name, life, self.limits, self._order, room=self._room)
         self.giving.word_ms = settings.timing.alone_ms
         self.counts: dict[str, int] = {}
         self._going: tuple[AllowedActions, int, int, PermitAssignment | None] = (AllowedActions(), 0, 1, None)
@@ -69,23 +69,25 @@
         self.door = door(front, state, settings, self.limits)
         self.holds: LoadOrderGate | None = None
         self._order_out: Callable[[io.OrderCopies], None] | None = None
-        front.stand_between(io.OrderCopies, self._between)
-        state.riders[LOG_CLIENT] = self._ridden
+        front.intercept(io.OrderCopies, self._between)
+        state.log_clients[LOG_CLIENT] = self._ridden
         self.roster()
         self._turn()
 
     def close(self) -> None:
         self._stopped = True
-        self.state.riders.pop(LOG_CLIENT, None)
+        self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.OrderCopies, lambda _own: self._order_out)
+        self.front.intercept(io.OrderCopies, lambda _own: self._order_out)
         if not self._going[0].spill:
             self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
     def _between(self, below: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
         front, self._order_out = self.front, below
-        self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
+        self.holds = LoadOrderGate(
+            below, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open
+        )
         return self.holds.carry
 
     # --- what is allowed ------------------------------------------------------------------------
@@ -104,8 +106,8 @@
 
     def _set(self, now_ms: float) -> None:
         allowed, cut, fronts, dealt = self._going
-        self._heard = frozenset(self.state.alive(now_ms)) | {self.state.entry.name}
-        self.giving.set(now_ms, self._heard, self.state.core.placement.keepers, allowed, cut, dealt)
+        self._heard = frozenset(self.state.live_members(now_ms)) | {self.state.member.name}
+        self.giving.set(now_ms, self._heard, self.state.core.placement.replicas, allowed, cut, dealt)
         rate_ps = allowed.part * self.limits.fall_multiple * self.limits.calls_rps(self.ages()) / fronts
         self.door.go_by(allowed, rate_ps, self.giving)
         self.holds.go_by(allowed, self.giving)
@@ -123,9 +125,9 @@
     def roster(self) -> None:
         """The roster as it is told by now."""
         now, found = monotonic_ms(), {}
-        for member in self.front.overlay.members.values():
+        for member in self.front.roster_overlay.members.values():
             if member.phase == "in_service":
-                found[worker_number(member.id)] = member.up_since_ms or None
+                found[scorer_number(member.id)] = member.up_since_ms or None
         for id in [id for id in self._up_ms if id not in found]:
             self._carry_out(self.giving.gone(now, id))
         self._up_ms = found
@@ -164,7 +166,7 @@
         self._set(now)
         self._carry_out(self.giving.tick(now))
         calm = self._going[0].spill
-        self._timer = self.front.loop.wheel.after(CALM_TICK_MS if calm else TICK_MS, self._turn)
+        self._timer = self.front.loop.timers.after(CALM_TICK_MS if calm else TICK_MS, self._turn)
 
     def _ridden(self, now_ms: float, sender: str, _life: int, data: Any) -> None:
         try:
@@ -180,11 +182,11 @@
     def _carry_out(self, found: list[actions.Action]) -> None:
         for out in found:
             if isinstance(out, actions.SendPermitMessage):
-                self.state.ride(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
+                self.state.send_message(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, actions.LoadOrder):
                 if isinstance(out.what, io.OrderCopies):
-                    self.front.table.order(out.what)
+                    self.front.requests.start_load(out.what)
                 else:
-                    self.front.loop.tell(out.what)
+                    self.front.loop.enqueue(out.what)
             else:
                 self.door.told(out)
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -36,7 +36,7 @@
         settings = s.settings_from(Path(sessions).read_bytes())
         place = state
         kept = rs.parse_settings(Path(state).read_bytes())
-        members = membership_from((Path(state).parent / kept.members).read_bytes())
+        members = membership_from((Path(state).parent / kept.membership_file).read_bytes())
     except OSError as error:
         _fail(f"sessions: {error.filename}: {error.strerror}")
     except SettingsFileError as error:
@@ -60,9 +60,9 @@
             read = json.loads(line)
             if not isinstance(read, dict) or "line" not in read:
                 continue
-            say = parse_line(read["line"]).say
-            if isinstance(say, ClientMessage) and say.rider == w.RIDER:
-                found = w.word_from(say.word)
+            say = parse_line(read["line"]).message
+            if isinstance(say, ClientMessage) and say.client == w.RIDER:
+                found = w.word_from(say.message)
                 if isinstance(found, w.Status):
                     return found
     raise ValueError("it told nothing of sessions")
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -80,7 +80,7 @@
     def attach(self, front: FrontEnd) -> None:
         """Begin on the front end's loop."""
         self.front = front
-        self.state.riders[RIDER] = self._heard
+        self.state.log_clients[RIDER] = self._heard
         self._beat()
 
     def close(self) -> None:
@@ -88,7 +88,7 @@
         if self._stopped or self.front is None:
             return
         self._stopped = True
-        self.state.riders.pop(RIDER, None)
+        self.state.log_clients.pop(RIDER, None)
         if self._timer is not None:
             self._timer.cancel()
         beside = self._memory.with_suffix(".new")
@@ -125,7 +125,7 @@
             self.staging.go_by(self.policies.staging)
         beat = self.staging.beat(now, self._seen)
         self._carry_out(now, beat)
-        self._timer = self.front.loop.wheel.after(beat.again_ms, self._beat)
+        self._timer = self.front.loop.timers.after(beat.again_ms, self._beat)
 
     def _foretold(self, now_ms: float) -> None:
         """A trial tells of moves as it draws them; a file that can't be read changes nothing."""
@@ -157,10 +157,10 @@
 
     def _carry_out(self, now_ms: float, beat: Beat) -> None:
         for word in beat.words:
-            self.state.ride(RIDER, (), word)
+            self.state.send_message(RIDER, (), word)
         self.ordered += len(beat.wanted)
         for wanted in beat.wanted:
-            self.front.loop.tell(wanted)
+            self.front.loop.enqueue(wanted)
         if beat.moves:
             self.agent.expected(now_ms, beat.moves)
 
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -85,7 +85,7 @@
 
     def _own_zone(self) -> str:
         """This front end's zone; raises ConfigError where the file of members says another one."""
-        entry, zone = self.state.entry, self.deployment.settings.zone
+        entry, zone = self.state.member, self.deployment.settings.zone
         if entry.zone != zone:
             told = f"{entry.name} is of zone {entry.zone}, and its configuration says {zone}"
             raise ConfigError(f"sessions: {told}")
@@ -94,18 +94,18 @@
     def _made_agent(self, fresh: bool) -> Agent:
         core = self.state.core
         agent = Agent(
-            self.state.entry.name,
-            self.state.life,
+            self.state.member.name,
+            self.state.incarnation,
             self._sites(),
-            core.placement.keepers,
-            lambda key: self.state.core.placement.of(key),
+            core.placement.replicas,
+            lambda key: self.state.core.placement.replicas_of(key),
             self.settings,
             self.deployment.settings.classes,
             monotonic_ms(),
             fresh,
             core.placement.number,
         )
-        agent.spent = lambda org: core.shares.counts.get(org, 0) if core.shares else 0
+        agent.spent = lambda org: core.quota_shares.counts.get(org, 0) if core.quota_shares else 0
         return agent
 
     def _open_trace(self, folder: Path, name: str) -> Trace | None:
@@ -126,8 +126,8 @@
         """Begin on the front end's loop."""
         self.front, self.places = front, Places(front, self.site)
         self.agent.router.uses = self.places.uses
-        self.state.riders[w.RIDER] = self._heard
-        self.state.followers.append(self.agent.followed)
+        self.state.log_clients[w.RIDER] = self._heard
+        self.state.follower_callbacks.append(self.agent.followed)
         self._left.take(self.agent.router, set(self.agent.sites.values()), monotonic_ms(), unix_ms())
         if (data := self._wishes_file.changed()) is not None:
             self._wished(data, begin=False)  # what was asked of an earlier process was begun there
@@ -143,7 +143,7 @@
             self._left.leave(self.agent.router, monotonic_ms(), unix_ms())
         self._stopped = True
         self._outbox.close()
-        self.state.riders.pop(w.RIDER, None)
+        self.state.log_clients.pop(w.RIDER, None)
         if self.trace is not None:
             self.trace.close()
             self.trace = None
@@ -152,7 +152,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Changes of the roster matter nothing here."""
 
     @property
@@ -162,7 +162,7 @@
 
     # --- what happens here ----------------------------------------------------------------------
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Set the placement of each call that came, and take how calls and load orders ended."""
         now = monotonic_ms()
         if self.foreseen is not None:
@@ -219,7 +219,7 @@
             if isinstance(order, io.OrderCopies):
                 self._ask(order)
             else:
-                self.front.loop.tell(order)
+                self.front.loop.enqueue(order)
 
     def _ask(self, question: io.OrderCopies) -> None:
         """Probe a scorer for copies of a function.
@@ -228,7 +228,7 @@
         own order, so where one is in progress that is waited for.
         """
         if not self._is_loading(question.scorer, question.function):
-            self.front.table.order(question)
+            self.front.requests.start_load(question)
 
     def _is_loading(self, worker: int, row: str) -> bool:
         """Whether the module has an order for a function there."""
@@ -250,7 +250,7 @@
         if all_words:
             self._outbox.hurry()
         if self._outbox.urgent:
-            self.front.loop.flush_later(self._outbox)
+            self.front.loop.schedule_flush(self._outbox)
         if self.agent.pace_ms() < self._timer_ms - now_ms:
             self._set_timer(now_ms)
 
@@ -271,7 +271,7 @@
             return
         try:
             for worker in self.stages.where(now_ms, effect.row):
-                if self.front.pool.unload(worker, effect.row):
+                if self.front.scorer_pool.unload(worker, effect.row):
                     self._ask(io.OrderCopies(worker, effect.row, 0))
         except ValueError as error:
             self._once("not let go", {"why": str(error)})
@@ -308,7 +308,7 @@
         now, agent = monotonic_ms(), self.agent
         if (placed := self.state.core.placement) is not self._placed:
             self._placed = placed
-            agent.place(now, self._sites(), placed.keepers, placed.number)
+            agent.place(now, self._sites(), placed.replicas, placed.number)
         self._left.look(agent.router, now, unix_ms())
         if now - self._files_ms >= FILES_MS:
             self._files_ms = now
@@ -316,7 +316,7 @@
                 self._wished(data)
         agent.close(now, self._closed(now), self._shares())
         agent.room = self._room()
-        agent.tick(now, self.state.alive(now), self.front.table.open.__contains__)
+        agent.tick(now, self.state.live_members(now), self.front.requests.open.__contains__)
         self._tell(self.stages.tick(now))
         self._staged(now)
         if (sure := agent.sure(now)) != self._was_sure and agent.keeper is not None:
@@ -332,7 +332,7 @@
             self._timer.cancel()
         pace = self.agent.pace_ms()
         self._timer_ms = now_ms + pace
-        self._timer = self.front.loop.wheel.after(pace, self._look)
+        self._timer = self.front.loop.timers.after(pace, self._look)
 
     def _closed(self, now_ms: float) -> dict[str, str]:
         """Sites that are to be empty: by the decided plan, and by operators' words here and elsewhere."""
@@ -397,4 +397,4 @@
             answers=tuple(agent.asking.answers.values()),
             foreseen=self.foreseen.counts() if self.foreseen is not None else {},
         )
-        self.state.stands(w.RIDER, status)
+        self.state.publish(w.RIDER, status)
--- a/fawnwharf/testbed/operators.py
+++ b/fawnwharf/testbed/operators.py
@@ -9,7 +9,7 @@
 
 from fawnwharf.config import Address
 from fawnwharf.net.connection import Connection
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net.end_reasons import EndReason
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed.fleet import Fleet
@@ -19,12 +19,12 @@
 DIAL_MS = 1_000.0
 AGAIN_MS = 20.0  # between two looks at a process that starts
 KILL_MS = 15_000.0  # after SIGTERM: longer than the checker allows, as a machine may stand still for a while
-TAKEN = "another process has taken this one's place"
-ASKED = "another process is about to take this one's place"
-AWAY = "let go of what only one process may have"
-RETURNED = "taken back what only one process may have"
+TAKEN = "hot restart: handing off to the new process"
+ASKED = "hot restart: another process requests the hand-off"
+AWAY = "hot restart: released the exclusive extensions"
+RETURNED = "hot restart: reacquired the exclusive extensions"
 BACK = "accepting again"
-TOOK = "taking over: "  # the new process, before it says that it is ready: from then on it may have calls
+TOOK = "hot restart: taking over "  # the new process, before it is ready: from then on it may have calls
 CALLS_LEAST, CALLS_MS = 5, 2_000.0  # in a replacement; and no longer, as others may have all the calls
 LATELY = 500  # requests that are looked through for them
 MISSED_MOST = 4  # times that a kill may come too late before a step goes on without it
@@ -39,7 +39,7 @@
         self._data = bytearray()
         self._asks = f"{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n".encode()
         made = Connection.dial(fleet.loop, address, self, DIAL_MS)
-        self.connection = None if isinstance(made, End) else made
+        self.connection = None if isinstance(made, EndReason) else made
         self.ended = self.connection is None
 
     def on_up(self) -> None:
@@ -52,13 +52,13 @@
         head, end, _ = bytes(self._data).partition(b"\r\n")
         if end and not self.status:
             self.status = int(head.split()[1])
-            self.connection.close(End.IDLE)
+            self.connection.close(EndReason.IDLE)
 
     def on_flushed(self) -> None:
         """Nothing to do."""
         ...
 
-    def on_end(self, end: End) -> None:
+    def on_end(self, end: EndReason) -> None:
         """The connection ended."""
         self.ended = True
 
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -211,10 +211,10 @@
     "members",
     [
         [
-            claims.ClaimPhase.CLEAR,
+            claims.ClaimPhase.RELEASED,
             claims.ClaimPhase.ANSWERED,
             claims.ClaimPhase.FAILED,
-            claims.ClaimPhase.TAKEN,
+            claims.ClaimPhase.GRANTED,
         ],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
         [
@@ -226,17 +226,17 @@
         [
             queries.QueryTopic.MEMBERS,
             queries.QueryTopic.PLAN,
-            queries.QueryTopic.PROMISES,
+            queries.QueryTopic.GRANTS,
             queries.QueryTopic.ROSTER,
-            queries.QueryTopic.USE,
+            queries.QueryTopic.USAGE,
         ],
         [
             register.RecoveryPhase.LISTENING,
-            register.RecoveryPhase.REPEATS,
-            register.RecoveryPhase.WORTH,
-            register.RecoveryPhase.REST,
-            register.RecoveryPhase.RENEWAL,
-            register.RecoveryPhase.SPILL,
+            register.RecoveryPhase.RETRIES,
+            register.RecoveryPhase.PRIORITY_CALLS,
+            register.RecoveryPhase.ALL_CALLS,
+            register.RecoveryPhase.COPY_REFRESH,
+            register.RecoveryPhase.NORMAL,
         ],
     ],
 )
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -16,7 +16,7 @@
 
 from peers import ROW, SETTINGS, Buffered, ClientPeer, LogPeer, ScorerPeer, handle_frame
 
-from fawnwharf.admin.handoff_channel import HandoffDirectory
+from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.net import scorer_frames
 
 PATIENCE_S = 40.0  # on a machine that is busy with other things, too
@@ -63,7 +63,7 @@
 
     def answer(self, item, code=0, fields="res=reused", body=b""):
         link, frame = item
-        if frame.code == scorer_frames.ENSURE:
+        if frame.code == scorer_frames.LOAD:
             if frame.fields["slots_up"] != "0":
                 self.stands.add(frame.fields["obj"])
             fields = f"slots_up={self.copies * (frame.fields['obj'] in self.stands)}"
@@ -72,7 +72,7 @@
 
     @property
     def loads(self):
-        return [frame for _, frame in self.of(scorer_frames.ENSURE) if frame.fields["slots_up"] != "0"]
+        return [frame for _, frame in self.of(scorer_frames.LOAD) if frame.fields["slots_up"] != "0"]
 
 
 def flush(link, outbox):
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -22,7 +22,7 @@
 class Writer:
     """Carries a job out when asked for its outcome, unless it is held."""
 
-    incoming, unsent = None, False
+    output, unsent = None, False
 
     def __init__(self, machine):
         self.machine, self.job = machine, None
@@ -85,13 +85,11 @@
             self.machines[name] = Machine(self.folder / f"boot-{name}")
         return self.machines[name]
 
-    def _open(self, path, fleet, name, kinds, limits, boot, empty_ok, within_s):
-        machine = self.machine(name)
+    def _open(self, path, owner, kinds, limits, within_s):
+        machine = self.machine(owner.name)
+        sources = stores.Sources(lambda: 1e12 + self.now, lambda: "ab" * 8)
         try:
-            return stores.create_store(
-                machine.disk, Writer(machine), fleet, name, kinds, limits, boot, lambda: "ab" * 8,
-                lambda: 1e12 + self.now, empty_ok,
-            )  # fmt: skip
+            return stores.create_store(machine.disk, Writer(machine), owner, kinds, limits, sources)
         except UnreadableFolderError as error:
             raise DiskError(str(error)) from None
 
@@ -109,9 +107,9 @@
         """Run a store until nothing is due, now or within a span."""
         end = self.now + span_ms
         for _ in range(10_000):
-            kept.store.turn(self.now)
+            kept.store.advance(self.now)
             due = kept.store.due_ms()
-            if kept.store.core.job_out and not self.machines[kept.store.core._head.name].held:
+            if kept.store.core.job_in_progress and not self.machines[kept.store.core._header.name].held:
                 continue
             if due is None or due > end:
                 break
@@ -133,13 +131,13 @@
 
     def _give(self, name, fresh=False):
         self.kepts[name] = self.site.kept(name, fresh, settle=False)
-        self.disks[name] = self.kepts[name].promises(self.cores[name], None)
+        self.disks[name] = self.kepts[name].open_grant_storage(self.cores[name], None)
 
     def carry(self, name, effects):
         """Carry out the effects of a front end, through its store."""
         self.site.now = self.now
         if (disk := self.disks.get(name)) is not None:
-            effects = disk.written(effects, lambda more: super(StoreCores, self).carry(name, more))
+            effects = disk.persist(effects, lambda more: super(StoreCores, self).carry(name, more))
         super().carry(name, effects)
 
     def turn(self, *names):
@@ -162,23 +160,23 @@
             if name in self.site.machines:
                 getattr(self.site.machine(name), what)()
             self.cores[name] = ReplicationCore(
-                name, self.cores[name].life + 1, self.cores[name].members, self.rules, self.now
+                name, self.cores[name].incarnation + 1, self.cores[name].members, self.rules, self.now
             )
             if name in self.kepts:
                 self._give(name)
 
     def sure(self, name):
         """Whether a replica knows all that it promised."""
-        return self.cores[name].keeper.sure(self.now)
+        return self.cores[name].replica.is_complete(self.now)
 
 
 def asks(cores, owner, keeper, key="k"):
     """A replica's answer to a bare question, None while it gives none."""
     core, said = cores.cores[keeper], []
-    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].life}", 1, core.placement.number, 0)
-    line = msgspec.to_builtins(cores.cores[owner].wrapped(m.Send((keeper,), ask)))
+    ask = m.ClaimRequest(key, f"{owner}#{cores.cores[owner].incarnation}", 1, core.placement.number, 0)
+    line = msgspec.to_builtins(cores.cores[owner].log_line(m.Send((keeper,), ask)))
     cores.site.now = cores.now
-    said += cores.disks[keeper].written(core.line(cores.now, owner, line), said.extend)
+    said += cores.disks[keeper].persist(core.receive_line(cores.now, owner, line), said.extend)
     return lambda: next(
         (say.message for say in said if isinstance(getattr(say, "message", 0), m.ClaimReply)), None
     )
--- a/tests/test_discovery_life.py
+++ b/tests/test_discovery_life.py
@@ -25,7 +25,7 @@
 
 def read_by_front_end(rig, data):
     """Bytes of the log that the front end has read."""
-    connection = rig.front.changelog._connection
+    connection = rig.front.change_log._connection
     before = connection.heard_ms
     rig.log.links[-1].sock.sendall(data)
     rig.until(lambda: connection.heard_ms > before or connection.closed, "the bytes are read")
@@ -42,7 +42,7 @@
 def test_bytes_that_make_no_whole_line_are_no_sign_of_life(rig, noise):
     for _ in range(3):
         read_by_front_end(rig, noise)
-        rig.later_ms += change_log.SILENCE_MS / 2.5
+        rig.later_ms += change_log.SILENCE_TIMEOUT_MS / 2.5
     assert rig.asked_times(2) == ["since", "1"]
     assert len(silent(rig)) == 1
 
@@ -52,7 +52,7 @@
     rig.asked_times(2)
     for _ in range(3):
         read_by_front_end(rig, b"garbage\n")
-        rig.later_ms += change_log.SILENCE_MS / 2.5
+        rig.later_ms += change_log.SILENCE_TIMEOUT_MS / 2.5
     rig.asked_times(3)
     assert len(silent(rig)) == 1
 
@@ -60,8 +60,8 @@
 def test_numbers_and_events_are_signs_of_life(rig):
     for line in (b"1\n", json.dumps(event(2)).encode() + b"\n", b"2\n", b"2\n"):
         read_by_front_end(rig, line)
-        rig.later_ms += 0.9 * change_log.SILENCE_MS
-        rig.front.changelog.tidy()
+        rig.later_ms += 0.9 * change_log.SILENCE_TIMEOUT_MS
+        rig.front.change_log.run_maintenance()
     assert (len(rig.log.asked()), silent(rig)) == (1, [])
 
 
@@ -75,9 +75,9 @@
     part = len(data) // 8
     for place in range(0, len(data), part):
         read_by_front_end(rig, data[place : place + part])
-        rig.until(lambda: len(rig.front.changelog._buffer) % part == 0, "all of it is read")
+        rig.until(lambda: len(rig.front.change_log._buffer) % part == 0, "all of it is read")
         rig.later_ms += 1_000.0
-        rig.front.changelog.tidy()
+        rig.front.change_log.run_maintenance()
         if place + part >= len(data) - 1:
             break
     rig.log.links[-1].sock.sendall(data[place + part :])
@@ -86,17 +86,17 @@
 
 
 def test_a_line_that_takes_too_long_is_not_waited_for(rig):
-    data, log = long_list(rig), rig.front.changelog
+    data, log = long_list(rig), rig.front.change_log
     for number in range(20):
         place = number * 17_000
         rig.log.links[-1].sock.sendall(data[place : place + 17_000])
         size = place + 17_000
         rig.until(lambda size=size: len(log._buffer) == size or not log._connection, "it is read")
         rig.later_ms += 1_000.0
-        log.tidy()
+        log.run_maintenance()
         if silent(rig):
             break
-    assert change_log.LINE_MS <= number * 1_000.0 <= change_log.LINE_MS + 2 * change_log.SILENCE_MS
+    assert change_log.LINE_MS <= number * 1_000.0 <= change_log.LINE_MS + 2 * change_log.SILENCE_TIMEOUT_MS
 
 
 def test_a_log_that_owes_events_for_longer_than_it_may_be_late_is_asked_again(rig):
@@ -105,10 +105,12 @@
     for _ in range(12):
         read_by_front_end(rig, b"4\n")
         rig.later_ms += 1_000.0
-        rig.front.changelog.tidy()
+        rig.front.change_log.run_maintenance()
         if silent(rig):
             break
-    assert change_log.LATE_MS <= rig.later_ms <= change_log.LATE_MS + 2 * change_log.SILENCE_MS
+    assert (
+        change_log.MAX_DELAY_MS <= rig.later_ms <= change_log.MAX_DELAY_MS + 2 * change_log.SILENCE_TIMEOUT_MS
+    )
     rig.asked_times(3)
     for seq in (2, 3):
         rig.log.say(event(seq))
@@ -182,9 +184,9 @@
 def test_a_dial_that_is_under_way_at_the_move_asks_nobody(rig, request):
     first, second = new_log(rig, request), new_log(rig, request)
     break_off(rig)
-    rig.until(lambda: rig.front.changelog._connection is None, "it breaks off")
+    rig.until(lambda: rig.front.change_log._connection is None, "it breaks off")
     rig.move_to(first)
-    dial = rig.front.changelog._connection
+    dial = rig.front.change_log._connection
     assert not dial.up
     rig.move_to(second)
     rig.until(lambda: second.asked(), "the last one is asked")
@@ -201,7 +203,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(change_log.Connection, "dial", counted)
-        rig.front.loop.wheel.after(span_ms, lambda: over.append(1))
+        rig.front.loop.timers.after(span_ms, lambda: over.append(1))
         rig.until(lambda: over, "the time is over")
     return made
 
@@ -210,7 +212,7 @@
     nobody = socket.create_server(("127.0.0.1", 0))
     address = nobody.getsockname()
     nobody.close()
-    rig.front.changelog.move(address)
+    rig.front.change_log.move(address)
     made = dials_within(rig, 500.0)
     assert {*made} == {address}
     assert len(made) <= 5
@@ -229,11 +231,11 @@
 @pytest.mark.parametrize("call", ["socket", "connect", "so_error"])
 def test_a_dial_that_the_system_fails_is_tried_again_after_a_pause(rig, call, name):
     break_off(rig)
-    rig.until(lambda: rig.front.changelog._connection is None, "it breaks off")
+    rig.until(lambda: rig.front.change_log._connection is None, "it breaks off")
     with SystemFaults().installed() as faults:
         fault = faults.fail(call, getattr(errno, name), times=3)
-        turns, turn = [], rig.front.loop.turn
-        rig.front.loop.turn = lambda most_s=None: (turns.append(1), turn(most_s))
+        turns, turn = [], rig.front.loop.run_iteration
+        rig.front.loop.run_iteration = lambda most_s=None: (turns.append(1), turn(most_s))
         assert rig.asked_times(2) == ["since", "1"]
     assert fault.hits == 3
     assert faults.calls["socket"] <= 4 + 2  # the dials, and what the peers accept
--- a/tests/test_link_writes.py
+++ b/tests/test_link_writes.py
@@ -7,8 +7,8 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt, order
 
 from fawnwharf import interface as io
-from fawnwharf.net import scorer_links, timer_wheel
-from fawnwharf.net.end_reasons import End
+from fawnwharf.net import scorer_connection, timer_wheel
+from fawnwharf.net.end_reasons import EndReason
 
 WITHIN_MS = 100.0  # of a repeat, until its first byte must have left
 BODY = b"x" * 500
@@ -23,7 +23,7 @@
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         _, key = self.asked(rig, ttl="8000")
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         self.clock.advance(1_000.0)
         rig.until(lambda: scorer.runs, "it runs")
         self.assertLessEqual(self.passed_on(scorer), 7_000)
@@ -34,7 +34,7 @@
         self.link_up(rig, scorer)
         blocked = self.block(scorer)
         _, key = self.asked(rig, ttl="8000")
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         for _ in range(3):
             self.turn(rig)
             self.clock.advance(1_000.0)
@@ -46,12 +46,12 @@
         first, second = ScorerPeer(), ScorerPeer()
         rig = self.rig(first, second)
         _, key = self.asked(rig, ttl="8000")
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         rig.until(lambda: first.runs, "it runs")
         first.answer(first.runs[0], 3, "")
         rig.until(lambda: self.endings(), "it is full")
         self.clock.advance(1_000.0)
-        rig.front.table.send(io.Send(key, BY_POOL + 1))
+        rig.front.requests.send(io.Send(key, BY_POOL + 1))
         self.clock.advance(1_000.0)
         rig.until(lambda: second.runs, "it runs")
         self.assertLessEqual(self.passed_on(second), 6_000)
@@ -63,12 +63,12 @@
         blocked = self.block(scorer)
         streams = [attempt(BY_POOL, ended, id=b"%08d" % n, body=BODY) for n in range(3)]
         for stream in streams:
-            rig.front.pool.send(stream)
-        rig.front.pool.order(order(BY_POOL, ended))
+            rig.front.scorer_pool.send(stream)
+        rig.front.scorer_pool.start_load(order(BY_POOL, ended))
         self.assertGreaterEqual(link.connection.waiting_bytes, 3 * len(BODY))
         self.turn(rig)
         self.assertEqual(link.connection.waiting_bytes, sum(piece.size for piece in link.connection._outbox))
-        rig.front.pool.cancel(streams[1])
+        rig.front.scorer_pool.cancel(streams[1])
         self.unblock(blocked)
         rig.until(lambda: len(scorer.frames) == 3, "the others are written")
         self.assertEqual(link.connection.waiting_bytes, 0)
@@ -79,7 +79,7 @@
 
     def sent(self, rig, **more):
         _, key = self.asked(rig)
-        rig.front.table.send(io.Send(key, BY_POOL, **more))
+        rig.front.requests.send(io.Send(key, BY_POOL, **more))
         return key
 
     def assert_never_sent(self, rig, scorer):
@@ -93,7 +93,7 @@
         self.link_up(rig, scorer)
         _, key = self.asked(rig)
         self.clock.advance(WITHIN_MS)
-        rig.front.table.send(io.Send(key, BY_POOL, WITHIN_MS))
+        rig.front.requests.send(io.Send(key, BY_POOL, WITHIN_MS))
         self.assertEqual(self.endings(), [io.AttemptResult.NOT_SENT])
         self.assert_never_sent(rig, scorer)
 
@@ -151,7 +151,7 @@
         link = self.link_up(rig, scorer)
         self.sent(rig, within_ms=WITHIN_MS)
         self.clock.advance(WITHIN_MS)
-        link.connection.close(End.CLOSED_BY_PEER)
+        link.connection.close(EndReason.CLOSED_BY_PEER)
         self.assertEqual((self.endings(), self.links(rig)), ([io.AttemptResult.NOT_SENT], []))
 
     def test_one_that_began_in_time_goes_on_until_its_deadline(self):
@@ -169,13 +169,13 @@
     def test_one_that_began_in_time_ends_at_its_deadline(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
-        rig.front.pool.send(given := attempt(BY_POOL, ended := [], within_ms=500.0))
+        rig.front.scorer_pool.send(given := attempt(BY_POOL, ended := [], within_ms=500.0))
         given.begin_by_ms = self.clock.monotonic_ms + WITHIN_MS
         rig.until(lambda: scorer.runs, "it runs")
         for _ in range(2):
             self.clock.advance(255.0)
             self.turn(rig)
-        self.assertEqual(ended, [(End.OUT_OF_TIME, True)])
+        self.assertEqual(ended, [(EndReason.OUT_OF_TIME, True)])
 
 
 class InPart(Case):
@@ -187,16 +187,16 @@
         link = self.link_up(rig, scorer)
         blocked = self.block(scorer, after_bytes=40)
         client, key = self.asked(rig, body=BODY, **fields)
-        rig.front.table.send(io.Send(key, BY_POOL))
+        rig.front.requests.send(io.Send(key, BY_POOL))
         for stream in more:
-            rig.front.pool.send(stream)
+            rig.front.scorer_pool.send(stream)
         rig.until(lambda: link.connection._outbox and link.connection._outbox[0].begun, "it is in part")
         return rig, scorer, link, blocked, (client, key)
 
     def test_it_ends_its_link_in_time_and_is_never_completed(self):
         rig, scorer, link, blocked, (client, key) = self.part()
         self.leave(rig, client, key, "close")
-        self.clock.advance(scorer_links.PART_MOST_MS - 1.0)
+        self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS - 1.0)
         self.turn(rig)
         self.assertFalse(link.connection.closed)
         self.clock.advance(10.0)
@@ -209,7 +209,7 @@
     def test_it_ends_its_link_where_the_process_was_held_up_and_the_link_takes_more(self):
         rig, scorer, link, blocked, _ = self.part()
         self.unblock(blocked)
-        self.clock.advance(scorer_links.PART_MOST_MS)
+        self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS)
         link.connection._blocked = False
         link.connection.flush()  # before a timer has run
         self.assertTrue(link.connection.closed)
@@ -218,7 +218,7 @@
 
     def test_it_is_completed_where_the_link_takes_more_in_time(self):
         rig, scorer, link, blocked, _ = self.part()
-        self.clock.advance(scorer_links.PART_MOST_MS - 10.0)
+        self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS - 10.0)
         self.unblock(blocked)
         rig.until(lambda: scorer.runs, "it runs")
         self.clock.advance(20.0)
@@ -230,7 +230,7 @@
         ended = []
         other = attempt(BY_POOL, ended, id=b"abcdefgh", body=b"other")
         rig, scorer, link, blocked, _ = self.part(more=[other])
-        self.clock.advance(scorer_links.PART_MOST_MS + 5.0)
+        self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
         rig.until(lambda: link.connection.closed, "its link ends")
         self.unblock(blocked)
         rig.until(lambda: scorer.runs, "the other runs")
@@ -244,16 +244,16 @@
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
                 if kind == "give up":
-                    rig.front.pool.send(stream := attempt(BY_POOL, ended))
+                    rig.front.scorer_pool.send(stream := attempt(BY_POOL, ended))
                     rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 blocked = self.block(scorer, after_bytes=5)
                 if kind == "give up":
-                    rig.front.pool.cancel(stream)
+                    rig.front.scorer_pool.cancel(stream)
                 else:
-                    rig.front.pool.order(order(BY_POOL, ended))
+                    rig.front.scorer_pool.start_load(order(BY_POOL, ended))
                 self.turn(rig)
                 before = len(scorer.frames)
-                self.clock.advance(scorer_links.PART_MOST_MS + 5.0)
+                self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
                 rig.until(lambda link=link: link.connection.closed, "its link ends")
                 self.unblock(blocked)
                 rig.settle(rig.client())
@@ -263,7 +263,7 @@
         endings = {}
         for op in ("view", "save", "settle"):
             rig, _, link, _, _ = self.part(op=op)
-            self.clock.advance(scorer_links.PART_MOST_MS + 5.0)
+            self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
             rig.until(lambda link=link: link.connection.closed, "its link ends")
             endings[op] = self.endings()
         never = [io.AttemptResult.CONNECT_FAILED]
@@ -287,7 +287,7 @@
         rig = self.rig()
         client = rig.client()
         rig.settle(client)
-        [port] = rig.front.port.clients
+        [port] = rig.front.client_port.clients
         port.connection.write(b"")
         rig.settle(client)
         self.assertEqual(len(port.connection._outbox), 0)
@@ -295,7 +295,7 @@
 
 class Spans(unittest.TestCase):
     def test_the_limit_on_parts_leaves_room_for_a_tick_and_a_turn(self):
-        self.assertLess(scorer_links.PART_MOST_MS + timer_wheel.TICK_MS, 90.0)
+        self.assertLess(scorer_connection.MAX_PARTIAL_WRITE_MS + timer_wheel.TICK_MS, 90.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -5,8 +5,8 @@
 
 from fawnwharf.config import Fleet, Member
 from fawnwharf.interface import AttemptResult, Warmth
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker, OutlierEjections
 from fawnwharf.replication.outlier_ejection import OutlierEjector, excluding
@@ -19,24 +19,24 @@
     told = [m.UsageCounters(n, {"a": 10 * n}) for n in range(1, 8)]
     plain, mixed = UsageTable(), UsageTable()
     for n, use in enumerate(told):
-        plain.heard(500.0 * n, "n1#1", use)
-        mixed.heard(500.0 * n, "n1#1", use)
-        mixed.heard(500.0 * n, "n1#1", told[max(0, n - 2)])
-        mixed.heard(500.0 * n, "n1#1", use)
-    assert plain.sums(3_100.0) == mixed.sums(3_100.0) == m.UsageRates({"a": 20.0}, 1)
+        plain.receive(500.0 * n, "n1#1", use)
+        mixed.receive(500.0 * n, "n1#1", use)
+        mixed.receive(500.0 * n, "n1#1", told[max(0, n - 2)])
+        mixed.receive(500.0 * n, "n1#1", use)
+    assert plain.rates(3_100.0) == mixed.rates(3_100.0) == m.UsageRates({"a": 20.0}, 1)
     assert mixed.dropped["an older use"] == 14
-    mixed.heard(3_200.0, "n1#1", m.UsageCounters(9, {"a": 3}))
+    mixed.receive(3_200.0, "n1#1", m.UsageCounters(9, {"a": 3}))
     assert mixed.dropped["a count that goes down"] == 1
-    assert mixed.sums(3_200.0) == m.UsageRates({"a": 20.0}, 1)
-    assert mixed.sums(9_000.0) == m.UsageRates({}, 0)  # it is gone, and so is its rate
+    assert mixed.rates(3_200.0) == m.UsageRates({"a": 20.0}, 1)
+    assert mixed.rates(9_000.0) == m.UsageRates({}, 0)  # it is gone, and so is its rate
 
 
 def test_a_new_life_is_counted_by_itself():
     uses = UsageTable()
     for n in range(5):
-        uses.heard(500.0 * n, "n1#1", m.UsageCounters(n + 1, {"a": 50 * n}))
-    uses.heard(2_500.0, "n1#2", m.UsageCounters(1, {"a": 0}))
-    assert uses.sums(2_600.0) == m.UsageRates({"a": 100.0}, 1)
+        uses.receive(500.0 * n, "n1#1", m.UsageCounters(n + 1, {"a": 50 * n}))
+    uses.receive(2_500.0, "n1#2", m.UsageCounters(1, {"a": 0}))
+    assert uses.rates(2_600.0) == m.UsageRates({"a": 100.0}, 1)
 
 
 rates = strategies.lists(strategies.floats(0.0, 500.0), min_size=1, max_size=12)
@@ -65,21 +65,21 @@
 def test_shares_follow_what_comes_and_fall_back_when_keepers_are_silent():
     cores = Cores()
     for core in cores.cores.values():
-        core.shares = QuotaShares({"a": 120.0}, 6)
+        core.quota_shares = QuotaShares({"a": 120.0}, 6)
     busy = cores.owners[0]
     for n in range(12):
         for name, core in cores.cores.items():
-            core.shares.came(["a"] * (25 if name == busy else 2) + ["unknown"])
-            cores.carry(name, core.tell_use(cores.now))
+            core.quota_shares.count_calls(["a"] * (25 if name == busy else 2) + ["unknown"])
+            cores.carry(name, core.send_usage(cores.now))
             cores.spread(name)
         cores.wait(500)
-        changed = {name: core.shares.changes(cores.now) for name, core in cores.cores.items()}
+        changed = {name: core.quota_shares.changes(cores.now) for name, core in cores.cores.items()}
         assert n < 11 or not changed[busy]
-    got = {name: core.shares.shares["a"] for name, core in cores.cores.items()}
+    got = {name: core.quota_shares.shares_rps["a"] for name, core in cores.cores.items()}
     assert got[busy] > 50.0 and sum(got.values()) <= 125.0
     cores.now += 5_000
-    cores.cores[busy].shares.changes(cores.now)
-    assert cores.cores[busy].shares.shares["a"] == 20.0
+    cores.cores[busy].quota_shares.changes(cores.now)
+    assert cores.cores[busy].quota_shares.shares_rps["a"] == 20.0
 
 
 # --- beliefs ------------------------------------------------------------------------------------
@@ -100,16 +100,16 @@
     for ending, took, warmth, once, twice in table:
         sights = FailureTracker()
         sights.ended(0.0, 7, ending, took, 400.0, warmth)
-        assert sights.named(10.0).bad == ({"7": 1} if once else {}), ending
+        assert sights.named(10.0).failures == ({"7": 1} if once else {}), ending
         sights.ended(15.0, 7, ending, took, 400.0, warmth)
-        assert sights.named(16.0).bad == ({"7": 2} if twice else {}), ending
+        assert sights.named(16.0).failures == ({"7": 2} if twice else {}), ending
         sights.ended(20.0, 7, AttemptResult.GOOD, 30.0, 400.0)
-        assert sights.named(30.0).bad == {} and sights.good_ms(7) == 20.0
+        assert sights.named(30.0).failures == {} and sights.good_ms(7) == 20.0
         sights.ended(40.0, 7, AttemptResult.GOOD, 900.0, 400.0)
-        assert sights.named(41.0).bad == {}  # what was hard before counts no more
+        assert sights.named(41.0).failures == {}  # what was hard before counts no more
     sights.ended(50.0, 7, AttemptResult.TIMEOUT, 400.0, 400.0)
-    assert sights.named(51.0).bad == {"7": 2}
-    assert sights.named(5_000.0).bad == {}  # it fades
+    assert sights.named(51.0).failures == {"7": 2}
+    assert sights.named(5_000.0).failures == {}  # it fades
 
 
 def test_a_scorer_is_hinted_at_when_enough_front_ends_name_it_and_one_alone_moves_nothing():
@@ -155,28 +155,28 @@
 
 
 def test_a_resting_scorer_is_told_as_draining_and_what_drains_or_is_gone_stays_so():
-    overlay = Overlay()
-    told = overlay.told(Fleet([entry("s1"), entry("s2"), entry("s3", phase="terminating")], True, 1))
+    overlay = RosterOverlay()
+    told = overlay.apply(Fleet([entry("s1"), entry("s2"), entry("s3", phase="terminating")], True, 1))
     assert [member.phase for member in told.members] == ["in_service", "in_service", "terminating"]
-    changes = overlay.close("state", excluding(frozenset({"s1", "s3"})))
+    changes = overlay.set_filter("state", excluding(frozenset({"s1", "s3"})))
     phases = {member.id: member.phase for member in changes.members}
     assert phases == {"s1": "terminating"}  # of s3 there is nothing new to tell
-    told = overlay.told(Fleet([entry("s1"), entry("s3", phase="terminating")], False, 2))
+    told = overlay.apply(Fleet([entry("s1"), entry("s3", phase="terminating")], False, 2))
     assert [member.phase for member in told.members] == ["terminating", "terminating"]
-    overlay.told(Fleet([entry("s2", phase="terminating")], False, 3))
-    changes = overlay.close("state", excluding(frozenset()))
+    overlay.apply(Fleet([entry("s2", phase="terminating")], False, 3))
+    changes = overlay.set_filter("state", excluding(frozenset()))
     phases = {member.id: member.phase for member in changes.members}
     assert phases == {"s1": "in_service"}
 
 
 def hint(*ids):
-    return m.ReportedOutliers({str(worker_number(id)): 9 for id in ids})
+    return m.ReportedOutliers({str(scorer_number(id)): 9 for id in ids})
 
 
 def test_a_hint_is_gone_by_for_its_time_and_told_once():
-    overlay, notes = Overlay(), []
+    overlay, notes = RosterOverlay(), []
     resting = OutlierEjector(400.0, lambda event, fields: notes.append(fields))
-    overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
+    overlay.apply(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
     steps = [
         (1_000.0, [], {}),
         (1_250.0, [hint("s1", "s9")], {"s1": "terminating"}),
@@ -193,11 +193,11 @@
 
 
 def test_what_others_close_neither_rests_nor_counts_among_those_that_may():
-    overlay, resting = Overlay(), OutlierEjector(400.0, lambda event, fields: None)
-    overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
-    overlay.close("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
+    overlay, resting = RosterOverlay(), OutlierEjector(400.0, lambda event, fields: None)
+    overlay.apply(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
+    overlay.set_filter("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
     changes = resting.look(1_000.0, [hint("s0", "s1", "s2")], overlay)
     assert [member.id for member in changes.members] == ["s1"] and resting.rests.refused == 1
-    overlay.close("zones", None)
+    overlay.set_filter("zones", None)
     changes = resting.look(1_250.0, [hint("s0")], overlay)
     assert [member.id for member in changes.members] == ["s0"] and resting.ids == {"s0", "s1"}
