--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -6,18 +6,16 @@
 """
 
 from dataclasses import replace
+from typing import Annotated
+
+from msgspec import Meta, Struct
+
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
-from fawnwharf.policy.state import Function
-from fawnwharf.policy.state import Scorer
-from fawnwharf.policy.state import mark
+from fawnwharf.policy.state import Function, Scorer, mark
 from fawnwharf.prefetch.copy_value import FunctionProfile
 from fawnwharf.prefetch.lru_map import LruMap
 from fawnwharf.session_types import Identifier
-from msgspec import Meta
-from msgspec import Struct
-from typing import Annotated
-
 
 MAX_HASH_ORDERS = 512  # hash orders kept in mind
 MAX_PLACES = 20_000  # functions with copies, of a site
--- a/tests/test_lint_exemptions.py
+++ b/tests/test_lint_exemptions.py
@@ -22,7 +22,7 @@
 MISSING_DOCSTRINGS = {"D100", "D101", "D102", "D103", "D104", "D106"}
 # Lower them with each exemption that goes; they are never raised.
 MAX_EARLIER_EXEMPTIONS = 21
-MAX_WIDER_EXEMPTIONS = 78
+MAX_WIDER_EXEMPTIONS = 70
 # Raise it with each package that is added to the type checker's list; it is never lowered.
 MIN_TYPE_CHECKED = 2
 
