--- a/fawnwharf/testbed/commands.py
+++ b/fawnwharf/testbed/commands.py
@@ -27,7 +27,7 @@
     """A scenario as the options change it; exits with status 2 and one line where it is faulty."""
     try:
         found = scenarios.load(name)
-    except scenarios.ScenarioFault as error:
+    except scenarios.ScenarioError as error:
         typer.echo(f"fawnwharf: lab: {error}", err=True)
         raise typer.Exit(2) from None
     if front_ends:
@@ -173,7 +173,7 @@
     name: str, seed: Seed = 1, front_ends: Fronts = 0, out: Out = "", alone: Alone = False, bare: Bare = False
 ) -> None:
     """Run a scenario once. Status 0 where all rules were kept, 1 where one was broken, 2 for bad input."""
-    from fawnwharf.testbed.run import LabFault
+    from fawnwharf.testbed.run import LabError
     from fawnwharf.testbed.run import run as run_it
 
     scenario = side(name, front_ends, alone, bare)
@@ -182,7 +182,7 @@
         folder.mkdir(parents=True, exist_ok=True)
     try:
         measures = run_it(scenario, seed, folder)
-    except LabFault as error:
+    except LabError as error:
         typer.echo(f"verdict: broken ground: {error}")
         raise typer.Exit(1) from None
     report(measures)
@@ -228,14 +228,14 @@
 def _run_pairs(sides: list[Any], seeds: Iterable[int]) -> Any:
     """Runs of both sides by seed; seeds at which the test bed failed are left out."""
     from fawnwharf.testbed import compare as comparing
-    from fawnwharf.testbed.run import LabFault
+    from fawnwharf.testbed.run import LabError
     from fawnwharf.testbed.run import run as run_it
 
     pairs = comparing.Pairs([], [])
     for seed in seeds:
         try:
             runs = [run_it(each, seed) for each in sides]
-        except LabFault as error:
+        except LabError as error:
             typer.echo(f"seed {seed} left out, the ground gave way: {error}")
             continue
         pairs.one.append(runs[0])
@@ -275,7 +275,7 @@
 ) -> None:
     """Run a scenario of sessions in each mode of foresight by the same seeds; status 1 if a rule broke."""
     from fawnwharf.testbed import compare as comparing
-    from fawnwharf.testbed.run import LabFault
+    from fawnwharf.testbed.run import LabError
     from fawnwharf.testbed.run import run as run_it
 
     words = of.split(",")
@@ -284,7 +284,7 @@
     for seed in range(first, first + seeds):
         try:
             runs = {word: run_it(scenario, seed) for word, scenario in sides.items()}
-        except LabFault as error:
+        except LabError as error:
             typer.echo(f"seed {seed} left out, the ground gave way: {error}")
             continue
         held = max(measures.held for measures in runs.values())
--- a/fawnwharf/testbed/conditions.py
+++ b/fawnwharf/testbed/conditions.py
@@ -24,7 +24,7 @@
         self.noted, self._began = self._began, len(self.fleet.notes)
 
     def wait(self, when: When, what: str = "the start") -> None:
-        """Wait until a step's conditions hold; raises LabFault where they don't in time."""
+        """Wait until a step's conditions hold; raises LabError where they don't in time."""
         if when.after_s:
             self.fleet.rest(when.after_s)
         if self.fleet.scenario.decide:
--- a/fawnwharf/testbed/fleet.py
+++ b/fawnwharf/testbed/fleet.py
@@ -20,7 +20,7 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed.clocks import PAGE, Clocks
-from fawnwharf.testbed.processes import Former, Front, LabFault, Noted, Pipe, Waits
+from fawnwharf.testbed.processes import Former, Front, LabError, Noted, Pipe, Waits
 from fawnwharf.testbed.scenario import Scenario
 from fawnwharf.testbed.topology import Topology
 
@@ -60,9 +60,9 @@
                 command, cwd=first.folder, capture_output=True, text=True, timeout=PATIENCE_S
             )
         except subprocess.TimeoutExpired:
-            raise LabFault(f"zones found: not done within {PATIENCE_S:g} s") from None
+            raise LabError(f"zones found: not done within {PATIENCE_S:g} s") from None
         if done.returncode:
-            raise LabFault(f"zones found: {done.stderr.strip()}")
+            raise LabError(f"zones found: {done.stderr.strip()}")
 
     def start(self, front: Front, as_it_was: bool = False) -> None:
         """Start front ends; with `as_it_was` by the configuration that is on their disks."""
@@ -275,20 +275,20 @@
                     front.waits.look(now, front.process.pid)
 
     def until(self, condition: Callable[[], bool], what: str, within_s: float = PATIENCE_S) -> None:
-        """Run until a condition holds; raises LabFault where it doesn't in time."""
+        """Run until a condition holds; raises LabError where it doesn't in time."""
         end = monotonic_ms() + 1000.0 * within_s
         while not condition():
             if monotonic_ms() > end:
-                raise LabFault(f"waited {within_s:g} s in vain for {what}")
+                raise LabError(f"waited {within_s:g} s in vain for {what}")
             self.turn()
 
     def until_ready(self, fronts: list[Front], what: str) -> None:
-        """Run until all of these are ready; raises LabFault with the last line of one that ends."""
+        """Run until all of these are ready; raises LabError with the last line of one that ends."""
 
         def ready() -> bool:
             for front in fronts:
                 if not front.alive:
-                    raise LabFault(f"{front.name} ended with {front.status}: {front.last_line}")
+                    raise LabError(f"{front.name} ended with {front.status}: {front.last_line}")
             return all(front.ready for front in fronts)
 
         self.until(ready, what)
--- a/fawnwharf/testbed/operators.py
+++ b/fawnwharf/testbed/operators.py
@@ -13,7 +13,7 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.testbed import files
 from fawnwharf.testbed.fleet import Fleet
-from fawnwharf.testbed.processes import Former, Front, LabFault
+from fawnwharf.testbed.processes import Former, Front, LabError
 from fawnwharf.testbed.topology import CONTROL
 
 DIAL_MS = 1_000.0
@@ -98,10 +98,10 @@
         return call.status
 
     def must(self, front: Front, path: str) -> None:
-        """Make a call that has to succeed; raises LabFault where it doesn't."""
+        """Make a call that has to succeed; raises LabError where it doesn't."""
         status = self.ask(front, "POST", path)
         if status != 200:
-            raise LabFault(f"{front.name} answered {path} with {status}")
+            raise LabError(f"{front.name} answered {path} with {status}")
 
     # --- scorers out, and drains ----------------------------------------------------------------
 
@@ -161,7 +161,7 @@
         def yes() -> bool:
             nonlocal last_ms
             if not front.alive:
-                raise LabFault(f"{front.name}: the new process ended with {front.status}: {front.last_line}")
+                raise LabError(f"{front.name}: the new process ended with {front.status}: {front.last_line}")
             if call and call[0].status == 200:
                 return True
             if (not call or call[0].ended) and monotonic_ms() - last_ms >= AGAIN_MS:
--- a/fawnwharf/testbed/processes.py
+++ b/fawnwharf/testbed/processes.py
@@ -19,7 +19,7 @@
 LINES_KEPT = 200  # of a life
 
 
-class LabFault(RuntimeError):
+class LabError(RuntimeError):
     """The test bed itself failed; there is no verdict."""
 
 
--- a/fawnwharf/testbed/proposals.py
+++ b/fawnwharf/testbed/proposals.py
@@ -15,7 +15,7 @@
 from fawnwharf.testbed.files import write_whole
 from fawnwharf.testbed.fleet import Fleet
 from fawnwharf.testbed.policy import Found, Judged, Life, epochs, told_ms, trace_of, words_of
-from fawnwharf.testbed.processes import Front, LabFault, Noted
+from fawnwharf.testbed.processes import Front, LabError, Noted
 from fawnwharf.testbed.topology import KINDS
 
 HELD_MS = 100.0  # waited for a processor: a call that lasts too long then is the machine's doing
@@ -85,7 +85,7 @@
             said.kill()
             _, complaint = said.communicate()
         if said.returncode:
-            raise LabFault(f"policy {words[0]} at {front.name}: {complaint.strip()}")
+            raise LabError(f"policy {words[0]} at {front.name}: {complaint.strip()}")
 
 
 # --- what steps wait for ------------------------------------------------------------------------
--- a/fawnwharf/testbed/run.py
+++ b/fawnwharf/testbed/run.py
@@ -7,7 +7,7 @@
 from fawnwharf.testbed.fleet import Fleet
 from fawnwharf.testbed.measures import Measures, Meter
 from fawnwharf.testbed.parties import Parties
-from fawnwharf.testbed.processes import LabFault
+from fawnwharf.testbed.processes import LabError
 from fawnwharf.testbed.proposals import TRACED_MS
 from fawnwharf.testbed.scenario import Scenario, When
 from fawnwharf.testbed.steps import Steps
@@ -62,8 +62,8 @@
 
 
 def run(scenario: Scenario, seed: int, folder: Path | None = None) -> Measures:
-    """One run, from the first process to the verdict; raises LabFault where the test bed failed."""
+    """One run, from the first process to the verdict; raises LabError where the test bed failed."""
     return Runner(scenario, seed, folder).run()
 
 
-__all__ = ["LabFault", "Measures", "Runner", "run"]
+__all__ = ["LabError", "Measures", "Runner", "run"]
--- a/fawnwharf/testbed/scenario.py
+++ b/fawnwharf/testbed/scenario.py
@@ -27,7 +27,7 @@
 ]  # fmt: skip
 
 
-class ScenarioFault(ValueError):
+class ScenarioError(ValueError):
     """A scenario that can't be run; the text names the key."""
 
 
@@ -137,16 +137,16 @@
 
 
 def scenario_from(data: bytes) -> Scenario:
-    """Parse a scenario and check it; raises ScenarioFault."""
+    """Parse a scenario and check it; raises ScenarioError."""
     found = _parsed(data)
     _check_parts(found)
     _power(found)
     _check_steps(found)
     if found.sessions is not None and found.state is None:
-        raise ScenarioFault("sessions: goes by the logs of state, which is not there")
+        raise ScenarioError("sessions: goes by the logs of state, which is not there")
     for zone in found.live:
         if zone not in found.zones:
-            raise ScenarioFault(f"live: no zone {zone}")
+            raise ScenarioError(f"live: no zone {zone}")
     _check_zones_of_steps(found)
     return found
 
@@ -156,11 +156,11 @@
         found = msgspec.json.decode(data, type=Scenario)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
-        raise ScenarioFault(f"{place.rstrip('`').lstrip('.') or 'scenario'}: {text}") from None
+        raise ScenarioError(f"{place.rstrip('`').lstrip('.') or 'scenario'}: {text}") from None
     except msgspec.DecodeError as error:
-        raise ScenarioFault(f"scenario: not JSON: {error}") from None
+        raise ScenarioError(f"scenario: not JSON: {error}") from None
     if found.version != VERSION:
-        raise ScenarioFault(f"version: {found.version}, and this program knows {VERSION}")
+        raise ScenarioError(f"version: {found.version}, and this program knows {VERSION}")
     return found
 
 
@@ -169,13 +169,13 @@
     fronts = sum(zone.front_ends for zone in found.zones.values())
     voters = sum(min(zone.voters, zone.front_ends) for zone in found.zones.values())
     if not fronts:
-        raise ScenarioFault("zones: no front end at all")
+        raise ScenarioError("zones: no front end at all")
     if found.decide and voters not in (1, 3, 5, 7):
-        raise ScenarioFault(f"zones: {voters} voters, and it takes 3, 5 or 7")
+        raise ScenarioError(f"zones: {voters} voters, and it takes 3, 5 or 7")
     if found.policy is not None and not found.decide:
-        raise ScenarioFault("policy: goes by the voters' log, and decide is false")
+        raise ScenarioError("policy: goes by the voters' log, and decide is false")
     if found.recovery is not None and (found.state is None or not found.decide):
-        raise ScenarioFault("recovery: goes by the logs of voters and of state, which are not both there")
+        raise ScenarioError("recovery: goes by the logs of voters and of state, which are not both there")
 
 
 def _check_steps(found: Scenario) -> None:
@@ -183,13 +183,13 @@
     proposed = False
     for n, step in enumerate(found.steps):
         if step.do in ("move_clients", "bounce", "move_session") and not found.live:
-            raise ScenarioFault(f"steps[{n}].do: {step.do}, and no sessions are live")
+            raise ScenarioError(f"steps[{n}].do: {step.do}, and no sessions are live")
         if step.do == "clock" and found.clocks is None:
-            raise ScenarioFault(f"steps[{n}].do: clock, and front ends go by the true ones")
+            raise ScenarioError(f"steps[{n}].do: clock, and front ends go by the true ones")
         if step.do in ("propose", "back", "call_off") and found.policy is None:
-            raise ScenarioFault(f"steps[{n}].do: {step.do}, and no policy is changed here")
+            raise ScenarioError(f"steps[{n}].do: {step.do}, and no policy is changed here")
         if step.when.policy in SAID and not proposed:
-            raise ScenarioFault(f"steps[{n}].when.policy: nothing was proposed before")
+            raise ScenarioError(f"steps[{n}].when.policy: nothing was proposed before")
         if step.do == "propose":
             proposed = True
             _check_document(n, step)
@@ -199,16 +199,16 @@
     try:
         document_from_object({"version": 1, **step.document})
     except DocumentError as error:
-        raise ScenarioFault(f"steps[{n}].document: {error}") from None
+        raise ScenarioError(f"steps[{n}].document: {error}") from None
 
 
 def _check_zones_of_steps(found: Scenario) -> None:
     for n, step in enumerate(found.steps):
         for zone in step.when.state or ():
             if zone not in found.zones:
-                raise ScenarioFault(f"steps[{n}].when.state: no zone {zone}")
+                raise ScenarioError(f"steps[{n}].when.state: no zone {zone}")
         if step.do in ("lose_zone", "return_zone") and step.what not in found.zones:
-            raise ScenarioFault(f"steps[{n}].what: no zone {step.what}")
+            raise ScenarioError(f"steps[{n}].what: no zone {step.what}")
 
 
 def _power(found: Scenario) -> None:
@@ -216,17 +216,17 @@
     for n, step in enumerate(found.steps):
         whole = step.do not in ("power_cut", "power_back") or not step.what
         if not whole and step.what not in {f"zone:{zone}" for zone in found.zones}:
-            raise ScenarioFault(f"steps[{n}].what: {step.what} is no zone:Z of these, and not empty")
+            raise ScenarioError(f"steps[{n}].what: {step.what} is no zone:Z of these, and not empty")
         if step.do == "power_cut":
             dark.add(step.what)
         if step.do == "power_back" and step.what not in dark:
-            raise ScenarioFault(f"steps[{n}].do: power_back, and the same lost no power before")
+            raise ScenarioError(f"steps[{n}].do: power_back, and the same lost no power before")
         if step.do != "power_back" and step.returns != Returns():
-            raise ScenarioFault(f"steps[{n}].returns: {step.do} has none")
+            raise ScenarioError(f"steps[{n}].returns: {step.do} has none")
         if step.returns.late is not None and step.returns.late not in found.zones:
-            raise ScenarioFault(f"steps[{n}].returns.late: no zone {step.returns.late}")
+            raise ScenarioError(f"steps[{n}].returns.late: no zone {step.returns.late}")
         if step.returns.few_voters and not found.decide:
-            raise ScenarioFault(f"steps[{n}].returns.few_voters: nothing is decided, so nobody votes")
+            raise ScenarioError(f"steps[{n}].returns.few_voters: nothing is decided, so nobody votes")
 
 
 def load(name: str) -> Scenario:
@@ -235,9 +235,9 @@
     try:
         return scenario_from(path.read_bytes())
     except OSError as error:
-        raise ScenarioFault(f"{path}: {error.strerror}") from None
-    except ScenarioFault as error:
-        raise ScenarioFault(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error.strerror}") from None
+    except ScenarioError as error:
+        raise ScenarioError(f"{path}: {error}") from None
 
 
 def names() -> list[str]:
--- a/fawnwharf/testbed/sessions.py
+++ b/fawnwharf/testbed/sessions.py
@@ -10,7 +10,7 @@
 from fawnwharf.testbed.files import write_whole
 from fawnwharf.testbed.fleet import Fleet
 from fawnwharf.testbed.parties import Parties
-from fawnwharf.testbed.processes import Front, LabFault
+from fawnwharf.testbed.processes import Front, LabError
 from fawnwharf.testbed.scenario import Step, ZoneSpec
 
 TOLD_MS = 500.0  # pace at which the oracle's file is written
@@ -98,7 +98,7 @@
     def keepers(self) -> list[Front]:
         """The replicas that live, of the last list that was told; any front end where none was."""
         if not (found := self.parties.keepers()):
-            raise LabFault("no keeper lives that could be asked")
+            raise LabError("no keeper lives that could be asked")
         return found
 
     def asked(self, whither: str) -> Front:
--- a/fawnwharf/testbed/steps.py
+++ b/fawnwharf/testbed/steps.py
@@ -9,7 +9,7 @@
 from fawnwharf.testbed.operators import Desk
 from fawnwharf.testbed.parties import Parties
 from fawnwharf.testbed.power import Power
-from fawnwharf.testbed.processes import LabFault
+from fawnwharf.testbed.processes import LabError
 from fawnwharf.testbed.proposals import Proposals
 from fawnwharf.testbed.scenario import Step
 from fawnwharf.testbed.sessions import SessionSteps
@@ -242,5 +242,5 @@
         self.fleet.start(front)
         self.fleet.until(lambda: not front.alive, f"{front.name} to end by itself")
         if front.status != 2 or step.text not in front.last_line:
-            raise LabFault(f"{front.name} ended with {front.status}: {front.last_line}")
+            raise LabError(f"{front.name} ended with {front.status}: {front.last_line}")
         front.status = before  # this end is as it should be
--- a/fawnwharf/testbed/topology.py
+++ b/fawnwharf/testbed/topology.py
@@ -21,7 +21,7 @@
 from fawnwharf.fakes.sessions import SessionClients
 from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import unix_ms
-from fawnwharf.testbed.processes import Front, LabFault
+from fawnwharf.testbed.processes import Front, LabError
 from fawnwharf.testbed.scenario import Scenario
 
 SLOTS = 24  # labs that may run side by side on one machine
@@ -52,7 +52,7 @@
                 return
             except OSError:
                 self.lock.close()
-        raise LabFault("no free range of loopback addresses")
+        raise LabError("no free range of loopback addresses")
 
     def host(self, zone: int, part: int, number: int) -> str:
         """An address by zone, kind of party and number."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -154,7 +154,7 @@
 def test_a_faulty_scenario_is_refused_by_its_key(text, why, tmp_path):
     path = tmp_path / "bad.json"
     path.write_text(text)
-    with pytest.raises(scenarios.ScenarioFault, match=why):
+    with pytest.raises(scenarios.ScenarioError, match=why):
         scenarios.load(str(path))
     done = subprocess.run(
         [sys.executable, "-m", "fawnwharf", "lab", "run", str(path)],
--- a/tests/test_lab_clocks.py
+++ b/tests/test_lab_clocks.py
@@ -12,7 +12,7 @@
 from fawnwharf.testbed import scenario as scenarios
 from fawnwharf.testbed.clocks import Clocks, true_s
 from fawnwharf.testbed.run import Runner
-from fawnwharf.testbed.scenario import ClockSpec, ScenarioFault, scenario_from
+from fawnwharf.testbed.scenario import ClockSpec, ScenarioError, scenario_from
 
 HOUR = 3_600.0
 
@@ -100,7 +100,7 @@
 )
 def test_a_faulty_scenario_is_named_by_its_key(change, key):
     whole = msgspec.to_builtins(scenarios.load("calm"))
-    with pytest.raises(ScenarioFault, match="^" + key.replace("[", r"\[").replace(".", r"\.")):
+    with pytest.raises(ScenarioError, match="^" + key.replace("[", r"\[").replace(".", r"\.")):
         scenario_from(msgspec.json.encode({**whole, **change}))
 
 
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -22,7 +22,7 @@
 from fawnwharf.testbed.measures import Measures, Meter
 from fawnwharf.testbed.power import LAST_S, LOG, STORE, Machine, drawn, never
 from fawnwharf.testbed.run import Runner
-from fawnwharf.testbed.scenario import Returns, ScenarioFault, Step, scenario_from
+from fawnwharf.testbed.scenario import Returns, ScenarioError, Step, scenario_from
 from fawnwharf.testbed.steps import Steps
 
 FRONTS = [Machine(f"n{n}", "abc"[n // 4], n % 4 == 0) for n in range(12)]
@@ -153,7 +153,7 @@
     ],
 )
 def test_steps_that_cannot_be_are_refused_by_key(steps, keys, text):
-    with pytest.raises(ScenarioFault, match=f"^{text}".replace("[", r"\[").replace("]", r"\]")):
+    with pytest.raises(ScenarioError, match=f"^{text}".replace("[", r"\[").replace("]", r"\]")):
         scenario_from(asked(*steps, **keys))
 
 
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -23,7 +23,7 @@
 from fawnwharf.testbed.homes import Sent, Told, Unload, Use
 from fawnwharf.testbed.processes import Noted
 from fawnwharf.testbed.run import Runner
-from fawnwharf.testbed.scenario import ScenarioFault, Step, ZoneSpec, scenario_from
+from fawnwharf.testbed.scenario import ScenarioError, Step, ZoneSpec, scenario_from
 from fawnwharf.testbed.sessions import SessionSteps, handed_over
 from fawnwharf.zones.files import WatchedFile
 
@@ -154,7 +154,7 @@
 def test_a_scenario_of_sessions_that_lacks_something_is_refused_by_its_key(more, why):
     plain = {"version": 1, "name": "x", "about": "", "decide": False, "steps": []}
     plain["zones"] = {"a": {"front_ends": 1, "scorers": 1}}
-    with pytest.raises(ScenarioFault, match=why):
+    with pytest.raises(ScenarioError, match=why):
         scenario_from(msgspec.json.encode(plain | more))
 
 
--- a/tests/test_lab_steps.py
+++ b/tests/test_lab_steps.py
@@ -16,7 +16,7 @@
 from fawnwharf.testbed import scenario as scenarios
 from fawnwharf.testbed.checker import judge
 from fawnwharf.testbed.measures import Meter
-from fawnwharf.testbed.processes import LabFault, Noted, Waits
+from fawnwharf.testbed.processes import LabError, Noted, Waits
 from fawnwharf.testbed.run import Runner
 from fawnwharf.testbed.scenario import Step, When
 from fawnwharf.testbed.steps import Steps
@@ -91,9 +91,9 @@
     fleet = runner.fleet
     plays(fleet, "import sys", "sys.exit('first\\nanother word')")
     ends_unseen(fleet)
-    with pytest.raises(LabFault, match="n0 ended with 1: another word"):
+    with pytest.raises(LabError, match="n0 ended with 1: another word"):
         carry_out(runner, REFUSED)
-    with pytest.raises(LabFault, match="n1 ended with 1: another word"):  # not only after all its patience
+    with pytest.raises(LabError, match="n1 ended with 1: another word"):  # not only after all its patience
         carry_out(runner, Step("start", what="n1"))
 
 
