--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -104,7 +104,7 @@
         except OSError as error:
             # Reset already, or the selector has no memory: this one is lost, the next may be well.
             accepted.close()
-            self.log(f"accepted, but of no use: {error}", "accept")
+            self.log(f"accepted connection not usable: {error}", "accept")
 
     def _failed(self, error: OSError) -> bool:
         if error.errno in SINGLE_CONNECTION_ERRORS:
--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -98,7 +98,7 @@
         """Guards against a log that was cut off: its connection stays open and says nothing."""
         up = self._connection is not None and self._connection.up
         if up and monotonic_ms() - self._lived_ms > SILENCE_TIMEOUT_MS:
-            self._log("change log: silent, connecting again")
+            self._log("change log: silent, reconnecting")
             self._connection.close(EndReason.SILENT)
 
     def close(self) -> None:
@@ -192,7 +192,7 @@
         if monotonic_ms() - self._smaller_ms > MAX_DELAY_MS:
             return self._anew(read)
         if not self._probing and (fresh or self._smaller > MAX_SMALLER_NUMBERS):
-            self._log(f"change log: at {read}, after {self.seq} before; asking for all it has")
+            self._log(f"change log: at {read}, after {self.seq} before; requesting all events")
             self._probing = True
             self._connection.close(EndReason.BAD_BYTES)
             return False
@@ -205,7 +205,7 @@
         return False
 
     def _begin_anew(self, last: int) -> None:
-        self._log(f"change log: at {last}, after {self.seq} before: it has begun anew")
+        self._log(f"change log: at {last}, after {self.seq} before: it restarted its numbering")
         self.seq, self._stumbled_at, self._smaller_ms, self._probing = 0, None, None, False
         self._order, self._replay = EventOrder(), RosterOverlay()
 
@@ -304,7 +304,7 @@
         """Connect again and be told again; what can't be followed twice at one place is passed over."""
         if self._stumbled_at == self._at:
             return True
-        self._log(f"change log: {why}; connecting again after {self._at}")
+        self._log(f"change log: {why}; reconnecting after event {self._at}")
         self._stumbled_at = self._at
         if self._connection:
             self._connection.close(EndReason.BAD_BYTES)
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -339,7 +339,7 @@
         try:
             client = ClientConnection(self, handed.sock)
         except OSError as error:
-            self.log(f"a connection of another process can't be kept: {error}")
+            self.log(f"connection handed off by another process not usable: {error}")
             handed.sock.close()
             return
         self.clients[client] = None
--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -59,8 +59,8 @@
 def attempt_result(end: EndReason, begun: bool, whole: bool = True) -> AttemptResult:
     """The attempt result of a stream that ended for this reason.
 
-    `begun`: some of its frame was written; `whole`: all of it, or the written part counts as all of it, as for
-    calls that must not run twice.
+    `begun`: some of its frame was written; `whole`: all of it, or the written part counts as all of it, as
+    for calls that must not run twice.
     """
     return RESULT_BY_REASON[end][begun + (begun and whole)]
 
--- a/fawnwharf/net/scorer_connection.py
+++ b/fawnwharf/net/scorer_connection.py
@@ -127,7 +127,7 @@
         if left > 0:
             self._stall = self.pool.loop.timers.after(left, self._stalled)
         else:
-            self.pool.log(f"scorer {self.scorer.id}: a frame was cut off")
+            self.pool.log(f"scorer {self.scorer.id}: truncated frame")
             self.connection.close(EndReason.SILENT)
 
     def on_flushed(self) -> None:
