--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -11,14 +11,27 @@
 from collections.abc import Sequence
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.budgets import View
-from fawnwharf.prefetch.core import Foresight
-from fawnwharf.prefetch.scenes import CONFIG, DAY_MS, SCENES, SITES, Scene, Turn, home, place, scene, whither
-from fawnwharf.prefetch.settings import Foresight as Bounds
-from fawnwharf.prefetch.settings import site_from
-from fawnwharf.prefetch.world import Tally, World
-
-WAYS = ("none", "react", "everything", "foresight", "oracle")
+from fawnwharf.prefetch.budgets import PlannerView
+from fawnwharf.prefetch.fleet_model import FleetModel, Tally
+from fawnwharf.prefetch.predictors import ZoneRules
+from fawnwharf.prefetch.prefetcher import Prefetcher
+from fawnwharf.prefetch.scenarios import (
+    CONFIG,
+    DAY_MS,
+    SCENARIOS,
+    SITES,
+    Scenario,
+    ZoneChange,
+    draw_scenario,
+    home,
+    next_zone,
+    place,
+)
+from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
+from fawnwharf.prefetch.settings import decode_site_settings
+from fawnwharf.session_types import Session
+
+STRATEGIES = ("none", "react", "everything", "foresight", "oracle")
 SEEDS = tuple(range(1, 11))
 EACH = 4  # scorers of a site
 MEMORY_MB = 16_000.0
@@ -46,14 +59,18 @@
 class Run:
     """One scenario with one strategy."""
 
-    def __init__(self, way: str, made: Scene) -> None:
+    def __init__(self, way: str, made: Scenario) -> None:
         self.way, self.made = way, made
-        self.site, self.prices = site_from(CONFIG)
-        self.world = World(self.site, SITES, EACH, MEMORY_MB, made.facts)
-        self.core = Foresight(
-            BOUNDS, self.site, self.prices, "a", lambda s, at: ((whither(s, at), 1.0),), place, home
+        self.site, self.prices = decode_site_settings(CONFIG)
+        self.world = FleetModel(self.site, SITES, EACH, MEMORY_MB, made.facts)
+        self.core = Prefetcher(
+            BOUNDS,
+            self.site,
+            self.prices,
+            "a",
+            ZoneRules(lambda session, site: ((next_zone(session, site), 1.0),), place, home),
         )
-        self.live: dict = {}  # session to (site, when it called last)
+        self.live: dict[Session, tuple[str, float]] = {}  # session to (site, when it called last)
         self.left = PACE_PS  # fetches that this way may begin now
         self.asked: dict[tuple[str, str], float] = {}
         self.queue: list[
@@ -90,7 +107,7 @@
             world.call(call)
         return world.end()
 
-    def _look(self, now: float, turned: list[Turn], firsts: list[tuple[float, str, str]]) -> None:
+    def _look(self, now: float, turned: list[ZoneChange], firsts: list[tuple[float, str, str]]) -> None:
         world = self.world
         self.live = {s: held for s, held in self.live.items() if now - held[1] < 10_000.0}
         world.waits = [until for until in world.waits if until > now]
@@ -105,11 +122,11 @@
             self._foresight(now)
         self._order(now)
 
-    def _react(self, turned: list[Turn]) -> None:
+    def _react(self, turned: list[ZoneChange]) -> None:
         for turn in turned:
             for session, (at, _) in sorted(self.live.items()):
                 if at == turn.site and turn.open == 0.0:
-                    self.queue.append((session.row, whither(session, at)))
+                    self.queue.append((session.row, next_zone(session, at)))
                 elif home(session) == turn.site and turn.was <= place(session, turn.site) < turn.open:
                     self.queue.append((session.row, turn.site))
 
@@ -120,7 +137,7 @@
 
     def _foresight(self, now: float) -> None:
         for order in self.core.step(now, self._view(now)):
-            if isinstance(order, m.Order):
+            if isinstance(order, m.AssignedOrder):
                 for scorer in order.scorers:
                     self.world.stage(now, order.stage.row, self.world.by_name[scorer])
 
@@ -150,11 +167,11 @@
                 found.append((call.at_ms - 1.5 * load - LEAD_MS, call.session.row, call.site))
         return sorted(found)
 
-    def _view(self, now: float) -> View:
+    def _view(self, now: float) -> PlannerView:
         world = self.world
         left, most = world.ration(now)
         waiting = len(world.waits)
-        return View(
+        return PlannerView(
             me="a",
             heard=("a", "b")[:1],
             calm=waiting <= max(3.0, WAITING_PART * len(self.live)),
@@ -177,7 +194,7 @@
     Service in the measured part, of all calls and of those soon after a move, and the part of first calls
     that found a copy; counts and the total result are of the whole run.
     """
-    prices = site_from(CONFIG)[1]
+    prices = decode_site_settings(CONFIG)[1]
     return {
         "service": window.service(),
         "1 s": window.service(1),
@@ -200,9 +217,11 @@
     return mean, mean - half, mean + half
 
 
-def compare(name: str, seeds: Sequence[int] = SEEDS, ways: Sequence[str] = WAYS) -> dict[str, list[Figures]]:
+def compare(
+    name: str, seeds: Sequence[int] = SEEDS, ways: Sequence[str] = STRATEGIES
+) -> dict[str, list[Figures]]:
     """Figures of each strategy by seed."""
-    return {way: [figures(*Run(way, scene(name, seed)).run()) for seed in seeds] for way in ways}
+    return {way: [figures(*Run(way, draw_scenario(name, seed)).run()) for seed in seeds] for way in ways}
 
 
 def shown(name: str, found: dict[str, list[Figures]]) -> str:
@@ -233,8 +252,10 @@
             none = " none" if low <= 0.0 <= high else ""
             parts.append(f"{key} {mean:+.4f} [{low:+.4f}, {high:+.4f}]{none}")
         lines.append(f"{one} - {other}: " + "; ".join(parts))
-    for key in ("1 s", "5 s", "20 s"):
-        lines.append(f"part of the oracle's gain over react, {key}: {_part(found, key):.2f}")
+    lines += [
+        f"part of the oracle's gain over react, {key}: {_part(found, key):.2f}"
+        for key in ("1 s", "5 s", "20 s")
+    ]
     ratio = _mean(found, "foresight", "staged") / max(1e-9, _mean(found, "everything", "staged"))
     lines.append(f"staged loads, foresight to everything: {ratio:.2f}")
     return "\n".join(lines)
@@ -251,7 +272,7 @@
 
 def main(arguments: Sequence[str]) -> None:
     """Print the comparison of the scenarios named, or of all."""
-    for name in arguments or SCENES:
+    for name in arguments or SCENARIOS:
         print(shown(name, compare(name)), flush=True)
         print()
 
