--- a/fawnwharf/replication/call_owner.py
+++ b/fawnwharf/replication/call_owner.py
@@ -1,12 +1,16 @@
-"""One owner: how it gets a call for itself before it runs it, and what it makes of others' claims.
+"""The owner of calls: how a front end claims a call before it runs it, and what others' claims mean for it.
 
-Pure; times are milliseconds of its own clock. A call is asked of its keepers and goes when more than half of
-them granted it within `wait_ms`; a grant is never rested on for longer, so that a keeper that forgot it knows
-when it is safe to grant anew. If that can't be, the call is another's, or nobody knows: then it is joined,
-answered from what was kept, failed or refused, and whatever was granted is given back.
+Pure; times are milliseconds of this front end's own clock. A call is requested from its replicas and runs
+when a quorum of them grants it within `wait_ms`. Nobody acts on an older grant, so that a replica that lost
+its state knows when it may grant again. Where there is no quorum, another front end has the call or nobody
+knows: then the call is joined to the running one, answered from a stored answer, failed or rejected, and what
+was granted is released.
 """
 
+from collections import Counter
+from collections.abc import Iterable
 from dataclasses import dataclass, field
+from enum import Enum, auto
 
 import msgspec
 from msgspec import Struct
@@ -16,46 +20,48 @@
 from fawnwharf.replication.claims import (
     CallState,
     Claim,
+    ClaimId,
     ClaimPhase,
     ClaimSummary,
     merge_claims,
     summarize_claims,
 )
+from fawnwharf.replication.counters import ReplicationCounter
 from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
 from fawnwharf.replication.settings import ReplicationSettings
 
-OPEN_MOST = 20_000
-SLOT_MS = 1_000.0
-PUSHBACK_MS = (120.0, 400.0)  # for one that met another's ask: spread, so that they do not meet again
-DEDUP_MARGIN_MS = 300.0  # a keyed repeat has to reach the scorers so long before their window ends
+MAX_OPEN_CALLS = 20_000
+BUCKET_MS = 1_000.0
+RETRY_AFTER_RANGE_MS = (120.0, 400.0)  # spread, so that two concurrent requests do not meet again
+DEDUP_MARGIN_MS = 300.0  # a repeat has to reach the scorers so long before their idempotency window ends
 
 
-# --- effects --------------------------------------------------------------------------------
+# --- actions --------------------------------------------------------------------------------
 
 
 class RunCall(Struct, frozen=True):
-    """Run it. `kept`: more than half of its keepers know that it may run."""
+    """Run the call; `claimed` where a quorum of its replicas has granted it."""
 
     key: str
     claimed: bool
 
 
 class AnswerCall(Struct, frozen=True):
-    """It was answered before, with this; None: with something that is not kept."""
+    """The call was answered before, with this; None where that answer is not stored."""
 
     key: str
     answer: str | None
 
 
 class FailCall(Struct, frozen=True):
-    """It may have run, and what came of it is not known."""
+    """The call may have run, and what came of it is not known."""
 
     key: str
     reason: str
 
 
 class RejectCall(Struct, frozen=True):
-    """It did not run here, and may be asked again after `pushback_ms`."""
+    """The call did not run here; the client may retry after `pushback_ms`."""
 
     key: str
     pushback_ms: float
@@ -65,253 +71,309 @@
 OwnerAction = m.Send | RunCall | AnswerCall | FailCall | RejectCall
 
 
+# --- calls ----------------------------------------------------------------------------------
+
+
+class CallTerms(Struct, frozen=True):
+    """What a call's class and client ask of its claim."""
+
+    effect: Effect
+    latency_objective_ms: float
+    budget_ms: float  # until the client's deadline
+    dedup_window_ms: float = 0.0  # for so long the scorers drop repeats of it
+    claim_required: bool = True  # it may run only with a quorum
+
+
+class CallProgress(Enum):
+    """How far an owned call is."""
+
+    REQUESTED = auto()
+    PERSISTING = auto()  # a quorum granted it, and the own replica's grant is not on disk yet
+    RUNNING = auto()
+    WAITING = auto()  # for the result of another owner
+    ENDED = auto()
+
+
 @dataclass(slots=True)
 class OwnedCall:
-    """One call that this owner has asked for."""
+    """One call that this owner has requested."""
 
     key: str
     effect: Effect
     request_number: int
     requested_ms: float
     wait_ms: float
-    deadline_ms: float  # of the client
+    deadline_ms: float  # when its client leaves
     bucket: int
-    dedup_ms: float
-    claim_required: bool  # it goes only when it is kept
+    dedup_window_ms: float
+    claim_required: bool  # it may run only with a quorum
     replicas: tuple[str, ...]
-    replies: dict[str, m.ClaimReply] = field(default_factory=dict)
-    state: str = "asking"  # held until a grant is on disk, going, waiting for another's, over
-    claimed: bool = False
+    replies: dict[str, m.ClaimReply] = field(default_factory=dict)  # the last one of each replica
+    progress: CallProgress = CallProgress.REQUESTED
+
+    def may_wait(self, now_ms: float) -> bool:
+        """Whether grants still count."""
+        return now_ms - self.requested_ms <= self.wait_ms
+
+    def summary(self, owner_id: str) -> ClaimSummary:
+        """What all replicas reported of other requests, by their last replies."""
+        claims: dict[ClaimId, Claim] = {}
+        live_owners: set[str] = set()
+        for reply in self.replies.values():
+            live_owners |= set(reply.live_owners)
+            for claim in reply.claims:
+                if claim.claim_id != (owner_id, self.request_number):
+                    claims[claim.claim_id] = merge_claims(claim, claims.get(claim.claim_id, claim))
+        return summarize_claims(list(claims.values()), live_owners)
 
 
 class CallOwner:
-    """Owns this front end's claims, by key."""
+    """Owns this front end's open calls, by key."""
 
-    def __init__(self, owner: str, placement: ReplicaPlacement, settings: ReplicationSettings) -> None:
-        self.owner_id, self.placement, self.settings = owner, placement, settings
+    def __init__(self, owner_id: str, placement: ReplicaPlacement, settings: ReplicationSettings) -> None:
+        self.owner_id, self.placement, self.settings = owner_id, placement, settings
         self.calls: dict[str, OwnedCall] = {}
-        self.counts: dict[str, int] = {}
-        self._numbers = 0
-
-    def _count(self, cause: str) -> None:
-        self.counts[cause] = self.counts.get(cause, 0) + 1
-
-    def _number(self) -> int:
-        self._numbers += 1
-        return self._numbers
-
-    # --- a call comes ---------------------------------------------------------------------------
-
-    def begin(
-        self,
-        now_ms: float,
-        key: str,
-        effect: Effect,
-        promise_ms: float,
-        budget_ms: float,
-        dedup_ms: float = 0.0,
-        must: bool = True,
-    ) -> list[OwnerAction]:
-        """Ask for a call; `must`: it may run only when that is kept. Keys must not be under way here."""
-        if len(self.calls) >= OPEN_MOST:
-            self._count("too many")
-            return [RejectCall(key, self._spread(key), "too many")] if must else [RunCall(key, False)]
-        wait = min(self.settings.max_wait_ms, self.settings.wait_fraction * promise_ms)
-        mine = OwnedCall(
+        self.counts: Counter[ReplicationCounter] = Counter()
+        self._last_number = 0
+
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
+
+    # --- a call begins ------------------------------------------------------------------------
+
+    def begin(self, now_ms: float, key: str, terms: CallTerms) -> list[OwnerAction]:
+        """Request a call; a call with this key must not be open here."""
+        if len(self.calls) >= MAX_OPEN_CALLS:
+            self.counts[ReplicationCounter.REJECTED_TOO_MANY_OPEN] += 1
+            if terms.claim_required:
+                return [RejectCall(key, self._spread_pushback_ms(key), "too many open calls")]
+            return [RunCall(key, claimed=False)]
+        call = OwnedCall(
             key=key,
-            effect=effect,
-            request_number=self._number(),
+            effect=terms.effect,
+            request_number=self._next_number(),
             requested_ms=now_ms,
-            wait_ms=wait,
-            deadline_ms=now_ms + budget_ms,
-            bucket=int(now_ms / SLOT_MS),
-            dedup_ms=dedup_ms,
-            claim_required=must,
+            wait_ms=min(self.settings.max_wait_ms, self.settings.wait_fraction * terms.latency_objective_ms),
+            deadline_ms=now_ms + terms.budget_ms,
+            bucket=int(now_ms / BUCKET_MS),
+            dedup_window_ms=terms.dedup_window_ms,
+            claim_required=terms.claim_required,
             replicas=self.placement.replicas_of(key),
         )
-        self.calls[key] = mine
-        self._count("asked")
-        ask = m.ClaimRequest(key, self.owner_id, mine.request_number, self.placement.number, mine.bucket)
-        if must:
-            return [m.Send(mine.replicas, ask)]
-        mine.state = "going"
-        return [RunCall(key, False), m.Send(mine.replicas, ask)]
-
-    def receive_reply(self, now_ms: float, sender: str, word: m.ClaimReply) -> list[OwnerAction]:
-        """A keeper's answer, or its news."""
-        mine = self.calls.get(word.key)
-        if mine is None or word.owner != self.owner_id or word.request_number != mine.request_number:
-            self._count("a word on nothing")
+        self.calls[key] = call
+        self.counts[ReplicationCounter.CALLS_REQUESTED] += 1
+        request = m.ClaimRequest(key, self.owner_id, call.request_number, self.placement.number, call.bucket)
+        send = m.Send(call.replicas, request)
+        if terms.claim_required:
+            return [send]
+        call.progress = CallProgress.RUNNING
+        return [RunCall(key, claimed=False), send]
+
+    def receive_reply(self, now_ms: float, sender: str, reply: m.ClaimReply) -> list[OwnerAction]:
+        """Take a replica's reply, or its update on a call that waits."""
+        call = self.calls.get(reply.key)
+        if call is None or reply.owner != self.owner_id or reply.request_number != call.request_number:
+            self.counts[ReplicationCounter.REPLIES_WITHOUT_REQUEST] += 1
             return []
-        if sender not in mine.replicas:
-            self._count("a word of no keeper")
+        if sender not in call.replicas:
+            self.counts[ReplicationCounter.REPLIES_NOT_FROM_REPLICA] += 1
             return []
-        mine.replies[sender] = word
-        if mine.state == "asking":
-            return self._weigh(now_ms, mine)
-        if mine.state == "going":
-            return self._early(mine)
-        if mine.state == "waiting":
-            return self._look(now_ms, mine)
+        call.replies[sender] = reply
+        if call.progress is CallProgress.REQUESTED:
+            return self._evaluate(now_ms, call)
+        if call.progress is CallProgress.RUNNING:
+            return self._check_answered_elsewhere(call)
+        if call.progress is CallProgress.WAITING:
+            return self._check_awaited(call)
         return []
 
-    # --- where grants are on disk later than they are made ----------------------------------------
+    # --- where grants are on disk later than they are made --------------------------------------
 
     def hold(self, key: str) -> None:
-        """A call that may go waits until its own keeper's grant is on disk. Who leaves meanwhile gives it
-        back."""
-        self.calls[key].state = "held"
+        """Let a claimed call wait until its own replica's grant is on disk."""
+        self.calls[key].progress = CallProgress.PERSISTING
 
     def release(self, key: str, number: int) -> bool:
-        """It goes now; False: it is not there any more."""
-        mine = self.calls.get(key)
-        if mine is None or (mine.request_number, mine.state) != (number, "held"):
+        """Let a held call run; False where it is not open any more."""
+        call = self.calls.get(key)
+        if call is None or call.request_number != number or call.progress is not CallProgress.PERSISTING:
             return False
-        mine.state = "going"
+        call.progress = CallProgress.RUNNING
         return True
 
-    def revoke_grant(self, now_ms: float, key: str, number: int, keeper: str) -> list[OwnerAction]:
-        """What its own keeper granted does not count: the others' words are weighed alone."""
-        mine = self.calls.get(key)
-        if mine is None or mine.request_number != number or mine.state not in ("asking", "held"):
+    def revoke_grant(self, now_ms: float, key: str, number: int, replica: str) -> list[OwnerAction]:
+        """Evaluate a call anew without the grant of its own replica, which could not be stored."""
+        call = self.calls.get(key)
+        if call is None or call.request_number != number:
             return []
-        if (word := mine.replies.get(keeper)) is None:
+        if call.progress not in (CallProgress.REQUESTED, CallProgress.PERSISTING):
             return []
-        mine.replies[keeper] = msgspec.structs.replace(word, granted=False, complete=False)
-        mine.state, mine.claimed = "asking", False
-        return self._weigh(now_ms, mine)
-
-    def _weigh(self, now_ms: float, mine: OwnedCall) -> list[OwnerAction]:
-        """Whether it may go, may never, or has to wait for more words."""
-        enough = len(mine.replicas) // 2 + 1
-        granted = sum(word.granted for word in mine.replies.values())
-        if granted >= enough and now_ms - mine.requested_ms <= mine.wait_ms:
-            mine.state, mine.claimed = "going", True
-            self._count("kept")
-            return [RunCall(mine.key, True)]
-        denied = sum(not word.granted for word in mine.replies.values())
-        open_yet = len(mine.replicas) - denied >= enough and now_ms - mine.requested_ms <= mine.wait_ms
-        if open_yet and self._reading(mine).state is not CallState.ANSWERED:
+        if (reply := call.replies.get(replica)) is None:
             return []
-        return self._not_mine(now_ms, mine)
-
-    def _not_mine(self, now_ms: float, mine: OwnedCall) -> list[OwnerAction]:
-        """Others have it, or too few keepers answer."""
-        found = self._reading(mine)
-        if found.state is not CallState.FREE:
-            return [*self._give_back(mine), *self._others(now_ms, mine, found)]
-        denied = any(not word.granted and not word.complete for word in mine.replies.values())
-        why = "keepers are not sure" if denied else "too few keepers"
-        if mine.effect is not Effect.AT_MOST_ONCE or self.settings.on_unclaimed == "serve":
-            mine.state = "going"
-            self._count(f"not kept: {why}")
-            return [RunCall(mine.key, False)]
-        self._count(f"turned away: {why}")
-        return [*self._give_back(mine), *self._end(mine, RejectCall(mine.key, self._spread(mine.key), why))]
-
-    def _reading(self, mine: OwnedCall) -> ClaimSummary:
-        """All that keepers told of others' asks, by their last words."""
-        claims: dict[tuple[str, int], Claim] = {}
-        alive: set[str] = set()
-        for word in mine.replies.values():
-            alive |= set(word.live_owners)
-            for claim in word.claims:
-                if claim.claim_id != (self.owner_id, mine.request_number):
-                    claims[claim.claim_id] = merge_claims(claim, claims.get(claim.claim_id, claim))
-        return summarize_claims(list(claims.values()), alive)
-
-    def _others(self, now_ms: float, mine: OwnedCall, found: ClaimSummary) -> list[OwnerAction]:
-        """What becomes of a call that another owner has, or had."""
-        if found.state is CallState.ANSWERED:
-            self._count("answered from what was kept")
-            return self._end(mine, AnswerCall(mine.key, found.claim.answer))
-        if found.state is CallState.RUNNING:
-            mine.state = "waiting"
-            self._count("joined")
+        call.replies[replica] = msgspec.structs.replace(reply, granted=False, complete=False)
+        call.progress = CallProgress.REQUESTED
+        return self._evaluate(now_ms, call)
+
+    # --- evaluation ---------------------------------------------------------------------------
+
+    def _evaluate(self, now_ms: float, call: OwnedCall) -> list[OwnerAction]:
+        """Run the call, give up its claim, or wait for more replies."""
+        quorum = len(call.replicas) // 2 + 1
+        in_time = call.may_wait(now_ms)
+        granted = sum(reply.granted for reply in call.replies.values())
+        if granted >= quorum and in_time:
+            call.progress = CallProgress.RUNNING
+            self.counts[ReplicationCounter.CALLS_CLAIMED] += 1
+            return [RunCall(call.key, claimed=True)]
+        denied = sum(not reply.granted for reply in call.replies.values())
+        quorum_possible = len(call.replicas) - denied >= quorum and in_time
+        if quorum_possible and call.summary(self.owner_id).state is not CallState.ANSWERED:
+            return []
+        return self._continue_unclaimed(call)
+
+    def _continue_unclaimed(self, call: OwnedCall) -> list[OwnerAction]:
+        """Go on without a quorum: others have the call, or too few replicas reply."""
+        summary = call.summary(self.owner_id)
+        if summary.state is not CallState.FREE:
+            return [*self._release_grants(call), *self._follow_others(call, summary)]
+        incomplete = any(not reply.granted and not reply.complete for reply in call.replies.values())
+        if call.effect is not Effect.AT_MOST_ONCE or self.settings.on_unclaimed == "serve":
+            self.counts[
+                ReplicationCounter.UNCLAIMED_INCOMPLETE
+                if incomplete
+                else ReplicationCounter.UNCLAIMED_TOO_FEW
+            ] += 1
+            call.progress = CallProgress.RUNNING
+            return [RunCall(call.key, claimed=False)]
+        self.counts[
+            ReplicationCounter.REJECTED_INCOMPLETE if incomplete else ReplicationCounter.REJECTED_TOO_FEW
+        ] += 1
+        reason = "replicas are incomplete" if incomplete else "too few replicas"
+        return [*self._release_grants(call), *self._reject(call, reason)]
+
+    def _follow_others(self, call: OwnedCall, summary: ClaimSummary) -> list[OwnerAction]:
+        """Decide on a call that another owner has or had."""
+        if summary.state is CallState.ANSWERED:
+            return self._answer(call, summary.answer)
+        if summary.state is CallState.RUNNING:
+            call.progress = CallProgress.WAITING
+            self.counts[ReplicationCounter.CALLS_JOINED] += 1
             return []
-        if found.state is CallState.CONFLICT:
-            self._count("conflict")
-            return self._end(mine, FailCall(mine.key, "two answers that differ"))
-        age = max((word.age_ms for word in mine.replies.values()), default=0.0)
-        if mine.effect is Effect.DEDUPLICATED and age < mine.dedup_ms - mine.wait_ms - DEDUP_MARGIN_MS:
-            mine.state = "going"  # the scorers drop it if it ran
-            self._count("run again within its window")
-            return [RunCall(mine.key, False)]
-        self._count("given up: may have run")
-        return self._end(mine, FailCall(mine.key, "it may have run"))
-
-    def _look(self, now_ms: float, mine: OwnedCall) -> list[OwnerAction]:
-        """News for one that waits for another's call."""
-        found = self._reading(mine)
-        if found.state is CallState.RUNNING:
+        if summary.state is CallState.CONFLICT:
+            return self._fail(call, ReplicationCounter.FAILED_CONFLICT, "two different answers")
+        if self._scorers_drop_repeat(call):
+            call.progress = CallProgress.RUNNING
+            self.counts[ReplicationCounter.CALLS_RETRIED_IN_WINDOW] += 1
+            return [RunCall(call.key, claimed=False)]
+        return self._fail(call, ReplicationCounter.FAILED_MAY_HAVE_RUN, "it may have run")
+
+    @staticmethod
+    def _scorers_drop_repeat(call: OwnedCall) -> bool:
+        """Whether a second run is harmless, as the scorers still know the idempotency key."""
+        age_ms = max((reply.age_ms for reply in call.replies.values()), default=0.0)
+        window_ms = call.dedup_window_ms - call.wait_ms - DEDUP_MARGIN_MS
+        return call.effect is Effect.DEDUPLICATED and age_ms < window_ms
+
+    def _check_awaited(self, call: OwnedCall) -> list[OwnerAction]:
+        """Look at an update on a call that waits for another owner."""
+        summary = call.summary(self.owner_id)
+        if summary.state is CallState.RUNNING:
             return []
-        if found.state is CallState.FREE:  # they gave it back: it never ran
-            self._count("turned away: met another's ask")
-            return self._end(mine, RejectCall(mine.key, self._spread(mine.key), "met another's ask"))
-        return self._others(now_ms, mine, found)
-
-    def _early(self, mine: OwnedCall) -> list[OwnerAction]:
-        """One that runs without waiting for keepers: it was answered elsewhere before."""
-        found = self._reading(mine)
-        if mine.claim_required or found.state is not CallState.ANSWERED or found.claim.answer is None:
+        if summary.state is CallState.FREE:  # the other owner released it: it never ran
+            self.counts[ReplicationCounter.REJECTED_CONCURRENT] += 1
+            return self._reject(call, "concurrent request elsewhere")
+        return self._follow_others(call, summary)
+
+    def _check_answered_elsewhere(self, call: OwnedCall) -> list[OwnerAction]:
+        """Answer a call that runs without a claim where it was answered elsewhere before."""
+        summary = call.summary(self.owner_id)
+        if call.claim_required or summary.state is not CallState.ANSWERED or summary.answer is None:
             return []
-        self._count("answered from what was kept")
-        return [*self._give_back(mine), *self._end(mine, AnswerCall(mine.key, found.claim.answer))]
+        return [*self._release_grants(call), *self._answer(call, summary.answer)]
 
-    # --- a call ends ----------------------------------------------------------------------------
+    # --- a call ends --------------------------------------------------------------------------
 
     def call_ended(
-        self, now_ms: float, key: str, phase: ClaimPhase, digest: str = "", answer: str | None = None
+        self, key: str, phase: ClaimPhase, digest: str = "", answer: str | None = None
     ) -> list[OwnerAction]:
-        """What came of a call that went: its keepers are told."""
-        mine = self.calls.pop(key, None)
-        if mine is None or mine.state != "going":
+        """Report to the replicas what came of a call that ran."""
+        call = self.calls.pop(key, None)
+        if call is None or call.progress is not CallProgress.RUNNING:
             return []
-        claim = Claim(self.owner_id, mine.request_number, self._number(), mine.bucket, phase, digest, answer)
-        return [m.Send(mine.replicas, m.ClaimUpdate(key, claim))]
+        return [self._update(call, call.replicas, phase, digest, answer)]
 
-    def client_left(self, now_ms: float, key: str) -> list[OwnerAction]:
-        """The client is gone before the call went."""
-        mine = self.calls.get(key)
-        if mine is None or mine.state == "going":
+    def client_left(self, key: str) -> list[OwnerAction]:
+        """Release a call whose client is gone before it ran."""
+        call = self.calls.get(key)
+        if call is None or call.progress is CallProgress.RUNNING:
             return []
-        return [*self._give_back(mine), *self._end(mine, None)]
+        self._close(call)
+        return self._release_grants(call)
 
-    def _give_back(self, mine: OwnedCall) -> list[OwnerAction]:
-        """To keepers that granted it, or may yet: who denied it has nothing to forget."""
-        to = tuple(name for name in mine.replicas if name not in mine.replies or mine.replies[name].granted)
-        if not to:
-            return []
-        claim = Claim(self.owner_id, mine.request_number, self._number(), mine.bucket, ClaimPhase.RELEASED)
-        return [m.Send(to, m.ClaimUpdate(mine.key, claim))]
-
-    def _end(self, mine: OwnedCall, effect: OwnerAction | None) -> list[OwnerAction]:
-        mine.state = "over"
-        self.calls.pop(mine.key, None)
-        return [effect] if effect else []
-
-    def _spread(self, key: str) -> float:
-        low, high = PUSHBACK_MS
-        return low + (high - low) * (rendezvous_weight(self.owner_id, key, str(self._numbers)) / 2**64)
+    def _release_grants(self, call: OwnedCall) -> list[OwnerAction]:
+        """Release the call at all replicas but those that denied it, which have nothing to forget."""
+        granting = tuple(
+            name for name in call.replicas if name not in call.replies or call.replies[name].granted
+        )
+        return [self._update(call, granting, ClaimPhase.RELEASED)] if granting else []
 
-    # --- time -----------------------------------------------------------------------------------
+    def _update(
+        self,
+        call: OwnedCall,
+        replicas: tuple[str, ...],
+        phase: ClaimPhase,
+        digest: str = "",
+        answer: str | None = None,
+    ) -> m.Send:
+        number = self._next_number()
+        claim = Claim(self.owner_id, call.request_number, number, call.bucket, phase, digest, answer)
+        return m.Send(replicas, m.ClaimUpdate(call.key, claim))
+
+    def _close(self, call: OwnedCall) -> None:
+        call.progress = CallProgress.ENDED
+        self.calls.pop(call.key, None)
+
+    def _answer(self, call: OwnedCall, answer: str | None) -> list[OwnerAction]:
+        self.counts[ReplicationCounter.CALLS_ANSWERED_FROM_STORE] += 1
+        self._close(call)
+        return [AnswerCall(call.key, answer)]
+
+    def _fail(self, call: OwnedCall, counter: ReplicationCounter, reason: str) -> list[OwnerAction]:
+        self.counts[counter] += 1
+        self._close(call)
+        return [FailCall(call.key, reason)]
+
+    def _reject(self, call: OwnedCall, reason: str) -> list[OwnerAction]:
+        pushback_ms = self._spread_pushback_ms(call.key)
+        self._close(call)
+        return [RejectCall(call.key, pushback_ms, reason)]
+
+    def _spread_pushback_ms(self, key: str) -> float:
+        low, high = RETRY_AFTER_RANGE_MS
+        spread = rendezvous_weight(self.owner_id, key, str(self._last_number)) / 2**64
+        return low + (high - low) * spread
+
+    # --- time ---------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[OwnerAction]:
-        found: list[OwnerAction] = []
-        for mine in list(self.calls.values()):
-            if mine.state == "asking" and now_ms - mine.requested_ms > mine.wait_ms:
-                self._count("waited in vain")
-                found += self._not_mine(now_ms, mine)
-            elif mine.state == "waiting" and now_ms >= mine.deadline_ms:
-                self._count("given up: no news of another's")
-                found += self._end(mine, FailCall(mine.key, "no news of it in time"))
-        return found
+        """Go on with calls whose wait is over."""
+        actions: list[OwnerAction] = []
+        for call in list(self.calls.values()):
+            if call.progress is CallProgress.REQUESTED and not call.may_wait(now_ms):
+                self.counts[ReplicationCounter.CLAIM_TIMEOUTS] += 1
+                actions += self._continue_unclaimed(call)
+            elif call.progress is CallProgress.WAITING and now_ms >= call.deadline_ms:
+                actions += self._fail(call, ReplicationCounter.FAILED_NO_RESULT, "no result in time")
+        return actions
 
     def due_ms(self) -> float:
-        """When `tick` is wanted next; infinite where nothing waits."""
-        dues = [
-            mine.requested_ms + mine.wait_ms if mine.state == "asking" else mine.deadline_ms
-            for mine in self.calls.values()
-            if mine.state in ("asking", "waiting")
-        ]
-        return min(dues, default=float("inf"))
+        """When `tick` is needed next; infinite where nothing waits."""
+        return min(self._due_times_ms(), default=float("inf"))
+
+    def _due_times_ms(self) -> Iterable[float]:
+        for call in self.calls.values():
+            if call.progress is CallProgress.REQUESTED:
+                yield call.requested_ms + call.wait_ms
+            elif call.progress is CallProgress.WAITING:
+                yield call.deadline_ms
--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -1,9 +1,9 @@
-"""Where calls wait until their promise is kept: stands between the clients' port and the table of requests.
+"""The gate where calls wait for their claims, between the clients' port and the request table.
 
-A call whose class is kept goes on when its keepers know of it; one that was here or elsewhere before gets
-that answer, joins the call under way, or is failed or turned away, each exactly once. A client that leaves
-takes nothing of a promised call along: that runs on, so that the answer is there when the client comes
-again.
+A call whose class is claimed goes on when a quorum of its replicas has granted it. One that came before, here
+or elsewhere, gets that answer, joins the running call, or is failed or rejected, each exactly once. A client
+that leaves does not end an at-most-once call that runs already: it runs on, so that the answer is stored when
+the client comes again.
 """
 
 import base64
@@ -17,54 +17,56 @@
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.replication.call_owner import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
+from fawnwharf.replication.call_owner import AnswerCall, CallTerms, FailCall, OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.settings import ClaimMode, ReplicationSettings
 
-HELD_BYTES_MOST = 8 * 1024 * 1024  # bodies of calls that wait for their keepers
-HELD_MOST = 4_096
+MAX_HELD_BYTES = 8 * 1024 * 1024  # bodies of calls that wait for their claims
+MAX_HELD_CALLS = 4_096
 FULL_PUSHBACK_MS = 250.0
-# A final answer has to be there before the client leaves: one that waits for another's call ends so long
-# before, and nobody here waits for longer than till the second. The module's own ends lie between the two.
-WAIT_LEAD_MS, LEAD_MS = 60.0, 20.0
-WAITS = 500  # of the last calls, for operators
+# A final answer has to be there before the client leaves: a call that waits for another owner ends so long
+# before (WAIT_MARGIN_MS), and nobody here waits for longer than until DEADLINE_MARGIN_MS. The module's own
+# ends lie between.
+WAIT_MARGIN_MS, DEADLINE_MARGIN_MS = 60.0, 20.0
+MEASURED_WAITS = 500  # of the last calls, for operators
+
+CallAction = RunCall | AnswerCall | FailCall | RejectCall
+MODE_BY_EFFECT: dict[Effect, ClaimMode] = {
+    Effect.AT_MOST_ONCE: "before",
+    Effect.DEDUPLICATED: "after",
+    Effect.IDEMPOTENT: "off",
+}
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
-    """One call, by whoever waits for it here."""
+class HeldCall:
+    """One call, and all that wait for it here."""
 
-    name: str
+    key: str
     call: Call
     spec: ClassSpec
-    came_ms: float
-    waiting: dict[str, Callable[[Outcome], None]] = field(default_factory=dict)
+    arrived_ms: float
+    waiting: dict[str, Callable[[Outcome], None]] = field(default_factory=dict)  # by the port's key
     timers: dict[str, Timer] = field(default_factory=dict)
     running: bool = False
-    table_key: str | None = None  # while it stands in the table
+    table_key: str | None = None  # while it is in the request table
 
 
 def claim_mode(spec: ClassSpec, settings: ReplicationSettings) -> ClaimMode:
-    """How calls of a class are kept: as the settings say, or as its effect asks."""
-    by_effect: dict[Effect, ClaimMode] = {
-        Effect.AT_MOST_ONCE: "before",
-        Effect.DEDUPLICATED: "after",
-        Effect.IDEMPOTENT: "off",
-    }
-    return settings.modes.get(spec.name, by_effect[spec.effect])
+    """How calls of a class are claimed: as the settings say, or as its effect needs."""
+    return settings.modes.get(spec.name, MODE_BY_EFFECT[spec.effect])
 
 
 def call_key(call: Call) -> str:
-    """The same for each try of one thing, at every front end: its key where it has one, else its id."""
+    """The key of all attempts of one call, at every front end: by its idempotency key, else its id."""
     own = call.token or call.id.hex()
     digest = hashlib.blake2b(f"{call.tenant}\0{call.class_name}\0{own}".encode(), digest_size=16).hexdigest()
     return f"{call.class_name}:{digest}"
 
 
 class ClaimGate:
-    """Owns the calls that are kept, from their coming to what became of them; takes and withdraws as the
-    table does."""
+    """Owns the calls that are claimed, from arrival to result; stands in for the request table."""
 
     def __init__(
         self,
@@ -75,125 +77,126 @@
         classes: dict[str, ClassSpec],
         carry_out: Callable[[list[OwnerAction]], None],
     ) -> None:
-        """`carry_out` does what the core says, and brings Go, Answer, GiveUp and TurnAway back here."""
+        """`carry_out` carries out the core's actions, and brings those on calls back here (`apply`)."""
         self._loop, self._table, self._core = loop, table, core
         self._settings, self._classes, self._carry_out = settings, classes, carry_out
         self.modes = {name: claim_mode(spec, settings) for name, spec in classes.items()}
         self._numbers = itertools.count(1)
-        self._bytes = 0
-        self.calls: dict[str, _Held] = {}  # by the call's name
-        self._by_key: dict[str, _Held] = {}  # by what the port knows them by
-        self._waits: deque[float] = deque(maxlen=WAITS)  # milliseconds, of the last calls that went
+        self._held_bytes = 0
+        self.calls: dict[str, HeldCall] = {}  # by the call's key
+        self._by_port_key: dict[str, HeldCall] = {}
+        self._waits_ms: deque[float] = deque(maxlen=MEASURED_WAITS)  # of the last calls that ran
 
     def change_rules(self, classes: dict[str, ClassSpec], modes: dict[str, ClaimMode]) -> None:
-        """Other classes and modes, for calls that come from now on."""
+        """Take other classes and modes, for calls that come from now on."""
         self._classes, self.modes = classes, modes
 
-    # --- from the port --------------------------------------------------------------------------
+    # --- from the port ------------------------------------------------------------------------
 
     def take(self, call: Call) -> str | None:
-        """As RequestTable.take: the key of a new request, None where it had its answer at once."""
+        """Take a call, as the request table does: its key, None where it was answered at once."""
         mode = self.modes[call.class_name]
         if mode == "off":
             return self._table.take(call)
-        if len(self.calls) >= HELD_MOST or self._bytes + len(call.body) > HELD_BYTES_MOST:
+        if len(self.calls) >= MAX_HELD_CALLS or self._held_bytes + len(call.body) > MAX_HELD_BYTES:
             call.reply(Refused(FULL_PUSHBACK_MS))
             return None
-        name, key = call_key(call), f"g{next(self._numbers)}"
-        held = self.calls.get(name)
+        key, port_key = call_key(call), f"g{next(self._numbers)}"
+        held = self.calls.get(key)
         if held is None:
-            spec = self._classes[call.class_name]
-            held = self.calls[name] = _Held(name, call, spec, monotonic_ms())
-            self._bytes += len(call.body)
-            self._join(held, key, call)
-            effects = self._core.begin_call(
-                monotonic_ms(),
-                name,
-                spec.effect,
-                promise_ms=spec.latency_target_ms,
-                budget_ms=max(1.0, call.budget_ms - WAIT_LEAD_MS),
-                dedup_ms=spec.dedup_window_ms,
-                must=mode == "before",
-            )
-            self._carry_out(effects)
+            self._hold(key, port_key, call, mode)
         else:
-            self._join(held, key, call)
-        return key if key in self._by_key else None  # an answer that was kept here has gone out already
-
-    def _join(self, held: _Held, key: str, call: Call) -> None:
-        """One more that waits for this call, for as long as it says."""
-        held.waiting[key] = call.reply
-        self._by_key[key] = held
-        left_ms = max(1.0, call.budget_ms - LEAD_MS)
-        held.timers[key] = self._loop.wheel.after(left_ms, lambda: self._overdue(held, key))
-
-    def _overdue(self, held: _Held, key: str) -> None:
-        """Guards the one final answer, as the table's backstop does: it may have run."""
-        if (reply := self._leave(held, key)) is not None:
+            self._join(held, port_key, call)
+        return port_key if port_key in self._by_port_key else None  # a stored answer has gone out already
+
+    def _hold(self, key: str, port_key: str, call: Call, mode: ClaimMode) -> None:
+        """Hold a new call, and request its claim."""
+        spec = self._classes[call.class_name]
+        held = self.calls[key] = HeldCall(key, call, spec, monotonic_ms())
+        self._held_bytes += len(call.body)
+        self._join(held, port_key, call)
+        terms = CallTerms(
+            spec.effect,
+            latency_objective_ms=spec.latency_target_ms,
+            budget_ms=max(1.0, call.budget_ms - WAIT_MARGIN_MS),
+            dedup_window_ms=spec.dedup_window_ms,
+            claim_required=mode == "before",
+        )
+        self._carry_out(self._core.begin_call(monotonic_ms(), key, terms))
+
+    def _join(self, held: HeldCall, port_key: str, call: Call) -> None:
+        """Let one more client wait for this call, until its own deadline."""
+        held.waiting[port_key] = call.reply
+        self._by_port_key[port_key] = held
+        remaining_ms = max(1.0, call.budget_ms - DEADLINE_MARGIN_MS)
+        held.timers[port_key] = self._loop.wheel.after(remaining_ms, lambda: self._overdue(held, port_key))
+
+    def _overdue(self, held: HeldCall, port_key: str) -> None:
+        """Guard the one final answer, as the table's deadline timer does: the call may have run."""
+        if (reply := self._remove_waiting(held, port_key)) is not None:
             reply(Failed())
 
-    def _leave(self, held: _Held, key: str) -> Callable[[Outcome], None] | None:
-        self._by_key.pop(key, None)
-        if timer := held.timers.pop(key, None):
+    def _remove_waiting(self, held: HeldCall, port_key: str) -> Callable[[Outcome], None] | None:
+        self._by_port_key.pop(port_key, None)
+        if timer := held.timers.pop(port_key, None):
             timer.cancel()
-        reply = held.waiting.pop(key, None)
+        reply = held.waiting.pop(port_key, None)
         if not held.waiting:
-            self._deserted(held)
+            self._abandoned(held)
         return reply
 
     def withdraw(self, key: str) -> None:
-        """The client waits no more."""
-        held = self._by_key.get(key)
+        """Withdraw a call whose client left, as the request table does."""
+        held = self._by_port_key.get(key)
         if held is None:
             self._table.withdraw(key)
         else:
-            self._leave(held, key)
+            self._remove_waiting(held, key)
 
-    def _deserted(self, held: _Held) -> None:
-        """Nobody waits for it any more."""
-        if self.calls.get(held.name) is not held:
+    def _abandoned(self, held: HeldCall) -> None:
+        """No client waits for this call any more."""
+        if self.calls.get(held.key) is not held:
             return
         if not held.running:
-            self._done(held)
-            self._carry_out(self._core.client_left(monotonic_ms(), held.name))
+            self._remove(held)
+            self._carry_out(self._core.client_left(monotonic_ms(), held.key))
         elif held.spec.effect is not Effect.AT_MOST_ONCE and held.table_key is not None:
             self._table.withdraw(held.table_key)
-            self._done(held)
-            self._carry_out(self._core.call_ended(monotonic_ms(), held.name, ClaimPhase.FAILED))
+            self._remove(held)
+            self._carry_out(self._core.call_ended(monotonic_ms(), held.key, ClaimPhase.FAILED))
 
-    # --- from the core --------------------------------------------------------------------------
+    # --- from the core ------------------------------------------------------------------------
 
-    def apply(self, effect: RunCall | AnswerCall | FailCall | RejectCall) -> None:
-        """What becomes of a call."""
-        held = self.calls.get(effect.key)
+    def apply(self, action: CallAction) -> None:
+        """Run, answer, fail or reject a call."""
+        held = self.calls.get(action.key)
         if held is None:
             return
-        if isinstance(effect, RunCall):
-            self._go(held)
-        elif isinstance(effect, AnswerCall):
+        if isinstance(action, RunCall):
+            self._run(held)
+        elif isinstance(action, AnswerCall):
             if held.table_key is not None:  # it runs, but was answered before
                 self._table.withdraw(held.table_key)
-            kept = effect.answer
-            self._finish(held, Failed() if kept is None else Served(base64.b64decode(kept)))
-        elif isinstance(effect, FailCall):
+            answer = action.answer
+            self._finish(held, Failed() if answer is None else Served(base64.b64decode(answer)))
+        elif isinstance(action, FailCall):
             self._finish(held, Failed())
         else:
-            self._finish(held, Refused(effect.pushback_ms))
+            self._finish(held, Refused(action.pushback_ms))
 
-    def _go(self, held: _Held) -> None:
-        now = monotonic_ms()
-        waited = now - held.came_ms
-        self._waits.append(waited)
+    def _run(self, held: HeldCall) -> None:
+        waited_ms = monotonic_ms() - held.arrived_ms
+        self._waits_ms.append(waited_ms)
         held.running = True
         call = replace(
             held.call,
-            budget_ms=max(1.0, held.call.budget_ms - waited),
-            reply=lambda outcome: self._outcome(held, outcome),
+            budget_ms=max(1.0, held.call.budget_ms - waited_ms),
+            reply=lambda outcome: self._ended(held, outcome),
         )
         held.table_key = self._table.take(call)
 
-    def _outcome(self, held: _Held, outcome: Outcome) -> None:
-        """The table's final answer: the keepers are told, and so is everybody who waits here."""
+    def _ended(self, held: HeldCall, outcome: Outcome) -> None:
+        """Pass the table's final answer to all that wait, and report it to the replicas."""
         held.table_key = None
         digest, answer = "", None
         if isinstance(outcome, Served):
@@ -204,30 +207,29 @@
         else:
             phase = ClaimPhase.RELEASED if isinstance(outcome, Refused) else ClaimPhase.FAILED
         self._finish(held, outcome)
-        self._carry_out(self._core.call_ended(monotonic_ms(), held.name, phase, digest, answer))
+        self._carry_out(self._core.call_ended(monotonic_ms(), held.key, phase, digest, answer))
 
-    def _done(self, held: _Held) -> None:
-        if self.calls.pop(held.name, None) is not None:
-            self._bytes -= len(held.call.body)
+    def _remove(self, held: HeldCall) -> None:
+        if self.calls.pop(held.key, None) is not None:
+            self._held_bytes -= len(held.call.body)
 
-    def _finish(self, held: _Held, outcome: Outcome) -> None:
-        self._done(held)
-        for key, reply in list(held.waiting.items()):
-            self._by_key.pop(key, None)
-            held.timers.pop(key).cancel()
+    def _finish(self, held: HeldCall, outcome: Outcome) -> None:
+        self._remove(held)
+        for port_key, reply in list(held.waiting.items()):
+            self._by_port_key.pop(port_key, None)
+            held.timers.pop(port_key).cancel()
             reply(outcome)
         held.waiting.clear()
 
     def wait_percentiles_ms(self) -> tuple[float, float]:
-        """How long the last calls waited before they went: the median and the 99th percentile, in ms."""
-        ranked = sorted(self._waits)
+        """How long the last calls waited before they ran: median and 99th percentile."""
+        ranked = sorted(self._waits_ms)
         if not ranked:
             return 0.0, 0.0
-        return round(ranked[len(ranked) // 2], 2), round(
-            ranked[min(len(ranked) - 1, len(ranked) * 99 // 100)], 2
-        )
+        index_99 = min(len(ranked) - 1, len(ranked) * 99 // 100)
+        return round(ranked[len(ranked) // 2], 2), round(ranked[index_99], 2)
 
     @property
     def busy(self) -> bool:
-        """Whether somebody still waits for an answer."""
-        return bool(self._by_key)
+        """Whether a client still waits for an answer."""
+        return bool(self._by_port_key)
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -1,331 +1,388 @@
-"""One front end's part in the state that is kept together: its own claims, and what it keeps for others.
+"""One front end's part in replicated state: its own calls, what it stores for others, and its reports.
 
-Pure: lines, calls and ticks come in with a time, and effects go out in order. The same core runs in `serve`
+Pure: lines, calls and ticks come in with a time, and actions go out in order. The same core runs in `serve`
 and, by the dozen, in virtual time.
 """
 
-from typing import Any
+from collections import Counter
+from typing import Any, NamedTuple
 
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.call_owner import CallOwner, OwnerAction
+from fawnwharf.replication.call_owner import CallOwner, CallTerms, OwnerAction
 from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.counters import ReplicationCounter
 from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker
 from fawnwharf.replication.load_report import LoadReporter
+from fawnwharf.replication.load_report_store import LoadReportStore
 from fawnwharf.replication.placement import ReplicaPlacement, rendezvous_weight
-from fawnwharf.replication.remote_loads import LoadReportStore, RemoteLoads
+from fawnwharf.replication.remote_loads import RemoteLoads
 from fawnwharf.replication.replica import Replica
 from fawnwharf.replication.settings import ReplicationSettings
 from fawnwharf.replication.usage import QuotaShares, UsageTable
 from fawnwharf.zones.settings import Membership
 
 TICK_MS = 100.0
+MAX_RECIPIENTS = 16  # of one line, as its type says
 
 
 class LineError(ValueError):
-    """A line that costs its sender the connection; the text says why."""
+    """A line that no member writes, which costs its sender the connection; the text says why."""
+
+
+class ReceivedClientMessage(NamedTuple):
+    """A message of another subsystem, the member that sent it, and that member's incarnation."""
+
+    sender: str
+    incarnation: int
+    message: m.ClientMessage
 
 
 class ReplicationCore:
-    """Owns a front end's claimant and, where it keeps calls, its keeper."""
+    """Owns a front end's open calls, its replica where it is one, and what it reports and receives."""
 
     def __init__(
         self,
         name: str,
-        life: int,
-        members: Membership,
+        incarnation: int,
+        membership: Membership,
         settings: ReplicationSettings,
         now_ms: float,
+        *,
         fresh: bool = False,
     ) -> None:
-        """`life` is another one with each start. `fresh`: the fleet begins, nobody has promised anything."""
-        self.name, self.incarnation, self.members, self.settings = name, life, members, settings
-        self.placement = ReplicaPlacement(members, settings.replica_zones, settings.replicas_per_zone)
-        self.owner_id = f"{name}#{life}"
+        """`incarnation` differs with each start. `fresh`: a new fleet, in which nothing was granted yet."""
+        self.name, self.incarnation = name, incarnation
+        self.membership, self.settings = membership, settings
+        self.placement = ReplicaPlacement(membership, settings.replica_zones, settings.replicas_per_zone)
+        self.owner_id = f"{name}#{incarnation}"
+        self.counts: Counter[ReplicationCounter] = Counter()
         self.call_owner = CallOwner(self.owner_id, self.placement, settings)
         self.replica: Replica | None = None
         if name in self.placement.replicas:
-            self.replica = Replica(name, self.placement, settings, now_ms, life, fresh)
-        self.last_heard: dict[str, tuple[int, float]] = {}  # life and time, by name
+            self.replica = Replica(name, self.placement, settings, now_ms, incarnation, complete=fresh)
+        self.last_heard: dict[str, tuple[int, float]] = {}  # incarnation and time, by member
         self.statuses: dict[str, m.Status] = {}
-        self.greetings: list[tuple[str, int]] = []  # who asked for the log here since which number
-        self.counts: dict[str, int] = {}
+        self._tick_due_ms = now_ms
+        # What came since the host looked; the host clears these.
+        self.greetings: list[tuple[str, int]] = []  # who asked for the log here, since which number
+        self.reported_outliers: list[m.ReportedOutliers] = []
+        self.client_messages: list[ReceivedClientMessage] = []
+        # Reports; None where the settings switch them off.
         self.usage_table = UsageTable()
+        self.quota_shares: QuotaShares | None = None
         self.failure_reports = FailureReportStore()
-        self.reported_outliers: list[m.ReportedOutliers] = []  # that came; whoever goes by them clears them
-        self.client_messages: list[
-            tuple[str, int, m.ClientMessage]
-        ] = []  # the same: by whom, and of which life
-        self._reported_failures = False  # bad scorers were told last time
-        self.quota_shares: QuotaShares | None = None  # where quotas are kept by the fleet
-        self.load_reporter: LoadReporter | None = None  # where work is told to others
-        self.load_report_store = LoadReportStore(
-            settings.load_report_lifetime_ms, settings.copy_lifetime_ms, life
-        )
-        self.remote_loads = RemoteLoads(settings.load_report_lifetime_ms, settings.copy_lifetime_ms)
-        self._tick_due_ms = now_ms
+        self._reported_failures = False  # in the last failure report
+        self.load_reporter: LoadReporter | None = None
+        lifetimes_ms = settings.load_report_lifetime_ms, settings.copy_lifetime_ms
+        self.load_report_store = LoadReportStore(*lifetimes_ms, incarnation)
+        self.remote_loads = RemoteLoads(*lifetimes_ms)
 
-    def _count(self, cause: str) -> None:
-        self.counts[cause] = self.counts.get(cause, 0) + 1
+    # --- calls --------------------------------------------------------------------------------
 
-    # --- calls ----------------------------------------------------------------------------------
-
-    def begin_call(self, now_ms: float, key: str, effect: Effect, **more: Any) -> list[OwnerAction]:
-        return self._deliver_own(now_ms, self.call_owner.begin(now_ms, key, effect, **more))
+    def begin_call(self, now_ms: float, key: str, terms: CallTerms) -> list[OwnerAction]:
+        """Claim a call, and run it where its terms do not ask for a quorum."""
+        return self._deliver_own(now_ms, self.call_owner.begin(now_ms, key, terms))
 
     def call_ended(
         self, now_ms: float, key: str, phase: ClaimPhase, digest: str = "", answer: str | None = None
     ) -> list[OwnerAction]:
-        return self._deliver_own(now_ms, self.call_owner.call_ended(now_ms, key, phase, digest, answer))
+        """Report to the replicas what came of a call that ran; the answer is base64."""
+        return self._deliver_own(now_ms, self.call_owner.call_ended(key, phase, digest, answer))
 
     def client_left(self, now_ms: float, key: str) -> list[OwnerAction]:
-        return self._deliver_own(now_ms, self.call_owner.client_left(now_ms, key))
+        """Release a call whose client left before it ran."""
+        return self._deliver_own(now_ms, self.call_owner.client_left(key))
 
     def revoke_grant(self, now_ms: float, key: str, number: int) -> list[OwnerAction]:
-        """What the keeper here granted to an own call is not on disk."""
+        """Take back what the replica here granted to an own call, as it could not be stored."""
         return self._deliver_own(now_ms, self.call_owner.revoke_grant(now_ms, key, number, self.name))
 
-    # --- lines ----------------------------------------------------------------------------------
+    # --- lines --------------------------------------------------------------------------------
 
     def receive_line(self, now_ms: float, sender: str, data: Any) -> list[OwnerAction]:
-        """One line of a member's log. Raises LineFault for what no honest member writes."""
+        """Take one line of a member's log; raises LineError for what no member writes."""
         try:
             line = m.parse_line(data)
         except msgspec.ValidationError as error:
             raise LineError(f"not a line of state: {error}") from None
-        if line.fleet != self.members.fleet:
+        if line.fleet != self.membership.fleet:
             raise LineError(f"of fleet {line.fleet}")
         if line.sender != sender:
             raise LineError(f"says that it is {line.sender}, and is {sender}")
-        if self.members.named(sender) is None:
-            self._count("no member")
+        if self.membership.named(sender) is None:
+            self.counts[ReplicationCounter.LINES_NOT_FROM_MEMBER] += 1
             return []
         self.last_heard[sender] = line.incarnation, now_ms
-        if isinstance(line.message, m.Status):
-            self.statuses[sender] = line.message
-            return []
-        if isinstance(line.message, m.UsageRates):
-            if self.quota_shares and sender in self.placement.replicas:
-                self.quota_shares.receive(now_ms, sender, line.message)
-            return []
-        if isinstance(line.message, m.ReportedOutliers):
-            if sender in self.placement.replicas:
-                self.reported_outliers.append(line.message)
-            return []
-        if isinstance(line.message, m.ClientMessage) and not line.recipients:
-            self.client_messages.append((sender, line.incarnation, line.message))
-            return []
-        if self.name not in line.recipients:
+        if self._receive_broadcast(now_ms, line) or self.name not in line.recipients:
             return []
         return self._deliver_own(now_ms, self._receive(now_ms, sender, line.incarnation, line.message))
 
-    def _receive(self, now_ms: float, sender: str, life: int, say: m.Message) -> list[OwnerAction]:
-        if isinstance(say, m.ClaimReply):
-            return self.call_owner.receive_reply(now_ms, sender, say)
-        if isinstance(say, m.RemoteLoadReport):
-            if (
-                self.load_reporter
-                and say.incarnation == self.incarnation
-                and sender in self.placement.replicas
-            ):
-                self.remote_loads.heard(sender, life, say)
-            else:
-                self._count("work: answers to nobody here")
-            return []
-        if isinstance(say, m.Hello):
-            self.greetings.append((sender, say.reader_number))
-            return []
-        if isinstance(say, m.ClientMessage):
-            self.client_messages.append((sender, life, say))
-            return []
-        keeper = self.replica
-        if keeper is None:
-            self._count("no keeper here")
-            return []
-        if isinstance(say, m.ClaimRequest):
-            if say.owner != f"{sender}#{life}":
-                raise LineError(f"an ask of {say.owner} from {sender}#{life}")
-            keeper.live_owners.add(say.owner)
-            found = keeper.handle_claim_request(now_ms, sender, say)
-        elif isinstance(say, m.ClaimUpdate):
-            if say.claim.owner != f"{sender}#{life}":
-                raise LineError(f"a claim of {say.claim.owner} from {sender}#{life}")
-            found = keeper.handle_claim_update(now_ms, sender, say)
-        elif isinstance(say, m.StateRequest):
-            found = keeper.handle_state_request(now_ms, sender, say)
-        elif isinstance(say, m.StateChunk):
-            found = keeper.handle_state_chunk(now_ms, sender, say)
-        elif isinstance(say, m.UsageCounters):
-            self.usage_table.receive(now_ms, f"{sender}#{life}", say)
-            found = []
-        elif isinstance(say, m.FailureReport):
-            self.failure_reports.heard(now_ms, f"{sender}#{life}", say)
-            found = []
-        elif isinstance(say, m.LoadReport):
-            answer = (
-                self.load_report_store.heard(now_ms, self.name, f"{sender}#{life}", say)
-                if self.load_reporter
-                else None
-            )
-            found = [m.Send((sender,), answer)] if answer else []
+    def _receive_broadcast(self, now_ms: float, line: m.LogLine) -> bool:
+        """Take a message for all that follow the log; False where it is for some members only."""
+        message = line.message
+        if isinstance(message, m.Status):
+            self.statuses[line.sender] = message
+        elif isinstance(message, m.UsageRates):
+            if self.quota_shares and line.sender in self.placement.replicas:
+                self.quota_shares.receive(now_ms, line.sender, message)
+        elif isinstance(message, m.ReportedOutliers):
+            if line.sender in self.placement.replicas:
+                self.reported_outliers.append(message)
+        elif isinstance(message, m.ClientMessage) and not line.recipients:
+            self.client_messages.append(ReceivedClientMessage(line.sender, line.incarnation, message))
+        else:
+            return False
+        return True
+
+    def _receive(self, now_ms: float, sender: str, incarnation: int, message: m.Message) -> list[OwnerAction]:
+        """Take a message for this member, by its type."""
+        if isinstance(message, m.ClaimReply):
+            return self.call_owner.receive_reply(now_ms, sender, message)
+        if isinstance(message, m.RemoteLoadReport):
+            self._receive_remote_load_report(sender, incarnation, message)
+        elif isinstance(message, m.Hello):
+            self.greetings.append((sender, message.reader_number))
+        elif isinstance(message, m.ClientMessage):
+            self.client_messages.append(ReceivedClientMessage(sender, incarnation, message))
+        elif self.replica is None:
+            self.counts[ReplicationCounter.NOT_A_REPLICA] += 1
+        elif isinstance(message, m.UsageCounters | m.FailureReport | m.LoadReport):
+            return self._receive_report(now_ms, sender, f"{sender}#{incarnation}", message)
+        else:
+            return self._receive_as_replica(now_ms, self.replica, (sender, incarnation), message)
+        return []
+
+    def _receive_remote_load_report(self, sender: str, incarnation: int, report: m.RemoteLoadReport) -> None:
+        own = self.load_reporter is not None and report.incarnation == self.incarnation
+        if own and sender in self.placement.replicas:
+            self.remote_loads.receive(sender, incarnation, report)
         else:
-            found = keeper.handle_store_digests(now_ms, sender, say)
-        return list(found)
+            self.counts[ReplicationCounter.LOAD_ANSWERS_UNEXPECTED] += 1
 
-    def _deliver_own(self, now_ms: float, effects: list[OwnerAction]) -> list[OwnerAction]:
-        """What is said to oneself is heard at once; the rest goes out, in order."""
+    def _receive_report(
+        self, now_ms: float, sender: str, owner: str, report: m.UsageCounters | m.FailureReport | m.LoadReport
+    ) -> list[OwnerAction]:
+        """Take a report of an owner, as a replica."""
+        if isinstance(report, m.UsageCounters):
+            self.usage_table.receive(now_ms, owner, report)
+        elif isinstance(report, m.FailureReport):
+            self.failure_reports.receive(now_ms, owner, report)
+        elif self.load_reporter is not None:
+            answer = self.load_report_store.receive(now_ms, self.name, owner, report)
+            return [m.Send((sender,), answer)] if answer else []
+        return []
+
+    def _receive_as_replica(
+        self, now_ms: float, replica: Replica, origin: tuple[str, int], message: m.Message
+    ) -> list[OwnerAction]:
+        """Take a message on claims; `origin` is the sender and its incarnation."""
+        sender, incarnation = origin
+        sends: list[m.Send] = []
+        if isinstance(message, m.ClaimRequest):
+            if message.owner != f"{sender}#{incarnation}":
+                raise LineError(f"a claim request of {message.owner} from {sender}#{incarnation}")
+            replica.live_owners.add(message.owner)
+            sends = replica.handle_claim_request(now_ms, message)
+        elif isinstance(message, m.ClaimUpdate):
+            if message.claim.owner != f"{sender}#{incarnation}":
+                raise LineError(f"a claim of {message.claim.owner} from {sender}#{incarnation}")
+            sends = replica.handle_claim_update(now_ms, message)
+        elif isinstance(message, m.StateRequest):
+            replica.handle_state_request(sender, message)
+        elif isinstance(message, m.StateChunk):
+            sends = replica.handle_state_chunk(now_ms, sender, message)
+        elif isinstance(message, m.StoreDigests):
+            sends = replica.handle_store_digests(now_ms, sender, message)
+        return list(sends)
+
+    def _deliver_own(self, now_ms: float, actions: list[OwnerAction]) -> list[OwnerAction]:
+        """Deliver at once what is sent to this member itself; the rest goes out, in order."""
         found: list[OwnerAction] = []
-        waiting = list(effects)
+        waiting = list(actions)
         while waiting:
-            effect = waiting.pop(0)
-            if not isinstance(effect, m.Send):
-                found.append(effect)
+            action = waiting.pop(0)
+            if not isinstance(action, m.Send):
+                found.append(action)
                 continue
-            others = tuple(name for name in effect.recipients if name != self.name)
+            others = tuple(name for name in action.recipients if name != self.name)
             if others:
-                found.append(m.Send(others, effect.message))
-            if len(others) < len(effect.recipients):
-                waiting[:0] = self._receive(now_ms, self.name, self.incarnation, effect.message)
+                found.append(m.Send(others, action.message))
+            if len(others) < len(action.recipients):
+                waiting[:0] = self._receive(now_ms, self.name, self.incarnation, action.message)
         return found
 
+    def _send_to_replicas(self, now_ms: float, message: m.Message) -> list[OwnerAction]:
+        recipients = tuple(self.placement.replicas[:MAX_RECIPIENTS])
+        return self._deliver_own(now_ms, [m.Send(recipients, message)])
+
+    def log_line(self, send: m.Send) -> m.LogLine:
+        """The line of the own log that carries this message."""
+        return m.LogLine(self.membership.fleet, self.name, self.incarnation, send.recipients, send.message)
+
+    def send_client_message(self, message: m.ClientMessage, recipients: tuple[str, ...]) -> list[OwnerAction]:
+        """Send to these members, of which this one may be one; to all that follow where none is named."""
+        send = m.Send(recipients, message)
+        return self._deliver_own(0.0, [send]) if recipients else [send]
+
+    # --- status -------------------------------------------------------------------------------
+
     def status(self, now_ms: float) -> m.Status:
-        """For operators, and whoever looks after them."""
-        keeper, counts = self.replica, self.counts | self.call_owner.counts | self._load_report_counts(now_ms)
-        lags = {
-            name: round(max(0.0, now_ms - at_ms), 1) for name, (_, at_ms) in sorted(self.last_heard.items())
+        """The state of this front end, for operators and for those that follow its log."""
+        counts = {**self.counts, **self.call_owner.counts, **self._load_report_counts(now_ms)}
+        lags_ms = {
+            name: round(max(0.0, now_ms - heard_ms), 1)
+            for name, (_, heard_ms) in sorted(self.last_heard.items())
         }
-        if keeper is None:
-            return m.Status(counts=counts, open_calls=len(self.call_owner.calls), lags_ms=lags)
-        shelf = keeper.claim_store
-        sums = {name: shelf.bucket_digests(now_ms, name) for name in self.placement.replicas}
-        return m.Status(
-            counts=counts | shelf.counts,
-            open_calls=len(self.call_owner.calls),
+        status = m.Status(_by_text(counts), open_calls=len(self.call_owner.calls), lags_ms=lags_ms)
+        if self.replica is None:
+            return status
+        store = self.replica.claim_store
+        own_digests = self.name in self.placement.replicas
+        return msgspec.structs.replace(
+            status,
+            counts=_by_text(counts | store.counts),
             is_replica=True,
-            complete=keeper.is_complete(now_ms),
-            calls=len(shelf.calls),
-            answer_bytes=shelf.answer_bytes,
+            complete=self.replica.is_complete(now_ms),
+            calls=len(store.calls),
+            answer_bytes=store.answer_bytes,
             membership_number=self.placement.number,
-            lags_ms=lags,
-            buckets=sums.get(self.name, {}),
+            buckets=store.bucket_digests(now_ms, self.name) if own_digests else {},
         )
 
-    def log_line(self, say: m.Send) -> m.LogLine:
-        return m.LogLine(self.members.fleet, self.name, self.incarnation, say.recipients, say.message)
-
-    def send_client_message(self, ride: m.ClientMessage, to: tuple[str, ...]) -> list[OwnerAction]:
-        """To these members, this one among them where it is named; to whoever follows where none is."""
-        return self._deliver_own(0.0, [m.Send(to, ride)]) if to else [m.Send((), ride)]
+    def _load_report_counts(self, now_ms: float) -> dict[ReplicationCounter, int]:
+        if self.load_reporter is None:
+            return {}
+        return {
+            **self.load_report_store.counts,
+            **self.remote_loads.counts,
+            ReplicationCounter.LOAD_REPORTS_SENT: self.load_reporter.number,
+            ReplicationCounter.LOAD_REPORTS_OMITTED: self.load_reporter.omitted,
+            ReplicationCounter.LOAD_FRONT_ENDS: self.remote_sends_known(now_ms, 0)[1],
+            ReplicationCounter.LOAD_COPIES_KNOWN: self.remote_loads.known_copies,
+        }
 
-    # --- use ------------------------------------------------------------------------------------
+    # --- reports ------------------------------------------------------------------------------
 
     def send_usage(self, now_ms: float) -> list[OwnerAction]:
-        """Own counters to the keepers; of a keeper, the sums to all."""
-        found: list[OwnerAction] = []
+        """Send the own counters to the replicas; a replica also sends the rates to all."""
+        actions: list[OwnerAction] = []
         if self.quota_shares:
-            found = self._deliver_own(
-                now_ms, [m.Send(tuple(self.placement.replicas[:16]), self.quota_shares.next_counters(now_ms))]
-            )
+            actions = self._send_to_replicas(now_ms, self.quota_shares.next_counters(now_ms))
         if self.replica:
-            sums = self.usage_table.rates(now_ms)
+            rates = self.usage_table.rates(now_ms)
             if self.quota_shares:
-                self.quota_shares.receive(now_ms, self.name, sums)
-            found.append(m.Send((), sums))
-        return found
-
-    def send_failure_report(self, now_ms: float, sights: FailureTracker) -> list[OwnerAction]:
-        """Bad scorers to the keepers; of a keeper, those that several name to all."""
-        named = sights.named(now_ms)
-        found: list[OwnerAction] = []
-        if named.failures or self._reported_failures:
-            found = self._deliver_own(now_ms, [m.Send(tuple(self.placement.replicas[:16]), named)])
-        self._reported_failures = bool(named.failures)
+                self.quota_shares.receive(now_ms, self.name, rates)
+            actions.append(m.Send((), rates))
+        return actions
+
+    def send_failure_report(self, now_ms: float, tracker: FailureTracker) -> list[OwnerAction]:
+        """Report failing scorers to the replicas; a replica also sends those that several report to all."""
+        report = tracker.report(now_ms)
+        actions: list[OwnerAction] = []
+        if report.failures or self._reported_failures:
+            actions = self._send_to_replicas(now_ms, report)
+        self._reported_failures = bool(report.failures)
         if self.replica:
-            hints = self.failure_reports.hints(now_ms, len(self.members.members))
-            if hints.scorers:
-                self.reported_outliers.append(hints)
-                found.append(m.Send((), hints))
-        return found
-
-    def send_load_report(self, now_ms: float, fronts: int = 0) -> list[OwnerAction]:
-        """Own work to the keepers, of which one answers with that of the others: this one itself, or the
-        next by a hash, so that all have about as many to tell. `fronts` are all of the fleet."""
-        order = sorted(
-            self.placement.replicas[:16],
-            key=lambda k: (k != self.name, rendezvous_weight("work", self.name, k)),
-        )
-        word = self.load_reporter.word(
-            now_ms,
-            self.remote_loads.after(),
-            *self.remote_loads.wants(now_ms, order, self._fleet_size(fronts)),
+            outliers = self.failure_reports.outliers(now_ms, len(self.membership.members))
+            if outliers.scorers:
+                self.reported_outliers.append(outliers)
+                actions.append(m.Send((), outliers))
+        return actions
+
+    def send_load_report(
+        self, now_ms: float, reporter: LoadReporter, front_ends: int = 0
+    ) -> list[OwnerAction]:
+        """Report the own load to the replicas, one of which answers with that of the others.
+
+        That is this member itself, or else the next one by a hash, so that all replicas answer about as many.
+        `front_ends` is the size of the fleet, as far as it was configured.
+        """
+        candidates = sorted(
+            self.placement.replicas[:MAX_RECIPIENTS],
+            key=lambda replica: (
+                replica != self.name,
+                rendezvous_weight("work", self.name, replica),
+            ),
         )
-        self.remote_loads.asked(now_ms, word.number)
-        return self._deliver_own(now_ms, [m.Send(tuple(self.placement.replicas[:16]), word)])
-
-    def remote_load_events(self, now_ms: float, fronts: int) -> list[io.RemoteLoadReport]:
-        """What the module is to hear of others' work; `fronts` are all of the fleet, as it was told."""
-        return self.remote_loads.changes(
-            now_ms, self.load_reporter.cold(now_ms), self.load_reporter.known, self._fleet_size(fronts)
+        full_answer_from, since = self.remote_loads.choose_replica(
+            now_ms, candidates, self._fleet_size(front_ends)
         )
-
-    def remote_sends_known(self, now_ms: float, fronts: int) -> tuple[bool, int]:
-        """Whether what others sent to cold scorers is known, and how many front ends are heard."""
-        best = self.remote_loads.best(now_ms)
-        return self.remote_loads.sure(now_ms, self._fleet_size(fronts)), best.others.front_ends if best else 0
-
-    def _fleet_size(self, fronts: int) -> int:
-        return max(fronts, sum(bool(member.state) for member in self.members.members))
-
-    def _load_report_counts(self, now_ms: float) -> dict[str, int]:
-        if self.load_reporter is None:
-            return {}
-        return self.load_report_store.counts | self.remote_loads.counts | {
-            "work: words told": self.load_reporter.number,
-            "work: cut from words": self.load_reporter.cut,
-            "work: front ends heard": self.remote_sends_known(now_ms, 0)[1],
-            "work: copies known": self.remote_loads.copies,
-        }  # fmt: skip
-
-    # --- who is there ---------------------------------------------------------------------------
-
-    def record_sign_of_life(self, now_ms: float, name: str, life: int) -> None:
-        """A member's log gave a sign, if only its number."""
-        if life > 0:
-            self.last_heard[name] = life, now_ms
-
-    def change_members(self, now_ms: float, members: Membership) -> None:
-        """A later file of members."""
-        if members.fleet != self.members.fleet or members.number <= self.members.number:
-            self._count("members left aside")
+        report = reporter.next_report(now_ms, self.remote_loads.last_answers(), full_answer_from, since)
+        self.remote_loads.report_sent(now_ms, report.number)
+        return self._send_to_replicas(now_ms, report)
+
+    def remote_load_events(
+        self, now_ms: float, reporter: LoadReporter, front_ends: int
+    ) -> list[io.RemoteLoadReport]:
+        """What the decision module has to know now of other front ends' load."""
+        slow_start = reporter.scorers_in_slow_start(now_ms)
+        return self.remote_loads.changes(now_ms, slow_start, reporter.scorers, self._fleet_size(front_ends))
+
+    def remote_sends_known(self, now_ms: float, front_ends: int) -> tuple[bool, int]:
+        """Whether others' sends to scorers in slow start are known, and how many front ends report."""
+        best = self.remote_loads.best_answer(now_ms)
+        known = self.remote_loads.sends_known(now_ms, self._fleet_size(front_ends))
+        return known, best.report.front_ends if best else 0
+
+    def _fleet_size(self, front_ends: int) -> int:
+        return max(front_ends, sum(bool(member.state) for member in self.membership.members))
+
+    # --- members ------------------------------------------------------------------------------
+
+    def record_sign_of_life(self, now_ms: float, name: str, incarnation: int) -> None:
+        """A member's log sent something, if only its number."""
+        if incarnation > 0:
+            self.last_heard[name] = incarnation, now_ms
+
+    def change_membership(self, now_ms: float, membership: Membership) -> None:
+        """Take a later membership; another fleet's or an earlier one is ignored."""
+        if membership.fleet != self.membership.fleet or membership.number <= self.membership.number:
+            self.counts[ReplicationCounter.MEMBERSHIPS_IGNORED] += 1
             return
-        self.members, before = members, self.placement
+        before = self.placement
+        self.membership = membership
         self.placement = ReplicaPlacement(
-            members, self.settings.replica_zones, self.settings.replicas_per_zone
+            membership, self.settings.replica_zones, self.settings.replicas_per_zone
         )
         self.call_owner.placement = self.placement
-        self.remote_loads.forget_keepers(set(before.replicas) - set(self.placement.replicas))
+        self.remote_loads.forget_replicas(set(before.replicas) - set(self.placement.replicas))
         if self.replica is None and self.name in self.placement.replicas:
             self.replica = Replica(self.name, before, self.settings, now_ms, self.incarnation)
         if self.replica:
             self.replica.change_placement(now_ms, self.placement)
 
-    # --- time -----------------------------------------------------------------------------------
+    # --- time ---------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[OwnerAction]:
-        found: list[OwnerAction] = list(self.call_owner.tick(now_ms))
-        if self.replica and now_ms >= min(self._tick_due_ms, self.replica.due_ms(now_ms)):
+        """Do what is due."""
+        actions: list[OwnerAction] = list(self.call_owner.tick(now_ms))
+        if self.replica and now_ms >= min(self._tick_due_ms, self.replica.due_ms()):
             self._tick_due_ms = now_ms + TICK_MS
-            quiet = self.settings.silence_timeout_ms
-            alive = {f"{n}#{life}" for n, (life, at) in self.last_heard.items() if now_ms - at <= quiet}
-            told = self.replica.change_live_owners(now_ms, alive | {self.owner_id})
-            found += [*told, *self.replica.tick(now_ms)]
-        return self._deliver_own(now_ms, found)
-
-    def due_ms(self, now_ms: float) -> float:
-        due = self.call_owner.due_ms()
+            actions += self.replica.change_live_owners(now_ms, self._live_owners(now_ms))
+            actions += self.replica.tick(now_ms)
+        return self._deliver_own(now_ms, actions)
+
+    def _live_owners(self, now_ms: float) -> set[str]:
+        """This owner, and the incarnations of all members that were heard lately."""
+        timeout_ms = self.settings.silence_timeout_ms
+        heard = {
+            f"{name}#{incarnation}"
+            for name, (incarnation, heard_ms) in self.last_heard.items()
+            if now_ms - heard_ms <= timeout_ms
+        }
+        return heard | {self.owner_id}
+
+    def due_ms(self) -> float:
+        """When `tick` is needed next; infinite where nothing is due."""
+        due_ms = self.call_owner.due_ms()
         if self.replica:
-            due = min(due, self._tick_due_ms, self.replica.due_ms(now_ms))
-        return due
+            due_ms = min(due_ms, self._tick_due_ms, self.replica.due_ms())
+        return due_ms
+
+
+def _by_text(counts: dict[ReplicationCounter, int]) -> dict[str, int]:
+    """Counters under the texts that operators read."""
+    return {str(counter): count for counter, count in counts.items()}
--- a/fawnwharf/replication/grant_storage.py
+++ b/fawnwharf/replication/grant_storage.py
@@ -1,4 +1,4 @@
-"""What a keeper has granted, on file before it is said: read at a start, and written turn by turn."""
+"""A replica's grants on disk before they are sent: read at a start, written with each batch of actions."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -6,103 +6,122 @@
 
 import msgspec
 
-from fawnwharf.consensus.voter_store import DiskError
+from fawnwharf.consensus.records import DiskError
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.grant_log import INCOMPLETE, GrantLog, boot_id
 from fawnwharf.replication.messages import ClaimReply, Send
+from fawnwharf.replication.replica import Replica
 
 DISK_PUSHBACK_MS = 250.0
 
 
 class GrantStorage(Protocol):
-    """Where a keeper's grants are before they are said."""
+    """Where a replica's grants are stored before they are sent."""
 
     summary: dict[str, Any]  # for operators
 
     def persist(
-        self, effects: list[OwnerAction], later: Callable[[list[OwnerAction]], None]
+        self, actions: list[OwnerAction], later: Callable[[list[OwnerAction]], None]
     ) -> list[OwnerAction]:
-        """What may be said and done now that what it rests on is written; the rest goes to `later`."""
+        """The actions whose grants are stored; the others go to `later` once theirs are."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """End storing."""
 
 
 class GrantStorageFactory(Protocol):
-    """Something that writes a keeper's grants in the place of its own file."""
+    """Something that stores a replica's grants in the place of its own file."""
 
-    def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> GrantStorage: ...
+    def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> GrantStorage:
+        """Read what is stored into the core's replica; `folder` is that of its own file."""
 
 
 class GrantLogStorage:
-    """Owns a keeper's disk; what can't be written is taken back, and nothing is granted from then on."""
+    """Owns a replica's grant log; where it can't be written, grants are revoked and no more are given."""
 
     def __init__(
-        self, folder: Path, core: ReplicationCore, name: str, note: Callable[[str, dict[str, Any]], None]
+        self,
+        folder: Path,
+        core: ReplicationCore,
+        replica: Replica,
+        log_event: Callable[[str, dict[str, Any]], None],
     ) -> None:
-        """What this keeper granted before is on its shelf then, where its disk is to be trusted. Raises
-        DiskError where the folder can't be used or read; one that takes nothing refuses no start."""
-        self._core, self._note = core, note
-        keeper, shelf = core.replica, core.replica.claim_store
-        now = monotonic_ms()
-        self.disk = GrantLog(folder, core.members.fleet, name, now, shelf.claim_lifetime_ms(), boot_id())
-        for key, claim, until_ms in self.disk.kept:
-            entry = shelf.get_or_create(now, key) if until_ms > now else None
+        """Read what this replica granted before into its store.
+
+        Raises DiskError where the folder can't be used or read; one that only can't be written refuses no
+        start.
+        """
+        self._core, self._replica, self._log_event = core, replica, log_event
+        store, now_ms = replica.claim_store, monotonic_ms()
+        self.log = GrantLog(
+            folder, core.membership.fleet, core.name, now_ms, store.claim_lifetime_ms(), boot_id()
+        )
+        for key, claim, expires_ms in self.log.grants:
+            entry = store.get_or_create(now_ms, key) if expires_ms > now_ms else None
             if entry is not None:
-                shelf.merge(now, key, entry, claim, until_ms - now)
-        trusted = not self.disk.why and self.disk.sure == core.placement.number
+                store.merge(now_ms, key, entry, claim, expires_ms - now_ms)
+        trusted = not self.log.distrust_reason and self.log.complete_for == core.placement.number
         if trusted:
-            keeper.mark_complete()
-        self.disk.kept = []
-        self._sure_told = self._sure_by(now)
+            replica.mark_complete()
+        self.log.grants = []
+        self._written_complete_for = self._complete_for(now_ms)
         try:
-            self.disk.begin(now, self._sure_told, shelf.unexpired_claims(now))
+            self.log.begin(now_ms, self._written_complete_for, store.unexpired_claims(now_ms))
         except DiskError as error:
-            self._fails(error)
-        shelf.unwritten = []
-        self.summary = {"calls": len(shelf.calls), "trusted": trusted, "why": self.disk.why}
+            self._fail(error)
+        store.unwritten = []
+        self.summary: dict[str, Any] = {
+            "calls": len(store.calls),
+            "trusted": trusted,
+            "why": self.log.distrust_reason,
+        }
 
     def close(self) -> None:
-        self.disk.close()
+        """Close the log."""
+        self.log.close()
 
-    def _sure_by(self, now_ms: float) -> int:
-        """The list of members by which this keeper knows all that it granted; NO_MORE where it does not."""
-        return self._core.placement.number if self._core.replica.is_complete(now_ms) else INCOMPLETE
+    def _complete_for(self, now_ms: float) -> int:
+        """The membership by which the replica knows all that it granted; INCOMPLETE where it does not."""
+        return self._core.placement.number if self._replica.is_complete(now_ms) else INCOMPLETE
 
-    def _fails(self, error: DiskError) -> None:
-        self._core.replica.storage_failed = True
-        self._note("disk failed: nothing is granted here until a restart", {"why": str(error)})
+    def _fail(self, error: DiskError) -> None:
+        self._replica.storage_failed = True
+        self._log_event("grant log failed: nothing is granted here until a restart", {"why": str(error)})
 
     def persist(
-        self, effects: list[OwnerAction], later: Callable[[list[OwnerAction]], None] | None = None
+        self, actions: list[OwnerAction], later: Callable[[list[OwnerAction]], None] | None = None
     ) -> list[OwnerAction]:
-        """What may be said and done now that what it rests on is on file, which is all; where that fails,
-        nothing is granted any more."""
-        keeper, shelf = self._core.replica, self._core.replica.claim_store
-        kept, shelf.unwritten = shelf.unwritten, []
-        now = monotonic_ms()
-        sure = self._sure_by(now)
-        if (kept or sure != self._sure_told) and not keeper.storage_failed:
-            self._sure_told = sure
+        """Write what the replica granted; the actions, without those grants where that fails.
+
+        All actions may be carried out at once, so `later` gets none.
+        """
+        del later
+        store = self._replica.claim_store
+        grants, store.unwritten = store.unwritten or [], []
+        now_ms = monotonic_ms()
+        complete_for = self._complete_for(now_ms)
+        if (grants or complete_for != self._written_complete_for) and not self._replica.storage_failed:
+            self._written_complete_for = complete_for
             try:
-                self.disk.write(now, kept, sure)
+                self.log.write(now_ms, grants, complete_for)
             except DiskError as error:
-                self._fails(error)
-                return [_without(effect) for effect in effects]
-        return effects
+                self._fail(error)
+                return [_without_own_grant(action) for action in actions]
+        return actions
 
 
-def _without(effect: OwnerAction) -> OwnerAction:
-    """An effect as it is where what was just granted here does not count."""
-    if isinstance(effect, RunCall) and effect.claimed:
-        return RejectCall(effect.key, DISK_PUSHBACK_MS, "disk failed")
-    return without_grant(effect)
+def _without_own_grant(action: OwnerAction) -> OwnerAction:
+    """An action as it is where what was just granted here does not count."""
+    if isinstance(action, RunCall) and action.claimed:
+        return RejectCall(action.key, DISK_PUSHBACK_MS, "grant log failed")
+    return without_grant(action)
 
 
-def without_grant(effect: OwnerAction) -> OwnerAction:
-    """A keeper's word without a grant."""
-    if isinstance(effect, Send) and isinstance(effect.message, ClaimReply):
-        word = msgspec.structs.replace(effect.message, granted=False, complete=False)
-        return Send(effect.recipients, word)
-    return effect
+def without_grant(action: OwnerAction) -> OwnerAction:
+    """A replica's reply without its grant; other actions as they are."""
+    if isinstance(action, Send) and isinstance(action.message, ClaimReply):
+        reply = msgspec.structs.replace(action.message, granted=False, complete=False)
+        return Send(action.recipients, reply)
+    return action
--- a/fawnwharf/replication/load_report.py
+++ b/fawnwharf/replication/load_report.py
@@ -1,178 +1,222 @@
-"""What one life of one front end tells others of its work: sends to cold scorers, orders to load that are
-under way, copies that answers proved. Pure; times are of the monotonic clock, in milliseconds.
+"""What one incarnation of one front end reports of its load. Pure; times are of the monotonic clock.
 
-What is told of sends and loads is all there is, so that a later word takes the place of an earlier one; of
-copies it is what changed, or was told long ago.
+Reported are sends to scorers in slow start, load orders in flight, and copies that answers proved. Of sends
+and loads a report has all there is, so that a later report replaces an earlier one; of copies it has those
+that changed, or were reported long ago.
 """
 
 import math
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
 
-SCORERS_MOST, LOADS_MOST, NEWS_MOST = 64, 64, 96  # in a word
-COPIES_MOST, ORDERS_MOST, SENDS_MOST = 1_000, 512, 4_000  # kept in mind; sends by scorer
-LOAD_LONG_MS = 10_000.0  # an order without an answer for so long is no load any more
-AGAIN = 1 / 3  # of a copy's time: so long after it was told, a later proof of it is news
+MAX_REPORTED_SCORERS, MAX_REPORTED_LOADS, MAX_REPORTED_COPIES = 64, 64, 96
+MAX_COPIES, MAX_LOADS, MAX_SENDS = 1_000, 512, 4_000  # stored; sends by scorer
+MAX_LOAD_MS = 10_000.0  # an order without an answer for so long counts as no load any more
+REFRESH_PART = 1 / 3  # of a copy's lifetime: a proof is reported again so long after the last one
 
-_PROVES = (
+_PROVES_COPIES = (
     io.AttemptResult.GOOD,
     io.AttemptResult.FULL,
     io.AttemptResult.ERROR,
-)  # an order's answer that counts copies
+)  # results of an order whose answer counts copies
 
-Place = tuple[int, str]  # scorer and function
+
+class CopyLocation(NamedTuple):
+    """A function at a scorer."""
+
+    scorer: int
+    function: str
 
 
 @dataclass(slots=True)
 class _Copy:
     copies: int
     proof_ms: float
-    told: int = -1  # copies, as told last
-    told_ms: float = -math.inf  # the proof's, as told last
+    reported_copies: int = -1
+    reported_proof_ms: float = -math.inf
 
 
 @dataclass(slots=True)
 class LoadReporter:
-    """One owner's work, as the table of requests sees it go and come back."""
-
-    cold_ms: float
-    fall_ms: float
-    copies_ms: float
-    number: int = 0  # of the last word
-    cut: int = 0  # copies and loads that found no room in a word, in all
-    known: set[int] = field(default_factory=set)  # scorers
-    _cold: dict[int, float] = field(default_factory=dict)  # scorers, until when
-    _sent: dict[int, deque[float]] = field(default_factory=dict)
-    _orders: dict[Place, list[float]] = field(default_factory=dict)
-    _copies: dict[Place, _Copy] = field(default_factory=dict)  # the latest proof last
-    _news: dict[Place, None] = field(default_factory=dict)
-
-    # --- what is seen ---------------------------------------------------------------------------
-
-    def roster(self, now_ms: float, unix_ms: float, entries: Iterable[io.ScorerEntry], whole: bool) -> None:
-        """Scorers as the module is told of them; `unix_ms` is now on the clock of their starts."""
+    """The load of one owner, as the request table sees it begin and end."""
+
+    slow_start_ms: float
+    send_window_ms: float
+    copy_lifetime_ms: float
+    number: int = 0  # of the last report
+    omitted: int = 0  # copies and loads beyond the limits of a report, in total
+    scorers: set[int] = field(default_factory=set)  # in the roster
+    _slow_start_until_ms: dict[int, float] = field(default_factory=dict)
+    _sends_ms: dict[int, deque[float]] = field(default_factory=dict)
+    _loads_ms: dict[CopyLocation, list[float]] = field(default_factory=dict)  # when each order was sent
+    _copies: dict[CopyLocation, _Copy] = field(default_factory=dict)  # the latest proof last
+    _unreported: dict[CopyLocation, None] = field(default_factory=dict)
+
+    # --- what happens -------------------------------------------------------------------------
+
+    def roster_changed(
+        self, now_ms: float, unix_ms: float, entries: Iterable[io.ScorerEntry], *, complete: bool
+    ) -> None:
+        """Take scorers as the decision module gets them; `unix_ms` is now by the clock of their starts."""
         entries = list(entries)
-        if whole:
-            self._lose(self.known - {entry.scorer for entry in entries})
+        if complete:
+            self._remove_scorers(self.scorers - {entry.scorer for entry in entries})
         for entry in entries:
             if entry.state is io.ScorerState.GONE:
-                self._lose({entry.scorer})
-                continue
-            self.known.add(entry.scorer)
-            age = math.inf if entry.up_since_ms is None else max(0.0, unix_ms - entry.up_since_ms)
-            if age < self.cold_ms:
-                self._cold[entry.scorer] = now_ms + self.cold_ms - age
-                for place in [p for p in self._copies if p[0] == entry.scorer]:
-                    if self._copies[place].proof_ms < now_ms - age:
-                        self._forget(place)
-
-    def _lose(self, workers: set[int]) -> None:
-        self.known -= workers
-        for worker in workers:
-            self._cold.pop(worker, None)
-            self._sent.pop(worker, None)
-        for place in [p for p in self._copies if p[0] in workers] if workers else ():
-            self._forget(place)
-
-    def _forget(self, place: Place) -> None:
-        self._copies.pop(place, None)
-        self._news.pop(place, None)
-
-    def cold(self, now_ms: float) -> set[int]:
-        """Scorers that started within `cold_ms`."""
-        for worker in [worker for worker, until in self._cold.items() if until <= now_ms]:
-            del self._cold[worker]
-            self._sent.pop(worker, None)
-        return set(self._cold)
+                self._remove_scorers({entry.scorer})
+            else:
+                self._add_scorer(now_ms, unix_ms, entry)
+
+    def _add_scorer(self, now_ms: float, unix_ms: float, entry: io.ScorerEntry) -> None:
+        self.scorers.add(entry.scorer)
+        age_ms = math.inf if entry.up_since_ms is None else max(0.0, unix_ms - entry.up_since_ms)
+        if age_ms >= self.slow_start_ms:
+            return
+        self._slow_start_until_ms[entry.scorer] = now_ms + self.slow_start_ms - age_ms
+        for location in [known for known in self._copies if known.scorer == entry.scorer]:
+            if self._copies[location].proof_ms < now_ms - age_ms:
+                self._forget_copy(location)
+
+    def _remove_scorers(self, scorers: set[int]) -> None:
+        if not scorers:
+            return
+        self.scorers -= scorers
+        for scorer in scorers:
+            self._slow_start_until_ms.pop(scorer, None)
+            self._sends_ms.pop(scorer, None)
+        for location in [known for known in self._copies if known.scorer in scorers]:
+            self._forget_copy(location)
+
+    def _forget_copy(self, location: CopyLocation) -> None:
+        self._copies.pop(location, None)
+        self._unreported.pop(location, None)
+
+    def scorers_in_slow_start(self, now_ms: float) -> set[int]:
+        """Scorers that started within `slow_start_ms`."""
+        for scorer in [scorer for scorer, until in self._slow_start_until_ms.items() if until <= now_ms]:
+            del self._slow_start_until_ms[scorer]
+            self._sends_ms.pop(scorer, None)
+        return set(self._slow_start_until_ms)
 
     @property
-    def loads(self) -> bool:
-        """Whether an order to load is under way."""
-        return bool(self._orders)
+    def loading(self) -> bool:
+        """Whether a load order is in flight."""
+        return bool(self._loads_ms)
 
-    def sent(self, now_ms: float, worker: int) -> None:
-        if self._cold.get(worker, -math.inf) > now_ms:
-            self._sent.setdefault(worker, deque(maxlen=SENDS_MOST)).append(now_ms)
+    def attempt_sent(self, now_ms: float, scorer: int) -> None:
+        """Count a send to a scorer in slow start."""
+        if self._slow_start_until_ms.get(scorer, -math.inf) > now_ms:
+            self._sends_ms.setdefault(scorer, deque(maxlen=MAX_SENDS)).append(now_ms)
 
-    def ended(
-        self, now_ms: float, worker: int, function: str, ending: io.AttemptResult, warmth: io.Warmth
+    def attempt_ended(
+        self, now_ms: float, location: CopyLocation, result: io.AttemptResult, warmth: io.Warmth
     ) -> None:
-        """An attempt: a good answer proves a copy, a miss that there is none."""
-        if ending is io.AttemptResult.GOOD:
-            known = self._copies.get((worker, function))
-            self._prove(now_ms, (worker, function), max(1, known.copies if known else 0))
-        elif ending is io.AttemptResult.MISS or warmth is io.Warmth.LOAD_FAILED:
-            self._prove(now_ms, (worker, function), 0)
-
-    def ordered(self, now_ms: float, worker: int, function: str, copies: int) -> None:
-        """An order; one of no copies is a question."""
-        if copies and len(self._orders) < ORDERS_MOST:
-            self._orders.setdefault((worker, function), []).append(now_ms)
+        """Take what an attempt proved: a good answer proves a copy, a miss that there is none."""
+        if result is io.AttemptResult.GOOD:
+            known = self._copies.get(location)
+            self._prove(now_ms, location, max(1, known.copies if known else 0))
+        elif result is io.AttemptResult.MISS or warmth is io.Warmth.LOAD_FAILED:
+            self._prove(now_ms, location, 0)
+
+    def order_sent(self, now_ms: float, location: CopyLocation, copies: int) -> None:
+        """Count a load order; one of no copies is a probe."""
+        if copies and len(self._loads_ms) < MAX_LOADS:
+            self._loads_ms.setdefault(location, []).append(now_ms)
 
     def order_ended(
-        self, now_ms: float, worker: int, function: str, wanted: int, ending: io.AttemptResult, copies: int
+        self,
+        now_ms: float,
+        location: CopyLocation,
+        ordered_copies: int,
+        result: io.AttemptResult,
+        copies: int,
     ) -> None:
-        if wanted and (begun := self._orders.get((worker, function))):
-            begun.pop(0)
-            if not begun:
-                del self._orders[worker, function]
-        if ending in _PROVES:
-            self._prove(now_ms, (worker, function), copies)
-
-    def _prove(self, now_ms: float, place: Place, copies: int) -> None:
-        copy = self._copies.pop(place, None) or _Copy(copies, now_ms)
-        copy.copies, copy.proof_ms = min(copies, 1_000), now_ms
-        self._copies[place] = copy
-        if copy.told != copy.copies or now_ms - copy.told_ms >= AGAIN * self.copies_ms:
-            self._news.pop(place, None)
-            self._news[place] = None
-        if len(self._copies) > COPIES_MOST:
-            self._forget(next(iter(self._copies)))
-
-    # --- what is told ---------------------------------------------------------------------------
-
-    def word(self, now_ms: float, after: dict[str, int], wants: str = "", since: int = 0) -> m.LoadReport:
-        """The next word; `after` names the last answer of each keeper, `wants` the one that is to tell all
-        that is news since its answer `since`."""
+        """Take an order's answer, which says how many copies there are now."""
+        if ordered_copies and (loads_ms := self._loads_ms.get(location)):
+            loads_ms.pop(0)
+            if not loads_ms:
+                del self._loads_ms[location]
+        if result in _PROVES_COPIES:
+            self._prove(now_ms, location, copies)
+
+    def _prove(self, now_ms: float, location: CopyLocation, copies: int) -> None:
+        copy = self._copies.pop(location, None) or _Copy(copies, now_ms)
+        copy.copies = min(copies, 1_000)
+        copy.proof_ms = now_ms
+        self._copies[location] = copy
+        refresh_ms = REFRESH_PART * self.copy_lifetime_ms
+        if copy.reported_copies != copy.copies or now_ms - copy.reported_proof_ms >= refresh_ms:
+            self._unreported.pop(location, None)
+            self._unreported[location] = None
+        if len(self._copies) > MAX_COPIES:
+            self._forget_copy(next(iter(self._copies)))
+
+    # --- reports ------------------------------------------------------------------------------
+
+    def next_report(
+        self, now_ms: float, last_answers: dict[str, int], full_answer_from: str = "", since: int = 0
+    ) -> m.LoadReport:
+        """The next report, which names the last answer of each replica.
+
+        `full_answer_from` is the replica that is to answer with all that has changed since its answer
+        `since`.
+        """
         self.number += 1
-        cold, sent = self.cold(now_ms), {}
-        for worker, times in self._sent.items():
-            while times and times[0] <= now_ms - self.fall_ms:
-                times.popleft()
-            if times and worker in cold:
-                sent[worker] = len(times)
-        for place, begun in list(self._orders.items()):
-            self._orders[place] = [at for at in begun if now_ms - at <= LOAD_LONG_MS]
-            if not self._orders[place]:
-                del self._orders[place]
-        loads = sorted(((at, place) for place, (*_, at) in self._orders.items()), reverse=True)
-        news = self._newest(now_ms)
-        cut = max(0, len(loads) - LOADS_MOST) + len(self._news)
-        self.cut += cut
+        sent = self._recent_sends(now_ms)
+        loads = self._pending_loads(now_ms)
+        copies = self._take_unreported(now_ms)
+        omitted = max(0, len(loads) - MAX_REPORTED_LOADS) + len(self._unreported)
+        self.omitted += omitted
+        most_sent = sorted(sent.items(), key=lambda item: -item[1])[:MAX_REPORTED_SCORERS]
         return m.LoadReport(
             self.number,
-            after,
-            wants,
+            last_answers,
+            full_answer_from,
             since,
-            {str(w): n for w, n in sorted(sent.items(), key=lambda item: -item[1])[:SCORERS_MOST]},
-            tuple(m.PendingLoad(*place, round(now_ms - at, 1)) for at, place in loads[:LOADS_MOST]),
-            tuple(m.ProvenCopy(*place, c.copies, round(now_ms - c.proof_ms, 1)) for place, c in news),
-            cut,
+            {str(scorer): count for scorer, count in most_sent},
+            tuple(loads[:MAX_REPORTED_LOADS]),
+            copies,
+            omitted,
         )
 
-    def _newest(self, now_ms: float) -> list[tuple[Place, _Copy]]:
-        """News of copies, the latest first; what is left waits, and what is old is none."""
-        found = []
-        for place in list(reversed(self._news)):
-            copy = self._copies[place]
-            if now_ms - copy.proof_ms > self.copies_ms:
-                del self._news[place]
-            elif len(found) < NEWS_MOST:
-                del self._news[place]
-                copy.told, copy.told_ms = copy.copies, copy.proof_ms
-                found.append((place, copy))
-        return found
+    def _recent_sends(self, now_ms: float) -> dict[int, int]:
+        """How many sends each scorer in slow start got within the window."""
+        slow_start = self.scorers_in_slow_start(now_ms)
+        sent: dict[int, int] = {}
+        for scorer, times_ms in self._sends_ms.items():
+            while times_ms and times_ms[0] <= now_ms - self.send_window_ms:
+                times_ms.popleft()
+            if times_ms and scorer in slow_start:
+                sent[scorer] = len(times_ms)
+        return sent
+
+    def _pending_loads(self, now_ms: float) -> list[m.PendingLoad]:
+        """Load orders in flight, the latest first; those without an answer for long are forgotten."""
+        for location, loads_ms in list(self._loads_ms.items()):
+            recent = [sent_ms for sent_ms in loads_ms if now_ms - sent_ms <= MAX_LOAD_MS]
+            if recent:
+                self._loads_ms[location] = recent
+            else:
+                del self._loads_ms[location]
+        latest = sorted(((times[-1], location) for location, times in self._loads_ms.items()), reverse=True)
+        return [m.PendingLoad(*location, round(now_ms - sent_ms, 1)) for sent_ms, location in latest]
+
+    def _take_unreported(self, now_ms: float) -> tuple[m.ProvenCopy, ...]:
+        """Copies to report, the latest first; the rest has to wait, and old proofs are dropped."""
+        found: list[m.ProvenCopy] = []
+        for location in list(reversed(self._unreported)):
+            copy = self._copies[location]
+            age_ms = now_ms - copy.proof_ms
+            if age_ms > self.copy_lifetime_ms:
+                del self._unreported[location]
+            elif len(found) < MAX_REPORTED_COPIES:
+                del self._unreported[location]
+                copy.reported_copies = copy.copies
+                copy.reported_proof_ms = copy.proof_ms
+                found.append(m.ProvenCopy(*location, copy.copies, round(age_ms, 1)))
+        return tuple(found)
--- /dev/null
+++ b/fawnwharf/replication/load_report_store.py
@@ -0,0 +1,268 @@
+"""A replica's store of all owners' load reports, and its answers to them. Pure.
+
+No clock is compared with another one, and no time is taken from when a line arrived. A report names the last
+answer that its owner had received, so it was made after that answer was sent; an answer names the report that
+it answers. The earlier moment counts, by the own clock: a delayed line only seems older than it is.
+"""
+
+import math
+from collections import Counter, deque
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from fawnwharf.replication import messages as m
+from fawnwharf.replication.counters import ReplicationCounter
+from fawnwharf.replication.load_report import MAX_LOAD_MS, REFRESH_PART, CopyLocation
+from fawnwharf.replication.replica import front_end_of
+
+MAX_ANSWERED_SCORERS, MAX_ANSWERED_LOADS, MAX_ANSWERED_COPIES = 64, 256, 256
+MAX_INCARNATIONS = 2  # of one front end
+MAX_COPY_OWNERS = 2  # of one copy; an answer leaves out its owner's own, so one more is never needed
+MAX_LOCATIONS = 8_000  # of copies
+MAX_NAMED_ANSWERS = 32  # that an owner's report may name
+TOTALS_VALID_MS = 20.0
+MIN_ANSWER_INTERVAL_MS = 5.0  # between two answers to one owner
+
+
+class CopyProof(NamedTuple):
+    """What one owner reported last of a copy."""
+
+    report_number: int
+    copies: int
+    proof_ms: float
+
+
+@dataclass(slots=True)
+class OwnerReport:
+    """What one owner has reported: sends and loads of the latest report, copies by location."""
+
+    number: int = 0
+    made_ms: float = -math.inf  # the report was not made earlier
+    sent: dict[str, int] = field(default_factory=dict)
+    loading: tuple[tuple[CopyLocation, float], ...] = ()  # since when
+    copies: dict[CopyLocation, CopyProof] = field(default_factory=dict)
+
+    def merge(self, report: m.LoadReport, made_ms: float) -> list[CopyLocation]:
+        """Take a report made at `made_ms` or later; the locations of copies of which it has later proofs."""
+        if report.number > self.number:
+            self.number = report.number
+            self.made_ms = made_ms
+            self.sent = report.sent
+            self.loading = tuple(
+                (CopyLocation(load.scorer, load.function), made_ms - load.age_ms) for load in report.loading
+            )
+        changed: list[CopyLocation] = []
+        for copy in report.copies:
+            location = CopyLocation(copy.scorer, copy.function)
+            known = self.copies.get(location)
+            if report.number > (known.report_number if known is not None else 0):
+                self.copies[location] = CopyProof(report.number, copy.copies, made_ms - copy.age_ms)
+                changed.append(location)
+        return changed
+
+
+@dataclass(slots=True)
+class _Totals:
+    """All owners' reports at one moment."""
+
+    at_ms: float
+    sent_by_owner: dict[str, dict[str, int]] = field(default_factory=dict)
+    sent: dict[str, int] = field(default_factory=dict)
+    made: list[tuple[float, str]] = field(default_factory=list)  # time and owner, the oldest first
+    loading: list[tuple[float, CopyLocation, str]] = field(default_factory=list)  # the latest first
+    front_ends: set[str] = field(default_factory=set)
+
+
+@dataclass(slots=True)
+class _CopyChange:
+    """Who reported a copy, and what was its last change worth an answer."""
+
+    owners: set[str] = field(default_factory=set)
+    number: int = 0
+    copies: int = -1
+    proof_ms: float = -math.inf
+
+
+class LoadReportStore:
+    """The latest report of each owner."""
+
+    def __init__(self, report_lifetime_ms: float, copy_lifetime_ms: float, first_number: int) -> None:
+        """Answers are numbered from `first_number`, another one in each incarnation of this replica.
+
+        So a report that names an answer of an earlier incarnation names none of this one.
+        """
+        self.report_lifetime_ms, self.copy_lifetime_ms = report_lifetime_ms, copy_lifetime_ms
+        self.owners: dict[str, OwnerReport] = {}
+        self.counts: Counter[ReplicationCounter] = Counter()
+        self._answers: dict[str, deque[tuple[int, float]]] = {}  # number and time of those to each owner
+        self._changes: dict[CopyLocation, _CopyChange] = {}  # the latest change last
+        self._last_number = first_number  # of an answer or a change
+        self._totals: _Totals | None = None
+
+    def receive(
+        self, now_ms: float, replica: str, owner: str, report: m.LoadReport
+    ) -> m.RemoteLoadReport | None:
+        """Take an owner's report and answer it, unless they come too often; `replica` is this one's name."""
+        self._remove_old(now_ms, owner)
+        made_ms = self._made_ms(replica, owner, report)
+        if made_ms is None:
+            self.counts[ReplicationCounter.LOAD_REPORTS_WITHOUT_ANSWER] += 1
+        else:
+            self._store(owner, report, made_ms)
+        answers = self._answers.setdefault(owner, deque(maxlen=MAX_NAMED_ANSWERS))
+        if answers and now_ms - answers[-1][1] < MIN_ANSWER_INTERVAL_MS:
+            self.counts[ReplicationCounter.LOAD_REPORTS_TOO_FREQUENT] += 1
+            return None
+        self._last_number += 1
+        answers.append((self._last_number, now_ms))
+        acknowledgement = m.RemoteLoadReport(report.number, int(owner.partition("#")[2]), self._last_number)
+        if report.full_answer_from != replica:
+            return acknowledgement
+        # A later number is one of another incarnation's answers.
+        since = report.since if report.since < self._last_number else 0
+        return self._full_answer(now_ms, owner, acknowledgement, since)
+
+    def _made_ms(self, replica: str, owner: str, report: m.LoadReport) -> float | None:
+        """Before when the report was not made; None where it names no known answer."""
+        named = report.last_answers.get(replica)
+        answers = reversed(self._answers.get(owner, ()))
+        return next((sent_ms for number, sent_ms in answers if number == named), None)
+
+    def _store(self, owner: str, report: m.LoadReport, made_ms: float) -> None:
+        stored = self.owners.setdefault(owner, OwnerReport())
+        if report.number <= stored.number:
+            self.counts[ReplicationCounter.LOAD_REPORTS_OUTDATED] += 1
+        for location in stored.merge(report, made_ms):
+            self._record_change(owner, location)
+        while len(self._changes) > MAX_LOCATIONS:
+            location, change = next(iter(self._changes.items()))
+            for name in list(change.owners):
+                self._remove_copy(location, name)
+
+    def _record_change(self, owner: str, location: CopyLocation) -> None:
+        """Note a copy that an owner reported, and whether the others are to know of it."""
+        change = self._changes.setdefault(location, _CopyChange())
+        change.owners.add(owner)
+        if len(change.owners) > MAX_COPY_OWNERS:
+            self._remove_copy(
+                location, min(change.owners, key=lambda name: self.owners[name].copies[location].proof_ms)
+            )
+        proof_ms, copies = self._latest_proof(location, change.owners)
+        # An owner that only had an answer knows of one copy: fewer copies are no change until they are proven
+        # again.
+        changed = copies > change.copies or (not copies and change.copies)
+        if changed or proof_ms - change.proof_ms >= REFRESH_PART * self.copy_lifetime_ms:
+            self._last_number += 1
+            change.number = self._last_number
+            change.copies = copies
+            change.proof_ms = proof_ms
+            self._changes[location] = self._changes.pop(location)
+
+    def _latest_proof(self, location: CopyLocation, owners: set[str]) -> tuple[float, int]:
+        """Time and copies of the latest proof by these owners; the larger count of two at one time."""
+        proofs = [self.owners[owner].copies[location] for owner in owners]
+        return max(((proof.proof_ms, proof.copies) for proof in proofs), default=(-math.inf, 0))
+
+    def _remove_copy(self, location: CopyLocation, owner: str) -> None:
+        self.owners[owner].copies.pop(location, None)
+        if change := self._changes.get(location):
+            change.owners.discard(owner)
+            if not change.owners:
+                del self._changes[location]
+
+    def _remove_old(self, now_ms: float, owner: str) -> None:
+        """Remove silent owners, and incarnations of this owner's front end beyond the last two."""
+        totals = self._totals
+        if totals is not None and now_ms - totals.at_ms < TOTALS_VALID_MS and owner in self._answers:
+            return
+        gone: list[str] = []
+        if owner not in self._answers:
+            name = front_end_of(owner)
+            incarnations = [known for known in self._answers if front_end_of(known) == name]
+            gone = incarnations[: max(0, len(incarnations) + 1 - MAX_INCARNATIONS)]
+        lifetime_ms = max(self.report_lifetime_ms, self.copy_lifetime_ms)
+        gone += [known for known, answers in self._answers.items() if now_ms - answers[-1][1] > lifetime_ms]
+        for old in dict.fromkeys(gone):
+            for location in list(self.owners[old].copies) if old in self.owners else ():
+                self._remove_copy(location, old)
+            self.owners.pop(old, None)
+            del self._answers[old]
+        self._totals = None
+
+    # --- answers ------------------------------------------------------------------------------
+
+    def _current_totals(self, now_ms: float) -> _Totals:
+        """The totals over all owners, computed again after TOTALS_VALID_MS."""
+        if self._totals is not None and 0.0 <= now_ms - self._totals.at_ms < TOTALS_VALID_MS:
+            return self._totals
+        totals = self._totals = _Totals(now_ms)
+        for owner, stored in self.owners.items():
+            if now_ms - stored.made_ms > self.report_lifetime_ms:
+                continue
+            totals.front_ends.add(front_end_of(owner))
+            totals.made.append((stored.made_ms, owner))
+            totals.sent_by_owner[owner] = stored.sent
+            for scorer, count in stored.sent.items():
+                totals.sent[scorer] = totals.sent.get(scorer, 0) + count
+            totals.loading += [(since_ms, location, owner) for location, since_ms in stored.loading]
+        totals.made.sort()
+        totals.loading.sort(reverse=True)
+        return totals
+
+    def _full_answer(
+        self, now_ms: float, owner: str, acknowledgement: m.RemoteLoadReport, since: int
+    ) -> m.RemoteLoadReport:
+        """What all other owners have reported; of copies, what has changed since an answer."""
+        totals = self._current_totals(now_ms)
+        sent = self._sent_by_others(totals, owner)
+        loading = self._loading_by_others(now_ms, totals, owner)
+        copies, omitted = self._changed_copies(now_ms, owner, since)
+        omitted += max(0, len(loading) - MAX_ANSWERED_LOADS) + max(0, len(sent) - MAX_ANSWERED_SCORERS)
+        if omitted:
+            self.counts[ReplicationCounter.LOAD_ANSWERS_OMITTED] += omitted
+        oldest_ms = next((made_ms for made_ms, reporter in totals.made if reporter != owner), now_ms)
+        return m.RemoteLoadReport(
+            acknowledgement.report_number,
+            acknowledgement.incarnation,
+            self._last_number,
+            len(totals.front_ends | {front_end_of(owner)}),
+            round(now_ms - oldest_ms, 1),
+            dict(sent[:MAX_ANSWERED_SCORERS]),
+            tuple(loading[:MAX_ANSWERED_LOADS]),
+            tuple(copies),
+            omitted,
+        )
+
+    @staticmethod
+    def _sent_by_others(totals: _Totals, owner: str) -> list[tuple[str, int]]:
+        """Scorers and sends, the most first."""
+        own = totals.sent_by_owner.get(owner, {})
+        others = ((scorer, count - own.get(scorer, 0)) for scorer, count in totals.sent.items())
+        return sorted((item for item in others if item[1]), key=lambda item: -item[1])
+
+    @staticmethod
+    def _loading_by_others(now_ms: float, totals: _Totals, owner: str) -> list[m.PendingLoad]:
+        """The latest load order of each copy, the latest first."""
+        loading: dict[CopyLocation, float] = {}
+        for since_ms, location, reporter in totals.loading:
+            if reporter != owner and now_ms - since_ms <= MAX_LOAD_MS:
+                loading.setdefault(location, since_ms)
+        return [
+            m.PendingLoad(*location, round(now_ms - since_ms, 1)) for location, since_ms in loading.items()
+        ]
+
+    def _changed_copies(self, now_ms: float, owner: str, since: int) -> tuple[list[m.ProvenCopy], int]:
+        """Copies that changed since an answer, as the others proved them, and how many were omitted."""
+        found: list[m.ProvenCopy] = []
+        omitted = 0
+        for location, change in reversed(self._changes.items()):
+            if change.number <= since:
+                break
+            proof_ms, copies = self._latest_proof(location, change.owners - {owner})
+            if now_ms - proof_ms > self.copy_lifetime_ms:
+                continue
+            if len(found) < MAX_ANSWERED_COPIES:
+                found.append(m.ProvenCopy(*location, copies, round(now_ms - proof_ms, 1)))
+            else:
+                omitted += 1
+        return found, omitted
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -1,5 +1,7 @@
-"""A front end's own work as its table of requests sees it, when it is told, and what its module hears of the
-others'. The thin part round `elsewhere.py` and `others.py`."""
+"""Load reports in a running front end: what the request table sees, when it is sent, what the module gets.
+
+The logic is in `load_report.py`, `load_report_store.py` and `remote_loads.py`.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,113 +12,136 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.core import ReplicationCore
-from fawnwharf.replication.load_report import LoadReporter
+from fawnwharf.replication.load_report import CopyLocation, LoadReporter
 
-GATHER_MS = 4.0  # keepers answer at nearly the same moment: the module hears once
+GATHER_MS = 4.0  # replicas answer at nearly the same moment: the module gets one event for all
 
 
 class LoadReporting:
-    """Owns the pace at which work is told; a witness of the front end's table."""
+    """Owns the timing of load reports; an observer of the front end's request table."""
 
     def __init__(
-        self, core: ReplicationCore, settings: io.Settings, note: Callable[[str, dict[str, Any]], None]
+        self, core: ReplicationCore, settings: io.Settings, log_event: Callable[[str, dict[str, Any]], None]
     ) -> None:
-        """Switches the telling on in this core."""
-        self._core, self._note = core, note
-        copies_ms = min(core.settings.copy_lifetime_ms, settings.idle_life_ms / 2)
-        core.load_reporter = self.own = LoadReporter(
-            settings.slow_start_ms, settings.slow_start_window_ms, copies_ms
-        )
-        self._fronts = settings.fleet_size
-        self._front: FrontEnd | None = None
-        self._carry_out: Callable[[list[OwnerAction]], None] | None = None
-        self._timer: Timer | None = None
-        self._due_ms = self._told_ms = 0.0
-        self._gathers = False
-        self._handed_ms = 0.0  # when the module last heard
-        self._was_sure: bool | None = None
-
-    def attach(self, front: FrontEnd, carry_out: Callable[[list[OwnerAction]], None]) -> None:
-        self._front, self._carry_out = front, carry_out
-        front.table.witness = self
+        """Switches load reports on in this core."""
+        self._core, self._log_event = core, log_event
+        copy_lifetime_ms = min(core.settings.copy_lifetime_ms, settings.idle_life_ms / 2)
+        self.reporter = LoadReporter(settings.slow_start_ms, settings.slow_start_window_ms, copy_lifetime_ms)
+        core.load_reporter = self.reporter
+        self._fleet_size = settings.fleet_size
+        self._running: _Running | None = None
+        self._gathering = False
+        self._last_event_ms = 0.0  # when the module last got something
+        self._sends_known: bool | None = None
+
+    def attach(self, front_end: FrontEnd, carry_out: Callable[[list[OwnerAction]], None]) -> None:
+        """Begin, on the front end's loop."""
+        self._running = _Running(front_end, carry_out)
+        front_end.table.witness = self
         entries = [
             io.ScorerEntry(worker_number(member.id), up_since_ms=member.up_since_ms or None)
-            for member in front.overlay.members.values()
+            for member in front_end.overlay.members.values()
         ]
-        self.own.roster(monotonic_ms(), front.loop.clock.now_ms(), entries, True)
-        self._tell()
+        unix_ms = front_end.loop.clock.now_ms()
+        self.reporter.roster_changed(monotonic_ms(), unix_ms, entries, complete=True)
+        self._report()
 
     def close(self) -> None:
-        if self._front is not None:
-            self._front.table.witness = None
-            self._timer.cancel()
-            self._front = None
+        """End reporting."""
+        if self._running is not None:
+            self._running.front_end.table.witness = None
+            self._running.cancel()
+            self._running = None
 
-    # --- what is seen ---------------------------------------------------------------------------
+    # --- what the front end and its request table see -----------------------------------------
 
     def events(self, events: list[io.Event]) -> None:
+        """Take changes of the roster."""
         for event in events:
-            if isinstance(event, io.RosterChanged) and self._front is not None:
-                unix_ms = self._front.loop.clock.now_ms()
-                self.own.roster(monotonic_ms(), unix_ms, event.entries, event.complete)
+            if isinstance(event, io.RosterChanged) and self._running is not None:
+                unix_ms = self._running.front_end.loop.clock.now_ms()
+                self.reporter.roster_changed(monotonic_ms(), unix_ms, event.entries, complete=event.complete)
                 self._hasten()
 
     def sent(self, attempt: Attempt) -> None:
-        self.own.sent(monotonic_ms(), attempt.worker)
+        """Take an attempt that is sent."""
+        self.reporter.attempt_sent(monotonic_ms(), attempt.worker)
 
     def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None:
-        self.own.ended(monotonic_ms(), attempt.worker, attempt.function, ending, warmth)
+        """Take an attempt that ended."""
+        location = CopyLocation(attempt.worker, attempt.function)
+        self.reporter.attempt_ended(monotonic_ms(), location, ending, warmth)
 
     def ordered(self, order: Order) -> None:
-        self.own.ordered(monotonic_ms(), order.worker, order.function, order.copies)
+        """Take a load order, or a probe, that is sent."""
+        self.reporter.order_sent(monotonic_ms(), CopyLocation(order.worker, order.function), order.copies)
         if order.copies:
             self._hasten()
 
     def order_ended(self, order: Order, ending: io.AttemptResult, copies: int) -> None:
-        now = monotonic_ms()
-        self.own.order_ended(now, order.worker, order.function, order.copies, ending, copies)
+        """Take a load order, or a probe, that ended."""
+        location = CopyLocation(order.worker, order.function)
+        self.reporter.order_ended(monotonic_ms(), location, order.copies, ending, copies)
         if order.copies:
             self._hasten()
 
-    # --- what is told ---------------------------------------------------------------------------
+    # --- reports ------------------------------------------------------------------------------
 
-    def _tell(self) -> None:
-        if self._front is None:
+    def _report(self) -> None:
+        """Send the next report, and plan the one after it."""
+        if self._running is None:
             return
-        self._told_ms = now = monotonic_ms()
-        self._carry_out(self._core.send_load_report(now, self._fronts))
-        sure, heard = self._core.remote_sends_known(now, self._fronts)
-        if sure != self._was_sure:
-            self._was_sure = sure
-            self._note("work elsewhere", {"known": sure, "heard": heard})
-        rules = self._core.settings
-        if (
-            now - self._handed_ms > rules.load_report_lifetime_ms
-        ):  # no keeper answers: what was told is taken back
-            self._hand_on()
-        quick = bool(self.own.loads or self.own.cold(now))
-        self._set(now + (rules.slow_start_report_interval_ms if quick else rules.load_report_interval_ms))
+        now_ms = self._running.reported_ms = monotonic_ms()
+        self._running.carry_out(self._core.send_load_report(now_ms, self.reporter, self._fleet_size))
+        known, front_ends = self._core.remote_sends_known(now_ms, self._fleet_size)
+        if known != self._sends_known:
+            self._sends_known = known
+            self._log_event("remote load", {"known": known, "front_ends": front_ends})
+        settings = self._core.settings
+        if now_ms - self._last_event_ms > settings.load_report_lifetime_ms:
+            self._pass_on()  # no replica answers: what the module was told is taken back
+        hurried = self.reporter.loading or self.reporter.scorers_in_slow_start(now_ms)
+        interval_ms = settings.slow_start_report_interval_ms if hurried else settings.load_report_interval_ms
+        self._running.schedule(now_ms + interval_ms, self._report)
 
     def _hasten(self) -> None:
-        """There is news: the next word goes at the quick pace."""
-        due = self._told_ms + self._core.settings.slow_start_report_interval_ms
-        if self._front is not None and due < self._due_ms:
+        """Something changed: send the next report after the short interval."""
+        if self._running is None:
+            return
+        due_ms = self._running.reported_ms + self._core.settings.slow_start_report_interval_ms
+        if due_ms < self._running.due_ms:
+            self._running.cancel()
+            self._running.schedule(due_ms, self._report)
+
+    def lines_received(self) -> None:
+        """Pass on a replica's answer in a moment, where the lines that came have one."""
+        if self._core.remote_loads.answered and not self._gathering and self._running is not None:
+            self._gathering = True
+            self._running.front_end.loop.wheel.after(GATHER_MS, self._pass_on)
+
+    def _pass_on(self) -> None:
+        """Give the module what has changed."""
+        self._gathering = self._core.remote_loads.answered = False
+        if self._running is not None:
+            self._last_event_ms = monotonic_ms()
+            for event in self._core.remote_load_events(self._last_event_ms, self.reporter, self._fleet_size):
+                self._running.front_end.loop.tell(event)
+
+
+class _Running:
+    """What exists while the front end runs: where it reports to, and the timer of the next report."""
+
+    def __init__(self, front_end: FrontEnd, carry_out: Callable[[list[OwnerAction]], None]) -> None:
+        self.front_end, self.carry_out = front_end, carry_out
+        self.reported_ms = self.due_ms = 0.0
+        self._timer: Timer | None = None
+
+    def schedule(self, due_ms: float, report: Callable[[], None]) -> None:
+        """Plan the next report."""
+        self.due_ms = due_ms
+        self._timer = self.front_end.loop.wheel.after(max(0.0, due_ms - monotonic_ms()), report)
+
+    def cancel(self) -> None:
+        """Drop the planned report."""
+        if self._timer is not None:
             self._timer.cancel()
-            self._set(due)
-
-    def _set(self, due_ms: float) -> None:
-        self._due_ms = due_ms
-        self._timer = self._front.loop.wheel.after(max(0.0, due_ms - monotonic_ms()), self._tell)
-
-    def answered(self) -> None:
-        """Lines came; if a keeper's answer is among them, the module hears of it in a moment."""
-        if self._core.remote_loads.news and not self._gathers and self._front is not None:
-            self._gathers = True
-            self._front.loop.wheel.after(GATHER_MS, self._hand_on)
-
-    def _hand_on(self) -> None:
-        self._gathers = self._core.remote_loads.news = False
-        if self._front is not None:
-            self._handed_ms = monotonic_ms()
-            for event in self._core.remote_load_events(self._handed_ms, self._fronts):
-                self._front.loop.tell(event)
--- a/fawnwharf/replication/outlier_ejection.py
+++ b/fawnwharf/replication/outlier_ejection.py
@@ -1,9 +1,10 @@
-"""Scorers that rest at this front end: its own signs of them, others' hints, and what they close. No I/O.
+"""Outlier ejection at this front end: its own results, reported scorers, and the roster filter. No I/O.
 
-They are laid over the roster (`net/overlay.py`) beside what others close there. What others close needs no
-rest, and does not count among a zone's scorers: the part that may rest is one of those that are left.
+The filter is laid over the roster (`net/roster_overlay.py`) beside those of other subsystems. A scorer that
+another one takes out of service needs no ejection and does not count among its zone's scorers.
 """
 
+from collections import Counter
 from collections.abc import Callable, Iterable
 from typing import Any
 
@@ -11,46 +12,51 @@
 from fawnwharf.config import Fleet
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.roster_overlay import Closer, Overlay
-from fawnwharf.replication.failure_reports import FailureTracker, OutlierEjections, counts_by
+from fawnwharf.replication.failure_reports import FailureTracker, OutlierEjections
 from fawnwharf.replication.messages import ReportedOutliers
 
-CLOSER = "state"
+FILTER_NAME = "state"
+
+LogEvent = Callable[[str, dict[str, Any]], None]
 
 
 def excluding(ids: frozenset[str]) -> Closer | None:
-    """Closes these; None where there are none."""
+    """A roster filter that takes these scorers out of service; None where there are none."""
     return (lambda member: member.id in ids) if ids else None
 
 
 class OutlierEjector:
-    """Owns what this front end has seen of scorers, and which ones rest."""
+    """Owns this front end's results of scorers, and which ones are ejected."""
 
-    def __init__(self, promise_ms: float, note: Callable[[str, dict[str, Any]], None]) -> None:
-        """What takes longer than `promise_ms` is a bad sign."""
-        self.sights, self.rests = FailureTracker(), OutlierEjections()
-        self.ids: frozenset[str] = frozenset()
-        self._promise_ms, self._note = promise_ms, note
+    def __init__(self, latency_objective_ms: float, log_event: LogEvent) -> None:
+        """An answer that takes longer than the latency objective counts as a failure."""
+        self.tracker = FailureTracker(latency_objective_ms)
+        self.ejections = OutlierEjections()
+        self.ejected_ids: frozenset[str] = frozenset()
+        self._log_event = log_event
 
     def events(self, now_ms: float, events: list[io.Event]) -> None:
+        """Record the attempts and load orders that ended."""
         for event in events:
-            if isinstance(event, io.AttemptEnded | io.LoadOrderAnswered):
-                warmth = getattr(event, "warmth", io.Warmth.UNTOLD)  # an order's answer has none
-                self.sights.ended(now_ms, event.scorer, event.result, event.took_ms, self._promise_ms, warmth)
-
-    def look(self, now_ms: float, heard: Iterable[ReportedOutliers], overlay: Overlay) -> Fleet:
-        """Take what was heard, and let those rest that are to; the changes that it makes to the roster."""
-        nothing = Fleet([], False, overlay.revision)
-        heard = list(heard)
-        if not heard and not self.ids and not self.rests.resting(now_ms):
-            return nothing  # spares a walk over the fleet at each look
-        scorers = {worker_number(member.id): member for member in overlay.left_to(CLOSER)}
-        zones = {worker: member.locality for worker, member in scorers.items()}
-        counts = counts_by(zones.values())
-        for hints in heard:
-            self.rests.heard(now_ms, hints, self.sights, zones, counts)
-        ids = frozenset(scorers[worker].id for worker in self.rests.resting(now_ms) if worker in scorers)
-        if ids == self.ids:
-            return nothing
-        self._note("scorers rest", {"now": sorted(ids), "before": sorted(self.ids)})
-        self.ids = ids
-        return overlay.close(CLOSER, excluding(ids))
+            if isinstance(event, io.AttemptEnded):
+                self.tracker.record(now_ms, event.scorer, event.result, event.took_ms, event.warmth)
+            elif isinstance(event, io.LoadOrderAnswered):
+                self.tracker.record(now_ms, event.scorer, event.result, event.took_ms)
+
+    def update(self, now_ms: float, reported: Iterable[ReportedOutliers], overlay: Overlay) -> Fleet:
+        """Take what was reported, and eject or readmit scorers; the changes of the roster that follow."""
+        unchanged = Fleet([], False, overlay.revision)
+        reported = list(reported)
+        if not reported and not self.ejected_ids and not self.ejections.ejected(now_ms):
+            return unchanged  # spares a scan of the fleet each time
+        scorers = {worker_number(member.id): member for member in overlay.left_to(FILTER_NAME)}
+        zones = {number: member.locality for number, member in scorers.items()}
+        zone_sizes = Counter(zones.values())
+        for outliers in reported:
+            self.ejections.apply(now_ms, outliers, self.tracker, zones, zone_sizes)
+        ids = frozenset(scorers[number].id for number in self.ejections.ejected(now_ms) if number in scorers)
+        if ids == self.ejected_ids:
+            return unchanged
+        self._log_event("scorers ejected", {"now": sorted(ids), "before": sorted(self.ejected_ids)})
+        self.ejected_ids = ids
+        return overlay.close(FILTER_NAME, excluding(ids))
--- a/fawnwharf/replication/replica.py
+++ b/fawnwharf/replication/replica.py
@@ -1,25 +1,55 @@
-"""One keeper: whom it grants a call, and when it may grant at all.
+"""A replica: to whom it grants a call, and when it may grant at all.
 
-Pure; times are milliseconds of its own clock, which is never compared with another's. A call is granted to
-one ask at a time. Whoever has the grants of more than half of a call's keepers may run it, so that of two
-owners at most one may. That holds as long as no keeper forgets: one that has started anew grants nothing
-until it has heard all that the others hold, or until all that it may have granted before is over (`sure`).
+Pure; times are milliseconds of its own clock, which is never compared with another one. A call is granted to
+one request at a time. An owner that has the grants of a quorum of the call's replicas may run it, so that of
+two owners at most one may. That holds as long as no replica forgets: a restarted one grants nothing until it
+has received all that the others store, or until all that it may have granted before has expired
+(`is_complete`).
 """
 
+from dataclasses import dataclass, field
+
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claim_store import CallEntry, ClaimStore
 from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.counters import ReplicationCounter
 from fawnwharf.replication.placement import ReplicaPlacement
 from fawnwharf.replication.settings import ReplicationSettings
 from fawnwharf.replication.state_transfer import StateTransfer
 
-FORGET_MS = 250.0  # pace of the look after what is over
-CLAIMS_MOST = 16  # of one call, in one word
-ASKS_MOST = 64  # of one call: with so many it is granted no more until some are over
+EXPIRY_SCAN_MS = 250.0
+MAX_REPLY_CLAIMS = 16  # of one call
+MAX_CALL_REQUESTS = 64  # of one call: with so many it is not granted until some have expired
+
+
+def front_end_of(owner_id: str) -> str:
+    """The name of the front end of which this owner is an incarnation."""
+    return owner_id.partition("#")[0]
+
+
+@dataclass(slots=True)
+class Completeness:
+    """What a replica needs before it may grant: whom it still has to hear, and since when."""
+
+    since_ms: float
+    reached: bool
+    missing: set[str] = field(default_factory=set)  # replicas of which not everything has been received
+    # Memberships before, until their replicas were heard.
+    earlier: list[ReplicaPlacement] = field(default_factory=list)
+
+    def earlier_replicas(self) -> set[str]:
+        """All replicas of the earlier memberships."""
+        return {name for placement in self.earlier for name in placement.replicas}
+
+    def restart(self, now_ms: float, missing: set[str]) -> None:
+        """Begin again, with these replicas to hear."""
+        self.since_ms = now_ms
+        self.reached = False
+        self.missing = missing
 
 
 class Replica:
-    """Owns the calls that this front end keeps for the fleet."""
+    """Owns the claims that this front end stores for the fleet, and the right to grant calls."""
 
     def __init__(
         self,
@@ -27,227 +57,258 @@
         placement: ReplicaPlacement,
         settings: ReplicationSettings,
         now_ms: float,
-        life: int,
-        fresh: bool = False,
+        incarnation: int,
+        *,
+        complete: bool = False,
     ) -> None:
-        """`fresh`: nothing was ever granted under this name that is not here, as the fleet begins or a disk
-        has it all."""
+        """`complete`: nothing was ever granted under this name that is not here, as in a new fleet."""
         self.name, self.placement, self.settings = name, placement, settings
         self.claim_store = ClaimStore(settings, placement.replicas_of)
-        self.state_transfer = StateTransfer(settings, self.claim_store, life)
-        self.live_owners: set[str] = set()  # owners that are heard
-        self._since_ms = now_ms
-        self._due_ms = {"forget": now_ms, "compare": now_ms + settings.compare_interval_ms}
-        self._earlier_placements: list[ReplicaPlacement] = []  # lists before, until their keepers were heard
-        self._max_requested_members = 0  # the largest number of a list that another keeper went by
-        self.storage_failed = False  # what it grants can't be written down
-        self._complete = fresh
-        self._unheard_replicas = set() if fresh else self._other_replicas()
+        self.state_transfer = StateTransfer(self.claim_store, incarnation)
+        self.live_owners: set[str] = set()
+        self.storage_failed = False  # what it grants can't be stored
+        self._completeness = Completeness(now_ms, complete, set() if complete else self._other_replicas())
+        self._max_requested_membership = 0  # the largest number by which another replica asked
+        self._expiry_due_ms = now_ms
+        self._comparison_due_ms = now_ms + settings.compare_interval_ms
 
     def _other_replicas(self) -> set[str]:
         return {name for name in self.placement.replicas if name != self.name}
 
-    # --- whether it may grant -------------------------------------------------------------------
+    # --- whether it may grant -----------------------------------------------------------------
 
     def max_grant_age_ms(self) -> float:
-        """For so long an owner may rest on a grant."""
+        """How long an owner may act on a grant, by the slowest clock."""
         return self.settings.max_wait_ms * (1.0 + 2.0 * self.settings.clock_skew)
 
     def is_complete(self, now_ms: float) -> bool:
-        """Whether it knows all that it ever granted and that still counts.
+        """Whether it knows all that it ever granted and that still counts, so that it may grant calls.
 
-        What it granted in a life before, more than half of a call's keepers hold, so one of the others: it
-        has to hear all of them, from a moment on when nobody may rest on those grants any more, as till
-        then the other half may still be on its way. Or it waits until all that is over."""
-        if self.storage_failed or self._max_requested_members > self.placement.number:
+        What an earlier incarnation granted was in force only together with the grant of another replica,
+        which has it. So all others have to be heard, from a moment on when nobody may act on those grants any
+        more, as until then the other grant may still be on its way. Or all of it has expired.
+        """
+        if self.storage_failed or self._max_requested_membership > self.placement.number:
             return False
-        if self._complete:
-            return True
-        if self._earlier_placements:
-            # By another list, grants go on until its keepers have heard of this one. Time proves nothing
-            # here; that most zones' keepers were heard proves that no majority of them is left.
-            unheard = [
-                sum(bool(self._unheard_replicas & set(names)) for names in old.by_zone.values())
-                for old in self._earlier_placements
-            ]
-            self._complete = (
-                max(unheard) <= self.settings.replica_zones // 2
-                and not self._unheard_replicas & self._other_replicas()
-            )
-        else:
-            over_ms = self.claim_store.claim_lifetime_ms() + self.max_grant_age_ms()
-            self._complete = not self._unheard_replicas or now_ms - self._since_ms >= over_ms
-        if self._complete:
-            self._earlier_placements.clear()
-        return self._complete
+        state = self._completeness
+        if not state.reached and (
+            self._earlier_replicas_heard() if state.earlier else self._others_heard_or_expired(now_ms)
+        ):
+            state.reached = True
+            state.earlier.clear()
+        return state.reached
+
+    def _earlier_replicas_heard(self) -> bool:
+        """Whether no quorum of an earlier membership is left that has not reported what it granted.
+
+        By an earlier membership grants go on until its replicas have heard of the later one, so time proves
+        nothing here.
+        """
+        state = self._completeness
+        missing_zones = [
+            sum(bool(state.missing & set(names)) for names in placement.by_zone.values())
+            for placement in state.earlier
+        ]
+        quorum_impossible = max(missing_zones) <= self.settings.replica_zones // 2
+        return quorum_impossible and not state.missing & self._other_replicas()
+
+    def _others_heard_or_expired(self, now_ms: float) -> bool:
+        expiry_ms = self.claim_store.claim_lifetime_ms() + self.max_grant_age_ms()
+        return not self._completeness.missing or now_ms - self._completeness.since_ms >= expiry_ms
 
     def mark_complete(self) -> None:
-        """A disk had all that it ever granted."""
-        self._complete = True
-        self._unheard_replicas.clear()
+        """A disk had all that was ever granted."""
+        self._completeness.reached = True
+        self._completeness.missing.clear()
 
     def mark_incomplete(self, now_ms: float) -> None:
-        """A disk that had all turned out to be an older copy: it hears the others, or waits."""
-        self._complete, self._since_ms = False, now_ms
-        self._unheard_replicas |= self._other_replicas()
-        self.state_transfer.start_over()
+        """A disk that seemed complete is an older copy: hear the other replicas, or wait."""
+        self._completeness.restart(now_ms, self._completeness.missing | self._other_replicas())
+        self.state_transfer.restart()
 
     def change_placement(self, now_ms: float, placement: ReplicaPlacement) -> None:
-        """Another list of members: calls may have come here from other keepers, whom it has to hear."""
+        """Take a later membership: calls may move here from other replicas, which have to be heard."""
         if placement.number <= self.placement.number:
             return
         before, self.placement = self.placement, placement
         if before.by_zone == placement.by_zone:
             return
         self.claim_store.change_placement(now_ms, placement.replicas_of)
-        self._earlier_placements.append(before)
-        self._complete, self._since_ms = False, now_ms
-        self._unheard_replicas = self._other_replicas() | (self._earlier_replicas() - {self.name})
-        self.state_transfer.start_over()
-
-    def _earlier_replicas(self) -> set[str]:
-        return {name for old in self._earlier_placements for name in old.replicas}
-
-    # --- owners ---------------------------------------------------------------------------------
-
-    def handle_claim_request(self, now_ms: float, sender: str, ask: m.ClaimRequest) -> list[m.Send]:
-        """Grant the call, or say who has it."""
-        sure = self.is_complete(now_ms) and ask.membership_number == self.placement.number
-        if self.name not in self.placement.replicas_of(ask.key):
-            self.claim_store.count("no keeper of it")
-            sure = False
-        entry = self.claim_store.get_or_create(now_ms, ask.key)
+        state = self._completeness
+        state.earlier.append(before)
+        state.restart(now_ms, self._other_replicas() | (state.earlier_replicas() - {self.name}))
+        self.state_transfer.restart()
+
+    # --- owners -------------------------------------------------------------------------------
+
+    def handle_claim_request(self, now_ms: float, request: m.ClaimRequest) -> list[m.Send]:
+        """Grant the call, or reply who has it."""
+        may_grant = self.is_complete(now_ms) and request.membership_number == self.placement.number
+        if self.name not in self.placement.replicas_of(request.key):
+            self.claim_store.counts[ReplicationCounter.REQUESTS_TO_WRONG_REPLICA] += 1
+            may_grant = False
+        entry = self.claim_store.get_or_create(now_ms, request.key)
         if entry is None:
-            return [self._reply(now_ms, ask.owner, ask.number, ask.key, None, False, False)]
-        if (ask.owner, ask.number) in entry.claims:
-            self.claim_store.count("asked again")
+            return [self._reply(now_ms, request, None, granted=False, complete=False)]
+        if (request.owner, request.number) in entry.claims:
+            self.claim_store.counts[ReplicationCounter.REQUESTS_REPEATED] += 1
             return []
-        if len(entry.claims) >= ASKS_MOST:
-            self.claim_store.count("too many asks")
-            sure = False
+        if len(entry.claims) >= MAX_CALL_REQUESTS:
+            self.claim_store.counts[ReplicationCounter.TOO_MANY_REQUESTS] += 1
+            may_grant = False
         free = not entry.active_claims()
-        if free and sure:
-            claim = Claim(ask.owner, ask.number, ask.number, ask.bucket, ClaimPhase.GRANTED)
-            self.claim_store.merge(now_ms, ask.key, entry, claim, self.claim_store.claim_lifetime_ms(ask.key))
-            entry.waiters.pop(ask.owner, None)
-        elif not free and (
-            ask.owner in entry.waiters or len(entry.waiters) < self.settings.limits.max_waiters
-        ):
-            entry.waiters[ask.owner] = ask.number
-        return [self._reply(now_ms, ask.owner, ask.number, ask.key, entry, free and sure, sure or not free)]
+        granted = free and may_grant
+        if granted:
+            self._grant(now_ms, entry, request)
+        elif not free:
+            self._let_wait(entry, request)
+        return [self._reply(now_ms, request, entry, granted=granted, complete=may_grant or not free)]
+
+    def _grant(self, now_ms: float, entry: CallEntry, request: m.ClaimRequest) -> None:
+        claim = Claim(request.owner, request.number, request.number, request.bucket, ClaimPhase.GRANTED)
+        lifetime_ms = self.claim_store.claim_lifetime_ms(request.key)
+        self.claim_store.merge(now_ms, request.key, entry, claim, lifetime_ms)
+        entry.waiters.pop(request.owner, None)
+
+    def _let_wait(self, entry: CallEntry, request: m.ClaimRequest) -> None:
+        """Report to this owner what becomes of the call, where there is space for one more."""
+        if request.owner in entry.waiters or len(entry.waiters) < self.settings.limits.max_waiters:
+            entry.waiters[request.owner] = request.number
 
     def _reply(
         self,
         now_ms: float,
-        owner: str,
-        number: int,
-        key: str,
+        request: m.ClaimRequest,
         entry: CallEntry | None,
+        *,
         granted: bool,
-        sure: bool,
+        complete: bool,
     ) -> m.Send:
-        claims = (
-            [c for c in entry.active_claims() if c.claim_id != (owner, number)][:CLAIMS_MOST] if entry else []
-        )
-        word = m.ClaimReply(
+        waiter = request.owner, request.number
+        return self._report(now_ms, request.key, waiter, entry, granted=granted, complete=complete)
+
+    def _report(
+        self,
+        now_ms: float,
+        key: str,
+        waiter: tuple[str, int],
+        entry: CallEntry | None,
+        *,
+        granted: bool = False,
+        complete: bool = True,
+    ) -> m.Send:
+        """How a call stands, for one request of one owner."""
+        owner, number = waiter
+        active = entry.active_claims() if entry is not None else []
+        claims = [claim for claim in active if claim.claim_id != waiter][:MAX_REPLY_CLAIMS]
+        reply = m.ClaimReply(
             key=key,
             owner=owner,
             request_number=number,
             granted=granted,
-            complete=sure,
+            complete=complete,
             claims=tuple(claims),
             live_owners=tuple(sorted({claim.owner for claim in claims} & self.live_owners)),
-            age_ms=now_ms - entry.created_ms if claims else 0.0,
+            age_ms=now_ms - entry.created_ms if entry is not None and claims else 0.0,
         )
-        return m.Send((owner.partition("#")[0],), word)
+        return m.Send((front_end_of(owner),), reply)
 
-    def handle_claim_update(self, now_ms: float, sender: str, tell: m.ClaimUpdate) -> list[m.Send]:
-        """An owner's later word. It is taken also where the ask never came: it says no less."""
-        if tell.claim.phase is ClaimPhase.RELEASED and tell.key not in self.claim_store.calls:
+    def handle_claim_update(self, now_ms: float, update: m.ClaimUpdate) -> list[m.Send]:
+        """Take an owner's later message, also where its request never came: it says no less."""
+        claim = update.claim
+        released = claim.phase is ClaimPhase.RELEASED
+        if released and update.key not in self.claim_store.calls:
             return []
-        entry = self.claim_store.get_or_create(now_ms, tell.key)
+        entry = self.claim_store.get_or_create(now_ms, update.key)
         if entry is None:
             return []
-        crowded = len(entry.claims) >= ASKS_MOST and tell.claim.claim_id not in entry.claims
-        if crowded and tell.claim.phase is ClaimPhase.RELEASED:  # not granted here, it stands in nobody's way
+        full = len(entry.claims) >= MAX_CALL_REQUESTS and claim.claim_id not in entry.claims
+        if full and released:  # it was not granted here, so nobody is kept from the call by it
             return []
-        self.claim_store.merge(
-            now_ms, tell.key, entry, tell.claim, self.claim_store.claim_lifetime_ms(tell.key)
-        )
-        return self._notify_waiters(now_ms, tell.key, entry)
+        lifetime_ms = self.claim_store.claim_lifetime_ms(update.key)
+        self.claim_store.merge(now_ms, update.key, entry, claim, lifetime_ms)
+        return self._notify_waiters(now_ms, update.key, entry)
 
     def _notify_waiters(self, now_ms: float, key: str, entry: CallEntry) -> list[m.Send]:
-        """To those that wait: how the call stands now."""
-        found: list[m.Send] = []
+        """Report to all owners that wait how the call stands now."""
+        sends: list[m.Send] = []
         for owner, number in list(entry.waiters.items()):
             if owner not in self.live_owners:
                 del entry.waiters[owner]
                 continue
-            found.append(self._reply(now_ms, owner, number, key, entry, granted=False, sure=True))
+            sends.append(self._report(now_ms, key, (owner, number), entry))
             if not any(claim.phase is ClaimPhase.GRANTED for claim in entry.active_claims()):
                 del entry.waiters[owner]  # nothing more will come
-        return found
+        return sends
 
-    def change_live_owners(self, now_ms: float, alive: set[str]) -> list[m.Send]:
-        """Which owners are heard now; those that wait for one that is gone are told."""
-        gone, self.live_owners = self.live_owners - alive, set(alive)
-        found: list[m.Send] = []
+    def change_live_owners(self, now_ms: float, live_owners: set[str]) -> list[m.Send]:
+        """Take which owners are alive now, and report to those that wait for one that is gone."""
+        gone = self.live_owners - live_owners
+        self.live_owners = set(live_owners)
+        sends: list[m.Send] = []
         if gone:
             for key, entry in self.claim_store.calls.items():
                 if entry.waiters and gone & {owner for owner, _ in entry.claims}:
-                    found += self._notify_waiters(now_ms, key, entry)
-        return found
+                    sends += self._notify_waiters(now_ms, key, entry)
+        return sends
 
-    # --- among keepers --------------------------------------------------------------------------
+    # --- other replicas -----------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[m.Send]:
-        """Whatever is due: what is over goes, pieces are told, what is missing is wanted, and compared."""
-        found: list[m.Send] = []
-        if now_ms >= self._due_ms["forget"]:
-            self._due_ms["forget"] = now_ms + FORGET_MS
+        """Do what is due: remove what has expired, send and request chunks, compare."""
+        if now_ms >= self._expiry_due_ms:
+            self._expiry_due_ms = now_ms + EXPIRY_SCAN_MS
             self.claim_store.remove_expired(now_ms)
-        sure = self.is_complete(now_ms)
-        if not sure and now_ms - self._since_ms >= self.max_grant_age_ms():
-            for name in sorted(self._unheard_replicas):
-                found += self.state_transfer.want(now_ms, name, self.placement.number)
-        found += self.state_transfer.pieces(now_ms, sure)
-        if now_ms >= self._due_ms["compare"]:
-            self._due_ms["compare"] = now_ms + self.settings.compare_interval_ms
-            for name in sorted(self._other_replicas()):
-                found.append(m.Send((name,), m.StoreDigests(self.claim_store.bucket_digests(now_ms, name))))
-        return found
-
-    def due_ms(self, now_ms: float) -> float:
-        due = min(self._due_ms.values())
-        return min(due, self.state_transfer.due_ms) if self.state_transfer.busy else due
-
-    def handle_state_request(self, now_ms: float, sender: str, want: m.StateRequest) -> list[m.Send]:
-        """Another keeper wants what is here. One that goes by a later list has all, and nothing is granted
-        by the earlier one any more."""
-        ahead = want.membership_number > self.placement.number
-        self._max_requested_members = max(self._max_requested_members, want.membership_number)
-        if not ahead and sender not in self.placement.replicas and sender not in self._earlier_replicas():
-            self.claim_store.count("want of no keeper")
-            return []
-        self.state_transfer.wanted(sender, want, lambda keepers: ahead or sender in keepers)
-        return []
+        sends: list[m.Send] = []
+        complete = self.is_complete(now_ms)
+        if not complete and now_ms - self._completeness.since_ms >= self.max_grant_age_ms():
+            for name in sorted(self._completeness.missing):
+                sends += self.state_transfer.request(now_ms, name, self.placement.number)
+        sends += self.state_transfer.next_chunks(now_ms, complete)
+        if now_ms >= self._comparison_due_ms:
+            self._comparison_due_ms = now_ms + self.settings.compare_interval_ms
+            sends += [
+                m.Send((name,), m.StoreDigests(self.claim_store.bucket_digests(now_ms, name)))
+                for name in sorted(self._other_replicas())
+            ]
+        return sends
+
+    def due_ms(self) -> float:
+        """When `tick` is needed next."""
+        due_ms = min(self._expiry_due_ms, self._comparison_due_ms)
+        return min(due_ms, self.state_transfer.due_ms) if self.state_transfer.busy else due_ms
+
+    def handle_state_request(self, sender: str, request: m.StateRequest) -> None:
+        """Begin to send another replica what is stored here.
+
+        One that asks by a later membership gets all of it, and nothing more is granted by the earlier one.
+        """
+        later = request.membership_number > self.placement.number
+        self._max_requested_membership = max(self._max_requested_membership, request.membership_number)
+        known = sender in self.placement.replicas or sender in self._completeness.earlier_replicas()
+        if not later and not known:
+            self.claim_store.counts[ReplicationCounter.STATE_REQUESTS_NOT_FROM_REPLICA] += 1
+            return
+        self.state_transfer.start(sender, request, lambda replicas: later or sender in replicas)
 
-    def handle_state_chunk(self, now_ms: float, sender: str, piece: m.StateChunk) -> list[m.Send]:
-        found: list[m.Send] = []
+    def handle_state_chunk(self, now_ms: float, sender: str, chunk: m.StateChunk) -> list[m.Send]:
+        """Take a chunk of another replica, and report to owners that wait what it shows."""
+        sends: list[m.Send] = []
 
-        def take(held: m.StoredClaim) -> bool:
-            entry = self.claim_store.get_or_create(now_ms, held.key)
+        def take(stored: m.StoredClaim) -> bool:
+            entry = self.claim_store.get_or_create(now_ms, stored.key)
             if entry is not None:
-                self.claim_store.merge(now_ms, held.key, entry, held.claim, held.remaining_ms)
-                found.extend(self._notify_waiters(now_ms, held.key, entry))
+                self.claim_store.merge(now_ms, stored.key, entry, stored.claim, stored.remaining_ms)
+                sends.extend(self._notify_waiters(now_ms, stored.key, entry))
             return entry is not None
 
-        if self.state_transfer.piece(now_ms, sender, piece, take):
-            self._unheard_replicas.discard(sender)
-        return found
+        if self.state_transfer.receive_chunk(now_ms, sender, chunk, take):
+            self._completeness.missing.discard(sender)
+        return sends
 
     def handle_store_digests(self, now_ms: float, sender: str, digests: m.StoreDigests) -> list[m.Send]:
+        """Compare what another replica stores with what is stored here."""
         if sender not in self.placement.replicas:
-            self.claim_store.count("digests of no keeper")
+            self.claim_store.counts[ReplicationCounter.DIGESTS_NOT_FROM_REPLICA] += 1
             return []
         return self.state_transfer.compare(now_ms, sender, digests, self.placement.number)
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -2,388 +2,409 @@
 
 import secrets
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import msgspec
 
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
-from fawnwharf.consensus.voter_store import DiskError
+from fawnwharf.consensus.records import DiskError
 from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.net.requests import RequestTable
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.claim_gate import ClaimGate
 from fawnwharf.replication.core import LineError, ReplicationCore
-from fawnwharf.replication.directed_log import DirectedLog, DirectedLogServer
+from fawnwharf.replication.counters import ReplicationCounter
+from fawnwharf.replication.directed_log import DirectedLogServer
+from fawnwharf.replication.followed_logs import FollowedLogs
 from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
 from fawnwharf.replication.load_reporting import LoadReporting
-from fawnwharf.replication.messages import Hello, Send
+from fawnwharf.replication.membership_file import MembershipFile
 from fawnwharf.replication.outlier_ejection import OutlierEjector
-from fawnwharf.replication.settings import ReplicationSettings, check_members, parse_settings
+from fawnwharf.replication.periodic_reports import PeriodicReports
+from fawnwharf.replication.replica import Replica
+from fawnwharf.replication.settings import ReplicationSettings, parse_settings
 from fawnwharf.replication.usage import QuotaShares
 from fawnwharf.zones.files import load_file
-from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
+from fawnwharf.zones.settings import SettingsFileError
 
-FILES_MS = 500.0
-STATUS_MS = 2_000.0
-UNWRITTEN_MS = 500.0
-READERS_SPARE = 16  # beyond the members, for operators
-LINE_S = 1.0  # one note a second of each kind
+FILE_CHECK_INTERVAL_MS = 500.0
+STATUS_INTERVAL_MS = 2_000.0
+MAX_FLUSH_MS = 500.0  # a graceful shutdown waits so long for what is not written yet
+EXTRA_READERS = 16  # of the log beyond the members, for operators
+EVENT_INTERVAL_MS = 1_000.0  # between two log events of one kind that may repeat
+DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0  # where there is no class
 
-Write = Callable[[str, dict[str, Any]], None]
-Ridden = Callable[[float, str, int, Any], None]  # now, sender, its life, the word
+LogEvent = Callable[[str, dict[str, Any]], None]
+LogClient = Callable[[float, str, int, Any], None]  # now, sender, its incarnation, the message
+
+
+@dataclass(slots=True)
+class _Host:
+    """What exists while the front end runs."""
+
+    front_end: FrontEnd
+    gate: ClaimGate
+    log_server: DirectedLogServer
+    followed_logs: FollowedLogs
+    periodic_reports: PeriodicReports | None = None
 
 
 class ReplicationService:
-    """Owns this front end's part in the state that is kept together; a Seam of the front end."""
+    """Owns this front end's part in replicated state; an extension of the front end."""
 
     def __init__(
         self,
         deployment: Deployment,
         path: str | Path,
-        write: Write,
+        log_event: LogEvent,
+        *,
         fresh: bool = False,
-        kept: GrantStorageFactory | None = None,
+        grant_storage_factory: GrantStorageFactory | None = None,
     ) -> None:
-        """Reads and checks the files; raises ConfigError with one line. `fresh`: this fleet begins, nobody
-        has promised anything yet. `kept`: what grants go to in the place of a file."""
-        self.deployment, self.log_event = deployment, write
-        place = Path(path)
-        self.settings: ReplicationSettings = load_file(place, parse_settings, "state")
-        self.folder = place.parent / self.settings.folder if self.settings.folder else None
-        self._members_path = place.parent / self.settings.membership_file
-        members: Membership = load_file(self._members_path, membership_from, "state")
-        self._members_seen = self._mark()
-        entry = members.named(deployment.name)
-        if entry is None:
-            raise ConfigError(f"state: {deployment.name} is not among the members of {self._members_path}")
-        if not entry.state:
-            raise ConfigError(f"state: {deployment.name} has no `state` in {self._members_path}")
-        try:
-            check_members(members, self.settings)
-        except SettingsFileError as error:
-            raise ConfigError(f"state: {self._members_path}: {error}") from None
-        for name in self.settings.modes:
+        """Read and check the files; raises ConfigError with one line.
+
+        `fresh`: this is a new fleet, in which nothing was granted yet. The factory stores grants in the place
+        of the replica's own file.
+        """
+        self.deployment, self.log_event = deployment, log_event
+        path = Path(path)
+        settings: ReplicationSettings = load_file(path, parse_settings, "state")
+        self.settings = settings
+        self.folder = path.parent / settings.folder if settings.folder else None
+        self._membership_file = MembershipFile(
+            path.parent / settings.membership_file, settings, deployment.name
+        )
+        for name in settings.modes:
             if name not in deployment.settings.classes:
-                raise ConfigError(f"state: {place}: modes.{name}: no such class")
-        self.member = entry
+                raise ConfigError(f"state: {path}: modes.{name}: no such class")
+        self.member = self._membership_file.own_entry
         self.incarnation = secrets.randbits(52) | 1
         self.core = ReplicationCore(
-            entry.name, self.incarnation, members, self.settings, monotonic_ms(), fresh
+            self.member.name,
+            self.incarnation,
+            self._membership_file.membership,
+            settings,
+            monotonic_ms(),
+            fresh=fresh,
         )
-        if self.settings.quota_shares:
-            # The module adds what it is handed to the quotas: these are as they were sold.
-            quotas = dict(deployment.settings.quotas_rps)
-            self.core.quota_shares = QuotaShares(quotas, deployment.settings.fleet_size)
-        promises = (spec.latency_target_ms for spec in deployment.settings.classes.values())
-        self.outlier_ejector = OutlierEjector(min(promises, default=1_000.0), self.log_event)
-        self.load_reporting: LoadReporting | None = None
-        if self.settings.load_reports:
-            self.load_reporting = LoadReporting(self.core, deployment.settings, self.log_event)
-        self.grant_storage: GrantStorage | None = None
-        self._kept = kept
-        if kept and self.core.replica:
-            self.grant_storage = kept.open_grant_storage(self.core, self.folder)
-        elif self.folder and self.core.replica:
-            try:
-                self.grant_storage = GrantLogStorage(self.folder, self.core, entry.name, self.log_event)
-            except DiskError as error:
-                raise ConfigError(f"state.folder: {error}") from None
-        self.front_end: FrontEnd | None = None
-        self.gate: ClaimGate | None = None
-        self.log_server: DirectedLogServer | None = None
-        self._feeds: dict[str, DirectedLog] = {}
-        self.follower_callbacks: list[
-            Callable[[float, str], None]
-        ] = []  # hear of members that follow this log anew
-        self.log_clients: dict[str, Ridden] = {}  # other subsystems whose words go by these logs
+        self._switch_on_reports()
+        self._grant_storage_factory = grant_storage_factory
+        self.grant_storage = self._open_grant_storage()
+        # Called with the time and the name of a member that follows this log anew.
+        self.follower_callbacks: list[Callable[[float, str], None]] = []
+        self.log_clients: dict[str, LogClient] = {}  # other subsystems whose messages use these logs, by name
+        self._host: _Host | None = None
         self._timer: Timer | None = None
         self._timer_ms = 0.0
-        self._noted: dict[str, float] = {}
+        self._last_event_ms: dict[str, float] = {}
         self._stopped = False
-        self._idle_ms: float | None = None  # since when nobody waits, for one that leaves
-        self._was_sure: bool | None = None
+        self._idle_since_ms: float | None = None  # no client waits since then, in a graceful shutdown
+        self._was_complete: bool | None = None
 
-    # --- life -----------------------------------------------------------------------------------
+    def _switch_on_reports(self) -> None:
+        """Set up the reports that the settings ask for."""
+        module_settings = self.deployment.settings
+        if self.settings.quota_shares:
+            # The module adds the limits that it gets to the quotas: these are as they were configured.
+            self.core.quota_shares = QuotaShares(dict(module_settings.quotas_rps), module_settings.fleet_size)
+        objectives_ms = (spec.latency_target_ms for spec in module_settings.classes.values())
+        self.outlier_ejector = OutlierEjector(
+            min(objectives_ms, default=DEFAULT_LATENCY_OBJECTIVE_MS), self.log_event
+        )
+        self.load_reporting: LoadReporting | None = None
+        if self.settings.load_reports:
+            self.load_reporting = LoadReporting(self.core, module_settings, self.log_event)
 
-    def attach(self, front: FrontEnd) -> None:
-        """Begin, on the front end's loop."""
-        self.front_end = front
-        place = self.settings.listen or self.member.state
+    def _open_grant_storage(self) -> GrantStorage | None:
+        """Open what grants are stored in; None for memory only, or where this member is no replica."""
+        if self.core.replica is None:
+            return None
+        if self._grant_storage_factory is not None:
+            return self._grant_storage_factory.open_grant_storage(self.core, self.folder)
+        if self.folder is None:
+            return None
         try:
-            self.log_server = DirectedLogServer(
-                front.loop,
-                address_from(place, "state.listen"),
-                self.incarnation,
-                len(self.core.members.members) + READERS_SPARE,
-            )
-        except OSError as error:
-            raise ConfigError(f"state.listen: {error.strerror}: {place}") from None
-        self.log_server.followed = self._followed
-        self.gate = ClaimGate(
-            front.loop,
-            front.table,
+            return GrantLogStorage(self.folder, self.core, self.core.replica, self.log_event)
+        except DiskError as error:
+            raise ConfigError(f"state.folder: {error}") from None
+
+    # --- life cycle ---------------------------------------------------------------------------
+
+    def attach(self, front_end: FrontEnd) -> None:
+        """Begin, on the front end's loop; raises ConfigError where the log's address can't be had."""
+        log_server = self._listen(front_end)
+        gate = ClaimGate(
+            front_end.loop,
+            front_end.table,
             self.core,
             self.settings,
             self.deployment.settings.classes,
             self._carry_out,
         )
-        front.port.table = self.gate
-        self._follow()
-        self._look_at_files()
-        self._status()
-        if self.settings.quota_shares:
-            self._use()
-        if self.settings.outlier_ejection:
-            self._beliefs()
+        followed_logs = FollowedLogs(front_end.loop, self._receive_line, self._line_dropped, self._send_hello)
+        self._host = _Host(front_end, gate, log_server, followed_logs)
+        front_end.port.table = cast(RequestTable, gate)  # the gate stands in for the table
+        self._follow_logs()
+        self._check_files()
+        self._publish_status()
+        reports = PeriodicReports(self.core, front_end, self.outlier_ejector, self._carry_out)
+        self._host.periodic_reports = reports
+        reports.begin()
         if self.load_reporting:
-            self.load_reporting.attach(front, self._carry_out)
+            self.load_reporting.attach(front_end, self._carry_out)
         self._tick()
-        keepers = {zone: list(names) for zone, names in self.core.placement.by_zone.items()}
+        self._log_start()
+
+    def _listen(self, front_end: FrontEnd) -> DirectedLogServer:
+        place = self.settings.listen or self._membership_file.own_place
+        max_readers = len(self.core.membership.members) + EXTRA_READERS
+        try:
+            server = DirectedLogServer(
+                front_end.loop, address_from(place, "state.listen"), self.incarnation, max_readers
+            )
+        except OSError as error:
+            raise ConfigError(f"state.listen: {error.strerror}: {place}") from None
+        server.on_follower = self._notify_follower
+        return server
+
+    def _log_start(self) -> None:
+        replicas = {zone: list(names) for zone, names in self.core.placement.by_zone.items()}
         self.log_event(
-            "state on", {"member": self.member.name, "owner": self.core.owner_id, "keepers": keepers}
+            "replication started",
+            {"member": self.member.name, "owner": self.core.owner_id, "replicas": replicas},
         )
         if self.grant_storage:
-            self.log_event("disk read", self.grant_storage.summary)
+            self.log_event("grants read", self.grant_storage.summary)
 
     def close(self) -> None:
+        """End all parts."""
         self._stopped = True
         if self.load_reporting:
             self.load_reporting.close()
-        for feed in self._feeds.values():
-            feed.close()
-        if self.log_server:
-            self.log_server.close()
+        if self._host:
+            if self._host.periodic_reports:
+                self._host.periodic_reports.close()
+            self._host.followed_logs.close()
+            self._host.log_server.close()
         if self.grant_storage:
             self.grant_storage.close()
 
-    def told(self, fleet: Fleet) -> None: ...
+    @property
+    def _running(self) -> _Host:
+        if self._host is None:
+            raise RuntimeError("replication: not attached to a front end")
+        return self._host
+
+    @property
+    def gate(self) -> ClaimGate:
+        """The gate where calls wait for their claims; only after `attach`."""
+        return self._running.gate
+
+    def told(self, fleet: Fleet) -> None:
+        """Nothing to do: what the change log reports comes with the events, too."""
 
     def events(self, events: list[io.Event]) -> None:
+        """Count what comes to this front end, and how attempts end."""
         if self.core.quota_shares:
-            self.core.quota_shares.count_calls(e.tenant for e in events if isinstance(e, io.RequestArrived))
+            self.core.quota_shares.count_calls(
+                event.tenant for event in events if isinstance(event, io.RequestArrived)
+            )
         self.outlier_ejector.events(monotonic_ms(), events)
         if self.load_reporting:
             self.load_reporting.events(events)
 
     @property
     def busy(self) -> bool:
-        """Somebody waits here, or what came of the last calls is not written yet; for that only so long."""
+        """Whether a client waits, or, for a short time, results of the last calls are not written yet."""
         if self.gate.busy:
-            self._idle_ms = None
+            self._idle_since_ms = None
             return True
-        if self._idle_ms is None:
-            self._idle_ms = monotonic_ms()
-        return monotonic_ms() - self._idle_ms < UNWRITTEN_MS and self.log_server.unwritten()
+        if self._idle_since_ms is None:
+            self._idle_since_ms = monotonic_ms()
+        idle_ms = monotonic_ms() - self._idle_since_ms
+        return idle_ms < MAX_FLUSH_MS and self._running.log_server.unwritten()
+
+    # --- other subsystems ---------------------------------------------------------------------
+
+    def send_message(self, client: str, recipients: tuple[str, ...], message: Any) -> None:
+        """Send a subsystem's message to these members; to all that follow this log where none is named.
 
-    def send_message(self, rider: str, to: tuple[str, ...], word: Any) -> None:
-        """Say a word of a rider to these members, to all that follow this one's log where none is named.
-        Only keepers are followed by all, and only keepers follow all."""
-        self._carry_out(self.core.send_client_message(m.ClientMessage(rider, word), to))
+        Only replicas are followed by all, and only replicas follow all.
+        """
+        self._carry_out(self.core.send_client_message(m.ClientMessage(client, message), recipients))
 
-    def publish(self, rider: str, word: Any) -> None:
-        """Say a word that counts until the rider's next such one, to all that follow and whoever comes."""
-        said = Send((), m.ClientMessage(rider, word))
-        self.log_server.say(msgspec.to_builtins(self.core.log_line(said)), counts_as=f"ride {rider}")
+    def publish(self, client: str, message: Any) -> None:
+        """Send a message that is current until the subsystem's next one, to all followers now and later."""
+        self._write(m.Send((), m.ClientMessage(client, message)), counts_as=f"ride {client}")
 
     def live_members(self, now_ms: float) -> dict[str, int]:
-        """Members whose logs are followed here and gave a sign within `quiet_ms`, with their lives."""
-        self._hear()
-        quiet = self.settings.silence_timeout_ms
-        return {name: life for name, (life, at_ms) in self.core.last_heard.items() if now_ms - at_ms <= quiet}
+        """Members whose logs are followed here and were heard lately, with their incarnations."""
+        self._record_signs_of_life()
+        timeout_ms = self.settings.silence_timeout_ms
+        return {
+            name: incarnation
+            for name, (incarnation, heard_ms) in self.core.last_heard.items()
+            if now_ms - heard_ms <= timeout_ms
+        }
 
-    def _hear(self) -> None:
-        for name, feed in self._feeds.items():
-            if feed.up and feed.life:
-                self.core.record_sign_of_life(feed.heard_ms, name, feed.life)
+    def _record_signs_of_life(self) -> None:
+        if self._host is None:
+            return
+        for name, incarnation, heard_ms in self._host.followed_logs.signs_of_life():
+            self.core.record_sign_of_life(heard_ms, name, incarnation)
 
-    # --- what the core says ---------------------------------------------------------------------
+    def _deliver_client_messages(self) -> None:
+        received, self.core.client_messages = self.core.client_messages, []
+        for sender, incarnation, carried in received:
+            if client := self.log_clients.get(carried.client):
+                client(monotonic_ms(), sender, incarnation, carried.message)
 
-    def _ridden(self) -> None:
-        rides, self.core.client_messages = self.core.client_messages, []
-        for sender, life, ride in rides:
-            if taker := self.log_clients.get(ride.client):
-                taker(monotonic_ms(), sender, life, ride.message)
+    # --- the core's actions -------------------------------------------------------------------
 
-    def _carry_out(self, effects: list[OwnerAction]) -> None:
+    def _carry_out(self, actions: list[OwnerAction]) -> None:
+        """Carry out actions, those that depend on grants once these are stored."""
         if self.grant_storage is not None:
-            effects = self.grant_storage.persist(effects, self._say)
-        self._say(effects)
-        self._ridden()
-
-    def _say(self, effects: list[OwnerAction]) -> None:
-        """Now that what they rest on is written."""
-        for effect in effects:
-            if isinstance(effect, Send):
-                self.log_server.say(msgspec.to_builtins(self.core.log_line(effect)), effect.recipients)
+            actions = self.grant_storage.persist(actions, self._carry_out_stored)
+        self._carry_out_stored(actions)
+        self._deliver_client_messages()
+
+    def _carry_out_stored(self, actions: list[OwnerAction]) -> None:
+        for action in actions:
+            if isinstance(action, m.Send):
+                self._write(action)
             else:
-                self.gate.apply(effect)
+                self.gate.apply(action)
         self._set_timer()
 
+    def _write(self, send: m.Send, counts_as: str | None = None) -> None:
+        """Write a line to the own log."""
+        line = msgspec.to_builtins(self.core.log_line(send))
+        self._running.log_server.send(line, send.recipients, counts_as)
+
     def _tick(self) -> None:
         if self._stopped:
             return
-        now = monotonic_ms()
-        self._hear()
-        self._carry_out(self.core.tick(now))
-        self._look_after(now)
+        now_ms = monotonic_ms()
+        self._record_signs_of_life()
+        self._carry_out(self.core.tick(now_ms))
+        if self.core.replica is not None:
+            self._log_changes(now_ms, self.core.replica)
 
     def _set_timer(self) -> None:
-        now = monotonic_ms()
-        due = max(self.core.due_ms(now), now + 1.0)
-        if self._timer is not None and self._timer.callback and self._timer_ms <= due:
+        """Plan the next tick, unless one is planned that is early enough."""
+        now_ms = monotonic_ms()
+        due_ms = max(self.core.due_ms(), now_ms + 1.0)
+        if self._timer is not None and self._timer.callback and self._timer_ms <= due_ms:
             return
         if self._timer is not None:
             self._timer.cancel()
-        if due == float("inf"):
+        if due_ms == float("inf"):
             return
-        self._timer_ms = due
-        self._timer = self.front_end.loop.wheel.after(due - now, self._tick)
-
-    def _look_after(self, now_ms: float) -> None:
-        keeper = self.core.replica
-        if keeper is None:
-            return
-        if (sure := keeper.is_complete(now_ms)) != self._was_sure:
-            self._was_sure = sure
-            self.log_event("keeper", {"sure": sure, "calls": len(keeper.claim_store.calls)})
-        conflicts, keeper.claim_store.conflicts = keeper.claim_store.conflicts, []
+        self._timer_ms = due_ms
+        self._timer = self._running.front_end.loop.wheel.after(due_ms - now_ms, self._tick)
+
+    def _log_changes(self, now_ms: float, replica: Replica) -> None:
+        """Log whether the replica is complete, where that changed, and conflicts."""
+        complete = replica.is_complete(now_ms)
+        if complete != self._was_complete:
+            self._was_complete = complete
+            self.log_event("replica", {"complete": complete, "calls": len(replica.claim_store.calls)})
+        conflicts, replica.claim_store.conflicts = replica.claim_store.conflicts, []
         for key, one, other in conflicts:
-            if self._once("conflict"):
-                sides = [msgspec.to_builtins(claim) for claim in (one, other)]
-                self.log_event("conflict", {"call": key, "one": sides[0], "other": sides[1]})
-
-    def _once(self, what: str) -> bool:
-        now = monotonic_ms()
-        if now - self._noted.get(what, -1e9) < LINE_S * 1000.0:
+            if self._may_log("conflict"):
+                one_claim, other_claim = msgspec.to_builtins((one, other))
+                self.log_event("conflicting claims", {"call": key, "one": one_claim, "other": other_claim})
+
+    def _may_log(self, kind: str) -> bool:
+        """Whether an event of this kind is not too soon after the last one."""
+        now_ms = monotonic_ms()
+        last_ms = self._last_event_ms.get(kind)
+        if last_ms is not None and now_ms - last_ms < EVENT_INTERVAL_MS:
             return False
-        self._noted[what] = now
+        self._last_event_ms[kind] = now_ms
         return True
 
-    def _use(self) -> None:
-        """Tell what came here, and go by the shares that follow from what came to all."""
-        if self._stopped:
-            return
-        now = monotonic_ms()
-        self._carry_out(self.core.send_usage(now))
-        if self.core.quota_shares:
-            for tenant, rps in self.core.quota_shares.changes(now).items():
-                self.front_end.loop.tell(io.LimitsChanged(rps, tenant))
-        self.front_end.loop.wheel.after(self.settings.usage_interval_ms, self._use)
-
-    def _beliefs(self) -> None:
-        """Tell which scorers are bad, and let those rest that several front ends name."""
+    def _publish_status(self) -> None:
         if self._stopped:
             return
-        now = monotonic_ms()
-        self._carry_out(self.core.send_failure_report(now, self.outlier_ejector.sights))
-        changes = self.outlier_ejector.look(now, self.core.reported_outliers, self.front_end.overlay)
-        self.core.reported_outliers.clear()
-        if changes.members:
-            self.front_end.go_by(changes)
-        self.front_end.loop.wheel.after(self.settings.failure_report_interval_ms, self._beliefs)
-
-    def _status(self) -> None:
-        if self._stopped:
-            return
-        now = monotonic_ms()
-        found = msgspec.structs.replace(
-            self.core.status(now), wait_ms=self.gate.wait_percentiles_ms(), sent_bytes=self.log_server.bytes
+        host = self._running
+        status = msgspec.structs.replace(
+            self.core.status(monotonic_ms()),
+            wait_ms=host.gate.wait_percentiles_ms(),
+            sent_bytes=host.log_server.sent_bytes,
         )
-        status = Send((), found)
-        self.log_server.say(msgspec.to_builtins(self.core.log_line(status)), counts_as="status")
-        self.front_end.loop.wheel.after(STATUS_MS, self._status)
+        self._write(m.Send((), status), counts_as="status")
+        host.front_end.loop.wheel.after(STATUS_INTERVAL_MS, self._publish_status)
 
-    # --- others' logs ---------------------------------------------------------------------------
+    # --- members' logs ------------------------------------------------------------------------
 
-    def _follow(self) -> None:
-        """Keepers follow all, the others follow the keepers."""
-        keepers = set(self.core.placement.replicas)
+    def _follow_logs(self) -> None:
+        """Replicas follow all members, the others follow the replicas."""
+        members = self.core.membership.members
+        names = set(self.core.placement.replicas)
         if self.core.replica:
-            keepers |= {member.name for member in self.core.members.members}
-        wanted = {
+            names |= {member.name for member in members}
+        places = {
             member.name: member.state
-            for member in self.core.members.members
-            if member.state and member.name in keepers and member.name != self.member.name
+            for member in members
+            if member.state and member.name in names and member.name != self.member.name
         }
-        for name in [name for name in self._feeds if name not in wanted]:
-            self._feeds.pop(name).close()
-            self.log_server.forget(name)
-        for name, place in wanted.items():
-            address = address_from(place, "members.state")
-            if name in self._feeds:
-                self._feeds[name].move(address)
-                continue
-            feed = DirectedLog(
-                self.front_end.loop, address, self._taker(name), self._dropped, self._greeter(name)
-            )
-            self._feeds[name] = feed
-            feed.connect()
-
-    def _taker(self, name: str) -> Callable[[Any], None]:
-        def take(line: Any) -> None:
-            try:
-                effects = self.core.receive_line(monotonic_ms(), name, line)
-            except LineError:
-                self.core.counts["bad line"] = self.core.counts.get("bad line", 0) + 1
-                raise
-            for sender, asked in self.core.greetings:
-                self.log_server.named(sender, asked)
-            self.core.greetings.clear()
-            self._carry_out(effects)
-            if self.load_reporting:
-                self.load_reporting.answered()
-
-        return take
-
-    def _greeter(self, name: str) -> Callable[[int], None]:
-        def hello(asked: int) -> None:
-            self.log_server.greet(name, msgspec.to_builtins(self.core.log_line(Send((name,), Hello(asked)))))
-
-        return hello
-
-    def _followed(self, name: str) -> None:
-        for taker in self.follower_callbacks:
-            taker(monotonic_ms(), name)
-
-    def _dropped(self, text: str) -> None:
-        if self._once("line"):
-            self.log_event("line dropped", {"why": text, "counts": dict(self.core.counts)})
-
-    # --- files ----------------------------------------------------------------------------------
-
-    def _mark(self) -> Any:
+        for name in self._running.followed_logs.follow(places):
+            self._running.log_server.forget(name)
+
+    def _receive_line(self, name: str, line: Any) -> None:
+        """Take a line of a member's log; raises LineError for what no member writes."""
         try:
-            stat = self._members_path.stat()
-        except OSError:
-            return None
-        return stat.st_mtime_ns, stat.st_size, stat.st_ino
+            actions = self.core.receive_line(monotonic_ms(), name, line)
+        except LineError:
+            self.core.counts[ReplicationCounter.MALFORMED_LINES] += 1
+            raise
+        for sender, reader_number in self.core.greetings:
+            self._running.log_server.identify(sender, reader_number)
+        self.core.greetings.clear()
+        self._carry_out(actions)
+        if self.load_reporting:
+            self.load_reporting.lines_received()
+
+    def _send_hello(self, name: str, reader_number: int) -> None:
+        line = self.core.log_line(m.Send((name,), m.Hello(reader_number)))
+        self._running.log_server.greet(name, msgspec.to_builtins(line))
 
-    def _look_at_files(self) -> None:
+    def _notify_follower(self, name: str) -> None:
+        for callback in self.follower_callbacks:
+            callback(monotonic_ms(), name)
+
+    def _line_dropped(self, reason: str) -> None:
+        if self._may_log("line"):
+            counts = {str(counter): count for counter, count in self.core.counts.items()}
+            self.log_event("line dropped", {"why": reason, "counts": counts})
+
+    # --- files --------------------------------------------------------------------------------
+
+    def _check_files(self) -> None:
+        """Take a changed membership file, and reconnect silent logs."""
         if self._stopped:
             return
-        mark = self._mark()
-        if mark is not None and mark != self._members_seen:
-            self._members_seen = mark
-            self._new_members()
-        for feed in self._feeds.values():
-            feed.tidy()
-        self.front_end.loop.wheel.after(FILES_MS, self._look_at_files)
-
-    def _new_members(self) -> None:
+        if self._membership_file.changed():
+            self._take_membership()
+        self._running.followed_logs.tidy()
+        self._running.front_end.loop.wheel.after(FILE_CHECK_INTERVAL_MS, self._check_files)
+
+    def _take_membership(self) -> None:
         try:
-            members = membership_from(self._members_path.read_bytes())
-            check_members(members, self.settings)
-            now = members.named(self.member.name)
-            if now is None or now.state != self.member.state:
-                raise SettingsFileError(f"members: {self.member.name} is not as it was")
+            membership = self._membership_file.read()
         except (OSError, SettingsFileError) as error:
-            self.log_event("members left aside, the old ones go on", {"fault": str(error)})
+            self.log_event("membership file ignored, the last one stays in force", {"fault": str(error)})
             return
-        self.core.change_members(monotonic_ms(), members)
-        if self._kept and self.core.replica and self.grant_storage is None:
-            self.grant_storage = self._kept.open_grant_storage(self.core, self.folder)
-        self._follow()
-        self.log_event("members taken", {"number": members.number, "keepers": self.core.placement.replicas})
+        self.core.change_membership(monotonic_ms(), membership)
+        if self._grant_storage_factory is not None and self.grant_storage is None:
+            self.grant_storage = self._open_grant_storage()
+        self._follow_logs()
+        self.log_event(
+            "membership taken", {"number": membership.number, "replicas": self.core.placement.replicas}
+        )
