--- a/fawnwharf/replication/state_transfer.py
+++ b/fawnwharf/replication/state_transfer.py
@@ -1,7 +1,7 @@
-"""How a keeper comes to hold what another one does: wants, pieces, comparisons. Pure.
+"""State transfer between replicas: requests, chunks and comparisons. Pure.
 
-Pieces are told one a tick, so that no call waits for them, and heard in order: one that is missing, repeated
-or does not fit its digest ends the hearing, and all of it is wanted again.
+One chunk is sent a tick, so that no call waits for it. Chunks are received in order: one that is missing,
+repeated or does not fit its digest ends the transfer, and all of it is requested again.
 """
 
 from collections.abc import Callable
@@ -9,156 +9,178 @@
 
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claim_store import ClaimStore, claim_digest, format_digest
-from fawnwharf.replication.settings import ReplicationSettings
+from fawnwharf.replication.counters import ReplicationCounter
 
-AGAIN_MS = 700.0  # before what was wanted is wanted again
-WANTS_AT_ONCE = 2  # catch-ups that are told out at the same time
-PIECE = 100  # claims, and the rest of the last call's
-LOOKS = 1_000  # calls that are looked at for a piece
-PIECE_PAUSE_MS = 5.0
+RETRY_MS = 700.0  # before the same state is requested again
+MAX_TRANSFERS = 2  # that are sent at the same time
+CHUNK_CLAIMS = 100  # in a chunk, and the rest of the last call's
+CHUNK_SCANNED_CALLS = 1_000  # calls that are looked at for a chunk
+CHUNK_INTERVAL_MS = 5.0
+MAX_RANGES = 64  # in a request
 
 
 @dataclass(slots=True)
-class _Telling:
-    number: int
-    life: int
-    keys: list[str]  # that are yet to be looked at
-    claims: Callable[[str], int]  # how many of a call are asked for
+class _OutgoingTransfer:
+    """A transfer to another replica."""
+
+    request_number: int
+    incarnation: int
+    remaining_keys: list[str]
+    requested_claims: Callable[[str], int]  # how many claims of a call are requested
     part: int = 0
     digest: int = 0
 
-    def next(self) -> list[str]:
-        """The next calls that are asked for: few, and after a bounded look."""
-        found: list[str] = []
+    def next_keys(self) -> list[str]:
+        """The next few calls that are requested, after a look at a bounded number."""
+        keys: list[str] = []
         count = 0
-        for _ in range(min(LOOKS, len(self.keys))):
-            key = self.keys.pop()
-            if claims := self.claims(key):
-                found.append(key)
+        for _ in range(min(CHUNK_SCANNED_CALLS, len(self.remaining_keys))):
+            key = self.remaining_keys.pop()
+            if claims := self.requested_claims(key):
+                keys.append(key)
                 count += claims
-                if count >= PIECE:
+                if count >= CHUNK_CLAIMS:
                     break
-        return found
+        return keys
 
 
 @dataclass(slots=True)
-class _Hearing:
-    number: int
-    asked_ms: float
-    all: bool
+class _IncomingTransfer:
+    """A transfer from another replica."""
+
+    request_number: int
+    requested_ms: float
+    everything: bool
     part: int = 0
     digest: int = 0
 
 
 class StateTransfer:
-    """Owns what is told to other keepers, and heard from them."""
+    """Owns the transfers to and from other replicas."""
 
-    def __init__(self, settings: ReplicationSettings, shelf: ClaimStore, life: int) -> None:
-        self.settings, self.shelf, self.life = settings, shelf, life
-        self._hearing: dict[str, _Hearing] = {}
-        self._telling: dict[str, _Telling] = {}
-        self._differed: dict[str, list[m.BucketRange]] = {}
-        self._wants = 0
-        self.due_ms = 0.0  # of the next pieces
-        self.heard_claims = 0
+    def __init__(self, store: ClaimStore, incarnation: int) -> None:
+        self.store, self.incarnation = store, incarnation
+        self._incoming: dict[str, _IncomingTransfer] = {}
+        self._outgoing: dict[str, _OutgoingTransfer] = {}
+        self._last_differences: dict[str, list[m.BucketRange]] = {}
+        self._last_number = 0
+        self.due_ms = 0.0  # of the next chunks
+        self.received_claims = 0
 
     @property
     def busy(self) -> bool:
-        return bool(self._telling)
+        """Whether chunks are to be sent."""
+        return bool(self._outgoing)
 
-    def start_over(self) -> None:
-        self._hearing.clear()
+    def restart(self) -> None:
+        """Drop all incoming transfers, to request them again."""
+        self._incoming.clear()
 
-    # --- hearing --------------------------------------------------------------------------------
+    # --- incoming -----------------------------------------------------------------------------
 
-    def want(
-        self, now_ms: float, name: str, members: int, wanted: tuple[m.BucketRange, ...] = ()
+    def request(
+        self, now_ms: float, name: str, membership_number: int, ranges: tuple[m.BucketRange, ...] = ()
     ) -> list[m.Send]:
-        """Ask a keeper for all, or for some slots, where nothing is being heard from it."""
-        heard = self._hearing.get(name)
-        if heard is not None and now_ms - heard.asked_ms <= AGAIN_MS:
+        """Request everything, or some ranges, of a replica, unless a transfer from it is running."""
+        transfer = self._incoming.get(name)
+        if transfer is not None and now_ms - transfer.requested_ms <= RETRY_MS:
             return []
-        self._wants += 1
-        self._hearing[name] = _Hearing(self._wants, now_ms, not wanted)
-        return [m.Send((name,), m.StateRequest(self._wants, self.life, members, wanted[:64]))]
+        self._last_number += 1
+        self._incoming[name] = _IncomingTransfer(self._last_number, now_ms, everything=not ranges)
+        request = m.StateRequest(self._last_number, self.incarnation, membership_number, ranges[:MAX_RANGES])
+        return [m.Send((name,), request)]
 
-    def piece(
-        self, now_ms: float, sender: str, piece: m.StateChunk, take: Callable[[m.StoredClaim], bool]
+    def receive_chunk(
+        self, now_ms: float, sender: str, chunk: m.StateChunk, take: Callable[[m.StoredClaim], bool]
     ) -> bool:
-        """Take a part; True where it was the last one of all that the sender holds, and it is sure of that.
-
-        `take` says whether there was room."""
-        heard = self._hearing.get(sender)
-        mine = heard is not None and (piece.incarnation, piece.request_number) == (self.life, heard.number)
-        if not mine or piece.part != heard.part:
-            self.shelf.count("a piece out of place")
-            return False
-        digest = heard.digest + sum(claim_digest(held.key, held.claim) for held in piece.claims)
-        if format_digest(digest) != piece.digest:
-            self.shelf.count("a piece that does not fit its digest")
-            del self._hearing[sender]
-            return False
-        heard.part, heard.digest, heard.asked_ms = heard.part + 1, digest, now_ms
-        self.heard_claims += len(piece.claims)
-        if not all([take(held) for held in piece.claims]):
-            del self._hearing[sender]  # what there is no room for is not known
+        """Take a chunk; True where it was the last one of all that a complete sender stores.
+
+        `take` stores one claim and returns whether there was space.
+        """
+        transfer = self._incoming.get(sender)
+        if (
+            transfer is None
+            or (chunk.incarnation, chunk.request_number) != (self.incarnation, transfer.request_number)
+            or chunk.part != transfer.part
+        ):
+            self.store.counts[ReplicationCounter.CHUNKS_OUT_OF_ORDER] += 1
             return False
-        if not piece.last:
+        digest = transfer.digest + sum(claim_digest(stored.key, stored.claim) for stored in chunk.claims)
+        if format_digest(digest) != chunk.digest:
+            self.store.counts[ReplicationCounter.CHUNKS_WITH_WRONG_DIGEST] += 1
+            del self._incoming[sender]
             return False
-        del self._hearing[sender]
-        return piece.complete and heard.all
-
-    def compare(self, now_ms: float, sender: str, digests: m.StoreDigests, members: int) -> list[m.Send]:
-        """Want what differs from another keeper's, twice in a row: once, it may be on its way."""
-        differ = self.shelf.differing_ranges(sender, digests.buckets)
-        before, self._differed[sender] = self._differed.get(sender, []), differ
-        owners = {wanted.owner for wanted in before}
-        twice = tuple(wanted for wanted in differ if wanted.owner in owners)
-        if not twice:
+        transfer.part += 1
+        transfer.digest = digest
+        transfer.requested_ms = now_ms
+        self.received_claims += len(chunk.claims)
+        stored_all = all([take(stored) for stored in chunk.claims])  # each one, also after the first failure
+        if chunk.last or not stored_all:
+            del self._incoming[sender]
+        return stored_all and chunk.last and chunk.complete and transfer.everything
+
+    def compare(
+        self, now_ms: float, sender: str, digests: m.StoreDigests, membership_number: int
+    ) -> list[m.Send]:
+        """Request what differs from another replica twice in a row; after once it may be on its way."""
+        differing = self.store.differing_ranges(sender, digests.buckets)
+        owners_before = {found.owner for found in self._last_differences.get(sender, [])}
+        self._last_differences[sender] = differing
+        lasting = tuple(found for found in differing if found.owner in owners_before)
+        if not lasting:
             return []
-        self.shelf.count("differences wanted")
-        return self.want(now_ms, sender, members, twice)
+        self.store.counts[ReplicationCounter.DIFFERENCES_REQUESTED] += 1
+        return self.request(now_ms, sender, membership_number, lasting)
+
+    # --- outgoing -----------------------------------------------------------------------------
 
-    # --- telling --------------------------------------------------------------------------------
+    def start(self, name: str, request: m.StateRequest, shared: Callable[[tuple[str, ...]], bool]) -> None:
+        """Begin the transfer that another replica requests; it replaces an earlier one.
 
-    def wanted(self, name: str, want: m.StateRequest, may: Callable[[tuple[str, ...]], bool]) -> None:
-        """Another keeper wants what is here. A later want takes the place of an earlier one."""
-        spans = {wanted.owner: wanted for wanted in want.ranges}
+        `shared` says by a call's replicas whether that replica may have it.
+        """
+        ranges = {requested.owner: requested for requested in request.ranges}
 
-        def claims(key: str) -> int:
-            entry = self.shelf.calls.get(key)
-            if entry is None or not may(entry.replicas):
+        def requested_claims(key: str) -> int:
+            entry = self.store.calls.get(key)
+            if entry is None or not shared(entry.replicas):
                 return 0
-            asked = not spans or any(
-                claim.owner in spans and spans[claim.owner].first <= claim.bucket < spans[claim.owner].until
+            requested = not ranges or any(
+                claim.owner in ranges
+                and ranges[claim.owner].first <= claim.bucket < ranges[claim.owner].until
                 for claim in entry.claims.values()
             )
-            return len(entry.claims) if asked else 0
+            return len(entry.claims) if requested else 0
 
-        self._telling[name] = _Telling(want.number, want.incarnation, list(self.shelf.calls), claims)
+        self._outgoing[name] = _OutgoingTransfer(
+            request.number, request.incarnation, list(self.store.calls), requested_claims
+        )
 
-    def pieces(self, now_ms: float, sure: bool) -> list[m.Send]:
-        """The next part for each of the first few that want something."""
-        found: list[m.Send] = []
+    def next_chunks(self, now_ms: float, complete: bool) -> list[m.Send]:
+        """The next chunk of each of the first few outgoing transfers."""
         if now_ms < self.due_ms:
-            return found
-        self.due_ms = now_ms + PIECE_PAUSE_MS
-        for name in list(self._telling)[:WANTS_AT_ONCE]:
-            telling = self._telling[name]
-            held = [held for key in telling.next() for held in self.shelf.stored_claims(now_ms, key)]
-            telling.digest += sum(claim_digest(one.key, one.claim) for one in held)
-            last = not telling.keys
-            piece = m.StateChunk(
-                telling.number,
-                telling.life,
-                telling.part,
-                last,
-                tuple(held),
-                format_digest(telling.digest),
-                sure,
-            )
-            found.append(m.Send((name,), piece))
-            telling.part += 1
-            if last:
-                del self._telling[name]
-        return found
+            return []
+        self.due_ms = now_ms + CHUNK_INTERVAL_MS
+        return [
+            m.Send((name,), self._next_chunk(now_ms, name, complete))
+            for name in list(self._outgoing)[:MAX_TRANSFERS]
+        ]
+
+    def _next_chunk(self, now_ms: float, name: str, complete: bool) -> m.StateChunk:
+        transfer = self._outgoing[name]
+        claims = [stored for key in transfer.next_keys() for stored in self.store.stored_claims(now_ms, key)]
+        transfer.digest += sum(claim_digest(stored.key, stored.claim) for stored in claims)
+        part = transfer.part
+        transfer.part += 1
+        last = not transfer.remaining_keys
+        if last:
+            del self._outgoing[name]
+        return m.StateChunk(
+            transfer.request_number,
+            transfer.incarnation,
+            part,
+            last,
+            tuple(claims),
+            format_digest(transfer.digest),
+            complete,
+        )
--- a/fawnwharf/replication/usage.py
+++ b/fawnwharf/replication/usage.py
@@ -1,138 +1,162 @@
-"""What the fleet takes of each tenant's calls, and so what part of a tenant's quota each front end may take.
+"""Tenants' usage over the fleet, and the part of each tenant's quota that this front end may use. Pure.
 
-Pure. Front ends tell keepers how many calls of each tenant came to them since they started: counters by
-owner, of which a repeat or an older one changes nothing. Keepers make rates of them, and tell the sums.
+Front ends send to the replicas how many calls of each tenant came to them since they started: counters by
+owner, of which a repeated or an earlier one changes nothing. Replicas turn them into rates, and send the
+sums.
 """
 
-from collections import deque
+from collections import Counter, deque
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from fawnwharf.replication import messages as m
+from fawnwharf.replication.counters import ReplicationCounter
+from fawnwharf.replication.replica import front_end_of
 
-WINDOW_MS = 3_000.0  # over which a rate is taken
-LIFE_MS = 2_000.0  # without news for so long an owner's rate is no more
-MIN_SHARE_PART = (
-    0.25  # of an equal part: what a front end may take at the least, as its calls can come at any moment
-)
-NEWS = 0.03  # a share that changed by less is not told
+RATE_WINDOW_MS = 3_000.0
+MIN_RATE_SPAN_MS = 500.0  # a rate is taken over no less
+COUNTERS_LIFETIME_MS = 2_000.0  # an owner that is silent for longer has no rate
+# The part of an equal share that a front end may use at the least, as its calls can come at any moment.
+MIN_SHARE_PART = 0.25
+MIN_CHANGE = 0.03  # a share that changes by a smaller part stays as it is
+OWN_ID = "me#0"
 
 
 @dataclass(slots=True)
-class _Owner:
+class _OwnerUsage:
+    """The counters of one owner: the latest ones, and those of the rate window."""
+
     number: int
     counts: dict[str, int]
-    heard_ms: float
-    past: deque[tuple[float, dict[str, int]]] = field(default_factory=deque)
+    received_ms: float
+    window: deque[tuple[float, dict[str, int]]] = field(default_factory=deque)
 
 
 class UsageTable:
-    """A keeper's: the counters of each owner, and the rates that they amount to."""
+    """A replica's table of all owners' counters, and the rates that they amount to."""
 
     def __init__(self) -> None:
-        self.owners: dict[str, _Owner] = {}
-        self.dropped: dict[str, int] = {}
-
-    def _drop(self, cause: str) -> None:
-        self.dropped[cause] = self.dropped.get(cause, 0) + 1
-
-    def receive(self, now_ms: float, owner: str, use: m.UsageCounters) -> None:
-        """Counters of one owner. What is not later, or goes down, changes nothing."""
-        known = self.owners.get(owner)
-        if known is None:
-            found = _Owner(use.number, dict(use.counts), now_ms)
-            found.past.append((now_ms, found.counts))
-            self.owners[owner] = found
+        self.owners: dict[str, _OwnerUsage] = {}
+        self.dropped: Counter[ReplicationCounter] = Counter()
+
+    def receive(self, now_ms: float, owner: str, counters: m.UsageCounters) -> None:
+        """Take an owner's counters, unless they are not later or have decreased."""
+        usage = self.owners.get(owner)
+        if usage is None:
+            usage = _OwnerUsage(counters.number, dict(counters.counts), now_ms)
+            usage.window.append((now_ms, usage.counts))
+            self.owners[owner] = usage
             return
-        if use.number <= known.number:
-            self._drop("an older use")
+        if counters.number <= usage.number:
+            self.dropped[ReplicationCounter.USAGE_OUTDATED] += 1
             return
-        if any(use.counts.get(tenant, 0) < count for tenant, count in known.counts.items()):
-            self._drop("a count that goes down")
+        if any(counters.counts.get(tenant, 0) < count for tenant, count in usage.counts.items()):
+            self.dropped[ReplicationCounter.USAGE_DECREASING] += 1
             return
-        known.number, known.counts, known.heard_ms = use.number, dict(use.counts), now_ms
-        known.past.append((now_ms, known.counts))
-        while len(known.past) > 2 and known.past[1][0] < now_ms - WINDOW_MS:
-            known.past.popleft()
+        usage.number = counters.number
+        usage.counts = dict(counters.counts)
+        usage.received_ms = now_ms
+        usage.window.append((now_ms, usage.counts))
+        while len(usage.window) > 2 and usage.window[1][0] < now_ms - RATE_WINDOW_MS:
+            usage.window.popleft()
 
     def rates(self, now_ms: float) -> m.UsageRates:
-        """Calls a second by tenant, of the owners that are heard."""
-        self.owners = {o: held for o, held in self.owners.items() if now_ms - held.heard_ms <= LIFE_MS}
+        """Calls a second by tenant, over all owners that are not silent."""
+        self.owners = {
+            owner: usage
+            for owner, usage in self.owners.items()
+            if now_ms - usage.received_ms <= COUNTERS_LIFETIME_MS
+        }
         rates: dict[str, float] = {}
-        for held in self.owners.values():
-            began, first = held.past[0]
-            span = max(500.0, held.past[-1][0] - began)
-            for tenant, count in held.counts.items():
-                rates[tenant] = rates.get(tenant, 0.0) + 1000.0 * (count - first.get(tenant, 0)) / span
-        fronts = {owner.partition("#")[0] for owner in self.owners}
-        return m.UsageRates({tenant: round(rate, 2) for tenant, rate in rates.items()}, len(fronts))
-
-
-def quota_share(quota_rps: float, fronts: int, mine_rps: float, sum_rps: float, heard: int) -> float:
-    """What this front end may take of a tenant's quota, in calls a second.
-
-    `fronts` are all of the fleet, `heard` those whose rates are in the sum. Where most are heard, the others
-    are held to be gone; else each takes an equal part, as without news. What is asked for is given in
-    proportion where it is more than the quota; where it is less, what is left is spread evenly."""
-    equal = quota_rps / max(1, fronts)
-    if 2 * heard <= fronts:
-        return equal
-    total = max(sum_rps, mine_rps)
-    short = total > quota_rps
-    wanted = quota_rps * mine_rps / total if short else mine_rps + (quota_rps - total) / heard
-    return max(MIN_SHARE_PART * equal, wanted)
+        for usage in self.owners.values():
+            first_ms, first_counts = usage.window[0]
+            span_ms = max(MIN_RATE_SPAN_MS, usage.window[-1][0] - first_ms)
+            for tenant, count in usage.counts.items():
+                calls = count - first_counts.get(tenant, 0)
+                rates[tenant] = rates.get(tenant, 0.0) + 1000.0 * calls / span_ms
+        front_ends = {front_end_of(owner) for owner in self.owners}
+        return m.UsageRates({tenant: round(rate, 2) for tenant, rate in rates.items()}, len(front_ends))
+
+
+def quota_share(
+    quota_rps: float, fleet_size: int, own_rps: float, total_rps: float, front_ends: int
+) -> float:
+    """What this front end may use of a tenant's quota, in calls a second.
+
+    `front_ends` is the number of those whose rates are in the total. Where they are most of the fleet, the
+    others are taken to be gone; else each front end has an equal share, as without any rates. A total above
+    the quota is cut down in proportion; below it the rest is spread evenly.
+    """
+    equal_rps = quota_rps / max(1, fleet_size)
+    if 2 * front_ends <= fleet_size:
+        return equal_rps
+    demand_rps = max(total_rps, own_rps)
+    if demand_rps > quota_rps:
+        share_rps = quota_rps * own_rps / demand_rps
+    else:
+        share_rps = own_rps + (quota_rps - demand_rps) / front_ends
+    return max(MIN_SHARE_PART * equal_rps, share_rps)
 
 
 class QuotaShares:
-    """A front end's: its own counters, what keepers told last, and the shares that it goes by."""
+    """A front end's own counters, the last rates of each replica, and the shares in force."""
 
-    def __init__(self, quotas_rps: dict[str, float], fronts: int) -> None:
-        self.quotas_rps, self.fronts = quotas_rps, max(1, fronts)
+    def __init__(self, quotas_rps: dict[str, float], fleet_size: int) -> None:
+        self.quotas_rps, self.fleet_size = quotas_rps, max(1, fleet_size)
         self.counts: dict[str, int] = {}
         self.number = 0
-        self._told: dict[str, tuple[float, m.UsageRates]] = {}  # by keeper
+        self._received: dict[str, tuple[float, m.UsageRates]] = {}  # by replica
         self._own = UsageTable()
-        self.shares_rps = {tenant: quota / self.fronts for tenant, quota in quotas_rps.items()}
+        self.shares_rps = {tenant: quota / self.fleet_size for tenant, quota in quotas_rps.items()}
 
     def count_calls(self, tenants: Iterable[str]) -> None:
+        """Count one call of each of these tenants, as far as they have quotas."""
         for tenant in tenants:
             if tenant in self.quotas_rps:
                 self.counts[tenant] = self.counts.get(tenant, 0) + 1
 
     def change_quotas(self, quotas_rps: dict[str, float]) -> dict[str, float]:
-        """Other quotas from now on; the shares that change with them, at once and in proportion."""
-        found = {}
-        for tenant, quota in quotas_rps.items():
-            before, equal = self.quotas_rps.get(tenant), quota / self.fronts
-            if quota != before:
-                found[tenant] = self.shares_rps[tenant] * quota / before if before else equal
+        """Take other quotas; returns the shares that change with them, at once and in proportion."""
+        changed: dict[str, float] = {}
+        for tenant, quota_rps in quotas_rps.items():
+            before_rps = self.quotas_rps.get(tenant)
+            if quota_rps == before_rps:
+                continue
+            if before_rps:
+                changed[tenant] = self.shares_rps[tenant] * quota_rps / before_rps
+            else:
+                changed[tenant] = quota_rps / self.fleet_size
         self.quotas_rps = dict(quotas_rps)
         self.shares_rps = {
-            tenant: found.get(tenant, self.shares_rps.get(tenant, 0.0)) for tenant in quotas_rps
+            tenant: changed.get(tenant, self.shares_rps.get(tenant, 0.0)) for tenant in quotas_rps
         }
-        return found
+        return changed
 
     def next_counters(self, now_ms: float) -> m.UsageCounters:
-        """The counters, to be told to the keepers."""
+        """The counters, to be sent to the replicas."""
         self.number += 1
-        told = m.UsageCounters(self.number, dict(self.counts))
-        self._own.receive(now_ms, "me#0", told)
-        return told
+        counters = m.UsageCounters(self.number, dict(self.counts))
+        self._own.receive(now_ms, OWN_ID, counters)
+        return counters
 
-    def receive(self, now_ms: float, keeper: str, sums: m.UsageRates) -> None:
-        self._told[keeper] = now_ms, sums
+    def receive(self, now_ms: float, replica: str, rates: m.UsageRates) -> None:
+        """Take the rates that a replica sends."""
+        self._received[replica] = now_ms, rates
 
     def changes(self, now_ms: float) -> dict[str, float]:
-        """Shares that are to be gone by from now on, where they differ from the last ones, in calls a
-        second."""
-        fresh = [sums for at_ms, sums in self._told.values() if now_ms - at_ms <= LIFE_MS]
-        best = max(fresh, key=lambda sums: sums.front_ends, default=m.UsageRates({}, 0))
-        mine = self._own.rates(now_ms).rates
-        found = {}
-        for tenant, quota in self.quotas_rps.items():
-            new = quota_share(
-                quota, self.fronts, mine.get(tenant, 0.0), best.rates.get(tenant, 0.0), best.front_ends
+        """The shares that change now, by tenant, in calls a second; they are in force from then on."""
+        fresh = [
+            rates
+            for received_ms, rates in self._received.values()
+            if now_ms - received_ms <= COUNTERS_LIFETIME_MS
+        ]
+        best = max(fresh, key=lambda rates: rates.front_ends, default=m.UsageRates({}, 0))
+        own = self._own.rates(now_ms).rates
+        changed: dict[str, float] = {}
+        for tenant, quota_rps in self.quotas_rps.items():
+            share_rps = quota_share(
+                quota_rps, self.fleet_size, own.get(tenant, 0.0), best.rates.get(tenant, 0.0), best.front_ends
             )
-            if abs(new - self.shares_rps[tenant]) > NEWS * self.shares_rps[tenant]:
-                self.shares_rps[tenant] = found[tenant] = new
-        return found
+            if abs(share_rps - self.shares_rps[tenant]) > MIN_CHANGE * self.shares_rps[tenant]:
+                self.shares_rps[tenant] = changed[tenant] = share_rps
+        return changed
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -76,7 +76,11 @@
         from fawnwharf.replication.service import ReplicationService
 
         makers["state"] = lambda first, made, place=place: ReplicationService(
-            deployment, place, write, fresh and first, made.get("kept")
+            deployment,
+            place,
+            write,
+            fresh=fresh and first,
+            grant_storage_factory=made.get("kept"),
         )
     if place := files.get("policy"):
         from fawnwharf.policy_rollout.service import PolicyRolloutService
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -1,7 +1,5 @@
 """`fawnwharf sessions`: what operators see of sessions' placements, and what they ask of them."""
 
-import json
-import socket
 import time
 from collections.abc import Callable
 from pathlib import Path
@@ -10,9 +8,9 @@
 import msgspec
 import typer
 
-from fawnwharf.config import address_from
 from fawnwharf.replication import settings as rs
-from fawnwharf.replication.messages import ClientMessage, parse_line
+from fawnwharf.replication.log_reading import read_messages
+from fawnwharf.replication.messages import ClientMessage
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
 from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
@@ -50,21 +48,11 @@
 
     Raises OSError where its log can't be read, ValueError where it has none.
     """
-    with socket.create_connection(address_from(place, "members.state"), within_s) as sock:
-        sock.sendall(b"since 0\n")
-        reader, end = sock.makefile("rb"), time.monotonic() + within_s
-        while time.monotonic() < end:
-            line = reader.readline()
-            if not line:
-                break
-            read = json.loads(line)
-            if not isinstance(read, dict) or "line" not in read:
-                continue
-            say = parse_line(read["line"]).message
-            if isinstance(say, ClientMessage) and say.client == w.RIDER:
-                found = w.word_from(say.message)
-                if isinstance(found, w.Status):
-                    return found
+    for message in read_messages(place, within_s):
+        if isinstance(message, ClientMessage) and message.client == w.RIDER:
+            found = w.word_from(message.message)
+            if isinstance(found, w.Status):
+                return found
     raise ValueError("it told nothing of sessions")
 
 
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -118,7 +118,7 @@
             raise ConfigError(f"sessions: trace: {name}: {error.strerror}") from None
 
     def _sites(self) -> dict[str, str]:
-        return {entry.name: entry.zone for entry in self.state.core.members.members if entry.state}
+        return {entry.name: entry.zone for entry in self.state.core.membership.members if entry.state}
 
     # --- life -----------------------------------------------------------------------------------
 
--- a/fawnwharf/testbed/measures.py
+++ b/fawnwharf/testbed/measures.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.replication.commands import fetch_status
+from fawnwharf.replication.log_reading import fetch_status
 from fawnwharf.testbed import work
 from fawnwharf.testbed.checker import Verdict, judge, runs_of
 from fawnwharf.testbed.fleet import Fleet
--- a/fawnwharf/testbed/parties.py
+++ b/fawnwharf/testbed/parties.py
@@ -55,8 +55,8 @@
     def keepers(self) -> list[Front]:
         """The replicas that live, of the last list that was told; any front end where none was."""
         for note in reversed(self.fleet.notes):
-            if note.event == "state on":
-                names = [name for names in note.fields["keepers"].values() for name in names]
+            if note.event == "replication started":
+                names = [name for names in note.fields["replicas"].values() for name in names]
                 break
         else:
             names = list(self.fleet.fronts)
--- a/fawnwharf/testbed/promises.py
+++ b/fawnwharf/testbed/promises.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from fawnwharf.interface import Effect
-from fawnwharf.replication.call_owner import AnswerCall, FailCall, OwnerAction, RejectCall, RunCall
+from fawnwharf.replication.call_owner import AnswerCall, CallTerms, FailCall, OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.messages import Send
@@ -178,7 +178,9 @@
         front.life += 1
         front.held.clear()
         front.halted_until = 0.0
-        core = self.make_core(front.name, front.life, self.file, self.settings, self.clock(front), fresh)
+        core = self.make_core(
+            front.name, front.life, self.file, self.settings, self.clock(front), fresh=fresh
+        )
         self._read_disk(front, core)
         front.core = core
         self._tick(front, core)
@@ -206,7 +208,7 @@
         for sender, data in held:  # as after a stop: what came first, then the timers
             self._line(front, sender, data)
         self._do(front, core.tick(self.clock(front)))
-        due = (core.due_ms(self.clock(front)) - front.offset_ms) / front.rate
+        due = (core.due_ms() - front.offset_ms) / front.rate
         self.at(max(self.now + 1.0, min(due, self.now + 100.0)), lambda: self._tick(front, core))
 
     def _line(self, front: _Front, sender: str, data: Any) -> None:
@@ -279,7 +281,7 @@
             return  # the front end itself sees that it has it
         self.waiting[owner, key] = Effect.AT_MOST_ONCE
         effects = front.core.begin_call(
-            self.clock(front), key, Effect.AT_MOST_ONCE, promise_ms=PROMISE_MS, budget_ms=BUDGET_MS
+            self.clock(front), key, CallTerms(Effect.AT_MOST_ONCE, PROMISE_MS, BUDGET_MS)
         )
         self._do(front, effects)
         self.at(self.now + BUDGET_MS * 1.1 + 6_000.0, lambda: self._owed(front, owner, key))
@@ -370,7 +372,7 @@
     def _take_file(self, front: _Front, core: ReplicationCore | None, file: Membership) -> None:
         def take() -> None:
             if front.core is core and core is not None and front.halted_until <= self.now:
-                core.change_members(self.clock(front), file)
+                core.change_membership(self.clock(front), file)
             elif front.core is core and core is not None:
                 self.at(front.halted_until, take)
 
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -45,7 +45,7 @@
         while not kept.settled:
             loop.turn(0.01)
     else:
-        disk = GrantLogStorage(Path(folder), core, "n0", lambda what, more: None)
+        disk = GrantLogStorage(Path(folder), core, core.replica, lambda what, more: None)
     asked, took, refused = {}, [], 0
 
     def say(effects):
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -90,7 +90,7 @@
     folder = copied("replica", tmp_path)
     disk = GrantLog(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
     try:
-        assert (disk.why, disk.sure, disk.kept) == ("", 5, HELD)
+        assert (disk.distrust_reason, disk.complete_for, disk.grants) == ("", 5, HELD)
     finally:
         disk.close()
     assert names(folder) == names(FOLDERS / "replica") == {"keeper-1.log", "keeper-2.log"}
@@ -100,11 +100,11 @@
     """As before: what was not synced may be gone."""
     folder = copied("replica", tmp_path)
     disk = GrantLog(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-2")
-    assert (disk.why, disk.kept) == ("of another boot", [])
+    assert (disk.distrust_reason, disk.grants) == ("of another boot", [])
     disk.close()
     shutil.copytree(FOLDERS / "replica", tmp_path / "as recorded")
     disk = GrantLog(tmp_path / "as recorded", "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
-    assert "a copy" in disk.why
+    assert "a copy" in disk.distrust_reason
     disk.close()
 
 
--- a/tests/compatibility/test_compatibility_process.py
+++ b/tests/compatibility/test_compatibility_process.py
@@ -19,7 +19,7 @@
             front.site.until(lambda event=event: front.noted(process, event), f"it notes {event}")
         stored = front.noted(process, "store read")[0]
         assert (stored["life"], stored["same_boot"], stored["in_order"], stored["why"]) == (3, True, True, "")
-        grants = front.noted(process, "disk read")[0]
+        grants = front.noted(process, "grants read")[0]
         assert (grants["trusted"], grants["why"]) == (True, "")
         assert front.noted(process, "policy on")[0]["life"] > recorded_policy["life"]
         role = front.noted(process, "role")[0]
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -5,6 +5,7 @@
 from fawnwharf.interface import Effect
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
+from fawnwharf.replication.call_owner import CallTerms
 from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.testbed.promises import fleet_file
@@ -54,8 +55,8 @@
                 self.carry(to, self.cores[to].receive_line(self.now, sender, line))
 
     def begin(self, name, key="k", effect=Effect.AT_MOST_ONCE, **more):
-        more = {"promise_ms": 800.0, "budget_ms": 2_000.0} | more
-        self.carry(name, self.cores[name].begin_call(self.now, key, effect, **more))
+        terms = CallTerms(effect, **({"latency_objective_ms": 800.0, "budget_ms": 2_000.0} | more))
+        self.carry(name, self.cores[name].begin_call(self.now, key, terms))
 
     def end(self, name, phase=ClaimPhase.ANSWERED, answer="QQ==", key="k"):
         digest = "d" if phase is ClaimPhase.ANSWERED else ""
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -162,7 +162,7 @@
             if name in self.site.machines:
                 getattr(self.site.machine(name), what)()
             self.cores[name] = ReplicationCore(
-                name, self.cores[name].incarnation + 1, self.cores[name].members, self.rules, self.now
+                name, self.cores[name].incarnation + 1, self.cores[name].membership, self.rules, self.now
             )
             if name in self.kepts:
                 self._give(name)
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -52,7 +52,7 @@
         made = {"zones": lambda first, made: ZoneService(deployment, self.folder / "zones.json", write)}
         if self.site.state:
             made["state"] = lambda first, made: ReplicationService(
-                deployment, self.folder / "state.json", write, first
+                deployment, self.folder / "state.json", write, fresh=first
             )
         if self.policy:
             path = self.folder / "settings.json"
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -53,7 +53,7 @@
                 deployment, str(here / "recovery.json"), str(here / "state.json"), write, fresh
             ),
             "state": lambda first, made: ReplicationService(
-                deployment, here / "state.json", write, fresh, made["kept"]
+                deployment, here / "state.json", write, fresh=fresh, grant_storage_factory=made["kept"]
             ),
             "policy": lambda first, made: PolicyRolloutService(deployment, here / "policy.json", write, made),
             "recovery": lambda first, made: RecoveryService(
--- a/tests/test_disk_faults_keeper.py
+++ b/tests/test_disk_faults_keeper.py
@@ -36,7 +36,7 @@
     def live(self, sure=1):
         """A life up to its first failure, after which its owner writes no more."""
         disk = opened(self.faults.folder, self.now_ms)
-        held = [kept for kept in disk.kept if kept[2] > self.now_ms]
+        held = [kept for kept in disk.grants if kept[2] > self.now_ms]
         disk.begin(self.now_ms, sure, held)
         for _ in range(WRITES):
             self.now_ms += STEP_MS
@@ -49,14 +49,14 @@
     def check(self):
         """What still counts is there, as the folder is trusted; and it can be gone on with."""
         disk = opened(self.faults.folder, self.now_ms)
-        found = {key for key, _, until_ms in disk.kept if until_ms > self.now_ms}
+        found = {key for key, _, until_ms in disk.grants if until_ms > self.now_ms}
         missing = {key for key, until_ms in self.told.items() if until_ms > self.now_ms} - found
-        assert (disk.why, disk.sure, missing) == ("", 1, set())
+        assert (disk.distrust_reason, disk.complete_for, missing) == ("", 1, set())
         self.faults.kill()
         self.live()
         self.faults.kill()
         again = opened(self.faults.folder, self.now_ms)
-        assert (again.why, again.sure) == ("", 1)
+        assert (again.distrust_reason, again.complete_for) == ("", 1)
 
 
 def calls_of_a_life(folder):
@@ -111,7 +111,7 @@
                 disk.write(world.now_ms, [(key, claim, world.now_ms + 1.0)], 1)
         world.faults.kill()
         again = opened(tmp_path, world.now_ms)
-        assert (again.why, again.sure) == ("", 1)
+        assert (again.distrust_reason, again.complete_for) == ("", 1)
 
 
 # --- in service -------------------------------------------------------------------------------------
@@ -128,7 +128,10 @@
 
     def start():
         return GrantLogStorage(
-            faults.folder, cores.cores[name], name, lambda what, more: notes.append((what, more))
+            faults.folder,
+            cores.cores[name],
+            cores.cores[name].replica,
+            lambda what, more: notes.append((what, more)),
         )
 
     with faults.installed():
@@ -155,7 +158,9 @@
         disk = start()
         assert faults.count > faults.plan.fail_at
         [(what, more)] = notes
-        assert what == "disk failed: nothing is granted here until a restart" and "No space" in more["why"]
+        assert (
+            what == "grant log failed: nothing is granted here until a restart" and "No space" in more["why"]
+        )
         assert "before" in cores.cores[name].replica.claim_store.calls
         assert not word(cores, name, disk, "new").granted and not cores.cores[name].replica.is_complete(
             cores.now
@@ -176,7 +181,7 @@
     assert word(cores, name, disk, "before").granted
     faults.plan = Faults(fail_at=faults.count, error=errno.ENOSPC, half=True)
     assert not word(cores, name, disk, "new").granted
-    assert [what for what, _ in notes] == ["disk failed: nothing is granted here until a restart"]
+    assert [what for what, _ in notes] == ["grant log failed: nothing is granted here until a restart"]
     assert not word(cores, name, disk, "newer").granted
     faults.kill()
     cores.restart(name)
--- a/tests/test_elsewhere.py
+++ b/tests/test_elsewhere.py
@@ -8,8 +8,9 @@
 
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.load_report import COPIES_MOST, NEWS_MOST
-from fawnwharf.replication.remote_loads import PLACES_MOST, LoadReportStore, OwnerReport, RemoteLoads
+from fawnwharf.replication.load_report import MAX_COPIES, MAX_REPORTED_COPIES, CopyLocation
+from fawnwharf.replication.load_report_store import MAX_LOCATIONS, LoadReportStore, OwnerReport
+from fawnwharf.replication.remote_loads import RemoteLoads
 
 GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
 
@@ -20,71 +21,77 @@
 def test_sends_to_cold_scorers_are_counted_for_their_time_and_those_to_warm_ones_never():
     mine = own(7)
     for at in (100.0, 900.0, 1_000.0):
-        mine.sent(at, 7)
-        mine.sent(at, 8)
-    assert mine.word(1_050.0, {}).sent == {"7": 3}
-    assert mine.word(1_100.0, {}).sent == {"7": 2}
-    assert mine.word(2_500.0, {}).sent == {}
-    mine.sent(3_990.0, 7)
-    assert mine.word(3_995.0, {}).sent == {"7": 1} and mine.cold(3_995.0) == {7}
-    assert mine.word(4_001.0, {}).sent == {} and mine.cold(4_001.0) == set()  # warm by now
+        mine.attempt_sent(at, 7)
+        mine.attempt_sent(at, 8)
+    assert mine.next_report(1_050.0, {}).sent == {"7": 3}
+    assert mine.next_report(1_100.0, {}).sent == {"7": 2}
+    assert mine.next_report(2_500.0, {}).sent == {}
+    mine.attempt_sent(3_990.0, 7)
+    assert mine.next_report(3_995.0, {}).sent == {"7": 1} and mine.scorers_in_slow_start(3_995.0) == {7}
+    assert (
+        mine.next_report(4_001.0, {}).sent == {} and mine.scorers_in_slow_start(4_001.0) == set()
+    )  # warm by now
 
 
 def test_an_order_is_a_load_from_its_beginning_to_its_end_and_a_question_never_is():
     mine = own()
-    mine.ordered(0.0, 1, "f", 0)
-    assert mine.word(1.0, {}).loading == () and not mine.loads
-    mine.ordered(10.0, 1, "f", 1)
-    mine.ordered(20.0, 2, "f", 2)
-    assert mine.word(30.0, {}).loading == (m.PendingLoad(2, "f", 10.0), m.PendingLoad(1, "f", 20.0))
-    mine.order_ended(40.0, 1, "f", 0, GOOD, 0)  # the question's answer is not the load's
-    mine.order_ended(50.0, 2, "f", 2, GOOD, 2)
-    word = mine.word(60.0, {})
+    mine.order_sent(0.0, CopyLocation(1, "f"), 0)
+    assert mine.next_report(1.0, {}).loading == () and not mine.loading
+    mine.order_sent(10.0, CopyLocation(1, "f"), 1)
+    mine.order_sent(20.0, CopyLocation(2, "f"), 2)
+    assert mine.next_report(30.0, {}).loading == (m.PendingLoad(2, "f", 10.0), m.PendingLoad(1, "f", 20.0))
+    mine.order_ended(40.0, CopyLocation(1, "f"), 0, GOOD, 0)  # the question's answer is not the load's
+    mine.order_ended(50.0, CopyLocation(2, "f"), 2, GOOD, 2)
+    word = mine.next_report(60.0, {})
     assert word.loading == (m.PendingLoad(1, "f", 50.0),)
     assert set(word.copies) == {m.ProvenCopy(2, "f", 2, 10.0), m.ProvenCopy(1, "f", 0, 20.0)}
-    assert mine.word(10_011.0, {}).loading == () and not mine.loads  # it never ended
+    assert mine.next_report(10_011.0, {}).loading == () and not mine.loading  # it never ended
 
 
 def test_copies_are_told_when_they_change_and_again_after_a_third_of_their_time():
     mine = own()
     told = []
     for at in range(0, 3_000, 100):
-        mine.ended(float(at), 1, "f", GOOD, UNTOLD)
-        told += [(at, copy.copies) for copy in mine.word(float(at), {}).copies]
+        mine.attempt_ended(float(at), CopyLocation(1, "f"), GOOD, UNTOLD)
+        told += [(at, copy.copies) for copy in mine.next_report(float(at), {}).copies]
     assert told == [(0, 1), (1_000, 1), (2_000, 1)]
-    mine.ended(3_000.0, 1, "f", io.AttemptResult.MISS, UNTOLD)
-    assert mine.word(3_000.0, {}).copies == (m.ProvenCopy(1, "f", 0, 0.0),)
-    mine.ended(3_100.0, 1, "f", io.AttemptResult.TIMEOUT, UNTOLD)
-    mine.order_ended(3_100.0, 1, "f", 0, io.AttemptResult.RESET, 0)
-    assert mine.word(3_200.0, {}).copies == ()  # neither proves anything
+    mine.attempt_ended(3_000.0, CopyLocation(1, "f"), io.AttemptResult.MISS, UNTOLD)
+    assert mine.next_report(3_000.0, {}).copies == (m.ProvenCopy(1, "f", 0, 0.0),)
+    mine.attempt_ended(3_100.0, CopyLocation(1, "f"), io.AttemptResult.TIMEOUT, UNTOLD)
+    mine.order_ended(3_100.0, CopyLocation(1, "f"), 0, io.AttemptResult.RESET, 0)
+    assert mine.next_report(3_200.0, {}).copies == ()  # neither proves anything
 
 
 def test_what_stood_at_a_scorer_before_it_started_again_or_went_is_forgotten():
     mine = own()
     for worker in (1, 2, 3):
-        mine.ended(0.0, worker, "f", GOOD, UNTOLD)
-    mine.roster(100.0, 5_100.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], False)
-    mine.roster(100.0, 5_100.0, [io.ScorerEntry(2, state=io.ScorerState.GONE)], False)
-    assert [copy.scorer for copy in mine.word(100.0, {}).copies] == [3]
-    assert mine.cold(100.0) == {1} and 2 not in mine.known
-    mine.roster(200.0, 5_200.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], True)
-    assert mine.known == {1} and mine.cold(200.0) == {1}
+        mine.attempt_ended(0.0, CopyLocation(worker, "f"), GOOD, UNTOLD)
+    mine.roster_changed(100.0, 5_100.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], complete=False)
+    mine.roster_changed(100.0, 5_100.0, [io.ScorerEntry(2, state=io.ScorerState.GONE)], complete=False)
+    assert [copy.scorer for copy in mine.next_report(100.0, {}).copies] == [3]
+    assert mine.scorers_in_slow_start(100.0) == {1} and 2 not in mine.scorers
+    mine.roster_changed(200.0, 5_200.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], complete=True)
+    assert mine.scorers == {1} and mine.scorers_in_slow_start(200.0) == {1}
 
 
 def test_of_a_thousand_functions_a_word_has_the_latest_and_says_how_many_it_left():
     mine = own(copies_ms=30_000.0)
     for n in range(1_200):
-        mine.ended(float(n), 1, f"f{n}", GOOD, UNTOLD)
-        mine.ordered(float(n), 2, f"f{n}", 1)
-    word = mine.word(1_200.0, {})
-    assert [copy.function for copy in word.copies] == [f"f{n}" for n in range(1_199, 1_199 - NEWS_MOST, -1)]
+        mine.attempt_ended(float(n), CopyLocation(1, f"f{n}"), GOOD, UNTOLD)
+        mine.order_sent(float(n), CopyLocation(2, f"f{n}"), 1)
+    word = mine.next_report(1_200.0, {})
+    assert [copy.function for copy in word.copies] == [
+        f"f{n}" for n in range(1_199, 1_199 - MAX_REPORTED_COPIES, -1)
+    ]
     assert word.loading[0].function == "f511" and len(word.loading) == 64
-    assert word.omitted == COPIES_MOST - NEWS_MOST + 512 - 64 == mine.cut
-    assert [copy.function for copy in mine.word(1_201.0, {}).copies][0] == f"f{1_199 - NEWS_MOST}"
+    assert word.omitted == MAX_COPIES - MAX_REPORTED_COPIES + 512 - 64 == mine.omitted
+    assert [copy.function for copy in mine.next_report(1_201.0, {}).copies][
+        0
+    ] == f"f{1_199 - MAX_REPORTED_COPIES}"
     for n in range(100):
-        mine.roster(0.0, 0.0, [io.ScorerEntry(100 + n, up_since_ms=0.0)], False)
-        mine.sent(1_200.0, 100 + n)
-    assert len(mine.word(1_201.0, {}).sent) == 64
+        mine.roster_changed(0.0, 0.0, [io.ScorerEntry(100 + n, up_since_ms=0.0)], complete=False)
+        mine.attempt_sent(1_200.0, 100 + n)
+    assert len(mine.next_report(1_201.0, {}).sent) == 64
 
 
 # --- what keepers make of it --------------------------------------------------------------------
@@ -135,10 +142,10 @@
         last[owner], loads[owner] = word.sent, word.loading
         copies |= {(copy.scorer, copy.function, owner): copy.copies for copy in word.copies}
     for at, (owner, word) in enumerate(data.draw(strategies.permutations(told + told))):
-        words.heard(20.0 * at, "k", owner, word)
+        words.receive(20.0 * at, "k", owner, word)
     now = 20.0 + 40.0 * len(told)
     for owner in owners:
-        answer = words.heard(now, "k", owner, m.LoadReport(0, {"k": answers[owner]}, "k"))
+        answer = words.receive(now, "k", owner, m.LoadReport(0, {"k": answers[owner]}, "k"))
         sums = {}
         for other, sent in last.items():
             for worker, count in sent.items() if other != owner else ():
@@ -175,18 +182,18 @@
             sent = {"7": n} if name == "a" else {}
             copies = (m.ProvenCopy(7, f"f{n}", 1, 0.0),) if name == "a" else ()
             self.made[n] = self.true
-            self.views[name].asked(self.now(name), n)
+            self.views[name].report_sent(self.now(name), n)
             view = self.views[name]
-            wants = view.wants(self.now(name), ["k"], 2)
-            self.send("k", (name, m.LoadReport(n, view.after(), *wants, sent, (), copies)))
+            wants = view.choose_replica(self.now(name), ["k"], 2)
+            self.send("k", (name, m.LoadReport(n, view.last_answers(), *wants, sent, (), copies)))
         due, self.post = ([p for p in self.post if (p[0] <= self.true) == now] for now in (True, False))
         for _, target, item in due:
             if target == "k":
                 name, word = item
-                if answer := self.words.heard(self.now("k"), "k", f"{name}#1", word):
+                if answer := self.words.receive(self.now("k"), "k", f"{name}#1", word):
                     self.send(name, answer)
             else:
-                self.views[target].heard("k", 1, item)
+                self.views[target].receive("k", 1, item)
 
 
 @given(strategies.integers(0, 1 << 30))
@@ -208,32 +215,32 @@
     words = LoadReportStore(1_000.0, 3_000.0, 1)
     answers = greeted(words, ["a#1", "b#1"])
     loads, copies = (m.PendingLoad(7, "f", 0.0),), (m.ProvenCopy(7, "g", 2, 0.0),)
-    words.heard(10.0, "k", "a#1", m.LoadReport(5, {"k": answers["a#1"]}, "k", 0, {"7": 9}, loads, copies))
-    found = words.heard(500.0, "k", "b#1", m.LoadReport(2, {"k": answers["b#1"]}, "k"))
+    words.receive(10.0, "k", "a#1", m.LoadReport(5, {"k": answers["a#1"]}, "k", 0, {"7": 9}, loads, copies))
+    found = words.receive(500.0, "k", "b#1", m.LoadReport(2, {"k": answers["b#1"]}, "k"))
     assert (found.sent, found.loading, found.copies, found.front_ends) == (
         {"7": 9}, (m.PendingLoad(7, "f", 500.0),), (m.ProvenCopy(7, "g", 2, 500.0),), 2,
     )  # fmt: skip
     fresh = greeted(words, ["a#2"], 600.0)["a#2"]
-    words.heard(700.0, "k", "a#2", m.LoadReport(1, {"k": fresh}, "k", 0, {"7": 4}))
-    found = words.heard(900.0, "k", "b#1", m.LoadReport(3, {"k": answers["b#1"]}, "k"))
+    words.receive(700.0, "k", "a#2", m.LoadReport(1, {"k": fresh}, "k", 0, {"7": 4}))
+    found = words.receive(900.0, "k", "b#1", m.LoadReport(3, {"k": answers["b#1"]}, "k"))
     assert (found.sent, found.front_ends) == ({"7": 13}, 2)  # one front end, and what both its lives sent
-    found = words.heard(1_200.0, "k", "b#1", m.LoadReport(4, {"k": found.answer_number}, "k"))
+    found = words.receive(1_200.0, "k", "b#1", m.LoadReport(4, {"k": found.answer_number}, "k"))
     assert (found.sent, found.loading, found.front_ends) == ({"7": 4}, (), 2)
     for life in range(3, 9):
         greeted(words, [f"a#{life}"], 1_200.0 + 20.0 * life)
     assert [owner for owner in words.owners if owner[0] == "a"] == []
-    found = words.heard(9_000.0, "k", "b#1", m.LoadReport(5, {}, "k"))
+    found = words.receive(9_000.0, "k", "b#1", m.LoadReport(5, {}, "k"))
     assert (found.sent, found.copies, found.front_ends) == ({}, (), 1) and words.owners == {}
 
 
 def test_words_that_name_no_answer_or_one_of_another_life_of_the_keeper_do_not_count():
     words = LoadReportStore(1_000.0, 3_000.0, 1)
     for number, after in enumerate(({}, {"k": 77}, {"j": 1}), 1):
-        words.heard(100.0 * number, "k", "a#1", m.LoadReport(number, after, "k", 0, {"7": 9}))
-    assert words.owners == {} and words.counts == {"work: words that name no answer": 3}
-    known = words.heard(400.0, "k", "a#1", m.LoadReport(4)).answer_number
+        words.receive(100.0 * number, "k", "a#1", m.LoadReport(number, after, "k", 0, {"7": 9}))
+    assert words.owners == {} and words.counts == {"load reports: naming no known answer": 3}
+    known = words.receive(400.0, "k", "a#1", m.LoadReport(4)).answer_number
     again = LoadReportStore(1_000.0, 3_000.0, 1 << 50)  # started again
-    again.heard(500.0, "k", "a#1", m.LoadReport(5, {"k": known}, "k", 0, {"7": 9}))
+    again.receive(500.0, "k", "a#1", m.LoadReport(5, {"k": known}, "k", 0, {"7": 9}))
     assert again.owners == {}
 
 
@@ -242,21 +249,21 @@
     known = greeted(words, ["a#1", "b#1", "c#1"])
     for n in range(1, 2_000):
         copies = tuple(m.ProvenCopy(n % 50, f"f{n}-{i}", 1, 0.0) for i in range(6))
-        found = words.heard(
+        found = words.receive(
             10.0 + 0.1 * n, "k", "a#1", m.LoadReport(n, {"k": known["a#1"]}, "k", 0, {}, (), copies)
         )
         if found:
             answered, known["a#1"] = answered + 1, found.answer_number
-    assert answered <= 41 and words.counts["work: words too fast"] >= 1_950
-    assert len(words._places) <= PLACES_MOST
+    assert answered <= 41 and words.counts["load reports: too frequent"] >= 1_950
+    assert len(words._changes) <= MAX_LOCATIONS
     loads = tuple(m.PendingLoad(n, f"g{n}", 1.0) for n in range(64))
     for n in range(8):
         owner = f"d{n}#1"
         known |= greeted(words, [owner], 250.0)
         sent = {str(n * 20 + i): 3 for i in range(20)}
         mine = tuple(m.PendingLoad(load.scorer, f"{load.function}-{n}", 1.0) for load in loads)
-        words.heard(300.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, sent, mine))
-    found = words.heard(400.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "k"))
+        words.receive(300.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, sent, mine))
+    found = words.receive(400.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "k"))
     assert (len(found.sent), len(found.loading), len(found.copies)) == (64, 256, 256)
     assert found.omitted > 1_000 and found.copies[0].function == "f1999-5"  # the latest first
     assert len(msgspec.json.encode(found)) < 32 * 1024
@@ -268,9 +275,10 @@
     known = greeted(words, owners)
     for n, owner in enumerate(owners[:3]):
         copies = (m.ProvenCopy(1, "f", n + 1, 30.0 - 10.0 * n),)
-        words.heard(20.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, {}, (), copies))
+        words.receive(20.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, {}, (), copies))
     seen = {
-        o: words.heard(100.0, "k", o, m.LoadReport(2, {"k": known[o]}, "k")).copies[0].copies for o in owners
+        o: words.receive(100.0, "k", o, m.LoadReport(2, {"k": known[o]}, "k")).copies[0].copies
+        for o in owners
     }
     assert seen == {"a#1": 3, "b#1": 3, "c#1": 2, "d#1": 3}
     assert sum(len(held.copies) for held in words.owners.values()) == 2
--- a/tests/test_elsewhere_live.py
+++ b/tests/test_elsewhere_live.py
@@ -107,10 +107,10 @@
     try:
         follow(b, told.append, lambda asked: a.greet("b", {"asked": asked}))
         until(lambda: any(reader.since is not None for reader in b.readers))
-        follow(a, lambda line: b.named("a", line["asked"]), lambda asked: None)
+        follow(a, lambda line: b.identify("a", line["asked"]), lambda asked: None)
         until(lambda: "a" in b._names.values())
-        b.say({"n": 1}, ("c",))
-        b.say({"n": 2}, ("a",))
+        b.send({"n": 1}, ("c",))
+        b.send({"n": 2}, ("a",))
         until(lambda: told)
         assert told == [{"n": 2}]
         a.forget("b")
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,7 +9,8 @@
 from fawnwharf.net.requests import Call, Failed, Refused, Served
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claim_gate import LEAD_MS, WAIT_LEAD_MS, ClaimGate, call_key
+from fawnwharf.replication.call_owner import CallProgress
+from fawnwharf.replication.claim_gate import DEADLINE_MARGIN_MS, WAIT_MARGIN_MS, ClaimGate, call_key
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.testbed.promises import fleet_file
@@ -44,7 +45,7 @@
         file = fleet_file(zones)
         keepers = ReplicationCore("n0", 1, file, rules, 0.0).placement.replicas
         name = next(e.name for e in file.members if zones == "a" or e.name not in keepers)
-        self.core = ReplicationCore(name, 1, file, rules, 0.0, fresh)
+        self.core = ReplicationCore(name, 1, file, rules, 0.0, fresh=fresh)
         self.calls, self.withdrawn, self.full = {}, [], False
         self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
         self.said = []
@@ -170,13 +171,11 @@
     ground = Ground("abcabc")
     begun = []
     begin = ground.core.begin_call
-    ground.core.begin_call = lambda now, key, effect, **more: (
-        begun.append(more) or begin(now, key, effect, **more)
-    )
+    ground.core.begin_call = lambda now, key, terms: begun.append(terms) or begin(now, key, terms)
     ground.ask()
-    assert begun[0]["budget_ms"] == 2_000.0 - WAIT_LEAD_MS
+    assert begun[0].budget_ms == 2_000.0 - WAIT_MARGIN_MS
     [mine] = ground.core.call_owner.calls.values()
-    mine.state = "waiting"
+    mine.progress = CallProgress.WAITING
     effects = ground.core.call_owner.tick(mine.deadline_ms)
     ground.carry(effects)
     assert [type(effect).__name__ for effect in effects] == ["FailCall"] and not ground.gate.busy
@@ -187,7 +186,7 @@
     ground.ask()
     _, got = ground.ask()
     delay, timer = ground.timers[-1]
-    assert delay == 2_000.0 - LEAD_MS  # the answer has a way to go
+    assert delay == 2_000.0 - DEADLINE_MARGIN_MS  # the answer has a way to go
     timer.callback()
     assert got == [Failed()]
     ground.calls["r1"].reply(Served(b"x"))
@@ -208,7 +207,7 @@
 
 
 def test_too_many_waiting_calls_are_refused_at_once(monkeypatch):
-    monkeypatch.setattr("fawnwharf.replication.claim_gate.HELD_MOST", 2)
+    monkeypatch.setattr("fawnwharf.replication.claim_gate.MAX_HELD_CALLS", 2)
     ground = Ground("abcabc")
     got = [ground.ask(id=n)[1] for n in range(1, 5)]
     assert got == [[], [], [Refused(250.0)], [Refused(250.0)]]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -87,8 +87,8 @@
         for front in fleet.fronts.values():
             fleet.start(front)
         fleet.until(lambda: all(f.ready for f in fleet.fronts.values()), "all to be ready")
-        fleet.until(lambda: any(note.event == "keeper" for note in fleet.notes), "a keeper")
-        keeper = fleet.fronts[next(note.front for note in fleet.notes if note.event == "keeper")]
+        fleet.until(lambda: any(note.event == "replica" for note in fleet.notes), "a keeper")
+        keeper = fleet.fronts[next(note.front for note in fleet.notes if note.event == "replica")]
         fleet.clients.start()
         fleet.rest(1.0)
         for how, trusted in (("as it was", True), ("wiped", False), ("older", False), ("damaged", False),
@@ -102,10 +102,10 @@
                 mine = [note for note in fleet.notes[before:] if note.front == keeper.name]
                 return any(n.event == event and fields.items() <= n.fields.items() for n in mine)
 
-            fleet.until(lambda said=said: said("disk read"), "its disk to be read")
-            assert said("disk read", trusted=trusted), how
+            fleet.until(lambda said=said: said("grants read"), "its disk to be read")
+            assert said("grants read", trusted=trusted), how
             # Without its files it hears the others, and grants again all the same.
-            fleet.until(lambda said=said: said("keeper", sure=True), f"{how}: it grants")
+            fleet.until(lambda said=said: said("replica", complete=True), f"{how}: it grants")
             fleet.rest(0.7)
         fleet.clients.stop()
         fleet.until(lambda: not fleet.clients.open, "all calls to end")
--- a/tests/test_lab_elsewhere.py
+++ b/tests/test_lab_elsewhere.py
@@ -3,6 +3,7 @@
 import msgspec
 
 from fawnwharf.replication import commands as state
+from fawnwharf.replication.log_reading import fetch_status
 from fawnwharf.testbed import scenario as scenarios
 from fawnwharf.testbed.checker import judge
 from fawnwharf.testbed.run import Runner
@@ -42,8 +43,8 @@
         fleet.go_on(fleet.fronts["n3"])
         until(True, "it to be heard again")
         place = f"{fleet.fronts['n0'].host}:{STATE}"
-        heard = "work: front ends heard"  # it tells of itself every two seconds
-        fleet.until(lambda: state.fetch_status(place, 0.5).counts.get(heard) == 6, "its word on itself")
+        heard = "load reports: front ends received"  # it tells of itself every two seconds
+        fleet.until(lambda: fetch_status(place, 0.5).counts.get(heard) == 6, "its word on itself")
         state.show(str(fronts[0].folder / "state.json"), "n0")
         fleet.clients.stop()
         fleet.until(lambda: not fleet.clients.open, "all calls to end")
--- a/tests/test_lab_operation.py
+++ b/tests/test_lab_operation.py
@@ -60,7 +60,7 @@
     assert measures.verdict.checked["replaced"] == 3 and measures.verdict.checked["effects"] > 50
     assert measures.outcomes["served"] > 0.8 * sum(measures.outcomes.values())
     starts = Counter()
-    for fields in noted(fleet, "disk read"):  # at the first start there is none
+    for fields in noted(fleet, "grants read"):  # at the first start there is none
         starts[fields["front"]] += 1
         assert fields["trusted"] is (starts[fields["front"]] > 1)
     assert all(count > 1 for count in starts.values()) and set(starts) == set(fleet.fronts)
--- a/tests/test_lab_operators.py
+++ b/tests/test_lab_operators.py
@@ -37,7 +37,7 @@
         fleet.until(lambda: all(f.ready for f in fleet.fronts.values()), "all to be ready")
 
         def sure():
-            notes = [note for note in fleet.notes if note.event == "keeper" and note.fields["sure"]]
+            notes = [note for note in fleet.notes if note.event == "replica" and note.fields["complete"]]
             return sorted({note.front for note in notes})
 
         fleet.until(lambda: len(sure()) == 3, "three keepers to grant calls")
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -207,7 +207,9 @@
         front.process = object()
         (front.folder / "kept").mkdir()
     try:
-        fleet.notes.append(Noted(0.0, "n0", "state on", {"keepers": {"a": ["n1"], "b": ["n2"], "c": ["n5"]}}))
+        fleet.notes.append(
+            Noted(0.0, "n0", "replication started", {"replicas": {"a": ["n1"], "b": ["n2"], "c": ["n5"]}})
+        )
         fleet.clients.live[0].recent.append(request(0.0, ""))
         for live in fleet.clients.live[1:]:
             live.recent.append(request(0.0))
--- a/tests/test_rejoin_disks.py
+++ b/tests/test_rejoin_disks.py
@@ -65,8 +65,8 @@
         one, second, third = self.one, self.second, self.third
         self.ready(one, *([] if second.alive else [second]))
         assert self.said(one, "store read")[-1]["why"].startswith(why)
-        assert self.said(one, "disk read")[-1]["trusted"] is False
-        assert self.said(second, "disk read")[-1]["trusted"] is True
+        assert self.said(one, "grants read")[-1]["trusted"] is False
+        assert self.said(second, "grants read")[-1]["trusted"] is True
         asked = [self.again(request, zone) for zone in (one.zone, second.zone)]
         asked += [self.ask(zone) for zone in (one.zone, second.zone)]
         self.rest(ALONE_S)
@@ -82,7 +82,7 @@
         assert not self.faults
 
     def sure(self, front):
-        return bool(found := self.said(front, "keeper")) and found[-1]["sure"]
+        return bool(found := self.said(front, "replica")) and found[-1]["complete"]
 
 
 def contents(folder):
--- a/tests/test_rejoin_door.py
+++ b/tests/test_rejoin_door.py
@@ -175,7 +175,7 @@
     def __init__(self, stage):
         rules, file = s.ReplicationSettings(1, "m", replica_zones=1), fleet_file("a")
         keeper = ReplicationCore("n0", 1, file, rules, 0.0).placement.replicas[0]
-        self.core = ReplicationCore(keeper, 1, file, rules, 0.0, True)
+        self.core = ReplicationCore(keeper, 1, file, rules, 0.0, fresh=True)
         self.wheel = self  # the gate's timers never ring here
         self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
         super().__init__(stage, promises=StoredClaims(self.gate, self.core))
--- a/tests/test_rejoin_onstore.py
+++ b/tests/test_rejoin_onstore.py
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("effect", [Effect.AT_MOST_ONCE, Effect.DEDUPLICATED])
 def test_after_a_cut_of_all_a_repeat_is_not_run_again_and_a_new_call_goes_at_once(cores, effect):
     owner = cores.owners[0]
-    cores.begin(owner, effect=effect, dedup_ms=60_000.0)
+    cores.begin(owner, effect=effect, dedup_window_ms=60_000.0)
     cores.turn()
     assert cores.what(owner) == [RunCall("k", True)]
     cores.end_all("cut")
@@ -151,7 +151,7 @@
     assert all(cores.sure(name) and cores.kepts[name].whole is StoreCondition.WHOLE for name in cores.keepers)
     cores.told.clear()
     for n, again in enumerate((owner, cores.owners[1])):
-        cores.begin(again, effect=effect, dedup_ms=60_000.0)  # scorers know no key any more
+        cores.begin(again, effect=effect, dedup_window_ms=60_000.0)  # scorers know no key any more
         cores.begin(again, f"new {n}")
         cores.turn()
         assert sorted(map(str, cores.what(again))) == sorted(
@@ -226,9 +226,9 @@
 def test_a_store_by_another_list_of_members_knows_not_all(site):
     cores = StoreCores(site)
     keeper = cores.keepers[0]
-    later = msgspec.structs.replace(cores.cores[keeper].members, number=2)
+    later = msgspec.structs.replace(cores.cores[keeper].membership, number=2)
     core = cores.cores[keeper]
-    core.members = later
+    core.membership = later
     cores.end_all("kill", keeper)
     assert not cores.sure(keeper) and cores.disks[keeper].summary["trusted"] is False
 
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -87,7 +87,7 @@
         for zone in ("b", "c"):
             assert fleet.outcome(request, zone) == "failed"
         assert fleet.runs(request) == 1
-        read = [note.fields for note in fleet.notes if note.event == "disk read"][-3:]
+        read = [note.fields for note in fleet.notes if note.event == "grants read"][-3:]
         assert [row["trusted"] for row in read] == [True] * 3 and any(row["calls"] for row in read)
         stores = [note.fields for note in fleet.notes if note.event == "store read"][-3:]
         assert [(row["same_boot"], row["why"]) for row in stores] == [(False, "")] * 3
@@ -103,8 +103,8 @@
     try:
         fleet.begin()
         took_ms = fleet.back()
-        notes = [note.fields for note in fleet.notes if note.event == "keeper"]
-        assert [row["sure"] for row in notes[3:6]] == [stores] * 3
+        notes = [note.fields for note in fleet.notes if note.event == "replica"]
+        assert [row["complete"] for row in notes[3:6]] == [stores] * 3
         assert stores or took_ms > 0.4 * WINDOW_MS
         print(json.dumps({"stores": stores, "served_ms": round(took_ms)}))
     finally:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -83,7 +83,7 @@
 def test_a_keyed_one_runs_again_within_its_scorers_window_and_not_after_it():
     cores = Cores()
     one, other, third = cores.owners
-    keyed = {"effect": Effect.DEDUPLICATED, "dedup_ms": 2_500.0}
+    keyed = {"effect": Effect.DEDUPLICATED, "dedup_window_ms": 2_500.0}
     cores.begin(one, **keyed)
     cores.lost.add(one)
     cores.wait(1_700)
@@ -98,10 +98,10 @@
 def test_one_that_goes_without_waiting_takes_the_answer_that_was_kept():
     cores = Cores()
     one, other = cores.owners[:2]
-    cores.begin(one, effect=Effect.DEDUPLICATED, must=False)
+    cores.begin(one, effect=Effect.DEDUPLICATED, claim_required=False)
     assert cores.what(one) == [RunCall("k", False)]
     cores.end(one)
-    cores.begin(other, effect=Effect.DEDUPLICATED, must=False)
+    cores.begin(other, effect=Effect.DEDUPLICATED, claim_required=False)
     assert cores.what(other) == [RunCall("k", False), AnswerCall("k", "QQ==")]
 
 
@@ -153,7 +153,7 @@
     cores.now += 700.0
     cores.carry(a, cores.cores[a].tick(cores.now))
     cores.carry(b, core.tick(cores.now))
-    assert cores.cores[a].replica.claim_store.counts == {"a piece out of place": 1}
+    assert cores.cores[a].replica.claim_store.counts == {"chunks out of order": 1}
     cores.wait(500)
     assert not cores.cores[a].replica.is_complete(cores.now)
     cores.lost = {b}
@@ -187,7 +187,10 @@
         cores.wait(250)
         cores.now -= 250.0  # within one window
     keeper = cores.cores[cores.keepers[0]].replica
-    assert len(keeper.claim_store.calls["k"].claims) <= 65 and keeper.claim_store.counts["too many asks"] > 0
+    assert (
+        len(keeper.claim_store.calls["k"].claims) <= 65
+        and keeper.claim_store.counts["too many claim requests for a call"] > 0
+    )
     assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
 
@@ -250,7 +253,7 @@
     behind = cores.keepers[0]
     for name, core in cores.cores.items():
         if name != behind:
-            core.change_members(cores.now, later)
+            core.change_membership(cores.now, later)
     assert set(cores.cores[other].placement.replicas) != set(cores.keepers)
     cores.wait(3_000)
     cores.begin(other)
@@ -271,6 +274,10 @@
     cores.wait(600)
     assert isinstance(cores.what(one)[-1], RejectCall)
     shelf = cores.cores[cores.keepers[0]].replica.claim_store
-    assert shelf.counts["answer dropped"] == 1 and shelf.counts["full"] >= 1 and shelf.answer_bytes <= 1_024
+    assert (
+        shelf.counts["answers dropped"] == 1
+        and shelf.counts["claim store full"] >= 1
+        and shelf.answer_bytes <= 1_024
+    )
     cores.begin(cores.owners[1], key="k1")
     assert cores.what(cores.owners[1]) == [AnswerCall("k1", None)]
--- a/tests/test_replication_faults.py
+++ b/tests/test_replication_faults.py
@@ -7,7 +7,7 @@
 
 from fawnwharf.consensus.voter_store import DiskError
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.call_owner import RunCall
+from fawnwharf.replication.call_owner import CallProgress, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import LineError, ReplicationCore
 from fawnwharf.replication.grant_log import GrantLog
@@ -39,9 +39,16 @@
 def test_a_keeper_finds_all_that_it_told_within_one_boot_and_nothing_of_another(tmp_path):
     written(tmp_path)
     found = reread(tmp_path)
-    assert (found.why, found.sure, [key for key, _, _ in found.kept]) == ("", 1, ["k0", "k1", "k2"])
-    assert reread(tmp_path, boot="b2").why == "of another boot" and reread(tmp_path, boot="b2").kept == []
-    assert reread(tmp_path, boot="").why == "of another boot"
+    assert (found.distrust_reason, found.complete_for, [key for key, _, _ in found.grants]) == (
+        "",
+        1,
+        ["k0", "k1", "k2"],
+    )
+    assert (
+        reread(tmp_path, boot="b2").distrust_reason == "of another boot"
+        and reread(tmp_path, boot="b2").grants == []
+    )
+    assert reread(tmp_path, boot="").distrust_reason == "of another boot"
     with pytest.raises(DiskError, match="of n1 in fleet f"):
         disk_in(tmp_path, name="n2")
 
@@ -55,7 +62,7 @@
         with open(path, "r+b") as file:  # the same file: a copy would not be trusted
             file.write(data[:end])
         found = reread(tmp_path)
-        assert (found.why, len(found.kept)) == ("", 2), end
+        assert (found.distrust_reason, len(found.grants)) == ("", 2), end
 
 
 def test_damage_in_the_middle_and_a_copy_are_not_trusted(tmp_path):
@@ -64,14 +71,14 @@
     for at in range(len(data) // 3, data.rfind(b"fwv1"), 7):
         with open(path, "r+b") as file:
             file.write(data[:at] + bytes([data[at] ^ 0x40]) + data[at + 1 :])
-        assert "damaged" in reread(tmp_path).why, at
+        assert "damaged" in reread(tmp_path).distrust_reason, at
     with open(path, "r+b") as file:
         file.write(data)
-    assert reread(tmp_path).why == ""
+    assert reread(tmp_path).distrust_reason == ""
     copy = tmp_path / "copy"
     copy.write_bytes(data)
     os.rename(copy, path)
-    assert "a copy" in reread(tmp_path).why
+    assert "a copy" in reread(tmp_path).distrust_reason
 
 
 def test_a_file_is_begun_anew_as_claims_end_and_the_one_before_is_needed_for_so_long(tmp_path):
@@ -84,12 +91,12 @@
         assert len(list(tmp_path.glob("keeper-*.log"))) <= 2
     disk.close()
     found = reread(tmp_path, life=100.0, now=600.0)
-    live = {key for key, _, until in found.kept if until > 600.0}
-    assert found.why == "" and live == {f"k{n}" for n in range(51, 60)}
+    live = {key for key, _, until in found.grants if until > 600.0}
+    assert found.distrust_reason == "" and live == {f"k{n}" for n in range(51, 60)}
     first, _ = sorted(tmp_path.glob("keeper-*.log"), key=lambda path: int(path.stem[7:]))
     first.unlink()
-    assert "missing" in reread(tmp_path, life=100.0, now=595.0).why
-    assert reread(tmp_path, life=100.0, now=900.0).why == ""  # all of that is over
+    assert "missing" in reread(tmp_path, life=100.0, now=595.0).distrust_reason
+    assert reread(tmp_path, life=100.0, now=900.0).distrust_reason == ""  # all of that is over
 
 
 def test_a_keeper_that_did_not_know_all_is_not_trusted_for_having_a_file(tmp_path):
@@ -97,8 +104,8 @@
     disk.begin(0.0, 0, [])
     disk.write(1.0, [], 0)
     disk.close()
-    assert (reread(tmp_path).why, reread(tmp_path).sure) == ("", 0)
-    assert reread(tmp_path / "empty").why == "no file"
+    assert (reread(tmp_path).distrust_reason, reread(tmp_path).complete_for) == ("", 0)
+    assert reread(tmp_path / "empty").distrust_reason == "no file"
 
 
 def test_a_folder_is_used_by_one_process_and_a_write_that_fails_is_told(tmp_path, monkeypatch):
@@ -112,7 +119,7 @@
         disk.write(0.0, [("k", Claim("n9#1", 1, 1, 0, ClaimPhase.GRANTED), 9.0)], 0)
     disk.close()
     monkeypatch.undo()
-    assert reread(tmp_path).kept == []
+    assert reread(tmp_path).grants == []
 
 
 # --- bad input ----------------------------------------------------------------------------------
@@ -170,8 +177,12 @@
     word = {"type": "word", "key": "k", "owner": f"{a}#1", "number": 1, "granted": True}
     assert says(b, word) == []
     shelf = core.replica.claim_store
-    assert shelf.counts == {"a piece out of place": 1, "want of no keeper": 1, "digests of no keeper": 1}
-    assert core.call_owner.counts == {"a word on nothing": 1} and shelf.calls == {}
+    assert shelf.counts == {
+        "chunks out of order": 1,
+        "state requests not from a replica": 1,
+        "digests not from a replica": 1,
+    }
+    assert core.call_owner.counts == {"replies without an open request": 1} and shelf.calls == {}
     cores.begin(a)
     assert [effect for effect in cores.what(a)] == [RunCall("k", True)]
 
@@ -186,7 +197,7 @@
     [(sender, to, line), *_] = cores.held
     line["say"]["digest"] = "0" * 16
     cores.release()
-    assert cores.cores[a].replica.claim_store.counts["a piece that does not fit its digest"] == 1
+    assert cores.cores[a].replica.claim_store.counts["chunks with a wrong digest"] == 1
     assert not cores.cores[a].replica.is_complete(cores.now)
     cores.wait(1_500)
     assert cores.cores[a].replica.is_complete(cores.now)
@@ -206,36 +217,36 @@
 class Forgets(ReplicationCore):
     """Planted: a keeper that starts again trusts its empty memory."""
 
-    def __init__(self, *more):
-        super().__init__(*more)
+    def __init__(self, *more, **options):
+        super().__init__(*more, **options)
         if self.replica:
-            self.replica._complete = True
+            self.replica.mark_complete()
 
 
 class OneIsEnough(ReplicationCore):
     """Planted: one grant makes a promise."""
 
-    def __init__(self, *more):
-        super().__init__(*more)
-        weigh = self.call_owner._weigh
+    def __init__(self, *more, **options):
+        super().__init__(*more, **options)
+        weigh = self.call_owner._evaluate
 
         def one(now_ms, mine):
             if any(word.granted for word in mine.replies.values()):
-                mine.state = "going"
-                return [RunCall(mine.key, True)]
+                mine.progress = CallProgress.RUNNING
+                return [RunCall(mine.key, claimed=True)]
             return weigh(now_ms, mine)
 
-        self.call_owner._weigh = one
+        self.call_owner._evaluate = one
 
 
 class MovesBlind(ReplicationCore):
     """Planted: another list of members is gone by at once."""
 
-    def change_members(self, now_ms, members):
-        super().change_members(now_ms, members)
+    def change_membership(self, now_ms, membership):
+        super().change_membership(now_ms, membership)
         if self.replica:
-            self.replica._complete = True
-            self.replica._earlier_placements.clear()
+            self.replica.mark_complete()
+            self.replica._completeness.earlier.clear()
 
 
 @pytest.mark.parametrize("planted", [Forgets, OneIsEnough, MovesBlind])
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -24,9 +24,9 @@
         mixed.receive(500.0 * n, "n1#1", told[max(0, n - 2)])
         mixed.receive(500.0 * n, "n1#1", use)
     assert plain.rates(3_100.0) == mixed.rates(3_100.0) == m.UsageRates({"a": 20.0}, 1)
-    assert mixed.dropped["an older use"] == 14
+    assert mixed.dropped["usage counters outdated"] == 14
     mixed.receive(3_200.0, "n1#1", m.UsageCounters(9, {"a": 3}))
-    assert mixed.dropped["a count that goes down"] == 1
+    assert mixed.dropped["usage counters decreasing"] == 1
     assert mixed.rates(3_200.0) == m.UsageRates({"a": 20.0}, 1)
     assert mixed.rates(9_000.0) == m.UsageRates({}, 0)  # it is gone, and so is its rate
 
@@ -98,56 +98,56 @@
         (AttemptResult.NOT_SENT, 0.0, told, False, False),
     ]
     for ending, took, warmth, once, twice in table:
-        sights = FailureTracker()
-        sights.ended(0.0, 7, ending, took, 400.0, warmth)
-        assert sights.named(10.0).failures == ({"7": 1} if once else {}), ending
-        sights.ended(15.0, 7, ending, took, 400.0, warmth)
-        assert sights.named(16.0).failures == ({"7": 2} if twice else {}), ending
-        sights.ended(20.0, 7, AttemptResult.GOOD, 30.0, 400.0)
-        assert sights.named(30.0).failures == {} and sights.good_ms(7) == 20.0
-        sights.ended(40.0, 7, AttemptResult.GOOD, 900.0, 400.0)
-        assert sights.named(41.0).failures == {}  # what was hard before counts no more
-    sights.ended(50.0, 7, AttemptResult.TIMEOUT, 400.0, 400.0)
-    assert sights.named(51.0).failures == {"7": 2}
-    assert sights.named(5_000.0).failures == {}  # it fades
+        sights = FailureTracker(400.0)
+        sights.record(0.0, 7, ending, took, warmth)
+        assert sights.report(10.0).failures == ({"7": 1} if once else {}), ending
+        sights.record(15.0, 7, ending, took, warmth)
+        assert sights.report(16.0).failures == ({"7": 2} if twice else {}), ending
+        sights.record(20.0, 7, AttemptResult.GOOD, 30.0)
+        assert sights.report(30.0).failures == {} and sights.last_success_ms(7) == 20.0
+        sights.record(40.0, 7, AttemptResult.GOOD, 900.0)
+        assert sights.report(41.0).failures == {}  # what was hard before counts no more
+    sights.record(50.0, 7, AttemptResult.TIMEOUT, 400.0)
+    assert sights.report(51.0).failures == {"7": 2}
+    assert sights.report(5_000.0).failures == {}  # it fades
 
 
 def test_a_scorer_is_hinted_at_when_enough_front_ends_name_it_and_one_alone_moves_nothing():
     sightings = FailureReportStore()
     for n in range(1, 4):
-        assert sightings.hints(0.0, 18) == m.ReportedOutliers({})
-        sightings.heard(0.0, f"n{n}#1", m.FailureReport(2, {"7": 9}))
-        sightings.heard(0.0, f"n{n}#1", m.FailureReport(1, {"8": 9}))  # an older one
-    assert sightings.hints(0.0, 18) == m.ReportedOutliers({"7": 3})
-    sightings.heard(500.0, "n1#1", m.FailureReport(3, {}))
-    assert sightings.hints(500.0, 18) == m.ReportedOutliers({})
-    assert sightings.hints(500.0, 6) == m.ReportedOutliers({"7": 2})
-    sightings.heard(600.0, "n2#2", m.FailureReport(1, {"7": 1}))  # a new life is no second witness
-    assert sightings.hints(600.0, 18) == m.ReportedOutliers({})
-    assert sightings.hints(2_000.0, 2) == m.ReportedOutliers({})
+        assert sightings.outliers(0.0, 18) == m.ReportedOutliers({})
+        sightings.receive(0.0, f"n{n}#1", m.FailureReport(2, {"7": 9}))
+        sightings.receive(0.0, f"n{n}#1", m.FailureReport(1, {"8": 9}))  # an older one
+    assert sightings.outliers(0.0, 18) == m.ReportedOutliers({"7": 3})
+    sightings.receive(500.0, "n1#1", m.FailureReport(3, {}))
+    assert sightings.outliers(500.0, 18) == m.ReportedOutliers({})
+    assert sightings.outliers(500.0, 6) == m.ReportedOutliers({"7": 2})
+    sightings.receive(600.0, "n2#2", m.FailureReport(1, {"7": 1}))  # a new life is no second witness
+    assert sightings.outliers(600.0, 18) == m.ReportedOutliers({})
+    assert sightings.outliers(2_000.0, 2) == m.ReportedOutliers({})
 
 
 def test_a_hinted_scorer_rests_for_longer_each_time_and_never_more_than_a_part_of_a_zone():
     zones = {n: "a" if n < 8 else "b" for n in range(16)}
-    counts, rests, sights = {"a": 8, "b": 8}, OutlierEjections(), FailureTracker()
+    counts, rests, sights = {"a": 8, "b": 8}, OutlierEjections(), FailureTracker(400.0)
     hint = m.ReportedOutliers({"1": 3})
-    rests.heard(0.0, hint, sights, zones, counts)
-    assert rests.resting(1_999.0) == {1} and rests.resting(2_000.0) == set()
-    rests.heard(2_100.0, hint, sights, zones, counts)
-    assert rests.resting(6_000.0) == {1} and rests.resting(6_200.0) == set()
-    rests.heard(20_000.0, hint, sights, zones, counts)  # long after: it begins anew
-    assert rests.resting(21_900.0) == {1} and rests.resting(22_100.0) == set()
-    rests.heard(40_000.0, m.ReportedOutliers({str(n): 9 for n in (1, 2, 3, 4, 9, 99)}), sights, zones, counts)
-    assert rests.resting(40_100.0) == {1, 2, 9} and rests.refused == 2
+    rests.apply(0.0, hint, sights, zones, counts)
+    assert rests.ejected(1_999.0) == {1} and rests.ejected(2_000.0) == set()
+    rests.apply(2_100.0, hint, sights, zones, counts)
+    assert rests.ejected(6_000.0) == {1} and rests.ejected(6_200.0) == set()
+    rests.apply(20_000.0, hint, sights, zones, counts)  # long after: it begins anew
+    assert rests.ejected(21_900.0) == {1} and rests.ejected(22_100.0) == set()
+    rests.apply(40_000.0, m.ReportedOutliers({str(n): 9 for n in (1, 2, 3, 4, 9, 99)}), sights, zones, counts)
+    assert rests.ejected(40_100.0) == {1, 2, 9} and rests.refused == 2
 
 
 def test_who_has_a_good_sign_of_its_own_goes_by_that():
-    rests, sights = OutlierEjections(), FailureTracker()
-    sights.ended(1_000.0, 1, AttemptResult.GOOD, 10.0, 400.0)
-    rests.heard(1_500.0, m.ReportedOutliers({"1": 9}), sights, {1: "a"}, {"a": 8})
-    assert rests.resting(1_500.0) == set()
-    rests.heard(1_700.0, m.ReportedOutliers({"1": 9}), sights, {1: "a"}, {"a": 8})
-    assert rests.resting(1_700.0) == {1}
+    rests, sights = OutlierEjections(), FailureTracker(400.0)
+    sights.record(1_000.0, 1, AttemptResult.GOOD, 10.0)
+    rests.apply(1_500.0, m.ReportedOutliers({"1": 9}), sights, {1: "a"}, {"a": 8})
+    assert rests.ejected(1_500.0) == set()
+    rests.apply(1_700.0, m.ReportedOutliers({"1": 9}), sights, {1: "a"}, {"a": 8})
+    assert rests.ejected(1_700.0) == {1}
 
 
 def entry(id, zone="a", phase="in_service"):
@@ -187,7 +187,7 @@
         (3_750.0, [], {}),
     ]
     for now, heard, wanted in steps:
-        changes = resting.look(now, heard, overlay)
+        changes = resting.update(now, heard, overlay)
         assert {member.id: member.phase for member in changes.members} == wanted, now
     assert [fields["now"] for fields in notes] == [["s1"], ["s1", "s2"], ["s2"], []]
 
@@ -196,8 +196,8 @@
     overlay, resting = Overlay(), OutlierEjector(400.0, lambda event, fields: None)
     overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
     overlay.close("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
-    changes = resting.look(1_000.0, [hint("s0", "s1", "s2")], overlay)
-    assert [member.id for member in changes.members] == ["s1"] and resting.rests.refused == 1
+    changes = resting.update(1_000.0, [hint("s0", "s1", "s2")], overlay)
+    assert [member.id for member in changes.members] == ["s1"] and resting.ejections.refused == 1
     overlay.close("zones", None)
-    changes = resting.look(1_250.0, [hint("s0")], overlay)
-    assert [member.id for member in changes.members] == ["s0"] and resting.ids == {"s0", "s1"}
+    changes = resting.update(1_250.0, [hint("s0")], overlay)
+    assert [member.id for member in changes.members] == ["s0"] and resting.ejected_ids == {"s0", "s1"}
