--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -4,16 +4,16 @@
 import socket
 from collections.abc import Callable
 
-from fawnwharf.net.end_reasons import End, end_of
-from fawnwharf.net.log import Log
-from fawnwharf.net.loop import READ, Loop, Order
+from fawnwharf.net.end_reasons import EndReason, end_reason_of
+from fawnwharf.net.event_loop import READ, EventLoop, ReadPriority
+from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-ACCEPTS_MOST = 64  # in a turn
+MAX_ACCEPTS = 64  # in a turn
 # Where the system has no descriptor or memory left, or the listener fails in a way that is unknown here.
 ACCEPT_PAUSE_MS = 50.0
 # Errors of a connection that ended, or of its network, before it was accepted: the next one may be well.
-OF_ONE_CONNECTION = frozenset(
+SINGLE_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -37,11 +37,11 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         listener: socket.socket,
         admit: Callable[[socket.socket, float], None],
         room: Callable[[], int],
-        log: Log,
+        log: LogWriter,
     ) -> None:
         """`admit` takes an accepted socket, and since when it may have waited by the monotonic clock; or it
         raises OSError and leaves it. `room`: how many more to accept in this turn; where it is 0, `go_on`
@@ -66,16 +66,16 @@
 
     def _watch(self, on: bool) -> None:
         if on:
-            self._looked_ms = max(self._looked_ms, self.loop.turn_ms)
-            self.loop.watch(self.socket, READ, self._ready, order=lambda: Order.NEW)
+            self._looked_ms = max(self._looked_ms, self.loop.iteration_ms)
+            self.loop.watch(self.socket, READ, self._ready, order=lambda: ReadPriority.NEW)
         else:
-            self.loop.forget(self.socket)
+            self.loop.unwatch(self.socket)
 
     def _ready(self, _mask: int) -> None:
         if self._waiting_ms is None or self._looked_ms < self.loop.empty_ms(self.socket.fileno()):
             self._waiting_ms = self.loop.ready_since_ms(self.socket.fileno())
-        self._looked_ms = self.loop.turn_ms
-        most = min(ACCEPTS_MOST, self._room())
+        self._looked_ms = self.loop.iteration_ms
+        most = min(MAX_ACCEPTS, self._room())
         if not most:
             self.pause()
             return
@@ -100,17 +100,17 @@
 
     def _take(self, accepted: socket.socket) -> None:
         try:
-            self._admit(accepted, self.loop.turn_ms if self._waiting_ms is None else self._waiting_ms)
+            self._admit(accepted, self.loop.iteration_ms if self._waiting_ms is None else self._waiting_ms)
         except OSError as error:
             # Reset already, or the selector has no memory: this one is lost, the next may be well.
             accepted.close()
             self.log(f"accepted, but of no use: {error}", "accept")
 
     def _failed(self, error: OSError) -> bool:
-        if error.errno in OF_ONE_CONNECTION:
+        if error.errno in SINGLE_CONNECTION_ERRORS:
             self._in_vain += 1
             return True
-        if end_of(error) is not End.NO_DESCRIPTOR:
+        if end_reason_of(error) is not EndReason.NO_DESCRIPTOR:
             self.log(f"accept: {error}", "accept")
         self.pause()
         return False
@@ -119,7 +119,7 @@
         """Leave new connections to the system's queue for a moment, rather than spin on them."""
         if self.socket is not None and self._on and self._pause is None:
             self._watch(False)
-            self._pause = self.loop.wheel.after(ACCEPT_PAUSE_MS, self.go_on)
+            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.go_on)
 
     def go_on(self) -> None:
         """There may be room, or the system may have descriptors again."""
@@ -133,13 +133,13 @@
             self._watch(True)
         except OSError as error:  # the selector has no memory: a listener that nobody watches would be lost
             self.log(f"accept: {error}", "accept")
-            self._pause = self.loop.wheel.after(ACCEPT_PAUSE_MS, self.go_on)
+            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.go_on)
 
     def drain(self) -> bool:
         """Accept all that the system's queue holds, then close the listener: closing it resets what it holds.
         False while there is no room for all of it, or the system has no descriptor."""
         self.accept(False)
-        for _ in range(ACCEPTS_MOST):
+        for _ in range(MAX_ACCEPTS):
             if self.socket is None:
                 return True
             if not self._room():
@@ -149,7 +149,7 @@
             except BlockingIOError:
                 self.close()
             except OSError as error:
-                if error.errno not in OF_ONE_CONNECTION:
+                if error.errno not in SINGLE_CONNECTION_ERRORS:
                     return False
             else:
                 self._take(accepted)
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -132,12 +132,12 @@
         self._outbox = MessageBatcher(front.loop, self.zones, self._too_much)
         self._follower = PolicyApplier(self.deployment, front, self.zones, state)
         self._module = dict(self._follower.classes)
-        front.port.waits_for.add(NAME)
-        below = front.port.table
+        front.client_port.not_ready_reasons.add(NAME)
+        below = front.client_port.requests
         self.calls = CallPolicyBinding(
-            below, self._take, self.agent.holder.done, self._ended, unix_ms, front.loop.wheel.after
+            below, self._take, self.agent.holder.done, self._ended, unix_ms, front.loop.timers.after
         )
-        front.port.table = self.calls
+        front.client_port.requests = self.calls
         self.zones.log_clients[NAME] = self
         if self._said_file.changed() is not None:
             self.note("proposal left aside", {"why": "it was said before this start"})
@@ -156,9 +156,9 @@
         self._stopped = True
         if self.front is not None:
             self.calls.refuse()
-            if self.front.port.table is self.calls:
-                self.front.port.table = self.calls.below
-            self.front.port.waits_for.discard(NAME)
+            if self.front.client_port.requests is self.calls:
+                self.front.client_port.requests = self.calls.below
+            self.front.client_port.not_ready_reasons.discard(NAME)
             self._follower.undo(self.agent.known.base)
         if self.trace:
             self._flush_trace()
@@ -166,11 +166,11 @@
 
     # --- the seam -------------------------------------------------------------------------------
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Changes of the roster matter nothing here."""
         ...
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Hand calls that waited at the claim gate through a change over as they are judged."""
         if monotonic_ms() < self._mixed_ms:
             events[:] = with_bound_classes(events, self._module, self._own_spec)
@@ -181,7 +181,7 @@
         return self.calls is not None and self.calls.held > 0  # the table and the gate know of the others
 
     def _own_spec(self, event: io.RequestArrived) -> io.ClassSpec | None:
-        request = self.front.table.open.get(event.request)
+        request = self.front.requests.open.get(event.request)
         base = self.deployment.settings.classes.get(event.class_name)
         if request is None or base is None or request.call.judged is None:
             return None
@@ -202,7 +202,7 @@
     def _write_trace(self) -> None:
         if not self._stopped:
             self._flush_trace()
-            self.front.loop.wheel.after(TRACE_MS, self._write_trace)
+            self.front.loop.timers.after(TRACE_MS, self._write_trace)
 
     def _flush_trace(self) -> None:
         try:
@@ -259,7 +259,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_ms = due
-        self._timer = self.front.loop.wheel.after(due - now, self._tick)
+        self._timer = self.front.loop.timers.after(due - now, self._tick)
 
     def _carry_out(self, effects: list[m.Effect]) -> None:
         for effect in effects:
@@ -275,12 +275,16 @@
             elif isinstance(effect, m.LogEvent):
                 self.note(effect.event, effect.fields)
         self._follower.keep_by(dict(self.agent.holder.keeping.now))
-        (self.front.port.waits_for.discard if self.ready else self.front.port.waits_for.add)(NAME)
+        (
+            self.front.client_port.not_ready_reasons.discard
+            if self.ready
+            else self.front.client_port.not_ready_reasons.add
+        )(NAME)
         if self.ready and self.calls.held:
             if self.in_force.how == "leased":
                 self.calls.release()
             else:  # its first lease comes a round trip later
-                self.front.loop.wheel.after(LEASE_MS, self._release)
+                self.front.loop.timers.after(LEASE_MS, self._release)
         self._stand()
         self._set_timer()
 
@@ -328,7 +332,7 @@
         if now - self._told_ms < STAND_MS:
             if not self._stands_later:
                 self._stands_later = True
-                self.front.loop.wheel.after(STAND_MS, self._stand_later)
+                self.front.loop.timers.after(STAND_MS, self._stand_later)
             return
         self._told, self._told_ms = standing, now
         self.zones.publish_status(msgspec.to_builtins(standing))
@@ -348,7 +352,7 @@
             why = self.agent.holder.fault or "no leader's steward has told what is in force"
             fields = {"why": why, "leads": leads, "voters that tell nothing of policy": silent}
             self.note("policy: not ready", fields)
-        self.front.loop.wheel.after(ALONE_MS, self._look_alone)
+        self.front.loop.timers.after(ALONE_MS, self._look_alone)
 
     # --- the operators' file --------------------------------------------------------------------
 
@@ -358,7 +362,7 @@
         if (data := self._said_file.changed()) is not None:
             self._said(data)
         self._follower.keep_by(dict(self.agent.holder.keeping.now))  # a keeper may be new
-        self.front.loop.wheel.after(FILES_MS, self._look_at_files)
+        self.front.loop.timers.after(FILES_MS, self._look_at_files)
 
     def _said(self, data: bytes) -> None:
         """A word that can't be taken changes nothing, and is said once with its key and cause."""
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
 from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
@@ -36,7 +36,7 @@
     """The door, before whatever stands there."""
     classes, promises = front.deployment.settings.classes, StoredClaims(state.gate, state.core)
     return RecoveryAdmission(
-        front.loop, front.port.table, classes, limits, promises, settings.timing.window_ms
+        front.loop, front.client_port.requests, classes, limits, promises, settings.timing.window_ms
     )
 
 
@@ -69,7 +69,7 @@
         self.door = door(front, state, settings, self.limits)
         self.holds: LoadOrderGate | None = None
         self._order_out: Callable[[io.OrderCopies], None] | None = None
-        front.stand_between(io.OrderCopies, self._between)
+        front.intercept(io.OrderCopies, self._between)
         state.log_clients[LOG_CLIENT] = self._ridden
         self.roster()
         self._turn()
@@ -79,13 +79,15 @@
         self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.OrderCopies, lambda _own: self._order_out)
+        self.front.intercept(io.OrderCopies, lambda _own: self._order_out)
         if not self._going[0].spill:
             self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
 
     def _between(self, below: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
         front, self._order_out = self.front, below
-        self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
+        self.holds = LoadOrderGate(
+            below, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open
+        )
         return self.holds.carry
 
     # --- what is allowed ------------------------------------------------------------------------
@@ -123,9 +125,9 @@
     def roster(self) -> None:
         """The roster as it is told by now."""
         now, found = monotonic_ms(), {}
-        for member in self.front.overlay.members.values():
+        for member in self.front.roster_overlay.members.values():
             if member.phase == "in_service":
-                found[worker_number(member.id)] = member.up_since_ms or None
+                found[scorer_number(member.id)] = member.up_since_ms or None
         for id in [id for id in self._up_ms if id not in found]:
             self._carry_out(self.giving.gone(now, id))
         self._up_ms = found
@@ -164,7 +166,7 @@
         self._set(now)
         self._carry_out(self.giving.tick(now))
         calm = self._going[0].spill
-        self._timer = self.front.loop.wheel.after(CALM_TICK_MS if calm else TICK_MS, self._turn)
+        self._timer = self.front.loop.timers.after(CALM_TICK_MS if calm else TICK_MS, self._turn)
 
     def _ridden(self, now_ms: float, sender: str, _life: int, data: Any) -> None:
         try:
@@ -183,8 +185,8 @@
                 self.state.send_message(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
             elif isinstance(out, actions.LoadOrder):
                 if isinstance(out.what, io.OrderCopies):
-                    self.front.table.order(out.what)
+                    self.front.requests.start_load(out.what)
                 else:
-                    self.front.loop.tell(out.what)
+                    self.front.loop.enqueue(out.what)
             else:
                 self.door.told(out)
--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field, replace
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.loop import Loop
-from fawnwharf.net.requests import Call, Failed, Outcome, Refused, RequestTable, Served
+from fawnwharf.net.event_loop import EventLoop
+from fawnwharf.net.requests import Call, Failed, Outcome, Rejected, RequestTable, Succeeded
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.call_owner import AnswerCall, CallTerms, FailCall, OwnerAction, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         table: RequestTable,
         core: ReplicationCore,
         settings: ReplicationSettings,
@@ -99,7 +99,7 @@
         if mode == "off":
             return self._table.take(call)
         if len(self.calls) >= MAX_HELD_CALLS or self._held_bytes + len(call.body) > MAX_HELD_BYTES:
-            call.reply(Refused(FULL_PUSHBACK_MS))
+            call.reply(Rejected(FULL_PUSHBACK_MS))
             return None
         key, port_key = call_key(call), f"g{next(self._numbers)}"
         held = self.calls.get(key)
@@ -129,7 +129,7 @@
         held.waiting[port_key] = call.reply
         self._by_port_key[port_key] = held
         remaining_ms = max(1.0, call.budget_ms - DEADLINE_MARGIN_MS)
-        held.timers[port_key] = self._loop.wheel.after(remaining_ms, lambda: self._overdue(held, port_key))
+        held.timers[port_key] = self._loop.timers.after(remaining_ms, lambda: self._overdue(held, port_key))
 
     def _overdue(self, held: HeldCall, port_key: str) -> None:
         """Guard the one final answer, as the table's deadline timer does: the call may have run."""
@@ -178,11 +178,11 @@
             if held.table_key is not None:  # it runs, but was answered before
                 self._table.withdraw(held.table_key)
             answer = action.answer
-            self._finish(held, Failed() if answer is None else Served(base64.b64decode(answer)))
+            self._finish(held, Failed() if answer is None else Succeeded(base64.b64decode(answer)))
         elif isinstance(action, FailCall):
             self._finish(held, Failed())
         else:
-            self._finish(held, Refused(action.pushback_ms))
+            self._finish(held, Rejected(action.pushback_ms))
 
     def _run(self, held: HeldCall) -> None:
         waited_ms = monotonic_ms() - held.arrived_ms
@@ -199,13 +199,13 @@
         """Pass the table's final answer to all that wait, and report it to the replicas."""
         held.table_key = None
         digest, answer = "", None
-        if isinstance(outcome, Served):
+        if isinstance(outcome, Succeeded):
             phase = ClaimPhase.ANSWERED
             digest = hashlib.blake2b(outcome.body, digest_size=16).hexdigest()
             if len(outcome.body) <= self._settings.limits.max_single_answer_bytes:
                 answer = base64.b64encode(outcome.body).decode()
         else:
-            phase = ClaimPhase.RELEASED if isinstance(outcome, Refused) else ClaimPhase.FAILED
+            phase = ClaimPhase.RELEASED if isinstance(outcome, Rejected) else ClaimPhase.FAILED
         self._finish(held, outcome)
         self._carry_out(self._core.call_ended(monotonic_ms(), held.key, phase, digest, answer))
 
--- a/fawnwharf/replication/directed_log.py
+++ b/fawnwharf/replication/directed_log.py
@@ -8,10 +8,11 @@
 
 import secrets
 from collections.abc import Callable, Hashable
-from typing import Any
+from typing import Any, cast
 
 from fawnwharf.config import Address
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
+from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.zones.member_log import LogServer, MemberLogFollower, line_encoder
 
 MAX_NAMES = 4_000
@@ -22,7 +23,7 @@
 class DirectedLogServer(LogServer):
     """Owns a listener and its readers, each of which has numbers of its own."""
 
-    def __init__(self, loop: Loop, address: Address, incarnation: int, max_readers: int) -> None:
+    def __init__(self, loop: EventLoop, address: Address, incarnation: int, max_readers: int) -> None:
         super().__init__(loop, address, incarnation, max_readers)
         self._names: dict[int, str] = {}  # by the number that a reader asked with
         self._sent: dict[Any, int] = {}  # lines, by reader
@@ -95,14 +96,14 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: Address,
         on_line: Callable[[Any], None],
         log: Callable[[str], None],
         send_hello: Callable[[int], None],
     ) -> None:
         """`send_hello` has to say, in the own log, with which number this reader asked."""
-        super().__init__(loop, address, on_line, log)
+        super().__init__(loop, address, on_line, cast(LogWriter, log))  # it only calls it with a text
         self._send_hello = send_hello
 
     def on_up(self) -> None:
--- a/fawnwharf/replication/followed_logs.py
+++ b/fawnwharf/replication/followed_logs.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from fawnwharf.config import address_from
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.replication.directed_log import DirectedLog
 
 OnLine = Callable[[str, Any], None]  # the member and its line
@@ -15,7 +15,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         on_line: OnLine,
         on_dropped_line: Callable[[str], None],
         send_hello: Callable[[str, int], None],
@@ -56,7 +56,7 @@
     def tidy(self) -> None:
         """Reconnect what has been silent, as the change log does."""
         for log in self._logs.values():
-            log.tidy()
+            log.run_maintenance()
 
     def close(self) -> None:
         """Close all connections."""
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
-from fawnwharf.net.streams import Attempt, Order
+from fawnwharf.net.front_end import FrontEnd, scorer_number
+from fawnwharf.net.scorer_streams import Attempt, LoadOrder
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.core import ReplicationCore
@@ -37,10 +37,10 @@
     def attach(self, front_end: FrontEnd, carry_out: Callable[[list[OwnerAction]], None]) -> None:
         """Begin, on the front end's loop."""
         self._running = _Running(front_end, carry_out)
-        front_end.table.witness = self
+        front_end.requests.observer = self
         entries = [
-            io.ScorerEntry(worker_number(member.id), up_since_ms=member.up_since_ms or None)
-            for member in front_end.overlay.members.values()
+            io.ScorerEntry(scorer_number(member.id), up_since_ms=member.up_since_ms or None)
+            for member in front_end.roster_overlay.members.values()
         ]
         unix_ms = front_end.loop.clock.now_ms()
         self.reporter.roster_changed(monotonic_ms(), unix_ms, entries, complete=True)
@@ -49,7 +49,7 @@
     def close(self) -> None:
         """End reporting."""
         if self._running is not None:
-            self._running.front_end.table.witness = None
+            self._running.front_end.requests.observer = None
             self._running.cancel()
             self._running = None
 
@@ -72,13 +72,13 @@
         location = CopyLocation(attempt.worker, attempt.function)
         self.reporter.attempt_ended(monotonic_ms(), location, ending, warmth)
 
-    def ordered(self, order: Order) -> None:
+    def ordered(self, order: LoadOrder) -> None:
         """Take a load order, or a probe, that is sent."""
         self.reporter.order_sent(monotonic_ms(), CopyLocation(order.worker, order.function), order.copies)
         if order.copies:
             self._hasten()
 
-    def order_ended(self, order: Order, ending: io.AttemptResult, copies: int) -> None:
+    def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None:
         """Take a load order, or a probe, that ended."""
         location = CopyLocation(order.worker, order.function)
         self.reporter.order_ended(monotonic_ms(), location, order.copies, ending, copies)
@@ -117,7 +117,7 @@
         """Pass on a replica's answer in a moment, where the lines that came have one."""
         if self._core.remote_loads.answered and not self._gathering and self._running is not None:
             self._gathering = True
-            self._running.front_end.loop.wheel.after(GATHER_MS, self._pass_on)
+            self._running.front_end.loop.timers.after(GATHER_MS, self._pass_on)
 
     def _pass_on(self) -> None:
         """Give the module what has changed."""
@@ -125,7 +125,7 @@
         if self._running is not None:
             self._last_event_ms = monotonic_ms()
             for event in self._core.remote_load_events(self._last_event_ms, self.reporter, self._fleet_size):
-                self._running.front_end.loop.tell(event)
+                self._running.front_end.loop.enqueue(event)
 
 
 class _Running:
@@ -139,7 +139,7 @@
     def schedule(self, due_ms: float, report: Callable[[], None]) -> None:
         """Plan the next report."""
         self.due_ms = due_ms
-        self._timer = self.front_end.loop.wheel.after(max(0.0, due_ms - monotonic_ms()), report)
+        self._timer = self.front_end.loop.timers.after(max(0.0, due_ms - monotonic_ms()), report)
 
     def cancel(self) -> None:
         """Drop the planned report."""
--- a/fawnwharf/replication/outlier_ejection.py
+++ b/fawnwharf/replication/outlier_ejection.py
@@ -10,8 +10,8 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Fleet
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.roster_overlay import Closer, Overlay
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterFilter, RosterOverlay
 from fawnwharf.replication.failure_reports import FailureTracker, OutlierEjections
 from fawnwharf.replication.messages import ReportedOutliers
 
@@ -20,7 +20,7 @@
 LogEvent = Callable[[str, dict[str, Any]], None]
 
 
-def excluding(ids: frozenset[str]) -> Closer | None:
+def excluding(ids: frozenset[str]) -> RosterFilter | None:
     """A roster filter that takes these scorers out of service; None where there are none."""
     return (lambda member: member.id in ids) if ids else None
 
@@ -43,13 +43,13 @@
             elif isinstance(event, io.LoadOrderAnswered):
                 self.tracker.record(now_ms, event.scorer, event.result, event.took_ms)
 
-    def update(self, now_ms: float, reported: Iterable[ReportedOutliers], overlay: Overlay) -> Fleet:
+    def update(self, now_ms: float, reported: Iterable[ReportedOutliers], overlay: RosterOverlay) -> Fleet:
         """Take what was reported, and eject or readmit scorers; the changes of the roster that follow."""
         unchanged = Fleet([], False, overlay.revision)
         reported = list(reported)
         if not reported and not self.ejected_ids and not self.ejections.ejected(now_ms):
             return unchanged  # spares a scan of the fleet each time
-        scorers = {worker_number(member.id): member for member in overlay.left_to(FILTER_NAME)}
+        scorers = {scorer_number(member.id): member for member in overlay.open_except_for(FILTER_NAME)}
         zones = {number: member.locality for number, member in scorers.items()}
         zone_sizes = Counter(zones.values())
         for outliers in reported:
@@ -59,4 +59,4 @@
             return unchanged
         self._log_event("scorers ejected", {"now": sorted(ids), "before": sorted(self.ejected_ids)})
         self.ejected_ids = ids
-        return overlay.close(FILTER_NAME, excluding(ids))
+        return overlay.set_filter(FILTER_NAME, excluding(ids))
--- a/fawnwharf/replication/periodic_reports.py
+++ b/fawnwharf/replication/periodic_reports.py
@@ -44,8 +44,8 @@
         self._carry_out(self._core.send_usage(now_ms))
         if self._core.quota_shares:
             for tenant, share_rps in self._core.quota_shares.changes(now_ms).items():
-                loop.tell(io.LimitsChanged(share_rps, tenant))
-        loop.wheel.after(self._core.settings.usage_interval_ms, self._report_usage)
+                loop.enqueue(io.LimitsChanged(share_rps, tenant))
+        loop.timers.after(self._core.settings.usage_interval_ms, self._report_usage)
 
     def _report_failures(self) -> None:
         """Report failing scorers, and eject those that several front ends report."""
@@ -54,8 +54,8 @@
         now_ms = monotonic_ms()
         front_end = self._front_end
         self._carry_out(self._core.send_failure_report(now_ms, self._outlier_ejector.tracker))
-        changes = self._outlier_ejector.update(now_ms, self._core.reported_outliers, front_end.overlay)
+        changes = self._outlier_ejector.update(now_ms, self._core.reported_outliers, front_end.roster_overlay)
         self._core.reported_outliers.clear()
         if changes.members:
-            front_end.go_by(changes)
-        front_end.loop.wheel.after(self._core.settings.failure_report_interval_ms, self._report_failures)
+            front_end.apply_fleet(changes)
+        front_end.loop.timers.after(self._core.settings.failure_report_interval_ms, self._report_failures)
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -140,7 +140,7 @@
         log_server = self._listen(front_end)
         gate = ClaimGate(
             front_end.loop,
-            front_end.table,
+            front_end.requests,
             self.core,
             self.settings,
             self.deployment.settings.classes,
@@ -148,7 +148,7 @@
         )
         followed_logs = FollowedLogs(front_end.loop, self._receive_line, self._line_dropped, self._send_hello)
         self._host = _Host(front_end, gate, log_server, followed_logs)
-        front_end.port.table = cast(RequestTable, gate)  # the gate stands in for the table
+        front_end.client_port.requests = cast(RequestTable, gate)  # the gate stands in for the table
         self._follow_logs()
         self._check_files()
         self._publish_status()
@@ -205,10 +205,10 @@
         """The gate where calls wait for their claims; only after `attach`."""
         return self._running.gate
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Nothing to do: what the change log reports comes with the events, too."""
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Count what comes to this front end, and how attempts end."""
         if self.core.quota_shares:
             self.core.quota_shares.count_calls(
@@ -306,7 +306,7 @@
         if due_ms == float("inf"):
             return
         self._timer_ms = due_ms
-        self._timer = self._running.front_end.loop.wheel.after(due_ms - now_ms, self._tick)
+        self._timer = self._running.front_end.loop.timers.after(due_ms - now_ms, self._tick)
 
     def _log_changes(self, now_ms: float, replica: Replica) -> None:
         """Log whether the replica is complete, where that changed, and conflicts."""
@@ -339,7 +339,7 @@
             sent_bytes=host.log_server.sent_bytes,
         )
         self._write(m.Send((), status), counts_as="status")
-        host.front_end.loop.wheel.after(STATUS_INTERVAL_MS, self._publish_status)
+        host.front_end.loop.timers.after(STATUS_INTERVAL_MS, self._publish_status)
 
     # --- members' logs ------------------------------------------------------------------------
 
@@ -393,7 +393,7 @@
         if self._membership_file.changed():
             self._take_membership()
         self._running.followed_logs.tidy()
-        self._running.front_end.loop.wheel.after(FILE_CHECK_INTERVAL_MS, self._check_files)
+        self._running.front_end.loop.timers.after(FILE_CHECK_INTERVAL_MS, self._check_files)
 
     def _take_membership(self) -> None:
         try:
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -1,8 +1,8 @@
 """Recovery admission in virtual time: a real timer wheel, and answers of all others by the test."""
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.requests import Call, Refused
-from fawnwharf.net.timer_wheel import Wheel
+from fawnwharf.net.requests import Call, Rejected
+from fawnwharf.net.timer_wheel import TimerWheel
 from fawnwharf.recovery_core.budget import FleetLimits
 from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
@@ -59,9 +59,9 @@
 class Ground:
     """The admission under test, and the table below it."""
 
-    def __init__(self, stage=RecoveryPhase.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
+    def __init__(self, stage=RecoveryPhase.ALL_CALLS, rate_ps=1e6, promises=None, limits=LIMITS, **more):
         self.now = 0.0
-        self.wheel = Wheel(lambda: self.now)
+        self.timers = TimerWheel(lambda: self.now)
         self.giving, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
         self.door = RecoveryAdmission(self, self, CLASSES, limits, promises, clock=lambda: self.now)
         self.numbers, self.taken, self.passed = 0, 0, set()
@@ -78,14 +78,14 @@
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 4.0)
-            self.wheel.advance()
+            self.timers.advance()
 
     def take(self, call):
         """Take a call, as the table below; fails for a call taken twice."""
         assert call.id not in self.passed, "a call twice"
         self.passed.add(call.id)
         if self.at_once:
-            call.reply(Refused(9.0))
+            call.reply(Rejected(9.0))
             return None
         self.taken += 1
         key = f"r{self.taken}"
