--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -12,20 +12,20 @@
 from typing import Protocol
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.past import Past
-from fawnwharf.prefetch.seen import Group, Track, Watcher
-from fawnwharf.prefetch.settings import Foresight
+from fawnwharf.prefetch.move_history import MoveHistory
+from fawnwharf.prefetch.session_monitor import SessionGroup, SessionMonitor, SessionRate
+from fawnwharf.prefetch.settings import PrefetchSettings
 from fawnwharf.prefetch.slices import Slices
-from fawnwharf.session_types import Move, Session
+from fawnwharf.session_types import PredictedMove, Session
 
 SPAN_MOST_MS = 3_600_000.0
 MOVES, GROUPS, RISING = 40, 30, 30  # of one slice
 FLUXES_MOST = 10_000
 
-Parts = tuple[tuple[str, float], ...]  # sites and the parts of a session's calls that go there
-Whither = Callable[[Session, str], Parts]
-Place = Callable[[Session, str], float | None]
-Belongs = Callable[[Session], str]
+ZoneShares = tuple[tuple[str, float], ...]  # sites and the parts of a session's calls that go there
+NextZones = Callable[[Session, str], ZoneShares]
+ReturnPosition = Callable[[Session, str], float | None]
+HomeZone = Callable[[Session], str]
 
 
 class Predictor(Protocol):
@@ -33,58 +33,65 @@
 
     name: str
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult, /) -> Slices[None]:
         """Take the result of one pass."""
         ...
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float, /) -> Slices[list[PredictedMove]]:
         """The moves expected within `span_ms`, with their probabilities."""
         ...
 
 
-class Nothing:
+class NoMovePredictor:
     """Predicts no move: the baseline of the others."""
 
     name = "nothing"
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, _now_ms: float, _watch: SessionMonitor, _beat: m.ScanResult) -> Slices[None]:
         """Nothing is learnt."""
         yield
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, _now_ms: float, _watch: SessionMonitor, _span_ms: float) -> Slices[list[PredictedMove]]:
         """No moves."""
         yield
         return []
 
 
-# Sessions that stand in one group and go the same way: (chance, group, whence, whither).
-_Way = tuple[float, Group, str, str]
+# Sessions that stand in one group and go the same way: (chance, group, source, destination).
+_Way = tuple[float, SessionGroup, str, str]
 
 
-def _by_chance(
-    now_ms: float,
-    watch: Watcher,
-    ways: list[_Way],
-    by: str,
-    past: Past | None,
-    settings: Foresight,
-    span_ms: float,
-    ahead: float,
-) -> Slices[list[Move]]:
-    """Moves of the sessions in `ways`, the likeliest first, until there are twice as many as may be named.
+@dataclass(frozen=True, slots=True)
+class _Pass:
+    """What one predictor uses in one pass.
 
-    `past` gives the chance that a session lives for `ahead` milliseconds more.
+    `past` gives the chance that a session lives for `alive_ms` more; None: all live on.
     """
-    found: list[Move] = []
-    for chance, group, whence, whither in sorted(ways, key=lambda way: -way[0]):
-        if len(found) >= 2 * settings.most:
+
+    now_ms: float
+    watch: SessionMonitor
+    settings: PrefetchSettings
+    predictor: str
+    span_ms: float
+    past: MoveHistory | None
+    alive_ms: float
+
+
+def _by_chance(this: _Pass, ways: list[_Way]) -> Slices[list[PredictedMove]]:
+    """Moves of the sessions in `ways`, the likeliest first, until there are twice as many as may be named."""
+    most = this.settings.most
+    found: list[PredictedMove] = []
+    for chance, group, source, destination in sorted(ways, key=lambda way: -way[0]):
+        if len(found) >= 2 * most:
             break
-        for session in group.busiest(settings.most):
-            track = watch.tracks.get(session)
+        for session in group.busiest(most):
+            track = this.watch.tracks.get(session)
             if track is None:
                 continue
-            lives = past.lives(now_ms, session, track, ahead) if past else 1.0
-            found.append(Move(session, whence, whither, span_ms, chance * lives, by))
+            lives = this.past.lives(this.now_ms, session, track, this.alive_ms) if this.past else 1.0
+            found.append(
+                PredictedMove(session, source, destination, this.span_ms, chance * lives, this.predictor)
+            )
             if len(found) % MOVES == 0:
                 yield
     return found
@@ -99,7 +106,7 @@
     at_ms: float
 
 
-class Trend:
+class TrendPredictor:
     """Predicts from recent rates and their slope.
 
     Sessions follow others that have just left the same zone: the flux of the fast window, increased by its
@@ -108,18 +115,18 @@
 
     name = "trend"
 
-    def __init__(self, settings: Foresight) -> None:
+    def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
-        self.past: Past | None = None  # for survival; None: all live on
+        self.past: MoveHistory | None = None  # for survival; None: all live on
         self._flux: dict[tuple[str, str, str], _Flux] = {}
         self._called: dict[Session, None] = {}
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """Count moves, and remember which sessions called at several zones."""
         for n, moved in enumerate(beat.moved):
             if n % MOVES == MOVES - 1:
                 yield
-            key = (moved.session.org, moved.whence, moved.whither)
+            key = (moved.session.org, moved.source, moved.destination)
             flux = self._flux.pop(key, None) or _Flux(0.0, 0.0, now_ms)
             self._flux[key] = self._faded(flux, now_ms)  # the last one, so that the first is the oldest
             self._flux[key].fast += 1.0
@@ -142,14 +149,14 @@
         fast = flux.fast * math.exp(span / self.settings.fast_ms)
         return _Flux(fast, flux.slow * math.exp(span / self.settings.slow_ms), now_ms)
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
         """Sessions that follow a flux, and sessions whose calls shift to another zone."""
         settings = self.settings
         ways: list[_Way] = []
-        for n, ((org, whence, whither), held) in enumerate(self._flux.items()):
+        for n, ((org, source, destination), held) in enumerate(self._flux.items()):
             if n % GROUPS == GROUPS - 1:
                 yield
-            group = watch.groups.get((org, whence))
+            group = watch.groups.get((org, source))
             flux = self._faded(held, now_ms)
             if not group or flux.fast < 0.5:
                 continue
@@ -157,41 +164,42 @@
             hazard = max(0.0, fast + max(0.0, fast - slow)) / (len(group) + flux.fast)
             chance = 1.0 - math.exp(-hazard * span_ms)
             if chance >= settings.floor:
-                ways.append((chance, group, whence, whither))
-        found = yield from _by_chance(now_ms, watch, ways, self.name, self.past, settings, span_ms, 0.0)
+                ways.append((chance, group, source, destination))
+        this = _Pass(now_ms, watch, settings, self.name, span_ms, self.past, 0.0)
+        found = yield from _by_chance(this, ways)
         for n, session in enumerate(self._called):
             if n % RISING == RISING - 1:
                 yield
             track = watch.tracks.get(session)
             if track is not None and len(track.flows) > 1 and len(found) < 3 * settings.most:
                 found += self._rising(session, track, span_ms)
-        return heapq.nlargest(settings.most, found, key=lambda move: move.chance)
+        return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
-    def _rising(self, session: Session, track: Track, span_ms: float) -> list[Move]:
+    def _rising(self, session: Session, track: SessionRate, span_ms: float) -> list[PredictedMove]:
         fast, slow = (sum(getattr(f, n) for f in track.flows) or 1.0 for n in ("fast", "slow"))
         found = []
         for flow in track.flows:
             share, before = flow.fast / fast, flow.slow / slow
             ahead = min(0.95, share + (share - before) * span_ms / self.settings.slow_ms)
             if flow.site != track.site and share > before and ahead >= self.settings.floor:
-                found.append(Move(session, track.site, flow.site, span_ms, ahead, self.name))
+                found.append(PredictedMove(session, track.site, flow.site, span_ms, ahead, self.name))
         return found
 
 
-class Learnt:
+class HistoryPredictor:
     """Predicts from the history by tenant, zones and phase of the day, and from how long sessions live."""
 
     name = "learnt"
 
-    def __init__(self, settings: Foresight) -> None:
+    def __init__(self, settings: PrefetchSettings) -> None:
         self.settings = settings
-        self.past = Past(settings)
+        self.past = MoveHistory(settings)
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """Add the result of one pass to the history."""
         yield from self.past.learning(now_ms, watch, beat)
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
         """Moves by the hazards of the history."""
         settings = self.settings
         ways: list[_Way] = []
@@ -203,15 +211,16 @@
             if total <= 0.0:
                 continue
             leaves = 1.0 - math.exp(-total)
-            for whither, hazard in sorted(hazards.items()):
+            for destination, hazard in sorted(hazards.items()):
                 chance = leaves * hazard / total
-                if chance >= settings.floor and whither != site:
-                    ways.append((chance, group, site, whither))
-        found = yield from _by_chance(now_ms, watch, ways, self.name, self.past, settings, span_ms, span_ms)
-        return heapq.nlargest(settings.most, found, key=lambda move: move.chance)
+                if chance >= settings.floor and destination != site:
+                    ways.append((chance, group, site, destination))
+        this = _Pass(now_ms, watch, settings, self.name, span_ms, self.past, span_ms)
+        found = yield from _by_chance(this, ways)
+        return heapq.nlargest(settings.most, found, key=lambda move: move.probability)
 
 
-def _nowhere(_session: Session, _site: str) -> Parts:
+def _nowhere(_session: Session, _site: str) -> ZoneShares:
     return ()
 
 
@@ -223,28 +232,37 @@
     return None
 
 
-class Plans:
+@dataclass(frozen=True, slots=True)
+class ZoneRules:
+    """Where sessions belong, and where they go while a zone is closed."""
+
+    destination: NextZones = _nowhere  # zones and shares for a session whose zone is closed
+    place: ReturnPosition = _unplaced  # position of a session in a zone's order of return, from 0 to 1
+    belongs: HomeZone = _homeless  # the zone of a session
+
+
+class PlanPredictor:
     """Predicts what was announced, as certain.
 
-    A session at a zone that is drained goes where `whither` says (zones and shares, as the plan's flows have
-    it). One that left a zone which returns goes back once the open part covers its place; where its place is
-    unknown, the chance is the step's share of those that are left.
+    A session at a zone that is drained goes where `destination` says (zones and shares, as the plan's flows
+    have it). One that left a zone which returns goes back once the open part covers its position; where that
+    is unknown, the probability is the step's share of those that are left.
     """
 
     name = "announced"
 
     def __init__(
         self,
-        settings: Foresight,
-        whither: Whither = _nowhere,
-        place: Place = _unplaced,
-        belongs: Belongs = _homeless,
+        settings: PrefetchSettings,
+        destination: NextZones = _nowhere,
+        place: ReturnPosition = _unplaced,
+        belongs: HomeZone = _homeless,
     ) -> None:
-        self.settings, self.whither, self.place, self.belongs = settings, whither, place, belongs
-        self.past: Past | None = None  # for survival; None: all live on
-        self._plans: dict[str, tuple[float, m.Announced]] = {}
+        self.settings, self.destination, self.place, self.belongs = settings, destination, place, belongs
+        self.past: MoveHistory | None = None  # for survival; None: all live on
+        self._plans: dict[str, tuple[float, m.AnnouncedPlan]] = {}
 
-    def announced(self, now_ms: float, plan: m.Announced) -> bool:
+    def announced(self, now_ms: float, plan: m.AnnouncedPlan) -> bool:
         """Take a plan, unless a later one of that zone is known. Repeats change nothing."""
         known = self._plans.get(plan.site)
         if known is not None and plan.number <= known[1].number:
@@ -256,13 +274,13 @@
         """Zones on standby: no session goes there by itself."""
         return frozenset(site for site, (_, plan) in self._plans.items() if plan.kind == "standby")
 
-    def learn(self, now_ms: float, watch: Watcher, beat: m.Beat) -> Slices[None]:
+    def learn(self, _now_ms: float, _watch: SessionMonitor, _beat: m.ScanResult) -> Slices[None]:
         """Nothing is learnt."""
         yield
 
-    def moves(self, now_ms: float, watch: Watcher, span_ms: float) -> Slices[list[Move]]:
+    def moves(self, now_ms: float, watch: SessionMonitor, span_ms: float) -> Slices[list[PredictedMove]]:
         """Moves by the steps of the announced plans that are due within `span_ms`."""
-        found: list[Move] = []
+        found: list[PredictedMove] = []
         for site, (told_ms, plan) in sorted(self._plans.items()):
             was = 1.0 if plan.kind == "drain" else 0.0
             for step in plan.steps:
@@ -273,16 +291,16 @@
                     way = self._leave if falls else self._return
                     found += yield from way(now_ms, watch, site, was, step.open, ahead)
                 was = step.open
-        return heapq.nlargest(self.settings.most, found, key=lambda move: move.chance)
+        return heapq.nlargest(self.settings.most, found, key=lambda move: move.probability)
 
-    def _lives(self, now_ms: float, session: Session, track: Track, ahead_ms: float) -> float:
+    def _lives(self, now_ms: float, session: Session, track: SessionRate, ahead_ms: float) -> float:
         return self.past.lives(now_ms, session, track, ahead_ms) if self.past else 1.0
 
     def _leave(
-        self, now_ms: float, watch: Watcher, site: str, was: float, left: float, ahead: float
-    ) -> Slices[list[Move]]:
-        found: list[Move] = []
-        group = watch.here.get(site, Group())
+        self, now_ms: float, watch: SessionMonitor, site: str, was: float, left: float, ahead: float
+    ) -> Slices[list[PredictedMove]]:
+        found: list[PredictedMove] = []
+        group = watch.here.get(site, SessionGroup())
         for n, session in enumerate(group.busiest(4 * self.settings.most)):
             if n % MOVES == MOVES - 1:
                 yield
@@ -295,17 +313,19 @@
             if part <= 0.0:
                 continue
             part *= self._lives(now_ms, session, track, max(0.0, ahead))
-            for target, share in self.whither(session, site):
+            for target, share in self.destination(session, site):
                 if part * share > 0 and target != site:
                     within = min(SPAN_MOST_MS, max(0.0, ahead) + self.settings.fast_ms)
-                    found.append(Move(session, site, target, within, min(1.0, part * share), self.name))
+                    found.append(
+                        PredictedMove(session, site, target, within, min(1.0, part * share), self.name)
+                    )
         return found
 
     def _return(
-        self, now_ms: float, watch: Watcher, site: str, was: float, open_: float, ahead: float
-    ) -> Slices[list[Move]]:
-        found: list[Move] = []
-        back = watch.left.get(site, Group()).busiest(4 * self.settings.most)
+        self, now_ms: float, watch: SessionMonitor, site: str, was: float, open_: float, ahead: float
+    ) -> Slices[list[PredictedMove]]:
+        found: list[PredictedMove] = []
+        back = watch.left.get(site, SessionGroup()).busiest(4 * self.settings.most)
         yield
         # Those that began while the site was out have never been there. Bounded: the last that called.
         latest = watch.tracks.latest(4 * self.settings.most)
@@ -331,5 +351,5 @@
             part *= self._lives(now_ms, session, track, max(0.0, ahead))
             if part > 0:
                 within = min(SPAN_MOST_MS, max(0.0, ahead) + self.settings.fast_ms)
-                found.append(Move(session, track.site, site, within, min(1.0, part), self.name))
+                found.append(PredictedMove(session, track.site, site, within, min(1.0, part), self.name))
         return found
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -51,11 +51,11 @@
 
 def _status(membership: Membership, name: str) -> m.Status:
     """A member's status; raises _NoAnswerError, and ends the command for an unknown member."""
-    entry = membership.named(name)
-    if entry is None or not entry.state:
+    entry = membership.find_member(name)
+    if entry is None or not entry.replication_address:
         _fail(f"state: no member {name} with a log of state")
     try:
-        return fetch_status(entry.state)
+        return fetch_status(entry.replication_address)
     except (OSError, ValueError, msgspec.ValidationError) as error:
         raise _NoAnswerError(str(error) or type(error).__name__) from None
 
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -112,7 +112,7 @@
             raise LineError(f"of fleet {line.fleet}")
         if line.sender != sender:
             raise LineError(f"says that it is {line.sender}, and is {sender}")
-        if self.membership.named(sender) is None:
+        if self.membership.find_member(sender) is None:
             self.counts[ReplicationCounter.LINES_NOT_FROM_MEMBER] += 1
             return []
         self.last_heard[sender] = line.incarnation, now_ms
@@ -328,7 +328,7 @@
         return known, best.report.front_ends if best else 0
 
     def _fleet_size(self, front_ends: int) -> int:
-        return max(front_ends, sum(bool(member.state) for member in self.membership.members))
+        return max(front_ends, sum(bool(member.replication_address) for member in self.membership.members))
 
     # --- members ------------------------------------------------------------------------------
 
--- a/fawnwharf/replication/directed_log.py
+++ b/fawnwharf/replication/directed_log.py
@@ -51,7 +51,7 @@
 
     def forget(self, name: str) -> None:
         """Drop the Hello to a member whose log is not followed any more."""
-        self._counting.pop(("hello", name), None)
+        self._current_lines.pop(("hello", name), None)
 
     def send(self, line: Any, recipients: tuple[str, ...] = (), counts_as: Hashable = None) -> None:
         """Write a line for these readers, for all where none is named.
@@ -59,7 +59,7 @@
         With a key, it is current until the next line of that key, and sent to whoever comes.
         """
         if counts_as is not None:
-            self._counting[counts_as] = line
+            self._current_lines[counts_as] = line
         data = line_encoder.encode(line)
         for reader in self.readers:
             if reader.since is None:
@@ -67,7 +67,7 @@
             if recipients and self._names.get(reader.since, recipients[0]) not in recipients:
                 continue
             self._sent[reader] = number = self._sent.get(reader, 0) + 1
-            text = b'{"seq":%d,"life":%d,"line":%b}\n' % (number, self.life, data)
+            text = b'{"seq":%d,"life":%d,"line":%b}\n' % (number, self.incarnation, data)
             self.sent_lines += 1
             self.sent_bytes += len(text)
             reader.connection.write(text)
@@ -76,8 +76,8 @@
         """Send the current lines to a new reader, whose numbers begin with them."""
         self._sent = {known: number for known, number in self._sent.items() if known in self.readers}
         self._sent[reader] = 1
-        head = {"seq": 1, "life": self.life, "whole": True}
-        for item in [{**head, "line": line} for line in self._counting.values()] or [head]:
+        head = {"seq": 1, "life": self.incarnation, "whole": True}
+        for item in [{**head, "line": line} for line in self._current_lines.values()] or [head]:
             reader.connection.write(line_encoder.encode(item) + b"\n")
         if name := self._names.get(reader.since):
             self.on_follower(name)
@@ -110,7 +110,7 @@
         """Ask for the log with a new number."""
         if self._connection is None:
             return
-        self.seq = self.life = 0
+        self.seq = self.incarnation = 0
         reader_number = secrets.randbits(NUMBER_BITS) + FIRST_NUMBER
         self._connection.write(b"since %d\n" % reader_number)
         self._send_hello(reader_number)
--- a/fawnwharf/replication/followed_logs.py
+++ b/fawnwharf/replication/followed_logs.py
@@ -50,8 +50,8 @@
     def signs_of_life(self) -> Iterator[tuple[str, int, float]]:
         """Members that are connected: name, incarnation, and when their log was last heard."""
         for name, log in self._logs.items():
-            if log.up and log.life:
-                yield name, log.life, log.heard_ms
+            if log.up and log.incarnation:
+                yield name, log.incarnation, log.heard_ms
 
     def tidy(self) -> None:
         """Reconnect what has been silent, as the change log does."""
--- a/fawnwharf/replication/membership_file.py
+++ b/fawnwharf/replication/membership_file.py
@@ -18,17 +18,17 @@
         self._path, self._settings = path, settings
         self.membership: Membership = load_file(path, membership_from, "state")
         self._stamp = self._current_stamp()
-        entry = self.membership.named(name)
+        entry = self.membership.find_member(name)
         if entry is None:
             raise ConfigError(f"state: {name} is not among the members of {path}")
-        if not entry.state:
+        if not entry.replication_address:
             raise ConfigError(f"state: {name} has no `state` in {path}")
         try:
             check_members(self.membership, settings)
         except SettingsFileError as error:
             raise ConfigError(f"state: {path}: {error}") from None
         self.own_entry: MemberEntry = entry
-        self.own_place: str = entry.state
+        self.own_place: str = entry.replication_address
 
     def _current_stamp(self) -> FileStamp | None:
         try:
@@ -49,7 +49,7 @@
         """The file's membership now; raises OSError or SettingsFileError where it can't be taken."""
         membership = membership_from(self._path.read_bytes())
         check_members(membership, self._settings)
-        entry = membership.named(self.own_entry.name)
-        if entry is None or entry.state != self.own_place:
+        entry = membership.find_member(self.own_entry.name)
+        if entry is None or entry.replication_address != self.own_place:
             raise SettingsFileError(f"members: {self.own_entry.name} is not as it was")
         return membership
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -350,9 +350,9 @@
         if self.core.replica:
             names |= {member.name for member in members}
         places = {
-            member.name: member.state
+            member.name: member.replication_address
             for member in members
-            if member.state and member.name in names and member.name != self.member.name
+            if member.replication_address and member.name in names and member.name != self.member.name
         }
         for name in self._running.followed_logs.follow(places):
             self._running.log_server.forget(name)
--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -13,8 +13,8 @@
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
-from fawnwharf.prefetch.settings import Prices, foresight_from
-from fawnwharf.prefetch.ways import foretold_from
+from fawnwharf.prefetch.baseline_strategies import parse_known_moves
+from fawnwharf.prefetch.settings import Prices, decode_prefetch_settings
 from fawnwharf.replication.service import ReplicationService
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.agent import Agent
@@ -47,21 +47,21 @@
         `memory` is the file for the next process, `policies` the part by which policy changes.
         """
         self.state, self.agent, self.zones, self.policies = state, agent, zones, policies
-        bounds = load_file(path, foresight_from, "sessions")
+        bounds = load_file(path, decode_prefetch_settings, "sessions")
         costs = deployment.costs
         self.staging = Staging(
             agent.name,
             bounds,
             deployment.settings,
             Prices(costs.origin, costs.waste, costs.probe, costs.memory),
-            whither=self._whither,
+            destination=self._next_zones,
             place=place_of,
             belongs=lambda session: agent.moves.away.get(session, ""),
         )
         self._told = WatchedFile(path.parent / bounds.told) if bounds.told else None
         self._told_ms = float("-inf")
         if bounds.told:
-            load_file(path.parent / bounds.told, foretold_from, "sessions")
+            load_file(path.parent / bounds.told, parse_known_moves, "sessions")
         self._memory = memory
         with contextlib.suppress(OSError):  # none was left
             self.staging.learn(monotonic_ms(), memory.read_bytes())
@@ -73,7 +73,7 @@
         self._stopped = False
         self.front: FrontEnd | None = None
 
-    def _whither(self, session: Session, site: str) -> tuple[tuple[str, float], ...]:
+    def _next_zones(self, session: Session, site: str) -> tuple[tuple[str, float], ...]:
         found = self.agent.target(session, site)
         return ((found, 1.0),) if found else ()
 
@@ -132,7 +132,7 @@
         self._told_ms = now_ms
         if (data := self._told.changed()) is not None:
             with contextlib.suppress(SettingsFileError):
-                self.staging.foretold(now_ms, unix_ms(), foretold_from(data))
+                self.staging.foretold(now_ms, unix_ms(), parse_known_moves(data))
 
     def _look(self, now_ms: float) -> Seen:
         if self._told is not None and now_ms - self._told_ms >= TOLD_MS:
@@ -150,7 +150,7 @@
             heard=tuple(n for n in agent.keepers if n in agent.alive or n == agent.name),
             waiting=sum(request not in sent for request in module.requests),
             refused=agent.counts["calls without an answer"],
-            ordered=len(module.ordered),
+            ordered=len(module.load_orders_ms),
             disturbed=frozenset(name for name, state in states.items() if state == OUT),
             out=frozenset(out_by_plan | agent.moves.closed.keys()),
         )
--- a/tests/test_overlay.py
+++ b/tests/net/test_net_roster_overlay.py
@@ -136,7 +136,7 @@
         rig = Rig(one, two)
         self.addCleanup(rig.close)
         rig.front._extension, extension.front = extension, rig.front
-        workers = rig.front.router.workers
+        workers = rig.front.router.scorers
         rig.until(lambda: len(workers) == 2, "both are known")
         for who in ("zones", "state"):
             rig.front.apply_fleet(rig.front.roster_overlay.set_filter(who, lambda member: member.id == "s-1"))
--- a/tests/test_starts.py
+++ b/tests/net/test_net_scorer_start_times.py
@@ -81,7 +81,7 @@
 def test_a_scorer_that_restarts_by_another_clock_is_cold_now_and_its_copies_are_believed(rig, apart_ms):
     rig.log.say(rig.front.change_log.seq)
     rig.until(lambda: rig.front.change_log.told_all_ms is not None, "the log is followed")
-    seq, worker = rig.front.change_log.seq + 1, rig.front.router.workers[scorer_number("s-1")]
+    seq, worker = rig.front.change_log.seq + 1, rig.front.router.scorers[scorer_number("s-1")]
     cold_ms = rig.front.deployment.settings.slow_start_ms
     member = rig.scorers[0].member(up_since_ms=unix_ms() + apart_ms)
     rig.log.say({"seq": seq, "fleet": {"members": [member]}})
@@ -90,4 +90,4 @@
     rig.client().call(seqid=1)
     fns, copies = rig.front.router.functions, rig.front.router._copies
     rig.until(lambda: any(copies(fn, worker) for fn in fns.values()), "the copy that answers is believed")
-    assert [line for line in rig.lines if "apart from this one" in line]
+    assert [line for line in rig.lines if "differs from this one" in line]
