--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -119,7 +119,9 @@
 
     def _sites(self) -> dict[str, str]:
         return {
-            entry.name: entry.zone for entry in self.state.core.members.members if entry.replication_address
+            entry.name: entry.zone
+            for entry in self.state.core.membership.members
+            if entry.replication_address
         }
 
     # --- life -----------------------------------------------------------------------------------
