--- a/fawnwharf/prefetch/baseline_strategies.py
+++ b/fawnwharf/prefetch/baseline_strategies.py
@@ -23,11 +23,12 @@
 from fawnwharf.session_types import Identifier, PrefetchOrder, Session
 from fawnwharf.zones.settings import SettingsFileError
 
-QUEUE_MOST = 20_000
+MAX_QUEUE = 20_000
 RENEW_PART = 0.75  # of an idle life: by then what stands idle is renewed
 LEAD_MS = 500.0  # by which the oracle's loads are ready before they are needed
-LOOKED, TRIED = 100, 20  # of one slice: sessions, places that are ordered for
-LINES_MOST = 200_000
+SESSIONS_PER_SLICE = 100
+ORDERS_PER_SLICE = 20
+MAX_LINES = 200_000
 
 
 class KnownMove(Struct, frozen=True):
@@ -45,8 +46,8 @@
     for n, line in enumerate(data.splitlines(), 1):
         if not line.strip():
             continue
-        if len(found) >= LINES_MOST:
-            raise SettingsFileError(f"foresight.told: line {n}: more than {LINES_MOST}")
+        if len(found) >= MAX_LINES:
+            raise SettingsFileError(f"foresight.told: line {n}: more than {MAX_LINES}")
         try:
             found.append(msgspec.json.decode(line, type=KnownMove))
         except (msgspec.DecodeError, RecursionError) as error:
@@ -105,7 +106,7 @@
         return (yield from self._order(now_ms, view))
 
     def _want(self, row: str, site: str) -> None:
-        if len(self._queue) >= QUEUE_MOST and (row, site) not in self._queue:
+        if len(self._queue) >= MAX_QUEUE and (row, site) not in self._queue:
             self.dropped += 1
         else:
             self._queue[row, site] = None
@@ -114,7 +115,7 @@
         watch, most = self.watch, 4 * self.bounds.most
         for site in sorted(out - self._out):
             for n, session in enumerate(watch.here.get(site, SessionGroup()).busiest(most)):
-                if n % LOOKED == LOOKED - 1:
+                if n % SESSIONS_PER_SLICE == SESSIONS_PER_SLICE - 1:
                     yield
                 for target, _ in self.destination(session, site):
                     self._want(session.row, target)
@@ -122,7 +123,7 @@
             back = watch.left.get(site, SessionGroup()).busiest(most)
             back |= dict.fromkeys(one for one in watch.tracks.latest(most) if self.belongs(one) == site)
             for n, session in enumerate(back):
-                if n % LOOKED == LOOKED - 1:
+                if n % SESSIONS_PER_SLICE == SESSIONS_PER_SLICE - 1:
                     yield
                 track = watch.tracks.get(session)
                 if track is not None and track.site != site:
@@ -133,7 +134,7 @@
             self._turn = list(self.watch.tracks)
         sites = [site for site in self.sites() if site not in out]
         for n in range(min(len(self._turn), 4 * self.bounds.most)):
-            if n % LOOKED == LOOKED - 1:
+            if n % SESSIONS_PER_SLICE == SESSIONS_PER_SLICE - 1:
                 yield
             session = self._turn.pop()
             track = self.watch.tracks.get(session)
@@ -162,7 +163,7 @@
         free = self.bounds.mode == "oracle"
         ration, found = view.ration, []
         for n, key in enumerate(list(self._queue)):
-            if n % TRIED == TRIED - 1:
+            if n % ORDERS_PER_SLICE == ORDERS_PER_SLICE - 1:
                 yield
             if n >= self.bounds.most or ration < 1.0:
                 break
@@ -183,7 +184,7 @@
             del self._queue[key]
             self._asked.pop(key, None)
             self._asked[key] = now_ms
-            if len(self._asked) > 5 * QUEUE_MOST:
+            if len(self._asked) > 5 * MAX_QUEUE:
                 del self._asked[next(iter(self._asked))]
             ration -= 1.0
             if fetch and not free:
--- a/fawnwharf/prefetch/fleet_model.py
+++ b/fawnwharf/prefetch/fleet_model.py
@@ -17,9 +17,9 @@
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
 
-LOADS_MOST = 4  # of a scorer at a time
+MAX_LOADS = 4  # of a scorer at a time
 FETCH_PART = 0.6  # of a load's time is the fetch
-STORE_MOST = 5  # fetches that the store serves at a time; others wait in turn
+MAX_STORE_FETCHES = 5  # fetches that the store serves at a time; others wait in turn
 CORE_PART = 0.08  # of a load's time takes a core
 
 
@@ -122,7 +122,7 @@
         self.window = Tally()  # of calls since measuring began
         self.measures = False
         self.mean = mean_worth(site.classes)
-        self.store = [0.0] * STORE_MOST  # until when each of its places is taken, a heap
+        self.store = [0.0] * MAX_STORE_FETCHES  # until when each of its places is taken, a heap
         self.taken: list[float] = []  # calls and orders of the ration's window
         self.orders: list[float] = []
         self.down: set[str] = set()
@@ -232,7 +232,7 @@
                 return None
             self._drop(scorer, min(idle, key=lambda copy: (copy.used_ms, copy.row)))
         loading = sorted(copy.ready_ms for copy in scorer.copies.values() if copy.ready_ms > now_ms)
-        begins = loading[-LOADS_MOST] if len(loading) >= LOADS_MOST else now_ms
+        begins = loading[-MAX_LOADS] if len(loading) >= MAX_LOADS else now_ms
         begins = max(begins, self.store[0])
         fetch = FETCH_PART * facts.load_ms
         heapq.heapreplace(self.store, begins + fetch)
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -19,9 +19,12 @@
 
 MAX_HASH_ORDERS = 512  # hash orders kept in mind
 MAX_PLACES = 20_000  # functions with copies, of a site
-RESTS_MS = 5_000.0  # a scorer that was full, or bad, is not staged at for so long
-GAIN = 0.2  # weight of one run or load in what is held of a function
-RUN_MS, LOAD_MS, MEMORY_MB = 200.0, 1_000.0, 256.0  # guesses where nothing was seen or told
+REST_MS = 5_000.0  # a scorer that was full, or bad, is not staged at for so long
+SMOOTHING = 0.2  # weight of one run or load in what is held of a function
+# Guesses where nothing was observed or reported.
+RUN_MS = 200.0
+LOAD_MS = 1_000.0
+MEMORY_MB = 256.0
 
 
 class ScorerView(Router):
@@ -60,7 +63,7 @@
 
     def rest(self, now_ms: float, worker: int) -> None:
         """Give no prefetch order to a scorer for `RESTS_MS`: it was full, or failed."""
-        self._resting_until_ms[worker] = now_ms + RESTS_MS
+        self._resting_until_ms[worker] = now_ms + REST_MS
 
     def zone(self, worker: int) -> str:
         """The zone of a scorer; empty where it is unknown."""
@@ -126,8 +129,8 @@
         return 1_000.0 * len(self.taken) / max(1.0, self.stretch_ms)
 
 
-AMOUNT_MOST = 1e9
-Amount = Annotated[float, Meta(ge=0.0, le=AMOUNT_MOST)]
+MAX_AMOUNT = 1e9
+Amount = Annotated[float, Meta(ge=0.0, le=MAX_AMOUNT)]
 
 
 class FunctionReport(Struct, frozen=True, array_like=True, gc=False):
@@ -169,10 +172,10 @@
         fact = self._fact(event.function, event.class_name, max(1, event.lanes))
         fact.class_name, fact.lanes, fact.own = event.class_name, min(1_024, max(1, event.lanes)), True
         if event.memory_mb is not None:
-            fact.memory_mb = min(AMOUNT_MOST, max(0.0, event.memory_mb))
+            fact.memory_mb = min(MAX_AMOUNT, max(0.0, event.memory_mb))
             self.memory_mb += 0.02 * (fact.memory_mb - self.memory_mb)
         if event.load_ms is not None and fact.load_ms is None:
-            fact.load_ms = min(AMOUNT_MOST, max(0.0, event.load_ms))
+            fact.load_ms = min(MAX_AMOUNT, max(0.0, event.load_ms))
         if now_ms - fact.told_ms >= self.tell_ms:
             self._due[event.function] = None
 
@@ -242,7 +245,7 @@
 
 
 def _toward(held: float | None, seen: float) -> float:
-    return seen if held is None else held + GAIN * (seen - held)
+    return seen if held is None else held + SMOOTHING * (seen - held)
 
 
 class _Place(Struct, eq=False, gc=False):
--- a/fawnwharf/prefetch/learned_state.py
+++ b/fawnwharf/prefetch/learned_state.py
@@ -16,9 +16,10 @@
 from fawnwharf.prefetch.prefetcher import Prefetcher
 
 VERSION = 1
-ROWS_MOST, FUNCTIONS_MOST = 5_000, 2_000
-SIZE_MOST = 2 * 1024 * 1024
-SUMS = ("weight", "brier", "base", "loss", "base_loss", "net", "spent")
+MAX_ROWS = 5_000  # of each table of the history
+MAX_FUNCTIONS = 2_000
+MAX_SIZE = 2 * 1024 * 1024  # bytes
+SCORE_FIELDS = ("weight", "brier", "base", "loss", "base_loss", "net", "spent")
 
 
 class LearnedState(Struct):
@@ -37,12 +38,12 @@
 
 def encode_learned_state(now_ms: float, core: Prefetcher, functions: FunctionTable) -> bytes:
     """Encode what `core` and `functions` have learnt, within the bounds on rows and functions."""
-    moves, stays, ages = core.learnt.past.rows(now_ms, ROWS_MOST)
+    moves, stays, ages = core.learnt.past.rows(now_ms, MAX_ROWS)
     scores = {}
     for name, sums in core.scores.sums.items():
         sums.fade(now_ms, core.bounds.score_ms)
-        scores[name] = tuple(getattr(sums, key) for key in SUMS)
-    told = functions.last(FUNCTIONS_MOST)
+        scores[name] = tuple(getattr(sums, key) for key in SCORE_FIELDS)
+    told = functions.last(MAX_FUNCTIONS)
     bounds = core.bounds
     return msgspec.msgpack.encode(
         LearnedState(VERSION, now_ms, bounds.day_ms, bounds.phases, moves, stays, ages, scores, told)
@@ -54,7 +55,7 @@
 
     That is so where it is malformed, of another version, of other day settings, or from before a reboot.
     """
-    if len(data) > SIZE_MOST:
+    if len(data) > MAX_SIZE:
         return False
     try:
         held = msgspec.msgpack.decode(data, type=LearnedState)
@@ -66,9 +67,9 @@
         return False
     core.learnt.past.take(held.at_ms, held.moves, held.stays, held.ages)
     for name, values in held.scores.items():
-        if len(values) == len(SUMS):
+        if len(values) == len(SCORE_FIELDS):
             sums = ScoreSums(at_ms=held.at_ms)
-            for key, value in zip(SUMS, values, strict=True):
+            for key, value in zip(SCORE_FIELDS, values, strict=True):
                 setattr(sums, key, value)
             core.scores.sums[name] = sums
     for told in held.functions:
--- a/fawnwharf/prefetch/move_history.py
+++ b/fawnwharf/prefetch/move_history.py
@@ -18,7 +18,7 @@
 PRIOR_MS = 10_000.0  # of a session's time without a move, held to be seen: guards against rates of few moves
 MAX_KEYS = 50_000
 AGES = 16  # doublings of a second
-GROUPS = 30  # of one slice
+ROWS_PER_SLICE = 30  # of one slice
 
 Move = tuple[str, str, int, str, float]  # tenant, source, phase, destination, moves
 Stay = tuple[str, str, int, float]  # tenant, site, phase, milliseconds
@@ -55,7 +55,7 @@
         self._last_ms = now_ms
         phase = self.phase(now_ms)
         for n, ((org, site), group) in enumerate(list(watch.groups.items())):
-            if n % GROUPS == GROUPS - 1:
+            if n % ROWS_PER_SLICE == ROWS_PER_SLICE - 1:
                 yield
             stay = self._row(self._stays, (org, site, phase), [0.0, now_ms])
             self._fade(stay, now_ms)
@@ -64,14 +64,14 @@
                 began_ms = group.one().began_ms  # one of each group stands for its ages: bounded work
                 self._age(now_ms, org, now_ms - began_ms, 0.0, span * len(group))
         for n, moved in enumerate(beat.moved):
-            if n % GROUPS == GROUPS - 1:
+            if n % ROWS_PER_SLICE == ROWS_PER_SLICE - 1:
                 yield
             key = (moved.session.org, moved.source, self.phase(moved.at_ms))
             count = self._row(self._moves, key, {}).setdefault(moved.destination, [0.0, now_ms])
             self._fade(count, now_ms)
             count[0] += 1.0
         for n, ended in enumerate(beat.ended):
-            if n % GROUPS == GROUPS - 1:
+            if n % ROWS_PER_SLICE == ROWS_PER_SLICE - 1:
                 yield
             self._age(now_ms, ended.session.org, ended.age_ms, 1.0, 0.0)
 
--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -26,11 +26,15 @@
 from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
 
-HELD_MOST = 4_096  # stages of one front end
+MAX_HELD = 4_096  # stages of one front end
 AWAY_MS = 500.0  # a stage's load may end so much before its calls come
-RESTS_MOST = 20_000
-SPAN_MOST_MS = 3_600_000.0  # of an order: what the message may say
-CALLED, WISHES, ORDERS_MOST = 400, 12, 64  # of one slice; hash orders worked out at one look
+MAX_RELEASED = 20_000
+MAX_SPAN_MS = 3_600_000.0  # of an order: what the message may say
+CALLS_PER_SLICE, WISHES_PER_SLICE, MAX_HASH_ORDERS = (
+    400,
+    12,
+    64,
+)  # of one slice; hash orders worked out at one look
 
 
 @dataclass(slots=True)
@@ -118,7 +122,7 @@
     def marking(self, now_ms: float, beat: m.ScanResult) -> Slices[list[PrefetchRelease]]:
         """The same as `seen`, in slices."""
         for n, calls in enumerate(beat.called if self.held else ()):
-            if n % CALLED == CALLED - 1:
+            if n % CALLS_PER_SLICE == CALLS_PER_SLICE - 1:
                 yield
             key = (calls.session.row, calls.site)
             if (held := self.held.get(key)) is not None:
@@ -186,7 +190,7 @@
         """The moves by function and zone, without those to disturbed zones."""
         wishes: dict[tuple[str, str], _Wish] = {}
         for n, move in enumerate(moves):
-            if n % CALLED == CALLED - 1:
+            if n % CALLS_PER_SLICE == CALLS_PER_SLICE - 1:
                 yield
             if move.destination in self._disturbed:
                 self._skip("a disturbed site")
@@ -204,7 +208,7 @@
         """What is worth ordering, the best value for the price first."""
         candidates = []
         for n, (key, wish) in enumerate(wishes.items()):
-            if n % WISHES == WISHES - 1:
+            if n % WISHES_PER_SLICE == WISHES_PER_SLICE - 1:
                 yield
             candidate = self._weigh(now_ms, key, wish, view, rate_ps)
             if candidate is not None:
@@ -286,7 +290,7 @@
         for move in wish.moves:
             by[move.predictor] = by.get(move.predictor, 0.0) + move.probability
         total = sum(by.values())
-        until = min(facts.load_ms + self._life_ms(facts), SPAN_MOST_MS)
+        until = min(facts.load_ms + self._life_ms(facts), MAX_SPAN_MS)
         wasted = copies * (unused_load_cost(self.settings, self.prices, facts) + self.prices.probe)
         sessions = frozenset(move.session for move in wish.moves)
         shares = {name: part / total for name, part in by.items()}
@@ -302,13 +306,13 @@
         found: list[m.AssignedOrder | PrefetchRelease] = []
         asked = 0
         for one in candidates:
-            if len(self.held) >= HELD_MOST:
+            if len(self.held) >= MAX_HELD:
                 self._skip("too many held")
                 break
             if cause := self._lacks(one, budgets, view):
                 self._skip(cause)
                 continue
-            if (asked := asked + 1) > ORDERS_MOST:
+            if (asked := asked + 1) > MAX_HASH_ORDERS:
                 self._skip("too many hash orders")
                 break
             yield
@@ -393,5 +397,5 @@
     def _rest(self, now_ms: float, key: tuple[str, str]) -> None:
         self._rests.pop(key, None)
         self._rests[key] = now_ms + self.settings.dwell_ms
-        while len(self._rests) > RESTS_MOST:
+        while len(self._rests) > MAX_RELEASED:
             del self._rests[next(iter(self._rests))]
--- a/fawnwharf/prefetch/prediction_scores.py
+++ b/fawnwharf/prefetch/prediction_scores.py
@@ -18,9 +18,9 @@
 from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import PredictedMove, Session
 
-BINS = 10
+BIN_COUNT = 10
 MAX_OPEN = 20_000  # predictions of one predictor whose end is awaited
-KEYS = 100  # of one slice
+KEYS_PER_SLICE = 100  # of one slice
 Key = tuple[Session, str]  # a session and where it is expected
 Open = tuple[float, float]  # an open prediction: its chance, and when it is due
 LEAST_CHANCE = 0.001  # for the log loss: guards against an infinite one
@@ -37,7 +37,7 @@
     base_loss: float = 0.0
     net: float = 0.0  # what stages earned less what they cost, in mean calls
     spent: float = 0.0
-    bins: list[list[float]] = field(default_factory=lambda: [[0.0, 0.0, 0.0] for _ in range(BINS)])
+    bins: list[list[float]] = field(default_factory=lambda: [[0.0, 0.0, 0.0] for _ in range(BIN_COUNT)])
     at_ms: float = 0.0
 
     def fade(self, now_ms: float, span_ms: float) -> None:
@@ -56,7 +56,7 @@
         self.base += seen
         self.loss -= math.log(_apart(chance if came else 1.0 - chance))
         self.base_loss -= math.log(LEAST_CHANCE if came else 1.0 - LEAST_CHANCE)
-        row = self.bins[min(BINS - 1, int(chance * BINS))]
+        row = self.bins[min(BIN_COUNT - 1, int(chance * BIN_COUNT))]
         row[0] += 1.0
         row[1] += chance
         row[2] += seen
@@ -97,7 +97,7 @@
     def noting(self, now_ms: float, moves: list[PredictedMove]) -> Slices[None]:
         """The same as `predicted`, in slices."""
         for n, move in enumerate(moves):
-            if n % KEYS == KEYS - 1:
+            if n % KEYS_PER_SLICE == KEYS_PER_SLICE - 1:
                 yield
             held = self._open.setdefault(move.predictor, {})
             if self._count.get(move.predictor, 0) >= MAX_OPEN:
@@ -126,7 +126,7 @@
         """The moves of a pass; those that nobody predicted are counted."""
         moved: dict[Key, None] = {}
         for n, move in enumerate(beat.moved):
-            if n % KEYS == KEYS - 1:
+            if n % KEYS_PER_SLICE == KEYS_PER_SLICE - 1:
                 yield
             key = (move.session, move.destination)
             moved[key] = None
@@ -138,7 +138,7 @@
         due, found = self._dues.get(by, []), dict.fromkeys(moved)
         while due and due[0][0] < now_ms:
             found[heapq.heappop(due)[2]] = None
-            if len(found) % (2 * KEYS) == 0:
+            if len(found) % (2 * KEYS_PER_SLICE) == 0:
                 yield
         return found
 
@@ -156,7 +156,7 @@
             if key not in held:
                 continue
             done += 1 + len(held[key])
-            if done > KEYS:
+            if done > KEYS_PER_SLICE:
                 done = 0
                 yield
             came, made = key in moved, held.pop(key)
--- a/fawnwharf/prefetch/predictors.py
+++ b/fawnwharf/prefetch/predictors.py
@@ -18,9 +18,11 @@
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.session_types import PredictedMove, Session
 
-SPAN_MOST_MS = 3_600_000.0
-MOVES, GROUPS, RISING = 40, 30, 30  # of one slice
-FLUXES_MOST = 10_000
+MAX_SPAN_MS = 3_600_000.0
+MOVES_PER_SLICE = 40
+GROUPS_PER_SLICE = 30
+RISING_PER_SLICE = 30
+MAX_FLOWS = 10_000
 
 ZoneShares = tuple[tuple[str, float], ...]  # sites and the parts of a session's calls that go there
 NextZones = Callable[[Session, str], ZoneShares]
@@ -92,7 +94,7 @@
             found.append(
                 PredictedMove(session, source, destination, this.span_ms, chance * lives, this.predictor)
             )
-            if len(found) % MOVES == 0:
+            if len(found) % MOVES_PER_SLICE == 0:
                 yield
     return found
 
@@ -124,7 +126,7 @@
     def learn(self, now_ms: float, watch: SessionMonitor, beat: m.ScanResult) -> Slices[None]:
         """Count moves, and remember which sessions called at several zones."""
         for n, moved in enumerate(beat.moved):
-            if n % MOVES == MOVES - 1:
+            if n % MOVES_PER_SLICE == MOVES_PER_SLICE - 1:
                 yield
             key = (moved.session.org, moved.source, moved.destination)
             flux = self._flux.pop(key, None) or _Flux(0.0, 0.0, now_ms)
@@ -133,12 +135,12 @@
             self._flux[key].slow += 1.0
         while self._flux:
             key, flux = next(iter(self._flux.items()))
-            if now_ms - flux.at_ms <= 5 * self.settings.slow_ms and len(self._flux) <= FLUXES_MOST:
+            if now_ms - flux.at_ms <= 5 * self.settings.slow_ms and len(self._flux) <= MAX_FLOWS:
                 break
             del self._flux[key]
         self._called = {}
         for n, calls in enumerate(beat.called):
-            if n % (5 * RISING) == 0:
+            if n % (5 * RISING_PER_SLICE) == 0:
                 yield
             track = watch.tracks.get(calls.session)
             if track is not None and len(track.flows) > 1 and len(self._called) < 2 * self.settings.most:
@@ -154,7 +156,7 @@
         settings = self.settings
         ways: list[_Way] = []
         for n, ((org, source, destination), held) in enumerate(self._flux.items()):
-            if n % GROUPS == GROUPS - 1:
+            if n % GROUPS_PER_SLICE == GROUPS_PER_SLICE - 1:
                 yield
             group = watch.groups.get((org, source))
             flux = self._faded(held, now_ms)
@@ -168,7 +170,7 @@
         this = _Pass(now_ms, watch, settings, self.name, span_ms, self.past, 0.0)
         found = yield from _by_chance(this, ways)
         for n, session in enumerate(self._called):
-            if n % RISING == RISING - 1:
+            if n % RISING_PER_SLICE == RISING_PER_SLICE - 1:
                 yield
             track = watch.tracks.get(session)
             if track is not None and len(track.flows) > 1 and len(found) < 3 * settings.most:
@@ -204,7 +206,7 @@
         settings = self.settings
         ways: list[_Way] = []
         for n, ((org, site), group) in enumerate(list(watch.groups.items())):
-            if n % GROUPS == GROUPS - 1:
+            if n % GROUPS_PER_SLICE == GROUPS_PER_SLICE - 1:
                 yield
             hazards = self.past.hazards(now_ms, org, site, span_ms)
             total = sum(hazards.values())
@@ -302,7 +304,7 @@
         found: list[PredictedMove] = []
         group = watch.here.get(site, SessionGroup())
         for n, session in enumerate(group.busiest(4 * self.settings.most)):
-            if n % MOVES == MOVES - 1:
+            if n % MOVES_PER_SLICE == MOVES_PER_SLICE - 1:
                 yield
             if len(found) >= self.settings.most:
                 break
@@ -315,7 +317,7 @@
             part *= self._lives(now_ms, session, track, max(0.0, ahead))
             for target, share in self.destination(session, site):
                 if part * share > 0 and target != site:
-                    within = min(SPAN_MOST_MS, max(0.0, ahead) + self.settings.fast_ms)
+                    within = min(MAX_SPAN_MS, max(0.0, ahead) + self.settings.fast_ms)
                     found.append(
                         PredictedMove(session, site, target, within, min(1.0, part * share), self.name)
                     )
@@ -330,7 +332,7 @@
         # Those that began while the site was out have never been there. Bounded: the last that called.
         latest = watch.tracks.latest(4 * self.settings.most)
         for n, session in enumerate(latest):
-            if n % MOVES == MOVES - 1:
+            if n % MOVES_PER_SLICE == MOVES_PER_SLICE - 1:
                 yield
             if self.belongs(session) == site:
                 back[session] = None
@@ -338,7 +340,7 @@
         levels = {session: track.level for session in back if (track := watch.tracks.get(session))}
         yield
         for n, session in enumerate(sorted(levels, key=lambda session: -levels[session])):
-            if n % MOVES == MOVES - 1:
+            if n % MOVES_PER_SLICE == MOVES_PER_SLICE - 1:
                 yield
             if len(found) >= self.settings.most:
                 break
@@ -350,6 +352,6 @@
                 continue
             part *= self._lives(now_ms, session, track, max(0.0, ahead))
             if part > 0:
-                within = min(SPAN_MOST_MS, max(0.0, ahead) + self.settings.fast_ms)
+                within = min(MAX_SPAN_MS, max(0.0, ahead) + self.settings.fast_ms)
                 found.append(PredictedMove(session, track.site, site, within, min(1.0, part), self.name))
         return found
--- a/fawnwharf/prefetch/session_monitor.py
+++ b/fawnwharf/prefetch/session_monitor.py
@@ -24,11 +24,14 @@
 _BITS = 31
 _MASK = (1 << _BITS) - 1
 MIN_MOVED_SHARE = 0.6  # of a session's calls of late, for a site to be held where it is
-BEGAN = 0.2  # of a call in the fast window: a site with less had none of late
+MIN_RECENT_CALLS = 0.2  # of a call in the fast window: a site with less had none of late
 MAX_OWNERS = 512
 MAX_ZONES = 8  # of one session: one that calls everywhere moves nowhere
-RISES, PLACES, ENDS = 150, 80, 40  # of one slice
-RISES_MOST, ENDS_MOST = 20_000, 5_000  # of one look: what is beyond stays for the next ones
+RISES_PER_SLICE = 150
+PLACES_PER_SLICE = 80
+ENDS_PER_SLICE = 40
+MAX_RISES = 20_000  # of one pass: what exceeds it stays for the next ones
+MAX_ENDS = 5_000
 
 
 # Not seen by the collector of garbage, which would walk all sessions in one go: no cycle goes through them.
@@ -231,9 +234,9 @@
         yield
         moved = yield from self._find_moves(now_ms, sessions)
         ended: list[m.SessionEnded] = []
-        while len(ended) < ENDS_MOST and (end := self._end_still(now_ms)) is not None:
+        while len(ended) < MAX_ENDS and (end := self._end_still(now_ms)) is not None:
             ended.append(end)
-            if len(ended) % ENDS == 0:
+            if len(ended) % ENDS_PER_SLICE == 0:
                 yield
         yield from self._free_graves()
         return m.ScanResult(tuple(moved), tuple(ended), called)
@@ -248,21 +251,21 @@
         count, slice_, owners = 0, 0, list(self._rose)
         first = self._looks % len(owners)
         for owner in owners[first:] + owners[:first]:
-            left = min(len(self._rose.get(owner, ())), RISES_MOST - count)
-            while left > 0 and (some := list(islice(self._rose.get(owner, ()), min(left, RISES)))):
+            left = min(len(self._rose.get(owner, ())), MAX_RISES - count)
+            while left > 0 and (some := list(islice(self._rose.get(owner, ()), min(left, RISES_PER_SLICE)))):
                 left, count = left - len(some), count + len(some)
                 for flow in some:
                     if rise := self._rise(owner, flow):
                         self._add(flow, rise, now_ms)
                         called[flow] = sessions[flow.session] = None
                 slice_ += len(some)
-                if slice_ >= RISES:
+                if slice_ >= RISES_PER_SLICE:
                     slice_ = 0
                     yield
 
     def _add(self, flow: Flow, rise: int, now_ms: float) -> None:
         self._fade(flow, now_ms)
-        if flow.fast < BEGAN:
+        if flow.fast < MIN_RECENT_CALLS:
             flow.since_ms = now_ms
         flow.fast += rise
         flow.slow += rise
@@ -271,7 +274,7 @@
         """Place the sessions that called; those found at another zone than before have moved."""
         moved: list[m.SessionMoved] = []
         for n, session in enumerate(sessions):
-            if n % PLACES == PLACES - 1:
+            if n % PLACES_PER_SLICE == PLACES_PER_SLICE - 1:
                 yield
             track = self.tracks.get(session)
             move = self._place(session, track, now_ms) if track is not None else None
@@ -282,7 +285,7 @@
     def _free_graves(self) -> Slices[None]:
         """Free the counters of owners that are gone, some in each slice."""
         while self._graves:
-            for _ in range(min(RISES, len(self._graves[-1]))):
+            for _ in range(min(RISES_PER_SLICE, len(self._graves[-1]))):
                 self._graves[-1].popitem()
             if not self._graves[-1]:
                 self._graves.pop()
--- a/fawnwharf/prefetch/trial.py
+++ b/fawnwharf/prefetch/trial.py
@@ -33,16 +33,16 @@
 
 STRATEGIES = ("none", "react", "everything", "foresight", "oracle")
 SEEDS = tuple(range(1, 11))
-EACH = 4  # scorers of a site
+SCORERS_PER_ZONE = 4  # scorers of a site
 MEMORY_MB = 16_000.0
-LOOK_MS = 500.0
+PASS_MS = 500.0
 RENEW_MS = 7_000.0  # what stands idle everywhere is renewed so often
 PACE_PS = 4.0  # fetches a second of each way
 LEAD_MS = 500.0  # by which the oracle's loads are ready before they are needed
 RUN_MS = 115.0  # mean work of a call
 WAITING_PART = 0.15  # of live sessions' calls wait for loads: a surge
 BOUNDS = Bounds(
-    beat_ms=LOOK_MS,
+    beat_ms=PASS_MS,
     day_ms=DAY_MS,
     phases=96,
     learn_ms=4 * DAY_MS,
@@ -62,7 +62,7 @@
     def __init__(self, way: str, made: Scenario) -> None:
         self.way, self.made = way, made
         self.site, self.prices = decode_site_settings(CONFIG)
-        self.world = FleetModel(self.site, SITES, EACH, MEMORY_MB, made.facts)
+        self.world = FleetModel(self.site, SITES, SCORERS_PER_ZONE, MEMORY_MB, made.facts)
         self.core = Prefetcher(
             BOUNDS,
             self.site,
@@ -93,14 +93,14 @@
                 world.measures = made.from_ms <= look < made.until_ms
                 self.lost = frozenset(site for at, site in losses if at <= look < at + 2_000.0)
                 for at, site in losses:
-                    if at <= look < at + LOOK_MS:
+                    if at <= look < at + PASS_MS:
                         world.lose(site)
                 while plans and plans[0][0] <= look:
                     self.core.announced(look, plans.pop(0)[1])
                 self._look(
-                    look, [turn for turn in turns if turn.at_ms <= look < turn.at_ms + LOOK_MS], firsts
+                    look, [turn for turn in turns if turn.at_ms <= look < turn.at_ms + PASS_MS], firsts
                 )
-                look += LOOK_MS
+                look += PASS_MS
             self.live[call.session] = (call.site, call.at_ms)
             if self.way == "foresight":
                 self.core.called(call.at_ms, call.session, call.site)
@@ -116,7 +116,7 @@
         elif self.way == "everything":
             self._everything(now)
         elif self.way == "oracle":
-            while firsts and firsts[0][0] <= now + LOOK_MS:
+            while firsts and firsts[0][0] <= now + PASS_MS:
                 self.queue.append(firsts.pop(0)[1:])
         elif self.way == "foresight":
             self._foresight(now)
@@ -147,7 +147,7 @@
         The oracle has no pace: a crowd at the store makes all late.
         """
         world = self.world
-        self.left = min(2 * PACE_PS, self.left + PACE_PS * LOOK_MS / 1000.0)
+        self.left = min(2 * PACE_PS, self.left + PACE_PS * PASS_MS / 1000.0)
         for row, site in list(self.queue):
             fetch = self.way != "oracle" and world.standing(now, row, site) == 0
             if fetch and self.left < 1.0:
@@ -184,7 +184,7 @@
             cold_room=lambda _scorer: math.inf,
             spare_mb=lambda site: world.spare_mb(now, site),
             standing=lambda row, site: world.standing(now, row, site),
-            memory_mb=MEMORY_MB * EACH * len(SITES),
+            memory_mb=MEMORY_MB * SCORERS_PER_ZONE * len(SITES),
         )
 
 
