--- a/fawnwharf/prefetch/planner.py
+++ b/fawnwharf/prefetch/planner.py
@@ -30,11 +30,9 @@
 AWAY_MS = 500.0  # a stage's load may end so much before its calls come
 MAX_RELEASED = 20_000
 MAX_SPAN_MS = 3_600_000.0  # of an order: what the message may say
-CALLS_PER_SLICE, WISHES_PER_SLICE, MAX_HASH_ORDERS = (
-    400,
-    12,
-    64,
-)  # of one slice; hash orders worked out at one look
+CALLS_PER_SLICE = 400
+WISHES_PER_SLICE = 12
+MAX_HASH_ORDERS = 64  # that are computed in one pass
 
 
 @dataclass(slots=True)
--- a/fawnwharf/prefetch/prediction_scores.py
+++ b/fawnwharf/prefetch/prediction_scores.py
@@ -23,7 +23,7 @@
 KEYS_PER_SLICE = 100  # of one slice
 Key = tuple[Session, str]  # a session and where it is expected
 Open = tuple[float, float]  # an open prediction: its chance, and when it is due
-LEAST_CHANCE = 0.001  # for the log loss: guards against an infinite one
+MIN_PROBABILITY = 0.001  # for the log loss: guards against an infinite one
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
         self.brier += (chance - seen) ** 2
         self.base += seen
         self.loss -= math.log(_apart(chance if came else 1.0 - chance))
-        self.base_loss -= math.log(LEAST_CHANCE if came else 1.0 - LEAST_CHANCE)
+        self.base_loss -= math.log(MIN_PROBABILITY if came else 1.0 - MIN_PROBABILITY)
         row = self.bins[min(BIN_COUNT - 1, int(chance * BIN_COUNT))]
         row[0] += 1.0
         row[1] += chance
@@ -68,7 +68,7 @@
 
 
 def _apart(chance: float) -> float:
-    return min(1.0 - LEAST_CHANCE, max(LEAST_CHANCE, chance))
+    return min(1.0 - MIN_PROBABILITY, max(MIN_PROBABILITY, chance))
 
 
 class PredictionScores:
--- a/tests/prefetch/test_prefetch_planner.py
+++ b/tests/prefetch/test_prefetch_planner.py
@@ -11,7 +11,7 @@
 from fawnwharf.prefetch.budgets import PlannerView, ordering_front_end
 from fawnwharf.prefetch.copy_value import FunctionProfile, IdleCopy, copy_cost, mean_worth, waiting_loss
 from fawnwharf.prefetch.planner import Planner
-from fawnwharf.prefetch.prediction_scores import LEAST_CHANCE, PredictionScores
+from fawnwharf.prefetch.prediction_scores import MIN_PROBABILITY, PredictionScores
 from fawnwharf.prefetch.prefetcher import Prefetcher
 from fawnwharf.prefetch.session_monitor import Flow
 from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
@@ -71,7 +71,7 @@
     assert sums.brier == pytest.approx(0.04 + 0.64 + 0.16, rel=0.02)
     assert sums.base == pytest.approx(1.0, rel=0.02)
     assert sums.loss == pytest.approx(-math.log(0.8) - math.log(0.2) - math.log(0.6), rel=0.02)
-    assert sums.base_loss == pytest.approx(-math.log(LEAST_CHANCE), rel=0.02)
+    assert sums.base_loss == pytest.approx(-math.log(MIN_PROBABILITY), rel=0.02)
     assert sums.skill == pytest.approx(0.16, abs=0.02)
     table = scores.table("learnt")
     assert table[4][1:] == pytest.approx((0.4, 0.0))
