--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -240,11 +240,11 @@
         client.call()
         rig.until(lambda: other.runs, "the next goes elsewhere")
         assert len(home.runs) == 1
-        worker = rig.front.router.workers[scorer_number(home.id)]
+        worker = rig.front.router.scorers[scorer_number(home.id)]
         assert worker.entry.state is ScorerState.DRAINING
         before = rig.front.loop.clock.now_ms()
         assert rig.ask(f"{EXIT}?target={home.id}") == 200
-        rig.until(lambda: worker.entry is not None and rig.front.router.workers[worker.id].entry.state == 1)
+        rig.until(lambda: worker.entry is not None and rig.front.router.scorers[worker.id].entry.state == 1)
         assert worker.started_ms >= before  # it is cold, and its copies are gone
         router = rig.front.router
         assert {router._copies(fn, worker) for fn in router.functions.values()} == {0}
--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -156,7 +156,8 @@
     for turn in range(6):
         worker = drive.warm(f"f{turn % 3}")
         drive.now += 40.0
-    drive.router.workers[worker].strain, drive.router.workers[worker].strain_ms = 2.5, drive.now - 30.0
+    scorer = drive.router.scorers[worker]
+    scorer.slowdown, scorer.slowdown_ms = 2.5, drive.now - 30.0
     return drive
 
 
@@ -193,7 +194,7 @@
     learned = m.capture(drive.router, set(), drive.now, 0.0)
     other = Drive(workers=1).router
     m.restore(other, learned, 500.0, 0.0)
-    assert {scorer for fn in other.functions.values() for scorer in fn.instances} <= {1}
+    assert {scorer for fn in other.functions.values() for scorer in fn.copies_by_scorer} <= {1}
 
 
 @given(at=st.integers(0, 400), bit=st.integers(0, 7), cut=st.booleans())
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -126,7 +126,7 @@
             messages=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
         )
         for other in self.names:
-            voter = self.file.named(name).ballots or self.file.named(other).ballots
+            voter = self.file.find_member(name).voter_address or self.file.find_member(other).voter_address
             if other != name and voter and self.chance.random() >= self.lost:
                 self.send(name, other, line, False)
 
@@ -202,5 +202,5 @@
         self.until(lambda: all(agent.asked for agent in self.agents.values()))
         leader = self.leader
         self.until(lambda: len(self.agents[leader].lead.conductor.register.boots) == 3)
-        self.until(lambda: self.agents[leader].lead.conductor.asked is None)
+        self.until(lambda: self.agents[leader].lead.conductor.proposed is None)
         return self
