--- a/tests/policy_rollout/test_policy_rollout_member.py
+++ b/tests/policy_rollout/test_policy_rollout_member.py
@@ -77,7 +77,7 @@
     def tell(self, name, line):
         for other in self.file.members:
             lost = self.random.random() < self.lost
-            voter = self.file.named(name).ballots or other.ballots
+            voter = self.file.find_member(name).voter_address or other.voter_address
             if other.name != name and voter and not lost:
                 self.send(name, other.name, line, False)
 
@@ -189,7 +189,7 @@
 def test_a_leader_that_is_partitioned_steps_down_and_its_messages_are_ignored():
     fleet = begun()
     first, name = fleet.leader(), fleet.follower()
-    zone = fleet.file.named(first).zone
+    zone = fleet.file.find_member(first).zone
     fleet.part(zone)
     fleet.request(first, 1, propose=quota(5))  # to itself: it does not know yet
     fleet.until(lambda: fleet.leader() not in (None, first))
