--- a/tests/test_replication.py
+++ b/tests/replication/test_replication_calls.py
@@ -1,4 +1,4 @@
-"""State that front ends keep together: a few cores, line by line."""
+"""Replicated calls: a few cores, line by line."""
 
 import itertools
 
@@ -13,7 +13,7 @@
 from fawnwharf.testbed.promises import fleet_file
 
 
-def test_a_call_goes_when_most_of_its_keepers_know_of_it_and_comes_again_as_its_answer():
+def test_a_call_runs_with_a_quorum_and_a_repeat_gets_its_answer():
     cores = Cores()
     one, other = cores.owners[:2]
     cores.begin(one)
@@ -25,7 +25,7 @@
     assert cores.what(one)[1:] == [AnswerCall("k", "QQ==")]
 
 
-def test_it_does_not_go_without_most_of_its_keepers_and_may_then_be_asked_again():
+def test_a_call_without_a_quorum_is_rejected_and_may_be_retried():
     cores = Cores()
     one, other = cores.owners[:2]
     cores.lost = set(cores.keepers[:2])
@@ -33,28 +33,29 @@
     assert cores.what(one) == []
     cores.wait(600)
     [turned] = cores.what(one)
-    assert isinstance(turned, RejectCall) and turned.pushback_ms > 0
+    assert isinstance(turned, RejectCall)
+    assert turned.pushback_ms > 0
     cores.lost = set()
     cores.begin(other)
     assert cores.what(other) == [RunCall("k", True)]
 
 
-def test_with_one_keeper_lost_calls_go_on():
+def test_calls_run_with_one_replica_lost():
     cores = Cores()
     cores.lost = {cores.keepers[0]}
     cores.begin(cores.owners[0])
     assert cores.what(cores.owners[0]) == [RunCall("k", True)]
 
 
-def test_two_that_ask_at_the_same_moment_never_both_go():
+def test_of_two_concurrent_requests_at_most_one_runs():
     for first in itertools.permutations(range(3)):
         cores = Cores()
         one, other = cores.owners[:2]
         # The keepers hear the two asks in different orders.
         early = {cores.keepers[n] for n in first[:1]}
-        cores.hold = lambda sender, to, say, early=early, one=one: sender == one and to not in early
+        cores.hold = lambda sender, to, _say, early=early, one=one: sender == one and to not in early
         cores.begin(one)
-        cores.hold, held = (lambda sender, to, say: False), cores.held
+        cores.hold, held = (lambda _sender, _to, _say: False), cores.held
         cores.begin(other)
         cores.held = held
         cores.release()
@@ -66,7 +67,7 @@
         assert cores.what(loser)[-1] == AnswerCall("k", "QQ==")
 
 
-def test_one_whose_owner_is_gone_is_given_up_and_one_whose_owner_lives_is_joined():
+def test_a_repeat_fails_when_the_owner_is_gone_and_joins_when_it_is_alive():
     cores = Cores()
     one, other, third = cores.owners
     cores.wait(100)
@@ -80,7 +81,7 @@
     assert cores.what(third) == [FailCall("k", "it may have run")]
 
 
-def test_a_keyed_one_runs_again_within_its_scorers_window_and_not_after_it():
+def test_a_deduplicated_call_is_retried_within_the_scorers_window_only():
     cores = Cores()
     one, other, third = cores.owners
     keyed = {"effect": Effect.DEDUPLICATED, "dedup_window_ms": 2_500.0}
@@ -95,7 +96,7 @@
     assert cores.what(third) == [FailCall("k", "it may have run")]
 
 
-def test_one_that_goes_without_waiting_takes_the_answer_that_was_kept():
+def test_a_call_that_runs_unclaimed_takes_a_stored_answer():
     cores = Cores()
     one, other = cores.owners[:2]
     cores.begin(one, effect=Effect.DEDUPLICATED, claim_required=False)
@@ -105,17 +106,17 @@
     assert cores.what(other) == [RunCall("k", False), AnswerCall("k", "QQ==")]
 
 
-def test_a_grant_that_comes_too_late_is_not_rested_on():
+def test_a_late_grant_does_not_count():
     cores = Cores()
     one = cores.owners[0]
-    cores.hold = lambda sender, to, say: isinstance(say, m.ClaimReply)
+    cores.hold = lambda _sender, _to, say: isinstance(say, m.ClaimReply)
     cores.begin(one)
     cores.now += RULES.max_wait_ms + 1  # it stood still
     cores.release()
     assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
 
-def test_a_keeper_that_forgot_grants_nothing_until_it_has_heard_the_others():
+def test_a_restarted_replica_grants_nothing_until_it_has_received_the_others_claims():
     cores = Cores()
     one, other, third = cores.owners
     a, b, c = cores.keepers
@@ -135,7 +136,7 @@
     assert cores.what(third) == [AnswerCall("k", "QQ==")]
 
 
-def test_what_a_keepers_earlier_life_had_wanted_is_no_answer_to_it_now():
+def test_chunks_for_an_earlier_incarnation_are_dropped():
     cores = Cores()
     one, other = cores.owners[:2]
     a, b, c = cores.keepers
@@ -162,15 +163,21 @@
     assert not any(isinstance(effect, RunCall) for effect in cores.what(other))
 
 
-def test_a_snapshot_has_every_claim_however_many_a_call_has():
+def test_a_state_transfer_has_every_claim_of_a_call():
     cores = Cores()
-    a, b, c = cores.keepers
+    a, b, _c = cores.keepers
     for n in range(60):
         key = f"k{n}"
-        shelf = cores.cores[b].replica.claim_store
-        for ask in range(1, 41):
-            put = Claim("n9#1", ask, ask, 0, ClaimPhase.GRANTED if ask == n % 40 + 1 else ClaimPhase.RELEASED)
-            shelf.merge(cores.now, key, shelf.get_or_create(cores.now, key), put, 60_000.0)
+        store = cores.cores[b].replica.claim_store
+        for request in range(1, 41):
+            put = Claim(
+                "n9#1",
+                request,
+                request,
+                0,
+                ClaimPhase.GRANTED if request == n % 40 + 1 else ClaimPhase.RELEASED,
+            )
+            store.merge(cores.now, key, store.get_or_create(cores.now, key), put, 60_000.0)
     cores.restart(a)
     cores.wait(3_000)
     held = cores.cores[a].replica.claim_store.calls
@@ -178,7 +185,7 @@
     assert sum(len(entry.claims) for entry in held.values()) == 2_400
 
 
-def test_a_call_that_was_asked_for_too_often_is_granted_no_more_and_never_forgotten():
+def test_a_call_with_too_many_requests_is_not_granted_and_not_forgotten():
     cores = Cores()
     one = cores.owners[0]
     cores.lost = set(cores.keepers[1:])
@@ -186,36 +193,35 @@
         cores.begin(one)
         cores.wait(250)
         cores.now -= 250.0  # within one window
-    keeper = cores.cores[cores.keepers[0]].replica
-    assert (
-        len(keeper.claim_store.calls["k"].claims) <= 65
-        and keeper.claim_store.counts["too many claim requests for a call"] > 0
-    )
+    replica = cores.cores[cores.keepers[0]].replica
+    assert len(replica.claim_store.calls["k"].claims) <= 65
+    assert replica.claim_store.counts["too many claim requests for a call"] > 0
     assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
 
-def test_two_keepers_that_forgot_wait_until_all_is_over():
+def test_two_restarted_replicas_wait_until_all_claims_have_expired():
     cores = Cores()
-    a, b, c = cores.keepers
+    a, b, _c = cores.keepers
     cores.restart(a)
     cores.restart(b)
     cores.wait(4_000)
     assert not cores.cores[a].replica.is_complete(cores.now)
     cores.wait(6_000)
-    assert cores.cores[a].replica.is_complete(cores.now) and cores.cores[b].replica.is_complete(cores.now)
+    assert cores.cores[a].replica.is_complete(cores.now)
+    assert cores.cores[b].replica.is_complete(cores.now)
 
 
-def test_a_keeper_asks_only_when_nobody_may_rest_on_what_it_granted_before():
+def test_a_restarted_replica_requests_state_only_after_its_old_grants_have_expired():
     cores = Cores()
     one, other = cores.owners[:2]
     a, b, c = cores.keepers
     # b hears the ask late: a's grant is forgotten, and b's is yet to come.
-    cores.hold = lambda sender, to, say: sender == one and to in (b, c)
+    cores.hold = lambda sender, to, _say: sender == one and to in (b, c)
     cores.begin(one)
     cores.restart(a)
     cores.wait(150)
     held, cores.held = cores.held, []
-    cores.hold = lambda sender, to, say: False
+    cores.hold = lambda _sender, _to, _say: False
     [(sender, to, line)] = [item for item in held if item[1] == b]
     cores.carry(to, cores.cores[to].receive_line(cores.now, sender, line))
     assert cores.what(one) == [RunCall("k", True)]
@@ -226,7 +232,7 @@
     assert not any(isinstance(effect, RunCall) for effect in cores.what(other))
 
 
-def test_an_answer_whose_news_was_lost_is_made_good_by_comparing():
+def test_a_lost_update_is_repaired_by_comparison():
     cores = Cores()
     one, other = cores.owners[:2]
     a, b, c = cores.keepers
@@ -243,7 +249,7 @@
     assert cores.what(other) == [AnswerCall("k", "QQ==")]
 
 
-def test_another_list_of_members_hands_over_before_anything_is_granted_by_it():
+def test_a_changed_membership_transfers_claims_before_it_grants():
     cores = Cores()
     one, other = cores.owners[:2]
     cores.begin(one)
@@ -263,7 +269,7 @@
     assert not cores.cores[behind].replica.is_complete(cores.now)
 
 
-def test_a_shelf_that_is_full_takes_nothing_new_and_drops_answers_first():
+def test_a_full_store_drops_answers_first_and_accepts_no_new_call():
     rules = msgspec.structs.replace(RULES, limits=s.ClaimStoreLimits(max_calls=2, max_answer_bytes=1_024))
     cores = Cores(rules)
     one = cores.owners[0]
@@ -273,11 +279,9 @@
     cores.begin(one, key="k2")
     cores.wait(600)
     assert isinstance(cores.what(one)[-1], RejectCall)
-    shelf = cores.cores[cores.keepers[0]].replica.claim_store
-    assert (
-        shelf.counts["answers dropped"] == 1
-        and shelf.counts["claim store full"] >= 1
-        and shelf.answer_bytes <= 1_024
-    )
+    store = cores.cores[cores.keepers[0]].replica.claim_store
+    assert store.counts["answers dropped"] == 1
+    assert store.counts["claim store full"] >= 1
+    assert store.answer_bytes <= 1_024
     cores.begin(cores.owners[1], key="k1")
     assert cores.what(cores.owners[1]) == [AnswerCall("k1", None)]
--- a/tests/test_replication_claims.py
+++ b/tests/replication/test_replication_claims.py
@@ -1,4 +1,4 @@
-"""What keepers hold of a call: settings, placement, the laws of merging, and how claims are read."""
+"""Settings, placement, the laws of merging claims, and how claims are summarized."""
 
 import itertools
 from pathlib import Path
@@ -50,7 +50,7 @@
     assert fault in str(caught.value)
 
 
-def test_a_fleet_with_too_few_zones_that_keep_is_a_fault():
+def test_a_fleet_with_too_few_replica_zones_is_an_error():
     with pytest.raises(SettingsFileError):
         s.check_members(fleet_file("aaa"), RULES)
     s.check_members(FLEET, RULES)
@@ -61,16 +61,17 @@
 KEYS = [f"key{n}" for n in range(600)]
 
 
-def test_a_call_is_kept_in_as_many_zones_as_asked_by_one_front_end_each():
+def test_a_call_has_one_replica_in_each_of_the_configured_zones():
     placement = ReplicaPlacement(fleet_file("abcde" * 4), 3, 2)
     zone = {member.name: member.zone for member in fleet_file("abcde" * 4).members}
     for key in KEYS:
         assert len({zone[name] for name in placement.replicas_of(key)}) == 3
     used = {name for key in KEYS for name in placement.replicas_of(key)}
-    assert used == set(placement.replicas) and len(used) == 10
+    assert used == set(placement.replicas)
+    assert len(used) == 10
 
 
-def test_a_member_that_goes_moves_calls_of_its_own_zone_alone_and_none_if_it_keeps_nothing():
+def test_a_removed_member_moves_only_the_calls_that_it_stored():
     file = fleet_file("abc" * 4)
     before = ReplicaPlacement(file, 3, 2)
     for member in file.members:
@@ -113,7 +114,7 @@
 
 
 @given(claims, claims)
-def test_where_one_number_says_two_things_the_stricter_stands_and_it_is_told(one, other):
+def test_of_contradicting_claims_the_stricter_wins_and_is_reported(one, other):
     if one.version == other.version and one.phase != other.phase:
         assert merge_claims(one, other).phase == max(one.phase, other.phase)
         assert contradicts(one, other)
@@ -138,15 +139,15 @@
 
 
 def shelf_of(items):
-    shelf = ClaimStore(RULES, ReplicaPlacement(FLEET, 3, 1).replicas_of)
+    store = ClaimStore(RULES, ReplicaPlacement(FLEET, 3, 1).replicas_of)
     for key, claim in items:
-        shelf.merge(0.0, key, shelf.get_or_create(0.0, key), claim, 5_000.0)
-    return shelf
+        store.merge(0.0, key, store.get_or_create(0.0, key), claim, 5_000.0)
+    return store
 
 
 @settings(max_examples=200, deadline=None)
 @given(records, strategies.randoms(use_true_random=False))
-def test_who_has_heard_the_same_holds_the_same_digest_whatever_the_order_and_the_repeats(items, chance):
+def test_digests_do_not_depend_on_order_or_repeats_of_claims(items, chance):
     turned = items + [item for item in items if chance.random() < 0.5]
     chance.shuffle(turned)
     one, other = shelf_of(items), shelf_of(turned)
@@ -160,15 +161,15 @@
 
 @settings(max_examples=100, deadline=None)
 @given(records)
-def test_sums_are_those_of_what_is_held_and_nothing_is_left_when_all_is_over(items):
-    shelf = shelf_of(items)
-    held = sum(len(c.answer or "") for entry in shelf.calls.values() for c in entry.claims.values())
-    assert shelf.answer_bytes == held
-    shelf.remove_expired(RULES.max_claim_lifetime_ms * 2)
-    assert (shelf.calls, shelf.answer_bytes, shelf._buckets) == ({}, 0, {})
+def test_bucket_sums_match_the_stored_claims_and_are_empty_after_expiry(items):
+    store = shelf_of(items)
+    held = sum(len(c.answer or "") for entry in store.calls.values() for c in entry.claims.values())
+    assert store.answer_bytes == held
+    store.remove_expired(RULES.max_claim_lifetime_ms * 2)
+    assert (store.calls, store.answer_bytes, store._buckets) == ({}, 0, {})
 
 
-def test_a_difference_is_found_by_owner_and_slot():
+def test_a_difference_is_found_by_owner_and_bucket():
     one = shelf_of(
         [
             ("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.GRANTED)),
@@ -212,7 +213,7 @@
         ),
     ],
 )
-def test_claims_read_as_the_strictest_that_holds(claims, alive, standing):
+def test_claims_are_summarized_by_the_strictest_state(claims, alive, standing):
     for order in itertools.permutations(claims):
         assert summarize_claims(list(order), alive).state is standing
 
@@ -220,15 +221,13 @@
 # --- the files that come with the project -------------------------------------------------------
 
 
-def test_the_deployments_examples_are_good_and_fit_each_other():
-    folder = Path(__file__).parent.parent / "deploy"
+def test_the_example_deployment_files_are_valid_and_consistent():
+    folder = Path(__file__).parents[2] / "deploy"
     assert policy_settings((folder / "policy-settings.json").read_bytes()).timing == RolloutTiming()
     zones = zone_settings((folder / "zones.json").read_bytes())
     state = s.parse_settings((folder / "state.json").read_bytes())
     assert zones.membership_file == state.membership_file == "members.json"
     members = membership_from((folder / "members.json").read_bytes())
     s.check_members(members, state)
-    assert (
-        len(members.voters) == 3
-        and ReplicaPlacement(members, state.replica_zones, state.replicas_per_zone).quorum("k") == 2
-    )
+    assert len(members.voters) == 3
+    assert ReplicaPlacement(members, state.replica_zones, state.replicas_per_zone).quorum("k") == 2
--- a/tests/test_replication_faults.py
+++ b/tests/replication/test_replication_faults.py
@@ -1,4 +1,4 @@
-"""What a keeper makes of damage: its disk, bad input, and walks with faults of all kinds."""
+"""Damaged files, bad input, and randomized simulations with faults of all kinds."""
 
 import os
 
@@ -21,22 +21,22 @@
 
 
 def written(folder, count=3, **more):
-    """A folder whose keeper knew all and wrote so many claims, one a record."""
-    disk = disk_in(folder, **more)
-    disk.begin(0.0, 1, [])
+    """A folder of a complete replica that wrote so many claims, one a record."""
+    log = disk_in(folder, **more)
+    log.begin(0.0, 1, [])
     for n in range(count):
-        disk.write(float(n), [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.GRANTED), 9_000.0 + n)], 0)
-    disk.close()
+        log.write(float(n), [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.GRANTED), 9_000.0 + n)], 0)
+    log.close()
     return max(folder.glob("keeper-*.log"), key=lambda path: int(path.stem[7:]))
 
 
 def reread(folder, **more):
-    disk = disk_in(folder, **more)
-    disk.close()
-    return disk
+    log = disk_in(folder, **more)
+    log.close()
+    return log
 
 
-def test_a_keeper_finds_all_that_it_told_within_one_boot_and_nothing_of_another(tmp_path):
+def test_grants_are_read_back_within_one_boot_and_not_after_another(tmp_path):
     written(tmp_path)
     found = reread(tmp_path)
     assert (found.distrust_reason, found.complete_for, [key for key, _, _ in found.grants]) == (
@@ -44,16 +44,14 @@
         1,
         ["k0", "k1", "k2"],
     )
-    assert (
-        reread(tmp_path, boot="b2").distrust_reason == "of another boot"
-        and reread(tmp_path, boot="b2").grants == []
-    )
+    assert reread(tmp_path, boot="b2").distrust_reason == "of another boot"
+    assert reread(tmp_path, boot="b2").grants == []
     assert reread(tmp_path, boot="").distrust_reason == "of another boot"
     with pytest.raises(DiskError, match="of n1 in fleet f"):
         disk_in(tmp_path, name="n2")
 
 
-def test_a_record_cut_short_at_any_byte_was_never_told_and_is_cut_off(tmp_path):
+def test_a_truncated_last_record_is_ignored(tmp_path):
     path = written(tmp_path)
     data = path.read_bytes()
     last = data.rfind(b"fwv1")
@@ -65,7 +63,7 @@
         assert (found.distrust_reason, len(found.grants)) == ("", 2), end
 
 
-def test_damage_in_the_middle_and_a_copy_are_not_trusted(tmp_path):
+def test_damage_in_the_middle_and_a_copied_file_are_not_trusted(tmp_path):
     path = written(tmp_path)
     data = path.read_bytes()
     for at in range(len(data) // 3, data.rfind(b"fwv1"), 7):
@@ -81,43 +79,44 @@
     assert "a copy" in reread(tmp_path).distrust_reason
 
 
-def test_a_file_is_begun_anew_as_claims_end_and_the_one_before_is_needed_for_so_long(tmp_path):
-    disk = disk_in(tmp_path, life=100.0)
-    disk.begin(0.0, 1, [])
+def test_files_are_rotated_as_claims_expire_and_the_previous_one_is_needed_for_so_long(tmp_path):
+    log = disk_in(tmp_path, life=100.0)
+    log.begin(0.0, 1, [])
     for n in range(60):
-        disk.write(
+        log.write(
             10.0 * n, [(f"k{n}", Claim("n9#1", n + 1, n + 1, 0, ClaimPhase.GRANTED), 10.0 * n + 100.0)], 1
         )
         assert len(list(tmp_path.glob("keeper-*.log"))) <= 2
-    disk.close()
+    log.close()
     found = reread(tmp_path, life=100.0, now=600.0)
     live = {key for key, _, until in found.grants if until > 600.0}
-    assert found.distrust_reason == "" and live == {f"k{n}" for n in range(51, 60)}
+    assert found.distrust_reason == ""
+    assert live == {f"k{n}" for n in range(51, 60)}
     first, _ = sorted(tmp_path.glob("keeper-*.log"), key=lambda path: int(path.stem[7:]))
     first.unlink()
     assert "missing" in reread(tmp_path, life=100.0, now=595.0).distrust_reason
     assert reread(tmp_path, life=100.0, now=900.0).distrust_reason == ""  # all of that is over
 
 
-def test_a_keeper_that_did_not_know_all_is_not_trusted_for_having_a_file(tmp_path):
-    disk = disk_in(tmp_path)
-    disk.begin(0.0, 0, [])
-    disk.write(1.0, [], 0)
-    disk.close()
+def test_a_file_of_an_incomplete_replica_is_not_trusted(tmp_path):
+    log = disk_in(tmp_path)
+    log.begin(0.0, 0, [])
+    log.write(1.0, [], 0)
+    log.close()
     assert (reread(tmp_path).distrust_reason, reread(tmp_path).complete_for) == ("", 0)
     assert reread(tmp_path / "empty").distrust_reason == "no file"
 
 
-def test_a_folder_is_used_by_one_process_and_a_write_that_fails_is_told(tmp_path, monkeypatch):
-    disk = disk_in(tmp_path)
+def test_a_folder_is_locked_by_one_process_and_a_failed_write_raises(tmp_path, monkeypatch):
+    log = disk_in(tmp_path)
     with pytest.raises(DiskError):
         disk_in(tmp_path)
-    disk.begin(0.0, 1, [])
+    log.begin(0.0, 1, [])
     write = os.write
     monkeypatch.setattr(os, "write", lambda file, data: write(file, data[:10]))
     with pytest.raises(DiskError, match="no room"):
-        disk.write(0.0, [("k", Claim("n9#1", 1, 1, 0, ClaimPhase.GRANTED), 9.0)], 0)
-    disk.close()
+        log.write(0.0, [("k", Claim("n9#1", 1, 1, 0, ClaimPhase.GRANTED), 9.0)], 0)
+    log.close()
     monkeypatch.undo()
     assert reread(tmp_path).grants == []
 
@@ -144,14 +143,14 @@
         {"type": "digests", "slots": {"n1#1": {"first": 0, "until": 1}}},
     ],
 )
-def test_a_line_that_no_member_says_is_a_fault_and_changes_nothing(say):
+def test_a_malformed_line_raises_and_changes_nothing(say):
     cores = Cores()
-    keeper = cores.keepers[0]
-    sender = "n1" if keeper != "n1" else cores.keepers[1]
-    line = {"fleet": "f", "sender": "n1", "life": 1, "to": [keeper], "say": say}
+    replica = cores.keepers[0]
+    sender = "n1" if replica != "n1" else cores.keepers[1]
+    line = {"fleet": "f", "sender": "n1", "life": 1, "to": [replica], "say": say}
     with pytest.raises(LineError):
-        cores.cores[keeper].receive_line(cores.now, sender, line)
-    assert cores.cores[keeper].replica.claim_store.calls == {}
+        cores.cores[replica].receive_line(cores.now, sender, line)
+    assert cores.cores[replica].replica.claim_store.calls == {}
 
 
 def piece(held, number=1, part=0, digest="0" * 16, last=True):
@@ -161,9 +160,9 @@
     }  # fmt: skip
 
 
-def test_what_is_said_out_of_place_is_dropped_and_counted_by_cause():
+def test_unexpected_messages_are_dropped_and_counted_by_cause():
     cores = Cores()
-    a, b, c = cores.keepers
+    a, b, _c = cores.keepers
     core = cores.cores[a]
 
     def says(sender, say):
@@ -176,25 +175,26 @@
     assert says(cores.owners[0], {"type": "digests", "slots": {}}) == []
     word = {"type": "word", "key": "k", "owner": f"{a}#1", "number": 1, "granted": True}
     assert says(b, word) == []
-    shelf = core.replica.claim_store
-    assert shelf.counts == {
+    store = core.replica.claim_store
+    assert store.counts == {
         "chunks out of order": 1,
         "state requests not from a replica": 1,
         "digests not from a replica": 1,
     }
-    assert core.call_owner.counts == {"replies without an open request": 1} and shelf.calls == {}
+    assert core.call_owner.counts == {"replies without an open request": 1}
+    assert store.calls == {}
     cores.begin(a)
     assert [effect for effect in cores.what(a)] == [RunCall("k", True)]
 
 
-def test_a_snapshot_that_does_not_fit_its_digest_is_wanted_again():
+def test_a_chunk_with_a_wrong_digest_is_requested_again():
     cores = Cores()
-    a, b, c = cores.keepers
+    a, b, _c = cores.keepers
     cores.begin(cores.owners[0])
     cores.restart(a)
-    cores.hold = lambda sender, to, say: isinstance(say, m.StateChunk) and sender == b
+    cores.hold = lambda sender, _to, say: isinstance(say, m.StateChunk) and sender == b
     cores.wait(800)
-    [(sender, to, line), *_] = cores.held
+    [(_sender, _to, line), *_] = cores.held
     line["say"]["digest"] = "0" * 16
     cores.release()
     assert cores.cores[a].replica.claim_store.counts["chunks with a wrong digest"] == 1
@@ -208,14 +208,14 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_no_call_runs_twice_and_keepers_come_to_hold_the_same(seed):
+def test_no_call_runs_twice_and_replicas_converge(seed):
     outcome = Walk(seed, Weather() if seed % 2 else STORM, "abcabc").run(8)
     assert outcome.broken == ""
     assert outcome.runs > 20
 
 
 class Forgets(ReplicationCore):
-    """Planted: a keeper that starts again trusts its empty memory."""
+    """Mutant: a restarted replica takes its empty store for complete."""
 
     def __init__(self, *more, **options):
         super().__init__(*more, **options)
@@ -224,23 +224,23 @@
 
 
 class OneIsEnough(ReplicationCore):
-    """Planted: one grant makes a promise."""
+    """Mutant: one grant counts as a quorum."""
 
     def __init__(self, *more, **options):
         super().__init__(*more, **options)
         weigh = self.call_owner._evaluate
 
-        def one(now_ms, mine):
-            if any(word.granted for word in mine.replies.values()):
-                mine.progress = CallProgress.RUNNING
-                return [RunCall(mine.key, claimed=True)]
-            return weigh(now_ms, mine)
+        def one(now_ms, owned):
+            if any(word.granted for word in owned.replies.values()):
+                owned.progress = CallProgress.RUNNING
+                return [RunCall(owned.key, claimed=True)]
+            return weigh(now_ms, owned)
 
         self.call_owner._evaluate = one
 
 
 class MovesBlind(ReplicationCore):
-    """Planted: another list of members is gone by at once."""
+    """Mutant: another membership grants at once."""
 
     def change_membership(self, now_ms, membership):
         super().change_membership(now_ms, membership)
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("planted", [Forgets, OneIsEnough, MovesBlind])
-def test_walks_find_what_is_broken_on_purpose(planted):
+def test_randomized_simulations_find_each_mutant(planted):
     moves = 0.3 if planted is MovesBlind else 0.0
     weather = Weather(calls=60.0, kills=1.0, away_ms=300.0, halts=0.3, late=0.1, moves=moves)
     found = (Walk(seed, weather, "abcabc", planted).run(12, 30).broken for seed in range(1, 8))
--- a/tests/test_elsewhere_live.py
+++ b/tests/replication/test_replication_load_reporting.py
@@ -1,4 +1,6 @@
-"""A front end's own work on real sockets: what its table sees, and when it is told."""
+"""Load reports on real sockets: what the request table sees, and when it is reported."""
+
+import itertools
 
 from cores import Cores
 from peers import PATIENCE_S, Rig, ScorerPeer
@@ -16,7 +18,7 @@
 
 
 class Cold(ScorerPeer):
-    """Has just started; holds its answers to orders back until it is told to give them."""
+    """A scorer that has just started and holds its answers to orders back until the test sends them."""
 
     def __init__(self):
         super().__init__("s-1", copies=None)
@@ -32,17 +34,17 @@
 
 def rig_with(scorer, cold_ms=60_000.0):
     rig = Rig(scorer, settings={"invariants": {"cold": cold_ms, "fall": 50_000.0}})
-    core, said, notes = Cores().cores["n0"], [], []
-    working = LoadReporting(core, rig.front.deployment.settings, lambda event, fields: notes.append(fields))
-    working.attach(rig.front, said.extend)
+    core, sent, notes = Cores().cores["n0"], [], []
+    working = LoadReporting(core, rig.front.deployment.settings, lambda _event, fields: notes.append(fields))
+    working.attach(rig.front, sent.extend)
 
     def told():
-        return [say.message for say in said if isinstance(say.message, m.LoadReport)]
+        return [send.message for send in sent if isinstance(send.message, m.LoadReport)]
 
     return rig, working, told
 
 
-def test_the_table_tells_what_went_and_what_came_of_it():
+def test_the_request_table_reports_attempts_and_orders_and_their_results():
     scorer = Cold()
     rig, working, told = rig_with(scorer)
     worker = scorer_number("s-1")
@@ -51,17 +53,19 @@
         client.call()
         rig.until(lambda: scorer.orders(load=False) or scorer.orders(load=True), "it is asked or ordered")
         for item in scorer.orders(load=False):
-            assert not any(word.loading for word in told())
+            assert not any(report.loading for report in told())
             scorer.answer(item, 0, "slots_up=0")
         rig.until(lambda: scorer.orders(load=True), "a load is ordered")
         rig.until(lambda: told()[-1].loading, "the load is told")
         [load] = told()[-1].loading
-        assert load.scorer == worker and told()[-1].sent == {}
+        assert load.scorer == worker
+        assert told()[-1].sent == {}
         scorer.answer(scorer.orders(load=True)[0], 0, "slots_up=1")
         rig.until(lambda: scorer.runs, "the call goes")
         rig.until(lambda: told()[-1].sent, "it is told")
-        assert told()[-1].sent == {str(worker): 1} and told()[-1].loading == ()
-        proved = [copy for word in told() for copy in word.copies if copy.copies]
+        assert told()[-1].sent == {str(worker): 1}
+        assert told()[-1].loading == ()
+        proved = [copy for report in told() for copy in report.copies if copy.copies]
         assert [(copy.scorer, copy.function, copy.copies) for copy in proved] == [(worker, load.function, 1)]
         scorer.answer(scorer.runs[0])
         rig.until(lambda: client.answers, "the answer")
@@ -73,7 +77,7 @@
         rig.close()
 
 
-def test_words_come_at_the_quick_pace_only_while_there_is_something_cold_or_under_way():
+def test_reports_are_frequent_only_during_slow_start_or_loads():
     for cold_ms, most, least in ((60_000.0, 130.0, 90.0), (1.0, 1_000.0, 240.0)):
         rig, _, told = rig_with(Cold(), cold_ms)
         try:
@@ -83,15 +87,16 @@
                 count = len(told())
                 rig.until(lambda told=told, count=count: len(told()) > count, "one more")
                 times.append(rig.front.loop.iteration_ms)
-            spans = sorted(b - a for a, b in zip(times, times[1:], strict=False))
-            assert spans[0] >= least - 20.0 and (spans[0] < most)  # one that was held up is followed sooner
+            spans = sorted(b - a for a, b in itertools.pairwise(times))
+            assert spans[0] >= least - 20.0
+            assert spans[0] < most
         finally:
             rig.close()
 
 
-def test_a_hello_is_heard_by_one_that_follows_only_later_and_it_sends_no_more_than_is_for_whom_it_knows():
-    loop = EventLoop(lambda now_ms, events: None, lambda text: None)
-    a, b = (DirectedLogServer(loop, ("127.0.0.1", 0), life, 4) for life in (1, 2))
+def test_a_late_follower_gets_the_hello_and_only_lines_for_it():
+    loop = EventLoop(lambda _now_ms, _events: None, lambda _text: None)
+    a, b = (DirectedLogServer(loop, ("127.0.0.1", 0), incarnation, 4) for incarnation in (1, 2))
     told, feeds = [], []
 
     def until(condition):
@@ -101,13 +106,13 @@
             loop.run_iteration(0.005)
 
     def follow(server, take, hello):
-        feeds.append(DirectedLog(loop, server.address, take, lambda text: None, hello))
+        feeds.append(DirectedLog(loop, server.address, take, lambda _text: None, hello))
         feeds[-1].connect()
 
     try:
         follow(b, told.append, lambda asked: a.greet("b", {"asked": asked}))
         until(lambda: any(reader.since is not None for reader in b.readers))
-        follow(a, lambda line: b.identify("a", line["asked"]), lambda asked: None)
+        follow(a, lambda line: b.identify("a", line["asked"]), lambda _asked: None)
         until(lambda: "a" in b._names.values())
         b.send({"n": 1}, ("c",))
         b.send({"n": 2}, ("a",))
@@ -124,14 +129,16 @@
     return Arrival(at_ms, scorer, sender, what, "1", "view", function, "", 1)
 
 
-def test_cold_use_and_double_orders_are_measured_by_what_scorers_saw():
+def test_slow_start_use_and_double_orders_are_measured_at_the_scorers():
     # One call each 10 ms for one scorer: 2 x 0.1 x 1500 = 300 for a warm one, 60 at the start.
     asked = [10.0 * n for n in range(800)]
     flood = [run(1_000.0 + n, "n1") for n in range(60)]
     most, used = cold_use(flood, {"s": [1_000.0]}, asked)
-    assert 0.92 < most < 1.0 and abs(used - 60 / (300 * 0.6 * 4_000 / 1_500)) < 1e-6
+    assert 0.92 < most < 1.0
+    assert abs(used - 60 / (300 * 0.6 * 4_000 / 1_500)) < 1e-6
     assert cold_use(flood, {"s": [1_000.0, 7_900.0], "t": []}, [])[0] == 0.0
     assert cold_use([run(5_000.0, "n1"), run(999.0, "n1")], {"s": [1_000.0]}, asked) == (0.0, 0.0)
     orders = [run(0.0, "n1", what="order"), run(10.0, "n1", what="order"), run(500.0, "n2", what="order"),
               run(501.0, "n3", what="order", function="g"), run(1_101.0, "n1", what="order")]  # fmt: skip
-    assert twice(orders) == 1 and counts(orders) == {"order": 5}
+    assert twice(orders) == 1
+    assert counts(orders) == {"order": 5}
