--- a/fawnwharf/replication/__init__.py
+++ b/fawnwharf/replication/__init__.py
@@ -1,1 +1,1 @@
-"""State that several front ends keep together, so that what one of them promised outlives it."""
+"""Replicated calls: state that several front ends store, so that it survives the loss of one."""
--- a/fawnwharf/replication/call_owner.py
+++ b/fawnwharf/replication/call_owner.py
@@ -75,7 +75,7 @@
 
 
 class CallTerms(Struct, frozen=True):
-    """What a call's class and client ask of its claim."""
+    """What a call's class and client require of its claim."""
 
     effect: Effect
     latency_objective_ms: float
@@ -203,7 +203,7 @@
         return True
 
     def revoke_grant(self, now_ms: float, key: str, number: int, replica: str) -> list[OwnerAction]:
-        """Evaluate a call anew without the grant of its own replica, which could not be stored."""
+        """Evaluate a call again without the grant of its own replica, which could not be stored."""
         call = self.calls.get(key)
         if call is None or call.request_number != number:
             return []
@@ -304,7 +304,7 @@
         return [self._update(call, call.replicas, phase, digest, answer)]
 
     def client_left(self, key: str) -> list[OwnerAction]:
-        """Release a call whose client is gone before it ran."""
+        """Release a call whose client left before it ran."""
         call = self.calls.get(key)
         if call is None or call.progress is CallProgress.RUNNING:
             return []
--- a/fawnwharf/replication/claims.py
+++ b/fawnwharf/replication/claims.py
@@ -1,11 +1,11 @@
-"""Claims on one call: how differing versions merge, and what all of them together say about the call.
+"""Claims on one call: how differing versions merge, and what all of them together mean for the call.
 
 A claim belongs to one request of one incarnation of one front end (its owner), which alone writes it, with
 version numbers that only rise. Of two versions the larger one wins, so merging is commutative, associative
 and idempotent. Two records of one owner with one version and different contents are a fault of a disk or of
 memory: the stricter one wins, by an order that all replicas share, and the fault is reported.
 
-Nothing here reads a clock: a sender says how long a claim still counts, and the receiver counts from the
+Nothing here reads a clock: a sender states how long a claim still counts, and the receiver counts from the
 arrival. A delay can only lengthen that time.
 """
 
@@ -21,7 +21,7 @@
 
 
 class ClaimPhase(IntEnum):
-    """What an owner says of a call; where two records contradict each other, the larger one wins."""
+    """The phase of a call at its owner; where two records contradict each other, the larger one wins."""
 
     RELEASED = 0  # it did not run there and will not
     ANSWERED = 1  # it ran, and the client has, or may have, this answer
@@ -30,7 +30,7 @@
 
 
 class Claim(Struct, frozen=True, order=True, gc=False):  # thousands are stored, with plain values only
-    """An owner's latest message on one of its requests for a call; it says nothing about other requests.
+    """An owner's latest message on one of its requests for a call; it has no bearing on other requests.
 
     `digest` is that of the answer, also where the answer is too long to be stored; `answer` is base64.
     """
@@ -62,7 +62,7 @@
 
 
 def contradicts(one: Claim, other: Claim) -> bool:
-    """Whether an owner has said two things under one version; an answer dropped for lack of space is none."""
+    """Whether two claims of one version differ; an answer dropped for lack of space is no difference."""
     if one.version != other.version:
         return False
     if (one.phase, one.digest, one.bucket) != (other.phase, other.digest, other.bucket):
@@ -71,12 +71,12 @@
 
 
 class CallState(IntEnum):
-    """What all claims on a call say to a front end that is asked to run it again."""
+    """What all claims on a call mean for a front end that gets a repeat of it."""
 
     FREE = 0  # no front end has it
     ANSWERED = 1
     RUNNING = 2  # its owner is alive, so an answer may come
-    UNKNOWN = 3  # it may have run, and no front end will say what came of it
+    UNKNOWN = 3  # it may have run, and no front end will report the result
     CONFLICT = 4  # two different answers: at most one of them is what happened first
 
 
--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -24,7 +24,7 @@
 
 
 class _NoAnswerError(Exception):
-    """A front end's status can't be had; the text says why."""
+    """A front end's status can't be had; the text has the reason."""
 
 
 def _fail(text: str, status: int = 2) -> NoReturn:
@@ -64,7 +64,11 @@
     """Whether a front end is a replica, whether it grants calls, and what it stores."""
     if not status.is_replica:
         return f"no replica, {status.open_calls} calls of its own"
-    grants = "grants calls" if status.complete else "INCOMPLETE: grants nothing until it has heard the others"
+    grants = (
+        "grants calls"
+        if status.complete
+        else "INCOMPLETE: grants nothing until it has received the others' claims"
+    )
     stored = f"{status.calls} calls, {status.answer_bytes} bytes of answers, {status.open_calls} of its own"
     return f"{grants}; {stored}"
 
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -25,11 +25,11 @@
 from fawnwharf.zones.settings import Membership
 
 TICK_MS = 100.0
-MAX_RECIPIENTS = 16  # of one line, as its type says
+MAX_RECIPIENTS = 16  # of one line, as its type limits it
 
 
 class LineError(ValueError):
-    """A line that no member writes, which costs its sender the connection; the text says why."""
+    """A line that no member writes, which ends the connection to its sender; the text has the reason."""
 
 
 class ReceivedClientMessage(NamedTuple):
@@ -67,7 +67,7 @@
         self.statuses: dict[str, m.Status] = {}
         self._tick_due_ms = now_ms
         # What came since the host looked; the host clears these.
-        self.greetings: list[tuple[str, int]] = []  # who asked for the log here, since which number
+        self.greetings: list[tuple[str, int]] = []  # who requested the log here, since which number
         self.reported_outliers: list[m.ReportedOutliers] = []
         self.client_messages: list[ReceivedClientMessage] = []
         # Reports; None where the settings switch them off.
@@ -83,7 +83,7 @@
     # --- calls --------------------------------------------------------------------------------
 
     def begin_call(self, now_ms: float, key: str, terms: CallTerms) -> list[OwnerAction]:
-        """Claim a call, and run it where its terms do not ask for a quorum."""
+        """Claim a call, and run it where its terms require no quorum."""
         return self._deliver_own(now_ms, self.call_owner.begin(now_ms, key, terms))
 
     def call_ended(
@@ -111,7 +111,7 @@
         if line.fleet != self.membership.fleet:
             raise LineError(f"of fleet {line.fleet}")
         if line.sender != sender:
-            raise LineError(f"says that it is {line.sender}, and is {sender}")
+            raise LineError(f"names {line.sender} as its sender, and comes from {sender}")
         if self.membership.find_member(sender) is None:
             self.counts[ReplicationCounter.LINES_NOT_FROM_MEMBER] += 1
             return []
--- a/fawnwharf/replication/directed_log.py
+++ b/fawnwharf/replication/directed_log.py
@@ -1,9 +1,9 @@
 """Logs whose lines are for some readers only, in the change log's form.
 
-A reader asks `since N` with a random number, which gets it the current lines, as in any log, and says in its
-own log, which this side follows, that it was the one (`Hello`). From then on it is sent what is for it and
-what is for all, with numbers of its own; until then it is sent everything. Lines that pass while a reader is
-disconnected are lost to it: what is sent here is sent again, or made good by comparison.
+A reader asks `since N` with a random number, which gets it the current lines, as in any log, and states in
+its own log, which this side follows, that it was the one (`Hello`). From then on it is sent what is for it
+and what is for all, with numbers of its own; until then it is sent everything. Lines that pass while a reader
+is disconnected are lost to it: what is sent here is sent again, or made good by comparison.
 """
 
 import secrets
@@ -16,7 +16,7 @@
 from fawnwharf.zones.member_log import LogServer, MemberLogFollower, line_encoder
 
 MAX_NAMES = 4_000
-FIRST_NUMBER = 2  # of those that readers ask with
+FIRST_NUMBER = 2  # of those in readers' requests
 NUMBER_BITS = 50
 
 
@@ -25,14 +25,14 @@
 
     def __init__(self, loop: EventLoop, address: Address, incarnation: int, max_readers: int) -> None:
         super().__init__(loop, address, incarnation, max_readers)
-        self._names: dict[int, str] = {}  # by the number that a reader asked with
+        self._names: dict[int, str] = {}  # by the number in a reader's request
         self._sent: dict[Any, int] = {}  # lines, by reader
         # Called with the name of a member from which on everything that is sent reaches it.
         self.on_follower: Callable[[str], None] = lambda _name: None
         self.sent_lines = self.sent_bytes = 0
 
     def identify(self, name: str, reader_number: int) -> None:
-        """Take which member asked with this number."""
+        """Take which member's request had this number."""
         if self._names.get(reader_number) == name:
             return
         while len(self._names) >= MAX_NAMES:
@@ -102,12 +102,12 @@
         log: Callable[[str], None],
         send_hello: Callable[[int], None],
     ) -> None:
-        """`send_hello` has to say, in the own log, with which number this reader asked."""
+        """`send_hello` has to state, in the own log, the number of this reader's request."""
         super().__init__(loop, address, on_line, cast(LogWriter, log))  # it only calls it with a text
         self._send_hello = send_hello
 
     def on_up(self) -> None:
-        """Ask for the log with a new number."""
+        """Request the log with a new number."""
         if self._connection is None:
             return
         self.seq = self.incarnation = 0
--- a/fawnwharf/replication/followed_logs.py
+++ b/fawnwharf/replication/followed_logs.py
@@ -20,7 +20,7 @@
         on_dropped_line: Callable[[str], None],
         send_hello: Callable[[str, int], None],
     ) -> None:
-        """`send_hello` has to say, in the own log, with which number this reader asked a member's log."""
+        """`send_hello` has to state, in the own log, the number with which a member's log is requested."""
         self._loop, self._on_line = loop, on_line
         self._on_dropped_line, self._send_hello = on_dropped_line, send_hello
         self._logs: dict[str, DirectedLog] = {}
--- a/fawnwharf/replication/grant_log.py
+++ b/fawnwharf/replication/grant_log.py
@@ -75,7 +75,7 @@
         """Read what is there, where claims count for `lifetime_ms` at the most.
 
         Raises DiskError where the folder belongs to another member or can't be used. What can't be trusted is
-        left out, and `distrust_reason` says why.
+        left out, and `distrust_reason` has the reason.
         """
         self.folder, self._fleet, self._name, self._boot = folder, fleet, name, boot
         self._lifetime_ms = lifetime_ms
@@ -204,7 +204,7 @@
         self._last_number += 1
         data = encode_record(self._last_number, value)
         if os.write(file, data) != len(data):
-            raise OSError(28, "no room for a whole record")
+            raise OSError(28, "no space for a complete record")
 
     def write(self, now_ms: float, grants: list[StoredGrant], complete_for: int) -> None:
         """Write claims, before anything is sent that depends on them.
--- a/fawnwharf/replication/grant_storage.py
+++ b/fawnwharf/replication/grant_storage.py
@@ -6,6 +6,7 @@
 
 import msgspec
 
+from fawnwharf.config import ConfigError
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.replication.call_owner import OwnerAction, RejectCall, RunCall
@@ -112,6 +113,28 @@
         return actions
 
 
+def open_grant_storage(
+    core: ReplicationCore,
+    folder: Path | None,
+    factory: GrantStorageFactory | None,
+    log_event: Callable[[str, dict[str, Any]], None],
+) -> GrantStorage | None:
+    """Open what grants are stored in; None for memory only, or where this member is no replica.
+
+    Raises ConfigError where the folder can't be used.
+    """
+    if core.replica is None:
+        return None
+    if factory is not None:
+        return factory.open_grant_storage(core, folder)
+    if folder is None:
+        return None
+    try:
+        return GrantLogStorage(folder, core, core.replica, log_event)
+    except DiskError as error:
+        raise ConfigError(f"state.folder: {error}") from None
+
+
 def _without_own_grant(action: OwnerAction) -> OwnerAction:
     """An action as it is where what was just granted here does not count."""
     if isinstance(action, RunCall) and action.claimed:
--- a/fawnwharf/replication/load_report.py
+++ b/fawnwharf/replication/load_report.py
@@ -136,7 +136,7 @@
         result: io.AttemptResult,
         copies: int,
     ) -> None:
-        """Take an order's answer, which says how many copies there are now."""
+        """Take an order's answer, which has the number of copies there are now."""
         if ordered_copies and (loads_ms := self._loads_ms.get(location)):
             loads_ms.pop(0)
             if not loads_ms:
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -99,7 +99,7 @@
             self._log_event("remote load", {"known": known, "front_ends": front_ends})
         settings = self._core.settings
         if now_ms - self._last_event_ms > settings.load_report_lifetime_ms:
-            self._pass_on()  # no replica answers: what the module was told is taken back
+            self._pass_on()  # no replica answers: what the module received is revoked
         hurried = self.reporter.loading or self.reporter.scorers_in_slow_start(now_ms)
         interval_ms = settings.slow_start_report_interval_ms if hurried else settings.load_report_interval_ms
         self._running.schedule(now_ms + interval_ms, self._report)
--- a/fawnwharf/replication/log_reading.py
+++ b/fawnwharf/replication/log_reading.py
@@ -32,4 +32,4 @@
     for message in read_messages(place, within_s):
         if isinstance(message, m.Status):
             return message
-    raise ValueError("it told nothing of itself")
+    raise ValueError("its log has no status")
--- a/fawnwharf/replication/messages.py
+++ b/fawnwharf/replication/messages.py
@@ -71,7 +71,7 @@
 class StateRequest(Struct, frozen=True, tag="want"):
     """A replica requests all claims of another one, or those of some buckets.
 
-    A replica that is asked by a later membership than its own grants nothing more by its own.
+    A replica that gets a request by a later membership than its own grants nothing more by its own.
     """
 
     number: Count
@@ -116,7 +116,7 @@
 
 
 class Hello(Struct, frozen=True, tag="hello"):
-    """The sender is the reader that asked for a log since this number; it needs no lines for others."""
+    """The sender is the reader that requested a log since this number; it needs no lines for others."""
 
     reader_number: Count = msgspec.field(name="asked")
 
@@ -202,7 +202,7 @@
     report_number: Count = msgspec.field(name="number")
     incarnation: Count = msgspec.field(name="life")  # of the report's owner
     answer_number: Count = msgspec.field(name="answer")
-    # Front ends whose reports it rests on, with the one that asks; 0 in a mere acknowledgement.
+    # Front ends whose reports it rests on, with the one that reports; 0 in a mere acknowledgement.
     front_ends: Count = msgspec.field(default=0, name="heard")
     age_ms: DurationMs = 0.0  # of the oldest report that `sent` rests on
     sent: Annotated[dict[ScorerKey, Count], Meta(max_length=64)] = {}
--- a/fawnwharf/replication/periodic_reports.py
+++ b/fawnwharf/replication/periodic_reports.py
@@ -25,7 +25,7 @@
         self._closed = False
 
     def begin(self) -> None:
-        """Send the first reports that the settings ask for; each one plans the next."""
+        """Send the first reports that the settings switch on; each one plans the next."""
         if self._core.settings.quota_shares:
             self._report_usage()
         if self._core.settings.outlier_ejection:
--- a/fawnwharf/replication/remote_loads.py
+++ b/fawnwharf/replication/remote_loads.py
@@ -173,7 +173,7 @@
         return events
 
     def _loading(self, now_ms: float) -> dict[int, dict[str, float]]:
-        """By scorer and function of loads in flight elsewhere, how old what says so is."""
+        """By scorer and function of loads in flight elsewhere, how old the report of it is."""
         loading: dict[int, dict[str, float]] = {}
         for answer in self._answers.values():
             if now_ms - answer.requested_ms <= self.report_lifetime_ms:
@@ -230,7 +230,7 @@
         }
 
     def _is_change(self, event: io.RemoteLoadReport, oldest_ms: float) -> bool:
-        """Whether an event says something else than the last one, or the same of a later time."""
+        """Whether an event differs from the last one, or has the same of a later time."""
         reported = self._reported.get(event.scorer)
         if reported is None:
             return event.sent is not None or bool(event.copies or event.loading)
--- a/fawnwharf/replication/replica.py
+++ b/fawnwharf/replication/replica.py
@@ -68,7 +68,7 @@
         self.live_owners: set[str] = set()
         self.storage_failed = False  # what it grants can't be stored
         self._completeness = Completeness(now_ms, complete, set() if complete else self._other_replicas())
-        self._max_requested_membership = 0  # the largest number by which another replica asked
+        self._max_requested_membership = 0  # the largest number in another replica's request
         self._expiry_due_ms = now_ms
         self._comparison_due_ms = now_ms + settings.compare_interval_ms
 
@@ -214,7 +214,7 @@
         return m.Send((front_end_of(owner),), reply)
 
     def handle_claim_update(self, now_ms: float, update: m.ClaimUpdate) -> list[m.Send]:
-        """Take an owner's later message, also where its request never came: it says no less."""
+        """Take an owner's later message, also where its request never arrived: it has no less information."""
         claim = update.claim
         released = claim.phase is ClaimPhase.RELEASED
         if released and update.key not in self.claim_store.calls:
@@ -223,7 +223,7 @@
         if entry is None:
             return []
         full = len(entry.claims) >= MAX_CALL_REQUESTS and claim.claim_id not in entry.claims
-        if full and released:  # it was not granted here, so nobody is kept from the call by it
+        if full and released:  # it was not granted here, so it blocks no other request
             return []
         lifetime_ms = self.claim_store.claim_lifetime_ms(update.key)
         self.claim_store.merge(now_ms, update.key, entry, claim, lifetime_ms)
@@ -281,7 +281,7 @@
     def handle_state_request(self, sender: str, request: m.StateRequest) -> None:
         """Begin to send another replica what is stored here.
 
-        One that asks by a later membership gets all of it, and nothing more is granted by the earlier one.
+        One with a later membership gets all of it, and nothing more is granted by the earlier one.
         """
         later = request.membership_number > self.placement.number
         self._max_requested_membership = max(self._max_requested_membership, request.membership_number)
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -10,7 +10,6 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import ConfigError, Deployment, Fleet, address_from
-from fawnwharf.consensus.records import DiskError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.requests import RequestTable
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
@@ -20,26 +19,22 @@
 from fawnwharf.replication.core import LineError, ReplicationCore
 from fawnwharf.replication.counters import ReplicationCounter
 from fawnwharf.replication.directed_log import DirectedLogServer
+from fawnwharf.replication.event_log import EventLog, LogEvent
 from fawnwharf.replication.followed_logs import FollowedLogs
-from fawnwharf.replication.grant_storage import GrantLogStorage, GrantStorage, GrantStorageFactory
+from fawnwharf.replication.grant_storage import GrantStorageFactory, open_grant_storage
 from fawnwharf.replication.load_reporting import LoadReporting
-from fawnwharf.replication.membership_file import MembershipFile
 from fawnwharf.replication.outlier_ejection import OutlierEjector
 from fawnwharf.replication.periodic_reports import PeriodicReports
-from fawnwharf.replication.replica import Replica
-from fawnwharf.replication.settings import ReplicationSettings, parse_settings
+from fawnwharf.replication.service_files import load_service_files
 from fawnwharf.replication.usage import QuotaShares
-from fawnwharf.zones.files import load_file
 from fawnwharf.zones.settings import SettingsFileError
 
 FILE_CHECK_INTERVAL_MS = 500.0
 STATUS_INTERVAL_MS = 2_000.0
 MAX_FLUSH_MS = 500.0  # a graceful shutdown waits so long for what is not written yet
 EXTRA_READERS = 16  # of the log beyond the members, for operators
-EVENT_INTERVAL_MS = 1_000.0  # between two log events of one kind that may repeat
 DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0  # where there is no class
 
-LogEvent = Callable[[str, dict[str, Any]], None]
 LogClient = Callable[[float, str, int, Any], None]  # now, sender, its incarnation, the message
 
 
@@ -72,42 +67,34 @@
         of the replica's own file.
         """
         self.deployment, self.log_event = deployment, log_event
-        path = Path(path)
-        settings: ReplicationSettings = load_file(path, parse_settings, "state")
-        self.settings = settings
-        self.folder = path.parent / settings.folder if settings.folder else None
-        self._membership_file = MembershipFile(
-            path.parent / settings.membership_file, settings, deployment.name
-        )
-        for name in settings.modes:
-            if name not in deployment.settings.classes:
-                raise ConfigError(f"state: {path}: modes.{name}: no such class")
+        self._event_log = EventLog(log_event)
+        files = load_service_files(deployment, Path(path))
+        self.settings, self.folder = files.settings, files.folder
+        self._membership_file = files.membership_file
         self.member = self._membership_file.own_entry
         self.incarnation = secrets.randbits(52) | 1
         self.core = ReplicationCore(
             self.member.name,
             self.incarnation,
             self._membership_file.membership,
-            settings,
+            self.settings,
             monotonic_ms(),
             fresh=fresh,
         )
         self._switch_on_reports()
         self._grant_storage_factory = grant_storage_factory
-        self.grant_storage = self._open_grant_storage()
-        # Called with the time and the name of a member that follows this log anew.
+        self.grant_storage = open_grant_storage(self.core, self.folder, grant_storage_factory, log_event)
+        # Called with the time and the name of a member that begins to follow this log.
         self.follower_callbacks: list[Callable[[float, str], None]] = []
         self.log_clients: dict[str, LogClient] = {}  # other subsystems whose messages use these logs, by name
         self._host: _Host | None = None
         self._timer: Timer | None = None
         self._timer_ms = 0.0
-        self._last_event_ms: dict[str, float] = {}
         self._stopped = False
         self._idle_since_ms: float | None = None  # no client waits since then, in a graceful shutdown
-        self._was_complete: bool | None = None
 
     def _switch_on_reports(self) -> None:
-        """Set up the reports that the settings ask for."""
+        """Set up the reports that the settings switch on."""
         module_settings = self.deployment.settings
         if self.settings.quota_shares:
             # The module adds the limits that it gets to the quotas: these are as they were configured.
@@ -120,19 +107,6 @@
         if self.settings.load_reports:
             self.load_reporting = LoadReporting(self.core, module_settings, self.log_event)
 
-    def _open_grant_storage(self) -> GrantStorage | None:
-        """Open what grants are stored in; None for memory only, or where this member is no replica."""
-        if self.core.replica is None:
-            return None
-        if self._grant_storage_factory is not None:
-            return self._grant_storage_factory.open_grant_storage(self.core, self.folder)
-        if self.folder is None:
-            return None
-        try:
-            return GrantLogStorage(self.folder, self.core, self.core.replica, self.log_event)
-        except DiskError as error:
-            raise ConfigError(f"state.folder: {error}") from None
-
     # --- life cycle ---------------------------------------------------------------------------
 
     def attach(self, front_end: FrontEnd) -> None:
@@ -158,7 +132,7 @@
         if self.load_reporting:
             self.load_reporting.attach(front_end, self._carry_out)
         self._tick()
-        self._log_start()
+        self._event_log.started(self.core, self.grant_storage)
 
     def _listen(self, front_end: FrontEnd) -> DirectedLogServer:
         place = self.settings.listen or self._membership_file.own_place
@@ -172,15 +146,6 @@
         server.on_follower = self._notify_follower
         return server
 
-    def _log_start(self) -> None:
-        replicas = {zone: list(names) for zone, names in self.core.placement.by_zone.items()}
-        self.log_event(
-            "replication started",
-            {"member": self.member.name, "owner": self.core.owner_id, "replicas": replicas},
-        )
-        if self.grant_storage:
-            self.log_event("grants read", self.grant_storage.summary)
-
     def close(self) -> None:
         """End all parts."""
         self._stopped = True
@@ -293,7 +258,7 @@
         self._record_signs_of_life()
         self._carry_out(self.core.tick(now_ms))
         if self.core.replica is not None:
-            self._log_changes(now_ms, self.core.replica)
+            self._event_log.replica_checked(now_ms, self.core.replica)
 
     def _set_timer(self) -> None:
         """Plan the next tick, unless one is planned that is early enough."""
@@ -308,27 +273,6 @@
         self._timer_ms = due_ms
         self._timer = self._running.front_end.loop.timers.after(due_ms - now_ms, self._tick)
 
-    def _log_changes(self, now_ms: float, replica: Replica) -> None:
-        """Log whether the replica is complete, where that changed, and conflicts."""
-        complete = replica.is_complete(now_ms)
-        if complete != self._was_complete:
-            self._was_complete = complete
-            self.log_event("replica", {"complete": complete, "calls": len(replica.claim_store.calls)})
-        conflicts, replica.claim_store.conflicts = replica.claim_store.conflicts, []
-        for key, one, other in conflicts:
-            if self._may_log("conflict"):
-                one_claim, other_claim = msgspec.to_builtins((one, other))
-                self.log_event("conflicting claims", {"call": key, "one": one_claim, "other": other_claim})
-
-    def _may_log(self, kind: str) -> bool:
-        """Whether an event of this kind is not too soon after the last one."""
-        now_ms = monotonic_ms()
-        last_ms = self._last_event_ms.get(kind)
-        if last_ms is not None and now_ms - last_ms < EVENT_INTERVAL_MS:
-            return False
-        self._last_event_ms[kind] = now_ms
-        return True
-
     def _publish_status(self) -> None:
         if self._stopped:
             return
@@ -380,9 +324,7 @@
             callback(monotonic_ms(), name)
 
     def _line_dropped(self, reason: str) -> None:
-        if self._may_log("line"):
-            counts = {str(counter): count for counter, count in self.core.counts.items()}
-            self.log_event("line dropped", {"why": reason, "counts": counts})
+        self._event_log.line_dropped(reason, self.core.counts)
 
     # --- files --------------------------------------------------------------------------------
 
@@ -399,12 +341,12 @@
         try:
             membership = self._membership_file.read()
         except (OSError, SettingsFileError) as error:
-            self.log_event("membership file ignored, the last one stays in force", {"fault": str(error)})
+            self._event_log.membership_ignored(error)
             return
         self.core.change_membership(monotonic_ms(), membership)
         if self._grant_storage_factory is not None and self.grant_storage is None:
-            self.grant_storage = self._open_grant_storage()
+            self.grant_storage = open_grant_storage(
+                self.core, self.folder, self._grant_storage_factory, self.log_event
+            )
         self._follow_logs()
-        self.log_event(
-            "membership taken", {"number": membership.number, "replicas": self.core.placement.replicas}
-        )
+        self._event_log.membership_taken(membership, self.core.placement.replicas)
--- a/fawnwharf/replication/settings.py
+++ b/fawnwharf/replication/settings.py
@@ -108,7 +108,7 @@
 
 
 def check_members(members: Membership, settings: ReplicationSettings) -> None:
-    """Check that this fleet can replicate as the settings ask; raises SettingsFileError."""
+    """Check that this fleet can replicate as the settings require; raises SettingsFileError."""
     zones = {member.zone for member in members.members if member.replication_address}
     if len(zones) < settings.replica_zones:
         raise SettingsFileError(
--- a/fawnwharf/replication/state_transfer.py
+++ b/fawnwharf/replication/state_transfer.py
@@ -137,7 +137,7 @@
     def start(self, name: str, request: m.StateRequest, shared: Callable[[tuple[str, ...]], bool]) -> None:
         """Begin the transfer that another replica requests; it replaces an earlier one.
 
-        `shared` says by a call's replicas whether that replica may have it.
+        `shared` decides by a call's replicas whether that replica may have it.
         """
         ranges = {requested.owner: requested for requested in request.ranges}
 
