--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -67,7 +67,7 @@
     def _watch(self, on: bool) -> None:
         if on:
             self._looked_ms = max(self._looked_ms, self.loop.iteration_ms)
-            self.loop.watch(self.socket, READ, self._ready, order=lambda: ReadPriority.NEW)
+            self.loop.watch(self.socket, READ, self._ready, order=lambda: ReadPriority.IDLE)
         else:
             self.loop.unwatch(self.socket)
 
@@ -104,7 +104,7 @@
         except OSError as error:
             # Reset already, or the selector has no memory: this one is lost, the next may be well.
             accepted.close()
-            self.log(f"accepted, but of no use: {error}", "accept")
+            self.log(f"accepted connection not usable: {error}", "accept")
 
     def _failed(self, error: OSError) -> bool:
         if error.errno in SINGLE_CONNECTION_ERRORS:
--- a/fawnwharf/prefetch/world.py
+++ b/fawnwharf/prefetch/fleet_model.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, field
 
 from fawnwharf.interface import Settings
+from fawnwharf.prefetch.copy_value import FunctionProfile, mean_worth
 from fawnwharf.prefetch.settings import Prices
-from fawnwharf.prefetch.worth import Facts, mean_worth
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.session_types import Session
 
-LOADS_MOST = 4  # of a scorer at a time
+MAX_LOADS = 4  # of a scorer at a time
 FETCH_PART = 0.6  # of a load's time is the fetch
-STORE_MOST = 5  # fetches that the store serves at a time; others wait in turn
+MAX_STORE_FETCHES = 5  # fetches that the store serves at a time; others wait in turn
 CORE_PART = 0.08  # of a load's time takes a core
 
 
@@ -102,11 +102,16 @@
         return self.service() - (spent + prices.waste * self.wasted_ms / run_ms) / max(1, self.calls)
 
 
-class World:
+class FleetModel:
     """Owns scorers and copies. `call` is what a call finds, `stage` a prefetch order."""
 
     def __init__(
-        self, site: Settings, sites: Iterable[str], each: int, memory_mb: float, facts: dict[str, Facts]
+        self,
+        site: Settings,
+        sites: Iterable[str],
+        each: int,
+        memory_mb: float,
+        facts: dict[str, FunctionProfile],
     ) -> None:
         self.settings, self.facts = site, facts
         self.scorers = {
@@ -117,7 +122,7 @@
         self.window = Tally()  # of calls since measuring began
         self.measures = False
         self.mean = mean_worth(site.classes)
-        self.store = [0.0] * STORE_MOST  # until when each of its places is taken, a heap
+        self.store = [0.0] * MAX_STORE_FETCHES  # until when each of its places is taken, a heap
         self.taken: list[float] = []  # calls and orders of the ration's window
         self.orders: list[float] = []
         self.down: set[str] = set()
@@ -218,14 +223,16 @@
             return None
         return copy
 
-    def _load(self, now_ms: float, scorer: Scorer, facts: Facts, row: str, staged: bool) -> Copy | None:
+    def _load(
+        self, now_ms: float, scorer: Scorer, facts: FunctionProfile, row: str, staged: bool
+    ) -> Copy | None:
         while scorer.held_mb() + facts.memory_mb > scorer.memory_mb:
             idle = [copy for copy in scorer.copies.values() if max(copy.used_ms, copy.ready_ms) <= now_ms]
             if not idle:
                 return None
             self._drop(scorer, min(idle, key=lambda copy: (copy.used_ms, copy.row)))
         loading = sorted(copy.ready_ms for copy in scorer.copies.values() if copy.ready_ms > now_ms)
-        begins = loading[-LOADS_MOST] if len(loading) >= LOADS_MOST else now_ms
+        begins = loading[-MAX_LOADS] if len(loading) >= MAX_LOADS else now_ms
         begins = max(begins, self.store[0])
         fetch = FETCH_PART * facts.load_ms
         heapq.heapreplace(self.store, begins + fetch)
--- a/fawnwharf/prefetch/seen.py
+++ b/fawnwharf/prefetch/session_monitor.py
@@ -11,23 +11,27 @@
 
 import math
 from itertools import chain, islice
+from typing import TypeVar
 
 from msgspec import Struct
 
 from fawnwharf.prefetch import messages as m
-from fawnwharf.prefetch.kept import Kept
-from fawnwharf.prefetch.settings import Foresight
-from fawnwharf.prefetch.slices import Slices, drained
+from fawnwharf.prefetch.lru_map import LruMap
+from fawnwharf.prefetch.settings import PrefetchSettings
+from fawnwharf.prefetch.slices import Slices, run_slices
 from fawnwharf.session_types import Session
 
 _BITS = 31
 _MASK = (1 << _BITS) - 1
-MOVED_SHARE = 0.6  # of a session's calls of late, for a site to be held where it is
-BEGAN = 0.2  # of a call in the fast window: a site with less had none of late
-OWNERS_MOST = 512
-SITES_MOST = 8  # of one session: one that calls everywhere moves nowhere
-RISES, PLACES, ENDS = 150, 80, 40  # of one slice
-RISES_MOST, ENDS_MOST = 20_000, 5_000  # of one look: what is beyond stays for the next ones
+MIN_MOVED_SHARE = 0.6  # of a session's calls of late, for a site to be held where it is
+MIN_RECENT_CALLS = 0.2  # of a call in the fast window: a site with less had none of late
+MAX_OWNERS = 512
+MAX_ZONES = 8  # of one session: one that calls everywhere moves nowhere
+RISES_PER_SLICE = 150
+PLACES_PER_SLICE = 80
+ENDS_PER_SLICE = 40
+MAX_RISES = 20_000  # of one pass: what exceeds it stays for the next ones
+MAX_ENDS = 5_000
 
 
 # Not seen by the collector of garbage, which would walk all sessions in one go: no cycle goes through them.
@@ -42,18 +46,18 @@
     since_ms: float = 0.0
 
 
-class Track(Struct, eq=False, gc=False):
+class SessionRate(Struct, eq=False, gc=False):
     """A session: its zone, the one before, and its flows by zone."""
 
     began_ms: float
     last_ms: float
     site: str = ""
     was: str = ""
-    mark: int = 0  # where it is kept
+    chunk_index: int = 0  # of the map of all sessions
     level: int = 0  # doublings of its calls of late, as of the last look that saw one
     flows: tuple[Flow, ...] = ()
 
-    def rate_ps(self, settings: Foresight, now_ms: float) -> float:
+    def rate_ps(self, settings: PrefetchSettings, now_ms: float) -> float:
         """Calls a second at all zones, by the slow window, or since its first call where that is shorter."""
         span = min(settings.slow_ms, max(2 * settings.beat_ms, now_ms - self.began_ms))
         return (
@@ -61,13 +65,13 @@
         )
 
 
-class Group:
+class SessionGroup:
     """Sessions by level of activity, so that the busiest are found without a pass over all of them."""
 
     __slots__ = ("_levels", "_size")
 
     def __init__(self) -> None:
-        self._levels: dict[int, dict[Session, Track]] = {}
+        self._levels: dict[int, dict[Session, SessionRate]] = {}
         self._size = 0
 
     def __len__(self) -> int:
@@ -76,13 +80,13 @@
     def __contains__(self, session: Session) -> bool:
         return any(session in some for some in self._levels.values())
 
-    def add(self, session: Session, track: Track) -> None:
+    def add(self, session: Session, track: SessionRate) -> None:
         """Add a session at its track's level."""
         some = self._levels.setdefault(track.level, {})
         self._size += session not in some
         some[session] = track
 
-    def remove(self, session: Session, track: Track) -> None:
+    def remove(self, session: Session, track: SessionRate) -> None:
         """Remove a session from its track's level, if it is there."""
         some = self._levels.get(track.level, {})
         if some.pop(session, None) is not None:
@@ -90,7 +94,7 @@
             if not some:
                 del self._levels[track.level]
 
-    def one(self) -> Track:
+    def one(self) -> SessionRate:
         """Any one of them."""
         return next(iter(next(iter(self._levels.values())).values()))
 
@@ -103,26 +107,42 @@
         return dict.fromkeys(islice(chain.from_iterable(levels), most))
 
 
-class Watcher:
+GroupKey = TypeVar("GroupKey")
+
+
+def _leave_group(
+    groups: dict[GroupKey, SessionGroup], key: GroupKey, session: Session, track: SessionRate
+) -> None:
+    """Remove a session from one of some groups, and the group with its last session."""
+    group = groups.get(key)
+    if group is not None:
+        group.remove(session, track)
+        if not group:
+            del groups[key]
+
+
+class SessionMonitor:
     """The session monitor of one front end.
 
     Counts its own calls, merges others' counters, and finds moves.
     """
 
-    def __init__(self, settings: Foresight, me: str = "me") -> None:
+    def __init__(self, settings: PrefetchSettings, me: str = "me") -> None:
         self.settings, self.me = settings, me
         self.number = 1
-        self.tracks: Kept[Session, Track] = Kept()  # those still for longest first
-        self.groups: dict[tuple[str, str], Group] = {}  # by tenant and site
-        self.here: dict[str, Group] = {}  # by site
-        self.left: dict[str, Group] = {}  # by the site that they were at before
+        self.tracks: LruMap[Session, SessionRate] = LruMap()  # those still for longest first
+        self.groups: dict[tuple[str, str], SessionGroup] = {}  # by tenant and site
+        self.here: dict[str, SessionGroup] = {}  # by site
+        self.left: dict[str, SessionGroup] = {}  # by the site that they were at before
         self.dropped: dict[str, int] = {}
         self._counters: dict[str, dict[Flow, int]] = {me: {}}
         self._numbers: dict[str, int] = {}
         self._rose: dict[str, dict[Flow, int | None]] = {me: {}}  # what stood before, since the last look
         self._told: dict[Flow, None] = {}  # own counters that are to be told
         self._looks = 0
-        self._graves: list[dict[Flow, int]] = []  # counters of owners that are gone, freed by and by
+        self._graves: list[
+            dict[Flow, int] | dict[Flow, int | None]
+        ] = []  # counters of owners that are gone, freed by and by
 
     def _drop(self, cause: str, count: int = 1) -> None:
         self.dropped[cause] = self.dropped.get(cause, 0) + count
@@ -139,16 +159,16 @@
         self._told[flow] = None
         self._touch(now_ms, flow.session)
 
-    def word(self) -> m.Word:
+    def word(self) -> m.CounterMessage:
         """The own counters that rose since the last message.
 
         What exceeds its bound follows in the next ones.
         """
-        word = self.part(m.ENTRIES_MOST)
+        word = self.part(m.MAX_ENTRIES)
         self.number += 1
         return word
 
-    def part(self, most: int) -> m.Word:
+    def part(self, most: int) -> m.CounterMessage:
         """At most `most` of these counters, under the current number.
 
         The parts with one number are one message.
@@ -156,8 +176,8 @@
         mine, counts = self._counters[self.me], []
         for flow in list(islice(self._told, most)):
             del self._told[flow]
-            counts.append(m.Count(flow.session, flow.site, mine[flow] >> _BITS, mine[flow] & _MASK))
-        return m.Word(self.number, tuple(counts))
+            counts.append(m.CallCounter(flow.session, flow.site, mine[flow] >> _BITS, mine[flow] & _MASK))
+        return m.CounterMessage(self.number, tuple(counts))
 
     @property
     def untold(self) -> int:
@@ -169,14 +189,14 @@
         track.last_ms = max(track.last_ms, now_ms)
         self.tracks.use(session, track)
 
-    def heard(self, now_ms: float, owner: str, word: m.Word) -> None:
+    def heard(self, now_ms: float, owner: str, word: m.CounterMessage) -> None:
         """Merge the counters of one incarnation of another front end; what is not larger changes nothing."""
         held = self._counters.get(owner)
         if owner == self.me:
             self._drop("a word of my own")
             return
         if held is None:
-            if len(self._counters) >= OWNERS_MOST:
+            if len(self._counters) >= MAX_OWNERS:
                 self._drop("an owner beyond the bound")
                 return
             held = self._counters[owner] = {}
@@ -200,11 +220,11 @@
             self._numbers.pop(owner, None)
             self._graves += [held, self._rose.pop(owner)]
 
-    def beat(self, now_ms: float) -> m.Beat:
+    def beat(self, now_ms: float) -> m.ScanResult:
         """A whole pass at once."""
-        return drained(self.look(now_ms))
+        return run_slices(self.look(now_ms))
 
-    def look(self, now_ms: float) -> Slices[m.Beat]:
+    def look(self, now_ms: float) -> Slices[m.ScanResult]:
         """A pass over what rose since the last one, in slices: moves, ends, and who called where."""
         self._looks += 1
         # No lists of all of them: the garbage collector would walk them.
@@ -213,13 +233,13 @@
         yield from self._count_rises(now_ms, called, sessions)
         yield
         moved = yield from self._find_moves(now_ms, sessions)
-        ended: list[m.Ended] = []
-        while len(ended) < ENDS_MOST and (end := self._end_still(now_ms)) is not None:
+        ended: list[m.SessionEnded] = []
+        while len(ended) < MAX_ENDS and (end := self._end_still(now_ms)) is not None:
             ended.append(end)
-            if len(ended) % ENDS == 0:
+            if len(ended) % ENDS_PER_SLICE == 0:
                 yield
         yield from self._free_graves()
-        return m.Beat(tuple(moved), tuple(ended), called)
+        return m.ScanResult(tuple(moved), tuple(ended), called)
 
     def _count_rises(
         self, now_ms: float, called: dict[Flow, None], sessions: dict[Session, None]
@@ -231,30 +251,30 @@
         count, slice_, owners = 0, 0, list(self._rose)
         first = self._looks % len(owners)
         for owner in owners[first:] + owners[:first]:
-            left = min(len(self._rose.get(owner, ())), RISES_MOST - count)
-            while left > 0 and (some := list(islice(self._rose.get(owner, ()), min(left, RISES)))):
+            left = min(len(self._rose.get(owner, ())), MAX_RISES - count)
+            while left > 0 and (some := list(islice(self._rose.get(owner, ()), min(left, RISES_PER_SLICE)))):
                 left, count = left - len(some), count + len(some)
                 for flow in some:
                     if rise := self._rise(owner, flow):
                         self._add(flow, rise, now_ms)
                         called[flow] = sessions[flow.session] = None
                 slice_ += len(some)
-                if slice_ >= RISES:
+                if slice_ >= RISES_PER_SLICE:
                     slice_ = 0
                     yield
 
     def _add(self, flow: Flow, rise: int, now_ms: float) -> None:
         self._fade(flow, now_ms)
-        if flow.fast < BEGAN:
+        if flow.fast < MIN_RECENT_CALLS:
             flow.since_ms = now_ms
         flow.fast += rise
         flow.slow += rise
 
-    def _find_moves(self, now_ms: float, sessions: dict[Session, None]) -> Slices[list[m.Moved]]:
+    def _find_moves(self, now_ms: float, sessions: dict[Session, None]) -> Slices[list[m.SessionMoved]]:
         """Place the sessions that called; those found at another zone than before have moved."""
-        moved: list[m.Moved] = []
+        moved: list[m.SessionMoved] = []
         for n, session in enumerate(sessions):
-            if n % PLACES == PLACES - 1:
+            if n % PLACES_PER_SLICE == PLACES_PER_SLICE - 1:
                 yield
             track = self.tracks.get(session)
             move = self._place(session, track, now_ms) if track is not None else None
@@ -265,7 +285,7 @@
     def _free_graves(self) -> Slices[None]:
         """Free the counters of owners that are gone, some in each slice."""
         while self._graves:
-            for _ in range(min(RISES, len(self._graves[-1]))):
+            for _ in range(min(RISES_PER_SLICE, len(self._graves[-1]))):
                 self._graves[-1].popitem()
             if not self._graves[-1]:
                 self._graves.pop()
@@ -298,43 +318,47 @@
         track = self.tracks.get(session)
         if track is None:
             while len(self.tracks) >= self.settings.sessions:
-                self._forget(self.tracks.oldest())
+                oldest = self.tracks.oldest()
+                if oldest is None:
+                    break
+                self._forget(oldest)
                 self._drop("a session beyond the bound")
-            track = Track(now_ms, now_ms)
+            track = SessionRate(now_ms, now_ms)
             self.tracks.use(session, track)
         for flow in track.flows:
             if flow.site == site:
                 return flow
-        if len(track.flows) >= SITES_MOST:
+        if len(track.flows) >= MAX_ZONES:
             self._drop("a site beyond the bound")
             return None
         flow = Flow(session, site, now_ms)
         track.flows += (flow,)
         return flow
 
-    def _place(self, session: Session, track: Track, now_ms: float) -> m.Moved | None:
+    def _place(self, session: Session, track: SessionRate, now_ms: float) -> m.SessionMoved | None:
         for flow in track.flows:
             self._fade(flow, now_ms)
         total = sum(flow.fast for flow in track.flows)
         most = max(track.flows, key=lambda flow: (flow.fast, flow.site))
         level = max(0, math.frexp(sum(flow.slow for flow in track.flows))[1])
-        if most.site == track.site or (track.site and most.fast < MOVED_SHARE * total):
+        if most.site == track.site or (track.site and most.fast < MIN_MOVED_SHARE * total):
             if level != track.level:
                 self._leave(session, track)
                 track.level = level
                 self._join(session, track)
             return None
-        whence = track.site
+        source = track.site
         self._leave(session, track)
         track.level = level
-        if whence:
-            track.was = whence
+        if source:
+            track.was = source
         track.site = most.site
         self._join(session, track)
-        return m.Moved(session, whence, most.site, most.since_ms) if whence else None
+        return m.SessionMoved(session, source, most.site, most.since_ms) if source else None
 
-    def _forget(self, session: Session) -> Track:
-        track = self.tracks.pop(session)
+    def _forget(self, session: Session) -> SessionRate:
+        track = self.tracks[session]
+        self.tracks.pop(session)
         for flow in track.flows:
             self._told.pop(flow, None)
             for owner, held in self._counters.items():
@@ -343,24 +367,20 @@
         self._leave(session, track)
         return track
 
-    def _join(self, session: Session, track: Track) -> None:
-        self.groups.setdefault((session.org, track.site), Group()).add(session, track)
-        self.here.setdefault(track.site, Group()).add(session, track)
+    def _join(self, session: Session, track: SessionRate) -> None:
+        self.groups.setdefault((session.org, track.site), SessionGroup()).add(session, track)
+        self.here.setdefault(track.site, SessionGroup()).add(session, track)
         if track.was:
-            self.left.setdefault(track.was, Group()).add(session, track)
-
-    def _leave(self, session: Session, track: Track) -> None:
-        groups = ((self.groups, (session.org, track.site)), (self.here, track.site), (self.left, track.was))
-        for table, key in groups:
-            group = table.get(key)
-            if group is not None:
-                group.remove(session, track)
-                if not group:
-                    del table[key]
-
-    def _end_still(self, now_ms: float) -> m.Ended | None:
+            self.left.setdefault(track.was, SessionGroup()).add(session, track)
+
+    def _leave(self, session: Session, track: SessionRate) -> None:
+        _leave_group(self.groups, (session.org, track.site), session, track)
+        _leave_group(self.here, track.site, session, track)
+        _leave_group(self.left, track.was, session, track)
+
+    def _end_still(self, now_ms: float) -> m.SessionEnded | None:
         session = self.tracks.oldest()
         if session is None or now_ms - self.tracks[session].last_ms <= self.settings.still_ms:
             return None
         track = self._forget(session)
-        return m.Ended(session, track.site, track.last_ms - track.began_ms)
+        return m.SessionEnded(session, track.site, track.last_ms - track.began_ms)
--- a/fawnwharf/sessions/commands.py
+++ b/fawnwharf/sessions/commands.py
@@ -1,7 +1,5 @@
 """`fawnwharf sessions`: what operators see of sessions' placements, and what they ask of them."""
 
-import json
-import socket
 import time
 from collections.abc import Callable
 from pathlib import Path
@@ -10,9 +8,9 @@
 import msgspec
 import typer
 
-from fawnwharf.config import address_from
 from fawnwharf.replication import settings as rs
-from fawnwharf.replication.messages import ClientMessage, parse_line
+from fawnwharf.replication.log_reading import read_messages
+from fawnwharf.replication.messages import ClientMessage
 from fawnwharf.sessions import settings as s
 from fawnwharf.sessions import words as w
 from fawnwharf.zones.settings import Membership, SettingsFileError, membership_from
@@ -50,30 +48,20 @@
 
     Raises OSError where its log can't be read, ValueError where it has none.
     """
-    with socket.create_connection(address_from(place, "members.state"), within_s) as sock:
-        sock.sendall(b"since 0\n")
-        reader, end = sock.makefile("rb"), time.monotonic() + within_s
-        while time.monotonic() < end:
-            line = reader.readline()
-            if not line:
-                break
-            read = json.loads(line)
-            if not isinstance(read, dict) or "line" not in read:
-                continue
-            say = parse_line(read["line"]).message
-            if isinstance(say, ClientMessage) and say.client == w.RIDER:
-                found = w.word_from(say.message)
-                if isinstance(found, w.Status):
-                    return found
+    for message in read_messages(place, within_s):
+        if isinstance(message, ClientMessage) and message.client == w.RIDER:
+            found = w.word_from(message.message)
+            if isinstance(found, w.Status):
+                return found
     raise ValueError("it told nothing of sessions")
 
 
 def _look(members: Membership, name: str) -> w.Status | str:
-    entry = members.named(name)
-    if entry is None or not entry.state:
+    entry = members.find_member(name)
+    if entry is None or not entry.replication_address:
         _fail(f"sessions: no member {name} with a `state`")
     try:
-        return look(entry.state)
+        return look(entry.replication_address)
     except (OSError, ValueError, msgspec.ValidationError) as error:
         return str(error)
 
@@ -83,7 +71,9 @@
     """How front ends stand; status 1 where one gave no answer."""
     _, _, members = _files(sessions, state)
     silent = False
-    for name in [member] if member else [entry.name for entry in members.members if entry.state]:
+    for name in (
+        [member] if member else [entry.name for entry in members.members if entry.replication_address]
+    ):
         found = _look(members, name)
         if isinstance(found, str):
             silent = True
@@ -109,7 +99,7 @@
     place: Path, members: Membership, change: Callable[[s.Wishes], s.Wishes]
 ) -> tuple[s.Wishes, Callable[[], None]]:
     """Write what is asked; the second value takes it back."""
-    sites = {entry.zone for entry in members.members if entry.state}
+    sites = {entry.zone for entry in members.members if entry.replication_address}
     try:
         before = place.read_bytes() if place.exists() else None
         known = s.wishes_from(before, sites) if before is not None else s.Wishes()
@@ -173,7 +163,7 @@
     site: str, sessions: str, state: str, member: str, wait: float, change: Callable[[set[str]], set[str]]
 ) -> None:
     _, place, members = _files(sessions, state)
-    if site not in {entry.zone for entry in members.members if entry.state}:
+    if site not in {entry.zone for entry in members.members if entry.replication_address}:
         _fail(f"sessions: no site {site}")
     wanted, _ = _wish(
         place,
@@ -193,12 +183,12 @@
 @app.command()
 def check(sessions: File) -> None:
     """Read and check the settings."""
-    from fawnwharf.prefetch.settings import foresight_from
+    from fawnwharf.prefetch.settings import decode_prefetch_settings
 
     try:
         data = Path(sessions).read_bytes()
         found = s.settings_from(data)
-        foresight_from(data)
+        decode_prefetch_settings(data)
     except OSError as error:
         _fail(f"sessions: {error.filename}: {error.strerror}")
     except SettingsFileError as error:
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -10,7 +10,7 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
-from fawnwharf.session_types import LetGo, Session
+from fawnwharf.session_types import PrefetchRelease, Session
 from fawnwharf.sessions import words as w
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.effects import Copies, Dropped, Note, Out, Words
@@ -118,7 +118,11 @@
             raise ConfigError(f"sessions: trace: {name}: {error.strerror}") from None
 
     def _sites(self) -> dict[str, str]:
-        return {entry.name: entry.zone for entry in self.state.core.members.members if entry.state}
+        return {
+            entry.name: entry.zone
+            for entry in self.state.core.membership.members
+            if entry.replication_address
+        }
 
     # --- life -----------------------------------------------------------------------------------
 
@@ -205,7 +209,7 @@
             row = call.session.row
             if event.warmth in (io.Warmth.FOUND, io.Warmth.UNTOLD):
                 self.agent.known.ran(row, event.took_ms)
-            worker = self.front.router.workers.get(event.scorer)
+            worker = self.front.router.scorers.get(event.scorer)
             if worker is not None and worker.entry.zone == self.site:
                 self.stages.seen(now_ms, row, event.scorer, 1)
         if event.closed:
@@ -233,7 +237,7 @@
     def _is_loading(self, worker: int, row: str) -> bool:
         """Whether the module has an order for a function there."""
         fn = self.front.router.functions.get(row)
-        return bool(fn and (held := fn.instances.get(worker)) and held.order_ms is not None)
+        return bool(fn and (held := fn.copies_by_scorer.get(worker)) and held.order_ms is not None)
 
     def _staged(self, now_ms: float) -> None:
         came, self.stages.came = self.stages.came, []
@@ -261,12 +265,12 @@
             self._tell(self.stages.want(now_ms, effect))
         elif isinstance(effect, Dropped):
             self.stages.drop(effect.key)
-        elif isinstance(effect, LetGo):
+        elif isinstance(effect, PrefetchRelease):
             self._let_go(now_ms, effect)
         elif isinstance(effect, Note):
             self.note(effect.event, effect.fields)
 
-    def _let_go(self, now_ms: float, effect: LetGo) -> None:
+    def _let_go(self, now_ms: float, effect: PrefetchRelease) -> None:
         if not self.settings.handover.unload or not self.deployment.settings.load_orders_allowed:
             return
         try:
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -28,7 +28,7 @@
 from fawnwharf.policy_rollout import service as policy_service
 from fawnwharf.policy_rollout import settings as policy_settings
 from fawnwharf.policy_rollout.document import Document, parse_register
-from fawnwharf.prefetch import memory as prefetch_memory
+from fawnwharf.prefetch import learned_state as prefetch_memory
 from fawnwharf.recovery_core import register as recovery_register
 from fawnwharf.recovery_core.trust import ClockReading, StateKind
 from fawnwharf.recovery_service import front_end_integration, stored_state
@@ -38,7 +38,7 @@
 from fawnwharf.replication import messages as state
 from fawnwharf.replication import settings as state_settings
 from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.session_types import Home, Session
+from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions import foreseen, left
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import trace as session_trace
@@ -113,7 +113,7 @@
     log = member_log.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
     rows = ['{"seq":2,"life":7,"whole":true,"line":{"plan":2}}', '{"seq":3,"life":7,"line":{"n":3}}']
     assert [log.event(json.loads(row)) for row in rows] == [True, True]
-    assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.life) == (3, 7)
+    assert told == [{"plan": 2}, {"n": 3}] and (log.seq, log.incarnation) == (3, 7)
     assert log.event(json.loads('{"seq":5,"life":7,"line":{}}')) is False and log.seq == 0
 
 
@@ -226,7 +226,7 @@
 def test_traces_have_their_recorded_keys(tmp_path):
     """A line for each call, of policy and of sessions."""
     trace = policy_trace.CallTrace(tmp_path / "policy")
-    trace.call("c1", policy.ActivePolicy(3, "d1", Document(), "strict"), 1.5, 2.5)
+    trace.add("c1", policy.ActivePolicy(3, "d1", Document(), "strict"), 1.5, 2.5)
     trace.flush()
     trace.close()
     assert (tmp_path / "policy").read_bytes() == (
@@ -234,7 +234,7 @@
     )
     session = Session("acme", "r1")
     trace = session_trace.Trace(tmp_path / "sessions")
-    trace.taken("c1", Home(session, "b", 4))
+    trace.taken("c1", Placement(session, "b", 4))
     context = migrations.Context(1.0, 1, (("n0", 5),))
     trace.received([migrations.Receive(session, migrations.Turn(1, "n0"), 5, 1, 10.0, context)])
     trace.close()
--- a/tests/test_clock_steps.py
+++ b/tests/net/test_net_clock_steps.py
@@ -133,7 +133,7 @@
             lambda seq=seq: rig.front.change_log.seq == seq and not rig.front._pending_change, "it is taken"
         )
         clock.advance(500.0)
-    worker = rig.front.router.workers[scorer_number("s-1")]
+    worker = rig.front.router.scorers[scorer_number("s-1")]
     age_ms = rig.front.loop.clock.now_ms() - worker.started_ms
     assert 1_000.0 - 1.0 <= age_ms <= 1_050.0 + 1.0
 
