--- a/fawnwharf/recovery_core/register.py
+++ b/fawnwharf/recovery_core/register.py
@@ -1,4 +1,4 @@
-"""The recovery register in the consensus log: phase, budgets, and who hands them out. Pure."""
+"""The recovery register in the consensus log: phase, budgets, and the permit issuers. Pure."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -10,7 +10,7 @@
 from fawnwharf.consensus.messages import MAX_VOTERS, VoterIdentity
 
 VERSION = 1
-MAX_PERMIT_ISSUERS = 64  # loaders and wardens of the fleet; others of its keepers are none
+MAX_PERMIT_ISSUERS = 64  # load and slow start coordinators of the fleet; its other replicas issue none
 
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -36,25 +36,28 @@
 
 
 class RegisterError(ValueError):
-    """Not a register of this version; the text is 'key: cause' in one line."""
+    """A text that is not a register of this version; the message is 'key: cause' in one line."""
 
 
 class RecoveryRegister(Struct, frozen=True):
-    """The register's value. A larger number is later; `cut` counts power losses of the fleet."""
+    """The register's value; one with a larger number is later.
+
+    The names of the fields are stored and sent, and stay. `cut` counts the power losses of the fleet.
+    """
 
     recovery: int = VERSION
     number: Number = 0
     cut: Number = 0
     stage: Annotated[int, Meta(ge=0, le=5)] = int(RecoveryPhase.NORMAL)
     part: Annotated[float, Meta(gt=0.0, le=1.0)] = 1.0  # of the fleet's budgets
-    fronts: Number = 0  # front ends that were heard
+    fronts: Number = 0  # number of front ends that were heard
     boots: Annotated[
         dict[VoterIdentity, Annotated[str, Meta(max_length=64)]], Meta(max_length=MAX_VOTERS)
     ] = {}
-    why: Annotated[str, Meta(max_length=200)] = ""  # for people
-    # Keepers among which seats and wards are dealt; none: by what each hears, as texts of before.
+    why: Annotated[str, Meta(max_length=200)] = ""  # the reason of the last change, for operators
+    # Replicas that issue permits; none: by what each front end hears, as in registers of earlier versions.
     givers: Annotated[tuple[Name, ...], Meta(max_length=MAX_PERMIT_ISSUERS)] = ()
-    deals: Number = 0  # of the cut, from `worth` on; 0: nobody has given anything by a stage of it
+    deals: Number = 0  # assignments since the power loss; 0: nobody has issued permits in a phase of it yet
 
     def encode(self) -> str:
         """The register as JSON text."""
@@ -62,7 +65,7 @@
 
 
 def parse_register(text: str) -> RecoveryRegister:
-    """Parse a register; an empty text stands for no decision yet. Raises RegisterError."""
+    """Parse a register; an empty text means that nothing was decided yet. Raises RegisterError."""
     if not text:
         return RecoveryRegister()
     try:
@@ -79,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitAssignment:
-    """Among whom permits and scorers are divided by a register: its `givers`, `cut` and `deals`."""
+    """The members among which a register divides permits and scorers: its `givers`, `cut` and `deals`."""
 
     givers: tuple[str, ...]
     cut: int
