--- a/fawnwharf/recovery_service/__init__.py
+++ b/fawnwharf/recovery_service/__init__.py
@@ -1,1 +1,1 @@
-"""A front end that goes by the recovery of its fleet: store, cores and processes joined."""
+"""Recovery of a running front end after a power loss: the store, the core and the process joined."""
--- a/fawnwharf/recovery_service/actions.py
+++ b/fawnwharf/recovery_service/actions.py
@@ -1,4 +1,4 @@
-"""What is to be done for loaders and wardens by whoever owns the logs, the module and the door."""
+"""Actions of permit issuing, for the owner of the logs, the decision module and recovery admission."""
 
 from msgspec import Struct
 
@@ -7,29 +7,29 @@
 
 
 class SendPermitMessage(Struct, frozen=True):
-    """Say this to these members, to all that follow where none is named."""
+    """Send this to these members, or to all that listen where none is named."""
 
     to: tuple[str, ...]
-    word: PermitMessage
+    message: PermitMessage
 
 
 class LoadOrder(Struct, frozen=True):
-    """An event for the module; a `Hold` of no copies is a question for the table."""
+    """An event for the decision module, or a `Hold` of no copies: a query to the scorer."""
 
-    what: io.PrefetchRequested | io.OrderCopies
+    event: io.PrefetchRequested | io.OrderCopies
 
 
 class SlowStartPermit(Struct, frozen=True):
-    """For a call that waits at the door: 0: it goes now, or not at all by this; else not before."""
+    """For a call that waits in admission: 0 lets it go now, else none is free for so many milliseconds."""
 
     key: str
-    free_ms: float
+    wait_ms: float
 
 
 class CopyAvailable(Struct, frozen=True):
-    """A copy of this function stands, as far as is known here: calls that wait for it may go."""
+    """A copy of this function exists, as far as is known here: calls that wait for it may go."""
 
-    row: str
+    function: str
 
 
 Action = SendPermitMessage | LoadOrder | SlowStartPermit | CopyAvailable
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -1,417 +1,380 @@
-"""One member's part in a recovery: what it asks and answers, the stage by which it goes, and where its voter
-leads, the stage of all.
-
-Pure: words of others, decisions of the voters' log and ticks come in with a time, effects go out in order.
-`Say` is for others; `Decide` is to be put to the voters' log at once, as kind `recovery`. Nothing rests on
-the delivery of a word. A front end takes the leader's word from the moment on when it has had an answer of
-that voter in this life: it has told its boot before it asked, and a log keeps its order, so the word was said
-by one that knew of this life.
+"""One member's part after a power loss: its startup queries, its phase, and the fleet's phase where it leads.
+
+Pure: others' messages, decisions of the consensus log and ticks come in with a time, effects go out in order.
+`SendMessage` is for others; `ProposeRegister` is to be proposed to the consensus log at once, as kind
+`recovery`. Nothing depends on the delivery of a message. A front end follows the leader's announcements once
+that voter has answered it in this incarnation: it reported its boot before it asked, and a log keeps its
+order, so the announcement was sent by a leader that knew of this incarnation.
 """
 
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field, replace
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import replace
+from typing import NamedTuple
 
 import msgspec
 
-from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_core import partitioned
 from fawnwharf.recovery_core.phases import (
     AllowedActions,
     LogEvent,
     PhaseFollower,
-    PhaseTiming,
-    ProposeRegister,
-    RecoveryPhase,
-    RegisterError,
 )
 from fawnwharf.recovery_core.queries import (
     Answer,
     Query,
-    QueryPace,
     QueryState,
     QueryTarget,
     QueryTopic,
-    StartupQueries,
 )
-from fawnwharf.recovery_core.register import PermitAssignment
-from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.recovery_leader import MemberLists, RecoveryLeader
+from fawnwharf.recovery_core.register import RecoveryPhase, RegisterError
+from fawnwharf.recovery_service.agent_actions import (
+    ApplyPhase,
+    DropReason,
+    Effect,
+    LocalStatus,
+    PositionReported,
+    SendMessage,
+)
+from fawnwharf.recovery_service.agent_queries import CHANGE_LOG, answer_query, create_startup_queries
+from fawnwharf.recovery_service.agent_settings import CALM_INTERVAL_FACTOR, AgentIdentity, AgentSettings
+from fawnwharf.recovery_service.folder_positions import FolderPositions
+from fawnwharf.recovery_service.messages import (
+    BootReport,
+    KnownPosition,
+    PhaseAnnouncement,
+    RecoveryMessage,
+    StatusReport,
+)
+from fawnwharf.recovery_service.recovery_leader import LeaderTiming, MemberLists, RecoveryLeader
 from fawnwharf.zones.log_lines import ConsensusStatus
 
-CHANGE_LOG = "change log"  # as one that answers; it is no member
-TICK_MS, CALM_TICK_MS = 50.0, 250.0
-CALM_INTERVAL_FACTOR = 4  # in calm a front end tells how it stands so many times less often
-ISSUED_ALONE_MS = 2_000.0  # what was given out alone ends within that
-MAX_SIGNATURE_REPORTS = 3  # a sign is told to one that started anew
-
-
-class SendMessage(msgspec.Struct, frozen=True):
-    """By zones' logs where `zone`, else by logs of state; to all that hear this one where none is named."""
-
-    to: tuple[str, ...]
-    word: w.RecoveryMessage
-    zone: bool = True
-
-
-class ApplyPhase(msgspec.Struct, frozen=True):
-    """Go by this from now on."""
-
-    allowed: AllowedActions
-    stage: RecoveryPhase | None  # None: alone
-    cut: int
-    fronts: int = 1  # front ends among which what is allowed is divided
-    dealt: PermitAssignment | None = None  # None: by what is heard
-
+TICK_MS = 50.0
+CALM_TICK_MS = 250.0
+ISSUED_ALONE_MS = 2_000.0  # loads and calls of permits that were issued while partitioned end within that
 
-class SignatureReported(msgspec.Struct, frozen=True):
-    """Others heard this of the own folder before this life."""
 
-    sign: FolderPosition
+class _LeaderDelay(NamedTuple):
+    """The least delay of a leader's announcements, which stands for the difference of the two clocks."""
 
+    incarnation: int = 0
+    least_ms: float = 0.0
 
-Effect = SendMessage | ProposeRegister | LogEvent | ApplyPhase | SignatureReported
 
-
-@dataclass(frozen=True, slots=True)
-class LocalStatus:
-    """What this front end knows of itself at a moment."""
-
-    settled: bool  # its store has all anew: what was found may be told
-    whole: bool  # its store has all that it ever told
-    sure: bool  # its keeper knows all that it granted; True where it keeps nothing
-    votes: bool  # its voter may vote by the disk that it has
-    plan: tuple[int, str]  # number and digest of the last plan in its voter's log, decided or not
-    sign: FolderPosition
-    uses: bool = False  # it knows what was used before
-    rostered: bool = False  # the change log was heard, in this life
-    scorers: bool = False  # some take calls
-    heard: int = 1  # front ends that it hears, itself among them
-    standing: w.StatusReport | None = None  # its calls, loads and scorers
-
-
-@dataclass(slots=True)
-class _ReportedSignatures:
-    """A folder's signs, as its member told them: of this life of it, and the farthest before that."""
-
-    life: int
-    last: FolderPosition
-    before: FolderPosition | None = None
-    told: int = 0
-
-
-@dataclass(slots=True)
 class RecoveryAgent:
-    """Owns what one life of a front end asks, by which stage it goes, and its part in leading."""
-
-    name: str
-    fleet: str
-    life: int
-    mark: str  # of the machine's boot
-    lists: MemberLists
-    own: LocalStatus
-    seat: Callable[[float], ConsensusStatus]  # how its voter stands
-    worths: Mapping[str, float]  # of classes
-    timing: PhaseTiming
-    now_ms: float
-    pace: QueryPace = QueryPace()
-    stand_ms: float = 500.0
-    stage_ms: float = 300.0
-    asking: StartupQueries = field(init=False)
-    follower: PhaseFollower = field(init=False)
-    lead: RecoveryLeader = field(init=False)
-    counts: dict[str, int] = field(default_factory=dict)  # what was dropped, by cause
-    signs: dict[str, dict[str, _ReportedSignatures]] = field(default_factory=dict)  # by member and disk
-    _told: dict[str, tuple[int, float]] = field(default_factory=dict)  # leader's life and least lateness
-    _heard_ms: dict[str, float] = field(default_factory=dict)  # when voters said something last
-    _term: int = 0  # the largest of a leader that was followed
-    _going: tuple[AllowedActions, RecoveryPhase | None, int, int, PermitAssignment | None] | None = None
-    _gave_ms: float = float("-inf")  # loads were allowed here, and by no stage
-    _stand_due_ms: float = 0.0
-    _ask_due_ms: float = 0.0  # of a leader that has not answered yet
-    _asked: bool = False  # it was noted
-
-    def __post_init__(self) -> None:
-        lists, own = self.lists, self.own
-        found: dict[QueryTopic, tuple[int, str]] = {}
-        if self.name in lists.voters and own.votes and own.whole:
-            found |= {QueryTopic.MEMBERS: (lists.number, lists.digest), QueryTopic.PLAN: own.plan}
-        if own.sure or self.name not in lists.keepers:
-            found[QueryTopic.PROMISES] = (0, "")
-        asked_of = {
-            QueryTarget.VOTERS: lists.voters,
-            QueryTarget.KEEPERS: lists.keepers,
-            QueryTarget.LOG: (CHANGE_LOG,),
-        }
-        self.asking = StartupQueries(
-            self.name, self.fleet, self.life, asked_of, self.now_ms, found, self.pace
+    """Owns the queries of one incarnation of a front end, its phase, and its part in leading."""
+
+    def __init__(
+        self,
+        identity: AgentIdentity,
+        settings: AgentSettings,
+        lists: MemberLists,
+        consensus_status: Callable[[float], ConsensusStatus],
+        status: LocalStatus,
+        now_ms: float,
+    ) -> None:
+        """Begin with the startup queries."""
+        self.identity = identity
+        self.settings = settings
+        self.lists = lists
+        self.status = status
+        self.consensus_status = consensus_status
+        self.drops = Counter[DropReason]()
+        self.queries = create_startup_queries(identity, settings, lists, status, now_ms)
+        self.follower = PhaseFollower(settings.timing, now_ms)
+        timing = LeaderTiming(
+            settings.calm_report_valid_ms, settings.report_valid_ms, settings.announce_interval_ms
         )
-        self.follower = PhaseFollower(self.timing, self.now_ms)
-        self.lead = RecoveryLeader(self.timing, lists, self.heard_ms, 3.0 * self.stand_ms, self.stage_ms)
-        self._stand_due_ms = self._ask_due_ms = self.now_ms
+        self.leader = RecoveryLeader(settings.timing, lists, timing)
+        self._positions = FolderPositions()
+        self._delays: dict[str, _LeaderDelay] = {}  # by leader
+        self._voters_heard_ms: dict[str, float] = {}
+        self._term = 0  # the largest of a leader that was followed
+        self._applied: ApplyPhase | None = None
+        self._issued_alone_ms = float("-inf")  # loads were allowed here, and by no phase of the leader's
+        self._report_due_ms = now_ms
+        self._query_leader_due_ms = now_ms  # one that has not answered yet
+        self._queries_logged = False
 
     @property
-    def heard_ms(self) -> float:
-        """Who told something within that time is heard, also in calm."""
-        return 3.0 * CALM_INTERVAL_FACTOR * self.stand_ms
+    def queries_done(self) -> bool:
+        """Whether all startup queries are answered, or gone on without."""
+        return self.queries.done
 
     @property
-    def asked(self) -> bool:
-        return self.asking.done
-
-    @property
-    def cut(self) -> int:
+    def power_loss(self) -> int:
+        """The number of the last power loss, by the register that is followed."""
         return self.follower.register.cut if self.follower.register is not None else 0
 
-    def stage(self, now_ms: float) -> RecoveryPhase | None:
+    def phase(self, now_ms: float) -> RecoveryPhase | None:
+        """The phase that is followed; None while partitioned."""
         return self.follower.stage(now_ms)
 
     def allowed(self, now_ms: float) -> AllowedActions:
         """What this front end does now."""
-        found = self.follower.allowed(now_ms, self.worths)
-        if found is None:
-            own, members = self.own, len(self.lists.members)
-            found = partitioned.allowed_when_partitioned(
-                self.worths, own.heard, members, own.scorers, self.asked
+        allowed = self.follower.allowed(now_ms, self.settings.weights)
+        if allowed is None:
+            allowed = partitioned.allowed_when_partitioned(
+                self.settings.weights,
+                self.status.reachable,
+                len(self.lists.members),
+                self.status.has_scorers,
+                self.queries_done,
             )
-        return found if self.asked else replace(found, status=False)
-
-    def _count(self, cause: str) -> None:
-        self.counts[cause] = self.counts.get(cause, 0) + 1
-
-    def heard_lately(self, now_ms: float) -> tuple[str, ...]:
-        """Voters of whom something came."""
-        return tuple(sorted(n for n, at_ms in self._heard_ms.items() if now_ms - at_ms < self.heard_ms))
-
-    def confirmed(self) -> bool:
-        """Most voters go by this list of members, or by an earlier one, and the keeper here knows all that it
-        granted: nothing that was not found is missed any more."""
-        asking, lists = self.asking, self.lists
-        if asking.stand(QueryTopic.MEMBERS) is not QueryState.ANSWERED or not (
-            self.own.sure and self.own.settled
-        ):
+        return allowed if self.queries_done else replace(allowed, status=False)
+
+    def voters_heard(self, now_ms: float) -> tuple[str, ...]:
+        """Voters from which a message came lately."""
+        valid_ms = self.settings.calm_report_valid_ms
+        heard = self._voters_heard_ms.items()
+        return tuple(sorted(name for name, at_ms in heard if now_ms - at_ms < valid_ms))
+
+    def store_confirmed(self) -> bool:
+        """Whether nothing is missed any more that the store did not have.
+
+        Most voters go by this list of members, or by an earlier one, and the replica here knows all that it
+        granted.
+        """
+        lists = self.lists
+        if self.queries.stand(QueryTopic.MEMBERS) is not QueryState.ANSWERED:
+            return False
+        if not (self.status.knows_grants and self.status.settled):
             return False
-        said = [(a.number, a.digest) for a in asking.opens[QueryTopic.MEMBERS].answers.values()]
-        return all(n < lists.number or (n, d) == (lists.number, lists.digest) for n, d in said)
+        answers = self.queries.opens[QueryTopic.MEMBERS].answers.values()
+        return all(
+            answer.number < lists.number or (answer.number, answer.digest) == (lists.number, lists.digest)
+            for answer in answers
+        )
+
+    def _drop(self, reason: DropReason) -> list[Effect]:
+        self.drops[reason] += 1
+        return []
 
-    # --- what comes in --------------------------------------------------------------------------
+    # --- messages -------------------------------------------------------------------------------
 
-    def hear_zone(self, now_ms: float, sender: str, word: w.RecoveryMessage) -> list[Effect]:
-        """A word of a member, by its zones' log."""
+    def receive_by_zones(self, now_ms: float, sender: str, message: RecoveryMessage) -> list[Effect]:
+        """Take a member's message from its zones' log."""
         if sender not in self.lists.members:
-            self._count("of no member")
-            return []
+            return self._drop(DropReason.UNKNOWN_MEMBER)
         if sender in self.lists.voters:
-            self._heard_ms[sender] = now_ms
-        if isinstance(word, Query):
-            return self._answer(now_ms, sender, word, zone=True)
-        if isinstance(word, Answer):
-            return self._answered(now_ms, sender, word, QueryTarget.VOTERS)
-        if isinstance(word, w.BootReport):
-            self.lead.booted(now_ms, sender, word)
-            return self._signed(sender, word)
-        if isinstance(word, w.KnownSignature):
-            if word.life != self.life:
-                self._count("to another life")
-                return []
-            return [SignatureReported(word.sign)]
-        if isinstance(word, w.StatusReport):
-            if not self.lead.stands(now_ms, sender, word):
-                self._count("of an earlier life")
+            self._voters_heard_ms[sender] = now_ms
+        if isinstance(message, Query):
+            return self._answer(now_ms, sender, message, by_zones=True)
+        if isinstance(message, Answer):
+            return self._answered(now_ms, sender, message, QueryTarget.VOTERS)
+        if isinstance(message, BootReport):
+            return self._receive_boot(now_ms, sender, message)
+        if isinstance(message, KnownPosition):
+            if message.incarnation != self.identity.incarnation:
+                return self._drop(DropReason.OTHER_INCARNATION)
+            return [PositionReported(message.position)]
+        if isinstance(message, StatusReport):
+            if not self.leader.receive_status(now_ms, sender, message):
+                return self._drop(DropReason.EARLIER_INCARNATION)
             return []
-        return self._told_stage(now_ms, sender, word)
+        return self._receive_announcement(now_ms, sender, message)
 
-    def hear_state(self, now_ms: float, sender: str, word: w.RecoveryMessage) -> list[Effect]:
-        """A word of a member, by its log of state: questions to keepers, and their answers."""
+    def receive_by_replication(self, now_ms: float, sender: str, message: RecoveryMessage) -> list[Effect]:
+        """Take a member's message from its replication log: queries to replicas, and their answers."""
         if sender not in self.lists.members:
-            self._count("of no member")
-            return []
-        if isinstance(word, Query):
-            return self._answer(now_ms, sender, word, zone=False)
-        if isinstance(word, Answer):
-            return self._answered(now_ms, sender, word, QueryTarget.KEEPERS)
-        self._count("by the wrong log")
-        return []
-
-    def _answer(self, now_ms: float, sender: str, ask: Query, zone: bool) -> list[Effect]:
-        """What is not sure, or found in a store that has not all anew yet, is not told: such an answer says
-        of whom it is, and no more."""
-        own, what = self.own, QueryTopic(ask.what)
-        if ask.fleet != self.fleet:
-            self._count("another fleet's")
-            return []
-        if (what in (QueryTopic.MEMBERS, QueryTopic.PLAN)) is not zone or what is QueryTopic.ROSTER:
-            self._count("by the wrong log")
-            return []
-        if self.name not in (self.lists.voters if zone else self.lists.keepers):
-            return []
-        number, digest, sure, leased = 0, "", own.sure, False
-        if what is QueryTopic.MEMBERS:
-            number, digest, sure = self.lists.number, self.lists.digest, own.votes
-        elif what is QueryTopic.PLAN:
-            (number, digest), sure, leased = own.plan, own.votes, self.seat(now_ms).fresh
-        elif what is QueryTopic.USE:
-            sure = own.uses
-        answer = Answer(self.fleet, ask.life, ask.turn, ask.what, self.life, False)
-        if own.settled and sure:
-            told = {"sure": True, "number": number, "digest": digest, "leased": leased}
-            answer = msgspec.structs.replace(answer, **told)
-        return [SendMessage((sender,), answer, zone)]
-
-    def _answered(self, now_ms: float, sender: str, answer: Answer, of: QueryTarget) -> list[Effect]:
-        if answer.what > QueryTopic.USE or self.asking.steps[QueryTopic(answer.what)].of is not of:
-            self._count("by the wrong log")
+            return self._drop(DropReason.UNKNOWN_MEMBER)
+        if isinstance(message, Query):
+            return self._answer(now_ms, sender, message, by_zones=False)
+        if isinstance(message, Answer):
+            return self._answered(now_ms, sender, message, QueryTarget.KEEPERS)
+        return self._drop(DropReason.WRONG_LOG)
+
+    def _answer(self, now_ms: float, sender: str, query: Query, *, by_zones: bool) -> list[Effect]:
+        topic = QueryTopic(query.what)
+        if query.fleet != self.identity.fleet:
+            return self._drop(DropReason.OTHER_FLEET)
+        asks_voters = topic in (QueryTopic.MEMBERS, QueryTopic.PLAN)
+        if asks_voters is not by_zones or topic is QueryTopic.ROSTER:
+            return self._drop(DropReason.WRONG_LOG)
+        if self.identity.name not in (self.lists.voters if by_zones else self.lists.replicas):
             return []
-        self.asking.heard(now_ms, sender, answer)
-        return self._go(now_ms)
-
-    def _signed(self, sender: str, boot: w.BootReport) -> list[Effect]:
-        """Tell one that started anew how far its folder had come by its own earlier word; it may be an older
-        copy."""
-        sign, disks = boot.sign, self.signs.setdefault(sender, {})
-        if not sign.mark or not sign.life:  # it has no store, or that has not written all anew yet
+        is_leased = topic is QueryTopic.PLAN and self.consensus_status(now_ms).fresh
+        answer = answer_query(query, self.identity.incarnation, self.lists, self.status, is_leased=is_leased)
+        return [SendMessage((sender,), answer, by_zones)]
+
+    def _answered(self, now_ms: float, sender: str, answer: Answer, target: QueryTarget) -> list[Effect]:
+        if answer.what > QueryTopic.USE or self.queries.steps[QueryTopic(answer.what)].of is not target:
+            return self._drop(DropReason.WRONG_LOG)
+        self.queries.heard(now_ms, sender, answer)
+        return self._apply(now_ms)
+
+    def _receive_boot(self, now_ms: float, sender: str, report: BootReport) -> list[Effect]:
+        self.leader.receive_boot(now_ms, sender, report)
+        earlier = self._positions.receive(sender, report)
+        if earlier is None or sender == self.identity.name:
             return []
-        heard = disks.get(sign.mark)
-        if heard is None:
-            while len(disks) > 1:
-                del disks[next(iter(disks))]
-            disks[sign.mark] = _ReportedSignatures(boot.life, sign)
+        self._positions.reminded(sender, report)
+        return [SendMessage((sender,), KnownPosition(report.incarnation, earlier))]
+
+    def _receive_announcement(
+        self, now_ms: float, sender: str, announcement: PhaseAnnouncement
+    ) -> list[Effect]:
+        if sender not in self.lists.voters or announcement.term < self._term:
+            return self._drop(DropReason.NO_LEADER)
+        if self.queries.lives.get(sender, 0) > announcement.incarnation:
+            return self._drop(DropReason.EARLIER_INCARNATION)
+        has_answered = sender == self.identity.name or sender in self.queries.lives
+        if self.follower.register is None and not has_answered:
+            return self._query_leader(now_ms, sender)
+        delay_ms = now_ms - announcement.sent_ms
+        known = self._delays.get(sender, _LeaderDelay())
+        if known.incarnation == announcement.incarnation:
+            delay_ms = min(known.least_ms, delay_ms)
+        self._delays[sender] = _LeaderDelay(announcement.incarnation, delay_ms)
+        self._term = announcement.term
+        effects = self.follower.told(announcement.register, announcement.sent_ms + delay_ms)
+        return [*effects, *self._apply(now_ms)]
+
+    def _query_leader(self, now_ms: float, sender: str) -> list[Effect]:
+        """Query a leader that may not know of this incarnation yet."""
+        if now_ms < self._query_leader_due_ms:
             return []
-        if boot.life != heard.life:
-            heard.before = max(heard.last, heard.before or heard.last, key=_signature_order)
-            heard.life, heard.told = boot.life, 0
-        heard.last = sign
-        if heard.before is None or heard.told >= MAX_SIGNATURE_REPORTS or sender == self.name:
-            return []
-        heard.told += 1
-        return [SendMessage((sender,), w.KnownSignature(boot.life, heard.before))]
+        self._query_leader_due_ms = now_ms + self.settings.query_pace.again_ms
+        query = self.queries.ask_one(sender, QueryTopic.MEMBERS).message
+        return [self._boot_message(), SendMessage((sender,), query)]
 
-    def _told_stage(self, now_ms: float, sender: str, word: w.PhaseAnnouncement) -> list[Effect]:
-        if sender not in self.lists.voters or word.term < self._term:
-            self._count("a stage of no leader")
-            return []
-        if self.asking.lives.get(sender, 0) > word.life:
-            self._count("of an earlier life")
-            return []
-        if sender != self.name and self.follower.register is None and sender not in self.asking.lives:
-            if now_ms < self._ask_due_ms:
-                return []
-            self._ask_due_ms = now_ms + self.pace.again_ms
-            return [
-                self._boot(),
-                SendMessage((sender,), self.asking.ask_one(sender, QueryTopic.MEMBERS).message),
-            ]
-        late = now_ms - word.at_ms  # and the two clocks' difference, which the least of it stands for
-        life, least = self._told.get(sender, (0, 0.0))
-        least = min(least, late) if life == word.life else late
-        self._told[sender], self._term = (word.life, least), word.term
-        notes = self.follower.told(word.register, word.at_ms + least)
-        return [*notes, *self._go(now_ms)]
-
-    # --- the voters' log ------------------------------------------------------------------------
+    # --- the consensus log ----------------------------------------------------------------------
 
     def decided(self, now_ms: float, text: str) -> list[Effect]:
-        """A register that the voters' log decided, at whichever voter."""
+        """Take a register that the consensus log decided, whichever voter proposed it."""
         try:
-            effects = self.lead.decided(now_ms, text)
+            effects = self.leader.decided(now_ms, text)
         except RegisterError as error:
             return [LogEvent("recovery not read", {"why": str(error)})]
-        return [*effects, *self._leading(now_ms)]
+        return [*effects, *self._lead(now_ms)]
 
-    def not_put(self) -> None:
-        """What was to be decided never came into the log."""
-        self.lead.conductor.not_put()
+    def proposal_dropped(self) -> None:
+        """Take that a proposed register certainly never came into the log."""
+        self.leader.coordinator.not_put()
 
-    def turned(self, now_ms: float) -> list[Effect]:
-        """The voter may lead, or not lead any more."""
-        return self.lead.turned(now_ms, self.seat(now_ms))
+    def update_term(self, now_ms: float) -> list[Effect]:
+        """Take that the voter may lead, or not lead any more."""
+        return [*self.leader.update_term(now_ms, self.consensus_status(now_ms))]
 
-    def take_lists(self, now_ms: float, lists: MemberLists) -> list[Effect]:
-        """There is a later file of members."""
-        self.lists = self.lead.lists = lists
-        self.asking.lists |= {QueryTarget.VOTERS: lists.voters, QueryTarget.KEEPERS: lists.keepers}
-        self.signs = {name: signs for name, signs in self.signs.items() if name in lists.members}
-        self.lead.forget()
-        return self._go(now_ms)
+    def update_members(self, now_ms: float, lists: MemberLists) -> list[Effect]:
+        """Go by a later file of members."""
+        self.lists = lists
+        self.leader.update_members(lists)
+        self.queries.lists |= {QueryTarget.VOTERS: lists.voters, QueryTarget.KEEPERS: lists.replicas}
+        self._positions.retain(lists.members)
+        return self._apply(now_ms)
 
     # --- time -----------------------------------------------------------------------------------
 
+    @property
+    def _is_calm(self) -> bool:
+        return self._applied is not None and self._applied.phase is RecoveryPhase.SPILL
+
     def due_ms(self, now_ms: float) -> float:
-        """When `tick` is wanted next."""
-        calm = self._going is not None and self._going[1] is RecoveryPhase.SPILL and not self.lead.term
-        dues = [now_ms + (CALM_TICK_MS if calm else TICK_MS), self._stand_due_ms]
-        if (due := self.asking.due_ms()) is not None:
-            dues.append(due)
-        return min(dues)
-
-    def tick(self, now_ms: float, own: LocalStatus) -> list[Effect]:
-        """Call it at `due_ms` at the latest. `own` counts until the next one."""
-        self.own = own
-        if own.sure:
-            self.asking.knows(now_ms, QueryTopic.PROMISES)
-        if own.rostered and self.asking.stand(QueryTopic.ROSTER) not in (
-            QueryState.AHEAD,
-            QueryState.ANSWERED,
-        ):
-            said = Answer(self.fleet, self.life, self.asking.turn, int(QueryTopic.ROSTER), 1, True)
-            self.asking.heard(now_ms, CHANGE_LOG, said)
-        effects: list[Effect] = [*self.turned(now_ms)]
-        for said in self.asking.tick(now_ms):
-            if said.to != CHANGE_LOG:
-                zone = self.asking.steps[QueryTopic(said.message.what)].of is QueryTarget.VOTERS
-                effects.append(SendMessage((said.to,), said.message, zone))
+        """When `tick` is to be called next."""
+        interval_ms = CALM_TICK_MS if self._is_calm and not self.leader.term else TICK_MS
+        due_ms = min(now_ms + interval_ms, self._report_due_ms)
+        queries_due_ms = self.queries.due_ms()
+        return due_ms if queries_due_ms is None else min(due_ms, queries_due_ms)
+
+    def tick(self, now_ms: float, status: LocalStatus) -> list[Effect]:
+        """Do what is due; to be called at `due_ms` at the latest. `status` counts until the next call."""
+        self.status = status
+        if status.knows_grants:
+            self.queries.knows(now_ms, QueryTopic.PROMISES)
+        if status.roster_received:
+            self._roster_received(now_ms)
+        effects: list[Effect] = self.update_term(now_ms)
+        effects += self._due_queries(now_ms)
         if any(isinstance(effect, SendMessage) for effect in effects):
-            effects.insert(0, self._boot())  # a voter that answers knows it
-        effects += self._go(now_ms)
-        if now_ms >= self._stand_due_ms:
-            calm = self._going is not None and self._going[1] is RecoveryPhase.SPILL
-            self._stand_due_ms = now_ms + self.stand_ms * (CALM_INTERVAL_FACTOR if calm else 1)
-            effects += [self._boot(), SendMessage((), self._standing(now_ms))]
-        self.lead.booted(now_ms, self.name, w.BootReport(self.life, self.mark, own.sign))
-        self.lead.stands(now_ms, self.name, self._standing(now_ms))
-        return [*effects, *self._leading(now_ms)]
-
-    def _boot(self) -> SendMessage:
-        return SendMessage((), w.BootReport(self.life, self.mark, self.own.sign))
-
-    def _standing(self, now_ms: float) -> w.StatusReport:
-        gave = now_ms - self._gave_ms < ISSUED_ALONE_MS
-        known = {"life": self.life, "asked": self.asked, "sure": self.own.sure, "gave": gave}
-        if self.own.standing is None:
-            return w.StatusReport(**known)
-        return msgspec.structs.replace(self.own.standing, **known)
-
-    def _leading(self, now_ms: float) -> list[Effect]:
-        """What the leader decides, and its word to all; it is one of those itself."""
-        effects: list[Effect] = [*self.lead.tick(now_ms, self.seat(now_ms))]
-        if (text := self.lead.word(now_ms, self.seat(now_ms))) is not None:
-            told = w.PhaseAnnouncement(self.life, self.lead.term, now_ms, text)
-            effects.append(SendMessage((), told))
-            effects += self._told_stage(now_ms, self.name, told)
+            effects.insert(0, self._boot_message())  # a voter that answers knows it then
+        effects += self._apply(now_ms)
+        report = self._status_report(now_ms)
+        if now_ms >= self._report_due_ms:
+            factor = CALM_INTERVAL_FACTOR if self._is_calm else 1
+            self._report_due_ms = now_ms + self.settings.report_interval_ms * factor
+            effects += [self._boot_message(), SendMessage((), report)]
+        self.leader.receive_boot(now_ms, self.identity.name, self._boot_report())
+        self.leader.receive_status(now_ms, self.identity.name, report)
+        return [*effects, *self._lead(now_ms)]
+
+    def _roster_received(self, now_ms: float) -> None:
+        if self.queries.stand(QueryTopic.ROSTER) in (QueryState.AHEAD, QueryState.ANSWERED):
+            return
+        identity = self.identity
+        answer = Answer(
+            identity.fleet, identity.incarnation, self.queries.turn, int(QueryTopic.ROSTER), 1, True
+        )
+        self.queries.heard(now_ms, CHANGE_LOG, answer)
+
+    def _due_queries(self, now_ms: float) -> list[SendMessage]:
+        messages = []
+        for query in self.queries.tick(now_ms):
+            if query.to != CHANGE_LOG:
+                target = self.queries.steps[QueryTopic(query.message.what)].of
+                messages.append(SendMessage((query.to,), query.message, target is QueryTarget.VOTERS))
+        return messages
+
+    def _boot_report(self) -> BootReport:
+        return BootReport(self.identity.incarnation, self.identity.boot, self.status.position)
+
+    def _boot_message(self) -> SendMessage:
+        return SendMessage((), self._boot_report())
+
+    def _status_report(self, now_ms: float) -> StatusReport:
+        report = self.status.report or StatusReport(0, False, False)
+        return msgspec.structs.replace(
+            report,
+            incarnation=self.identity.incarnation,
+            queries_done=self.queries_done,
+            knows_grants=self.status.knows_grants,
+            issued_alone=now_ms - self._issued_alone_ms < ISSUED_ALONE_MS,
+        )
+
+    def _lead(self, now_ms: float) -> list[Effect]:
+        """What the leader decides, and its announcement to all, itself included."""
+        effects: list[Effect] = [*self.leader.tick(now_ms, self.consensus_status(now_ms))]
+        register = self.leader.announcement(now_ms, self.consensus_status(now_ms))
+        if register is not None:
+            announcement = PhaseAnnouncement(self.identity.incarnation, self.leader.term, now_ms, register)
+            effects.append(SendMessage((), announcement))
+            effects += self._receive_announcement(now_ms, self.identity.name, announcement)
         return effects
 
-    def _go(self, now_ms: float) -> list[Effect]:
-        """What follows for this front end, where that is another thing than before."""
+    def _apply(self, now_ms: float) -> list[Effect]:
+        """What follows for this front end, where that has changed."""
         effects: list[Effect] = []
-        if self.asked and not self._asked:
-            self._asked = True
-            effects.append(LogEvent("asked", {"without": list(self.asking.without().values())}))
-        stage, register = self.stage(now_ms), self.follower.register
-        fronts = self.own.heard if stage is None or register is None else register.fronts
-        going = (self.allowed(now_ms), stage, self.cut, max(1, fronts), self.follower.dealt(now_ms))
-        if going[0].loads and not going[0].spill and (stage is None or stage < RecoveryPhase.WORTH):
-            self._gave_ms = now_ms
-        if going == self._going:
+        if self.queries_done and not self._queries_logged:
+            self._queries_logged = True
+            missing = list(self.queries.without().values())
+            effects.append(LogEvent("startup queries done", {"missing": missing}))
+        applied = self._phase_to_apply(now_ms)
+        allowed = applied.allowed
+        by_leader = applied.phase is not None and applied.phase >= RecoveryPhase.WORTH
+        if allowed.loads and not allowed.spill and not by_leader:
+            self._issued_alone_ms = now_ms
+        before = self._applied
+        if applied == before:
             return effects
-        before, self._going = self._going, going
-        effects.append(ApplyPhase(*going))
-        if before is None or (before[1:3], before[0].part) != (going[1:3], going[0].part):
-            stage = "alone" if going[1] is None else going[1].name.lower()
-            fields = {"stage": stage, "cut": going[2], "part": going[0].part, "status": going[0].status}
-            effects.append(LogEvent("stage", fields))
-        if before is not None and before[1] is not going[1]:
-            self._stand_due_ms = min(self._stand_due_ms, now_ms)  # by another pace from now on
+        self._applied = applied
+        effects.append(applied)
+        if before is None or _logged_fields(before) != _logged_fields(applied):
+            fields = _logged_fields(applied) | {"status": allowed.status}
+            effects.append(LogEvent("recovery phase", fields))
+        if before is not None and before.phase is not applied.phase:
+            self._report_due_ms = min(self._report_due_ms, now_ms)  # at another interval from now on
         return effects
 
+    def _phase_to_apply(self, now_ms: float) -> ApplyPhase:
+        phase = self.phase(now_ms)
+        register = self.follower.register
+        front_ends = self.status.reachable if phase is None or register is None else register.fronts
+        return ApplyPhase(
+            self.allowed(now_ms), phase, self.power_loss, max(1, front_ends), self.follower.dealt(now_ms)
+        )
+
 
-def _signature_order(sign: FolderPosition) -> tuple[int, int]:
-    return sign.life, sign.number
+def _logged_fields(applied: ApplyPhase) -> dict[str, object]:
+    """What is logged of a phase where it changes."""
+    phase = "partitioned" if applied.phase is None else applied.phase.name.lower()
+    return {"phase": phase, "power_loss": applied.power_loss, "share": applied.allowed.part}
--- /dev/null
+++ b/fawnwharf/recovery_service/agent_queries.py
@@ -0,0 +1,65 @@
+"""Startup queries of an agent, and answers to those of others, by what it knows of itself. Pure."""
+
+from msgspec import structs
+
+from fawnwharf.recovery_core.queries import Answer, Query, QueryTarget, QueryTopic, StartupQueries
+from fawnwharf.recovery_service.agent_actions import LocalStatus
+from fawnwharf.recovery_service.agent_settings import AgentIdentity, AgentSettings
+from fawnwharf.recovery_service.recovery_leader import MemberLists
+
+CHANGE_LOG = "change log"  # as one that answers queries; it is no member
+
+
+def create_startup_queries(
+    identity: AgentIdentity, settings: AgentSettings, lists: MemberLists, status: LocalStatus, now_ms: float
+) -> StartupQueries:
+    """The queries of one incarnation, with the answers that its own store has."""
+    own: dict[QueryTopic, tuple[int, str]] = {}
+    if identity.name in lists.voters and status.votes and status.complete:
+        own[QueryTopic.MEMBERS] = (lists.number, lists.digest)
+        own[QueryTopic.PLAN] = status.plan
+    if status.knows_grants or identity.name not in lists.replicas:
+        own[QueryTopic.PROMISES] = (0, "")
+    targets = {
+        QueryTarget.VOTERS: lists.voters,
+        QueryTarget.KEEPERS: lists.replicas,
+        QueryTarget.LOG: (CHANGE_LOG,),
+    }
+    return StartupQueries(
+        identity.name,
+        identity.fleet,
+        identity.incarnation,
+        targets,
+        now_ms,
+        own,
+        settings.query_pace,
+    )
+
+
+def answer_query(
+    query: Query, incarnation: int, lists: MemberLists, status: LocalStatus, *, is_leased: bool
+) -> Answer:
+    """Answer a query of the same fleet.
+
+    What is not certain, or was found in a store that is still rewriting its entries, is not reported: such an
+    answer only says whose it is. `is_leased` is whether the own plan is the fleet's last under a leader's
+    lease.
+    """
+    answer = Answer(query.fleet, query.life, query.turn, query.what, incarnation, False)
+    topic = QueryTopic(query.what)
+    if not status.settled or not _is_certain(topic, status):
+        return answer
+    number, digest = 0, ""
+    if topic is QueryTopic.MEMBERS:
+        number, digest = lists.number, lists.digest
+    elif topic is QueryTopic.PLAN:
+        number, digest = status.plan
+    return structs.replace(answer, sure=True, number=number, digest=digest, leased=is_leased)
+
+
+def _is_certain(topic: QueryTopic, status: LocalStatus) -> bool:
+    if topic in (QueryTopic.MEMBERS, QueryTopic.PLAN):
+        return status.votes
+    if topic is QueryTopic.USE:
+        return status.knows_use
+    return status.knows_grants
--- a/fawnwharf/recovery_service/call_outcomes.py
+++ b/fawnwharf/recovery_service/call_outcomes.py
@@ -1,78 +1,81 @@
-"""Calls as they are counted: stands before the door, and sees how each ends."""
+"""Outcomes of calls as they are counted: stands before recovery admission and sees how each call ends."""
 
 from collections.abc import Callable, Mapping
-from typing import Protocol
+from dataclasses import dataclass
 
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Call, Outcome, Served
 from fawnwharf.net.timer_wheel import monotonic_ms
+from fawnwharf.recovery_service.request_sink import RequestSink
 
 
-class RequestSink(Protocol):
-    """What takes calls and withdraws them: the table, or what stands before it."""
-
-    def take(self, call: Call) -> str | None: ...
-
-    def withdraw(self, key: str) -> None: ...
+@dataclass(slots=True)
+class _OpenCall:
+    class_name: str
+    arrived_ms: float
+    sink_key: str | None = None  # as the request sink knows it
 
 
 class CallOutcomeRecorder:
-    """Owns what is known of each call that came while calls are counted."""
+    """Owns what is known of each call that arrived while calls are counted."""
 
     def __init__(
         self,
-        below: RequestSink,
+        sink: RequestSink,
         classes: Mapping[str, io.ClassSpec],
         ended: Callable[[float, str, bool], None],
     ) -> None:
-        """`ended` gets the time, the class, and whether the call was served within its promise."""
-        self.below, self.classes, self._ended = below, classes, ended
+        """`ended` receives the time, the class, and whether the call was served within its promise."""
+        self.sink = sink
+        self.classes = classes
         self.counting = True
-        self._open: dict[str, tuple[str, float, str | None]] = {}  # class, when, key of what stands below
+        self._ended = ended
+        self._open: dict[str, _OpenCall] = {}
         self._number = 0
 
     def take(self, call: Call) -> str | None:
-        """As RequestTable.take."""
+        """Take a call, as `RequestTable.take`."""
         if not self.counting:
-            return self.below.take(call)
+            return self.sink.take(call)
         self._number += 1
-        number, reply = f"n{self._number}", call.reply
-        self._open[number] = call.class_name, monotonic_ms(), None
+        key = f"n{self._number}"
+        reply = call.reply
+        self._open[key] = _OpenCall(call.class_name, monotonic_ms())
 
         def replied(outcome: Outcome) -> None:
-            self._over(number, isinstance(outcome, Served))
+            self._close(key, served=isinstance(outcome, Served))
             reply(outcome)
 
         call.reply = replied
-        key = self.below.take(call)
-        if number not in self._open:
+        sink_key = self.sink.take(call)
+        if key not in self._open:
             return None
-        if key is None:  # what stands below has let go of it, without a word
-            del self._open[number]
-            return None
-        self._open[number] = (*self._open[number][:2], key)
-        return number
-
-    def _over(self, number: str, served: bool) -> str | None:
-        """The key of what stands below."""
-        found = self._open.pop(number, None)
-        if found is None:
+        if sink_key is None:  # the sink has dropped it without an answer
+            del self._open[key]
             return None
-        name, came_ms, key = found
-        now = monotonic_ms()
-        self._ended(now, name, served and now - came_ms <= self.classes[name].latency_target_ms)
+        self._open[key].sink_key = sink_key
         return key
 
-    def withdraw(self, number: str) -> None:
-        """The client waits no more. Before its promise was over that says nothing of how calls are served."""
-        found = self._open.get(number)
-        if found is None:
-            self.below.withdraw(number)
+    def _close(self, key: str, *, served: bool) -> None:
+        call = self._open.pop(key, None)
+        if call is None:
+            return
+        now_ms = monotonic_ms()
+        in_time = served and now_ms - call.arrived_ms <= self.classes[call.class_name].latency_target_ms
+        self._ended(now_ms, call.class_name, in_time)
+
+    def withdraw(self, key: str) -> None:
+        """Forget a call whose client waits no more.
+
+        Before its promise was over that says nothing of how calls are served, and it is not counted.
+        """
+        call = self._open.get(key)
+        if call is None:
+            self.sink.withdraw(key)
             return
-        name, came_ms, key = found
-        if monotonic_ms() - came_ms > self.classes[name].latency_target_ms:
-            self._over(number, False)
+        if monotonic_ms() - call.arrived_ms > self.classes[call.class_name].latency_target_ms:
+            self._close(key, served=False)
         else:
-            del self._open[number]
-        if key is not None:
-            self.below.withdraw(key)
+            del self._open[key]
+        if call.sink_key is not None:
+            self.sink.withdraw(call.sink_key)
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -1,11 +1,11 @@
-"""`fawnwharf recovery show`: how a member stands in a recovery, read from its zones' log."""
+"""`fawnwharf recovery show`: a member's status after a power loss, read from its zones' log."""
 
 from typing import Annotated
 
 import msgspec
 import typer
 
-from fawnwharf.recovery_service import messages as w
+from fawnwharf.recovery_service.messages import LOG_CLIENT, DisplayedStatus
 from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
 
 File = Annotated[
@@ -13,37 +13,40 @@
 ]
 
 
-def read_status(place: tuple[str, int], within_s: float = 3.0) -> w.DisplayedStatus | None:
-    """How a member stands, None where it tells nothing of recovery. Raises OSError where its log can't be
-    read, ValueError for what is none."""
-    line = current_lines(place, ("recovery",), within_s).get("recovery")
-    return None if line is None else msgspec.convert(line["recovery"], w.DisplayedStatus)
+def read_status(address: tuple[str, int], within_s: float = 3.0) -> DisplayedStatus | None:
+    """A member's status, None where it reports nothing of recovery.
+
+    Raises OSError where its log can't be read, ValueError for what is no log.
+    """
+    line = current_lines(address, (LOG_CLIENT,), within_s).get(LOG_CLIENT)
+    return None if line is None else msgspec.convert(line[LOG_CLIENT], DisplayedStatus)
 
 
 def show(file: File, member: MemberOption = "") -> None:
-    """The stage by which a member goes, whom it heard and asked, what it doubts and goes without."""
-    place = log_address(*read_files(file), member)
+    """The recovery phase of a member, whom it heard of and queried, what it doubts and goes without."""
+    address = log_address(*read_files(file), member)
     try:
-        found = read_status(place)
+        status = read_status(address)
     except (OSError, ValueError) as error:
         fail(f"recovery: no answer: {error}", 1)
-    if found is None:
-        fail("recovery: this member tells nothing of it; it needs `serve --recovery`", 1)
-    for line in status_lines(found):
+    if status is None:
+        fail("recovery: this member reports nothing of it; it needs `serve --recovery`", 1)
+    for line in status_lines(status):
         typer.echo(line)
 
 
-def status_lines(found: w.DisplayedStatus) -> list[str]:
-    """One line a fact, the stage first."""
-    stage = found.stage or "ALONE"
-    current_lines = [f"{stage}  cut {found.cut}  part {found.part:g}  by {found.how}"]
-    current_lines += [f"why: {found.why}"] if found.why else []
-    current_lines.append(f"life {found.life}, boot {found.boot or 'not told by the system'}")
-    if found.leads:
-        current_lines.append(f"leads, term {found.leads}; hears {found.fronts} front ends")
-    current_lines.append(f"voters heard: {', '.join(found.heard) or 'none'}")
-    current_lines += [f"{what}: {stand}" for what, stand in found.asked.items()]
-    current_lines += [f"goes without: {text}" for text in found.without]
-    current_lines += [f"doubt: {text}" for text in found.doubts]
-    current_lines += [f"dropped, {cause}: {count}" for cause, count in sorted(found.counts.items())]
-    return current_lines
+def status_lines(status: DisplayedStatus) -> list[str]:
+    """One line a fact, the phase first."""
+    phase = status.phase or "PARTITIONED"
+    lines = [f"{phase}  power loss {status.power_loss}  share {status.share:g}  by {status.source}"]
+    if status.reason:
+        lines.append(f"reason: {status.reason}")
+    lines.append(f"incarnation {status.incarnation}, boot {status.boot or 'unknown to the system'}")
+    if status.leader_term:
+        lines.append(f"leader, term {status.leader_term}; {status.front_ends} front ends report")
+    lines.append(f"voters heard of: {', '.join(status.voters) or 'none'}")
+    lines += [f"{topic}: {state}" for topic, state in status.queries.items()]
+    lines += [f"goes without: {text}" for text in status.missing]
+    lines += [f"doubt: {text}" for text in status.doubts]
+    lines += [f"dropped, {reason}: {count}" for reason, count in sorted(status.counts.items())]
+    return lines
--- a/fawnwharf/recovery_service/coordinated_slow_start.py
+++ b/fawnwharf/recovery_service/coordinated_slow_start.py
@@ -1,14 +1,17 @@
-"""Calls for cold scorers: who gives them out, and how they are asked for.
+"""Coordinated slow start: who issues the permits for calls to a warming scorer, and how they are requested.
 
-Pure; milliseconds of the own monotonic clock. Each cold scorer has one warden among those that give
-(`budget.warden_of`), which gives no more tickets within the scorer's window than its room. Others ask it in
-bunches, one question a scorer at a time. That holds while wardens change, as long as all see within `lag_ms`
-who is heard: a new one waits a window and that long, and a ticket counts for `TICKET_MS` from when its
-question was asked, by the clock of the one who asked, whatever the way took.
+Pure; milliseconds of the own monotonic clock. Each warming scorer has one slow start coordinator among the
+permit issuers (`budget.slow_start_coordinator_of`), which issues no more permits within the scorer's window
+than its capacity. Others request them in batches, one request for a scorer at a time. That holds while
+coordinators change, as long as all see within `lag_ms` who is reachable: a new one waits a window and that
+long, and a permit counts for `PERMIT_MS` from when it was requested, by the clock of the one that requested
+it, however long its way took.
 """
 
-from collections import deque
+from collections import Counter, deque
+from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
+from enum import StrEnum
 
 from fawnwharf.recovery_core.budget import (
     PERMIT_MS,
@@ -17,219 +20,263 @@
     slow_start_coordinator_of,
 )
 from fawnwharf.recovery_service.actions import SendPermitMessage, SlowStartPermit
-from fawnwharf.recovery_service.load_permits import continues_deal
 from fawnwharf.recovery_service.permit_messages import MAX_PERMITS_PER_REQUEST, PermitRequest, PermitResponse
+from fawnwharf.recovery_service.permit_view import AssignmentNumber, PermitView, continues
 
 MAX_SCORERS = 4_096
-MAX_WAITING_CALLS = 4_096  # calls that wait for a ticket here
-MAX_TURNS = 1_024  # of one scorer, that were told to those who got no ticket
-RETRY_MS = 200.0  # a question without an answer for so long is asked again
-RESTART_MS = 500.0  # a scorer's age may be told a little differently each time
+MAX_WAITING_CALLS = 4_096  # calls that wait for a permit here
+MAX_TURNS = 1_024  # of one scorer, that were assigned to those who got no permit
+RETRY_MS = 200.0  # a request without a response for so long is sent again
+RESTART_MS = 500.0  # a scorer's age may be reported a little differently each time
+NEVER_MS = float("-inf")
+
+
+class SlowStartEvent(StrEnum):
+    """What is counted of slow start permits."""
+
+    TOO_MANY_SCORERS = "scorers beyond the limit"
+    TOO_MANY_CALLS = "calls for permits beyond the limit"
+    NOT_COORDINATED = "permit requests for scorers coordinated elsewhere"
+    UNKNOWN_REQUEST = "permit responses to no request"
+    LATE_PERMIT = "permits that came late"
+    UNUSED_PERMIT = "permits without a call"
+    UNUSED_TURN = "turns without a call"
 
 
 @dataclass(slots=True)
 class _Scorer:
     up_ms: float
-    warden: str = ""
-    waiting: deque[str] = field(default_factory=deque)  # keys that are not asked for, or not answered
-    number: int = 0  # of the question under way; 0: none is
-    asked_ms: float = float("-inf")
-    full_ms: float = float("-inf")  # its warden said that nothing is free before
-    turns: deque[float] = field(default_factory=deque)  # told by this warden to those without a ticket
+    coordinator: str = ""
+    waiting: deque[str] = field(default_factory=deque)  # keys of calls without a response
+    request_number: int = 0  # of the open request; 0: there is none
+    requested_ms: float = NEVER_MS
+    full_until_ms: float = NEVER_MS  # by its coordinator
+    turns: deque[float] = field(default_factory=deque)  # assigned here to those that got no permit
 
 
 class CoordinatedSlowStart:
-    """Owns the scorers that are there, what this front end gives out of them, and what it asks others for."""
+    """Owns the known scorers, the permits that are issued here, and the requests to other coordinators."""
 
-    def __init__(self, me: str, life: int, limits: FleetLimits, lag_ms: float) -> None:
-        self.me, self.life, self.limits, self.lag_ms = me, life, limits, lag_ms
-        self.warden = SlowStartCoordinator(limits)
+    def __init__(self, member: str, incarnation: int, limits: FleetLimits, lag_ms: float) -> None:
+        self.member = member
+        self.incarnation = incarnation
+        self.limits = limits
+        self.lag_ms = lag_ms
+        self.coordinator = SlowStartCoordinator(limits)
         self.scorers: dict[int, _Scorer] = {}
-        self.keys: dict[str, int] = {}  # that wait, and for which scorer
-        self.counts: dict[str, int] = {}
-        self._givers: tuple[str, ...] = ()
-        self._since_ms = float("inf")  # these are the givers since
-        self._deal: tuple[int, int] | None = None  # cut and number of it
-        self._wait_ms, self._first = lag_ms, False  # how long others may go by the givers before
+        self.waiting_calls: dict[str, int] = {}  # keys, and for which scorer
+        self.counts = Counter[SlowStartEvent]()
+        self._issuers: tuple[str, ...] = ()
+        self._issuers_since_ms = float("inf")
+        self._assignment: AssignmentNumber | None = None
+        self._is_first = False  # nobody issued anything since this power loss
+        self._wait_ms = lag_ms  # how long others may go by the issuers before
         self._number = 0
 
-    def _count(self, cause: str) -> None:
-        self.counts[cause] = self.counts.get(cause, 0) + 1
+    # --- scorers and their coordinators -----------------------------------------------------------
 
-    # --- who is there -----------------------------------------------------------------------------
-
-    def set(
-        self,
-        now_ms: float,
-        givers: tuple[str, ...],
-        part: float,
-        deal: tuple[int, int] | None = None,
-        lag_ms: float = 0.0,
-        first: bool = False,
-    ) -> None:
-        """As `Seats.set`; `givers`: who may be a warden."""
-        part = min(1.0, max(0.0, part))
-        self.warden.limits = replace(self.limits, fall_multiple=self.limits.fall_multiple * part)
-        self._wait_ms = self.lag_ms if deal is None else lag_ms
-        if (deal, first) == (self._deal, self._first) and givers == self._givers:
+    def update(self, now_ms: float, view: PermitView) -> None:
+        """Go by a new view of who issues permits."""
+        share = min(1.0, max(0.0, view.share))
+        self.coordinator.limits = replace(self.limits, fall_multiple=self.limits.fall_multiple * share)
+        self._wait_ms = self.lag_ms if view.assignment is None else view.lag_ms
+        seen = (view.assignment, view.is_first, view.issuers)
+        if seen == (self._assignment, self._is_first, self._issuers):
             return
-        if not continues_deal(self._deal, deal) or first:
+        if not continues(self._assignment, view.assignment) or view.is_first:
             for scorer in self.scorers.values():
-                scorer.warden = ""  # another may have been it since, or nobody was ever
-        self._deal, self._first = deal, first
-        self._givers, self._since_ms = givers, now_ms
-        for id, scorer in self.scorers.items():
-            self._ward(now_ms, id, scorer, first)
-
-    def _ward(self, now_ms: float, id: int, scorer: _Scorer, nobodys: bool = False) -> None:
-        """Find its warden. `nobodys`: it came up when all had long known who that would be, or
-        nobody gave in this cut."""
-        warden = slow_start_coordinator_of(str(id), self._givers)
-        if warden == scorer.warden:
+                scorer.coordinator = ""  # another may have been it since, or nobody ever was
+        self._assignment = view.assignment
+        self._is_first = view.is_first
+        self._issuers = view.issuers
+        self._issuers_since_ms = now_ms
+        for scorer_id, scorer in self.scorers.items():
+            self._find_coordinator(now_ms, scorer_id, scorer, uncoordinated=view.is_first)
+
+    def _find_coordinator(
+        self, now_ms: float, scorer_id: int, scorer: _Scorer, *, uncoordinated: bool
+    ) -> None:
+        """Find a scorer's coordinator.
+
+        `uncoordinated` is whether nobody can have issued permits before: the scorer came up when all had long
+        known who would, or nobody issued any since this power loss.
+        """
+        name = str(scorer_id)
+        coordinator = slow_start_coordinator_of(name, self._issuers)
+        if coordinator == scorer.coordinator:
             return
-        scorer.warden, scorer.number, scorer.full_ms = warden, 0, float("-inf")
+        scorer.coordinator = coordinator
+        scorer.request_number = 0
+        scorer.full_until_ms = NEVER_MS
         scorer.turns.clear()
-        given = self.warden.given.get(str(id))
-        self.warden.warm(str(id))
-        if warden == self.me:
-            if nobodys:
-                self.warden.known_from(str(id))
-                if given:  # to others, that were told of this dealing before
-                    self.warden.given[str(id)] = given
-            else:
-                self.warden.since[str(id)] = now_ms + self._wait_ms
+        issued = self.coordinator.given.get(name)
+        self.coordinator.warm(name)
+        if coordinator != self.member:
+            return
+        if not uncoordinated:
+            self.coordinator.since[name] = now_ms + self._wait_ms
+            return
+        self.coordinator.known_from(name)
+        if issued:  # to others, which received this assignment earlier
+            self.coordinator.given[name] = issued
 
-    def scorer(self, now_ms: float, id: int, age_ms: float) -> None:
-        """It is there, and that old."""
-        up_ms, known = now_ms - age_ms, self.scorers.get(id)
+    def scorer_seen(self, now_ms: float, scorer_id: int, age_ms: float) -> None:
+        """Take that a scorer is up, and since when."""
+        up_ms = now_ms - age_ms
+        known = self.scorers.get(scorer_id)
         if known is not None:
             if abs(up_ms - known.up_ms) > RESTART_MS:
-                known.up_ms = up_ms  # what was given out before may still be on its way: it counts
+                known.up_ms = up_ms  # permits that were issued before may still be on their way: they count
             return
         if len(self.scorers) >= MAX_SCORERS:
-            self._count("scorers beyond what is kept")
+            self.counts[SlowStartEvent.TOO_MANY_SCORERS] += 1
             return
-        found = self.scorers[id] = _Scorer(up_ms)
-        if self._givers:
-            self._ward(now_ms, id, found, nobodys=self._first or up_ms >= self._since_ms + self._wait_ms)
+        scorer = self.scorers[scorer_id] = _Scorer(up_ms)
+        if self._issuers:
+            uncoordinated = self._is_first or up_ms >= self._issuers_since_ms + self._wait_ms
+            self._find_coordinator(now_ms, scorer_id, scorer, uncoordinated=uncoordinated)
 
-    def gone(self, id: int) -> list[SlowStartPermit]:
-        """It is there no more; who waited for it may look elsewhere."""
-        scorer = self.scorers.pop(id, None)
+    def scorer_gone(self, scorer_id: int) -> list[SlowStartPermit]:
+        """Forget a scorer; calls that waited for it may look elsewhere."""
+        scorer = self.scorers.pop(scorer_id, None)
         if scorer is None:
             return []
-        self.warden.warm(str(id))
-        keys = [key for key in scorer.waiting if self.keys.pop(key, None) is not None]
+        self.coordinator.warm(str(scorer_id))
+        keys = [key for key in scorer.waiting if self.waiting_calls.pop(key, None) is not None]
         return [SlowStartPermit(key, 1.0) for key in keys]
 
-    def age_ms(self, now_ms: float, id: int) -> float | None:
-        scorer = self.scorers.get(id)
+    def age_ms(self, now_ms: float, scorer_id: int) -> float | None:
+        """For how long a scorer is up; None where it is not known."""
+        scorer = self.scorers.get(scorer_id)
         return None if scorer is None else now_ms - scorer.up_ms
 
-    def cold(self, now_ms: float, id: int) -> bool:
-        age_ms = self.age_ms(now_ms, id)
+    def is_warming_up(self, now_ms: float, scorer_id: int) -> bool:
+        """Whether a scorer needs permits."""
+        age_ms = self.age_ms(now_ms, scorer_id)
         return age_ms is not None and age_ms < self.limits.cold_ms
 
     # --- calls here -------------------------------------------------------------------------------
 
-    def ask(self, now_ms: float, id: int, key: str) -> float | None:
-        """0: send now; > 0: not before; None: asked, `tick` and `given` tell."""
-        scorer = self.scorers.get(id)
-        if scorer is None or not self.cold(now_ms, id):
+    def request(self, now_ms: float, scorer_id: int, key: str) -> float | None:
+        """Request a permit for a call: 0 is one, else none is free for so many milliseconds.
+
+        None: it was requested elsewhere, and `tick` or `receive_response` has the answer.
+        """
+        scorer = self.scorers.get(scorer_id)
+        if scorer is None or not self.is_warming_up(now_ms, scorer_id):
             return 0.0
-        if scorer.warden == self.me:
-            return self._give(now_ms, id, scorer)
-        if now_ms < scorer.full_ms:
-            return scorer.full_ms - now_ms
-        if len(self.keys) >= MAX_WAITING_CALLS:
-            self._count("calls for tickets beyond what is kept")
+        if scorer.coordinator == self.member:
+            return self._issue(now_ms, scorer_id, scorer)
+        if now_ms < scorer.full_until_ms:
+            return scorer.full_until_ms - now_ms
+        if len(self.waiting_calls) >= MAX_WAITING_CALLS:
+            self.counts[SlowStartEvent.TOO_MANY_CALLS] += 1
             return self.limits.fall_ms
-        if key not in self.keys:
-            self.keys[key] = id
+        if key not in self.waiting_calls:
+            self.waiting_calls[key] = scorer_id
             scorer.waiting.append(key)
         return None
 
-    def drop(self, key: str) -> None:
-        """The call needs none any more; a ticket that comes for it is the next one's."""
-        id = self.keys.pop(key, None)
-        if id is not None and id in self.scorers:
-            self.scorers[id].waiting.remove(key)
+    def cancel(self, key: str) -> None:
+        """Forget a call that needs no permit any more; a permit that comes for it is the next call's."""
+        scorer_id = self.waiting_calls.pop(key, None)
+        if scorer_id is not None and scorer_id in self.scorers:
+            self.scorers[scorer_id].waiting.remove(key)
 
-    def _give(self, now_ms: float, id: int, scorer: _Scorer) -> float:
-        """A ticket, or a turn of one's own: not all come again at the same moment."""
-        wait_ms = self.warden.ask(now_ms, str(id), now_ms - scorer.up_ms)
+    def _issue(self, now_ms: float, scorer_id: int, scorer: _Scorer) -> float:
+        """Issue a permit, or assign a turn, so that not all calls come again at the same moment."""
+        wait_ms = self.coordinator.ask(now_ms, str(scorer_id), now_ms - scorer.up_ms)
         if wait_ms <= 0.0:
             return 0.0
         turns = scorer.turns
         while turns and turns[0] <= now_ms:
             turns.popleft()
-        span_ms = self.limits.fall_ms + PERMIT_MS
-        given, ahead = self.warden.given.get(str(id)) or (), len(turns)
-        if given:
-            due_ms = given[ahead % len(given)] + span_ms * (1 + ahead // len(given))
-        else:  # it waits, as it is new: its room comes after that, one after the other
-            room = self.warden.limits.room(now_ms - scorer.up_ms)
-            due_ms = now_ms + wait_ms + span_ms * ahead / room
+        due_ms = self._next_turn_ms(now_ms, scorer_id, scorer, wait_ms)
         if len(turns) < MAX_TURNS:
             turns.append(max(due_ms, turns[-1] if turns else due_ms))
         return max(1.0, wait_ms, due_ms - now_ms)
 
-    # --- words ------------------------------------------------------------------------------------
+    def _next_turn_ms(self, now_ms: float, scorer_id: int, scorer: _Scorer, wait_ms: float) -> float:
+        """When the next call without a turn may come again."""
+        span_ms = self.limits.fall_ms + PERMIT_MS
+        issued: Sequence[float] = self.coordinator.given.get(str(scorer_id)) or ()
+        ahead = len(scorer.turns)
+        if issued:
+            return issued[ahead % len(issued)] + span_ms * (1 + ahead // len(issued))
+        # It is new and waits: its permits become free after that, one after the other.
+        capacity = self.coordinator.limits.room(now_ms - scorer.up_ms)
+        return now_ms + wait_ms + span_ms * ahead / capacity
+
+    # --- messages ---------------------------------------------------------------------------------
 
-    def asked(self, now_ms: float, sender: str, word: PermitRequest) -> list[SendPermitMessage]:
-        """Somebody asks this front end; if that is not its warden, it says nothing: a view is about to
-        change."""
-        scorer = self.scorers.get(word.scorer)
-        if scorer is None or scorer.warden != self.me:
-            self._count("asked for no ward")
+    def answer_request(self, now_ms: float, sender: str, request: PermitRequest) -> list[SendPermitMessage]:
+        """Issue permits for another front end's calls.
+
+        One that does not coordinate the scorer answers nothing: a view is about to change.
+        """
+        scorer = self.scorers.get(request.scorer)
+        if scorer is None or scorer.coordinator != self.member:
+            self.counts[SlowStartEvent.NOT_COORDINATED] += 1
             return []
-        if not self.cold(now_ms, word.scorer):
-            free = [0.0] * word.count
+        if not self.is_warming_up(now_ms, request.scorer):
+            waits_ms = [0.0] * request.count
         else:
-            free = [self._give(now_ms, word.scorer, scorer) for _ in range(word.count)]
-        return [
-            SendPermitMessage((sender,), PermitResponse(word.scorer, word.number, word.life, tuple(free)))
-        ]
-
-    def given(self, now_ms: float, sender: str, word: PermitResponse) -> list[SlowStartPermit]:
-        scorer = self.scorers.get(word.scorer)
-        if scorer is None or word.life != self.life or not scorer.number or scorer.number != word.number:
-            self._count("an answer to nothing")
+            waits_ms = [self._issue(now_ms, request.scorer, scorer) for _ in range(request.count)]
+        response = PermitResponse(request.scorer, request.number, request.incarnation, tuple(waits_ms))
+        return [SendPermitMessage((sender,), response)]
+
+    def receive_response(self, now_ms: float, response: PermitResponse) -> list[SlowStartPermit]:
+        """Take what a coordinator answered to the open request for its scorer."""
+        scorer = self.scorers.get(response.scorer)
+        is_open = scorer is not None and scorer.request_number and scorer.request_number == response.number
+        if scorer is None or response.incarnation != self.incarnation or not is_open:
+            self.counts[SlowStartEvent.UNKNOWN_REQUEST] += 1
             return []
-        scorer.number = 0
-        late = now_ms - scorer.asked_ms > PERMIT_MS
-        tickets, later = [], [free for free in word.free_ms if free > 0.0]
-        for free_ms in word.free_ms:
-            if free_ms <= 0.0 and late:
-                self._count("a ticket came too late")
-                continue
-            if not scorer.waiting:
-                self._count("a ticket for nobody" if free_ms <= 0.0 else "a turn for nobody")
-                continue
-            key = scorer.waiting.popleft()
-            del self.keys[key]
-            tickets.append(SlowStartPermit(key, free_ms))
-        if later:
-            scorer.full_ms = now_ms + min(later)
-        return tickets
+        scorer.request_number = 0
+        is_late = now_ms - scorer.requested_ms > PERMIT_MS
+        permits = []
+        for wait_ms in response.waits_ms:
+            if wait_ms <= 0.0 and is_late:
+                self.counts[SlowStartEvent.LATE_PERMIT] += 1
+            elif not scorer.waiting:
+                unused = SlowStartEvent.UNUSED_PERMIT if wait_ms <= 0.0 else SlowStartEvent.UNUSED_TURN
+                self.counts[unused] += 1
+            else:
+                key = scorer.waiting.popleft()
+                del self.waiting_calls[key]
+                permits.append(SlowStartPermit(key, wait_ms))
+        waits_ms = [wait_ms for wait_ms in response.waits_ms if wait_ms > 0.0]
+        if waits_ms:
+            scorer.full_until_ms = now_ms + min(waits_ms)
+        return permits
 
     def tick(self, now_ms: float) -> list[SendPermitMessage | SlowStartPermit]:
-        """Ask for what waits; those whose scorer is warm by now, or one's own, go by that."""
-        found: list[SendPermitMessage | SlowStartPermit] = []
-        for id in list(dict.fromkeys(self.keys.values())):
-            scorer = self.scorers[id]
-            if scorer.warden == self.me or not self.cold(now_ms, id):
-                keys = list(scorer.waiting)
-                scorer.waiting.clear()
-                for key in keys:
-                    del self.keys[key]
-                    free_ms = self.ask(now_ms, id, key)
-                    found.append(SlowStartPermit(key, 0.0 if free_ms is None else free_ms))
-            elif scorer.warden and (not scorer.number or now_ms - scorer.asked_ms >= RETRY_MS):
-                self._number += 1
-                scorer.number, scorer.asked_ms = self._number, now_ms
-                count = min(MAX_PERMITS_PER_REQUEST, len(scorer.waiting))
-                found.append(
-                    SendPermitMessage((scorer.warden,), PermitRequest(id, self._number, self.life, count))
-                )
-        return found
+        """Request permits for the calls that wait, or issue them where this member coordinates."""
+        actions: list[SendPermitMessage | SlowStartPermit] = []
+        for scorer_id in list(dict.fromkeys(self.waiting_calls.values())):
+            scorer = self.scorers[scorer_id]
+            if scorer.coordinator == self.member or not self.is_warming_up(now_ms, scorer_id):
+                actions += self._answer_waiting(now_ms, scorer_id, scorer)
+            elif scorer.coordinator and (
+                not scorer.request_number or now_ms - scorer.requested_ms >= RETRY_MS
+            ):
+                actions.append(self._send_request(now_ms, scorer_id, scorer))
+        return actions
+
+    def _answer_waiting(self, now_ms: float, scorer_id: int, scorer: _Scorer) -> list[SlowStartPermit]:
+        keys = list(scorer.waiting)
+        scorer.waiting.clear()
+        permits = []
+        for key in keys:
+            del self.waiting_calls[key]
+            wait_ms = self.request(now_ms, scorer_id, key)
+            permits.append(SlowStartPermit(key, 0.0 if wait_ms is None else wait_ms))
+        return permits
+
+    def _send_request(self, now_ms: float, scorer_id: int, scorer: _Scorer) -> SendPermitMessage:
+        self._number += 1
+        scorer.request_number = self._number
+        scorer.requested_ms = now_ms
+        count = min(MAX_PERMITS_PER_REQUEST, len(scorer.waiting))
+        request = PermitRequest(scorer_id, self._number, self.incarnation, count)
+        return SendPermitMessage((scorer.coordinator,), request)
--- a/fawnwharf/recovery_service/counters.py
+++ b/fawnwharf/recovery_service/counters.py
@@ -1,115 +1,142 @@
-"""What a front end counts for its standing while the fleet returns: calls served in time, loads against what
-they take in calm, cold scorers that fell. Pure; milliseconds of the own monotonic clock.
+"""Counters of one front end for its status reports after a power loss.
+
+Calls that were served in time, loads against what they take in calm, warming scorers that failed. Pure;
+milliseconds of the own monotonic clock.
 """
 
 from collections import deque
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple, TypeVar
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import priority_classes
-from fawnwharf.recovery_service import messages as w
+from fawnwharf.recovery_service.messages import CallCounts, StatusReport
 
-SPAN_MS = 1_000.0  # over which calls and loads are told
+SPAN_MS = 1_000.0  # over which calls and loads are reported
 MAX_SAMPLES = 20_000  # of calls within it
-FAILURES_TO_FALL = 3  # sends in a row that broke, at a cold scorer that had answered
-MAX_PAIRS, MAX_FUNCTIONS = 20_000, 20_000
-CALM_WEIGHT = 0.05  # by which a load changes what a load takes in calm
+FAILURES_TO_FALL = 3  # consecutive broken connections at a warming scorer that had answered
+MAX_PAIRS = 20_000
+MAX_FUNCTIONS = 20_000
+CALM_WEIGHT = 0.05  # of a load, in the moving average of what loads take in calm
+MAX_SLOWDOWN = 1e6
 CONNECTION_FAILURES = (io.AttemptResult.RESET, io.AttemptResult.CONNECT_FAILED)
 
+Key = TypeVar("Key")
+Value = TypeVar("Value")
+
+
+class _CallSample(NamedTuple):
+    at_ms: float
+    has_priority: bool
+    in_time: bool
+
+
+class _LoadSample(NamedTuple):
+    at_ms: float
+    slowdown: float
+
+
+class _Copy(NamedTuple):
+    scorer: int
+    function: str
+
 
 @dataclass(slots=True)
 class FrontEndCounters:
-    """Owns the counts of one front end."""
+    """Owns the counters of one front end."""
 
-    worths: Mapping[str, float]  # of classes
+    weights: Mapping[str, float]  # of classes
     cold_ms: float
-    calm: bool = False  # what loads take is what they take in calm
-    fell: int = 0
-    up: bool = False  # a scorer answered in this life
-    calm_ms: float | None = None  # what a load took in calm, of this life
-    _first: frozenset[str] = frozenset()
-    _ends: deque[tuple[float, bool, bool]] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
-    _loads: deque[tuple[float, float]] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
-    _expected: dict[str, float] = field(default_factory=dict)  # what a load of it takes, as calls told
-    _proved: dict[tuple[int, str], None] = field(default_factory=dict)  # scorers and functions with a copy
-    _broken: dict[int, int] = field(default_factory=dict)  # in a row, of scorers that had answered
+    calm: bool = False  # loads take now what they take in calm
+    failed_scorers: int = 0
+    scorer_answered: bool = False  # some scorer did, in this incarnation
+    calm_load_ms: float | None = None  # what a load takes in calm, in this incarnation
+    _priority_classes: frozenset[str] = frozenset()
+    _calls: deque[_CallSample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    _loads: deque[_LoadSample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    _expected_load_ms: dict[str, float] = field(default_factory=dict)  # by function, as calls said
+    _copies: dict[_Copy, None] = field(default_factory=dict)
+    _failures: dict[int, int] = field(default_factory=dict)  # consecutive, of scorers that had answered
 
     def __post_init__(self) -> None:
-        self._first = priority_classes(self.worths)
+        self._priority_classes = priority_classes(self.weights)
 
     # --- calls ----------------------------------------------------------------------------------
 
-    def ended(self, now_ms: float, class_name: str, in_time: bool) -> None:
-        """A call that came here ended, served in time or not; refused is not served."""
-        self._ends.append((now_ms, class_name in self._first, in_time))
+    def call_ended(self, now_ms: float, class_name: str, in_time: bool) -> None:
+        """Count a call by whether it was served in time; a rejected one was not."""
+        self._calls.append(_CallSample(now_ms, class_name in self._priority_classes, in_time))
 
-    # --- what the module hears ------------------------------------------------------------------
+    # --- the decision module's events -----------------------------------------------------------
 
     def event(self, now_ms: float, event: io.Event, age_ms: float) -> None:
-        """`age_ms`: of the scorer that it is about."""
+        """Count an event; `age_ms` is for how long its scorer is up."""
         if isinstance(event, io.RequestArrived):
-            if event.load_ms and self._expected.get(event.function) != event.load_ms:
-                _put_last(self._expected, event.function, event.load_ms, MAX_FUNCTIONS)
+            if event.load_ms and self._expected_load_ms.get(event.function) != event.load_ms:
+                _put_last(self._expected_load_ms, event.function, event.load_ms, MAX_FUNCTIONS)
         elif isinstance(event, io.AttemptEnded):
-            self._signed(event.scorer, event.result, age_ms)
+            self._count_result(event.scorer, event.result, age_ms)
         elif isinstance(event, io.LoadOrderAnswered):
-            self._signed(event.scorer, event.result, age_ms)
-            self._answered(now_ms, event)
-
-    def _signed(self, worker: int, ending: io.AttemptResult, age_ms: float) -> None:
-        """A cold scorer has fallen when calls that went there break one after the other, and it had answered
-        before: one that was never up did not fall."""
-        if ending is io.AttemptResult.GOOD:
-            self.up = True
-            if self._broken.get(worker, -1):
-                _put_last(self._broken, worker, 0, MAX_PAIRS)
-        elif ending in CONNECTION_FAILURES and worker in self._broken:
-            self._broken[worker] += 1
-            if self._broken[worker] >= FAILURES_TO_FALL:
-                del self._broken[worker]
-                self.fell += age_ms < self.cold_ms
-
-    def _answered(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
-        """The first proof of a copy is an answer to the order that loaded it; later ones are at once."""
-        pair = event.scorer, event.function
+            self._count_result(event.scorer, event.result, age_ms)
+            self._count_load(now_ms, event)
+
+    def _count_result(self, scorer: int, result: io.AttemptResult, age_ms: float) -> None:
+        """Count a warming scorer as failed when consecutive calls there break, and it had answered before.
+
+        One that was never up did not fail.
+        """
+        if result is io.AttemptResult.GOOD:
+            self.scorer_answered = True
+            if self._failures.get(scorer, -1):
+                _put_last(self._failures, scorer, 0, MAX_PAIRS)
+        elif result in CONNECTION_FAILURES and scorer in self._failures:
+            self._failures[scorer] += 1
+            if self._failures[scorer] >= FAILURES_TO_FALL:
+                del self._failures[scorer]
+                self.failed_scorers += age_ms < self.cold_ms
+
+    def _count_load(self, now_ms: float, event: io.LoadOrderAnswered) -> None:
+        """Count a load by its order's answer, the first one that says that there is a copy."""
+        copy = _Copy(event.scorer, event.function)
         if event.result is not io.AttemptResult.GOOD or not event.copies:
-            self._proved.pop(pair, None)
+            self._copies.pop(copy, None)
             return
-        if pair in self._proved:
+        if copy in self._copies:
             return
-        _put_last(self._proved, pair, None, MAX_PAIRS)
-        usual_ms = self._expected.get(event.function, self.calm_ms)
+        _put_last(self._copies, copy, None, MAX_PAIRS)
+        usual_ms = self._expected_load_ms.get(event.function, self.calm_load_ms)
         if usual_ms:
-            self._loads.append((now_ms, event.took_ms / usual_ms))
+            self._loads.append(_LoadSample(now_ms, event.took_ms / usual_ms))
         if self.calm:
-            before = event.took_ms if self.calm_ms is None else self.calm_ms
-            self.calm_ms = before + CALM_WEIGHT * (event.took_ms - before)
-
-    # --- what is told ---------------------------------------------------------------------------
-
-    def standing(self, now_ms: float) -> w.StatusReport:
-        """Without what the agent fills in: life, whether it asked, whether its keeper is sure."""
-        for held in (self._ends, self._loads):
-            while held and now_ms - held[0][0] > SPAN_MS:
-                held.popleft()
-        first = [good for _, first, good in self._ends if first]
-        loads = [slow for _, slow in self._loads]
-        return w.StatusReport(
-            life=0,
-            asked=False,
-            sure=False,
-            first=w.CallCounts(sum(first), len(first)),
-            served=w.CallCounts(sum(good for _, _, good in self._ends), len(self._ends)),
-            loads=len(loads),
-            slow=min(1e6, sum(loads) / len(loads)) if loads else 1.0,
-            fell=self.fell,
+            before_ms = event.took_ms if self.calm_load_ms is None else self.calm_load_ms
+            self.calm_load_ms = before_ms + CALM_WEIGHT * (event.took_ms - before_ms)
+
+    # --- reports --------------------------------------------------------------------------------
+
+    def report(self, now_ms: float) -> StatusReport:
+        """The status without what the agent adds: incarnation, queries, and whether all grants are known."""
+        while self._calls and now_ms - self._calls[0].at_ms > SPAN_MS:
+            self._calls.popleft()
+        while self._loads and now_ms - self._loads[0].at_ms > SPAN_MS:
+            self._loads.popleft()
+        priority = [call.in_time for call in self._calls if call.has_priority]
+        slowdowns = [load.slowdown for load in self._loads]
+        return StatusReport(
+            incarnation=0,
+            queries_done=False,
+            knows_grants=False,
+            priority_calls=CallCounts(sum(priority), len(priority)),
+            calls=CallCounts(sum(call.in_time for call in self._calls), len(self._calls)),
+            loads=len(slowdowns),
+            slowdown=min(MAX_SLOWDOWN, sum(slowdowns) / len(slowdowns)) if slowdowns else 1.0,
+            failed_scorers=self.failed_scorers,
         )
 
 
-def _put_last(held: dict, key: object, value: object, most: int) -> None:
-    """Put it last; the first one goes where there are too many."""
+def _put_last(held: dict[Key, Value], key: Key, value: Value, limit: int) -> None:
+    """Put an entry last; the first one is dropped where there are too many."""
     held.pop(key, None)
     held[key] = value
-    if len(held) > most:
+    if len(held) > limit:
         del held[next(iter(held))]
--- a/fawnwharf/recovery_service/delegated_loads.py
+++ b/fawnwharf/recovery_service/delegated_loads.py
@@ -1,154 +1,183 @@
-"""Orders that a loader lends: its seat, another front end's ration. Pure; both sides.
+"""Delegated load orders: a load coordinator's permit, used within another front end's rate limit.
 
-A loader whose module has no order left asks one that said it has. The seat stays the loader's until it hears
-what came of the order, or a load's usual time is over; a loan that comes late is void, by the clock of the
-one that told that it could order. So an order begins `LENT_MS` after its loader was lost at the latest.
+Pure; both sides. A coordinator whose decision module has no order left asks a front end that reported spare
+rate. The permit stays the coordinator's until it receives what became of the order, or a load's typical time
+is over. An order that arrives late is void, by the clock of the front end that reported the spare rate. So an
+order begins at most `DELEGATION_MS` after its coordinator was lost.
 """
 
+from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.actions import Action, LoadOrder, SendPermitMessage
 
-SPARE_REPORT_MS, SPARE_REPORT_PER_MEMBER_MS = (
-    200.0,
-    4.0,
-)  # pace of telling, and for each front end that is heard
-SPARE_FRESH_MS = 150.0  # for so long a loader counts on what was told
-SPARE_VALID_MS = 250.0  # a loan is taken up so long after that was told, at the latest
-ORDER_MADE_MS = 100.0  # by then the module has made an order, or it makes none
+SPARE_REPORT_MS = 200.0  # least time between two reports of spare rate
+SPARE_REPORT_PER_MEMBER_MS = 4.0  # and so much for each reachable front end
+SPARE_FRESH_MS = 150.0  # a coordinator uses a report for so long
+SPARE_VALID_MS = 250.0  # a delegated order is accepted so long after the report, at most
+ORDER_MADE_MS = 100.0  # by then the decision module has made an order, or it makes none
 DELEGATION_MS = SPARE_VALID_MS + ORDER_MADE_MS
 ORDER_TIMEOUT_MS = 10_000.0  # an order without an answer
-MAX_SPARE_ORDERS, MAX_SPARE_REPORTS = 8, 8  # orders told at a time; words of one's own that are kept in mind
+MAX_SPARE_ORDERS = 8  # reported at a time
+MAX_SPARE_REPORTS = 8  # own reports that are remembered
+
+
+class DelegationEvent(StrEnum):
+    """What is counted of delegated load orders."""
+
+    LATE = "delegated load orders: late"
 
 
 @dataclass(slots=True)
 class _ReportedSpareRate:
-    life: int
+    incarnation: int
     number: int
     count: int
-    heard_ms: float
+    received_ms: float
+
+
+class Delegate(NamedTuple):
+    """A front end that may be sent one order: its name and which of its reports says so."""
+
+    name: str
+    incarnation: int
+    report_number: int
 
 
 class SpareRates:
-    """A loader's: who could order for it."""
+    """A coordinator's view of who could order for it."""
 
     def __init__(self) -> None:
-        self._spares: dict[str, _ReportedSpareRate] = {}
+        self._reports: dict[str, _ReportedSpareRate] = {}
 
-    def told(self, now_ms: float, sender: str, word: m.SpareRate) -> None:
-        known = self._spares.pop(sender, None)
-        if known is not None and known.life == word.life and word.number <= known.number:
-            self._spares[sender] = known
+    def receive(self, now_ms: float, sender: str, report: m.SpareRate) -> None:
+        """Take a report; one that is older than the last of the same incarnation changes nothing."""
+        known = self._reports.pop(sender, None)
+        if known is not None and known.incarnation == report.incarnation and report.number <= known.number:
+            self._reports[sender] = known
         else:
-            self._spares[sender] = _ReportedSpareRate(word.life, word.number, word.count, now_ms)
-
-    def take(self, now_ms: float) -> tuple[str, int, int] | None:
-        """One order of whoever told last: its name, life, and the number of what it told."""
-        for name, spare in reversed(self._spares.items()):
-            if now_ms - spare.heard_ms <= SPARE_FRESH_MS and spare.count > 0:
-                spare.count -= 1
-                return name, spare.life, spare.number
+            self._reports[sender] = _ReportedSpareRate(
+                report.incarnation, report.number, report.count, now_ms
+            )
+
+    def take(self, now_ms: float) -> Delegate | None:
+        """Use one order of the front end that reported last; None where nobody has any."""
+        for name, report in reversed(self._reports.items()):
+            if now_ms - report.received_ms <= SPARE_FRESH_MS and report.count > 0:
+                report.count -= 1
+                return Delegate(name, report.incarnation, report.number)
         return None
 
-    def keep(self, heard: frozenset[str]) -> None:
-        self._spares = {name: spare for name, spare in self._spares.items() if name in heard}
+    def retain(self, reachable: frozenset[str]) -> None:
+        """Forget the reports of all other front ends."""
+        self._reports = {name: report for name, report in self._reports.items() if name in reachable}
+
+
+class _Placement(NamedTuple):
+    scorer: int
+    function: str
 
 
 @dataclass(slots=True)
 class _OpenDelegatedLoad:
-    loader: str
+    coordinator: str
     since_ms: float
     made: bool = False
 
 
 class DelegatedLoadExecutor:
-    """One that orders for loaders: what it told them, and their orders under way here."""
-
-    def __init__(self, life: int) -> None:
-        self.life, self.counts = life, dict[str, int]()
-        self._number, self._told_ms = 0, float("-inf")
-        self._told: dict[int, float] = {}  # numbers of what was told: when
-        self._loans: dict[tuple[int, str], _OpenDelegatedLoad] = {}
-        self._out: list[SendPermitMessage] = []
-
-    def _count(self, cause: str) -> None:
-        self.counts[cause] = self.counts.get(cause, 0) + 1
-
-    def spare(
-        self, now_ms: float, loaders: Iterable[str], room: float, heard: int
+    """A front end that orders for coordinators: its reports of spare rate, and their open orders."""
+
+    def __init__(self, incarnation: int) -> None:
+        self.incarnation = incarnation
+        self.counts = Counter[DelegationEvent]()
+        self._number = 0
+        self._reported_ms = float("-inf")
+        self._report_times: dict[int, float] = {}  # by number of the report
+        self._open: dict[_Placement, _OpenDelegatedLoad] = {}
+        self._outbox: list[SendPermitMessage] = []
+
+    def report_spare_rate(
+        self, now_ms: float, coordinators: Iterable[str], room: float, reachable: int
     ) -> list[SendPermitMessage]:
-        """Tells them how many orders this one could make, each an equal part; `room`: orders left here,
-        infinite where there is no ration, and no loader lacks any."""
+        """Report how many orders this front end could make, an equal part to each coordinator.
+
+        `room` is the number of orders left here. It is infinite where there is no rate limit: then no
+        coordinator lacks orders either. `reachable` is the number of reachable front ends.
+        """
         if room == float("inf"):
             return []
-        to = tuple(sorted(loaders))
-        free = min(MAX_SPARE_ORDERS, int(min(room, MAX_SPARE_ORDERS))) - len(self._loans)
-        if (
-            not to
-            or free < len(to)
-            or now_ms - self._told_ms < max(SPARE_REPORT_MS, SPARE_REPORT_PER_MEMBER_MS * heard)
-        ):
+        to = tuple(sorted(coordinators))
+        spare = min(MAX_SPARE_ORDERS, int(min(room, MAX_SPARE_ORDERS))) - len(self._open)
+        interval_ms = max(SPARE_REPORT_MS, SPARE_REPORT_PER_MEMBER_MS * reachable)
+        if not to or spare < len(to) or now_ms - self._reported_ms < interval_ms:
             return []
-        self._number, self._told_ms = self._number + 1, now_ms
-        self._told[self._number] = now_ms
-        while len(self._told) > MAX_SPARE_REPORTS:
-            del self._told[next(iter(self._told))]
-        return [SendPermitMessage(to, m.SpareRate(self.life, self._number, free // len(to)))]
-
-    def lend(self, now_ms: float, sender: str, word: m.DelegatedLoadOrder, may: bool) -> list[Action]:
-        """A loader's order, to be made here; `may`: loads are allowed."""
-        told_ms, place = self._told.get(word.number, float("-inf")), (word.worker, word.row)
-        if word.life != self.life or now_ms - told_ms > SPARE_VALID_MS:
-            self._count("loans that came late")
-            return []  # the loader does not count on it after a load's usual time
-        if not may or place in self._loans:
-            return [self._word(sender, place, m.DelegatedLoadResult.NOT)]
-        self._loans[place] = _OpenDelegatedLoad(sender, now_ms)
-        return [
-            LoadOrder(io.PrefetchRequested(word.worker, word.row, word.kind, 1, word.lanes, word.load_ms))
-        ]
-
-    def _word(self, to: str, place: tuple[int, str], what: m.DelegatedLoadResult) -> SendPermitMessage:
-        return SendPermitMessage((to,), m.DelegatedLoadReport(place[0], place[1], int(what)))
-
-    def is_own(self, worker: int, row: str) -> bool:
-        return (worker, row) in self._loans
-
-    def ordered(self, worker: int, row: str) -> None:
-        """The module made it: the next turn says so."""
-        loan = self._loans.get((worker, row))
-        if loan is not None and not loan.made:
-            loan.made = True
-            self._out.append(self._word(loan.loader, (worker, row), m.DelegatedLoadResult.MADE))
-
-    def answered(self, event: io.LoadOrderAnswered, proves: bool) -> list[SendPermitMessage]:
-        """`proves`: the answer counts copies."""
-        place = event.scorer, event.function
-        loan = self._loans.get(place)
-        if loan is None:
+        self._number += 1
+        self._reported_ms = now_ms
+        self._report_times[self._number] = now_ms
+        while len(self._report_times) > MAX_SPARE_REPORTS:
+            del self._report_times[next(iter(self._report_times))]
+        return [SendPermitMessage(to, m.SpareRate(self.incarnation, self._number, spare // len(to)))]
+
+    def accept(
+        self, now_ms: float, sender: str, order: m.DelegatedLoadOrder, *, loads_allowed: bool
+    ) -> list[Action]:
+        """Take a coordinator's order, to be made here."""
+        reported_ms = self._report_times.get(order.number, float("-inf"))
+        if order.incarnation != self.incarnation or now_ms - reported_ms > SPARE_VALID_MS:
+            self.counts[DelegationEvent.LATE] += 1
+            return []  # the coordinator does not count on it after a load's typical time
+        placement = _Placement(order.scorer, order.function)
+        if not loads_allowed or placement in self._open:
+            return [self._report(sender, placement, m.DelegatedLoadResult.NOT_MADE)]
+        self._open[placement] = _OpenDelegatedLoad(sender, now_ms)
+        wanted = io.PrefetchRequested(
+            order.scorer, order.function, order.class_name, 1, order.lanes, order.load_ms
+        )
+        return [LoadOrder(wanted)]
+
+    def _report(self, to: str, placement: _Placement, result: m.DelegatedLoadResult) -> SendPermitMessage:
+        report = m.DelegatedLoadReport(placement.scorer, placement.function, int(result))
+        return SendPermitMessage((to,), report)
+
+    def is_own(self, scorer: int, function: str) -> bool:
+        """Whether an order there is a delegated one."""
+        return (scorer, function) in self._open
+
+    def ordered(self, scorer: int, function: str) -> None:
+        """Note that the decision module made the order; the next tick reports it."""
+        placement = _Placement(scorer, function)
+        order = self._open.get(placement)
+        if order is not None and not order.made:
+            order.made = True
+            self._outbox.append(self._report(order.coordinator, placement, m.DelegatedLoadResult.MADE))
+
+    def answered(self, event: io.LoadOrderAnswered, *, counts_copies: bool) -> list[SendPermitMessage]:
+        """Take a scorer's answer; `counts_copies` is whether it says how many copies the scorer has."""
+        placement = _Placement(event.scorer, event.function)
+        order = self._open.get(placement)
+        if order is None:
             return []
-        if proves and event.copies:
-            del self._loans[place]
-            return [self._word(loan.loader, place, m.DelegatedLoadResult.STANDS)]
-        if not loan.made or event.result is io.AttemptResult.GOOD:
-            return []  # that answers a question
-        del self._loans[place]
-        return [self._word(loan.loader, place, m.DelegatedLoadResult.FAILED)]
+        if counts_copies and event.copies:
+            del self._open[placement]
+            return [self._report(order.coordinator, placement, m.DelegatedLoadResult.LOADED)]
+        if not order.made or event.result is io.AttemptResult.GOOD:
+            return []  # that answers a query
+        del self._open[placement]
+        return [self._report(order.coordinator, placement, m.DelegatedLoadResult.FAILED)]
 
     def tick(self, now_ms: float) -> list[SendPermitMessage]:
-        found, self._out = self._out, []
-        for place, loan in list(self._loans.items()):
-            waited_ms = now_ms - loan.since_ms
-            if waited_ms >= (ORDER_TIMEOUT_MS if loan.made else ORDER_MADE_MS):
-                del self._loans[place]
-                found.append(
-                    self._word(
-                        loan.loader,
-                        place,
-                        m.DelegatedLoadResult.FAILED if loan.made else m.DelegatedLoadResult.NOT,
-                    )
-                )
-        return found
+        """Report orders that were made, and those that were not made or not answered in time."""
+        messages, self._outbox = self._outbox, []
+        for placement, order in list(self._open.items()):
+            limit_ms = ORDER_TIMEOUT_MS if order.made else ORDER_MADE_MS
+            if now_ms - order.since_ms >= limit_ms:
+                del self._open[placement]
+                result = m.DelegatedLoadResult.FAILED if order.made else m.DelegatedLoadResult.NOT_MADE
+                messages.append(self._report(order.coordinator, placement, result))
+        return messages
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -1,11 +1,11 @@
-"""First copies, cold scorers' calls and the door, joined to a running front end: logs, the module, the table.
+"""Permits, admission and load orders joined to a running front end's logs, decision module and request table.
 
-Thin: what is given out is decided in `giving.py`, who is let in at `door.py`, what the module may order in
-`holds.py`.
+Thin: what is issued is decided in `permit_issuing.py`, which calls are admitted in `recovery_admission.py`,
+what the decision module may order in `load_order_gate.py`.
 """
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -13,178 +13,197 @@
 from fawnwharf.net.front_end import FrontEnd, worker_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
-from fawnwharf.recovery_core.budget import FleetLimits, fleet_limits
+from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_core.register import PermitAssignment
-from fawnwharf.recovery_service import actions
-from fawnwharf.recovery_service import permit_messages as g
+from fawnwharf.recovery_service.actions import Action, LoadOrder, SendPermitMessage
+from fawnwharf.recovery_service.claim_status import StoredClaims
+from fawnwharf.recovery_service.hints import FunctionUse
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission, StoredClaims
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer, PermitTiming
+from fawnwharf.recovery_service.permit_messages import LoadRequest, permit_message_from
+from fawnwharf.recovery_service.recovery_admission import AdmissionSettings, RecoveryAdmission
 from fawnwharf.recovery_service.settings import Settings
 from fawnwharf.replication.service import ReplicationService
 
-LOG_CLIENT = "recovery-given"  # by the logs of state
-CALM_TICK_MS = 250.0  # in calm little is to be said, and that to others that are not yet
-USAGE_RESEND_MS = 5_000.0  # what was used before the cut is wanted again, as a want that stands for long ends
-MAX_HASH_ORDERS = 4_096  # functions whose hash order is kept in mind
+LOG_CLIENT = "recovery-given"  # of the replication logs
+CALM_TICK_MS = 250.0  # in calm there is little to send, and that to others that are not calm yet
+USAGE_RESEND_MS = 5_000.0  # interval of requesting what was used before the power loss, as requests expire
+MAX_HASH_ORDERS = 4_096  # functions whose hash order is cached
 
 
-def create_admission(
-    front: FrontEnd, state: ReplicationService, settings: Settings, limits: FleetLimits
-) -> RecoveryAdmission:
-    """The door, before whatever stands there."""
-    classes, promises = front.deployment.settings.classes, StoredClaims(state.gate, state.core)
-    return RecoveryAdmission(
-        front.loop, front.port.table, classes, limits, promises, settings.timing.window_ms
-    )
+class AppliedPhase(NamedTuple):
+    """What this front end goes by."""
+
+    allowed: AllowedActions
+    power_loss: int
+    front_ends: int  # among which the fleet's calls are divided; partitioned, those that reach each other
+    assignment: PermitAssignment | None = None
 
 
 class FrontEndIntegration:
-    """Owns the pace at which things are given out, and the way of words, orders and tickets."""
+    """Owns the ticks of permit issuing, and passes on messages, load orders and permits."""
+
+    order_gate: LoadOrderGate
+    _send_order: Callable[[io.OrderCopies], None]
 
     def __init__(
-        self,
-        front: FrontEnd,
-        state: ReplicationService,
-        settings: Settings,
-        life: int,
-        door: Callable[
-            [FrontEnd, ReplicationService, Settings, FleetLimits], RecoveryAdmission
-        ] = create_admission,
+        self, front: FrontEnd, state: ReplicationService, settings: Settings, incarnation: int
     ) -> None:
-        self.front, self.state = front, state
+        """Stand between the front end's parts; nothing is admitted before `apply`."""
+        self.front = front
+        self.state = state
         self.limits = fleet_limits(front.deployment.settings, settings.fetches, settings.scorer_rps)
-        self.giving = PermitIssuer(state.member.name, life, self.limits, self._order, room=self._room)
-        self.giving.word_ms = settings.timing.alone_ms
-        self.counts: dict[str, int] = {}
-        self._going: tuple[AllowedActions, int, int, PermitAssignment | None] = (AllowedActions(), 0, 1, None)
-        self._used: dict[tuple[str, str], float] = {}  # calls a second before the cut, by function and class
-        self._used_ms = float("-inf")
-        self._heard: frozenset[str] = frozenset()
-        self._orders: dict[str, Function] = {}
-        self._up_ms: dict[int, float | None] = {}  # Unix; None: long past
+        self.issuer = PermitIssuer(
+            state.member.name,
+            incarnation,
+            self.limits,
+            self._hash_order,
+            PermitTiming(announcement_valid_ms=settings.timing.alone_ms),
+            self._orders_left,
+        )
+        self.bad_messages = 0
+        self._applied = AppliedPhase(AllowedActions(), 0, 1)
+        self._earlier_use: Mapping[FunctionUse, float] = {}  # calls a second before the power loss
+        self._use_requested_ms = float("-inf")
+        self._functions: dict[str, Function] = {}  # with their cached hash orders
+        self._scorers_up_ms: dict[int, float | None] = {}  # Unix time; None: long ago
         self._timer: Timer | None = None
         self._stopped = False
-        self.door = door(front, state, settings, self.limits)
-        self.holds: LoadOrderGate | None = None
-        self._order_out: Callable[[io.OrderCopies], None] | None = None
-        front.stand_between(io.OrderCopies, self._between)
-        state.log_clients[LOG_CLIENT] = self._ridden
-        self.roster()
-        self._turn()
+        admission_settings = AdmissionSettings(
+            front.deployment.settings.classes, self.limits, settings.timing.window_ms
+        )
+        claims = StoredClaims(state.gate, state.core) if state.gate is not None else None
+        self.admission = RecoveryAdmission(front.loop.wheel, front.port.table, admission_settings, claims)
+        front.stand_between(io.OrderCopies, self._insert_gate)
+        state.log_clients[LOG_CLIENT] = self._receive
+        self.update_roster()
+        self._tick()
 
     def close(self) -> None:
+        """Stop issuing and requesting; calls that wait are rejected unless it is calm."""
         self._stopped = True
         self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.OrderCopies, lambda _own: self._order_out)
-        if not self._going[0].spill:
-            self.door.go_by(AllowedActions(), 0.0, self.giving)  # what waits may be asked for again elsewhere
+        self.front.stand_between(io.OrderCopies, lambda _own: self._send_order)
+        if not self._applied.allowed.spill:
+            self.admission.apply(AllowedActions(), 0.0, self.issuer)  # clients may retry elsewhere
 
-    def _between(self, below: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
-        front, self._order_out = self.front, below
-        self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
-        return self.holds.carry
+    def _insert_gate(self, send_order: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
+        front = self.front
+        self._send_order = send_order
+        self.order_gate = LoadOrderGate(send_order, front.pool.order, front.loop.tell, front.table.open)
+        return self.order_gate.carry
 
     # --- what is allowed ------------------------------------------------------------------------
 
-    def go_by(
-        self, allowed: AllowedActions, cut: int, fronts: int, dealt: PermitAssignment | None = None
-    ) -> None:
-        """`fronts`: among how many front ends the fleet's calls are divided; alone, among those that hear
-        each other, whose part of the budgets `allowed` has."""
-        self._going = (allowed, cut, fronts, dealt)
-        self._set(monotonic_ms())
-
-    def use_before(self, used: dict[tuple[str, str], float]) -> None:
-        """Calls a second before the cut, by function and class: that these will be wanted first."""
-        self._used = used
-
-    def _set(self, now_ms: float) -> None:
-        allowed, cut, fronts, dealt = self._going
-        self._heard = frozenset(self.state.live_members(now_ms)) | {self.state.member.name}
-        self.giving.set(now_ms, self._heard, self.state.core.placement.replicas, allowed, cut, dealt)
-        rate_ps = allowed.part * self.limits.fall_multiple * self.limits.calls_rps(self.ages()) / fronts
-        self.door.go_by(allowed, rate_ps, self.giving)
-        self.holds.go_by(allowed, self.giving)
+    def apply(self, applied: AppliedPhase) -> None:
+        """Go by a phase from now on."""
+        self._applied = applied
+        self._update(monotonic_ms())
+
+    def request_earlier_use(self, use: Mapping[FunctionUse, float]) -> None:
+        """Request copies of what was called before the power loss, once loads are allowed.
+
+        `use` is calls a second by function and class.
+        """
+        self._earlier_use = use
+
+    def _update(self, now_ms: float) -> None:
+        allowed, power_loss, front_ends, assignment = self._applied
+        reachable = frozenset(self.state.live_members(now_ms)) | {self.state.member.name}
+        replicas = self.state.core.placement.replicas
+        self.issuer.update(now_ms, reachable, replicas, allowed, power_loss, assignment)
+        fleet_rps = self.limits.fall_multiple * self.limits.calls_rps(self.scorer_ages_ms())
+        self.admission.apply(allowed, allowed.part * fleet_rps / front_ends, self.issuer)
+        self.order_gate.apply(allowed, self.issuer)
         if allowed.own_loads:
-            self._used = {}
-        elif allowed.loads and self._used and now_ms - self._used_ms >= USAGE_RESEND_MS:
-            self._used_ms = now_ms
-            classes = self.front.deployment.settings.classes
-            for (row, name), rps in self._used.items():
-                if name in classes:
-                    self.giving.want(now_ms, row, rps * classes[name].priority_weight, name)
+            self._earlier_use = {}
+        elif allowed.loads and now_ms - self._use_requested_ms >= USAGE_RESEND_MS:
+            self._request_use(now_ms)
+
+    def _request_use(self, now_ms: float) -> None:
+        if not self._earlier_use:
+            return
+        self._use_requested_ms = now_ms
+        classes = self.front.deployment.settings.classes
+        for (function, class_name), rps in self._earlier_use.items():
+            if class_name in classes:
+                weight_ps = rps * classes[class_name].priority_weight
+                self.issuer.request_copy(now_ms, LoadRequest(function, class_name, weight_ps))
 
     # --- scorers --------------------------------------------------------------------------------
 
-    def roster(self) -> None:
-        """The roster as it is told by now."""
-        now, found = monotonic_ms(), {}
-        for member in self.front.overlay.members.values():
-            if member.phase == "in_service":
-                found[worker_number(member.id)] = member.up_since_ms or None
-        for id in [id for id in self._up_ms if id not in found]:
-            self._carry_out(self.giving.gone(now, id))
-        self._up_ms = found
-        for id in found:
-            self.giving.scorer(now, id, self.age_ms(id))
-
-    def age_ms(self, worker: int) -> float:
-        """One that is not known counts as warm: nothing of it is given out."""
-        up_ms = self._up_ms.get(worker)
+    def update_roster(self) -> None:
+        """Take the roster as it is now."""
+        now_ms = monotonic_ms()
+        scorers_up_ms = {
+            worker_number(member.id): member.up_since_ms or None
+            for member in self.front.overlay.members.values()
+            if member.phase == "in_service"
+        }
+        for scorer in [scorer for scorer in self._scorers_up_ms if scorer not in scorers_up_ms]:
+            self._carry_out(self.issuer.scorer_gone(scorer))
+        self._scorers_up_ms = scorers_up_ms
+        for scorer in scorers_up_ms:
+            self.issuer.scorer_seen(now_ms, scorer, self.age_ms(scorer))
+
+    def age_ms(self, scorer: int) -> float:
+        """For how long a scorer is up; one that is not known counts as warm, and needs no permits."""
+        up_ms = self._scorers_up_ms.get(scorer)
         return float("inf") if up_ms is None else max(0.0, self.front.loop.clock.now_ms() - up_ms)
 
-    def ages(self) -> list[float]:
-        return [self.age_ms(id) for id in self._up_ms]
-
-    def _order(self, row: str) -> list[int]:
-        """A function's scorers that take calls, as the module's own order has them."""
-        fn = self._orders.get(row)
-        if fn is None:
-            while len(self._orders) >= MAX_HASH_ORDERS:
-                del self._orders[next(iter(self._orders))]
-            fn = self._orders[row] = Function(row, "", 1, None, mark(row))
-        return [one.id for one in self.front.router._ordered(fn) if one.suspect_ms is None]
-
-    def _room(self) -> float:
-        """Orders that the module would make of `CopiesWanted`: one is left for each held call."""
+    def scorer_ages_ms(self) -> list[float]:
+        """For how long each scorer is up."""
+        return [self.age_ms(scorer) for scorer in self._scorers_up_ms]
+
+    def _hash_order(self, function: str) -> list[int]:
+        """A function's scorers that take calls, as the decision module orders them."""
+        cached = self._functions.get(function)
+        if cached is None:
+            while len(self._functions) >= MAX_HASH_ORDERS:
+                del self._functions[next(iter(self._functions))]
+            cached = self._functions[function] = Function(function, "", 1, None, mark(function))
+        order = self.front.router._ordered(cached)
+        return [scorer.id for scorer in order if scorer.suspect_ms is None]
+
+    def _orders_left(self) -> float:
+        """Orders that the decision module would make by `PrefetchRequested`; waiting calls come first."""
         router = self.front.router
-        held = sum(len(fn.queue) for fn in router.functions.values())
-        return router._ration_left() - held if router.settings.load_orders_allowed else 0.0
+        waiting = sum(len(function.queue) for function in router.functions.values())
+        return router._ration_left() - waiting if router.settings.load_orders_allowed else 0.0
 
-    # --- turns, words and answers ---------------------------------------------------------------
+    # --- ticks, messages and answers ------------------------------------------------------------
 
-    def _turn(self) -> None:
+    def _tick(self) -> None:
         if self._stopped:
             return
-        now = monotonic_ms()
-        self._set(now)
-        self._carry_out(self.giving.tick(now))
-        calm = self._going[0].spill
-        self._timer = self.front.loop.wheel.after(CALM_TICK_MS if calm else TICK_MS, self._turn)
+        now_ms = monotonic_ms()
+        self._update(now_ms)
+        self._carry_out(self.issuer.tick(now_ms))
+        interval_ms = CALM_TICK_MS if self._applied.allowed.spill else TICK_MS
+        self._timer = self.front.loop.wheel.after(interval_ms, self._tick)
 
-    def _ridden(self, now_ms: float, sender: str, _life: int, data: Any) -> None:
+    def _receive(self, now_ms: float, sender: str, _incarnation: int, data: Any) -> None:
         try:
-            word = g.permit_message_from(data)
+            message = permit_message_from(data)
         except msgspec.ValidationError:
-            self.counts["bad word"] = self.counts.get("bad word", 0) + 1
+            self.bad_messages += 1
             return
-        self._carry_out(self.giving.hear(now_ms, sender, word))
+        self._carry_out(self.issuer.receive(now_ms, sender, message))
 
     def events(self, now_ms: float, events: list[io.Event]) -> None:
-        self._carry_out(self.holds.events(now_ms, events))
-
-    def _carry_out(self, found: list[actions.Action]) -> None:
-        for out in found:
-            if isinstance(out, actions.SendPermitMessage):
-                self.state.send_message(LOG_CLIENT, out.to, msgspec.to_builtins(out.word))
-            elif isinstance(out, actions.LoadOrder):
-                if isinstance(out.what, io.OrderCopies):
-                    self.front.table.order(out.what)
-                else:
-                    self.front.loop.tell(out.what)
+        """Take a batch of the decision module's events."""
+        self._carry_out(self.order_gate.events(now_ms, events))
+
+    def _carry_out(self, actions: list[Action]) -> None:
+        for action in actions:
+            if isinstance(action, SendPermitMessage):
+                self.state.send_message(LOG_CLIENT, action.to, msgspec.to_builtins(action.message))
+            elif not isinstance(action, LoadOrder):
+                self.admission.notify(action)
+            elif isinstance(action.event, io.OrderCopies):
+                self.front.table.order(action.event)
             else:
-                self.door.told(out)
+                self.front.loop.tell(action.event)
--- a/fawnwharf/recovery_service/hints.py
+++ b/fawnwharf/recovery_service/hints.py
@@ -1,27 +1,31 @@
-"""Where scorers were and what calls came, for the next start: nothing rests on it. Pure.
+"""Hints for the next start: where scorers were and which functions were called. Nothing depends on them.
 
-A recorder is told what happens, and gives an entry's value when one is due. Until a start has come as far as
-calm, `due` is not to be asked: what is served meanwhile says little, and would take the place of what was
-served before the cut.
+Pure. A recorder takes what happens, and hands out an entry's value when one is due. Until a start has reached
+calm, `due` is not to be called: what is served meanwhile says little, and would replace what was served
+before the power loss.
 """
 
 from collections import Counter, deque
-from typing import Annotated, Any
+from collections.abc import Sequence
+from typing import Annotated, Any, TypeVar
 
 import msgspec
 from msgspec import Meta, Struct
 
 from fawnwharf.config import Fleet, Member
 from fawnwharf.recovery_core.trust import TrustLevel
+from fawnwharf.recovery_service.stored_state import TrustedEntry
 
 ENTRY_KEY = "last"  # of the one entry of each kind
-ROSTER_MS = 2_000.0
+ROSTER_MS = 2_000.0  # least time between two entries
 MAX_SCORERS = 5_000
-WINDOW_MS, WINDOWS = 2_000.0, 5
+WINDOW_MS = 2_000.0
+WINDOWS = 5
 MAX_FUNCTIONS = 2_000
-MAX_COUNTED = 4 * MAX_FUNCTIONS  # rows of one window; later ones of it are not told apart, and left out
+MAX_COUNTED = 4 * MAX_FUNCTIONS  # of one window; further ones are left out
 
-StoredEntries = list[tuple[str, Any, TrustLevel]]  # as `Kept.read` gives them
+FunctionUse = tuple[str, str]  # a function and a class; a plain tuple, as one is made for each call
+Hint = TypeVar("Hint")
 
 
 class _StoredScorer(Struct, frozen=True, array_like=True):
@@ -34,95 +38,121 @@
 
 
 class _StoredUsage(Struct, frozen=True, array_like=True):
-    row: str
+    function: str
     class_name: str
     rps: Annotated[float, Meta(ge=0.0, le=1e9)]
 
 
 class RosterRecorder:
-    """Owns the last roster of which nothing is kept yet."""
+    """Owns the last roster, and whether it is stored."""
 
     def __init__(self) -> None:
-        self._now: list[_StoredScorer] | None = None
-        self._kept: list[_StoredScorer] = []
-        self._next_ms = float("-inf")
-
-    def told(self, fleet: Fleet) -> None:
-        """The roster as it is now; one that is not whole yet says nothing."""
-        if fleet.complete:
-            served = [m for m in fleet.members if m.phase == "in_service" and m.host_port]
-            served.sort(key=lambda m: (len(m.id), m.id))
-            self._now = [
-                _StoredScorer(m.id, m.host_port, m.locality, m.flavor, m.cell, m.size)
-                for m in served[:MAX_SCORERS]
-            ]
+        self._roster: list[_StoredScorer] | None = None
+        self._stored: list[_StoredScorer] = []
+        self._due_ms = float("-inf")
+
+    @property
+    def was_stored(self) -> bool:
+        """Whether a roster was handed out to be stored."""
+        return bool(self._stored)
+
+    def update(self, fleet: Fleet) -> None:
+        """Take the roster as it is now; one that is not complete yet says nothing."""
+        if not fleet.complete:
+            return
+        served = [member for member in fleet.members if member.phase == "in_service" and member.host_port]
+        served.sort(key=lambda member: (len(member.id), member.id))
+        self._roster = [
+            _StoredScorer(
+                member.id, member.host_port, member.locality, member.flavor, member.cell, member.size
+            )
+            for member in served[:MAX_SCORERS]
+        ]
 
     def due(self, now_ms: float) -> list[Any] | None:
-        """The entry's value where it changed, at most each `ROSTER_MS`; None: nothing is to be written."""
-        if self._now is None or now_ms < self._next_ms or self._now == self._kept:
+        """The entry's value where it changed, at most each `ROSTER_MS`; None: nothing is to be stored."""
+        if self._roster is None or now_ms < self._due_ms or self._roster == self._stored:
             return None
-        self._kept, self._next_ms = self._now, now_ms + ROSTER_MS
-        return msgspec.to_builtins(self._now)
-
-    @staticmethod
-    def read(rows: StoredEntries) -> list[Member]:
-        """The scorers of the last roster, by their ids then; none where nothing usable was kept."""
-        found = _decode(rows, list[_StoredScorer], MAX_SCORERS)
-        return [Member(s.id, "in_service", s.host_port, s.locality, s.flavor, s.cell, s.size) for s in found]
+        self._stored = self._roster
+        self._due_ms = now_ms + ROSTER_MS
+        value: list[Any] = msgspec.to_builtins(self._roster)
+        return value
+
+
+def stored_roster(entries: Sequence[TrustedEntry]) -> list[Member]:
+    """The scorers of the last roster, by their ids then; none where nothing usable was stored."""
+    return [
+        Member(
+            scorer.id,
+            "in_service",
+            scorer.host_port,
+            scorer.locality,
+            scorer.flavor,
+            scorer.cell,
+            scorer.size,
+        )
+        for scorer in _decode(entries, _StoredScorer, MAX_SCORERS)
+    ]
 
 
 class UsageRecorder:
-    """Owns the counts of the last windows, by row (a function) and class."""
+    """Owns the counts of calls of the last windows, by function and class."""
 
     def __init__(self, now_ms: float) -> None:
-        self._open: Counter[tuple[str, str]] = Counter()
-        self._closed: deque[Counter[tuple[str, str]]] = deque(maxlen=WINDOWS)
+        self._open: Counter[FunctionUse] = Counter()
+        self._closed: deque[Counter[FunctionUse]] = deque(maxlen=WINDOWS)
         self._until_ms = now_ms + WINDOW_MS
-        self._due = 0  # windows until the next entry
+        self._windows_since_due = 0
 
-    def came(self, now_ms: float, row: str, class_name: str, count: int = 1) -> None:
-        self._turn(now_ms)
-        if (row, class_name) in self._open or len(self._open) < MAX_COUNTED:
-            self._open[row, class_name] += count
+    def record(self, now_ms: float, function: str, class_name: str, count: int = 1) -> None:
+        """Count calls that arrived."""
+        self._close_windows(now_ms)
+        if (function, class_name) in self._open or len(self._open) < MAX_COUNTED:
+            self._open[function, class_name] += count
 
-    def _turn(self, now_ms: float) -> None:
-        """Windows that are over close; of those in which nothing came no more than all."""
+    def _close_windows(self, now_ms: float) -> None:
+        """Close windows that are over; of those in which nothing arrived no more than there are windows."""
         for _ in range(WINDOWS):
             if now_ms < self._until_ms:
                 return
             self._closed.append(self._open)
-            self._open, self._due = Counter(), self._due + 1
+            self._open = Counter()
+            self._windows_since_due += 1
             self._until_ms += WINDOW_MS
         if now_ms >= self._until_ms:
             self._until_ms = now_ms + WINDOW_MS
 
     def due(self, now_ms: float) -> list[Any] | None:
-        """Calls a second by row and class, once in `WINDOWS` windows, where any came; the `ROWS_MOST` rows
-        with most calls. None: nothing is to be written."""
-        self._turn(now_ms)
-        if self._due < WINDOWS:
+        """Calls a second by function and class, once in `WINDOWS` windows, where any arrived.
+
+        The `MAX_FUNCTIONS` with most calls. None: nothing is to be stored.
+        """
+        self._close_windows(now_ms)
+        if self._windows_since_due < WINDOWS:
             return None
-        self._due = 0
-        total: Counter[tuple[str, str]] = Counter()
+        self._windows_since_due = 0
+        total: Counter[FunctionUse] = Counter()
         for window in self._closed:
             total.update(window)
         most = sorted(total.items(), key=lambda item: (-item[1], item[0]))[:MAX_FUNCTIONS]
         span_s = WINDOWS * WINDOW_MS / 1_000.0
-        return [[row, name, round(count / span_s, 3)] for (row, name), count in most] or None
+        return [[function, name, round(count / span_s, 3)] for (function, name), count in most] or None
+
 
-    @staticmethod
-    def read(rows: StoredEntries) -> dict[tuple[str, str], float]:
-        """Calls a second by row and class."""
-        return {
-            (use.row, use.class_name): use.rps for use in _decode(rows, list[_StoredUsage], MAX_FUNCTIONS)
-        }
+def stored_usage(entries: Sequence[TrustedEntry]) -> dict[FunctionUse, float]:
+    """Calls a second by function and class; empty where nothing usable was stored."""
+    return {
+        (usage.function, usage.class_name): usage.rps
+        for usage in _decode(entries, _StoredUsage, MAX_FUNCTIONS)
+    }
 
 
-def _decode(rows: StoredEntries, kind: Any, most: int) -> list[Any]:
-    for key, value, trusted in rows:
-        if key == ENTRY_KEY and trusted >= TrustLevel.HINT:
+def _decode(entries: Sequence[TrustedEntry], kind: type[Hint], limit: int) -> list[Hint]:
+    """The last entry's value, where it may be used."""
+    for key, value, trust in entries:
+        if key == ENTRY_KEY and trust >= TrustLevel.HINT:
             try:
-                return msgspec.convert(value, kind)[:most]
+                return [msgspec.convert(item, kind) for item in msgspec.convert(value, list[Any])][:limit]
             except msgspec.ValidationError:
                 return []
     return []
--- a/fawnwharf/recovery_service/load_coordination.py
+++ b/fawnwharf/recovery_service/load_coordination.py
@@ -1,12 +1,15 @@
-"""One loader's work: what is wanted of it, its orders under way, and when a copy may stand.
+"""One load coordinator's work: requested functions, its open load orders, and when a copy is expected.
 
-Pure. Orders go through the module (`CopiesWanted`), within its ration or not at all. So one that is not made
-is asked for again, after its scorer was asked whether a copy stands there by another's order.
+Pure. Orders go through the decision module (`PrefetchRequested`), within its rate limit or not at all. So an
+order that is not made is requested again, after its scorer was asked whether another's order made a copy.
 """
 
 from bisect import bisect_right
+from collections import Counter
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import NamedTuple
 
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import LoadCoordinator
@@ -20,13 +23,14 @@
     LoadRequest,
 )
 
-ORDER_MS = 100.0  # by then the module has made an order of what it was told, or it makes none
-UNMADE_MS = 1_000.0  # an order that was not made, and of which its scorer says nothing for so long
+ORDER_MS = 100.0  # by then the decision module has made an order, or it makes none
+UNMADE_MS = 1_000.0  # an order that was not made, and to whose query the scorer answers nothing for so long
 ORDER_TIMEOUT_MS = 10_000.0  # an order without an answer for so long has failed
-RETRY_MS, UNMADE_RETRY_MS = 500.0, 250.0  # after an order that failed, or that the module did not make
-SORT_MS = 250.0  # pace of the look at who is ahead of whom
+RETRY_MS = 500.0  # after an order that failed
+UNMADE_RETRY_MS = 250.0  # after an order that the decision module did not make
+SORT_MS = 250.0  # interval of sorting the requests by weight
 MIN_ETA_MS = 50.0  # no copy is expected earlier
-MAX_FUNCTIONS = 20_000  # functions
+MAX_FUNCTIONS = 20_000
 
 COUNTING_RESULTS = (
     io.AttemptResult.GOOD,
@@ -35,220 +39,286 @@
 )  # an order's answer that counts copies
 
 
+class LoadEvent(StrEnum):
+    """What is counted of load orders."""
+
+    TOO_MANY_FUNCTIONS = "functions beyond the limit"
+    DELEGATED = "load orders delegated"
+    CLOSED_DELEGATION = "reports on delegated load orders that were closed"
+    FAILED = "load orders failed"
+    NOT_MADE = "load orders not made"
+
+
 @dataclass(slots=True)
 class _FunctionLoad:
-    kind: str
+    class_name: str
     lanes: int
     load_ms: float | None
-    worth_ps: float = 0.0  # the largest that was told
-    failed: dict[int, float] = field(default_factory=dict)  # scorers, until when
+    weight_ps: float = 0.0  # the largest that was requested
+    failed_until_ms: dict[int, float] = field(default_factory=dict)  # by scorer
 
 
 @dataclass(slots=True)
 class _OpenLoadOrder:
-    worker: int
-    told_ms: float  # to the module; once the order went, when that was
-    went: bool = False
-    asked_ms: float | None = None  # the scorer, as the module made no order
-    lent: str = ""  # to whom; it counts as gone out
-    made: bool = False  # there
+    scorer: int
+    since_ms: float  # when the decision module received it; once it was sent, when that was
+    sent: bool = False
+    queried_ms: float | None = None  # the scorer, as the decision module made no order
+    delegate: str = ""  # who makes it; it counts as sent then
+    made: bool = False  # by the delegate
+
+
+class _Deferred(NamedTuple):
+    due_ms: float
+    weight_ps: float
+
+
+@dataclass(frozen=True, slots=True)
+class LoadEnvironment:
+    """What load coordination asks of its front end."""
+
+    hash_order: Callable[[str], Sequence[int]]  # a function's scorers that take calls, by its hash order
+    has_copy: Callable[[str], bool]  # whether a copy of a function is known
+    orders_left: Callable[[], float]  # orders that the decision module may still make
 
 
 class LoadCoordination:
-    """Owns what is wanted of this loader, and its orders."""
-
-    def __init__(
-        self,
-        me: str,
-        seats: LoadPermits,
-        order: Callable[[str], Sequence[int]],
-        stands: Callable[[str], bool],
-        room: Callable[[], float],
-    ) -> None:
-        """`order`: a function's scorers that take calls, by its hash order; `stands`: a copy does; `room`:
-        orders that the module may still make."""
-        self.me, self.seats, self._order, self._stands, self._room = me, seats, order, stands, room
-        self.spares = SpareRates()
-        self._left = 0.0  # of the room, as of this look
-        self.loader = LoadCoordinator(at_a_time=0)
-        self.counts: dict[str, int] = {}
-        self.under_way: dict[str, _OpenLoadOrder] = {}
-        self._facts: dict[str, _FunctionLoad] = {}
-        self._later: dict[str, tuple[float, float]] = {}  # from when, worth
-        self._worths: tuple[float, list[float]] = (float("-inf"), [])
-
-    def _count(self, cause: str) -> None:
-        self.counts[cause] = self.counts.get(cause, 0) + 1
-
-    def rest(self) -> None:
-        """It is calm: each orders what it needs."""
-        self._later.clear()
-        self.loader.wants, self.loader.queue = {}, []
-        self._facts = {row: facts for row, facts in self._facts.items() if row in self.under_way}
-
-    # --- what is wanted ---------------------------------------------------------------------------
-
-    def want(self, now_ms: float, wanted: LoadRequest) -> None:
-        if wanted.row in self.under_way:
+    """Owns the load requests to this coordinator, and its load orders."""
+
+    def __init__(self, member: str, permits: LoadPermits, environment: LoadEnvironment) -> None:
+        self.member = member
+        self.permits = permits
+        self.spare_rates = SpareRates()
+        self.queue = LoadCoordinator(at_a_time=0)
+        self.counts = Counter[LoadEvent]()
+        self.open_orders: dict[str, _OpenLoadOrder] = {}
+        self._environment = environment
+        self._orders_left = 0.0  # as of the last call of `orders`
+        self._functions: dict[str, _FunctionLoad] = {}
+        self._deferred: dict[str, _Deferred] = {}
+        self._sorted_ms = float("-inf")
+        self._sorted_weights: list[float] = []
+
+    def reset(self) -> None:
+        """Forget the requests, as each front end orders what it needs."""
+        self._deferred.clear()
+        self.queue.wants = {}
+        self.queue.queue = []
+        self._functions = {name: load for name, load in self._functions.items() if name in self.open_orders}
+
+    # --- requests ---------------------------------------------------------------------------------
+
+    def request(self, now_ms: float, request: LoadRequest) -> None:
+        """Take a request for a copy."""
+        function = request.function
+        if function in self.open_orders:
             return
-        if wanted.row not in self._facts:
-            if len(self._facts) >= MAX_FUNCTIONS:
-                self._count("functions beyond what is kept")
+        load = self._functions.get(function)
+        if load is None:
+            if len(self._functions) >= MAX_FUNCTIONS:
+                self.counts[LoadEvent.TOO_MANY_FUNCTIONS] += 1
                 return
-            self._facts[wanted.row] = _FunctionLoad(wanted.kind, wanted.lanes, wanted.load_ms)
-        facts = self._facts[wanted.row]
-        facts.worth_ps = max(facts.worth_ps, wanted.worth_ps)
-        self.loader.gone(wanted.row)  # whoever wants it goes by what stands
-        self._put(now_ms, wanted.row, wanted.worth_ps)
-
-    def knows(self, row: str) -> bool:
-        return row in self._facts
-
-    def _put(self, now_ms: float, row: str, worth_ps: float, at_ms: float = 0.0) -> None:
-        """To be ordered when it may be; the larger word on its worth holds."""
-        due_ms, worth = max(at_ms, self.seats.due_ms(now_ms, row)), worth_ps
-        if row in self._later:
-            due_ms, worth = max(due_ms, self._later[row][0]), max(worth, self._later[row][1])
+            load = _FunctionLoad(request.class_name, request.lanes, request.load_ms)
+            self._functions[function] = load
+        load.weight_ps = max(load.weight_ps, request.weight_ps)
+        self.queue.gone(function)  # the request says that there is no copy
+        self._enqueue(now_ms, function, request.weight_ps)
+
+    def knows(self, function: str) -> bool:
+        """Whether the function was requested."""
+        return function in self._functions
+
+    def _enqueue(self, now_ms: float, function: str, weight_ps: float, not_before_ms: float = 0.0) -> None:
+        """Order it when that is allowed; the largest weight and the latest time of its requests hold."""
+        due_ms = max(not_before_ms, self.permits.due_ms(now_ms, function))
+        deferred = self._deferred.get(function)
+        if deferred is not None:
+            due_ms = max(due_ms, deferred.due_ms)
+            weight_ps = max(weight_ps, deferred.weight_ps)
         if due_ms > now_ms:
-            self._later[row] = (due_ms, worth)
+            self._deferred[function] = _Deferred(due_ms, weight_ps)
         else:
-            self._later.pop(row, None)
-            self.loader.want(row, worth)
-
-    def eta_ms(self, now_ms: float, row: str) -> float:
-        """As `Loader.eta_ms`, of many."""
-        fetch_ms, way = self.loader.fetch_ms, self.under_way.get(row)
-        if way is not None:
-            return max(MIN_ETA_MS, way.told_ms + fetch_ms - now_ms)
-        if now_ms - self._worths[0] >= SORT_MS:
-            self._worths = (now_ms, sorted(self.loader.wants.values()))
-        worths, later = self._worths[1], self._later.get(row)
-        worth = self.loader.wants.get(row, later[1] if later else 0.0)
-        ahead = len(worths) - bisect_right(worths, worth) + len(self.under_way)
-        begins_ms = max(self.loader.begins_ms, later[0] if later else now_ms, self.seats.first_ms(now_ms))
-        seats = max(1, self.seats.mine) * self.seats.rest
-        return max(0.0, begins_ms - now_ms) + fetch_ms * (1.0 + ahead / seats)
+            self._deferred.pop(function, None)
+            self.queue.want(function, weight_ps)
+
+    def eta_ms(self, now_ms: float, function: str) -> float:
+        """In how many milliseconds a copy is expected, as `LoadCoordinator.eta_ms` but for many functions."""
+        fetch_ms = self.queue.fetch_ms
+        order = self.open_orders.get(function)
+        if order is not None:
+            return max(MIN_ETA_MS, order.since_ms + fetch_ms - now_ms)
+        if now_ms - self._sorted_ms >= SORT_MS:
+            self._sorted_ms = now_ms
+            self._sorted_weights = sorted(self.queue.wants.values())
+        deferred = self._deferred.get(function)
+        weight_ps = self.queue.wants.get(function, deferred.weight_ps if deferred else 0.0)
+        more_weight = len(self._sorted_weights) - bisect_right(self._sorted_weights, weight_ps)
+        ahead = more_weight + len(self.open_orders)
+        due_ms = deferred.due_ms if deferred else now_ms
+        begins_ms = max(self.queue.begins_ms, due_ms, self.permits.first_usable_ms(now_ms))
+        permits = max(1, self.permits.own_count) * self.permits.fetch_fraction
+        return max(0.0, begins_ms - now_ms) + fetch_ms * (1.0 + ahead / permits)
 
     # --- orders -----------------------------------------------------------------------------------
 
     def orders(self, now_ms: float) -> list[LoadOrder | SendPermitMessage]:
-        found: list[LoadOrder | SendPermitMessage] = []
-        for row, (due_ms, worth) in list(self._later.items()):
-            if due_ms <= now_ms:
-                self._put(now_ms, row, worth)
-        self.loader.at_a_time = self.seats.ready(now_ms)
-        self._left = self._room() if self.loader.wants else 0.0  # it looks through all functions
-        while self.loader.at_a_time and (rows := self.loader.orders(now_ms)):
-            for row in rows:
-                self.loader.under_way.discard(row)
-                if (order := self._begin(now_ms, row)) is not None:
-                    found.append(order)
-        return found
-
-    def _begin(self, now_ms: float, row: str) -> LoadOrder | SendPermitMessage | None:
-        if self.seats.owner(row) != self.me or self._stands(row):
-            return None  # it is another's by now, or was told to stand
-        facts = self._facts[row]
-        if (due_ms := self.seats.due_ms(now_ms, row)) > now_ms:
-            self._later[row] = (due_ms, facts.worth_ps)
+        """Begin as many orders as there are free permits."""
+        actions: list[LoadOrder | SendPermitMessage] = []
+        for function, deferred in list(self._deferred.items()):
+            if deferred.due_ms <= now_ms:
+                self._enqueue(now_ms, function, deferred.weight_ps)
+        self.queue.at_a_time = self.permits.ready(now_ms)
+        # Only where it is needed: it looks through all functions.
+        self._orders_left = self._environment.orders_left() if self.queue.wants else 0.0
+        while self.queue.at_a_time and (functions := self.queue.orders(now_ms)):
+            for function in functions:
+                self.queue.under_way.discard(function)
+                if (action := self._begin(now_ms, function)) is not None:
+                    actions.append(action)
+        return actions
+
+    def _begin(self, now_ms: float, function: str) -> LoadOrder | SendPermitMessage | None:
+        if self.permits.coordinator(function) != self.member or self._environment.has_copy(function):
+            return None  # it is another coordinator's by now, or a copy was reported
+        load = self._functions[function]
+        if (due_ms := self.permits.due_ms(now_ms, function)) > now_ms:
+            self._deferred[function] = _Deferred(due_ms, load.weight_ps)
             return None
-        facts.failed = {worker: until for worker, until in facts.failed.items() if until > now_ms}
-        able = [worker for worker in self._order(row) if worker not in facts.failed]
-        if not able:
-            self._later[row] = (now_ms + RETRY_MS, facts.worth_ps)
+        scorer = self._choose_scorer(now_ms, function, load)
+        if scorer is None:
+            self._deferred[function] = _Deferred(now_ms + RETRY_MS, load.weight_ps)
             return None
-        self.loader.under_way.add(row)
-        own = sum(not way.went for way in self.under_way.values())  # that the module is yet to make
-        if self._left - own < 1.0 and (helper := self.spares.take(now_ms)) is not None:
-            name, life, number = helper
-            self.under_way[row] = _OpenLoadOrder(able[0], now_ms, went=True, lent=name)
-            self._count("orders that were lent")
-            lend = DelegatedLoadOrder(life, number, able[0], row, facts.kind, facts.lanes, facts.load_ms)
-            return SendPermitMessage((name,), lend)
-        self.under_way[row] = _OpenLoadOrder(able[0], now_ms)
-        return LoadOrder(io.PrefetchRequested(able[0], row, facts.kind, 1, facts.lanes, facts.load_ms))
-
-    def ordered(self, now_ms: float, worker: int, row: str) -> None:
-        """The module made an order of what it was told: its load is under way."""
-        way = self.under_way.get(row)
-        if way is not None and way.worker == worker and not way.went:
-            way.went, way.told_ms = True, now_ms
-
-    def is_own(self, worker: int, row: str) -> bool:
-        """Whether an order there is one that this loader wants."""
-        way = self.under_way.get(row)
-        return way is not None and way.worker == worker
+        self.queue.under_way.add(function)
+        if (action := self._delegate(now_ms, function, load, scorer)) is not None:
+            return action
+        self.open_orders[function] = _OpenLoadOrder(scorer, now_ms)
+        return LoadOrder(io.PrefetchRequested(scorer, function, load.class_name, 1, load.lanes, load.load_ms))
+
+    def _choose_scorer(self, now_ms: float, function: str, load: _FunctionLoad) -> int | None:
+        """The first scorer by hash order at which no load failed lately."""
+        load.failed_until_ms = {
+            scorer: until_ms for scorer, until_ms in load.failed_until_ms.items() if until_ms > now_ms
+        }
+        order = self._environment.hash_order(function)
+        return next((scorer for scorer in order if scorer not in load.failed_until_ms), None)
+
+    def _delegate(
+        self, now_ms: float, function: str, load: _FunctionLoad, scorer: int
+    ) -> SendPermitMessage | None:
+        """Have another front end make the order, where the own decision module has none left."""
+        unmade = sum(not order.sent for order in self.open_orders.values())
+        if self._orders_left - unmade >= 1.0:
+            return None
+        delegate = self.spare_rates.take(now_ms)
+        if delegate is None:
+            return None
+        self.open_orders[function] = _OpenLoadOrder(scorer, now_ms, sent=True, delegate=delegate.name)
+        self.counts[LoadEvent.DELEGATED] += 1
+        order = DelegatedLoadOrder(
+            delegate.incarnation,
+            delegate.report_number,
+            scorer,
+            function,
+            load.class_name,
+            load.lanes,
+            load.load_ms,
+        )
+        return SendPermitMessage((delegate.name,), order)
+
+    def ordered(self, now_ms: float, scorer: int, function: str) -> None:
+        """Take that the decision module made the order: its load is in progress."""
+        order = self.open_orders.get(function)
+        if order is not None and order.scorer == scorer and not order.sent:
+            order.sent = True
+            order.since_ms = now_ms
+
+    def is_own(self, scorer: int, function: str) -> bool:
+        """Whether an order there is one of this coordinator."""
+        order = self.open_orders.get(function)
+        return order is not None and order.scorer == scorer
+
+    # --- results ----------------------------------------------------------------------------------
 
     def answered(self, now_ms: float, event: io.LoadOrderAnswered) -> bool:
-        """A scorer's answer to an order or a question, whoever's that was. Whether a copy stands that was
-        ordered here."""
-        row, way = event.function, self.under_way.get(event.function)
-        if way is None or way.worker != event.scorer:
+        """Take a scorer's answer to any order or query; return whether it has a copy ordered here."""
+        function = event.function
+        order = self.open_orders.get(function)
+        if order is None or order.scorer != event.scorer:
             return False
         if event.result in COUNTING_RESULTS and event.copies:
-            del self.under_way[row]
-            took_ms = now_ms - way.told_ms if way.went else self.loader.fetch_ms
-            self.loader.ended(row, True, took_ms)
-            self._rests(now_ms, took_ms)
+            self._loaded(now_ms, function, now_ms - order.since_ms if order.sent else self.queue.fetch_ms)
             return True
-        if way.lent:
-            return False  # whoever made the order tells
-        # None stands: that answers a question, maybe the module's own of before. An order that is under way
-        # it does not end, and one that the module is yet to make neither.
+        if order.delegate:
+            return False  # the delegate reports
+        # There is no copy: that answers a query, maybe an earlier one of the decision module. It ends neither
+        # an order that was sent nor one that the decision module is yet to make.
         counted = event.result is io.AttemptResult.GOOD
-        if way.went != counted and (way.went or way.asked_ms is not None):
-            self._failed(now_ms, row, way, way.went)
+        if order.sent != counted and (order.sent or order.queried_ms is not None):
+            self._failed(now_ms, function, order, scorer_failed=order.sent)
         return False
 
-    def lent(self, now_ms: float, sender: str, word: DelegatedLoadReport) -> bool:
-        """What came of a loan. Whether a copy stands by it."""
-        row, way, what = word.row, self.under_way.get(word.row), DelegatedLoadResult(word.what)
-        if way is None or (way.lent, way.worker) != (sender, word.worker):
-            self._count("words on loans that were over")
-        elif what is DelegatedLoadResult.MADE:
-            way.made, way.told_ms = True, now_ms
-        elif what is DelegatedLoadResult.STANDS:
-            del self.under_way[row]
-            self.loader.ended(row, True, now_ms - way.told_ms)
-            self._rests(now_ms, now_ms - way.told_ms)
+    def receive_report(self, now_ms: float, sender: str, report: DelegatedLoadReport) -> bool:
+        """Take what became of a delegated order; return whether a copy exists by it."""
+        function = report.function
+        order = self.open_orders.get(function)
+        result = DelegatedLoadResult(report.result)
+        if order is None or (order.delegate, order.scorer) != (sender, report.scorer):
+            self.counts[LoadEvent.CLOSED_DELEGATION] += 1
+        elif result is DelegatedLoadResult.MADE:
+            order.made = True
+            order.since_ms = now_ms
+        elif result is DelegatedLoadResult.LOADED:
+            self._loaded(now_ms, function, now_ms - order.since_ms)
             return True
         else:
-            way.went = what is DelegatedLoadResult.FAILED
-            self._failed(now_ms, row, way, way.went)
+            order.sent = result is DelegatedLoadResult.FAILED
+            self._failed(now_ms, function, order, scorer_failed=order.sent)
         return False
 
-    def _failed(self, now_ms: float, row: str, way: _OpenLoadOrder, there: bool) -> None:
-        """It is wanted again, as the last; elsewhere for a while, if that was the scorer's fault. One that
-        was never made keeps its place."""
-        del self.under_way[row]
-        self.loader.under_way.discard(row)
-        facts = self._facts[row]
-        if there:
-            facts.failed[way.worker] = now_ms + 2 * RETRY_MS
-        if way.went:
-            self._rests(now_ms, now_ms - way.told_ms)
-            facts.worth_ps = 0.0
-        self._count("orders that failed" if way.went else "orders that were not made")
-        self._put(now_ms, row, facts.worth_ps, now_ms + (RETRY_MS if way.went else UNMADE_RETRY_MS))
-
-    def _rests(self, now_ms: float, took_ms: float) -> None:
-        """Where the budget is a part of one fetch, it is that part of the time."""
-        if self.seats.rest < 1.0:
-            self.loader.begins_ms = now_ms + took_ms * (1.0 / self.seats.rest - 1.0)
+    def _loaded(self, now_ms: float, function: str, took_ms: float) -> None:
+        del self.open_orders[function]
+        self.queue.ended(function, True, took_ms)
+        self._pause(now_ms, took_ms)
+
+    def _failed(self, now_ms: float, function: str, order: _OpenLoadOrder, *, scorer_failed: bool) -> None:
+        """Request it again.
+
+        One that was sent goes to the end of the queue, and one whose scorer failed goes elsewhere for a
+        while. One that was never made keeps its place.
+        """
+        del self.open_orders[function]
+        self.queue.under_way.discard(function)
+        load = self._functions[function]
+        if scorer_failed:
+            load.failed_until_ms[order.scorer] = now_ms + 2 * RETRY_MS
+        if order.sent:
+            self._pause(now_ms, now_ms - order.since_ms)
+            load.weight_ps = 0.0
+        self.counts[LoadEvent.FAILED if order.sent else LoadEvent.NOT_MADE] += 1
+        retry_ms = RETRY_MS if order.sent else UNMADE_RETRY_MS
+        self._enqueue(now_ms, function, load.weight_ps, now_ms + retry_ms)
+
+    def _pause(self, now_ms: float, took_ms: float) -> None:
+        """Where the budget is a fraction of one fetch, load for that fraction of the time."""
+        if self.permits.fetch_fraction < 1.0:
+            self.queue.begins_ms = now_ms + took_ms * (1.0 / self.permits.fetch_fraction - 1.0)
 
     def overdue(self, now_ms: float) -> list[LoadOrder]:
-        """The module made no order: it has none to spare, or holds that a copy stands. The scorer knows."""
-        found: list[LoadOrder] = []
-        for row, way in list(self.under_way.items()):
-            waited_ms = now_ms - way.told_ms
-            if way.lent and not way.made and waited_ms >= self.seats.usual_ms:
-                way.went = False  # it was void, or nothing was heard of it
-                self._failed(now_ms, row, way, False)
-            elif way.went and waited_ms >= ORDER_TIMEOUT_MS:
-                self._failed(now_ms, row, way, True)
-            elif not way.went and way.asked_ms is None and waited_ms >= ORDER_MS:
-                way.asked_ms = now_ms
-                found.append(LoadOrder(io.OrderCopies(way.worker, row, 0)))
-            elif not way.went and waited_ms >= ORDER_MS + UNMADE_MS:
-                self._failed(now_ms, row, way, True)
-        return found
+        """Close orders without a result in time, and query the scorers of those that were not made.
+
+        The decision module makes no order where it has none to spare, or takes it that there is a copy.
+        """
+        queries: list[LoadOrder] = []
+        for function, order in list(self.open_orders.items()):
+            waited_ms = now_ms - order.since_ms
+            if order.delegate and not order.made and waited_ms >= self.permits.typical_load_ms:
+                order.sent = False  # it was void, or its report was lost
+                self._failed(now_ms, function, order, scorer_failed=False)
+            elif order.sent and waited_ms >= ORDER_TIMEOUT_MS:
+                self._failed(now_ms, function, order, scorer_failed=True)
+            elif not order.sent and order.queried_ms is None and waited_ms >= ORDER_MS:
+                order.queried_ms = now_ms
+                queries.append(LoadOrder(io.OrderCopies(order.scorer, function, 0)))
+            elif not order.sent and waited_ms >= ORDER_MS + UNMADE_MS:
+                self._failed(now_ms, function, order, scorer_failed=True)
+        return queries
--- a/fawnwharf/recovery_service/permit_messages.py
+++ b/fawnwharf/recovery_service/permit_messages.py
@@ -1,111 +1,118 @@
-"""What front ends say to each other about loads and cold scorers' calls, by the logs of state. Values,
-checked as they come; no logic.
+"""Messages between front ends about load orders and slow start permits, carried by the replication logs.
 
-Words may be lost, and what a life before said may come late. So each answer names what it answers, and what
-is told of copies is numbered by whoever tells it.
+Values that are checked as they arrive; no logic. Messages may be lost, and those of an earlier incarnation
+may arrive late. So each response names its request, and reports about copies are numbered by their sender.
 """
 
 from enum import IntEnum
 from typing import Annotated, Any
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
-MAX_FUNCTIONS_PER_MESSAGE = 200  # of one word
-MAX_PERMITS_PER_REQUEST = 256  # asked for at a time, of one scorer
+MAX_FUNCTIONS_PER_MESSAGE = 200
+MAX_PERMITS_PER_REQUEST = 256  # of one scorer
 
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
 Span = Annotated[float, Meta(ge=0.0, le=3_600_000.0)]
 FunctionName = Annotated[str, Meta(min_length=1, max_length=128)]
 ClassName = Annotated[str, Meta(min_length=1, max_length=128)]
+Lanes = Annotated[int, Meta(ge=1, le=4_096)]
 
 
 class LoadRequest(Struct, frozen=True, array_like=True):
-    """A function that calls here want: its class, what they are worth a second, and what an order takes."""
+    """A function that calls wait for: their class, their weight a second, and what a load order takes."""
 
-    row: FunctionName
-    kind: ClassName
-    worth_ps: Annotated[float, Meta(ge=0.0, le=1e12)]
-    lanes: Annotated[int, Meta(ge=1, le=4_096)] = 1
+    function: FunctionName
+    class_name: ClassName
+    weight_ps: Annotated[float, Meta(ge=0.0, le=1e12)]
+    lanes: Lanes = 1
     load_ms: Span | None = None
-    lost: Count | None = None  # the scorer where a copy was told to stand, and does not
+    lost: Count | None = None  # the scorer where a copy was reported, and is not
 
 
 class LoadRequests(Struct, frozen=True, tag="want"):
-    """To the loader of these functions."""
+    """To the load coordinator of these functions."""
 
-    rows: Annotated[tuple[LoadRequest, ...], Meta(max_length=MAX_FUNCTIONS_PER_MESSAGE)]
+    requests: Annotated[tuple[LoadRequest, ...], Meta(max_length=MAX_FUNCTIONS_PER_MESSAGE)] = field(
+        name="rows"
+    )
 
 
 class CopyPlacement(Struct, frozen=True, array_like=True):
-    """A function's first copy: where it stands (`eta_ms` 0), in how many milliseconds it may, or no more
-    (None)."""
+    """A function's first copy: its scorer (`eta_ms` 0), when it is expected, or that there is none (None)."""
 
-    row: FunctionName
-    worker: Count = 0
+    function: FunctionName
+    scorer: Count = 0
     eta_ms: Span | None = 0.0
 
 
 class CopyReport(Struct, frozen=True, tag="stands"):
-    """From a loader: what stands, to all; what is to be expected, to those that want it. Of two words of one
-    life the one with the larger number is later."""
+    """From a load coordinator: copies that exist, to all; those that are expected, to who waits for them.
 
-    life: Count
+    Of two reports of one incarnation the one with the larger number is later.
+    """
+
+    incarnation: Count = field(name="life")
     number: Count
-    rows: Annotated[tuple[CopyPlacement, ...], Meta(max_length=MAX_FUNCTIONS_PER_MESSAGE)]
+    placements: Annotated[tuple[CopyPlacement, ...], Meta(max_length=MAX_FUNCTIONS_PER_MESSAGE)] = field(
+        name="rows"
+    )
 
 
 class PermitRequest(Struct, frozen=True, tag="asked"):
-    """To the warden of a cold scorer: so many calls wait for it here."""
+    """To the slow start coordinator of a scorer: so many calls wait for the scorer here."""
 
     scorer: Count
-    number: Count  # of the question; another one of the same life is another number
-    life: Count
+    number: Count  # of the request, unique within an incarnation
+    incarnation: Count = field(name="life")
     count: Annotated[int, Meta(ge=1, le=MAX_PERMITS_PER_REQUEST)]
 
 
 class PermitResponse(Struct, frozen=True, tag="given"):
-    """Its answer, by call: 0 is a ticket, else not before so many milliseconds."""
+    """One wait for each requested call: 0 is a permit, else no permit is free within so many milliseconds."""
 
     scorer: Count
     number: Count
-    life: Count  # of the one that asked
-    free_ms: Annotated[tuple[Span, ...], Meta(max_length=MAX_PERMITS_PER_REQUEST)]
+    incarnation: Count = field(name="life")  # of the one that requested
+    waits_ms: Annotated[tuple[Span, ...], Meta(max_length=MAX_PERMITS_PER_REQUEST)] = field(name="free_ms")
 
 
 class SpareRate(Struct, frozen=True, tag="spare"):
-    """To loaders that keep one waiting: it could make so many orders for each of them."""
+    """To load coordinators that this front end waits for: it could make so many orders for each of them."""
 
-    life: Count
+    incarnation: Count = field(name="life")
     number: Count
     count: Annotated[int, Meta(ge=1, le=64)]
 
 
 class DelegatedLoadOrder(Struct, frozen=True, tag="lend"):
-    """A loader's order, to be made by the one that told `number` in `life`."""
+    """A coordinator's load order, to be made by the front end that reported spare rate `number`."""
 
-    life: Count
+    incarnation: Count = field(name="life")
     number: Count
-    worker: Count
-    row: FunctionName
-    kind: ClassName
-    lanes: Annotated[int, Meta(ge=1, le=4_096)] = 1
+    scorer: Count = field(name="worker")
+    function: FunctionName = field(name="row")
+    class_name: ClassName = field(name="kind")
+    lanes: Lanes = 1
     load_ms: Span | None = None
 
 
 class DelegatedLoadResult(IntEnum):
-    NOT = 0  # it was not made
+    """What became of a delegated load order."""
+
+    NOT_MADE = 0
     MADE = 1
-    STANDS = 2
+    LOADED = 2
     FAILED = 3
 
 
 class DelegatedLoadReport(Struct, frozen=True, tag="lent"):
-    """What came of a loan, to its loader."""
+    """What became of a delegated load order, to its coordinator."""
 
-    worker: Count
-    row: FunctionName
-    what: Annotated[int, Meta(ge=0, le=3)]
+    scorer: Count = field(name="worker")
+    function: FunctionName = field(name="row")
+    result: Annotated[int, Meta(ge=0, le=3)] = field(name="what")
 
 
 PermitMessage = (
@@ -120,5 +127,6 @@
 
 
 def permit_message_from(data: Any) -> PermitMessage:
-    """Raises msgspec.ValidationError for what no member says."""
-    return msgspec.convert(data, PermitMessage)
+    """Check a message that arrived; raise `msgspec.ValidationError` for what is none."""
+    message: PermitMessage = msgspec.convert(data, PermitMessage)
+    return message
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -1,346 +1,369 @@
-"""Where calls are let in while the fleet returns: a table between the clients' port and what stands below.
+"""Admission of calls after a power loss: stands between the clients' port and the request table.
 
-By the stage that is allowed: repeats of promised calls, classes worth most, calls whose function has a copy,
-and calls to cold scorers by tickets. The rest is refused at once, with the time before which nothing can be
-free as advice; a call is held only while its promise may still be kept. Whatever comes, each call has one
-final answer.
+By the phase that is followed it admits repeats of claimed calls, the priority classes, calls whose function
+has a copy, and calls to warming scorers by permits. The rest is rejected at once, with the time before which
+nothing can be free as Retry-After. A call waits here only while its promise may still be kept. Whatever
+comes, each call has one final answer.
 """
 
 import itertools
-from collections.abc import Callable
+from collections import Counter
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Protocol
+from enum import StrEnum
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.loop import Loop
 from fawnwharf.net.requests import Call, Outcome, Refused
-from fawnwharf.net.timer_wheel import Timer, monotonic_ms
+from fawnwharf.net.timer_wheel import Timer, Wheel, monotonic_ms
 from fawnwharf.recovery_core import partitioned
 from fawnwharf.recovery_core.budget import AdmissionRateLimiter, FleetLimits, priority_classes
 from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
+from fawnwharf.recovery_service.claim_status import ClaimStatus, NoClaims
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.replication.claim_gate import ClaimGate, call_key
-from fawnwharf.replication.claims import ClaimPhase
-from fawnwharf.replication.core import ReplicationCore
+from fawnwharf.recovery_service.permit_messages import LoadRequest
+from fawnwharf.recovery_service.request_sink import RequestSink
 
-MAX_WAITING_CALLS, MAX_WAITING_BYTES = 4_096, 8 * 1024 * 1024
-WAIT_FRACTION, CLIENT_MARGIN_MS = (
-    0.6,
-    100.0,
-)  # of a promise; and so long before the client gives up, at the least
-RESERVED_FRACTION = 0.3  # of the burst, for the classes worth most
-CLASS_REJECTED_MS = 1_000.0  # a class that is not taken yet: not before
-MAX_RATES, RATE_MS = 4_096, 5_000.0  # functions whose calls are counted, and for how long
+MAX_WAITING_CALLS = 4_096
+MAX_WAITING_BYTES = 8 * 1024 * 1024
+WAIT_FRACTION = 0.6  # of a class's promise that a call may wait here
+CLIENT_MARGIN_MS = 100.0  # left when the wait ends, before the client gives up
+RESERVED_FRACTION = 0.3  # of the burst, for the priority classes
+CLASS_REJECTED_MS = 1_000.0  # Retry-After for a class that is not admitted yet, at least
+MAX_RATES = 4_096  # functions whose calls are counted
+RATE_MS = 5_000.0  # for so long
 
 
-class RequestSink(Protocol):
-    """What takes calls and withdraws them: the table, or what stands before it."""
+class AdmissionOutcome(StrEnum):
+    """What became of calls, as counted and logged."""
 
-    def take(self, call: Call) -> str | None: ...
+    REPEAT = "repeats"
+    ADMITTED = "admitted"
+    ADMITTED_LATER = "admitted after a wait"
+    REJECTED_CLASS = "rejected: class"
+    REJECTED_COPY = "rejected: copy"
+    REJECTED_RATE = "rejected: rate"
+    REJECTED_CAPACITY = "rejected: capacity"
+    REJECTED_PERMIT = "rejected: permit"
+    REJECTED_LATER = "rejected: waited"
+    WAITING = "waiting"
 
-    def withdraw(self, key: str) -> None: ...
 
+@dataclass(frozen=True, slots=True)
+class AdmissionSettings:
+    """What admission goes by.
 
-class ClaimStatus(Protocol):
-    def repeat(self, call: Call) -> bool:
-        """Whether a call has its answer, or none for good, by what is kept here."""
+    `idempotency_window_ms`: for so long after a start an idempotent call may be the repeat of one whose key
+    its scorer lost.
+    """
 
-    def asks(self, class_name: str) -> bool:
-        """Whether calls of the class run only with their keepers' grants."""
-
-
-class NoClaims:
-    """Where there is no gate."""
-
-    def repeat(self, call: Call) -> bool:
-        return False
-
-    def asks(self, class_name: str) -> bool:
-        return False
-
-
-class StoredClaims:
-    """What the gate and this front end's own shelf tell of a call, without asking anybody."""
-
-    def __init__(self, gate: ClaimGate, core: ReplicationCore) -> None:
-        self._gate, self._core = gate, core
-
-    def repeat(self, call: Call) -> bool:
-        """It is under way here; or it was answered; or it may run but once, and may have. One that is kept by
-        others alone can't be told from a new one."""
-        if self._gate.modes.get(call.class_name, "off") == "off":
-            return False
-        name, keeper = call_key(call), self._core.replica
-        if name in self._gate.calls:
-            return True
-        entry = keeper.claim_store.calls.get(name) if keeper else None
-        claims = entry.active_claims() if entry else []
-        if any(claim.phase is ClaimPhase.ANSWERED for claim in claims):
-            return True
-        return bool(claims) and self._gate.modes[call.class_name] == "before"
-
-    def asks(self, class_name: str) -> bool:
-        return self._gate.modes.get(class_name) == "before"
+    classes: Mapping[str, ClassSpec]
+    limits: FleetLimits
+    idempotency_window_ms: float = 13_500.0
 
 
 @dataclass(slots=True, eq=False)
 class _WaitingCall:
-    """One call that was not let through at once, to its end."""
+    """One call that was not admitted at once, to its end."""
 
     key: str
     call: Call
     reply: Callable[[Outcome], None]
-    came_ms: float
+    arrived_ms: float
     until_ms: float
-    end: Timer | None = None
-    turn: Timer | None = None
-    ticket: bool = False  # it waits for one
-    passed: bool = False
-    below: str | None = None  # as what stands below knows it
+    end_timer: Timer | None = None
+    retry_timer: Timer | None = None
+    awaits_permit: bool = False
+    admitted: bool = False
+    sink_key: str | None = None  # as the request sink knows it
+
+
+@dataclass(slots=True)
+class _FunctionRate:
+    since_ms: float
+    weight: float = 0.0  # of all calls since
 
 
 class RecoveryAdmission:
-    """Owns the calls that wait here for a copy, a ticket or a turn; takes and withdraws as the table does."""
+    """Owns the calls that wait here for a copy, a permit or a turn; takes and withdraws as the table does."""
 
     def __init__(
         self,
-        loop: Loop,
-        below: RequestSink,
-        classes: dict[str, ClassSpec],
-        limits: FleetLimits,
-        promises: ClaimStatus | None = None,
-        window_ms: float = 13_500.0,
+        wheel: Wheel,
+        sink: RequestSink,
+        settings: AdmissionSettings,
+        claims: ClaimStatus | None = None,
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
-        """`window_ms`: for so long after a start a repeat of a keyed call may come that its scorer forgot."""
-        self._loop, self.below, self._classes, self._clock = loop, below, classes, clock
-        self._promises = promises or NoClaims()
-        self._window_ms, self._began_ms = window_ms, clock()
+        """Begin closed: no class is admitted before `apply`."""
+        self._wheel = wheel
+        self.sink = sink
+        self._classes = settings.classes
+        self._window_ms = settings.idempotency_window_ms
+        self._clock = clock
+        self._claims = claims or NoClaims()
+        self._started_ms = clock()
         self.open = False  # calm: all is passed on as it comes
-        self.doors = AdmissionRateLimiter(limits, at_ms=clock())
-        self.counts: dict[str, int] = {}
-        self._since: dict[str, int] = {}
-        self._may = AllowedActions()
-        self._giving: PermitIssuer | None = None
-        self._first = frozenset[str]()
+        self.rate_limiter = AdmissionRateLimiter(settings.limits, at_ms=clock())
+        self.counts = Counter[AdmissionOutcome]()
+        self._recent_counts = Counter[AdmissionOutcome]()
+        self._allowed = AllowedActions()
+        self._issuer: PermitIssuer | None = None
+        self._priority_classes = frozenset[str]()
         self._numbers = itertools.count(1)
-        self._held: dict[str, _WaitingCall] = {}
-        self._bytes = 0
-        self._rows: dict[str, dict[str, None]] = {}  # keys that wait for a function's copy
-        self._rates: dict[str, list[float]] = {}  # functions: since when, worth
+        self._waiting: dict[str, _WaitingCall] = {}
+        self._waiting_bytes = 0
+        self._awaiting_copy: dict[str, dict[str, None]] = {}  # keys by function
+        self._rates: dict[str, _FunctionRate] = {}  # by function
 
-    def _count(self, cause: str) -> None:
-        self.counts[cause] = self.counts.get(cause, 0) + 1
+    def _count(self, outcome: AdmissionOutcome) -> None:
+        self.counts[outcome] += 1
         if not self.open:
-            self._since[cause] = self._since.get(cause, 0) + 1
-
-    def since(self) -> dict[str, int]:
-        """What became of calls since the last such question, by cause; how many are held now. Nothing while
-        it is open."""
-        found, self._since = self._since, {}
-        return found | {"held": len(self._held)} if found else {}
-
-    def go_by(self, allowed: AllowedActions, rate_ps: float, giving: PermitIssuer | None) -> None:
-        """To be told at each change. `rate_ps`: calls a second that are let in here."""
-        now = self._clock()
-        self._may, self._giving, self.open = allowed, giving, allowed.spill
-        self._first = priority_classes({name: spec.priority_weight for name, spec in self._classes.items()})
-        self.doors.pace(now, rate_ps)
-        for held in [held for held in self._held.values() if not held.passed]:
+            self._recent_counts[outcome] += 1
+
+    def take_recent_counts(self) -> dict[str, int]:
+        """What became of calls since the last such call, and how many wait now; empty where none came."""
+        recent, self._recent_counts = self._recent_counts, Counter()
+        if not recent:
+            return {}
+        counts: dict[str, int] = dict(recent.items())
+        counts[AdmissionOutcome.WAITING] = len(self._waiting)
+        return counts
+
+    def apply(self, allowed: AllowedActions, rate_ps: float, issuer: PermitIssuer | None) -> None:
+        """Go by what is allowed now; to be called at each change.
+
+        `rate_ps` is how many calls a second are admitted here.
+        """
+        self._allowed = allowed
+        self._issuer = issuer
+        self.open = allowed.spill
+        weights = {name: spec.priority_weight for name, spec in self._classes.items()}
+        self._priority_classes = priority_classes(weights)
+        self.rate_limiter.pace(self._clock(), rate_ps)
+        for waiting in [waiting for waiting in self._waiting.values() if not waiting.admitted]:
             if self.open:
-                self._pass(held)
-            elif not self._takes(held.call.class_name):
-                self._refuse(held, CLASS_REJECTED_MS)
+                self._admit(waiting)
+            elif not self._admits_class(waiting.call.class_name):
+                self._reject_waiting(waiting, CLASS_REJECTED_MS)
         if self.open:
             self._rates.clear()
-        for row in list(self._rows) if allowed.own_loads else ():  # the module orders what they need
-            self.told(CopyAvailable(row))
+        if allowed.own_loads:  # the decision module orders what they need
+            for function in list(self._awaiting_copy):
+                self.notify(CopyAvailable(function))
 
     # --- from the port ----------------------------------------------------------------------------
 
     def take(self, call: Call) -> str | None:
-        """As RequestTable.take: the key of a new request, None where it had its answer at once."""
+        """Take a call: the key of the open request, or None where it was answered at once."""
         if self.open:
-            return self.below.take(call)
-        return self._weigh(call)
+            return self.sink.take(call)
+        if self._allowed.repeats and self._claims.is_repeat(call):
+            self._count(AdmissionOutcome.REPEAT)
+            return self.sink.take(call)
+        return self._decide(call)
 
     def withdraw(self, key: str) -> None:
-        """The client waits no more."""
-        held = self._held.get(key) if self._held else None
-        if held is None:
-            self.below.withdraw(key)
-        else:
-            self._end(held)
-            if held.below is not None:
-                self.below.withdraw(held.below)
+        """Forget a call whose client waits no more."""
+        waiting = self._waiting.get(key) if self._waiting else None
+        if waiting is None:
+            self.sink.withdraw(key)
+            return
+        self._close(waiting)
+        if waiting.sink_key is not None:
+            self.sink.withdraw(waiting.sink_key)
 
     @property
     def busy(self) -> bool:
         """Whether somebody still waits for an answer."""
-        return bool(self._held) or getattr(self.below, "busy", False)
+        return bool(self._waiting) or bool(getattr(self.sink, "busy", False))
 
-    # --- what becomes of a call -------------------------------------------------------------------
+    # --- new calls --------------------------------------------------------------------------------
 
-    def _takes(self, class_name: str) -> bool:
-        """Alone only what stays right if all others serve as well."""
-        if class_name not in self._may.classes:
+    def _admits_class(self, class_name: str) -> bool:
+        """Whether a class is admitted; partitioned, only what is right even if all others serve it."""
+        if class_name not in self._allowed.classes:
             return False
-        if not self._may.alone:
+        if not self._allowed.alone:
             return True
         effect = self._classes[class_name].effect
-        granted = effect is Effect.AT_MOST_ONCE and self._promises.asks(class_name)  # its keepers are asked
-        standing = partitioned.CallKnowledge(granted=granted, since_start_ms=self._clock() - self._began_ms)
-        return partitioned.decide_call(effect, standing, self._window_ms) is partitioned.CallDecision.SERVE
-
-    def _weigh(self, call: Call) -> str | None:
-        now = self._clock()
-        if self._may.repeats and self._promises.repeat(call):
-            self._count("repeats")
-            return self.below.take(call)
-        if not self._takes(call.class_name):
-            return self._turn_away(call, "class", CLASS_REJECTED_MS)
-        hold_ms = min(
-            WAIT_FRACTION * self._classes[call.class_name].latency_target_ms,
-            call.budget_ms - CLIENT_MARGIN_MS,
+        granted = effect is Effect.AT_MOST_ONCE and self._claims.requires_grant(class_name)
+        knowledge = partitioned.CallKnowledge(
+            granted=granted, since_start_ms=self._clock() - self._started_ms
         )
-        bare = self._bare(call.function)
-        if bare:
-            self._want(now, call)
-            if (eta_ms := self._giving.eta_ms(now, call.function)) > hold_ms:
-                return self._turn_away(call, "copy", eta_ms)
-        if not self.doors.let_in(now, 0.0 if call.class_name in self._first else RESERVED_FRACTION):
-            return self._turn_away(call, "pace")
-        if len(self._held) >= MAX_WAITING_CALLS or self._bytes + len(call.body) > MAX_WAITING_BYTES:
-            return self._turn_away(call, "room")
-        return self._place(now, call, hold_ms)
-
-    def _turn_away(self, call: Call, cause: str, not_before_ms: float = 0.0) -> None:
-        self._count(f"refused: {cause}")
-        call.reply(Refused(self.doors.pushback_ms(self._clock(), call.id.hex(), not_before_ms)))
-
-    def _bare(self, row: str) -> bool:
-        """No copy of it stands, and the module may order none."""
-        return self._giving is not None and not self._may.own_loads and self._giving.place(row) is None
-
-    def _want(self, now: float, call: Call) -> None:
-        """Its loader is to know, by what its calls of the last seconds were worth."""
-        worth = self._classes[call.class_name].priority_weight
+        decision = partitioned.decide_call(effect, knowledge, self._window_ms)
+        return decision is partitioned.CallDecision.SERVE
+
+    def _decide(self, call: Call) -> str | None:
+        now_ms = self._clock()
+        if not self._admits_class(call.class_name):
+            self._reject(call, AdmissionOutcome.REJECTED_CLASS, CLASS_REJECTED_MS)
+            return None
+        promise_ms = self._classes[call.class_name].latency_target_ms
+        wait_ms = min(WAIT_FRACTION * promise_ms, call.budget_ms - CLIENT_MARGIN_MS)
+        issuer = self._issuer_without_copy(call.function)
+        if issuer is not None:
+            self._request_copy(now_ms, issuer, call)
+            eta_ms = issuer.eta_ms(now_ms, call.function)
+            if eta_ms > wait_ms:
+                self._reject(call, AdmissionOutcome.REJECTED_COPY, eta_ms)
+                return None
+        reserved = 0.0 if call.class_name in self._priority_classes else RESERVED_FRACTION
+        if not self.rate_limiter.let_in(now_ms, reserved):
+            self._reject(call, AdmissionOutcome.REJECTED_RATE)
+            return None
+        too_many_bytes = self._waiting_bytes + len(call.body) > MAX_WAITING_BYTES
+        if len(self._waiting) >= MAX_WAITING_CALLS or too_many_bytes:
+            self._reject(call, AdmissionOutcome.REJECTED_CAPACITY)
+            return None
+        return self._admit_or_wait(now_ms, call, wait_ms)
+
+    def _reject(self, call: Call, outcome: AdmissionOutcome, not_before_ms: float = 0.0) -> None:
+        self._count(outcome)
+        call.reply(Refused(self.rate_limiter.pushback_ms(self._clock(), call.id.hex(), not_before_ms)))
+
+    def _issuer_without_copy(self, function: str) -> PermitIssuer | None:
+        """The issuer to request a copy from: none is known, and the decision module may order none."""
+        if self._issuer is None or self._allowed.own_loads or self._issuer.place(function) is not None:
+            return None
+        return self._issuer
+
+    def _request_copy(self, now_ms: float, issuer: PermitIssuer, call: Call) -> None:
+        """Request a copy, by the weight of the function's calls of the last seconds."""
         rate = self._rates.get(call.function)
-        if rate is None or now - rate[0] > RATE_MS:
+        if rate is None or now_ms - rate.since_ms > RATE_MS:
             if rate is None and len(self._rates) >= MAX_RATES:
-                self._rates.clear()  # they are counted anew
-            rate = self._rates[call.function] = [now, 0.0]
-        rate[1] += worth
-        worth_ps = 1_000.0 * rate[1] / max(1_000.0, now - rate[0])
-        row, kind = call.function, call.class_name
-        self._giving.want(now, row, worth_ps, kind, call.lanes, call.load_ms)
-
-    def _place(self, now: float, call: Call, hold_ms: float) -> str | None:
-        """It may go as far as its class and the pace have it: to its copy, at once or when there is one."""
-        key, row = f"d{next(self._numbers)}", call.function
-        bare, free_ms = self._bare(row), None
-        if not bare:
-            free_ms = self._ask(now, row, key)
-            if free_ms == 0.0:
-                self._count("let in")
-                return self.below.take(call)
-            if free_ms is not None and free_ms > hold_ms:
-                return self._turn_away(call, "ticket", free_ms)
-        held = self._held[key] = _WaitingCall(key, call, call.reply, now, now + hold_ms)
-        self._bytes += len(call.body)
-        call.reply = lambda outcome: self._replied(held, outcome)
-        held.end = self._loop.wheel.after(hold_ms, lambda: self._overdue(held))
-        if bare:
-            self._rows.setdefault(row, {})[key] = None
-        elif free_ms is None:
-            held.ticket = True
+                self._rates.clear()  # they are counted again
+            rate = self._rates[call.function] = _FunctionRate(now_ms)
+        rate.weight += self._classes[call.class_name].priority_weight
+        weight_ps = 1_000.0 * rate.weight / max(1_000.0, now_ms - rate.since_ms)
+        request = LoadRequest(call.function, call.class_name, weight_ps, call.lanes, call.load_ms)
+        issuer.request_copy(now_ms, request)
+
+    def _admit_or_wait(self, now_ms: float, call: Call, max_wait_ms: float) -> str | None:
+        """Pass a call on to its copy, at once or when there is one; its class and the rate allow it."""
+        key = f"d{next(self._numbers)}"
+        lacks_copy = self._issuer_without_copy(call.function) is not None
+        permit_wait_ms: float | None = None
+        if not lacks_copy:
+            permit_wait_ms = self._request_permit(now_ms, call.function, key)
+            if permit_wait_ms == 0.0:
+                self._count(AdmissionOutcome.ADMITTED)
+                return self.sink.take(call)
+            if permit_wait_ms is not None and permit_wait_ms > max_wait_ms:
+                self._reject(call, AdmissionOutcome.REJECTED_PERMIT, permit_wait_ms)
+                return None
+        waiting = self._add_waiting(now_ms, key, call, max_wait_ms)
+        if lacks_copy:
+            self._awaiting_copy.setdefault(call.function, {})[key] = None
+        elif permit_wait_ms is None:
+            waiting.awaits_permit = True
         else:
-            held.turn = self._loop.wheel.after(free_ms, lambda: self._try(held))
+            self._retry_after(waiting, permit_wait_ms)
         return key
 
-    def _ask(self, now: float, row: str, key: str) -> float | None:
-        """As Giving.ask, at the place of its copy."""
-        place = self._giving.place(row) if self._giving is not None else None
-        return 0.0 if place is None else self._giving.ask(now, place, key)
-
-    def _try(self, held: _WaitingCall) -> None:
-        """Pass it on, or have it wait for what it lacks, or refuse it, if that comes too late."""
-        now, row = self._clock(), held.call.function
-        left_ms = held.until_ms - now
-        if self._bare(row):
-            self._want(now, held.call)
-            if (eta_ms := self._giving.eta_ms(now, row)) > left_ms:
-                self._refuse(held, eta_ms)
+    def _add_waiting(self, now_ms: float, key: str, call: Call, max_wait_ms: float) -> _WaitingCall:
+        waiting = _WaitingCall(key, call, call.reply, now_ms, now_ms + max_wait_ms)
+        self._waiting[key] = waiting
+        self._waiting_bytes += len(call.body)
+        call.reply = lambda outcome: self._replied(waiting, outcome)
+        waiting.end_timer = self._wheel.after(max_wait_ms, lambda: self._overdue(waiting))
+        return waiting
+
+    def _request_permit(self, now_ms: float, function: str, key: str) -> float | None:
+        """Request a permit for the scorer of the function's copy, as `PermitIssuer.request_permit`."""
+        scorer = self._issuer.place(function) if self._issuer is not None else None
+        if self._issuer is None or scorer is None:
+            return 0.0
+        return self._issuer.request_permit(now_ms, scorer, key)
+
+    # --- calls that wait --------------------------------------------------------------------------
+
+    def _retry_after(self, waiting: _WaitingCall, wait_ms: float) -> None:
+        waiting.retry_timer = self._wheel.after(wait_ms, lambda: self._retry(waiting))
+
+    def _retry(self, waiting: _WaitingCall) -> None:
+        """Pass a call on, or have it wait for what it lacks, or reject it if that comes too late."""
+        now_ms = self._clock()
+        function = waiting.call.function
+        issuer = self._issuer_without_copy(function)
+        if issuer is not None:
+            self._request_copy(now_ms, issuer, waiting.call)
+            eta_ms = issuer.eta_ms(now_ms, function)
+            if eta_ms > waiting.until_ms - now_ms:
+                self._reject_waiting(waiting, eta_ms)
             else:
-                self._rows.setdefault(row, {})[held.key] = None
+                self._awaiting_copy.setdefault(function, {})[waiting.key] = None
             return
-        free_ms = self._ask(now, row, held.key)
-        held.ticket = free_ms is None
-        if free_ms is not None:
-            self._turn(held, free_ms)
-
-    def _turn(self, held: _WaitingCall, free_ms: float) -> None:
-        if free_ms <= 0.0:
-            self._pass(held)
-        elif free_ms > held.until_ms - self._clock():
-            self._refuse(held, free_ms)
+        wait_ms = self._request_permit(now_ms, function, waiting.key)
+        waiting.awaits_permit = wait_ms is None
+        if wait_ms is not None:
+            self._use_permit(waiting, wait_ms)
+
+    def _use_permit(self, waiting: _WaitingCall, wait_ms: float) -> None:
+        if wait_ms <= 0.0:
+            self._admit(waiting)
+        elif wait_ms > waiting.until_ms - self._clock():
+            self._reject_waiting(waiting, wait_ms)
         else:
-            held.turn = self._loop.wheel.after(free_ms, lambda: self._try(held))
-
-    def _overdue(self, held: _WaitingCall) -> None:
-        now, row = self._clock(), held.call.function
-        self._refuse(held, self._giving.eta_ms(now, row) if self._bare(row) else 0.0)
-
-    def told(self, out: SlowStartPermit | CopyAvailable) -> None:
-        """What `Giving` says of calls that wait here."""
-        if isinstance(out, CopyAvailable):
-            for key in self._rows.pop(out.row, ()):
-                if (held := self._held.get(key)) is not None:
-                    self._try(held)
-        elif (held := self._held.get(out.key)) is not None and held.ticket:
-            held.ticket = False
-            self._turn(held, out.free_ms)
-
-    def _pass(self, held: _WaitingCall) -> None:
-        if held.key not in self._held:
+            self._retry_after(waiting, wait_ms)
+
+    def _overdue(self, waiting: _WaitingCall) -> None:
+        issuer = self._issuer_without_copy(waiting.call.function)
+        eta_ms = issuer.eta_ms(self._clock(), waiting.call.function) if issuer is not None else 0.0
+        self._reject_waiting(waiting, eta_ms)
+
+    def notify(self, action: SlowStartPermit | CopyAvailable) -> None:
+        """Take what the permit issuer says about calls that wait here."""
+        if isinstance(action, CopyAvailable):
+            for key in self._awaiting_copy.pop(action.function, ()):
+                if (waiting := self._waiting.get(key)) is not None:
+                    self._retry(waiting)
+        elif (waiting := self._waiting.get(action.key)) is not None and waiting.awaits_permit:
+            waiting.awaits_permit = False
+            self._use_permit(waiting, action.wait_ms)
+
+    def _admit(self, waiting: _WaitingCall) -> None:
+        if waiting.key not in self._waiting:
             return
-        self._rest(held)
-        held.call.budget_ms = max(1.0, held.call.budget_ms - (self._clock() - held.came_ms))
-        held.passed = True
-        self._count("let in after a wait")
-        held.below = self.below.take(held.call)
-        if held.below is None:  # it was answered at once
-            self._end(held)
-
-    def _refuse(self, held: _WaitingCall, not_before_ms: float) -> None:
-        """It never went further than here, so that to try again is harmless."""
-        self._count("refused: waited")
-        wait_ms = self.doors.pushback_ms(self._clock(), held.call.id.hex(), not_before_ms)
-        self._replied(held, Refused(wait_ms))
-
-    def _replied(self, held: _WaitingCall, outcome: Outcome) -> None:
-        if self._end(held):
-            held.reply(outcome)
-
-    def _rest(self, held: _WaitingCall) -> None:
-        """It waits for nothing here any more."""
-        for timer in (held.end, held.turn):
+        self._stop_waiting(waiting)
+        call = waiting.call
+        call.budget_ms = max(1.0, call.budget_ms - (self._clock() - waiting.arrived_ms))
+        waiting.admitted = True
+        self._count(AdmissionOutcome.ADMITTED_LATER)
+        waiting.sink_key = self.sink.take(call)
+        if waiting.sink_key is None:  # it was answered at once
+            self._close(waiting)
+
+    def _reject_waiting(self, waiting: _WaitingCall, not_before_ms: float) -> None:
+        """Reject a call that was never passed on, so that a retry is harmless."""
+        self._count(AdmissionOutcome.REJECTED_LATER)
+        wait_ms = self.rate_limiter.pushback_ms(self._clock(), waiting.call.id.hex(), not_before_ms)
+        self._replied(waiting, Refused(wait_ms))
+
+    def _replied(self, waiting: _WaitingCall, outcome: Outcome) -> None:
+        if self._close(waiting):
+            waiting.reply(outcome)
+
+    def _stop_waiting(self, waiting: _WaitingCall) -> None:
+        """Cancel all that the call waits for here."""
+        for timer in (waiting.end_timer, waiting.retry_timer):
             if timer is not None:
                 timer.cancel()
-        held.end = held.turn = None
-        if held.ticket and self._giving is not None:
-            self._giving.drop(held.key)
-        held.ticket = False
-        if (keys := self._rows.get(held.call.function)) is not None:
-            keys.pop(held.key, None)
+        waiting.end_timer = waiting.retry_timer = None
+        if waiting.awaits_permit and self._issuer is not None:
+            self._issuer.cancel_permit(waiting.key)
+        waiting.awaits_permit = False
+        keys = self._awaiting_copy.get(waiting.call.function)
+        if keys is not None:
+            keys.pop(waiting.key, None)
             if not keys:
-                del self._rows[held.call.function]
+                del self._awaiting_copy[waiting.call.function]
 
-    def _end(self, held: _WaitingCall) -> bool:
-        """Once each."""
-        if self._held.pop(held.key, None) is None:
+    def _close(self, waiting: _WaitingCall) -> bool:
+        """Forget a call; False where that was done before."""
+        if self._waiting.pop(waiting.key, None) is None:
             return False
-        self._bytes -= len(held.call.body)
-        self._rest(held)
+        self._waiting_bytes -= len(waiting.call.body)
+        self._stop_waiting(waiting)
         return True
