--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -1,10 +1,11 @@
-"""The leader's part in a recovery: who is heard and how they stand, merged for the conductor, and its word.
+"""The leader's part after a power loss: members' reports, merged for the coordinator, and announcements.
 
-Pure. Every member that votes keeps it, so that one that begins to lead knows what the others told before.
+Pure. Every member that votes keeps it, so that one that begins to lead knows what the others reported before.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from fawnwharf.recovery_core.budget import choose_load_coordinators
 from fawnwharf.recovery_core.phases import (
@@ -13,174 +14,240 @@
     LogEvent,
     PhaseTiming,
     RecoveryCoordinator,
-    RecoveryPhase,
 )
-from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS
+from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS, RecoveryPhase
 from fawnwharf.recovery_core.trust import RestartScope, restart_scope
-from fawnwharf.recovery_service import messages as w
+from fawnwharf.recovery_service.messages import BootReport, CallCounts, StatusReport
 from fawnwharf.zones.log_lines import ConsensusStatus
 
-SCAN_MS = 100.0  # pace of the look at what all told
+SCAN_MS = 100.0  # interval of evaluating what all reported
+ALL_ZONES = 3  # from so many zones on, one zone's replicas are not waited for
 
 
 @dataclass(frozen=True, slots=True)
 class MemberLists:
-    """By the file of members: all names, and who votes and who keeps; up or not."""
+    """All names by the file of members, and which of them vote and replicate; up or not."""
 
     members: tuple[str, ...]
     voters: tuple[str, ...]
-    keepers: tuple[str, ...]
+    replicas: tuple[str, ...]
     number: int = 0
     digest: str = ""
-    by_zone: tuple[tuple[str, ...], ...] = ()  # the keepers, by zone
+    by_zone: tuple[tuple[str, ...], ...] = ()  # the replicas
 
-    def sure(self, knows: Callable[[str], bool]) -> float:
-        """The part of the keepers that know all they granted, as far as calls need them.
+    def known_grants(self, knows: Callable[[str], bool]) -> float:
+        """The share of the replicas that know all they granted, as far as calls need them.
 
-        A call's keepers are of a zone each, and more than half of them make a promise: with three zones or
-        more, one zone's that don't come back are not waited for, as the others hold what they granted."""
+        A call's replicas are of a zone each, and more than half of them make a promise: with three zones or
+        more, one zone's that don't come back are not waited for, as the others have what they granted.
+        """
         zones = [sum(map(knows, names)) / len(names) for names in self.by_zone if names]
-        if len(zones) < 3:
-            return sum(map(knows, self.keepers)) / len(self.keepers) if self.keepers else 1.0
+        if len(zones) < ALL_ZONES:
+            return sum(map(knows, self.replicas)) / len(self.replicas) if self.replicas else 1.0
         return min(sorted(zones)[1:])
 
 
+@dataclass(frozen=True, slots=True)
+class LeaderTiming:
+    """Durations in milliseconds."""
+
+    calm_report_valid_ms: float  # a report counts for so long in calm
+    report_valid_ms: float  # and in a recovery
+    announce_interval_ms: float
+
+
+class _ReportedBoot(NamedTuple):
+    incarnation: int = 0
+    boot: str = ""
+    received_ms: float = float("-inf")
+
+
+class _ReportedStatus(NamedTuple):
+    report: StatusReport
+    received_ms: float
+
+
+class _ReportedFailures(NamedTuple):
+    incarnation: int
+    failures: int
+
+
+class _Boots(NamedTuple):
+    """Boots of the voters that reported lately, by identity, and how many did, also without a boot."""
+
+    by_voter: dict[str, str]
+    reachable: int
+
+
+class _Announcement(NamedTuple):
+    register_number: int = -1
+    sent_ms: float = 0.0
+
+
 @dataclass(slots=True)
 class RecoveryLeader:
-    """Owns what members told of themselves, and the conductor."""
+    """Owns what members reported, and the recovery coordinator."""
 
-    timing: PhaseTiming
+    phase_timing: PhaseTiming
     lists: MemberLists
-    heard_ms: float  # for so long what one told counts
-    soon_ms: float  # and in a recovery, how it stands
-    stage_ms: float  # pace of the word to all
-    conductor: RecoveryCoordinator = field(init=False)
-    term: int = 0  # of the reign; 0: it does not lead
-    unread: int = 0  # a reign that could not begin
-    marks: dict[str, tuple[int, str, float]] = field(default_factory=dict)  # life, boot's mark, when
-    standings: dict[str, tuple[w.StatusReport, float]] = field(default_factory=dict)
-    _fell: dict[str, tuple[int, int]] = field(default_factory=dict)  # life, and fallen by the last look
-    _look_ms: float = 0.0
-    _word: tuple[int, float] = (-1, 0.0)  # number of the register that was told last, and when
+    timing: LeaderTiming
+    coordinator: RecoveryCoordinator = field(init=False)
+    term: int = 0  # 0: it does not lead
+    boots: dict[str, _ReportedBoot] = field(default_factory=dict)
+    reports: dict[str, _ReportedStatus] = field(default_factory=dict)
+    _unreadable_term: int = 0  # one that could not begin
+    _failures: dict[str, _ReportedFailures] = field(default_factory=dict)  # as of the last scan
+    _scan_due_ms: float = 0.0
+    _announced: _Announcement = field(default_factory=_Announcement)
 
     def __post_init__(self) -> None:
-        self.conductor = RecoveryCoordinator(self.timing)
-
-    # --- what members tell ----------------------------------------------------------------------
-
-    def booted(self, now_ms: float, name: str, boot: w.BootReport) -> None:
-        """A mark of an earlier life is dropped: lines of a log come in order, but by two links."""
-        before = self.marks.get(name)
-        if before is None or boot.life >= before[0]:
-            self.marks[name] = boot.life, boot.mark, now_ms
-            if before is not None and boot.life > before[0]:
-                self.standings.pop(name, None)
-
-    def stands(self, now_ms: float, name: str, standing: w.StatusReport) -> bool:
-        """False: of an earlier life."""
-        before = self.marks.get(name)
-        if before is not None and standing.life < before[0]:
+        self.coordinator = RecoveryCoordinator(self.phase_timing)
+
+    # --- what members report --------------------------------------------------------------------
+
+    def receive_boot(self, now_ms: float, name: str, report: BootReport) -> None:
+        """Take a member's boot; that of an earlier incarnation is dropped, as two links may reorder lines."""
+        before = self.boots.get(name)
+        if before is not None and report.incarnation < before.incarnation:
+            return
+        self.boots[name] = _ReportedBoot(report.incarnation, report.boot, now_ms)
+        if before is not None and report.incarnation > before.incarnation:
+            self.reports.pop(name, None)
+
+    def receive_status(self, now_ms: float, name: str, report: StatusReport) -> bool:
+        """Take a member's status; False where it is of an earlier incarnation."""
+        boot = self.boots.get(name)
+        if boot is not None and report.incarnation < boot.incarnation:
             return False
-        self.standings[name] = standing, now_ms
+        self.reports[name] = _ReportedStatus(report, now_ms)
         return True
 
-    def forget(self) -> None:
-        """What those told that are no members any more."""
-        for held in (self.marks, self.standings, self._fell):
-            for name in [name for name in held if name not in self.lists.members]:
-                del held[name]
-
-    def _alive(self, now_ms: float) -> dict[str, w.StatusReport]:
-        most_ms = self.heard_ms if self.conductor.register.stage == RecoveryPhase.SPILL else self.soon_ms
-        return {n: told for n, (told, at_ms) in self.standings.items() if now_ms - at_ms < most_ms}
-
-    def heard(self, now_ms: float) -> int:
-        return len(self._alive(now_ms))
-
-    def seen(self, now_ms: float) -> FleetObservation:
-        """Merged over all that are heard; scorers that fell since the last look, by whoever saw most fall."""
-        alive, lists = self._alive(now_ms), self.lists
-        first, served = [t.first for t in alive.values()], [t.served for t in alive.values()]
-        loads = sum(told.loads for told in alive.values())
-        slow = sum(told.loads * told.slow for told in alive.values()) / loads if loads else 1.0
-        fell = 0
-        for name, told in alive.items():
-            life, before = self._fell.get(name, (told.life, told.fell))
-            fell = max(fell, told.fell - before if life == told.life else told.fell)
-            self._fell[name] = told.life, told.fell
+    def update_members(self, lists: MemberLists) -> None:
+        """Go by a later file of members, and forget what others reported."""
+        self.lists = lists
+        kept = set(lists.members)
+        self.boots = {name: boot for name, boot in self.boots.items() if name in kept}
+        self.reports = {name: report for name, report in self.reports.items() if name in kept}
+        self._failures = {name: count for name, count in self._failures.items() if name in kept}
+
+    def _valid_reports(self, now_ms: float) -> dict[str, StatusReport]:
+        is_calm = self.coordinator.register.stage == RecoveryPhase.SPILL
+        valid_ms = self.timing.calm_report_valid_ms if is_calm else self.timing.report_valid_ms
+        return {
+            name: status.report
+            for name, status in self.reports.items()
+            if now_ms - status.received_ms < valid_ms
+        }
+
+    def reporting(self, now_ms: float) -> int:
+        """How many front ends reported lately."""
+        return len(self._valid_reports(now_ms))
+
+    def observe(self, now_ms: float) -> FleetObservation:
+        """All reports merged; of scorers that failed since the last scan, the largest count."""
+        by_name = self._valid_reports(now_ms)
+        reports = list(by_name.values())
+        loads = sum(report.loads for report in reports)
+        slowdown = sum(report.loads * report.slowdown for report in reports) / loads if loads else 1.0
+        replicas = (name for name in self.lists.replicas if name in by_name)
         return FleetObservation(
-            members=len(lists.members),
-            heard=len(alive),
-            asked=sum(told.asked for told in alive.values()),
-            sure=lists.sure(lambda name: name in alive and alive[name].sure),
-            first=w.CallCounts(sum(t.good for t in first), sum(t.all for t in first)).part,
-            served=w.CallCounts(sum(t.good for t in served), sum(t.all for t in served)).part,
-            slow=slow,
-            fell=fell,
-            givers=tuple(
-                sorted(
-                    choose_load_coordinators((n for n in lists.keepers if n in alive), MAX_PERMIT_ISSUERS, 0)
-                )
-            ),
-            gave=any(told.gave for told in alive.values()),
+            members=len(self.lists.members),
+            heard=len(reports),
+            asked=sum(report.queries_done for report in reports),
+            sure=self.lists.known_grants(lambda name: name in by_name and by_name[name].knows_grants),
+            first=_merged(report.priority_calls for report in reports).share,
+            served=_merged(report.calls for report in reports).share,
+            slow=slowdown,
+            fell=self._new_failures(by_name),
+            givers=tuple(sorted(choose_load_coordinators(replicas, MAX_PERMIT_ISSUERS, 0))),
+            gave=any(report.issued_alone for report in reports),
         )
 
-    # --- reigns ---------------------------------------------------------------------------------
-
-    def turned(self, now_ms: float, seat: ConsensusStatus) -> list[Effect]:
-        """A reign begins when its voter leads, its last decision is the fleet's last for certain, and
-        nothing of its log is undecided."""
-        if self.term and self.term != seat.term:
-            self.conductor.rest()
+    def _new_failures(self, by_name: dict[str, StatusReport]) -> int:
+        most = 0
+        for name, report in by_name.items():
+            incarnation, count = report.incarnation, report.failed_scorers
+            before = self._failures.get(name, _ReportedFailures(incarnation, count))
+            most = max(most, count - before.failures if before.incarnation == incarnation else count)
+            self._failures[name] = _ReportedFailures(incarnation, count)
+        return most
+
+    # --- terms ----------------------------------------------------------------------------------
+
+    def update_term(self, now_ms: float, status: ConsensusStatus) -> list[Effect]:
+        """Begin or end a term.
+
+        One begins when the voter leads, its last decision is the fleet's last for certain, and nothing of its
+        log is undecided.
+        """
+        if self.term and self.term != status.term:
+            self.coordinator.rest()
             self.term = 0
-        if self.term or not seat.fresh or not seat.settled or seat.term == self.unread:
+        may_begin = status.fresh and status.settled and status.term != self._unreadable_term
+        if self.term or not may_begin:
             return []
-        effects = self.conductor.lead(now_ms, seat.recovery, seat.voters)
-        self.term = seat.term if self.conductor.leads else 0
-        self.unread = 0 if self.term else seat.term
-        self._word = (-1, 0.0)
+        effects = self.coordinator.lead(now_ms, status.recovery, status.voters)
+        self.term = status.term if self.coordinator.leads else 0
+        self._unreadable_term = 0 if self.term else status.term
+        self._announced = _Announcement()
         return effects
 
     def decided(self, now_ms: float, text: str) -> list[LogEvent]:
-        """Raises RegisterError."""
-        notes, boots = self.conductor.decided(now_ms, text), len(self.conductor.register.boots)
-        return [LogEvent("stage decided", note.fields | {"boots": boots}) for note in notes]
-
-    def _boots(self, now_ms: float) -> tuple[dict[str, str], int]:
-        """Marks of voters that are heard, by identity, and how many are heard, also without a mark."""
-        found, heard = {}, 0
-        for voter in self.conductor.voters:
-            _, mark, at_ms = self.marks.get(voter.partition("#")[0], (0, "", float("-inf")))
-            if now_ms - at_ms < self.heard_ms:
-                heard += 1
-                if mark:
-                    found[voter] = mark
-        return found, heard
-
-    def tick(self, now_ms: float, seat: ConsensusStatus) -> list[Effect]:
-        if not self.term or self.term != seat.term or now_ms < self._look_ms:
+        """Take a register that the voters decided; raises `RegisterError` for one that can't be read."""
+        effects = self.coordinator.decided(now_ms, text)
+        boots = len(self.coordinator.register.boots)
+        return [
+            LogEvent("recovery phase decided", effect.fields | {"boots": boots})
+            for effect in effects
+            if isinstance(effect, LogEvent)
+        ]
+
+    def _voters_boots(self, now_ms: float) -> _Boots:
+        by_voter: dict[str, str] = {}
+        reachable = 0
+        for voter in self.coordinator.voters:
+            reported = self.boots.get(voter.partition("#")[0], _ReportedBoot())
+            if now_ms - reported.received_ms < self.timing.calm_report_valid_ms:
+                reachable += 1
+                if reported.boot:
+                    by_voter[voter] = reported.boot
+        return _Boots(by_voter, reachable)
+
+    def tick(self, now_ms: float, status: ConsensusStatus) -> list[Effect]:
+        """Have the coordinator evaluate the reports, where this member leads and that is due."""
+        if not self.term or self.term != status.term or now_ms < self._scan_due_ms:
             return []
-        self._look_ms = now_ms + SCAN_MS
-        self.conductor.voters = seat.voters
-        boots, heard = self._boots(now_ms)
-        if 2 * heard <= len(seat.voters):  # it can't tell yet whether the fleet lost its power
+        self._scan_due_ms = now_ms + SCAN_MS
+        self.coordinator.voters = status.voters
+        boots = self._voters_boots(now_ms)
+        if 2 * boots.reachable <= len(status.voters):  # too few to tell whether the fleet lost its power
             return []
-        return self.conductor.tick(now_ms, self.seen(now_ms), boots, seat.fresh)
+        return self.coordinator.tick(now_ms, self.observe(now_ms), boots.by_voter, status.fresh)
 
-    def word(self, now_ms: float, seat: ConsensusStatus) -> str | None:
-        """The register for all; None: it is not time, or it may not be the last word.
+    def announcement(self, now_ms: float, status: ConsensusStatus) -> str | None:
+        """The register for all; None where that is not due, or it may not be the last one.
 
-        A leader that has heard no majority of the voters, or sees that the fleet has lost its power and has
-        not decided so yet, would tell calm to those that come back."""
-        conductor = self.conductor
-        number, at_ms = self._word
-        if not self.term or not seat.fresh or seat.term != self.term:
+        A leader to which no majority of the voters reported, or that sees that the fleet has lost its power
+        and has not decided so yet, would announce calm to those that come back.
+        """
+        coordinator = self.coordinator
+        register = coordinator.register
+        if not self.term or not status.fresh or status.term != self.term:
             return None
-        if number == conductor.register.number and now_ms - at_ms < self.stage_ms:
+        is_sent = self._announced.register_number == register.number
+        if is_sent and now_ms - self._announced.sent_ms < self.timing.announce_interval_ms:
             return None
-        boots, heard = self._boots(now_ms)
-        lost = restart_scope(True, conductor.voters, conductor.register.boots, boots) is RestartScope.FLEET
-        if lost or 2 * heard <= len(conductor.voters):
+        boots = self._voters_boots(now_ms)
+        scope = restart_scope(True, coordinator.voters, register.boots, boots.by_voter)
+        if scope is RestartScope.FLEET or 2 * boots.reachable <= len(coordinator.voters):
             return None
-        self._word = conductor.register.number, now_ms
-        return conductor.register.encode()
+        self._announced = _Announcement(register.number, now_ms)
+        return register.encode()
+
+
+def _merged(counts: Iterable[CallCounts]) -> CallCounts:
+    in_time = total = 0
+    for count in counts:
+        in_time += count.in_time
+        total += count.total
+    return CallCounts(in_time, total)
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -1,6 +1,7 @@
-"""The store of a running front end: its folder and the boot's mark, on the loop."""
+"""The recovery store of a running front end: its folder and the boot id, on the event loop."""
 
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -10,14 +11,14 @@
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import file_format as f
 from fawnwharf.durable_store.core import ChangeRejectedError
-from fawnwharf.durable_store.event_loop_store import EventLoopStore
+from fawnwharf.durable_store.event_loop_store import EventLoopStore, LogCallback
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState, rollback_reason
-from fawnwharf.durable_store.store import open_store, unix_ms
+from fawnwharf.durable_store.store import CommitCallback, Store, open_store, unix_ms
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import AgeSettings, ClockReading, StateKind, StoreCondition, TrustLevel
-from fawnwharf.recovery_service import stored_state as k
+from fawnwharf.recovery_service import stored_state as s
 from fawnwharf.recovery_service.settings import settings_from
 from fawnwharf.recovery_service.stored_promises import StoredPromises
 from fawnwharf.replication.core import ReplicationCore
@@ -25,239 +26,309 @@
 from fawnwharf.zones.files import load_file
 from fawnwharf.zones.settings import membership_from
 
-LOCK_S = 3.0  # a writer of a process that was killed has the folder until its last job is done
-CLOSE_MS = 1_000.0  # for the last groups, and the word that it ended in order
-
-Note = Callable[[str, dict[str, Any]], None]
-SyncCallback = Callable[[bool, str], None]  # whether it is on disk; if not, why that is unsure
+LOCK_S = 3.0  # the writer of a killed process keeps the folder until its last job is done
+CLOSE_MS = 1_000.0  # for the last groups, and the note that it ended in order
 
 
 def read_boot_id(path: str) -> str:
-    """Of this boot of the machine; empty where nobody tells, and each start is another boot then."""
+    """The id of this boot of the machine; empty where there is none, and each start is another boot then."""
     try:
         return Path(path).read_text().strip() if path else ""
     except OSError:
         return ""
 
 
+@dataclass(frozen=True, slots=True)
+class RecoveryStoreSettings:
+    """What a recovery store is opened with."""
+
+    folder: str | Path
+    fleet: str
+    member: str
+    boot_file: str
+    limits: f.StoreLimits
+    age_limits: AgeSettings = field(default_factory=AgeSettings)
+
+
 class RecoveryStore:
-    """Owns the folder's store, and what is held true of what was found in it; a Seam of the front end."""
+    """Owns the folder's store, and how far what was found in it is trusted; a seam of the front end."""
 
     def __init__(
-        self, folder: str | Path, fleet: str, member: str, boot_file: str, limits: f.StoreLimits, note: Note,
-        fresh: bool = False, spans: AgeSettings | None = None,
-    ) -> None:  # fmt: skip
-        """Reads the folder; waits up to `LOCK_S` for its lock. `fresh`: the fleet begins, an empty folder has
-        lost nothing. Raises ConfigError with one line."""
-        self.boot, self._note = read_boot_id(boot_file), note
-        self._mark = k.boot_digest(self.boot)
-        try:
-            self.store = open_store(
-                folder, fleet, member, k.STORE_KINDS, limits, self.boot, empty_ok=True, within_s=LOCK_S
-            )
-        except DiskError as error:
-            raise ConfigError(f"recovery.folder: {error}") from None
+        self, settings: RecoveryStoreSettings, log: LogCallback, *, fleet_is_new: bool = False
+    ) -> None:
+        """Read the folder; wait up to `LOCK_S` for its lock.
+
+        `fleet_is_new` is whether the fleet begins: an empty folder has lost nothing then. Raises ConfigError
+        with one line.
+        """
+        self.boot = read_boot_id(settings.boot_file)
+        self._boot_digest = s.boot_digest(self.boot)
+        self._log = log
+        self.store = self._open(settings)
         found = self.store.found
         now = self._clock()
-        self._start = k.recover_state(found, now, fresh, spans or AgeSettings())
-        self.same_boot, self.in_order, self.sure = self._start.same_boot, found.ended, self._start.sure
-        self.whole = StoreCondition.PART if self._start.doubt else StoreCondition.WHOLE
-        self.why, self.fresh, self.life = self._start.doubt, found.fresh, found.sign.life + 1
-        # By which others know this life: larger than the one before, also by a clock that was set back.
-        self.number = max(self._start.number + 1, self.life, int(unix_ms() * 1_000))
-        self._found, self._told = found.sign, FolderPosition("", 0, 0)
-        self._later = self._passed = (0, 0)  # life and number that others told, and that were confirmed over
-        self._doubted: list[Callable[[], None]] = []  # who is told of a doubt that comes up later
-        self._loop: EventLoopStore | None = None
+        self._recovered = s.recover_state(found, now, settings.age_limits, fleet_is_new=fleet_is_new)
+        self.same_boot = self._recovered.same_boot
+        self.ended_in_order = found.ended
+        self.known_list = self._recovered.known_list
+        self.doubt = self._recovered.doubt
+        self.condition = StoreCondition.PART if self.doubt else StoreCondition.WHOLE
+        self.was_empty = found.fresh
+        self.folder_incarnation = found.sign.life + 1
+        # By which others know this incarnation: larger than the one before, also by a clock that was set
+        # back.
+        self.incarnation = max(
+            self._recovered.incarnation + 1, self.folder_incarnation, int(unix_ms() * 1_000)
+        )
+        self._found_position = found.sign
+        self._reported_position = FolderPosition("", 0, 0)
+        self._latest_reported = (0, 0)  # incarnation and number, by others
+        self._confirmed = (0, 0)  # the same, as of when others confirmed the store
+        self._incomplete_callbacks: list[Callable[[], None]] = []
+        self._on_loop: EventLoopStore | None = None
         self._closed = False
-        self._turns, self._refused = 0, ""
-        self._anew(now)
-        self._bytes = {rule.name: 0 for rule in k.ENTRY_RULES.values()}
+        self._tickets = 0
+        self._logged_rejection = ""
+        self._write_start(now)
+        self._bytes = {rule.name: 0 for rule in s.ENTRY_RULES.values()}
         for (name, key), data in self.store.core.entries.items():
             if name in self._bytes:
                 self._bytes[name] += f.entry_size((name, key), data)
 
+    def _open(self, settings: RecoveryStoreSettings) -> Store:
+        try:
+            return open_store(
+                settings.folder,
+                settings.fleet,
+                settings.member,
+                s.STORE_KINDS,
+                settings.limits,
+                self.boot,
+                empty_ok=True,
+                within_s=LOCK_S,
+            )
+        except DiskError as error:
+            raise ConfigError(f"recovery.folder: {error}") from None
+
     def _clock(self) -> ClockReading:
-        return ClockReading(self._mark, monotonic_ms(), unix_ms())
+        return ClockReading(self._boot_digest, monotonic_ms(), unix_ms())
 
-    def _anew(self, now: ClockReading) -> None:
-        """What this start makes of the entries; the store has not written anything yet, and its first
-        snapshot has it so."""
-        start = self._start
-        for name, key in start.old:
+    def _write_start(self, now: ClockReading) -> None:
+        """Put what this start changes; the store's first snapshot is not written yet, and will have it so."""
+        for name, key in self._recovered.obsolete:
             self._put(name, key, None)
-        if start.new:
-            self._doubt(start.doubt)
-        self._put(k.START, k.LAST, k.encode_entry(now, self.number))
+        if self._recovered.is_new_doubt:
+            self.mark_incomplete(self._recovered.doubt)
+        self._put(s.START, s.LAST, s.encode_entry(now, self.incarnation))
 
     # --- life -----------------------------------------------------------------------------------
 
     def attach(self, front: FrontEnd | Loop) -> None:
         """Begin, on the front end's loop."""
-        self._loop = EventLoopStore(getattr(front, "loop", front), self.store, self._note)
-        self._note("store read", {
-            "life": self.life, "same_boot": self.same_boot, "in_order": self.in_order, "why": self.why,
-            "entries": len(self.store.core.entries), "torn": self.store.found.torn,
-        })  # fmt: skip
+        loop = front if isinstance(front, Loop) else front.loop
+        self._on_loop = EventLoopStore(loop, self.store, self._log)
+        fields = {
+            "incarnation": self.folder_incarnation,
+            "same_boot": self.same_boot,
+            "in_order": self.ended_in_order,
+            "why": self.doubt,
+            "entries": len(self.store.core.entries),
+            "torn": self.store.found.torn,
+        }
+        self._log("recovery store read", fields)
 
     def close(self) -> None:
-        """What there is goes to disk, within `CLOSE_MS`; the folder is given back in any case."""
+        """Write what there is to disk, within `CLOSE_MS`; the folder is released in any case."""
         if self._closed:
             return
         self._closed = True
-        if self._loop is not None:
-            self._loop.close(CLOSE_MS)
+        if self._on_loop is not None:
+            self._on_loop.close(CLOSE_MS)
         else:
             self.store.close(monotonic_ms, CLOSE_MS)
 
-    def told(self, fleet: Fleet) -> None: ...
+    def told(self, fleet: Fleet) -> None:
+        """Take a roster, as a seam; it changes nothing here."""
 
-    def events(self, events: list[Any]) -> None: ...
+    def events(self, events: list[Any]) -> None:
+        """Take the decision module's events, as a seam; they change nothing here."""
 
     @property
     def busy(self) -> bool:
+        """Whether a graceful shutdown has to wait for this part."""
         return False
 
     def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> StoredPromises:
-        """For the front end's keeper; `folder`: where it would have its own file without a store."""
-        return StoredPromises(self, core, self._note, folder)
+        """The storage of the front end's replica; `folder` is where its own file would be without a store."""
+        return StoredPromises(self, core, folder)
 
     # --- what was found -------------------------------------------------------------------------
 
     @property
     def settled(self) -> bool:
-        """What was found is on disk for certain; nothing of it is told to others before."""
-        return self.store.core.settled
+        """Whether what was found is on disk for certain; nothing of it is reported to others before."""
+        return bool(self.store.core.settled)
 
     @property
     def failing(self) -> str:
         """Why nothing is durable now; empty: it is."""
-        return self.store.standing(monotonic_ms()).failing
-
-    def read(self, kind: StateKind) -> list[tuple[str, Any, TrustLevel]]:
-        """Key, value and trust of what was found at the start, by the table, as the store is held to be now.
-        A promise's value is a list that begins with what was left of its time at the start, and for how long
-        it had stood, None where another boot wrote it; both in ms."""
-        return k.read_entries(self._start, kind, self.whole)
-
-    def dropped(self, kind: StateKind) -> None:
-        """What was found of a kind is read by nobody any more."""
-        self._start.rows.pop(kind, None)
-
-    def sign(self) -> FolderPosition:
-        """How far this folder has come, for others; of life 0 until it is settled."""
-        sign = self.store.sign()
-        self._told = sign if sign.life else self._told
-        return sign
-
-    def heard_sign(self, sign: FolderPosition) -> bool:
-        """Another member's word of a sign that it heard of this one. False: it is a later one than this
-        folder has, which is an older copy; the store is in part from then on."""
-        if sign.mark != self._found.mark or (sign.life, sign.number) <= self._passed:
+        return str(self.store.standing(monotonic_ms()).failing)
+
+    def read(self, kind: StateKind) -> list[s.TrustedEntry]:
+        """What was found of a kind at the start, with its trust level by the store's condition now.
+
+        A promise's value is a list as `RecoveredPromise`.
+        """
+        return s.read_entries(self._recovered, kind, self.condition)
+
+    def release(self, kind: StateKind) -> None:
+        """Free what was found of a kind, as it is not read any more."""
+        self._recovered.entries.pop(kind, None)
+
+    def position(self) -> FolderPosition:
+        """The position of this folder, for others; of incarnation 0 until it is settled."""
+        position = self.store.sign()
+        if position.life:
+            self._reported_position = position
+        return position
+
+    def receive_position(self, position: FolderPosition) -> bool:
+        """Take a position of this folder that another member knows.
+
+        False: it is later than the folder, which is an older copy then; the store is incomplete from then on.
+        """
+        number = (position.life, position.number)
+        if position.mark != self._found_position.mark or number <= self._confirmed:
             return True
-        here = sign.life > self._found.life and self._told.life  # of this life; else of what was found
-        mine = self._told if here else self._found
-        why = rollback_reason(FolderState(sign=mine), [sign])
-        if why:
-            self._later = max(self._later, (sign.life, sign.number))
-            if self.why != why[: k.MAX_REASON_LENGTH]:
-                self._doubt(why[: k.MAX_REASON_LENGTH])
-        return not why
-
-    def doubt(self, why: str) -> None:
-        """The store is in part, and stays so over further lives, until others confirm what was found."""
-        self._doubt(why)
-
-    def _doubt(self, why: str) -> None:
-        self.whole, self.why, self.sure = StoreCondition.PART, why, 0
-        self._put(k.DOUBT, k.LAST, k.encode_entry(self._clock(), why))
-        self._put(k.COMPLETE, k.LAST, None)
-        self._note("the store is in part", {"why": why})
-        for tell in self._doubted:
-            tell()
-
-    def on_doubt(self, tell: Callable[[], None]) -> None:
-        self._doubted.append(tell)
+        is_of_this_start = position.life > self._found_position.life and self._reported_position.life
+        own = self._reported_position if is_of_this_start else self._found_position
+        reason = rollback_reason(FolderState(sign=own), [position])[: s.MAX_REASON_LENGTH]
+        if reason:
+            self._latest_reported = max(self._latest_reported, number)
+            if self.doubt != reason:
+                self.mark_incomplete(reason)
+        return not reason
+
+    def mark_incomplete(self, reason: str) -> None:
+        """Take the store for incomplete, also in later incarnations, until others confirm what was found."""
+        self.condition = StoreCondition.PART
+        self.doubt = reason
+        self.known_list = 0
+        self._put(s.DOUBT, s.LAST, s.encode_entry(self._clock(), reason))
+        self._put(s.COMPLETE, s.LAST, None)
+        self._log("recovery store incomplete", {"why": reason})
+        for callback in self._incomplete_callbacks:
+            callback()
+
+    def on_incomplete(self, callback: Callable[[], None]) -> None:
+        """Have this called whenever the store turns out to be incomplete."""
+        self._incomplete_callbacks.append(callback)
 
     def confirm(self) -> None:
-        """Others confirmed what was found: the store is whole from now on, and in lives to come. Raises
-        nothing; what a keeper knows of its grants is another matter."""
-        self.whole, self.why, self._passed = StoreCondition.WHOLE, "", self._later
-        self._put(k.DOUBT, k.LAST, None)
+        """Take the store for complete, also in later incarnations, as others confirmed what was found.
+
+        What a replica knows of its grants is another matter.
+        """
+        self.condition = StoreCondition.WHOLE
+        self.doubt = ""
+        self._confirmed = self._latest_reported
+        self._put(s.DOUBT, s.LAST, None)
         self.store.core.confirm()
-        if self._loop is not None:
-            self._loop.loop.flush_later(self._loop)
-
-    # --- what is kept ---------------------------------------------------------------------------
-
-    def keep(self, kind: StateKind, key: str, value: Any | None, told: SyncCallback | None = None) -> bool:
-        """The entry is this from now on, JSON or a Struct; None: there is none. False: it was refused, and
-        nothing has changed. `told` once, that it is on disk or why that is unsure; where it is refused before
-        this returns."""
-        rule = k.ENTRY_RULES[kind]
-        data = None if value is None else k.encode_entry(self._clock(), value)
-        before = self.store.core.entries.get((rule.name, key))
-        grows = sum(f.entry_size((rule.name, key), one) * by for one, by in ((data, 1), (before, -1)) if one)
-        if data is not None and grows > 0 and self._bytes[rule.name] + grows > rule.all_bytes:
-            why = f"{rule.name}: {rule.all_bytes} bytes in all is the most"
-        elif not (why := self._put(rule.name, key, data)):
-            self._bytes[rule.name] += grows
-            if told is not None:
-                self.on_disk(told)
-            return True
-        if why != self._refused and not self._closed:
-            self._refused = why
-            self._note("not kept", {"why": why})
-        if told is not None:
-            told(False, why)
-        return False
+        if self._on_loop is not None:
+            self._on_loop.loop.flush_later(self._on_loop)
+
+    # --- what is stored -------------------------------------------------------------------------
+
+    def keep(
+        self, kind: StateKind, key: str, value: Any | None, committed: CommitCallback | None = None
+    ) -> bool:
+        """Store an entry's value, JSON or a Struct; None deletes it.
+
+        False: it was rejected, and nothing has changed. `committed` is called once, when it is on disk or
+        with the reason why that is unsure; where it is rejected, before this returns.
+        """
+        rule = s.ENTRY_RULES[kind]
+        data = None if value is None else s.encode_entry(self._clock(), value)
+        growth = self._growth(rule, key, data)
+        if data is not None and growth > 0 and self._bytes[rule.name] + growth > rule.max_total_bytes:
+            reason = f"{rule.name}: {rule.max_total_bytes} bytes in all is the most"
+        else:
+            reason = self._put(rule.name, key, data)
+        if reason:
+            self._log_rejection(reason)
+            if committed is not None:
+                committed(False, reason)
+            return False
+        self._bytes[rule.name] += growth
+        if committed is not None:
+            self.when_committed(committed)
+        return True
+
+    def _growth(self, rule: s.EntryRule, key: str, data: bytes | None) -> int:
+        """By how many bytes an entry grows."""
+        place = (rule.name, key)
+        before = self.store.core.entries.get(place)
+        size = f.entry_size(place, data) if data else 0
+        return size - (f.entry_size(place, before) if before else 0)
+
+    def _log_rejection(self, reason: str) -> None:
+        if reason != self._logged_rejection and not self._closed:
+            self._logged_rejection = reason
+            self._log("recovery store rejected an entry", {"why": reason})
 
     def homes(self) -> list[tuple[str, Any]]:
-        """Homes of sessions that were kept; no hints: a number that is over may have been given anew."""
-        return [
-            (key, value) for key, value, trust in self.read(StateKind.HOMES) if trust is not TrustLevel.HINT
-        ]
+        """Stored placements of sessions; no hints, as a number that is over may be another session's."""
+        entries = self.read(StateKind.HOMES)
+        return [(entry.key, entry.value) for entry in entries if entry.trust is not TrustLevel.HINT]
 
     def keep_home(self, key: str, value: Any | None) -> bool:
-        """As `keep`, of one session."""
+        """Store one session's placement, as `keep`."""
         return self.keep(StateKind.HOMES, key, value)
 
-    def keep_sure(self, members: int) -> None:
-        """The keeper knows all that it granted, by this list of members; 0: it does not."""
-        self.sure = members
-        self._put(k.COMPLETE, k.LAST, k.encode_entry(self._clock(), members) if members else None)
+    def keep_known_list(self, number: int) -> None:
+        """Store that the replica knows all that it granted, by this list of members; 0: it does not."""
+        self.known_list = number
+        data = s.encode_entry(self._clock(), number) if number else None
+        self._put(s.COMPLETE, s.LAST, data)
+
+    def when_committed(self, callback: CommitCallback) -> None:
+        """Have this called once: when all that was put before is on disk, or with why that is unsure.
 
-    def on_disk(self, told: SyncCallback) -> None:
-        """`told` once: all that was kept before this is on disk, or why that is unsure. While the disk fails
-        it is told at once."""
-        self._turns += 1
-        if why := self._put(k.COMMIT_TICKET, k.LAST, msgspec.json.encode(self._turns), told):
-            told(False, why)
+        While the disk fails it is called at once.
+        """
+        self._tickets += 1
+        reason = self._put(s.COMMIT_TICKET, s.LAST, msgspec.json.encode(self._tickets), callback)
+        if reason:
+            callback(False, reason)
 
-    def _put(self, name: str, key: str, data: bytes | None, told: SyncCallback | None = None) -> str:
-        """Why it was refused; empty: it was not."""
+    def _put(self, name: str, key: str, data: bytes | None, committed: CommitCallback | None = None) -> str:
+        """Why it was rejected; empty: it was not."""
         if self._closed:
             return "closed"
         value = None if data is None else msgspec.Raw(data)
         try:
-            if self._loop is not None:
-                self._loop.put(name, key, value, told)
+            if self._on_loop is not None:
+                self._on_loop.put(name, key, value, committed)
             else:
-                self.store.put(monotonic_ms(), name, key, value, told)
+                self.store.put(monotonic_ms(), name, key, value, committed)
         except ChangeRejectedError as error:
             return str(error)
         return ""
 
 
 def open_recovery_store(
-    deployment: Deployment, place: str, state: str, note: Note, fresh: bool
+    deployment: Deployment, settings_path: str, state_path: str, log: LogCallback, *, fleet_is_new: bool
 ) -> RecoveryStore:
-    """The store of a front end, by the files of recovery and of replicated state. Raises ConfigError."""
-    settings = load_file(Path(place), settings_from, "recovery")
-    rules = load_file(Path(state), state_settings, "state")
-    members = load_file(Path(state).parent / rules.members, membership_from, "state")
-    spans = AgeSettings(window_ms=rules.longest_ms * (1.0 + 2.0 * rules.skew))
-    folder = Path(place).parent / settings.folder
-    return RecoveryStore(
-        folder, members.fleet, deployment.name, settings.boot_file, settings.store, note, fresh, spans
+    """Open a front end's store by the settings of recovery and of replicated state. Raises ConfigError."""
+    settings = load_file(Path(settings_path), settings_from, "recovery")
+    state = load_file(Path(state_path), state_settings, "state")
+    members = load_file(Path(state_path).parent / state.members, membership_from, "state")
+    store_settings = RecoveryStoreSettings(
+        folder=Path(settings_path).parent / settings.folder,
+        fleet=members.fleet,
+        member=deployment.name,
+        boot_file=settings.boot_file,
+        limits=settings.store,
+        age_limits=AgeSettings(window_ms=state.longest_ms * (1.0 + 2.0 * state.skew)),
     )
+    return RecoveryStore(store_settings, log, fleet_is_new=fleet_is_new)
--- a/fawnwharf/recovery_service/settings.py
+++ b/fawnwharf/recovery_service/settings.py
@@ -1,7 +1,7 @@
 """The operators' file that joins recovery to a front end, `deploy/recovery.json`. Pure.
 
-JSON, taken whole or not at all; a faulty one raises FileFault, whose text names the key. Durations are
-milliseconds.
+JSON, taken whole or not at all; a malformed one raises SettingsFileError, whose text names the key. The names
+of the fields are the keys of the file. Durations are milliseconds.
 """
 
 from typing import Annotated, Any
@@ -15,16 +15,17 @@
 
 VERSION = 1
 BOOT_FILE = "/proc/sys/kernel/random/boot_id"
+MAX_STORE_LIMIT = 2**40
 
-Part = Annotated[float, Meta(gt=0.0, le=1.0)]
+Share = Annotated[float, Meta(gt=0.0, le=1.0)]
 
 
-class Store(file_format.StoreLimits, frozen=True, forbid_unknown_fields=True):
-    """Bounds of the durable store."""
+class StoreSettings(file_format.StoreLimits, frozen=True, forbid_unknown_fields=True):
+    """Limits of the durable store."""
 
 
-class Timing(Struct, frozen=True, forbid_unknown_fields=True):
-    """How the stages of a recovery are left, as `stages.Timing`. The leader's count for the fleet."""
+class TimingSettings(Struct, frozen=True, forbid_unknown_fields=True):
+    """How the recovery phases are left, as `phases.PhaseTiming`. The leader's count for the fleet."""
 
     listen_ms: DurationMs = 3_000.0
     window_ms: DurationMs = 13_500.0
@@ -34,24 +35,26 @@
     settle_ms: DurationMs = 30_000.0
     valid_ms: DurationMs = 2_000.0
     alone_ms: DurationMs = 5_000.0
-    good: Part = 0.9
+    good: Share = 0.9
     slow: Annotated[float, Meta(gt=1.0, le=100.0)] = 2.5
 
     @property
-    def of_stages(self) -> phases.PhaseTiming:
+    def of_phases(self) -> phases.PhaseTiming:
+        """The same for the recovery core."""
         return phases.PhaseTiming(**msgspec.structs.asdict(self))
 
 
-class Pace(Struct, frozen=True, forbid_unknown_fields=True):
-    """Of questions and of words."""
+class PaceSettings(Struct, frozen=True, forbid_unknown_fields=True):
+    """Intervals of queries and of messages."""
 
-    again_ms: DurationMs = 200.0  # what is not answered is asked again
-    spread_ms: DurationMs = 200.0  # front ends that start together ask spread over this
-    stand_ms: DurationMs = 200.0  # a front end tells the leader how it stands
-    stage_ms: DurationMs = 300.0  # the leader tells the stage
+    again_ms: DurationMs = 200.0  # a query without an answer is sent again
+    spread_ms: DurationMs = 200.0  # front ends that start together spread their queries over this
+    stand_ms: DurationMs = 200.0  # a front end reports its status to the leader
+    stage_ms: DurationMs = 300.0  # the leader announces the phase
 
     @property
-    def of_asking(self) -> queries.QueryPace:
+    def of_queries(self) -> queries.QueryPace:
+        """The same for the recovery core."""
         return queries.QueryPace(self.again_ms, self.spread_ms)
 
 
@@ -60,16 +63,26 @@
 
     version: int
     folder: Annotated[str, Meta(min_length=1, max_length=1024)]  # relative: from the settings' own folder
-    fetches: Annotated[int, Meta(ge=1, le=1_000_000)]  # loads at a time that the model store takes well
+    fetches: Annotated[int, Meta(ge=1, le=1_000_000)]  # concurrent loads that the model store takes well
     scorer_rps: Annotated[float, Meta(gt=0.0, le=1e6)]  # what a warm scorer is sent in calm
-    boot_file: Annotated[str, Meta(max_length=1024)] = BOOT_FILE  # the mark of a boot; empty: none
-    store: Store = Store()
-    timing: Timing = Timing()
-    pace: Pace = Pace()
+    boot_file: Annotated[str, Meta(max_length=1024)] = BOOT_FILE  # has the boot id; empty: there is none
+    store: StoreSettings = StoreSettings()
+    timing: TimingSettings = TimingSettings()
+    pace: PaceSettings = PaceSettings()
 
 
 def settings_from(data: bytes | Any) -> Settings:
-    """Raises FileFault."""
+    """Read the settings from JSON or what it was decoded to; raise SettingsFileError for malformed ones."""
+    settings = _converted(data)
+    _check_store(settings.store)
+    if settings.timing.valid_ms > settings.timing.alone_ms:
+        raise SettingsFileError("timing.valid_ms: longer than timing.alone_ms")
+    if settings.pace.stage_ms * 2 > settings.timing.valid_ms:
+        raise SettingsFileError("pace.stage_ms: two do not fit into timing.valid_ms")
+    return settings
+
+
+def _converted(data: bytes | Any) -> Settings:
     try:
         raw = msgspec.json.decode(data) if isinstance(data, bytes) else data
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
@@ -77,20 +90,17 @@
     if isinstance(raw, dict) and raw.get("version") != VERSION:
         raise SettingsFileError(f"version: {raw.get('version')!r}, and this program knows {VERSION}")
     try:
-        found = msgspec.convert(raw, Settings)
+        return msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
         text, _, place = str(error).partition(" - at `$")
         raise SettingsFileError(f"{place.rstrip('`').lstrip('.') or 'settings'}: {text}") from None
-    for key, value in msgspec.structs.asdict(found.store).items():
-        if not 0 < value < 2**40:
+
+
+def _check_store(store: StoreSettings) -> None:
+    for key, value in msgspec.structs.asdict(store).items():
+        if not 0 < value < MAX_STORE_LIMIT:
             raise SettingsFileError(f"store.{key}: not between 0 and 2^40")
-    store, timing, pace = found.store, found.timing, found.pace
     if store.piece_bytes > store.state_bytes:
         raise SettingsFileError("store.piece_bytes: more than store.state_bytes")
     if store.retry_ms > store.retry_most_ms:
         raise SettingsFileError("store.retry_ms: more than store.retry_most_ms")
-    if timing.valid_ms > timing.alone_ms:
-        raise SettingsFileError("timing.valid_ms: longer than timing.alone_ms")
-    if pace.stage_ms * 2 > timing.valid_ms:
-        raise SettingsFileError("pace.stage_ms: two do not fit into timing.valid_ms")
-    return found
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -1,390 +1,262 @@
-"""All clients at once at front ends that have just returned, in virtual time: with loaders, wardens and
-doors, and with the module alone. `python -m fawnwharf.recovery_service.simulation [pairs]` prints means and
-differences.
+"""All clients at once at front ends that have just returned, in virtual time.
 
-Real are the module, `Giving`, `Door` and `Holds`; small are scorers, the store and words (1 to 5 ms). Left
-out: the gate, zones, stages (the last before renewal holds all the time), that a crowded store slows down,
-and scorers' queues beyond their lanes.
+`python -m fawnwharf.recovery_service.simulation [pairs]` runs pairs with load coordinators, slow start
+coordinators and admission, and with the decision module alone, and prints means and differences.
+
+Real are the decision module, `PermitIssuer`, `RecoveryAdmission` and `LoadOrderGate`; simplified are scorers,
+the store and messages (1 to 5 ms). Left out: the claim gate, zones, phases (the last before renewal holds all
+the time), that a loaded store slows down, and scorers' queues beyond their lanes.
 """
 
-import heapq
 import random
 import sys
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Sequence
+from functools import partial
 
 from fawnwharf import interface as io
 from fawnwharf.net.requests import Call, Failed, Outcome, Refused, Served
-from fawnwharf.net.streams import Answer, Order
-from fawnwharf.net.timer_wheel import Wheel
-from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import fleet_limits
-from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.phases import allowed_in_phase
+from fawnwharf.recovery_core.register import RecoveryPhase
 from fawnwharf.recovery_core.uncoordinated_fleet import FUNCTION_KINDS, PRIORITY_WEIGHTS
-from fawnwharf.recovery_service.actions import Action, SendPermitMessage
-from fawnwharf.recovery_service.actions import LoadOrder as Ordered
-from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+from fawnwharf.recovery_service.actions import Action, LoadOrder, SendPermitMessage
+from fawnwharf.recovery_service.permit_issuing import TICK_MS
+from fawnwharf.recovery_service.permit_messages import PermitMessage
+from fawnwharf.recovery_service.simulated_front_end import CoordinatedFrontEnd, SimulatedFrontEnd
+from fawnwharf.recovery_service.simulated_scorers import (
+    FETCH_SHARE,
+    LANES,
+    SCORER_RPS,
+    STORE_FETCHES,
+    EventQueue,
+    FunctionTimes,
+    SimulatedScorer,
+    SimulatedScorers,
+)
 from fawnwharf.replication.placement import rendezvous_weight
 
-FRONTS, SCORERS, FUNCTIONS, LANES, LOADS_MOST = 6, 6, 60, 8, 4
-PLACES, FETCH_PART = 4, 0.6  # fetches at a time that the store serves; their part of a load
-SCORER_PS, CALM_PS = 12.0, 60.0
-BEGIN_MS, BURST_MS, CALLS, TRIES, END_MS = 10_000.0, 13_000.0, 240, 3, 33_000.0
-DOWN_MS = 3_000.0  # of a scorer that fell
+FRONT_ENDS = 6
+SCORERS = 6
+FUNCTIONS = 60
+CALM_RPS = 60.0
+BEGIN_MS = 10_000.0
+BURST_MS = 13_000.0
+CALLS = 240  # of the burst
+CALM_SECONDS = 20
+ATTEMPTS = 3  # of a client, at most
+END_MS = 33_000.0
+WHEEL_MS = 4.0
 
-T95 = {2: 12.71, 5: 2.78, 10: 2.26, 20: 2.09}  # Student's, by pairs
+STUDENT_T95 = {2: 12.71, 5: 2.78, 10: 2.26, 20: 2.09}  # by pairs
 
-Answered = Callable[[io.AttemptResult, int], None]
+Figures = dict[str, float]
 
 
-def site() -> io.Settings:
+def site_settings() -> io.Settings:
+    """The settings of all front ends."""
     classes = {
-        n: io.ClassSpec(n, k[1], k[2], io.Effect.IDEMPOTENT, priority_weight=k[3])
-        for n, k in FUNCTION_KINDS.items()
+        name: io.ClassSpec(name, kind[1], kind[2], io.Effect.IDEMPOTENT, priority_weight=kind[3])
+        for name, kind in FUNCTION_KINDS.items()
     }
     return io.Settings(
         classes=classes,
-        quotas_rps={"t": CALM_PS},
-        fleet_size=FRONTS,
+        quotas_rps={"t": CALM_RPS},
+        fleet_size=FRONT_ENDS,
         max_attempts=2,
         max_retry_after_ms=4_000.0,
     )
 
 
-@dataclass(slots=True)
-class Scorer:
-    id: int
-    up_ms: float
-    life: int = 0
-    lanes: dict[str, list[float]] = field(default_factory=dict)  # when each is free, by function
-    loading: dict[str, list[Answered]] = field(default_factory=dict)
-    fetching: int = 0
-    sent: list[float] = field(default_factory=list)
-
-
-class Front:
-    """One front end: a table of its own below the real door, before the real module."""
-
-    def __init__(self, world: "World", name: str, life: int) -> None:
-        self.world, self.name = world, name
-        self.router = Router(site(), life)
-        self.wheel = Wheel(lambda: world.now)
-        self.open: dict[str, Call] = {}
-        self.inbox: list[io.Event] = []
-        self.numbers = 0
-        self.carry_hold: Callable[[io.OrderCopies], None] = self.order
-        self.take: Callable[[Call], str | None] = self.taken
-        self.giving: PermitIssuer | None = None
-        if world.planned:
-            self.giving = PermitIssuer(name, life, world.limits, world.order)
-            self.holds = LoadOrderGate(self.order, self.ask, self.tell, {}, lambda: world.now)
-            self.door = RecoveryAdmission(self, self, site().classes, world.limits, clock=lambda: world.now)
-            self.carry_hold, self.door.below = self.holds.carry, _Below(self)
-            self.take = self.door.take
-
-    def tell(self, event: io.Event) -> None:
-        if not self.inbox:
-            self.world.at(0.5, self.decide)
-        self.inbox.append(event)
-
-    def decide(self) -> None:
-        events, self.inbox = self.inbox, []
-        if self.giving is not None:
-            self.world.carry(self, self.holds.events(self.world.now, events))
-        for action in self.router.handle(self.world.now, events):
-            if isinstance(action, io.Send):
-                self.send(action)
-            elif isinstance(action, io.OrderCopies):
-                self.carry_hold(action)
-            elif isinstance(action, io.SetTimer):
-                self.world.at(action.delay_ms, lambda t=action.token: self.tell(io.TimerDue(t)))
-            elif isinstance(action, io.Reject | io.Fail) and (call := self.open.pop(action.request, None)):
-                call.reply(Refused(action.hold_off_ms) if isinstance(action, io.Reject) else Failed())
-
-    def taken(self, call: Call) -> str:
-        self.numbers += 1
-        key = f"r{self.numbers}"
-        self.open[key] = call
-        call.judged = 0  # attempts
-        arrived = io.RequestArrived(key, call.function, call.class_name, "t", call.budget_ms, LANES)
-        self.tell(arrived)
-        return key
-
-    def send(self, action: io.Send) -> None:
-        key, worker = action.request, action.scorer
-        call = self.open.get(key)
-        if call is None:
-            self.tell(io.AttemptEnded(key, 0, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True))
-            return
-        number, call.judged, began = call.judged, call.judged + 1, self.world.now
-
-        def ended(ending: io.AttemptResult, _: int) -> None:
-            if ending is io.AttemptResult.GOOD and (call := self.open.pop(key, None)):
-                call.reply(Served(b""))
-            took, closed = self.world.now - began, key not in self.open
-            self.tell(io.AttemptEnded(key, number, worker, ending, took, closed))
-
-        self.world.run_at(worker, call.function, ended)
-
-    def order(self, action: io.OrderCopies) -> None:
-        began = self.world.now
-
-        def ended(ending: io.AttemptResult, copies: int) -> None:
-            took = self.world.now - began
-            self.tell(io.LoadOrderAnswered(action.scorer, action.function, ending, copies, took))
-
-        self.world.hold_at(action.scorer, action.function, action.copies, ended)
-
-    def ask(self, order: Order) -> None:
-        def ended(ending: io.AttemptResult, copies: int) -> None:
-            order.ended(order, None, Answer(ending, b"", io.Warmth.UNTOLD, 0, copies))
-
-        self.world.hold_at(order.worker, order.function, 0, ended)
-
-
-@dataclass(slots=True)
-class _Below:
-    """The table as the door sees it."""
-
-    front: Front
-
-    def take(self, call: Call) -> str | None:
-        return self.front.taken(call)
-
-    def withdraw(self, key: str) -> None:
-        self.front.open.pop(key, None)
-
-
-class World:
-    """One run; `seconds`: fetches asked of the store, by second."""
-
-    def __init__(self, seed: int, planned: bool) -> None:
-        self.planned, self.now, self.heap, self.count = planned, BEGIN_MS, [], 0
-        chance = self.chance = random.Random(f"given {seed}")
-        self.limits = fleet_limits(site(), round(PLACES / FETCH_PART), SCORER_PS)
-        self.scorers = [Scorer(n, BEGIN_MS + chance.uniform(0.0, 3_000.0)) for n in range(SCORERS)]
-        self.facts = {}
+class Simulation:
+    """One run."""
+
+    def __init__(self, seed: int, *, coordinated: bool) -> None:
+        self.queue = EventQueue(BEGIN_MS)
+        self.random = random.Random(f"given {seed}")
+        self.limits = fleet_limits(site_settings(), round(STORE_FETCHES / FETCH_SHARE), SCORER_RPS)
+        scorers = [SimulatedScorer(n, BEGIN_MS + self.random.uniform(0.0, 3_000.0)) for n in range(SCORERS)]
+        self.functions = self._functions()
+        self.scorers = SimulatedScorers(self.queue, self.limits, scorers, self.functions, self._came_up)
+        self.rejected = self.failed = 0
+        self.calls = self.in_time = 0
+        self.weight = self.weight_in_time = 0.0
+        self.coordinated: list[CoordinatedFrontEnd] = []
+        if coordinated:
+            self.coordinated = [self._coordinated_front_end(n) for n in range(FRONT_ENDS)]
+        self.front_ends: Sequence[SimulatedFrontEnd] = self.coordinated or [
+            SimulatedFrontEnd(f"n{n}", n + 1, site_settings(), self.queue, self.scorers)
+            for n in range(FRONT_ENDS)
+        ]
+        for scorer in scorers:
+            self.queue.after(max(0.0, scorer.up_ms - BEGIN_MS), partial(self._came_up, scorer))
+        if coordinated:
+            self._plan_permits()
+        self.queue.after(WHEEL_MS, self._advance_wheels)
+        self._plan_calls()
+
+    def _functions(self) -> dict[str, FunctionTimes]:
+        functions = {}
+        shares = [kind[0] for kind in FUNCTION_KINDS.values()]
         for n in range(FUNCTIONS):
-            kind = chance.choices(list(FUNCTION_KINDS), [k[0] for k in FUNCTION_KINDS.values()])[0]
-            self.facts[f"f{n}"] = (
-                kind,
-                chance.uniform(*FUNCTION_KINDS[kind][5]),
-                chance.uniform(*FUNCTION_KINDS[kind][6]),
-            )
-        self.rates = [(rank + 1) ** -0.6 for rank in range(FUNCTIONS)]
-        self.store = [0.0] * PLACES
-        self.seconds: dict[int, int] = {}
-        self.under_way = self.waiting = self.fell = self.refused = self.failed = 0
-        self.came = self.in_time = self.worth = self.worth_in_time = 0.0
-        self.fronts = [Front(self, f"n{n}", n + 1) for n in range(FRONTS)]
-        self.roster()
-        if planned:
-            self.turns()
-            for n in range(FRONTS):
-                self.at(
-                    0.0 if not n else 50.0 * n, lambda n=n: self.see(self.fronts[n], RecoveryPhase.REPEATS)
-                )
-                self.at(BURST_MS - BEGIN_MS, lambda n=n: self.see(self.fronts[n], RecoveryPhase.REST))
-        self.at(4.0, self.wheels)
-        functions, late = list(self.facts), chance.uniform
-        times = [BURST_MS + late(0.0, 1_000.0) for _ in range(CALLS)]
-        times += [BURST_MS + late(0.0, END_MS - BURST_MS) for _ in range(int(CALM_PS * 20))]
-        rows = chance.choices(functions, self.rates, k=len(times))
-        for n, (at, row) in enumerate(zip(times, rows, strict=True)):
-            self.at(at - BEGIN_MS, lambda n=n, row=row: self.call(f"c{n}", row, TRIES))
-
-    def at(self, delay_ms: float, call: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (self.now + delay_ms, self.count, call))
-
-    def run(self) -> "World":
-        while self.heap and self.heap[0][0] < END_MS:
-            self.now, _, call = heapq.heappop(self.heap)
-            call()
+            name = self.random.choices(list(FUNCTION_KINDS), shares)[0]
+            kind = FUNCTION_KINDS[name]
+            load_ms = self.random.uniform(*kind[5])
+            functions[f"f{n}"] = FunctionTimes(name, load_ms, self.random.uniform(*kind[6]))
+        return functions
+
+    def _coordinated_front_end(self, n: int) -> CoordinatedFrontEnd:
+        return CoordinatedFrontEnd(f"n{n}", n + 1, site_settings(), self.scorers, self.limits, self)
+
+    def _plan_permits(self) -> None:
+        self._tick()
+        for n, front_end in enumerate(self.coordinated):
+            self.queue.after(50.0 * n, partial(self._follow, front_end, RecoveryPhase.REPEATS))
+            self.queue.after(BURST_MS - BEGIN_MS, partial(self._follow, front_end, RecoveryPhase.REST))
+
+    def _plan_calls(self) -> None:
+        times = [BURST_MS + self.random.uniform(0.0, 1_000.0) for _ in range(CALLS)]
+        calm = int(CALM_RPS * CALM_SECONDS)
+        times += [BURST_MS + self.random.uniform(0.0, END_MS - BURST_MS) for _ in range(calm)]
+        rates = [(rank + 1) ** -0.6 for rank in range(FUNCTIONS)]
+        functions = self.random.choices(list(self.functions), rates, k=len(times))
+        for n, (at_ms, function) in enumerate(zip(times, functions, strict=True)):
+            self.queue.after(at_ms - BEGIN_MS, partial(self._call, f"c{n}", function, ATTEMPTS))
+
+    def run(self) -> "Simulation":
+        """Run to the end."""
+        self.queue.run(END_MS)
         return self
 
     # --- front ends ---------------------------------------------------------------------------
 
-    def order(self, row: str) -> list[int]:
-        up = [s.id for s in self.scorers if s.up_ms <= self.now]
-        return sorted(up, key=lambda id: rendezvous_weight(str(id), row))
-
-    def roster(self) -> None:
-        for scorer in self.scorers:
-            self.at(max(0.0, scorer.up_ms - self.now), lambda scorer=scorer: self.came_up(scorer))
-
-    def came_up(self, scorer: Scorer) -> None:
-        for front in self.fronts:
-            entry = io.ScorerEntry(scorer.id, up_since_ms=scorer.up_ms)
-            front.tell(io.RosterChanged([entry], False))
-            if front.giving is not None:
-                front.giving.scorer(self.now, scorer.id, self.now - scorer.up_ms)
-
-    def see(self, front: Front, stage: RecoveryPhase) -> None:
-        names, may = [f.name for f in self.fronts], allowed_in_phase(stage, PRIORITY_WEIGHTS)
-        front.giving.set(self.now, names, names, may, 1)
-        front.holds.go_by(may, front.giving)
-        self.pace(front)
-
-    def pace(self, front: Front) -> None:
-        ages = [self.now - s.up_ms for s in self.scorers if s.up_ms <= self.now]
-        rate = self.limits.fall_multiple * self.limits.calls_rps(ages) / FRONTS
-        stage = RecoveryPhase.REST if self.now >= BURST_MS else RecoveryPhase.REPEATS
-        front.door.go_by(allowed_in_phase(stage, PRIORITY_WEIGHTS), rate, front.giving)
-
-    def turns(self) -> None:
-        self.at(TICK_MS, self.turns)
-        for front in self.fronts:
-            self.carry(front, front.giving.tick(self.now))
-            if int(self.now / TICK_MS) % 10 == 0:
-                self.pace(front)
-
-    def wheels(self) -> None:
-        self.at(4.0, self.wheels)
-        for front in self.fronts if self.planned else ():
-            front.wheel.advance(self.now)
-
-    def carry(self, front: Front, outs: list[Action]) -> None:
-        for out in outs:
-            if isinstance(out, SendPermitMessage):
-                for other in self.fronts:
-                    if other is not front and (not out.to or other.name in out.to):
-                        self.at(self.chance.uniform(1.0, 5.0), self.heard(other, front.name, out))
-            elif isinstance(out, Ordered):
-                front.order(out.what) if isinstance(out.what, io.OrderCopies) else front.tell(out.what)
+    def hash_order(self, function: str) -> list[int]:
+        """A function's scorers that are up, by its hash order."""
+        return sorted(self.scorers.up(), key=lambda scorer: rendezvous_weight(str(scorer), function))
+
+    def _came_up(self, scorer: SimulatedScorer) -> None:
+        for front_end in self.front_ends:
+            front_end.scorer_seen(scorer.number, scorer.up_ms, self.queue.now_ms)
+
+    def _follow(self, front_end: CoordinatedFrontEnd, phase: RecoveryPhase) -> None:
+        names = [front_end.name for front_end in self.front_ends]
+        front_end.reach(self.queue.now_ms, names, allowed_in_phase(phase, PRIORITY_WEIGHTS))
+        self._pace(front_end)
+
+    def _pace(self, front_end: CoordinatedFrontEnd) -> None:
+        fleet_rps = self.limits.fall_multiple * self.limits.calls_rps(self.scorers.ages_ms())
+        phase = RecoveryPhase.REST if self.queue.now_ms >= BURST_MS else RecoveryPhase.REPEATS
+        front_end.pace(allowed_in_phase(phase, PRIORITY_WEIGHTS), fleet_rps / FRONT_ENDS)
+
+    def _tick(self) -> None:
+        self.queue.after(TICK_MS, self._tick)
+        now_ms = self.queue.now_ms
+        for front_end in self.coordinated:
+            self.carry_out(front_end, front_end.issuer.tick(now_ms))
+            if int(now_ms / TICK_MS) % 10 == 0:
+                self._pace(front_end)
+
+    def _advance_wheels(self) -> None:
+        self.queue.after(WHEEL_MS, self._advance_wheels)
+        for front_end in self.coordinated:
+            front_end.wheel.advance(self.queue.now_ms)
+
+    def carry_out(self, front_end: SimulatedFrontEnd, actions: list[Action]) -> None:
+        """Carry out actions of permit issuing."""
+        assert isinstance(front_end, CoordinatedFrontEnd)
+        for action in actions:
+            if isinstance(action, SendPermitMessage):
+                self._send(front_end, action)
+            elif not isinstance(action, LoadOrder):
+                front_end.admission.notify(action)
+            elif isinstance(action.event, io.OrderCopies):
+                front_end.table.order(action.event)
             else:
-                front.door.told(out)
+                front_end.table.notify(action.event)
+
+    def _send(self, sender: SimulatedFrontEnd, action: SendPermitMessage) -> None:
+        for receiver in self.coordinated:
+            if receiver is not sender and (not action.to or receiver.name in action.to):
+                delay_ms = self.random.uniform(1.0, 5.0)
+                self.queue.after(delay_ms, partial(self._receive, receiver, sender.name, action.message))
 
-    def heard(self, to: Front, sender: str, out: SendPermitMessage) -> Callable[[], None]:
-        return lambda: self.carry(to, to.giving.hear(self.now, sender, out.word))
+    def _receive(self, receiver: CoordinatedFrontEnd, sender: str, message: PermitMessage) -> None:
+        self.carry_out(receiver, receiver.issuer.receive(self.queue.now_ms, sender, message))
 
     # --- clients ------------------------------------------------------------------------------
 
-    def call(self, client: str, row: str, left: int) -> None:
-        kind, _, _ = self.facts[row]
-        _, promise, give_up, worth, *_ = FUNCTION_KINDS[kind]
-        front, came = self.fronts[rendezvous_weight("at", client, str(left)) % FRONTS], self.now
-        if left == TRIES:
-            self.came, self.worth = self.came + 1, self.worth + worth
-        over = False
+    def _call(self, client: str, function: str, attempts_left: int) -> None:
+        times = self.functions[function]
+        kind = FUNCTION_KINDS[times.class_name]
+        promise_ms, give_up_ms, weight = kind[1], kind[2], kind[3]
+        called_ms = self.queue.now_ms
+        if attempts_left == ATTEMPTS:
+            self.calls += 1
+            self.weight += weight
+        ended = False
 
         def reply(outcome: Outcome) -> None:
-            nonlocal over
-            if over:
+            nonlocal ended
+            if ended:
                 return
-            over = True
-            if isinstance(outcome, Served) and self.now - came <= promise:
-                self.in_time, self.worth_in_time = self.in_time + 1, self.worth_in_time + worth
-            elif not isinstance(outcome, Served):
-                self.refused += isinstance(outcome, Refused)
-                self.failed += isinstance(outcome, Failed)
-                wait = outcome.hold_off_ms if isinstance(outcome, Refused) else 0.0
-                if left > 1:
-                    self.at(wait, lambda: self.call(client, row, left - 1))
-
-        id = rendezvous_weight(client, str(left)).to_bytes(8, "big")
-        call = Call(id, kind, "t", row, give_up, b"", "", LANES, None, self.facts[row][1], reply)
-        self.at(give_up, lambda: reply(Failed()))
-        front.take(call)
-
-    # --- scorers ------------------------------------------------------------------------------
-
-    def run_at(self, worker: int, row: str, ended: Answered) -> None:
-        scorer, now = self.scorers[worker], self.now
-        age = now - scorer.up_ms
-        if age < 0:
-            return self.at(1.0, lambda: ended(io.AttemptResult.CONNECT_FAILED, 0))
-        if age < self.limits.cold_ms:
-            scorer.sent = [at for at in scorer.sent if at > now - self.limits.fall_ms] + [now]
-            room = self.limits.fall_multiple * self.limits.warmth(age) * SCORER_PS
-            if len(scorer.sent) > max(1.0, room * self.limits.fall_ms / 1_000.0):
-                return self.falls(scorer, ended)
-        if row not in scorer.lanes:
-            return self.at(1.0, lambda: ended(io.AttemptResult.MISS, 0))
-        begins = max(now, heapq.heappop(scorer.lanes[row]))
-        heapq.heappush(scorer.lanes[row], begins + self.facts[row][2])
-        life = scorer.life
-
-        def done() -> None:
-            ended(io.AttemptResult.GOOD if scorer.life == life else io.AttemptResult.RESET, 0)
-
-        self.at(begins + self.facts[row][2] - now + 1.0, done)
-
-    def falls(self, scorer: Scorer, ended: Answered) -> None:
-        self.fell += 1
-        scorer.up_ms, scorer.life = self.now + DOWN_MS, scorer.life + 1
-        waiting = [answer for answers in scorer.loading.values() for answer in answers]
-        scorer.lanes, scorer.loading, scorer.fetching, scorer.sent = {}, {}, 0, []
-        for answer in [ended, *waiting]:
-            self.at(1.0, lambda answer=answer: answer(io.AttemptResult.RESET, 0))
-        self.at(DOWN_MS, lambda: self.came_up(scorer))
-
-    def hold_at(self, worker: int, row: str, copies: int, ended: Answered) -> None:
-        scorer = self.scorers[worker]
-        if scorer.up_ms > self.now:
-            return self.at(1.0, lambda: ended(io.AttemptResult.CONNECT_FAILED, 0))
-        stand = len(scorer.lanes.get(row, ())) // LANES
-        if stand >= copies:
-            return self.at(1.0, lambda: ended(io.AttemptResult.GOOD, stand))
-        if row in scorer.loading:
-            return scorer.loading[row].append(ended)
-        scorer.loading[row] = [ended]
-        self.load(scorer, row)
-
-    def load(self, scorer: Scorer, row: str) -> None:
-        """At once, if the scorer has room for one more; the store serves some at a time."""
-        if scorer.fetching >= LOADS_MOST:
-            return self.at(20.0, lambda life=scorer.life: scorer.life == life and self.load(scorer, row))
-        scorer.fetching += 1
-        now, load, life = self.now, self.facts[row][1], scorer.life
-        second = int(now / 1_000)
-        self.seconds[second] = self.seconds.get(second, 0) + 1
-        self.under_way += 1
-        self.waiting = max(self.waiting, self.under_way)
-        begins = max(now, self.store[0])
-        heapq.heapreplace(self.store, begins + FETCH_PART * load)
-        self.at(begins + FETCH_PART * load - now, self.fetched)
-
-        def loaded() -> None:
-            if scorer.life != life:
-                return
-            scorer.fetching -= 1
-            scorer.lanes.setdefault(row, []).extend([self.now] * LANES)
-            heapq.heapify(scorer.lanes[row])
-            for answer in scorer.loading.pop(row):
-                answer(io.AttemptResult.GOOD, len(scorer.lanes[row]) // LANES)
-
-        self.at(begins + load - now, loaded)
-
-    def fetched(self) -> None:
-        self.under_way -= 1
-
-
-def figures(run: World) -> dict[str, float]:
+            ended = True
+            if not isinstance(outcome, Served):
+                self._retry(outcome, client, function, attempts_left)
+            elif self.queue.now_ms - called_ms <= promise_ms:
+                self.in_time += 1
+                self.weight_in_time += weight
+
+        number = rendezvous_weight(client, str(attempts_left)).to_bytes(8, "big")
+        call = Call(
+            number, times.class_name, "t", function, give_up_ms, b"", "", LANES, None, times.load_ms, reply
+        )
+        self.queue.after(give_up_ms, lambda: reply(Failed()))
+        at = rendezvous_weight("at", client, str(attempts_left)) % FRONT_ENDS
+        self.front_ends[at].sink.take(call)
+
+    def _retry(self, outcome: Outcome, client: str, function: str, attempts_left: int) -> None:
+        wait_ms = 0.0
+        if isinstance(outcome, Refused):
+            self.rejected += 1
+            wait_ms = outcome.hold_off_ms
+        elif isinstance(outcome, Failed):
+            self.failed += 1
+        if attempts_left > 1:
+            self.queue.after(wait_ms, lambda: self._call(client, function, attempts_left - 1))
+
+
+def figures(run: Simulation) -> Figures:
+    """What is compared."""
+    store = run.scorers.store
     return {
-        "asked, worst second": max(run.seconds.values(), default=0),
-        "at the store, at most": run.waiting,
-        "fetches": sum(run.seconds.values()),
-        "scorers fell": run.fell,
-        "in time": round(run.in_time / run.came, 3),
-        "worth in time": round(run.worth_in_time / run.worth, 3),
-        "refused": run.refused,
+        "fetches, worst second": max(store.by_second.values(), default=0),
+        "fetches at a time, at most": store.most_open,
+        "fetches": sum(store.by_second.values()),
+        "scorers failed": run.scorers.failures,
+        "in time": round(run.in_time / run.calls, 3),
+        "weight in time": round(run.weight_in_time / run.weight, 3),
+        "rejected": run.rejected,
         "failed": run.failed,
     }
 
 
 def main(pairs: int) -> None:
+    """Run the pairs and print means, differences with their 95 % intervals, and the worst."""
     seeds = range(1, pairs + 1)
-    rows = [[figures(World(seed, planned).run()) for planned in (False, True)] for seed in seeds]
-    for name in rows[0][0]:
-        alone, given = ([row[i][name] for row in rows] for i in (0, 1))
-        diffs = [b - a for a, b in zip(alone, given, strict=True)]
-        mean = sum(diffs) / pairs
-        half = T95[pairs] * (sum((d - mean) ** 2 for d in diffs) / (pairs - 1) / pairs) ** 0.5
-        told = f"{sum(alone) / pairs:9.2f} {sum(given) / pairs:9.2f}  {mean:+9.3f} +- {half:.3f}"
-        print(f"{name:24}{told}   worst {max(alone)} {max(given)}")
+    alone = [figures(Simulation(seed, coordinated=False).run()) for seed in seeds]
+    coordinated = [figures(Simulation(seed, coordinated=True).run()) for seed in seeds]
+    for name in alone[0]:
+        _print_figure(name, [run[name] for run in alone], [run[name] for run in coordinated])
+
+
+def _print_figure(name: str, alone: list[float], coordinated: list[float]) -> None:
+    pairs = len(alone)
+    differences = [after - before for before, after in zip(alone, coordinated, strict=True)]
+    mean = sum(differences) / pairs
+    variance = sum((difference - mean) ** 2 for difference in differences) / (pairs - 1)
+    half = STUDENT_T95[pairs] * (variance / pairs) ** 0.5
+    means = f"{sum(alone) / pairs:9.2f} {sum(coordinated) / pairs:9.2f}"
+    worst = f"worst {max(alone)} {max(coordinated)}"
+    print(f"{name:28}{means}  {mean:+9.3f} +- {half:.3f}   {worst}")
 
 
 if __name__ == "__main__":
--- a/fawnwharf/recovery_service/status_display.py
+++ b/fawnwharf/recovery_service/status_display.py
@@ -1,39 +1,57 @@
-"""How an agent stands, for people: told in its member's zones' log, and read by `fawnwharf recovery show`."""
+"""An agent's status for operators: written to its member's zones' log, read by `fawnwharf recovery show`."""
 
 from fawnwharf.recovery_core.queries import QueryTopic
-from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import RecoveryAgent
+from fawnwharf.recovery_service.messages import DisplayedStatus
 
 MAX_ITEMS = 16
+MAX_COUNTS = 64
 
 
-def displayed_status(agent: RecoveryAgent, now_ms: float) -> w.DisplayedStatus:
-    allowed, stage, asking = agent.allowed(now_ms), agent.stage(now_ms), agent.asking
-    register, own = agent.follower.register, agent.own
-    doubts = [] if own.whole else ["its store is not whole"]
-    doubts += [] if own.settled else ["its store has not written all anew"]
-    doubts += [] if own.sure else ["its keeper does not know all that it granted"]
-    doubts += [] if agent.mark else ["the system tells no boot"]
-    if asking.behind:
-        doubts.append(f"a voter goes by list of members {asking.behind}, which is later than its own")
-    fresh = agent.follower.fresh(now_ms)
-    how = "alone" if stage is None else "a leader's word" if fresh else "the last word"
-    if stage is not None and register is None:
-        how = "no word yet"
-    counts = agent.counts | {f"answers {why}": n for why, n in asking.dropped.items()}
-    return w.DisplayedStatus(
-        life=agent.life,
-        boot=agent.mark,
-        stage="" if stage is None else stage.name.lower(),
-        how=how,
-        cut=agent.cut,
-        part=allowed.part,
-        leads=agent.lead.term,
-        why=register.why if register is not None else "",
-        fronts=agent.lead.heard(now_ms) if agent.lead.term else 0,
-        heard=agent.heard_lately(now_ms),
-        asked={what.name.lower(): asking.stand(what).value for what in QueryTopic},
-        without=tuple(asking.without().values())[:MAX_ITEMS],
-        doubts=tuple(doubts[:MAX_ITEMS]),
-        counts=dict(sorted(counts.items())[:64]),
+def displayed_status(agent: RecoveryAgent, now_ms: float) -> DisplayedStatus:
+    """The status of an agent at one moment."""
+    phase = agent.phase(now_ms)
+    register = agent.follower.register
+    counts: dict[str, int] = dict(agent.drops.items())
+    counts |= {f"answers {reason}": count for reason, count in agent.queries.dropped.items()}
+    return DisplayedStatus(
+        incarnation=agent.identity.incarnation,
+        boot=agent.identity.boot,
+        phase="" if phase is None else phase.name.lower(),
+        source=_phase_source(agent, now_ms),
+        power_loss=agent.power_loss,
+        share=agent.allowed(now_ms).part,
+        leader_term=agent.leader.term,
+        reason=register.why if register is not None else "",
+        front_ends=agent.leader.reporting(now_ms) if agent.leader.term else 0,
+        voters=agent.voters_heard(now_ms),
+        queries={topic.name.lower(): agent.queries.stand(topic).value for topic in QueryTopic},
+        missing=tuple(agent.queries.without().values())[:MAX_ITEMS],
+        doubts=tuple(_doubts(agent)[:MAX_ITEMS]),
+        counts=dict(sorted(counts.items())[:MAX_COUNTS]),
     )
+
+
+def _phase_source(agent: RecoveryAgent, now_ms: float) -> str:
+    """By what the agent follows its phase."""
+    if agent.phase(now_ms) is None:
+        return "no leader"
+    if agent.follower.register is None:
+        return "no announcement yet"
+    return "leader's announcement" if agent.follower.fresh(now_ms) else "last announcement"
+
+
+def _doubts(agent: RecoveryAgent) -> list[str]:
+    status = agent.status
+    doubts = []
+    if not status.complete:
+        doubts.append("its store is incomplete")
+    if not status.settled:
+        doubts.append("its store has not rewritten all entries yet")
+    if not status.knows_grants:
+        doubts.append("its replica does not know all that it granted")
+    if not agent.identity.boot:
+        doubts.append("the system has no boot id")
+    if agent.queries.behind:
+        doubts.append(f"a voter goes by list of members {agent.queries.behind}, which is later than its own")
+    return doubts
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -1,249 +1,329 @@
-"""A keeper's grants, on disk before they are said: in place of `replication.onfile` where there is a store.
+"""A replica's grants, on disk before they are sent: replaces `GrantLogStorage` where there is a store.
 
-All that comes to the keeper's shelf is kept. What says 'granted', and a call of this front end's own that may
-go by its own keeper's grant, waits for a ticket; all else goes at once. A grant whose ticket ends unsure is
-never said, and stands in the way of others as if it had been: it may be found on the disk later.
+All that comes to the replica's claim store is stored. A reply that says 'granted', and a call of this front
+end's own that may run by its own replica's grant, wait for a commit ticket; all else goes at once. A grant
+whose ticket ends unsure is never sent, and still rejects others as if it had been: it may be found on the
+disk later.
 """
 
 import contextlib
 import heapq
+from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 import msgspec
 
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import StateKind, TrustLevel
+from fawnwharf.recovery_service.stored_state import RecoveredPromise, TrustedEntry
 from fawnwharf.replication.call_owner import OwnerAction, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.grant_storage import without_grant
-from fawnwharf.replication.messages import Send, StateChunk
+from fawnwharf.replication.messages import ClaimReply, Send, StateChunk
+from fawnwharf.replication.replica import Replica
 
-SWEEP_MS = 1_000.0  # pace at which entries go whose time is over
+SWEEP_MS = 1_000.0  # interval of deleting expired entries
 OTHER_BOOT_AGE_MS = 3_000_000.0  # age of what another boot wrote: nobody knows how long the machine was down
+UNCERTAIN = -1  # as the stored list: it has to be written again
 
 Later = Callable[[list[OwnerAction]], None]
-Note = Callable[[str, dict[str, Any]], None]
 
 
 class PromiseStore(Protocol):
-    """The store, as it is used here: `onstore.Kept`."""
+    """The store, as it is used here: `RecoveryStore`."""
 
-    sure: int
-    why: str
+    known_list: int
+    doubt: str
 
     @property
-    def failing(self) -> str: ...
-    def read(self, kind: StateKind) -> list[tuple[str, Any, TrustLevel]]: ...
-    def dropped(self, kind: StateKind) -> None: ...
-    def keep(self, kind: StateKind, key: str, value: Any | None) -> bool: ...
-    def keep_sure(self, members: int) -> None: ...
-    def on_disk(self, told: Callable[[bool, str], None]) -> None: ...
-    def doubt(self, why: str) -> None: ...
-    def on_doubt(self, tell: Callable[[], None]) -> None: ...
+    def failing(self) -> str:
+        """Why nothing is durable now; empty: it is."""
+
+    def read(self, kind: StateKind) -> list[TrustedEntry]:
+        """What was found of a kind."""
+
+    def release(self, kind: StateKind) -> None:
+        """Free what was found of a kind."""
+
+    def keep(self, kind: StateKind, key: str, value: Any | None) -> bool:
+        """Store an entry; False where it is rejected."""
+
+    def keep_known_list(self, number: int) -> None:
+        """Store by which list of members the replica knows all that it granted."""
+
+    def when_committed(self, callback: Callable[[bool, str], None]) -> None:
+        """Have this called once all that was stored before is on disk."""
+
+    def mark_incomplete(self, reason: str) -> None:
+        """Take the store for incomplete."""
+
+    def on_incomplete(self, callback: Callable[[], None]) -> None:
+        """Have this called whenever the store turns out to be incomplete."""
+
+
+class CommitEvent(StrEnum):
+    """What is counted of stored promises."""
+
+    REJECTED = "rejected by the store"
+    COMMITTED = "on disk"
+    UNSURE = "unsure"
+
+
+class _StoredClaim(NamedTuple):
+    claim: Claim
+    until_ms: float
 
 
 @dataclass(slots=True, eq=False)
 class _PendingCommit:
-    """What waits for one ticket: effects in their order, and the own calls whose grants it tells of."""
+    """What waits for one ticket: effects in their order, and the own calls whose grants it has."""
+
+    effects: list[OwnerAction] = field(default_factory=list)
+    own_calls: dict[str, int] = field(default_factory=dict)  # number of the claim request, by key
+
 
-    held: list[OwnerAction] = field(default_factory=list)
-    own: dict[str, int] = field(default_factory=dict)  # call -> number of the ask
+class _OpenCall(NamedTuple):
+    """An own call whose grant is not on disk yet."""
+
+    request_number: int
+    commit: _PendingCommit
 
 
 class StoredPromises:
-    """Owns what of a keeper's shelf is in the store, and what waits until it is on disk."""
-
-    def __init__(
-        self, kept: PromiseStore, core: ReplicationCore, note: Note, folder: Path | None = None
-    ) -> None:
-        """What this keeper granted before is on its shelf then, and it grants at once where it is sure that
-        this is all. `folder`: where a life without a store would have left a file; one that is there makes
-        the store one in part."""
-        self._kept, self._core, self._note = kept, core, note
-        self._entries: dict[str, tuple[Claim, float]] = {}  # by name, and until when
-        self._ends: list[tuple[float, str]] = []
-        self._open: dict[
-            str, tuple[int, _PendingCommit]
-        ] = {}  # own calls whose grants wait: ask, and for what
-        self._shy: _PendingCommit | None = None  # until it is on disk that this keeper knows not all
-        self._sweep_ms = 0.0
-        self._lacks_ms = 0.0  # until when a claim counts that the shelf has and the store could not take
-        self.counts: dict[str, int] = {}
-        kept.on_doubt(self._doubted)
-        self._files_aside(folder)
-        now, shelf = monotonic_ms(), core.replica.claim_store
-        room = self._found(now)
-        self._sure_kept = kept.sure
-        trusted = room and kept.sure == core.placement.number
+    """Owns what of a replica's claim store is in the recovery store, and what waits until it is on disk."""
+
+    def __init__(self, store: PromiseStore, core: ReplicationCore, folder: Path | None = None) -> None:
+        """Restore the claim store; the replica grants at once where this is all it granted for certain.
+
+        `folder` is where an incarnation without a recovery store would have left a file; one that is there
+        makes the store incomplete.
+        """
+        self._store = store
+        self._core = core
+        self._replica = _replica_of(core)
+        self._claims: dict[str, _StoredClaim] = {}  # by entry
+        self._expiry: list[tuple[float, str]] = []  # heap
+        self._open_calls: dict[str, _OpenCall] = {}
+        self._incomplete_commit: _PendingCommit | None = None  # until it is on disk that not all is known
+        self._sweep_due_ms = 0.0
+        self._unstored_until_ms = 0.0  # until then a claim counts that the recovery store rejected
+        self.counts = Counter[CommitEvent]()
+        store.on_incomplete(self._store_incomplete)
+        self._move_files_aside(folder)
+        restored_all = self._restore(monotonic_ms())
+        self._stored_list = store.known_list
+        trusted = restored_all and store.known_list == core.placement.number
         if trusted:
-            core.replica.mark_complete()
-        shelf.unwritten = []
-        self.summary = {"calls": len(shelf.calls), "trusted": trusted, "why": kept.why}
+            self._replica.mark_complete()
+        claims = self._replica.claim_store
+        claims.unwritten = []
+        self.summary = {"calls": len(claims.calls), "trusted": trusted, "why": store.doubt}
 
-    def _files_aside(self, folder: Path | None) -> None:
-        """Guards against lives without the store in between: what they granted it does not know."""
+    def _move_files_aside(self, folder: Path | None) -> None:
+        """Guard against incarnations without the store in between: what they granted is not in it."""
         files = sorted(folder.glob("keeper-*.log")) if folder is not None else []
         if not files:
             return
-        self._kept.doubt("a life without the store")
+        self._store.mark_incomplete("a life without the store")
 
-        def told(on_disk: bool, _why: str) -> None:
+        def committed(on_disk: bool, _reason: str) -> None:
             for path in files if on_disk else ():
                 with contextlib.suppress(OSError):
                     path.rename(path.with_suffix(".aside"))
 
-        self._kept.on_disk(told)
-
-    def _found(self, now_ms: float) -> bool:
-        """What was kept, on the shelf; False: not all had room there."""
-        shelf, room = self._core.replica.claim_store, True
-        for name, value, trusted in self._kept.read(StateKind.PROMISE):
-            if trusted is not TrustLevel.NOW:
-                continue
-            left_ms, since_ms, age_ms, data = value
-            claim, key = msgspec.convert(data, Claim), name.split("/", 2)[2]
-            age_ms = OTHER_BOOT_AGE_MS if since_ms is None else min(OTHER_BOOT_AGE_MS, age_ms + since_ms)
-            if since_ms is None:  # from now on it counts by this boot's clock
-                self._kept.keep(StateKind.PROMISE, name, [left_ms, age_ms, claim])
-            if (entry := shelf.get_or_create(now_ms, key)) is None:
-                room = False
-                continue
-            shelf.merge(now_ms, key, entry, claim, left_ms)
-            entry.created_ms = min(entry.created_ms, now_ms - age_ms)
-            self._entries[name] = claim, now_ms + left_ms
-            heapq.heappush(self._ends, (now_ms + left_ms, name))
-        self._kept.dropped(StateKind.PROMISE)
-        return room
-
-    def _doubted(self) -> None:
-        """The store turned out to be in part while this keeper goes by it."""
-        self._sure_kept = 0
-        self._core.replica.mark_incomplete(monotonic_ms())
-
-    def close(self) -> None: ...
-
-    # --- what is kept ---------------------------------------------------------------------------
+        self._store.when_committed(committed)
+
+    def _restore(self, now_ms: float) -> bool:
+        """Put what was stored into the claim store; False: it had no capacity for all."""
+        restored_all = True
+        for entry in self._store.read(StateKind.PROMISE):
+            if entry.trust is TrustLevel.NOW:
+                restored_all &= self._restore_claim(now_ms, entry.key, RecoveredPromise(*entry.value))
+        self._store.release(StateKind.PROMISE)
+        return restored_all
+
+    def _restore_claim(self, now_ms: float, name: str, promise: RecoveredPromise) -> bool:
+        claim = msgspec.convert(promise.claim, Claim)
+        key = name.split("/", 2)[2]
+        age_ms = OTHER_BOOT_AGE_MS
+        if promise.since_ms is not None:
+            age_ms = min(OTHER_BOOT_AGE_MS, promise.age_ms + promise.since_ms)
+        else:  # from now on it counts by this boot's clock
+            self._store.keep(StateKind.PROMISE, name, [promise.remaining_ms, age_ms, claim])
+        claims = self._replica.claim_store
+        entry = claims.get_or_create(now_ms, key)
+        if entry is None:
+            return False
+        claims.merge(now_ms, key, entry, claim, promise.remaining_ms)
+        entry.created_ms = min(entry.created_ms, now_ms - age_ms)
+        self._note_stored(name, claim, now_ms + promise.remaining_ms)
+        return True
+
+    def _note_stored(self, name: str, claim: Claim, until_ms: float) -> None:
+        self._claims[name] = _StoredClaim(claim, until_ms)
+        heapq.heappush(self._expiry, (until_ms, name))
+
+    def _store_incomplete(self) -> None:
+        """Have the replica learn again, as the store turned out to be incomplete."""
+        self._stored_list = 0
+        self._replica.mark_incomplete(monotonic_ms())
+
+    def close(self) -> None:
+        """Close nothing: the recovery store is closed by its owner."""
+
+    # --- what is stored -------------------------------------------------------------------------
 
     def _keep(self, now_ms: float, key: str, claim: Claim, until_ms: float) -> bool:
+        """Store a claim, without its answer where there is no room for it; False where it is rejected."""
         name = f"{claim.owner}/{claim.request_number}/{key}"
-        if self._entries.get(name) == (claim, until_ms):
+        if self._claims.get(name) == (claim, until_ms):
             return True
-        entry = self._core.replica.claim_store.calls.get(key)
+        entry = self._replica.claim_store.calls.get(key)
         age_ms = now_ms - entry.created_ms if entry is not None else 0.0
         value = [round(until_ms - now_ms, 1), round(age_ms, 1), claim]
-        if not self._kept.keep(StateKind.PROMISE, name, value):
-            self._count("not kept")
+        if not self._store.keep(StateKind.PROMISE, name, value):
+            self.counts[CommitEvent.REJECTED] += 1
             if claim.answer is None:
                 return False
             value[2] = msgspec.structs.replace(claim, answer=None)
-            if not self._kept.keep(StateKind.PROMISE, name, value):
+            if not self._store.keep(StateKind.PROMISE, name, value):
                 return False
-        self._entries[name] = claim, until_ms
-        heapq.heappush(self._ends, (until_ms, name))
+        self._note_stored(name, claim, until_ms)
         return True
 
     def _sweep(self, now_ms: float) -> None:
-        """What is over goes."""
-        if now_ms < self._sweep_ms:
+        """Delete expired entries."""
+        if now_ms < self._sweep_due_ms:
             return
-        self._sweep_ms = now_ms + SWEEP_MS
-        while self._ends and self._ends[0][0] <= now_ms:
-            _, name = heapq.heappop(self._ends)
-            found = self._entries.get(name)
-            if found is not None and found[1] <= now_ms:  # else it counts for longer by now
-                del self._entries[name]
-                self._kept.keep(StateKind.PROMISE, name, None)
-
-    def _keep_sure(self, now_ms: float) -> None:
-        """Whether this keeper knows all, and would after a restart, where that has changed. That it does not
-        is on disk before another keeper hears anything that rests on it."""
-        keeper = self._core.replica
-        keeper.storage_failed = False
-        whole = now_ms >= self._lacks_ms
-        sure = self._core.placement.number if whole and keeper.is_complete(now_ms) else 0
-        keeper.storage_failed = bool(self._kept.failing)  # nothing more is granted meanwhile
-        if sure == self._sure_kept:
-            return
-        self._sure_kept = sure
-        self._kept.keep_sure(sure)
-        self._shy = None if sure else self._shy or _PendingCommit()
+        self._sweep_due_ms = now_ms + SWEEP_MS
+        while self._expiry and self._expiry[0][0] <= now_ms:
+            _, name = heapq.heappop(self._expiry)
+            stored = self._claims.get(name)
+            if stored is not None and stored.until_ms <= now_ms:  # else it counts for longer by now
+                del self._claims[name]
+                self._store.keep(StateKind.PROMISE, name, None)
+
+    def _keep_known_list(self, now_ms: float) -> None:
+        """Store whether this replica knows all its grants, and would after a restart, if that has changed.
 
-    def _count(self, cause: str) -> None:
-        self.counts[cause] = self.counts.get(cause, 0) + 1
+        That it does not is on disk before another replica receives anything that depends on it.
+        """
+        replica = self._replica
+        replica.storage_failed = False
+        stored_all = now_ms >= self._unstored_until_ms
+        known_list = self._core.placement.number if stored_all and replica.is_complete(now_ms) else 0
+        replica.storage_failed = bool(self._store.failing)  # nothing more is granted meanwhile
+        if known_list == self._stored_list:
+            return
+        self._stored_list = known_list
+        self._store.keep_known_list(known_list)
+        self._incomplete_commit = None if known_list else self._incomplete_commit or _PendingCommit()
 
-    # --- what may be said -----------------------------------------------------------------------
+    # --- what may be sent -----------------------------------------------------------------------
 
     def persist(self, effects: list[OwnerAction], later: Later) -> list[OwnerAction]:
-        """What may be said and done now; what rests on grants that are not on disk yet goes to `later` once
-        they are, or as it is without them."""
-        now, core = monotonic_ms(), self._core
-        shelf = core.replica.claim_store
-        rows, shelf.unwritten = shelf.unwritten, []
-        self._sweep(now)
-        batch, refused = _PendingCommit(), set()
-        for key, claim, until_ms in rows:
-            if not self._keep(now, key, claim, until_ms):
-                refused.add(key)
-                self._lacks_ms = max(self._lacks_ms, until_ms)
-            mine = core.call_owner.calls.get(key)
-            own = mine is not None and claim.claim_id == (core.owner_id, mine.request_number)
-            if own and mine.claim_required and claim.phase is ClaimPhase.GRANTED:
-                batch.own[key] = mine.request_number
-                self._open[key] = mine.request_number, batch
-        shy = self._shy
-        self._keep_sure(now)
-        found: list[OwnerAction] = []
-        for effect in effects:
-            if isinstance(effect, RunCall) and effect.claimed and effect.key in self._open:
-                core.call_owner.hold(effect.key)
-                self._open[effect.key][1].held.append(effect)
-            elif isinstance(effect, Send) and getattr(effect.message, "granted", False):
-                if effect.message.key in refused:
-                    found.append(without_grant(effect))
-                else:
-                    batch.held.append(effect)
-            elif (
-                isinstance(effect, Send) and isinstance(effect.message, StateChunk) and self._shy is not None
-            ):
-                self._shy.held.append(effect)
-            else:
-                found.append(effect)
-        if self._shy is not None and self._shy is not shy:
-            self._wait(self._shy, later)
-        for key in batch.own.keys() & refused:
-            self._open.pop(key)
-            found += core.revoke_grant(now, key, batch.own.pop(key))
-        if batch.held or batch.own:
-            self._wait(batch, later)
-        return found
-
-    def _wait(self, batch: _PendingCommit, later: Later) -> None:
-        self._kept.on_disk(lambda on_disk, why: self._told(batch, on_disk, later))
-
-    def _told(self, batch: _PendingCommit, on_disk: bool, later: Later) -> None:
-        now, core = monotonic_ms(), self._core
-        if self._shy is batch:
-            self._shy = None
+        """What may be sent and done now.
+
+        What depends on grants that are not on disk yet goes to `later` once they are, or as it is without
+        them.
+        """
+        now_ms = monotonic_ms()
+        self._sweep(now_ms)
+        commit = _PendingCommit()
+        rejected = self._keep_unwritten(now_ms, commit)
+        incomplete_before = self._incomplete_commit
+        self._keep_known_list(now_ms)
+        ready = [effect for effect in effects if not self._hold_back(effect, commit, rejected)]
+        ready = [self._without_rejected(effect, rejected) for effect in ready]
+        if self._incomplete_commit is not None and self._incomplete_commit is not incomplete_before:
+            self._wait(self._incomplete_commit, later)
+        for key in commit.own_calls.keys() & rejected:
+            self._open_calls.pop(key)
+            ready += self._core.revoke_grant(now_ms, key, commit.own_calls.pop(key))
+        if commit.effects or commit.own_calls:
+            self._wait(commit, later)
+        return ready
+
+    def _keep_unwritten(self, now_ms: float, commit: _PendingCommit) -> set[str]:
+        """Store the claims that are new; return the keys of those that were rejected."""
+        claims = self._replica.claim_store
+        unwritten, claims.unwritten = claims.unwritten or [], []
+        rejected: set[str] = set()
+        for key, claim, until_ms in unwritten:
+            if not self._keep(now_ms, key, claim, until_ms):
+                rejected.add(key)
+                self._unstored_until_ms = max(self._unstored_until_ms, until_ms)
+            call = self._core.call_owner.calls.get(key)
+            is_own = call is not None and claim.claim_id == (self._core.owner_id, call.request_number)
+            if call is not None and is_own and call.claim_required and claim.phase is ClaimPhase.GRANTED:
+                commit.own_calls[key] = call.request_number
+                self._open_calls[key] = _OpenCall(call.request_number, commit)
+        return rejected
+
+    def _hold_back(self, effect: OwnerAction, commit: _PendingCommit, rejected: set[str]) -> bool:
+        """Have an effect wait for its ticket, where it needs one."""
+        if isinstance(effect, RunCall):
+            if not effect.claimed or effect.key not in self._open_calls:
+                return False
+            self._core.call_owner.hold(effect.key)
+            self._open_calls[effect.key].commit.effects.append(effect)
+            return True
+        if not isinstance(effect, Send):
+            return False
+        message = effect.message
+        if isinstance(message, ClaimReply) and message.granted:
+            if message.key in rejected:
+                return False
+            commit.effects.append(effect)
+            return True
+        if isinstance(message, StateChunk) and self._incomplete_commit is not None:
+            self._incomplete_commit.effects.append(effect)
+            return True
+        return False
+
+    @staticmethod
+    def _without_rejected(effect: OwnerAction, rejected: set[str]) -> OwnerAction:
+        if not isinstance(effect, Send) or not isinstance(effect.message, ClaimReply):
+            return effect
+        is_rejected = effect.message.granted and effect.message.key in rejected
+        return without_grant(effect) if is_rejected else effect
+
+    def _wait(self, commit: _PendingCommit, later: Later) -> None:
+        self._store.when_committed(lambda on_disk, _reason: self._committed(commit, on_disk, later))
+
+    def _committed(self, commit: _PendingCommit, on_disk: bool, later: Later) -> None:
+        now_ms = monotonic_ms()
+        if self._incomplete_commit is commit:
+            self._incomplete_commit = None
             if not on_disk:
-                self._sure_kept = -1  # once more
-        for key in batch.own:
-            if (held := self._open.get(key)) is not None and held[1] is batch:
-                del self._open[key]
-        self._count("on disk" if on_disk else "unsure")
-        found: list[OwnerAction] = []
-        for effect in batch.held:
-            if isinstance(effect, RunCall):
-                if on_disk and core.call_owner.release(effect.key, batch.own.get(effect.key, 0)):
-                    found.append(effect)
-            elif on_disk:
-                found.append(effect)
-            elif not isinstance(effect.message, StateChunk):  # pieces are wanted again
-                found.append(without_grant(effect))
+                self._stored_list = UNCERTAIN
+        for key in commit.own_calls:
+            call = self._open_calls.get(key)
+            if call is not None and call.commit is commit:
+                del self._open_calls[key]
+        self.counts[CommitEvent.COMMITTED if on_disk else CommitEvent.UNSURE] += 1
+        effects = [effect for effect in commit.effects if self._may_go(effect, commit, on_disk)]
         if not on_disk:
-            for key, ask in batch.own.items():
-                found += core.revoke_grant(now, key, ask)
-        later(found)
+            effects = [without_grant(effect) for effect in effects]
+            for key, number in commit.own_calls.items():
+                effects += self._core.revoke_grant(now_ms, key, number)
+        later(effects)
+
+    def _may_go(self, effect: OwnerAction, commit: _PendingCommit, on_disk: bool) -> bool:
+        """Whether an effect that waited is carried out, be it without its grant."""
+        if isinstance(effect, RunCall):
+            return on_disk and self._core.call_owner.release(effect.key, commit.own_calls.get(effect.key, 0))
+        # Chunks that are not sent are requested again.
+        return on_disk or not (isinstance(effect, Send) and isinstance(effect.message, StateChunk))
+
+
+def _replica_of(core: ReplicationCore) -> Replica:
+    """The replica of a front end that has one; raises ValueError where it has none."""
+    if core.replica is None:
+        raise ValueError(f"{core.name}: promises are stored where there is a replica")
+    return core.replica
--- a/fawnwharf/recovery_service/stored_state.py
+++ b/fawnwharf/recovery_service/stored_state.py
@@ -1,12 +1,14 @@
-"""What a front end keeps in its store, and what a start makes of what it finds there. Pure.
+"""What a front end keeps in its recovery store, and what a start recovers of what it finds there. Pure.
 
 Every entry bears the clock's reading at which it was put. All kinds are `soon` or `hint` for the store: what
-is to be on disk before it is said has its ticket from an entry put after it, as a log is there up to some
-group and no further. So one ticket serves all of a turn, and nothing is refused because the disk fails.
+has to be on disk before it is reported gets its commit ticket from an entry that is put after it, as a log is
+there up to some group and no further. So one ticket serves a whole iteration of the loop, and nothing is
+rejected because the disk fails.
 """
 
 import hashlib
-from typing import Any, NamedTuple
+from collections.abc import Mapping
+from typing import Any, Literal, NamedTuple
 
 import msgspec
 
@@ -27,18 +29,21 @@
     trust_level,
 )
 
+Mode = Literal["synced", "soon", "hint"]
+
 
 class EntryRule(NamedTuple):
-    """One kind's name in the store, its mode, and its bounds: entries, bytes of one, bytes of all."""
+    """One kind's name in the store, its mode, and its bounds."""
 
     name: str
-    mode: str
-    most: int
-    value_bytes: int
-    all_bytes: int
+    mode: Mode
+    max_entries: int
+    max_value_bytes: int
+    max_total_bytes: int
 
 
-# 'Where copies stood' and 'load counts' are hardly ever more than gone, and terms are in the voters' file.
+# Kinds without a rule: 'where copies were' and 'load counts' would hardly ever be recent enough, and terms
+# are in the voters' file.
 ENTRY_RULES = {
     StateKind.PROMISE: EntryRule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
     StateKind.PLAN: EntryRule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
@@ -47,22 +52,26 @@
     StateKind.ROSTER: EntryRule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
     StateKind.USE: EntryRule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
 }
-START, DOUBT, COMPLETE, COMMIT_TICKET = "start", "doubt", "sure", "turn"  # the store's own, one entry each
-LAST = "last"
+# The store's own kinds, one entry each.
+START = "start"
+DOUBT = "doubt"
+COMPLETE = "sure"
+COMMIT_TICKET = "turn"
+LAST = "last"  # key of a kind's only entry
 STORE_KINDS = [
-    f.EntryKind(rule.name, rule.mode, rule.most, rule.value_bytes) for rule in ENTRY_RULES.values()
+    f.EntryKind(rule.name, rule.mode, rule.max_entries, rule.max_value_bytes) for rule in ENTRY_RULES.values()
 ] + [
-    # A store that is full must not forget that it is in part, nor refuse the ticket of what it took.
+    # A store that is full must not forget that it is incomplete, nor reject the ticket of what it took.
     f.EntryKind(START, f.SOON, 1, 256, reserved=True),
     f.EntryKind(DOUBT, f.SOON, 1, 4_096, reserved=True),
     f.EntryKind(COMPLETE, f.SOON, 1, 64, reserved=True),
     f.EntryKind(COMMIT_TICKET, f.SYNCED, 1, 64, reserved=True),
 ]
-MAX_REASON_LENGTH = 500  # characters of a cause, of six bytes at the most as JSON
+MAX_REASON_LENGTH = 500  # characters of a reason, each of at most six bytes as JSON
 
 
 class StampedEntry(msgspec.Struct, frozen=True, array_like=True):
-    """An entry as it is in the store. `boot`: the mark's digest, as it stands in each of them."""
+    """An entry as it is in the store; `boot` is the digest of the boot id, as each entry has it."""
 
     boot: str
     mono_ms: float
@@ -71,68 +80,108 @@
 
     @property
     def clock(self) -> ClockReading:
+        """The clock's reading at which it was put."""
         return ClockReading(self.boot, self.mono_ms, self.wall_ms)
 
 
 class RecoveredEntry(NamedTuple):
+    """One entry that was found."""
+
     key: str
     value: Any
     age: StateAge
 
 
+class TrustedEntry(NamedTuple):
+    """One entry that was found, and how far it may be used."""
+
+    key: str
+    value: Any
+    trust: TrustLevel
+
+
+class RecoveredPromise(NamedTuple):
+    """The value of a promise's entry; the times are those that the store adds."""
+
+    remaining_ms: float  # at the start
+    since_ms: float | None  # for how long it had been stored at the start; None where another boot wrote it
+    age_ms: float  # when it was stored
+    claim: Any
+
+
+class EntryKey(NamedTuple):
+    """An entry's place in the store."""
+
+    kind: str
+    key: str
+
+
 class RecoveredState(NamedTuple):
-    """What a folder is found to be. `doubt`: why the store is in part, empty: it is whole; `new`: no life
-    before this one knew of that, so that what a keeper knew of itself counts no more. `number`: that the life
-    before was known by."""
+    """What a folder is found to be."""
 
-    number: int
+    incarnation: int  # that the one before was known by
     same_boot: bool
-    in_order: bool
-    doubt: str
-    new: bool
-    sure: int  # the list of members by which the keeper knew all that it had granted; 0: it did not
-    rows: dict[StateKind, list[RecoveredEntry]]
-    old: list[tuple[str, str]]  # what is over or can't be read: it goes
+    ended_in_order: bool
+    doubt: str  # why the store is incomplete; empty: it is complete
+    is_new_doubt: (
+        bool  # no earlier incarnation knew of it, so that what a replica knew of itself counts no more
+    )
+    known_list: int  # the list of members by which the replica knew all that it had granted; 0: it did not
+    entries: dict[StateKind, list[RecoveredEntry]]
+    obsolete: list[EntryKey]  # what is over or can't be read, to be deleted
 
 
-def boot_digest(mark: str) -> str:
-    """A boot's mark as entries bear it; one that the system does not tell stays empty."""
-    return hashlib.blake2b(mark.encode(), digest_size=6).hexdigest() if mark else ""
+def boot_digest(boot: str) -> str:
+    """A boot id as entries bear it; empty where the system has none."""
+    return hashlib.blake2b(boot.encode(), digest_size=6).hexdigest() if boot else ""
 
 
 def encode_entry(clock: ClockReading, value: Any) -> bytes:
+    """An entry's bytes, with the time at which it is put."""
     return msgspec.json.encode(
         StampedEntry(clock.boot, round(clock.mono_ms, 1), float(round(clock.wall_ms)), value)
     )
 
 
 def recover_state(
-    found: folder_reader.FolderState, now: ClockReading, fresh: bool, spans: AgeSettings
+    found: folder_reader.FolderState, now: ClockReading, limits: AgeSettings, *, fleet_is_new: bool
 ) -> RecoveredState:
-    """`now`: of this start, its boot as `short` has it. `fresh`: nobody in the fleet has promised anything,
-    so that an empty folder has lost nothing."""
-    entries, same, number = found.entries, False, 0
-    if (data := entries.get((START, LAST))) is not None and (last := _decode_entry(data)) is not None:
-        same = same_boot(last.clock, now)
-        number = last.value if type(last.value) is int else 0
-    rows: dict[StateKind, list[RecoveredEntry]] = {}
-    old, faulty = [], ""
-    by_name = {rule.name: kind for kind, rule in ENTRY_RULES.items()}
-    for (name, key), data in entries.items():
-        if (kind := by_name.get(name)) is None:
+    """Evaluate what a folder has.
+
+    `now` is of this start, its boot as `boot_digest` has it. `fleet_is_new` is whether nobody in the fleet
+    has promised anything, so that an empty folder has lost nothing.
+    """
+    last_start = _decode_entry(found.entries.get((START, LAST), b""))
+    is_same_boot = last_start is not None and same_boot(last_start.clock, now)
+    incarnation = last_start.value if last_start is not None and type(last_start.value) is int else 0
+    entries: dict[StateKind, list[RecoveredEntry]] = {}
+    obsolete: list[EntryKey] = []
+    unreadable = ""
+    kinds = {rule.name: kind for kind, rule in ENTRY_RULES.items()}
+    for (name, key), data in found.entries.items():
+        kind = kinds.get(name)
+        if kind is None:
             continue
-        row = _recover_entry(kind, key, data, now, spans)
-        if row is None:
-            faulty = faulty or f"{name}: an entry that can't be read"
-        if row is None or _trust(kind, row.age, same, found.ended, StoreCondition.WHOLE) is TrustLevel.GONE:
-            old.append((name, key))
+        entry = _recover_entry(kind, key, data, now, limits)
+        if entry is None:
+            unreadable = unreadable or f"{name}: an entry that can't be read"
+            obsolete.append(EntryKey(name, key))
+        elif _trust(kind, entry.age, is_same_boot, found.ended, StoreCondition.WHOLE) is TrustLevel.GONE:
+            obsolete.append(EntryKey(name, key))
         else:
-            rows.setdefault(kind, []).append(row)
-    before = _stored_doubt(entries, DOUBT)
-    doubt = faulty or _folder_doubt(found, fresh) or before
-    new = bool(doubt) and (bool(faulty) or doubt != before)
+            entries.setdefault(kind, []).append(entry)
+    known_doubt = _stored_doubt(found.entries)
+    doubt = unreadable or _folder_doubt(found, fleet_is_new=fleet_is_new) or known_doubt
+    is_new_doubt = bool(doubt) and (bool(unreadable) or doubt != known_doubt)
     return RecoveredState(
-        number, same, found.ended, doubt, new, 0 if new else _stored_complete_list(entries), rows, old
+        incarnation,
+        is_same_boot,
+        found.ended,
+        doubt,
+        is_new_doubt,
+        0 if is_new_doubt else _stored_known_list(found.entries),
+        entries,
+        obsolete,
     )
 
 
@@ -144,53 +193,58 @@
 
 
 def _recover_entry(
-    kind: StateKind, key: str, data: bytes, now: ClockReading, spans: AgeSettings
+    kind: StateKind, key: str, data: bytes, now: ClockReading, limits: AgeSettings
 ) -> RecoveredEntry | None:
-    """None where it is none. What is kept of a promise is a list that begins with how long it counts; it is
-    read with what is left of that, and since when it stands, None where another boot wrote it."""
-    if (found := _decode_entry(data)) is None:
+    """An entry and its age; None where it can't be read.
+
+    A promise is stored as a list that begins with how long it counts. It is read with what is left of that,
+    and for how long it was stored, None where another boot wrote it.
+    """
+    entry = _decode_entry(data)
+    if entry is None:
         return None
     if kind is not StateKind.PROMISE:
-        return RecoveredEntry(key, found.value, age_of(kind, found.clock, now, spans.of(kind)))
-    value = found.value
+        return RecoveredEntry(key, entry.value, age_of(kind, entry.clock, now, limits.of(kind)))
+    value = entry.value
     if not isinstance(value, list) or not value or not isinstance(value[0], int | float):
         return None
-    left = remaining_ms(found.clock, now, value[0])
-    since = now.mono_ms - found.mono_ms if same_boot(found.clock, now) else None
-    return RecoveredEntry(
-        key, [left, since, *value[1:]], age_of(kind, found.clock, now, AgeLimits(value[0], value[0]))
-    )
+    left_ms = remaining_ms(entry.clock, now, value[0])
+    since_ms = now.mono_ms - entry.mono_ms if same_boot(entry.clock, now) else None
+    age = age_of(kind, entry.clock, now, AgeLimits(value[0], value[0]))
+    return RecoveredEntry(key, [left_ms, since_ms, *value[1:]], age)
 
 
-def _folder_doubt(found: folder_reader.FolderState, fresh: bool) -> str:
+def _folder_doubt(found: folder_reader.FolderState, *, fleet_is_new: bool) -> str:
     """What the folder itself says against it."""
     if found.repaired:
         return f"repaired: {found.repaired}"[:MAX_REASON_LENGTH]
-    return "empty" if found.fresh and not fresh else ""
+    return "empty" if found.fresh and not fleet_is_new else ""
 
 
-def _stored_doubt(entries: f.Entries, name: str) -> str:
-    if (data := entries.get((name, LAST))) is None:
+def _stored_doubt(entries: Mapping[f.EntryKey, bytes]) -> str:
+    data = entries.get((DOUBT, LAST))
+    if data is None:
         return ""
-    found = _decode_entry(data)
-    return str(found.value) if found is not None else "a doubt that can't be read"
+    entry = _decode_entry(data)
+    return str(entry.value) if entry is not None else "a doubt that can't be read"
 
 
-def _stored_complete_list(entries: f.Entries) -> int:
-    found = _decode_entry(entries.get((COMPLETE, LAST), b""))
-    return found.value if found is not None and isinstance(found.value, int) else 0
+def _stored_known_list(entries: Mapping[f.EntryKey, bytes]) -> int:
+    entry = _decode_entry(entries.get((COMPLETE, LAST), b""))
+    return entry.value if entry is not None and isinstance(entry.value, int) else 0
 
 
-def _trust(kind: StateKind, age: StateAge, same: bool, in_order: bool, store: StoreCondition) -> TrustLevel:
-    return trust_level(StoredState(kind, age, in_order, same, store=store))
+def _trust(
+    kind: StateKind, age: StateAge, is_same_boot: bool, ended_in_order: bool, condition: StoreCondition
+) -> TrustLevel:
+    return trust_level(StoredState(kind, age, ended_in_order, is_same_boot, store=condition))
 
 
-def read_entries(
-    start: RecoveredState, kind: StateKind, store: StoreCondition
-) -> list[tuple[str, Any, TrustLevel]]:
-    """What was found of a kind, by the table, as the store is held to be now."""
-    return [
-        (row.key, row.value, held)
-        for row in start.rows.get(kind, ())
-        if (held := _trust(kind, row.age, start.same_boot, start.in_order, store)) is not TrustLevel.GONE
-    ]
+def read_entries(state: RecoveredState, kind: StateKind, condition: StoreCondition) -> list[TrustedEntry]:
+    """What was found of a kind, with its trust level by the store's condition now."""
+    trusted = []
+    for entry in state.entries.get(kind, ()):
+        trust = _trust(kind, entry.age, state.same_boot, state.ended_in_order, condition)
+        if trust is not TrustLevel.GONE:
+            trusted.append(TrustedEntry(entry.key, entry.value, trust))
+    return trusted
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -70,7 +70,7 @@
         from fawnwharf.recovery_service.recovery_store import open_recovery_store
 
         makers["kept"] = lambda first, made, place=place: open_recovery_store(
-            deployment, place, files["state"], write, fresh and first
+            deployment, place, files["state"], write, fleet_is_new=fresh and first
         )
     if place := files.get("state"):
         from fawnwharf.replication.service import ReplicationService
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -2,26 +2,27 @@
 
 One process and its loop, asks at an even pace, each call answered once it is granted."""
 
-import json
-import statistics
-import sys
-import tempfile
-import time
-from pathlib import Path
-
-import msgspec
-
 from fawnwharf.durable_store.file_format import StoreLimits
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.recovery_store import RecoveryStore
+from fawnwharf.recovery_service.recovery_store import RecoveryStoreSettings
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.grant_log import BOOT_ID
 from fawnwharf.replication.grant_storage import GrantLogStorage
 from fawnwharf.replication.settings import ReplicationSettings
 from fawnwharf.testbed.promises import fleet_file
+from pathlib import Path
+import json
+import msgspec
+import statistics
+import sys
+import tempfile
+import time
+
 
 MEMBERS = fleet_file("abc")
 ANSWER = "QUJD" * 50
@@ -37,9 +38,8 @@
     loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
     kept = None
     if kind == "store":
-        kept = RecoveryStore(
-            folder, "f", "n0", str(BOOT_ID), StoreLimits(), lambda what, more: None, fresh=True
-        )
+        settings = RecoveryStoreSettings(folder, "f", "n0", str(BOOT_ID), StoreLimits())
+        kept = RecoveryStore(settings, lambda what, more: None, fleet_is_new=True)
         disk = kept.open_grant_storage(core, None)
         kept.attach(loop)
         while not kept.settled:
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -218,9 +218,9 @@
         ],
         [None, migrations.Step.SWITCHED, migrations.Step.SETTLED, migrations.Step.RELEASED],
         [
-            permit_messages.DelegatedLoadResult.NOT,
+            permit_messages.DelegatedLoadResult.NOT_MADE,
             permit_messages.DelegatedLoadResult.MADE,
-            permit_messages.DelegatedLoadResult.STANDS,
+            permit_messages.DelegatedLoadResult.LOADED,
             permit_messages.DelegatedLoadResult.FAILED,
         ],
         [
--- a/tests/compatibility/test_compatibility_process.py
+++ b/tests/compatibility/test_compatibility_process.py
@@ -17,8 +17,13 @@
         assert front.site.served().verdict() == []
         for event in ("role", "plan"):
             front.site.until(lambda event=event: front.noted(process, event), f"it notes {event}")
-        stored = front.noted(process, "store read")[0]
-        assert (stored["life"], stored["same_boot"], stored["in_order"], stored["why"]) == (3, True, True, "")
+        stored = front.noted(process, "recovery store read")[0]
+        assert (stored["incarnation"], stored["same_boot"], stored["in_order"], stored["why"]) == (
+            3,
+            True,
+            True,
+            "",
+        )
         grants = front.noted(process, "disk read")[0]
         assert (grants["trusted"], grants["why"]) == (True, "")
         assert front.noted(process, "policy on")[0]["life"] > recorded_policy["life"]
@@ -26,7 +31,7 @@
         assert (role["role"], role["term"]) == ("leader", saves[-1]["term"] + 1)
         plan = front.noted(process, "plan")[0]
         assert (plan["index"], plan["zones"]) == (4, {"z1": "serving 1"})
-        assert not front.noted(process, "the store is in part")
+        assert not front.noted(process, "recovery store incomplete")
         assert front.end(process) == 0
         assert "fault in" not in process.log
     finally:
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -143,10 +143,10 @@
 def test_settings_reach_the_parts_that_go_by_them():
     """Values that are passed on under other names."""
     found = recovery.settings_from(msgspec.json.encode(raw("recovery")))
-    stages, data = found.timing.of_stages, raw("recovery")
+    stages, data = found.timing.of_phases, raw("recovery")
     assert (stages.listen_ms, stages.settle_ms) == (data["timing"]["listen_ms"], data["timing"]["settle_ms"])
     assert (stages.good, stages.slow) == (data["timing"]["good"], data["timing"]["slow"])
-    assert found.pace.of_asking.again_ms == data["pace"]["again_ms"]
+    assert found.pace.of_queries.again_ms == data["pace"]["again_ms"]
     data = raw("policy-settings")
     timing = policy.decode_settings(msgspec.json.encode(data)).timing
     assert (timing.lease_ms, timing.renew_ms, timing.skew) == (
--- a/tests/test_rejoin_door.py
+++ b/tests/recovery_service/test_recovery_service_admission.py
@@ -1,34 +1,45 @@
 """The door before the gate: one final answer each, advice that is honest, classes, repeats, tickets."""
 
-import base64
 from dataclasses import replace
-
-import pytest
-from hypothesis import given, settings
-from hypothesis import strategies as st
-from support.recovery_admission import CLASSES, LIMITS, WORTHS, Ground
-
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Failed, Refused, Served
+from fawnwharf.net.requests import Call
+from fawnwharf.net.requests import Failed
+from fawnwharf.net.requests import Refused
+from fawnwharf.net.requests import Served
 from fawnwharf.net.streams import Answer
 from fawnwharf.policy import Router
-from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
+from fawnwharf.recovery_core.phases import AllowedActions
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.phases import allowed_in_phase
+from fawnwharf.recovery_service.actions import CopyAvailable
+from fawnwharf.recovery_service.actions import SlowStartPermit
+from fawnwharf.recovery_service.claim_status import StoredClaims
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION, StoredClaims
+from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claim_gate import ClaimGate, call_key
-from fawnwharf.replication.claims import Claim, ClaimPhase
+from fawnwharf.replication.claim_gate import ClaimGate
+from fawnwharf.replication.claim_gate import call_key
+from fawnwharf.replication.claims import Claim
+from fawnwharf.replication.claims import ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.testbed.promises import fleet_file
+from hypothesis import given
+from hypothesis import settings
+from hypothesis import strategies as st
+from support.recovery_admission import CLASSES
+from support.recovery_admission import Ground
+from support.recovery_admission import LIMITS
+from support.recovery_admission import WORTHS
+import base64
+import pytest
 
 
 def test_in_calm_all_is_passed_on_as_it_comes():
     ground = Ground(RecoveryPhase.SPILL, rate_ps=0.0)
     key, got = ground.ask()
-    assert key == "r1" and got == [] and ground.giving.wanted == []
-    ground.door.withdraw(key)
-    assert ground.withdrawn == ["r1"] and not ground.door.busy
+    assert key == "r1" and got == [] and ground.issuer.wanted == []
+    ground.admission.withdraw(key)
+    assert ground.withdrawn == ["r1"] and not ground.admission.busy
 
 
 @pytest.mark.parametrize(
@@ -42,10 +53,10 @@
 )
 def test_classes_are_taken_by_their_stage_and_the_rest_is_refused_at_once(stage, passed):
     ground = Ground(stage)
-    ground.giving.places["f"] = 7
-    for kind in CLASSES:
-        key, got = ground.ask(kind)
-        assert (key is not None) == (kind in passed) == (got == [])
+    ground.issuer.places["f"] = 7
+    for class_name in CLASSES:
+        key, got = ground.ask(class_name)
+        assert (key is not None) == (class_name in passed) == (got == [])
         if got:
             assert isinstance(got[0], Refused) and 1_000.0 <= got[0].hold_off_ms <= LIMITS.retry_most_ms
     assert [call.class_name for call in ground.calls.values()] == passed
@@ -54,40 +65,42 @@
 def test_a_call_without_a_copy_is_wanted_and_refused_with_no_time_before_the_eta():
     ground = Ground()
     for eta_ms in (700.0, 1_500.0, 3_000.0):
-        ground.giving.etas["f"] = eta_ms
+        ground.issuer.etas["f"] = eta_ms
         advice = [ground.ask()[1][0].hold_off_ms for _ in range(20)]
         assert eta_ms <= min(advice) and max(advice) <= 1.25 * eta_ms + 1.0 and len(set(advice)) == 20
-    assert [row for row, *_ in ground.giving.wanted] == ["f"] * 60 and ground.giving.wanted[-1][1] > 1.0
-    ground.giving.etas["f"] = 9_000.0  # clients take no such advice
+    assert [function for function, *_ in ground.issuer.wanted] == ["f"] * 60 and ground.issuer.wanted[-1][
+        1
+    ] > 1.0
+    ground.issuer.etas["f"] = 9_000.0  # clients take no such advice
     assert 2_000.0 <= ground.ask()[1][0].hold_off_ms <= 4_000.0
 
 
 def test_where_clients_take_no_advice_none_is_given():
     ground = Ground(limits=replace(LIMITS, retry_most_ms=0.0))
-    ground.giving.etas["f"] = 2_000.0
+    ground.issuer.etas["f"] = 2_000.0
     assert ground.ask() == (None, [Refused(0.0)])
 
 
 def test_a_call_whose_copy_comes_within_its_promise_is_held_till_then_and_not_longer():
     ground = Ground()
-    ground.giving.etas["f"] = 300.0
+    ground.issuer.etas["f"] = 300.0
     key, got = ground.ask()
-    late_key, late = ground.ask(row="g")
-    assert key and ground.calls == {} and ground.door.busy
+    late_key, late = ground.ask(function="g")
+    assert key and ground.calls == {} and ground.admission.busy
     ground.pass_by(250.0)
-    ground.giving.places["f"] = 7
-    ground.door.told(CopyAvailable("f"))
+    ground.issuer.places["f"] = 7
+    ground.admission.notify(CopyAvailable("f"))
     [call] = ground.calls.values()
     assert call.budget_ms == pytest.approx(1_750.0)
     call.reply(Served(b"x"))
     assert got == [Served(b"x")]
-    ground.giving.etas["g"] = 800.0  # it takes longer than was said
+    ground.issuer.etas["g"] = 800.0  # it takes longer than was said
     ground.pass_by(WAIT_FRACTION * 1_000.0 - 250.0 - 8.0)
     assert late == []
     ground.pass_by(16.0)
-    assert late[0].hold_off_ms >= 800.0 and not ground.door.busy
-    ground.door.told(CopyAvailable("g"))
-    ground.door.withdraw(late_key)  # it crossed the answer: nothing is left to withdraw here
+    assert late[0].hold_off_ms >= 800.0 and not ground.admission.busy
+    ground.admission.notify(CopyAvailable("g"))
+    ground.admission.withdraw(late_key)  # it crossed the answer: nothing is left to withdraw here
     assert len(ground.calls) == 1
 
 
@@ -99,7 +112,7 @@
 
 def test_beyond_the_pace_each_gets_a_turn_of_its_own_and_the_classes_worth_most_keep_a_part():
     ground = Ground(rate_ps=20.0)  # a burst of ten
-    ground.giving.places["f"] = 7
+    ground.issuer.places["f"] = 7
     views = [ground.ask("view") for _ in range(12)]
     settles = [ground.ask("settle") for _ in range(12)]
     let = [sum(key is not None for key, _ in asked) for asked in (views, settles)]
@@ -110,28 +123,28 @@
 
 def test_a_call_to_a_cold_scorer_goes_by_its_ticket():
     ground = Ground()
-    ground.giving.places.update(f=7, g=8)
-    ground.giving.free = {7: None, 8: 200.0}
+    ground.issuer.places.update(f=7, g=8)
+    ground.issuer.free = {7: None, 8: 200.0}
     key, got = ground.ask()
-    assert ground.giving.asked == [key] and ground.calls == {}
+    assert ground.issuer.asked == [key] and ground.calls == {}
     other, left = ground.ask()
-    ground.door.withdraw(other)
-    assert ground.giving.asked == [key]
-    ground.door.told(SlowStartPermit(other, 0.0))
+    ground.admission.withdraw(other)
+    assert ground.issuer.asked == [key]
+    ground.admission.notify(SlowStartPermit(other, 0.0))
     assert ground.calls == {}
-    ground.door.told(SlowStartPermit(key, 0.0))
+    ground.admission.notify(SlowStartPermit(key, 0.0))
     assert len(ground.calls) == 1
-    ground.door.withdraw(key)
+    ground.admission.withdraw(key)
     ground.calls["r1"].reply(Served(b"crossed"))
     assert ground.withdrawn == ["r1"] and got == left == []
-    turn, got = ground.ask(row="g")  # not before a turn: it asks again then
+    turn, got = ground.ask(function="g")  # not before a turn: it asks again then
     ground.pass_by(150.0)
     assert len(ground.calls) == 1
-    ground.giving.free[8] = 0.0
+    ground.issuer.free[8] = 0.0
     ground.pass_by(60.0)
     assert len(ground.calls) == 2 and got == []
-    ground.giving.free[8] = 900.0
-    assert ground.ask(row="g")[1][0].hold_off_ms >= 900.0
+    ground.issuer.free[8] = 900.0
+    assert ground.ask(function="g")[1][0].hold_off_ms >= 900.0
 
 
 def test_calm_and_renewal_let_go_what_is_held_and_a_step_back_refuses_what_is_not_taken():
@@ -147,23 +160,23 @@
     ground.ask()
     other, left = ground.ask()
     ground.at_once = True
-    held = ground.door._held
-    held[next(iter(held))].reply = lambda outcome: ground.door.withdraw(other)
+    held = ground.admission._waiting
+    held[next(iter(held))].reply = lambda outcome: ground.admission.withdraw(other)
     ground.go_by(RecoveryPhase.SPILL)
-    assert len(ground.passed) == 1 and left == [] and not ground.door.busy
+    assert len(ground.passed) == 1 and left == [] and not ground.admission.busy
 
 
 def test_alone_only_what_stays_right_if_all_others_serve_too():
     class Asks:
-        repeat = staticmethod(lambda call: False)
-        asks = staticmethod(lambda name: True)
+        is_repeat = staticmethod(lambda call: False)
+        requires_grant = staticmethod(lambda name: True)
 
     may = AllowedActions(status=True, classes=frozenset(WORTHS), loads=True, part=0.3, alone=True)
     for promises, passed in ((Asks(), ["settle", "view"]), (None, ["view"])):
         ground = Ground(may, promises=promises)
-        ground.giving.places["f"] = 7
-        for kind in CLASSES:
-            ground.ask(kind)
+        ground.issuer.places["f"] = 7
+        for class_name in CLASSES:
+            ground.ask(class_name)
         assert [call.class_name for call in ground.calls.values()] == passed
         ground.pass_by(13_500.0)
         assert ground.ask("keyed")[0]  # no repeat from before can come any more
@@ -179,7 +192,7 @@
         self.wheel = self  # the gate's timers never ring here
         self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
         super().__init__(stage, promises=StoredClaims(self.gate, self.core))
-        self.door.below = self.gate
+        self.admission.sink = self.gate
 
     def after(self, delay_ms, callback):
         return type("Timer", (), {"cancel": lambda self: None})()
@@ -189,8 +202,20 @@
             if hasattr(effect, "key"):
                 self.gate.apply(effect)
 
-    def knows(self, kind, id, phase, answer=None):
-        call = Call(id, kind, "t", "f", 1.0, b"", "" if kind != "keyed" else id.hex(), 1, None, None, print)
+    def knows(self, class_name, id, phase, answer=None):
+        call = Call(
+            id,
+            class_name,
+            "t",
+            "f",
+            1.0,
+            b"",
+            "" if class_name != "keyed" else id.hex(),
+            1,
+            None,
+            None,
+            print,
+        )
         claim = Claim("n9#3", 1, 1, 0, phase, "d", answer)
         shelf, name = self.core.replica.claim_store, call_key(call)
         shelf.merge(1.0, name, shelf.get_or_create(1.0, name), claim, 10_000.0)
@@ -204,7 +229,7 @@
     answers = [ground.ask("settle")[1] for _ in range(4)]
     assert answers[:2] == [[Served(b"kept")], [Failed()]]  # it may have run, and nobody is left who knows
     assert all(isinstance(got[0], Refused) and got[0].hold_off_ms >= 1_000.0 for got in answers[2:])
-    assert ground.calls == {} and ground.door.counts["repeats"] == 2
+    assert ground.calls == {} and ground.admission.counts["repeats"] == 2
     ground.go_by(RecoveryPhase.LISTENING)
     ground.numbers = 0
     assert isinstance(ground.ask("settle")[1][0], Refused)  # not before its stage
@@ -225,11 +250,11 @@
 def test_one_final_answer_whatever_the_order_of_take_answer_withdraw_and_stages(acts):
     ground, asked, left = Ground(rate_ps=40.0), [], set()
     rows = ("f", "g", "h")
-    ground.giving.free = {1: 0.0, 2: None, 3: 250.0}
+    ground.issuer.free = {1: 0.0, 2: None, 3: 250.0}
     for what, n in acts:
-        row = rows[n % 3]
+        function = rows[n % 3]
         if what == "take":
-            key, got = ground.ask([*CLASSES][n % 3], row=rows[n // 3 % 3])
+            key, got = ground.ask([*CLASSES][n % 3], function=rows[n // 3 % 3])
             asked.append((key, got))
             assert (key is None) == bool(got)
         elif what == "answer" and ground.calls:
@@ -240,7 +265,7 @@
             key, got = asked[n % len(asked)]
             if key is not None and not got and key not in left:
                 left.add(key)
-                ground.door.withdraw(key)
+                ground.admission.withdraw(key)
                 for gone in ground.withdrawn:  # the table answers no more
                     ground.calls.pop(gone, None)
         elif what == "go_by":
@@ -248,12 +273,12 @@
         elif what == "wait":
             ground.pass_by(20.0 * n)
         elif what in ("copy", "stood"):
-            ground.giving.places[row] = 1 + n % 3
-            ground.door.told(CopyAvailable(row))
-        elif what == "ticket" and ground.giving.asked:
-            ground.door.told(SlowStartPermit(ground.giving.asked.pop(0), [0.0, 100.0, 900.0][n % 3]))
+            ground.issuer.places[function] = 1 + n % 3
+            ground.admission.notify(CopyAvailable(function))
+        elif what == "ticket" and ground.issuer.asked:
+            ground.admission.notify(SlowStartPermit(ground.issuer.asked.pop(0), [0.0, 100.0, 900.0][n % 3]))
         elif what == "gone":
-            ground.giving.places.pop(row, None)
+            ground.issuer.places.pop(function, None)
         elif what == "at_once":
             ground.at_once = n % 2 == 1
         assert all(len(got) <= 1 for _, got in asked)
@@ -263,7 +288,11 @@
         call.reply(Failed())
     for key, got in asked:
         assert len(got) == (key not in left)
-    assert not ground.door.busy and not ground.door._rows and ground.door._bytes == 0
+    assert (
+        not ground.admission.busy
+        and not ground.admission._awaiting_copy
+        and ground.admission._waiting_bytes == 0
+    )
 
 
 # --- orders of the module -------------------------------------------------------------------------
@@ -275,26 +304,26 @@
 class Holding:
     def __init__(self, own=()):
         self.out, self.asked, self.told, self.made, self.now = [], [], [], [], 5_000.0
-        self.loading, self.own, self.places = self, set(own), {"f": 7}
+        self.own, self.places = set(own), {"f": 7}
         self.requests = {}
-        self.holds = LoadOrderGate(
+        self.order_gate = LoadOrderGate(
             self.out.append, self.asked.append, self.told.append, self.requests, lambda: self.now
         )
 
     def answered(self, now, event):
         return []
 
-    def is_own(self, worker, row):
-        return (worker, row) in self.own
+    def is_own(self, worker, function):
+        return (worker, function) in self.own
 
-    def place(self, row):
-        return self.places.get(row)
+    def place(self, function):
+        return self.places.get(function)
 
-    def ordered(self, now, worker, row):
-        self.made.append((worker, row))
+    def ordered(self, now, worker, function):
+        self.made.append((worker, function))
 
     def go_by(self, stage):
-        self.holds.go_by(allowed_in_phase(stage, WORTHS), self)
+        self.order_gate.apply(allowed_in_phase(stage, WORTHS), self)
 
 
 def test_before_renewal_the_modules_own_orders_do_not_go_out_and_change_nothing_it_believes():
@@ -302,19 +331,19 @@
     ground.go_by(RecoveryPhase.REST)
     race, own, question = io.OrderCopies(8, "f", 2), io.OrderCopies(7, "own", 1), io.OrderCopies(9, "f", 0)
     for order in (race, own, question):
-        ground.holds.carry(order)
+        ground.order_gate.carry(order)
     assert ground.out == [own, question] and ground.made == [(7, "own")]
     assert ground.told == [io.LoadOrderAnswered(8, "f", io.AttemptResult.NOT_SENT, 0, 0.0)]
     [asked] = ground.asked  # where its copy stands, once a second
     assert (asked.worker, asked.function, asked.copies) == (7, "f", 0)
-    ground.holds.carry(race)
+    ground.order_gate.carry(race)
     assert len(ground.asked) == 1
     asked.ended(asked, None, ANSWER)
     assert (ground.told[-1].scorer, ground.told[-1].copies) == (7, 1)
     for stage in (RecoveryPhase.RENEWAL, RecoveryPhase.SPILL):
         ground.go_by(stage)
-        ground.holds.carry(race)
-    assert ground.out[2:] == [race, race] and ground.holds.held_back == 2
+        ground.order_gate.carry(race)
+    assert ground.out[2:] == [race, race] and ground.order_gate.rejected == 2
 
 
 @pytest.mark.parametrize("place", range(6))
@@ -329,7 +358,7 @@
     for _ in range(8):
         for action in router.handle(now, events):
             if isinstance(action, io.OrderCopies):
-                ground.holds.carry(action)
+                ground.order_gate.carry(action)
             elif isinstance(action, io.Send):
                 sent.append((now, action.scorer))
         events, ground.told[:] = [*ground.told], []
@@ -354,45 +383,48 @@
     while ground.now < 8_000.0:
         for action in router.handle(ground.now, events):
             if isinstance(action, io.OrderCopies):
-                ground.holds.carry(action)
-        ground.holds.events(ground.now, events)
+                ground.order_gate.carry(action)
+        ground.order_gate.events(ground.now, events)
         none = [io.LoadOrderAnswered(o.scorer, "f", io.AttemptResult.GOOD, 0, 1.0) for o in ground.out]
         events, ground.told[:] = [*ground.told, *none, io.TimerDue(0)], []
         ground.out.clear()
         ground.now += 5.0
-        held.append(ground.holds.held_back)
+        held.append(ground.order_gate.rejected)
     assert 3 <= held[199] <= 8 < held[-1] <= 24  # it goes on trying, some a second
     ground.go_by(RecoveryPhase.RENEWAL)
-    assert ground.told and not ground.holds._open
+    assert ground.told and not ground.order_gate._delayed
 
 
 def test_a_call_that_found_no_copy_tells_that_it_is_gone():
     ground, lost = Holding(), []
-    ground.lost = lambda now, row, worker: lost.append((row, worker))
+    ground.copy_lost = lambda function, worker: lost.append((function, worker))
     ground.answered = lambda now, event: [event]
     ground.go_by(RecoveryPhase.REST)
     ground.requests["r1"] = type("Open", (), {"call": type("Of", (), {"function": "f"})})
     miss = io.AttemptEnded("r1", 0, 7, io.AttemptResult.MISS, 1.0, False)
     good, other = replace(miss, result=io.AttemptResult.GOOD), replace(miss, request="r2")
     answer = io.LoadOrderAnswered(7, "g", io.AttemptResult.GOOD, 1, 1.0)
-    assert ground.holds.events(1.0, [miss, good, other, answer]) == [answer] and lost == [("f", 7)]
+    assert ground.order_gate.events(1.0, [miss, good, other, answer]) == [answer] and lost == [("f", 7)]
 
 
 def test_what_became_of_calls_is_told_by_cause_since_it_was_told_last_and_not_in_calm():
     ground = Ground(RecoveryPhase.WORTH)
-    assert ground.door.since() == {}
-    ground.giving.places["f"] = 7
+    assert ground.admission.take_recent_counts() == {}
+    ground.issuer.places["f"] = 7
     ground.ask("view")  # not its stage
     ground.ask("settle")
-    ground.giving.etas["g"] = 5_000.0
-    ground.ask("settle", row="g")
-    ground.giving.etas["h"] = 300.0
-    ground.ask("settle", row="h")
-    told = ground.door.since()
-    assert told == {"refused: class": 1, "let in": 1, "refused: copy": 1, "held": 1}
-    ground.giving.places["h"] = 7
-    ground.door.told(CopyAvailable("h"))
-    assert ground.door.since() == {"let in after a wait": 1, "held": 1} and ground.door.since() == {}
+    ground.issuer.etas["g"] = 5_000.0
+    ground.ask("settle", function="g")
+    ground.issuer.etas["h"] = 300.0
+    ground.ask("settle", function="h")
+    told = ground.admission.take_recent_counts()
+    assert told == {"rejected: class": 1, "admitted": 1, "rejected: copy": 1, "waiting": 1}
+    ground.issuer.places["h"] = 7
+    ground.admission.notify(CopyAvailable("h"))
+    assert (
+        ground.admission.take_recent_counts() == {"admitted after a wait": 1, "waiting": 1}
+        and ground.admission.take_recent_counts() == {}
+    )
     ground.go_by(RecoveryPhase.SPILL)
     ground.ask("view")
-    assert ground.door.since() == {}
+    assert ground.admission.take_recent_counts() == {}
--- a/tests/test_rejoin_agent.py
+++ b/tests/recovery_service/test_recovery_service_agent.py
@@ -8,7 +8,7 @@
 from fawnwharf.recovery_core.phases import RecoveryPhase, RecoveryRegister
 from fawnwharf.recovery_core.queries import Answer, Query, QueryState, QueryTopic
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.recovery_leader import MemberLists, RecoveryLeader
+from fawnwharf.recovery_service.recovery_leader import LeaderTiming, MemberLists, RecoveryLeader
 from fawnwharf.recovery_service.status_display import displayed_status
 
 RETURN = list(RecoveryPhase)
@@ -28,8 +28,8 @@
     assert all(
         agent.allowed(fleet.now).spill and agent.allowed(fleet.now).status for agent in fleet.agents.values()
     )
-    assert fleet.agents["n0"].cut == 0
-    register = fleet.agents[fleet.leader].lead.conductor.register
+    assert fleet.agents["n0"].power_loss == 0
+    register = fleet.agents[fleet.leader].leader.coordinator.register
     assert set(register.boots.values()) == {"boot 1"} and len(register.boots) == 3
 
 
@@ -46,7 +46,7 @@
         allowed.status for who, stage, _, allowed in fleet.trail[since:] if stage < RecoveryPhase.WORTH
     ]
     assert not any(statuses)
-    whys = [fields["why"] for _, event, fields in fleet.noted if event == "stage decided"]
+    whys = [fields["why"] for _, event, fields in fleet.noted if event == "recovery phase decided"]
     assert whys.count("power loss") == 1 and whys[-1] == "served"
 
 
@@ -54,13 +54,13 @@
     fleet = Agents().calm()
     since = len(fleet.trail)
     fleet.power_loss("boot 2", "n1")
-    fleet.until(lambda: fleet.agents["n1"].stage(fleet.now) is RecoveryPhase.SPILL)
+    fleet.until(lambda: fleet.agents["n1"].phase(fleet.now) is RecoveryPhase.SPILL)
     fleet.run(1.0)
     assert {cut for _, _, cut, _ in fleet.trail[since:]} == {0}
     assert trail(fleet, "n1", since) == [RecoveryPhase.LISTENING, RecoveryPhase.SPILL]
     fleet.run(TIMING.settle_ms / 1000 + 1)
     leader = fleet.agents[fleet.leader]
-    assert leader.cut == 0 and "boot 2" in leader.lead.conductor.register.boots.values()
+    assert leader.power_loss == 0 and "boot 2" in leader.leader.coordinator.register.boots.values()
 
 
 def test_processes_that_end_without_their_machines_are_no_loss_of_power():
@@ -76,8 +76,8 @@
 def test_a_leader_that_is_killed_at_a_stage_is_followed_by_one_that_goes_on_from_there(stage):
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
-    fleet.until(lambda: fleet.leader and fleet.agents[fleet.leader].lead.conductor.register.cut == 1)
-    fleet.until(lambda: fleet.agents[fleet.leader].lead.conductor.register.stage >= stage)
+    fleet.until(lambda: fleet.leader and fleet.agents[fleet.leader].leader.coordinator.register.cut == 1)
+    fleet.until(lambda: fleet.agents[fleet.leader].leader.coordinator.register.stage >= stage)
     first, since = fleet.leader, len(fleet.trail)
     fleet.end(first)
     fleet.until(lambda: fleet.leader not in (None, first))
@@ -85,14 +85,14 @@
     for name in fleet.up:
         seen = [s for s in trail(fleet, name, since) if s is not None]  # one may have been alone between
         assert seen == sorted(seen) and seen[-1] is RecoveryPhase.SPILL
-    assert {fleet.agents[name].cut for name in fleet.up} == {1}
+    assert {fleet.agents[name].power_loss for name in fleet.up} == {1}
 
 
 @pytest.mark.parametrize("stage", RETURN[:-1])
 def test_a_second_loss_of_power_at_a_stage_begins_anew(stage):
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
-    fleet.until(lambda: any(a.stage(fleet.now) is stage and a.cut == 1 for a in fleet.agents.values()))
+    fleet.until(lambda: any(a.phase(fleet.now) is stage and a.power_loss == 1 for a in fleet.agents.values()))
     fleet.power_loss("boot 3")
     since = len(fleet.trail)
     fleet.until_stage(RecoveryPhase.SPILL, cut=2)
@@ -111,7 +111,7 @@
     for name in ("n0", "n3"):
         allowed = fleet.agents[name].allowed(fleet.now)
         assert allowed.alone and allowed.status and allowed.part == 0.2 and not allowed.spill
-        without = fleet.agents[name].asking.without()
+        without = fleet.agents[name].queries.without()
         assert QueryTopic.MEMBERS in without and QueryTopic.PLAN in without
     fleet.begin("boot 2", "n1", "n2", "n4")
     fleet.until_stage(RecoveryPhase.SPILL, cut=1)
@@ -146,22 +146,22 @@
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
     fleet.until_stage(RecoveryPhase.REST, cut=1)
-    fleet.standing["n4"] = w.StatusReport(0, True, True, fell=1)
+    fleet.standing["n4"] = w.StatusReport(0, True, True, failed_scorers=1)
     fleet.until_stage(RecoveryPhase.WORTH, cut=1)
     fleet.standing["n3"] = w.StatusReport(0, True, True, w.CallCounts(1, 9), w.CallCounts(1, 9))
     fleet.run(1.5)
     assert fleet.stages() == {RecoveryPhase.WORTH} and fleet.agents["n0"].allowed(fleet.now).part < 1.0
     fleet.standing.clear()
     fleet.until_stage(RecoveryPhase.SPILL, cut=1)
-    whys = [fields["why"] for _, event, fields in fleet.noted if event == "stage decided"]
+    whys = [fields["why"] for _, event, fields in fleet.noted if event == "recovery phase decided"]
     assert "1 scorers fell" in whys
 
 
 def test_calls_are_merged_by_their_number_and_loads_by_theirs():
     fleet = Agents().calm()
-    lead = fleet.agents["n0"].lead
+    lead = fleet.agents["n0"].leader
     for name, good, loads, slow in (("n0", 9, 10, 1.0), ("n1", 1, 30, 3.0)):
-        lead.stands(
+        lead.receive_status(
             fleet.now,
             name,
             w.StatusReport(
@@ -169,11 +169,11 @@
             ),
         )
     for name in ("n2", "n3", "n4"):
-        lead.standings.pop(name)
-    seen = lead.seen(fleet.now)
+        lead.reports.pop(name)
+    seen = lead.observe(fleet.now)
     assert (seen.members, seen.heard, seen.asked, seen.first, seen.served) == (5, 2, 2, 0.5, 0.5)
     assert seen.slow == 2.5 and seen.sure == pytest.approx(1 / 3)
-    assert not lead.stands(fleet.now, "n1", w.StatusReport(0, True, True))
+    assert not lead.receive_status(fleet.now, "n1", w.StatusReport(0, True, True))
 
 
 def test_words_of_another_life_fleet_log_or_member_are_dropped_and_counted():
@@ -182,36 +182,41 @@
     before = displayed_status(agent, now)
     ask, answer = Query("g", 1, 1, 0), Answer("f", 99, 1, 0, 1, True)
     said = [
-        (agent.hear_zone, "n1", ask, "another fleet's"),
-        (agent.hear_zone, "x", ask, "of no member"),
-        (agent.hear_state, "x", ask, "of no member"),
-        (agent.hear_zone, "n1", Query("f", 1, 1, int(QueryTopic.USE)), "by the wrong log"),
-        (agent.hear_state, "n1", Query("f", 1, 1, int(QueryTopic.MEMBERS)), "by the wrong log"),
-        (agent.hear_state, "n1", w.StatusReport(1, True, True), "by the wrong log"),
-        (agent.hear_state, "n1", answer, "by the wrong log"),
-        (agent.hear_zone, "n1", w.KnownSignature(99, FolderPosition("m", 1, 1)), "to another life"),
+        (agent.receive_by_zones, "n1", ask, "another fleet"),
+        (agent.receive_by_zones, "x", ask, "unknown member"),
+        (agent.receive_by_replication, "x", ask, "unknown member"),
+        (agent.receive_by_zones, "n1", Query("f", 1, 1, int(QueryTopic.USE)), "wrong log"),
+        (agent.receive_by_replication, "n1", Query("f", 1, 1, int(QueryTopic.MEMBERS)), "wrong log"),
+        (agent.receive_by_replication, "n1", w.StatusReport(1, True, True), "wrong log"),
+        (agent.receive_by_replication, "n1", answer, "wrong log"),
         (
-            agent.hear_zone,
+            agent.receive_by_zones,
+            "n1",
+            w.KnownPosition(99, FolderPosition("m", 1, 1)),
+            "to another incarnation",
+        ),
+        (
+            agent.receive_by_zones,
             "n3",
             w.PhaseAnnouncement(1, 99, 0.0, RecoveryRegister().encode()),
-            "a stage of no leader",
+            "announcement by no leader",
         ),
         (
-            agent.hear_zone,
+            agent.receive_by_zones,
             "n1",
             w.PhaseAnnouncement(0, 99, 0.0, RecoveryRegister().encode()),
-            "of an earlier life",
+            "of an earlier incarnation",
         ),
-        (agent.hear_zone, "n1", w.StatusReport(0, True, True), "of an earlier life"),
+        (agent.receive_by_zones, "n1", w.StatusReport(0, True, True), "of an earlier incarnation"),
     ]
     for hear, sender, word, why in said:
-        was = agent.counts.get(why, 0)
-        assert hear(now, sender, word) == [] and agent.counts.get(why, 0) == was + 1, why
-    agent.hear_zone(now, "n1", answer)
-    assert agent.asking.dropped["to another life"] == 1
+        was = agent.drops.get(why, 0)
+        assert hear(now, sender, word) == [] and agent.drops.get(why, 0) == was + 1, why
+    agent.receive_by_zones(now, "n1", answer)
+    assert agent.queries.dropped["to another life"] == 1
     after = displayed_status(agent, now)
-    assert msgspec.structs.replace(after, counts={}, heard=()) == msgspec.structs.replace(
-        before, counts={}, heard=()
+    assert msgspec.structs.replace(after, counts={}, voters=()) == msgspec.structs.replace(
+        before, counts={}, voters=()
     )
     for data in (1, {}, {"type": "Standing"}, {"type": "Other"}, {"type": "Told", "life": -1}):
         with pytest.raises(msgspec.ValidationError):
@@ -222,45 +227,52 @@
     fleet = Agents().calm()
     agent = fleet.agents["n0"]
     ask = Query("f", 7, 3, int(QueryTopic.PLAN))
-    (said,) = agent.hear_zone(fleet.now, "n4", ask)
-    assert said.word.sure and said.word.number > 0 and said.to == ("n4",)
+    (said,) = agent.receive_by_zones(fleet.now, "n4", ask)
+    assert said.message.sure and said.message.number > 0 and said.to == ("n4",)
     for change in ({"settled": False}, {"votes": False}):
-        agent.own = fleet.own("n0").__class__(**{
+        agent.status = fleet.own("n0").__class__(**{
             key: getattr(fleet.own("n0"), key) for key in fleet.own("n0").__slots__
         } | change)  # fmt: skip
-        (said,) = agent.hear_zone(fleet.now, "n4", ask)
-        assert (said.word.sure, said.word.number, said.word.digest, said.word.life) == (False, 0, "", 7)
-    assert fleet.agents["n4"].hear_zone(fleet.now, "n0", ask) == []  # it votes not, and is not asked
+        (said,) = agent.receive_by_zones(fleet.now, "n4", ask)
+        assert (said.message.sure, said.message.number, said.message.digest, said.message.life) == (
+            False,
+            0,
+            "",
+            7,
+        )
+    assert fleet.agents["n4"].receive_by_zones(fleet.now, "n0", ask) == []  # it votes not, and is not asked
 
 
 def test_one_that_starts_anew_is_told_how_far_its_folder_had_come_by_its_earlier_word():
     fleet = Agents().calm()
     agent = fleet.agents["n0"]
-    agent.hear_zone(fleet.now, "n4", w.BootReport(10, "b", FolderPosition("m", 5, 200)))
-    assert agent.hear_zone(fleet.now, "n4", w.BootReport(10, "b", FolderPosition("m", 5, 210))) == []
+    agent.receive_by_zones(fleet.now, "n4", w.BootReport(10, "b", FolderPosition("m", 5, 200)))
+    assert agent.receive_by_zones(fleet.now, "n4", w.BootReport(10, "b", FolderPosition("m", 5, 210))) == []
     for sign in (
         FolderPosition("m", 6, 101),
         FolderPosition("m", 5, 205),
     ):  # of a copy that was taken while life 5 wrote
         life = 11 if sign.life == 6 else 12
         for _ in range(3):
-            (said,) = agent.hear_zone(fleet.now, "n4", w.BootReport(life, "b", sign))
-            assert said.to == ("n4",) and said.word.life == life
-            assert said.word.sign in (FolderPosition("m", 5, 210), FolderPosition("m", 6, 101))
-        assert agent.hear_zone(fleet.now, "n4", w.BootReport(life, "b", sign)) == []
-    assert agent.hear_zone(fleet.now, "n4", w.BootReport(13, "b", FolderPosition("other", 1, 1))) == []
-    (signed,) = fleet.agents["n4"].hear_zone(
-        fleet.now, "n0", w.KnownSignature(1, FolderPosition("m", 5, 210))
+            (said,) = agent.receive_by_zones(fleet.now, "n4", w.BootReport(life, "b", sign))
+            assert said.to == ("n4",) and said.message.incarnation == life
+            assert said.message.position in (FolderPosition("m", 5, 210), FolderPosition("m", 6, 101))
+        assert agent.receive_by_zones(fleet.now, "n4", w.BootReport(life, "b", sign)) == []
+    assert agent.receive_by_zones(fleet.now, "n4", w.BootReport(13, "b", FolderPosition("other", 1, 1))) == []
+    (signed,) = fleet.agents["n4"].receive_by_zones(
+        fleet.now, "n0", w.KnownPosition(1, FolderPosition("m", 5, 210))
     )
-    assert signed.sign == FolderPosition("m", 5, 210)
+    assert signed.position == FolderPosition("m", 5, 210)
 
 
 def test_a_word_that_comes_late_counts_from_when_it_was_said():
     fleet = Agents().calm()
     agent, leader = fleet.agents["n4"], fleet.leader
-    told = w.PhaseAnnouncement(1, fleet.agents[leader].lead.term, fleet.now, agent.follower.register.encode())
+    told = w.PhaseAnnouncement(
+        1, fleet.agents[leader].leader.term, fleet.now, agent.follower.register.encode()
+    )
     before = agent.follower.word_ms
-    agent.hear_zone(fleet.now + 9_000.0, leader, told)
+    agent.receive_by_zones(fleet.now + 9_000.0, leader, told)
     assert before <= agent.follower.word_ms <= fleet.now + 30.0
 
 
@@ -271,13 +283,15 @@
     fleet.begin("boot 2", "n4")
     agent = fleet.agents["n4"]
     told = w.PhaseAnnouncement(1, 99, fleet.now, RecoveryRegister(number=9, stage=5).encode())
-    boot, ask = agent.hear_zone(fleet.now, leader, told)
-    assert isinstance(boot.word, w.BootReport) and isinstance(ask.word, Query) and ask.to == (leader,)
-    assert agent.follower.register is None and agent.hear_zone(fleet.now, leader, told) == []
-    agent.hear_zone(fleet.now, leader, Answer("f", agent.life, ask.word.turn, 0, 1, False))
-    assert agent.asking.stand(QueryTopic.MEMBERS) is QueryState.WAITING  # it was no word on the members
-    agent.hear_zone(fleet.now, leader, told)
-    assert agent.stage(fleet.now) is RecoveryPhase.SPILL
+    boot, ask = agent.receive_by_zones(fleet.now, leader, told)
+    assert isinstance(boot.message, w.BootReport) and isinstance(ask.message, Query) and ask.to == (leader,)
+    assert agent.follower.register is None and agent.receive_by_zones(fleet.now, leader, told) == []
+    agent.receive_by_zones(
+        fleet.now, leader, Answer("f", agent.identity.incarnation, ask.message.turn, 0, 1, False)
+    )
+    assert agent.queries.stand(QueryTopic.MEMBERS) is QueryState.WAITING  # it was no word on the members
+    agent.receive_by_zones(fleet.now, leader, told)
+    assert agent.phase(fleet.now) is RecoveryPhase.SPILL
 
 
 @pytest.mark.parametrize(
@@ -293,14 +307,16 @@
 )
 def test_keepers_of_one_zone_that_do_not_come_back_are_not_waited_for(by_zone, away, part):
     keepers = tuple(name for names in by_zone for name in names)
-    assert MemberLists(keepers, (), keepers, by_zone=by_zone).sure(lambda name: name not in away) == part
+    assert (
+        MemberLists(keepers, (), keepers, by_zone=by_zone).known_grants(lambda name: name not in away) == part
+    )
 
 
 def test_a_leader_merges_keepers_by_their_zones():
     lists = MemberLists(tuple("abcd"), tuple("abc"), tuple("abc"), by_zone=(("a",), ("b",), ("c",)))
-    lead = RecoveryLeader(TIMING, lists, 1_000.0, 1_000.0, 100.0)
+    lead = RecoveryLeader(TIMING, lists, LeaderTiming(1_000.0, 1_000.0, 100.0))
     for name in "abd":
-        lead.stands(0.0, name, w.StatusReport(1, True, True))
-    assert lead.seen(10.0).sure == 1.0 and lead.seen(10.0).heard == 3
-    lead.stands(10.0, "b", w.StatusReport(1, True, False))
-    assert lead.seen(10.0).sure == 0.0
+        lead.receive_status(0.0, name, w.StatusReport(1, True, True))
+    assert lead.observe(10.0).sure == 1.0 and lead.observe(10.0).heard == 3
+    lead.receive_status(10.0, "b", w.StatusReport(1, True, False))
+    assert lead.observe(10.0).sure == 0.0
--- a/tests/test_rejoin_dealt.py
+++ b/tests/recovery_service/test_recovery_service_assigned_permits.py
@@ -23,10 +23,12 @@
     parse_register,
 )
 from fawnwharf.recovery_service import messages as w
+from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
 from fawnwharf.recovery_service.delegated_loads import DELEGATION_MS
 from fawnwharf.recovery_service.permit_issuing import EXPIRY_SCAN_MS, TICK_MS
-from fawnwharf.recovery_service.recovery_leader import MemberLists, RecoveryLeader
+from fawnwharf.recovery_service.permit_view import AssignmentNumber, PermitView
+from fawnwharf.recovery_service.recovery_leader import LeaderTiming, MemberLists, RecoveryLeader
 
 ROWS = [f"f{i}" for i in range(400)]
 STEP_MS = 20.0
@@ -48,7 +50,7 @@
     assert fleet.orders[0][0] - min(fleet.entered.values()) <= TICK_MS + STEP_MS
     fleet.until_stage(RecoveryPhase.REST, cut=1)
     dealt = fleet.agents["n0"].follower.register
-    assert dealt.deals == 1 and set(dealt.givers) <= set(fleet.agents["n0"].lists.keepers)
+    assert dealt.deals == 1 and set(dealt.givers) <= set(fleet.agents["n0"].lists.replicas)
 
 
 def played(seed, lost=0.0, word_ms=WORD_MS):
@@ -65,8 +67,8 @@
                 fleet.kill(chance.choice(sorted(fleet.up & set(fleet.keepers)) or sorted(fleet.up)))
         for name in sorted(filter(fleet.gives, fleet.up)):
             fleet.ask(name, 4)
-            for i, row in enumerate(ROWS):
-                fleet.fronts[name].want(fleet.now, row, 400.0 - i, "view")
+            for i, function in enumerate(ROWS):
+                fleet.fronts[name].request_copy(fleet.now, m.LoadRequest(function, "view", 400.0 - i))
     sent = [at for at in fleet.sent if at < LIMITS.cold_ms]
     within = {at: sum(at - LIMITS.fall_ms < other <= at for other in sent) for at in sent}
     return fleet.most, max(count - LIMITS.room(at) for at, count in within.items()), fleet
@@ -94,14 +96,14 @@
         i for i in range(50) if slow_start_coordinator_of(str(i), ("n0", "n1")) == "n1"
     )  # n1's by the second dealing
     for front in (old, new):
-        front.set(0.0, ("n0",), 1.0, (1, 1), 0.0, True)
-        front.scorer(1_000.0, id, 1_000.0)
-    new.set(2_000.0, ("n0", "n1"), 1.0, (1, 2), lag_ms)
+        front.update(0.0, PermitView(("n0",), 1.0, 1, AssignmentNumber(1, 1), 0.0, True))
+        front.scorer_seen(1_000.0, id, 1_000.0)
+    new.update(2_000.0, PermitView(("n0", "n1"), 1.0, 1, AssignmentNumber(1, 2), lag_ms))
     sent = []
     for now in range(2_000, 6_000, 5):
-        if now < 2_000.0 + WORD_MS and old.ask(now, id, f"old {now}") == 0.0:
+        if now < 2_000.0 + WORD_MS and old.request(now, id, f"old {now}") == 0.0:
             sent.append(now)
-        if new.ask(now, id, f"new {now}") == 0.0:
+        if new.request(now, id, f"new {now}") == 0.0:
             sent.append(now)
     assert len(sent) > 3 * LIMITS.room(2_000.0) and max(sent) > 5_000
     beyond = max(sum(at - LIMITS.fall_ms < other <= at for other in sent) - LIMITS.room(at) for at in sent)
@@ -111,14 +113,14 @@
 def test_a_later_dealing_waits_for_the_word_of_the_one_before_and_a_missed_one_for_all():
     fleet = DealtFleet()
     fleet.run(1_200.0)
-    seats, rest = fleet.fronts["n0"].seats, allowed_in_phase(RecoveryPhase.REST, WORTHS)
-    fleet.fronts["n0"].set(1_200.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(fleet.dealt.givers, 1, 1))
-    assert seats.mine == seats.ready(1_200.0) == 1
-    fleet.fronts["n0"].set(2_000.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 2))
+    permits, rest = fleet.fronts["n0"].permits, allowed_in_phase(RecoveryPhase.REST, WORTHS)
+    fleet.fronts["n0"].update(1_200.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(fleet.dealt.givers, 1, 1))
+    assert permits.own_count == permits.ready(1_200.0) == 1
+    fleet.fronts["n0"].update(2_000.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 2))
     due = 2_000.0 + WORD_MS + EXPIRY_SCAN_MS + fleet.usual_ms + DELEGATION_MS
-    assert (seats.mine, seats.ready(due - 1), seats.ready(due)) == (2, 1, 2)
-    fleet.fronts["n0"].set(due, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 4))
-    assert seats.ready(due) == 0  # they may have been another's by the third
+    assert (permits.own_count, permits.ready(due - 1), permits.ready(due)) == (2, 1, 2)
+    fleet.fronts["n0"].update(due, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 4))
+    assert permits.ready(due) == 0  # they may have been another's by the third
 
 
 def test_one_that_started_after_worth_waits_in_the_first_dealing_too():
@@ -129,8 +131,8 @@
     fleet.start(name)
     dealt = fleet.dealt
     assert dealt.deals == 1
-    fleet.fronts[name].set(1_210.0, {name}, [name], AllowedActions(loads=True), 1, dealt)
-    assert fleet.fronts[name].seats.ready(1_210.0) == 0
+    fleet.fronts[name].update(1_210.0, {name}, [name], AllowedActions(loads=True), 1, dealt)
+    assert fleet.fronts[name].permits.ready(1_210.0) == 0
 
 
 def seen(*givers, gave=False):
@@ -174,11 +176,13 @@
     led = Led().until(RecoveryPhase.WORTH, seen("a", gave=True))
     assert led.told[-1].deals == 2
     lead = RecoveryLeader(
-        PhaseTiming(), MemberLists(tuple("abcd"), tuple("abc"), tuple("bcd")), 1_000.0, 1_000.0, 100.0
+        PhaseTiming(),
+        MemberLists(tuple("abcd"), tuple("abc"), tuple("bcd")),
+        LeaderTiming(1_000.0, 1_000.0, 100.0),
     )
     for name in "abd":
-        lead.stands(0.0, name, w.StatusReport(1, True, True, gave=name == "a"))
-    assert lead.seen(10.0).givers == ("b", "d") and lead.seen(10.0).gave
+        lead.receive_status(0.0, name, w.StatusReport(1, True, True, issued_alone=name == "a"))
+    assert lead.observe(10.0).givers == ("b", "d") and lead.observe(10.0).gave
 
 
 def test_a_text_of_before_deals_nothing_and_many_keepers_are_bounded():
@@ -189,9 +193,11 @@
     follower.told(RecoveryRegister(number=5, cut=1, stage=2, givers=("a",), deals=1).encode(), 0.0)
     assert follower.dealt(1.0) == PermitAssignment(("a",), 1, 1) and follower.dealt(6_000.0) is None  # alone
     names = tuple(f"n{i}" for i in range(500))
-    lead = RecoveryLeader(PhaseTiming(), MemberLists(names, names[:3], names), 1_000.0, 1_000.0, 100.0)
+    lead = RecoveryLeader(
+        PhaseTiming(), MemberLists(names, names[:3], names), LeaderTiming(1_000.0, 1_000.0, 100.0)
+    )
     for name in names:
-        lead.stands(0.0, name, w.StatusReport(1, True, True))
-    givers = lead.seen(1.0).givers
+        lead.receive_status(0.0, name, w.StatusReport(1, True, True))
+    givers = lead.observe(1.0).givers
     assert len(givers) == MAX_PERMIT_ISSUERS and givers == tuple(sorted(givers))
     assert parse_register(RecoveryRegister(givers=givers).encode()).givers == givers
--- a/tests/test_rejoin_commands.py
+++ b/tests/recovery_service/test_recovery_service_commands.py
@@ -33,20 +33,23 @@
         path = str(site.nodes[1].folder / "zones.json")
         site.power_loss(2)
         site.start(site.nodes[1:2])
-        site.until(lambda: site.nodes[1].part._shown is not None, "it tells how it stands")
+        site.until(lambda: site.nodes[1].part.running.displayed is not None, "it tells how it stands")
         found = show(site, path)
         assert found.exit_code == 0, found.output
         lines = found.output.splitlines()
-        assert lines[0] == "listening  cut 0  part 0.0625  by no word yet" and "boot boot 2" in lines[1]
-        assert "voters heard: none" in lines
+        assert (
+            lines[0] == "listening  power loss 0  share 0.0625  by no announcement yet"
+            and "boot boot 2" in lines[1]
+        )
+        assert "voters heard of: none" in lines
         site.start([site.nodes[0], site.nodes[2]])
-        site.until(lambda: all(n.stage() == 5 and n.agent.asked for n in site.nodes), "calm")
-        calm = lambda: site.nodes[1].part._shown.asked.get("use") == "answered"  # noqa: E731
-        site.until(lambda: calm() and site.nodes[1].part._shown.stage == "spill", "it tells so")
+        site.until(lambda: all(n.stage() == 5 and n.agent.queries_done for n in site.nodes), "calm")
+        calm = lambda: site.nodes[1].part.running.displayed.queries.get("use") == "answered"  # noqa: E731
+        site.until(lambda: calm() and site.nodes[1].part.running.displayed.phase == "spill", "it tells so")
         site.rest(0.3)
         lines = show(site, path, "--member", "n1").output.splitlines()
-        assert lines[0].startswith("spill  cut 1  part 1  by ") and "members: answered" in lines
-        assert any(line.startswith("voters heard: n0, n2") for line in lines)
+        assert lines[0].startswith("spill  power loss 1  share 1  by ") and "members: answered" in lines
+        assert any(line.startswith("voters heard of: n0, n2") for line in lines)
         assert show(site, path, "--member", "x").exit_code == 2
     finally:
         site.close()
@@ -56,12 +59,20 @@
 
 def test_what_is_doubted_and_gone_without_is_told_a_line_each():
     shown = w.DisplayedStatus(
-        7, without=("no plan",), doubts=("its store is not whole",), counts={"bad word": 3}, leads=2
+        7,
+        missing=("no plan",),
+        doubts=("its store is incomplete",),
+        counts={"malformed message": 3},
+        leader_term=2,
     )
     lines = status_lines(shown)
-    assert lines[0].startswith("ALONE") and "boot not told by the system" in lines[1]
-    assert {"goes without: no plan", "doubt: its store is not whole", "dropped, bad word: 3"} <= set(lines)
-    assert "leads, term 2; hears 0 front ends" in lines
+    assert lines[0].startswith("PARTITIONED") and "boot unknown to the system" in lines[1]
+    assert {
+        "goes without: no plan",
+        "doubt: its store is incomplete",
+        "dropped, malformed message: 3",
+    } <= set(lines)
+    assert "leader, term 2; 0 front ends report" in lines
 
 
 @pytest.mark.parametrize("without", ["zones", "state"])
--- a/tests/test_rejoin_tallies.py
+++ b/tests/recovery_service/test_recovery_service_counters.py
@@ -1,13 +1,15 @@
 """What a front end counts for its standing."""
 
-from types import SimpleNamespace
-
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Refused, Served
+from fawnwharf.net.requests import Refused
+from fawnwharf.net.requests import Served
 from fawnwharf.recovery_service import call_outcomes
 from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
-from fawnwharf.recovery_service.counters import SPAN_MS, FrontEndCounters
+from fawnwharf.recovery_service.counters import FrontEndCounters
+from fawnwharf.recovery_service.counters import SPAN_MS
 from fawnwharf.recovery_service.messages import CallCounts
+from types import SimpleNamespace
+
 
 WORTHS = {"view": 1.0, "save": 5.0}
 
@@ -21,58 +23,58 @@
 
 
 def test_calls_of_the_last_second_are_told_by_class_and_older_ones_are_not():
-    tallies = FrontEndCounters(WORTHS, 10_000.0)
+    counters = FrontEndCounters(WORTHS, 10_000.0)
     for at_ms, name, good in (
         (0, "save", False),
         (900, "save", True),
         (950, "view", False),
         (999, "view", True),
     ):
-        tallies.ended(at_ms, name, good)
-    told = tallies.standing(1_000.0)
-    assert (told.first, told.served) == (CallCounts(1, 2), CallCounts(2, 4))
-    told = tallies.standing(SPAN_MS + 500)
-    assert (told.first, told.served) == (CallCounts(1, 1), CallCounts(2, 3))
-    assert tallies.standing(9_000.0).served.part == 1.0  # no calls: none was served late
+        counters.call_ended(at_ms, name, good)
+    told = counters.report(1_000.0)
+    assert (told.priority_calls, told.calls) == (CallCounts(1, 2), CallCounts(2, 4))
+    told = counters.report(SPAN_MS + 500)
+    assert (told.priority_calls, told.calls) == (CallCounts(1, 1), CallCounts(2, 3))
+    assert counters.report(9_000.0).calls.share == 1.0  # no calls: none was served late
 
 
 def test_loads_are_held_against_what_calls_said_or_what_they_took_in_calm():
-    tallies = FrontEndCounters(WORTHS, 10_000.0)
-    tallies.event(0.0, order(1), 0.0)
-    assert tallies.standing(1.0).loads == 0  # nobody knows what it takes
-    tallies.event(2.0, io.RequestArrived("r", "f", "view", "t", 1.0, load_ms=50.0), 0.0)
-    tallies.event(3.0, order(1, took_ms=1.0), 0.0)  # it stood
-    assert tallies.standing(3.0).loads == 0
-    tallies.event(4.0, order(2, took_ms=150.0), 0.0)
-    assert (tallies.standing(5.0).loads, tallies.standing(5.0).slow) == (1, 3.0)
-    tallies.event(6.0, order(2, copies=0), 0.0)
-    tallies.event(7.0, order(2, took_ms=50.0), 0.0)  # it had gone, and was loaded anew
-    assert tallies.standing(8.0).slow == 2.0
-    tallies.calm = True
-    tallies.event(5_000.0, order(3, function="g", took_ms=40.0), 0.0)
-    assert tallies.calm_ms == 40.0
-    tallies.calm = False
-    tallies.event(5_001.0, order(4, function="g", took_ms=400.0), 0.0)
-    assert tallies.standing(5_002.0).slow == 10.0 and tallies.calm_ms == 40.0
+    counters = FrontEndCounters(WORTHS, 10_000.0)
+    counters.event(0.0, order(1), 0.0)
+    assert counters.report(1.0).loads == 0  # nobody knows what it takes
+    counters.event(2.0, io.RequestArrived("r", "f", "view", "t", 1.0, load_ms=50.0), 0.0)
+    counters.event(3.0, order(1, took_ms=1.0), 0.0)  # it stood
+    assert counters.report(3.0).loads == 0
+    counters.event(4.0, order(2, took_ms=150.0), 0.0)
+    assert (counters.report(5.0).loads, counters.report(5.0).slowdown) == (1, 3.0)
+    counters.event(6.0, order(2, copies=0), 0.0)
+    counters.event(7.0, order(2, took_ms=50.0), 0.0)  # it had gone, and was loaded anew
+    assert counters.report(8.0).slowdown == 2.0
+    counters.calm = True
+    counters.event(5_000.0, order(3, function="g", took_ms=40.0), 0.0)
+    assert counters.calm_load_ms == 40.0
+    counters.calm = False
+    counters.event(5_001.0, order(4, function="g", took_ms=400.0), 0.0)
+    assert counters.report(5_002.0).slowdown == 10.0 and counters.calm_load_ms == 40.0
 
 
 def test_a_cold_scorer_that_had_answered_falls_once_and_a_warm_or_an_unseen_one_does_not():
-    tallies = FrontEndCounters(WORTHS, 10_000.0)
+    counters = FrontEndCounters(WORTHS, 10_000.0)
     for worker, age_ms, seen in ((1, 500.0, True), (2, 500.0, False), (3, 20_000.0, True)):
         if seen:
-            tallies.event(0.0, attempt(worker, io.AttemptResult.GOOD), age_ms)
+            counters.event(0.0, attempt(worker, io.AttemptResult.GOOD), age_ms)
         for _ in range(5):
-            tallies.event(1.0, attempt(worker, io.AttemptResult.RESET), age_ms)
-    assert tallies.fell == 1 and tallies.standing(2.0).fell == 1
-    tallies.event(3.0, attempt(1, io.AttemptResult.GOOD), 900.0)
+            counters.event(1.0, attempt(worker, io.AttemptResult.RESET), age_ms)
+    assert counters.failed_scorers == 1 and counters.report(2.0).failed_scorers == 1
+    counters.event(3.0, attempt(1, io.AttemptResult.GOOD), 900.0)
     for ending in (
         io.AttemptResult.RESET,
         io.AttemptResult.RESET,
         io.AttemptResult.GOOD,
         io.AttemptResult.RESET,
     ):
-        tallies.event(4.0, attempt(1, ending), 900.0)
-    assert tallies.fell == 1
+        counters.event(4.0, attempt(1, ending), 900.0)
+    assert counters.failed_scorers == 1
 
 
 class Below:
--- a/tests/test_rejoin_disks.py
+++ b/tests/recovery_service/test_recovery_service_disks.py
@@ -64,7 +64,7 @@
         the end."""
         one, second, third = self.one, self.second, self.third
         self.ready(one, *([] if second.alive else [second]))
-        assert self.said(one, "store read")[-1]["why"].startswith(why)
+        assert self.said(one, "recovery store read")[-1]["why"].startswith(why)
         assert self.said(one, "disk read")[-1]["trusted"] is False
         assert self.said(second, "disk read")[-1]["trusted"] is True
         asked = [self.again(request, zone) for zone in (one.zone, second.zone)]
@@ -78,7 +78,7 @@
             assert self.outcome(request, front.zone) == "failed"
         assert self.runs(request) == 1
         self.served("a new call")
-        self.until(lambda: self.said(one, "the store is confirmed"), "doubt to end")
+        self.until(lambda: self.said(one, "recovery store confirmed"), "doubt to end")
         assert not self.faults
 
     def sure(self, front):
--- a/tests/test_rejoin_joined.py
+++ b/tests/recovery_service/test_recovery_service_integration.py
@@ -1,18 +1,25 @@
 """A front end with a door, orders held back and a loader of its own, on its real loop, by real sockets."""
 
-import pytest
-from peers import ROW, SETTINGS, Rig, ScorerPeer
-
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.front_end import worker_number
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import fleet_limits
-from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_service.actions import CopyAvailable, LoadOrder, SlowStartPermit
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.phases import allowed_in_phase
+from fawnwharf.recovery_service.actions import CopyAvailable
+from fawnwharf.recovery_service.actions import LoadOrder
+from fawnwharf.recovery_service.actions import SlowStartPermit
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import PermitTiming
+from fawnwharf.recovery_service.recovery_admission import AdmissionSettings
 from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+from peers import ROW
+from peers import Rig
+from peers import SETTINGS
+from peers import ScorerPeer
+import pytest
 
 
 class Loading(ScorerPeer):
@@ -40,40 +47,44 @@
     def __init__(self, front, settings):
         self.front, self.busy = front, False
         limits = fleet_limits(settings, 2, 100.0)
-        self.giving = PermitIssuer("n0", 1, limits, lambda row: [worker_number("s-1")], 50.0, 50.0)
-        self.door = front.port.table = RecoveryAdmission(front.loop, front.table, settings.classes, limits)
+        self.issuer = PermitIssuer(
+            "n0", 1, limits, lambda function: [worker_number("s-1")], PermitTiming(50.0, 50.0)
+        )
+        self.admission = front.port.table = RecoveryAdmission(
+            front.loop.wheel, front.table, AdmissionSettings(settings.classes, limits)
+        )
         front.stand_between(io.OrderCopies, self.between)
         front._seam = self
         self.turn()
 
     def between(self, below):
         front = self.front
-        self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
-        return self.holds.carry
+        self.order_gate = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
+        return self.order_gate.carry
 
     def go_by(self, stage):
         may = allowed_in_phase(stage, {"view": 1.0, "save": 1.0, "settle": 5.0})
-        self.giving.set(monotonic_ms(), ["n0"], ["n0"], may, 1)
-        self.holds.go_by(may, self.giving)
-        self.door.go_by(may, 1_000.0, self.giving)
-        self.door.doors.tokens = 500.0  # as if it had gone by it for a while
+        self.issuer.update(monotonic_ms(), ["n0"], ["n0"], may, 1)
+        self.order_gate.apply(may, self.issuer)
+        self.admission.apply(may, 1_000.0, self.issuer)
+        self.admission.rate_limiter.tokens = 500.0  # as if it had gone by it for a while
 
     def turn(self):
-        self.carry(self.giving.tick(monotonic_ms()))
+        self.carry(self.issuer.tick(monotonic_ms()))
         self.front.loop.wheel.after(20.0, self.turn)
 
     def events(self, events):
-        self.carry(self.holds.events(monotonic_ms(), events))
+        self.carry(self.order_gate.events(monotonic_ms(), events))
 
     def carry(self, outs):
         for out in outs:
             if isinstance(out, LoadOrder):
                 tell = (
-                    self.front.table.order if isinstance(out.what, io.OrderCopies) else self.front.loop.tell
+                    self.front.table.order if isinstance(out.event, io.OrderCopies) else self.front.loop.tell
                 )
-                tell(out.what)
+                tell(out.event)
             elif isinstance(out, SlowStartPermit | CopyAvailable):
-                self.door.told(out)
+                self.admission.notify(out)
 
     def told(self, fleet): ...
 
@@ -103,7 +114,7 @@
     scorer.answer(scorer.runs[0], 0, "res=reused", b"done")
     joined.until(lambda: seqid in client.kinds(), "it is answered")
     assert client.kinds() == {seqid: "answer"} and len(scorer.orders) == 1
-    assert not joined.joined.door.busy and joined.joined.giving.place(ROW) == worker_number("s-1")
+    assert not joined.joined.admission.busy and joined.joined.issuer.place(ROW) == worker_number("s-1")
 
 
 def test_before_its_stage_a_call_is_refused_with_advice_and_the_module_sees_nothing(joined):
@@ -119,7 +130,7 @@
     joined.until(lambda: scorer.runs, "the call is sent")
     scorer.answer(scorer.runs[0])
     joined.until(lambda: later in client.kinds(), "it is answered")
-    assert client.kinds()[later] == "answer" and joined.joined.holds.held_back == 0
+    assert client.kinds()[later] == "answer" and joined.joined.order_gate.rejected == 0
 
 
 def test_an_order_of_the_modules_own_does_not_go_out_before_renewal(joined):
@@ -127,7 +138,7 @@
     joined.joined.go_by(RecoveryPhase.REST)
     joined.front.port.table = joined.front.table  # this call passes no door
     client.call()
-    joined.until(lambda: joined.joined.holds.held_back, "the module orders")
+    joined.until(lambda: joined.joined.order_gate.rejected, "the module orders")
     joined.settle(client)
     assert scorer.orders == []
     joined.joined.go_by(RecoveryPhase.RENEWAL)
@@ -138,8 +149,8 @@
     client = joined.client()
     joined.joined.go_by(RecoveryPhase.REST)
     client.call()
-    joined.until(lambda: joined.joined.door.busy, "it is held")
+    joined.until(lambda: joined.joined.admission.busy, "it is held")
     client.sock.close()
     joined.clients.clear()
-    joined.until(lambda: not joined.joined.door.busy, "it is let go of")
-    assert not joined.joined.door.counts and not joined.front.table.open
+    joined.until(lambda: not joined.joined.admission.busy, "it is let go of")
+    assert not joined.joined.admission.counts and not joined.front.table.open
--- a/tests/test_rejoin_killed.py
+++ b/tests/recovery_service/test_recovery_service_killed.py
@@ -90,7 +90,7 @@
 def until_calm(site, served, cut):
     def calm():
         found = [process.shown() for process in served]
-        return all(one is not None and one.stage == "spill" and one.cut == cut for one in found)
+        return all(one is not None and one.phase == "spill" and one.power_loss == cut for one in found)
 
     site.until(calm, f"calm of cut {cut}")
     site.until(lambda: all(good(site, process) for process in served), "status is good")
@@ -101,9 +101,9 @@
     for process in served:
         process.start("--fresh")
     until_calm(site, served, 0)
-    noted = lambda: [told["boots"] for process in served for told in process.noted("stage decided")]  # noqa: E731
+    noted = lambda: [told["boots"] for process in served for told in process.noted("recovery phase decided")]  # noqa: E731
     site.until(lambda: 3 in noted(), "boots are noted")
-    before = [len(process.noted("stage")) for process in served]
+    before = [len(process.noted("recovery phase")) for process in served]
     for process in served:
         process.kill()
     for process in served:
@@ -113,10 +113,16 @@
         process.start()
     until_calm(site, served, 1)
     for process, n in zip(served, before, strict=True):
-        stages = [(told["stage"], told["status"]) for told in process.noted("stage")[n:] if told["cut"] == 1]
+        stages = [
+            (told["phase"], told["status"])
+            for told in process.noted("recovery phase")[n:]
+            if told["power_loss"] == 1
+        ]
         assert stages[-1] == ("spill", True)
         assert not any(status for stage, status in stages if stage in ("listening", "repeats")), stages
-        assert process.noted("store read")[-1]["in_order"] is False
-        assert process.noted("recovery on")[-1]["store"] == "whole" and not process.noted("recovery not read")
-    whys = [told["why"] for process in served for told in process.noted("stage decided")]
+        assert process.noted("recovery store read")[-1]["in_order"] is False
+        assert process.noted("recovery enabled")[-1]["store"] == "whole" and not process.noted(
+            "recovery not read"
+        )
+    whys = [told["why"] for process in served for told in process.noted("recovery phase decided")]
     assert whys.count("power loss") <= 1
