--- a/tests/test_rejoin_giving.py
+++ b/tests/recovery_service/test_recovery_service_permit_issuing.py
@@ -1,32 +1,37 @@
 """Loaders and wardens among front ends: the store's budget, a scorer's room, and words that come late."""
 
 from dataclasses import replace
-
-import pytest
-from hypothesis import given, settings
-from hypothesis import strategies as st
-from support.load_permits import LIMITS, WORTHS, Fleet, storm
-
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import (
-    choose_load_coordinators,
-    load_coordinator_of,
-    slow_start_coordinator_of,
-)
-from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_core.budget import choose_load_coordinators
+from fawnwharf.recovery_core.budget import load_coordinator_of
+from fawnwharf.recovery_core.budget import slow_start_coordinator_of
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.phases import allowed_in_phase
 from fawnwharf.recovery_service import permit_messages as m
-from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
+from fawnwharf.recovery_service.actions import LoadOrder
+from fawnwharf.recovery_service.actions import SendPermitMessage
 from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
 from fawnwharf.recovery_service.load_permits import LoadPermits
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import PermitTiming
+from fawnwharf.recovery_service.permit_view import PermitView
+from hypothesis import given
+from hypothesis import settings
+from hypothesis import strategies as st
+from support.load_permits import Fleet
+from support.load_permits import LIMITS
+from support.load_permits import WORTHS
+from support.load_permits import storm
+import pytest
+
 
 ROWS = [f"f{i}" for i in range(60)]
 
 
 def want_all(fleet, names=None):
     for name in names or fleet.up:
-        for i, row in enumerate(ROWS):
-            fleet.fronts[name].want(fleet.now, row, 60.0 - i, "view")
+        for i, function in enumerate(ROWS):
+            fleet.fronts[name].request_copy(fleet.now, m.LoadRequest(function, "view", 60.0 - i))
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -35,9 +40,9 @@
     fleet = storm(Fleet(seed, lost=lost), seed, want_all)
     assert 0 < fleet.most <= LIMITS.fetches
     for name in fleet.up & set(fleet.keepers):
-        assert set(fleet.fronts[name].places) == set(ROWS)
+        assert set(fleet.fronts[name].copies) == set(ROWS)
     for name in fleet.up:
-        assert not fleet.fronts[name]._mine
+        assert not len(fleet.fronts[name].requests)
 
 
 def test_what_a_dead_loader_had_under_way_is_not_ordered_again_within_a_loads_usual_time():
@@ -51,41 +56,43 @@
         fleet.run(6_000.0)
         left = [o for o in fleet.orders if not o[3]]
         assert left
-        for at_ms, name, row, _, _ in left:
-            later = [o[0] for o in fleet.orders if o[2] == row and o[0] > at_ms and o[1] != name]
+        for at_ms, name, function, _, _ in left:
+            later = [o[0] for o in fleet.orders if o[2] == function and o[0] > at_ms and o[1] != name]
             again += len(later)
             assert all(at - at_ms >= fleet.usual_ms for at in later)
     assert again  # another one did take over
 
 
 def test_a_function_that_was_anothers_waits_for_a_loads_usual_time_and_one_that_was_ones_own_does_not():
-    seats = LoadPermits("n0", LIMITS, 300.0, 500.0)
-    seats.set(0.0, ("n0", "n1"), 1.0, 1)
-    rows = {seats.owner(row): row for row in ROWS}
-    seats.set(2_000.0, ("n0",), 1.0, 1)
-    assert seats.owner(rows["n1"]) == "n0" and seats.ready(2_000.0) == 2  # the two others' wait
-    assert seats.due_ms(2_000.0, rows["n1"]) == 2_500.0 and seats.due_ms(2_000.0, rows["n0"]) == 2_000.0
-    assert seats.due_ms(2_500.0, rows["n1"]) == 2_500.0
-    assert seats.ready(2_799.0) == 2 and seats.ready(2_800.0) == 4
+    permits = LoadPermits("n0", LIMITS, 300.0, 500.0)
+    permits.update(0.0, PermitView(("n0", "n1"), 1.0, 1))
+    rows = {permits.coordinator(function): function for function in ROWS}
+    permits.update(2_000.0, PermitView(("n0",), 1.0, 1))
+    assert permits.coordinator(rows["n1"]) == "n0" and permits.ready(2_000.0) == 2  # the two others' wait
+    assert permits.due_ms(2_000.0, rows["n1"]) == 2_500.0 and permits.due_ms(2_000.0, rows["n0"]) == 2_000.0
+    assert permits.due_ms(2_500.0, rows["n1"]) == 2_500.0
+    assert permits.ready(2_799.0) == 2 and permits.ready(2_800.0) == 4
 
 
 def test_functions_are_dealt_by_seats_so_that_none_is_idle_while_another_has_many():
-    seats = LoadPermits("n0", replace(LIMITS, fetches=3), 300.0, 500.0)
-    seats.set(0.0, ("n0", "n1"), 1.0, 1)
-    owners = [seats.owner(f"f{i}") for i in range(3_000)]
-    assert set(owners) == {"n0", "n1"} and abs(owners.count("n0") - 1_000 * seats.mine) < 150
+    permits = LoadPermits("n0", replace(LIMITS, fetches=3), 300.0, 500.0)
+    permits.update(0.0, PermitView(("n0", "n1"), 1.0, 1))
+    owners = [permits.coordinator(f"f{i}") for i in range(3_000)]
+    assert set(owners) == {"n0", "n1"} and abs(owners.count("n0") - 1_000 * permits.own_count) < 150
 
 
 def test_the_worth_most_is_ordered_first_and_each_function_once():
     fleet = Fleet(3)
     want_all(fleet)
     fleet.run(30_000.0)
-    rows = [row for _, _, row, *_ in fleet.orders]
+    rows = [function for _, _, function, *_ in fleet.orders]
     assert sorted(rows) == sorted(ROWS)
-    seats = choose_load_coordinators(fleet.keepers, LIMITS.fetches, 1)
-    for name in seats:
-        own = [row for _, by, row, *_ in fleet.orders if by == name]
-        assert own == sorted((row for row in ROWS if load_coordinator_of(row, seats) == name), key=ROWS.index)
+    permits = choose_load_coordinators(fleet.keepers, LIMITS.fetches, 1)
+    for name in permits:
+        own = [function for _, by, function, *_ in fleet.orders if by == name]
+        assert own == sorted(
+            (function for function in ROWS if load_coordinator_of(function, permits) == name), key=ROWS.index
+        )
 
 
 def test_a_word_is_said_once_a_turn_and_not_again_while_its_answer_is_fresh():
@@ -97,13 +104,15 @@
 
 
 def orders(outs):
-    return [out.what for out in outs if isinstance(out, LoadOrder)]
+    return [out.event for out in outs if isinstance(out, LoadOrder)]
 
 
 def test_an_order_that_the_module_does_not_make_is_asked_after_and_made_again_elsewhere_if_it_fails():
-    front = PermitIssuer("n0", 1, replace(LIMITS, fetches=1), lambda row: [7, 8], 100.0, 200.0)
-    front.set(0.0, {"n0"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
-    front.want(0.0, "f", 1.0, "view", 2, 400.0)
+    front = PermitIssuer(
+        "n0", 1, replace(LIMITS, fetches=1), lambda function: [7, 8], PermitTiming(100.0, 200.0)
+    )
+    front.update(0.0, {"n0"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
+    front.request_copy(0.0, m.LoadRequest("f", "view", 1.0, 2, 400.0))
     [order] = orders(front.tick(2_000.0))
     assert order == io.PrefetchRequested(7, "f", "view", 1, 2, 400.0)
     assert orders(front.tick(2_050.0)) == [] and orders(front.tick(2_150.0)) == [io.OrderCopies(7, "f", 0)]
@@ -111,7 +120,7 @@
     assert orders(front.tick(2_300.0)) == []
     assert orders(front.tick(2_800.0)) == [order]
     front.ordered(2_800.0, 7, "f")
-    front.want(2_850.0, "g", 9.0, "view")
+    front.request_copy(2_850.0, m.LoadRequest("g", "view", 9.0))
     front.answered(
         2_850.0, io.LoadOrderAnswered(7, "f", io.AttemptResult.GOOD, 0, 1.0)
     )  # a question's of before
@@ -126,64 +135,64 @@
 
 
 def test_a_late_word_does_not_bring_back_a_copy_that_is_gone():
-    front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
+    front = PermitIssuer("n5", 1, LIMITS, lambda function: [7], PermitTiming(100.0, 200.0))
+    front.update(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
     first, gone = (
         m.CopyReport(9, 1, (m.CopyPlacement("f", 7),)),
         m.CopyReport(9, 2, (m.CopyPlacement("f", 0, None),)),
     )
-    assert front.hear(1.0, "n0", first) and front.place("f") == 7
-    front.hear(2.0, "n0", gone)
-    assert front.hear(3.0, "n0", first) == [] and front.place("f") is None
-    assert front.counts == {"a word on copies that came late": 1}
-    assert front.hear(4.0, "n0", m.CopyReport(10, 1, (m.CopyPlacement("f", 7),))) and front.place("f") == 7
+    assert front.receive(1.0, "n0", first) and front.place("f") == 7
+    front.receive(2.0, "n0", gone)
+    assert front.receive(3.0, "n0", first) == [] and front.place("f") is None
+    assert front.counts == {"copy reports that came late": 1}
+    assert front.receive(4.0, "n0", m.CopyReport(10, 1, (m.CopyPlacement("f", 7),))) and front.place("f") == 7
 
 
 def test_a_copy_that_is_lost_is_wanted_of_its_loader_again_by_the_scorer_where_it_was():
     fleet = Fleet(2)
-    fleet.fronts["n5"].want(0.0, "f", 1.0, "view")
+    fleet.fronts["n5"].request_copy(0.0, m.LoadRequest("f", "view", 1.0))
     fleet.run(4_000.0)
     worker = fleet.fronts["n5"].place("f")
     fleet.stands.clear()
-    fleet.fronts["n5"].lost(fleet.now, "f", worker)
-    fleet.fronts["n5"].want(fleet.now, "f", 1.0, "view")
+    fleet.fronts["n5"].copy_lost("f", worker)
+    fleet.fronts["n5"].request_copy(fleet.now, m.LoadRequest("f", "view", 1.0))
     fleet.run(8_000.0)
     assert len(fleet.orders) == 2 and fleet.stands == {(worker, "f")}
     assert all(front.place("f") == worker for front in fleet.fronts.values())
 
 
 def test_the_eta_is_what_the_loader_says_less_what_went_by():
-    front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
-    front.want(0.0, "f", 1.0, "view")
+    front = PermitIssuer("n5", 1, LIMITS, lambda function: [7], PermitTiming(100.0, 200.0))
+    front.update(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
+    front.request_copy(0.0, m.LoadRequest("f", "view", 1.0))
     assert front.eta_ms(0.0, "f") >= 500.0
-    front.hear(100.0, "n0", m.CopyReport(9, 1, (m.CopyPlacement("f", 0, 2_000.0),)))
+    front.receive(100.0, "n0", m.CopyReport(9, 1, (m.CopyPlacement("f", 0, 2_000.0),)))
     assert front.eta_ms(600.0, "f") == 1_500.0
-    front.hear(700.0, "n0", m.CopyReport(9, 2, (m.CopyPlacement("f", 7),)))
+    front.receive(700.0, "n0", m.CopyReport(9, 2, (m.CopyPlacement("f", 7),)))
     assert front.eta_ms(700.0, "f") == 0.0
 
 
 def test_what_is_kept_is_bounded_and_what_is_dropped_is_counted(monkeypatch):
-    monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.MAX_LOAD_REQUESTS", 2)
+    monkeypatch.setattr("fawnwharf.recovery_service.local_load_requests.MAX_LOAD_REQUESTS", 2)
     monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.MAX_PLACEMENTS", 1)
-    front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
-    for row in "abc":
-        front.want(0.0, row, 1.0, "view")
+    front = PermitIssuer("n5", 1, LIMITS, lambda function: [7], PermitTiming(100.0, 200.0))
+    front.update(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS), 1)
+    for function in "abc":
+        front.request_copy(0.0, m.LoadRequest(function, "view", 1.0))
     [words] = [out for out in front.tick(50.0) if isinstance(out, SendPermitMessage)]
-    assert [wanted.row for wanted in words.word.rows] == ["a", "b"]
-    front.hear(60.0, "n0", m.CopyReport(9, 1, (m.CopyPlacement("x", 7), m.CopyPlacement("y", 7))))
-    assert front.counts == {"wants beyond what is kept": 1, "places beyond what is kept": 1}
+    assert [wanted.function for wanted in words.message.requests] == ["a", "b"]
+    front.receive(60.0, "n0", m.CopyReport(9, 1, (m.CopyPlacement("x", 7), m.CopyPlacement("y", 7))))
+    assert front.counts == {"load requests beyond the limit": 1, "copies beyond the limit": 1}
 
 
 def test_a_front_end_that_hears_no_keeper_loads_for_itself_a_part_of_the_time():
-    front = PermitIssuer("n5", 1, LIMITS, lambda row: [7], 100.0, 200.0)
-    front.set(
+    front = PermitIssuer("n5", 1, LIMITS, lambda function: [7], PermitTiming(100.0, 200.0))
+    front.update(
         0.0, {"n4", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.REST, WORTHS, 0.05), 1
     )  # a fifth of one fetch
     made = []
     for now in range(0, 20_000, 50):
-        front.want(now, f"f{now}", 1.0, "view")
+        front.request_copy(now, m.LoadRequest(f"f{now}", "view", 1.0))
         for order in orders(front.tick(now)):
             made.append(now)
             front.ordered(now, order.scorer, order.function)
@@ -228,13 +237,13 @@
         i for i in range(50) if slow_start_coordinator_of(str(i), ("n0", "n1")) == "n1"
     )  # n1's once it is heard
     for front, givers in ((old, ("n0",)), (new, ("n0", "n1"))):
-        front.set(0.0 if front is old else 3_000.0, givers, 1.0)
-        front.scorer(3_000.0, loser, 3_000.0)
+        front.update(0.0 if front is old else 3_000.0, PermitView(givers, 1.0, 1))
+        front.scorer_seen(3_000.0, loser, 3_000.0)
     used = []
     for now in range(3_000, 6_000):
         if now == 3_299:
-            old.set(now, ("n0", "n1"), 1.0)
-        used += [now for front in (old, new) if now != 3_299 and front.ask(now, loser, f"{now}") == 0.0]
+            old.update(now, PermitView(("n0", "n1"), 1.0, 1))
+        used += [now for front in (old, new) if now != 3_299 and front.request(now, loser, f"{now}") == 0.0]
     assert min(at for at in used if at > 3_299) >= 3_300 + LIMITS.fall_ms
     assert max(sum(at - 1_000 < other <= at for other in used) for at in used) <= LIMITS.room(6_000.0)
 
@@ -247,30 +256,30 @@
             fleet.ask(name, 3)
     window = [at for at in fleet.sent if 3_000.0 <= at < 4_050.0]
     assert LIMITS.room(3_000.0) - 1 <= len(window) <= LIMITS.room(4_050.0)
-    wards = [front.wards for front in fleet.fronts.values()]
-    warden = next(one for one in wards if one.scorers[7].warden == one.me)
-    waits = [warden.ask(fleet.now, 7, f"w{i}") for i in range(20)]
+    slow_start = [front.slow_start for front in fleet.fronts.values()]
+    warden = next(one for one in slow_start if one.scorers[7].coordinator == one.member)
+    waits = [warden.request(fleet.now, 7, f"w{i}") for i in range(20)]
     assert all(wait > 0 for wait in waits) and len(set(waits)) > 10 and waits == sorted(waits)
 
 
 def test_who_is_warden_of_a_scorer_that_came_up_after_all_heard_each_other_gives_at_once():
     front = CoordinatedSlowStart("n0", 1, LIMITS, 300.0)
-    front.set(0.0, ("n0",), 1.0)
-    front.scorer(100.0, 1, 0.0)
-    front.scorer(500.0, 2, 100.0)
-    assert front.ask(500.0, 1, "a") > 0 and front.ask(500.0, 2, "b") == 0.0
-    assert front.ask(500.0, 3, "of nobody") == 0.0 and front.ask(11_000.0, 1, "warm") == 0.0
+    front.update(0.0, PermitView(("n0",), 1.0, 1))
+    front.scorer_seen(100.0, 1, 0.0)
+    front.scorer_seen(500.0, 2, 100.0)
+    assert front.request(500.0, 1, "a") > 0 and front.request(500.0, 2, "b") == 0.0
+    assert front.request(500.0, 3, "of nobody") == 0.0 and front.request(11_000.0, 1, "warm") == 0.0
 
 
 def test_a_ticket_that_was_long_on_its_way_is_void():
     front = CoordinatedSlowStart("n1", 1, LIMITS, 300.0)
-    front.set(0.0, ("n0",), 1.0)
-    front.scorer(0.0, 7, 0.0)
-    assert front.ask(10.0, 7, "a") is None
+    front.update(0.0, PermitView(("n0",), 1.0, 1))
+    front.scorer_seen(0.0, 7, 0.0)
+    assert front.request(10.0, 7, "a") is None
     [words] = front.tick(10.0)
-    answer = m.PermitResponse(7, words.word.number, 1, (0.0,))
-    assert front.given(61.0, "n0", answer) == [] and front.counts == {"a ticket came too late": 1}
+    answer = m.PermitResponse(7, words.message.number, 1, (0.0,))
+    assert front.receive_response(61.0, answer) == [] and front.counts == {"permits that came late": 1}
     [words] = front.tick(62.0)
-    answer = m.PermitResponse(7, words.word.number, 1, (0.0,))
-    assert [ticket.key for ticket in front.given(70.0, "n0", answer)] == ["a"]
-    assert front.given(70.0, "n0", answer) == []
+    answer = m.PermitResponse(7, words.message.number, 1, (0.0,))
+    assert [ticket.key for ticket in front.receive_response(70.0, answer)] == ["a"]
+    assert front.receive_response(70.0, answer) == []
--- a/tests/test_rejoin_processes.py
+++ b/tests/recovery_service/test_recovery_service_processes.py
@@ -1,31 +1,35 @@
 """Real processes with stores: all killed at once, started in another boot; one killed as it granted."""
 
+from fawnwharf.durable_store import folder
+from fawnwharf.durable_store.file_format import StoreLimits
+from fawnwharf.recovery_core.trust import StateKind
+from fawnwharf.recovery_core.trust import StoreCondition
+from fawnwharf.recovery_core.trust import TrustLevel
+from fawnwharf.recovery_service.recovery_store import RecoveryStore
+from fawnwharf.recovery_service.recovery_store import RecoveryStoreSettings
+from support.power_losses import PowerFleet
+from support.power_losses import WINDOW_MS
 import json
+import pytest
 import signal
 import subprocess
 import sys
 
-import pytest
-from support.power_losses import WINDOW_MS, PowerFleet
-
-from fawnwharf.durable_store import folder
-from fawnwharf.durable_store.file_format import StoreLimits
-from fawnwharf.recovery_core.trust import StateKind, StoreCondition, TrustLevel
-from fawnwharf.recovery_service.recovery_store import RecoveryStore
 
 GRANTING = """
 import json, sys
-from fawnwharf.durable_store.file_format import Limits
+from fawnwharf.durable_store.file_format import StoreLimits
 from fawnwharf.testbed.promises import fleet_file
 from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_service.recovery_store import RecoveryStore
+from fawnwharf.recovery_service.recovery_store import RecoveryStore, RecoveryStoreSettings
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.settings import ReplicationSettings
 
 members, name, folder, boot = fleet_file("abc"), "n0", sys.argv[1], sys.argv[2]
-kept = RecoveryStore(folder, "f", name, boot, Limits(wait_ms=20_000.0), lambda what, more: None, fresh=True)
+settings = RecoveryStoreSettings(folder, "f", name, boot, StoreLimits(wait_ms=20_000.0))
+kept = RecoveryStore(settings, lambda what, more: None, fleet_is_new=True)
 core = ReplicationCore(name, 1, members, ReplicationSettings(1, "members"), monotonic_ms(), fresh=True)
 disk = kept.open_grant_storage(core, None)
 loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
@@ -62,9 +66,10 @@
     child.wait()
     folder.unlock_folder(folder.lock_folder(tmp_path / "d", within_s=20.0))
     boot.write_text("another")
-    kept = RecoveryStore(tmp_path / "d", "f", "n0", str(boot), StoreLimits(), lambda what, more: None)
+    settings = RecoveryStoreSettings(tmp_path / "d", "f", "n0", str(boot), StoreLimits())
+    kept = RecoveryStore(settings, lambda what, more: None)
     try:
-        assert (kept.whole, kept.same_boot, kept.in_order, kept.sure) == (
+        assert (kept.condition, kept.same_boot, kept.ended_in_order, kept.known_list) == (
             StoreCondition.WHOLE,
             False,
             False,
@@ -89,9 +94,9 @@
         assert fleet.runs(request) == 1
         read = [note.fields for note in fleet.notes if note.event == "disk read"][-3:]
         assert [row["trusted"] for row in read] == [True] * 3 and any(row["calls"] for row in read)
-        stores = [note.fields for note in fleet.notes if note.event == "store read"][-3:]
+        stores = [note.fields for note in fleet.notes if note.event == "recovery store read"][-3:]
         assert [(row["same_boot"], row["why"]) for row in stores] == [(False, "")] * 3
-        assert not [note for note in fleet.notes if note.event == "the store is in part"]
+        assert not [note for note in fleet.notes if note.event == "recovery store incomplete"]
         assert not fleet.faults
     finally:
         fleet.close()
@@ -121,8 +126,8 @@
         fleet.until(lambda: all(front.process is None for front in fleet.fronts.values()), "all to end")
         assert [front.status for front in fleet.fronts.values()] == [0] * 3
         fleet.up()
-        stores = [note.fields for note in fleet.notes if note.event == "store read"][-3:]
-        assert [(row["life"], row["same_boot"], row["in_order"], row["why"]) for row in stores] == [
+        stores = [note.fields for note in fleet.notes if note.event == "recovery store read"][-3:]
+        assert [(row["incarnation"], row["same_boot"], row["in_order"], row["why"]) for row in stores] == [
             (2, True, True, "")
         ] * 3
         fleet.served("a call of the next life")
--- a/tests/test_disk_faults_promises.py
+++ b/tests/recovery_service/test_recovery_service_promise_disk_faults.py
@@ -19,7 +19,7 @@
 
 def no_room(kept):
     """The bytes of promises are used up."""
-    kept._bytes[PROMISES.name] = PROMISES.all_bytes - 10
+    kept._bytes[PROMISES.name] = PROMISES.max_total_bytes - 10
 
 
 def room(kept):
@@ -51,9 +51,9 @@
     no_room(cores.kepts[keeper])
     assert not asks(cores, cores.owners[0], keeper)().granted
     cores.turn()
-    assert cores.kepts[keeper].sure == 0 and cores.sure(keeper)
+    assert cores.kepts[keeper].known_list == 0 and cores.sure(keeper)
     cores.wait(9_000)
-    assert cores.kepts[keeper].sure == cores.cores[keeper].placement.number
+    assert cores.kepts[keeper].known_list == cores.cores[keeper].placement.number
     cores.end_all("cut", keeper)
     assert cores.sure(keeper)
 
@@ -70,22 +70,22 @@
     limits = msgspec.structs.replace(LIMITS, state_bytes=20_000)
     kept = site.kept(fresh=True, limits=limits)
     filled(kept)
-    kept.doubt("a reason of some length" * 10)
+    kept.mark_incomplete("a reason of some length" * 10)
     told = []
     for _ in range(12):  # its number grows by a digit
-        kept.on_disk(lambda good, why: told.append((good, why)))
+        kept.when_committed(lambda good, why: told.append((good, why)))
         site.pump(kept)
     assert told == [(True, "")] * 12
     site.machine().cut(share=0.0)
     again = site.kept(limits=limits)
-    assert again.whole is StoreCondition.PART and again.why.startswith("a reason of some length")
+    assert again.condition is StoreCondition.PART and again.doubt.startswith("a reason of some length")
 
 
 def test_a_cause_of_any_characters_has_room(site):
     kept = site.kept(fresh=True)
     for why in ("\U0001f4be" * 900, "\0" * 900):
-        kept.doubt(why[: k.MAX_REASON_LENGTH])
+        kept.mark_incomplete(why[: k.MAX_REASON_LENGTH])
         site.pump(kept, 200.0)
         site.machine().cut(share=0.0)
         kept = site.kept()
-        assert kept.whole is StoreCondition.PART and kept.why == why[: k.MAX_REASON_LENGTH]
+        assert kept.condition is StoreCondition.PART and kept.doubt == why[: k.MAX_REASON_LENGTH]
--- a/tests/test_rejoin_service.py
+++ b/tests/recovery_service/test_recovery_service_service.py
@@ -1,15 +1,14 @@
 """Recovery over real sockets: three front ends with stores, boots' marks in files, calls and `status`."""
 
+from fawnwharf import interface as io
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.trust import StoreCondition
+from support.recovery_front_ends import Site
 import json
+import pytest
 import shutil
 import time
 
-import pytest
-from support.recovery_front_ends import Site
-
-from fawnwharf import interface as io
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.trust import StoreCondition
 
 RETURN = ["listening", "repeats", "worth", "rest", "renewal", "spill"]
 
@@ -29,22 +28,24 @@
     site.start()
     assert not any(site.ready(node) for node in site.nodes)
     site.until(
-        lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.cut == 1 for node in site.nodes),
+        lambda: all(
+            node.stage() is RecoveryPhase.SPILL and node.agent.power_loss == 1 for node in site.nodes
+        ),
         "calm",
     )
     for node in site.nodes:
         # What was decided while it had not asked yet may have been left again before it heard of it.
-        stages = [stage for cut, stage in node.stages() if cut == 1 and stage != "alone"]
+        stages = [stage for cut, stage in node.stages() if cut == 1 and stage != "partitioned"]
         assert stages == [stage for stage in RETURN if stage in stages] and stages[-1] == "spill"
-        assert not any(f["status"] for f in node.noted("stage") if f["stage"] in RETURN[:2])
+        assert not any(f["status"] for f in node.noted("recovery phase") if f["phase"] in RETURN[:2])
         assert site.ready(node) is True
-        site.until(lambda node=node: node.agent.asking.without() == {}, "all is answered")
-        assert len(node.noted("asked")) == 1
+        site.until(lambda node=node: node.agent.queries.without() == {}, "all is answered")
+        assert len(node.noted("startup queries done")) == 1
         assert (
-            node.part.kept.whole is StoreCondition.WHOLE
-            and node.noted("recovery on")[0]["same boot"] is False
+            node.part.parts.store.condition is StoreCondition.WHOLE
+            and node.noted("recovery enabled")[0]["same_boot"] is False
         )
-    whys = [fields["why"] for node in site.nodes for fields in node.noted("stage decided")]
+    whys = [fields["why"] for node in site.nodes for fields in node.noted("recovery phase decided")]
     assert whys.count("power loss") <= 1  # none where its leader gave way as it was decided
 
 
@@ -55,13 +56,13 @@
         site.power_loss(number, [back])
         site.start([back])
         assert not site.ready(back)
-        site.until(lambda: back.stage() is RecoveryPhase.SPILL and back.agent.asked, "it is calm here")
+        site.until(lambda: back.stage() is RecoveryPhase.SPILL and back.agent.queries_done, "it is calm here")
         site.until(lambda: site.ready(back), "and its status good")
         assert {cut for cut, _ in back.stages()} == {0} and back.stages()[-1] == (0, "spill")
         assert "repeats" not in [stage for _, stage in back.stages()]
-    marks = lambda: [n.agent.lead.conductor.register.boots for n in site.nodes]  # noqa: E731
+    marks = lambda: [n.agent.leader.coordinator.register.boots for n in site.nodes]  # noqa: E731
     site.until(lambda: any("boot 2" in boots.values() for boots in marks()), "its boot is noted")
-    assert all(node.agent.cut == 0 for node in site.nodes)
+    assert all(node.agent.power_loss == 0 for node in site.nodes)
 
 
 @pytest.mark.parametrize("site", [{"listen_ms": 60_000.0, "alone_ms": 2_500.0}], indirect=True)
@@ -78,14 +79,21 @@
     site.until(lambda: site.ready(alone), "and its status good, as scorers are there")
     may = alone.agent.allowed(time.monotonic() * 1000.0)
     assert may.alone and may.part == pytest.approx(1 / 3) and not may.spill
-    assert alone.part.joined.door.doors.rate_ps == pytest.approx(200.0 / 3)  # of one scorer, and it is warm
-    assert alone.noted("asked")[0]["without"] and alone.noted("stage")[-1]["stage"] == "alone"
+    assert alone.part.running.integration.admission.rate_limiter.rate_ps == pytest.approx(
+        200.0 / 3
+    )  # of one scorer, and it is warm
+    assert (
+        alone.noted("startup queries done")[0]["missing"]
+        and alone.noted("recovery phase")[-1]["phase"] == "partitioned"
+    )
     client.call(call="00000000000000bb")
     site.until(lambda: alone.scorer.runs, "a call that may run twice is served")
     alone.scorer.answer(alone.scorer.runs[0])
     site.start(site.nodes[1:])
     site.until(
-        lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.cut == 1 for node in site.nodes),
+        lambda: all(
+            node.stage() is RecoveryPhase.SPILL and node.agent.power_loss == 1 for node in site.nodes
+        ),
         "calm",
     )
     assert "listening" not in [stage for cut, stage in alone.stages() if cut == 1]
@@ -94,8 +102,10 @@
 def test_calls_are_counted_for_the_leader_until_it_has_been_calm_for_a_while(site):
     site.begin()
     node = site.nodes[2]
-    site.until(lambda: not any(n.part.calls.counting for n in site.nodes), "it has been calm for long")
-    assert all(n.part.tallies.calm for n in site.nodes)
+    site.until(
+        lambda: not any(n.part.running.calls.counting for n in site.nodes), "it has been calm for long"
+    )
+    assert all(n.part.running.counters.calm for n in site.nodes)
     site.power_loss(2)
     site.start()
     site.until(
@@ -111,12 +121,12 @@
             if frame.id not in answered:
                 answered.add(frame.id)
                 node.scorer.answer((link, frame))
-        leader = next((n for n in site.nodes if n.agent.lead.term), None)
-        told = leader.agent.lead.standings.get("n2") if leader else None
-        return told and told[0].served.good >= 2
+        leader = next((n for n in site.nodes if n.agent.leader.term), None)
+        told = leader.agent.leader.reports.get("n2") if leader else None
+        return told and told.report.calls.in_time >= 2
 
     site.until(heard, "the leader hears of calls that were served in time")
-    assert node.part.calls.counting and "answer" in client.kinds().values()
+    assert node.part.running.calls.counting and "answer" in client.kinds().values()
 
 
 def test_a_store_that_was_lost_is_doubted_until_others_confirm_it_in_calm(site):
@@ -125,16 +135,16 @@
     site.power_loss(1, [back])
     shutil.rmtree(back.folder / "kept")
     site.start([back])
-    assert back.part.kept.whole is StoreCondition.PART and not back.agent.own.whole
-    site.until(lambda: back.noted("the store is confirmed"), "others confirm it")
+    assert back.part.parts.store.condition is StoreCondition.PART and not back.agent.status.complete
+    site.until(lambda: back.noted("recovery store confirmed"), "others confirm it")
     assert (
-        back.part.kept.whole is StoreCondition.WHOLE
-        and back.agent.own.sure
+        back.part.parts.store.condition is StoreCondition.WHOLE
+        and back.agent.status.knows_grants
         and back.stage() is RecoveryPhase.SPILL
     )
     site.power_loss(1, [back])
     site.start([back])
-    assert back.part.kept.whole is StoreCondition.WHOLE
+    assert back.part.parts.store.condition is StoreCondition.WHOLE
 
 
 def test_one_without_a_change_log_dials_the_scorers_of_its_last_roster(site):
@@ -142,41 +152,43 @@
     node = site.nodes[0]
     event = {"seq": 2, "fleet": {"complete": True, "members": [node.scorer.member(locality="a")]}}
     node.log.links[-1].sock.sendall(json.dumps(event).encode() + b"\n")
-    site.until(lambda: node.part._roster._kept, "the roster is kept")
-    site.until(lambda: node.part.kept.store.standing(time.monotonic() * 1000.0).failing == "", "on disk")
+    site.until(lambda: node.part.running.roster.was_stored, "the roster is kept")
+    site.until(
+        lambda: node.part.parts.store.store.standing(time.monotonic() * 1000.0).failing == "", "on disk"
+    )
     site.rest(0.3)
     site.power_loss(2, [node])
     node.known = False
     pump, node.log.pump = node.log.pump, lambda: None  # it takes connections and says nothing
     site.start([node])
-    site.until(lambda: node.noted("last roster dialled"), "it goes by the last roster")
+    site.until(lambda: node.noted("earlier roster used"), "it goes by the last roster")
     assert list(node.front.overlay.members) == [node.scorer.member()["id"]]
     site.until(lambda: node.stage() is RecoveryPhase.SPILL and site.ready(node), "it serves")
-    assert "addresses" in node.noted("asked")[0]["without"][0]
+    assert "addresses" in node.noted("startup queries done")[0]["missing"][0]
     node.log.pump = pump
 
 
 def test_a_bad_word_is_dropped_and_said_once_a_second(site):
     site.begin()
     node = site.nodes[0]
-    before = dict(node.agent.counts)
+    before = dict(node.agent.drops)
     for word in (1, {"type": "Other"}, {"type": "Ask", "fleet": "g", "life": 1, "turn": 1, "what": 0}):
-        node.part.on_messages("n1", (word,), None)
-        node.part._heard_state(0.0, "n1", 1, word)
-    gained = {why: n - before.get(why, 0) for why, n in node.agent.counts.items() if n != before.get(why, 0)}
-    assert gained == {"bad word": 4, "another fleet's": 2}
-    assert len(node.noted("word dropped")) == 1
+        node.part.running.on_messages("n1", (word,), None)
+        node.part.running.on_replication_message(0.0, "n1", 1, word)
+    gained = {why: n - before.get(why, 0) for why, n in node.agent.drops.items() if n != before.get(why, 0)}
+    assert gained == {"malformed message": 4, "another fleet": 2}
+    assert len(node.noted("message dropped")) == 1
 
 
 def test_one_that_gave_its_parts_to_another_process_and_takes_them_back_asks_anew(site):
     site.begin()
     node = site.nodes[2]
-    seam, life = node.front.seam, node.part.life
+    seam, life = node.front.seam, node.part.parts.store.incarnation
     order = node.front._carriers[io.OrderCopies]
     seam.release()
     assert node.front._carriers[io.OrderCopies] != order and not node.front.port.waits_for
     seam.take_back(node.front)
-    assert node.part.life > life and not site.ready(node)
+    assert node.part.parts.store.incarnation > life and not site.ready(node)
     site.until(
         lambda: node.stage() is RecoveryPhase.SPILL and site.ready(node),
         "it is calm here, and its status good",
--- a/tests/test_rejoin_settings.py
+++ b/tests/recovery_service/test_recovery_service_settings.py
@@ -13,11 +13,11 @@
 
 
 def test_the_example_is_read_and_absent_keys_are_the_cores_own():
-    place = Path(__file__).parent.parent / "deploy" / "recovery.json"
+    place = Path(__file__).parents[2] / "deploy" / "recovery.json"
     found = settings_from(place.read_bytes())
     assert found.boot_file == "/proc/sys/kernel/random/boot_id"
-    assert found.timing.of_stages == phases.PhaseTiming()
-    assert found.pace.of_asking == queries.QueryPace()
+    assert found.timing.of_phases == phases.PhaseTiming()
+    assert found.pace.of_queries == queries.QueryPace()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rejoin_onstore.py
+++ b/tests/recovery_service/test_recovery_service_stored_promises.py
@@ -148,7 +148,9 @@
     assert cores.what(owner) == [RunCall("k", True)]
     cores.end_all("cut")
     cores.turn()
-    assert all(cores.sure(name) and cores.kepts[name].whole is StoreCondition.WHOLE for name in cores.keepers)
+    assert all(
+        cores.sure(name) and cores.kepts[name].condition is StoreCondition.WHOLE for name in cores.keepers
+    )
     cores.told.clear()
     for n, again in enumerate((owner, cores.owners[1])):
         cores.begin(again, effect=effect, dedup_ms=60_000.0)  # scorers know no key any more
@@ -200,7 +202,7 @@
     for _ in range(3):
         cores.end_all("cut", lost)
         cores.turn(lost)
-        assert cores.kepts[lost].whole is StoreCondition.PART and not cores.sure(lost)
+        assert cores.kepts[lost].condition is StoreCondition.PART and not cores.sure(lost)
         assert not asks(cores, cores.owners[1], lost)().granted
         cores.wait(1_000)
     cores.wait(8_000)
@@ -238,11 +240,11 @@
     older = cores.site.machine(keeper).disk.copy()
     cores.begin(cores.owners[0])
     cores.turn()
-    heard = cores.kepts[keeper].sign()
+    heard = cores.kepts[keeper].position()
     cores.site.machine(keeper).disk = older
     cores.end_all("kill", keeper)
     assert cores.sure(keeper)
-    assert not cores.kepts[keeper].heard_sign(heard) and not cores.sure(keeper)
+    assert not cores.kepts[keeper].receive_position(heard) and not cores.sure(keeper)
     cores.wait(1_500)
     assert cores.sure(keeper)  # it has heard the others
 
--- a/tests/test_rejoin_kept.py
+++ b/tests/recovery_service/test_recovery_service_stored_state.py
@@ -48,7 +48,7 @@
             ended_in_order(site, kept)
         site.machine(name).kill() if end == "kill" else site.machine(name).cut(share=1.0)
         kept = site.kept(name)
-        assert (kept.whole, kept.same_boot, kept.in_order, kept.life) == (
+        assert (kept.condition, kept.same_boot, kept.ended_in_order, kept.folder_incarnation) == (
             StoreCondition.WHOLE, end == "kill", order, 2,
         )  # fmt: skip
         assert kept.read(StateKind.PLAN) == [("last", {"number": 7}, plan)]
@@ -65,7 +65,7 @@
         monkeypatch.setattr(recovery_store, "unix_ms", lambda unix_ms=unix_ms: unix_ms)
         kept = site.kept(fresh=not numbers)
         site.pump(kept, 200.0)
-        numbers.append(kept.number)
+        numbers.append(kept.incarnation)
         ended_in_order(site, kept)
         site.machine().kill()
     assert numbers == [5_000_000_000, 5_000_000_001, 5_000_000_002, 9_000_000_000, 9_000_000_001]
@@ -104,18 +104,18 @@
 
 def test_an_empty_folder_of_a_fleet_that_goes_on_is_in_part_until_others_confirm(site):
     kept = site.kept()
-    assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PART, "empty", True)
+    assert (kept.condition, kept.doubt, kept.was_empty) == (StoreCondition.PART, "empty", True)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
     for end in ("kill", "cut", "cut"):
         getattr(site.machine(), end)()
         kept = site.kept()
-        assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PART, "empty", False)
+        assert (kept.condition, kept.doubt, kept.was_empty) == (StoreCondition.PART, "empty", False)
         assert kept.read(StateKind.PLAN)[0][2] is TrustLevel.MAJORITY
     kept.confirm()
-    assert kept.whole is StoreCondition.WHOLE
+    assert kept.condition is StoreCondition.WHOLE
     site.pump(kept, 200.0)
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.WHOLE
+    assert site.kept().condition is StoreCondition.WHOLE
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 1.0])
@@ -129,18 +129,18 @@
         with pytest.raises(PowerCut):
             site.kept(f"m{at}")
         machine.cut(at, share)
-        assert site.kept(f"m{at}").whole is StoreCondition.PART
+        assert site.kept(f"m{at}").condition is StoreCondition.PART
 
 
 def test_a_fleet_that_begins_has_lost_nothing_by_an_empty_folder(site):
-    assert site.kept(fresh=True).whole is StoreCondition.WHOLE
+    assert site.kept(fresh=True).condition is StoreCondition.WHOLE
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.WHOLE
+    assert site.kept().condition is StoreCondition.WHOLE
 
 
 def test_a_repaired_folder_is_in_part_and_what_its_keeper_knew_is_forgotten_once(site):
     kept = site.kept(fresh=True)
-    kept.keep_sure(3)
+    kept.keep_known_list(3)
     for n in range(5):
         on_disk(site, kept, StateKind.PLAN, "last", n)
     disk = site.machine().disk
@@ -152,78 +152,92 @@
     outcome = execute_job(disk, repairs.first_repair_job(plan))
     execute_job(disk, repairs.second_repair_job(plan, outcome.inode, 1e12))
     kept = site.kept()
-    assert kept.whole is StoreCondition.PART and kept.why.startswith("repaired") and kept.sure == 0
-    kept.keep_sure(3)  # it waited, and knows all again: that is its own, and outlives
+    assert (
+        kept.condition is StoreCondition.PART and kept.doubt.startswith("repaired") and kept.known_list == 0
+    )
+    kept.keep_known_list(3)  # it waited, and knows all again: that is its own, and outlives
     site.pump(kept, 200.0)
     site.machine().cut()
     kept = site.kept()
-    assert (kept.whole, kept.sure) == (StoreCondition.PART, 3)
+    assert (kept.condition, kept.known_list) == (StoreCondition.PART, 3)
     kept.confirm()
     site.pump(kept, 200.0)
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.WHOLE
+    assert site.kept().condition is StoreCondition.WHOLE
 
 
 def test_an_older_copy_is_shown_by_what_others_heard_and_own_words_are_none(site):
     kept = site.kept(fresh=True)
-    kept.keep_sure(3)
+    kept.keep_known_list(3)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
     machine = site.machine()
     older = machine.disk.copy()
     machine.kill()
     kept = site.kept()
     on_disk(site, kept, StateKind.PLAN, "last", 2)
-    heard = kept.sign()
-    assert heard.life == 2 and kept.heard_sign(heard) and kept.heard_sign(FolderPosition("cd" * 8, 9, 9))
+    heard = kept.position()
+    assert (
+        heard.life == 2
+        and kept.receive_position(heard)
+        and kept.receive_position(FolderPosition("cd" * 8, 9, 9))
+    )
     machine.disk = older
     kept, told = site.kept(), []
-    kept.on_doubt(lambda: told.append(kept.whole))
-    assert kept.whole is StoreCondition.WHOLE and kept.sure == 3  # by the folder alone nothing shows it
-    assert not kept.heard_sign(heard)
-    assert told == [StoreCondition.PART] and kept.sure == 0 and kept.why.startswith("rolled back")
-    assert not kept.heard_sign(heard) and told == [StoreCondition.PART]  # said once
+    kept.on_incomplete(lambda: told.append(kept.condition))
+    assert (
+        kept.condition is StoreCondition.WHOLE and kept.known_list == 3
+    )  # by the folder alone nothing shows it
+    assert not kept.receive_position(heard)
+    assert told == [StoreCondition.PART] and kept.known_list == 0 and kept.doubt.startswith("rolled back")
+    assert not kept.receive_position(heard) and told == [StoreCondition.PART]  # said once
     site.pump(kept, 200.0)
     machine.cut()
     kept = site.kept()
-    assert (kept.whole, kept.sure) == (StoreCondition.PART, 0)
+    assert (kept.condition, kept.known_list) == (StoreCondition.PART, 0)
     far = FolderPosition(heard.mark, 9, 9)
-    assert not kept.heard_sign(far)
+    assert not kept.receive_position(far)
     kept.confirm()
-    assert kept.heard_sign(far) and kept.whole is StoreCondition.WHOLE  # others went over it
+    assert kept.receive_position(far) and kept.condition is StoreCondition.WHOLE  # others went over it
     site.pump(kept, 200.0)
     kept = site.kept()
-    assert kept.whole is StoreCondition.WHOLE and not kept.heard_sign(far)  # a start hears of it anew
+    assert kept.condition is StoreCondition.WHOLE and not kept.receive_position(
+        far
+    )  # a start hears of it anew
 
 
 def test_a_copy_of_within_the_last_life_is_shown_to_a_store_that_has_settled_too(site):
     kept = site.kept(fresh=True)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
-    older, between = site.machine().disk.copy(), kept.sign()
+    older, between = site.machine().disk.copy(), kept.position()
     for number in range(2, 6):
         on_disk(site, kept, StateKind.PLAN, "last", number)
-    heard = kept.sign()
+    heard = kept.position()
     site.machine().disk = older
     kept = site.kept()
-    now = kept.sign()
+    now = kept.position()
     assert (heard.life, now.life) == (1, 2) and kept.settled and heard.number > now.number
-    assert kept.heard_sign(now) and kept.heard_sign(between) and kept.whole is StoreCondition.WHOLE
     assert (
-        not kept.heard_sign(heard)
-        and kept.whole is StoreCondition.PART
-        and kept.why.startswith("rolled back")
+        kept.receive_position(now)
+        and kept.receive_position(between)
+        and kept.condition is StoreCondition.WHOLE
+    )
+    assert (
+        not kept.receive_position(heard)
+        and kept.condition is StoreCondition.PART
+        and kept.doubt.startswith("rolled back")
     )
-    assert f"life 1, number {between.number}" in kept.why
+    assert f"life 1, number {between.number}" in kept.doubt
 
 
 def test_what_is_beyond_the_bounds_is_refused_and_said_once(site):
     kept = site.kept(fresh=True)
-    told, whole = [], "x" * (k.ENTRY_RULES[StateKind.HOMES].value_bytes - 100)
+    told, whole = [], "x" * (k.ENTRY_RULES[StateKind.HOMES].max_value_bytes - 100)
     rule = k.ENTRY_RULES[StateKind.HOMES]
-    for n in range(rule.all_bytes // rule.value_bytes + 20):
+    for n in range(rule.max_total_bytes // rule.max_value_bytes + 20):
         kept.keep(StateKind.HOMES, str(n), whole, lambda good, why: told.append((good, why)))
         site.pump(kept)
     assert told[0] == (True, "") and told[-1] == (False, "homes: 1048576 bytes in all is the most")
-    assert sum(what == "not kept" for what, _ in site.notes) == 1
+    assert sum(what == "recovery store rejected an entry" for what, _ in site.notes) == 1
     assert kept.keep(StateKind.HOMES, "0", None) and kept.keep(StateKind.HOMES, "new", whole)
     assert not kept.keep(StateKind.PROMISE, "p", "x" * 40_000) and kept.keep(StateKind.PROMISE, "p", [1.0])
 
@@ -254,9 +268,9 @@
     kept = site.kept(fresh=True)
     site.machine().kill()
     kept = site.kept(settle=False)
-    assert not kept.settled and kept.sign().life == 0
+    assert not kept.settled and kept.position().life == 0
     site.pump(kept)
-    assert kept.settled and kept.sign().life == 2
+    assert kept.settled and kept.position().life == 2
     kept.close()
     kept.close()
     assert not kept.keep(StateKind.PLAN, "last", 1)
@@ -272,31 +286,31 @@
 def test_the_last_roster_is_kept_when_it_changed_and_read_as_scorers(site):
     kept, recorder = site.kept(fresh=True), hints.RosterRecorder()
     one = Member("7", "in_service", "h:1", "z1", "big", 2, 1.5)
-    recorder.told(Fleet([one]))
+    recorder.update(Fleet([one]))
     assert recorder.due(0.0) is None  # not whole yet
-    recorder.told(Fleet([one, Member("8", "terminating", "h:2")], complete=True))
+    recorder.update(Fleet([one, Member("8", "terminating", "h:2")], complete=True))
     kept.keep(StateKind.ROSTER, hints.ENTRY_KEY, recorder.due(0.0))
     two = msgspec.structs.replace(one, id="9")
-    recorder.told(Fleet([one, two], complete=True))
+    recorder.update(Fleet([one, two], complete=True))
     assert recorder.due(1_999.0) is None
     value = recorder.due(2_000.0)
     assert len(value) == 2 and recorder.due(9_000.0) is None
     site.pump(kept, 300.0)
     assert k.ENTRY_RULES[StateKind.ROSTER].mode == HINT
     site.machine().cut(share=1.0)
-    assert hints.RosterRecorder.read(site.kept().read(StateKind.ROSTER)) == [one]
-    assert hints.RosterRecorder.read([(hints.ENTRY_KEY, [["broken"]], TrustLevel.HINT)]) == []
+    assert hints.stored_roster(site.kept().read(StateKind.ROSTER)) == [one]
+    assert hints.stored_roster([(hints.ENTRY_KEY, [["broken"]], TrustLevel.HINT)]) == []
 
 
 def test_the_use_of_the_last_windows_is_told_by_row_and_class_within_its_bound(site):
     recorder = hints.UsageRecorder(0.0)
     for n in range(5):
-        recorder.came(n * 2_000.0, "f", "gold", 20)
-        recorder.came(n * 2_000.0, f"rare {n}", "gold")
+        recorder.record(n * 2_000.0, "f", "gold", 20)
+        recorder.record(n * 2_000.0, f"rare {n}", "gold")
     assert recorder.due(9_999.0) is None
     assert recorder.due(10_000.0)[:2] == [["f", "gold", 10.0], ["rare 0", "gold", 0.1]]
     for n in range(3 * hints.MAX_FUNCTIONS):
-        recorder.came(10_000.0, f"g{n:05}", "low", 1 + (n % 3 == 0))
+        recorder.record(10_000.0, f"g{n:05}", "low", 1 + (n % 3 == 0))
     assert recorder.due(11_000.0) is None  # written once in five windows
     value = recorder.due(20_000.0)
     assert len(value) == hints.MAX_FUNCTIONS and {rps for _, _, rps in value} == {0.2}
@@ -305,4 +319,4 @@
     assert kept.keep(StateKind.USE, hints.ENTRY_KEY, value)
     site.pump(kept, 300.0)
     site.machine().cut(share=1.0)
-    assert hints.UsageRecorder.read(site.kept().read(StateKind.USE))["g00000", "low"] == 0.2
+    assert hints.stored_usage(site.kept().read(StateKind.USE))["g00000", "low"] == 0.2
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -4,18 +4,22 @@
 ordered them is gone.
 """
 
-import heapq
-import random
-
-import msgspec
-
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import FleetLimits
-from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage, SlowStartPermit
-from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.phases import allowed_in_phase
+from fawnwharf.recovery_service.actions import LoadOrder
+from fawnwharf.recovery_service.actions import SendPermitMessage
+from fawnwharf.recovery_service.actions import SlowStartPermit
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_issuing import PermitTiming
+from fawnwharf.recovery_service.permit_issuing import TICK_MS
 from fawnwharf.recovery_service.permit_messages import permit_message_from
 from fawnwharf.replication.placement import rendezvous_weight
+import heapq
+import msgspec
+import random
+
 
 WORTHS = {"view": 1.0, "settle": 5.0}
 RATION_MS = 5_000.0
@@ -42,7 +46,7 @@
         self.now, self.heap, self.count, self.lives = 0.0, [], 0, 0
         self.up, self.fronts, self.views, self.changes = set(), {}, {}, 0
         self.may = allowed_in_phase(RecoveryPhase.REST, WORTHS)
-        self.stands, self.loading = set(), {}  # (scorer, function); until when
+        self.stands, self.coordination = set(), {}  # (scorer, function); until when
         self.most = 0  # loads at a time
         self.orders = []  # when, by whom, of what, and whether that one lived on until it was answered
         self.sent, self.keys, self.words = [], 0, 0  # when calls went to the cold scorer 7
@@ -67,11 +71,12 @@
     def start(self, name):
         """Start a front end, which knows only itself at first."""
         self.lives += 1
-        order = lambda row: sorted(range(3), key=lambda s: rendezvous_weight(str(s), row))  # noqa: E731
-        more = {} if self.ration is None else {"room": lambda: self.room(name)}
-        self.fronts[name] = PermitIssuer(name, self.lives, LIMITS, order, self.lag_ms, self.usual_ms, **more)
+        order = lambda function: sorted(range(3), key=lambda s: rendezvous_weight(str(s), function))  # noqa: E731
+        more = {} if self.ration is None else {"orders_left": lambda: self.room(name)}
+        timing = PermitTiming(self.lag_ms, self.usual_ms)
+        self.fronts[name] = PermitIssuer(name, self.lives, LIMITS, order, timing, **more)
         self.views[name] = 0, frozenset((name,))
-        self.fronts[name].scorer(self.now, 7, self.now)
+        self.fronts[name].scorer_seen(self.now, 7, self.now)
         self.up.add(name)
         self._changed(name)
 
@@ -100,7 +105,7 @@
         def see():
             if self.fronts.get(name) is front and self.views[name][0] < change:
                 self.views[name] = change, seen
-                front.set(self.now, seen, self.keepers, self.may, 1)
+                front.update(self.now, seen, self.keepers, self.may, 1)
 
         return see
 
@@ -108,7 +113,7 @@
         """Let all front ends go by what is allowed now."""
         self.may = may
         for name, front in self.fronts.items():
-            front.set(self.now, self.views[name][1], self.keepers, may, 1)
+            front.update(self.now, self.views[name][1], self.keepers, may, 1)
 
     # --- what comes out -------------------------------------------------------------------------
 
@@ -123,20 +128,20 @@
             if isinstance(out, SendPermitMessage):
                 for to in [other for other in out.to or self.names if other != name]:
                     if name in self.keepers or to in self.keepers:
-                        self._say(name, to, out.word)
+                        self._say(name, to, out.message)
             elif isinstance(out, LoadOrder):
-                self.at(1.0, lambda what=out.what: self._ordered(name, what))
-            elif isinstance(out, SlowStartPermit) and out.free_ms == 0.0:
+                self.at(1.0, lambda what=out.event: self._ordered(name, what))
+            elif isinstance(out, SlowStartPermit) and out.wait_ms == 0.0:
                 self.sent.append(self.now)
 
     def ask(self, name, count):
         """Let a front end ask for permits for the cold scorer 7."""
         for _ in range(count):
             self.keys += 1
-            if self.fronts[name].ask(self.now, 7, f"k{self.keys}") == 0.0:
+            if self.fronts[name].request_permit(self.now, 7, f"k{self.keys}") == 0.0:
                 self.sent.append(self.now)
 
-    def _say(self, name, to, word):
+    def _say(self, name, to, message):
         self.words += 1
         if self.chance.random() < self.lost:
             return
@@ -144,7 +149,9 @@
 
         def come():
             if to in self.fronts:
-                self.carry(to, self.fronts[to].hear(self.now, name, permit_message_from(builtins(word))))
+                self.carry(
+                    to, self.fronts[to].receive(self.now, name, permit_message_from(builtins(message)))
+                )
 
         self.at(late, come)
 
@@ -153,10 +160,10 @@
         front, place = self.fronts.get(name), (what.scorer, what.function)
         if front is None:
             return
-        life = front.life
+        incarnation = front.incarnation
 
         def answer(ending, copies):
-            if (front := self.fronts.get(name)) and front.life == life:
+            if (front := self.fronts.get(name)) and front.incarnation == incarnation:
                 event = io.LoadOrderAnswered(what.scorer, what.function, ending, copies, 0.0)
                 self.carry(name, front.answered(self.now, event))
 
@@ -167,16 +174,16 @@
             return  # the module has none to spare
         front.ordered(self.now, *place)
         took = 2.0 if place in self.stands else self.chance.uniform(*self.loads)
-        if place not in self.stands and place not in self.loading:
-            self.loading[place] = self.now + took
-            self.most = max(self.most, len(self.loading))
+        if place not in self.stands and place not in self.coordination:
+            self.coordination[place] = self.now + took
+            self.most = max(self.most, len(self.coordination))
             self.at(took, lambda: self._loaded(place))
-        took = max(took, self.loading.get(place, self.now) - self.now)
+        took = max(took, self.coordination.get(place, self.now) - self.now)
         self.orders.append((self.now, name, what.function, True, self.now + took))
         self.at(took + 1.0, lambda: answer(io.AttemptResult.GOOD, 1))
 
     def _loaded(self, place):
-        del self.loading[place]
+        del self.coordination[place]
         self.stands.add(place)
 
 
@@ -195,6 +202,6 @@
     return fleet
 
 
-def builtins(word):
+def builtins(message):
     """A message after a trip through JSON."""
-    return msgspec.json.decode(msgspec.json.encode(word))
+    return msgspec.json.decode(msgspec.json.encode(message))
--- a/tests/support/memory_stores.py
+++ b/tests/support/memory_stores.py
@@ -98,8 +98,9 @@
     def kept(self, name="n0", fresh=False, settle=True, limits=LIMITS, boot_file=None):
         """Open a member's store."""
         place = str(self.machine(name).place) if boot_file is None else boot_file
+        settings = recovery_store.RecoveryStoreSettings(self.folder, "f", name, place, limits)
         kept = recovery_store.RecoveryStore(
-            self.folder, "f", name, place, limits, lambda what, more: self.notes.append((what, more)), fresh
+            settings, lambda what, more: self.notes.append((what, more)), fleet_is_new=fresh
         )
         if settle:
             self.pump(kept)
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -5,7 +5,7 @@
 from fawnwharf.net.timer_wheel import Wheel
 from fawnwharf.recovery_core.budget import FleetLimits
 from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+from fawnwharf.recovery_service.recovery_admission import AdmissionSettings, RecoveryAdmission
 
 CLASSES = {
     "settle": ClassSpec("settle", latency_target_ms=1_000.0, effect=Effect.AT_MOST_ONCE, priority_weight=5.0),
@@ -26,31 +26,31 @@
 
 
 class Words:
-    """Stands for `Giving`: its answers are set by the test."""
+    """Stands for `PermitIssuer`: its answers are set by the test."""
 
     def __init__(self):
         self.places, self.etas, self.free, self.wanted, self.asked = {}, {}, {}, [], []
 
-    def place(self, row):
+    def place(self, function):
         """The scorer of a function's copy, if it is set."""
-        return self.places.get(row)
+        return self.places.get(function)
 
-    def eta_ms(self, now, row):
+    def eta_ms(self, now, function):
         """When a copy may stand, in milliseconds."""
-        return self.etas.get(row, 300.0)
+        return self.etas.get(function, 300.0)
 
-    def want(self, now, row, worth_ps, kind, lanes, load_ms):
+    def request_copy(self, now, request):
         """Note a load request."""
-        self.wanted.append((row, worth_ps, kind))
+        self.wanted.append((request.function, request.weight_ps, request.class_name))
 
-    def ask(self, now, scorer, key):
+    def request_permit(self, now, scorer, key):
         """The answer set for a scorer: 0 to send, else milliseconds to wait, or None for later."""
         found = self.free.get(scorer, 0.0)
         if found is None:
             self.asked.append(key)
         return found
 
-    def drop(self, key):
+    def cancel_permit(self, key):
         """Forget a call that waits for a permit."""
         if key in self.asked:
             self.asked.remove(key)
@@ -62,8 +62,10 @@
     def __init__(self, stage=RecoveryPhase.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
         self.now = 0.0
         self.wheel = Wheel(lambda: self.now)
-        self.giving, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
-        self.door = RecoveryAdmission(self, self, CLASSES, limits, promises, clock=lambda: self.now)
+        self.issuer, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
+        self.admission = RecoveryAdmission(
+            self.wheel, self, AdmissionSettings(CLASSES, limits), promises, lambda: self.now
+        )
         self.numbers, self.taken, self.passed = 0, 0, set()
         self.go_by(stage, rate_ps, **more)
         self.pass_by(1_000.0)  # so that there is a burst to be let in
@@ -71,7 +73,7 @@
     def go_by(self, stage, rate_ps=1e6, **more):
         """Go by a phase, or by what is allowed."""
         may = allowed_in_phase(stage, WORTHS) if isinstance(stage, RecoveryPhase) else stage
-        self.door.go_by(may, rate_ps, self.giving)
+        self.admission.apply(may, rate_ps, self.issuer)
 
     def pass_by(self, ms):
         """Let milliseconds pass."""
@@ -96,13 +98,13 @@
         """Note a withdrawal."""
         self.withdrawn.append(key)
 
-    def ask(self, kind="view", row="f", budget_ms=2_000.0, token=""):
+    def ask(self, class_name="view", function="f", budget_ms=2_000.0, token=""):
         """Make a call: its key, and a list for its outcome."""
         self.numbers += 1
         got = []
         call = Call(
-            id=self.numbers.to_bytes(8, "big"), class_name=kind, tenant="t", function=row,
+            id=self.numbers.to_bytes(8, "big"), class_name=class_name, tenant="t", function=function,
             budget_ms=budget_ms, body=b"body", token=token, lanes=1, memory_mb=None, load_ms=None,
             reply=got.append,
         )  # fmt: skip
-        return self.door.take(call), got
+        return self.admission.take(call), got
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -3,26 +3,31 @@
 Messages go by their logs, decisions by the consensus log, and power losses happen.
 """
 
-import random
-
-import msgspec
-from test_zone_members import Fleet
-
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.recovery_core.phases import LogEvent, PhaseTiming, ProposeRegister, RecoveryPhase
+from fawnwharf.recovery_core.phases import LogEvent
+from fawnwharf.recovery_core.phases import PhaseTiming
+from fawnwharf.recovery_core.phases import ProposeRegister
+from fawnwharf.recovery_core.phases import RecoveryPhase
 from fawnwharf.recovery_core.queries import QueryPace
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.agent import (
-    ApplyPhase,
-    LocalStatus,
-    RecoveryAgent,
-    SendMessage,
-    SignatureReported,
-)
+from fawnwharf.recovery_service.agent import RecoveryAgent
+from fawnwharf.recovery_service.agent_actions import ApplyPhase
+from fawnwharf.recovery_service.agent_actions import LocalStatus
+from fawnwharf.recovery_service.agent_actions import PlanVersion
+from fawnwharf.recovery_service.agent_actions import PositionReported
+from fawnwharf.recovery_service.agent_actions import SendMessage
+from fawnwharf.recovery_service.agent_settings import AgentIdentity
+from fawnwharf.recovery_service.agent_settings import AgentSettings
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.zones.effects import MessagesReceived, RegisterDecided
-from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
+from fawnwharf.zones.effects import MessagesReceived
+from fawnwharf.zones.effects import RegisterDecided
+from fawnwharf.zones.log_lines import ClientMessage
+from fawnwharf.zones.log_lines import RECOVERY
 from support.zone_files import members
+from test_zone_members import Fleet
+import msgspec
+import random
+
 
 STEP_S = 0.02
 WORTHS = {"view": 1.0, "save": 5.0}
@@ -48,7 +53,7 @@
         """What a member knows of itself."""
         core = self.cores[name]
         votes = core.voter is not None
-        plan = (core.voter.saved.last_index, "") if votes else (0, "")
+        plan = PlanVersion(core.voter.saved.last_index if votes else 0, "")
         return LocalStatus(
             True, self.whole.get(name, True), True, votes, plan,
             sign or FolderPosition(name, self.lives[name], 1), True, True, True, 1, self.standing.get(name),
@@ -61,10 +66,11 @@
         voters = tuple(entry.name for entry in self.file.voters)
         lists = MemberLists(tuple(self.names), voters, voters, 1, "d")
         core = self.cores[name]
+        identity = AgentIdentity(name, "f", self.lives[name], self.marks.setdefault(name, "boot 1"))
+        settings = AgentSettings(WORTHS, TIMING, QueryPace(), 100.0, 150.0)
         self.agents[name] = RecoveryAgent(
-            name, "f", self.lives[name], self.marks.setdefault(name, "boot 1"), lists, self.own(name),
-            core.consensus_status, WORTHS, TIMING, self.now, QueryPace(), 100.0, 150.0,
-        )  # fmt: skip
+            identity, settings, lists, core.consensus_status, self.own(name), self.now
+        )
 
     # --- power ----------------------------------------------------------------------------------
 
@@ -95,17 +101,19 @@
         for effect in effects:
             if isinstance(effect, MessagesReceived) and effect.client == RECOVERY:
                 for data in effect.messages:
-                    self.act(name, agent.hear_zone(self.now, effect.sender, w.recovery_message_from(data)))
+                    self.act(
+                        name, agent.receive_by_zones(self.now, effect.sender, w.recovery_message_from(data))
+                    )
             elif isinstance(effect, RegisterDecided) and effect.kind == RECOVERY:
                 self.act(name, agent.decided(self.now, effect.text))
         if agent is not None:
-            self.act(name, agent.turned(self.now))
+            self.act(name, agent.update_term(self.now))
 
     def act(self, name, effects):
         """Carry out the effects of a member's agent."""
         core = self.cores[name]
         for effect in effects:
-            if isinstance(effect, SendMessage) and effect.zone:
+            if isinstance(effect, SendMessage) and effect.by_zones:
                 self._say_by_zones(name, effect)
             elif isinstance(effect, SendMessage):
                 self._say_by_state(name, effect)
@@ -113,17 +121,17 @@
                 put, more = core.propose_register(self.now, effect.register, RECOVERY)
                 self.do(name, more)
                 if not put:
-                    self.agents[name].not_put()
+                    self.agents[name].proposal_dropped()
             elif isinstance(effect, ApplyPhase):
-                self.trail.append((name, effect.stage, effect.cut, effect.allowed))
-            elif isinstance(effect, SignatureReported):
-                self.signed.append((name, effect.sign))
+                self.trail.append((name, effect.phase, effect.power_loss, effect.allowed))
+            elif isinstance(effect, PositionReported):
+                self.signed.append((name, effect.position))
             elif isinstance(effect, LogEvent):
                 self.noted.append((name, effect.event, effect.fields))
 
     def _say_by_zones(self, name, effect):
         line = self.cores[name].state.make_line(
-            messages=[ClientMessage(msgspec.to_builtins(effect.word), effect.to, RECOVERY)]
+            messages=[ClientMessage(msgspec.to_builtins(effect.message), effect.to, RECOVERY)]
         )
         for other in self.names:
             voter = self.file.named(name).ballots or self.file.named(other).ballots
@@ -134,7 +142,7 @@
         for to in effect.to:
             if self.chance.random() >= self.lost:
                 delay = 2.0 + self.chance.random() * self.late_ms
-                self.due.append((self.now + delay, name, to, msgspec.json.encode(effect.word)))
+                self.due.append((self.now + delay, name, to, msgspec.json.encode(effect.message)))
 
     def run(self, seconds):
         """Let seconds pass."""
@@ -145,7 +153,7 @@
             for _, sender, to, data in due:
                 if to not in self.dead:
                     word = w.recovery_message_from(msgspec.json.decode(data))
-                    self.act(to, self.agents[to].hear_state(self.now, sender, word))
+                    self.act(to, self.agents[to].receive_by_replication(self.now, sender, word))
             for name in self.up:
                 if self.now >= self.agents[name].due_ms(self.now - 1000.0 * STEP_S):
                     self.act(name, self.agents[name].tick(self.now, self.own(name)))
@@ -168,7 +176,7 @@
 
     def stages(self, names=None):
         """The phases by which members go."""
-        return {self.agents[name].stage(self.now) for name in names or self.up}
+        return {self.agents[name].phase(self.now) for name in names or self.up}
 
     def until(self, condition, seconds=40.0):
         """Run until a condition holds; fails after `seconds`."""
@@ -183,7 +191,7 @@
 
         def there():
             by = [self.agents[name] for name in names or self.up]
-            return self.stages(names) == {stage} and all(cut in (None, agent.cut) for agent in by)
+            return self.stages(names) == {stage} and all(cut in (None, agent.power_loss) for agent in by)
 
         return self.until(there)
 
@@ -191,7 +199,9 @@
     def leader(self):
         """The member that leads; None where none does."""
         found = [
-            n for n in self.up if self.agents[n].lead.term and self.cores[n].consensus_status(self.now).fresh
+            n
+            for n in self.up
+            if self.agents[n].leader.term and self.cores[n].consensus_status(self.now).fresh
         ]
         return found[0] if found else None
 
@@ -199,8 +209,8 @@
         """Run until the fleet is in its normal state and all boots are noted."""
         self.until(lambda: all(len(self.cores[n].voter.saved.voters) == 3 for n in self.names[:3]))
         self.until_stage(RecoveryPhase.SPILL)
-        self.until(lambda: all(agent.asked for agent in self.agents.values()))
+        self.until(lambda: all(agent.queries_done for agent in self.agents.values()))
         leader = self.leader
-        self.until(lambda: len(self.agents[leader].lead.conductor.register.boots) == 3)
-        self.until(lambda: self.agents[leader].lead.conductor.asked is None)
+        self.until(lambda: len(self.agents[leader].leader.coordinator.register.boots) == 3)
+        self.until(lambda: self.agents[leader].leader.coordinator.asked is None)
         return self
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -50,7 +50,7 @@
         made = {
             "zones": lambda first, made: ZoneService(deployment, here / "zones.json", write),
             "kept": lambda first, made: open_recovery_store(
-                deployment, str(here / "recovery.json"), str(here / "state.json"), write, fresh
+                deployment, str(here / "recovery.json"), str(here / "state.json"), write, fleet_is_new=fresh
             ),
             "state": lambda first, made: ReplicationService(
                 deployment, here / "state.json", write, fresh, made["kept"]
@@ -71,18 +71,18 @@
     @property
     def agent(self):
         """Its agent of recovery."""
-        return self.part.agent
+        return self.part.running.agent
 
     def stage(self):
         """The phase by which it goes."""
-        return self.agent.stage(time.monotonic() * 1000.0)
+        return self.agent.phase(time.monotonic() * 1000.0)
 
     def stages(self):
         """The power losses and phases by which it went, each once."""
         bootstrap = []
-        for fields in self.noted("stage"):
-            if not bootstrap or bootstrap[-1] != (fields["cut"], fields["stage"]):
-                bootstrap.append((fields["cut"], fields["stage"]))
+        for fields in self.noted("recovery phase"):
+            if not bootstrap or bootstrap[-1] != (fields["power_loss"], fields["phase"]):
+                bootstrap.append((fields["power_loss"], fields["phase"]))
         return bootstrap
 
 
@@ -115,10 +115,12 @@
         """Start a new fleet, until it is in its normal state and its boots are noted."""
         self.start(fresh=True)
         self.until(
-            lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.asked for node in self.nodes),
+            lambda: all(
+                node.stage() is RecoveryPhase.SPILL and node.agent.queries_done for node in self.nodes
+            ),
             "calm",
         )
-        noted = lambda: any(len(n.agent.lead.conductor.register.boots) == 3 for n in self.nodes)  # noqa: E731
+        noted = lambda: any(len(n.agent.leader.coordinator.register.boots) == 3 for n in self.nodes)  # noqa: E731
         self.until(noted, "boots are noted")
 
     def power_loss(self, number, nodes=None):
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -8,6 +8,7 @@
 from fawnwharf.recovery_core.register import PermitAssignment
 from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
 from fawnwharf.recovery_service.permit_issuing import PermitIssuer
+from fawnwharf.recovery_service.permit_messages import LoadRequest
 from fawnwharf.replication.placement import rendezvous_weight
 from support.load_permits import LIMITS, WORTHS, Fleet
 from support.recovery_agents import STEP_S, Agents
@@ -28,7 +29,7 @@
     def start(self, name):
         """Start a front end."""
         super().start(name)
-        self.fronts[name].word_ms = self.word_ms
+        self.fronts[name].announcement_valid_ms = self.word_ms
 
     def _changed(self, new=None):
         """Tell one that starts of the last register, and decide a new one a little after a loss."""
@@ -61,7 +62,7 @@
 
     def _go(self, name):
         may, dealt = self.goes[name]
-        self.fronts[name].set(self.now, self.up, self.keepers, may, 1, dealt)
+        self.fronts[name].update(self.now, self.up, self.keepers, may, 1, dealt)
 
     def _turns(self):
         for name in sorted(self.up):
@@ -77,31 +78,31 @@
     """Agents that hand out permits as well; messages and answers come with the next step."""
 
     def __init__(self, *args, **kwargs):
-        self.giving, self.orders, self.entered = {}, [], {}
+        self.issuer, self.orders, self.entered = {}, [], {}
         super().__init__(*args, **kwargs)
 
     def start(self, name, identity, seed=99):
         """Start a member, its agent, and what it hands out."""
         super().start(name, identity, seed)
-        order = lambda row: sorted(range(3), key=lambda s: rendezvous_weight(str(s), row))  # noqa: E731
-        self.giving[name] = PermitIssuer(name, self.lives[name], LIMITS, order)
+        order = lambda function: sorted(range(3), key=lambda s: rendezvous_weight(str(s), function))  # noqa: E731
+        self.issuer[name] = PermitIssuer(name, self.lives[name], LIMITS, order)
 
     def run(self, seconds):
         """Let seconds pass, while each member that may load wants thirty functions."""
         for _ in range(round(seconds / STEP_S)):
             super().run(STEP_S)
             for name in sorted(self.up):
-                agent, giving = self.agents[name], self.giving[name]
+                agent, issuer = self.agents[name], self.issuer[name]
                 may, dealt = agent.allowed(self.now), agent.follower.dealt(self.now)
-                giving.set(self.now, self.up, agent.lists.keepers, may, agent.cut, dealt)
+                issuer.update(self.now, self.up, agent.lists.replicas, may, agent.power_loss, dealt)
                 if may.loads and not may.spill:
                     self.entered.setdefault(name, self.now)
                     for n in range(30):
-                        giving.want(self.now, f"f{n}", 1.0, "view")
-                for out in giving.tick(self.now):
+                        issuer.request_copy(self.now, LoadRequest(f"f{n}", "view", 1.0))
+                for out in issuer.tick(self.now):
                     if isinstance(out, LoadOrder):
-                        self.orders.append((self.now, name, out.what))
+                        self.orders.append((self.now, name, out.event))
                     elif isinstance(out, SendPermitMessage):
                         for to in [to for to in out.to or self.up if to != name and to in self.up]:
-                            self.giving[to].hear(self.now, name, out.word)
+                            self.issuer[to].receive(self.now, name, out.message)
         return self
--- a/tests/test_lab_clocks.py
+++ b/tests/test_lab_clocks.py
@@ -133,7 +133,7 @@
     runner = Runner(scenario, 3)
     measures = runner.run()
     assert measures.verdict.broken == []
-    stages = {n.front: n.fields["stage"] for n in runner.fleet.notes if n.event == "stage"}
+    stages = {n.front: n.fields["phase"] for n in runner.fleet.notes if n.event == "recovery phase"}
     lives = {front.name: front.lives for front in runner.fleet.fronts.values()}
     back = [name for name, life in lives.items() if len(life) > 1]
     assert len(back) == 5 and max(len(lives[name]) for name in back) == 3
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -295,7 +295,9 @@
     assert len(ids) > len(set(ids))  # clients came again for calls of the last moments
     cut_ms = runner.fleet.marks["the power goes"]
     read = [n.fields for n in notes if n.event == "disk read" and n.at_ms > cut_ms]
-    stages = [n.fields["stage"] for n in notes if n.event == "stage decided" and n.fields["cut"] == 1]
+    stages = [
+        n.fields["stage"] for n in notes if n.event == "recovery phase decided" and n.fields["cut"] == 1
+    ]
     if how == "recovery":  # promises outlive the power, and are counted before anything runs
         assert read and all(fields["trusted"] and fields["calls"] > 0 for fields in read)
         assert list(dict.fromkeys(stages))[:3] == ["listening", "repeats", "worth"]
