--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -12,8 +12,8 @@
 from fawnwharf.admin.handoff_request import InheritedState
 from fawnwharf.admin.handoff_source import HandoffAction, HandoffPhase, HandoffSource
 from fawnwharf.admin.learned_state import LearnedState
+from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.handed import HandedConnection
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 TICK_INTERVAL_MS = 20.0  # between checks for connections that have become idle
@@ -69,10 +69,10 @@
         now_ms = monotonic_ms()
         if state is not None and learned_state.is_fresh(state, now_ms):
             clock_ms = front.loop.clock.now_ms()
-            front.loop.guarded(learned_state.restore, front.router, state, clock_ms, now_ms)
+            front.loop.run_guarded(learned_state.restore, front.router, state, clock_ms, now_ms)
             functions, scorers = len(state.functions), len(state.scorers)
             front.log(f"hot restart: taking over {functions} functions, {scorers} scorers")
-        front.port.accept(True)
+        front.client_port.set_accepting(True)
         if self._inherited.channel is not None:
             sock = self._inherited.channel
             self.predecessor = HandoffChannel(
@@ -98,7 +98,7 @@
 
     def _share_descriptors(self) -> None:
         """Protects the limits of descriptors, which hold for both processes together while both run."""
-        self.front.keep_to(SHARED_PART if self.predecessor or self.successor else 1.0)
+        self.front.use_share(SHARED_PART if self.predecessor or self.successor else 1.0)
 
     def send_command(self, path: str, target: str) -> None:
         """Passes on an operator's command that applies to the other processes too."""
@@ -126,7 +126,7 @@
             state = learned_state.capture(front.router, in_maintenance, clock_ms, now_ms)
             return learned_state.encode(state)
         except Exception:  # the operators' commands must be handed on whatever the learned state is like
-            front.loop.fault("learned state")
+            front.loop.log_exception("learned state")
             expired_ms = now_ms - 2 * learned_state.MAX_AGE_MS
             return learned_state.encode(LearnedState(expired_ms, sorted(in_maintenance)))
 
@@ -139,7 +139,7 @@
             case h.ConnectionHandoff() if carried is not None:
                 unwritten = bytes(self._unwritten)
                 self._unwritten.clear()
-                self.front.port.adopt(_handed_connection(message, carried, unwritten))
+                self.front.client_port.take_over(_handed_connection(message, carried, unwritten))
             case h.OperatorCommand():
                 self._hooks.on_command(message.path, message.target)
                 if self.successor is not None:
@@ -199,10 +199,10 @@
     def _resume(self, action: HandoffAction, unsent: list[Outgoing]) -> None:
         """Serves alone, as before the successor came."""
         self._act(action)
-        self.front.port.accept(True)
-        self.front.port.pause(False)
+        self.front.client_port.set_accepting(True)
+        self.front.client_port.set_paused(False)
         # Readiness checks here were answered for the successor; from now on they are for this process.
-        self.front.port.ready = self._hooks.is_ready()
+        self.front.client_port.ready = self._hooks.is_ready()
         self._adopt_unsent(unsent)
         self._share_descriptors()
 
@@ -212,7 +212,7 @@
             if isinstance(message, h.Chunk):
                 unwritten += message.data
             elif isinstance(message, h.ConnectionHandoff) and carried is not None:
-                self.front.port.adopt(_handed_connection(message, carried, bytes(unwritten)))
+                self.front.client_port.take_over(_handed_connection(message, carried, bytes(unwritten)))
                 unwritten.clear()
             elif carried is not None:
                 carried.close()
@@ -235,7 +235,7 @@
                 if not self.source.is_shutting_down:  # else the directory may be a third process's by now
                     self._open_listener()
             case HandoffAction.PAUSE_READING:
-                front.port.pause(True)
+                front.client_port.set_paused(True)
 
     def _on_handoff_request(self) -> None:
         self.front.log("hot restart: another process requests the hand-off")
@@ -249,21 +249,23 @@
 
     def _stop_accepting(self) -> None:
         self.front.log("hot restart: handing off to the new process")
-        self.front.port.accept(False)
-        self.front.port.ready = True  # readiness checks on existing connections are for the successor, too
+        self.front.client_port.set_accepting(False)
+        self.front.client_port.ready = (
+            True  # readiness checks on existing connections are for the successor, too
+        )
         self._close_listener()  # the successor has its own
         self._tick()
 
     def _send_state(self) -> None:
         channel = self.successor
-        listener = self.front.port.listener
+        listener = self.front.client_port.listener
         if channel is None or listener is None:
             return
         for chunk in h.chunks(self._encoded_state()):
             channel.send(chunk)
         channel.send(h.ListenerHandoff(), listener.dup())
         if not self.extensions.are_held:
-            self.front.loop.wheel.after(READY_TIMEOUT_MS, lambda: self._check_ready(channel))
+            self.front.loop.timers.after(READY_TIMEOUT_MS, lambda: self._check_ready(channel))
 
     def _check_ready(self, channel: HandoffChannel) -> None:
         """Protects the clients, which no process reads, against a successor that has stalled.
@@ -301,7 +303,7 @@
             return
         # First: an error in this tick must not be the end of all ticks, with clients that no process reads.
         self._ticking = True
-        self.front.loop.wheel.after(TICK_INTERVAL_MS, self._tick_again)
+        self.front.loop.timers.after(TICK_INTERVAL_MS, self._tick_again)
         now_ms = monotonic_ms()
         if successor.stalled_ms(now_ms) > STALL_TIMEOUT_MS:
             self.front.log("hot restart: the new process has stalled")
@@ -321,10 +323,10 @@
         if self.source.phase is not HandoffPhase.SHUTTING_DOWN or self._sent_done:
             return False
         awaits_predecessor = self.predecessor is not None and self.source.awaits_predecessor(now_ms)
-        return not awaits_predecessor and not self.front.port.clients
+        return not awaits_predecessor and not self.front.client_port.clients
 
     def _hand_off_idle(self, successor: HandoffChannel) -> None:
-        port = self.front.port
+        port = self.front.client_port
         count = 0
         for client in list(port.clients):
             connection = client.connection
@@ -333,11 +335,11 @@
             unwritten = bool(connection.waiting_bytes)
             if not self.source.may_hand_off(has_open=bool(client.open), unwritten=unwritten):
                 continue
-            handed = port.give(client)
+            handed = port.hand_off(client)
             for chunk in h.chunks(handed.unwritten):
                 successor.send(chunk)
             if successor.closed:  # it ended just now, and this connection was not in its queue
-                port.adopt(handed)
+                port.take_over(handed)
                 return
             message = h.ConnectionHandoff(handed.partial, handed.skip, handed.spoke, handed.empty_ms)
             successor.send(message, handed.sock)
@@ -354,5 +356,7 @@
 
 def _handed_connection(
     message: h.ConnectionHandoff, sock: socket.socket, unwritten: bytes
-) -> HandedConnection:
-    return HandedConnection(sock, message.partial, message.skip, message.spoke, unwritten, message.empty_ms)
+) -> HandedOffConnection:
+    return HandedOffConnection(
+        sock, message.partial, message.skip, message.spoke, unwritten, message.empty_ms
+    )
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -16,7 +16,7 @@
 from fawnwharf.admin.http import AdminRequest, AdminResponse
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.roster_overlay import Closer
+from fawnwharf.net.roster_overlay import RosterFilter
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 TIDY_INTERVAL_MS = 250.0
@@ -33,7 +33,7 @@
         Raises ConfigError where the address can't be listened on.
         """
         self.front = front
-        self.commands = CommandHandler(lambda scorer_id: scorer_id in front.overlay.members)
+        self.commands = CommandHandler(lambda scorer_id: scorer_id in front.roster_overlay.members)
         try:
             self.listener = AdminListener(front.loop, address, front.deployment.sockets, self.handle)
         except OSError as error:
@@ -58,7 +58,7 @@
         listed = ", ".join(scorer_ids)[:MAX_LISTED_CHARACTERS]
         self.front.log(f"in maintenance since before this process: {listed}")
         self.commands.in_maintenance.update(scorer_ids)
-        self.front.go_by(self.front.overlay.close(CLOSER, self._closer()))
+        self.front.apply_fleet(self.front.roster_overlay.set_filter(CLOSER, self._closer()))
 
     def begin(self) -> None:
         """The front end starts: takes over from the predecessor."""
@@ -88,8 +88,8 @@
             self._handle(AdminRequest("POST", path, (("target", target),) if target else ()))
 
     def _handle(self, request: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        self.commands.serving = self.front.started and not self.front.port.waits_for
-        self.commands.shutting_down = self.front.leaving
+        self.commands.serving = self.front.started and not self.front.client_port.not_ready_reasons
+        self.commands.shutting_down = self.front.shutting_down
         response, effect = self.commands.handle(request)
         if request.method != "GET":
             self.front.log(f"admin command {request.path}: {response.status} {response.text}")
@@ -97,7 +97,7 @@
             self._carry_out(effect)
         return response, effect
 
-    def _closer(self) -> Closer:
+    def _closer(self) -> RosterFilter:
         in_maintenance = frozenset(self.commands.in_maintenance)
         return lambda member: member.id in in_maintenance
 
@@ -112,20 +112,20 @@
         elif isinstance(effect, ExitStandby):
             self._draining_since_ms = None
             self._set_rejecting(on=False)
-        self.front.port.ready = self.ready
+        self.front.client_port.ready = self.ready
 
     def _update_roster(self, effect: EnterMaintenance | ExitMaintenance) -> None:
-        overlay = self.front.overlay
-        changes = overlay.close(CLOSER, self._closer())
+        overlay = self.front.roster_overlay
+        changes = overlay.set_filter(CLOSER, self._closer())
         if isinstance(effect, ExitMaintenance):
-            changes = overlay.returned([effect.scorer_id], self.front.loop.clock.now_ms())
-        self.front.go_by(changes)
+            changes = overlay.mark_restarted([effect.scorer_id], self.front.loop.clock.now_ms())
+        self.front.apply_fleet(changes)
         self.hot_restart.write_state()
 
     @property
     def ready(self) -> bool:
         """Whether readiness checks are to succeed."""
-        return self.front.started and not self.front.leaving and not self.commands.standby
+        return self.front.started and not self.front.shutting_down and not self.commands.standby
 
     @property
     def takes_over(self) -> bool:
@@ -149,26 +149,28 @@
     # --- draining -------------------------------------------------------------------------------
 
     def _drain(self) -> None:
-        if self._draining_since_ms is None or self.front.leaving:
+        if self._draining_since_ms is None or self.front.shutting_down:
             return
-        self.front.loop.wheel.after(draining.TICK_INTERVAL_MS, self._drain)  # first: an error must not end it
+        self.front.loop.timers.after(
+            draining.TICK_INTERVAL_MS, self._drain
+        )  # first: an error must not end it
         if self.replaced:  # the connections are for the successor, which is ready: none is ended or rejected
             self._set_rejecting(on=False)
             return
         step = draining.drain_step(monotonic_ms() - self._draining_since_ms)
         if step >= draining.DrainStep.CLOSING_IDLE:
-            self.front.port.end_idle()
+            self.front.client_port.end_idle()
         self._set_rejecting(on=step >= draining.DrainStep.REJECTING)
 
     def _set_rejecting(self, *, on: bool) -> None:
         if on != self._rejecting:
             self._rejecting = on
-            self.front.limit(LIMIT, 0.0 if on else io.UNLIMITED_RPS)
+            self.front.limit_calls(LIMIT, 0.0 if on else io.UNLIMITED_RPS)
 
     # --- periodic work --------------------------------------------------------------------------
 
     def _tidy(self) -> None:
-        self.front.loop.wheel.after(TIDY_INTERVAL_MS, self._tidy)  # first: an error must not end it
+        self.front.loop.timers.after(TIDY_INTERVAL_MS, self._tidy)  # first: an error must not end it
         self.listener.tidy()
 
     def close(self) -> None:
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -10,45 +10,47 @@
 from collections.abc import Callable
 
 from fawnwharf.config import Address
-from fawnwharf.net.end_reasons import End, SystemCall, end_of
-from fawnwharf.net.loop import HELD_UP_MS, READ, WRITE, Loop, Order
-from fawnwharf.net.owners import NOBODY, Owner
-from fawnwharf.net.pieces import PartLimit, Piece
+from fawnwharf.net.connection_owner import NO_OWNER, ConnectionOwner
+from fawnwharf.net.connection_writer import ConnectionWriter
+from fawnwharf.net.end_reasons import EndReason, SystemCall, end_reason_of
+from fawnwharf.net.event_loop import READ, STALL_THRESHOLD_MS, WRITE, EventLoop, ReadPriority
+from fawnwharf.net.socket_inspection import discard, peek, peer_ended
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
-from fawnwharf.net.unread import discard, peek, peer_ended
-from fawnwharf.net.writing import WritingHalf
+from fawnwharf.net.write_buffer import PartialWriteLimit, WriteBuffer
 
-READ_MOST = 64 * 1024  # bytes taken from one connection in a turn, so that none starves the others; the rest
+MAX_READ_BYTES = (
+    64 * 1024
+)  # bytes taken from one connection in a turn, so that none starves the others; the rest
 # stays in the system's buffer, which slows its sender, and is read in the turns to come
 SO_TIMESTAMPNS = 35  # Linux: each read tells when its bytes came in
-STAMP = struct.Struct("@qq")
-NOTES_MOST = socket.CMSG_SPACE(STAMP.size)
+TIMESTAMP = struct.Struct("@qq")
+MAX_ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESTAMP.size)
 COUNT = struct.Struct("@i")
 LINGER_MS = 1_000.0  # for a peer that is being finished with: it may still read, and end by itself
-FINISH_MOST_MS = 10_000.0  # for one that goes on taking what was queued for it
+MAX_FINISH_MS = 10_000.0  # for one that goes on taking what was queued for it
 READ_AGAIN_MS = 50.0  # after a read for which the system had no memory
 # Bytes that lay unread for this long, or a turn that runs for this long: the peer may have ended meanwhile.
 FRESH_MS = 40.0
 
 
-def stamp_reads(listener: socket.socket) -> None:
+def enable_receive_timestamps(listener: socket.socket) -> None:
     """Have the system stamp what comes in; set before listening, as connections inherit it from the start."""
     with contextlib.suppress(OSError):
         listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
-class Connection(WritingHalf):
+class Connection(ConnectionWriter):
     """One connection of the loop, from its dial or accept to its single end."""
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         sock: socket.socket,
-        owner: Owner,
+        owner: ConnectionOwner,
         up: bool = True,
-        read_most: int = READ_MOST,
+        read_most: int = MAX_READ_BYTES,
         first: bool = False,
-        order: Callable[[], Order] | None = None,
+        order: Callable[[], ReadPriority] | None = None,
         half_close: bool = False,
     ) -> None:
         """`order`: when it is served in a turn, where that changes. `half_close`: a peer that ends its output
@@ -64,12 +66,12 @@
         self._unread_since_ms: float | None = None  # where reads left something, or there were none
         self._left_ms = 0.0  # the turn in which that was noted, or reading went on
         self._sock, self._reading, self._blocked = sock, True, False
-        self._outbox: deque[Piece] = deque()
-        self._part_limit: PartLimit | None = None
+        self._outbox: deque[WriteBuffer] = deque()
+        self._part_limit: PartialWriteLimit | None = None
         self._write_pause: Timer | None = None
         self._dial: Timer | None = None
         self._first, self._order, self._half_close = first, order, half_close
-        self._finishing: End | None = None
+        self._finishing: EndReason | None = None
         self._linger_ms, self._finish_by_ms = LINGER_MS, 0.0
         self._input_over = self._output_over = False  # the peer has ended its output; this side has
         self.input_full = False  # the last read took as much as it may: there may be more
@@ -80,12 +82,12 @@
     @classmethod
     def accepted(
         cls,
-        loop: Loop,
+        loop: EventLoop,
         sock: socket.socket,
-        owner: Owner,
-        read_most: int = READ_MOST,
+        owner: ConnectionOwner,
+        read_most: int = MAX_READ_BYTES,
         first: bool = False,
-        order: Callable[[], Order] | None = None,
+        order: Callable[[], ReadPriority] | None = None,
         half_close: bool = False,
     ) -> "Connection":
         sock.setblocking(False)
@@ -94,14 +96,14 @@
 
     @classmethod
     def dial(
-        cls, loop: Loop, address: Address, owner: Owner, within_ms: float, first: bool = False
-    ) -> "Connection | End":
+        cls, loop: EventLoop, address: Address, owner: ConnectionOwner, within_ms: float, first: bool = False
+    ) -> "Connection | EndReason":
         """A connection that comes up or ends later, or why none can be tried. `first`: see `Loop.watch`."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         try:
             sock = socket.socket(family, socket.SOCK_STREAM)
         except OSError as error:
-            return end_of(error, SystemCall.SOCKET)
+            return end_reason_of(error, SystemCall.SOCKET)
         call = SystemCall.CONNECT
         try:
             sock.setblocking(False)
@@ -114,16 +116,16 @@
             made = cls(loop, sock, owner, up=False, first=first)
         except OSError as error:
             sock.close()
-            return end_of(error, call)
+            return end_reason_of(error, call)
         except BaseException:
             sock.close()
             raise
-        made._dial = loop.wheel.after(within_ms, lambda: made.close(End.DIAL_TIMED_OUT))
+        made._dial = loop.timers.after(within_ms, lambda: made.close(EndReason.DIAL_TIMED_OUT))
         return made
 
     # --- ending ---------------------------------------------------------------------------------
 
-    def finish(self, end: End, linger_ms: float = LINGER_MS) -> None:
+    def finish(self, end: EndReason, linger_ms: float = LINGER_MS) -> None:
         """End it in order: what is queued is written, the output is ended, and what still comes is read and
         thrown away for `linger_ms`. Guards the last answers, which a close with bytes unread would reset.
         Harm: it lives on for that long, or until the peer ends it."""
@@ -131,9 +133,9 @@
             return
         self._finishing, self._linger_ms = end, linger_ms
         if self._outbox:
-            self._finish_by_ms = monotonic_ms() + FINISH_MOST_MS
-            self.loop.wheel.after(LINGER_MS, self._check_unwritten)
-            self.loop.flush_later(self)
+            self._finish_by_ms = monotonic_ms() + MAX_FINISH_MS
+            self.loop.timers.after(LINGER_MS, self._check_unwritten)
+            self.loop.schedule_flush(self)
         else:
             self._end_output()
 
@@ -144,7 +146,7 @@
         now = monotonic_ms()
         left = min(self.used_ms + LINGER_MS, self._finish_by_ms) - now
         if left > 0:
-            self.loop.wheel.after(left, self._check_unwritten)
+            self.loop.timers.after(left, self._check_unwritten)
         else:
             self.close(self._finishing)
 
@@ -157,7 +159,7 @@
             return
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
-        self.loop.wheel.after(self._linger_ms, lambda: self.close(self._finishing))
+        self.loop.timers.after(self._linger_ms, lambda: self.close(self._finishing))
 
     @property
     def finishing(self) -> bool:
@@ -176,9 +178,9 @@
 
     def may_have_ended(self) -> bool:
         """Whether the peer may have ended its output some time ago without this turn's reads showing it."""
-        if not self.reads or self.input_full or self.loop.left_behind(self._sock):
+        if not self.reads or self.input_full or self.loop.was_deferred(self._sock):
             return True
-        return max(self.age_ms, monotonic_ms() - self.loop.turn_ms) > FRESH_MS
+        return max(self.age_ms, monotonic_ms() - self.loop.iteration_ms) > FRESH_MS
 
     def peer_ended(self) -> bool:
         """Whether the peer has ended its output or reset the connection, also behind unread bytes. False
@@ -204,7 +206,7 @@
             self._reading = on
             if not on:
                 self._unread_since_ms = self._empty_ms()
-            self._left_ms = self.loop.turn_ms
+            self._left_ms = self.loop.iteration_ms
             self._set_mask()
 
     def _set_mask(self) -> None:
@@ -214,17 +216,17 @@
         try:
             self._watch_for(mask)
         except OSError:  # the selector has no memory: else it would never be read, or written, again
-            self.loop.wheel.after(READ_AGAIN_MS, self._set_mask)
+            self.loop.timers.after(READ_AGAIN_MS, self._set_mask)
             return
         self._mask = mask
 
     def _watch_for(self, mask: int) -> None:
         if not mask:  # a selector takes no empty one
-            self.loop.forget(self._sock)
+            self.loop.unwatch(self._sock)
         elif not self._mask:
             self.loop.watch(self._sock, mask, self._ready, self._first, self._order)
         else:
-            self.loop.change(self._sock, mask, self._ready)
+            self.loop.modify(self._sock, mask, self._ready)
 
     def _ready(self, mask: int) -> None:
         if not self.up:
@@ -232,7 +234,7 @@
             return
         if mask & WRITE:
             self._blocked = False
-            self.loop.flush_later(self)
+            self.loop.schedule_flush(self)
         if mask & READ:
             self._read()
 
@@ -241,9 +243,9 @@
             code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, "connect")
-            self.loop.change(self._sock, READ, self._ready)
+            self.loop.modify(self._sock, READ, self._ready)
         except OSError as error:
-            self.close(end_of(error, SystemCall.CONNECTED))
+            self.close(end_reason_of(error, SystemCall.CONNECTED))
             return
         self.up, self._mask = True, READ
         if self._dial:
@@ -254,9 +256,9 @@
     def _read(self) -> None:
         self.input_full = False
         try:
-            data, notes, _, _ = self._sock.recvmsg(self._read_most, NOTES_MOST)
+            data, notes, _, _ = self._sock.recvmsg(self._read_most, MAX_ANCILLARY_BYTES)
         except BlockingIOError:
-            self._unread_since_ms = None if self.reads else self.loop.turn_ms
+            self._unread_since_ms = None if self.reads else self.loop.iteration_ms
             return
         except InterruptedError:
             return
@@ -274,26 +276,26 @@
         self.oldest_age_ms = max(self.age_ms, self._age_bound_ms())  # the stamp is the last byte's
         self._has_read = True
         self._unread_since_ms = self._empty_ms() if self.input_full else None
-        self._left_ms = self.loop.turn_ms
+        self._left_ms = self.loop.iteration_ms
         try:
             self.owner.on_data(data)
         except Exception:  # whatever a peer managed to send, it costs no more than its own connection
-            self.loop.fault("reading")
-            self.close(End.BAD_BYTES)
+            self.loop.log_exception("reading")
+            self.close(EndReason.BAD_BYTES)
 
     def _read_failed(self, error: OSError) -> None:
         """A want of memory here passes and says nothing of the peer; any other error ends the connection."""
-        end = end_of(error)
-        if end is not End.NO_DESCRIPTOR:
+        end = end_reason_of(error)
+        if end is not EndReason.NO_DESCRIPTOR:
             self.close(end)
             return
         self._unread_since_ms = self._empty_ms()
         self._resting = True
         self._set_mask()
-        self.loop.wheel.after(READ_AGAIN_MS, self._rested)
+        self.loop.timers.after(READ_AGAIN_MS, self._rested)
 
     def _rested(self) -> None:
-        self._resting, self._left_ms = False, self.loop.turn_ms
+        self._resting, self._left_ms = False, self.loop.iteration_ms
         self._set_mask()
 
     def _peer_closed(self) -> None:
@@ -301,11 +303,11 @@
         if self._half_close and not self._finishing:
             self.owner.on_half_close()
         if not self._outbox or not (self._half_close or self._finishing):
-            self.close(End.CLOSED_BY_PEER)
+            self.close(EndReason.CLOSED_BY_PEER)
             return
         self._input_over = True  # what has ended stays readable: it is not watched any more
         self._set_mask()
-        self.finish(End.CLOSED_BY_PEER)
+        self.finish(EndReason.CLOSED_BY_PEER)
 
     def _empty_ms(self) -> float:
         """When nothing lay unread on it, as far as is known."""
@@ -318,14 +320,14 @@
     @property
     def empty_ms(self) -> float:
         """When nothing lay unread on it at the latest, by the monotonic clock."""
-        if self.reads and self._unread_since_ms is None and not self.loop.left_behind(self._sock):
-            return self.loop.turn_ms  # it was not ready as the turn began
+        if self.reads and self._unread_since_ms is None and not self.loop.was_deferred(self._sock):
+            return self.loop.iteration_ms  # it was not ready as the turn began
         return self._empty_ms()
 
     def lay_unread(self, since_ms: float) -> None:
         """It may have bytes unread that came since this moment of the monotonic clock, before it was watched
         here: another process had the connection."""
-        self._unread_since_ms, self._left_ms = since_ms, self.loop.turn_ms
+        self._unread_since_ms, self._left_ms = since_ms, self.loop.iteration_ms
 
     def _age(self, notes: list[tuple[int, int, bytes]]) -> float:
         """How long the last of the bytes just read had waited when the turn began, by the system's stamp.
@@ -334,29 +336,29 @@
         loop = self.loop
         since_ms = self._empty_ms()  # they came later than that
         for level, kind, note in notes:
-            if (level, kind, len(note)) != (socket.SOL_SOCKET, SO_TIMESTAMPNS, STAMP.size):
+            if (level, kind, len(note)) != (socket.SOL_SOCKET, SO_TIMESTAMPNS, TIMESTAMP.size):
                 continue
             if since_ms <= loop.clock.stepped_ms:
                 break
-            seconds, nanoseconds = STAMP.unpack(note)
-            age = loop.turn_unix_ms - seconds * 1e3 - nanoseconds / 1e6
-            gap = loop.turn_ms - loop.before_ms
-            believed_ms = loop.stamps.age_ms(age, gap, looked_at=self._has_read)
-            if loop.stamps.trusted:
+            seconds, nanoseconds = TIMESTAMP.unpack(note)
+            age = loop.iteration_unix_ms - seconds * 1e3 - nanoseconds / 1e6
+            gap = loop.iteration_ms - loop.previous_iteration_ms
+            believed_ms = loop.timestamps.age_ms(age, gap, looked_at=self._has_read)
+            if loop.timestamps.trusted:
                 return believed_ms
         return self._age_bound_ms()
 
     def _age_bound_ms(self) -> float:
         """The most that bytes read now may have waited; 0 where that is too little to matter."""
         loop, since_ms = self.loop, self._empty_ms()
-        left_ms = loop.turn_ms - since_ms if since_ms < loop.before_ms else 0.0
-        return max(loop.held_ms, left_ms if left_ms > HELD_UP_MS else 0.0)
+        left_ms = loop.iteration_ms - since_ms if since_ms < loop.previous_iteration_ms else 0.0
+        return max(loop.stall_ms, left_ms if left_ms > STALL_THRESHOLD_MS else 0.0)
 
     def detach(self) -> tuple[socket.socket, bytes]:
         """Give the socket away, with what is unwritten on it; it is no connection of this loop any more."""
-        self.closed, self.owner, self._order = True, NOBODY, None
+        self.closed, self.owner, self._order = True, NO_OWNER, None
         if self._mask:
-            self.loop.forget(self._sock)
+            self.loop.unwatch(self._sock)
         rest = b"".join(piece.data[piece.written :] for piece in self._outbox)
         self._outbox.clear()
         self.waiting_bytes = 0
@@ -376,7 +378,7 @@
             self._sock.shutdown(socket.SHUT_WR)
         discard(self._sock)
 
-    def close(self, end: End) -> None:
+    def close(self, end: EndReason) -> None:
         """The one way out; the owner hears of it once."""
         if self.closed:
             return
@@ -384,12 +386,12 @@
         if self._dial:
             self._dial.cancel()
         if self._mask:
-            self.loop.forget(self._sock)
-        if self.up and (self._finishing or end in (End.IDLE, End.STOPPED)):
+            self.loop.unwatch(self._sock)
+        if self.up and (self._finishing or end in (EndReason.IDLE, EndReason.STOPPED)):
             self._part()
         self._sock.close()
         self._outbox.clear()
         self.waiting_bytes = 0
         self._order = None  # it may hold the owner
-        owner, self.owner = self.owner, NOBODY
+        owner, self.owner = self.owner, NO_OWNER
         owner.on_end(end)
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -31,7 +31,7 @@
         values["classes", name, "give_up_ms"] = spec.deadline_ms
         if state is not None:
             values["modes", name] = state.gate.modes[name]
-            values["window_ms", name] = state.settings.window_ms
+            values["window_ms", name] = state.settings.repeat_window_ms
     values |= {("tenants", name, "quota_rps"): rps for name, rps in settings.quotas_rps.items()}
     values |= {("staging", key): value for key, value in (staging or {}).items()}
     values |= {("admission", name): 1.0 for name in names}
@@ -47,8 +47,8 @@
     if state is None:
         return found
     kept = state.settings
-    window = 2 * kept.wait_most_ms, kept.window_ms
-    return msgspec.structs.replace(found, give_up_most_ms=kept.call_most_ms, window_ms=window)
+    window = 2 * kept.max_wait_ms, kept.repeat_window_ms
+    return msgspec.structs.replace(found, give_up_most_ms=kept.max_call_ms, window_ms=window)
 
 
 class PolicyApplier:
@@ -74,7 +74,7 @@
         rps = float(part) * sold / self._fronts if limited else io.UNLIMITED_RPS
         if rps != self._limit:
             self._limit = rps
-            self.front.limit(LIMIT, rps)
+            self.front.limit_calls(LIMIT, rps)
         told = self.zones.settings.spillover
         spill = {name: float(part) for name, part in document.section("spill").items()}
         # The plan has the settings' own already.
@@ -91,11 +91,11 @@
         # port refuses nothing for that, and a call is cut to its policy's time where it is taken (`Judged`).
         for name, spec in classes.items():
             self._longest[name] = max(self._longest[name], spec.deadline_ms)
-        self.front.port.classes = {
+        self.front.client_port.classes = {
             name: replace(spec, deadline_ms=self._longest[name]) for name, spec in classes.items()
         }
         for spec in changed:
-            self.front.loop.tell(io.ClassChanged(spec))
+            self.front.loop.enqueue(io.ClassChanged(spec))
         return bool(changed)
 
     def _tenants(self, document: Document) -> None:
@@ -110,7 +110,7 @@
             changes = {name: rps / self._fronts for name, rps in quotas.items() if rps != before.get(name)}
         changes |= {name: io.UNLIMITED_RPS for name in before if name not in quotas}
         for name, rps in changes.items():
-            self.front.loop.tell(io.LimitsChanged(rps, name))
+            self.front.loop.enqueue(io.LimitsChanged(rps, name))
 
     def keep_by(self, kept: dict[str, tuple[str, float]]) -> None:
         """Apply modes and windows of replication by class, as `Easing` has them."""
@@ -129,4 +129,4 @@
         """Restore the settings, for whoever takes the parts over."""
         self._classes(base)
         self._tenants(base)
-        self.front.limit(LIMIT, io.UNLIMITED_RPS)
+        self.front.limit_calls(LIMIT, io.UNLIMITED_RPS)
--- a/fawnwharf/recovery_service/call_outcomes.py
+++ b/fawnwharf/recovery_service/call_outcomes.py
@@ -1,10 +1,12 @@
 """Outcomes of calls as they are counted: stands before recovery admission and sees how each call ends."""
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
+from collections.abc import Mapping
 from dataclasses import dataclass
-
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Outcome, Served
+from fawnwharf.net.requests import Call
+from fawnwharf.net.requests import Outcome
+from fawnwharf.net.requests import Succeeded
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.request_sink import RequestSink
 
@@ -43,7 +45,7 @@
         self._open[key] = _OpenCall(call.class_name, monotonic_ms())
 
         def replied(outcome: Outcome) -> None:
-            self._close(key, served=isinstance(outcome, Served))
+            self._close(key, served=isinstance(outcome, Succeeded))
             reply(outcome)
 
         call.reply = replied
--- a/tests/recovery_service/test_recovery_service_assigned_permits.py
+++ b/tests/recovery_service/test_recovery_service_assigned_permits.py
@@ -1,34 +1,36 @@
 """Seats and wards by the register: at once where nobody gave before, and never two of one."""
 
-import random
-
-import pytest
-from support.load_permits import LIMITS, WORTHS
-from support.register_permits import WORD_MS, DealtFleet, GivingAgents
-from test_recovery_stages import Led
-
 from fawnwharf.recovery_core.budget import slow_start_coordinator_of
-from fawnwharf.recovery_core.phases import (
-    AllowedActions,
-    FleetObservation,
-    PhaseFollower,
-    PhaseTiming,
-    RecoveryPhase,
-    allowed_in_phase,
-)
-from fawnwharf.recovery_core.register import (
-    MAX_PERMIT_ISSUERS,
-    PermitAssignment,
-    RecoveryRegister,
-    parse_register,
-)
+from fawnwharf.recovery_core.phases import AllowedActions
+from fawnwharf.recovery_core.phases import FleetObservation
+from fawnwharf.recovery_core.phases import PhaseFollower
+from fawnwharf.recovery_core.phases import PhaseTiming
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.phases import allowed_in_phase
+from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS
+from fawnwharf.recovery_core.register import PermitAssignment
+from fawnwharf.recovery_core.register import RecoveryRegister
+from fawnwharf.recovery_core.register import parse_register
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
 from fawnwharf.recovery_service.delegated_loads import DELEGATION_MS
-from fawnwharf.recovery_service.permit_issuing import EXPIRY_SCAN_MS, TICK_MS
-from fawnwharf.recovery_service.permit_view import AssignmentNumber, PermitView
-from fawnwharf.recovery_service.recovery_leader import LeaderTiming, MemberLists, RecoveryLeader
+from fawnwharf.recovery_service.permit_issuing import EXPIRY_SCAN_MS
+from fawnwharf.recovery_service.permit_issuing import TICK_MS
+from fawnwharf.recovery_service.permit_view import AssignmentNumber
+from fawnwharf.recovery_service.permit_view import PermitView
+from fawnwharf.recovery_service.recovery_leader import LeaderTiming
+from fawnwharf.recovery_service.recovery_leader import MemberLists
+from fawnwharf.recovery_service.recovery_leader import RecoveryLeader
+from support.load_permits import LIMITS
+from support.load_permits import WORTHS
+from support.register_permits import DealtFleet
+from support.register_permits import GivingAgents
+from support.register_permits import WORD_MS
+from test_recovery_stages import Led
+import pytest
+import random
+
 
 ROWS = [f"f{i}" for i in range(400)]
 STEP_MS = 20.0
@@ -48,7 +50,7 @@
         fleet.begin("boot 2", name)
     fleet.until(lambda: fleet.orders)
     assert fleet.orders[0][0] - min(fleet.entered.values()) <= TICK_MS + STEP_MS
-    fleet.until_stage(RecoveryPhase.REST, cut=1)
+    fleet.until_stage(RecoveryPhase.ALL_CALLS, cut=1)
     dealt = fleet.agents["n0"].follower.register
     assert dealt.deals == 1 and set(dealt.givers) <= set(fleet.agents["n0"].lists.replicas)
 
@@ -113,7 +115,7 @@
 def test_a_later_dealing_waits_for_the_word_of_the_one_before_and_a_missed_one_for_all():
     fleet = DealtFleet()
     fleet.run(1_200.0)
-    permits, rest = fleet.fronts["n0"].permits, allowed_in_phase(RecoveryPhase.REST, WORTHS)
+    permits, rest = fleet.fronts["n0"].permits, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
     fleet.fronts["n0"].update(1_200.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(fleet.dealt.givers, 1, 1))
     assert permits.own_count == permits.ready(1_200.0) == 1
     fleet.fronts["n0"].update(2_000.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 2))
@@ -140,7 +142,7 @@
 
 
 def test_the_conductor_deals_with_worth_and_again_only_when_a_giver_is_gone_for_a_time():
-    led = Led().until(RecoveryPhase.WORTH, seen("a", "b"))
+    led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     assert [(r.stage, r.givers, r.deals) for r in led.told] == [
         (0, ("a", "b"), 0), (1, ("a", "b"), 0), (2, ("a", "b"), 1),
     ]  # fmt: skip
@@ -158,22 +160,22 @@
     for _ in range(15):
         led.step(seen("a", "c", "d", "e", "f"))  # they are more than twice as many
     assert led.told[-1].deals == 3 and len(led.told[-1].givers) == 5
-    led.until(RecoveryPhase.SPILL, seen("a", "c", "d", "e", "f"))
+    led.until(RecoveryPhase.NORMAL, seen("a", "c", "d", "e", "f"))
     assert led.told[-1].givers == () and led.told[-1].deals == 3
 
 
 def test_a_stage_that_is_entered_while_a_giver_is_not_heard_for_a_moment_changes_no_dealing():
-    led = Led().until(RecoveryPhase.WORTH, seen("a", "b"))
+    led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     while led.now < led.core.since_ms + PhaseTiming().most_ms - 300.0:
         led.step(seen("a", "b"))
-    led.until(RecoveryPhase.REST, seen("a"))
+    led.until(RecoveryPhase.ALL_CALLS, seen("a"))
     assert (led.told[-1].givers, led.told[-1].deals) == (("a", "b"), 1)
     led.step(seen("a", "b"))
     assert led.core.lost_ms is None
 
 
 def test_where_one_gave_without_a_stage_the_first_dealing_waits_as_a_later_one():
-    led = Led().until(RecoveryPhase.WORTH, seen("a", gave=True))
+    led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", gave=True))
     assert led.told[-1].deals == 2
     lead = RecoveryLeader(
         PhaseTiming(),
@@ -189,7 +191,7 @@
     old = '{"recovery":1,"number":4,"cut":1,"stage":2,"part":1.0,"fronts":3,"boots":{},"why":""}'
     follower = PhaseFollower(PhaseTiming(), 0.0)
     follower.told(old, 0.0)
-    assert follower.stage(1.0) is RecoveryPhase.WORTH and follower.dealt(1.0) is None
+    assert follower.stage(1.0) is RecoveryPhase.PRIORITY_CALLS and follower.dealt(1.0) is None
     follower.told(RecoveryRegister(number=5, cut=1, stage=2, givers=("a",), deals=1).encode(), 0.0)
     assert follower.dealt(1.0) == PermitAssignment(("a",), 1, 1) and follower.dealt(6_000.0) is None  # alone
     names = tuple(f"n{i}" for i in range(500))
--- a/tests/recovery_service/test_recovery_service_integration.py
+++ b/tests/recovery_service/test_recovery_service_integration.py
@@ -2,7 +2,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames as frames
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.front_end import scorer_number
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import RecoveryPhase
@@ -31,14 +31,14 @@
 
     def pump(self):
         super().pump()
-        for item in self.of(frames.ENSURE)[self.seen :]:
+        for item in self.of(frames.LOAD)[self.seen :]:
             self.seen += 1
             if int(item[1].fields["slots_up"]) <= self.stand:
                 self.answer(item, 0, f"slots_up={self.stand}")
 
     @property
     def orders(self):
-        return [item for item in self.of(frames.ENSURE) if item[1].fields["slots_up"] != "0"]
+        return [item for item in self.of(frames.LOAD) if item[1].fields["slots_up"] != "0"]
 
 
 class Joined:
@@ -48,18 +48,21 @@
         self.front, self.busy = front, False
         limits = fleet_limits(settings, 2, 100.0)
         self.issuer = PermitIssuer(
-            "n0", 1, limits, lambda function: [worker_number("s-1")], PermitTiming(50.0, 50.0)
+            "n0", 1, limits, lambda function: [scorer_number("s-1")], PermitTiming(50.0, 50.0)
         )
-        self.admission = front.port.table = RecoveryAdmission(
-            front.loop.wheel, front.table, AdmissionSettings(settings.classes, limits)
+        self.admission = front.client_port.requests = RecoveryAdmission(
+            front.loop.wheel, front.requests, AdmissionSettings(settings.classes, limits
         )
-        front.stand_between(io.OrderCopies, self.between)
-        front._seam = self
+        )
+        front.intercept(io.OrderCopies, self.between)
+        front._extension = self
         self.turn()
 
     def between(self, below):
         front = self.front
-        self.order_gate = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
+        self.order_gate = LoadOrderGate(
+            below, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open
+        )
         return self.order_gate.carry
 
     def go_by(self, stage):
@@ -71,22 +74,24 @@
 
     def turn(self):
         self.carry(self.issuer.tick(monotonic_ms()))
-        self.front.loop.wheel.after(20.0, self.turn)
+        self.front.loop.timers.after(20.0, self.turn)
 
-    def events(self, events):
+    def on_events(self, events):
         self.carry(self.order_gate.events(monotonic_ms(), events))
 
     def carry(self, outs):
         for out in outs:
             if isinstance(out, LoadOrder):
                 tell = (
-                    self.front.table.order if isinstance(out.event, io.OrderCopies) else self.front.loop.tell
+                    self.front.requests.start_load
+                    if isinstance(out.event, io.OrderCopies)
+                    else self.front.loop.enqueue
                 )
                 tell(out.event)
             elif isinstance(out, SlowStartPermit | CopyAvailable):
                 self.admission.notify(out)
 
-    def told(self, fleet): ...
+    def on_fleet(self, fleet): ...
 
     def close(self): ...
 
@@ -103,10 +108,10 @@
 
 def test_a_call_waits_at_the_door_for_the_loaders_copy_and_is_served_by_the_module(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     seqid = client.call()
     joined.until(lambda: scorer.orders, "the loader's order goes out by the module")
-    assert not joined.front.table.open and joined.front.router.loading == 1
+    assert not joined.front.requests.open and joined.front.router.loading == 1
     [order] = scorer.orders
     scorer.stand = 1
     scorer.answer(order, 0, "slots_up=1")
@@ -114,16 +119,16 @@
     scorer.answer(scorer.runs[0], 0, "res=reused", b"done")
     joined.until(lambda: seqid in client.kinds(), "it is answered")
     assert client.kinds() == {seqid: "answer"} and len(scorer.orders) == 1
-    assert not joined.joined.admission.busy and joined.joined.issuer.place(ROW) == worker_number("s-1")
+    assert not joined.joined.admission.busy and joined.joined.issuer.place(ROW) == scorer_number("s-1")
 
 
 def test_before_its_stage_a_call_is_refused_with_advice_and_the_module_sees_nothing(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.WORTH)
+    joined.joined.go_by(RecoveryPhase.PRIORITY_CALLS)
     seqid = client.call("view")
     joined.until(lambda: seqid in client.kinds(), "it is refused")
     assert client.kinds() == {seqid: "throttled"} and not scorer.frames
-    joined.joined.go_by(RecoveryPhase.SPILL)
+    joined.joined.go_by(RecoveryPhase.NORMAL)
     later = client.call("view")
     joined.until(lambda: scorer.orders, "the module orders for itself")
     scorer.answer(scorer.orders[0], 0, "slots_up=1")
@@ -135,22 +140,22 @@
 
 def test_an_order_of_the_modules_own_does_not_go_out_before_renewal(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
-    joined.front.port.table = joined.front.table  # this call passes no door
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
+    joined.front.client_port.requests = joined.front.requests  # this call passes no door
     client.call()
     joined.until(lambda: joined.joined.order_gate.rejected, "the module orders")
     joined.settle(client)
     assert scorer.orders == []
-    joined.joined.go_by(RecoveryPhase.RENEWAL)
+    joined.joined.go_by(RecoveryPhase.COPY_REFRESH)
     joined.until(lambda: scorer.orders, "its place has rested, and the order goes out")
 
 
 def test_a_client_that_ends_takes_its_held_call_along(joined):
     client = joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     client.call()
     joined.until(lambda: joined.joined.admission.busy, "it is held")
     client.sock.close()
     joined.clients.clear()
     joined.until(lambda: not joined.joined.admission.busy, "it is let go of")
-    assert not joined.joined.admission.counts and not joined.front.table.open
+    assert not joined.joined.admission.counts and not joined.front.requests.open
--- a/tests/recovery_service/test_recovery_service_service.py
+++ b/tests/recovery_service/test_recovery_service_service.py
@@ -29,7 +29,7 @@
     assert not any(site.ready(node) for node in site.nodes)
     site.until(
         lambda: all(
-            node.stage() is RecoveryPhase.SPILL and node.agent.power_loss == 1 for node in site.nodes
+            node.stage() is RecoveryPhase.NORMAL and node.agent.power_loss == 1 for node in site.nodes
         ),
         "calm",
     )
@@ -42,7 +42,7 @@
         site.until(lambda node=node: node.agent.queries.without() == {}, "all is answered")
         assert len(node.noted("startup queries done")) == 1
         assert (
-            node.part.parts.store.condition is StoreCondition.WHOLE
+            node.part.parts.store.condition is StoreCondition.INTACT
             and node.noted("recovery enabled")[0]["same_boot"] is False
         )
     whys = [fields["why"] for node in site.nodes for fields in node.noted("recovery phase decided")]
@@ -56,7 +56,7 @@
         site.power_loss(number, [back])
         site.start([back])
         assert not site.ready(back)
-        site.until(lambda: back.stage() is RecoveryPhase.SPILL and back.agent.queries_done, "it is calm here")
+        site.until(lambda: back.stage() is RecoveryPhase.NORMAL and back.agent.queries_done, "it is calm here")
         site.until(lambda: site.ready(back), "and its status good")
         assert {cut for cut, _ in back.stages()} == {0} and back.stages()[-1] == (0, "spill")
         assert "repeats" not in [stage for _, stage in back.stages()]
@@ -92,7 +92,7 @@
     site.start(site.nodes[1:])
     site.until(
         lambda: all(
-            node.stage() is RecoveryPhase.SPILL and node.agent.power_loss == 1 for node in site.nodes
+            node.stage() is RecoveryPhase.NORMAL and node.agent.power_loss == 1 for node in site.nodes
         ),
         "calm",
     )
@@ -109,7 +109,7 @@
     site.power_loss(2)
     site.start()
     site.until(
-        lambda: all((n.stage() or 0) >= RecoveryPhase.REST for n in site.nodes), "all calls are let in"
+        lambda: all((n.stage() or 0) >= RecoveryPhase.ALL_CALLS for n in site.nodes), "all calls are let in"
     )
     client, done, answered = site.client(node), [], set()
 
@@ -135,16 +135,16 @@
     site.power_loss(1, [back])
     shutil.rmtree(back.folder / "kept")
     site.start([back])
-    assert back.part.parts.store.condition is StoreCondition.PART and not back.agent.status.complete
+    assert back.part.parts.store.condition is StoreCondition.PARTIAL and not back.agent.status.complete
     site.until(lambda: back.noted("recovery store confirmed"), "others confirm it")
     assert (
-        back.part.parts.store.condition is StoreCondition.WHOLE
+        back.part.parts.store.condition is StoreCondition.INTACT
         and back.agent.status.knows_grants
-        and back.stage() is RecoveryPhase.SPILL
+        and back.stage() is RecoveryPhase.NORMAL
     )
     site.power_loss(1, [back])
     site.start([back])
-    assert back.part.parts.store.condition is StoreCondition.WHOLE
+    assert back.part.parts.store.condition is StoreCondition.INTACT
 
 
 def test_one_without_a_change_log_dials_the_scorers_of_its_last_roster(site):
@@ -154,7 +154,7 @@
     node.log.links[-1].sock.sendall(json.dumps(event).encode() + b"\n")
     site.until(lambda: node.part.running.roster.was_stored, "the roster is kept")
     site.until(
-        lambda: node.part.parts.store.store.standing(time.monotonic() * 1000.0).failing == "", "on disk"
+        lambda: node.part.parts.store.store.status(time.monotonic() * 1000.0).failing == "", "on disk"
     )
     site.rest(0.3)
     site.power_loss(2, [node])
@@ -162,8 +162,8 @@
     pump, node.log.pump = node.log.pump, lambda: None  # it takes connections and says nothing
     site.start([node])
     site.until(lambda: node.noted("earlier roster used"), "it goes by the last roster")
-    assert list(node.front.overlay.members) == [node.scorer.member()["id"]]
-    site.until(lambda: node.stage() is RecoveryPhase.SPILL and site.ready(node), "it serves")
+    assert list(node.front.roster_overlay.members) == [node.scorer.member()["id"]]
+    site.until(lambda: node.stage() is RecoveryPhase.NORMAL and site.ready(node), "it serves")
     assert "addresses" in node.noted("startup queries done")[0]["missing"][0]
     node.log.pump = pump
 
@@ -183,14 +183,16 @@
 def test_one_that_gave_its_parts_to_another_process_and_takes_them_back_asks_anew(site):
     site.begin()
     node = site.nodes[2]
-    seam, life = node.front.seam, node.part.parts.store.incarnation
-    order = node.front._carriers[io.OrderCopies]
-    seam.release()
-    assert node.front._carriers[io.OrderCopies] != order and not node.front.port.waits_for
-    seam.take_back(node.front)
+    extension, life = node.front.extension, node.part.parts.store.incarnation
+    order = node.front._action_handlers[io.OrderCopies]
+    extension.suspend()
+    assert (
+        node.front._action_handlers[io.OrderCopies] != order and not node.front.client_port.not_ready_reasons
+    )
+    extension.resume(node.front)
     assert node.part.parts.store.incarnation > life and not site.ready(node)
     site.until(
-        lambda: node.stage() is RecoveryPhase.SPILL and site.ready(node),
+        lambda: node.stage() is RecoveryPhase.NORMAL and site.ready(node),
         "it is calm here, and its status good",
     )
     client = site.client(node)
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -1,11 +1,16 @@
 """Recovery admission in virtual time: a real timer wheel, and answers of all others by the test."""
 
-from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.requests import Call, Refused
-from fawnwharf.net.timer_wheel import Wheel
+from fawnwharf.interface import ClassSpec
+from fawnwharf.interface import Effect
+from fawnwharf.net.requests import Call
+from fawnwharf.net.requests import Rejected
+from fawnwharf.net.timer_wheel import TimerWheel
 from fawnwharf.recovery_core.budget import FleetLimits
-from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_service.recovery_admission import AdmissionSettings, RecoveryAdmission
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.phases import allowed_in_phase
+from fawnwharf.recovery_service.recovery_admission import AdmissionSettings
+from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+
 
 CLASSES = {
     "settle": ClassSpec("settle", latency_target_ms=1_000.0, effect=Effect.AT_MOST_ONCE, priority_weight=5.0),
@@ -59,9 +64,9 @@
 class Ground:
     """The admission under test, and the table below it."""
 
-    def __init__(self, stage=RecoveryPhase.REST, rate_ps=1e6, promises=None, limits=LIMITS, **more):
+    def __init__(self, stage=RecoveryPhase.ALL_CALLS, rate_ps=1e6, promises=None, limits=LIMITS, **more):
         self.now = 0.0
-        self.wheel = Wheel(lambda: self.now)
+        self.timers = TimerWheel(lambda: self.now)
         self.issuer, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
         self.admission = RecoveryAdmission(
             self.wheel, self, AdmissionSettings(CLASSES, limits), promises, lambda: self.now
@@ -80,14 +85,14 @@
         until = self.now + ms
         while self.now < until:
             self.now = min(until, self.now + 4.0)
-            self.wheel.advance()
+            self.timers.advance()
 
     def take(self, call):
         """Take a call, as the table below; fails for a call taken twice."""
         assert call.id not in self.passed, "a call twice"
         self.passed.add(call.id)
         if self.at_once:
-            call.reply(Refused(9.0))
+            call.reply(Rejected(9.0))
             return None
         self.taken += 1
         key = f"r{self.taken}"
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -24,7 +24,7 @@
 from fawnwharf.zones.log_lines import ClientMessage
 from fawnwharf.zones.log_lines import RECOVERY
 from support.zone_files import members
-from test_zone_members import Fleet
+from support.zone_fleet import ZoneFleet
 import msgspec
 import random
 
@@ -34,7 +34,7 @@
 TIMING = PhaseTiming(settle_ms=3_000.0)
 
 
-class Agents(Fleet):
+class Agents(ZoneFleet):
     """Members with an agent of recovery each."""
 
     def __init__(self, zones="abcab", seed=1, lost=0.0, late_ms=0.0):
@@ -208,7 +208,7 @@
     def calm(self):
         """Run until the fleet is in its normal state and all boots are noted."""
         self.until(lambda: all(len(self.cores[n].voter.saved.voters) == 3 for n in self.names[:3]))
-        self.until_stage(RecoveryPhase.SPILL)
+        self.until_stage(RecoveryPhase.NORMAL)
         self.until(lambda: all(agent.queries_done for agent in self.agents.values()))
         leader = self.leader
         self.until(lambda: len(self.agents[leader].leader.coordinator.register.boots) == 3)
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -1,9 +1,5 @@
 """Front ends with recovery in this thread: real sockets, real folders, boot marks in files."""
 
-import time
-
-from peers import SETTINGS
-
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import PolicyRolloutService
@@ -11,11 +7,15 @@
 from fawnwharf.recovery_service.recovery_store import open_recovery_store
 from fawnwharf.recovery_service.service import RecoveryService
 from fawnwharf.replication.service import ReplicationService
-from fawnwharf.serving import Seams
+from fawnwharf.serving import ExtensionGroup
 from fawnwharf.zones.bootstrap import bootstrap
 from fawnwharf.zones.service import ZoneService
+from peers import SETTINGS
 from support import policy_front_ends
-from support.policy_front_ends import STATE, VOTING
+from support.policy_front_ends import STATE
+from support.policy_front_ends import VOTING
+import time
+
 
 LEASES = policy_front_ends.TIMING
 TIMING = {"hold_ms": 300.0, "listen_ms": 1_500.0, "most_ms": 2_000.0, "settle_ms": 1_500.0}
@@ -62,10 +62,12 @@
         }  # fmt: skip
         if not self.site.policy:
             del made["policy"]
-        seam = Seams(made, True)
+        extension = ExtensionGroup(made, True)
         self.lines = []
-        self.front = FrontEnd(deployment, lambda text, source="": self.lines.append(text), seam=seam)
-        seam.attach(self.front)
+        self.front = FrontEnd(
+            deployment, lambda text, source="": self.lines.append(text), extension=extension
+        )
+        extension.attach(self.front)
         self.front.start()
 
     @property
@@ -116,7 +118,7 @@
         self.start(fresh=True)
         self.until(
             lambda: all(
-                node.stage() is RecoveryPhase.SPILL and node.agent.queries_done for node in self.nodes
+                node.stage() is RecoveryPhase.NORMAL and node.agent.queries_done for node in self.nodes
             ),
             "calm",
         )
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -6,8 +6,8 @@
 from support.change_log_front_end import LogRig, event, new_log
 
 from fawnwharf import interface as io
-from fawnwharf.net import change_log, loop, scorer_frames
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net import change_log, event_loop, scorer_frames
+from fawnwharf.net.front_end import scorer_number
 
 CALLS = 1_024
 DRAIN_MS = 250.0  # the rule on drains
@@ -24,7 +24,7 @@
 
 def new_work(peer):
     """Calls that came, and orders that were to load."""
-    loads = [frame for _, frame in peer.of(scorer_frames.ENSURE) if frame.fields["slots_up"] != "0"]
+    loads = [frame for _, frame in peer.of(scorer_frames.LOAD) if frame.fields["slots_up"] != "0"]
     return [frame for _, frame in peer.runs] + loads
 
 
@@ -107,7 +107,9 @@
 
 
 def test_a_drain_by_a_log_that_began_anew_holds_within_its_time(rig):
-    assert change_log.PAUSE_MS + change_log.REPLAY_MS < DRAIN_MS - 50.0  # to ask again, and to be told all
+    assert (
+        change_log.MIN_BACKOFF_MS + change_log.REPLAY_MS < DRAIN_MS - 50.0
+    )  # to ask again, and to be told all
     rig.log.say(event(2))
     rig.at(2)
     rig.log.say(event(2, rig.member("s-1", "terminating")))
@@ -121,11 +123,13 @@
 
 
 def test_a_drain_told_while_a_turn_is_held_up_binds_what_the_turn_sends(rig, monkeypatch):
-    held, decide, true = [0.0], rig.front.loop._decide, loop.monotonic_ms
-    monkeypatch.setattr(loop, "monotonic_ms", lambda: true() + held[0])
+    held, decide, true = [0.0], rig.front.loop._decide, event_loop.monotonic_ms
+    monkeypatch.setattr(event_loop, "monotonic_ms", lambda: true() + held[0])
 
     def new_work_unwritten():
-        links = [link for scorer in rig.front.pool.scorers.values() for link in scorer.links if link.up]
+        links = [
+            link for scorer in rig.front.scorer_pool.scorers.values() for link in scorer.links if link.up
+        ]
         return [stream for link in links for stream in link.unwritten() if stream.is_new_work]
 
     def decide_and_hold(now_ms, events):
@@ -137,7 +141,7 @@
     rig.front.loop._decide = decide_and_hold
     client = rig.client()
     client.call()
-    rig.until(lambda: rig.front.changelog.seq == 2, "the drain is told")
+    rig.until(lambda: rig.front.change_log.seq == 2, "the drain is told")
     rig.settle(client)
     assert [new_work(peer) for peer in rig.scorers] == [[], []]
 
@@ -145,15 +149,15 @@
 def test_an_order_and_a_call_that_wait_for_a_dial_are_pulled_back_by_a_whole_list(rig):
     client = rig.client()
     client.call()
-    pool = rig.front.pool
+    pool = rig.front.scorer_pool
 
     def dialled():
         return [scorer.id for scorer in pool.scorers.values() if scorer.waiting]
 
     while not dialled():
-        rig.front.loop.turn(0.005)
+        rig.front.loop.run_iteration(0.005)
     rig.log.say(event(2, complete=True))
-    rig.front.loop.turn(0.0)
+    rig.front.loop.run_iteration(0.0)
     assert dialled() == []
     rig.settle(client)
     assert [new_work(peer) for peer in rig.scorers] == [[], []]
@@ -173,7 +177,7 @@
     client.call(row="bb" * 8)
     rig.until(lambda: other.runs, "the next one goes to the other one")
     assert len(busy.runs) == 1
-    assert worker_number(busy.id) not in rig.front.pool.scorers
+    assert scorer_number(busy.id) not in rig.front.scorer_pool.scorers
 
 
 def test_the_log_is_read_before_clients_that_were_ready_earlier(rig):
--- a/tests/test_fair_turns.py
+++ b/tests/test_fair_turns.py
@@ -8,8 +8,8 @@
 from peers import ROW, Rig, ScorerPeer, handle_frame
 
 from fawnwharf import interface as io
-from fawnwharf.net import clients, loop, thrift
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net import clients, event_loop, thrift
+from fawnwharf.net.front_end import scorer_number
 
 CALL = {"op": "view", "ttl": "8000", "org": "acme", "row": ROW}
 
@@ -52,7 +52,7 @@
         client.sock.sendall(pairs(60))
         rig.settle(client)
         self.assertEqual(self.told(io.RequestArrived, io.RequestCancelled), [])
-        self.assertEqual((len(rig.front.router.taken), rig.front.table.open), (0, {}))
+        self.assertEqual((len(rig.front.router.taken), rig.front.requests.open), (0, {}))
         self.assertEqual([kind for seqid, kind, _ in client.answers if seqid < 1000], [])
 
     def test_pairs_that_are_cut_by_a_read_cost_one_call_a_read_at_the_most(self):
@@ -63,11 +63,11 @@
         client.sock.sendall(data)
         client.sock.setblocking(False)
         rig.settle(client)
-        reads = -(-len(data) // clients.READ_MOST)
+        reads = -(-len(data) // clients.MAX_READ_BYTES)
         self.assertLess(reads, 10)
         self.assertLessEqual(len(rig.front.router.taken), reads)
         self.assertEqual(len(self.told(io.RequestArrived)), len(self.told(io.RequestCancelled)))
-        self.assertEqual(rig.front.table.open, {})
+        self.assertEqual(rig.front.requests.open, {})
 
     def test_pairs_spread_over_many_sockets_are_unknown_to_the_module_too(self):
         rig = self.rig(ScorerPeer())
@@ -87,7 +87,7 @@
         rig.until(lambda: self.told(io.RequestArrived), "the call is heard of")
         client.sock.sendall(last[10:])
         rig.until(lambda: self.told(io.RequestCancelled), "and that it was withdrawn")
-        self.assertEqual(rig.front.table.open, {})
+        self.assertEqual(rig.front.requests.open, {})
 
     def test_withdrawals_of_numbers_that_are_not_open_touch_nothing(self):
         scorer = ScorerPeer()
@@ -104,12 +104,12 @@
 
     def test_what_is_left_keeps_its_order(self):
         told = []
-        turning = loop.Loop(lambda now_ms, events: told.extend(events), mock.Mock())
+        turning = event_loop.EventLoop(lambda now_ms, events: told.extend(events), mock.Mock())
         self.addCleanup(turning.close)
         first, out, last = io.TimerDue(1), io.TimerDue(2), io.TimerDue(3)
-        tickets = [turning.tell(event) for event in (first, out, last)]
-        turning.untell(tickets[1])
-        turning.turn(0.0)
+        tickets = [turning.enqueue(event) for event in (first, out, last)]
+        turning.discard(tickets[1])
+        turning.run_iteration(0.0)
         self.assertEqual(told, [first, last])
 
 
@@ -118,13 +118,13 @@
         rig = self.rig(ScorerPeer())
         client = rig.client()
         count, sizes = 2_000, []
-        read = clients.Client.on_data
+        read = clients.ClientConnection.on_data
 
         def on_data(client, data):
             sizes.append(len(data))
             read(client, data)
 
-        with mock.patch.object(clients.Client, "on_data", on_data):
+        with mock.patch.object(clients.ClientConnection, "on_data", on_data):
             client.sock.setblocking(True)
             for n in range(1, count + 1):
                 client.status(n)
@@ -141,7 +141,7 @@
             client.sock.sendall(b"".join(handle(n) for n in range(1, 33)))
         rig.until(lambda: len(self.told(io.RequestArrived)) == 12 * 32, "all are heard of")
         # The last client that is read may bring its 32 on top.
-        self.assertLess(max(map(len, self.heard)), loop.EVENTS_MOST + 40)
+        self.assertLess(max(map(len, self.heard)), event_loop.MAX_EVENTS + 40)
 
     def test_who_was_left_behind_comes_first_in_the_next_turn(self):
         rig = self.rig(ScorerPeer())
@@ -150,14 +150,16 @@
             rig.settle(client)
         self.heard.clear()
         number = 0
-        with mock.patch.object(loop, "EVENTS_MOST", 1):
+        with mock.patch.object(event_loop, "MAX_EVENTS", 1):
             for _ in range(2 * len(crowd)):
                 for client in crowd:  # each has more to ask at all times
                     number += 1
                     client.call(seqid=number, call=f"{number:016x}")
-                rig.front.loop.turn(0.0)
+                rig.front.loop.run_iteration(0.0)
         keys = [event.request for event in self.told(io.RequestArrived)]
-        owners = {key: n for n, owner in enumerate(rig.front.port.clients) for key in owner.open.values()}
+        owners = {
+            key: n for n, owner in enumerate(rig.front.client_port.clients) for key in owner.open.values()
+        }
         self.assertEqual({owners[key] for key in keys}, set(range(len(crowd))))
 
     def test_changes_of_the_list_that_come_together_are_told_as_one(self):
@@ -171,7 +173,7 @@
             members = [peer.member(phase)]
             lines.append(json.dumps({"seq": seq, "fleet": {"complete": False, "members": members}}).encode())
         rig.log.links[0].sock.sendall(b"\n".join(lines) + b"\n")
-        rig.until(lambda: rig.front.changelog.seq == 201, "all have come")
+        rig.until(lambda: rig.front.change_log.seq == 201, "all have come")
         self.assertEqual([len(event.entries) for event in self.told(io.RosterChanged)], [200])
         self.assertEqual(len(rig.front.router.ready), 1)
 
@@ -182,10 +184,10 @@
         some, whole = [peers[0].member("terminating")], [peers[1].member()]
         for seq, members, complete in ((2, some, False), (3, whole, True), (4, some, False)):
             rig.log.say({"seq": seq, "fleet": {"complete": complete, "members": members}})
-        rig.until(lambda: rig.front.changelog.seq == 4, "all have come")
+        rig.until(lambda: rig.front.change_log.seq == 4, "all have come")
         told = self.told(io.RosterChanged)
         self.assertEqual([(len(e.entries), e.complete) for e in told], [(1, False), (2, True)])
-        self.assertEqual([w.id for w in rig.front.router.ready], [worker_number("s-1")])
+        self.assertEqual([w.id for w in rig.front.router.ready], [scorer_number("s-1")])
 
 
 if __name__ == "__main__":
--- a/tests/test_replication_use.py
+++ b/tests/test_replication_use.py
@@ -5,8 +5,8 @@
 
 from fawnwharf.config import Fleet, Member
 from fawnwharf.interface import AttemptResult, Warmth
-from fawnwharf.net.front_end import worker_number
-from fawnwharf.net.roster_overlay import Overlay
+from fawnwharf.net.front_end import scorer_number
+from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker, OutlierEjections
 from fawnwharf.replication.outlier_ejection import OutlierEjector, excluding
@@ -155,28 +155,28 @@
 
 
 def test_a_resting_scorer_is_told_as_draining_and_what_drains_or_is_gone_stays_so():
-    overlay = Overlay()
-    told = overlay.told(Fleet([entry("s1"), entry("s2"), entry("s3", phase="terminating")], True, 1))
+    overlay = RosterOverlay()
+    told = overlay.apply(Fleet([entry("s1"), entry("s2"), entry("s3", phase="terminating")], True, 1))
     assert [member.phase for member in told.members] == ["in_service", "in_service", "terminating"]
-    changes = overlay.close("state", excluding(frozenset({"s1", "s3"})))
+    changes = overlay.set_filter("state", excluding(frozenset({"s1", "s3"})))
     phases = {member.id: member.phase for member in changes.members}
     assert phases == {"s1": "terminating"}  # of s3 there is nothing new to tell
-    told = overlay.told(Fleet([entry("s1"), entry("s3", phase="terminating")], False, 2))
+    told = overlay.apply(Fleet([entry("s1"), entry("s3", phase="terminating")], False, 2))
     assert [member.phase for member in told.members] == ["terminating", "terminating"]
-    overlay.told(Fleet([entry("s2", phase="terminating")], False, 3))
-    changes = overlay.close("state", excluding(frozenset()))
+    overlay.apply(Fleet([entry("s2", phase="terminating")], False, 3))
+    changes = overlay.set_filter("state", excluding(frozenset()))
     phases = {member.id: member.phase for member in changes.members}
     assert phases == {"s1": "in_service"}
 
 
 def hint(*ids):
-    return m.ReportedOutliers({str(worker_number(id)): 9 for id in ids})
+    return m.ReportedOutliers({str(scorer_number(id)): 9 for id in ids})
 
 
 def test_a_hint_is_gone_by_for_its_time_and_told_once():
-    overlay, notes = Overlay(), []
+    overlay, notes = RosterOverlay(), []
     resting = OutlierEjector(400.0, lambda event, fields: notes.append(fields))
-    overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
+    overlay.apply(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
     steps = [
         (1_000.0, [], {}),
         (1_250.0, [hint("s1", "s9")], {"s1": "terminating"}),
@@ -193,11 +193,11 @@
 
 
 def test_what_others_close_neither_rests_nor_counts_among_those_that_may():
-    overlay, resting = Overlay(), OutlierEjector(400.0, lambda event, fields: None)
-    overlay.told(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
-    overlay.close("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
+    overlay, resting = RosterOverlay(), OutlierEjector(400.0, lambda event, fields: None)
+    overlay.apply(Fleet([entry(f"s{n}") for n in range(8)], True, 1))
+    overlay.set_filter("zones", lambda member: member.id in ("s0", "s4", "s5", "s6"))
     changes = resting.look(1_000.0, [hint("s0", "s1", "s2")], overlay)
     assert [member.id for member in changes.members] == ["s1"] and resting.rests.refused == 1
-    overlay.close("zones", None)
+    overlay.set_filter("zones", None)
     changes = resting.look(1_250.0, [hint("s0")], overlay)
     assert [member.id for member in changes.members] == ["s0"] and resting.ids == {"s0", "s1"}
--- a/tests/test_scorer_faults.py
+++ b/tests/test_scorer_faults.py
@@ -9,9 +9,16 @@
 from support.scorer_link_cases import BY_POOL, Case, attempt
 
 from fawnwharf import interface as io
-from fawnwharf.net import connection, scorers, writing
-from fawnwharf.net.end_reasons import ERRORS, PASSING, End, SystemCall, end_of, told
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net import connection, connection_writer, scorer_pool
+from fawnwharf.net.end_reasons import (
+    LOCAL_REASONS,
+    REASON_BY_ERRNO,
+    EndReason,
+    SystemCall,
+    attempt_result,
+    end_reason_of,
+)
+from fawnwharf.net.front_end import scorer_number
 
 LOCAL = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR")
 # Which errors of a call pass by themselves, and what the others tell of the scorer.
@@ -23,17 +30,20 @@
 }
 OF_PEER = {
     "connect": {
-        "ECONNREFUSED": End.REFUSED, "EHOSTUNREACH": End.UNREACHABLE, "ETIMEDOUT": End.UNREACHABLE,
+        "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE,
+        "ETIMEDOUT": EndReason.UNREACHABLE,
     },
     "so_error": {
-        "ECONNREFUSED": End.REFUSED, "EHOSTUNREACH": End.UNREACHABLE, "ETIMEDOUT": End.UNREACHABLE,
-        "ENETUNREACH": End.UNREACHABLE,
+        "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE,
+        "ETIMEDOUT": EndReason.UNREACHABLE,
+        "ENETUNREACH": EndReason.UNREACHABLE,
     },
     "sendmsg": {
-        "ECONNRESET": End.RESET_BY_PEER, "EPIPE": End.RESET_BY_PEER, "ETIMEDOUT": End.UNREACHABLE,
+        "ECONNRESET": EndReason.RESET_BY_PEER, "EPIPE": EndReason.RESET_BY_PEER,
+        "ETIMEDOUT": EndReason.UNREACHABLE,
     },
 }  # fmt: skip
-PAUSE_MS = scorers.DIAL_PAUSE_MS + 5.0
+PAUSE_MS = scorer_pool.REDIAL_DELAY_MS + 5.0
 DIAL_MS = 250.0
 BOUNDS = {"max_attempts": 3, "cancel": True, "second_copies": True, "dial_timeout": DIAL_MS}
 
@@ -49,7 +59,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS})
         fault = self.faults.fail(call, number(name), times=times)
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         return rig, scorer, ended, fault
 
     def test_a_passing_fault_is_tried_again_after_a_pause(self):
@@ -72,16 +82,16 @@
                     self.clock.advance(5.0)
                     self.turn(rig, times=1)
                 fault.times = fault.hits
-                self.assertEqual(told(*ended[0]), io.AttemptResult.NOT_SENT)
+                self.assertEqual(attempt_result(*ended[0]), io.AttemptResult.NOT_SENT)
                 self.assertLessEqual(abs(self.clock.monotonic_ms - started_ms - DIAL_MS), 10.0)
-                self.assertTrue(2 <= fault.hits <= DIAL_MS / scorers.DIAL_PAUSE_MS + 1, fault.hits)
-                self.assertEqual((self.links(rig), rig.front.pool._links), ([], 0))
+                self.assertTrue(2 <= fault.hits <= DIAL_MS / scorer_pool.REDIAL_DELAY_MS + 1, fault.hits)
+                self.assertEqual((self.links(rig), rig.front.scorer_pool._links), ([], 0))
 
     def test_a_lasting_fault_ends_nothing_before_a_later_one_has_waited_as_long(self):
         rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL", times=10**9)
         self.clock.advance(DIAL_MS / 2)
         later = []
-        rig.front.pool.send(attempt(BY_POOL, later, id=b"abcdefgh"))
+        rig.front.scorer_pool.send(attempt(BY_POOL, later, id=b"abcdefgh"))
         self.clock.advance(DIAL_MS / 2 + 5.0)
         self.turn(rig)
         self.assertEqual((len(ended), later), (1, []))
@@ -96,7 +106,7 @@
                     rig, _, ended, _ = self.waiting(call, name)
                     rig.until(lambda ended=ended: ended, "it ends")
                     self.assertEqual(ended, [(end, False)])
-                    self.assertEqual(told(*ended[0]), io.AttemptResult.CONNECT_FAILED)
+                    self.assertEqual(attempt_result(*ended[0]), io.AttemptResult.CONNECT_FAILED)
 
     def test_the_errors_are_those_of_the_table(self):
         calls = {
@@ -105,37 +115,37 @@
         }  # fmt: skip
         for call, names in PASSES.items():
             for name in names:
-                self.assertIn(end_of(OSError(number(name), ""), calls[call]), PASSING)
+                self.assertIn(end_reason_of(OSError(number(name), ""), calls[call]), LOCAL_REASONS)
         for call, rows in OF_PEER.items():
             for name, end in rows.items():
-                self.assertIs(end_of(OSError(number(name), ""), calls[call]), end)
+                self.assertIs(end_reason_of(OSError(number(name), ""), calls[call]), end)
         for call in calls.values():
-            self.assertIs(end_of(OSError(errno.EXDEV, ""), call), End.UNREACHABLE)
-            self.assertNotIn(errno.EXDEV, ERRORS[call])
+            self.assertIs(end_reason_of(OSError(errno.EXDEV, ""), call), EndReason.UNREACHABLE)
+            self.assertNotIn(errno.EXDEV, REASON_BY_ERRNO[call])
 
     def test_a_drain_told_in_the_pause_brings_new_work_back_at_once(self):
         for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
             with self.subTest(state.name):
                 rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL")
                 self.turn(rig)
-                rig.front.pool.update(BY_POOL, None, state, 0.0)
-                self.assertEqual(ended, [(End.PULLED_BACK, False)])
+                rig.front.scorer_pool.update(BY_POOL, None, state, 0.0)
+                self.assertEqual(ended, [(EndReason.PULLED_BACK, False)])
                 self.clock.advance(PAUSE_MS)
                 self.turn(rig)
                 self.assertEqual(scorer.links, [])
 
     def test_one_called_off_in_the_pause_is_not_dialled_for(self):
         rig, scorer, ended, _ = self.waiting("connect", "ENETUNREACH")
-        [stream] = rig.front.pool.scorers[BY_POOL].waiting
-        rig.front.pool.cancel(stream)
+        [stream] = rig.front.scorer_pool.scorers[BY_POOL].waiting
+        rig.front.scorer_pool.cancel(stream)
         self.clock.advance(PAUSE_MS)
         self.turn(rig)
-        self.assertEqual((ended, scorer.links), ([(End.CALLED_OFF, False)], []))
+        self.assertEqual((ended, scorer.links), ([(EndReason.CALLED_OFF, False)], []))
 
     def test_an_address_told_in_the_pause_is_the_one_that_is_dialled(self):
         rig, scorer, ended, _ = self.waiting("connect", "ENETUNREACH")
         rig.scorers.append(moved := ScorerPeer(copies=None))
-        rig.front.pool.update(BY_POOL, self.address(moved), io.ScorerState.READY, 0.0)
+        rig.front.scorer_pool.update(BY_POOL, self.address(moved), io.ScorerState.READY, 0.0)
         self.clock.advance(PAUSE_MS)
         rig.until(lambda: moved.runs, "it runs at the new one")
         self.assertEqual((scorer.links, ended), ([], []))
@@ -146,7 +156,7 @@
                 scorer = ScorerPeer()
                 rig = self.rig(known=[scorer])
                 client = rig.client()
-                rig.until(lambda rig=rig: rig.front.port.clients, "the client is accepted")
+                rig.until(lambda rig=rig: rig.front.client_port.clients, "the client is accepted")
                 fault = self.faults.fail(call, number(name), times=2)
                 client.call()
                 for hits in (1, 2):
@@ -155,7 +165,7 @@
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 scorer.answer(scorer.runs[0])
                 rig.until(lambda client=client: client.answers, "it is answered")
-                worker = rig.front.router.workers[worker_number(scorer.id)]
+                worker = rig.front.router.workers[scorer_number(scorer.id)]
                 self.assertEqual((client.kinds(), worker.suspect_ms), ({1: "answer"}, None))
 
     def test_no_descriptor_is_leaked_where_a_dial_fails_half_way(self):
@@ -163,7 +173,7 @@
         rig = self.rig(scorer)
         before = len(os.listdir("/proc/self/fd"))
         with mock.patch.object(rig.front.loop, "watch", side_effect=OSError(errno.ENOSPC, "watch")):
-            rig.front.pool.send(attempt(BY_POOL, ended))
+            rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.assertEqual(len(os.listdir("/proc/self/fd")), before)
         with (
             mock.patch.object(rig.front.loop, "watch", side_effect=KeyError("watch")),
@@ -178,7 +188,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         with mock.patch.object(connection.socket.socket, "setsockopt", side_effect=OSError(1, "no")):
-            rig.front.pool.send(attempt(BY_POOL, ended))
+            rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.until(lambda: scorer.runs, "it runs")
 
 
@@ -190,11 +200,11 @@
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
                 fault = self.faults.fail("sendmsg", number(name), times=10**9, where=self.to(scorer))
-                rig.front.pool.send(attempt(BY_POOL, ended))
+                rig.front.scorer_pool.send(attempt(BY_POOL, ended))
                 self.turn(rig, times=20)
                 self.assertEqual((fault.hits, ended, link.connection.closed), (1, [], False))
                 fault.times = fault.hits
-                self.clock.advance(writing.WRITE_PAUSE_MS + 5.0)
+                self.clock.advance(connection_writer.WRITE_PAUSE_MS + 5.0)
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
 
     def test_what_the_other_side_did_ends_the_link_and_nothing_of_it_had_left(self):
@@ -206,7 +216,7 @@
                 self.faults.fail("sendmsg", number(name), where=self.to(scorer))
                 ends, end_of_link = [], link.on_end
                 link.on_end = lambda end, ends=ends, then=end_of_link: (ends.append(end), then(end))
-                rig.front.pool.send(attempt(BY_POOL, ended))
+                rig.front.scorer_pool.send(attempt(BY_POOL, ended))
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs on another link")
                 self.assertEqual((ends, ended), ([end], []))
 
@@ -218,7 +228,7 @@
         client.status(7)
         self.turn(rig)
         self.assertEqual(client.answers, [])
-        self.clock.advance(writing.WRITE_PAUSE_MS + 5.0)
+        self.clock.advance(connection_writer.WRITE_PAUSE_MS + 5.0)
         rig.until(lambda: client.answers, "it has its answer")
 
     def test_a_fault_in_the_middle_of_a_frame_does_not_make_it_late(self):
@@ -227,15 +237,15 @@
         link = self.link_up(rig, scorer)
         self.faults.shorten("sendmsg", 30, where=self.to(scorer))
         fault = self.faults.fail("sendmsg", errno.ENOMEM, times=10**9, where=self.to(scorer))
-        rig.front.pool.send(attempt(BY_POOL, ended))
+        rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.until(lambda: fault.hits, "it is in part")
         while not link.connection.closed:
             self.clock.advance(10.0)
             self.turn(rig, times=1)
         fault.times = fault.hits
         rig.settle(rig.client())
-        self.assertEqual((ended, scorer.frames), ([(End.LOCAL_FAULT, True)], []))
-        self.assertEqual(told(*ended[0], whole=False), io.AttemptResult.NOT_SENT)
+        self.assertEqual((ended, scorer.frames), ([(EndReason.LOCAL_FAULT, True)], []))
+        self.assertEqual(attempt_result(*ended[0], whole=False), io.AttemptResult.NOT_SENT)
 
 
 if __name__ == "__main__":
