--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -181,7 +181,7 @@
         if isinstance(message, Query):
             return self._answer(now_ms, sender, message, by_zones=False)
         if isinstance(message, Answer):
-            return self._answered(now_ms, sender, message, QueryTarget.KEEPERS)
+            return self._answered(now_ms, sender, message, QueryTarget.REPLICAS)
         return self._drop(DropReason.WRONG_LOG)
 
     def _answer(self, now_ms: float, sender: str, query: Query, *, by_zones: bool) -> list[Effect]:
@@ -198,7 +198,7 @@
         return [SendMessage((sender,), answer, by_zones)]
 
     def _answered(self, now_ms: float, sender: str, answer: Answer, target: QueryTarget) -> list[Effect]:
-        if answer.what > QueryTopic.USE or self.queries.steps[QueryTopic(answer.what)].of is not target:
+        if answer.what > QueryTopic.USAGE or self.queries.steps[QueryTopic(answer.what)].of is not target:
             return self._drop(DropReason.WRONG_LOG)
         self.queries.heard(now_ms, sender, answer)
         return self._apply(now_ms)
@@ -260,7 +260,7 @@
         """Go by a later file of members."""
         self.lists = lists
         self.leader.update_members(lists)
-        self.queries.lists |= {QueryTarget.VOTERS: lists.voters, QueryTarget.KEEPERS: lists.replicas}
+        self.queries.lists |= {QueryTarget.VOTERS: lists.voters, QueryTarget.REPLICAS: lists.replicas}
         self._positions.retain(lists.members)
         return self._apply(now_ms)
 
@@ -268,7 +268,7 @@
 
     @property
     def _is_calm(self) -> bool:
-        return self._applied is not None and self._applied.phase is RecoveryPhase.SPILL
+        return self._applied is not None and self._applied.phase is RecoveryPhase.NORMAL
 
     def due_ms(self, now_ms: float) -> float:
         """When `tick` is to be called next."""
@@ -281,7 +281,7 @@
         """Do what is due; to be called at `due_ms` at the latest. `status` counts until the next call."""
         self.status = status
         if status.knows_grants:
-            self.queries.knows(now_ms, QueryTopic.PROMISES)
+            self.queries.knows(now_ms, QueryTopic.GRANTS)
         if status.roster_received:
             self._roster_received(now_ms)
         effects: list[Effect] = self.update_term(now_ms)
@@ -299,7 +299,7 @@
         return [*effects, *self._lead(now_ms)]
 
     def _roster_received(self, now_ms: float) -> None:
-        if self.queries.stand(QueryTopic.ROSTER) in (QueryState.AHEAD, QueryState.ANSWERED):
+        if self.queries.stand(QueryTopic.ROSTER) in (QueryState.NOT_ASKED, QueryState.ANSWERED):
             return
         identity = self.identity
         answer = Answer(
@@ -350,7 +350,7 @@
             effects.append(LogEvent("startup queries done", {"missing": missing}))
         applied = self._phase_to_apply(now_ms)
         allowed = applied.allowed
-        by_leader = applied.phase is not None and applied.phase >= RecoveryPhase.WORTH
+        by_leader = applied.phase is not None and applied.phase >= RecoveryPhase.PRIORITY_CALLS
         if allowed.loads and not allowed.spill and not by_leader:
             self._issued_alone_ms = now_ms
         before = self._applied
@@ -376,5 +376,5 @@
 
 def _logged_fields(applied: ApplyPhase) -> dict[str, object]:
     """What is logged of a phase where it changes."""
-    phase = "partitioned" if applied.phase is None else applied.phase.name.lower()
+    phase = "partitioned" if applied.phase is None else applied.phase.label
     return {"phase": phase, "power_loss": applied.power_loss, "share": applied.allowed.part}
--- a/fawnwharf/recovery_service/agent_queries.py
+++ b/fawnwharf/recovery_service/agent_queries.py
@@ -19,11 +19,11 @@
         own[QueryTopic.MEMBERS] = (lists.number, lists.digest)
         own[QueryTopic.PLAN] = status.plan
     if status.knows_grants or identity.name not in lists.replicas:
-        own[QueryTopic.PROMISES] = (0, "")
+        own[QueryTopic.GRANTS] = (0, "")
     targets = {
         QueryTarget.VOTERS: lists.voters,
-        QueryTarget.KEEPERS: lists.replicas,
-        QueryTarget.LOG: (CHANGE_LOG,),
+        QueryTarget.REPLICAS: lists.replicas,
+        QueryTarget.CHANGE_LOG: (CHANGE_LOG,),
     }
     return StartupQueries(
         identity.name,
@@ -60,6 +60,6 @@
 def _is_certain(topic: QueryTopic, status: LocalStatus) -> bool:
     if topic in (QueryTopic.MEMBERS, QueryTopic.PLAN):
         return status.votes
-    if topic is QueryTopic.USE:
+    if topic is QueryTopic.USAGE:
         return status.knows_use
     return status.knows_grants
--- a/fawnwharf/recovery_service/call_outcomes.py
+++ b/fawnwharf/recovery_service/call_outcomes.py
@@ -1,12 +1,10 @@
 """Outcomes of calls as they are counted: stands before recovery admission and sees how each call ends."""
 
-from collections.abc import Callable
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call
-from fawnwharf.net.requests import Outcome
-from fawnwharf.net.requests import Succeeded
+from fawnwharf.net.requests import Call, Outcome, Succeeded
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.request_sink import RequestSink
 
--- a/fawnwharf/recovery_service/folder_positions.py
+++ b/fawnwharf/recovery_service/folder_positions.py
@@ -37,13 +37,15 @@
         """Take a position; return an earlier incarnation's latest one where the sender is to be reminded."""
         position = report.position
         disks = self._positions.setdefault(sender, {})
-        if not position.mark or not position.life:  # there is no store, or it is still rewriting its entries
+        if (
+            not position.disk_id or not position.incarnation
+        ):  # there is no store, or it is still rewriting its entries
             return None
-        known = disks.get(position.mark)
+        known = disks.get(position.disk_id)
         if known is None:
             while len(disks) >= MAX_DISKS:
                 del disks[next(iter(disks))]
-            disks[position.mark] = _DiskPositions(report.incarnation, position)
+            disks[position.disk_id] = _DiskPositions(report.incarnation, position)
             return None
         if report.incarnation != known.incarnation:
             known.earlier = max(known.last, known.earlier or known.last, key=_position_order)
@@ -56,8 +58,8 @@
 
     def reminded(self, sender: str, report: BootReport) -> None:
         """Note that the sender was reminded."""
-        self._positions[sender][report.position.mark].reminders += 1
+        self._positions[sender][report.position.disk_id].reminders += 1
 
 
 def _position_order(position: FolderPosition) -> tuple[int, int]:
-    return position.life, position.number
+    return position.incarnation, position.number
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd, worker_number
+from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.policy.state import Function, mark
 from fawnwharf.recovery_core.budget import fleet_limits
@@ -74,8 +74,10 @@
             front.deployment.settings.classes, self.limits, settings.timing.window_ms
         )
         claims = StoredClaims(state.gate, state.core) if state.gate is not None else None
-        self.admission = RecoveryAdmission(front.loop.wheel, front.port.table, admission_settings, claims)
-        front.stand_between(io.OrderCopies, self._insert_gate)
+        self.admission = RecoveryAdmission(
+            front.loop.timers, front.client_port.requests, admission_settings, claims
+        )
+        front.intercept(io.OrderCopies, self._insert_gate)
         state.log_clients[LOG_CLIENT] = self._receive
         self.update_roster()
         self._tick()
@@ -86,14 +88,16 @@
         self.state.log_clients.pop(LOG_CLIENT, None)
         if self._timer is not None:
             self._timer.cancel()
-        self.front.stand_between(io.OrderCopies, lambda _own: self._send_order)
+        self.front.intercept(io.OrderCopies, lambda _own: self._send_order)
         if not self._applied.allowed.spill:
             self.admission.apply(AllowedActions(), 0.0, self.issuer)  # clients may retry elsewhere
 
     def _insert_gate(self, send_order: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
         front = self.front
         self._send_order = send_order
-        self.order_gate = LoadOrderGate(send_order, front.pool.order, front.loop.tell, front.table.open)
+        self.order_gate = LoadOrderGate(
+            send_order, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open
+        )
         return self.order_gate.carry
 
     # --- what is allowed ------------------------------------------------------------------------
@@ -139,8 +143,8 @@
         """Take the roster as it is now."""
         now_ms = monotonic_ms()
         scorers_up_ms = {
-            worker_number(member.id): member.up_since_ms or None
-            for member in self.front.overlay.members.values()
+            scorer_number(member.id): member.up_since_ms or None
+            for member in self.front.roster_overlay.members.values()
             if member.phase == "in_service"
         }
         for scorer in [scorer for scorer in self._scorers_up_ms if scorer not in scorers_up_ms]:
@@ -183,7 +187,7 @@
         self._update(now_ms)
         self._carry_out(self.issuer.tick(now_ms))
         interval_ms = CALM_TICK_MS if self._applied.allowed.spill else TICK_MS
-        self._timer = self.front.loop.wheel.after(interval_ms, self._tick)
+        self._timer = self.front.loop.timers.after(interval_ms, self._tick)
 
     def _receive(self, now_ms: float, sender: str, _incarnation: int, data: Any) -> None:
         try:
@@ -204,6 +208,6 @@
             elif not isinstance(action, LoadOrder):
                 self.admission.notify(action)
             elif isinstance(action.event, io.OrderCopies):
-                self.front.table.order(action.event)
+                self.front.requests.start_load(action.event)
             else:
-                self.front.loop.tell(action.event)
+                self.front.loop.enqueue(action.event)
--- a/fawnwharf/recovery_service/load_order_gate.py
+++ b/fawnwharf/recovery_service/load_order_gate.py
@@ -16,9 +16,9 @@
 from typing import NamedTuple
 
 from fawnwharf import interface as io
-from fawnwharf.net.end_reasons import End, told
+from fawnwharf.net.end_reasons import EndReason, attempt_result
 from fawnwharf.net.requests import OpenRequest
-from fawnwharf.net.streams import Answer, Order, Stream
+from fawnwharf.net.scorer_streams import Answer, LoadOrder, Stream
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.phases import AllowedActions
 from fawnwharf.recovery_service.actions import Action
@@ -49,7 +49,7 @@
     def __init__(
         self,
         send_order: Callable[[io.OrderCopies], None],
-        query: Callable[[Order], None],
+        query: Callable[[LoadOrder], None],
         notify_module: Callable[[io.Event], object],
         requests: Mapping[str, OpenRequest],
         clock: Callable[[], float] = monotonic_ms,
@@ -123,13 +123,13 @@
             self._queried_ms.clear()
         self._queried_ms[function] = now_ms
 
-        def answered(query: Stream, end: End | None, answer: Answer | None) -> None:
+        def answered(query: Stream, end: EndReason | None, answer: Answer | None) -> None:
             self._answered(function, query, end, answer)
 
-        self._query(Order(scorer, answered, function, 0))
+        self._query(LoadOrder(scorer, answered, function, 0))
 
-    def _answered(self, function: str, query: Stream, end: End | None, answer: Answer | None) -> None:
-        ending = answer.ending if answer else told(end or End.NEVER_SENT, query.begun)
+    def _answered(self, function: str, query: Stream, end: EndReason | None, answer: Answer | None) -> None:
+        ending = answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, query.begun)
         copies = answer.copies if answer else 0
         took_ms = self._clock() - query.began_ms
         self._notify_module(io.LoadOrderAnswered(query.worker, function, ending, copies, took_ms))
--- a/fawnwharf/recovery_service/local_status.py
+++ b/fawnwharf/recovery_service/local_status.py
@@ -57,10 +57,10 @@
         """The status now; `roster_received` is whether the change log sent one in this incarnation."""
         now_ms = monotonic_ms()
         replica = self._state.core.replica
-        roster_received = roster_received or front.changelog.told_all_ms is not None
+        roster_received = roster_received or front.change_log.told_all_ms is not None
         return LocalStatus(
             settled=self._store.settled,
-            complete=self._store.condition is StoreCondition.WHOLE,
+            complete=self._store.condition is StoreCondition.INTACT,
             knows_grants=replica is None or replica.is_complete(now_ms),
             votes=self._zones.core.voter is not None,
             plan=self._plan(),
@@ -79,7 +79,7 @@
 
     def _has_scorers(self, front: FrontEnd, now_ms: float, *, roster_received: bool) -> bool:
         """Whether some scorer takes calls, by the roster, by its answers, or by what the zones saw."""
-        listed = any(member.phase == "in_service" for member in front.overlay.members.values())
+        listed = any(member.phase == "in_service" for member in front.roster_overlay.members.values())
         if (roster_received and listed) or self._counters.scorer_answered:
             return True
         evidence = self._zones.evidence_collector.evidence(now_ms)
--- a/fawnwharf/recovery_service/recovery_admission.py
+++ b/fawnwharf/recovery_service/recovery_admission.py
@@ -13,8 +13,8 @@
 from enum import StrEnum
 
 from fawnwharf.interface import ClassSpec, Effect
-from fawnwharf.net.requests import Call, Outcome, Refused
-from fawnwharf.net.timer_wheel import Timer, Wheel, monotonic_ms
+from fawnwharf.net.requests import Call, Outcome, Rejected
+from fawnwharf.net.timer_wheel import Timer, TimerWheel, monotonic_ms
 from fawnwharf.recovery_core import partitioned
 from fawnwharf.recovery_core.budget import AdmissionRateLimiter, FleetLimits, priority_classes
 from fawnwharf.recovery_core.phases import AllowedActions
@@ -89,7 +89,7 @@
 
     def __init__(
         self,
-        wheel: Wheel,
+        wheel: TimerWheel,
         sink: RequestSink,
         settings: AdmissionSettings,
         claims: ClaimStatus | None = None,
@@ -220,7 +220,7 @@
 
     def _reject(self, call: Call, outcome: AdmissionOutcome, not_before_ms: float = 0.0) -> None:
         self._count(outcome)
-        call.reply(Refused(self.rate_limiter.pushback_ms(self._clock(), call.id.hex(), not_before_ms)))
+        call.reply(Rejected(self.rate_limiter.pushback_ms(self._clock(), call.id.hex(), not_before_ms)))
 
     def _issuer_without_copy(self, function: str) -> PermitIssuer | None:
         """The issuer to request a copy from: none is known, and the decision module may order none."""
@@ -339,7 +339,7 @@
         """Reject a call that was never passed on, so that a retry is harmless."""
         self._count(AdmissionOutcome.REJECTED_LATER)
         wait_ms = self.rate_limiter.pushback_ms(self._clock(), waiting.call.id.hex(), not_before_ms)
-        self._replied(waiting, Refused(wait_ms))
+        self._replied(waiting, Rejected(wait_ms))
 
     def _replied(self, waiting: _WaitingCall, outcome: Outcome) -> None:
         if self._close(waiting):
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -131,7 +131,7 @@
         self._failures = {name: count for name, count in self._failures.items() if name in kept}
 
     def _valid_reports(self, now_ms: float) -> dict[str, StatusReport]:
-        is_calm = self.coordinator.register.stage == RecoveryPhase.SPILL
+        is_calm = self.coordinator.register.stage == RecoveryPhase.NORMAL
         valid_ms = self.timing.calm_report_valid_ms if is_calm else self.timing.report_valid_ms
         return {
             name: status.report
--- a/fawnwharf/recovery_service/recovery_store.py
+++ b/fawnwharf/recovery_service/recovery_store.py
@@ -10,12 +10,12 @@
 from fawnwharf.config import ConfigError, Deployment, Fleet
 from fawnwharf.consensus.records import DiskError
 from fawnwharf.durable_store import file_format as f
-from fawnwharf.durable_store.core import ChangeRejectedError
+from fawnwharf.durable_store.entry_table import ChangeRejectedError
 from fawnwharf.durable_store.event_loop_store import EventLoopStore, LogCallback
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState, rollback_reason
-from fawnwharf.durable_store.store import CommitCallback, Store, open_store, unix_ms
+from fawnwharf.durable_store.store import CommitCallback, Store, StoreOwner, open_store, unix_ms
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.loop import Loop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import AgeSettings, ClockReading, StateKind, StoreCondition, TrustLevel
 from fawnwharf.recovery_service import stored_state as s
@@ -65,22 +65,22 @@
         self._boot_digest = s.boot_digest(self.boot)
         self._log = log
         self.store = self._open(settings)
-        found = self.store.found
+        found = self.store.recovered
         now = self._clock()
         self._recovered = s.recover_state(found, now, settings.age_limits, fleet_is_new=fleet_is_new)
         self.same_boot = self._recovered.same_boot
-        self.ended_in_order = found.ended
+        self.ended_in_order = found.closed_cleanly
         self.known_list = self._recovered.known_list
         self.doubt = self._recovered.doubt
-        self.condition = StoreCondition.PART if self.doubt else StoreCondition.WHOLE
+        self.condition = StoreCondition.PARTIAL if self.doubt else StoreCondition.INTACT
         self.was_empty = found.fresh
-        self.folder_incarnation = found.sign.life + 1
+        self.folder_incarnation = found.position.incarnation + 1
         # By which others know this incarnation: larger than the one before, also by a clock that was set
         # back.
         self.incarnation = max(
             self._recovered.incarnation + 1, self.folder_incarnation, int(unix_ms() * 1_000)
         )
-        self._found_position = found.sign
+        self._found_position = found.position
         self._reported_position = FolderPosition("", 0, 0)
         self._latest_reported = (0, 0)  # incarnation and number, by others
         self._confirmed = (0, 0)  # the same, as of when others confirmed the store
@@ -97,16 +97,8 @@
 
     def _open(self, settings: RecoveryStoreSettings) -> Store:
         try:
-            return open_store(
-                settings.folder,
-                settings.fleet,
-                settings.member,
-                s.STORE_KINDS,
-                settings.limits,
-                self.boot,
-                empty_ok=True,
-                within_s=LOCK_S,
-            )
+            owner = StoreOwner(settings.fleet, settings.member, self.boot, empty_ok=True)
+            return open_store(settings.folder, owner, s.STORE_KINDS, settings.limits, within_s=LOCK_S)
         except DiskError as error:
             raise ConfigError(f"recovery.folder: {error}") from None
 
@@ -123,9 +115,9 @@
 
     # --- life -----------------------------------------------------------------------------------
 
-    def attach(self, front: FrontEnd | Loop) -> None:
+    def attach(self, front: FrontEnd | EventLoop) -> None:
         """Begin, on the front end's loop."""
-        loop = front if isinstance(front, Loop) else front.loop
+        loop = front if isinstance(front, EventLoop) else front.loop
         self._on_loop = EventLoopStore(loop, self.store, self._log)
         fields = {
             "incarnation": self.folder_incarnation,
@@ -133,7 +125,7 @@
             "in_order": self.ended_in_order,
             "why": self.doubt,
             "entries": len(self.store.core.entries),
-            "torn": self.store.found.torn,
+            "torn": self.store.recovered.torn_bytes,
         }
         self._log("recovery store read", fields)
 
@@ -147,10 +139,10 @@
         else:
             self.store.close(monotonic_ms, CLOSE_MS)
 
-    def told(self, fleet: Fleet) -> None:
+    def on_fleet(self, fleet: Fleet) -> None:
         """Take a roster, as a seam; it changes nothing here."""
 
-    def events(self, events: list[Any]) -> None:
+    def on_events(self, events: list[Any]) -> None:
         """Take the decision module's events, as a seam; they change nothing here."""
 
     @property
@@ -172,7 +164,7 @@
     @property
     def failing(self) -> str:
         """Why nothing is durable now; empty: it is."""
-        return str(self.store.standing(monotonic_ms()).failing)
+        return str(self.store.status(monotonic_ms()).failing)
 
     def read(self, kind: StateKind) -> list[s.TrustedEntry]:
         """What was found of a kind at the start, with its trust level by the store's condition now.
@@ -187,8 +179,8 @@
 
     def position(self) -> FolderPosition:
         """The position of this folder, for others; of incarnation 0 until it is settled."""
-        position = self.store.sign()
-        if position.life:
+        position = self.store.position()
+        if position.incarnation:
             self._reported_position = position
         return position
 
@@ -197,12 +189,14 @@
 
         False: it is later than the folder, which is an older copy then; the store is incomplete from then on.
         """
-        number = (position.life, position.number)
-        if position.mark != self._found_position.mark or number <= self._confirmed:
+        number = (position.incarnation, position.number)
+        if position.disk_id != self._found_position.disk_id or number <= self._confirmed:
             return True
-        is_of_this_start = position.life > self._found_position.life and self._reported_position.life
+        is_of_this_start = (
+            position.incarnation > self._found_position.incarnation and self._reported_position.incarnation
+        )
         own = self._reported_position if is_of_this_start else self._found_position
-        reason = rollback_reason(FolderState(sign=own), [position])[: s.MAX_REASON_LENGTH]
+        reason = rollback_reason(FolderState(position=own), [position])[: s.MAX_REASON_LENGTH]
         if reason:
             self._latest_reported = max(self._latest_reported, number)
             if self.doubt != reason:
@@ -211,7 +205,7 @@
 
     def mark_incomplete(self, reason: str) -> None:
         """Take the store for incomplete, also in later incarnations, until others confirm what was found."""
-        self.condition = StoreCondition.PART
+        self.condition = StoreCondition.PARTIAL
         self.doubt = reason
         self.known_list = 0
         self._put(s.DOUBT, s.LAST, s.encode_entry(self._clock(), reason))
@@ -229,13 +223,13 @@
 
         What a replica knows of its grants is another matter.
         """
-        self.condition = StoreCondition.WHOLE
+        self.condition = StoreCondition.INTACT
         self.doubt = ""
         self._confirmed = self._latest_reported
         self._put(s.DOUBT, s.LAST, None)
         self.store.core.confirm()
         if self._on_loop is not None:
-            self._on_loop.loop.flush_later(self._on_loop)
+            self._on_loop.loop.schedule_flush(self._on_loop)
 
     # --- what is stored -------------------------------------------------------------------------
 
@@ -278,12 +272,12 @@
 
     def homes(self) -> list[tuple[str, Any]]:
         """Stored placements of sessions; no hints, as a number that is over may be another session's."""
-        entries = self.read(StateKind.HOMES)
+        entries = self.read(StateKind.PLACEMENTS)
         return [(entry.key, entry.value) for entry in entries if entry.trust is not TrustLevel.HINT]
 
     def keep_home(self, key: str, value: Any | None) -> bool:
         """Store one session's placement, as `keep`."""
-        return self.keep(StateKind.HOMES, key, value)
+        return self.keep(StateKind.PLACEMENTS, key, value)
 
     def keep_known_list(self, number: int) -> None:
         """Store that the replica knows all that it granted, by this list of members; 0: it does not."""
@@ -322,13 +316,13 @@
     """Open a front end's store by the settings of recovery and of replicated state. Raises ConfigError."""
     settings = load_file(Path(settings_path), settings_from, "recovery")
     state = load_file(Path(state_path), state_settings, "state")
-    members = load_file(Path(state_path).parent / state.members, membership_from, "state")
+    members = load_file(Path(state_path).parent / state.membership_file, membership_from, "state")
     store_settings = RecoveryStoreSettings(
         folder=Path(settings_path).parent / settings.folder,
         fleet=members.fleet,
         member=deployment.name,
         boot_file=settings.boot_file,
         limits=settings.store,
-        age_limits=AgeSettings(window_ms=state.longest_ms * (1.0 + 2.0 * state.skew)),
+        age_limits=AgeSettings(window_ms=state.max_claim_lifetime_ms * (1.0 + 2.0 * state.clock_skew)),
     )
     return RecoveryStore(store_settings, log, fleet_is_new=fleet_is_new)
--- a/fawnwharf/recovery_service/running_recovery.py
+++ b/fawnwharf/recovery_service/running_recovery.py
@@ -2,13 +2,14 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, cast
 
 import msgspec
 
 from fawnwharf import interface as io
 from fawnwharf.config import Fleet
 from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.net.requests import RequestTable
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core.phases import LogEvent, ProposeRegister
 from fawnwharf.recovery_core.queries import QueryState, QueryTopic
@@ -75,7 +76,7 @@
         site = front.deployment.settings
         weights = {name: spec.priority_weight for name, spec in site.classes.items()}
         self.counters = FrontEndCounters(weights, site.slow_start_ms)
-        earlier_use = stored_usage(parts.store.read(StateKind.USE))
+        earlier_use = stored_usage(parts.store.read(StateKind.USAGE))
         self._status = LocalStatusReader(
             parts.zones, parts.state, parts.store, self.counters, knows_earlier_use=bool(earlier_use)
         )
@@ -90,14 +91,15 @@
         self._timer: Timer | None = None
         self._timer_due_ms = 0.0
         self._stopped = False
-        front.port.waits_for.add(RECOVERY)
-        front.changelog.may_begin_anew = True
+        front.client_port.not_ready_reasons.add(RECOVERY)
+        front.change_log.may_begin_anew = True
         self.agent = self._create_agent(weights)
         incarnation = parts.store.incarnation
         self.integration = FrontEndIntegration(front, parts.state, settings, incarnation)
         self.integration.request_earlier_use(earlier_use)
         self.calls = CallOutcomeRecorder(self.integration.admission, site.classes, self.counters.call_ended)
-        front.port.table = self.calls
+        # The port is typed for the request table itself, of which it uses what a request sink has.
+        front.client_port.requests = cast(RequestTable, self.calls)
         parts.zones.log_clients[RECOVERY] = self
         parts.state.log_clients[LOG_CLIENT] = self.on_replication_message
         self._log_start()
@@ -133,7 +135,7 @@
             self._timer.cancel()
         self.calls.counting = False
         self.integration.close()
-        self.front.port.waits_for.discard(RECOVERY)
+        self.front.client_port.not_ready_reasons.discard(RECOVERY)
         self.parts.zones.log_clients.pop(RECOVERY, None)
         self.parts.state.log_clients.pop(LOG_CLIENT, None)
 
@@ -142,7 +144,7 @@
     def update_roster(self) -> None:
         """Take the roster that the change log sent in this incarnation."""
         self._roster_received = True
-        self.roster.update(Fleet(list(self.front.overlay.members.values()), True))
+        self.roster.update(Fleet(list(self.front.roster_overlay.members.values()), True))
         self.integration.update_roster()
 
     def events(self, events: list[io.Event]) -> None:
@@ -164,7 +166,7 @@
         All count as just started.
         """
         self._earlier_roster_tried = True
-        if self.front.overlay.members:
+        if self.front.roster_overlay.members:
             return
         up_ms = self.front.loop.clock.now_ms()
         members = [
@@ -172,8 +174,8 @@
             for member in stored_roster(self.parts.store.read(StateKind.ROSTER))
         ]
         if members:
-            self.front.take_fleet(Fleet(members, True))
-            self.parts.zones.told(Fleet(members, True))
+            self.front.receive_fleet(Fleet(members, True))
+            self.parts.zones.on_fleet(Fleet(members, True))
             self.integration.update_roster()
             self._log.write("earlier roster used", {"scorers": len(members)})
 
@@ -183,7 +185,7 @@
             self.parts.store.keep(StateKind.ROSTER, ENTRY_KEY, roster)
         use = self._use.due(now_ms)
         if use is not None:
-            self.parts.store.keep(StateKind.USE, ENTRY_KEY, use)
+            self.parts.store.keep(StateKind.USAGE, ENTRY_KEY, use)
 
     def _confirm_store(self) -> None:
         """Take the store for complete again once others have confirmed it, and the fleet is calm."""
@@ -244,10 +246,10 @@
         self.counters.calm = is_calm
         if is_calm:
             self._store_hints(now_ms)
-            if self.parts.store.condition is StoreCondition.PART:
+            if self.parts.store.condition is StoreCondition.PARTIAL:
                 self._confirm_store()
         roster_state = self.agent.queries.stand(QueryTopic.ROSTER)
-        if not self._earlier_roster_tried and roster_state is QueryState.WITHOUT:
+        if not self._earlier_roster_tried and roster_state is QueryState.TIMED_OUT:
             self._use_earlier_roster()
         status = self._status.read(self.front, roster_received=self._roster_received)
         self._carry_out(self.agent.tick(now_ms, status))
@@ -261,7 +263,7 @@
                 return
             self._timer.cancel()
         self._timer_due_ms = due_ms
-        self._timer = self.front.loop.wheel.after(due_ms - now_ms, self._tick)
+        self._timer = self.front.loop.timers.after(due_ms - now_ms, self._tick)
 
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -280,14 +282,14 @@
         self._set_timer()
 
     def _apply(self, effect: ApplyPhase) -> None:
-        if effect.phase is not RecoveryPhase.SPILL:
+        if effect.phase is not RecoveryPhase.NORMAL:
             self._calm_since_ms = None
         elif self._calm_since_ms is None:
             self._calm_since_ms = monotonic_ms()
         if effect.allowed.status:
-            self.front.port.waits_for.discard(RECOVERY)
+            self.front.client_port.not_ready_reasons.discard(RECOVERY)
         else:
-            self.front.port.waits_for.add(RECOVERY)
+            self.front.client_port.not_ready_reasons.add(RECOVERY)
         self.integration.apply(
             AppliedPhase(effect.allowed, effect.power_loss, effect.front_ends, effect.assignment)
         )
@@ -299,7 +301,7 @@
         message = msgspec.to_builtins(effect.message)
         if effect.by_zones:
             self._messages.append(ClientMessage(message, effect.to, RECOVERY))
-            self.front.loop.flush_later(self)
+            self.front.loop.schedule_flush(self)
         else:
             self.parts.state.send_message(LOG_CLIENT, effect.to, message)
 
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -39,12 +39,12 @@
         if self.running is not None:
             self.running.close()
 
-    def told(self, _fleet: Fleet) -> None:
+    def on_fleet(self, _fleet: Fleet) -> None:
         """Take a roster of the change log, as the front end's overlay has it."""
         if self.running is not None:
             self.running.update_roster()
 
-    def events(self, events: list[io.Event]) -> None:
+    def on_events(self, events: list[io.Event]) -> None:
         """Take a batch of the decision module's events."""
         if self.running is not None:
             self.running.events(events)
--- a/fawnwharf/recovery_service/simulated_front_end.py
+++ b/fawnwharf/recovery_service/simulated_front_end.py
@@ -5,9 +5,9 @@
 from typing import Protocol
 
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Failed, Refused, Served
-from fawnwharf.net.streams import Answer, Order
-from fawnwharf.net.timer_wheel import Wheel
+from fawnwharf.net.requests import Call, Failed, Rejected, Succeeded
+from fawnwharf.net.scorer_streams import Answer, LoadOrder
+from fawnwharf.net.timer_wheel import TimerWheel
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import FleetLimits
 from fawnwharf.recovery_core.phases import AllowedActions
@@ -68,7 +68,7 @@
         elif isinstance(action, io.SetTimer):
             self._queue.after(action.delay_ms, partial(self.notify, io.TimerDue(action.token)))
         elif isinstance(action, io.Reject) and (call := self.open.pop(action.request, None)):
-            call.reply(Refused(action.hold_off_ms))
+            call.reply(Rejected(action.hold_off_ms))
         elif isinstance(action, io.Fail) and (call := self.open.pop(action.request, None)):
             call.reply(Failed())
 
@@ -97,7 +97,7 @@
 
         def ended(result: io.AttemptResult, _copies: int) -> None:
             if result is io.AttemptResult.GOOD and (call := self.open.pop(key, None)):
-                call.reply(Served(b""))
+                call.reply(Succeeded(b""))
             took_ms = self._queue.now_ms - began_ms
             self.notify(io.AttemptEnded(key, attempt, scorer, result, took_ms, key not in self.open))
 
@@ -113,7 +113,7 @@
 
         self._scorers.order(action.scorer, action.function, action.copies, ended)
 
-    def query(self, order: Order) -> None:
+    def query(self, order: LoadOrder) -> None:
         """Ask a scorer how many copies it has."""
 
         def ended(result: io.AttemptResult, copies: int) -> None:
@@ -152,7 +152,7 @@
         queue = scorers.queue
         super().__init__(name, incarnation, settings, queue, scorers)
         table = self.table
-        self.wheel = Wheel(lambda: queue.now_ms)
+        self.wheel = TimerWheel(lambda: queue.now_ms)
         self.issuer = PermitIssuer(name, incarnation, limits, network.hash_order)
         self.gate = LoadOrderGate(table.order, table.query, table.notify, {}, lambda: queue.now_ms)
         self.admission = RecoveryAdmission(
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call, Failed, Outcome, Refused, Served
+from fawnwharf.net.requests import Call, Failed, Outcome, Rejected, Succeeded
 from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import allowed_in_phase
 from fawnwharf.recovery_core.register import RecoveryPhase
@@ -110,8 +110,8 @@
     def _plan_permits(self) -> None:
         self._tick()
         for n, front_end in enumerate(self.coordinated):
-            self.queue.after(50.0 * n, partial(self._follow, front_end, RecoveryPhase.REPEATS))
-            self.queue.after(BURST_MS - BEGIN_MS, partial(self._follow, front_end, RecoveryPhase.REST))
+            self.queue.after(50.0 * n, partial(self._follow, front_end, RecoveryPhase.RETRIES))
+            self.queue.after(BURST_MS - BEGIN_MS, partial(self._follow, front_end, RecoveryPhase.ALL_CALLS))
 
     def _plan_calls(self) -> None:
         times = [BURST_MS + self.random.uniform(0.0, 1_000.0) for _ in range(CALLS)]
@@ -144,7 +144,7 @@
 
     def _pace(self, front_end: CoordinatedFrontEnd) -> None:
         fleet_rps = self.limits.fall_multiple * self.limits.calls_rps(self.scorers.ages_ms())
-        phase = RecoveryPhase.REST if self.queue.now_ms >= BURST_MS else RecoveryPhase.REPEATS
+        phase = RecoveryPhase.ALL_CALLS if self.queue.now_ms >= BURST_MS else RecoveryPhase.RETRIES
         front_end.pace(allowed_in_phase(phase, PRIORITY_WEIGHTS), fleet_rps / FRONT_ENDS)
 
     def _tick(self) -> None:
@@ -199,7 +199,7 @@
             if ended:
                 return
             ended = True
-            if not isinstance(outcome, Served):
+            if not isinstance(outcome, Succeeded):
                 self._retry(outcome, client, function, attempts_left)
             elif self.queue.now_ms - called_ms <= promise_ms:
                 self.in_time += 1
@@ -215,7 +215,7 @@
 
     def _retry(self, outcome: Outcome, client: str, function: str, attempts_left: int) -> None:
         wait_ms = 0.0
-        if isinstance(outcome, Refused):
+        if isinstance(outcome, Rejected):
             self.rejected += 1
             wait_ms = outcome.hold_off_ms
         elif isinstance(outcome, Failed):
--- a/fawnwharf/recovery_service/status_display.py
+++ b/fawnwharf/recovery_service/status_display.py
@@ -17,7 +17,7 @@
     return DisplayedStatus(
         incarnation=agent.identity.incarnation,
         boot=agent.identity.boot,
-        phase="" if phase is None else phase.name.lower(),
+        phase="" if phase is None else phase.label,
         source=_phase_source(agent, now_ms),
         power_loss=agent.power_loss,
         share=agent.allowed(now_ms).part,
@@ -25,7 +25,7 @@
         reason=register.why if register is not None else "",
         front_ends=agent.leader.reporting(now_ms) if agent.leader.term else 0,
         voters=agent.voters_heard(now_ms),
-        queries={topic.name.lower(): agent.queries.stand(topic).value for topic in QueryTopic},
+        queries={topic.label: agent.queries.stand(topic).value for topic in QueryTopic},
         missing=tuple(agent.queries.without().values())[:MAX_ITEMS],
         doubts=tuple(_doubts(agent)[:MAX_ITEMS]),
         counts=dict(sorted(counts.items())[:MAX_COUNTS]),
--- a/fawnwharf/recovery_service/stored_promises.py
+++ b/fawnwharf/recovery_service/stored_promises.py
@@ -141,10 +141,10 @@
     def _restore(self, now_ms: float) -> bool:
         """Put what was stored into the claim store; False: it had no capacity for all."""
         restored_all = True
-        for entry in self._store.read(StateKind.PROMISE):
+        for entry in self._store.read(StateKind.GRANT):
             if entry.trust is TrustLevel.NOW:
                 restored_all &= self._restore_claim(now_ms, entry.key, RecoveredPromise(*entry.value))
-        self._store.release(StateKind.PROMISE)
+        self._store.release(StateKind.GRANT)
         return restored_all
 
     def _restore_claim(self, now_ms: float, name: str, promise: RecoveredPromise) -> bool:
@@ -154,7 +154,7 @@
         if promise.since_ms is not None:
             age_ms = min(OTHER_BOOT_AGE_MS, promise.age_ms + promise.since_ms)
         else:  # from now on it counts by this boot's clock
-            self._store.keep(StateKind.PROMISE, name, [promise.remaining_ms, age_ms, claim])
+            self._store.keep(StateKind.GRANT, name, [promise.remaining_ms, age_ms, claim])
         claims = self._replica.claim_store
         entry = claims.get_or_create(now_ms, key)
         if entry is None:
@@ -186,12 +186,12 @@
         entry = self._replica.claim_store.calls.get(key)
         age_ms = now_ms - entry.created_ms if entry is not None else 0.0
         value = [round(until_ms - now_ms, 1), round(age_ms, 1), claim]
-        if not self._store.keep(StateKind.PROMISE, name, value):
+        if not self._store.keep(StateKind.GRANT, name, value):
             self.counts[CommitEvent.REJECTED] += 1
             if claim.answer is None:
                 return False
             value[2] = msgspec.structs.replace(claim, answer=None)
-            if not self._store.keep(StateKind.PROMISE, name, value):
+            if not self._store.keep(StateKind.GRANT, name, value):
                 return False
         self._note_stored(name, claim, until_ms)
         return True
@@ -206,7 +206,7 @@
             stored = self._claims.get(name)
             if stored is not None and stored.until_ms <= now_ms:  # else it counts for longer by now
                 del self._claims[name]
-                self._store.keep(StateKind.PROMISE, name, None)
+                self._store.keep(StateKind.GRANT, name, None)
 
     def _keep_known_list(self, now_ms: float) -> None:
         """Store whether this replica knows all its grants, and would after a restart, if that has changed.
--- a/fawnwharf/recovery_service/stored_state.py
+++ b/fawnwharf/recovery_service/stored_state.py
@@ -8,7 +8,7 @@
 
 import hashlib
 from collections.abc import Mapping
-from typing import Any, Literal, NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -29,14 +29,12 @@
     trust_level,
 )
 
-Mode = Literal["synced", "soon", "hint"]
-
 
 class EntryRule(NamedTuple):
     """One kind's name in the store, its mode, and its bounds."""
 
     name: str
-    mode: Mode
+    mode: f.Durability
     max_entries: int
     max_value_bytes: int
     max_total_bytes: int
@@ -45,12 +43,12 @@
 # Kinds without a rule: 'where copies were' and 'load counts' would hardly ever be recent enough, and terms
 # are in the voters' file.
 ENTRY_RULES = {
-    StateKind.PROMISE: EntryRule("promise", f.SOON, 40_000, 32 * 1024, 8 * 1024 * 1024),
-    StateKind.PLAN: EntryRule("plan", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    StateKind.POLICY: EntryRule("policy", f.SOON, 16, 256 * 1024, 1024 * 1024),
-    StateKind.HOMES: EntryRule("homes", f.SOON, 10_000, 4 * 1024, 1024 * 1024),
-    StateKind.ROSTER: EntryRule("roster", f.HINT, 16, 1024 * 1024, 1024 * 1024),
-    StateKind.USE: EntryRule("use", f.HINT, 16, 512 * 1024, 512 * 1024),
+    StateKind.GRANT: EntryRule("promise", f.Durability.DELAYED, 40_000, 32 * 1024, 8 * 1024 * 1024),
+    StateKind.PLAN: EntryRule("plan", f.Durability.DELAYED, 16, 256 * 1024, 1024 * 1024),
+    StateKind.POLICY: EntryRule("policy", f.Durability.DELAYED, 16, 256 * 1024, 1024 * 1024),
+    StateKind.PLACEMENTS: EntryRule("homes", f.Durability.DELAYED, 10_000, 4 * 1024, 1024 * 1024),
+    StateKind.ROSTER: EntryRule("roster", f.Durability.BEST_EFFORT, 16, 1024 * 1024, 1024 * 1024),
+    StateKind.USAGE: EntryRule("use", f.Durability.BEST_EFFORT, 16, 512 * 1024, 512 * 1024),
 }
 # The store's own kinds, one entry each.
 START = "start"
@@ -62,10 +60,10 @@
     f.EntryKind(rule.name, rule.mode, rule.max_entries, rule.max_value_bytes) for rule in ENTRY_RULES.values()
 ] + [
     # A store that is full must not forget that it is incomplete, nor reject the ticket of what it took.
-    f.EntryKind(START, f.SOON, 1, 256, reserved=True),
-    f.EntryKind(DOUBT, f.SOON, 1, 4_096, reserved=True),
-    f.EntryKind(COMPLETE, f.SOON, 1, 64, reserved=True),
-    f.EntryKind(COMMIT_TICKET, f.SYNCED, 1, 64, reserved=True),
+    f.EntryKind(START, f.Durability.DELAYED, 1, 256, reserved=True),
+    f.EntryKind(DOUBT, f.Durability.DELAYED, 1, 4_096, reserved=True),
+    f.EntryKind(COMPLETE, f.Durability.DELAYED, 1, 64, reserved=True),
+    f.EntryKind(COMMIT_TICKET, f.Durability.SYNCED, 1, 64, reserved=True),
 ]
 MAX_REASON_LENGTH = 500  # characters of a reason, each of at most six bytes as JSON
 
@@ -166,7 +164,10 @@
         if entry is None:
             unreadable = unreadable or f"{name}: an entry that can't be read"
             obsolete.append(EntryKey(name, key))
-        elif _trust(kind, entry.age, is_same_boot, found.ended, StoreCondition.WHOLE) is TrustLevel.GONE:
+        elif (
+            _trust(kind, entry.age, is_same_boot, found.closed_cleanly, StoreCondition.INTACT)
+            is TrustLevel.GONE
+        ):
             obsolete.append(EntryKey(name, key))
         else:
             entries.setdefault(kind, []).append(entry)
@@ -176,7 +177,7 @@
     return RecoveredState(
         incarnation,
         is_same_boot,
-        found.ended,
+        found.closed_cleanly,
         doubt,
         is_new_doubt,
         0 if is_new_doubt else _stored_known_list(found.entries),
@@ -203,7 +204,7 @@
     entry = _decode_entry(data)
     if entry is None:
         return None
-    if kind is not StateKind.PROMISE:
+    if kind is not StateKind.GRANT:
         return RecoveredEntry(key, entry.value, age_of(kind, entry.clock, now, limits.of(kind)))
     value = entry.value
     if not isinstance(value, list) or not value or not isinstance(value[0], int | float):
--- a/tests/recovery_service/test_recovery_service_admission.py
+++ b/tests/recovery_service/test_recovery_service_admission.py
@@ -1,37 +1,27 @@
 """The door before the gate: one final answer each, advice that is honest, classes, repeats, tickets."""
 
+import base64
 from dataclasses import replace
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.recovery_admission import CLASSES, LIMITS, WORTHS, Ground
+
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call
-from fawnwharf.net.requests import Failed
-from fawnwharf.net.requests import Rejected
-from fawnwharf.net.requests import Succeeded
+from fawnwharf.net.requests import Call, Failed, Rejected, Succeeded
 from fawnwharf.net.scorer_streams import Answer
 from fawnwharf.policy import Router
-from fawnwharf.recovery_core.phases import AllowedActions
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import allowed_in_phase
-from fawnwharf.recovery_service.actions import CopyAvailable
-from fawnwharf.recovery_service.actions import SlowStartPermit
+from fawnwharf.recovery_core.phases import AllowedActions, RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_service.actions import CopyAvailable, SlowStartPermit
 from fawnwharf.recovery_service.claim_status import StoredClaims
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
 from fawnwharf.recovery_service.recovery_admission import WAIT_FRACTION
 from fawnwharf.replication import settings as s
-from fawnwharf.replication.claim_gate import ClaimGate
-from fawnwharf.replication.claim_gate import call_key
-from fawnwharf.replication.claims import Claim
-from fawnwharf.replication.claims import ClaimPhase
+from fawnwharf.replication.claim_gate import ClaimGate, call_key
+from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.testbed.promises import fleet_file
-from hypothesis import given
-from hypothesis import settings
-from hypothesis import strategies as st
-from support.recovery_admission import CLASSES
-from support.recovery_admission import Ground
-from support.recovery_admission import LIMITS
-from support.recovery_admission import WORTHS
-import base64
-import pytest
 
 
 def test_in_calm_all_is_passed_on_as_it_comes():
@@ -51,7 +41,7 @@
         (RecoveryPhase.ALL_CALLS, [*CLASSES]),
     ],
 )
-def test_classes_are_taken_by_their_stage_and_the_rest_is_refused_at_once(stage, passed):
+def test_classes_are_taken_by_their_phase_and_the_rest_is_rejected_at_once(stage, passed):
     ground = Ground(stage)
     ground.issuer.places["f"] = 7
     for class_name in CLASSES:
@@ -62,7 +52,7 @@
     assert [call.class_name for call in ground.calls.values()] == passed
 
 
-def test_a_call_without_a_copy_is_wanted_and_refused_with_no_time_before_the_eta():
+def test_a_call_without_a_copy_is_requested_and_rejected_with_no_time_before_the_eta():
     ground = Ground()
     for eta_ms in (700.0, 1_500.0, 3_000.0):
         ground.issuer.etas["f"] = eta_ms
@@ -110,7 +100,7 @@
     assert ground.ask(budget_ms=450.0)[0]
 
 
-def test_beyond_the_pace_each_gets_a_turn_of_its_own_and_the_classes_worth_most_keep_a_part():
+def test_beyond_the_rate_each_gets_a_turn_of_its_own_and_the_priority_classes_keep_a_share():
     ground = Ground(rate_ps=20.0)  # a burst of ten
     ground.issuer.places["f"] = 7
     views = [ground.ask("view") for _ in range(12)]
@@ -121,7 +111,7 @@
     assert min(waits) >= 50.0 and max(waits) <= (24 - 10 + 1) * 50.0 and len(set(waits)) == len(waits)
 
 
-def test_a_call_to_a_cold_scorer_goes_by_its_ticket():
+def test_a_call_to_a_warming_scorer_goes_by_its_permit():
     ground = Ground()
     ground.issuer.places.update(f=7, g=8)
     ground.issuer.free = {7: None, 8: 200.0}
@@ -147,7 +137,7 @@
     assert ground.ask(function="g")[1][0].hold_off_ms >= 900.0
 
 
-def test_calm_and_renewal_let_go_what_is_held_and_a_step_back_refuses_what_is_not_taken():
+def test_calm_and_renewal_let_go_what_is_held_and_a_step_back_rejects_what_is_not_taken():
     for stage, passed in (
         (RecoveryPhase.NORMAL, 1),
         (RecoveryPhase.COPY_REFRESH, 1),
@@ -251,7 +241,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(ACTS)
-def test_one_final_answer_whatever_the_order_of_take_answer_withdraw_and_stages(acts):
+def test_one_final_answer_whatever_the_order_of_take_answer_withdraw_and_phases(acts):
     ground, asked, left = Ground(rate_ps=40.0), [], set()
     rows = ("f", "g", "h")
     ground.issuer.free = {1: 0.0, 2: None, 3: 250.0}
@@ -330,7 +320,7 @@
         self.order_gate.apply(allowed_in_phase(stage, WORTHS), self)
 
 
-def test_before_renewal_the_modules_own_orders_do_not_go_out_and_change_nothing_it_believes():
+def test_before_renewal_the_decision_modules_own_orders_do_not_go_out_and_change_nothing_it_believes():
     ground = Holding(own=[(7, "own")])
     ground.go_by(RecoveryPhase.ALL_CALLS)
     race, own, question = io.OrderCopies(8, "f", 2), io.OrderCopies(7, "own", 1), io.OrderCopies(9, "f", 0)
@@ -351,7 +341,7 @@
 
 
 @pytest.mark.parametrize("place", range(6))
-def test_the_module_sends_where_the_loaders_copy_stands_though_it_ordered_nothing(place):
+def test_the_decision_module_sends_where_the_load_coordinators_copy_stands_though_it_ordered_nothing(place):
     site = io.Settings(classes=dict(CLASSES), quotas_rps={"t": 100.0}, tick_ms=1.0)
     router, ground, now = Router(site, 1), Holding(), 1_000.0
     entries = [io.ScorerEntry(n) for n in range(6)]
@@ -377,7 +367,7 @@
     assert [worker for _, worker in sent] == [place] and sent[0][0] <= 1_010.0
 
 
-def test_a_module_that_tries_all_scorers_for_calls_that_wait_is_told_of_a_few_at_once():
+def test_a_decision_module_that_tries_all_scorers_for_calls_that_wait_learns_of_a_few_at_once():
     site = io.Settings(classes=dict(CLASSES), quotas_rps={"t": 1e4}, tick_ms=1.0)
     router, ground = Router(site, 1), Holding()
     ground.go_by(RecoveryPhase.ALL_CALLS)
@@ -411,7 +401,7 @@
     assert ground.order_gate.events(1.0, [miss, good, other, answer]) == [answer] and lost == [("f", 7)]
 
 
-def test_what_became_of_calls_is_told_by_cause_since_it_was_told_last_and_not_in_calm():
+def test_what_became_of_calls_is_reported_by_cause_since_the_last_report_and_not_in_calm():
     ground = Ground(RecoveryPhase.PRIORITY_CALLS)
     assert ground.admission.take_recent_counts() == {}
     ground.issuer.places["f"] = 7
--- a/tests/recovery_service/test_recovery_service_agent.py
+++ b/tests/recovery_service/test_recovery_service_agent.py
@@ -1,22 +1,15 @@
 """Agents of recovery, a fleet of five in virtual time: stages from a loss of power to calm."""
 
-from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import RecoveryRegister
-from fawnwharf.recovery_core.queries import Answer
-from fawnwharf.recovery_core.queries import Query
-from fawnwharf.recovery_core.queries import QueryState
-from fawnwharf.recovery_core.queries import QueryTopic
-from fawnwharf.recovery_service import messages as w
-from fawnwharf.recovery_service.recovery_leader import LeaderTiming
-from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.recovery_service.recovery_leader import RecoveryLeader
-from fawnwharf.recovery_service.status_display import displayed_status
-from support.recovery_agents import Agents
-from support.recovery_agents import TIMING
 import msgspec
 import pytest
+from support.recovery_agents import TIMING, Agents
 
+from fawnwharf.durable_store.folder_reader import FolderPosition
+from fawnwharf.recovery_core.phases import RecoveryPhase, RecoveryRegister
+from fawnwharf.recovery_core.queries import Answer, Query, QueryState, QueryTopic
+from fawnwharf.recovery_service import messages as w
+from fawnwharf.recovery_service.recovery_leader import LeaderTiming, MemberLists, RecoveryLeader
+from fawnwharf.recovery_service.status_display import displayed_status
 
 RETURN = list(RecoveryPhase)
 
@@ -40,7 +33,7 @@
     assert set(register.boots.values()) == {"boot 1"} and len(register.boots) == 3
 
 
-def test_all_come_back_through_all_stages_in_order():
+def test_all_come_back_through_all_phases_in_order():
     fleet = Agents().calm()
     since = len(fleet.trail)
     fleet.power_loss("boot 2")
@@ -72,7 +65,7 @@
     assert leader.power_loss == 0 and "boot 2" in leader.leader.coordinator.register.boots.values()
 
 
-def test_processes_that_end_without_their_machines_are_no_loss_of_power():
+def test_processes_that_end_without_their_machines_are_no_power_loss():
     fleet = Agents().calm()
     since = len(fleet.trail)
     fleet.power_loss("")
@@ -82,7 +75,7 @@
 
 
 @pytest.mark.parametrize("stage", RETURN[:-1])
-def test_a_leader_that_is_killed_at_a_stage_is_followed_by_one_that_goes_on_from_there(stage):
+def test_a_leader_that_is_killed_at_a_phase_is_followed_by_one_that_goes_on_from_there(stage):
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
     fleet.until(lambda: fleet.leader and fleet.agents[fleet.leader].leader.coordinator.register.cut == 1)
@@ -98,7 +91,7 @@
 
 
 @pytest.mark.parametrize("stage", RETURN[:-1])
-def test_a_second_loss_of_power_at_a_stage_begins_anew(stage):
+def test_a_second_power_loss_at_a_phase_begins_again(stage):
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
     fleet.until(lambda: any(a.phase(fleet.now) is stage and a.power_loss == 1 for a in fleet.agents.values()))
@@ -129,7 +122,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_words_that_are_lost_and_late_cost_time_alone(seed):
+def test_messages_that_are_lost_and_late_cost_time_alone(seed):
     fleet = Agents(seed=seed, lost=0.3, late_ms=150.0).calm()
     since = len(fleet.trail)
     fleet.power_loss("boot 2")
@@ -151,7 +144,7 @@
     assert all(allowed.status for allowed in through)
 
 
-def test_crowded_loads_and_fallen_scorers_step_the_stage_back():
+def test_crowded_loads_and_fallen_scorers_step_the_phase_back():
     fleet = Agents().calm()
     fleet.power_loss("boot 2")
     fleet.until_stage(RecoveryPhase.ALL_CALLS, cut=1)
@@ -187,7 +180,7 @@
     assert not lead.receive_status(fleet.now, "n1", w.StatusReport(0, True, True))
 
 
-def test_words_of_another_life_fleet_log_or_member_are_dropped_and_counted():
+def test_messages_of_another_incarnation_fleet_log_or_member_are_dropped_and_counted():
     fleet = Agents().calm()
     agent, now = fleet.agents["n0"], fleet.now
     before = displayed_status(agent, now)
@@ -254,7 +247,7 @@
     assert fleet.agents["n4"].receive_by_zones(fleet.now, "n0", ask) == []  # it votes not, and is not asked
 
 
-def test_one_that_starts_anew_is_told_how_far_its_folder_had_come_by_its_earlier_word():
+def test_one_that_starts_again_learns_how_far_its_folder_had_come_by_its_earlier_message():
     fleet = Agents().calm()
     agent = fleet.agents["n0"]
     agent.receive_by_zones(fleet.now, "n4", w.BootReport(10, "b", FolderPosition("m", 5, 200)))
@@ -276,7 +269,7 @@
     assert signed.position == FolderPosition("m", 5, 210)
 
 
-def test_a_word_that_comes_late_counts_from_when_it_was_said():
+def test_a_message_that_comes_late_counts_from_when_it_was_said():
     fleet = Agents().calm()
     agent, leader = fleet.agents["n4"], fleet.leader
     told = w.PhaseAnnouncement(
@@ -287,7 +280,7 @@
     assert before <= agent.follower.word_ms <= fleet.now + 30.0
 
 
-def test_a_start_takes_no_stage_of_one_that_has_not_answered_it():
+def test_a_start_takes_no_phase_of_one_that_has_not_answered_it():
     fleet = Agents().calm()
     leader = fleet.leader
     fleet.end("n4")
@@ -316,14 +309,14 @@
         ((), "", 1.0),
     ],
 )
-def test_keepers_of_one_zone_that_do_not_come_back_are_not_waited_for(by_zone, away, part):
+def test_replicas_of_one_zone_that_do_not_come_back_are_not_waited_for(by_zone, away, part):
     keepers = tuple(name for names in by_zone for name in names)
     assert (
         MemberLists(keepers, (), keepers, by_zone=by_zone).known_grants(lambda name: name not in away) == part
     )
 
 
-def test_a_leader_merges_keepers_by_their_zones():
+def test_a_leader_merges_replicas_by_their_zones():
     lists = MemberLists(tuple("abcd"), tuple("abc"), tuple("abc"), by_zone=(("a",), ("b",), ("c",)))
     lead = RecoveryLeader(TIMING, lists, LeaderTiming(1_000.0, 1_000.0, 100.0))
     for name in "abd":
--- a/tests/recovery_service/test_recovery_service_assigned_permits.py
+++ b/tests/recovery_service/test_recovery_service_assigned_permits.py
@@ -1,36 +1,34 @@
 """Seats and wards by the register: at once where nobody gave before, and never two of one."""
 
+import random
+
+import pytest
+from support.load_permits import LIMITS, WORTHS
+from support.register_permits import WORD_MS, DealtFleet, GivingAgents
+from test_recovery_stages import Led
+
 from fawnwharf.recovery_core.budget import slow_start_coordinator_of
-from fawnwharf.recovery_core.phases import AllowedActions
-from fawnwharf.recovery_core.phases import FleetObservation
-from fawnwharf.recovery_core.phases import PhaseFollower
-from fawnwharf.recovery_core.phases import PhaseTiming
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import allowed_in_phase
-from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS
-from fawnwharf.recovery_core.register import PermitAssignment
-from fawnwharf.recovery_core.register import RecoveryRegister
-from fawnwharf.recovery_core.register import parse_register
+from fawnwharf.recovery_core.phases import (
+    AllowedActions,
+    FleetObservation,
+    PhaseFollower,
+    PhaseTiming,
+    RecoveryPhase,
+    allowed_in_phase,
+)
+from fawnwharf.recovery_core.register import (
+    MAX_PERMIT_ISSUERS,
+    PermitAssignment,
+    RecoveryRegister,
+    parse_register,
+)
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
 from fawnwharf.recovery_service.delegated_loads import DELEGATION_MS
-from fawnwharf.recovery_service.permit_issuing import EXPIRY_SCAN_MS
-from fawnwharf.recovery_service.permit_issuing import TICK_MS
-from fawnwharf.recovery_service.permit_view import AssignmentNumber
-from fawnwharf.recovery_service.permit_view import PermitView
-from fawnwharf.recovery_service.recovery_leader import LeaderTiming
-from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.recovery_service.recovery_leader import RecoveryLeader
-from support.load_permits import LIMITS
-from support.load_permits import WORTHS
-from support.register_permits import DealtFleet
-from support.register_permits import GivingAgents
-from support.register_permits import WORD_MS
-from test_recovery_stages import Led
-import pytest
-import random
-
+from fawnwharf.recovery_service.permit_issuing import EXPIRY_SCAN_MS, TICK_MS
+from fawnwharf.recovery_service.permit_view import AssignmentNumber, PermitView
+from fawnwharf.recovery_service.recovery_leader import LeaderTiming, MemberLists, RecoveryLeader
 
 ROWS = [f"f{i}" for i in range(400)]
 STEP_MS = 20.0
@@ -78,7 +76,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("lost", [0.0, 0.15])
-def test_never_beyond_the_budgets_while_some_go_by_the_register_before_for_as_long_as_they_may(seed, lost):
+def test_never_beyond_the_budgets_while_some_follow_the_earlier_register_for_as_long_as_they_may(seed, lost):
     most, beyond, fleet = played(seed, lost)
     assert most <= LIMITS.fetches and beyond <= 0
     assert fleet.dealt.deals > 1 and len(fleet.orders) > 50 and len(fleet.sent) > 50
@@ -92,7 +90,7 @@
 
 
 @pytest.mark.parametrize(("lag_ms", "kept"), [(WORD_MS, True), (0.0, False)])
-def test_a_new_warden_waits_for_as_long_as_one_may_go_by_the_register_before(lag_ms, kept):
+def test_a_new_slow_start_coordinator_waits_for_as_long_as_one_may_follow_the_earlier_register(lag_ms, kept):
     old, new = (CoordinatedSlowStart(name, 1, LIMITS, 0.0) for name in ("n0", "n1"))
     id = next(
         i for i in range(50) if slow_start_coordinator_of(str(i), ("n0", "n1")) == "n1"
@@ -112,7 +110,7 @@
     assert (beyond <= 0) is kept
 
 
-def test_a_later_dealing_waits_for_the_word_of_the_one_before_and_a_missed_one_for_all():
+def test_a_later_assignment_waits_for_the_message_of_the_one_before_and_a_missed_one_for_all():
     fleet = DealtFleet()
     fleet.run(1_200.0)
     permits, rest = fleet.fronts["n0"].permits, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
@@ -125,7 +123,7 @@
     assert permits.ready(due) == 0  # they may have been another's by the third
 
 
-def test_one_that_started_after_worth_waits_in_the_first_dealing_too():
+def test_one_that_started_after_worth_waits_in_the_first_assignment_too():
     fleet = DealtFleet()
     fleet.run(1_200.0)
     name = "n0"
@@ -141,7 +139,7 @@
     return FleetObservation(members=9, heard=9, asked=9, givers=givers, gave=gave, first=0.0, served=0.0)
 
 
-def test_the_conductor_deals_with_worth_and_again_only_when_a_giver_is_gone_for_a_time():
+def test_the_recovery_coordinator_assigns_with_priority_calls_and_again_only_when_an_issuer_is_gone_for_a_time():
     led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     assert [(r.stage, r.givers, r.deals) for r in led.told] == [
         (0, ("a", "b"), 0), (1, ("a", "b"), 0), (2, ("a", "b"), 1),
@@ -164,7 +162,7 @@
     assert led.told[-1].givers == () and led.told[-1].deals == 3
 
 
-def test_a_stage_that_is_entered_while_a_giver_is_not_heard_for_a_moment_changes_no_dealing():
+def test_a_phase_that_is_entered_while_an_issuer_is_not_heard_for_a_moment_changes_no_assignment():
     led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     while led.now < led.core.since_ms + PhaseTiming().most_ms - 300.0:
         led.step(seen("a", "b"))
@@ -174,7 +172,7 @@
     assert led.core.lost_ms is None
 
 
-def test_where_one_gave_without_a_stage_the_first_dealing_waits_as_a_later_one():
+def test_where_one_gave_without_a_phase_the_first_assignment_waits_as_a_later_one():
     led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", gave=True))
     assert led.told[-1].deals == 2
     lead = RecoveryLeader(
@@ -187,7 +185,7 @@
     assert lead.observe(10.0).givers == ("b", "d") and lead.observe(10.0).gave
 
 
-def test_a_text_of_before_deals_nothing_and_many_keepers_are_bounded():
+def test_a_text_of_before_assigns_nothing_and_many_replicas_are_bounded():
     old = '{"recovery":1,"number":4,"cut":1,"stage":2,"part":1.0,"fronts":3,"boots":{},"why":""}'
     follower = PhaseFollower(PhaseTiming(), 0.0)
     follower.told(old, 0.0)
--- a/tests/recovery_service/test_recovery_service_commands.py
+++ b/tests/recovery_service/test_recovery_service_commands.py
@@ -26,7 +26,7 @@
     return found[0]
 
 
-def test_show_tells_stage_cut_part_and_what_this_member_heard_asked_and_doubts(tmp_path):
+def test_show_has_phase_power_loss_share_and_what_this_member_heard_queried_and_doubts(tmp_path):
     site = Site(tmp_path, alone_ms=30_000.0)
     try:
         site.begin()
@@ -57,7 +57,7 @@
     assert RUNNER.invoke(app, ["recovery", "show", str(tmp_path / "none")]).exit_code == 2
 
 
-def test_what_is_doubted_and_gone_without_is_told_a_line_each():
+def test_doubts_and_missing_answers_are_shown_a_line_each():
     shown = w.DisplayedStatus(
         7,
         missing=("no plan",),
--- a/tests/recovery_service/test_recovery_service_counters.py
+++ b/tests/recovery_service/test_recovery_service_counters.py
@@ -1,15 +1,13 @@
 """What a front end counts for its standing."""
 
+from types import SimpleNamespace
+
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Rejected
-from fawnwharf.net.requests import Succeeded
+from fawnwharf.net.requests import Rejected, Succeeded
 from fawnwharf.recovery_service import call_outcomes
 from fawnwharf.recovery_service.call_outcomes import CallOutcomeRecorder
-from fawnwharf.recovery_service.counters import FrontEndCounters
-from fawnwharf.recovery_service.counters import SPAN_MS
+from fawnwharf.recovery_service.counters import SPAN_MS, FrontEndCounters
 from fawnwharf.recovery_service.messages import CallCounts
-from types import SimpleNamespace
-
 
 WORTHS = {"view": 1.0, "save": 5.0}
 
@@ -58,7 +56,7 @@
     assert counters.report(5_002.0).slowdown == 10.0 and counters.calm_load_ms == 40.0
 
 
-def test_a_cold_scorer_that_had_answered_falls_once_and_a_warm_or_an_unseen_one_does_not():
+def test_a_warming_scorer_that_had_answered_falls_once_and_a_warm_or_an_unseen_one_does_not():
     counters = FrontEndCounters(WORTHS, 10_000.0)
     for worker, age_ms, seen in ((1, 500.0, True), (2, 500.0, False), (3, 20_000.0, True)):
         if seen:
--- a/tests/recovery_service/test_recovery_service_delegated_loads.py
+++ b/tests/recovery_service/test_recovery_service_delegated_loads.py
@@ -31,14 +31,14 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("lost", [0.0, 0.15])
-def test_the_budget_and_each_ration_hold_while_orders_are_lent_and_loaders_die(seed, lost):
+def test_the_budget_and_each_ration_hold_while_orders_are_delegated_and_load_coordinators_die(seed, lost):
     fleet = storm(Fleet(seed, lost=lost, ration=4), seed, want_all)
     assert 0 < fleet.most <= LIMITS.fetches
     assert most_of_one(fleet) <= 4
     assert any(name not in fleet.keepers for _, name, *_ in fleet.orders)
 
 
-def test_rations_of_all_are_used_where_loaders_have_none_left():
+def test_rations_of_all_are_used_where_load_coordinators_have_none_left():
     stood = {}
     for lends in (True, False):
         fleet = Fleet(3, ration=4)
@@ -52,7 +52,7 @@
     assert stood[False] <= 4 * len(fleet.keepers) < stood[True] <= 4 * len(fleet.names)
 
 
-def test_a_function_is_loaded_once_though_its_loan_is_answered_late():
+def test_a_function_is_loaded_once_though_its_delegated_order_is_answered_late():
     fleet = Fleet(5, ration=4, lost=0.0)
     want_all(fleet)
     fleet.run(12_000.0)
@@ -73,7 +73,7 @@
     return words.message
 
 
-def test_it_tells_an_equal_part_of_its_room_at_its_pace_and_nothing_without_a_ration():
+def test_it_tells_an_equal_part_of_its_capacity_at_its_rate_and_nothing_without_a_ration():
     delegated = DelegatedLoadExecutor(3)
     assert spare(delegated).count == 3
     assert delegated.report_spare_rate(1_000.0 + SPARE_REPORT_MS - 1.0, {"n0"}, 6.0, 6) == []
@@ -95,7 +95,9 @@
         (10.0, 3, False, False),  # loads are not allowed by now
     ],
 )
-def test_a_loan_is_taken_while_what_was_told_is_fresh_by_its_own_clock(late_ms, incarnation, may, taken):
+def test_a_delegated_order_is_taken_while_what_was_told_is_fresh_by_its_own_clock(
+    late_ms, incarnation, may, taken
+):
     delegated = DelegatedLoadExecutor(3)
     told = spare(delegated)
     outs = delegated.accept(1_000.0 + late_ms, "n0", loan(told, incarnation=incarnation), loads_allowed=may)
@@ -118,7 +120,7 @@
         (False, io.AttemptResult.GOOD, 1, m.DelegatedLoadResult.LOADED),  # a copy of before
     ],
 )
-def test_what_came_of_a_loan_is_told_to_its_loader_once(made, ending, copies, said):
+def test_what_came_of_a_delegated_order_is_reported_to_its_load_coordinator_once(made, ending, copies, said):
     delegated = DelegatedLoadExecutor(3)
     delegated.accept(1_010.0, "n0", loan(spare(delegated)), loads_allowed=True)
     if made:
@@ -139,7 +141,7 @@
 # --- the loader -------------------------------------------------------------------------------------
 
 
-def test_a_loader_counts_on_who_told_last_while_that_is_fresh_and_on_no_more_than_was_told():
+def test_a_load_coordinator_counts_on_who_told_last_while_that_is_fresh_and_on_no_more_than_was_told():
     spare_rates = SpareRates()
     spare_rates.receive(0.0, "n4", m.SpareRate(1, 1, 2))
     spare_rates.receive(10.0, "n5", m.SpareRate(9, 4, 1))
@@ -157,7 +159,7 @@
     assert spare_rates.take(301.0) is None
 
 
-def test_a_seat_whose_loan_is_not_heard_of_is_free_after_a_loads_usual_time():
+def test_a_load_permit_whose_delegated_order_is_not_heard_of_is_free_after_a_loads_usual_time():
     fleet = Fleet(2, ration=0)
     front = fleet.fronts["n0"]
     for name in fleet.names:
@@ -184,7 +186,7 @@
     )
 
 
-def test_seats_that_do_not_wait_for_what_was_lent_are_found(monkeypatch):
+def test_load_permits_that_do_not_wait_for_what_was_delegated_are_found(monkeypatch):
     monkeypatch.setattr("fawnwharf.recovery_service.permit_issuing.DELEGATION_MS", -500.0)
     assert (
         max(storm(Fleet(seed, lost=0.15, ration=4), seed, want_all).most for seed in range(6))
--- a/tests/recovery_service/test_recovery_service_disks.py
+++ b/tests/recovery_service/test_recovery_service_disks.py
@@ -134,7 +134,7 @@
     found.close()
 
 
-def test_a_folder_put_back_from_a_copy_is_refused_and_repaired_in_doubt(fleet):
+def test_a_folder_put_back_from_a_copy_is_rejected_and_repaired_in_doubt(fleet):
     disk = fleet.disk(fleet.one)
     copy = disk.with_name("copy")
     shutil.copytree(disk, copy)
@@ -148,7 +148,7 @@
     fleet.in_doubt(request, "repaired: snap-")
 
 
-def test_swapped_folders_are_refused_and_an_empty_one_comes_up_in_doubt(fleet):
+def test_swapped_folders_are_rejected_and_an_empty_one_comes_up_in_doubt(fleet):
     request = fleet.lose()
     one, second = fleet.one, fleet.second
     disks = fleet.disk(one), fleet.disk(second)
@@ -162,7 +162,7 @@
     fleet.in_doubt(request, "empty")
 
 
-def test_a_flipped_bit_in_what_was_synced_is_refused_and_repaired_in_doubt(fleet):
+def test_a_flipped_bit_in_what_was_synced_is_rejected_and_repaired_in_doubt(fleet):
     disk = fleet.disk(fleet.one)
     fleet.served("a call, in the log of this life")
     fleet.until(lambda: proven(last(disk, "log-*.seg")), "its groups to be proven")
@@ -170,7 +170,7 @@
     snap, log = last(disk, "snap-*.snap"), last(disk, "log-*.seg")
     fleet.start(fleet.second)
     place = flip(snap, snap.stat().st_size // 2)
-    assert f"{snap.name}: damaged: a snapshot that is not whole" in fleet.refused(fleet.one)[0]
+    assert f"{snap.name}: damaged: the snapshot is incomplete" in fleet.refused(fleet.one)[0]
     flip(snap, place)
     flip(log, proven(log))
     assert f"{log.name}: damaged at byte " in fleet.refused(fleet.one)[0]
--- a/tests/recovery_service/test_recovery_service_integration.py
+++ b/tests/recovery_service/test_recovery_service_integration.py
@@ -1,25 +1,18 @@
 """A front end with a door, orders held back and a loader of its own, on its real loop, by real sockets."""
 
+import pytest
+from peers import ROW, SETTINGS, Rig, ScorerPeer
+
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames as frames
 from fawnwharf.net.front_end import scorer_number
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import fleet_limits
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import allowed_in_phase
-from fawnwharf.recovery_service.actions import CopyAvailable
-from fawnwharf.recovery_service.actions import LoadOrder
-from fawnwharf.recovery_service.actions import SlowStartPermit
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_service.actions import CopyAvailable, LoadOrder, SlowStartPermit
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.recovery_service.permit_issuing import PermitTiming
-from fawnwharf.recovery_service.recovery_admission import AdmissionSettings
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
-from peers import ROW
-from peers import Rig
-from peers import SETTINGS
-from peers import ScorerPeer
-import pytest
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer, PermitTiming
+from fawnwharf.recovery_service.recovery_admission import AdmissionSettings, RecoveryAdmission
 
 
 class Loading(ScorerPeer):
@@ -51,8 +44,7 @@
             "n0", 1, limits, lambda function: [scorer_number("s-1")], PermitTiming(50.0, 50.0)
         )
         self.admission = front.client_port.requests = RecoveryAdmission(
-            front.loop.wheel, front.requests, AdmissionSettings(settings.classes, limits
-        )
+            front.loop.timers, front.requests, AdmissionSettings(settings.classes, limits)
         )
         front.intercept(io.OrderCopies, self.between)
         front._extension = self
@@ -106,7 +98,9 @@
     rig.close()
 
 
-def test_a_call_waits_at_the_door_for_the_loaders_copy_and_is_served_by_the_module(joined):
+def test_a_call_waits_in_admission_for_the_load_coordinators_copy_and_is_served_by_the_decision_module(
+    joined,
+):
     scorer, client = joined.scorers[0], joined.client()
     joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     seqid = client.call()
@@ -122,7 +116,7 @@
     assert not joined.joined.admission.busy and joined.joined.issuer.place(ROW) == scorer_number("s-1")
 
 
-def test_before_its_stage_a_call_is_refused_with_advice_and_the_module_sees_nothing(joined):
+def test_before_its_phase_a_call_is_rejected_with_advice_and_the_decision_module_sees_nothing(joined):
     scorer, client = joined.scorers[0], joined.client()
     joined.joined.go_by(RecoveryPhase.PRIORITY_CALLS)
     seqid = client.call("view")
@@ -138,7 +132,7 @@
     assert client.kinds()[later] == "answer" and joined.joined.order_gate.rejected == 0
 
 
-def test_an_order_of_the_modules_own_does_not_go_out_before_renewal(joined):
+def test_an_order_of_the_decision_modules_own_does_not_go_out_before_renewal(joined):
     scorer, client = joined.scorers[0], joined.client()
     joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     joined.front.client_port.requests = joined.front.requests  # this call passes no door
--- a/tests/recovery_service/test_recovery_service_killed.py
+++ b/tests/recovery_service/test_recovery_service_killed.py
@@ -96,7 +96,7 @@
     site.until(lambda: all(good(site, process) for process in served), "status is good")
 
 
-def test_all_that_are_killed_with_their_machines_return_by_the_stages(fleet):
+def test_all_that_are_killed_with_their_machines_return_by_the_phases(fleet):
     site, served = fleet
     for process in served:
         process.start("--fresh")
--- a/tests/recovery_service/test_recovery_service_permit_issuing.py
+++ b/tests/recovery_service/test_recovery_service_permit_issuing.py
@@ -1,29 +1,25 @@
 """Loaders and wardens among front ends: the store's budget, a scorer's room, and words that come late."""
 
 from dataclasses import replace
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.load_permits import LIMITS, WORTHS, Fleet, storm
+
 from fawnwharf import interface as io
-from fawnwharf.recovery_core.budget import choose_load_coordinators
-from fawnwharf.recovery_core.budget import load_coordinator_of
-from fawnwharf.recovery_core.budget import slow_start_coordinator_of
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import allowed_in_phase
+from fawnwharf.recovery_core.budget import (
+    choose_load_coordinators,
+    load_coordinator_of,
+    slow_start_coordinator_of,
+)
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service import permit_messages as m
-from fawnwharf.recovery_service.actions import LoadOrder
-from fawnwharf.recovery_service.actions import SendPermitMessage
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage
 from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
 from fawnwharf.recovery_service.load_permits import LoadPermits
-from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.recovery_service.permit_issuing import PermitTiming
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer, PermitTiming
 from fawnwharf.recovery_service.permit_view import PermitView
-from hypothesis import given
-from hypothesis import settings
-from hypothesis import strategies as st
-from support.load_permits import Fleet
-from support.load_permits import LIMITS
-from support.load_permits import WORTHS
-from support.load_permits import storm
-import pytest
-
 
 ROWS = [f"f{i}" for i in range(60)]
 
@@ -36,7 +32,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("lost", [0.0, 0.15])
-def test_no_more_fetches_at_a_time_than_the_budget_while_loaders_die_and_come_back(seed, lost):
+def test_no_more_fetches_at_a_time_than_the_budget_while_load_coordinators_die_and_come_back(seed, lost):
     fleet = storm(Fleet(seed, lost=lost), seed, want_all)
     assert 0 < fleet.most <= LIMITS.fetches
     for name in fleet.up & set(fleet.keepers):
@@ -45,7 +41,7 @@
         assert not len(fleet.fronts[name].requests)
 
 
-def test_what_a_dead_loader_had_under_way_is_not_ordered_again_within_a_loads_usual_time():
+def test_what_a_dead_load_coordinator_had_under_way_is_not_ordered_again_within_a_loads_usual_time():
     again = 0
     for seed in range(8):
         fleet = Fleet(seed, loads=(400.0, 480.0))
@@ -74,7 +70,7 @@
     assert permits.ready(2_799.0) == 2 and permits.ready(2_800.0) == 4
 
 
-def test_functions_are_dealt_by_seats_so_that_none_is_idle_while_another_has_many():
+def test_functions_are_assigned_by_load_permits_so_that_none_is_idle_while_another_has_many():
     permits = LoadPermits("n0", replace(LIMITS, fetches=3), 300.0, 500.0)
     permits.update(0.0, PermitView(("n0", "n1"), 1.0, 1))
     owners = [permits.coordinator(f"f{i}") for i in range(3_000)]
@@ -95,7 +91,7 @@
         )
 
 
-def test_a_word_is_said_once_a_turn_and_not_again_while_its_answer_is_fresh():
+def test_a_message_is_said_once_a_turn_and_not_again_while_its_answer_is_fresh():
     fleet = Fleet(1)
     fleet.run(900.0)
     want_all(fleet, ["n5"])
@@ -107,7 +103,7 @@
     return [out.event for out in outs if isinstance(out, LoadOrder)]
 
 
-def test_an_order_that_the_module_does_not_make_is_asked_after_and_made_again_elsewhere_if_it_fails():
+def test_an_order_that_the_decision_module_does_not_make_is_queried_and_made_again_elsewhere_if_it_fails():
     front = PermitIssuer(
         "n0", 1, replace(LIMITS, fetches=1), lambda function: [7, 8], PermitTiming(100.0, 200.0)
     )
@@ -134,7 +130,7 @@
     assert front.place("f") == 8
 
 
-def test_a_late_word_does_not_bring_back_a_copy_that_is_gone():
+def test_a_late_message_does_not_bring_back_a_copy_that_is_gone():
     front = PermitIssuer("n5", 1, LIMITS, lambda function: [7], PermitTiming(100.0, 200.0))
     front.update(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS), 1)
     first, gone = (
@@ -148,7 +144,7 @@
     assert front.receive(4.0, "n0", m.CopyReport(10, 1, (m.CopyPlacement("f", 7),))) and front.place("f") == 7
 
 
-def test_a_copy_that_is_lost_is_wanted_of_its_loader_again_by_the_scorer_where_it_was():
+def test_a_copy_that_is_lost_is_requested_of_its_load_coordinator_again_by_the_scorer_where_it_was():
     fleet = Fleet(2)
     fleet.fronts["n5"].request_copy(0.0, m.LoadRequest("f", "view", 1.0))
     fleet.run(4_000.0)
@@ -161,7 +157,7 @@
     assert all(front.place("f") == worker for front in fleet.fronts.values())
 
 
-def test_the_eta_is_what_the_loader_says_less_what_went_by():
+def test_the_eta_is_what_the_load_coordinator_says_less_what_went_by():
     front = PermitIssuer("n5", 1, LIMITS, lambda function: [7], PermitTiming(100.0, 200.0))
     front.update(0.0, {"n0", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS), 1)
     front.request_copy(0.0, m.LoadRequest("f", "view", 1.0))
@@ -185,7 +181,7 @@
     assert front.counts == {"load requests beyond the limit": 1, "copies beyond the limit": 1}
 
 
-def test_a_front_end_that_hears_no_keeper_loads_for_itself_a_part_of_the_time():
+def test_a_front_end_that_hears_no_replica_loads_for_itself_a_part_of_the_time():
     front = PermitIssuer("n5", 1, LIMITS, lambda function: [7], PermitTiming(100.0, 200.0))
     front.update(
         0.0, {"n4", "n5"}, {"n0"}, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS, 0.05), 1
@@ -214,7 +210,9 @@
 
 @settings(max_examples=100, deadline=None)
 @given(ACTS, st.integers(0, 99), st.sampled_from([0.0, 0.2]))
-def test_never_more_tickets_within_a_scorers_window_than_its_room_whoever_gives_them_out(acts, seed, lost):
+def test_never_more_permits_within_a_scorers_window_than_its_capacity_whoever_gives_them_out(
+    acts, seed, lost
+):
     fleet = Fleet(seed, lost=lost)
     fleet.run(1_700.0)
     for what, i, n in acts:
@@ -231,7 +229,7 @@
         assert within <= LIMITS.room(at)
 
 
-def test_a_new_warden_waits_for_the_one_before_to_see_it_too():
+def test_a_new_slow_start_coordinator_waits_for_the_one_before_to_see_it_too():
     old, new = (CoordinatedSlowStart(name, 1, LIMITS, 300.0) for name in ("n0", "n1"))
     loser = next(
         i for i in range(50) if slow_start_coordinator_of(str(i), ("n0", "n1")) == "n1"
@@ -248,7 +246,7 @@
     assert max(sum(at - 1_000 < other <= at for other in used) for at in used) <= LIMITS.room(6_000.0)
 
 
-def test_tickets_are_given_out_to_the_full_and_those_beyond_them_get_turns_of_their_own():
+def test_permits_are_issued_to_the_full_and_those_beyond_them_get_turns_of_their_own():
     fleet = Fleet(1)
     for now in range(2_000, 5_000, 50):
         fleet.run(now)
@@ -262,7 +260,7 @@
     assert all(wait > 0 for wait in waits) and len(set(waits)) > 10 and waits == sorted(waits)
 
 
-def test_who_is_warden_of_a_scorer_that_came_up_after_all_heard_each_other_gives_at_once():
+def test_who_is_slow_start_coordinator_of_a_scorer_that_came_up_after_all_heard_each_other_issues_at_once():
     front = CoordinatedSlowStart("n0", 1, LIMITS, 300.0)
     front.update(0.0, PermitView(("n0",), 1.0, 1))
     front.scorer_seen(100.0, 1, 0.0)
@@ -271,7 +269,7 @@
     assert front.request(500.0, 3, "of nobody") == 0.0 and front.request(11_000.0, 1, "warm") == 0.0
 
 
-def test_a_ticket_that_was_long_on_its_way_is_void():
+def test_a_permit_that_was_long_on_its_way_is_void():
     front = CoordinatedSlowStart("n1", 1, LIMITS, 300.0)
     front.update(0.0, PermitView(("n0",), 1.0, 1))
     front.scorer_seen(0.0, 7, 0.0)
--- a/tests/recovery_service/test_recovery_service_processes.py
+++ b/tests/recovery_service/test_recovery_service_processes.py
@@ -1,20 +1,17 @@
 """Real processes with stores: all killed at once, started in another boot; one killed as it granted."""
 
-from fawnwharf.durable_store import folder
-from fawnwharf.durable_store.file_format import StoreLimits
-from fawnwharf.recovery_core.trust import StateKind
-from fawnwharf.recovery_core.trust import StoreCondition
-from fawnwharf.recovery_core.trust import TrustLevel
-from fawnwharf.recovery_service.recovery_store import RecoveryStore
-from fawnwharf.recovery_service.recovery_store import RecoveryStoreSettings
-from support.power_losses import PowerFleet
-from support.power_losses import WINDOW_MS
 import json
-import pytest
 import signal
 import subprocess
 import sys
 
+import pytest
+from support.power_losses import WINDOW_MS, PowerFleet
+
+from fawnwharf.durable_store import folder
+from fawnwharf.durable_store.file_format import StoreLimits
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition, TrustLevel
+from fawnwharf.recovery_service.recovery_store import RecoveryStore, RecoveryStoreSettings
 
 GRANTING = """
 import json, sys
@@ -50,7 +47,7 @@
 """
 
 
-def test_a_keeper_that_was_killed_as_it_granted_finds_each_grant_that_it_said(tmp_path):
+def test_a_replica_that_was_killed_as_it_granted_finds_each_grant_that_it_said(tmp_path):
     boot = tmp_path / "boot"
     boot.write_text("one")
     child = subprocess.Popen(
@@ -82,7 +79,7 @@
         kept.close()
 
 
-def test_what_may_have_run_is_not_run_again_after_a_cut_and_new_calls_go_at_once():
+def test_what_may_have_run_is_not_run_again_after_a_power_loss_and_new_calls_go_at_once():
     fleet = PowerFleet(seed=5)
     try:
         fleet.begin()
@@ -103,7 +100,7 @@
 
 
 @pytest.mark.parametrize("stores", [True, False])
-def test_keepers_grant_at_once_after_a_cut_with_stores_and_wait_with_files(stores):
+def test_replicas_grant_at_once_after_a_power_loss_with_stores_and_wait_with_files(stores):
     fleet = PowerFleet(seed=6, stores=stores)
     try:
         fleet.begin()
--- a/tests/recovery_service/test_recovery_service_promise_disk_faults.py
+++ b/tests/recovery_service/test_recovery_service_promise_disk_faults.py
@@ -1,16 +1,13 @@
 """A keeper's promises where its store has no room: what it can't keep, it does not know after a restart."""
 
-from fawnwharf.recovery_core.trust import StateKind
-from fawnwharf.recovery_core.trust import StoreCondition
-from fawnwharf.recovery_service import stored_state as k
-from support.memory_stores import LIMITS
-from support.memory_stores import Site
-from support.memory_stores import StoreCores
-from support.memory_stores import asks
 import itertools
+
 import msgspec
 import pytest
+from support.memory_stores import LIMITS, Site, StoreCores, asks
 
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition
+from fawnwharf.recovery_service import stored_state as k
 
 PROMISES = k.ENTRY_RULES[StateKind.GRANT]
 
@@ -29,7 +26,7 @@
     kept._bytes[PROMISES.name] = 0
 
 
-def test_a_keeper_that_could_not_keep_what_it_heard_knows_not_all_after_a_restart(site):
+def test_a_replica_that_could_not_keep_what_it_heard_knows_not_all_after_a_restart(site):
     cores = StoreCores(site)
     keeper, (owner, other, _) = cores.keepers[0], cores.owners
     cores.lost = {keeper}
@@ -48,7 +45,7 @@
     assert not cores.sure(keeper) and not asks(cores, other, keeper)().granted
 
 
-def test_once_what_it_could_not_keep_is_over_a_keeper_is_known_to_know_all(site):
+def test_once_what_it_could_not_keep_is_over_a_replica_is_known_to_know_all(site):
     cores = StoreCores(site)
     keeper = cores.keepers[0]
     no_room(cores.kepts[keeper])
@@ -69,7 +66,7 @@
             pass
 
 
-def test_a_full_store_does_not_forget_that_it_is_in_part_nor_refuse_a_ticket(site):
+def test_a_full_store_does_not_forget_that_it_is_incomplete_nor_reject_a_commit_ticket(site):
     limits = msgspec.structs.replace(LIMITS, state_bytes=20_000)
     kept = site.kept(fresh=True, limits=limits)
     filled(kept)
@@ -84,7 +81,7 @@
     assert again.condition is StoreCondition.PARTIAL and again.doubt.startswith("a reason of some length")
 
 
-def test_a_cause_of_any_characters_has_room(site):
+def test_a_reason_of_any_characters_has_room(site):
     kept = site.kept(fresh=True)
     for why in ("\U0001f4be" * 900, "\0" * 900):
         kept.mark_incomplete(why[: k.MAX_REASON_LENGTH])
--- a/tests/recovery_service/test_recovery_service_service.py
+++ b/tests/recovery_service/test_recovery_service_service.py
@@ -1,14 +1,15 @@
 """Recovery over real sockets: three front ends with stores, boots' marks in files, calls and `status`."""
 
-from fawnwharf import interface as io
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.trust import StoreCondition
-from support.recovery_front_ends import Site
 import json
-import pytest
 import shutil
 import time
 
+import pytest
+from support.recovery_front_ends import Site
+
+from fawnwharf import interface as io
+from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.trust import StoreCondition
 
 RETURN = ["listening", "repeats", "worth", "rest", "renewal", "spill"]
 
@@ -21,7 +22,7 @@
 
 
 @pytest.mark.parametrize("site", [{}, {"policy": True}], indirect=True)
-def test_all_that_lost_their_power_come_back_by_the_stages_and_status_is_good_from_worth_on(site):
+def test_all_that_lost_power_come_back_by_the_phases_and_status_is_good_from_worth_on(site):
     site.begin()
     assert all(site.ready(node) is True for node in site.nodes)
     site.power_loss(2)
@@ -49,14 +50,16 @@
     assert whys.count("power loss") <= 1  # none where its leader gave way as it was decided
 
 
-def test_one_that_starts_anew_in_calm_starts_no_recovery_whether_its_machine_did_or_not(site):
+def test_one_that_starts_again_in_calm_starts_no_recovery_whether_its_machine_did_or_not(site):
     site.begin()
     back = site.nodes[1]
     for number in (1, 2):
         site.power_loss(number, [back])
         site.start([back])
         assert not site.ready(back)
-        site.until(lambda: back.stage() is RecoveryPhase.NORMAL and back.agent.queries_done, "it is calm here")
+        site.until(
+            lambda: back.stage() is RecoveryPhase.NORMAL and back.agent.queries_done, "it is calm here"
+        )
         site.until(lambda: site.ready(back), "and its status good")
         assert {cut for cut, _ in back.stages()} == {0} and back.stages()[-1] == (0, "spill")
         assert "repeats" not in [stage for _, stage in back.stages()]
@@ -153,9 +156,7 @@
     event = {"seq": 2, "fleet": {"complete": True, "members": [node.scorer.member(locality="a")]}}
     node.log.links[-1].sock.sendall(json.dumps(event).encode() + b"\n")
     site.until(lambda: node.part.running.roster.was_stored, "the roster is kept")
-    site.until(
-        lambda: node.part.parts.store.store.status(time.monotonic() * 1000.0).failing == "", "on disk"
-    )
+    site.until(lambda: node.part.parts.store.store.status(time.monotonic() * 1000.0).failing == "", "on disk")
     site.rest(0.3)
     site.power_loss(2, [node])
     node.known = False
@@ -168,7 +169,7 @@
     node.log.pump = pump
 
 
-def test_a_bad_word_is_dropped_and_said_once_a_second(site):
+def test_a_bad_message_is_dropped_and_said_once_a_second(site):
     site.begin()
     node = site.nodes[0]
     before = dict(node.agent.drops)
@@ -180,7 +181,7 @@
     assert len(node.noted("message dropped")) == 1
 
 
-def test_one_that_gave_its_parts_to_another_process_and_takes_them_back_asks_anew(site):
+def test_one_that_handed_its_parts_to_another_process_and_takes_them_back_queries_again(site):
     site.begin()
     node = site.nodes[2]
     extension, life = node.front.extension, node.part.parts.store.incarnation
--- a/tests/recovery_service/test_recovery_service_stored_promises.py
+++ b/tests/recovery_service/test_recovery_service_stored_promises.py
@@ -1,19 +1,17 @@
 """Grants on a store before they are said: held, unsure, cut, killed; and what a keeper knows afterwards."""
 
+import itertools
+
+import msgspec
+import pytest
 from cores import RULES
+from support.memory_stores import Site, StoreCores, asks
+
 from fawnwharf.interface import Effect
 from fawnwharf.recovery_core.trust import StoreCondition
 from fawnwharf.replication import messages as m
-from fawnwharf.replication.call_owner import FailCall
-from fawnwharf.replication.call_owner import RejectCall
-from fawnwharf.replication.call_owner import RunCall
+from fawnwharf.replication.call_owner import FailCall, RejectCall, RunCall
 from fawnwharf.replication.claims import ClaimPhase
-from support.memory_stores import Site
-from support.memory_stores import StoreCores
-from support.memory_stores import asks
-import itertools
-import msgspec
-import pytest
 
 
 @pytest.fixture
@@ -49,7 +47,7 @@
     assert cores.what(owner) == [RunCall("k", True)]
 
 
-def test_a_call_of_the_keeper_s_own_waits_for_its_own_grant_too(cores):
+def test_a_call_of_the_replica_s_own_waits_for_its_own_grant_too(cores):
     own, *others = cores.keepers
     held(cores, own)
     cores.begin(own)
@@ -72,7 +70,7 @@
     assert cores.what(other) == [RunCall("k", True)]
 
 
-def test_what_a_held_go_is_for_is_told_by_its_ask(cores):
+def test_a_held_call_is_released_by_the_request_that_it_is_for(cores):
     own = cores.keepers[0]
     held(cores, own)
     cores.begin(own)
@@ -88,7 +86,7 @@
     assert sorted(claim.phase for claim in claims.values()) == [ClaimPhase.RELEASED, ClaimPhase.ANSWERED]
 
 
-def test_an_unsure_ticket_grants_nothing_and_stands_in_the_way_until_the_disk_works_again(cores):
+def test_an_unsure_commit_ticket_grants_nothing_and_rejects_others_until_the_disk_works_again(cores):
     keeper, (one, other, third) = cores.keepers[0], cores.owners
     cores.site.machine(keeper).fails()
     said = asks(cores, one, keeper)
@@ -112,7 +110,7 @@
     assert [c.owner for c in asks(cores, other, keeper)().claims] == [f"{one}#1"]
 
 
-def test_a_disk_that_fails_under_an_own_call_leaves_it_to_the_other_keepers(cores):
+def test_a_disk_that_fails_under_an_own_call_leaves_it_to_the_other_replicas(cores):
     own, *others = cores.keepers
     cores.site.machine(own).fails()
     held(cores, others[0])
@@ -143,7 +141,7 @@
 
 
 @pytest.mark.parametrize("effect", [Effect.AT_MOST_ONCE, Effect.DEDUPLICATED])
-def test_after_a_cut_of_all_a_repeat_is_not_run_again_and_a_new_call_goes_at_once(cores, effect):
+def test_after_a_power_loss_of_all_a_repeat_is_not_run_again_and_a_new_call_goes_at_once(cores, effect):
     owner = cores.owners[0]
     cores.begin(owner, effect=effect, dedup_ms=60_000.0)
     cores.turn()
@@ -163,7 +161,7 @@
         )
 
 
-def test_no_cut_at_any_moment_lets_a_call_go_twice(monkeypatch, tmp_path):
+def test_no_power_loss_at_any_moment_lets_a_call_go_twice(monkeypatch, tmp_path):
     """All lose their power after each number of the keepers' jobs, and the call is asked for again."""
     went = []
     for jobs, share in itertools.product(range(5), (0.0, 0.6)):
@@ -195,7 +193,7 @@
     assert {first for first, _ in went} == {0, 2} and any(second for _, second in went)
 
 
-def test_a_keeper_that_lost_its_disk_waits_and_a_second_cut_makes_nothing_whole_of_its_doubt(cores):
+def test_a_replica_that_lost_its_disk_waits_and_a_second_power_loss_makes_nothing_whole_of_its_doubt(cores):
     lost, owner = cores.keepers[0], cores.owners[0]
     cores.begin(owner)
     cores.turn()
@@ -214,7 +212,7 @@
     assert cores.sure(lost)  # that it knows all is on its disk
 
 
-def test_a_keeper_that_hears_the_others_has_what_it_heard_on_disk_before_it_is_sure(cores):
+def test_a_replica_that_hears_the_others_has_what_it_heard_on_disk_before_it_is_sure(cores):
     lost, (owner, other, _) = cores.keepers[0], cores.owners
     cores.begin(owner)
     cores.turn()
@@ -251,7 +249,7 @@
     assert cores.sure(keeper)  # it has heard the others
 
 
-def test_a_keeper_says_that_it_grants_no_more_by_its_list_only_once_that_is_on_disk(cores):
+def test_a_replica_says_that_it_grants_no_more_by_its_list_only_once_that_is_on_disk(cores):
     keeper, other = cores.keepers[:2]
     held(cores, keeper)
     core, said = cores.cores[keeper], []
@@ -280,7 +278,7 @@
     assert kept.store.items("promise") == [] and kept._bytes["promise"] == 0
 
 
-def test_what_the_store_has_no_room_for_is_not_granted(cores, monkeypatch):
+def test_what_the_store_has_no_capacity_for_is_not_granted(cores, monkeypatch):
     keeper, owner = cores.keepers[0], cores.owners[0]
     kept = cores.kepts[keeper]
     kept._bytes["promise"] = 8 * 1024 * 1024 - 10
@@ -290,7 +288,7 @@
     assert cores.what(keeper) == [RunCall("own", True)]  # by the other two
 
 
-def test_a_call_of_one_keeper_alone_that_it_can_t_write_is_turned_away(site):
+def test_a_call_of_one_replica_alone_that_it_can_t_write_is_rejected(site):
     cores = StoreCores(site, rules=msgspec.structs.replace(RULES, replica_zones=1))
     [keeper] = cores.cores[cores.keepers[0]].placement.replicas_of("k")
     cores.kepts[keeper]._bytes["promise"] = 8 * 1024 * 1024 - 10
@@ -300,7 +298,7 @@
     assert isinstance(turned, RejectCall) and not cores.cores[keeper].call_owner.calls
 
 
-def test_a_file_of_a_life_without_the_store_makes_the_store_one_in_part(site, tmp_path):
+def test_a_file_of_an_incarnation_without_the_store_makes_the_store_incomplete(site, tmp_path):
     cores = StoreCores(site)
     keeper = cores.keepers[0]
     (tmp_path / "keeper-4.log").write_bytes(b"")
--- a/tests/recovery_service/test_recovery_service_stored_state.py
+++ b/tests/recovery_service/test_recovery_service_stored_state.py
@@ -1,25 +1,18 @@
 """What a start makes of a store: trust by boot and life, doubt that outlives, bounds, hints."""
 
-from fawnwharf.config import ConfigError
-from fawnwharf.config import Fleet
-from fawnwharf.config import Member
+import msgspec
+import pytest
+from support.memory_stores import LIMITS, Site
+
+from fawnwharf.config import ConfigError, Fleet, Member
 from fawnwharf.durable_store import repairs
-from fawnwharf.durable_store.file_format import Durability
-from fawnwharf.durable_store.file_format import StoreLimits
+from fawnwharf.durable_store.file_format import Durability, StoreLimits
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.durable_store.operations import execute_job
-from fawnwharf.fakes.disks import Plan
-from fawnwharf.fakes.disks import PowerCut
-from fawnwharf.recovery_core.trust import StateKind
-from fawnwharf.recovery_core.trust import StoreCondition
-from fawnwharf.recovery_core.trust import TrustLevel
-from fawnwharf.recovery_service import hints
-from fawnwharf.recovery_service import recovery_store
+from fawnwharf.fakes.disks import Plan, PowerCut
+from fawnwharf.recovery_core.trust import StateKind, StoreCondition, TrustLevel
+from fawnwharf.recovery_service import hints, recovery_store
 from fawnwharf.recovery_service import stored_state as k
-from support.memory_stores import LIMITS
-from support.memory_stores import Site
-import msgspec
-import pytest
 
 
 @pytest.fixture
@@ -38,7 +31,7 @@
     kept.store.close(lambda: site.now)
 
 
-def test_trust_follows_the_table_by_boot_and_by_how_the_last_life_ended(site):
+def test_trust_follows_the_table_by_boot_and_by_how_the_last_incarnation_ended(site):
     cases = [
         ("kill", False, TrustLevel.NOW, TrustLevel.HINT),
         ("kill", True, TrustLevel.NOW, TrustLevel.NOW),
@@ -66,7 +59,9 @@
         assert later is TrustLevel.MAJORITY
 
 
-def test_a_life_has_a_larger_number_than_the_one_before_also_by_a_clock_that_was_set_back(site, monkeypatch):
+def test_an_incarnation_has_a_larger_number_than_the_one_before_also_by_a_clock_that_was_set_back(
+    site, monkeypatch
+):
     numbers = []
     for unix_ms in (5_000_000.0, 5_000_000.0, 1_000.0, 9_000_000.0, 0.0):
         monkeypatch.setattr(recovery_store, "unix_ms", lambda unix_ms=unix_ms: unix_ms)
@@ -126,7 +121,7 @@
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 1.0])
-def test_no_cut_in_the_first_start_makes_a_whole_store_of_an_empty_folder(site, share):
+def test_no_power_loss_in_the_first_start_makes_a_whole_store_of_an_empty_folder(site, share):
     site.kept("whole")
     operations = site.machine("whole").disk.count
     assert operations > 5
@@ -145,7 +140,7 @@
     assert site.kept().condition is StoreCondition.INTACT
 
 
-def test_a_repaired_folder_is_in_part_and_what_its_keeper_knew_is_forgotten_once(site):
+def test_a_repaired_folder_is_in_part_and_what_its_replica_knew_is_forgotten_once(site):
     kept = site.kept(fresh=True)
     kept.keep_known_list(3)
     for n in range(5):
@@ -160,7 +155,9 @@
     execute_job(disk, repairs.second_repair_job(plan, outcome.inode, 1e12))
     kept = site.kept()
     assert (
-        kept.condition is StoreCondition.PARTIAL and kept.doubt.startswith("repaired") and kept.known_list == 0
+        kept.condition is StoreCondition.PARTIAL
+        and kept.doubt.startswith("repaired")
+        and kept.known_list == 0
     )
     kept.keep_known_list(3)  # it waited, and knows all again: that is its own, and outlives
     site.pump(kept, 200.0)
@@ -173,7 +170,7 @@
     assert site.kept().condition is StoreCondition.INTACT
 
 
-def test_an_older_copy_is_shown_by_what_others_heard_and_own_words_are_none(site):
+def test_an_older_copy_is_shown_by_what_others_heard_and_own_messages_are_none(site):
     kept = site.kept(fresh=True)
     kept.keep_known_list(3)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
@@ -212,7 +209,7 @@
     )  # a start hears of it anew
 
 
-def test_a_copy_of_within_the_last_life_is_shown_to_a_store_that_has_settled_too(site):
+def test_a_copy_of_within_the_last_incarnation_is_shown_to_a_store_that_has_settled_too(site):
     kept = site.kept(fresh=True)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
     older, between = site.machine().disk.copy(), kept.position()
@@ -236,7 +233,7 @@
     assert f"life 1, number {between.number}" in kept.doubt
 
 
-def test_what_is_beyond_the_bounds_is_refused_and_said_once(site):
+def test_what_is_beyond_the_bounds_is_rejected_and_said_once(site):
     kept = site.kept(fresh=True)
     told, whole = [], "x" * (k.ENTRY_RULES[StateKind.PLACEMENTS].max_value_bytes - 100)
     rule = k.ENTRY_RULES[StateKind.PLACEMENTS]
@@ -249,7 +246,7 @@
     assert not kept.keep(StateKind.GRANT, "p", "x" * 40_000) and kept.keep(StateKind.GRANT, "p", [1.0])
 
 
-def test_what_is_on_disk_is_told_and_what_a_failing_disk_may_have_is_unsure(site):
+def test_what_is_on_disk_is_reported_and_what_a_failing_disk_may_have_is_unsure(site):
     kept, told = site.kept(fresh=True), []
     site.machine().held = True
     kept.keep(StateKind.PLAN, "last", 1, lambda good, why: told.append(good))
@@ -271,7 +268,7 @@
     assert site.kept().read(StateKind.PLAN)[0][1] == 3
 
 
-def test_what_was_found_is_settled_once_the_start_wrote_it_anew(site):
+def test_what_was_found_is_settled_once_the_start_rewrote_it(site):
     kept = site.kept(fresh=True)
     site.machine().kill()
     kept = site.kept(settle=False)
@@ -309,7 +306,7 @@
     assert hints.stored_roster([(hints.ENTRY_KEY, [["broken"]], TrustLevel.HINT)]) == []
 
 
-def test_the_use_of_the_last_windows_is_told_by_row_and_class_within_its_bound(site):
+def test_the_use_of_the_last_windows_is_due_by_function_and_class_within_its_limit(site):
     recorder = hints.UsageRecorder(0.0)
     for n in range(5):
         recorder.record(n * 2_000.0, "f", "gold", 20)
--- a/tests/recovery_service/test_recovery_service_whole_file_faults.py
+++ b/tests/recovery_service/test_recovery_service_whole_file_faults.py
@@ -56,7 +56,7 @@
             assert policy_file.read_policy_file(path) == policy_file.StoredPolicy(life=7, register="r" * 50)
 
 
-def test_a_file_of_policies_cut_at_any_byte_is_none(tmp_path):
+def test_a_file_of_policies_truncated_at_any_byte_is_none(tmp_path):
     path = tmp_path / "policy.kept"
     write(path, 5)
     data = path.read_bytes()
--- a/tests/support/load_permits.py
+++ b/tests/support/load_permits.py
@@ -4,22 +4,18 @@
 ordered them is gone.
 """
 
+import heapq
+import random
+
+import msgspec
+
 from fawnwharf import interface as io
 from fawnwharf.recovery_core.budget import FleetLimits
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import allowed_in_phase
-from fawnwharf.recovery_service.actions import LoadOrder
-from fawnwharf.recovery_service.actions import SendPermitMessage
-from fawnwharf.recovery_service.actions import SlowStartPermit
-from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.recovery_service.permit_issuing import PermitTiming
-from fawnwharf.recovery_service.permit_issuing import TICK_MS
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_service.actions import LoadOrder, SendPermitMessage, SlowStartPermit
+from fawnwharf.recovery_service.permit_issuing import TICK_MS, PermitIssuer, PermitTiming
 from fawnwharf.recovery_service.permit_messages import permit_message_from
 from fawnwharf.replication.placement import rendezvous_weight
-import heapq
-import msgspec
-import random
-
 
 WORTHS = {"view": 1.0, "settle": 5.0}
 RATION_MS = 5_000.0
--- a/tests/support/recovery_admission.py
+++ b/tests/support/recovery_admission.py
@@ -1,16 +1,11 @@
 """Recovery admission in virtual time: a real timer wheel, and answers of all others by the test."""
 
-from fawnwharf.interface import ClassSpec
-from fawnwharf.interface import Effect
-from fawnwharf.net.requests import Call
-from fawnwharf.net.requests import Rejected
+from fawnwharf.interface import ClassSpec, Effect
+from fawnwharf.net.requests import Call, Rejected
 from fawnwharf.net.timer_wheel import TimerWheel
 from fawnwharf.recovery_core.budget import FleetLimits
-from fawnwharf.recovery_core.phases import RecoveryPhase
-from fawnwharf.recovery_core.phases import allowed_in_phase
-from fawnwharf.recovery_service.recovery_admission import AdmissionSettings
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
-
+from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
+from fawnwharf.recovery_service.recovery_admission import AdmissionSettings, RecoveryAdmission
 
 CLASSES = {
     "settle": ClassSpec("settle", latency_target_ms=1_000.0, effect=Effect.AT_MOST_ONCE, priority_weight=5.0),
@@ -69,7 +64,7 @@
         self.timers = TimerWheel(lambda: self.now)
         self.issuer, self.calls, self.withdrawn, self.at_once = Words(), {}, [], False
         self.admission = RecoveryAdmission(
-            self.wheel, self, AdmissionSettings(CLASSES, limits), promises, lambda: self.now
+            self.timers, self, AdmissionSettings(CLASSES, limits), promises, lambda: self.now
         )
         self.numbers, self.taken, self.passed = 0, 0, set()
         self.go_by(stage, rate_ps, **more)
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -1,5 +1,9 @@
 """Front ends with recovery in this thread: real sockets, real folders, boot marks in files."""
 
+import time
+
+from peers import SETTINGS
+
 from fawnwharf.config import deployment_from
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.policy_rollout.service import PolicyRolloutService
@@ -10,12 +14,8 @@
 from fawnwharf.serving import ExtensionGroup
 from fawnwharf.zones.bootstrap import bootstrap
 from fawnwharf.zones.service import ZoneService
-from peers import SETTINGS
 from support import policy_front_ends
-from support.policy_front_ends import STATE
-from support.policy_front_ends import VOTING
-import time
-
+from support.policy_front_ends import STATE, VOTING
 
 LEASES = policy_front_ends.TIMING
 TIMING = {"hold_ms": 300.0, "listen_ms": 1_500.0, "most_ms": 2_000.0, "settle_ms": 1_500.0}
