--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -121,11 +121,13 @@
         started_age=now_ms - min(now_ms, router.began_ms),
         run_ms=router.run_ms,
         load_limit=router.loads_limit,
-        fleet_size=router.fleet,
-        hedge_tokens=router.hedges,
-        request_ages=_ages(router.taken, now_ms),
-        load_order_ages=_ages(router.ordered, now_ms),
-        quota_tokens={tenant: (tokens, now_ms - at_ms) for tenant, (tokens, at_ms) in router.tokens.items()},
+        fleet_size=router.largest_fleet,
+        hedge_tokens=router.hedge_tokens,
+        request_ages=_ages(router.arrivals_ms, now_ms),
+        load_order_ages=_ages(router.load_orders_ms, now_ms),
+        quota_tokens={
+            tenant: (tokens, now_ms - at_ms) for tenant, (tokens, at_ms) in router.quota_tokens.items()
+        },
         run_samples=_aged(router.runs, now_ms),
         scorers=_captured_scorers(router, now_ms),
         functions=_captured_functions(router, now_ms),
@@ -141,21 +143,21 @@
 
 
 def _captured_scorers(router: Router, now_ms: float) -> list[LearnedScorer]:
-    present = [scorer for scorer in router.workers.values() if scorer.entry.state is not ScorerState.GONE]
+    present = [scorer for scorer in router.scorers.values() if scorer.entry.state is not ScorerState.GONE]
     return [_captured_scorer(scorer, now_ms) for scorer in present]
 
 
-def _captured_scorer(scorer: state.Worker, now_ms: float) -> LearnedScorer:
+def _captured_scorer(scorer: state.Scorer, now_ms: float) -> LearnedScorer:
     return LearnedScorer(
         scorer=scorer.id,
         started_age=now_ms - scorer.started_ms,
-        slowdown=scorer.strain,
-        slowdown_age=now_ms - scorer.strain_ms,
+        slowdown=scorer.slowdown,
+        slowdown_age=now_ms - scorer.slowdown_ms,
         suspect_age=None if scorer.suspect_ms is None else now_ms - scorer.suspect_ms,
-        send_ages=_ages(scorer.sent, now_ms),
+        send_ages=_ages(scorer.slow_start_sends, now_ms),
         lapses={
-            kind: (lapse.losses, now_ms - lapse.rests_ms, lapse.rest_ms)
-            for kind, lapse in scorer.lapses.items()
+            kind: (lapse.losses, now_ms - lapse.ejected_until_ms, lapse.ejection_ms)
+            for kind, lapse in scorer.loss_records.items()
         },
     )
 
@@ -178,8 +180,8 @@
         idle_ms=function.idle_ms,
         load_path=function.load_path,
         arrivals=function.arrived,
-        spread=function.width,
-        reported_concurrency=function.crowd,
+        spread=function.spread,
+        reported_concurrency=function.reported_concurrency,
         copies=_captured_copies(function, now_ms),
     )
 
@@ -193,7 +195,7 @@
             counted_age=now_ms - instance.counted_ms,
             blocked_age=now_ms - instance.blocked_ms,
         )
-        for scorer_id, instance in function.instances.items()
+        for scorer_id, instance in function.copies_by_scorer.items()
         if instance.copies
     ]
 
@@ -210,12 +212,12 @@
     router.began_ms = written_ms - learned.started_age
     router.run_ms = learned.run_ms
     router.loads_limit = learned.load_limit
-    router.hedges = learned.hedge_tokens
-    router.fleet = max(router.fleet, learned.fleet_size)
-    router.taken.extend(_times(learned.request_ages, written_ms))
-    router.ordered.extend(_times(learned.load_order_ages, written_ms))
+    router.hedge_tokens = learned.hedge_tokens
+    router.largest_fleet = max(router.largest_fleet, learned.fleet_size)
+    router.arrivals_ms.extend(_times(learned.request_ages, written_ms))
+    router.load_orders_ms.extend(_times(learned.load_order_ages, written_ms))
     for tenant, (tokens, age) in learned.quota_tokens.items():
-        router.tokens[tenant] = (tokens, written_ms - age)
+        router.quota_tokens[tenant] = (tokens, written_ms - age)
     router.runs = _samples(learned.run_samples, written_ms)
     for scorer in learned.scorers:
         _restore_scorer(router, scorer, written_ms)
@@ -235,21 +237,21 @@
 
 
 def _restore_scorer(router: Router, learned: LearnedScorer, written_ms: float) -> None:
-    scorer = router.workers.get(learned.scorer)
+    scorer = router.scorers.get(learned.scorer)
     if scorer is None:
         return
     scorer.started_ms = max(scorer.started_ms, written_ms - learned.started_age)
-    scorer.strain = learned.slowdown
-    scorer.strain_ms = written_ms - learned.slowdown_age
-    scorer.sent.extend(_times(learned.send_ages, written_ms))
+    scorer.slowdown = learned.slowdown
+    scorer.slowdown_ms = written_ms - learned.slowdown_age
+    scorer.slow_start_sends.extend(_times(learned.send_ages, written_ms))
     for kind, (losses, ends_age, length_ms) in learned.lapses.items():
-        lapse = state.Lapse()
+        lapse = state.LossRecord()
         lapse.losses = losses
-        lapse.rests_ms = written_ms - ends_age
-        lapse.rest_ms = length_ms
-        scorer.lapses[kind] = lapse
+        lapse.ejected_until_ms = written_ms - ends_age
+        lapse.ejection_ms = length_ms
+        scorer.loss_records[kind] = lapse
     if learned.suspect_age is not None:
-        scorer.suspect_ms = scorer.sign_ms = written_ms - learned.suspect_age
+        scorer.suspect_ms = scorer.probed_ms = written_ms - learned.suspect_age
         router.watched[scorer.id] = scorer
         router.suspects += scorer.entry.state == ScorerState.READY
 
@@ -266,8 +268,8 @@
     function.idle_ms = learned.idle_ms
     function.load_path = learned.load_path
     function.arrived = learned.arrivals
-    function.width = learned.spread
-    function.crowd = learned.reported_concurrency
+    function.spread = learned.spread
+    function.reported_concurrency = learned.reported_concurrency
     for copies in learned.copies:
         _restore_copies(router, function, copies, written_ms)
     return function
@@ -276,13 +278,13 @@
 def _restore_copies(
     router: Router, function: state.Function, learned: LearnedCopies, written_ms: float
 ) -> None:
-    scorer = router.workers.get(learned.scorer)
+    scorer = router.scorers.get(learned.scorer)
     if scorer is None:
         return
-    function.instances[learned.scorer] = state.Instance(
+    function.copies_by_scorer[learned.scorer] = state.ScorerCopies(
         learned.copies,
         written_ms - learned.seen_age,
         written_ms - learned.counted_age,
         blocked_ms=written_ms - learned.blocked_age,
     )
-    scorer.last = function
+    scorer.last_function = function
--- a/fawnwharf/prefetch/known.py
+++ b/fawnwharf/prefetch/known.py
@@ -12,19 +12,19 @@
 
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
-from fawnwharf.policy.state import Function, Worker, mark
-from fawnwharf.prefetch.kept import Kept
-from fawnwharf.prefetch.worth import Facts
-from fawnwharf.session_types import Text
+from fawnwharf.policy.state import Function, Scorer, mark
+from fawnwharf.prefetch.copy_value import FunctionProfile
+from fawnwharf.prefetch.lru_map import LruMap
+from fawnwharf.session_types import Identifier
 
-ORDERS_MOST = 512  # hash orders kept in mind
-PLACES_MOST = 20_000  # functions with copies, of a site
+MAX_HASH_ORDERS = 512  # hash orders kept in mind
+MAX_PLACES = 20_000  # functions with copies, of a site
 RESTS_MS = 5_000.0  # a scorer that was full, or bad, is not staged at for so long
 GAIN = 0.2  # weight of one run or load in what is held of a function
 RUN_MS, LOAD_MS, MEMORY_MB = 200.0, 1_000.0, 256.0  # guesses where nothing was seen or told
 
 
-class Scorers(Router):
+class ScorerView(Router):
     """The decision module, fed with the roster and with the number of arrivals and orders.
 
     No call ever comes to it.
@@ -33,7 +33,7 @@
     def __init__(self, site: io.Settings) -> None:
         super().__init__(replace(site, quotas_rps=dict(site.quotas_rps), classes=dict(site.classes)), 0)
         self._kept: dict[str, Function] = {}
-        self._rests: dict[int, float] = {}
+        self._resting_until_ms: dict[int, float] = {}
 
     def roster(self, now_ms: float, behind_ms: float, told: io.RosterChanged) -> None:
         """Take a change of the roster.
@@ -49,25 +49,27 @@
     def at(self, now_ms: float) -> None:
         """Set the moment that later questions are about."""
         self.handle(now_ms, [])
-        self._ration_left()  # what is past its window goes
-        self._rests = {worker: until for worker, until in self._rests.items() if until > now_ms}
+        self._load_rate_left()  # what is past its window goes
+        self._resting_until_ms = {
+            worker: until for worker, until in self._resting_until_ms.items() if until > now_ms
+        }
 
     def arrived(self, now_ms: float) -> None:
         """Count an arrival for the load rate limit."""
-        self.taken.append(now_ms)
+        self.arrivals_ms.append(now_ms)
 
     def rest(self, now_ms: float, worker: int) -> None:
         """Give no prefetch order to a scorer for `RESTS_MS`: it was full, or failed."""
-        self._rests[worker] = now_ms + RESTS_MS
+        self._resting_until_ms[worker] = now_ms + RESTS_MS
 
     def zone(self, worker: int) -> str:
         """The zone of a scorer; empty where it is unknown."""
-        found = self.workers.get(worker)
+        found = self.scorers.get(worker)
         return found.entry.zone if found else ""
 
-    def takes(self, worker: int) -> Worker | None:
+    def takes(self, worker: int) -> Scorer | None:
         """The scorer if it may be given something new, else None."""
-        found = self.workers.get(worker)
+        found = self.scorers.get(worker)
         return found if found and found.takes_new() else None
 
     def sites(self) -> list[str]:
@@ -80,10 +82,12 @@
 
     def order(self, row: str, site: str) -> list[int]:
         """The scorers of a zone in the hash order in which a function's calls look for copies."""
-        if row not in self._kept and len(self._kept) >= ORDERS_MOST:
+        if row not in self._kept and len(self._kept) >= MAX_HASH_ORDERS:
             self._kept.clear()
         fn = self._kept.setdefault(row, Function(row, "", 1, None, mark(row)))
-        return [w.id for w in self._ordered(fn) if w.entry.zone == site and w.id not in self._rests]
+        return [
+            w.id for w in self._ordered(fn) if w.entry.zone == site and w.id not in self._resting_until_ms
+        ]
 
     def cold_room(self, worker: int) -> float:
         """Loads that a scorer may be given now.
@@ -95,13 +99,13 @@
             return 0.0
         if self._warmth(found) >= 1.0:
             return float("inf")
-        return 1.0 if self._within_cold_budget(found) else 0.0
+        return 1.0 if self._within_slow_start_limit(found) else 0.0
 
     def gave(self, now_ms: float, worker: int) -> None:
         """Count a call or load that was given to a scorer, if it is in slow start."""
         found = self.takes(worker)
         if found and self._warmth(found) < 1.0:
-            found.sent.append(now_ms)
+            found.slow_start_sends.append(now_ms)
 
     def ration(self, orders: float | None, told: int) -> tuple[float, float]:
         """What the load rate limit leaves now, and would leave if no order had been given.
@@ -113,24 +117,24 @@
         settings = self.settings
         if settings.load_window_ms <= 0:
             return float("inf"), float("inf")
-        left = self._ration_left()
-        most = left + len(self.ordered)
-        return most - (len(self.ordered) if orders is None else orders) - told, most
+        left = self._load_rate_left()
+        most = left + len(self.load_orders_ms)
+        return most - (len(self.load_orders_ms) if orders is None else orders) - told, most
 
     def rate_ps(self) -> float:
         """Own arrivals a second, over the window of the load rate limit."""
-        return 1_000.0 * len(self.taken) / max(1.0, self.stretch_ms)
+        return 1_000.0 * len(self.arrivals_ms) / max(1.0, self.stretch_ms)
 
 
 AMOUNT_MOST = 1e9
 Amount = Annotated[float, Meta(ge=0.0, le=AMOUNT_MOST)]
 
 
-class Told(Struct, frozen=True, array_like=True, gc=False):
+class FunctionReport(Struct, frozen=True, array_like=True, gc=False):
     """What a front end tells the others of a function."""
 
-    row: Text
-    class_name: Text
+    row: Identifier
+    class_name: Identifier
     lanes: Annotated[int, Meta(ge=1, le=1_024)]
     memory_mb: Amount | None
     load_ms: Amount | None
@@ -145,15 +149,15 @@
     load_ms: float | None = None
     run_ms: float | None = None
     told_ms: float = float("-inf")
-    mark: int = 0
+    chunk_index: int = 0
 
 
-class Functions:
+class FunctionTable:
     """What calls and answers told of each function; the `most` functions heard of last are kept."""
 
     def __init__(self, most: int, tell_ms: float = 60_000.0) -> None:
         self.most, self.tell_ms = most, tell_ms
-        self._facts: Kept[str, _Fact] = Kept()
+        self._facts: LruMap[str, _Fact] = LruMap()
         self._due: dict[str, None] = {}  # to be told
         self.memory_mb, self.load_ms, self.run_ms = MEMORY_MB, LOAD_MS, RUN_MS  # means of all
 
@@ -184,7 +188,7 @@
             fact.load_ms = _toward(fact.load_ms, took_ms)
             self.load_ms = _toward(self.load_ms, took_ms)
 
-    def heard(self, told: Told) -> None:
+    def heard(self, told: FunctionReport) -> None:
         """Take what another front end tells of a function; what was seen here has priority."""
         fact = self._fact(told.row, told.class_name, max(1, told.lanes))
         if not fact.own:
@@ -193,17 +197,17 @@
             if getattr(fact, name) is None or not fact.own:
                 setattr(fact, name, getattr(told, name))
 
-    def last(self, most: int) -> list[Told]:
+    def last(self, most: int) -> list[FunctionReport]:
         """At most `most` functions heard of last, the latest at the end."""
         return [self._tell(row) for row in reversed(self._facts.latest(most))]
 
-    def _tell(self, row: str) -> Told:
+    def _tell(self, row: str) -> FunctionReport:
         fact = self._facts[row]
-        return Told(row, fact.class_name, fact.lanes, fact.memory_mb, fact.load_ms, fact.run_ms)
+        return FunctionReport(row, fact.class_name, fact.lanes, fact.memory_mb, fact.load_ms, fact.run_ms)
 
-    def tells(self, now_ms: float, most: int) -> tuple[Told, ...]:
+    def tells(self, now_ms: float, most: int) -> tuple[FunctionReport, ...]:
         """What is to be told to others now; the rest follows in later calls."""
-        found = []
+        found: list[FunctionReport] = []
         while self._due and len(found) < most:
             row = next(iter(self._due))
             del self._due[row]
@@ -213,7 +217,7 @@
                 found.append(self._tell(row))
         return tuple(found)
 
-    def facts(self, row: str) -> Facts | None:
+    def facts(self, row: str) -> FunctionProfile | None:
         """What is known of a function; None where nobody told its class.
 
         What was not told is guessed as the mean of the functions that did.
@@ -222,7 +226,7 @@
         if fact is None:
             return None
         memory = self.memory_mb if fact.memory_mb is None else fact.memory_mb
-        return Facts(
+        return FunctionProfile(
             fact.class_name, memory, fact.load_ms or self.load_ms, fact.run_ms or self.run_ms, fact.lanes
         )
 
@@ -230,9 +234,10 @@
         fact = self._facts.get(row) or _Fact(class_name, lanes)
         self._facts.use(row, fact)
         if len(self._facts) > self.most:
-            gone = self._facts.oldest()
-            self._facts.pop(gone)
-            self._due.pop(gone, None)
+            oldest = self._facts.oldest()
+            if oldest is not None:
+                self._facts.pop(oldest)
+                self._due.pop(oldest, None)
         return fact
 
 
@@ -246,18 +251,18 @@
     copies: dict[int, int] = {}  # by scorer
     seen_ms: dict[int, float] = {}  # when that was seen
     used_ms: float = float("-inf")  # a call of others ran, wherever it stands
-    mark: int = 0
+    chunk_index: int = 0
 
 
-class Copies:
+class CopyTable:
     """Where copies of functions stand, by answers and by other front ends' messages.
 
     The places seen last are kept. What nobody used or refreshed for an idle life counts as expired.
     """
 
-    def __init__(self, scorers: Scorers, functions: Functions, idle_ms: float) -> None:
+    def __init__(self, scorers: ScorerView, functions: FunctionTable, idle_ms: float) -> None:
         self.scorers, self.functions, self.idle_ms = scorers, functions, idle_ms
-        self._sites: dict[str, Kept[str, _Place]] = {}
+        self._sites: dict[str, LruMap[str, _Place]] = {}
         self._held_mb: dict[str, float] = {}
 
     def __len__(self) -> int:
@@ -268,7 +273,7 @@
         site = self.scorers.zone(worker)
         if copies <= 0:
             place = self._sites[site].get(row) if site in self._sites else None
-            if place is not None and place.copies.pop(worker, None):
+            if place is not None and place.copies.pop(worker, 0):
                 self._count(row, site, place)
             return
         place = self._place(now_ms, row, site)
@@ -314,11 +319,12 @@
         return False
 
     def _place(self, now_ms: float, row: str, site: str) -> _Place:
-        rows = self._sites.setdefault(site, Kept())
+        rows = self._sites.setdefault(site, LruMap())
         place = rows.get(row)
         if place is None:
-            if len(rows) >= PLACES_MOST:
-                self._drop(rows.oldest(), site)
+            oldest = rows.oldest()
+            if oldest is not None and len(rows) >= MAX_PLACES:
+                self._drop(oldest, site)
             place = _Place()
         rows.use(row, place)
         place.at_ms = max(place.at_ms, now_ms)
@@ -333,4 +339,6 @@
 
     def _drop(self, row: str, site: str) -> None:
         place = self._sites[site].pop(row)
+        if place is None:
+            return
         self._held_mb[site] = max(0.0, self._held_mb.get(site, 0.0) - place.memory_mb)
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -99,7 +99,7 @@
     @property
     def queries_done(self) -> bool:
         """Whether all startup queries are answered, or gone on without."""
-        return self.queries.done
+        return self.queries.finished
 
     @property
     def power_loss(self) -> int:
@@ -108,18 +108,18 @@
 
     def phase(self, now_ms: float) -> RecoveryPhase | None:
         """The phase that is followed; None while partitioned."""
-        return self.follower.stage(now_ms)
+        return self.follower.phase(now_ms)
 
     def allowed(self, now_ms: float) -> AllowedActions:
         """What this front end does now."""
         allowed = self.follower.allowed(now_ms, self.settings.weights)
         if allowed is None:
+            share = partitioned.budget_share(self.status.reachable, len(self.lists.members))
             allowed = partitioned.allowed_when_partitioned(
                 self.settings.weights,
-                self.status.reachable,
-                len(self.lists.members),
-                self.status.has_scorers,
-                self.queries_done,
+                share,
+                has_roster=self.status.has_scorers,
+                queries_finished=self.queries_done,
             )
         return allowed if self.queries_done else replace(allowed, status=False)
 
@@ -136,11 +136,11 @@
         granted.
         """
         lists = self.lists
-        if self.queries.stand(QueryTopic.MEMBERS) is not QueryState.ANSWERED:
+        if self.queries.state(QueryTopic.MEMBERS) is not QueryState.ANSWERED:
             return False
         if not (self.status.knows_grants and self.status.settled):
             return False
-        answers = self.queries.opens[QueryTopic.MEMBERS].answers.values()
+        answers = self.queries.queries[QueryTopic.MEMBERS].answers.values()
         return all(
             answer.number < lists.number or (answer.number, answer.digest) == (lists.number, lists.digest)
             for answer in answers
@@ -185,7 +185,7 @@
         return self._drop(DropReason.WRONG_LOG)
 
     def _answer(self, now_ms: float, sender: str, query: Query, *, by_zones: bool) -> list[Effect]:
-        topic = QueryTopic(query.what)
+        topic = QueryTopic(query.topic)
         if query.fleet != self.identity.fleet:
             return self._drop(DropReason.OTHER_FLEET)
         asks_voters = topic in (QueryTopic.MEMBERS, QueryTopic.PLAN)
@@ -198,9 +198,12 @@
         return [SendMessage((sender,), answer, by_zones)]
 
     def _answered(self, now_ms: float, sender: str, answer: Answer, target: QueryTarget) -> list[Effect]:
-        if answer.what > QueryTopic.USAGE or self.queries.steps[QueryTopic(answer.what)].of is not target:
+        if (
+            answer.topic > QueryTopic.USAGE
+            or self.queries.steps[QueryTopic(answer.topic)].target is not target
+        ):
             return self._drop(DropReason.WRONG_LOG)
-        self.queries.heard(now_ms, sender, answer)
+        self.queries.receive(now_ms, sender, answer)
         return self._apply(now_ms)
 
     def _receive_boot(self, now_ms: float, sender: str, report: BootReport) -> list[Effect]:
@@ -216,9 +219,9 @@
     ) -> list[Effect]:
         if sender not in self.lists.voters or announcement.term < self._term:
             return self._drop(DropReason.NO_LEADER)
-        if self.queries.lives.get(sender, 0) > announcement.incarnation:
+        if self.queries.incarnations.get(sender, 0) > announcement.incarnation:
             return self._drop(DropReason.EARLIER_INCARNATION)
-        has_answered = sender == self.identity.name or sender in self.queries.lives
+        has_answered = sender == self.identity.name or sender in self.queries.incarnations
         if self.follower.register is None and not has_answered:
             return self._query_leader(now_ms, sender)
         delay_ms = now_ms - announcement.sent_ms
@@ -227,7 +230,7 @@
             delay_ms = min(known.least_ms, delay_ms)
         self._delays[sender] = _LeaderDelay(announcement.incarnation, delay_ms)
         self._term = announcement.term
-        effects = self.follower.told(announcement.register, announcement.sent_ms + delay_ms)
+        effects = self.follower.receive(announcement.register, announcement.sent_ms + delay_ms)
         return [*effects, *self._apply(now_ms)]
 
     def _query_leader(self, now_ms: float, sender: str) -> list[Effect]:
@@ -235,7 +238,7 @@
         if now_ms < self._query_leader_due_ms:
             return []
         self._query_leader_due_ms = now_ms + self.settings.query_pace.again_ms
-        query = self.queries.ask_one(sender, QueryTopic.MEMBERS).message
+        query = self.queries.query_one(sender, QueryTopic.MEMBERS).message
         return [self._boot_message(), SendMessage((sender,), query)]
 
     # --- the consensus log ----------------------------------------------------------------------
@@ -250,7 +253,7 @@
 
     def proposal_dropped(self) -> None:
         """Take that a proposed register certainly never came into the log."""
-        self.leader.coordinator.not_put()
+        self.leader.coordinator.proposal_failed()
 
     def update_term(self, now_ms: float) -> list[Effect]:
         """Take that the voter may lead, or not lead any more."""
@@ -281,7 +284,7 @@
         """Do what is due; to be called at `due_ms` at the latest. `status` counts until the next call."""
         self.status = status
         if status.knows_grants:
-            self.queries.knows(now_ms, QueryTopic.GRANTS)
+            self.queries.answer_by_itself(now_ms, QueryTopic.GRANTS)
         if status.roster_received:
             self._roster_received(now_ms)
         effects: list[Effect] = self.update_term(now_ms)
@@ -299,19 +302,19 @@
         return [*effects, *self._lead(now_ms)]
 
     def _roster_received(self, now_ms: float) -> None:
-        if self.queries.stand(QueryTopic.ROSTER) in (QueryState.NOT_ASKED, QueryState.ANSWERED):
+        if self.queries.state(QueryTopic.ROSTER) in (QueryState.NOT_ASKED, QueryState.ANSWERED):
             return
         identity = self.identity
         answer = Answer(
-            identity.fleet, identity.incarnation, self.queries.turn, int(QueryTopic.ROSTER), 1, True
+            identity.fleet, identity.incarnation, self.queries.sequence, int(QueryTopic.ROSTER), 1, True
         )
-        self.queries.heard(now_ms, CHANGE_LOG, answer)
+        self.queries.receive(now_ms, CHANGE_LOG, answer)
 
     def _due_queries(self, now_ms: float) -> list[SendMessage]:
         messages = []
         for query in self.queries.tick(now_ms):
             if query.to != CHANGE_LOG:
-                target = self.queries.steps[QueryTopic(query.message.what)].of
+                target = self.queries.steps[QueryTopic(query.message.topic)].target
                 messages.append(SendMessage((query.to,), query.message, target is QueryTarget.VOTERS))
         return messages
 
@@ -346,7 +349,7 @@
         effects: list[Effect] = []
         if self.queries_done and not self._queries_logged:
             self._queries_logged = True
-            missing = list(self.queries.without().values())
+            missing = list(self.queries.fallbacks().values())
             effects.append(LogEvent("startup queries done", {"missing": missing}))
         applied = self._phase_to_apply(now_ms)
         allowed = applied.allowed
@@ -370,7 +373,11 @@
         register = self.follower.register
         front_ends = self.status.reachable if phase is None or register is None else register.fronts
         return ApplyPhase(
-            self.allowed(now_ms), phase, self.power_loss, max(1, front_ends), self.follower.dealt(now_ms)
+            self.allowed(now_ms),
+            phase,
+            self.power_loss,
+            max(1, front_ends),
+            self.follower.permit_assignment(now_ms),
         )
 
 
--- a/fawnwharf/recovery_service/agent_queries.py
+++ b/fawnwharf/recovery_service/agent_queries.py
@@ -2,7 +2,7 @@
 
 from msgspec import structs
 
-from fawnwharf.recovery_core.queries import Answer, Query, QueryTarget, QueryTopic, StartupQueries
+from fawnwharf.recovery_core.queries import Answer, Querier, Query, QueryTarget, QueryTopic, StartupQueries
 from fawnwharf.recovery_service.agent_actions import LocalStatus
 from fawnwharf.recovery_service.agent_settings import AgentIdentity, AgentSettings
 from fawnwharf.recovery_service.recovery_leader import MemberLists
@@ -25,15 +25,8 @@
         QueryTarget.REPLICAS: lists.replicas,
         QueryTarget.CHANGE_LOG: (CHANGE_LOG,),
     }
-    return StartupQueries(
-        identity.name,
-        identity.fleet,
-        identity.incarnation,
-        targets,
-        now_ms,
-        own,
-        settings.query_pace,
-    )
+    querier = Querier(identity.name, identity.fleet, identity.incarnation, targets, own)
+    return StartupQueries(querier, now_ms, settings.query_pace)
 
 
 def answer_query(
@@ -45,8 +38,8 @@
     answer only says whose it is. `is_leased` is whether the own plan is the fleet's last under a leader's
     lease.
     """
-    answer = Answer(query.fleet, query.life, query.turn, query.what, incarnation, False)
-    topic = QueryTopic(query.what)
+    answer = Answer(query.fleet, query.incarnation, query.sequence, query.topic, incarnation, False)
+    topic = QueryTopic(query.topic)
     if not status.settled or not _is_certain(topic, status):
         return answer
     number, digest = 0, ""
@@ -54,7 +47,7 @@
         number, digest = lists.number, lists.digest
     elif topic is QueryTopic.PLAN:
         number, digest = status.plan
-    return structs.replace(answer, sure=True, number=number, digest=digest, leased=is_leased)
+    return structs.replace(answer, trusted=True, number=number, digest=digest, leased=is_leased)
 
 
 def _is_certain(topic: QueryTopic, status: LocalStatus) -> bool:
--- a/fawnwharf/recovery_service/front_end_integration.py
+++ b/fawnwharf/recovery_service/front_end_integration.py
@@ -45,7 +45,7 @@
     """Owns the ticks of permit issuing, and passes on messages, load orders and permits."""
 
     order_gate: LoadOrderGate
-    _send_order: Callable[[io.OrderCopies], None]
+    _send_order: Callable[[Any], object]
 
     def __init__(
         self, front: FrontEnd, state: ReplicationService, settings: Settings, incarnation: int
@@ -92,7 +92,7 @@
         if not self._applied.allowed.spill:
             self.admission.apply(AllowedActions(), 0.0, self.issuer)  # clients may retry elsewhere
 
-    def _insert_gate(self, send_order: Callable[[io.OrderCopies], None]) -> Callable[[io.OrderCopies], None]:
+    def _insert_gate(self, send_order: Callable[[Any], object]) -> Callable[[Any], object]:
         front = self.front
         self._send_order = send_order
         self.order_gate = LoadOrderGate(
@@ -176,7 +176,7 @@
         """Orders that the decision module would make by `PrefetchRequested`; waiting calls come first."""
         router = self.front.router
         waiting = sum(len(function.queue) for function in router.functions.values())
-        return router._ration_left() - waiting if router.settings.load_orders_allowed else 0.0
+        return router._load_rate_left() - waiting if router.settings.load_orders_allowed else 0.0
 
     # --- ticks, messages and answers ------------------------------------------------------------
 
--- a/fawnwharf/recovery_service/load_order_gate.py
+++ b/fawnwharf/recovery_service/load_order_gate.py
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        send_order: Callable[[io.OrderCopies], None],
+        send_order: Callable[[io.OrderCopies], object],
         query: Callable[[LoadOrder], None],
         notify_module: Callable[[io.Event], object],
         requests: Mapping[str, OpenRequest],
--- a/fawnwharf/recovery_service/local_status.py
+++ b/fawnwharf/recovery_service/local_status.py
@@ -41,7 +41,7 @@
         placement = self._state.core.placement
         # Who there is, not where: each may reach the others by other addresses, and goes by the same list.
         identity = sorted(
-            (entry.name, entry.zone, entry.region, bool(entry.ballots), bool(entry.state))
+            (entry.name, entry.zone, entry.region, bool(entry.voter_address), bool(entry.replication_address))
             for entry in members.members
         )
         return MemberLists(
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -8,12 +8,12 @@
 from typing import NamedTuple
 
 from fawnwharf.recovery_core.budget import choose_load_coordinators
+from fawnwharf.recovery_core.coordinator import RecoveryCoordinator
 from fawnwharf.recovery_core.phases import (
     Effect,
     FleetObservation,
     LogEvent,
     PhaseTiming,
-    RecoveryCoordinator,
 )
 from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS, RecoveryPhase
 from fawnwharf.recovery_core.trust import RestartScope, restart_scope
@@ -181,12 +181,12 @@
         log is undecided.
         """
         if self.term and self.term != status.term:
-            self.coordinator.rest()
+            self.coordinator.end_term()
             self.term = 0
         may_begin = status.fresh and status.settled and status.term != self._unreadable_term
         if self.term or not may_begin:
             return []
-        effects = self.coordinator.lead(now_ms, status.recovery, status.voters)
+        effects = self.coordinator.begin_term(now_ms, status.recovery, status.voters)
         self.term = status.term if self.coordinator.leads else 0
         self._unreadable_term = 0 if self.term else status.term
         self._announced = _Announcement()
@@ -222,7 +222,7 @@
         boots = self._voters_boots(now_ms)
         if 2 * boots.reachable <= len(status.voters):  # too few to tell whether the fleet lost its power
             return []
-        return self.coordinator.tick(now_ms, self.observe(now_ms), boots.by_voter, status.fresh)
+        return self.coordinator.tick(now_ms, self.observe(now_ms), boots.by_voter, holds_lease=status.fresh)
 
     def announcement(self, now_ms: float, status: ConsensusStatus) -> str | None:
         """The register for all; None where that is not due, or it may not be the last one.
--- a/fawnwharf/recovery_service/running_recovery.py
+++ b/fawnwharf/recovery_service/running_recovery.py
@@ -248,7 +248,7 @@
             self._store_hints(now_ms)
             if self.parts.store.condition is StoreCondition.PARTIAL:
                 self._confirm_store()
-        roster_state = self.agent.queries.stand(QueryTopic.ROSTER)
+        roster_state = self.agent.queries.state(QueryTopic.ROSTER)
         if not self._earlier_roster_tried and roster_state is QueryState.TIMED_OUT:
             self._use_earlier_roster()
         status = self._status.read(self.front, roster_received=self._roster_received)
--- a/fawnwharf/recovery_service/status_display.py
+++ b/fawnwharf/recovery_service/status_display.py
@@ -25,8 +25,8 @@
         reason=register.why if register is not None else "",
         front_ends=agent.leader.reporting(now_ms) if agent.leader.term else 0,
         voters=agent.voters_heard(now_ms),
-        queries={topic.label: agent.queries.stand(topic).value for topic in QueryTopic},
-        missing=tuple(agent.queries.without().values())[:MAX_ITEMS],
+        queries={topic.label: agent.queries.state(topic).value for topic in QueryTopic},
+        missing=tuple(agent.queries.fallbacks().values())[:MAX_ITEMS],
         doubts=tuple(_doubts(agent)[:MAX_ITEMS]),
         counts=dict(sorted(counts.items())[:MAX_COUNTS]),
     )
@@ -52,6 +52,8 @@
         doubts.append("its replica does not know all that it granted")
     if not agent.identity.boot:
         doubts.append("the system has no boot id")
-    if agent.queries.behind:
-        doubts.append(f"a voter goes by list of members {agent.queries.behind}, which is later than its own")
+    if agent.queries.newer_membership:
+        doubts.append(
+            f"a voter goes by list of members {agent.queries.newer_membership}, which is later than its own"
+        )
     return doubts
--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -81,18 +81,18 @@
     ("ready", [], request("/status", "GET"), 200, None),
     ("on standby", [request("/standby")], request("/status", "GET"), 503, None),
     ("back", [request("/standby"), request("/active")], request("/status", "GET"), 200, None),
-    ("out", [], request(ENTER, "POST", "s-1"), 200, EnterMaintenance("s-1")),
-    ("out twice", [request(ENTER, "POST", "s-1")], request(ENTER, "POST", "s-1"), 200, None),
+    ("maintenance", [], request(ENTER, "POST", "s-1"), 200, EnterMaintenance("s-1")),
+    ("maintenance twice", [request(ENTER, "POST", "s-1")], request(ENTER, "POST", "s-1"), 200, None),
     (
-        "two out, one back",
+        "maintenance twice, then exit",
         [request(ENTER, "POST", "s-1")] * 2,
         request(EXIT, "POST", "s-1"),
         200,
         ExitMaintenance("s-1"),
     ),
-    ("back without out", [], request(EXIT, "POST", "s-1"), 200, None),
-    ("nobody's id", [], request(ENTER, "POST", "s-9"), 404, None),
-    ("nobody's id back", [], request(EXIT, "POST", "s-9"), 404, None),
+    ("exit without maintenance", [], request(EXIT, "POST", "s-1"), 200, None),
+    ("an unknown id", [], request(ENTER, "POST", "s-9"), 404, None),
+    ("an unknown id, exit", [], request(EXIT, "POST", "s-9"), 404, None),
     ("no target", [], request(ENTER), 400, None),
     ("an empty target", [], request(ENTER, "POST", ""), 400, None),
     ("two targets", [], request(ENTER, "POST", "s-1", "s-2"), 400, None),
@@ -240,11 +240,11 @@
         client.call()
         rig.until(lambda: other.runs, "the next goes elsewhere")
         assert len(home.runs) == 1
-        worker = rig.front.router.workers[scorer_number(home.id)]
+        worker = rig.front.router.scorers[scorer_number(home.id)]
         assert worker.entry.state is ScorerState.DRAINING
         before = rig.front.loop.clock.now_ms()
         assert rig.ask(f"{EXIT}?target={home.id}") == 200
-        rig.until(lambda: worker.entry is not None and rig.front.router.workers[worker.id].entry.state == 1)
+        rig.until(lambda: worker.entry is not None and rig.front.router.scorers[worker.id].entry.state == 1)
         assert worker.started_ms >= before  # it is cold, and its copies are gone
         router = rig.front.router
         assert {router._copies(fn, worker) for fn in router.functions.values()} == {0}
--- a/tests/recovery_service/test_recovery_service_agent.py
+++ b/tests/recovery_service/test_recovery_service_agent.py
@@ -113,7 +113,7 @@
     for name in ("n0", "n3"):
         allowed = fleet.agents[name].allowed(fleet.now)
         assert allowed.alone and allowed.status and allowed.part == 0.2 and not allowed.spill
-        without = fleet.agents[name].queries.without()
+        without = fleet.agents[name].queries.fallbacks()
         assert QueryTopic.MEMBERS in without and QueryTopic.PLAN in without
     fleet.begin("boot 2", "n1", "n2", "n4")
     fleet.until_stage(RecoveryPhase.NORMAL, cut=1)
@@ -232,13 +232,13 @@
     agent = fleet.agents["n0"]
     ask = Query("f", 7, 3, int(QueryTopic.PLAN))
     (said,) = agent.receive_by_zones(fleet.now, "n4", ask)
-    assert said.message.sure and said.message.number > 0 and said.to == ("n4",)
+    assert said.message.trusted and said.message.number > 0 and said.to == ("n4",)
     for change in ({"settled": False}, {"votes": False}):
         agent.status = fleet.own("n0").__class__(**{
             key: getattr(fleet.own("n0"), key) for key in fleet.own("n0").__slots__
         } | change)  # fmt: skip
         (said,) = agent.receive_by_zones(fleet.now, "n4", ask)
-        assert (said.message.sure, said.message.number, said.message.digest, said.message.life) == (
+        assert (said.message.trusted, said.message.number, said.message.digest, said.message.incarnation) == (
             False,
             0,
             "",
@@ -275,9 +275,9 @@
     told = w.PhaseAnnouncement(
         1, fleet.agents[leader].leader.term, fleet.now, agent.follower.register.encode()
     )
-    before = agent.follower.word_ms
+    before = agent.follower.confirmed_ms
     agent.receive_by_zones(fleet.now + 9_000.0, leader, told)
-    assert before <= agent.follower.word_ms <= fleet.now + 30.0
+    assert before <= agent.follower.confirmed_ms <= fleet.now + 30.0
 
 
 def test_a_start_takes_no_phase_of_one_that_has_not_answered_it():
@@ -291,9 +291,9 @@
     assert isinstance(boot.message, w.BootReport) and isinstance(ask.message, Query) and ask.to == (leader,)
     assert agent.follower.register is None and agent.receive_by_zones(fleet.now, leader, told) == []
     agent.receive_by_zones(
-        fleet.now, leader, Answer("f", agent.identity.incarnation, ask.message.turn, 0, 1, False)
+        fleet.now, leader, Answer("f", agent.identity.incarnation, ask.message.sequence, 0, 1, False)
     )
-    assert agent.queries.stand(QueryTopic.MEMBERS) is QueryState.WAITING  # it was no word on the members
+    assert agent.queries.state(QueryTopic.MEMBERS) is QueryState.WAITING  # it was no word on the members
     agent.receive_by_zones(fleet.now, leader, told)
     assert agent.phase(fleet.now) is RecoveryPhase.NORMAL
 
--- a/tests/recovery_service/test_recovery_service_service.py
+++ b/tests/recovery_service/test_recovery_service_service.py
@@ -40,7 +40,7 @@
         assert stages == [stage for stage in RETURN if stage in stages] and stages[-1] == "spill"
         assert not any(f["status"] for f in node.noted("recovery phase") if f["phase"] in RETURN[:2])
         assert site.ready(node) is True
-        site.until(lambda node=node: node.agent.queries.without() == {}, "all is answered")
+        site.until(lambda node=node: node.agent.queries.fallbacks() == {}, "all is answered")
         assert len(node.noted("startup queries done")) == 1
         assert (
             node.part.parts.store.condition is StoreCondition.INTACT
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -131,7 +131,7 @@
             messages=[ClientMessage(msgspec.to_builtins(effect.message), effect.to, RECOVERY)]
         )
         for other in self.names:
-            voter = self.file.named(name).ballots or self.file.named(other).ballots
+            voter = self.file.find_member(name).voter_address or self.file.find_member(other).voter_address
             if other != name and voter and self.chance.random() >= self.lost:
                 self.send(name, other, line, False)
 
@@ -209,5 +209,5 @@
         self.until(lambda: all(agent.queries_done for agent in self.agents.values()))
         leader = self.leader
         self.until(lambda: len(self.agents[leader].leader.coordinator.register.boots) == 3)
-        self.until(lambda: self.agents[leader].leader.coordinator.asked is None)
+        self.until(lambda: self.agents[leader].leader.coordinator.proposed is None)
         return self
--- a/tests/support/register_permits.py
+++ b/tests/support/register_permits.py
@@ -93,7 +93,7 @@
             super().run(STEP_S)
             for name in sorted(self.up):
                 agent, issuer = self.agents[name], self.issuer[name]
-                may, dealt = agent.allowed(self.now), agent.follower.dealt(self.now)
+                may, dealt = agent.allowed(self.now), agent.follower.permit_assignment(self.now)
                 issuer.update(self.now, self.up, agent.lists.replicas, may, agent.power_loss, dealt)
                 if may.loads and not may.spill:
                     self.entered.setdefault(name, self.now)
--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -13,8 +13,8 @@
 from fawnwharf.fakes.sessions import Live
 from fawnwharf.migration import messages as m
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.prefetch.ways import foretold_from
-from fawnwharf.session_types import Home, Session
+from fawnwharf.prefetch.baseline_strategies import parse_known_moves
+from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.moves import target
 from fawnwharf.sessions.trace import Trace
@@ -162,7 +162,7 @@
     fleet = runner.fleet
     front = fleet.fronts["n1"]
     trace = Trace(front.folder / "trace.jsonl")
-    trace.taken("r1", Home(Session("t", "f"), "b", 3))
+    trace.taken("r1", Placement(Session("t", "f"), "b", 3))
     context = m.Context(spent=(("n0#7", 9),))
     words = [m.Receive(Session("t", "f"), m.Turn(), 4, 1, 10.0, context), m.Give(Session("t", "f"), m.Turn())]
     trace.received([*words, m.Receive(Session("t", "f"), m.Turn(), 4, 1, 10.0)])
@@ -239,12 +239,12 @@
         {"do": "move_clients", "what": "a", "to": "b,c", "value": 0.5, "when": {"after_s": 2}}, Step
     )
     steps.ahead(step)
-    [first, *_] = ahead = foretold_from((fleet.fronts["n4"].folder / "told.jsonl").read_bytes())
+    [first, *_] = ahead = parse_known_moves((fleet.fronts["n4"].folder / "told.jsonl").read_bytes())
     assert len(ahead) == 6
     steps.move_clients(step)
-    went = [(m.org, m.row, m.whither) for m in fleet.clients.moved]
-    assert [(m.org, m.row, m.whither) for m in ahead] == went
-    assert {m.whence for m in fleet.clients.moved} == {"a"} and first.at_ms > 1e12  # of the Unix clock
+    went = [(m.org, m.row, m.destination) for m in fleet.clients.moved]
+    assert [(m.org, m.row, m.destination) for m in ahead] == went
+    assert {m.source for m in fleet.clients.moved} == {"a"} and first.at_ms > 1e12  # of the Unix clock
 
 
 def test_clients_may_follow_their_sessions_to_where_front_ends_hand_them_over():
