--- a/tests/test_rejoin_dealt.py
+++ b/tests/recovery_service/test_recovery_service_assigned_permits.py
@@ -23,10 +23,12 @@
     parse_register,
 )
 from fawnwharf.recovery_service import messages as w
+from fawnwharf.recovery_service import permit_messages as m
 from fawnwharf.recovery_service.coordinated_slow_start import CoordinatedSlowStart
 from fawnwharf.recovery_service.delegated_loads import DELEGATION_MS
 from fawnwharf.recovery_service.permit_issuing import EXPIRY_SCAN_MS, TICK_MS
-from fawnwharf.recovery_service.recovery_leader import MemberLists, RecoveryLeader
+from fawnwharf.recovery_service.permit_view import AssignmentNumber, PermitView
+from fawnwharf.recovery_service.recovery_leader import LeaderTiming, MemberLists, RecoveryLeader
 
 ROWS = [f"f{i}" for i in range(400)]
 STEP_MS = 20.0
@@ -48,7 +50,7 @@
     assert fleet.orders[0][0] - min(fleet.entered.values()) <= TICK_MS + STEP_MS
     fleet.until_stage(RecoveryPhase.ALL_CALLS, cut=1)
     dealt = fleet.agents["n0"].follower.register
-    assert dealt.deals == 1 and set(dealt.givers) <= set(fleet.agents["n0"].lists.keepers)
+    assert dealt.deals == 1 and set(dealt.givers) <= set(fleet.agents["n0"].lists.replicas)
 
 
 def played(seed, lost=0.0, word_ms=WORD_MS):
@@ -65,8 +67,8 @@
                 fleet.kill(chance.choice(sorted(fleet.up & set(fleet.keepers)) or sorted(fleet.up)))
         for name in sorted(filter(fleet.gives, fleet.up)):
             fleet.ask(name, 4)
-            for i, row in enumerate(ROWS):
-                fleet.fronts[name].want(fleet.now, row, 400.0 - i, "view")
+            for i, function in enumerate(ROWS):
+                fleet.fronts[name].request_copy(fleet.now, m.LoadRequest(function, "view", 400.0 - i))
     sent = [at for at in fleet.sent if at < LIMITS.cold_ms]
     within = {at: sum(at - LIMITS.fall_ms < other <= at for other in sent) for at in sent}
     return fleet.most, max(count - LIMITS.max_calls(at) for at, count in within.items()), fleet
@@ -74,7 +76,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("lost", [0.0, 0.15])
-def test_never_beyond_the_budgets_while_some_go_by_the_register_before_for_as_long_as_they_may(seed, lost):
+def test_never_beyond_the_budgets_while_some_follow_the_earlier_register_for_as_long_as_they_may(seed, lost):
     most, beyond, fleet = played(seed, lost)
     assert most <= LIMITS.fetches and beyond <= 0
     assert fleet.dealt.deals > 1 and len(fleet.orders) > 50 and len(fleet.sent) > 50
@@ -88,20 +90,20 @@
 
 
 @pytest.mark.parametrize(("lag_ms", "kept"), [(WORD_MS, True), (0.0, False)])
-def test_a_new_warden_waits_for_as_long_as_one_may_go_by_the_register_before(lag_ms, kept):
+def test_a_new_slow_start_coordinator_waits_for_as_long_as_one_may_follow_the_earlier_register(lag_ms, kept):
     old, new = (CoordinatedSlowStart(name, 1, LIMITS, 0.0) for name in ("n0", "n1"))
     id = next(
         i for i in range(50) if slow_start_coordinator_of(str(i), ("n0", "n1")) == "n1"
     )  # n1's by the second dealing
     for front in (old, new):
-        front.set(0.0, ("n0",), 1.0, (1, 1), 0.0, True)
-        front.scorer(1_000.0, id, 1_000.0)
-    new.set(2_000.0, ("n0", "n1"), 1.0, (1, 2), lag_ms)
+        front.update(0.0, PermitView(("n0",), 1.0, 1, AssignmentNumber(1, 1), 0.0, True))
+        front.scorer_seen(1_000.0, id, 1_000.0)
+    new.update(2_000.0, PermitView(("n0", "n1"), 1.0, 1, AssignmentNumber(1, 2), lag_ms))
     sent = []
     for now in range(2_000, 6_000, 5):
-        if now < 2_000.0 + WORD_MS and old.ask(now, id, f"old {now}") == 0.0:
+        if now < 2_000.0 + WORD_MS and old.request(now, id, f"old {now}") == 0.0:
             sent.append(now)
-        if new.ask(now, id, f"new {now}") == 0.0:
+        if new.request(now, id, f"new {now}") == 0.0:
             sent.append(now)
     assert len(sent) > 3 * LIMITS.max_calls(2_000.0) and max(sent) > 5_000
     within = {at: sum(at - LIMITS.fall_ms < other <= at for other in sent) for at in sent}
@@ -109,20 +111,20 @@
     assert (beyond <= 0) is kept
 
 
-def test_a_later_dealing_waits_for_the_word_of_the_one_before_and_a_missed_one_for_all():
+def test_a_later_assignment_waits_for_the_message_of_the_one_before_and_a_missed_one_for_all():
     fleet = DealtFleet()
     fleet.run(1_200.0)
-    seats, rest = fleet.fronts["n0"].seats, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
-    fleet.fronts["n0"].set(1_200.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(fleet.dealt.givers, 1, 1))
-    assert seats.mine == seats.ready(1_200.0) == 1
-    fleet.fronts["n0"].set(2_000.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 2))
+    permits, rest = fleet.fronts["n0"].permits, allowed_in_phase(RecoveryPhase.ALL_CALLS, WORTHS)
+    fleet.fronts["n0"].update(1_200.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(fleet.dealt.givers, 1, 1))
+    assert permits.own_count == permits.ready(1_200.0) == 1
+    fleet.fronts["n0"].update(2_000.0, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 2))
     due = 2_000.0 + WORD_MS + EXPIRY_SCAN_MS + fleet.usual_ms + DELEGATION_MS
-    assert (seats.mine, seats.ready(due - 1), seats.ready(due)) == (2, 1, 2)
-    fleet.fronts["n0"].set(due, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 4))
-    assert seats.ready(due) == 0  # they may have been another's by the third
+    assert (permits.own_count, permits.ready(due - 1), permits.ready(due)) == (2, 1, 2)
+    fleet.fronts["n0"].update(due, {"n0"}, ["n0"], rest, 1, PermitAssignment(("n0", "n1"), 1, 4))
+    assert permits.ready(due) == 0  # they may have been another's by the third
 
 
-def test_one_that_started_after_worth_waits_in_the_first_dealing_too():
+def test_one_that_started_after_worth_waits_in_the_first_assignment_too():
     fleet = DealtFleet()
     fleet.run(1_200.0)
     name = "n0"
@@ -130,15 +132,15 @@
     fleet.start(name)
     dealt = fleet.dealt
     assert dealt.deals == 1
-    fleet.fronts[name].set(1_210.0, {name}, [name], AllowedActions(loads=True), 1, dealt)
-    assert fleet.fronts[name].seats.ready(1_210.0) == 0
+    fleet.fronts[name].update(1_210.0, {name}, [name], AllowedActions(loads=True), 1, dealt)
+    assert fleet.fronts[name].permits.ready(1_210.0) == 0
 
 
 def seen(*givers, gave=False):
     return FleetObservation(members=9, heard=9, asked=9, givers=givers, gave=gave, first=0.0, served=0.0)
 
 
-def test_the_conductor_deals_with_worth_and_again_only_when_a_giver_is_gone_for_a_time():
+def test_the_recovery_coordinator_assigns_with_priority_calls_and_again_only_when_an_issuer_is_gone_for_a_time():
     led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     assert [(r.stage, r.givers, r.deals) for r in led.told] == [
         (0, ("a", "b"), 0), (1, ("a", "b"), 0), (2, ("a", "b"), 1),
@@ -161,7 +163,7 @@
     assert led.told[-1].givers == () and led.told[-1].deals == 3
 
 
-def test_a_stage_that_is_entered_while_a_giver_is_not_heard_for_a_moment_changes_no_dealing():
+def test_a_phase_that_is_entered_while_an_issuer_is_not_heard_for_a_moment_changes_no_assignment():
     led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     while led.now < led.core.since_ms + PhaseTiming().most_ms - 300.0:
         led.step(seen("a", "b"))
@@ -171,18 +173,20 @@
     assert led.core.issuers_differ_since_ms is None
 
 
-def test_where_one_gave_without_a_stage_the_first_dealing_waits_as_a_later_one():
+def test_where_one_gave_without_a_phase_the_first_assignment_waits_as_a_later_one():
     led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", gave=True))
     assert led.told[-1].deals == 2
     lead = RecoveryLeader(
-        PhaseTiming(), MemberLists(tuple("abcd"), tuple("abc"), tuple("bcd")), 1_000.0, 1_000.0, 100.0
+        PhaseTiming(),
+        MemberLists(tuple("abcd"), tuple("abc"), tuple("bcd")),
+        LeaderTiming(1_000.0, 1_000.0, 100.0),
     )
     for name in "abd":
-        lead.stands(0.0, name, w.StatusReport(1, True, True, gave=name == "a"))
-    assert lead.seen(10.0).givers == ("b", "d") and lead.seen(10.0).gave
+        lead.receive_status(0.0, name, w.StatusReport(1, True, True, issued_alone=name == "a"))
+    assert lead.observe(10.0).givers == ("b", "d") and lead.observe(10.0).gave
 
 
-def test_a_text_of_before_deals_nothing_and_many_keepers_are_bounded():
+def test_a_text_of_before_assigns_nothing_and_many_replicas_are_bounded():
     old = '{"recovery":1,"number":4,"cut":1,"stage":2,"part":1.0,"fronts":3,"boots":{},"why":""}'
     follower = PhaseFollower(PhaseTiming(), 0.0)
     follower.receive(old, 0.0)
@@ -193,9 +197,11 @@
         and follower.permit_assignment(6_000.0) is None
     )  # alone
     names = tuple(f"n{i}" for i in range(500))
-    lead = RecoveryLeader(PhaseTiming(), MemberLists(names, names[:3], names), 1_000.0, 1_000.0, 100.0)
+    lead = RecoveryLeader(
+        PhaseTiming(), MemberLists(names, names[:3], names), LeaderTiming(1_000.0, 1_000.0, 100.0)
+    )
     for name in names:
-        lead.stands(0.0, name, w.StatusReport(1, True, True))
-    givers = lead.seen(1.0).givers
+        lead.receive_status(0.0, name, w.StatusReport(1, True, True))
+    givers = lead.observe(1.0).givers
     assert len(givers) == MAX_PERMIT_ISSUERS and givers == tuple(sorted(givers))
     assert parse_register(RecoveryRegister(givers=givers).encode()).givers == givers
--- a/tests/test_rejoin_disks.py
+++ b/tests/recovery_service/test_recovery_service_disks.py
@@ -64,7 +64,7 @@
         the end."""
         one, second, third = self.one, self.second, self.third
         self.ready(one, *([] if second.alive else [second]))
-        assert self.said(one, "store read")[-1]["why"].startswith(why)
+        assert self.said(one, "recovery store read")[-1]["why"].startswith(why)
         assert self.said(one, "grants read")[-1]["trusted"] is False
         assert self.said(second, "grants read")[-1]["trusted"] is True
         asked = [self.again(request, zone) for zone in (one.zone, second.zone)]
@@ -78,7 +78,7 @@
             assert self.outcome(request, front.zone) == "failed"
         assert self.runs(request) == 1
         self.served("a new call")
-        self.until(lambda: self.said(one, "the store is confirmed"), "doubt to end")
+        self.until(lambda: self.said(one, "recovery store confirmed"), "doubt to end")
         assert not self.faults
 
     def sure(self, front):
@@ -134,7 +134,7 @@
     found.close()
 
 
-def test_a_folder_put_back_from_a_copy_is_refused_and_repaired_in_doubt(fleet):
+def test_a_folder_put_back_from_a_copy_is_rejected_and_repaired_in_doubt(fleet):
     disk = fleet.disk(fleet.one)
     copy = disk.with_name("copy")
     shutil.copytree(disk, copy)
@@ -148,7 +148,7 @@
     fleet.in_doubt(request, "repaired: snap-")
 
 
-def test_swapped_folders_are_refused_and_an_empty_one_comes_up_in_doubt(fleet):
+def test_swapped_folders_are_rejected_and_an_empty_one_comes_up_in_doubt(fleet):
     request = fleet.lose()
     one, second = fleet.one, fleet.second
     disks = fleet.disk(one), fleet.disk(second)
@@ -162,7 +162,7 @@
     fleet.in_doubt(request, "empty")
 
 
-def test_a_flipped_bit_in_what_was_synced_is_refused_and_repaired_in_doubt(fleet):
+def test_a_flipped_bit_in_what_was_synced_is_rejected_and_repaired_in_doubt(fleet):
     disk = fleet.disk(fleet.one)
     fleet.served("a call, in the log of this life")
     fleet.until(lambda: proven(last(disk, "log-*.seg")), "its groups to be proven")
--- a/tests/test_disk_faults_promises.py
+++ b/tests/recovery_service/test_recovery_service_promise_disk_faults.py
@@ -19,14 +19,14 @@
 
 def no_room(kept):
     """The bytes of promises are used up."""
-    kept._bytes[PROMISES.name] = PROMISES.all_bytes - 10
+    kept._bytes[PROMISES.name] = PROMISES.max_total_bytes - 10
 
 
 def room(kept):
     kept._bytes[PROMISES.name] = 0
 
 
-def test_a_keeper_that_could_not_keep_what_it_heard_knows_not_all_after_a_restart(site):
+def test_a_replica_that_could_not_keep_what_it_heard_knows_not_all_after_a_restart(site):
     cores = StoreCores(site)
     keeper, (owner, other, _) = cores.keepers[0], cores.owners
     cores.lost = {keeper}
@@ -45,15 +45,15 @@
     assert not cores.sure(keeper) and not asks(cores, other, keeper)().granted
 
 
-def test_once_what_it_could_not_keep_is_over_a_keeper_is_known_to_know_all(site):
+def test_once_what_it_could_not_keep_is_over_a_replica_is_known_to_know_all(site):
     cores = StoreCores(site)
     keeper = cores.keepers[0]
     no_room(cores.kepts[keeper])
     assert not asks(cores, cores.owners[0], keeper)().granted
     cores.turn()
-    assert cores.kepts[keeper].sure == 0 and cores.sure(keeper)
+    assert cores.kepts[keeper].known_list == 0 and cores.sure(keeper)
     cores.wait(9_000)
-    assert cores.kepts[keeper].sure == cores.cores[keeper].placement.number
+    assert cores.kepts[keeper].known_list == cores.cores[keeper].placement.number
     cores.end_all("cut", keeper)
     assert cores.sure(keeper)
 
@@ -66,26 +66,26 @@
             pass
 
 
-def test_a_full_store_does_not_forget_that_it_is_in_part_nor_refuse_a_ticket(site):
+def test_a_full_store_does_not_forget_that_it_is_incomplete_nor_reject_a_commit_ticket(site):
     limits = msgspec.structs.replace(LIMITS, state_bytes=20_000)
     kept = site.kept(fresh=True, limits=limits)
     filled(kept)
-    kept.doubt("a reason of some length" * 10)
+    kept.mark_incomplete("a reason of some length" * 10)
     told = []
     for _ in range(12):  # its number grows by a digit
-        kept.on_disk(lambda good, why: told.append((good, why)))
+        kept.when_committed(lambda good, why: told.append((good, why)))
         site.pump(kept)
     assert told == [(True, "")] * 12
     site.machine().cut(share=0.0)
     again = site.kept(limits=limits)
-    assert again.whole is StoreCondition.PARTIAL and again.why.startswith("a reason of some length")
+    assert again.condition is StoreCondition.PARTIAL and again.doubt.startswith("a reason of some length")
 
 
-def test_a_cause_of_any_characters_has_room(site):
+def test_a_reason_of_any_characters_has_room(site):
     kept = site.kept(fresh=True)
     for why in ("\U0001f4be" * 900, "\0" * 900):
-        kept.doubt(why[: k.MAX_REASON_LENGTH])
+        kept.mark_incomplete(why[: k.MAX_REASON_LENGTH])
         site.pump(kept, 200.0)
         site.machine().cut(share=0.0)
         kept = site.kept()
-        assert kept.whole is StoreCondition.PARTIAL and kept.why == why[: k.MAX_REASON_LENGTH]
+        assert kept.condition is StoreCondition.PARTIAL and kept.doubt == why[: k.MAX_REASON_LENGTH]
