--- a/tests/replication/test_replication_faults.py
+++ b/tests/replication/test_replication_faults.py
@@ -114,7 +114,7 @@
     log.begin(0.0, 1, [])
     write = os.write
     monkeypatch.setattr(os, "write", lambda file, data: write(file, data[:10]))
-    with pytest.raises(DiskError, match="no room"):
+    with pytest.raises(DiskError, match="no space for a complete record"):
         log.write(0.0, [("k", Claim("n9#1", 1, 1, 0, ClaimPhase.GRANTED), 9.0)], 0)
     log.close()
     monkeypatch.undo()
