--- a/fawnwharf/recovery_core/uncoordinated_fleet.py
+++ b/fawnwharf/recovery_core/uncoordinated_fleet.py
@@ -1,298 +1,304 @@
-"""A small model in virtual time: a fleet that returns from a power loss, by the plan or from nothing.
+"""A small model in virtual time: a fleet that returns from a power loss, without coordination.
 
 It leaves out what the question does not depend on: zones of scorers, cores and queues of scorers beyond the
 lanes of a copy, lost messages, their delay (1 to 5 ms), copies that expire. It keeps the order in which
 machines come back, the roster that comes last, the store with its limit of concurrent fetches, concurrent
-loads of a scorer, cold scorers that fall when too many calls come to them within `fall_ms`, and clients that
-come again.
+loads of a scorer, cold scorers that fall when too many calls arrive within the slow start window, and clients
+that retry.
 
 Front ends here share nothing and do as the decision module does: the first copy where the hash order has it,
 further copies for calls that are held, at most 8 concurrent loads of their own, a slow start limit of their
-own. `planned.py` has those that return by the plan. The same seed gives the same machines and first tries for
-both.
+own. `coordinated_fleet.py` has those that return by the phases. The same seed gives the same machines and
+first attempts for both.
 """
 
 import heapq
 import random
-from dataclasses import dataclass, field
+from collections.abc import Callable
+from functools import partial
+from typing import Self
 
-from fawnwharf.interface import Settings
 from fawnwharf.recovery_core.budget import fleet_limits
+from fawnwharf.recovery_core.simulated_site import (
+    CALLS_PS,
+    COLD_SAFETY,
+    FETCH_SHARE,
+    FUNCTION_KINDS,
+    LANES,
+    MAX_HOLD_SHARE,
+    MAX_OWN_LOADS,
+    MAX_SCORER_LOADS,
+    PRIORITY_WEIGHTS,
+    RETRIES,
+    SCORER_PS,
+    SITE,
+    CallAttempt,
+    FrontEnd,
+    Scenario,
+    Scorer,
+    SecondStats,
+    SimulatedFunction,
+)
 from fawnwharf.replication.placement import rendezvous_weight
 
-FUNCTION_KINDS = {  # part of the functions, promise, give-up, worth, late share, loads, runs; ms
-    "points-view": (0.58, 800.0, 3000.0, 1.0, 0.2, (420.0, 1100.0), (85.0, 150.0)),
-    "lineup-save": (0.23, 600.0, 2500.0, 5.0, 0.2, (380.0, 900.0), (85.0, 150.0)),
-    "transfer-settle": (0.19, 800.0, 2000.0, 5.0, 0.1, (410.0, 860.0), (130.0, 230.0)),
-}
-PRIORITY_WEIGHTS = {name: kind[3] for name, kind in FUNCTION_KINDS.items()}
-CALLS_PS, SCORER_PS = 2.0, 12.0  # of a front end, of a scorer, in calm
-LANES, LOADS_MOST, OWN_LOADS = 8, 4, 8  # of a copy; at a time of a scorer; of a front end that shares nothing
-FETCH_PART, COLD_SAFETY, HELD_PART = 0.6, 0.6, 0.5  # the module's, but for the first
-TRIES = 3  # of a client, for one call
-SITE = Settings(slow_start_ms=10_000.0, slow_start_initial_share=0.2, max_retry_after_ms=4_000.0)
+NO_FRONT_END_RETRY_MS = 1_000.0
+FALLEN_RETRY_MS = 500.0
+SCORER_RESTART_MS = 3_000.0
+HELD_CHECK_MS = 100.0
+ARRIVALS_SPAN_MS = 10_000.0  # over which a front end measures its own calls
 
-
-@dataclass(frozen=True, slots=True)
-class Scenario:
-    """A scenario; milliseconds from the power loss.
-
-    A third of the front ends never comes back, a zone comes later.
-    """
-
-    fronts: int
-    back_ms: float = 60_000.0
-    zone_late_ms: float = 15_000.0
-    gone: float = 1 / 3
-    roster_ms: float = 62_000.0
-    scorers_ms: float = 60_000.0
-    burst_ms: float = 63_000.0  # all clients within a second from then on, at four times the rate
-    end_ms: float = 100_000.0
-    quorum: bool = True  # a majority of the voters comes back
-
-
-@dataclass(slots=True)
-class Scorer:
-    """A scorer with its copies."""
-
-    up_ms: float
-    copies: dict[int, list[float]] = field(default_factory=dict)  # by function: when each lane is free
-    ready: dict[int, float] = field(default_factory=dict)
-    sent: list[float] = field(default_factory=list)
-
-
-@dataclass(slots=True)
-class FrontEnd:
-    """A front end, with what it believes."""
-
-    name: str
-    up_ms: float
-    known: dict[int, list[int]] = field(default_factory=dict)  # believed copies, by function
-    held: dict[int, float] = field(default_factory=dict)  # calls that wait for a load, by function
-    loads: list[float] = field(default_factory=list)  # own ones under way, until when
-    taken: list[float] = field(default_factory=list)
-    sent: dict[int, list[float]] = field(default_factory=dict)
-
-
-@dataclass(slots=True)
-class CallAttempt:
-    """One try of a call."""
-
-    client: str
-    front: FrontEnd | None
-    function: int
-    at_ms: float
-    left: int
+Handler = Callable[[float], None]  # is called with the time
 
 
 class UncoordinatedFleet:
     """One return.
 
-    `seconds`: by second of a try, the worth that came and that was served in time; the same of the classes
-    worth most.
+    `seconds` are the statistics by second of an attempt.
     """
 
-    def __init__(self, scene: Scenario, seed: int) -> None:
-        self.scene = scene
-        n, chance = scene.fronts, random.Random(f"return {seed} {scene.fronts}")
-        self.places = 4 + n // 10  # of the store: fetches at a time, others wait
-        self.limits = fleet_limits(SITE, round(self.places / FETCH_PART), SCORER_PS)
-        voters = 7 if n >= 1000 else 5 if n >= 200 else 3
-        ups = self._ups(chance, voters)
-        self.fronts = [FrontEnd(f"n{i}", ups[i]) for i in range(n)]
-        self.voters = tuple(f"n{i}" for i in range(voters))
-        self.scorers = [
-            Scorer(chance.uniform(0.0, scene.scorers_ms))
-            for _ in range(max(3, round(n * CALLS_PS / SCORER_PS)))
-        ]
-        self.facts: list[tuple[str, float, float]] = []
-        for _ in range(40 + 4 * n):
-            kind = chance.choices(list(FUNCTION_KINDS), [k[0] for k in FUNCTION_KINDS.values()])[0]
-            self.facts.append(
-                (kind, chance.uniform(*FUNCTION_KINDS[kind][5]), chance.uniform(*FUNCTION_KINDS[kind][6]))
-            )
-        rates = [(rank + 1) ** -0.6 for rank in range(len(self.facts))]
-        self.rates = [n * CALLS_PS * rate / sum(rates) for rate in rates]
-        self.order = [
-            sorted(range(len(self.scorers)), key=lambda s, f=f: rendezvous_weight(str(s), str(f)))[:8]
-            for f in range(len(self.facts))
-        ]
-        self.heap: list[tuple[float, int, str, object]] = []
-        self.count = 0
-        self.seconds = [[0.0, 0.0, 0.0, 0.0] for _ in range(int(scene.end_ms / 1000) + 60)]
-        self.fetches: dict[int, int] = {}  # asked of the store, by second
-        self.waiting = 0  # at the store, the most at a time
-        self.store = [0.0] * self.places
-        self.fell = 0  # cold scorers
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.scenario = scenario
+        count = scenario.fronts
+        chance = random.Random(f"return {seed} {count}")
+        self.store_places = 4 + count // 10  # concurrent fetches; others wait
+        self.limits = fleet_limits(SITE, round(self.store_places / FETCH_SHARE), SCORER_PS)
+        voters = 7 if count >= 1000 else 5 if count >= 200 else 3
+        ups = self._draw_up_times(chance, voters)
+        self.fronts = [FrontEnd(f"n{place}", ups[place]) for place in range(count)]
+        self.voters = tuple(f"n{place}" for place in range(voters))
+        scorers = max(3, round(count * CALLS_PS / SCORER_PS))
+        self.scorers = [Scorer(chance.uniform(0.0, scenario.scorers_ms)) for _ in range(scorers)]
+        self.functions = [self._draw_function(chance) for _ in range(40 + 4 * count)]
+        rates = [(rank + 1) ** -0.6 for rank in range(len(self.functions))]
+        self.rates = [count * CALLS_PS * rate / sum(rates) for rate in rates]
+        self.hash_order = [self._order_scorers(function) for function in range(len(self.functions))]
+        self.seconds = [SecondStats() for _ in range(int(scenario.end_ms / 1000) + 60)]
+        self.fetches: dict[int, int] = {}  # requested of the store, by second
+        self.max_waiting = 0  # fetches in progress or queued at the store, the most at a time
+        self.fallen = 0  # cold scorers
         self.up: list[FrontEnd] = []
-        self.begun: list[float] = []  # fetches under way or waiting, until when
-        self.slow = [1.0]  # loads, as multiples of what they take in calm
-        self._arrivals(chance)
-
-    def _ups(self, chance: random.Random, voters: int) -> list[float]:
-        scene, n = self.scene, self.scene.fronts
+        self.slowdowns = [1.0]  # durations of loads, as multiples of the usual one
+        self._store_free_ms = [0.0] * self.store_places
+        self._fetches_until_ms: list[float] = []  # of those in progress or queued
+        self._events: list[tuple[float, int, Handler]] = []
+        self._event_count = 0
+        self._draw_arrivals(chance)
+
+    def _draw_up_times(self, chance: random.Random, voters: int) -> list[float]:
+        """When each front end comes back; infinity for those that don't."""
+        scenario = self.scenario
+        count = scenario.fronts
         while True:
-            gone = set(chance.sample(range(n), round(n * scene.gone)))
-            if (2 * sum(v not in gone for v in range(voters)) > voters) == scene.quorum:
-                late = [scene.zone_late_ms * (i % 3 == 2) for i in range(n)]
-                drawn = [chance.uniform(0.0, scene.back_ms) for _ in range(n)]
-                return [float("inf") if i in gone else late[i] + drawn[i] for i in range(n)]
-
-    def _arrivals(self, chance: random.Random) -> None:
-        scene, total = self.scene, self.scene.fronts * CALLS_PS
-        functions = range(len(self.facts))
-        times, at = [], 0.0
-        while (at := at + chance.expovariate(total) * 1000.0) < scene.end_ms:
-            times.append(at)
-        times += [scene.burst_ms + chance.uniform(0, 1000.0) for _ in range(int(4 * total))]
-        for i, (at, f) in enumerate(
-            zip(times, chance.choices(functions, self.rates, k=len(times)), strict=True)
-        ):
-            self._push(at, "try", CallAttempt(f"c{i}", None, f, at, TRIES - 1))
+            gone = set(chance.sample(range(count), round(count * scenario.gone)))
+            if (2 * sum(voter not in gone for voter in range(voters)) > voters) == scenario.quorum:
+                break
+        late = [scenario.zone_late_ms * (place % 3 == 2) for place in range(count)]
+        drawn = [chance.uniform(0.0, scenario.back_ms) for _ in range(count)]
+        return [float("inf") if place in gone else late[place] + drawn[place] for place in range(count)]
+
+    def _draw_function(self, chance: random.Random) -> SimulatedFunction:
+        shares = [kind.share for kind in FUNCTION_KINDS.values()]
+        name = chance.choices(list(FUNCTION_KINDS), shares)[0]
+        kind = FUNCTION_KINDS[name]
+        return SimulatedFunction(name, chance.uniform(*kind.load_ms), chance.uniform(*kind.run_ms))
+
+    def _order_scorers(self, function: int) -> list[int]:
+        def weight(scorer: int) -> int:
+            return rendezvous_weight(str(scorer), str(function))
+
+        return sorted(range(len(self.scorers)), key=weight)[:8]
+
+    def _draw_arrivals(self, chance: random.Random) -> None:
+        scenario = self.scenario
+        total_ps = scenario.fronts * CALLS_PS
+        times = []
+        at_ms = 0.0
+        while (at_ms := at_ms + chance.expovariate(total_ps) * 1000.0) < scenario.end_ms:
+            times.append(at_ms)
+        times += [scenario.burst_ms + chance.uniform(0, 1000.0) for _ in range(int(4 * total_ps))]
+        functions = chance.choices(range(len(self.functions)), self.rates, k=len(times))
+        for number, (at_ms, function) in enumerate(zip(times, functions, strict=True)):
+            self._schedule(at_ms, partial(self._attempt, f"c{number}", function, at_ms, RETRIES))
         for front in self.fronts:
-            if front.up_ms < scene.end_ms:
-                self._push(front.up_ms, "up", front)
+            if front.up_ms < scenario.end_ms:
+                self._schedule(front.up_ms, partial(self._come_up, front))
 
-    def _push(self, at_ms: float, what: str, value: object) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (at_ms, self.count, what, value))
+    def _schedule(self, at_ms: float, handler: Handler) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (at_ms, self._event_count, handler))
 
-    def run(self) -> "UncoordinatedFleet":
+    def run(self) -> Self:
         """Run up to the scenario's end."""
-        while self.heap:
-            now, _, what, value = heapq.heappop(self.heap)
-            if now < self.scene.end_ms:
-                getattr(self, f"_{what}")(now, value)
+        while self._events:
+            now, _, handler = heapq.heappop(self._events)
+            if now < self.scenario.end_ms:
+                handler(now)
         return self
 
     # --- front ends ---------------------------------------------------------------------------
 
-    def _up(self, now: float, front: FrontEnd) -> None:
+    def _come_up(self, front: FrontEnd, _now: float) -> None:
         self.up.append(front)
 
-    def _try(self, now: float, one: CallAttempt) -> None:
-        worth = PRIORITY_WEIGHTS[self.facts[one.function][0]]
-        second = self.seconds[int(one.at_ms / 1000)]
-        second[0] += worth
-        second[2] += worth * (worth > 1.0)
+    def _attempt(self, client: str, function: int, at_ms: float, retries_left: int, now: float) -> None:
+        weight = PRIORITY_WEIGHTS[self.functions[function].kind_name]
+        second = self.seconds[int(at_ms / 1000)]
+        second.offered += weight
+        second.priority_offered += weight * (weight > 1.0)
         if not self.up:
-            self._again(now, one, 1_000.0)
+            self._schedule_retry(client, function, retries_left, now + NO_FRONT_END_RETRY_MS)
+            return
+        front = self.up[rendezvous_weight("at", client, str(retries_left)) % len(self.up)]
+        front.arrivals.append(now)
+        self._begin(now, CallAttempt(client, front, function, at_ms, retries_left))
+
+    def _begin(self, now: float, call: CallAttempt) -> None:
+        self._serve(call, now)
+
+    def _retry(self, now: float, call: CallAttempt, after_ms: float) -> None:
+        """The attempt was not served; its client comes again, a few times."""
+        self._schedule_retry(call.client, call.function, call.retries_left, now + after_ms)
+
+    def _schedule_retry(self, client: str, function: int, retries_left: int, at_ms: float) -> None:
+        if retries_left:
+            self._schedule(at_ms, partial(self._attempt, client, function, at_ms, retries_left - 1))
+
+    def _finish(self, call: CallAttempt, end_ms: float) -> None:
+        kind = self.functions[call.function].kind
+        took_ms = end_ms - call.at_ms
+        share = 1.0
+        if took_ms > kind.latency_target_ms:
+            share = kind.late_share if took_ms <= kind.deadline_ms else 0.0
+        value = kind.priority_weight * share
+        second = self.seconds[int(call.at_ms / 1000)]
+        second.served += value
+        second.priority_served += value * (kind.priority_weight > 1.0)
+        if took_ms > kind.deadline_ms:
+            self._retry(call.at_ms + kind.deadline_ms, call, 0.0)
+
+    def _age_ms(self, now: float, scorer: int) -> float:
+        return now - self.scorers[scorer].up_ms
+
+    def _send(self, now: float, call: CallAttempt, place: int) -> None:
+        """The call is at the scorer; too many on a cold one, and it falls."""
+        scorer = self.scorers[place]
+        if self._falls(now, place):
+            self._fall(place)
+            scorer.restart(now + SCORER_RESTART_MS)
+            self._retry(now, call, FALLEN_RETRY_MS)
             return
-        one.front = self.up[rendezvous_weight("at", one.client, str(one.left)) % len(self.up)]
-        one.front.taken.append(now)
-        self._begin(now, one)
-
-    def _begin(self, now: float, one: CallAttempt) -> None:
-        self._bare(now, one)
-
-    def _again(self, now: float, one: CallAttempt, after_ms: float) -> None:
-        """It was not served; its client comes again, a few times."""
-        if one.left:
-            at = now + after_ms
-            self._push(at, "try", CallAttempt(one.client, None, one.function, at, one.left - 1))
-
-    def _done(self, one: CallAttempt, end_ms: float) -> None:
-        _, promise, give_up, worth, late, *_ = FUNCTION_KINDS[self.facts[one.function][0]]
-        took = end_ms - one.at_ms
-        second = self.seconds[int(one.at_ms / 1000)]
-        part = worth * (1.0 if took <= promise else late if took <= give_up else 0.0)
-        second[1] += part
-        second[3] += part * (worth > 1.0)
-        if took > give_up:
-            self._again(one.at_ms + give_up, one, 0.0)
-
-    def _age(self, now: float, s: int) -> float:
-        return now - self.scorers[s].up_ms
-
-    def _send(self, now: float, one: CallAttempt, s: int) -> None:
-        """The call is at the scorer: too many on a cold one, and it falls."""
-        scorer, (_, _, run) = self.scorers[s], self.facts[one.function]
-        age = self._age(now, s)
-        if age < SITE.slow_start_ms:
-            scorer.sent = [at for at in scorer.sent if at > now - SITE.slow_start_window_ms] + [now]
-            rate = (
-                SITE.slow_start_multiple
-                * self.limits.warmth(age)
-                * SCORER_PS
-                * SITE.slow_start_window_ms
-                / 1000.0
-            )
-            if len(scorer.sent) > max(1.0, rate):
-                self._falls(s)
-                scorer.up_ms, scorer.copies, scorer.ready, scorer.sent = now + 3_000.0, {}, {}, []
-                self._again(now, one, 500.0)
-                return
-        lanes = scorer.copies[one.function]
-        begins = max(now, heapq.heappop(lanes))
-        heapq.heappush(lanes, begins + run)
-        self._done(one, begins + run)
-
-    def _falls(self, s: int) -> None:
-        self.fell += 1
-
-    def _load(self, now: float, f: int, s: int) -> float:
-        """Order a copy; when it stands. One that stands or comes is what the order is answered by."""
-        scorer = self.scorers[s]
-        if f in scorer.ready:
-            return max(now, scorer.ready[f])
-        load = self.facts[f][1]
-        loading = sorted(at for at in scorer.ready.values() if at > now)
-        begins = loading[-LOADS_MOST] if len(loading) >= LOADS_MOST else now
-        self.fetches[int(now / 1000)] = self.fetches.get(int(now / 1000), 0) + 1
-        begins = max(begins, self.store[0])
-        heapq.heapreplace(self.store, begins + FETCH_PART * load)
-        self.begun = [at for at in self.begun if at > now] + [begins + FETCH_PART * load]
-        self.waiting = max(self.waiting, len(self.begun))
-        ready = begins + load
-        self.slow.append((ready - now) / load)
-        scorer.ready[f], scorer.copies[f] = ready, [ready] * LANES
-        return ready
-
-    # --- from nothing -------------------------------------------------------------------------
-
-    def _bare(self, now: float, one: CallAttempt) -> None:
-        front, f = one.front, one.function
-        give_up = FUNCTION_KINDS[self.facts[f][0]][2]
-        if now - one.at_ms >= HELD_PART * give_up - 1e-3:
-            self._again(now, one, SITE.max_retry_after_ms)
+        lanes = scorer.copies[call.function]
+        run_ms = self.functions[call.function].run_ms
+        begins_ms = max(now, heapq.heappop(lanes))
+        heapq.heappush(lanes, begins_ms + run_ms)
+        self._finish(call, begins_ms + run_ms)
+
+    def _falls(self, now: float, place: int) -> bool:
+        """Whether one more call is too many for a cold scorer."""
+        scorer = self.scorers[place]
+        age_ms = self._age_ms(now, place)
+        if age_ms >= SITE.slow_start_ms:
+            return False
+        window_ms = SITE.slow_start_window_ms
+        scorer.sent_ms = [at for at in scorer.sent_ms if at > now - window_ms] + [now]
+        usual = SITE.slow_start_multiple * self.limits.warmth(age_ms) * SCORER_PS * window_ms / 1000.0
+        return len(scorer.sent_ms) > max(1.0, usual)
+
+    def _fall(self, _place: int) -> None:
+        self.fallen += 1
+
+    def _load(self, now: float, function: int, place: int) -> float:
+        """Order a copy; when it is loaded.
+
+        An order of a copy that is loaded, or being loaded, is answered by that one.
+        """
+        scorer = self.scorers[place]
+        if function in scorer.ready_ms:
+            return max(now, scorer.ready_ms[function])
+        load_ms = self.functions[function].load_ms
+        loading = sorted(at for at in scorer.ready_ms.values() if at > now)
+        begins_ms = loading[-MAX_SCORER_LOADS] if len(loading) >= MAX_SCORER_LOADS else now
+        begins_ms = self._fetch(now, begins_ms, FETCH_SHARE * load_ms)
+        ready_ms = begins_ms + load_ms
+        self.slowdowns.append((ready_ms - now) / load_ms)
+        scorer.ready_ms[function] = ready_ms
+        scorer.copies[function] = [ready_ms] * LANES
+        return ready_ms
+
+    def _fetch(self, now: float, begins_ms: float, fetch_ms: float) -> float:
+        """Request a fetch of the store; when it begins."""
+        second = int(now / 1000)
+        self.fetches[second] = self.fetches.get(second, 0) + 1
+        begins_ms = max(begins_ms, self._store_free_ms[0])
+        heapq.heapreplace(self._store_free_ms, begins_ms + fetch_ms)
+        self._fetches_until_ms = [at for at in self._fetches_until_ms if at > now] + [begins_ms + fetch_ms]
+        self.max_waiting = max(self.max_waiting, len(self._fetches_until_ms))
+        return begins_ms
+
+    # --- without coordination -----------------------------------------------------------------
+
+    def _serve(self, call: CallAttempt, now: float) -> None:
+        function = call.function
+        half_ms = call.at_ms + MAX_HOLD_SHARE * self.functions[function].kind.deadline_ms
+        if now >= half_ms - 1e-3:
+            self._retry(now, call, SITE.max_retry_after_ms)
             return
-        if now < self.scene.roster_ms:
-            half = one.at_ms + HELD_PART * give_up
-            if half < self.scene.roster_ms:
-                self._again(half, one, SITE.max_retry_after_ms)
-                return
-            self._push(self.scene.roster_ms, "bare", one)
+        if now < self.scenario.roster_ms:
+            if half_ms < self.scenario.roster_ms:
+                self._retry(half_ms, call, SITE.max_retry_after_ms)
+            else:
+                self._schedule(self.scenario.roster_ms, partial(self._serve, call))
             return
-        known = front.known.setdefault(f, [])
-        able = [s for s in known if f in self.scorers[s].copies and self._within(now, front, s)]
-        ready = [s for s in able if self.scorers[s].ready[f] <= now]
+        known = call.front.known.setdefault(function, [])
+        able = [
+            place
+            for place in known
+            if function in self.scorers[place].copies and self._is_within_limit(now, call.front, place)
+        ]
+        ready = [place for place in able if self.scorers[place].ready_ms[function] <= now]
         if ready:
-            s = min(ready, key=lambda s: self.scorers[s].copies[f][0])
-            front.sent.setdefault(s, []).append(now)
-            self._send(now, one, s)
+            place = min(ready, key=lambda place: self.scorers[place].copies[function][0])
+            call.front.sent.setdefault(place, []).append(now)
+            self._send(now, call, place)
             return
+        self._hold(now, call, able, half_ms)
+
+    def _hold(self, now: float, call: CallAttempt, able: list[int], until_ms: float) -> None:
+        """Hold a call for a copy; order a further one if too few are being loaded."""
+        front = call.front
+        function = call.function
         front.loads = [at for at in front.loads if at > now]
-        front.held[f] = front.held.get(f, 0) + 1
-        pending = sum(self.scorers[s].ready.get(f, 0.0) > now for s in known)
-        live = [s for s in self.order[f] if self._age(now, s) >= 0 and f not in self.scorers[s].ready]
-        live = live if known else [s for s in self.order[f] if self._age(now, s) >= 0][:1]
-        if front.held[f] / LANES > pending and live and len(front.loads) < OWN_LOADS:
-            known.append(live[0])
-            front.loads.append(self._load(now, f, live[0]))
-        due = min((self.scorers[s].ready.get(f, 0.0) for s in able), default=0.0)
-        self._push(max(now + 100.0, min(due, one.at_ms + HELD_PART * give_up)), "waits", one)
-
-    def _waits(self, now: float, one: CallAttempt) -> None:
-        one.front.held[one.function] -= 1
-        self._bare(now, one)
-
-    def _within(self, now: float, front: FrontEnd, s: int) -> bool:
-        """The module's cold budget: of one's own sends, by one's own arrivals, and a chance of one's own."""
-        warmth = self.limits.warmth(self._age(now, s))
+        front.held[function] = front.held.get(function, 0) + 1
+        known = front.known[function]
+        loading = sum(self.scorers[place].ready_ms.get(function, 0.0) > now for place in known)
+        places = self._places_for_copy(now, function, known)
+        too_few = front.held[function] / LANES > loading
+        if too_few and places and len(front.loads) < MAX_OWN_LOADS:
+            known.append(places[0])
+            front.loads.append(self._load(now, function, places[0]))
+        due_ms = min((self.scorers[place].ready_ms.get(function, 0.0) for place in able), default=0.0)
+        self._schedule(max(now + HELD_CHECK_MS, min(due_ms, until_ms)), partial(self._check_held, call))
+
+    def _places_for_copy(self, now: float, function: int, known: list[int]) -> list[int]:
+        """Scorers for a further copy in hash order; for a first one the first scorer that is up."""
+        up = [place for place in self.hash_order[function] if self._age_ms(now, place) >= 0]
+        if not known:
+            return up[:1]
+        return [place for place in up if function not in self.scorers[place].ready_ms]
+
+    def _check_held(self, call: CallAttempt, now: float) -> None:
+        call.front.held[call.function] -= 1
+        self._serve(call, now)
+
+    def _is_within_limit(self, now: float, front: FrontEnd, place: int) -> bool:
+        """The decision module's slow start limit, by the front end's own sends, arrivals and hash."""
+        warmth = self.limits.warmth(self._age_ms(now, place))
         if warmth >= 1.0:
             return True
-        front.taken = [at for at in front.taken if at > now - 10_000.0]
-        sent = front.sent[s] = [at for at in front.sent.get(s, []) if at > now - SITE.slow_start_window_ms]
-        rate = COLD_SAFETY * len(front.taken) / 10_000.0 / len(self.scorers)
-        budget = SITE.slow_start_multiple * warmth * SITE.slow_start_window_ms * rate
-        return len(sent) + 1 <= budget + rendezvous_weight(front.name, str(s)) / 2**64
+        window_ms = SITE.slow_start_window_ms
+        front.arrivals = [at for at in front.arrivals if at > now - ARRIVALS_SPAN_MS]
+        sent = [at for at in front.sent.get(place, []) if at > now - window_ms]
+        front.sent[place] = sent
+        rate = COLD_SAFETY * len(front.arrivals) / ARRIVALS_SPAN_MS / len(self.scorers)
+        budget = SITE.slow_start_multiple * warmth * window_ms * rate
+        return len(sent) + 1 <= budget + rendezvous_weight(front.name, str(place)) / 2**64
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -20,7 +20,7 @@
 from fawnwharf.policy import Router
 from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
-from fawnwharf.recovery_core.uncoordinated_fleet import FUNCTION_KINDS, PRIORITY_WEIGHTS
+from fawnwharf.recovery_core.simulated_site import FUNCTION_KINDS, PRIORITY_WEIGHTS
 from fawnwharf.recovery_service.actions import Action, SendPermitMessage
 from fawnwharf.recovery_service.actions import LoadOrder as Ordered
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -41,6 +41,7 @@
         "recovery_core.coordinated_fleet",
         "recovery_core.claim_model",
         "recovery_core.model_checker",
+        "recovery_core.simulated_site",
         "recovery_core.trial",
         "recovery_core.uncoordinated_fleet",
         "recovery_service.simulation",
