--- a/fawnwharf/recovery_core/claim_model.py
+++ b/fawnwharf/recovery_core/claim_model.py
@@ -1,157 +1,196 @@
 """One state of a call's claim for the model checker: three replicas, two owners, clocks and power losses.
 
 What a replica does at a start is decided by `trust`, as in a front end; `Rules` holds those functions so that
-mutants can be tried. The call may run by two grants of one incarnation of an owner, none relied on for longer
-than a turn; then no other may run it before `WINDOW` turns are over by true time.
+mutants can be tried. The call may run by two grants to one incarnation of an owner, none used for longer than
+a tick; then no other owner may run it before `WINDOW` ticks are over by true time.
 """
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 
-from fawnwharf.recovery_core import trust as t
+from fawnwharf.recovery_core import trust
 
-KEEPERS, OWNERS = (0, 1, 2), ("x", "y")
-WINDOW, TURN_MS, SKEW = 2, 1_000.0, 0.1
-# What a promise counts for, by the slowest clock: a grant may be rested on for a turn, and then the window.
-WHOLE_MS = (WINDOW + 1) * TURN_MS * (1 + SKEW) / (1 - SKEW)
-RATES = (1 + SKEW, 1 - SKEW, 1.0)  # of the keepers' monotonic clocks
-BACK = ((-1e7, False), (1e7, False), (0.0, True))  # wall clocks come back so; the first disk is moved
-UP_MS = 1e6  # a machine that is up for long, to which a disk may be moved
+REPLICAS = (0, 1, 2)
+OWNERS = ("x", "y")
+QUORUM = 2
+WINDOW = 2  # ticks
+TICK_MS = 1_000.0
+SKEW = 0.1
+# The duration of a grant, by the slowest clock: it may be used for a tick, and then the window follows.
+GRANT_MS = (WINDOW + 1) * TICK_MS * (1 + SKEW) / (1 - SKEW)
+CLOCK_RATES = (1 + SKEW, 1 - SKEW, 1.0)  # of the replicas' monotonic clocks
+# What wall clocks read after a power loss; whether the first disk is moved to another machine.
+RETURNS = ((-1e7, False), (1e7, False), (0.0, True))
+BOOT_MS = 5.0  # reading of the monotonic clock when a boot is first seen
+LONG_UP_MS = 1e6  # the same on a machine that has been up for long, to which a disk may be moved
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What a replica goes by at a start."""
+    """What a replica does at a start; a mutant replaces one of these."""
 
-    left_ms: Callable[[t.ClockReading, t.ClockReading, float], float] = t.remaining_ms
-    knows_all: Callable[[t.StoreCondition], bool] = t.knows_all_grants
-    writes_first: bool = True
-    keeps_doubt: bool = True  # its disk says that it did not know all, until it does
+    remaining_ms: Callable[[trust.ClockReading, trust.ClockReading, float], float] = trust.remaining_ms
+    knows_all_grants: Callable[[trust.StoreCondition], bool] = trust.knows_all_grants
+    writes_before_granting: bool = True
+    stores_doubt: bool = True  # its disk says that it did not know all grants, until it does
 
 
-Note = tuple[str, t.ClockReading, float]  # on disk: whose, when, for how long
+class StoredGrant(NamedTuple):
+    """A grant on disk."""
+
+    owner: str
+    written: trust.ClockReading
+    duration_ms: float
+
+
+class Grant(NamedTuple):
+    """A grant that an owner has received."""
+
+    owner: str
+    replica: int
+    tick: int
 
 
 @dataclass(frozen=True, slots=True)
-class Keeper:
+class Replica:
     """A replica's machine, by what its clocks read."""
 
     boot: int = 0
-    start_ms: float = 5.0  # of its machine's monotonic clock, as this boot was first seen
-    from_turn: int = 0
+    start_ms: float = BOOT_MS  # of its machine's monotonic clock, as this boot was first seen
+    start_tick: int = 0
     wall_ms: float = 0.0
-    disk: Note | None = None
-    given: tuple[str, float] | None = None  # to whom, over when
-    dumb_until: float = 0.0  # till then it does not know all that it granted, and its disk says so
+    disk: StoredGrant | None = None
+    granted: tuple[str, float] | None = None  # the owner, and until when by its clock
+    doubt_until_ms: float = 0.0  # until then it does not know all that it granted, and its disk says so
 
-    def clock(self, place: int, turn: int) -> t.ClockReading:
-        """The reading of its clocks at a turn."""
-        mono = self.start_ms + RATES[place] * (turn - self.from_turn) * TURN_MS
-        return t.ClockReading(str(self.boot), mono, self.wall_ms + mono)
+    def clock(self, place: int, tick: int) -> trust.ClockReading:
+        """The reading of its clocks at a tick."""
+        mono_ms = self.start_ms + CLOCK_RATES[place] * (tick - self.start_tick) * TICK_MS
+        return trust.ClockReading(str(self.boot), mono_ms, self.wall_ms + mono_ms)
+
+    def can_grant(self, now_ms: float) -> bool:
+        """Whether it may grant the claim to another owner."""
+        if now_ms < self.doubt_until_ms:
+            return False
+        return self.granted is None or now_ms >= self.granted[1]
 
 
 @dataclass(frozen=True, slots=True)
-class Promises:
-    """One frozen state."""
-
-    keepers: tuple[Keeper, ...]
-    grants: frozenset[tuple[str, int, int]] = frozenset()  # owner, keeper, turn
-    runs: tuple[int, ...] = ()  # turns
-    turn: int = 0
-    turns: int = 4
-    cuts: int = 1
-    lost: int = 0  # disks that come back with nothing, and are told to be in part
+class ClaimState:
+    """One state of the model; frozen, so that equal states are found."""
+
+    replicas: tuple[Replica, ...]
+    grants: frozenset[Grant] = frozenset()
+    runs: tuple[int, ...] = ()  # the ticks of the last runs
+    tick: int = 0
+    ticks: int = 4  # that may pass on one path
+    power_losses: int = 1  # that may still happen
+    lost_disks: int = 0  # that may still come back empty, and are known to be partial
     broken: str = field(default="", compare=False)
 
     @classmethod
-    def start(cls, **bounds: int) -> "Promises":
-        """The first state of a search with these bounds."""
-        return cls(tuple(Keeper() for _ in KEEPERS), **bounds)
-
-    def steps(self, rules: Rules) -> Iterator[tuple[str, "Promises"]]:
-        """All that may happen next, by a label each, and the states after it."""
-        if self.turn < self.turns:
-            fresh = frozenset(
-                g for g in self.grants if g[2] >= self.turn
-            )  # a turn later it is rested on last
-            yield "a turn", replace(self, turn=self.turn + 1, grants=fresh)
-        known = {who for who, _, _ in self.grants} | {k.disk[0] for k in self.keepers if k.disk}
+    def start(cls, **bounds: int) -> "ClaimState":
+        """The first state of a search with these bounds: `ticks`, `power_losses`, `lost_disks`."""
+        return cls(tuple(Replica() for _ in REPLICAS), **bounds)
+
+    def steps(self, rules: Rules) -> Iterator[tuple[str, "ClaimState"]]:
+        """Everything that may happen next: a label each, and the state after it."""
+        if self.tick < self.ticks:
+            yield "a turn", self._after_tick()
+        known = {grant.owner for grant in self.grants}
+        known |= {replica.disk.owner for replica in self.replicas if replica.disk}
         for owner in OWNERS if known else OWNERS[:1]:  # they are alike until one of them was granted it
-            mine = {place for who, place, _ in self.grants if who == owner}
-            if len(mine) >= 2:
-                yield f"{owner} runs it", self._run(owner)
-            for place in set(KEEPERS) - mine:
-                keeper = self.keepers[place]
-                if not self._free(place):
-                    continue
-                label = f"{owner} is granted it by {place}"
-                clock = keeper.clock(place, self.turn)
-                note = owner, clock, WHOLE_MS
-                after = replace(keeper, disk=note, given=(owner, clock.mono_ms + WHOLE_MS))
-                said = self.grants | {(owner, place, self.turn)}
-                yield label, replace(self, keepers=_with(self.keepers, place, after), grants=said)
-                if self.cuts and not rules.writes_first:  # it was said and rested on, and not written
-                    yield from self._cuts(rules, self._run(owner) if len(mine) else self, label)
-        if self.cuts and known:
-            yield from self._cuts(rules, self, "")
-        for place in KEEPERS:
-            keeper = self._reborn(rules, place, self.keepers[place], t.StoreCondition.INTACT)
-            if keeper != self.keepers[place]:
-                yield f"{place} is restarted", replace(self, keepers=_with(self.keepers, place, keeper))
-
-    def _free(self, place: int) -> bool:
-        keeper = self.keepers[place]
-        now = keeper.clock(place, self.turn).mono_ms
-        return now >= keeper.dumb_until and (keeper.given is None or now >= keeper.given[1])
-
-    def _run(self, owner: str) -> "Promises":
-        mine = frozenset(g for g in self.grants if g[0] != owner)
-        early = [at for at in self.runs if self.turn - at < WINDOW]
-        broken = f"it runs at turn {self.turn}, and ran at {early[0]}" if early else ""
-        return replace(self, grants=mine, runs=(*self.runs, self.turn)[-2:], broken=broken)
-
-    def _cuts(self, rules: Rules, world: "Promises", label: str) -> Iterator[tuple[str, "Promises"]]:
-        """Power losses everywhere.
-
-        Wall clocks come back with anything; the first replica's disk may come back on a machine that is up
-        for long, the last one's with nothing.
+            yield from self._owner_steps(rules, owner)
+        if self.power_losses and known:
+            yield from self._power_loss_steps(rules, "")
+        for place in REPLICAS:
+            replica = self._restarted(rules, place, self.replicas[place], trust.StoreCondition.INTACT)
+            if replica != self.replicas[place]:
+                yield f"{place} is restarted", self._with_replica(place, replica)
+
+    def _after_tick(self) -> "ClaimState":
+        usable = frozenset(grant for grant in self.grants if grant.tick >= self.tick)
+        return replace(self, tick=self.tick + 1, grants=usable)
+
+    def _owner_steps(self, rules: Rules, owner: str) -> Iterator[tuple[str, "ClaimState"]]:
+        """An owner runs the call, or a further replica grants it."""
+        granting = {grant.replica for grant in self.grants if grant.owner == owner}
+        if len(granting) >= QUORUM:
+            yield f"{owner} runs it", self._run(owner)
+        for place in set(REPLICAS) - granting:
+            replica = self.replicas[place]
+            clock = replica.clock(place, self.tick)
+            if not replica.can_grant(clock.mono_ms):
+                continue
+            label = f"{owner} is granted it by {place}"
+            stored = StoredGrant(owner, clock, GRANT_MS)
+            after = replace(replica, disk=stored, granted=(owner, clock.mono_ms + GRANT_MS))
+            grants = self.grants | {Grant(owner, place, self.tick)}
+            yield label, replace(self._with_replica(place, after), grants=grants)
+            if self.power_losses and not rules.writes_before_granting:
+                # It was granted and used, and not written.
+                used = self._run(owner) if granting else self
+                yield from used._power_loss_steps(rules, label)
+
+    def _run(self, owner: str) -> "ClaimState":
+        others = frozenset(grant for grant in self.grants if grant.owner != owner)
+        early = [tick for tick in self.runs if self.tick - tick < WINDOW]
+        broken = f"it runs at turn {self.tick}, and ran at {early[0]}" if early else ""
+        return replace(self, grants=others, runs=(*self.runs, self.tick)[-2:], broken=broken)
+
+    def _power_loss_steps(self, rules: Rules, label: str) -> Iterator[tuple[str, "ClaimState"]]:
+        """Power losses of all machines.
+
+        Wall clocks come back with anything; the first replica's disk may come back on a machine that has been
+        up for long, the last one's empty.
         """
-        for wall, moved in BACK:
-            for lost in range(world.lost + 1):
-                born = [self._booted(rules, world, k, wall, moved, bool(lost)) for k in KEEPERS]
-                how = f"{label} power is lost; walls {wall:+.0f}{', 0 moved' * moved}{', 2 empty' * lost}"
-                after = replace(world, keepers=tuple(born), grants=frozenset(), cuts=world.cuts - 1)
-                yield how.strip(), replace(after, lost=world.lost - lost)
-
-    def _booted(
-        self, rules: Rules, world: "Promises", place: int, wall_ms: float, moved: bool, lost: bool
-    ) -> Keeper:
-        keeper, empty = world.keepers[place], lost and place == KEEPERS[-1]
-        unsure = rules.keeps_doubt and keeper.clock(place, world.turn).mono_ms < keeper.dumb_until
-        keeper = Keeper(
-            boot=keeper.boot + 1,
-            start_ms=UP_MS if moved and place == 0 else 5.0,
-            from_turn=world.turn,
+        for wall_ms, moved in RETURNS:
+            for lost in range(self.lost_disks + 1):
+                how = f"{label} power is lost; walls {wall_ms:+.0f}{', 0 moved' * moved}{', 2 empty' * lost}"
+                after = replace(
+                    self,
+                    replicas=tuple(
+                        self._booted(rules, place, wall_ms, moved=moved, lost=bool(lost))
+                        for place in REPLICAS
+                    ),
+                    grants=frozenset(),
+                    power_losses=self.power_losses - 1,
+                    lost_disks=self.lost_disks - lost,
+                )
+                yield how.strip(), after
+
+    def _booted(self, rules: Rules, place: int, wall_ms: float, *, moved: bool, lost: bool) -> Replica:
+        before = self.replicas[place]
+        is_empty = lost and place == REPLICAS[-1]
+        in_doubt = before.clock(place, self.tick).mono_ms < before.doubt_until_ms
+        is_partial = is_empty or (rules.stores_doubt and in_doubt)
+        replica = Replica(
+            boot=before.boot + 1,
+            start_ms=LONG_UP_MS if moved and place == 0 else BOOT_MS,
+            start_tick=self.tick,
             wall_ms=wall_ms,
-            disk=None if empty else keeper.disk,
-        )
-        return self._reborn(
-            rules, place, keeper, t.StoreCondition.PARTIAL if empty or unsure else t.StoreCondition.INTACT
+            disk=None if is_empty else before.disk,
         )
-
-    def _reborn(self, rules: Rules, place: int, keeper: Keeper, store: t.StoreCondition) -> Keeper:
-        read, given = keeper.clock(place, self.turn), None
-        if keeper.disk is not None:
-            owner, written, whole_ms = keeper.disk
-            left = rules.left_ms(written, read, whole_ms)
-            age = t.StateAge.FRESH if left > 0 else t.StateAge.EXPIRED
-            found = t.StoredState(t.StateKind.GRANT, age, False, t.same_boot(written, read), store=store)
-            if t.trust_level(found) is t.TrustLevel.NOW:
-                given = owner, read.mono_ms + left
-        if rules.knows_all(store):
-            return replace(keeper, given=given)
-        return replace(keeper, given=given, dumb_until=read.mono_ms + WHOLE_MS)
-
-
-def _with(keepers: tuple[Keeper, ...], place: int, keeper: Keeper) -> tuple[Keeper, ...]:
-    return (*keepers[:place], keeper, *keepers[place + 1 :])
+        store = trust.StoreCondition.PARTIAL if is_partial else trust.StoreCondition.INTACT
+        return self._restarted(rules, place, replica, store)
+
+    def _restarted(self, rules: Rules, place: int, replica: Replica, store: trust.StoreCondition) -> Replica:
+        """A replica after a restart of its process, by what its disk says."""
+        read = replica.clock(place, self.tick)
+        granted = None
+        if replica.disk is not None:
+            owner, written, duration_ms = replica.disk
+            remaining_ms = rules.remaining_ms(written, read, duration_ms)
+            age = trust.StateAge.FRESH if remaining_ms > 0 else trust.StateAge.EXPIRED
+            same_boot = trust.same_boot(written, read)
+            found = trust.StoredState(trust.StateKind.GRANT, age, False, same_boot, store=store)
+            if trust.trust_level(found) is trust.TrustLevel.NOW:
+                granted = owner, read.mono_ms + remaining_ms
+        if rules.knows_all_grants(store):
+            return replace(replica, granted=granted)
+        return replace(replica, granted=granted, doubt_until_ms=read.mono_ms + GRANT_MS)
+
+    def _with_replica(self, place: int, replica: Replica) -> "ClaimState":
+        replicas = (*self.replicas[:place], replica, *self.replicas[place + 1 :])
+        return replace(self, replicas=replicas)
--- a/fawnwharf/recovery_core/model_checker.py
+++ b/fawnwharf/recovery_core/model_checker.py
@@ -11,7 +11,7 @@
 import time
 from collections import deque
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass, field, fields, replace
 from typing import Protocol
 
 from fawnwharf.consensus import messages as am
@@ -19,7 +19,7 @@
 from fawnwharf.policy_rollout import model_checker, scenario
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
-from fawnwharf.recovery_core.claim_model import Promises, Rules
+from fawnwharf.recovery_core.claim_model import ClaimState, Rules
 from fawnwharf.testbed import explore
 
 
@@ -40,14 +40,14 @@
 class VotersBounds(explore.Bounds):
     """What may happen on one path, with power losses."""
 
-    cuts: int = 1
+    power_losses: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class VotersWorld(explore.World):
     """A state of the voters, with the power losses so far."""
 
-    cuts: int = 0
+    power_losses: int = 0
 
 
 class VotersSearch(explore.Explorer):
@@ -57,7 +57,7 @@
         super().__init__(kind, names, bounds)
         self.start = VotersWorld(self.start.voters, self.start.flying)
 
-    def found_again(self, place: int, disk: am.PersistentState) -> am.PersistentState:
+    def recovered(self, _place: int, disk: am.PersistentState) -> am.PersistentState:
         """What a voter's disk gives back after a power loss; of one that lies, less than it was given."""
         return disk
 
@@ -73,28 +73,28 @@
 
     def _steps(self, world: VotersWorld) -> Iterator[tuple[str, VotersWorld]]:
         yield from super()._steps(world)
-        if world.cuts < self.bounds.cuts:
-            yield "power is lost", self._cut(world)
+        if world.power_losses < self.bounds.power_losses:
+            yield "power is lost", self._lose_power(world)
 
     def _do(self, world: VotersWorld, place: int, label: str, step: explore.Step) -> Iterator:
         yield from super()._do(world, place, label, step)
-        if world.cuts >= self.bounds.cuts:
+        if world.power_losses >= self.bounds.power_losses:
             return
         voter = explore._thaw(self.kind, world.voters[place])
         actions = step(voter)
         saves = [n + 1 for n, action in enumerate(actions) if isinstance(action, am.Persist)]
         for count in sorted({*saves, len(actions)} - {0}):
             after = self._after(world, place, voter, actions[:count])
-            yield f"{label}, and power is lost after {count}", self._cut(after)
+            yield f"{label}, and power is lost after {count}", self._lose_power(after)
 
-    def _cut(self, world: VotersWorld) -> VotersWorld:
+    def _lose_power(self, world: VotersWorld) -> VotersWorld:
         voters = []
         for place, frozen in enumerate(world.voters):
-            disk = self.found_again(place, frozen[8])
+            disk = self.recovered(place, frozen[8])
             voters.append(
                 explore._freeze(self.kind(frozen[0], disk, explore.TIMING, explore.NOW_MS, 1), disk)
             )
-        return replace(world, voters=tuple(voters), flying=frozenset(), cuts=world.cuts + 1)
+        return replace(world, voters=tuple(voters), flying=frozenset(), power_losses=world.power_losses + 1)
 
 
 def _has(saved: am.PersistentState, index: int, what: str) -> bool:
@@ -114,14 +114,14 @@
 class PolicyBounds(model_checker.Bounds):
     """What may happen on one path, with power losses."""
 
-    cuts: int = 1
+    power_losses: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyWorld(scenario.ModelState):
     """A state of a policy rollout, with the power losses so far."""
 
-    cuts: int = 0
+    power_losses: int = 0
 
 
 class PolicySearch(model_checker.ModelChecker):
@@ -137,18 +137,18 @@
 
     def _steps(self, world: PolicyWorld) -> Iterator[tuple[str, PolicyWorld]]:
         yield from super()._steps(world)
-        if world.cuts >= self.bounds.cuts:
+        if world.power_losses >= self.bounds.power_losses:
             return
         for lost in (True, False) if world.pending else (True,):
             for leader in (0, 1):
                 state = scenario.Scenario(world, self)
-                self._cut(state, leader, lost)
+                self._lose_power(state, leader, lost)
                 how = f"power is lost, {leader} leads next" + (
                     f", what was put is {'lost' if lost else 'decided'}" if world.pending else ""
                 )
-                yield how, state.frozen(cuts=world.cuts + 1)
+                yield how, state.frozen(power_losses=world.power_losses + 1)
 
-    def _cut(self, state: scenario.Scenario, leader: int, lost: bool) -> None:
+    def _lose_power(self, state: scenario.Scenario, leader: int, lost: bool) -> None:
         term = max(coordinator.term for coordinator in state.coordinators) + 1
         if state.pending and not lost:
             state.commit()
@@ -167,39 +167,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromiseFound:
+class ClaimSearchResult:
     """The result of a search over claims."""
 
     states: int
     depth: int
     complete: bool
-    broken: str
-    path: list[str]
+    broken: str = ""
+    path: list[str] = field(default_factory=list)
 
 
-def search_promises(rules: Rules, states: int, **bounds: int) -> PromiseFound:
-    """Search `Promises` breadth first."""
-    start = Promises.start(**bounds)
-    seen, edge = {start}, deque([(start, 0)])
-    parents: dict[Promises, tuple[Promises, str]] = {}
+def search_claims(rules: Rules, max_states: int, **bounds: int) -> ClaimSearchResult:
+    """Search the states of `ClaimState` breadth first."""
+    start = ClaimState.start(**bounds)
+    seen = {start}
+    queue = deque([(start, 0)])
+    parents: dict[ClaimState, tuple[ClaimState, str]] = {}
     depth = 0
-    while edge:
-        world, depth = edge.popleft()
-        if len(seen) >= states:
-            return PromiseFound(len(seen), depth, False, "", [])
-        for label, after in world.steps(rules):
+    while queue:
+        state, depth = queue.popleft()
+        if len(seen) >= max_states:
+            return ClaimSearchResult(len(seen), depth, complete=False)
+        for label, after in state.steps(rules):
             if after in seen:
                 continue
             seen.add(after)
-            parents[after] = world, label
+            parents[after] = state, label
             if after.broken:
-                path, at = [], after
-                while at in parents:
-                    at, label = parents[at]
-                    path.insert(0, label)
-                return PromiseFound(len(seen), depth + 1, False, after.broken, path)
-            edge.append((after, depth + 1))
-    return PromiseFound(len(seen), depth, True, "", [])
+                path = _path_to(after, parents)
+                return ClaimSearchResult(len(seen), depth + 1, False, after.broken, path)
+            queue.append((after, depth + 1))
+    return ClaimSearchResult(len(seen), depth, complete=True)
+
+
+def _path_to(state: ClaimState, parents: dict[ClaimState, tuple[ClaimState, str]]) -> list[str]:
+    """The labels of the steps to a state."""
+    path: list[str] = []
+    while state in parents:
+        state, label = parents[state]
+        path.append(label)
+    return path[::-1]
 
 
 def _voters(**more: int) -> Callable[[int], Outcome]:
@@ -212,23 +219,23 @@
     return lambda states: PolicySearch(replace(bounds, states=states), RolloutCoordinator, LeaseHolder).run()
 
 
-def _promises(**more: int) -> Callable[[int], Outcome]:
-    return lambda states: search_promises(Rules(), states, **more)
+def _claims(**more: int) -> Callable[[int], Outcome]:
+    return lambda states: search_claims(Rules(), states, **more)
 
 
 SEARCHES: dict[str, Callable[[int], Outcome]] = {
-    "voters, a cut": _voters(plans=1),
-    "voters, one election, a cut": _voters(plans=1, patience=1),
-    "voters, two cuts": _voters(plans=1, cuts=2),
-    "voters, a kill and a cut": _voters(plans=1, kills=1),
-    "policy, a cut at one moment": _policy(ticks=0),
-    "policy, a cut": _policy(),
-    "policy, two cuts": _policy(cuts=2, ticks=2),
-    "policy, a kill and a cut": _policy(kills=1),
-    "promises, a cut, a lost disk": _promises(cuts=1, turns=3, lost=1),
-    "promises, two cuts, a lost disk, at one moment": _promises(cuts=2, turns=0, lost=1),
-    "promises, two cuts": _promises(cuts=2, turns=6),
-    "promises, two cuts, a lost disk": _promises(cuts=2, turns=6, lost=1),
+    "voters, a power loss": _voters(plans=1),
+    "voters, one election, a power loss": _voters(plans=1, patience=1),
+    "voters, two power losses": _voters(plans=1, power_losses=2),
+    "voters, a kill and a power loss": _voters(plans=1, kills=1),
+    "policy, a power loss at one moment": _policy(ticks=0),
+    "policy, a power loss": _policy(),
+    "policy, two power losses": _policy(power_losses=2, ticks=2),
+    "policy, a kill and a power loss": _policy(kills=1),
+    "claims, a power loss, a lost disk": _claims(power_losses=1, ticks=3, lost_disks=1),
+    "claims, two power losses, a lost disk, at one moment": _claims(power_losses=2, ticks=0, lost_disks=1),
+    "claims, two power losses": _claims(power_losses=2, ticks=6),
+    "claims, two power losses, a lost disk": _claims(power_losses=2, ticks=6, lost_disks=1),
 }
 
 
