--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -8,38 +8,32 @@
 the time), that a loaded store slows down, and scorers' queues beyond their lanes.
 """
 
+import random
+import sys
 from collections.abc import Sequence
+from functools import partial
+
 from fawnwharf import interface as io
-from fawnwharf.net.requests import Call
-from fawnwharf.net.requests import Failed
-from fawnwharf.net.requests import Outcome
-from fawnwharf.net.requests import Rejected
-from fawnwharf.net.requests import Succeeded
+from fawnwharf.net.requests import Call, Failed, Outcome, Rejected, Succeeded
 from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import allowed_in_phase
 from fawnwharf.recovery_core.register import RecoveryPhase
-from fawnwharf.recovery_core.simulated_site import FUNCTION_KINDS
-from fawnwharf.recovery_core.simulated_site import PRIORITY_WEIGHTS
-from fawnwharf.recovery_service.actions import Action
-from fawnwharf.recovery_service.actions import LoadOrder
-from fawnwharf.recovery_service.actions import SendPermitMessage
+from fawnwharf.recovery_core.simulated_site import FUNCTION_KINDS, PRIORITY_WEIGHTS
+from fawnwharf.recovery_service.actions import Action, LoadOrder, SendPermitMessage
 from fawnwharf.recovery_service.permit_issuing import TICK_MS
 from fawnwharf.recovery_service.permit_messages import PermitMessage
-from fawnwharf.recovery_service.simulated_front_end import CoordinatedFrontEnd
-from fawnwharf.recovery_service.simulated_front_end import SimulatedFrontEnd
-from fawnwharf.recovery_service.simulated_scorers import EventQueue
-from fawnwharf.recovery_service.simulated_scorers import FETCH_SHARE
-from fawnwharf.recovery_service.simulated_scorers import FunctionTimes
-from fawnwharf.recovery_service.simulated_scorers import LANES
-from fawnwharf.recovery_service.simulated_scorers import SCORER_RPS
-from fawnwharf.recovery_service.simulated_scorers import STORE_FETCHES
-from fawnwharf.recovery_service.simulated_scorers import SimulatedScorer
-from fawnwharf.recovery_service.simulated_scorers import SimulatedScorers
+from fawnwharf.recovery_service.simulated_front_end import CoordinatedFrontEnd, SimulatedFrontEnd
+from fawnwharf.recovery_service.simulated_scorers import (
+    FETCH_SHARE,
+    LANES,
+    SCORER_RPS,
+    STORE_FETCHES,
+    EventQueue,
+    FunctionTimes,
+    SimulatedScorer,
+    SimulatedScorers,
+)
 from fawnwharf.replication.placement import rendezvous_weight
-from functools import partial
-import random
-import sys
-
 
 FRONT_ENDS = 6
 SCORERS = 6
