--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -1,12 +1,15 @@
-"""Admission, retries and final answers: which calls are taken, sent again, late or ended."""
+"""Admission, limits, retries and final answers: which calls are taken, sent again, late or ended."""
 
 import math
 
 from fawnwharf import interface as io
+from fawnwharf.policy import health, routing
 from fawnwharf.policy.state import (
+    FORGET_MS,
     LATE_RUNS,
     LEAD_MS,
     MAX_LATE_PART,
+    SILENT_MS,
     SWEEP_MS,
     WINDOW_MS,
     Known,
@@ -16,11 +19,12 @@
 
 WINDOW_MARGIN_MS = 100.0  # a repeat must arrive inside the deduplication window, not just leave inside it
 MIN_ATTEMPT_PART = 0.2  # a call with less than this part of its deadline left is a later try of a client
+LIMIT_SPREAD = 1.5  # margin for chance in limits, in square roots of their means
 HELD_PART = 0.5  # a request never sent by this part of its time is given up if it will hardly be on time
 
 
 class Admission(Known):
-    """Tenant quotas, the rules on repeats, and the final answers that the front end gives by itself."""
+    """Limits, tenant quotas, the rules on retries, and the final answers of the front end itself."""
 
     def _over_share(self, tenant: str) -> bool:
         """Take one token of a tenant's quota; tells whether there was none.
@@ -128,3 +132,63 @@
         if self.settings.cancellation_allowed:
             numbers = [number for number, attempt in enumerate(request.attempts) if attempt.open]
             self.actions.extend(io.Cancel(request.id, number) for number in numbers)
+
+    def _refresh(self) -> None:
+        """Work out anew what follows from the roster, the settings and the run times of late."""
+        sizes = {scorer.id: self._units(scorer) for scorer in self.ready}
+        if sizes != self.members:
+            self.members = sizes
+        self._refresh_copies()
+        if self.now - self.forgot_ms >= FORGET_MS / 4:
+            self._forget()
+        self.total = sum(self._size(scorer) for scorer in self.ready) or 1.0
+        self._note_total()
+        fleet = sum(sizes.values())
+        draining = [
+            scorer for scorer in self.scorers.values() if scorer.entry.state is io.ScorerState.DRAINING
+        ]
+        self.largest_fleet = max(self.largest_fleet, fleet)
+        self.largest_listed = max(
+            self.largest_listed, self.largest_fleet, fleet + sum(map(self._units, draining))
+        )
+        self.refreshed_ms = self.now
+        self._refresh_scorer_limits()
+        self._refresh_fleet_limits()
+
+    def _refresh_scorer_limits(self) -> None:
+        """Limit the requests in flight at each scorer.
+
+        The rate sold times an uncrowded run is what the fleet works on at once (Little's law).
+        """
+        sold = self.sold_rate
+        most = 0.0
+        for scorer in self.ready:
+            mean = sold * self.run_ms * self._size(scorer) / self.largest_fleet  # of all front ends
+            most += self._with_margin(mean)
+            own = self._with_margin(mean / self.front_ends)
+            scorer.limit = max(2.0 if self.is_wide else 1.0, own) if sold > 0 else math.inf
+        self.max_in_flight = most / max(1, len(self.ready)) if sold > 0 else 2 * routing.BOUND_FLOOR
+
+    def _refresh_fleet_limits(self) -> None:
+        """Work out whether the fleet of front ends is wide, and the limits that depend on it."""
+        self.is_wide = self.max_in_flight < self.front_ends
+        self.max_slowdown = math.inf
+        self.silent_ms = SILENT_MS
+        self.limit = math.inf
+        if not self.is_wide:
+            return
+        slowdowns = sorted(self._slowdown_of(scorer) for scorer in self.ready)
+        if slowdowns:
+            self.max_slowdown = health.OUTLIER_SLOWDOWN * slowdowns[len(slowdowns) // 2]
+        self.silent_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0)
+        # With more in flight, all would be late.
+        in_time = self.sold_rate * self.latency_target_ms * MAX_LATE_PART / self.front_ends
+        self.limit = self._with_margin(in_time or math.inf)
+
+    def _units(self, scorer: Scorer) -> float:
+        """A scorer's size: as the roster gives it, where that is reliable, else one."""
+        return max(scorer.entry.units, 0.01) if self.settings.weights_fixed else 1.0
+
+    def _with_margin(self, mean: float) -> float:
+        """A limit for what has this mean: more, as chance brings more at times."""
+        return mean + LIMIT_SPREAD * math.sqrt(mean)
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -29,6 +29,8 @@
 HEDGE_TOKENS_PER_REQUEST = 0.1  # hedged requests that each request allows
 MAX_HEDGE_TOKENS = 3.0  # hedged requests that may be saved up
 LATE_RUNS = 2.0  # a request with less time than so many runs left is late
+MAX_FUNCTIONS = 2_000  # functions that are remembered
+FORGET_MS = 60_000.0  # functions not called, and scorers gone, for so long are forgotten
 MAX_LATE_PART = 0.5  # a request with more than this part of its latency target left is never late
 
 
@@ -183,6 +185,13 @@
     site: str = ""  # the zone that is near for its calls, where requests name one
     needed_ms: float = -math.inf  # when it was last called or prefetched
 
+    def is_busy(self) -> bool:
+        """Whether a request waits, or an attempt, a load order or a probe is in progress."""
+        places = self.copies_by_scorer.values()
+        return bool(self.queue) or any(
+            place.in_flight or place.open_probes or place.order_ms is not None for place in places
+        )
+
 
 class Known:
     """The state that all parts of the router share, and what is read from it."""
@@ -267,3 +276,53 @@
     def _has_remote_load(self, scorer: Scorer, span_ms: float) -> bool:
         """Whether others reported on a scorer within `span_ms`, and since it started."""
         return scorer.remote_load_ms > max(scorer.started_ms, self.now - span_ms)
+
+    def _function(self, event: io.RequestArrived | io.PrefetchRequested) -> Function:
+        """The function that an event names, with what the event gives of it if it was not known."""
+        fn = self.functions.get(event.function)
+        if fn is None:
+            if len(self.functions) >= MAX_FUNCTIONS:
+                self._forget()
+            name = event.function
+            fn = Function(name, event.class_name, max(1, event.lanes), event.load_ms, mark(name))
+            self.functions[name] = fn
+        return fn
+
+    def _apply_remote_load(self, fn: Function, scorers: list[Scorer]) -> None:
+        """Take the copies that others reported at these scorers, as if by an answer of that time."""
+        for scorer in scorers:
+            report = scorer.remote_load
+            if fn.name not in report.copies and fn.name not in report.loading:
+                continue
+            place = self._copies_at(fn, scorer)
+            copies = report.copies.get(fn.name, 0)
+            if copies > 0 and scorer.remote_load_ms > place.seen_ms:
+                place.copies = max(copies, self._copies(fn, scorer))
+                place.seen_ms = scorer.remote_load_ms
+
+    def _forget(self) -> None:
+        """Forget what is long past, and of too many functions those that were not called for longest.
+
+        This bounds the memory.
+        """
+        self.forgot_ms = self.now
+        past_ms = self.now - FORGET_MS
+        last_there = {scorer.last_function for scorer in self.scorers.values()}
+        surplus = MAX_FUNCTIONS // 2 if len(self.functions) >= MAX_FUNCTIONS else 0
+        oldest_first = sorted(self.functions.values(), key=lambda fn: fn.needed_ms)
+        for number, fn in enumerate(oldest_first):
+            is_old = number < surplus or fn.needed_ms < past_ms
+            if is_old and not fn.is_busy() and fn not in last_there:
+                del self.functions[fn.name]
+        for scorer in list(self.scorers.values()):
+            if scorer.entry.state is io.ScorerState.GONE:
+                scorer.gone_ms = scorer.gone_ms or self.now
+                if scorer.gone_ms < past_ms and not scorer.in_flight:
+                    self._forget_scorer(scorer.id)
+
+    def _forget_scorer(self, number: int) -> None:
+        """Forget a scorer that is gone, and what was known of copies there."""
+        self.scorers.pop(number, None)
+        self.watched.pop(number, None)
+        for fn in self.functions.values():
+            fn.copies_by_scorer.pop(number, None)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,7 +4,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.interface import AttemptResult
-from fawnwharf.policy.router import MAX_FUNCTIONS
+from fawnwharf.policy.state import MAX_FUNCTIONS
 
 # --- the ordinary path ---------------------------------------------------------------------
 
