--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -12,8 +12,8 @@
     SILENT_MS,
     SWEEP_MS,
     WINDOW_MS,
-    Known,
     Request,
+    RouterState,
     Scorer,
 )
 
@@ -23,7 +23,7 @@
 HELD_PART = 0.5  # a request never sent by this part of its time is given up if it will hardly be on time
 
 
-class Admission(Known):
+class Admission(RouterState):
     """Limits, tenant quotas, the rules on retries, and the final answers of the front end itself."""
 
     def _over_share(self, tenant: str) -> bool:
--- a/fawnwharf/policy/health.py
+++ b/fawnwharf/policy/health.py
@@ -8,9 +8,9 @@
     MAX_LATE_PART,
     Attempt,
     Function,
-    Known,
     LossRecord,
     Request,
+    RouterState,
     Scorer,
 )
 
@@ -26,7 +26,7 @@
 LOSS_KEPT = 0.7  # part of the losses that is left after each answer
 
 
-class Health(Known):
+class Health(RouterState):
     """Failure detection of scorers, hedging of overdue attempts and outlier ejection by class."""
 
     def _is_usable(self, scorer: Scorer, fn: Function) -> bool:
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -7,8 +7,8 @@
     PROBE_WAIT_MS,
     REFRESH_MS,
     Function,
-    Known,
     Request,
+    RouterState,
     Samples,
     Scorer,
     ScorerCopies,
@@ -25,7 +25,7 @@
 REFRESH_QUEUE_RATIO = 8  # copies are refreshed while fewer than one request in so many waits
 
 
-class Loads(Known):
+class Loads(RouterState):
     """Load orders of this front end: when, where and how many."""
 
     loading = 0  # own ones in progress
@@ -87,10 +87,12 @@
         self._expect_answer(scorer)
         self.actions.append(io.OrderCopies(scorer.id, fn.name, place.order_count))
 
-    def _load_answered(self, fn: Function, place: ScorerCopies, event: io.LoadOrderAnswered) -> None:
-        """Take the answer to a load order: its time, and what it shows of the store."""
+    def _load_answered(
+        self, fn: Function, place: ScorerCopies, event: io.LoadOrderAnswered, ordered_ms: float
+    ) -> None:
+        """Take the answer to a load order of `ordered_ms`: its time, and what it shows of the store."""
         is_good = event.result is io.AttemptResult.GOOD
-        took_ms = self.now - place.order_ms
+        took_ms = self.now - ordered_ms
         is_timely = took_ms < LOAD_SLOW * (fn.load_told_ms or self._load_time_ms(fn)) and is_good
         place.order_ms = None
         self.loading -= 1
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -242,22 +242,22 @@
         place = self._copies_at(fn, scorer)
         is_short = event.result is io.AttemptResult.GOOD and event.copies < place.order_count
         # With both in progress, an answer with too few copies is that to a probe.
-        is_load = place.order_ms is not None and not (place.open_probes and is_short)
+        ordered_ms = None if place.open_probes and is_short else place.order_ms
         if event.result in COPIES_COUNTED:
             if scorer.suspect_ms is not None and place.copies and not event.copies:
                 # The copies are gone: it restarted, which was not reported.
                 self._begin_slow_start(scorer, self.now, since_ms=-math.inf)
             # The answer to a probe counts for longer than that to a call.
             self._mark_alive(scorer, health.SUSPECT_PROBE_MS)
-            if is_load and place.speculative and event.result is io.AttemptResult.GOOD:
+            if ordered_ms is not None and place.speculative and event.result is io.AttemptResult.GOOD:
                 place.unused_ms = self.now
                 place.lanes_before = place.copies * fn.lanes
             place.copies = event.copies
             place.counted_ms = self.now
             place.seen_ms = self.now
         self._note_failed_connection(scorer, event.result)
-        if is_load:
-            self._load_answered(fn, place, event)
+        if ordered_ms is not None:
+            self._load_answered(fn, place, event, ordered_ms)
         else:
             place.open_probes = max(0, place.open_probes - 1)
         self._dispatch(fn)
--- a/fawnwharf/policy/slow_start.py
+++ b/fawnwharf/policy/slow_start.py
@@ -36,7 +36,7 @@
 import math
 from collections import deque
 
-from fawnwharf.policy.state import REFRESH_MS, WINDOW_MS, Known, Scorer, mix
+from fawnwharf.policy.state import REFRESH_MS, WINDOW_MS, RouterState, Scorer, mix
 
 MARGIN_MS = 50.0  # two sends may arrive so much nearer to each other than they left: one had to wait
 ARRIVAL_SAFETY = 0.6  # of own arrivals, a guess: they grow where clients retry
@@ -95,7 +95,7 @@
     return low
 
 
-class SlowStart(Known):
+class SlowStart(RouterState):
     """The part of each scorer's slow start that is this front end's; see the module for the bound."""
 
     def _within_slow_start_limit(self, scorer: Scorer) -> bool:
