--- a/fawnwharf/cli.py
+++ b/fawnwharf/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: `fawnwharf COMMAND`."""
 
 from typing import Annotated
 
@@ -21,14 +21,14 @@
 app.add_typer(lab_app, name="lab")
 recovery_app.command("show")(recovery_show)
 app.add_typer(recovery_app, name="recovery")
-File = Annotated[str | None, typer.Option("--config", help="The JSON file, in place of ROUTER_CONFIG's.")]
-
 
+# The options of commands.
+ConfigFile = Annotated[
+    str | None, typer.Option("--config", help="The JSON file, in place of ROUTER_CONFIG's.")
+]
 Zones = Annotated[
     str | None, typer.Option("--zones", help="Settings of failover between zones; off without.")
 ]
-
-
 State = Annotated[str | None, typer.Option("--state", help="Settings of replicated state; off without.")]
 Policy = Annotated[
     str | None, typer.Option("--policy", help="Settings of changes of policy; off without, needs --zones.")
@@ -47,7 +47,7 @@
 
 @app.command()
 def serve(
-    path: File = None,
+    path: ConfigFile = None,
     zones: Zones = None,
     state: State = None,
     policy: Policy = None,
@@ -56,11 +56,14 @@
     recovery: Recovery = None,
 ) -> None:
     """Serve until SIGTERM, then finish what was taken."""
-    raise typer.Exit(serving.serve(path, zones, state, policy, sessions, fresh, recovery))
+    status = serving.serve(
+        path, fresh=fresh, zones=zones, state=state, policy=policy, sessions=sessions, recovery=recovery
+    )
+    raise typer.Exit(status)
 
 
 @app.command("check-config")
-def check_config(path: File = None) -> None:
+def check_config(path: ConfigFile = None) -> None:
     """Read and check the configuration, and say what was understood."""
     try:
         found = config.load(path)
--- a/fawnwharf/config.py
+++ b/fawnwharf/config.py
@@ -9,113 +9,135 @@
 import os
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Annotated, Any, Literal, TypeVar
 
 import msgspec
 from msgspec import Meta, Struct
 
 from fawnwharf import interface as io
 
-Count = Annotated[int, Meta(ge=0)]
-Least = Annotated[int, Meta(ge=1)]
-Span = Annotated[float, Meta(ge=0)]  # milliseconds
-Address = tuple[str, int]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
+NonNegativeFloat = Annotated[float, Meta(ge=0)]
+Milliseconds = Annotated[float, Meta(ge=0)]
+Address = tuple[str, int]  # numeric host and port
+T = TypeVar("T")
 
 
 class ConfigError(ValueError):
     """A faulty configuration; the text names the key."""
 
 
-# --- the settings of an instance, as the documents name them --------------------------------
+# --- the settings of an instance; `name=` gives the key of the documents where it differs ------
 
 
 class _Class(Struct):
+    """The rules for the calls of one class."""
+
     name: str
-    promise: Span = 1000.0
-    give_up: Span = 2500.0
+    latency_target: Milliseconds = msgspec.field(name="promise", default=1000.0)
+    deadline: Milliseconds = msgspec.field(name="give_up", default=2500.0)
     effect: io.Effect = io.Effect.AT_MOST_ONCE
     group: io.DeduplicationGroup = io.DeduplicationGroup.ALL
-    dedup_window: Span = 0.0
-    worth: float = 1.0
+    dedup_window: Milliseconds = 0.0
+    priority_weight: float = msgspec.field(name="worth", default=1.0)
     late_share: float = 0.0
 
 
 class _Tenant(Struct):
+    """A tenant, and its quota in calls a second for all front ends together; None: unlimited."""
+
     name: str
-    quota_rps: Span | None = None
+    quota_rps: NonNegativeFloat | None = None
 
 
 class _Bounds(Struct):
-    cancel: bool = True
-    second_copies: bool = True
-    max_attempts: Least = 1
+    """What a front end may do, and limits of its connections."""
+
+    cancellation_allowed: bool = msgspec.field(name="cancel", default=True)
+    hedging: bool = msgspec.field(name="second_copies", default=True)
+    max_attempts: PositiveInt = 1
     retry_after: bool = False
-    max_retry_after: Span = 0.0
-    dial_timeout: Span = 250.0
-    keepalive: Span = 15_000.0
-    streams_per_conn: Least = 32
-    max_open: Least = 20_000
+    max_retry_after: Milliseconds = 0.0
+    dial_timeout: Milliseconds = 250.0
+    keepalive: Milliseconds = 15_000.0
+    streams_per_conn: PositiveInt = 32
+    max_open: PositiveInt = 20_000
 
 
 class _Family(Struct):
-    may_order: bool = True
-    idle_life: Span = 10_000.0
-    load_window: Span = 0.0
-    free_loads: Span = 0.0
-    load_part: Span = 0.0
-    load_wait: Span = 10_000.0
-    not_loaded: str = "miss"
-    notes_peers_in_hand: bool = False
-    idle_memory_cost: Span = 0.0
+    """What the site's kind of scorers allows and does."""
+
+    load_orders_allowed: bool = msgspec.field(name="may_order", default=True)
+    idle_life: Milliseconds = 10_000.0
+    load_window: Milliseconds = 0.0
+    free_loads: NonNegativeFloat = 0.0
+    load_part: NonNegativeFloat = 0.0
+    load_wait: Milliseconds = 10_000.0
+    on_miss: str = msgspec.field(name="not_loaded", default="miss")
+    reports_concurrency: bool = msgspec.field(name="notes_peers_in_hand", default=False)
+    idle_memory_cost: NonNegativeFloat = 0.0
 
 
-class _Rules(Struct):
-    cold: Span = 10_000.0
-    cold_share: Span = 0.2
-    fall: Span = 1_000.0
-    fall_multiple: Span = 2.0
+class _SlowStart(Struct):
+    """The limit on requests to a scorer that has just started."""
+
+    duration: Milliseconds = msgspec.field(name="cold", default=10_000.0)
+    initial_share: NonNegativeFloat = msgspec.field(name="cold_share", default=0.2)
+    window: Milliseconds = msgspec.field(name="fall", default=1_000.0)
+    multiple: NonNegativeFloat = msgspec.field(name="fall_multiple", default=2.0)
 
 
 class _Costs(Struct):
-    handshake: Span = 0.0
-    origin: Span = 0.0
-    waste: Span = 0.0
-    probe: Span = 0.0
+    """Prices, as parts of the result."""
+
+    handshake: NonNegativeFloat = 0.0
+    origin: NonNegativeFloat = 0.0
+    waste: NonNegativeFloat = 0.0
+    probe: NonNegativeFloat = 0.0
 
 
 class _Settings(Struct):
+    """The settings of an instance."""
+
     classes: list[_Class] = []
     tenants: list[_Tenant] = []
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
-    family_info: _Family = msgspec.field(default_factory=_Family)
-    invariants: _Rules = msgspec.field(default_factory=_Rules)
+    family: _Family = msgspec.field(name="family_info", default_factory=_Family)
+    slow_start: _SlowStart = msgspec.field(name="invariants", default_factory=_SlowStart)
     costs: _Costs = msgspec.field(default_factory=_Costs)
-    fleet_size: Least = 1
-    locality: str = ""
-    tick: Span = 1.0
+    fleet_size: PositiveInt = 1
+    zone: str = msgspec.field(name="locality", default="")
+    tick: Milliseconds = 1.0
     weight_source: str = "none"
 
 
-class _Limits(Struct):
-    cores: Span = 1.0
-    memory_mb: Least = 192
+class _ProcessLimits(Struct):
+    """The limits of the process."""
+
+    cores: NonNegativeFloat = 1.0
+    memory_mb: PositiveInt = 192
     sockets: Annotated[int, Meta(ge=32)] = 1024
 
 
-class _Known(Struct):
-    seq: Count = 0
+class _KnownEvents(Struct):
+    """What the change log had sent when the configuration was written."""
+
+    seq: NonNegativeInt = 0
     results: list[dict[str, Any]] = []
 
 
 class _Deployment(Struct):
+    """The configuration file of a front end."""
+
     settings: _Settings
     changelog: str
     name: str = ""
     listen: str = ""
     control: str = ""
     seed: str | int = 0
-    limits: _Limits = msgspec.field(default_factory=_Limits)
-    known: _Known = msgspec.field(default_factory=_Known)
+    limits: _ProcessLimits = msgspec.field(default_factory=_ProcessLimits)
+    known: _KnownEvents = msgspec.field(default_factory=_KnownEvents)
 
 
 # --- what the program works with -------------------------------------------------------------
@@ -124,13 +146,13 @@
 class Wire(Struct, frozen=True):
     """The settings that sockets need and decisions do not."""
 
-    dial_timeout_ms: float = 250.0
-    keepalive_ms: float = 15_000.0
-    streams_per_conn: int = 32
-    max_open: int = 20_000
-    load_wait_ms: float = 10_000.0
-    tells_crowd: bool = False
-    handshake_price: float = 0.0  # points taken off for a new connection for each first try
+    dial_timeout_ms: float = 250.0  # for a connection to a scorer
+    keepalive_ms: float = 15_000.0  # scorers keep an idle connection open for so long
+    streams_per_conn: int = 32  # requests in flight on one connection
+    max_open: int = 20_000  # open requests of clients
+    load_wait_ms: float = 10_000.0  # timeout of a load order
+    reports_concurrency: bool = False  # answers of scorers report the calls in flight
+    handshake_price: float = 0.0  # points taken off for a new connection, by first attempt
     tenants: frozenset[str] = frozenset()  # empty: a site without tenants
 
 
@@ -146,9 +168,9 @@
 class Deployment(Struct, frozen=True):
     """The whole configuration of one front end.
 
-    `listen`, `changelog` and `control` are numeric addresses; `control` is the operators' and may be None,
-    for no such address. `memory_mb` and `sockets` are the limits of the process; `known_seq` and
-    `known_events` are what the change log had told when the configuration was written.
+    `listen`, `changelog` and `control` are numeric addresses; `control` is for operators. `memory_mb` and
+    `sockets` are the limits of the process; `known_seq` and `known_events` are what the change log had sent
+    when the configuration was written.
     """
 
     name: str
@@ -161,7 +183,7 @@
     known_events: list[dict[str, Any]]
     settings: io.Settings
     wire: Wire
-    control: Address | None = None  # for operators alone; None: there is no such address
+    control: Address | None = None  # None: there is no such address
     costs: Costs = Costs()
 
 
@@ -181,7 +203,7 @@
 class Fleet(Struct, frozen=True):
     """The list of scorers in an event of the change log.
 
-    `complete` tells a whole list from a list of changes; `revision` is the list's number.
+    `complete` distinguishes a complete list from a list of changes; `revision` is the list's number.
     """
 
     members: list[Member]
@@ -190,6 +212,7 @@
 
 
 def _without_nulls(value: Any) -> Any:
+    """Decoded JSON without the keys whose value is null, so that these get their defaults."""
     if isinstance(value, dict):
         return {key: _without_nulls(item) for key, item in value.items() if item is not None}
     if isinstance(value, list):
@@ -197,12 +220,16 @@
     return value
 
 
-def _read(data: Any, kind: Any, prefix: str = "") -> Any:
+def _read(data: Any, kind: type[T], prefix: str = "") -> T:
+    """Decoded JSON as a value of a type; `prefix` goes before the key that an error names.
+
+    Raises `ConfigError` with the name of a faulty key.
+    """
     try:
         return msgspec.convert(_without_nulls(data), kind)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        key = (prefix + place.rstrip("`")).lstrip(".")
+        text, _, path = str(error).partition(" - at `$")
+        key = (prefix + path.rstrip("`")).lstrip(".")
         raise ConfigError(f"{key or 'configuration'}: {text}") from None
 
 
@@ -215,61 +242,69 @@
 
 
 def _settings(read: _Settings) -> io.Settings:
-    bounds, family, rules = read.bounds, read.family_info, read.invariants
+    """The settings of decisions, from those that were read."""
+    bounds = read.bounds
+    family = read.family
+    slow_start = read.slow_start
+    quotas = {tenant.name: tenant.quota_rps for tenant in read.tenants if tenant.quota_rps is not None}
     return io.Settings(
         classes={spec.name: _class(spec) for spec in read.classes},
-        quotas_rps={t.name: t.quota_rps for t in read.tenants if t.quota_rps is not None},
+        quotas_rps=quotas,
         fleet_size=read.fleet_size,
-        zone=read.locality,
+        zone=read.zone,
         tick_ms=read.tick,
         weights_fixed=read.weight_source in ("nominal", "rough"),
-        load_orders_allowed=family.may_order,
-        cancellation_allowed=bounds.cancel,
-        hedging=bounds.second_copies,
+        load_orders_allowed=family.load_orders_allowed,
+        cancellation_allowed=bounds.cancellation_allowed,
+        hedging=bounds.hedging,
         max_attempts=bounds.max_attempts,
         max_retry_after_ms=bounds.max_retry_after if bounds.retry_after else 0.0,
         idle_life_ms=family.idle_life,
-        loads_on_miss=family.not_loaded == "load",
+        loads_on_miss=family.on_miss == "load",
         load_window_ms=family.load_window,
         free_loads=family.free_loads,
         load_part=family.load_part,
-        slow_start_ms=rules.cold,
-        slow_start_initial_share=rules.cold_share,
-        slow_start_window_ms=rules.fall,
-        slow_start_multiple=rules.fall_multiple,
+        slow_start_ms=slow_start.duration,
+        slow_start_initial_share=slow_start.initial_share,
+        slow_start_window_ms=slow_start.window,
+        slow_start_multiple=slow_start.multiple,
     )
 
 
 def _class(spec: _Class) -> io.ClassSpec:
+    """The rules of a class, from those that were read."""
     return io.ClassSpec(
         name=spec.name,
-        latency_target_ms=spec.promise,
-        deadline_ms=spec.give_up,
+        latency_target_ms=spec.latency_target,
+        deadline_ms=spec.deadline,
         effect=spec.effect,
         group=spec.group,
         dedup_window_ms=spec.dedup_window,
-        priority_weight=spec.worth,
+        priority_weight=spec.priority_weight,
         late_share=spec.late_share,
     )
 
 
 def _wire(read: _Settings) -> Wire:
-    bounds, family = read.bounds, read.family_info
+    """The settings of sockets, from those that were read."""
+    bounds = read.bounds
+    family = read.family
     return Wire(
         dial_timeout_ms=bounds.dial_timeout,
         keepalive_ms=bounds.keepalive,
         streams_per_conn=bounds.streams_per_conn,
         max_open=bounds.max_open,
         load_wait_ms=family.load_wait,
-        tells_crowd=family.notes_peers_in_hand,
+        reports_concurrency=family.reports_concurrency,
         handshake_price=read.costs.handshake,
         tenants=frozenset(tenant.name for tenant in read.tenants),
     )
 
 
 def _costs(read: _Settings) -> Costs:
+    """The prices, from the settings that were read."""
     costs = read.costs
-    return Costs(costs.origin, costs.waste, costs.probe, read.family_info.idle_memory_cost)
+    return Costs(costs.origin, costs.waste, costs.probe, read.family.idle_memory_cost)
 
 
 def address_from(text: str, key: str) -> Address:
@@ -289,6 +324,7 @@
 
 
 def _seed(seed: str | int) -> int:
+    """A seed as a number; as text it is hexadecimal."""
     try:
         return seed if isinstance(seed, int) else int(seed, 16)
     except ValueError:
@@ -324,13 +360,13 @@
 
     Raises `ConfigError` where there is no path, the file can't be read, or a key is faulty.
     """
-    place = path or environment.get("ROUTER_CONFIG")
-    if not place:
+    file = path or environment.get("ROUTER_CONFIG")
+    if not file:
         raise ConfigError("ROUTER_CONFIG: not set, and no path given")
     try:
-        data = msgspec.json.decode(Path(place).read_bytes())
+        data = msgspec.json.decode(Path(file).read_bytes())
     except OSError as error:
-        raise ConfigError(f"ROUTER_CONFIG: {error.strerror}: {place}") from None
+        raise ConfigError(f"ROUTER_CONFIG: {error.strerror}: {file}") from None
     except msgspec.DecodeError as error:
         raise ConfigError(f"ROUTER_CONFIG: not JSON: {error}") from None
     return deployment_from(data, environment)
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -267,7 +267,9 @@
         return spec is not None and spec.effect is not io.Effect.AT_MOST_ONCE
 
     def _crowd(self, answer: Answer) -> int | None:
-        if not self._wire.tells_crowd or answer.ending not in (io.AttemptResult.GOOD, io.AttemptResult.FULL):
+        if not self._wire.reports_concurrency:
+            return None
+        if answer.ending not in (io.AttemptResult.GOOD, io.AttemptResult.FULL):
             return None
         return min(MAX_CONCURRENCY, answer.crowd)
 
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -1,59 +1,64 @@
-"""Serving from a configuration file to an exit status, for the command line and the fast way in."""
+"""Serves from a configuration file to an exit status, with or without the command line's libraries."""
 
 import gc
 import signal
 import socket
 import sys
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypedDict, Unpack
 
 from fawnwharf import config
 from fawnwharf import interface as io
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.listener import listen_when_free, open_listener, termination_pending
 
-LAID = "zones", "state"  # what subsystems lay over the roster, which begins anew with them
-# What goes by whose logs.
-NEEDS = {"policy": ("zones",), "sessions": ("state",), "recovery": ("zones", "state")}
-Made = dict[str, Any]  # subsystems by the names of their options
-Maker = Callable[[bool, Made], Any]
-
-
-def serve(
-    path: str | None = None,
-    zones: str | None = None,
-    state: str | None = None,
-    policy: str | None = None,
-    sessions: str | None = None,
-    fresh: bool = False,
-    recovery: str | None = None,
-) -> int:
-    """Serve until SIGTERM; 0 when all that was taken is answered, 2 with the key's name on a bad start.
-
-    `zones` names the settings of failover between zones, `state` those of replicated state, `policy` those
-    of changes of policy, `sessions` those of sessions that move between sites, `recovery` those of the return
-    from a loss of power; without them they are off, and not even imported. `fresh`: the fleet begins, and
-    nobody has promised anything."""
+ROSTER_FILTER_OWNERS = "zones", "state"  # subsystems that filter the roster; the filters go as they restart
+# Options that an option needs, as its subsystem reads the logs of theirs.
+REQUIRED_OPTIONS = {"policy": ("zones",), "sessions": ("state",), "recovery": ("zones", "state")}
+Subsystems = dict[str, Any]  # by the names of their options
+Maker = Callable[[bool, Subsystems], Any]
+
+
+class SubsystemFiles(TypedDict, total=False):
+    """The settings files of the subsystems; None or missing: the subsystem is off, and not even imported."""
+
+    zones: str | None  # failover between zones
+    state: str | None  # replicated state
+    policy: str | None  # changes of policy
+    sessions: str | None  # sessions that move between sites
+    recovery: str | None  # the return from a loss of power
+
+
+def serve(path: str | None = None, *, fresh: bool = False, **files: Unpack[SubsystemFiles]) -> int:
+    """Serve until SIGTERM; returns the exit status.
+
+    It is 0 when all accepted requests are answered, 2 with the key's name on standard error where the
+    configuration is faulty. `path` is that of the configuration file; None: ROUTER_CONFIG gives it. `fresh`:
+    the fleet begins, and no front end has promised anything.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # until the loop has its handlers
     try:
         deployment = config.load(path)
-        asked = {"zones": zones, "state": state, "policy": policy, "sessions": sessions, "recovery": recovery}
-        front = _bound(deployment, path, {name: file for name, file in asked.items() if file}, fresh)
+        given = {name: str(file) for name, file in files.items() if file}
+        front = _open_front_end(deployment, path, given, fresh)
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
     if front.admin is not None and front.admin.takes_over and termination_pending():
-        front.close()  # the process that serves goes on as if this one had not come
+        front.close()  # the process that serves goes on as if this one had not started
         return 0
-    gc.freeze()  # what the start has made stays: no collection needs to walk it
+    gc.freeze()  # what the start has made stays: garbage collections need not visit it
     front.serve()
     return 0
 
 
 def _makers(deployment: config.Deployment, files: dict[str, str], fresh: bool) -> dict[str, Maker]:
-    """By the options' names, in the order in which they are made; each is imported only where it is asked
-    for."""
-    for name, needed in NEEDS.items():
+    """Makers of the subsystems by the options' names, in the order in which these are made.
+
+    Each is imported only if its option is given. Raises `ConfigError` if an option is given without one that
+    it needs.
+    """
+    for name, needed in REQUIRED_OPTIONS.items():
         missing = [each for each in needed if name in files and each not in files]
         if missing:
             raise config.ConfigError(f"--{name}: goes by the logs of --{missing[0]}, which is not given")
@@ -62,55 +67,58 @@
         from fawnwharf.zones.operator_log import writer
 
         write = writer(deployment.name)
-    if place := files.get("zones"):
+    if file := files.get("zones"):
         from fawnwharf.zones.service import ZoneService
 
-        makers["zones"] = lambda first, made, place=place: ZoneService(deployment, place, write)
-    if place := files.get("recovery"):
+        makers["zones"] = lambda _first, _made, file=file: ZoneService(deployment, file, write)
+    if file := files.get("recovery"):
         from fawnwharf.recovery_service.recovery_store import open_recovery_store
 
-        makers["kept"] = lambda first, made, place=place: open_recovery_store(
-            deployment, place, files["state"], write, fresh and first
+        makers["kept"] = lambda first, _made, file=file: open_recovery_store(
+            deployment, file, files["state"], write, fresh and first
         )
-    if place := files.get("state"):
+    if file := files.get("state"):
         from fawnwharf.replication.service import ReplicationService
 
-        makers["state"] = lambda first, made, place=place: ReplicationService(
+        makers["state"] = lambda first, made, file=file: ReplicationService(
             deployment,
-            place,
+            file,
             write,
             fresh=fresh and first,
             grant_storage_factory=made.get("kept"),
         )
-    if place := files.get("policy"):
+    if file := files.get("policy"):
         from fawnwharf.policy_rollout.service import PolicyRolloutService
 
-        makers["policy"] = lambda first, made, place=place: PolicyRolloutService(
-            deployment, place, write, made
-        )
-    if place := files.get("sessions"):
+        makers["policy"] = lambda _first, made, file=file: PolicyRolloutService(deployment, file, write, made)
+    if file := files.get("sessions"):
         from fawnwharf.sessions.service import Sessions
 
-        makers["sessions"] = lambda first, made, place=place: Sessions(
-            deployment, place, write, made, fresh and first
+        makers["sessions"] = lambda first, made, file=file: Sessions(
+            deployment, file, write, made, fresh and first
         )
-    if place := files.get("recovery"):
+    if file := files.get("recovery"):
         from fawnwharf.recovery_service.service import RecoveryService
 
-        makers["recovery"] = lambda first, made, place=place: RecoveryService(deployment, place, write, made)
+        makers["recovery"] = lambda _first, made, file=file: RecoveryService(deployment, file, write, made)
     return makers
 
 
-def _bound(deployment: config.Deployment, path: str | None, files: dict[str, str], fresh: bool) -> FrontEnd:
+def _open_front_end(
+    deployment: config.Deployment, path: str | None, files: dict[str, str], fresh: bool
+) -> FrontEnd:
+    """A front end that listens, with its subsystems and its administration."""
     makers = _makers(deployment, files, fresh)
     inherited = None
     if deployment.control:
         from fawnwharf.admin.handoff_request import inherit_state
 
-        # First: the process before may have the disks of these extensions.
+        # First of all: the process that still serves may have the disks of these extensions open.
         inherited = inherit_state(deployment, needs_extensions=bool(makers))
-    extension = ExtensionGroup(makers, not (inherited and inherited.channel)) if makers else None
-    listener = (inherited and inherited.listener) or _listener(deployment)
+    extension = None
+    if makers:
+        extension = ExtensionGroup(makers, first=not (inherited and inherited.channel))
+    listener = (inherited and inherited.listener) or _open_listener(deployment)
     front = FrontEnd(deployment, reread=lambda: config.load(path), extension=extension, listener=listener)
     if extension:
         extension.attach(front)
@@ -121,7 +129,8 @@
     return front
 
 
-def _listener(deployment: config.Deployment) -> socket.socket:
+def _open_listener(deployment: config.Deployment) -> socket.socket:
+    """The socket for clients; raises `ConfigError` if the address can't be used."""
     shared = deployment.control is not None  # another process may listen there, to take this one's place
     try:
         return listen_when_free(lambda: open_listener(deployment.listen, shared))
@@ -130,17 +139,24 @@
 
 
 class ExtensionGroup:
-    """The subsystems at the one seam, in their order: all of them, or none while another process has them."""
+    """The subsystems as one extension of the front end, in their order.
+
+    All of them exist, or none while another process has them.
+    """
 
     def __init__(self, makers: dict[str, Maker], first: bool) -> None:
-        """Each maker reads and checks what its subsystem needs, of which those before it are made already,
-        and raises ConfigError. `first`: no process before this one may have promised anything in the
-        member's name that a fresh fleet need not know."""
+        """Make the subsystems.
+
+        Each maker reads and checks what its subsystem needs, gets those that were made before it, and raises
+        `ConfigError`. `first`: no earlier process of this member may have made promises that a fresh fleet
+        does not know.
+        """
         self._makers = makers
         self._parts = self._made(first)
 
     def _made(self, first: bool) -> list[Any]:
-        made: Made = {}
+        """The subsystems, newly made; on a faulty configuration those made so far are closed again."""
+        made: Subsystems = {}
         try:
             for name, make in self._makers.items():
                 made[name] = make(first, made)
@@ -151,21 +167,23 @@
         return list(made.values())
 
     def attach(self, front: FrontEnd) -> None:
+        """Connect the subsystems to a front end."""
         for part in self._parts:
             part.attach(front)
 
     def suspend(self) -> None:
+        """Close the subsystems, as another process takes them over."""
         self.close()
         self._parts = []
 
     def resume(self, front: FrontEnd) -> None:
+        """Make the subsystems again, as the other process gave up; raises `ConfigError`."""
         self._parts = self._made(first=False)
-        for who in LAID:
-            front.apply_fleet(front.roster_overlay.set_filter(who, None))
-        front.limit_calls(LAID[0], io.UNLIMITED_RPS)
-        self.on_fleet(
-            config.Fleet(list(front.roster_overlay.members.values()), True, front.roster_overlay.revision)
-        )
+        for owner in ROSTER_FILTER_OWNERS:
+            front.apply_fleet(front.roster_overlay.set_filter(owner, None))
+        front.limit_calls(ROSTER_FILTER_OWNERS[0], io.UNLIMITED_RPS)
+        members = list(front.roster_overlay.members.values())
+        self.on_fleet(config.Fleet(members, complete=True, revision=front.roster_overlay.revision))
         try:
             self.attach(front)
         except config.ConfigError:
@@ -173,17 +191,21 @@
             raise
 
     def on_fleet(self, fleet: config.Fleet) -> None:
+        """Hand the scorer list of the change log on to the subsystems."""
         for part in self._parts:
             part.on_fleet(fleet)
 
     def on_events(self, events: list[io.Event]) -> None:
+        """Hand events for decisions on to the subsystems."""
         for part in self._parts:
             part.on_events(events)
 
     @property
     def busy(self) -> bool:
+        """Whether a subsystem still has work that a shutdown waits for."""
         return any(part.busy for part in self._parts)
 
     def close(self) -> None:
+        """Close the subsystems."""
         for part in self._parts:
             part.close()
--- a/fawnwharf/wirehost.py
+++ b/fawnwharf/wirehost.py
@@ -1,26 +1,31 @@
 """The adapter: JSON lines on standard input to events, actions to JSON lines on standard output.
 
-Translation only; every decision is in fawnwharf.policy. Run as ``python -m fawnwharf.wirehost``.
+Translation only; every decision is in fawnwharf.policy. Names in quotes are those of the wire. Run as
+``python -m fawnwharf.wirehost``.
 """
 
 import gc
 import json
 import sys
 import traceback
+from collections.abc import Callable
 from typing import Any, TextIO
 
 from fawnwharf import interface as io
 from fawnwharf.config import settings_from
 from fawnwharf.policy import Router
 
-ENDINGS = {ending.value: ending for ending in io.AttemptResult}
+RESULTS = {result.value: result for result in io.AttemptResult}
+LIST_UNCHANGED = 3  # "kind" of a roster message whose query failed: the prior list stays in effect
+COMPLETE_LISTS = (1, 2)  # "kind" of the messages that list all scorers
 
 
-class BadBatch(ValueError):
+class BatchError(ValueError):
     """A line that is no valid batch; the text names what is wrong."""
 
 
 def entry_from(entry: dict[str, Any]) -> io.ScorerEntry:
+    """One scorer of a roster message."""
     units = entry.get("units")
     return io.ScorerEntry(
         scorer=entry["worker"],
@@ -34,14 +39,16 @@
 
 
 def roster_from(body: dict[str, Any]) -> io.RosterChanged | None:
+    """The event of a roster message; None where its query failed."""
     kind = body.get("kind") or 0
-    if kind == 3:  # the call failed: the prior list stays in effect
+    if kind == LIST_UNCHANGED:
         return None
     entries = [entry_from(entry) for entry in body.get("entries") or []]
-    return io.RosterChanged(entries, complete=kind in (1, 2))
+    return io.RosterChanged(entries, complete=kind in COMPLETE_LISTS)
 
 
 def request_from(body: dict[str, Any]) -> io.RequestArrived:
+    """The event of a new request."""
     return io.RequestArrived(
         request=body["tid"],
         function=body.get("fn") or "",
@@ -56,12 +63,16 @@
 
 
 def attempt_from(body: dict[str, Any]) -> io.AttemptEnded:
+    """The event of an attempt that ended.
+
+    The remark holds the warmth in its lowest three bits and the reported concurrency above them.
+    """
     remark = body.get("remark")
     return io.AttemptEnded(
         request=body["tid"],
         attempt=body.get("try") or 0,
         scorer=body.get("worker") or 0,
-        result=ENDINGS[body["ending"]],
+        result=RESULTS[body["ending"]],
         took_ms=body.get("took") or 0.0,
         closed=bool(body.get("ended")),
         warmth=io.Warmth((remark or 0) & 7),
@@ -71,16 +82,17 @@
 
 
 def order_from(body: dict[str, Any]) -> io.LoadOrderAnswered:
+    """The event of a load order or probe that ended."""
     return io.LoadOrderAnswered(
         scorer=body["worker"],
         function=body["fn"],
-        result=ENDINGS[body["ending"]],
+        result=RESULTS[body["ending"]],
         copies=body.get("how_many") or 0,
         took_ms=body.get("took") or 0.0,
     )
 
 
-READERS = {
+READERS: dict[str, Callable[[dict[str, Any]], io.Event | None]] = {
     "TARGETS": roster_from,
     "NEW_REQUEST": request_from,
     "HANGUP": lambda body: io.RequestCancelled(body["tid"]),
@@ -89,14 +101,16 @@
     "DEADLINE_HIT": lambda body: io.TimerDue(body["handle"]),
 }
 
-WRITERS = {
-    io.Send: lambda a: {"ATTEMPT": {"tid": a.request, "worker": a.scorer}},
-    io.Cancel: lambda a: {"STOP_ATTEMPT": {"tid": a.request, "try": a.attempt}},
-    io.Reject: lambda a: {"SAY_NO": {"tid": a.request, "hold_off": a.hold_off_ms}},
-    io.Fail: lambda a: {"ERROR": {"tid": a.request}},
-    io.OrderCopies: lambda a: {"MOUNT": {"worker": a.scorer, "fn": a.function, "how_many": a.copies}},
-    io.SetTimer: lambda a: {"NOTIFY_ME": {"sleep_for": a.delay_ms, "handle": a.token}},
-    io.Log: lambda a: {"LOG": {"body_text": a.text}},
+WRITERS: dict[type[io.Action], Callable[[Any], dict[str, Any]]] = {
+    io.Send: lambda action: {"ATTEMPT": {"tid": action.request, "worker": action.scorer}},
+    io.Cancel: lambda action: {"STOP_ATTEMPT": {"tid": action.request, "try": action.attempt}},
+    io.Reject: lambda action: {"SAY_NO": {"tid": action.request, "hold_off": action.hold_off_ms}},
+    io.Fail: lambda action: {"ERROR": {"tid": action.request}},
+    io.OrderCopies: lambda action: {
+        "MOUNT": {"worker": action.scorer, "fn": action.function, "how_many": action.copies}
+    },
+    io.SetTimer: lambda action: {"NOTIFY_ME": {"sleep_for": action.delay_ms, "handle": action.token}},
+    io.Log: lambda action: {"LOG": {"body_text": action.text}},
 }
 
 
@@ -107,63 +121,69 @@
         self.routers: dict[int, Router] = {}
 
     def answer(self, line: str) -> str:
-        """The reply to one line of input."""
+        """The reply to one line of input; raises `BatchError` if it is no valid batch."""
         try:
             batch = json.loads(line)
         except ValueError as error:
-            raise BadBatch(f"not JSON: {error}") from None
+            raise BatchError(f"not JSON: {error}") from None
         if not isinstance(batch, dict) or not isinstance(batch.get("wall"), int | float):
-            raise BadBatch("a batch is an object with a number 'wall'")
+            raise BatchError("a batch is an object with a number 'wall'")
         if not isinstance(batch.get("ends"), list):
-            raise BadBatch("a batch has an array 'ends'")
-        ends = []
+            raise BatchError("a batch has an array 'ends'")
+        replies = []
         for end in batch["ends"]:
             if not isinstance(end, dict) or "who" not in end or not isinstance(end.get("inbox"), list):
-                raise BadBatch("an element of 'ends' has 'who' and an array 'inbox'")
-            steps = self._serve(end["who"], batch["wall"], end["inbox"])
+                raise BatchError("an element of 'ends' has 'who' and an array 'inbox'")
+            steps = self._take_messages(end["who"], batch["wall"], end["inbox"])
             if steps:
-                ends.append({"who": end["who"], "steps": steps})
-        return json.dumps({"ends": ends}, separators=(",", ":"))
+                replies.append({"who": end["who"], "steps": steps})
+        return json.dumps({"ends": replies}, separators=(",", ":"))
 
-    def _serve(self, who: int, now_ms: float, inbox: list[Any]) -> list[dict[str, Any]]:
+    def _take_messages(self, instance: int, now_ms: float, inbox: list[Any]) -> list[dict[str, Any]]:
+        """Take the messages to an instance in their order; the actions, as the wire has them."""
         steps: list[dict[str, Any]] = []
         events: list[io.Event] = []
         for message in inbox:
             if not isinstance(message, dict) or len(message) != 1:
-                raise BadBatch(f"an event is an object with one name: {json.dumps(message)[:80]}")
+                raise BatchError(f"an event is an object with one name: {json.dumps(message)[:80]}")
             [(name, body)] = message.items()
             if name in ("ATTACH", "POWER_OFF"):
-                steps += self._handle(who, now_ms, events)
+                # The events before it are those of the router that ends here.
+                steps += self._handle(instance, now_ms, events)
                 events = []
-                self.routers.pop(who, None)
+                self.routers.pop(instance, None)
             try:
                 if name == "ATTACH":
-                    self.routers[who] = Router(settings_from(body.get("config") or {}), body["init_seed"])
+                    self.routers[instance] = Router(
+                        settings_from(body.get("config") or {}), body["init_seed"]
+                    )
                 elif name in READERS and (event := READERS[name](body)) is not None:
                     events.append(event)
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                raise BadBatch(f"{name}: {type(error).__name__}: {error}") from None
-        return steps + self._handle(who, now_ms, events)
+                raise BatchError(f"{name}: {type(error).__name__}: {error}") from None
+        return steps + self._handle(instance, now_ms, events)
 
-    def _handle(self, who: int, now_ms: float, events: list[io.Event]) -> list[dict[str, Any]]:
-        if not events or who not in self.routers:
+    def _handle(self, instance: int, now_ms: float, events: list[io.Event]) -> list[dict[str, Any]]:
+        """Let an instance's router take events; the actions, as the wire has them."""
+        if not events or instance not in self.routers:
             return []
         try:
-            actions = self.routers[who].handle(now_ms, events)
-        except Exception as error:  # reported for this instance as the wire provides
-            place = traceback.extract_tb(error.__traceback__)[-1]
-            text = f"{type(error).__name__} in {place.name}, line {place.lineno}: {error}"
+            actions = self.routers[instance].handle(now_ms, events)
+        except Exception as error:  # reported for this instance alone, as the wire provides
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            text = f"{type(error).__name__} in {frame.name}, line {frame.lineno}: {error}"
             return [{"EXCEPTION": {"body_text": text}}]
         return [WRITERS[type(action)](action) for action in actions]
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
+    """Answer line by line until the input ends; returns the exit status, 2 after an invalid line."""
     gc.freeze()
     host = Host()
     for line in source:
         try:
             reply = host.answer(line)
-        except BadBatch as error:
+        except BatchError as error:
             print(f"wirehost: {error}", file=sys.stderr)
             return 2
         sink.write(reply + "\n")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 import pyarrow.parquet
 import pytest
 
-from fawnwharf.__main__ import plain_serve
+from fawnwharf.__main__ import serve_options
 from fawnwharf.testbed import compare as comparing
 from fawnwharf.testbed import scenario as scenarios
 from fawnwharf.testbed.checker import Verdict, judge
@@ -201,7 +201,7 @@
     ],
 )
 def test_serving_goes_without_the_command_lines_libraries_where_it_can(words, found):
-    assert plain_serve(words) == found
+    assert serve_options(words) == found
 
 
 def test_a_fleet_that_is_closed_leaves_no_process_behind():
