--- a/tests/test_repeat_windows.py
+++ b/tests/policy/test_policy_deduplication_windows.py
@@ -1,4 +1,4 @@
-"""Repeats of keyed requests fall inside their window and group; an at-most-once request has none."""
+"""Retries with an idempotency key fall inside their window and group; an at-most-once request has none."""
 
 import math
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("window_ms", [1_500.0, 150.0, WINDOW_MARGIN_MS, 50.0, 0.0])
-def test_a_keyed_repeat_may_be_written_only_for_what_is_left_of_the_window(window_ms):
+def test_a_retry_with_an_idempotency_key_may_be_written_only_for_what_is_left_of_the_window(window_ms):
     d = drive(window_ms)
     send = first_send(d)
     assert send.within_ms == math.inf
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(("wait_ms", "sent"), [(600.0, True), (720.0, False)])
-def test_the_window_is_looked_at_when_a_held_repeat_is_sent_not_when_it_is_held(wait_ms, sent):
+def test_the_window_is_checked_when_a_queued_retry_is_sent_not_when_it_is_queued(wait_ms, sent):
     d = drive(800.0)
     send = first_send(d)
     held(d)
@@ -115,7 +115,7 @@
     ("effect", "window_ms"),
     [(Effect.AT_MOST_ONCE, 1e9), (Effect.DEDUPLICATED, 300.0), (Effect.DEDUPLICATED, 3e3)],
 )
-def test_second_attempts_of_every_kind_keep_to_class_and_window(way, effect, window_ms):
+def test_retries_and_hedged_requests_keep_to_class_and_window(way, effect, window_ms):
     d = drive(window_ms, effect=effect)
     send = first_send(d)
     worker = d.router.scorers[send.scorer]
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("group", [DeduplicationGroup.ZONE, DeduplicationGroup.CELL])
-def test_a_repeat_stays_in_the_group_in_which_the_first_attempt_left_though_the_roster_moves_its_worker(
+def test_a_retry_stays_in_the_group_of_the_first_attempt_though_the_roster_moves_its_scorer(
     group,
 ):
     d = drive(3_000.0, group)
@@ -156,10 +156,11 @@
     d.feed(io.RosterChanged(moved, complete=False))
     d.now += 10.0
     [again] = end(d, send, AttemptResult.RESET)
-    assert again.scorer % 2 == side and again.scorer != send.scorer
+    assert again.scorer % 2 == side
+    assert again.scorer != send.scorer
 
 
-def test_a_request_outlives_the_worker_of_its_first_attempt():
+def test_a_request_outlives_the_scorer_of_its_first_attempt():
     """A class with ten minutes: its first worker is forgotten before there is a place for a repeat."""
     d = drive(600_000.0, DeduplicationGroup.ZONE, workers=2, deadline_ms=600_000.0)
     send = first_send(d, budget=600_000.0)
--- a/tests/test_policy_crossing.py
+++ b/tests/policy/test_policy_event_batches.py
@@ -40,8 +40,10 @@
     events = [ended, io.TimerDue(0), io.RequestCancelled("out"), io.RequestCancelled("held")]
     actions = d.feed(*[events[n] for n in order], events[3])
     loads = [hold for hold in of(actions, io.OrderCopies) if hold.copies]
-    assert not of(actions, io.Send) and not loads
-    assert not of(actions, io.Reject) and not of(actions, io.Fail)
+    assert not of(actions, io.Send)
+    assert not loads
+    assert not of(actions, io.Reject)
+    assert not of(actions, io.Fail)
     assert not d.router.requests
     assert not of(d.sweep(d.now + 3_000.0), io.Send)
 
@@ -51,7 +53,9 @@
     d.warm()
     arrived = io.RequestArrived("r", "f", "safe", "", 2_500.0, load_ms=500.0)
     actions = d.feed(arrived, io.RequestCancelled("r"))
-    assert not of(actions, io.Send) and not of(actions, io.OrderCopies) and not d.router.requests
+    assert not of(actions, io.Send)
+    assert not of(actions, io.OrderCopies)
+    assert not d.router.requests
 
 
 def test_a_request_that_was_finished_here_and_left_in_the_same_batch_has_one_answer():
@@ -114,7 +118,7 @@
 
 @pytest.mark.parametrize("fleet_size", [1, 60])
 @pytest.mark.parametrize("quotas", [{}, {"t": 10.0}])
-def test_without_a_class_or_a_worker_each_request_gets_its_answer(fleet_size, quotas):
+def test_without_a_class_or_a_scorer_each_request_gets_its_answer(fleet_size, quotas):
     router = io.Settings(fleet_size=fleet_size, quotas_rps=quotas)
     d = Drive(1)
     d.router = type(d.router)(router, 1)
--- a/tests/test_policy_told.py
+++ b/tests/policy/test_policy_external_events.py
@@ -1,4 +1,4 @@
-"""Told from outside: classes that change, sites, copies wanted (others' words: test_policy_elsewhere)."""
+"""External events: classes that change, sites, prefetches (others' reports: test_policy_remote_load)."""
 
 from dataclasses import replace
 
@@ -12,8 +12,9 @@
 LIFE_MS, LOAD_MS = 10_000.0, 500.0
 
 
-def arrived(d, name, fn="f", site="", spec="safe", budget=2500.0, lanes=1):
-    return d.feed(io.RequestArrived(name, fn, spec, "", budget, lanes, load_ms=LOAD_MS, site=site))
+def arrived(d, name, fn="f", **fields):
+    request = io.RequestArrived(name, fn, "safe", "", 2500.0, load_ms=LOAD_MS)
+    return d.feed(replace(request, **fields))
 
 
 def loads(actions):
@@ -60,7 +61,8 @@
     for name, promise_ms in told:
         d.feed(io.ClassChanged(io.ClassSpec(name, promise_ms)))
     assert d.router.latency_target_ms == least
-    assert d.router.settings.classes["safe"] == SAFE and "brand new" not in d.router.settings.classes
+    assert d.router.settings.classes["safe"] == SAFE
+    assert "brand new" not in d.router.settings.classes
 
 
 @pytest.mark.parametrize(
@@ -71,7 +73,7 @@
         d = Drive(workers=4)
         if changed and not came_before:
             d.feed(io.ClassChanged(replace(KEYED, dedup_window_ms=changed, group=io.DeduplicationGroup.ALL)))
-        arrived(d, "r", spec="keyed", budget=4000.0)
+        arrived(d, "r", class_name="keyed", budget_ms=4000.0)
         if changed and came_before:
             d.feed(io.ClassChanged(replace(KEYED, dedup_window_ms=changed, group=io.DeduplicationGroup.ALL)))
         for worker in (1, 2, 3, 4):
@@ -105,7 +107,7 @@
             d.count(send.scorer, 1)
 
 
-def test_the_first_questions_the_first_copy_and_raced_ones_stand_at_the_site():
+def test_the_first_probes_the_first_copy_and_speculative_ones_are_at_the_site():
     for own, site in (("a", "b"), ("a", "c"), ("b", "a")):
         d, zones = sites(own)
         there = [worker for worker, zone in zones.items() if zone == site]
@@ -114,7 +116,8 @@
         [(first, _)] = loads(d.answer_asks(actions))
         [send] = of(d.count(first, 1), io.Send)
         [(second, _)] = loads(arrived(d, "r1", site=site))
-        assert {first, second} == set(there) and send.scorer == first
+        assert {first, second} == set(there)
+        assert send.scorer == first
         other = Drive(workers=6, zones=("a", "b", "c"), zone=own)
         arrived(other, "r0")
         orders = [w.id for w in d.router._ordered(d.router.functions["f"])]
@@ -131,7 +134,7 @@
             d.count(place, 1, fn)
     for n in range(20):
         arrived(d, f"g{n}", "g", lanes=64)
-    sends = [s.scorer for n in range(20) for s in of(arrived(d, f"f{n}", "f", site, lanes=64), io.Send)]
+    sends = [s.scorer for n in range(20) for s in of(arrived(d, f"f{n}", "f", site=site, lanes=64), io.Send)]
     assert next(n for n, worker in enumerate(sends) if worker != sends[0]) == most
 
 
@@ -141,11 +144,13 @@
 def test_a_copy_wanted_is_ordered_answered_and_used_by_the_first_call():
     d = Drive(idle_life_ms=LIFE_MS)
     assert want(d, 3) == [(3, 1)]
-    assert d.router.loading == 1 and len(d.router.load_orders_ms) == 1
+    assert d.router.loading == 1
+    assert len(d.router.load_orders_ms) == 1
     assert want(d, 3) == []  # it is under way
     d.now += LOAD_MS
     d.count(3, 1)
-    assert d.router.loading == 0 and want(d, 3) == []
+    assert d.router.loading == 0
+    assert want(d, 3) == []
     assert want(d, 3, copies=2) == [(3, 2)]
     d.count(3, 2)
     [send] = of(arrived(d, "r"), io.Send)
@@ -154,20 +159,13 @@
 
 def wanted_case(case):
     settings = {"load_window_ms": 5000.0, "free_loads": 3.0, "idle_life_ms": LIFE_MS}
-    worker, copies = 2, 1
     if case == "orders off":
         settings["load_orders_allowed"] = False
     if case == "cold":
         settings |= {"slow_start_ms": 60_000.0, "slow_start_multiple": 0.0}
     d = Drive(**settings)
-    if case == "unknown worker":
-        worker = 77
-    elif case in ("draining", "gone"):
-        state = ScorerState.DRAINING if case == "draining" else ScorerState.GONE
-        d.feed(io.RosterChanged([io.ScorerEntry(2, state)], False))
-    elif case == "suspect":
-        d.router._suspect(d.router.scorers[2])
-    elif case == "ration exhausted":
+    change_scorer(d, case)
+    if case == "ration exhausted":
         d.router.load_orders_ms.extend([d.now] * 3)
     elif case == "blocked":
         want(d, 2)
@@ -176,15 +174,21 @@
         d.now += 1.0
         arrived(d, "r")
         d.count(2, 1)
-    elif case == "none":
-        copies = 0
+    elif case == "too many under way":
+        d.router.loading = 99
+    return want(d, 77 if case == "unknown worker" else 2, 0 if case == "none" else 1)
+
+
+def change_scorer(d, case):
+    if case in ("draining", "gone"):
+        state = ScorerState.DRAINING if case == "draining" else ScorerState.GONE
+        d.feed(io.RosterChanged([io.ScorerEntry(2, state)], False))
+    elif case == "suspect":
+        d.router._suspect(d.router.scorers[2])
     elif case == "cold":
         d.now += 1000.0
         d.feed(io.RosterChanged([io.ScorerEntry(2, up_since_ms=d.now)], False))
         d.router.chance = next(n for n in range(99) if not d.router._within_slow_start_limit(cold_with(d, n)))
-    elif case == "too many under way":
-        d.router.loading = 99
-    return want(d, worker, copies)
 
 
 def cold_with(d, chance):
@@ -223,7 +227,7 @@
         assert want(d, 2) == ([(2, 1)] if left == 3 else [])
 
 
-def test_a_copy_that_is_wanted_yet_is_renewed_before_it_lapses_and_a_failed_one_rests():
+def test_a_copy_still_wanted_is_refreshed_before_it_expires_and_a_failed_one_is_blocked():
     d = Drive(idle_life_ms=LIFE_MS)
     want(d, 2)
     d.count(2, 1)
@@ -231,22 +235,26 @@
     assert want(d, 2) == []
     d.now += 1000.0
     given = len(d.router.load_orders_ms)
-    assert want(d, 2) == [(2, 1)] and (d.router.loading, len(d.router.load_orders_ms)) == (0, given + 1)
+    assert want(d, 2) == [(2, 1)]
+    assert (d.router.loading, len(d.router.load_orders_ms)) == (0, given + 1)
     d.count(2, 1)
     assert want(d, 2) == []
     d.now += LIFE_MS + 1.0
-    assert want(d, 2) == [(2, 1)] and d.router.loading == 1  # it lapsed
+    assert want(d, 2) == [(2, 1)]
+    assert d.router.loading == 1
     before = d.router.loads_limit
     d.count(2, 0, ending=AttemptResult.ERROR)
-    assert d.router.loading == 0 and d.router.loads_limit < before
+    assert d.router.loading == 0
+    assert d.router.loads_limit < before
 
 
-def test_a_copy_that_stood_unused_by_foresight_does_not_turn_raced_loads_off():
+def test_an_unused_prefetched_copy_does_not_switch_speculative_loads_off():
     d = Drive(idle_life_ms=LIFE_MS)
     want(d, 3)
     d.count(3, 1)
     d.now += 900.0  # many runs
-    assert of(arrived(d, "r1"), io.Send) and loads(arrived(d, "r2"))
+    assert of(arrived(d, "r1"), io.Send)
+    assert loads(arrived(d, "r2"))
 
 
 def test_what_is_wanted_and_never_called_is_kept_in_mind_for_its_time_and_handed_over():
@@ -268,7 +276,7 @@
     assert "f" not in d.router.functions
 
 
-def test_events_from_outside_leave_the_ration_of_orders_alone():
+def test_external_events_leave_the_load_rate_limit_alone():
     d = Drive(load_window_ms=5000.0, free_loads=5.0)
     before = d.router._load_rate_left()
     d.feed(io.RemoteLoadReport(2, sent=3, copies={"f": 2}, loading=("f", "g")))
--- a/tests/test_fleet.py
+++ b/tests/policy/test_policy_fleet.py
@@ -37,7 +37,8 @@
                 homes[send.scorer] += turn == 4
                 drive.now += 100.0
                 drive.end(send, crowd=3)
-    assert sum(homes.values()) == 100 and len(homes) >= 10
+    assert sum(homes.values()) == 100
+    assert len(homes) >= 10
     assert homes.most_common(1)[0][1] <= 30
 
 
@@ -46,7 +47,7 @@
     assert len(homes) == 1
 
 
-def test_front_ends_keep_a_cold_workers_budget_together():
+def test_front_ends_together_keep_a_scorers_slow_start_limit():
     drives = fleet(
         100,
         slow_start_ms=10_000.0,
@@ -67,7 +68,7 @@
     assert 0 < most <= 2.0 * 0.28 * rate
 
 
-def test_a_worker_that_is_full_is_passed_over_for_a_while():
+def test_a_scorer_without_capacity_is_passed_over_for_a_while():
     drive = fleet(100)[0]
     [send] = standing(drive, drive.ask("first", tenant="t"))
     home = send.scorer
@@ -82,7 +83,8 @@
     drive.now += 700.0
     sends = standing(drive, drive.ask("next", tenant="t"))
     sends += standing(drive, drive.sweep(drive.now + 200))
-    assert sends and sends[0].scorer != home
+    assert sends
+    assert sends[0].scorer != home
 
 
 def overdue(spec, budget):
@@ -98,23 +100,25 @@
     return send, sends
 
 
-def test_a_lost_answer_of_a_talking_worker_brings_a_second_attempt_in_time():
-    send, sends = overdue("safe", 2500.0)
-    assert len(sends) > 1 and sends[1][0] <= 700.0
+def test_a_lost_answer_of_a_responding_scorer_brings_a_hedged_request_in_time():
+    _send, sends = overdue("safe", 2500.0)
+    assert len(sends) > 1
+    assert sends[1][0] <= 700.0
     assert len({action.scorer for _, action in sends}) == len(sends)
 
 
-def test_a_second_attempt_for_a_keyed_request_stays_in_its_group():
+def test_a_hedged_request_with_an_idempotency_key_stays_in_its_group():
     send, sends = overdue("keyed", 4000.0)
-    assert len(sends) == 2 and sends[1][1].scorer % 2 == send.scorer % 2
+    assert len(sends) == 2
+    assert sends[1][1].scorer % 2 == send.scorer % 2
 
 
-def test_no_second_attempt_for_an_unsafe_request():
+def test_no_hedged_request_for_an_at_most_once_request():
     _, sends = overdue("unsafe", 4000.0)
     assert len(sends) == 1
 
 
-def test_second_attempts_are_few_when_all_is_slow():
+def test_hedged_requests_are_few_when_all_is_slow():
     d = Drive(workers=8, fleet_size=100)
     for n in range(100):
         d.ask(f"r{n}", fn=f"f{n}")
@@ -123,7 +127,8 @@
     for _ in range(20):
         d.sweep(d.now + 40)
     sends = Counter(action.request for _, action in d.log if isinstance(action, io.Send))
-    assert len(sends) == 100 and sum(count > 1 for count in sends.values()) <= 13
+    assert len(sends) == 100
+    assert sum(count > 1 for count in sends.values()) <= 13
 
 
 def test_attempts_out_past_the_promise_leave_the_own_limit():
@@ -142,7 +147,7 @@
     d = Drive(workers=workers, fleet_size=100, quotas_rps={"t": 5.0 * workers})
     count = 0
 
-    def watch(frame, event, arg):
+    def watch(_frame, event, _argument):
         nonlocal count
         count += event in ("call", "c_call")
 
--- a/tests/test_policy_health.py
+++ b/tests/policy/test_policy_health.py
@@ -1,4 +1,4 @@
-"""Whom a front end trusts, by events: signs of life, suspects, lost answers."""
+"""Failure detection, by events: probes, suspects, lost answers."""
 
 from bench import Drive, of
 
@@ -9,7 +9,7 @@
 # --- the ordinary path ---------------------------------------------------------------------
 
 
-def test_silent_worker_is_asked_then_left_and_its_requests_go_elsewhere():
+def test_a_silent_scorer_is_probed_then_suspected_and_its_requests_go_elsewhere():
     d = Drive()
     home = d.warm()
     d.ask("r1")
@@ -24,7 +24,7 @@
     assert [send.request for send in of(d.count(load.scorer, 1), io.Send)] == ["r1"]
 
 
-def test_a_reset_asks_for_a_sign_and_only_its_absence_makes_the_worker_suspect():
+def test_a_reset_sends_a_probe_and_only_a_missing_answer_makes_the_scorer_suspect():
     for answered in (True, False):
         d = Drive()
         home = d.warm()
@@ -51,7 +51,7 @@
     return d, home, lost, done
 
 
-def test_a_class_whose_answers_a_worker_loses_rests_there_and_is_then_tried_by_one_call():
+def test_a_scorer_that_loses_answers_of_a_class_is_ejected_for_it_and_then_tried_by_one_call():
     d, home, lost, done = lose_two()
     assert not [action for action in of(done, io.Log) if "does not respond" in action.text]
     assert home not in [send.scorer for send in of(d.answer_asks(d.ask("r3", lanes=2), {home: 1}), io.Send)]
@@ -65,7 +65,7 @@
     assert not of(d.ask("r4", lanes=2), io.Send)
 
 
-def test_errors_rest_a_class_too_but_not_those_of_a_function_that_was_never_served():
+def test_errors_eject_for_a_class_too_but_not_those_of_a_function_that_was_never_served():
     for served in (True, False):
         d = Drive()
         home = d.warm(lanes=4, spec="unsafe")
@@ -75,7 +75,8 @@
         sends = of(d.ask("r1", spec="unsafe", lanes=4) + d.ask("r2", spec="unsafe", lanes=4), io.Send)
         for send in sends:
             d.end(send, AttemptResult.ERROR, closed=False)
-        assert len(sends) == 2 and d.router._is_usable(worker, fn) is not served
+        assert len(sends) == 2
+        assert d.router._is_usable(worker, fn) is not served
 
 
 def test_answers_that_come_after_all_take_their_losses_back():
@@ -85,7 +86,7 @@
     assert not d.router.scorers[home].loss_records
 
 
-def test_silent_worker_that_answers_is_used_again():
+def test_a_suspect_that_answers_is_used_again():
     d = Drive()
     home = d.warm()
     d.ask("r1")
--- a/tests/test_releases.py
+++ b/tests/policy/test_policy_releases.py
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_release_of_all_functions_keeps_the_ration_in_every_window(seed):
+def test_a_release_of_all_functions_keeps_the_load_rate_limit_in_every_window(seed):
     day = Day(seed, idle_life_ms=8_000.0)
     day.run(12_000.0)
     day.release()
@@ -119,11 +119,12 @@
     day.release()
     day.run(28_000.0)
     day.check()
-    assert day.served[-1] > 27_000.0 and sum(at > 22_000.0 for at in day.served) > 30
+    assert day.served[-1] > 27_000.0
+    assert sum(at > 22_000.0 for at in day.served) > 30
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_copies_wanted_renewals_and_a_release_in_the_first_seconds_keep_it_together(seed):
+def test_prefetches_refreshes_and_a_release_in_the_first_seconds_keep_it_together(seed):
     day = Day(seed, idle_life_ms=4_000.0)
     for step in range(60):
         day.run(100.0 * step)
--- a/tests/test_policy_elsewhere.py
+++ b/tests/policy/test_policy_remote_load.py
@@ -1,8 +1,8 @@
-"""What others told of a worker: their sends, copies and loads, while it counts."""
+"""What other front ends reported on a scorer: their sends, copies and loads, while it counts."""
 
 import pytest
 from bench import Drive, of
-from test_policy_told import LIFE_MS, LOAD_MS, arrived, asked, loads, want
+from test_policy_external_events import LIFE_MS, LOAD_MS, arrived, asked, loads, want
 
 from fawnwharf import interface as io
 from fawnwharf.interface import AttemptResult, ScorerState
@@ -18,7 +18,7 @@
     ("age_ms", "what"),
     [(0.0, "sent"), (900.0, "sent"), (1100.0, "asked"), (LIFE_MS - 1, "asked"), (LIFE_MS + 1, "survey")],
 )
-def test_a_copy_that_others_told_of_serves_is_asked_after_or_fades(age_ms, what):
+def test_a_copy_that_others_reported_serves_is_probed_or_expires(age_ms, what):
     for known in (True, False):
         d = Drive(idle_life_ms=LIFE_MS)
         d.now = 50_000.0
@@ -36,7 +36,7 @@
         )
 
 
-def test_a_word_never_overrides_a_newer_own_sign_and_a_newer_one_does():
+def test_a_report_never_overrides_a_newer_own_answer_and_a_newer_one_does():
     for ending in ("miss", "count"):
         d = Drive(workers=1)
         d.warm()
@@ -53,7 +53,7 @@
             assert d.router._copies(fn, worker) == copies
 
 
-def test_a_word_never_counts_across_a_start_of_the_worker():
+def test_a_report_never_counts_across_a_start_of_the_scorer():
     d = Drive(workers=1)
     arrived(d, "first")
     d.feed(io.RequestCancelled("first"))
@@ -64,21 +64,25 @@
     elsewhere(d, 1, copies={"f": 1}, loading=("f",), sent=0, age_ms=200.0)
     assert d.router._copies(fn, worker) == 1
     d.feed(start)
-    assert not d.router._copies(fn, worker) and not d.router._is_loading(fn, worker)
+    assert not d.router._copies(fn, worker)
+    assert not d.router._is_loading(fn, worker)
     elsewhere(d, 1, copies={"f": 1}, loading=("f",), age_ms=101.0)  # told before it started
-    assert not d.router._copies(fn, worker) and not d.router._is_loading(fn, worker)
+    assert not d.router._copies(fn, worker)
+    assert not d.router._is_loading(fn, worker)
     elsewhere(d, 1, copies={"f": 1}, loading=("f",), age_ms=99.0)
-    assert d.router._copies(fn, worker) and d.router._is_loading(fn, worker)
+    assert d.router._copies(fn, worker)
+    assert d.router._is_loading(fn, worker)
 
 
-def test_words_on_what_is_not_known_draining_or_gone_bring_nothing():
+def test_reports_on_what_is_unknown_draining_or_gone_bring_nothing():
     d = Drive(workers=2)
     assert elsewhere(d, 99, sent=1, copies={"f": 1}, loading=("f",)) == []
     for state in (ScorerState.DRAINING, ScorerState.GONE):
         d.feed(io.RosterChanged([io.ScorerEntry(2, state)], False))
         elsewhere(d, 2, copies={"f": 1}, loading=("f",))
         actions = arrived(d, f"r{state}")
-        assert not of(actions, io.Send) and 2 not in asked(actions)
+        assert not of(actions, io.Send)
+        assert 2 not in asked(actions)
     assert d.router.functions.keys() == {"f"}
 
 
@@ -92,7 +96,7 @@
         ({}, False),
     ],
 )
-def test_a_load_of_others_is_not_ordered_again_until_it_fades(word, waits):
+def test_a_load_of_others_is_not_ordered_again_until_it_expires(word, waits):
     d = Drive()
     d.now = 5_000.0
     elsewhere(d, **word)
@@ -100,10 +104,11 @@
     assert bool(loads(actions)) is not waits
     if waits:
         fades = d.now + LOAD_MS - word.get("age_ms", 0.0)
-        assert not loads(d.sweep(fades - 20.0)) and loads(d.sweep(fades + 40.0))
+        assert not loads(d.sweep(fades - 20.0))
+        assert loads(d.sweep(fades + 40.0))
 
 
-def test_a_load_of_others_ends_with_the_next_word_or_the_copy_and_one_need_more_is_ordered_elsewhere():
+def test_a_load_of_others_ends_with_the_next_report_or_the_copy_and_one_more_is_ordered_elsewhere():
     d = Drive()
     d.now = 5_000.0
     elsewhere(d, loading=("f",))
@@ -157,7 +162,7 @@
 
 
 @pytest.mark.parametrize("peers", [1, 4, 20])
-def test_the_cold_budget_goes_by_what_was_really_sent_while_that_is_known(peers):
+def test_the_slow_start_limit_follows_what_was_really_sent_while_that_is_known(peers):
     guess, later = cold(peers, calls=200)
     assert guess > 4  # 2 x 0.2 of a rate of 0.6 x 20 a second, and the chance
     whole = 2.0 * 0.2 * 0.6 * 20.0 * peers
@@ -167,9 +172,11 @@
     for unsure in ({"sent": None}, {"sent": 0, "age_ms": FALL_MS}, {"sent": 500, "age_ms": 2e3}):
         assert cold(peers, calls=200, **unsure) == [guess, later]
     by_sent = [cold(peers, calls=200, sent=sent)[0] for sent in range(0, int(whole) + 9, 3)]
-    assert by_sent == sorted(by_sent, reverse=True) and by_sent[-1] == 0  # others took it all
+    assert by_sent == sorted(by_sent, reverse=True)
+    assert by_sent[-1] == 0
     by_age = [cold(peers, calls=200, sent=0, age_ms=age)[0] for age in (0.0, 300.0, 600.0, 999.0)]
-    assert by_age == sorted(by_age, reverse=True) and by_age[-1] <= guess + 1
+    assert by_age == sorted(by_age, reverse=True)
+    assert by_age[-1] <= guess + 1
 
 
 @pytest.mark.parametrize("peers", [4, 20, 200])
@@ -180,7 +187,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_all_front_ends_together_keep_to_a_cold_workers_budget_and_use_more_of_it(seed):
+def test_all_front_ends_together_keep_a_scorers_slow_start_limit_and_use_more_of_it(seed):
     """Two of four have calls for it, as many as they may, and all tell each other each 100 ms."""
     budget, sent, drives = 2.0 * 0.2 * 0.6 * 20.0 * 4, 0, []
     for n in range(4):
--- a/tests/test_policy_replay.py
+++ b/tests/policy/test_policy_replay.py
@@ -1,7 +1,8 @@
 """Seeded events of every kind go through the router, and its actions must have the digests noted below.
 
 So a change that is to leave all decisions as they are can be told from one that alters some. Where decisions
-are changed on purpose, ``python tests/test_policy_replay.py`` prints the digests to put in their place.
+are changed on purpose, ``python tests/policy/test_policy_replay.py`` prints the digests to put in their
+place.
 """
 
 import hashlib
--- a/tests/test_policy.py
+++ b/tests/policy/test_policy_router.py
@@ -9,10 +9,11 @@
 # --- the ordinary path ---------------------------------------------------------------------
 
 
-def test_unknown_function_is_asked_after_then_loaded_once():
+def test_an_unknown_function_is_probed_for_then_loaded_once():
     d = Drive()
     asks = of(d.ask("r1"), io.OrderCopies)
-    assert asks and all(ask.copies == 0 for ask in asks)
+    assert asks
+    assert all(ask.copies == 0 for ask in asks)
     loads = of(d.answer_asks(asks), io.OrderCopies)
     assert [load.copies for load in loads] == [1]
     assert not of(d.sweep(280), io.OrderCopies)
@@ -33,27 +34,29 @@
     assert [hold.copies for hold in of(d.sweep(40), io.OrderCopies)] == [1]
 
 
-def test_race_is_won_by_the_lane():
+def test_a_free_lane_comes_before_a_speculative_load():
     d = Drive()
     home = d.warm()
     [first] = of(d.ask("r1"), io.Send)
     race = of(d.ask("r2"), io.OrderCopies)
-    assert first.scorer == home and [load.copies for load in race] == [1]
+    assert first.scorer == home
+    assert [load.copies for load in race] == [1]
     d.now += 50
     assert [s.request for s in of(d.end(first), io.Send)] == ["r2"]
 
 
-def test_race_is_won_by_the_load():
+def test_a_speculative_load_comes_before_a_free_lane():
     d = Drive()
     home = d.warm()
     d.ask("r1")
     [load] = of(d.ask("r2"), io.OrderCopies)
     d.now += 300
     [send] = of(d.count(load.scorer, 1), io.Send)
-    assert send.request == "r2" and send.scorer == load.scorer != home
+    assert send.request == "r2"
+    assert send.scorer == load.scorer != home
 
 
-def test_the_own_zones_free_lanes_and_raced_loads_come_first():
+def test_the_own_zones_free_lanes_and_speculative_loads_come_first():
     for own in ("a", "b"):
         d = Drive(workers=8, zones=("a", "b"), zone=own)
         zones = {entry.scorer: entry.zone for entry in d.entries}
@@ -72,7 +75,7 @@
         )
 
 
-def test_a_stale_copy_of_the_own_zone_is_asked_before_a_call_crosses_but_not_waited_for_long():
+def test_a_stale_copy_of_the_own_zone_is_probed_before_a_call_crosses_but_not_waited_for_long():
     for answers in (True, False):
         d = Drive(workers=2, zones=("a", "b"), zone="b", slow_start_window_ms=1.0)  # worker 1 is the near one
         d.warm()
@@ -82,7 +85,8 @@
         d.router.functions["f"].copies_by_scorer[1].copies = 1
         d.router.functions["f"].copies_by_scorer[1].seen_ms = d.now - 1500
         [question] = d.ask("r1")[:1]
-        assert (question.scorer, question.copies) == (1, 0) and not of(d.log[-1:], io.Send)
+        assert (question.scorer, question.copies) == (1, 0)
+        assert not of(d.log[-1:], io.Send)
         [send] = of(d.count(1, 1) if answers else d.sweep(d.now + 40), io.Send)
         assert send.scorer == (1 if answers else 2)
 
@@ -100,7 +104,7 @@
         assert next(n for n, worker in enumerate(sends) if worker != sends[0]) == most
 
 
-def test_a_copy_about_to_lapse_is_renewed_once_a_life_and_not_for_ever_or_in_a_squeeze():
+def test_a_copy_about_to_expire_is_refreshed_once_a_lifetime_and_not_for_ever_or_in_a_shortage():
     for squeezed in (False, True):
         d = Drive(idle_life_ms=10_000.0, load_window_ms=5000.0, free_loads=6.0)
         home, last = d.warm(), d.now
@@ -116,7 +120,7 @@
         assert renewed == ([] if squeezed else [(home, 1)] * 3)
 
 
-def test_renewals_leave_half_of_the_ration_to_loads():
+def test_refreshes_leave_half_of_the_load_rate_to_loads():
     d = Drive(idle_life_ms=10_000.0, load_window_ms=5000.0, free_loads=6.0)
     homes = {}
     for n in range(6):
@@ -144,7 +148,7 @@
     assert len(of(d.ask("r5", lanes=2), io.OrderCopies)) == 1
 
 
-def test_switch_goes_off_when_a_raced_load_idles_longer_than_a_run_and_on_when_waits_exceed_a_load():
+def test_speculation_ends_when_a_copy_idles_longer_than_a_run_and_begins_when_waits_exceed_a_load():
     d = Drive()
     home = d.warm(load_ms=200)
     [first] = of(d.ask("r1"), io.Send)
@@ -173,11 +177,12 @@
         for action in of(d.ask(f"n{n}", f"f{n}"), io.OrderCopies):
             d.count(action.scorer, 0, action.function, AttemptResult.FULL)
         d.feed(io.RequestCancelled(f"n{n}"))
-    assert len(d.router.functions) <= MAX_FUNCTIONS and {"kept", "held"} <= d.router.functions.keys()
+    assert len(d.router.functions) <= MAX_FUNCTIONS
+    assert {"kept", "held"} <= d.router.functions.keys()
     d.end(send)
 
 
-def test_workers_long_gone_and_functions_not_called_are_forgotten():
+def test_scorers_long_gone_and_functions_not_called_are_forgotten():
     d = Drive()
     _, home = d.warm("g"), d.warm()
     [send] = of(d.ask("r1"), io.Send)
@@ -190,7 +195,8 @@
         assert known is bool(d.router.attempts)  # as long as an attempt is out there
         if known:
             d.end(send, AttemptResult.RESET)
-    assert "g" not in d.router.functions and len(d.router.scorers) == 3
+    assert "g" not in d.router.functions
+    assert len(d.router.scorers) == 3
     assert not [fn for fn in d.router.functions.values() if home in fn.copies_by_scorer]
 
 
@@ -203,7 +209,8 @@
     home = d.warm()
     [send] = of(d.ask("r1"), io.Send)
     actions = d.end(send, AttemptResult.MISS, closed=False)
-    assert send.scorer == home and not of(actions, io.Send)
+    assert send.scorer == home
+    assert not of(actions, io.Send)
     assert [hold.copies for hold in of(actions + d.sweep(d.now + 40), io.OrderCopies) if hold.copies] == [1]
 
 
@@ -220,7 +227,8 @@
     other = next(n for n in (1, 2, 3, 4) if n != home)
     d.count(other, 1)
     sends = [of(d.ask(f"r{n}", lanes=16), io.Send)[0].scorer for n in range(6)]
-    assert sends[0] == home and other in sends
+    assert sends[0] == home
+    assert other in sends
 
 
 # --- rule 1: one final answer --------------------------------------------------------------
@@ -231,7 +239,8 @@
     d.ask("r1", spec="short", budget=500.0)
     d.sweep(600)
     finals = [(now, a) for now, a in d.log if isinstance(a, io.Reject | io.Fail)]
-    assert [a.request for _, a in finals] == ["r1"] and 400 <= finals[0][0] <= 480
+    assert [a.request for _, a in finals] == ["r1"]
+    assert 400 <= finals[0][0] <= 480
 
 
 def test_what_is_late_and_was_never_sent_is_given_up_before_half_its_time_with_advice():
@@ -239,22 +248,26 @@
     d.ask("r1", budget=2500.0)
     d.sweep(2500)
     [(at, refusal)] = [(now, a) for now, a in d.log if isinstance(a, io.Reject | io.Fail)]
-    assert 600 < at < 1250 and refusal == io.Reject("r1", 900.0)
+    assert 600 < at < 1250
+    assert refusal == io.Reject("r1", 900.0)
 
 
 def test_what_may_still_be_on_time_is_held_beyond_half_its_time():
     d = Drive(workers=0)
     d.ask("r1", spec="short", budget=700.0)
-    assert not of(d.sweep(490), io.Reject) and of(d.sweep(700), io.Reject)
+    assert not of(d.sweep(490), io.Reject)
+    assert of(d.sweep(700), io.Reject)
 
 
-def test_a_later_try_yields_to_first_ones_takes_nothing_of_the_share_and_is_refused_where_no_lane_is_free():
+def test_a_clients_retry_yields_to_first_tries_takes_no_quota_and_is_rejected_where_no_lane_is_free():
     d = Drive(quotas_rps={"acme": 1.0}, max_retry_after_ms=900.0)
     home = d.warm()
     [send] = of(d.ask("later", budget=450.0, tenant="acme"), io.Send)  # 0.18 of its class's time
     [refusal] = of(d.ask("later too", budget=450.0, tenant="acme"), io.Reject)
-    assert send.scorer == home and refusal == io.Reject("later too", 900.0)
+    assert send.scorer == home
+    assert refusal == io.Reject("later too", 900.0)
     d.ask("first", tenant="acme")  # its share is still there, so it may wait
-    assert not d.router.requests["first"].over_share and "later too" not in d.router.requests
+    assert not d.router.requests["first"].over_share
+    assert "later too" not in d.router.requests
     d.ask("impatient", fn="g", budget=700.0)  # 0.28: an impatient client's first try
     assert "impatient" in d.router.requests
--- a/tests/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -1,4 +1,4 @@
-"""The rules, by events: final answers, repeats, drains, cold workers, the ration, shares."""
+"""The rules, by events: final answers, retries, draining, slow start, the load rate limit, quotas."""
 
 from bench import Drive, of
 
@@ -11,7 +11,8 @@
 def test_no_time_left_is_answered_at_once():
     d = Drive()
     actions = d.ask("r1", budget=0.0)
-    assert [a.request for a in of(actions, io.Reject)] == ["r1"] and not of(actions, io.Send)
+    assert [a.request for a in of(actions, io.Reject)] == ["r1"]
+    assert not of(actions, io.Send)
 
 
 def test_nothing_follows_a_final_answer():
@@ -20,22 +21,25 @@
     [send] = of(d.ask("r1"), io.Send)
     d.feed(io.RequestCancelled("r1"))
     later = d.end(send, AttemptResult.CANCELLED, closed=True) + d.sweep(d.now + 3000)
-    assert not of(later, io.Send) and not of(later, io.Reject) and not of(later, io.Fail)
+    assert not of(later, io.Send)
+    assert not of(later, io.Reject)
+    assert not of(later, io.Fail)
 
 
 # --- rule 2: no effect twice ---------------------------------------------------------------
 
 
-def test_unsafe_request_is_not_repeated_nor_refused_once_it_may_have_run():
+def test_an_at_most_once_request_is_not_retried_nor_rejected_once_it_may_have_run():
     d = Drive()
     d.warm(spec="unsafe")
     [send] = of(d.ask("r1", spec="unsafe", budget=4000.0), io.Send)
     actions = d.end(send, AttemptResult.ERROR, closed=False)
-    assert not of(actions, io.Send) and not of(actions, io.Reject)
+    assert not of(actions, io.Send)
+    assert not of(actions, io.Reject)
     assert [a.request for a in of(actions, io.Fail)] == ["r1"]
 
 
-def test_unsafe_request_is_repeated_after_proof():
+def test_an_at_most_once_request_is_retried_after_proof_that_it_did_not_run():
     d = Drive()
     home = d.warm(spec="unsafe")
     other = next(n for n in (1, 2, 3, 4) if n != home)
@@ -56,22 +60,25 @@
     return send, d.end(send, AttemptResult.ERROR, closed=False), d
 
 
-def test_keyed_repeat_stays_in_its_group():
+def test_a_retry_with_an_idempotency_key_stays_in_its_group():
     send, actions, _ = keyed_retry(after=100)
     [again] = of(actions, io.Send)
-    assert again.scorer != send.scorer and again.scorer % 2 == send.scorer % 2
+    assert again.scorer != send.scorer
+    assert again.scorer % 2 == send.scorer % 2
 
 
-def test_keyed_repeat_ends_with_the_window():
+def test_retries_with_an_idempotency_key_end_with_the_window():
     _, actions, d = keyed_retry(after=2410)
     actions += d.sweep(4000)
-    assert not of(actions, io.Send) and not of(actions, io.Reject) and len(of(actions, io.Fail)) == 1
+    assert not of(actions, io.Send)
+    assert not of(actions, io.Reject)
+    assert len(of(actions, io.Fail)) == 1
 
 
 # --- rule 3: drains ------------------------------------------------------------------------
 
 
-def test_nothing_new_to_a_draining_or_gone_worker():
+def test_nothing_new_to_a_draining_or_gone_scorer():
     for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
         d = Drive()
         home = d.warm()
@@ -87,7 +94,7 @@
 # --- rule 4: cold workers ------------------------------------------------------------------
 
 
-def test_cold_worker_gets_no_more_than_its_budget_in_any_window():
+def test_a_scorer_in_slow_start_gets_no_more_than_its_limit_in_any_window():
     d = Drive(
         workers=1,
         slow_start_ms=10_000.0,
@@ -113,7 +120,7 @@
     assert 1 <= most <= 60
 
 
-def test_sends_to_a_worker_that_has_warmed_up_are_not_remembered():
+def test_sends_to_a_scorer_that_has_warmed_up_are_not_remembered():
     drive = Drive(workers=1)
     drive.now = 100.0
     drive.feed(io.RosterChanged([io.ScorerEntry(1, zone="a", up_since_ms=50.0)], complete=False))
@@ -125,7 +132,7 @@
     assert len(drive.router.scorers[1].slow_start_sends) == 0
 
 
-def test_restart_takes_beliefs_away():
+def test_a_restart_discards_what_was_known_of_copies():
     d = Drive()
     home = d.warm()
     d.feed(io.RosterChanged([io.ScorerEntry(home, up_since_ms=d.now)], complete=False))
@@ -135,7 +142,7 @@
 # --- rule 5: loads are rationed ------------------------------------------------------------
 
 
-def test_ration_of_loads_at_its_edge():
+def test_load_rate_limit_at_its_edge():
     d = Drive(load_window_ms=5000.0, free_loads=2.0, load_part=0.2)
     for n in range(9):
         d.answer_asks(d.ask(f"r{n}", fn=f"f{n}"))
@@ -149,7 +156,7 @@
 # --- around it -----------------------------------------------------------------------------
 
 
-def test_over_share_requests_wait_behind_those_within():
+def test_requests_beyond_the_quota_wait_behind_those_within():
     d = Drive(quotas_rps={"big": 1.0, "small": 100.0})
     d.warm()
     [first] = of(d.ask("r1", tenant="small"), io.Send)
@@ -177,7 +184,8 @@
     loads = of(d.answer_asks(d.ask("r2", fn="g")), io.OrderCopies)
     d.now += 200
     d.count(loads[0].scorer, 1, "g")
-    assert low < start and d.router.loads_limit > low
+    assert low < start
+    assert d.router.loads_limit > low
 
 
 def test_a_try_with_little_time_is_answered_before_the_next_sweep():
@@ -187,7 +195,7 @@
     assert [a.request for a in of(d.ask("r2", budget=25.0), io.Reject)] == ["r2"]
 
 
-def test_workers_that_leave_do_not_raise_the_limit_of_the_others():
+def test_scorers_that_leave_do_not_raise_the_limit_of_the_others():
     d = Drive(workers=4, quotas_rps={"t": 40.0})
     before = d.router.scorers[1].limit
     d.feed(io.RosterChanged([io.ScorerEntry(n, io.ScorerState.GONE) for n in (2, 3, 4)], complete=False))
@@ -195,7 +203,7 @@
     assert d.router.scorers[1].limit == before < 20
 
 
-def test_a_limit_that_was_handed_in_refuses_what_goes_beyond_it_at_once_and_can_be_lifted():
+def test_a_limit_rejects_what_goes_beyond_it_at_once_and_can_be_lifted():
     drive = Drive(max_retry_after_ms=700.0, fleet_size=4)
     drive.warm()
     drive.now += 1000.0
@@ -211,13 +219,13 @@
     assert not of(drive.ask("r9"), io.Reject)
 
 
-def test_a_limit_of_nothing_refuses_all_and_none_was_ever_sent():
+def test_a_limit_of_zero_rejects_all_and_none_was_ever_sent():
     drive = Drive()
     drive.feed(io.LimitsChanged(0.0))
     assert [type(action) for action in drive.ask("r1")] == [io.Reject]
 
 
-def test_a_tenants_share_that_was_handed_in_takes_the_place_of_its_equal_part():
+def test_a_tenants_limit_takes_the_place_of_its_equal_part():
     drive = Drive(fleet_size=4, quotas_rps={"t": 40.0, "u": 40.0})
     drive.warm()
 
@@ -231,13 +239,14 @@
     assert over("t") > 30  # ten calls a second are its part
     drive.feed(io.LimitsChanged(200.0, "t"))
     drive.now += 1000.0
-    assert over("t") == 0 and over("u") > 30
+    assert over("t") == 0
+    assert over("u") > 30
     drive.feed(io.LimitsChanged(10.0, "t"))
     drive.now += 1000.0
     assert over("t") > 30
 
 
-def test_a_call_while_no_worker_is_ready_is_held_and_refused_also_with_shares():
+def test_a_call_while_no_scorer_is_ready_is_queued_and_rejected_also_with_quotas():
     d = Drive(workers=2, quotas_rps={"t": 100.0})
     d.feed(io.RosterChanged([], complete=True))
     d.ask("r1", tenant="t")
--- a/tests/test_policy_closing.py
+++ b/tests/policy/test_policy_shutdown.py
@@ -1,4 +1,4 @@
-"""A front end that is about to be ended answers every request before, however long its client would wait."""
+"""A front end that shuts down answers every request before, however long its client would wait."""
 
 from bench import Drive, of
 
--- a/tests/test_slow_start.py
+++ b/tests/policy/test_policy_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what all front ends together may send a worker that has just started, and what each may.
+"""Slow start: what all front ends together may send a scorer that has just started, and what each may.
 
 The probability that chance takes them past the bound is computed; then Routers with seeds of their own meet a
 day of restarts and storms, and each window of each cold worker is looked at.
@@ -82,8 +82,11 @@
 
 
 def restarts(fleet, cold):
-    """Workers leave and come back cold, in a storm; seven in ten front ends are killed at once, the others a
-    tenth at a time; other workers come back while that goes on."""
+    """Scorers leave and come back in slow start, in a storm.
+
+    Seven in ten front ends are killed at once, the others a tenth at a time; other scorers come back
+    meanwhile.
+    """
     fleet.start_all()
     fleet.run(2_500.0)
     for worker in cold:
@@ -119,7 +122,8 @@
     fleet = Fleet(front_ends, 1, workers=workers, load=load)
     restarts(fleet, range(1, workers // 2 + 1))
     windows, most = fleet.check()
-    assert windows > 20 and most > 0.15  # cold workers did get their part
+    assert windows > 20
+    assert most > 0.15
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -139,7 +143,7 @@
 
 
 @pytest.mark.parametrize("front_ends", [2, 30, 200])
-def test_a_fleet_that_starts_together_with_all_workers_cold_serves(front_ends):
+def test_a_fleet_that_starts_together_with_all_scorers_in_slow_start_serves(front_ends):
     """For `fall_ms` no front end knows what was sent before its start; then each uses its part."""
     fleet = Fleet(front_ends, 1, workers=6, load=1.0)
     for worker in fleet.entries:
@@ -241,7 +245,7 @@
             assert room(d) == 999  # it is warm, or there is no such rule
 
 
-def test_nothing_goes_to_a_cold_worker_before_a_former_lifes_sends_have_left_the_window():
+def test_nothing_goes_to_a_scorer_in_slow_start_before_a_former_incarnations_sends_have_left_the_window():
     d = Drive(2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, slow_start_window_ms=1_000.0, fleet_size=200)
     d.router.began_ms = math.inf
     d.now = 5_000.0
@@ -249,7 +253,8 @@
     for worker in (1, 2):
         tell_start(d, worker, 4_000.0)
     answer(d, 300, 1_000.0)
-    assert not room(d) and not d.router.scorers[1].slow_start_sends
+    assert not room(d)
+    assert not d.router.scorers[1].slow_start_sends
     d.now += slow_start.MARGIN_MS + 1.0
     d.feed()
     assert room(d)
@@ -277,7 +282,7 @@
         assert len(d.router.scorers[1].slow_start_sends) == counted
 
 
-def test_a_second_start_forgets_sends_to_the_life_before_it():
+def test_a_second_start_forgets_sends_to_the_incarnation_before_it():
     d = cold_drive(workers=1, quotas_rps={"t": 50.0})
     answer(d, 100)
     d.now += 1.0
@@ -291,7 +296,7 @@
     assert d.router.scorers[1].started_ms == d.now
 
 
-def test_all_sends_of_the_window_count_where_a_worker_came_back_empty_untold():
+def test_all_sends_of_the_window_count_where_a_scorer_came_back_without_copies_unreported():
     d = cold_drive(workers=1, quotas_rps={"t": 50.0})
     answer(d, 1, 10.0)
     d.now += 200.0
@@ -324,7 +329,7 @@
     assert len(d.router.scorers[1].slow_start_sends) == len(sends) >= 1
 
 
-def test_a_draining_worker_still_counts_in_the_fleet_that_the_quotas_were_sold_for():
+def test_a_draining_scorer_still_counts_in_the_fleet_that_the_quotas_were_sold_for():
     d = cold_drive(workers=2, quotas_rps={"t": 50.0})
     entries = [
         io.ScorerEntry(1),
