--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -67,40 +67,40 @@
         from fawnwharf.zones.operator_log import writer
 
         write = writer(deployment.name)
-    if file := files.get("zones"):
+    if zones_file := files.get("zones"):
         from fawnwharf.zones.service import ZoneService
 
-        makers["zones"] = lambda _first, _made, file=file: ZoneService(deployment, file, write)
-    if file := files.get("recovery"):
+        makers["zones"] = lambda _first, _made: ZoneService(deployment, zones_file, write)
+    if recovery_file := files.get("recovery"):
         from fawnwharf.recovery_service.recovery_store import open_recovery_store
 
-        makers["kept"] = lambda first, _made, file=file: open_recovery_store(
-            deployment, file, files["state"], write, fresh and first
+        makers["kept"] = lambda first, _made: open_recovery_store(
+            deployment, recovery_file, files["state"], write, fresh and first
         )
-    if file := files.get("state"):
+    if state_file := files.get("state"):
         from fawnwharf.replication.service import ReplicationService
 
-        makers["state"] = lambda first, made, file=file: ReplicationService(
+        makers["state"] = lambda first, made: ReplicationService(
             deployment,
-            file,
+            state_file,
             write,
             fresh=fresh and first,
             grant_storage_factory=made.get("kept"),
         )
-    if file := files.get("policy"):
+    if policy_file := files.get("policy"):
         from fawnwharf.policy_rollout.service import PolicyRolloutService
 
-        makers["policy"] = lambda _first, made, file=file: PolicyRolloutService(deployment, file, write, made)
-    if file := files.get("sessions"):
+        makers["policy"] = lambda _first, made: PolicyRolloutService(deployment, policy_file, write, made)
+    if sessions_file := files.get("sessions"):
         from fawnwharf.sessions.service import Sessions
 
-        makers["sessions"] = lambda first, made, file=file: Sessions(
-            deployment, file, write, made, fresh and first
+        makers["sessions"] = lambda first, made: Sessions(
+            deployment, sessions_file, write, made, fresh and first
         )
-    if file := files.get("recovery"):
+    if recovery_file:
         from fawnwharf.recovery_service.service import RecoveryService
 
-        makers["recovery"] = lambda _first, made, file=file: RecoveryService(deployment, file, write, made)
+        makers["recovery"] = lambda _first, made: RecoveryService(deployment, recovery_file, write, made)
     return makers
 
 
