--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -26,7 +26,7 @@
 class Admission(RouterState):
     """Limits, tenant quotas, the rules on retries, and the final answers of the front end itself."""
 
-    def _over_share(self, tenant: str) -> bool:
+    def _is_over_quota(self, tenant: str) -> bool:
         """Take one token of a tenant's quota; tells whether there was none.
 
         The bucket holds a second's part of the quota, in a wide fleet also what chance may add to it.
@@ -42,13 +42,13 @@
 
     def _urgency(self, request: Request) -> tuple[bool, bool, float, str]:
         """Sort key of waiting requests: within the quota, then not late, then by arrival."""
-        return request.over_share, self._is_late(request), request.arrived_ms, request.id
+        return request.over_quota, self._is_late(request), request.arrived_ms, request.id
 
     def _is_late(self, request: Request) -> bool:
         """Whether a request can hardly be answered within its latency target any more."""
         # Where runs are so long that all requests would be late, a part of the target counts instead.
         longest_ms = request.spec.latency_target_ms * MAX_LATE_PART
-        return request.aim_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), longest_ms)
+        return request.target_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), longest_ms)
 
     def _is_hopeless(self, request: Request) -> bool:
         """Whether to give up a request that was never sent and is hardly to be on time.
@@ -56,7 +56,7 @@
         The cost: a late answer that its client might have had.
         """
         half_ms = request.arrived_ms + HELD_PART * (request.deadline_ms - request.arrived_ms)
-        is_past = request.over_share or self.now + SWEEP_MS + LEAD_MS >= half_ms
+        is_past = request.over_quota or self.now + SWEEP_MS + LEAD_MS >= half_ms
         return is_past and not request.attempts and self._is_late(request)
 
     def _may_send_here(self, request: Request, scorer: Scorer, part: float) -> bool:
@@ -109,7 +109,7 @@
     def _requeue(self, request: Request) -> None:
         """Queue a request for another attempt; end it where none may be made and none is in flight."""
         if self._may_send_again(request):
-            request.held_ms = self.now
+            request.queued_ms = self.now
             request.function.queue.append(request)
             self.waiting.add(request.function)
         elif not any(attempt.open for attempt in request.attempts):
@@ -118,7 +118,7 @@
     def _finish(self, request: Request) -> None:
         """End a request by the one final answer that the front end gives itself."""
         # Retry-After is advised where capacity was missing, not after failed attempts.
-        retry_after_ms = self.settings.max_retry_after_ms * (request.over_share or not request.attempts)
+        retry_after_ms = self.settings.max_retry_after_ms * (request.over_quota or not request.attempts)
         effect = request.spec.effect
         is_deduplicated = effect is io.Effect.DEDUPLICATED and request.spec.group is io.DeduplicationGroup.ALL
         is_harmless = is_deduplicated or effect is io.Effect.IDEMPOTENT or request.first_run() is None
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -34,7 +34,7 @@
     def _load_speculatively(self, fn: Function) -> None:
         """Order the copies that waiting requests need: one for each `lanes` of them."""
         is_warm = self._is_warm(fn)
-        waited_ms = self.now - min(request.held_ms for request in fn.queue)
+        waited_ms = self.now - min(request.queued_ms for request in fn.queue)
         is_early = self.is_wide and waited_ms < self._run_time_ms(fn)  # other front ends load too
         may_wait = (
             is_early or len(self.recent_attempts) >= self.limit or not self._is_load_path_on(fn, waited_ms)
@@ -53,7 +53,7 @@
 
     def _deserves_load(self, request: Request, is_warm: bool) -> bool:
         """Whether a request counts for another copy, where one is there already."""
-        return not (is_warm and (request.over_share or (self.is_wide and self._is_late(request))))
+        return not (is_warm and (request.over_quota or (self.is_wide and self._is_late(request))))
 
     def _place_for_load(self, fn: Function, is_warm: bool) -> Scorer | None:
         """The scorer for one more copy: the first without one and within its bound, else the first."""
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -84,7 +84,7 @@
         self.hedge_tokens = min(state.MAX_HEDGE_TOKENS, self.hedge_tokens + state.HEDGE_TOKENS_PER_REQUEST)
         self.requests[request.id] = request
         fn.queue.append(request)
-        if self._over_share(io.ALL) or self.now >= request.ends_ms:
+        if self._is_over_quota(io.ALL) or self.now >= request.ends_ms:
             # The next sweep may be too late: a client's last retry has little time.
             self._finish(request)
         elif not self.is_wide and not self._is_warm(fn):
@@ -121,10 +121,10 @@
             spec=spec,
             arrived_ms=self.now,
             deadline_ms=deadline_ms,
-            over_share=is_retry or self._over_share(event.tenant),
-            held_ms=self.now,
+            over_quota=is_retry or self._is_over_quota(event.tenant),
+            queued_ms=self.now,
             draw=draw,
-            aim_ms=first_sent_ms + spec.latency_target_ms,
+            target_ms=first_sent_ms + spec.latency_target_ms,
             ends_ms=deadline_ms - lead_ms,
         )
 
@@ -337,8 +337,8 @@
         self.recent_attempts.add(attempt)
         request.attempts.append(attempt)
         fn.queue.remove(request)
-        if self.now > request.held_ms:
-            fn.waits.timed.append((self.now, self.now - request.held_ms))
+        if self.now > request.queued_ms:
+            fn.waits.timed.append((self.now, self.now - request.queued_ms))
         place.in_flight += 1
         scorer.in_flight += 1
         place.seen_ms = self.now
--- a/fawnwharf/policy/routing.py
+++ b/fawnwharf/policy/routing.py
@@ -122,7 +122,7 @@
         """
         is_in_flight = any(attempt.open for attempt in request.attempts)
         part = 1.0
-        if is_in_flight or request.over_share or self._is_late(request):
+        if is_in_flight or request.over_quota or self._is_late(request):
             part = LOW_PRIORITY_PART
         candidates = self._candidates(fn, request)
         if len(self.recent_attempts) >= self.limit * (1.0 if is_in_flight else part):
--- a/fawnwharf/policy/slow_start.py
+++ b/fawnwharf/policy/slow_start.py
@@ -145,9 +145,9 @@
         past = first_past(allowed)
         if allowed + self.front_ends <= past:
             return 1.0
-        if past not in self.sure:
-            self.sure[past] = safe_mean(past, self.front_ends)
-        return min(1.0, self.sure[past] / allowed) if allowed > 0 else 0.0
+        if past not in self.safe_means:
+            self.safe_means[past] = safe_mean(past, self.front_ends)
+        return min(1.0, self.safe_means[past] / allowed) if allowed > 0 else 0.0
 
     def _warm_rate(self, scorer: Scorer) -> float:
         """This front end's part of a scorer's capacity when warmed up, in requests a millisecond."""
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -147,10 +147,10 @@
     spec: io.ClassSpec
     arrived_ms: float
     deadline_ms: float
-    over_share: bool  # beyond the tenant's quota, or a client's later try
-    held_ms: float  # since when it waits in the queue
+    over_quota: bool  # beyond the tenant's quota, or a client's later try
+    queued_ms: float  # since when it waits in the queue
     draw: int  # where among the first scorers of a widely spread function it starts
-    aim_ms: float  # an answer by then is within the latency target
+    target_ms: float  # an answer by then is within the latency target
     ends_ms: float  # without an answer by then it is given one here, so that it comes in time
     attempts: list[Attempt] = field(default_factory=list)
 
@@ -267,7 +267,7 @@
         self.front_ends = max(1, settings.fleet_size)
         self.is_wide = False  # this front end's part of a scorer is less than one call
         self.sold_rate = sum(settings.quotas_rps.values()) / 1000  # quotas of all front ends, a millisecond
-        self.sure = dict[int, float]()  # see `safe_mean` of the module slow_start
+        self.safe_means = dict[int, float]()  # results of `slow_start.safe_mean`, by its first argument
         self.limit = math.inf  # own attempts in flight
         self.max_in_flight = 0.0  # calls of all front ends in flight at a scorer
         self.max_slowdown = math.inf
--- a/tests/policy/test_policy_router.py
+++ b/tests/policy/test_policy_router.py
@@ -267,7 +267,7 @@
     assert send.scorer == home
     assert refusal == io.Reject("later too", 900.0)
     d.ask("first", tenant="acme")  # its share is still there, so it may wait
-    assert not d.router.requests["first"].over_share
+    assert not d.router.requests["first"].over_quota
     assert "later too" not in d.router.requests
     d.ask("impatient", fn="g", budget=700.0)  # 0.28: an impatient client's first try
     assert "impatient" in d.router.requests
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -233,7 +233,7 @@
         taken = []
         for _ in range(count):
             drive.now += 10.0
-            taken.append(drive.router._over_share(tenant))
+            taken.append(drive.router._is_over_quota(tenant))
         return sum(taken)
 
     assert over("t") > 30  # ten calls a second are its part
