--- a/fawnwharf/__main__.py
+++ b/fawnwharf/__main__.py
@@ -52,7 +52,8 @@
         return serve(**options)
     from fawnwharf.cli import app
 
-    return app(prog_name="fawnwharf")
+    status: int = app(prog_name="fawnwharf")
+    return status
 
 
 if __name__ == "__main__":
--- a/fawnwharf/config.py
+++ b/fawnwharf/config.py
@@ -325,8 +325,10 @@
 
 def _seed(seed: str | int) -> int:
     """A seed as a number; as text it is hexadecimal."""
+    if isinstance(seed, int):
+        return seed
     try:
-        return seed if isinstance(seed, int) else int(seed, 16)
+        return int(seed, 16)
     except ValueError:
         raise ConfigError(f"seed: not a hexadecimal number: {seed[:40]!r}") from None
 
