--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -1,8 +1,6 @@
 """The Router: takes events, joins the parts of the decisions, and is the only one that sends."""
 
 import math
-from collections.abc import Callable
-from typing import ClassVar
 
 from fawnwharf import interface as io
 from fawnwharf.policy import admission, health, loads, routing, state
@@ -358,7 +356,7 @@
             record.ejection_ms = min(state.MAX_EJECTION_MS, 2 * record.ejection_ms)
             record.ejected_until_ms = self.now + record.ejection_ms
 
-    handlers: ClassVar[dict[type[io.Event], Callable[..., None]]] = {
+    handlers = {
         io.RosterChanged: _on_roster,
         io.RequestArrived: _on_request,
         io.RequestCancelled: _on_cancelled,
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -7,10 +7,11 @@
 import math
 from collections import deque
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
 from fawnwharf import interface as io
 
+TYPE_CHECKING = False  # type checkers take it for true; the decisions import no module for it
+
 WINDOW_MS = 10_000.0  # window of the medians
 MAX_SAMPLES = 64  # samples of a median; more would not move it
 SWEEP_MS = 40.0  # period of the timer
