--- a/fawnwharf/net/listener.py
+++ b/fawnwharf/net/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets: the one that clients connect to, and the wait for an address that is still held."""
+"""Opening the socket that clients connect to, and waiting for an address that is still in use."""
 
 import errno
 import signal
@@ -10,13 +10,17 @@
 from fawnwharf.net.timer_wheel import monotonic_ms, sleep_s
 
 BACKLOG = 1024
-# The process before may be ending still: it holds its address until its last look after new connections.
-MAX_IN_USE_S = 6.0  # and a process that starts is to be ready within 10 s
+# The previous process may still be shutting down: it holds its address until it has accepted the last
+# connections. A starting process has to be ready within 10 s.
+MAX_IN_USE_S = 6.0
 IN_USE_RETRY_S = 0.05
 
 
 def open_listener(address: Address, shared: bool) -> socket.socket:
-    """A socket that listens there. `shared`: another process may listen on the same address."""
+    """Return a non-blocking socket that listens on the address; raises OSError where it cannot.
+
+    `shared`: another process may listen on the same address (SO_REUSEPORT).
+    """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -34,18 +38,21 @@
 
 
 def termination_pending() -> bool:
-    """Whether a signal to end has come and is held back, as it is during a start."""
+    """Whether SIGTERM or SIGINT has arrived and is blocked, as both are during a start."""
     return bool({signal.SIGTERM, signal.SIGINT} & signal.sigpending())
 
 
 def listen_when_free(listen: Callable[[], socket.socket], most_s: float = MAX_IN_USE_S) -> socket.socket:
-    """What `listen` makes, as soon as its address is free; raises OSError where it is not for too long, or
-    where this process has been told to end meanwhile."""
-    until = monotonic_ms() / 1000.0 + most_s
+    """Call `listen` until its address is free, and return the socket that it opened.
+
+    Raises OSError where the address stays in use for more than `most_s` seconds, where a termination signal
+    arrives meanwhile, and at once for any other error.
+    """
+    until_s = monotonic_ms() / 1000.0 + most_s
     while True:
         try:
             return listen()
         except OSError as error:
-            if error.errno != errno.EADDRINUSE or termination_pending() or monotonic_ms() / 1000.0 >= until:
+            if error.errno != errno.EADDRINUSE or termination_pending() or monotonic_ms() / 1000.0 >= until_s:
                 raise
         sleep_s(IN_USE_RETRY_S)
