--- a/fawnwharf/net/event_order.py
+++ b/fawnwharf/net/event_order.py
@@ -1,8 +1,8 @@
-"""The order of the change log's events: which one said the newest of each scorer. Pure.
+"""The order of the change log's events: which event has the newest state of each scorer. Pure.
 
-Events may come twice, late, or in another order than they were numbered. Of each scorer the event with the
-highest number counts, so the outcome is the same in whatever order they come. A log that lost its events
-numbers them from 1 again; it is known by an event that says something else than the one of the same number.
+Events may arrive twice, late, or out of order. For each scorer the event with the highest number counts, so
+that the outcome does not depend on the order of arrival. A change log that lost its events restarts its
+numbering at 1; that is detected by an event whose content differs from the earlier one of the same number.
 """
 
 import hashlib
@@ -13,85 +13,92 @@
 
 from fawnwharf.config import Fleet, Member
 
-MAX_EVENTS = 2_048  # whose content is remembered, those told last; and the first one
-MAX_SCORERS = 10_000  # whose last event is remembered, those told last; removed ones among them
+MAX_EVENTS = 2_048  # whose content is remembered, the most recent ones; and always the first one
+MAX_SCORERS = 10_000  # whose last event is remembered, the most recent ones; removed ones among them
 
 _encode = msgspec.json.Encoder(order="deterministic").encode
 
 
 class EventMatch(Enum):
-    """Whether an event of this number was told before."""
+    """How an event compares with the one that was received earlier under its number."""
 
-    NEVER = auto()
+    NEW = auto()  # no event of this number is known
     SAME = auto()
-    OTHERWISE = auto()  # with other content: it belongs to another numbering
+    DIFFERENT = auto()  # other content: it belongs to another numbering
 
 
 class EventOrder:
-    """Remembers what each event said, and on which event each scorer's state rests."""
+    """Remembers the content of each event, and which event determined the state of each scorer."""
 
     def __init__(self) -> None:
-        self.revision = 0  # the highest one told
-        self._events: dict[int, tuple[bytes, bool, int]] = {}  # by number: digest, whether whole, revision
+        self.revision = 0  # the highest one received
+        # By event number: digest, whether it was a complete list, revision.
+        self._events: dict[int, tuple[bytes, bool, int]] = {}
         self._scorers: dict[str, tuple[int, bool]] = {}  # by id: number of the last event, whether listed
-        self._newest = 0  # the highest number told
-        self._whole = 0  # of the newest whole list: no earlier event says anything about anyone
+        self._newest = 0  # the highest event number received
+        self._newest_complete = 0  # of the newest complete list, which replaces all earlier events
 
     @property
     def empty(self) -> bool:
-        """Whether no event was taken."""
+        """Whether no event was applied yet."""
         return not self._events
 
-    def told(self, seq: int, fleet: Fleet) -> EventMatch:
-        """Compare an event with the one that was taken under its number."""
+    def compare(self, seq: int, fleet: Fleet) -> EventMatch:
+        """Compare an event with the one that was applied under its number."""
         if (known := self._events.get(seq)) is None:
-            return EventMatch.NEVER
+            return EventMatch.NEW
         digest, complete, revision = known
-        # A whole list may stand in for the change of the same number: the start's list does.
-        summed_up = complete != fleet.complete and bool(revision) and revision == fleet.revision
-        return EventMatch.SAME if summed_up or digest == _digest(fleet) else EventMatch.OTHERWISE
+        # A complete list may replace the change of the same number: the configuration's list does.
+        summarized = complete != fleet.complete and bool(revision) and revision == fleet.revision
+        return EventMatch.SAME if summarized or digest == _digest(fleet) else EventMatch.DIFFERENT
 
-    def of_other_numbers(self, seq: int, fleet: Fleet) -> bool:
-        """Whether an event that was not told before can't be an earlier one of this numbering."""
+    def is_renumbered(self, seq: int, fleet: Fleet) -> bool:
+        """Whether an event of an unknown number cannot be an earlier one of this numbering."""
         return seq < self._newest and 0 < self.revision < fleet.revision
 
-    def knows(self, id: str) -> bool:
-        """Whether a scorer is listed by what was told."""
-        return self._scorers.get(id, (0, False))[1]
+    def is_listed(self, scorer_id: str) -> bool:
+        """Whether the events applied so far list a scorer."""
+        return self._scorers.get(scorer_id, (0, False))[1]
 
-    def take(self, seq: int, fleet: Fleet, spared: Collection[str] = ()) -> Fleet:
-        """What an event says that no later one has said already. A whole list removes those that it does not
-        name, but for the `spared`."""
+    def apply(self, seq: int, fleet: Fleet, unreadable_ids: Collection[str] = ()) -> Fleet:
+        """Record an event, and return the part of it that no later event has replaced already.
+
+        A complete list removes the scorers that it does not name, except for `unreadable_ids`.
+        """
         self._remember(seq, fleet)
-        members = [member for member in fleet.members if seq >= self._number(member.id)]
-        removed = self._removed(seq, fleet, spared) if fleet.complete else []
+        members = [member for member in fleet.members if seq >= self._last_event(member.id)]
+        removed = self._removed(seq, fleet, unreadable_ids) if fleet.complete else []
         for member in members:
-            self._note(member.id, seq, member.phase != "terminated")
-        for id in removed:
-            self._note(id, seq, False)
-        whole = fleet.complete and seq >= self._newest and not spared
+            self._note(member.id, seq, listed=member.phase != "terminated")
+        for scorer_id in removed:
+            self._note(scorer_id, seq, listed=False)
+        complete = fleet.complete and seq >= self._newest and not unreadable_ids
         self._newest = max(self._newest, seq)
         if fleet.complete:
-            self._whole = max(self._whole, seq)
+            self._newest_complete = max(self._newest_complete, seq)
         self.revision = max(self.revision, fleet.revision)
-        if not whole:
-            members += [Member(id, "terminated") for id in removed]
-        return msgspec.structs.replace(fleet, members=members, complete=whole)
+        if not complete:
+            members += [Member(scorer_id, "terminated") for scorer_id in removed]
+        return msgspec.structs.replace(fleet, members=members, complete=complete)
 
     def forget(self, seq: int) -> None:
-        """An event could not be passed on: told again, it counts as never told."""
+        """Forget an event that could not be delivered: received again, it counts as new."""
         self._events.pop(seq, None)
 
-    def _removed(self, seq: int, fleet: Fleet, spared: Collection[str]) -> list[str]:
-        named = {member.id for member in fleet.members}.union(spared)
-        return [id for id, (at, listed) in self._scorers.items() if listed and at < seq and id not in named]
+    def _removed(self, seq: int, fleet: Fleet, unreadable_ids: Collection[str]) -> list[str]:
+        named = {member.id for member in fleet.members}.union(unreadable_ids)
+        return [
+            scorer_id
+            for scorer_id, (last_event, listed) in self._scorers.items()
+            if listed and last_event < seq and scorer_id not in named
+        ]
 
-    def _number(self, id: str) -> int:
-        return max(self._whole, self._scorers.get(id, (0, False))[0])
+    def _last_event(self, scorer_id: str) -> int:
+        return max(self._newest_complete, self._scorers.get(scorer_id, (0, False))[0])
 
-    def _note(self, id: str, seq: int, listed: bool) -> None:
-        self._scorers.pop(id, None)
-        self._scorers[id] = seq, listed
+    def _note(self, scorer_id: str, seq: int, listed: bool) -> None:
+        self._scorers.pop(scorer_id, None)
+        self._scorers[scorer_id] = seq, listed
         if len(self._scorers) > MAX_SCORERS:
             del self._scorers[next(iter(self._scorers))]
 
--- a/fawnwharf/net/fleet_events.py
+++ b/fawnwharf/net/fleet_events.py
@@ -1,7 +1,7 @@
-"""The list in an event of the change log, read member by member. Pure.
+"""The endpoint list in an event of the change log, read member by member. Pure.
 
-A member that can't be read is left out alone: the other members' changes, drains among them, must not go
-unheard for its sake.
+A member that cannot be read is left out by itself: the changes of the other members, such as drains, must not
+be lost because of it.
 """
 
 from collections.abc import Callable
@@ -13,23 +13,34 @@
 
 @dataclass(slots=True)
 class FleetRead:
-    """The sound members of a list, and what was left out of it."""
+    """The valid members of an endpoint list, and what was left out of it.
+
+    `errors` has one text for each member that was left out. `unreadable_ids` are the names of such members:
+    the event lists them, but their state is unknown.
+    """
 
     fleet: Fleet
-    faults: list[str]
-    spared: set[str]  # ids of members that were left out: they are named, though not as what
+    errors: list[str]
+    unreadable_ids: set[str]
+
+    def drop_unreachable(self, is_listed: Callable[[str], bool]) -> None:
+        """Leave out members that enter service without an address and were never listed with one.
 
-    def leave_out_unknown(self, knows: Callable[[str], bool]) -> None:
-        """Nobody can be called who comes into service without an address and was never told with one."""
+        No connection to such a member can be opened. `is_listed`: whether an earlier event listed a member.
+        """
         members = self.fleet.members
-        lost = [m for m in members if m.phase == "in_service" and not m.host_port and not knows(m.id)]
-        for member in lost:
+        unreachable = [
+            member
+            for member in members
+            if member.phase == "in_service" and not member.host_port and not is_listed(member.id)
+        ]
+        for member in unreachable:
             members.remove(member)
-            self.faults.append(f"member {member.id[:40]!r} left out: unknown, and without an address")
+            self.errors.append(f"member {member.id[:40]!r} left out: unknown, and without an address")
 
 
 def read_fleet(data: Any) -> FleetRead:
-    """Raises ConfigError where not even the list can be read."""
+    """Read the endpoint list of an event; raises ConfigError where no list can be read at all."""
     try:
         fleet = fleet_from(data)
         for member in fleet.members:
@@ -56,10 +67,10 @@
 
 
 def _leave_out(read: FleetRead, item: Any, error: ConfigError) -> None:
-    id = item.get("id") if isinstance(item, dict) else None
-    if isinstance(id, str):
-        read.spared.add(id)
-    read.faults.append(f"member {str(id)[:40]!r} left out: {error}")
+    member_id = item.get("id") if isinstance(item, dict) else None
+    if isinstance(member_id, str):
+        read.unreadable_ids.add(member_id)
+    read.errors.append(f"member {str(member_id)[:40]!r} left out: {error}")
 
 
 def _check_address(host_port: str) -> None:
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -268,7 +268,7 @@
         A malformed event is skipped alone: refusing to start would cost more.
         """
         events = self.deployment.known_events
-        taken = [self.change_log.event(event, of_start=True) for event in events]
+        taken = [self.change_log.event(event, known=True) for event in events]
         faulty = [event for event, sound in zip(events, taken, strict=True) if not sound]
         for event in faulty:
             if len(faulty) == len(events):
@@ -286,7 +286,7 @@
 
         Ends when the change log has no more events, and after MAX_ROSTER_WAIT_MS in any case.
         """
-        told = self.change_log.told_all_ms is not None
+        told = self.change_log.up_to_date_ms is not None
         known = any(scorer.state is io.ScorerState.READY for scorer in self.scorer_pool.scorers.values())
         if told or known or monotonic_ms() - self._start_ms > MAX_ROSTER_WAIT_MS:
             self.client_port.not_ready_reasons.discard(ROSTER)
@@ -295,10 +295,10 @@
             self.loop.timers.after(ROSTER_SCAN_MS, self._wait_for_roster)
 
     def _on_fleet_event(self, fleet: Fleet) -> None:
-        heard_ms, before = self.change_log.told_all_ms, self.start_times.apart
+        heard_ms, before = self.change_log.up_to_date_ms, self.start_times.corrected_starts
         unheard_ms = float("inf") if heard_ms is None else monotonic_ms() - heard_ms
-        fleet = self.start_times.own(fleet, self.loop.clock.now_ms(), unheard_ms)
-        if self.start_times.apart > before:
+        fleet = self.start_times.correct(fleet, self.loop.clock.now_ms(), unheard_ms)
+        if self.start_times.corrected_starts > before:
             self.log("start times of scorers come from a clock that differs from this one", "clock")
         self.receive_fleet(fleet)
         if self._extension:
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -85,7 +85,7 @@
         """Begin, on the front end's loop; the parts before this one are attached."""
         self.front, settings = front, self.settings
         front.client_port.not_ready_reasons.add(RECOVERY)
-        front.change_log.may_begin_anew = True
+        front.change_log.expects_renumbering = True
         self.agent = RecoveryAgent(
             self.zones.entry.name, self.zones.core.membership.fleet, self.life, self.kept.boot, self._lists(),
             self._own(), self.zones.consensus_status, self.tallies.worths, settings.timing.of_stages,
@@ -181,7 +181,7 @@
         number, text = last_appended(voter.saved, "plan") if voter is not None else (0, "")
         seen = self.zones.evidence_collector.evidence(now)
         rostered = self._rostered or (
-            self.front is not None and self.front.change_log.told_all_ms is not None
+            self.front is not None and self.front.change_log.up_to_date_ms is not None
         )
         serves = any(m.phase == "in_service" for m in self.front.roster_overlay.members.values())
         return LocalStatus(
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -40,8 +40,8 @@
 class MemberLogFollower(ChangeLog):
     """Follows one member's log; a line that is rejected costs the connection and nothing else."""
 
-    pause_most_ms = MAX_BACKOFF_MS
-    line_most = MAX_LINE_BYTES
+    max_backoff_ms = MAX_BACKOFF_MS
+    max_line_bytes = MAX_LINE_BYTES
 
     def __init__(
         self, loop: EventLoop, address: Address, receive: Callable[[Any], None], log: LogWriter
@@ -61,7 +61,7 @@
         """When anything was last received from the log, if only its number."""
         return self._connection.heard_ms if self._connection else 0.0
 
-    def event(self, read: Any, _of_start: bool = False) -> bool:
+    def event(self, read: Any, _known: bool = False) -> bool:
         """Take a decoded line; False where it is malformed or does not follow the last one."""
         if not isinstance(read, dict):
             return False
@@ -88,7 +88,7 @@
     def _receive(self, line: Any) -> bool:
         """Pass a line on; False where it was rejected."""
         try:
-            self._told(line)
+            self._deliver(line)
         except ValueError as error:
             self._log(f"{self._address[0]}:{self._address[1]}: {error}")
             return False
--- a/tests/net/test_net_change_log_renumbering.py
+++ b/tests/net/test_net_change_log_renumbering.py
@@ -15,11 +15,11 @@
     """The log has told up to number 40."""
     rig.front.change_log.seq = 40
     rig.log.say(40)
-    rig.until(lambda: rig.front.change_log.told_all_ms is not None, "it has told all")
+    rig.until(lambda: rig.front.change_log.up_to_date_ms is not None, "it has told all")
 
 
 def test_a_log_that_lost_its_numbers_is_asked_for_all_and_its_list_taken(rig):
-    rig.front.change_log.may_begin_anew = True
+    rig.front.change_log.expects_renumbering = True
     far_on(rig)
     rig.log.say(2)
     rig.until(lambda: len(rig.log.asked()) == 2, "it is asked again")
--- a/tests/net/test_net_clock_steps.py
+++ b/tests/net/test_net_clock_steps.py
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_a_start_told_after_a_step_is_not_older_than_it_is(rig, clock, step):
     rig.log.say(1)
-    rig.until(lambda: rig.front.change_log.told_all_ms is not None, "the log is followed")
+    rig.until(lambda: rig.front.change_log.up_to_date_ms is not None, "the log is followed")
     clock.advance(100.0)
     clock.step_wall(step)
     rig.front.loop.run_iteration(0.0)
--- a/tests/net/test_net_discovery_orders.py
+++ b/tests/net/test_net_discovery_orders.py
@@ -83,14 +83,14 @@
 
 
 def test_an_event_that_could_not_be_passed_on_is_taken_when_it_comes_again(rig):
-    take, faults = rig.front.change_log._told, [KeyError("boom")]
+    take, faults = rig.front.change_log._deliver, [KeyError("boom")]
 
     def told(fleet):
         if faults:
             raise faults.pop()
         take(fleet)
 
-    rig.front.change_log._told = told
+    rig.front.change_log._deliver = told
     rig.log.say(event(2, rig.member("s-1", "terminating")))
     assert rig.asked_times(2) == ["since", "1"]
     rig.log.say(event(2, rig.member("s-1", "terminating")))
@@ -198,7 +198,7 @@
         rig.log.say(first_list(rig))
         rig.log.say(event(2))
         rig.log.say(2)
-        rig.until(lambda: rig.front.change_log._smaller == 1, "it says less than it said before")
+        rig.until(lambda: rig.front.change_log._smaller_numbers == 1, "it says less than it said before")
         rig.later_ms += change_log.MAX_DELAY_MS + 1.0
         rig.log.say(2)
         assert rig.asked_times(4) == ["since", "0"]
@@ -215,7 +215,7 @@
     rig.told.clear()
     rig.log.say(event(1, *[rig.member(id) for id in rig.by_id], complete=True, revision=9))
     rig.log.say(event(2, rig.member("s-2", "terminating"), revision=10))
-    rig.until(lambda: rig.front.change_log._at == 2, "two events are read")
+    rig.until(lambda: rig.front.change_log._position == 2, "two events are read")
     assert rig.states()["s-3"] is DRAINING
     rig.log.say(event(3, rig.member("s-3", "terminating"), revision=11))
     rig.log.say(3)
@@ -229,7 +229,7 @@
     far_on(rig)
     break_off(rig, 2)
     rig.log.say(event(1, rig.member("s-1"), complete=True, revision=9))
-    rig.until(lambda: rig.front.change_log._at == 1, "the first event is read")
+    rig.until(lambda: rig.front.change_log._position == 1, "the first event is read")
     assert break_off(rig, 3) == ["since", "0"]
     rig.log.say(event(1, rig.member("s-1"), complete=True, revision=9))
     rig.at(1)  # without the log's number, after a while
--- a/tests/net/test_net_event_order.py
+++ b/tests/net/test_net_event_order.py
@@ -27,7 +27,7 @@
 def outcome(numbers):
     order, overlay = EventOrder(), RosterOverlay()
     for number in numbers:
-        overlay.apply(order.take(number, EVENTS[number]))
+        overlay.apply(order.apply(number, EVENTS[number]))
     return {id: found.phase for id, found in overlay.members.items()}
 
 
@@ -38,26 +38,26 @@
 
 def test_an_event_is_told_never_the_same_or_otherwise():
     order = EventOrder()
-    order.take(1, EVENTS[1])
-    assert order.told(1, EVENTS[1]) is EventMatch.SAME
-    assert order.told(1, EVENTS[4]) is EventMatch.OTHERWISE
-    assert order.told(2, EVENTS[1]) is EventMatch.NEVER
+    order.apply(1, EVENTS[1])
+    assert order.compare(1, EVENTS[1]) is EventMatch.SAME
+    assert order.compare(1, EVENTS[4]) is EventMatch.DIFFERENT
+    assert order.compare(2, EVENTS[1]) is EventMatch.NEW
 
 
 @pytest.mark.parametrize(
     ("complete", "revision", "told"),
-    [(True, 7, EventMatch.SAME), (True, 8, EventMatch.OTHERWISE), (False, 7, EventMatch.OTHERWISE)],
+    [(True, 7, EventMatch.SAME), (True, 8, EventMatch.DIFFERENT), (False, 7, EventMatch.DIFFERENT)],
 )
 def test_a_whole_list_of_one_revision_stands_in_for_the_change_of_its_number(complete, revision, told):
     order = EventOrder()
-    order.take(9, Fleet([member("a", "terminating")], False, 7))
-    assert order.told(9, Fleet([member("a"), member("b")], complete, revision)) is told
+    order.apply(9, Fleet([member("a", "terminating")], False, 7))
+    assert order.compare(9, Fleet([member("a"), member("b")], complete, revision)) is told
 
 
 def test_a_whole_list_removes_nobody_whom_it_names_unreadably():
     order = EventOrder()
-    order.take(1, EVENTS[1])
-    fleet = order.take(2, Fleet([member("b")], complete=True), spared={"c"})
+    order.apply(1, EVENTS[1])
+    fleet = order.apply(2, Fleet([member("b")], complete=True), unreadable_ids={"c"})
     assert (fleet.complete, [(m.id, m.phase) for m in fleet.members]) == (
         False, [("b", "in_service"), ("a", "terminated")]
     )  # fmt: skip
@@ -68,9 +68,9 @@
     monkeypatch.setattr(event_order, "MAX_SCORERS", 5)
     order = EventOrder()
     for number in range(1, 40):
-        order.take(number, Fleet([member(f"s{number}")], complete=number == 1))
+        order.apply(number, Fleet([member(f"s{number}")], complete=number == 1))
     assert (len(order._events), len(order._scorers)) == (5, 5)
-    assert order.told(1, Fleet([member("s1")], complete=True)) is EventMatch.SAME
+    assert order.compare(1, Fleet([member("s1")], complete=True)) is EventMatch.SAME
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
 def test_a_member_that_cant_be_read_is_left_out_alone(bad, spared):
     good = {"id": "a", "phase": "terminating", "host_port": "127.0.0.1:1"}
     read = read_fleet({"complete": True, "revision": 3, "members": [bad, good]})
-    assert ([m.id for m in read.fleet.members], read.spared, len(read.faults)) == (["a"], spared, 1)
+    assert ([m.id for m in read.fleet.members], read.unreadable_ids, len(read.errors)) == (["a"], spared, 1)
     assert (read.fleet.complete, read.fleet.revision) == (True, 3)
 
 
--- a/tests/net/test_net_scorer_start_times.py
+++ b/tests/net/test_net_scorer_start_times.py
@@ -14,7 +14,7 @@
 def told(starts, start_ms, now_ms=NOW, unheard_ms=500.0, id="s-1", complete=False, phase="in_service"):
     """The start by which that scorer is gone by."""
     members = [Member(id, phase, up_since_ms=start_ms)]
-    [member] = starts.own(Fleet(members, complete, 3), now_ms, unheard_ms).members
+    [member] = starts.correct(Fleet(members, complete, 3), now_ms, unheard_ms).members
     return member.up_since_ms
 
 
@@ -45,7 +45,7 @@
 ):
     starts = ScorerStartTimes()
     assert told(starts, start_ms, unheard_ms=unheard_ms, complete=complete) == gone_by_ms
-    assert starts.apart == apart
+    assert starts.corrected_starts == apart
 
 
 def test_what_is_told_again_keeps_its_start_and_a_later_one_is_later():
@@ -59,7 +59,7 @@
     ahead = ScorerStartTimes()
     first = told(ahead, NOW - HOUR, unheard_ms=NEVER)
     assert told(ahead, NOW - HOUR + 60_000.0, NOW + 60_000.0) == NOW + 60_000.0 > first
-    assert ahead.apart == 1
+    assert ahead.corrected_starts == 1
 
 
 def test_what_is_remembered_is_bounded():
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("apart_ms", [2 * HOUR, -2 * HOUR])
 def test_a_scorer_that_restarts_by_another_clock_is_cold_now_and_its_copies_are_believed(rig, apart_ms):
     rig.log.say(rig.front.change_log.seq)
-    rig.until(lambda: rig.front.change_log.told_all_ms is not None, "the log is followed")
+    rig.until(lambda: rig.front.change_log.up_to_date_ms is not None, "the log is followed")
     seq, worker = rig.front.change_log.seq + 1, rig.front.router.scorers[scorer_number("s-1")]
     cold_ms = rig.front.deployment.settings.slow_start_ms
     member = rig.scorers[0].member(up_since_ms=unix_ms() + apart_ms)
--- a/tests/support/change_log_front_end.py
+++ b/tests/support/change_log_front_end.py
@@ -21,8 +21,8 @@
     def __init__(self, *ids, **more):
         super().__init__(*map(ScorerPeer, ids), **more)
         self.by_id = {peer.id: peer for peer in self.scorers}
-        self.later_ms, self.told, take = 0.0, [], self.front.change_log._told
-        self.front.change_log._told = lambda fleet: (self.told.append(fleet), take(fleet))
+        self.later_ms, self.told, take = 0.0, [], self.front.change_log._deliver
+        self.front.change_log._deliver = lambda fleet: (self.told.append(fleet), take(fleet))
 
     def member(self, id, phase="in_service", **more):
         """The entry of a scorer in an event."""
@@ -53,9 +53,9 @@
 
     def log_read(self, seq):
         """All that the log has written, up to this event, was read: its number makes the round."""
-        self.front.change_log.told_all_ms = None
+        self.front.change_log.up_to_date_ms = None
         self.log.say(seq)
-        self.until(lambda: self.front.change_log.told_all_ms is not None, "the log is read")
+        self.until(lambda: self.front.change_log.up_to_date_ms is not None, "the log is read")
 
     def states(self):
         """What the module goes by, of the scorers that are not gone."""
