--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -341,7 +341,7 @@
             if successor.closed:  # it ended just now, and this connection was not in its queue
                 port.take_over(handed)
                 return
-            message = h.ConnectionHandoff(handed.partial, handed.skip, handed.spoke, handed.empty_ms)
+            message = h.ConnectionHandoff(handed.partial, handed.skip, handed.has_sent, handed.empty_ms)
             successor.send(message, handed.sock)
             count += 1
 
--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting from a listening socket: which errors concern one connection, and which all."""
+"""Accepting connections from a listening socket: which errors concern one connection, and which all."""
 
 import errno
 import socket
@@ -9,10 +9,10 @@
 from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-MAX_ACCEPTS = 64  # in a turn
-# Where the system has no descriptor or memory left, or the listener fails in a way that is unknown here.
+MAX_ACCEPTS = 64  # in one iteration
+# Where the system has no descriptor or memory left, or the listener fails in an unknown way.
 ACCEPT_PAUSE_MS = 50.0
-# Errors of a connection that ended, or of its network, before it was accepted: the next one may be well.
+# Errors of a connection that ended, or of its network, before it was accepted: the next may be usable.
 SINGLE_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -21,7 +21,7 @@
         errno.EPROTO,
         errno.ENOPROTOOPT,
         errno.EOPNOTSUPP,
-        errno.EPERM,  # turned away by a firewall
+        errno.EPERM,  # rejected by a firewall
         errno.ENETDOWN,
         errno.ENETUNREACH,
         errno.EHOSTDOWN,
@@ -33,63 +33,76 @@
 
 
 class Acceptor:
-    """Owns the listening socket; accepts while it is on, there is room, and the system gives descriptors."""
+    """Owns the listening socket, and accepts while it is on, there is capacity, and descriptors are left."""
 
     def __init__(
         self,
         loop: EventLoop,
         listener: socket.socket,
         admit: Callable[[socket.socket, float], None],
-        room: Callable[[], int],
+        capacity: Callable[[], int],
         log: LogWriter,
     ) -> None:
-        """`admit` takes an accepted socket, and since when it may have waited by the monotonic clock; or it
-        raises OSError and leaves it. `room`: how many more to accept in this turn; where it is 0, `go_on`
-        says when there may be room again."""
-        self.loop, self.log = loop, log
-        self.socket: socket.socket | None = listener
-        self._admit, self._room = admit, room
-        self._on = False
+        """Take the listening socket over; nothing is accepted before `set_accepting`.
+
+        `admit` receives an accepted socket and the monotonic time in milliseconds since which it may have
+        been waiting; it may raise OSError, and the socket is then closed here. `capacity` returns how many
+        more connections to accept in this iteration; after it was 0, `resume` reports new capacity.
+        """
+        self.loop = loop
+        self.log = log
+        self._listener = listener
+        self._admit = admit
+        self._capacity = capacity
+        self._closed = False
+        self._accepting = False
         self._pause: Timer | None = None
-        # Since when connections may wait in the queue; None: it was emptied.
+        # Since when connections may be waiting in the queue; None: it was emptied.
         self._waiting_ms: float | None = monotonic_ms()
-        self._looked_ms = self._waiting_ms  # the last turn that found it ready, or began to watch it
-        self._in_vain = 0  # tries of this turn that brought no connection
-
-    def accept(self, on: bool) -> None:
-        """Accept new connections, or leave them to whoever else has the listener."""
-        if self.socket is None or on == self._on:
+        # The last iteration that found the listener ready, or began to watch it.
+        self._checked_ms = self._waiting_ms
+        self._failures = 0  # attempts of this iteration that accepted no connection
+
+    @property
+    def listener(self) -> socket.socket | None:
+        """The listening socket; None once it is closed."""
+        return None if self._closed else self._listener
+
+    def set_accepting(self, on: bool) -> None:
+        """Accept new connections, or leave them to another process that has the same listener."""
+        if self._closed or on == self._accepting:
             return
-        self._on = on
+        self._accepting = on
         if self._pause is None:
             self._watch(on)
 
     def _watch(self, on: bool) -> None:
         if on:
-            self._looked_ms = max(self._looked_ms, self.loop.iteration_ms)
-            self.loop.watch(self.socket, READ, self._ready, order=lambda: ReadPriority.IDLE)
+            self._checked_ms = max(self._checked_ms, self.loop.iteration_ms)
+            self.loop.watch(self._listener, READ, self._ready, order=lambda: ReadPriority.IDLE)
         else:
-            self.loop.unwatch(self.socket)
+            self.loop.unwatch(self._listener)
 
     def _ready(self, _mask: int) -> None:
-        if self._waiting_ms is None or self._looked_ms < self.loop.empty_ms(self.socket.fileno()):
-            self._waiting_ms = self.loop.ready_since_ms(self.socket.fileno())
-        self._looked_ms = self.loop.iteration_ms
-        most = min(MAX_ACCEPTS, self._room())
-        if not most:
+        descriptor = self._listener.fileno()
+        if self._waiting_ms is None or self._checked_ms < self.loop.empty_ms(descriptor):
+            self._waiting_ms = self.loop.ready_since_ms(descriptor)
+        self._checked_ms = self.loop.iteration_ms
+        wanted = min(MAX_ACCEPTS, self._capacity())
+        if not wanted:
             self.pause()
             return
-        self._in_vain = 0
-        for _ in range(most):
+        self._failures = 0
+        for _ in range(wanted):
             if not self._accept_one():
                 return
-        if self._in_vain == most:
+        if self._failures == wanted:
             self.pause()
 
     def _accept_one(self) -> bool:
-        """Whether there may be more to accept now."""
+        """Accept one connection; return whether there may be more to accept now."""
         try:
-            accepted, _ = self.socket.accept()
+            accepted, _ = self._listener.accept()
         except BlockingIOError:
             self._waiting_ms = None
             return False
@@ -102,13 +115,13 @@
         try:
             self._admit(accepted, self.loop.iteration_ms if self._waiting_ms is None else self._waiting_ms)
         except OSError as error:
-            # Reset already, or the selector has no memory: this one is lost, the next may be well.
+            # Reset already, or the selector has no memory: this one is lost, the next may be usable.
             accepted.close()
             self.log(f"accepted connection not usable: {error}", "accept")
 
     def _failed(self, error: OSError) -> bool:
         if error.errno in SINGLE_CONNECTION_ERRORS:
-            self._in_vain += 1
+            self._failures += 1
             return True
         if end_reason_of(error) is not EndReason.NO_DESCRIPTOR:
             self.log(f"accept: {error}", "accept")
@@ -116,36 +129,39 @@
         return False
 
     def pause(self) -> None:
-        """Leave new connections to the system's queue for a moment, rather than spin on them."""
-        if self.socket is not None and self._on and self._pause is None:
+        """Leave new connections in the system's queue for `ACCEPT_PAUSE_MS`, instead of a busy loop."""
+        if not self._closed and self._accepting and self._pause is None:
             self._watch(False)
-            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.go_on)
+            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.resume)
 
-    def go_on(self) -> None:
-        """There may be room, or the system may have descriptors again."""
+    def resume(self) -> None:
+        """End a pause: there may be capacity, or the system may have descriptors again."""
         if self._pause is None:
             return
         self._pause.cancel()
         self._pause = None
-        if self.socket is None or not self._on:
+        if self._closed or not self._accepting:
             return
         try:
             self._watch(True)
-        except OSError as error:  # the selector has no memory: a listener that nobody watches would be lost
+        except OSError as error:  # the selector has no memory: a listener that is not watched would be lost
             self.log(f"accept: {error}", "accept")
-            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.go_on)
+            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.resume)
 
     def drain(self) -> bool:
-        """Accept all that the system's queue holds, then close the listener: closing it resets what it holds.
-        False while there is no room for all of it, or the system has no descriptor."""
-        self.accept(False)
+        """Accept all that the system's queue holds, then close the listener; return whether that is done.
+
+        Closing a listener resets the connections in its queue. Returns False while there is no capacity for
+        all of them, or the system has no descriptor.
+        """
+        self.set_accepting(False)
         for _ in range(MAX_ACCEPTS):
-            if self.socket is None:
+            if self._closed:
                 return True
-            if not self._room():
+            if not self._capacity():
                 return False
             try:
-                accepted, _ = self.socket.accept()
+                accepted, _ = self._listener.accept()
             except BlockingIOError:
                 self.close()
             except OSError as error:
@@ -153,11 +169,11 @@
                     return False
             else:
                 self._take(accepted)
-        return self.socket is None
+        return self._closed
 
     def close(self) -> None:
-        """Stop listening; what the system's queue still holds is reset."""
-        self.accept(False)
-        if self.socket is not None:
-            self.socket.close()
-            self.socket = None
+        """Stop listening; the connections that are still in the system's queue are reset."""
+        self.set_accepting(False)
+        if not self._closed:
+            self._listener.close()
+            self._closed = True
--- a/fawnwharf/net/calls.py
+++ b/fawnwharf/net/calls.py
@@ -1,4 +1,4 @@
-"""Parsing of a client's call: from the text fields of a Thrift message to checked, typed values. Pure."""
+"""Parsing a client's call: from the text fields of a Thrift message to validated, typed values. Pure."""
 
 import re
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 from fawnwharf.net import thrift
 from fawnwharf.net.requests import Call, Outcome
 
-TTL_TOLERANCE = 1.1  # a client waits for its class's time at the most; room for rounding
+TTL_TOLERANCE = 1.1  # a client waits no longer than its class's deadline; the rest allows for rounding
 MAX_LANES = 4_096
 MAX_TENANT_LENGTH = 128  # characters of a tenant's name
 
@@ -19,25 +19,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedCall:
-    """What a client asks, checked: each value is one that a scorer can be passed."""
+    """A client's request, validated: each value is one that a scorer accepts.
+
+    `budget_ms` is the time limit in milliseconds, counted from when the client sent the request. `token` is
+    the idempotency key, or empty. `lanes`, `memory_mb` and `load_ms` are the client's estimates.
+    """
 
     id: bytes
     class_name: str
     tenant: str
     function: str
-    budget_ms: float  # from when the client sent it
+    budget_ms: float
     body: bytes
     token: str
     lanes: int
     memory_mb: float | None
     load_ms: float | None
 
-    def __getitem__(self, name: str) -> object:
-        """A value by its name."""
-        return getattr(self, name)
-
     def open(self, age_ms: float, reply: Callable[[Outcome], None], check_client: Callable[[], None]) -> Call:
-        """The call as the table of requests takes it; `age_ms`: how long it has waited already."""
+        """Return the call in the form that the request table accepts.
+
+        `age_ms`: how many milliseconds it has waited already, which are subtracted from its budget. `reply`
+        receives the outcome; `check_client` is called to find out whether the client has disconnected.
+        """
         return Call(
             id=self.id,
             class_name=self.class_name,
@@ -91,9 +95,14 @@
 def call_from(
     message: thrift.Handle, classes: dict[str, ClassSpec], tenants: frozenset[str] = frozenset()
 ) -> ParsedCall:
-    """What a call's fields say; raises Malformed for what no scorer could be passed."""
+    """Parse the fields of a call.
+
+    `classes`: the known classes by name. `tenants`: the known tenants; empty where any is accepted.
+    Raises MalformedMessageError for a value that no scorer would accept.
+    """
     fields = message.fields
-    spec, token = _spec(fields, classes), fields.get("dedupe", "")
+    spec = _spec(fields, classes)
+    token = fields.get("dedupe", "")
     if tenants and fields.get("org") not in tenants:
         raise thrift.MalformedMessageError("org: no such tenant")
     for name in ("call", "row"):
--- /dev/null
+++ b/fawnwharf/net/client_port.py
@@ -0,0 +1,181 @@
+"""The port that clients connect to: its listener, its connections and their limits."""
+
+import socket
+from dataclasses import dataclass
+
+from fawnwharf.config import Address
+from fawnwharf.interface import ClassSpec
+from fawnwharf.net.acceptor import Acceptor
+from fawnwharf.net.clients import ClientConnection
+from fawnwharf.net.connection_handoff import HandedOffConnection
+from fawnwharf.net.end_reasons import EndReason
+from fawnwharf.net.event_loop import EventLoop
+from fawnwharf.net.idle_connections import IdleConnectionReleaser
+from fawnwharf.net.listener import open_listener
+from fawnwharf.net.log_writer import LogWriter
+from fawnwharf.net.requests import RequestTable
+from fawnwharf.net.slow_clients import SlowClients
+from fawnwharf.net.timer_wheel import monotonic_ms
+
+# Clients close their idle connections after 4 s; one that does not would keep its connection forever.
+IDLE_TIMEOUT_MS = 30_000.0
+
+
+@dataclass(frozen=True, slots=True)
+class ClientPortSettings:
+    """What a client port is configured with.
+
+    `address`: where it listens. `classes`: the known classes by name. `tenants`: the known tenants; empty
+    where any is accepted. `max_connections`: how many connections it may have at a time. `shared`: another
+    process may listen on the same address, to replace this one.
+    """
+
+    address: Address
+    classes: dict[str, ClassSpec]
+    tenants: frozenset[str]
+    max_connections: int
+    shared: bool = False
+
+
+class ClientPort:
+    """Owns the listener and the client connections, within a share of the descriptors."""
+
+    def __init__(
+        self,
+        loop: EventLoop,
+        settings: ClientPortSettings,
+        requests: RequestTable,
+        log: LogWriter,
+        listener: socket.socket | None = None,
+    ) -> None:
+        """Listen on the address of the settings; raises OSError where it is not available.
+
+        `listener` is an open one that was taken over from another process; nothing is accepted from it until
+        `set_accepting` is called.
+        """
+        self.loop = loop
+        self.requests = requests
+        self.log = log
+        self.classes = settings.classes
+        self.tenants = settings.tenants
+        self.ready = False
+        self.not_ready_reasons: set[str] = set()  # subsystems that need more information before requests
+        self.clients: dict[ClientConnection, None] = {}
+        self.max_connections = settings.max_connections
+        opened = listener or open_listener(settings.address, settings.shared)
+        self._acceptor = Acceptor(loop, opened, self._admit, self._capacity, log)
+        self.address: Address = opened.getsockname()[:2]
+        self.slow_clients = SlowClients(loop, self.clients)
+        self._idle_releaser = IdleConnectionReleaser(loop, self.clients)
+        if listener is None:
+            self.set_accepting(True)
+
+    @property
+    def paused(self) -> bool:
+        """Whether nothing is read, because what arrives belongs to another process."""
+        return self.slow_clients.paused
+
+    @property
+    def listener(self) -> socket.socket | None:
+        """The listening socket; None once the port is closed."""
+        return self._acceptor.listener
+
+    @property
+    def accepts_requests(self) -> bool:
+        """Whether readiness checks are answered with yes."""
+        return self.ready and not self.not_ready_reasons
+
+    # --- new connections and the capacity for them ----------------------------------------------
+
+    def set_accepting(self, on: bool) -> None:
+        """Accept new connections, or leave them to another process that has the same listener."""
+        self._acceptor.set_accepting(on)
+
+    def _admit(self, sock: socket.socket, waiting_ms: float) -> None:
+        client = ClientConnection(self, sock)
+        client.connection.lay_unread(waiting_ms)
+        self.clients[client] = None
+
+    def _capacity(self) -> int:
+        """How many connections to accept now: at most half of all, so that first requests can be read.
+
+        Where there is no capacity, idle connections are closed, which lasts until they have lingered.
+        """
+        if len(self.clients) >= self.max_connections:
+            self._idle_releaser.release_some(self.max_connections)
+        free = self.max_connections - len(self.clients)
+        return max(0, min(free, max(1, self.max_connections // 2)))
+
+    # --- to and from another process ------------------------------------------------------------
+
+    def hand_off(self, client: ClientConnection) -> HandedOffConnection:
+        """Give up a connection on which nothing is open, and return it for another process."""
+        del self.clients[client]
+        empty_ms = client.connection.empty_ms
+        sock, unwritten = client.connection.detach()
+        partial, skip = client.state()
+        return HandedOffConnection(sock, partial, skip, client.has_sent, unwritten, empty_ms)
+
+    def take_over(self, handed: HandedOffConnection) -> None:
+        """Continue with a connection that another process had; it is closed where it is not usable."""
+        try:
+            client = ClientConnection(self, handed.sock)
+        except OSError as error:
+            self.log(f"connection handed off by another process not usable: {error}")
+            handed.sock.close()
+            return
+        self.clients[client] = None
+        if handed.empty_ms is not None:
+            client.connection.lay_unread(handed.empty_ms)
+        client.resume(handed)
+        self.slow_clients.regulate(client)
+
+    def set_paused(self, on: bool) -> None:
+        """Pause reading on all connections, or resume it: unread bytes belong to another process."""
+        self.slow_clients.pause(on)
+
+    def has_unwritten(self) -> bool:
+        """Whether any client still has bytes of answers to be written."""
+        return any(client.connection.waiting_bytes for client in self.clients)
+
+    # --- ends -----------------------------------------------------------------------------------
+
+    def end_idle(self) -> None:
+        """Close every connection with no open request and no partial message."""
+        for client in [client for client in self.clients if client.idle and not client.has_partial_message]:
+            if self.loop.batch_full:  # by requests that were read just now: the rest at the next call
+                return
+            client.release()
+
+    def close_listener(self) -> bool:
+        """Accept all that the system's queue holds and stop listening; False while some is left there."""
+        return self._acceptor.drain()
+
+    def ended(self, client: ClientConnection) -> None:
+        """Remove a connection that has ended, which may leave capacity for a new one."""
+        self.clients.pop(client, None)
+        self._acceptor.resume()
+
+    def run_maintenance(self) -> None:
+        """Close connections that have been idle, silent or blocked for too long."""
+        now = monotonic_ms()
+        self._idle_releaser.clear()
+        for client in list(self.clients):
+            if self.loop.batch_full:  # by requests that were read just now: the rest at the next call
+                return
+            unused = not client.open and now - client.connection.used_ms > IDLE_TIMEOUT_MS
+            if unused and client.connection.waiting_bytes:
+                client.connection.close(EndReason.STUFFED)
+            elif unused:
+                client.release()
+            elif client.is_overdue(now):
+                client.close_overdue()
+
+    def close(self) -> None:
+        """Close the listener and all connections; open requests get their final answer."""
+        self._acceptor.close()
+        for client in list(self.clients):
+            if client.open:  # the loop was stopped early: each request has its answer all the same
+                client.fail_open()
+                client.connection.flush()
+            client.connection.close(EndReason.STOPPED)
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -1,91 +1,92 @@
-"""Clients: their connections, the translation between Thrift and calls, and the port that owns them."""
+"""One client connection: the translation between Thrift messages and requests, and its orderly end."""
 
 import math
 import socket
+from typing import TYPE_CHECKING
 
-from fawnwharf.config import Address
-from fawnwharf.interface import ClassSpec
 from fawnwharf.net import thrift
-from fawnwharf.net.acceptor import Acceptor
 from fawnwharf.net.calls import call_from
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.event_loop import EventLoop, ReadPriority
-from fawnwharf.net.idle_connections import IdleConnectionReleaser
-from fawnwharf.net.listener import open_listener
-from fawnwharf.net.log_writer import LogWriter
-from fawnwharf.net.requests import Failed, Outcome, Rejected, RequestTable, Succeeded
-from fawnwharf.net.slow_clients import SlowClients
+from fawnwharf.net.event_loop import ReadPriority
+from fawnwharf.net.requests import Failed, Outcome, Rejected, Succeeded
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-MAX_READ_BYTES = 16 * 1024  # bytes of one client in a turn: the smallest messages in it take some 10 ms
-MAX_OPEN_REQUESTS = 32  # requests open on one connection
-IDLE_TIMEOUT_MS = (
-    30_000.0  # clients close after 4 s; one that asked and is still here holds its connection for good
-)
-# A peer is owed an answer or a close within 3 s of connecting; what a client sends comes within a round trip.
-MESSAGE_TIMEOUT_MS = 2_300.0  # for a first message, and for the rest of one that has begun
-OVERSIZED_TIMEOUT_MS = 6_000.0  # for the rest of an oversized one, which was refused when its head came
-MIN_SILENT_MS = 50.0  # where room is made, one that said nothing yet is spared at first: it may be about to
-# One with half a message is ended last, and only if nothing came for so long: more than a round trip, and
-# short enough that half messages which hold all connections keep nobody out for long.
+if TYPE_CHECKING:
+    from fawnwharf.net.client_port import ClientPort
+
+MAX_READ_BYTES = 16 * 1024  # per iteration: decoding as many bytes of the smallest messages takes some 10 ms
+MAX_OPEN_REQUESTS = 32  # on one connection
+# A peer must get an answer or a close within 3 s of connecting; what a client sends arrives in a round trip.
+MESSAGE_TIMEOUT_MS = 2_300.0  # for a first message, and for the rest of a partial one
+OVERSIZED_TIMEOUT_MS = 6_000.0  # for the rest of an oversized one, which was rejected by its header
+# Where capacity is needed, a connection without any message so far is spared for this long.
+MIN_SILENT_MS = 50.0
+# A connection with a partial message is closed last, and only if nothing has arrived for this long: more than
+# a round trip, and short enough that partial messages on all connections keep no client out for long.
 PARTIAL_MESSAGE_MS = 100.0
-# A client sends again what crosses a close within 50 ms; the rest is for the way and for ticks.
+# A client retries what crosses a close within 50 ms; the rest is for the network and for coarse timers.
 IDLE_LINGER_MS = 60.0
-MAX_RELEASE_READS = 4  # of an idle connection, before it is ended
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # with these it is dropped: 32 of the longest answers
+MAX_RELEASE_READS = 4  # of an idle connection, before it is closed
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # 32 of the longest answers; with more, the connection is closed
 
 
 class ClientConnection:
-    """One client connection and the requests open on it, by sequence number."""
+    """One client connection, and the requests open on it by sequence number."""
 
     def __init__(self, port: "ClientPort", sock: socket.socket) -> None:
+        """Take an accepted socket over; raises OSError where it is not usable, and leaves it open."""
         self.port = port
-        self.open: dict[int, str] = {}
-        self.gone = False  # the client has ended its output: nothing is begun for it any more
-        self.spoke = False  # a whole message has come
-        self._age_ms = 0.0  # how long the message that is acted on has waited to be read
+        self.open: dict[int, str] = {}  # by sequence number: the key in the request table
+        self.output_ended = False  # the client has ended its output: no new request is accepted from it
+        self.has_sent = False  # a complete message has been received
+        self._age_ms = 0.0  # how long the message that is being handled has waited to be read
         self._reader = thrift.FrameReader()
-        self._since_ms = monotonic_ms()  # it connected, or the message that is not whole yet began
+        self._since_ms = monotonic_ms()  # when it connected, or when the partial message began
         self.connection = Connection.accepted(
-            port.loop, sock, self, MAX_READ_BYTES, order=self._order, half_close=True
+            port.loop, sock, self, MAX_READ_BYTES, order=self._priority, half_close=True
         )
 
-    def _order(self) -> ReadPriority:
+    def _priority(self) -> ReadPriority:
         return ReadPriority.ACTIVE if self.open else ReadPriority.IDLE
 
+    # --- messages -------------------------------------------------------------------------------
+
     def on_up(self) -> None:
-        pass
+        """Do nothing: the connection was accepted."""
 
     def on_data(self, data: bytes) -> None:
-        before = self._reader.waits
+        """Handle the messages that are complete with these bytes."""
+        was_partial = self._reader.has_partial_frame
         items = self._reader.feed(data)
-        if items or not before:
-            self._since_ms = monotonic_ms() if items or self.spoke else self._since_ms
-        self.spoke = self.spoke or bool(items)
+        if items or not was_partial:
+            self._since_ms = monotonic_ms() if items or self.has_sent else self._since_ms
+        self.has_sent = self.has_sent or bool(items)
         if self.connection.input_full and self.open:
-            self.port.slow_clients.look_later(self)
+            self.port.slow_clients.check_later(self)
         withdrawn = {item.seqid for item in items if isinstance(item, thrift.Withdraw)}
-        for place, item in enumerate(items):
-            is_newest = place == len(items) - 1 and not self._reader.waits
+        for index, item in enumerate(items):
+            is_newest = index == len(items) - 1 and not self._reader.has_partial_frame
             self._age_ms = self.connection.age_ms if is_newest else self.connection.oldest_age_ms
             try:
                 end = self._take(item, withdrawn)
-            except Exception:  # a fault here costs the connection, but no request on it its answer
+            except Exception:  # an error here costs the connection, but each request on it gets its answer
                 self.port.loop.log_exception("reading")
                 end = EndReason.BAD_BYTES
             if end is not None:
-                self._end_amid(items[place:], end)
+                self._end_at(items[index:], end)
                 return
-        if self.open:  # also behind what was no request: an attempt may wait for its connection
+        if self.open:  # also after a message that is no request: an attempt may wait for its connection
             self.check()
 
     def _take(
         self, item: thrift.Message | thrift.MalformedMessageError, withdrawn: set[int]
     ) -> EndReason | None:
-        """Act on one message; why the connection has to end, where it has to. `withdrawn`: requests whose
-        withdrawal was read along with it."""
+        """Handle one message; return why the connection has to end, or None.
+
+        `withdrawn`: sequence numbers of requests whose withdrawal was read together with it.
+        """
         if isinstance(item, thrift.MalformedMessageError):
             return self._malformed(item)
         if isinstance(item, thrift.Handle):
@@ -96,21 +97,70 @@
             self._write(thrift.answer("status", item.seqid, b"", {}, self.port.accepts_requests))
         return None
 
+    def _handle(self, message: thrift.Handle, withdrawn: set[int]) -> EndReason | None:
+        seqid = message.seqid
+        if seqid in self.open:
+            return self._malformed(
+                thrift.MalformedMessageError("a second request under an open number", seqid)
+            )
+        if len(self.open) >= MAX_OPEN_REQUESTS:
+            return self._malformed(thrift.MalformedMessageError("too many open requests", seqid))
+        try:
+            parsed = call_from(message, self.port.classes, self.port.tenants)
+        except thrift.MalformedMessageError as error:
+            error.seqid = seqid
+            return self._malformed(error)
+        self.check()
+        if self.output_ended:
+            if seqid not in withdrawn:
+                self._reply(seqid, Failed())
+            return None
+        call = parsed.open(self._age_ms, lambda outcome: self._reply(seqid, outcome), self.check)
+        if (key := self.port.requests.take(call)) is not None:
+            self.open[seqid] = key
+        return None
+
     def _withdraw(self, seqid: int) -> None:
         if (key := self.open.pop(seqid, None)) is not None:
             self.port.requests.withdraw(key)
 
     def _malformed(self, error: thrift.MalformedMessageError) -> EndReason | None:
         self.port.log(f"client: {error}", "clients")
-        # An exception under an open request's number would be that request's answer.
+        # An exception under the number of an open request would be that request's answer.
         if error.seqid is None or error.seqid in self.open:
             return EndReason.BAD_BYTES
         self._write(thrift.application_exception(error.seqid, str(error), error.kind))
         return None
 
-    def _end_amid(self, items: list[thrift.Message | thrift.MalformedMessageError], end: EndReason) -> None:
-        """End the connection at the first of these messages. Requests that were read whole after it are
-        failed too: they were taken, and only their bytes' neighbour was bad."""
+    def _reply(self, seqid: int, outcome: Outcome) -> None:
+        self.open.pop(seqid, None)
+        if isinstance(outcome, Succeeded):
+            self._write(thrift.answer("handle", seqid, outcome.body, {}, True))
+        elif isinstance(outcome, Rejected):
+            retry_after_ms = math.ceil(max(0.0, outcome.hold_off_ms))
+            self._write(thrift.throttled(seqid, {"pushback": str(retry_after_ms)}))
+        elif isinstance(outcome, Failed):
+            self._write(thrift.broken(seqid, {}))
+
+    def _write(self, data: bytes) -> None:
+        self.connection.write(data)
+
+    def on_flushed(self) -> None:
+        """After the write of an iteration: what is left unsent is what the client does not read."""
+        if self.connection.waiting_bytes > MAX_UNSENT_BYTES:
+            self.connection.close(EndReason.STUFFED)
+            return
+        self.port.slow_clients.regulate(self)
+        if not self.connection.reads:
+            self.port.slow_clients.enforce_limit()
+
+    # --- the end --------------------------------------------------------------------------------
+
+    def _end_at(self, items: list[thrift.Message | thrift.MalformedMessageError], end: EndReason) -> None:
+        """End the connection at the first of these messages.
+
+        Requests that were read completely after it are failed too, so that each of them has its answer.
+        """
         for item in items:
             if isinstance(item, thrift.Withdraw):
                 self._withdraw(item.seqid)
@@ -133,22 +183,31 @@
             self.port.requests.withdraw(key)
             self._reply(seqid, Failed())
 
-    # --- the client's end -----------------------------------------------------------------------
-
     def check(self) -> None:
-        """Withdraw what is open where the client has ended its output behind bytes that are unread yet.
+        """Withdraw the open requests where the client has ended its output behind bytes not read yet.
 
-        Costs nothing where this turn's reads have seen all that came."""
+        Costs nothing where the reads of this iteration have reached the end of what was received.
+        """
         if self.connection.may_have_ended() and self.connection.peer_ended():
             self.on_half_close()
 
     def on_half_close(self) -> None:
-        """A client that ends its output may have closed, or may still read: nothing is begun for it any more,
-        and what is open gets its one final answer now."""
-        self.gone = True
+        """Fail the open requests and accept no more, because the client has ended its output.
+
+        It may have closed the connection, or may still read its answers.
+        """
+        self.output_ended = True
         self.fail_open()
 
-    # --- where nothing is open ------------------------------------------------------------------
+    def on_end(self, _end: EndReason) -> None:
+        """Withdraw the open requests: the connection has ended."""
+        keys = list(self.open.values())
+        self.open = {}
+        for key in keys:
+            self.port.requests.withdraw(key)
+        self.port.ended(self)
+
+    # --- without open requests ------------------------------------------------------------------
 
     @property
     def idle(self) -> bool:
@@ -156,241 +215,63 @@
         connection = self.connection
         return not (self.open or connection.waiting_bytes or connection.closed or connection.finishing)
 
+    @property
+    def has_partial_message(self) -> bool:
+        """Whether a message has been received in part."""
+        return self._reader.has_partial_frame
+
     def state(self) -> tuple[bytes, int]:
+        """The bytes of a partial message, and how many bytes of an oversized one are still to be skipped."""
         return self._reader.state()
 
     def resume(self, handed: HandedOffConnection) -> None:
-        """Go on where another process was with this connection."""
+        """Continue where another process was with this connection."""
         self._reader.resume(handed.partial, handed.skip)
-        self.spoke = handed.spoke
+        self.has_sent = handed.has_sent
         if handed.unwritten:
             self.connection.write(handed.unwritten)
 
-    @property
-    def begun(self) -> bool:
-        """Whether a message has come in part."""
-        return self._reader.waits
+    def may_be_released(self, now_ms: float) -> bool:
+        """Whether it may be closed to make capacity: probably nothing that it sends is on its way.
 
-    def may_give_way(self, now_ms: float) -> bool:
-        """Whether it may be ended for another's sake: nothing that it sends is likely to be under way."""
+        `now_ms`: the monotonic clock in milliseconds.
+        """
         unused_ms = now_ms - self.connection.used_ms
-        if self.begun:
+        if self.has_partial_message:
             return unused_ms > PARTIAL_MESSAGE_MS
-        return self.spoke or unused_ms > MIN_SILENT_MS
-
-    def end_overdue(self) -> None:
-        """End one that has said nothing, or half a message, for too long, unless the rest lies unread."""
-        if self._read_all() and self.overdue(monotonic_ms()):
-            self._finish(EndReason.SILENT)
-
-    def _read_all(self) -> bool:
-        """Read and handle what has come; whether that is all, and the connection is still there."""
-        if self.port.paused:
-            return False  # what lies unread is for another process
-        for _ in range(MAX_RELEASE_READS):
-            if self.connection.read_now():
-                return not (self.connection.closed or self.connection.finishing)
-        return False
+        return self.has_sent or unused_ms > MIN_SILENT_MS
 
     def release(self) -> bool:
-        """End it in order, if there is nothing to do on it once all that came is read; whether it ends.
+        """Close it in order, if nothing is to be done once all that arrived is read; return whether it ends.
 
-        What comes after that read crosses the close, and is thrown away: the client sends it again."""
+        What arrives after that read crosses the close and is discarded: the client retries it.
+        """
         used_ms = self.connection.used_ms
         if not self._read_all() or self.connection.used_ms != used_ms or not self.idle:
             return self.connection.closed
-        self.connection.finish(EndReason.IDLE if self.spoke else EndReason.SILENT, IDLE_LINGER_MS)
+        self.connection.finish(EndReason.IDLE if self.has_sent else EndReason.SILENT, IDLE_LINGER_MS)
         return True
 
-    def overdue(self, now_ms: float) -> bool:
-        """Guards descriptors against peers that say nothing, or half a message."""
-        if self.open or (self.spoke and not self._reader.waits):
-            return False
-        most = OVERSIZED_TIMEOUT_MS if self._reader.skips else MESSAGE_TIMEOUT_MS
-        return now_ms - self._since_ms > most
-
-    def _handle(self, message: thrift.Handle, withdrawn: set[int]) -> EndReason | None:
-        seqid = message.seqid
-        try:
-            if seqid in self.open:
-                raise thrift.MalformedMessageError("a second request under an open number")
-            if len(self.open) >= MAX_OPEN_REQUESTS:
-                raise thrift.MalformedMessageError("too many open requests")
-            parsed = call_from(message, self.port.classes, self.port.tenants)
-        except thrift.MalformedMessageError as error:
-            error.seqid = seqid
-            return self._malformed(error)
-        self.check()
-        if self.gone:
-            if seqid not in withdrawn:
-                self._reply(seqid, Failed())
-            return None
-        call = parsed.open(self._age_ms, lambda outcome: self._reply(seqid, outcome), self.check)
-        if (key := self.port.requests.take(call)) is not None:
-            self.open[seqid] = key
-        return None
-
-    def _reply(self, seqid: int, outcome: Outcome) -> None:
-        self.open.pop(seqid, None)
-        if isinstance(outcome, Succeeded):
-            self._write(thrift.answer("handle", seqid, outcome.body, {}, True))
-        elif isinstance(outcome, Rejected):
-            wait = math.ceil(max(0.0, outcome.hold_off_ms))
-            self._write(thrift.throttled(seqid, {"pushback": str(wait)}))
-        elif isinstance(outcome, Failed):
-            self._write(thrift.broken(seqid, {}))
-
-    def _write(self, data: bytes) -> None:
-        self.connection.write(data)
-
-    def on_flushed(self) -> None:
-        """After the connection's own write of this turn: what is left is what the client does not read."""
-        if self.connection.waiting_bytes > MAX_UNSENT_BYTES:
-            self.connection.close(EndReason.STUFFED)
-            return
-        self.port.slow_clients.regulate(self)
-        if not self.connection.reads:
-            self.port.slow_clients.shed()
-
-    def on_end(self, end: EndReason) -> None:
-        keys, self.open = list(self.open.values()), {}
-        for key in keys:
-            self.port.requests.withdraw(key)
-        self.port.ended(self)
-
-
-class ClientPort:
-    """Owns the listener and the client connections, within a share of the descriptors."""
-
-    def __init__(
-        self,
-        loop: EventLoop,
-        address: Address,
-        table: RequestTable,
-        classes: dict[str, ClassSpec],
-        tenants: frozenset[str],
-        most: int,
-        log: LogWriter,
-        shared: bool = False,
-        listener: socket.socket | None = None,
-    ) -> None:
-        """`shared`: another process may listen on the same address, to take this one's place. `listener`: one
-        that listens already, taken over from another process; nothing is accepted until `accept` says so."""
-        self.loop, self.requests, self.log = loop, table, log
-        self.classes, self.tenants = classes, tenants
-        self.ready = False
-        self.not_ready_reasons: set[str] = set()  # subsystems that have to know more before it may be ready
-        self.clients: dict[ClientConnection, None] = {}
-        self.max_connections = most
-        self._acceptor = Acceptor(
-            loop, listener or open_listener(address, shared), self._admit, self._room, log
-        )
-        self.address: Address = self.listener.getsockname()[:2]
-        self.slow_clients = SlowClients(loop, self.clients)
-        self._room_maker = IdleConnectionReleaser(loop, self.clients)
-        if listener is None:
-            self.set_accepting(True)
-
-    @property
-    def paused(self) -> bool:
-        """Whether nothing is read, as what comes is another process's."""
-        return self.slow_clients.paused
-
-    @property
-    def listener(self) -> socket.socket | None:
-        """The listening socket; None once the port is closed."""
-        return self._acceptor.socket
-
-    @property
-    def accepts_requests(self) -> bool:
-        return self.ready and not self.not_ready_reasons
-
-    # --- new connections and room for them ------------------------------------------------------
-
-    def set_accepting(self, on: bool) -> None:
-        """Accept new connections, or leave them to whoever else has the listener."""
-        self._acceptor.accept(on)
-
-    def _admit(self, sock: socket.socket, waiting_ms: float) -> None:
-        client = ClientConnection(self, sock)
-        client.connection.lay_unread(waiting_ms)
-        self.clients[client] = None
-
-    def _room(self) -> int:
-        """How many connections to accept now: never more than half of all, so that a first request can be
-        read. Where there is no room, some is made, which takes until the connections have lingered."""
-        if len(self.clients) >= self.max_connections:
-            self._room_maker.make(self.max_connections)
-        free = self.max_connections - len(self.clients)
-        return max(0, min(free, max(1, self.max_connections // 2)))
-
-    # --- to and from another process ------------------------------------------------------------
-
-    def hand_off(self, client: ClientConnection) -> HandedOffConnection:
-        """A connection for another process, on which nothing is open; this port has it no more."""
-        del self.clients[client]
-        empty_ms = client.connection.empty_ms
-        sock, unwritten = client.connection.detach()
-        partial, skip = client.state()
-        return HandedOffConnection(sock, partial, skip, client.spoke, unwritten, empty_ms)
-
-    def take_over(self, handed: HandedOffConnection) -> None:
-        """Go on with a connection that another process had."""
-        try:
-            client = ClientConnection(self, handed.sock)
-        except OSError as error:
-            self.log(f"connection handed off by another process not usable: {error}")
-            handed.sock.close()
-            return
-        self.clients[client] = None
-        if handed.empty_ms is not None:
-            client.connection.lay_unread(handed.empty_ms)
-        client.resume(handed)
-        self.slow_clients.regulate(client)
-
-    def set_paused(self, on: bool) -> None:
-        """Read no further on any connection, or go on: what lies unread is for another process."""
-        self.slow_clients.pause(on)
+    def close_overdue(self) -> None:
+        """Close it where it has sent nothing, or a partial message, for too long and no bytes are unread."""
+        if self._read_all() and self.is_overdue(monotonic_ms()):
+            self._finish(EndReason.SILENT)
 
-    def has_unwritten(self) -> bool:
-        return any(client.connection.waiting_bytes for client in self.clients)
+    def is_overdue(self, now_ms: float) -> bool:
+        """Whether its first message, or the rest of a partial one, has taken too long.
 
-    # --- ends -----------------------------------------------------------------------------------
+        Protects descriptors from peers that send nothing. `now_ms`: the monotonic clock in milliseconds.
+        """
+        if self.open or (self.has_sent and not self._reader.has_partial_frame):
+            return False
+        timeout_ms = OVERSIZED_TIMEOUT_MS if self._reader.is_skipping else MESSAGE_TIMEOUT_MS
+        return now_ms - self._since_ms > timeout_ms
 
-    def end_idle(self) -> None:
-        """End every connection on which nothing is open and nothing has begun to arrive."""
-        for client in [client for client in self.clients if client.idle and not client.begun]:
-            if self.loop.batch_full:  # by requests that were read just now: the rest at the next look
-                return
-            client.release()
-
-    def close_listener(self) -> bool:
-        """Accept all that the system's queue holds and stop listening; False while some is left there."""
-        return self._acceptor.drain()
-
-    def ended(self, client: ClientConnection) -> None:
-        self.clients.pop(client, None)
-        self._acceptor.go_on()
-
-    def run_maintenance(self) -> None:
-        """End connections that have been idle, silent or stuck for too long."""
-        now = monotonic_ms()
-        self._room_maker.forget()
-        for client in list(self.clients):
-            if self.loop.batch_full:  # by requests that were read just now: the rest at the next look
-                return
-            unused = not client.open and now - client.connection.used_ms > IDLE_TIMEOUT_MS
-            if unused and client.connection.waiting_bytes:
-                client.connection.close(EndReason.STUFFED)
-            elif unused:
-                client.release()
-            elif client.overdue(now):
-                client.end_overdue()
-
-    def close(self) -> None:
-        self._acceptor.close()
-        for client in list(self.clients):
-            if client.open:  # the loop was stopped before its time: each request has its answer all the same
-                client.fail_open()
-                client.connection.flush()
-            client.connection.close(EndReason.STOPPED)
+    def _read_all(self) -> bool:
+        """Read and handle what has arrived; return whether that is all, and the connection still exists."""
+        if self.port.paused:
+            return False  # what is unread belongs to another process
+        for _ in range(MAX_RELEASE_READS):
+            if self.connection.read_now():
+                return not (self.connection.closed or self.connection.finishing)
+        return False
--- a/fawnwharf/net/connection_handoff.py
+++ b/fawnwharf/net/connection_handoff.py
@@ -1,4 +1,4 @@
-"""A client connection on its way from one process of a front end to the one that takes its place."""
+"""A client connection that is handed off from one process of a front end to its replacement."""
 
 import socket
 from dataclasses import dataclass
@@ -6,11 +6,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HandedOffConnection:
-    """A connection on which no request is open, and all that its next owner has to know of it."""
+    """A connection without open requests, and the state that the receiving process needs to continue it.
+
+    `partial`: the bytes received so far of an incomplete message. `skip`: how many bytes of an oversized
+    message are still to be discarded. `has_sent`: whether the client has sent a complete message.
+    `unwritten`: bytes of answers that were not written yet. `empty_ms`: when its receive buffer was last
+    known to be empty, on the monotonic clock, which both processes share; None where that is not known.
+    """
 
     sock: socket.socket
-    partial: bytes = b""  # of a message that is not whole yet
-    skip: int = 0  # bytes of an oversized message that are still to be thrown away
-    spoke: bool = True  # a whole message has come on it
+    partial: bytes = b""
+    skip: int = 0
+    has_sent: bool = True
     unwritten: bytes = b""
-    empty_ms: float | None = None  # when nothing lay unread on it, by the monotonic clock, which both share
+    empty_ms: float | None = None
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -11,7 +11,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import Address, ConfigError, Deployment, Fleet, Member, address_from
 from fawnwharf.net.change_log import ChangeLog
-from fawnwharf.net.clients import ClientPort
+from fawnwharf.net.client_port import ClientPort, ClientPortSettings
 from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.graceful_shutdown import GracefulShutdown
 from fawnwharf.net.log_writer import LogWriter
@@ -54,6 +54,16 @@
     return max(4, int(part * min(sockets * SCORER_SHARE, rest)))
 
 
+def _client_port_settings(deployment: Deployment) -> ClientPortSettings:
+    return ClientPortSettings(
+        address=deployment.listen,
+        classes=deployment.settings.classes,
+        tenants=deployment.wire.tenants,
+        max_connections=_descriptor_share(deployment.sockets, CLIENT_SHARE),
+        shared=deployment.control is not None,
+    )
+
+
 def scorer_number(name: str) -> int:
     """The number of a scorer: the same at every front end, so that all compute the same hash orders."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4).digest(), "big")
@@ -144,10 +154,17 @@
         self.change_log = ChangeLog(self.loop, deployment.changelog, 0, self._on_fleet_event, self.log)
         self._apply_known_events()
         self.client_port = ClientPort(
-            self.loop, deployment.listen, self.requests, settings.classes, wire.tenants,
-            _descriptor_share(sockets, CLIENT_SHARE), self.log, deployment.control is not None, listener,
-        )  # fmt: skip
-        self._action_handlers: dict[type, ActionHandler] = {
+            self.loop, _client_port_settings(deployment), self.requests, self.log, listener
+        )
+        self._action_handlers = self._default_handlers()
+        self._shutdown: GracefulShutdown | None = None
+        self._start_ms = monotonic_ms()
+        self.started = False
+        self.admin: OperatorsComponent | None = None
+
+    def _default_handlers(self) -> dict[type, ActionHandler]:
+        """The handler of each kind of action before any interception."""
+        return {
             io.Send: self.requests.send,
             io.Cancel: self.requests.cancel,
             io.Reject: self.requests.reject,
@@ -156,10 +173,6 @@
             io.SetTimer: self._set_timer,
             io.Log: lambda action: self.log(action.text),
         }
-        self._shutdown: GracefulShutdown | None = None
-        self._start_ms = monotonic_ms()
-        self.started = False
-        self.admin: OperatorsComponent | None = None
 
     @property
     def extension(self) -> Extension | None:
@@ -242,7 +255,7 @@
         if self.admin:
             self.loop.run_guarded(self.admin.leave)
         self.client_port.ready = self.replaced  # readiness checks here may be meant for the other process
-        self._shutdown.look()
+        self._shutdown.run_scan()
 
     def close(self) -> None:
         """Close all components and the event loop."""
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The orderly end after SIGTERM: late arrivals, the accept queue, each connection's half-close."""
+"""The graceful shutdown after SIGTERM: late arrivals, the accept queue, the half-close of each connection."""
 
 from typing import TYPE_CHECKING
 
@@ -14,101 +14,109 @@
 if TYPE_CHECKING:
     from fawnwharf.net.front_end import FrontEnd
 
-LATE_ARRIVAL_MS = 800.0  # after SIGTERM, connections and requests keep coming for 0.6 s
-SCAN_MS = 20.0  # pace of the look after connections that have fallen idle
-MIN_LIMIT_MS = 20_000.0  # for readers that are slow, and for a hand-over to another process
-MARGIN_MS = 500.0  # coarse timers and long turns
-# The system ends the process no earlier than so long after SIGTERM: the longest time that a class gives up
-# after, taken as `KILL_DEADLINE_MOST_MS` where it is longer, and `KILL_AFTER_MS`.
-MAX_KILL_DEADLINE_MS, KILL_AFTER_MS = 3_000.0, 700.0
-ANSWER_MARGIN_MS = 200.0  # before that, for a long turn and the way to the client
-STALLED_MS = 1_000.0  # a peer whose system took nothing of its answer for so long does not read it
-LIMIT = "leaving"  # who sets the limit of calls taken
+LATE_ARRIVAL_MS = 800.0  # connections and requests keep arriving for 0.6 s after SIGTERM
+SCAN_MS = 20.0  # between two scans for connections that have become idle
+MIN_LIMIT_MS = 20_000.0  # for clients that read slowly, and for a hand-off to another process
+MARGIN_MS = 500.0  # for coarse timers and long iterations
+# The system kills the process no earlier than this after SIGTERM: the longest deadline of a class, which
+# counts as MAX_KILL_DEADLINE_MS at most, plus KILL_AFTER_MS.
+MAX_KILL_DEADLINE_MS = 3_000.0
+KILL_AFTER_MS = 700.0
+ANSWER_MARGIN_MS = 200.0  # before the kill, for a long iteration and the way to the client
+STALLED_MS = 1_000.0  # a peer whose system acknowledged nothing of its answer for so long does not read it
+LIMIT = "shutdown"  # the name of this component's limit of admitted calls
 
 
 def limit_ms(settings: Settings) -> float:
-    """The longest that an end may take, whatever is open: every request that was read has its answer by then.
+    """How long the shutdown may take at most, whatever is open, in milliseconds.
 
-    A request read in the last moment of the late arrivals has its whole time; one that had only begun has the
-    time of a message in pieces, and is refused once it is whole."""
+    Every request that was read has its answer by then. A request that is read at the end of the late arrivals
+    has its full deadline; a partial one has the time limit of an incomplete message, and is rejected once it
+    is complete.
+    """
     longest = max((spec.deadline_ms for spec in settings.classes.values()), default=0.0)
     of_requests = max(TTL_TOLERANCE * longest, MESSAGE_TIMEOUT_MS)
     return max(MIN_LIMIT_MS, LATE_ARRIVAL_MS + of_requests + connection.LINGER_MS + MARGIN_MS)
 
 
 def answer_within_ms(settings: Settings) -> float:
-    """How long after SIGTERM every request has its final answer: before the system may end the process."""
+    """How many milliseconds after SIGTERM every request has its final answer.
+
+    That is before the system may kill the process.
+    """
     longest_ms = max((spec.deadline_ms for spec in settings.classes.values()), default=0.0)
     return min(longest_ms, MAX_KILL_DEADLINE_MS) + KILL_AFTER_MS - ANSWER_MARGIN_MS
 
 
 class GracefulShutdown:
-    """Ends a front end: serves on until late arrivals are in, then ends each connection as it falls idle.
+    """Ends a front end: serves late arrivals, then ends each connection as it becomes idle.
 
-    In order: all is accepted and served for `LATE_ARRIVALS_MS`. Then the accept queue is emptied and the
-    listener closed, new calls are refused, and a connection on which nothing is open, begun, unread or unsent
-    gets a half-close, after which it is read until its peer ends it, for a bounded time. The loop stops when
-    no connection is left. While another process has this one's place, connections go to it instead."""
+    All connections and requests are accepted for `LATE_ARRIVAL_MS`. Then the accept queue is emptied, the
+    listener is closed and new calls are rejected. A connection with nothing open, partial, unread or unsent
+    is half-closed; it is read until its peer ends it, for a limited time. The loop stops when no connection
+    is left. Where another process replaces this one, connections are handed off to it instead.
+    """
 
     def __init__(self, front: "FrontEnd") -> None:
+        """Announce the shutdown to the router; `run_scan` starts it."""
         self._front = front
         self._since_ms = monotonic_ms()
         self._limit_ms = limit_ms(front.deployment.settings)
-        self._refusing = False
+        self._rejects_calls = False
         front.loop.enqueue(io.ShutdownStarted(answer_within_ms(front.deployment.settings)))
-        self._unsent: dict[
-            ClientConnection, tuple[int, float]
-        ] = {}  # bytes at the last change, and when that was
+        # By connection: how many bytes were unsent at the last change, and when that was.
+        self._unsent: dict[ClientConnection, tuple[int, float]] = {}
 
-    def look(self) -> None:
-        """One look, and the next one in a while; the loop stops once all is done."""
+    def run_scan(self) -> None:
+        """Scan once, and schedule the next scan; stops the loop when all is done or the limit is reached."""
         since_ms = monotonic_ms() - self._since_ms
         if since_ms > self._limit_ms:
             self._front.loop.running = False
             return
-        # First, as a fault in this look must not be the last one.
-        self._front.loop.timers.after(SCAN_MS, self.look)
+        # First, as an error in this scan must not prevent the next one.
+        self._front.loop.timers.after(SCAN_MS, self.run_scan)
         if self._front.replaced:
-            done = not self._busy()
+            done = not self._is_busy()
         else:
-            done = since_ms > LATE_ARRIVAL_MS and self._end_connections() and not self._busy()
+            done = since_ms > LATE_ARRIVAL_MS and self._end_connections() and not self._is_busy()
         if done:
             self._front.loop.running = False
 
-    def _busy(self) -> bool:
-        """Whether anybody is still to be answered or given to another process."""
+    def _is_busy(self) -> bool:
+        """Whether any client is still to be answered or handed off to another process."""
         front = self._front
         if front.requests.open or front.client_port.has_unwritten():
             return True
         return bool(front.extension and front.extension.busy) or bool(front.admin and front.admin.busy)
 
     def _end_connections(self) -> bool:
-        """Whether none is left, neither in the accept queue nor here."""
+        """End what may end; return whether no connection is left, in the accept queue or accepted."""
         front = self._front
-        if front.admin and front.admin.busy:  # the listener may still go to another process
+        if front.admin and front.admin.busy:  # the listener may still be handed off to another process
             return False
-        if not self._refusing:
-            self._refusing = True
+        if not self._rejects_calls:
+            self._rejects_calls = True
             front.limit_calls(LIMIT, 0.0)
         closed = front.client_port.close_listener()
         for client in list(front.client_port.clients):
-            if self._ended_with(client):
+            if self._may_end(client):
                 client.connection.finish(EndReason.STOPPED)
-                client.connection.flush()  # at once: nothing may be read between the look and the half-close
+                client.connection.flush()  # at once: nothing may be read between the check and the half-close
         return closed and not front.client_port.clients
 
-    def _ended_with(self, client: ClientConnection) -> bool:
-        """Whether a half-close costs nobody an answer: a request that crosses it is sent again."""
+    def _may_end(self, client: ClientConnection) -> bool:
+        """Whether a half-close loses no answer: a request that crosses it is retried by the client."""
         link = client.connection
-        if not client.idle or client.begun or link.finishing:
+        if not client.idle or client.has_partial_message or link.finishing:
             return False
-        if not client.spoke and monotonic_ms() - link.used_ms < MIN_SILENT_AGE_MS:
+        if not client.has_sent and monotonic_ms() - link.used_ms < MIN_SILENT_AGE_MS:
             return False
         return link.unread() is None and not self._is_being_sent(client)
 
     def _is_being_sent(self, client: ClientConnection) -> bool:
-        """Whether the system still holds bytes for this peer, and the peer takes some now and then."""
-        unsent, now = client.connection.unsent(), monotonic_ms()
+        """Whether the system still has unsent bytes for this peer, and the peer has taken some recently."""
+        unsent = client.connection.unsent()
+        now = monotonic_ms()
         before, changed_ms = self._unsent.get(client, (None, now))
         if unsent != before:
             changed_ms = now
--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -1,5 +1,8 @@
-"""Clients whose bytes are not read as they come: they do not read their answers, send more than a turn
-reads, or reading is paused."""
+"""Clients whose bytes are not read as they arrive.
+
+These are clients that do not read their answers, that send more than one iteration reads, and all clients
+while reading is paused.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -9,54 +12,56 @@
 if TYPE_CHECKING:
     from fawnwharf.net.clients import ClientConnection
 
-UNSENT_PAUSE_BYTES = 64 * 1024  # bytes that wait for a client: from here on it is read at a slower pace
-SCAN_MS = 40.0  # which is this: an end or a withdrawal behind unread requests is seen within 0.1 s
-MAX_READS = 36  # in one look: the largest requests that may be open on one connection, and some more
-MAX_UNSENT_ANSWERS = 64  # answers that wait: a client of the protocol is owed half of them at the most
-MAX_TOTAL_UNSENT_BYTES = (
-    32 * 1024 * 1024
-)  # bytes that wait for all clients together: part of the memory limit
+# Unsent bytes of one client from which on it is read once per scan only.
+UNSENT_PAUSE_BYTES = 64 * 1024
+SCAN_MS = 40.0  # so that an end or a withdrawal behind unread requests is seen within 0.1 s
+MAX_READS = 36  # per scan: the largest requests that may be open on one connection, and some more
+MAX_UNSENT_ANSWERS = 64  # of one client; the protocol allows half as many open requests
+MAX_TOTAL_UNSENT_BYTES = 32 * 1024 * 1024  # of all clients together: part of the memory limit
 
 
 class SlowClients:
-    """Looks at them now and then: at their end, and at what they have sent meanwhile."""
+    """Checks slow clients periodically: whether they have ended, and what they have sent meanwhile."""
 
     def __init__(self, loop: EventLoop, clients: dict["ClientConnection", None]) -> None:
-        self._loop, self._clients = loop, clients
-        self.paused = False  # nothing is read: what comes is another process's
-        self._held: dict[ClientConnection, None] = {}  # since the last look
-        self._looks = False  # a look is to come
+        """`clients` is the port's own collection of connections, which changes as they come and go."""
+        self.paused = False  # nothing is read: what arrives belongs to another process
+        self._loop = loop
+        self._clients = clients
+        self._to_check: dict[ClientConnection, None] = {}  # at the next scan
+        self._scan_scheduled = False
 
     def regulate(self, client: "ClientConnection") -> None:
-        """Have a client read as its bytes come, or at a slower pace."""
+        """Have a client read as its bytes arrive, or at the slower pace of the scans."""
         connection = client.connection
         slower = self.paused or connection.waiting_bytes >= UNSENT_PAUSE_BYTES
         connection.read_on(connection.finishing or not slower)
         if not (connection.reads or connection.closed):
-            self.look_later(client)
+            self.check_later(client)
 
-    def look_later(self, client: "ClientConnection") -> None:
-        """Look at a client soon whose end may lie behind bytes that are not read yet."""
-        self._held[client] = None
-        if not self._looks:
-            self._looks = True
-            self._loop.timers.after(SCAN_MS, self._look)
+    def check_later(self, client: "ClientConnection") -> None:
+        """Check a client at the next scan, because its end may lie behind bytes that are not read yet."""
+        self._to_check[client] = None
+        if not self._scan_scheduled:
+            self._scan_scheduled = True
+            self._loop.timers.after(SCAN_MS, self._scan)
 
     def pause(self, on: bool) -> None:
-        """Read no further on any connection, or go on."""
+        """Pause reading on all connections, or resume it."""
         self.paused = on
         for client in self._clients:
             self.regulate(client)
 
-    def _look(self) -> None:
-        self._looks = False
-        held, self._held = self._held, {}
-        for client in held:
-            self._loop.run_guarded(self._look_at, client)
+    def _scan(self) -> None:
+        self._scan_scheduled = False
+        clients = self._to_check
+        self._to_check = {}
+        for client in clients:
+            self._loop.run_guarded(self._check, client)
 
-    def _look_at(self, client: "ClientConnection") -> None:
+    def _check(self, client: "ClientConnection") -> None:
         client.check()
-        if not (self.paused or client.connection.reads):  # where paused, it is for another process
+        if not (self.paused or client.connection.reads):  # while paused, its bytes belong to another process
             self._read(client)
         self.regulate(client)
 
@@ -69,13 +74,13 @@
             if connection.read_now():
                 return
 
-    def unread(self) -> int:
-        """How many bytes wait for all clients together."""
+    def unsent_bytes(self) -> int:
+        """How many bytes are queued for all clients together."""
         return sum(client.connection.waiting_bytes for client in self._clients)
 
-    def shed(self) -> None:
-        """Drop whoever has taken nothing for longest, while too much waits for all together."""
-        while self.unread() > MAX_TOTAL_UNSENT_BYTES:
+    def enforce_limit(self) -> None:
+        """Close the slow clients that have read nothing for longest, until the total limit is kept."""
+        while self.unsent_bytes() > MAX_TOTAL_UNSENT_BYTES:
             slow = [
                 client for client in self._clients if client.connection.waiting_bytes > UNSENT_PAUSE_BYTES
             ]
--- a/fawnwharf/net/thrift.py
+++ b/fawnwharf/net/thrift.py
@@ -1,45 +1,81 @@
 """Thrift's framed transport and strict binary protocol, for the one service that clients call.
 
-Pure: bytes in, messages out, and back. Nothing here knows of sockets, time or decisions.
+Pure: bytes to messages, and answers to bytes. It depends on no sockets, clocks or decisions.
 """
 
 import struct
+from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Any
 
-MAX_FRAME_BYTES = 48 * 1024  # a body of 16 KiB and its fields take far less
-MAX_HEADER_BYTES = 256  # bytes kept of an oversized frame, to read its sequence number from
+MAX_FRAME_BYTES = 48 * 1024  # a body of 16 KiB and its fields need far less
+MAX_HEADER_BYTES = 256  # of an oversized frame, from which its sequence number is read
 MAX_BODY_BYTES = 16 * 1024
-MAX_NAME_LENGTH = 64
-MAX_DEPTH = 16  # of nested values in a field that is passed over
+MAX_NAME_LENGTH = 64  # bytes of a method's name
+MAX_DEPTH = 16  # of nested values in a field that is skipped
 MAX_MAP_ENTRIES = 64  # in a map of fields
+LENGTH_BYTES = 4  # of the length in front of each frame
 
 VERSION = 0x80010000
-CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
-STOP, BOOL, BYTE, DOUBLE, I16, I32, I64 = 0, 2, 3, 4, 6, 8, 10
-STRING, STRUCT, MAP, SET, LIST = 11, 12, 13, 14, 15
-WIDTHS = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
-UNKNOWN_METHOD, INVALID_TYPE, PROTOCOL_ERROR = 1, 2, 7
-
+VERSION_MASK = 0xFFFF0000
+
+# Kinds of messages.
+CALL = 1
+REPLY = 2
+EXCEPTION = 3
+ONEWAY = 4
+
+# Types of fields.
+STOP = 0
+BOOL = 2
+BYTE = 3
+DOUBLE = 4
+I16 = 6
+I32 = 8
+I64 = 10
+STRING = 11
+STRUCT = 12
+MAP = 13
+SET = 14
+LIST = 15
+WIDTHS = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # in bytes
+
+# Kinds of application exceptions.
+UNKNOWN_METHOD = 1
+INVALID_TYPE = 2
+PROTOCOL_ERROR = 7
+
+_I16 = struct.Struct(">h")
 _I32 = struct.Struct(">i")
 _U32 = struct.Struct(">I")
 _FIELD = struct.Struct(">bh")
 _MAP = struct.Struct(">bbi")
 
+# The fields of a struct by number and type; the type determines that of the value.
+_Fields = dict[tuple[int, int], Any]
+
 
 class MalformedMessageError(ValueError):
-    """A frame that is no valid message; `seqid` is None where it can't be told what it answers to."""
+    """A frame that is not a valid message.
+
+    `seqid` is the sequence number of the request that it concerns; None where that is unknown. `kind` is the
+    kind of application exception that it is answered with.
+    """
 
     def __init__(self, text: str, seqid: int | None = None, kind: int = PROTOCOL_ERROR) -> None:
         super().__init__(text)
-        self.seqid, self.kind = seqid, kind
+        self.seqid = seqid
+        self.kind = kind
 
 
 class TruncatedMessageError(MalformedMessageError):
-    """A message that ends within its head."""
+    """A message that ends within its header."""
 
 
 @dataclass(slots=True)
 class Handle:
+    """A request: its text fields by name, and its body."""
+
     seqid: int
     fields: dict[str, str]
     body: bytes
@@ -47,11 +83,15 @@
 
 @dataclass(slots=True)
 class Withdraw:
-    seqid: int  # of the request that is withdrawn
+    """The withdrawal of a request; `seqid` is that request's sequence number."""
+
+    seqid: int
 
 
 @dataclass(slots=True)
 class Status:
+    """A readiness check."""
+
     seqid: int
 
 
@@ -59,76 +99,88 @@
 
 
 class FrameReader:
-    """Splits a stream into frames; keeps at most one frame that is not whole yet."""
+    """Splits a byte stream into frames; buffers one incomplete frame at most."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._skip = 0  # bytes of an oversized frame still to be thrown away
+        self._skip = 0  # bytes of an oversized frame that are still to be discarded
 
     @property
-    def waits(self) -> bool:
-        """Whether a message has begun and is not whole yet."""
+    def has_partial_frame(self) -> bool:
+        """Whether a frame has begun and is not complete yet."""
         return bool(self._buffer or self._skip)
 
     @property
-    def skips(self) -> bool:
+    def is_skipping(self) -> bool:
+        """Whether the rest of an oversized frame is still to be discarded."""
         return self._skip > 0
 
     def state(self) -> tuple[bytes, int]:
-        """What is kept of a message that is not whole yet, and how many bytes are still to be thrown away."""
+        """The bytes of an incomplete frame, and how many bytes are still to be discarded."""
         return bytes(self._buffer), self._skip
 
     def resume(self, partial: bytes, skip: int) -> None:
-        """Go on from another reader's state."""
-        self._buffer, self._skip = bytearray(partial), skip
+        """Continue from the state of another reader."""
+        self._buffer = bytearray(partial)
+        self._skip = skip
 
     def feed(self, data: bytes) -> list[Message | MalformedMessageError]:
+        """Add received bytes; return the messages that are complete now, with an error for each invalid one.
+
+        After an error without a sequence number the stream is unusable, and the rest is not read.
+        """
         self._buffer += data
         found: list[Message | MalformedMessageError] = []
         start = 0
         while True:
-            start = self._pass_over(start)
-            if len(self._buffer) - start < 4:
+            start = self._discard(start)
+            if len(self._buffer) - start < LENGTH_BYTES:
                 break
             (size,) = _U32.unpack_from(self._buffer, start)
+            first = start + LENGTH_BYTES
             if size > MAX_FRAME_BYTES:
-                if (fault := self._oversized(start + 4, size)) is None:
+                if (error := self._oversized(first, size)) is None:
+                    break
+                found.append(error)
+                if error.seqid is None:
                     break
-                found.append(fault)
-                if found[-1].seqid is None:
-                    break  # the connection is of no use any more
-                self._skip, start = size, start + 4
+                self._skip = size
+                start = first
                 continue
-            if len(self._buffer) - start - 4 < size:
+            if len(self._buffer) - first < size:
                 break
-            found.append(_message(bytes(self._buffer[start + 4 : start + 4 + size])))
-            start += 4 + size
+            found.append(_message(bytes(self._buffer[first : first + size])))
+            start = first + size
         del self._buffer[:start]
         return found
 
-    def _pass_over(self, start: int) -> int:
+    def _discard(self, start: int) -> int:
+        """Skip what is left of an oversized frame; return where the next frame begins."""
         step = min(self._skip, len(self._buffer) - start)
         self._skip -= step
         return start + step
 
     def _oversized(self, start: int, size: int) -> MalformedMessageError | None:
-        """What it answers to, once enough of it has come to tell; None until then."""
-        fault = MalformedMessageError(f"a frame of {size} bytes")
+        """The error for an oversized frame; None until enough has arrived to read its sequence number."""
+        error = MalformedMessageError(f"a frame of {size} bytes")
         if size < 2**31:
             try:
-                fault.seqid = _head(bytes(self._buffer[start : start + MAX_HEADER_BYTES]))[2]
+                error.seqid = _head(bytes(self._buffer[start : start + MAX_HEADER_BYTES]))[2]
             except TruncatedMessageError:
                 return None
             except MalformedMessageError:
                 pass
-        return fault
+        return error
 
 
 def _head(data: bytes) -> tuple[int, str, int, int]:
-    """Kind, name, sequence number and where the arguments begin."""
+    """Return the kind, the method's name, the sequence number, and where the arguments begin.
+
+    Raises TruncatedMessageError where the header is incomplete, MalformedMessageError where it is invalid.
+    """
     try:
         (version,) = _U32.unpack_from(data, 0)
-        if version & 0xFFFF0000 != VERSION:
+        if version & VERSION_MASK != VERSION:
             raise MalformedMessageError("not the strict binary protocol")
         (length,) = _I32.unpack_from(data, 4)
         if not 0 <= length <= MAX_NAME_LENGTH:
@@ -141,7 +193,7 @@
 
 
 def _message(data: bytes) -> Message | MalformedMessageError:
-    seqid = None
+    seqid: int | None = None
     try:
         kind, name, seqid, start = _head(data)
         reader = _READERS.get(name)
@@ -158,41 +210,43 @@
 
 
 class _Arguments:
-    """Reads a struct's fields; those that the service does not use are checked and passed over."""
+    """Reads the fields of a struct; those that the service does not use are checked and skipped."""
 
-    def __init__(self, data: bytes, at: int) -> None:
-        self.data, self.at = data, at
+    def __init__(self, data: bytes, start: int) -> None:
+        self._data = data
+        self._position = start
 
-    def read(self) -> dict[tuple[int, int], object]:
-        found: dict[tuple[int, int], object] = {}
+    def read(self) -> _Fields:
+        """Return all fields; raises MalformedMessageError, or an error of decoding, for invalid bytes."""
+        found: _Fields = {}
         while (kind := self._byte()) != STOP:
-            (number,) = struct.unpack_from(">h", self.data, self.at)
-            self.at += 2
+            (number,) = _I16.unpack_from(self._data, self._position)
+            self._position += 2
             found[number, kind] = self._value(kind, 0)
-        if self.at != len(self.data):
+        if self._position != len(self._data):
             raise MalformedMessageError("bytes follow the arguments")
         return found
 
     def _byte(self) -> int:
-        self.at += 1
-        return self.data[self.at - 1]
+        self._position += 1
+        return self._data[self._position - 1]
 
     def _int(self) -> int:
-        (value,) = _I32.unpack_from(self.data, self.at)
-        self.at += 4
+        value: int = _I32.unpack_from(self._data, self._position)[0]
+        self._position += 4
         return value
 
-    def _count(self, least_width: int) -> int:
-        """A number of elements; one that the rest of the frame can't hold is refused before any work."""
+    def _count(self, min_width: int) -> int:
+        """A number of elements; one that the rest of the frame cannot hold is rejected before any work."""
         count = self._int()
-        if not 0 <= count <= (len(self.data) - self.at) // max(1, least_width):
+        if not 0 <= count <= (len(self._data) - self._position) // max(1, min_width):
             raise MalformedMessageError("a length that the frame can't hold")
         return count
 
     def _string(self) -> bytes:
         length = self._count(1)
-        self.at += length
-        return self.data[self.at - length : self.at]
+        self._position += length
+        return self._data[self._position - length : self._position]
 
     def _value(self, kind: int, depth: int) -> object:
         if depth > MAX_DEPTH:
@@ -204,8 +258,8 @@
         if kind == MAP:
             return self._map(depth)
         if kind in WIDTHS:
-            self.at += WIDTHS[kind]
-            return self.data[self.at - 1]
+            self._position += WIDTHS[kind]
+            return self._data[self._position - 1]
         if kind in (LIST, SET):
             inner = self._byte()
             for _ in range(self._count(1)):
@@ -213,27 +267,30 @@
             return None
         if kind == STRUCT:
             while (inner := self._byte()) != STOP:
-                self.at += 2
+                self._position += 2
                 self._value(inner, depth + 1)
             return None
         raise MalformedMessageError("an unknown type of field")
 
-    def _map(self, depth: int) -> dict[object, object]:
-        key, value = self._byte(), self._byte()
+    def _map(self, depth: int) -> dict[bytes, object]:
+        """The entries of a map whose names are strings."""
+        key_kind = self._byte()
+        value_kind = self._byte()
         count = self._count(2)
         if count > MAX_MAP_ENTRIES:
             raise MalformedMessageError("too many fields")
-        found = {}
+        found: dict[bytes, object] = {}
         for _ in range(count):
-            name = self._value(key, depth + 1)
-            item = self._value(value, depth + 1)
+            name = self._value(key_kind, depth + 1)
+            item = self._value(value_kind, depth + 1)
             if isinstance(name, bytes):
                 found[name] = item
         return found
 
 
-def _handle(seqid: int, arguments: dict[tuple[int, int], object]) -> Handle:
-    fields, body = arguments.get((1, MAP)), arguments.get((2, STRING), b"")
+def _handle(seqid: int, arguments: _Fields) -> Handle:
+    fields = arguments.get((1, MAP))
+    body: bytes = arguments.get((2, STRING), b"")
     if not isinstance(fields, dict):
         raise MalformedMessageError("no fields")
     if len(body) > MAX_BODY_BYTES:
@@ -242,18 +299,22 @@
     return Handle(seqid, texts, body)
 
 
-def _withdraw(seqid: int, arguments: dict[tuple[int, int], object]) -> Withdraw:
+def _withdraw(_seqid: int, arguments: _Fields) -> Withdraw:
     target = arguments.get((1, I32))
     if not isinstance(target, int):
         raise MalformedMessageError("no sequence number to withdraw")
     return Withdraw(target)
 
 
-def _status(seqid: int, arguments: dict[tuple[int, int], object]) -> Status:
+def _status(seqid: int, _arguments: _Fields) -> Status:
     return Status(seqid)
 
 
-_READERS = {"handle": _handle, "withdraw": _withdraw, "status": _status}
+_READERS: dict[str, Callable[[int, _Fields], Message]] = {
+    "handle": _handle,
+    "withdraw": _withdraw,
+    "status": _status,
+}
 
 
 # --- answers --------------------------------------------------------------------------------
@@ -274,6 +335,7 @@
 
 
 def answer(name: str, seqid: int, body: bytes, fields: dict[str, str], good: bool) -> bytes:
+    """Encode a normal answer to the method `name`; `good` is the answer's flag of success or readiness."""
     inner = _FIELD.pack(STRING, 1) + _text(body) + _FIELD.pack(MAP, 2) + _fields(fields)
     inner += _FIELD.pack(BOOL, 3) + bytes((good, STOP))
     return _frame(REPLY, name.encode(), seqid, _FIELD.pack(STRUCT, 0) + inner + bytes((STOP,)))
@@ -285,13 +347,16 @@
 
 
 def throttled(seqid: int, fields: dict[str, str]) -> bytes:
+    """Encode the declared exception for a rejected request, with its fields."""
     return _thrown(1, seqid, fields)
 
 
 def broken(seqid: int, fields: dict[str, str]) -> bytes:
+    """Encode the declared exception for a failed request, with its fields."""
     return _thrown(2, seqid, fields)
 
 
 def application_exception(seqid: int, text: str, kind: int) -> bytes:
+    """Encode an application exception, the answer to a malformed message; `kind`: see PROTOCOL_ERROR."""
     inner = _FIELD.pack(STRING, 1) + _text(text.encode()) + _FIELD.pack(I32, 2) + _I32.pack(kind)
     return _frame(EXCEPTION, b"handle", seqid, inner + bytes((STOP,)))
--- a/tests/net/test_net_client_closing.py
+++ b/tests/net/test_net_client_closing.py
@@ -7,7 +7,7 @@
 from peers import ScorerPeer
 from support.client_cases import Case, arrivals, call_frame
 
-from fawnwharf.net import clients, event_loop
+from fawnwharf.net import client_port, clients, event_loop
 
 
 class UnreadAtTheClose(Case):
@@ -37,7 +37,7 @@
     def test_by_the_look_after_idle_ones(self):
         rig, client = self.idle()
         client.call()
-        with mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0):
+        with mock.patch.object(client_port, "IDLE_TIMEOUT_MS", -1.0):
             rig.front.client_port.run_maintenance()
         self.is_served(rig, client)
 
@@ -47,7 +47,7 @@
         client.call()
         with (
             mock.patch.object(event_loop.EventLoop, "_event_limit", return_value=0),
-            mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0),
+            mock.patch.object(client_port, "IDLE_TIMEOUT_MS", -1.0),
         ):
             rig.front.loop.run_iteration(0.0)
             self.assertTrue(rig.front.loop.was_deferred(served.connection._sock))
@@ -65,7 +65,7 @@
         rig, client = self.idle()
         client.call()
         rig.front.client_port.max_connections = 1
-        rig.front.client_port._room_maker.make(rig.front.client_port.max_connections)
+        rig.front.client_port._idle_releaser.release_some(rig.front.client_port.max_connections)
         self.is_served(rig, client)
 
     def test_with_more_unread_than_a_release_reads(self):
@@ -82,7 +82,7 @@
         client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client.sock.sendall(data[:50])
         served = self.served(rig, client)
-        rig.until(lambda: served.begun, "it has begun")
+        rig.until(lambda: served.has_partial_message, "it has begun")
         client.sock.sendall(data[50:])
         with mock.patch.object(clients, "MESSAGE_TIMEOUT_MS", -1.0):
             rig.front.client_port.run_maintenance()
@@ -93,7 +93,7 @@
         rig.front.client_port.set_paused(True)
         client.call()
         with (
-            mock.patch.object(clients, "IDLE_TIMEOUT_MS", -1.0),
+            mock.patch.object(client_port, "IDLE_TIMEOUT_MS", -1.0),
             mock.patch.object(clients, "MESSAGE_TIMEOUT_MS", -1.0),
         ):
             rig.front.client_port.run_maintenance()
@@ -127,7 +127,7 @@
         client = rig.client()
         client.status(1)
         served = None
-        while served is None or not served.spoke:
+        while served is None or not served.has_sent:
             rig.front.loop.run_iteration(0.01)  # the client does not read meanwhile
             served = self.served(rig, client)
         rig.front.loop.run_iteration(0.0)
@@ -172,11 +172,11 @@
             rig.settle(client)
         self.asked(rig, asked)
         begun.sock.sendall(call_frame(1)[:60])
-        rig.until(lambda: self.served(rig, begun).begun, "one has begun")
+        rig.until(lambda: self.served(rig, begun).has_partial_message, "one has begun")
         rig.front.client_port.max_connections = 6  # up to three are ended at a time
         with mock.patch.object(clients, "PARTIAL_MESSAGE_MS", 60_000.0):
-            rig.front.client_port._room_maker.make(rig.front.client_port.max_connections)
-            rig.front.client_port._room_maker.make(rig.front.client_port.max_connections)
+            rig.front.client_port._idle_releaser.release_some(rig.front.client_port.max_connections)
+            rig.front.client_port._idle_releaser.release_some(rig.front.client_port.max_connections)
         finishing = [self.served(rig, c).connection.finishing for c in (asked, begun, idle)]
         self.assertEqual(finishing, [False, False, True])
 
@@ -186,7 +186,7 @@
         rig.settle(idle)
         rig.front.client_port.max_connections = 6
         with mock.patch.object(clients, "MIN_SILENT_MS", 60_000.0):
-            rig.front.client_port._room_maker.make(rig.front.client_port.max_connections)
+            rig.front.client_port._idle_releaser.release_some(rig.front.client_port.max_connections)
         finishing = [self.served(rig, c).connection.finishing for c in (client, idle)]
         self.assertEqual(finishing, [False, True])
 
@@ -195,9 +195,9 @@
         begun, idle = rig.client(), rig.client()
         begun.sock.sendall(call_frame(1)[:60])
         rig.settle(idle)
-        rig.until(lambda: self.served(rig, begun).begun, "one has begun")
+        rig.until(lambda: self.served(rig, begun).has_partial_message, "one has begun")
         with mock.patch.object(clients, "PARTIAL_MESSAGE_MS", -1.0):
-            by_idleness = [client for client, _ in rig.front.client_port._room_maker._by_idleness()]
+            by_idleness = [client for client, _ in rig.front.client_port._idle_releaser._by_idleness()]
         self.assertEqual(by_idleness, [self.served(rig, idle), self.served(rig, begun)])
 
     def flood(self, first_bytes):
--- a/tests/net/test_net_client_disconnects.py
+++ b/tests/net/test_net_client_disconnects.py
@@ -120,7 +120,7 @@
         client.sock.shutdown(socket.SHUT_WR)
         while rig.front.requests.open:
             rig.front.loop.run_iteration(0.05)  # the client reads nothing meanwhile
-        self.assertTrue(served.gone)  # rather than the request's time over
+        self.assertTrue(served.output_ended)  # rather than the request's time over
         self.assertFalse(served.connection.closed)  # it may still read what it is owed
 
     def test_where_the_system_can_not_tell_the_end_nothing_is_withdrawn(self):
@@ -242,7 +242,7 @@
         client.sock.shutdown(socket.SHUT_WR)  # a close with answers unread would reset it
         client.sock.setblocking(False)
         rig.until(lambda: not rig.front.requests.open, "its request is withdrawn")
-        self.assertTrue(served.gone)
+        self.assertTrue(served.output_ended)
         self.assertTrue(served.connection.unread())  # and the end is not read yet
 
 
--- a/tests/net/test_net_clients.py
+++ b/tests/net/test_net_clients.py
@@ -156,7 +156,7 @@
     def test_a_crowd_that_connects_does_not_cost_a_look_over_all_clients_each(self):
         rig = self.rig(limits={"sockets": 32})
         port, room = rig.front.client_port, int(32 * front_end.CLIENT_SHARE)
-        maker = port._room_maker
+        maker = port._idle_releaser
         with (
             mock.patch("fawnwharf.net.idle_connections.SCAN_MS", 60_000.0),
             mock.patch.object(port, "run_maintenance"),
--- a/tests/net/test_net_codecs.py
+++ b/tests/net/test_net_codecs.py
@@ -8,7 +8,7 @@
 
 from fawnwharf.config import settings_from
 from fawnwharf.net import scorer_frames, thrift
-from fawnwharf.net.clients import call_from
+from fawnwharf.net.calls import call_from
 
 FIELDS = {"op": "view", "call": "9b1f03aa5c7e2d41", "ttl": "1500", "org": "acme", "row": ROW}
 
@@ -99,9 +99,9 @@
     def test_figures_of_a_call(self):
         props = "memory_mb:512;lanes:2;load_ms:640.5;unheard:x"
         call = call_from(thrift.Handle(1, FIELDS | {"props": props}, b"b"), self.CLASSES)
-        self.assertEqual((call["lanes"], call["memory_mb"], call["load_ms"]), (2, 512.0, 640.5))
-        self.assertEqual((call["id"].hex(), call["function"]), (FIELDS["call"], ROW))
-        self.assertEqual(call["budget_ms"], 1500.0)
+        self.assertEqual((call.lanes, call.memory_mb, call.load_ms), (2, 512.0, 640.5))
+        self.assertEqual((call.id.hex(), call.function), (FIELDS["call"], ROW))
+        self.assertEqual(call.budget_ms, 1500.0)
 
     def test_calls_that_no_scorer_could_be_passed(self):
         cases = [
--- a/tests/net/test_net_request_age.py
+++ b/tests/net/test_net_request_age.py
@@ -97,8 +97,8 @@
     [served] = rig.front.client_port.clients
     served.connection.read_on(False)  # as where much waits for it
     slow = rig.front.client_port.slow_clients
-    monkeypatch.setattr(slow, "regulate", slow.look_later)
-    slow.look_later(served)
+    monkeypatch.setattr(slow, "regulate", slow.check_later)
+    slow.check_later(served)
     idle(rig, clock, 7_000.0)
     client.answers.clear()
     client.call(ttl=str(int(TTL_MS)))
