--- a/tests/zones/test_zones_member_log.py
+++ b/tests/zones/test_zones_member_log.py
@@ -234,7 +234,7 @@
         sock = self.far()
         self.say(sock, {"seq": 2, "life": 8, "line": "second"})
         self.until(lambda: len(self.told) == 2, "the second is taken")
-        with mock.patch.object(MemberLogFollower, "line_most", 1_000):
+        with mock.patch.object(MemberLogFollower, "max_line_bytes", 1_000):
             self.say(sock, b"x" * 5_000)
             self.until(lambda: not feed.up, "the connection is given up")
         assert self.told == ["whole", "second"]
