--- a/tests/test_rejoin_joined.py
+++ b/tests/recovery_service/test_recovery_service_integration.py
@@ -11,8 +11,8 @@
 from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
 from fawnwharf.recovery_service.actions import CopyAvailable, LoadOrder, SlowStartPermit
 from fawnwharf.recovery_service.load_order_gate import LoadOrderGate
-from fawnwharf.recovery_service.permit_issuing import PermitIssuer
-from fawnwharf.recovery_service.recovery_admission import RecoveryAdmission
+from fawnwharf.recovery_service.permit_issuing import PermitIssuer, PermitTiming
+from fawnwharf.recovery_service.recovery_admission import AdmissionSettings, RecoveryAdmission
 
 
 class Loading(ScorerPeer):
@@ -40,9 +40,11 @@
     def __init__(self, front, settings):
         self.front, self.busy = front, False
         limits = fleet_limits(settings, 2, 100.0)
-        self.giving = PermitIssuer("n0", 1, limits, lambda row: [scorer_number("s-1")], 50.0, 50.0)
-        self.door = front.client_port.requests = RecoveryAdmission(
-            front.loop, front.requests, settings.classes, limits
+        self.issuer = PermitIssuer(
+            "n0", 1, limits, lambda function: [scorer_number("s-1")], PermitTiming(50.0, 50.0)
+        )
+        self.admission = front.client_port.requests = RecoveryAdmission(
+            front.loop.timers, front.requests, AdmissionSettings(settings.classes, limits)
         )
         front.intercept(io.OrderCopies, self.between)
         front._extension = self
@@ -50,36 +52,36 @@
 
     def between(self, below):
         front = self.front
-        self.holds = LoadOrderGate(
+        self.order_gate = LoadOrderGate(
             below, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open
         )
-        return self.holds.carry
+        return self.order_gate.carry
 
     def go_by(self, stage):
         may = allowed_in_phase(stage, {"view": 1.0, "save": 1.0, "settle": 5.0})
-        self.giving.set(monotonic_ms(), ["n0"], ["n0"], may, 1)
-        self.holds.go_by(may, self.giving)
-        self.door.go_by(may, 1_000.0, self.giving)
-        self.door.doors.tokens = 500.0  # as if it had gone by it for a while
+        self.issuer.update(monotonic_ms(), ["n0"], ["n0"], may, 1)
+        self.order_gate.apply(may, self.issuer)
+        self.admission.apply(may, 1_000.0, self.issuer)
+        self.admission.rate_limiter.tokens = 500.0  # as if it had gone by it for a while
 
     def turn(self):
-        self.carry(self.giving.tick(monotonic_ms()))
+        self.carry(self.issuer.tick(monotonic_ms()))
         self.front.loop.timers.after(20.0, self.turn)
 
     def on_events(self, events):
-        self.carry(self.holds.events(monotonic_ms(), events))
+        self.carry(self.order_gate.events(monotonic_ms(), events))
 
     def carry(self, outs):
         for out in outs:
             if isinstance(out, LoadOrder):
                 tell = (
                     self.front.requests.start_load
-                    if isinstance(out.what, io.OrderCopies)
+                    if isinstance(out.event, io.OrderCopies)
                     else self.front.loop.enqueue
                 )
-                tell(out.what)
+                tell(out.event)
             elif isinstance(out, SlowStartPermit | CopyAvailable):
-                self.door.told(out)
+                self.admission.notify(out)
 
     def on_fleet(self, fleet): ...
 
@@ -96,7 +98,9 @@
     rig.close()
 
 
-def test_a_call_waits_at_the_door_for_the_loaders_copy_and_is_served_by_the_module(joined):
+def test_a_call_waits_in_admission_for_the_load_coordinators_copy_and_is_served_by_the_decision_module(
+    joined,
+):
     scorer, client = joined.scorers[0], joined.client()
     joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     seqid = client.call()
@@ -109,10 +113,10 @@
     scorer.answer(scorer.runs[0], 0, "res=reused", b"done")
     joined.until(lambda: seqid in client.kinds(), "it is answered")
     assert client.kinds() == {seqid: "answer"} and len(scorer.orders) == 1
-    assert not joined.joined.door.busy and joined.joined.giving.place(ROW) == scorer_number("s-1")
+    assert not joined.joined.admission.busy and joined.joined.issuer.place(ROW) == scorer_number("s-1")
 
 
-def test_before_its_stage_a_call_is_refused_with_advice_and_the_module_sees_nothing(joined):
+def test_before_its_phase_a_call_is_rejected_with_advice_and_the_decision_module_sees_nothing(joined):
     scorer, client = joined.scorers[0], joined.client()
     joined.joined.go_by(RecoveryPhase.PRIORITY_CALLS)
     seqid = client.call("view")
@@ -125,15 +129,15 @@
     joined.until(lambda: scorer.runs, "the call is sent")
     scorer.answer(scorer.runs[0])
     joined.until(lambda: later in client.kinds(), "it is answered")
-    assert client.kinds()[later] == "answer" and joined.joined.holds.held_back == 0
+    assert client.kinds()[later] == "answer" and joined.joined.order_gate.rejected == 0
 
 
-def test_an_order_of_the_modules_own_does_not_go_out_before_renewal(joined):
+def test_an_order_of_the_decision_modules_own_does_not_go_out_before_renewal(joined):
     scorer, client = joined.scorers[0], joined.client()
     joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     joined.front.client_port.requests = joined.front.requests  # this call passes no door
     client.call()
-    joined.until(lambda: joined.joined.holds.held_back, "the module orders")
+    joined.until(lambda: joined.joined.order_gate.rejected, "the module orders")
     joined.settle(client)
     assert scorer.orders == []
     joined.joined.go_by(RecoveryPhase.COPY_REFRESH)
@@ -144,8 +148,8 @@
     client = joined.client()
     joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     client.call()
-    joined.until(lambda: joined.joined.door.busy, "it is held")
+    joined.until(lambda: joined.joined.admission.busy, "it is held")
     client.sock.close()
     joined.clients.clear()
-    joined.until(lambda: not joined.joined.door.busy, "it is let go of")
-    assert not joined.joined.door.counts and not joined.front.requests.open
+    joined.until(lambda: not joined.joined.admission.busy, "it is let go of")
+    assert not joined.joined.admission.counts and not joined.front.requests.open
