--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -11,7 +11,7 @@
 from fawnwharf import interface as io
 from fawnwharf.config import Address, ConfigError, Deployment, Fleet, Member, address_from
 from fawnwharf.net.change_log import ChangeLog
-from fawnwharf.net.clients import ClientPort
+from fawnwharf.net.client_port import ClientPort, ClientPortSettings
 from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.graceful_shutdown import GracefulShutdown
 from fawnwharf.net.log_writer import LogWriter
@@ -54,6 +54,16 @@
     return max(4, int(part * min(sockets * SCORER_SHARE, rest)))
 
 
+def _client_port_settings(deployment: Deployment) -> ClientPortSettings:
+    return ClientPortSettings(
+        address=deployment.listen,
+        classes=deployment.settings.classes,
+        tenants=deployment.wire.tenants,
+        max_connections=_descriptor_share(deployment.sockets, CLIENT_SHARE),
+        shared=deployment.control is not None,
+    )
+
+
 def scorer_number(name: str) -> int:
     """The number of a scorer: the same at every front end, so that all compute the same hash orders."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4).digest(), "big")
@@ -144,10 +154,17 @@
         self.change_log = ChangeLog(self.loop, deployment.changelog, 0, self._on_fleet_event, self.log)
         self._apply_known_events()
         self.client_port = ClientPort(
-            self.loop, deployment.listen, self.requests, settings.classes, wire.tenants,
-            _descriptor_share(sockets, CLIENT_SHARE), self.log, deployment.control is not None, listener,
-        )  # fmt: skip
-        self._action_handlers: dict[type, ActionHandler] = {
+            self.loop, _client_port_settings(deployment), self.requests, self.log, listener
+        )
+        self._action_handlers = self._default_handlers()
+        self._shutdown: GracefulShutdown | None = None
+        self._start_ms = monotonic_ms()
+        self.started = False
+        self.admin: OperatorsComponent | None = None
+
+    def _default_handlers(self) -> dict[type, ActionHandler]:
+        """The handler of each kind of action before any interception."""
+        return {
             io.Send: self.requests.send,
             io.Cancel: self.requests.cancel,
             io.Reject: self.requests.reject,
@@ -156,10 +173,6 @@
             io.SetTimer: self._set_timer,
             io.Log: lambda action: self.log(action.text),
         }
-        self._shutdown: GracefulShutdown | None = None
-        self._start_ms = monotonic_ms()
-        self.started = False
-        self.admin: OperatorsComponent | None = None
 
     @property
     def extension(self) -> Extension | None:
@@ -242,7 +255,7 @@
         if self.admin:
             self.loop.run_guarded(self.admin.leave)
         self.client_port.ready = self.replaced  # readiness checks here may be meant for the other process
-        self._shutdown.look()
+        self._shutdown.run_scan()
 
     def close(self) -> None:
         """Close all components and the event loop."""
@@ -268,7 +281,7 @@
         A malformed event is skipped alone: refusing to start would cost more.
         """
         events = self.deployment.known_events
-        taken = [self.change_log.event(event, of_start=True) for event in events]
+        taken = [self.change_log.event(event, known=True) for event in events]
         faulty = [event for event, sound in zip(events, taken, strict=True) if not sound]
         for event in faulty:
             if len(faulty) == len(events):
@@ -286,7 +299,7 @@
 
         Ends when the change log has no more events, and after MAX_ROSTER_WAIT_MS in any case.
         """
-        told = self.change_log.told_all_ms is not None
+        told = self.change_log.up_to_date_ms is not None
         known = any(scorer.state is io.ScorerState.READY for scorer in self.scorer_pool.scorers.values())
         if told or known or monotonic_ms() - self._start_ms > MAX_ROSTER_WAIT_MS:
             self.client_port.not_ready_reasons.discard(ROSTER)
@@ -295,10 +308,10 @@
             self.loop.timers.after(ROSTER_SCAN_MS, self._wait_for_roster)
 
     def _on_fleet_event(self, fleet: Fleet) -> None:
-        heard_ms, before = self.change_log.told_all_ms, self.start_times.apart
+        heard_ms, before = self.change_log.up_to_date_ms, self.start_times.corrected_starts
         unheard_ms = float("inf") if heard_ms is None else monotonic_ms() - heard_ms
-        fleet = self.start_times.own(fleet, self.loop.clock.now_ms(), unheard_ms)
-        if self.start_times.apart > before:
+        fleet = self.start_times.correct(fleet, self.loop.clock.now_ms(), unheard_ms)
+        if self.start_times.corrected_starts > before:
             self.log("start times of scorers come from a clock that differs from this one", "clock")
         self.receive_fleet(fleet)
         if self._extension:
--- a/fawnwharf/recovery_service/local_status.py
+++ b/fawnwharf/recovery_service/local_status.py
@@ -57,7 +57,7 @@
         """The status now; `roster_received` is whether the change log sent one in this incarnation."""
         now_ms = monotonic_ms()
         replica = self._state.core.replica
-        roster_received = roster_received or front.change_log.told_all_ms is not None
+        roster_received = roster_received or front.change_log.up_to_date_ms is not None
         return LocalStatus(
             settled=self._store.settled,
             complete=self._store.condition is StoreCondition.INTACT,
--- a/fawnwharf/recovery_service/running_recovery.py
+++ b/fawnwharf/recovery_service/running_recovery.py
@@ -92,7 +92,7 @@
         self._timer_due_ms = 0.0
         self._stopped = False
         front.client_port.not_ready_reasons.add(RECOVERY)
-        front.change_log.may_begin_anew = True
+        front.change_log.expects_renumbering = True
         self.agent = self._create_agent(weights)
         incarnation = parts.store.incarnation
         self.integration = FrontEndIntegration(front, parts.state, settings, incarnation)
