--- a/tests/net/test_net_shutdown_orders.py
+++ b/tests/net/test_net_shutdown_orders.py
@@ -95,7 +95,9 @@
     frame = handle_frame(1, {"op": "view", "call": "0" * 15 + "1", "ttl": "8000", "org": "acme", "row": ROW})
     client.sock.sendall(frame[:20])
     silent.sock.sendall(frame[:20])
-    rig.until(lambda: sum(c.has_partial_message for c in rig.front.client_port.clients) == 2, "both have begun")
+    rig.until(
+        lambda: sum(c.has_partial_message for c in rig.front.client_port.clients) == 2, "both have begun"
+    )
     rig.front.shut_down()
     arrivals_over(rig)
     rig.until(lambda: rig.front.client_port.listener is None, "the listener is closed")
