--- a/fawnwharf/admin/exclusive_extensions.py
+++ b/fawnwharf/admin/exclusive_extensions.py
@@ -41,7 +41,7 @@
     @property
     def exist(self) -> bool:
         """Whether this process has any."""
-        return self.front.seam is not None
+        return self.front.extension is not None
 
     @property
     def are_held(self) -> bool:
@@ -52,21 +52,21 @@
         """Stops reading from clients, lets open requests end, and releases the extensions."""
         self.state = ExtensionState.DRAINING
         self._since_ms = monotonic_ms()
-        self.front.port.accept(False)
-        self.front.port.pause(True)
+        self.front.client_port.set_accepting(False)
+        self.front.client_port.set_paused(True)
         self._drain(on_released)
 
     def _drain(self, on_released: Callable[[], None]) -> None:
         front = self.front
-        extension = front.seam
+        extension = front.extension
         if self.state is not ExtensionState.DRAINING or extension is None:
             return
-        busy = front.table.open or front.port.unwritten() or extension.busy
+        busy = front.requests.open or front.client_port.has_unwritten() or extension.busy
         if busy and monotonic_ms() - self._since_ms < DRAIN_TIMEOUT_MS:
-            front.loop.wheel.after(POLL_INTERVAL_MS, lambda: self._drain(on_released))
+            front.loop.timers.after(POLL_INTERVAL_MS, lambda: self._drain(on_released))
             return
-        front.loop.guarded(
-            extension.release
+        front.loop.run_guarded(
+            extension.suspend
         )  # even after an error, as no client is read until this has ended
         self.state = ExtensionState.RELEASED
         elapsed_ms = monotonic_ms() - self._since_ms
@@ -98,19 +98,19 @@
             front.log(f"hot restart: exclusive extensions not reacquired, this process ends: {failure}")
             front.loop.running = False
         else:
-            front.loop.wheel.after(POLL_INTERVAL_MS, lambda: self._try_reacquire(on_reacquired))
+            front.loop.timers.after(POLL_INTERVAL_MS, lambda: self._try_reacquire(on_reacquired))
 
     def _reacquire_failure(self) -> str | None:
         """Tries once; the reason why it failed, None on success."""
         front = self.front
-        if any(client.open for client in front.port.clients):
+        if any(client.open for client in front.client_port.clients):
             return "requests from before are open"
         try:
-            if front.seam is not None:
-                front.seam.take_back(front)
+            if front.extension is not None:
+                front.extension.resume(front)
         except ConfigError as error:
             return str(error)
         except Exception as error:  # without another attempt no client would be read again
-            front.loop.fault("reacquiring the exclusive extensions")
+            front.loop.log_exception("reacquiring the exclusive extensions")
             return str(error)
         return None
--- a/fawnwharf/admin/handoff_channel.py
+++ b/fawnwharf/admin/handoff_channel.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from fawnwharf.admin import handoff_messages as h
-from fawnwharf.net.loop import READ, WRITE, Loop
+from fawnwharf.net.event_loop import READ, WRITE, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 MAX_MESSAGE_BYTES = 128 * 1024
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         sock: socket.socket,
         on_message: Callable[[h.Message, socket.socket | None], None],
         on_end: Callable[["HandoffChannel"], None],
@@ -138,7 +138,7 @@
         mask = READ | WRITE if self._queue else READ
         if mask != self._mask and not self.closed:
             self._mask = mask
-            self.loop.change(self._sock, mask, self._on_event)
+            self.loop.modify(self._sock, mask, self._on_event)
 
     def _on_event(self, mask: int) -> None:
         if mask & WRITE:
@@ -166,6 +166,6 @@
         """Ends the channel, once."""
         if not self.closed:
             self.closed = True
-            self.loop.forget(self._sock)
+            self.loop.unwatch(self._sock)
             self._sock.close()
             self._on_end(self)
--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -21,8 +21,8 @@
 from fawnwharf.admin.handoff_source import HandoffAction, HandoffPhase
 from fawnwharf.admin.hot_restart import HotRestart
 from fawnwharf.admin.http import AdminRequest
-from fawnwharf.net.handed import HandedConnection
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.connection_handoff import HandedOffConnection
+from fawnwharf.net.event_loop import EventLoop
 
 ADDRESS = ("127.0.0.1", 8000)
 HELLO = h.Hello(h.VERSION, ADDRESS)
@@ -269,18 +269,18 @@
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"y" * 5000)
     hot_restart = rig.admin.hot_restart
     hot_restart.source._paused = True
-    [held] = rig.front.port.clients
-    give = rig.front.port.give
+    [held] = rig.front.client_port.clients
+    give = rig.front.client_port.hand_off
 
     def broken(client):
         sock.close()  # between the check and the message
         return replace(give(client), unwritten=b"")
 
     with (
-        mock.patch.object(rig.front.port, "give", broken),
+        mock.patch.object(rig.front.client_port, "hand_off", broken),
         mock.patch.object(h, "chunks", return_value=[h.Chunk(b"")]),
     ):
-        rig.until(lambda: held not in rig.front.port.clients, "it was handed off, and came back")
+        rig.until(lambda: held not in rig.front.client_port.clients, "it was handed off, and came back")
     rig.until(lambda: client.answers, "its answer is there")
     client.call()
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "and it is still served")
@@ -295,13 +295,13 @@
                 sock.connect(address)
             handoff_channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
         timers = []
-        rig.front.loop.wheel.after(50.0, lambda: timers.append(1))  # noqa: B023
+        rig.front.loop.timers.after(50.0, lambda: timers.append(1))  # noqa: B023
         rig.until(lambda: timers and rig.admin.hot_restart.successor is None, "it is gone")  # noqa: B023
     assert not any("fault" in line for line in rig.lines)
 
 
 def test_chunks_of_an_unsent_connection_are_taken_back_with_it():
-    loop = Loop(lambda _now_ms, _events: None, mock.Mock())
+    loop = EventLoop(lambda _now_ms, _events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     back = []
     channel = handoff_channel.HandoffChannel(
@@ -317,21 +317,21 @@
         channel.send(part)
     assert channel.has_unsent
     far.close()
-    loop.turn(1.0)
+    loop.run_iteration(1.0)
     assert b"".join(message.data for message, _ in back[:-1]) == data
     assert back[-1][0] == h.ConnectionHandoff(b"half")
     loop.close()
 
 
 def test_sending_continues_after_too_many_descriptors_in_transit():
-    loop = Loop(lambda _now_ms, _events: None, mock.Mock())
+    loop = EventLoop(lambda _now_ms, _events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     channel = handoff_channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
     with mock.patch.object(handoff_channel, "send", side_effect=OSError(109, "too many references")):
         channel.send(h.ConnectionHandoff(), near.dup())
     assert channel.has_unsent
     assert not channel.closed
-    loop.turn(1.0)
+    loop.run_iteration(1.0)
     assert not channel.has_unsent
     assert handoff_channel.receive(far)[1] is not None
     channel.close()
@@ -355,7 +355,7 @@
     rig.admin.leave()
     assert rig.admin.busy
     timers = []
-    rig.front.loop.wheel.after(50.0, lambda: timers.append(1))
+    rig.front.loop.timers.after(50.0, lambda: timers.append(1))
     rig.until(lambda: timers, "two ticks are over")
     assert h.Done() not in messages(newest)  # not while the predecessor still hands off
     oldest.close()
@@ -368,13 +368,13 @@
 
 
 def test_a_connection_adopted_while_reading_is_paused_is_paused_too(rig):
-    rig.front.port.pause(True)
+    rig.front.client_port.set_paused(True)
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = Buffered(socket.create_connection(server.getsockname()))
-        rig.front.port.adopt(HandedConnection(server.accept()[0]))
-    [adopted] = rig.front.port.clients
+        rig.front.client_port.take_over(HandedOffConnection(server.accept()[0]))
+    [adopted] = rig.front.client_port.clients
     assert not adopted.connection._reading
-    rig.front.port.pause(False)
+    rig.front.client_port.set_paused(False)
     assert adopted.connection._reading
     client.sock.close()
 
@@ -386,7 +386,7 @@
     rig.admin.handle(AdminRequest("POST", "/standby"))
     connect_successor(rig)
     timers = []
-    rig.front.loop.wheel.after(1_300.0, lambda: timers.append(1))
+    rig.front.loop.timers.after(1_300.0, lambda: timers.append(1))
     rig.until(lambda: timers, "the drain would reject")
     client.call()
     rig.until(lambda: len(rig.scorers[0].runs) == 2, "it is served")
--- a/tests/admin/test_admin_handoff_event_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -58,7 +58,7 @@
     rig.until(lambda: rig.scorers[0].runs, "it runs, so that the connection stays here")
     sock = connect_successor(rig)
     if why == "leaving":
-        rig.front.leave()
+        rig.front.shut_down()
     elif why == "standby":
         rig.admin.commands.standby = True
     assert is_ready(rig, client)  # for the other process's sake
@@ -73,16 +73,18 @@
     refused = mock.patch.object(handoff_channel, "send", side_effect=BlockingIOError)
     client = rig.client()
     with refused:  # its buffer is full, as it reads nothing
-        rig.front.port.accept(True)
+        rig.front.client_port.set_accepting(True)
         client.call()
         rig.until(lambda: rig.scorers[0].runs, "it runs")
         rig.scorers[0].answer(rig.scorers[0].runs[0])
-        rig.until(lambda: client.answers and not rig.front.port.clients, "its connection is on its way")
+        rig.until(
+            lambda: client.answers and not rig.front.client_port.clients, "its connection is on its way"
+        )
         assert channel.has_unsent
         assert not channel.closed
         channel._progress_ms -= hot_restart.STALL_TIMEOUT_MS
         rig.until(lambda: not rig.admin.replaced, "it serves alone")
-    assert rig.front.port.clients
+    assert rig.front.client_port.clients
     assert is_ready(rig, client) is True
     assert not ready(sock, 0.0) or handoff_channel.receive(sock)
 
@@ -90,10 +92,10 @@
 def test_an_error_in_a_hand_off_tick_does_not_end_the_ticks(rig):
     client = rig.client()
     rig.settle(client)
-    with mock.patch.object(rig.front.port, "give", side_effect=RuntimeError("planted")) as give:
+    with mock.patch.object(rig.front.client_port, "hand_off", side_effect=RuntimeError("planted")) as give:
         connect_successor(rig)
         rig.until(lambda: give.call_count >= 2, "the next tick comes")
-    rig.until(lambda: not rig.front.port.clients, "it is handed off")
+    rig.until(lambda: not rig.front.client_port.clients, "it is handed off")
 
 
 def test_an_error_in_a_drain_tick_or_in_tidying_does_not_end_them(rig):
@@ -106,10 +108,10 @@
 
 @pytest.mark.parametrize("fault", [ConfigError("held"), OSError("planted"), RuntimeError("planted")])
 def test_extensions_are_reacquired_after_any_error(rig, fault):
-    seam = mock.Mock(busy=False)
-    seam.release.side_effect = RuntimeError("planted")
-    seam.take_back.side_effect = [fault, None]
-    rig.front._seam = seam
+    extension = mock.Mock(busy=False)
+    extension.suspend.side_effect = RuntimeError("planted")
+    extension.resume.side_effect = [fault, None]
+    rig.front._extension = extension
     extensions, steps = ExclusiveExtensions(rig.front), []
     extensions.release(lambda: steps.append("released"))
     rig.until(lambda: steps, "they are released")
@@ -117,7 +119,7 @@
     extensions.reacquire(lambda: steps.append("reacquired"))
     rig.until(lambda: extensions.are_held, "they are reacquired")
     assert steps == ["released", "reacquired"]
-    rig.front._seam = None
+    rig.front._extension = None
 
 
 def test_a_slow_answer_in_chunks_has_the_same_deadline(tmp_path):
@@ -169,8 +171,8 @@
     client = rig.client()
     rig.settle(client)
     connect_successor(rig)
-    rig.front.leave()
-    rig.front._leaving._since_ms -= graceful_shutdown.LATE_ARRIVALS_MS
-    rig.until(lambda: not rig.front.port.clients, "its connection is handed off")
+    rig.front.shut_down()
+    rig.front._shutdown._since_ms -= graceful_shutdown.LATE_ARRIVAL_MS
+    rig.until(lambda: not rig.front.client_port.clients, "its connection is handed off")
     assert not client.ended
     assert rig.front.loop.running
--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from fawnwharf.durable_store.file_format import StoreLimits
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.recovery_store import RecoveryStore
 from fawnwharf.replication import messages as m
@@ -34,7 +34,7 @@
 def run(kind, folder, rate, calls):
     """Times from ask to grant in ms; CPU of the loop a call, in µs, less that of an idle loop's pace."""
     core = ReplicationCore("n0", 1, MEMBERS, ReplicationSettings(1, "members"), monotonic_ms(), fresh=True)
-    loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
+    loop = EventLoop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
     kept = None
     if kind == "store":
         kept = RecoveryStore(
@@ -43,7 +43,7 @@
         disk = kept.open_grant_storage(core, None)
         kept.attach(loop)
         while not kept.settled:
-            loop.turn(0.01)
+            loop.run_iteration(0.01)
     else:
         disk = GrantLogStorage(Path(folder), core, "n0", lambda what, more: None)
     asked, took, refused = {}, [], 0
@@ -78,7 +78,7 @@
             asked[number] = monotonic_ms()
             hear(m.ClaimRequest(f"transfer-settle:{number:032x}", "n1#1", number, 1, 0))
         say(disk.persist(core.tick(monotonic_ms()), say))
-        loop.turn(min(0.02, max(0.0, begun + number * pause - time.monotonic())))
+        loop.run_iteration(min(0.02, max(0.0, begun + number * pause - time.monotonic())))
     cpu = time.process_time() - cpu
     disk.close()
     if kept:
--- a/tests/support/recovery_front_ends.py
+++ b/tests/support/recovery_front_ends.py
@@ -11,7 +11,7 @@
 from fawnwharf.recovery_service.recovery_store import open_recovery_store
 from fawnwharf.recovery_service.service import RecoveryService
 from fawnwharf.replication.service import ReplicationService
-from fawnwharf.serving import Seams
+from fawnwharf.serving import ExtensionGroup
 from fawnwharf.zones.bootstrap import bootstrap
 from fawnwharf.zones.service import ZoneService
 from support import policy_front_ends
@@ -62,10 +62,12 @@
         }  # fmt: skip
         if not self.site.policy:
             del made["policy"]
-        seam = Seams(made, True)
+        extension = ExtensionGroup(made, True)
         self.lines = []
-        self.front = FrontEnd(deployment, lambda text, source="": self.lines.append(text), seam=seam)
-        seam.attach(self.front)
+        self.front = FrontEnd(
+            deployment, lambda text, source="": self.lines.append(text), extension=extension
+        )
+        extension.attach(self.front)
         self.front.start()
 
     @property
@@ -115,7 +117,7 @@
         """Start a new fleet, until it is in its normal state and its boots are noted."""
         self.start(fresh=True)
         self.until(
-            lambda: all(node.stage() is RecoveryPhase.SPILL and node.agent.asked for node in self.nodes),
+            lambda: all(node.stage() is RecoveryPhase.NORMAL and node.agent.asked for node in self.nodes),
             "calm",
         )
         noted = lambda: any(len(n.agent.lead.conductor.register.boots) == 3 for n in self.nodes)  # noqa: E731
--- a/tests/test_client_streams.py
+++ b/tests/test_client_streams.py
@@ -58,7 +58,7 @@
             client.sock.sendall(data[:cut])
             client.sock.setblocking(False)
             del data[:cut]
-            rig.front.loop.turn(0.0)
+            rig.front.loop.run_iteration(0.0)
         return rig, scorer, client, good, bad, withdrawn
 
     def test_each_request_is_answered_once_whatever_lies_between(self):
@@ -129,7 +129,7 @@
         rig.until(is_answered, "it is answered")
         self.assertEqual([answer[:2] for answer in good.answers], [(1, "answer")])
         self.assertEqual(bad.kinds(), {5: "broken"})
-        self.assertEqual(rig.front.table.open, {})
+        self.assertEqual(rig.front.requests.open, {})
 
 
 if __name__ == "__main__":
--- a/tests/test_rejoin_joined.py
+++ b/tests/test_rejoin_joined.py
@@ -5,7 +5,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.net import scorer_frames as frames
-from fawnwharf.net.front_end import worker_number
+from fawnwharf.net.front_end import scorer_number
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import RecoveryPhase, allowed_in_phase
@@ -24,14 +24,14 @@
 
     def pump(self):
         super().pump()
-        for item in self.of(frames.ENSURE)[self.seen :]:
+        for item in self.of(frames.LOAD)[self.seen :]:
             self.seen += 1
             if int(item[1].fields["slots_up"]) <= self.stand:
                 self.answer(item, 0, f"slots_up={self.stand}")
 
     @property
     def orders(self):
-        return [item for item in self.of(frames.ENSURE) if item[1].fields["slots_up"] != "0"]
+        return [item for item in self.of(frames.LOAD) if item[1].fields["slots_up"] != "0"]
 
 
 class Joined:
@@ -40,15 +40,19 @@
     def __init__(self, front, settings):
         self.front, self.busy = front, False
         limits = fleet_limits(settings, 2, 100.0)
-        self.giving = PermitIssuer("n0", 1, limits, lambda row: [worker_number("s-1")], 50.0, 50.0)
-        self.door = front.port.table = RecoveryAdmission(front.loop, front.table, settings.classes, limits)
-        front.stand_between(io.OrderCopies, self.between)
-        front._seam = self
+        self.giving = PermitIssuer("n0", 1, limits, lambda row: [scorer_number("s-1")], 50.0, 50.0)
+        self.door = front.client_port.requests = RecoveryAdmission(
+            front.loop, front.requests, settings.classes, limits
+        )
+        front.intercept(io.OrderCopies, self.between)
+        front._extension = self
         self.turn()
 
     def between(self, below):
         front = self.front
-        self.holds = LoadOrderGate(below, front.pool.order, front.loop.tell, front.table.open)
+        self.holds = LoadOrderGate(
+            below, front.scorer_pool.start_load, front.loop.enqueue, front.requests.open
+        )
         return self.holds.carry
 
     def go_by(self, stage):
@@ -60,22 +64,24 @@
 
     def turn(self):
         self.carry(self.giving.tick(monotonic_ms()))
-        self.front.loop.wheel.after(20.0, self.turn)
+        self.front.loop.timers.after(20.0, self.turn)
 
-    def events(self, events):
+    def on_events(self, events):
         self.carry(self.holds.events(monotonic_ms(), events))
 
     def carry(self, outs):
         for out in outs:
             if isinstance(out, LoadOrder):
                 tell = (
-                    self.front.table.order if isinstance(out.what, io.OrderCopies) else self.front.loop.tell
+                    self.front.requests.start_load
+                    if isinstance(out.what, io.OrderCopies)
+                    else self.front.loop.enqueue
                 )
                 tell(out.what)
             elif isinstance(out, SlowStartPermit | CopyAvailable):
                 self.door.told(out)
 
-    def told(self, fleet): ...
+    def on_fleet(self, fleet): ...
 
     def close(self): ...
 
@@ -92,10 +98,10 @@
 
 def test_a_call_waits_at_the_door_for_the_loaders_copy_and_is_served_by_the_module(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     seqid = client.call()
     joined.until(lambda: scorer.orders, "the loader's order goes out by the module")
-    assert not joined.front.table.open and joined.front.router.loading == 1
+    assert not joined.front.requests.open and joined.front.router.loading == 1
     [order] = scorer.orders
     scorer.stand = 1
     scorer.answer(order, 0, "slots_up=1")
@@ -103,16 +109,16 @@
     scorer.answer(scorer.runs[0], 0, "res=reused", b"done")
     joined.until(lambda: seqid in client.kinds(), "it is answered")
     assert client.kinds() == {seqid: "answer"} and len(scorer.orders) == 1
-    assert not joined.joined.door.busy and joined.joined.giving.place(ROW) == worker_number("s-1")
+    assert not joined.joined.door.busy and joined.joined.giving.place(ROW) == scorer_number("s-1")
 
 
 def test_before_its_stage_a_call_is_refused_with_advice_and_the_module_sees_nothing(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.WORTH)
+    joined.joined.go_by(RecoveryPhase.PRIORITY_CALLS)
     seqid = client.call("view")
     joined.until(lambda: seqid in client.kinds(), "it is refused")
     assert client.kinds() == {seqid: "throttled"} and not scorer.frames
-    joined.joined.go_by(RecoveryPhase.SPILL)
+    joined.joined.go_by(RecoveryPhase.NORMAL)
     later = client.call("view")
     joined.until(lambda: scorer.orders, "the module orders for itself")
     scorer.answer(scorer.orders[0], 0, "slots_up=1")
@@ -124,22 +130,22 @@
 
 def test_an_order_of_the_modules_own_does_not_go_out_before_renewal(joined):
     scorer, client = joined.scorers[0], joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
-    joined.front.port.table = joined.front.table  # this call passes no door
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
+    joined.front.client_port.requests = joined.front.requests  # this call passes no door
     client.call()
     joined.until(lambda: joined.joined.holds.held_back, "the module orders")
     joined.settle(client)
     assert scorer.orders == []
-    joined.joined.go_by(RecoveryPhase.RENEWAL)
+    joined.joined.go_by(RecoveryPhase.COPY_REFRESH)
     joined.until(lambda: scorer.orders, "its place has rested, and the order goes out")
 
 
 def test_a_client_that_ends_takes_its_held_call_along(joined):
     client = joined.client()
-    joined.joined.go_by(RecoveryPhase.REST)
+    joined.joined.go_by(RecoveryPhase.ALL_CALLS)
     client.call()
     joined.until(lambda: joined.joined.door.busy, "it is held")
     client.sock.close()
     joined.clients.clear()
     joined.until(lambda: not joined.joined.door.busy, "it is let go of")
-    assert not joined.joined.door.counts and not joined.front.table.open
+    assert not joined.joined.door.counts and not joined.front.requests.open
--- a/tests/test_rejoin_processes.py
+++ b/tests/test_rejoin_processes.py
@@ -17,7 +17,7 @@
 import json, sys
 from fawnwharf.durable_store.file_format import Limits
 from fawnwharf.testbed.promises import fleet_file
-from fawnwharf.net.loop import Loop
+from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_service.recovery_store import RecoveryStore
 from fawnwharf.replication import messages as m
@@ -28,7 +28,7 @@
 kept = RecoveryStore(folder, "f", name, boot, Limits(wait_ms=20_000.0), lambda what, more: None, fresh=True)
 core = ReplicationCore(name, 1, members, ReplicationSettings(1, "members"), monotonic_ms(), fresh=True)
 disk = kept.open_grant_storage(core, None)
-loop = Loop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
+loop = EventLoop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
 kept.attach(loop)
 
 def say(effects):
@@ -42,7 +42,7 @@
     ask = m.Send((name,), m.ClaimRequest(f"k{number}", "n1#1", number, members.number, 0))
     line = json.loads(__import__("msgspec").json.encode(m.LogLine("f", "n1", 1, ask.recipients, ask.message)))
     say(disk.persist(core.receive_line(monotonic_ms(), "n1", line), say))
-    loop.turn(0.002)
+    loop.run_iteration(0.002)
 """
 
 
@@ -65,14 +65,14 @@
     kept = RecoveryStore(tmp_path / "d", "f", "n0", str(boot), StoreLimits(), lambda what, more: None)
     try:
         assert (kept.whole, kept.same_boot, kept.in_order, kept.sure) == (
-            StoreCondition.WHOLE,
+            StoreCondition.INTACT,
             False,
             False,
             1,
         )
-        found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(StateKind.PROMISE)}
+        found = {name.split("/", 2)[2]: value for name, value, trust in kept.read(StateKind.GRANT)}
         assert set(said) <= found.keys() and all(value[1] is None for value in found.values())
-        assert {trust for _, _, trust in kept.read(StateKind.PROMISE)} == {TrustLevel.NOW}
+        assert {trust for _, _, trust in kept.read(StateKind.GRANT)} == {TrustLevel.NOW}
     finally:
         kept.close()
 
