--- a/tests/test_epochs_agent.py
+++ b/tests/test_epochs_agent.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from support.zone_files import members
-from test_zone_members import Fleet
+from support.zone_fleet import ZoneFleet
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
@@ -18,7 +18,7 @@
 STEP_S = 0.005
 
 
-class Agents(Fleet):
+class Agents(ZoneFleet):
     """A fleet whose members have agents; their words are carried as the service does it."""
 
     def __init__(self, zones="abc", known=None, lost=0.0):
@@ -67,7 +67,7 @@
     def tell(self, name, line):
         for other in self.file.members:
             lost = self.chance.random() < self.lost
-            voter = self.file.named(name).ballots or other.ballots
+            voter = self.file.find_member(name).voter_address or other.voter_address
             if other.name != name and voter and not lost:
                 self.send(name, other.name, line, False)
 
@@ -172,7 +172,7 @@
 def test_a_leader_that_is_cut_off_rests_and_its_words_count_for_nothing():
     fleet = begun()
     first, name = fleet.leader(), fleet.follower()
-    zone = fleet.file.named(first).zone
+    zone = fleet.file.find_member(first).zone
     fleet.part(zone)
     fleet.say(first, 1, propose=quota(5))  # to itself: it does not know yet
     fleet.until(lambda: fleet.leader() not in (None, first))
