--- a/tests/test_lab_sessions.py
+++ b/tests/test_lab_sessions.py
@@ -13,8 +13,8 @@
 from fawnwharf.fakes.sessions import Live
 from fawnwharf.migration import messages as m
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.prefetch.ways import foretold_from
-from fawnwharf.session_types import Home, Session
+from fawnwharf.prefetch.baseline_strategies import parse_known_moves
+from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions.foreseen import Foreseen
 from fawnwharf.sessions.moves import target
 from fawnwharf.sessions.trace import Trace
@@ -23,7 +23,7 @@
 from fawnwharf.testbed.homes import Sent, Told, Unload, Use
 from fawnwharf.testbed.processes import Noted
 from fawnwharf.testbed.run import Runner
-from fawnwharf.testbed.scenario import ScenarioFault, Step, ZoneSpec, scenario_from
+from fawnwharf.testbed.scenario import ScenarioError, Step, ZoneSpec, scenario_from
 from fawnwharf.testbed.sessions import SessionSteps, handed_over
 from fawnwharf.zones.files import WatchedFile
 
@@ -154,7 +154,7 @@
 def test_a_scenario_of_sessions_that_lacks_something_is_refused_by_its_key(more, why):
     plain = {"version": 1, "name": "x", "about": "", "decide": False, "steps": []}
     plain["zones"] = {"a": {"front_ends": 1, "scorers": 1}}
-    with pytest.raises(ScenarioFault, match=why):
+    with pytest.raises(ScenarioError, match=why):
         scenario_from(msgspec.json.encode(plain | more))
 
 
@@ -162,7 +162,7 @@
     fleet = runner.fleet
     front = fleet.fronts["n1"]
     trace = Trace(front.folder / "trace.jsonl")
-    trace.taken("r1", Home(Session("t", "f"), "b", 3))
+    trace.taken("r1", Placement(Session("t", "f"), "b", 3))
     context = m.Context(spent=(("n0#7", 9),))
     words = [m.Receive(Session("t", "f"), m.Turn(), 4, 1, 10.0, context), m.Give(Session("t", "f"), m.Turn())]
     trace.received([*words, m.Receive(Session("t", "f"), m.Turn(), 4, 1, 10.0)])
@@ -207,7 +207,9 @@
         front.process = object()
         (front.folder / "kept").mkdir()
     try:
-        fleet.notes.append(Noted(0.0, "n0", "state on", {"keepers": {"a": ["n1"], "b": ["n2"], "c": ["n5"]}}))
+        fleet.notes.append(
+            Noted(0.0, "n0", "replication started", {"replicas": {"a": ["n1"], "b": ["n2"], "c": ["n5"]}})
+        )
         fleet.clients.live[0].recent.append(request(0.0, ""))
         for live in fleet.clients.live[1:]:
             live.recent.append(request(0.0))
@@ -239,12 +241,12 @@
         {"do": "move_clients", "what": "a", "to": "b,c", "value": 0.5, "when": {"after_s": 2}}, Step
     )
     steps.ahead(step)
-    [first, *_] = ahead = foretold_from((fleet.fronts["n4"].folder / "told.jsonl").read_bytes())
+    [first, *_] = ahead = parse_known_moves((fleet.fronts["n4"].folder / "told.jsonl").read_bytes())
     assert len(ahead) == 6
     steps.move_clients(step)
-    went = [(m.org, m.row, m.whither) for m in fleet.clients.moved]
-    assert [(m.org, m.row, m.whither) for m in ahead] == went
-    assert {m.whence for m in fleet.clients.moved} == {"a"} and first.at_ms > 1e12  # of the Unix clock
+    went = [(m.org, m.row, m.destination) for m in fleet.clients.moved]
+    assert [(m.org, m.row, m.destination) for m in ahead] == went
+    assert {m.source for m in fleet.clients.moved} == {"a"} and first.at_ms > 1e12  # of the Unix clock
 
 
 def test_clients_may_follow_their_sessions_to_where_front_ends_hand_them_over():
