--- a/fawnwharf/consensus/messages.py
+++ b/fawnwharf/consensus/messages.py
@@ -13,54 +13,65 @@
 from msgspec import Meta, Struct, field
 
 MAX_VOTERS = 9  # in a voter list, also during a membership change
-MAX_DATA_LENGTH = 64 * 1024  # characters of the text of one log entry
-MAX_ENTRIES = 64  # in one message, and in the log before it is compacted
-
-Number = Annotated[int, Meta(ge=0, lt=2**53)]
-VoterIdentity = Annotated[str, Meta(min_length=1, max_length=96)]  # member name and disk identifier
-Text = Annotated[str, Meta(max_length=MAX_DATA_LENGTH)]
+MAX_TEXT_CHARACTERS = 64 * 1024  # of the text of one log entry
+MAX_ENTRIES_PER_MESSAGE = 64
+MAX_LEADER_ENTRIES = 64  # in the log of a leader, after its snapshot; a longer one accepts no proposals
+MAX_SAVED_ENTRIES = 2 * MAX_LEADER_ENTRIES  # in a log on disk, after its snapshot
+
+# 0 is before the first one. The limit keeps the number exact for readers of JSON that use doubles.
+TermOrIndex = Annotated[int, Meta(ge=0, lt=2**53)]
+VoterIdentity = Annotated[str, Meta(min_length=1, max_length=96)]  # member and disk, as in `a#0f3c9b21`
+EntryText = Annotated[str, Meta(max_length=MAX_TEXT_CHARACTERS)]  # JSON that consensus does not read
 VoterList = Annotated[tuple[VoterIdentity, ...], Meta(max_length=MAX_VOTERS)]
 
 
 class Entry(Struct, frozen=True):
-    """One log entry: a zone plan, a policy or recovery register, a voter list, or nothing.
+    """One log entry: a zone plan, a policy, the state of a fleet recovery, a voter list, or nothing.
 
-    A leader begins each term with an entry of kind "none". `text` holds the value of the first three kinds.
+    A leader begins each term with an entry of kind "none". `text` holds the value of the first three kinds
+    and is "" in the others. `voters` is the complete new list in an entry of kind "voters", empty in the
+    others.
     """
 
-    term: Number
+    term: TermOrIndex
     kind: Annotated[str, Meta(pattern="^(none|plan|policy|recovery|voters)$")]
-    text: Text = field(default="", name="plan")
+    text: EntryText = field(default="", name="plan")
     voters: VoterList = ()
 
 
-Entries = Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)]
+Entries = Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES_PER_MESSAGE)]
 
 
 class Snapshot(Struct, frozen=True):
     """The compacted prefix of the log: the last committed entry of each kind up to `index`.
 
-    `plan_index`, `policy_index` and `recovery_index` are the indexes of those entries themselves.
+    `plan`, `policy` and `recovery` are the texts of those entries, "" where there was none: the zone plan,
+    the policy of the fleet, and the state of a recovery after a failure of the whole fleet. `plan_index`,
+    `policy_index` and `recovery_index` are the log indexes of the entries themselves, 0 where there was none.
     """
 
-    index: Number = 0
-    term: Number = 0
-    plan: Text = ""
-    plan_index: Number = 0
+    index: TermOrIndex = 0
+    term: TermOrIndex = 0
+    plan: EntryText = ""
+    plan_index: TermOrIndex = 0
     voters: VoterList = ()
-    policy: Text = ""
-    policy_index: Number = 0
-    recovery: Text = ""  # absent in files of earlier versions
-    recovery_index: Number = 0
+    policy: EntryText = ""
+    policy_index: TermOrIndex = 0
+    recovery: EntryText = ""  # absent in files of earlier versions
+    recovery_index: TermOrIndex = 0
 
 
 class PersistentState(Struct, frozen=True):
-    """What must survive a crash; it is on disk before any message that depends on it is sent."""
+    """What must survive a crash; it is on disk before any message that depends on it is sent.
+
+    `voted_for` is the candidate that got this voter's vote in `term`, "" where none did. `entries` are those
+    after the snapshot, committed or not.
+    """
 
-    term: Number = 0
-    voted_for: Annotated[str, Meta(max_length=96)] = field(default="", name="voted")  # in `term`
+    term: TermOrIndex = 0
+    voted_for: Annotated[str, Meta(max_length=96)] = field(default="", name="voted")
     snapshot: Snapshot = field(default=Snapshot(), name="base")
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=2 * MAX_ENTRIES)] = ()
+    entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_SAVED_ENTRIES)] = ()
 
     @property
     def last_index(self) -> int:
@@ -79,7 +90,11 @@
         return next(lists, self.snapshot.voters)
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at an index; None where it is compacted or beyond the end of the log."""
+        """The term of the entry at an index; None before the snapshot's index and after the last entry.
+
+        At the snapshot's index itself it is the snapshot's term; index 0 has term 0 in a log without
+        snapshot.
+        """
         if index == self.snapshot.index:
             return self.snapshot.term
         offset = index - self.snapshot.index - 1
@@ -92,14 +107,14 @@
 class _RaftMessage(Struct, frozen=True):
     sender: VoterIdentity
     to: VoterIdentity
-    term: Number
+    term: TermOrIndex
 
 
 class PreVoteRequest(_RaftMessage, frozen=True, tag="PreVote"):
     """Asks whether a vote in `term` would be granted; neither request nor response changes any state."""
 
-    last_index: Number
-    last_term: Number
+    last_index: TermOrIndex
+    last_term: TermOrIndex
 
 
 class PreVoteResponse(_RaftMessage, frozen=True, tag="PreVoted"):
@@ -111,8 +126,8 @@
 class VoteRequest(_RaftMessage, frozen=True, tag="Vote"):
     """Asks for a vote in `term`; the log position lets a voter refuse a candidate whose log is behind."""
 
-    last_index: Number
-    last_term: Number
+    last_index: TermOrIndex
+    last_term: TermOrIndex
 
 
 class VoteResponse(_RaftMessage, frozen=True, tag="Voted"):
@@ -122,17 +137,24 @@
 
 
 class AppendEntriesRequest(_RaftMessage, frozen=True, tag="Append"):
-    """The leader's entries after one that both logs should contain; without entries it is a heartbeat."""
+    """The leader's entries after one that both logs should contain; without entries it is a heartbeat.
 
-    previous_index: Number = field(name="before_index")
-    previous_term: Number = field(name="before_term")
+    `sent_ms` is the sending time on the leader's monotonic clock. Only the leader compares it with anything;
+    it extends its lease by the time that the response carries back.
+    """
+
+    previous_index: TermOrIndex = field(name="before_index")
+    previous_term: TermOrIndex = field(name="before_term")
     entries: Entries
-    commit_index: Number = field(name="commit")
+    commit_index: TermOrIndex = field(name="commit")
     sent_ms: float
 
 
 class InstallSnapshotRequest(_RaftMessage, frozen=True, tag="Install"):
-    """The leader's snapshot, for a follower whose missing entries are compacted."""
+    """The leader's complete snapshot, for a follower whose missing entries are compacted.
+
+    Answered by an AppendEntriesResponse. `sent_ms` is as in AppendEntriesRequest.
+    """
 
     snapshot: Snapshot = field(name="base")
     sent_ms: float
@@ -141,13 +163,13 @@
 class AppendEntriesResponse(_RaftMessage, frozen=True, tag="Appended"):
     """Answers an append entries or install snapshot request.
 
-    `match_index` is the last index on which both logs agree; without success it is an estimate of it.
-    `sent_ms` is that of the request.
+    `match_index` is the last index on which both logs agree; without success it is an estimate of it, which
+    the leader tries next. `request_sent_ms` repeats `sent_ms` of the request: a time on the leader's clock.
     """
 
     success: bool = field(name="good")
-    match_index: Number = field(name="match")
-    sent_ms: float
+    match_index: TermOrIndex = field(name="match")
+    request_sent_ms: float = field(name="sent_ms")
 
 
 Message = (
@@ -161,8 +183,11 @@
 )
 
 
-def message_from(data: object) -> Message:
-    """A message of a decoded line; raises msgspec.ValidationError for anything else."""
+def message_from_object(data: object) -> Message:
+    """The message in a decoded line of JSON (dicts, lists, strings, numbers).
+
+    Raises msgspec.ValidationError for anything that is no valid message.
+    """
     message: Message = msgspec.convert(data, Message, strict=True)
     return message
 
@@ -171,7 +196,7 @@
 
 
 class Persist(Struct, frozen=True):
-    """Write the state to disk and sync it before any later action of the same list is carried out."""
+    """Write the state `saved` to disk and sync it before any later action of the same list is carried out."""
 
     saved: PersistentState
 
@@ -183,7 +208,12 @@
 
 
 class Committed(Struct, frozen=True):
-    """A log entry is committed: no other entry will ever have its index."""
+    """A log entry is committed: no other entry will ever have its index. The owner applies it.
+
+    Reported once for each entry, in the order of the log, from the end of the snapshot: after a restart the
+    entries since then are reported again. Where a snapshot of the leader replaces the log, only the latest
+    value of each kind that it changes is reported. `text` and `voters` are those of the entry.
+    """
 
     index: int
     term: int
@@ -192,4 +222,4 @@
     voters: tuple[str, ...]
 
 
-Action = Persist | Send | Committed
+Action = Persist | Send | Committed  # a list of them is carried out in its order
--- a/fawnwharf/consensus/voter.py
+++ b/fawnwharf/consensus/voter.py
@@ -6,25 +6,41 @@
 A voter does no I/O and reads no clock; its only randomness comes from the seed that it is given. Each call
 returns actions that its owner carries out in their order: a Persist must be on disk before a Send after it
 leaves. Times are milliseconds on the voter's own clock, which may run fast or slow against the others' by
-`Timing.clock_skew` and must not step back.
+`Timing.max_clock_drift_ratio` and must not step back.
 """
 
+from typing import NamedTuple
+
 import msgspec
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.committed_log import (
-    compacted,
     entry_at,
     has_uncommitted_voters,
-    snapshot_registers,
+    snapshot_values,
+    with_committed_in_snapshot,
 )
 from fawnwharf.consensus.voter_state import Role, VoterState
 
-SNAPSHOT_AFTER = 24  # committed entries that stay in the log for followers that lag, before it is compacted
+SNAPSHOT_AFTER_ENTRIES = 24  # committed entries in the log, for followers that lag, before it is compacted
+
+
+class Proposal(NamedTuple):
+    """What a proposal led to: the log index of its entry and the actions to carry out.
+
+    `log_index` is None where nothing was appended; there are no actions then.
+    """
+
+    log_index: int | None
+    actions: list[m.Action]
 
 
 def bootstrap_state(identity: str) -> m.PersistentState:
-    """The state that the first voter of a new group starts from: a voter list of itself alone."""
+    """The state that the first voter of a new group starts from: a voter list of itself alone.
+
+    For exactly one voter of a group: a second one would lead a group of its own. The others start from an
+    empty PersistentState, and wait until a leader adds them.
+    """
     return m.PersistentState(term=1, snapshot=m.Snapshot(index=1, term=1, voters=(identity,)))
 
 
@@ -39,14 +55,14 @@
             return []
         if self.is_leader:
             return self._tick_as_leader(now_ms)
-        if not self.is_voter:
+        if not self.is_in_voter_list:
             self._reset_election_timer(now_ms)
             return []
         return self._start_pre_vote(now_ms)
 
     def _tick_as_leader(self, now_ms: float) -> list[m.Action]:
         silent_ms = now_ms - self._quorum_contact_ms(now_ms, self.leader_since_ms)
-        if silent_ms > self.timing.quorum_timeout_ms:
+        if silent_ms > self.timing.step_down_timeout_ms:
             self._become_follower(now_ms, "")  # a voter that reaches a majority may lead instead
             return []
         return self._send_heartbeats(now_ms)
@@ -71,24 +87,34 @@
             case m.AppendEntriesResponse():
                 return self._on_append_response(now_ms, message)
 
-    def propose(self, now_ms: float, text: str, kind: str = "plan") -> tuple[int | None, list[m.Action]]:
-        """Appends a register entry; its index is None where this is not the leader or the log is full."""
-        if not self.is_leader or len(text) > m.MAX_DATA_LENGTH or self._log_is_full():
-            return None, []
+    def propose(self, now_ms: float, text: str, kind: str = "plan") -> Proposal:
+        """Appends an entry of a kind in LATEST_VALUE_KINDS, with its new text.
+
+        The index is None where this voter is not the leader, its log is full, or the text is over
+        MAX_TEXT_CHARACTERS. An index means that the entry is in the leader's log: it may still be lost until
+        a Committed action names the index and the term.
+        """
+        if not self.is_leader or len(text) > m.MAX_TEXT_CHARACTERS or self._log_is_full():
+            return Proposal(None, [])
         entry = m.Entry(self.saved.term, kind, text=text)
-        return self.saved.last_index + 1, self._append_entry(now_ms, entry)
+        index = self.saved.last_index + 1
+        return Proposal(index, self._append_entry(now_ms, entry))
+
+    def propose_voters(self, now_ms: float, voters: tuple[str, ...]) -> Proposal:
+        """Appends a complete voter list, which has one voter more or one fewer than the one in force.
 
-    def propose_voters(self, now_ms: float, voters: tuple[str, ...]) -> tuple[int | None, list[m.Action]]:
-        """Appends a voter list with one voter more or fewer; None where that is not allowed now.
+        The index is None where this voter is not the leader, its log is full, the list differs otherwise or
+        has over MAX_VOTERS, or the last change is not committed yet.
 
         Majorities of two lists that differ by one voter always overlap. That holds only between successive
         lists, so the last one must be committed, and an entry of the current term as well (the correction in
         the thesis).
         """
         if not self._may_change_voters(voters):
-            return None, []
+            return Proposal(None, [])
         entry = m.Entry(self.saved.term, "voters", voters=tuple(sorted(voters)))
-        return self.saved.last_index + 1, self._append_entry(now_ms, entry)
+        index = self.saved.last_index + 1
+        return Proposal(index, self._append_entry(now_ms, entry))
 
     def _may_change_voters(self, voters: tuple[str, ...]) -> bool:
         proposed = set(voters)
@@ -99,7 +125,7 @@
         return len(proposed) == len(voters) and len(proposed ^ set(self.saved.voters)) == 1
 
     def _log_is_full(self) -> bool:
-        return len(self.saved.entries) >= m.MAX_ENTRIES
+        return len(self.saved.entries) >= m.MAX_LEADER_ENTRIES
 
     # --- elections ------------------------------------------------------------------------------
 
@@ -207,7 +233,7 @@
         previous_term = saved.term_at(previous_index)
         if previous_term is None:
             return m.InstallSnapshotRequest(self.identity, to, saved.term, saved.snapshot, now_ms)
-        entries = saved.entries[previous_index - saved.snapshot.index :][: m.MAX_ENTRIES]
+        entries = saved.entries[previous_index - saved.snapshot.index :][: m.MAX_ENTRIES_PER_MESSAGE]
         return m.AppendEntriesRequest(
             self.identity, to, saved.term, previous_index, previous_term, entries, self.commit_index, now_ms
         )
@@ -218,7 +244,7 @@
         if not self.is_leader or message.term != self.saved.term or sender not in self.saved.voters:
             return actions
         contact_ms = self.acknowledged_ms.get(sender, self.leader_since_ms)
-        self.acknowledged_ms[sender] = max(contact_ms, min(message.sent_ms, now_ms))
+        self.acknowledged_ms[sender] = max(contact_ms, min(message.request_sent_ms, now_ms))
         last_index = self.saved.last_index
         if not message.success:  # an index on which both logs already agreed is kept
             self.probe_index[sender] = min(message.match_index, last_index)
@@ -241,7 +267,7 @@
         if index <= self.commit_index or self.saved.term_at(index) != self.saved.term:
             return []
         actions = self._commit_through(index)
-        if not self.is_voter and not has_uncommitted_voters(self.saved, self.commit_index):
+        if not self.is_in_voter_list and not has_uncommitted_voters(self.saved, self.commit_index):
             self._become_follower(now_ms, "")  # its own removal is committed
         return actions
 
@@ -328,9 +354,10 @@
         self.saved = msgspec.structs.replace(previous, snapshot=snapshot, entries=entries)
         self.commit_index = snapshot.index
         actions: list[m.Action] = [m.Persist(self.saved)]
-        known = {register.kind: register.index for register in snapshot_registers(previous.snapshot)}
-        changed = [item for item in snapshot_registers(snapshot) if item.index > known[item.kind]]
-        actions += [m.Committed(item.index, snapshot.term, item.kind, item.text, ()) for item in changed]
+        known = snapshot_values(previous.snapshot)
+        for kind, value in snapshot_values(snapshot).items():
+            if value.log_index > known[kind].log_index:
+                actions.append(m.Committed(value.log_index, snapshot.term, kind, value.text, ()))
         return actions
 
     def _commit_through(self, index: int) -> list[m.Action]:
@@ -339,7 +366,7 @@
             self.commit_index += 1
             entry = entry_at(self.saved, self.commit_index)
             actions.append(m.Committed(self.commit_index, entry.term, entry.kind, entry.text, entry.voters))
-        if self.commit_index - self.saved.snapshot.index > SNAPSHOT_AFTER:
-            self.saved = compacted(self.saved, self.commit_index)
+        if self.commit_index - self.saved.snapshot.index > SNAPSHOT_AFTER_ENTRIES:
+            self.saved = with_committed_in_snapshot(self.saved, self.commit_index)
             actions.append(m.Persist(self.saved))
         return actions
--- a/fawnwharf/consensus/voter_state.py
+++ b/fawnwharf/consensus/voter_state.py
@@ -9,10 +9,10 @@
 from typing import TypeVar
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.committed_log import last_committed
+from fawnwharf.consensus.committed_log import LatestValue, last_committed
 from fawnwharf.consensus.timing import Timing
 
-Value = TypeVar("Value", int, float)
+_Number = TypeVar("_Number", int, float)
 
 
 class Role(Enum):
@@ -25,12 +25,20 @@
 
 
 class VoterState:
-    """Owns the term, the vote, the log and the role of one member, and what it knows of the others."""
+    """The base of Voter, not used on its own: its state and what the owner reads of it.
+
+    Holds the term, the vote, the log and the role of one member, and what it knows of the others. `saved` is
+    the part that must survive a crash (PersistentState), the rest is lost in a restart.
+    """
 
     def __init__(
         self, identity: str, saved: m.PersistentState, timing: Timing, now_ms: float, seed: int
     ) -> None:
-        """Starts as a follower from the state found on disk; `seed` sets the election timeouts."""
+        """Starts as a follower from the state found on disk.
+
+        `now_ms` is on the voter's monotonic clock, as in all other methods. `seed` determines the random part
+        of the election timeouts and must differ between the voters of a group.
+        """
         self.identity = identity
         self.saved = saved
         self.timing = timing
@@ -56,22 +64,25 @@
         return self.role is Role.LEADER
 
     @property
-    def is_voter(self) -> bool:
-        """Whether the voter list in force contains this voter."""
+    def is_in_voter_list(self) -> bool:
+        """Whether the voter list in force (the last one in the log, committed or not) contains this voter.
+
+        False for a member that waits to be added, and for one that was removed.
+        """
         return self.identity in self.saved.voters
 
     @property
-    def plan(self) -> tuple[int, str]:
-        """Index and text of the last committed plan; (0, "") before the first."""
-        return self.last("plan")
+    def plan(self) -> LatestValue:
+        """The last committed zone plan and its log index; index 0 and "" before the first."""
+        return self.last_committed("plan")
 
     @property
-    def policy(self) -> tuple[int, str]:
-        """Index and text of the last committed policy; (0, "") before the first."""
-        return self.last("policy")
+    def policy(self) -> LatestValue:
+        """The last committed policy of the fleet and its log index; index 0 and "" before the first."""
+        return self.last_committed("policy")
 
-    def last(self, kind: str) -> tuple[int, str]:
-        """Index and text of the last committed entry of a register kind; (0, "") before the first."""
+    def last_committed(self, kind: str) -> LatestValue:
+        """The last committed value of a kind in LATEST_VALUE_KINDS; index 0 and "" before the first."""
         return last_committed(self.saved, self.commit_index, kind)
 
     def holds_read_lease(self, now_ms: float) -> bool:
@@ -91,7 +102,7 @@
     def _reset_election_timer(self, now_ms: float) -> None:
         """Randomized, so that the voters do not all start an election at once."""
         self.timeout_draws += 1
-        self.due_ms = now_ms + self.timing.randomized_timeout_ms(self.timeout_draws)
+        self.due_ms = now_ms + self.timing.randomized_election_timeout_ms(self.timeout_draws)
 
     def _become_follower(self, now_ms: float, leader: str) -> None:
         self.role = Role.FOLLOWER
@@ -112,7 +123,7 @@
     def _majority(self, voters: tuple[str, ...]) -> int:
         return len(voters) // 2 + 1
 
-    def _majority_value(self, value_of: Callable[[str], Value]) -> Value:
+    def _majority_value(self, value_of: Callable[[str], _Number]) -> _Number:
         """The largest value that a majority reaches, by the value of each voter."""
         voters = self.saved.voters
         return sorted(map(value_of, voters), reverse=True)[self._majority(voters) - 1]
--- a/fawnwharf/consensus/voter_store.py
+++ b/fawnwharf/consensus/voter_store.py
@@ -23,16 +23,28 @@
 from msgspec import Meta, Struct, field
 
 from fawnwharf.consensus.messages import PersistentState
-from fawnwharf.consensus.records import HEADER_BYTES, MAGIC, DiskError, encode_record, scan_records
+from fawnwharf.consensus.records import (
+    HEADER_BYTES,
+    RECORD_MAGIC,
+    DiskError,
+    Record,
+    encode_record,
+    scan_records,
+)
 from fawnwharf.file_writes import sync_folder, write_all
 
-VERSION = 1
-REWRITE_BYTES = 1024 * 1024
-CLOSED = -1  # file descriptor of no open file
+VERSION = 1  # of the first record, the identity; the others have no version
+REWRITE_ABOVE_BYTES = 1024 * 1024  # size above which the next save writes a new file
+_CLOSED_DESCRIPTOR = -1  # file descriptor of no open file
 
 
 class DiskIdentity(Struct, frozen=True):
-    """Whose disk it is. `disk_id` tells this disk from an earlier one of the same member."""
+    """Which member of which fleet a folder belongs to; the first record of its file.
+
+    `fleet` and `name` are the names of the fleet and of the member in the membership document. `disk_id` is
+    drawn at random when the folder is created: it tells this disk from an earlier one of the same member,
+    which may have voted differently.
+    """
 
     version: int
     fleet: str
@@ -41,17 +53,25 @@
 
     @property
     def voter_identity(self) -> str:
-        """The name of the voter whose state is on this disk."""
+        """How voter lists name the voter whose state is on this disk: member and disk, as in `a#0f3c9b21`."""
         return f"{self.name}#{self.disk_id}"
 
 
 class VoterStore:
-    """Owns a member's folder until it is closed; `saved` is the state that was last written."""
+    """Owns a member's folder until it is closed.
+
+    `saved` is the state on disk: read when the folder is opened, then the last one written. `identity` is
+    whose disk it is, and `is_new` whether the folder held no identity before. `record_number` is the number
+    of the last record with a state, 0 before the first.
+    """
 
     def __init__(
-        self, folder: str | Path, fleet: str, name: str, draw: Callable[[], str] | None = None
+        self, folder: str | Path, fleet: str, name: str, draw_disk_id: Callable[[], str] | None = None
     ) -> None:
-        """Locks the folder and reads its state; `draw` returns the identifier of a new disk.
+        """Creates the folder if missing, locks it against other processes and reads its state.
+
+        `fleet` and `name` must be those of the identity on disk. `draw_disk_id` returns the disk identifier
+        of a new folder, 8 to 32 hexadecimal digits; by default they are random.
 
         Raises DiskError where the folder can't be used, and has changed no whole record then.
         """
@@ -60,11 +80,12 @@
         self.is_new = False
         self.saved = PersistentState()
         self.record_number = 0
-        self._file = CLOSED  # the log that is appended to; while closed, the next save writes a new one
+        # The log that is appended to; while it is closed, the next save writes a new one.
+        self._file = _CLOSED_DESCRIPTOR
         self._size = 0
         self._lock = self._acquire_lock()
         try:
-            self._open(fleet, name, draw or _random_disk_id)
+            self._open(fleet, name, draw_disk_id or _random_disk_id)
         except OSError as error:
             self.close()
             raise self._error(error.strerror or "not usable") from None
@@ -88,11 +109,11 @@
             raise DiskError(f"{self.folder}: in use by a live process") from None
         return lock
 
-    def _open(self, fleet: str, name: str, draw: Callable[[], str]) -> None:
+    def _open(self, fleet: str, name: str, draw_disk_id: Callable[[], str]) -> None:
         data = self.path.read_bytes() if self.path.exists() else b""
         self.is_new = _is_unfinished(data)
         if self.is_new:
-            self.identity = DiskIdentity(VERSION, fleet, name, draw())
+            self.identity = DiskIdentity(VERSION, fleet, name, draw_disk_id())
             self._rewrite(encode_record(0, self.identity))
         else:
             self._restore(data, fleet, name)
@@ -109,13 +130,13 @@
         if any(following <= number for number, following in pairwise(numbers)):
             raise self._error("records out of order")
         self.record_number = numbers[-1] if numbers else 0
-        self._sync_last_record(data[:end], HEADER_BYTES + len(found[-1][1]), is_cut=end < len(data))
+        self._sync_last_record(data[:end], HEADER_BYTES + len(found[-1].content), is_cut=end < len(data))
 
-    def _decode(self, found: list[tuple[int, bytes]]) -> None:
+    def _decode(self, found: list[Record]) -> None:
         try:
-            self.identity = msgspec.json.decode(found[0][1], type=DiskIdentity)
+            self.identity = msgspec.json.decode(found[0].content, type=DiskIdentity)
             if len(found) > 1:
-                self.saved = msgspec.json.decode(found[-1][1], type=PersistentState)
+                self.saved = msgspec.json.decode(found[-1].content, type=PersistentState)
         except msgspec.DecodeError as error:
             raise self._error(f"not a voter's records: {error}") from None
 
@@ -143,10 +164,13 @@
         sync_folder(self.folder)
 
     def save(self, saved: PersistentState) -> None:
-        """Writes and syncs a state; raises DiskError, and then nothing may depend on that state."""
+        """Writes a state and returns when it is durable.
+
+        Raises DiskError where that fails; then nothing may depend on the state.
+        """
         record = encode_record(self.record_number + 1, saved)
         try:
-            if self._file != CLOSED and self._size + len(record) <= REWRITE_BYTES:
+            if self._file != _CLOSED_DESCRIPTOR and self._size + len(record) <= REWRITE_ABOVE_BYTES:
                 self._append(record)
             else:
                 self._rewrite(encode_record(0, self.identity) + record)
@@ -178,8 +202,8 @@
 
     def _close_file(self) -> None:
         file = self._file
-        self._file = CLOSED
-        if file != CLOSED:
+        self._file = _CLOSED_DESCRIPTOR
+        if file != _CLOSED_DESCRIPTOR:
             with contextlib.suppress(OSError):  # everything that counts was synced
                 os.close(file)
 
@@ -198,8 +222,8 @@
 
     Whole records after that mean damage instead.
     """
-    if not MAGIC.startswith(data[: len(MAGIC)]):
+    if not RECORD_MAGIC.startswith(data[: len(RECORD_MAGIC)]):
         return False
-    length = int.from_bytes(data[len(MAGIC) : len(MAGIC) + 4], "big")
+    length = int.from_bytes(data[len(RECORD_MAGIC) : len(RECORD_MAGIC) + 4], "big")
     is_short = len(data) < HEADER_BYTES or len(data) < HEADER_BYTES + length
-    return is_short and not scan_records(data)[2]
+    return is_short and not scan_records(data).has_later_records
--- a/fawnwharf/durable_store/crash_simulation.py
+++ b/fawnwharf/durable_store/crash_simulation.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterator, Sequence
 from random import Random
 
-from fawnwharf.consensus.records import records_after
+from fawnwharf.consensus.records import search_records
 from fawnwharf.durable_store.folder_reader import UnreadableFolderError, rollback_reason
 from fawnwharf.durable_store.mutants import MUTANTS, UNCHANGED, Mutant
 from fawnwharf.durable_store.simulated_folder import ITERATIONS, InvariantViolationError, SimulatedFolder
@@ -158,7 +158,7 @@
     folder.check_written(found)
     if found.position.number >= folder.floor:
         return "flipped: nothing told of was in it"
-    floors = [folder.floor_when_written.get(number, 0) for number, _ in records_after(data, bit // 8)]
+    floors = [folder.floor_when_written.get(number, 0) for number, _ in search_records(data, bit // 8)]
     if any(floor > found.position.number for floor in floors):
         raise InvariantViolationError(
             f"a flipped bit is accepted, and a later group was written when {max(floors)} was reported"
--- a/fawnwharf/durable_store/folder_reader.py
+++ b/fawnwharf/durable_store/folder_reader.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.consensus.records import leading_records, records_after
+from fawnwharf.consensus.records import leading_records, search_records
 from fawnwharf.durable_store import file_format
 
 FileContent = tuple[bytes, int]  # content and inode of a file
@@ -190,7 +190,7 @@
 
     It is damaged if a later record says that more than group `number` was already synced.
     """
-    for _, content in records_after(data, end):
+    for _, content in search_records(data, end):
         try:
             synced = msgspec.json.decode(content, type=file_format.CommitGroup).synced
         except msgspec.DecodeError:
--- a/fawnwharf/durable_store/mutants.py
+++ b/fawnwharf/durable_store/mutants.py
@@ -99,7 +99,7 @@
 @contextlib.contextmanager
 def _checksum_of_number() -> Iterator[None]:
     """Compute the checksum from the record's number alone."""
-    with mock.patch.object(records, "checksum", lambda number, _data: number * 2_654_435_761 % 2**32):
+    with mock.patch.object(records, "record_checksum", lambda number, _data: number * 2_654_435_761 % 2**32):
         yield
 
 
--- a/fawnwharf/recovery_service/messages.py
+++ b/fawnwharf/recovery_service/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.messages import MAX_DATA_LENGTH
+from fawnwharf.consensus.messages import MAX_TEXT_CHARACTERS
 from fawnwharf.durable_store.folder_reader import FolderPosition
 from fawnwharf.recovery_core.queries import Answer, Number, Query
 from fawnwharf.zones.settings import Name
@@ -66,7 +66,7 @@
     life: Number
     term: Number
     at_ms: Annotated[float, Meta(ge=0.0, lt=2.0**53)]
-    register: Annotated[str, Meta(max_length=MAX_DATA_LENGTH)]
+    register: Annotated[str, Meta(max_length=MAX_TEXT_CHARACTERS)]
 
 
 RecoveryMessage = Query | Answer | BootReport | KnownSignature | StatusReport | PhaseAnnouncement
--- a/fawnwharf/recovery_service/service.py
+++ b/fawnwharf/recovery_service/service.py
@@ -10,7 +10,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment, Fleet
-from fawnwharf.consensus.committed_log import last_appended
+from fawnwharf.consensus.committed_log import last_including_uncommitted
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.recovery_core.phases import LogEvent, ProposeRegister, RecoveryPhase
@@ -178,7 +178,7 @@
 
     def _own(self) -> LocalStatus:
         now, keeper, voter = monotonic_ms(), self.state.core.replica, self.zones.core.voter
-        number, text = last_appended(voter.saved, "plan") if voter is not None else (0, "")
+        number, text = last_including_uncommitted(voter.saved, "plan") if voter is not None else (0, "")
         seen = self.zones.evidence_collector.evidence(now)
         rostered = self._rostered or (
             self.front is not None and self.front.change_log.told_all_ms is not None
--- a/fawnwharf/testbed/explore.py
+++ b/fawnwharf/testbed/explore.py
@@ -16,7 +16,7 @@
 from fawnwharf.consensus.voter_state import Role
 from fawnwharf.testbed.breadth_first import Found, search
 
-TIMING = Timing(heartbeat_ms=1.0, election_timeout_ms=1.0, clock_skew=0.0)
+TIMING = Timing(heartbeat_ms=1.0, election_timeout_ms=1.0, max_clock_drift_ratio=0.0)
 PAST_MS, NOW_MS = -1e9, 0.0
 
 
@@ -152,7 +152,7 @@
 
     def _impatient(self, voter: Voter) -> list[m.Action]:
         voter.leader_contact_ms = PAST_MS
-        if self.bounds.pre_votes or not voter.is_voter:
+        if self.bounds.pre_votes or not voter.is_in_voter_list:
             return voter.tick(NOW_MS)
         return voter._start_election(NOW_MS)
 
--- a/fawnwharf/testbed/walk.py
+++ b/fawnwharf/testbed/walk.py
@@ -15,7 +15,7 @@
 from fawnwharf.consensus.voter import Voter, bootstrap_state
 from fawnwharf.testbed.explore import replace_voters
 
-TIMING = Timing(heartbeat_ms=100.0, election_timeout_ms=500.0, clock_skew=0.1)
+TIMING = Timing(heartbeat_ms=100.0, election_timeout_ms=500.0, max_clock_drift_ratio=0.1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
         voters = tuple(names[:size])
         self.members: dict[str, _Member] = {}
         for name in names:
-            rate = 1 + self.chance.uniform(-TIMING.clock_skew, TIMING.clock_skew)
+            rate = 1 + self.chance.uniform(-TIMING.max_clock_drift_ratio, TIMING.max_clock_drift_ratio)
             disk = (
                 replace_voters(bootstrap_state(voters[0]), voters) if name in voters else m.PersistentState()
             )
--- a/fawnwharf/zones/log_lines.py
+++ b/fawnwharf/zones/log_lines.py
@@ -14,7 +14,7 @@
 from fawnwharf.zones import settings as s
 from fawnwharf.zones.report import Report
 
-MAX_TEXT = m.MAX_DATA_LENGTH
+MAX_TEXT = m.MAX_TEXT_CHARACTERS
 MAX_MESSAGES = 1_024  # in one line
 
 # The log clients; they are also the kinds of their registers in the consensus log.
--- a/fawnwharf/zones/voter_role.py
+++ b/fawnwharf/zones/voter_role.py
@@ -50,7 +50,7 @@
 def voter_message_of(line: LogLine) -> m.Message:
     """The line's message of the consensus protocol; raises LogLineError for a malformed or forged one."""
     try:
-        message = m.message_from(line.voter_message)
+        message = m.message_from_object(line.voter_message)
     except msgspec.ValidationError as error:
         raise LogLineError(f"malformed voter message: {error}") from None
     if member_of(message.sender) != line.sender:
@@ -117,8 +117,8 @@
             term=voter.saved.term,
             fresh=voter.holds_read_lease(now_ms),
             settled=self._is_settled(),
-            policy=voter.last(POLICY)[1],
-            recovery=voter.last(RECOVERY)[1],
+            policy=voter.last_committed(POLICY)[1],
+            recovery=voter.last_committed(RECOVERY)[1],
             voters=voter.saved.voters,
         )
 
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -79,7 +79,7 @@
 
 
 BOUNDARIES: dict[str, Boundary] = {
-    "consensus/message": line(consensus.Message, consensus.message_from),
+    "consensus/message": line(consensus.Message, consensus.message_from_object),
     "consensus/label": file(voter_disk.DiskIdentity),
     "consensus/saved": file(consensus.PersistentState),
     "storage/head": file(file_format.FileHeader),
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -302,7 +302,11 @@
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
     ]  # fmt: skip
     assert {module.VERSION for module in versions} == {1}
-    assert (records.MAGIC, beliefs.MAGIC, durable_folder.LOCK_FILE) == (b"fwv1", b"fwmem\x01", "durable.lock")
+    assert (records.RECORD_MAGIC, beliefs.MAGIC, durable_folder.LOCK_FILE) == (
+        b"fwv1",
+        b"fwmem\x01",
+        "durable.lock",
+    )
     assert (file_format.snapshot_name(3), file_format.log_name(4), file_format.TEMPORARY_SUFFIX) == (
         "snap-3.snap",
         "log-4.seg",
--- a/tests/consensus/test_consensus_disk_faults.py
+++ b/tests/consensus/test_consensus_disk_faults.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture(autouse=True)
 def _small_files(monkeypatch):
-    monkeypatch.setattr(voter_store, "REWRITE_BYTES", REWRITE_BYTES)
+    monkeypatch.setattr(voter_store, "REWRITE_ABOVE_BYTES", REWRITE_BYTES)
 
 
 def saved(term):
--- a/tests/consensus/test_consensus_voter.py
+++ b/tests/consensus/test_consensus_voter.py
@@ -6,13 +6,13 @@
 import pytest
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.consensus.committed_log import REGISTER_KINDS
+from fawnwharf.consensus.committed_log import LATEST_VALUE_KINDS
 from fawnwharf.consensus.timing import Timing
-from fawnwharf.consensus.voter import SNAPSHOT_AFTER, Voter, bootstrap_state
+from fawnwharf.consensus.voter import SNAPSHOT_AFTER_ENTRIES, Voter, bootstrap_state
 from fawnwharf.consensus.voter_state import Role
 from fawnwharf.testbed.explore import replace_voters
 
-TIMING = Timing(heartbeat_ms=100.0, election_timeout_ms=500.0, clock_skew=0.1)
+TIMING = Timing(heartbeat_ms=100.0, election_timeout_ms=500.0, max_clock_drift_ratio=0.1)
 
 
 class Group:
@@ -184,14 +184,14 @@
     group = Group("a", "b", "c")
     group.elect("a")
     group.partitioned = {"c"}
-    for n in range(2 * SNAPSHOT_AFTER):
+    for n in range(2 * SNAPSHOT_AFTER_ENTRIES):
         group.propose("a", f"plan {n}")
-    assert len(group.disks["a"].entries) <= SNAPSHOT_AFTER + 2
+    assert len(group.disks["a"].entries) <= SNAPSHOT_AFTER_ENTRIES + 2
     group.partitioned = set()
     group.heartbeat("a")
     group.heartbeat("a")
     assert group["c"].plan == group["a"].plan
-    assert group.committed["c"][-1][2] == f"plan {2 * SNAPSHOT_AFTER - 1}"
+    assert group.committed["c"][-1][2] == f"plan {2 * SNAPSHOT_AFTER_ENTRIES - 1}"
     group.restart("c")
     assert group["c"].plan[1]
 
@@ -209,7 +209,7 @@
         group.now += 10.0
         group.carry_out("a", leader.tick(group.now))
         group.deliver_all()
-    assert [leader.last(kind)[1] for kind in REGISTER_KINDS] == ["n39", "p2", "r2"]
+    assert [leader.last_committed(kind)[1] for kind in LATEST_VALUE_KINDS] == ["n39", "p2", "r2"]
     snapshot = leader.saved.snapshot
     assert (snapshot.policy, snapshot.recovery) == ("p2", "r2")  # compacted by now
     assert snapshot.index > snapshot.recovery_index > snapshot.policy_index == leader.policy[0]
@@ -218,15 +218,15 @@
         group.now += 110.0
         group.carry_out("a", leader.tick(group.now))
         group.deliver_all()
-    last = [leader.last(kind) for kind in REGISTER_KINDS]
-    assert [group["c"].last(kind) for kind in REGISTER_KINDS] == last
+    last = [leader.last_committed(kind) for kind in LATEST_VALUE_KINDS]
+    assert [group["c"].last_committed(kind) for kind in LATEST_VALUE_KINDS] == last
     received = [entry for entry in group.committed["c"] if entry[1] in ("policy", "recovery")]
     assert received == [
         (last[1][0], "policy", "p2"),
         (last[2][0], "recovery", "r2"),
     ]  # of the snapshot, once each
     group.restart("c")
-    assert [group["c"].last(kind) for kind in REGISTER_KINDS[1:]] == last[1:]
+    assert [group["c"].last_committed(kind) for kind in LATEST_VALUE_KINDS[1:]] == last[1:]
 
 
 def test_state_saved_before_the_recovery_register_existed_is_read():
@@ -239,10 +239,10 @@
         "entries": [{"term": 2, "kind": "policy", "plan": "y"}],
     }
     voter = Voter("a", msgspec.convert(saved, m.PersistentState), Timing(), 0.0, 1)
-    assert (voter.last("recovery"), voter.policy) == ((0, ""), (7, "x"))
+    assert (voter.last_committed("recovery"), voter.policy) == ((0, ""), (7, "x"))
     voter.tick(voter.due_ms)
     voter.propose(voter.due_ms, "r", "recovery")
-    assert (voter.last("recovery")[1], voter.policy) == ("r", (10, "y"))
+    assert (voter.last_committed("recovery")[1], voter.policy) == ("r", (10, "y"))
 
 
 def test_voters_join_a_bootstrapped_voter_one_by_one():
@@ -315,7 +315,7 @@
 )
 def test_invalid_messages_are_rejected(data):
     with pytest.raises(msgspec.ValidationError):
-        m.message_from(data)
+        m.message_from_object(data)
 
 
 def test_messages_are_decoded_as_they_were_encoded():
@@ -330,12 +330,12 @@
         m.AppendEntriesResponse("a", "b", 3, False, 4, 12.5),
     ]
     for message in said:
-        assert m.message_from(msgspec.json.decode(msgspec.json.encode(message))) == message
+        assert m.message_from_object(msgspec.json.decode(msgspec.json.encode(message))) == message
 
 
 def test_a_lease_ends_before_any_voter_may_vote_for_another_leader():
     for skew in (0.0, 0.1, 0.3):
-        timing = Timing(election_timeout_ms=1000.0, clock_skew=skew)
+        timing = Timing(election_timeout_ms=1000.0, max_clock_drift_ratio=skew)
         leader_true = timing.lease_ms / (1 - skew)  # its clock runs slow
         voter_true = timing.election_timeout_ms / (1 + skew)  # theirs run fast
         assert leader_true <= voter_true or math.isclose(leader_true, voter_true)
--- a/tests/consensus/test_consensus_voter_store.py
+++ b/tests/consensus/test_consensus_voter_store.py
@@ -88,7 +88,7 @@
 
 
 def test_a_file_that_has_grown_is_rewritten_with_its_last_state(tmp_path, monkeypatch):
-    monkeypatch.setattr(voter_store, "REWRITE_BYTES", 2_000)
+    monkeypatch.setattr(voter_store, "REWRITE_ABOVE_BYTES", 2_000)
     disk = VoterStore(tmp_path, "fleet", "a")
     for term in range(1, 60):
         disk.save(saved(term))
