--- a/fawnwharf/admin/admin_listener.py
+++ b/fawnwharf/admin/admin_listener.py
@@ -13,11 +13,12 @@
 
 BACKLOG = 64
 MAX_READ_BYTES = 4 * 1024
-MAX_ACCEPTS = 16  # in one event loop iteration
-ACCEPT_PAUSE_MS = 50.0  # where the system has no descriptor or memory left
-MAX_CONNECTIONS = 16  # a few operators at a time, and some that send nothing
-MIN_CONNECTIONS = 4
-DESCRIPTORS_PER_CONNECTION = 32
+MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop
+ACCEPT_RETRY_MS = 50.0  # after an accept failed, as where the system has no descriptor or memory left
+# The limit of connections is one for each 32 descriptors that the process may use, between these bounds.
+PROCESS_DESCRIPTORS_PER_CONNECTION = 32
+MAX_CONNECTION_LIMIT = 16  # a few operators at a time, and some that send nothing
+MIN_CONNECTION_LIMIT = 4
 REQUEST_TIMEOUT_MS = 5_000.0  # until a request is complete
 
 
@@ -32,19 +33,19 @@
         self.connection = Connection.accepted(listener.loop, sock, self, MAX_READ_BYTES, first=True)
 
     @property
-    def answered(self) -> bool:
-        """Whether its response has been written."""
+    def is_response_written(self) -> bool:
+        """Whether its response was given to the connection, which may still be sending it."""
         return self._reader.result is not None
 
     def on_up(self) -> None:
-        """Nothing follows: the connection was accepted."""
+        """Called by Connection once it is established; nothing follows, as it was accepted."""
 
     def on_flushed(self) -> None:
         """Nothing follows: there is one response."""
 
     def on_data(self, data: bytes) -> None:
         """Takes bytes, and answers the request once it is complete."""
-        if self.answered:
+        if self.is_response_written:
             return
         found = self._reader.feed(data)
         if isinstance(found, AdminRequest):
@@ -81,23 +82,30 @@
     """Owns the listener for operators and their connections, a small part of the descriptors."""
 
     def __init__(
-        self, loop: EventLoop, address: Address, sockets: int, handle: Callable[[AdminRequest], AdminResponse]
+        self,
+        loop: EventLoop,
+        address: Address,
+        max_descriptors: int,
+        handle: Callable[[AdminRequest], AdminResponse],
     ) -> None:
-        """Listens on an address; `sockets` is the number of descriptors that the process may use.
+        """Listens on an address; `max_descriptors` is the number that the process may use.
 
         Raises OSError where the address can't be listened on.
         """
         self.loop = loop
         self.handle = handle
         self.connections: dict[AdminConnection, None] = {}  # in the order of their accepts
-        self._limit = max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, sockets // DESCRIPTORS_PER_CONNECTION))
+        self._limit = max(
+            MIN_CONNECTION_LIMIT,
+            min(MAX_CONNECTION_LIMIT, max_descriptors // PROCESS_DESCRIPTORS_PER_CONNECTION),
+        )
         self._listener = listen_when_free(lambda: _listening(address))
         self.address: Address = self._listener.getsockname()[:2]
         self._pause: Timer | None = None
         loop.watch(self._listener, READ, self._accept, first=True)
 
     def _accept(self, _mask: int) -> None:
-        for _ in range(MAX_ACCEPTS):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
@@ -113,7 +121,7 @@
         """Leaves connections in the system's queue for a moment, instead of a busy loop."""
         if self._pause is None:
             self.loop.unwatch(self._listener)
-            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self._resume_accepting)
+            self._pause = self.loop.timers.after(ACCEPT_RETRY_MS, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
         self._pause = None
@@ -122,13 +130,18 @@
 
     def _evict_one(self) -> None:
         """Makes place for operators that ask: an answered connection goes first, else the oldest one."""
-        evicted = min(self.connections, key=lambda each: (not each.answered, each.accepted_ms))
+        evicted = min(self.connections, key=lambda each: (not each.is_response_written, each.accepted_ms))
         evicted.connection.close(EndReason.IDLE)
 
-    def tidy(self) -> None:
-        """Ends connections whose request did not become complete in time."""
+    def close_overdue(self) -> None:
+        """Answers and ends connections whose request is not complete REQUEST_TIMEOUT_MS after the accept.
+
+        The owner calls this at intervals.
+        """
         oldest_ms = monotonic_ms() - REQUEST_TIMEOUT_MS
-        expired = [each for each in self.connections if each.accepted_ms < oldest_ms and not each.answered]
+        expired = [
+            each for each in self.connections if each.accepted_ms < oldest_ms and not each.is_response_written
+        ]
         for connection in expired:
             connection.answer(AdminResponse(408, "the call did not come in whole"))
 
--- a/fawnwharf/admin/command_handler.py
+++ b/fawnwharf/admin/command_handler.py
@@ -2,109 +2,130 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from fawnwharf.admin.http import MAX_TARGET_LENGTH, AdminRequest, AdminResponse
+from fawnwharf.admin.http import MAX_SCORER_ID_CHARACTERS, AdminRequest, AdminResponse
 
 
 @dataclass(slots=True, frozen=True)
 class EnterMaintenance:
-    """No new request may be sent to this scorer, whatever the change log reports."""
+    """No new request may be sent to the scorer (a backend) of this id, whatever the change log reports.
+
+    The id is the one that the roster gives the scorer, as in `s-1`.
+    """
 
     scorer_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class ExitMaintenance:
-    """This scorer may serve again, beginning with a slow start."""
+    """The scorer of this id may serve again, beginning with a slow start."""
 
     scorer_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class EnterStandby:
-    """This front end drains its client connections."""
+    """This whole front end fails its readiness checks and drains its client connections; it keeps running."""
 
 
 @dataclass(slots=True, frozen=True)
 class ExitStandby:
-    """This front end serves again."""
+    """This front end serves again; operators send this command as `/active`."""
+
+
+CommandEffect = EnterMaintenance | ExitMaintenance | EnterStandby | ExitStandby
 
 
-Effect = EnterMaintenance | ExitMaintenance | EnterStandby | ExitStandby
-Result = tuple[AdminResponse, Effect | None]
+class CommandResult(NamedTuple):
+    """The response to a command, and what its caller is to carry out: None where nothing changes.
+
+    The handler has recorded the effect in its own attributes already.
+    """
+
+    response: AdminResponse
+    effect: CommandEffect | None = None
 
 
 @dataclass(slots=True)
 class CommandHandler:
-    """Decides the response to each command and its effect, which the caller carries out."""
+    """Decides the response to each command and its effect, which the caller carries out.
+
+    `scorers_in_maintenance` (ids) and `is_on_standby` record the commands. Only `handle` changes them, and a
+    start that inherits them from its predecessor. The caller sets `is_serving` and `is_shutting_down` before
+    each command: whether the front end has started and nothing keeps it from being ready, and whether it was
+    told to end. Its status is ready while it is serving, not on standby and not shutting down.
+    """
 
-    is_known: Callable[[str], bool]  # whether the roster has a scorer of this id
-    in_maintenance: set[str] = field(default_factory=set)
-    standby: bool = False
-    serving: bool = False  # it has started and can answer requests
-    shutting_down: bool = False
+    is_known_scorer: Callable[[str], bool]  # whether the roster has a scorer of this id
+    scorers_in_maintenance: set[str] = field(default_factory=set)
+    is_on_standby: bool = False
+    is_serving: bool = False
+    is_shutting_down: bool = False
 
-    def handle(self, request: AdminRequest) -> Result:
+    def handle(self, request: AdminRequest) -> CommandResult:
         """The response to a command, and the effect that it is to have."""
         route = ROUTES.get(request.path)
         if route is None:
-            return AdminResponse(404, "no such call"), None
+            return CommandResult(AdminResponse(404, "no such call"))
         method, handle = route
         if request.method != method:
-            return AdminResponse(405, f"this is called with {method}"), None
+            return CommandResult(AdminResponse(405, f"this is called with {method}"))
         return handle(self, request)
 
-    def _status(self, _request: AdminRequest) -> Result:
-        if self.serving and not self.standby and not self.shutting_down:
-            return AdminResponse(200, "ready"), None
-        state = "leaving" if self.shutting_down else "on standby" if self.standby else "starting"
-        return AdminResponse(503, f"not ready: {state}"), None
+    def _status(self, _request: AdminRequest) -> CommandResult:
+        if self.is_serving and not self.is_on_standby and not self.is_shutting_down:
+            return CommandResult(AdminResponse(200, "ready"))
+        state = "leaving" if self.is_shutting_down else "on standby" if self.is_on_standby else "starting"
+        return CommandResult(AdminResponse(503, f"not ready: {state}"))
 
-    def _enter_maintenance(self, request: AdminRequest) -> Result:
+    def _enter_maintenance(self, request: AdminRequest) -> CommandResult:
         scorer_id = _target(request)
         if isinstance(scorer_id, AdminResponse):
-            return scorer_id, None
-        if scorer_id in self.in_maintenance:
-            return AdminResponse(200, f"{scorer_id} is out already"), None
-        if not self.is_known(scorer_id):
-            return AdminResponse(404, f"no scorer {scorer_id}"), None
-        self.in_maintenance.add(scorer_id)
-        return AdminResponse(200, f"{scorer_id} is out"), EnterMaintenance(scorer_id)
-
-    def _exit_maintenance(self, request: AdminRequest) -> Result:
+            return CommandResult(scorer_id)
+        if scorer_id in self.scorers_in_maintenance:
+            return CommandResult(AdminResponse(200, f"{scorer_id} is out already"))
+        if not self.is_known_scorer(scorer_id):
+            return CommandResult(AdminResponse(404, f"no scorer {scorer_id}"))
+        self.scorers_in_maintenance.add(scorer_id)
+        return CommandResult(AdminResponse(200, f"{scorer_id} is out"), EnterMaintenance(scorer_id))
+
+    def _exit_maintenance(self, request: AdminRequest) -> CommandResult:
         scorer_id = _target(request)
         if isinstance(scorer_id, AdminResponse):
-            return scorer_id, None
-        if scorer_id in self.in_maintenance:
-            self.in_maintenance.discard(scorer_id)
-            return AdminResponse(200, f"{scorer_id} may serve again"), ExitMaintenance(scorer_id)
-        if not self.is_known(scorer_id):
-            return AdminResponse(404, f"no scorer {scorer_id}"), None
-        return AdminResponse(200, f"{scorer_id} was not out"), None
-
-    def _enter_standby(self, _request: AdminRequest) -> Result:
-        if self.shutting_down:
-            return AdminResponse(409, "it is leaving"), None
-        effect = None if self.standby else EnterStandby()
-        self.standby = True
-        return AdminResponse(200, "draining"), effect
-
-    def _exit_standby(self, _request: AdminRequest) -> Result:
-        if self.shutting_down:
-            return AdminResponse(409, "it is leaving"), None
-        effect = ExitStandby() if self.standby else None
-        self.standby = False
-        return AdminResponse(200, "back to work"), effect
+            return CommandResult(scorer_id)
+        if scorer_id in self.scorers_in_maintenance:
+            self.scorers_in_maintenance.discard(scorer_id)
+            return CommandResult(
+                AdminResponse(200, f"{scorer_id} may serve again"), ExitMaintenance(scorer_id)
+            )
+        if not self.is_known_scorer(scorer_id):
+            return CommandResult(AdminResponse(404, f"no scorer {scorer_id}"))
+        return CommandResult(AdminResponse(200, f"{scorer_id} was not out"))
+
+    def _enter_standby(self, _request: AdminRequest) -> CommandResult:
+        if self.is_shutting_down:
+            return CommandResult(AdminResponse(409, "it is leaving"))
+        effect = None if self.is_on_standby else EnterStandby()
+        self.is_on_standby = True
+        return CommandResult(AdminResponse(200, "draining"), effect)
+
+    def _exit_standby(self, _request: AdminRequest) -> CommandResult:
+        if self.is_shutting_down:
+            return CommandResult(AdminResponse(409, "it is leaving"))
+        effect = ExitStandby() if self.is_on_standby else None
+        self.is_on_standby = False
+        return CommandResult(AdminResponse(200, "back to work"), effect)
 
 
 def _target(request: AdminRequest) -> str | AdminResponse:
     targets = [value for name, value in request.query if name == "target"]
-    if len(targets) != 1 or not 0 < len(targets[0]) <= MAX_TARGET_LENGTH:
+    if len(targets) != 1 or not 0 < len(targets[0]) <= MAX_SCORER_ID_CHARACTERS:
         return AdminResponse(400, "one target is wanted: ?target=ID")
     return targets[0]
 
 
-ROUTES: dict[str, tuple[str, Callable[[CommandHandler, AdminRequest], Result]]] = {
+ROUTES: dict[str, tuple[str, Callable[[CommandHandler, AdminRequest], CommandResult]]] = {
     "/status": ("GET", CommandHandler._status),
     "/maintenance/enter": ("POST", CommandHandler._enter_maintenance),
     "/maintenance/exit": ("POST", CommandHandler._exit_maintenance),
--- a/fawnwharf/admin/draining.py
+++ b/fawnwharf/admin/draining.py
@@ -7,10 +7,10 @@
 
 # The load balancer checks readiness every 100 ms, and sends new connections for 200 ms after the first failed
 # check.
-CLOSE_IDLE_AFTER_MS = 400.0
+CLOSE_IDLE_FROM_MS = 400.0  # after the command: idle client connections end
 # Four seconds after the command no connection may be idle or carry a request of the last two seconds: what is
 # accepted by now has ended or is older by then.
-REJECT_AFTER_MS = 1_200.0
+REJECT_FROM_MS = 1_200.0  # after the command: new requests on the remaining connections are rejected
 TICK_INTERVAL_MS = 20.0  # between checks for connections that have become idle
 
 
@@ -19,13 +19,13 @@
 
     ACCEPTING = 0  # everything is served, until the load balancer notices
     CLOSING_IDLE = 1  # a connection ends as soon as no request is open on it
-    REJECTING = 2  # and requests on the other connections are rejected at once
+    REJECTING_REQUESTS = 2  # and requests on the other connections are rejected at once
 
 
 def drain_step(elapsed_ms: float) -> DrainStep:
-    """The step of a drain so long after its command."""
-    if elapsed_ms >= REJECT_AFTER_MS:
-        return DrainStep.REJECTING
-    if elapsed_ms >= CLOSE_IDLE_AFTER_MS:
+    """The step of a drain `elapsed_ms` after its command."""
+    if elapsed_ms >= REJECT_FROM_MS:
+        return DrainStep.REJECTING_REQUESTS
+    if elapsed_ms >= CLOSE_IDLE_FROM_MS:
         return DrainStep.CLOSING_IDLE
     return DrainStep.ACCEPTING
--- a/fawnwharf/admin/exclusive_extensions.py
+++ b/fawnwharf/admin/exclusive_extensions.py
@@ -13,11 +13,12 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-POLL_INTERVAL_MS = 5.0
-# Open requests end by themselves. The new process must be ready within 6 s: a request that takes longer than
-# this goes on here, and its claim then reads as one that may have run.
-DRAIN_TIMEOUT_MS = 3_500.0
-REACQUIRE_TIMEOUT_MS = 10_000.0
+CHECK_INTERVAL_MS = 5.0  # between checks for open requests, and between attempts to reacquire
+# Longest wait for open requests before the release, which then happens all the same. They end by themselves.
+# The new process must be ready within 6 s: a request that takes longer than this goes on here, and its claim
+# then reads as one that may have run.
+RELEASE_DRAIN_TIMEOUT_MS = 3_500.0
+REACQUIRE_TIMEOUT_MS = 10_000.0  # of attempts to reacquire; after that this process ends
 
 
 class ExtensionState(Enum):
@@ -30,7 +31,10 @@
 
 
 class ExclusiveExtensions:
-    """Owns the state of this process's exclusive extensions."""
+    """Owns the state of this process's exclusive extensions, such as the zones with the voter's folder.
+
+    They are exclusive between the old and the new process of one front end on one machine.
+    """
 
     def __init__(self, front: FrontEnd) -> None:
         """Begins with the front end's extensions held."""
@@ -49,7 +53,11 @@
         return self.state is ExtensionState.HELD
 
     def release(self, on_released: Callable[[], None]) -> None:
-        """Stops reading from clients, lets open requests end, and releases the extensions."""
+        """Stops reading from clients, lets open requests end, and releases the extensions.
+
+        For a process that holds some. `on_released` is called once, after RELEASE_DRAIN_TIMEOUT_MS at the
+        latest and also where the extensions report an error; not at all if `reacquire` comes first.
+        """
         self.state = ExtensionState.DRAINING
         self._since_ms = monotonic_ms()
         self.front.client_port.set_accepting(False)
@@ -62,8 +70,8 @@
         if self.state is not ExtensionState.DRAINING or extension is None:
             return
         busy = front.requests.open or front.client_port.has_unwritten() or extension.busy
-        if busy and monotonic_ms() - self._since_ms < DRAIN_TIMEOUT_MS:
-            front.loop.timers.after(POLL_INTERVAL_MS, lambda: self._drain(on_released))
+        if busy and monotonic_ms() - self._since_ms < RELEASE_DRAIN_TIMEOUT_MS:
+            front.loop.timers.after(CHECK_INTERVAL_MS, lambda: self._drain(on_released))
             return
         front.loop.run_guarded(
             extension.suspend
@@ -74,7 +82,11 @@
         on_released()
 
     def reacquire(self, on_reacquired: Callable[[], None]) -> None:
-        """The other process has ended: goes on as before the release."""
+        """The other process has ended: goes on as before the release.
+
+        `on_reacquired` is called once the extensions are held again: at once where they were not released
+        yet. If they can't be reacquired within REACQUIRE_TIMEOUT_MS, it is not called and this process ends.
+        """
         if self.state is ExtensionState.DRAINING:
             self.state = ExtensionState.HELD
             on_reacquired()
@@ -98,7 +110,7 @@
             front.log(f"hot restart: exclusive extensions not reacquired, this process ends: {failure}")
             front.loop.running = False
         else:
-            front.loop.timers.after(POLL_INTERVAL_MS, lambda: self._try_reacquire(on_reacquired))
+            front.loop.timers.after(CHECK_INTERVAL_MS, lambda: self._try_reacquire(on_reacquired))
 
     def _reacquire_failure(self) -> str | None:
         """Tries once; the reason why it failed, None on success."""
--- a/fawnwharf/admin/handoff_channel.py
+++ b/fawnwharf/admin/handoff_channel.py
@@ -5,22 +5,38 @@
 import socket
 from collections import deque
 from collections.abc import Callable
+from typing import NamedTuple
 
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.net.event_loop import READ, WRITE, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 MAX_MESSAGE_BYTES = 128 * 1024
-MAX_READS = 64  # messages in one event loop iteration
+MAX_READS_PER_ITERATION = 64  # messages that are read in one event loop iteration
 DESCRIPTOR_BYTES = array.array("i", [0]).itemsize
-# The limit of descriptors in transit is reached: sending continues once the other end has received some.
-TOO_MANY_IN_TRANSIT = (errno.ENOBUFS, errno.ETOOMANYREFS)
+# Errors of sendmsg at the limit of descriptors in transit: it works again once the other end has read some.
+TOO_MANY_DESCRIPTORS_ERRNOS = (errno.ENOBUFS, errno.ETOOMANYREFS)
 
-Outgoing = tuple[h.Message, socket.socket | None]
 
+class Outgoing(NamedTuple):
+    """A message to be sent, and the socket whose descriptor goes with it, None for most messages."""
 
-def receive(sock: socket.socket) -> tuple[h.Message | None, socket.socket | None] | None:
-    """One message and the socket that it carries; None at the end of the channel.
+    message: h.Message
+    carried: socket.socket | None
+
+
+class Received(NamedTuple):
+    """A message that was read, and the socket that came with it; the reader closes the socket.
+
+    `message` is None where the bytes are no message of this version.
+    """
+
+    message: h.Message | None
+    carried: socket.socket | None
+
+
+def receive(sock: socket.socket) -> Received | None:
+    """Reads one message and the socket that it carries; None at the end of the channel or after its failure.
 
     Raises BlockingIOError where nothing has come, and TimeoutError where the socket has a timeout.
     """
@@ -33,7 +49,7 @@
     carried = _carried_socket(ancillary)
     if not data and carried is None:
         return None
-    return h.decode(data), carried
+    return Received(h.decode(data), carried)
 
 
 def _carried_socket(ancillary: list[tuple[int, int, bytes]]) -> socket.socket | None:
@@ -90,7 +106,7 @@
             return
         if not self._queue:
             self._progress_ms = monotonic_ms()
-        self._queue.append((message, carried))
+        self._queue.append(Outgoing(message, carried))
         self._write()
 
     @property
@@ -98,12 +114,15 @@
         """Whether messages wait to be sent."""
         return bool(self._queue)
 
-    def stalled_ms(self, now_ms: float) -> float:
-        """For how long the other end has taken none of the messages that wait for it."""
+    def ms_without_progress(self, now_ms: float) -> float:
+        """Time since the other end last took a message, or since the first one waits; 0 where none waits."""
         return now_ms - self._progress_ms if self._queue else 0.0
 
-    def take_back(self) -> list[Outgoing]:
-        """What was not sent, with the chunks sent before an unsent final message, which are useless alone."""
+    def take_unsent(self) -> list[Outgoing]:
+        """Removes and returns what was not sent; the caller owns the sockets and the channel stays as it is.
+
+        With the chunks that were sent before an unsent final message, as they are useless alone.
+        """
         unsent = [*self._sent_chunks, *self._queue]
         self._queue = deque()
         self._sent_chunks = []
@@ -117,7 +136,7 @@
             except BlockingIOError:
                 break
             except OSError as error:
-                if error.errno in TOO_MANY_IN_TRANSIT:
+                if error.errno in TOO_MANY_DESCRIPTORS_ERRNOS:
                     break
                 self.close()
                 return
@@ -128,7 +147,7 @@
     def _sent(self, message: h.Message, carried: socket.socket | None) -> None:
         self._progress_ms = monotonic_ms()
         if isinstance(message, h.Chunk):
-            self._sent_chunks.append((message, None))
+            self._sent_chunks.append(Outgoing(message, None))
         else:
             self._sent_chunks.clear()
         if carried is not None:
@@ -147,7 +166,7 @@
             self._read()
 
     def _read(self) -> None:
-        for _ in range(MAX_READS):
+        for _ in range(MAX_READS_PER_ITERATION):
             if self.closed:
                 return
             try:
--- a/fawnwharf/admin/handoff_listener.py
+++ b/fawnwharf/admin/handoff_listener.py
@@ -9,7 +9,7 @@
 from fawnwharf.net.event_loop import READ, EventLoop
 
 BACKLOG = 4
-ACCEPT_PAUSE_MS = 50.0  # where the system has no descriptor or memory left
+ACCEPT_RETRY_MS = 50.0  # after an accept failed, as where the system has no descriptor or memory left
 
 
 class HandoffListener:
@@ -52,13 +52,13 @@
             return
         except OSError:  # no descriptor: leaves it in the system's queue for a moment, instead of a busy loop
             self.loop.unwatch(self._sock)
-            self.loop.timers.after(ACCEPT_PAUSE_MS, self._watch)
+            self.loop.timers.after(ACCEPT_RETRY_MS, self._watch)
             return
         self._on_accept(sock)
 
     @property
-    def is_current(self) -> bool:
-        """Whether no other process has replaced the socket file by its own."""
+    def owns_socket_path(self) -> bool:
+        """Whether no other process has replaced the socket file; True also where that is not known."""
         try:
             return os.stat(self.directory.socket_path).st_ino == self._inode
         except OSError:
--- a/fawnwharf/admin/handoff_request.py
+++ b/fawnwharf/admin/handoff_request.py
@@ -10,54 +10,72 @@
 from fawnwharf.config import Address, Deployment
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-ANSWER_TIMEOUT_S = 1.5  # then the new process starts without the old one
-RELEASE_ANSWER_TIMEOUT_S = (
-    5.0  # where the old one first releases extensions that the new one can't start without
-)
+# Longest wait for the complete answer to a Hello; then the new process starts without the old one.
+HELLO_ANSWER_TIMEOUT_MS = 1_500.0
+# The same where the old process first releases its exclusive extensions, which takes up to
+# RELEASE_DRAIN_TIMEOUT_MS.
+HELLO_ANSWER_TIMEOUT_WITH_RELEASE_MS = 5_000.0
 
 
 class HandoffRejectedError(OSError):
-    """The predecessor does not hand anything off, or ended before it did."""
+    """The predecessor does not hand anything off, or ended before it did. `request_handoff` catches it."""
 
 
 @dataclass(frozen=True, slots=True)
 class InheritedState:
-    """What a start finds of its predecessor; all empty where there is none."""
+    """What a start finds of its predecessor; all empty where there is none.
+
+    - `directory`: where this process finds its predecessor and is found by its successor; None where TMPDIR
+      is not set, and then there is no hot restart.
+    - `predecessor_socket`: connected to the predecessor; None where none runs.
+    - `encoded_learned_state`: from the predecessor, or from its file if it has ended; b"" where there is
+      neither.
+    - `listener`: the clients' listener of the predecessor; None where none runs.
+    """
 
-    directory: HandoffDirectory | None = None  # None: there can be no hot restart
-    channel: socket.socket | None = None
-    learned: bytes = b""
+    directory: HandoffDirectory | None = None
+    predecessor_socket: socket.socket | None = None
+    encoded_learned_state: bytes = b""
     listener: socket.socket | None = None
 
 
-def inherit_state(deployment: Deployment, *, needs_extensions: bool = False) -> InheritedState:
-    """Asks the predecessor at the start; `needs_extensions`: this process will have exclusive ones too."""
+def inherit_state(deployment: Deployment, *, needs_exclusive_extensions: bool = False) -> InheritedState:
+    """Asks the running predecessor at the start, or else reads the file that the last process wrote.
+
+    `needs_exclusive_extensions`: this process will have exclusive extensions. Blocks as `request_handoff`.
+    Where the predecessor rejects the request the file is read; nothing is raised.
+    """
     folder = os.environ.get("TMPDIR")
     if not folder:
         return InheritedState()
     directory = HandoffDirectory(folder, deployment.name, deployment.listen)
     inherited = None
     if os.path.exists(directory.socket_path):
-        inherited = request_handoff(directory, deployment.listen, needs_extensions=needs_extensions)
-    return inherited or InheritedState(directory, learned=directory.read_state())
+        inherited = request_handoff(
+            directory, deployment.listen, needs_exclusive_extensions=needs_exclusive_extensions
+        )
+    return inherited or InheritedState(directory, encoded_learned_state=directory.read_learned_state())
 
 
 def request_handoff(
-    directory: HandoffDirectory, listen: Address, *, needs_extensions: bool = False
+    directory: HandoffDirectory, listen: Address, *, needs_exclusive_extensions: bool = False
 ) -> InheritedState | None:
-    """The channel to the predecessor, its learned state and its listener.
+    """The socket to the predecessor, its learned state and its listener.
 
-    Blocks, as nothing else can be done at the start; None where there is no predecessor or it does not answer
-    completely in time.
+    Blocks for up to HELLO_ANSWER_TIMEOUT_MS, with exclusive extensions HELLO_ANSWER_TIMEOUT_WITH_RELEASE_MS,
+    as nothing else can be done at the start. None where there is no predecessor, it rejects the request, or
+    does not answer completely in time.
     """
-    timeout_s = RELEASE_ANSWER_TIMEOUT_S if needs_extensions else ANSWER_TIMEOUT_S
-    deadline_ms = monotonic_ms() + 1e3 * timeout_s
+    timeout_ms = HELLO_ANSWER_TIMEOUT_MS
+    if needs_exclusive_extensions:
+        timeout_ms = HELLO_ANSWER_TIMEOUT_WITH_RELEASE_MS
+    deadline_ms = monotonic_ms() + timeout_ms
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.settimeout(_remaining_s(deadline_ms))
         with directory.socket_address() as address:
             sock.connect(address)
-        send(sock, h.encode(h.Hello(h.VERSION, listen, needs_extensions)), None)
+        send(sock, h.encode(h.Hello(h.VERSION, listen, needs_exclusive_extensions)), None)
         learned, listener = _receive_state(sock, deadline_ms)
     except OSError:
         sock.close()
--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -10,42 +10,51 @@
 from fawnwharf.admin.handoff_channel import HandoffChannel, Outgoing
 from fawnwharf.admin.handoff_listener import HandoffListener
 from fawnwharf.admin.handoff_request import InheritedState
-from fawnwharf.admin.handoff_source import HandoffAction, HandoffPhase, HandoffSource
 from fawnwharf.admin.learned_state import LearnedState
+from fawnwharf.admin.predecessor_handoff import HandoffAction, HandoffPhase, PredecessorHandoff
 from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 TICK_INTERVAL_MS = 20.0  # between checks for connections that have become idle
 MAX_HANDOFFS_PER_TICK = 256
-READY_TIMEOUT_MS = 6_000.0  # for the successor, after this process released its extensions
+# Longest wait for SuccessorReady after the state was sent, where this process has released its extensions for
+# that; then the channel is closed.
+SUCCESSOR_READY_TIMEOUT_MS = 6_000.0
 STALL_TIMEOUT_MS = 3_000.0  # a successor that takes no message for so long has stalled
-SHARED_PART = 0.5  # of the descriptors, while two processes run
+DESCRIPTOR_SHARE_WHILE_TWO_RUN = 0.5  # of the limits of descriptors that each of two processes uses
 
 
 @dataclass(frozen=True, slots=True)
-class AdminHooks:
-    """What the hot restart asks of the admin service."""
+class HotRestartCallbacks:
+    """What HotRestart calls of its owner, the admin service.
 
-    on_command: Callable[
-        [str, str], None
-    ]  # an operator's command, by path and target, that another process got
-    in_maintenance: Callable[[], set[str]]  # ids of scorers
-    is_ready: Callable[[], bool]  # whether this front end takes new connections
+    - `on_command`: another process of this front end received a command of an operator, for both.
+    - `scorers_in_maintenance`: returns the ids of the scorers in maintenance.
+    - `is_ready_to_serve`: returns whether readiness checks of this process are to succeed.
+    """
+
+    on_command: Callable[[h.OperatorCommand], None]
+    scorers_in_maintenance: Callable[[], set[str]]
+    is_ready_to_serve: Callable[[], bool]
 
 
 class HotRestart:
-    """Owns the channels to the predecessor of this process and to its successor."""
+    """Owns the channels to the predecessor of this process and to its successor.
+
+    The predecessor is the process from which this one took over, the successor the one that takes over from
+    it.
+    """
 
-    def __init__(self, front: FrontEnd, inherited: InheritedState, hooks: AdminHooks) -> None:
-        """Begins without a successor; `start` takes over from the predecessor."""
+    def __init__(self, front: FrontEnd, inherited: InheritedState, callbacks: HotRestartCallbacks) -> None:
+        """`inherited` is what the start of this process found; `start` takes over from the predecessor."""
         self.front = front
         self.directory = inherited.directory
-        self.source = HandoffSource(front.address)
+        self.handoff = PredecessorHandoff(front.address)
         self.extensions = ExclusiveExtensions(front)
         self.predecessor: HandoffChannel | None = None
         self.successor: HandoffChannel | None = None
-        self._hooks = hooks
+        self._callbacks = callbacks
         self._inherited = inherited
         self._unwritten = bytearray()  # chunks that belong to the next connection from the predecessor
         self._predecessor_done = False
@@ -55,30 +64,36 @@
         self._sent_done = False
         self._successor_done = False
 
-    def inherited_state(self) -> LearnedState | None:
-        """What the predecessor learned; None where there is none or it can't be decoded."""
-        data = self._inherited.learned
-        state = learned_state.decode(data) if data else None
-        if data and state is None:
+    def decoded_learned_state(self) -> LearnedState | None:
+        """What the predecessor learned, however old; None where there is none or it can't be decoded.
+
+        For use before `start`. The owner reads the scorers in maintenance, which have no age limit.
+        """
+        data = self._inherited.encoded_learned_state
+        learned = learned_state.decode(data) if data else None
+        if data and learned is None:
             self.front.log("learned state of the previous process can't be read: starting without it")
-        return state
+        return learned
+
+    def start(self, learned: LearnedState | None) -> None:
+        """Takes over: restores the learned state, accepts connections, and listens for a successor.
 
-    def start(self, state: LearnedState | None) -> None:
-        """Takes over: restores the learned state, accepts connections, and listens for a successor."""
+        `learned` is what `decoded_learned_state` returned; it is restored only if it is fresh.
+        """
         front = self.front
-        now_ms = monotonic_ms()
-        if state is not None and learned_state.is_fresh(state, now_ms):
+        at_ms = monotonic_ms()
+        if learned is not None and learned_state.is_fresh(learned, at_ms):
             clock_ms = front.loop.clock.now_ms()
-            front.loop.run_guarded(learned_state.restore, front.router, state, clock_ms, now_ms)
-            functions, scorers = len(state.functions), len(state.scorers)
+            front.loop.run_guarded(learned_state.restore, front.router, learned, clock_ms, at_ms)
+            functions, scorers = len(learned.functions), len(learned.scorers)
             front.log(f"hot restart: taking over {functions} functions, {scorers} scorers")
         front.client_port.set_accepting(True)
-        if self._inherited.channel is not None:
-            sock = self._inherited.channel
+        if self._inherited.predecessor_socket is not None:
+            sock = self._inherited.predecessor_socket
             self.predecessor = HandoffChannel(
                 front.loop, sock, self._on_predecessor_message, self._on_predecessor_end
             )
-            self.predecessor.send(h.Ready())
+            self.predecessor.send(h.SuccessorReady())
         self._share_descriptors()
         self._open_listener()
         self._inherited = InheritedState()
@@ -98,36 +113,43 @@
 
     def _share_descriptors(self) -> None:
         """Protects the limits of descriptors, which hold for both processes together while both run."""
-        self.front.use_share(SHARED_PART if self.predecessor or self.successor else 1.0)
+        self.front.use_share(DESCRIPTOR_SHARE_WHILE_TWO_RUN if self.predecessor or self.successor else 1.0)
+
+    def forward_command(self, path: str, scorer_id: str) -> None:
+        """Sends an operator's command that this process got to its predecessor and its successor, if any.
 
-    def send_command(self, path: str, target: str) -> None:
-        """Passes on an operator's command that applies to the other processes too."""
+        `scorer_id` is "" for a command without a scorer.
+        """
         predecessor = None if self._predecessor_done else self.predecessor
         for channel in (predecessor, self.successor):
             if channel is not None:
-                channel.send(h.OperatorCommand(path, target))
+                channel.send(h.OperatorCommand(path, scorer_id))
+
+    def write_learned_state(self) -> None:
+        """Writes the learned state to its file, for a process that finds no predecessor to ask.
 
-    def write_state(self) -> None:
-        """Writes the learned state to its file, for a process that finds no predecessor to ask."""
-        is_replaced = self._listener is not None and not self._listener.is_current
-        if self.directory is None or self.source.is_handing_off or is_replaced:
+        At each change of the scorers in maintenance and at the shutdown; not once a newer process has the
+        file.
+        """
+        is_replaced = self._listener is not None and not self._listener.owns_socket_path
+        if self.directory is None or self.handoff.is_handing_off or is_replaced:
             return  # the file is the newer process's
         try:
-            self.directory.write_state(self._encoded_state())
+            self.directory.write_learned_state(self._encoded_state())
         except OSError as error:
             self.front.log(f"learned state not written: {error.strerror}")
 
     def _encoded_state(self) -> bytes:
         front = self.front
-        in_maintenance = self._hooks.in_maintenance()
+        in_maintenance = self._callbacks.scorers_in_maintenance()
         clock_ms = front.loop.clock.now_ms()
-        now_ms = monotonic_ms()
+        at_ms = monotonic_ms()
         try:
-            state = learned_state.capture(front.router, in_maintenance, clock_ms, now_ms)
-            return learned_state.encode(state)
+            learned = learned_state.capture(front.router, in_maintenance, clock_ms, at_ms)
+            return learned_state.encode(learned)
         except Exception:  # the operators' commands must be handed on whatever the learned state is like
             front.loop.log_exception("learned state")
-            expired_ms = now_ms - 2 * learned_state.MAX_AGE_MS
+            expired_ms = at_ms - 2 * learned_state.MAX_AGE_MS
             return learned_state.encode(LearnedState(expired_ms, sorted(in_maintenance)))
 
     # --- as the successor of another process ------------------------------------------------------
@@ -141,12 +163,12 @@
                 self._unwritten.clear()
                 self.front.client_port.take_over(_handed_connection(message, carried, unwritten))
             case h.OperatorCommand():
-                self._hooks.on_command(message.path, message.target)
+                self._callbacks.on_command(message)
                 if self.successor is not None:
                     self.successor.send(message)
-            case h.Done():
+            case h.HandoffComplete():
                 if self.predecessor is not None:
-                    self.predecessor.send(h.Done())
+                    self.predecessor.send(h.HandoffComplete())
                 self._predecessor_done = True
             case _ if carried is not None:
                 carried.close()
@@ -161,7 +183,7 @@
     # --- as the predecessor of another process ----------------------------------------------------
 
     def _on_successor(self, sock: socket.socket) -> None:
-        if self.source.is_handing_off or not self.extensions.are_held:
+        if self.handoff.is_handing_off or not self.extensions.are_held:
             sock.close()
             return
         if self.successor is not None:  # an earlier one that did not become ready; the newest one counts
@@ -173,24 +195,24 @@
     def _on_successor_message(self, message: h.Message, _carried: socket.socket | None) -> None:
         match message:
             case h.Hello():
-                self._act(self.source.on_hello(message, has_extensions=self.extensions.exist))
-            case h.Ready():
-                self._act(self.source.on_ready())
+                self._act(self.handoff.on_hello(message, holds_exclusive_extensions=self.extensions.exist))
+            case h.SuccessorReady():
+                self._act(self.handoff.on_ready())
             case h.OperatorCommand():
-                self._hooks.on_command(message.path, message.target)
+                self._callbacks.on_command(message)
                 if self.predecessor is not None and not self._predecessor_done:
                     self.predecessor.send(message)
-            case h.Done():
+            case h.HandoffComplete():
                 self._successor_done = True
 
     def _on_successor_end(self, channel: HandoffChannel) -> None:
         if channel is not self.successor or self._closed:
             return
-        unsent = channel.take_back()
+        unsent = channel.take_unsent()
         self.successor = None
         self._sent_done = False
         self._successor_done = False
-        action = self.source.on_successor_lost()
+        action = self.handoff.on_successor_lost()
         if self.extensions.are_held:
             self._resume(action, unsent)
         else:
@@ -202,7 +224,7 @@
         self.front.client_port.set_accepting(True)
         self.front.client_port.set_paused(False)
         # Readiness checks here were answered for the successor; from now on they are for this process.
-        self.front.client_port.ready = self._hooks.is_ready()
+        self.front.client_port.ready = self._callbacks.is_ready_to_serve()
         self._adopt_unsent(unsent)
         self._share_descriptors()
 
@@ -232,9 +254,9 @@
                 self._stop_accepting()
             case HandoffAction.RESUME_ACCEPTING:
                 front.log("hot restart: the new process has ended: accepting again")
-                if not self.source.is_shutting_down:  # else the directory may be a third process's by now
+                if not self.handoff.is_shutting_down:  # else the directory may be a third process's by now
                     self._open_listener()
-            case HandoffAction.PAUSE_READING:
+            case HandoffAction.PAUSE_CLIENT_READS:
                 front.client_port.set_paused(True)
 
     def _on_handoff_request(self) -> None:
@@ -250,9 +272,8 @@
     def _stop_accepting(self) -> None:
         self.front.log("hot restart: handing off to the new process")
         self.front.client_port.set_accepting(False)
-        self.front.client_port.ready = (
-            True  # readiness checks on existing connections are for the successor, too
-        )
+        # Readiness checks on existing connections are for the successor, too.
+        self.front.client_port.ready = True
         self._close_listener()  # the successor has its own
         self._tick()
 
@@ -265,64 +286,74 @@
             channel.send(chunk)
         channel.send(h.ListenerHandoff(), listener.dup())
         if not self.extensions.are_held:
-            self.front.loop.timers.after(READY_TIMEOUT_MS, lambda: self._check_ready(channel))
+            self.front.loop.timers.after(SUCCESSOR_READY_TIMEOUT_MS, lambda: self._check_ready(channel))
 
     def _check_ready(self, channel: HandoffChannel) -> None:
         """Protects the clients, which no process reads, against a successor that has stalled.
 
         Without the channel the successor finds the disks and addresses in use, or this process does and ends.
         """
-        if channel is self.successor and not self.source.is_handing_off:
+        if channel is self.successor and not self.handoff.is_handing_off:
             channel.close()
 
     def shut_down(self) -> None:
-        """This process was told to end."""
-        self.write_state()
-        self.source.shut_down(monotonic_ms())
+        """This process was told to end: writes the learned state, and hands off what a successor takes.
+
+        Returns at once; the process may end and call `close` once there is no `has_handoff_in_progress`.
+        """
+        self.write_learned_state()
+        self.handoff.shut_down(monotonic_ms())
 
     @property
     def will_take_over(self) -> bool:
-        """Whether there is a predecessor from which this process takes over at its start."""
-        return self._inherited.channel is not None
+        """Whether `start` is to come and there is a running predecessor from which it takes over."""
+        return self._inherited.predecessor_socket is not None
 
     @property
     def is_replaced(self) -> bool:
-        """Whether a successor has taken over."""
-        return self.source.is_handing_off
+        """Whether a successor accepts connections (it sent SuccessorReady) and gets those of this process.
+
+        False again where that successor is lost.
+        """
+        return self.handoff.is_handing_off
 
     @property
     def is_busy(self) -> bool:
-        """Whether something is still to be received, handed off, or in transit."""
-        if self.source.is_handing_off:
+        """Whether a hand-off is going on, so that this process must not end yet.
+
+        Until the successor has received everything; before that, while another process has or awaits the
+        exclusive extensions of this one.
+        """
+        if self.handoff.is_handing_off:
             return not self._successor_done
         return not self.extensions.are_held
 
     def _tick(self) -> None:
         successor = self.successor
-        if self._ticking or not self.source.is_handing_off or successor is None:
+        if self._ticking or not self.handoff.is_handing_off or successor is None:
             return
         # First: an error in this tick must not be the end of all ticks, with clients that no process reads.
         self._ticking = True
         self.front.loop.timers.after(TICK_INTERVAL_MS, self._tick_again)
         now_ms = monotonic_ms()
-        if successor.stalled_ms(now_ms) > STALL_TIMEOUT_MS:
+        if successor.ms_without_progress(now_ms) > STALL_TIMEOUT_MS:
             self.front.log("hot restart: the new process has stalled")
             successor.close()
             return
-        self._act(self.source.tick(now_ms))
+        self._act(self.handoff.tick(now_ms))
         self._hand_off_idle(successor)
         if self._has_handed_off_everything(now_ms):
             self._sent_done = True
-            successor.send(h.Done())
+            successor.send(h.HandoffComplete())
 
     def _tick_again(self) -> None:
         self._ticking = False
         self._tick()
 
     def _has_handed_off_everything(self, now_ms: float) -> bool:
-        if self.source.phase is not HandoffPhase.SHUTTING_DOWN or self._sent_done:
+        if self.handoff.phase is not HandoffPhase.SHUTTING_DOWN or self._sent_done:
             return False
-        awaits_predecessor = self.predecessor is not None and self.source.awaits_predecessor(now_ms)
+        awaits_predecessor = self.predecessor is not None and self.handoff.awaits_predecessor(now_ms)
         return not awaits_predecessor and not self.front.client_port.clients
 
     def _hand_off_idle(self, successor: HandoffChannel) -> None:
@@ -332,8 +363,9 @@
             connection = client.connection
             if connection.finishing or connection.closed or count == MAX_HANDOFFS_PER_TICK:
                 continue
-            unwritten = bool(connection.waiting_bytes)
-            if not self.source.may_hand_off(has_open=bool(client.open), unwritten=unwritten):
+            has_open = bool(client.open)
+            has_unwritten = bool(connection.waiting_bytes)
+            if not self.handoff.may_hand_off(has_open_request=has_open, has_unwritten_response=has_unwritten):
                 continue
             handed = port.hand_off(client)
             for chunk in h.chunks(handed.unwritten):
@@ -349,7 +381,7 @@
         """This process ends: it takes nothing back, and leaves the hand-off directory to the successor."""
         self._closed = True
         self._close_listener()
-        for channel in (self.predecessor, self.successor, self._inherited.channel):
+        for channel in (self.predecessor, self.successor, self._inherited.predecessor_socket):
             if channel is not None:
                 channel.close()
 
--- a/fawnwharf/admin/http.py
+++ b/fawnwharf/admin/http.py
@@ -7,7 +7,7 @@
 import httptools
 
 MAX_REQUEST_BYTES = 8 * 1024  # of a whole request with its body: operators send none
-MAX_TARGET_LENGTH = 256
+MAX_SCORER_ID_CHARACTERS = 256  # of the value of `?target=`
 MAX_QUERY_FIELDS = 16
 
 
@@ -30,7 +30,11 @@
 
 @dataclass(slots=True)
 class RequestReader:
-    """Collects the bytes of one connection until its one request is complete or known to be invalid."""
+    """Collects the bytes of one connection until its one request is complete or known to be invalid.
+
+    `result` is the complete request, or the error response to an invalid one; None while neither is known. It
+    does not change after that, except that the listener replaces it by the response.
+    """
 
     received_bytes: int = 0
     result: AdminRequest | AdminResponse | None = None
@@ -38,7 +42,7 @@
     _parser: httptools.HttpRequestParser | None = field(default=None, repr=False)
 
     def feed(self, data: bytes) -> AdminRequest | AdminResponse | None:
-        """The complete request, or the error response to an invalid one; None while neither is known."""
+        """Takes bytes that were read, and returns `result`. Bytes after the request are ignored."""
         if self.result is not None:
             return self.result
         self.received_bytes += len(data)
--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -1,8 +1,11 @@
 """The learned state of a process, for its successor: taken from the decision module, encoded, and restored.
 
-All times are ages at the moment of writing, so that different clocks do no harm. The bytes carry a version
-and a checksum; what is truncated, of another version or too old is ignored, and its reader starts without it.
-An attribute whose name differs from the recorded one keeps that name in the bytes by `name=`.
+All times are ages at the moment of writing, in milliseconds, so that different clocks do no harm. Scorers are
+numbers here, as in the decision module (`scorer_number` of the id); those in maintenance stand with their
+ids. Two clocks meet: `clock_ms` is the time of the event loop's clock, on which the decision module works,
+and `monotonic_ms` the system's monotonic one, which all processes of a machine share. The bytes carry a
+version and a checksum; what is truncated, of another version or too old is ignored, and its reader starts
+without it. An attribute whose name differs from the recorded one keeps that name in the bytes by `name=`.
 """
 
 import struct
@@ -17,70 +20,125 @@
 from fawnwharf.policy import Router, state
 
 MAGIC = b"fwmem\x01"  # the last byte is the version
-HEADER = struct.Struct(">6sII")  # magic, length and checksum of the body
+HEADER = struct.Struct(">6sII")  # magic, length of the body in bytes, CRC-32 of the body
 MAX_AGE_MS = 20_000.0  # older state has no value, but for the scorers in maintenance
 MAX_FUNCTIONS = 500  # those called or wanted last
 MAX_BYTES = 4 * 1024 * 1024
 
-Age = Annotated[float, Meta(ge=-1e12)]  # milliseconds
-AgedSamples = list[tuple[Age, float]]
+# Milliseconds before the moment of writing; negative for a time after it, such as the end of an ejection.
+AgeMs = Annotated[float, Meta(ge=-1e12)]
+AgedSamples = list[tuple[AgeMs, float]]  # age and duration, both in milliseconds
+
+
+class LearnedQuota(msgspec.Struct, array_like=True, forbid_unknown_fields=True, frozen=True):
+    """The token bucket of one tenant: its tokens at its last refill, and the age of that."""
+
+    tokens: float
+    refill_age_ms: AgeMs
+
+
+class LearnedLosses(msgspec.Struct, array_like=True, forbid_unknown_fields=True, frozen=True):
+    """The requests of one class that a scorer lost or answered with errors, and its ejection because of that.
+
+    `losses` counts them. `ejection_end_age_ms` is negative while the ejection lasts, and `ejection_ms` is the
+    length of the next one.
+    """
+
+    losses: float
+    ejection_end_age_ms: AgeMs
+    ejection_ms: float
 
 
 class LearnedCopies(msgspec.Struct, array_like=True):
-    """The copies of a function at one scorer."""
+    """The copies (loaded instances) of a function at one scorer, as the front end last knew.
+
+    `seen_age_ms` is since something last showed that a copy is loaded, `counted_age_ms` since an answer last
+    gave their number. The scorer gets no request of the function until the time of `blocked_until_age_ms`,
+    which is negative while that time has not come.
+    """
 
-    scorer: int
-    copies: int
-    seen_age: Age
-    counted_age: Age
-    blocked_age: Age
+    scorer_number: int
+    count: int
+    seen_age_ms: AgeMs
+    counted_age_ms: AgeMs
+    blocked_until_age_ms: AgeMs
 
 
 class LearnedFunction(msgspec.Struct, array_like=True):
-    """A function: its durations, its last calls, and where it is loaded."""
+    """A function, which is what a request names: its durations, its last calls, and where it is loaded.
+
+    - `kind`: the request class of its calls. `lanes`: calls that one copy runs at once.
+    - `reported_load_time_ms`: how long loading takes as requests say, None if none did.
+    - `run_time_samples`, `load_time_samples`, `queue_wait_samples`: measured run times, load times, and waits
+      in the front end's queue.
+    - `call_ages_ms`: its last arrivals. `decaying_arrivals`: a count of arrivals in which older ones weigh
+      less.
+    - `speculative_idle_ms`: how long the last copy that was loaded speculatively stood unused before a call.
+    - `speculates`: whether it is loaded speculatively.
+    - `wanted_scorers`: number of scorers that the calls of the whole fleet need.
+    - `reported_concurrency`: calls in flight from all front ends, as answers report.
+    """
 
     name: str
     kind: str
     lanes: int
-    reported_load_ms: float | None
-    run_samples: AgedSamples
-    load_samples: AgedSamples
-    wait_samples: AgedSamples
-    call_ages: list[Age]
-    idle_ms: float
-    load_path: bool
-    arrivals: float
-    spread: int
+    reported_load_time_ms: float | None
+    run_time_samples: AgedSamples
+    load_time_samples: AgedSamples
+    queue_wait_samples: AgedSamples
+    call_ages_ms: list[AgeMs]
+    speculative_idle_ms: float
+    speculates: bool
+    decaying_arrivals: float
+    wanted_scorers: int
     reported_concurrency: float
-    copies: list[LearnedCopies]
+    copies_at_scorers: list[LearnedCopies]
 
 
 class LearnedScorer(msgspec.Struct, array_like=True):
-    """A scorer: its start, its slowdown, and its faults by request class."""
+    """A scorer: its start, its slowdown, and its lost requests by request class.
 
-    scorer: int
-    started_age: Age
-    slowdown: float
-    slowdown_age: Age
-    suspect_age: Age | None
-    send_ages: list[Age]
-    lapses: dict[str, tuple[float, Age, float]]  # losses, age of the ejection's end, its length
+    `slowdown_factor` is its run times as a multiple of those elsewhere, last observed `slowdown_age_ms` ago.
+    `suspect_age_ms` is since it is suspected to have failed, None if it is not. `slow_start_send_ages_ms` are
+    of the requests that count for its slow start.
+    """
+
+    scorer_number: int
+    started_age_ms: AgeMs
+    slowdown_factor: float
+    slowdown_age_ms: AgeMs
+    suspect_age_ms: AgeMs | None
+    slow_start_send_ages_ms: list[AgeMs]
+    losses_by_class: dict[str, LearnedLosses]
 
 
 class LearnedState(msgspec.Struct):
-    """Everything; `written_ms` is on the monotonic clock, which all processes of one machine share."""
+    """Everything that a process passes on to its successor.
+
+    - `written_monotonic_ms`: the moment of writing, on the system's monotonic clock.
+    - `scorers_in_maintenance`: ids of scorers.
+    - `started_age_ms`: since the decision module of the first process in a chain of hot restarts began to
+      work.
+    - `run_ms`: moving average of run times. `run_time_samples`: the last run times. Both are of all
+      functions.
+    - `concurrent_load_limit`: how many copies may be loading at once.
+    - `largest_scorer_fleet`: the sum of the scorers' sizes in the largest ready fleet of scorers seen.
+    - `hedge_tokens`: hedged requests that may be sent now, one token each.
+    - `request_ages_ms`, `load_command_ages_ms`: the last requests, and the last commands to load a function.
+    - `quota_by_tenant`: the token bucket of each tenant.
+    """
 
-    written_ms: float = field(name="at_ms")
-    in_maintenance: list[str] = field(name="out")  # ids of scorers
-    started_age: Age = field(default=0.0, name="began")
+    written_monotonic_ms: float = field(name="at_ms")
+    scorers_in_maintenance: list[str] = field(name="out")
+    started_age_ms: AgeMs = field(default=0.0, name="began")
     run_ms: float = 0.0
-    load_limit: float = field(default=0.0, name="loads_limit")
-    fleet_size: float = field(default=0.0, name="fleet")
+    concurrent_load_limit: float = field(default=0.0, name="loads_limit")
+    largest_scorer_fleet: float = field(default=0.0, name="fleet")
     hedge_tokens: float = field(default=0.0, name="hedges")
-    request_ages: list[Age] = field(default_factory=list, name="taken")
-    load_order_ages: list[Age] = field(default_factory=list, name="ordered")
-    quota_tokens: dict[str, tuple[float, Age]] = field(default_factory=dict, name="tokens")
-    run_samples: AgedSamples = field(default_factory=list, name="runs")
+    request_ages_ms: list[AgeMs] = field(default_factory=list, name="taken")
+    load_command_ages_ms: list[AgeMs] = field(default_factory=list, name="ordered")
+    quota_by_tenant: dict[str, LearnedQuota] = field(default_factory=dict, name="tokens")
+    run_time_samples: AgedSamples = field(default_factory=list, name="runs")
     scorers: list[LearnedScorer] = field(default_factory=list)
     functions: list[LearnedFunction] = field(default_factory=list)
 
@@ -105,97 +163,100 @@
         return None
 
 
-def is_fresh(learned: LearnedState, now_ms: float) -> bool:
-    """Whether a state is of this boot and recent enough; `now_ms` is on the monotonic clock."""
-    return 0.0 <= now_ms - learned.written_ms <= MAX_AGE_MS
+def is_fresh(learned: LearnedState, monotonic_ms: float) -> bool:
+    """Whether a state is of this boot and was written in the last MAX_AGE_MS."""
+    return 0.0 <= monotonic_ms - learned.written_monotonic_ms <= MAX_AGE_MS
 
 
 # --- from the decision module -------------------------------------------------------------------------
 
 
-def capture(router: Router, in_maintenance: set[str], now_ms: float, written_ms: float) -> LearnedState:
-    """The state of the decision module: `now_ms` is on its clock, `written_ms` on the monotonic one."""
+def capture(
+    router: Router, scorers_in_maintenance: set[str], clock_ms: float, monotonic_ms: float
+) -> LearnedState:
+    """The state of the decision module; `clock_ms` and `monotonic_ms` are now, on its clock and the other."""
     return LearnedState(
-        written_ms,
-        sorted(in_maintenance),
-        started_age=now_ms - min(now_ms, router.began_ms),
+        monotonic_ms,
+        sorted(scorers_in_maintenance),
+        started_age_ms=clock_ms - min(clock_ms, router.began_ms),
         run_ms=router.run_ms,
-        load_limit=router.loads_limit,
-        fleet_size=router.largest_fleet,
+        concurrent_load_limit=router.loads_limit,
+        largest_scorer_fleet=router.largest_fleet,
         hedge_tokens=router.hedge_tokens,
-        request_ages=_ages(router.arrivals_ms, now_ms),
-        load_order_ages=_ages(router.load_orders_ms, now_ms),
-        quota_tokens={
-            tenant: (tokens, now_ms - at_ms) for tenant, (tokens, at_ms) in router.quota_tokens.items()
+        request_ages_ms=_ages(router.arrivals_ms, clock_ms),
+        load_command_ages_ms=_ages(router.load_orders_ms, clock_ms),
+        quota_by_tenant={
+            tenant: LearnedQuota(tokens, clock_ms - refilled_ms)
+            for tenant, (tokens, refilled_ms) in router.quota_tokens.items()
         },
-        run_samples=_aged(router.runs, now_ms),
-        scorers=_captured_scorers(router, now_ms),
-        functions=_captured_functions(router, now_ms),
+        run_time_samples=_aged(router.runs, clock_ms),
+        scorers=_captured_scorers(router, clock_ms),
+        functions=_captured_functions(router, clock_ms),
     )
 
 
-def _ages(times: Iterable[float], now_ms: float) -> list[Age]:
-    return [now_ms - at_ms for at_ms in times]
+def _ages(times: Iterable[float], clock_ms: float) -> list[AgeMs]:
+    return [clock_ms - at_ms for at_ms in times]
 
 
-def _aged(samples: state.Samples, now_ms: float) -> AgedSamples:
-    return [(now_ms - at_ms, value) for at_ms, value in samples.timed]
+def _aged(samples: state.Samples, clock_ms: float) -> AgedSamples:
+    return [(clock_ms - at_ms, value) for at_ms, value in samples.timed]
 
 
-def _captured_scorers(router: Router, now_ms: float) -> list[LearnedScorer]:
+def _captured_scorers(router: Router, clock_ms: float) -> list[LearnedScorer]:
     present = [scorer for scorer in router.scorers.values() if scorer.entry.state is not ScorerState.GONE]
-    return [_captured_scorer(scorer, now_ms) for scorer in present]
+    return [_captured_scorer(scorer, clock_ms) for scorer in present]
 
 
-def _captured_scorer(scorer: state.Scorer, now_ms: float) -> LearnedScorer:
+def _captured_scorer(scorer: state.Scorer, clock_ms: float) -> LearnedScorer:
     return LearnedScorer(
-        scorer=scorer.id,
-        started_age=now_ms - scorer.started_ms,
-        slowdown=scorer.slowdown,
-        slowdown_age=now_ms - scorer.slowdown_ms,
-        suspect_age=None if scorer.suspect_ms is None else now_ms - scorer.suspect_ms,
-        send_ages=_ages(scorer.slow_start_sends, now_ms),
-        lapses={
-            kind: (lapse.losses, now_ms - lapse.ejected_until_ms, lapse.ejection_ms)
-            for kind, lapse in scorer.loss_records.items()
+        scorer_number=scorer.id,
+        started_age_ms=clock_ms - scorer.started_ms,
+        slowdown_factor=scorer.slowdown,
+        slowdown_age_ms=clock_ms - scorer.slowdown_ms,
+        suspect_age_ms=None if scorer.suspect_ms is None else clock_ms - scorer.suspect_ms,
+        slow_start_send_ages_ms=_ages(scorer.slow_start_sends, clock_ms),
+        losses_by_class={
+            kind: LearnedLosses(record.losses, clock_ms - record.ejected_until_ms, record.ejection_ms)
+            for kind, record in scorer.loss_records.items()
         },
     )
 
 
-def _captured_functions(router: Router, now_ms: float) -> list[LearnedFunction]:
+def _captured_functions(router: Router, clock_ms: float) -> list[LearnedFunction]:
     latest = sorted(router.functions.values(), key=lambda function: -function.needed_ms)[:MAX_FUNCTIONS]
-    return [_captured_function(function, now_ms) for function in latest]
+    return [_captured_function(function, clock_ms) for function in latest]
 
 
-def _captured_function(function: state.Function, now_ms: float) -> LearnedFunction:
+def _captured_function(function: state.Function, clock_ms: float) -> LearnedFunction:
     return LearnedFunction(
         name=function.name,
         kind=function.kind,
         lanes=function.lanes,
-        reported_load_ms=function.load_told_ms,
-        run_samples=_aged(function.runs, now_ms),
-        load_samples=_aged(function.loads, now_ms),
-        wait_samples=_aged(function.waits, now_ms),
-        call_ages=_ages(function.last_ms, now_ms),
-        idle_ms=function.idle_ms,
-        load_path=function.load_path,
-        arrivals=function.arrived,
-        spread=function.spread,
+        reported_load_time_ms=function.load_told_ms,
+        run_time_samples=_aged(function.runs, clock_ms),
+        load_time_samples=_aged(function.loads, clock_ms),
+        queue_wait_samples=_aged(function.waits, clock_ms),
+        call_ages_ms=_ages(function.last_ms, clock_ms),
+        speculative_idle_ms=function.idle_ms,
+        speculates=function.load_path,
+        decaying_arrivals=function.arrived,
+        wanted_scorers=function.spread,
         reported_concurrency=function.reported_concurrency,
-        copies=_captured_copies(function, now_ms),
+        copies_at_scorers=_captured_copies(function, clock_ms),
     )
 
 
-def _captured_copies(function: state.Function, now_ms: float) -> list[LearnedCopies]:
+def _captured_copies(function: state.Function, clock_ms: float) -> list[LearnedCopies]:
     return [
         LearnedCopies(
-            scorer=scorer_id,
-            copies=instance.copies,
-            seen_age=now_ms - instance.seen_ms,
-            counted_age=now_ms - instance.counted_ms,
-            blocked_age=now_ms - instance.blocked_ms,
+            scorer_number=scorer_number,
+            count=instance.copies,
+            seen_age_ms=clock_ms - instance.seen_ms,
+            counted_age_ms=clock_ms - instance.counted_ms,
+            blocked_until_age_ms=clock_ms - instance.blocked_ms,
         )
-        for scorer_id, instance in function.copies_by_scorer.items()
+        for scorer_number, instance in function.copies_by_scorer.items()
         if instance.copies
     ]
 
@@ -203,30 +264,30 @@
 # --- into the decision module -------------------------------------------------------------------------
 
 
-def restore(router: Router, learned: LearnedState, now_ms: float, monotonic_ms: float) -> None:
+def restore(router: Router, learned: LearnedState, clock_ms: float, monotonic_ms: float) -> None:
     """Restores what concerns the scorers of the module's roster; the module has seen no request yet.
 
-    `now_ms` is on its clock, and `monotonic_ms` the same moment on the monotonic one.
+    `clock_ms` and `monotonic_ms` are the same moment, now, on the module's clock and on the monotonic one.
     """
-    written_ms = now_ms - (monotonic_ms - learned.written_ms)  # on the module's clock
-    router.began_ms = written_ms - learned.started_age
+    written_ms = clock_ms - (monotonic_ms - learned.written_monotonic_ms)  # on the module's clock
+    router.began_ms = written_ms - learned.started_age_ms
     router.run_ms = learned.run_ms
-    router.loads_limit = learned.load_limit
+    router.loads_limit = learned.concurrent_load_limit
     router.hedge_tokens = learned.hedge_tokens
-    router.largest_fleet = max(router.largest_fleet, learned.fleet_size)
-    router.arrivals_ms.extend(_times(learned.request_ages, written_ms))
-    router.load_orders_ms.extend(_times(learned.load_order_ages, written_ms))
-    for tenant, (tokens, age) in learned.quota_tokens.items():
-        router.quota_tokens[tenant] = (tokens, written_ms - age)
-    router.runs = _samples(learned.run_samples, written_ms)
+    router.largest_fleet = max(router.largest_fleet, learned.largest_scorer_fleet)
+    router.arrivals_ms.extend(_times(learned.request_ages_ms, written_ms))
+    router.load_orders_ms.extend(_times(learned.load_command_ages_ms, written_ms))
+    for tenant, quota in learned.quota_by_tenant.items():
+        router.quota_tokens[tenant] = (quota.tokens, written_ms - quota.refill_age_ms)
+    router.runs = _samples(learned.run_time_samples, written_ms)
     for scorer in learned.scorers:
         _restore_scorer(router, scorer, written_ms)
     for function in learned.functions:
-        if (function.call_ages or function.copies) and function.name not in router.functions:
+        if (function.call_ages_ms or function.copies_at_scorers) and function.name not in router.functions:
             router.functions[function.name] = _restored_function(router, function, written_ms)
 
 
-def _times(ages: Iterable[Age], written_ms: float) -> list[float]:
+def _times(ages: Iterable[AgeMs], written_ms: float) -> list[float]:
     return [written_ms - age for age in ages]
 
 
@@ -237,40 +298,40 @@
 
 
 def _restore_scorer(router: Router, learned: LearnedScorer, written_ms: float) -> None:
-    scorer = router.scorers.get(learned.scorer)
+    scorer = router.scorers.get(learned.scorer_number)
     if scorer is None:
         return
-    scorer.started_ms = max(scorer.started_ms, written_ms - learned.started_age)
-    scorer.slowdown = learned.slowdown
-    scorer.slowdown_ms = written_ms - learned.slowdown_age
-    scorer.slow_start_sends.extend(_times(learned.send_ages, written_ms))
-    for kind, (losses, ends_age, length_ms) in learned.lapses.items():
-        lapse = state.LossRecord()
-        lapse.losses = losses
-        lapse.ejected_until_ms = written_ms - ends_age
-        lapse.ejection_ms = length_ms
-        scorer.loss_records[kind] = lapse
-    if learned.suspect_age is not None:
-        scorer.suspect_ms = scorer.probed_ms = written_ms - learned.suspect_age
+    scorer.started_ms = max(scorer.started_ms, written_ms - learned.started_age_ms)
+    scorer.slowdown = learned.slowdown_factor
+    scorer.slowdown_ms = written_ms - learned.slowdown_age_ms
+    scorer.slow_start_sends.extend(_times(learned.slow_start_send_ages_ms, written_ms))
+    for kind, losses in learned.losses_by_class.items():
+        record = state.LossRecord()
+        record.losses = losses.losses
+        record.ejected_until_ms = written_ms - losses.ejection_end_age_ms
+        record.ejection_ms = losses.ejection_ms
+        scorer.loss_records[kind] = record
+    if learned.suspect_age_ms is not None:
+        scorer.suspect_ms = scorer.probed_ms = written_ms - learned.suspect_age_ms
         router.watched[scorer.id] = scorer
         router.suspects += scorer.entry.state == ScorerState.READY
 
 
 def _restored_function(router: Router, learned: LearnedFunction, written_ms: float) -> state.Function:
     function = state.Function(
-        learned.name, learned.kind, learned.lanes, learned.reported_load_ms, state.mark(learned.name)
+        learned.name, learned.kind, learned.lanes, learned.reported_load_time_ms, state.mark(learned.name)
     )
-    function.runs = _samples(learned.run_samples, written_ms)
-    function.loads = _samples(learned.load_samples, written_ms)
-    function.waits = _samples(learned.wait_samples, written_ms)
-    function.last_ms.extend(_times(learned.call_ages, written_ms))
+    function.runs = _samples(learned.run_time_samples, written_ms)
+    function.loads = _samples(learned.load_time_samples, written_ms)
+    function.waits = _samples(learned.queue_wait_samples, written_ms)
+    function.last_ms.extend(_times(learned.call_ages_ms, written_ms))
     function.needed_ms = max(function.last_ms, default=written_ms)
-    function.idle_ms = learned.idle_ms
-    function.load_path = learned.load_path
-    function.arrived = learned.arrivals
-    function.spread = learned.spread
+    function.idle_ms = learned.speculative_idle_ms
+    function.load_path = learned.speculates
+    function.arrived = learned.decaying_arrivals
+    function.spread = learned.wanted_scorers
     function.reported_concurrency = learned.reported_concurrency
-    for copies in learned.copies:
+    for copies in learned.copies_at_scorers:
         _restore_copies(router, function, copies, written_ms)
     return function
 
@@ -278,13 +339,13 @@
 def _restore_copies(
     router: Router, function: state.Function, learned: LearnedCopies, written_ms: float
 ) -> None:
-    scorer = router.scorers.get(learned.scorer)
+    scorer = router.scorers.get(learned.scorer_number)
     if scorer is None:
         return
-    function.copies_by_scorer[learned.scorer] = state.ScorerCopies(
-        learned.copies,
-        written_ms - learned.seen_age,
-        written_ms - learned.counted_age,
-        blocked_ms=written_ms - learned.blocked_age,
+    function.copies_by_scorer[learned.scorer_number] = state.ScorerCopies(
+        learned.count,
+        written_ms - learned.seen_age_ms,
+        written_ms - learned.counted_age_ms,
+        blocked_ms=written_ms - learned.blocked_until_age_ms,
     )
     scorer.last_function = function
--- a/fawnwharf/admin/handoff_source.py
+++ b/fawnwharf/admin/predecessor_handoff.py
@@ -4,8 +4,9 @@
 
 from fawnwharf.admin.handoff_messages import VERSION, Hello
 
-PAUSE_DELAY_MS = 400.0  # after SIGTERM: connections that never become idle are read no further
-PREDECESSOR_TIMEOUT_MS = 2_800.0  # after SIGTERM: for this process's own predecessor, which was told earlier
+PAUSE_READING_AFTER_MS = 400.0  # after SIGTERM: client connections that never become idle are read no further
+# After SIGTERM: longest wait for the connections of this process's own predecessor, told to end before it.
+OWN_PREDECESSOR_TIMEOUT_MS = 2_800.0
 
 
 class HandoffPhase(Enum):
@@ -26,11 +27,14 @@
     REJECT = auto()
     STOP_ACCEPTING = auto()
     RESUME_ACCEPTING = auto()
-    PAUSE_READING = auto()
+    PAUSE_CLIENT_READS = auto()  # also hand off connections with unwritten responses
 
 
-class HandoffSource:
-    """From having no successor to having handed everything off."""
+class PredecessorHandoff:
+    """The old process in a hot restart, from having no successor to having handed everything off.
+
+    Decides only: HotRestart calls it with what happens, and carries out the actions that it returns.
+    """
 
     def __init__(self, listen: tuple[str, int]) -> None:
         """Answers successors that are to listen on the same address."""
@@ -49,13 +53,17 @@
         """Whether this process was told to end."""
         return self._shutdown_ms is not None
 
-    def on_hello(self, hello: Hello, *, has_extensions: bool = False) -> HandoffAction:
-        """A successor asks; `has_extensions`: this process has exclusive ones that it may need."""
+    def on_hello(self, hello: Hello, *, holds_exclusive_extensions: bool = False) -> HandoffAction:
+        """A successor asks: REJECT, RELEASE_EXTENSIONS or SEND_STATE.
+
+        REJECT where its version or address differs, another successor was first, or this process is ending.
+        RELEASE_EXTENSIONS where `holds_exclusive_extensions` and the successor needs them.
+        """
         matches = hello.version == VERSION and tuple(hello.listen) == self.listen
         if not matches or self.phase is not HandoffPhase.NO_SUCCESSOR or self.is_shutting_down:
             return HandoffAction.REJECT
         self.phase = HandoffPhase.REQUESTED
-        if has_extensions and hello.needs_extensions:
+        if holds_exclusive_extensions and hello.needs_exclusive_extensions:
             return HandoffAction.RELEASE_EXTENSIONS
         return HandoffAction.SEND_STATE
 
@@ -84,21 +92,27 @@
         return 0.0 if self._shutdown_ms is None else now_ms - self._shutdown_ms
 
     def awaits_predecessor(self, now_ms: float) -> bool:
-        """Whether a shutdown waits for its own predecessor, whose connections come this way."""
+        """Whether a process that is ending still waits for its own predecessor, if it has one.
+
+        In a chain of three processes the first one hands its connections to the second, which passes them on
+        to the third. The caller knows whether there is a predecessor.
+        """
         is_ending = self.phase is HandoffPhase.SHUTTING_DOWN
-        return is_ending and self._elapsed_ms(now_ms) < PREDECESSOR_TIMEOUT_MS
+        return is_ending and self._elapsed_ms(now_ms) < OWN_PREDECESSOR_TIMEOUT_MS
 
     def tick(self, now_ms: float) -> HandoffAction:
-        """What follows from the passing of time alone."""
+        """PAUSE_CLIENT_READS once PAUSE_READING_AFTER_MS have passed since this process was told to end."""
         is_ending = self.phase is HandoffPhase.SHUTTING_DOWN
-        if not is_ending or self._paused or self._elapsed_ms(now_ms) < PAUSE_DELAY_MS:
+        if not is_ending or self._paused or self._elapsed_ms(now_ms) < PAUSE_READING_AFTER_MS:
             return HandoffAction.NONE
         self._paused = True
-        return HandoffAction.PAUSE_READING
+        return HandoffAction.PAUSE_CLIENT_READS
 
-    def may_hand_off(self, *, has_open: bool, unwritten: bool) -> bool:
+    def may_hand_off(self, *, has_open_request: bool, has_unwritten_response: bool) -> bool:
         """Whether a connection may be handed off now: it has one owner at all times, so no request is open.
 
-        Unwritten bytes go along once reading is paused; before that they are written here, which is simpler.
+        `has_open_request`: a request on it has no complete response yet. `has_unwritten_response`: the client
+        has not taken all bytes of its responses. Such bytes go along once reading is paused; before that they
+        are written here, which is simpler.
         """
-        return self.is_handing_off and not has_open and (self._paused or not unwritten)
+        return self.is_handing_off and not has_open_request and (self._paused or not has_unwritten_response)
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -4,24 +4,27 @@
 from fawnwharf.admin import draining
 from fawnwharf.admin.admin_listener import AdminListener
 from fawnwharf.admin.command_handler import (
+    CommandEffect,
     CommandHandler,
-    Effect,
+    CommandResult,
     EnterMaintenance,
     EnterStandby,
     ExitMaintenance,
     ExitStandby,
 )
+from fawnwharf.admin.handoff_messages import OperatorCommand
 from fawnwharf.admin.handoff_request import InheritedState
-from fawnwharf.admin.hot_restart import AdminHooks, HotRestart
+from fawnwharf.admin.hot_restart import HotRestart, HotRestartCallbacks
 from fawnwharf.admin.http import AdminRequest, AdminResponse
 from fawnwharf.config import Address, ConfigError
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.roster_overlay import RosterFilter
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-TIDY_INTERVAL_MS = 250.0
-CLOSER = LIMIT = "operators"
-MAX_LISTED_CHARACTERS = 200  # of scorers' ids in a log line
+OVERDUE_CHECK_INTERVAL_MS = 250.0  # between checks for operators' requests that do not become complete
+ROSTER_FILTER_NAME = "operators"  # of the filter that takes scorers in maintenance out of the roster
+CALL_LIMIT_NAME = "operators"  # of the limit by which a draining front end rejects calls
+MAX_SCORER_LIST_CHARACTERS = 200  # of the ids of scorers in maintenance, in one log line
 
 
 class AdminService:
@@ -40,68 +43,75 @@
             raise ConfigError(f"control: {error.strerror}: {address}") from None
         self._draining_since_ms: float | None = None
         self._rejecting = False
-        hooks = AdminHooks(
+        callbacks = HotRestartCallbacks(
             on_command=self._on_forwarded_command,
-            in_maintenance=lambda: self.commands.in_maintenance,
-            is_ready=lambda: self.ready,
+            scorers_in_maintenance=lambda: self.commands.scorers_in_maintenance,
+            is_ready_to_serve=lambda: self.is_ready_to_serve,
         )
-        self.hot_restart = HotRestart(front, inherited or InheritedState(), hooks)
-        self._inherited = self.hot_restart.inherited_state()
+        self.hot_restart = HotRestart(front, inherited or InheritedState(), callbacks)
+        self._inherited = self.hot_restart.decoded_learned_state()
         if self._inherited is not None:
-            self._restore_maintenance(self._inherited.in_maintenance)
+            self._restore_maintenance(self._inherited.scorers_in_maintenance)
         front.admin = self
-        self._tidy()
+        self._close_overdue()
 
     def _restore_maintenance(self, scorer_ids: list[str]) -> None:
         if not scorer_ids:
             return
-        listed = ", ".join(scorer_ids)[:MAX_LISTED_CHARACTERS]
+        listed = ", ".join(scorer_ids)[:MAX_SCORER_LIST_CHARACTERS]
         self.front.log(f"in maintenance since before this process: {listed}")
-        self.commands.in_maintenance.update(scorer_ids)
-        self.front.apply_fleet(self.front.roster_overlay.set_filter(CLOSER, self._closer()))
+        self.commands.scorers_in_maintenance.update(scorer_ids)
+        self.front.apply_fleet(
+            self.front.roster_overlay.set_filter(ROSTER_FILTER_NAME, self._maintenance_filter())
+        )
 
     def begin(self) -> None:
-        """The front end starts: takes over from the predecessor."""
+        """The front end starts: takes over from the predecessor, if there is one.
+
+        Raises nothing: without the socket for a successor the front end runs without hot restart.
+        """
         self.hot_restart.start(self._inherited)
-        inherited = set(self._inherited.in_maintenance) if self._inherited else set()
+        inherited = set(self._inherited.scorers_in_maintenance) if self._inherited else set()
         # Commands that came here before the predecessor could receive them.
-        for scorer_id in inherited ^ self.commands.in_maintenance:
-            entered = scorer_id in self.commands.in_maintenance
+        for scorer_id in inherited ^ self.commands.scorers_in_maintenance:
+            entered = scorer_id in self.commands.scorers_in_maintenance
             path = "/maintenance/enter" if entered else "/maintenance/exit"
-            self.hot_restart.send_command(path, scorer_id)
+            self.hot_restart.forward_command(path, scorer_id)
         self._inherited = None
 
     def handle(self, request: AdminRequest) -> AdminResponse:
         """Handles a command that an operator sent to this process."""
         response, effect = self._handle(request)
         if effect is not None:
-            target = effect.scorer_id if isinstance(effect, EnterMaintenance | ExitMaintenance) else ""
-            self.hot_restart.send_command(request.path, target)
+            scorer_id = effect.scorer_id if isinstance(effect, EnterMaintenance | ExitMaintenance) else ""
+            self.hot_restart.forward_command(request.path, scorer_id)
         return response
 
-    def _on_forwarded_command(self, path: str, target: str) -> None:
+    def _on_forwarded_command(self, command: OperatorCommand) -> None:
         """Handles a command that another process received.
 
         Standby applies only to the process that has the clients.
         """
-        if not self.replaced or target:
-            self._handle(AdminRequest("POST", path, (("target", target),) if target else ()))
-
-    def _handle(self, request: AdminRequest) -> tuple[AdminResponse, Effect | None]:
-        self.commands.serving = self.front.started and not self.front.client_port.not_ready_reasons
-        self.commands.shutting_down = self.front.shutting_down
-        response, effect = self.commands.handle(request)
+        if not self.replaced or command.scorer_id:
+            query = (("target", command.scorer_id),) if command.scorer_id else ()
+            self._handle(AdminRequest("POST", command.path, query))
+
+    def _handle(self, request: AdminRequest) -> CommandResult:
+        self.commands.is_serving = self.front.started and not self.front.client_port.not_ready_reasons
+        self.commands.is_shutting_down = self.front.shutting_down
+        result = self.commands.handle(request)
+        response, effect = result
         if request.method != "GET":
             self.front.log(f"admin command {request.path}: {response.status} {response.text}")
         if effect is not None:
             self._carry_out(effect)
-        return response, effect
+        return result
 
-    def _closer(self) -> RosterFilter:
-        in_maintenance = frozenset(self.commands.in_maintenance)
+    def _maintenance_filter(self) -> RosterFilter:
+        in_maintenance = frozenset(self.commands.scorers_in_maintenance)
         return lambda member: member.id in in_maintenance
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _carry_out(self, effect: CommandEffect) -> None:
         if isinstance(effect, EnterMaintenance | ExitMaintenance):
             self._update_roster(effect)
         elif self.replaced:
@@ -112,38 +122,38 @@
         elif isinstance(effect, ExitStandby):
             self._draining_since_ms = None
             self._set_rejecting(on=False)
-        self.front.client_port.ready = self.ready
+        self.front.client_port.ready = self.is_ready_to_serve
 
     def _update_roster(self, effect: EnterMaintenance | ExitMaintenance) -> None:
         overlay = self.front.roster_overlay
-        changes = overlay.set_filter(CLOSER, self._closer())
+        changes = overlay.set_filter(ROSTER_FILTER_NAME, self._maintenance_filter())
         if isinstance(effect, ExitMaintenance):
             changes = overlay.mark_restarted([effect.scorer_id], self.front.loop.clock.now_ms())
         self.front.apply_fleet(changes)
-        self.hot_restart.write_state()
+        self.hot_restart.write_learned_state()
 
     @property
-    def ready(self) -> bool:
-        """Whether readiness checks are to succeed."""
-        return self.front.started and not self.front.shutting_down and not self.commands.standby
+    def is_ready_to_serve(self) -> bool:
+        """Whether readiness checks are to succeed: started, not on standby and not shutting down."""
+        return self.front.started and not self.front.shutting_down and not self.commands.is_on_standby
 
     @property
     def takes_over(self) -> bool:
-        """Whether there is a predecessor from which this process takes over at its start."""
+        """Whether there is a running predecessor from which this process is about to take over."""
         return self.hot_restart.will_take_over
 
     @property
     def replaced(self) -> bool:
-        """Whether a successor has taken over."""
+        """Whether a successor accepts connections and gets those of this process."""
         return self.hot_restart.is_replaced
 
     @property
     def busy(self) -> bool:
-        """Whether a hand-off is still going on."""
+        """Whether a hand-off is going on, so that this process must not end yet."""
         return self.hot_restart.is_busy
 
     def leave(self) -> None:
-        """The front end was told to end."""
+        """The front end was told to end: begins to hand off. `close` follows at the end of the shutdown."""
         self.hot_restart.shut_down()
 
     # --- draining -------------------------------------------------------------------------------
@@ -160,18 +170,20 @@
         step = draining.drain_step(monotonic_ms() - self._draining_since_ms)
         if step >= draining.DrainStep.CLOSING_IDLE:
             self.front.client_port.end_idle()
-        self._set_rejecting(on=step >= draining.DrainStep.REJECTING)
+        self._set_rejecting(on=step >= draining.DrainStep.REJECTING_REQUESTS)
 
     def _set_rejecting(self, *, on: bool) -> None:
         if on != self._rejecting:
             self._rejecting = on
-            self.front.limit_calls(LIMIT, 0.0 if on else io.UNLIMITED_RPS)
+            self.front.limit_calls(CALL_LIMIT_NAME, 0.0 if on else io.UNLIMITED_RPS)
 
     # --- periodic work --------------------------------------------------------------------------
 
-    def _tidy(self) -> None:
-        self.front.loop.timers.after(TIDY_INTERVAL_MS, self._tidy)  # first: an error must not end it
-        self.listener.tidy()
+    def _close_overdue(self) -> None:
+        self.front.loop.timers.after(
+            OVERDUE_CHECK_INTERVAL_MS, self._close_overdue
+        )  # first: an error must not end it
+        self.listener.close_overdue()
 
     def close(self) -> None:
         """The front end ends."""
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -108,8 +108,8 @@
         from fawnwharf.admin.handoff_request import inherit_state
 
         # First: the process before may have the disks of these extensions.
-        inherited = inherit_state(deployment, needs_extensions=bool(makers))
-    extension = ExtensionGroup(makers, not (inherited and inherited.channel)) if makers else None
+        inherited = inherit_state(deployment, needs_exclusive_extensions=bool(makers))
+    extension = ExtensionGroup(makers, not (inherited and inherited.predecessor_socket)) if makers else None
     listener = (inherited and inherited.listener) or _listener(deployment)
     front = FrontEnd(deployment, reread=lambda: config.load(path), extension=extension, listener=listener)
     if extension:
--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -109,7 +109,7 @@
     ("before", "call", "status", "effect"), [c[1:] for c in COMMANDS], ids=[c[0] for c in COMMANDS]
 )
 def test_commands_have_their_status_and_effect(before, call, status, effect):
-    handler = CommandHandler({"s-1", "s-2"}.__contains__, serving=True)
+    handler = CommandHandler({"s-1", "s-2"}.__contains__, is_serving=True)
     for earlier in before:
         handler.handle(earlier)
     answer, found = handler.handle(call)
@@ -119,7 +119,7 @@
 def test_a_front_end_that_starts_or_shuts_down_is_not_ready_and_not_drained():
     handler = CommandHandler(lambda _scorer_id: True)
     assert handler.handle(request("/status", "GET"))[0].status == 503
-    handler.serving = handler.shutting_down = True
+    handler.is_serving = handler.is_shutting_down = True
     assert handler.handle(request("/status", "GET"))[0].status == 503
     assert [handler.handle(request(path))[0].status for path in ("/standby", "/active")] == [409, 409]
 
@@ -194,11 +194,11 @@
 class AdminAddress(Case):
     def test_incomplete_requests_time_out_and_do_not_block_others(self):
         rig = self.rig(ScorerPeer())
-        idle = [rig.caller() for _ in range(admin_listener.MAX_CONNECTIONS)]
+        idle = [rig.caller() for _ in range(admin_listener.MAX_CONNECTION_LIMIT)]
         for caller in idle[::2]:
             caller.sock.sendall(b"GET /sta")
         rig.until(
-            lambda: len(rig.admin.listener.connections) == admin_listener.MAX_CONNECTIONS, "all are held"
+            lambda: len(rig.admin.listener.connections) == admin_listener.MAX_CONNECTION_LIMIT, "all are held"
         )
         assert rig.ask("/status", "GET") == 200
         assert idle[0].ended or idle[1].ended  # the oldest gave way
@@ -290,7 +290,7 @@
         client.call()
         rig.until(lambda: scorer.runs, "it runs")
         rig.ask("/standby")
-        rig.after(draining.REJECT_AFTER_MS + 50.0)
+        rig.after(draining.REJECT_FROM_MS + 50.0)
         second = client.call()
         rig.until(lambda: client.answers, "the second is answered at once")
         assert client.kinds() == {second: "throttled"}
@@ -308,7 +308,7 @@
         loads = [f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"]
         for path in ("/active", "/standby", "/standby"):
             assert rig.ask(path) == 200
-        rig.after(draining.REJECT_AFTER_MS + 50.0)
+        rig.after(draining.REJECT_FROM_MS + 50.0)
         client = rig.client()
         assert not self.status(rig, client)
         began = time.monotonic()
--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -12,15 +12,15 @@
 from hypothesis import strategies as st
 from peers import Buffered, Rig, ScorerPeer, ready
 
-from fawnwharf.admin import handoff_channel, handoff_source, service
+from fawnwharf.admin import handoff_channel, predecessor_handoff, service
 from fawnwharf.admin import handoff_messages as h
 from fawnwharf.admin import learned_state as m
 from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.admin.handoff_listener import HandoffListener
 from fawnwharf.admin.handoff_request import InheritedState
-from fawnwharf.admin.handoff_source import HandoffAction, HandoffPhase
 from fawnwharf.admin.hot_restart import HotRestart
 from fawnwharf.admin.http import AdminRequest
+from fawnwharf.admin.predecessor_handoff import HandoffAction, HandoffPhase
 from fawnwharf.net.connection_handoff import HandedOffConnection
 from fawnwharf.net.event_loop import EventLoop
 
@@ -45,7 +45,7 @@
 
 N, SEND, REJECT, STOP, RESUME, PAUSE = (
     HandoffAction.NONE, HandoffAction.SEND_STATE, HandoffAction.REJECT,
-    HandoffAction.STOP_ACCEPTING, HandoffAction.RESUME_ACCEPTING, HandoffAction.PAUSE_READING,
+    HandoffAction.STOP_ACCEPTING, HandoffAction.RESUME_ACCEPTING, HandoffAction.PAUSE_CLIENT_READS,
 )  # fmt: skip
 SEQUENCES = [
     ("requested", "hello", [SEND], HandoffPhase.REQUESTED),
@@ -76,7 +76,7 @@
     ("steps", "wanted", "phase"), [c[1:] for c in SEQUENCES], ids=[c[0] for c in SEQUENCES]
 )
 def test_actions_of_the_hand_off_source(steps, wanted, phase):
-    source = handoff_source.HandoffSource(ADDRESS)
+    source = predecessor_handoff.PredecessorHandoff(ADDRESS)
     assert [apply_step(source, step) for step in steps.split()] == wanted
     assert source.phase is phase
     assert source.is_handing_off == (phase in (HandoffPhase.HANDING_OFF, HandoffPhase.SHUTTING_DOWN))
@@ -93,11 +93,11 @@
 
 @pytest.mark.parametrize(("steps", "wanted"), HAND_OFFS, ids=[case[0] for case in HAND_OFFS])
 def test_a_connection_is_handed_off_without_open_requests_and_with_unwritten_bytes_at_the_end(steps, wanted):
-    source = handoff_source.HandoffSource(ADDRESS)
+    source = predecessor_handoff.PredecessorHandoff(ADDRESS)
     for step in steps.split():
         apply_step(source, step)
     found = [
-        source.may_hand_off(has_open=has_open, unwritten=unwritten)
+        source.may_hand_off(has_open_request=has_open, has_unwritten_response=unwritten)
         for has_open in (False, True)
         for unwritten in (False, True)
     ]
@@ -105,14 +105,18 @@
 
 
 def test_a_shutdown_awaits_the_predecessor_for_a_limited_time():
-    source = handoff_source.HandoffSource(ADDRESS)
+    source = predecessor_handoff.PredecessorHandoff(ADDRESS)
     for step in ("hello", "ready"):
         apply_step(source, step)
     assert not source.awaits_predecessor(0.0)
     source.shut_down(0.0)
     assert [
         source.awaits_predecessor(at)
-        for at in (0.0, handoff_source.PREDECESSOR_TIMEOUT_MS - 1, handoff_source.PREDECESSOR_TIMEOUT_MS)
+        for at in (
+            0.0,
+            predecessor_handoff.OWN_PREDECESSOR_TIMEOUT_MS - 1,
+            predecessor_handoff.OWN_PREDECESSOR_TIMEOUT_MS,
+        )
     ] == [
         True,
         True,
@@ -126,7 +130,7 @@
     )
 )
 def test_in_any_order_of_events_it_accepts_exactly_while_it_does_not_hand_off(steps):
-    source, accepts = handoff_source.HandoffSource(ADDRESS), True
+    source, accepts = predecessor_handoff.PredecessorHandoff(ADDRESS), True
     for step in steps:
         what = apply_step(source, step)
         accepts = accepts if what not in (STOP, RESUME) else what is RESUME
@@ -180,12 +184,12 @@
     learned = m.decode(m.encode(m.capture(drive.router, {"s-2", "s-1"}, drive.now, 5_000.0)))
     other = Drive(workers=4).router
     m.restore(other, learned, 123_456.0 + later, 5_000.0 + later)
-    again = m.capture(other, set(learned.in_maintenance), 123_456.0, 5_000.0)
-    assert learned.in_maintenance == ["s-1", "s-2"]
+    again = m.capture(other, set(learned.scorers_in_maintenance), 123_456.0, 5_000.0)
+    assert learned.scorers_in_maintenance == ["s-1", "s-2"]
     assert len(learned.functions) == 3
-    assert any(f.copies for f in learned.functions)
-    learned.scorers.sort(key=lambda s: s.scorer)
-    again.scorers.sort(key=lambda s: s.scorer)
+    assert any(f.copies_at_scorers for f in learned.functions)
+    learned.scorers.sort(key=lambda s: s.scorer_number)
+    again.scorers.sort(key=lambda s: s.scorer_number)
     assert is_equal(learned, again)
 
 
@@ -199,7 +203,7 @@
 
 @given(at=st.integers(0, 400), bit=st.integers(0, 7), cut=st.booleans())
 def test_damaged_or_truncated_learned_state_is_rejected(at, bit, cut):
-    data = bytearray(m.encode(m.LearnedState(1.0, ["s-1"], request_ages=[1.0] * 50)))
+    data = bytearray(m.encode(m.LearnedState(1.0, ["s-1"], request_ages_ms=[1.0] * 50)))
     at %= len(data)
     if cut:
         del data[at:]
@@ -238,7 +242,7 @@
     sock.setblocking(False)
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
-    handoff_channel.send(sock, h.encode(h.Ready()), None)
+    handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
     rig.until(lambda: rig.admin.replaced, "it hands off")
     return sock
 
@@ -269,7 +273,7 @@
     sock = connect_successor(rig)
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"y" * 5000)
     hot_restart = rig.admin.hot_restart
-    hot_restart.source._paused = True
+    hot_restart.handoff._paused = True
     [held] = rig.front.client_port.clients
     give = rig.front.client_port.hand_off
 
@@ -306,7 +310,7 @@
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     back = []
     channel = handoff_channel.HandoffChannel(
-        loop, near, mock.Mock(), lambda end: back.extend(end.take_back())
+        loop, near, mock.Mock(), lambda end: back.extend(end.take_unsent())
     )
     data = os.urandom(900_000)
     for part in [
@@ -358,14 +362,16 @@
     timers = []
     rig.front.loop.timers.after(50.0, lambda: timers.append(1))
     rig.until(lambda: timers, "two ticks are over")
-    assert h.Done() not in messages(newest)  # not while the predecessor still hands off
+    assert h.HandoffComplete() not in messages(newest)  # not while the predecessor still hands off
     oldest.close()
-    rig.until(lambda: said.extend(messages(newest)) or h.Done() in said, "it has handed off everything")
+    rig.until(
+        lambda: said.extend(messages(newest)) or h.HandoffComplete() in said, "it has handed off everything"
+    )
     assert rig.admin.busy  # until the successor has received everything
     handoff_channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
-    handoff_channel.send(newest, h.encode(h.Done()), None)
+    handoff_channel.send(newest, h.encode(h.HandoffComplete()), None)
     rig.until(lambda: not rig.admin.busy, "it may end, with nothing unread")
-    assert rig.admin.commands.in_maintenance == {"s-1"}
+    assert rig.admin.commands.scorers_in_maintenance == {"s-1"}
 
 
 def test_a_connection_adopted_while_reading_is_paused_is_paused_too(rig):
@@ -397,21 +403,21 @@
 def test_a_command_before_the_start_reaches_the_predecessor_at_the_start(rig):
     other = service.AdminService(rig.front, ("127.0.0.1", 0))
     other.handle(AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),)))
-    with mock.patch.object(HotRestart, "send_command") as send_command:
+    with mock.patch.object(HotRestart, "forward_command") as forward_command:
         other.begin()
-    send_command.assert_called_once_with("/maintenance/enter", "s-1")
+    forward_command.assert_called_once_with("/maintenance/enter", "s-1")
     other.listener.close()
     rig.front.admin = rig.admin
 
 
 def test_a_process_does_not_overwrite_the_state_file_of_a_newer_one(rig):
     hot_restart = rig.admin.hot_restart
-    hot_restart.write_state()
-    assert hot_restart.directory.read_state()
+    hot_restart.write_learned_state()
+    assert hot_restart.directory.read_learned_state()
     listener = HandoffListener(rig.front.loop, hot_restart.directory, mock.Mock())
-    hot_restart.directory.write_state(b"newer")
-    hot_restart.write_state()
-    assert hot_restart.directory.read_state() == b"newer"
+    hot_restart.directory.write_learned_state(b"newer")
+    hot_restart.write_learned_state()
+    assert hot_restart.directory.read_learned_state() == b"newer"
     listener.close()
 
 
@@ -421,5 +427,5 @@
     rig.admin.leave()
     sock.close()
     rig.until(lambda: not rig.admin.replaced, "it serves alone")
-    assert listener.is_current
+    assert listener.owns_socket_path
     listener.close()
--- a/tests/admin/test_admin_handoff_event_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -40,7 +40,7 @@
         sock.connect(address)
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
-    handoff_channel.send(sock, h.encode(h.Ready()), None)
+    handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
     rig.until(lambda: rig.admin.replaced, "it hands off")
     return sock
 
@@ -60,7 +60,7 @@
     if why == "leaving":
         rig.front.shut_down()
     elif why == "standby":
-        rig.admin.commands.standby = True
+        rig.admin.commands.is_on_standby = True
     assert is_ready(rig, client)  # for the other process's sake
     sock.close()
     rig.until(lambda: not rig.admin.replaced, "it serves alone")
@@ -102,8 +102,9 @@
     rig.admin.handle(AdminRequest("POST", "/standby"))
     with mock.patch.object(service.draining, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "the next tick comes")
-    with mock.patch.object(rig.admin.listener, "tidy", side_effect=RuntimeError("planted")) as tidy:
-        rig.until(lambda: tidy.call_count >= 2, "it tidies again")
+    error = RuntimeError("planted")
+    with mock.patch.object(rig.admin.listener, "close_overdue", side_effect=error) as close_overdue:
+        rig.until(lambda: close_overdue.call_count >= 2, "it looks for overdue connections again")
 
 
 @pytest.mark.parametrize("fault", [ConfigError("held"), OSError("planted"), RuntimeError("planted")])
@@ -139,7 +140,7 @@
             mock.patch.object(handoff_request, "receive", drop),
         ):
             assert handoff_request.request_handoff(directory, ("127.0.0.1", 1)) is None
-    assert now[0] <= 1e3 * handoff_request.ANSWER_TIMEOUT_S + 1_000.0
+    assert now[0] <= handoff_request.HELLO_ANSWER_TIMEOUT_MS + 1_000.0
 
 
 def test_a_successor_told_to_end_before_its_start_does_not_take_over():
--- a/tests/admin/test_admin_hot_restart.py
+++ b/tests/admin/test_admin_hot_restart.py
@@ -82,9 +82,9 @@
         """A successor, played by the test, that has received the state."""
         found = request_handoff(site.place, site.listen.address)
         assert found is not None, "the old process answers"
-        for sock in (found.channel, found.listener):
+        for sock in (found.predecessor_socket, found.listener):
             self.addCleanup(sock.close)
-        return found.channel, found.learned, found.listener
+        return found.predecessor_socket, found.encoded_learned_state, found.listener
 
     def half_asked(self, site, count, size=40_000):
         """Clients that have sent half of a long message each; the rest of it, by client."""
@@ -141,7 +141,7 @@
         site.drop(site.callers[0])
         rest = self.half_asked(site, 24)
         sock, _, door = self.connected_successor(site)
-        handoff_channel.send(sock, h.encode(h.Ready()), None)
+        handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
         site.until_logged(old, "hot restart: handing off to the new process")
         sock.setblocking(True)
         sock.settimeout(10.0)
@@ -196,7 +196,7 @@
         held = lambda: all(unsent_of(site.listen.address, caller) > 0 for caller in slow)  # noqa: E731
         site.until(held, "the long answers are half written")
         sock, _, door = self.connected_successor(site)
-        handoff_channel.send(sock, h.encode(h.Ready()), None)
+        handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
         site.until_logged(old, "hot restart: handing off to the new process")
         old.signal(signal.SIGTERM)
         site.until(lambda: ready(sock, 0.0), "they are being handed off")
--- a/tests/net/test_net_rare_resource_shortages.py
+++ b/tests/net/test_net_rare_resource_shortages.py
@@ -27,11 +27,11 @@
         for _ in range(20):
             loop.run_iteration(0.0)
         assert fault.hits == 1
-        clock.advance(admin_listener.ACCEPT_PAUSE_MS + 5.0)
+        clock.advance(admin_listener.ACCEPT_RETRY_MS + 5.0)
         loop.run_iteration(0.0)
         loop.run_iteration(0.0)
         assert fault.hits == 2
-        clock.advance(admin_listener.ACCEPT_PAUSE_MS + 5.0)
+        clock.advance(admin_listener.ACCEPT_RETRY_MS + 5.0)
         loop.run_iteration(0.0)
         loop.run_iteration(0.0)
         assert len(control.connections) == 1
--- a/tests/test_disk_faults_kept.py
+++ b/tests/test_disk_faults_kept.py
@@ -69,19 +69,19 @@
 
 def test_what_was_learnt_stays_as_it_was_where_the_new_file_has_no_room_or_no_name(tmp_path, monkeypatch):
     directory = HandoffDirectory(str(tmp_path), "front", ("127.0.0.1", 1))
-    directory.write_state(b"before")
+    directory.write_learned_state(b"before")
     faults = FileFaults(tmp_path)
     with faults.installed():
         faults.fail(error=errno.EIO)  # of the name; a buffered write is none of the calls
         with pytest.raises(OSError, match="Input/output"):
-            directory.write_state(b"after")
+            directory.write_learned_state(b"after")
         faults.works()
-        assert directory.read_state() == b"before"
+        assert directory.read_learned_state() == b"before"
     os.unlink(directory.state_path.with_suffix(".new"))
     directory.state_path.with_suffix(".new").symlink_to("/dev/full")
     with pytest.raises(OSError, match="No space left"):
-        directory.write_state(b"after")
-    assert directory.read_state() == b"before"
+        directory.write_learned_state(b"after")
+    assert directory.read_learned_state() == b"before"
     directory.state_path.with_suffix(".new").unlink()
-    directory.write_state(b"after")
-    assert directory.read_state() == b"after"
+    directory.write_learned_state(b"after")
+    assert directory.read_learned_state() == b"after"
