--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -318,7 +318,7 @@
         return self.handoff.is_handing_off
 
     @property
-    def is_busy(self) -> bool:
+    def has_handoff_in_progress(self) -> bool:
         """Whether a hand-off is going on, so that this process must not end yet.
 
         Until the successor has received everything; before that, while another process has or awaits the
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -65,7 +65,7 @@
             self.front.roster_overlay.set_filter(ROSTER_FILTER_NAME, self._maintenance_filter())
         )
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The front end starts: takes over from the predecessor, if there is one.
 
         Raises nothing: without the socket for a successor the front end runs without hot restart.
@@ -92,7 +92,7 @@
 
         Standby applies only to the process that has the clients.
         """
-        if not self.replaced or command.scorer_id:
+        if not self.is_replaced or command.scorer_id:
             query = (("target", command.scorer_id),) if command.scorer_id else ()
             self._handle(AdminRequest("POST", command.path, query))
 
@@ -114,7 +114,7 @@
     def _carry_out(self, effect: CommandEffect) -> None:
         if isinstance(effect, EnterMaintenance | ExitMaintenance):
             self._update_roster(effect)
-        elif self.replaced:
+        elif self.is_replaced:
             return  # the command is passed on to the successor
         elif isinstance(effect, EnterStandby):
             self._draining_since_ms = monotonic_ms()
@@ -138,21 +138,21 @@
         return self.front.started and not self.front.shutting_down and not self.commands.is_on_standby
 
     @property
-    def takes_over(self) -> bool:
+    def will_take_over(self) -> bool:
         """Whether there is a running predecessor from which this process is about to take over."""
         return self.hot_restart.will_take_over
 
     @property
-    def replaced(self) -> bool:
+    def is_replaced(self) -> bool:
         """Whether a successor accepts connections and gets those of this process."""
         return self.hot_restart.is_replaced
 
     @property
-    def busy(self) -> bool:
+    def has_handoff_in_progress(self) -> bool:
         """Whether a hand-off is going on, so that this process must not end yet."""
-        return self.hot_restart.is_busy
+        return self.hot_restart.has_handoff_in_progress
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """The front end was told to end: begins to hand off. `close` follows at the end of the shutdown."""
         self.hot_restart.shut_down()
 
@@ -164,7 +164,7 @@
         self.front.loop.timers.after(
             draining.TICK_INTERVAL_MS, self._drain
         )  # first: an error must not end it
-        if self.replaced:  # the connections are for the successor, which is ready: none is ended or rejected
+        if self.is_replaced:  # the successor, which is ready, gets the connections: none is ended or rejected
             self._set_rejecting(on=False)
             return
         step = draining.drain_step(monotonic_ms() - self._draining_since_ms)
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -70,21 +70,21 @@
     """The admin interface of a running front end, with hot restart."""
 
     @property
-    def replaced(self) -> bool:
+    def is_replaced(self) -> bool:
         """Whether another process has taken over from this one."""
 
     @property
-    def takes_over(self) -> bool:
+    def will_take_over(self) -> bool:
         """Whether this process is about to take over from another one."""
 
     @property
-    def busy(self) -> bool:
+    def has_handoff_in_progress(self) -> bool:
         """Whether a hand-off is still going on."""
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start; called once, before connections are accepted."""
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Begin the graceful shutdown."""
 
 
@@ -174,7 +174,7 @@
     @property
     def replaced(self) -> bool:
         """Whether another process has replaced this one."""
-        return self.admin is not None and self.admin.replaced
+        return self.admin is not None and self.admin.is_replaced
 
     @property
     def address(self) -> Address:
@@ -194,7 +194,7 @@
             self.loop.run_iteration(
                 0.0
             )  # the router gets its roster before it receives another process's state
-            self.admin.begin()
+            self.admin.start()
         self.client_port.set_accepting(True)
         self.change_log.connect()
         self.loop.timers.after(MAINTENANCE_MS, self._run_maintenance)
@@ -240,7 +240,7 @@
         self.log("shutting down")
         self._shutdown = GracefulShutdown(self)
         if self.admin:
-            self.loop.run_guarded(self.admin.leave)
+            self.loop.run_guarded(self.admin.shut_down)
         self.client_port.ready = self.replaced  # readiness checks here may be meant for the other process
         self._shutdown.look()
 
--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -80,12 +80,15 @@
         front = self._front
         if front.requests.open or front.client_port.has_unwritten():
             return True
-        return bool(front.extension and front.extension.busy) or bool(front.admin and front.admin.busy)
+        return bool(front.extension and front.extension.busy) or bool(
+            front.admin and front.admin.has_handoff_in_progress
+        )
 
     def _end_connections(self) -> bool:
         """Whether none is left, neither in the accept queue nor here."""
         front = self._front
-        if front.admin and front.admin.busy:  # the listener may still go to another process
+        # The listener may still go to another process.
+        if front.admin and front.admin.has_handoff_in_progress:
             return False
         if not self._refusing:
             self._refusing = True
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -42,7 +42,7 @@
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
-    if front.admin is not None and front.admin.takes_over and termination_pending():
+    if front.admin is not None and front.admin.will_take_over and termination_pending():
         front.close()  # the process that serves goes on as if this one had not come
         return 0
     gc.freeze()  # what the start has made stays: no collection needs to walk it
--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -226,7 +226,7 @@
         made = Rig(ScorerPeer(copies=4))
         directory = HandoffDirectory(folder, "", made.front.address)
         made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(directory))
-        made.admin.begin()
+        made.admin.start()
         made.peers = []
         yield made
         made.close()
@@ -243,7 +243,7 @@
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
     handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
-    rig.until(lambda: rig.admin.replaced, "it hands off")
+    rig.until(lambda: rig.admin.is_replaced, "it hands off")
     return sock
 
 
@@ -357,8 +357,8 @@
 
 def test_a_shutdown_waits_for_what_the_predecessor_still_hands_off(rig):
     oldest, newest, said = connect_predecessor(rig), connect_successor(rig), []
-    rig.admin.leave()
-    assert rig.admin.busy
+    rig.admin.shut_down()
+    assert rig.admin.has_handoff_in_progress
     timers = []
     rig.front.loop.timers.after(50.0, lambda: timers.append(1))
     rig.until(lambda: timers, "two ticks are over")
@@ -367,10 +367,10 @@
     rig.until(
         lambda: said.extend(messages(newest)) or h.HandoffComplete() in said, "it has handed off everything"
     )
-    assert rig.admin.busy  # until the successor has received everything
+    assert rig.admin.has_handoff_in_progress  # until the successor has received everything
     handoff_channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
     handoff_channel.send(newest, h.encode(h.HandoffComplete()), None)
-    rig.until(lambda: not rig.admin.busy, "it may end, with nothing unread")
+    rig.until(lambda: not rig.admin.has_handoff_in_progress, "it may end, with nothing unread")
     assert rig.admin.commands.scorers_in_maintenance == {"s-1"}
 
 
@@ -404,7 +404,7 @@
     other = service.AdminService(rig.front, ("127.0.0.1", 0))
     other.handle(AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),)))
     with mock.patch.object(HotRestart, "forward_command") as forward_command:
-        other.begin()
+        other.start()
     forward_command.assert_called_once_with("/maintenance/enter", "s-1")
     other.listener.close()
     rig.front.admin = rig.admin
@@ -424,8 +424,8 @@
 def test_a_shutdown_without_successor_leaves_the_directory_to_a_newer_process(rig):
     sock = connect_successor(rig)
     listener = HandoffListener(rig.front.loop, rig.admin.hot_restart.directory, mock.Mock())
-    rig.admin.leave()
+    rig.admin.shut_down()
     sock.close()
-    rig.until(lambda: not rig.admin.replaced, "it serves alone")
+    rig.until(lambda: not rig.admin.is_replaced, "it serves alone")
     assert listener.owns_socket_path
     listener.close()
--- a/tests/admin/test_admin_handoff_event_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -25,7 +25,7 @@
         made = Rig(ScorerPeer(copies=4))
         directory = HandoffDirectory(folder, "", made.front.address)
         made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(directory))
-        made.admin.begin()
+        made.admin.start()
         made.peers = []
         yield made
         made.close()
@@ -41,7 +41,7 @@
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
     handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
-    rig.until(lambda: rig.admin.replaced, "it hands off")
+    rig.until(lambda: rig.admin.is_replaced, "it hands off")
     return sock
 
 
@@ -63,7 +63,7 @@
         rig.admin.commands.is_on_standby = True
     assert is_ready(rig, client)  # for the other process's sake
     sock.close()
-    rig.until(lambda: not rig.admin.replaced, "it serves alone")
+    rig.until(lambda: not rig.admin.is_replaced, "it serves alone")
     assert is_ready(rig, client) is (why == "neither")
 
 
@@ -83,7 +83,7 @@
         assert channel.has_unsent
         assert not channel.closed
         channel._progress_ms -= hot_restart.STALL_TIMEOUT_MS
-        rig.until(lambda: not rig.admin.replaced, "it serves alone")
+        rig.until(lambda: not rig.admin.is_replaced, "it serves alone")
     assert rig.front.client_port.clients
     assert is_ready(rig, client) is True
     assert not ready(sock, 0.0) or handoff_channel.receive(sock)
