--- a/fawnwharf/net/graceful_shutdown.py
+++ b/fawnwharf/net/graceful_shutdown.py
@@ -1,15 +1,16 @@
 """The graceful shutdown after SIGTERM: late arrivals, the accept queue, the half-close of each connection."""
 
-from typing import TYPE_CHECKING
-
 from fawnwharf import interface as io
 from fawnwharf.interface import Settings
 from fawnwharf.net import connection
 from fawnwharf.net.calls import TTL_TOLERANCE
-from fawnwharf.net.clients import MESSAGE_TIMEOUT_MS, ClientConnection
+from fawnwharf.net.clients import ClientConnection
+from fawnwharf.net.clients import MESSAGE_TIMEOUT_MS
 from fawnwharf.net.end_reasons import EndReason
 from fawnwharf.net.idle_connections import MIN_SILENT_AGE_MS
 from fawnwharf.net.timer_wheel import monotonic_ms
+from typing import TYPE_CHECKING
+
 
 if TYPE_CHECKING:
     from fawnwharf.net.front_end import FrontEnd
@@ -87,12 +88,15 @@
         front = self._front
         if front.requests.open or front.client_port.has_unwritten():
             return True
-        return bool(front.extension and front.extension.busy) or bool(front.admin and front.admin.busy)
+        return bool(front.extension and front.extension.busy) or bool(
+            front.admin and front.admin.has_handoff_in_progress
+        )
 
     def _end_connections(self) -> bool:
         """End what may end; return whether no connection is left, in the accept queue or accepted."""
         front = self._front
-        if front.admin and front.admin.busy:  # the listener may still be handed off to another process
+        # The listener may still be handed off to another process.
+        if front.admin and front.admin.has_handoff_in_progress:
             return False
         if not self._rejects_calls:
             self._rejects_calls = True
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -1,16 +1,20 @@
 """Serves from a configuration file to an exit status, with or without the command line's libraries."""
 
+from collections.abc import Callable
+from fawnwharf import config
+from fawnwharf import interface as io
+from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.net.listener import listen_when_free
+from fawnwharf.net.listener import open_listener
+from fawnwharf.net.listener import termination_pending
+from typing import Any
+from typing import TypedDict
+from typing import Unpack
 import gc
 import signal
 import socket
 import sys
-from collections.abc import Callable
-from typing import Any, TypedDict, Unpack
 
-from fawnwharf import config
-from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.listener import listen_when_free, open_listener, termination_pending
 
 ROSTER_FILTER_OWNERS = "zones", "state"  # subsystems that filter the roster; the filters go as they restart
 # Options that an option needs, as its subsystem reads the logs of theirs.
@@ -44,7 +48,7 @@
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
-    if front.admin is not None and front.admin.takes_over and termination_pending():
+    if front.admin is not None and front.admin.will_take_over and termination_pending():
         front.close()  # the process that serves goes on as if this one had not started
         return 0
     gc.freeze()  # what the start has made stays: garbage collections need not visit it
@@ -114,10 +118,10 @@
         from fawnwharf.admin.handoff_request import inherit_state
 
         # First of all: the process that still serves may have the disks of these extensions open.
-        inherited = inherit_state(deployment, needs_extensions=bool(makers))
+        inherited = inherit_state(deployment, needs_exclusive_extensions=bool(makers))
     extension = None
     if makers:
-        extension = ExtensionGroup(makers, first=not (inherited and inherited.channel))
+        extension = ExtensionGroup(makers, first=not (inherited and inherited.predecessor_socket))
     listener = (inherited and inherited.listener) or _open_listener(deployment)
     front = FrontEnd(deployment, reread=lambda: config.load(path), extension=extension, listener=listener)
     if extension:
--- a/tests/admin/test_admin_handoff_event_orders.py
+++ b/tests/admin/test_admin_handoff_event_orders.py
@@ -25,7 +25,7 @@
         made = Rig(ScorerPeer(copies=4))
         directory = HandoffDirectory(folder, "", made.front.address)
         made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(directory))
-        made.admin.begin()
+        made.admin.start()
         made.peers = []
         yield made
         made.close()
@@ -40,8 +40,8 @@
         sock.connect(address)
     rig.peers.append(sock)
     handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
-    handoff_channel.send(sock, h.encode(h.Ready()), None)
-    rig.until(lambda: rig.admin.replaced, "it hands off")
+    handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
+    rig.until(lambda: rig.admin.is_replaced, "it hands off")
     return sock
 
 
@@ -60,10 +60,10 @@
     if why == "leaving":
         rig.front.shut_down()
     elif why == "standby":
-        rig.admin.commands.standby = True
+        rig.admin.commands.is_on_standby = True
     assert is_ready(rig, client)  # for the other process's sake
     sock.close()
-    rig.until(lambda: not rig.admin.replaced, "it serves alone")
+    rig.until(lambda: not rig.admin.is_replaced, "it serves alone")
     assert is_ready(rig, client) is (why == "neither")
 
 
@@ -83,7 +83,7 @@
         assert channel.has_unsent
         assert not channel.closed
         channel._progress_ms -= hot_restart.STALL_TIMEOUT_MS
-        rig.until(lambda: not rig.admin.replaced, "it serves alone")
+        rig.until(lambda: not rig.admin.is_replaced, "it serves alone")
     assert rig.front.client_port.clients
     assert is_ready(rig, client) is True
     assert not ready(sock, 0.0) or handoff_channel.receive(sock)
@@ -102,8 +102,9 @@
     rig.admin.handle(AdminRequest("POST", "/standby"))
     with mock.patch.object(service.draining, "drain_step", side_effect=RuntimeError("planted")) as step:
         rig.until(lambda: step.call_count >= 2, "the next tick comes")
-    with mock.patch.object(rig.admin.listener, "tidy", side_effect=RuntimeError("planted")) as tidy:
-        rig.until(lambda: tidy.call_count >= 2, "it tidies again")
+    error = RuntimeError("planted")
+    with mock.patch.object(rig.admin.listener, "close_overdue", side_effect=error) as close_overdue:
+        rig.until(lambda: close_overdue.call_count >= 2, "it looks for overdue connections again")
 
 
 @pytest.mark.parametrize("fault", [ConfigError("held"), OSError("planted"), RuntimeError("planted")])
@@ -139,7 +140,7 @@
             mock.patch.object(handoff_request, "receive", drop),
         ):
             assert handoff_request.request_handoff(directory, ("127.0.0.1", 1)) is None
-    assert now[0] <= 1e3 * handoff_request.ANSWER_TIMEOUT_S + 1_000.0
+    assert now[0] <= handoff_request.HELLO_ANSWER_TIMEOUT_MS + 1_000.0
 
 
 def test_a_successor_told_to_end_before_its_start_does_not_take_over():
