--- a/fawnwharf/recovery_service/local_status.py
+++ b/fawnwharf/recovery_service/local_status.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fawnwharf.consensus.committed_log import last_appended
+from fawnwharf.consensus.committed_log import last_including_uncommitted
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.recovery_core.trust import StoreCondition
@@ -74,7 +74,7 @@
 
     def _plan(self) -> PlanVersion:
         voter = self._zones.core.voter
-        number, text = last_appended(voter.saved, "plan") if voter is not None else (0, "")
+        number, text = last_including_uncommitted(voter.saved, "plan") if voter is not None else (0, "")
         return PlanVersion(number, _digest(text.encode()))
 
     def _has_scorers(self, front: FrontEnd, now_ms: float, *, roster_received: bool) -> bool:
--- a/fawnwharf/recovery_service/messages.py
+++ b/fawnwharf/recovery_service/messages.py
@@ -3,19 +3,15 @@
 Values that are checked as they arrive; no logic. A lost message costs time alone: all are sent again.
 """
 
+from typing import Annotated, Any
+
+import msgspec
+from msgspec import Meta, Struct, field
+
 from fawnwharf.consensus.messages import MAX_TEXT_CHARACTERS
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.recovery_core.queries import Answer
-from fawnwharf.recovery_core.queries import Number
-from fawnwharf.recovery_core.queries import Query
+from fawnwharf.recovery_core.queries import Answer, Number, Query
 from fawnwharf.zones.settings import Name
-from msgspec import Meta
-from msgspec import Struct
-from msgspec import field
-from typing import Annotated
-from typing import Any
-import msgspec
-
 
 LOG_CLIENT = "recovery"  # of both logs; the kind of its register as well
 
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -1,20 +1,16 @@
 """Serves from a configuration file to an exit status, with or without the command line's libraries."""
 
-from collections.abc import Callable
-from fawnwharf import config
-from fawnwharf import interface as io
-from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.net.listener import listen_when_free
-from fawnwharf.net.listener import open_listener
-from fawnwharf.net.listener import termination_pending
-from typing import Any
-from typing import TypedDict
-from typing import Unpack
 import gc
 import signal
 import socket
 import sys
+from collections.abc import Callable
+from typing import Any, TypedDict, Unpack
 
+from fawnwharf import config
+from fawnwharf import interface as io
+from fawnwharf.net.front_end import FrontEnd
+from fawnwharf.net.listener import listen_when_free, open_listener, termination_pending
 
 ROSTER_FILTER_OWNERS = "zones", "state"  # subsystems that filter the roster; the filters go as they restart
 # Options that an option needs, as its subsystem reads the logs of theirs.
--- a/tests/recovery_service/test_recovery_service_assigned_permits.py
+++ b/tests/recovery_service/test_recovery_service_assigned_permits.py
@@ -140,7 +140,7 @@
     return FleetObservation(members=9, heard=9, asked=9, givers=givers, gave=gave, first=0.0, served=0.0)
 
 
-def test_the_recovery_coordinator_assigns_with_priority_calls_and_again_only_when_an_issuer_is_gone_for_a_time():
+def test_the_coordinator_assigns_with_priority_calls_and_again_only_once_an_issuer_is_gone_for_a_time():
     led = Led().until(RecoveryPhase.PRIORITY_CALLS, seen("a", "b"))
     assert [(r.stage, r.givers, r.deals) for r in led.told] == [
         (0, ("a", "b"), 0), (1, ("a", "b"), 0), (2, ("a", "b"), 1),
