--- a/fawnwharf/zones/plan_application.py
+++ b/fawnwharf/zones/plan_application.py
@@ -5,7 +5,7 @@
 from fawnwharf.config import Deployment
 from fawnwharf.interface import UNLIMITED_RPS
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.zones import roster_closing
+from fawnwharf.zones import roster_filter
 from fawnwharf.zones.effects import FollowPlan
 from fawnwharf.zones.log_events import FollowingPlan, LogEvent, OperatingStandalone
 from fawnwharf.zones.plan import Plan, limit_spillover
@@ -44,10 +44,10 @@
         plan = effect.plan
         if plan is not None and self.spillover_limits:
             plan = limit_spillover(plan, self.spillover_limits)
-        changes = front.roster_overlay.set_filter(CLOSER, roster_closing.plan_closer(plan, self._zone))
+        changes = front.roster_overlay.set_filter(CLOSER, roster_filter.plan_closer(plan, self._zone))
         if changes.members:
             front.apply_fleet(changes)
-        admission = roster_closing.admitted_fraction(plan, self._zone)
+        admission = roster_filter.admitted_fraction(plan, self._zone)
         front.limit_calls(LIMIT, self._admitted_rps(plan, admission))
         scorers_changed, rounded = len(changes.members), round(admission, 3)
         if plan is None:
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -8,7 +8,7 @@
 from fawnwharf.net.front_end import FrontEnd, scorer_number
 from fawnwharf.net.timer_wheel import TimerWheel, monotonic_ms
 from fawnwharf.zones.evidence import EvidenceCollector, ZoneHealth, zone_health
-from fawnwharf.zones.roster_closing import in_zone
+from fawnwharf.zones.roster_filter import in_zone
 from fawnwharf.zones.settings import EvidenceSettings
 
 PROBE_INTERVAL_MS = 250.0  # between health checks of a zone without a recent success
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -33,7 +33,7 @@
 from fawnwharf.zones.operator_log import WriteEvent
 from fawnwharf.zones.plan_application import PlanApplication
 from fawnwharf.zones.probes import ZoneProber
-from fawnwharf.zones.roster_closing import zone_sizes
+from fawnwharf.zones.roster_filter import zone_sizes
 from fawnwharf.zones.settings import (
     MemberEntry,
     Membership,
--- a/tests/net/test_net_roster_overlay.py
+++ b/tests/net/test_net_roster_overlay.py
@@ -13,7 +13,7 @@
 from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.replication import outlier_ejection
 from fawnwharf.zones import plan as p
-from fawnwharf.zones import roster_closing
+from fawnwharf.zones import roster_filter
 
 IDS = ("a1", "a2", "b1", "b2")
 OUT = p.Plan(zones={"a": p.PlannedZone(size=2.0), "b": p.PlannedZone(p.OUT, size=2.0)})
@@ -28,7 +28,7 @@
 
 def closer(who, laid):
     if who == "zones":
-        return roster_closing.plan_closer(laid, "a")
+        return roster_filter.plan_closer(laid, "a")
     if who == "state":
         return outlier_ejection.excluding(laid)
     return laid and (lambda member: laid(member.id))
--- a/tests/zones/test_zones_roster_filter.py
+++ b/tests/zones/test_zones_roster_filter.py
@@ -5,7 +5,7 @@
 from fawnwharf import config
 from fawnwharf.net.roster_overlay import RosterOverlay
 from fawnwharf.zones import plan as p
-from fawnwharf.zones import roster_closing
+from fawnwharf.zones import roster_filter
 
 
 def scorers(*names, phase="in_service"):
@@ -21,12 +21,12 @@
     fleet = config.Fleet([*scorers("a1", "b1"), *scorers("b2", phase="terminating")], complete=True)
     assert phases(overlay.apply(fleet)) == {"a1": "in_service", "b1": "in_service", "b2": "terminating"}
     out = plan(a=(p.SERVING, 2, 0.5, "x"), b=(p.OUT, 2, 0.5, "x"))
-    assert phases(overlay.set_filter("zones", roster_closing.plan_closer(out, "a"))) == {"b1": "terminating"}
+    assert phases(overlay.set_filter("zones", roster_filter.plan_closer(out, "a"))) == {"b1": "terminating"}
     assert phases(overlay.apply(config.Fleet(scorers("b3")))) == {"b3": "terminating"}
-    assert [m.id for m in roster_closing.in_zone(overlay.members.values(), "b")] == ["b1", "b3"]
-    back = overlay.set_filter("zones", roster_closing.plan_closer(None, "a"))
+    assert [m.id for m in roster_filter.in_zone(overlay.members.values(), "b")] == ["b1", "b3"]
+    back = overlay.set_filter("zones", roster_filter.plan_closer(None, "a"))
     assert phases(back) == {"b1": "in_service", "b3": "in_service"}
-    assert roster_closing.zone_sizes(overlay.members.values()) == {"a": 2.0, "b": 4.0}
+    assert roster_filter.zone_sizes(overlay.members.values()) == {"a": 2.0, "b": 4.0}
 
 
 def test_the_roster_keeps_what_a_change_does_not_repeat():
