--- a/fawnwharf/policy_rollout/call_binding.py
+++ b/fawnwharf/policy_rollout/call_binding.py
@@ -1,11 +1,11 @@
 """Binds each call to the policy at its arrival.
 
-The binding stands before the table of requests, or before the claim gate. A call gets the policy of the
+The binding stands before the table of requests, or before the replication gate. A call gets the policy of the
 moment at which it is taken, and keeps it up to its final answer, whatever changes; it waits no longer than
 that policy's deadline.
 
 The decision module decides on a call by its class as it stands when the call reaches it. A call that waited
-at the claim gate through a change is therefore passed on between two changes of its class: to its own
+at the replication gate through a change is therefore passed on between two changes of its class: to its own
 version, and back to the present one.
 """
 
@@ -19,23 +19,27 @@
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import ActivePolicy
 
-# A call that arrives before a leader has sent what is in force waits for so long, then it is rejected.
-HOLD_PART = 0.5  # of the time that its client waits
-MAX_HOLD_MS = 2_000.0
+# A call that arrives before a leader has sent what is in force waits for this fraction of the time that its
+# client gives it, and no longer than the maximum; then it is rejected.
+MAX_WAIT_FRACTION_OF_BUDGET = 0.5
+MAX_WAIT_MS = 2_000.0
 MAX_WAITING_CALLS = 1_024
 MAX_WAITING_BYTES = 8 * 1024 * 1024
-PUSHBACK_MS = 250.0
+PUSHBACK_MS = 250.0  # how long the client of a rejected call has to wait before a retry
 
 
 class CallTable(Protocol):
-    """What takes calls and withdraws them: the table of requests, or what stands before it."""
+    """Where calls are submitted and cancelled: the table of requests, or a layer before it.
+
+    The names of the methods are those of `net.requests.RequestTable`.
+    """
 
     def take(self, call: Call) -> str | None:
-        """Take a call; the key to withdraw it by, or None where it was answered at once."""
+        """Submit a call; the key to cancel it by, or None where it was answered at once."""
         ...
 
     def withdraw(self, key: str) -> None:
-        """Withdraw a call by its key."""
+        """Cancel a submitted call by its key: its client does not wait any more."""
         ...
 
 
@@ -46,8 +50,8 @@
         """The policy of this moment, which applies to the call from now on."""
         ...
 
-    def release(self, call: str) -> None:
-        """Forget the policy of a call."""
+    def forget_call(self, call: str) -> None:
+        """Forget the policy of a call that has ended, or that waits without a policy."""
         ...
 
     def ended(self, call: bytes, policy: ActivePolicy, taken_ms: float) -> None:
@@ -64,7 +68,7 @@
     policy: ActivePolicy
     taken_ms: float  # Unix, when it was bound
     arrived_ms: float  # of the loop's clock
-    key: str | None = None  # of the call in the table below
+    key: str | None = None  # of the call in the inner table
     timer: Timer | None = None  # of one that waits
 
 
@@ -73,13 +77,13 @@
 
     def __init__(
         self,
-        below: CallTable,
+        inner: CallTable,
         policies: PolicySource,
         unix_ms: Callable[[], float],
         after: Callable[[float, Callable[[], None]], Timer],
     ) -> None:
-        """`after` sets a timer."""
-        self.below = below
+        """`inner` takes the calls after this layer; `unix_ms` is a clock; `after` sets a timer."""
+        self.inner = inner
         self._policies = policies
         self._unix_ms = unix_ms
         self._after = after
@@ -99,7 +103,7 @@
         return len(self._waiting)
 
     def take(self, call: Call) -> str | None:
-        """Take a call, as `RequestTable.take` does."""
+        """Submit a call and bind it to a policy; the key to cancel it by, or None where it was answered."""
         self._last_key += 1
         key = f"p{self._last_key}"
         taken_ms = self._unix_ms()
@@ -124,14 +128,14 @@
     def _wait(self, key: str, bound: _BoundCall) -> None:
         """Let a call wait until the policy in force is known."""
         call = bound.call
-        self._policies.release(key)
+        self._policies.forget_call(key)
         self._waiting[key] = bound
         self._waiting_bytes += len(call.body)
-        wait_ms = min(MAX_HOLD_MS, HOLD_PART * call.budget_ms)
+        wait_ms = min(MAX_WAIT_MS, MAX_WAIT_FRACTION_OF_BUDGET * call.budget_ms)
         bound.timer = self._after(wait_ms, lambda: call.reply(Rejected(PUSHBACK_MS)))
 
     def _pass_on(self, key: str, bound: _BoundCall) -> None:
-        """Give a call to the table below, with the deadline of its policy."""
+        """Submit a call to the inner table, with the deadline of its policy."""
         call = bound.call
         call.judged = bound.policy
         if bound.policy is not self._last_policy:
@@ -140,12 +144,12 @@
         deadline_ms = self._deadline_ms.get(call.class_name)
         if deadline_ms is not None:
             call.budget_ms = min(call.budget_ms, deadline_ms)
-        bound.key = self.below.take(call)
-        if bound.key is None:  # it was answered at once, or the table below has released it
+        bound.key = self.inner.take(call)
+        if bound.key is None:  # it was answered at once, or the inner table has dropped it
             self._end(key)
 
-    def release(self) -> None:
-        """Bind the waiting calls to the policy that is now known."""
+    def submit_waiting(self) -> None:
+        """Bind the waiting calls to the policy that is now known, and submit them to the inner table."""
         for key, bound in list(self._waiting.items()):
             if key not in self._waiting:  # passing one on may have released all
                 continue
@@ -169,10 +173,10 @@
             bound.timer.cancel()
 
     def withdraw(self, key: str) -> None:
-        """Withdraw a call, as `RequestTable.withdraw` does."""
+        """Cancel a call by its key, here and in the inner table; an unknown key changes nothing."""
         bound = self._end(key)
         if bound is not None and bound.key is not None:
-            self.below.withdraw(bound.key)
+            self.inner.withdraw(bound.key)
 
     def _reply(self, key: str, outcome: Outcome) -> None:
         bound = self._end(key)
@@ -185,7 +189,7 @@
         if bound is None:
             return None
         self._stop_waiting(key, bound)
-        self._policies.release(key)
+        self._policies.forget_call(key)
         self._policies.ended(bound.call.id, bound.policy, bound.taken_ms)
         return bound
 
@@ -199,8 +203,8 @@
     }
 
 
-def class_spec_under(base: io.ClassSpec, document: Document) -> io.ClassSpec:
-    """A class of the settings as the policy changes it."""
+def class_spec_for_document(base: io.ClassSpec, document: Document) -> io.ClassSpec:
+    """The class `base` of the settings, with the latency objective and deadline that a document gives it."""
     latency_target_ms = document.limit("classes", base.name, "promise_ms")
     deadline_ms = document.limit("classes", base.name, "give_up_ms")
     return replace(
@@ -215,10 +219,12 @@
     classes: dict[str, io.ClassSpec],
     bound_spec: Callable[[io.RequestArrived], io.ClassSpec | None],
 ) -> list[io.Event]:
-    """The batch, with each call of an older version of its class put between two changes of the class.
+    """A new list of the events, in which each call is decided by the class that it was bound to.
 
-    `classes` is what the module has, and is kept up to date; `bound_spec` gives the class as the call has it,
-    or None where that is not known.
+    A call that is bound to another version of its class than the decision module has comes between two
+    changes of the class: to its own version, and back. `classes` has the classes of the decision module by
+    name, and is updated in place; `bound_spec` gives the class that a call is bound to, or None where that is
+    not known.
     """
     result: list[io.Event] = []
     for event in events:
--- a/fawnwharf/policy_rollout/commands.py
+++ b/fawnwharf/policy_rollout/commands.py
@@ -17,7 +17,7 @@
 )
 from fawnwharf.policy_rollout.request_file import REQUEST_FILE
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
+from fawnwharf.zones.command_helpers import MemberOption, fail, log_address, read_files, read_latest_entries
 
 POLL_S = 0.1
 READ_TIMEOUT_S = 3.0
@@ -50,7 +50,7 @@
 
     Raises OSError where its log can't be read, ValueError where the status is malformed.
     """
-    line = current_lines(member, ("policy",), timeout_s).get("policy")
+    line = read_latest_entries(member, ("policy",), timeout_s).get("policy")
     return None if line is None else m.decode_member_status(line["policy"])
 
 
@@ -84,20 +84,23 @@
     if status.term:
         found += _leader_lines(status)
     else:
-        found += [f"request {each.request_number}: {_outcome_text(each)}" for each in status.requests]
+        found += [
+            f"request {each.request_number}: {_outcome_text(each)}" for each in status.submitted_requests
+        ]
     found += [f"dropped, {cause}: {count}" for cause, count in sorted(status.dropped.items())]
     return found
 
 
 def _leader_lines(status: m.MemberStatus) -> list[str]:
     """What the status of a leader has beyond that of others, as lines of text."""
-    state = "in force" if status.in_force else "not in force yet"
+    state = "in force" if status.is_in_force else "not in force yet"
     found = [f"leads, term {status.term}; number {status.number} is {state}"]
-    if status.open_number:
-        missing = ", ".join(status.missing) or "-"
-        found.append(f"number {status.open_number} is under way; votes missing from {missing}")
+    if status.open_proposal_number:
+        missing = ", ".join(status.members_without_vote) or "-"
+        found.append(f"number {status.open_proposal_number} is under way; votes missing from {missing}")
     found += [
-        f"request {each.request_number} of {each.origin}: {_outcome_text(each)}" for each in status.outcomes
+        f"request {each.request_number} of {each.origin}: {_outcome_text(each)}"
+        for each in status.leader_outcomes
     ]
     return found
 
@@ -138,7 +141,7 @@
     """Propose a document to the fleet. With --wait, show the outcome: status 0 where it is in force."""
     fleet = _fleet(zones)
     document = _document(file, fleet.members)
-    _request(fleet, {"propose": {"version": 1, **document.nested()}}, wait, "in force")
+    _request(fleet, {"propose": {"version": 1, **document.as_nested_dict()}}, wait, "in force")
 
 
 @app.command("call-off")
@@ -191,7 +194,7 @@
             status = read_member_status(member)
         except (OSError, ValueError) as error:
             last = f"no answer: {error}"
-        for outcome in status.requests if status else ():
+        for outcome in status.submitted_requests if status else ():
             if outcome.request_number != number:
                 continue
             last = _outcome_text(outcome)
--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -11,6 +11,10 @@
      "admission": {"z1": 0.8}, "spill": {"z1": 0.5},                 fractions, by zone
      "modes": {"gold": "before"}, "window_ms": {"gold": 6000},       replication, by class
      "staging": {"fetches_rps": 5, "free_part": 0.2, "cold_part": 0.1, "memory_mb": 64}}
+
+The keys are those of the first version: `promise_ms` is the latency objective and `give_up_ms` the deadline
+of a class, `spill` the spillover that a zone takes, `staging` the limits of prefetching (`free_part` of the
+load budget, `cold_part` of cold scorers' budgets, `memory_mb` at each site).
 """
 
 import functools
@@ -29,7 +33,7 @@
 MAX_ERROR_LENGTH = 200
 MAX_SHOWN_NAME = 48
 
-Mode = Literal["off", "after", "before"]
+ReplicationMode = Literal["off", "after", "before"]  # never, after or before the call is answered
 Rate = Annotated[float, Meta(ge=0.0, le=10_000_000.0)]
 Value = float | str
 Path = tuple[str, ...]  # ("classes", "gold", "promise_ms"); "*" stands for any name
@@ -47,26 +51,29 @@
 class KeyRule(Struct, frozen=True):
     """One kind of key: the type of its value, which of two values is stricter, and whether it is a limit.
 
-    `stricter` is None where there is no order; then the older document's value stands.
+    `kind` is the type that a value is decoded to. `stricter` gives the stricter one of two values, and is
+    None where there is no order; then the older document's value stands.
     """
 
     kind: Any
     stricter: Callable[[Any, Any], Any] | None
-    halved: bool = False  # a limit, of which `fallback_limits` takes half
+    halved_in_fallback: bool = (
+        False  # `fallback_limits` takes half of the value, for a front end without leader
+    )
 
 
 KEY_RULES: dict[Path, KeyRule] = {
     ("classes", "*", "promise_ms"): KeyRule(DurationMs, None),
     ("classes", "*", "give_up_ms"): KeyRule(DurationMs, min),
-    ("tenants", "*", "quota_rps"): KeyRule(Rate, min, halved=True),
-    ("admission", "*"): KeyRule(Fraction, min, halved=True),
-    ("spill", "*"): KeyRule(Fraction, min, halved=True),
-    ("modes", "*"): KeyRule(Mode, _stricter_mode),
+    ("tenants", "*", "quota_rps"): KeyRule(Rate, min, halved_in_fallback=True),
+    ("admission", "*"): KeyRule(Fraction, min, halved_in_fallback=True),
+    ("spill", "*"): KeyRule(Fraction, min, halved_in_fallback=True),
+    ("modes", "*"): KeyRule(ReplicationMode, _stricter_mode),
     ("window_ms", "*"): KeyRule(DurationMs, max),
-    ("staging", "fetches_rps"): KeyRule(Rate, min, halved=True),
-    ("staging", "free_part"): KeyRule(Fraction, min, halved=True),
-    ("staging", "cold_part"): KeyRule(Fraction, min, halved=True),
-    ("staging", "memory_mb"): KeyRule(Rate, min, halved=True),
+    ("staging", "fetches_rps"): KeyRule(Rate, min, halved_in_fallback=True),
+    ("staging", "free_part"): KeyRule(Fraction, min, halved_in_fallback=True),
+    ("staging", "cold_part"): KeyRule(Fraction, min, halved_in_fallback=True),
+    ("staging", "memory_mb"): KeyRule(Rate, min, halved_in_fallback=True),
 }
 
 
@@ -89,17 +96,23 @@
 
 
 class Document(Struct, frozen=True):
-    """One policy: the number of its epoch, and its values by path, sorted. Hashable, equal by contents."""
+    """One policy: its number among the decided documents, and its values by path, sorted.
+
+    Hashable, equal by contents.
+    """
 
     number: Annotated[int, Meta(ge=0, lt=2**53)] = 0
     values: tuple[tuple[Path, Value], ...] = ()
 
     def value(self, *path: str) -> Value | None:
-        """The value under a path; None where it is left to the settings."""
+        """The value under a path, a number or a text; None where the document does not have the key."""
         return dict(self.values).get(path)
 
     def limit(self, *path: str) -> float | None:
-        """The number under a path; None where it is left to the settings."""
+        """The value under a path as a number; None where the document does not have the key.
+
+        Only for keys whose values are numbers: ValueError for others.
+        """
         value = self.value(*path)
         return None if value is None else float(value)
 
@@ -111,11 +124,11 @@
         }
 
     def limits(self, *path: str) -> dict[str, float]:
-        """All numbers directly under a path, as `section`."""
+        """All values directly under a path, as `section`, as numbers."""
         return {name: float(value) for name, value in self.section(*path).items()}
 
-    def nested(self) -> dict[str, Any]:
-        """The values as nested objects, as in the JSON, without version and number."""
+    def as_nested_dict(self) -> dict[str, Any]:
+        """The whole document as nested dicts, as in the JSON, without version and number."""
         root: dict[str, Any] = {}
         for path, value in self.values:
             branch = root
@@ -126,7 +139,7 @@
 
     def encode(self) -> str:
         """The document as JSON text, with sorted keys."""
-        complete = {"version": VERSION, "number": self.number, **self.nested()}
+        complete = {"version": VERSION, "number": self.number, **self.as_nested_dict()}
         return msgspec.json.encode(complete, order="sorted").decode()
 
     @property
@@ -135,7 +148,7 @@
 
         A rollback to an earlier policy has the digest of that one again, under a new number.
         """
-        text = msgspec.json.encode(self.nested(), order="sorted")
+        text = msgspec.json.encode(self.as_nested_dict(), order="sorted")
         return hashlib.blake2b(text, digest_size=12).hexdigest()
 
     def numbered(self, number: int) -> "Document":
@@ -230,7 +243,8 @@
 class DeploymentCapabilities(Struct, frozen=True):
     """What one deployment has, for a document to be checked against.
 
-    `base` holds the settings' own values as a document with the number 0: the meaning of absent keys.
+    `configured_defaults` holds the settings' own values as a document with the number 0: the
+    meaning of absent keys.
     """
 
     classes: frozenset[str]
@@ -240,7 +254,7 @@
     prefetches: bool = True  # it prefetches what sessions will need
     max_give_up_ms: float = math.inf  # of a class, as replication assumes
     window_range_ms: tuple[float, float] = (0.0, math.inf)  # the shortest and the longest that can be stored
-    base: Document = Document()
+    configured_defaults: Document = Document()
 
 
 SECTION_NAMES = {
@@ -258,7 +272,7 @@
     for path, value in document.values:
         if found := _incompatible_name(path, capabilities) or _incompatible_value(path, value, capabilities):
             return found
-    complete = with_defaults(capabilities.base, document)
+    complete = with_defaults(capabilities.configured_defaults, document)
     if capabilities.zones and all(complete.value("admission", zone) == 0.0 for zone in capabilities.zones):
         return "admission: shuts out every zone"
     for name in capabilities.classes:
@@ -300,7 +314,7 @@
 
 
 def with_defaults(base: Document, document: Document) -> Document:
-    """The document with what it leaves absent filled in from the settings."""
+    """The document with each absent key taken from `base`; a value of the document itself stands."""
     return make_document(document.number, dict(base.values) | dict(document.values))
 
 
@@ -323,16 +337,24 @@
 
 
 def fallback_limits(document: Document) -> Document:
-    """Half of each limit, for a front end that knows no next policy, which may be tighter than the known."""
-    values = {path: float(value) / 2 if _rule_of(path).halved else value for path, value in document.values}
+    """The document with half of each limit (`KeyRule.halved_in_fallback`), its other values unchanged.
+
+    For a front end without a lease that knows no next policy, which may be stricter than the last one.
+    """
+    values = {
+        path: float(value) / 2 if _rule_of(path).halved_in_fallback else value
+        for path, value in document.values
+    }
     return make_document(document.number, values)
 
 
 # --- the register -----------------------------------------------------------------------------
 
 
-class Register(Struct, frozen=True):
-    """The value in the consensus log: the last decided document, and the one before it.
+class PolicyRegister(Struct, frozen=True):
+    """The one replicated value of this package in the consensus log.
+
+    It has the last decided document, and the decided one before it (None: there was none).
 
     The one before has to be known for as long as some front end may still act by it.
     """
@@ -346,16 +368,16 @@
         inner = [f'"{name}":{document.encode()}' for name, document in parts.items() if document]
         return '{"policy":1,' + ",".join(inner) + "}"
 
-    def followed_by(self, document: Document) -> "Register":
-        """The register after a further decision."""
-        return Register(document, self.last)
+    def with_next(self, document: Document) -> "PolicyRegister":
+        """A new register with a further decided document as the last one; this one is not changed."""
+        return PolicyRegister(document, self.last)
 
 
 @functools.lru_cache(maxsize=32)
-def parse_register(text: str) -> Register:
+def parse_register(text: str) -> PolicyRegister:
     """Parse a register; an empty text stands for no decision yet. Raises DocumentError."""
     if not text:
-        return Register()
+        return PolicyRegister()
     try:
         decoded = msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -363,4 +385,6 @@
     if not isinstance(decoded, dict) or decoded.get("policy") != 1 or "last" not in decoded:
         raise DocumentError("register: none of this version")
     before = decoded.get("before")
-    return Register(document_from_object(decoded["last"]), document_from_object(before) if before else None)
+    return PolicyRegister(
+        document_from_object(decoded["last"]), document_from_object(before) if before else None
+    )
--- a/fawnwharf/policy_rollout/fault_injection.py
+++ b/fawnwharf/policy_rollout/fault_injection.py
@@ -93,7 +93,7 @@
             self._simulation.carry_out_coordinator(member, member.coordinator.cancel())
 
     def _check_call(self, member: SimulatedMember) -> None:
-        """Check that a member's last call kept the epoch by which it was taken, and take another one."""
+        """Check that a member's last call kept the document by which it was taken, and take another one."""
         holder = member.holder
         if holder is None:
             return
--- a/fawnwharf/policy_rollout/lease_holder.py
+++ b/fawnwharf/policy_rollout/lease_holder.py
@@ -1,9 +1,9 @@
 """The lease holder at each front end: the policy by which a call is decided at this moment.
 
 No I/O, no clock and no randomness but what is passed in; times are milliseconds of its own clock. It acts by
-an epoch only under a lease for it. Between two epochs it uses the stricter of both, key by key, which admits
-no more than either policy would; where it has lost its lease and knows of no next epoch, it uses the stricter
-of the last one and its fallback limits.
+a document only under a lease for it. Between two documents it uses the stricter of both, key by key, which
+admits no more than either policy would; where it has lost its lease and knows of no next document, it uses
+the stricter of the last one and its fallback limits.
 
 Whatever it knows to be decided binds it at once: from then on no lease of an earlier number counts. After a
 restart it has no lease and nothing that may be relied on, whatever its disk says; it is not ready before a
@@ -19,7 +19,7 @@
     DeploymentCapabilities,
     Document,
     DocumentError,
-    Register,
+    PolicyRegister,
     fallback_limits,
     find_incompatibility,
     parse_document,
@@ -35,7 +35,7 @@
 class PolicyBasis(NamedTuple):
     """The documents in effect: one under a lease, the stricter of two, or one with its fallback limits."""
 
-    kind: m.Basis
+    kind: m.PolicyBasisKind
     document: Document
     other: Document | None = None
 
@@ -48,14 +48,16 @@
     timing: RolloutTiming
     incarnation: int  # another one after each restart
     stored_register: str = ""  # as stored before; used for the limits only while no leader is reached
-    register: Register = field(default_factory=Register)
+    register: PolicyRegister = field(default_factory=PolicyRegister)
     ready: bool = False
     lease: LeaseRecord = NO_LEASE
-    granted_number: int = -1
-    prepared: Document | None = None
-    newest_message: tuple[int, int] = (0, 0)  # term and sequence of a coordinator's newest message
+    granted_number: int = -1  # of the last document that it had a lease for since its start; -1: none
+    prepared: Document | None = (
+        None  # the proposal that it has agreed to, and that is neither decided nor aborted
+    )
+    newest_message: tuple[int, int] = (0, 0)  # (term, sequence) of a coordinator's newest message
     next_request_ms: float = 0.0
-    calls: dict[str, m.ActivePolicy] = field(default_factory=dict)  # the policy of each open call
+    policy_by_call: dict[str, m.ActivePolicy] = field(default_factory=dict)  # of each open call, by its key
     active: m.ActivePolicy | None = None  # as announced to the owner
     active_basis: PolicyBasis | None = None  # of `active`
     relaxation: DelayedRelaxation = field(init=False)
@@ -90,7 +92,7 @@
         return PolicyBasis("floor", last)
 
     def policy_at(self, now_ms: float) -> m.ActivePolicy:
-        """The policy of this moment, with absent keys filled in from the settings."""
+        """The policy of this moment, with absent keys filled in from the settings; changes nothing."""
         active, before = self.active, self.active_basis
         is_same = before is not None and before.document is self.register.last
         if active and is_same and active.basis == "leased" and self.has_lease(now_ms):
@@ -98,26 +100,26 @@
         basis = self._basis(now_ms)
         if active is not None and basis == before:
             return active
-        complete = with_defaults(self.capabilities.base, basis.document)
+        complete = with_defaults(self.capabilities.configured_defaults, basis.document)
         if basis.kind == "leased":
             return m.ActivePolicy(complete.number, basis.document.digest, complete, basis.kind)
         if basis.other is not None:
-            complete = stricter(complete, with_defaults(self.capabilities.base, basis.other))
+            complete = stricter(complete, with_defaults(self.capabilities.configured_defaults, basis.other))
         else:
             complete = stricter(complete, fallback_limits(complete))
         return m.ActivePolicy(complete.number, complete.digest, complete, basis.kind)
 
     def bind_call(self, now_ms: float, call: str) -> m.ActivePolicy:
         """Begin a call: the policy of this moment applies to it up to its final answer."""
-        return self.calls.setdefault(call, self.policy_at(now_ms))
+        return self.policy_by_call.setdefault(call, self.policy_at(now_ms))
 
     def policy_of_call(self, call: str) -> m.ActivePolicy | None:
         """The policy of an open call; None for an unknown one."""
-        return self.calls.get(call)
+        return self.policy_by_call.get(call)
 
     def release_call(self, call: str) -> None:
         """End a call."""
-        self.calls.pop(call, None)
+        self.policy_by_call.pop(call, None)
 
     def _announce_change(self, now_ms: float) -> list[m.Effect]:
         """The policy of this moment as an effect, if it is another one than before."""
@@ -207,7 +209,7 @@
 
     def _adopted_message(self, now_ms: float) -> m.Send:
         number = self.register.last.number
-        message = m.EpochAdopted(self.incarnation, now_ms, number, self.granted_number)
+        message = m.DocumentAdopted(self.incarnation, now_ms, number, self.granted_number)
         return m.Send(m.LEADER, message)
 
     def _adopt_register(self, text: str, *, replace: bool = False) -> list[m.Effect]:
@@ -234,7 +236,7 @@
         self.ready = False
         self.lease = NO_LEASE
         self.granted_number = -1
-        return [m.LogEvent("policy register unreadable", {"reason": error})] if is_new else []
+        return [m.RolloutLogEvent("policy register unreadable", {"reason": error})] if is_new else []
 
     def receive_grant(self, now_ms: float, message: m.LeaseGrant) -> list[m.Effect]:
         """Handle a coordinator's answer.
@@ -253,7 +255,7 @@
         order = message.term, message.sequence
         if order >= self.newest_message:
             self.newest_message = order
-            if self.prepared is not None and message.open_number != self.prepared.number:
+            if self.prepared is not None and message.open_proposal_number != self.prepared.number:
                 self.prepared = None
         self._take_lease(now_ms, message)
         return effects + self._announce_change(now_ms)
--- a/fawnwharf/policy_rollout/message_batcher.py
+++ b/fawnwharf/policy_rollout/message_batcher.py
@@ -12,7 +12,7 @@
 
 RENEWAL_DELAY_MS = 50.0  # renewals wait for so long, to be sent together: each line goes to all readers
 MAX_LINE_SIZE = 96 * 1024  # characters of the messages in one line
-MAX_ITERATION_SIZE = 512 * 1024  # and in one event loop iteration; more is dropped, as all is repeated
+MAX_ITERATION_SIZE = 512 * 1024  # characters in one event loop iteration; more is dropped, as all is repeated
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,8 +35,11 @@
         self._granted: dict[str, _Granted] = {}  # by member
         self._renewals_wait = False
 
-    def forget_grants(self) -> None:
-        """Send the next lease of each member without delay."""
+    def forget_sent_grants(self) -> None:
+        """Forget which leases were sent, so that the next one to each member is sent without delay.
+
+        Nothing in the queue is dropped, and no lease is revoked.
+        """
         self._granted.clear()
 
     def send(self, send: m.Send) -> None:
--- a/fawnwharf/policy_rollout/messages.py
+++ b/fawnwharf/policy_rollout/messages.py
@@ -19,14 +19,20 @@
 from fawnwharf.policy_rollout.document import MAX_TEXT_LENGTH, Document
 from fawnwharf.zones.settings import Name
 
+# A counter; docs/design/policy_rollout.md has a table of all counters.
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
 Text = Annotated[str, Meta(max_length=MAX_TEXT_LENGTH)]
 ShortText = Annotated[str, Meta(max_length=300)]
 RegisterText = Annotated[str, Meta(max_length=64 * 1024)]
-EpochOrNone = Annotated[int, Meta(ge=-1, lt=2**53)]  # the number of a policy epoch; -1: none
+NumberOrMinusOne = Annotated[int, Meta(ge=-1, lt=2**53)]  # the number of a document; -1: none
 MAX_SHORT_TEXT = 300
 
-Basis = Literal["leased", "strict", "floor", "waiting"]
+# Which documents the limits of a front end are made of. "leased": the last decided document, under a lease.
+# "strict": the stricter value of two documents, key by key, while it is not known which one is in force.
+# "floor": the last decided document with half of each limit, while no leader renews the lease.
+# "waiting": as "floor", for a front end that has received no decided document since its start, or none that
+# it can read; calls wait.
+PolicyBasisKind = Literal["leased", "strict", "floor", "waiting"]
 
 
 class _Message(Struct, frozen=True):
@@ -94,7 +100,10 @@
 
 
 class Decided(_Message, frozen=True, tag="Decided"):
-    """The replicated register; valid from any member, since each number is decided once."""
+    """The decided register, as `PolicyRegister` encodes it.
+
+    Valid from any member, since each number is decided once.
+    """
 
     register: RegisterText
 
@@ -107,34 +116,45 @@
 
     incarnation: Number = field(name="life")  # messages for, or of, another incarnation are ignored
     sent_ms: float
-    known_number: EpochOrNone = field(name="known")  # the last decided one that it knows
-    granted_number: EpochOrNone = field(name="granted")  # the last that it had a lease for since its start
+    known_number: NumberOrMinusOne = field(name="known")  # the last decided one that it knows
+    # The last document that it had a lease for since its start.
+    granted_number: NumberOrMinusOne = field(name="granted")
 
 
-class EpochAdopted(_Message, frozen=True, tag="Changed"):
+class DocumentAdopted(_Message, frozen=True, tag="Changed"):
     """A holder no longer acts by anything before this number; also a request for a lease."""
 
     incarnation: Number = field(name="life")
     sent_ms: float
-    number: Number
-    granted_number: EpochOrNone = field(default=-1, name="granted")
+    number: Number  # of the document that it has adopted
+    granted_number: NumberOrMinusOne = field(default=-1, name="granted")  # as in `LeaseRequest`
 
 
 class LeaseGrant(_Message, frozen=True, tag="Grant"):
-    """The answer to one `LeaseRequest` or `EpochAdopted`: a lease, or none where `lease_ms` is 0."""
+    """The answer to one `LeaseRequest` or `DocumentAdopted`: a lease, or none where `lease_ms` is 0."""
 
     term: Number
     sequence: Number = field(name="turn")
     incarnation: Number = field(name="life")
     sent_ms: float
     number: Number
-    lease_ms: Annotated[float, Meta(ge=0.0)]
-    open_number: Number = field(default=0, name="open")  # of the open proposal; 0: none, discard the prepared
+    lease_ms: Annotated[float, Meta(ge=0.0)]  # counts from `sent_ms`; 0: no lease
+    # The document number of the open proposal; 0: none, so the holder discards what it has prepared.
+    open_proposal_number: Number = field(default=0, name="open")
     register: RegisterText = ""  # given where the holder does not know the last decision
 
 
 Message = (
-    Propose | Rollback | Cancel | Prepare | Vote | Abort | Decided | LeaseRequest | EpochAdopted | LeaseGrant
+    Propose
+    | Rollback
+    | Cancel
+    | Prepare
+    | Vote
+    | Abort
+    | Decided
+    | LeaseRequest
+    | DocumentAdopted
+    | LeaseGrant
 )
 RequestMessage = Propose | Rollback | Cancel
 
@@ -147,6 +167,10 @@
 
 # --- the status of a member, sent to all that read its log ----------------------------------------
 
+# The states of an operator's request, in their order. "asked": sent, and no leader has answered.
+# "preparing": members vote on it. "ended": aborted, cancelled or timed out before a decision (final).
+# "refused": the leader did not begin it (final). "decided": in the consensus log; it will come into force.
+# "in force": no member acts by an earlier document any more (final).
 RequestState = Literal["asked", "preparing", "ended", "refused", "decided", "in force"]
 FINAL_STATES = ("ended", "refused", "in force")
 
@@ -157,30 +181,39 @@
     origin: Annotated[str, Meta(max_length=48)] = field(name="by")
     request_number: Number = field(name="wish")
     state: RequestState
-    number: Number = 0  # of the policy
+    number: Number = 0  # of the document; 0 while it has none
     reason: ShortText = field(default="", name="why")
 
 
 class MemberStatus(Struct, frozen=True):
     """Read by operators and by whoever waits for an outcome.
 
-    The last five fields are set by a leader's coordinator only.
+    From `term` on, the fields are set by a leader's coordinator only.
     """
 
     ready: bool
     basis: Annotated[str, Meta(max_length=16)] = field(name="how")
     number: Number  # the last decided one that it knows
     digest: Annotated[str, Meta(max_length=32)]
-    prepared: Number = 0  # the number that it was asked to prepare
+    prepared: Number = 0  # the number of the document that it was asked to prepare; 0: none
     incarnation: Number = field(default=0, name="life")
     error: ShortText = field(default="", name="fault")  # of a decided document that it can't read
-    requests: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = field(default=(), name="wishes")
+    # The operators' requests that were made at this member.
+    submitted_requests: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = field(
+        default=(), name="wishes"
+    )
     dropped: Annotated[dict[str, int], Meta(max_length=64)] = field(default_factory=dict, name="counts")
     term: Number = 0  # that it leads; 0: it does not lead
-    open_number: Number = field(default=0, name="open")  # of the proposal that is being prepared or decided
-    missing: Annotated[tuple[str, ...], Meta(max_length=8)] = ()  # some of those whose vote is missing
-    in_force: bool = field(default=False, name="settled")  # the last decided is in force
-    outcomes: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = ()
+    # The document number of the proposal that is being prepared or decided; 0: none.
+    open_proposal_number: Number = field(default=0, name="open")
+    # Some of the members whose vote on that proposal is missing.
+    members_without_vote: Annotated[tuple[str, ...], Meta(max_length=8)] = field(default=(), name="missing")
+    # Whether the document `number` is in force in the fleet: no lease of an earlier one is left.
+    is_in_force: bool = field(default=False, name="settled")
+    # The requests of all members that this leader has received.
+    leader_outcomes: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = field(
+        default=(), name="outcomes"
+    )
 
 
 def decode_member_status(data: object) -> MemberStatus:
@@ -220,7 +253,7 @@
 
 
 class ActivePolicy(Struct, frozen=True):
-    """Effect: calls are decided by this policy from now on.
+    """Effect: this front end decides calls by this policy from now on.
 
     `number` of a strict one is that of the later of its two documents.
     """
@@ -228,14 +261,14 @@
     number: int
     digest: str
     document: Document
-    basis: Basis = "leased"
+    basis: PolicyBasisKind = "leased"
 
 
-class LogEvent(Struct, frozen=True):
+class RolloutLogEvent(Struct, frozen=True):
     """Effect: an entry for the operators' log."""
 
     event: str
     fields: dict[str, Any]
 
 
-Effect = Send | ProposeRegister | StoreRegister | ActivePolicy | LogEvent
+Effect = Send | ProposeRegister | StoreRegister | ActivePolicy | RolloutLogEvent
--- a/fawnwharf/policy_rollout/model_checker.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -2,8 +2,9 @@
 
 The coordinator and the lease holders are the real ones. There are three members' holders, two members that
 may be the leader, and the consensus log reduced to what it guarantees: a register whose every decision
-stands, and at any moment at most one member that is certain of it (`Voter.fresh`). A leader that was replaced
-goes on as it was, without that certainty. What it had proposed is decided by the change of leader, or lost.
+stands, and at any moment at most one member that is certain of it (`Voter.holds_read_lease`). A leader
+that was replaced goes on as it was, without that certainty. What it had proposed is decided by the change of
+leader, or lost.
 
 Messages may arrive in any order, late, twice or never; holders' answers arrive at once, except for a number
 of them that are late.
@@ -18,7 +19,7 @@
 from dataclasses import dataclass, replace
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.document import Register, parse_register
+from fawnwharf.policy_rollout.document import PolicyRegister, parse_register
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.rollout_coordinator import (
     LeaseRecord,
@@ -73,20 +74,20 @@
         self.holder_type = holder_type
 
     def start(self) -> ModelState:
-        """The first state: all three have leases of epoch 0, granted at this moment."""
+        """The first state: all three have leases of document 0, granted at this moment."""
         leader = RolloutCoordinator(TIMING, NAMES)
         leader.lead(0.0, 1, "")
         leader.unknown_leases_until_ms = 0.0
         other = RolloutCoordinator(TIMING, NAMES)
         known = CoordinatorView(
             agreed=False,
-            lease=LeaseRecord(0, TIMING.over_ms),
+            lease=LeaseRecord(0, TIMING.max_lease_ms),
             request=ReceivedRequest(1, 0.0, 0.0),
             informed=True,
             incarnation=1,
         )
         unknown = CoordinatorView(agreed=False, lease=None, request=None, informed=False, incarnation=0)
-        holder = (1, Register(), True, LeaseRecord(0, TIMING.lease_ms), 0, None, (1, 1))
+        holder = (1, PolicyRegister(), True, LeaseRecord(0, TIMING.lease_ms), 0, None, (1, 1))
         member = MemberState(holder, "", 0, (known, unknown), frozenset())
         return ModelState((member,) * len(NAMES), (freeze_coordinator(leader), freeze_coordinator(other)))
 
@@ -184,7 +185,7 @@
 
 def _coordinator_tick(scenario: Scenario) -> None:
     leader = scenario.leader
-    effects = scenario.coordinators[leader].tick(scenario.coordinator_ms, fresh=True)
+    effects = scenario.coordinators[leader].tick(scenario.coordinator_ms, holds_read_lease=True)
     scenario.carry_out_coordinator(leader, effects)
 
 
@@ -192,7 +193,7 @@
     scenario.commit()
     leader = scenario.leader
     coordinator = scenario.coordinators[leader]
-    effects = coordinator.receive_decision(scenario.coordinator_ms, scenario.log, fresh=True)
+    effects = coordinator.receive_decision(scenario.coordinator_ms, scenario.log, holds_read_lease=True)
     scenario.carry_out_coordinator(leader, effects)
 
 
--- a/fawnwharf/policy_rollout/operator_requests.py
+++ b/fawnwharf/policy_rollout/operator_requests.py
@@ -45,7 +45,7 @@
     """Owns the last requests that were made at one member."""
 
     origin: str  # the member's name
-    retry_ms: float
+    retry_ms: float  # the interval between two attempts to send an unanswered request
     requests: deque[SubmittedRequest] = field(default_factory=lambda: deque(maxlen=MAX_SUBMITTED))
 
     def __len__(self) -> int:
@@ -87,10 +87,12 @@
                 effects.append(m.Send(m.LEADER, request.message))
         return effects
 
-    def learn_outcomes(self, leader: m.MemberStatus) -> None:
+    def record_outcomes(self, leader: m.MemberStatus) -> None:
         """Take the outcomes in the status of a leader."""
         reported = {
-            outcome.request_number: outcome for outcome in leader.outcomes if outcome.origin == self.origin
+            outcome.request_number: outcome
+            for outcome in leader.leader_outcomes
+            if outcome.origin == self.origin
         }
         for request in self.requests:
             if leader.term < request.term:
@@ -110,7 +112,7 @@
         return last
     is_same = last.state == "decided" or leader.digest == request.digest
     if leader.number >= last.number and is_same:
-        return msgspec.structs.replace(last, state="in force" if leader.in_force else "decided")
+        return msgspec.structs.replace(last, state="in force" if leader.is_in_force else "decided")
     reason = "its leader was replaced before it was decided"
     return msgspec.structs.replace(last, state="ended", reason=reason)
 
@@ -123,20 +125,21 @@
     """Owns the outcomes of the requests that a leader took in its term."""
 
     outcomes: deque[m.RequestOutcome] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
-    latest: dict[str, int] = field(default_factory=dict)  # by front end: the number of its last request
+    # The number of the last request of each front end, by its name.
+    latest_request_number: dict[str, int] = field(default_factory=dict)
 
     def clear(self) -> None:
         """Forget all, at the end of a term."""
         self.outcomes.clear()
-        self.latest.clear()
+        self.latest_request_number.clear()
 
     def receive(
         self, now_ms: float, origin: str, message: m.RequestMessage, coordinator: RolloutCoordinator
     ) -> list[m.Effect]:
         """Carry out a request, once."""
-        if message.request_number <= self.latest.get(origin, 0):
+        if message.request_number <= self.latest_request_number.get(origin, 0):
             return []
-        self.latest[origin] = message.request_number
+        self.latest_request_number[origin] = message.request_number
         match message:
             case m.Cancel():
                 return self._cancel(origin, message, coordinator)
@@ -150,7 +153,7 @@
         effects: list[m.Effect]
         if message.number not in (0, number):
             reason = f"{message.number} is not being prepared"
-            effects = [m.LogEvent("rejected", {"reason": reason})]
+            effects = [m.RolloutLogEvent("rejected", {"reason": reason})]
         else:
             effects = coordinator.cancel(message.reason)
         rejected = _first_event(effects, "rejected")
@@ -170,7 +173,7 @@
         if before is not None:
             reason = f"{last.number} is the last, not {message.number}"
         self._add(origin, message, "refused", 0, reason)
-        return [m.LogEvent("rejected", {"reason": reason})]
+        return [m.RolloutLogEvent("rejected", {"reason": reason})]
 
     def _propose(
         self,
@@ -182,7 +185,7 @@
     ) -> list[m.Effect]:
         if _is_last_decision(text, coordinator):
             # It was carried out under a leader before this one, or changes nothing.
-            state: m.RequestState = "in force" if coordinator.in_force else "decided"
+            state: m.RequestState = "in force" if coordinator.is_in_force else "decided"
             self._add(origin, message, state, coordinator.register.last.number)
             return []
         effects = coordinator.propose(now_ms, text)
@@ -200,7 +203,7 @@
         short = reason[: m.MAX_SHORT_TEXT]
         self.outcomes.append(m.RequestOutcome(origin, message.request_number, state, number, short))
 
-    def note(self, event: m.LogEvent) -> None:
+    def record_event(self, event: m.RolloutLogEvent) -> None:
         """Update the outcomes of requests by an event of the coordinator."""
         state = event.event
         if state not in ("ended", "decided", "in force"):
@@ -221,9 +224,9 @@
         return False  # the coordinator reports the cause
 
 
-def _first_event(effects: list[m.Effect], name: str) -> m.LogEvent | None:
+def _first_event(effects: list[m.Effect], name: str) -> m.RolloutLogEvent | None:
     """The first log event of this name among effects."""
     for effect in effects:
-        if isinstance(effect, m.LogEvent) and effect.event == name:
+        if isinstance(effect, m.RolloutLogEvent) and effect.event == name:
             return effect
     return None
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -8,16 +8,16 @@
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
-from fawnwharf.policy_rollout.call_binding import class_spec_under
+from fawnwharf.policy_rollout.call_binding import class_spec_for_document
 from fawnwharf.policy_rollout.delayed_relaxation import ReplicationRule
 from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, Value, make_document
 from fawnwharf.zones.service import ZoneService
 
-LIMIT = "policy"  # the name of this package's rate limit at the front end
+ADMISSION_LIMIT_KEY = "policy"  # the owner under which `FrontEnd.limit_calls` keeps this package's limit
 
 
-class ClaimGate(Protocol):
-    """The gate before replicated calls, as a policy changes it."""
+class ReplicationGate(Protocol):
+    """The gate that calls pass before they are replicated, as a policy changes it."""
 
     modes: dict[str, Any]  # by class
 
@@ -29,7 +29,7 @@
 class ReplicatedCalls(Protocol):
     """The part that replicates calls, as a policy needs it."""
 
-    gate: ClaimGate
+    gate: ReplicationGate
     settings: Any
     core: Any
 
@@ -53,7 +53,7 @@
         zones=names,
         replicates=state is not None,
         prefetches=staging is not None,
-        base=_settings_as_document(deployment, zones, state, staging),
+        configured_defaults=_settings_as_document(deployment, zones, state, staging),
     )
     if state is None:
         return capabilities
@@ -113,7 +113,7 @@
         self._replication: tuple[Any, ...] = ()  # what was last applied by `apply_replication`
 
     def apply(self, document: Document) -> bool:
-        """Apply a document; True where classes changed."""
+        """Apply a complete document to this front end; True where some class changed, False otherwise."""
         self._apply_quotas(document)
         total_rps = sum(self.quotas_rps.values())
         self._apply_admission(document, total_rps)
@@ -128,7 +128,7 @@
             limit_rps = part * total_rps / self._front_ends
         if limit_rps != self._limit_rps:
             self._limit_rps = limit_rps
-            self._front.limit_calls(LIMIT, limit_rps)
+            self._front.limit_calls(ADMISSION_LIMIT_KEY, limit_rps)
 
     def _apply_spill(self, document: Document, total_rps: float) -> None:
         """Limit what other zones are sent; the zone plan already has the limits of the settings."""
@@ -141,7 +141,7 @@
         self._zones.apply_policy_limits(total_rps, spill)
 
     def _apply_classes(self, document: Document) -> bool:
-        classes = {name: class_spec_under(spec, document) for name, spec in self._base_classes.items()}
+        classes = {name: class_spec_for_document(spec, document) for name, spec in self._base_classes.items()}
         changed = [spec for name, spec in classes.items() if spec != self.classes[name]]
         self.classes = classes
         # A client that waits for longer than a policy gives made no error, as it knows an earlier time: the
@@ -190,8 +190,11 @@
         if replica is not None:
             replica.claim_store.class_windows_ms = {name: rule.window_ms for name, rule in rules.items()}
 
-    def restore(self, base: Document) -> None:
-        """Restore the settings, for whoever takes the parts over."""
-        self._apply_classes(base)
-        self._apply_quotas(base)
-        self._front.limit_calls(LIMIT, io.UNLIMITED_RPS)
+    def reset_to_configured(self, configured: Document) -> None:
+        """Go back to the classes and quotas of the settings, and lift the limit on calls.
+
+        `configured` is the document of the settings (`DeploymentCapabilities.configured_defaults`).
+        """
+        self._apply_classes(configured)
+        self._apply_quotas(configured)
+        self._front.limit_calls(ADMISSION_LIMIT_KEY, io.UNLIMITED_RPS)
--- a/fawnwharf/policy_rollout/request_file.py
+++ b/fawnwharf/policy_rollout/request_file.py
@@ -8,7 +8,7 @@
 from fawnwharf.policy_rollout.document import document_from_object, find_incompatibility
 from fawnwharf.policy_rollout.rate_limited_log import Write
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
-from fawnwharf.policy_rollout.settings import OperatorRequest, decode_operator_request
+from fawnwharf.policy_rollout.settings import PolicyRequest, decode_operator_request
 from fawnwharf.zones.files import WatchedFile
 from fawnwharf.zones.settings import SettingsFileError
 
@@ -50,7 +50,7 @@
         self._log("proposal taken", {"number": request.number, "what": request.kind})
         self._carry_out(self._member.submit(monotonic_ms(), request))
 
-    def _find_error(self, request: OperatorRequest) -> str | None:
+    def _find_error(self, request: PolicyRequest) -> str | None:
         """Why a request can't be taken, with its key; None where it can."""
         if request.number <= self._last_number:
             return f"number: {request.number} is not larger than {self._last_number}, of the request before"
@@ -58,7 +58,7 @@
             return None
         return find_incompatibility(document_from_object(request.propose), self._member.capabilities)
 
-    def _reject(self, request: OperatorRequest, error: str) -> None:
+    def _reject(self, request: PolicyRequest, error: str) -> None:
         self._log("proposal rejected", {"error": error})
         if request.number > self._last_number:
             self._last_number = request.number
--- a/fawnwharf/policy_rollout/rollout_coordinator.py
+++ b/fawnwharf/policy_rollout/rollout_coordinator.py
@@ -11,8 +11,8 @@
 it open.
 
 A new leader does not know which leases the one before it granted. So it assumes that every holder has one for
-a lease's time from when its term began, unless a holder shows that the last epoch has been in force: then no
-lease of an earlier one is left.
+a lease's time from when its term began, unless a holder shows that the last document has been in force: then
+no lease of an earlier one is left.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 from fawnwharf.policy_rollout.document import (
     Document,
     DocumentError,
-    Register,
+    PolicyRegister,
     parse_document,
     parse_register,
 )
@@ -37,19 +37,19 @@
     lease_ms: float = 2_000.0
     renew_ms: float = 500.0  # interval of holders' lease requests
     prepare_ms: float = (
-        6_000.0  # for all to vote; longer than `over_ms`, which a member that is cut off takes
+        6_000.0  # for all to vote; longer than `max_lease_ms`, which a member that is cut off takes
     )
-    again_ms: float = 500.0  # interval at which what is not answered is sent again
+    resend_interval_ms: float = 500.0  # interval at which an unanswered message is sent again
     skew: float = 0.1
 
     @property
-    def over_ms(self) -> float:
-        """The time by any clock after which a lease of `lease_ms` by any other clock is over."""
+    def max_lease_ms(self) -> float:
+        """The longest time that a lease of `lease_ms` by one clock can last by any other clock."""
         return self.lease_ms * (1 + self.skew) / (1 - self.skew)
 
 
 class LeaseRecord(NamedTuple):
-    """A lease that was granted: its epoch, and when it is over by the coordinator's clock."""
+    """A granted lease: the number of its document, and when it is over by the coordinator's clock."""
 
     number: int
     expires_ms: float
@@ -87,13 +87,15 @@
     members: tuple[str, ...] = ()
     term: int = 0  # that it leads; 0: it does not lead
     sequence: int = 0
-    register: Register = field(default_factory=Register)
-    in_force: bool = False  # the last decided one: nobody has a lease of an earlier one
-    unknown_leases_until_ms: float = 0.0  # until then holders may have leases of an earlier coordinator
+    register: PolicyRegister = field(default_factory=PolicyRegister)
+    is_in_force: bool = False  # the last decided document, in the fleet: no lease of an earlier one is left
+    # The end of the longest lease that an earlier leader can have granted. Until then nothing is decided, and
+    # nothing declared in force unless a holder proves it.
+    unknown_leases_until_ms: float = 0.0
     leases: dict[str, LeaseRecord] = field(default_factory=dict)  # by holder
     requests: dict[str, ReceivedRequest] = field(default_factory=dict)  # by holder
     incarnations: dict[str, int] = field(default_factory=dict)  # the last of each that was observed
-    informed: frozenset[str] = frozenset()  # those that are known to know the last decision
+    informed_members: frozenset[str] = frozenset()  # those that have reported the last decision as known
     proposal: OpenProposal | None = None
     highest_number: int = 0  # the largest number given in this term
     repeat_ms: float = 0.0  # when messages are sent again
@@ -104,21 +106,22 @@
     def lead(self, now_ms: float, term: int, text: str) -> list[m.Effect]:
         """Begin a term.
 
-        This member's voter leads, what it decided last is certainly the fleet's last (`Voter.fresh`), and
-        nothing in its log is undecided. `text` is the register there; empty for none yet.
+        This member's voter leads, what it decided last is certainly the fleet's last
+        (`Voter.holds_read_lease`), and nothing in its log is undecided. `text` is the register there; empty
+        for none yet.
         """
         self.step_down()
         try:
             self.register = parse_register(text)
         except DocumentError as error:
-            return [m.LogEvent("policy register unreadable", {"reason": str(error), "term": term})]
+            return [m.RolloutLogEvent("policy register unreadable", {"reason": str(error), "term": term})]
         self.term = term
         self.sequence = 1
         self.highest_number = self.register.last.number
-        self.unknown_leases_until_ms = now_ms + self.timing.over_ms
-        self.in_force = self.register.before is None
+        self.unknown_leases_until_ms = now_ms + self.timing.max_lease_ms
+        self.is_in_force = self.register.before is None
         fields = {"term": term, "number": self.highest_number}
-        return [m.LogEvent("rollout coordinator started", fields)]
+        return [m.RolloutLogEvent("rollout coordinator started", fields)]
 
     def step_down(self) -> None:
         """End the term: the voter does not lead any more.
@@ -127,15 +130,15 @@
         """
         self.term = 0
         self.proposal = None
-        self.in_force = False
+        self.is_in_force = False
         self.leases = {}
         self.requests = {}
         self.incarnations = {}
-        self.informed = frozenset()
+        self.informed_members = frozenset()
 
     def due_ms(self) -> float | None:
         """When `tick` has to be called next; None for not before a message arrives."""
-        if not self.term or (self.proposal is None and self.in_force):
+        if not self.term or (self.proposal is None and self.is_in_force):
             return None
         deadlines = [self.unknown_leases_until_ms]
         deadlines.extend(lease.expires_ms for lease in self.leases.values())
@@ -143,15 +146,17 @@
             deadlines.append(self.proposal.deadline_ms)
         return min([self.repeat_ms, *(deadline for deadline in deadlines if deadline > self.ticked_ms)])
 
-    def receive(self, now_ms: float, sender: str, message: m.Message, fresh: bool) -> list[m.Effect]:
-        """Handle any message for a coordinator; others change nothing. `fresh` as for lease requests."""
+    def receive(
+        self, now_ms: float, sender: str, message: m.Message, holds_read_lease: bool
+    ) -> list[m.Effect]:
+        """Handle any message for a coordinator; others change nothing. `holds_read_lease` as for requests."""
         match message:
             case m.Vote():
                 return self.receive_vote(now_ms, sender, message)
             case m.LeaseRequest():
-                return self.receive_lease_request(now_ms, sender, message, fresh)
-            case m.EpochAdopted():
-                return self.receive_epoch_adopted(now_ms, sender, message, fresh)
+                return self.receive_lease_request(now_ms, sender, message, holds_read_lease)
+            case m.DocumentAdopted():
+                return self.receive_document_adopted(now_ms, sender, message, holds_read_lease)
             case m.Propose():
                 return self.propose(now_ms, message.text)
             case m.Cancel():
@@ -175,10 +180,10 @@
         self.sequence += 1
         numbered = document.numbered(self.highest_number)
         self.proposal = OpenProposal(numbered, self.sequence, now_ms + self.timing.prepare_ms)
-        self.repeat_ms = now_ms + self.timing.again_ms
+        self.repeat_ms = now_ms + self.timing.resend_interval_ms
         fields = {"number": numbered.number, "digest": document.digest, "members": len(self.members)}
         return [
-            m.LogEvent("prepare", fields),
+            m.RolloutLogEvent("prepare", fields),
             *self._prepare_messages(self.proposal),
             *self._decide_if_agreed(now_ms),
         ]
@@ -187,7 +192,7 @@
         """Why no proposal can begin now; empty where one can."""
         if self.proposal is not None:
             return f"number {self.proposal.number} is under way"
-        return "" if self.in_force else f"number {self.register.last.number} is not in force yet"
+        return "" if self.is_in_force else f"number {self.register.last.number} is not in force yet"
 
     def _prepare_messages(self, proposal: OpenProposal) -> list[m.Effect]:
         message = self._prepare_message(proposal)
@@ -230,15 +235,15 @@
         self.sequence += 1  # so that a prepare that arrives late does not begin it again
         self.proposal = None
         message = m.Abort(self.term, self.sequence, proposal.number, reason[: m.MAX_SHORT_TEXT])
-        event = m.LogEvent("ended", {"number": proposal.number, "reason": reason})
+        event = m.RolloutLogEvent("ended", {"number": proposal.number, "reason": reason})
         return [*(m.Send(to, message) for to in self.members), event]
 
     def _may_hold_lease(self, now_ms: float, name: str) -> bool:
         """Whether a member may have a lease of this term, of whatever number, at this moment."""
         return name in self.leases and now_ms < self.leases[name].expires_ms
 
-    def missing(self, now_ms: float) -> list[str]:
-        """Whose vote is missing, for operators; empty where nothing is being prepared."""
+    def members_without_vote(self, now_ms: float) -> list[str]:
+        """The members whose vote is missing, for operators; empty where nothing is being prepared."""
         if self.proposal is None or self.proposal.deciding:
             return []
         return self._missing_votes(now_ms, self.proposal)
@@ -258,7 +263,7 @@
         if not proposal.agreed:
             return []  # no live member would apply it
         proposal.deciding = True
-        return [m.ProposeRegister(self.register.followed_by(proposal.document).encode())]
+        return [m.ProposeRegister(self.register.with_next(proposal.document).encode())]
 
     # --- the decision ---------------------------------------------------------------------------
 
@@ -268,30 +273,31 @@
             return []
         return self._abort(self.proposal, "the voters' log did not accept it")
 
-    def receive_decision(self, now_ms: float, text: str, fresh: bool) -> list[m.Effect]:
-        """Take the log's register, as it was decided while this one leads. `fresh` as for lease requests.
+    def receive_decision(self, now_ms: float, text: str, holds_read_lease: bool) -> list[m.Effect]:
+        """Take the log's register, as it was decided while this one leads.
 
-        Raises DocumentError for a malformed text; what it proposed itself never is.
+        `holds_read_lease` as for lease requests. Raises DocumentError for a malformed text; what it proposed
+        itself never is.
         """
         register = parse_register(text)
         if not self.term or register.last.number <= self.register.last.number:
             return []
         self.register = register
         self.proposal = None
-        self.in_force = False
+        self.is_in_force = False
         self.highest_number = max(self.highest_number, register.last.number)
         self.sequence += 1
-        self.informed = frozenset()
-        self.repeat_ms = now_ms + self.timing.again_ms
-        event = m.LogEvent("decided", {"number": register.last.number, "digest": register.last.digest})
-        in_force = self._declare_in_force(now_ms) if fresh else []
+        self.informed_members = frozenset()
+        self.repeat_ms = now_ms + self.timing.resend_interval_ms
+        event = m.RolloutLogEvent("decided", {"number": register.last.number, "digest": register.last.digest})
+        in_force = self._declare_in_force(now_ms) if holds_read_lease else []
         return [event, *self._decision_messages(), *in_force]
 
     def _decision_messages(self) -> list[m.Effect]:
         message = m.Decided(self.register.encode())
-        return [m.Send(to, message) for to in self.members if to not in self.informed]
+        return [m.Send(to, message) for to in self.members if to not in self.informed_members]
 
-    def _holders_of_earlier_epochs(self) -> list[str]:
+    def _holders_of_earlier_documents(self) -> list[str]:
         return [name for name, lease in self.leases.items() if lease.number < self.register.last.number]
 
     def _declare_in_force(self, now_ms: float, *, proven: bool = False) -> list[m.Effect]:
@@ -299,34 +305,34 @@
 
         `proven` tells that it has been in force already.
         """
-        if self.in_force or not self.term:
+        if self.is_in_force or not self.term:
             return []
         if not proven:
-            earlier = self._holders_of_earlier_epochs()
+            earlier = self._holders_of_earlier_documents()
             if now_ms < self.unknown_leases_until_ms:
                 return []
             if any(self._may_hold_lease(now_ms, name) for name in earlier):
                 return []
-        self.in_force = True
-        for name in self._holders_of_earlier_epochs():
+        self.is_in_force = True
+        for name in self._holders_of_earlier_documents():
             del self.leases[name]
-        effects: list[m.Effect] = [m.LogEvent("in force", {"number": self.register.last.number})]
+        effects: list[m.Effect] = [m.RolloutLogEvent("in force", {"number": self.register.last.number})]
         for name, request in self.requests.items():
-            if name in self.informed and name in self.members:  # an answer to its last request
+            if name in self.informed_members and name in self.members:  # an answer to its last request
                 effects.append(m.Send(name, self._grant(name, request, "")))
         return effects
 
     # --- leases ---------------------------------------------------------------------------------
 
     def receive_lease_request(
-        self, now_ms: float, sender: str, message: m.LeaseRequest, fresh: bool
+        self, now_ms: float, sender: str, message: m.LeaseRequest, holds_read_lease: bool
     ) -> list[m.Effect]:
         """Answer a holder's request for a lease.
 
-        `fresh` is `Voter.fresh` at this moment; without it nothing is granted, as there may be another
-        coordinator.
+        `holds_read_lease` is `Voter.holds_read_lease` at this moment; without it nothing is granted, as there
+        may be another coordinator.
         """
-        if not self.term or not fresh or sender not in self.members:
+        if not self.term or not holds_read_lease or sender not in self.members:
             return []
         if message.incarnation < self.incarnations.get(sender, 0):
             return []
@@ -352,26 +358,26 @@
         """Note the last decision that a holder knows: it does not use an earlier lease any more."""
         last = self.register.last.number
         if known < last:
-            self.informed -= {sender}
+            self.informed_members -= {sender}
             return
-        self.informed |= {sender}
+        self.informed_members |= {sender}
         if sender in self.leases and self.leases[sender].number < last:
             del self.leases[sender]
 
-    def receive_epoch_adopted(
-        self, now_ms: float, sender: str, message: m.EpochAdopted, fresh: bool
+    def receive_document_adopted(
+        self, now_ms: float, sender: str, message: m.DocumentAdopted, holds_read_lease: bool
     ) -> list[m.Effect]:
         """Note that a holder does not act by anything before that number any more."""
         request = m.LeaseRequest(message.incarnation, message.sent_ms, message.number, message.granted_number)
-        effects = self.receive_lease_request(now_ms, sender, request, fresh)
-        return effects if self.in_force else []  # an answer follows once a lease can be granted
+        effects = self.receive_lease_request(now_ms, sender, request, holds_read_lease)
+        return effects if self.is_in_force else []  # an answer follows once a lease can be granted
 
     def _note_incarnation(self, name: str, incarnation: int) -> None:
         """Note a member's incarnation: one that was restarted has lost what it agreed to."""
         if incarnation <= self.incarnations.get(name, 0):
             return
         self.incarnations[name] = incarnation
-        self.informed -= {name}
+        self.informed_members -= {name}
         if self.proposal:
             self.proposal.agreed -= {name}
 
@@ -385,11 +391,11 @@
         last = self.register.last.number
         proposal = self.proposal
         not_agreed = proposal is not None and proposal.deciding and name not in proposal.agreed
-        may_have_lease = self.in_force and name in self.informed and not not_agreed
+        may_have_lease = self.is_in_force and name in self.informed_members and not not_agreed
         lease_ms = self.timing.lease_ms if may_have_lease else 0.0
         if lease_ms:
             before = self.leases[name].expires_ms if name in self.leases else 0.0
-            expires_ms = max(before, request.received_ms + self.timing.over_ms)
+            expires_ms = max(before, request.received_ms + self.timing.max_lease_ms)
             self.leases[name] = LeaseRecord(last, expires_ms)
         return m.LeaseGrant(
             self.term,
@@ -404,27 +410,27 @@
 
     # --- time -----------------------------------------------------------------------------------
 
-    def tick(self, now_ms: float, fresh: bool) -> list[m.Effect]:
-        """Do what is due; call it at `due_ms` at the latest. `fresh` as for lease requests."""
+    def tick(self, now_ms: float, holds_read_lease: bool) -> list[m.Effect]:
+        """Do what is due; call it at `due_ms` at the latest. `holds_read_lease` as for requests."""
         self.ticked_ms = now_ms
-        if not self.term or not fresh:
-            self.repeat_ms = now_ms + self.timing.again_ms
+        if not self.term or not holds_read_lease:
+            self.repeat_ms = now_ms + self.timing.resend_interval_ms
             return []
         proposal = self.proposal
         if proposal and not proposal.deciding and now_ms >= proposal.deadline_ms:
             silent = ", ".join(self._missing_votes(now_ms, proposal)[:MAX_NAMED_MEMBERS])
             return self._abort(proposal, f"no answer from {silent or 'any member'}")
         effects = [*self._decide_if_agreed(now_ms), *self._declare_in_force(now_ms)]
-        if now_ms >= self.repeat_ms and (self.proposal or not self.in_force):
-            self.repeat_ms = now_ms + self.timing.again_ms
+        if now_ms >= self.repeat_ms and (self.proposal or not self.is_in_force):
+            self.repeat_ms = now_ms + self.timing.resend_interval_ms
             effects += self._repeated_messages()
         return effects
 
     def _repeated_messages(self) -> list[m.Effect]:
         if self.proposal and not self.proposal.deciding:
             return self._prepare_messages(self.proposal)
-        return [] if self.in_force else self._decision_messages()
+        return [] if self.is_in_force else self._decision_messages()
 
 
-def _rejected(reason: str) -> m.LogEvent:
-    return m.LogEvent("rejected", {"reason": reason})
+def _rejected(reason: str) -> m.RolloutLogEvent:
+    return m.RolloutLogEvent("rejected", {"reason": reason})
--- a/fawnwharf/policy_rollout/rollout_measurement.py
+++ b/fawnwharf/policy_rollout/rollout_measurement.py
@@ -75,7 +75,7 @@
 def _messages_of_rollout(sent: Counter[str]) -> int:
     """The messages beyond those that renew leases."""
     grants = max(0, sent["LeaseGrant"] - sent["LeaseRequest"])
-    return grants + sum(sent[kind] for kind in ("Prepare", "Vote", "Decided", "EpochAdopted"))
+    return grants + sum(sent[kind] for kind in ("Prepare", "Vote", "Decided", "DocumentAdopted"))
 
 
 def _kill(simulation: Simulation, names: list[str]) -> None:
@@ -97,7 +97,7 @@
             for name in partitioned:
                 simulation.members[name].partitioned_until_ms = LONG_MS
         is_decided = marks.decided_ms is not None
-        if marks.in_force_ms is None and is_decided and coordinator is not None and coordinator.in_force:
+        if marks.in_force_ms is None and is_decided and coordinator is not None and coordinator.is_in_force:
             marks.in_force_ms = now_ms
         if marks.all_ms is None and all(_is_leased(simulation, member) for member in reachable):
             marks.all_ms = now_ms
@@ -105,7 +105,7 @@
 
 
 def _is_leased(simulation: Simulation, member: SimulatedMember) -> bool:
-    """Whether a member has a lease for the first epoch after the start."""
+    """Whether a member has a lease for the first document after the start."""
     granted = member.holder is not None and member.holder.granted_number == 1
     return granted and simulation.acts(member)
 
--- a/fawnwharf/policy_rollout/rollout_member.py
+++ b/fawnwharf/policy_rollout/rollout_member.py
@@ -26,7 +26,7 @@
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.operator_requests import LeaderRequests, SubmittedRequests
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
-from fawnwharf.policy_rollout.settings import OperatorRequest
+from fawnwharf.policy_rollout.settings import PolicyRequest
 from fawnwharf.zones.log_lines import ConsensusStatus
 
 MAX_CANCEL_REASON = 200
@@ -43,7 +43,7 @@
     timing: RolloutTiming
     incarnation: int
     consensus_status: Callable[[float], ConsensusStatus]  # the state of its voter
-    votes: bool = False
+    is_voter: bool = False  # whether it has a voter of the consensus log, and so may become leader
     stored_register: str = ""
     holder: LeaseHolder = field(init=False)
     coordinator: RolloutCoordinator | None = None
@@ -52,25 +52,26 @@
     submitted: SubmittedRequests = field(init=False)
     leader_requests: LeaderRequests = field(default_factory=LeaderRequests)
     term: int = 0  # the largest one of a leader that was received
-    unreadable_term: int = 0  # a term that could not begin
+    # The term in which this member led but could not start, as the register was unreadable; 0: none.
+    term_with_unreadable_register: int = 0
     # The coordinator knows incarnations by their counts, their members by their numbers.
     incarnations: IncarnationCounter = field(default_factory=IncarnationCounter)
 
     def __post_init__(self) -> None:
         self.holder = LeaseHolder(self.capabilities, self.timing, self.incarnation, self.stored_register)
-        self.submitted = SubmittedRequests(self.name, self.timing.again_ms)
-        if self.votes:
+        self.submitted = SubmittedRequests(self.name, self.timing.resend_interval_ms)
+        if self.is_voter:
             self.coordinator = RolloutCoordinator(self.timing, self.members)
 
     def _count_dropped(self, cause: str) -> None:
         self.dropped[cause] = self.dropped.get(cause, 0) + 1
 
-    def leads(self, now_ms: float) -> bool:
+    def is_leader(self, now_ms: float) -> bool:
         """Whether this member leads for certain at this moment."""
         if self.coordinator is None or not self.coordinator.term:
             return False
         status = self.consensus_status(now_ms)
-        return status.fresh and status.term == self.coordinator.term
+        return status.holds_read_lease and status.term == self.coordinator.term
 
     # --- messages and decisions -----------------------------------------------------------------
 
@@ -89,7 +90,7 @@
     def _handle(self, now_ms: float, sender: str, message: m.Message) -> list[m.Effect]:
         if isinstance(message, m.Propose | m.Rollback | m.Cancel):
             return self._receive_request(now_ms, sender, message)
-        if not isinstance(message, m.Vote | m.LeaseRequest | m.EpochAdopted):
+        if not isinstance(message, m.Vote | m.LeaseRequest | m.DocumentAdopted):
             return self.holder.receive(now_ms, sender, message)
         if self.coordinator is None:
             return []
@@ -98,12 +99,12 @@
             self._count_dropped("of an earlier incarnation")
             return []
         counted = msgspec.structs.replace(message, incarnation=count)
-        return self.coordinator.receive(now_ms, sender, counted, self.leads(now_ms))
+        return self.coordinator.receive(now_ms, sender, counted, self.is_leader(now_ms))
 
     def _receive_request(self, now_ms: float, origin: str, message: m.RequestMessage) -> list[m.Effect]:
         """Carry out an operator's request, if this member leads in the term that it is meant for."""
         coordinator = self.coordinator
-        if coordinator is None or not self.leads(now_ms) or message.term != coordinator.term:
+        if coordinator is None or not self.is_leader(now_ms) or message.term != coordinator.term:
             return []
         return self.leader_requests.receive(now_ms, origin, message, coordinator)
 
@@ -113,16 +114,16 @@
         queue = deque(effects)
         while queue:
             effect = queue.popleft()
-            if isinstance(effect, m.LogEvent):
-                self.leader_requests.note(effect)
+            if isinstance(effect, m.RolloutLogEvent):
+                self.leader_requests.record_event(effect)
             elif isinstance(effect, m.Send):
                 effect = self._with_incarnation_number(effect)
-                if effect.to == self.name or (effect.to == m.LEADER and self.leads(now_ms)):
+                if effect.to == self.name or (effect.to == m.LEADER and self.is_leader(now_ms)):
                     queue.extend(self._handle(now_ms, self.name, effect.message))
                     continue
             outgoing.append(effect)
         if self.submitted and self.coordinator is not None and self.coordinator.term:
-            self.submitted.learn_outcomes(self.status(now_ms))
+            self.submitted.record_outcomes(self.status(now_ms))
         return outgoing
 
     def _with_incarnation_number(self, send: m.Send) -> m.Send:
@@ -137,7 +138,7 @@
         effects: list[m.Effect] = []
         try:
             if self.coordinator is not None and self.coordinator.term:
-                effects = self.coordinator.receive_decision(now_ms, text, self.leads(now_ms))
+                effects = self.coordinator.receive_decision(now_ms, text, self.is_leader(now_ms))
             number = parse_register(text).last.number
         except DocumentError:
             # The holder logs the cause, and is not ready any more.
@@ -180,12 +181,17 @@
         status = self.consensus_status(now_ms)
         effects: list[m.Effect] = []
         if coordinator.term and coordinator.term != status.term:
-            effects.append(m.LogEvent("rollout coordinator stopped", {"term": coordinator.term}))
+            effects.append(m.RolloutLogEvent("rollout coordinator stopped", {"term": coordinator.term}))
             coordinator.step_down()
             self.leader_requests.clear()
-        if not coordinator.term and status.fresh and status.settled and status.term != self.unreadable_term:
+        if (
+            not coordinator.term
+            and status.holds_read_lease
+            and status.fully_committed
+            and status.term != self.term_with_unreadable_register
+        ):
             effects += coordinator.lead(now_ms, status.term, status.policy)
-            self.unreadable_term = 0 if coordinator.term else status.term
+            self.term_with_unreadable_register = 0 if coordinator.term else status.term
             self.term = max(self.term, coordinator.term)
             self._request_lease_at_once(now_ms)
         return self._deliver(now_ms, effects) if effects else []
@@ -209,7 +215,7 @@
         if self.coordinator is not None:
             due_ms = self.coordinator.due_ms()
             if due_ms is not None and now_ms >= due_ms:
-                more += self.coordinator.tick(now_ms, self.leads(now_ms))
+                more += self.coordinator.tick(now_ms, self.is_leader(now_ms))
         if now_ms >= self.holder.due_ms():
             more += self.holder.tick(now_ms)
         more += self.submitted.retry(now_ms, self.term)
@@ -217,7 +223,7 @@
 
     # --- operators' requests that are made here --------------------------------------------------
 
-    def submit(self, now_ms: float, request: OperatorRequest) -> list[m.Effect]:
+    def submit(self, now_ms: float, request: PolicyRequest) -> list[m.Effect]:
         """Take an operator's request at this member, checked by itself."""
         register = self.holder.register
         message: m.RequestMessage
@@ -237,7 +243,7 @@
     def _open_number(self) -> int:
         """The number of the open proposal, as the leader of the latest term reported it; 0 for none."""
         leader = max(self.statuses.values(), key=lambda status: status.term, default=None)
-        return leader.open_number if leader and leader.term else 0
+        return leader.open_proposal_number if leader and leader.term else 0
 
     def reject(self, now_ms: float, request_number: int, reason: str) -> None:
         """Note a request that can't be taken, and why."""
@@ -257,7 +263,7 @@
             self.term = status.term
             self._request_lease_at_once(now_ms)  # from the new leader
         if status.term == self.term and status.term:
-            self.submitted.learn_outcomes(status)
+            self.submitted.record_outcomes(status)
 
     def status(self, now_ms: float) -> m.MemberStatus:
         """This member's status, as the others receive it."""
@@ -271,7 +277,7 @@
             prepared=holder.prepared.number if holder.prepared else 0,
             incarnation=self.incarnation,
             error=holder.error[: m.MAX_SHORT_TEXT],
-            requests=tuple(request.outcome for request in self.submitted),
+            submitted_requests=tuple(request.outcome for request in self.submitted),
             dropped=dict(self.dropped),
         )
         coordinator = self.coordinator
@@ -282,8 +288,8 @@
             number=coordinator.register.last.number,
             digest=coordinator.register.last.digest,
             term=coordinator.term,
-            open_number=coordinator.proposal.number if coordinator.proposal else 0,
-            missing=tuple(coordinator.missing(now_ms)[:MAX_MISSING]),
-            in_force=coordinator.in_force,
-            outcomes=tuple(self.leader_requests.outcomes),
+            open_proposal_number=coordinator.proposal.number if coordinator.proposal else 0,
+            members_without_vote=tuple(coordinator.members_without_vote(now_ms)[:MAX_MISSING]),
+            is_in_force=coordinator.is_in_force,
+            leader_outcomes=tuple(self.leader_requests.outcomes),
         )
--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -19,7 +19,7 @@
 from fawnwharf.policy_rollout.call_binding import (
     CallPolicyBinding,
     CallTable,
-    class_spec_under,
+    class_spec_for_document,
     with_bound_classes,
 )
 from fawnwharf.policy_rollout.call_trace import CallTrace
@@ -37,13 +37,13 @@
 NAME = "policy"
 POLL_FILES_MS = 200.0  # interval at which the operators' file is read
 FLUSH_TRACE_MS = 100.0
-FIRST_LEASE_MS = (
-    50.0  # once ready, calls wait for so long for the first lease, before a stricter policy applies
-)
-NOT_READY_MS = 3_000.0  # not ready for so long is logged, and again after each such interval
-MIXED_CLASSES_MS = (
-    10_000.0  # for so long after a change of classes, earlier calls may come from the claim gate
-)
+# Once ready, waiting calls wait for so long for the first lease; then a stricter policy applies to them.
+FIRST_LEASE_WAIT_MS = 50.0
+# A front end that is not ready for so long logs that, and again after each such interval.
+NOT_READY_LOG_INTERVAL_MS = 3_000.0
+# For so long after a change of classes, calls that are bound to the classes before may still come from the
+# replication gate, and are put between two changes of their class (`with_bound_classes`).
+REBIND_CLASSES_MS = 10_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,8 +103,8 @@
         self.applier = PolicyApplier(context.deployment, self._front, context.zones, context.state)
         self._module_classes = dict(self.applier.classes)  # as the decision module has them
         self._front.client_port.not_ready_reasons.add(NAME)
-        self.calls = CallPolicyBinding(self._front.client_port.requests, self, unix_ms, timers.after)
-        self._set_table(self.calls)
+        self.call_binding = CallPolicyBinding(self._front.client_port.requests, self, unix_ms, timers.after)
+        self._set_table(self.call_binding)
         self._zones.log_clients[NAME] = self
         self._requests = RequestFile(context.request_path, context.log, self.member, self._carry_out)
         context.log("policy on", {"life": context.file.incarnation, "voter": voter})
@@ -121,12 +121,12 @@
         """Stop, reject the waiting calls, and restore the settings in the other parts."""
         self._stopped = True
         self._publisher.stop()
-        self.calls.reject_waiting()
+        self.call_binding.reject_waiting()
         table: CallTable = self._front.client_port.requests
-        if table is self.calls:
-            self._set_table(self.calls.below)
+        if table is self.call_binding:
+            self._set_table(self.call_binding.inner)
         self._front.client_port.not_ready_reasons.discard(NAME)
-        self.applier.restore(self.member.capabilities.base)
+        self.applier.reset_to_configured(self.member.capabilities.configured_defaults)
         if self._trace is not None:
             self._flush_trace(self._trace)
 
@@ -135,7 +135,7 @@
         self._front.client_port.requests = cast(RequestTable, table)
 
     @property
-    def in_force(self) -> m.ActivePolicy:
+    def active_policy(self) -> m.ActivePolicy:
         """The policy that applies to calls at this moment, over the settings."""
         return self.member.holder.policy_at(monotonic_ms())
 
@@ -158,7 +158,7 @@
             self._tick()  # its lease is over, and the timer a moment late
         return holder.bind_call(now_ms, call)
 
-    def release(self, call: str) -> None:
+    def forget_call(self, call: str) -> None:
         """Forget the policy of a call."""
         self.member.holder.release_call(call)
 
@@ -168,7 +168,7 @@
             self._trace.add(call.hex(), policy, taken_ms, unix_ms())
 
     def events(self, events: list[io.Event]) -> None:
-        """Pass calls that waited at the claim gate through a change on under their own class."""
+        """Pass calls that waited at the replication gate through a change on under their own class."""
         if monotonic_ms() < self._mixed_until_ms:
             events[:] = with_bound_classes(events, self._module_classes, self._bound_spec)
 
@@ -178,7 +178,7 @@
         base = self._context.deployment.settings.classes.get(event.class_name)
         if request is None or base is None or request.call.judged is None:
             return None
-        return class_spec_under(base, request.call.judged.document)
+        return class_spec_for_document(base, request.call.judged.document)
 
     def _flush_trace_later(self, trace: CallTrace) -> None:
         """Flush the trace now, and after each interval."""
@@ -218,13 +218,13 @@
 
     def on_membership_changed(self) -> None:
         """Handle a change of the list of members."""
-        self._batcher.forget_grants()
+        self._batcher.forget_sent_grants()
         capabilities = self._capabilities()
         before = self.member.capabilities
         # The modes are those at the start, since the gate's own follow the policy by now.
-        modes = {path: value for path, value in before.base.values if path[0] == "modes"}
-        base = make_document(0, dict(capabilities.base.values) | modes)
-        changed = msgspec.structs.replace(before, zones=capabilities.zones, base=base)
+        modes = {path: value for path, value in before.configured_defaults.values if path[0] == "modes"}
+        base = make_document(0, dict(capabilities.configured_defaults.values) | modes)
+        changed = msgspec.structs.replace(before, zones=capabilities.zones, configured_defaults=base)
         names = self._context.member_names()
         self._carry_out(self.member.set_members(monotonic_ms(), names, changed))
 
@@ -256,7 +256,7 @@
         """Log who is missing, where no leader's coordinator sends what is in force."""
         if self._stopped:
             return
-        if not self.ready and monotonic_ms() - self._began_ms >= NOT_READY_MS:
+        if not self.ready and monotonic_ms() - self._began_ms >= NOT_READY_LOG_INTERVAL_MS:
             statuses = self.member.statuses
             own = self._zones.entry.name
             voters = [entry.name for entry in self._zones.core.membership.voters if entry.name != own]
@@ -266,7 +266,7 @@
                 "voters without policy status": sorted(name for name in voters if name not in statuses),
             }
             self._log.write("policy: not ready", fields)
-        self._front.loop.timers.after(NOT_READY_MS, self._log_not_ready)
+        self._front.loop.timers.after(NOT_READY_LOG_INTERVAL_MS, self._log_not_ready)
 
     # --- effects --------------------------------------------------------------------------------
 
@@ -283,7 +283,7 @@
                     self._store(effect.register)
                 case m.ActivePolicy():
                     self._apply(effect)
-                case m.LogEvent():
+                case m.RolloutLogEvent():
                     self._log.write(effect.event, effect.fields)
         self._apply_replication()
         self._update_readiness()
@@ -291,29 +291,29 @@
         self._set_timer()
 
     def _update_readiness(self) -> None:
-        """Tell the port whether it may be ready, and release calls that waited for that."""
+        """Tell the port whether it may be ready, and submit calls that waited for that."""
         reasons = self._front.client_port.not_ready_reasons
         if not self.ready:
             reasons.add(NAME)
             return
         reasons.discard(NAME)
-        if not self.calls.waiting:
+        if not self.call_binding.waiting:
             return
-        if self.in_force.basis == "leased":
-            self.calls.release()
+        if self.active_policy.basis == "leased":
+            self.call_binding.submit_waiting()
         else:  # its first lease arrives a round trip later
-            self._front.loop.timers.after(FIRST_LEASE_MS, self._release_calls)
+            self._front.loop.timers.after(FIRST_LEASE_WAIT_MS, self._submit_waiting_calls)
 
-    def _release_calls(self) -> None:
+    def _submit_waiting_calls(self) -> None:
         if self.ready and not self._stopped:
-            self.calls.release()
+            self.call_binding.submit_waiting()
 
     def _apply_replication(self) -> None:
         self.applier.apply_replication(dict(self.member.holder.relaxation.effective))
 
     def _apply(self, policy: m.ActivePolicy) -> None:
         if self.applier.apply(policy.document):
-            self._mixed_until_ms = monotonic_ms() + MIXED_CLASSES_MS
+            self._mixed_until_ms = monotonic_ms() + REBIND_CLASSES_MS
         fields = {"number": policy.number, "digest": policy.digest, "how": policy.basis, "ready": self.ready}
         self._log.write("policy", fields)
 
--- a/fawnwharf/policy_rollout/scenario.py
+++ b/fawnwharf/policy_rollout/scenario.py
@@ -19,7 +19,7 @@
 )
 
 NAMES = ("a", "b", "c")
-TIMING = RolloutTiming(lease_ms=6.0, renew_ms=1.0, prepare_ms=16.0, again_ms=8.0, skew=1 / 3)
+TIMING = RolloutTiming(lease_ms=6.0, renew_ms=1.0, prepare_ms=16.0, resend_interval_ms=8.0, skew=1 / 3)
 COORDINATOR_TICK_MS = 4.0  # of a coordinator's clock in one tick
 HOLDER_TICK_MS = 2.0
 CAPABILITIES = DeploymentCapabilities(frozenset(), frozenset({"t"}), frozenset())
@@ -37,7 +37,7 @@
     "term",
     "sequence",
     "register",
-    "in_force",
+    "is_in_force",
     "unknown_leases_until_ms",
     "highest_number",
     "repeat_ms",
@@ -147,7 +147,7 @@
     if view.incarnation:
         coordinator.incarnations[name] = view.incarnation
     if view.informed:
-        coordinator.informed |= {name}
+        coordinator.informed_members |= {name}
 
 
 def freeze_coordinator(coordinator: RolloutCoordinator) -> CoordinatorState:
@@ -166,7 +166,7 @@
         coordinator.proposal is not None and name in coordinator.proposal.agreed,
         coordinator.leases.get(name),
         coordinator.requests.get(name),
-        name in coordinator.informed,
+        name in coordinator.informed_members,
         coordinator.incarnations.get(name, 0),
     )
 
@@ -352,8 +352,8 @@
             self.carry_out_holder(index, effects, late=late)
             return
         coordinator = self.coordinators[route.coordinator]
-        fresh = route.coordinator == self.leader
-        effects = coordinator.receive(self.coordinator_ms, NAMES[index], message, fresh)
+        holds_read_lease = route.coordinator == self.leader
+        effects = coordinator.receive(self.coordinator_ms, NAMES[index], message, holds_read_lease)
         self.carry_out_coordinator(route.coordinator, effects)
 
 
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -37,17 +37,17 @@
         deployment: Deployment,
         path: str | Path,
         write: Callable[[str, dict[str, Any]], None],
-        made: dict[str, Any],
+        built_parts: dict[str, Any],
     ) -> None:
         """Read and check the files; raises ConfigError with one line.
 
-        `made` has the other parts by name, of which `zones` has to be there already; `write` writes an entry
-        of the operators' log.
+        `built_parts` has the other parts of this front end by name, of which `zones` has to be there
+        already; `write` writes an entry of the operators' log.
         """
         self.deployment = deployment
-        self.zones: ZoneService = made["zones"]
+        self.zones: ZoneService = built_parts["zones"]
         self._log = write
-        self._made = made
+        self._built_parts = built_parts
         self._settings: RolloutSettings = load_file(Path(path), decode_settings, NAME)
         policy_path = self.zones.folder / POLICY_FILE
         try:
@@ -82,9 +82,9 @@
         return self.running.member
 
     @property
-    def calls(self) -> CallPolicyBinding:
+    def call_binding(self) -> CallPolicyBinding:
         """The binding of calls to their policies."""
-        return self.running.calls
+        return self.running.call_binding
 
     @property
     def incarnation(self) -> int:
@@ -92,14 +92,14 @@
         return self._file.incarnation
 
     @property
-    def in_force(self) -> m.ActivePolicy:
+    def active_policy(self) -> m.ActivePolicy:
         """The policy that applies to calls at this moment, over the settings."""
-        return self.running.in_force
+        return self.running.active_policy
 
     @property
     def staging(self) -> dict[str, float]:
-        """Budgets of prefetching by their keys in the document; absent ones are as the settings have them."""
-        return self.in_force.document.limits("staging")
+        """Limits of prefetching, by key of the section `staging`, filled in from the settings."""
+        return self.active_policy.document.limits("staging")
 
     @property
     def ready(self) -> bool:
@@ -108,9 +108,9 @@
 
     def _capabilities(self) -> DeploymentCapabilities:
         """What the deployment has at present."""
-        prefetching = getattr(self._made.get("sessions"), "foreseen", None)
+        prefetching = getattr(self._built_parts.get("sessions"), "foreseen", None)
         budgets = prefetching.staging.budgets if prefetching is not None else None
-        return deployment_capabilities(self.deployment, self.zones, self._made.get("state"), budgets)
+        return deployment_capabilities(self.deployment, self.zones, self._built_parts.get("state"), budgets)
 
     # --- as an extension of the front end ---------------------------------------------------------
 
@@ -121,7 +121,7 @@
             self._settings,
             front,
             self.zones,
-            self._made.get("state"),
+            self._built_parts.get("state"),
             self._file,
             self._trace,
             self._log,
@@ -140,11 +140,11 @@
         """Changes of the roster do not matter here."""
 
     def on_events(self, events: list[io.Event]) -> None:
-        """Pass calls that waited at the claim gate through a change on under their own class."""
+        """Pass calls that waited at the replication gate through a change on under their own class."""
         if self._running is not None:
             self._running.events(events)
 
     @property
     def busy(self) -> bool:
         """Whether calls wait here; the table and the gate know of the others."""
-        return self._running is not None and self._running.calls.waiting > 0
+        return self._running is not None and self._running.call_binding.waiting > 0
--- a/fawnwharf/policy_rollout/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -23,20 +23,23 @@
     """The file that switches policy rollouts on; the voters' values count for the fleet."""
 
     version: int
-    lease_ms: DurationMs = 2_000.0  # for how long a front end acts by an epoch without reaching a leader
+    lease_ms: DurationMs = 2_000.0  # for how long a front end acts by a document without reaching a leader
     renew_ms: DurationMs = 500.0  # interval of its lease requests
     prepare_ms: DurationMs = 6_000.0  # for all to answer a proposal
-    again_ms: DurationMs = 500.0  # interval at which what is not answered is sent again
+    # The interval at which a message that was not answered is sent again.
+    resend_interval_ms: DurationMs = field(default=500.0, name="again_ms")
     skew: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.1  # by which the rates of clocks may differ
     trace: str = ""  # a file for one line per call, in trials; relative to the folder of the settings
 
     @property
     def timing(self) -> RolloutTiming:
         """The times that coordinators and holders use."""
-        return RolloutTiming(self.lease_ms, self.renew_ms, self.prepare_ms, self.again_ms, self.skew)
+        return RolloutTiming(
+            self.lease_ms, self.renew_ms, self.prepare_ms, self.resend_interval_ms, self.skew
+        )
 
 
-class OperatorRequest(Struct, frozen=True, forbid_unknown_fields=True):
+class PolicyRequest(Struct, frozen=True, forbid_unknown_fields=True):
     """An operator's request, `proposal.json`: exactly one of `propose`, `call_off` and `back` is there."""
 
     version: int
@@ -75,15 +78,15 @@
     settings = _decode(data, RolloutSettings, "settings")
     if settings.renew_ms * 2 > settings.lease_ms:
         raise SettingsFileError("renew_ms: two do not fit into lease_ms")
-    over_ms = settings.timing.over_ms
-    if settings.prepare_ms < over_ms:
-        raise SettingsFileError(f"prepare_ms: less than a lease by the slowest clock, {over_ms:.0f}")
+    max_lease_ms = settings.timing.max_lease_ms
+    if settings.prepare_ms < max_lease_ms:
+        raise SettingsFileError(f"prepare_ms: less than a lease by the slowest clock, {max_lease_ms:.0f}")
     return settings
 
 
-def decode_operator_request(data: bytes) -> OperatorRequest:
+def decode_operator_request(data: bytes) -> PolicyRequest:
     """Parse a request and check its document, where it has one, by itself; raises SettingsFileError."""
-    request = _decode(data, OperatorRequest, "proposal")
+    request = _decode(data, PolicyRequest, "proposal")
     if (request.propose is not None) + (request.cancel is not None) + request.rollback != 1:
         raise SettingsFileError("proposal: one of propose, call_off and back is wanted")
     if request.propose is not None:
--- a/fawnwharf/policy_rollout/simulation.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -227,7 +227,7 @@
                 self._send(member.name, effect.to, effect.message)
             elif isinstance(effect, m.ProposeRegister):
                 self._propose_to_log(member, member.coordinator, effect.register)
-            elif isinstance(effect, m.LogEvent):
+            elif isinstance(effect, m.RolloutLogEvent):
                 self.result.events[effect.event] += 1
                 if effect.event == "in force":
                     self._note_in_force(member)
@@ -240,7 +240,7 @@
         took_ms = self.now_ms - self.decided_ms
         self.decided_ms = None
         self.result.longest_ms = max(self.result.longest_ms, took_ms)
-        if took_ms * member.clock_rate > self.timing.over_ms + 1.0:
+        if took_ms * member.clock_rate > self.timing.max_lease_ms + 1.0:
             self.model.violated(f"in force only {took_ms:.0f} ms after its decision")
 
     def _propose_to_log(self, member: SimulatedMember, coordinator: RolloutCoordinator, text: str) -> None:
@@ -270,7 +270,9 @@
         model.commit()
         self.decided_ms = self.now_ms
         if member.coordinator is not None:
-            effects = member.coordinator.receive_decision(self.clock_ms(member), model.log, fresh=True)
+            effects = member.coordinator.receive_decision(
+                self.clock_ms(member), model.log, holds_read_lease=True
+            )
             self.carry_out_coordinator(member, effects)
 
     def _carry_out_holder(self, member: SimulatedMember, effects: list[m.Effect]) -> None:
@@ -311,11 +313,11 @@
                 self.schedule(delay_ms, partial(self._arrive, sender, to, message))
             return
         clock_ms = self.clock_ms(member)
-        if not isinstance(message, m.LeaseRequest | m.EpochAdopted | m.Vote):
+        if not isinstance(message, m.LeaseRequest | m.DocumentAdopted | m.Vote):
             self._carry_out_holder(member, member.holder.receive(clock_ms, sender, message))
         elif member.coordinator is not None:
-            fresh = self.model.leader == to
-            effects = member.coordinator.receive(clock_ms, sender, message, fresh)
+            holds_read_lease = self.model.leader == to
+            effects = member.coordinator.receive(clock_ms, sender, message, holds_read_lease)
             self.carry_out_coordinator(member, effects)
 
     # --- operators ------------------------------------------------------------------------------
--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -249,7 +249,7 @@
         if what is QueryTopic.MEMBERS:
             number, digest, sure = self.lists.number, self.lists.digest, own.votes
         elif what is QueryTopic.PLAN:
-            (number, digest), sure, leased = own.plan, own.votes, self.seat(now_ms).fresh
+            (number, digest), sure, leased = own.plan, own.votes, self.seat(now_ms).holds_read_lease
         elif what is QueryTopic.USAGE:
             sure = own.uses
         answer = Answer(self.fleet, ask.incarnation, ask.sequence, ask.topic, self.life, False)
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -6,7 +6,7 @@
 import typer
 
 from fawnwharf.recovery_service import messages as w
-from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
+from fawnwharf.zones.command_helpers import MemberOption, fail, log_address, read_files, read_latest_entries
 
 File = Annotated[
     str, typer.Argument(metavar="FILE", help="The settings of zones that this member serves with.")
@@ -16,7 +16,7 @@
 def read_status(place: tuple[str, int], within_s: float = 3.0) -> w.DisplayedStatus | None:
     """How a member stands, None where it tells nothing of recovery. Raises OSError where its log can't be
     read, ValueError for what is none."""
-    line = current_lines(place, ("recovery",), within_s).get("recovery")
+    line = read_latest_entries(place, ("recovery",), within_s).get("recovery")
     return None if line is None else msgspec.convert(line["recovery"], w.DisplayedStatus)
 
 
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -133,7 +133,7 @@
         if self.term and self.term != seat.term:
             self.conductor.end_term()
             self.term = 0
-        if self.term or not seat.fresh or not seat.settled or seat.term == self.unread:
+        if self.term or not seat.holds_read_lease or not seat.fully_committed or seat.term == self.unread:
             return []
         effects = self.conductor.begin_term(now_ms, seat.recovery, seat.voters)
         self.term = seat.term if self.conductor.leads else 0
@@ -165,7 +165,7 @@
         boots, heard = self._boots(now_ms)
         if 2 * heard <= len(seat.voters):  # it can't tell yet whether the fleet lost its power
             return []
-        return self.conductor.tick(now_ms, self.seen(now_ms), boots, holds_lease=seat.fresh)
+        return self.conductor.tick(now_ms, self.seen(now_ms), boots, holds_lease=seat.holds_read_lease)
 
     def word(self, now_ms: float, seat: ConsensusStatus) -> str | None:
         """The register for all; None: it is not time, or it may not be the last word.
@@ -174,7 +174,7 @@
         not decided so yet, would tell calm to those that come back."""
         conductor = self.conductor
         number, at_ms = self._word
-        if not self.term or not seat.fresh or seat.term != self.term:
+        if not self.term or not seat.holds_read_lease or seat.term != self.term:
             return None
         if number == conductor.register.number and now_ms - at_ms < self.stage_ms:
             return None
--- a/fawnwharf/zones/command_helpers.py
+++ b/fawnwharf/zones/command_helpers.py
@@ -55,7 +55,7 @@
         fail(str(error))
 
 
-def current_lines(address: Address, keys: Iterable[str], within_s: float) -> dict[str, Any]:
+def read_latest_entries(address: Address, keys: Iterable[str], within_s: float) -> dict[str, Any]:
     """The current lines of a member's log: the last one with each of these keys, by key.
 
     Raises OSError where the log cannot be read, and ValueError for a malformed line.
--- a/fawnwharf/zones/commands.py
+++ b/fawnwharf/zones/commands.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.config import ConfigError
 from fawnwharf.zones import settings as s
-from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
+from fawnwharf.zones.command_helpers import MemberOption, fail, log_address, read_files, read_latest_entries
 from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING, SERVING
 
 app = typer.Typer(no_args_is_help=True, help="Zones that are decided in common.")
@@ -39,7 +39,7 @@
 
 def _read_member(settings: s.ZoneSettings, membership: s.Membership, member: str) -> _MemberView:
     """The last plan and report in a member's log; raises OSError or ValueError where it cannot be read."""
-    lines = current_lines(log_address(settings, membership, member), ("plan", "report"), READ_WITHIN_S)
+    lines = read_latest_entries(log_address(settings, membership, member), ("plan", "report"), READ_WITHIN_S)
     report = lines.get("report", {}).get("report", {})
     if "plan" not in lines:
         return _MemberView(report=report)
@@ -77,8 +77,8 @@
     return f"{name:12} {state:10} share {fraction:4.2f}  {signs}{reason}"
 
 
-@app.command()
-def plan(zones: File, member: MemberOption = "") -> None:
+@app.command("plan")
+def show_plan(zones: File, member: MemberOption = "") -> None:
     """The decided plan, as JSON."""
     view = _view_of(zones, member)
     if view.plan_index is None:
@@ -92,8 +92,8 @@
     _request(zones, zone, wait, drained=True)
 
 
-@app.command()
-def restore(zone: str, zones: File, wait: Wait = 15.0) -> None:
+@app.command("restore")
+def undrain(zone: str, zones: File, wait: Wait = 15.0) -> None:
     """Ask the fleet to take a drained zone back."""
     _request(zones, zone, wait, drained=False)
 
@@ -116,9 +116,9 @@
         fail(f"zones: not decided within {wait_s:g} s; the wish stands", 1)
 
 
-def _next_request(path: Path, zones: set[str], zone: str, *, drained: bool) -> s.OperatorRequest:
+def _next_request(path: Path, zones: set[str], zone: str, *, drained: bool) -> s.DrainRequest:
     """The request that also drains a zone, or no longer; raises SettingsFileError for an invalid one."""
-    before = s.OperatorRequest()
+    before = s.DrainRequest()
     if path.exists():
         before = s.operator_request_from(path.read_bytes(), zones)
     wanted = {*before.drained, zone} if drained else {*before.drained} - {zone}
@@ -145,8 +145,8 @@
     return False
 
 
-@app.command()
-def found(name: str, zones: File) -> None:
+@app.command("found")
+def bootstrap_fleet(name: str, zones: File) -> None:
     """Begin a new fleet: once, at one voter, before it is started. The other voters join it by themselves."""
     from fawnwharf.zones.bootstrap import bootstrap
 
--- a/fawnwharf/zones/effects.py
+++ b/fawnwharf/zones/effects.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from fawnwharf.consensus import messages as m
-from fawnwharf.zones.log_events import LogEvent
+from fawnwharf.zones.log_events import ZoneLogEvent
 from fawnwharf.zones.log_lines import POLICY, LogLine
 from fawnwharf.zones.plan import Plan
 
@@ -29,10 +29,11 @@
     line: LogLine
 
 
-class FollowPlan(Struct, frozen=True):
+class ApplyPlan(Struct, frozen=True):
     """Apply this plan from now on.
 
-    None means that no plan is known to be the latest: the front end works as without zones then.
+    `index` is that of the plan in the consensus log. A plan of None means that no plan is
+    known to be the latest: the front end works as without zones then.
     """
 
     plan: Plan | None
@@ -40,7 +41,11 @@
 
 
 class MessagesReceived(Struct, frozen=True):
-    """Pass another member's messages on to a log client; `status` is None where the line has none."""
+    """Pass another member's messages on to a log client, which decodes them and the status.
+
+    `client` is the package that they are for (`log_lines.POLICY`, `RECOVERY`); `status` is the sender's
+    status in that package, None where the line has none.
+    """
 
     sender: str
     messages: tuple[Any, ...]
@@ -60,8 +65,8 @@
     SaveVoterState
     | PublishLine
     | SendVoterMessage
-    | FollowPlan
+    | ApplyPlan
     | MessagesReceived
     | RegisterDecided
-    | LogEvent
+    | ZoneLogEvent
 )
--- a/fawnwharf/zones/evidence.py
+++ b/fawnwharf/zones/evidence.py
@@ -18,7 +18,10 @@
 
 
 class ZoneEvidence(Struct, frozen=True):
-    """Successes and failures of one zone within the window."""
+    """Successes and failures of one zone within the window, as one front end observed them.
+
+    A scorer is a server of the zone that calls are routed to.
+    """
 
     # Responses of any kind, and probes that connected.
     responses: Count = msgspec.field(name="heard", default=0)
@@ -38,8 +41,8 @@
         return self.timeouts + self.connect_failures + self.resets
 
     @property
-    def signs(self) -> int:
-        """The number of successes and failures."""
+    def observations(self) -> int:
+        """The number of successes and failures: the sample that a view is based on."""
         return self.responses + self.failures
 
 
@@ -60,19 +63,20 @@
     """
     if evidence is None:
         return ZoneHealth.UNKNOWN
-    many_failing = evidence.failing_scorers >= settings.min_signs
+    many_failing = evidence.failing_scorers >= settings.min_observations
     if many_failing and evidence.since_success_ms >= settings.no_success_ms:
         return ZoneHealth.DEAD
-    if evidence.signs < settings.min_signs:
+    if evidence.observations < settings.min_observations:
         return ZoneHealth.UNKNOWN
-    if evidence.failures >= settings.dead_fraction * evidence.signs:
+    if evidence.failures >= settings.dead_fraction * evidence.observations:
         return ZoneHealth.DEAD
     if evidence.slow_responses >= settings.slow_fraction * evidence.responses:
         return ZoneHealth.SLOW
     return ZoneHealth.GOOD
 
 
-# The kinds of signs, as places in a list of counts: plain numbers, since each event of a batch counts one.
+# The kinds of observations, as places in a list of counts: plain numbers, since each event of a batch counts
+# one.
 _RESPONSE = 0
 _SLOW_RESPONSE = 1
 _TIMEOUT = 2
@@ -95,7 +99,7 @@
 
 @dataclass(slots=True)
 class _Slice:
-    """The number of signs of each kind in one part of the window, by zone."""
+    """The number of observations of each kind in one part of the window, by zone."""
 
     began_ms: float
     counts: dict[str, list[int]] = field(default_factory=dict)
--- a/fawnwharf/zones/failure_detector.py
+++ b/fawnwharf/zones/failure_detector.py
@@ -16,13 +16,14 @@
 class ZoneVerdict:
     """What the reports amount to for one zone at one moment."""
 
-    dead: bool = False  # for more of the other zones than not
+    # Several may hold at once: lost implies dead, unanimous implies lost; lost excludes slow and healthy.
+    dead: bool = False  # more of the other zones find it dead than alive, whatever its own front ends report
     lost: bool = False  # dead, and its own front ends agree or are silent
-    slow: bool = False
+    slow: bool = False  # not lost, and more than half of the zones with an opinion find it slow
     unanimous: bool = False  # lost: all of its front ends are silent, and no other zone sees it alive
     healthy: bool = False  # some zone sees it alive, and it is not lost
     unreachable_from: set[str] = field(default_factory=set)  # zones that find it dead while it is not lost
-    reason: str = ""
+    reason: str = ""  # why it is lost or dead, for operators; empty otherwise
 
 
 @dataclass(slots=True, frozen=True)
--- a/fawnwharf/zones/log_events.py
+++ b/fawnwharf/zones/log_events.py
@@ -8,7 +8,7 @@
 from fawnwharf.zones.evidence import ZoneEvidence
 
 
-class LogEvent(Struct, frozen=True):
+class ZoneLogEvent(Struct, frozen=True):
     """An event in the operators' log."""
 
     event: ClassVar[str]
@@ -21,7 +21,7 @@
         return fields
 
 
-class ZonesEnabled(LogEvent, frozen=True):
+class ZonesEnabled(ZoneLogEvent, frozen=True):
     """This front end takes part in the fleet's decisions."""
 
     event = "zones enabled"
@@ -30,7 +30,7 @@
     voter: bool
 
 
-class MembershipLoaded(LogEvent, frozen=True):
+class MembershipLoaded(ZoneLogEvent, frozen=True):
     """A later membership file is in use."""
 
     event = "membership loaded"
@@ -38,7 +38,7 @@
     members: int
 
 
-class MembershipIgnored(LogEvent, frozen=True):
+class MembershipIgnored(ZoneLogEvent, frozen=True):
     """A valid membership file is not used."""
 
     event = "membership ignored"
@@ -46,14 +46,14 @@
     reason: str
 
 
-class MembershipRejected(LogEvent, frozen=True):
+class MembershipRejected(ZoneLogEvent, frozen=True):
     """A faulty membership file is not used; the last one stays in use."""
 
     event = "membership rejected"
     error: str
 
 
-class OperatorRequestLoaded(LogEvent, frozen=True):
+class OperatorRequestLoaded(ZoneLogEvent, frozen=True):
     """A later operator request is in use."""
 
     event = "operator request loaded"
@@ -61,14 +61,14 @@
     drained: tuple[str, ...]
 
 
-class OperatorRequestRejected(LogEvent, frozen=True):
+class OperatorRequestRejected(ZoneLogEvent, frozen=True):
     """A faulty operator request is not used; the last one stays in use."""
 
     event = "operator request rejected"
     error: str
 
 
-class RoleChanged(LogEvent, frozen=True):
+class RoleChanged(ZoneLogEvent, frozen=True):
     """This member's voter became the leader, or ceased to be it."""
 
     event = "role"
@@ -76,7 +76,7 @@
     term: int
 
 
-class VotersProposed(LogEvent, frozen=True):
+class VotersProposed(ZoneLogEvent, frozen=True):
     """The leader proposes another voter list."""
 
     event = "voters proposed"
@@ -85,7 +85,7 @@
     after: tuple[str, ...]
 
 
-class VotersDecided(LogEvent, frozen=True):
+class VotersDecided(ZoneLogEvent, frozen=True):
     """Another voter list was decided."""
 
     event = "voters"
@@ -101,7 +101,7 @@
     reason: str
 
 
-class PlanProposed(LogEvent, frozen=True):
+class PlanProposed(ZoneLogEvent, frozen=True):
     """The leader proposes another plan; `evidence` has what each member reported of each zone."""
 
     event = "plan proposed"
@@ -110,7 +110,7 @@
     evidence: dict[str, dict[str, ZoneEvidence]]
 
 
-class PlanChangeRejected(LogEvent, frozen=True):
+class PlanChangeRejected(ZoneLogEvent, frozen=True):
     """A zone stays open because all zones would be out without it."""
 
     event = "plan change rejected"
@@ -119,7 +119,7 @@
     reason: str
 
 
-class PlanDecided(LogEvent, frozen=True):
+class PlanDecided(ZoneLogEvent, frozen=True):
     """A plan was decided; `zones` has the state and the open fraction of each zone."""
 
     event = "plan"
@@ -128,14 +128,14 @@
     zones: dict[str, str]
 
 
-class PlanExpired(LogEvent, frozen=True):
+class PlanExpired(ZoneLogEvent, frozen=True):
     """The plan was not confirmed to be the latest for its time of validity."""
 
     event = "plan expired"
     index: int
 
 
-class FollowingPlan(LogEvent, frozen=True):
+class FollowingPlan(ZoneLogEvent, frozen=True):
     """This front end applies a plan; `admission` is the fraction of its calls that it admits."""
 
     event = "following"
@@ -147,7 +147,7 @@
     unreachable: tuple[tuple[str, str], ...]
 
 
-class OperatingStandalone(LogEvent, frozen=True):
+class OperatingStandalone(ZoneLogEvent, frozen=True):
     """This front end applies no plan, and works as without zones."""
 
     event = "standalone"
@@ -156,15 +156,19 @@
     admission: float
 
 
-class DiskFailed(LogEvent, frozen=True):
+class DiskFailed(ZoneLogEvent, frozen=True):
     """The voter's state could not be written."""
 
     event = "disk failed: no part in votes until a restart"
     reason: str
 
 
-class OlderDisk(LogEvent, frozen=True):
-    """A voter came back with an older copy of its disk, and its messages are ignored."""
+class OlderVoterState(ZoneLogEvent, frozen=True):
+    """A voter came back with an older copy of its stored state, and its messages are ignored.
+
+    `disk_writes` counts the times that its state was saved, as its message says; `reported_before` is the
+    largest count that it reported before.
+    """
 
     event = "older disk"
     rate_limited = True
@@ -173,7 +177,7 @@
     reported_before: int
 
 
-class MalformedMessages(LogEvent, frozen=True):
+class MalformedMessages(ZoneLogEvent, frozen=True):
     """A line had malformed messages of log clients."""
 
     event = "malformed messages"
@@ -182,7 +186,7 @@
     counts: dict[str, int]
 
 
-class LogLineRejected(LogEvent, frozen=True):
+class LogLineRejected(ZoneLogEvent, frozen=True):
     """A line of another member's log was rejected, and its connection closed."""
 
     event = "log line rejected"
--- a/fawnwharf/zones/log_lines.py
+++ b/fawnwharf/zones/log_lines.py
@@ -23,7 +23,11 @@
 
 
 class ClientMessage(Struct, frozen=True, omit_defaults=True):
-    """A message of a log client to these members, or to the leader of the voters where none is named."""
+    """A message of a log client to these members, or to the leader of the voters where none is named.
+
+    A log client is another package that sends by the member logs: `client` is POLICY (policy_rollout) or
+    RECOVERY (recovery_service). Only that package decodes `body`.
+    """
 
     body: Any = msgspec.field(name="said")
     recipients: Annotated[tuple[s.Name, ...], Meta(max_length=s.MAX_MEMBERS)] = msgspec.field(
@@ -36,14 +40,19 @@
 
 
 class LogLine(Struct, frozen=True, omit_defaults=True):
-    """One line of a member log, without its number; it has one of the fields from `report` on."""
+    """One line of a member log, without its number; it has one of the fields from `report` on.
+
+    A member log is the stream of lines by which a member sends its current state to all other members. It is
+    neither the consensus log nor the operators' log.
+    """
 
     fleet: s.Name
     sender: s.Name
     report: Report | None = None
     plan: Annotated[str, Meta(max_length=MAX_TEXT)] | None = None
-    # The leader states that no plan later than `index` is decided at this moment.
-    fresh: bool = False
+    # The leader states that the plan of this `index` of the consensus log is still the latest decided one;
+    # members may follow it for `plan_validity_ms` more.
+    confirms_plan: bool = msgspec.field(name="fresh", default=False)
     index: Annotated[int, Meta(ge=0)] = 0
     term: Annotated[int, Meta(ge=0)] = 0
     # A message of the consensus protocol, and how often the voter's state was written to its disk before it.
@@ -51,7 +60,7 @@
     disk_writes: Annotated[int, Meta(ge=0)] = msgspec.field(name="saves", default=0)
     # Messages of log clients. They are validated apart: malformed ones do not cost the line.
     messages: Any = msgspec.field(name="words", default=None)
-    # The status of each log client at this member.
+    # The status of each log client at this member: of policy_rollout, and of recovery_service.
     policy: Any = None
     recovery: Any = None
 
@@ -64,9 +73,10 @@
     """The state of a member's voter at one moment."""
 
     term: int = 0  # of its leadership; 0 while it does not lead
-    fresh: bool = False  # its last decided registers are certainly the fleet's last ones
-    settled: bool = False  # its log has no undecided entry
-    policy: str = ""  # the last decided register of each kind
+    holds_read_lease: bool = False  # its last decided registers are certainly the fleet's last ones
+    fully_committed: bool = False  # its log has no undecided entry, of its own term or an earlier one
+    # The last decided register of each log client, as text: of `policy_rollout`, and of `recovery_service`.
+    policy: str = ""
     recovery: str = ""
     voters: tuple[str, ...] = ()  # the identities in the voter list in force
 
@@ -75,6 +85,7 @@
     """Why a line, or a part of it, was dropped."""
 
     UNKNOWN_MEMBER = "unknown member"
+    # A leader's confirmation (`LogLine.confirms_plan`) of a plan that is older than the known one.
     OLDER_PLAN = "freshness of an older plan"
     UNKNOWN_PLAN = "freshness of an unknown plan"
     MALFORMED_MESSAGES = "malformed messages"
--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -33,7 +33,7 @@
 from fawnwharf.zones.member_state import MemberState
 from fawnwharf.zones.plan import Plan, PlanError
 from fawnwharf.zones.report import Report
-from fawnwharf.zones.settings import Membership, OperatorRequest, ZoneSettings
+from fawnwharf.zones.settings import DrainRequest, Membership, ZoneSettings
 from fawnwharf.zones.voter_role import VoterRole, VoterStart, voter_message_of
 
 
@@ -55,7 +55,7 @@
         self.voter_role = VoterRole(self.state, voter, now_ms) if voter else None
         self._report_number = 0
         self._report_due_ms = now_ms
-        self._operator_request = OperatorRequest()
+        self._operator_request = DrainRequest()
 
     @property
     def membership(self) -> Membership:
@@ -104,7 +104,7 @@
             self.state.planner.receive(now_ms, line.report)
         if line.plan is not None:
             self._learn_plan(line.index, line.plan)
-        if line.fresh:
+        if line.confirms_plan:
             self._confirm_plan(now_ms, line.index)
         return [*self.state.plan_updates(now_ms), *self._received_messages(sender, line)]
 
@@ -178,7 +178,7 @@
         self.state.membership = membership
         return [MembershipLoaded(membership.number, len(membership.members))]
 
-    def take_operator_request(self, request: OperatorRequest) -> list[Effect]:
+    def take_operator_request(self, request: DrainRequest) -> list[Effect]:
         """Take a later operator request, and report it at once; an older one is ignored."""
         if request.number <= self._operator_request.number:
             return []
@@ -207,8 +207,11 @@
             effects += self.voter_role.tick(now_ms)
         return effects + self.state.plan_updates(now_ms)
 
-    def report_soon(self, now_ms: float) -> None:
-        """Report early because this front end's view of a zone changed, at most three times as often."""
+    def make_report_due(self, now_ms: float) -> None:
+        """Make the next report due early, as this front end's view of a zone has changed.
+
+        It is sent by the next `tick` that is due; reports come at most three times as often as otherwise.
+        """
         soon_ms = now_ms + self.state.settings.evidence.report_interval_ms / 3
         self._report_due_ms = min(self._report_due_ms, soon_ms)
 
@@ -237,7 +240,12 @@
         return self.voter_role.status(now_ms) if self.voter_role else ConsensusStatus()
 
     def propose_register(self, now_ms: float, text: str, kind: str = POLICY) -> tuple[bool, list[Effect]]:
-        """Propose a register to the consensus log; False where it did not enter the log."""
+        """Propose a register to the consensus log.
+
+        True where it entered this voter's log (not yet decided: `RegisterDecided` follows then, or never);
+        False without a voter, or where the voter did not accept it (it does not lead, or its log is full).
+        The effects are to be carried out in both cases.
+        """
         if self.voter_role is None:
             return False, []
         return self.voter_role.propose_register(now_ms, text, kind)
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -62,7 +62,11 @@
         return self._connection.heard_ms if self._connection else 0.0
 
     def event(self, read: Any, _of_start: bool = False) -> bool:
-        """Take a decoded line; False where it is malformed or does not follow the last one."""
+        """Handle a decoded line; False where it is malformed or does not follow the last one.
+
+        Overrides the method of `ChangeLog`, for which `_of_start` marks the snapshot at a start; here each
+        line says itself whether it belongs to a snapshot.
+        """
         if not isinstance(read, dict):
             return False
         seq, life, whole = read.get("seq"), read.get("life"), read.get("whole") is True
--- a/fawnwharf/zones/member_state.py
+++ b/fawnwharf/zones/member_state.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from fawnwharf.zones.effects import Effect, FollowPlan, PublishLine
+from fawnwharf.zones.effects import ApplyPlan, Effect, PublishLine
 from fawnwharf.zones.log_events import PlanExpired
 from fawnwharf.zones.log_lines import DropCounts, LogLine
 from fawnwharf.zones.plan import Plan, plan_from
@@ -65,9 +65,9 @@
         self._followed_index = self.index
         self._follows = follows
         if follows:
-            effects.append(FollowPlan(self.plan, self.index))
+            effects.append(ApplyPlan(self.plan, self.index))
         elif followed_before:
-            effects.append(FollowPlan(None, self.index))
+            effects.append(ApplyPlan(None, self.index))
             effects.append(PlanExpired(self.index))
         return effects
 
--- a/fawnwharf/zones/plan.py
+++ b/fawnwharf/zones/plan.py
@@ -14,6 +14,7 @@
 
 VERSION = 1
 
+# "leaving": drains, no new calls. "out": not used. "returning": recovers, with a fraction of its scorers.
 ZoneState = Literal["serving", "leaving", "out", "returning"]
 SERVING: Final = "serving"
 DRAINING: Final = "leaving"
@@ -31,11 +32,12 @@
     """The decided state of one zone."""
 
     state: ZoneState = SERVING
-    # The fraction of its scorers that is open while it recovers.
+    # The fraction of its scorers that is open while it recovers, a step of the ramp; `open_fraction` is what
+    # counts in each state.
     fraction: Fraction = msgspec.field(name="share", default=1.0)
     # The fraction of its size that other zones' front ends may send to it.
     spillover: Fraction = msgspec.field(name="spill", default=0.5)
-    # The largest size that was reported lately.
+    # The largest capacity in service that was reported lately, in the units of the scorers.
     size: Annotated[float, Meta(ge=0.0)] = 0.0
     region: Annotated[str, Meta(max_length=48)] = ""
     # Its front ends that still report; 0 while it serves.
@@ -56,13 +58,13 @@
 class Plan(Struct, frozen=True):
     """One decision about all zones.
 
-    `unreachable` has the pairs of zones of which the first does not reach the second.
+    `unreachable_pairs` has the pairs of zones of which the first does not reach the second.
     """
 
     version: int = VERSION
     number: Annotated[int, Meta(ge=0)] = 0
     zones: dict[Name, PlannedZone] = {}
-    unreachable: Annotated[tuple[tuple[Name, Name], ...], Meta(max_length=400)] = msgspec.field(
+    unreachable_pairs: Annotated[tuple[tuple[Name, Name], ...], Meta(max_length=400)] = msgspec.field(
         name="apart", default=()
     )
 
@@ -81,7 +83,7 @@
         raise PlanError(f"version {plan.version}")
     if plan.zones and not any(zone.open_fraction > 0 for zone in plan.zones.values()):
         raise PlanError("all zones would be out")
-    for source, target in plan.unreachable:
+    for source, target in plan.unreachable_pairs:
         if source not in plan.zones or target not in plan.zones or source == target:
             raise PlanError(f"apart: {source}, {target}")
     return plan
@@ -97,17 +99,21 @@
 
 
 class ReachableZones(Struct, frozen=True):
-    """The open zones that a zone's front ends may send to, in the order of preference."""
+    """The open zones that a zone's front ends may send to, in the order of preference.
+
+    `own` has the zone itself or nothing, `region` the other zones of its region, `elsewhere` those of all
+    other regions.
+    """
 
     own: list[str]
     region: list[str]
-    world: list[str]
+    elsewhere: list[str]
 
 
 def reachable_zones(plan: Plan, zone: str) -> ReachableZones:
     """The open zones that the front ends of a zone of the plan may send to."""
     region = plan.zones[zone].region
-    unreachable = {target for source, target in plan.unreachable if source == zone}
+    unreachable = {target for source, target in plan.unreachable_pairs if source == zone}
     names = [
         name
         for name, other in sorted(plan.zones.items())
@@ -116,7 +122,7 @@
     return ReachableZones(
         own=[name for name in names if name == zone],
         region=[name for name in names if name != zone and plan.zones[name].region == region],
-        world=[name for name in names if name != zone and plan.zones[name].region != region],
+        elsewhere=[name for name in names if name != zone and plan.zones[name].region != region],
     )
 
 
@@ -139,7 +145,7 @@
     reachable = {name: reachable_zones(plan, name) for name in displaced}
     flows: Flows = {name: {} for name in displaced}
     _assign({name: zones.region for name, zones in reachable.items()}, displaced, capacity, flows)
-    _assign({name: zones.world for name, zones in reachable.items()}, displaced, capacity, flows)
+    _assign({name: zones.elsewhere for name, zones in reachable.items()}, displaced, capacity, flows)
     return flows
 
 
@@ -177,8 +183,13 @@
         displaced[name] -= sum(flows[name].get(target, 0.0) for target in able[name])
 
 
-def admitted_fraction(plan: Plan, zone: str) -> float:
-    """The fraction of a zone's calls that may be admitted; the rest is rejected at once."""
+def admitted_fraction(plan: Plan | None, zone: str) -> float:
+    """The fraction of a zone's calls that its front ends may admit; the rest is rejected at once.
+
+    1.0 without a plan, and where the plan does not name the zone.
+    """
+    if plan is None:
+        return 1.0
     own = plan.zones.get(zone)
     if own is None or own.open_fraction >= 1.0 or own.size <= 0:
         return 1.0
@@ -186,7 +197,9 @@
 
 
 def open_zones(plan: Plan, zone: str) -> set[str] | None:
-    """The zones whose scorers a front end of a zone may use; None where the plan does not name its zone.
+    """The zones whose scorers a front end of `zone` may use.
+
+    None where the plan does not name its zone: then it may use all.
 
     A zone that fully serves may use all that it reaches: the router prefers near ones by itself.
     """
@@ -194,15 +207,15 @@
     if planned is None:
         return None
     reachable = reachable_zones(plan, zone)
-    others = [*reachable.region, *reachable.world]
+    others = [*reachable.region, *reachable.elsewhere]
     if planned.open_fraction >= 1.0:
         return {*reachable.own, *others}
     flows = spillover_flows(plan)[zone]
     return {*reachable.own, *(name for name in others if flows.get(name, 0.0) > 0)}
 
 
-def is_open(plan: Plan, zone: str, scorer: str) -> bool:
-    """Whether one scorer of a zone takes calls.
+def is_scorer_open(plan: Plan, zone: str, scorer: str) -> bool:
+    """Whether one scorer of a zone takes calls; True where the plan does not name its zone.
 
     While a zone recovers, the same scorers are open at all front ends: those whose hash is below its open
     fraction.
--- a/fawnwharf/zones/plan_application.py
+++ b/fawnwharf/zones/plan_application.py
@@ -6,14 +6,15 @@
 from fawnwharf.interface import UNLIMITED_RPS
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.zones import roster_filter
-from fawnwharf.zones.effects import FollowPlan
-from fawnwharf.zones.log_events import FollowingPlan, LogEvent, OperatingStandalone
-from fawnwharf.zones.plan import Plan, limit_spillover
+from fawnwharf.zones.effects import ApplyPlan
+from fawnwharf.zones.log_events import FollowingPlan, OperatingStandalone, ZoneLogEvent
+from fawnwharf.zones.plan import Plan, admitted_fraction, limit_spillover
 from fawnwharf.zones.settings import Membership
 from fawnwharf.zones.voter_role import describe_zones
 
-CLOSER = "zones"  # who closes scorers and limits calls, among others that do so
-LIMIT = "zones"
+# The owner under which `RosterOverlay.set_filter` and `FrontEnd.limit_calls` keep what this package sets.
+ROSTER_FILTER_KEY = "zones"
+ADMISSION_LIMIT_KEY = "zones"
 
 
 class PlanApplication:
@@ -21,34 +22,41 @@
 
     def __init__(self, deployment: Deployment, zone: str, membership: Callable[[], Membership]) -> None:
         """`membership` gives the membership in use."""
-        self.sold_rps = sum(deployment.settings.quotas_rps.values())  # the total quota of all tenants
+        # Calls per second over the fleet: the sum of all tenants' quotas.
+        self.total_quota_rps = sum(deployment.settings.quotas_rps.values())
         self.spillover_limits: dict[str, float] = {}  # of a policy, by zone
         self._settings = deployment.settings
         self._zone = zone
         self._membership = membership
-        self._followed: FollowPlan | None = None
+        self._followed: ApplyPlan | None = None
 
     def set_policy_limits(
-        self, front: FrontEnd, sold_rps: float, spillover_limits: dict[str, float]
-    ) -> LogEvent | None:
-        """Take a policy's total quota and spillover limits; they count where stricter than the plan."""
-        if (sold_rps, spillover_limits) == (self.sold_rps, self.spillover_limits):
+        self, front: FrontEnd, total_quota_rps: float, spillover_limits: dict[str, float]
+    ) -> ZoneLogEvent | None:
+        """Use the total quota (calls per second over the fleet) and the spillover limits of a policy.
+
+        The quota is what `admission` is a fraction of; the limits count where they are stricter than the
+        plan's. Returns the event of the plan that was applied again, or None where nothing changed.
+        """
+        if (total_quota_rps, spillover_limits) == (self.total_quota_rps, self.spillover_limits):
             return None
-        self.sold_rps = sold_rps
+        self.total_quota_rps = total_quota_rps
         self.spillover_limits = spillover_limits
         return self.apply(front, self._followed) if self._followed is not None else None
 
-    def apply(self, front: FrontEnd, effect: FollowPlan) -> LogEvent:
+    def apply(self, front: FrontEnd, effect: ApplyPlan) -> ZoneLogEvent:
         """Apply a plan, or none; the event that says so."""
         self._followed = effect
         plan = effect.plan
         if plan is not None and self.spillover_limits:
             plan = limit_spillover(plan, self.spillover_limits)
-        changes = front.roster_overlay.set_filter(CLOSER, roster_filter.plan_closer(plan, self._zone))
+        changes = front.roster_overlay.set_filter(
+            ROSTER_FILTER_KEY, roster_filter.roster_filter_for_plan(plan, self._zone)
+        )
         if changes.members:
             front.apply_fleet(changes)
-        admission = roster_filter.admitted_fraction(plan, self._zone)
-        front.limit_calls(LIMIT, self._admitted_rps(plan, admission))
+        admission = admitted_fraction(plan, self._zone)
+        front.limit_calls(ADMISSION_LIMIT_KEY, self._admitted_rps(plan, admission))
         scorers_changed, rounded = len(changes.members), round(admission, 3)
         if plan is None:
             return OperatingStandalone(effect.index, scorers_changed, rounded)
@@ -58,14 +66,14 @@
             admission=rounded,
             number=plan.number,
             zones=describe_zones(plan),
-            unreachable=plan.unreachable,
+            unreachable=plan.unreachable_pairs,
         )
 
     def _admitted_rps(self, plan: Plan | None, admission: float) -> float:
         """The calls per second that this front end may admit."""
-        if admission >= 1.0 or self.sold_rps <= 0:
+        if admission >= 1.0 or self.total_quota_rps <= 0:
             return UNLIMITED_RPS
-        return admission * self.sold_rps / self._settings.fleet_size * self._load_factor(plan)
+        return admission * self.total_quota_rps / self._settings.fleet_size * self._load_factor(plan)
 
     def _load_factor(self, plan: Plan | None) -> float:
         """How many front ends' calls each one of this zone has: more than one where others are gone."""
--- a/fawnwharf/zones/planner.py
+++ b/fawnwharf/zones/planner.py
@@ -16,7 +16,7 @@
 from fawnwharf.zones.report import Report, ReportStore
 
 DRAINED = "drained by an operator"  # the reason of a drained zone; it is part of stored plans
-MAX_DOUBLINGS = 20  # of the recovery delay
+MAX_RECOVERY_DELAY_DOUBLINGS = 20  # the recovery delay doubles with each recent failure, so often at most
 
 
 @dataclass(slots=True)
@@ -95,7 +95,7 @@
         self.reports = ReportStore()
         self._detector = FailureDetector(settings.evidence)
         self._histories: dict[str, _ZoneHistory] = {}
-        self._operator_request = s.OperatorRequest()
+        self._operator_request = s.DrainRequest()
         self._sizes: dict[str, float] = {}
         self._watched_ms = now_ms
 
@@ -111,8 +111,8 @@
 
     # --- watching -------------------------------------------------------------------------------
 
-    def watch(self, now_ms: float, membership: s.Membership, plan: Plan) -> dict[str, ZoneVerdict]:
-        """Observe all zones, and for how long each condition has lasted.
+    def update_verdicts(self, now_ms: float, membership: s.Membership, plan: Plan) -> dict[str, ZoneVerdict]:
+        """Observe all zones, note for how long each condition has lasted, and give the verdicts.
 
         Starts to count again where the last call is longer ago than a report counts.
         """
@@ -161,7 +161,7 @@
 
     def next_plan(self, now_ms: float, membership: s.Membership, plan: Plan) -> Plan | None:
         """The plan that should follow the decided one; None while that one is still right."""
-        verdicts = self.watch(now_ms, membership, plan)
+        verdicts = self.update_verdicts(now_ms, membership, plan)
         reports = self.current_reports(now_ms, membership).values()
         zones: dict[str, PlannedZone] = {}
         for name, region in sorted(membership.zones.items()):
@@ -172,9 +172,9 @@
             zones[name] = msgspec.structs.replace(after, front_ends=front_ends)
         self._keep_one_open(plan, zones)
         unreachable = self._unreachable_pairs(plan, verdicts)
-        if zones == plan.zones and unreachable == plan.unreachable:
+        if zones == plan.zones and unreachable == plan.unreachable_pairs:
             return None
-        return Plan(number=plan.number + 1, zones=zones, unreachable=unreachable)
+        return Plan(number=plan.number + 1, zones=zones, unreachable_pairs=unreachable)
 
     def _next_zone(
         self, now_ms: float, name: str, region: str, before: PlannedZone, verdict: ZoneVerdict
@@ -255,7 +255,7 @@
     def _recovery_delay_ms(self, zone: PlannedZone) -> float:
         """How long a zone must be healthy before it recovers; doubled for each recent failure."""
         damping = self.settings.damping
-        doublings = min(MAX_DOUBLINGS, max(0, zone.recent_failures - 1))
+        doublings = min(MAX_RECOVERY_DELAY_DOUBLINGS, max(0, zone.recent_failures - 1))
         return min(damping.max_recovery_delay_ms, damping.recovery_delay_ms * 2.0**doublings)
 
     def _keep_one_open(self, plan: Plan, zones: dict[str, PlannedZone]) -> None:
@@ -285,7 +285,7 @@
                 lasted_ms = separation.last_ms - separation.first_ms
                 lasting = lasted_ms >= self.settings.damping.failover_delay_ms
                 known = source in verdicts and target in verdicts
-                if known and (lasting or (source, target) in plan.unreachable):
+                if known and (lasting or (source, target) in plan.unreachable_pairs):
                     pairs.add((source, target))
         return tuple(sorted(pairs))
 
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -12,7 +12,7 @@
 from fawnwharf.zones.settings import EvidenceSettings
 
 PROBE_INTERVAL_MS = 250.0  # between health checks of a zone without a recent success
-SETTLE_MS = 60.0  # a connection that stays open for this long is a success
+MIN_CONNECTED_MS = 60.0  # a health check succeeds when its connection stays open for so long
 PROBES_AFTER_FAILURE = 2  # further health checks at once, where a healthy zone fails one
 
 
@@ -35,7 +35,7 @@
 
     def on_up(self) -> None:
         """Wait whether the connection stays open."""
-        self._wheel.after(SETTLE_MS, self._settled)
+        self._wheel.after(MIN_CONNECTED_MS, self._settled)
 
     def _settled(self) -> None:
         if self.connection is not None and not self.connection.closed:
@@ -64,7 +64,11 @@
         zones: Callable[[], Iterable[str]],
         on_view_changed: Callable[[float], None],
     ) -> None:
-        """`zones` gives the present zones; `on_view_changed` is called when the set of dead zones changed."""
+        """Wire the health checks.
+
+        `zones` gives the present zones; `on_view_changed` is called with the time in
+        milliseconds when the set of zones that this front end finds dead has changed.
+        """
         self._front = front
         self._collector = collector
         self._settings = settings
@@ -89,8 +93,8 @@
         now = monotonic_ms()
         evidence = self._collector.evidence(now)
         for zone in self._zones():
-            signs = evidence[zone].signs if zone in evidence else 0
-            too_few = signs < 2 * self._settings.min_signs
+            observations = evidence[zone].observations if zone in evidence else 0
+            too_few = observations < 2 * self._settings.min_observations
             if too_few or self._collector.since_success_ms(now, zone) >= PROBE_INTERVAL_MS:
                 self._probe(zone, PROBES_AFTER_FAILURE)
         self._check_views(now)
@@ -100,7 +104,7 @@
         """Report a change of the dead zones at once."""
         evidence = self._collector.evidence(now_ms)
         dead = {
-            zone for zone, signs in evidence.items() if zone_health(signs, self._settings) is ZoneHealth.DEAD
+            zone for zone, found in evidence.items() if zone_health(found, self._settings) is ZoneHealth.DEAD
         }
         if dead != self._dead_zones:
             self._dead_zones = dead
--- a/fawnwharf/zones/report.py
+++ b/fawnwharf/zones/report.py
@@ -20,13 +20,13 @@
     evidence: Annotated[dict[s.Name, ZoneEvidence], Meta(max_length=64)] = msgspec.field(
         name="seen", default_factory=dict
     )
-    # The capacity in service in each zone.
+    # The capacity in service in each zone, by zone, in the units in which scorers state their capacity.
     sizes: Annotated[dict[s.Name, Annotated[float, Meta(ge=0.0, le=1e9)]], Meta(max_length=64)] = {}
     # The time since the change log last reported on scorers.
     roster_age_ms: Annotated[float, Meta(ge=0.0)] = msgspec.field(name="roster_ms", default=0.0)
-    # The identity of the member's voter, where it has one.
+    # The identity of the member's voter (see `member_name_of_voter`); empty where it has none.
     voter_identity: Annotated[str, Meta(max_length=96)] = msgspec.field(name="identity", default="")
-    operator_request: s.OperatorRequest = msgspec.field(name="wishes", default=s.OperatorRequest())
+    operator_request: s.DrainRequest = msgspec.field(name="wishes", default=s.DrainRequest())
 
 
 @dataclass(slots=True, frozen=True)
--- a/fawnwharf/zones/roster_filter.py
+++ b/fawnwharf/zones/roster_filter.py
@@ -13,8 +13,11 @@
 from fawnwharf.zones import plan as p
 
 
-def plan_closer(plan: p.Plan | None, zone: str) -> RosterFilter | None:
-    """The predicate of scorers that a plan closes for a front end of a zone; None without a plan."""
+def roster_filter_for_plan(plan: p.Plan | None, zone: str) -> RosterFilter | None:
+    """The roster filter of a plan, for a front end of a zone; None (no filter) without a plan.
+
+    The filter is True for each scorer that the front end must not use.
+    """
     if plan is None:
         return None
     open_zones = p.open_zones(plan, zone)
@@ -23,7 +26,7 @@
         planned = member.locality in plan.zones
         if planned and open_zones is not None and member.locality not in open_zones:
             return True
-        return not p.is_open(plan, member.locality, member.id)
+        return not p.is_scorer_open(plan, member.locality, member.id)
 
     return closes
 
@@ -41,8 +44,3 @@
     """The zone's scorers in service by the change log, whatever closes them, in a fixed order."""
     found = [member for member in members if member.locality == zone and member.phase == "in_service"]
     return sorted(found, key=lambda member: member.id)
-
-
-def admitted_fraction(plan: p.Plan | None, zone: str) -> float:
-    """The fraction of this front end's calls that may be admitted under the plan in force."""
-    return 1.0 if plan is None else p.admitted_fraction(plan, zone)
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -14,8 +14,8 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.zones import log_events
 from fawnwharf.zones.effects import (
+    ApplyPlan,
     Effect,
-    FollowPlan,
     MessagesReceived,
     PublishLine,
     RegisterDecided,
@@ -25,7 +25,7 @@
 from fawnwharf.zones.evidence import EvidenceCollector
 from fawnwharf.zones.files import WatchedFile, load_file
 from fawnwharf.zones.log_client import LogClient
-from fawnwharf.zones.log_events import LogEvent
+from fawnwharf.zones.log_events import ZoneLogEvent
 from fawnwharf.zones.log_lines import POLICY, ClientMessage, ConsensusStatus, DropCause, LogLineError
 from fawnwharf.zones.member_core import MemberCore
 from fawnwharf.zones.member_feeds import LogName, MemberFeeds
@@ -163,7 +163,7 @@
             if part is not None:
                 part.close()
 
-    def _log(self, event: LogEvent) -> None:
+    def _log(self, event: ZoneLogEvent) -> None:
         """Write an event into the operators' log; a rate-limited one only if it was not written just now."""
         if event.rate_limited:
             now = monotonic_ms()
@@ -175,7 +175,10 @@
     # --- extension of the front end -------------------------------------------------------------
 
     def on_fleet(self, fleet: Fleet) -> None:
-        """Take changes of the roster, as the change log reports them."""
+        """Note the zone of each scorer in a change of the roster, as the change log reports it.
+
+        Called by the front end; `fleet` has scorers, while `Membership` has front ends.
+        """
         self._roster_ms = monotonic_ms()
         for member in fleet.members:
             if member.locality:
@@ -183,7 +186,7 @@
 
     @property
     def busy(self) -> bool:
-        """Nothing here delays a graceful shutdown."""
+        """Read by the front end in a graceful shutdown, which waits while it is True: never here."""
         return False
 
     def on_events(self, events: list[io.Event]) -> None:
@@ -197,9 +200,9 @@
                 zone = self._zone_of_scorer[event.scorer]
                 self.evidence_collector.record_ending(now, zone, event.scorer, event.result, event.took_ms)
 
-    def apply_policy_limits(self, sold_rps: float, spillover_limits: dict[str, float]) -> None:
+    def apply_policy_limits(self, total_quota_rps: float, spillover_limits: dict[str, float]) -> None:
         """Take a policy's total quota and spillover limits; they count where stricter than the plan."""
-        event = self.plan_application.set_policy_limits(self.front, sold_rps, spillover_limits)
+        event = self.plan_application.set_policy_limits(self.front, total_quota_rps, spillover_limits)
         if event is not None:
             self._log(event)
 
@@ -216,7 +219,7 @@
 
     def _on_view_changed(self, now_ms: float) -> None:
         """Report early that this front end's view of a zone has changed."""
-        self.core.report_soon(now_ms)
+        self.core.make_report_due(now_ms)
         self._set_timer()
 
     def _set_timer(self) -> None:
@@ -238,9 +241,9 @@
                     return  # no later effect may be carried out
             elif isinstance(effect, PublishLine | SendVoterMessage):
                 self._write_line(effect)
-            elif isinstance(effect, FollowPlan):
+            elif isinstance(effect, ApplyPlan):
                 self._log(self.plan_application.apply(self.front, effect))
-            elif isinstance(effect, LogEvent):
+            elif isinstance(effect, ZoneLogEvent):
                 self._log(effect)
             else:
                 self._pass_on(effect)
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -66,18 +66,20 @@
 
     # Evidence older than this is forgotten.
     window_ms: DurationMs = 2_000.0
-    # The fewest signs, or failing scorers, that a view of a zone is based on.
-    min_signs: Annotated[int, Meta(ge=1)] = msgspec.field(name="least", default=3)
-    # With this fraction of failures among all signs, a zone is dead for the observer.
+    # The fewest observations, or failing scorers, that a view of a zone is based on.
+    min_observations: Annotated[int, Meta(ge=1)] = msgspec.field(name="least", default=3)
+    # With this fraction of failures among all observations, a zone is dead for the observer.
     dead_fraction: Fraction = msgspec.field(name="dead_share", default=0.8)
     # With this fraction of slow responses among all responses, a zone is slow for the observer.
     slow_fraction: Fraction = msgspec.field(name="slow_share", default=0.5)
-    # The interval between two reports of a member, and the time for which a report counts.
+    # The interval between two reports of a member.
     report_interval_ms: DurationMs = msgspec.field(name="report_ms", default=300.0)
+    # A report older than this counts for nothing, neither for a zone being alive nor for its being dead.
     report_ttl_ms: DurationMs = msgspec.field(name="report_life_ms", default=1_200.0)
-    # After this time without a success, `min_signs` failing scorers make a zone dead.
+    # After this time without a success, `min_observations` failing scorers make a zone dead.
     no_success_ms: DurationMs = msgspec.field(name="quiet_ms", default=400.0)
-    # A front end that has not reported for this long is not counted as present in its zone.
+    # A front end that has not reported for this long is not counted as present in its zone; a zone most of
+    # whose front ends are silent is lost when the other zones find it dead.
     reporter_silence_ms: DurationMs = msgspec.field(name="hush_ms", default=700.0)
     # The fewest observers that a zone's opinion is based on, where the zone has that many.
     min_observers: Annotated[int, Meta(ge=1)] = msgspec.field(name="witnesses", default=2)
@@ -154,7 +156,7 @@
         return base / self.state_folder / "wishes.json"
 
 
-class OperatorRequest(Struct, frozen=True):
+class DrainRequest(Struct, frozen=True):
     """An operator's request to drain these zones; a later request has a larger number."""
 
     version: int = VERSION
@@ -290,12 +292,12 @@
     return settings
 
 
-def operator_request_from(data: bytes | Any, zones: Collection[str]) -> OperatorRequest:
+def operator_request_from(data: bytes | Any, zones: Collection[str]) -> DrainRequest:
     """Parse an operator request; raises SettingsFileError.
 
     It may only name zones of the fleet, and must leave at least one zone in service.
     """
-    request = _decode(data, OperatorRequest, "wishes")
+    request = _decode(data, DrainRequest, "wishes")
     for index, zone in enumerate(request.drained):
         if zone not in zones:
             raise SettingsFileError(f"drained[{index}]: no zone {zone}")
--- a/fawnwharf/zones/voter_role.py
+++ b/fawnwharf/zones/voter_role.py
@@ -12,7 +12,7 @@
 from fawnwharf.consensus.voter_state import Role
 from fawnwharf.zones.effects import Effect, PublishLine, RegisterDecided, SaveVoterState, SendVoterMessage
 from fawnwharf.zones.log_events import (
-    OlderDisk,
+    OlderVoterState,
     PlanChangeRejected,
     PlanDecided,
     PlanProposed,
@@ -42,8 +42,8 @@
     disk_writes: int = 0  # how often the state was written, ever
 
 
-def member_of(identity: str) -> str:
-    """The member's name in a voter identity."""
+def member_name_of_voter(identity: str) -> str:
+    """The member's name in a voter identity: the part before `#`; the rest names the voter's disk."""
     return identity.partition("#")[0]
 
 
@@ -53,7 +53,7 @@
         message = m.message_from(line.voter_message)
     except msgspec.ValidationError as error:
         raise LogLineError(f"malformed voter message: {error}") from None
-    if member_of(message.sender) != line.sender:
+    if member_name_of_voter(message.sender) != line.sender:
         raise LogLineError(f"a voter message of {message.sender} from {line.sender}")
     return message
 
@@ -94,7 +94,7 @@
         if reported_before > line.disk_writes:
             # Its disk is an older copy of itself: it has lost what it promised since, and might vote twice.
             self._state.drop_counts.add(DropCause.OLDER_DISK)
-            return [OlderDisk(message.sender, line.disk_writes, reported_before)]
+            return [OlderVoterState(message.sender, line.disk_writes, reported_before)]
         self.reported_disk_writes[message.sender] = line.disk_writes
         return self._carry_out(now_ms, self.voter.receive(now_ms, message))
 
@@ -105,7 +105,7 @@
             return effects + self._lead(now_ms)
         if now_ms >= self._watch_due_ms:
             self._watch_due_ms = now_ms + self._state.settings.evidence.report_interval_ms / 2
-            self._state.planner.watch(now_ms, self._state.membership, self._state.plan_tracker.plan)
+            self._state.planner.update_verdicts(now_ms, self._state.membership, self._state.plan_tracker.plan)
         return effects
 
     def status(self, now_ms: float) -> ConsensusStatus:
@@ -115,8 +115,8 @@
             return ConsensusStatus()
         return ConsensusStatus(
             term=voter.saved.term,
-            fresh=voter.holds_read_lease(now_ms),
-            settled=self._is_settled(),
+            holds_read_lease=voter.holds_read_lease(now_ms),
+            fully_committed=self._is_fully_committed(),
             policy=voter.last(POLICY)[1],
             recovery=voter.last(RECOVERY)[1],
             voters=voter.saved.voters,
@@ -127,7 +127,7 @@
         index, actions = self.voter.propose(now_ms, text, kind)
         return index is not None, self._carry_out(now_ms, actions)
 
-    def _is_settled(self) -> bool:
+    def _is_fully_committed(self) -> bool:
         return self.voter.commit_index == self.voter.saved.last_index
 
     def _carry_out(self, now_ms: float, actions: list[m.Action]) -> list[Effect]:
@@ -146,7 +146,7 @@
 
     def _send(self, message: m.Message) -> SendVoterMessage:
         line = self._state.make_line(voter_message=msgspec.to_builtins(message), disk_writes=self.disk_writes)
-        return SendVoterMessage(member_of(message.to), line)
+        return SendVoterMessage(member_name_of_voter(message.to), line)
 
     def _commit(self, committed: m.Committed) -> list[Effect]:
         """The effects of one committed entry."""
@@ -200,7 +200,7 @@
         if not index:
             return []
         self._state.plan_tracker.confirmed_ms = now_ms
-        line = self._state.make_line(fresh=True, index=index, term=self.voter.saved.term)
+        line = self._state.make_line(confirms_plan=True, index=index, term=self.voter.saved.term)
         return [PublishLine(line)]
 
     def _propose_changes(self, now_ms: float) -> list[Effect]:
@@ -208,7 +208,7 @@
 
         One proposal at a time, and none on a view that may be stale.
         """
-        if not self._is_settled() or not self.voter.holds_read_lease(now_ms):
+        if not self._is_fully_committed() or not self.voter.holds_read_lease(now_ms):
             return []
         return self._propose_voters(now_ms) or self._propose_plan(now_ms)
 
@@ -244,13 +244,13 @@
         voters = self.voter.saved.voters
         wanted = {member.name for member in self._state.membership.voters}
         present = self._present_identities(now_ms, wanted)
-        removed = [voter for voter in voters if member_of(voter) not in wanted]
-        replaced = [voter for voter in voters if present.get(member_of(voter), voter) != voter]
+        removed = [voter for voter in voters if member_name_of_voter(voter) not in wanted]
+        replaced = [voter for voter in voters if present.get(member_name_of_voter(voter), voter) != voter]
         if (removed or replaced) and len(voters) > 1:
             # The leader removes itself last.
             first = min(replaced + removed, key=lambda voter: voter == self.voter.identity)
             return tuple(voter for voter in voters if voter != first)
-        listed = {member_of(voter) for voter in voters}
+        listed = {member_name_of_voter(voter) for voter in voters}
         missing = [identity for name, identity in sorted(present.items()) if name not in listed]
         return (*voters, missing[0]) if missing else None
 
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -92,9 +92,9 @@
     "policy/standing": line(policy.MemberStatus, policy.decode_member_status),
     "policy/kept": file(policy_file.StoredPolicy),
     "policy/request": Boundary(
-        policy_settings.OperatorRequest,
+        policy_settings.PolicyRequest,
         lambda data: msgspec.json.decode(data,
-        type=policy_settings.OperatorRequest),
+        type=policy_settings.PolicyRequest),
         msgspec.json.encode, strict=True,
     ),
     "prefetch/word": converted(staging.Word),
@@ -131,7 +131,7 @@
         plan.Plan, lambda data: plan.plan_from(data.decode()), lambda value: value.encode().encode()
     ),
     "zones/report": converted(report.Report),
-    "zones/wishes": file(zone_settings.OperatorRequest),
+    "zones/wishes": file(zone_settings.DrainRequest),
     "zones/members": file(zone_settings.Membership),
     "scorers/fleet": Boundary(
         config.Fleet, lambda data: config.fleet_from(msgspec.json.decode(data)), msgspec.json.encode
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -22,7 +22,7 @@
 from fawnwharf.durable_store.store import StoreOwner, open_store
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import policy_file
-from fawnwharf.policy_rollout.document import Register, parse_document
+from fawnwharf.policy_rollout.document import PolicyRegister, parse_document
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.grant_log import GrantLog
 from fawnwharf.zones.bootstrap import bootstrap
@@ -88,7 +88,7 @@
     last, before = (parse_document(POLICY % (n, n * 100)) for n in (7, 6))
     policy_file.write_policy_file(
         folder / "policy.json",
-        policy_file.StoredPolicy(incarnation=41, register=Register(last, before).encode()),
+        policy_file.StoredPolicy(incarnation=41, register=PolicyRegister(last, before).encode()),
     )
 
 
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -180,7 +180,7 @@
     assert missing == {  # which have one value
         (policy_file.StoredPolicy, "version"),
         (session_settings.Wishes, "version"),
-        (zone_settings.OperatorRequest, "version"),
+        (zone_settings.DrainRequest, "version"),
         (plan.Plan, "version"),
         (register.RecoveryRegister, "recovery"),
     }
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -41,14 +41,14 @@
     "deployment": Kind(deployed),
     "zones-members": Kind(zones.membership_from, zones.Membership),
     "zones-settings": Kind(zones.settings_from, zones.ZoneSettings),
-    "zones-wishes": Kind(lambda data: zones.operator_request_from(data, SITES), zones.OperatorRequest),
+    "zones-wishes": Kind(lambda data: zones.operator_request_from(data, SITES), zones.DrainRequest),
     "state": Kind(state.parse_settings, state.ReplicationSettings),
     "recovery": Kind(recovery.settings_from, recovery.Settings),
     "sessions": Kind(sessions.settings_from, sessions.Settings),
     "sessions-foresight": Kind(prefetch.decode_prefetch_settings),
     "sessions-wishes": Kind(lambda data: sessions.wishes_from(data, SITES), sessions.Wishes),
     "policy-settings": Kind(policy.decode_settings, policy.RolloutSettings),
-    "policy-request": Kind(policy.decode_operator_request, policy.OperatorRequest),
+    "policy-request": Kind(policy.decode_operator_request, policy.PolicyRequest),
     "policy-document": Kind(policy_document.parse_document),
 }
 
@@ -152,7 +152,7 @@
     assert (timing.lease_ms, timing.renew_ms, timing.skew) == (
         data["lease_ms"], data["renew_ms"], data["skew"],
     )  # fmt: skip
-    assert (timing.prepare_ms, timing.again_ms) == (data["prepare_ms"], data["again_ms"])
+    assert (timing.prepare_ms, timing.resend_interval_ms) == (data["prepare_ms"], data["again_ms"])
 
 
 def changed(kind: str, change: list[Any]) -> Any:
--- a/tests/net/test_net_roster_overlay.py
+++ b/tests/net/test_net_roster_overlay.py
@@ -28,7 +28,7 @@
 
 def closer(who, laid):
     if who == "zones":
-        return roster_filter.plan_closer(laid, "a")
+        return roster_filter.roster_filter_for_plan(laid, "a")
     if who == "state":
         return outlier_ejection.excluding(laid)
     return laid and (lambda member: laid(member.id))
--- a/tests/policy_rollout/test_policy_rollout_document.py
+++ b/tests/policy_rollout/test_policy_rollout_document.py
@@ -14,7 +14,7 @@
     DeploymentCapabilities,
     Document,
     DocumentError,
-    Register,
+    PolicyRegister,
     fallback_limits,
     find_incompatibility,
     make_document,
@@ -27,7 +27,7 @@
 EXAMPLE = (Path(__file__).parents[2] / "deploy" / "policy.json").read_text()
 BASE = make_document(0, {("classes", "gold", "give_up_ms"): 900.0, ("admission", "b"): 0.0})
 CAPABILITIES = DeploymentCapabilities(
-    frozenset({"gold"}), frozenset({"acme"}), frozenset({"a", "b"}), base=BASE
+    frozenset({"gold"}), frozenset({"acme"}), frozenset({"a", "b"}), configured_defaults=BASE
 )
 
 
@@ -42,9 +42,9 @@
     assert parse_document(document.encode()) == document
     assert hash(document)
     assert find_incompatibility(document, CAPABILITIES) is None
-    register = Register(document.numbered(3), document.numbered(2))
+    register = PolicyRegister(document.numbered(3), document.numbered(2))
     assert parse_register(register.encode()) == register
-    assert parse_register(Register().encode()) == Register() == parse_register("")
+    assert parse_register(PolicyRegister().encode()) == PolicyRegister() == parse_register("")
 
 
 def test_the_digest_is_of_contents_alone():
--- a/tests/policy_rollout/test_policy_rollout_front_ends.py
+++ b/tests/policy_rollout/test_policy_rollout_front_ends.py
@@ -38,8 +38,8 @@
         assert node.part.running.applier.classes["view"].deadline_ms == 2_000.0
         assert node.front._call_limits["policy"] == (0.5 * 12.0 / 3 if node is a else 1e9)
         assert node.zones.plan_application.spillover_limits == {"b": 0.25}
-        assert node.zones.plan_application.sold_rps == 12.0
-        assert node.part.in_force.digest == b.part.in_force.digest
+        assert node.zones.plan_application.total_quota_rps == 12.0
+        assert node.part.active_policy.digest == b.part.active_policy.digest
     client = site.client(c)
     client.call(ttl="8000")  # by the settings' time, which the client knows
     site.until(lambda: c.front.requests.open, "it is taken")
@@ -54,7 +54,7 @@
     site.until(lambda: c.front.router.settings.quotas_rps["acme"] == 30.0, "quotas as sold")
     assert a.front._call_limits["policy"] == 1e9
     assert a.zones.plan_application.spillover_limits == {}
-    assert a.zones.plan_application.sold_rps == 30.0
+    assert a.zones.plan_application.total_quota_rps == 30.0
 
 
 def test_a_call_keeps_the_policy_of_its_arrival_and_the_trace_shows_it(site):
@@ -67,7 +67,7 @@
     site.until(lambda: site.in_force(1), "a change in the middle of it")
     client.call(call="00000000000000bb")
     site.until(lambda: len(node.scorer.runs) == 2, "the next one runs")
-    assert sorted(by.number for by in node.part.member.holder.calls.values()) == [0, 1]
+    assert sorted(by.number for by in node.part.member.holder.policy_by_call.values()) == [0, 1]
     for run in node.scorer.runs:
         node.scorer.answer(run)
     site.until(lambda: len(client.kinds()) == 2, "both are answered")
@@ -75,8 +75,8 @@
     site.until(lambda: len(node.scorer.runs) == 3, "one more runs")
     client.withdraw(gone)
     site.until(lambda: not node.front.requests.open, "its client has left")
-    assert not node.part.member.holder.calls
-    assert not len(node.part.calls)
+    assert not node.part.member.holder.policy_by_call
+    assert not len(node.part.call_binding)
     trace = node.folder / "trace.jsonl"
     site.until(lambda: trace.read_bytes().count(b"\n") == 3, "the trace is written")
     lines = [json.loads(line) for line in trace.read_text().splitlines()]
@@ -84,7 +84,7 @@
         ("aa", 0, "leased"), ("bb", 1, "leased"), ("cc", 1, "leased"),
     ]  # fmt: skip
     assert all(line["taken_ms"] <= line["ended_ms"] for line in lines)
-    assert lines[1]["digest"] == node.part.in_force.digest != lines[0]["digest"]
+    assert lines[1]["digest"] == node.part.active_policy.digest != lines[0]["digest"]
 
 
 def test_a_rejection_is_reported_with_its_key_at_the_origin_and_changes_nothing(site):
@@ -139,7 +139,7 @@
     told = back.noted("policy: not ready")[0]
     assert told["voters without policy status"] == sorted(n.name for n in (leader, other))
     assert back.by()[1] == "waiting"
-    assert back.part.in_force.document.value("tenants", "acme", "quota_rps") <= 15.0
+    assert back.part.active_policy.document.value("tenants", "acme", "quota_rps") <= 15.0
     for node in (leader, other):
         node.start()
     site.until(lambda: back.part.ready, "a leader has told it")
@@ -196,7 +196,7 @@
 
 
 def test_a_process_releases_its_part_and_takes_it_back(site, monkeypatch):
-    monkeypatch.setattr(call_binding, "MAX_HOLD_MS", 60_000.0)
+    monkeypatch.setattr(call_binding, "MAX_WAIT_MS", 60_000.0)
     site.begin()
     node, other = site.nodes[1], site.nodes[0]
     node.request(1, propose=document(9.0, classes={"view": {"give_up_ms": 5_000.0, "promise_ms": 400.0}}))
@@ -212,7 +212,7 @@
     assert not node.front.client_port.accepts_requests
     client = site.client(node)
     client.call(ttl="9000")
-    site.until(lambda: node.part.calls.waiting, "a call that comes before it is told is held")
+    site.until(lambda: node.part.call_binding.waiting, "a call that comes before it is told is held")
     assert node.front.extension.busy
     assert not node.front.requests.open
     site.until(lambda: site.in_force(2), "it goes by the last one")
--- a/tests/policy_rollout/test_policy_rollout_member.py
+++ b/tests/policy_rollout/test_policy_rollout_member.py
@@ -10,7 +10,7 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
-from fawnwharf.policy_rollout.settings import OperatorRequest
+from fawnwharf.policy_rollout.settings import PolicyRequest
 from fawnwharf.policy_rollout.simulation import CAPABILITIES
 from fawnwharf.zones.effects import MessagesReceived, RegisterDecided
 from fawnwharf.zones.log_lines import ClientMessage
@@ -71,7 +71,7 @@
                     self.act(name, member.proposal_not_logged(self.now))
             elif isinstance(effect, m.StoreRegister):
                 self.disk_of[name] = effect.register
-            elif isinstance(effect, m.LogEvent):
+            elif isinstance(effect, m.RolloutLogEvent):
                 self.log_events.append((name, effect.event, effect.fields))
 
     def tell(self, name, line):
@@ -108,14 +108,14 @@
 
     def leader(self):
         return next(
-            (n for n in self.rollouts if n not in self.dead and self.rollouts[n].leads(self.now)), None
+            (n for n in self.rollouts if n not in self.dead and self.rollouts[n].is_leader(self.now)), None
         )
 
     def follower(self):
         return next(n for n in self.rollouts if n not in self.dead and n != self.leader())
 
     def request(self, name, number, **request):
-        self.act(name, self.rollouts[name].submit(self.now, OperatorRequest(1, number, **request)))
+        self.act(name, self.rollouts[name].submit(self.now, PolicyRequest(1, number, **request)))
 
     def outcome(self, name, number):
         return next(
--- a/tests/policy_rollout/test_policy_rollout_model_checker.py
+++ b/tests/policy_rollout/test_policy_rollout_model_checker.py
@@ -23,8 +23,8 @@
 class InForceEarly(RolloutCoordinator):
     """Grants the next epoch before every lease of the earlier one is over."""
 
-    def _holders_of_earlier_epochs(self):
-        return super()._holders_of_earlier_epochs()[2:]
+    def _holders_of_earlier_documents(self):
+        return super()._holders_of_earlier_documents()[2:]
 
 
 class LeaseByOwnClock(RolloutCoordinator):
@@ -72,7 +72,7 @@
         if not self.has_lease(now_ms):
             return super().receive_decision(now_ms, text)
         number = parse_register(text).last.number
-        return [m.Send(m.LEADER, m.EpochAdopted(self.incarnation, now_ms, number, self.granted_number))]
+        return [m.Send(m.LEADER, m.DocumentAdopted(self.incarnation, now_ms, number, self.granted_number))]
 
 
 class TakesAnyGrant(LeaseHolder):
--- a/tests/policy_rollout/test_policy_rollout_simulation.py
+++ b/tests/policy_rollout/test_policy_rollout_simulation.py
@@ -4,7 +4,12 @@
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.delayed_relaxation import DelayedRelaxation
-from fawnwharf.policy_rollout.document import DeploymentCapabilities, Register, make_document, parse_register
+from fawnwharf.policy_rollout.document import (
+    DeploymentCapabilities,
+    PolicyRegister,
+    make_document,
+    parse_register,
+)
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.rollout_coordinator import LeaseRecord, RolloutCoordinator, RolloutTiming
 from fawnwharf.policy_rollout.rollout_measurement import measure_rollout
@@ -106,7 +111,7 @@
 
 
 def test_changed_members_an_operator_and_time_out_end_a_proposal():
-    said = [m.LogEvent("ended", {"number": 1, "reason": reason}) for reason in
+    said = [m.RolloutLogEvent("ended", {"number": 1, "reason": reason}) for reason in
             ("the list of members changed", "cancelled late", "no answer from a, b")]  # fmt: skip
     for n, note in enumerate(said):
         coordinator = RolloutCoordinator(TIMING, ("a", "b"))
@@ -117,7 +122,7 @@
         ends = (
             lambda s: s.set_members(("a",)),
             lambda s: s.cancel("late"),
-            lambda s: s.tick(TIMING.prepare_ms, fresh=True),
+            lambda s: s.tick(TIMING.prepare_ms, holds_read_lease=True),
         )
         for name in ("a", "b"):
             coordinator.leases[name] = LeaseRecord(0, 1e9)
@@ -131,7 +136,7 @@
     assert (
         coordinator.receive_vote(1.0, "a", m.Vote(1, 1, 2, 1)) == []
     )  # the leader before may have granted leases
-    (decide,) = coordinator.tick(TIMING.over_ms, True)[:1]
+    (decide,) = coordinator.tick(TIMING.max_lease_ms, True)[:1]
     assert isinstance(decide, m.ProposeRegister)
     assert coordinator.cancel()[0].event == "rejected"
     assert coordinator.set_members(("a", "b")) == []
@@ -152,25 +157,25 @@
 
 def test_a_new_leader_waits_for_old_leases_unless_the_last_epoch_was_in_force():
     coordinator = RolloutCoordinator(TIMING, ("a", "b"))
-    coordinator.lead(0.0, 2, Register(NEW, OLD).encode())
+    coordinator.lead(0.0, 2, PolicyRegister(NEW, OLD).encode())
     (answer,) = coordinator.receive_lease_request(0.0, "a", m.LeaseRequest(1, 0.0, 2, -1), True)
     assert answer.message.lease_ms == 0.0
-    assert coordinator.tick(TIMING.over_ms - 1, True)
-    assert not coordinator.in_force
-    coordinator.tick(TIMING.over_ms, True)
-    assert coordinator.in_force
-    coordinator.lead(0.0, 3, Register(NEW, OLD).encode())
+    assert coordinator.tick(TIMING.max_lease_ms - 1, True)
+    assert not coordinator.is_in_force
+    coordinator.tick(TIMING.max_lease_ms, True)
+    assert coordinator.is_in_force
+    coordinator.lead(0.0, 3, PolicyRegister(NEW, OLD).encode())
     coordinator.receive_lease_request(0.0, "b", m.LeaseRequest(1, 0.0, 2, 2), True)
-    assert coordinator.in_force
+    assert coordinator.is_in_force
 
 
 def test_a_restarted_holder_adopts_the_newest_policy_whatever_its_disk_has():
-    holder = LeaseHolder(CAPABILITIES, TIMING, 2, Register(OLD).encode())
+    holder = LeaseHolder(CAPABILITIES, TIMING, 2, PolicyRegister(OLD).encode())
     assert holder.policy_at(0.0).basis == "waiting"
     assert holder.policy_at(0.0).document.value("tenants", "t", "quota_rps") == 5.0  # half of its disk's
-    grant = m.LeaseGrant(1, 1, 1, 0.0, 1, 2_000.0, 0, Register(OLD).encode())
+    grant = m.LeaseGrant(1, 1, 1, 0.0, 1, 2_000.0, 0, PolicyRegister(OLD).encode())
     assert holder.receive_grant(1.0, grant) == []  # meant for its earlier life
-    holder.receive_grant(1.0, m.LeaseGrant(1, 1, 2, 0.0, 2, 0.0, 0, Register(NEW, OLD).encode()))
+    holder.receive_grant(1.0, m.LeaseGrant(1, 1, 2, 0.0, 2, 0.0, 0, PolicyRegister(NEW, OLD).encode()))
     assert holder.ready
     assert holder.policy_at(1.0).basis == "strict"
     assert holder.register.last == NEW
@@ -181,7 +186,7 @@
 
 def test_an_epoch_that_this_version_does_not_know_ends_readiness():
     holder = LeaseHolder(CAPABILITIES, TIMING, 1)
-    holder.receive_grant(0.0, m.LeaseGrant(1, 1, 1, 0.0, 0, 0.0, 0, Register().encode()))
+    holder.receive_grant(0.0, m.LeaseGrant(1, 1, 1, 0.0, 0, 0.0, 0, PolicyRegister().encode()))
     assert holder.ready
     (vote,) = holder.receive_prepare(1.0, "a", m.Prepare(1, 2, 1, '{"version":1,"shape":{}}'))
     assert vote.message.error == "shape: unknown key"
@@ -192,10 +197,10 @@
 
 def test_a_call_keeps_its_epoch():
     holder = LeaseHolder(CAPABILITIES, TIMING, 1)
-    holder.receive_grant(0.0, m.LeaseGrant(1, 1, 1, 0.0, 1, 0.0, 0, Register(OLD).encode()))
+    holder.receive_grant(0.0, m.LeaseGrant(1, 1, 1, 0.0, 1, 0.0, 0, PolicyRegister(OLD).encode()))
     holder.receive_grant(0.0, m.LeaseGrant(1, 1, 1, 0.0, 1, 2_000.0))
     first = holder.bind_call(1.0, "x")
-    holder.receive_decision(2.0, Register(NEW, OLD).encode())
+    holder.receive_decision(2.0, PolicyRegister(NEW, OLD).encode())
     holder.receive_grant(3.0, m.LeaseGrant(1, 2, 1, 2.0, 2, 2_000.0))
     assert (holder.policy_of_call("x"), holder.bind_call(3.0, "y").document) == (
         first,
@@ -224,5 +229,5 @@
 @pytest.mark.parametrize("case", ["calm", "down", "dies", "cut"])
 def test_worst_cases_stay_within_their_bounds(case):
     duration = measure_rollout(12, case, 3)
-    assert duration.all_ms < (100 if case in ("calm", "down") else TIMING.over_ms / 0.9 + 100)
+    assert duration.all_ms < (100 if case in ("calm", "down") else TIMING.max_lease_ms / 0.9 + 100)
     assert duration.messages < 6 * 12
--- a/tests/policy_rollout/test_policy_rollout_voters.py
+++ b/tests/policy_rollout/test_policy_rollout_voters.py
@@ -47,7 +47,7 @@
         now = self.fleet.now
         if isinstance(message, a.Message):
             self.votes(self.voter.receive(now, message))
-        elif isinstance(message, m.Vote | m.LeaseRequest | m.EpochAdopted):
+        elif isinstance(message, m.Vote | m.LeaseRequest | m.DocumentAdopted):
             self.does(self.coordinator.receive(now, sender, message, self.voter.holds_read_lease(now)))
         else:
             self.does(self.holder.receive(now, sender, message))
--- a/tests/support/policy_front_ends.py
+++ b/tests/support/policy_front_ends.py
@@ -110,7 +110,7 @@
 
     def by(self):
         """The number by which calls are judged here, and how."""
-        policy = self.part.in_force
+        policy = self.part.active_policy
         return policy.number, policy.basis
 
 
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -191,7 +191,9 @@
     def leader(self):
         """The member that leads; None where none does."""
         found = [
-            n for n in self.up if self.agents[n].lead.term and self.cores[n].consensus_status(self.now).fresh
+            n
+            for n in self.up
+            if self.agents[n].lead.term and self.cores[n].consensus_status(self.now).holds_read_lease
         ]
         return found[0] if found else None
 
--- a/tests/support/zone_fleet.py
+++ b/tests/support/zone_fleet.py
@@ -7,8 +7,8 @@
 
 from fawnwharf.consensus.messages import PersistentState
 from fawnwharf.consensus.voter import bootstrap_state
-from fawnwharf.zones.effects import FollowPlan, PublishLine, SaveVoterState, SendVoterMessage
-from fawnwharf.zones.log_events import LogEvent
+from fawnwharf.zones.effects import ApplyPlan, PublishLine, SaveVoterState, SendVoterMessage
+from fawnwharf.zones.log_events import ZoneLogEvent
 from fawnwharf.zones.member_core import MemberCore
 from fawnwharf.zones.voter_role import VoterStart
 from support.zone_files import GOOD, settings
@@ -78,9 +78,9 @@
                         self.send(name, other.name, effect.line, False)
             elif isinstance(effect, SendVoterMessage):
                 self.send(name, effect.to, effect.line, True)
-            elif isinstance(effect, FollowPlan):
+            elif isinstance(effect, ApplyPlan):
                 self.following[name] = effect
-            elif isinstance(effect, LogEvent):
+            elif isinstance(effect, ZoneLogEvent):
                 self.notes.append((self.now, name, effect))
 
     def send(self, name, to, line, ballots):
--- a/tests/test_disk_faults_service.py
+++ b/tests/test_disk_faults_service.py
@@ -68,7 +68,9 @@
         assert notes.pop()[0] == "disk failed: no part in votes until a restart" and not notes
         faults.works()
         assert (
-            asked(zones, "n2", 3) == [] and zones.core.voter is None and not zones.consensus_status(0.0).fresh
+            asked(zones, "n2", 3) == []
+            and zones.core.voter is None
+            and not zones.consensus_status(0.0).holds_read_lease
         )
         told = len(zones.log_server.lines)
         zones._carry_out(zones.core.tick(monotonic_ms() + LONG_AGO_MS, {}, {}, 0.0))
--- a/tests/zones/test_zones_member_core.py
+++ b/tests/zones/test_zones_member_core.py
@@ -100,7 +100,7 @@
     fleet.run(20)
     [name] = fleet.leaders()
     assert {v.partition("#")[0] for v in fleet.cores[name].voter.saved.voters} == {"n0", "n2", "n4"}
-    assert fleet.cores[name].plan.unreachable  # c serves its own: the others do not reach it
+    assert fleet.cores[name].plan.unreachable_pairs  # c serves its own: the others do not reach it
     assert fleet.valid() == set(fleet.cores)
 
 
@@ -217,7 +217,7 @@
         fleet.run(0.5)
     assert list(found.values()) == [[("policy", "one"), ("recovery", "two"), ("policy", "three")]] * 3
     seat = fleet.cores[leader].consensus_status(fleet.now)
-    assert (seat.policy, seat.recovery, seat.fresh, len(seat.voters)) == ("three", "two", True, 3)
+    assert (seat.policy, seat.recovery, seat.holds_read_lease, len(seat.voters)) == ("three", "two", True, 3)
 
 
 def test_voter_messages_state_how_often_the_disk_was_written():
--- a/tests/zones/test_zones_plan.py
+++ b/tests/zones/test_zones_plan.py
@@ -36,16 +36,16 @@
     back = plan(a=(p.RECOVERING, 8, 0.5, "x"), b=(p.OUT, 8, 0.5, "x"), c=(p.SERVING, 8, 1.0, "x"))
     assert "a" not in p.spillover_flows(back)["b"]
     assert p.admitted_fraction(back, "a") > 0.5
-    opened = [n for n in range(400) if p.is_open(back, "a", f"s-{n}")]
+    opened = [n for n in range(400) if p.is_scorer_open(back, "a", f"s-{n}")]
     assert 150 < len(opened) < 250
     more = msgspec.structs.replace(back.zones["a"], fraction=0.75)
     wider = msgspec.structs.replace(back, zones=back.zones | {"a": more})
-    assert all(p.is_open(wider, "a", f"s-{n}") for n in opened)  # none that was open closes again
+    assert all(p.is_scorer_open(wider, "a", f"s-{n}") for n in opened)  # none that was open closes again
 
 
 def test_there_is_no_spillover_to_an_unreachable_zone():
     base = plan(a=(p.OUT, 4, 0.5, "x"), b=(p.SERVING, 8, 0.5, "x"), c=(p.SERVING, 8, 0.5, "y"))
-    cut = msgspec.structs.replace(base, unreachable=(("a", "b"),))
+    cut = msgspec.structs.replace(base, unreachable_pairs=(("a", "b"),))
     assert p.spillover_flows(cut) == {"a": {"c": 4.0}}
     assert p.open_zones(cut, "a") == {"c"}
 
--- a/tests/zones/test_zones_planner.py
+++ b/tests/zones/test_zones_planner.py
@@ -34,7 +34,7 @@
                     next(self.numbers),
                     {zone: seen for zone, seen in views.items() if seen},
                     dict.fromkeys(self.members.zones, 8.0),
-                    operator_request=request or s.OperatorRequest(),
+                    operator_request=request or s.DrainRequest(),
                 )
                 self.planner.receive(self.now, report)
             following = self.planner.next_plan(self.now, self.members, self.plan)
@@ -127,10 +127,10 @@
     bench.seen = lambda member, zone: DEAD if (member.zone, zone) == ("a", "b") else GOOD
     bench.run(6)
     assert set(bench.states().values()) == {p.SERVING}
-    assert bench.plan.unreachable == (("a", "b"),)
+    assert bench.plan.unreachable_pairs == (("a", "b"),)
     bench.heal()
     bench.run(6)
-    assert bench.plan.unreachable == ()
+    assert bench.plan.unreachable_pairs == ()
 
 
 def test_a_slow_zone_serves_its_own_calls_and_takes_no_spillover():
@@ -204,15 +204,15 @@
 
 def test_a_zone_drains_before_it_is_out_and_is_restored_by_a_later_operator_request():
     bench = Bench(SIX).run(3)
-    bench.run(1, s.OperatorRequest(number=1, drained=("a",)))
+    bench.run(1, s.DrainRequest(number=1, drained=("a",)))
     assert bench.states()["a"] == p.DRAINING
-    bench.run(5, s.OperatorRequest(number=1, drained=("a",)))
+    bench.run(5, s.DrainRequest(number=1, drained=("a",)))
     assert bench.states()["a"] == p.OUT
-    bench.run(20, s.OperatorRequest(number=1, drained=("a",)))
+    bench.run(20, s.DrainRequest(number=1, drained=("a",)))
     assert bench.states()["a"] == p.OUT
-    bench.run(1, s.OperatorRequest(number=2))
+    bench.run(1, s.DrainRequest(number=2))
     assert bench.states()["a"] == p.RECOVERING
-    bench.run(12, s.OperatorRequest(number=2))
+    bench.run(12, s.DrainRequest(number=2))
     assert bench.states()["a"] == p.SERVING
 
 
--- a/tests/zones/test_zones_roster_filter.py
+++ b/tests/zones/test_zones_roster_filter.py
@@ -21,10 +21,12 @@
     fleet = config.Fleet([*scorers("a1", "b1"), *scorers("b2", phase="terminating")], complete=True)
     assert phases(overlay.apply(fleet)) == {"a1": "in_service", "b1": "in_service", "b2": "terminating"}
     out = plan(a=(p.SERVING, 2, 0.5, "x"), b=(p.OUT, 2, 0.5, "x"))
-    assert phases(overlay.set_filter("zones", roster_filter.plan_closer(out, "a"))) == {"b1": "terminating"}
+    assert phases(overlay.set_filter("zones", roster_filter.roster_filter_for_plan(out, "a"))) == {
+        "b1": "terminating"
+    }
     assert phases(overlay.apply(config.Fleet(scorers("b3")))) == {"b3": "terminating"}
     assert [m.id for m in roster_filter.in_zone(overlay.members.values(), "b")] == ["b1", "b3"]
-    back = overlay.set_filter("zones", roster_filter.plan_closer(None, "a"))
+    back = overlay.set_filter("zones", roster_filter.roster_filter_for_plan(None, "a"))
     assert phases(back) == {"b1": "in_service", "b3": "in_service"}
     assert roster_filter.zone_sizes(overlay.members.values()) == {"a": 2.0, "b": 4.0}
 
