--- a/tests/bench_kept.py
+++ b/tests/bench_kept.py
@@ -14,7 +14,7 @@
 from fawnwharf.durable_store.file_format import StoreLimits
 from fawnwharf.net.event_loop import EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.recovery_service.recovery_store import RecoveryStore
+from fawnwharf.recovery_service.recovery_store import RecoveryStore, RecoveryStoreSettings
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.claims import Claim, ClaimPhase
 from fawnwharf.replication.core import ReplicationCore
@@ -37,9 +37,8 @@
     loop = EventLoop(lambda now_ms, events: None, lambda text: print(text, file=sys.stderr))
     kept = None
     if kind == "store":
-        kept = RecoveryStore(
-            folder, "f", "n0", str(BOOT_ID), StoreLimits(), lambda what, more: None, fresh=True
-        )
+        settings = RecoveryStoreSettings(folder, "f", "n0", str(BOOT_ID), StoreLimits())
+        kept = RecoveryStore(settings, lambda what, more: None, fleet_is_new=True)
         disk = kept.open_grant_storage(core, None)
         kept.attach(loop)
         while not kept.settled:
