--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -1,28 +1,32 @@
-"""Admission, retries and final answers: which calls are taken, sent again, late or ended."""
+"""Admission, limits, retries and final answers: which calls are taken, sent again, late or ended."""
 
 import math
 
 from fawnwharf import interface as io
+from fawnwharf.policy import health, routing
 from fawnwharf.policy.state import (
+    FORGET_MS,
     LATE_RUNS,
     LEAD_MS,
     MAX_LATE_PART,
+    SILENT_MS,
     SWEEP_MS,
     WINDOW_MS,
-    Known,
     Request,
+    RouterState,
     Scorer,
 )
 
 WINDOW_MARGIN_MS = 100.0  # a repeat must arrive inside the deduplication window, not just leave inside it
 MIN_ATTEMPT_PART = 0.2  # a call with less than this part of its deadline left is a later try of a client
+LIMIT_SPREAD = 1.5  # margin for chance in limits, in square roots of their means
 HELD_PART = 0.5  # a request never sent by this part of its time is given up if it will hardly be on time
 
 
-class Admission(Known):
-    """Tenant quotas, the rules on repeats, and the final answers that the front end gives by itself."""
+class Admission(RouterState):
+    """Limits, tenant quotas, the rules on retries, and the final answers of the front end itself."""
 
-    def _over_share(self, tenant: str) -> bool:
+    def _is_over_quota(self, tenant: str) -> bool:
         """Take one token of a tenant's quota; tells whether there was none.
 
         The bucket holds a second's part of the quota, in a wide fleet also what chance may add to it.
@@ -38,13 +42,13 @@
 
     def _urgency(self, request: Request) -> tuple[bool, bool, float, str]:
         """Sort key of waiting requests: within the quota, then not late, then by arrival."""
-        return request.over_share, self._is_late(request), request.arrived_ms, request.id
+        return request.over_quota, self._is_late(request), request.arrived_ms, request.id
 
     def _is_late(self, request: Request) -> bool:
         """Whether a request can hardly be answered within its latency target any more."""
         # Where runs are so long that all requests would be late, a part of the target counts instead.
         longest_ms = request.spec.latency_target_ms * MAX_LATE_PART
-        return request.aim_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), longest_ms)
+        return request.target_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), longest_ms)
 
     def _is_hopeless(self, request: Request) -> bool:
         """Whether to give up a request that was never sent and is hardly to be on time.
@@ -52,7 +56,7 @@
         The cost: a late answer that its client might have had.
         """
         half_ms = request.arrived_ms + HELD_PART * (request.deadline_ms - request.arrived_ms)
-        is_past = request.over_share or self.now + SWEEP_MS + LEAD_MS >= half_ms
+        is_past = request.over_quota or self.now + SWEEP_MS + LEAD_MS >= half_ms
         return is_past and not request.attempts and self._is_late(request)
 
     def _may_send_here(self, request: Request, scorer: Scorer, part: float) -> bool:
@@ -105,7 +109,7 @@
     def _requeue(self, request: Request) -> None:
         """Queue a request for another attempt; end it where none may be made and none is in flight."""
         if self._may_send_again(request):
-            request.held_ms = self.now
+            request.queued_ms = self.now
             request.function.queue.append(request)
             self.waiting.add(request.function)
         elif not any(attempt.open for attempt in request.attempts):
@@ -114,7 +118,7 @@
     def _finish(self, request: Request) -> None:
         """End a request by the one final answer that the front end gives itself."""
         # Retry-After is advised where capacity was missing, not after failed attempts.
-        retry_after_ms = self.settings.max_retry_after_ms * (request.over_share or not request.attempts)
+        retry_after_ms = self.settings.max_retry_after_ms * (request.over_quota or not request.attempts)
         effect = request.spec.effect
         is_deduplicated = effect is io.Effect.DEDUPLICATED and request.spec.group is io.DeduplicationGroup.ALL
         is_harmless = is_deduplicated or effect is io.Effect.IDEMPOTENT or request.first_run() is None
@@ -128,3 +132,63 @@
         if self.settings.cancellation_allowed:
             numbers = [number for number, attempt in enumerate(request.attempts) if attempt.open]
             self.actions.extend(io.Cancel(request.id, number) for number in numbers)
+
+    def _refresh(self) -> None:
+        """Work out anew what follows from the roster, the settings and the run times of late."""
+        sizes = {scorer.id: self._units(scorer) for scorer in self.ready}
+        if sizes != self.members:
+            self.members = sizes
+        self._refresh_copies()
+        if self.now - self.forgot_ms >= FORGET_MS / 4:
+            self._forget()
+        self.total = sum(self._size(scorer) for scorer in self.ready) or 1.0
+        self._note_total()
+        fleet = sum(sizes.values())
+        draining = [
+            scorer for scorer in self.scorers.values() if scorer.entry.state is io.ScorerState.DRAINING
+        ]
+        self.largest_fleet = max(self.largest_fleet, fleet)
+        self.largest_listed = max(
+            self.largest_listed, self.largest_fleet, fleet + sum(map(self._units, draining))
+        )
+        self.refreshed_ms = self.now
+        self._refresh_scorer_limits()
+        self._refresh_fleet_limits()
+
+    def _refresh_scorer_limits(self) -> None:
+        """Limit the requests in flight at each scorer.
+
+        The rate sold times an uncrowded run is what the fleet works on at once (Little's law).
+        """
+        sold = self.sold_rate
+        most = 0.0
+        for scorer in self.ready:
+            mean = sold * self.run_ms * self._size(scorer) / self.largest_fleet  # of all front ends
+            most += self._with_margin(mean)
+            own = self._with_margin(mean / self.front_ends)
+            scorer.limit = max(2.0 if self.is_wide else 1.0, own) if sold > 0 else math.inf
+        self.max_in_flight = most / max(1, len(self.ready)) if sold > 0 else 2 * routing.BOUND_FLOOR
+
+    def _refresh_fleet_limits(self) -> None:
+        """Work out whether the fleet of front ends is wide, and the limits that depend on it."""
+        self.is_wide = self.max_in_flight < self.front_ends
+        self.max_slowdown = math.inf
+        self.silent_ms = SILENT_MS
+        self.limit = math.inf
+        if not self.is_wide:
+            return
+        slowdowns = sorted(self._slowdown_of(scorer) for scorer in self.ready)
+        if slowdowns:
+            self.max_slowdown = health.OUTLIER_SLOWDOWN * slowdowns[len(slowdowns) // 2]
+        self.silent_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0)
+        # With more in flight, all would be late.
+        in_time = self.sold_rate * self.latency_target_ms * MAX_LATE_PART / self.front_ends
+        self.limit = self._with_margin(in_time or math.inf)
+
+    def _units(self, scorer: Scorer) -> float:
+        """A scorer's size: as the roster gives it, where that is reliable, else one."""
+        return max(scorer.entry.units, 0.01) if self.settings.weights_fixed else 1.0
+
+    def _with_margin(self, mean: float) -> float:
+        """A limit for what has this mean: more, as chance brings more at times."""
+        return mean + LIMIT_SPREAD * math.sqrt(mean)
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -10,6 +10,8 @@
 
 from fawnwharf import interface as io
 
+TYPE_CHECKING = False  # type checkers take it for true; the decisions import no module for it
+
 WINDOW_MS = 10_000.0  # window of the medians
 MAX_SAMPLES = 64  # samples of a median; more would not move it
 SWEEP_MS = 40.0  # period of the timer
@@ -29,6 +31,8 @@
 HEDGE_TOKENS_PER_REQUEST = 0.1  # hedged requests that each request allows
 MAX_HEDGE_TOKENS = 3.0  # hedged requests that may be saved up
 LATE_RUNS = 2.0  # a request with less time than so many runs left is late
+MAX_FUNCTIONS = 2_000  # functions that are remembered
+FORGET_MS = 60_000.0  # functions not called, and scorers gone, for so long are forgotten
 MAX_LATE_PART = 0.5  # a request with more than this part of its latency target left is never late
 
 
@@ -144,10 +148,10 @@
     spec: io.ClassSpec
     arrived_ms: float
     deadline_ms: float
-    over_share: bool  # beyond the tenant's quota, or a client's later try
-    held_ms: float  # since when it waits in the queue
+    over_quota: bool  # beyond the tenant's quota, or a client's later try
+    queued_ms: float  # since when it waits in the queue
     draw: int  # where among the first scorers of a widely spread function it starts
-    aim_ms: float  # an answer by then is within the latency target
+    target_ms: float  # an answer by then is within the latency target
     ends_ms: float  # without an answer by then it is given one here, so that it comes in time
     attempts: list[Attempt] = field(default_factory=list)
 
@@ -183,9 +187,54 @@
     site: str = ""  # the zone that is near for its calls, where requests name one
     needed_ms: float = -math.inf  # when it was last called or prefetched
 
+    def is_busy(self) -> bool:
+        """Whether a request waits, or an attempt, a load order or a probe is in progress."""
+        places = self.copies_by_scorer.values()
+        return bool(self.queue) or any(
+            place.in_flight or place.open_probes or place.order_ms is not None for place in places
+        )
+
 
-class Known:
-    """The state that all parts of the router share, and what is read from it."""
+class RouterState:
+    """The state that all parts of the router share, and what is read from it.
+
+    The parts are mixins of one object: each owns its methods and calls those of the others on `self`.
+    """
+
+    if TYPE_CHECKING:
+        # What the parts call of each other; see the part for the meaning.
+        # Router
+        def _dispatch(self, fn: Function) -> None: ...
+        def _send_queued(self, fn: Function) -> None: ...
+
+        # Admission
+        def _is_late(self, request: Request) -> bool: ...
+        def _may_run_at(self, request: Request, scorer: Scorer) -> bool: ...
+        def _may_send_again(self, request: Request) -> bool: ...
+        def _may_send_here(self, request: Request, scorer: Scorer, part: float) -> bool: ...
+        def _requeue(self, request: Request) -> None: ...
+
+        # Health
+        def _cost(self, scorer: Scorer, fn: Function) -> float: ...
+        def _expect_answer(self, scorer: Scorer) -> None: ...
+        def _is_usable(self, scorer: Scorer, fn: Function) -> bool: ...
+        def _slowdown_of(self, scorer: Scorer) -> float: ...
+
+        # Loads
+        def _awaits_probe(self, fn: Function) -> bool: ...
+        def _probe(self, fn: Function, scorer: Scorer, copies: int = 0) -> None: ...
+        def _refresh_copies(self) -> None: ...
+
+        # Routing and SlowStart
+        def _can_take(self, scorer: Scorer, fn: Function) -> bool: ...
+        def _in_flight_bound(self, scorer: Scorer, fn: Function) -> float: ...
+        def _is_warm(self, fn: Function) -> bool: ...
+        def _known_scorers(self, fn: Function) -> list[Scorer]: ...
+        def _note_total(self) -> None: ...
+        def _ordered(self, fn: Function) -> list[Scorer]: ...
+        def _rotated_order(self, fn: Function, request: Request) -> list[Scorer]: ...
+        def _size(self, scorer: Scorer) -> float: ...
+        def _within_slow_start_limit(self, scorer: Scorer) -> bool: ...
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.settings = settings
@@ -219,7 +268,7 @@
         self.front_ends = max(1, settings.fleet_size)
         self.is_wide = False  # this front end's part of a scorer is less than one call
         self.sold_rate = sum(settings.quotas_rps.values()) / 1000  # quotas of all front ends, a millisecond
-        self.sure = dict[int, float]()  # see `safe_mean` of the module slow_start
+        self.safe_means = dict[int, float]()  # results of `slow_start.safe_mean`, by its first argument
         self.limit = math.inf  # own attempts in flight
         self.max_in_flight = 0.0  # calls of all front ends in flight at a scorer
         self.max_slowdown = math.inf
@@ -267,3 +316,53 @@
     def _has_remote_load(self, scorer: Scorer, span_ms: float) -> bool:
         """Whether others reported on a scorer within `span_ms`, and since it started."""
         return scorer.remote_load_ms > max(scorer.started_ms, self.now - span_ms)
+
+    def _function(self, event: io.RequestArrived | io.PrefetchRequested) -> Function:
+        """The function that an event names, with what the event gives of it if it was not known."""
+        fn = self.functions.get(event.function)
+        if fn is None:
+            if len(self.functions) >= MAX_FUNCTIONS:
+                self._forget()
+            name = event.function
+            fn = Function(name, event.class_name, max(1, event.lanes), event.load_ms, mark(name))
+            self.functions[name] = fn
+        return fn
+
+    def _apply_remote_load(self, fn: Function, scorers: list[Scorer]) -> None:
+        """Take the copies that others reported at these scorers, as if by an answer of that time."""
+        for scorer in scorers:
+            report = scorer.remote_load
+            if fn.name not in report.copies and fn.name not in report.loading:
+                continue
+            place = self._copies_at(fn, scorer)
+            copies = report.copies.get(fn.name, 0)
+            if copies > 0 and scorer.remote_load_ms > place.seen_ms:
+                place.copies = max(copies, self._copies(fn, scorer))
+                place.seen_ms = scorer.remote_load_ms
+
+    def _forget(self) -> None:
+        """Forget what is long past, and of too many functions those that were not called for longest.
+
+        This bounds the memory.
+        """
+        self.forgot_ms = self.now
+        past_ms = self.now - FORGET_MS
+        last_there = {scorer.last_function for scorer in self.scorers.values()}
+        surplus = MAX_FUNCTIONS // 2 if len(self.functions) >= MAX_FUNCTIONS else 0
+        oldest_first = sorted(self.functions.values(), key=lambda fn: fn.needed_ms)
+        for number, fn in enumerate(oldest_first):
+            is_old = number < surplus or fn.needed_ms < past_ms
+            if is_old and not fn.is_busy() and fn not in last_there:
+                del self.functions[fn.name]
+        for scorer in list(self.scorers.values()):
+            if scorer.entry.state is io.ScorerState.GONE:
+                scorer.gone_ms = scorer.gone_ms or self.now
+                if scorer.gone_ms < past_ms and not scorer.in_flight:
+                    self._forget_scorer(scorer.id)
+
+    def _forget_scorer(self, number: int) -> None:
+        """Forget a scorer that is gone, and what was known of copies there."""
+        self.scorers.pop(number, None)
+        self.watched.pop(number, None)
+        for fn in self.functions.values():
+            fn.copies_by_scorer.pop(number, None)
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -18,7 +18,7 @@
 from fawnwharf.recovery_core.budget import fleet_limits
 from fawnwharf.recovery_core.phases import allowed_in_phase
 from fawnwharf.recovery_core.register import RecoveryPhase
-from fawnwharf.recovery_core.uncoordinated_fleet import FUNCTION_KINDS, PRIORITY_WEIGHTS
+from fawnwharf.recovery_core.simulated_site import FUNCTION_KINDS, PRIORITY_WEIGHTS
 from fawnwharf.recovery_service.actions import Action, LoadOrder, SendPermitMessage
 from fawnwharf.recovery_service.permit_issuing import TICK_MS
 from fawnwharf.recovery_service.permit_messages import PermitMessage
