--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -10,42 +10,34 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
-from fawnwharf.recovery_core import partitioned
-from fawnwharf.recovery_core.phases import AllowedActions
-from fawnwharf.recovery_core.phases import LogEvent
-from fawnwharf.recovery_core.phases import PhaseFollower
-from fawnwharf.recovery_core.queries import Answer
-from fawnwharf.recovery_core.queries import Query
-from fawnwharf.recovery_core.queries import QueryState
-from fawnwharf.recovery_core.queries import QueryTarget
-from fawnwharf.recovery_core.queries import QueryTopic
-from fawnwharf.recovery_core.register import RecoveryPhase
-from fawnwharf.recovery_core.register import RegisterError
-from fawnwharf.recovery_service.agent_actions import ApplyPhase
-from fawnwharf.recovery_service.agent_actions import DropReason
-from fawnwharf.recovery_service.agent_actions import Effect
-from fawnwharf.recovery_service.agent_actions import LocalStatus
-from fawnwharf.recovery_service.agent_actions import PositionReported
-from fawnwharf.recovery_service.agent_actions import SendMessage
-from fawnwharf.recovery_service.agent_queries import CHANGE_LOG
-from fawnwharf.recovery_service.agent_queries import answer_query
-from fawnwharf.recovery_service.agent_queries import create_startup_queries
-from fawnwharf.recovery_service.agent_settings import AgentIdentity
-from fawnwharf.recovery_service.agent_settings import AgentSettings
-from fawnwharf.recovery_service.agent_settings import CALM_INTERVAL_FACTOR
-from fawnwharf.recovery_service.folder_positions import FolderPositions
-from fawnwharf.recovery_service.messages import BootReport
-from fawnwharf.recovery_service.messages import KnownPosition
-from fawnwharf.recovery_service.messages import PhaseAnnouncement
-from fawnwharf.recovery_service.messages import RecoveryMessage
-from fawnwharf.recovery_service.messages import StatusReport
-from fawnwharf.recovery_service.recovery_leader import LeaderTiming
-from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.recovery_service.recovery_leader import RecoveryLeader
-from fawnwharf.zones.log_lines import ConsensusStatus
 from typing import NamedTuple
+
 import msgspec
 
+from fawnwharf.recovery_core import partitioned
+from fawnwharf.recovery_core.phases import AllowedActions, LogEvent, PhaseFollower
+from fawnwharf.recovery_core.queries import Answer, Query, QueryState, QueryTarget, QueryTopic
+from fawnwharf.recovery_core.register import RecoveryPhase, RegisterError
+from fawnwharf.recovery_service.agent_actions import (
+    ApplyPhase,
+    DropReason,
+    Effect,
+    LocalStatus,
+    PositionReported,
+    SendMessage,
+)
+from fawnwharf.recovery_service.agent_queries import CHANGE_LOG, answer_query, create_startup_queries
+from fawnwharf.recovery_service.agent_settings import CALM_INTERVAL_FACTOR, AgentIdentity, AgentSettings
+from fawnwharf.recovery_service.folder_positions import FolderPositions
+from fawnwharf.recovery_service.messages import (
+    BootReport,
+    KnownPosition,
+    PhaseAnnouncement,
+    RecoveryMessage,
+    StatusReport,
+)
+from fawnwharf.recovery_service.recovery_leader import LeaderTiming, MemberLists, RecoveryLeader
+from fawnwharf.zones.log_lines import ConsensusStatus
 
 TICK_MS = 50.0
 CALM_TICK_MS = 250.0
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -1,16 +1,12 @@
 """`fawnwharf recovery show`: a member's status after a power loss, read from its zones' log."""
 
-from fawnwharf.recovery_service.messages import DisplayedStatus
-from fawnwharf.recovery_service.messages import LOG_CLIENT
-from fawnwharf.zones.command_helpers import MemberOption
-from fawnwharf.zones.command_helpers import fail
-from fawnwharf.zones.command_helpers import log_address
-from fawnwharf.zones.command_helpers import read_files
-from fawnwharf.zones.command_helpers import read_latest_entries
 from typing import Annotated
+
 import msgspec
 import typer
 
+from fawnwharf.recovery_service.messages import LOG_CLIENT, DisplayedStatus
+from fawnwharf.zones.command_helpers import MemberOption, fail, log_address, read_files, read_latest_entries
 
 File = Annotated[
     str, typer.Argument(metavar="FILE", help="The settings of zones that this member serves with.")
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -3,26 +3,17 @@
 Pure. Every member that votes keeps it, so that one that begins to lead knows what the others reported before.
 """
 
-from collections.abc import Callable
-from collections.abc import Iterable
-from dataclasses import dataclass
-from dataclasses import field
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
 from fawnwharf.recovery_core.budget import choose_load_coordinators
 from fawnwharf.recovery_core.coordinator import RecoveryCoordinator
-from fawnwharf.recovery_core.phases import Effect
-from fawnwharf.recovery_core.phases import FleetObservation
-from fawnwharf.recovery_core.phases import LogEvent
-from fawnwharf.recovery_core.phases import PhaseTiming
-from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS
-from fawnwharf.recovery_core.register import RecoveryPhase
-from fawnwharf.recovery_core.trust import RestartScope
-from fawnwharf.recovery_core.trust import restart_scope
-from fawnwharf.recovery_service.messages import BootReport
-from fawnwharf.recovery_service.messages import CallCounts
-from fawnwharf.recovery_service.messages import StatusReport
+from fawnwharf.recovery_core.phases import Effect, FleetObservation, LogEvent, PhaseTiming
+from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS, RecoveryPhase
+from fawnwharf.recovery_core.trust import RestartScope, restart_scope
+from fawnwharf.recovery_service.messages import BootReport, CallCounts, StatusReport
 from fawnwharf.zones.log_lines import ConsensusStatus
-from typing import NamedTuple
-
 
 SCAN_MS = 100.0  # interval of evaluating what all reported
 ALL_ZONES = 3  # from so many zones on, one zone's replicas are not waited for
@@ -187,7 +178,9 @@
         if self.term and self.term != status.term:
             self.coordinator.end_term()
             self.term = 0
-        may_begin = status.holds_read_lease and status.fully_committed and status.term != self._unreadable_term
+        may_begin = (
+            status.holds_read_lease and status.fully_committed and status.term != self._unreadable_term
+        )
         if self.term or not may_begin:
             return []
         effects = self.coordinator.begin_term(now_ms, status.recovery, status.voters)
@@ -226,7 +219,9 @@
         boots = self._voters_boots(now_ms)
         if 2 * boots.reachable <= len(status.voters):  # too few to tell whether the fleet lost its power
             return []
-        return self.coordinator.tick(now_ms, self.observe(now_ms), boots.by_voter, holds_lease=status.holds_read_lease)
+        return self.coordinator.tick(
+            now_ms, self.observe(now_ms), boots.by_voter, holds_lease=status.holds_read_lease
+        )
 
     def announcement(self, now_ms: float, status: ConsensusStatus) -> str | None:
         """The register for all; None where that is not due, or it may not be the last one.
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -3,31 +3,28 @@
 Messages go by their logs, decisions by the consensus log, and power losses happen.
 """
 
+import random
+
+import msgspec
+
 from fawnwharf.durable_store.folder_reader import FolderPosition
-from fawnwharf.recovery_core.phases import LogEvent
-from fawnwharf.recovery_core.phases import PhaseTiming
-from fawnwharf.recovery_core.phases import ProposeRegister
-from fawnwharf.recovery_core.phases import RecoveryPhase
+from fawnwharf.recovery_core.phases import LogEvent, PhaseTiming, ProposeRegister, RecoveryPhase
 from fawnwharf.recovery_core.queries import QueryPace
 from fawnwharf.recovery_service import messages as w
 from fawnwharf.recovery_service.agent import RecoveryAgent
-from fawnwharf.recovery_service.agent_actions import ApplyPhase
-from fawnwharf.recovery_service.agent_actions import LocalStatus
-from fawnwharf.recovery_service.agent_actions import PlanVersion
-from fawnwharf.recovery_service.agent_actions import PositionReported
-from fawnwharf.recovery_service.agent_actions import SendMessage
-from fawnwharf.recovery_service.agent_settings import AgentIdentity
-from fawnwharf.recovery_service.agent_settings import AgentSettings
+from fawnwharf.recovery_service.agent_actions import (
+    ApplyPhase,
+    LocalStatus,
+    PlanVersion,
+    PositionReported,
+    SendMessage,
+)
+from fawnwharf.recovery_service.agent_settings import AgentIdentity, AgentSettings
 from fawnwharf.recovery_service.recovery_leader import MemberLists
-from fawnwharf.zones.effects import MessagesReceived
-from fawnwharf.zones.effects import RegisterDecided
-from fawnwharf.zones.log_lines import ClientMessage
-from fawnwharf.zones.log_lines import RECOVERY
+from fawnwharf.zones.effects import MessagesReceived, RegisterDecided
+from fawnwharf.zones.log_lines import RECOVERY, ClientMessage
 from support.zone_files import members
 from support.zone_fleet import ZoneFleet
-import msgspec
-import random
-
 
 STEP_S = 0.02
 WORTHS = {"view": 1.0, "save": 5.0}
