--- a/fawnwharf/recovery_service/agent.py
+++ b/fawnwharf/recovery_service/agent.py
@@ -15,18 +15,8 @@
 import msgspec
 
 from fawnwharf.recovery_core import partitioned
-from fawnwharf.recovery_core.phases import (
-    AllowedActions,
-    LogEvent,
-    PhaseFollower,
-)
-from fawnwharf.recovery_core.queries import (
-    Answer,
-    Query,
-    QueryState,
-    QueryTarget,
-    QueryTopic,
-)
+from fawnwharf.recovery_core.phases import AllowedActions, LogEvent, PhaseFollower
+from fawnwharf.recovery_core.queries import Answer, Query, QueryState, QueryTarget, QueryTopic
 from fawnwharf.recovery_core.register import RecoveryPhase, RegisterError
 from fawnwharf.recovery_service.agent_actions import (
     ApplyPhase,
@@ -193,7 +183,7 @@
             return self._drop(DropReason.WRONG_LOG)
         if self.identity.name not in (self.lists.voters if by_zones else self.lists.replicas):
             return []
-        is_leased = topic is QueryTopic.PLAN and self.consensus_status(now_ms).fresh
+        is_leased = topic is QueryTopic.PLAN and self.consensus_status(now_ms).holds_read_lease
         answer = answer_query(query, self.identity.incarnation, self.lists, self.status, is_leased=is_leased)
         return [SendMessage((sender,), answer, by_zones)]
 
--- a/fawnwharf/recovery_service/commands.py
+++ b/fawnwharf/recovery_service/commands.py
@@ -6,7 +6,7 @@
 import typer
 
 from fawnwharf.recovery_service.messages import LOG_CLIENT, DisplayedStatus
-from fawnwharf.zones.command_helpers import MemberOption, current_lines, fail, log_address, read_files
+from fawnwharf.zones.command_helpers import MemberOption, fail, log_address, read_files, read_latest_entries
 
 File = Annotated[
     str, typer.Argument(metavar="FILE", help="The settings of zones that this member serves with.")
@@ -18,7 +18,7 @@
 
     Raises OSError where its log can't be read, ValueError for what is no log.
     """
-    line = current_lines(address, (LOG_CLIENT,), within_s).get(LOG_CLIENT)
+    line = read_latest_entries(address, (LOG_CLIENT,), within_s).get(LOG_CLIENT)
     return None if line is None else msgspec.convert(line[LOG_CLIENT], DisplayedStatus)
 
 
--- a/fawnwharf/recovery_service/recovery_leader.py
+++ b/fawnwharf/recovery_service/recovery_leader.py
@@ -9,12 +9,7 @@
 
 from fawnwharf.recovery_core.budget import choose_load_coordinators
 from fawnwharf.recovery_core.coordinator import RecoveryCoordinator
-from fawnwharf.recovery_core.phases import (
-    Effect,
-    FleetObservation,
-    LogEvent,
-    PhaseTiming,
-)
+from fawnwharf.recovery_core.phases import Effect, FleetObservation, LogEvent, PhaseTiming
 from fawnwharf.recovery_core.register import MAX_PERMIT_ISSUERS, RecoveryPhase
 from fawnwharf.recovery_core.trust import RestartScope, restart_scope
 from fawnwharf.recovery_service.messages import BootReport, CallCounts, StatusReport
@@ -183,7 +178,9 @@
         if self.term and self.term != status.term:
             self.coordinator.end_term()
             self.term = 0
-        may_begin = status.fresh and status.settled and status.term != self._unreadable_term
+        may_begin = (
+            status.holds_read_lease and status.fully_committed and status.term != self._unreadable_term
+        )
         if self.term or not may_begin:
             return []
         effects = self.coordinator.begin_term(now_ms, status.recovery, status.voters)
@@ -222,7 +219,9 @@
         boots = self._voters_boots(now_ms)
         if 2 * boots.reachable <= len(status.voters):  # too few to tell whether the fleet lost its power
             return []
-        return self.coordinator.tick(now_ms, self.observe(now_ms), boots.by_voter, holds_lease=status.fresh)
+        return self.coordinator.tick(
+            now_ms, self.observe(now_ms), boots.by_voter, holds_lease=status.holds_read_lease
+        )
 
     def announcement(self, now_ms: float, status: ConsensusStatus) -> str | None:
         """The register for all; None where that is not due, or it may not be the last one.
@@ -232,7 +231,7 @@
         """
         coordinator = self.coordinator
         register = coordinator.register
-        if not self.term or not status.fresh or status.term != self.term:
+        if not self.term or not status.holds_read_lease or status.term != self.term:
             return None
         is_sent = self._announced.register_number == register.number
         if is_sent and now_ms - self._announced.sent_ms < self.timing.announce_interval_ms:
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -7,21 +7,22 @@
 reader that does not read: it is disconnected, and gets the current lines when it connects again.
 """
 
-import contextlib
-import socket
 from collections import deque
-from collections.abc import Callable, Hashable
-from typing import Any
-
-import msgspec
-
+from collections.abc import Callable
+from collections.abc import Hashable
 from fawnwharf.config import Address
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.event_loop import READ, EventLoop
+from fawnwharf.net.event_loop import EventLoop
+from fawnwharf.net.event_loop import READ
 from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.net.timer_wheel import monotonic_ms
+from typing import Any
+import contextlib
+import msgspec
+import socket
+
 
 MAX_LINE_BYTES = 512 * 1024  # of a member's log
 MAX_STORED_LINES = 256  # for readers that connect again
@@ -62,7 +63,11 @@
         return self._connection.heard_ms if self._connection else 0.0
 
     def event(self, read: Any, _known: bool = False) -> bool:
-        """Take a decoded line; False where it is malformed or does not follow the last one."""
+        """Handle a decoded line; False where it is malformed or does not follow the last one.
+
+        Overrides the method of `ChangeLog`, for which `_of_start` marks the snapshot at a start; here each
+        line says itself whether it belongs to a snapshot.
+        """
         if not isinstance(read, dict):
             return False
         seq, life, whole = read.get("seq"), read.get("life"), read.get("whole") is True
--- a/tests/support/recovery_agents.py
+++ b/tests/support/recovery_agents.py
@@ -198,7 +198,7 @@
         found = [
             n
             for n in self.up
-            if self.agents[n].leader.term and self.cores[n].consensus_status(self.now).fresh
+            if self.agents[n].leader.term and self.cores[n].consensus_status(self.now).holds_read_lease
         ]
         return found[0] if found else None
 
