--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -7,22 +7,21 @@
 reader that does not read: it is disconnected, and gets the current lines when it connects again.
 """
 
+import contextlib
+import socket
 from collections import deque
-from collections.abc import Callable
-from collections.abc import Hashable
+from collections.abc import Callable, Hashable
+from typing import Any
+
+import msgspec
+
 from fawnwharf.config import Address
 from fawnwharf.net.change_log import ChangeLog
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
-from fawnwharf.net.event_loop import EventLoop
-from fawnwharf.net.event_loop import READ
+from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.net.timer_wheel import monotonic_ms
-from typing import Any
-import contextlib
-import msgspec
-import socket
-
 
 MAX_LINE_BYTES = 512 * 1024  # of a member's log
 MAX_STORED_LINES = 256  # for readers that connect again
--- a/fawnwharf/zones/voter_role.py
+++ b/fawnwharf/zones/voter_role.py
@@ -3,34 +3,27 @@
 Pure. The leader proposes plans and voter lists, and states how fresh its plan is.
 """
 
+import msgspec
+from msgspec import Struct
+
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.timing import Timing
 from fawnwharf.consensus.voter import Voter
 from fawnwharf.consensus.voter_state import Role
-from fawnwharf.zones.effects import Effect
-from fawnwharf.zones.effects import PublishLine
-from fawnwharf.zones.effects import RegisterDecided
-from fawnwharf.zones.effects import SaveVoterState
-from fawnwharf.zones.effects import SendVoterMessage
-from fawnwharf.zones.log_events import OlderVoterState
-from fawnwharf.zones.log_events import PlanChangeRejected
-from fawnwharf.zones.log_events import PlanDecided
-from fawnwharf.zones.log_events import PlanProposed
-from fawnwharf.zones.log_events import RoleChanged
-from fawnwharf.zones.log_events import VotersDecided
-from fawnwharf.zones.log_events import VotersProposed
-from fawnwharf.zones.log_events import ZoneChange
-from fawnwharf.zones.log_lines import ConsensusStatus
-from fawnwharf.zones.log_lines import DropCause
-from fawnwharf.zones.log_lines import LogLine
-from fawnwharf.zones.log_lines import LogLineError
-from fawnwharf.zones.log_lines import POLICY
-from fawnwharf.zones.log_lines import RECOVERY
+from fawnwharf.zones.effects import Effect, PublishLine, RegisterDecided, SaveVoterState, SendVoterMessage
+from fawnwharf.zones.log_events import (
+    OlderVoterState,
+    PlanChangeRejected,
+    PlanDecided,
+    PlanProposed,
+    RoleChanged,
+    VotersDecided,
+    VotersProposed,
+    ZoneChange,
+)
+from fawnwharf.zones.log_lines import POLICY, RECOVERY, ConsensusStatus, DropCause, LogLine, LogLineError
 from fawnwharf.zones.member_state import MemberState
-from fawnwharf.zones.plan import Plan
-from fawnwharf.zones.plan import PlanError
-from msgspec import Struct
-import msgspec
+from fawnwharf.zones.plan import Plan, PlanError
 
 
 class VoterStart(Struct, frozen=True):
