--- a/fawnwharf/interface.py
+++ b/fawnwharf/interface.py
@@ -5,6 +5,7 @@
 """
 
 import math
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 
@@ -272,6 +273,9 @@
     | ShutdownStarted
 )
 
+# Takes the router and one event of the type that it is registered for.
+EventHandler = Callable[..., None]
+
 
 # --- actions --------------------------------------------------------------------------------
 
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -356,7 +356,7 @@
             record.ejection_ms = min(state.MAX_EJECTION_MS, 2 * record.ejection_ms)
             record.ejected_until_ms = self.now + record.ejection_ms
 
-    handlers = {
+    handlers: dict[type, io.EventHandler] = {
         io.RosterChanged: _on_roster,
         io.RequestArrived: _on_request,
         io.RequestCancelled: _on_cancelled,
--- a/fawnwharf/replication/grant_log.py
+++ b/fawnwharf/replication/grant_log.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fawnwharf.consensus.records import DiskError, encode_record, scan_records
+from fawnwharf.consensus.records import DiskError, Record, encode_record, scan_records
 from fawnwharf.replication.claim_store import StoredGrant
 from fawnwharf.replication.claims import CallKey, Claim
 
@@ -237,7 +237,7 @@
     return int(path.stem.removeprefix(FILE_PREFIX))
 
 
-def _decode(records: list[tuple[int, bytes]]) -> tuple[Head, list[Batch]] | None:
+def _decode(records: list[Record]) -> tuple[Head, list[Batch]] | None:
     """The head and the batches of a file; None where one of them can't be decoded."""
     if not records:
         return None
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -20,7 +20,6 @@
 from fawnwharf.net.connection import Connection
 from fawnwharf.net.end_reasons import EndReason
 from fawnwharf.net.event_loop import READ, EventLoop
-from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 MAX_LINE_BYTES = 512 * 1024  # of a member's log
@@ -44,7 +43,7 @@
     max_line_bytes = MAX_LINE_BYTES
 
     def __init__(
-        self, loop: EventLoop, address: Address, receive: Callable[[Any], None], log: LogWriter
+        self, loop: EventLoop, address: Address, receive: Callable[[Any], None], log: Callable[[str], None]
     ) -> None:
         """`receive` takes the content of each line; it raises ValueError for one that no member writes."""
         super().__init__(loop, address, 0, receive, log)
