--- a/fawnwharf/policy_rollout/lease_holder.py
+++ b/fawnwharf/policy_rollout/lease_holder.py
@@ -27,7 +27,7 @@
     stricter,
     with_defaults,
 )
-from fawnwharf.policy_rollout.rollout_coordinator import LeaseRecord, RolloutTiming
+from fawnwharf.policy_rollout.rollout_state import LeaseRecord, RolloutTiming
 
 NO_LEASE = LeaseRecord(-1, 0.0)
 
--- a/fawnwharf/policy_rollout/model_checker.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -21,11 +21,8 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import PolicyRegister, parse_register
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
-from fawnwharf.policy_rollout.rollout_coordinator import (
-    LeaseRecord,
-    ReceivedRequest,
-    RolloutCoordinator,
-)
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_state import LeaseRecord, ReceivedRequest
 from fawnwharf.policy_rollout.scenario import (
     CAPABILITIES,
     NAMES,
--- a/fawnwharf/policy_rollout/rollout_coordinator.py
+++ b/fawnwharf/policy_rollout/rollout_coordinator.py
@@ -16,69 +16,19 @@
 """
 
 from dataclasses import dataclass, field
-from typing import NamedTuple
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import (
-    Document,
     DocumentError,
     PolicyRegister,
     parse_document,
     parse_register,
 )
+from fawnwharf.policy_rollout.rollout_state import LeaseRecord, OpenProposal, ReceivedRequest, RolloutTiming
 
 MAX_NAMED_MEMBERS = 5  # in the cause of an abort
 
 
-@dataclass(frozen=True, slots=True)
-class RolloutTiming:
-    """Times in milliseconds, and the part by which a clock's rate may differ from true time."""
-
-    lease_ms: float = 2_000.0
-    renew_ms: float = 500.0  # interval of holders' lease requests
-    prepare_ms: float = (
-        6_000.0  # for all to vote; longer than `max_lease_ms`, which a member that is cut off takes
-    )
-    resend_interval_ms: float = 500.0  # interval at which an unanswered message is sent again
-    skew: float = 0.1
-
-    @property
-    def max_lease_ms(self) -> float:
-        """The longest time that a lease of `lease_ms` by one clock can last by any other clock."""
-        return self.lease_ms * (1 + self.skew) / (1 - self.skew)
-
-
-class LeaseRecord(NamedTuple):
-    """A granted lease: the number of its document, and when it is over by the coordinator's clock."""
-
-    number: int
-    expires_ms: float
-
-
-class ReceivedRequest(NamedTuple):
-    """A holder's newest lease request: `sent_ms` by its clock, `received_ms` by the coordinator's."""
-
-    incarnation: int
-    sent_ms: float
-    received_ms: float
-
-
-@dataclass(slots=True)
-class OpenProposal:
-    """The one proposal in progress."""
-
-    document: Document
-    sequence: int
-    deadline_ms: float
-    agreed: frozenset[str] = frozenset()
-    deciding: bool = False  # it was proposed to the log: from here nothing ends it
-
-    @property
-    def number(self) -> int:
-        """The number of the proposed document."""
-        return self.document.number
-
-
 @dataclass(slots=True)
 class RolloutCoordinator:
     """Owns the open proposal, the votes for it, and the record of who may hold which lease."""
--- a/fawnwharf/policy_rollout/rollout_member.py
+++ b/fawnwharf/policy_rollout/rollout_member.py
@@ -25,7 +25,8 @@
 )
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.operator_requests import LeaderRequests, SubmittedRequests
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_state import RolloutTiming
 from fawnwharf.policy_rollout.settings import PolicyRequest
 from fawnwharf.zones.log_lines import ConsensusStatus
 
--- a/fawnwharf/policy_rollout/scenario.py
+++ b/fawnwharf/policy_rollout/scenario.py
@@ -10,13 +10,8 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, parse_register
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
-from fawnwharf.policy_rollout.rollout_coordinator import (
-    LeaseRecord,
-    OpenProposal,
-    ReceivedRequest,
-    RolloutCoordinator,
-    RolloutTiming,
-)
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_state import LeaseRecord, OpenProposal, ReceivedRequest, RolloutTiming
 
 NAMES = ("a", "b", "c")
 TIMING = RolloutTiming(lease_ms=6.0, renew_ms=1.0, prepare_ms=16.0, resend_interval_ms=8.0, skew=1 / 3)
--- a/fawnwharf/policy_rollout/settings.py
+++ b/fawnwharf/policy_rollout/settings.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct, field
 
 from fawnwharf.policy_rollout.document import DocumentError, document_from_object
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.rollout_state import RolloutTiming
 from fawnwharf.zones.settings import DurationMs, SettingsFileError
 
 VERSION = 1
--- a/fawnwharf/policy_rollout/simulation.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -23,7 +23,8 @@
 from fawnwharf.policy_rollout.fault_injection import FaultInjector
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.reference_model import ReferenceModel
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_state import RolloutTiming
 from fawnwharf.policy_rollout.simulation_types import NO_FAULTS, FaultRates, SimulatedMember, SimulationResult
 
 CAPABILITIES = DeploymentCapabilities(frozenset({"c"}), frozenset({"t"}), frozenset())
--- a/tests/policy_rollout/test_policy_rollout_incarnations.py
+++ b/tests/policy_rollout/test_policy_rollout_incarnations.py
@@ -4,8 +4,8 @@
 
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import DeploymentCapabilities
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
+from fawnwharf.policy_rollout.rollout_state import RolloutTiming
 from fawnwharf.zones.log_lines import ConsensusStatus
 
 
--- a/tests/policy_rollout/test_policy_rollout_member.py
+++ b/tests/policy_rollout/test_policy_rollout_member.py
@@ -8,8 +8,8 @@
 from support.zone_fleet import ZoneFleet
 
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
+from fawnwharf.policy_rollout.rollout_state import RolloutTiming
 from fawnwharf.policy_rollout.settings import PolicyRequest
 from fawnwharf.policy_rollout.simulation import CAPABILITIES
 from fawnwharf.zones.effects import MessagesReceived, RegisterDecided
--- a/tests/policy_rollout/test_policy_rollout_model_checker.py
+++ b/tests/policy_rollout/test_policy_rollout_model_checker.py
@@ -9,7 +9,8 @@
 from fawnwharf.policy_rollout.document import parse_register
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
 from fawnwharf.policy_rollout.model_checker import SEARCHES, Bounds, ModelChecker
-from fawnwharf.policy_rollout.rollout_coordinator import LeaseRecord, RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_state import LeaseRecord
 from fawnwharf.policy_rollout.simulation import ImplementationTypes, Simulation
 
 
--- a/tests/policy_rollout/test_policy_rollout_simulation.py
+++ b/tests/policy_rollout/test_policy_rollout_simulation.py
@@ -11,8 +11,9 @@
     parse_register,
 )
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
-from fawnwharf.policy_rollout.rollout_coordinator import LeaseRecord, RolloutCoordinator, RolloutTiming
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
 from fawnwharf.policy_rollout.rollout_measurement import measure_rollout
+from fawnwharf.policy_rollout.rollout_state import LeaseRecord, RolloutTiming
 from fawnwharf.policy_rollout.simulation import CAPABILITIES, Simulation
 from fawnwharf.policy_rollout.simulation_types import NO_FAULTS
 
--- a/tests/policy_rollout/test_policy_rollout_voters.py
+++ b/tests/policy_rollout/test_policy_rollout_voters.py
@@ -6,7 +6,8 @@
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import parse_register
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator, RolloutTiming
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_state import RolloutTiming
 from fawnwharf.policy_rollout.simulation import CAPABILITIES
 from fawnwharf.testbed.explore import replace_voters
 
--- a/tests/recovery_core/test_recovery_core_model_checker.py
+++ b/tests/recovery_core/test_recovery_core_model_checker.py
@@ -5,7 +5,8 @@
 from fawnwharf.consensus import messages as am
 from fawnwharf.consensus.voter import Voter
 from fawnwharf.policy_rollout.lease_holder import LeaseHolder
-from fawnwharf.policy_rollout.rollout_coordinator import LeaseRecord, RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
+from fawnwharf.policy_rollout.rollout_state import LeaseRecord
 from fawnwharf.recovery_core import trust as t
 from fawnwharf.recovery_core.claim_model import Rules
 from fawnwharf.recovery_core.model_checker import (
--- a/tests/replication/test_replication_claims.py
+++ b/tests/replication/test_replication_claims.py
@@ -8,7 +8,7 @@
 from cores import FLEET, RULES
 from hypothesis import given, settings, strategies
 
-from fawnwharf.policy_rollout.rollout_coordinator import RolloutTiming
+from fawnwharf.policy_rollout.rollout_state import RolloutTiming
 from fawnwharf.policy_rollout.settings import decode_settings as policy_settings
 from fawnwharf.replication import messages as m
 from fawnwharf.replication import settings as s
