--- a/fawnwharf/durable_store/core.py
+++ b/fawnwharf/durable_store/core.py
@@ -7,7 +7,7 @@
 """
 
 from collections.abc import Callable, Generator
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
@@ -17,13 +17,13 @@
 from fawnwharf.durable_store.entry_table import ChangeRejectedError, EntryTable
 from fawnwharf.durable_store.file_format import Durability
 from fawnwharf.durable_store.folder_reader import FolderPosition, FolderState
+from fawnwharf.durable_store.job_steps import Rewrite, Step, removal
 from fawnwharf.durable_store.operations import (
     AppendBytes,
     CreateFile,
     DiskJob,
     DiskOperation,
     JobResult,
-    RemoveFile,
     RenameFile,
     SyncFile,
     SyncFolder,
@@ -32,19 +32,6 @@
 from fawnwharf.durable_store.status import StoreStatus, TicketResult
 
 
-class Step(NamedTuple):
-    """A job, and what its success means."""
-
-    job: DiskJob
-    commits: int = 0  # all groups up to this one are on disk; 0: no further than before
-    opens: str = ""  # the log that is open then; empty: as before
-    opens_bytes: int = 0  # its size
-    is_last: bool = False
-
-
-Rewrite = Generator[Step, JobResult | None, None]
-
-
 class StoreCore:
     """Owns the entries, the changes that are not written yet, and the commit tickets."""
 
@@ -322,7 +309,7 @@
         temporary = {name for name in self._file_names if name.endswith(file_format.TEMPORARY_SUFFIX)}
         self._clear_pending()
         if temporary:  # on a full disk they may be what fills it
-            yield Step(_removal(temporary))
+            yield Step(removal(temporary))
             self._file_names -= temporary
         yield from self._write_snapshot(self._sequence, number, entries)
         yield from self._open_log(self._sequence, None)
@@ -390,13 +377,9 @@
         files = file_format.store_files(self._file_names)
         older = {name for name, file in files.items() if file.sequence < sequence}
         if older:
-            yield Step(_removal(older))
+            yield Step(removal(older))
             self._file_names -= older
 
 
 def _is_due(due_ms: float | None, now_ms: float) -> bool:
     return due_ms is not None and due_ms <= now_ms
-
-
-def _removal(names: set[str]) -> DiskJob:
-    return DiskJob(tuple(RemoveFile(name) for name in sorted(names)))
--- a/fawnwharf/durable_store/mutants.py
+++ b/fawnwharf/durable_store/mutants.py
@@ -7,7 +7,8 @@
 from unittest import mock
 
 from fawnwharf.consensus import records
-from fawnwharf.durable_store.core import Rewrite, Step, StoreCore
+from fawnwharf.durable_store.core import StoreCore
+from fawnwharf.durable_store.job_steps import Rewrite, Step
 from fawnwharf.durable_store.operations import (
     AppendBytes,
     DiskJob,
