--- a/fawnwharf/durable_store/folder_reader.py
+++ b/fawnwharf/durable_store/folder_reader.py
@@ -9,11 +9,10 @@
 import msgspec
 from msgspec import Struct
 
-from fawnwharf.consensus.records import leading_records, search_records
+from fawnwharf.consensus.records import Record, leading_records, search_records
 from fawnwharf.durable_store import file_format
 
 FileContent = tuple[bytes, int]  # content and inode of a file
-Record = tuple[int, bytes]  # number and JSON
 
 
 class UnreadableFolderError(Exception):
--- a/fawnwharf/net/event_loop.py
+++ b/fawnwharf/net/event_loop.py
@@ -82,6 +82,13 @@
         return age_ms if self.trusted and 0 < age_ms < MAX_AGE_MS else 0.0
 
 
+class HasFileno(Protocol):
+    """What the selector can watch: a socket or one end of a pipe."""
+
+    def fileno(self) -> int:
+        """The file descriptor; -1 once it is closed."""
+
+
 class EventLoop:
     """Owns the selector, the timers and the events collected for the next batch."""
 
@@ -113,7 +120,7 @@
 
     def watch(
         self,
-        sock: socket.socket,
+        sock: HasFileno,
         mask: int,
         ready: Callable[[int], None],
         first: bool = False,
@@ -130,15 +137,15 @@
         elif order is not None:
             self._priorities[sock.fileno()] = order
 
-    def modify(self, sock: socket.socket, mask: int, ready: Callable[[int], None]) -> None:
+    def modify(self, sock: HasFileno, mask: int, ready: Callable[[int], None]) -> None:
         """Watch a socket for other events. Raises OSError; the socket is then no longer watched."""
         self._selector.modify(sock, mask, ready)
 
-    def watches(self, sock: socket.socket) -> bool:
+    def watches(self, sock: HasFileno) -> bool:
         """Whether a socket is watched."""
         return sock.fileno() in self._selector.get_map()
 
-    def unwatch(self, sock: socket.socket) -> None:
+    def unwatch(self, sock: HasFileno) -> None:
         """Stop watching a socket, if it is watched."""
         if self.watches(sock):
             self._selector.unregister(sock)
@@ -163,7 +170,7 @@
         """Whether the next batch has as many events as one iteration may collect."""
         return len(self._batch) >= MAX_EVENTS
 
-    def was_deferred(self, sock: socket.socket) -> bool:
+    def was_deferred(self, sock: HasFileno) -> bool:
         """Whether a socket was ready in this iteration but left for the next one."""
         return sock.fileno() in self._deferred
 
