--- a/fawnwharf/fakes/clients.py
+++ b/fawnwharf/fakes/clients.py
@@ -222,7 +222,7 @@
     def _overdue(self, line: Line, request: Request, attempt: Try) -> None:
         if line.open.pop(attempt.seqid, None) is None:
             return
-        if line.connection.up and line.connection.heard_ms < attempt.sent_ms:
+        if line.connection.up and line.connection.last_received_ms < attempt.sent_ms:
             # Nothing at all came since: it is held to be gone, as by what stands before front ends.
             self._ended(request, attempt, "late")
             self._is_down(line.front)
--- a/fawnwharf/fakes/relay.py
+++ b/fawnwharf/fakes/relay.py
@@ -102,7 +102,7 @@
         self.ways[way].append((due if delay else now, data))
         self.held[way] += len(data)
         if self.held[way] > WAITING_MOST:
-            self._in(way).read_on(False)
+            self._in(way).set_reading(False)
         self.push(way)
 
     def ended(self, way: str, end: EndReason) -> None:
@@ -138,7 +138,7 @@
             out.write(data)
             source = self._in(way)
             if self.held[way] <= WAITING_MOST // 2 and source is not None:
-                source.read_on(True)
+                source.set_reading(True)
         if all(side.connection is None or side.connection.closed for side in (self.near, self.far)):
             self.relay.pipes.pop(self, None)
         elif queue and out is not None and out.closed:
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -313,7 +313,7 @@
 
     def _admit(self, sock: socket.socket, waiting_ms: float) -> None:
         client = ClientConnection(self, sock)
-        client.connection.lay_unread(waiting_ms)
+        client.connection.assume_unread_since(waiting_ms)
         self.clients[client] = None
 
     def _room(self) -> int:
@@ -344,7 +344,7 @@
             return
         self.clients[client] = None
         if handed.empty_ms is not None:
-            client.connection.lay_unread(handed.empty_ms)
+            client.connection.assume_unread_since(handed.empty_ms)
         client.resume(handed)
         self.slow_clients.regulate(client)
 
--- a/fawnwharf/net/connection_owner.py
+++ b/fawnwharf/net/connection_owner.py
@@ -1,4 +1,4 @@
-"""Who is told what happens on a connection."""
+"""The callbacks of a connection: the protocol that its owner implements."""
 
 from typing import Protocol
 
@@ -6,26 +6,37 @@
 
 
 class ConnectionOwner(Protocol):
-    """Whoever is told what happens on a connection."""
+    """The component that a connection notifies of its events."""
 
-    def on_up(self) -> None: ...
+    def on_up(self) -> None:
+        """The connection that was dialled is established."""
 
-    def on_data(self, data: bytes) -> None: ...
+    def on_data(self, data: bytes) -> None:
+        """Bytes were received. An exception ends the connection as `EndReason.BAD_BYTES`."""
 
-    def on_flushed(self) -> None: ...
+    def on_flushed(self) -> None:
+        """An iteration's one write has been attempted, and the connection is still open."""
 
-    def on_end(self, end: EndReason) -> None: ...
+    def on_end(self, end: EndReason) -> None:
+        """The connection has ended for this reason; called exactly once, as the last callback."""
 
 
 class HalfCloseOwner(ConnectionOwner, Protocol):
-    """One that is also told that the peer has ended its output, and may still queue what the peer is owed."""
+    """An owner that is also notified when the peer ends its output.
+
+    It may still queue output in that callback: it is written before the connection ends.
+    """
 
-    def on_half_close(self) -> None: ...
+    def on_half_close(self) -> None:
+        """The peer has ended its output, but may still read."""
 
 
 class _NoOwner:
-    """Owns connections that have ended. Guards the memory: owner and connection would hold each other until
-    a full collection, which comes ever more seldom."""
+    """Owner of connections that have ended.
+
+    Limits memory use: owner and connection would refer to each other until a full garbage collection, which
+    becomes rarer as the process grows.
+    """
 
     def on_up(self) -> None: ...
 
--- a/fawnwharf/net/listener.py
+++ b/fawnwharf/net/listener.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from fawnwharf.config import Address
-from fawnwharf.net.connection import enable_receive_timestamps
+from fawnwharf.net.receive_age import enable_receive_timestamps
 from fawnwharf.net.timer_wheel import monotonic_ms, sleep_s
 
 BACKLOG = 1024
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -1,7 +1,7 @@
-"""The requests that are open here: from a client's call to its one final answer.
+"""The open requests: from a client's call to its one final outcome.
 
-No protocol of clients is known here: a Call brings what is asked and where the outcome goes, so that
-another protocol can stand before the same decisions.
+Independent of the clients' protocol: a `Call` has what is requested and where the outcome goes, so that
+another protocol can use the same decisions.
 """
 
 import itertools
@@ -18,36 +18,44 @@
 from fawnwharf.net.scorer_streams import Answer, Attempt, LoadOrder
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-MAX_BODY_BYTES = 32 * 1024 * 1024  # bytes of open requests' bodies: part of the memory limit
-FULL_RETRY_AFTER_MS = 250.0  # advice where this front end can hold no more; the module never saw the request
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of all open requests' bodies: part of the memory limit
+FULL_RETRY_AFTER_MS = 250.0  # advice where this front end has no capacity; the router is not asked
 MAX_CONCURRENCY = 30
 
 
 @dataclass(slots=True)
 class Succeeded:
+    """Outcome of a request that a scorer answered."""
+
     body: bytes
 
 
 @dataclass(slots=True)
 class Rejected:
+    """Outcome of a request that was rejected; `hold_off_ms`: when the client should retry."""
+
     hold_off_ms: float
 
 
 @dataclass(slots=True)
 class Failed:
-    pass
+    """Outcome of a request that failed."""
 
 
 Outcome = Succeeded | Rejected | Failed
 
 
 def _nothing_to_check() -> None:
-    pass
+    """Default of `Call.check_client`."""
 
 
 @dataclass(slots=True)
 class Call:
-    """What a client asks, free of its protocol."""
+    """What a client requests, independent of its protocol.
+
+    `budget_ms`: the time that the client still waits; `token`: the idempotency key, or empty; `load_ms`: how
+    long a copy takes to load; `reply`: called once, with the outcome.
+    """
 
     id: bytes
     class_name: str
@@ -62,33 +70,39 @@
     reply: Callable[[Outcome], None]
     # Called before each send: a client whose connection has ended behind unread bytes withdraws its requests.
     check_client: Callable[[], None] = _nothing_to_check
-    judged: Any = None  # by which policy, where that may change; kept by whoever takes the call
+    context: Any = None  # set by whoever receives the call, for example the policy that applies to it
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
+    """A request without a final outcome yet."""
+
     key: str
     call: Call
-    deadline_ms: float  # of the monotonic clock
+    deadline_ms: float  # on the monotonic clock
     backstop: Timer
-    attempts: int = 0  # sent so far; the module numbers them in the same order
-    left: bool = False  # its client waits no more, or its time is up
+    attempts: int = 0  # sent so far; the router numbers them in the same order
+    left: bool = False  # its client no longer waits, or its time is up
 
 
 class RequestObserver(Protocol):
-    """Who is told what goes to scorers and comes back, as it does."""
+    """A component that is notified of what is sent to scorers, and of how it ends."""
 
-    def sent(self, attempt: Attempt) -> None: ...
+    def sent(self, attempt: Attempt) -> None:
+        """An attempt is about to be sent."""
 
-    def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None: ...
+    def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None:
+        """An attempt has ended."""
 
-    def ordered(self, order: LoadOrder) -> None: ...
+    def ordered(self, order: LoadOrder) -> None:
+        """A load order is about to be sent."""
 
-    def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None: ...
+    def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None:
+        """A load order has ended; `copies`: the number that the scorer reported, 0 without an answer."""
 
 
 class RequestTable:
-    """Owns every open request, and sees to it that each gets exactly one outcome."""
+    """Owns every open request, and ensures that each gets exactly one outcome."""
 
     def __init__(
         self,
@@ -97,35 +111,37 @@
         wire: Wire,
         classes: Mapping[str, io.ClassSpec] = MappingProxyType({}),
     ) -> None:
-        """`classes`: what is known of each class; one that is unknown here must not run twice."""
+        """`classes`: specifications by class name; requests of an unknown class must not run twice."""
         self._classes = classes
+        self._loop = loop
+        self._pool = pool
+        self._wire = wire
         self.open: dict[str, OpenRequest] = {}
-        self._loop, self._pool, self._wire = loop, pool, wire
         self.observer: RequestObserver | None = None
-        self._bodies = 0
+        self._body_bytes = 0
         self._numbers = itertools.count(1)
-        # Attempts that are out, also of requests that are over: the module may still call them off.
-        self._out: dict[tuple[str, int], Attempt] = {}
-        # Orders to load that are out, by function, if a request for it was open here as they were made.
+        # Attempts without an end yet, also of requests that are closed: the router may still cancel them.
+        self._in_flight: dict[tuple[str, int], Attempt] = {}
+        # Load orders without an end yet, by function, if a request for it was open when they were created.
         self._orders: dict[str, list[LoadOrder]] = {}
-        # Tickets of arrivals that the module is yet to be handed: what ends before then it never hears of.
-        self._untold: dict[str, int] = {}
-        # Requests that ended while the module did not know it yet, of this batch and of the one before.
+        # Event numbers of arrivals that the router has yet to receive; what ends before then is kept from it.
+        self._unreported: dict[str, int] = {}
+        # Requests that ended while the router did not know it yet, of this batch and of the previous one.
         self._ended: dict[str, OpenRequest] = {}
-        self._ended_before: dict[str, OpenRequest] = {}
+        self._previously_ended: dict[str, OpenRequest] = {}
 
     # --- from clients -------------------------------------------------------------------------
 
     def take(self, call: Call) -> str | None:
-        """The key of a new request; None where it was refused at once, untouched."""
-        if len(self.open) >= self._wire.max_open or self._bodies + len(call.body) > MAX_BODY_BYTES:
+        """Open a request and return its key; None where it was rejected at once for lack of capacity."""
+        if len(self.open) >= self._wire.max_open or self._body_bytes + len(call.body) > MAX_BODY_BYTES:
             call.reply(Rejected(FULL_RETRY_AFTER_MS))
             return None
         key = f"r{next(self._numbers)}"
-        self._bodies += len(call.body)
+        self._body_bytes += len(call.body)
         backstop = self._loop.timers.after(call.budget_ms, lambda: self._overdue(key))
         self.open[key] = OpenRequest(key, call, self._loop.iteration_ms + call.budget_ms, backstop)
-        self._untold[key] = self._loop.enqueue(
+        self._unreported[key] = self._loop.enqueue(
             io.RequestArrived(
                 key, call.function, call.class_name, call.tenant, call.budget_ms, call.lanes,
                 call.memory_mb, call.load_ms,
@@ -134,22 +150,27 @@
         return key
 
     def withdraw(self, key: str) -> None:
-        """The client waits no more: no answer is owed.
+        """Close a request whose client no longer waits; it gets no reply.
 
-        Where it left in the very turn in which it asked, the module hears of neither. Guards the ration of
-        loads, which rests on requests that were taken, against clients that ask and withdraw in one go."""
+        Where it is withdrawn in the iteration in which it arrived, the router receives neither event.
+        Protects the load limit, which is based on requests that arrived, against clients that send and
+        withdraw at once.
+        """
         self._leave(key)
 
     def _overdue(self, key: str) -> None:
-        """Guards the one final answer against any fault in the decisions; they end a request earlier."""
+        """Fail a request whose time is up.
+
+        Ensures the final outcome against any error of the router, which ends requests earlier.
+        """
         if request := self._leave(key):
             request.call.reply(Failed())
 
     def _leave(self, key: str) -> OpenRequest | None:
         if request := self._close(key):
             request.left = True
-            if (ticket := self._untold.pop(key, None)) is not None:
-                self._loop.discard(ticket)
+            if (number := self._unreported.pop(key, None)) is not None:
+                self._loop.discard(number)
             else:
                 self._ended[key] = request
                 self._loop.enqueue(io.RequestCancelled(key))
@@ -160,7 +181,7 @@
         request = self.open.pop(key, None)
         if request:
             request.backstop.cancel()
-            self._bodies -= len(request.call.body)
+            self._body_bytes -= len(request.call.body)
         return request
 
     def _finish(self, key: str, outcome: Outcome) -> None:
@@ -170,15 +191,17 @@
             self._cancel_unsent_work(request)
 
     def _cancel_unsent_work(self, request: OpenRequest) -> None:
-        """What no byte has left of, of a request that is over: its attempts, and orders to load that were
-        made for requests of its function of which none waits any more. Settings don't matter here, as no
-        scorer hears of it."""
+        """Cancel what was not sent for a closed request.
+
+        Its attempts, and load orders created for requests of its function if none of these waits any more. No
+        setting is consulted, as no scorer receives anything of it.
+        """
         for number in range(request.attempts):
-            if attempt := self._out.get((request.key, number)):
+            if attempt := self._in_flight.get((request.key, number)):
                 self._pool.cancel_unsent(attempt)
         function = request.call.function
         orders = [order for order in self._orders.get(function, ()) if not order.begun]
-        if orders and not self._is_asked(function):
+        if orders and not self._is_requested(function):
             for order in orders:
                 self._pool.cancel_unsent(order)
 
@@ -187,35 +210,39 @@
         for request in [each for each in self.open.values() if each.call.function == function]:
             request.call.check_client()
 
-    def _is_asked(self, function: str) -> bool:
+    def _is_requested(self, function: str) -> bool:
         """Whether a request for the function is open here."""
         return any(request.call.function == function for request in self.open.values())
 
-    # --- from the module ----------------------------------------------------------------------
+    # --- from the router ----------------------------------------------------------------------
 
     def begin_batch(self) -> None:
-        self._ended_before, self._ended = self._ended, {}
-        self._untold.clear()
+        """Note that the router receives the batch of events now."""
+        self._previously_ended = self._ended
+        self._ended = {}
+        self._unreported.clear()
 
     def send(self, action: io.Send) -> None:
-        key, worker = action.request, action.scorer
-        request = self.open.get(key) or self._ended.get(key) or self._ended_before.get(key)
+        """Send an attempt of a request; where that ended meanwhile, report the attempt as not sent."""
+        key = action.request
+        request = self.open.get(key) or self._ended.get(key) or self._previously_ended.get(key)
         if request is None:
             return
         if key in self.open:
             request.call.check_client()
-        number, request.attempts = request.attempts, request.attempts + 1
-        if key not in self.open:  # it ended in the very batch that this answers
+        number = request.attempts
+        request.attempts += 1
+        if key not in self.open:  # it ended in the batch that this action answers
             self._loop.enqueue(
-                io.AttemptEnded(key, number, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True)
+                io.AttemptEnded(key, number, action.scorer, io.AttemptResult.NOT_SENT, 0.0, closed=True)
             )
             return
         call = request.call
-        attempt = self._out[key, number] = Attempt(
-            worker=worker,
+        attempt = self._in_flight[key, number] = Attempt(
+            scorer=action.scorer,
             ended=lambda attempt, end, answer: self._attempt_ended(key, number, attempt, end, answer),
             id=call.id,
-            kind=call.class_name,
+            class_name=call.class_name,
             function=call.function,
             token=call.token,
             body=call.body,
@@ -227,13 +254,16 @@
         self._pool.send(attempt)
 
     def cancel(self, action: io.Cancel) -> None:
-        if attempt := self._out.get((action.request, action.attempt)):
+        """Cancel an attempt that has not ended."""
+        if attempt := self._in_flight.get((action.request, action.attempt)):
             self._pool.cancel(attempt)
 
     def reject(self, action: io.Reject) -> None:
+        """Close a request as rejected."""
         self._finish(action.request, Rejected(action.hold_off_ms))
 
     def fail(self, action: io.Fail) -> None:
+        """Close a request as failed."""
         self._finish(action.request, Failed())
 
     # --- from scorers -------------------------------------------------------------------------
@@ -241,64 +271,73 @@
     def _attempt_ended(
         self, key: str, number: int, attempt: Attempt, end: EndReason | None, answer: Answer | None
     ) -> None:
-        del self._out[key, number]
+        del self._in_flight[key, number]
         if answer is None:
-            whole = attempt.whole or not self._may_repeat(attempt)
-            ending, warmth = (
-                attempt_result(end or EndReason.NEVER_SENT, attempt.begun, whole),
-                io.Warmth.UNTOLD,
-            )
-            crowd = None
+            complete = attempt.complete or not self._may_repeat(attempt)
+            ending = attempt_result(end or EndReason.NEVER_SENT, attempt.begun, complete)
+            warmth = io.Warmth.UNTOLD
+            concurrency = None
         else:
-            ending, warmth, crowd = answer.ending, answer.warmth, self._crowd(answer)
+            ending = answer.ending
+            warmth = answer.warmth
+            concurrency = self._reported_concurrency(answer)
         good = answer is not None and ending is io.AttemptResult.GOOD
         if self.observer:
             self.observer.ended(attempt, ending, warmth)
-        took = monotonic_ms() - attempt.began_ms
+        took_ms = monotonic_ms() - attempt.began_ms
         closed = good or key not in self.open
-        # Told before it is finished, as that ends its other attempts: the module takes ends in their order.
-        self._loop.enqueue(io.AttemptEnded(key, number, attempt.worker, ending, took, closed, warmth, crowd))
-        if good:
+        # Enqueued before the request is finished, which ends its other attempts: the order of ends matters.
+        self._loop.enqueue(
+            io.AttemptEnded(key, number, attempt.scorer, ending, took_ms, closed, warmth, concurrency)
+        )
+        if answer is not None and good:
             self._finish(key, Succeeded(answer.body))
 
     def _may_repeat(self, attempt: Attempt) -> bool:
-        """Whether what can't have run may be sent again, though some of it was written."""
-        spec = self._classes.get(attempt.kind)
+        """Whether an attempt that can't have run may be repeated although some of it was written."""
+        spec = self._classes.get(attempt.class_name)
         return spec is not None and spec.effect is not io.Effect.AT_MOST_ONCE
 
-    def _crowd(self, answer: Answer) -> int | None:
+    def _reported_concurrency(self, answer: Answer) -> int | None:
         if not self._wire.tells_crowd or answer.ending not in (io.AttemptResult.GOOD, io.AttemptResult.FULL):
             return None
-        return min(MAX_CONCURRENCY, answer.crowd)
+        return min(MAX_CONCURRENCY, answer.concurrency)
 
     def start_load(self, action: io.OrderCopies) -> None:
+        """Send a load order, or a query for the number of copies, to a scorer.
+
+        Where the clients that waited for the function have gone in the meantime, an order is reported as not
+        sent.
+        """
         order = LoadOrder(action.scorer, self._order_ended, action.function, action.copies)
         if self.observer:
             self.observer.ordered(order)
         if order.copies:
             self._check_clients(order.function)
-        if order.copies and self._is_asked(order.function):
+        if order.copies and self._is_requested(order.function):
             self._orders.setdefault(order.function, []).append(order)
-        elif order.copies and self._was_asked(order.function):
+        elif order.copies and self._was_requested(order.function):
             self._order_ended(order, EndReason.NEVER_SENT, None)
             return
         self._pool.start_load(order)
 
-    def _was_asked(self, function: str) -> bool:
-        """Whether a client left that waited for the function in the very batch that is carried out."""
-        ended = itertools.chain(self._ended.values(), self._ended_before.values())
+    def _was_requested(self, function: str) -> bool:
+        """Whether a client that waited for the function left in the batch that is being executed."""
+        ended = itertools.chain(self._ended.values(), self._previously_ended.values())
         return any(request.left and request.call.function == function for request in ended)
 
     def _order_ended(self, order: LoadOrder, end: EndReason | None, answer: Answer | None) -> None:
         self._forget(order)
-        took = monotonic_ms() - order.began_ms
-        ending = (
-            answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, order.begun, order.whole)
-        )
-        copies = answer.copies if answer else 0
+        took_ms = monotonic_ms() - order.began_ms
+        if answer:
+            ending = answer.ending
+            copies = answer.copies
+        else:
+            ending = attempt_result(end or EndReason.NEVER_SENT, order.begun, order.complete)
+            copies = 0
         if self.observer:
             self.observer.order_ended(order, ending, copies)
-        self._loop.enqueue(io.LoadOrderAnswered(order.worker, order.function, ending, copies, took))
+        self._loop.enqueue(io.LoadOrderAnswered(order.scorer, order.function, ending, copies, took_ms))
 
     def _forget(self, order: LoadOrder) -> None:
         orders = self._orders.get(order.function, [])
--- a/fawnwharf/net/scorer_frames.py
+++ b/fawnwharf/net/scorer_frames.py
@@ -1,93 +1,111 @@
-"""The binary frames between front ends and scorers. Pure: bytes in, frames out, and back."""
+"""The binary frames between front ends and scorers: encoding and decoding, without any input or output."""
 
 import struct
 import zlib
 from dataclasses import dataclass
 
-FROM_FRONT_END, FROM_SCORER = 128, 129
-RUN, ABANDON, LOAD, UNLOAD = 1, 2, 5, 7
-OK, MISS, FULL, ERROR, EXPIRED = 0, 2, 3, 4, 5
-MAX_BODY_BYTES = 256 * 1024  # far over any body that a client may be passed; a length beyond it is no frame
+FROM_FRONT_END, FROM_SCORER = 128, 129  # the first byte of a frame: its direction
+RUN, ABANDON, LOAD, UNLOAD = 1, 2, 5, 7  # codes of requests
+OK, MISS, FULL, ERROR, EXPIRED = 0, 2, 3, 4, 5  # codes of answers
+MAX_BODY_BYTES = 256 * 1024  # far above any body that a client may receive; a longer one is malformed
 
 APPROXIMATE_HEADER_BYTES = 100  # bytes of a frame without its token and its body
+KEY_BYTES = 8  # of a request's id and of a function's key
 
 _HEADER = struct.Struct(">BBHI8s")
-_CHECK = struct.Struct(">I")
+_CHECKSUM = struct.Struct(">I")
 
 
 @dataclass(slots=True)
 class Frame:
+    """A decoded frame: its code, the id of the request, the text fields and the body."""
+
     code: int
     id: bytes
     fields: dict[str, str]
     body: bytes
 
 
-def encode(code: int, id: bytes, fields: str = "", body: bytes = b"", mark: int = FROM_FRONT_END) -> bytes:
+def encode(
+    code: int, request_id: bytes, fields: str = "", body: bytes = b"", direction: int = FROM_FRONT_END
+) -> bytes:
+    """The bytes of a frame; `fields` as `name=value,name=value`, `request_id` of 8 bytes."""
     data = fields.encode()
-    check = zlib.crc32(body, zlib.crc32(data))
-    return _HEADER.pack(mark, code, len(data), len(body), id) + data + body + _CHECK.pack(check)
+    checksum = zlib.crc32(body, zlib.crc32(data))
+    header = _HEADER.pack(direction, code, len(data), len(body), request_id)
+    return header + data + body + _CHECKSUM.pack(checksum)
 
 
-def fields_from(data: bytes) -> dict[str, str]:
-    """`name=value,name=value`; a part without a name or a sign says nothing and is passed over."""
+def parse_fields(data: bytes) -> dict[str, str]:
+    """Parse `name=value,name=value`; a part without a name or an equals sign is ignored."""
     parts = (part.partition("=") for part in data.decode("utf-8", "replace").split(",") if part)
     return {name: value for name, sign, value in parts if sign and name}
 
 
-def run(id: bytes, kind: str, function: str, wait_ms: float, token: str, body: bytes) -> bytes:
+def run(request_id: bytes, kind: str, function: str, wait_ms: float, token: str, body: bytes) -> bytes:
+    """The frame that runs a request.
+
+    `kind`: the class's name; `wait_ms`: the remaining time in milliseconds, sent as a whole number of at
+    least 1; `token`: the idempotency key, empty where there is none.
+    """
     fields = f"kind={kind},obj={function},ms={max(1, int(wait_ms))}"
-    return encode(RUN, id, f"{fields},token={token}" if token else fields, body)
+    return encode(RUN, request_id, f"{fields},token={token}" if token else fields, body)
 
 
-def abandon(id: bytes) -> bytes:
-    return encode(ABANDON, id)
+def abandon(request_id: bytes) -> bytes:
+    """The frame that cancels a request."""
+    return encode(ABANDON, request_id)
 
 
-def load(id: bytes, function: str, copies: int) -> bytes:
-    return encode(LOAD, id, f"obj={function},slots_up={copies}")
+def load(request_id: bytes, function: str, copies: int) -> bytes:
+    """The frame that orders copies of a function to be loaded; with none, it queries how many there are."""
+    return encode(LOAD, request_id, f"obj={function},slots_up={copies}")
 
 
 def unload(function: str) -> bytes:
-    """The function's idle copies are to go; no answer. Its key stands as the id: 16 hex digits, else
-    ValueError."""
-    id = bytes.fromhex(function)
-    if len(id) != 8:
+    """The frame that unloads a function's idle copies; it gets no answer.
+
+    The function's key stands in place of the request's id. Raises ValueError for a key that is not 16 hex
+    digits.
+    """
+    key = bytes.fromhex(function)
+    if len(key) != KEY_BYTES:
         raise ValueError(f"not a function's key: {function[:40]!r}")
-    return encode(UNLOAD, id)
+    return encode(UNLOAD, key)
 
 
 class FrameReader:
-    """Splits a scorer's stream into frames; keeps at most one that is not whole yet."""
+    """Splits a received byte stream into frames; buffers at most one incomplete frame."""
 
-    def __init__(self, mark: int = FROM_SCORER) -> None:
+    def __init__(self, direction: int = FROM_SCORER) -> None:
         self._buffer = bytearray()
-        self._mark = mark
-        self.fault = ""  # set once bytes came that are no frame: nothing after them can be read
+        self._direction = direction
+        self.fault = ""  # what was malformed; nothing after it can be decoded
 
     @property
-    def waits(self) -> bool:
-        """Whether a frame has begun and is not whole yet."""
+    def has_partial_frame(self) -> bool:
+        """Whether a frame has begun and is not complete yet."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that are now whole, up to a fault."""
+        """Add received bytes and return the frames that are now complete, up to a malformed one."""
         self._buffer += data
-        found: list[Frame] = []
+        frames: list[Frame] = []
         start = 0
         while len(self._buffer) - start >= _HEADER.size:
-            mark, code, fields, body, id = _HEADER.unpack_from(self._buffer, start)
-            if mark != self._mark or body > MAX_BODY_BYTES:
-                self.fault = f"mark {mark}, body of {body} bytes"
+            direction, code, fields_bytes, body_bytes, request_id = _HEADER.unpack_from(self._buffer, start)
+            if direction != self._direction or body_bytes > MAX_BODY_BYTES:
+                self.fault = f"mark {direction}, body of {body_bytes} bytes"
                 break
-            end = start + _HEADER.size + fields + body
-            if len(self._buffer) < end + _CHECK.size:
+            end = start + _HEADER.size + fields_bytes + body_bytes
+            if len(self._buffer) < end + _CHECKSUM.size:
                 break
             content = bytes(self._buffer[start + _HEADER.size : end])
-            if zlib.crc32(content) != _CHECK.unpack_from(self._buffer, end)[0]:
-                self.fault = "the check does not fit"
+            if zlib.crc32(content) != _CHECKSUM.unpack_from(self._buffer, end)[0]:
+                self.fault = "wrong checksum"
                 break
-            found.append(Frame(code, id, fields_from(content[:fields]), content[fields:]))
-            start = end + _CHECK.size
+            fields = parse_fields(content[:fields_bytes])
+            frames.append(Frame(code, request_id, fields, content[fields_bytes:]))
+            start = end + _CHECKSUM.size
         del self._buffer[:start]
-        return found
+        return frames
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -1,4 +1,4 @@
-"""The scorers: who they are, who gets a connection when, and the attempts and orders on these."""
+"""The scorers: which there are, their links, and the attempts and load orders that are placed on these."""
 
 import itertools
 import random
@@ -16,126 +16,125 @@
 from fawnwharf.net.scorer_streams import WARMTH_BY_FIELD, Answer, Attempt, LoadOrder, Stream, parse_count
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-SILENT_MS = 1_000.0  # a link that owes an answer and says nothing for this long gets nothing new
-KEEPALIVE_SHARE = (
-    0.7  # of the keep-alive: closed here before the scorer does, so that no send crosses a close
-)
-# Something on the way may forget links that were idle for far less than the keep-alive: a call that is reset
-# at once on such a link says how long is too long. The trust grows again while nothing of the kind happens.
-STALE_RESET_MS = 20.0  # a reset so soon after the first bytes was none by the call
-MIN_REUSE_IDLE_MS, REUSE_IDLE_DECREASE, REUSE_IDLE_GROWTH = (
-    50.0,
-    0.7,
-    1.02,
-)  # the last at each look, four times a second
-REDIAL_DELAY_MS = (
-    20.0  # after a dial that failed by a fault of this machine's own, which may have passed then
-)
-MAX_REDIALS = 3  # in a row: a dial that is reset as it comes up shows that somebody listens
+SILENT_MS = 1_000.0  # a link on which answers are due and nothing is received for this long gets nothing new
+KEEPALIVE_SHARE = 0.7  # of the keep-alive: closed here before the scorer does, so no send crosses a close
+# Devices on the path may drop connections that were idle for far less than the keep-alive: a request that is
+# reset at once on such a link shows how long is too long. The limit grows again while this does not happen.
+STALE_RESET_MS = 20.0  # a reset this soon after the first bytes was not caused by the request
+MIN_REUSE_IDLE_MS = 50.0
+REUSE_IDLE_DECREASE = 0.7
+REUSE_IDLE_GROWTH = 1.02  # at each maintenance run, four times a second
+REDIAL_DELAY_MS = 20.0  # after a dial that failed by a transient error of this machine
+MAX_REDIALS = 3  # in a row: a dial that is reset as it is established shows that a process listens
 MAX_CONNECTIONS = 6  # to one scorer
-SPREAD_CONNECTIONS = (
-    4  # up to so many, a call finds a link of its own: what spoils one ends all that is on it
-)
-EXPENSIVE_HANDSHAKE = 0.02  # where a handshake costs more points, calls share links while these have room
-SPREAD_SHARE = 0.7  # of the descriptors for links: the rest is kept for calls that find none
+SPREAD_CONNECTIONS = 4  # up to this many, each stream gets its own link: a broken link ends all that is on it
+EXPENSIVE_HANDSHAKE = 0.02  # where a handshake costs more points, streams share links that have capacity
+SPREAD_SHARE = 0.7  # of the descriptors for links: the others are reserved for requests that find no link
 
 
 @dataclass(slots=True, eq=False)
 class Scorer:
-    """A scorer by its number, never by its address alone: a new one may have a gone one's."""
+    """A scorer, identified by its number and never by its address alone, as a successor may reuse that."""
 
     id: int
     address: Address
     state: ScorerState
     up_since_ms: float
-    redials: int = 0  # since a link came up
+    redials: int = 0  # since a link was established
     links: list[ScorerConnection] = field(default_factory=list)
     waiting: deque[Stream] = field(default_factory=deque)
-    redial: Timer | None = None  # set while a fault of this machine's own keeps it from being dialled
-
-    def link_for(self, id: bytes, trust_ms: float) -> ScorerConnection | None:
-        able = [link for link in self.links if link.up and not link.retired and link.takes(id)]
-        able = [link for link in able if link.idle_ms() <= trust_ms]
-        lively = [link for link in able if not link.quiet(SILENT_MS)]
-        if not lively and len(self.links) >= MAX_CONNECTIONS:
-            lively = able
-        # Of links that are as empty, the one used last: one long idle may be about to be closed.
-        best = min(lively, key=lambda link: (len(link.streams), -link.connection.used_ms), default=None)
+    redial: Timer | None = None  # set while a transient error of this machine delays the next dial
+
+    def link_for(self, request_id: bytes, max_idle_ms: float) -> ScorerConnection | None:
+        """The link on which a stream with this id should be started, idle for `max_idle_ms` at most."""
+        usable = [link for link in self.links if link.up and not link.retired and link.accepts(request_id)]
+        usable = [link for link in usable if link.idle_ms() <= max_idle_ms]
+        responsive = [link for link in usable if not link.is_silent(SILENT_MS)]
+        if not responsive and len(self.links) >= MAX_CONNECTIONS:
+            responsive = usable
+        # Among equally loaded links, the one used last: one that was idle for long may be about to be closed.
+        best = min(responsive, key=lambda link: (len(link.streams), -link.connection.used_ms), default=None)
         if best and not best.streams and best.connection.unread() == b"":
-            # Guards calls that may not run twice: what is written to an ended connection may have run.
+            # Protects calls that must not run twice: what is written to an ended connection may have run.
             best.connection.close(EndReason.CLOSED_BY_PEER)
-            return self.link_for(id, trust_ms)
+            return self.link_for(request_id, max_idle_ms)
         return best
 
-    def crowded(self) -> bool:
-        """Whether the next call would share a link, while there may be more of them."""
+    def needs_spread(self) -> bool:
+        """Whether the next stream would share a link although there may be more of them."""
         return len(self.links) < SPREAD_CONNECTIONS and all(link.up and link.streams for link in self.links)
 
-    def current(self) -> list[ScorerConnection]:
-        """Its links, without those to an address or a process that it had before."""
+    def current_links(self) -> list[ScorerConnection]:
+        """Its links, without those to an earlier address or process."""
         return [link for link in self.links if not link.retired]
 
     def dialling(self) -> int:
-        """The dials under way that what waits may go by."""
-        return sum(not link.up for link in self.current())
+        """The number of dials in progress that waiting streams may use."""
+        return sum(not link.up for link in self.current_links())
 
 
 class ScorerPool:
-    """Owns the scorers and their links, within a share of the descriptors."""
+    """Owns the scorers and their links, within its share of the descriptors."""
 
-    def __init__(self, loop: EventLoop, wire: Wire, links_most: int, seed: int, log: LogWriter) -> None:
-        self.loop, self.wire, self.log = loop, wire, log
+    def __init__(self, loop: EventLoop, wire: Wire, max_connections: int, seed: int, log: LogWriter) -> None:
+        self.loop = loop
+        self.wire = wire
+        self.log = log
         self.scorers: dict[int, Scorer] = {}
-        self.max_connections, self._links = links_most, 0
-        self._trust_most_ms = max(MIN_REUSE_IDLE_MS, KEEPALIVE_SHARE * wire.keepalive_ms)
-        self._trust_ms = self._trust_most_ms  # a link idle for longer is not used again
+        self.max_connections = max_connections
+        self._link_count = 0
+        self._reuse_idle_limit_ms = max(MIN_REUSE_IDLE_MS, KEEPALIVE_SHARE * wire.keepalive_ms)
+        self._reuse_idle_ms = self._reuse_idle_limit_ms  # a link idle for longer is not used again
         self._order_ids = itertools.count(random.Random(seed).getrandbits(62))
 
     # --- the roster ---------------------------------------------------------------------------
 
-    def update(self, id: int, address: Address | None, state: ScorerState, up_since_ms: float) -> None:
-        scorer = self.scorers.get(id)
+    def update(self, number: int, address: Address | None, state: ScorerState, up_since_ms: float) -> None:
+        """Apply a scorer's roster entry; `address` None: unchanged; `up_since_ms`: its start."""
+        scorer = self.scorers.get(number)
         if scorer is None:
             if address is not None and state is not ScorerState.GONE:
-                self.scorers[id] = Scorer(id, address, state, up_since_ms)
+                self.scorers[number] = Scorer(number, address, state, up_since_ms)
             return
         moved = address is not None and address != scorer.address
-        anew = moved or up_since_ms > scorer.up_since_ms
-        unsent = self._retire(scorer) if anew else []
+        restarted = moved or up_since_ms > scorer.up_since_ms
+        unsent = self._retire(scorer) if restarted else []
         scorer.address = address or scorer.address
-        scorer.state, scorer.up_since_ms = state, max(up_since_ms, scorer.up_since_ms)
+        scorer.state = state
+        scorer.up_since_ms = max(up_since_ms, scorer.up_since_ms)
         if state is not ScorerState.READY:
             self._pull_back(scorer)
         if state is ScorerState.GONE:
             self._retire(scorer)
             self._drop_if_empty(scorer)
-        if anew:  # what had not left yet is for the new process, or the new address
+        if restarted:  # what was not sent yet is for the new process or address
             scorer.redials = 0
             for stream in unsent:
                 self._place(stream)
             self._place_waiting(scorer)
 
-    def remove_unlisted(self, named: set[int]) -> None:
-        """A complete list was told: whoever it does not name is gone."""
-        for id in [id for id in self.scorers if id not in named]:
-            self.update(id, None, ScorerState.GONE, 0.0)
+    def remove_unlisted(self, listed: set[int]) -> None:
+        """Treat all scorers that a complete list does not name as gone."""
+        for number in [number for number in self.scorers if number not in listed]:
+            self.update(number, None, ScorerState.GONE, 0.0)
 
     def _pull_back(self, scorer: Scorer) -> None:
-        """Nothing new may leave for it now: what is unwritten or waits for a dial comes back."""
+        """End streams that must no longer be sent: unwritten ones, and those that wait for a dial."""
         unwritten = [stream for link in scorer.links for stream in link.unwritten()]
         for stream in [*scorer.waiting, *unwritten]:
             if stream.is_new_work or scorer.state is ScorerState.GONE:
-                self._take_off(stream)
+                self._detach(stream)
                 self._end(stream, EndReason.PULLED_BACK)
 
     def _retire(self, scorer: Scorer) -> list[Stream]:
-        """Use its links for nothing new; the streams on them of which nothing was written, taken off."""
+        """Use its links for nothing new; returns their streams of which nothing was written, detached."""
         unsent: list[Stream] = []
         for link in list(scorer.links):
             link.retired = True
             for stream in link.unwritten():
                 link.withdraw(stream)
-                stream.link = stream.piece = None
+                stream.link = None
+                stream.buffer = None
                 unsent.append(stream)
             if link.up and not link.streams:
                 link.connection.close(EndReason.RETIRED)
@@ -148,45 +147,56 @@
     # --- sending ------------------------------------------------------------------------------
 
     def send(self, attempt: Attempt) -> None:
-        self._watch_time(attempt)
+        """Send an attempt to its scorer; it ends by itself when its time is up."""
+        self._start_timer(attempt)
         self._place(attempt)
 
-    def _watch_time(self, attempt: Attempt) -> None:
+    def _start_timer(self, attempt: Attempt) -> None:
         due_ms = attempt.deadline_ms if attempt.begun else min(attempt.deadline_ms, attempt.begin_by_ms)
         attempt.timer = self.loop.timers.after(due_ms - monotonic_ms(), lambda: self._time_is_up(attempt))
 
     def _time_is_up(self, attempt: Attempt) -> None:
         if attempt.begun and monotonic_ms() < attempt.deadline_ms:
-            self._watch_time(attempt)
+            self._start_timer(attempt)
         else:
-            self._out_of_time(attempt)
+            self._time_out(attempt)
 
     def start_load(self, order: LoadOrder) -> None:
+        """Send a load order to its scorer; it ends by itself after `Wire.load_wait_ms`."""
         order.id = next(self._order_ids).to_bytes(8, "big")
-        order.timer = self.loop.timers.after(self.wire.load_wait_ms, lambda: self._out_of_time(order))
+        order.timer = self.loop.timers.after(self.wire.load_wait_ms, lambda: self._time_out(order))
         self._place(order)
 
-    def unload(self, worker: int, function: str) -> bool:
-        """Have a function's idle copies unloaded there, where a link is up; there is no answer. Copies that
-        are not unloaded lapse, so nothing is dialled for it. Raises ValueError for what is no key."""
+    def unload(self, number: int, function: str) -> bool:
+        """Have a function's idle copies unloaded at a scorer, where a link is up; there is no answer.
+
+        Nothing is dialled for it, as idle copies expire. Raises ValueError for a malformed function key.
+        """
         frame = frames.unload(function)
-        scorer = self.scorers.get(worker)
-        link = scorer.link_for(b"", self._trust_ms) if scorer and scorer.state is ScorerState.READY else None
+        scorer = self.scorers.get(number)
+        if scorer is None or scorer.state is not ScorerState.READY:
+            return False
+        link = scorer.link_for(b"", self._reuse_idle_ms)
         if link is not None:
             link.connection.write(frame)
         return link is not None
 
     def _place(self, stream: Stream) -> None:
+        """Start a stream on a link, or have it wait for one."""
         if stream.over:
             return
-        scorer = self.scorers.get(stream.worker)
-        closed = scorer is None or scorer.state is ScorerState.GONE
-        if closed or (stream.is_new_work and scorer.state is not ScorerState.READY) or stream.too_late():
+        scorer = self.scorers.get(stream.scorer)
+        if (
+            scorer is None
+            or scorer.state is ScorerState.GONE
+            or (stream.is_new_work and scorer.state is not ScorerState.READY)
+            or stream.is_expired()
+        ):
             self._end(stream, EndReason.NEVER_SENT)
-        elif link := scorer.link_for(stream.id, self._trust_ms):
-            stream.wait_no_longer()
+        elif link := scorer.link_for(stream.id, self._reuse_idle_ms):
+            stream.stop_waiting()
             link.start(stream)
-            if scorer.crowded() and self._may_spread():
+            if scorer.needs_spread() and self._may_spread():
                 self._dial_one(scorer)
         else:
             self._wait(scorer, stream)
@@ -196,13 +206,13 @@
         scorer.waiting.append(stream)
         self._dial(scorer)
         if stream.wait_timer is None and not stream.over:
-            most = self.wire.dial_timeout_ms
-            stream.wait_timer = self.loop.timers.after(most, lambda: self._waited_out(stream))
+            max_wait_ms = self.wire.dial_timeout_ms
+            stream.wait_timer = self.loop.timers.after(max_wait_ms, lambda: self._wait_timed_out(stream))
 
-    def _waited_out(self, stream: Stream) -> None:
-        self._take_off(stream)
+    def _wait_timed_out(self, stream: Stream) -> None:
+        self._detach(stream)
         self._end(stream, EndReason.NEVER_SENT)
-        if scorer := self.scorers.get(stream.worker):
+        if scorer := self.scorers.get(stream.scorer):
             self._drop_if_empty(scorer)
 
     def _place_waiting(self, scorer: Scorer) -> None:
@@ -211,14 +221,14 @@
             self._place(stream)
 
     def _may_spread(self) -> bool:
-        """Guards scorers' connections and the price: many front ends with links to each run them short."""
+        """Whether additional links may be dialled; protects scorers that have many front ends."""
         cheap = self.wire.handshake_price < EXPENSIVE_HANDSHAKE
-        return cheap and self._links < SPREAD_SHARE * self.max_connections
+        return cheap and self._link_count < SPREAD_SHARE * self.max_connections
 
     def _dial(self, scorer: Scorer) -> None:
-        """As many dials as the waiting streams need; none while a fault of this machine's own may last."""
+        """Start as many dials as the waiting streams need; none while a transient local error may last."""
         while scorer.redial is None and scorer.dialling() * self.wire.streams_per_conn < len(scorer.waiting):
-            full = len(scorer.current()) >= MAX_CONNECTIONS or not self._has_room()
+            full = len(scorer.current_links()) >= MAX_CONNECTIONS or not self._has_capacity()
             failed = EndReason.NO_DESCRIPTOR if full else self._dial_one(scorer)
             if failed in LOCAL_REASONS and not full:
                 self._dial_later(scorer)
@@ -227,20 +237,20 @@
             if failed:
                 return
 
-    def _has_room(self) -> bool:
-        """Whether there may be one more link; an idle one gives way where all are in use.
+    def _has_capacity(self) -> bool:
+        """Whether one more link is allowed; where all are in use, the longest idle one is closed for it.
 
-        Guards calls where there are more scorers than links: they would be turned away for idle links."""
-        if self._links >= self.max_connections:
+        Protects requests where there are more scorers than links: idle links would have them rejected.
+        """
+        if self._link_count >= self.max_connections:
             links = [link for scorer in self.scorers.values() for link in scorer.links]
             idle = [link for link in links if link.up and not link.streams]
-            if longest := max(idle, key=ScorerConnection.idle_ms, default=None):
-                longest.connection.close(EndReason.IDLE)
-        return self._links < self.max_connections
+            if longest_idle := max(idle, key=ScorerConnection.idle_ms, default=None):
+                longest_idle.connection.close(EndReason.IDLE)
+        return self._link_count < self.max_connections
 
     def _dial_later(self, scorer: Scorer) -> None:
-        """Guards the scorer's good name, the loop and the requests against a passing fault of this machine:
-        what waits goes on waiting, and is dialled for again after a pause."""
+        """Keep streams waiting and dial after a pause: a local error says nothing about the scorer."""
         if scorer.redial is None:
             scorer.redial = self.loop.timers.after(REDIAL_DELAY_MS, lambda: self._dial_again(scorer))
 
@@ -250,13 +260,13 @@
 
     def _dial_one(self, scorer: Scorer) -> EndReason | None:
         link = ScorerConnection(self, scorer)
-        made = Connection.dial(self.loop, scorer.address, link, self.wire.dial_timeout_ms)
-        if isinstance(made, EndReason):
-            return made
-        link.connection = made
-        made.limit_parts(MAX_PARTIAL_WRITE_MS)
+        dialled = Connection.dial(self.loop, scorer.address, link, self.wire.dial_timeout_ms)
+        if isinstance(dialled, EndReason):
+            return dialled
+        link.connection = dialled
+        dialled.limit_partial_writes(MAX_PARTIAL_WRITE_MS)
         scorer.links.append(link)
-        self._links += 1
+        self._link_count += 1
         return None
 
     def _fail_waiting(self, scorer: Scorer, end: EndReason) -> None:
@@ -265,6 +275,7 @@
             self._end(stream, end)
 
     def link_up(self, link: ScorerConnection) -> None:
+        """Use a link that has been established."""
         if not link.retired:
             link.scorer.redials = 0
             self._place_waiting(link.scorer)
@@ -274,17 +285,22 @@
     # --- ends ---------------------------------------------------------------------------------
 
     def link_ended(self, link: ScorerConnection, end: EndReason) -> None:
+        """Remove a link that has ended; its streams end too, or are placed again if nothing was written."""
         scorer = link.scorer
         scorer.links.remove(link)
-        self._links -= 1
-        if (gap := link.stale_after_ms(end, STALE_RESET_MS)) is not None and gap >= MIN_REUSE_IDLE_MS:
-            self._trust_ms = min(self._trust_ms, max(MIN_REUSE_IDLE_MS, REUSE_IDLE_DECREASE * gap))
-        streams, link.streams = list(link.streams.values()), {}
+        self._link_count -= 1
+        idle_ms = link.stale_idle_ms(end, STALE_RESET_MS)
+        if idle_ms is not None and idle_ms >= MIN_REUSE_IDLE_MS:
+            decreased_ms = max(MIN_REUSE_IDLE_MS, REUSE_IDLE_DECREASE * idle_ms)
+            self._reuse_idle_ms = min(self._reuse_idle_ms, decreased_ms)
+        streams = list(link.streams.values())
+        link.streams = {}
         for stream in streams:
             if stream.begun or end is EndReason.STOPPED:
                 self._end(stream, end)
-            else:  # the scorer saw none of it: another connection may serve
-                stream.link = stream.piece = None
+            else:  # the scorer received nothing of it: another connection may serve
+                stream.link = None
+                stream.buffer = None
                 self._place(stream)
         if not link.connection.up and not link.retired:
             self._dial_failed(scorer, end)
@@ -302,42 +318,45 @@
             self._fail_waiting(scorer, end)
 
     def answered(self, stream: Stream, frame: frames.Frame) -> None:
+        """End a stream by the scorer's answer."""
         fields = frame.fields
         warmth = WARMTH_BY_FIELD.get(fields.get("res", ""), Warmth.UNTOLD)
-        crowd, copies = parse_count(fields.get("company")), parse_count(fields.get("slots_up"))
-        self._end(stream, None, Answer(stream.ending(frame.code), frame.body, warmth, crowd, copies))
+        concurrency = parse_count(fields.get("company"))
+        copies = parse_count(fields.get("slots_up"))
+        self._end(stream, None, Answer(stream.result_of(frame.code), frame.body, warmth, concurrency, copies))
 
     def cancel(self, stream: Stream) -> None:
+        """End a stream as cancelled, whether or not it was sent."""
         if not stream.over:
-            self._take_off(stream)
+            self._detach(stream)
             self._end(stream, EndReason.CALLED_OFF)
 
     def cancel_unsent(self, stream: Stream) -> None:
         """End it as never sent where nothing of it has been written; else leave it as it is."""
         if not stream.over and not stream.begun:
-            self._take_off(stream)
+            self._detach(stream)
             self._end(stream, EndReason.NEVER_SENT)
 
     def expired(self, stream: Stream) -> None:
-        """It was too late when it was to be written; the link has let go of it."""
+        """End a stream that had expired when it was to be written; its link has removed it."""
         self._end(stream, EndReason.NEVER_SENT)
 
-    def _out_of_time(self, stream: Stream) -> None:
+    def _time_out(self, stream: Stream) -> None:
         begun = stream.begun
-        self._take_off(stream)
+        self._detach(stream)
         self._end(stream, EndReason.OUT_OF_TIME if begun else EndReason.NEVER_SENT)
 
-    def _take_off(self, stream: Stream) -> None:
+    def _detach(self, stream: Stream) -> None:
         if stream.link is not None:
             stream.link.withdraw(stream)
-        elif (scorer := self.scorers.get(stream.worker)) and stream in scorer.waiting:
+        elif (scorer := self.scorers.get(stream.scorer)) and stream in scorer.waiting:
             scorer.waiting.remove(stream)
 
     def _end(self, stream: Stream, end: EndReason | None, answer: Answer | None = None) -> None:
         if stream.over:
             return
         stream.over = True
-        stream.wait_no_longer()
+        stream.stop_waiting()
         if stream.timer:
             stream.timer.cancel()
         link, stream.link = stream.link, None
@@ -345,21 +364,21 @@
         if link and link.retired and not link.streams and link.up:
             link.connection.close(EndReason.RETIRED)
 
-    # --- now and then -------------------------------------------------------------------------
+    # --- maintenance --------------------------------------------------------------------------
 
     def run_maintenance(self) -> None:
-        """Close what has been idle, and what has owed an answer in silence to the last."""
-        self._trust_ms = min(self._trust_most_ms, REUSE_IDLE_GROWTH * self._trust_ms)
+        """Close links that were idle for too long, or silent until their last stream was cancelled."""
+        self._reuse_idle_ms = min(self._reuse_idle_limit_ms, REUSE_IDLE_GROWTH * self._reuse_idle_ms)
         for scorer in list(self.scorers.values()):
             for link in list(scorer.links):
                 if not link.up or link.streams:
                     continue
-                silent = link.given_up_unheard(SILENT_MS)
-                if silent or link.idle_ms() > self._trust_ms:
+                silent = link.cancelled_in_silence(SILENT_MS)
+                if silent or link.idle_ms() > self._reuse_idle_ms:
                     link.connection.close(EndReason.SILENT if silent else EndReason.IDLE)
 
     def close(self) -> None:
+        """Close all links."""
         for scorer in list(self.scorers.values()):
             for link in list(scorer.links):
-                if link.connection:
-                    link.connection.close(EndReason.STOPPED)
+                link.connection.close(EndReason.STOPPED)
--- a/fawnwharf/net/scorer_streams.py
+++ b/fawnwharf/net/scorer_streams.py
@@ -1,9 +1,9 @@
-"""What is sent to a scorer and gets one end: attempts and orders, and what their answers tell."""
+"""Streams, which are sent to a scorer and end exactly once: attempts and load orders, and their answers."""
 
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from fawnwharf.interface import AttemptResult, Warmth
 from fawnwharf.net import scorer_frames as frames
@@ -26,104 +26,144 @@
     frames.FULL: AttemptResult.FULL,
     frames.EXPIRED: AttemptResult.NOT_SENT,
 }
-# An order to load that could not leave for so long does not leave any more: the decisions count it against
-# the ration from when they gave it, a scorer from when it comes.
+# A load order that could not be sent for this long is not sent any more: the router counts it against the
+# load limit from when it was decided, a scorer from when it arrives.
 LOAD_ORDER_WAIT_MS = 100.0
 LOAD_ORDER_RESULT_BY_CODE = {frames.OK: AttemptResult.GOOD, frames.FULL: AttemptResult.FULL}
+MAX_COUNT_DIGITS = 9
 
 
 @dataclass(slots=True)
 class Answer:
+    """A scorer's answer to a stream.
+
+    `concurrency`: the number of requests that the scorer reported to be running; `copies`: the number of
+    copies of the function that it reported.
+    """
+
     ending: AttemptResult
     body: bytes
     warmth: Warmth
-    crowd: int
+    concurrency: int
     copies: int
 
 
 @dataclass(slots=True, eq=False)
 class Stream:
-    """Something sent to a scorer that gets one end: by an answer or by an End."""
+    """Something sent to a scorer that ends exactly once: by an answer or for an `EndReason`.
+
+    `scorer`: the number of the scorer; `ended`: called with the stream (of the caller's own type) and either
+    the reason or the answer, the other being None; `began_ms`: creation time on the monotonic clock.
+    """
 
-    worker: int
-    ended: Callable[["Stream", EndReason | None, Answer | None], None]
+    scorer: int
+    ended: Callable[[Any, EndReason | None, Answer | None], None]
     began_ms: float = field(default_factory=monotonic_ms, init=False)
     link: "ScorerConnection | None" = field(default=None, init=False)
-    piece: WriteBuffer | None = field(default=None, init=False)
+    buffer: WriteBuffer | None = field(default=None, init=False)
     timer: Timer | None = field(default=None, init=False)
     wait_timer: Timer | None = field(default=None, init=False)  # set while it waits for a connection
     over: bool = field(default=False, init=False)
     id: bytes = field(default=b"", kw_only=True)
 
     @property
-    def begun(self) -> bool:  # some of its bytes may have arrived
-        return self.piece is not None and self.piece.begun
+    def begun(self) -> bool:
+        """Whether some of its bytes were written, and may have arrived."""
+        return self.buffer is not None and self.buffer.begun
 
     @property
-    def whole(self) -> bool:  # all of them may have
-        return self.piece is not None and self.piece.whole
+    def complete(self) -> bool:
+        """Whether all of its bytes were written, and may have arrived."""
+        return self.buffer is not None and self.buffer.complete
 
-    def wait_no_longer(self) -> None:
-        """It waits for no connection any more."""
+    @property
+    def is_new_work(self) -> bool:
+        """Whether it gives the scorer work to do, so that it must not be sent to a draining one."""
+        raise NotImplementedError
+
+    def stop_waiting(self) -> None:
+        """Stop the timer for the wait for a connection, if it runs."""
         if self.wait_timer:
             self.wait_timer.cancel()
         self.wait_timer = None
 
-    def too_late(self) -> bool:
-        """Whether it must not begin to be written any more."""
+    def is_expired(self) -> bool:
+        """Whether it is too late to begin to write it."""
         return False
 
+    def estimated_size(self) -> int:
+        """About how many bytes its frame will have."""
+        raise NotImplementedError
+
+    def frame(self) -> bytes:
+        """Its frame as of now."""
+        raise NotImplementedError
+
+    def result_of(self, code: int) -> AttemptResult:
+        """The result that an answer with this code means."""
+        raise NotImplementedError
+
 
 @dataclass(slots=True, eq=False)
 class Attempt(Stream):
-    kind: str = ""
+    """One attempt of a request at a scorer."""
+
+    class_name: str = ""
     function: str = ""
     token: str = ""
     body: bytes = b""
-    deadline_ms: float = 0.0  # of the monotonic clock, as the next
-    begin_by_ms: float = math.inf  # it may not leave later, however long the client waits
+    deadline_ms: float = 0.0  # on the monotonic clock, as the next
+    begin_by_ms: float = math.inf  # it may not be sent later, however long the client waits
 
     is_new_work = True
 
-    def too_late(self) -> bool:
-        """Whether it must not begin to be written any more."""
+    def is_expired(self) -> bool:
+        """Whether it is too late to begin to write it."""
         return monotonic_ms() >= min(self.deadline_ms, self.begin_by_ms)
 
-    def rough_size(self) -> int:
+    def estimated_size(self) -> int:
         """About how many bytes its frame will have."""
         return frames.APPROXIMATE_HEADER_BYTES + len(self.token) + len(self.body)
 
     def frame(self) -> bytes:
-        left = self.deadline_ms - monotonic_ms()
-        return frames.run(self.id, self.kind, self.function, left, self.token, self.body)
+        """Its frame, with the time that remains now."""
+        remaining_ms = self.deadline_ms - monotonic_ms()
+        return frames.run(self.id, self.class_name, self.function, remaining_ms, self.token, self.body)
 
-    def ending(self, code: int) -> AttemptResult:
-        return ATTEMPT_RESULT_BY_CODE.get(code, AttemptResult.ERROR)  # what it can't read may have run
+    def result_of(self, code: int) -> AttemptResult:
+        """The result that an answer with this code means; with an unknown one, it may have run."""
+        return ATTEMPT_RESULT_BY_CODE.get(code, AttemptResult.ERROR)
 
 
 @dataclass(slots=True, eq=False)
 class LoadOrder(Stream):
+    """An order to load copies of a function, or with none, a query how many there are."""
+
     function: str = ""
     copies: int = 0
 
-    def too_late(self) -> bool:
-        """Whether it must not begin to be written any more, as the ration counts it from when it was made."""
+    def is_expired(self) -> bool:
+        """Whether it is too late to begin to write it, as the load limit counts it from its creation."""
         return self.is_new_work and monotonic_ms() >= self.began_ms + LOAD_ORDER_WAIT_MS
 
     @property
-    def is_new_work(self) -> bool:  # a question is none
+    def is_new_work(self) -> bool:
+        """Whether it orders copies; a query does not."""
         return self.copies > 0
 
-    def rough_size(self) -> int:
+    def estimated_size(self) -> int:
         """About how many bytes its frame will have."""
         return frames.APPROXIMATE_HEADER_BYTES
 
     def frame(self) -> bytes:
+        """Its frame."""
         return frames.load(self.id, self.function, self.copies)
 
-    def ending(self, code: int) -> AttemptResult:
+    def result_of(self, code: int) -> AttemptResult:
+        """The result that an answer with this code means."""
         return LOAD_ORDER_RESULT_BY_CODE.get(code, AttemptResult.ERROR)
 
 
 def parse_count(text: str | None) -> int:
-    return int(text) if text and text.isascii() and text.isdigit() and len(text) < 10 else 0
+    """The number in a field of an answer; 0 where it is absent or not a number of at most nine digits."""
+    return int(text) if text and text.isascii() and text.isdigit() and len(text) <= MAX_COUNT_DIGITS else 0
--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -31,7 +31,7 @@
         """Have a client read as its bytes come, or at a slower pace."""
         connection = client.connection
         slower = self.paused or connection.waiting_bytes >= UNSENT_PAUSE_BYTES
-        connection.read_on(connection.finishing or not slower)
+        connection.set_reading(connection.finishing or not slower)
         if not (connection.reads or connection.closed):
             self.look_later(client)
 
@@ -64,7 +64,7 @@
         connection = client.connection
         for _ in range(MAX_READS):
             ended = connection.closed or connection.finishing
-            if ended or connection.waiting_pieces > MAX_UNSENT_ANSWERS or self._loop.batch_full:
+            if ended or connection.queued_buffers > MAX_UNSENT_ANSWERS or self._loop.batch_full:
                 return
             if connection.read_now():
                 return
--- a/fawnwharf/net/socket_inspection.py
+++ b/fawnwharf/net/socket_inspection.py
@@ -1,15 +1,18 @@
-"""What a socket can tell of its unread bytes and of its peer's end, without handing the bytes to anybody."""
+"""Inspection of a socket's unread bytes and of the peer's end, without delivering the bytes to an owner."""
 
 import select
 import socket
 
 DISCARD_BYTES = 64 * 1024  # in one read
-DISCARDS_MOST = 16  # reads of what lies unread at a close
+MAX_DISCARD_READS = 16  # reads of unread bytes when a connection is closed
 PEER_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def peek(sock: socket.socket) -> bytes | None:
-    """The first unread byte: None where there is none, empty where the peer has ended its output."""
+    """The first unread byte, which stays unread.
+
+    None: nothing is unread; empty: the peer has ended its output or the connection has failed.
+    """
     try:
         return sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -19,8 +22,10 @@
 
 
 def peer_ended(sock: socket.socket) -> bool:
-    """Whether the peer has ended its output or reset the connection, also behind unread bytes. False where
-    the system can't tell."""
+    """Whether the peer has ended its output or reset the connection, even behind unread bytes.
+
+    False where the system can't report it.
+    """
     try:
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP)
@@ -30,9 +35,9 @@
 
 
 def discard(sock: socket.socket) -> None:
-    """Read and throw away what lies unread: a close would reset the connection otherwise."""
+    """Read and drop what is unread, up to a limit: otherwise a close would reset the connection."""
     try:
-        for _ in range(DISCARDS_MOST):
+        for _ in range(MAX_DISCARD_READS):
             if not sock.recv(DISCARD_BYTES, socket.MSG_DONTWAIT):
                 return
     except OSError:
--- a/fawnwharf/net/write_buffer.py
+++ b/fawnwharf/net/write_buffer.py
@@ -1,4 +1,4 @@
-"""What is queued on a connection: bytes, or what is made as it leaves; and how long one may stay in part."""
+"""Queued output of a connection, and the limit on how long a buffer may stay partially written."""
 
 import math
 from collections import deque
@@ -8,62 +8,72 @@
 
 
 class WriteBuffer:
-    """Bytes to be written, and how many have been.
+    """Bytes to be written, and how many of them have been.
 
-    With `make` they are made anew for each write until the first of them has left, and `size` is an estimate
-    before that; None from `make` means that the piece must not leave any more."""
+    With `make`, the bytes are produced again for each write until the first of them has been sent; before
+    that, `size` is an estimate in bytes. `make` returns None where the buffer must no longer be sent.
+    """
 
     __slots__ = ("begun_ms", "data", "make", "size", "written")
 
     def __init__(self, data: bytes, make: Callable[[], bytes | None] | None = None, size: int = 0) -> None:
-        self.data, self.written, self.make = data, 0, make
+        self.data = data
+        self.written = 0
+        self.make = make
         self.size = size if make else len(data)
-        self.begun_ms = 0.0  # when its first byte left
+        self.begun_ms = 0.0  # when its first byte was sent, on the monotonic clock
 
     @property
     def begun(self) -> bool:
+        """Whether any of its bytes have been written."""
         return self.written > 0
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
+        """Whether all of its bytes have been written."""
         return self.make is None and self.written == self.size
 
     def advance(self, count: int, now_ms: float) -> int:
-        """Count so many bytes as written, as far as there are any; how many are left of the count."""
+        """Count up to `count` bytes as written, and return how many of the count are left over."""
         step = min(count, self.size - self.written)
         if step and not self.begun:
-            self.begun_ms, self.make = now_ms, None
+            self.begun_ms = now_ms
+            self.make = None
         self.written += step
         return count - step
 
 
 class PartialWriteLimit:
-    """Guards what is passed on against being completed long after it was made: a first piece that stays
-    written in part for too long is reported. `pieces` is the connection's own queue."""
+    """Reports a buffer at the head of a connection's queue that stays partially written for too long.
 
-    def __init__(self, wheel: TimerWheel, pieces: deque[WriteBuffer], most_ms: float) -> None:
-        self._wheel, self._pieces, self._most_ms = wheel, pieces, most_ms
+    Protects scorers from a frame that is completed long after it was made. `queue` is the connection's own.
+    """
+
+    def __init__(self, timers: TimerWheel, queue: deque[WriteBuffer], max_partial_ms: float) -> None:
+        self._timers = timers
+        self._queue = queue
+        self._max_partial_ms = max_partial_ms
         self._timer: Timer | None = None
 
-    def _left_ms(self) -> float:
-        piece = self._pieces[0] if self._pieces else None
-        if piece is None or not piece.begun:
+    def _remaining_ms(self) -> float:
+        head = self._queue[0] if self._queue else None
+        if head is None or not head.begun:
             return math.inf
-        return piece.begun_ms + self._most_ms - monotonic_ms()
+        return head.begun_ms + self._max_partial_ms - monotonic_ms()
 
-    def overdue(self) -> bool:
-        """Whether the first piece has been in part for too long, so that no more of it may be written."""
-        return self._left_ms() <= 0
+    def is_overdue(self) -> bool:
+        """Whether the first buffer has been partial for too long, so that no more of it may be written."""
+        return self._remaining_ms() <= 0
 
     def watch(self, on_overdue: Callable[[], None]) -> None:
-        """Report the first piece, if it is in part, once it has been so for too long."""
-        left = self._left_ms()
-        if self._timer is None and left < math.inf:
-            self._timer = self._wheel.after(left, lambda: self._look(on_overdue))
+        """Call `on_overdue` once the first buffer, if it is partial now, has been so for too long."""
+        remaining_ms = self._remaining_ms()
+        if self._timer is None and remaining_ms < math.inf:
+            self._timer = self._timers.after(remaining_ms, lambda: self._check(on_overdue))
 
-    def _look(self, on_overdue: Callable[[], None]) -> None:
+    def _check(self, on_overdue: Callable[[], None]) -> None:
         self._timer = None
-        if self.overdue():
+        if self.is_overdue():
             on_overdue()
         else:
             self.watch(on_overdue)
--- a/fawnwharf/policy_rollout/call_binding.py
+++ b/fawnwharf/policy_rollout/call_binding.py
@@ -133,7 +133,7 @@
     def _pass_on(self, key: str, bound: _BoundCall) -> None:
         """Give a call to the table below, with the deadline of its policy."""
         call = bound.call
-        call.judged = bound.policy
+        call.context = bound.policy
         if bound.policy is not self._last_policy:
             self._last_policy = bound.policy
             self._deadline_ms = _deadlines_by_class(bound.policy.document)
--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -176,9 +176,9 @@
         """The class of a call under its policy; None where that is not known."""
         request = self._front.requests.open.get(event.request)
         base = self._context.deployment.settings.classes.get(event.class_name)
-        if request is None or base is None or request.call.judged is None:
+        if request is None or base is None or request.call.context is None:
             return None
-        return class_spec_under(base, request.call.judged.document)
+        return class_spec_under(base, request.call.context.document)
 
     def _flush_trace_later(self, trace: CallTrace) -> None:
         """Flush the trace now, and after each interval."""
--- a/fawnwharf/recovery_service/load_order_gate.py
+++ b/fawnwharf/recovery_service/load_order_gate.py
@@ -102,7 +102,7 @@
     def _answered(self, order: LoadOrder, end: EndReason | None, answer: Answer | None) -> None:
         ending = answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, order.begun)
         copies, took_ms = answer.copies if answer else 0, self._clock() - order.began_ms
-        self._tell(io.LoadOrderAnswered(order.worker, order.function, ending, copies, took_ms))
+        self._tell(io.LoadOrderAnswered(order.scorer, order.function, ending, copies, took_ms))
 
     def events(self, now_ms: float, events: list[io.Event]) -> list[Action]:
         """What a batch tells of copies: scorers' answers to orders, and calls that found none."""
--- a/fawnwharf/recovery_service/simulation.py
+++ b/fawnwharf/recovery_service/simulation.py
@@ -107,7 +107,7 @@
         self.numbers += 1
         key = f"r{self.numbers}"
         self.open[key] = call
-        call.judged = 0  # attempts
+        call.context = 0  # attempts
         arrived = io.RequestArrived(key, call.function, call.class_name, "t", call.budget_ms, LANES)
         self.tell(arrived)
         return key
@@ -118,7 +118,7 @@
         if call is None:
             self.tell(io.AttemptEnded(key, 0, worker, io.AttemptResult.NOT_SENT, 0.0, closed=True))
             return
-        number, call.judged, began = call.judged, call.judged + 1, self.world.now
+        number, call.context, began = call.context, call.context + 1, self.world.now
 
         def ended(ending: io.AttemptResult, _: int) -> None:
             if ending is io.AttemptResult.GOOD and (call := self.open.pop(key, None)):
@@ -141,7 +141,7 @@
         def ended(ending: io.AttemptResult, copies: int) -> None:
             order.ended(order, None, Answer(ending, b"", io.Warmth.UNTOLD, 0, copies))
 
-        self.world.hold_at(order.worker, order.function, 0, ended)
+        self.world.hold_at(order.scorer, order.function, 0, ended)
 
 
 @dataclass(slots=True)
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -65,22 +65,22 @@
 
     def sent(self, attempt: Attempt) -> None:
         """Take an attempt that is sent."""
-        self.reporter.attempt_sent(monotonic_ms(), attempt.worker)
+        self.reporter.attempt_sent(monotonic_ms(), attempt.scorer)
 
     def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None:
         """Take an attempt that ended."""
-        location = CopyLocation(attempt.worker, attempt.function)
+        location = CopyLocation(attempt.scorer, attempt.function)
         self.reporter.attempt_ended(monotonic_ms(), location, ending, warmth)
 
     def ordered(self, order: LoadOrder) -> None:
         """Take a load order, or a probe, that is sent."""
-        self.reporter.order_sent(monotonic_ms(), CopyLocation(order.worker, order.function), order.copies)
+        self.reporter.order_sent(monotonic_ms(), CopyLocation(order.scorer, order.function), order.copies)
         if order.copies:
             self._hasten()
 
     def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None:
         """Take a load order, or a probe, that ended."""
-        location = CopyLocation(order.worker, order.function)
+        location = CopyLocation(order.scorer, order.function)
         self.reporter.order_ended(monotonic_ms(), location, order.copies, ending, copies)
         if order.copies:
             self._hasten()
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -59,7 +59,7 @@
     @property
     def heard_ms(self) -> float:
         """When anything was last received from the log, if only its number."""
-        return self._connection.heard_ms if self._connection else 0.0
+        return self._connection.last_received_ms if self._connection else 0.0
 
     def event(self, read: Any, _of_start: bool = False) -> bool:
         """Take a decoded line; False where it is malformed or does not follow the last one."""
--- a/tests/net/test_net_client_disconnects.py
+++ b/tests/net/test_net_client_disconnects.py
@@ -317,15 +317,17 @@
         rig = self.rig(ScorerPeer(copies=None))
         client = rig.client()
         self.asked(rig, client)
-        for order, first in ((event_loop.ReadPriority.FIRST, True), (event_loop.ReadPriority.ACTIVE, False)):
+        priorities = event_loop.ReadPriority
+        for priority, first in ((priorities.FIRST, True), (priorities.ACTIVE, False)):
             sock = socket.socketpair()
             sock[0].setblocking(False)
             self.addCleanup(sock[1].close)
-            here = connection.Connection(rig.front.loop, sock[0], mock.Mock(), first=first)
+            order = connection.serve_first if first else None
+            here = connection.Connection(rig.front.loop, sock[0], mock.Mock(), order=order)
             self.addCleanup(here.close, connection.EndReason.STOPPED)
-            here.read_on(False)
-            here.read_on(True)
-            self.assertEqual(rig.front.loop._priority(sock[0].fileno()), order)
+            here.set_reading(False)
+            here.set_reading(True)
+            self.assertEqual(rig.front.loop._priority(sock[0].fileno()), priority)
 
     def test_new_requests_have_their_part_of_each_turn(self):
         rig = self.rig(ScorerPeer(copies=None))
--- a/tests/net/test_net_clock_steps.py
+++ b/tests/net/test_net_clock_steps.py
@@ -7,7 +7,7 @@
 from peers import Rig, ScorerPeer
 from support.clocks import SettableClock
 
-from fawnwharf.net import connection, event_loop, timer_wheel
+from fawnwharf.net import event_loop, receive_age, timer_wheel
 from fawnwharf.net.front_end import scorer_number
 
 HOUR = 3_600_000.0
@@ -33,7 +33,7 @@
 
 
 def without_stamps(monkeypatch):
-    monkeypatch.setattr(connection, "SO_TIMESTAMPNS", -1)
+    monkeypatch.setattr(receive_age, "SO_TIMESTAMPNS", -1)
 
 
 def settled_client(rig):
@@ -113,7 +113,7 @@
     without_stamps(monkeypatch)
     client = settled_client(rig)
     [taken] = rig.front.client_port.clients
-    taken.connection.lay_unread(clock.monotonic_ms - 700.0)
+    taken.connection.assume_unread_since(clock.monotonic_ms - 700.0)
     client.call(ttl="8000")
     assert budget_left(rig) == pytest.approx(7_300.0, abs=event_loop.STALL_THRESHOLD_MS)
 
--- a/tests/net/test_net_discovery_lifecycle.py
+++ b/tests/net/test_net_discovery_lifecycle.py
@@ -26,9 +26,9 @@
 def read_by_front_end(rig, data):
     """Bytes of the log that the front end has read."""
     connection = rig.front.change_log._connection
-    before = connection.heard_ms
+    before = connection.last_received_ms
     rig.log.links[-1].sock.sendall(data)
-    rig.until(lambda: connection.heard_ms > before or connection.closed, "the bytes are read")
+    rig.until(lambda: connection.last_received_ms > before or connection.closed, "the bytes are read")
 
 
 def silent(rig):
--- a/tests/net/test_net_rare_resource_shortages.py
+++ b/tests/net/test_net_rare_resource_shortages.py
@@ -11,7 +11,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.admin import admin_listener
-from fawnwharf.net import connection
+from fawnwharf.net import receive_age
 from fawnwharf.net.event_loop import EventLoop
 
 __all__ = ["clock", "rig"]
@@ -63,7 +63,7 @@
 
 class ClosedBehindAnotherMessage(Case):
     def test_an_attempt_that_waits_for_its_dial_is_not_written(self):
-        self.enterContext(mock.patch.object(connection, "SO_TIMESTAMPNS", -1))
+        self.enterContext(mock.patch.object(receive_age, "SO_TIMESTAMPNS", -1))
         for tail in ("status", "withdraw"):
             with self.subTest(tail):
                 scorer = ScorerPeer()
--- a/tests/net/test_net_receive_timestamps.py
+++ b/tests/net/test_net_receive_timestamps.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from fawnwharf.net import connection
+from fawnwharf.net import connection, receive_age
 from fawnwharf.net.event_loop import EventLoop, ReceiveTimestampCheck
 
 
@@ -68,7 +68,7 @@
             loop.run_iteration(1.0)
         self.assertEqual([0.0] * 3, owner.ages)
         seconds = int(time.time()) - 7
-        note = (socket.SOL_SOCKET, connection.SO_TIMESTAMPNS, connection.TIMESTAMP.pack(seconds, 0))
+        note = (socket.SOL_SOCKET, receive_age.SO_TIMESTAMPNS, receive_age.TIMESTAMP.pack(seconds, 0))
         ages = [owner.connection._age([note]) for _ in range(8)]
         self.assertEqual([0.0] * 4, ages[4:])
         owner.connection.close(connection.EndReason.STOPPED)
--- a/tests/net/test_net_request_age.py
+++ b/tests/net/test_net_request_age.py
@@ -95,7 +95,7 @@
     without_stamps(monkeypatch)
     client = settled_client(rig)
     [served] = rig.front.client_port.clients
-    served.connection.read_on(False)  # as where much waits for it
+    served.connection.set_reading(False)  # as where much waits for it
     slow = rig.front.client_port.slow_clients
     monkeypatch.setattr(slow, "regulate", slow.look_later)
     slow.look_later(served)
--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -35,7 +35,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        self.clock.advance(rig.front.scorer_pool._trust_ms)  # the last moment at which it is used
+        self.clock.advance(rig.front.scorer_pool._reuse_idle_ms)  # the last moment at which it is used
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.clock.advance(60.0)
         rig.front.scorer_pool.run_maintenance()
@@ -338,7 +338,7 @@
         rig.until(lambda: scorer.runs, "it runs")
         scorer.links[0].sock.sendall(b"\x81\0")
         [link] = self.links(rig)
-        rig.until(lambda: link._reader.waits, "a part has come")
+        rig.until(lambda: link._reader.has_partial_frame, "a part has come")
         while not self.endings():
             self.clock.advance(50.0)
             self.turn(rig, times=1)
@@ -370,7 +370,7 @@
                 rig.until(lambda number=number: len(scorer.runs) > number, "it runs")
                 scorer.answer(scorer.runs[number])
                 rig.until(lambda number=number: len(ended) > number, "it is answered")
-        self.assertEqual([link.takes(b"%08d" % number) for number in range(6)], [True] * 2 + [False] * 4)
+        self.assertEqual([link.accepts(b"%08d" % number) for number in range(6)], [True] * 2 + [False] * 4)
 
 
 if __name__ == "__main__":
--- a/tests/net/test_net_scorer_connections.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -34,7 +34,7 @@
 def attempt(worker, ended, id=b"12345678", body=b"", within_ms=8000.0):
     return scorer_streams.Attempt(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), id=id,
-        kind="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms,
+        class_name="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms,
     )  # fmt: skip
 
 
--- a/tests/net/test_net_scorer_state_machine.py
+++ b/tests/net/test_net_scorer_state_machine.py
@@ -127,7 +127,7 @@
         number = self.worker() if number is None else number
         self.pool.update(number, address, state, self.up_since)
         if state is not io.ScorerState.READY:
-            unsent = [s for s in self.open() if s.worker == number and s.is_new_work and not s.begun]
+            unsent = [s for s in self.open() if s.scorer == number and s.is_new_work and not s.begun]
             self.case.assertEqual(unsent, [], "new work that is unwritten when a drain is told")
 
     def drain(self):
--- a/tests/net/test_net_shutdown_orders.py
+++ b/tests/net/test_net_shutdown_orders.py
@@ -75,13 +75,13 @@
     rig.front.shut_down()
     arrivals_over(rig)
     [served] = rig.front.client_port.clients
-    served.connection.read_on(False)
+    served.connection.set_reading(False)
     client.call()  # unread at each look
     looks = []
     rig.front.loop.timers.after(3 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
     assert not client.ended and not served.connection.finishing
-    served.connection.read_on(True)
+    served.connection.set_reading(True)
     rig.until(lambda: client.answers and client.ended, "it has its answer, then the end")
     client.sock.close()
     stopped(rig)
--- a/tests/net/test_net_slow_clients.py
+++ b/tests/net/test_net_slow_clients.py
@@ -93,7 +93,7 @@
                     sent += client.sock.send(junk_statuses(64 * 1024))
                 rig.front.loop.run_iteration(0.01)
         self.assertGreater(sent, 4 * clients.MAX_READ_BYTES)
-        self.assertLessEqual(served.connection.waiting_pieces, slow_clients.MAX_UNSENT_ANSWERS + one_read)
+        self.assertLessEqual(served.connection.queued_buffers, slow_clients.MAX_UNSENT_ANSWERS + one_read)
 
     def test_where_too_much_waits_for_all_the_one_that_took_nothing_for_longest_is_dropped(self):
         rig, _, longest = self.stuck()
--- a/tests/policy_rollout/test_policy_rollout_front_ends.py
+++ b/tests/policy_rollout/test_policy_rollout_front_ends.py
@@ -218,7 +218,7 @@
     site.until(lambda: site.in_force(2), "it goes by the last one")
     site.until(lambda: node.front.requests.open, "it goes on")
     [request] = node.front.requests.open.values()
-    assert (request.call.judged.number, request.call.judged.basis) == (2, "leased")
+    assert (request.call.context.number, request.call.context.basis) == (2, "leased")
     site.until(lambda: node.front.router.settings.quotas_rps["acme"] == 8.0, "quotas too")
     assert node.front.client_port.accepts_requests
     assert node.part.incarnation > before.incarnation
--- a/tests/support/request_driver.py
+++ b/tests/support/request_driver.py
@@ -186,8 +186,8 @@
         links = [link for scorer in front.scorer_pool.scorers.values() for link in scorer.links]
         left = {
             "requests": dict(front.requests.open),
-            "attempts": dict(front.requests._out),
-            "bytes of bodies": front.requests._bodies,
+            "attempts": dict(front.requests._in_flight),
+            "bytes of bodies": front.requests._body_bytes,
             "streams": [stream for link in links for stream in link.streams.values()],
             "waiting": [stream for scorer in front.scorer_pool.scorers.values() for stream in scorer.waiting],
             "requests decided on": dict(front.router.requests),
--- a/tests/support/scorer_link_cases.py
+++ b/tests/support/scorer_link_cases.py
@@ -29,7 +29,8 @@
     """An attempt of which `ended` hears how it ended, and whether a byte had been written."""
     return scorer_streams.Attempt(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), id=id,
-        kind="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms, **more,
+        class_name="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms,
+        **more,
     )  # fmt: skip
 
 
--- a/tests/zones/test_zones_member_log.py
+++ b/tests/zones/test_zones_member_log.py
@@ -98,8 +98,8 @@
         server = self.server()
         feed = self.follow(server.address)
         self.until(lambda: feed.up and server.readers, "it is followed")
-        heard = feed._connection.heard_ms
-        self.until(lambda: feed._connection.heard_ms > heard, "a pulse comes")
+        heard = feed._connection.last_received_ms
+        self.until(lambda: feed._connection.last_received_ms > heard, "a pulse comes")
         later_ms = connection.monotonic_ms() + 5_000.0
         with mock.patch("fawnwharf.net.change_log.monotonic_ms", return_value=later_ms):
             feed.run_maintenance()
