--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -324,7 +324,7 @@
                 rig.front.requests.send(io.Send(key, BY_POOL))
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 link, frame = scorer.runs[0]
-                whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, mark=scorer_frames.FROM_SCORER)
+                whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, direction=scorer_frames.FROM_SCORER)
                 link.sock.sendall(whole[:-1])
                 link.sock.close()
                 rig.until(lambda: self.endings(), "it ends")
--- a/tests/net/test_net_scorer_connections.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -301,7 +301,7 @@
         rig.front.scorer_pool.send(attempt(front_end.scorer_number(scorer.id), ended))
         rig.until(lambda: scorer.runs, "it runs")
         link, frame = scorer.runs[0]
-        whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, mark=scorer_frames.FROM_SCORER)
+        whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, direction=scorer_frames.FROM_SCORER)
         link.sock.sendall(whole[:40])
         rig.until(lambda: ended, "it ends")
         self.assertEqual(ended, [(EndReason.SILENT, True)])
--- a/tests/support/scripted_peers.py
+++ b/tests/support/scripted_peers.py
@@ -189,7 +189,7 @@
         else:
             self.standing[function] = max(standing, copies)
         fields = f"slots_up={self.standing[function]}"
-        link.channel.send(scorer_frames.encode(code, frame.id, fields, mark=scorer_frames.FROM_SCORER))
+        link.channel.send(scorer_frames.encode(code, frame.id, fields, direction=scorer_frames.FROM_SCORER))
 
     def answer(self, run: Run, code: int, body: bytes, most_bytes: int | None = None) -> None:
         """Answer an attempt, or write only the first bytes of an answer."""
