--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -123,7 +123,7 @@
         rig.front.loop.timers.advance()  # its time runs out as it is up, and not read yet
         self.assertEqual((ended, link.connection.closed), ([(EndReason.DIAL_TIMED_OUT, False)], True))
         rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees it end")
-        self.assertEqual((scorer.frames, rig.front.scorer_pool._links), ([], 0))
+        self.assertEqual((scorer.frames, rig.front.scorer_pool._link_count), ([], 0))
 
     def test_one_that_is_seen_up_in_the_turn_in_which_its_time_runs_out_is_used(self):
         scorer, ended = ScorerPeer(copies=None), []
@@ -225,7 +225,7 @@
         self.link_up(rig, scorer)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.front.scorer_pool.close()
-        self.assertEqual((ended, rig.front.scorer_pool._links), ([(EndReason.STOPPED, False)], 0))
+        self.assertEqual((ended, rig.front.scorer_pool._link_count), ([(EndReason.STOPPED, False)], 0))
 
     def test_an_idle_link_gives_way_where_there_are_more_scorers_than_links(self):
         peers = [ScorerPeer(f"s-{number}", copies=None) for number in range(3)]
--- a/tests/net/test_net_scorer_faults.py
+++ b/tests/net/test_net_scorer_faults.py
@@ -85,7 +85,7 @@
                 self.assertEqual(attempt_result(*ended[0]), io.AttemptResult.NOT_SENT)
                 self.assertLessEqual(abs(self.clock.monotonic_ms - started_ms - DIAL_MS), 10.0)
                 self.assertTrue(2 <= fault.hits <= DIAL_MS / scorer_pool.REDIAL_DELAY_MS + 1, fault.hits)
-                self.assertEqual((self.links(rig), rig.front.scorer_pool._links), ([], 0))
+                self.assertEqual((self.links(rig), rig.front.scorer_pool._link_count), ([], 0))
 
     def test_a_lasting_fault_ends_nothing_before_a_later_one_has_waited_as_long(self):
         rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL", times=10**9)
--- a/tests/net/test_net_scorer_state_machine.py
+++ b/tests/net/test_net_scorer_state_machine.py
@@ -177,7 +177,7 @@
                 self.arrived(frame, by_id.get(frame.id))
             self.seen[peer] = len(peer.frames)
         links = [link for scorer in self.pool.scorers.values() for link in scorer.links]
-        self.case.assertEqual(self.pool._links, len(links))
+        self.case.assertEqual(self.pool._link_count, len(links))
         for link in links:
             pieces = link.connection._outbox
             left = sum(piece.size - piece.written for piece in pieces)
--- a/tests/support/request_driver.py
+++ b/tests/support/request_driver.py
@@ -196,7 +196,7 @@
         }
         left = {name: found for name, found in left.items() if found}
         assert not left, left
-        assert front.scorer_pool._links == len(links)
+        assert front.scorer_pool._link_count == len(links)
 
     def close(self) -> None:
         """End the front end and all peers, and take the clock and the faults out again."""
