--- a/tests/test_rejoin_kept.py
+++ b/tests/recovery_service/test_recovery_service_stored_state.py
@@ -31,7 +31,7 @@
     kept.store.close(lambda: site.now)
 
 
-def test_trust_follows_the_table_by_boot_and_by_how_the_last_life_ended(site):
+def test_trust_follows_the_table_by_boot_and_by_how_the_last_incarnation_ended(site):
     cases = [
         ("kill", False, TrustLevel.NOW, TrustLevel.HINT),
         ("kill", True, TrustLevel.NOW, TrustLevel.NOW),
@@ -48,7 +48,7 @@
             ended_in_order(site, kept)
         site.machine(name).kill() if end == "kill" else site.machine(name).cut(share=1.0)
         kept = site.kept(name)
-        assert (kept.whole, kept.same_boot, kept.in_order, kept.life) == (
+        assert (kept.condition, kept.same_boot, kept.ended_in_order, kept.folder_incarnation) == (
             StoreCondition.INTACT, end == "kill", order, 2,
         )  # fmt: skip
         assert kept.read(StateKind.PLAN) == [("last", {"number": 7}, plan)]
@@ -59,13 +59,15 @@
         assert later is TrustLevel.MAJORITY
 
 
-def test_a_life_has_a_larger_number_than_the_one_before_also_by_a_clock_that_was_set_back(site, monkeypatch):
+def test_an_incarnation_has_a_larger_number_than_the_one_before_also_by_a_clock_that_was_set_back(
+    site, monkeypatch
+):
     numbers = []
     for unix_ms in (5_000_000.0, 5_000_000.0, 1_000.0, 9_000_000.0, 0.0):
         monkeypatch.setattr(recovery_store, "unix_ms", lambda unix_ms=unix_ms: unix_ms)
         kept = site.kept(fresh=not numbers)
         site.pump(kept, 200.0)
-        numbers.append(kept.number)
+        numbers.append(kept.incarnation)
         ended_in_order(site, kept)
         site.machine().kill()
     assert numbers == [5_000_000_000, 5_000_000_001, 5_000_000_002, 9_000_000_000, 9_000_000_001]
@@ -104,22 +106,22 @@
 
 def test_an_empty_folder_of_a_fleet_that_goes_on_is_in_part_until_others_confirm(site):
     kept = site.kept()
-    assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PARTIAL, "empty", True)
+    assert (kept.condition, kept.doubt, kept.was_empty) == (StoreCondition.PARTIAL, "empty", True)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
     for end in ("kill", "cut", "cut"):
         getattr(site.machine(), end)()
         kept = site.kept()
-        assert (kept.whole, kept.why, kept.fresh) == (StoreCondition.PARTIAL, "empty", False)
+        assert (kept.condition, kept.doubt, kept.was_empty) == (StoreCondition.PARTIAL, "empty", False)
         assert kept.read(StateKind.PLAN)[0][2] is TrustLevel.MAJORITY
     kept.confirm()
-    assert kept.whole is StoreCondition.INTACT
+    assert kept.condition is StoreCondition.INTACT
     site.pump(kept, 200.0)
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.INTACT
+    assert site.kept().condition is StoreCondition.INTACT
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 1.0])
-def test_no_cut_in_the_first_start_makes_a_whole_store_of_an_empty_folder(site, share):
+def test_no_power_loss_in_the_first_start_makes_a_whole_store_of_an_empty_folder(site, share):
     site.kept("whole")
     operations = site.machine("whole").disk.count
     assert operations > 5
@@ -129,18 +131,18 @@
         with pytest.raises(PowerCut):
             site.kept(f"m{at}")
         machine.cut(at, share)
-        assert site.kept(f"m{at}").whole is StoreCondition.PARTIAL
+        assert site.kept(f"m{at}").condition is StoreCondition.PARTIAL
 
 
 def test_a_fleet_that_begins_has_lost_nothing_by_an_empty_folder(site):
-    assert site.kept(fresh=True).whole is StoreCondition.INTACT
+    assert site.kept(fresh=True).condition is StoreCondition.INTACT
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.INTACT
+    assert site.kept().condition is StoreCondition.INTACT
 
 
-def test_a_repaired_folder_is_in_part_and_what_its_keeper_knew_is_forgotten_once(site):
+def test_a_repaired_folder_is_in_part_and_what_its_replica_knew_is_forgotten_once(site):
     kept = site.kept(fresh=True)
-    kept.keep_sure(3)
+    kept.keep_known_list(3)
     for n in range(5):
         on_disk(site, kept, StateKind.PLAN, "last", n)
     disk = site.machine().disk
@@ -152,85 +154,99 @@
     outcome = execute_job(disk, repairs.first_repair_job(plan))
     execute_job(disk, repairs.second_repair_job(plan, outcome.inode, 1e12))
     kept = site.kept()
-    assert kept.whole is StoreCondition.PARTIAL and kept.why.startswith("repaired") and kept.sure == 0
-    kept.keep_sure(3)  # it waited, and knows all again: that is its own, and outlives
+    assert (
+        kept.condition is StoreCondition.PARTIAL
+        and kept.doubt.startswith("repaired")
+        and kept.known_list == 0
+    )
+    kept.keep_known_list(3)  # it waited, and knows all again: that is its own, and outlives
     site.pump(kept, 200.0)
     site.machine().cut()
     kept = site.kept()
-    assert (kept.whole, kept.sure) == (StoreCondition.PARTIAL, 3)
+    assert (kept.condition, kept.known_list) == (StoreCondition.PARTIAL, 3)
     kept.confirm()
     site.pump(kept, 200.0)
     site.machine().cut()
-    assert site.kept().whole is StoreCondition.INTACT
+    assert site.kept().condition is StoreCondition.INTACT
 
 
-def test_an_older_copy_is_shown_by_what_others_heard_and_own_words_are_none(site):
+def test_an_older_copy_is_shown_by_what_others_heard_and_own_messages_are_none(site):
     kept = site.kept(fresh=True)
-    kept.keep_sure(3)
+    kept.keep_known_list(3)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
     machine = site.machine()
     older = machine.disk.copy()
     machine.kill()
     kept = site.kept()
     on_disk(site, kept, StateKind.PLAN, "last", 2)
-    heard = kept.sign()
+    heard = kept.position()
     assert (
-        heard.incarnation == 2 and kept.heard_sign(heard) and kept.heard_sign(FolderPosition("cd" * 8, 9, 9))
+        heard.incarnation == 2
+        and kept.receive_position(heard)
+        and kept.receive_position(FolderPosition("cd" * 8, 9, 9))
     )
     machine.disk = older
     kept, told = site.kept(), []
-    kept.on_doubt(lambda: told.append(kept.whole))
-    assert kept.whole is StoreCondition.INTACT and kept.sure == 3  # by the folder alone nothing shows it
-    assert not kept.heard_sign(heard)
-    assert told == [StoreCondition.PARTIAL] and kept.sure == 0 and kept.why.startswith("rolled back")
-    assert not kept.heard_sign(heard) and told == [StoreCondition.PARTIAL]  # said once
+    kept.on_incomplete(lambda: told.append(kept.condition))
+    assert (
+        kept.condition is StoreCondition.INTACT and kept.known_list == 3
+    )  # by the folder alone nothing shows it
+    assert not kept.receive_position(heard)
+    assert told == [StoreCondition.PARTIAL] and kept.known_list == 0 and kept.doubt.startswith("rolled back")
+    assert not kept.receive_position(heard) and told == [StoreCondition.PARTIAL]  # said once
     site.pump(kept, 200.0)
     machine.cut()
     kept = site.kept()
-    assert (kept.whole, kept.sure) == (StoreCondition.PARTIAL, 0)
+    assert (kept.condition, kept.known_list) == (StoreCondition.PARTIAL, 0)
     far = FolderPosition(heard.disk_id, 9, 9)
-    assert not kept.heard_sign(far)
+    assert not kept.receive_position(far)
     kept.confirm()
-    assert kept.heard_sign(far) and kept.whole is StoreCondition.INTACT  # others went over it
+    assert kept.receive_position(far) and kept.condition is StoreCondition.INTACT  # others went over it
     site.pump(kept, 200.0)
     kept = site.kept()
-    assert kept.whole is StoreCondition.INTACT and not kept.heard_sign(far)  # a start hears of it anew
+    assert kept.condition is StoreCondition.INTACT and not kept.receive_position(
+        far
+    )  # a start hears of it anew
 
 
-def test_a_copy_of_within_the_last_life_is_shown_to_a_store_that_has_settled_too(site):
+def test_a_copy_of_within_the_last_incarnation_is_shown_to_a_store_that_has_settled_too(site):
     kept = site.kept(fresh=True)
     on_disk(site, kept, StateKind.PLAN, "last", 1)
-    older, between = site.machine().disk.copy(), kept.sign()
+    older, between = site.machine().disk.copy(), kept.position()
     for number in range(2, 6):
         on_disk(site, kept, StateKind.PLAN, "last", number)
-    heard = kept.sign()
+    heard = kept.position()
     site.machine().disk = older
     kept = site.kept()
-    now = kept.sign()
+    now = kept.position()
     assert (heard.incarnation, now.incarnation) == (1, 2) and kept.settled and heard.number > now.number
-    assert kept.heard_sign(now) and kept.heard_sign(between) and kept.whole is StoreCondition.INTACT
     assert (
-        not kept.heard_sign(heard)
-        and kept.whole is StoreCondition.PARTIAL
-        and kept.why.startswith("rolled back")
+        kept.receive_position(now)
+        and kept.receive_position(between)
+        and kept.condition is StoreCondition.INTACT
+    )
+    assert (
+        not kept.receive_position(heard)
+        and kept.condition is StoreCondition.PARTIAL
+        and kept.doubt.startswith("rolled back")
     )
-    assert f"life 1, number {between.number}" in kept.why
+    assert f"life 1, number {between.number}" in kept.doubt
 
 
-def test_what_is_beyond_the_bounds_is_refused_and_said_once(site):
+def test_what_is_beyond_the_bounds_is_rejected_and_said_once(site):
     kept = site.kept(fresh=True)
-    told, whole = [], "x" * (k.ENTRY_RULES[StateKind.PLACEMENTS].value_bytes - 100)
+    told, whole = [], "x" * (k.ENTRY_RULES[StateKind.PLACEMENTS].max_value_bytes - 100)
     rule = k.ENTRY_RULES[StateKind.PLACEMENTS]
-    for n in range(rule.all_bytes // rule.value_bytes + 20):
+    for n in range(rule.max_total_bytes // rule.max_value_bytes + 20):
         kept.keep(StateKind.PLACEMENTS, str(n), whole, lambda good, why: told.append((good, why)))
         site.pump(kept)
     assert told[0] == (True, "") and told[-1] == (False, "homes: 1048576 bytes in all is the most")
-    assert sum(what == "not kept" for what, _ in site.notes) == 1
+    assert sum(what == "recovery store rejected an entry" for what, _ in site.notes) == 1
     assert kept.keep(StateKind.PLACEMENTS, "0", None) and kept.keep(StateKind.PLACEMENTS, "new", whole)
     assert not kept.keep(StateKind.GRANT, "p", "x" * 40_000) and kept.keep(StateKind.GRANT, "p", [1.0])
 
 
-def test_what_is_on_disk_is_told_and_what_a_failing_disk_may_have_is_unsure(site):
+def test_what_is_on_disk_is_reported_and_what_a_failing_disk_may_have_is_unsure(site):
     kept, told = site.kept(fresh=True), []
     site.machine().held = True
     kept.keep(StateKind.PLAN, "last", 1, lambda good, why: told.append(good))
@@ -252,13 +268,13 @@
     assert site.kept().read(StateKind.PLAN)[0][1] == 3
 
 
-def test_what_was_found_is_settled_once_the_start_wrote_it_anew(site):
+def test_what_was_found_is_settled_once_the_start_rewrote_it(site):
     kept = site.kept(fresh=True)
     site.machine().kill()
     kept = site.kept(settle=False)
-    assert not kept.settled and kept.sign().incarnation == 0
+    assert not kept.settled and kept.position().incarnation == 0
     site.pump(kept)
-    assert kept.settled and kept.sign().incarnation == 2
+    assert kept.settled and kept.position().incarnation == 2
     kept.close()
     kept.close()
     assert not kept.keep(StateKind.PLAN, "last", 1)
@@ -274,31 +290,31 @@
 def test_the_last_roster_is_kept_when_it_changed_and_read_as_scorers(site):
     kept, recorder = site.kept(fresh=True), hints.RosterRecorder()
     one = Member("7", "in_service", "h:1", "z1", "big", 2, 1.5)
-    recorder.told(Fleet([one]))
+    recorder.update(Fleet([one]))
     assert recorder.due(0.0) is None  # not whole yet
-    recorder.told(Fleet([one, Member("8", "terminating", "h:2")], complete=True))
+    recorder.update(Fleet([one, Member("8", "terminating", "h:2")], complete=True))
     kept.keep(StateKind.ROSTER, hints.ENTRY_KEY, recorder.due(0.0))
     two = msgspec.structs.replace(one, id="9")
-    recorder.told(Fleet([one, two], complete=True))
+    recorder.update(Fleet([one, two], complete=True))
     assert recorder.due(1_999.0) is None
     value = recorder.due(2_000.0)
     assert len(value) == 2 and recorder.due(9_000.0) is None
     site.pump(kept, 300.0)
     assert k.ENTRY_RULES[StateKind.ROSTER].mode == Durability.BEST_EFFORT
     site.machine().cut(share=1.0)
-    assert hints.RosterRecorder.read(site.kept().read(StateKind.ROSTER)) == [one]
-    assert hints.RosterRecorder.read([(hints.ENTRY_KEY, [["broken"]], TrustLevel.HINT)]) == []
+    assert hints.stored_roster(site.kept().read(StateKind.ROSTER)) == [one]
+    assert hints.stored_roster([(hints.ENTRY_KEY, [["broken"]], TrustLevel.HINT)]) == []
 
 
-def test_the_use_of_the_last_windows_is_told_by_row_and_class_within_its_bound(site):
+def test_the_use_of_the_last_windows_is_due_by_function_and_class_within_its_limit(site):
     recorder = hints.UsageRecorder(0.0)
     for n in range(5):
-        recorder.came(n * 2_000.0, "f", "gold", 20)
-        recorder.came(n * 2_000.0, f"rare {n}", "gold")
+        recorder.record(n * 2_000.0, "f", "gold", 20)
+        recorder.record(n * 2_000.0, f"rare {n}", "gold")
     assert recorder.due(9_999.0) is None
     assert recorder.due(10_000.0)[:2] == [["f", "gold", 10.0], ["rare 0", "gold", 0.1]]
     for n in range(3 * hints.MAX_FUNCTIONS):
-        recorder.came(10_000.0, f"g{n:05}", "low", 1 + (n % 3 == 0))
+        recorder.record(10_000.0, f"g{n:05}", "low", 1 + (n % 3 == 0))
     assert recorder.due(11_000.0) is None  # written once in five windows
     value = recorder.due(20_000.0)
     assert len(value) == hints.MAX_FUNCTIONS and {rps for _, _, rps in value} == {0.2}
@@ -307,4 +323,4 @@
     assert kept.keep(StateKind.USAGE, hints.ENTRY_KEY, value)
     site.pump(kept, 300.0)
     site.machine().cut(share=1.0)
-    assert hints.UsageRecorder.read(site.kept().read(StateKind.USAGE))["g00000", "low"] == 0.2
+    assert hints.stored_usage(site.kept().read(StateKind.USAGE))["g00000", "low"] == 0.2
