--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -5,38 +5,34 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, cast
+
+import msgspec
+
 from fawnwharf import interface as io
 from fawnwharf.config import Deployment
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.requests import RequestTable
-from fawnwharf.net.timer_wheel import Timer
-from fawnwharf.net.timer_wheel import monotonic_ms
-from fawnwharf.net.timer_wheel import unix_ms
+from fawnwharf.net.timer_wheel import Timer, monotonic_ms, unix_ms
 from fawnwharf.policy_rollout import messages as m
-from fawnwharf.policy_rollout.call_binding import CallPolicyBinding
-from fawnwharf.policy_rollout.call_binding import CallTable
-from fawnwharf.policy_rollout.call_binding import class_spec_for_document
-from fawnwharf.policy_rollout.call_binding import with_bound_classes
+from fawnwharf.policy_rollout.call_binding import (
+    CallPolicyBinding,
+    CallTable,
+    class_spec_for_document,
+    with_bound_classes,
+)
 from fawnwharf.policy_rollout.call_trace import CallTrace
-from fawnwharf.policy_rollout.document import DeploymentCapabilities
-from fawnwharf.policy_rollout.document import make_document
+from fawnwharf.policy_rollout.document import DeploymentCapabilities, make_document
 from fawnwharf.policy_rollout.message_batcher import MessageBatcher
-from fawnwharf.policy_rollout.policy_applier import PolicyApplier
-from fawnwharf.policy_rollout.policy_applier import ReplicatedCalls
+from fawnwharf.policy_rollout.policy_applier import PolicyApplier, ReplicatedCalls
 from fawnwharf.policy_rollout.policy_file import PolicyFile
-from fawnwharf.policy_rollout.rate_limited_log import RateLimitedLog
-from fawnwharf.policy_rollout.rate_limited_log import Write
-from fawnwharf.policy_rollout.request_file import REQUEST_FILE
-from fawnwharf.policy_rollout.request_file import RequestFile
+from fawnwharf.policy_rollout.rate_limited_log import RateLimitedLog, Write
+from fawnwharf.policy_rollout.request_file import REQUEST_FILE, RequestFile
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import RolloutSettings
 from fawnwharf.policy_rollout.status_publisher import StatusPublisher
 from fawnwharf.zones.service import ZoneService
-from pathlib import Path
-from typing import Any
-from typing import cast
-import msgspec
-
 
 NAME = "policy"
 POLL_FILES_MS = 200.0  # interval at which the operators' file is read
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -33,7 +33,7 @@
 
     def test_events_told_twice_or_out_of_date_are_passed_over(self):
         rig = self.rig(ScorerPeer())
-        with mock.patch.object(rig.front.change_log, "_told") as told:
+        with mock.patch.object(rig.front.change_log, "_deliver") as told:
             for seq in (2, 2, 1, 3):
                 rig.log.say(self.event(seq))
             rig.until(lambda: rig.front.change_log.seq == 3, "the last one is told")
