--- a/tests/test_lint_exemptions.py
+++ b/tests/test_lint_exemptions.py
@@ -21,8 +21,8 @@
 # Left out for all tests by tests/ruff.toml, which gives the reason.
 MISSING_DOCSTRINGS = {"D100", "D101", "D102", "D103", "D104", "D106"}
 # Lower them with each exemption that goes; they are never raised.
-MAX_EARLIER_EXEMPTIONS = 10
-MAX_WIDER_EXEMPTIONS = 59
+MAX_EARLIER_EXEMPTIONS = 9
+MAX_WIDER_EXEMPTIONS = 56
 # Raise it with each package that is added to the type checker's list; it is never lowered.
 MIN_TYPE_CHECKED = 2
 
