--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -35,7 +35,7 @@
         """Have a client read as its bytes arrive, or at the slower pace of the scans."""
         connection = client.connection
         slower = self.paused or connection.waiting_bytes >= UNSENT_PAUSE_BYTES
-        connection.read_on(connection.finishing or not slower)
+        connection.set_reading(connection.finishing or not slower)
         if not (connection.reads or connection.closed):
             self.check_later(client)
 
@@ -69,7 +69,7 @@
         connection = client.connection
         for _ in range(MAX_READS):
             ended = connection.closed or connection.finishing
-            if ended or connection.waiting_pieces > MAX_UNSENT_ANSWERS or self._loop.batch_full:
+            if ended or connection.queued_buffers > MAX_UNSENT_ANSWERS or self._loop.batch_full:
                 return
             if connection.read_now():
                 return
--- a/fawnwharf/recovery_service/load_order_gate.py
+++ b/fawnwharf/recovery_service/load_order_gate.py
@@ -132,7 +132,7 @@
         ending = answer.ending if answer else attempt_result(end or EndReason.NEVER_SENT, query.begun)
         copies = answer.copies if answer else 0
         took_ms = self._clock() - query.began_ms
-        self._notify_module(io.LoadOrderAnswered(query.worker, function, ending, copies, took_ms))
+        self._notify_module(io.LoadOrderAnswered(query.scorer, function, ending, copies, took_ms))
 
     def events(self, now_ms: float, events: list[io.Event]) -> list[Action]:
         """Take what a batch says of copies: answers to orders, and calls that found no copy."""
--- a/fawnwharf/recovery_service/simulated_front_end.py
+++ b/fawnwharf/recovery_service/simulated_front_end.py
@@ -119,7 +119,7 @@
         def ended(result: io.AttemptResult, copies: int) -> None:
             order.ended(order, None, Answer(result, b"", io.Warmth.UNTOLD, 0, copies))
 
-        self._scorers.order(order.worker, order.function, 0, ended)
+        self._scorers.order(order.scorer, order.function, 0, ended)
 
 
 class SimulatedFrontEnd:
--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -35,7 +35,7 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        self.clock.advance(rig.front.scorer_pool._trust_ms)  # the last moment at which it is used
+        self.clock.advance(rig.front.scorer_pool._reuse_idle_ms)  # the last moment at which it is used
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.clock.advance(60.0)
         rig.front.scorer_pool.run_maintenance()
@@ -123,7 +123,7 @@
         rig.front.loop.timers.advance()  # its time runs out as it is up, and not read yet
         self.assertEqual((ended, link.connection.closed), ([(EndReason.DIAL_TIMED_OUT, False)], True))
         rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees it end")
-        self.assertEqual((scorer.frames, rig.front.scorer_pool._links), ([], 0))
+        self.assertEqual((scorer.frames, rig.front.scorer_pool._link_count), ([], 0))
 
     def test_one_that_is_seen_up_in_the_turn_in_which_its_time_runs_out_is_used(self):
         scorer, ended = ScorerPeer(copies=None), []
@@ -225,7 +225,7 @@
         self.link_up(rig, scorer)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.front.scorer_pool.close()
-        self.assertEqual((ended, rig.front.scorer_pool._links), ([(EndReason.STOPPED, False)], 0))
+        self.assertEqual((ended, rig.front.scorer_pool._link_count), ([(EndReason.STOPPED, False)], 0))
 
     def test_an_idle_link_gives_way_where_there_are_more_scorers_than_links(self):
         peers = [ScorerPeer(f"s-{number}", copies=None) for number in range(3)]
@@ -324,7 +324,7 @@
                 rig.front.requests.send(io.Send(key, BY_POOL))
                 rig.until(lambda scorer=scorer: scorer.runs, "it runs")
                 link, frame = scorer.runs[0]
-                whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, mark=scorer_frames.FROM_SCORER)
+                whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, direction=scorer_frames.FROM_SCORER)
                 link.sock.sendall(whole[:-1])
                 link.sock.close()
                 rig.until(lambda: self.endings(), "it ends")
@@ -338,7 +338,7 @@
         rig.until(lambda: scorer.runs, "it runs")
         scorer.links[0].sock.sendall(b"\x81\0")
         [link] = self.links(rig)
-        rig.until(lambda: link._reader.waits, "a part has come")
+        rig.until(lambda: link._reader.has_partial_frame, "a part has come")
         while not self.endings():
             self.clock.advance(50.0)
             self.turn(rig, times=1)
@@ -370,7 +370,7 @@
                 rig.until(lambda number=number: len(scorer.runs) > number, "it runs")
                 scorer.answer(scorer.runs[number])
                 rig.until(lambda number=number: len(ended) > number, "it is answered")
-        self.assertEqual([link.takes(b"%08d" % number) for number in range(6)], [True] * 2 + [False] * 4)
+        self.assertEqual([link.accepts(b"%08d" % number) for number in range(6)], [True] * 2 + [False] * 4)
 
 
 if __name__ == "__main__":
--- a/tests/net/test_net_scorer_connections.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -34,7 +34,7 @@
 def attempt(worker, ended, id=b"12345678", body=b"", within_ms=8000.0):
     return scorer_streams.Attempt(
         worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), id=id,
-        kind="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms,
+        class_name="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms,
     )  # fmt: skip
 
 
@@ -301,7 +301,7 @@
         rig.front.scorer_pool.send(attempt(front_end.scorer_number(scorer.id), ended))
         rig.until(lambda: scorer.runs, "it runs")
         link, frame = scorer.runs[0]
-        whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, mark=scorer_frames.FROM_SCORER)
+        whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, direction=scorer_frames.FROM_SCORER)
         link.sock.sendall(whole[:40])
         rig.until(lambda: ended, "it ends")
         self.assertEqual(ended, [(EndReason.SILENT, True)])
--- a/tests/recovery_service/test_recovery_service_admission.py
+++ b/tests/recovery_service/test_recovery_service_admission.py
@@ -329,7 +329,7 @@
     assert ground.out == [own, question] and ground.made == [(7, "own")]
     assert ground.told == [io.LoadOrderAnswered(8, "f", io.AttemptResult.NOT_SENT, 0, 0.0)]
     [asked] = ground.asked  # where its copy stands, once a second
-    assert (asked.worker, asked.function, asked.copies) == (7, "f", 0)
+    assert (asked.scorer, asked.function, asked.copies) == (7, "f", 0)
     ground.order_gate.carry(race)
     assert len(ground.asked) == 1
     asked.ended(asked, None, ANSWER)
--- a/tests/support/request_driver.py
+++ b/tests/support/request_driver.py
@@ -186,8 +186,8 @@
         links = [link for scorer in front.scorer_pool.scorers.values() for link in scorer.links]
         left = {
             "requests": dict(front.requests.open),
-            "attempts": dict(front.requests._out),
-            "bytes of bodies": front.requests._bodies,
+            "attempts": dict(front.requests._in_flight),
+            "bytes of bodies": front.requests._body_bytes,
             "streams": [stream for link in links for stream in link.streams.values()],
             "waiting": [stream for scorer in front.scorer_pool.scorers.values() for stream in scorer.waiting],
             "requests decided on": dict(front.router.requests),
@@ -196,7 +196,7 @@
         }
         left = {name: found for name, found in left.items() if found}
         assert not left, left
-        assert front.scorer_pool._links == len(links)
+        assert front.scorer_pool._link_count == len(links)
 
     def close(self) -> None:
         """End the front end and all peers, and take the clock and the faults out again."""
