--- a/fawnwharf/sessions/foreseen.py
+++ b/fawnwharf/sessions/foreseen.py
@@ -19,7 +19,8 @@
 from fawnwharf.session_types import Session
 from fawnwharf.sessions.agent import Agent
 from fawnwharf.sessions.moves import place_of
-from fawnwharf.sessions.staging import Beat, Seen, Staging, Word, announced_from
+from fawnwharf.sessions.staging import Staging, announced_from
+from fawnwharf.sessions.staging_messages import Beat, Seen, Word
 from fawnwharf.zones.files import WatchedFile, load_file
 from fawnwharf.zones.plan import DRAINING, OUT
 from fawnwharf.zones.settings import SettingsFileError
--- a/fawnwharf/sessions/measure.py
+++ b/fawnwharf/sessions/measure.py
@@ -18,7 +18,8 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.settings import PrefetchSettings, Prices
 from fawnwharf.session_types import Session
-from fawnwharf.sessions.staging import COUNTS, SLICE_MS, Seen, Staging, Word
+from fawnwharf.sessions.staging import COUNTS, Staging
+from fawnwharf.sessions.staging_messages import SLICE_MS, Seen, Word
 
 SITES = ("north", "south", "west")
 KEEPERS = ("a", "b", "c", "d", "e", "f")
--- a/fawnwharf/sessions/staging.py
+++ b/fawnwharf/sessions/staging.py
@@ -9,18 +9,16 @@
 """
 
 import math
-from collections.abc import Iterable, Sequence
-from typing import Annotated
+from collections.abc import Iterable
 
 import msgspec
-from msgspec import Meta, Struct
 
 from fawnwharf import interface as io
 from fawnwharf.prefetch import learned_state
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.baseline_strategies import BaselineStrategies, KnownMove
 from fawnwharf.prefetch.budgets import PlannerView, share_count
-from fawnwharf.prefetch.known import CopyTable, FunctionReport, FunctionTable, ScorerView
+from fawnwharf.prefetch.known import CopyTable, FunctionTable, ScorerView
 from fawnwharf.prefetch.predictors import (
     HomeZone,
     NextZones,
@@ -36,7 +34,8 @@
 from fawnwharf.prefetch.settings import Prices
 from fawnwharf.prefetch.slices import Slices
 from fawnwharf.replication.placement import rendezvous_weight
-from fawnwharf.session_types import PredictedMove, PrefetchOrder, PrefetchRelease, Session
+from fawnwharf.session_types import PrefetchRelease, Session
+from fawnwharf.sessions.staging_messages import SLICE_MS, Beat, Seen, Word
 from fawnwharf.zones.evidence import EvidenceCollector
 from fawnwharf.zones.evidence import ZoneHealth as Sight
 from fawnwharf.zones.evidence import zone_health as sight
@@ -46,8 +45,6 @@
 OPEN_MOST = 50_000  # calls whose answers are awaited
 COUNTS, FUNCTIONS, PARTS = 100, 25, 40  # of one word; words of one look
 NAME_MOST = 128  # characters, as `sites.Text` has it
-TOLD_MOST = 100  # functions of a word that is taken
-SLICE_MS = 4.0  # from slice to slice: the wheel's tick
 ORDER_LAG_MS = 200.0  # by then the module has counted what was wanted of it
 LOADS = 3.0  # a stage that did not stand after so many loads, and a second, has failed
 WAITING_LEAST, WAITING_PART, REFUSED_PART = 3.0, 0.1, 0.02  # in calm; of a second's calls, of calls
@@ -55,36 +52,6 @@
 OTHERS_PART = 1 / 3  # of those that told lately: if so many are in a surge, all hold back
 
 
-class Seen(Struct):
-    """What a host sees at a pass."""
-
-    heard: Sequence[str] = ()  # keepers that are heard, this one among them if it is one
-    waiting: int = 0  # calls that wait in the module
-    refused: int = 0  # calls that were refused so far: a count that only grows
-    ordered: int | None = None  # orders within the ration's window as the module has them; None: not known
-    disturbed: frozenset[str] = frozenset()  # sites that are lost, or power up
-    out: frozenset[str] = frozenset()  # sites that take no calls: drained, or lost, by the plan
-
-
-class Word(Struct, frozen=True):
-    """What one front end tells others: calls by session and zone, functions, and whether it has no surge."""
-
-    counts: m.CounterMessage
-    functions: Annotated[tuple[FunctionReport, ...], Meta(max_length=TOLD_MOST)] = ()
-    calm: bool = True
-
-
-class Beat(Struct):
-    """What is to be done now, and in how many milliseconds `beat` is to be called again."""
-
-    words: list[Word] = []  # of a keeper to all, of others to the keepers
-    wanted: list[io.PrefetchRequested] = []  # events for the module
-    stages: list[PrefetchOrder] = []  # the same by function and site
-    let_gos: list[PrefetchRelease] = []  # staged, and not needed: nothing renews it any more
-    moves: list[PredictedMove] | None = None  # that are expected; None: no look has ended since the last beat
-    again_ms: float = SLICE_MS
-
-
 def announced_from(plan: Plan, ramp: RampSettings) -> list[m.AnnouncedPlan]:
     """What a plan in force announces.
 
--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -28,7 +28,7 @@
 from fawnwharf.replication import claims
 from fawnwharf.replication import grant_log as keeper_disk
 from fawnwharf.replication import messages as state
-from fawnwharf.sessions import left, staging
+from fawnwharf.sessions import left, staging_messages
 from fawnwharf.sessions import settings as session_settings
 from fawnwharf.sessions import words as session_words
 from fawnwharf.zones import log_lines, member_log, plan, report
@@ -97,7 +97,7 @@
         type=policy_settings.PolicyRequest),
         msgspec.json.encode, strict=True,
     ),
-    "prefetch/word": converted(staging.Word),
+    "prefetch/word": converted(staging_messages.Word),
     "prefetch/memory": packed(prefetch_memory.LearnedState),
     "prefetch/foretold": Boundary(
         baseline_strategies.KnownMove,
--- a/tests/support/prefetch_driver.py
+++ b/tests/support/prefetch_driver.py
@@ -4,10 +4,8 @@
 from fawnwharf.prefetch import messages as m
 from fawnwharf.prefetch.settings import PrefetchSettings as Bounds
 from fawnwharf.prefetch.settings import Prices
-from fawnwharf.sessions.staging import (
-    Seen,
-    Staging,
-)
+from fawnwharf.sessions.staging import Staging
+from fawnwharf.sessions.staging_messages import Seen
 
 UNIX = 1.7e12
 SPEC = io.ClassSpec("view", latency_target_ms=800.0, deadline_ms=3_000.0, late_share=0.2)
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -22,7 +22,7 @@
 from fawnwharf.session_types import Placement, Session
 from fawnwharf.sessions import left
 from fawnwharf.sessions.foreseen import Foreseen
-from fawnwharf.sessions.staging import Seen
+from fawnwharf.sessions.staging_messages import Seen
 
 SESSION = Session("acme", ROW)
 
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -14,13 +14,8 @@
 from fawnwharf.prefetch.session_monitor import SessionMonitor
 from fawnwharf.prefetch.slices import run_slices
 from fawnwharf.session_types import Session
-from fawnwharf.sessions.staging import (
-    COUNTS,
-    NAME_MOST,
-    OPEN_MOST,
-    Seen,
-    Word,
-)
+from fawnwharf.sessions.staging import COUNTS, NAME_MOST, OPEN_MOST
+from fawnwharf.sessions.staging_messages import Seen, Word
 
 
 def test_scorers_come_in_the_module_s_own_order_and_those_that_take_nothing_are_left_out():
--- a/tests/test_staging_orders.py
+++ b/tests/test_staging_orders.py
@@ -10,10 +10,8 @@
 from fawnwharf.prefetch.budgets import ordering_front_end
 from fawnwharf.prefetch.settings import decode_prefetch_settings
 from fawnwharf.session_types import PrefetchRelease, Session
-from fawnwharf.sessions.staging import (
-    Seen,
-    announced_from,
-)
+from fawnwharf.sessions.staging import announced_from
+from fawnwharf.sessions.staging_messages import Seen
 from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING, Plan, PlannedZone
 from fawnwharf.zones.settings import RampSettings, SettingsFileError
 
