--- a/fawnwharf/sessions/agent.py
+++ b/fawnwharf/sessions/agent.py
@@ -387,15 +387,3 @@
     def sure(self, now_ms: float) -> bool:
         """Whether the replica here knows all that it promised."""
         return self.keeper is not None and self.keeper.sure(now_ms)
-
-    def steps(self) -> dict[str, int]:
-        """Migrations in progress here, by step."""
-        return dict(Counter(hand.step for hand in self.mover.hands.values())) if self.mover else {}
-
-    def all_counts(self) -> dict[str, int]:
-        """The counters of all cores."""
-        found, kept = self.counts.copy(), [self.keeper.counts] if self.keeper else []
-        for counts in (self.router.counts, self.moves.counts, *kept):
-            found.update(counts)
-        firsts = {"first calls after a move, copy found": self.firsts.found}
-        return dict(found) | firsts | {"first calls after a move, cold": self.firsts.cold}
--- a/fawnwharf/sessions/service.py
+++ b/fawnwharf/sessions/service.py
@@ -19,6 +19,7 @@
 from fawnwharf.sessions.places import Places
 from fawnwharf.sessions.settings import Settings, Wishes, by_classes, settings_from, wishes_from, wishes_place
 from fawnwharf.sessions.stages import Orders, Stages
+from fawnwharf.sessions.status import status_of
 from fawnwharf.sessions.trace import Trace
 from fawnwharf.zones.files import WatchedFile, load_file
 from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING
@@ -27,7 +28,6 @@
 STATUS_MS, WISH_LIFE_MS = 1_000.0, 5_000.0  # pace of words on oneself; how long others' wishes count,
 WISH_GONE_MS = 600_000.0  # and those of a member that is not heard: its process may only be replaced
 FILES_MS = 500.0
-COUNTS_MOST = 96
 LINE_S = 1.0  # one note a second of each kind
 WARM = {io.Warmth.FOUND: True, io.Warmth.BEGAN_LOAD: False, io.Warmth.WAITED_FOR_LOAD: False}
 
@@ -383,22 +383,5 @@
             self._status(now)
 
     def _status(self, now_ms: float) -> None:
-        agent, self._status_ms = self.agent, now_ms
-        keeper = agent.keeper
-        status = w.Status(
-            known=len(agent.router.homes),
-            elsewhere=agent.router.elsewhere,
-            kept=len(keeper.records) if keeper else 0,
-            keeps=keeper is not None,
-            sure=agent.sure(now_ms),
-            hands=agent.steps(),
-            draining=agent.moves.waiting(),
-            staged=len(agent.router.staged),
-            counts=dict(sorted(agent.all_counts().items())[:COUNTS_MOST]),
-            ended=dict(agent.ended_by.most_common(COUNTS_MOST)),
-            wish=self.wishes.number,
-            drained=self.wishes.drained,
-            answers=tuple(agent.asking.answers.values()),
-            foreseen=self.foreseen.counts() if self.foreseen is not None else {},
-        )
-        self.state.publish(w.RIDER, status)
+        self._status_ms = now_ms
+        self.state.publish(w.RIDER, status_of(now_ms, self.agent, self.wishes, self.foreseen))
