--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -220,7 +220,7 @@
     assert between.section("staging") == {"fetches_rps": S.fetches_ps, "free_part": 0.5, "cold_part": 1.0}
     assert fallback_limits(with_defaults(base, more)).value("staging", "fetches_rps") == 50.0
     assert fallback_limits(base).value("staging", "fetches_rps") == S.fetches_ps / 2
-    policies._built_parts = {"sessions": SimpleNamespace(foreseen=None)}  # homes alone: nothing to give budgets to
+    policies._built_parts = {"sessions": SimpleNamespace(foreseen=None)}  # placements alone: no budgets
     assert (
         find_incompatibility(more, policies._capabilities())
         == "staging.fetches_rps: nothing is prefetched here"
