--- a/tests/test_lab_clocks.py
+++ b/tests/test_lab_clocks.py
@@ -147,7 +147,7 @@
     measures = runner.run()
     assert measures.verdict.broken == []
     told = [
-        front for front in runner.fleet.fronts.values() if any("apart from" in line for line in front.lines)
+        front for front in runner.fleet.fronts.values() if any("differs from" in line for line in front.lines)
     ]
     assert told  # some were behind, and said that starts lay ahead of them
     assert measures.verdict.checked["effects"] > 50
--- a/tests/test_lab_elsewhere.py
+++ b/tests/test_lab_elsewhere.py
@@ -23,7 +23,7 @@
 
     def last(front):
         notes = [n for n in fleet.notes[since[front.name] :] if n.front == front.name]
-        return next((n.fields["known"] for n in reversed(notes) if n.event == "work elsewhere"), None)
+        return next((n.fields["known"] for n in reversed(notes) if n.event == "remote load"), None)
 
     def until(known, what):
         fleet.until(lambda: {last(front) for front in fronts if front.alive} == {known}, what)
@@ -54,7 +54,7 @@
     finally:
         fleet.close()
     told = capsys.readouterr().out
-    assert "work: front ends heard: 6" in told and "work: words told: " in told
+    assert "load reports: front ends received: 6" in told and "load reports: sent: " in told
 
 
 def test_scorers_come_back_cold_while_front_ends_tell_what_they_sent():
--- a/tests/test_lab_operators.py
+++ b/tests/test_lab_operators.py
@@ -50,7 +50,7 @@
             return operators.run(front, *words, group="state")
 
         status, out, _ = state("show")
-        assert status == 0 and out.count("grants calls") == 3 and "kept:" in out
+        assert status == 0 and out.count("grants calls") == 3 and "calls claimed:" in out
         status, out, _ = state("check")
         assert status == 0 and all(name in out for name in keepers)
         status, out, _ = state("digest", "--member", keepers[0])
--- a/tests/test_lab_power.py
+++ b/tests/test_lab_power.py
@@ -294,7 +294,7 @@
     ids = [request.call_id for request in runner.fleet.clients.requests if request.call_id]
     assert len(ids) > len(set(ids))  # clients came again for calls of the last moments
     cut_ms = runner.fleet.marks["the power goes"]
-    read = [n.fields for n in notes if n.event == "disk read" and n.at_ms > cut_ms]
+    read = [n.fields for n in notes if n.event == "grants read" and n.at_ms > cut_ms]
     stages = [
         n.fields["stage"] for n in notes if n.event == "recovery phase decided" and n.fields["cut"] == 1
     ]
--- a/tests/test_sessions_joined.py
+++ b/tests/test_sessions_joined.py
@@ -214,7 +214,7 @@
     )
     policies.deployment = SimpleNamespace(settings=rules(), wire=SimpleNamespace(tenants=frozenset()))
     policies._built_parts = {"sessions": SimpleNamespace(foreseen=SimpleNamespace(staging=staging()))}
-    base = policies._capabilities().base
+    base = policies._capabilities().configured_defaults
     more = document_from_object({"version": 1, "number": 2, "staging": {"fetches_rps": 100.0}})
     between = stricter(with_defaults(base, make_document(1, {})), with_defaults(base, more))
     assert between.section("staging") == {"fetches_rps": S.fetches_ps, "free_part": 0.5, "cold_part": 1.0}
