--- a/fawnwharf/net/change_log.py
+++ b/fawnwharf/net/change_log.py
@@ -1,4 +1,4 @@
-"""The change log: followed over TCP, reconnected when it is silent, and never trusted to be well-formed."""
+"""The client of the change log: follows it over TCP, reconnects, and tolerates malformed lines."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,34 +16,35 @@
 from fawnwharf.net.scorer_start_times import ClockStepCorrection
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-# The log's events must be received within 4 s after it falls silent, and within 2 s after it disconnects: to
-# detect that, to connect and to receive them must fit in, also where a first connection attempt fails.
-SILENCE_TIMEOUT_MS = 1_800.0  # it writes a line every second; this is one missing line and most of the next
+# Events must be received within 4 s after the log falls silent and within 2 s after it disconnects. That
+# includes detection, a failed connection attempt, a successful one, and the transfer.
+SILENCE_TIMEOUT_MS = 1_800.0  # the log writes a line every second; one may be missing
 CONNECT_TIMEOUT_MS = 500.0
 MIN_BACKOFF_MS = 50.0  # before the next connection attempt
 MAX_BACKOFF_MS = 250.0
-MAX_GAP = 1_000  # events that may be missing for good where the log cannot be followed
+MAX_MISSING_EVENTS = 1_000  # an event number that is further ahead is rejected as wrong
 MAX_LINE_BYTES = 4 * 1024 * 1024  # a list of thousands of scorers is shorter
-PROGRESS_BYTES = 16 * 1024  # of one line within the silence timeout: a long list in transfer, no trickle
-LINE_MS = 10_000.0  # within which a line has to be complete, however fast it arrives
-MAX_DELAY_MS = 7_000.0  # a log that lags for longer than this has restarted its numbering
-MAX_HEARTBEAT_AGE_MS = 3_000.0  # of heartbeats whose path or rhythm holds them back: reconnect
-MAX_ABSENCE_MS = 4_500.0  # longer than this the log may have restarted its numbering unnoticed
-MIN_RECONNECT_MS = 10_000.0  # a connection is not ended for that before it is as old
-REPLAY_MS = 100.0  # to receive all events of a new numbering; a drain in it must be applied within 250 ms
-MAX_SMALLER_NUMBERS = 1  # numbers below the own in a row, before all events are requested
+PROGRESS_BYTES = 16 * 1024  # of an incomplete line count as activity: a long list is in transfer
+MAX_LINE_MS = 10_000.0  # for the transfer of one line
+MAX_DELAY_MS = 7_000.0  # a log that is behind for longer than this has restarted its numbering
+MAX_HEARTBEAT_AGE_MS = 3_000.0  # heartbeats that may be older when they arrive cause a reconnect
+MIN_RECONNECT_MS = 10_000.0  # minimum age of the connection for such a reconnect
+MAX_UNCONFIRMED_MS = 4_500.0  # after a longer time the log may have restarted its numbering unnoticed
+REPLAY_COLLECT_MS = 100.0  # for a new numbering's events; a drain must be applied within 250 ms
+MAX_SMALLER_NUMBERS = 1  # consecutive heartbeats with a smaller number, before all events are requested
 
 
 class ChangeLog:
-    """Follows the log from an event on, and delivers what each event newly says.
+    """Follows the log after a given event, and delivers the changes that each event contains.
 
-    An event is delivered as soon as it is read, also ahead of missing ones: a drain in it applies from then
-    on. Missing events are requested, and count where no later event has replaced them (`EventOrder`).
+    An event is delivered as soon as it is read, even if earlier events are missing, so that a drain takes
+    effect at once. Missing events are requested. Where a later event has replaced an entry of a late event,
+    the entry is ignored (`EventOrder`).
 
-    `seq`: all events up to this one were delivered, or are missing for good. `up_to_date_ms`: the latest
-    moment at which the log provably had no more events, on the monotonic clock in milliseconds. `confirm`:
-    called with each such moment. `expects_renumbering`: any smaller number comes from a log that has lost its
-    events.
+    `seq`: all events up to this one were delivered, or were given up as missing. `up_to_date_ms`: the latest
+    time at which the log is known to have had no further events, in milliseconds on the monotonic clock.
+    `confirm`: called with each such time. `expects_renumbering`: whether any smaller event number means that
+    the log has lost its events.
     """
 
     max_backoff_ms = MAX_BACKOFF_MS
@@ -57,7 +58,7 @@
         deliver: Callable[[Fleet], None],
         log: Callable[[str], None],
     ) -> None:
-        """Follow the log after event `seq`, once connected; `deliver` receives lists and changes."""
+        """Follow the log after event `seq`; `deliver` receives complete lists and changes."""
         self.seq = seq
         self.up_to_date_ms: float | None = None
         self.expects_renumbering = False
@@ -70,28 +71,28 @@
         self._buffer = bytearray()
         self._began_ms = monotonic_ms()
         self._connected_ms = 0.0
-        self._alive_ms = 0.0  # when the log last gave a sign of life on this connection
-        self._line_ms = 0.0  # when the line that is arriving began
-        self._line_mark = 0  # bytes of it that counted as signs of life
+        self._alive_ms = 0.0  # the last activity of the log on this connection
+        self._line_began_ms = 0.0  # when the transfer of the incomplete line began
+        self._line_counted_bytes = 0  # bytes of that line that were counted as activity
         self._backoff_ms = MIN_BACKOFF_MS
         self._retry: Timer | None = None  # of the next connection attempt
-        self._stumbled_at: int | None = None  # where the log could not be followed last time
+        self._stumbled_at: int | None = None  # the position at the last failure to follow the log
         self._stopped = False
         self._order = EventOrder()
         self._clock_steps = ClockStepCorrection()
-        self._smaller_numbers = 0  # numbers below the own in a row, on this connection
-        self._smaller_ms: float | None = None  # since when the log reports numbers below the own
+        self._smaller_numbers = 0  # consecutive smaller numbers on this connection
+        self._smaller_since_ms: float | None = None  # since when the log has sent smaller numbers
         self._heartbeat_age = HeartbeatAge()
-        self._same_seq = 0  # on this connection, the last event that was received before as it is
-        self._fresh = False  # nothing was received on this connection yet
-        self._probing = False  # the next connection, or this one, requests all events
+        self._last_repeated_seq = 0  # the last event on this connection that repeats a known one
+        self._awaits_first_line = False  # no line was received on this connection
+        self._requests_all_events = False  # this connection, or the next one, requests all events
         self._replay: Replay | None = None
 
     def connect(self) -> None:
         """Connect, unless a connection exists or is being opened."""
         if self._stopped or self._connection is not None:
             return
-        if self._retry:  # an attempt that was planned earlier must not follow this one
+        if self._retry:  # replace a scheduled attempt
             self._retry.cancel()
         self._buffer.clear()
         opened = Connection.dial(self._loop, self._address, self, CONNECT_TIMEOUT_MS, first=True)
@@ -101,13 +102,13 @@
             self._connection = opened
 
     def move(self, address: Address) -> None:
-        """Follow the log at another address from now on; the numbering continues."""
+        """Follow the log at another address; the numbering of events continues."""
         if address == self._address:
             return
         self._address = address
         self._stumbled_at = None
-        self._probing = False
-        self._smaller_ms = None
+        self._requests_all_events = False
+        self._smaller_since_ms = None
         self._disconnect(EndReason.RETIRED)
         self._backoff_ms = MIN_BACKOFF_MS
         self.connect()
@@ -121,7 +122,7 @@
             self._connection.close(reason)
 
     def run_maintenance(self) -> None:
-        """Reconnect where the log is silent: the connection to a log that was cut off stays open."""
+        """Reconnect if the log is silent: its connection stays open when the network or the machine fails."""
         connected = self._connection is not None and self._connection.up
         if connected and monotonic_ms() - self._alive_ms > SILENCE_TIMEOUT_MS:
             self._log("change log: silent, reconnecting")
@@ -132,13 +133,13 @@
         self._stopped = True
         self._disconnect(EndReason.STOPPED)
 
-    # --- from the connection ------------------------------------------------------------------
+    # --- ConnectionOwner callbacks ------------------------------------------------------------
 
     def on_up(self) -> None:
         """Request the events after the last one received."""
         self._connected_ms = self._alive_ms = monotonic_ms()
-        self._fresh = True
-        self._same_seq = 0
+        self._awaits_first_line = True
+        self._last_repeated_seq = 0
         self._heartbeat_age.begin(self._connected_ms)
         self._smaller_numbers = 0
         if self._connection:
@@ -147,42 +148,42 @@
     def _resume_after(self) -> int:
         """The number after which events are requested.
 
-        After a long absence the last event is requested again: a log that restarted its numbering meanwhile
-        may have reached the same number, and has other content under it.
+        After a long time without confirmation the last event is requested again: its content shows whether
+        the log has restarted its numbering and reached the same number.
         """
-        if self._probing:
+        if self._requests_all_events:
             return 0
         absent_ms = monotonic_ms() - (self.up_to_date_ms or self._began_ms)
-        return max(0, self._position - 1) if absent_ms > MAX_ABSENCE_MS else self._position
+        return max(0, self._position - 1) if absent_ms > MAX_UNCONFIRMED_MS else self._position
 
     def on_data(self, data: bytes) -> None:
-        """Handle the lines that are complete with these bytes."""
+        """Handle the lines that these bytes complete."""
         self._buffer += data
         *lines, rest = self._buffer.split(b"\n")
         self._buffer = bytearray(rest)
         for line in lines:
-            if line.strip() and not self._line(bytes(line)):
+            if line.strip() and not self._handle_line(bytes(line)):
                 return
         self._note_progress(line_began=bool(lines) or len(rest) == len(data))
         if len(rest) > self.max_line_bytes:
-            self._stumble("a line without an end")
+            self._stumble(f"line exceeds {self.max_line_bytes} bytes")
 
     def _note_progress(self, line_began: bool) -> None:
-        """Count a long line in transfer as a sign of life; a few bytes now and then are none."""
+        """Count progress in the transfer of a long line as activity; a few bytes do not count."""
         now = monotonic_ms()
         size = len(self._buffer)
         if line_began:
-            self._line_ms = now
-            self._line_mark = 0
-        if size - self._line_mark >= PROGRESS_BYTES and now - self._line_ms < LINE_MS:
-            self._line_mark = size
+            self._line_began_ms = now
+            self._line_counted_bytes = 0
+        if size - self._line_counted_bytes >= PROGRESS_BYTES and now - self._line_began_ms < MAX_LINE_MS:
+            self._line_counted_bytes = size
             self._alive_ms = now
 
     def on_flushed(self) -> None:
-        """Do nothing: only one short line is ever written."""
+        """Do nothing: the one line written on a connection is short."""
 
     def on_end(self, _end: EndReason) -> None:
-        """Reconnect after a while; a replay starts again from its first event."""
+        """Schedule a connection attempt; a replay starts again from its first event."""
         self._connection = None
         if self._replay is not None:
             self._replay.cancel()
@@ -193,50 +194,52 @@
 
     # --- lines --------------------------------------------------------------------------------
 
-    def _line(self, line: bytes) -> bool:
-        """Handle one line; return False where the connection was closed."""
+    def _handle_line(self, line: bytes) -> bool:
+        """Handle one line; return False if the connection was closed."""
         try:
             read = msgspec.json.decode(line)
         except (msgspec.DecodeError, RecursionError):
-            return self._stumble(f"not JSON: {line[:60]!r}")
+            return self._stumble(f"line is not JSON: {line[:60]!r}")
         self._backoff_ms = MIN_BACKOFF_MS
         last = heartbeat_number(read)
         if last is not None:
-            return self._number(last)
+            return self._handle_heartbeat(last)
         if not self.event(read):
-            return self._connection is not None and self._stumble(f"not the next event: {line[:60]!r}")
+            return self._connection is not None and self._stumble(
+                f"line is not the next event: {line[:60]!r}"
+            )
         self._alive_ms = monotonic_ms()
-        self._fresh = False
+        self._awaits_first_line = False
         return self._connection is not None and not self._connection.closed
 
-    def _number(self, last: int) -> bool:
-        """Handle the number of the last event that the log has sent; return False after a disconnection.
+    def _handle_heartbeat(self, last: int) -> bool:
+        """Handle a heartbeat, which states the log's last event; return False if the connection was closed.
 
-        Where that stays ahead of what was received, the log counts as silent: events were lost.
+        A log that keeps stating more events than were received counts as silent, as events were lost.
         """
-        fresh = self._fresh
-        self._fresh = False
+        fresh = self._awaits_first_line
+        self._awaits_first_line = False
         written_ms = self._heartbeat_age.received(monotonic_ms())
         if last > self._position:
-            skipped = self._stumble(f"at {last}, but only {self._position} came")
+            skipped = self._stumble(f"heartbeat states event {last}, but only {self._position} was received")
             if skipped and monotonic_ms() - self._connected_ms < MAX_DELAY_MS:
                 self._alive_ms = monotonic_ms()
             return skipped
         self._alive_ms = monotonic_ms()
         if last < self._position:
-            return self._smaller_number(last, fresh)
+            return self._handle_smaller_number(last, fresh)
         if self._replay is not None and self._replay.timer is not None:
             self._end_replay()
-        self._stumbled_at = None  # a later failure to follow is a new one
+        self._stumbled_at = None  # a later failure is a new one
         self._smaller_numbers = 0
-        self._smaller_ms = None
-        self._probing = False
+        self._smaller_since_ms = None
+        self._requests_all_events = False
         self.up_to_date_ms = max(written_ms, self.up_to_date_ms or written_ms)
         self.confirm(written_ms)
-        return self._keep_up(written_ms)
+        return self._check_heartbeat_age(written_ms)
 
-    def _keep_up(self, written_ms: float) -> bool:
-        """Reconnect where heartbeats are older and older when they arrive; return False if so."""
+    def _check_heartbeat_age(self, written_ms: float) -> bool:
+        """Reconnect if heartbeats arrive with a growing delay; return False if so."""
         age_ms = monotonic_ms() - written_ms
         if age_ms < MAX_HEARTBEAT_AGE_MS or monotonic_ms() - self._connected_ms < MIN_RECONNECT_MS:
             return True
@@ -246,59 +249,55 @@
 
     # --- a log that restarts its numbering ----------------------------------------------------
 
-    def _smaller_number(self, last: int, fresh: bool) -> bool:
-        """Handle a number below the own: the log lags, or it lost its events and restarted its numbering.
+    def _handle_smaller_number(self, last: int, fresh: bool) -> bool:
+        """Handle a smaller number: the log is behind, or it lost its events and restarted its numbering.
 
-        Requesting all its events shows which.
+        All events are requested to find out which.
         """
         if self.expects_renumbering:
             return self._follow_renumbered(last)
-        if self._order.empty or self._replay is not None:  # nothing to compare with
+        if self._order.empty or self._replay is not None:  # no events to compare with
             return True
         self._smaller_numbers += 1
-        if self._smaller_ms is None:
-            self._smaller_ms = monotonic_ms()
-        if monotonic_ms() - self._smaller_ms > MAX_DELAY_MS and not self._is_lagging_replica(last):
+        if self._smaller_since_ms is None:
+            self._smaller_since_ms = monotonic_ms()
+        if monotonic_ms() - self._smaller_since_ms > MAX_DELAY_MS and not self._is_lagging_replica(last):
             return self._follow_renumbered(last)
-        if not self._probing and (fresh or self._smaller_numbers > MAX_SMALLER_NUMBERS):
-            self._log(f"change log: at {last}, after {self.seq} before; requesting all events")
-            self._probing = True
+        if not self._requests_all_events and (fresh or self._smaller_numbers > MAX_SMALLER_NUMBERS):
+            self._log(f"change log: at event {last}, was at {self.seq}; requesting all events")
+            self._requests_all_events = True
             self._disconnect(EndReason.BAD_BYTES)
             return False
         return True
 
     def _is_lagging_replica(self, last: int) -> bool:
-        """Whether the log has, up to its last event, the events that were received before.
-
-        Following it would return scorers to service that later events have drained.
-        """
-        return 0 < last == self._same_seq
+        """Whether the log is an outdated replica; following it would return drained scorers to service."""
+        return 0 < last == self._last_repeated_seq
 
     def _follow_renumbered(self, last: int) -> bool:
-        """Reconnect to receive the new numbering from its start, with its complete list first."""
+        """Reconnect to receive the new numbering from its first event, a complete list."""
         self._start_replay(last)
         self._disconnect(EndReason.BAD_BYTES)
         return False
 
     def _start_replay(self, last: int) -> None:
-        self._log(f"change log: at {last}, after {self.seq} before: it restarted its numbering")
+        self._log(f"change log: at event {last}, was at {self.seq}; it restarted its numbering")
         self.seq = 0
         self._stumbled_at = None
-        self._smaller_ms = None
-        self._probing = False
+        self._smaller_since_ms = None
+        self._requests_all_events = False
         self._order = EventOrder()
         if self._replay is not None:
             self._replay.cancel()
         self._replay = Replay()
 
     def _collect(self, replay: Replay, fleet: Fleet) -> None:
-        """Collect an event of a new numbering.
+        """Collect an event of a new numbering: the complete list in the first one may be outdated.
 
-        Its first list is older than its last events, and a scorer that these drain must not return to service
-        for a moment.
+        A scorer that later events drain must not return to service for a moment.
         """
         if replay.timer is None:
-            replay.timer = self._loop.timers.after(REPLAY_MS, self._end_replay)
+            replay.timer = self._loop.timers.after(REPLAY_COLLECT_MS, self._end_replay)
         replay.complete = replay.complete or fleet.complete
         replay.overlay.apply(fleet)
 
@@ -310,7 +309,7 @@
         replay.cancel()
         self._replay = None
         self.seq = replay.seq
-        # Scorers that a complete list did not name are removed; without a complete list, none is.
+        # Scorers that a complete list does not name are removed. Without a complete list none is removed.
         members = list(replay.overlay.members.values())
         self._deliver(Fleet(members, replay.complete, replay.overlay.revision))
 
@@ -318,18 +317,18 @@
 
     @property
     def _position(self) -> int:
-        """The last event of those that were received without a gap."""
+        """The last event that was received without a gap before it."""
         return self.seq if self._replay is None else self._replay.seq
 
     def event(self, read: Any, known: bool = False) -> bool:
-        """Handle one decoded event; return False where it is malformed, or does not follow the last one.
+        """Handle one decoded event; return False if it is malformed or does not follow the last one.
 
-        `known`: it comes from the configuration, which may start at any number.
+        `known`: it comes from the configuration, where the numbers may begin anywhere.
         """
         if not isinstance(read, dict) or type(seq := read.get("seq")) is not int:
             return False
-        # Protects against a number that is far too high: all later events would count as received before.
-        if seq > self._position + MAX_GAP and not known:
+        # A number that is far too high would make all later events count as already received.
+        if seq > self._position + MAX_MISSING_EVENTS and not known:
             return False
         try:
             if "fleet" not in read:
@@ -350,11 +349,11 @@
         match = self._order.compare(seq, fleet)
         earlier = seq <= self._position
         if match is EventMatch.SAME:
-            self._same_seq = max(seq, self._same_seq)
+            self._last_repeated_seq = max(seq, self._last_repeated_seq)
             return self._advance(seq, follows)
         if earlier and not known and self._replay is None and self._is_renumbered(seq, fleet, match):
             self._start_replay(seq)
-            if seq > 1:  # the events before it are needed as well
+            if seq > 1:  # the events before it are needed too
                 self._disconnect(EndReason.BAD_BYTES)
                 return False
         self._apply(seq, found, earlier)
@@ -363,10 +362,10 @@
     def _is_renumbered(self, seq: int, fleet: Fleet, match: EventMatch) -> bool:
         if match is EventMatch.NEW or (fleet.complete and seq > 1):
             return self._order.is_renumbered(seq, fleet)
-        return fleet.complete or seq > 1  # the first event is a complete list, or no event of the log
+        return fleet.complete or seq > 1  # event 1 of the log is always a complete list
 
     def _apply(self, seq: int, found: FleetRead, earlier: bool) -> None:
-        """Deliver what is new in an event, or collect it during a replay."""
+        """Deliver the new content of an event, or collect it during a replay."""
         fleet = self._order.apply(seq, found.fleet, found.unreadable_ids)
         fleet = self._clock_steps.correct(fleet, self._loop.clock.stepped_by_ms)
         if earlier and not fleet.members and not fleet.complete:
@@ -377,11 +376,11 @@
             else:
                 self._deliver(fleet)
         except Exception:
-            self._order.forget(seq)  # received again, it must count as new
+            self._order.forget(seq)  # when received again, it has to count as new
             raise
 
     def _advance(self, seq: int, follows: bool) -> bool:
-        """Continue after an event; False where events before it are missing, which are requested once."""
+        """Set the position to an event; return False if missing events have to be requested first."""
         if seq > self._position + 1 and not follows and self._stumbled_at != self._position:
             return False
         if self._replay is not None:
@@ -391,7 +390,7 @@
         return True
 
     def _stumble(self, why: str) -> bool:
-        """Reconnect to receive events again; return True where that failed here before, to skip the fault."""
+        """Reconnect to receive events again; return True to skip the fault if it occurred here before."""
         if self._stumbled_at == self._position:
             return True
         self._log(f"change log: {why}; reconnecting after event {self._position}")
--- a/fawnwharf/net/change_log_replay.py
+++ b/fawnwharf/net/change_log_replay.py
@@ -1,4 +1,4 @@
-"""The events of a change log that restarted its numbering, collected until they are delivered as one list."""
+"""The events of a change log that restarted its numbering, which are delivered as one list."""
 
 from dataclasses import dataclass, field
 
@@ -8,10 +8,10 @@
 
 @dataclass(slots=True)
 class Replay:
-    """The events of a new numbering that are collected from its start.
+    """The events of a new numbering, collected from its first event.
 
-    `seq` is the last one of them, and `complete` tells whether a list of all scorers was among them. `timer`
-    is set with the first event; the events are delivered when it expires.
+    `seq`: the last of them; `complete`: whether a complete list was among them; `timer`: set at the first
+    event; the events are delivered when it expires.
     """
 
     overlay: RosterOverlay = field(default_factory=RosterOverlay)
@@ -20,6 +20,6 @@
     timer: Timer | None = None
 
     def cancel(self) -> None:
-        """Stop the timer, as the events are delivered or dropped."""
+        """Stop the timer: the events are delivered or dropped now."""
         if self.timer:
             self.timer.cancel()
--- a/fawnwharf/net/connection.py
+++ b/fawnwharf/net/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: dialling, bounded reads, partial writes, and its single end."""
+"""One TCP connection: dialling, bounded reads, partial writes, and closing."""
 
 import contextlib
 import errno
@@ -20,24 +20,24 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 from fawnwharf.net.write_buffer import PartialWriteLimit, WriteBuffer
 
-# Read from one connection in an iteration, so that none starves the others; the rest stays in the system's
-# buffer, which slows its sender down, and is read in the next iterations.
+# Read from one connection in each event loop iteration, so that none starves the others. The rest stays in
+# the kernel's buffer, which slows the sender down, and is read in the next iterations.
 MAX_READ_BYTES = 64 * 1024
-COUNT = struct.Struct("@i")
-LINGER_MS = 1_000.0  # after the output was ended: the peer may still read, and close its side
-MAX_FINISH_MS = 10_000.0  # for a peer that continues to receive what was queued for it
-READ_AGAIN_MS = 50.0  # after a read for which the system had no memory
-# Where bytes were unread, or an iteration takes, this long: the peer may have ended meanwhile.
+OUTPUT_QUEUE_SIZE = struct.Struct("@i")  # the result of the ioctl TIOCOUTQ
+LINGER_MS = 1_000.0  # after the output was ended: time for the peer to read it and to close its side
+MAX_FINISH_MS = 10_000.0  # for writing the queued output to a peer that keeps receiving
+READ_AGAIN_MS = 50.0  # pause after a read that failed for lack of memory
+# After bytes were unread, or an iteration takes, longer than this, the peer may have ended its output.
 FRESH_MS = 40.0
 
 
 def serve_first() -> ReadPriority:
-    """The priority of a connection that is always served first in an iteration."""
+    """The read priority of a connection that is always served first in an iteration."""
     return ReadPriority.FIRST
 
 
 class Connection(ConnectionWriter, ReceiveAge):
-    """One connection of the loop, from its dial or accept to its single end."""
+    """One TCP connection in the event loop, from its dial or accept to its end."""
 
     def __init__(
         self,
@@ -48,14 +48,15 @@
         max_read_bytes: int = MAX_READ_BYTES,
         order: Callable[[], ReadPriority] | None = None,
     ) -> None:
-        """`up`: whether it is established already; `order`: see `accepted`."""
+        """Watch a socket; `up`: whether it is connected already; `order`: see `accepted`."""
         self.loop = loop
         self.owner = owner
         self.up = up
         self.closed = False
-        self.last_received_ms = self.used_ms = monotonic_ms()  # used: received or sent
+        # used_ms: when bytes were last received or sent
+        self.last_received_ms = self.used_ms = monotonic_ms()
         self.waiting_bytes = 0  # queued and not written yet
-        self.input_full = False  # the last read took as much as it may: there may be more
+        self.input_full = False  # the last read returned the maximum: there may be more
         self.age_ms = 0.0
         self.oldest_age_ms = 0.0
         self._max_read_bytes = max_read_bytes
@@ -64,8 +65,8 @@
         self._unread_noted_ms = 0.0
         self._sock = sock
         self._reading = True
-        self._read_paused = False  # the system had no memory for a read
-        self._blocked = False
+        self._read_paused = False  # after a read that failed for lack of memory
+        self._blocked = False  # the socket accepts no more output at present
         self._outbox: deque[WriteBuffer] = deque()
         self._partial_limit: PartialWriteLimit | None = None
         self._write_pause: Timer | None = None
@@ -75,8 +76,8 @@
         self._finishing: EndReason | None = None
         self._linger_ms = LINGER_MS
         self._finish_by_ms = 0.0
-        self._input_over = False  # the peer has ended its output
-        self._output_over = False  # this side has
+        self._input_ended = False  # the peer has ended its output
+        self._output_ended = False  # this side has ended its output
         self._mask = READ if up else WRITE
         loop.watch(sock, self._mask, self._ready, order=order)
 
@@ -90,11 +91,11 @@
         order: Callable[[], ReadPriority] | None = None,
         half_close: bool = False,
     ) -> Self:
-        """A connection on an accepted socket. Raises OSError, and does not close the socket then.
+        """Create a connection on an accepted socket. If this raises OSError, the socket is not closed.
 
-        `max_read_bytes`: read in an iteration at most; `order`: returns the priority in an iteration, for one
-        that is not always ACTIVE; `half_close`: a peer that ends its output may still read, so the owner, a
-        HalfCloseOwner, is notified, and what is queued is written before the end.
+        `max_read_bytes`: the limit for one read; `order`: returns the read priority in each iteration, which
+        is otherwise always ACTIVE; `half_close`: whether the peer may still read after it has ended its
+        output. The owner is then a HalfCloseOwner and notified of that, and queued output is still written.
         """
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -106,9 +107,10 @@
     def dial(
         cls, loop: EventLoop, address: Address, owner: ConnectionOwner, within_ms: float, first: bool = False
     ) -> Self | EndReason:
-        """A connection that is established or ends later, or the reason why none can be attempted.
+        """Begin to connect; return the connection, or the reason why no attempt can be made.
 
-        `within_ms`: the time limit of the dial; `first`: serve it before all others in each iteration.
+        `within_ms`: the time limit for the connection; `first`: whether to serve it before all others in each
+        iteration.
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         try:
@@ -118,7 +120,7 @@
         call = SystemCall.CONNECT
         try:
             sock.setblocking(False)
-            with contextlib.suppress(OSError):  # without the option a connection is slower, but works
+            with contextlib.suppress(OSError):  # the connection works without this option, but is slower
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             code = sock.connect_ex(address)
             if code not in (0, errno.EINPROGRESS):
@@ -136,13 +138,13 @@
         connection._dial_timer = timer
         return connection
 
-    # --- ending ---------------------------------------------------------------------------------
+    # --- graceful close -------------------------------------------------------------------------
 
     def finish(self, end: EndReason, linger_ms: float = LINGER_MS) -> None:
-        """End it in order: write what is queued, end the output, then drop input for `linger_ms`.
+        """Close gracefully: write the queued output, end the output, then discard input for `linger_ms`.
 
-        Protects the last answers, which a close with bytes unread would reset. Until then, or until the peer
-        closes, the connection keeps its descriptor.
+        An immediate close with unread input would send a reset, and the peer could lose the last answers. The
+        descriptor stays in use until `linger_ms` have passed or the peer closes.
         """
         if self.closed or self._finishing:
             return
@@ -156,7 +158,7 @@
             self._end_output(end)
 
     def _check_unwritten(self, end: EndReason) -> None:
-        """Close it where its peer has received nothing for some time."""
+        """Close the connection if the peer has accepted no output for `LINGER_MS`."""
         if self.closed or not self._outbox:
             return
         remaining_ms = min(self.used_ms + LINGER_MS, self._finish_by_ms) - monotonic_ms()
@@ -166,10 +168,10 @@
             self.close(end)
 
     def _end_output(self, end: EndReason) -> None:
-        if self._output_over:
+        if self._output_ended:
             return
-        self._output_over = True
-        if self._input_over:
+        self._output_ended = True
+        if self._input_ended:
             self.close(end)
             return
         with contextlib.suppress(OSError):
@@ -178,48 +180,48 @@
 
     @property
     def finishing(self) -> bool:
-        """Whether it is being ended in order."""
+        """Whether it is being closed gracefully."""
         return self._finishing is not None
 
     @property
     def queued_buffers(self) -> int:
-        """The number of buffers that are not written completely yet."""
+        """The number of write buffers that are not completely written."""
         return len(self._outbox)
 
     # --- unread bytes ---------------------------------------------------------------------------
 
     def unread(self) -> bytes | None:
-        """The first unread byte: None where nothing is unread, empty where the peer has ended its output."""
+        """The first unread byte; None if nothing is unread, empty if the peer has ended its output."""
         return peek(self._sock)
 
     def may_have_ended(self) -> bool:
-        """Whether the peer may have ended its output some time ago unseen by the reads of this iteration."""
+        """Whether the peer may have ended its output without this iteration's reads having noticed it."""
         if not self.reads or self.input_full or self.loop.was_deferred(self._sock):
             return True
         return max(self.age_ms, monotonic_ms() - self.loop.iteration_ms) > FRESH_MS
 
     def peer_ended(self) -> bool:
-        """Whether the peer has ended its output or reset the connection, even behind unread bytes.
+        """Whether the peer has ended its output or reset the connection, even if bytes are still unread.
 
-        False where the system can't report it.
+        False if the system can't report it.
         """
-        return self.closed or self._input_over or peer_ended(self._sock)
+        return self.closed or self._input_ended or peer_ended(self._sock)
 
     # --- reading --------------------------------------------------------------------------------
 
     @property
     def reads(self) -> bool:
-        """Whether it is read as bytes arrive."""
-        return self._reading and not self._read_paused and not self._input_over
+        """Whether arriving bytes are read at present."""
+        return self._reading and not self._read_paused and not self._input_ended
 
     def read_now(self) -> bool:
-        """Read once without waiting for the selector; returns whether everything received was read."""
-        if not (self.closed or self._input_over or self._read_paused):
+        """Read once without waiting for the selector; return whether all received bytes were read."""
+        if not (self.closed or self._input_ended or self._read_paused):
             self._read()
         return not (self.input_full or self._read_paused)
 
     def set_reading(self, enabled: bool) -> None:
-        """Pause or resume reading: a peer that does not read its answers is not read either."""
+        """Pause or resume reading, as backpressure on a peer that does not read its answers."""
         if self._reading != enabled and not self.closed:
             self._reading = enabled
             if not enabled:
@@ -233,13 +235,13 @@
             return
         try:
             self._watch_for(mask)
-        except OSError:  # the selector has no memory: without a retry, nothing would be read or written again
+        except OSError:  # the kernel lacks memory; without a retry the socket would stay unwatched
             self.loop.timers.after(READ_AGAIN_MS, self._set_mask)
             return
         self._mask = mask
 
     def _watch_for(self, mask: int) -> None:
-        if not mask:  # a selector accepts no empty one
+        if not mask:  # a selector accepts no empty mask
             self.loop.unwatch(self._sock)
         elif not self._mask:
             self.loop.watch(self._sock, mask, self._ready, order=self._order)
@@ -294,18 +296,18 @@
             return
         self.last_received_ms = self.used_ms = monotonic_ms()
         self.age_ms = self._age(ancillary)
-        self.oldest_age_ms = max(self.age_ms, self._max_age_ms())  # the timestamp is the last byte's
+        self.oldest_age_ms = max(self.age_ms, self._max_age_ms())  # the timestamp is that of the last byte
         self._has_read = True
         self._unread_since_ms = self._empty_ms() if self.input_full else None
         self._unread_noted_ms = self.loop.iteration_ms
         try:
             self.owner.on_data(data)
-        except Exception:  # whatever a peer sends, an error ends no more than its own connection
+        except Exception:  # an error in handling a peer's bytes must end only its connection
             self.loop.log_exception("reading")
             self.close(EndReason.BAD_BYTES)
 
     def _read_failed(self, error: OSError) -> None:
-        """Pause reading where the system lacks memory, which is transient; else end the connection."""
+        """Pause reading if the system lacks memory, which is transient; otherwise end the connection."""
         end = end_reason_of(error)
         if end is not EndReason.NO_DESCRIPTOR:
             self.close(end)
@@ -321,20 +323,20 @@
         self._set_mask()
 
     def _peer_closed(self) -> None:
-        """The peer has ended its output: it may have closed, or may still read what is queued for it."""
+        """Handle the end of the peer's output: it has closed, or may still read the queued output."""
         if self._half_close and not self._finishing:
             cast("HalfCloseOwner", self.owner).on_half_close()
         if not self._outbox or not (self._half_close or self._finishing):
             self.close(EndReason.CLOSED_BY_PEER)
             return
-        self._input_over = True  # an ended input stays readable: it is not watched any more
+        self._input_ended = True  # an ended input would stay readable, so stop watching it
         self._set_mask()
         self.finish(EndReason.CLOSED_BY_PEER)
 
-    # --- leaving the loop -----------------------------------------------------------------------
+    # --- removal and close ----------------------------------------------------------------------
 
     def detach(self) -> tuple[socket.socket, bytes]:
-        """Remove the connection from the loop; returns its socket and the unwritten bytes."""
+        """Remove the connection from the event loop; return its socket and the unwritten bytes."""
         self.closed = True
         self.owner = NO_OWNER
         self._order = None
@@ -346,21 +348,21 @@
         return self._sock, unwritten
 
     def unsent(self) -> int:
-        """Written bytes that the peer's system has not acknowledged; 0 where this system can't report it."""
+        """The number of written bytes that the peer has not acknowledged; 0 if the system can't report it."""
         try:
-            count = fcntl.ioctl(self._sock, termios.TIOCOUTQ, bytes(COUNT.size))
+            count = fcntl.ioctl(self._sock, termios.TIOCOUTQ, bytes(OUTPUT_QUEUE_SIZE.size))
         except (OSError, ValueError):
             return 0
-        return max(0, int(COUNT.unpack(count)[0]))
+        return max(0, int(OUTPUT_QUEUE_SIZE.unpack(count)[0]))
 
     def _shut_down_output(self) -> None:
-        """Protect answers that are still in transit: a close with bytes unread would reset them."""
+        """End the output and discard unread input: a reset on close could lose answers in transit."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
         discard(self._sock)
 
     def close(self, end: EndReason) -> None:
-        """End the connection at once and notify the owner; does nothing where it has ended."""
+        """End the connection at once and notify the owner; does nothing if it has ended already."""
         if self.closed:
             return
         self.closed = True
--- a/fawnwharf/net/connection_owner.py
+++ b/fawnwharf/net/connection_owner.py
@@ -1,4 +1,4 @@
-"""The callbacks of a connection: the protocol that its owner implements."""
+"""The callbacks of a connection, which its owner implements."""
 
 from typing import Protocol
 
@@ -15,16 +15,16 @@
         """Bytes were received. An exception ends the connection as `EndReason.BAD_BYTES`."""
 
     def on_flushed(self) -> None:
-        """An iteration's one write has been attempted, and the connection is still open."""
+        """This iteration's write has been attempted, and the connection is still open."""
 
     def on_end(self, end: EndReason) -> None:
-        """The connection has ended for this reason; called exactly once, as the last callback."""
+        """The connection has ended for this reason. Called exactly once, as the last callback."""
 
 
 class HalfCloseOwner(ConnectionOwner, Protocol):
     """An owner that is also notified when the peer ends its output.
 
-    It may still queue output in that callback: it is written before the connection ends.
+    Output that the owner queues in this callback is still written before the connection ends.
     """
 
     def on_half_close(self) -> None:
@@ -32,10 +32,10 @@
 
 
 class _NoOwner:
-    """Owner of connections that have ended.
+    """The owner of connections that have ended.
 
-    Limits memory use: owner and connection would refer to each other until a full garbage collection, which
-    becomes rarer as the process grows.
+    It breaks the reference cycle between owner and connection. Otherwise both would stay in memory until a
+    full garbage collection, which becomes rarer as the process grows.
     """
 
     def on_up(self) -> None: ...
--- a/fawnwharf/net/connection_writer.py
+++ b/fawnwharf/net/connection_writer.py
@@ -1,4 +1,4 @@
-"""The output of a connection: its queue, one write an iteration, and pauses while the system lacks memory."""
+"""The output side of a connection: the write queue, one write in each iteration, retries after errors."""
 
 import socket
 from collections import deque
@@ -12,11 +12,11 @@
 from fawnwharf.net.write_buffer import PartialWriteLimit, WriteBuffer
 
 MAX_BUFFERS = 64  # in one write
-WRITE_PAUSE_MS = 20.0  # after a write that failed for lack of memory: the system gets time to free some
+WRITE_PAUSE_MS = 20.0  # after a write that failed with a transient error of this machine
 
 
 class ConnectionWriter:
-    """The output part of a `Connection`, which has the socket and determines how the connection ends."""
+    """The output side of a `Connection`, which owns the socket and defines how the connection ends."""
 
     loop: EventLoop
     owner: ConnectionOwner
@@ -46,19 +46,18 @@
         raise NotImplementedError
 
     def write(self, data: bytes) -> WriteBuffer:
-        """Queue bytes for this iteration's one write."""
+        """Queue bytes for the write at the end of this iteration."""
         return self._queue(WriteBuffer(data))
 
     def write_deferred(self, make: Callable[[], bytes | None], estimated_size: int) -> WriteBuffer:
-        """Queue output that is produced when its first byte is about to be sent, as it would become stale.
+        """Queue output that is produced just before its first byte is sent, so that it is not outdated.
 
-        `make` returns the bytes, or None where they must no longer be sent; `estimated_size`: about how many
-        bytes that will be.
+        `make`: returns the bytes, or None if they must no longer be sent; `estimated_size`: in bytes.
         """
         return self._queue(WriteBuffer(b"", make, estimated_size))
 
     def limit_partial_writes(self, max_partial_ms: float) -> None:
-        """End the connection where a buffer stays partially written for longer than this."""
+        """End the connection if a buffer stays partially written for longer than `max_partial_ms`."""
         self._partial_limit = PartialWriteLimit(self.loop.timers, self._outbox, max_partial_ms)
 
     def _queue(self, buffer: WriteBuffer) -> WriteBuffer:
@@ -69,16 +68,16 @@
         return buffer
 
     def withdraw(self, buffer: WriteBuffer) -> bool:
-        """Remove a buffer of which nothing has been written from the queue; False where it is too late."""
+        """Remove an unwritten buffer from the queue; return False if it is too late for that."""
         if buffer.begun or buffer not in self._outbox:
             return False
         self._outbox.remove(buffer)
         self.waiting_bytes -= buffer.size
-        buffer.make = None  # it may refer to its owner, which refers to the buffer
+        buffer.make = None  # breaks a reference cycle between the buffer and its owner
         return True
 
     def flush(self) -> None:
-        """Write what is queued, as far as the system accepts it, and notify the owner."""
+        """Write as much of the queue as the system accepts, and notify the owner."""
         able = self.up and not self.closed and not self._blocked and self._write_pause is None
         if able and self._outbox:
             self._write_out()
@@ -89,7 +88,7 @@
 
     def _write_out(self) -> None:
         if self._partial_limit and self._partial_limit.is_overdue():
-            self._partial_overdue()
+            self._on_partial_overdue()
             return
         buffers = [buffer for buffer in list(islice(self._outbox, MAX_BUFFERS)) if self._prepare(buffer)]
         views = [memoryview(buffer.data)[buffer.written :] for buffer in buffers]
@@ -112,10 +111,10 @@
         self._blocked = bool(self._outbox)
         self._set_mask()
         if self._partial_limit:
-            self._partial_limit.watch(self._partial_overdue)
+            self._partial_limit.watch(self._on_partial_overdue)
 
     def _prepare(self, buffer: WriteBuffer) -> bool:
-        """Produce a buffer's bytes for the write that follows; False where it was withdrawn instead."""
+        """Produce a deferred buffer's bytes for this write; return False if it was withdrawn instead."""
         if buffer.make is None:
             return True
         data = buffer.make()
@@ -128,10 +127,9 @@
         return True
 
     def _write_failed(self, end: EndReason) -> None:
-        """Retry after a pause where the error is a transient one of this machine; else end the connection.
+        """Retry after a pause if the error is a transient one of this machine; otherwise end the connection.
 
-        Before the end, what the peer sent is read: it may hold an answer that arrived after the reads of this
-        iteration.
+        Received bytes are read before the end, as an answer may have arrived since this iteration's reads.
         """
         if end not in LOCAL_REASONS:
             if self._reading:
@@ -140,7 +138,7 @@
             return
         self._write_pause = self.loop.timers.after(WRITE_PAUSE_MS, self._resume_writing)
 
-    def _partial_overdue(self) -> None:
+    def _on_partial_overdue(self) -> None:
         self.close(EndReason.LOCAL_FAULT if self._write_pause else EndReason.STUFFED)
 
     def _resume_writing(self) -> None:
--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -1,4 +1,4 @@
-"""Why connections and streams end, and which attempt result the router is given for each reason."""
+"""Why connections and streams end, and the attempt result that each reason stands for."""
 
 import errno
 from enum import Enum, auto
@@ -16,71 +16,75 @@
     LOCAL_FAULT = auto()  # a transient error of this machine, which says nothing about the peer
     CLOSED_BY_PEER = auto()
     RESET_BY_PEER = auto()
-    BAD_BYTES = auto()  # the peer sent what its protocol does not allow
-    STUFFED = auto()  # the peer does not read: too much is unsent, or a frame stays partially written
+    BAD_BYTES = auto()  # the peer violated the protocol
+    STUFFED = auto()  # the peer does not read: too much output is queued, or a frame stays partially written
     SILENT = auto()  # nothing was received for too long
-    IDLE = auto()  # closed here, with nothing open on it
-    RETIRED = auto()  # closed here, as its scorer has gone or restarted
-    PULLED_BACK = auto()  # the scorer may receive nothing new
-    NEVER_SENT = auto()  # the request was over, or the scorer unknown
+    IDLE = auto()  # closed by this side without open streams
+    RETIRED = auto()  # closed by this side, as its scorer has gone or restarted
+    OUT_OF_SERVICE = auto()  # the scorer drains or has gone, and the stream was not sent yet
+    NEVER_SENT = auto()  # expired or cancelled before it was sent, or the scorer was not available
     CALLED_OFF = auto()  # cancelled by the router
-    OUT_OF_TIME = auto()  # no answer in time
-    STOPPED = auto()  # this front end is closing
+    TIMED_OUT = auto()  # no answer before the deadline
+    STOPPED = auto()  # this front end is shutting down
 
 
-_NONE, _FAILED, _RESET = AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET
+_NOT_SENT, _FAILED, _RESET = AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET
 
-# The result of an attempt or load order, by how much of its frame was written: nothing, so that it can't have
-# run; a part, on a connection that ended then, so that the scorer never received all of it and can't have
-# run it either; all of it, so that it may have run.
+# The result of an attempt or load order by how much of its frame was written:
+# 1. nothing: it can't have run;
+# 2. a part, before the connection ended: the scorer never received all of it, so it can't have run;
+# 3. all of it: it may have run.
 RESULT_BY_REASON: dict[EndReason, tuple[AttemptResult, AttemptResult, AttemptResult]] = {
     EndReason.REFUSED: (_FAILED, _RESET, _RESET),
     EndReason.UNREACHABLE: (_FAILED, _FAILED, _RESET),
     EndReason.DIAL_TIMED_OUT: (_FAILED, _RESET, _RESET),
-    EndReason.NO_DESCRIPTOR: (_NONE, _RESET, _RESET),
-    EndReason.LOCAL_FAULT: (_NONE, _NONE, _RESET),
-    # Partial: the next connect shows whether the scorer is there. An idle close may have crossed the frame.
-    EndReason.CLOSED_BY_PEER: (_FAILED, _NONE, _RESET),
-    EndReason.RESET_BY_PEER: (_FAILED, _NONE, _RESET),
+    EndReason.NO_DESCRIPTOR: (_NOT_SENT, _RESET, _RESET),
+    EndReason.LOCAL_FAULT: (_NOT_SENT, _NOT_SENT, _RESET),
+    # Partial frame: the peer may have closed an idle connection just as the frame was sent. The next
+    # connection attempt shows whether the scorer is available.
+    EndReason.CLOSED_BY_PEER: (_FAILED, _NOT_SENT, _RESET),
+    EndReason.RESET_BY_PEER: (_FAILED, _NOT_SENT, _RESET),
     EndReason.BAD_BYTES: (_FAILED, _FAILED, _RESET),
     EndReason.STUFFED: (_FAILED, _FAILED, _RESET),
     EndReason.SILENT: (_FAILED, _FAILED, _RESET),
-    EndReason.IDLE: (_NONE, _RESET, _RESET),
-    EndReason.RETIRED: (_NONE, _NONE, _RESET),
-    # From here on the connection stays open, so the rest of a partial frame may still be sent.
-    EndReason.PULLED_BACK: (_NONE, _RESET, _RESET),
-    EndReason.NEVER_SENT: (_NONE, _RESET, _RESET),
+    EndReason.IDLE: (_NOT_SENT, _RESET, _RESET),
+    EndReason.RETIRED: (_NOT_SENT, _NOT_SENT, _RESET),
+    # For the reasons below the connection stays open, so the rest of a partial frame may still be sent.
+    EndReason.OUT_OF_SERVICE: (_NOT_SENT, _RESET, _RESET),
+    EndReason.NEVER_SENT: (_NOT_SENT, _RESET, _RESET),
     EndReason.CALLED_OFF: (AttemptResult.CANCELLED, AttemptResult.CANCELLED, AttemptResult.CANCELLED),
-    EndReason.OUT_OF_TIME: (_NONE, AttemptResult.TIMEOUT, AttemptResult.TIMEOUT),
-    EndReason.STOPPED: (_NONE, _RESET, _RESET),
+    EndReason.TIMED_OUT: (_NOT_SENT, AttemptResult.TIMEOUT, AttemptResult.TIMEOUT),
+    EndReason.STOPPED: (_NOT_SENT, _RESET, _RESET),
 }
 
 
 def attempt_result(end: EndReason, begun: bool, whole: bool = True) -> AttemptResult:
     """The attempt result of a stream that ended for this reason.
 
-    `begun`: some of its frame was written; `whole`: all of it, or the written part counts as all of it, as
-    for calls that must not run twice.
+    `begun`: whether some of its frame was written; `whole`: whether all of it was written, or a part has to
+    count as all of it, as for calls that must not run twice.
     """
     return RESULT_BY_REASON[end][begun + (begun and whole)]
 
 
 class SystemCall(Enum):
-    """The system calls whose errors are distinguished; any other is OTHER."""
+    """The system calls whose errors are distinguished."""
 
     SOCKET = "socket"
     CONNECT = "connect"
-    CONNECTED = "SO_ERROR"  # the outcome of a connect that did not finish at once
+    CONNECTED = "SO_ERROR"  # the result of a non-blocking connect
     WATCH = "epoll_ctl"
     SEND = "sendmsg"
     OTHER = "other"
 
 
-_NO_ROOM = dict.fromkeys((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), EndReason.NO_DESCRIPTOR)
-_NO_WAY = dict.fromkeys(
+_NO_RESOURCES = dict.fromkeys(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), EndReason.NO_DESCRIPTOR
+)
+_NO_LOCAL_ADDRESS = dict.fromkeys(
     (errno.EADDRNOTAVAIL, errno.ENETDOWN), EndReason.LOCAL_FAULT
-)  # no port left, no device
-_AGAIN = dict.fromkeys((errno.EINTR, errno.EAGAIN), EndReason.LOCAL_FAULT)
+)  # no free port, or the network interface is down
+_INTERRUPTED = dict.fromkeys((errno.EINTR, errno.EAGAIN), EndReason.LOCAL_FAULT)
 _PEER = {
     errno.ECONNREFUSED: EndReason.REFUSED,
     errno.ECONNRESET: EndReason.RESET_BY_PEER,
@@ -89,16 +93,24 @@
     errno.EHOSTUNREACH: EndReason.UNREACHABLE,
     errno.ETIMEDOUT: EndReason.UNREACHABLE,
 }
-# The end that an error stands for, by the call that failed; what is not listed is UNREACHABLE. ENETUNREACH
-# is this machine's own missing route where connect() itself fails, and a router's word about the other side
-# where it comes later.
+# The end reason for each error number, by the call that failed; other errors mean UNREACHABLE. ENETUNREACH
+# from connect() itself means that this machine has no route. Reported later, it comes from a network router
+# and concerns the peer.
 REASON_BY_ERRNO: dict[SystemCall, dict[int, EndReason]] = {
-    SystemCall.SOCKET: _NO_ROOM | _AGAIN,
-    SystemCall.CONNECT: _NO_ROOM | _NO_WAY | _AGAIN | _PEER | {errno.ENETUNREACH: EndReason.LOCAL_FAULT},
-    SystemCall.CONNECTED: _NO_ROOM | _NO_WAY | _AGAIN | _PEER | {errno.ENETUNREACH: EndReason.UNREACHABLE},
-    SystemCall.WATCH: _NO_ROOM | _AGAIN | {errno.ENOSPC: EndReason.NO_DESCRIPTOR},
-    SystemCall.SEND: _NO_ROOM | _NO_WAY | _AGAIN | _PEER,
-    SystemCall.OTHER: _NO_ROOM | _PEER,
+    SystemCall.SOCKET: _NO_RESOURCES | _INTERRUPTED,
+    SystemCall.CONNECT: _NO_RESOURCES
+    | _NO_LOCAL_ADDRESS
+    | _INTERRUPTED
+    | _PEER
+    | {errno.ENETUNREACH: EndReason.LOCAL_FAULT},
+    SystemCall.CONNECTED: _NO_RESOURCES
+    | _NO_LOCAL_ADDRESS
+    | _INTERRUPTED
+    | _PEER
+    | {errno.ENETUNREACH: EndReason.UNREACHABLE},
+    SystemCall.WATCH: _NO_RESOURCES | _INTERRUPTED | {errno.ENOSPC: EndReason.NO_DESCRIPTOR},
+    SystemCall.SEND: _NO_RESOURCES | _NO_LOCAL_ADDRESS | _INTERRUPTED | _PEER,
+    SystemCall.OTHER: _NO_RESOURCES | _PEER,
 }
 LOCAL_REASONS = frozenset(
     (EndReason.NO_DESCRIPTOR, EndReason.LOCAL_FAULT)
@@ -106,5 +118,5 @@
 
 
 def end_reason_of(error: OSError, call: SystemCall = SystemCall.OTHER) -> EndReason:
-    """The end reason for an error of a system call."""
+    """The end reason that an error of this system call stands for."""
     return REASON_BY_ERRNO[call].get(error.errno or 0, EndReason.UNREACHABLE)
--- a/fawnwharf/net/fleet_events.py
+++ b/fawnwharf/net/fleet_events.py
@@ -1,7 +1,6 @@
-"""The endpoint list in an event of the change log, read member by member. Pure.
+"""Parsing of the endpoint list in a change log event. No I/O.
 
-A member that cannot be read is left out by itself: the changes of the other members, such as drains, must not
-be lost because of it.
+A member that cannot be read is left out. The changes of the other members, such as drains, are still applied.
 """
 
 from collections.abc import Callable
@@ -13,10 +12,10 @@
 
 @dataclass(slots=True)
 class FleetRead:
-    """The valid members of an endpoint list, and what was left out of it.
+    """The valid members of an endpoint list, and the errors of the others.
 
-    `errors` has one text for each member that was left out. `unreadable_ids` are the names of such members:
-    the event lists them, but their state is unknown.
+    `errors`: one text for each member that was left out; `unreadable_ids`: the ids of unreadable members,
+    which the event lists, but whose state is unknown.
     """
 
     fleet: Fleet
@@ -24,9 +23,9 @@
     unreadable_ids: set[str]
 
     def drop_unreachable(self, is_listed: Callable[[str], bool]) -> None:
-        """Leave out members that enter service without an address and were never listed with one.
+        """Leave out members that enter service without an address and were not listed before.
 
-        No connection to such a member can be opened. `is_listed`: whether an earlier event listed a member.
+        No connection to such a member can be opened. `is_listed`: whether an earlier event lists this id.
         """
         members = self.fleet.members
         unreachable = [
@@ -36,11 +35,13 @@
         ]
         for member in unreachable:
             members.remove(member)
-            self.errors.append(f"member {member.id[:40]!r} left out: unknown, and without an address")
+            self.errors.append(
+                f"member {member.id[:40]!r} left out: not listed before, and without an address"
+            )
 
 
 def read_fleet(data: Any) -> FleetRead:
-    """Read the endpoint list of an event; raises ConfigError where no list can be read at all."""
+    """Read the endpoint list of an event; raises ConfigError if it is not a list of members."""
     try:
         fleet = fleet_from(data)
         for member in fleet.members:
--- a/fawnwharf/net/idle_connections.py
+++ b/fawnwharf/net/idle_connections.py
@@ -1,4 +1,4 @@
-"""Closing idle client connections when the connection limit is reached: which ones, and in which order."""
+"""Closes idle client connections when the connection limit is reached."""
 
 from collections import deque
 from typing import TYPE_CHECKING
@@ -9,29 +9,29 @@
 if TYPE_CHECKING:
     from fawnwharf.net.clients import ClientConnection
 
-# A connection without any message so far may be about to send its first: for this long, other idle
-# connections are closed before it.
+# A new connection may be about to send its first message. Up to this age, other idle connections are closed
+# before it.
 MIN_SILENT_AGE_MS = 250.0
-SCAN_MS = 50.0  # a scan of all clients is reused for this long, so that not every accept costs one
-RELEASE_SHARE = 0.5  # of the connection limit is closed at a time when the limit is reached
+SCAN_MS = 50.0  # a scan of all clients is reused for this long, as accepts may be frequent
+RELEASE_SHARE = 0.5  # share of the connection limit that is released at a time
 
 
 class IdleConnectionReleaser:
-    """Closes connections without open requests while there is no capacity for new ones."""
+    """Closes client connections without open requests to make room for new connections."""
 
     def __init__(self, loop: EventLoop, clients: dict["ClientConnection", None]) -> None:
-        """`clients` is the port's own collection of connections, which changes as they come and go."""
+        """`clients`: the client port's own collection of connections, which it keeps up to date."""
         self._loop = loop
         self._clients = clients
-        # By the last scan, those to close first in front; each with the time at which it was last used.
+        # The result of the last scan, in the order of closing, each with the time at which it was last used.
         self._idlest: deque[tuple[ClientConnection, float]] = deque()
         self._scanned_ms = 0.0
 
     def release_some(self, max_connections: int) -> None:
         """Close idle connections until a share of the connection limit `max_connections` is released.
 
-        Closed first are connections that should have sent a message by now, then those that have been idle
-        for longest, then those with a partial message of which nothing more arrives.
+        The order is: connections that should have sent their first message by now, other connections by idle
+        time, connections with a partial message that makes no progress.
         """
         wanted = max(1, int(max_connections * RELEASE_SHARE))
         wanted -= sum(client.connection.finishing for client in self._clients)
--- a/fawnwharf/net/roster_overlay.py
+++ b/fawnwharf/net/roster_overlay.py
@@ -1,8 +1,8 @@
-"""The layer between the roster as it is reported and the roster that is used. Pure.
+"""Filters between the reported roster and the roster that the router uses. No I/O.
 
-Whoever may take scorers out of service (operators, a plan, outlier ejection) sets a filter over the roster. A
-scorer that any filter closes is reported as draining: it receives nothing new, and what runs there completes.
-So the router's rules on drains, retries and slow start apply to all of them alike.
+Each component that may take scorers out of service (operators, a zone plan, outlier ejection) sets a filter.
+A scorer that any filter excludes is reported as draining: it receives no new work, and its running requests
+complete. The router's rules for drains, retries and slow start apply to it as to any draining scorer.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,21 +12,21 @@
 
 from fawnwharf.config import Fleet, Member
 
-RosterFilter = Callable[[Member], bool]  # whether it closes this scorer
+RosterFilter = Callable[[Member], bool]  # whether it excludes this scorer
 
 
 class RosterOverlay:
-    """Stores the scorers as they were reported, and returns them as the filters leave them."""
+    """Stores the scorers as reported, and returns them with the filters applied."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}  # as reported, by id
         self.revision = 0
-        self._filters: dict[str, RosterFilter] = {}  # by who set it
-        # Scorers that count as started then, whatever was reported; Unix milliseconds.
+        self._filters: dict[str, RosterFilter] = {}  # by the name of the component that set it
+        # Start times in Unix milliseconds that override earlier reported ones, by id.
         self._restarted_ms: dict[str, float] = {}
 
     def apply(self, fleet: Fleet) -> Fleet:
-        """Store a reported list, or changes of it, and return it as it is to be used."""
+        """Store a reported list, or changes of it, and return it with the filters applied."""
         if fleet.complete:
             self.members.clear()
         for member in fleet.members:
@@ -40,7 +40,7 @@
         return Fleet(filtered, fleet.complete, fleet.revision)
 
     def _with_known_address(self, member: Member) -> Member:
-        """The member with the address, and the locality, of the last report where it states none."""
+        """The member, completed with the last reported address and locality if it states no address."""
         known = self.members.get(member.id)
         if not known or member.host_port:
             return member
@@ -49,17 +49,17 @@
             changes["locality"] = known.locality
         return msgspec.structs.replace(member, **changes)
 
-    def set_filter(self, who: str, closer: RosterFilter | None) -> Fleet:
-        """Set `who`'s filter in place of its earlier one, or remove it (None); return what that changes.
+    def set_filter(self, who: str, roster_filter: RosterFilter | None) -> Fleet:
+        """Set or replace the filter of the component `who`, or remove it (None); return the changes.
 
-        A filter decides by values that never change. Where those would change (another plan, other ejected
-        scorers), a new filter is set: one that decided differently by itself would not be noticed.
+        The result of a filter for a scorer must not change while it is set, as that would not be noticed. For
+        another plan or other ejected scorers, set a new filter.
         """
         before = {member_id: self._phase(member) for member_id, member in self.members.items()}
-        if closer is None:
+        if roster_filter is None:
             self._filters.pop(who, None)
         else:
-            self._filters[who] = closer
+            self._filters[who] = roster_filter
         return self._changes(
             member_id
             for member_id, member in self.members.items()
@@ -67,17 +67,17 @@
         )
 
     def open_except_for(self, who: str) -> list[Member]:
-        """The scorers in service that no filter but `who`'s closes: those it may keep closed, or reopen."""
+        """The scorers in service that no filter excludes, apart from that of `who`."""
         return [
             member
             for member in self.members.values()
-            if member.phase == "in_service" and not self._is_closed(member, who)
+            if member.phase == "in_service" and not self._is_excluded(member, who)
         ]
 
     def mark_restarted(self, ids: Iterable[str], now_ms: float) -> Fleet:
-        """Have these scorers count as started at `now_ms` (Unix milliseconds); return the changes.
+        """Set the start time of these scorers to `now_ms` (Unix milliseconds); return the changes.
 
-        They warm up again from then on. Unknown ids are ignored.
+        Slow start begins again for them. Unknown ids are ignored.
         """
         found = [member_id for member_id in ids if member_id in self.members]
         self._restarted_ms.update(dict.fromkeys(found, now_ms))
@@ -88,11 +88,11 @@
         return Fleet(members, False, self.revision)
 
     def _phase(self, member: Member) -> str:
-        """Filters only ever close; what drains or is gone as reported stays so."""
-        return "terminating" if member.phase == "in_service" and self._is_closed(member) else member.phase
+        """The phase with the filters applied, which can only change it from in service to terminating."""
+        return "terminating" if member.phase == "in_service" and self._is_excluded(member) else member.phase
 
-    def _is_closed(self, member: Member, except_for: str | None = None) -> bool:
-        return any(closer(member) for who, closer in self._filters.items() if who != except_for)
+    def _is_excluded(self, member: Member, except_for: str | None = None) -> bool:
+        return any(roster_filter(member) for who, roster_filter in self._filters.items() if who != except_for)
 
     def _filtered(self, member: Member) -> Member:
         up_since_ms = max(member.up_since_ms, self._restarted_ms.get(member.id, 0.0))
--- a/fawnwharf/net/scorer_pool.py
+++ b/fawnwharf/net/scorer_pool.py
@@ -1,4 +1,4 @@
-"""The scorers: which there are, their links, and the attempts and load orders that are placed on these."""
+"""The pool of scorer connections, and the assignment of attempts and load orders to them."""
 
 import itertools
 import random
@@ -16,65 +16,73 @@
 from fawnwharf.net.scorer_streams import WARMTH_BY_FIELD, Answer, Attempt, LoadOrder, Stream, parse_count
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-SILENT_MS = 1_000.0  # a link on which answers are due and nothing is received for this long gets nothing new
-KEEPALIVE_SHARE = 0.7  # of the keep-alive: closed here before the scorer does, so no send crosses a close
-# Devices on the path may drop connections that were idle for far less than the keep-alive: a request that is
-# reset at once on such a link shows how long is too long. The limit grows again while this does not happen.
+# A connection with open streams that received nothing for this long gets no new streams.
+SILENT_MS = 1_000.0
+# Idle connections are closed after this share of the keep-alive time, so that the scorer does not close one
+# just as a frame is sent.
+KEEPALIVE_SHARE = 0.7
+# Devices on the path may drop connections that were idle for far less than the keep-alive time. A reset right
+# after an idle connection is used again shows that it was idle for too long: the limit on idle time for reuse
+# is lowered, and grows again while no such reset occurs.
 STALE_RESET_MS = 20.0  # a reset this soon after the first bytes was not caused by the request
 MIN_REUSE_IDLE_MS = 50.0
 REUSE_IDLE_DECREASE = 0.7
-REUSE_IDLE_GROWTH = 1.02  # at each maintenance run, four times a second
-REDIAL_DELAY_MS = 20.0  # after a dial that failed by a transient error of this machine
-MAX_REDIALS = 3  # in a row: a dial that is reset as it is established shows that a process listens
+REUSE_IDLE_GROWTH = 1.02  # factor for each maintenance run, four times a second
+REDIAL_DELAY_MS = 20.0  # after a dial that failed because of a transient error of this machine
+MAX_REDIALS = 3  # in a row, after resets during the dial, which show that a process listens there
 MAX_CONNECTIONS = 6  # to one scorer
-SPREAD_CONNECTIONS = 4  # up to this many, each stream gets its own link: a broken link ends all that is on it
-EXPENSIVE_HANDSHAKE = 0.02  # where a handshake costs more points, streams share links that have capacity
-SPREAD_SHARE = 0.7  # of the descriptors for links: the others are reserved for requests that find no link
+# Streams are spread over up to this many connections, as a broken connection ends all of its streams.
+SPREAD_CONNECTIONS = 4
+EXPENSIVE_HANDSHAKE = 0.02  # in points; where a handshake costs more, streams share connections
+# Share of the allowed connections; beyond it, none is dialled for spreading. The rest is for requests that
+# find no usable connection.
+SPREAD_SHARE = 0.7
 
 
 @dataclass(slots=True, eq=False)
 class Scorer:
-    """A scorer, identified by its number and never by its address alone, as a successor may reuse that."""
+    """A scorer, identified by its number, as another scorer may reuse its address later."""
 
     id: int
     address: Address
     state: ScorerState
     up_since_ms: float
-    redials: int = 0  # since a link was established
+    redials: int = 0  # since a connection was last established
     links: list[ScorerConnection] = field(default_factory=list)
-    waiting: deque[Stream] = field(default_factory=deque)
-    redial: Timer | None = None  # set while a transient error of this machine delays the next dial
+    waiting: deque[Stream] = field(default_factory=deque)  # for a connection
+    redial: Timer | None = None  # set while the next dial is delayed after a transient local error
 
     def link_for(self, request_id: bytes, max_idle_ms: float) -> ScorerConnection | None:
-        """The link on which a stream with this id should be started, idle for `max_idle_ms` at most."""
+        """The connection for a new stream with this id, idle for at most `max_idle_ms`; None without one."""
         usable = [link for link in self.links if link.up and not link.retired and link.accepts(request_id)]
         usable = [link for link in usable if link.idle_ms() <= max_idle_ms]
         responsive = [link for link in usable if not link.is_silent(SILENT_MS)]
         if not responsive and len(self.links) >= MAX_CONNECTIONS:
             responsive = usable
-        # Among equally loaded links, the one used last: one that was idle for long may be about to be closed.
+        # Of equally loaded ones, prefer the one used last: the peer may be about to close an idle one.
         best = min(responsive, key=lambda link: (len(link.streams), -link.connection.used_ms), default=None)
         if best and not best.streams and best.connection.unread() == b"":
-            # Protects calls that must not run twice: what is written to an ended connection may have run.
+            # The peer has closed it. A frame written to it now would count as possibly run, and a call that
+            # must not run twice could not be retried.
             best.connection.close(EndReason.CLOSED_BY_PEER)
             return self.link_for(request_id, max_idle_ms)
         return best
 
     def needs_spread(self) -> bool:
-        """Whether the next stream would share a link although there may be more of them."""
+        """Whether the next stream would share a connection although another one may be dialled."""
         return len(self.links) < SPREAD_CONNECTIONS and all(link.up and link.streams for link in self.links)
 
     def current_links(self) -> list[ScorerConnection]:
-        """Its links, without those to an earlier address or process."""
+        """Its connections, except for those to an earlier address or process."""
         return [link for link in self.links if not link.retired]
 
     def dialling(self) -> int:
-        """The number of dials in progress that waiting streams may use."""
+        """The number of dials in progress that may serve waiting streams."""
         return sum(not link.up for link in self.current_links())
 
 
 class ScorerPool:
-    """Owns the scorers and their links, within its share of the descriptors."""
+    """Owns the scorers and their connections, within its share of the descriptors."""
 
     def __init__(self, loop: EventLoop, wire: Wire, max_connections: int, seed: int, log: LogWriter) -> None:
         self.loop = loop
@@ -84,13 +92,13 @@
         self.max_connections = max_connections
         self._link_count = 0
         self._reuse_idle_limit_ms = max(MIN_REUSE_IDLE_MS, KEEPALIVE_SHARE * wire.keepalive_ms)
-        self._reuse_idle_ms = self._reuse_idle_limit_ms  # a link idle for longer is not used again
+        self._reuse_idle_ms = self._reuse_idle_limit_ms  # a connection idle for longer is not reused
         self._order_ids = itertools.count(random.Random(seed).getrandbits(62))
 
     # --- the roster ---------------------------------------------------------------------------
 
     def update(self, number: int, address: Address | None, state: ScorerState, up_since_ms: float) -> None:
-        """Apply a scorer's roster entry; `address` None: unchanged; `up_since_ms`: its start."""
+        """Apply a scorer's roster entry; `address` is None where it is unchanged."""
         scorer = self.scorers.get(number)
         if scorer is None:
             if address is not None and state is not ScorerState.GONE:
@@ -103,31 +111,31 @@
         scorer.state = state
         scorer.up_since_ms = max(up_since_ms, scorer.up_since_ms)
         if state is not ScorerState.READY:
-            self._pull_back(scorer)
+            self._end_unsendable(scorer)
         if state is ScorerState.GONE:
             self._retire(scorer)
             self._drop_if_empty(scorer)
-        if restarted:  # what was not sent yet is for the new process or address
+        if restarted:  # unsent streams go to the new process or address
             scorer.redials = 0
             for stream in unsent:
-                self._place(stream)
-            self._place_waiting(scorer)
+                self._start_or_queue(stream)
+            self._start_waiting(scorer)
 
     def remove_unlisted(self, listed: set[int]) -> None:
-        """Treat all scorers that a complete list does not name as gone."""
+        """Treat each scorer whose number is not in `listed` as gone."""
         for number in [number for number in self.scorers if number not in listed]:
             self.update(number, None, ScorerState.GONE, 0.0)
 
-    def _pull_back(self, scorer: Scorer) -> None:
-        """End streams that must no longer be sent: unwritten ones, and those that wait for a dial."""
+    def _end_unsendable(self, scorer: Scorer) -> None:
+        """End the unsent streams that the scorer may no longer receive, in its present state."""
         unwritten = [stream for link in scorer.links for stream in link.unwritten()]
         for stream in [*scorer.waiting, *unwritten]:
             if stream.is_new_work or scorer.state is ScorerState.GONE:
                 self._detach(stream)
-                self._end(stream, EndReason.PULLED_BACK)
+                self._end(stream, EndReason.OUT_OF_SERVICE)
 
     def _retire(self, scorer: Scorer) -> list[Stream]:
-        """Use its links for nothing new; returns their streams of which nothing was written, detached."""
+        """Assign no new streams to its present connections; detach and return their unwritten streams."""
         unsent: list[Stream] = []
         for link in list(scorer.links):
             link.retired = True
@@ -147,30 +155,31 @@
     # --- sending ------------------------------------------------------------------------------
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt to its scorer; it ends by itself when its time is up."""
+        """Send an attempt to its scorer; it ends at its deadline at the latest."""
         self._start_timer(attempt)
-        self._place(attempt)
+        self._start_or_queue(attempt)
 
     def _start_timer(self, attempt: Attempt) -> None:
         due_ms = attempt.deadline_ms if attempt.begun else min(attempt.deadline_ms, attempt.begin_by_ms)
-        attempt.timer = self.loop.timers.after(due_ms - monotonic_ms(), lambda: self._time_is_up(attempt))
+        attempt.timer = self.loop.timers.after(due_ms - monotonic_ms(), lambda: self._timer_expired(attempt))
 
-    def _time_is_up(self, attempt: Attempt) -> None:
+    def _timer_expired(self, attempt: Attempt) -> None:
         if attempt.begun and monotonic_ms() < attempt.deadline_ms:
             self._start_timer(attempt)
         else:
             self._time_out(attempt)
 
     def start_load(self, order: LoadOrder) -> None:
-        """Send a load order to its scorer; it ends by itself after `Wire.load_wait_ms`."""
+        """Send a load order to its scorer; it ends after `Wire.load_wait_ms` at the latest."""
         order.id = next(self._order_ids).to_bytes(8, "big")
         order.timer = self.loop.timers.after(self.wire.load_wait_ms, lambda: self._time_out(order))
-        self._place(order)
+        self._start_or_queue(order)
 
     def unload(self, number: int, function: str) -> bool:
-        """Have a function's idle copies unloaded at a scorer, where a link is up; there is no answer.
+        """Ask a scorer to unload a function's idle copies; return whether a connection for it was up.
 
-        Nothing is dialled for it, as idle copies expire. Raises ValueError for a malformed function key.
+        The scorer sends no answer. No connection is dialled for this, as idle copies expire anyway. Raises
+        ValueError for a malformed function key.
         """
         frame = frames.unload(function)
         scorer = self.scorers.get(number)
@@ -181,8 +190,8 @@
             link.connection.write(frame)
         return link is not None
 
-    def _place(self, stream: Stream) -> None:
-        """Start a stream on a link, or have it wait for one."""
+    def _start_or_queue(self, stream: Stream) -> None:
+        """Start a stream on a connection, or queue it until one is established."""
         if stream.over:
             return
         scorer = self.scorers.get(stream.scorer)
@@ -199,10 +208,13 @@
             if scorer.needs_spread() and self._may_spread():
                 self._dial_one(scorer)
         else:
-            self._wait(scorer, stream)
+            self._queue_until_connected(scorer, stream)
 
-    def _wait(self, scorer: Scorer, stream: Stream) -> None:
-        """Have it wait for a connection, for no longer than a dial may take; its own dial ends first."""
+    def _queue_until_connected(self, scorer: Scorer, stream: Stream) -> None:
+        """Queue a stream until a connection is established, for `Wire.dial_timeout_ms` at most.
+
+        A dial started for it here times out first, so that the stream ends with the dial's end reason.
+        """
         scorer.waiting.append(stream)
         self._dial(scorer)
         if stream.wait_timer is None and not stream.over:
@@ -215,18 +227,18 @@
         if scorer := self.scorers.get(stream.scorer):
             self._drop_if_empty(scorer)
 
-    def _place_waiting(self, scorer: Scorer) -> None:
+    def _start_waiting(self, scorer: Scorer) -> None:
         waiting, scorer.waiting = scorer.waiting, deque()
         for stream in waiting:
-            self._place(stream)
+            self._start_or_queue(stream)
 
     def _may_spread(self) -> bool:
-        """Whether additional links may be dialled; protects scorers that have many front ends."""
+        """Whether to dial connections for spreading; limits the load of many front ends on a scorer."""
         cheap = self.wire.handshake_price < EXPENSIVE_HANDSHAKE
         return cheap and self._link_count < SPREAD_SHARE * self.max_connections
 
     def _dial(self, scorer: Scorer) -> None:
-        """Start as many dials as the waiting streams need; none while a transient local error may last."""
+        """Start as many dials as the waiting streams need, unless a redial is scheduled."""
         while scorer.redial is None and scorer.dialling() * self.wire.streams_per_conn < len(scorer.waiting):
             full = len(scorer.current_links()) >= MAX_CONNECTIONS or not self._has_capacity()
             failed = EndReason.NO_DESCRIPTOR if full else self._dial_one(scorer)
@@ -238,9 +250,9 @@
                 return
 
     def _has_capacity(self) -> bool:
-        """Whether one more link is allowed; where all are in use, the longest idle one is closed for it.
+        """Whether one more connection is allowed; at the limit, closes the one that was idle for longest.
 
-        Protects requests where there are more scorers than links: idle links would have them rejected.
+        Otherwise idle connections to some scorers would cause requests to others to be rejected.
         """
         if self._link_count >= self.max_connections:
             links = [link for scorer in self.scorers.values() for link in scorer.links]
@@ -250,13 +262,13 @@
         return self._link_count < self.max_connections
 
     def _dial_later(self, scorer: Scorer) -> None:
-        """Keep streams waiting and dial after a pause: a local error says nothing about the scorer."""
+        """Keep streams queued and dial again after a pause: a local error says nothing about the scorer."""
         if scorer.redial is None:
             scorer.redial = self.loop.timers.after(REDIAL_DELAY_MS, lambda: self._dial_again(scorer))
 
     def _dial_again(self, scorer: Scorer) -> None:
         scorer.redial = None
-        self._place_waiting(scorer)
+        self._start_waiting(scorer)
 
     def _dial_one(self, scorer: Scorer) -> EndReason | None:
         link = ScorerConnection(self, scorer)
@@ -275,17 +287,17 @@
             self._end(stream, end)
 
     def link_up(self, link: ScorerConnection) -> None:
-        """Use a link that has been established."""
+        """Assign waiting streams to a connection that has been established."""
         if not link.retired:
             link.scorer.redials = 0
-            self._place_waiting(link.scorer)
-        if link.retired and not link.streams:  # its scorer went while it was dialled
+            self._start_waiting(link.scorer)
+        if link.retired and not link.streams:  # its scorer has gone or restarted during the dial
             link.connection.close(EndReason.RETIRED)
 
     # --- ends ---------------------------------------------------------------------------------
 
     def link_ended(self, link: ScorerConnection, end: EndReason) -> None:
-        """Remove a link that has ended; its streams end too, or are placed again if nothing was written."""
+        """Remove a connection that has ended; unwritten streams are moved to another one, the rest ends."""
         scorer = link.scorer
         scorer.links.remove(link)
         self._link_count -= 1
@@ -298,10 +310,10 @@
         for stream in streams:
             if stream.begun or end is EndReason.STOPPED:
                 self._end(stream, end)
-            else:  # the scorer received nothing of it: another connection may serve
+            else:  # the scorer received nothing of it, so another connection can be used
                 stream.link = None
                 stream.buffer = None
-                self._place(stream)
+                self._start_or_queue(stream)
         if not link.connection.up and not link.retired:
             self._dial_failed(scorer, end)
         self._drop_if_empty(scorer)
@@ -318,7 +330,7 @@
             self._fail_waiting(scorer, end)
 
     def answered(self, stream: Stream, frame: frames.Frame) -> None:
-        """End a stream by the scorer's answer."""
+        """End a stream with the scorer's answer."""
         fields = frame.fields
         warmth = WARMTH_BY_FIELD.get(fields.get("res", ""), Warmth.UNTOLD)
         concurrency = parse_count(fields.get("company"))
@@ -332,19 +344,19 @@
             self._end(stream, EndReason.CALLED_OFF)
 
     def cancel_unsent(self, stream: Stream) -> None:
-        """End it as never sent where nothing of it has been written; else leave it as it is."""
+        """End a stream as never sent, unless some of it has been written."""
         if not stream.over and not stream.begun:
             self._detach(stream)
             self._end(stream, EndReason.NEVER_SENT)
 
     def expired(self, stream: Stream) -> None:
-        """End a stream that had expired when it was to be written; its link has removed it."""
+        """End a stream that had expired before it was written; its connection has already removed it."""
         self._end(stream, EndReason.NEVER_SENT)
 
     def _time_out(self, stream: Stream) -> None:
         begun = stream.begun
         self._detach(stream)
-        self._end(stream, EndReason.OUT_OF_TIME if begun else EndReason.NEVER_SENT)
+        self._end(stream, EndReason.TIMED_OUT if begun else EndReason.NEVER_SENT)
 
     def _detach(self, stream: Stream) -> None:
         if stream.link is not None:
@@ -367,18 +379,18 @@
     # --- maintenance --------------------------------------------------------------------------
 
     def run_maintenance(self) -> None:
-        """Close links that were idle for too long, or silent until their last stream was cancelled."""
+        """Close connections that were idle for too long, or silent until their last stream was cancelled."""
         self._reuse_idle_ms = min(self._reuse_idle_limit_ms, REUSE_IDLE_GROWTH * self._reuse_idle_ms)
         for scorer in list(self.scorers.values()):
             for link in list(scorer.links):
                 if not link.up or link.streams:
                     continue
-                silent = link.cancelled_in_silence(SILENT_MS)
+                silent = link.was_silent_at_cancel(SILENT_MS)
                 if silent or link.idle_ms() > self._reuse_idle_ms:
                     link.connection.close(EndReason.SILENT if silent else EndReason.IDLE)
 
     def close(self) -> None:
-        """Close all links."""
+        """Close all connections."""
         for scorer in list(self.scorers.values()):
             for link in list(scorer.links):
                 link.connection.close(EndReason.STOPPED)
--- a/fawnwharf/net/scorer_streams.py
+++ b/fawnwharf/net/scorer_streams.py
@@ -1,4 +1,4 @@
-"""Streams, which are sent to a scorer and end exactly once: attempts and load orders, and their answers."""
+"""Streams: the attempts and load orders that are sent to a scorer, and their answers."""
 
 import math
 from collections.abc import Callable
@@ -26,8 +26,8 @@
     frames.FULL: AttemptResult.FULL,
     frames.EXPIRED: AttemptResult.NOT_SENT,
 }
-# A load order that could not be sent for this long is not sent any more: the router counts it against the
-# load limit from when it was decided, a scorer from when it arrives.
+# A load order that could not be sent within this time is dropped. The router counts an order against the load
+# rate limit from its decision, the scorer from its arrival, and the difference has to stay small.
 LOAD_ORDER_WAIT_MS = 100.0
 LOAD_ORDER_RESULT_BY_CODE = {frames.OK: AttemptResult.GOOD, frames.FULL: AttemptResult.FULL}
 MAX_COUNT_DIGITS = 9
@@ -50,10 +50,10 @@
 
 @dataclass(slots=True, eq=False)
 class Stream:
-    """Something sent to a scorer that ends exactly once: by an answer or for an `EndReason`.
+    """An attempt or a load order. It ends exactly once: with an answer or for an `EndReason`.
 
-    `scorer`: the number of the scorer; `ended`: called with the stream (of the caller's own type) and either
-    the reason or the answer, the other being None; `began_ms`: creation time on the monotonic clock.
+    `scorer`: the number of the scorer; `ended`: called at the end with the stream, the end reason and the
+    answer, of which one is None; `began_ms`: creation time on the monotonic clock; `over`: it has ended.
     """
 
     scorer: int
@@ -68,21 +68,21 @@
 
     @property
     def begun(self) -> bool:
-        """Whether some of its bytes were written, and may have arrived."""
+        """Whether some of its bytes were written, so that they may have arrived."""
         return self.buffer is not None and self.buffer.begun
 
     @property
     def complete(self) -> bool:
-        """Whether all of its bytes were written, and may have arrived."""
+        """Whether all of its bytes were written, so that they may have arrived."""
         return self.buffer is not None and self.buffer.complete
 
     @property
     def is_new_work(self) -> bool:
-        """Whether it gives the scorer work to do, so that it must not be sent to a draining one."""
+        """Whether it gives the scorer work, so that a draining scorer must not receive it."""
         raise NotImplementedError
 
     def stop_waiting(self) -> None:
-        """Stop the timer for the wait for a connection, if it runs."""
+        """Stop the timer that limits the wait for a connection."""
         if self.wait_timer:
             self.wait_timer.cancel()
         self.wait_timer = None
@@ -96,7 +96,7 @@
         raise NotImplementedError
 
     def frame(self) -> bytes:
-        """Its frame as of now."""
+        """Its frame, encoded now."""
         raise NotImplementedError
 
     def result_of(self, code: int) -> AttemptResult:
@@ -112,8 +112,9 @@
     function: str = ""
     token: str = ""
     body: bytes = b""
-    deadline_ms: float = 0.0  # on the monotonic clock, as the next
-    begin_by_ms: float = math.inf  # it may not be sent later, however long the client waits
+    deadline_ms: float = 0.0  # on the monotonic clock
+    # On the monotonic clock. The first byte must be sent before it, even if the deadline is later.
+    begin_by_ms: float = math.inf
 
     is_new_work = True
 
@@ -126,31 +127,31 @@
         return frames.APPROXIMATE_HEADER_BYTES + len(self.token) + len(self.body)
 
     def frame(self) -> bytes:
-        """Its frame, with the time that remains now."""
+        """Its frame, with the time that remains until the deadline."""
         remaining_ms = self.deadline_ms - monotonic_ms()
         return frames.run(self.id, self.class_name, self.function, remaining_ms, self.token, self.body)
 
     def result_of(self, code: int) -> AttemptResult:
-        """The result that an answer with this code means; with an unknown one, it may have run."""
+        """The result that an answer with this code means; ERROR for an unknown code, as it may have run."""
         return ATTEMPT_RESULT_BY_CODE.get(code, AttemptResult.ERROR)
 
 
 @dataclass(slots=True, eq=False)
 class LoadOrder(Stream):
-    """An order to load copies of a function, or with none, a query how many there are."""
+    """An order to load copies of a function; with `copies` 0, a query for their number."""
 
     function: str = ""
     copies: int = 0
-    begin_by_ms: float = math.inf  # on the monotonic clock; an order may not be sent later
+    begin_by_ms: float = math.inf  # on the monotonic clock; the order may not be sent later
 
     def is_expired(self) -> bool:
-        """Whether it is too late to begin to write it, as the load limit counts it from its creation."""
+        """Whether it is too late to begin to write it; a query never expires."""
         begin_by_ms = min(self.begin_by_ms, self.began_ms + LOAD_ORDER_WAIT_MS)
         return self.is_new_work and monotonic_ms() >= begin_by_ms
 
     @property
     def is_new_work(self) -> bool:
-        """Whether it orders copies; a query does not."""
+        """Whether it orders copies, rather than querying their number."""
         return self.copies > 0
 
     def estimated_size(self) -> int:
@@ -167,5 +168,5 @@
 
 
 def parse_count(text: str | None) -> int:
-    """The number in a field of an answer; 0 where it is absent or not a number of at most nine digits."""
+    """Parse a number in an answer's field; 0 where it is absent or not a number of at most 9 digits."""
     return int(text) if text and text.isascii() and text.isdigit() and len(text) <= MAX_COUNT_DIGITS else 0
--- a/fawnwharf/net/socket_inspection.py
+++ b/fawnwharf/net/socket_inspection.py
@@ -1,17 +1,17 @@
-"""Inspection of a socket's unread bytes and of the peer's end, without delivering the bytes to an owner."""
+"""Inspects a socket's unread bytes and whether the peer has ended, without delivering the bytes."""
 
 import select
 import socket
 
 DISCARD_BYTES = 64 * 1024  # in one read
-MAX_DISCARD_READS = 16  # reads of unread bytes when a connection is closed
+MAX_DISCARD_READS = 16  # when a connection is closed
 PEER_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def peek(sock: socket.socket) -> bytes | None:
     """The first unread byte, which stays unread.
 
-    None: nothing is unread; empty: the peer has ended its output or the connection has failed.
+    None if nothing is unread; empty if the peer has ended its output or the connection has failed.
     """
     try:
         return sock.recv(1, socket.MSG_PEEK)
@@ -22,9 +22,9 @@
 
 
 def peer_ended(sock: socket.socket) -> bool:
-    """Whether the peer has ended its output or reset the connection, even behind unread bytes.
+    """Whether the peer has ended its output or reset the connection, even if bytes are still unread.
 
-    False where the system can't report it.
+    False if the system can't report it.
     """
     try:
         poll = select.poll()
@@ -35,7 +35,7 @@
 
 
 def discard(sock: socket.socket) -> None:
-    """Read and drop what is unread, up to a limit: otherwise a close would reset the connection."""
+    """Read and discard unread bytes, up to a limit: with unread bytes, a close resets the connection."""
     try:
         for _ in range(MAX_DISCARD_READS):
             if not sock.recv(DISCARD_BYTES, socket.MSG_DONTWAIT):
--- a/fawnwharf/net/thrift.py
+++ b/fawnwharf/net/thrift.py
@@ -1,6 +1,6 @@
 """Thrift's framed transport and strict binary protocol, for the one service that clients call.
 
-Pure: bytes to messages, and answers to bytes. It depends on no sockets, clocks or decisions.
+Decodes bytes to messages and encodes answers to bytes. No I/O.
 """
 
 import struct
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_FRAME_BYTES = 48 * 1024  # a body of 16 KiB and its fields need far less
-MAX_HEADER_BYTES = 256  # of an oversized frame, from which its sequence number is read
+MAX_FRAME_BYTES = 48 * 1024  # far more than a body of 16 KiB and its fields need
+MAX_HEADER_BYTES = 256  # of an oversized frame; its sequence number is read from these
 MAX_BODY_BYTES = 16 * 1024
 MAX_NAME_LENGTH = 64  # bytes of a method's name
-MAX_DEPTH = 16  # of nested values in a field that is skipped
-MAX_MAP_ENTRIES = 64  # in a map of fields
-LENGTH_BYTES = 4  # of the length in front of each frame
+MAX_DEPTH = 16  # of nested values in a skipped field
+MAX_MAP_ENTRIES = 64  # in a map of text fields
+LENGTH_BYTES = 4  # the size of the length before each frame
 
 VERSION = 0x80010000
 VERSION_MASK = 0xFFFF0000
@@ -51,15 +51,15 @@
 _FIELD = struct.Struct(">bh")
 _MAP = struct.Struct(">bbi")
 
-# The fields of a struct by number and type; the type determines that of the value.
+# The values of a struct's fields, by field number and type.
 _Fields = dict[tuple[int, int], Any]
 
 
 class MalformedMessageError(ValueError):
-    """A frame that is not a valid message.
+    """A frame that is not a valid message; its text is sent to the client.
 
-    `seqid` is the sequence number of the request that it concerns; None where that is unknown. `kind` is the
-    kind of application exception that it is answered with.
+    `seqid`: the sequence number of the request, None if unknown; `kind`: the kind of the application
+    exception that answers it.
     """
 
     def __init__(self, text: str, seqid: int | None = None, kind: int = PROTOCOL_ERROR) -> None:
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class Handle:
-    """A request: its text fields by name, and its body."""
+    """A call of the method `handle`: a request's text fields by name, and its body."""
 
     seqid: int
     fields: dict[str, str]
@@ -99,7 +99,7 @@
 
 
 class FrameReader:
-    """Splits a byte stream into frames; buffers one incomplete frame at most."""
+    """Splits a received byte stream into frames; buffers at most one incomplete frame."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -107,7 +107,7 @@
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a frame has begun and is not complete yet."""
+        """Whether the last frame is incomplete."""
         return bool(self._buffer or self._skip)
 
     @property
@@ -116,7 +116,7 @@
         return self._skip > 0
 
     def state(self) -> tuple[bytes, int]:
-        """The bytes of an incomplete frame, and how many bytes are still to be discarded."""
+        """The bytes of an incomplete frame, and the number of bytes still to be discarded."""
         return bytes(self._buffer), self._skip
 
     def resume(self, partial: bytes, skip: int) -> None:
@@ -125,9 +125,9 @@
         self._skip = skip
 
     def feed(self, data: bytes) -> list[Message | MalformedMessageError]:
-        """Add received bytes; return the messages that are complete now, with an error for each invalid one.
+        """Add received bytes; return the messages that are complete now, and an error for each invalid one.
 
-        After an error without a sequence number the stream is unusable, and the rest is not read.
+        After an error without a sequence number the stream is unusable, and the rest is not decoded.
         """
         self._buffer += data
         found: list[Message | MalformedMessageError] = []
@@ -149,19 +149,19 @@
                 continue
             if len(self._buffer) - first < size:
                 break
-            found.append(_message(bytes(self._buffer[first : first + size])))
+            found.append(_parse_message(bytes(self._buffer[first : first + size])))
             start = first + size
         del self._buffer[:start]
         return found
 
     def _discard(self, start: int) -> int:
-        """Skip what is left of an oversized frame; return where the next frame begins."""
+        """Skip the rest of an oversized frame; return where the next frame begins."""
         step = min(self._skip, len(self._buffer) - start)
         self._skip -= step
         return start + step
 
     def _oversized(self, start: int, size: int) -> MalformedMessageError | None:
-        """The error for an oversized frame; None until enough has arrived to read its sequence number."""
+        """The error for an oversized frame; None until its sequence number has been received."""
         error = MalformedMessageError(f"a frame of {size} bytes")
         if size < 2**31:
             try:
@@ -174,9 +174,9 @@
 
 
 def _head(data: bytes) -> tuple[int, str, int, int]:
-    """Return the kind, the method's name, the sequence number, and where the arguments begin.
+    """Return the kind, the method's name, the sequence number, and the position of the arguments.
 
-    Raises TruncatedMessageError where the header is incomplete, MalformedMessageError where it is invalid.
+    Raises TruncatedMessageError if the header is incomplete, MalformedMessageError if it is invalid.
     """
     try:
         (version,) = _U32.unpack_from(data, 0)
@@ -192,16 +192,16 @@
     return version & 0xFF, name, seqid, 12 + length
 
 
-def _message(data: bytes) -> Message | MalformedMessageError:
+def _parse_message(data: bytes) -> Message | MalformedMessageError:
     seqid: int | None = None
     try:
         kind, name, seqid, start = _head(data)
-        reader = _READERS.get(name)
+        reader = _PARSERS.get(name)
         if reader is None:
             return MalformedMessageError("no such method", seqid, UNKNOWN_METHOD)
         if kind not in (CALL, ONEWAY):
             return MalformedMessageError("not a call", seqid, INVALID_TYPE)
-        return reader(seqid, _Arguments(data, start).read())
+        return reader(seqid, _ArgumentReader(data, start).read())
     except MalformedMessageError as error:
         error.seqid = seqid
         return error
@@ -209,86 +209,86 @@
         return MalformedMessageError("the arguments can't be read", seqid)
 
 
-class _Arguments:
-    """Reads the fields of a struct; those that the service does not use are checked and skipped."""
+class _ArgumentReader:
+    """Decodes the fields of a struct; unused fields are checked and skipped."""
 
     def __init__(self, data: bytes, start: int) -> None:
         self._data = data
         self._position = start
 
     def read(self) -> _Fields:
-        """Return all fields; raises MalformedMessageError, or an error of decoding, for invalid bytes."""
+        """Return all fields; raises MalformedMessageError, struct.error or IndexError for invalid bytes."""
         found: _Fields = {}
-        while (kind := self._byte()) != STOP:
+        while (kind := self._read_byte()) != STOP:
             (number,) = _I16.unpack_from(self._data, self._position)
             self._position += 2
-            found[number, kind] = self._value(kind, 0)
+            found[number, kind] = self._read_value(kind, 0)
         if self._position != len(self._data):
             raise MalformedMessageError("bytes follow the arguments")
         return found
 
-    def _byte(self) -> int:
+    def _read_byte(self) -> int:
         self._position += 1
         return self._data[self._position - 1]
 
-    def _int(self) -> int:
+    def _read_i32(self) -> int:
         value: int = _I32.unpack_from(self._data, self._position)[0]
         self._position += 4
         return value
 
-    def _count(self, min_width: int) -> int:
-        """A number of elements; one that the rest of the frame cannot hold is rejected before any work."""
-        count = self._int()
+    def _read_count(self, min_width: int) -> int:
+        """A number of elements; rejected if the rest of the frame is too short for them."""
+        count = self._read_i32()
         if not 0 <= count <= (len(self._data) - self._position) // max(1, min_width):
             raise MalformedMessageError("a length that the frame can't hold")
         return count
 
-    def _string(self) -> bytes:
-        length = self._count(1)
+    def _read_string(self) -> bytes:
+        length = self._read_count(1)
         self._position += length
         return self._data[self._position - length : self._position]
 
-    def _value(self, kind: int, depth: int) -> object:
+    def _read_value(self, kind: int, depth: int) -> object:
         if depth > MAX_DEPTH:
             raise MalformedMessageError("values nested too deep")
         if kind == STRING:
-            return self._string()
+            return self._read_string()
         if kind == I32:
-            return self._int()
+            return self._read_i32()
         if kind == MAP:
-            return self._map(depth)
+            return self._read_map(depth)
         if kind in WIDTHS:
             self._position += WIDTHS[kind]
             return self._data[self._position - 1]
         if kind in (LIST, SET):
-            inner = self._byte()
-            for _ in range(self._count(1)):
-                self._value(inner, depth + 1)
+            inner = self._read_byte()
+            for _ in range(self._read_count(1)):
+                self._read_value(inner, depth + 1)
             return None
         if kind == STRUCT:
-            while (inner := self._byte()) != STOP:
+            while (inner := self._read_byte()) != STOP:
                 self._position += 2
-                self._value(inner, depth + 1)
+                self._read_value(inner, depth + 1)
             return None
         raise MalformedMessageError("an unknown type of field")
 
-    def _map(self, depth: int) -> dict[bytes, object]:
-        """The entries of a map whose names are strings."""
-        key_kind = self._byte()
-        value_kind = self._byte()
-        count = self._count(2)
+    def _read_map(self, depth: int) -> dict[bytes, object]:
+        """Decode a map; returns the entries whose keys are strings."""
+        key_kind = self._read_byte()
+        value_kind = self._read_byte()
+        count = self._read_count(2)
         if count > MAX_MAP_ENTRIES:
             raise MalformedMessageError("too many fields")
         found: dict[bytes, object] = {}
         for _ in range(count):
-            name = self._value(key_kind, depth + 1)
-            item = self._value(value_kind, depth + 1)
+            name = self._read_value(key_kind, depth + 1)
+            item = self._read_value(value_kind, depth + 1)
             if isinstance(name, bytes):
                 found[name] = item
         return found
 
 
-def _handle(seqid: int, arguments: _Fields) -> Handle:
+def _parse_handle(seqid: int, arguments: _Fields) -> Handle:
     fields = arguments.get((1, MAP))
     body: bytes = arguments.get((2, STRING), b"")
     if not isinstance(fields, dict):
@@ -299,21 +299,21 @@
     return Handle(seqid, texts, body)
 
 
-def _withdraw(_seqid: int, arguments: _Fields) -> Withdraw:
+def _parse_withdraw(_seqid: int, arguments: _Fields) -> Withdraw:
     target = arguments.get((1, I32))
     if not isinstance(target, int):
         raise MalformedMessageError("no sequence number to withdraw")
     return Withdraw(target)
 
 
-def _status(seqid: int, _arguments: _Fields) -> Status:
+def _parse_status(seqid: int, _arguments: _Fields) -> Status:
     return Status(seqid)
 
 
-_READERS: dict[str, Callable[[int, _Fields], Message]] = {
-    "handle": _handle,
-    "withdraw": _withdraw,
-    "status": _status,
+_PARSERS: dict[str, Callable[[int, _Fields], Message]] = {
+    "handle": _parse_handle,
+    "withdraw": _parse_withdraw,
+    "status": _parse_status,
 }
 
 
@@ -335,28 +335,28 @@
 
 
 def answer(name: str, seqid: int, body: bytes, fields: dict[str, str], good: bool) -> bytes:
-    """Encode a normal answer to the method `name`; `good` is the answer's flag of success or readiness."""
+    """Encode a normal answer of the method `name`; `good`: the flag for success or readiness."""
     inner = _FIELD.pack(STRING, 1) + _text(body) + _FIELD.pack(MAP, 2) + _fields(fields)
     inner += _FIELD.pack(BOOL, 3) + bytes((good, STOP))
     return _frame(REPLY, name.encode(), seqid, _FIELD.pack(STRUCT, 0) + inner + bytes((STOP,)))
 
 
-def _thrown(number: int, seqid: int, fields: dict[str, str]) -> bytes:
+def _encode_exception(number: int, seqid: int, fields: dict[str, str]) -> bytes:
     inner = _FIELD.pack(MAP, 1) + _fields(fields) + bytes((STOP,))
     return _frame(REPLY, b"handle", seqid, _FIELD.pack(STRUCT, number) + inner + bytes((STOP,)))
 
 
 def throttled(seqid: int, fields: dict[str, str]) -> bytes:
     """Encode the declared exception for a rejected request, with its fields."""
-    return _thrown(1, seqid, fields)
+    return _encode_exception(1, seqid, fields)
 
 
 def broken(seqid: int, fields: dict[str, str]) -> bytes:
     """Encode the declared exception for a failed request, with its fields."""
-    return _thrown(2, seqid, fields)
+    return _encode_exception(2, seqid, fields)
 
 
 def application_exception(seqid: int, text: str, kind: int) -> bytes:
-    """Encode an application exception, the answer to a malformed message; `kind`: see PROTOCOL_ERROR."""
+    """Encode the answer to a malformed message; `kind`: one of the kinds of application exceptions."""
     inner = _FIELD.pack(STRING, 1) + _text(text.encode()) + _FIELD.pack(I32, 2) + _I32.pack(kind)
     return _frame(EXCEPTION, b"handle", seqid, inner + bytes((STOP,)))
--- a/fawnwharf/net/write_buffer.py
+++ b/fawnwharf/net/write_buffer.py
@@ -1,4 +1,4 @@
-"""Queued output of a connection, and the limit on how long a buffer may stay partially written."""
+"""A connection's queued output, and the time limit for partially written buffers."""
 
 import math
 from collections import deque
@@ -8,10 +8,10 @@
 
 
 class WriteBuffer:
-    """Bytes to be written, and how many of them have been.
+    """Bytes to be written, and the number of bytes already written.
 
-    With `make`, the bytes are produced again for each write until the first of them has been sent; before
-    that, `size` is an estimate in bytes. `make` returns None where the buffer must no longer be sent.
+    With `make`, the bytes are produced again for each write until the first byte has been sent; before the
+    first write, `size` is an estimate in bytes. `make` returns None if the buffer must no longer be sent.
     """
 
     __slots__ = ("begun_ms", "data", "make", "size", "written")
@@ -34,7 +34,7 @@
         return self.make is None and self.written == self.size
 
     def advance(self, count: int, now_ms: float) -> int:
-        """Count up to `count` bytes as written, and return how many of the count are left over."""
+        """Count up to `count` bytes as written; return how many of them belong to the next buffers."""
         step = min(count, self.size - self.written)
         if step and not self.begun:
             self.begun_ms = now_ms
@@ -44,9 +44,10 @@
 
 
 class PartialWriteLimit:
-    """Reports a buffer at the head of a connection's queue that stays partially written for too long.
+    """Reports a buffer at the head of a write queue that stays partially written for too long.
 
-    Protects scorers from a frame that is completed long after it was made. `queue` is the connection's own.
+    It prevents that a scorer receives the end of a frame long after the frame was produced. `queue`: the
+    connection's write queue.
     """
 
     def __init__(self, timers: TimerWheel, queue: deque[WriteBuffer], max_partial_ms: float) -> None:
@@ -62,11 +63,11 @@
         return head.begun_ms + self._max_partial_ms - monotonic_ms()
 
     def is_overdue(self) -> bool:
-        """Whether the first buffer has been partial for too long, so that no more of it may be written."""
+        """Whether the first buffer has been partially written for too long to be continued."""
         return self._remaining_ms() <= 0
 
     def watch(self, on_overdue: Callable[[], None]) -> None:
-        """Call `on_overdue` once the first buffer, if it is partial now, has been so for too long."""
+        """Start a timer if the first buffer is partially written; `on_overdue` is called at the limit."""
         remaining_ms = self._remaining_ms()
         if self._timer is None and remaining_ms < math.inf:
             self._timer = self._timers.after(remaining_ms, lambda: self._check(on_overdue))
--- a/tests/net/test_net_change_log_renumbering.py
+++ b/tests/net/test_net_change_log_renumbering.py
@@ -32,7 +32,7 @@
     phases = {member.id: member.phase for member in rig.front.roster_overlay.members.values()}
     assert phases.get("s-new") == "in_service" and phases.get("s-old", "terminated") == "terminated"
     assert [line for line in rig.lines if "restarted its numbering" in line] == [
-        "change log: at 2, after 40 before: it restarted its numbering"
+        "change log: at event 2, was at 40; it restarted its numbering"
     ]
 
 
--- a/tests/net/test_net_discovery_lifecycle.py
+++ b/tests/net/test_net_discovery_lifecycle.py
@@ -96,7 +96,11 @@
         log.run_maintenance()
         if silent(rig):
             break
-    assert change_log.LINE_MS <= number * 1_000.0 <= change_log.LINE_MS + 2 * change_log.SILENCE_TIMEOUT_MS
+    assert (
+        change_log.MAX_LINE_MS
+        <= number * 1_000.0
+        <= change_log.MAX_LINE_MS + 2 * change_log.SILENCE_TIMEOUT_MS
+    )
 
 
 def test_a_log_that_owes_events_for_longer_than_it_may_be_late_is_asked_again(rig):
--- a/tests/net/test_net_discovery_orders.py
+++ b/tests/net/test_net_discovery_orders.py
@@ -231,7 +231,7 @@
     rig.log.say(event(2))
     rig.at(2)
     with rig.shifted():
-        rig.later_ms += change_log.MAX_ABSENCE_MS + 1.0  # silent for so long, so it reconnects by itself
+        rig.later_ms += change_log.MAX_UNCONFIRMED_MS + 1.0  # silent for so long, so it reconnects by itself
         assert rig.asked_times(2) == ["since", "1"]
         rig.log.say(event(2, rig.member("s-1", "terminating")))
         assert rig.asked_times(3) == ["since", "0"]
--- a/tests/net/test_net_drains.py
+++ b/tests/net/test_net_drains.py
@@ -108,7 +108,7 @@
 
 def test_a_drain_by_a_log_that_began_anew_holds_within_its_time(rig):
     assert (
-        change_log.MIN_BACKOFF_MS + change_log.REPLAY_MS < DRAIN_MS - 50.0
+        change_log.MIN_BACKOFF_MS + change_log.REPLAY_COLLECT_MS < DRAIN_MS - 50.0
     )  # to ask again, and to be told all
     rig.log.say(event(2))
     rig.at(2)
--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -144,7 +144,7 @@
         pool.send(attempt(77, ended, id=b"abcdefgh"))
         [new] = self.links(rig, 77)
         rig.until(lambda: scorer.runs and old.connection.closed, "the next one runs its own")
-        self.assertEqual(ended, [(EndReason.PULLED_BACK, False)])
+        self.assertEqual(ended, [(EndReason.OUT_OF_SERVICE, False)])
         self.assertEqual([frame.id for _, frame in scorer.frames], [b"abcdefgh"])
         self.assertEqual(new.streams.keys(), {b"abcdefgh"})
 
--- a/tests/net/test_net_scorer_connection_writes.py
+++ b/tests/net/test_net_scorer_connection_writes.py
@@ -175,7 +175,7 @@
         for _ in range(2):
             self.clock.advance(255.0)
             self.turn(rig)
-        self.assertEqual(ended, [(EndReason.OUT_OF_TIME, True)])
+        self.assertEqual(ended, [(EndReason.TIMED_OUT, True)])
 
 
 class InPart(Case):
--- a/tests/net/test_net_scorer_connections.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -116,7 +116,7 @@
                     pool.send(attempt(id, ended))
                     pool.start_load(order(id, ended))
                     pool.update(id, None, state, 0.0)
-                    self.assertEqual(ended, [(EndReason.PULLED_BACK, False)] * 2)
+                    self.assertEqual(ended, [(EndReason.OUT_OF_SERVICE, False)] * 2)
                     rig.settle(rig.client())
                     self.assertEqual(len(scorer.frames), before)
 
@@ -274,7 +274,7 @@
         rig.until(lambda: len(ended) == 2, "the order ends")
         rig.front.scorer_pool.send(attempt(9, ended))
         rig.until(lambda: len(ended) == 3, "the dial ends")
-        self.assertEqual(ended, [(EndReason.OUT_OF_TIME, True)] * 2 + [(EndReason.DIAL_TIMED_OUT, False)])
+        self.assertEqual(ended, [(EndReason.TIMED_OUT, True)] * 2 + [(EndReason.DIAL_TIMED_OUT, False)])
 
     def test_a_link_forgotten_while_idle_makes_others_as_idle_unused(self):
         scorer, ended = ScorerPeer(), []
--- a/tests/net/test_net_scorer_faults.py
+++ b/tests/net/test_net_scorer_faults.py
@@ -129,7 +129,7 @@
                 rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL")
                 self.turn(rig)
                 rig.front.scorer_pool.update(BY_POOL, None, state, 0.0)
-                self.assertEqual(ended, [(EndReason.PULLED_BACK, False)])
+                self.assertEqual(ended, [(EndReason.OUT_OF_SERVICE, False)])
                 self.clock.advance(PAUSE_MS)
                 self.turn(rig)
                 self.assertEqual(scorer.links, [])
