--- a/tests/net/test_net_load_orders_of_disconnected_clients.py
+++ b/tests/net/test_net_load_orders_of_disconnected_clients.py
@@ -1,4 +1,4 @@
-"""No load order is made for a client that closes while the process is held up in the turn that decides."""
+"""No load order is sent for a client that closes while the iteration that decides on it is stalled."""
 
 import time
 
@@ -10,17 +10,19 @@
 from fawnwharf.net import connection, scorer_frames
 
 COLD = "00000000000000bb"
-HELD_UP_S = 0.2
+STALL_S = 0.2
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_client_that_closes_in_the_turn_in_which_its_load_is_decided(reset):
+def test_a_client_that_closes_in_the_iteration_in_which_its_load_is_decided(reset):
     scorer = ScorerPeer(copies=None)
     rig = Rig(scorer)
-    first, leaver = rig.client(), rig.client()
-    first.call(row="00000000000000aa")  # its order brings a link up, so that another one would leave at once
-    rig.until(lambda: scorer.of(scorer_frames.LOAD), "a load is ordered")
-    rig.settle(leaver)
+    first, leaving = rig.client(), rig.client()
+    first.call(
+        row="00000000000000aa"
+    )  # establishes a connection, on which another order would be sent at once
+    rig.until(lambda: scorer.of(scorer_frames.LOAD), "the scorer receives a load order")
+    rig.settle(leaving)
     decide, left = rig.front.router.handle, []
 
     def handle(now_ms, events):
@@ -29,17 +31,17 @@
             isinstance(each, io.OrderCopies) and each.copies and each.function == COLD for each in actions
         ):
             if reset:
-                leaver.sock.setsockopt(1, 13, b"\1\0\0\0\0\0\0\0")  # SO_LINGER 0: a close is a reset
-            leaver.sock.close()
+                leaving.sock.setsockopt(1, 13, b"\1\0\0\0\0\0\0\0")  # SO_LINGER 0: a close is a reset
+            leaving.sock.close()
             left.append(True)
-            time.sleep(HELD_UP_S)  # the process is held up: this is the event, nothing waits for it
+            time.sleep(STALL_S)  # stalls the process; no event is awaited here
         return actions
 
     rig.front.router.handle = handle
-    assert connection.FRESH_MS < HELD_UP_S * 1000.0
-    leaver.sock.sendall(handle_frame(2, CALL | {"call": f"{2:016x}", "row": COLD}))
-    rig.until(lambda: left, "its load is decided")
-    rig.clients.remove(leaver)
+    assert connection.FRESH_MS < STALL_S * 1000.0
+    leaving.sock.sendall(handle_frame(2, CALL | {"call": f"{2:016x}", "row": COLD}))
+    rig.until(lambda: left, "the load order is decided")
+    rig.clients.remove(leaving)
     rig.settle(first)
     ordered = [frame.fields for _, frame in scorer.of(scorer_frames.LOAD) if frame.fields["obj"] == COLD]
     assert [fields for fields in ordered if fields["slots_up"] != "0"] == []
--- a/tests/net/test_net_malformed_input.py
+++ b/tests/net/test_net_malformed_input.py
@@ -113,7 +113,7 @@
         client.sock.setblocking(False)
         for number in (3, 1, 2):
             serve(rig, number)
-        rig.until(lambda: len(client.answers) >= 4, "all are answered")
+        rig.until(lambda: len(client.answers) >= 4, "all answers arrive")
         expected = {1: "answer", 2: "answer", 3: "answer", BAD_SEQID: "exception"}
         assert client.kinds() == expected
         assert len(client.answers) == 4
@@ -131,7 +131,7 @@
         assert client.kinds() == {1: "broken", 2: "broken"}
         assert len(client.answers) == 2
         serve(rig, 5)
-        rig.until(lambda: other.answers, "the other one is served")
+        rig.until(lambda: other.answers, "the other client is answered")
         assert other.kinds() == {5: "answer"}
 
     @pytest.mark.parametrize("cut", [1, 4, 20, 60])
@@ -141,11 +141,11 @@
         data = ANSWERED["class unknown"]
         client.sock.sendall(data[:cut])
         serve(rig, 1)
-        rig.until(lambda: client.answers, "the open one is answered meanwhile")
+        rig.until(lambda: client.answers, "the open request is answered meanwhile")
         client.sock.sendall(data[cut:])
         client.call(seqid=2)
         serve(rig, 2)
-        rig.until(lambda: len(client.answers) >= 3, "all are answered")
+        rig.until(lambda: len(client.answers) >= 3, "all answers arrive")
         assert client.kinds() == {1: "answer", BAD_SEQID: "exception", 2: "answer"}
 
     def test_a_withdraw_of_an_unknown_number_changes_nothing(self, rig):
@@ -154,7 +154,7 @@
         client.withdraw(77)
         client.withdraw(-1)
         serve(rig, 1)
-        rig.until(lambda: client.answers, "it is answered")
+        rig.until(lambda: client.answers, "the answer arrives")
         assert client.kinds() == {1: "answer"}
 
     def test_an_answer_that_crosses_an_ending_frame_is_the_only_one(self, rig):
@@ -181,11 +181,11 @@
         client.call(op="settle", seqid=1)
         link, _ = run_of(rig, 1)
         link.sock.sendall(data)
-        rig.until(lambda: client.answers, "it is failed")
+        rig.until(lambda: client.answers, "the request fails")
         assert client.kinds() == {1: "broken"}
         client.call(seqid=2)
         serve(rig, 2)
-        rig.until(lambda: len(client.answers) == 2, "the next one is served")
+        rig.until(lambda: len(client.answers) == 2, "the next request is answered")
         assert client.kinds()[2] == "answer"
 
     @pytest.mark.parametrize("fields", ["res=", "=", "res", "company=x,slots_up=-1", "res=\xff", ",,,=,"])
@@ -193,7 +193,7 @@
         client = rig.client()
         client.call(seqid=1)
         rig.scorers[0].answer(run_of(rig, 1), fields=fields, body=b"made")
-        rig.until(lambda: client.answers, "it is answered")
+        rig.until(lambda: client.answers, "the answer arrives")
         assert client.answers == [(1, "answer", {1: b"made", 2: {}, 3: True})]
 
     @pytest.mark.parametrize("code", [1, 6, 7, 99, 255])
@@ -201,7 +201,7 @@
         client = rig.client()
         client.call(op="settle", seqid=1)
         rig.scorers[0].answer(run_of(rig, 1), code=code)
-        rig.until(lambda: client.answers, "it is failed")
+        rig.until(lambda: client.answers, "the request fails")
         assert client.kinds() == {1: "broken"}
         rig.settle(client)
         assert len(rig.scorers[0].runs) == 1
@@ -281,6 +281,6 @@
         run_of(rig, 1)
         rig.front.reload()
         serve(rig, 1)
-        rig.until(lambda: client.answers, "it is answered")
+        rig.until(lambda: client.answers, "the answer arrives")
         assert client.kinds() == {1: "answer"}
         assert any("settings.fleet_size" in line for line in rig.lines)
--- a/tests/net/test_net_roster_overlay.py
+++ b/tests/net/test_net_roster_overlay.py
@@ -1,4 +1,4 @@
-"""One overlay for all that may close scorers: operators, a plan, hints on bad ones, in every order."""
+"""The roster overlay with the filters of operators, zone plan and outlier ejection, in every order."""
 
 import itertools
 import unittest
@@ -18,23 +18,24 @@
 IDS = ("a1", "a2", "b1", "b2")
 OUT = p.Plan(zones={"a": p.PlannedZone(size=2.0), "b": p.PlannedZone(p.OUT, size=2.0)})
 HALF = p.Plan(zones={"a": p.PlannedZone(size=2.0), "b": p.PlannedZone(p.RECOVERING, 0.5, size=2.0)})
-# What each may lay, as each lays it, and what that closes. Of zone b, half is b2 (by the hash of its id).
-LAYERS = {
+# By component: the values that it may set, and the scorers that its filter then excludes. In the recovering
+# zone b, scorer b2 is in service, by the hash of its id.
+FILTERS = {
     "operators": [(None, ""), (frozenset(("a1", "b1")).__contains__, "a1 b1"), ("b2".__eq__, "b2")],
     "zones": [(None, ""), (OUT, "b1 b2"), (HALF, "b1")],
     "state": [(frozenset(), ""), (frozenset(("a2", "b1")), "a2 b1"), (frozenset(("a1",)), "a1")],
 }
 
 
-def closer(who, laid):
+def filter_of(who, value):
     if who == "zones":
-        return roster_filter.roster_filter_for_plan(laid, "a")
+        return roster_filter.roster_filter_for_plan(value, "a")
     if who == "state":
-        return outlier_ejection.excluding(laid)
-    return laid and (lambda member: laid(member.id))
+        return outlier_ejection.excluding(value)
+    return value and (lambda member: value(member.id))
 
 
-def told(id, phase="in_service"):
+def reported(id, phase="in_service"):
     return Member(id, phase, "127.0.0.1:1", locality=id[0], size=1.0)
 
 
@@ -42,109 +43,116 @@
     return {member.id: member.phase for member in fleet.members}
 
 
-@pytest.mark.parametrize("order", itertools.permutations(LAYERS))
-@pytest.mark.parametrize("back", itertools.permutations(LAYERS))
-def test_a_scorer_is_closed_while_anyone_closes_it_in_whatever_order_they_come_and_go(order, back):
-    overlay, closing = RosterOverlay(), {}
-    overlay.apply(Fleet([told(id) for id in IDS], complete=True))
-    steps = [(who, 1) for who in order] + [(who, 0) for who in back]
+@pytest.mark.parametrize("set_order", itertools.permutations(FILTERS))
+@pytest.mark.parametrize("removal_order", itertools.permutations(FILTERS))
+def test_a_scorer_is_excluded_while_any_filter_excludes_it(set_order, removal_order):
+    overlay, excluded_by = RosterOverlay(), {}
+    overlay.apply(Fleet([reported(id) for id in IDS], complete=True))
+    steps = [(who, 1) for who in set_order] + [(who, 0) for who in removal_order]
     before = set()
-    for who, place in steps:
-        laid, closes = LAYERS[who][place]
-        closing[who] = set(closes.split())
-        closed = set().union(*closing.values())
-        changes = phases(overlay.set_filter(who, closer(who, laid)))
-        assert changes == {id: "terminating" if id in closed else "in_service" for id in closed ^ before}
-        before = closed
+    for who, index in steps:
+        value, ids = FILTERS[who][index]
+        excluded_by[who] = set(ids.split())
+        excluded = set().union(*excluded_by.values())
+        changes = phases(overlay.set_filter(who, filter_of(who, value)))
+        assert changes == {id: "terminating" if id in excluded else "in_service" for id in excluded ^ before}
+        before = excluded
     assert not before
 
 
 class Model:
-    """What is gone by, from the roster as told and from who closes what; and what has been told of it."""
+    """Reference model: the reported roster, the exclusions, and the phases that the overlay returned."""
 
     def __init__(self):
         self.overlay = RosterOverlay()
-        self.roster, self.closing, self.gone_by = {}, {}, {}
+        self.roster, self.excluded_by, self.returned = {}, {}, {}
 
     def phase(self, id):
-        closed = any(id in ids for ids in self.closing.values())
-        return "terminating" if closed and self.roster[id] == "in_service" else self.roster[id]
+        excluded = any(id in ids for ids in self.excluded_by.values())
+        return "terminating" if excluded and self.roster[id] == "in_service" else self.roster[id]
 
-    def tell(self, found, complete):
+    def report(self, found, complete):
         if complete:
-            self.roster, self.gone_by = {}, {}
+            self.roster, self.returned = {}, {}
         self.roster |= found
-        fleet = Fleet([told(id, phase) for id, phase in found.items()], complete)
-        assert phases(laid := self.overlay.apply(fleet)) == {id: self.phase(id) for id in found}
-        self.gone_by |= phases(laid)
+        fleet = Fleet([reported(id, phase) for id, phase in found.items()], complete)
+        assert phases(filtered := self.overlay.apply(fleet)) == {id: self.phase(id) for id in found}
+        self.returned |= phases(filtered)
         self.roster = {id: phase for id, phase in self.roster.items() if phase != "terminated"}
-        self.gone_by = {id: phase for id, phase in self.gone_by.items() if phase != "terminated"}
+        self.returned = {id: phase for id, phase in self.returned.items() if phase != "terminated"}
 
-    def lay(self, who, place):
-        laid, closes = LAYERS[who][place]
-        self.closing[who] = set(closes.split())
-        changes = phases(self.overlay.set_filter(who, closer(who, laid)))
-        assert all(self.gone_by[id] != phase for id, phase in changes.items())  # nothing is told twice
-        self.gone_by |= changes
+    def set_filter(self, who, index):
+        value, ids = FILTERS[who][index]
+        self.excluded_by[who] = set(ids.split())
+        changes = phases(self.overlay.set_filter(who, filter_of(who, value)))
+        assert all(self.returned[id] != phase for id, phase in changes.items())  # only real changes
+        self.returned |= changes
 
     def check(self):
-        assert self.gone_by == {id: self.phase(id) for id in self.roster}
-        for who in LAYERS:
-            others = set().union(*(ids for other, ids in self.closing.items() if other != who))
+        assert self.returned == {id: self.phase(id) for id in self.roster}
+        for who in FILTERS:
+            others = set().union(*(ids for other, ids in self.excluded_by.items() if other != who))
             left = {id for id, phase in self.roster.items() if phase == "in_service"} - others
             assert {member.id for member in self.overlay.open_except_for(who)} == left
 
 
-TELLS = strategies.tuples(
+REPORTS = strategies.tuples(
     strategies.dictionaries(
         strategies.sampled_from(IDS), strategies.sampled_from(("in_service", "terminating", "terminated"))
     ),
     strategies.booleans(),
 )
-LAYS = strategies.tuples(strategies.sampled_from(sorted(LAYERS)), strategies.integers(0, 2))
+FILTER_CHANGES = strategies.tuples(strategies.sampled_from(sorted(FILTERS)), strategies.integers(0, 2))
 
 
-@given(strategies.lists(TELLS | LAYS, max_size=16))
-def test_what_is_told_adds_up_to_what_is_to_be_gone_by_whatever_happens_between(steps):
+@given(strategies.lists(REPORTS | FILTER_CHANGES, max_size=16))
+def test_the_returned_changes_add_up_to_the_filtered_roster(steps):
     model = Model()
-    model.tell(dict.fromkeys(IDS, "in_service"), True)
-    for what, how in steps:
-        (model.lay if isinstance(what, str) else model.tell)(what, how)
+    model.report(dict.fromkeys(IDS, "in_service"), True)
+    for subject, detail in steps:
+        (model.set_filter if isinstance(subject, str) else model.report)(subject, detail)
         model.check()
 
 
 class Recorder:
-    """A seam that keeps what it hears, and what is known by then."""
+    """An extension that records each fleet event, and the reported phases at that time."""
 
     busy = False
 
     def __init__(self):
-        self.front, self.heard = None, []
+        self.front, self.recorded = None, []
 
     def on_fleet(self, fleet):
-        self.heard += [(m.id, m.phase, self.front.roster_overlay.members[m.id].phase) for m in fleet.members]
+        self.recorded += [
+            (m.id, m.phase, self.front.roster_overlay.members[m.id].phase) for m in fleet.members
+        ]
 
     def on_events(self, events): ...
 
     def close(self): ...
 
 
-class AtTheSeam(unittest.TestCase):
-    def test_a_seam_hears_what_the_change_log_told_and_the_module_what_is_left_of_it(self):
+class Extensions(unittest.TestCase):
+    def test_an_extension_receives_the_reported_roster_and_the_router_the_filtered_one(self):
         one, two = ScorerPeer("s-1"), ScorerPeer("s-2")
         extension = Recorder()
         rig = Rig(one, two)
         self.addCleanup(rig.close)
         rig.front._extension, extension.front = extension, rig.front
-        workers = rig.front.router.scorers
-        rig.until(lambda: len(workers) == 2, "both are known")
+        scorers = rig.front.router.scorers
+        rig.until(lambda: len(scorers) == 2, "both scorers are known")
         for who in ("zones", "state"):
             rig.front.apply_fleet(rig.front.roster_overlay.set_filter(who, lambda member: member.id == "s-1"))
         rig.log.say({"seq": 2, "fleet": {"members": [one.member(), two.member()]}})
-        rig.until(lambda: rig.front.change_log.seq == 2 and not rig.front._pending_change, "it is taken")
-        self.assertEqual(extension.heard, [(id, "in_service", "in_service") for id in ("s-1", "s-2")])
-        found = {id: workers[scorer_number(id)].entry.state for id in ("s-1", "s-2")}
+        rig.until(
+            lambda: rig.front.change_log.seq == 2 and not rig.front._pending_change, "the event is applied"
+        )
+        self.assertEqual(extension.recorded, [(id, "in_service", "in_service") for id in ("s-1", "s-2")])
+        found = {id: scorers[scorer_number(id)].entry.state for id in ("s-1", "s-2")}
         self.assertEqual(found, {"s-1": ScorerState.DRAINING, "s-2": ScorerState.READY})
         rig.front.apply_fleet(rig.front.roster_overlay.set_filter("zones", None))
         rig.front.apply_fleet(rig.front.roster_overlay.set_filter("state", None))
-        rig.until(lambda: workers[scorer_number("s-1")].entry.state is ScorerState.READY, "it is open again")
+        rig.until(
+            lambda: scorers[scorer_number("s-1")].entry.state is ScorerState.READY,
+            "the scorer is in service again",
+        )
--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -28,7 +28,7 @@
         self.clock.advance(60_000.0)
         rig.front.scorer_pool.run_maintenance()
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[1], []))
 
     def test_an_idle_look_just_after_a_send_leaves_its_link_alone(self):
@@ -40,7 +40,7 @@
         self.clock.advance(60.0)
         rig.front.scorer_pool.run_maintenance()
         self.assertFalse(link.connection.closed)
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[0], []))
 
     def test_a_reset_before_any_byte_is_no_end_for_what_was_to_be_written(self):
@@ -50,7 +50,7 @@
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         reset(scorer.links[0].sock)
         self.read(link.connection)
-        rig.until(lambda: scorer.runs, "it runs on another link")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt on another connection")
         self.assertEqual(ended, [])
 
     def test_an_answer_that_came_just_before_a_reset_under_a_write_counts(self):
@@ -61,14 +61,14 @@
                 link = self.link_up(rig, scorer)
                 client, key = self.asked(rig, op)
                 rig.front.requests.send(io.Send(key, BY_POOL))
-                rig.until(lambda scorer=scorer: scorer.runs, "it runs")
+                rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                 rig.front.scorer_pool.send(attempt(BY_POOL, [], id=b"abcdefgh"))
                 scorer.answer(scorer.runs[0], body=b"done")
                 reset(scorer.links[0].sock)
                 link.connection.flush()  # after the turn's reads
                 self.assertTrue(link.connection.closed)
                 self.assertEqual(self.endings(), [io.AttemptResult.GOOD])
-                rig.until(lambda client=client: client.answers, "it is answered")
+                rig.until(lambda client=client: client.answers, "the answer arrives")
 
     def test_a_close_in_part_never_ran_but_where_it_must_not_run_twice(self):
         for how, op in itertools.product((reset, lambda sock: sock.close()), CLASSES):
@@ -92,7 +92,7 @@
                 link = self.link_up(rig, scorer)
                 _, key = self.asked(rig, op)
                 rig.front.requests.send(io.Send(key, BY_POOL))
-                rig.until(lambda scorer=scorer: scorer.runs, "it runs")
+                rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                 how(scorer.links[0].sock)
                 self.read(link.connection)
                 self.assertEqual(self.endings(), [RESET])
@@ -108,7 +108,7 @@
         rig.front.requests.cancel(io.Cancel(key, 0))
         self.assertEqual((self.endings(), link.streams), ([io.AttemptResult.CANCELLED], {}))
         self.unblock(blocked)
-        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
+        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "the scorer receives the cancellation")
 
 
 class Dials(Case):
@@ -122,7 +122,7 @@
         self.clock.advance(DIAL_MS + 5.0)
         rig.front.loop.timers.advance()  # its time runs out as it is up, and not read yet
         self.assertEqual((ended, link.connection.closed), ([(EndReason.DIAL_TIMED_OUT, False)], True))
-        rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees it end")
+        rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees the close")
         self.assertEqual((scorer.frames, rig.front.scorer_pool._link_count), ([], 0))
 
     def test_one_that_is_seen_up_in_the_turn_in_which_its_time_runs_out_is_used(self):
@@ -130,7 +130,7 @@
         rig = self.rig(scorer, settings={"bounds": BOUNDS})
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.clock.advance(DIAL_MS + 5.0)
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual(ended, [])
 
     def test_one_to_a_gone_scorer_carries_nothing_for_the_next_at_its_address(self):
@@ -143,7 +143,9 @@
         pool.update(77, address, io.ScorerState.READY, 0.0)
         pool.send(attempt(77, ended, id=b"abcdefgh"))
         [new] = self.links(rig, 77)
-        rig.until(lambda: scorer.runs and old.connection.closed, "the next one runs its own")
+        rig.until(
+            lambda: scorer.runs and old.connection.closed, "the new scorer receives its own attempt only"
+        )
         self.assertEqual(ended, [(EndReason.OUT_OF_SERVICE, False)])
         self.assertEqual([frame.id for _, frame in scorer.frames], [b"abcdefgh"])
         self.assertEqual(new.streams.keys(), {b"abcdefgh"})
@@ -155,7 +157,9 @@
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
         rig.front.scorer_pool.update(BY_POOL, self.address(new), io.ScorerState.READY, 0.0)
-        rig.until(lambda: new.runs and link.connection.closed, "it runs at the new address")
+        rig.until(
+            lambda: new.runs and link.connection.closed, "the scorer receives the attempt at the new address"
+        )
         self.assertEqual((old.frames, ended), ([], []))
 
     def test_the_failure_of_a_dial_to_the_old_address_says_nothing_of_the_new_one(self):
@@ -167,7 +171,7 @@
         rig.front.scorer_pool.update(BY_POOL, self.address(new), io.ScorerState.READY, 0.0)
         link.connection.close(EndReason.REFUSED)
         self.assertEqual(ended, [])
-        rig.until(lambda: new.runs, "it runs at the new address")
+        rig.until(lambda: new.runs, "the scorer receives the attempt at the new address")
 
     def test_nor_does_it_while_the_new_one_waits_for_a_fault_of_this_machine_to_pass(self):
         old, new, ended = ScorerPeer(copies=None), ScorerPeer(copies=None), []
@@ -180,7 +184,7 @@
         link.connection.close(EndReason.REFUSED)
         self.assertEqual(ended, [])
         self.clock.advance(scorer_pool.REDIAL_DELAY_MS + 5.0)
-        rig.until(lambda: new.runs, "it runs at the new address")
+        rig.until(lambda: new.runs, "the scorer receives the attempt at the new address")
 
     def test_a_second_dial_makes_nothing_wait_for_longer_than_one_takes(self):
         scorer, ended = ScorerPeer(copies=None), []
@@ -193,7 +197,7 @@
         rig.front.loop.timers.advance()  # before either is seen to be up
         self.assertEqual((first.connection.closed, second.connection.closed), (True, False))
         self.assertEqual(ended, [(EndReason.NEVER_SENT, False)])
-        rig.until(lambda: scorer.runs, "the second one's call runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the second attempt")
         self.assertEqual([frame.id for _, frame in scorer.runs], [b"abcdefgh"])
 
     def test_what_is_unwritten_when_a_restart_is_told_is_for_the_new_process(self):
@@ -203,7 +207,7 @@
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         rig.front.scorer_pool.update(BY_POOL, None, io.ScorerState.READY, 5.0)
         self.assertTrue(link.connection.closed)
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[1], []))
 
     def test_links_to_the_process_before_leave_room_for_those_to_the_new_one(self):
@@ -211,10 +215,12 @@
         rig = self.rig(scorer, settings={"bounds": BOUNDS | {"streams_per_conn": 1}})
         for number in range(scorer_pool.MAX_CONNECTIONS):
             rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
-        rig.until(lambda: len(scorer.runs) == scorer_pool.MAX_CONNECTIONS, "all links are in use")
+        rig.until(lambda: len(scorer.runs) == scorer_pool.MAX_CONNECTIONS, "all connections are in use")
         rig.front.scorer_pool.update(BY_POOL, None, io.ScorerState.READY, 5.0)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=b"abcdefgh"))
-        rig.until(lambda: len(scorer.runs) > scorer_pool.MAX_CONNECTIONS, "the new process runs it")
+        rig.until(
+            lambda: len(scorer.runs) > scorer_pool.MAX_CONNECTIONS, "the new process receives the attempt"
+        )
         self.assertEqual(ended, [])
 
 
@@ -235,9 +241,9 @@
         for number, peer in enumerate(peers):
             self.clock.advance(1.0)
             rig.front.scorer_pool.send(attempt(BY_POOL + number, ended))
-            rig.until(lambda peer=peer: peer.runs, "it runs")
+            rig.until(lambda peer=peer: peer.runs, "the scorer receives the attempt")
             peer.answer(peer.runs[0])
-            rig.until(lambda number=number: len(ended) > number, "it is answered")
+            rig.until(lambda number=number: len(ended) > number, "the answer arrives")
         self.assertEqual(ended, [(io.AttemptResult.GOOD, True)] * 3)
         self.assertEqual([len(self.links(rig, BY_POOL + number)) for number in range(3)], [0, 1, 1])
 
@@ -247,7 +253,7 @@
         rig.front.scorer_pool.max_connections = 1
         ended = []
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
-        rig.until(lambda: peers[0].runs, "it runs")
+        rig.until(lambda: peers[0].runs, "the scorer receives the attempt")
         rig.front.scorer_pool.send(attempt(BY_POOL + 1, ended))
         self.assertEqual(ended, [(EndReason.NO_DESCRIPTOR, False)])
         self.assertEqual(len(self.links(rig)), 1)
@@ -258,12 +264,12 @@
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         scorer.answer(scorer.runs[0], body=b"first")
-        rig.until(lambda: ended, "it is answered")
+        rig.until(lambda: ended, "the answer arrives")
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         scorer.answer(scorer.runs[0], body=b"first")
-        rig.until(lambda: len(scorer.runs) == 2, "the next one runs")
+        rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the next attempt")
         rig.settle(rig.client())
         self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
@@ -272,11 +278,11 @@
         scorer, first, second = ScorerPeer(copies=None), [], []
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(attempt(BY_POOL, first))
-        rig.until(lambda: scorer.runs, "the first runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the first attempt")
         rig.front.scorer_pool.send(attempt(BY_POOL, second))
-        rig.until(lambda: len(scorer.runs) == 2, "the second runs")
+        rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the second attempt")
         scorer.answer(scorer.runs[1], 3, "")
-        rig.until(lambda: second, "the second is full")
+        rig.until(lambda: second, "the second attempt gets FULL")
         self.assertEqual((first, second), ([], [(io.AttemptResult.FULL, True)]))
         scorer.answer(scorer.runs[0])
         rig.until(lambda: first, "the first is answered")
@@ -286,12 +292,12 @@
         scorer, ended, later = ScorerPeer(copies=None), [], []
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(given_up := attempt(BY_POOL, ended))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         rig.front.scorer_pool.cancel(given_up)
         rig.front.scorer_pool.send(attempt(BY_POOL, later, id=b"abcdefgh"))
         for _ in range(2):
             scorer.answer(scorer.runs[0], body=b"late")
-        rig.until(lambda: len(scorer.runs) == 2, "the later one runs")
+        rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the later attempt")
         rig.settle(rig.client())
         self.assertEqual((ended, later), ([(EndReason.CALLED_OFF, True)], []))
         self.assertFalse(self.links(rig)[0].connection.closed)
@@ -310,9 +316,9 @@
                 self.read(link.connection)
                 self.assertEqual((ended, list(link.streams)), ([], [b"12345678"]))
                 self.unblock(blocked)
-                rig.until(lambda scorer=scorer: scorer.runs, "it runs")
+                rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                 scorer.answer(scorer.runs[0])
-                rig.until(lambda ended=ended: ended, "it is answered")
+                rig.until(lambda ended=ended: ended, "the answer arrives")
                 self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
 
     def test_an_answer_that_is_cut_by_a_close_is_none(self):
@@ -322,12 +328,12 @@
                 rig = self.rig(scorer)
                 client, key = self.asked(rig, op)
                 rig.front.requests.send(io.Send(key, BY_POOL))
-                rig.until(lambda scorer=scorer: scorer.runs, "it runs")
+                rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                 link, frame = scorer.runs[0]
                 whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, direction=scorer_frames.FROM_SCORER)
                 link.sock.sendall(whole[:-1])
                 link.sock.close()
-                rig.until(lambda: self.endings(), "it ends")
+                rig.until(lambda: self.endings(), "the attempt ends")
                 self.assertEqual((self.endings(), client.answers), ([RESET], []))
 
     def test_an_answer_that_is_cut_and_followed_by_nothing_ends_its_link(self):
@@ -335,10 +341,10 @@
         rig = self.rig(scorer)
         client, key = self.asked(rig)
         rig.front.requests.send(io.Send(key, BY_POOL))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         scorer.links[0].sock.sendall(b"\x81\0")
         [link] = self.links(rig)
-        rig.until(lambda: link._reader.has_partial_frame, "a part has come")
+        rig.until(lambda: link._reader.has_partial_frame, "a partial frame is received")
         while not self.endings():
             self.clock.advance(50.0)
             self.turn(rig, times=1)
@@ -350,9 +356,9 @@
         next_id = (1 << 62) - 5
         rig.front.scorer_pool._order_ids = itertools.count(next_id)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=next_id.to_bytes(8, "big")))
-        rig.until(lambda: scorer.runs, "the call runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the call")
         rig.front.scorer_pool.start_load(order(BY_POOL, ended))
-        rig.until(lambda: scorer.of(scorer_frames.LOAD), "the order has come")
+        rig.until(lambda: scorer.of(scorer_frames.LOAD), "the scorer receives the order")
         [(link, frame)], [(of_call, call)] = scorer.of(scorer_frames.LOAD), scorer.runs
         self.assertEqual(frame.id, call.id)
         self.assertIsNot(link, of_call)
@@ -367,9 +373,9 @@
         with mock.patch("fawnwharf.net.scorer_connection.MAX_ANSWERED_IDS", 4):
             for number in range(6):
                 rig.front.scorer_pool.send(attempt(BY_POOL, ended, id=b"%08d" % number))
-                rig.until(lambda number=number: len(scorer.runs) > number, "it runs")
+                rig.until(lambda number=number: len(scorer.runs) > number, "the scorer receives the attempt")
                 scorer.answer(scorer.runs[number])
-                rig.until(lambda number=number: len(ended) > number, "it is answered")
+                rig.until(lambda number=number: len(ended) > number, "the answer arrives")
         self.assertEqual([link.accepts(b"%08d" % number) for number in range(6)], [True] * 2 + [False] * 4)
 
 
--- a/tests/net/test_net_scorer_connection_writes.py
+++ b/tests/net/test_net_scorer_connection_writes.py
@@ -25,7 +25,7 @@
         _, key = self.asked(rig, ttl="8000")
         rig.front.requests.send(io.Send(key, BY_POOL))
         self.clock.advance(1_000.0)
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertLessEqual(self.passed_on(scorer), 7_000)
 
     def test_it_is_what_is_left_when_a_blocked_link_takes_it(self):
@@ -39,7 +39,7 @@
             self.turn(rig)
             self.clock.advance(1_000.0)
         self.unblock(blocked)
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertLessEqual(self.passed_on(scorer), 5_000)
 
     def test_it_is_what_is_left_for_a_retry_that_waited_for_two_connections(self):
@@ -47,13 +47,13 @@
         rig = self.rig(first, second)
         _, key = self.asked(rig, ttl="8000")
         rig.front.requests.send(io.Send(key, BY_POOL))
-        rig.until(lambda: first.runs, "it runs")
+        rig.until(lambda: first.runs, "the scorer receives the attempt")
         first.answer(first.runs[0], 3, "")
-        rig.until(lambda: self.endings(), "it is full")
+        rig.until(lambda: self.endings(), "the answer FULL arrives")
         self.clock.advance(1_000.0)
         rig.front.requests.send(io.Send(key, BY_POOL + 1))
         self.clock.advance(1_000.0)
-        rig.until(lambda: second.runs, "it runs")
+        rig.until(lambda: second.runs, "the scorer receives the attempt")
         self.assertLessEqual(self.passed_on(second), 6_000)
 
     def test_bytes_that_wait_are_counted_as_they_are(self):
@@ -70,7 +70,7 @@
         self.assertEqual(link.connection.waiting_bytes, sum(piece.size for piece in link.connection._outbox))
         rig.front.scorer_pool.cancel(streams[1])
         self.unblock(blocked)
-        rig.until(lambda: len(scorer.frames) == 3, "the others are written")
+        rig.until(lambda: len(scorer.frames) == 3, "the other frames are written")
         self.assertEqual(link.connection.waiting_bytes, 0)
 
 
@@ -83,7 +83,7 @@
         return key
 
     def assert_never_sent(self, rig, scorer):
-        rig.until(lambda: self.endings(), "it ends")
+        rig.until(lambda: self.endings(), "the attempt ends")
         rig.settle(rig.client())
         self.assertEqual((self.endings(), scorer.frames), ([io.AttemptResult.NOT_SENT], []))
 
@@ -158,12 +158,12 @@
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         self.sent(rig, within_ms=WITHIN_MS)
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.clock.advance(WITHIN_MS + 5.0)
         self.turn(rig)
         self.assertEqual(self.endings(), [])
         scorer.answer(scorer.runs[0])
-        rig.until(lambda: self.endings(), "it is answered")
+        rig.until(lambda: self.endings(), "the answer arrives")
         self.assertEqual(self.endings(), [io.AttemptResult.GOOD])
 
     def test_one_that_began_in_time_ends_at_its_deadline(self):
@@ -171,7 +171,7 @@
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(given := attempt(BY_POOL, ended := [], within_ms=500.0))
         given.begin_by_ms = self.clock.monotonic_ms + WITHIN_MS
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         for _ in range(2):
             self.clock.advance(255.0)
             self.turn(rig)
@@ -190,7 +190,10 @@
         rig.front.requests.send(io.Send(key, BY_POOL))
         for stream in more:
             rig.front.scorer_pool.send(stream)
-        rig.until(lambda: link.connection._outbox and link.connection._outbox[0].begun, "it is in part")
+        rig.until(
+            lambda: link.connection._outbox and link.connection._outbox[0].begun,
+            "the frame is partially written",
+        )
         return rig, scorer, link, blocked, (client, key)
 
     def test_it_ends_its_link_in_time_and_is_never_completed(self):
@@ -220,7 +223,7 @@
         rig, scorer, link, blocked, _ = self.part()
         self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS - 10.0)
         self.unblock(blocked)
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.clock.advance(20.0)
         self.turn(rig)
         self.assertFalse(link.connection.closed)
@@ -231,9 +234,9 @@
         other = attempt(BY_POOL, ended, id=b"abcdefgh", body=b"other")
         rig, scorer, link, blocked, _ = self.part(more=[other])
         self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
-        rig.until(lambda: link.connection.closed, "its link ends")
+        rig.until(lambda: link.connection.closed, "the connection ends")
         self.unblock(blocked)
-        rig.until(lambda: scorer.runs, "the other runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the other attempt")
         [(_, frame)] = scorer.runs
         self.assertEqual((frame.body, ended), (b"other", []))
 
@@ -245,7 +248,7 @@
                 link = self.link_up(rig, scorer)
                 if kind == "give up":
                     rig.front.scorer_pool.send(stream := attempt(BY_POOL, ended))
-                    rig.until(lambda scorer=scorer: scorer.runs, "it runs")
+                    rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                 blocked = self.block(scorer, after_bytes=5)
                 if kind == "give up":
                     rig.front.scorer_pool.cancel(stream)
@@ -254,7 +257,7 @@
                 self.turn(rig)
                 before = len(scorer.frames)
                 self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
-                rig.until(lambda link=link: link.connection.closed, "its link ends")
+                rig.until(lambda link=link: link.connection.closed, "the connection ends")
                 self.unblock(blocked)
                 rig.settle(rig.client())
                 self.assertEqual(len(scorer.frames), before)
@@ -264,7 +267,7 @@
         for op in ("view", "save", "settle"):
             rig, _, link, _, _ = self.part(op=op)
             self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
-            rig.until(lambda link=link: link.connection.closed, "its link ends")
+            rig.until(lambda link=link: link.connection.closed, "the connection ends")
             endings[op] = self.endings()
         never = [io.AttemptResult.CONNECT_FAILED]
         self.assertEqual(endings, {"view": never, "save": never, "settle": [io.AttemptResult.RESET]})
@@ -277,11 +280,11 @@
         self.faults.shorten("sendmsg", 3, where=at_client)
         blocked = self.faults.shorten("sendmsg", 0, times=10**9, where=at_client)
         client.status(7)
-        rig.until(lambda: blocked.hits, "its answer is in part")
+        rig.until(lambda: blocked.hits, "the answer is partially written")
         self.clock.advance(1_000.0)
         self.turn(rig)
         self.unblock(blocked)
-        rig.until(lambda: client.answers, "it has its answer")
+        rig.until(lambda: client.answers, "the client receives the answer")
 
     def test_an_empty_piece_keeps_nothing_behind_it_back(self):
         rig = self.rig()
--- a/tests/net/test_net_scorer_connections.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -51,7 +51,7 @@
         rig = self.rig(*peers, **more)
         client = rig.client()
         client.call(op)
-        rig.until(lambda: any(peer.runs for peer in peers), "it runs")
+        rig.until(lambda: any(peer.runs for peer in peers), "the scorer receives the attempt")
         first = next(peer for peer in peers if peer.runs)
         for link in first.links:
             link.sock.close()
@@ -60,7 +60,7 @@
 
     def test_what_must_not_run_twice_is_failed_not_refused_or_sent_again(self):
         rig, client, first, other = self.lose("settle")
-        rig.until(lambda: client.answers, "it is failed")
+        rig.until(lambda: client.answers, "the request fails")
         rig.settle(client)
         self.assertEqual(client.kinds()[1], "broken")
         self.assertEqual((len(first.runs), len(other.runs)), (1, 0))
@@ -69,9 +69,9 @@
         for op in ("view", "save"):
             with self.subTest(op):
                 rig, client, _, other = self.lose(op)
-                rig.until(lambda other=other: other.runs, "it runs elsewhere")
+                rig.until(lambda other=other: other.runs, "the other scorer receives the attempt")
                 other.answer(other.runs[0], body=b"again")
-                rig.until(lambda client=client: client.answers, "it is answered")
+                rig.until(lambda client=client: client.answers, "the answer arrives")
                 self.assertEqual(client.answers[0][1:], ("answer", {1: b"again", 2: {}, 3: True}))
 
     def test_a_refused_dial_proves_that_nothing_ran(self):
@@ -80,7 +80,7 @@
             silent.bind(("127.0.0.1", 0))
             rig.front.scorer_pool.update(9, silent.getsockname(), io.ScorerState.READY, 0.0)
             rig.front.scorer_pool.send(attempt(9, ended))
-            rig.until(lambda: ended, "it ends")
+            rig.until(lambda: ended, "the attempt ends")
         self.assertEqual(ended, [(EndReason.REFUSED, False)])
 
     def test_a_dial_that_is_reset_as_it_comes_up_is_tried_again_but_not_for_ever(self):
@@ -93,8 +93,11 @@
                 for _ in range(resets):
                     [dial] = links_of(rig)
                     reset(listener.accept()[0])
-                    rig.until(lambda rig=rig, dial=dial: dial not in links_of(rig), "it is reset")
-                rig.until(lambda rig=rig: all(link.up for link in links_of(rig)), "one is up or none left")
+                    rig.until(lambda rig=rig, dial=dial: dial not in links_of(rig), "the connection is reset")
+                rig.until(
+                    lambda rig=rig: all(link.up for link in links_of(rig)),
+                    "each connection is established or closed",
+                )
             self.assertEqual(ended, ends)
 
 
@@ -111,7 +114,7 @@
                     rig, pool, id = self.pool(scorer)
                     if linked:
                         pool.start_load(order(id, []))
-                        rig.until(lambda scorer=scorer: scorer.frames, "a link is up")
+                        rig.until(lambda scorer=scorer: scorer.frames, "a connection is established")
                     ended, before = [], len(scorer.frames)
                     pool.send(attempt(id, ended))
                     pool.start_load(order(id, ended))
@@ -128,7 +131,7 @@
         pool.start_load(order(id, ended))
         self.assertEqual(ended, [(EndReason.NEVER_SENT, False)] * 2)
         pool.start_load(order(id, ended, copies=0))
-        rig.until(lambda: len(ended) == 3, "the question is answered")
+        rig.until(lambda: len(ended) == 3, "the query is answered")
         self.assertEqual(ended[2], (io.AttemptResult.GOOD, True))
 
     def test_a_drain_told_by_the_change_log_leaves_what_runs_alone(self):
@@ -136,23 +139,23 @@
         rig = self.rig(scorer)
         client = rig.client()
         client.call()
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         rig.log.say({"seq": 2, "fleet": {"complete": False, "members": [scorer.member("terminating")]}})
-        rig.until(lambda: rig.front.change_log.seq == 2, "the drain is told")
+        rig.until(lambda: rig.front.change_log.seq == 2, "the drain is applied")
         scorer.answer(scorer.runs[0], body=b"done")
-        rig.until(lambda: client.answers, "it is answered")
+        rig.until(lambda: client.answers, "the answer arrives")
         self.assertEqual(client.kinds(), {1: "answer"})
 
     def test_a_new_scorer_at_a_gone_ones_address_gets_links_of_its_own(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig, pool, id = self.pool(scorer)
         pool.send(attempt(id, ended))
-        rig.until(lambda: scorer.runs, "the old one runs it")
+        rig.until(lambda: scorer.runs, "the old scorer receives the attempt")
         address = pool.scorers[id].address
         pool.update(id, None, io.ScorerState.GONE, 0.0)
         pool.update(77, address, io.ScorerState.READY, 0.0)
         pool.send(attempt(77, ended, id=b"abcdefgh"))
-        rig.until(lambda: len(scorer.runs) == 2, "the new one runs it")
+        rig.until(lambda: len(scorer.runs) == 2, "the new scorer receives the attempt")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
         self.assertEqual(ended, [])
 
@@ -162,7 +165,7 @@
         pool.send(attempt(id, []))
         [link] = pool.scorers[id].links
         pool.update(id, None, io.ScorerState.GONE, 0.0)
-        rig.until(lambda: link.connection.up, "the dial comes up")
+        rig.until(lambda: link.connection.up, "the connection is established")
         self.assertTrue(link.connection.closed)
         self.assertFalse(pool.scorers)
 
@@ -170,10 +173,10 @@
         scorer, ended = ScorerPeer(), []
         rig, pool, id = self.pool(scorer)
         pool.send(attempt(id, ended))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         pool.update(id, None, io.ScorerState.READY, 5.0)
         pool.send(attempt(id, ended, id=b"abcdefgh"))
-        rig.until(lambda: len(scorer.runs) == 2, "the next one runs")
+        rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the next attempt")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
 
 
@@ -183,11 +186,11 @@
         rig, ended = self.rig(*peers), {"s-1": [], "s-2": []}
         for peer in peers:
             rig.front.scorer_pool.send(attempt(front_end.scorer_number(peer.id), ended[peer.id]))
-        rig.until(lambda: all(peer.runs for peer in peers), "both run")
+        rig.until(lambda: all(peer.runs for peer in peers), "both scorers receive an attempt")
         peers[0].runs[0][0].sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
-        rig.until(lambda: ended["s-1"], "the first one ends")
+        rig.until(lambda: ended["s-1"], "the first attempt ends")
         peers[1].answer(peers[1].runs[0])
-        rig.until(lambda: ended["s-2"], "the second one ends")
+        rig.until(lambda: ended["s-2"], "the second attempt ends")
         self.assertEqual(
             ended, {"s-1": [(EndReason.BAD_BYTES, True)], "s-2": [(io.AttemptResult.GOOD, True)]}
         )
@@ -199,13 +202,16 @@
         for n in range(3):
             rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % n))
             links = rig.front.scorer_pool.scorers[id].links
-            rig.until(lambda n=n, links=links: [link.up for link in links] == [True] * (n + 2), "a spare")
-            rig.until(lambda n=n: len(scorer.runs) > n, "it runs")
+            rig.until(
+                lambda n=n, links=links: [link.up for link in links] == [True] * (n + 2),
+                "another connection is dialled",
+            )
+            rig.until(lambda n=n: len(scorer.runs) > n, "the scorer receives the attempt")
         scorer.runs[1][0].sock.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
-        rig.until(lambda: ended, "one ends")
+        rig.until(lambda: ended, "one attempt ends")
         for item in (scorer.runs[0], scorer.runs[2]):
             scorer.answer(item)
-        rig.until(lambda: len(ended) == 3, "the others are answered")
+        rig.until(lambda: len(ended) == 3, "the other attempts are answered")
         self.assertEqual(ended, [(EndReason.BAD_BYTES, True)] + [(io.AttemptResult.GOOD, True)] * 2)
 
     def test_a_link_that_the_scorer_has_just_ended_is_not_used_again(self):
@@ -213,14 +219,14 @@
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
         rig.front.scorer_pool.start_load(order(id, ended))
-        rig.until(lambda: ended and len(scorer.links) == 2, "a link and a spare are idle")
+        rig.until(lambda: ended and len(scorer.links) == 2, "two connections are idle")
         for peer, link in zip(scorer.links, list(rig.front.scorer_pool.scorers[id].links), strict=True):
             peer.sock.shutdown(socket.SHUT_WR)
             self.assertTrue(ready(link.connection._sock))
         rig.front.scorer_pool.send(attempt(id, ended))  # before the loop has read the ends
         for link in rig.front.scorer_pool.scorers[id].links:
             link.connection.flush()
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
 
     def test_a_connection_carries_so_many_streams_and_no_id_twice(self):
@@ -230,7 +236,7 @@
         for n in range(33):
             rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % n))
         rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % 0))
-        rig.until(lambda: len(scorer.runs) == 34, "all run")
+        rig.until(lambda: len(scorer.runs) == 34, "the scorer receives all attempts")
         for link in scorer.links:
             ids = [frame.id for at, frame in scorer.runs if at is link]
             self.assertLessEqual(len(ids), 32)
@@ -241,14 +247,14 @@
         rig = self.rig(scorer)
         id, first = front_end.scorer_number(scorer.id), []
         rig.front.scorer_pool.send(given_up := attempt(id, first))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         rig.front.scorer_pool.cancel(given_up)
         rig.front.scorer_pool.send(attempt(id, ended))
-        rig.until(lambda: len(scorer.runs) == 2, "the second runs")
+        rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the second attempt")
         scorer.answer(scorer.runs[0], body=b"of the first")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
         scorer.answer(scorer.runs[1], 2, "")
-        rig.until(lambda: ended, "the second ends")
+        rig.until(lambda: ended, "the second attempt ends")
         self.assertEqual((first, ended), ([(EndReason.CALLED_OFF, True)], [(io.AttemptResult.MISS, True)]))
 
     def test_silence_ends_in_time_for_attempts_orders_and_dials(self):
@@ -265,7 +271,7 @@
         rig = self.rig(scorer)
         id, pool = front_end.scorer_number(scorer.id), rig.front.scorer_pool
         pool.start_load(order(id, [], copies=0))
-        rig.until(lambda: scorer.frames, "a link is up")
+        rig.until(lambda: scorer.frames, "a connection is established")
         pool.wire = msgspec.structs.replace(pool.wire, load_wait_ms=500.0, dial_timeout_ms=60.0)
         rig.front.scorer_pool.update(9, full.getsockname(), io.ScorerState.READY, 0.0)
         rig.front.scorer_pool.send(attempt(id, ended, within_ms=500.0))
@@ -281,29 +287,31 @@
         rig = self.rig(scorer)
         id, pool = front_end.scorer_number(scorer.id), rig.front.scorer_pool
         pool.start_load(order(id, ended))
-        rig.until(lambda: ended and len(scorer.links) == 2, "a link and a spare are idle")
+        rig.until(lambda: ended and len(scorer.links) == 2, "two connections are idle")
         used, spare = pool.scorers[id].links
-        rig.until(lambda: min(used.idle_ms(), spare.idle_ms()) > 100.0, "both are idle for long")
+        rig.until(
+            lambda: min(used.idle_ms(), spare.idle_ms()) > 100.0, "both connections have been idle for 100 ms"
+        )
         scorer.copies = None
         pool.start_load(order(id, ended))
         with mock.patch.object(scorer_pool, "STALE_RESET_MS", 60_000.0):
-            rig.until(lambda: len(scorer.frames) == 2, "it is used again")
+            rig.until(lambda: len(scorer.frames) == 2, "the connection is used again")
             reset(scorer.frames[1][0].sock)
-            rig.until(lambda: len(ended) == 2, "it is reset")
+            rig.until(lambda: len(ended) == 2, "the connection is reset")
         self.assertEqual(ended[1], (EndReason.RESET_BY_PEER, True))
         pool.send(attempt(id, ended))
-        rig.until(lambda: scorer.runs, "a call runs")
+        rig.until(lambda: scorer.runs, "the scorer receives a call")
         self.assertNotIn(scorer.runs[0][0], scorer.links[:2])
 
     def test_half_a_frame_that_goes_no_further_ends_its_link(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(attempt(front_end.scorer_number(scorer.id), ended))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         link, frame = scorer.runs[0]
         whole = scorer_frames.encode(0, frame.id, body=b"x" * 50, direction=scorer_frames.FROM_SCORER)
         link.sock.sendall(whole[:40])
-        rig.until(lambda: ended, "it ends")
+        rig.until(lambda: ended, "the attempt ends")
         self.assertEqual(ended, [(EndReason.SILENT, True)])
 
     def test_a_second_copy_of_an_answer_ends_no_later_attempt(self):
@@ -312,14 +320,14 @@
         id = front_end.scorer_number(scorer.id)
         with mock.patch.object(scorer_pool, "SPREAD_CONNECTIONS", 1):
             rig.front.scorer_pool.send(attempt(id, ended))
-            rig.until(lambda: scorer.runs, "it runs")
+            rig.until(lambda: scorer.runs, "the scorer receives the attempt")
             scorer.answer(scorer.runs[0], 3, "")
-            rig.until(lambda: ended, "it is full")
+            rig.until(lambda: ended, "the answer FULL arrives")
             rig.front.scorer_pool.send(attempt(id, ended))
             scorer.answer(scorer.runs[0], 3, "")
-            rig.until(lambda: len(scorer.runs) == 2, "it runs again")
+            rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the second attempt")
         scorer.answer(scorer.runs[1])
-        rig.until(lambda: len(ended) == 2, "it is answered")
+        rig.until(lambda: len(ended) == 2, "the answer arrives")
         self.assertEqual([end for end, _ in ended], [io.AttemptResult.FULL, io.AttemptResult.GOOD])
 
     def test_a_link_that_owes_an_answer_in_silence_gets_nothing_new(self):
@@ -327,10 +335,10 @@
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
         rig.front.scorer_pool.send(attempt(id, ended))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         with mock.patch.object(scorer_pool, "SILENT_MS", -1.0):
             rig.front.scorer_pool.send(attempt(id, ended, id=b"abcdefgh"))
-            rig.until(lambda: len(scorer.runs) == 2, "the second runs")
+            rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the second attempt")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
 
     def test_idle_links_are_closed_and_what_is_open_keeps_one(self):
@@ -338,8 +346,8 @@
         rig, ended = self.rig(busy, idle, settings={"bounds": {"keepalive": 0.0}}), []
         for peer in (busy, idle):
             rig.front.scorer_pool.start_load(order(front_end.scorer_number(peer.id), ended))
-        rig.until(lambda: ended and busy.frames, "one is answered")
-        rig.until(lambda: idle.links[0].ended, "the idle one is closed")
+        rig.until(lambda: ended and busy.frames, "one order is answered")
+        rig.until(lambda: idle.links[0].ended, "the idle connection is closed")
         self.assertFalse(busy.links[0].ended)
 
     def test_links_keep_to_their_share_of_descriptors(self):
@@ -348,6 +356,6 @@
         id = front_end.scorer_number(scorer.id)
         for n in range(40):
             rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % n))
-        rig.until(lambda: len(scorer.runs) + len(ended) == 40, "all run or end")
+        rig.until(lambda: len(scorer.runs) + len(ended) == 40, "all attempts are received or end")
         self.assertEqual(set(ended), {(EndReason.NO_DESCRIPTOR, False)})
         self.assertLessEqual(len(scorer.links), 32 * descriptor_shares.SCORER_SHARE)
--- a/tests/net/test_net_scorer_faults.py
+++ b/tests/net/test_net_scorer_faults.py
@@ -70,7 +70,7 @@
                     self.turn(rig)
                     self.assertEqual((fault.hits, ended, self.links(rig)), (1, [], []))
                     self.clock.advance(PAUSE_MS)
-                    rig.until(lambda scorer=scorer: scorer.runs, "it runs")
+                    rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                     self.assertEqual(ended, [])
 
     def test_one_that_lasts_ends_what_waits_as_not_sent_after_a_dials_time(self):
@@ -97,14 +97,14 @@
         self.assertEqual((len(ended), later), (1, []))
         fault.times = fault.hits
         self.clock.advance(PAUSE_MS)
-        rig.until(lambda: scorer.runs, "the later one runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the later attempt")
 
     def test_what_the_other_side_did_ends_what_waits_at_once(self):
         for call in ("connect", "so_error"):
             for name, end in OF_PEER[call].items():
                 with self.subTest(call=call, error=name):
                     rig, _, ended, _ = self.waiting(call, name)
-                    rig.until(lambda ended=ended: ended, "it ends")
+                    rig.until(lambda ended=ended: ended, "the attempt ends")
                     self.assertEqual(ended, [(end, False)])
                     self.assertEqual(attempt_result(*ended[0]), io.AttemptResult.CONNECT_FAILED)
 
@@ -147,7 +147,7 @@
         rig.scorers.append(moved := ScorerPeer(copies=None))
         rig.front.scorer_pool.update(BY_POOL, self.address(moved), io.ScorerState.READY, 0.0)
         self.clock.advance(PAUSE_MS)
-        rig.until(lambda: moved.runs, "it runs at the new one")
+        rig.until(lambda: moved.runs, "the scorer receives the attempt at the new address")
         self.assertEqual((scorer.links, ended), ([], []))
 
     def test_a_passing_fault_counts_neither_against_the_scorer_nor_as_an_attempt(self):
@@ -162,9 +162,9 @@
                 for hits in (1, 2):
                     rig.until(lambda fault=fault, hits=hits: fault.hits == hits, "a dial fails")
                     self.clock.advance(PAUSE_MS)
-                rig.until(lambda scorer=scorer: scorer.runs, "it runs")
+                rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                 scorer.answer(scorer.runs[0])
-                rig.until(lambda client=client: client.answers, "it is answered")
+                rig.until(lambda client=client: client.answers, "the answer arrives")
                 worker = rig.front.router.scorers[scorer_number(scorer.id)]
                 self.assertEqual((client.kinds(), worker.suspect_ms), ({1: "answer"}, None))
 
@@ -182,14 +182,14 @@
             connection.Connection.dial(rig.front.loop, self.address(scorer), mock.Mock(), DIAL_MS)
         self.assertEqual(len(os.listdir("/proc/self/fd")), before)
         self.clock.advance(PAUSE_MS)
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
 
     def test_a_connection_without_its_options_serves_as_well(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         with mock.patch.object(connection.socket.socket, "setsockopt", side_effect=OSError(1, "no")):
             rig.front.scorer_pool.send(attempt(BY_POOL, ended))
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the scorer receives the attempt")
 
 
 class Writes(Case):
@@ -199,13 +199,15 @@
                 scorer, ended = ScorerPeer(copies=None), []
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
-                fault = self.faults.fail("sendmsg", number(name), times=10**9, where=self.to(scorer))
+                fault = self.faults.fail(
+                    "sendmsg", number(name), times=10**9, where=self.is_connected_to(scorer)
+                )
                 rig.front.scorer_pool.send(attempt(BY_POOL, ended))
                 self.turn(rig, times=20)
                 self.assertEqual((fault.hits, ended, link.connection.closed), (1, [], False))
                 fault.times = fault.hits
                 self.clock.advance(connection_writer.WRITE_PAUSE_MS + 5.0)
-                rig.until(lambda scorer=scorer: scorer.runs, "it runs")
+                rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
 
     def test_what_the_other_side_did_ends_the_link_and_nothing_of_it_had_left(self):
         for name, end in OF_PEER["sendmsg"].items():
@@ -213,11 +215,13 @@
                 scorer, ended = ScorerPeer(copies=None), []
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
-                self.faults.fail("sendmsg", number(name), where=self.to(scorer))
+                self.faults.fail("sendmsg", number(name), where=self.is_connected_to(scorer))
                 ends, end_of_link = [], link.on_end
                 link.on_end = lambda end, ends=ends, then=end_of_link: (ends.append(end), then(end))
                 rig.front.scorer_pool.send(attempt(BY_POOL, ended))
-                rig.until(lambda scorer=scorer: scorer.runs, "it runs on another link")
+                rig.until(
+                    lambda scorer=scorer: scorer.runs, "the scorer receives the attempt on another connection"
+                )
                 self.assertEqual((ends, ended), ([end], []))
 
     def test_a_client_has_its_answer_in_spite_of_one(self):
@@ -229,16 +233,16 @@
         self.turn(rig)
         self.assertEqual(client.answers, [])
         self.clock.advance(connection_writer.WRITE_PAUSE_MS + 5.0)
-        rig.until(lambda: client.answers, "it has its answer")
+        rig.until(lambda: client.answers, "the client receives the answer")
 
     def test_a_fault_in_the_middle_of_a_frame_does_not_make_it_late(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        self.faults.shorten("sendmsg", 30, where=self.to(scorer))
-        fault = self.faults.fail("sendmsg", errno.ENOMEM, times=10**9, where=self.to(scorer))
+        self.faults.shorten("sendmsg", 30, where=self.is_connected_to(scorer))
+        fault = self.faults.fail("sendmsg", errno.ENOMEM, times=10**9, where=self.is_connected_to(scorer))
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
-        rig.until(lambda: fault.hits, "it is in part")
+        rig.until(lambda: fault.hits, "the frame is partially written")
         while not link.connection.closed:
             self.clock.advance(10.0)
             self.turn(rig, times=1)
--- a/tests/net/test_net_scorer_start_times.py
+++ b/tests/net/test_net_scorer_start_times.py
@@ -85,9 +85,13 @@
     cold_ms = rig.front.deployment.settings.slow_start_ms
     member = rig.scorers[0].member(up_since_ms=unix_ms() + apart_ms)
     rig.log.say({"seq": seq, "fleet": {"members": [member]}})
-    rig.until(lambda: rig.front.change_log.seq == seq and not rig.front._pending_change, "it is taken")
+    rig.until(
+        lambda: rig.front.change_log.seq == seq and not rig.front._pending_change, "the event is applied"
+    )
     assert 0.0 <= rig.front.loop.clock.now_ms() - worker.started_ms < cold_ms
     rig.client().call(seqid=1)
     fns, copies = rig.front.router.functions, rig.front.router._copies
-    rig.until(lambda: any(copies(fn, worker) for fn in fns.values()), "the copy that answers is believed")
+    rig.until(
+        lambda: any(copies(fn, worker) for fn in fns.values()), "the router counts the copy that answered"
+    )
     assert [line for line in rig.lines if "differs from this one" in line]
--- a/tests/support/discovery_outage.py
+++ b/tests/support/discovery_outage.py
@@ -1,4 +1,4 @@
-"""Peers of a front end whose discovery is out of reach: a silent log, scorers that drain unseen."""
+"""Peers for a discovery outage: a change log that falls silent, and scorers that drain meanwhile."""
 
 import json
 import time
@@ -7,18 +7,18 @@
 
 from fawnwharf.net import scorer_frames
 
-TOLD_AFTER_S = 7.0  # an event of the change log counts as told by then, received or not
-GRACE_S = 0.25  # of the rule on draining scorers
-SLACK_S = 0.05
+TOLD_AFTER_S = 7.0  # a change log event counts as received after this time, received or not
+GRACE_S = 0.25  # within which a front end has to apply a drain
+SLACK_S = 0.05  # for the measurement
 
 
 class SilencedLog(Log):
-    """A change log that can fall silent: it accepts, reads and writes nothing."""
+    """A change log that can stop accepting, reading and writing."""
 
     silent = False
 
     def pump(self) -> None:
-        """Write the number of the last event now and then, except while silent."""
+        """Write heartbeats, except while silent."""
         if self.silent:
             super(Log, self).pump()
         else:
@@ -26,19 +26,19 @@
 
 
 class DrainingScorer(Scorer):
-    """Turns new work away from its drain on, and remembers when new work came."""
+    """A scorer that rejects new work once it drains, and records when it received new work."""
 
     drained_s: float | None = None
 
     def __init__(self, id: str, delay_s: float = 0.02, copies: int = 4) -> None:
         super().__init__(id, delay_s, copies)
-        self.new_work_s: list[float] = []  # of each call, and each order for copies
+        self.new_work_s: list[float] = []  # on the monotonic clock, of each call and each order for copies
         self.orders_s: list[float] = []  # of each order for copies
-        self.questions_s: list[float] = []  # of each order with a count of 0
+        self.questions_s: list[float] = []  # of each query, an order with a count of 0
         self._seen = 0
 
     def pump(self) -> None:
-        """Take in frames, and note when they came."""
+        """Receive frames, and record the time of each kind."""
         super().pump()
         now_s = time.monotonic()
         for _, frame in self.frames[self._seen :]:
@@ -51,7 +51,7 @@
         self._seen = len(self.frames)
 
     def answer(self, item, code=0, fields="res=reused", body=b"") -> None:
-        """Answer a frame; `FULL` to calls that came after the drain, and to all orders."""
+        """Answer a frame; once the scorer drains, with `FULL`."""
         link, frame = item
         if self.drained_s is None:
             super().answer(item, code, fields, body)
@@ -62,13 +62,13 @@
         self.outboxes.setdefault(link, bytearray()).extend(data)
 
     def new_work_after(self, span_s: float) -> list[float]:
-        """Seconds after the drain of new work that came later than `span_s` after it."""
+        """When new work was received later than `span_s` after the drain, in seconds after the drain."""
         since_s = self.drained_s if self.drained_s is not None else float("inf")
         return [at_s - since_s for at_s in self.new_work_s if at_s - since_s > span_s]
 
 
 class OutageSite(Site):
-    """A site whose log can fall silent and whose scorers can drain, under a steady load."""
+    """A front end process with a change log that can fall silent and scorers that can drain."""
 
     def __init__(self, scorers: int = 3) -> None:
         super().__init__(scorers=0)
--- a/tests/test_drain_during_discovery_outage.py
+++ b/tests/test_drain_during_discovery_outage.py
@@ -1,24 +1,12 @@
-"""Regression: scorers that drained while discovery was out of reach went on getting new work.
-
-Symptom. With the change log out of reach for minutes, front ends sent calls and load orders to scorers that
-had drained just after the outage began and stayed up: 2,041 calls and 113 load orders later than the rule
-on drains allows. Each call was turned away, retried, often at the same scorer, and the next call went there
-again.
-
-Sequence. 0 s: all scorers in service. Some 3 s: the change log falls silent. 3.71 s: two of 24 scorers
-drain, as its event 41 says, which no front end receives. 10.71 s: the event counts as received, whether it
-was or not. 11.01 s: grace and slack are over. 11.127 s: the first of the calls that break the rule, and it
-goes on until the scorers are gone at 17.9 s.
-
-Cause. A scorer's state was used for as long as nothing contradicted it. The front end measured how long the
-change log had been silent, to reconnect, but nothing that chooses a scorer read it: the endpoint list never
-expired. Rejections did not count either, as a scorer that is full rejects as well.
-
-What settled it. The logs have "change log: silent, reconnecting" every 2 s and nothing else: no fault, no
-crash, no event that was misread. The first break lies 7.42 s after the drain (7.35 s in the second fleet,
-of 3 front ends), right after 7 s, 0.25 s of grace and 0.05 s of slack. No front end was slow: the calls
-left within 2 ms of their arrival. So events that were delayed, dropped or applied late are ruled out: what
-is missing is an expiry.
+"""Regression: scorers that drained while the change log was unreachable kept receiving new work.
+
+While the change log was unreachable for some minutes, front ends sent 2,041 calls and 113 load orders to
+draining scorers later than the rule on drains allows: from 7.42 s after the drain until they were gone. A
+change log event counts as received 7 s after it was written, and the rule adds 0.25 s of grace. The scorers
+rejected the calls, which were then often retried at the same scorer.
+
+The cause was that a scorer's state never expired. The front end measured how long the change log had been
+silent, but used that only to reconnect. Rejections gave no hint, as a full scorer in service also rejects.
 """
 
 import json
@@ -29,19 +17,19 @@
 
 FUNCTIONS = 12
 CALL_EVERY_S = 0.05
-OBSERVED_S = 3.0  # after the drain counts as received
+OBSERVED_S = 3.0  # for this long after the drain has to be applied
 WARM_UP_S = 1.0
 
 
 @pytest.fixture
 def site():
-    made = OutageSite(scorers=3)
-    yield made
-    made.close()
+    site = OutageSite(scorers=3)
+    yield site
+    site.close()
 
 
 def call_steadily(site):
-    """A client that calls one function after another, and what it was answered, by time."""
+    """Start a client that calls periodically; return it and the sending times by sequence number."""
     caller = site.caller()
     sent_s = {}
 
@@ -56,23 +44,23 @@
 
 
 def wait(site, until_s):
-    """Turn the site until a moment of the monotonic clock, in seconds."""
+    """Run the site until a time on the monotonic clock, in seconds."""
     site.until(lambda: time.monotonic() >= until_s, "the time has passed")
 
 
 def served_share(caller, sent_s, from_s, to_s):
-    """The share of the calls sent between two moments that were served."""
+    """The share of the calls sent between two times that were served."""
     kinds = caller.kinds()
-    asked = [number for number, at_s in sent_s.items() if from_s <= at_s <= to_s]
-    assert asked
-    return sum(kinds.get(number) == "answer" for number in asked) / len(asked)
+    sent = [number for number, at_s in sent_s.items() if from_s <= at_s <= to_s]
+    assert sent
+    return sum(kinds.get(number) == "answer" for number in sent) / len(sent)
 
 
-def test_a_scorer_that_drains_unseen_gets_no_new_work_and_service_goes_on(site):
+def test_a_scorer_that_drains_during_an_outage_gets_no_new_work_and_calls_are_served(site):
     process = site.start()
     caller, sent_s = call_steadily(site)
     wait(site, time.monotonic() + WARM_UP_S)
-    assert all(scorer.new_work_s for scorer in site.scorers), "each scorer is in use"
+    assert all(scorer.new_work_s for scorer in site.scorers), "each scorer receives work"
 
     site.log.silent = True
     drained = site.scorers[0]
@@ -86,7 +74,7 @@
     assert not process.ended
 
 
-def test_what_the_configuration_knows_is_no_proof_at_a_start_within_an_outage(site):
+def test_at_a_start_during_an_outage_the_configured_scorers_count_as_unconfirmed(site):
     site.log.silent = True
     drained = site.scorers[0]
     drained.drained_s = time.monotonic()
