--- a/tests/net/test_net_malformed_input.py
+++ b/tests/net/test_net_malformed_input.py
@@ -1,4 +1,4 @@
-"""Faulty frames, fields and settings cost themselves alone, never another request of the same connection."""
+"""Malformed frames, fields and settings do not affect other requests, even on the same connection."""
 
 import json
 import struct
@@ -31,7 +31,7 @@
     return handle_frame(BAD_SEQID, fields, body)
 
 
-# Frames with a number that can be read: they get an application exception, and the connection goes on.
+# Frames with a readable sequence number: answered with an application exception; the connection stays open.
 ANSWERED = {
     "class unknown": bad(GOOD | {"op": "unheard"}),
     "class missing": bad(without("op")),
@@ -47,7 +47,7 @@
     "time zero": bad(GOOD | {"ttl": "0"}),
     "time negative": bad(GOOD | {"ttl": "-5"}),
     "time not a number": bad(GOOD | {"ttl": "nan"}),
-    "time in words": bad(GOOD | {"ttl": "1e3"}),
+    "time in exponent notation": bad(GOOD | {"ttl": "1e3"}),
     "time beyond its class": bad(GOOD | {"ttl": "99999999"}),
     "token missing": bad(GOOD | {"op": "save"}),
     "token that would add a field": bad(GOOD | {"op": "save", "dedupe": "a,ms=1"}),
@@ -62,21 +62,21 @@
     "not a call": framed(head(kind=thrift.REPLY) + b"\0"),
     "arguments cut short": framed(head() + struct.pack(">bh", thrift.MAP, 1)),
     "bytes after the arguments": framed(head() + b"\0more"),
-    "a map that the frame can't hold": framed(head() + struct.pack(">bhbbi", thrift.MAP, 1, 11, 11, 2**30)),
-    "a map of less than nothing": framed(head() + struct.pack(">bhbbi", thrift.MAP, 1, 11, 11, -1)),
-    "a kind of value that is none": framed(head() + struct.pack(">bh", 99, 1) + b"\0"),
-    "fields that are no text": bad(GOOD).replace(b"view", b"\xff\xfe\xfd\xfc"),
+    "a map size beyond the frame": framed(head() + struct.pack(">bhbbi", thrift.MAP, 1, 11, 11, 2**30)),
+    "a negative map size": framed(head() + struct.pack(">bhbbi", thrift.MAP, 1, 11, 11, -1)),
+    "an unknown type of value": framed(head() + struct.pack(">bh", 99, 1) + b"\0"),
+    "fields that are not UTF-8": bad(GOOD).replace(b"view", b"\xff\xfe\xfd\xfc"),
 }
-# Frames without a number that can be read: the connection ends, and what was open on it is failed.
+# Frames without a readable sequence number: the connection ends, and its open requests fail.
 ENDING = {
     "another protocol": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
-    "not strict": framed(struct.pack(">I", 6) + b"handle\1\0\0\0\1\0"),
+    "not the strict protocol": framed(struct.pack(">I", 6) + b"handle\1\0\0\0\1\0"),
     "an empty frame": framed(b""),
-    "cut in its head": framed(head()[:9]),
-    "a name of no sensible length": framed(struct.pack(">Ii", thrift.VERSION | thrift.CALL, -4) + b"\0" * 8),
-    "a huge frame of nothing": struct.pack(">I", 2**31 + 5) + b"\0" * 300,
-    "an open number again": handle_frame(1, GOOD | {"call": f"{99:016x}"}),
-    "an exception for an open number": handle_frame(1, GOOD | {"op": "unheard"}),
+    "truncated header": framed(head()[:9]),
+    "a negative name length": framed(struct.pack(">Ii", thrift.VERSION | thrift.CALL, -4) + b"\0" * 8),
+    "a frame length above 2 GiB": struct.pack(">I", 2**31 + 5) + b"\0" * 300,
+    "a sequence number that is open": handle_frame(1, GOOD | {"call": f"{99:016x}"}),
+    "an exception for an open sequence number": handle_frame(1, GOOD | {"op": "unheard"}),
 }
 
 
@@ -89,30 +89,30 @@
 
 
 def run_of(rig, number):
-    """The attempt of the client's call with this number, once it has come."""
+    """Wait for the attempt of the client's call with this number; return its connection and frame."""
     [scorer] = rig.scorers
     id = number.to_bytes(8, "big")
-    rig.until(lambda: any(frame.id == id for _, frame in scorer.runs), f"call {number} runs")
+    rig.until(lambda: any(frame.id == id for _, frame in scorer.runs), f"the scorer receives call {number}")
     return next(item for item in scorer.runs if item[1].id == id)
 
 
-def serve(rig, number):
+def answer_run(rig, number):
     rig.scorers[0].answer(run_of(rig, number), body=b"for %d" % number)
 
 
-class TestFaultyFrames:
+class TestMalformedFrames:
     @pytest.mark.parametrize("data", ANSWERED.values(), ids=ANSWERED)
-    def test_one_with_a_number_gets_an_exception_and_all_others_are_served(self, rig, data):
+    def test_one_with_a_sequence_number_gets_an_exception_and_other_calls_are_answered(self, rig, data):
         client = rig.client()
         client.call(seqid=1)
         run_of(rig, 1)
         second = handle_frame(2, GOOD | {"call": f"{2:016x}"})
         third = handle_frame(3, GOOD | {"call": f"{3:016x}"})
         client.sock.setblocking(True)
-        client.sock.sendall(second + data + third)  # whole in the same bytes, before it and behind it
+        client.sock.sendall(second + data + third)  # with complete frames before and after it
         client.sock.setblocking(False)
         for number in (3, 1, 2):
-            serve(rig, number)
+            answer_run(rig, number)
         rig.until(lambda: len(client.answers) >= 4, "all answers arrive")
         expected = {1: "answer", 2: "answer", 3: "answer", BAD_SEQID: "exception"}
         assert client.kinds() == expected
@@ -120,7 +120,7 @@
         assert not client.ended
 
     @pytest.mark.parametrize("data", ENDING.values(), ids=ENDING)
-    def test_one_without_a_number_fails_what_is_open_and_ends_the_connection(self, rig, data):
+    def test_one_without_a_sequence_number_fails_open_requests_and_ends_the_connection(self, rig, data):
         client, other = rig.client(), rig.client()
         client.call(seqid=1)
         other.call(seqid=5)
@@ -130,53 +130,53 @@
         rig.until(lambda: client.ended, "the connection ends")
         assert client.kinds() == {1: "broken", 2: "broken"}
         assert len(client.answers) == 2
-        serve(rig, 5)
+        answer_run(rig, 5)
         rig.until(lambda: other.answers, "the other client is answered")
         assert other.kinds() == {5: "answer"}
 
     @pytest.mark.parametrize("cut", [1, 4, 20, 60])
-    def test_a_faulty_frame_in_pieces_is_no_other(self, rig, cut):
+    def test_a_malformed_frame_in_pieces_has_the_same_effect(self, rig, cut):
         client = rig.client()
         client.call(seqid=1)
         data = ANSWERED["class unknown"]
         client.sock.sendall(data[:cut])
-        serve(rig, 1)
+        answer_run(rig, 1)
         rig.until(lambda: client.answers, "the open request is answered meanwhile")
         client.sock.sendall(data[cut:])
         client.call(seqid=2)
-        serve(rig, 2)
+        answer_run(rig, 2)
         rig.until(lambda: len(client.answers) >= 3, "all answers arrive")
         assert client.kinds() == {1: "answer", BAD_SEQID: "exception", 2: "answer"}
 
-    def test_a_withdraw_of_an_unknown_number_changes_nothing(self, rig):
+    def test_a_withdraw_of_an_unknown_sequence_number_changes_nothing(self, rig):
         client = rig.client()
         client.call(seqid=1)
         client.withdraw(77)
         client.withdraw(-1)
-        serve(rig, 1)
+        answer_run(rig, 1)
         rig.until(lambda: client.answers, "the answer arrives")
         assert client.kinds() == {1: "answer"}
 
-    def test_an_answer_that_crosses_an_ending_frame_is_the_only_one(self, rig):
+    def test_an_answer_received_before_a_malformed_frame_is_the_only_answer(self, rig):
         client = rig.client()
         client.call(seqid=1)
-        serve(rig, 1)  # lies unread at the front end when the faulty bytes come
+        answer_run(rig, 1)  # unread at the front end when the malformed bytes arrive
         client.sock.sendall(ENDING["another protocol"])
         rig.until(lambda: client.ended, "the connection ends")
         assert len(client.answers) == 1
 
 
-class TestFaultyAnswers:
-    """A scorer's bad bytes cost that link; each request on it still has one answer, by its class."""
+class TestMalformedScorerAnswers:
+    """A scorer's malformed bytes end the connection; each request on it gets one answer, by its class."""
 
     BAD = {
-        "another mark": b"\x00" * 20,
-        "a check that does not fit": scorer_frames.encode(0, b"\0" * 8, "", b"x", 129)[:-1] + b"!",
+        "a wrong direction": b"\x00" * 20,
+        "a wrong checksum": scorer_frames.encode(0, b"\0" * 8, "", b"x", 129)[:-1] + b"!",
         "a huge body": struct.pack(">BBHI8s", 129, 0, 0, 2**31, b"\0" * 8),
     }
 
     @pytest.mark.parametrize("data", BAD.values(), ids=BAD)
-    def test_bad_bytes(self, rig, data):
+    def test_malformed_bytes_end_only_that_connection(self, rig, data):
         client = rig.client()
         client.call(op="settle", seqid=1)
         link, _ = run_of(rig, 1)
@@ -184,7 +184,7 @@
         rig.until(lambda: client.answers, "the request fails")
         assert client.kinds() == {1: "broken"}
         client.call(seqid=2)
-        serve(rig, 2)
+        answer_run(rig, 2)
         rig.until(lambda: len(client.answers) == 2, "the next request is answered")
         assert client.kinds()[2] == "answer"
 
@@ -212,8 +212,8 @@
     "changelog": "127.0.0.1:1",
     "settings": {"classes": [{"name": "view", "effect": "idempotent"}], "tenants": [{"name": "acme"}]},
 }
-# Where the fault lies, and what stands there.
-FAULTY = {
+# Invalid values by key.
+INVALID = {
     "settings.classes[0].effect": "sometimes",
     "settings.classes[0].give_up": -1,
     "settings.classes[0].dedup_window": "long",
@@ -241,8 +241,8 @@
 }
 
 
-def laid(base, path, value):
-    """The configuration with this value at this place."""
+def configuration_with(base, path, value):
+    """A copy of the configuration with this value under this key."""
     made = json.loads(json.dumps(base))
     *parts, last = path.replace("[0]", ".0").split(".")
     place = made
@@ -252,18 +252,18 @@
     return made
 
 
-class TestFaultySettings:
-    @pytest.mark.parametrize(("path", "value"), FAULTY.items(), ids=FAULTY)
+class TestInvalidSettings:
+    @pytest.mark.parametrize(("path", "value"), INVALID.items(), ids=INVALID)
     def test_check_config_names_the_key(self, tmp_path, monkeypatch, path, value):
         for name in ("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_CONTROL", "ROUTER_CONFIG"):
             monkeypatch.delenv(name, raising=False)
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(laid(BASE, path, value)))
+        file.write_text(json.dumps(configuration_with(BASE, path, value)))
         result = CliRunner().invoke(app, ["check-config", "--config", str(file)])
         assert result.exit_code == 2
         assert path in result.output
 
-    def test_what_is_no_json_or_no_file_is_told(self, tmp_path):
+    def test_an_unreadable_settings_file_is_reported(self, tmp_path):
         file = tmp_path / "config.json"
         file.write_text("{")
         for place in (file, tmp_path / "none.json"):
@@ -271,7 +271,7 @@
             assert result.exit_code == 2
             assert "ROUTER_CONFIG" in result.output
 
-    def test_a_reload_with_faulty_settings_leaves_open_requests_alone(self, rig):
+    def test_a_reload_with_invalid_settings_does_not_affect_open_requests(self, rig):
         def reread():
             raise ConfigError("settings.fleet_size: faulty")
 
@@ -280,7 +280,7 @@
         client.call(seqid=1)
         run_of(rig, 1)
         rig.front.reload()
-        serve(rig, 1)
+        answer_run(rig, 1)
         rig.until(lambda: client.answers, "the answer arrives")
         assert client.kinds() == {1: "answer"}
         assert any("settings.fleet_size" in line for line in rig.lines)
--- a/tests/net/test_net_scorer_answers.py
+++ b/tests/net/test_net_scorer_answers.py
@@ -1,4 +1,4 @@
-"""Links to scorers: closes, dials, answers and ids that cross with what is sent."""
+"""Scorer connections: closes, dials, answers and ids at the same time as sends."""
 
 import errno
 import itertools
@@ -19,9 +19,9 @@
 
 
 class Closes(Case):
-    """A connection ends as something is sent on it."""
+    """A connection ends at the time at which something is sent on it."""
 
-    def test_an_idle_close_here_just_before_a_send_makes_it_dial_anew(self):
+    def test_a_send_just_after_an_idle_close_dials_a_new_connection(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         self.link_up(rig, scorer)
@@ -31,11 +31,11 @@
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[1], []))
 
-    def test_an_idle_look_just_after_a_send_leaves_its_link_alone(self):
+    def test_maintenance_just_after_a_send_does_not_close_the_connection(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        self.clock.advance(rig.front.scorer_pool._reuse_idle_ms)  # the last moment at which it is used
+        self.clock.advance(rig.front.scorer_pool._reuse_idle_ms)  # the longest idle time for reuse
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         self.clock.advance(60.0)
         rig.front.scorer_pool.run_maintenance()
@@ -43,7 +43,7 @@
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[0], []))
 
-    def test_a_reset_before_any_byte_is_no_end_for_what_was_to_be_written(self):
+    def test_an_unwritten_attempt_survives_a_reset_of_its_connection(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
@@ -53,7 +53,7 @@
         rig.until(lambda: scorer.runs, "the scorer receives the attempt on another connection")
         self.assertEqual(ended, [])
 
-    def test_an_answer_that_came_just_before_a_reset_under_a_write_counts(self):
+    def test_an_answer_received_before_a_reset_during_a_write_counts(self):
         for op in CLASSES:
             with self.subTest(op):
                 scorer = ScorerPeer()
@@ -65,12 +65,12 @@
                 rig.front.scorer_pool.send(attempt(BY_POOL, [], id=b"abcdefgh"))
                 scorer.answer(scorer.runs[0], body=b"done")
                 reset(scorer.links[0].sock)
-                link.connection.flush()  # after the turn's reads
+                link.connection.flush()  # after the reads of this iteration
                 self.assertTrue(link.connection.closed)
                 self.assertEqual(self.endings(), [io.AttemptResult.GOOD])
                 rig.until(lambda client=client: client.answers, "the answer arrives")
 
-    def test_a_close_in_part_never_ran_but_where_it_must_not_run_twice(self):
+    def test_a_close_after_a_partial_write_means_not_sent_unless_it_must_not_run_twice(self):
         for how, op in itertools.product((reset, lambda sock: sock.close()), CLASSES):
             with self.subTest(op=op, how=how):
                 scorer = ScorerPeer()
@@ -84,7 +84,7 @@
                 self.read(link.connection)
                 self.assertEqual(self.endings(), [RESET if op == "settle" else NOT_SENT])
 
-    def test_a_close_after_it_was_written_whole_may_have_run(self):
+    def test_a_close_after_a_complete_write_means_that_it_may_have_run(self):
         for how, op in itertools.product((reset, lambda sock: sock.close()), CLASSES):
             with self.subTest(op=op, how=how):
                 scorer = ScorerPeer()
@@ -97,7 +97,7 @@
                 self.read(link.connection)
                 self.assertEqual(self.endings(), [RESET])
 
-    def test_giving_up_in_part_may_have_run_as_the_rest_may_still_go_out(self):
+    def test_a_cancelled_partial_write_may_have_run_as_the_rest_is_still_sent(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
@@ -112,20 +112,20 @@
 
 
 class Dials(Case):
-    """A connection comes up, or not, as its time runs out or its scorer changes."""
+    """A dial succeeds, fails or times out, or its scorer changes meanwhile."""
 
-    def test_one_that_comes_up_after_its_time_is_closed_unused(self):
+    def test_one_that_is_established_after_its_time_limit_is_closed_unused(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS})
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         [link] = self.links(rig)
         self.clock.advance(DIAL_MS + 5.0)
-        rig.front.loop.timers.advance()  # its time runs out as it is up, and not read yet
+        rig.front.loop.timers.advance()  # the dial times out when it is established, but before that is read
         self.assertEqual((ended, link.connection.closed), ([(EndReason.DIAL_TIMED_OUT, False)], True))
         rig.until(lambda: scorer.links and scorer.links[0].ended, "the scorer sees the close")
         self.assertEqual((scorer.frames, rig.front.scorer_pool._link_count), ([], 0))
 
-    def test_one_that_is_seen_up_in_the_turn_in_which_its_time_runs_out_is_used(self):
+    def test_one_that_is_established_in_the_iteration_of_its_time_limit_is_used(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS})
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
@@ -133,7 +133,7 @@
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual(ended, [])
 
-    def test_one_to_a_gone_scorer_carries_nothing_for_the_next_at_its_address(self):
+    def test_one_to_a_gone_scorer_is_not_used_for_the_next_scorer_at_its_address(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         pool, address = rig.front.scorer_pool, self.address(scorer)
@@ -150,7 +150,7 @@
         self.assertEqual([frame.id for _, frame in scorer.frames], [b"abcdefgh"])
         self.assertEqual(new.streams.keys(), {b"abcdefgh"})
 
-    def test_one_to_an_address_that_the_scorer_has_left_carries_nothing(self):
+    def test_one_to_a_previous_address_of_the_scorer_is_not_used(self):
         old, new, ended = ScorerPeer(copies=None), ScorerPeer(copies=None), []
         rig = self.rig(old)
         rig.scorers.append(new)
@@ -162,7 +162,7 @@
         )
         self.assertEqual((old.frames, ended), ([], []))
 
-    def test_the_failure_of_a_dial_to_the_old_address_says_nothing_of_the_new_one(self):
+    def test_a_failed_dial_to_the_old_address_does_not_affect_the_new_one(self):
         old, new, ended = ScorerPeer(copies=None), ScorerPeer(copies=None), []
         rig = self.rig(old)
         rig.scorers.append(new)
@@ -173,7 +173,7 @@
         self.assertEqual(ended, [])
         rig.until(lambda: new.runs, "the scorer receives the attempt at the new address")
 
-    def test_nor_does_it_while_the_new_one_waits_for_a_fault_of_this_machine_to_pass(self):
+    def test_a_failed_dial_to_the_old_address_does_not_affect_a_delayed_redial_of_the_new_one(self):
         old, new, ended = ScorerPeer(copies=None), ScorerPeer(copies=None), []
         rig = self.rig(old)
         rig.scorers.append(new)
@@ -186,7 +186,7 @@
         self.clock.advance(scorer_pool.REDIAL_DELAY_MS + 5.0)
         rig.until(lambda: new.runs, "the scorer receives the attempt at the new address")
 
-    def test_a_second_dial_makes_nothing_wait_for_longer_than_one_takes(self):
+    def test_a_second_dial_does_not_extend_the_wait_of_a_stream(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS | {"streams_per_conn": 1}})
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
@@ -194,13 +194,13 @@
         rig.front.scorer_pool.send(attempt(BY_POOL, [], id=b"abcdefgh"))
         first, second = self.links(rig)
         self.clock.advance(DIAL_MS / 2 + 5.0)
-        rig.front.loop.timers.advance()  # before either is seen to be up
+        rig.front.loop.timers.advance()  # before either is known to be established
         self.assertEqual((first.connection.closed, second.connection.closed), (True, False))
         self.assertEqual(ended, [(EndReason.NEVER_SENT, False)])
         rig.until(lambda: scorer.runs, "the scorer receives the second attempt")
         self.assertEqual([frame.id for _, frame in scorer.runs], [b"abcdefgh"])
 
-    def test_what_is_unwritten_when_a_restart_is_told_is_for_the_new_process(self):
+    def test_unwritten_attempts_at_a_restart_go_to_the_new_process(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
@@ -210,7 +210,7 @@
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual((scorer.runs[0][0], ended), (scorer.links[1], []))
 
-    def test_links_to_the_process_before_leave_room_for_those_to_the_new_one(self):
+    def test_connections_to_the_previous_process_do_not_count_against_the_limit(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS | {"streams_per_conn": 1}})
         for number in range(scorer_pool.MAX_CONNECTIONS):
@@ -224,8 +224,8 @@
         self.assertEqual(ended, [])
 
 
-class Room(Case):
-    def test_nothing_is_dialled_any_more_for_what_is_unwritten_at_the_end(self):
+class ConnectionLimits(Case):
+    def test_nothing_is_dialled_for_unwritten_attempts_when_the_pool_is_closed(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         self.link_up(rig, scorer)
@@ -233,7 +233,7 @@
         rig.front.scorer_pool.close()
         self.assertEqual((ended, rig.front.scorer_pool._link_count), ([(EndReason.STOPPED, False)], 0))
 
-    def test_an_idle_link_gives_way_where_there_are_more_scorers_than_links(self):
+    def test_an_idle_connection_is_closed_if_another_scorer_needs_one(self):
         peers = [ScorerPeer(f"s-{number}", copies=None) for number in range(3)]
         rig = self.rig(*peers)
         rig.front.scorer_pool.max_connections = 2
@@ -247,7 +247,7 @@
         self.assertEqual(ended, [(io.AttemptResult.GOOD, True)] * 3)
         self.assertEqual([len(self.links(rig, BY_POOL + number)) for number in range(3)], [0, 1, 1])
 
-    def test_a_link_with_something_open_does_not(self):
+    def test_a_connection_with_an_open_stream_is_not_closed_for_another_scorer(self):
         peers = [ScorerPeer(f"s-{number}", copies=None) for number in range(2)]
         rig = self.rig(*peers)
         rig.front.scorer_pool.max_connections = 1
@@ -260,7 +260,7 @@
 
 
 class Answers(Case):
-    def test_a_second_good_answer_ends_no_later_attempt_under_its_id(self):
+    def test_a_duplicate_good_answer_ends_no_later_attempt_with_the_same_id(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
@@ -274,7 +274,7 @@
         self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
 
-    def test_an_id_that_is_open_twice_is_answered_on_each_link_for_itself(self):
+    def test_an_id_that_is_open_twice_is_answered_on_each_connection_separately(self):
         scorer, first, second = ScorerPeer(copies=None), [], []
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(attempt(BY_POOL, first))
@@ -288,7 +288,7 @@
         rig.until(lambda: first, "the first is answered")
         self.assertEqual(first, [(io.AttemptResult.GOOD, True)])
 
-    def test_an_answer_after_giving_up_and_its_second_copy_end_nothing(self):
+    def test_a_late_answer_and_its_duplicate_end_nothing_after_a_cancellation(self):
         scorer, ended, later = ScorerPeer(copies=None), [], []
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(given_up := attempt(BY_POOL, ended))
@@ -302,7 +302,7 @@
         self.assertEqual((ended, later), ([(EndReason.CALLED_OFF, True)], []))
         self.assertFalse(self.links(rig)[0].connection.closed)
 
-    def test_an_answer_to_what_is_not_written_yet_is_none(self):
+    def test_an_answer_to_an_attempt_that_is_not_completely_written_is_ignored(self):
         for after_bytes in (None, 30):
             with self.subTest(after_bytes=after_bytes):
                 scorer, ended = ScorerPeer(copies=None), []
@@ -321,7 +321,7 @@
                 rig.until(lambda ended=ended: ended, "the answer arrives")
                 self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
 
-    def test_an_answer_that_is_cut_by_a_close_is_none(self):
+    def test_an_answer_truncated_by_a_close_is_ignored(self):
         for op in CLASSES:
             with self.subTest(op):
                 scorer = ScorerPeer()
@@ -336,7 +336,7 @@
                 rig.until(lambda: self.endings(), "the attempt ends")
                 self.assertEqual((self.endings(), client.answers), ([RESET], []))
 
-    def test_an_answer_that_is_cut_and_followed_by_nothing_ends_its_link(self):
+    def test_a_truncated_answer_without_further_bytes_ends_the_connection(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         client, key = self.asked(rig)
@@ -350,7 +350,7 @@
             self.turn(rig, times=1)
         self.assertEqual((self.endings(), client.answers), ([RESET], []))
 
-    def test_an_order_whose_id_a_call_has_on_the_link_goes_on_another(self):
+    def test_an_order_with_the_id_of_an_open_call_uses_another_connection(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         next_id = (1 << 62) - 5
@@ -366,7 +366,7 @@
         rig.until(lambda: ended, "the order is answered")
         self.assertIn(call.id, self.links(rig)[0].streams)
 
-    def test_ids_of_good_answers_are_kept_within_bounds(self):
+    def test_the_number_of_remembered_ids_of_good_answers_is_bounded(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
--- a/tests/net/test_net_scorer_connection_writes.py
+++ b/tests/net/test_net_scorer_connection_writes.py
@@ -1,4 +1,4 @@
-"""When a frame may leave for a scorer, what time it passes on, and what becomes of one written in part."""
+"""Writes to scorers: deadlines, the forwarded remaining time, and partially written frames."""
 
 import unittest
 from unittest import mock
@@ -10,25 +10,26 @@
 from fawnwharf.net import scorer_connection, timer_wheel
 from fawnwharf.net.end_reasons import EndReason
 
-WITHIN_MS = 100.0  # of a repeat, until its first byte must have left
+WITHIN_MS = 100.0  # the time limit of a retry for sending its first byte
 BODY = b"x" * 500
 
 
-class TimePassedOn(Case):
-    def passed_on(self, scorer):
+class ForwardedTime(Case):
+    def forwarded_ms(self, scorer):
+        """The remaining time in the frame that a scorer received."""
         [(_, frame)] = scorer.runs
         return int(frame.fields["ms"])
 
-    def test_it_is_what_is_left_when_a_late_connection_is_up(self):
+    def test_it_is_the_remaining_time_when_a_late_connection_is_established(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         _, key = self.asked(rig, ttl="8000")
         rig.front.requests.send(io.Send(key, BY_POOL))
         self.clock.advance(1_000.0)
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
-        self.assertLessEqual(self.passed_on(scorer), 7_000)
+        self.assertLessEqual(self.forwarded_ms(scorer), 7_000)
 
-    def test_it_is_what_is_left_when_a_blocked_link_takes_it(self):
+    def test_it_is_the_remaining_time_when_a_blocked_connection_accepts_the_frame(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         self.link_up(rig, scorer)
@@ -40,9 +41,9 @@
             self.clock.advance(1_000.0)
         self.unblock(blocked)
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
-        self.assertLessEqual(self.passed_on(scorer), 5_000)
+        self.assertLessEqual(self.forwarded_ms(scorer), 5_000)
 
-    def test_it_is_what_is_left_for_a_retry_that_waited_for_two_connections(self):
+    def test_it_is_the_remaining_time_of_a_retry_after_two_connections(self):
         first, second = ScorerPeer(), ScorerPeer()
         rig = self.rig(first, second)
         _, key = self.asked(rig, ttl="8000")
@@ -54,9 +55,9 @@
         rig.front.requests.send(io.Send(key, BY_POOL + 1))
         self.clock.advance(1_000.0)
         rig.until(lambda: second.runs, "the scorer receives the attempt")
-        self.assertLessEqual(self.passed_on(second), 6_000)
+        self.assertLessEqual(self.forwarded_ms(second), 6_000)
 
-    def test_bytes_that_wait_are_counted_as_they_are(self):
+    def test_unwritten_bytes_are_counted_exactly(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
@@ -67,15 +68,17 @@
         rig.front.scorer_pool.start_load(order(BY_POOL, ended))
         self.assertGreaterEqual(link.connection.waiting_bytes, 3 * len(BODY))
         self.turn(rig)
-        self.assertEqual(link.connection.waiting_bytes, sum(piece.size for piece in link.connection._outbox))
+        self.assertEqual(
+            link.connection.waiting_bytes, sum(buffer.size for buffer in link.connection._outbox)
+        )
         rig.front.scorer_pool.cancel(streams[1])
         self.unblock(blocked)
         rig.until(lambda: len(scorer.frames) == 3, "the other frames are written")
         self.assertEqual(link.connection.waiting_bytes, 0)
 
 
-class TooLate(Case):
-    """A deadline or the span of a repeat runs out before the first byte has left."""
+class Expiry(Case):
+    """The deadline, or the time limit of a retry, passes before the first byte is sent."""
 
     def sent(self, rig, **more):
         _, key = self.asked(rig)
@@ -87,7 +90,7 @@
         rig.settle(rig.client())
         self.assertEqual((self.endings(), scorer.frames), ([io.AttemptResult.NOT_SENT], []))
 
-    def test_as_it_is_placed(self):
+    def test_when_the_attempt_is_sent(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         self.link_up(rig, scorer)
@@ -97,18 +100,18 @@
         self.assertEqual(self.endings(), [io.AttemptResult.NOT_SENT])
         self.assert_never_sent(rig, scorer)
 
-    def test_as_a_connection_comes_up(self):
+    def test_when_the_connection_is_established(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         self.sent(rig, within_ms=WITHIN_MS)
         [link] = self.links(rig)
         self.clock.advance(WITHIN_MS)
-        self.assertTrue(link.connection._sock.getpeername())  # it is up, and that is read first
+        self.assertTrue(link.connection._sock.getpeername())  # it is established, which is read first
         link.connection._ready(0)
         self.assertEqual(self.endings(), [io.AttemptResult.NOT_SENT])
         self.assert_never_sent(rig, scorer)
 
-    def test_as_it_is_about_to_be_written(self):
+    def test_just_before_the_write(self):
         for more, span_ms in (({"within_ms": WITHIN_MS}, WITHIN_MS), ({}, 8_000.0)):
             with self.subTest(span_ms=span_ms):
                 scorer = ScorerPeer()
@@ -121,7 +124,7 @@
                 self.assertEqual(link.connection.waiting_bytes, 0)
                 self.assert_never_sent(rig, scorer)
 
-    def test_while_it_waits_on_a_blocked_link(self):
+    def test_on_a_blocked_connection(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         self.link_up(rig, scorer)
@@ -134,18 +137,18 @@
         rig.settle(rig.client())
         self.assertEqual(scorer.frames, [])
 
-    def test_while_its_link_takes_nothing_at_all(self):
+    def test_on_a_connection_that_is_never_writable(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
-        with mock.patch.object(link.connection, "flush"):  # the system never says that it can be written
+        with mock.patch.object(link.connection, "flush"):  # the system never reports the socket as writable
             self.sent(rig, within_ms=WITHIN_MS)
             self.clock.advance(WITHIN_MS + 5.0)
             self.turn(rig, times=1)
             self.assertEqual((self.endings(), link.streams), ([io.AttemptResult.NOT_SENT], {}))
         self.assert_never_sent(rig, scorer)
 
-    def test_as_its_link_ended_and_another_is_to_be_dialled(self):
+    def test_when_the_connection_ends_before_another_is_dialled(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
@@ -154,7 +157,7 @@
         link.connection.close(EndReason.CLOSED_BY_PEER)
         self.assertEqual((self.endings(), self.links(rig)), ([io.AttemptResult.NOT_SENT], []))
 
-    def test_one_that_began_in_time_goes_on_until_its_deadline(self):
+    def test_an_attempt_begun_in_time_continues_until_its_deadline(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         self.sent(rig, within_ms=WITHIN_MS)
@@ -166,7 +169,7 @@
         rig.until(lambda: self.endings(), "the answer arrives")
         self.assertEqual(self.endings(), [io.AttemptResult.GOOD])
 
-    def test_one_that_began_in_time_ends_at_its_deadline(self):
+    def test_an_attempt_begun_in_time_ends_at_its_deadline(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(given := attempt(BY_POOL, ended := [], within_ms=500.0))
@@ -178,10 +181,11 @@
         self.assertEqual(ended, [(EndReason.TIMED_OUT, True)])
 
 
-class InPart(Case):
-    """A frame of which the link takes a part, and then no more."""
+class PartialWrites(Case):
+    """A connection accepts a part of a frame, and then no more."""
 
-    def part(self, more=(), **fields):
+    def write_part(self, more=(), **fields):
+        """Write a part of a frame, with the streams in `more` queued after it."""
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
@@ -196,8 +200,8 @@
         )
         return rig, scorer, link, blocked, (client, key)
 
-    def test_it_ends_its_link_in_time_and_is_never_completed(self):
-        rig, scorer, link, blocked, (client, key) = self.part()
+    def test_a_partial_frame_ends_the_connection_in_time_and_is_never_completed(self):
+        rig, scorer, link, blocked, (client, key) = self.write_part()
         self.leave(rig, client, key, "close")
         self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS - 1.0)
         self.turn(rig)
@@ -209,8 +213,8 @@
         rig.settle(rig.client())
         self.assertEqual(scorer.frames, [])
 
-    def test_it_ends_its_link_where_the_process_was_held_up_and_the_link_takes_more(self):
-        rig, scorer, link, blocked, _ = self.part()
+    def test_a_partial_frame_is_not_continued_after_the_process_was_stalled(self):
+        rig, scorer, link, blocked, _ = self.write_part()
         self.unblock(blocked)
         self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS)
         link.connection._blocked = False
@@ -219,8 +223,8 @@
         rig.settle(rig.client())
         self.assertEqual(scorer.frames, [])
 
-    def test_it_is_completed_where_the_link_takes_more_in_time(self):
-        rig, scorer, link, blocked, _ = self.part()
+    def test_a_partial_frame_is_completed_within_the_time_limit(self):
+        rig, scorer, link, blocked, _ = self.write_part()
         self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS - 10.0)
         self.unblock(blocked)
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
@@ -229,10 +233,10 @@
         self.assertFalse(link.connection.closed)
         self.assertEqual(scorer.runs[0][1].body, BODY)
 
-    def test_what_lies_behind_it_unwritten_is_sent_on_another_link(self):
+    def test_unwritten_frames_after_a_partial_one_are_sent_on_another_connection(self):
         ended = []
         other = attempt(BY_POOL, ended, id=b"abcdefgh", body=b"other")
-        rig, scorer, link, blocked, _ = self.part(more=[other])
+        rig, scorer, link, blocked, _ = self.write_part(more=[other])
         self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
         rig.until(lambda: link.connection.closed, "the connection ends")
         self.unblock(blocked)
@@ -240,17 +244,17 @@
         [(_, frame)] = scorer.runs
         self.assertEqual((frame.body, ended), (b"other", []))
 
-    def test_frames_that_give_up_and_orders_are_not_completed_late_either(self):
-        for kind in ("give up", "order"):
+    def test_partial_cancellations_and_orders_are_not_completed_late(self):
+        for kind in ("cancel", "order"):
             with self.subTest(kind):
                 scorer, ended = ScorerPeer(copies=None), []
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
-                if kind == "give up":
+                if kind == "cancel":
                     rig.front.scorer_pool.send(stream := attempt(BY_POOL, ended))
                     rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                 blocked = self.block(scorer, after_bytes=5)
-                if kind == "give up":
+                if kind == "cancel":
                     rig.front.scorer_pool.cancel(stream)
                 else:
                     rig.front.scorer_pool.start_load(order(BY_POOL, ended))
@@ -262,23 +266,23 @@
                 rig.settle(rig.client())
                 self.assertEqual(len(scorer.frames), before)
 
-    def test_the_module_is_told_that_it_never_ran_but_where_it_must_not_run_twice(self):
-        endings = {}
+    def test_the_router_is_told_that_it_did_not_run_unless_it_must_not_run_twice(self):
+        results = {}
         for op in ("view", "save", "settle"):
-            rig, _, link, _, _ = self.part(op=op)
+            rig, _, link, _, _ = self.write_part(op=op)
             self.clock.advance(scorer_connection.MAX_PARTIAL_WRITE_MS + 5.0)
             rig.until(lambda link=link: link.connection.closed, "the connection ends")
-            endings[op] = self.endings()
-        never = [io.AttemptResult.CONNECT_FAILED]
-        self.assertEqual(endings, {"view": never, "save": never, "settle": [io.AttemptResult.RESET]})
+            results[op] = self.endings()
+        not_run = [io.AttemptResult.CONNECT_FAILED]
+        self.assertEqual(results, {"view": not_run, "save": not_run, "settle": [io.AttemptResult.RESET]})
 
-    def test_a_client_that_reads_slowly_keeps_its_connection(self):
+    def test_a_slowly_reading_client_keeps_its_connection(self):
         rig = self.rig()
         client = rig.client()
         port = client.sock.getsockname()[1]
-        at_client = lambda sock: sock.getpeername()[1] == port  # noqa: E731
-        self.faults.shorten("sendmsg", 3, where=at_client)
-        blocked = self.faults.shorten("sendmsg", 0, times=10**9, where=at_client)
+        is_client = lambda sock: sock.getpeername()[1] == port  # noqa: E731
+        self.faults.shorten("sendmsg", 3, where=is_client)
+        blocked = self.faults.shorten("sendmsg", 0, times=10**9, where=is_client)
         client.status(7)
         rig.until(lambda: blocked.hits, "the answer is partially written")
         self.clock.advance(1_000.0)
@@ -286,7 +290,7 @@
         self.unblock(blocked)
         rig.until(lambda: client.answers, "the client receives the answer")
 
-    def test_an_empty_piece_keeps_nothing_behind_it_back(self):
+    def test_an_empty_buffer_does_not_block_the_queue(self):
         rig = self.rig()
         client = rig.client()
         rig.settle(client)
@@ -296,8 +300,8 @@
         self.assertEqual(len(port.connection._outbox), 0)
 
 
-class Spans(unittest.TestCase):
-    def test_the_limit_on_parts_leaves_room_for_a_tick_and_a_turn(self):
+class TimeLimits(unittest.TestCase):
+    def test_the_partial_write_limit_leaves_time_for_a_tick_and_an_iteration(self):
         self.assertLess(scorer_connection.MAX_PARTIAL_WRITE_MS + timer_wheel.TICK_MS, 90.0)
 
 
--- a/tests/net/test_net_scorer_connections.py
+++ b/tests/net/test_net_scorer_connections.py
@@ -1,4 +1,4 @@
-"""Repeats, drains and links to scorers, with real sockets on loopback and waits on events only."""
+"""Retries, drains and scorer connections, on real loopback sockets and without fixed waits."""
 
 import socket
 import unittest
@@ -27,26 +27,26 @@
     sock.close()
 
 
-def links_of(rig):
+def scorer_connections(rig):
     return [link for scorer in rig.front.scorer_pool.scorers.values() for link in scorer.links]
 
 
-def attempt(worker, ended, id=b"12345678", body=b"", within_ms=8000.0):
+def attempt(scorer, ended, id=b"12345678", body=b"", within_ms=8000.0):
     return scorer_streams.Attempt(
-        worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), id=id,
+        scorer, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), id=id,
         class_name="view", function=ROW, body=body, deadline_ms=scorer_pool.monotonic_ms() + within_ms,
     )  # fmt: skip
 
 
-def order(worker, ended, copies=1):
+def order(scorer, ended, copies=1):
     return scorer_streams.LoadOrder(
-        worker, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), ROW, copies
+        scorer, lambda stream, end, answer: ended.append((end or answer.ending, stream.begun)), ROW, copies
     )
 
 
-class Repeats(Case):
-    def lose(self, op, **more):
-        """A request whose first scorer resets the connection once it has arrived whole."""
+class Retries(Case):
+    def lose_connection(self, op, **more):
+        """Send a request whose first scorer closes the connection after it has received the frame."""
         peers = ScorerPeer("s-1"), ScorerPeer("s-2")
         rig = self.rig(*peers, **more)
         client = rig.client()
@@ -58,44 +58,47 @@
             link.ended = True
         return rig, client, first, next(peer for peer in peers if peer is not first)
 
-    def test_what_must_not_run_twice_is_failed_not_refused_or_sent_again(self):
-        rig, client, first, other = self.lose("settle")
+    def test_a_request_that_must_not_run_twice_fails_and_is_not_rejected_or_retried(self):
+        rig, client, first, other = self.lose_connection("settle")
         rig.until(lambda: client.answers, "the request fails")
         rig.settle(client)
         self.assertEqual(client.kinds()[1], "broken")
         self.assertEqual((len(first.runs), len(other.runs)), (1, 0))
 
-    def test_what_may_be_repeated_is_sent_elsewhere(self):
+    def test_a_request_that_may_be_retried_is_sent_to_another_scorer(self):
         for op in ("view", "save"):
             with self.subTest(op):
-                rig, client, _, other = self.lose(op)
+                rig, client, _, other = self.lose_connection(op)
                 rig.until(lambda other=other: other.runs, "the other scorer receives the attempt")
                 other.answer(other.runs[0], body=b"again")
                 rig.until(lambda client=client: client.answers, "the answer arrives")
                 self.assertEqual(client.answers[0][1:], ("answer", {1: b"again", 2: {}, 3: True}))
 
-    def test_a_refused_dial_proves_that_nothing_ran(self):
+    def test_a_refused_dial_ends_the_attempt_as_not_run(self):
         rig, ended = self.rig(), []
-        with socket.socket() as silent:  # bound, so that nobody else gets the port, but not listening
+        with socket.socket() as silent:  # bound, so that no other process gets the port, but not listening
             silent.bind(("127.0.0.1", 0))
             rig.front.scorer_pool.update(9, silent.getsockname(), io.ScorerState.READY, 0.0)
             rig.front.scorer_pool.send(attempt(9, ended))
             rig.until(lambda: ended, "the attempt ends")
         self.assertEqual(ended, [(EndReason.REFUSED, False)])
 
-    def test_a_dial_that_is_reset_as_it_comes_up_is_tried_again_but_not_for_ever(self):
-        most = scorer_pool.MAX_REDIALS
-        for resets, ends in ((most, []), (most + 1, [(EndReason.RESET_BY_PEER, False)])):
+    def test_a_dial_that_is_reset_is_retried_a_limited_number_of_times(self):
+        limit = scorer_pool.MAX_REDIALS
+        for resets, ends in ((limit, []), (limit + 1, [(EndReason.RESET_BY_PEER, False)])):
             rig, ended = self.rig(), []
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 rig.front.scorer_pool.update(9, listener.getsockname(), io.ScorerState.READY, 0.0)
                 rig.front.scorer_pool.send(attempt(9, ended))
                 for _ in range(resets):
-                    [dial] = links_of(rig)
+                    [dial] = scorer_connections(rig)
                     reset(listener.accept()[0])
-                    rig.until(lambda rig=rig, dial=dial: dial not in links_of(rig), "the connection is reset")
+                    rig.until(
+                        lambda rig=rig, dial=dial: dial not in scorer_connections(rig),
+                        "the connection is reset",
+                    )
                 rig.until(
-                    lambda rig=rig: all(link.up for link in links_of(rig)),
+                    lambda rig=rig: all(link.up for link in scorer_connections(rig)),
                     "each connection is established or closed",
                 )
             self.assertEqual(ended, ends)
@@ -106,7 +109,7 @@
         rig = self.rig(scorer)
         return rig, rig.front.scorer_pool, front_end.scorer_number(scorer.id)
 
-    def test_what_waits_for_a_dial_or_is_unwritten_is_pulled_back(self):
+    def test_waiting_and_unwritten_streams_end_at_a_drain(self):
         for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
             for linked in (False, True):
                 with self.subTest(state=state.name, linked=linked):
@@ -123,7 +126,7 @@
                     rig.settle(rig.client())
                     self.assertEqual(len(scorer.frames), before)
 
-    def test_nothing_new_goes_to_one_that_drains_but_questions_do(self):
+    def test_a_draining_scorer_receives_no_new_work_but_queries(self):
         scorer, ended = ScorerPeer(), []
         rig, pool, id = self.pool(scorer)
         pool.update(id, None, io.ScorerState.DRAINING, 0.0)
@@ -134,7 +137,7 @@
         rig.until(lambda: len(ended) == 3, "the query is answered")
         self.assertEqual(ended[2], (io.AttemptResult.GOOD, True))
 
-    def test_a_drain_told_by_the_change_log_leaves_what_runs_alone(self):
+    def test_a_drain_reported_by_the_change_log_does_not_affect_running_requests(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         client = rig.client()
@@ -146,7 +149,7 @@
         rig.until(lambda: client.answers, "the answer arrives")
         self.assertEqual(client.kinds(), {1: "answer"})
 
-    def test_a_new_scorer_at_a_gone_ones_address_gets_links_of_its_own(self):
+    def test_a_new_scorer_at_the_address_of_a_gone_one_gets_its_own_connections(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig, pool, id = self.pool(scorer)
         pool.send(attempt(id, ended))
@@ -159,7 +162,7 @@
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
         self.assertEqual(ended, [])
 
-    def test_a_dial_that_comes_up_after_its_scorer_has_gone_is_closed(self):
+    def test_a_dial_that_is_established_after_its_scorer_has_gone_is_closed(self):
         scorer = ScorerPeer()
         rig, pool, id = self.pool(scorer)
         pool.send(attempt(id, []))
@@ -169,7 +172,7 @@
         self.assertTrue(link.connection.closed)
         self.assertFalse(pool.scorers)
 
-    def test_a_restart_retires_the_links_to_the_process_before(self):
+    def test_connections_to_the_previous_process_are_not_used_after_a_restart(self):
         scorer, ended = ScorerPeer(), []
         rig, pool, id = self.pool(scorer)
         pool.send(attempt(id, ended))
@@ -180,8 +183,8 @@
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
 
 
-class Links(Case):
-    def test_a_bad_frame_ends_its_connection_only(self):
+class Connections(Case):
+    def test_a_malformed_frame_ends_only_its_connection(self):
         peers = ScorerPeer("s-1"), ScorerPeer("s-2")
         rig, ended = self.rig(*peers), {"s-1": [], "s-2": []}
         for peer in peers:
@@ -195,7 +198,7 @@
             ended, {"s-1": [(EndReason.BAD_BYTES, True)], "s-2": [(io.AttemptResult.GOOD, True)]}
         )
 
-    def test_what_spoils_a_link_leaves_the_calls_on_the_others_alone(self):
+    def test_a_broken_connection_does_not_affect_calls_on_other_connections(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
@@ -214,7 +217,7 @@
         rig.until(lambda: len(ended) == 3, "the other attempts are answered")
         self.assertEqual(ended, [(EndReason.BAD_BYTES, True)] + [(io.AttemptResult.GOOD, True)] * 2)
 
-    def test_a_link_that_the_scorer_has_just_ended_is_not_used_again(self):
+    def test_a_connection_that_the_scorer_has_just_closed_is_not_used(self):
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
@@ -223,13 +226,13 @@
         for peer, link in zip(scorer.links, list(rig.front.scorer_pool.scorers[id].links), strict=True):
             peer.sock.shutdown(socket.SHUT_WR)
             self.assertTrue(ready(link.connection._sock))
-        rig.front.scorer_pool.send(attempt(id, ended))  # before the loop has read the ends
+        rig.front.scorer_pool.send(attempt(id, ended))  # before the event loop has read the ends
         for link in rig.front.scorer_pool.scorers[id].links:
             link.connection.flush()
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
         self.assertEqual(ended, [(io.AttemptResult.GOOD, True)])
 
-    def test_a_connection_carries_so_many_streams_and_no_id_twice(self):
+    def test_a_connection_has_a_limited_number_of_streams_with_distinct_ids(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
@@ -238,11 +241,11 @@
         rig.front.scorer_pool.send(attempt(id, ended, id=b"%08d" % 0))
         rig.until(lambda: len(scorer.runs) == 34, "the scorer receives all attempts")
         for link in scorer.links:
-            ids = [frame.id for at, frame in scorer.runs if at is link]
+            ids = [frame.id for received_on, frame in scorer.runs if received_on is link]
             self.assertLessEqual(len(ids), 32)
             self.assertEqual(len(ids), len(set(ids)))
 
-    def test_an_id_that_was_given_up_is_not_used_again_on_its_connection(self):
+    def test_the_id_of_a_cancelled_attempt_is_not_used_again_on_its_connection(self):
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
         id, first = front_end.scorer_number(scorer.id), []
@@ -257,9 +260,9 @@
         rig.until(lambda: ended, "the second attempt ends")
         self.assertEqual((first, ended), ([(EndReason.CALLED_OFF, True)], [(io.AttemptResult.MISS, True)]))
 
-    def test_silence_ends_in_time_for_attempts_orders_and_dials(self):
+    def test_attempts_orders_and_dials_without_response_time_out(self):
         scorer, ended = ScorerPeer(copies=None), []
-        full = socket.socket()  # a listener whose queue is full: dials to it come to nothing
+        full = socket.socket()  # a listener whose queue is full: connection attempts get no response
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         fillers = [socket.socket() for _ in range(4)]
@@ -282,7 +285,7 @@
         rig.until(lambda: len(ended) == 3, "the dial ends")
         self.assertEqual(ended, [(EndReason.TIMED_OUT, True)] * 2 + [(EndReason.DIAL_TIMED_OUT, False)])
 
-    def test_a_link_forgotten_while_idle_makes_others_as_idle_unused(self):
+    def test_a_reset_of_an_idle_connection_lowers_the_idle_time_for_reuse(self):
         scorer, ended = ScorerPeer(), []
         rig = self.rig(scorer)
         id, pool = front_end.scorer_number(scorer.id), rig.front.scorer_pool
@@ -303,7 +306,7 @@
         rig.until(lambda: scorer.runs, "the scorer receives a call")
         self.assertNotIn(scorer.runs[0][0], scorer.links[:2])
 
-    def test_half_a_frame_that_goes_no_further_ends_its_link(self):
+    def test_a_truncated_frame_ends_its_connection(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         rig.front.scorer_pool.send(attempt(front_end.scorer_number(scorer.id), ended))
@@ -314,7 +317,7 @@
         rig.until(lambda: ended, "the attempt ends")
         self.assertEqual(ended, [(EndReason.SILENT, True)])
 
-    def test_a_second_copy_of_an_answer_ends_no_later_attempt(self):
+    def test_a_duplicate_answer_ends_no_later_attempt(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
@@ -330,7 +333,7 @@
         rig.until(lambda: len(ended) == 2, "the answer arrives")
         self.assertEqual([end for end, _ in ended], [io.AttemptResult.FULL, io.AttemptResult.GOOD])
 
-    def test_a_link_that_owes_an_answer_in_silence_gets_nothing_new(self):
+    def test_a_silent_connection_with_an_open_stream_gets_no_new_streams(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         id = front_end.scorer_number(scorer.id)
@@ -341,7 +344,7 @@
             rig.until(lambda: len(scorer.runs) == 2, "the scorer receives the second attempt")
         self.assertIsNot(scorer.runs[0][0], scorer.runs[1][0])
 
-    def test_idle_links_are_closed_and_what_is_open_keeps_one(self):
+    def test_idle_connections_are_closed_unless_they_have_open_streams(self):
         busy, idle = ScorerPeer("s-1", copies=None), ScorerPeer("s-2")
         rig, ended = self.rig(busy, idle, settings={"bounds": {"keepalive": 0.0}}), []
         for peer in (busy, idle):
@@ -350,7 +353,7 @@
         rig.until(lambda: idle.links[0].ended, "the idle connection is closed")
         self.assertFalse(busy.links[0].ended)
 
-    def test_links_keep_to_their_share_of_descriptors(self):
+    def test_scorer_connections_stay_within_their_share_of_descriptors(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, limits={"sockets": 32}, settings={"bounds": {"streams_per_conn": 1}})
         id = front_end.scorer_number(scorer.id)
--- a/tests/net/test_net_scorer_faults.py
+++ b/tests/net/test_net_scorer_faults.py
@@ -1,4 +1,4 @@
-"""Errors of the system on the way to a scorer, one by one, injected at the call."""
+"""Injected system call errors on scorer connections, one at a time."""
 
 import errno
 import os
@@ -21,13 +21,14 @@
 from fawnwharf.net.front_end import scorer_number
 
 LOCAL = ("EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EINTR")
-# Which errors of a call pass by themselves, and what the others tell of the scorer.
-PASSES = {
+# Transient errors of this machine, by system call.
+TRANSIENT = {
     "socket": LOCAL,
     "connect": (*LOCAL, "EAGAIN", "EADDRNOTAVAIL", "ENETUNREACH", "ENETDOWN"),
     "so_error": (*LOCAL, "EADDRNOTAVAIL", "ENETDOWN"),
     "sendmsg": ("ENOBUFS", "ENOMEM", "EINTR"),
 }
+# Errors caused by the peer or the network, and their end reasons.
 OF_PEER = {
     "connect": {
         "ECONNREFUSED": EndReason.REFUSED, "EHOSTUNREACH": EndReason.UNREACHABLE,
@@ -43,40 +44,41 @@
         "ETIMEDOUT": EndReason.UNREACHABLE,
     },
 }  # fmt: skip
-PAUSE_MS = scorer_pool.REDIAL_DELAY_MS + 5.0
+RETRY_MS = scorer_pool.REDIAL_DELAY_MS + 5.0
 DIAL_MS = 250.0
 BOUNDS = {"max_attempts": 3, "cancel": True, "second_copies": True, "dial_timeout": DIAL_MS}
 
 
-def number(name):
+def errno_of(name):
     return getattr(errno, name)
 
 
 class Dials(Case):
-    """What waits for a connection while one can't be made."""
+    """Streams that wait for a connection while dials fail."""
 
-    def waiting(self, call, name, times=1):
+    def send_with_fault(self, call, name, times=1):
+        """Send an attempt whose dial fails with this error."""
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer, settings={"bounds": BOUNDS})
-        fault = self.faults.fail(call, number(name), times=times)
+        fault = self.faults.fail(call, errno_of(name), times=times)
         rig.front.scorer_pool.send(attempt(BY_POOL, ended))
         return rig, scorer, ended, fault
 
-    def test_a_passing_fault_is_tried_again_after_a_pause(self):
+    def test_a_dial_is_retried_after_a_transient_error(self):
         for call in ("socket", "connect", "so_error"):
-            for name in PASSES[call]:
+            for name in TRANSIENT[call]:
                 with self.subTest(call=call, error=name):
-                    rig, scorer, ended, fault = self.waiting(call, name)
+                    rig, scorer, ended, fault = self.send_with_fault(call, name)
                     self.turn(rig)
                     self.assertEqual((fault.hits, ended, self.links(rig)), (1, [], []))
-                    self.clock.advance(PAUSE_MS)
+                    self.clock.advance(RETRY_MS)
                     rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                     self.assertEqual(ended, [])
 
-    def test_one_that_lasts_ends_what_waits_as_not_sent_after_a_dials_time(self):
+    def test_a_lasting_error_ends_waiting_streams_as_not_sent_after_the_dial_timeout(self):
         for call in ("socket", "connect", "so_error"):
             with self.subTest(call):
-                rig, scorer, ended, fault = self.waiting(call, PASSES[call][0], times=10**9)
+                rig, scorer, ended, fault = self.send_with_fault(call, TRANSIENT[call][0], times=10**9)
                 started_ms = self.clock.monotonic_ms
                 while not ended:
                     self.clock.advance(5.0)
@@ -87,88 +89,88 @@
                 self.assertTrue(2 <= fault.hits <= DIAL_MS / scorer_pool.REDIAL_DELAY_MS + 1, fault.hits)
                 self.assertEqual((self.links(rig), rig.front.scorer_pool._link_count), ([], 0))
 
-    def test_a_lasting_fault_ends_nothing_before_a_later_one_has_waited_as_long(self):
-        rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL", times=10**9)
+    def test_a_lasting_error_ends_each_stream_only_after_its_own_wait(self):
+        rig, scorer, ended, fault = self.send_with_fault("connect", "EADDRNOTAVAIL", times=10**9)
         self.clock.advance(DIAL_MS / 2)
-        later = []
-        rig.front.scorer_pool.send(attempt(BY_POOL, later, id=b"abcdefgh"))
+        later_ended = []
+        rig.front.scorer_pool.send(attempt(BY_POOL, later_ended, id=b"abcdefgh"))
         self.clock.advance(DIAL_MS / 2 + 5.0)
         self.turn(rig)
-        self.assertEqual((len(ended), later), (1, []))
+        self.assertEqual((len(ended), later_ended), (1, []))
         fault.times = fault.hits
-        self.clock.advance(PAUSE_MS)
+        self.clock.advance(RETRY_MS)
         rig.until(lambda: scorer.runs, "the scorer receives the later attempt")
 
-    def test_what_the_other_side_did_ends_what_waits_at_once(self):
+    def test_an_error_caused_by_the_peer_ends_waiting_streams_at_once(self):
         for call in ("connect", "so_error"):
             for name, end in OF_PEER[call].items():
                 with self.subTest(call=call, error=name):
-                    rig, _, ended, _ = self.waiting(call, name)
+                    rig, _, ended, _ = self.send_with_fault(call, name)
                     rig.until(lambda ended=ended: ended, "the attempt ends")
                     self.assertEqual(ended, [(end, False)])
                     self.assertEqual(attempt_result(*ended[0]), io.AttemptResult.CONNECT_FAILED)
 
-    def test_the_errors_are_those_of_the_table(self):
+    def test_errors_map_to_the_expected_end_reasons(self):
         calls = {
             "socket": SystemCall.SOCKET, "connect": SystemCall.CONNECT, "so_error": SystemCall.CONNECTED,
             "sendmsg": SystemCall.SEND,
         }  # fmt: skip
-        for call, names in PASSES.items():
+        for call, names in TRANSIENT.items():
             for name in names:
-                self.assertIn(end_reason_of(OSError(number(name), ""), calls[call]), LOCAL_REASONS)
+                self.assertIn(end_reason_of(OSError(errno_of(name), ""), calls[call]), LOCAL_REASONS)
         for call, rows in OF_PEER.items():
             for name, end in rows.items():
-                self.assertIs(end_reason_of(OSError(number(name), ""), calls[call]), end)
+                self.assertIs(end_reason_of(OSError(errno_of(name), ""), calls[call]), end)
         for call in calls.values():
             self.assertIs(end_reason_of(OSError(errno.EXDEV, ""), call), EndReason.UNREACHABLE)
             self.assertNotIn(errno.EXDEV, REASON_BY_ERRNO[call])
 
-    def test_a_drain_told_in_the_pause_brings_new_work_back_at_once(self):
+    def test_a_drain_before_the_redial_ends_waiting_streams_at_once(self):
         for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
             with self.subTest(state.name):
-                rig, scorer, ended, fault = self.waiting("connect", "EADDRNOTAVAIL")
+                rig, scorer, ended, fault = self.send_with_fault("connect", "EADDRNOTAVAIL")
                 self.turn(rig)
                 rig.front.scorer_pool.update(BY_POOL, None, state, 0.0)
                 self.assertEqual(ended, [(EndReason.OUT_OF_SERVICE, False)])
-                self.clock.advance(PAUSE_MS)
+                self.clock.advance(RETRY_MS)
                 self.turn(rig)
                 self.assertEqual(scorer.links, [])
 
-    def test_one_called_off_in_the_pause_is_not_dialled_for(self):
-        rig, scorer, ended, _ = self.waiting("connect", "ENETUNREACH")
+    def test_an_attempt_cancelled_before_the_redial_is_not_dialled_for(self):
+        rig, scorer, ended, _ = self.send_with_fault("connect", "ENETUNREACH")
         [stream] = rig.front.scorer_pool.scorers[BY_POOL].waiting
         rig.front.scorer_pool.cancel(stream)
-        self.clock.advance(PAUSE_MS)
+        self.clock.advance(RETRY_MS)
         self.turn(rig)
         self.assertEqual((ended, scorer.links), ([(EndReason.CALLED_OFF, False)], []))
 
-    def test_an_address_told_in_the_pause_is_the_one_that_is_dialled(self):
-        rig, scorer, ended, _ = self.waiting("connect", "ENETUNREACH")
+    def test_a_redial_uses_an_address_that_changed_before_it(self):
+        rig, scorer, ended, _ = self.send_with_fault("connect", "ENETUNREACH")
         rig.scorers.append(moved := ScorerPeer(copies=None))
         rig.front.scorer_pool.update(BY_POOL, self.address(moved), io.ScorerState.READY, 0.0)
-        self.clock.advance(PAUSE_MS)
+        self.clock.advance(RETRY_MS)
         rig.until(lambda: moved.runs, "the scorer receives the attempt at the new address")
         self.assertEqual((scorer.links, ended), ([], []))
 
-    def test_a_passing_fault_counts_neither_against_the_scorer_nor_as_an_attempt(self):
+    def test_a_transient_error_counts_neither_against_the_scorer_nor_as_an_attempt(self):
         for call, name in (("connect", "EADDRNOTAVAIL"), ("socket", "EMFILE"), ("so_error", "ENOBUFS")):
             with self.subTest(call):
                 scorer = ScorerPeer()
                 rig = self.rig(known=[scorer])
                 client = rig.client()
                 rig.until(lambda rig=rig: rig.front.client_port.clients, "the client is accepted")
-                fault = self.faults.fail(call, number(name), times=2)
+                fault = self.faults.fail(call, errno_of(name), times=2)
                 client.call()
                 for hits in (1, 2):
                     rig.until(lambda fault=fault, hits=hits: fault.hits == hits, "a dial fails")
-                    self.clock.advance(PAUSE_MS)
+                    self.clock.advance(RETRY_MS)
                 rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
                 scorer.answer(scorer.runs[0])
                 rig.until(lambda client=client: client.answers, "the answer arrives")
-                worker = rig.front.router.scorers[scorer_number(scorer.id)]
-                self.assertEqual((client.kinds(), worker.suspect_ms), ({1: "answer"}, None))
+                routed = rig.front.router.scorers[scorer_number(scorer.id)]
+                self.assertEqual((client.kinds(), routed.suspect_ms), ({1: "answer"}, None))
 
-    def test_no_descriptor_is_leaked_where_a_dial_fails_half_way(self):
+    def test_a_dial_that_fails_after_creating_its_socket_leaks_no_descriptor(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         before = len(os.listdir("/proc/self/fd"))
@@ -181,10 +183,10 @@
         ):
             connection.Connection.dial(rig.front.loop, self.address(scorer), mock.Mock(), DIAL_MS)
         self.assertEqual(len(os.listdir("/proc/self/fd")), before)
-        self.clock.advance(PAUSE_MS)
+        self.clock.advance(RETRY_MS)
         rig.until(lambda: scorer.runs, "the scorer receives the attempt")
 
-    def test_a_connection_without_its_options_serves_as_well(self):
+    def test_a_connection_works_without_its_socket_options(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         with mock.patch.object(connection.socket.socket, "setsockopt", side_effect=OSError(1, "no")):
@@ -193,14 +195,14 @@
 
 
 class Writes(Case):
-    def test_a_passing_fault_is_tried_again_after_a_pause_and_does_not_spin(self):
-        for name in PASSES["sendmsg"]:
+    def test_a_write_is_retried_after_a_transient_error_without_spinning(self):
+        for name in TRANSIENT["sendmsg"]:
             with self.subTest(name):
                 scorer, ended = ScorerPeer(copies=None), []
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
                 fault = self.faults.fail(
-                    "sendmsg", number(name), times=10**9, where=self.is_connected_to(scorer)
+                    "sendmsg", errno_of(name), times=10**9, where=self.is_connected_to(scorer)
                 )
                 rig.front.scorer_pool.send(attempt(BY_POOL, ended))
                 self.turn(rig, times=20)
@@ -209,22 +211,22 @@
                 self.clock.advance(connection_writer.WRITE_PAUSE_MS + 5.0)
                 rig.until(lambda scorer=scorer: scorer.runs, "the scorer receives the attempt")
 
-    def test_what_the_other_side_did_ends_the_link_and_nothing_of_it_had_left(self):
+    def test_an_error_caused_by_the_peer_ends_the_connection_and_the_attempt_is_sent_on_another(self):
         for name, end in OF_PEER["sendmsg"].items():
             with self.subTest(name):
                 scorer, ended = ScorerPeer(copies=None), []
                 rig = self.rig(scorer)
                 link = self.link_up(rig, scorer)
-                self.faults.fail("sendmsg", number(name), where=self.is_connected_to(scorer))
-                ends, end_of_link = [], link.on_end
-                link.on_end = lambda end, ends=ends, then=end_of_link: (ends.append(end), then(end))
+                self.faults.fail("sendmsg", errno_of(name), where=self.is_connected_to(scorer))
+                ends, on_end = [], link.on_end
+                link.on_end = lambda end, ends=ends, on_end=on_end: (ends.append(end), on_end(end))
                 rig.front.scorer_pool.send(attempt(BY_POOL, ended))
                 rig.until(
                     lambda scorer=scorer: scorer.runs, "the scorer receives the attempt on another connection"
                 )
                 self.assertEqual((ends, ended), ([end], []))
 
-    def test_a_client_has_its_answer_in_spite_of_one(self):
+    def test_a_client_is_answered_after_a_transient_error(self):
         rig = self.rig()
         client = rig.client()
         port = client.sock.getsockname()[1]
@@ -235,7 +237,7 @@
         self.clock.advance(connection_writer.WRITE_PAUSE_MS + 5.0)
         rig.until(lambda: client.answers, "the client receives the answer")
 
-    def test_a_fault_in_the_middle_of_a_frame_does_not_make_it_late(self):
+    def test_a_transient_error_within_a_frame_does_not_let_it_be_completed_late(self):
         scorer, ended = ScorerPeer(copies=None), []
         rig = self.rig(scorer)
         link = self.link_up(rig, scorer)
