--- a/fawnwharf/net/end_reasons.py
+++ b/fawnwharf/net/end_reasons.py
@@ -22,7 +22,7 @@
     IDLE = auto()  # closed by this side without open streams
     RETIRED = auto()  # closed by this side, as its scorer has gone or restarted
     OUT_OF_SERVICE = auto()  # the scorer drains or has gone, and the stream was not sent yet
-    NEVER_SENT = auto()  # expired or cancelled before it was sent, or the scorer was not available
+    NEVER_SENT = auto()  # it expired or its request ended before it was sent, or the scorer was not available
     CALLED_OFF = auto()  # cancelled by the router
     TIMED_OUT = auto()  # no answer before the deadline
     STOPPED = auto()  # this front end is shutting down
@@ -81,9 +81,8 @@
 _NO_RESOURCES = dict.fromkeys(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM), EndReason.NO_DESCRIPTOR
 )
-_NO_LOCAL_ADDRESS = dict.fromkeys(
-    (errno.EADDRNOTAVAIL, errno.ENETDOWN), EndReason.LOCAL_FAULT
-)  # no free port, or the network interface is down
+# No free port, or the network interface is down.
+_NO_LOCAL_ADDRESS = dict.fromkeys((errno.EADDRNOTAVAIL, errno.ENETDOWN), EndReason.LOCAL_FAULT)
 _INTERRUPTED = dict.fromkeys((errno.EINTR, errno.EAGAIN), EndReason.LOCAL_FAULT)
 _PEER = {
     errno.ECONNREFUSED: EndReason.REFUSED,
@@ -112,9 +111,8 @@
     SystemCall.SEND: _NO_RESOURCES | _NO_LOCAL_ADDRESS | _INTERRUPTED | _PEER,
     SystemCall.OTHER: _NO_RESOURCES | _PEER,
 }
-LOCAL_REASONS = frozenset(
-    (EndReason.NO_DESCRIPTOR, EndReason.LOCAL_FAULT)
-)  # errors of this machine: the call is retried
+# Errors of this machine, after which the call is retried.
+LOCAL_REASONS = frozenset((EndReason.NO_DESCRIPTOR, EndReason.LOCAL_FAULT))
 
 
 def end_reason_of(error: OSError, call: SystemCall = SystemCall.OTHER) -> EndReason:
--- a/tests/net/test_net_discovery_orders.py
+++ b/tests/net/test_net_discovery_orders.py
@@ -232,9 +232,8 @@
     rig.log.say(event(2))
     rig.at(2)
     with rig.shifted_clock():
-        rig.clock_shift_ms += (
-            change_log.MAX_UNCONFIRMED_MS + 1.0
-        )  # also exceeds the silence timeout, so it reconnects
+        # The shift also exceeds the silence timeout, so that the client reconnects.
+        rig.clock_shift_ms += change_log.MAX_UNCONFIRMED_MS + 1.0
         assert rig.wait_for_requests(2) == ["since", "1"]
         rig.log.say(event(2, rig.member("s-1", "terminating")))
         assert rig.wait_for_requests(3) == ["since", "0"]
--- a/tests/net/test_net_drains.py
+++ b/tests/net/test_net_drains.py
@@ -29,7 +29,7 @@
 
 
 def write_calls(rig, count=CALLS):
-    """Send so many calls that are unread at the same time, 32 on each connection."""
+    """Send this number of calls without reading them at the front end, 32 on each connection."""
     for number in range(count):
         if number % 32 == 0:
             client = rig.client()
@@ -107,9 +107,8 @@
 
 
 def test_a_drain_in_a_new_numbering_is_applied_in_time(rig):
-    assert (
-        change_log.MIN_BACKOFF_MS + change_log.REPLAY_COLLECT_MS < DRAIN_MS - 50.0
-    )  # to reconnect and to receive all events
+    # The time includes a reconnect and the transfer of all events.
+    assert change_log.MIN_BACKOFF_MS + change_log.REPLAY_COLLECT_MS < DRAIN_MS - 50.0
     rig.log.say(event(2))
     rig.at(2)
     rig.log.say(event(2, rig.member("s-1", "terminating")))
--- a/tests/net/test_net_load_orders.py
+++ b/tests/net/test_net_load_orders.py
@@ -25,9 +25,8 @@
     [other] = [entry.scorer for entry in drive.entries if entry.scorer != home]
     [send] = of(drive.ask("again"), io.Send)
     assert send.scorer == home
-    actions = drive.end(
-        send, io.AttemptResult.RESET
-    )  # it may have run at `home`, so it may not be sent there again
+    # The attempt may have run at `home`, so the request may not be sent there again.
+    actions = drive.end(send, io.AttemptResult.RESET)
     order_scorers = []
     for _ in range(40):  # after each answer of a scorer the router may order again
         drive.now += 1.0
--- a/tests/net/test_net_load_orders_of_disconnected_clients.py
+++ b/tests/net/test_net_load_orders_of_disconnected_clients.py
@@ -18,9 +18,8 @@
     scorer = ScorerPeer(copies=None)
     rig = Rig(scorer)
     first, leaving = rig.client(), rig.client()
-    first.call(
-        row="00000000000000aa"
-    )  # establishes a connection, on which another order would be sent at once
+    # The first call's order establishes a connection, on which another order would be sent at once.
+    first.call(row="00000000000000aa")
     rig.until(lambda: scorer.of(scorer_frames.LOAD), "the scorer receives a load order")
     rig.settle(leaving)
     decide, left = rig.front.router.handle, []
--- a/tests/net/test_net_scorer_start_times.py
+++ b/tests/net/test_net_scorer_start_times.py
@@ -25,13 +25,8 @@
     [
         (0.0, 500.0, False, 0.0, 0),  # not known to have started lately
         (NOW - 300.0, 500.0, False, NOW - 300.0, 0),
-        (
-            NOW - MAX_DELAY_MS - 400.0,
-            500.0,
-            False,
-            NOW - MAX_DELAY_MS - 400.0,
-            0,
-        ),  # within the maximum delay of the log
+        # Within the maximum delay of the log.
+        (NOW - MAX_DELAY_MS - 400.0, 500.0, False, NOW - MAX_DELAY_MS - 400.0, 0),
         (NOW - MAX_DELAY_MS - 600.0, 500.0, False, NOW, 1),  # the local clock is ahead
         (NOW - HOUR, 500.0, False, NOW, 1),
         (NOW - HOUR, HOUR, False, NOW - HOUR, 0),  # the log was not received for so long
--- a/tests/net/test_net_scorer_state_machine.py
+++ b/tests/net/test_net_scorer_state_machine.py
@@ -117,7 +117,7 @@
             code = self.random.choice((0, 0, 2, 3, 4))
             try:
                 peer.answer(item, code, "")
-            except OSError as error:  # the link has ended
+            except OSError as error:  # the connection has ended
                 self.case.assertIn(error.errno, (errno.EPIPE, errno.ECONNRESET, errno.EBADF))
 
     def break_connection(self):
