--- a/fawnwharf/__init__.py
+++ b/fawnwharf/__init__.py
@@ -1,4 +1,4 @@
-"""fawnwharf: the decisions of a router for functions that are loaded on demand."""
+"""fawnwharf: a front end that routes calls to scorers, which load functions on demand."""
 
 from fawnwharf.policy import Router
 
--- a/fawnwharf/__main__.py
+++ b/fawnwharf/__main__.py
@@ -1,17 +1,17 @@
-"""The program: ``python -m fawnwharf``."""
+"""Entry point of the program: ``python -m fawnwharf``."""
 
 import signal
 import sys
 from typing import Any
 
-SIGNALS = signal.SIGHUP, signal.SIGTERM, signal.SIGINT  # those that the event loop handles once it runs
+SIGNALS = signal.SIGHUP, signal.SIGTERM, signal.SIGINT  # handled by the event loop once it runs
 FILE_OPTIONS = "--zones", "--state", "--policy", "--sessions", "--recovery"
 
 
 def serve_options(arguments: list[str]) -> dict[str, Any] | None:
-    """The keyword arguments of `serving.serve` for plain `serve` options.
+    """The keyword arguments of `serving.serve`, if the command is `serve` with simple options only.
 
-    None for all other commands, options and spellings, which the command line's libraries parse.
+    None for all other commands, options and spellings, which the command line's library parses.
     """
     if arguments[:1] != ["serve"]:
         return None
@@ -29,24 +29,24 @@
 
 
 def main() -> int:
-    """Run the command of the command line; returns the exit status."""
+    """Runs the command that the command line names; returns the exit status."""
     if sys.argv[1:2] != ["serve"]:
         return run()
-    # Blocked until the event loop has its handlers: a signal ends a program that has none yet.
+    # Blocked until the event loop has installed its handlers: without a handler a signal ends the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     try:
         return run()
     finally:
-        # The interpreter removes its handlers as it ends: a second signal must not change the status.
+        # The interpreter removes the handlers when it ends: a second signal must not change the exit status.
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
 def run() -> int:
-    """Serve at once if the options are plain, else parse the command line; returns the exit status."""
+    """Serves directly if the options are simple, else parses the command line; returns the exit status."""
     options = serve_options(sys.argv[1:])
     if options is not None:
-        # This saves time until the process is ready after a restart, and some 11 MB: the command line's
-        # libraries take longer to import than all the rest, and serving needs none of them.
+        # Skips the command line's libraries, which serving does not need. They take longer to import than
+        # everything else, which would delay a restart, and use about 11 MB of memory.
         from fawnwharf.serving import serve
 
         return serve(**options)
--- a/fawnwharf/cli.py
+++ b/fawnwharf/cli.py
@@ -22,26 +22,27 @@
 recovery_app.command("show")(recovery_show)
 app.add_typer(recovery_app, name="recovery")
 
-# The options of commands.
 ConfigFile = Annotated[
-    str | None, typer.Option("--config", help="The JSON file, in place of ROUTER_CONFIG's.")
+    str | None, typer.Option("--config", help="Configuration file (JSON); overrides ROUTER_CONFIG.")
 ]
-Zones = Annotated[
-    str | None, typer.Option("--zones", help="Settings of failover between zones; off without.")
-]
-State = Annotated[str | None, typer.Option("--state", help="Settings of replicated state; off without.")]
+Zones = Annotated[str | None, typer.Option("--zones", help="Settings file; turns on failover between zones.")]
+State = Annotated[str | None, typer.Option("--state", help="Settings file; turns on replicated state.")]
 Policy = Annotated[
-    str | None, typer.Option("--policy", help="Settings of changes of policy; off without, needs --zones.")
+    str | None, typer.Option("--policy", help="Settings file; turns on policy rollouts. Requires --zones.")
 ]
 Sessions = Annotated[
-    str | None, typer.Option("--sessions", help="Settings of sessions that move; off without, needs --state.")
+    str | None,
+    typer.Option("--sessions", help="Settings file; turns on migration of sessions. Requires --state."),
 ]
 Recovery = Annotated[
     str | None,
-    typer.Option("--recovery", help="Settings of recovery; off without, needs --zones and --state."),
+    typer.Option(
+        "--recovery",
+        help="Settings file; turns on recovery after a power loss. Requires --zones and --state.",
+    ),
 ]
 Fresh = Annotated[
-    bool, typer.Option("--fresh", help="The whole fleet begins: no front end has promised anything before.")
+    bool, typer.Option("--fresh", help="Start a new fleet: no front end has granted anything before.")
 ]
 
 
@@ -55,7 +56,7 @@
     fresh: Fresh = False,
     recovery: Recovery = None,
 ) -> None:
-    """Serve until SIGTERM, then finish what was taken."""
+    """Serve until SIGTERM, then finish the accepted requests."""
     status = serving.serve(
         path, fresh=fresh, zones=zones, state=state, policy=policy, sessions=sessions, recovery=recovery
     )
@@ -64,15 +65,15 @@
 
 @app.command("check-config")
 def check_config(path: ConfigFile = None) -> None:
-    """Read and check the configuration, and say what was understood."""
+    """Check the configuration and print a summary of it."""
     try:
-        found = config.load(path)
+        deployment = config.load(path)
     except config.ConfigError as error:
         typer.echo(f"fawnwharf: {error}", err=True)
         raise typer.Exit(2) from None
-    host, port = found.listen
-    names = ", ".join(found.settings.classes) or "none"
-    typer.echo(f"fawnwharf: good: {found.name or 'no name'} on {host}:{port}, classes: {names}")
+    host, port = deployment.listen
+    classes = ", ".join(deployment.settings.classes) or "none"
+    typer.echo(f"fawnwharf: good: {deployment.name or 'no name'} on {host}:{port}, classes: {classes}")
 
 
 @app.command()
--- a/fawnwharf/config.py
+++ b/fawnwharf/config.py
@@ -1,8 +1,8 @@
-"""Reads, checks and gives defaults to configuration and settings; nothing else in the program does.
+"""Parses and validates the front end's configuration and the settings of the decision module.
 
-Both hosts of the decision module use it: the adapter for the settings of an instance, the front end for its
-whole configuration. Unknown keys are ignored, absent and null keys keep their defaults, and a faulty key
-raises `ConfigError`, whose text names it. Durations are milliseconds.
+Both hosts of the decision module use it: the simulator's adapter for the settings of an instance, and the
+front end for its whole configuration. Unknown keys are ignored, and absent and null keys get their defaults.
+An invalid value raises `ConfigError` with the name of its key. Durations are in milliseconds.
 """
 
 import ipaddress
@@ -25,14 +25,14 @@
 
 
 class ConfigError(ValueError):
-    """A faulty configuration; the text names the key."""
+    """The configuration is invalid; the text names the key."""
 
 
-# --- the settings of an instance; `name=` gives the key of the documents where it differs ------
+# --- the configuration file; `name=` is the key in the file where it differs from the attribute ------
 
 
 class _Class(Struct):
-    """The rules for the calls of one class."""
+    """The rules for the calls of one request class."""
 
     name: str
     latency_target: Milliseconds = msgspec.field(name="promise", default=1000.0)
@@ -45,14 +45,14 @@
 
 
 class _Tenant(Struct):
-    """A tenant, and its quota in calls a second for all front ends together; None: unlimited."""
+    """A tenant, and its quota in calls per second over all front ends; None means unlimited."""
 
     name: str
     quota_rps: NonNegativeFloat | None = None
 
 
 class _Bounds(Struct):
-    """What a front end may do, and limits of its connections."""
+    """Which actions a front end may take, and the limits of its connections."""
 
     cancellation_allowed: bool = msgspec.field(name="cancel", default=True)
     hedging: bool = msgspec.field(name="second_copies", default=True)
@@ -66,7 +66,7 @@
 
 
 class _Family(Struct):
-    """What the site's kind of scorers allows and does."""
+    """What the scorers of this site support, and their timeouts and limits."""
 
     load_orders_allowed: bool = msgspec.field(name="may_order", default=True)
     idle_life: Milliseconds = 10_000.0
@@ -80,7 +80,7 @@
 
 
 class _SlowStart(Struct):
-    """The limit on requests to a scorer that has just started."""
+    """The slow start of a scorer: it gets fewer requests after its start."""
 
     duration: Milliseconds = msgspec.field(name="cold", default=10_000.0)
     initial_share: NonNegativeFloat = msgspec.field(name="cold_share", default=0.2)
@@ -89,7 +89,7 @@
 
 
 class _Costs(Struct):
-    """Prices, as parts of the result."""
+    """Prices of operations, as fractions of the result."""
 
     handshake: NonNegativeFloat = 0.0
     origin: NonNegativeFloat = 0.0
@@ -98,7 +98,7 @@
 
 
 class _Settings(Struct):
-    """The settings of an instance."""
+    """The settings of one instance of the decision module, and of its connections."""
 
     classes: list[_Class] = []
     tenants: list[_Tenant] = []
@@ -113,7 +113,7 @@
 
 
 class _ProcessLimits(Struct):
-    """The limits of the process."""
+    """The resource limits of the process."""
 
     cores: NonNegativeFloat = 1.0
     memory_mb: PositiveInt = 192
@@ -121,7 +121,7 @@
 
 
 class _KnownEvents(Struct):
-    """What the change log had sent when the configuration was written."""
+    """The events that the change log had sent when the configuration was written."""
 
     seq: NonNegativeInt = 0
     results: list[dict[str, Any]] = []
@@ -140,24 +140,27 @@
     known: _KnownEvents = msgspec.field(default_factory=_KnownEvents)
 
 
-# --- what the program works with -------------------------------------------------------------
+# --- the validated configuration, as the program uses it --------------------------------------
 
 
 class Wire(Struct, frozen=True):
-    """The settings that sockets need and decisions do not."""
+    """The settings of connections and requests that the decision module does not need."""
 
-    dial_timeout_ms: float = 250.0  # for a connection to a scorer
-    keepalive_ms: float = 15_000.0  # scorers keep an idle connection open for so long
-    streams_per_conn: int = 32  # requests in flight on one connection
-    max_open: int = 20_000  # open requests of clients
+    dial_timeout_ms: float = 250.0  # connection timeout to a scorer
+    keepalive_ms: float = 15_000.0  # scorers close a connection that is idle for this long
+    streams_per_conn: int = 32  # maximum number of requests in flight on one scorer connection
+    max_open: int = 20_000  # maximum number of open requests of clients
     load_wait_ms: float = 10_000.0  # timeout of a load order
-    reports_concurrency: bool = False  # answers of scorers report the calls in flight
-    handshake_price: float = 0.0  # points taken off for a new connection, by first attempt
-    tenants: frozenset[str] = frozenset()  # empty: a site without tenants
+    reports_concurrency: bool = False  # answers of scorers report the number of calls in flight
+    handshake_price: float = 0.0  # points deducted for a new connection, per first attempt
+    tenants: frozenset[str] = frozenset()  # empty: the site has no tenants
 
 
 class Costs(Struct, frozen=True):
-    """Prices of a fetch, of wasted work, of a load order and of memory, as parts of the result."""
+    """Prices of a fetch from the origin, wasted work, a load order and idle memory.
+
+    They are fractions of the result.
+    """
 
     origin: float = 0.0
     waste: float = 0.0
@@ -168,9 +171,10 @@
 class Deployment(Struct, frozen=True):
     """The whole configuration of one front end.
 
-    `listen`, `changelog` and `control` are numeric addresses; `control` is for operators. `memory_mb` and
-    `sockets` are the limits of the process; `known_seq` and `known_events` are what the change log had sent
-    when the configuration was written.
+    - `listen`: address for clients. `control`: address for operators. Both are numeric, as is `changelog`.
+    - `memory_mb`, `sockets`: limits of the process on memory and on file descriptors.
+    - `known_seq`, `known_events`: the last sequence number and the events that the change log had sent when
+      the configuration was written.
     """
 
     name: str
@@ -183,12 +187,12 @@
     known_events: list[dict[str, Any]]
     settings: io.Settings
     wire: Wire
-    control: Address | None = None  # None: there is no such address
+    control: Address | None = None  # None: operators have no address
     costs: Costs = Costs()
 
 
 class Member(Struct, frozen=True):
-    """A scorer as an event of the change log gives it; `up_since_ms` is Unix time in milliseconds."""
+    """A scorer in an event of the change log; `up_since_ms` is its start as Unix time in milliseconds."""
 
     id: str
     phase: Literal["in_service", "terminating", "terminated"]
@@ -203,7 +207,7 @@
 class Fleet(Struct, frozen=True):
     """The list of scorers in an event of the change log.
 
-    `complete` distinguishes a complete list from a list of changes; `revision` is the list's number.
+    `complete`: whether this lists all scorers; otherwise only those that changed. `revision` is its number.
     """
 
     members: list[Member]
@@ -212,7 +216,7 @@
 
 
 def _without_nulls(value: Any) -> Any:
-    """Decoded JSON without the keys whose value is null, so that these get their defaults."""
+    """Removes keys whose value is null from decoded JSON, so that they get their defaults."""
     if isinstance(value, dict):
         return {key: _without_nulls(item) for key, item in value.items() if item is not None}
     if isinstance(value, list):
@@ -220,10 +224,10 @@
     return value
 
 
-def _read(data: Any, kind: type[T], prefix: str = "") -> T:
-    """Decoded JSON as a value of a type; `prefix` goes before the key that an error names.
+def _convert(data: Any, kind: type[T], prefix: str = "") -> T:
+    """Converts decoded JSON to a type.
 
-    Raises `ConfigError` with the name of a faulty key.
+    Raises `ConfigError` with the name of an invalid key, which begins with `prefix`.
     """
     try:
         return msgspec.convert(_without_nulls(data), kind)
@@ -234,26 +238,26 @@
 
 
 def settings_from(config: Any) -> io.Settings:
-    """The decision module's settings, from the object that an instance is given.
+    """The decision module's settings from the decoded `settings` object.
 
-    Raises `ConfigError` with the name of a faulty key.
+    Raises `ConfigError` with the name of an invalid key.
     """
-    return _settings(_read(config, _Settings, "settings"))
+    return _decision_settings(_convert(config, _Settings, "settings"))
 
 
-def _settings(read: _Settings) -> io.Settings:
-    """The settings of decisions, from those that were read."""
-    bounds = read.bounds
-    family = read.family
-    slow_start = read.slow_start
-    quotas = {tenant.name: tenant.quota_rps for tenant in read.tenants if tenant.quota_rps is not None}
+def _decision_settings(parsed: _Settings) -> io.Settings:
+    """The decision module's settings from the parsed settings."""
+    bounds = parsed.bounds
+    family = parsed.family
+    slow_start = parsed.slow_start
+    quotas = {tenant.name: tenant.quota_rps for tenant in parsed.tenants if tenant.quota_rps is not None}
     return io.Settings(
-        classes={spec.name: _class(spec) for spec in read.classes},
+        classes={spec.name: _class(spec) for spec in parsed.classes},
         quotas_rps=quotas,
-        fleet_size=read.fleet_size,
-        zone=read.zone,
-        tick_ms=read.tick,
-        weights_fixed=read.weight_source in ("nominal", "rough"),
+        fleet_size=parsed.fleet_size,
+        zone=parsed.zone,
+        tick_ms=parsed.tick,
+        weights_fixed=parsed.weight_source in ("nominal", "rough"),
         load_orders_allowed=family.load_orders_allowed,
         cancellation_allowed=bounds.cancellation_allowed,
         hedging=bounds.hedging,
@@ -272,7 +276,7 @@
 
 
 def _class(spec: _Class) -> io.ClassSpec:
-    """The rules of a class, from those that were read."""
+    """The rules of one request class from its parsed settings."""
     return io.ClassSpec(
         name=spec.name,
         latency_target_ms=spec.latency_target,
@@ -285,10 +289,10 @@
     )
 
 
-def _wire(read: _Settings) -> Wire:
-    """The settings of sockets, from those that were read."""
-    bounds = read.bounds
-    family = read.family
+def _connection_settings(parsed: _Settings) -> Wire:
+    """The connection settings from the parsed settings."""
+    bounds = parsed.bounds
+    family = parsed.family
     return Wire(
         dial_timeout_ms=bounds.dial_timeout,
         keepalive_ms=bounds.keepalive,
@@ -296,21 +300,21 @@
         max_open=bounds.max_open,
         load_wait_ms=family.load_wait,
         reports_concurrency=family.reports_concurrency,
-        handshake_price=read.costs.handshake,
-        tenants=frozenset(tenant.name for tenant in read.tenants),
+        handshake_price=parsed.costs.handshake,
+        tenants=frozenset(tenant.name for tenant in parsed.tenants),
     )
 
 
-def _costs(read: _Settings) -> Costs:
-    """The prices, from the settings that were read."""
-    costs = read.costs
-    return Costs(costs.origin, costs.waste, costs.probe, read.family.idle_memory_cost)
+def _costs(parsed: _Settings) -> Costs:
+    """The prices from the parsed settings."""
+    costs = parsed.costs
+    return Costs(costs.origin, costs.waste, costs.probe, parsed.family.idle_memory_cost)
 
 
 def address_from(text: str, key: str) -> Address:
-    """A numeric address and port; names are not looked up, as there is no DNS.
+    """Parses a numeric address and port; host names are rejected, as the site has no DNS.
 
-    Raises `ConfigError` under the name `key`.
+    Raises `ConfigError` that names `key`.
     """
     host, _, port = text.rpartition(":")
     try:
@@ -324,7 +328,7 @@
 
 
 def _seed(seed: str | int) -> int:
-    """A seed as a number; as text it is hexadecimal."""
+    """The seed as a number; a string is hexadecimal."""
     if isinstance(seed, int):
         return seed
     try:
@@ -334,33 +338,34 @@
 
 
 def deployment_from(data: Any, environment: Mapping[str, str]) -> Deployment:
-    """The configuration of a front end from decoded JSON; variables ROUTER_* of `environment` go first.
+    """The configuration of a front end from decoded JSON.
 
-    Raises `ConfigError` with the name of a faulty key.
+    ROUTER_LISTEN, ROUTER_CONTROL and ROUTER_NAME of `environment` override it. Raises `ConfigError` with the
+    name of an invalid key.
     """
-    read = _read(data, _Deployment)
-    listen = environment.get("ROUTER_LISTEN") or read.listen
-    control = environment.get("ROUTER_CONTROL") or read.control
+    parsed = _convert(data, _Deployment)
+    listen = environment.get("ROUTER_LISTEN") or parsed.listen
+    control = environment.get("ROUTER_CONTROL") or parsed.control
     return Deployment(
-        name=environment.get("ROUTER_NAME") or read.name,
+        name=environment.get("ROUTER_NAME") or parsed.name,
         listen=address_from(listen, "listen"),
-        changelog=address_from(read.changelog, "changelog"),
-        seed=_seed(read.seed),
-        memory_mb=read.limits.memory_mb,
-        sockets=read.limits.sockets,
-        known_seq=read.known.seq,
-        known_events=read.known.results,
-        settings=_settings(read.settings),
-        wire=_wire(read.settings),
+        changelog=address_from(parsed.changelog, "changelog"),
+        seed=_seed(parsed.seed),
+        memory_mb=parsed.limits.memory_mb,
+        sockets=parsed.limits.sockets,
+        known_seq=parsed.known.seq,
+        known_events=parsed.known.results,
+        settings=_decision_settings(parsed.settings),
+        wire=_connection_settings(parsed.settings),
         control=address_from(control, "control") if control else None,
-        costs=_costs(read.settings),
+        costs=_costs(parsed.settings),
     )
 
 
 def load(path: str | None = None, environment: Mapping[str, str] = os.environ) -> Deployment:
-    """The configuration at `path`, or where ROUTER_CONFIG says.
+    """Loads the configuration from `path`, or from the file that ROUTER_CONFIG names.
 
-    Raises `ConfigError` where there is no path, the file can't be read, or a key is faulty.
+    Raises `ConfigError` if there is no path, the file can't be read, or a key is invalid.
     """
     file = path or environment.get("ROUTER_CONFIG")
     if not file:
@@ -375,5 +380,5 @@
 
 
 def fleet_from(data: Any) -> Fleet:
-    """The list in an event of the change log; raises `ConfigError` with the name of a faulty key."""
-    return _read(data, Fleet, "fleet")
+    """The scorers in an event of the change log; raises `ConfigError` with the name of an invalid key."""
+    return _convert(data, Fleet, "fleet")
--- a/fawnwharf/serving.py
+++ b/fawnwharf/serving.py
@@ -1,4 +1,7 @@
-"""Serves from a configuration file to an exit status, with or without the command line's libraries."""
+"""Runs a front end from its configuration file to its exit status.
+
+Imports neither the command line's libraries nor a subsystem that is off.
+"""
 
 import gc
 import signal
@@ -12,57 +15,61 @@
 from fawnwharf.net.front_end import FrontEnd
 from fawnwharf.net.listener import listen_when_free, open_listener, termination_pending
 
-ROSTER_FILTER_OWNERS = "zones", "state"  # subsystems that filter the roster; the filters go as they restart
-# Options that an option needs, as its subsystem reads the logs of theirs.
+ROSTER_FILTER_OWNERS = "zones", "state"  # subsystems that filter the roster; `resume` removes their filters
+# Options that an option requires, because its subsystem reads the logs of their subsystems.
 REQUIRED_OPTIONS = {"policy": ("zones",), "sessions": ("state",), "recovery": ("zones", "state")}
-Subsystems = dict[str, Any]  # by the names of their options
-Maker = Callable[[bool, Subsystems], Any]
+Subsystems = dict[str, Any]  # by option name
+# Creates a subsystem. Arguments: whether no earlier process of the member is running, and the subsystems
+# created before.
+SubsystemFactory = Callable[[bool, Subsystems], Any]
 
 
 class SubsystemFiles(TypedDict, total=False):
-    """The settings files of the subsystems; None or missing: the subsystem is off, and not even imported."""
+    """The settings files of the subsystems; without its file a subsystem is off and is not imported."""
 
     zones: str | None  # failover between zones
     state: str | None  # replicated state
-    policy: str | None  # changes of policy
-    sessions: str | None  # sessions that move between sites
-    recovery: str | None  # the return from a loss of power
+    policy: str | None  # policy rollouts
+    sessions: str | None  # migration of sessions between sites
+    recovery: str | None  # recovery after a power loss
 
 
 def serve(path: str | None = None, *, fresh: bool = False, **files: Unpack[SubsystemFiles]) -> int:
-    """Serve until SIGTERM; returns the exit status.
+    """Serves until SIGTERM; returns the exit status.
 
-    It is 0 when all accepted requests are answered, 2 with the key's name on standard error where the
-    configuration is faulty. `path` is that of the configuration file; None: ROUTER_CONFIG gives it. `fresh`:
-    the fleet begins, and no front end has promised anything.
+    The status is 0 after all accepted requests were answered, and 2 if the configuration is invalid; then
+    standard error names the key. `path`: the configuration file; None means the one that ROUTER_CONFIG names.
+    `fresh`: the fleet is new, so no front end has granted anything before.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # until the loop has its handlers
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # until the event loop has its handlers
     try:
         deployment = config.load(path)
-        given = {name: str(file) for name, file in files.items() if file}
-        front = _open_front_end(deployment, path, given, fresh)
+        option_files = {name: str(file) for name, file in files.items() if file}
+        front = _open_front_end(deployment, path, option_files, fresh)
     except config.ConfigError as error:
         print(f"fawnwharf: {error}", file=sys.stderr)
         return 2
     if front.admin is not None and front.admin.will_take_over and termination_pending():
-        front.close()  # the process that serves goes on as if this one had not started
+        front.close()  # the predecessor continues to serve as if this process had not started
         return 0
-    gc.freeze()  # what the start has made stays: garbage collections need not visit it
+    gc.freeze()  # objects from the start live as long as the process: garbage collection skips them
     front.serve()
     return 0
 
 
-def _makers(deployment: config.Deployment, files: dict[str, str], fresh: bool) -> dict[str, Maker]:
-    """Makers of the subsystems by the options' names, in the order in which these are made.
+def _subsystem_factories(
+    deployment: config.Deployment, files: dict[str, str], fresh: bool
+) -> dict[str, SubsystemFactory]:
+    """Factories of the subsystems by option name, in the order of creation.
 
-    Each is imported only if its option is given. Raises `ConfigError` if an option is given without one that
-    it needs.
+    A subsystem is imported only if its option is given. Raises `ConfigError` if an option is given without
+    another one that it requires.
     """
     for name, needed in REQUIRED_OPTIONS.items():
         missing = [each for each in needed if name in files and each not in files]
         if missing:
             raise config.ConfigError(f"--{name}: goes by the logs of --{missing[0]}, which is not given")
-    makers: dict[str, Maker] = {}
+    factories: dict[str, SubsystemFactory] = {}
     if files:
         from fawnwharf.zones.operator_log import writer
 
@@ -70,54 +77,60 @@
     if zones_file := files.get("zones"):
         from fawnwharf.zones.service import ZoneService
 
-        makers["zones"] = lambda _first, _made: ZoneService(deployment, zones_file, write)
+        factories["zones"] = lambda _is_first_process, _created: ZoneService(deployment, zones_file, write)
     if recovery_file := files.get("recovery"):
         from fawnwharf.recovery_service.recovery_store import open_recovery_store
 
-        makers["kept"] = lambda first, _made: open_recovery_store(
-            deployment, recovery_file, files["state"], write, fleet_is_new=fresh and first
+        factories["kept"] = lambda is_first_process, _created: open_recovery_store(
+            deployment, recovery_file, files["state"], write, fleet_is_new=fresh and is_first_process
         )
     if state_file := files.get("state"):
         from fawnwharf.replication.service import ReplicationService
 
-        makers["state"] = lambda first, made: ReplicationService(
+        factories["state"] = lambda is_first_process, created: ReplicationService(
             deployment,
             state_file,
             write,
-            fresh=fresh and first,
-            grant_storage_factory=made.get("kept"),
+            fresh=fresh and is_first_process,
+            grant_storage_factory=created.get("kept"),
         )
     if policy_file := files.get("policy"):
         from fawnwharf.policy_rollout.service import PolicyRolloutService
 
-        makers["policy"] = lambda _first, made: PolicyRolloutService(deployment, policy_file, write, made)
+        factories["policy"] = lambda _is_first_process, created: PolicyRolloutService(
+            deployment, policy_file, write, created
+        )
     if sessions_file := files.get("sessions"):
         from fawnwharf.sessions.service import Sessions
 
-        makers["sessions"] = lambda first, made: Sessions(
-            deployment, sessions_file, write, made, fresh and first
+        factories["sessions"] = lambda is_first_process, created: Sessions(
+            deployment, sessions_file, write, created, fresh and is_first_process
         )
     if recovery_file:
         from fawnwharf.recovery_service.service import RecoveryService
 
-        makers["recovery"] = lambda _first, made: RecoveryService(deployment, recovery_file, write, made)
-    return makers
+        factories["recovery"] = lambda _is_first_process, created: RecoveryService(
+            deployment, recovery_file, write, created
+        )
+    return factories
 
 
 def _open_front_end(
     deployment: config.Deployment, path: str | None, files: dict[str, str], fresh: bool
 ) -> FrontEnd:
-    """A front end that listens, with its subsystems and its administration."""
-    makers = _makers(deployment, files, fresh)
+    """Creates a listening front end with its subsystems and its admin service."""
+    factories = _subsystem_factories(deployment, files, fresh)
     inherited = None
     if deployment.control:
         from fawnwharf.admin.handoff_request import inherit_state
 
-        # First of all: the process that still serves may have the disks of these extensions open.
-        inherited = inherit_state(deployment, needs_exclusive_extensions=bool(makers))
+        # Before the subsystems are created: the running predecessor may have their disks open.
+        inherited = inherit_state(deployment, needs_exclusive_extensions=bool(factories))
     extension = None
-    if makers:
-        extension = ExtensionGroup(makers, first=not (inherited and inherited.predecessor_socket))
+    if factories:
+        extension = ExtensionGroup(
+            factories, is_first_process=not (inherited and inherited.predecessor_socket)
+        )
     listener = (inherited and inherited.listener) or _open_listener(deployment)
     front = FrontEnd(deployment, reread=lambda: config.load(path), extension=extension, listener=listener)
     if extension:
@@ -130,8 +143,8 @@
 
 
 def _open_listener(deployment: config.Deployment) -> socket.socket:
-    """The socket for clients; raises `ConfigError` if the address can't be used."""
-    shared = deployment.control is not None  # another process may listen there, to take this one's place
+    """Opens the listening socket for clients; raises `ConfigError` if the address can't be used."""
+    shared = deployment.control is not None  # a successor may listen there during a hot restart
     try:
         return listen_when_free(lambda: open_listener(deployment.listen, shared))
     except OSError as error:
@@ -139,46 +152,45 @@
 
 
 class ExtensionGroup:
-    """The subsystems as one extension of the front end, in their order.
+    """The subsystems as one extension of the front end, called in their order of creation.
 
-    All of them exist, or none while another process has them.
+    Either all of them exist, or none while another process holds them.
     """
 
-    def __init__(self, makers: dict[str, Maker], first: bool) -> None:
-        """Make the subsystems.
+    def __init__(self, factories: dict[str, SubsystemFactory], is_first_process: bool) -> None:
+        """Creates the subsystems; raises `ConfigError` if the settings of one are invalid.
 
-        Each maker reads and checks what its subsystem needs, gets those that were made before it, and raises
-        `ConfigError`. `first`: no earlier process of this member may have made promises that a fresh fleet
-        does not know.
+        `is_first_process`: no earlier process of this member is running. Only then may the fleet count as
+        new, because an earlier process may have granted something already.
         """
-        self._makers = makers
-        self._parts = self._made(first)
+        self._factories = factories
+        self._parts = self._create_subsystems(is_first_process)
 
-    def _made(self, first: bool) -> list[Any]:
-        """The subsystems, newly made; on a faulty configuration those made so far are closed again."""
-        made: Subsystems = {}
+    def _create_subsystems(self, is_first_process: bool) -> list[Any]:
+        """Creates the subsystems; if a configuration is invalid, those created so far are closed."""
+        created: Subsystems = {}
         try:
-            for name, make in self._makers.items():
-                made[name] = make(first, made)
+            for name, create in self._factories.items():
+                created[name] = create(is_first_process, created)
         except config.ConfigError:
-            for part in made.values():
+            for part in created.values():
                 part.close()
             raise
-        return list(made.values())
+        return list(created.values())
 
     def attach(self, front: FrontEnd) -> None:
-        """Connect the subsystems to a front end."""
+        """Connects the subsystems to a front end."""
         for part in self._parts:
             part.attach(front)
 
     def suspend(self) -> None:
-        """Close the subsystems, as another process takes them over."""
+        """Closes the subsystems, because another process takes them over."""
         self.close()
         self._parts = []
 
     def resume(self, front: FrontEnd) -> None:
-        """Make the subsystems again, as the other process gave up; raises `ConfigError`."""
-        self._parts = self._made(first=False)
+        """Creates the subsystems again after the other process has ended; raises `ConfigError`."""
+        self._parts = self._create_subsystems(is_first_process=False)
         for owner in ROSTER_FILTER_OWNERS:
             front.apply_fleet(front.roster_overlay.set_filter(owner, None))
         front.limit_calls(ROSTER_FILTER_OWNERS[0], io.UNLIMITED_RPS)
@@ -191,21 +203,21 @@
             raise
 
     def on_fleet(self, fleet: config.Fleet) -> None:
-        """Hand the scorer list of the change log on to the subsystems."""
+        """Passes the scorer list of the change log to the subsystems."""
         for part in self._parts:
             part.on_fleet(fleet)
 
     def on_events(self, events: list[io.Event]) -> None:
-        """Hand events for decisions on to the subsystems."""
+        """Passes events for the decision module to the subsystems."""
         for part in self._parts:
             part.on_events(events)
 
     @property
     def busy(self) -> bool:
-        """Whether a subsystem still has work that a shutdown waits for."""
+        """Whether a subsystem has unfinished work, which a shutdown waits for."""
         return any(part.busy for part in self._parts)
 
     def close(self) -> None:
-        """Close the subsystems."""
+        """Closes the subsystems."""
         for part in self._parts:
             part.close()
