--- a/fawnwharf/wirehost.py
+++ b/fawnwharf/wirehost.py
@@ -1,7 +1,7 @@
-"""The adapter: JSON lines on standard input to events, actions to JSON lines on standard output.
+"""The simulator's adapter: decodes events from standard input and encodes actions to standard output.
 
-Translation only; every decision is in fawnwharf.policy. Names in quotes are those of the wire. Run as
-``python -m fawnwharf.wirehost``.
+Both are JSON lines. The adapter only translates; fawnwharf.policy makes all decisions. Names in quotes are
+those of the simulator's protocol. Run it as ``python -m fawnwharf.wirehost``.
 """
 
 import gc
@@ -16,16 +16,19 @@
 from fawnwharf.policy import Router
 
 RESULTS = {result.value: result for result in io.AttemptResult}
-LIST_UNCHANGED = 3  # "kind" of a roster message whose query failed: the prior list stays in effect
-COMPLETE_LISTS = (1, 2)  # "kind" of the messages that list all scorers
+LIST_UNCHANGED = 3  # "kind" of a roster message whose query failed: the previous list stays in effect
+COMPLETE_LISTS = (1, 2)  # "kind" of roster messages that list all scorers
+HAS_HINT = 1  # bit of "bitmap": the message's "hint" is valid
+WARMTH_BITS = 3  # lowest bits of "remark", which hold the warmth; the reported concurrency is above them
+WARMTH_MASK = 7
 
 
 class BatchError(ValueError):
-    """A line that is no valid batch; the text names what is wrong."""
+    """A line is not a valid batch; the text says why."""
 
 
-def entry_from(entry: dict[str, Any]) -> io.ScorerEntry:
-    """One scorer of a roster message."""
+def scorer_entry_from(entry: dict[str, Any]) -> io.ScorerEntry:
+    """Converts one scorer of a roster message."""
     units = entry.get("units")
     return io.ScorerEntry(
         scorer=entry["worker"],
@@ -38,17 +41,17 @@
     )
 
 
-def roster_from(body: dict[str, Any]) -> io.RosterChanged | None:
-    """The event of a roster message; None where its query failed."""
+def roster_changed_from(body: dict[str, Any]) -> io.RosterChanged | None:
+    """Converts a roster message; None if its query failed."""
     kind = body.get("kind") or 0
     if kind == LIST_UNCHANGED:
         return None
-    entries = [entry_from(entry) for entry in body.get("entries") or []]
+    entries = [scorer_entry_from(entry) for entry in body.get("entries") or []]
     return io.RosterChanged(entries, complete=kind in COMPLETE_LISTS)
 
 
-def request_from(body: dict[str, Any]) -> io.RequestArrived:
-    """The event of a new request."""
+def request_arrived_from(body: dict[str, Any]) -> io.RequestArrived:
+    """Converts a new request."""
     return io.RequestArrived(
         request=body["tid"],
         function=body.get("fn") or "",
@@ -58,15 +61,12 @@
         lanes=body.get("per_copy") or 1,
         memory_mb=body.get("mem_mb"),
         load_ms=body.get("load_ms"),
-        hint_ms=body.get("hint") if (body.get("bitmap") or 0) & 1 else None,
+        hint_ms=body.get("hint") if (body.get("bitmap") or 0) & HAS_HINT else None,
     )
 
 
-def attempt_from(body: dict[str, Any]) -> io.AttemptEnded:
-    """The event of an attempt that ended.
-
-    The remark holds the warmth in its lowest three bits and the reported concurrency above them.
-    """
+def attempt_ended_from(body: dict[str, Any]) -> io.AttemptEnded:
+    """Converts the end of an attempt."""
     remark = body.get("remark")
     return io.AttemptEnded(
         request=body["tid"],
@@ -75,14 +75,14 @@
         result=RESULTS[body["ending"]],
         took_ms=body.get("took") or 0.0,
         closed=bool(body.get("ended")),
-        warmth=io.Warmth((remark or 0) & 7),
-        reported_concurrency=None if remark is None else remark >> 3,
+        warmth=io.Warmth((remark or 0) & WARMTH_MASK),
+        reported_concurrency=None if remark is None else remark >> WARMTH_BITS,
         report=body.get("health_info"),
     )
 
 
-def order_from(body: dict[str, Any]) -> io.LoadOrderAnswered:
-    """The event of a load order or probe that ended."""
+def load_order_answered_from(body: dict[str, Any]) -> io.LoadOrderAnswered:
+    """Converts the answer to a load order or a probe."""
     return io.LoadOrderAnswered(
         scorer=body["worker"],
         function=body["fn"],
@@ -92,16 +92,16 @@
     )
 
 
-READERS: dict[str, Callable[[dict[str, Any]], io.Event | None]] = {
-    "TARGETS": roster_from,
-    "NEW_REQUEST": request_from,
+EVENT_DECODERS: dict[str, Callable[[dict[str, Any]], io.Event | None]] = {
+    "TARGETS": roster_changed_from,
+    "NEW_REQUEST": request_arrived_from,
     "HANGUP": lambda body: io.RequestCancelled(body["tid"]),
-    "RESOLVED": attempt_from,
-    "RESIDENT": order_from,
+    "RESOLVED": attempt_ended_from,
+    "RESIDENT": load_order_answered_from,
     "DEADLINE_HIT": lambda body: io.TimerDue(body["handle"]),
 }
 
-WRITERS: dict[type[io.Action], Callable[[Any], dict[str, Any]]] = {
+ACTION_ENCODERS: dict[type[io.Action], Callable[[Any], dict[str, Any]]] = {
     io.Send: lambda action: {"ATTEMPT": {"tid": action.request, "worker": action.scorer}},
     io.Cancel: lambda action: {"STOP_ATTEMPT": {"tid": action.request, "try": action.attempt}},
     io.Reject: lambda action: {"SAY_NO": {"tid": action.request, "hold_off": action.hold_off_ms}},
@@ -115,13 +115,13 @@
 
 
 class Host:
-    """One Router for each instance; they share nothing."""
+    """The simulated front ends: one Router for each instance, without shared state."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
     def answer(self, line: str) -> str:
-        """The reply to one line of input; raises `BatchError` if it is no valid batch."""
+        """The reply to one line of input; raises `BatchError` if the line is not a valid batch."""
         try:
             batch = json.loads(line)
         except ValueError as error:
@@ -134,13 +134,13 @@
         for end in batch["ends"]:
             if not isinstance(end, dict) or "who" not in end or not isinstance(end.get("inbox"), list):
                 raise BatchError("an element of 'ends' has 'who' and an array 'inbox'")
-            steps = self._take_messages(end["who"], batch["wall"], end["inbox"])
+            steps = self._handle_messages(end["who"], batch["wall"], end["inbox"])
             if steps:
                 replies.append({"who": end["who"], "steps": steps})
         return json.dumps({"ends": replies}, separators=(",", ":"))
 
-    def _take_messages(self, instance: int, now_ms: float, inbox: list[Any]) -> list[dict[str, Any]]:
-        """Take the messages to an instance in their order; the actions, as the wire has them."""
+    def _handle_messages(self, instance: int, now_ms: float, inbox: list[Any]) -> list[dict[str, Any]]:
+        """Processes the messages for an instance in their order; returns the encoded actions."""
         steps: list[dict[str, Any]] = []
         events: list[io.Event] = []
         for message in inbox:
@@ -148,8 +148,8 @@
                 raise BatchError(f"an event is an object with one name: {json.dumps(message)[:80]}")
             [(name, body)] = message.items()
             if name in ("ATTACH", "POWER_OFF"):
-                # The events before it are those of the router that ends here.
-                steps += self._handle(instance, now_ms, events)
+                # Earlier events in this batch belong to the router that ends here.
+                steps += self._handle_events(instance, now_ms, events)
                 events = []
                 self.routers.pop(instance, None)
             try:
@@ -157,28 +157,28 @@
                     self.routers[instance] = Router(
                         settings_from(body.get("config") or {}), body["init_seed"]
                     )
-                elif name in READERS and (event := READERS[name](body)) is not None:
+                elif name in EVENT_DECODERS and (event := EVENT_DECODERS[name](body)) is not None:
                     events.append(event)
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 raise BatchError(f"{name}: {type(error).__name__}: {error}") from None
-        return steps + self._handle(instance, now_ms, events)
+        return steps + self._handle_events(instance, now_ms, events)
 
-    def _handle(self, instance: int, now_ms: float, events: list[io.Event]) -> list[dict[str, Any]]:
-        """Let an instance's router take events; the actions, as the wire has them."""
+    def _handle_events(self, instance: int, now_ms: float, events: list[io.Event]) -> list[dict[str, Any]]:
+        """Passes events to an instance's router; returns the encoded actions."""
         if not events or instance not in self.routers:
             return []
         try:
             actions = self.routers[instance].handle(now_ms, events)
-        except Exception as error:  # reported for this instance alone, as the wire provides
+        except Exception as error:  # the protocol reports it for this instance only
             frame = traceback.extract_tb(error.__traceback__)[-1]
             text = f"{type(error).__name__} in {frame.name}, line {frame.lineno}: {error}"
             return [{"EXCEPTION": {"body_text": text}}]
-        return [WRITERS[type(action)](action) for action in actions]
+        return [ACTION_ENCODERS[type(action)](action) for action in actions]
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Answer line by line until the input ends; returns the exit status, 2 after an invalid line."""
-    gc.freeze()
+    """Answers each input line until the input ends; returns the exit status, 2 after an invalid line."""
+    gc.freeze()  # imported objects live as long as the process: garbage collection skips them
     host = Host()
     for line in source:
         try:
