--- a/fawnwharf/file_writes.py
+++ b/fawnwharf/file_writes.py
@@ -5,14 +5,14 @@
 
 
 def write_all(file: int, data: bytes) -> None:
-    """Write all data to an open file, however little each call writes. Raises OSError."""
+    """Writes all data to an open file descriptor, also where one call writes only a part. Raises OSError."""
     unwritten = memoryview(data)
     while unwritten:
         unwritten = unwritten[os.write(file, unwritten) :]
 
 
 def sync_folder(path: Path) -> None:
-    """Sync a folder to disk: the names of its files, and removals. Raises OSError."""
+    """Syncs a directory to disk, so that created, renamed and removed files are durable. Raises OSError."""
     folder = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     try:
         os.fsync(folder)
@@ -21,7 +21,7 @@
 
 
 def replace_file(path: Path, data: bytes, mode: int = 0o644) -> None:
-    """Replace a file's content atomically; it is on disk when this returns.
+    """Replaces a file's content atomically and durably: it is on disk when this returns.
 
     After a crash the file has either the old or the new content. Raises OSError.
     """
--- a/fawnwharf/incarnations.py
+++ b/fawnwharf/incarnations.py
@@ -1,23 +1,23 @@
 """Counts the incarnations of fleet members in the order in which they are observed.
 
-Each process of a member has an incarnation number of its own. The numbers have no order: they come from a
-clock, which may have been set back, and from a disk, which may have been lost. A receiver can only tell that
-a number differs from the one before; a number that was followed by another one belongs to an earlier
-incarnation for good.
+Each process of a member has its own incarnation number. The numbers have no order: they come from a clock,
+which may have been set back, and from a disk, which may have been lost. A receiver can only tell that a
+number differs from the previous one. Once a receiver has observed another number, the previous one belongs to
+an earlier incarnation for good.
 """
 
 from collections.abc import Container
 from dataclasses import dataclass, field
 
-MAX_KNOWN_INCARNATIONS = 16  # per member, the most recent ones
+MAX_KNOWN_INCARNATIONS = 16  # per member; the most recent ones are kept
 MAX_MEMBERS = 10_000
 
 
 @dataclass(slots=True)
 class _Member:
-    """What is known of one member."""
+    """The observed incarnations of one member."""
 
-    forgotten: int = 0  # earlier incarnations whose numbers are no longer stored
+    forgotten: int = 0  # number of earlier incarnations whose numbers are no longer stored
     numbers: list[int] = field(default_factory=list)  # of the most recent incarnations, in the order observed
 
     def count(self) -> int:
@@ -27,12 +27,12 @@
 
 @dataclass(slots=True)
 class IncarnationCounter:
-    """Counts incarnations by member, from 1: the count grows with each restart that is observed."""
+    """Counts the incarnations of each member from 1; each observed restart increments the count."""
 
     _members: dict[str, _Member] = field(default_factory=dict)
 
     def observe(self, name: str, number: int) -> int:
-        """Note the incarnation number in a message of a member.
+        """Records the incarnation number in a message from a member.
 
         Returns the count of that incarnation, or 0 if the number belongs to an earlier incarnation.
         """
@@ -49,7 +49,7 @@
         return member.count()
 
     def _add(self, name: str) -> _Member:
-        """Add a member; beyond `MAX_MEMBERS` the oldest ones are forgotten."""
+        """Adds a member; removes the oldest ones so that there are at most `MAX_MEMBERS`."""
         while len(self._members) >= MAX_MEMBERS:
             del self._members[next(iter(self._members))]
         member = self._members[name] = _Member()
@@ -69,6 +69,6 @@
         return member.numbers[position] if 0 <= position < len(member.numbers) else 0
 
     def retain(self, names: Container[str]) -> None:
-        """Forget all members except these."""
+        """Removes all members except these."""
         for name in [name for name in self._members if name not in names]:
             del self._members[name]
