--- a/fawnwharf/admin/__init__.py
+++ b/fawnwharf/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP commands, draining, and hot restart: handing everything over to the next process."""
+"""Admin commands over HTTP, draining, and hot restart, which hands everything off to the next process."""
--- a/fawnwharf/admin/admin_listener.py
+++ b/fawnwharf/admin/admin_listener.py
@@ -1,4 +1,4 @@
-"""The listener for operators and their connections, each with one request."""
+"""The admin listener, and its connections with one request each."""
 
 import socket
 from collections.abc import Callable
@@ -14,16 +14,16 @@
 BACKLOG = 64
 MAX_READ_BYTES = 4 * 1024
 MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop
-ACCEPT_RETRY_MS = 50.0  # after an accept failed, as where the system has no descriptor or memory left
-# The limit of connections is one for each 32 descriptors that the process may use, between these bounds.
+ACCEPT_RETRY_MS = 50.0  # after a failed accept, for example because no descriptor or memory is left
+# One connection is allowed for each 32 descriptors that the process may use, within these bounds.
 PROCESS_DESCRIPTORS_PER_CONNECTION = 32
-MAX_CONNECTION_LIMIT = 16  # a few operators at a time, and some that send nothing
+MAX_CONNECTION_LIMIT = 16  # enough for a few operators and some connections that send nothing
 MIN_CONNECTION_LIMIT = 4
-REQUEST_TIMEOUT_MS = 5_000.0  # until a request is complete
+REQUEST_TIMEOUT_MS = 5_000.0  # from the accept until the request is complete
 
 
 class AdminConnection:
-    """One operator's connection, and its one request."""
+    """A connection of one operator, with one request."""
 
     def __init__(self, listener: "AdminListener", sock: socket.socket) -> None:
         """Takes over an accepted socket."""
@@ -34,17 +34,17 @@
 
     @property
     def is_response_written(self) -> bool:
-        """Whether its response was given to the connection, which may still be sending it."""
+        """Whether the response was written to the connection, which may still be sending it."""
         return self._reader.result is not None
 
     def on_up(self) -> None:
-        """Called by Connection once it is established; nothing follows, as it was accepted."""
+        """Called by Connection when it is established; nothing to do for an accepted socket."""
 
     def on_flushed(self) -> None:
-        """Nothing follows: there is one response."""
+        """Called by Connection when all bytes are sent; nothing to do, as there is one response."""
 
     def on_data(self, data: bytes) -> None:
-        """Takes bytes, and answers the request once it is complete."""
+        """Processes received bytes, and answers the request once it is complete."""
         if self.is_response_written:
             return
         found = self._reader.feed(data)
@@ -60,7 +60,7 @@
         self.connection.finish(EndReason.RETIRED)
 
     def on_end(self, _end: EndReason) -> None:
-        """The connection has ended."""
+        """Called by Connection when it has ended."""
         self.listener.connections.pop(self, None)
 
 
@@ -79,7 +79,7 @@
 
 
 class AdminListener:
-    """Owns the listener for operators and their connections, a small part of the descriptors."""
+    """Owns the admin listener and its connections, which use few of the process's descriptors."""
 
     def __init__(
         self,
@@ -90,11 +90,11 @@
     ) -> None:
         """Listens on an address; `max_descriptors` is the number that the process may use.
 
-        Raises OSError where the address can't be listened on.
+        Raises OSError if it can't listen on the address.
         """
         self.loop = loop
         self.handle = handle
-        self.connections: dict[AdminConnection, None] = {}  # in the order of their accepts
+        self.connections: dict[AdminConnection, None] = {}  # in the order of their acceptance
         self._limit = max(
             MIN_CONNECTION_LIMIT,
             min(MAX_CONNECTION_LIMIT, max_descriptors // PROCESS_DESCRIPTORS_PER_CONNECTION),
@@ -110,7 +110,7 @@
                 sock, _ = self._listener.accept()
             except BlockingIOError:
                 return
-            except OSError:  # the peer has gone, or no descriptor is left
+            except OSError:  # the peer has closed the connection, or no descriptor is left
                 self._pause_accepting()
                 return
             while len(self.connections) >= self._limit:
@@ -118,7 +118,7 @@
             self.connections[AdminConnection(self, sock)] = None
 
     def _pause_accepting(self) -> None:
-        """Leaves connections in the system's queue for a moment, instead of a busy loop."""
+        """Stops accepting for ACCEPT_RETRY_MS, to avoid a busy loop."""
         if self._pause is None:
             self.loop.unwatch(self._listener)
             self._pause = self.loop.timers.after(ACCEPT_RETRY_MS, self._resume_accepting)
@@ -129,21 +129,21 @@
             self.loop.watch(self._listener, READ, self._accept, first=True)
 
     def _evict_one(self) -> None:
-        """Makes place for operators that ask: an answered connection goes first, else the oldest one."""
+        """Closes a connection to make room for a new one: the oldest answered one, else the oldest one."""
         evicted = min(self.connections, key=lambda each: (not each.is_response_written, each.accepted_ms))
         evicted.connection.close(EndReason.IDLE)
 
     def close_overdue(self) -> None:
-        """Answers and ends connections whose request is not complete REQUEST_TIMEOUT_MS after the accept.
+        """Answers and ends connections whose request is incomplete REQUEST_TIMEOUT_MS after the accept.
 
-        The owner calls this at intervals.
+        The owner calls this periodically.
         """
         oldest_ms = monotonic_ms() - REQUEST_TIMEOUT_MS
         expired = [
             each for each in self.connections if each.accepted_ms < oldest_ms and not each.is_response_written
         ]
         for connection in expired:
-            connection.answer(AdminResponse(408, "the call did not come in whole"))
+            connection.answer(AdminResponse(408, "request not complete in time"))
 
     def close(self) -> None:
         """Stops listening and ends all connections."""
--- a/fawnwharf/admin/command_handler.py
+++ b/fawnwharf/admin/command_handler.py
@@ -1,4 +1,4 @@
-"""The meaning of the operators' commands: scorers in maintenance and this front end on standby. No I/O."""
+"""Decides the effects of admin commands: maintenance of scorers and standby of this front end. No I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,9 +9,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EnterMaintenance:
-    """No new request may be sent to the scorer (a backend) of this id, whatever the change log reports.
+    """The scorer with this id gets no new request, whatever the change log reports.
 
-    The id is the one that the roster gives the scorer, as in `s-1`.
+    The id is the one in the roster, such as `s-1`.
     """
 
     scorer_id: str
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ExitMaintenance:
-    """The scorer of this id may serve again, beginning with a slow start."""
+    """The scorer with this id gets requests again, beginning with a slow start."""
 
     scorer_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class EnterStandby:
-    """This whole front end fails its readiness checks and drains its client connections; it keeps running."""
+    """This front end fails its readiness checks and drains its client connections, but keeps running."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,9 +38,9 @@
 
 
 class CommandResult(NamedTuple):
-    """The response to a command, and what its caller is to carry out: None where nothing changes.
+    """The response to a command, and the effect that the caller carries out; None if nothing changes.
 
-    The handler has recorded the effect in its own attributes already.
+    The handler has already recorded the effect in its own attributes.
     """
 
     response: AdminResponse
@@ -51,32 +51,36 @@
 class CommandHandler:
     """Decides the response to each command and its effect, which the caller carries out.
 
-    `scorers_in_maintenance` (ids) and `is_on_standby` record the commands. Only `handle` changes them, and a
-    start that inherits them from its predecessor. The caller sets `is_serving` and `is_shutting_down` before
-    each command: whether the front end has started and nothing keeps it from being ready, and whether it was
-    told to end. Its status is ready while it is serving, not on standby and not shutting down.
+    - `scorers_in_maintenance` (ids) and `is_on_standby` record the effects of commands. They are changed by
+      `handle`, and at the start by what the process inherits from its predecessor.
+    - `is_serving` and `is_shutting_down` are set by the caller before each command. `is_serving`: the front
+      end has started and no component reports that it is not ready.
+
+    The status is ready while the front end is serving, not on standby and not shutting down.
     """
 
-    is_known_scorer: Callable[[str], bool]  # whether the roster has a scorer of this id
+    is_known_scorer: Callable[[str], bool]  # whether the roster has a scorer with this id
     scorers_in_maintenance: set[str] = field(default_factory=set)
     is_on_standby: bool = False
     is_serving: bool = False
     is_shutting_down: bool = False
 
     def handle(self, request: AdminRequest) -> CommandResult:
-        """The response to a command, and the effect that it is to have."""
+        """Decides the response to a command and its effect."""
         route = ROUTES.get(request.path)
         if route is None:
-            return CommandResult(AdminResponse(404, "no such call"))
+            return CommandResult(AdminResponse(404, "unknown path"))
         method, handle = route
         if request.method != method:
-            return CommandResult(AdminResponse(405, f"this is called with {method}"))
+            return CommandResult(AdminResponse(405, f"the method must be {method}"))
         return handle(self, request)
 
     def _status(self, _request: AdminRequest) -> CommandResult:
         if self.is_serving and not self.is_on_standby and not self.is_shutting_down:
             return CommandResult(AdminResponse(200, "ready"))
-        state = "leaving" if self.is_shutting_down else "on standby" if self.is_on_standby else "starting"
+        state = (
+            "shutting down" if self.is_shutting_down else "on standby" if self.is_on_standby else "starting"
+        )
         return CommandResult(AdminResponse(503, f"not ready: {state}"))
 
     def _enter_maintenance(self, request: AdminRequest) -> CommandResult:
@@ -84,11 +88,13 @@
         if isinstance(scorer_id, AdminResponse):
             return CommandResult(scorer_id)
         if scorer_id in self.scorers_in_maintenance:
-            return CommandResult(AdminResponse(200, f"{scorer_id} is out already"))
+            return CommandResult(AdminResponse(200, f"{scorer_id} is in maintenance already"))
         if not self.is_known_scorer(scorer_id):
-            return CommandResult(AdminResponse(404, f"no scorer {scorer_id}"))
+            return CommandResult(AdminResponse(404, f"unknown scorer {scorer_id}"))
         self.scorers_in_maintenance.add(scorer_id)
-        return CommandResult(AdminResponse(200, f"{scorer_id} is out"), EnterMaintenance(scorer_id))
+        return CommandResult(
+            AdminResponse(200, f"{scorer_id} is in maintenance"), EnterMaintenance(scorer_id)
+        )
 
     def _exit_maintenance(self, request: AdminRequest) -> CommandResult:
         scorer_id = _target(request)
@@ -97,31 +103,31 @@
         if scorer_id in self.scorers_in_maintenance:
             self.scorers_in_maintenance.discard(scorer_id)
             return CommandResult(
-                AdminResponse(200, f"{scorer_id} may serve again"), ExitMaintenance(scorer_id)
+                AdminResponse(200, f"{scorer_id} is back in service"), ExitMaintenance(scorer_id)
             )
         if not self.is_known_scorer(scorer_id):
-            return CommandResult(AdminResponse(404, f"no scorer {scorer_id}"))
-        return CommandResult(AdminResponse(200, f"{scorer_id} was not out"))
+            return CommandResult(AdminResponse(404, f"unknown scorer {scorer_id}"))
+        return CommandResult(AdminResponse(200, f"{scorer_id} was not in maintenance"))
 
     def _enter_standby(self, _request: AdminRequest) -> CommandResult:
         if self.is_shutting_down:
-            return CommandResult(AdminResponse(409, "it is leaving"))
+            return CommandResult(AdminResponse(409, "the front end was told to end"))
         effect = None if self.is_on_standby else EnterStandby()
         self.is_on_standby = True
         return CommandResult(AdminResponse(200, "draining"), effect)
 
     def _exit_standby(self, _request: AdminRequest) -> CommandResult:
         if self.is_shutting_down:
-            return CommandResult(AdminResponse(409, "it is leaving"))
+            return CommandResult(AdminResponse(409, "the front end was told to end"))
         effect = ExitStandby() if self.is_on_standby else None
         self.is_on_standby = False
-        return CommandResult(AdminResponse(200, "back to work"), effect)
+        return CommandResult(AdminResponse(200, "serving again"), effect)
 
 
 def _target(request: AdminRequest) -> str | AdminResponse:
     targets = [value for name, value in request.query if name == "target"]
     if len(targets) != 1 or not 0 < len(targets[0]) <= MAX_SCORER_ID_CHARACTERS:
-        return AdminResponse(400, "one target is wanted: ?target=ID")
+        return AdminResponse(400, "exactly one target is required: ?target=ID")
     return targets[0]
 
 
--- a/fawnwharf/admin/exclusive_extensions.py
+++ b/fawnwharf/admin/exclusive_extensions.py
@@ -1,9 +1,9 @@
-"""The extensions that speak for a member of the fleet (zones, replicated state) during a hot restart.
+"""Release of exclusive extensions (zones, replicated state) from the old to the new process in a hot restart.
 
-Only one process at a time may speak for the member and have its disks. The old process releases the
-extensions before the new one acquires them, and reacquires them where the new one ends before it is ready.
-Nothing is read from clients in between, as a call could otherwise run without the promise that these
-extensions record.
+Only one process at a time may act for the fleet member and have its disks open. The old process releases the
+extensions before the new one acquires them. If the new one ends before it is ready, the old process
+reacquires them. No process reads from clients in between, because a call could otherwise run without the
+grant that these extensions record.
 """
 
 from collections.abc import Callable
@@ -14,49 +14,49 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 CHECK_INTERVAL_MS = 5.0  # between checks for open requests, and between attempts to reacquire
-# Longest wait for open requests before the release, which then happens all the same. They end by themselves.
-# The new process must be ready within 6 s: a request that takes longer than this goes on here, and its claim
-# then reads as one that may have run.
+# Maximum time for which the release waits for open requests. The new process must be ready within 6 s. A
+# request that takes longer continues in this process, and its claim then counts as one that may have run.
 RELEASE_DRAIN_TIMEOUT_MS = 3_500.0
-REACQUIRE_TIMEOUT_MS = 10_000.0  # of attempts to reacquire; after that this process ends
+REACQUIRE_TIMEOUT_MS = 10_000.0  # for all attempts to reacquire; after that this process ends
 
 
 class ExtensionState(Enum):
-    """Which process has the extensions."""
+    """Which process holds the extensions."""
 
     HELD = auto()
     DRAINING = auto()  # still held, until the open requests have ended
-    RELEASED = auto()  # the other process may have them
+    RELEASED = auto()  # the other process may hold them
     REACQUIRING = auto()
 
 
 class ExclusiveExtensions:
-    """Owns the state of this process's exclusive extensions, such as the zones with the voter's folder.
+    """Owns the state of this process's exclusive extensions, such as zones with the voter's directory.
 
-    They are exclusive between the old and the new process of one front end on one machine.
+    Of the old and the new process of one front end on one machine, only one holds them at a time.
     """
 
     def __init__(self, front: FrontEnd) -> None:
-        """Begins with the front end's extensions held."""
+        """At first this process holds the extensions."""
         self.front = front
         self.state = ExtensionState.HELD
         self._since_ms = 0.0
 
     @property
     def exist(self) -> bool:
-        """Whether this process has any."""
+        """Whether this front end has any."""
         return self.front.extension is not None
 
     @property
     def are_held(self) -> bool:
-        """Whether this process speaks for the member."""
+        """Whether this process acts for the fleet member."""
         return self.state is ExtensionState.HELD
 
     def release(self, on_released: Callable[[], None]) -> None:
-        """Stops reading from clients, lets open requests end, and releases the extensions.
+        """Stops reading from clients, waits for open requests, and releases the extensions.
 
-        For a process that holds some. `on_released` is called once, after RELEASE_DRAIN_TIMEOUT_MS at the
-        latest and also where the extensions report an error; not at all if `reacquire` comes first.
+        Only for a front end that has extensions. `on_released` is called once, after RELEASE_DRAIN_TIMEOUT_MS
+        at the latest, also if the extensions raise an error. It is not called if `reacquire` is called
+        before.
         """
         self.state = ExtensionState.DRAINING
         self._since_ms = monotonic_ms()
@@ -75,17 +75,17 @@
             return
         front.loop.run_guarded(
             extension.suspend
-        )  # even after an error, as no client is read until this has ended
+        )  # continues after an error: no client is read until the release
         self.state = ExtensionState.RELEASED
         elapsed_ms = monotonic_ms() - self._since_ms
         front.log(f"hot restart: released the exclusive extensions, {elapsed_ms:.0f} ms after the request")
         on_released()
 
     def reacquire(self, on_reacquired: Callable[[], None]) -> None:
-        """The other process has ended: goes on as before the release.
+        """Reacquires the extensions after the other process has ended.
 
-        `on_reacquired` is called once the extensions are held again: at once where they were not released
-        yet. If they can't be reacquired within REACQUIRE_TIMEOUT_MS, it is not called and this process ends.
+        `on_reacquired` is called when they are held again, at once if they were not released yet. If they
+        can't be reacquired within REACQUIRE_TIMEOUT_MS, it is not called and this process ends.
         """
         if self.state is ExtensionState.DRAINING:
             self.state = ExtensionState.HELD
@@ -96,9 +96,10 @@
             self._try_reacquire(on_reacquired)
 
     def _try_reacquire(self, on_reacquired: Callable[[], None]) -> None:
-        """Retries, as the system frees the disks and addresses of an ended process one by one.
+        """Tries to reacquire until it succeeds, at intervals of CHECK_INTERVAL_MS.
 
-        Where they stay in use, another process serves, and this one must not.
+        The disks and addresses of an ended process become free one by one. If they stay in use, another
+        process is serving, and this one must not.
         """
         front = self.front
         failure = self._reacquire_failure()
@@ -113,16 +114,16 @@
             front.loop.timers.after(CHECK_INTERVAL_MS, lambda: self._try_reacquire(on_reacquired))
 
     def _reacquire_failure(self) -> str | None:
-        """Tries once; the reason why it failed, None on success."""
+        """Tries once to reacquire; returns why that failed, None on success."""
         front = self.front
         if any(client.open for client in front.client_port.clients):
-            return "requests from before are open"
+            return "requests from before the release are still open"
         try:
             if front.extension is not None:
                 front.extension.resume(front)
         except ConfigError as error:
             return str(error)
-        except Exception as error:  # without another attempt no client would be read again
+        except Exception as error:  # must lead to another attempt: until then no client is read
             front.loop.log_exception("reacquiring the exclusive extensions")
             return str(error)
         return None
--- a/fawnwharf/admin/handoff_channel.py
+++ b/fawnwharf/admin/handoff_channel.py
@@ -1,4 +1,4 @@
-"""The Unix socket between a process and its successor: messages and the descriptors that they carry."""
+"""The Unix socket between a process and its successor, for messages and the descriptors that they carry."""
 
 import array
 import errno
@@ -7,38 +7,40 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from fawnwharf.admin import handoff_messages as h
+from fawnwharf.admin import handoff_messages as messages
 from fawnwharf.net.event_loop import READ, WRITE, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 MAX_MESSAGE_BYTES = 128 * 1024
-MAX_READS_PER_ITERATION = 64  # messages that are read in one event loop iteration
+MAX_READS_PER_ITERATION = 64  # messages read in one event loop iteration
 DESCRIPTOR_BYTES = array.array("i", [0]).itemsize
-# Errors of sendmsg at the limit of descriptors in transit: it works again once the other end has read some.
+# Errors of sendmsg at the system's limit of descriptors in transit; it works again once the other end has
+# read some.
 TOO_MANY_DESCRIPTORS_ERRNOS = (errno.ENOBUFS, errno.ETOOMANYREFS)
 
 
 class Outgoing(NamedTuple):
-    """A message to be sent, and the socket whose descriptor goes with it, None for most messages."""
+    """A message to send, and the socket whose descriptor it carries; None for most messages."""
 
-    message: h.Message
+    message: messages.Message
     carried: socket.socket | None
 
 
 class Received(NamedTuple):
-    """A message that was read, and the socket that came with it; the reader closes the socket.
+    """A received message and the socket that it carried, which the receiver must close.
 
-    `message` is None where the bytes are no message of this version.
+    `message` is None if the bytes are not a message of this version.
     """
 
-    message: h.Message | None
+    message: messages.Message | None
     carried: socket.socket | None
 
 
 def receive(sock: socket.socket) -> Received | None:
-    """Reads one message and the socket that it carries; None at the end of the channel or after its failure.
+    """Receives one message and the socket that it carries; None if the channel has ended or failed.
 
-    Raises BlockingIOError where nothing has come, and TimeoutError where the socket has a timeout.
+    Raises BlockingIOError if no message is there, and TimeoutError if none arrives within the socket's
+    timeout.
     """
     try:
         data, ancillary, _, _ = sock.recvmsg(MAX_MESSAGE_BYTES, socket.CMSG_SPACE(DESCRIPTOR_BYTES))
@@ -49,11 +51,11 @@
     carried = _carried_socket(ancillary)
     if not data and carried is None:
         return None
-    return Received(h.decode(data), carried)
+    return Received(messages.decode(data), carried)
 
 
 def _carried_socket(ancillary: list[tuple[int, int, bytes]]) -> socket.socket | None:
-    """The last socket of the ancillary data; earlier ones are closed, as no message carries more than one."""
+    """The last socket in the ancillary data; others are closed, because a message carries at most one."""
     carried = None
     for level, kind, content in ancillary:
         if (level, kind) != (socket.SOL_SOCKET, socket.SCM_RIGHTS):
@@ -76,30 +78,34 @@
 
 
 class HandoffChannel:
-    """One end of the channel, in the event loop."""
+    """One end of the channel, served by the event loop."""
 
     def __init__(
         self,
         loop: EventLoop,
         sock: socket.socket,
-        on_message: Callable[[h.Message, socket.socket | None], None],
+        on_message: Callable[[messages.Message, socket.socket | None], None],
         on_end: Callable[["HandoffChannel"], None],
     ) -> None:
-        """Takes over a connected socket; the callbacks get each message with what it carries, and the end."""
+        """Takes over a connected socket.
+
+        `on_message` gets each message with the socket that it carries, `on_end` the channel when it has
+        ended.
+        """
         self.loop = loop
         self.closed = False
         self._sock = sock
         self._on_message = on_message
         self._on_end = on_end
         self._queue = deque[Outgoing]()
-        self._sent_chunks: list[Outgoing] = []  # of a sequence whose final message is not sent yet
+        self._sent_chunks: list[Outgoing] = []  # chunks sent before their final message
         self._mask = READ
-        self._progress_ms = monotonic_ms()  # when the last message was sent, or the first one began to wait
+        self._progress_ms = monotonic_ms()  # when a message was last sent, or the first one was queued
         sock.setblocking(False)
         loop.watch(sock, READ, self._on_event, first=True)
 
-    def send(self, message: h.Message, carried: socket.socket | None = None) -> None:
-        """Sends a message in order; the socket that it carries is closed here once it is sent."""
+    def send(self, message: messages.Message, carried: socket.socket | None = None) -> None:
+        """Sends a message, after the queued ones; closes the socket that it carries once it is sent."""
         if self.closed:
             if carried is not None:
                 carried.close()
@@ -111,17 +117,18 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether messages wait to be sent."""
+        """Whether messages are queued."""
         return bool(self._queue)
 
     def ms_without_progress(self, now_ms: float) -> float:
-        """Time since the other end last took a message, or since the first one waits; 0 where none waits."""
+        """Time since a message was last sent, or since the first one was queued; 0 if none is queued."""
         return now_ms - self._progress_ms if self._queue else 0.0
 
     def take_unsent(self) -> list[Outgoing]:
-        """Removes and returns what was not sent; the caller owns the sockets and the channel stays as it is.
+        """Removes and returns the unsent messages, whose sockets the caller then owns.
 
-        With the chunks that were sent before an unsent final message, as they are useless alone.
+        Includes chunks that were sent already if their final message was not: the receiver can't use them.
+        Does not close the channel.
         """
         unsent = [*self._sent_chunks, *self._queue]
         self._queue = deque()
@@ -132,7 +139,7 @@
         while self._queue and not self.closed:
             message, carried = self._queue[0]
             try:
-                send(self._sock, h.encode(message), carried)
+                send(self._sock, messages.encode(message), carried)
             except BlockingIOError:
                 break
             except OSError as error:
@@ -144,9 +151,9 @@
             self._sent(message, carried)
         self._update_mask()
 
-    def _sent(self, message: h.Message, carried: socket.socket | None) -> None:
+    def _sent(self, message: messages.Message, carried: socket.socket | None) -> None:
         self._progress_ms = monotonic_ms()
-        if isinstance(message, h.Chunk):
+        if isinstance(message, messages.Chunk):
             self._sent_chunks.append(Outgoing(message, None))
         else:
             self._sent_chunks.clear()
@@ -182,7 +189,7 @@
             self._on_message(message, carried)
 
     def close(self) -> None:
-        """Ends the channel, once."""
+        """Ends the channel; further calls do nothing."""
         if not self.closed:
             self.closed = True
             self.loop.unwatch(self._sock)
--- a/fawnwharf/admin/handoff_directory.py
+++ b/fawnwharf/admin/handoff_directory.py
@@ -1,4 +1,4 @@
-"""The directory in which the processes of one front end find each other."""
+"""The directory through which the processes of one front end find each other."""
 
 import contextlib
 import os
@@ -11,16 +11,15 @@
 
 
 class HandoffDirectory:
-    """The paths of the hand-off socket and of the learned state's file, both named after the front end.
+    """The paths of the hand-off socket and of the learned state's file.
 
-    These are `fw-DIGEST.sock` and `fw-DIGEST.mem` in the directory; DIGEST stands for the name and the
-    address.
+    They are `fw-DIGEST.sock` and `fw-DIGEST.mem`, where DIGEST is a hash of the front end's name and address.
     """
 
     def __init__(self, folder: str, name: str, listen: Address) -> None:
-        """`name` is the deployment's, `listen` where it accepts clients.
+        """`name` is the front end's name, `listen` its address for clients.
 
-        Another name or address in the same folder is another front end.
+        Front ends that share a directory are told apart by these two.
         """
         digest = blake2b(f"{name}|{listen[0]}|{listen[1]}".encode(), digest_size=6).hexdigest()
         self.folder = Path(folder)
@@ -29,9 +28,9 @@
 
     @contextlib.contextmanager
     def socket_address(self) -> Iterator[str]:
-        """A path of the socket that is short enough for any folder; valid only within the `with` block.
+        """A short path of the socket, which is valid only within the `with` block.
 
-        It goes by a descriptor of the folder, as the system accepts no socket path of over 107 bytes.
+        It refers to the directory by a descriptor, because the system rejects socket paths of over 107 bytes.
         """
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
@@ -40,16 +39,16 @@
             os.close(descriptor)
 
     def write_learned_state(self, data: bytes) -> None:
-        """Replaces the file of the encoded learned state atomically, without a sync to the disk.
+        """Replaces the file of the encoded learned state atomically, without syncing it to disk.
 
-        Raises OSError where that fails, and leaves the old file.
+        Raises OSError on failure, and leaves the old file.
         """
         replacement = self.state_path.with_suffix(".new")
         replacement.write_bytes(data)
         os.replace(replacement, self.state_path)
 
     def read_learned_state(self) -> bytes:
-        """The encoded learned state in the file; b"" where there is no file or it can't be read."""
+        """The encoded learned state from the file; b"" if there is no file or it can't be read."""
         try:
             with open(self.state_path, "rb") as file:
                 return file.read(MAX_BYTES + 1)
--- a/fawnwharf/admin/handoff_listener.py
+++ b/fawnwharf/admin/handoff_listener.py
@@ -1,4 +1,4 @@
-"""The Unix listener on which a process awaits its successor."""
+"""The Unix socket on which a process listens for its successor."""
 
 import contextlib
 import os
@@ -9,16 +9,16 @@
 from fawnwharf.net.event_loop import READ, EventLoop
 
 BACKLOG = 4
-ACCEPT_RETRY_MS = 50.0  # after an accept failed, as where the system has no descriptor or memory left
+ACCEPT_RETRY_MS = 50.0  # after a failed accept, for example because no descriptor or memory is left
 
 
 class HandoffListener:
-    """Owns the hand-off socket of a process until it is closed or another process replaces it."""
+    """Owns the hand-off socket of a process until it is closed or another process replaces its file."""
 
     def __init__(
         self, loop: EventLoop, directory: HandoffDirectory, on_accept: Callable[[socket.socket], None]
     ) -> None:
-        """Raises OSError where no such socket can be created."""
+        """Listens on the socket path of `directory`; raises OSError if the socket can't be created."""
         self.loop = loop
         self.directory = directory
         self._on_accept = on_accept
@@ -31,7 +31,7 @@
         self._watch()
 
     def _bind(self) -> int:
-        """Replaces the socket file, which may be another process's; returns the inode of the new one."""
+        """Creates the socket file, replacing that of another process; returns the new file's inode."""
         with self.directory.socket_address() as address:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self.directory.socket_path)
@@ -50,7 +50,7 @@
             sock, _ = self._sock.accept()
         except BlockingIOError:
             return
-        except OSError:  # no descriptor: leaves it in the system's queue for a moment, instead of a busy loop
+        except OSError:  # no descriptor is left: pauses accepting, to avoid a busy loop
             self.loop.unwatch(self._sock)
             self.loop.timers.after(ACCEPT_RETRY_MS, self._watch)
             return
@@ -58,13 +58,13 @@
 
     @property
     def owns_socket_path(self) -> bool:
-        """Whether no other process has replaced the socket file; True also where that is not known."""
+        """Whether no other process has replaced the socket file; also True if the file can't be examined."""
         try:
             return os.stat(self.directory.socket_path).st_ino == self._inode
         except OSError:
             return True
 
     def close(self) -> None:
-        """Stops listening; the file stays, as it may be another process's."""
+        """Stops listening; leaves the socket file, which may be another process's."""
         self.loop.unwatch(self._sock)
         self._sock.close()
--- a/fawnwharf/admin/handoff_messages.py
+++ b/fawnwharf/admin/handoff_messages.py
@@ -1,21 +1,21 @@
 """The messages between a process and its successor in a hot restart, and their encoding. No I/O.
 
-The socket between them keeps message boundaries. An attribute whose name differs from the recorded one keeps
-that name on the wire by `name=`.
+The socket between them preserves message boundaries. `name=` gives the encoded name of a field where it
+differs from the attribute's. Each docstring says which process sends the message.
 """
 
 import msgspec
 from msgspec import field
 
-VERSION = 1  # of these messages; processes of different versions hand nothing off
-MAX_CHUNK_BYTES = 60_000  # of data in one message; more goes in several chunks
+VERSION = 1  # of these messages; there is no hand-off between processes of different versions
+MAX_CHUNK_BYTES = 60_000  # of data in one message; longer data is sent as several chunks
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
-    """Successor, first: which front end it is a new process of.
+    """Successor, as its first message: requests the hand-off for the front end at the address `listen`.
 
-    `needs_exclusive_extensions`: it will have extensions that only one process may hold, so the predecessor
-    must release all of its own before it answers.
+    `needs_exclusive_extensions`: the successor will have extensions that only one process may hold, so the
+    predecessor must release all of its own before it answers.
     """
 
     version: int
@@ -24,7 +24,7 @@
 
 
 class Rejected(msgspec.Struct, tag="no", frozen=True):
-    """Predecessor: nothing is handed off."""
+    """Predecessor: rejects the hand-off."""
 
     reason: str = field(name="why")
 
@@ -32,7 +32,7 @@
 class Chunk(msgspec.Struct, tag="part", frozen=True):
     """Predecessor: a chunk of the encoded learned state, or of the unwritten bytes of the next connection.
 
-    The last one of a sequence is followed by a ListenerHandoff or a ConnectionHandoff.
+    The last chunk is followed by the ListenerHandoff or ConnectionHandoff to which the data belongs.
     """
 
     data: bytes
@@ -43,30 +43,30 @@
 
 
 class SuccessorReady(msgspec.Struct, tag="ready", frozen=True):
-    """Successor: it accepts from now on. The predecessor stops accepting and hands its connections off."""
+    """Successor: it accepts connections. The predecessor stops accepting and hands off its connections."""
 
 
 class ConnectionHandoff(msgspec.Struct, tag="kept", frozen=True):
     """Predecessor: a client connection on which no request is open. Carries its descriptor.
 
-    - `partial`: the bytes read of a message from the client that is not complete yet.
-    - `skip`: number of bytes of an oversized message that are still to come and to be discarded.
-    - `spoke`: whether the client has ever sent a complete message on it.
-    - `empty_ms`: a time on the monotonic clock, which both processes share: when it last had no unread bytes;
-      None if that is not known.
+    - `partial`: the bytes received so far of an incomplete message from the client.
+    - `skip`: number of further bytes of an oversized message, which the receiver must discard.
+    - `has_sent`: whether the client has ever sent a complete message on the connection.
+    - `empty_ms`: when the connection last had no unread bytes, on the monotonic clock, which both processes
+      share; None if that is not known.
     """
 
     partial: bytes = b""
     skip: int = 0
-    spoke: bool = True
+    has_sent: bool = field(default=True, name="spoke")
     empty_ms: float | None = None
 
 
 class OperatorCommand(msgspec.Struct, tag="told", frozen=True):
-    """Either way: an operator's command that applies to both processes.
+    """Either process: an admin command that applies to both.
 
-    `path` is that of the HTTP request, such as `/maintenance/enter`. `scorer_id` is "" for commands without a
-    scorer.
+    `path` is the path of the HTTP request, such as `/maintenance/enter`. `scorer_id` is "" for commands
+    without a scorer.
     """
 
     path: str
@@ -74,10 +74,11 @@
 
 
 class HandoffComplete(msgspec.Struct, tag="done", frozen=True):
-    """Predecessor: it ends and sends nothing more. Successor: it has received everything, and the same.
+    """Predecessor: it has sent everything and is about to end. Successor: it has received everything.
 
-    Protects what is in transit: where one end of such a socket closes with unread messages, the next read of
-    the other end fails, whatever was received before.
+    Each sends nothing after it. The predecessor ends only after the successor's answer, because messages in
+    transit would be lost otherwise: if one end of the socket closes with unread messages, the next read at
+    the other end fails, even if messages are there.
     """
 
 
@@ -97,12 +98,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message."""
+    """Encodes a message."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message | None:
-    """The message; None for bytes that are no valid message."""
+    """Decodes a message; None if the bytes are not a valid message."""
     try:
         message: Message = _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError):
@@ -111,5 +112,5 @@
 
 
 def chunks(data: bytes) -> list[Chunk]:
-    """Data divided into chunks of a message each."""
+    """Divides data into chunks of at most MAX_CHUNK_BYTES."""
     return [Chunk(data[start : start + MAX_CHUNK_BYTES]) for start in range(0, len(data), MAX_CHUNK_BYTES)]
--- a/fawnwharf/admin/handoff_request.py
+++ b/fawnwharf/admin/handoff_request.py
@@ -1,36 +1,36 @@
-"""The request of a starting process for the state, the listener and the connections of its predecessor."""
+"""The hand-off request of a starting process to its predecessor, for its state, listener and connections."""
 
 import os
 import socket
 from dataclasses import dataclass
 
-from fawnwharf.admin import handoff_messages as h
+from fawnwharf.admin import handoff_messages as messages
 from fawnwharf.admin.handoff_channel import receive, send
 from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.config import Address, Deployment
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-# Longest wait for the complete answer to a Hello; then the new process starts without the old one.
+# Timeout of the complete answer to a Hello; after that the new process starts without a hand-off.
 HELLO_ANSWER_TIMEOUT_MS = 1_500.0
-# The same where the old process first releases its exclusive extensions, which takes up to
+# The same timeout if the old process first releases its exclusive extensions, which takes up to
 # RELEASE_DRAIN_TIMEOUT_MS.
 HELLO_ANSWER_TIMEOUT_WITH_RELEASE_MS = 5_000.0
 
 
 class HandoffRejectedError(OSError):
-    """The predecessor does not hand anything off, or ended before it did. `request_handoff` catches it."""
+    """The predecessor rejected the hand-off, or ended before it answered. `request_handoff` catches it."""
 
 
 @dataclass(frozen=True, slots=True)
 class InheritedState:
-    """What a start finds of its predecessor; all empty where there is none.
+    """What a starting process inherits from its predecessor; all empty if there is none.
 
-    - `directory`: where this process finds its predecessor and is found by its successor; None where TMPDIR
-      is not set, and then there is no hot restart.
-    - `predecessor_socket`: connected to the predecessor; None where none runs.
-    - `encoded_learned_state`: from the predecessor, or from its file if it has ended; b"" where there is
+    - `directory`: through it this process finds its predecessor, and its successor finds this process. None
+      if TMPDIR is not set; then there is no hot restart.
+    - `predecessor_socket`: connected to the predecessor; None if none is running.
+    - `encoded_learned_state`: from the predecessor, or from its file if it has ended; b"" if there is
       neither.
-    - `listener`: the clients' listener of the predecessor; None where none runs.
+    - `listener`: the predecessor's listening socket for clients; None if none is running.
     """
 
     directory: HandoffDirectory | None = None
@@ -40,10 +40,10 @@
 
 
 def inherit_state(deployment: Deployment, *, needs_exclusive_extensions: bool = False) -> InheritedState:
-    """Asks the running predecessor at the start, or else reads the file that the last process wrote.
+    """Requests the hand-off from a running predecessor, or else reads the file that the last process wrote.
 
-    `needs_exclusive_extensions`: this process will have exclusive extensions. Blocks as `request_handoff`.
-    Where the predecessor rejects the request the file is read; nothing is raised.
+    `needs_exclusive_extensions`: this process will have exclusive extensions. Blocks like `request_handoff`.
+    Also reads the file if the predecessor rejects the request. Raises nothing.
     """
     folder = os.environ.get("TMPDIR")
     if not folder:
@@ -60,11 +60,11 @@
 def request_handoff(
     directory: HandoffDirectory, listen: Address, *, needs_exclusive_extensions: bool = False
 ) -> InheritedState | None:
-    """The socket to the predecessor, its learned state and its listener.
+    """Requests the predecessor's learned state and listener.
 
-    Blocks for up to HELLO_ANSWER_TIMEOUT_MS, with exclusive extensions HELLO_ANSWER_TIMEOUT_WITH_RELEASE_MS,
-    as nothing else can be done at the start. None where there is no predecessor, it rejects the request, or
-    does not answer completely in time.
+    Blocks for up to HELLO_ANSWER_TIMEOUT_MS, or HELLO_ANSWER_TIMEOUT_WITH_RELEASE_MS with exclusive
+    extensions: a starting process has nothing else to do. Returns None if there is no predecessor, if it
+    rejects the request, or if its answer is not complete in time.
     """
     timeout_ms = HELLO_ANSWER_TIMEOUT_MS
     if needs_exclusive_extensions:
@@ -75,7 +75,9 @@
         sock.settimeout(_remaining_s(deadline_ms))
         with directory.socket_address() as address:
             sock.connect(address)
-        send(sock, h.encode(h.Hello(h.VERSION, listen, needs_exclusive_extensions)), None)
+        send(
+            sock, messages.encode(messages.Hello(messages.VERSION, listen, needs_exclusive_extensions)), None
+        )
         learned, listener = _receive_state(sock, deadline_ms)
     except OSError:
         sock.close()
@@ -88,17 +90,17 @@
 def _receive_state(sock: socket.socket, deadline_ms: float) -> tuple[bytes, socket.socket]:
     learned = bytearray()
     while True:
-        sock.settimeout(_remaining_s(deadline_ms))  # one deadline for all chunks, however slowly they come
+        sock.settimeout(_remaining_s(deadline_ms))  # one deadline for all chunks
         message, carried = receive(sock) or (None, None)
-        if isinstance(message, h.ListenerHandoff) and carried is not None:
+        if isinstance(message, messages.ListenerHandoff) and carried is not None:
             return bytes(learned), carried
-        if not isinstance(message, h.Chunk):
-            raise HandoffRejectedError("the process before this one hands nothing off")
+        if not isinstance(message, messages.Chunk):
+            raise HandoffRejectedError("the predecessor rejected the hand-off or ended")
         learned += message.data
 
 
 def _remaining_s(deadline_ms: float) -> float:
-    """Seconds until the deadline; raises TimeoutError where it has passed."""
+    """Seconds until the deadline; raises TimeoutError if it has passed."""
     remaining_ms = deadline_ms - monotonic_ms()
     if remaining_ms <= 0.0:
         raise TimeoutError("no answer in time")
--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -1,10 +1,10 @@
-"""Hot restart of a running front end: the channels to both other processes, and who accepts and owns what."""
+"""Hot restart of a running front end: takes over from a predecessor, and hands off to a successor."""
 
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fawnwharf.admin import handoff_messages as h
+from fawnwharf.admin import handoff_messages as messages
 from fawnwharf.admin import learned_state
 from fawnwharf.admin.exclusive_extensions import ExclusiveExtensions
 from fawnwharf.admin.handoff_channel import HandoffChannel, Outgoing
@@ -18,36 +18,35 @@
 
 TICK_INTERVAL_MS = 20.0  # between checks for connections that have become idle
 MAX_HANDOFFS_PER_TICK = 256
-# Longest wait for SuccessorReady after the state was sent, where this process has released its extensions for
-# that; then the channel is closed.
+# Timeout of SuccessorReady after the state was sent, if this process has released its extensions. After it
+# the channel is closed.
 SUCCESSOR_READY_TIMEOUT_MS = 6_000.0
-STALL_TIMEOUT_MS = 3_000.0  # a successor that takes no message for so long has stalled
-DESCRIPTOR_SHARE_WHILE_TWO_RUN = 0.5  # of the limits of descriptors that each of two processes uses
+STALL_TIMEOUT_MS = 3_000.0  # a successor that receives no queued message for this long has stalled
+DESCRIPTOR_SHARE_WHILE_TWO_RUN = 0.5  # part of the descriptor limits that each of two processes uses
 
 
 @dataclass(frozen=True, slots=True)
 class HotRestartCallbacks:
-    """What HotRestart calls of its owner, the admin service.
+    """The callbacks through which HotRestart calls its owner, the admin service.
 
-    - `on_command`: another process of this front end received a command of an operator, for both.
+    - `on_command`: handles an admin command that another process of this front end has received.
     - `scorers_in_maintenance`: returns the ids of the scorers in maintenance.
-    - `is_ready_to_serve`: returns whether readiness checks of this process are to succeed.
+    - `is_ready_to_serve`: returns whether readiness checks of this process should succeed.
     """
 
-    on_command: Callable[[h.OperatorCommand], None]
+    on_command: Callable[[messages.OperatorCommand], None]
     scorers_in_maintenance: Callable[[], set[str]]
     is_ready_to_serve: Callable[[], bool]
 
 
 class HotRestart:
-    """Owns the channels to the predecessor of this process and to its successor.
+    """Owns the channels to the predecessor and to the successor of this process.
 
-    The predecessor is the process from which this one took over, the successor the one that takes over from
-    it.
+    This process takes over from the predecessor, and the successor takes over from this process.
     """
 
     def __init__(self, front: FrontEnd, inherited: InheritedState, callbacks: HotRestartCallbacks) -> None:
-        """`inherited` is what the start of this process found; `start` takes over from the predecessor."""
+        """`inherited` comes from the predecessor; `start` takes over from it."""
         self.front = front
         self.directory = inherited.directory
         self.handoff = PredecessorHandoff(front.address)
@@ -56,7 +55,7 @@
         self.successor: HandoffChannel | None = None
         self._callbacks = callbacks
         self._inherited = inherited
-        self._unwritten = bytearray()  # chunks that belong to the next connection from the predecessor
+        self._unwritten = bytearray()  # unwritten bytes of the next connection from the predecessor
         self._predecessor_done = False
         self._listener: HandoffListener | None = None
         self._ticking = False
@@ -65,9 +64,9 @@
         self._successor_done = False
 
     def decoded_learned_state(self) -> LearnedState | None:
-        """What the predecessor learned, however old; None where there is none or it can't be decoded.
+        """The predecessor's learned state of any age; None if there is none or it can't be decoded.
 
-        For use before `start`. The owner reads the scorers in maintenance, which have no age limit.
+        To be called before `start`. The owner uses its scorers in maintenance, which have no age limit.
         """
         data = self._inherited.encoded_learned_state
         learned = learned_state.decode(data) if data else None
@@ -76,9 +75,11 @@
         return learned
 
     def start(self, learned: LearnedState | None) -> None:
-        """Takes over: restores the learned state, accepts connections, and listens for a successor.
+        """Takes over from the predecessor: restores the learned state and accepts connections.
 
-        `learned` is what `decoded_learned_state` returned; it is restored only if it is fresh.
+        Then listens for a successor.
+
+        `learned` is the result of `decoded_learned_state`; it is restored only if it is fresh.
         """
         front = self.front
         at_ms = monotonic_ms()
@@ -93,7 +94,7 @@
             self.predecessor = HandoffChannel(
                 front.loop, sock, self._on_predecessor_message, self._on_predecessor_end
             )
-            self.predecessor.send(h.SuccessorReady())
+            self.predecessor.send(messages.SuccessorReady())
         self._share_descriptors()
         self._open_listener()
         self._inherited = InheritedState()
@@ -112,28 +113,28 @@
             self._listener = None
 
     def _share_descriptors(self) -> None:
-        """Protects the limits of descriptors, which hold for both processes together while both run."""
+        """Reduces the descriptor limits while two processes run, as they hold for both together."""
         self.front.use_share(DESCRIPTOR_SHARE_WHILE_TWO_RUN if self.predecessor or self.successor else 1.0)
 
     def forward_command(self, path: str, scorer_id: str) -> None:
-        """Sends an operator's command that this process got to its predecessor and its successor, if any.
+        """Forwards an admin command that this process received to its predecessor and successor, if any.
 
         `scorer_id` is "" for a command without a scorer.
         """
         predecessor = None if self._predecessor_done else self.predecessor
         for channel in (predecessor, self.successor):
             if channel is not None:
-                channel.send(h.OperatorCommand(path, scorer_id))
+                channel.send(messages.OperatorCommand(path, scorer_id))
 
     def write_learned_state(self) -> None:
-        """Writes the learned state to its file, for a process that finds no predecessor to ask.
+        """Writes the learned state to its file, for a successor that starts after this process has ended.
 
-        At each change of the scorers in maintenance and at the shutdown; not once a newer process has the
-        file.
+        Called at each change of the scorers in maintenance and at the shutdown. Does nothing once the file
+        belongs to a newer process.
         """
         is_replaced = self._listener is not None and not self._listener.owns_socket_path
         if self.directory is None or self.handoff.is_handing_off or is_replaced:
-            return  # the file is the newer process's
+            return  # the file belongs to the newer process
         try:
             self.directory.write_learned_state(self._encoded_state())
         except OSError as error:
@@ -147,28 +148,28 @@
         try:
             learned = learned_state.capture(front.router, in_maintenance, clock_ms, at_ms)
             return learned_state.encode(learned)
-        except Exception:  # the operators' commands must be handed on whatever the learned state is like
+        except Exception:  # the scorers in maintenance must be passed on even if the learned state is faulty
             front.loop.log_exception("learned state")
             expired_ms = at_ms - 2 * learned_state.MAX_AGE_MS
             return learned_state.encode(LearnedState(expired_ms, sorted(in_maintenance)))
 
-    # --- as the successor of another process ------------------------------------------------------
+    # --- in the role of the successor ---------------------------------------------------------------
 
-    def _on_predecessor_message(self, message: h.Message, carried: socket.socket | None) -> None:
+    def _on_predecessor_message(self, message: messages.Message, carried: socket.socket | None) -> None:
         match message:
-            case h.Chunk():
+            case messages.Chunk():
                 self._unwritten += message.data
-            case h.ConnectionHandoff() if carried is not None:
+            case messages.ConnectionHandoff() if carried is not None:
                 unwritten = bytes(self._unwritten)
                 self._unwritten.clear()
                 self.front.client_port.take_over(_handed_connection(message, carried, unwritten))
-            case h.OperatorCommand():
+            case messages.OperatorCommand():
                 self._callbacks.on_command(message)
                 if self.successor is not None:
                     self.successor.send(message)
-            case h.HandoffComplete():
+            case messages.HandoffComplete():
                 if self.predecessor is not None:
-                    self.predecessor.send(h.HandoffComplete())
+                    self.predecessor.send(messages.HandoffComplete())
                 self._predecessor_done = True
             case _ if carried is not None:
                 carried.close()
@@ -180,29 +181,29 @@
             self.front.log("hot restart: the previous process has ended")
             self._share_descriptors()
 
-    # --- as the predecessor of another process ----------------------------------------------------
+    # --- in the role of the predecessor -------------------------------------------------------------
 
     def _on_successor(self, sock: socket.socket) -> None:
         if self.handoff.is_handing_off or not self.extensions.are_held:
             sock.close()
             return
-        if self.successor is not None:  # an earlier one that did not become ready; the newest one counts
+        if self.successor is not None:  # an earlier one that did not become ready: the new one replaces it
             self.successor.close()
         self.successor = HandoffChannel(
             self.front.loop, sock, self._on_successor_message, self._on_successor_end
         )
 
-    def _on_successor_message(self, message: h.Message, _carried: socket.socket | None) -> None:
+    def _on_successor_message(self, message: messages.Message, _carried: socket.socket | None) -> None:
         match message:
-            case h.Hello():
+            case messages.Hello():
                 self._act(self.handoff.on_hello(message, holds_exclusive_extensions=self.extensions.exist))
-            case h.SuccessorReady():
+            case messages.SuccessorReady():
                 self._act(self.handoff.on_ready())
-            case h.OperatorCommand():
+            case messages.OperatorCommand():
                 self._callbacks.on_command(message)
                 if self.predecessor is not None and not self._predecessor_done:
                     self.predecessor.send(message)
-            case h.HandoffComplete():
+            case messages.HandoffComplete():
                 self._successor_done = True
 
     def _on_successor_end(self, channel: HandoffChannel) -> None:
@@ -219,11 +220,11 @@
             self.extensions.reacquire(lambda: self._resume(action, unsent))
 
     def _resume(self, action: HandoffAction, unsent: list[Outgoing]) -> None:
-        """Serves alone, as before the successor came."""
+        """Serves alone again after the successor was lost."""
         self._act(action)
         self.front.client_port.set_accepting(True)
         self.front.client_port.set_paused(False)
-        # Readiness checks here were answered for the successor; from now on they are for this process.
+        # During the hand-off readiness checks were answered for the successor.
         self.front.client_port.ready = self._callbacks.is_ready_to_serve()
         self._adopt_unsent(unsent)
         self._share_descriptors()
@@ -231,9 +232,9 @@
     def _adopt_unsent(self, unsent: list[Outgoing]) -> None:
         unwritten = bytearray()
         for message, carried in unsent:
-            if isinstance(message, h.Chunk):
+            if isinstance(message, messages.Chunk):
                 unwritten += message.data
-            elif isinstance(message, h.ConnectionHandoff) and carried is not None:
+            elif isinstance(message, messages.ConnectionHandoff) and carried is not None:
                 self.front.client_port.take_over(_handed_connection(message, carried, bytes(unwritten)))
                 unwritten.clear()
             elif carried is not None:
@@ -254,7 +255,7 @@
                 self._stop_accepting()
             case HandoffAction.RESUME_ACCEPTING:
                 front.log("hot restart: the new process has ended: accepting again")
-                if not self.handoff.is_shutting_down:  # else the directory may be a third process's by now
+                if not self.handoff.is_shutting_down:  # else a third process may own the socket path by now
                     self._open_listener()
             case HandoffAction.PAUSE_CLIENT_READS:
                 front.client_port.set_paused(True)
@@ -266,13 +267,13 @@
     def _reject(self) -> None:
         successor = self.successor
         if successor is not None:
-            successor.send(h.Rejected("another version, another address, or leaving"))
+            successor.send(messages.Rejected("other version or address, other successor, or ending"))
             successor.close()
 
     def _stop_accepting(self) -> None:
         self.front.log("hot restart: handing off to the new process")
         self.front.client_port.set_accepting(False)
-        # Readiness checks on existing connections are for the successor, too.
+        # Readiness checks that arrive on existing connections are meant for the successor, too.
         self.front.client_port.ready = True
         self._close_listener()  # the successor has its own
         self._tick()
@@ -282,47 +283,48 @@
         listener = self.front.client_port.listener
         if channel is None or listener is None:
             return
-        for chunk in h.chunks(self._encoded_state()):
+        for chunk in messages.chunks(self._encoded_state()):
             channel.send(chunk)
-        channel.send(h.ListenerHandoff(), listener.dup())
+        channel.send(messages.ListenerHandoff(), listener.dup())
         if not self.extensions.are_held:
             self.front.loop.timers.after(SUCCESSOR_READY_TIMEOUT_MS, lambda: self._check_ready(channel))
 
     def _check_ready(self, channel: HandoffChannel) -> None:
-        """Protects the clients, which no process reads, against a successor that has stalled.
+        """Closes the channel if the successor did not become ready in time, as no process reads from clients.
 
-        Without the channel the successor finds the disks and addresses in use, or this process does and ends.
+        This process then reacquires its extensions. The process that finds the disks and addresses in use
+        ends.
         """
         if channel is self.successor and not self.handoff.is_handing_off:
             channel.close()
 
     def shut_down(self) -> None:
-        """This process was told to end: writes the learned state, and hands off what a successor takes.
+        """Begins the shutdown: writes the learned state, and hands off to a successor if there is one.
 
-        Returns at once; the process may end and call `close` once there is no `has_handoff_in_progress`.
+        Returns at once. The process may end and call `close` once `has_handoff_in_progress` is False.
         """
         self.write_learned_state()
         self.handoff.shut_down(monotonic_ms())
 
     @property
     def will_take_over(self) -> bool:
-        """Whether `start` is to come and there is a running predecessor from which it takes over."""
+        """Whether `start` was not called yet and will take over from a running predecessor."""
         return self._inherited.predecessor_socket is not None
 
     @property
     def is_replaced(self) -> bool:
         """Whether a successor accepts connections (it sent SuccessorReady) and gets those of this process.
 
-        False again where that successor is lost.
+        Becomes False again if that successor is lost.
         """
         return self.handoff.is_handing_off
 
     @property
     def has_handoff_in_progress(self) -> bool:
-        """Whether a hand-off is going on, so that this process must not end yet.
+        """Whether a hand-off is in progress, so that this process must not end yet.
 
-        Until the successor has received everything; before that, while another process has or awaits the
-        exclusive extensions of this one.
+        It is while a ready successor has not received everything, and while another process holds or awaits
+        the exclusive extensions of this one.
         """
         if self.handoff.is_handing_off:
             return not self._successor_done
@@ -332,7 +334,8 @@
         successor = self.successor
         if self._ticking or not self.handoff.is_handing_off or successor is None:
             return
-        # First: an error in this tick must not be the end of all ticks, with clients that no process reads.
+        # Schedules the next tick first: after an error in this one the hand-off must go on, as otherwise no
+        # process would read from the clients.
         self._ticking = True
         self.front.loop.timers.after(TICK_INTERVAL_MS, self._tick_again)
         now_ms = monotonic_ms()
@@ -344,7 +347,7 @@
         self._hand_off_idle(successor)
         if self._has_handed_off_everything(now_ms):
             self._sent_done = True
-            successor.send(h.HandoffComplete())
+            successor.send(messages.HandoffComplete())
 
     def _tick_again(self) -> None:
         self._ticking = False
@@ -368,17 +371,19 @@
             if not self.handoff.may_hand_off(has_open_request=has_open, has_unwritten_response=has_unwritten):
                 continue
             handed = port.hand_off(client)
-            for chunk in h.chunks(handed.unwritten):
+            for chunk in messages.chunks(handed.unwritten):
                 successor.send(chunk)
-            if successor.closed:  # it ended just now, and this connection was not in its queue
+            if successor.closed:  # it ended while the chunks were sent, before this connection was queued
                 port.take_over(handed)
                 return
-            message = h.ConnectionHandoff(handed.partial, handed.skip, handed.has_sent, handed.empty_ms)
+            message = messages.ConnectionHandoff(
+                handed.partial, handed.skip, handed.has_sent, handed.empty_ms
+            )
             successor.send(message, handed.sock)
             count += 1
 
     def close(self) -> None:
-        """This process ends: it takes nothing back, and leaves the hand-off directory to the successor."""
+        """Closes all channels as this process ends; takes no connection back."""
         self._closed = True
         self._close_listener()
         for channel in (self.predecessor, self.successor, self._inherited.predecessor_socket):
@@ -387,8 +392,8 @@
 
 
 def _handed_connection(
-    message: h.ConnectionHandoff, sock: socket.socket, unwritten: bytes
+    message: messages.ConnectionHandoff, sock: socket.socket, unwritten: bytes
 ) -> HandedOffConnection:
     return HandedOffConnection(
-        sock, message.partial, message.skip, message.spoke, unwritten, message.empty_ms
+        sock, message.partial, message.skip, message.has_sent, unwritten, message.empty_ms
     )
--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -1,11 +1,13 @@
-"""The learned state of a process, for its successor: taken from the decision module, encoded, and restored.
-
-All times are ages at the moment of writing, in milliseconds, so that different clocks do no harm. Scorers are
-numbers here, as in the decision module (`scorer_number` of the id); those in maintenance stand with their
-ids. Two clocks meet: `clock_ms` is the time of the event loop's clock, on which the decision module works,
-and `monotonic_ms` the system's monotonic one, which all processes of a machine share. The bytes carry a
-version and a checksum; what is truncated, of another version or too old is ignored, and its reader starts
-without it. An attribute whose name differs from the recorded one keeps that name in the bytes by `name=`.
+"""The learned state that a process passes to its successor: captures, encodes and restores it.
+
+All times are ages at the moment of writing, in milliseconds, so that the two processes may use different
+clocks. `clock_ms` is the time of the event loop's clock, which the decision module uses. `monotonic_ms` is
+the time of the system's monotonic clock, which all processes of a machine share.
+
+Scorers are identified by their number, as in the decision module (`scorer_number` of the id); scorers in
+maintenance by their id. The encoded state has a version and a checksum. State that is truncated, too old or
+of another version is ignored. `name=` gives the encoded name of a field where it differs from the
+attribute's.
 """
 
 import struct
@@ -21,8 +23,8 @@
 
 MAGIC = b"fwmem\x01"  # the last byte is the version
 HEADER = struct.Struct(">6sII")  # magic, length of the body in bytes, CRC-32 of the body
-MAX_AGE_MS = 20_000.0  # older state has no value, but for the scorers in maintenance
-MAX_FUNCTIONS = 500  # those called or wanted last
+MAX_AGE_MS = 20_000.0  # older state is outdated, except for the scorers in maintenance
+MAX_FUNCTIONS = 500  # the most recently needed ones are kept
 MAX_BYTES = 4 * 1024 * 1024
 
 # Milliseconds before the moment of writing; negative for a time after it, such as the end of an ejection.
@@ -31,17 +33,17 @@
 
 
 class LearnedQuota(msgspec.Struct, array_like=True, forbid_unknown_fields=True, frozen=True):
-    """The token bucket of one tenant: its tokens at its last refill, and the age of that."""
+    """The token bucket of one tenant: its tokens at the last refill, and the age of that refill."""
 
     tokens: float
     refill_age_ms: AgeMs
 
 
 class LearnedLosses(msgspec.Struct, array_like=True, forbid_unknown_fields=True, frozen=True):
-    """The requests of one class that a scorer lost or answered with errors, and its ejection because of that.
+    """The lost and failed requests of one class at a scorer, and the scorer's outlier ejection.
 
-    `losses` counts them. `ejection_end_age_ms` is negative while the ejection lasts, and `ejection_ms` is the
-    length of the next one.
+    `losses` counts the requests. `ejection_end_age_ms` is negative while the ejection lasts. `ejection_ms` is
+    the duration of the next ejection.
     """
 
     losses: float
@@ -50,11 +52,12 @@
 
 
 class LearnedCopies(msgspec.Struct, array_like=True):
-    """The copies (loaded instances) of a function at one scorer, as the front end last knew.
+    """The copies (loaded instances) of a function at one scorer, as last known to the front end.
 
-    `seen_age_ms` is since something last showed that a copy is loaded, `counted_age_ms` since an answer last
-    gave their number. The scorer gets no request of the function until the time of `blocked_until_age_ms`,
-    which is negative while that time has not come.
+    - `seen_age_ms`: since the last evidence that a copy is loaded.
+    - `counted_age_ms`: since an answer last gave the number of copies.
+    - `blocked_until_age_ms`: the scorer gets no request for the function until this time; negative until
+      then.
     """
 
     scorer_number: int
@@ -65,18 +68,18 @@
 
 
 class LearnedFunction(msgspec.Struct, array_like=True):
-    """A function, which is what a request names: its durations, its last calls, and where it is loaded.
+    """A function, which is what a request calls: its durations, its last calls, and where it is loaded.
 
-    - `kind`: the request class of its calls. `lanes`: calls that one copy runs at once.
-    - `reported_load_time_ms`: how long loading takes as requests say, None if none did.
+    - `kind`: the request class of its calls. `lanes`: number of calls that one copy runs at once.
+    - `reported_load_time_ms`: the load time that requests state; None if none did.
     - `run_time_samples`, `load_time_samples`, `queue_wait_samples`: measured run times, load times, and waits
       in the front end's queue.
     - `call_ages_ms`: its last arrivals. `decaying_arrivals`: a count of arrivals in which older ones weigh
       less.
-    - `speculative_idle_ms`: how long the last copy that was loaded speculatively stood unused before a call.
+    - `speculative_idle_ms`: how long the last speculatively loaded copy was idle before a call used it.
     - `speculates`: whether it is loaded speculatively.
-    - `wanted_scorers`: number of scorers that the calls of the whole fleet need.
-    - `reported_concurrency`: calls in flight from all front ends, as answers report.
+    - `wanted_scorers`: number of scorers that the calls from all front ends need.
+    - `reported_concurrency`: calls in flight from all front ends, as reported by answers.
     """
 
     name: str
@@ -98,9 +101,10 @@
 class LearnedScorer(msgspec.Struct, array_like=True):
     """A scorer: its start, its slowdown, and its lost requests by request class.
 
-    `slowdown_factor` is its run times as a multiple of those elsewhere, last observed `slowdown_age_ms` ago.
-    `suspect_age_ms` is since it is suspected to have failed, None if it is not. `slow_start_send_ages_ms` are
-    of the requests that count for its slow start.
+    - `slowdown_factor`: its run times relative to those at other scorers, last observed `slowdown_age_ms`
+      ago.
+    - `suspect_age_ms`: since the scorer is suspected to have failed; None if it is not.
+    - `slow_start_send_ages_ms`: of the requests that count towards the limit of its slow start.
     """
 
     scorer_number: int
@@ -113,17 +117,16 @@
 
 
 class LearnedState(msgspec.Struct):
-    """Everything that a process passes on to its successor.
+    """The state that a process passes to its successor.
 
     - `written_monotonic_ms`: the moment of writing, on the system's monotonic clock.
     - `scorers_in_maintenance`: ids of scorers.
-    - `started_age_ms`: since the decision module of the first process in a chain of hot restarts began to
-      work.
-    - `run_ms`: moving average of run times. `run_time_samples`: the last run times. Both are of all
+    - `started_age_ms`: since the decision module of the first process in a chain of hot restarts started.
+    - `run_ms`: moving average of run times. `run_time_samples`: the last run times. Both are over all
       functions.
-    - `concurrent_load_limit`: how many copies may be loading at once.
-    - `largest_scorer_fleet`: the sum of the scorers' sizes in the largest ready fleet of scorers seen.
-    - `hedge_tokens`: hedged requests that may be sent now, one token each.
+    - `concurrent_load_limit`: maximum number of copies that may be loading at once.
+    - `largest_scorer_fleet`: the largest observed sum of the sizes of ready scorers.
+    - `hedge_tokens`: number of hedged requests that may be sent now.
     - `request_ages_ms`, `load_command_ages_ms`: the last requests, and the last commands to load a function.
     - `quota_by_tenant`: the token bucket of each tenant.
     """
@@ -144,13 +147,13 @@
 
 
 def encode(learned: LearnedState) -> bytes:
-    """The bytes of a state, with their header."""
+    """Encodes a state, with a header."""
     body = msgspec.msgpack.encode(learned)
     return HEADER.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
 def decode(data: bytes) -> LearnedState | None:
-    """The state; None where the bytes are truncated, damaged or of another version."""
+    """Decodes a state; None if the bytes are truncated, damaged or of another version."""
     if not HEADER.size <= len(data) <= MAX_BYTES:
         return None
     magic, length, checksum = HEADER.unpack_from(data)
@@ -164,17 +167,17 @@
 
 
 def is_fresh(learned: LearnedState, monotonic_ms: float) -> bool:
-    """Whether a state is of this boot and was written in the last MAX_AGE_MS."""
+    """Whether a state was written in this boot and in the last MAX_AGE_MS."""
     return 0.0 <= monotonic_ms - learned.written_monotonic_ms <= MAX_AGE_MS
 
 
-# --- from the decision module -------------------------------------------------------------------------
+# --- capturing the state of the decision module -------------------------------------------------------
 
 
 def capture(
     router: Router, scorers_in_maintenance: set[str], clock_ms: float, monotonic_ms: float
 ) -> LearnedState:
-    """The state of the decision module; `clock_ms` and `monotonic_ms` are now, on its clock and the other."""
+    """Captures the decision module's state; both times are now, on its clock and on the monotonic clock."""
     return LearnedState(
         monotonic_ms,
         sorted(scorers_in_maintenance),
@@ -261,13 +264,13 @@
     ]
 
 
-# --- into the decision module -------------------------------------------------------------------------
+# --- restoring the state of the decision module -------------------------------------------------------
 
 
 def restore(router: Router, learned: LearnedState, clock_ms: float, monotonic_ms: float) -> None:
-    """Restores what concerns the scorers of the module's roster; the module has seen no request yet.
+    """Restores a decision module's state, without scorers that its roster lacks.
 
-    `clock_ms` and `monotonic_ms` are the same moment, now, on the module's clock and on the monotonic one.
+    The module must not have seen a request yet. Both times are now, on its clock and on the monotonic clock.
     """
     written_ms = clock_ms - (monotonic_ms - learned.written_monotonic_ms)  # on the module's clock
     router.began_ms = written_ms - learned.started_age_ms
--- a/fawnwharf/admin/predecessor_handoff.py
+++ b/fawnwharf/admin/predecessor_handoff.py
@@ -1,43 +1,46 @@
-"""The predecessor's side of a hot restart as a state machine: who owns what at which moment. No I/O."""
+"""The predecessor's side of a hot restart, as a state machine. No I/O."""
 
 from enum import Enum, auto
 
 from fawnwharf.admin.handoff_messages import VERSION, Hello
 
-PAUSE_READING_AFTER_MS = 400.0  # after SIGTERM: client connections that never become idle are read no further
-# After SIGTERM: longest wait for the connections of this process's own predecessor, told to end before it.
+# Time from SIGTERM until reading from clients stops, so that connections which never become idle can be
+# handed off.
+PAUSE_READING_AFTER_MS = 400.0
+# Time from SIGTERM for which this process waits for the connections of its own predecessor, which was told to
+# end before it.
 OWN_PREDECESSOR_TIMEOUT_MS = 2_800.0
 
 
 class HandoffPhase(Enum):
-    """How far the hand-off to a successor has come."""
+    """The phase of the hand-off to a successor."""
 
     NO_SUCCESSOR = auto()
-    REQUESTED = auto()  # a successor has asked; this process still accepts
-    HANDING_OFF = auto()  # the successor accepts; this process hands its connections off
-    SHUTTING_DOWN = auto()  # as before, and this process has been told to end
+    REQUESTED = auto()  # a successor has requested the hand-off; this process still accepts connections
+    HANDING_OFF = auto()  # the successor accepts connections; this process hands off its own
+    SHUTTING_DOWN = auto()  # like HANDING_OFF, and this process has been told to end
 
 
 class HandoffAction(Enum):
-    """What the predecessor is to do."""
+    """What the predecessor must do."""
 
     NONE = auto()
-    RELEASE_EXTENSIONS = auto()  # first the exclusive extensions, then as SEND_STATE
-    SEND_STATE = auto()  # the learned state and the listener
+    RELEASE_EXTENSIONS = auto()  # release the exclusive extensions, then as for SEND_STATE
+    SEND_STATE = auto()  # send the learned state and the listener
     REJECT = auto()
     STOP_ACCEPTING = auto()
     RESUME_ACCEPTING = auto()
-    PAUSE_CLIENT_READS = auto()  # also hand off connections with unwritten responses
+    PAUSE_CLIENT_READS = auto()  # from then on connections with unwritten responses are handed off as well
 
 
 class PredecessorHandoff:
-    """The old process in a hot restart, from having no successor to having handed everything off.
+    """Decides what the old process in a hot restart does.
 
-    Decides only: HotRestart calls it with what happens, and carries out the actions that it returns.
+    HotRestart reports events to it, and carries out the actions that it returns.
     """
 
     def __init__(self, listen: tuple[str, int]) -> None:
-        """Answers successors that are to listen on the same address."""
+        """`listen` is the address for clients, which the successor must share."""
         self.listen = listen
         self.phase = HandoffPhase.NO_SUCCESSOR
         self._shutdown_ms: float | None = None
@@ -45,7 +48,7 @@
 
     @property
     def is_handing_off(self) -> bool:
-        """Whether connections are handed off as they become idle."""
+        """Whether connections are handed off when they become idle."""
         return self.phase in (HandoffPhase.HANDING_OFF, HandoffPhase.SHUTTING_DOWN)
 
     @property
@@ -54,10 +57,10 @@
         return self._shutdown_ms is not None
 
     def on_hello(self, hello: Hello, *, holds_exclusive_extensions: bool = False) -> HandoffAction:
-        """A successor asks: REJECT, RELEASE_EXTENSIONS or SEND_STATE.
+        """A successor requests the hand-off; returns REJECT, RELEASE_EXTENSIONS or SEND_STATE.
 
-        REJECT where its version or address differs, another successor was first, or this process is ending.
-        RELEASE_EXTENSIONS where `holds_exclusive_extensions` and the successor needs them.
+        REJECT if its version or address differs, another successor came first, or this process is shutting
+        down. RELEASE_EXTENSIONS if `holds_exclusive_extensions` and the successor needs them.
         """
         matches = hello.version == VERSION and tuple(hello.listen) == self.listen
         if not matches or self.phase is not HandoffPhase.NO_SUCCESSOR or self.is_shutting_down:
@@ -68,14 +71,14 @@
         return HandoffAction.SEND_STATE
 
     def on_ready(self) -> HandoffAction:
-        """The successor accepts connections."""
+        """The successor has begun to accept connections."""
         if self.phase is not HandoffPhase.REQUESTED:
             return HandoffAction.NONE
         self.phase = HandoffPhase.SHUTTING_DOWN if self.is_shutting_down else HandoffPhase.HANDING_OFF
         return HandoffAction.STOP_ACCEPTING
 
     def on_successor_lost(self) -> HandoffAction:
-        """The channel has ended: the successor has crashed or given up."""
+        """The channel has ended: the successor has crashed, has ended or was given up."""
         was_handing_off = self.is_handing_off
         self.phase = HandoffPhase.NO_SUCCESSOR
         self._paused = False
@@ -92,16 +95,16 @@
         return 0.0 if self._shutdown_ms is None else now_ms - self._shutdown_ms
 
     def awaits_predecessor(self, now_ms: float) -> bool:
-        """Whether a process that is ending still waits for its own predecessor, if it has one.
+        """Whether a process that is shutting down still waits for its own predecessor, if it has one.
 
-        In a chain of three processes the first one hands its connections to the second, which passes them on
-        to the third. The caller knows whether there is a predecessor.
+        In a chain of three processes the first one hands off its connections to the second, which hands them
+        off to the third. The caller knows whether there is a predecessor.
         """
         is_ending = self.phase is HandoffPhase.SHUTTING_DOWN
         return is_ending and self._elapsed_ms(now_ms) < OWN_PREDECESSOR_TIMEOUT_MS
 
     def tick(self, now_ms: float) -> HandoffAction:
-        """PAUSE_CLIENT_READS once PAUSE_READING_AFTER_MS have passed since this process was told to end."""
+        """Returns PAUSE_CLIENT_READS once, PAUSE_READING_AFTER_MS after this process was told to end."""
         is_ending = self.phase is HandoffPhase.SHUTTING_DOWN
         if not is_ending or self._paused or self._elapsed_ms(now_ms) < PAUSE_READING_AFTER_MS:
             return HandoffAction.NONE
@@ -109,10 +112,11 @@
         return HandoffAction.PAUSE_CLIENT_READS
 
     def may_hand_off(self, *, has_open_request: bool, has_unwritten_response: bool) -> bool:
-        """Whether a connection may be handed off now: it has one owner at all times, so no request is open.
+        """Whether a connection may be handed off now.
 
-        `has_open_request`: a request on it has no complete response yet. `has_unwritten_response`: the client
-        has not taken all bytes of its responses. Such bytes go along once reading is paused; before that they
-        are written here, which is simpler.
+        `has_open_request`: a request on it has no complete response yet. Such a connection stays, because a
+        connection must have one owner at a time. `has_unwritten_response`: not all bytes of its responses
+        have been sent. This process sends them itself until client reads are paused; after that they are
+        handed off with the connection.
         """
         return self.is_handing_off and not has_open_request and (self._paused or not has_unwritten_response)
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -1,4 +1,4 @@
-"""The admin service of a running front end: carries out the operators' commands."""
+"""The admin service of a running front end, which carries out admin commands."""
 
 from fawnwharf import interface as io
 from fawnwharf.admin import draining
@@ -21,19 +21,19 @@
 from fawnwharf.net.roster_overlay import RosterFilter
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-OVERDUE_CHECK_INTERVAL_MS = 250.0  # between checks for operators' requests that do not become complete
-ROSTER_FILTER_NAME = "operators"  # of the filter that takes scorers in maintenance out of the roster
+OVERDUE_CHECK_INTERVAL_MS = 250.0  # between checks for requests that are not complete in time
+ROSTER_FILTER_NAME = "operators"  # of the filter that removes scorers in maintenance from the roster
 CALL_LIMIT_NAME = "operators"  # of the limit by which a draining front end rejects calls
-MAX_SCORER_LIST_CHARACTERS = 200  # of the ids of scorers in maintenance, in one log line
+MAX_SCORER_LIST_CHARACTERS = 200  # of the list of scorers in maintenance in a log line
 
 
 class AdminService:
-    """Owns the operators' address, draining, and the hot restart."""
+    """Owns the admin listener, draining, and hot restart."""
 
     def __init__(self, front: FrontEnd, address: Address, inherited: InheritedState | None = None) -> None:
-        """Listens on the operators' address; `inherited` is what the start found of its predecessor.
+        """Listens on the admin address; `inherited` is the state from the predecessor.
 
-        Raises ConfigError where the address can't be listened on.
+        Raises ConfigError if it can't listen on the address.
         """
         self.front = front
         self.commands = CommandHandler(lambda scorer_id: scorer_id in front.roster_overlay.members)
@@ -66,13 +66,14 @@
         )
 
     def start(self) -> None:
-        """The front end starts: takes over from the predecessor, if there is one.
+        """Called when the front end starts: takes over from the predecessor, if there is one.
 
-        Raises nothing: without the socket for a successor the front end runs without hot restart.
+        Raises nothing: if the socket for a successor can't be created, the front end runs without hot
+        restart.
         """
         self.hot_restart.start(self._inherited)
         inherited = set(self._inherited.scorers_in_maintenance) if self._inherited else set()
-        # Commands that came here before the predecessor could receive them.
+        # Forwards commands that this process received while it had no channel to the predecessor.
         for scorer_id in inherited ^ self.commands.scorers_in_maintenance:
             entered = scorer_id in self.commands.scorers_in_maintenance
             path = "/maintenance/enter" if entered else "/maintenance/exit"
@@ -80,7 +81,7 @@
         self._inherited = None
 
     def handle(self, request: AdminRequest) -> AdminResponse:
-        """Handles a command that an operator sent to this process."""
+        """Handles a command that an operator sent to this process, and forwards its effect."""
         response, effect = self._handle(request)
         if effect is not None:
             scorer_id = effect.scorer_id if isinstance(effect, EnterMaintenance | ExitMaintenance) else ""
@@ -88,9 +89,9 @@
         return response
 
     def _on_forwarded_command(self, command: OperatorCommand) -> None:
-        """Handles a command that another process received.
+        """Handles a command that another process has received.
 
-        Standby applies only to the process that has the clients.
+        Standby and its end apply only to the process that serves the clients.
         """
         if not self.is_replaced or command.scorer_id:
             query = (("target", command.scorer_id),) if command.scorer_id else ()
@@ -134,12 +135,12 @@
 
     @property
     def is_ready_to_serve(self) -> bool:
-        """Whether readiness checks are to succeed: started, not on standby and not shutting down."""
+        """Whether readiness checks should succeed: started, not on standby and not shutting down."""
         return self.front.started and not self.front.shutting_down and not self.commands.is_on_standby
 
     @property
     def will_take_over(self) -> bool:
-        """Whether there is a running predecessor from which this process is about to take over."""
+        """Whether this process is about to take over from a running predecessor."""
         return self.hot_restart.will_take_over
 
     @property
@@ -149,11 +150,11 @@
 
     @property
     def has_handoff_in_progress(self) -> bool:
-        """Whether a hand-off is going on, so that this process must not end yet."""
+        """Whether a hand-off is in progress, so that this process must not end yet."""
         return self.hot_restart.has_handoff_in_progress
 
     def shut_down(self) -> None:
-        """The front end was told to end: begins to hand off. `close` follows at the end of the shutdown."""
+        """Begins the hand-off as the front end shuts down; `close` follows at the end of the shutdown."""
         self.hot_restart.shut_down()
 
     # --- draining -------------------------------------------------------------------------------
@@ -161,10 +162,9 @@
     def _drain(self) -> None:
         if self._draining_since_ms is None or self.front.shutting_down:
             return
-        self.front.loop.timers.after(
-            draining.TICK_INTERVAL_MS, self._drain
-        )  # first: an error must not end it
-        if self.is_replaced:  # the successor, which is ready, gets the connections: none is ended or rejected
+        # Schedules the next check first: an error in this one must not end the drain.
+        self.front.loop.timers.after(draining.TICK_INTERVAL_MS, self._drain)
+        if self.is_replaced:  # the successor gets the connections: none is closed, and no request rejected
             self._set_rejecting(on=False)
             return
         step = draining.drain_step(monotonic_ms() - self._draining_since_ms)
@@ -180,12 +180,11 @@
     # --- periodic work --------------------------------------------------------------------------
 
     def _close_overdue(self) -> None:
-        self.front.loop.timers.after(
-            OVERDUE_CHECK_INTERVAL_MS, self._close_overdue
-        )  # first: an error must not end it
+        # Schedules the next check first: an error in this one must not end the checks.
+        self.front.loop.timers.after(OVERDUE_CHECK_INTERVAL_MS, self._close_overdue)
         self.listener.close_overdue()
 
     def close(self) -> None:
-        """The front end ends."""
+        """Closes the admin listener and the hot restart channels as the front end ends."""
         self.hot_restart.close()
         self.listener.close()
