--- a/fawnwharf/admin/exclusive_extensions.py
+++ b/fawnwharf/admin/exclusive_extensions.py
@@ -14,8 +14,9 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 CHECK_INTERVAL_MS = 5.0  # between checks for open requests, and between attempts to reacquire
-# Maximum time for which the release waits for open requests. The new process must be ready within 6 s. A
-# request that takes longer continues in this process, and its claim then counts as one that may have run.
+# Maximum time for which the release waits for open requests; after it the extensions are released anyway.
+# The new process must be ready within 6 s. A request that takes longer continues in this process, and its
+# claim then counts as one that may have run.
 RELEASE_DRAIN_TIMEOUT_MS = 3_500.0
 REACQUIRE_TIMEOUT_MS = 10_000.0  # for all attempts to reacquire; after that this process ends
 
@@ -36,7 +37,7 @@
     """
 
     def __init__(self, front: FrontEnd) -> None:
-        """At first this process holds the extensions."""
+        """Starts in the state HELD."""
         self.front = front
         self.state = ExtensionState.HELD
         self._since_ms = 0.0
@@ -55,8 +56,7 @@
         """Stops reading from clients, waits for open requests, and releases the extensions.
 
         Only for a front end that has extensions. `on_released` is called once, after RELEASE_DRAIN_TIMEOUT_MS
-        at the latest, also if the extensions raise an error. It is not called if `reacquire` is called
-        before.
+        at the latest, also after an error in the extensions; never if `reacquire` is called before that.
         """
         self.state = ExtensionState.DRAINING
         self._since_ms = monotonic_ms()
@@ -73,9 +73,8 @@
         if busy and monotonic_ms() - self._since_ms < RELEASE_DRAIN_TIMEOUT_MS:
             front.loop.timers.after(CHECK_INTERVAL_MS, lambda: self._drain(on_released))
             return
-        front.loop.run_guarded(
-            extension.suspend
-        )  # continues after an error: no client is read until the release
+        # Continues after an error: no process reads from clients until the extensions are released.
+        front.loop.run_guarded(extension.suspend)
         self.state = ExtensionState.RELEASED
         elapsed_ms = monotonic_ms() - self._since_ms
         front.log(f"hot restart: released the exclusive extensions, {elapsed_ms:.0f} ms after the request")
--- a/fawnwharf/admin/handoff_messages.py
+++ b/fawnwharf/admin/handoff_messages.py
@@ -1,7 +1,7 @@
 """The messages between a process and its successor in a hot restart, and their encoding. No I/O.
 
-The socket between them preserves message boundaries. `name=` gives the encoded name of a field where it
-differs from the attribute's. Each docstring says which process sends the message.
+The socket between them preserves message boundaries. `name=` is the encoded name of a field where it
+differs from the attribute. Each docstring says which process sends the message.
 """
 
 import msgspec
--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -292,8 +292,7 @@
     def _check_ready(self, channel: HandoffChannel) -> None:
         """Closes the channel if the successor did not become ready in time, as no process reads from clients.
 
-        This process then reacquires its extensions. The process that finds the disks and addresses in use
-        ends.
+        This process then reacquires its extensions. A process that finds the disks and addresses in use ends.
         """
         if channel is self.successor and not self.handoff.is_handing_off:
             channel.close()
--- a/fawnwharf/admin/learned_state.py
+++ b/fawnwharf/admin/learned_state.py
@@ -6,8 +6,7 @@
 
 Scorers are identified by their number, as in the decision module (`scorer_number` of the id); scorers in
 maintenance by their id. The encoded state has a version and a checksum. State that is truncated, too old or
-of another version is ignored. `name=` gives the encoded name of a field where it differs from the
-attribute's.
+of another version is ignored. `name=` is the encoded name of a field where it differs from the attribute.
 """
 
 import struct
@@ -40,7 +39,7 @@
 
 
 class LearnedLosses(msgspec.Struct, array_like=True, forbid_unknown_fields=True, frozen=True):
-    """The lost and failed requests of one class at a scorer, and the scorer's outlier ejection.
+    """The lost and failed requests of one class at a scorer, and the outlier ejection that they caused.
 
     `losses` counts the requests. `ejection_end_age_ms` is negative while the ejection lasts. `ejection_ms` is
     the duration of the next ejection.
@@ -56,8 +55,7 @@
 
     - `seen_age_ms`: since the last evidence that a copy is loaded.
     - `counted_age_ms`: since an answer last gave the number of copies.
-    - `blocked_until_age_ms`: the scorer gets no request for the function until this time; negative until
-      then.
+    - `blocked_until_age_ms`: the scorer gets no request for the function while this is negative.
     """
 
     scorer_number: int
@@ -101,8 +99,7 @@
 class LearnedScorer(msgspec.Struct, array_like=True):
     """A scorer: its start, its slowdown, and its lost requests by request class.
 
-    - `slowdown_factor`: its run times relative to those at other scorers, last observed `slowdown_age_ms`
-      ago.
+    - `slowdown_factor`: its run times relative to those at other scorers, seen `slowdown_age_ms` ago.
     - `suspect_age_ms`: since the scorer is suspected to have failed; None if it is not.
     - `slow_start_send_ages_ms`: of the requests that count towards the limit of its slow start.
     """
--- a/fawnwharf/admin/service.py
+++ b/fawnwharf/admin/service.py
@@ -82,7 +82,7 @@
 
     def handle(self, request: AdminRequest) -> AdminResponse:
         """Handles a command that an operator sent to this process, and forwards its effect."""
-        response, effect = self._handle(request)
+        response, effect = self._execute(request)
         if effect is not None:
             scorer_id = effect.scorer_id if isinstance(effect, EnterMaintenance | ExitMaintenance) else ""
             self.hot_restart.forward_command(request.path, scorer_id)
@@ -95,9 +95,9 @@
         """
         if not self.is_replaced or command.scorer_id:
             query = (("target", command.scorer_id),) if command.scorer_id else ()
-            self._handle(AdminRequest("POST", command.path, query))
+            self._execute(AdminRequest("POST", command.path, query))
 
-    def _handle(self, request: AdminRequest) -> CommandResult:
+    def _execute(self, request: AdminRequest) -> CommandResult:
         self.commands.is_serving = self.front.started and not self.front.client_port.not_ready_reasons
         self.commands.is_shutting_down = self.front.shutting_down
         result = self.commands.handle(request)
