--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -1,4 +1,4 @@
-"""Operators' calls: tables for the pure parts, and one test with real sockets for each rule."""
+"""Admin commands: tables for the modules without I/O, and one test with real sockets for each rule."""
 
 import socket
 import time
@@ -22,12 +22,12 @@
 from fawnwharf.net.front_end import scorer_number
 from fawnwharf.net.roster_overlay import RosterOverlay
 
-CALL = b"POST /maintenance/enter?target=s-1 HTTP/1.1\r\nHost: x\r\n\r\n"
-BODY = b"POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
+ENTER_REQUEST = b"POST /maintenance/enter?target=s-1 HTTP/1.1\r\nHost: x\r\n\r\n"
+REQUEST_WITH_BODY = b"POST /standby HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
 
-READS = [
-    ("a call", CALL, AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),))),
-    ("with a body", BODY, AdminRequest("POST", "/standby")),
+REQUESTS = [
+    ("a call", ENTER_REQUEST, AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),))),
+    ("with a body", REQUEST_WITH_BODY, AdminRequest("POST", "/standby")),
     (
         "escaped",
         b"GET /status?target=s%2d1 HTTP/1.1\r\n\r\n",
@@ -35,7 +35,7 @@
     ),
     (
         "two in a row: the first",
-        CALL + BODY,
+        ENTER_REQUEST + REQUEST_WITH_BODY,
         AdminRequest("POST", "/maintenance/enter", (("target", "s-1"),)),
     ),
     (
@@ -43,8 +43,8 @@
         b"GET /?target=a&target= HTTP/1.1\r\n\r\n",
         AdminRequest("GET", "/", (("target", "a"), ("target", ""))),
     ),
-    ("half a head", CALL[:-2], None),
-    ("half a body", BODY[:-1], None),
+    ("half a head", ENTER_REQUEST[:-2], None),
+    ("half a body", REQUEST_WITH_BODY[:-1], None),
     ("no HTTP", b"\x00\x00\x00\x10\x80\x01\x00\x01", 400),
     (
         "another protocol",
@@ -56,13 +56,15 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "wanted"), [case[1:] for case in READS], ids=[case[0] for case in READS])
-@pytest.mark.parametrize("piece", [1, 7, 1 << 20])
-def test_a_request_is_read_from_chunks_of_any_size(data, wanted, piece):
+@pytest.mark.parametrize(
+    ("data", "expected"), [case[1:] for case in REQUESTS], ids=[case[0] for case in REQUESTS]
+)
+@pytest.mark.parametrize("chunk_size", [1, 7, 1 << 20])
+def test_a_request_is_read_from_chunks_of_any_size(data, expected, chunk_size):
     reader, found = RequestReader(), None
-    for at in range(0, len(data), piece):
-        found = reader.feed(data[at : at + piece])
-    assert (found.status if isinstance(found, AdminResponse) else found) == wanted
+    for at in range(0, len(data), chunk_size):
+        found = reader.feed(data[at : at + chunk_size])
+    assert (found.status if isinstance(found, AdminResponse) else found) == expected
 
 
 def test_a_response_is_one_line_whatever_the_request_contains():
@@ -106,14 +108,16 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "call", "status", "effect"), [c[1:] for c in COMMANDS], ids=[c[0] for c in COMMANDS]
+    ("earlier_commands", "command", "status", "effect"),
+    [case[1:] for case in COMMANDS],
+    ids=[case[0] for case in COMMANDS],
 )
-def test_commands_have_their_status_and_effect(before, call, status, effect):
+def test_commands_have_their_status_and_effect(earlier_commands, command, status, effect):
     handler = CommandHandler({"s-1", "s-2"}.__contains__, is_serving=True)
-    for earlier in before:
+    for earlier in earlier_commands:
         handler.handle(earlier)
-    answer, found = handler.handle(call)
-    assert (answer.status, found) == (status, effect)
+    response, found = handler.handle(command)
+    assert (response.status, found) == (status, effect)
 
 
 def test_a_front_end_that_starts_or_shuts_down_is_not_ready_and_not_drained():
@@ -138,11 +142,13 @@
     overlay.apply(Fleet([member, Member("s-2", "in_service", "127.0.0.1:2")], complete=True))
     [closed] = overlay.set_filter("one", lambda m: m.id == "s-1").members
     assert (closed.id, closed.phase) == ("s-1", "terminating")
-    assert not overlay.set_filter("two", lambda m: m.id == "s-1").members  # closed already
+    assert not overlay.set_filter(
+        "two", lambda m: m.id == "s-1"
+    ).members  # the other filter closes it already
     told = [overlay.apply(Fleet([Member("s-1", phase)])).members[0] for phase in ("terminated", "in_service")]
     assert [m.phase for m in told] == ["terminated", "terminating"]
     overlay.apply(Fleet([member]))
-    assert not overlay.set_filter("one", None).members  # the other one still closes it
+    assert not overlay.set_filter("one", None).members  # the other filter still closes it
     assert [m.phase for m in overlay.set_filter("two", None).members] == ["in_service"]
     [back] = overlay.mark_restarted(["s-1", "s-9"], 5000.0).members
     assert (back.up_since_ms, back.host_port, back.locality) == (5000.0, "127.0.0.1:1", "a")
@@ -159,29 +165,29 @@
 
 
 class RigWithAdmin(Rig):
-    """A front end in this thread that operators may call."""
+    """A front end in this thread, with its admin service."""
 
     def __init__(self, *scorers, **more):
         super().__init__(*scorers, **more)
         self.admin = service.AdminService(self.front, ("127.0.0.1", 0))
 
-    def caller(self):
+    def connect_operator(self):
         self.clients.append(ClientPeer.__new__(ClientPeer))
         Buffered.__init__(self.clients[-1], socket.create_connection(self.admin.listener.address))
         self.clients[-1].pump = lambda peer=self.clients[-1]: Buffered.pump(peer)
         return self.clients[-1]
 
-    def ask(self, path, method="POST"):
-        caller = self.caller()
-        caller.sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-        self.until(lambda: caller.ended, "the call is answered")
-        return int(caller.data.split(b" ")[1])
+    def send_command(self, path, method="POST"):
+        operator = self.connect_operator()
+        operator.sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        self.until(lambda: operator.ended, "the command is answered")
+        return int(operator.data.split(b" ")[1])
 
-    def after(self, ms):
-        """Let the loop run until a timer of its own says so."""
+    def run_for(self, ms):
+        """Run the event loop for this time, as measured by a timer of its own."""
         due = []
         self.front.loop.timers.after(ms, lambda: due.append(1))
-        self.until(lambda: due, "the time is over")
+        self.until(lambda: due, "the time has passed")
 
 
 class Case(unittest.TestCase):
@@ -194,18 +200,22 @@
 class AdminAddress(Case):
     def test_incomplete_requests_time_out_and_do_not_block_others(self):
         rig = self.rig(ScorerPeer())
-        idle = [rig.caller() for _ in range(admin_listener.MAX_CONNECTION_LIMIT)]
-        for caller in idle[::2]:
-            caller.sock.sendall(b"GET /sta")
+        idle = [rig.connect_operator() for _ in range(admin_listener.MAX_CONNECTION_LIMIT)]
+        for operator in idle[::2]:
+            operator.sock.sendall(b"GET /sta")
         rig.until(
-            lambda: len(rig.admin.listener.connections) == admin_listener.MAX_CONNECTION_LIMIT, "all are held"
+            lambda: len(rig.admin.listener.connections) == admin_listener.MAX_CONNECTION_LIMIT,
+            "all connections are accepted",
         )
-        assert rig.ask("/status", "GET") == 200
-        assert idle[0].ended or idle[1].ended  # the oldest gave way
+        assert rig.send_command("/status", "GET") == 200
+        assert idle[0].ended or idle[1].ended  # the oldest one was closed for the new connection
         with mock.patch.object(admin_listener, "REQUEST_TIMEOUT_MS", 50.0):
-            rig.until(lambda: all(caller.ended for caller in idle), "the others are ended in time")
+            rig.until(
+                lambda: all(operator.ended for operator in idle),
+                "the other connections have timed out",
+            )
         assert b" 408 " in bytes(idle[-2].data)
-        rig.until(lambda: not rig.admin.listener.connections, "no descriptor is left")
+        rig.until(lambda: not rig.admin.listener.connections, "all connections are closed")
 
     def test_a_request_is_answered_in_an_iteration_that_clients_fill(self):
         rig = self.rig(ScorerPeer(copies=None))
@@ -213,15 +223,17 @@
         for client in clients:
             for _ in range(20):
                 client.call()
-        caller = rig.caller()
-        rig.front.loop.run_iteration(0.2)  # its connection is accepted, and clients fill the rest of the turn
-        caller.sock.sendall(b"GET /status HTTP/1.1\r\n\r\n")
+        operator = rig.connect_operator()
+        rig.front.loop.run_iteration(
+            0.2
+        )  # accepts the admin connection; clients fill the rest of the iteration
+        operator.sock.sendall(b"GET /status HTTP/1.1\r\n\r\n")
         with mock.patch("fawnwharf.net.event_loop.MAX_EVENTS", 1):
             for client in clients:
                 client.call()
             rig.front.loop.run_iteration(0.2)
-        caller.pump()
-        assert b" 200 " in bytes(caller.data)
+        operator.pump()
+        assert b" 200 " in bytes(operator.data)
 
 
 class Maintenance(Case):
@@ -230,31 +242,31 @@
         rig = self.rig(one, two)
         client = rig.client()
         client.call()
-        rig.until(lambda: one.runs or two.runs, "a home is found")
+        rig.until(lambda: one.runs or two.runs, "a scorer gets the call")
         home, other = (one, two) if one.runs else (two, one)
         home.answer(home.runs[0])
-        rig.until(lambda: client.answers, "it is served")
-        assert rig.ask(f"{ENTER}?target={home.id}") == 200
+        rig.until(lambda: client.answers, "the call is answered")
+        assert rig.send_command(f"{ENTER}?target={home.id}") == 200
         rig.log.say({"seq": 2, "fleet": {"members": [home.member()]}})
-        rig.until(lambda: rig.front.change_log.seq == 2, "the log has it in service")
+        rig.until(lambda: rig.front.change_log.seq == 2, "the change log has reported the scorer in service")
         client.call()
-        rig.until(lambda: other.runs, "the next goes elsewhere")
+        rig.until(lambda: other.runs, "the other scorer gets the next call")
         assert len(home.runs) == 1
         worker = rig.front.router.scorers[scorer_number(home.id)]
         assert worker.entry.state is ScorerState.DRAINING
         before = rig.front.loop.clock.now_ms()
-        assert rig.ask(f"{EXIT}?target={home.id}") == 200
+        assert rig.send_command(f"{EXIT}?target={home.id}") == 200
         rig.until(lambda: worker.entry is not None and rig.front.router.scorers[worker.id].entry.state == 1)
-        assert worker.started_ms >= before  # it is cold, and its copies are gone
+        assert worker.started_ms >= before  # in slow start, and without copies
         router = rig.front.router
         assert {router._copies(fn, worker) for fn in router.functions.values()} == {0}
 
     def test_with_all_scorers_in_maintenance_each_call_gets_one_answer(self):
         rig = self.rig(ScorerPeer("s-1"))
         client = rig.client()
-        assert rig.ask(f"{ENTER}?target=s-1") == 200
+        assert rig.send_command(f"{ENTER}?target=s-1") == 200
         seqid = client.call(ttl="200")
-        rig.until(lambda: client.answers, "it is answered")
+        rig.until(lambda: client.answers, "the call is answered")
         assert client.kinds() == {seqid: "throttled"}
 
 
@@ -262,7 +274,7 @@
     def status(self, rig, client):
         seqid = 2000 + len(client.answers)
         client.status(seqid)
-        rig.until(lambda: seqid in client.kinds(), "the status comes")
+        rig.until(lambda: seqid in client.kinds(), "the status is answered")
         return next(content[3] for number, _, content in client.answers if number == seqid)
 
     def test_connections_are_served_at_first_and_end_when_idle(self):
@@ -270,17 +282,17 @@
         rig = self.rig(scorer)
         idle, busy = rig.client(), rig.client()
         busy.call()
-        rig.until(lambda: len(scorer.runs) == 1, "it runs")
-        assert rig.ask("/standby") == 200
-        assert rig.ask("/status", "GET") == 503
+        rig.until(lambda: len(scorer.runs) == 1, "the first call runs")
+        assert rig.send_command("/standby") == 200
+        assert rig.send_command("/status", "GET") == 503
         idle.call()
-        rig.until(lambda: len(scorer.runs) == 2, "a kept connection is used on")
+        rig.until(lambda: len(scorer.runs) == 2, "a call on the idle connection runs")
         scorer.answer(scorer.runs[1])
-        rig.until(lambda: idle.ended, "and ended once it is idle")
+        rig.until(lambda: idle.ended, "the connection is closed once it is idle")
         assert list(idle.kinds().values()) == ["answer"]
         assert not busy.ended
         scorer.answer(scorer.runs[0])
-        rig.until(lambda: busy.ended, "the busy one is ended after its answer")
+        rig.until(lambda: busy.ended, "the busy connection is closed after its answer")
         assert list(busy.kinds().values()) == ["answer"]
 
     def test_calls_on_a_connection_that_is_never_idle_are_rejected_in_the_end(self):
@@ -288,35 +300,35 @@
         rig = self.rig(scorer)
         client = rig.client()
         client.call()
-        rig.until(lambda: scorer.runs, "it runs")
-        rig.ask("/standby")
-        rig.after(draining.REJECT_FROM_MS + 50.0)
+        rig.until(lambda: scorer.runs, "the first call runs")
+        rig.send_command("/standby")
+        rig.run_for(draining.REJECT_FROM_MS + 50.0)
         second = client.call()
-        rig.until(lambda: client.answers, "the second is answered at once")
+        rig.until(lambda: client.answers, "the second call is answered at once")
         assert client.kinds() == {second: "throttled"}
         scorer.answer(scorer.runs[0])
-        rig.until(lambda: client.ended, "and then nothing holds the connection")
+        rig.until(lambda: client.ended, "the connection is closed after the first answer")
 
     def test_active_resumes_at_once_with_the_learned_state_and_is_idempotent(self):
         scorer = ScorerPeer(copies=4)
         rig = self.rig(scorer)
         first = rig.client()
         first.call()
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the call runs")
         scorer.answer(scorer.runs[0])
-        rig.until(lambda: first.answers, "a copy is known")
+        rig.until(lambda: first.answers, "the call is answered")
         loads = [f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"]
         for path in ("/active", "/standby", "/standby"):
-            assert rig.ask(path) == 200
-        rig.after(draining.REJECT_FROM_MS + 50.0)
+            assert rig.send_command(path) == 200
+        rig.run_for(draining.REJECT_FROM_MS + 50.0)
         client = rig.client()
         assert not self.status(rig, client)
         began = time.monotonic()
-        assert rig.ask("/active") == 200
-        assert rig.ask("/status", "GET") == 200
+        assert rig.send_command("/active") == 200
+        assert rig.send_command("/status", "GET") == 200
         assert time.monotonic() - began < 2.0
         client = rig.client()
         assert self.status(rig, client)
         client.call()
-        rig.until(lambda: len(scorer.runs) == 2, "it serves")
-        assert [f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"] == loads  # no load
+        rig.until(lambda: len(scorer.runs) == 2, "the next call runs")
+        assert [f for _, f in scorer.of(5) if f.fields["slots_up"] != "0"] == loads  # no further load
--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -1,4 +1,4 @@
-"""Hand-off between a process and its successor: states, learned state, and each way the channel may break."""
+"""Hand-off between a process and its successor: state machine, messages, and failures of the channel."""
 
 import os
 import socket
@@ -11,9 +11,8 @@
 from hypothesis import strategies as st
 from peers import Buffered, Rig, ScorerPeer, ready
 
-from fawnwharf.admin import handoff_channel, predecessor_handoff, service
-from fawnwharf.admin import handoff_messages as h
-from fawnwharf.admin import learned_state as m
+from fawnwharf.admin import handoff_channel, learned_state, predecessor_handoff, service
+from fawnwharf.admin import handoff_messages as messages
 from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.admin.handoff_listener import HandoffListener
 from fawnwharf.admin.handoff_request import InheritedState
@@ -24,16 +23,16 @@
 from fawnwharf.net.event_loop import EventLoop
 
 ADDRESS = ("127.0.0.1", 8000)
-HELLO = h.Hello(h.VERSION, ADDRESS)
+HELLO = messages.Hello(messages.VERSION, ADDRESS)
 
 
 def apply_step(source, step):
-    """One step by its name: `shutdown@5` at a time, `hello`, `other`, `ready`, `lost`, `tick@9`."""
+    """Apply one event, such as `hello`, `ready` or `lost`; `shutdown@5` and `tick@9` have a time in ms."""
     name, _, at = step.partition("@")
     steps = {
         "hello": lambda: source.on_hello(HELLO),
-        "newer": lambda: source.on_hello(h.Hello(h.VERSION + 1, ADDRESS)),
-        "other": lambda: source.on_hello(h.Hello(h.VERSION, ("127.0.0.1", 8001))),
+        "newer": lambda: source.on_hello(messages.Hello(messages.VERSION + 1, ADDRESS)),
+        "other": lambda: source.on_hello(messages.Hello(messages.VERSION, ("127.0.0.1", 8001))),
         "ready": source.on_ready,
         "lost": source.on_successor_lost,
         "shutdown": lambda: source.shut_down(float(at)),
@@ -42,41 +41,42 @@
     return steps[name]()
 
 
-N, SEND, REJECT, STOP, RESUME, PAUSE = (
+NONE, SEND, REJECT, STOP, RESUME, PAUSE = (
     HandoffAction.NONE, HandoffAction.SEND_STATE, HandoffAction.REJECT,
     HandoffAction.STOP_ACCEPTING, HandoffAction.RESUME_ACCEPTING, HandoffAction.PAUSE_CLIENT_READS,
 )  # fmt: skip
 SEQUENCES = [
     ("requested", "hello", [SEND], HandoffPhase.REQUESTED),
     ("handing off", "hello ready", [SEND, STOP], HandoffPhase.HANDING_OFF),
-    ("ready without a hello", "ready", [N], HandoffPhase.NO_SUCCESSOR),
-    ("ready twice", "hello ready ready", [SEND, STOP, N], HandoffPhase.HANDING_OFF),
+    ("ready without a hello", "ready", [NONE], HandoffPhase.NO_SUCCESSOR),
+    ("ready twice", "hello ready ready", [SEND, STOP, NONE], HandoffPhase.HANDING_OFF),
     ("requested twice", "hello hello ready hello", [SEND, REJECT, STOP, REJECT], HandoffPhase.HANDING_OFF),
     ("another version", "newer", [REJECT], HandoffPhase.NO_SUCCESSOR),
     ("another address", "other", [REJECT], HandoffPhase.NO_SUCCESSOR),
     ("shutting down before a request", "shutdown@0 hello", [None, REJECT], HandoffPhase.NO_SUCCESSOR),
-    ("shutting down", "hello ready shutdown@0 tick@399", [SEND, STOP, None, N], HandoffPhase.SHUTTING_DOWN),
-    ("paused once", "hello ready shutdown@0 tick@400 tick@500", [SEND, STOP, None, PAUSE, N],
+    ("shutting down", "hello ready shutdown@0 tick@399", [SEND, STOP, None, NONE],
+     HandoffPhase.SHUTTING_DOWN),
+    ("paused once", "hello ready shutdown@0 tick@400 tick@500", [SEND, STOP, None, PAUSE, NONE],
      HandoffPhase.SHUTTING_DOWN),
     ("shutting down before it is ready", "hello shutdown@0 ready", [SEND, None, STOP],
      HandoffPhase.SHUTTING_DOWN),
-    ("no pause while it is not shutting down", "hello ready tick@9999", [SEND, STOP, N],
+    ("no pause while it is not shutting down", "hello ready tick@9999", [SEND, STOP, NONE],
      HandoffPhase.HANDING_OFF),
-    ("lost before it was ready", "hello lost", [SEND, N], HandoffPhase.NO_SUCCESSOR),
+    ("lost before it was ready", "hello lost", [SEND, NONE], HandoffPhase.NO_SUCCESSOR),
     ("lost after it was ready", "hello ready lost", [SEND, STOP, RESUME], HandoffPhase.NO_SUCCESSOR),
-    ("lost at the end", "hello ready shutdown@0 tick@400 lost tick@500", [SEND, STOP, None, PAUSE, RESUME, N],
-     HandoffPhase.NO_SUCCESSOR),
+    ("lost at the end", "hello ready shutdown@0 tick@400 lost tick@500",
+     [SEND, STOP, None, PAUSE, RESUME, NONE], HandoffPhase.NO_SUCCESSOR),
     ("and the next", "hello ready lost hello ready", [SEND, STOP, RESUME, SEND, STOP],
      HandoffPhase.HANDING_OFF),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(
-    ("steps", "wanted", "phase"), [c[1:] for c in SEQUENCES], ids=[c[0] for c in SEQUENCES]
+    ("steps", "expected", "phase"), [case[1:] for case in SEQUENCES], ids=[case[0] for case in SEQUENCES]
 )
-def test_actions_of_the_hand_off_source(steps, wanted, phase):
+def test_actions_of_the_hand_off_source(steps, expected, phase):
     source = predecessor_handoff.PredecessorHandoff(ADDRESS)
-    assert [apply_step(source, step) for step in steps.split()] == wanted
+    assert [apply_step(source, step) for step in steps.split()] == expected
     assert source.phase is phase
     assert source.is_handing_off == (phase in (HandoffPhase.HANDING_OFF, HandoffPhase.SHUTTING_DOWN))
 
@@ -90,8 +90,10 @@
 ]
 
 
-@pytest.mark.parametrize(("steps", "wanted"), HAND_OFFS, ids=[case[0] for case in HAND_OFFS])
-def test_a_connection_is_handed_off_without_open_requests_and_with_unwritten_bytes_at_the_end(steps, wanted):
+@pytest.mark.parametrize(("steps", "expected"), HAND_OFFS, ids=[case[0] for case in HAND_OFFS])
+def test_a_connection_is_handed_off_without_open_requests_and_with_unwritten_bytes_at_the_end(
+    steps, expected
+):
     source = predecessor_handoff.PredecessorHandoff(ADDRESS)
     for step in steps.split():
         apply_step(source, step)
@@ -100,7 +102,7 @@
         for has_open in (False, True)
         for unwritten in (False, True)
     ]
-    assert found == wanted
+    assert found == expected
 
 
 def test_a_shutdown_awaits_the_predecessor_for_a_limited_time():
@@ -131,57 +133,57 @@
 def test_in_any_order_of_events_it_accepts_exactly_while_it_does_not_hand_off(steps):
     source, accepts = predecessor_handoff.PredecessorHandoff(ADDRESS), True
     for step in steps:
-        what = apply_step(source, step)
-        accepts = accepts if what not in (STOP, RESUME) else what is RESUME
+        action = apply_step(source, step)
+        accepts = accepts if action not in (STOP, RESUME) else action is RESUME
         assert accepts != source.is_handing_off
 
 
 @given(st.binary(max_size=300_000))
 @settings(max_examples=20)
 def test_chunks_contain_all_data_in_messages_of_limited_size(data):
-    found = [h.decode(h.encode(part)) for part in h.chunks(data)]
-    assert b"".join(part.data for part in found) == data
-    assert all(len(h.encode(part)) < handoff_channel.MAX_MESSAGE_BYTES for part in found)
+    found = [messages.decode(messages.encode(chunk)) for chunk in messages.chunks(data)]
+    assert b"".join(chunk.data for chunk in found) == data
+    assert all(len(messages.encode(chunk)) < handoff_channel.MAX_MESSAGE_BYTES for chunk in found)
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_decoded_or_rejected(data):
-    h.decode(data)
-    assert m.decode(data) is None
+    messages.decode(data)
+    assert learned_state.decode(data) is None
 
 
-# --- ways it may break, with real sockets in this thread --------------------------------------------------
+# --- failures of the channel, with real sockets in this thread --------------------------------------------
 
 
 @pytest.fixture
 def rig():
     with tempfile.TemporaryDirectory() as folder:
-        made = Rig(ScorerPeer(copies=4))
-        directory = HandoffDirectory(folder, "", made.front.address)
-        made.admin = service.AdminService(made.front, ("127.0.0.1", 0), InheritedState(directory))
-        made.admin.start()
-        made.peers = []
-        yield made
-        made.close()
-        for peer in made.peers:
+        created = Rig(ScorerPeer(copies=4))
+        directory = HandoffDirectory(folder, "", created.front.address)
+        created.admin = service.AdminService(created.front, ("127.0.0.1", 0), InheritedState(directory))
+        created.admin.start()
+        created.peers = []
+        yield created
+        created.close()
+        for peer in created.peers:
             peer.close()
 
 
 def connect_successor(rig):
-    """The process that takes its directory, played by the test."""
+    """Connect a successor, whose side the test plays, and let it become ready."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     with rig.admin.hot_restart.directory.socket_address() as address:
         sock.connect(address)
     sock.setblocking(False)
     rig.peers.append(sock)
-    handoff_channel.send(sock, h.encode(h.Hello(h.VERSION, rig.front.address)), None)
-    handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
-    rig.until(lambda: rig.admin.is_replaced, "it hands off")
+    handoff_channel.send(sock, messages.encode(messages.Hello(messages.VERSION, rig.front.address)), None)
+    handoff_channel.send(sock, messages.encode(messages.SuccessorReady()), None)
+    rig.until(lambda: rig.admin.is_replaced, "the front end hands off")
     return sock
 
 
 def connect_predecessor(rig):
-    """The process whose directory this one took, played by the test."""
+    """Connect a predecessor, whose side the test plays."""
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     rig.peers.append(far)
     hot_restart = rig.admin.hot_restart
@@ -192,7 +194,7 @@
     return far
 
 
-def messages(sock):
+def received_messages(sock):
     found = []
     while ready(sock, 0.0):
         found.append(handoff_channel.receive(sock))
@@ -202,62 +204,65 @@
 def test_a_successor_that_ends_during_a_hand_off_costs_no_connection(rig):
     client = rig.client()
     client.call()
-    rig.until(lambda: rig.scorers[0].runs, "it runs")
+    rig.until(lambda: rig.scorers[0].runs, "the call runs")
     sock = connect_successor(rig)
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"y" * 5000)
     hot_restart = rig.admin.hot_restart
     hot_restart.handoff._paused = True
     [held] = rig.front.client_port.clients
-    give = rig.front.client_port.hand_off
+    hand_off = rig.front.client_port.hand_off
 
     def broken(client):
         sock.close()  # between the check and the message
-        return replace(give(client), unwritten=b"")
+        return replace(hand_off(client), unwritten=b"")
 
     with (
         mock.patch.object(rig.front.client_port, "hand_off", broken),
-        mock.patch.object(h, "chunks", return_value=[h.Chunk(b"")]),
+        mock.patch.object(messages, "chunks", return_value=[messages.Chunk(b"")]),
     ):
-        rig.until(lambda: held not in rig.front.client_port.clients, "it was handed off, and came back")
-    rig.until(lambda: client.answers, "its answer is there")
+        rig.until(
+            lambda: held not in rig.front.client_port.clients,
+            "the connection was handed off, and was taken back",
+        )
+    rig.until(lambda: client.answers, "the call is answered")
     client.call()
-    rig.until(lambda: len(rig.scorers[0].runs) == 2, "and it is still served")
+    rig.until(lambda: len(rig.scorers[0].runs) == 2, "the next call runs")
     assert not client.ended
     assert not any("fault" in line for line in rig.lines)
 
 
 def test_a_successor_that_ends_at_once_causes_no_fault(rig):
-    for version in (h.VERSION, h.VERSION + 1):
+    for version in (messages.VERSION, messages.VERSION + 1):
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
             with rig.admin.hot_restart.directory.socket_address() as address:
                 sock.connect(address)
-            handoff_channel.send(sock, h.encode(h.Hello(version, rig.front.address)), None)
+            handoff_channel.send(sock, messages.encode(messages.Hello(version, rig.front.address)), None)
         timers = []
         rig.front.loop.timers.after(50.0, lambda: timers.append(1))  # noqa: B023
-        rig.until(lambda: timers and rig.admin.hot_restart.successor is None, "it is gone")  # noqa: B023
+        rig.until(lambda: timers and rig.admin.hot_restart.successor is None, "the channel is closed")  # noqa: B023
     assert not any("fault" in line for line in rig.lines)
 
 
 def test_chunks_of_an_unsent_connection_are_taken_back_with_it():
     loop = EventLoop(lambda _now_ms, _events: None, mock.Mock())
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    back = []
+    returned = []
     channel = handoff_channel.HandoffChannel(
-        loop, near, mock.Mock(), lambda end: back.extend(end.take_unsent())
+        loop, near, mock.Mock(), lambda end: returned.extend(end.take_unsent())
     )
     data = os.urandom(900_000)
-    for part in [
-        *h.chunks(b"sent" * 20),
-        h.ConnectionHandoff(),
-        *h.chunks(data),
-        h.ConnectionHandoff(b"half"),
+    for chunk in [
+        *messages.chunks(b"sent" * 20),
+        messages.ConnectionHandoff(),
+        *messages.chunks(data),
+        messages.ConnectionHandoff(b"half"),
     ]:
-        channel.send(part)
+        channel.send(chunk)
     assert channel.has_unsent
     far.close()
     loop.run_iteration(1.0)
-    assert b"".join(message.data for message, _ in back[:-1]) == data
-    assert back[-1][0] == h.ConnectionHandoff(b"half")
+    assert b"".join(message.data for message, _ in returned[:-1]) == data
+    assert returned[-1][0] == messages.ConnectionHandoff(b"half")
     loop.close()
 
 
@@ -266,7 +271,7 @@
     near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     channel = handoff_channel.HandoffChannel(loop, near, mock.Mock(), mock.Mock())
     with mock.patch.object(handoff_channel, "send", side_effect=OSError(109, "too many references")):
-        channel.send(h.ConnectionHandoff(), near.dup())
+        channel.send(messages.ConnectionHandoff(), near.dup())
     assert channel.has_unsent
     assert not channel.closed
     loop.run_iteration(1.0)
@@ -279,31 +284,34 @@
 
 def test_a_command_reaches_the_process_at_the_other_end_of_three(rig):
     oldest, newest = connect_predecessor(rig), connect_successor(rig)
-    messages(newest)
+    received_messages(newest)
     for sock, other in ((newest, oldest), (oldest, newest)):
-        command = h.OperatorCommand("/maintenance/enter", "s-1")
-        handoff_channel.send(sock, h.encode(command), None)
+        command = messages.OperatorCommand("/maintenance/enter", "s-1")
+        handoff_channel.send(sock, messages.encode(command), None)
         found = []
-        rig.until(lambda: found.extend(messages(other)) or command in found, "it is forwarded")  # noqa: B023
-        assert not messages(sock)  # and not back
+        rig.until(lambda: found.extend(received_messages(other)) or command in found, "it is forwarded")  # noqa: B023
+        assert not received_messages(sock)  # the command is not sent back
 
 
 def test_a_shutdown_waits_for_what_the_predecessor_still_hands_off(rig):
-    oldest, newest, said = connect_predecessor(rig), connect_successor(rig), []
+    oldest, newest, received = connect_predecessor(rig), connect_successor(rig), []
     rig.admin.shut_down()
     assert rig.admin.has_handoff_in_progress
     timers = []
     rig.front.loop.timers.after(50.0, lambda: timers.append(1))
-    rig.until(lambda: timers, "two ticks are over")
-    assert h.HandoffComplete() not in messages(newest)  # not while the predecessor still hands off
+    rig.until(lambda: timers, "two ticks have passed")
+    assert messages.HandoffComplete() not in received_messages(
+        newest
+    )  # not while the predecessor still hands off
     oldest.close()
     rig.until(
-        lambda: said.extend(messages(newest)) or h.HandoffComplete() in said, "it has handed off everything"
+        lambda: received.extend(received_messages(newest)) or messages.HandoffComplete() in received,
+        "everything is handed off",
     )
     assert rig.admin.has_handoff_in_progress  # until the successor has received everything
-    handoff_channel.send(newest, h.encode(h.OperatorCommand("/maintenance/enter", "s-1")), None)
-    handoff_channel.send(newest, h.encode(h.HandoffComplete()), None)
-    rig.until(lambda: not rig.admin.has_handoff_in_progress, "it may end, with nothing unread")
+    handoff_channel.send(newest, messages.encode(messages.OperatorCommand("/maintenance/enter", "s-1")), None)
+    handoff_channel.send(newest, messages.encode(messages.HandoffComplete()), None)
+    rig.until(lambda: not rig.admin.has_handoff_in_progress, "the process may end")
     assert rig.admin.commands.scorers_in_maintenance == {"s-1"}
 
 
@@ -322,14 +330,14 @@
 def test_on_standby_with_a_successor_no_connection_ends_and_no_call_is_rejected(rig):
     client = rig.client()
     client.call()
-    rig.until(lambda: rig.scorers[0].runs, "it runs")
+    rig.until(lambda: rig.scorers[0].runs, "the call runs")
     rig.admin.handle(AdminRequest("POST", "/standby"))
     connect_successor(rig)
     timers = []
     rig.front.loop.timers.after(1_300.0, lambda: timers.append(1))
-    rig.until(lambda: timers, "the drain would reject")
+    rig.until(lambda: timers, "a drain would reject calls")
     client.call()
-    rig.until(lambda: len(rig.scorers[0].runs) == 2, "it is served")
+    rig.until(lambda: len(rig.scorers[0].runs) == 2, "the next call runs")
     assert not client.answers
 
 
@@ -359,6 +367,6 @@
     listener = HandoffListener(rig.front.loop, rig.admin.hot_restart.directory, mock.Mock())
     rig.admin.shut_down()
     sock.close()
-    rig.until(lambda: not rig.admin.is_replaced, "it serves alone")
+    rig.until(lambda: not rig.admin.is_replaced, "the front end serves alone")
     assert listener.owns_socket_path
     listener.close()
--- a/tests/admin/test_admin_hot_restart.py
+++ b/tests/admin/test_admin_hot_restart.py
@@ -1,4 +1,4 @@
-"""Replacement of the process: several real processes of one front end, and faults put between them."""
+"""Hot restart with real processes of one front end, and failures of either process during the hand-off."""
 
 import contextlib
 import os
@@ -12,12 +12,12 @@
 from processes import OUGHT_S, Case, unsent_of
 
 from fawnwharf.admin import handoff_channel
-from fawnwharf.admin import handoff_messages as h
+from fawnwharf.admin import handoff_messages as messages
 from fawnwharf.admin.handoff_request import request_handoff
 
 
 def has_connected(pid):
-    """Whether a process holds one end of a connected Unix socket that keeps message bounds."""
+    """Whether a process has a connected Unix socket of type SOCK_SEQPACKET."""
     links = set()
     for link in Path(f"/proc/{pid}/fd").iterdir():
         with contextlib.suppress(FileNotFoundError):  # closed meanwhile
@@ -43,11 +43,11 @@
                     caller.ask()
             while busy.open < 4:
                 busy.ask()
-            if not pieces and trickle.open < 16:  # a fast machine would have more open than there may be
+            if not pieces and trickle.open < 16:  # on a fast machine more calls would be open than allowed
                 pieces.extend(trickle.frame())
             trickle.sock.send(pieces[:24])
             del pieces[:24]
-            if time.monotonic() - half[1] > 0.4:  # the rest of one message and half of the next
+            if time.monotonic() - half[1] > 0.4:  # sends the rest of one message and half of the next
                 frame = halves.frame()
                 halves.outbox += half[0] + frame[:40]
                 half[:] = frame[40:], time.monotonic()
@@ -58,14 +58,17 @@
                 fresh[0].ask()
 
         site.habits.append(load)
-        site.until(lambda: unsent_of(site.listen.address, slow) > 0, "the long answer is half written")
+        site.until(lambda: unsent_of(site.listen.address, slow) > 0, "a part of the long answer is unsent")
         new = site.begin()
         site.until_ready(new)
         assert unsent_of(site.listen.address, slow) < 150000
         assert busy.open > 0
         assert site.end(old) < OUGHT_S
         before = {caller: len(caller.seen) for caller in (*kept, busy, trickle, halves)}
-        site.until(lambda: all(len(c.seen) > n + 3 for c, n in before.items()), "all are served by the new")
+        site.until(
+            lambda: all(len(client.seen) > n + 3 for client, n in before.items()),
+            "the new process has answered all clients",
+        )
         site.habits.clear()
         halves.outbox += half[0]
         trickle.outbox += pieces
@@ -76,25 +79,25 @@
 
 
 class SuccessorKilled(Case):
-    """The predecessor continues to serve whenever its successor is lost."""
+    """The predecessor continues to serve if its successor is lost, at whatever step."""
 
     def connected_successor(self, site):
-        """A successor, played by the test, that has received the state."""
+        """A successor, whose side the test plays, that has received the state."""
         found = request_handoff(site.place, site.listen.address)
         assert found is not None, "the old process answers"
         for sock in (found.predecessor_socket, found.listener):
             self.addCleanup(sock.close)
         return found.predecessor_socket, found.encoded_learned_state, found.listener
 
-    def half_asked(self, site, count, size=40_000):
-        """Clients that have sent half of a long message each; the rest of it, by client."""
+    def send_partial_messages(self, site, count, size=40_000):
+        """Clients that have sent all but the end of a long message each; returns the end by client."""
         rest = {}
         for _ in range(count):
             caller = site.caller()
             frame = caller.frame(extra="x" * size)
             caller.outbox += frame[:-9]
             rest[caller] = frame[-9:]
-        site.until(lambda: not any(caller.outbox for caller in rest), "half is sent")
+        site.until(lambda: not any(caller.outbox for caller in rest), "the first parts are sent")
         return rest
 
     def test_killed_while_it_connects(self):
@@ -105,16 +108,18 @@
             with site.place.socket_address() as address:
                 sock.connect(address)
             site.served(kept)
-        old.child.send_signal(signal.SIGSTOP)  # it answers nothing, so that the new one can't get ready
+        old.child.send_signal(
+            signal.SIGSTOP
+        )  # it answers nothing, so that the new process can't become ready
         new = site.begin()
-        site.until(lambda: has_connected(new.child.pid), "it has connected")
+        site.until(lambda: has_connected(new.child.pid), "the new process has connected")
         new.kill()
         old.child.send_signal(signal.SIGCONT)
         site.until_logged(old, "hot restart: another process requests")
         site.served(kept)
         site.served()
         self.settled(site)
-        new = site.start()  # and the next one takes its place as if nothing had been
+        new = site.start()  # a later successor takes over as usual
         assert site.end(old) < OUGHT_S
         assert "hot restart: taking over" in new.log
         site.served(kept)
@@ -124,12 +129,12 @@
         site = self.site()
         site.start()
         kept = site.served()
-        sock, memory, door = self.connected_successor(site)
-        assert memory
+        sock, learned, listener = self.connected_successor(site)
+        assert learned
         site.served(kept)
-        site.served()  # the old one still accepts
+        site.served()  # the old process still accepts
         sock.close()
-        door.close()
+        listener.close()
         site.served(kept)
         site.served()
         self.settled(site)
@@ -139,28 +144,31 @@
         old = site.start()
         site.served()
         site.drop(site.callers[0])
-        rest = self.half_asked(site, 24)
-        sock, _, door = self.connected_successor(site)
-        handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
+        rest = self.send_partial_messages(site, 24)
+        sock, _, listener = self.connected_successor(site)
+        handoff_channel.send(sock, messages.encode(messages.SuccessorReady()), None)
         site.until_logged(old, "hot restart: handing off to the new process")
         sock.setblocking(True)
         sock.settimeout(10.0)
         handed_off = [handoff_channel.receive(sock) for _ in range(2)]
         for message, carried in handed_off:
-            assert isinstance(message, h.ConnectionHandoff)
+            assert isinstance(message, messages.ConnectionHandoff)
             carried.close()
-        waiting = site.caller()  # in the queue of the listener, which nobody accepts from
+        waiting = site.caller()  # stays in the listener's queue, as no process accepts
         waiting.ask()
         sock.close()
-        door.close()
+        listener.close()
         site.until_logged(old, "accepting again")
-        site.until(lambda: not waiting.open, "the one in the queue is served")
+        site.until(lambda: not waiting.open, "the call from the listener's queue is answered")
         site.served()
         for caller, data in rest.items():
             caller.outbox += data
-        site.until(lambda: all(c.ended or not c.open for c in rest), "those that were not sent are served")
+        site.until(
+            lambda: all(client.ended or not client.open for client in rest),
+            "the connections that were not sent are served",
+        )
         lost = [caller for caller in rest if caller.ended]
-        assert 2 <= len(lost) < 16, len(lost)  # what was on its way went down with the other
+        assert 2 <= len(lost) < 16, len(lost)  # connections in transit are lost with the successor
         for caller in lost:
             site.callers.remove(caller)
         self.settled(site)
@@ -180,7 +188,7 @@
         site.until_logged(old, "accepting again")
         site.served()
         before = len(busy.seen)
-        site.until(lambda: len(busy.seen) > before + 4, "the busy one is served on")
+        site.until(lambda: len(busy.seen) > before + 4, "the busy client gets further answers")
         site.habits.clear()
         self.settled(site)
 
@@ -193,23 +201,26 @@
         for caller in slow:
             caller.ask(b"big:250000:")
             caller.reads = False
-        held = lambda: all(unsent_of(site.listen.address, caller) > 0 for caller in slow)  # noqa: E731
-        site.until(held, "the long answers are half written")
-        sock, _, door = self.connected_successor(site)
-        handoff_channel.send(sock, h.encode(h.SuccessorReady()), None)
+        has_unsent = lambda: all(unsent_of(site.listen.address, caller) > 0 for caller in slow)  # noqa: E731
+        site.until(has_unsent, "parts of the long answers are unsent")
+        sock, _, listener = self.connected_successor(site)
+        handoff_channel.send(sock, messages.encode(messages.SuccessorReady()), None)
         site.until_logged(old, "hot restart: handing off to the new process")
         old.signal(signal.SIGTERM)
-        site.until(lambda: ready(sock, 0.0), "they are being handed off")
+        site.until(lambda: ready(sock, 0.0), "the hand-off of connections has begun")
         sock.close()
-        door.close()
+        listener.close()
         site.until_logged(old, "accepting again")
         for caller in slow:
             caller.reads = True
-        site.until(lambda: all(c.ended or not c.open for c in slow), "what is left of them is whole")
-        back = [caller for caller in slow if not caller.ended or not caller.open]
-        assert len(back) >= 2  # one was on its way; none is torn
-        assert [text for caller in back for text in caller.faults] == []
-        site.until(lambda: old.ended, "it ends after that")
+        site.until(
+            lambda: all(client.ended or not client.open for client in slow),
+            "the remaining connections have their whole answers",
+        )
+        remaining = [caller for caller in slow if not caller.ended or not caller.open]
+        assert len(remaining) >= 2  # one was in transit; no answer is torn
+        assert [text for caller in remaining for text in caller.faults] == []
+        site.until(lambda: old.ended, "the old process has ended")
         assert old.child.returncode == 0
 
 
@@ -223,55 +234,57 @@
         old.kill()
         site.served()
         site.until_ready(new)
-        site.until(lambda: busy.ended, "the busy one, which was the old one's, is at its end")
+        site.until(
+            lambda: busy.ended, "the connection of the busy client, which the old process had, has ended"
+        )
         site.callers.remove(busy)
         site.served(kept)
         if kept.ended:  # handed off or not, depending on the moment
             site.callers.remove(kept)
         self.settled(site)
 
-    def played(self, site, say):
-        """The old process, played by the test; `say` tells what it does on the channel."""
-        door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        self.addCleanup(door.close)
+    def start_after_test_predecessor(self, site, send_messages):
+        """Start a process whose predecessor the test plays; `say` sends the predecessor's messages."""
+        listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        self.addCleanup(listener.close)
         with site.place.socket_address() as address:
-            door.bind(address)
-        door.listen(4)
-        door.settimeout(30.0)
+            listener.bind(address)
+        listener.listen(4)
+        listener.settimeout(30.0)
         new = site.begin()
-        sock, _ = door.accept()
+        sock, _ = listener.accept()
         sock.settimeout(30.0)
-        assert handoff_channel.receive(sock)[0] == h.Hello(h.VERSION, site.listen.address)
-        say(sock)
+        assert handoff_channel.receive(sock)[0] == messages.Hello(messages.VERSION, site.listen.address)
+        send_messages(sock)
         sock.close()
         return new
 
     def test_predecessor_lost_at_each_step(self):
-        for name, say in (
+        for name, send_messages in (
             ("before any message", lambda _sock: None),
             (
                 "within the learned state",
-                lambda sock: handoff_channel.send(sock, h.encode(h.Chunk(b"x" * 99)), None),
+                lambda sock: handoff_channel.send(sock, messages.encode(messages.Chunk(b"x" * 99)), None),
             ),
             ("no message", lambda sock: sock.send(b"\xc1")),
-            ("after the listener", self.with_door),
+            ("after the listener", self.send_listener),
         ):
             with self.subTest(name):
                 site = self.site()
                 self.site_of_step = site
-                new = self.played(site, say)
+                new = self.start_after_test_predecessor(site, send_messages)
                 site.until_ready(new)
                 site.served()
                 self.settled(site)
 
-    def with_door(self, sock):
-        with socket.socket() as door:
-            door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            door.bind(self.site_of_step.listen.address)
-            door.listen(16)
-            handoff_channel.send(sock, h.encode(h.Chunk(b"torn")), None)
-            handoff_channel.send(sock, h.encode(h.ListenerHandoff()), door)
+    def send_listener(self, sock):
+        with socket.socket() as listener:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listener.bind(self.site_of_step.listen.address)
+            listener.listen(16)
+            handoff_channel.send(sock, messages.encode(messages.Chunk(b"torn")), None)
+            handoff_channel.send(sock, messages.encode(messages.ListenerHandoff()), listener)
 
 
 if __name__ == "__main__":
--- a/tests/admin/test_admin_hot_restart_overlap.py
+++ b/tests/admin/test_admin_hot_restart_overlap.py
@@ -1,4 +1,4 @@
-"""Replacement of the process: what operators ask while several run, and what lies about at a start."""
+"""Hot restart: admin commands while several processes run, and leftover files at the start of a process."""
 
 import signal
 import time
@@ -21,7 +21,7 @@
         site = self.site(3)
         one, two, _ = site.scorers
         old = site.start()
-        took_s = time.monotonic() - old.began  # which tells how busy the machine is
+        took_s = time.monotonic() - old.began  # a measure of how busy the machine is
         assert site.ask(old, ENTER + one.id) == 200
         old.signal(signal.SIGSTOP)
         self.addCleanup(old.signal, signal.SIGCONT)
@@ -30,11 +30,13 @@
         assert "in maintenance since before this process: s-1" in new.log
         assert site.ask(new, ENTER + two.id) == 200
         old.signal(signal.SIGCONT)
-        site.until_logged(old, "hot restart: another process requests")  # it reads what was asked long ago
-        site.drop(site.served())  # by whichever has it
+        site.until_logged(
+            old, "hot restart: another process requests"
+        )  # it reads the outdated hand-off request
+        site.drop(site.served())  # by whichever process accepts the connection
         assert site.end(old) < OUGHT_S
         new.kill()
-        last = site.start()  # and the file is the newer one's still
+        last = site.start()  # the state file is still that of the newer process
         assert "in maintenance since before this process: s-1, s-2" in last.log
         self.settled(site)
 
@@ -46,10 +48,10 @@
         third = site.begin()
         site.until_logged(second, "hot restart: handing off to the new process")
         assert site.ask(third, ENTER + "s-1") == 200
-        site.until_logged(first, "/maintenance/enter: 200")  # by way of the second
+        site.until_logged(first, "/maintenance/enter: 200")  # forwarded by the second process
         assert site.end(first, second) < OUGHT_S
         before = len(busy.seen)
-        site.until(lambda: len(busy.seen) > before + 4, "the third serves")
+        site.until(lambda: len(busy.seen) > before + 4, "the third process serves the busy client")
         site.habits.clear()
         self.settled(site)
         fourth = self.replaced(site, third)
@@ -68,11 +70,11 @@
         site.until_logged(new, "/maintenance/enter: 200 s-3")
         site.until_logged(old, "/maintenance/enter: 200 s-2")
         site.habits.clear()
-        site.until(lambda: not busy.open, "what was open is answered")
+        site.until(lambda: not busy.open, "all open calls are answered")
         counts = [len(scorer.runs) for scorer in site.scorers]
         refused = site.caller()
         refused.ask(ttl="300")
-        site.until(lambda: not refused.open, "nobody is left to serve")
+        site.until(lambda: not refused.open, "the call is rejected, as all scorers are in maintenance")
         assert site.end(old) < OUGHT_S
         last = self.replaced(site, new)
         assert [len(scorer.runs) for scorer in site.scorers] == counts
@@ -101,7 +103,7 @@
         site.until_logged(old, "hot restart: another process requests")
         assert site.ask(old, "/standby") == 200
         site.until_logged(old, "hot restart: handing off to the new process")
-        if site.ask(new, "/status", "GET") != 200:  # it heard of it while it started
+        if site.ask(new, "/status", "GET") != 200:  # the command reached it while it started
             assert site.ask(new, "/active") == 200
         site.habits.clear()
         last = site.begin()
@@ -111,7 +113,7 @@
         assert site.ask(last, "/status", "GET") == 503
         for process in (old, new):
             assert site.end(process) < OUGHT_S
-        site.until(lambda: kept.ended and busy.ended, "kept connections end, and calls on them do not")
+        site.until(lambda: kept.ended and busy.ended, "the connections are closed")
         assert not (kept.open)
         assert not (busy.open)
         assert site.ask(last, "/active") == 200
@@ -134,7 +136,7 @@
 
 
 class Leftovers(Case):
-    """What lies where processes meet may be anything: a start goes on as if there were none."""
+    """Invalid files in the hand-off directory: a process starts as if they did not exist."""
 
     def test_an_invalid_state_file_and_a_stale_socket_are_ignored(self):
         site = self.site()
@@ -188,7 +190,7 @@
         new.kill()
         unusable = [None, "", str(site.folder / "file"), str(site.folder / "nowhere"), "/proc", "x" * 5000]
         site.callers.clear()
-        together = [site.begin(TMPDIR=folder) for folder in unusable]  # each beside the others
+        together = [site.begin(TMPDIR=folder) for folder in unusable]  # all at the same time
         for process in together:
             site.until_ready(process)
             assert site.ask(process, ENTER + "s-1") == 200
