--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Several processes of one front end, with the peers they serve, all driven from the test's own thread."""
+"""Several real processes of one front end with their peers, which are driven from the test's own thread."""
 
 import collections
 import json
@@ -19,15 +19,15 @@
 from fawnwharf.admin.handoff_directory import HandoffDirectory
 from fawnwharf.net import scorer_frames
 
-PATIENCE_S = 40.0  # on a machine that is busy with other things, too
-START_S = 6.0  # a process that takes another's place says yes by then
-OUGHT_S = 3.7  # a process told to end has ended by then, as it is killed otherwise
+PATIENCE_S = 40.0  # maximum wait for a condition; long enough for a busy machine
+START_S = 6.0  # a successor must be ready within this time
+OUGHT_S = 3.7  # a process that was told to end must have ended within this time; otherwise it is killed
 TICK_S = 0.01
 NAME = "fe-1"
 
 
 class Port:
-    """A loopback port that stays this test's own: it is bound, not listened on, until the test ends."""
+    """A loopback port that is reserved until the test ends: it is bound, but not listened on."""
 
     def __init__(self, shared=False):
         self.sock = socket.socket()
@@ -40,8 +40,8 @@
 
 
 class Scorer(ScorerPeer):
-    """Answers each run after a delay, with the bytes that came; `big:N:` before them asks for N more. Has as
-    many copies of a function as are wanted at all, from the first order to load on."""
+    """Answers each run after a delay with the bytes of its body, and N more bytes if it begins with `big:N:`.
+    After the first load order for a function the scorer has `copies` copies of it."""
 
     def __init__(self, id, delay_s=0.02, copies=4):
         super().__init__(id, copies)
@@ -76,7 +76,7 @@
 
 
 def flush(link, outbox):
-    """Write as much as there is room for; nothing where the other end is gone."""
+    """Write as much as the socket accepts; drop everything if the other end has closed the connection."""
     try:
         while outbox:
             del outbox[: link.sock.send(outbox)]
@@ -88,7 +88,7 @@
 
 
 class Log(LogPeer):
-    """Says now and then where it is, so that it does not count as cut off."""
+    """A change log that sends heartbeats, so that its silence is not taken for an outage."""
 
     beat_s = 0.0
 
@@ -101,7 +101,7 @@
 
 
 class Caller(ClientPeer):
-    """A client that knows what it asked and what came: each call is to have one answer, with its own body."""
+    """A client that checks that each of its calls gets exactly one answer, with the body of that call."""
 
     made = 0
 
@@ -144,11 +144,11 @@
             if body is None or kind not in ("answer", "throttled"):
                 self.faults.append(f"{kind} for {seqid}")
             elif kind == "answer" and not content[1].startswith(b"done:" + body):
-                self.faults.append(f"another's body for {seqid}: {content[1][:40]!r}")
+                self.faults.append(f"the body of another call for {seqid}: {content[1][:40]!r}")
             elif kind == "answer" and body.startswith(b"big:"):
                 size = 5 + len(body) + int(body.split(b":")[1])
                 if len(content[1]) != size or content[1][5 + len(body) :].strip(b"."):
-                    self.faults.append(f"not the whole answer for {seqid}")
+                    self.faults.append(f"an incomplete answer for {seqid}")
         self.looked = len(self.answers)
 
     @property
@@ -156,14 +156,14 @@
         return len(self.bodies) - len(self.seen)
 
     def verdict(self):
-        """What is wrong by now: an end, a call without an answer or with several, another's body."""
+        """All faults so far: a closed connection, calls with no or several answers, and wrong bodies."""
         found = list(self.faults) + ["the connection ended"] * self.ended
         found += [f"{self.seen[seqid]} answers for {seqid}" for seqid in self.bodies if self.seen[seqid] != 1]
         return [f"client {self.number}: {text}" for text in found]
 
 
 class Process:
-    """One process of the front end, under an address for operators of its own."""
+    """One process of the front end, with its own admin address."""
 
     def __init__(self, site, env, options=(), program=("fawnwharf",)):
         self.site, self.port = site, Port()
@@ -200,7 +200,7 @@
 
 
 class Question(Buffered):
-    """An operator's call on its way."""
+    """An admin command that was sent, and its response."""
 
     def __init__(self, process, path, method):
         super().__init__(socket.create_connection(process.port.address))
@@ -212,7 +212,7 @@
 
 
 class Site:
-    """A change log, scorers, clients and the processes of one front end; the loop that turns for all."""
+    """A change log, scorers, clients and the processes of one front end, with the loop for the peers."""
 
     def __init__(self, scorers=2, delay_s=0.02, **config):
         self.temporary = tempfile.TemporaryDirectory()
@@ -244,7 +244,7 @@
     def turn(self):
         with selectors.DefaultSelector() as selector:
             for peer in [self.log, *self.scorers]:
-                if peer.listener.fileno() >= 0:  # else it is stopped
+                if peer.listener.fileno() >= 0:  # otherwise the peer is stopped
                     selector.register(peer.listener, selectors.EVENT_READ)
             links = [link for peer in [self.log, *self.scorers] for link in peer.links]
             readers = [caller for caller in self.callers if caller.reads]
@@ -294,21 +294,21 @@
                 self.questions[:] = [q for q in self.questions if not q.ended] + asked
             return False
 
-        self.until(ready, "it is ready")
+        self.until(ready, "the process is ready")
 
     def ask(self, process, path, method="POST"):
         question = Question(process, path, method)
         self.questions.append(question)
-        self.until(lambda: question.ended, "the operator's call is answered")
+        self.until(lambda: question.ended, "the admin command is answered")
         self.questions.remove(question)
         question.sock.close()
         return question.status
 
     def until_logged(self, process, text):
-        self.until(lambda: re.search(text, process.log), f"it says {text}")
+        self.until(lambda: re.search(text, process.log), f"the process has logged {text}")
 
     def end(self, *processes):
-        """SIGTERM, and the seconds until they have ended; status 0 is owed."""
+        """Send SIGTERM; returns the seconds until the processes have ended. Their status must be 0."""
         began = time.monotonic()
         for process in processes:
             process.signal(signal.SIGTERM)
@@ -330,15 +330,15 @@
         caller.sock.close()
 
     def served(self, caller=None, **fields):
-        """A call, on a new connection where none is given, and its answer."""
+        """Make a call and wait for its answer; without a given client, on a new connection."""
         caller = caller or self.caller()
         caller.ask(**fields)
-        self.until(lambda: not caller.open or caller.ended, "it is answered")
+        self.until(lambda: not caller.open or caller.ended, "the call is answered")
         return caller
 
     def verdict(self):
-        self.until(lambda: not any(c.open and not c.ended for c in self.callers), "all is answered")
-        self.turn()  # a second answer would come right behind
+        self.until(lambda: not any(c.open and not c.ended for c in self.callers), "all calls are answered")
+        self.turn()  # a second answer would arrive directly after the first
         return [text for caller in [*self.callers, *self.gone] for text in caller.verdict()]
 
     def close(self):
@@ -353,7 +353,7 @@
 
 
 def unsent_of(listen, caller):
-    """Bytes that the system holds for a client which does not read them, by its own list of connections."""
+    """Bytes that the system has not yet delivered to a client which does not read, from /proc/net/tcp."""
     mine, theirs = caller.sock.getsockname()[1], listen[1]
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         parts = line.split()
@@ -370,7 +370,7 @@
         return site
 
     def busy(self, site):
-        """A client that never falls idle: its connection stays where it is."""
+        """A client that is never idle, so that its connection is not handed off."""
         caller = site.served()
 
         def more():
@@ -382,7 +382,7 @@
         return caller
 
     def settled(self, site):
-        """Every call has its one answer, no connection has ended, and no process ran into a fault."""
+        """Check that each call has one answer, no connection has ended, and no process has logged a fault."""
         self.assertEqual(site.verdict(), [])
         for process in site.processes:
             self.assertNotIn("fault in", process.log)
