--- a/tests/incarnations/test_incarnations_counter.py
+++ b/tests/incarnations/test_incarnations_counter.py
@@ -1,4 +1,4 @@
-"""Incarnations whose numbers have no order: clocks that were set back, disks that were lost."""
+"""Counting incarnations whose numbers have no order, as after a clock was set back or a disk was lost."""
 
 import random
 
@@ -12,8 +12,8 @@
     [
         ([7, 7, 7], [1, 1, 1]),
         ([7, 9, 9], [1, 2, 2]),
-        ([9, 7, 7], [1, 2, 2]),  # a smaller number is another incarnation as well
-        ([9, 7, 9, 7], [1, 2, 0, 2]),  # and what follows of the earlier one is late
+        ([9, 7, 7], [1, 2, 2]),  # a smaller number is a new incarnation as well
+        ([9, 7, 9, 7], [1, 2, 0, 2]),  # a late message of an earlier incarnation
         ([3, 2, 1, 3, 2, 1], [1, 2, 3, 0, 0, 3]),
     ],
 )
@@ -24,7 +24,7 @@
     assert counter.last_count("n2") == 0
 
 
-def test_a_count_leads_back_to_its_number_while_it_is_known():
+def test_the_number_of_a_recent_count_is_known():
     counter = IncarnationCounter()
     numbers = random.Random(4).sample(range(1, 10**6), 3 * MAX_KNOWN_INCARNATIONS)
     counts = [counter.observe("n1", number) for number in numbers]
@@ -35,7 +35,7 @@
     assert beyond == counter.number_of("n1", 0) == counter.number_of("n2", 1) == 0
 
 
-def test_what_is_known_is_bounded_and_members_that_go_are_forgotten():
+def test_stored_members_are_limited_and_removed_members_are_forgotten():
     counter = IncarnationCounter()
     for n in range(MAX_MEMBERS + 5):
         counter.observe(f"n{n}", 1)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The roster as it is told, and the program by itself, with real sockets and processes."""
+"""The change log's roster, and the program as a process, with real sockets."""
 
 import os
 import signal
@@ -31,30 +31,30 @@
     def event(self, seq, *members, complete=False):
         return {"seq": seq, "fleet": {"complete": complete, "members": list(members)}}
 
-    def test_events_told_twice_or_out_of_date_are_passed_over(self):
+    def test_repeated_and_outdated_events_are_ignored(self):
         rig = self.rig(ScorerPeer())
         with mock.patch.object(rig.front.change_log, "_deliver") as told:
             for seq in (2, 2, 1, 3):
                 rig.log.say(self.event(seq))
-            rig.until(lambda: rig.front.change_log.seq == 3, "the last one is told")
+            rig.until(lambda: rig.front.change_log.seq == 3, "the last event is delivered")
         self.assertEqual(told.call_count, 2)
 
     def test_a_silent_log_is_asked_again_from_where_it_stopped(self):
         rig = self.rig(ScorerPeer())
         rig.log.say(self.event(2))
-        rig.until(lambda: rig.front.change_log.seq == 2, "an event is told")
+        rig.until(lambda: rig.front.change_log.seq == 2, "an event is delivered")
         with mock.patch.object(change_log, "SILENCE_TIMEOUT_MS", -1.0):
-            rig.until(lambda: len(rig.log.asked()) == 2, "it is asked again")
+            rig.until(lambda: len(rig.log.asked()) == 2, "the log is asked again")
         self.assertEqual(rig.log.asked(), [["since", "1"], ["since", "2"]])
 
     def test_events_that_went_missing_are_asked_for(self):
         for line in (b"4", b'{"seq":4,"fleet":{"members":[]}}'):
             rig = self.rig(ScorerPeer())
             rig.log.say(line)
-            rig.until(lambda rig=rig: len(rig.log.asked()) == 2, "it is asked again")
+            rig.until(lambda rig=rig: len(rig.log.asked()) == 2, "the log is asked again")
             self.assertEqual(rig.log.asked()[1], ["since", "1"])
 
-    def test_a_bad_line_is_asked_for_again_and_then_passed_over(self):
+    def test_a_bad_line_is_asked_for_again_and_then_skipped(self):
         bad = [b"{", b"\xff\xfe", b'"text"', b"[1]", b'{"seq":"x"}', b"true"]
         bad += [b'{"seq":2,"fleet":{"members":5}}', b'{"seq":99999999999,"fleet":{"members":[]}}']
         for line in bad:
@@ -62,20 +62,22 @@
                 scorer = ScorerPeer()
                 rig = self.rig(scorer)
                 rig.log.say(line)
-                rig.until(lambda rig=rig: len(rig.log.asked()) == 2, "it is asked again")
+                rig.until(lambda rig=rig: len(rig.log.asked()) == 2, "the log is asked again")
                 rig.log.say(line)
                 rig.log.say(self.event(3, scorer.member("terminating")))
-                rig.until(lambda rig=rig: rig.front.change_log.seq == 3, "the next event is told")
+                rig.until(lambda rig=rig: rig.front.change_log.seq == 3, "the next event is delivered")
                 state = rig.front.scorer_pool.scorers[front_end.scorer_number(scorer.id)].state
                 self.assertEqual(state, io.ScorerState.DRAINING)
 
-    def test_a_stumble_after_all_was_well_is_a_new_one(self):
+    def test_a_bad_line_after_a_good_one_is_asked_for_again(self):
         rig = self.rig(ScorerPeer())
         for asked in (2, 3):
             rig.log.say(b"{")
-            rig.until(lambda asked=asked: len(rig.log.asked()) == asked, "it is asked again")
+            rig.until(lambda asked=asked: len(rig.log.asked()) == asked, "the log is asked again")
             rig.log.say(b"1")
-            rig.until(lambda: rig.front.change_log._stumbled_at is None, "all is well again")
+            rig.until(
+                lambda: rig.front.change_log._stumbled_at is None, "the log is read without errors again"
+            )
 
     def test_a_move_leaves_one_connection_to_the_new_address_and_no_late_dial(self):
         for broken in (False, True):
@@ -84,24 +86,27 @@
                 self.addCleanup(moved.close)
                 with mock.patch.object(change_log, "MIN_BACKOFF_MS", 30.0):
                     rig.log.say(self.event(2))
-                    rig.until(lambda rig=rig: rig.front.change_log.seq == 2, "an event is told")
-                    if broken:  # the next dial to the old address is planned already
+                    rig.until(lambda rig=rig: rig.front.change_log.seq == 2, "an event is delivered")
+                    if broken:  # the next dial to the old address is scheduled already
                         rig.log.links[0].sock.close()
                         rig.log.links[0].ended = True
-                        rig.until(lambda rig=rig: rig.front.change_log._connection is None, "it breaks off")
+                        rig.until(
+                            lambda rig=rig: rig.front.change_log._connection is None,
+                            "the connection is closed",
+                        )
                     rig.front.change_log.move(("127.0.0.1", int(moved.host_port.split(":")[1])))
                 later = []
                 rig.front.loop.timers.after(60.0, lambda later=later: later.append(1))
                 rig.scorers.append(moved)
-                rig.until(lambda later=later, moved=moved: later and moved.asked(), "the new one is asked")
+                rig.until(lambda later=later, moved=moved: later and moved.asked(), "the new log is asked")
                 self.assertEqual((moved.asked(), len(moved.links)), ([["since", "2"]], 1))
                 self.assertEqual([link.ended for link in rig.log.links], [True])
 
-    def test_whoever_a_complete_list_leaves_out_is_gone(self):
+    def test_a_scorer_missing_in_a_complete_list_is_removed(self):
         old, new = ScorerPeer("s-1"), ScorerPeer("s-2")
         rig = self.rig(old)
         rig.log.say(self.event(2, new.member(), complete=True))
-        rig.until(lambda: rig.front.change_log.seq == 2, "the list is told")
+        rig.until(lambda: rig.front.change_log.seq == 2, "the list is delivered")
         self.assertEqual(list(rig.front.scorer_pool.scorers), [front_end.scorer_number("s-2")])
 
 
@@ -155,12 +160,12 @@
             peer.sock.close()
 
     def feed(self, path, config):
-        """Write the configuration into the pipe that the program opens whenever it reads it."""
+        """Write the configuration into the pipe from which the program reads it."""
         for _ in range(2000):
             try:
                 pipe = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
                 break
-            except OSError:  # nobody reads it yet
+            except OSError:  # the program has not opened the pipe yet
                 time.sleep(0.01)
         os.write(pipe, config if isinstance(config, bytes) else msgspec.json.encode(config))
         os.close(pipe)
@@ -197,7 +202,7 @@
             if condition():
                 return
             ready(client.sock, 0.005)
-        self.fail("waited in vain")
+        self.fail("the condition was not met in time")
 
     def test_the_other_commands(self):
         cases = [
@@ -213,7 +218,7 @@
                 self.assertEqual(program.returncode, status, errors)
                 self.assertIn(text, out + errors)
 
-    def test_an_address_in_use_is_said_so(self):
+    def test_an_address_in_use_is_reported(self):
         with socket.create_server(("127.0.0.1", 0)) as other:
             program = self.launch(self.config(listen=f"127.0.0.1:{other.getsockname()[1]}"))
             _, errors = program.communicate(timeout=20)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter over a real pipe."""
+"""The simulator's adapter as a process, with real pipes."""
 
 import json
 import os
@@ -32,9 +32,9 @@
     return {"NEW_REQUEST": {"tid": tid, "service": "score", "fn": fn, "time_budget": 2000.0, **more}}
 
 
-def talk(*lines, hash_seed="0", check=0):
+def run_adapter(*lines, hash_seed="0", status=0):
     env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
-    done = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "fawnwharf.wirehost"],
         input="".join(line + "\n" for line in lines),
         capture_output=True,
@@ -43,13 +43,13 @@
         cwd=ROOT,
         timeout=30,
     )
-    assert done.returncode == check, done.stderr
-    return [json.loads(line) for line in done.stdout.splitlines()], done.stderr
+    assert finished.returncode == status, finished.stderr
+    return [json.loads(line) for line in finished.stdout.splitlines()], finished.stderr
 
 
-def day(*whos):
-    """A short day: many functions, at each of the instances named."""
-    lines = [batch(100.0, *((who, attach()) for who in whos))]
+def request_batches(*instances):
+    """Batches with requests for several functions, at each of these instances."""
+    lines = [batch(100.0, *((who, attach()) for who in instances))]
     for n in range(30):
         inbox = [request(f"t/{n}", f"fn:{n % 7}", load_ms=None, per_copy=2)]
         if n % 3 == 2:
@@ -57,7 +57,7 @@
         if n > 20:
             body = {"worker": 12, "fn": f"fn:{n % 7}", "ending": "GOOD", "how_many": 2, "took": 9.0}
             inbox.append({"RESIDENT": body})
-        lines.append(batch(110.0 + 20 * n, *((who, inbox) for who in whos)))
+        lines.append(batch(110.0 + 20 * n, *((who, inbox) for who in instances)))
     return lines
 
 
@@ -66,37 +66,37 @@
 
 
 def test_empty_batch_and_end_of_input():
-    replies, _ = talk(batch(1.0))
+    replies, _ = run_adapter(batch(1.0))
     assert replies == [{"ends": []}]
 
 
-def test_a_request_is_asked_after_loaded_sent_and_closed():
+def test_a_request_is_probed_for_sent_and_closed():
     lines = [batch(100.0, (3, [*attach(), request("t/x")]))]
-    asked = steps(talk(*lines)[0], 3)[0]
-    asks = [step["MOUNT"] for step in asked if "MOUNT" in step]
-    assert asks and all(ask["how_many"] == 0 and ask["fn"] == "fn:a" for ask in asks)
-    body = {"worker": asks[0]["worker"], "fn": "fn:a", "ending": "GOOD", "how_many": 1, "took": 1.0}
+    actions = steps(run_adapter(*lines)[0], 3)[0]
+    probes = [step["MOUNT"] for step in actions if "MOUNT" in step]
+    assert probes and all(ask["how_many"] == 0 and ask["fn"] == "fn:a" for ask in probes)
+    body = {"worker": probes[0]["worker"], "fn": "fn:a", "ending": "GOOD", "how_many": 1, "took": 1.0}
     lines.append(batch(101.0, (3, [{"RESIDENT": body}])))
-    sent = steps(talk(*lines)[0], 3)[1]
-    assert {"ATTEMPT": {"tid": "t/x", "worker": asks[0]["worker"]}} in sent
+    sent = steps(run_adapter(*lines)[0], 3)[1]
+    assert {"ATTEMPT": {"tid": "t/x", "worker": probes[0]["worker"]}} in sent
     ended = {"tid": "t/x", "ending": "GOOD", "took": 5.0, "ended": True, "try": 0, **body}
     lines.append(batch(106.0, (3, [{"RESOLVED": {**ended, "remark": None, "health_info": None}}])))
-    assert not [s for s in steps(talk(*lines)[0], 3)[2:] if any("ATTEMPT" in step for step in s)]
+    assert not [s for s in steps(run_adapter(*lines)[0], 3)[2:] if any("ATTEMPT" in step for step in s)]
 
 
 def test_same_actions_whatever_the_hash_seed():
-    one, _ = talk(*day(0), hash_seed="1")
-    two, _ = talk(*day(0), hash_seed="2")
+    one, _ = run_adapter(*request_batches(0), hash_seed="1")
+    two, _ = run_adapter(*request_batches(0), hash_seed="2")
     assert one == two and sum(len(s) for s in steps(one, 0)) > 30
 
 
 def test_same_actions_whichever_process_hosts_an_instance():
-    alone, _ = talk(*day(1))
-    shared, _ = talk(*day(0, 1, 2))
+    alone, _ = run_adapter(*request_batches(1))
+    shared, _ = run_adapter(*request_batches(0, 1, 2))
     assert steps(alone, 1) == steps(shared, 1)
 
 
-def test_odd_but_legal_input_is_quiet():
+def test_unusual_valid_input_causes_no_error():
     odd = [
         {"TARGETS": {"kind": 3, "serial": 0, "entries": None}},
         {"TARGETS": {"kind": 1, "serial": 2, "entries": []}},
@@ -109,13 +109,15 @@
         {"NOVELTY": {"x": 1}},
         request("t/late", time_budget=0.0),
     ]
-    replies, err = talk(batch(5.0, (0, [*attach(), *odd])), batch(6.0, (0, [])), batch(7.0, (9, odd[2:3])))
+    replies, err = run_adapter(
+        batch(5.0, (0, [*attach(), *odd])), batch(6.0, (0, [])), batch(7.0, (9, odd[2:3]))
+    )
     assert not err and not any("EXCEPTION" in step for s in steps(replies, 0) for step in s)
     assert {"SAY_NO": {"tid": "t/late", "hold_off": 0.0}} in steps(replies, 0)[0]
 
 
-def test_a_restart_forgets_everything():
-    replies, _ = talk(
+def test_a_restart_discards_all_state():
+    replies, _ = run_adapter(
         batch(1.0, (0, [*attach(), request("t/a")])),
         batch(2.0, (0, [{"POWER_OFF": {}}, *attach(), request("t/b")])),
         batch(2500.0, (0, [{"DEADLINE_HIT": {"handle": 0}}])),
@@ -123,7 +125,7 @@
     assert not any("t/a" in json.dumps(s) for s in steps(replies, 0)[1:])
 
 
-def test_what_is_no_batch_ends_with_status_2_and_one_message():
+def test_an_invalid_batch_ends_with_status_2_and_one_message():
     for line, word in [
         ("{", "JSON"),
         ("[]", "wall"),
@@ -132,12 +134,12 @@
         ('{"wall":1,"ends":[{"who":1,"inbox":[{"NEW_REQUEST":{}}]}]}', "NEW_REQUEST"),
         ('{"wall":1,"ends":[{"who":1,"inbox":[7]}]}', "event"),
     ]:
-        _, err = talk(line, check=2)
+        _, err = run_adapter(line, status=2)
         assert word in err and len(err.splitlines()) == 1, (line, err)
 
 
 def test_an_exception_is_reported_with_type_and_place():
     broken = {"NEW_REQUEST": {"tid": "t/x", "service": "score", "fn": "fn:a", "time_budget": "soon"}}
-    replies, _ = talk(batch(1.0, (0, [*attach(), broken])))
+    replies, _ = run_adapter(batch(1.0, (0, [*attach(), broken])))
     [[step]] = steps(replies, 0)
     assert "TypeError" in step["EXCEPTION"]["body_text"] and "line" in step["EXCEPTION"]["body_text"]
