--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Set-up of the whole test run."""
+"""Configuration of the whole test run."""
 
 import pytest
 from support import known_red
@@ -7,5 +7,5 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Take the list of tests that are known to fail into account."""
+    """Install the plugin for tests that are known to fail."""
     known_red.install(config)
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -1,4 +1,4 @@
-"""The import graph of the package, read from its source: who imports whom, as modules and as packages."""
+"""The import graph of the program, of its modules and of its packages, from its source."""
 
 import ast
 from collections.abc import Iterator
@@ -10,38 +10,38 @@
 
 @dataclass(frozen=True)
 class Import:
-    """One import of a module of the program by another one."""
+    """An import of one module of the program by another one."""
 
     importer: str
     imported: str
-    at_start: bool  # in the module's body: importing the importer brings it about; not within TYPE_CHECKING
+    at_start: bool  # runs when the importer is imported: not in a function or an `if TYPE_CHECKING` block
 
 
 class ImportGraph:
-    """Every import between the program's modules, whether made at the start or within a function."""
+    """All imports between the program's modules, at module level and within functions."""
 
     def __init__(self, root: Path) -> None:
-        """Parse every file of the program in the folder `root`."""
+        """Parse all files of the program in the directory `root`."""
         self.modules = {_module_name(path, root): path for path in (root / PROGRAM).rglob("*.py")}
         self.imports = {found for name in self.modules for found in self._imports_of(name)}
 
     def packages(self, inner: str) -> set[str]:
-        """The packages that the package `inner` imports, itself left out."""
+        """The packages that the package `inner` imports, without itself."""
         return {
             package_of(found.imported) for found in self.imports if package_of(found.importer) == inner
         } - {inner}
 
     def closure(self, start: str) -> set[str]:
-        """All modules that importing `start` brings about, itself included; the packages around them too."""
+        """All modules that an import of `start` imports, including itself and the enclosing packages."""
         seen: set[str] = set()
-        waiting = [start]
-        while waiting:
-            name = waiting.pop()
+        pending = [start]
+        while pending:
+            name = pending.pop()
             if name in seen or name not in self.modules:
                 continue
             seen.add(name)
-            waiting += [name.rpartition(".")[0]]
-            waiting += [found.imported for found in self.imports if found.importer == name and found.at_start]
+            pending += [name.rpartition(".")[0]]
+            pending += [found.imported for found in self.imports if found.importer == name and found.at_start]
         return seen
 
     def _imports_of(self, importer: str) -> Iterator[Import]:
@@ -54,7 +54,7 @@
                     yield Import(importer, target, node in started)
 
     def _known(self, name: str) -> str | None:
-        """The module that a dotted name means: itself, or the one that it is a name of; None: a library's."""
+        """The program's module that a dotted name is or belongs to; None for a name of a library."""
         if name in self.modules:
             return name
         outer = name.rpartition(".")[0]
@@ -68,7 +68,7 @@
 
 
 def cycle(graph: dict[str, set[str]]) -> list[str]:
-    """Names along one cycle of a graph, the first one again at the end; empty where there is none."""
+    """The nodes of one cycle in a graph, with the first one repeated at the end; empty if there is none."""
     done: set[str] = set()
 
     def visit(name: str, path: list[str]) -> list[str]:
@@ -86,7 +86,7 @@
 
 
 def reduction(graph: dict[str, set[str]]) -> dict[str, set[str]]:
-    """The graph without the edges that follow from longer paths (its transitive reduction; no cycles)."""
+    """The transitive reduction of a graph without cycles: omits edges that follow from longer paths."""
     reached: dict[str, set[str]] = {}
 
     def reach(name: str) -> set[str]:
@@ -115,14 +115,14 @@
 
 
 def _nodes_run_at_import(tree: ast.Module) -> Iterator[ast.AST]:
-    """Every node outside functions and outside what is there for type checkers alone."""
-    waiting: list[ast.AST] = [tree]
-    while waiting:
-        node = waiting.pop()
+    """All nodes outside functions and outside `if TYPE_CHECKING` blocks."""
+    pending: list[ast.AST] = [tree]
+    while pending:
+        node = pending.pop()
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.Lambda):
             continue
         if isinstance(node, ast.If) and ast.unparse(node.test) == "TYPE_CHECKING":
-            waiting += node.orelse
+            pending += node.orelse
             continue
         yield node
-        waiting += ast.iter_child_nodes(node)
+        pending += ast.iter_child_nodes(node)
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail for a real fault: read from KNOWN-RED.txt, run, printed, and passed over.
+"""Tests that are known to fail because of a defect, listed in KNOWN-RED.txt.
 
-Each line is `test id | cause | issue`; there may be three at the most. A listed test that passes, a name
-that no test has, or a fourth line fails the run.
+They run and are printed, but do not fail the run. Each line is `test id | cause | issue`, with at most three
+lines. A listed test that passes, the name of a missing test, and a fourth line fail the run.
 """
 
 from dataclasses import dataclass
@@ -10,26 +10,26 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-LINES_MOST = 3
+MAX_LINES = 3
 REASON = "known red"
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One listed test, with why it fails and the issue that it belongs to."""
+    """A listed test, the cause of its failure, and its issue."""
 
     test_id: str
     cause: str
     issue: str
 
 
-def read(path: Path) -> list[KnownRed]:
-    """The listed tests; raises `pytest.UsageError` for a list that breaks its own terms."""
+def read_list(path: Path) -> list[KnownRed]:
+    """Read the listed tests; raises `pytest.UsageError` if the list is invalid."""
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text().splitlines() if line.strip()]
-    if len(lines) > LINES_MOST:
-        raise pytest.UsageError(f"{FILE_NAME}: {len(lines)} lines, {LINES_MOST} at the most")
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f"{FILE_NAME}: {len(lines)} lines, at most {MAX_LINES} are allowed")
     return [_entry(line) for line in lines]
 
 
@@ -41,14 +41,14 @@
 
 
 class KnownRedPlugin:
-    """Marks the listed tests, so that they run and have to fail, and prints them at the end."""
+    """Marks the listed tests as expected failures, and prints them at the end."""
 
     def __init__(self, root: Path, listed: list[KnownRed]) -> None:
         self._root, self._listed = root, listed
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Mark what is listed; fail for a name that its own file does not have."""
+        """Mark the listed tests; raise an error for a name that its file does not contain."""
         by_id = {item.nodeid: item for item in items}
         files = {item.nodeid.partition("::")[0] for item in items}
         for entry in self._listed:
@@ -67,6 +67,6 @@
 
 
 def install(config: pytest.Config) -> None:
-    """Read the list beside the configuration of pytest and register the plugin."""
+    """Read the list in pytest's root directory and register the plugin."""
     root = config.rootpath
-    config.pluginmanager.register(KnownRedPlugin(root, read(root / FILE_NAME)), "known-red")
+    config.pluginmanager.register(KnownRedPlugin(root, read_list(root / FILE_NAME)), "known-red")
--- a/tests/test_descriptor_reserve.py
+++ b/tests/test_descriptor_reserve.py
@@ -1,4 +1,4 @@
-"""Idle clients fill the descriptors while discovery is down: it and the scorers are reached all the same."""
+"""The change log and scorers stay reachable if idle clients use up descriptors in a discovery outage."""
 
 import os
 import socket
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("descriptors", [32, 64, 256])
 def test_idle_clients_leave_room_for_discovery_and_scorers(descriptors):
-    log, scorer, crowd = LogPeer(), ScorerPeer(), []
+    log, scorer, idle_clients = LogPeer(), ScorerPeer(), []
     address = log.listener.getsockname()
     log.listener.close()  # discovery is down
     event = {"seq": 1, "fleet": {"complete": True, "members": [scorer.member()]}}
@@ -41,11 +41,11 @@
             line = program.stderr.readline()
             host, port = line.rsplit(" ", 1)[1].strip().split(":")
             for _ in range(CLIENTS):
-                crowd.append(socket.create_connection((host, int(port))))
+                idle_clients.append(socket.create_connection((host, int(port))))
             log.listener = socket.create_server(address)
             log.listener.setblocking(False)
             client = ClientPeer((host, int(port)))
-            crowd.append(client.sock)
+            idle_clients.append(client.sock)
             client.call()
             end = time.monotonic() + PATIENCE_S
             while not (log.asked() and scorer.runs):
@@ -58,7 +58,7 @@
             program.kill()
             program.wait()
             program.stderr.close()
-            for sock in crowd:
+            for sock in idle_clients:
                 sock.close()
             log.close()
             scorer.close()
--- a/tests/test_event_order_pages.py
+++ b/tests/test_event_order_pages.py
@@ -1,4 +1,4 @@
-"""The pages on orders of events cite tests that exist: names of tests in backticks, and files of tests."""
+"""The tests and test files that the pages on event orders cite exist."""
 
 import ast
 import re
@@ -12,23 +12,23 @@
 PAGES = sorted((DOCS / "event-orders").glob("*.md")) + sorted(DOCS.glob("event-orders.md"))
 
 IN_BACKTICKS = re.compile(r"`([^`\n]+)`")
-# Not the stem of a file: `test_starts.py` is looked for as a file.
+# Does not match the stem of a file name: `test_starts.py` is checked as a file.
 TEST_NAME = re.compile(r"\btest_\w+\b(?!\.py\b)")
 TEST_FILE = re.compile(r"(?<![\w/.])(?:tests/(?:\w+/)*\w+\.py|test_\w+\.py)\b")
 
 
 def cited_names(text: str) -> set[str]:
-    """Identifiers that begin with `test_`, in backticks; parameters in brackets are not looked at."""
+    """Identifiers in backticks that begin with `test_`, without parameters in brackets."""
     return {name for span in IN_BACKTICKS.findall(text) for name in TEST_NAME.findall(span)}
 
 
 def cited_files(text: str) -> set[str]:
-    """Paths below tests/, and files of tests by their name alone, in backticks or not."""
+    """Paths below tests/, and names of test files, in backticks or not."""
     return set(TEST_FILE.findall(text))
 
 
 def names_of_tests() -> set[str]:
-    """Functions and methods that pytest collects, by their names."""
+    """The names of all functions and methods that pytest collects."""
     return {
         node.name
         for path in TESTS.rglob("test_*.py")
@@ -37,8 +37,8 @@
     }
 
 
-def is_there(file: str) -> bool:
-    """A path below tests/ is taken as it is; a name alone is looked for in all folders of tests."""
+def exists(file: str) -> bool:
+    """Whether a path below tests/ exists, or a file of this name in any directory of tests."""
     if file.startswith("tests/"):
         return (ROOT / file).is_file()
     return any(path.name == file for path in TESTS.rglob("test_*.py"))
@@ -62,10 +62,10 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_each_file_of_tests_that_a_page_cites_exists(page):
-    assert {file for file in cited_files(page.read_text()) if not is_there(file)} == set()
+    assert {file for file in cited_files(page.read_text()) if not exists(file)} == set()
 
 
-def test_what_is_cited_is_found_wherever_it_stands():
+def test_cited_names_and_files_are_found_in_all_forms():
     text = (
         "Tests are in tests/test_a.py (A), `test_b.py` and `tests/support/c.py`.\n"
         "| A `test_first[late]`, `test_b.py` `TestX.test_second`, `test_cut_short...`; net/test_no.py |\n"
@@ -74,11 +74,11 @@
     assert cited_files(text) == {"tests/test_a.py", "test_b.py", "tests/support/c.py"}
 
 
-def test_names_and_files_that_are_not_there_are_told_from_those_that_are(names):
-    here = "test_names_and_files_that_are_not_there_are_told_from_those_that_are"
+def test_existing_and_missing_names_and_files_are_distinguished(names):
+    here = "test_existing_and_missing_names_and_files_are_distinguished"
     assert here in names
-    assert here.replace("told", "kept") not in names
-    assert is_there("test_event_order_pages.py")
-    assert is_there("tests/test_event_order_pages.py")
-    assert not is_there("tests/test_event_order_page.py")
-    assert not is_there("event_orders.md")
+    assert here.replace("missing", "absent") not in names
+    assert exists("test_event_order_pages.py")
+    assert exists("tests/test_event_order_pages.py")
+    assert not exists("tests/test_event_order_page.py")
+    assert not exists("event_orders.md")
--- a/tests/test_import_graph.py
+++ b/tests/test_import_graph.py
@@ -1,7 +1,7 @@
-"""Who may import whom: packages import inwards only, and `run` imports nothing that is off.
+"""The allowed imports between packages, and that `run` imports no subsystem that is off.
 
-`ALLOWED` is the whole of it, and the diagram in docs/architecture.md has to say the same. An import that is
-not in the table fails here, and so does an entry of the table that no import needs any more.
+`ALLOWED` lists them all, and the diagram in docs/architecture.md must show the same. The test fails for an
+import that is not in the table, and for an entry of the table that no import needs.
 """
 
 import json
@@ -15,8 +15,8 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 
-# Model checkers, random walks, trials and measurements: run by themselves or by tests, imported by no part of
-# the program. They count as one package of their own, wherever they stand.
+# Model checkers, random walks, trials and measurements: run on their own or by tests, and not imported by the
+# program. They count as one package, wherever their files are.
 TRIALS = {
     f"{PROGRAM}.{name}"
     for name in (
@@ -49,7 +49,7 @@
     )
 }
 
-# Each package and what it may import: always what stands above it, never what stands below.
+# Each package and the packages that it may import, which are always above it in this table.
 ALLOWED = {
     "interface": "",
     "incarnations": "",
@@ -80,12 +80,12 @@
     ),
     "__main__": "cli serving",
 }
-# Outermost: these may import anything, and nothing imports them but the command line (`fawnwharf lab`).
+# These may import anything, and only the command line (`fawnwharf lab`) imports them.
 OUTERMOST = {"trials", "fakes", "testbed"}
 COMMAND = (f"{PROGRAM}.cli", f"{PROGRAM}.testbed.commands")
 
-# What `run` never imports: the subsystems behind an option, the trials' ground, and the extras' libraries.
-OFF = {
+# What `run` never imports: the subsystems that an option turns on, the testbed, and optional libraries.
+EXCLUDED_PACKAGES = {
     "consensus",
     "cli",
     "durable_store",
@@ -104,54 +104,54 @@
     "wirehost",
     "zones",
 }
-OFF_LIBRARIES = {"typer", "httptools", "structlog", "hdrh", "pyarrow", "matplotlib"}
+EXCLUDED_LIBRARIES = {"typer", "httptools", "structlog", "hdrh", "pyarrow", "matplotlib"}
 
 
 @pytest.fixture(scope="module")
 def graph() -> ImportGraph:
-    """The program as it stands."""
+    """The import graph of the program."""
     return ImportGraph(ROOT)
 
 
-def node_of(module: str) -> str:
-    """The row of the table that a module belongs to."""
+def entry_of(module: str) -> str:
+    """The entry of the table that a module belongs to."""
     return "trials" if module in TRIALS else package_of(module)
 
 
-def edges(graph: ImportGraph) -> dict[str, set[str]]:
-    """What each row of the table imports, itself left out."""
-    found: dict[str, set[str]] = {node_of(name): set() for name in graph.modules}
+def imports_by_entry(graph: ImportGraph) -> dict[str, set[str]]:
+    """The imports of each entry of the table, without those of itself."""
+    found: dict[str, set[str]] = {entry_of(name): set() for name in graph.modules}
     for each in graph.imports:
-        found[node_of(each.importer)].add(node_of(each.imported))
-    return {name: inner - {name} for name, inner in found.items()}
+        found[entry_of(each.importer)].add(entry_of(each.imported))
+    return {name: imported - {name} for name, imported in found.items()}
 
 
 def allowed() -> dict[str, set[str]]:
     """The table, as sets."""
-    return {name: set(inner.split()) for name, inner in ALLOWED.items()}
+    return {name: set(imported.split()) for name, imported in ALLOWED.items()}
 
 
 def test_packages_import_what_the_table_allows_and_all_of_it(graph):
-    found = edges(graph)
+    found = imports_by_entry(graph)
     found.pop("trials")
     assert found == allowed()
 
 
 def layers() -> dict[str, set[str]]:
-    """The table without the one way back: `standins.clocks` runs the whole program under other clocks."""
+    """The table without its one cycle: `fakes.clocks` runs the whole program with simulated clocks."""
     table = allowed()
     table["fakes"].remove("__main__")
     return table
 
 
-def test_packages_import_inwards_only():
+def test_packages_import_only_packages_above_them():
     order = list(ALLOWED)
-    for name, inner in layers().items():
-        assert all(order.index(each) < order.index(name) for each in inner), name
+    for name, imported in layers().items():
+        assert all(order.index(each) < order.index(name) for each in imported), name
     assert cycle(layers()) == []
 
 
-def test_modules_do_not_import_each_other_in_a_circle(graph):
+def test_modules_do_not_import_each_other_in_a_cycle(graph):
     modules = {name: set() for name in graph.modules}
     for each in graph.imports:
         if each.at_start:
@@ -163,16 +163,16 @@
     inwards = {
         (each.importer, each.imported)
         for each in graph.imports
-        if node_of(each.imported) in OUTERMOST and node_of(each.importer) not in OUTERMOST
+        if entry_of(each.imported) in OUTERMOST and entry_of(each.importer) not in OUTERMOST
     }
     assert inwards == {COMMAND}
 
 
-def test_every_trial_named_here_is_there(graph):
+def test_every_listed_trial_exists(graph):
     assert set(graph.modules) >= TRIALS
 
 
-def test_importing_what_serves_reaches_nothing_that_is_off(graph):
+def test_importing_serving_imports_no_subsystem(graph):
     reached = graph.closure(f"{PROGRAM}.serving") | graph.closure(f"{PROGRAM}.__main__")
     assert {package_of(name) for name in reached} == {
         PROGRAM,
@@ -185,12 +185,12 @@
     }
 
 
-def test_a_front_end_without_options_has_imported_nothing_that_is_off(tmp_path):
+def test_a_front_end_without_options_imports_no_subsystem(tmp_path):
     config = tmp_path / "config.json"
     config.write_text(
         json.dumps({"listen": "127.0.0.1:0", "changelog": "127.0.0.1:1", "settings": {"classes": []}})
     )
-    # The whole way of `serve`, but for the loop: what is imported by then is all that `run` imports.
+    # Runs `serve` up to the event loop: by then everything that `run` imports is imported.
     code = (
         "import sys; from fawnwharf import __main__; from fawnwharf.net.front_end import FrontEnd\n"
         "FrontEnd.serve = lambda self: print(*sorted(sys.modules))\n"
@@ -208,19 +208,21 @@
     assert done.returncode == 0, done.stderr
     imported = done.stdout.split()
     assert f"{PROGRAM}.net.event_loop" in imported
-    assert [name for name in imported if name.startswith(f"{PROGRAM}.") and package_of(name) in OFF] == []
-    assert [name for name in imported if name.split(".")[0] in OFF_LIBRARIES] == []
+    assert [
+        name for name in imported if name.startswith(f"{PROGRAM}.") and package_of(name) in EXCLUDED_PACKAGES
+    ] == []
+    assert [name for name in imported if name.split(".")[0] in EXCLUDED_LIBRARIES] == []
 
 
 def test_the_diagram_in_the_documents_shows_the_table():
-    """The diagram leaves out edges that follow from longer paths, and shows all others."""
+    """The diagram shows all imports except those that follow from longer paths."""
     page = (ROOT / "docs" / "architecture.md").read_text()
     section = page.partition("## Direction of imports")[2]
     diagram = re.search(r"```mermaid\n(.*?)```", section, re.S).group(1)
     shown: dict[str, set[str]] = {}
     for importer, imported in re.findall(r"^ *(\w+) --> (\w+)$", diagram, re.M):
         shown.setdefault(importer, set()).add(imported)
-    expected = {name: inner for name, inner in reduction(layers()).items() if inner}
+    expected = {name: imported for name, imported in reduction(layers()).items() if imported}
     assert shown == expected
 
 
@@ -232,7 +234,7 @@
         ({"a": {"b"}, "b": {"c"}, "c": {"b"}}, ["b", "c", "b"]),
     ],
 )
-def test_a_circle_is_found(graph_of_names, found):
+def test_a_cycle_is_found(graph_of_names, found):
     assert cycle(graph_of_names) == found
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to fail: these run and are printed, and a wrong list fails the run."""
+"""The list of tests that are known to fail: they run and are printed, and an invalid list fails the run."""
 
 from pathlib import Path
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture(params=[(), ("-n", "2")], ids=["one process", "two workers"])
 def run(request, pytester):
-    """Run the two tests under a list; one process, or several workers as in CI."""
+    """Run the two tests with a list, in one process or in two workers as in CI."""
 
     def run_with(listed):
         pytester.makeini("[pytest]")
@@ -42,7 +42,7 @@
     assert result.ret == 1
 
 
-def test_a_listed_failure_runs_and_is_printed_and_passed_over(run):
+def test_a_listed_failure_runs_and_is_printed_and_does_not_fail_the_run(run):
     result = run("test_it.py::test_broken | a division by zero | issue 7\n")
     result.assert_outcomes(passed=1, xfailed=1)
     result.stdout.fnmatch_lines(["known red: test_it.py::test_broken: a division by zero (issue 7)"])
--- a/tests/test_lint_exemptions.py
+++ b/tests/test_lint_exemptions.py
@@ -1,4 +1,4 @@
-"""Exemptions from the linter: each one is needed, and there are no more than there were. Types likewise."""
+"""Each exemption from the linter is needed, and neither these nor unchecked packages may become more."""
 
 import json
 import re
@@ -18,18 +18,18 @@
 EARLIER_GROUPS = {"N", "D", "C90", "RET"}
 WIDER_GROUPS = {"A", "ARG", "ERA", "PT", "PERF", "RUF", "PLW", "PLR0913", "TRY300", "TRY301"}
 GROUPS = EARLIER_GROUPS | WIDER_GROUPS
-# Left out for all tests by tests/ruff.toml, which gives the reason.
+# Ignored for all tests by tests/ruff.toml, which gives the reason.
 MISSING_DOCSTRINGS = {"D100", "D101", "D102", "D103", "D104", "D106"}
-# Lower them with each exemption that goes; they are never raised.
+# Lower these with each exemption that is removed; never raise them.
 MAX_EARLIER_EXEMPTIONS = 9
 MAX_WIDER_EXEMPTIONS = 56
-# Raise it with each package that is added to the type checker's list; it is never lowered.
+# Raise this with each package that is added to the type checker's list; never lower it.
 MIN_TYPE_CHECKED = 19
 
 
 @pytest.fixture(scope="module")
 def findings() -> set[tuple[str, str]]:
-    """What the linter finds without any exemption: files and groups of rules."""
+    """The linter's findings without any exemption, as files and groups of rules."""
     lint = CONFIG["lint"]
     done = subprocess.run(
         [
@@ -54,7 +54,7 @@
 
 
 def group_of(code: str) -> str:
-    """`D102` is of D, `C901` of C90, `TRY300` its own: the groups as the configuration names them."""
+    """The group of a rule in the configuration: `D102` is in D, `C901` in C90, `TRY300` is its own group."""
     if code in GROUPS:
         return code
     letters = re.match(r"[A-Z]+", code).group()
@@ -62,7 +62,7 @@
 
 
 def covers(pattern: str, name: str) -> bool:
-    """Whether a pattern of the configuration names a file; `*` stands for any characters."""
+    """Whether a pattern of the configuration matches a file name; `*` matches any characters."""
     return re.fullmatch(re.escape(pattern).replace(r"\*", ".*"), name) is not None
 
 
@@ -74,12 +74,12 @@
 
 
 def test_each_exemption_is_needed(findings):
-    idle = {
+    unneeded = {
         (pattern, group)
         for pattern, group in EXEMPTIONS
         if not any(group == other and covers(pattern, name) for name, other in findings)
     }
-    assert idle == set(), "take these out of pyproject.toml, and lower the number of exemptions"
+    assert unneeded == set(), "remove these from pyproject.toml, and lower the maximum number of exemptions"
 
 
 def test_no_package_was_taken_off_the_type_checkers_list():
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -14,7 +14,7 @@
     lines = POLICY.splitlines()
     assert max(len(line) for line in lines) <= 110
     assert max(len(part.splitlines()) for part in PARTS) <= 400
-    assert all(part.startswith('"""') for part in PARTS)  # each file says which concern is its own
+    assert all(part.startswith('"""') for part in PARTS)  # each file has a module docstring
 
 
 def test_every_file_of_the_policy_is_declared():
@@ -38,7 +38,7 @@
     assert "hash" not in calls
 
 
-def test_one_place_sends():
+def test_requests_are_sent_in_one_place():
     assert POLICY.count("io.Send(") == 1
     assert POLICY.count("self._send(") == 1
 
--- a/tests/test_variant_sites.py
+++ b/tests/test_variant_sites.py
@@ -1,4 +1,4 @@
-"""The variant sites in deploy/sites: well-formed, unlike each other, and free of the kit's files."""
+"""The variant sites in deploy/sites are valid, differ from each other, and contain no file of the kit."""
 
 import re
 import subprocess
@@ -11,7 +11,7 @@
 FOLDER = ROOT / "deploy" / "sites"
 SITES = sorted(FOLDER.glob("*.toml"))
 EFFECTS = {"safe", "keyed", "unsafe"}
-# Keys the bench finds its own files by; they name no number of a site.
+# Keys by which the bench finds its own files; they hold no figures of a site.
 STRUCTURE = ("family", "wire", "stock")
 
 
@@ -21,7 +21,7 @@
 
 
 def spans(value) -> list[list]:
-    """Every [least, most] pair of numbers found anywhere in `value`."""
+    """All [minimum, maximum] pairs of numbers anywhere in `value`."""
     if isinstance(value, dict):
         return [span for inner in value.values() for span in spans(inner)]
     if not isinstance(value, list):
@@ -33,10 +33,10 @@
 
 
 def can_sum_to_one(shares: list) -> bool:
-    """Whether shares, given as numbers or [least, most] pairs, can add up to 1."""
-    least = sum(share[0] if isinstance(share, list) else share for share in shares)
-    most = sum(share[1] if isinstance(share, list) else share for share in shares)
-    return least <= 1 + 1e-9 and most >= 1 - 1e-9
+    """Whether shares, which are numbers or [minimum, maximum] pairs, can add up to 1."""
+    minimum = sum(share[0] if isinstance(share, list) else share for share in shares)
+    maximum = sum(share[1] if isinstance(share, list) else share for share in shares)
+    return minimum <= 1 + 1e-9 and maximum >= 1 - 1e-9
 
 
 def test_there_are_two_sites_that_name_themselves_as_their_files():
@@ -64,7 +64,7 @@
         assert row.get("window_ms", 1) > 0
     for row, cost in zip(site["class"], site["fam"]["class"], strict=True):
         assert 0 < cost["load_ms"][0] <= cost["load_ms"][1] < row["deadline_ms"]
-    assert all(least <= most for least, most in spans({**site, "trouble": []}))
+    assert all(minimum <= maximum for minimum, maximum in spans({**site, "trouble": []}))
     assert site["allow"]["max_attempts"] >= 1
     assert site["rules"]["drain_grace_ms"] > 0
 
