--- a/tests/compatibility/compatibility_boundaries.py
+++ b/tests/compatibility/compatibility_boundaries.py
@@ -1,7 +1,7 @@
-"""Boundaries of the program: what is decoded and encoded there, and by which functions of the program.
+"""Boundaries of the program, with the type and the program's decoder and encoder of each.
 
-An entry of the corpus has the id `<boundary>/<form>`; `BOUNDARIES` maps the boundary's name to the program's
-own decoder and encoder. Classes are referenced by import, so that a renamed class is followed here.
+An entry of the corpus has the id `<boundary>/<form>`, and `BOUNDARIES` is keyed by the boundary's name.
+Classes are referenced by import, so that tools rename them here as well.
 """
 
 from collections.abc import Callable
@@ -40,7 +40,8 @@
 class Boundary(NamedTuple):
     """One root type at one boundary.
 
-    `through` names the field whose union members have an entry each; `binary` marks msgpack, stored as hex.
+    `through` names the field with a union each of whose members has its own entry. `binary` marks msgpack,
+    which the corpus stores as hexadecimal.
     """
 
     kind: Any
@@ -48,31 +49,31 @@
     encode: Callable[[Any], bytes]
     through: str = ""
     binary: bool = False
-    strict: bool = False  # unknown keys are refused
+    strict: bool = False  # unknown keys are rejected
 
 
 def on_line(value: Any) -> bytes:
-    """Encode a value as it goes into a line of a log: as builtins, by the logs' encoder."""
+    """Encode a value as in a line of a log: converted to builtins, by the logs' encoder."""
     return member_log.line_encoder.encode(msgspec.to_builtins(value))
 
 
 def line(kind: Any, read: Callable[[Any], Any], through: str = "") -> Boundary:
-    """A part of a line, which is decoded before `read` converts it."""
+    """A part of a log line, which is decoded before `read` converts it."""
     return Boundary(kind, lambda data: read(msgspec.json.decode(data)), on_line, through)
 
 
 def file(kind: Any) -> Boundary:
-    """A record or file of JSON."""
+    """A record or a file in JSON."""
     return Boundary(kind, lambda data: msgspec.json.decode(data, type=kind), msgspec.json.encode)
 
 
 def converted(kind: Any) -> Boundary:
-    """A value in the durable store, which is converted from builtins."""
+    """A value of the durable store, which is converted from builtins."""
     return line(kind, lambda data: msgspec.convert(data, kind))
 
 
 def packed(kind: Any, through: str = "") -> Boundary:
-    """A value of msgpack between processes."""
+    """A value in msgpack that is sent between processes."""
     return Boundary(
         kind, lambda data: msgspec.msgpack.decode(data, type=kind), msgspec.msgpack.encode, through, True
     )
@@ -140,12 +141,12 @@
 
 
 def boundary_of(entry: str) -> str:
-    """The name of the boundary that an entry's id begins with."""
+    """The name of the boundary with which an entry's id begins."""
     return "/".join(entry.split("/")[:2])
 
 
 def entries() -> dict[str, bytes]:
-    """All recorded entries by id, as the bytes that the program wrote."""
+    """All recorded entries by id, as bytes that the program has written."""
     found: dict[str, bytes] = {}
     for path in sorted(CORPUS.glob("*.messages")):
         for text in path.read_text(encoding="utf-8").split("\n")[:-1]:
--- a/tests/compatibility/compatibility_folders.py
+++ b/tests/compatibility/compatibility_folders.py
@@ -1,4 +1,4 @@
-"""Recorded folders, copied for a test; and records of files, read and written without the program."""
+"""Copies of recorded folders for tests; and file records, read and written without the program's code."""
 
 import json
 import shutil
@@ -11,13 +11,13 @@
 from compatibility_boundaries import CORPUS
 
 FOLDERS = CORPUS / "folders"
-HEAD = struct.Struct(">4sIIQ")  # magic, length, checksum, number: as recorded, whatever the program says
+HEAD = struct.Struct(">4sIIQ")  # magic, length, checksum, number; independent of the program
 MAGIC = b"fwv1"
 STORED = ("*.log", "*.seg", "*.snap")
 
 
 def records_of(data: bytes) -> Iterator[tuple[int, Any]]:
-    """Number and content of each record of a file."""
+    """The number and the content of each record of a file."""
     at = 0
     while at < len(data):
         magic, length, check, number = HEAD.unpack_from(data, at)
@@ -29,14 +29,14 @@
 
 
 def framed(number: int, value: Any) -> bytes:
-    """A record with this content, as compact JSON."""
+    """A record with this content in compact JSON."""
     content = json.dumps(value, separators=(",", ":"), ensure_ascii=False).encode()
     check = zlib.crc32(content, zlib.crc32(number.to_bytes(8, "big")))
     return HEAD.pack(MAGIC, len(content), check, number) + content
 
 
 def copied(name: str, place: Path) -> Path:
-    """A copy of a recorded folder; a file that names its own inode names the copy's."""
+    """Copy a recorded folder; a file that contains its own inode number gets that of the copy."""
     copy = place / name
     shutil.copytree(FOLDERS / name, copy)
     for pattern in STORED:
--- a/tests/compatibility/compatibility_process.py
+++ b/tests/compatibility/compatibility_process.py
@@ -1,6 +1,6 @@
-"""A front end process with all parts on, in a folder of its own: one member that is voter and replica.
+"""A front end process with all subsystems on and its own folder: the only member, both voter and replica.
 
-Used by the test of the recorded folder, and by the recorder that made it.
+Used by the test of the recorded folder, and by the recorder of that folder.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 class Front:
-    """A site whose processes are started with all parts, by the files of one folder."""
+    """A site whose processes run with all subsystems, with the settings files of one folder."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -43,25 +43,25 @@
         (folder / "boot").write_text(BOOT + "\n", encoding="utf-8")
 
     def start(self, *more: str) -> Any:
-        """Start a process, until it is ready."""
+        """Start a process and wait until it is ready."""
         options = [text for kind in KINDS for text in (f"--{kind}", str(self.folder / f"{kind}.json"))]
         process = self.site.begin([*options, *more])
         self.site.until_ready(process)
         return process
 
     def end(self, process: Any) -> int:
-        """SIGTERM, and the status that it ended with."""
+        """Send SIGTERM; returns the exit status."""
         process.signal(signal.SIGTERM)
         self.site.until(lambda: process.ended, "the process has ended")
         return process.child.returncode
 
     def noted(self, process: Any, event: str) -> list[dict[str, Any]]:
-        """The lines of an event in the process's log."""
+        """The entries of an event in the process's log."""
         rows = [json.loads(text) for text in process.log.split("\n")[:-1] if text.startswith("{")]
         return [row for row in rows if row.get("event") == event]
 
     def close(self) -> None:
-        """End all that still runs."""
+        """End all running processes and peers."""
         self.site.close()
         for port in self.ports:
             port.sock.close()
--- a/tests/compatibility/record_folders.py
+++ b/tests/compatibility/record_folders.py
@@ -1,8 +1,8 @@
-"""Recorder of the folders in `corpus/folders`, as the program leaves them.
+"""Records the folders in `corpus/folders`, as the program leaves them.
 
-It ran on commit 9d9ccab, before any renaming, and is kept to add folders for new forms: run it as
-`PYTHONPATH=tests python tests/compatibility/record_folders.py NAME ...`. A folder that is there is never
-written anew; no test uses this module.
+The recorded ones are from commit 9d9ccab, before identifiers were renamed. To add folders for new forms, run
+`PYTHONPATH=tests python tests/compatibility/record_folders.py NAME ...`. Existing folders are never
+rewritten. No test uses this module.
 """
 
 import json
@@ -36,7 +36,7 @@
 
 
 def voter(folder: Path) -> None:
-    """A voter's file after four saves."""
+    """Record a voter's file after four saves."""
     disk = VoterStore(folder, "fleet-1", "n0", lambda: "00112233445566aa")
     base = consensus.Snapshot(5, 2, '{"number":3}', 4, IDENTITIES, '{"policy":1}', 3, '{"recovery":1}', 2)
     entries = (consensus.Entry(2, "plan", '{"number":4}'), consensus.Entry(3, "voters", "", IDENTITIES[:1]))
@@ -48,7 +48,7 @@
 
 
 def store(folder: Path) -> None:
-    """A durable store after two lives: a snapshot of the first, and a segment with changes and removals."""
+    """Record a durable store after two incarnations: a snapshot, and a segment with changes and removals."""
     for life in (1, 2):
         held = open_store(folder, StoreOwner("fleet-1", "n0", f"boot-{life}", empty_ok=life == 1), KINDS)
         told: list[bool] = []
@@ -71,7 +71,7 @@
 
 
 def replica(folder: Path) -> None:
-    """A replica's two files: one that begins with all it held, and the next."""
+    """Record the two files of a replica: one that begins with all its claims, and the next."""
     disk = GrantLog(folder, "fleet-1", "n0", 1_000.0, 10_000.0, "boot-1")
     claims = [
         Claim(f"n{n}#{n + 7}", n + 1, n + 2, 100 + n, phase, "d" * n, "YW5zd2Vy" if n == 1 else None)
@@ -84,7 +84,7 @@
 
 
 def policy(folder: Path) -> None:
-    """The kept policy file."""
+    """Record the stored policy file."""
     last, before = (parse_document(POLICY % (n, n * 100)) for n in (7, 6))
     policy_file.write_policy_file(
         folder / "policy.json",
@@ -93,7 +93,7 @@
 
 
 def process(folder: Path) -> None:
-    """What a front end process with all parts leaves after two lives."""
+    """Record the files of a front end process with all subsystems after two incarnations."""
     folder.mkdir(parents=True)
     for name, data in FILES.items():
         (folder / name).write_text(json.dumps(data), encoding="utf-8")
@@ -104,7 +104,7 @@
             one = front.start(*more)
             for _ in range(5):
                 front.site.served()
-            until = time.monotonic() + 6.0  # words of the recovery, a plan, counts of use
+            until = time.monotonic() + 6.0  # for recovery messages, a plan and usage counts
             front.site.until(lambda until=until: time.monotonic() > until, "it has served for a while")
             print(one.log)
             if front.end(one) != 0:
@@ -125,7 +125,7 @@
 
 
 def main(names: list[str]) -> None:
-    """Record these folders, or all; lock files are left out."""
+    """Record these folders, or all of them, without lock files."""
     for name in names or list(RECORDED):
         if (FOLDERS / name).exists():
             continue
--- a/tests/compatibility/sample_corpus.py
+++ b/tests/compatibility/sample_corpus.py
@@ -1,11 +1,12 @@
-"""Sampler of messages and records: writes the corpus of `compatibility_boundaries.BOUNDARIES`.
+"""Generates sample messages and records, the corpus of `compatibility_boundaries.BOUNDARIES`.
 
-It ran on commit 9d9ccab, before any renaming, and is kept to add entries for new forms: run it as
-`python tests/compatibility/sample_corpus.py [BOUNDARY ...]`. An entry that is recorded already is never
-written anew; no test uses this module.
+The recorded ones are from commit 9d9ccab, before identifiers were renamed. To add entries for new forms, run
+`python tests/compatibility/sample_corpus.py [BOUNDARY ...]`. Existing entries are never rewritten. Tests use
+this module only to check that it adds nothing.
 
-Each root, and each member of its union, has a full entry (all fields, none at its default) and a minimal one
-(required fields alone). Bounds and patterns of `Meta` are kept. Samples are checked by decoding them.
+Each root type, and each member of its union, has a full entry (all fields, none at its default) and a minimal
+one (required fields only). Samples respect the bounds and patterns of `Meta`, and are checked by decoding
+them.
 """
 
 import sys
@@ -24,18 +25,18 @@
     r"^[0-9A-Za-z_.:-]+#[0-9]+$": ("front-1#7", "f#1"),
     "^[0-9]{1,12}$": ("12", "1"),
 }
-CHOSEN = {"version": 1, "recovery": 1}  # fields that name the version of a form
+CHOSEN = {"version": 1, "recovery": 1}  # fields that hold the version of a form
 PLAN_ZONES = {"a": {"state": "returning", "share": 0.25}, "b": {"state": "serving"}}
 
 
 class Sampler:
-    """Makes values of described types; numbers rise from one field to the next, so that no two are equal."""
+    """Creates values of described types; numbers increase from field to field, so that they all differ."""
 
     def __init__(self, full: bool) -> None:
         self.full, self.count = full, 0
 
     def make(self, kind: Any, default: Any = None) -> Any:
-        """A value of this type, as builtins; another one than the default."""
+        """A value of this type as builtins, which differs from the default."""
         name = type(kind).__name__
         if hasattr(self, f"of_{name}"):
             return getattr(self, f"of_{name}")(kind, default)
@@ -65,7 +66,7 @@
         return value if value != default else low + 0.75 * (min(high, low + 1_000.0) - low)
 
     def of_StrType(self, kind: Any, default: Any) -> str:  # noqa: N802 - named by the type
-        """A text that fits the pattern and the lengths."""
+        """A text that matches the pattern and the length limits."""
         if kind.pattern:
             return PATTERNS[kind.pattern][0 if self.full else 1]
         if self.full:
@@ -74,14 +75,14 @@
         return "x" * (kind.min_length or 0)
 
     def of_BoolType(self, kind: Any, default: Any) -> bool:  # noqa: N802 - named by the type
-        """The other value than the default."""
+        """The value that is not the default."""
         return default is not True if self.full else False
 
     def of_NoneType(self, kind: Any, default: Any) -> None:  # noqa: N802 - named by the type
         """None."""
 
     def of_BytesType(self, kind: Any, default: Any) -> bytes:  # noqa: N802 - named by the type
-        """Bytes of all kinds."""
+        """Bytes with text and other values."""
         return b"\x00data\xff" if self.full else b""
 
     def of_RawType(self, kind: Any, default: Any) -> Any:  # noqa: N802 - named by the type
@@ -93,11 +94,11 @@
         return {"any": [self.next(), "text", None, True, 0.5]} if self.full else {}
 
     def of_LiteralType(self, kind: Any, default: Any) -> Any:  # noqa: N802 - named by the type
-        """Another value than the default."""
+        """A value that is not the default."""
         return next(value for value in kind.values if value != default) if self.full else kind.values[0]
 
     def of_EnumType(self, kind: Any, default: Any) -> Any:  # noqa: N802 - named by the type
-        """The value of another member than the default."""
+        """The value of a member that is not the default."""
         return next(member.value for member in kind.cls if member != default)
 
     def _many(self, kind: Any) -> list[Any]:
@@ -115,7 +116,7 @@
     of_VarTupleType = of_ListType  # noqa: N815 - named by the type
 
     def of_TupleType(self, kind: Any, default: Any) -> list[Any]:  # noqa: N802 - named by the type
-        """One item of each."""
+        """One item of each type."""
         return [self.make(item) for item in kind.item_types]
 
     def of_DictType(self, kind: Any, default: Any) -> dict[Any, Any]:  # noqa: N802 - named by the type
@@ -129,7 +130,7 @@
         return self.make(next(each for each in kind.types if not isinstance(each, inspect.NoneType)), default)
 
     def of_StructType(self, kind: Any, default: Any, **given: Any) -> Any:  # noqa: N802 - named by the type
-        """All fields, or the required ones."""
+        """All fields, or only the required ones."""
         values = {}
         for field in kind.fields:
             if field.name in given:
@@ -150,12 +151,12 @@
 
 
 def _tag(member: Any) -> str:
-    """A member's tag as a part of an id, which stays when its class is renamed."""
+    """A member's tag as a part of an id; it does not change if its class is renamed."""
     return str(member.tag).replace(" ", "-")
 
 
 def _forms(name: str, kind: Any, full: bool, through: str) -> Iterator[tuple[str, Any]]:
-    """Ids' middle parts and samples of a root: one for each member of its union."""
+    """The samples of a root type, one for each member of its union, with the middle part of their ids."""
     if isinstance(kind, inspect.UnionType):
         for member in kind.types:
             yield f"{name}/{_tag(member)}", Sampler(full).make(member)
@@ -172,7 +173,7 @@
 
 
 def samples(name: str) -> Iterator[tuple[str, bytes]]:
-    """Ids and bytes of one boundary, as the program encodes what it decoded of a sample."""
+    """The ids and bytes of one boundary's entries: samples that the program has decoded and encoded again."""
     boundary = BOUNDARIES[name]
     for full in (True, False):
         for entry, value in _forms(name, inspect.type_info(boundary.kind), full, boundary.through):
@@ -187,7 +188,7 @@
 
 
 def main(names: list[str]) -> None:
-    """Add the entries of these boundaries, or of all, to the corpus's files."""
+    """Add the entries of these boundaries, or of all, to the corpus files."""
     for name in names or list(BOUNDARIES):
         path = CORPUS / f"{name.split('/')[0]}.messages"
         known = path.read_text(encoding="utf-8") if path.exists() else ""
--- a/tests/compatibility/test_compatibility_folders.py
+++ b/tests/compatibility/test_compatibility_folders.py
@@ -1,4 +1,4 @@
-"""Folders recorded by commit 9d9ccab are read from copies, with all that they held."""
+"""Folders recorded by commit 9d9ccab are read completely; each test uses a copy."""
 
 import shutil
 from pathlib import Path
@@ -32,13 +32,13 @@
 
 
 def names(folder: Path) -> set[str]:
-    """All files within a folder, but locks."""
+    """All files within a folder except lock files."""
     files = (path for path in folder.rglob("*") if path.is_file() and path.suffix != ".lock")
     return {str(path.relative_to(folder)) for path in files}
 
 
 def test_a_voter_finds_its_term_its_vote_and_its_log(tmp_path):
-    """The disk's identity as well; and the file's last record is what was saved last."""
+    """It also finds the disk's identity. The last record of the file is the state that was saved last."""
     folder = copied("voter", tmp_path)
     before = (folder / "voter.log").read_bytes()
     disk = VoterStore(folder, "fleet-1", "n0")
@@ -58,7 +58,7 @@
 
 
 def test_a_voter_s_folder_of_another_member_is_refused_as_before(tmp_path):
-    """The label is compared, not taken over."""
+    """The recorded identity is compared, not adopted."""
     folder = copied("voter", tmp_path)
     with pytest.raises(DiskError, match="the disk of member n0, not of n1"):
         VoterStore(folder, "fleet-1", "n1")
@@ -67,7 +67,7 @@
 
 
 def test_a_store_finds_its_snapshot_and_its_segment(tmp_path):
-    """Values of the first life come from the snapshot, changes and removals from the segment."""
+    """Values of the first incarnation come from the snapshot, changes and removals from the segment."""
     folder = copied("store", tmp_path)
     assert names(folder) == {"snap-2.snap", "log-2.seg"}
     store = open_store(folder, StoreOwner("fleet-1", "n0", boot="boot-3"), STORE_KINDS)
@@ -86,7 +86,7 @@
 
 
 def test_a_replica_finds_its_claims_and_the_list_by_which_it_was_sure(tmp_path):
-    """Of both files, in the boot in which they were written."""
+    """It reads both files in the boot in which they were written."""
     folder = copied("replica", tmp_path)
     disk = GrantLog(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-1")
     try:
@@ -97,7 +97,7 @@
 
 
 def test_a_replica_does_not_trust_its_files_of_another_boot_or_copies(tmp_path):
-    """As before: what was not synced may be gone."""
+    """Entries that were not synced may be lost."""
     folder = copied("replica", tmp_path)
     disk = GrantLog(folder, "fleet-1", "n0", 13_000.0, 10_000.0, "boot-2")
     assert (disk.distrust_reason, disk.grants) == ("of another boot", [])
@@ -109,7 +109,7 @@
 
 
 def test_the_kept_policy_is_read_and_written_to_equal_bytes(tmp_path):
-    """Its life and both documents of its register."""
+    """This covers its incarnation and both documents of its register."""
     folder = copied("policy", tmp_path)
     kept = policy_file.read_policy_file(folder / "policy.json")
     assert (kept.version, kept.incarnation) == (1, 41)
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("name", ["voter/voter.log", "store/log-2.seg", "replica/keeper-1.log"])
 def test_the_framing_of_records_is_as_recorded(name):
-    """Magic, length, checksum, number: read here without the program, and written by it to equal bytes."""
+    """Magic, length, checksum and number, read without the program, and written by it to the same bytes."""
     data = (FOLDERS / name).read_bytes()
     rows = list(records_of(data))
     found, end = records.leading_records(data)
--- a/tests/compatibility/test_compatibility_forms.py
+++ b/tests/compatibility/test_compatibility_forms.py
@@ -1,4 +1,4 @@
-"""Forms that are built by hand: lines of logs, files of commands, traces, framings, and stored names.
+"""Forms that are not in the corpus: log lines, files of commands, traces, framings, and stored names.
 
 The expected texts are those that commit 9d9ccab wrote.
 """
@@ -51,14 +51,14 @@
 
 
 class Peer:
-    """A reader of a log server, in the same thread."""
+    """A reader of a log server in the same thread."""
 
     def __init__(self, loop, address):
         self.loop, self.sock, self.data = loop, socket.create_connection(address), b""
         self.sock.setblocking(False)
 
     def lines(self, count):
-        """The first lines that come; fails where they do not."""
+        """Wait for this number of lines and return them; fail if they do not arrive."""
         for _ in range(2_000):
             if self.data.count(b"\n") >= count:
                 break
@@ -73,7 +73,7 @@
 
 @pytest.fixture
 def served():
-    """A log server of life 7 on a loopback port, and its loop."""
+    """A log server of incarnation 7 on a loopback port, and its event loop."""
     loop = EventLoop(lambda now_ms, events: None, lambda text: None)
     server = member_log.LogServer(loop, ("127.0.0.1", 0), 7, 8)
     yield loop, server
@@ -81,7 +81,7 @@
 
 
 def test_a_log_s_lines_have_their_recorded_form(served):
-    """Current lines for a reader that asks since 0, numbered ones for it from then on."""
+    """A reader that asks since 0 gets the current lines, and then each new line with its number."""
     loop, server = served
     server.write({"plan": 1}, counts_as="plan")
     server.write({"plan": 2}, counts_as="plan")
@@ -98,7 +98,7 @@
 
 
 def test_an_empty_log_tells_its_number_and_life(served):
-    """Without any line."""
+    """A reader gets them although there is no line."""
     loop, server = served
     peer = Peer(loop, server.address)
     peer.sock.sendall(b"since 0\n")
@@ -107,7 +107,7 @@
 
 
 def test_a_follower_takes_recorded_lines():
-    """In order, by life and number; a gap or another life has it ask anew."""
+    """It takes them in order; after a gap or a change of the incarnation it asks again."""
     told = []
     loop = EventLoop(lambda now_ms, events: None, lambda text: None)
     log = member_log.MemberLogFollower(loop, ("127.0.0.1", 9), told.append, lambda text: None)
@@ -118,7 +118,7 @@
 
 
 def test_a_member_s_line_has_what_riders_say_and_how_they_stand():
-    """The keys of a status are the riders' names; words name the rider unless it is policy."""
+    """A status is keyed by the log client's name; a message names its log client unless that is policy."""
     word = log_lines.ClientMessage({"type": "Abort"}, ("n1",), log_lines.RECOVERY)
     made = [
         log_lines.LogLine("f", "n0", **{log_lines.POLICY: {"ready": True}}),
@@ -145,7 +145,7 @@
     ],
 )
 def test_a_rider_of_the_logs_of_state_has_its_recorded_name(rider, recorded):
-    """Within a whole line."""
+    """The name is checked within a complete line."""
     line = state.LogLine("f", "n0", 7, ("n1",), state.ClientMessage(rider, {"type": "status"}))
     data = member_log.line_encoder.encode(msgspec.to_builtins(line)).decode()
     assert data == (
@@ -155,7 +155,7 @@
 
 
 def members_file(folder):
-    """A file of three members, and settings of zones and of state that name it."""
+    """Write a file of three members, and settings files of zones, state and sessions."""
     members = [
         {"name": f"n{n}", "zone": zone, "address": f"127.0.0.1:{n + 1}", "ballots": f"127.0.0.1:{n + 11}"}
         | {"state": f"127.0.0.1:{n + 21}"}
@@ -170,7 +170,7 @@
 
 
 def numbered(path):
-    """A file's text, with the number that a command drew from the clock as N."""
+    """A file's text, in which N replaces the number that a command has taken from the clock."""
     return re.sub(r'("number": ?)\d{9,}', r"\1N", path.read_text(encoding="utf-8"))
 
 
@@ -203,7 +203,7 @@
     ],
 )
 def test_a_command_s_file_has_its_recorded_form_and_is_read(arguments, name, recorded, tmp_path, monkeypatch):
-    """Under its recorded name in the folder; nobody answers, so that it is only left there."""
+    """The command writes it under its recorded name; no front end runs, so the file stays."""
     members_file(tmp_path)
     monkeypatch.chdir(tmp_path)
     (tmp_path / "document.json").write_text(
@@ -224,7 +224,7 @@
 
 
 def test_traces_have_their_recorded_keys(tmp_path):
-    """A line for each call, of policy and of sessions."""
+    """Traces of policy and of sessions have a line for each call."""
     trace = policy_trace.CallTrace(tmp_path / "policy")
     trace.add("c1", policy.ActivePolicy(3, "d1", Document(), "strict"), 1.5, 2.5)
     trace.flush()
@@ -246,7 +246,7 @@
 
 
 def test_an_entry_of_the_store_has_its_recorded_form():
-    """Stamped with the clock; a grant is a list that begins with how long it counts."""
+    """It is stamped with the clock; a grant is a list that begins with how long it is valid."""
     claim = Claim("n0#7", 1, 2, 100, ClaimPhase.GRANTED, "d1", None)
     data = stored_state.encode_entry(ClockReading("b00t", 10.04, 20.6), [5_000.0, 3.0, claim])
     assert data == (
@@ -257,7 +257,7 @@
 
 
 def test_the_register_of_policy_has_its_recorded_form():
-    """The last document, and the one before it where there is one."""
+    """It has the last document and, if there is one, the previous document."""
     text = '{"policy":1,"last":{"number":2,"spill":{"a":0.5},"version":1},"before":{"number":1,"version":1}}'
     found = parse_register(text)
     assert (found.last.value("spill", "a"), found.before) == (0.5, Document(1))
@@ -265,7 +265,7 @@
 
 
 def test_the_memory_of_a_process_has_its_recorded_framing():
-    """Magic, length and checksum before the msgpack; and its file's name."""
+    """Magic, length and checksum precede the msgpack data; the file has its recorded name."""
     data = beliefs.encode(beliefs.LearnedState(1.5, ["s-1"]))
     assert data[:6] == b"fwmem\x01" and data[:14].hex() == "66776d656d010000009e64f90acf"
     assert beliefs.decode(data) == beliefs.LearnedState(1.5, ["s-1"])
@@ -277,7 +277,7 @@
 
 
 def test_frames_to_scorers_have_their_recorded_bytes():
-    """One of each code."""
+    """There is one frame of each code."""
     id = bytes.fromhex("0011223344556677")
     frames = [
         scorer_frames.run(id, "gold", "8899aabbccddeeff", 12.0, "t1", b"body"),
@@ -296,7 +296,7 @@
 
 
 def test_names_and_numbers_that_are_stored_or_sent_are_as_recorded():
-    """Versions, magic numbers, names of files, of kinds of entries and of states."""
+    """Versions, magic numbers, and names of files, kinds of entries and states."""
     versions = [
         voter_disk, file_format, policy_file, policy_settings, prefetch_memory, successor, recovery_register,
         recovery_settings, keeper_disk, state_settings, left, session_settings, plan, zone_settings,
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -1,4 +1,4 @@
-"""Messages and records recorded by commit 9d9ccab are decoded, and encoded again to the same bytes."""
+"""Messages and records from commit 9d9ccab are decoded, and encoded again to the same bytes."""
 
 import importlib
 import json
@@ -24,7 +24,11 @@
 from fawnwharf.zones import settings as zone_settings
 
 ENTRIES = entries()
-APART = ("fawnwharf.testbed", "fawnwharf.fakes", "fawnwharf.__main__")  # tools, which serve nobody
+APART = (
+    "fawnwharf.testbed",
+    "fawnwharf.fakes",
+    "fawnwharf.__main__",
+)  # tools, which are not part of a serving front end
 
 
 def structs_in(value):
@@ -61,7 +65,7 @@
 
 
 def set_fields_in(value, found):
-    """Adds the fields of each class within a decoded value that are not at their defaults."""
+    """Add the fields of each class within a decoded value that are not at their defaults."""
     if isinstance(value, msgspec.Struct):
         here = found.setdefault(type(value), set())
         for field in msgspec.structs.fields(value):
@@ -79,7 +83,7 @@
 
 
 def declared():
-    """All message and record classes that the program declares outside its tools."""
+    """All message and record classes that the program declares, except in its tools."""
     found = set()
     for info in pkgutil.walk_packages(fawnwharf.__path__, "fawnwharf."):
         if info.name.startswith(APART):
@@ -92,12 +96,12 @@
 
 
 def read(name, data):
-    """A value of an entry's raw bytes, without the program's types."""
+    """Decode an entry's bytes without the program's types."""
     return msgspec.msgpack.decode(data) if BOUNDARIES[name].binary else json.loads(data)
 
 
 def parts_of(value):
-    """All objects (with keys) within decoded JSON or msgpack."""
+    """All objects (dicts) within decoded JSON or msgpack."""
     if isinstance(value, dict):
         yield value
         for item in value.values():
@@ -109,7 +113,7 @@
 
 @pytest.mark.parametrize("entry", ENTRIES)
 def test_a_recorded_entry_is_decoded_and_encoded_to_the_same_bytes(entry):
-    """A renamed key, tag or type shows as other bytes, or as a refusal."""
+    """A renamed key, tag or type leads to other bytes, or to a decoding error."""
     boundary = BOUNDARIES[boundary_of(entry)]
     value = boundary.decode(ENTRIES[entry])
     assert value is not None
@@ -118,7 +122,7 @@
 
 @pytest.mark.parametrize("entry", ENTRIES)
 def test_an_unknown_key_changes_nothing_and_takes_nothing_away(entry):
-    """Unknown keys are dropped or refused as before, and nothing else is dropped with them."""
+    """Unknown keys are ignored or rejected as before, and nothing else is lost with them."""
     boundary = BOUNDARIES[boundary_of(entry)]
     raw = read(boundary_of(entry), ENTRIES[entry])
     if not isinstance(raw, dict):
@@ -134,7 +138,7 @@
 
 @pytest.mark.parametrize("entry", [entry for entry in ENTRIES if entry.endswith("/full")])
 def test_a_full_entry_has_every_field_of_its_classes_at_a_value_of_its_own(entry):
-    """No field of the root is at its default, which a decoder that ignores the key would give as well."""
+    """No field of the root is at its default, as a decoder that ignores the key would return that as well."""
     boundary = BOUNDARIES[boundary_of(entry)]
     value = boundary.decode(ENTRIES[entry])
     values = value if isinstance(value, list | tuple) else [value]
@@ -156,7 +160,7 @@
 
 
 def test_each_class_that_a_boundary_may_carry_occurs_in_its_entries():
-    """Nested classes, too."""
+    """This includes nested classes."""
     for name, boundary in BOUNDARIES.items():
         may = structs_of(msgspec.inspect.type_info(boundary.kind), set())
         met = set()
@@ -167,7 +171,7 @@
 
 
 def test_each_field_of_each_class_is_recorded_at_another_value_than_its_default():
-    """Nested classes, too; a field that is at its default everywhere could change its name unseen."""
+    """This includes nested classes. A renamed field that is always at its default would go unnoticed."""
     found: dict[type, set[str]] = {}
     for entry, data in ENTRIES.items():
         set_fields_in(BOUNDARIES[boundary_of(entry)].decode(data), found)
@@ -187,7 +191,7 @@
 
 
 def test_each_tagged_class_of_the_program_has_an_entry():
-    """Whatever union it belongs to."""
+    """This holds for the classes of all unions."""
     tagged = {each for each in declared() if each.__struct_config__.tag is not None}
     met = set()
     for entry, data in ENTRIES.items():
@@ -197,7 +201,7 @@
 
 
 def test_no_tag_is_taken_from_a_class_name():
-    """A tag that is written as text stays when its class is renamed."""
+    """A tag that is written as a string does not change when its class is renamed."""
     root = Path(fawnwharf.__file__).parent
     found = [
         str(path.relative_to(root))
@@ -241,13 +245,13 @@
     ],
 )
 def test_numbers_that_stand_for_members_of_enumerations_are_as_recorded(members):
-    """Each member has its place in the list as its number, and there is no further one."""
+    """The number of each member is its index in the list, and there are no other members."""
     numbers = {member: number for number, member in enumerate(members) if member is not None}
     assert {member: int(member) for member in type(members[-1])} == numbers
 
 
 def test_the_sampler_adds_nothing_to_a_complete_corpus(tmp_path):
-    """In a process of its own, as the other tests must not depend on the sampler."""
+    """Runs in a separate process, because the other tests must not depend on the sampler."""
     code = (
         "import sys, pathlib, shutil, sample_corpus as s;"
         "copy = pathlib.Path(sys.argv[1]) / 'corpus';"
--- a/tests/compatibility/test_compatibility_process.py
+++ b/tests/compatibility/test_compatibility_process.py
@@ -1,4 +1,4 @@
-"""A front end process of this program goes on from the folder that one of commit 9d9ccab left."""
+"""A front end process continues with the folder that a process of commit 9d9ccab left."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 
 def test_a_process_goes_on_from_a_recorded_folder(tmp_path):
-    """It finds the store, the voter's disk and term, the decided plan and the policy's life; ends with 0."""
+    """It finds the store, the voter's disk and term, the committed plan and the policy's incarnation."""
     folder = copied("process", tmp_path)
     label, *saves = [value for _, value in records_of((folder / "zones" / "voter.log").read_bytes())]
     recorded_policy = json.loads((folder / "zones" / "policy.json").read_bytes())
--- a/tests/compatibility/test_compatibility_settings.py
+++ b/tests/compatibility/test_compatibility_settings.py
@@ -1,4 +1,4 @@
-"""Files with all keys set are taken as by commit 9d9ccab, and faulty ones refused by its texts."""
+"""Settings files with all keys are read as by commit 9d9ccab, and invalid ones rejected with its texts."""
 
 import json
 from collections.abc import Callable
@@ -26,14 +26,14 @@
 
 
 class Kind(NamedTuple):
-    """How a kind of file is read from bytes, and the class that its keys are declared by, if it is one."""
+    """How a kind of file is decoded, and the class that declares all its keys, if there is one."""
 
     read: Callable[[bytes], Any]
     declared: Any = None
 
 
 def deployed(data: bytes) -> config.Deployment:
-    """A configuration, from bytes and without an environment."""
+    """Decode a configuration, without environment variables."""
     return config.deployment_from(msgspec.json.decode(data), {})
 
 
@@ -54,13 +54,13 @@
 
 
 def raw(kind: str) -> Any:
-    """A recorded file, without the program's types."""
+    """Decode a recorded file without the program's types."""
     name = "sessions" if kind == "sessions-foresight" else kind
     return json.loads((SETTINGS / f"{name}.json").read_text(encoding="utf-8"))
 
 
 def defaults_in(value: Any, place: str = "") -> list[str]:
-    """Fields of a value, and of those within, that are at their defaults."""
+    """The fields of a value, and of nested values, that are at their defaults."""
     found = []
     for field in msgspec.structs.fields(value) if isinstance(value, msgspec.Struct) else ():
         held, key = getattr(value, field.name), f"{place}.{field.encode_name}"
@@ -75,31 +75,31 @@
 
 @pytest.mark.parametrize("kind", [kind for kind, each in KINDS.items() if each.declared])
 def test_every_key_of_a_file_arrives_under_its_name(kind):
-    """All keys of the class are in the file, none is at its default, and all values are the file's."""
+    """The file has all keys of the class, none at its default, and all values come from the file."""
     data = raw(kind)
     found = KINDS[kind].read(msgspec.json.encode(data))
     assert type(found) is KINDS[kind].declared
     assert json.loads(msgspec.json.encode(found)) == data
     allowed = [".call_off", ".back"] if kind == "policy-request" else []
-    assert defaults_in(found) == allowed  # exactly one of the three keys may be there
+    assert defaults_in(found) == allowed  # a file may have only one of the three keys
 
 
 @pytest.mark.parametrize("key, value", [("call_off", "why not"), ("back", True)])
 def test_the_other_requests_on_policy_are_read(key, value):
-    """As the command line writes them."""
+    """They are as the command line writes them."""
     found = policy.decode_operator_request(msgspec.json.encode({"version": 1, "number": 2, key: value}))
     assert {"call_off": found.cancel, "back": found.rollback}[key] == value
 
 
 def test_the_prefetcher_s_part_of_the_sessions_file_arrives():
-    """All its keys, none at its default."""
+    """It has all its keys, none at its default."""
     data = raw("sessions")
     found = prefetch.decode_prefetch_settings(msgspec.json.encode(data))
     assert json.loads(msgspec.json.encode(found)) == data["foresight"] and defaults_in(found) == []
 
 
 def test_a_policy_document_arrives_and_is_encoded_to_equal_values():
-    """Each path has its value, and the digest by which front ends compare policies is as it was."""
+    """Each path has its value, and the digest by which front ends compare policies is unchanged."""
     data = raw("policy-document")
     found = policy_document.parse_document(msgspec.json.encode(data))
     assert json.loads(found.encode()) == data
@@ -111,7 +111,7 @@
 
 
 def test_every_key_of_a_deployment_arrives():
-    """The file has all keys that are declared, and each value is where the program looks for it."""
+    """The file has all declared keys, and each value is where the program reads it."""
     data = raw("deployment")
     read = msgspec.convert(data, config._Deployment)
     assert json.loads(msgspec.json.encode(read)) == data and defaults_in(read) == []
@@ -132,7 +132,7 @@
 
 
 def test_variables_of_the_environment_go_before_the_file():
-    """Under the names that they had."""
+    """Their names are unchanged."""
     named = {"ROUTER_NAME": "fe-9", "ROUTER_LISTEN": "127.0.0.9:1", "ROUTER_CONTROL": "127.0.0.9:2"}
     found = config.deployment_from(raw("deployment"), named)
     assert (found.name, found.listen, found.control) == ("fe-9", ("127.0.0.9", 1), ("127.0.0.9", 2))
@@ -141,7 +141,7 @@
 
 
 def test_settings_reach_the_parts_that_go_by_them():
-    """Values that are passed on under other names."""
+    """This covers values that are passed on under other names."""
     found = recovery.settings_from(msgspec.json.encode(raw("recovery")))
     stages, data = found.timing.of_phases, raw("recovery")
     assert (stages.listen_ms, stages.settle_ms) == (data["timing"]["listen_ms"], data["timing"]["settle_ms"])
@@ -156,7 +156,7 @@
 
 
 def changed(kind: str, change: list[Any]) -> Any:
-    """A recorded file with one change: a key that is renamed, or a value that is another one."""
+    """A recorded file with one change: a renamed key or another value."""
     what, path, value = change
     data = place = raw(kind)
     for key in path[:-1]:
@@ -169,7 +169,7 @@
 
 
 def told(kind: str, data: Any, folder: Path) -> str:
-    """The text by which a file is refused as a start reads it; empty where it is taken."""
+    """The error text when a file is read as at a start; empty if the file is accepted."""
     path = folder / "file.json"
     path.write_text(json.dumps(data), encoding="utf-8")
     try:
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("number", [0, 1])
 def test_a_faulty_file_is_refused_by_the_recorded_text(kind, number, tmp_path):
-    """One key is misspelt, or one value of a wrong type; a misspelt key that is none today stays so."""
+    """One key is misspelt, or one value has a wrong type. A misspelt key that was ignored still is."""
     case = ERRORS[kind]["cases"][number]
     assert told(kind, changed(kind, case["change"]), tmp_path) == case["text"]
     assert case["change"][0] == ("misspelt", "wrong")[number]
@@ -195,5 +195,5 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_recorded_file_is_taken_as_a_start_reads_it(kind, tmp_path):
-    """Without any fault."""
+    """There is no error."""
     assert told(kind, raw(kind), tmp_path) == ""
