--- a/tests/processes.py
+++ b/tests/processes.py
@@ -40,8 +40,11 @@
 
 
 class Scorer(ScorerPeer):
-    """Answers each run after a delay with the bytes of its body, and N more bytes if it begins with `big:N:`.
-    After the first load order for a function the scorer has `copies` copies of it."""
+    """Answers each run after a delay with the bytes of its body.
+
+    A body that begins with `big:N:` gets N more bytes. After the first load order for a function the scorer
+    has `copies` copies of it.
+    """
 
     def __init__(self, id, delay_s=0.02, copies=4):
         super().__init__(id, copies)
