--- a/fawnwharf/wirehost.py
+++ b/fawnwharf/wirehost.py
@@ -127,13 +127,13 @@
         except ValueError as error:
             raise BatchError(f"not JSON: {error}") from None
         if not isinstance(batch, dict) or not isinstance(batch.get("wall"), int | float):
-            raise BatchError("a batch is an object with a number 'wall'")
+            raise BatchError("a batch must be an object with a number 'wall'")
         if not isinstance(batch.get("ends"), list):
-            raise BatchError("a batch has an array 'ends'")
+            raise BatchError("a batch must have an array 'ends'")
         replies = []
         for end in batch["ends"]:
             if not isinstance(end, dict) or "who" not in end or not isinstance(end.get("inbox"), list):
-                raise BatchError("an element of 'ends' has 'who' and an array 'inbox'")
+                raise BatchError("an element of 'ends' must have 'who' and an array 'inbox'")
             steps = self._handle_messages(end["who"], batch["wall"], end["inbox"])
             if steps:
                 replies.append({"who": end["who"], "steps": steps})
@@ -145,7 +145,7 @@
         events: list[io.Event] = []
         for message in inbox:
             if not isinstance(message, dict) or len(message) != 1:
-                raise BatchError(f"an event is an object with one name: {json.dumps(message)[:80]}")
+                raise BatchError(f"an event must be an object with one name: {json.dumps(message)[:80]}")
             [(name, body)] = message.items()
             if name in ("ATTACH", "POWER_OFF"):
                 # Earlier events in this batch belong to the router that ends here.
