--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -224,9 +224,8 @@
             for _ in range(20):
                 client.call()
         operator = rig.connect_operator()
-        rig.front.loop.run_iteration(
-            0.2
-        )  # accepts the admin connection; clients fill the rest of the iteration
+        # Accepts the admin connection; clients fill the rest of the iteration.
+        rig.front.loop.run_iteration(0.2)
         operator.sock.sendall(b"GET /status HTTP/1.1\r\n\r\n")
         with mock.patch("fawnwharf.net.event_loop.MAX_EVENTS", 1):
             for client in clients:
--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -300,9 +300,8 @@
     timers = []
     rig.front.loop.timers.after(50.0, lambda: timers.append(1))
     rig.until(lambda: timers, "two ticks have passed")
-    assert messages.HandoffComplete() not in received_messages(
-        newest
-    )  # not while the predecessor still hands off
+    # Not complete while the predecessor still hands off.
+    assert messages.HandoffComplete() not in received_messages(newest)
     oldest.close()
     rig.until(
         lambda: received.extend(received_messages(newest)) or messages.HandoffComplete() in received,
--- a/tests/admin/test_admin_hot_restart.py
+++ b/tests/admin/test_admin_hot_restart.py
@@ -32,10 +32,15 @@
         old = site.start()
         first = site.served()
         kept = [first, site.caller(op="save"), site.caller(op="settle")]
-        busy, trickle, halves, slow = site.caller(), site.caller(), site.caller(), site.caller(small=True)
+        busy, trickling, splitting, slow = (
+            site.caller(),
+            site.caller(),
+            site.caller(),
+            site.caller(small=True),
+        )
         slow.ask(b"big:200000:")
         slow.reads = False
-        pieces, half, fresh = bytearray(), [b"", 0.0], []
+        unsent_trickle, rest_and_time, fresh = bytearray(), [b"", 0.0], []
 
         def load():
             for caller in kept:
@@ -43,14 +48,18 @@
                     caller.ask()
             while busy.open < 4:
                 busy.ask()
-            if not pieces and trickle.open < 16:  # on a fast machine more calls would be open than allowed
-                pieces.extend(trickle.frame())
-            trickle.sock.send(pieces[:24])
-            del pieces[:24]
-            if time.monotonic() - half[1] > 0.4:  # sends the rest of one message and half of the next
-                frame = halves.frame()
-                halves.outbox += half[0] + frame[:40]
-                half[:] = frame[40:], time.monotonic()
+            if (
+                not unsent_trickle and trickling.open < 16
+            ):  # on a fast machine more calls would be open than allowed
+                unsent_trickle.extend(trickling.frame())
+            trickling.sock.send(unsent_trickle[:24])
+            del unsent_trickle[:24]
+            if (
+                time.monotonic() - rest_and_time[1] > 0.4
+            ):  # sends the rest of one message and half of the next
+                frame = splitting.frame()
+                splitting.outbox += rest_and_time[0] + frame[:40]
+                rest_and_time[:] = frame[40:], time.monotonic()
             if not fresh or not fresh[0].open:
                 if fresh:
                     site.drop(fresh.pop())
@@ -64,14 +73,14 @@
         assert unsent_of(site.listen.address, slow) < 150000
         assert busy.open > 0
         assert site.end(old) < OUGHT_S
-        before = {caller: len(caller.seen) for caller in (*kept, busy, trickle, halves)}
+        before = {caller: len(caller.seen) for caller in (*kept, busy, trickling, splitting)}
         site.until(
             lambda: all(len(client.seen) > n + 3 for client, n in before.items()),
             "the new process has answered all clients",
         )
         site.habits.clear()
-        halves.outbox += half[0]
-        trickle.outbox += pieces
+        splitting.outbox += rest_and_time[0]
+        trickling.outbox += unsent_trickle
         slow.reads = True
         self.settled(site)
         assert len(site.gone) > 10
@@ -108,9 +117,8 @@
             with site.place.socket_address() as address:
                 sock.connect(address)
             site.served(kept)
-        old.child.send_signal(
-            signal.SIGSTOP
-        )  # it answers nothing, so that the new process can't become ready
+        # The old process answers nothing, so that the new one can't become ready.
+        old.child.send_signal(signal.SIGSTOP)
         new = site.begin()
         site.until(lambda: has_connected(new.child.pid), "the new process has connected")
         new.kill()
--- a/tests/admin/test_admin_hot_restart_overlap.py
+++ b/tests/admin/test_admin_hot_restart_overlap.py
@@ -12,7 +12,7 @@
 
 
 class Overlap(Case):
-    def replaced(self, site, old, **env):
+    def hot_restarted(self, site, old, **env):
         new = site.start(**env)
         assert site.end(old) < OUGHT_S
         return new
@@ -30,9 +30,7 @@
         assert "in maintenance since before this process: s-1" in new.log
         assert site.ask(new, ENTER + two.id) == 200
         old.signal(signal.SIGCONT)
-        site.until_logged(
-            old, "hot restart: another process requests"
-        )  # it reads the outdated hand-off request
+        site.until_logged(old, "hot restart: another process requests")  # reads the outdated request
         site.drop(site.served())  # by whichever process accepts the connection
         assert site.end(old) < OUGHT_S
         new.kill()
@@ -54,7 +52,7 @@
         site.until(lambda: len(busy.seen) > before + 4, "the third process serves the busy client")
         site.habits.clear()
         self.settled(site)
-        fourth = self.replaced(site, third)
+        fourth = self.hot_restarted(site, third)
         assert "hot restart: taking over" in fourth.log
         site.served(busy)
         self.settled(site)
@@ -76,7 +74,7 @@
         refused.ask(ttl="300")
         site.until(lambda: not refused.open, "the call is rejected, as all scorers are in maintenance")
         assert site.end(old) < OUGHT_S
-        last = self.replaced(site, new)
+        last = self.hot_restarted(site, new)
         assert [len(scorer.runs) for scorer in site.scorers] == counts
         assert site.ask(last, EXIT + "s-2") == 200
         assert site.served().answers[0][1] == "answer"
@@ -125,7 +123,7 @@
         site = self.site(3)
         old = site.start()
         kept = site.served()
-        self.replaced(site, old)
+        self.hot_restarted(site, old)
         loads = [list(scorer.loads) for scorer in site.scorers]
         assert any(loads)
         site.served(kept)
--- a/tests/compatibility/test_compatibility_messages.py
+++ b/tests/compatibility/test_compatibility_messages.py
@@ -24,11 +24,8 @@
 from fawnwharf.zones import settings as zone_settings
 
 ENTRIES = entries()
-APART = (
-    "fawnwharf.testbed",
-    "fawnwharf.fakes",
-    "fawnwharf.__main__",
-)  # tools, which are not part of a serving front end
+# Tools, which are not part of a serving front end.
+APART = ("fawnwharf.testbed", "fawnwharf.fakes", "fawnwharf.__main__")
 
 
 def structs_in(value):
