--- a/tests/admin/test_admin_commands.py
+++ b/tests/admin/test_admin_commands.py
@@ -145,8 +145,10 @@
     assert not overlay.set_filter(
         "two", lambda m: m.id == "s-1"
     ).members  # the other filter closes it already
-    told = [overlay.apply(Fleet([Member("s-1", phase)])).members[0] for phase in ("terminated", "in_service")]
-    assert [m.phase for m in told] == ["terminated", "terminating"]
+    reported = [
+        overlay.apply(Fleet([Member("s-1", phase)])).members[0] for phase in ("terminated", "in_service")
+    ]
+    assert [m.phase for m in reported] == ["terminated", "terminating"]
     overlay.apply(Fleet([member]))
     assert not overlay.set_filter("one", None).members  # the other filter still closes it
     assert [m.phase for m in overlay.set_filter("two", None).members] == ["in_service"]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -33,11 +33,11 @@
 
     def test_repeated_and_outdated_events_are_ignored(self):
         rig = self.rig(ScorerPeer())
-        with mock.patch.object(rig.front.change_log, "_deliver") as told:
+        with mock.patch.object(rig.front.change_log, "_deliver") as deliver:
             for seq in (2, 2, 1, 3):
                 rig.log.say(self.event(seq))
             rig.until(lambda: rig.front.change_log.seq == 3, "the last event is delivered")
-        self.assertEqual(told.call_count, 2)
+        self.assertEqual(deliver.call_count, 2)
 
     def test_a_silent_log_is_asked_again_from_where_it_stopped(self):
         rig = self.rig(ScorerPeer())
