--- a/tests/admin/test_admin_handoff.py
+++ b/tests/admin/test_admin_handoff.py
@@ -194,7 +194,7 @@
     return far
 
 
-def received_messages(sock):
+def receive_all(sock):
     found = []
     while ready(sock, 0.0):
         found.append(handoff_channel.receive(sock))
@@ -239,7 +239,7 @@
             handoff_channel.send(sock, messages.encode(messages.Hello(version, rig.front.address)), None)
         timers = []
         rig.front.loop.timers.after(50.0, lambda: timers.append(1))  # noqa: B023
-        rig.until(lambda: timers and rig.admin.hot_restart.successor is None, "the channel is closed")  # noqa: B023
+        rig.until(lambda: timers and rig.admin.hot_restart.successor is None, "it is closed")  # noqa: B023
     assert not any("fault" in line for line in rig.lines)
 
 
@@ -284,13 +284,13 @@
 
 def test_a_command_reaches_the_process_at_the_other_end_of_three(rig):
     oldest, newest = connect_predecessor(rig), connect_successor(rig)
-    received_messages(newest)
+    receive_all(newest)
     for sock, other in ((newest, oldest), (oldest, newest)):
         command = messages.OperatorCommand("/maintenance/enter", "s-1")
         handoff_channel.send(sock, messages.encode(command), None)
         found = []
-        rig.until(lambda: found.extend(received_messages(other)) or command in found, "it is forwarded")  # noqa: B023
-        assert not received_messages(sock)  # the command is not sent back
+        rig.until(lambda: found.extend(receive_all(other)) or command in found, "forwarded")  # noqa: B023
+        assert not receive_all(sock)  # the command is not sent back
 
 
 def test_a_shutdown_waits_for_what_the_predecessor_still_hands_off(rig):
@@ -301,10 +301,10 @@
     rig.front.loop.timers.after(50.0, lambda: timers.append(1))
     rig.until(lambda: timers, "two ticks have passed")
     # Not complete while the predecessor still hands off.
-    assert messages.HandoffComplete() not in received_messages(newest)
+    assert messages.HandoffComplete() not in receive_all(newest)
     oldest.close()
     rig.until(
-        lambda: received.extend(received_messages(newest)) or messages.HandoffComplete() in received,
+        lambda: received.extend(receive_all(newest)) or messages.HandoffComplete() in received,
         "everything is handed off",
     )
     assert rig.admin.has_handoff_in_progress  # until the successor has received everything
