--- a/fawnwharf/admin/admin_listener.py
+++ b/fawnwharf/admin/admin_listener.py
@@ -143,7 +143,7 @@
             each for each in self.connections if each.accepted_ms < oldest_ms and not each.is_response_written
         ]
         for connection in expired:
-            connection.answer(AdminResponse(408, "request not complete in time"))
+            connection.answer(AdminResponse(408, "the call did not come in whole"))
 
     def close(self) -> None:
         """Stops listening and ends all connections."""
--- a/fawnwharf/admin/command_handler.py
+++ b/fawnwharf/admin/command_handler.py
@@ -69,18 +69,16 @@
         """Decides the response to a command and its effect."""
         route = ROUTES.get(request.path)
         if route is None:
-            return CommandResult(AdminResponse(404, "unknown path"))
+            return CommandResult(AdminResponse(404, "no such call"))
         method, handle = route
         if request.method != method:
-            return CommandResult(AdminResponse(405, f"the method must be {method}"))
+            return CommandResult(AdminResponse(405, f"this is called with {method}"))
         return handle(self, request)
 
     def _status(self, _request: AdminRequest) -> CommandResult:
         if self.is_serving and not self.is_on_standby and not self.is_shutting_down:
             return CommandResult(AdminResponse(200, "ready"))
-        state = (
-            "shutting down" if self.is_shutting_down else "on standby" if self.is_on_standby else "starting"
-        )
+        state = "leaving" if self.is_shutting_down else "on standby" if self.is_on_standby else "starting"
         return CommandResult(AdminResponse(503, f"not ready: {state}"))
 
     def _enter_maintenance(self, request: AdminRequest) -> CommandResult:
@@ -88,13 +86,11 @@
         if isinstance(scorer_id, AdminResponse):
             return CommandResult(scorer_id)
         if scorer_id in self.scorers_in_maintenance:
-            return CommandResult(AdminResponse(200, f"{scorer_id} is in maintenance already"))
+            return CommandResult(AdminResponse(200, f"{scorer_id} is out already"))
         if not self.is_known_scorer(scorer_id):
-            return CommandResult(AdminResponse(404, f"unknown scorer {scorer_id}"))
+            return CommandResult(AdminResponse(404, f"no scorer {scorer_id}"))
         self.scorers_in_maintenance.add(scorer_id)
-        return CommandResult(
-            AdminResponse(200, f"{scorer_id} is in maintenance"), EnterMaintenance(scorer_id)
-        )
+        return CommandResult(AdminResponse(200, f"{scorer_id} is out"), EnterMaintenance(scorer_id))
 
     def _exit_maintenance(self, request: AdminRequest) -> CommandResult:
         scorer_id = _target(request)
@@ -103,31 +99,31 @@
         if scorer_id in self.scorers_in_maintenance:
             self.scorers_in_maintenance.discard(scorer_id)
             return CommandResult(
-                AdminResponse(200, f"{scorer_id} is back in service"), ExitMaintenance(scorer_id)
+                AdminResponse(200, f"{scorer_id} may serve again"), ExitMaintenance(scorer_id)
             )
         if not self.is_known_scorer(scorer_id):
-            return CommandResult(AdminResponse(404, f"unknown scorer {scorer_id}"))
-        return CommandResult(AdminResponse(200, f"{scorer_id} was not in maintenance"))
+            return CommandResult(AdminResponse(404, f"no scorer {scorer_id}"))
+        return CommandResult(AdminResponse(200, f"{scorer_id} was not out"))
 
     def _enter_standby(self, _request: AdminRequest) -> CommandResult:
         if self.is_shutting_down:
-            return CommandResult(AdminResponse(409, "the front end was told to end"))
+            return CommandResult(AdminResponse(409, "it is leaving"))
         effect = None if self.is_on_standby else EnterStandby()
         self.is_on_standby = True
         return CommandResult(AdminResponse(200, "draining"), effect)
 
     def _exit_standby(self, _request: AdminRequest) -> CommandResult:
         if self.is_shutting_down:
-            return CommandResult(AdminResponse(409, "the front end was told to end"))
+            return CommandResult(AdminResponse(409, "it is leaving"))
         effect = ExitStandby() if self.is_on_standby else None
         self.is_on_standby = False
-        return CommandResult(AdminResponse(200, "serving again"), effect)
+        return CommandResult(AdminResponse(200, "back to work"), effect)
 
 
 def _target(request: AdminRequest) -> str | AdminResponse:
     targets = [value for name, value in request.query if name == "target"]
     if len(targets) != 1 or not 0 < len(targets[0]) <= MAX_SCORER_ID_CHARACTERS:
-        return AdminResponse(400, "exactly one target is required: ?target=ID")
+        return AdminResponse(400, "one target is wanted: ?target=ID")
     return targets[0]
 
 
--- a/fawnwharf/admin/hot_restart.py
+++ b/fawnwharf/admin/hot_restart.py
@@ -267,7 +267,7 @@
     def _reject(self) -> None:
         successor = self.successor
         if successor is not None:
-            successor.send(messages.Rejected("other version or address, other successor, or ending"))
+            successor.send(messages.Rejected("another version, another address, or leaving"))
             successor.close()
 
     def _stop_accepting(self) -> None:
--- a/fawnwharf/admin/http.py
+++ b/fawnwharf/admin/http.py
@@ -50,11 +50,11 @@
         try:
             parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.result = self.result or AdminResponse(400, "protocol upgrades are not supported")
+            self.result = self.result or AdminResponse(400, "no other protocol is spoken here")
         except httptools.HttpParserError as error:
             self.result = self.result or AdminResponse(400, f"not HTTP/1.1: {type(error).__name__}")
         if self.result is None and self.received_bytes > MAX_REQUEST_BYTES:
-            self.result = AdminResponse(431, f"request of more than {MAX_REQUEST_BYTES} bytes")
+            self.result = AdminResponse(431, f"a call of more than {MAX_REQUEST_BYTES} bytes")
         if self.result is not None:
             self._parser = None  # breaks the reference cycle, so that both are freed at once
         return self.result
@@ -79,7 +79,7 @@
         raw_query = (parts.query or b"").decode("ascii")
         query = parse_qsl(raw_query, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS)
     except (httptools.HttpParserInvalidURLError, UnicodeDecodeError, ValueError):
-        return AdminResponse(400, "invalid URL")
+        return AdminResponse(400, "no such address")
     return AdminRequest(method, path, tuple(query))
 
 
