--- a/fawnwharf/consensus/__init__.py
+++ b/fawnwharf/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""A replicated log by Raft: messages, the voter state machine, and the store of its persistent state."""
+"""Raft consensus log: its messages, the voter state machine and the store of a voter's persistent state."""
--- a/fawnwharf/consensus/messages.py
+++ b/fawnwharf/consensus/messages.py
@@ -1,10 +1,10 @@
-"""Raft messages, the state that a voter persists, and the actions that a voter asks of its owner.
+"""Raft messages, the state that a voter persists, and the actions that a voter requests from its owner.
 
-All types are immutable values. msgspec turns them into lines of JSON and validates what is received. An
-attribute whose name differs from the recorded one keeps that name on the wire and on disk by `name=`.
+All types are immutable values. msgspec encodes them as lines of JSON and validates received ones. Where
+`field(name=...)` is given, that name is used on the wire and on disk instead of the attribute's name.
 
-Log indexes and terms count from 1. Times are milliseconds on the sender's own clock; a response carries the
-time of its request back unchanged.
+Log indexes and terms count from 1. Times are milliseconds on the sender's own clock; a response repeats the
+time of its request unchanged.
 """
 
 from typing import Annotated
@@ -13,24 +13,24 @@
 from msgspec import Meta, Struct, field
 
 MAX_VOTERS = 9  # in a voter list, also during a membership change
-MAX_TEXT_CHARACTERS = 64 * 1024  # of the text of one log entry
+MAX_TEXT_CHARACTERS = 64 * 1024  # in the text of one log entry
 MAX_ENTRIES_PER_MESSAGE = 64
-MAX_LEADER_ENTRIES = 64  # in the log of a leader, after its snapshot; a longer one accepts no proposals
-MAX_SAVED_ENTRIES = 2 * MAX_LEADER_ENTRIES  # in a log on disk, after its snapshot
+MAX_LEADER_ENTRIES = 64  # a leader with this many entries after its snapshot accepts no proposals
+MAX_SAVED_ENTRIES = 2 * MAX_LEADER_ENTRIES  # after the snapshot, in a log on disk
 
-# 0 is before the first one. The limit keeps the number exact for readers of JSON that use doubles.
+# 0 means before the first term or index. The limit keeps the number exact in JSON readers that use doubles.
 TermOrIndex = Annotated[int, Meta(ge=0, lt=2**53)]
 VoterIdentity = Annotated[str, Meta(min_length=1, max_length=96)]  # member and disk, as in `a#0f3c9b21`
-EntryText = Annotated[str, Meta(max_length=MAX_TEXT_CHARACTERS)]  # JSON that consensus does not read
+EntryText = Annotated[str, Meta(max_length=MAX_TEXT_CHARACTERS)]  # JSON that consensus does not interpret
 VoterList = Annotated[tuple[VoterIdentity, ...], Meta(max_length=MAX_VOTERS)]
 
 
 class Entry(Struct, frozen=True):
     """One log entry: a zone plan, a policy, the state of a fleet recovery, a voter list, or nothing.
 
-    A leader begins each term with an entry of kind "none". `text` holds the value of the first three kinds
-    and is "" in the others. `voters` is the complete new list in an entry of kind "voters", empty in the
-    others.
+    A leader starts each term with an entry of kind "none". `text` is the value of a plan, policy or recovery
+    entry and "" in other entries. `voters` is the complete new list in an entry of kind "voters" and empty in
+    other entries.
     """
 
     term: TermOrIndex
@@ -45,9 +45,8 @@
 class Snapshot(Struct, frozen=True):
     """The compacted prefix of the log: the last committed entry of each kind up to `index`.
 
-    `plan`, `policy` and `recovery` are the texts of those entries, "" where there was none: the zone plan,
-    the policy of the fleet, and the state of a recovery after a failure of the whole fleet. `plan_index`,
-    `policy_index` and `recovery_index` are the log indexes of the entries themselves, 0 where there was none.
+    `plan`, `policy` and `recovery` are the texts of these entries, "" if there was none. `plan_index`,
+    `policy_index` and `recovery_index` are the log indexes of these entries, 0 if there was none.
     """
 
     index: TermOrIndex = 0
@@ -62,10 +61,10 @@
 
 
 class PersistentState(Struct, frozen=True):
-    """What must survive a crash; it is on disk before any message that depends on it is sent.
+    """The state that must survive a crash; it is on disk before any message that depends on it is sent.
 
-    `voted_for` is the candidate that got this voter's vote in `term`, "" where none did. `entries` are those
-    after the snapshot, committed or not.
+    `voted_for` is the candidate that this voter voted for in `term`, "" if it has not voted. `entries` are
+    the log entries after the snapshot, committed or not.
     """
 
     term: TermOrIndex = 0
@@ -92,8 +91,7 @@
     def term_at(self, index: int) -> int | None:
         """The term of the entry at an index; None before the snapshot's index and after the last entry.
 
-        At the snapshot's index itself it is the snapshot's term; index 0 has term 0 in a log without
-        snapshot.
+        The snapshot's index has the snapshot's term. In a log without a snapshot, index 0 has term 0.
         """
         if index == self.snapshot.index:
             return self.snapshot.term
@@ -111,7 +109,7 @@
 
 
 class PreVoteRequest(_RaftMessage, frozen=True, tag="PreVote"):
-    """Asks whether a vote in `term` would be granted; neither request nor response changes any state."""
+    """Asks whether a vote in `term` would be granted, without changing any state of the receiver."""
 
     last_index: TermOrIndex
     last_term: TermOrIndex
@@ -124,7 +122,7 @@
 
 
 class VoteRequest(_RaftMessage, frozen=True, tag="Vote"):
-    """Asks for a vote in `term`; the log position lets a voter refuse a candidate whose log is behind."""
+    """Requests a vote in `term`; a voter refuses a candidate whose last log entry is behind its own."""
 
     last_index: TermOrIndex
     last_term: TermOrIndex
@@ -137,10 +135,10 @@
 
 
 class AppendEntriesRequest(_RaftMessage, frozen=True, tag="Append"):
-    """The leader's entries after one that both logs should contain; without entries it is a heartbeat.
+    """Sends entries that follow one that both logs should contain; without entries it is a heartbeat.
 
-    `sent_ms` is the sending time on the leader's monotonic clock. Only the leader compares it with anything;
-    it extends its lease by the time that the response carries back.
+    `sent_ms` is the send time on the leader's monotonic clock. Followers return it unchanged, and the leader
+    extends its lease from that time.
     """
 
     previous_index: TermOrIndex = field(name="before_index")
@@ -151,9 +149,9 @@
 
 
 class InstallSnapshotRequest(_RaftMessage, frozen=True, tag="Install"):
-    """The leader's complete snapshot, for a follower whose missing entries are compacted.
+    """Sends the leader's complete snapshot to a follower that lacks entries the leader has compacted.
 
-    Answered by an AppendEntriesResponse. `sent_ms` is as in AppendEntriesRequest.
+    The response is an AppendEntriesResponse. `sent_ms` is the same as in AppendEntriesRequest.
     """
 
     snapshot: Snapshot = field(name="base")
@@ -163,8 +161,8 @@
 class AppendEntriesResponse(_RaftMessage, frozen=True, tag="Appended"):
     """Answers an append entries or install snapshot request.
 
-    `match_index` is the last index on which both logs agree; without success it is an estimate of it, which
-    the leader tries next. `request_sent_ms` repeats `sent_ms` of the request: a time on the leader's clock.
+    `match_index` is the last index up to which both logs agree. If `success` is false it is an estimate,
+    which the leader tries next. `request_sent_ms` repeats the request's `sent_ms`, on the leader's clock.
     """
 
     success: bool = field(name="good")
@@ -184,9 +182,9 @@
 
 
 def message_from_object(data: object) -> Message:
-    """The message in a decoded line of JSON (dicts, lists, strings, numbers).
+    """Converts decoded JSON (dicts, lists, strings, numbers) to a message.
 
-    Raises msgspec.ValidationError for anything that is no valid message.
+    Raises msgspec.ValidationError if it is not a valid message.
     """
     message: Message = msgspec.convert(data, Message, strict=True)
     return message
@@ -196,23 +194,23 @@
 
 
 class Persist(Struct, frozen=True):
-    """Write the state `saved` to disk and sync it before any later action of the same list is carried out."""
+    """Write the state to disk and sync it before any later action of the same list is carried out."""
 
     saved: PersistentState
 
 
 class Send(Struct, frozen=True):
-    """Send a message to the voter that it names."""
+    """Send the message to the voter named in its field `to`."""
 
     message: Message
 
 
 class Committed(Struct, frozen=True):
-    """A log entry is committed: no other entry will ever have its index. The owner applies it.
+    """A log entry is committed: no other entry can take its index. The owner applies it.
 
-    Reported once for each entry, in the order of the log, from the end of the snapshot: after a restart the
-    entries since then are reported again. Where a snapshot of the leader replaces the log, only the latest
-    value of each kind that it changes is reported. `text` and `voters` are those of the entry.
+    Each entry after the snapshot is reported once, in log order. After a restart these entries are reported
+    again. When the leader's snapshot replaces the log, only the values that it changes are reported, the
+    latest one of each kind. `text` and `voters` are those of the entry.
     """
 
     index: int
@@ -222,4 +220,4 @@
     voters: tuple[str, ...]
 
 
-Action = Persist | Send | Committed  # a list of them is carried out in its order
+Action = Persist | Send | Committed  # the owner carries out a list of actions in order
--- a/fawnwharf/consensus/records.py
+++ b/fawnwharf/consensus/records.py
@@ -1,7 +1,7 @@
-"""The record format of files that outlive a process: length, checksum, number and JSON. No I/O.
+"""The record format of persistent files: length, checksum, number and JSON. Does no I/O.
 
-A record that is cut short or has a flipped bit is not a whole record; what that means for a file is for its
-reader to decide.
+A truncated record or one with a wrong checksum is not a complete record. The reader of a file decides what to
+do about it.
 """
 
 import struct
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Struct
 
-RECORD_MAGIC = b"fwv1"  # the first bytes of each record; 1 is the version of this format
-MAX_RECORD_BYTES = 32 * 1024 * 1024  # of the JSON of one record
+RECORD_MAGIC = b"fwv1"  # the first bytes of each record; 1 is the version of the record format
+MAX_RECORD_BYTES = 32 * 1024 * 1024  # length of the JSON of one record
 
 _HEADER = struct.Struct(">4sIIQ")  # magic, length of the JSON, CRC-32 of number and JSON, number
 HEADER_BYTES = _HEADER.size
@@ -22,27 +22,27 @@
 class DiskError(Exception):
     """A folder can't be used; the text names the path and the reason.
 
-    Raised by the stores that keep files in this format: for damaged or foreign content, for a folder that
-    another process holds, and in place of an OSError. The functions of this module do not raise it.
+    Stores that keep files in this format raise it for damaged content, for files of another owner, for a
+    folder that another process has locked, and in place of an OSError. This module does not raise it.
     """
 
 
 class Record(NamedTuple):
-    """A complete record: its number, which the writer chose, and its JSON."""
+    """A complete record: the number that the writer chose, and the JSON."""
 
     number: int
     content: bytes
 
 
 class FoundRecord(NamedTuple):
-    """A complete record and the byte offset right after it."""
+    """A complete record and the byte offset of its end."""
 
     record: Record
     end_offset: int
 
 
 class LeadingRecords(NamedTuple):
-    """The complete records from the start of a file, and the byte offset right after the last of them."""
+    """The complete records at the start of a file, and the byte offset where the last of them ends."""
 
     records: list[Record]
     end_offset: int
@@ -51,8 +51,8 @@
 class ScannedRecords(NamedTuple):
     """The leading records of a file, and whether it is damaged in the middle.
 
-    `has_later_records` is true where a complete record follows after `end_offset`: the bytes between were
-    damaged later, and not merely cut short by a crash.
+    `has_later_records` is true if a complete record follows somewhere after `end_offset`. Then the bytes at
+    `end_offset` are damaged; a crash during a write would only have truncated the last record.
     """
 
     records: list[Record]
@@ -61,18 +61,18 @@
 
 
 def record_checksum(number: int, data: bytes) -> int:
-    """The CRC-32 of a record's number, as 8 bytes in network order, and its JSON."""
+    """The CRC-32 of a record's number (8 bytes, big-endian) followed by its JSON."""
     return zlib.crc32(data, zlib.crc32(number.to_bytes(8, "big")))
 
 
 def encode_record(number: int, value: Struct) -> bytes:
-    """The bytes of one record: header, then the value as JSON."""
+    """Encodes one record: the header, then the value as JSON."""
     data = msgspec.json.encode(value)
     return _HEADER.pack(RECORD_MAGIC, len(data), record_checksum(number, data), number) + data
 
 
 def record_at(data: bytes, start: int) -> FoundRecord | None:
-    """The complete record at a byte offset; None where the data end, a record is cut short or damaged."""
+    """The complete record at a byte offset; None at the end of the data, or if it is truncated or damaged."""
     if len(data) - start < HEADER_BYTES:
         return None
     magic, length, expected, number = _HEADER.unpack_from(data, start)
@@ -86,7 +86,7 @@
 
 
 def search_records(data: bytes, start: int) -> Iterator[Record]:
-    """Each complete record that begins after a byte offset (not at it), whatever lies between them."""
+    """Yields each complete record that starts after a byte offset, skipping any bytes between records."""
     offset = data.find(RECORD_MAGIC, start + 1)
     while offset >= 0:
         found = record_at(data, offset)
@@ -96,7 +96,7 @@
 
 
 def leading_records(data: bytes) -> LeadingRecords:
-    """Reads complete records from the start of a file up to its end or the first damage."""
+    """Reads the complete records from the start of a file up to its end or the first damaged byte."""
     records: list[Record] = []
     end_offset = 0
     while (found := record_at(data, end_offset)) is not None:
@@ -106,7 +106,7 @@
 
 
 def scan_records(data: bytes) -> ScannedRecords:
-    """The leading records, and whether complete ones follow after damage."""
+    """Reads the leading records, and checks whether complete records follow after damage."""
     records, end_offset = leading_records(data)
     has_later_records = next(search_records(data, end_offset), None) is not None
     return ScannedRecords(records, end_offset, has_later_records)
--- a/fawnwharf/consensus/voter.py
+++ b/fawnwharf/consensus/voter.py
@@ -1,11 +1,11 @@
 """One voter of a Raft group: elections with pre-votes, log replication, quorum checks and leader leases.
 
-After Ongaro and Ousterhout, 'In Search of an Understandable Consensus Algorithm' (2014), and Ongaro's thesis
-(2014): 4.1 for membership changes by one voter at a time, 6.4 for leases, 9.6 for pre-votes.
+Follows Ongaro and Ousterhout, 'In Search of an Understandable Consensus Algorithm' (2014), and Ongaro's
+thesis (2014): section 4.1 for membership changes of one voter at a time, 6.4 for leases, 9.6 for pre-votes.
 
-A voter does no I/O and reads no clock; its only randomness comes from the seed that it is given. Each call
-returns actions that its owner carries out in their order: a Persist must be on disk before a Send after it
-leaves. Times are milliseconds on the voter's own clock, which may run fast or slow against the others' by
+A voter does no I/O and reads no clock; all its randomness comes from the given seed. Each call returns
+actions, which the owner carries out in order: the state of a Persist must be on disk before a later message
+is sent. Times are milliseconds on the voter's own clock. That clock may drift by
 `Timing.max_clock_drift_ratio` and must not step back.
 """
 
@@ -15,20 +15,20 @@
 
 from fawnwharf.consensus import messages as m
 from fawnwharf.consensus.committed_log import (
+    compact_log,
     entry_at,
     has_uncommitted_voters,
     snapshot_values,
-    with_committed_in_snapshot,
 )
 from fawnwharf.consensus.voter_state import Role, VoterState
 
-SNAPSHOT_AFTER_ENTRIES = 24  # committed entries in the log, for followers that lag, before it is compacted
+SNAPSHOT_AFTER_ENTRIES = 24  # committed entries kept for lagging followers; with more, the log is compacted
 
 
 class Proposal(NamedTuple):
-    """What a proposal led to: the log index of its entry and the actions to carry out.
+    """The result of a proposal: the log index of its entry and the actions to carry out.
 
-    `log_index` is None where nothing was appended; there are no actions then.
+    If nothing was appended, `log_index` is None and there are no actions.
     """
 
     log_index: int | None
@@ -36,21 +36,21 @@
 
 
 def bootstrap_state(identity: str) -> m.PersistentState:
-    """The state that the first voter of a new group starts from: a voter list of itself alone.
+    """The initial state of the first voter of a new group: a voter list with only itself.
 
-    For exactly one voter of a group: a second one would lead a group of its own. The others start from an
-    empty PersistentState, and wait until a leader adds them.
+    Only one voter of a group may start from it: a second one would lead a separate group. The other voters
+    start from an empty PersistentState and wait until a leader adds them.
     """
     return m.PersistentState(term=1, snapshot=m.Snapshot(index=1, term=1, voters=(identity,)))
 
 
 class Voter(VoterState):
-    """Handles the events of one member: its timer, messages, and proposals."""
+    """Handles the events of one voter: its timer, messages and proposals."""
 
     # --- events ---------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[m.Action]:
-        """Handles the timer; to be called at `due_ms` at the latest."""
+        """Handles the timer; the owner calls it at `due_ms` at the latest."""
         if now_ms < self.due_ms:
             return []
         if self.is_leader:
@@ -63,12 +63,12 @@
     def _tick_as_leader(self, now_ms: float) -> list[m.Action]:
         silent_ms = now_ms - self._quorum_contact_ms(now_ms, self.leader_since_ms)
         if silent_ms > self.timing.step_down_timeout_ms:
-            self._become_follower(now_ms, "")  # a voter that reaches a majority may lead instead
+            self._become_follower(now_ms, "")  # lets a voter that reaches a majority lead instead
             return []
         return self._send_heartbeats(now_ms)
 
     def receive(self, now_ms: float, message: m.Message) -> list[m.Action]:
-        """Handles one message; a message for another voter changes nothing."""
+        """Handles one message; ignores a message to another voter."""
         if message.to != self.identity or message.sender == self.identity:
             return []
         match message:
@@ -88,11 +88,11 @@
                 return self._on_append_response(now_ms, message)
 
     def propose(self, now_ms: float, text: str, kind: str = "plan") -> Proposal:
-        """Appends an entry of a kind in LATEST_VALUE_KINDS, with its new text.
+        """Appends an entry with a new value of a kind in LATEST_VALUE_KINDS.
 
-        The index is None where this voter is not the leader, its log is full, or the text is over
-        MAX_TEXT_CHARACTERS. An index means that the entry is in the leader's log: it may still be lost until
-        a Committed action names the index and the term.
+        The index is None if this voter is not the leader, its log is full, or the text is longer than
+        MAX_TEXT_CHARACTERS. An index only means that the entry is in the leader's log. The entry may be lost
+        until a Committed action names its index and term.
         """
         if not self.is_leader or len(text) > m.MAX_TEXT_CHARACTERS or self._log_is_full():
             return Proposal(None, [])
@@ -101,14 +101,14 @@
         return Proposal(index, self._append_entry(now_ms, entry))
 
     def propose_voters(self, now_ms: float, voters: tuple[str, ...]) -> Proposal:
-        """Appends a complete voter list, which has one voter more or one fewer than the one in force.
+        """Appends a complete voter list with one voter more or one fewer than the list in force.
 
-        The index is None where this voter is not the leader, its log is full, the list differs otherwise or
-        has over MAX_VOTERS, or the last change is not committed yet.
+        The index is None if this voter is not the leader, its log is full, the list differs in another way
+        or has more than MAX_VOTERS, or the last voter list is not committed yet.
 
-        Majorities of two lists that differ by one voter always overlap. That holds only between successive
-        lists, so the last one must be committed, and an entry of the current term as well (the correction in
-        the thesis).
+        Majorities of two lists that differ by one voter always overlap, but this holds only for successive
+        lists. Therefore the last list must be committed, and so must an entry of the current term (see the
+        correction to Ongaro's thesis).
         """
         if not self._may_change_voters(voters):
             return Proposal(None, [])
@@ -130,7 +130,7 @@
     # --- elections ------------------------------------------------------------------------------
 
     def _start_pre_vote(self, now_ms: float) -> list[m.Action]:
-        """Keeps a voter that was partitioned away from unseating a working leader by its higher term."""
+        """Asks for pre-votes, so that a voter back from a partition can't depose a working leader."""
         self.role = Role.PRE_CANDIDATE
         self.leader = ""
         self.votes_granted = frozenset((self.identity,))
@@ -163,7 +163,7 @@
             and self._is_up_to_date(message)
             and not self._is_bound_to_leader(now_ms)
         )
-        term = message.term if granted else self.saved.term  # lets a candidate that lags catch up
+        term = message.term if granted else self.saved.term  # lets a lagging candidate adopt this term
         return [m.Send(m.PreVoteResponse(self.identity, message.sender, term, granted))]
 
     def _on_pre_vote_response(self, now_ms: float, message: m.PreVoteResponse) -> list[m.Action]:
@@ -176,7 +176,7 @@
 
     def _on_vote_request(self, now_ms: float, message: m.VoteRequest) -> list[m.Action]:
         if message.term > self.saved.term and self._is_bound_to_leader(now_ms):
-            return []  # without adopting the term
+            return []  # the term is not adopted either: that would depose a working leader
         actions = self._observe_term(now_ms, message.term)
         granted = (
             message.term == self.saved.term
@@ -186,7 +186,7 @@
         )
         if granted and not self.saved.voted_for:
             self.saved = msgspec.structs.replace(self.saved, voted_for=message.sender)
-            actions = [m.Persist(self.saved)]  # includes the term observed above
+            actions = [m.Persist(self.saved)]  # includes the term adopted above
         if granted:
             self._reset_election_timer(now_ms)
         return [*actions, m.Send(m.VoteResponse(self.identity, message.sender, self.saved.term, granted))]
@@ -200,7 +200,7 @@
         return actions
 
     def _observe_term(self, now_ms: float, term: int) -> list[m.Action]:
-        """A later term ends every role in the current one."""
+        """Adopts a later term and becomes a follower; does nothing for any other term."""
         if term <= self.saved.term:
             return []
         self.saved = msgspec.structs.replace(self.saved, term=term, voted_for="")
@@ -210,7 +210,7 @@
     # --- leader ---------------------------------------------------------------------------------
 
     def _become_leader(self, now_ms: float) -> list[m.Action]:
-        """Appends an empty entry: entries of earlier terms are committed only along with one of this term."""
+        """Appends an empty entry: a leader commits earlier terms' entries only with one of its own term."""
         self.role = Role.LEADER
         self.leader = self.identity
         self.leader_since_ms = now_ms
@@ -227,7 +227,7 @@
         return [m.Send(self._replication_message(now_ms, to)) for to in self._peers()]
 
     def _replication_message(self, now_ms: float, to: str) -> m.Message:
-        """All entries that a follower is not known to have, or the snapshot where these are compacted."""
+        """The entries that a follower is not known to have, or the snapshot if they are compacted."""
         saved = self.saved
         previous_index = self.match_index.get(to, self.probe_index.get(to, saved.last_index - 1))
         previous_term = saved.term_at(previous_index)
@@ -246,7 +246,7 @@
         contact_ms = self.acknowledged_ms.get(sender, self.leader_since_ms)
         self.acknowledged_ms[sender] = max(contact_ms, min(message.request_sent_ms, now_ms))
         last_index = self.saved.last_index
-        if not message.success:  # an index on which both logs already agreed is kept
+        if not message.success:  # a known match_index stays valid
             self.probe_index[sender] = min(message.match_index, last_index)
             return [*actions, m.Send(self._replication_message(now_ms, sender))]
         if message.match_index <= last_index:
@@ -259,7 +259,7 @@
         return actions
 
     def _advance_commit_index(self, now_ms: float) -> list[m.Action]:
-        """Commits what a majority holds of the current term, and everything before it."""
+        """Commits through the last entry that a majority has, if that entry is of the current term."""
         last_index = self.saved.last_index
         index = self._majority_value(
             lambda voter: last_index if voter == self.identity else self.match_index.get(voter, 0)
@@ -276,7 +276,7 @@
     def _accept_leader(
         self, now_ms: float, message: m.AppendEntriesRequest | m.InstallSnapshotRequest
     ) -> list[m.Action] | None:
-        """Adopts the term of the sender as leader; None where its term is over."""
+        """Follows the sender as leader of its term; None if the term is older than this voter's."""
         if message.term < self.saved.term:
             return None
         actions = self._observe_term(now_ms, message.term)
@@ -306,7 +306,7 @@
         saved = self.saved
         previous_index = message.previous_index
         entries = message.entries
-        if previous_index < saved.snapshot.index:  # compacted entries are committed, so the leader has them
+        if previous_index < saved.snapshot.index:  # compacted entries are committed, so both logs agree there
             skipped = saved.snapshot.index - previous_index
             if skipped > len(entries):
                 match_index = previous_index + len(entries)
@@ -316,13 +316,13 @@
         elif saved.term_at(previous_index) != message.previous_term:
             match_index = self._estimated_match(previous_index)
             return [*actions, self._append_response(message, success=False, match_index=match_index)]
-        actions = self._merge_entries(previous_index, entries) or actions  # includes the term observed above
+        actions = self._merge_entries(previous_index, entries) or actions  # includes the term adopted above
         match_index = previous_index + len(entries)
         actions += self._commit_through(min(message.commit_index, match_index))
         return [*actions, self._append_response(message, success=True, match_index=match_index)]
 
     def _estimated_match(self, previous_index: int) -> int:
-        """The last index on which the logs may agree, where they do not at `previous_index`."""
+        """The last index at which both logs may agree, given that they differ at `previous_index`."""
         saved = self.saved
         estimate = previous_index - 1
         if saved.term_at(previous_index) is None:
@@ -330,7 +330,7 @@
         return max(estimate, saved.snapshot.index)
 
     def _merge_entries(self, previous_index: int, entries: m.Entries) -> list[m.Action]:
-        """Truncates the log only where it conflicts; a repeated old message removes nothing."""
+        """Stores the entries; truncates the log only on a conflict, so a repeated message removes nothing."""
         offset = previous_index - self.saved.snapshot.index
         if self.saved.entries[offset : offset + len(entries)] == entries:
             return []
@@ -342,19 +342,19 @@
         if actions is None:
             return [self._append_response(message, success=False, match_index=self.saved.last_index)]
         if message.snapshot.index > self.commit_index:
-            actions = self._install(message.snapshot)  # includes the term observed above
+            actions = self._install(message.snapshot)  # includes the term adopted above
         match_index = max(message.snapshot.index, min(self.commit_index, self.saved.last_index))
         return [*actions, self._append_response(message, success=True, match_index=match_index)]
 
     def _install(self, snapshot: m.Snapshot) -> list[m.Action]:
-        previous = self.saved
+        before_install = self.saved
         entries: m.Entries = ()
-        if previous.term_at(snapshot.index) == snapshot.term:
-            entries = previous.entries[snapshot.index - previous.snapshot.index :]
-        self.saved = msgspec.structs.replace(previous, snapshot=snapshot, entries=entries)
+        if before_install.term_at(snapshot.index) == snapshot.term:
+            entries = before_install.entries[snapshot.index - before_install.snapshot.index :]
+        self.saved = msgspec.structs.replace(before_install, snapshot=snapshot, entries=entries)
         self.commit_index = snapshot.index
         actions: list[m.Action] = [m.Persist(self.saved)]
-        known = snapshot_values(previous.snapshot)
+        known = snapshot_values(before_install.snapshot)
         for kind, value in snapshot_values(snapshot).items():
             if value.log_index > known[kind].log_index:
                 actions.append(m.Committed(value.log_index, snapshot.term, kind, value.text, ()))
@@ -367,6 +367,6 @@
             entry = entry_at(self.saved, self.commit_index)
             actions.append(m.Committed(self.commit_index, entry.term, entry.kind, entry.text, entry.voters))
         if self.commit_index - self.saved.snapshot.index > SNAPSHOT_AFTER_ENTRIES:
-            self.saved = with_committed_in_snapshot(self.saved, self.commit_index)
+            self.saved = compact_log(self.saved, self.commit_index)
             actions.append(m.Persist(self.saved))
         return actions
--- a/fawnwharf/consensus/voter_state.py
+++ b/fawnwharf/consensus/voter_state.py
@@ -1,4 +1,4 @@
-"""The state of one Raft voter, what its owner reads of it, and its role transitions.
+"""The state of one Raft voter, the properties that its owner reads, and helpers for role changes.
 
 Times are milliseconds on the voter's own clock.
 """
@@ -16,7 +16,7 @@
 
 
 class Role(Enum):
-    """The part that a voter plays in the current term."""
+    """The Raft role of a voter in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -25,10 +25,10 @@
 
 
 class VoterState:
-    """The base of Voter, not used on its own: its state and what the owner reads of it.
+    """The base class of Voter, which is not used on its own.
 
-    Holds the term, the vote, the log and the role of one member, and what it knows of the others. `saved` is
-    the part that must survive a crash (PersistentState), the rest is lost in a restart.
+    Holds a voter's term, vote, log and role, and the progress of the other voters. `saved` is the part that
+    must survive a crash (PersistentState); the rest is lost in a restart.
     """
 
     def __init__(
@@ -36,8 +36,8 @@
     ) -> None:
         """Starts as a follower from the state found on disk.
 
-        `now_ms` is on the voter's monotonic clock, as in all other methods. `seed` determines the random part
-        of the election timeouts and must differ between the voters of a group.
+        `now_ms` is the time on the voter's monotonic clock, as in all other methods. `seed` determines the
+        random part of the election timeouts and must differ between the voters of a group.
         """
         self.identity = identity
         self.saved = saved
@@ -45,14 +45,14 @@
         self.role = Role.FOLLOWER
         self.leader = ""
         self.commit_index = saved.snapshot.index
-        # A restart forgets which leader holds a lease from this voter, so one is assumed to have it now.
+        # After a restart it is unknown whether a leader holds a lease from this voter: assume that one does.
         self.leader_contact_ms = now_ms
         self.timeout_draws = seed
         self.due_ms = 0.0
         self.votes_granted: frozenset[str] = frozenset()
-        self.match_index: dict[str, int] = {}  # by follower: both logs agree up to here
-        self.probe_index: dict[str, int] = {}  # by follower without a match yet: where its log may agree
-        self.acknowledged_ms: dict[str, float] = {}  # by follower: sending time of what it last answered
+        self.match_index: dict[str, int] = {}  # by follower: the last index up to which both logs agree
+        self.probe_index: dict[str, int] = {}  # by follower without a match yet: the next index to try
+        self.acknowledged_ms: dict[str, float] = {}  # by follower: send time of the last answered request
         self.leader_since_ms = 0.0
         self._reset_election_timer(now_ms)
 
@@ -60,14 +60,14 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads the current term, as far as it knows."""
+        """Whether this voter is the leader of its current term."""
         return self.role is Role.LEADER
 
     @property
     def is_in_voter_list(self) -> bool:
         """Whether the voter list in force (the last one in the log, committed or not) contains this voter.
 
-        False for a member that waits to be added, and for one that was removed.
+        False for a voter that waits to be added and for one that was removed.
         """
         return self.identity in self.saved.voters
 
@@ -86,21 +86,24 @@
         return last_committed(self.saved, self.commit_index, kind)
 
     def holds_read_lease(self, now_ms: float) -> bool:
-        """Whether its last committed entries are certainly the group's last ones at this moment."""
+        """Whether this voter's last committed entries are certainly the group's last ones now."""
         return self.is_leader and self._committed_in_term() and self._holds_lease(now_ms)
 
     def _committed_in_term(self) -> bool:
-        """Until then, entries of earlier terms may be committed without this leader knowing of it."""
+        """Whether an entry of the current term is committed.
+
+        Before that, a leader may not know yet that entries of earlier terms are committed.
+        """
         return self.saved.term_at(self.commit_index) == self.saved.term
 
     def _holds_lease(self, now_ms: float) -> bool:
-        """A vote does not bind its giver to the new leader; only what a majority has answered since does."""
+        """Whether the lease is valid; votes do not extend it, only answers to the leader's requests do."""
         return now_ms < self._quorum_contact_ms(now_ms, -math.inf) + self.timing.lease_ms
 
     # --- shared by elections and replication ---------------------------------------------------
 
     def _reset_election_timer(self, now_ms: float) -> None:
-        """Randomized, so that the voters do not all start an election at once."""
+        """Draws a new random timeout, so that the voters do not all start an election at once."""
         self.timeout_draws += 1
         self.due_ms = now_ms + self.timing.randomized_election_timeout_ms(self.timeout_draws)
 
@@ -124,7 +127,7 @@
         return len(voters) // 2 + 1
 
     def _majority_value(self, value_of: Callable[[str], _Number]) -> _Number:
-        """The largest value that a majority reaches, by the value of each voter."""
+        """The largest value that a majority of the voters has reached."""
         voters = self.saved.voters
         return sorted(map(value_of, voters), reverse=True)[self._majority(voters) - 1]
 
@@ -132,7 +135,7 @@
         return [voter for voter in self.saved.voters if voter != self.identity]
 
     def _is_bound_to_leader(self, now_ms: float) -> bool:
-        """While a leader may hold a lease from this voter, it votes for no other one, in any term."""
+        """Whether a leader may hold a lease from this voter, which must not vote for another one then."""
         contact_ms = self.leader_contact_ms
         if self.is_leader:
             contact_ms = self._quorum_contact_ms(now_ms, self.leader_since_ms)
@@ -142,11 +145,11 @@
         candidate_position = message.last_term, message.last_index
         return candidate_position >= (self.saved.last_term, self.saved.last_index)
 
-    def _quorum_contact_ms(self, now_ms: float, never_ms: float) -> float:
-        """When the last request that a majority has answered was sent; `never_ms` for voters without answer.
+    def _quorum_contact_ms(self, now_ms: float, default_ms: float) -> float:
+        """The send time of the last request that a majority has answered.
 
-        The leader's own answer counts as of now.
+        A voter without an answer counts with `default_ms`, the leader itself with the current time.
         """
         return self._majority_value(
-            lambda voter: now_ms if voter == self.identity else self.acknowledged_ms.get(voter, never_ms)
+            lambda voter: now_ms if voter == self.identity else self.acknowledged_ms.get(voter, default_ms)
         )
--- a/fawnwharf/consensus/voter_store.py
+++ b/fawnwharf/consensus/voter_store.py
@@ -1,14 +1,15 @@
-"""The file that holds a voter's persistent state: one log of whole records, appended and synced.
+"""The store of a voter's persistent state: a file to which complete records are appended and synced.
 
-The first record (`consensus/records.py`) names the fleet, the member and the disk; each later one holds the
-complete state, so only the last one counts. A record that is cut short at the end was never acknowledged and
-is truncated; damage before a whole record has another cause, and the file is rejected.
+The first record (`consensus/records.py`) names the fleet, the member and the disk. Each later record holds
+the complete state, so only the last one is used. An incomplete record at the end was never acknowledged and
+is removed. Damage before a complete record can't result from a crash, so the file is rejected.
 
-The file is rewritten, as a new file renamed over it, once it has grown, and at the first save after an
-error: after a failed sync the system may drop what was written and report success for the next sync of the
-same file, so nothing more is appended to it. The last record found at a start may have been written and not
-synced before a crash: it is written again and synced before anything depends on it. That needs no additional
-space, so a full disk does not prevent a start.
+When the file has grown too large, it is replaced by a new file that is renamed over it. This is also done at
+the first save after an error: after a failed sync the system may drop the written data and still report
+success for the next sync of the same file, so nothing is appended to that file any more.
+
+The last record found at a start may not have been synced before a crash. It is written again in place and
+synced before anything depends on it. This needs no additional space, so a full disk does not prevent a start.
 """
 
 import contextlib
@@ -33,16 +34,16 @@
 )
 from fawnwharf.file_writes import sync_folder, write_all
 
-VERSION = 1  # of the first record, the identity; the others have no version
-REWRITE_ABOVE_BYTES = 1024 * 1024  # size above which the next save writes a new file
-_CLOSED_DESCRIPTOR = -1  # file descriptor of no open file
+VERSION = 1  # of the identity, the first record; other records have no version
+REWRITE_ABOVE_BYTES = 1024 * 1024  # a save that would make the file larger replaces it
+_CLOSED_DESCRIPTOR = -1  # means that no file is open
 
 
 class DiskIdentity(Struct, frozen=True):
-    """Which member of which fleet a folder belongs to; the first record of its file.
+    """The fleet, the member and the disk that a folder belongs to; the first record of its file.
 
-    `fleet` and `name` are the names of the fleet and of the member in the membership document. `disk_id` is
-    drawn at random when the folder is created: it tells this disk from an earlier one of the same member,
+    `fleet` and `name` are the names of the fleet and of the member in the membership file. `disk_id` is drawn
+    at random when the folder is created. It distinguishes this disk from an earlier one of the same member,
     which may have voted differently.
     """
 
@@ -53,16 +54,16 @@
 
     @property
     def voter_identity(self) -> str:
-        """How voter lists name the voter whose state is on this disk: member and disk, as in `a#0f3c9b21`."""
+        """The identity in voter lists of the voter whose state is on this disk, such as `a#0f3c9b21`."""
         return f"{self.name}#{self.disk_id}"
 
 
 class VoterStore:
     """Owns a member's folder until it is closed.
 
-    `saved` is the state on disk: read when the folder is opened, then the last one written. `identity` is
-    whose disk it is, and `is_new` whether the folder held no identity before. `record_number` is the number
-    of the last record with a state, 0 before the first.
+    `saved` is the state on disk: the one read when the folder was opened, or the last one written since.
+    `identity` identifies the disk; `is_new` is true if the folder held no identity before. `record_number` is
+    the number of the last record with a state, 0 before the first.
     """
 
     def __init__(
@@ -70,17 +71,17 @@
     ) -> None:
         """Creates the folder if missing, locks it against other processes and reads its state.
 
-        `fleet` and `name` must be those of the identity on disk. `draw_disk_id` returns the disk identifier
-        of a new folder, 8 to 32 hexadecimal digits; by default they are random.
+        `fleet` and `name` must match the identity on disk. `draw_disk_id` returns the disk identifier of a
+        new folder, 8 to 32 hexadecimal digits; the default draws it at random.
 
-        Raises DiskError where the folder can't be used, and has changed no whole record then.
+        Raises DiskError if the folder can't be used; no complete record is changed in that case.
         """
         self.folder = Path(folder)
         self.path = self.folder / "voter.log"
         self.is_new = False
         self.saved = PersistentState()
         self.record_number = 0
-        # The log that is appended to; while it is closed, the next save writes a new one.
+        # The file that is appended to; while it is closed, the next save replaces it.
         self._file = _CLOSED_DESCRIPTOR
         self._size = 0
         self._lock = self._acquire_lock()
@@ -111,7 +112,7 @@
 
     def _open(self, fleet: str, name: str, draw_disk_id: Callable[[], str]) -> None:
         data = self.path.read_bytes() if self.path.exists() else b""
-        self.is_new = _is_unfinished(data)
+        self.is_new = _has_truncated_identity(data)
         if self.is_new:
             self.identity = DiskIdentity(VERSION, fleet, name, draw_disk_id())
             self._rewrite(encode_record(0, self.identity))
@@ -121,16 +122,18 @@
     def _restore(self, data: bytes, fleet: str, name: str) -> None:
         found, end, damaged = scan_records(data)
         if damaged:
-            raise self._error(f"damaged at byte {end}, before records that are whole")
+            raise self._error(f"damaged at byte {end}, before complete records")
         if not found:
-            raise self._error("no whole record")
+            raise self._error("no complete record")
         self._decode(found)
         self._check_identity(fleet, name)
         numbers = [number for number, _ in found[1:]]
         if any(following <= number for number, following in pairwise(numbers)):
             raise self._error("records out of order")
         self.record_number = numbers[-1] if numbers else 0
-        self._sync_last_record(data[:end], HEADER_BYTES + len(found[-1].content), is_cut=end < len(data))
+        self._sync_last_record(
+            data[:end], HEADER_BYTES + len(found[-1].content), is_truncated=end < len(data)
+        )
 
     def _decode(self, found: list[Record]) -> None:
         try:
@@ -138,7 +141,7 @@
             if len(found) > 1:
                 self.saved = msgspec.json.decode(found[-1].content, type=PersistentState)
         except msgspec.DecodeError as error:
-            raise self._error(f"not a voter's records: {error}") from None
+            raise self._error(f"not the records of a voter: {error}") from None
 
     def _check_identity(self, fleet: str, name: str) -> None:
         found = self.identity
@@ -149,14 +152,14 @@
         if found.name != name:
             raise self._error(f"the disk of member {found.name}, not of {name}")
 
-    def _sync_last_record(self, records: bytes, last_size: int, *, is_cut: bool) -> None:
-        """Opens the existing file, removes a record cut short at its end, and syncs the last whole record.
+    def _sync_last_record(self, records: bytes, last_size: int, *, is_truncated: bool) -> None:
+        """Opens the existing file, removes an incomplete record at its end and syncs the last complete one.
 
-        All earlier records were synced before that one was begun.
+        Earlier records need no sync: each was synced before the next one was written.
         """
         self._file = os.open(self.path, os.O_RDWR)
         self._size = len(records)
-        if is_cut:
+        if is_truncated:
             os.ftruncate(self._file, len(records))
         os.lseek(self._file, len(records) - last_size, os.SEEK_SET)
         write_all(self._file, records[len(records) - last_size :])
@@ -166,7 +169,7 @@
     def save(self, saved: PersistentState) -> None:
         """Writes a state and returns when it is durable.
 
-        Raises DiskError where that fails; then nothing may depend on the state.
+        Raises DiskError if that fails; nothing may depend on the state in that case.
         """
         record = encode_record(self.record_number + 1, saved)
         try:
@@ -186,7 +189,7 @@
         self._size += len(record)
 
     def _rewrite(self, data: bytes) -> None:
-        """Replaces the file by a new one; its name is on disk as well when this returns."""
+        """Replaces the file by a new one; when this returns, the rename is durable as well."""
         self._close_file()
         replacement = self.path.with_suffix(".new")
         self._file = os.open(replacement, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -204,7 +207,7 @@
         file = self._file
         self._file = _CLOSED_DESCRIPTOR
         if file != _CLOSED_DESCRIPTOR:
-            with contextlib.suppress(OSError):  # everything that counts was synced
+            with contextlib.suppress(OSError):  # all acknowledged data is already synced
                 os.close(file)
 
     def close(self) -> None:
@@ -217,10 +220,10 @@
     return os.urandom(8).hex()
 
 
-def _is_unfinished(data: bytes) -> bool:
-    """Whether a file ends within its first record: a crash in the first start, before any promise.
+def _has_truncated_identity(data: bytes) -> bool:
+    """Whether a file ends within its first record, as after a crash in the first start, before any vote.
 
-    Whole records after that mean damage instead.
+    Complete records after an incomplete one mean damage instead.
     """
     if not RECORD_MAGIC.startswith(data[: len(RECORD_MAGIC)]):
         return False
--- a/tests/consensus/test_consensus_search.py
+++ b/tests/consensus/test_consensus_search.py
@@ -1,4 +1,4 @@
-"""Searches of voter states and random walks: no violation in the voter, and those of mutants are found."""
+"""Model checker and random walks: they find no violation in the voter, and do find those of mutants."""
 
 import msgspec
 import pytest
