--- a/fawnwharf/zones/__init__.py
+++ b/fawnwharf/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones, decided by the front ends together. Off unless `serve` is given its settings."""
+"""Failover between zones, which the front ends decide by consensus; off unless `serve` gets its settings."""
--- a/fawnwharf/zones/command_helpers.py
+++ b/fawnwharf/zones/command_helpers.py
@@ -1,4 +1,4 @@
-"""Helpers of operators' commands: a fleet's files, a member's address, the current lines of its log."""
+"""Helpers for operators' commands: read a fleet's files, and the current lines of a member's log."""
 
 import json
 import socket
@@ -13,7 +13,8 @@
 from fawnwharf.zones import settings as s
 
 MemberOption = Annotated[
-    str, typer.Option("--member", help="Whose log is read; the settings' own listener without.")
+    str,
+    typer.Option("--member", help="The member whose log is read; by default the settings' own listener."),
 ]
 
 
@@ -24,7 +25,7 @@
 
 
 def read_files(path: str) -> tuple[s.ZoneSettings, s.Membership]:
-    """The settings of zones and the membership that they name; exits with status 2 for faulty files."""
+    """Read the zone settings and the membership file that they name; exit with status 2 if one is faulty."""
     try:
         settings = s.settings_from(Path(path).read_bytes())
         membership = s.membership_from((Path(path).parent / settings.membership_file).read_bytes())
@@ -36,9 +37,9 @@
 
 
 def log_address(settings: s.ZoneSettings, membership: s.Membership, member: str) -> Address:
-    """The address of a member's log; of the settings' own listener for an empty name.
+    """The address of a member's log, or of the settings' own listener if the name is empty.
 
-    Exits with status 2 where there is none.
+    Exits with status 2 if there is no such address.
     """
     if member:
         entry = membership.find_member(member)
@@ -55,21 +56,21 @@
         fail(str(error))
 
 
-def read_latest_entries(address: Address, keys: Iterable[str], within_s: float) -> dict[str, Any]:
-    """The current lines of a member's log: the last one with each of these keys, by key.
+def read_latest_entries(address: Address, keys: Iterable[str], timeout_s: float) -> dict[str, Any]:
+    """Read the current lines of a member's log: the last one with each of these keys, by key.
 
-    Raises OSError where the log cannot be read, and ValueError for a malformed line.
+    Raises OSError if the log cannot be read, and ValueError for a malformed line.
     """
     found: dict[str, Any] = {}
-    with socket.create_connection(address, within_s) as sock:
+    with socket.create_connection(address, timeout_s) as sock:
         sock.sendall(b"since 0\n")
         reader = sock.makefile("rb")
-        end = time.monotonic() + within_s
-        while time.monotonic() < end:
+        deadline_s = time.monotonic() + timeout_s
+        while time.monotonic() < deadline_s:
             text = reader.readline()
             numbered = json.loads(text) if text else None
             if not isinstance(numbered, dict) or not numbered.get("whole"):
-                break  # all current lines have come
+                break  # all current lines were received
             for key in keys:
                 if key in numbered.get("line", {}):
                     found[key] = numbered["line"]
--- a/fawnwharf/zones/effects.py
+++ b/fawnwharf/zones/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the core of a member asks its owner to carry out. Values alone."""
+"""Effects that a member's core asks its owner to carry out. All are plain values."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 
 class SendVoterMessage(Struct, frozen=True):
-    """Write a line to this member's voter log; only the member `to` needs it."""
+    """Write a line to this member's voter log, for the member `to`; other voters receive and ignore it."""
 
     to: str
     line: LogLine
@@ -32,8 +32,8 @@
 class ApplyPlan(Struct, frozen=True):
     """Apply this plan from now on.
 
-    `index` is that of the plan in the consensus log. A plan of None means that no plan is
-    known to be the latest: the front end works as without zones then.
+    `index` is the plan's index in the consensus log. A plan of None means that no plan is known to be the
+    latest: the front end then works as if zones were off.
     """
 
     plan: Plan | None
@@ -41,10 +41,10 @@
 
 
 class MessagesReceived(Struct, frozen=True):
-    """Pass another member's messages on to a log client, which decodes them and the status.
+    """Pass another member's messages and status on to a log client, which decodes them.
 
-    `client` is the package that they are for (`log_lines.POLICY`, `RECOVERY`); `status` is the sender's
-    status in that package, None where the line has none.
+    `client` is the receiving log client (`log_lines.POLICY` or `RECOVERY`). `status` is the sender's status
+    for that client, None if the line has none.
     """
 
     sender: str
@@ -54,7 +54,7 @@
 
 
 class RegisterDecided(Struct, frozen=True):
-    """Pass a register on to its log client: the consensus log decided it."""
+    """Pass a register that the consensus log has decided on to its log client."""
 
     index: int
     text: str
--- a/fawnwharf/zones/evidence.py
+++ b/fawnwharf/zones/evidence.py
@@ -1,6 +1,6 @@
-"""Health evidence: what one front end observes of each zone, and the view that follows from it.
+"""Health evidence: what one front end observes of each zone, and the health that follows from it.
 
-Pure; times are in milliseconds.
+The module does no I/O. Times are in milliseconds.
 """
 
 from collections import deque
@@ -18,18 +18,15 @@
 
 
 class ZoneEvidence(Struct, frozen=True):
-    """Successes and failures of one zone within the window, as one front end observed them.
-
-    A scorer is a server of the zone that calls are routed to.
-    """
+    """Successes and failures of one zone's scorers within the window, as one front end observed them."""
 
     # Responses of any kind, and probes that connected.
     responses: Count = msgspec.field(name="heard", default=0)
-    # The responses that came later than the latency objective.
+    # Those of the responses that took longer than the latency objective.
     slow_responses: Count = msgspec.field(name="slow", default=0)
     timeouts: Count = msgspec.field(name="silent", default=0)
     connect_failures: Count = msgspec.field(name="refused", default=0)
-    # Connections that ended during a call.
+    # Connections that were closed during a call.
     resets: Count = msgspec.field(name="broken", default=0)
     # Scorers that failed since the last success of any scorer of the zone, and the time since then.
     failing_scorers: Count = msgspec.field(name="run", default=0)
@@ -42,7 +39,7 @@
 
     @property
     def observations(self) -> int:
-        """The number of successes and failures: the sample that a view is based on."""
+        """The number of successes and failures, which is the sample size of a view."""
         return self.responses + self.failures
 
 
@@ -56,10 +53,10 @@
 
 
 def zone_health(evidence: ZoneEvidence | None, settings: EvidenceSettings) -> ZoneHealth:
-    """The view that the evidence amounts to.
+    """Derive a front end's view of a zone from its evidence.
 
-    Failures at several scorers in a row, with no success between them, show a dead zone long before the
-    successes in the window are forgotten.
+    Failures of several scorers without a success in between show that a zone is dead long before its earlier
+    successes leave the window.
     """
     if evidence is None:
         return ZoneHealth.UNKNOWN
@@ -75,14 +72,14 @@
     return ZoneHealth.GOOD
 
 
-# The kinds of observations, as places in a list of counts: plain numbers, since each event of a batch counts
-# one.
+# The kinds of observations, as indexes into a list of counts: plain numbers for speed, because an observation
+# is counted for each event.
 _RESPONSE = 0
 _SLOW_RESPONSE = 1
 _TIMEOUT = 2
 _CONNECT_FAILURE = 3
 _RESET = 4
-_KINDS = 5
+_KIND_COUNT = 5
 
 _KIND_OF_RESULT = {
     AttemptResult.GOOD: _RESPONSE,
@@ -94,14 +91,14 @@
     AttemptResult.RESET: _RESET,
 }
 
-_SLICES = 4  # of the window; evidence is forgotten one slice at a time
+_SLICE_COUNT = 4  # the window is divided into this many slices; evidence expires one slice at a time
 
 
 @dataclass(slots=True)
 class _Slice:
-    """The number of observations of each kind in one part of the window, by zone."""
+    """The number of observations of each kind in one slice of the window, by zone."""
 
-    began_ms: float
+    start_ms: float
     counts: dict[str, list[int]] = field(default_factory=dict)
 
 
@@ -120,30 +117,30 @@
         self._settings = settings
         self._latency_objective_ms = latency_objective_ms
         self._slices: deque[_Slice] = deque()
-        self._runs: dict[str, _FailureRun] = {}
+        self._failure_runs: dict[str, _FailureRun] = {}
 
     def record_ending(
         self, now_ms: float, zone: str, scorer: int, ending: AttemptResult, took_ms: float
     ) -> None:
-        """Record the end of an attempt or of a load order.
+        """Record the result of an attempt or of a load order.
 
-        A cancelled one counts as a timeout where it had taken longer than the latency objective, and as
-        nothing otherwise.
+        A cancelled one counts as a timeout if it took longer than the latency objective, and is not counted
+        otherwise.
         """
         if ending is AttemptResult.CANCELLED and took_ms > self._latency_objective_ms:
-            self._record(now_ms, zone, scorer, _TIMEOUT)
+            self._record_observation(now_ms, zone, scorer, _TIMEOUT)
         elif (kind := _KIND_OF_RESULT.get(ending)) is not None:
-            self._record(now_ms, zone, scorer, kind)
+            self._record_observation(now_ms, zone, scorer, kind)
             if kind == _RESPONSE and took_ms > self._latency_objective_ms:
                 self._count(now_ms, zone, _SLOW_RESPONSE)
 
     def record_probe(self, now_ms: float, zone: str, scorer: int, *, connected: bool) -> None:
         """Record the result of a probe."""
-        self._record(now_ms, zone, scorer, _RESPONSE if connected else _CONNECT_FAILURE)
+        self._record_observation(now_ms, zone, scorer, _RESPONSE if connected else _CONNECT_FAILURE)
 
-    def _record(self, now_ms: float, zone: str, scorer: int, kind: int) -> None:
+    def _record_observation(self, now_ms: float, zone: str, scorer: int, kind: int) -> None:
         self._count(now_ms, zone, kind)
-        run = self._runs.setdefault(zone, _FailureRun(now_ms))
+        run = self._failure_runs.setdefault(zone, _FailureRun(now_ms))
         if kind == _RESPONSE:
             run.success_ms = now_ms
             run.failing_scorers.clear()
@@ -151,36 +148,36 @@
             run.failing_scorers.add(scorer)
 
     def since_success_ms(self, now_ms: float, zone: str) -> float:
-        """The time since the last success of a zone; infinite for a zone without any evidence."""
-        run = self._runs.get(zone)
+        """The time since the last success of a zone; infinite for a zone without evidence."""
+        run = self._failure_runs.get(zone)
         return now_ms - run.success_ms if run else float("inf")
 
     def _count(self, now_ms: float, zone: str, kind: int) -> None:
         self._forget_old(now_ms)
-        if not self._slices or now_ms - self._slices[-1].began_ms >= self._settings.window_ms / _SLICES:
+        if not self._slices or now_ms - self._slices[-1].start_ms >= self._settings.window_ms / _SLICE_COUNT:
             self._slices.append(_Slice(now_ms))
         counts = self._slices[-1].counts.get(zone)
         if counts is None:
-            counts = self._slices[-1].counts[zone] = [0] * _KINDS
+            counts = self._slices[-1].counts[zone] = [0] * _KIND_COUNT
         counts[kind] += 1
 
     def _forget_old(self, now_ms: float) -> None:
-        while self._slices and now_ms - self._slices[0].began_ms > self._settings.window_ms:
+        while self._slices and now_ms - self._slices[0].start_ms > self._settings.window_ms:
             self._slices.popleft()
 
     def evidence(self, now_ms: float) -> dict[str, ZoneEvidence]:
         """The evidence of the window, by zone."""
         self._forget_old(now_ms)
         totals: dict[str, list[int]] = {}
-        for part in self._slices:
-            for zone, counts in part.counts.items():
-                total = totals.setdefault(zone, [0] * _KINDS)
+        for window_slice in self._slices:
+            for zone, counts in window_slice.counts.items():
+                total = totals.setdefault(zone, [0] * _KIND_COUNT)
                 for kind, count in enumerate(counts):
                     total[kind] += count
         return {zone: self._zone_evidence(now_ms, zone, counts) for zone, counts in totals.items()}
 
     def _zone_evidence(self, now_ms: float, zone: str, counts: list[int]) -> ZoneEvidence:
-        run = self._runs[zone]
+        run = self._failure_runs[zone]
         failing = len(run.failing_scorers)
         return ZoneEvidence(
             responses=counts[_RESPONSE],
--- a/fawnwharf/zones/files.py
+++ b/fawnwharf/zones/files.py
@@ -1,4 +1,4 @@
-"""Operators' files of a running front end: read at the start, and watched for changes while it serves."""
+"""Operators' files, which a front end reads at its start and watches for changes while it serves."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -11,14 +11,14 @@
 
 
 class WatchedFile:
-    """A file that is read as a whole whenever it has changed."""
+    """A file that is read completely whenever it has changed."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self._last_seen: tuple[int, int, int] | None = None  # modification time, size, inode
 
     def changed(self) -> bytes | None:
-        """The file's bytes if it changed since the last call; None if it did not or cannot be read."""
+        """Read the file if it has changed since the last call; None if it has not or cannot be read."""
         try:
             stat = self.path.stat()
             seen = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
@@ -32,7 +32,7 @@
 
 
 def load_file(path: Path, decode: Callable[[bytes], T], key: str) -> T:
-    """Decode a file; raises ConfigError with one line that begins with the key."""
+    """Read and decode a file; raises ConfigError with one line that starts with the key."""
     try:
         return decode(path.read_bytes())
     except OSError as error:
--- a/fawnwharf/zones/log_client.py
+++ b/fawnwharf/zones/log_client.py
@@ -1,22 +1,22 @@
-"""The interface of subsystems that communicate through the member logs and the consensus log."""
+"""The interface of subsystems that communicate by the member logs and the consensus log."""
 
 from typing import Any, Protocol
 
 
 class LogClient(Protocol):
-    """A subsystem that uses these logs; none of its methods may raise."""
+    """A subsystem that uses these logs; its methods must not raise."""
 
     def on_messages(self, sender: str, messages: tuple[Any, ...], status: Any) -> None:
-        """Take messages of the same client at another member.
+        """Receive messages that the same log client sent at another member.
 
-        `status` is that client's status, or None where the line has none.
+        `status` is the status of that client, None if the line has none.
         """
 
     def on_register_decided(self, text: str) -> None:
-        """Take a register of this client's kind that the consensus log decided."""
+        """Receive a register of this client's kind that the consensus log has decided."""
 
     def on_role_changed(self) -> None:
-        """Effects were carried out: the voter may have started or stopped to lead."""
+        """Check the voter's role: effects were carried out, so it may have become leader or stepped down."""
 
     def on_membership_changed(self) -> None:
-        """A later membership is in use."""
+        """Use the new membership: a later membership file was loaded."""
--- a/fawnwharf/zones/log_events.py
+++ b/fawnwharf/zones/log_events.py
@@ -1,4 +1,4 @@
-"""Events that zones write into the operators' log: a name, and the fields of the event's type."""
+"""Events that zones write to the operators' log; each has a name and the fields of its type."""
 
 from typing import Any, ClassVar
 
@@ -12,11 +12,11 @@
     """An event in the operators' log."""
 
     event: ClassVar[str]
-    rate_limited: ClassVar[bool] = False  # written once a second at most
+    rate_limited: ClassVar[bool] = False  # written at most once per `service.EVENT_INTERVAL_MS`
 
     @property
     def fields(self) -> dict[str, Any]:
-        """The fields as they are written."""
+        """The fields as they are written to the log."""
         fields: dict[str, Any] = msgspec.to_builtins(self)
         return fields
 
@@ -39,7 +39,7 @@
 
 
 class MembershipIgnored(ZoneLogEvent, frozen=True):
-    """A valid membership file is not used."""
+    """A valid membership file is not used, for the given reason."""
 
     event = "membership ignored"
     number: int
@@ -47,7 +47,7 @@
 
 
 class MembershipRejected(ZoneLogEvent, frozen=True):
-    """A faulty membership file is not used; the last one stays in use."""
+    """A faulty membership file is not used; the previous one stays in use."""
 
     event = "membership rejected"
     error: str
@@ -62,14 +62,14 @@
 
 
 class OperatorRequestRejected(ZoneLogEvent, frozen=True):
-    """A faulty operator request is not used; the last one stays in use."""
+    """A faulty operator request is not used; the previous one stays in use."""
 
     event = "operator request rejected"
     error: str
 
 
 class RoleChanged(ZoneLogEvent, frozen=True):
-    """This member's voter became the leader, or ceased to be it."""
+    """This member's voter became the leader or stepped down."""
 
     event = "role"
     role: str
@@ -77,7 +77,7 @@
 
 
 class VotersProposed(ZoneLogEvent, frozen=True):
-    """The leader proposes another voter list."""
+    """The leader proposes a new voter list."""
 
     event = "voters proposed"
     index: int
@@ -86,7 +86,7 @@
 
 
 class VotersDecided(ZoneLogEvent, frozen=True):
-    """Another voter list was decided."""
+    """A new voter list was decided."""
 
     event = "voters"
     index: int
@@ -102,7 +102,7 @@
 
 
 class PlanProposed(ZoneLogEvent, frozen=True):
-    """The leader proposes another plan; `evidence` has what each member reported of each zone."""
+    """The leader proposes a new plan; `evidence` has each member's evidence on each zone."""
 
     event = "plan proposed"
     number: int
@@ -111,7 +111,7 @@
 
 
 class PlanChangeRejected(ZoneLogEvent, frozen=True):
-    """A zone stays open because all zones would be out without it."""
+    """A zone stays open because otherwise all zones would be out."""
 
     event = "plan change rejected"
     rate_limited = True
@@ -129,7 +129,7 @@
 
 
 class PlanExpired(ZoneLogEvent, frozen=True):
-    """The plan was not confirmed to be the latest for its time of validity."""
+    """The plan was not confirmed to be the latest one within its validity period."""
 
     event = "plan expired"
     index: int
@@ -148,7 +148,7 @@
 
 
 class OperatingStandalone(ZoneLogEvent, frozen=True):
-    """This front end applies no plan, and works as without zones."""
+    """This front end applies no plan and works as if zones were off."""
 
     event = "standalone"
     index: int
@@ -157,17 +157,17 @@
 
 
 class DiskFailed(ZoneLogEvent, frozen=True):
-    """The voter's state could not be written."""
+    """The voter's state could not be written to disk."""
 
     event = "disk failed: no part in votes until a restart"
     reason: str
 
 
 class OlderVoterState(ZoneLogEvent, frozen=True):
-    """A voter came back with an older copy of its stored state, and its messages are ignored.
+    """A voter restarted with an older copy of its stored state; its messages are ignored.
 
-    `disk_writes` counts the times that its state was saved, as its message says; `reported_before` is the
-    largest count that it reported before.
+    `disk_writes` is how often its state was saved according to its message; `reported_before` is the largest
+    number that it has reported before.
     """
 
     event = "older disk"
@@ -178,7 +178,7 @@
 
 
 class MalformedMessages(ZoneLogEvent, frozen=True):
-    """A line had malformed messages of log clients."""
+    """A line contained malformed messages of log clients."""
 
     event = "malformed messages"
     rate_limited = True
@@ -187,7 +187,7 @@
 
 
 class LogLineRejected(ZoneLogEvent, frozen=True):
-    """A line of another member's log was rejected, and its connection closed."""
+    """A line of another member's log was rejected, and the connection to that member closed."""
 
     event = "log line rejected"
     rate_limited = True
--- a/fawnwharf/zones/member_core.py
+++ b/fawnwharf/zones/member_core.py
@@ -1,11 +1,11 @@
-"""The core of one member of the fleet: what it takes from other members' logs and writes into its own.
+"""The core of one member of the fleet: handles lines of other members' logs and writes its own.
 
-Pure: lines, evidence, ticks and files come in with a time, and effects are returned in order. A
-SaveVoterState must be on disk before any later effect of the same list is carried out. The same core runs in
-`serve` and in simulations in virtual time.
+The core does no I/O. Its inputs are lines, evidence, ticks and operators' files, each with the time; it
+returns effects, which its owner carries out in order. The state of a SaveVoterState must be on disk before
+any later effect of the same list is carried out. The same core runs in `serve` and in simulations.
 
-There are two logs: one that every member may follow (reports, decided plans, the leader's statement that its
-plan is the latest one), and one of voters alone for the other voters (the consensus protocol).
+Each member has a log that all members may follow, with reports, decided plans and the leader's confirmations
+that its plan is the latest one. A voter has a second log for the other voters, with consensus messages.
 """
 
 from typing import Any
@@ -38,7 +38,7 @@
 
 
 class MemberCore:
-    """Owns a member's part in the fleet; a member that is a voter has a voter role besides."""
+    """Owns a member's state; a member that is a voter also has a voter role."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         now_ms: float,
         voter: VoterStart | None = None,
     ) -> None:
-        """A voter brings what it starts with; other members only follow."""
+        """`voter` is the initial state of a member that is a voter, None for other members."""
         self.name = name
         self.state = MemberState(name, membership, settings, now_ms)
         self.identity = voter.identity if voter else ""
@@ -69,48 +69,48 @@
 
     @property
     def plan_index(self) -> int:
-        """The index of that plan; 0 before the first."""
+        """The index of that plan in the consensus log; 0 before the first."""
         return self.state.plan_tracker.index
 
     @property
     def voter(self) -> Voter | None:
-        """This member's voter, where it has one."""
+        """This member's voter; None if it has none."""
         return self.voter_role.voter if self.voter_role else None
 
     @property
     def zone(self) -> str:
-        """This member's zone; empty where it is not in the membership."""
+        """This member's zone; empty if it is not in the membership."""
         entry = self.membership.find_member(self.name)
         return entry.zone if entry else ""
 
     def is_plan_valid(self, now_ms: float) -> bool:
-        """Whether the plan was confirmed to be the latest within its time of validity."""
+        """Whether the plan was confirmed to be the latest one within its validity period."""
         return self.state.plan_tracker.is_valid(now_ms)
 
     def stop_voting(self) -> None:
-        """Take no part in votes any more: the voter's state could not be saved."""
+        """Drop the voter for good, because its state could not be saved."""
         self.voter_role = None
 
     # --- lines of other members -----------------------------------------------------------------
 
     def receive_line(self, now_ms: float, sender: str, data: Any) -> list[Effect]:
-        """Take one line of a member's log; raises LogLineError for one that no correct member writes."""
-        line = self._checked_line(sender, data)
+        """Handle a line of a member's log; raises LogLineError for one that no correct member writes."""
+        line = self._decode_line(sender, data)
         if not self._is_member(sender):
             return []
         if line.report is not None:
             if line.report.name != sender:
-                raise LogLineError(f"a report of {line.report.name} from {sender}")
+                raise LogLineError(f"report of {line.report.name} in a line from {sender}")
             self.state.planner.receive(now_ms, line.report)
         if line.plan is not None:
-            self._learn_plan(line.index, line.plan)
+            self._update_plan(line.index, line.plan)
         if line.confirms_plan:
             self._confirm_plan(now_ms, line.index)
-        return [*self.state.plan_updates(now_ms), *self._received_messages(sender, line)]
+        return [*self.state.plan_updates(now_ms), *self._client_messages(sender, line)]
 
     def receive_voter_line(self, now_ms: float, sender: str, data: Any) -> list[Effect]:
-        """Take one line of a voter's log; raises LogLineError for one that no correct member writes."""
-        line = self._checked_line(sender, data)
+        """Handle a line of a voter's log; raises LogLineError for one that no correct member writes."""
+        line = self._decode_line(sender, data)
         if not self._is_member(sender):
             return []
         message = voter_message_of(line)
@@ -119,33 +119,33 @@
             return []
         return self.voter_role.receive(now_ms, line, message)
 
-    def _checked_line(self, sender: str, data: Any) -> LogLine:
-        """The decoded line; raises LogLineError for one of another fleet or sender."""
+    def _decode_line(self, sender: str, data: Any) -> LogLine:
+        """Decode a line; raises LogLineError if it is malformed or of another fleet or sender."""
         try:
             line = msgspec.convert(data, LogLine)
         except msgspec.ValidationError as error:
             raise LogLineError(f"malformed log line: {error}") from None
         if line.fleet != self.membership.fleet:
-            raise LogLineError(f"a line of fleet {line.fleet}")
+            raise LogLineError(f"line of fleet {line.fleet}, not of {self.membership.fleet}")
         if line.sender != sender:
-            raise LogLineError(f"a line of {line.sender} in the log of {sender}")
+            raise LogLineError(f"line of {line.sender} in the log of {sender}")
         return line
 
     def _is_member(self, sender: str) -> bool:
-        """Whether the sender is in the membership; counts the line as dropped where it is not."""
+        """Whether the sender is in the membership; if not, the line is counted as dropped."""
         if self.membership.find_member(sender) is not None:
             return True
         self.state.drop_counts.add(DropCause.UNKNOWN_MEMBER)
         return False
 
-    def _learn_plan(self, index: int, text: str) -> None:
+    def _update_plan(self, index: int, text: str) -> None:
         try:
             self.state.plan_tracker.learn(index, text)
         except PlanError as error:
             raise LogLineError(f"malformed plan: {error}") from None
 
     def _confirm_plan(self, now_ms: float, index: int) -> None:
-        """Take a leader's statement that the plan with this index is the latest one."""
+        """Handle a leader's confirmation that the plan with this index is the latest one."""
         if index == self.plan_index:
             self.state.plan_tracker.confirmed_ms = now_ms
         elif index < self.plan_index:
@@ -153,8 +153,8 @@
         else:
             self.state.drop_counts.add(DropCause.UNKNOWN_PLAN)
 
-    def _received_messages(self, sender: str, line: LogLine) -> list[Effect]:
-        """The messages and the status for each log client that the line has any for."""
+    def _client_messages(self, sender: str, line: LogLine) -> list[Effect]:
+        """The messages and the status in the line for each log client that it concerns."""
         try:
             messages = messages_for(self.name, line.messages) if line.messages is not None else {}
         except msgspec.ValidationError:
@@ -169,8 +169,8 @@
 
     # --- operators' files -----------------------------------------------------------------------
 
-    def take_membership(self, membership: Membership) -> list[Effect]:
-        """Take a later membership file; an older one, or one of another fleet, is ignored."""
+    def apply_membership(self, membership: Membership) -> list[Effect]:
+        """Use a later membership file; an older one, or one of another fleet, is ignored."""
         if membership.fleet != self.membership.fleet:
             return [MembershipIgnored(membership.number, "of another fleet")]
         if membership.number <= self.membership.number:
@@ -178,8 +178,8 @@
         self.state.membership = membership
         return [MembershipLoaded(membership.number, len(membership.members))]
 
-    def take_operator_request(self, request: DrainRequest) -> list[Effect]:
-        """Take a later operator request, and report it at once; an older one is ignored."""
+    def apply_operator_request(self, request: DrainRequest) -> list[Effect]:
+        """Use a later operator request and report it at once; an older one is ignored."""
         if request.number <= self._operator_request.number:
             return []
         self._operator_request = request
@@ -189,7 +189,7 @@
     # --- time -----------------------------------------------------------------------------------
 
     def due_ms(self) -> float:
-        """When `tick` must be called next."""
+        """The time at which `tick` must be called next."""
         due_ms = self._report_due_ms
         if self.voter_role:
             due_ms = min(due_ms, self.voter_role.due_ms)
@@ -199,7 +199,7 @@
     def tick(
         self, now_ms: float, evidence: dict[str, ZoneEvidence], sizes: dict[str, float], roster_age_ms: float
     ) -> list[Effect]:
-        """Do what is due; all but the time is for the next report."""
+        """Do what is due; `evidence`, `sizes` and `roster_age_ms` are for the next report."""
         effects: list[Effect] = []
         if now_ms >= self._report_due_ms:
             effects.append(self._report(now_ms, evidence, sizes, roster_age_ms))
@@ -208,9 +208,9 @@
         return effects + self.state.plan_updates(now_ms)
 
     def make_report_due(self, now_ms: float) -> None:
-        """Make the next report due early, as this front end's view of a zone has changed.
+        """Send the next report early, because this front end's view of a zone has changed.
 
-        It is sent by the next `tick` that is due; reports come at most three times as often as otherwise.
+        A `tick` sends it after at most a third of the report interval.
         """
         soon_ms = now_ms + self.state.settings.evidence.report_interval_ms / 3
         self._report_due_ms = min(self._report_due_ms, soon_ms)
@@ -236,15 +236,15 @@
     # --- registers of log clients ---------------------------------------------------------------
 
     def consensus_status(self, now_ms: float) -> ConsensusStatus:
-        """The voter's state, for log clients that change registers."""
+        """The voter's status, for log clients that change registers."""
         return self.voter_role.status(now_ms) if self.voter_role else ConsensusStatus()
 
     def propose_register(self, now_ms: float, text: str, kind: str = POLICY) -> tuple[bool, list[Effect]]:
         """Propose a register to the consensus log.
 
-        True where it entered this voter's log (not yet decided: `RegisterDecided` follows then, or never);
-        False without a voter, or where the voter did not accept it (it does not lead, or its log is full).
-        The effects are to be carried out in both cases.
+        Returns whether the register entered this voter's log, and the effects to carry out in either case. A
+        register in the log is not decided yet: `RegisterDecided` follows if it is committed. It does not
+        enter the log if there is no voter, the voter is not the leader, or the log is full.
         """
         if self.voter_role is None:
             return False, []
--- a/fawnwharf/zones/member_feeds.py
+++ b/fawnwharf/zones/member_feeds.py
@@ -1,4 +1,4 @@
-"""The logs of other members that a member follows."""
+"""The connections by which a member follows the logs of other members."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 class MemberFeeds:
     """Owns the connections to other members' logs.
 
-    A voter follows the logs of all members and the voter logs of all voters; the other members follow the
+    A voter follows the logs of all members and the voter logs of all voters. Other members follow only the
     logs of voters.
     """
 
@@ -32,7 +32,7 @@
         receive: Callable[[LogName, Any], None],
         log: Callable[[str], None],
     ) -> None:
-        """`receive` takes each line, and raises ValueError to reject it; `log` takes why it was rejected."""
+        """`receive` is called with each line and raises ValueError to reject it; `log` gets the reason."""
         self._loop = loop
         self._own = own
         self._receive = receive
@@ -40,11 +40,11 @@
         self._feeds: dict[LogName, MemberLogFollower] = {}
 
     def follow(self, membership: Membership) -> None:
-        """Follow the members of this membership from now on, and nobody else."""
-        wanted = self._wanted(membership)
-        for name in [name for name in self._feeds if name not in wanted]:
+        """Follow exactly the logs that this membership requires from now on."""
+        addresses = self._log_addresses(membership)
+        for name in [name for name in self._feeds if name not in addresses]:
             self._feeds.pop(name).close()
-        for name, host_port in wanted.items():
+        for name, host_port in addresses.items():
             address = address_from(host_port, "members.address")
             if name in self._feeds:
                 self._feeds[name].move(address)
@@ -53,28 +53,28 @@
             self._feeds[name] = feed
             feed.connect()
 
-    def _wanted(self, membership: Membership) -> dict[LogName, str]:
-        """The addresses of the logs to follow."""
-        wanted: dict[LogName, str] = {}
-        votes = bool(self._own.voter_address)
+    def _log_addresses(self, membership: Membership) -> dict[LogName, str]:
+        """The address of each log to follow."""
+        addresses: dict[LogName, str] = {}
+        is_voter = bool(self._own.voter_address)
         for member in membership.members:
             if member.name == self._own.name:
                 continue
-            if votes or member.voter_address:
-                wanted[LogName(member.name, is_voter_log=False)] = member.address
-            if votes and member.voter_address:
-                wanted[LogName(member.name, is_voter_log=True)] = member.voter_address
-        return wanted
+            if is_voter or member.voter_address:
+                addresses[LogName(member.name, is_voter_log=False)] = member.address
+            if is_voter and member.voter_address:
+                addresses[LogName(member.name, is_voter_log=True)] = member.voter_address
+        return addresses
 
     def _receiver(self, name: LogName) -> Callable[[Any], None]:
         return lambda line: self._receive(name, line)
 
     def check_silence(self) -> None:
-        """Reconnect to logs that are silent although their connection is open."""
+        """Reconnect to logs that send nothing although their connection is open."""
         for feed in self._feeds.values():
             feed.run_maintenance()
 
     def close(self) -> None:
-        """Follow no log any more."""
+        """Close all connections."""
         for feed in self._feeds.values():
             feed.close()
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -1,10 +1,12 @@
-"""Logs of members over TCP, in the form of the change log.
+"""Member logs over TCP, with the same protocol as the change log.
 
-A reader requests `since N` and gets numbered lines of JSON, and at least the last number every second. A line
-is `{"seq":N,"life":L,"line":{...}}`. Each start of a process is an incarnation with numbers of its own. A
-reader that requests a number that is not stored any more, or is of another incarnation, gets the lines that
-are still current, marked `whole`, and goes on from their number. No more than a bound is buffered for a
-reader that does not read: it is disconnected, and gets the current lines when it connects again.
+A reader requests `since N` and receives numbered lines of JSON, and the last number once a second. A line is
+`{"seq":N,"life":L,"line":{...}}`, where `life` is the incarnation of the writing process. Each incarnation
+starts its own numbering.
+
+If the lines after N are not stored any more, or N is of another incarnation, the reader gets the lines that
+are still current, marked `whole`, and continues from their number. A reader that does not read is
+disconnected once the buffer limit is reached, and gets the current lines when it connects again.
 """
 
 import contextlib
@@ -22,22 +24,22 @@
 from fawnwharf.net.event_loop import READ, EventLoop
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-MAX_LINE_BYTES = 512 * 1024  # of a member's log
-MAX_STORED_LINES = 256  # for readers that connect again
+MAX_LINE_BYTES = 512 * 1024  # in a member's log
+MAX_STORED_LINES = 256  # for readers that reconnect
 MAX_STORED_BYTES = 1024 * 1024
-MAX_UNREAD_BYTES = 1024 * 1024  # that wait for one reader
-MAX_REQUEST_BYTES = 64  # of a reader
-MAX_NUMBER_DIGITS = 16  # in a request
-REQUEST_TIMEOUT_MS = 2_000.0
-HEARTBEAT_MS = 1_000.0  # between two statements of the last number
-MAX_ACCEPTS = 32  # in one iteration of the loop
-MAX_BACKOFF_MS = 1_000.0  # between dials to a member that is away
+MAX_UNREAD_BYTES = 1024 * 1024  # buffered for one reader
+MAX_REQUEST_BYTES = 64  # in a reader's request
+MAX_REQUEST_NUMBER_DIGITS = 16
+REQUEST_TIMEOUT_MS = 2_000.0  # from a reader's connection to its request
+HEARTBEAT_MS = 1_000.0  # interval at which readers are sent the last number
+MAX_ACCEPTS_PER_ITERATION = 32  # connections accepted in one event loop iteration
+MAX_BACKOFF_MS = 1_000.0  # between connection attempts to an unreachable member
 
 line_encoder = msgspec.json.Encoder()
 
 
 class MemberLogFollower(ChangeLog):
-    """Follows one member's log; a line that is rejected costs the connection and nothing else."""
+    """Follows one member's log; a rejected line closes the connection, which is then opened again."""
 
     max_backoff_ms = MAX_BACKOFF_MS
     max_line_bytes = MAX_LINE_BYTES
@@ -45,10 +47,10 @@
     def __init__(
         self, loop: EventLoop, address: Address, receive: Callable[[Any], None], log: Callable[[str], None]
     ) -> None:
-        """`receive` takes the content of each line; it raises ValueError for one that no member writes."""
+        """`receive` is called with the content of each line and raises ValueError to reject it."""
         super().__init__(loop, address, 0, receive, log)
-        self.incarnation = 0  # the incarnation that is followed
-        self.lines = 0  # that were received
+        self.incarnation = 0  # the incarnation of the writer that is followed
+        self.lines = 0  # the number of lines received
 
     @property
     def up(self) -> bool:
@@ -57,14 +59,14 @@
 
     @property
     def heard_ms(self) -> float:
-        """When anything was last received from the log, if only its number."""
+        """When anything, such as a heartbeat, was last received from the log."""
         return self._connection.last_received_ms if self._connection else 0.0
 
     def event(self, read: Any, _known: bool = False) -> bool:
-        """Handle a decoded line; False where it is malformed or does not follow the last one.
+        """Handle a decoded line; False if it is malformed, is rejected or does not follow the last one.
 
-        Overrides the method of `ChangeLog`, for which `_of_start` marks the snapshot at a start; here each
-        line says itself whether it belongs to a snapshot.
+        Overrides the method of `ChangeLog`. Here the mark `whole` in a line says whether the line belongs to
+        the current lines that a reader gets first.
         """
         if not isinstance(read, dict):
             return False
@@ -84,12 +86,12 @@
         return True
 
     def _restart(self) -> bool:
-        """Request all current lines with the next connection."""
+        """Let the next connection request all current lines."""
         self.seq = self.incarnation = 0
         return False
 
     def _receive(self, line: Any) -> bool:
-        """Pass a line on; False where it was rejected."""
+        """Pass a line on; False if it was rejected."""
         try:
             self._deliver(line)
         except ValueError as error:
@@ -99,17 +101,17 @@
         return True
 
     def _stumble(self, _why: str) -> bool:
-        """Give the connection up, without the change log's further attempts."""
+        """Close the connection, without the further attempts that the change log makes."""
         if self._connection:
             self._connection.close(EndReason.BAD_BYTES)
         return False
 
 
 class _Reader:
-    """One connection that follows the log."""
+    """The connection of one reader of the log."""
 
     def __init__(self, server: "LogServer", sock: socket.socket) -> None:
-        self.since: int | None = None  # None until it has sent its request
+        self.since: int | None = None  # the requested number; None before the request
         self.accepted_ms = monotonic_ms()
         self.connection = Connection.accepted(server.loop, sock, self, MAX_REQUEST_BYTES)
         self._server = server
@@ -119,7 +121,7 @@
         """Do nothing: the connection was accepted."""
 
     def on_data(self, data: bytes) -> None:
-        """Take the reader's one request; anything else ends the connection."""
+        """Read the reader's only request; close the connection on anything else."""
         if self.since is not None:
             self.connection.close(EndReason.BAD_BYTES)
             return
@@ -130,14 +132,14 @@
                 self.connection.close(EndReason.BAD_BYTES)
             return
         command, _, number = line.partition(b" ")
-        if rest or command != b"since" or not number.isdigit() or len(number) > MAX_NUMBER_DIGITS:
+        if rest or command != b"since" or not number.isdigit() or len(number) > MAX_REQUEST_NUMBER_DIGITS:
             self.connection.close(EndReason.BAD_BYTES)
             return
         self.since = int(number)
         self._server.begin(self)
 
     def on_flushed(self) -> None:
-        """Disconnect a reader that does not read."""
+        """Disconnect a reader that reads too slowly."""
         if self.connection.waiting_bytes > MAX_UNREAD_BYTES:
             self.connection.close(EndReason.STUFFED)
 
@@ -147,10 +149,10 @@
 
 
 class LogServer:
-    """Owns a listener, the log behind it, and its readers."""
+    """Owns a listener, its log and the readers of the log."""
 
     def __init__(self, loop: EventLoop, address: Address, incarnation: int, max_readers: int) -> None:
-        """`incarnation` is that of this process. Raises OSError where the address cannot be bound."""
+        """`incarnation` is that of this process. Raises OSError if the address cannot be bound."""
         self.loop = loop
         self.incarnation = incarnation
         self.seq = 0
@@ -168,7 +170,8 @@
     def write(self, line: Any, counts_as: Hashable = None) -> None:
         """Write a line for all readers.
 
-        With a key, it is current until the next line with that key, and sent to each new reader.
+        With a key in `counts_as`, the line is current until the next line with that key, and each new reader
+        gets it.
         """
         self.seq += 1
         if counts_as is not None:
@@ -187,10 +190,7 @@
             self._stored_bytes -= len(dropped)
 
     def begin(self, reader: _Reader) -> None:
-        """Send what a reader that has requested lines lacks.
-
-        These are the lines after its number where all are stored, or else the current ones.
-        """
+        """Send a reader the lines after the requested number, or the current lines if not all are stored."""
         since = reader.since or 0
         first = self._stored[0][0] if self._stored else self.seq + 1
         if since == 0 or not first - 1 <= since <= self.seq:
@@ -207,14 +207,14 @@
             reader.connection.write(line_encoder.encode(item) + b"\n")
 
     def number(self, _reader: _Reader) -> int:
-        """The number of the last line that a reader was sent."""
+        """The number of the last line that was sent to a reader."""
         return self.seq
 
     def _accept(self, _mask: int) -> None:
-        for _ in range(MAX_ACCEPTS):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, _ = self._listener.accept()
-            except OSError:  # none is left, or no descriptor: the next iteration tries again
+            except OSError:  # none is pending, or no descriptor is free: the next iteration tries again
                 return
             if len(self.readers) >= self._max_readers:
                 with contextlib.suppress(OSError):
@@ -223,7 +223,7 @@
             self.readers[_Reader(self, sock)] = None
 
     def _heartbeat(self) -> None:
-        """Send its last number to each reader, and disconnect those that do not send a request."""
+        """Send each reader its last number, and disconnect readers that sent no request in time."""
         if self._closed:
             return
         now = monotonic_ms()
@@ -244,7 +244,7 @@
 
 
 def _listen(address: Address) -> socket.socket:
-    """A listener that does not block; raises OSError where the address cannot be bound."""
+    """Open a non-blocking listener; raises OSError if the address cannot be bound."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/fawnwharf/zones/member_state.py
+++ b/fawnwharf/zones/member_state.py
@@ -1,4 +1,4 @@
-"""What the parts of a member's core share: its membership, its planner, and the plan that it knows."""
+"""The state that the parts of a member's core share: its membership, its planner and its current plan."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,23 +14,23 @@
 
 
 class PlanTracker:
-    """Tracks the last decided plan that this member knows, and whether it is the latest one."""
+    """Tracks the last decided plan that this member knows, and until when it is valid."""
 
     def __init__(self, validity_ms: float) -> None:
         self.plan = Plan()
         self.index = 0
-        self.confirmed_ms: float | None = None  # when a leader last stated that the plan is the latest one
-        self._text = ""  # the plan as it was decided
+        self.confirmed_ms: float | None = None  # when a leader last confirmed that the plan is the latest one
+        self._text = ""  # the encoded plan, as decided
         self._validity_ms = validity_ms
         self._published_index = 0
         self._followed_index = 0
         self._follows = False
 
     def learn(self, index: int, text: str) -> bool:
-        """Take a decided plan; False where it is not later than the known one. Raises PlanError.
+        """Use a decided plan; False if it is not later than the known one. Raises PlanError.
 
-        It may come from any member, since an index is decided once. A later plan is no older than the known
-        one, so it inherits the confirmation of that one.
+        The plan may come from any member, because each index is decided only once. A later plan is at least
+        as recent as the known one, so the last confirmation remains valid for it.
         """
         if index <= self.index:
             return False
@@ -40,22 +40,22 @@
         return True
 
     def is_valid(self, now_ms: float) -> bool:
-        """Whether the plan was confirmed to be the latest within its time of validity."""
+        """Whether the plan was confirmed to be the latest one within its validity period."""
         if self.index == 0 or self.confirmed_ms is None:
             return False
         return now_ms - self.confirmed_ms < self._validity_ms
 
     @property
     def expires_ms(self) -> float | None:
-        """When the plan that is followed expires; None while none is followed."""
+        """When the followed plan expires; None while no plan is followed."""
         if not self._follows or self.confirmed_ms is None:
             return None
         return self.confirmed_ms + self._validity_ms
 
     def updates(self, now_ms: float, make_line: MakeLine) -> list[Effect]:
-        """The effects of what has changed since the last call."""
+        """The effects of all changes since the last call."""
         effects: list[Effect] = []
-        if self.index > self._published_index:  # any member may ask any other one for it
+        if self.index > self._published_index:  # publish it, so that other members can learn it from this one
             self._published_index = self.index
             effects.append(PublishLine(make_line(plan=self._text, index=self.index)))
         followed_before = self._follows
@@ -84,7 +84,7 @@
         self.drop_counts = DropCounts()
 
     def make_line(self, **fields: Any) -> LogLine:
-        """A line of this member's log with these fields."""
+        """Create a line of this member's log with these fields."""
         return LogLine(self.membership.fleet, self.name, **fields)
 
     def plan_updates(self, now_ms: float) -> list[Effect]:
--- a/fawnwharf/zones/operator_log.py
+++ b/fawnwharf/zones/operator_log.py
@@ -1,4 +1,4 @@
-"""The operators' log: one line of JSON for each event, on standard error."""
+"""The operators' log, on standard error: one line of JSON for each event."""
 
 import contextlib
 import sys
@@ -7,11 +7,11 @@
 
 import structlog
 
-WriteEvent = Callable[[str, dict[str, Any]], None]  # takes an event's name and its fields
+WriteEvent = Callable[[str, dict[str, Any]], None]  # called with an event's name and its fields
 
 
 def writer(member: str) -> WriteEvent:
-    """A function that writes an event and its fields, with the member's name and the time in UTC."""
+    """Returns a function that writes an event and its fields, with the member's name and the UTC time."""
     log = structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
         processors=[
@@ -22,7 +22,7 @@
     )
 
     def write(event: str, fields: dict[str, Any]) -> None:
-        with contextlib.suppress(OSError):  # that nobody reads the log is no reason to stop serving
+        with contextlib.suppress(OSError):  # the front end keeps serving if the log cannot be written
             log.info(event, **{key.replace(" ", "_"): value for key, value in fields.items()})
 
     return write
--- a/fawnwharf/zones/plan.py
+++ b/fawnwharf/zones/plan.py
@@ -1,7 +1,7 @@
-"""Zone plans: what the fleet has decided about its zones, and what a front end has to do by a plan.
+"""Zone plans: the decided state of each zone, and what follows from a plan for a front end.
 
-Pure values and functions: all front ends that hold the same plan compute the same results. Sizes are in the
-units in which scorers state their capacity; flows are in these units too, and admission is a fraction.
+All functions are pure: front ends with the same plan compute the same results. Sizes and flows are in the
+units in which scorers state their capacity; admission is a fraction.
 """
 
 import hashlib
@@ -14,35 +14,35 @@
 
 VERSION = 1
 
-# "leaving": drains, no new calls. "out": not used. "returning": recovers, with a fraction of its scorers.
+# "leaving": drains and gets no new calls. "out": is not used. "returning": recovers with some of its scorers.
 ZoneState = Literal["serving", "leaving", "out", "returning"]
 SERVING: Final = "serving"
 DRAINING: Final = "leaving"
 OUT: Final = "out"
 RECOVERING: Final = "returning"
 
-_NEGLIGIBLE = 1e-9  # a displaced size below this is a rounding error
+_NEGLIGIBLE = 1e-9  # a smaller displaced load is a rounding error
 
 
 class PlanError(ValueError):
-    """A plan that must not be followed; the text says why."""
+    """A plan that must not be followed; the text gives the reason."""
 
 
 class PlannedZone(Struct, frozen=True):
     """The decided state of one zone."""
 
     state: ZoneState = SERVING
-    # The fraction of its scorers that is open while it recovers, a step of the ramp; `open_fraction` is what
-    # counts in each state.
+    # While the zone recovers, the fraction of its scorers that is open. Use `open_fraction`, which is correct
+    # in each state.
     fraction: Fraction = msgspec.field(name="share", default=1.0)
-    # The fraction of its size that other zones' front ends may send to it.
+    # The load that front ends of other zones may send to it, as a fraction of its size.
     spillover: Fraction = msgspec.field(name="spill", default=0.5)
-    # The largest capacity in service that was reported lately, in the units of the scorers.
+    # The largest capacity in service that was reported, in the units of the scorers.
     size: Annotated[float, Meta(ge=0.0)] = 0.0
     region: Annotated[str, Meta(max_length=48)] = ""
-    # Its front ends that still report; 0 while it serves.
+    # The number of its front ends that still report; 0 while it serves.
     front_ends: Annotated[int, Meta(ge=0)] = msgspec.field(name="fronts", default=0)
-    # How often it was lost lately.
+    # How often it was lost recently.
     recent_failures: Annotated[int, Meta(ge=0, le=1_000)] = msgspec.field(name="flaps", default=0)
     # Why it is in this state, for operators.
     reason: Annotated[str, Meta(max_length=200)] = msgspec.field(name="why", default="")
@@ -58,7 +58,7 @@
 class Plan(Struct, frozen=True):
     """One decision about all zones.
 
-    `unreachable_pairs` has the pairs of zones of which the first does not reach the second.
+    Each of the `unreachable_pairs` is a source zone and a target zone that it can't reach.
     """
 
     version: int = VERSION
@@ -74,7 +74,7 @@
 
 
 def plan_from(text: str) -> Plan:
-    """Parse a plan that a front end may follow; raises PlanError."""
+    """Parse a plan; raises PlanError if a front end must not follow it."""
     try:
         plan = msgspec.json.decode(text.encode(), type=Plan)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -99,10 +99,10 @@
 
 
 class ReachableZones(Struct, frozen=True):
-    """The open zones that a zone's front ends may send to, in the order of preference.
+    """The open zones that a zone's front ends may send to, in order of preference.
 
-    `own` has the zone itself or nothing, `region` the other zones of its region, `elsewhere` those of all
-    other regions.
+    `own` contains the zone itself if it is open, `region` the other zones of its region, and `elsewhere` the
+    zones of other regions.
     """
 
     own: list[str]
@@ -111,7 +111,7 @@
 
 
 def reachable_zones(plan: Plan, zone: str) -> ReachableZones:
-    """The open zones that the front ends of a zone of the plan may send to."""
+    """The open zones that the front ends of a zone may send to; the plan must name the zone."""
     region = plan.zones[zone].region
     unreachable = {target for source, target in plan.unreachable_pairs if source == zone}
     names = [
@@ -126,15 +126,15 @@
     )
 
 
-Flows = dict[str, dict[str, float]]  # from a zone, to a zone
+Flows = dict[str, dict[str, float]]  # load by source zone and target zone
 
 
 def spillover_flows(plan: Plan) -> Flows:
-    """What each zone that does not fully serve sends to each other zone, in units of size.
+    """The load that each zone that is not fully open sends to each other zone, in units of size.
 
-    The part of a zone that is not open is displaced. It goes to the zones of its region first, then to all
-    others. Each zone takes no more than its limit in total, and displaced zones share the capacity in
-    proportion to their needs.
+    The load of the scorers that are not open is displaced. It goes to the zones of the same region first and
+    then to all others. Each target zone accepts no more than its spillover limit in total. Displaced zones
+    share that capacity in proportion to their load.
     """
     displaced = {
         name: zone.size * (1.0 - zone.open_fraction)
@@ -144,49 +144,55 @@
     capacity = {name: _spillover_capacity(zone) for name, zone in plan.zones.items()}
     reachable = {name: reachable_zones(plan, name) for name in displaced}
     flows: Flows = {name: {} for name in displaced}
-    _assign({name: zones.region for name, zones in reachable.items()}, displaced, capacity, flows)
-    _assign({name: zones.elsewhere for name, zones in reachable.items()}, displaced, capacity, flows)
+    _assign_displaced_load(
+        {name: zones.region for name, zones in reachable.items()}, displaced, capacity, flows
+    )
+    _assign_displaced_load(
+        {name: zones.elsewhere for name, zones in reachable.items()}, displaced, capacity, flows
+    )
     return flows
 
 
 def _spillover_capacity(zone: PlannedZone) -> float:
-    """What a zone takes of other zones' traffic; one that recovers takes none but its own."""
+    """The load that a zone accepts from other zones; a recovering zone accepts none."""
     if zone.state == RECOVERING:
         return 0.0
     return zone.spillover * zone.size * zone.open_fraction
 
 
-def _assign(
+def _assign_displaced_load(
     targets: dict[str, list[str]], displaced: dict[str, float], capacity: dict[str, float], flows: Flows
 ) -> None:
-    """Assign displaced load to these targets of each zone; updates all but the targets.
+    """Assign displaced load to the targets of each zone; updates `displaced`, `capacity` and `flows`.
 
-    Each displaced zone requests capacity from its targets in proportion to theirs. A target that is requested
-    for more than it has grants the same fraction of each request.
+    Each displaced zone divides its load among its targets in proportion to their capacity. A target that gets
+    requests for more than its capacity grants the same fraction of each request.
     """
-    able = {name: [target for target in names if capacity[target] > 0] for name, names in targets.items()}
+    available_targets = {
+        name: [target for target in names if capacity[target] > 0] for name, names in targets.items()
+    }
     requests: Flows = {}
-    for name, names in able.items():
+    for name, names in available_targets.items():
         if displaced[name] > _NEGLIGIBLE and names:
             total = sum(capacity[target] for target in names)
             requests[name] = {target: displaced[name] * capacity[target] / total for target in names}
     for target in capacity:
-        requested = sum(parts.get(target, 0.0) for parts in requests.values())
+        requested = sum(requested_by_target.get(target, 0.0) for requested_by_target in requests.values())
         if requested <= 0:
             continue
         granted = min(1.0, capacity[target] / requested)
-        for name, parts in requests.items():
-            if target in parts:
-                flows[name][target] = parts[target] * granted
+        for name, requested_by_target in requests.items():
+            if target in requested_by_target:
+                flows[name][target] = requested_by_target[target] * granted
         capacity[target] -= requested * granted
     for name in requests:
-        displaced[name] -= sum(flows[name].get(target, 0.0) for target in able[name])
+        displaced[name] -= sum(flows[name].get(target, 0.0) for target in available_targets[name])
 
 
 def admitted_fraction(plan: Plan | None, zone: str) -> float:
     """The fraction of a zone's calls that its front ends may admit; the rest is rejected at once.
 
-    1.0 without a plan, and where the plan does not name the zone.
+    It is 1.0 without a plan and for a zone that the plan does not name.
     """
     if plan is None:
         return 1.0
@@ -197,11 +203,9 @@
 
 
 def open_zones(plan: Plan, zone: str) -> set[str] | None:
-    """The zones whose scorers a front end of `zone` may use.
-
-    None where the plan does not name its zone: then it may use all.
+    """The zones whose scorers a front end of `zone` may use; None means all, if the plan does not name it.
 
-    A zone that fully serves may use all that it reaches: the router prefers near ones by itself.
+    A front end of a fully open zone may use all zones that it reaches: the router prefers near scorers.
     """
     planned = plan.zones.get(zone)
     if planned is None:
@@ -215,10 +219,10 @@
 
 
 def is_scorer_open(plan: Plan, zone: str, scorer: str) -> bool:
-    """Whether one scorer of a zone takes calls; True where the plan does not name its zone.
+    """Whether a scorer of a zone takes calls; True if the plan does not name its zone.
 
-    While a zone recovers, the same scorers are open at all front ends: those whose hash is below its open
-    fraction.
+    While a zone recovers, the same scorers are open at all front ends: those whose hash, as a fraction, is
+    below the zone's open fraction.
     """
     planned = plan.zones.get(zone)
     if planned is None:
--- a/fawnwharf/zones/plan_application.py
+++ b/fawnwharf/zones/plan_application.py
@@ -1,4 +1,4 @@
-"""How a front end applies a plan: which scorers it closes, and how many calls it admits."""
+"""Applies a plan to a front end: which scorers it may use and how many calls it admits."""
 
 from collections.abc import Callable
 
@@ -12,19 +12,19 @@
 from fawnwharf.zones.settings import Membership
 from fawnwharf.zones.voter_role import describe_zones
 
-# The owner under which `RosterOverlay.set_filter` and `FrontEnd.limit_calls` keep what this package sets.
+# The keys under which this package sets its roster filter and its call limit.
 ROSTER_FILTER_KEY = "zones"
 ADMISSION_LIMIT_KEY = "zones"
 
 
 class PlanApplication:
-    """Owns the limits that follow from the plan and the policy for this front end."""
+    """Owns the limits that the plan and the policy set for this front end."""
 
     def __init__(self, deployment: Deployment, zone: str, membership: Callable[[], Membership]) -> None:
-        """`membership` gives the membership in use."""
-        # Calls per second over the fleet: the sum of all tenants' quotas.
+        """`membership` returns the membership in use."""
+        # The sum of all tenants' quotas, in calls per second over the whole fleet.
         self.total_quota_rps = sum(deployment.settings.quotas_rps.values())
-        self.spillover_limits: dict[str, float] = {}  # of a policy, by zone
+        self.spillover_limits: dict[str, float] = {}  # from the policy, by zone
         self._settings = deployment.settings
         self._zone = zone
         self._membership = membership
@@ -35,8 +35,8 @@
     ) -> ZoneLogEvent | None:
         """Use the total quota (calls per second over the fleet) and the spillover limits of a policy.
 
-        The quota is what `admission` is a fraction of; the limits count where they are stricter than the
-        plan's. Returns the event of the plan that was applied again, or None where nothing changed.
+        The plan admits a fraction of the quota. A spillover limit applies if it is stricter than the plan's.
+        Returns the event of applying the plan again, or None if nothing changed or no plan was applied yet.
         """
         if (total_quota_rps, spillover_limits) == (self.total_quota_rps, self.spillover_limits):
             return None
@@ -45,7 +45,7 @@
         return self.apply(front, self._followed) if self._followed is not None else None
 
     def apply(self, front: FrontEnd, effect: ApplyPlan) -> ZoneLogEvent:
-        """Apply a plan, or none; the event that says so."""
+        """Apply a plan, or none; returns the event to log."""
         self._followed = effect
         plan = effect.plan
         if plan is not None and self.spillover_limits:
@@ -70,13 +70,13 @@
         )
 
     def _admitted_rps(self, plan: Plan | None, admission: float) -> float:
-        """The calls per second that this front end may admit."""
+        """The number of calls per second that this front end may admit."""
         if admission >= 1.0 or self.total_quota_rps <= 0:
             return UNLIMITED_RPS
         return admission * self.total_quota_rps / self._settings.fleet_size * self._load_factor(plan)
 
     def _load_factor(self, plan: Plan | None) -> float:
-        """How many front ends' calls each one of this zone has: more than one where others are gone."""
+        """The calls at each front end of this zone, relative to normal: above 1.0 if others are missing."""
         zone = plan.zones.get(self._zone) if plan else None
         if zone is None or not zone.front_ends:
             return 1.0
--- a/fawnwharf/zones/probes.py
+++ b/fawnwharf/zones/probes.py
@@ -1,4 +1,4 @@
-"""Health checks of zones with too little evidence, and the periodic check of what all evidence amounts to."""
+"""Probes scorers of zones with too little evidence, and detects changes of the zones found dead."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,19 +11,20 @@
 from fawnwharf.zones.roster_filter import in_zone
 from fawnwharf.zones.settings import EvidenceSettings
 
-PROBE_INTERVAL_MS = 250.0  # between health checks of a zone without a recent success
-MIN_CONNECTED_MS = 60.0  # a health check succeeds when its connection stays open for so long
-PROBES_AFTER_FAILURE = 2  # further health checks at once, where a healthy zone fails one
+PROBE_INTERVAL_MS = 250.0  # between probes of a zone without a recent success
+MIN_CONNECTED_MS = 60.0  # a probe succeeds if its connection stays open for this time
+PROBES_AFTER_FAILURE = 2  # further probes that follow the first failed probe at once
 
 
 class _Probe:
-    """One connection to a scorer, which succeeds when it is accepted and stays open for a moment.
+    """One connection to a scorer; it succeeds if it is accepted and stays open for MIN_CONNECTED_MS.
 
-    Guards against a proxy before a dead scorer that accepts connections only to close them.
+    An accepted connection alone is not enough: a proxy in front of a dead scorer accepts connections and
+    closes them at once.
     """
 
     def __init__(self, wheel: TimerWheel, report: Callable[[bool], None]) -> None:
-        """`report` is called once, with whether the probe succeeded."""
+        """`report` is called once, with True if the probe succeeded."""
         self.connection: Connection | None = None
         self._wheel = wheel
         self._report: Callable[[bool], None] | None = report
@@ -34,10 +35,10 @@
             report(succeeded)
 
     def on_up(self) -> None:
-        """Wait whether the connection stays open."""
-        self._wheel.after(MIN_CONNECTED_MS, self._settled)
+        """Wait to see if the connection stays open."""
+        self._wheel.after(MIN_CONNECTED_MS, self._check_still_open)
 
-    def _settled(self) -> None:
+    def _check_still_open(self) -> None:
         if self.connection is not None and not self.connection.closed:
             self._finish(succeeded=True)
             self.connection.close(EndReason.IDLE)
@@ -49,12 +50,12 @@
         """Do nothing: a probe sends nothing."""
 
     def on_end(self, _end: EndReason) -> None:
-        """Report a failure, where no success was reported."""
+        """Report a failure, unless a success was reported before."""
         self._finish(succeeded=False)
 
 
 class ZoneProber:
-    """Owns which zones are dead for this front end, and which scorer it probes next in each."""
+    """Owns the set of zones that this front end finds dead, and its probes in each zone."""
 
     def __init__(
         self,
@@ -64,10 +65,10 @@
         zones: Callable[[], Iterable[str]],
         on_view_changed: Callable[[float], None],
     ) -> None:
-        """Wire the health checks.
+        """`zones` returns the current zones.
 
-        `zones` gives the present zones; `on_view_changed` is called with the time in
-        milliseconds when the set of zones that this front end finds dead has changed.
+        `on_view_changed` is called with the time in milliseconds when the set of zones that this front end
+        finds dead has changed.
         """
         self._front = front
         self._collector = collector
@@ -75,8 +76,8 @@
         self._zones = zones
         self._on_view_changed = on_view_changed
         self._dead_zones: set[str] = set()
-        self._positions: dict[str, int] = {}  # of the last scorer probed, by zone
-        self._first_position = scorer_number(front.deployment.name)  # members start at different scorers
+        self._positions: dict[str, int] = {}  # by zone: the position of the last probed scorer
+        self._first_position = scorer_number(front.deployment.name)  # so that members probe different scorers
         self._stopped = False
 
     def close(self) -> None:
@@ -84,24 +85,24 @@
         self._stopped = True
 
     def run(self) -> None:
-        """Probe each zone without a recent success, now and at each interval.
+        """Probe each zone with little evidence or no recent success, now and at each interval.
 
-        Thus a closed zone is seen to be back, and a zone that falls silent is seen to be gone.
+        This detects that a closed zone is healthy again, and that a zone without responses is dead.
         """
         if self._stopped:
             return
-        now = monotonic_ms()
-        evidence = self._collector.evidence(now)
+        now_ms = monotonic_ms()
+        evidence = self._collector.evidence(now_ms)
         for zone in self._zones():
             observations = evidence[zone].observations if zone in evidence else 0
             too_few = observations < 2 * self._settings.min_observations
-            if too_few or self._collector.since_success_ms(now, zone) >= PROBE_INTERVAL_MS:
+            if too_few or self._collector.since_success_ms(now_ms, zone) >= PROBE_INTERVAL_MS:
                 self._probe(zone, PROBES_AFTER_FAILURE)
-        self._check_views(now)
+        self._check_views(now_ms)
         self._front.loop.timers.after(PROBE_INTERVAL_MS, self.run)
 
     def _check_views(self, now_ms: float) -> None:
-        """Report a change of the dead zones at once."""
+        """Update the set of dead zones, and report a change at once."""
         evidence = self._collector.evidence(now_ms)
         dead = {
             zone for zone, found in evidence.items() if zone_health(found, self._settings) is ZoneHealth.DEAD
@@ -111,7 +112,7 @@
             self._on_view_changed(now_ms)
 
     def _probe(self, zone: str, further_probes: int) -> None:
-        """Probe the next scorer of a zone; where it fails and the zone was not dead, some others at once."""
+        """Probe the next scorer of a zone; if it fails and the zone was not dead, probe others at once."""
         scorers = in_zone(self._front.roster_overlay.members.values(), zone)
         if not scorers:
             return
@@ -122,12 +123,12 @@
             return
 
         def report(succeeded: bool) -> None:
-            now = monotonic_ms()
-            self._collector.record_probe(now, zone, scorer_number(scorer.id), connected=succeeded)
+            now_ms = monotonic_ms()
+            self._collector.record_probe(now_ms, zone, scorer_number(scorer.id), connected=succeeded)
             if not succeeded and zone not in self._dead_zones:
                 for _ in range(further_probes):
                     self._probe(zone, 0)
-                self._check_views(now)
+                self._check_views(now_ms)
 
         self._dial(scorer.host_port, report)
 
--- a/fawnwharf/zones/roster_filter.py
+++ b/fawnwharf/zones/roster_filter.py
@@ -1,9 +1,8 @@
-"""Which scorers a plan closes, and what the roster says of each zone. Pure.
+"""Determines which scorers a plan closes, and the scorers and sizes of zones.
 
-A plan is laid over the roster (`net/roster_overlay.py`): a scorer that it closes is reported as draining, so
-that the decision module's own rules on drains, retries and slow start hold through every change of plan. The
-plan itself is made from the roster as reported, whatever is closed at the moment: a zone that is out keeps
-its size.
+A roster overlay (`net/roster_overlay.py`) applies a plan to the roster: a scorer that the plan closes appears
+as draining. The decision module's rules on drains, retries and slow start therefore also hold when the plan
+changes. Plans are made from the roster without the overlay, so a zone that is out keeps its size.
 """
 
 from collections.abc import Iterable
@@ -14,9 +13,9 @@
 
 
 def roster_filter_for_plan(plan: p.Plan | None, zone: str) -> RosterFilter | None:
-    """The roster filter of a plan, for a front end of a zone; None (no filter) without a plan.
+    """The roster filter of a plan for a front end of `zone`; None (no filter) without a plan.
 
-    The filter is True for each scorer that the front end must not use.
+    The filter returns True for each scorer that the front end must not use.
     """
     if plan is None:
         return None
@@ -32,7 +31,7 @@
 
 
 def zone_sizes(members: Iterable[Member]) -> dict[str, float]:
-    """The capacity in service in each zone, as the change log reports it."""
+    """The capacity in service by zone, as the change log reports it."""
     sizes: dict[str, float] = {}
     for member in members:
         if member.phase == "in_service":
@@ -41,6 +40,6 @@
 
 
 def in_zone(members: Iterable[Member], zone: str) -> list[Member]:
-    """The zone's scorers in service by the change log, whatever closes them, in a fixed order."""
+    """The zone's scorers that are in service according to the change log, ordered by id."""
     found = [member for member in members if member.locality == zone and member.phase == "in_service"]
     return sorted(found, key=lambda member: member.id)
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -1,4 +1,4 @@
-"""Zones in a running front end: its logs, its disk and files, and its extension of the front end."""
+"""Runs a member of the fleet in a front end: its core, logs, disk, files and timers."""
 
 import time
 from pathlib import Path
@@ -45,19 +45,19 @@
 from fawnwharf.zones.voter_role import VoterStart
 
 FILE_CHECK_INTERVAL_MS = 500.0
-OPERATOR_READERS = 16  # of a log, besides the members
-EVENT_INTERVAL_MS = 1_000.0  # between two rate-limited events with the same name
-DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0  # where no class of calls has one
+OPERATOR_READERS = 16  # readers of a log in addition to the members
+EVENT_INTERVAL_MS = 1_000.0  # between two rate-limited events of the same name
+DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0  # used if no class of calls is configured
 
 
 class ZoneService:
-    """Owns this front end's membership: the core, its servers and feeds, and its timers.
+    """Extension of the front end that makes it a member of the fleet.
 
-    It is an extension of the front end.
+    Owns the member's core, its log servers, the connections to other members' logs, and its timers.
     """
 
     def __init__(self, deployment: Deployment, path: str | Path, write: WriteEvent) -> None:
-        """Read and check all files; raises ConfigError with one line. `write` takes events."""
+        """Read and check all files; `write` is called with events. Raises ConfigError with one line."""
         settings_path = Path(path)
         base = settings_path.parent
         self.deployment = deployment
@@ -69,8 +69,8 @@
         self._membership_file.changed()
         self.entry = self._own_entry(membership)
         self.disk = self._open_disk(membership.fleet) if self.entry.voter_address else None
-        now = monotonic_ms()
-        self.core = MemberCore(self.entry.name, membership, self.settings, now, self._voter_start())
+        now_ms = monotonic_ms()
+        self.core = MemberCore(self.entry.name, membership, self.settings, now_ms, self._voter_start())
         objectives = [spec.latency_target_ms for spec in deployment.settings.classes.values()]
         latency_objective_ms = min(objectives, default=DEFAULT_LATENCY_OBJECTIVE_MS)
         self.evidence_collector = EvidenceCollector(self.settings.evidence, latency_objective_ms)
@@ -82,23 +82,23 @@
         self._feeds: MemberFeeds | None = None
         self._prober: ZoneProber | None = None
         self._write = write
-        self._written_ms: dict[str, float] = {}  # rate-limited events, by name
+        self._last_written_ms: dict[str, float] = {}  # of rate-limited events, by event name
         self._zone_of_scorer: dict[int, str] = {}
-        self._roster_ms = now  # when the change log last reported on scorers
+        self._roster_updated_ms = now_ms  # when the change log last reported scorers
         self._incarnation = time.time_ns() // 1_000
         self._timer: Timer | None = None
-        self._timer_ms = 0.0
+        self._timer_due_ms = 0.0
         self._stopped = False
         self._disk_failed = False
 
     def _own_entry(self, membership: Membership) -> MemberEntry:
-        """This front end's entry; raises ConfigError where it has none, or one of another zone."""
+        """This front end's entry; raises ConfigError if there is none or its zone differs."""
         name, zone = self.deployment.name, self.deployment.settings.zone
         entry = membership.find_member(name)
         if entry is None:
             raise ConfigError(f"zones: {name} is not among the members of {self._membership_file.path}")
         if entry.zone != zone:
-            raise ConfigError(f"zones: {name} is of zone {entry.zone}, and its configuration says {zone}")
+            raise ConfigError(f"zones: {name} is in zone {entry.zone}, but its configuration says {zone}")
         return entry
 
     def _open_disk(self, fleet: str) -> VoterStore:
@@ -127,7 +127,7 @@
         return self._front
 
     def attach(self, front: FrontEnd) -> None:
-        """Start on the front end's loop."""
+        """Start on the front end's event loop."""
         self._front = front
         max_readers = len(self.core.membership.members) + OPERATOR_READERS
         listen = self.settings.listen or self.entry.address
@@ -157,51 +157,51 @@
             raise ConfigError(f"zones.{key}: {error.strerror}: {host_port}") from None
 
     def close(self) -> None:
-        """Close the health checks, the feeds, the servers and the disk."""
+        """Stop probing, and close all connections, the log servers and the disk."""
         self._stopped = True
         for part in (self._prober, self._feeds, self.log_server, self.voter_log_server, self.disk):
             if part is not None:
                 part.close()
 
     def _log(self, event: ZoneLogEvent) -> None:
-        """Write an event into the operators' log; a rate-limited one only if it was not written just now."""
+        """Write an event to the operators' log; a rate-limited one only after EVENT_INTERVAL_MS."""
         if event.rate_limited:
-            now = monotonic_ms()
-            if now - self._written_ms.get(event.event, float("-inf")) < EVENT_INTERVAL_MS:
+            now_ms = monotonic_ms()
+            if now_ms - self._last_written_ms.get(event.event, float("-inf")) < EVENT_INTERVAL_MS:
                 return
-            self._written_ms[event.event] = now
+            self._last_written_ms[event.event] = now_ms
         self._write(event.event, event.fields)
 
     # --- extension of the front end -------------------------------------------------------------
 
     def on_fleet(self, fleet: Fleet) -> None:
-        """Note the zone of each scorer in a change of the roster, as the change log reports it.
+        """Record the zone of each scorer in a change of the roster, as the change log reports it.
 
-        Called by the front end; `fleet` has scorers, while `Membership` has front ends.
+        The front end calls it. `fleet` contains scorers, whereas `Membership` contains front ends.
         """
-        self._roster_ms = monotonic_ms()
+        self._roster_updated_ms = monotonic_ms()
         for member in fleet.members:
             if member.locality:
                 self._zone_of_scorer[scorer_number(member.id)] = member.locality
 
     @property
     def busy(self) -> bool:
-        """Read by the front end in a graceful shutdown, which waits while it is True: never here."""
+        """Always False: a graceful shutdown does not wait for zones."""
         return False
 
     def on_events(self, events: list[io.Event]) -> None:
-        """Record a batch's evidence on zones."""
-        now = monotonic_ms()
+        """Record the evidence on zones in a batch of events."""
+        now_ms = monotonic_ms()
         for event in events:
             if (
                 isinstance(event, io.AttemptEnded | io.LoadOrderAnswered)
                 and event.scorer in self._zone_of_scorer
             ):
                 zone = self._zone_of_scorer[event.scorer]
-                self.evidence_collector.record_ending(now, zone, event.scorer, event.result, event.took_ms)
+                self.evidence_collector.record_ending(now_ms, zone, event.scorer, event.result, event.took_ms)
 
     def apply_policy_limits(self, total_quota_rps: float, spillover_limits: dict[str, float]) -> None:
-        """Take a policy's total quota and spillover limits; they count where stricter than the plan."""
+        """Apply a policy's total quota (calls per second) and its spillover limits by zone."""
         event = self.plan_application.set_policy_limits(self.front, total_quota_rps, spillover_limits)
         if event is not None:
             self._log(event)
@@ -211,25 +211,25 @@
     def _tick(self) -> None:
         if self._stopped:
             return
-        now = monotonic_ms()
+        now_ms = monotonic_ms()
         sizes = zone_sizes(self.front.roster_overlay.members.values())
-        evidence = self.evidence_collector.evidence(now)
-        self._carry_out(self.core.tick(now, evidence, sizes, now - self._roster_ms))
+        evidence = self.evidence_collector.evidence(now_ms)
+        self._carry_out(self.core.tick(now_ms, evidence, sizes, now_ms - self._roster_updated_ms))
         self._set_timer()
 
     def _on_view_changed(self, now_ms: float) -> None:
-        """Report early that this front end's view of a zone has changed."""
+        """Send a report early, because this front end's view of a zone has changed."""
         self.core.make_report_due(now_ms)
         self._set_timer()
 
     def _set_timer(self) -> None:
-        """Set the timer of the next tick, unless it is set early enough."""
+        """Set the timer for the next tick, unless an earlier one is set."""
         due_ms = max(self.core.due_ms(), monotonic_ms() + 1.0)
         if self._timer is not None:
-            if self._timer.callback and self._timer_ms <= due_ms:
+            if self._timer.callback and self._timer_due_ms <= due_ms:
                 return
             self._timer.cancel()
-        self._timer_ms = due_ms
+        self._timer_due_ms = due_ms
         self._timer = self.front.loop.timers.after(due_ms - monotonic_ms(), self._tick)
 
     # --- effects --------------------------------------------------------------------------------
@@ -246,12 +246,12 @@
             elif isinstance(effect, ZoneLogEvent):
                 self._log(effect)
             else:
-                self._pass_on(effect)
+                self._dispatch_to_client(effect)
         for client in list(self.log_clients.values()):
             client.on_role_changed()
 
     def _save(self, effect: SaveVoterState) -> bool:
-        """Write the voter's state to disk; False after the disk has failed."""
+        """Write the voter's state to disk; False once the disk has failed."""
         if self.disk is None or self._disk_failed:
             return False
         try:
@@ -271,7 +271,7 @@
             current = next((key for key in ("plan", "report") if key in line), None)
             self.log_server.write(line, counts_as=current)
 
-    def _pass_on(self, effect: MessagesReceived | RegisterDecided) -> None:
+    def _dispatch_to_client(self, effect: MessagesReceived | RegisterDecided) -> None:
         """Pass messages or a register on to its log client."""
         if isinstance(effect, MessagesReceived):
             if client := self.log_clients.get(effect.client):
@@ -282,11 +282,11 @@
     # --- for log clients ------------------------------------------------------------------------
 
     def send_messages(self, messages: list[ClientMessage]) -> None:
-        """Send messages by this member's log: voters receive all, other members those of voters."""
+        """Send messages by this member's log; members that do not vote receive only those of voters."""
         self._publish(None, messages=messages)
 
     def publish_status(self, status: Any, client: str = POLICY) -> None:
-        """Publish a client's status, which each new reader gets until the next one."""
+        """Publish a client's status; new readers get it too, until the next status replaces it."""
         self._publish(client, **{client: status})
 
     def _publish(self, counts_as: str | None, **fields: Any) -> None:
@@ -295,11 +295,11 @@
             self.log_server.write(msgspec.to_builtins(line), counts_as=counts_as)
 
     def consensus_status(self, now_ms: float) -> ConsensusStatus:
-        """The state of this member's voter; a blank one after its disk has failed."""
+        """The status of this member's voter; the default one after the disk has failed."""
         return self.core.consensus_status(now_ms)
 
     def propose_register(self, text: str, kind: str = POLICY) -> bool:
-        """Propose a register to the consensus log; False where it did not enter the log."""
+        """Propose a register to the consensus log; False if it did not enter the log."""
         entered, effects = self.core.propose_register(monotonic_ms(), text, kind)
         self._carry_out(effects)
         self._set_timer()
@@ -308,7 +308,7 @@
     # --- other members' logs --------------------------------------------------------------------
 
     def _receive(self, name: LogName, line: Any) -> None:
-        """Take a line of another member's log; raises LogLineError for one that no member writes."""
+        """Handle a line of another member's log; raises LogLineError for one that no member writes."""
         receive = self.core.receive_voter_line if name.is_voter_log else self.core.receive_line
         try:
             effects = receive(monotonic_ms(), name.member, line)
@@ -324,21 +324,21 @@
     # --- files ----------------------------------------------------------------------------------
 
     def _check_files(self) -> None:
-        """Take files that have changed, now and at each interval."""
+        """Apply files that have changed, now and at each interval."""
         if self._stopped:
             return
         membership_data = self._membership_file.changed()
         if membership_data is not None:
-            self._take_membership(membership_data)
+            self._apply_membership_file(membership_data)
         request_data = self._request_file.changed()
         if request_data is not None:
-            self._take_operator_request(request_data)
+            self._apply_request_file(request_data)
         if self._feeds is not None:
             self._feeds.check_silence()
         self._set_timer()
         self.front.loop.timers.after(FILE_CHECK_INTERVAL_MS, self._check_files)
 
-    def _take_membership(self, data: bytes) -> None:
+    def _apply_membership_file(self, data: bytes) -> None:
         try:
             membership = membership_from(data)
         except SettingsFileError as error:
@@ -348,16 +348,16 @@
         if entry is None or entry.zone != self.entry.zone:
             self._log(log_events.MembershipRejected(f"{self.entry.name} is missing or in another zone"))
             return
-        self._carry_out(self.core.take_membership(membership))
+        self._carry_out(self.core.apply_membership(membership))
         if self._feeds is not None:
             self._feeds.follow(self.core.membership)
         for client in list(self.log_clients.values()):
             client.on_membership_changed()
 
-    def _take_operator_request(self, data: bytes) -> None:
+    def _apply_request_file(self, data: bytes) -> None:
         try:
             request = operator_request_from(data, set(self.core.membership.zones))
         except SettingsFileError as error:
             self._log(log_events.OperatorRequestRejected(str(error)))
             return
-        self._carry_out(self.core.take_operator_request(request))
+        self._carry_out(self.core.apply_operator_request(request))
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -1,7 +1,7 @@
-"""Files that operators write for zones: settings, membership and operator requests.
+"""Parses the files that operators write for zones: settings, membership and operator requests.
 
-Each file is JSON and is accepted as a whole or rejected as a whole. A faulty file raises SettingsFileError,
-whose text names the key. Durations are in milliseconds, fractions are between 0 and 1. The module is pure.
+Each file is JSON, and is either accepted or rejected completely. A faulty file raises SettingsFileError with
+the key in its text. Durations are in milliseconds, fractions are between 0 and 1. The module does no I/O.
 """
 
 from collections.abc import Collection
@@ -13,7 +13,7 @@
 
 VERSION = 1
 MAX_MEMBERS = 2_000
-VOTER_COUNTS = (1, 3, 5, 7)  # a single voter is for trials: nothing is decided while it is down
+VOTER_COUNTS = (1, 3, 5, 7)  # a single voter is for tests only: nothing is decided while it is down
 
 Name = Annotated[str, Meta(min_length=1, max_length=48, pattern=r"^[0-9A-Za-z_.:-]+$")]
 Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -39,7 +39,7 @@
 
 
 class Membership(Struct, frozen=True):
-    """The members of the fleet; a later file has a larger number."""
+    """The members of the fleet; a later membership file has a larger number."""
 
     version: int
     fleet: Name
@@ -48,12 +48,12 @@
 
     @property
     def voters(self) -> list[MemberEntry]:
-        """The members that vote."""
+        """The members that are voters."""
         return [member for member in self.members if member.voter_address]
 
     @property
     def zones(self) -> dict[str, str]:
-        """The region of each zone, by zone name."""
+        """The region of each zone, by the zone's name."""
         return {member.zone: member.region for member in self.members}
 
     def find_member(self, name: str) -> MemberEntry | None:
@@ -62,47 +62,47 @@
 
 
 class EvidenceSettings(Struct, frozen=True):
-    """How much health evidence amounts to a view of a zone, and how long it counts."""
+    """How much health evidence determines a view of a zone, and how long it counts."""
 
-    # Evidence older than this is forgotten.
+    # Evidence older than this is discarded.
     window_ms: DurationMs = 2_000.0
-    # The fewest observations, or failing scorers, that a view of a zone is based on.
+    # The minimum number of observations, or of failing scorers, for a view of a zone.
     min_observations: Annotated[int, Meta(ge=1)] = msgspec.field(name="least", default=3)
-    # With this fraction of failures among all observations, a zone is dead for the observer.
+    # A zone is dead for an observer if failures reach this fraction of all observations.
     dead_fraction: Fraction = msgspec.field(name="dead_share", default=0.8)
-    # With this fraction of slow responses among all responses, a zone is slow for the observer.
+    # A zone is slow for an observer if slow responses reach this fraction of all responses.
     slow_fraction: Fraction = msgspec.field(name="slow_share", default=0.5)
-    # The interval between two reports of a member.
+    # The interval between a member's reports.
     report_interval_ms: DurationMs = msgspec.field(name="report_ms", default=300.0)
-    # A report older than this counts for nothing, neither for a zone being alive nor for its being dead.
+    # A report older than this is ignored, whatever it says of a zone.
     report_ttl_ms: DurationMs = msgspec.field(name="report_life_ms", default=1_200.0)
-    # After this time without a success, `min_observations` failing scorers make a zone dead.
+    # A zone with `min_observations` failing scorers is dead after this time without a success.
     no_success_ms: DurationMs = msgspec.field(name="quiet_ms", default=400.0)
-    # A front end that has not reported for this long is not counted as present in its zone; a zone most of
-    # whose front ends are silent is lost when the other zones find it dead.
+    # A front end that has not reported for this long counts as silent. A zone is lost if at least half of its
+    # front ends are silent and the other zones find it dead.
     reporter_silence_ms: DurationMs = msgspec.field(name="hush_ms", default=700.0)
-    # The fewest observers that a zone's opinion is based on, where the zone has that many.
+    # The minimum number of observers behind a zone's opinion, or all of them if the zone has fewer.
     min_observers: Annotated[int, Meta(ge=1)] = msgspec.field(name="witnesses", default=2)
 
 
 class DampingSettings(Struct, frozen=True):
     """How long a condition must last before the plan changes."""
 
-    # For a zone that is lost, and the same where all observers agree and the zone itself is silent.
+    # For a lost zone; and a shorter delay if no zone finds it alive and all of its front ends are silent.
     failover_delay_ms: DurationMs = msgspec.field(name="out_ms", default=1_500.0)
     unanimous_failover_delay_ms: DurationMs = msgspec.field(name="sure_ms", default=400.0)
     slow_delay_ms: DurationMs = msgspec.field(name="slow_ms", default=5_000.0)
-    # Before a zone recovers; doubled for each recent failure, up to the maximum.
+    # Before a zone recovers; doubled for each recent failure after the first, up to the maximum.
     recovery_delay_ms: DurationMs = msgspec.field(name="back_ms", default=3_000.0)
     max_recovery_delay_ms: DurationMs = msgspec.field(name="back_most_ms", default=60_000.0)
-    # After this time in service one recent failure is forgotten.
+    # After this time in service, one recent failure is no longer counted.
     flap_memory_ms: DurationMs = msgspec.field(name="flap_ms", default=600_000.0)
     # How long a zone drains before it is out.
     drain_ms: DurationMs = msgspec.field(name="leave_ms", default=3_000.0)
 
 
 class RampSettings(Struct, frozen=True):
-    """How a zone recovers: which fractions of its scorers are opened, and for how long each."""
+    """How a zone recovers: the fractions of its scorers that are opened, and the time between two steps."""
 
     fractions: Annotated[tuple[Fraction, ...], Meta(min_length=1, max_length=20)] = msgspec.field(
         name="shares", default=(0.25, 0.5, 0.75)
@@ -111,10 +111,10 @@
 
 
 class SpilloverSettings(Struct, frozen=True):
-    """How much traffic of other zones a zone takes, as a fraction of its size."""
+    """How much load of other zones a zone accepts, as a fraction of its size."""
 
     fraction: Fraction = msgspec.field(name="share", default=0.5)
-    # The zones for which it differs.
+    # The fractions of zones that differ from it, by zone.
     fraction_by_zone: dict[str, Fraction] = msgspec.field(name="zones", default_factory=dict)
 
 
@@ -123,22 +123,22 @@
 
     heartbeat_ms: DurationMs = msgspec.field(name="beat_ms", default=150.0)
     election_timeout_ms: DurationMs = msgspec.field(name="election_ms", default=1_000.0)
-    # The fraction by which the rates of two clocks may differ.
+    # The fraction of any time span by which a clock may drift.
     max_clock_skew: Annotated[float, Meta(ge=0.0, le=0.5)] = msgspec.field(name="skew", default=0.1)
-    # How often a leader states that its plan is the latest one.
-    freshness_interval_ms: DurationMs = msgspec.field(name="fresh_ms", default=500.0)
-    # A plan is stale when it has not been stated to be the latest for this long.
+    # How often a leader confirms that its plan is the latest one.
+    confirmation_interval_ms: DurationMs = msgspec.field(name="fresh_ms", default=500.0)
+    # A plan expires if it has not been confirmed to be the latest one for this long.
     plan_validity_ms: DurationMs = msgspec.field(name="valid_ms", default=2_000.0)
 
 
 class ZoneSettings(Struct, frozen=True):
-    """The file that switches zones on; relative paths start at its own folder."""
+    """The settings file, which switches zones on; relative paths in it start at its own folder."""
 
     version: int
     membership_file: str = msgspec.field(name="members")
-    # For terms, votes and decisions; it must outlive the process.
+    # The folder of the voter's persistent state, which must outlive the process.
     state_folder: str = msgspec.field(name="folder")
-    # The operator requests to this member; `wishes.json` in the state folder where it is empty.
+    # The file of operator requests to this member; if empty, `wishes.json` in the state folder.
     operator_request_file: str = msgspec.field(name="wishes", default="")
     # Addresses to listen at, where they differ from those in the membership file.
     listen: str = ""
@@ -150,7 +150,7 @@
     consensus: ConsensusSettings = msgspec.field(name="voting", default_factory=ConsensusSettings)
 
     def operator_request_path(self, base: Path) -> Path:
-        """The file of operator requests to this member; `base` is the folder of the settings file."""
+        """The path of the operator requests to this member; `base` is the folder of the settings file."""
         if self.operator_request_file:
             return base / self.operator_request_file
         return base / self.state_folder / "wishes.json"
@@ -179,7 +179,7 @@
 def decode_versioned_file(data: bytes, kind: type[VersionedT], what: str, version: int) -> VersionedT:
     """Decode a JSON file into its type and check its version.
 
-    Raises SettingsFileError with the faulty key, or with `what` for a fault of the whole file.
+    Raises SettingsFileError, which names the faulty key, or `what` if the file as a whole is faulty.
     """
     try:
         decoded = msgspec.json.decode(data, type=kind)
@@ -193,14 +193,14 @@
 
 
 def _validation_error(error: msgspec.ValidationError, what: str) -> SettingsFileError:
-    """The error for a value that fails validation, beginning with its key."""
+    """The error for a value that fails validation; its text starts with the key."""
     text, _, path = str(error).partition(" - at `$")
     key = path.rstrip("`").lstrip(".")
     return SettingsFileError(f"{key or what}: {text}")
 
 
 def _decode(data: bytes | Any, kind: type[FileT], what: str) -> FileT:
-    """Decode a file or an already decoded value; the version is checked before all other keys."""
+    """Decode a file or an already decoded value; checks the version before all other keys."""
     try:
         value = msgspec.json.decode(data) if isinstance(data, bytes) else data
     except (msgspec.DecodeError, RecursionError) as error:
@@ -216,7 +216,7 @@
 def membership_from(data: bytes | Any) -> Membership:
     """Parse a membership file and check it; raises SettingsFileError.
 
-    Voters must be spread: no zone may be without a voter while another one has two.
+    Voters must be spread over the zones: no zone may lack a voter while another one has two.
     """
     membership = _decode(data, Membership, "members")
     _check_entries(membership.members)
@@ -225,13 +225,13 @@
 
 
 def _check_entries(entries: list[MemberEntry]) -> None:
-    """Names and addresses must be unique, and all members of a zone in one region."""
+    """Check that names and addresses are unique, and that each zone is in one region."""
     names: set[str] = set()
     addresses: set[str] = set()
     regions: dict[str, str] = {}
     for index, entry in enumerate(entries):
         if entry.name in names:
-            raise SettingsFileError(f"members[{index}].name: {entry.name} stands twice")
+            raise SettingsFileError(f"members[{index}].name: {entry.name} is used twice")
         names.add(entry.name)
         for key, address in (
             ("address", entry.address),
@@ -241,21 +241,21 @@
             if address is None:
                 continue
             if address in addresses:
-                raise SettingsFileError(f"members[{index}].{key}: {address} stands twice")
+                raise SettingsFileError(f"members[{index}].{key}: {address} is used twice")
             addresses.add(address)
         if regions.setdefault(entry.zone, entry.region) != entry.region:
-            raise SettingsFileError(f"members[{index}].region: zone {entry.zone} stands in two")
+            raise SettingsFileError(f"members[{index}].region: zone {entry.zone} is in two regions")
 
 
 def _check_voters(membership: Membership) -> None:
-    """The number of voters must be allowed, and the voters spread over the zones."""
+    """Check that the number of voters is allowed, and that they are spread over the zones."""
     voters = membership.voters
     if len(voters) not in VOTER_COUNTS:
-        raise SettingsFileError(f"members: {len(voters)} voters, and it takes 3, 5 or 7")
+        raise SettingsFileError(f"members: {len(voters)} voters, but 3, 5 or 7 are required")
     counts = {zone: sum(voter.zone == zone for voter in voters) for zone in membership.zones}
     zones_without = [zone for zone, count in counts.items() if count == 0]
     if zones_without and max(counts.values()) > 1:
-        raise SettingsFileError(f"members: zone {zones_without[0]} has no voter, and another has two")
+        raise SettingsFileError(f"members: zone {zones_without[0]} has no voter, but another zone has two")
 
 
 def settings_from(data: bytes | Any) -> ZoneSettings:
@@ -264,14 +264,14 @@
     evidence, damping, consensus = settings.evidence, settings.damping, settings.consensus
     fractions = list(settings.ramp.fractions)
     checks = (
-        (fractions == sorted(fractions), "ramp.shares: not in rising order"),
+        (fractions == sorted(fractions), "ramp.shares: not in ascending order"),
         (
             evidence.report_ttl_ms >= 2 * evidence.report_interval_ms,
-            "evidence.report_life_ms: less than two reports",
+            "evidence.report_life_ms: less than twice evidence.report_ms",
         ),
         (
             evidence.reporter_silence_ms >= 2 * evidence.report_interval_ms,
-            "evidence.hush_ms: less than two reports",
+            "evidence.hush_ms: less than twice evidence.report_ms",
         ),
         (
             damping.unanimous_failover_delay_ms <= damping.failover_delay_ms,
@@ -279,11 +279,11 @@
         ),
         (
             consensus.heartbeat_ms * 3 <= consensus.election_timeout_ms,
-            "voting.beat_ms: three do not fit into voting.election_ms",
+            "voting.beat_ms: more than a third of voting.election_ms",
         ),
         (
-            consensus.freshness_interval_ms * 2 <= consensus.plan_validity_ms,
-            "voting.fresh_ms: two do not fit into voting.valid_ms",
+            consensus.confirmation_interval_ms * 2 <= consensus.plan_validity_ms,
+            "voting.fresh_ms: more than half of voting.valid_ms",
         ),
     )
     for holds, text in checks:
--- a/fawnwharf/zones/voter_role.py
+++ b/fawnwharf/zones/voter_role.py
@@ -1,6 +1,7 @@
-"""The part of a member that votes: its voter in the consensus protocol, and its work while it leads.
+"""The voter of a member: its part in the consensus protocol, and its work as a leader.
 
-Pure. The leader proposes plans and voter lists, and states how fresh its plan is.
+The leader proposes plans and voter lists, and confirms that its plan is the latest one. The module does no
+I/O.
 """
 
 import msgspec
@@ -27,32 +28,32 @@
 
 
 class VoterStart(Struct, frozen=True):
-    """What a voter starts with."""
+    """The initial values of a voter."""
 
     identity: str
-    seed: int  # of the election timeouts
+    seed: int  # for the random election timeouts
     saved: m.PersistentState = m.PersistentState()
-    disk_writes: int = 0  # how often the state was written, ever
+    disk_writes: int = 0  # how often the state was written since the disk was created
 
 
 def member_name_of_voter(identity: str) -> str:
-    """The member's name in a voter identity: the part before `#`; the rest names the voter's disk."""
+    """The member's name in a voter identity, which is the part before `#`; the rest identifies the disk."""
     return identity.partition("#")[0]
 
 
 def voter_message_of(line: LogLine) -> m.Message:
-    """The line's message of the consensus protocol; raises LogLineError for a malformed or forged one."""
+    """Decode the consensus message of a line; raises LogLineError for a malformed or forged one."""
     try:
         message = m.message_from_object(line.voter_message)
     except msgspec.ValidationError as error:
         raise LogLineError(f"malformed voter message: {error}") from None
     if member_name_of_voter(message.sender) != line.sender:
-        raise LogLineError(f"a voter message of {message.sender} from {line.sender}")
+        raise LogLineError(f"voter message of {message.sender} in a line from {line.sender}")
     return message
 
 
 class VoterRole:
-    """Owns the voter of a member."""
+    """Owns the voter of a member, and carries out its work as a leader."""
 
     def __init__(self, state: MemberState, start: VoterStart, now_ms: float) -> None:
         consensus = state.settings.consensus
@@ -64,28 +65,28 @@
         self._role: Role | None = None  # as of the last check
         self._term = 0
         self._planning_due_ms = now_ms
-        self._freshness_due_ms = now_ms
-        self._watch_due_ms = now_ms
-        self._learn_plan(*self.voter.plan)
+        self._confirmation_due_ms = now_ms
+        self._observation_due_ms = now_ms
+        self._update_plan(*self.voter.plan)
 
     @property
     def due_ms(self) -> float:
-        """When `tick` must be called next."""
+        """The time at which `tick` must be called next."""
         if self.voter.is_leader:
-            return min(self.voter.due_ms, self._freshness_due_ms, self._planning_due_ms)
-        return min(self.voter.due_ms, self._watch_due_ms)
+            return min(self.voter.due_ms, self._confirmation_due_ms, self._planning_due_ms)
+        return min(self.voter.due_ms, self._observation_due_ms)
 
     # --- the consensus protocol -----------------------------------------------------------------
 
     def receive(self, now_ms: float, line: LogLine, message: m.Message) -> list[Effect]:
-        """Take a line of another voter's log with this message."""
+        """Handle the consensus message of a line of another voter's log."""
         entry = self._state.membership.find_member(line.sender)
         if entry is None or not entry.voter_address:
             self._state.drop_counts.add(DropCause.NON_VOTER)
             return []
         reported_before = self.reported_disk_writes.get(message.sender, 0)
         if reported_before > line.disk_writes:
-            # Its disk is an older copy of itself: it has lost what it promised since, and might vote twice.
+            # Its disk holds an older copy of its state, so it has lost votes and might vote twice in a term.
             self._state.drop_counts.add(DropCause.OLDER_DISK)
             return [OlderVoterState(message.sender, line.disk_writes, reported_before)]
         self.reported_disk_writes[message.sender] = line.disk_writes
@@ -95,14 +96,14 @@
         """Do what is due."""
         effects = self._carry_out(now_ms, self.voter.tick(now_ms))
         if self.voter.is_leader:
-            return effects + self._lead(now_ms)
-        if now_ms >= self._watch_due_ms:
-            self._watch_due_ms = now_ms + self._state.settings.evidence.report_interval_ms / 2
+            return effects + self._tick_as_leader(now_ms)
+        if now_ms >= self._observation_due_ms:
+            self._observation_due_ms = now_ms + self._state.settings.evidence.report_interval_ms / 2
             self._state.planner.update_verdicts(now_ms, self._state.membership, self._state.plan_tracker.plan)
         return effects
 
     def status(self, now_ms: float) -> ConsensusStatus:
-        """The voter's state, for log clients that change registers; a blank one while it does not lead."""
+        """The voter's status, for log clients that change registers; the default one unless it leads."""
         voter = self.voter
         if not voter.is_leader:
             return ConsensusStatus()
@@ -116,7 +117,7 @@
         )
 
     def propose_register(self, now_ms: float, text: str, kind: str) -> tuple[bool, list[Effect]]:
-        """Propose a register to the consensus log; False where it did not enter the log."""
+        """Propose a register to the consensus log; the bool is False if it did not enter the log."""
         index, actions = self.voter.propose(now_ms, text, kind)
         return index is not None, self._carry_out(now_ms, actions)
 
@@ -133,7 +134,7 @@
             elif isinstance(action, m.Send):
                 effects.append(self._send(action.message))
             else:
-                effects += self._commit(action)
+                effects += self._on_committed(action)
         effects += self._role_change(now_ms)
         return effects + self._state.plan_updates(now_ms)
 
@@ -141,19 +142,19 @@
         line = self._state.make_line(voter_message=msgspec.to_builtins(message), disk_writes=self.disk_writes)
         return SendVoterMessage(member_name_of_voter(message.to), line)
 
-    def _commit(self, committed: m.Committed) -> list[Effect]:
-        """The effects of one committed entry."""
+    def _on_committed(self, committed: m.Committed) -> list[Effect]:
+        """The effects of a committed entry."""
         if committed.kind == "voters":
             return [VotersDecided(committed.index, committed.voters)]
         if committed.kind in (POLICY, RECOVERY):
             return [RegisterDecided(committed.index, committed.text, committed.kind)]
-        if committed.kind != "plan" or not self._learn_plan(committed.index, committed.text):
+        if committed.kind != "plan" or not self._update_plan(committed.index, committed.text):
             return []
         plan = self._state.plan_tracker.plan
         return [PlanDecided(committed.index, committed.term, describe_zones(plan))]
 
-    def _learn_plan(self, index: int, text: str) -> bool:
-        """Take a committed plan; False where it is malformed or not later than the known one."""
+    def _update_plan(self, index: int, text: str) -> bool:
+        """Use a committed plan; False if it is malformed or not later than the known one."""
         try:
             return self._state.plan_tracker.learn(index, text)
         except PlanError:
@@ -161,34 +162,36 @@
             return False
 
     def _role_change(self, now_ms: float) -> list[Effect]:
-        """The event of a change from or to leader."""
+        """The event to log if the voter became leader, stepped down or leads in another term."""
         role, term = self.voter.role, self.voter.saved.term
         changed = (role, term) != (self._role, self._term) and Role.LEADER in (role, self._role)
         self._role, self._term = role, term
         if not changed:
             return []
         if role is Role.LEADER:
-            # It has watched as a follower. If it has not watched for as long as a report counts, it may not
-            # have received the reports of all members yet, and waits.
-            watched_ms = self._state.planner.watching_since_ms
-            self._planning_due_ms = max(now_ms, watched_ms + self._state.settings.evidence.report_ttl_ms)
-            self._freshness_due_ms = now_ms
+            # If it observed as a follower for less than the lifetime of a report, it may not have received
+            # the reports of all members yet. Then it waits until that time has passed.
+            observed_since_ms = self._state.planner.observing_since_ms
+            self._planning_due_ms = max(
+                now_ms, observed_since_ms + self._state.settings.evidence.report_ttl_ms
+            )
+            self._confirmation_due_ms = now_ms
         return [RoleChanged(role.value, term)]
 
     # --- leading --------------------------------------------------------------------------------
 
-    def _lead(self, now_ms: float) -> list[Effect]:
+    def _tick_as_leader(self, now_ms: float) -> list[Effect]:
         effects: list[Effect] = []
         if now_ms >= self._planning_due_ms:
             self._planning_due_ms = now_ms + self._state.settings.evidence.report_interval_ms / 2
             effects += self._propose_changes(now_ms)
-        if now_ms >= self._freshness_due_ms and self.voter.holds_read_lease(now_ms):
-            self._freshness_due_ms = now_ms + self._state.settings.consensus.freshness_interval_ms
-            effects += self._state_freshness(now_ms)
+        if now_ms >= self._confirmation_due_ms and self.voter.holds_read_lease(now_ms):
+            self._confirmation_due_ms = now_ms + self._state.settings.consensus.confirmation_interval_ms
+            effects += self._confirm_plan(now_ms)
         return effects
 
-    def _state_freshness(self, now_ms: float) -> list[Effect]:
-        """State that the last committed plan is the latest one."""
+    def _confirm_plan(self, now_ms: float) -> list[Effect]:
+        """Publish the confirmation that the last committed plan is the latest one."""
         index, _ = self.voter.plan
         if not index:
             return []
@@ -197,9 +200,9 @@
         return [PublishLine(line)]
 
     def _propose_changes(self, now_ms: float) -> list[Effect]:
-        """Propose another voter list, or else another plan.
+        """Propose a new voter list if needed, or else a new plan if needed.
 
-        One proposal at a time, and none on a view that may be stale.
+        Only one proposal is open at a time, and none is made without a read lease.
         """
         if not self._is_fully_committed() or not self.voter.holds_read_lease(now_ms):
             return []
@@ -209,7 +212,7 @@
         planner, membership = self._state.planner, self._state.membership
         plan = self._state.plan_tracker.plan
         next_plan = planner.next_plan(now_ms, membership, plan)
-        effects: list[Effect] = [PlanChangeRejected(*item) for item in planner.rejected.items()]
+        effects: list[Effect] = [PlanChangeRejected(*item) for item in planner.rejected_changes.items()]
         if next_plan is None:
             return effects
         _, actions = self.voter.propose(now_ms, next_plan.encode())
@@ -229,36 +232,40 @@
         return [VotersProposed(index, before, after), *self._carry_out(now_ms, actions)]
 
     def _next_voters(self, now_ms: float) -> tuple[str, ...] | None:
-        """The voter list that comes closer to the membership by one voter; None where none is needed.
+        """The voter list that is one voter closer to the membership; None if no change is needed.
 
-        A voter with another disk is another voter: the messages of the old one may still count, and the new
-        one does not know what the old one promised. So the old one is removed first, then the new one added.
+        A member with a new disk is a new voter: it does not know the votes of the old one, whose messages may
+        still be received. Therefore the old voter is removed before the new one is added.
         """
         voters = self.voter.saved.voters
-        wanted = {member.name for member in self._state.membership.voters}
-        present = self._present_identities(now_ms, wanted)
-        removed = [voter for voter in voters if member_name_of_voter(voter) not in wanted]
-        replaced = [voter for voter in voters if present.get(member_name_of_voter(voter), voter) != voter]
-        if (removed or replaced) and len(voters) > 1:
+        desired_voters = {member.name for member in self._state.membership.voters}
+        reported_identities = self._reported_identities(now_ms, desired_voters)
+        removed = [voter for voter in voters if member_name_of_voter(voter) not in desired_voters]
+        replaced_disks = [
+            voter for voter in voters if reported_identities.get(member_name_of_voter(voter), voter) != voter
+        ]
+        if (removed or replaced_disks) and len(voters) > 1:
             # The leader removes itself last.
-            first = min(replaced + removed, key=lambda voter: voter == self.voter.identity)
-            return tuple(voter for voter in voters if voter != first)
-        listed = {member_name_of_voter(voter) for voter in voters}
-        missing = [identity for name, identity in sorted(present.items()) if name not in listed]
+            next_removed = min(replaced_disks + removed, key=lambda voter: voter == self.voter.identity)
+            return tuple(voter for voter in voters if voter != next_removed)
+        listed_members = {member_name_of_voter(voter) for voter in voters}
+        missing = [
+            identity for name, identity in sorted(reported_identities.items()) if name not in listed_members
+        ]
         return (*voters, missing[0]) if missing else None
 
-    def _present_identities(self, now_ms: float, wanted: set[str]) -> dict[str, str]:
-        """The voter identities that members which should vote currently report, by member."""
+    def _reported_identities(self, now_ms: float, desired_voters: set[str]) -> dict[str, str]:
+        """The voter identities in the current reports of members that should vote, by member."""
         reports = self._state.planner.current_reports(now_ms, self._state.membership).values()
         return {
             report.name: report.voter_identity
             for report in reports
-            if report.name in wanted and report.voter_identity.startswith(report.name + "#")
+            if report.name in desired_voters and report.voter_identity.startswith(report.name + "#")
         }
 
 
 def describe_zones(plan: Plan) -> dict[str, str]:
-    """The state and the open fraction of each zone, for operators."""
+    """The state and the fraction of each zone, as operators see them."""
     return {name: f"{zone.state} {zone.fraction:g}" for name, zone in plan.zones.items()}
 
 
--- a/tests/zones/test_zones_member_core.py
+++ b/tests/zones/test_zones_member_core.py
@@ -62,7 +62,7 @@
     assert {fleet.cores[name].plan_index for name in inside} == {before}
     assert all(fleet.following[name].plan is None for name in inside)
     old = [at for at, name, note in fleet.notes if name in inside and note.event == "plan expired"]
-    most = fleet.settings.consensus.plan_validity_ms + fleet.settings.consensus.freshness_interval_ms
+    most = fleet.settings.consensus.plan_validity_ms + fleet.settings.consensus.confirmation_interval_ms
     assert len(old) == 3
     assert max(old) - cut <= most
     assert fleet.state("n1", "a") == p.OUT
@@ -95,7 +95,7 @@
     fleet.file = later
     fleet.disks["n4"] = PersistentState()
     for name in ("n0", "n1", "n2", "n3", "n5"):
-        fleet.do(name, fleet.cores[name].take_membership(later))
+        fleet.do(name, fleet.cores[name].apply_membership(later))
     fleet.start("n4", "n4#0")
     fleet.run(20)
     [name] = fleet.leaders()
--- a/tests/zones/test_zones_settings.py
+++ b/tests/zones/test_zones_settings.py
@@ -6,54 +6,58 @@
 from fawnwharf.zones import settings as s
 
 
-def wrong(change, zones="aab", voters=3):
+def faulty_members(change, zones="aab", voters=3):
     data = members_data(zones, voters)
     change(data)
     return data
 
 
 @pytest.mark.parametrize(
-    ("data", "text"),
+    ("data", "expected_text"),
     [
         (b'{"version": 1, "fle', "members: not JSON"),
-        (wrong(lambda d: d.update(version=2)), "version: 2"),
-        (wrong(lambda d: d["members"][1].update(name="n0")), r"members\[1\].name: n0 stands twice"),
-        (wrong(lambda d: d["members"][1].update(address="127.0.0.1:5000")), r"members\[1\].address"),
-        (wrong(lambda d: d["members"][1].update(region="x")), r"members\[1\].region: zone a stands in two"),
-        (wrong(lambda d: d["members"][1].pop("ballots")), "members: 2 voters, and it takes 3, 5 or 7"),
-        (wrong(lambda d: d["members"][2].update(zone="a") or d["members"].append(
+        (faulty_members(lambda d: d.update(version=2)), "version: 2"),
+        (faulty_members(lambda d: d["members"][1].update(name="n0")), r"members\[1\].name: n0 is used twice"),
+        (faulty_members(lambda d: d["members"][1].update(address="127.0.0.1:5000")), r"members\[1\].address"),
+        (faulty_members(lambda d: d["members"][1].update(region="x")),
+            r"members\[1\].region: zone a is in two regions"),
+        (faulty_members(lambda d: d["members"][1].pop("ballots")), "members: 2 voters, but 3, 5 or 7 are required"),
+        (faulty_members(lambda d: d["members"][2].update(zone="a") or d["members"].append(
             {"name": "z", "zone": "b", "address": "127.0.0.1:1"})), "zone b has no voter"),
-        (wrong(lambda d: d.update(members=[])), "members"),
-        (wrong(lambda d: d.update(number=0)), "number"),
-        (wrong(lambda d: d["members"][0].update(address="somewhere")), r"members\[0\].address"),
+        (faulty_members(lambda d: d.update(members=[])), "members"),
+        (faulty_members(lambda d: d.update(number=0)), "number"),
+        (faulty_members(lambda d: d["members"][0].update(address="somewhere")), r"members\[0\].address"),
     ],
 )  # fmt: skip
-def test_a_faulty_membership_file_is_rejected_by_its_key(data, text):
-    with pytest.raises(s.SettingsFileError, match=text):
+def test_a_faulty_membership_file_is_rejected_by_its_key(data, expected_text):
+    with pytest.raises(s.SettingsFileError, match=expected_text):
         s.membership_from(data)
 
 
 @pytest.mark.parametrize(
-    ("more", "text"),
+    ("changes", "expected_text"),
     [
         ({"version": 9}, "version"),
         ({"spill": {"share": 1.5}}, "spill.share"),
         ({"spill": {"zones": {"a": -0.1}}}, r"spill.zones\[...\]"),
-        ({"ramp": {"shares": [0.5, 0.25]}}, "ramp.shares: not in rising order"),
+        ({"ramp": {"shares": [0.5, 0.25]}}, "ramp.shares: not in ascending order"),
         ({"damping": {"out_ms": 0}}, "damping.out_ms"),
         ({"voting": {"beat_ms": 500}}, "voting.beat_ms"),
         ({"evidence": {"report_ms": 1500}}, "evidence.report_life_ms"),
         ({"voting": {"valid_ms": 600}}, "voting.fresh_ms"),
     ],
 )
-def test_a_faulty_settings_file_is_rejected_by_its_key(more, text):
-    with pytest.raises(s.SettingsFileError, match=text):
-        settings(**more)
+def test_a_faulty_settings_file_is_rejected_by_its_key(changes, expected_text):
+    with pytest.raises(s.SettingsFileError, match=expected_text):
+        settings(**changes)
 
 
 def test_operator_requests_for_all_zones_or_an_unknown_zone_are_rejected():
-    for drained, text in ((["a", "b"], "all zones would be out"), (["c"], r"drained\[0\]: no zone c")):
-        with pytest.raises(s.SettingsFileError, match=text):
+    for drained, expected_text in (
+        (["a", "b"], "all zones would be out"),
+        (["c"], r"drained\[0\]: no zone c"),
+    ):
+        with pytest.raises(s.SettingsFileError, match=expected_text):
             s.operator_request_from({"version": 1, "number": 1, "drained": drained}, {"a", "b"})
     assert s.operator_request_from({"version": 1, "number": 1, "drained": ["a"]}, {"a", "b"}).drained == (
         "a",
