--- a/tests/zones/test_zones_member_core.py
+++ b/tests/zones/test_zones_member_core.py
@@ -1,4 +1,4 @@
-"""The cores of a fleet's members in virtual time: elections, plans, membership changes, malformed lines."""
+"""Member cores of a fleet in virtual time: elections, plans, membership changes and malformed lines."""
 
 import msgspec
 import pytest
@@ -17,11 +17,11 @@
     assert len(fleet.leaders()) == 1
     leader = fleet.cores[fleet.leaders()[0]]
     assert {v.partition("#")[0] for v in leader.voter.saved.voters} == {"n0", "n1", "n2"}
-    assert fleet.valid() == set(fleet.cores)
-    assert {effect.index for effect in fleet.following.values()} == {leader.plan_index}
+    assert fleet.members_with_valid_plan() == set(fleet.cores)
+    assert {effect.index for effect in fleet.applied_plans.values()} == {leader.plan_index}
 
 
-def lost(zone):
+def loss_of(zone):
     return lambda member, other: DEAD if (other == zone) != (member.zone == zone) else GOOD
 
 
@@ -29,47 +29,60 @@
     fleet = ZoneFleet(members("abcabcabc", 3)).run(15)
     zone = fleet.file.find_member(fleet.leaders()[0]).zone
     fleet.dead = {member.name for member in fleet.file.members if member.zone == zone}
-    fleet.seen = lambda _member, other: DEAD if other == zone else GOOD
+    fleet.evidence_for = lambda _member, other: DEAD if other == zone else GOOD
     fleet.run(12)
-    rest = set(fleet.cores) - fleet.dead
-    assert fleet.valid() == rest
-    assert {fleet.state(name, zone) for name in rest} == {p.OUT}
+    remaining = set(fleet.cores) - fleet.dead
+    assert fleet.members_with_valid_plan() == remaining
+    assert {fleet.zone_state(name, zone) for name in remaining} == {p.OUT}
 
 
 def test_a_new_leader_uses_what_it_observed_as_a_follower():
     fleet = ZoneFleet(members("abcabcabc", 3)).run(15)
     zone = fleet.file.find_member(fleet.leaders()[0]).zone
-    lost = fleet.now
+    lost_ms = fleet.now
     fleet.dead = {member.name for member in fleet.file.members if member.zone == zone}
-    fleet.seen = lambda _member, other: DEAD if other == zone else GOOD
+    fleet.evidence_for = lambda _member, other: DEAD if other == zone else GOOD
     fleet.run(6)
-    led = min(at for at, _, note in fleet.notes if note.event == "role" and at > lost)
-    went = min(at for at, _, note in fleet.notes if note.event == "plan proposed" and at > lost)
-    rules = fleet.settings
-    assert went - led <= rules.evidence.report_interval_ms
-    assert went - lost <= 2 * rules.consensus.election_timeout_ms + 2 * rules.evidence.report_interval_ms
+    became_leader_ms = min(
+        at_ms for at_ms, _, event in fleet.zone_events if event.event == "role" and at_ms > lost_ms
+    )
+    proposed_ms = min(
+        at_ms for at_ms, _, event in fleet.zone_events if event.event == "plan proposed" and at_ms > lost_ms
+    )
+    settings = fleet.settings
+    assert proposed_ms - became_leader_ms <= settings.evidence.report_interval_ms
+    assert (
+        proposed_ms - lost_ms
+        <= 2 * settings.consensus.election_timeout_ms + 2 * settings.evidence.report_interval_ms
+    )
 
 
 def test_a_minority_decides_nothing_lets_its_plan_expire_and_takes_the_new_one():
     fleet = ZoneFleet(members("abcabcabc", 3)).run(15)
     before = fleet.cores["n0"].plan_index
     fleet.part("a")
-    fleet.seen = lost("a")
-    cut = fleet.now
+    fleet.evidence_for = loss_of("a")
+    cut_ms = fleet.now
     fleet.run(10)
-    inside = {"n0", "n3", "n6"}
-    assert fleet.valid() == set(fleet.cores) - inside
-    assert {fleet.cores[name].plan_index for name in inside} == {before}
-    assert all(fleet.following[name].plan is None for name in inside)
-    old = [at for at, name, note in fleet.notes if name in inside and note.event == "plan expired"]
-    most = fleet.settings.consensus.plan_validity_ms + fleet.settings.consensus.confirmation_interval_ms
-    assert len(old) == 3
-    assert max(old) - cut <= most
-    assert fleet.state("n1", "a") == p.OUT
+    isolated = {"n0", "n3", "n6"}
+    assert fleet.members_with_valid_plan() == set(fleet.cores) - isolated
+    assert {fleet.cores[name].plan_index for name in isolated} == {before}
+    assert all(fleet.applied_plans[name].plan is None for name in isolated)
+    expired_ms = [
+        at_ms
+        for at_ms, name, event in fleet.zone_events
+        if name in isolated and event.event == "plan expired"
+    ]
+    max_expiry_ms = (
+        fleet.settings.consensus.plan_validity_ms + fleet.settings.consensus.confirmation_interval_ms
+    )
+    assert len(expired_ms) == 3
+    assert max(expired_ms) - cut_ms <= max_expiry_ms
+    assert fleet.zone_state("n1", "a") == p.OUT
     fleet.cut.clear()
-    fleet.seen = lambda _member, _zone: GOOD
+    fleet.evidence_for = lambda _member, _zone: GOOD
     fleet.run(3)
-    assert fleet.valid() == set(fleet.cores)
+    assert fleet.members_with_valid_plan() == set(fleet.cores)
     assert len({fleet.cores[name].plan_index for name in fleet.cores}) == 1
 
 
@@ -86,12 +99,12 @@
 
 
 def test_membership_changes_during_a_failover_and_one_voter_replaces_another():
-    file = members("abcabc", 3)
-    fleet = ZoneFleet(file).run(15)
+    membership = members("abcabc", 3)
+    fleet = ZoneFleet(membership).run(15)
     data = members_data("abcabc", 3) | {"number": 2}
     data["members"][4]["ballots"] = data["members"][1].pop("ballots")
     later = s.membership_from(data)
-    fleet.seen = lambda member, other: DEAD if other == "c" and member.zone != "c" else GOOD
+    fleet.evidence_for = lambda member, other: DEAD if other == "c" and member.zone != "c" else GOOD
     fleet.file = later
     fleet.disks["n4"] = PersistentState()
     for name in ("n0", "n1", "n2", "n3", "n5"):
@@ -100,8 +113,10 @@
     fleet.run(20)
     [name] = fleet.leaders()
     assert {v.partition("#")[0] for v in fleet.cores[name].voter.saved.voters} == {"n0", "n2", "n4"}
-    assert fleet.cores[name].plan.unreachable_pairs  # c serves its own: the others do not reach it
-    assert fleet.valid() == set(fleet.cores)
+    assert fleet.cores[
+        name
+    ].plan.unreachable_pairs  # c still serves its own calls; the other zones do not reach it
+    assert fleet.members_with_valid_plan() == set(fleet.cores)
 
 
 @pytest.mark.parametrize(
@@ -141,7 +156,7 @@
     fleet = ZoneFleet(members("abcabc", 3)).run(10)
     core = fleet.cores["n0"]
     term = core.voter.saved.term
-    ballot = {
+    vote_request = {
         "type": "Vote",
         "sender": "n2#0",
         "to": "n0#0",
@@ -150,12 +165,17 @@
         "last_term": 99,
     }
     with pytest.raises(LogLineError):
-        core.receive_voter_line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": ballot})
-    for bad in ({}, {"type": "Vote"}, 7):
+        core.receive_voter_line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": vote_request})
+    for malformed in ({}, {"type": "Vote"}, 7):
         with pytest.raises(LogLineError):
-            core.receive_voter_line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": bad})
-    stray = ballot | {"sender": "n4#0"}
-    assert core.receive_voter_line(fleet.now, "n4", {"fleet": "f", "sender": "n4", "ballot": stray}) == []
+            core.receive_voter_line(fleet.now, "n1", {"fleet": "f", "sender": "n1", "ballot": malformed})
+    message_of_non_voter = vote_request | {"sender": "n4#0"}
+    assert (
+        core.receive_voter_line(
+            fleet.now, "n4", {"fleet": "f", "sender": "n4", "ballot": message_of_non_voter}
+        )
+        == []
+    )
     assert core.voter.saved.term == term
     assert core.state.drop_counts.dropped["voter message of a non-voter"] == 1
 
@@ -174,14 +194,14 @@
 def test_messages_of_a_voter_with_an_older_copy_of_its_disk_are_ignored():
     fleet = ZoneFleet(members("abcabc", 3)).run(15)
     core = fleet.cores["n0"]
-    most = core.voter_role.reported_disk_writes["n1#0"]
+    last_disk_writes = core.voter_role.reported_disk_writes["n1#0"]
     vote = {"type": "Vote", "sender": "n1#0", "to": "n0#0", "term": 999, "last_index": 999, "last_term": 999}
-    line = {"fleet": "f", "sender": "n1", "ballot": vote, "saves": most - 1}
-    later = fleet.now + 60_000.0  # bound to nobody any more
-    [note] = core.receive_voter_line(later, "n1", line)
-    assert note.event == "older disk"
+    line = {"fleet": "f", "sender": "n1", "ballot": vote, "saves": last_disk_writes - 1}
+    later = fleet.now + 60_000.0  # when no voter is bound to a leader any more
+    [event] = core.receive_voter_line(later, "n1", line)
+    assert event.event == "older disk"
     assert core.voter.saved.term < 999
-    effects = core.receive_voter_line(later, "n1", line | {"saves": most})
+    effects = core.receive_voter_line(later, "n1", line | {"saves": last_disk_writes})
     assert any(isinstance(effect, SaveVoterState) for effect in effects)
 
 
@@ -190,48 +210,53 @@
     line = {"fleet": "f", "sender": "n1", "policy": 1, "recovery": 2}
     line["words"] = [{"said": "p"}, {"said": "r", "rider": "recovery"}, {"said": "q", "to": ["n2"]}]
     found = fleet.cores["n0"].receive_line(1.0, "n1", line)
-    heard = {
+    received = {
         effect.client: (effect.messages, effect.status)
         for effect in found
         if isinstance(effect, MessagesReceived)
     }
-    assert heard == {"policy": (("p",), 1), "recovery": (("r",), 2)}
-    word = msgspec.json.encode(ClientMessage("p", ("n2",)))
-    assert word == b'{"said":"p","to":["n2"]}'  # as it was said before
+    assert received == {"policy": (("p",), 1), "recovery": (("r",), 2)}
+    encoded = msgspec.json.encode(ClientMessage("p", ("n2",)))
+    assert encoded == b'{"said":"p","to":["n2"]}'  # the encoding of earlier versions, without a client
 
 
 def test_registers_of_both_kinds_are_decided_at_all_voters_and_are_in_the_consensus_status():
     fleet, found = ZoneFleet(members("abc", 3)).run(15), {}
     [leader] = fleet.leaders()
-    do = fleet.do
+    carry_out_effects = fleet.do
 
-    def kept(name, effects):
+    def recorded(name, effects):
         found.setdefault(name, []).extend((e.kind, e.text) for e in effects if isinstance(e, RegisterDecided))
-        do(name, effects)
+        carry_out_effects(name, effects)
 
-    fleet.do = kept
+    fleet.do = recorded
     for text, kind in (("one", "policy"), ("two", "recovery"), ("three", "policy")):
-        put, effects = fleet.cores[leader].propose_register(fleet.now, text, kind)
-        assert put
+        entered, effects = fleet.cores[leader].propose_register(fleet.now, text, kind)
+        assert entered
         fleet.do(leader, effects)
         fleet.run(0.5)
     assert list(found.values()) == [[("policy", "one"), ("recovery", "two"), ("policy", "three")]] * 3
-    seat = fleet.cores[leader].consensus_status(fleet.now)
-    assert (seat.policy, seat.recovery, seat.holds_read_lease, len(seat.voters)) == ("three", "two", True, 3)
+    status = fleet.cores[leader].consensus_status(fleet.now)
+    assert (status.policy, status.recovery, status.holds_read_lease, len(status.voters)) == (
+        "three",
+        "two",
+        True,
+        3,
+    )
 
 
 def test_voter_messages_state_how_often_the_disk_was_written():
     fleet = ZoneFleet(members("abc", 3))
-    kept = dict.fromkeys(fleet.cores, 0)
-    do = fleet.do
+    recorded = dict.fromkeys(fleet.cores, 0)
+    carry_out_effects = fleet.do
 
     def count(name, effects):
         for effect in effects:
-            kept[name] += isinstance(effect, SaveVoterState)
+            recorded[name] += isinstance(effect, SaveVoterState)
             if isinstance(effect, SendVoterMessage):
-                assert effect.line.disk_writes == kept[name]
-        do(name, effects)
+                assert effect.line.disk_writes == recorded[name]
+        carry_out_effects(name, effects)
 
     fleet.do = count
     fleet.run(12)
-    assert min(kept.values()) > 2
+    assert min(recorded.values()) > 2
--- a/tests/zones/test_zones_settings.py
+++ b/tests/zones/test_zones_settings.py
@@ -6,7 +6,7 @@
 from fawnwharf.zones import settings as s
 
 
-def faulty_members(change, zones="aab", voters=3):
+def faulty(change, zones="aab", voters=3):
     data = members_data(zones, voters)
     change(data)
     return data
@@ -16,17 +16,17 @@
     ("data", "expected_text"),
     [
         (b'{"version": 1, "fle', "members: not JSON"),
-        (faulty_members(lambda d: d.update(version=2)), "version: 2"),
-        (faulty_members(lambda d: d["members"][1].update(name="n0")), r"members\[1\].name: n0 is used twice"),
-        (faulty_members(lambda d: d["members"][1].update(address="127.0.0.1:5000")), r"members\[1\].address"),
-        (faulty_members(lambda d: d["members"][1].update(region="x")),
+        (faulty(lambda d: d.update(version=2)), "version: 2"),
+        (faulty(lambda d: d["members"][1].update(name="n0")), r"members\[1\].name: n0 is used twice"),
+        (faulty(lambda d: d["members"][1].update(address="127.0.0.1:5000")), r"members\[1\].address"),
+        (faulty(lambda d: d["members"][1].update(region="x")),
             r"members\[1\].region: zone a is in two regions"),
-        (faulty_members(lambda d: d["members"][1].pop("ballots")), "members: 2 voters, but 3, 5 or 7 are required"),
-        (faulty_members(lambda d: d["members"][2].update(zone="a") or d["members"].append(
+        (faulty(lambda d: d["members"][1].pop("ballots")), "members: 2 voters, but 3, 5 or 7 are required"),
+        (faulty(lambda d: d["members"][2].update(zone="a") or d["members"].append(
             {"name": "z", "zone": "b", "address": "127.0.0.1:1"})), "zone b has no voter"),
-        (faulty_members(lambda d: d.update(members=[])), "members"),
-        (faulty_members(lambda d: d.update(number=0)), "number"),
-        (faulty_members(lambda d: d["members"][0].update(address="somewhere")), r"members\[0\].address"),
+        (faulty(lambda d: d.update(members=[])), "members"),
+        (faulty(lambda d: d.update(number=0)), "number"),
+        (faulty(lambda d: d["members"][0].update(address="somewhere")), r"members\[0\].address"),
     ],
 )  # fmt: skip
 def test_a_faulty_membership_file_is_rejected_by_its_key(data, expected_text):
