--- a/fawnwharf/zones/command_helpers.py
+++ b/fawnwharf/zones/command_helpers.py
@@ -68,10 +68,10 @@
         deadline_s = time.monotonic() + timeout_s
         while time.monotonic() < deadline_s:
             text = reader.readline()
-            numbered = json.loads(text) if text else None
-            if not isinstance(numbered, dict) or not numbered.get("whole"):
+            numbered_line = json.loads(text) if text else None
+            if not isinstance(numbered_line, dict) or not numbered_line.get("whole"):
                 break  # all current lines were received
             for key in keys:
-                if key in numbered.get("line", {}):
-                    found[key] = numbered["line"]
+                if key in numbered_line.get("line", {}):
+                    found[key] = numbered_line["line"]
     return found
--- a/fawnwharf/zones/log_events.py
+++ b/fawnwharf/zones/log_events.py
@@ -22,7 +22,7 @@
 
 
 class ZonesEnabled(ZoneLogEvent, frozen=True):
-    """This front end takes part in the fleet's decisions."""
+    """Zones are enabled at this front end, which is a member of the fleet."""
 
     event = "zones enabled"
     member: str
@@ -120,7 +120,7 @@
 
 
 class PlanDecided(ZoneLogEvent, frozen=True):
-    """A plan was decided; `zones` has the state and the open fraction of each zone."""
+    """A plan was decided; `zones` has the state and the fraction of each zone."""
 
     event = "plan"
     index: int
--- a/fawnwharf/zones/member_log.py
+++ b/fawnwharf/zones/member_log.py
@@ -70,11 +70,11 @@
         """
         if not isinstance(read, dict):
             return False
-        seq, life, whole = read.get("seq"), read.get("life"), read.get("whole") is True
-        if type(seq) is not int or type(life) is not int or seq < 0 or life <= 0:
+        seq, incarnation, is_whole = read.get("seq"), read.get("life"), read.get("whole") is True
+        if type(seq) is not int or type(incarnation) is not int or seq < 0 or incarnation <= 0:
             return False
-        if not whole:
-            if life != self.incarnation:
+        if not is_whole:
+            if incarnation != self.incarnation:
                 return self._restart()
             if seq <= self.seq:
                 return True
@@ -82,7 +82,7 @@
                 return self._restart()
         if "line" in read and not self._receive(read["line"]):
             return False
-        self.incarnation, self.seq = life, seq
+        self.incarnation, self.seq = incarnation, seq
         return True
 
     def _restart(self) -> bool:
--- a/fawnwharf/zones/plan_application.py
+++ b/fawnwharf/zones/plan_application.py
@@ -28,7 +28,7 @@
         self._settings = deployment.settings
         self._zone = zone
         self._membership = membership
-        self._followed: ApplyPlan | None = None
+        self._applied: ApplyPlan | None = None
 
     def set_policy_limits(
         self, front: FrontEnd, total_quota_rps: float, spillover_limits: dict[str, float]
@@ -42,11 +42,11 @@
             return None
         self.total_quota_rps = total_quota_rps
         self.spillover_limits = spillover_limits
-        return self.apply(front, self._followed) if self._followed is not None else None
+        return self.apply(front, self._applied) if self._applied is not None else None
 
     def apply(self, front: FrontEnd, effect: ApplyPlan) -> ZoneLogEvent:
         """Apply a plan, or none; returns the event to log."""
-        self._followed = effect
+        self._applied = effect
         plan = effect.plan
         if plan is not None and self.spillover_limits:
             plan = limit_spillover(plan, self.spillover_limits)
--- a/fawnwharf/zones/planner.py
+++ b/fawnwharf/zones/planner.py
@@ -233,7 +233,7 @@
         delay_ms = damping.failover_delay_ms
         if zone.planned.state == RECOVERING:
             delay_ms /= 2  # it was lost a short time ago
-        # Both delays run at the same time: silent front ends are only noticed after a while.
+        # Both delays run at the same time, because silence is only noticed after `reporter_silence_ms`.
         unanimous = zone.history.unanimous.has_lasted(zone.now_ms, damping.unanimous_failover_delay_ms)
         return zone.verdict.lost and (unanimous or zone.history.dead.has_lasted(zone.now_ms, delay_ms))
 
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -74,7 +74,7 @@
     slow_fraction: Fraction = msgspec.field(name="slow_share", default=0.5)
     # The interval between a member's reports.
     report_interval_ms: DurationMs = msgspec.field(name="report_ms", default=300.0)
-    # A report older than this is ignored, whatever it says of a zone.
+    # A report older than this is ignored, whether it shows a zone as alive or as dead.
     report_ttl_ms: DurationMs = msgspec.field(name="report_life_ms", default=1_200.0)
     # A zone with `min_observations` failing scorers is dead after this time without a success.
     no_success_ms: DurationMs = msgspec.field(name="quiet_ms", default=400.0)
--- a/fawnwharf/zones/voter_role.py
+++ b/fawnwharf/zones/voter_role.py
@@ -273,7 +273,7 @@
     """The zones that differ between two plans."""
     changes: dict[str, ZoneChange] = {}
     for name, zone in after.zones.items():
-        old = before.zones.get(name)
-        if zone != old:
-            changes[name] = ZoneChange(old.state if old else "", zone.state, zone.reason)
+        old_zone = before.zones.get(name)
+        if zone != old_zone:
+            changes[name] = ZoneChange(old_zone.state if old_zone else "", zone.state, zone.reason)
     return changes
--- a/tests/zones/test_zones_member_core.py
+++ b/tests/zones/test_zones_member_core.py
@@ -113,9 +113,8 @@
     fleet.run(20)
     [name] = fleet.leaders()
     assert {v.partition("#")[0] for v in fleet.cores[name].voter.saved.voters} == {"n0", "n2", "n4"}
-    assert fleet.cores[
-        name
-    ].plan.unreachable_pairs  # c still serves its own calls; the other zones do not reach it
+    # Zone c keeps serving its own calls, although the other zones do not reach it.
+    assert fleet.cores[name].plan.unreachable_pairs
     assert fleet.members_with_valid_plan() == set(fleet.cores)
 
 
@@ -180,7 +179,7 @@
     assert core.state.drop_counts.dropped["voter message of a non-voter"] == 1
 
 
-def test_a_statement_on_an_older_plan_confirms_nothing():
+def test_a_confirmation_of_an_older_plan_has_no_effect():
     fleet = ZoneFleet(members("abc", 3)).run(10)
     core = fleet.cores["n0"]
     core.state.plan_tracker.confirmed_ms = None
@@ -195,24 +194,31 @@
     fleet = ZoneFleet(members("abcabc", 3)).run(15)
     core = fleet.cores["n0"]
     last_disk_writes = core.voter_role.reported_disk_writes["n1#0"]
-    vote = {"type": "Vote", "sender": "n1#0", "to": "n0#0", "term": 999, "last_index": 999, "last_term": 999}
-    line = {"fleet": "f", "sender": "n1", "ballot": vote, "saves": last_disk_writes - 1}
-    later = fleet.now + 60_000.0  # when no voter is bound to a leader any more
-    [event] = core.receive_voter_line(later, "n1", line)
+    vote_request = {
+        "type": "Vote",
+        "sender": "n1#0",
+        "to": "n0#0",
+        "term": 999,
+        "last_index": 999,
+        "last_term": 999,
+    }
+    line = {"fleet": "f", "sender": "n1", "ballot": vote_request, "saves": last_disk_writes - 1}
+    later_ms = fleet.now + 60_000.0  # when no voter is bound to a leader any more
+    [event] = core.receive_voter_line(later_ms, "n1", line)
     assert event.event == "older disk"
     assert core.voter.saved.term < 999
-    effects = core.receive_voter_line(later, "n1", line | {"saves": last_disk_writes})
+    effects = core.receive_voter_line(later_ms, "n1", line | {"saves": last_disk_writes})
     assert any(isinstance(effect, SaveVoterState) for effect in effects)
 
 
-def test_messages_are_passed_to_their_log_client_and_one_without_a_client_to_the_policys():
+def test_messages_are_passed_to_their_log_client_which_is_policy_by_default():
     fleet = ZoneFleet(members("abc", 3))
     line = {"fleet": "f", "sender": "n1", "policy": 1, "recovery": 2}
     line["words"] = [{"said": "p"}, {"said": "r", "rider": "recovery"}, {"said": "q", "to": ["n2"]}]
-    found = fleet.cores["n0"].receive_line(1.0, "n1", line)
+    effects = fleet.cores["n0"].receive_line(1.0, "n1", line)
     received = {
         effect.client: (effect.messages, effect.status)
-        for effect in found
+        for effect in effects
         if isinstance(effect, MessagesReceived)
     }
     assert received == {"policy": (("p",), 1), "recovery": (("r",), 2)}
@@ -221,21 +227,23 @@
 
 
 def test_registers_of_both_kinds_are_decided_at_all_voters_and_are_in_the_consensus_status():
-    fleet, found = ZoneFleet(members("abc", 3)).run(15), {}
+    fleet, registers = ZoneFleet(members("abc", 3)).run(15), {}
     [leader] = fleet.leaders()
     carry_out_effects = fleet.do
 
-    def recorded(name, effects):
-        found.setdefault(name, []).extend((e.kind, e.text) for e in effects if isinstance(e, RegisterDecided))
+    def record_registers(name, effects):
+        registers.setdefault(name, []).extend(
+            (e.kind, e.text) for e in effects if isinstance(e, RegisterDecided)
+        )
         carry_out_effects(name, effects)
 
-    fleet.do = recorded
+    fleet.do = record_registers
     for text, kind in (("one", "policy"), ("two", "recovery"), ("three", "policy")):
         entered, effects = fleet.cores[leader].propose_register(fleet.now, text, kind)
         assert entered
         fleet.do(leader, effects)
         fleet.run(0.5)
-    assert list(found.values()) == [[("policy", "one"), ("recovery", "two"), ("policy", "three")]] * 3
+    assert list(registers.values()) == [[("policy", "one"), ("recovery", "two"), ("policy", "three")]] * 3
     status = fleet.cores[leader].consensus_status(fleet.now)
     assert (status.policy, status.recovery, status.holds_read_lease, len(status.voters)) == (
         "three",
@@ -247,16 +255,16 @@
 
 def test_voter_messages_state_how_often_the_disk_was_written():
     fleet = ZoneFleet(members("abc", 3))
-    recorded = dict.fromkeys(fleet.cores, 0)
+    save_counts = dict.fromkeys(fleet.cores, 0)
     carry_out_effects = fleet.do
 
-    def count(name, effects):
+    def count_saves(name, effects):
         for effect in effects:
-            recorded[name] += isinstance(effect, SaveVoterState)
+            save_counts[name] += isinstance(effect, SaveVoterState)
             if isinstance(effect, SendVoterMessage):
-                assert effect.line.disk_writes == recorded[name]
+                assert effect.line.disk_writes == save_counts[name]
         carry_out_effects(name, effects)
 
-    fleet.do = count
+    fleet.do = count_saves
     fleet.run(12)
-    assert min(recorded.values()) > 2
+    assert min(save_counts.values()) > 2
--- a/tests/zones/test_zones_roster_filter.py
+++ b/tests/zones/test_zones_roster_filter.py
@@ -1,4 +1,4 @@
-"""A plan laid over the roster."""
+"""The roster filter of a plan, and the roster overlay that applies it."""
 
 from support.zone_plans import plan
 
@@ -20,21 +20,21 @@
     overlay = RosterOverlay()
     fleet = config.Fleet([*scorers("a1", "b1"), *scorers("b2", phase="terminating")], complete=True)
     assert phases(overlay.apply(fleet)) == {"a1": "in_service", "b1": "in_service", "b2": "terminating"}
-    out = plan(a=(p.SERVING, 2, 0.5, "x"), b=(p.OUT, 2, 0.5, "x"))
-    assert phases(overlay.set_filter("zones", roster_filter.roster_filter_for_plan(out, "a"))) == {
+    plan_without_b = plan(a=(p.SERVING, 2, 0.5, "x"), b=(p.OUT, 2, 0.5, "x"))
+    assert phases(overlay.set_filter("zones", roster_filter.roster_filter_for_plan(plan_without_b, "a"))) == {
         "b1": "terminating"
     }
     assert phases(overlay.apply(config.Fleet(scorers("b3")))) == {"b3": "terminating"}
     assert [m.id for m in roster_filter.in_zone(overlay.members.values(), "b")] == ["b1", "b3"]
-    back = overlay.set_filter("zones", roster_filter.roster_filter_for_plan(None, "a"))
-    assert phases(back) == {"b1": "in_service", "b3": "in_service"}
+    reopened = overlay.set_filter("zones", roster_filter.roster_filter_for_plan(None, "a"))
+    assert phases(reopened) == {"b1": "in_service", "b3": "in_service"}
     assert roster_filter.zone_sizes(overlay.members.values()) == {"a": 2.0, "b": 4.0}
 
 
 def test_the_roster_keeps_what_a_change_does_not_repeat():
     overlay = RosterOverlay()
     overlay.apply(config.Fleet(scorers("b1"), complete=True))
-    gone = config.Member("b1", "terminated")
-    [told] = overlay.apply(config.Fleet([gone])).members
-    assert (told.phase, told.host_port, told.locality) == ("terminated", "127.0.0.1:1", "b")
+    terminated = config.Member("b1", "terminated")
+    [change] = overlay.apply(config.Fleet([terminated])).members
+    assert (change.phase, change.host_port, change.locality) == ("terminated", "127.0.0.1:1", "b")
     assert overlay.members == {}
