--- a/fawnwharf/zones/evidence.py
+++ b/fawnwharf/zones/evidence.py
@@ -22,7 +22,7 @@
 
     # Responses of any kind, and probes that connected.
     responses: Count = msgspec.field(name="heard", default=0)
-    # Those of the responses that took longer than the latency objective.
+    # Those of the responses that took longer than the latency target.
     slow_responses: Count = msgspec.field(name="slow", default=0)
     timeouts: Count = msgspec.field(name="silent", default=0)
     connect_failures: Count = msgspec.field(name="refused", default=0)
@@ -113,25 +113,25 @@
 class EvidenceCollector:
     """Counts health evidence by zone within a sliding window."""
 
-    def __init__(self, settings: EvidenceSettings, latency_objective_ms: float) -> None:
+    def __init__(self, settings: EvidenceSettings, latency_target_ms: float) -> None:
         self._settings = settings
-        self._latency_objective_ms = latency_objective_ms
+        self._latency_target_ms = latency_target_ms
         self._slices: deque[_Slice] = deque()
         self._failure_runs: dict[str, _FailureRun] = {}
 
     def record_ending(
-        self, now_ms: float, zone: str, scorer: int, ending: AttemptResult, took_ms: float
+        self, now_ms: float, zone: str, scorer: int, result: AttemptResult, took_ms: float
     ) -> None:
         """Record the result of an attempt or of a load order.
 
-        A cancelled one counts as a timeout if it took longer than the latency objective, and is not counted
+        A cancelled one counts as a timeout if it took longer than the latency target, and is not counted
         otherwise.
         """
-        if ending is AttemptResult.CANCELLED and took_ms > self._latency_objective_ms:
+        if result is AttemptResult.CANCELLED and took_ms > self._latency_target_ms:
             self._record_observation(now_ms, zone, scorer, _TIMEOUT)
-        elif (kind := _KIND_OF_RESULT.get(ending)) is not None:
+        elif (kind := _KIND_OF_RESULT.get(result)) is not None:
             self._record_observation(now_ms, zone, scorer, kind)
-            if kind == _RESPONSE and took_ms > self._latency_objective_ms:
+            if kind == _RESPONSE and took_ms > self._latency_target_ms:
                 self._count(now_ms, zone, _SLOW_RESPONSE)
 
     def record_probe(self, now_ms: float, zone: str, scorer: int, *, connected: bool) -> None:
--- a/fawnwharf/zones/service.py
+++ b/fawnwharf/zones/service.py
@@ -47,7 +47,7 @@
 FILE_CHECK_INTERVAL_MS = 500.0
 OPERATOR_READERS = 16  # readers of a log in addition to the members
 EVENT_INTERVAL_MS = 1_000.0  # between two rate-limited events of the same name
-DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0  # used if no class of calls is configured
+DEFAULT_LATENCY_TARGET_MS = 1_000.0  # used if no class of calls is configured
 
 
 class ZoneService:
@@ -71,9 +71,9 @@
         self.disk = self._open_disk(membership.fleet) if self.entry.voter_address else None
         now_ms = monotonic_ms()
         self.core = MemberCore(self.entry.name, membership, self.settings, now_ms, self._voter_start())
-        objectives = [spec.latency_target_ms for spec in deployment.settings.classes.values()]
-        latency_objective_ms = min(objectives, default=DEFAULT_LATENCY_OBJECTIVE_MS)
-        self.evidence_collector = EvidenceCollector(self.settings.evidence, latency_objective_ms)
+        latency_targets_ms = [spec.latency_target_ms for spec in deployment.settings.classes.values()]
+        latency_target_ms = min(latency_targets_ms, default=DEFAULT_LATENCY_TARGET_MS)
+        self.evidence_collector = EvidenceCollector(self.settings.evidence, latency_target_ms)
         self.plan_application = PlanApplication(deployment, self.entry.zone, lambda: self.core.membership)
         self.log_clients: dict[str, LogClient] = {}  # by the kind of their registers
         self.log_server: LogServer | None = None
@@ -131,10 +131,10 @@
         self._front = front
         max_readers = len(self.core.membership.members) + OPERATOR_READERS
         listen = self.settings.listen or self.entry.address
-        self.log_server = self._server("listen", listen, max_readers)
+        self.log_server = self._open_log_server("listen", listen, max_readers)
         if self.entry.voter_address:
             listen = self.settings.listen_voter_address or self.entry.voter_address
-            self.voter_log_server = self._server("listen_ballots", listen, max_readers)
+            self.voter_log_server = self._open_log_server("listen_ballots", listen, max_readers)
         self._feeds = MemberFeeds(front.loop, self.entry, self._receive, self._on_line_rejected)
         self._feeds.follow(self.core.membership)
         self._check_files()
@@ -149,7 +149,7 @@
         self._tick()
         self._log(log_events.ZonesEnabled(self.entry.name, self.entry.zone, self.disk is not None))
 
-    def _server(self, key: str, host_port: str, max_readers: int) -> LogServer:
+    def _open_log_server(self, key: str, host_port: str, max_readers: int) -> LogServer:
         address = address_from(host_port, f"zones.{key}")
         try:
             return LogServer(self.front.loop, address, self._incarnation, max_readers)
@@ -159,9 +159,9 @@
     def close(self) -> None:
         """Stop probing, and close all connections, the log servers and the disk."""
         self._stopped = True
-        for part in (self._prober, self._feeds, self.log_server, self.voter_log_server, self.disk):
-            if part is not None:
-                part.close()
+        for component in (self._prober, self._feeds, self.log_server, self.voter_log_server, self.disk):
+            if component is not None:
+                component.close()
 
     def _log(self, event: ZoneLogEvent) -> None:
         """Write an event to the operators' log; a rate-limited one only after EVENT_INTERVAL_MS."""
--- a/fawnwharf/zones/settings.py
+++ b/fawnwharf/zones/settings.py
@@ -124,7 +124,7 @@
     heartbeat_ms: DurationMs = msgspec.field(name="beat_ms", default=150.0)
     election_timeout_ms: DurationMs = msgspec.field(name="election_ms", default=1_000.0)
     # The fraction of any time span by which a clock may drift.
-    max_clock_skew: Annotated[float, Meta(ge=0.0, le=0.5)] = msgspec.field(name="skew", default=0.1)
+    max_clock_drift_ratio: Annotated[float, Meta(ge=0.0, le=0.5)] = msgspec.field(name="skew", default=0.1)
     # How often a leader confirms that its plan is the latest one.
     confirmation_interval_ms: DurationMs = msgspec.field(name="fresh_ms", default=500.0)
     # A plan expires if it has not been confirmed to be the latest one for this long.
--- a/fawnwharf/zones/voter_role.py
+++ b/fawnwharf/zones/voter_role.py
@@ -57,7 +57,9 @@
 
     def __init__(self, state: MemberState, start: VoterStart, now_ms: float) -> None:
         consensus = state.settings.consensus
-        timing = Timing(consensus.heartbeat_ms, consensus.election_timeout_ms, consensus.max_clock_skew)
+        timing = Timing(
+            consensus.heartbeat_ms, consensus.election_timeout_ms, consensus.max_clock_drift_ratio
+        )
         self.voter = Voter(start.identity, start.saved, timing, now_ms, start.seed)
         self.disk_writes = start.disk_writes
         self.reported_disk_writes: dict[str, int] = {}  # the largest number that each voter has reported
--- a/tests/zones/test_zones_evidence.py
+++ b/tests/zones/test_zones_evidence.py
@@ -30,7 +30,7 @@
 
 
 def test_evidence_older_than_the_window_is_forgotten():
-    collector = EvidenceCollector(s.EvidenceSettings(window_ms=1_000.0), latency_objective_ms=200.0)
+    collector = EvidenceCollector(s.EvidenceSettings(window_ms=1_000.0), latency_target_ms=200.0)
     collector.record_ending(0.0, "a", 1, AttemptResult.GOOD, 50.0)
     collector.record_ending(400.0, "a", 1, AttemptResult.GOOD, 300.0)
     collector.record_ending(900.0, "a", 1, AttemptResult.CANCELLED, 250.0)
@@ -51,7 +51,7 @@
 
 
 def test_consecutive_failures_are_counted_by_scorer_and_ended_by_one_success():
-    collector = EvidenceCollector(s.EvidenceSettings(), latency_objective_ms=200.0)
+    collector = EvidenceCollector(s.EvidenceSettings(), latency_target_ms=200.0)
     collector.record_probe(0.0, "a", 1, connected=True)
     for at_ms, scorer in ((100.0, 1), (200.0, 1), (300.0, 2), (400.0, 3)):
         collector.record_probe(at_ms, "a", scorer, connected=False)
