--- a/fawnwharf/zones/plan.py
+++ b/fawnwharf/zones/plan.py
@@ -80,12 +80,12 @@
     except (msgspec.DecodeError, RecursionError) as error:
         raise PlanError(f"not a plan: {error}") from None
     if plan.version != VERSION:
-        raise PlanError(f"version {plan.version}")
+        raise PlanError(f"version {plan.version}, and this program knows {VERSION}")
     if plan.zones and not any(zone.open_fraction > 0 for zone in plan.zones.values()):
         raise PlanError("all zones would be out")
     for source, target in plan.unreachable_pairs:
         if source not in plan.zones or target not in plan.zones or source == target:
-            raise PlanError(f"apart: {source}, {target}")
+            raise PlanError(f"apart: {source}, {target}: not two different zones of the plan")
     return plan
 
 
--- a/fawnwharf/zones/planner.py
+++ b/fawnwharf/zones/planner.py
@@ -15,7 +15,7 @@
 from fawnwharf.zones.plan import DRAINING, OUT, RECOVERING, SERVING, Plan, PlannedZone, ZoneState
 from fawnwharf.zones.report import Report, ReportStore
 
-DRAINED = "drained by an operator"  # the reason of a drained zone, which is part of stored plans
+DRAINED_REASON = "drained by an operator"  # the reason of a drained zone, which is part of stored plans
 MAX_RECOVERY_DELAY_DOUBLINGS = 20  # each recent failure doubles the recovery delay, up to this many times
 
 
@@ -209,7 +209,7 @@
         if planned.state == OUT:
             return None if zone.drained else self._begin_recovery(zone)
         if zone.drained:
-            return _StateChange(DRAINING, 0.0, DRAINED, planned.recent_failures)
+            return _StateChange(DRAINING, 0.0, DRAINED_REASON, planned.recent_failures)
         if self._is_lost(zone):
             return _StateChange(OUT, 0.0, zone.verdict.reason, planned.recent_failures + 1)
         if planned.state == RECOVERING:
@@ -240,7 +240,7 @@
     def _begin_recovery(self, zone: _ZoneContext) -> _StateChange | None:
         planned = zone.planned
         first_fraction = self.settings.ramp.fractions[0]
-        if planned.reason == DRAINED and not zone.verdict.lost:
+        if planned.reason == DRAINED_REASON and not zone.verdict.lost:
             return _StateChange(
                 RECOVERING, first_fraction, "restored by an operator", planned.recent_failures
             )
