--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -5,22 +5,22 @@
 from fawnwharf import interface as io
 from fawnwharf.policy import health, routing
 from fawnwharf.policy.state import (
+    ANSWER_LEAD_MS,
     FORGET_MS,
     LATE_RUNS,
-    LEAD_MS,
     MAX_LATE_PART,
-    SILENT_MS,
+    SAMPLE_WINDOW_MS,
+    SILENCE_LIMIT_MS,
     SWEEP_MS,
-    WINDOW_MS,
     Request,
     RouterState,
     Scorer,
 )
 
 WINDOW_MARGIN_MS = 100.0  # a repeat must arrive inside the deduplication window, not just leave inside it
-MIN_ATTEMPT_PART = 0.2  # a call with less than this part of its deadline left is a later try of a client
+FIRST_TRY_MIN_PART = 0.2  # a call with less than this part of its deadline left is a later try of a client
 LIMIT_SPREAD = 1.5  # margin for chance in limits, in square roots of their means
-HELD_PART = 0.5  # a request never sent by this part of its time is given up if it will hardly be on time
+GIVE_UP_PART = 0.5  # a request never sent by this part of its time is given up if it will hardly be on time
 
 
 class Admission(RouterState):
@@ -34,7 +34,7 @@
         if tenant not in self.settings.quotas_rps:
             return False
         rate = self.settings.quotas_rps[tenant] / self.front_ends
-        capacity = rate + self.is_wide * 2 * math.sqrt(rate * WINDOW_MS / 1000)
+        capacity = rate + self.has_many_front_ends * 2 * math.sqrt(rate * SAMPLE_WINDOW_MS / 1000)
         tokens, since_ms = self.quota_tokens.get(tenant, (capacity, self.now))
         tokens = min(capacity, tokens + rate * (self.now - since_ms) / 1000)
         self.quota_tokens[tenant] = (tokens - (tokens >= 1), self.now)
@@ -50,13 +50,13 @@
         longest_ms = request.spec.latency_target_ms * MAX_LATE_PART
         return request.target_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), longest_ms)
 
-    def _is_hopeless(self, request: Request) -> bool:
+    def _should_give_up(self, request: Request) -> bool:
         """Whether to give up a request that was never sent and is hardly to be on time.
 
         The cost: a late answer that its client might have had.
         """
-        half_ms = request.arrived_ms + HELD_PART * (request.deadline_ms - request.arrived_ms)
-        is_past = request.over_quota or self.now + SWEEP_MS + LEAD_MS >= half_ms
+        half_ms = request.arrived_ms + GIVE_UP_PART * (request.deadline_ms - request.arrived_ms)
+        is_past = request.over_quota or self.now + SWEEP_MS + ANSWER_LEAD_MS >= half_ms
         return is_past and not request.attempts and self._is_late(request)
 
     def _may_send_here(self, request: Request, scorer: Scorer, part: float) -> bool:
@@ -90,9 +90,9 @@
             return False
         first = request.first_run()
         is_safe = first is None or request.spec.effect is io.Effect.IDEMPOTENT
-        return is_safe or self._window_left(request) > 0
+        return is_safe or self._window_left_ms(request) > 0
 
-    def _window_left(self, request: Request) -> float:
+    def _window_left_ms(self, request: Request) -> float:
         """For how long a request may begin to be written from now on, in milliseconds.
 
         A repeat must arrive while its scorers drop repeats. Their window begins when the first attempt
@@ -136,21 +136,21 @@
 
     def _refresh(self) -> None:
         """Work out anew what follows from the roster, the settings and the run times of late."""
-        sizes = {scorer.id: self._units(scorer) for scorer in self.ready}
+        sizes = {scorer.id: self._configured_size(scorer) for scorer in self.ready}
         if sizes != self.members:
             self.members = sizes
         self._refresh_copies()
         if self.now - self.forgot_ms >= FORGET_MS / 4:
             self._forget()
-        self.total = sum(self._size(scorer) for scorer in self.ready) or 1.0
-        self._note_total()
+        self.ready_size = sum(self._size(scorer) for scorer in self.ready) or 1.0
+        self._record_ready_size()
         fleet = sum(sizes.values())
         draining = [
             scorer for scorer in self.scorers.values() if scorer.entry.state is io.ScorerState.DRAINING
         ]
         self.largest_fleet = max(self.largest_fleet, fleet)
-        self.largest_listed = max(
-            self.largest_listed, self.largest_fleet, fleet + sum(map(self._units, draining))
+        self.largest_listed_size = max(
+            self.largest_listed_size, self.largest_fleet, fleet + sum(map(self._configured_size, draining))
         )
         self.refreshed_ms = self.now
         self._refresh_scorer_limits()
@@ -161,32 +161,34 @@
 
         The rate sold times an uncrowded run is what the fleet works on at once (Little's law).
         """
-        sold = self.sold_rate
+        sold = self.total_quota_per_ms
         most = 0.0
         for scorer in self.ready:
             mean = sold * self.run_ms * self._size(scorer) / self.largest_fleet  # of all front ends
             most += self._with_margin(mean)
             own = self._with_margin(mean / self.front_ends)
-            scorer.limit = max(2.0 if self.is_wide else 1.0, own) if sold > 0 else math.inf
-        self.max_in_flight = most / max(1, len(self.ready)) if sold > 0 else 2 * routing.BOUND_FLOOR
+            scorer.limit = max(2.0 if self.has_many_front_ends else 1.0, own) if sold > 0 else math.inf
+        self.mean_concurrency_limit = (
+            most / max(1, len(self.ready)) if sold > 0 else 2 * routing.MIN_IN_FLIGHT_BOUND
+        )
 
     def _refresh_fleet_limits(self) -> None:
         """Work out whether the fleet of front ends is wide, and the limits that depend on it."""
-        self.is_wide = self.max_in_flight < self.front_ends
+        self.has_many_front_ends = self.mean_concurrency_limit < self.front_ends
         self.max_slowdown = math.inf
-        self.silent_ms = SILENT_MS
+        self.silence_limit_ms = SILENCE_LIMIT_MS
         self.limit = math.inf
-        if not self.is_wide:
+        if not self.has_many_front_ends:
             return
         slowdowns = sorted(self._slowdown_of(scorer) for scorer in self.ready)
         if slowdowns:
             self.max_slowdown = health.OUTLIER_SLOWDOWN * slowdowns[len(slowdowns) // 2]
-        self.silent_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0)
+        self.silence_limit_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0)
         # With more in flight, all would be late.
-        in_time = self.sold_rate * self.latency_target_ms * MAX_LATE_PART / self.front_ends
+        in_time = self.total_quota_per_ms * self.latency_target_ms * MAX_LATE_PART / self.front_ends
         self.limit = self._with_margin(in_time or math.inf)
 
-    def _units(self, scorer: Scorer) -> float:
+    def _configured_size(self, scorer: Scorer) -> float:
         """A scorer's size: as the roster gives it, where that is reliable, else one."""
         return max(scorer.entry.units, 0.01) if self.settings.weights_fixed else 1.0
 
--- a/fawnwharf/policy/health.py
+++ b/fawnwharf/policy/health.py
@@ -4,7 +4,7 @@
 
 from fawnwharf import interface as io
 from fawnwharf.policy.state import (
-    FADE_MS,
+    DECAY_MS,
     MAX_LATE_PART,
     Attempt,
     Function,
@@ -23,7 +23,7 @@
 OVERDUE_RUNS = 3.0  # an attempt in flight for so many runs may be hedged
 LOST_RUNS = 8.0  # an attempt in flight for so many runs is held lost
 EJECTION_LOSSES = 2.0  # so many lost answers eject a scorer for the class of the calls
-LOSS_KEPT = 0.7  # part of the losses that is left after each answer
+LOSS_RETENTION = 0.7  # part of the losses that is left after each answer
 
 
 class Health(RouterState):
@@ -50,7 +50,7 @@
 
     def _slowdown_of(self, scorer: Scorer) -> float:
         """A scorer's run time as a multiple of the usual one; it decays to 1 while nothing is seen."""
-        return 1 + (scorer.slowdown - 1) * math.exp((scorer.slowdown_ms - self.now) / FADE_MS)
+        return 1 + (scorer.slowdown - 1) * math.exp((scorer.slowdown_ms - self.now) / DECAY_MS)
 
     def _cost(self, scorer: Scorer, fn: Function) -> float:
         """Cost of a run at a scorer, in usual runs; another zone costs more."""
@@ -58,13 +58,13 @@
 
     def _expect_answer(self, scorer: Scorer) -> None:
         """Something was sent that a scorer answers: watch it from now on, if it was not watched before."""
-        if scorer.owed_ms is None:
-            scorer.owed_ms = self.now
+        if scorer.awaiting_since_ms is None:
+            scorer.awaiting_since_ms = self.now
         self.watched[scorer.id] = scorer
 
     def _mark_alive(self, scorer: Scorer, after_ms: float = 0.0) -> None:
         """An answer came; with calls in flight, the next is expected from `after_ms` later on."""
-        scorer.owed_ms = self.now + after_ms if scorer.in_flight else None
+        scorer.awaiting_since_ms = self.now + after_ms if scorer.in_flight else None
         scorer.probed_ms = None
         if scorer.suspect_ms is not None:
             self.suspects -= scorer.takes_new()
@@ -78,11 +78,11 @@
         """
         is_probed = scorer.probed_ms is not None
         is_suspect = scorer.suspect_ms is not None
-        since_ms = scorer.probed_ms if is_probed else scorer.owed_ms
+        since_ms = scorer.probed_ms if is_probed else scorer.awaiting_since_ms
         if since_ms is None:
             del self.watched[scorer.id]
             return
-        wait_ms = self.silent_ms
+        wait_ms = self.silence_limit_ms
         if is_suspect:
             wait_ms = SUSPECT_PROBE_MS
         elif is_probed:
@@ -108,7 +108,7 @@
         probe has no answer.
         """
         if result in (io.AttemptResult.CONNECT_FAILED, io.AttemptResult.RESET):
-            self._note_interruption(scorer)
+            self._note_possible_restart(scorer)
         if scorer.suspect_ms is not None:
             return
         if result is io.AttemptResult.CONNECT_FAILED:
@@ -127,7 +127,7 @@
             if request and request not in attempt.function.queue:
                 self._requeue(request)
                 self._dispatch(attempt.function)
-        if self.is_wide:
+        if self.has_many_front_ends:
             self._probe_zone(scorer.entry.zone)
 
     def _probe_zone(self, zone: str) -> None:
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -20,7 +20,7 @@
 ORDER_TRANSIT_MS = 150.0  # a load order counts at the scorer so much later at the most: its wait and its way
 MAX_COPIES = 16  # copies that an order may name
 BLOCK_MS = 1_000.0  # a scorer without capacity, or whose load failed, gets no load for so long
-LOAD_SLOW = 2.5  # a load that is slower by this factor shows that the store is crowded
+SLOW_LOAD_FACTOR = 2.5  # a load that is slower by this factor shows that the store is crowded
 REFRESH_LIFETIMES = 3.0  # copies are refreshed for so many idle lifetimes after the last call
 REFRESH_QUEUE_RATIO = 8  # copies are refreshed while fewer than one request in so many waits
 
@@ -35,9 +35,9 @@
         """Order the copies that waiting requests need: one for each `lanes` of them."""
         is_warm = self._is_warm(fn)
         waited_ms = self.now - min(request.queued_ms for request in fn.queue)
-        is_early = self.is_wide and waited_ms < self._run_time_ms(fn)  # other front ends load too
+        is_early = self.has_many_front_ends and waited_ms < self._run_time_ms(fn)  # other front ends load too
         may_wait = (
-            is_early or len(self.recent_attempts) >= self.limit or not self._is_load_path_on(fn, waited_ms)
+            is_early or len(self.recent_attempts) >= self.limit or not self._update_speculation(fn, waited_ms)
         )
         if self._awaits_probe(fn) or (is_warm and may_wait):
             return
@@ -58,7 +58,7 @@
 
     def _deserves_load(self, request: Request, is_warm: bool) -> bool:
         """Whether a request counts for another copy, where one is there already."""
-        return not (is_warm and (request.over_quota or (self.is_wide and self._is_late(request))))
+        return not (is_warm and (request.over_quota or (self.has_many_front_ends and self._is_late(request))))
 
     def _place_for_load(self, fn: Function, is_warm: bool) -> Scorer | None:
         """The scorer for one more copy: the first without one and within its bound, else the first."""
@@ -83,52 +83,54 @@
 
     def _load(self, fn: Function, scorer: Scorer, is_warm: bool) -> None:
         """Order one copy more at a scorer."""
-        place = self._copies_at(fn, scorer)
-        place.order_ms = self.now
-        place.speculative = is_warm
-        place.order_count = self._copies(fn, scorer) + 1
+        scorer_copies = self._copies_at(fn, scorer)
+        scorer_copies.order_ms = self.now
+        scorer_copies.speculative = is_warm
+        scorer_copies.order_count = self._copies(fn, scorer) + 1
         self.loading += 1
         self.load_orders_ms.append(self.now)
         self._expect_answer(scorer)
         within_ms = self._lease_left_ms(scorer)
-        self.actions.append(io.OrderCopies(scorer.id, fn.name, place.order_count, within_ms))
+        self.actions.append(io.OrderCopies(scorer.id, fn.name, scorer_copies.order_count, within_ms))
 
-    def _load_answered(
-        self, fn: Function, place: ScorerCopies, event: io.LoadOrderAnswered, ordered_ms: float
+    def _record_load_result(
+        self, fn: Function, scorer_copies: ScorerCopies, event: io.LoadOrderAnswered, ordered_ms: float
     ) -> None:
         """Take the answer to a load order of `ordered_ms`: its time, and what it shows of the store."""
         is_good = event.result is io.AttemptResult.GOOD
         took_ms = self.now - ordered_ms
-        is_timely = took_ms < LOAD_SLOW * (fn.load_told_ms or self._load_time_ms(fn)) and is_good
-        place.order_ms = None
+        is_timely = took_ms < SLOW_LOAD_FACTOR * (fn.load_told_ms or self._load_time_ms(fn)) and is_good
+        scorer_copies.order_ms = None
         self.loading -= 1
         if is_good:
             fn.loads.timed.append((self.now, took_ms))
         else:
-            place.blocked_ms = self.now + BLOCK_MS
+            scorer_copies.blocked_ms = self.now + BLOCK_MS
         if event.result in (io.AttemptResult.GOOD, io.AttemptResult.ERROR):
             # Slow and failed loads are followed by fewer at once: this guards the store.
             change = 1 / self.loads_limit if is_timely else -0.2 * self.loads_limit
             self.loads_limit = min(MAX_LOADS, max(MIN_LOADS, self.loads_limit + change))
 
-    def _is_load_path_on(self, fn: Function, waited_ms: float) -> bool:
+    def _update_speculation(self, fn: Function, waited_ms: float) -> bool:
         """Switch speculative loads off when Ti > Te and on when Td > Tp; tells whether they are on."""
         if fn.load_path:
             unused = [
-                self.now - place.unused_ms
-                for place in fn.copies_by_scorer.values()
-                if place.unused_ms is not None
+                self.now - scorer_copies.idle_since_ms
+                for scorer_copies in fn.copies_by_scorer.values()
+                if scorer_copies.idle_since_ms is not None
             ]
             # In a wide fleet other front ends use the copy too.
-            flips = max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.is_wide
+            flips = (
+                max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.has_many_front_ends
+            )
         else:
             flips = max(waited_ms, fn.waits.median(self.now) or 0.0) > self._load_time_ms(fn)
         if flips:
             fn.load_path = not fn.load_path
             fn.idle_ms = 0.0
             fn.waits = Samples()
-            for place in fn.copies_by_scorer.values():
-                place.unused_ms = None
+            for scorer_copies in fn.copies_by_scorer.values():
+                scorer_copies.idle_since_ms = None
         return fn.load_path
 
     def _may_load(self) -> bool:
@@ -138,8 +140,8 @@
 
     def _may_load_at(self, fn: Function, scorer: Scorer, is_warm: bool) -> bool:
         """Whether a load may be ordered at a scorer; beside warm copies, only where calls have capacity."""
-        place = fn.copies_by_scorer.get(scorer.id)
-        if place is not None and self.now < place.blocked_ms:
+        scorer_copies = fn.copies_by_scorer.get(scorer.id)
+        if scorer_copies is not None and self.now < scorer_copies.blocked_ms:
             return False
         if not self._is_usable(scorer, fn) or self._is_loading(fn, scorer):
             return False
@@ -154,8 +156,8 @@
         report = scorer.remote_load
         # First of all, as the median load time is computed anew when it is asked for.
         is_reported = fn.name in report.loading and self._has_remote_load(scorer, self._load_time_ms(fn))
-        place = fn.copies_by_scorer.get(scorer.id)
-        if place is not None and place.order_ms is not None:
+        scorer_copies = fn.copies_by_scorer.get(scorer.id)
+        if scorer_copies is not None and scorer_copies.order_ms is not None:
             return True
         return is_reported and self._copies(fn, scorer) <= report.copies.get(fn.name, 0)  # else complete
 
@@ -174,13 +176,13 @@
         The cost: less capacity in a shortage. In a wide fleet the calls of other front ends do it.
         """
         waiting = sum(len(fn.queue) for fn in self.functions.values())
-        is_calm = REFRESH_QUEUE_RATIO * waiting <= len(self.requests) and not self.is_wide
+        is_calm = REFRESH_QUEUE_RATIO * waiting <= len(self.requests) and not self.has_many_front_ends
         if not (is_calm and self._may_load()):
             return
         for fn in self.functions.values():
             seen = [
-                (place.seen_ms, number)
-                for number, place in fn.copies_by_scorer.items()
+                (scorer_copies.seen_ms, number)
+                for number, scorer_copies in fn.copies_by_scorer.items()
                 if self._copies(fn, self.scorers[number])
             ]
             refreshed_until_ms = (
@@ -188,9 +190,9 @@
             )
             # Half of the load rate is left to loads.
             if seen and refreshed_until_ms > self.now and self._load_rate_left() > len(self.load_orders_ms):
-                self._keep_copies(fn, self.scorers[max(seen)[1]], 1)
+                self._ensure_copies(fn, self.scorers[max(seen)[1]], 1)
 
-    def _keep_copies(self, fn: Function, scorer: Scorer, copies: int) -> None:
+    def _ensure_copies(self, fn: Function, scorer: Scorer, copies: int) -> None:
         """Have `copies` copies at a scorer: order one more, or refresh those that are about to expire."""
         if scorer not in self._ordered(fn) or not self._may_load_at(fn, scorer, is_warm=True):
             return
@@ -204,20 +206,20 @@
             self.load_orders_ms.append(self.now)
             self._probe(fn, scorer, copies)
 
-    def _on_prefetch(self, event: io.PrefetchRequested) -> None:
+    def _on_prefetch_requested(self, event: io.PrefetchRequested) -> None:
         """Prefetch copies, if a load order for each waiting call is left besides."""
         scorer = self.scorers.get(event.scorer)
         waiting = sum(len(fn.queue) for fn in self.functions.values())
         if scorer and event.copies > 0 and self._may_load() and self._load_rate_left() >= waiting + 1:
             fn = self._function(event)
             fn.needed_ms = self.now
-            self._keep_copies(fn, scorer, event.copies)
+            self._ensure_copies(fn, scorer, event.copies)
 
     def _probe(self, fn: Function, scorer: Scorer, copies: int = 0) -> None:
         """Ask a scorer how many copies are loaded; with `copies`, that many are refreshed as well."""
-        place = self._copies_at(fn, scorer)
-        place.open_probes += 1
-        place.probed_ms = self.now
+        scorer_copies = self._copies_at(fn, scorer)
+        scorer_copies.open_probes += 1
+        scorer_copies.probed_ms = self.now
         fn.probed_ms = self.now
         self._expect_answer(scorer)
         within_ms = self._lease_left_ms(scorer) if copies else math.inf
@@ -226,4 +228,4 @@
     def _awaits_probe(self, fn: Function) -> bool:
         """Whether answers to probes are awaited, for a round trip at the most."""
         is_recent = self.now - fn.probed_ms < PROBE_WAIT_MS
-        return is_recent and any(place.open_probes for place in fn.copies_by_scorer.values())
+        return is_recent and any(scorer_copies.open_probes for scorer_copies in fn.copies_by_scorer.values())
--- a/fawnwharf/policy/roster_lease.py
+++ b/fawnwharf/policy/roster_lease.py
@@ -57,10 +57,10 @@
 
     def _lease_left_ms(self, scorer: Scorer) -> float:
         """For how many milliseconds new work may begin to be sent to a scorer; 0 or less: it may not."""
-        proved_ms = max(self.roster_proved_ms, scorer.proved_ms)
-        if proved_ms <= scorer.doubted_ms or scorer.proved_ms < scorer.refuted_ms:
+        confirmed_ms = max(self.roster_proved_ms, scorer.confirmed_ms)
+        if confirmed_ms <= scorer.rejected_ms or scorer.confirmed_ms < scorer.query_rejected_ms:
             return 0.0
-        return proved_ms + self.settings.roster_lease_ms - self.now
+        return confirmed_ms + self.settings.roster_lease_ms - self.now
 
     def _has_lease(self, scorer: Scorer) -> bool:
         """Whether new work may be sent to a scorer that the roster has in service."""
@@ -68,7 +68,7 @@
 
     def _may_be_in_service(self, scorer: Scorer) -> bool:
         """Whether a scorer has a lease, or can be expected to get one by a query."""
-        is_awaited = self.now - scorer.queried_ms < QUERY_WAIT_MS
+        is_awaited = self.now - scorer.query_sent_ms < QUERY_WAIT_MS
         return self._has_lease(scorer) or is_awaited or self.now >= scorer.next_query_ms
 
     def _is_roster_confirmed(self) -> bool:
@@ -83,11 +83,11 @@
     def _query_state(self, fn: Function, scorer: Scorer) -> bool:
         """Query a scorer that is about to be used and has no lease; tells whether an answer is awaited."""
         if self.now >= scorer.next_query_ms and self._can_query():
-            scorer.queried_ms = self.now
+            scorer.query_sent_ms = self.now
             scorer.next_query_ms = self.now + scorer.query_pause_ms
             self.lease_counters.queries += 1
             self._probe(fn, scorer)
-        return self.now - scorer.queried_ms < QUERY_WAIT_MS
+        return self.now - scorer.query_sent_ms < QUERY_WAIT_MS
 
     def _on_roster_confirmed(self, event: io.RosterConfirmed) -> None:
         """Renew all leases from the moment that the change log proved."""
@@ -99,37 +99,37 @@
     def _confirm_in_service(self, scorer: Scorer, sent_ms: float) -> bool:
         """Renew a scorer's lease, as it took what was sent at `sent_ms`; tells whether it had none."""
         had_lease = self._has_lease(scorer)
-        scorer.proved_ms = max(scorer.proved_ms, sent_ms)
-        if sent_ms > max(scorer.doubted_ms, scorer.refuted_ms):
+        scorer.confirmed_ms = max(scorer.confirmed_ms, sent_ms)
+        if sent_ms > max(scorer.rejected_ms, scorer.query_rejected_ms):
             scorer.query_pause_ms = QUERY_PAUSE_MS
             scorer.next_query_ms = self.now
-        if scorer.interrupted_ms is not None and sent_ms > scorer.interrupted_ms:
-            scorer.interrupted_ms = None
+        if scorer.restart_suspected_ms is not None and sent_ms > scorer.restart_suspected_ms:
+            scorer.restart_suspected_ms = None
             self.lease_counters.suspected_restarts += 1
             self.actions.append(io.Log(f"scorer {scorer.id} may have restarted unreported: slow start"))
             # A start that was reported meanwhile may be later than what this answers.
             self._begin_slow_start(scorer, max(sent_ms, scorer.started_ms), since_ms=-math.inf)
         return not had_lease and self._has_lease(scorer)
 
-    def _doubt(self, scorer: Scorer, sent_ms: float) -> None:
+    def _note_rejection(self, scorer: Scorer, sent_ms: float) -> None:
         """Take the rejection of what was sent at `sent_ms`; only a later proof counts from now on."""
         if self._is_roster_confirmed():
-            is_serving = self.now - scorer.proved_ms < RECENT_PROOF_MS
+            is_serving = self.now - scorer.confirmed_ms < RECENT_PROOF_MS
             if is_serving or not self._can_query():
                 return
         self.lease_counters.doubts += 1
-        scorer.doubted_ms = max(scorer.doubted_ms, sent_ms)
+        scorer.rejected_ms = max(scorer.rejected_ms, sent_ms)
 
-    def _refute(self, scorer: Scorer, sent_ms: float) -> None:
+    def _note_rejected_query(self, scorer: Scorer, sent_ms: float) -> None:
         """Take the rejection of a query that was sent at `sent_ms`: query again after a longer pause."""
         if not self._can_query():
             return
-        if scorer.proved_ms >= scorer.refuted_ms:
+        if scorer.confirmed_ms >= scorer.query_rejected_ms:
             self.actions.append(io.Log(f"scorer {scorer.id} rejects queries: it may drain unreported"))
         self.lease_counters.rejected_queries += 1
-        scorer.refuted_ms = max(scorer.refuted_ms, sent_ms)
-        self._note_interruption(scorer)
-        scorer.queried_ms = -math.inf
+        scorer.query_rejected_ms = max(scorer.query_rejected_ms, sent_ms)
+        self._note_possible_restart(scorer)
+        scorer.query_sent_ms = -math.inf
         scorer.next_query_ms = self.now + scorer.query_pause_ms
         scorer.query_pause_ms = min(MAX_QUERY_PAUSE_MS, 2 * scorer.query_pause_ms)
 
@@ -137,7 +137,7 @@
         """Count a request that ends without an attempt while the change log does not confirm."""
         self.lease_counters.unsent_requests += not (request.attempts or self._is_roster_confirmed())
 
-    def _note_interruption(self, scorer: Scorer) -> None:
+    def _note_possible_restart(self, scorer: Scorer) -> None:
         """Note a lost or failed connection: while no event is received, its process may be another one."""
         if not self._is_roster_confirmed():
-            scorer.interrupted_ms = self.now
+            scorer.restart_suspected_ms = self.now
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -4,19 +4,19 @@
 
 from fawnwharf import interface as io
 from fawnwharf.policy import admission, health, loads, roster_lease, routing, state
-from fawnwharf.policy.state import Attempt, Function, Request, Scorer, mark, mix
+from fawnwharf.policy.state import Attempt, Function, Request, Scorer, mark, mix_bits
 
 SWEEP_TOKEN = 0  # of the timer of the sweep
 REQUEST_END_TOKEN = 1  # of a timer for one request's end
 RUN_GAIN = 0.02  # weight of a run at an uncrowded scorer in the smoothed run time
 # Results that show that the scorer is alive.
-ANSWERED = (io.AttemptResult.GOOD, io.AttemptResult.ERROR, io.AttemptResult.FULL, io.AttemptResult.MISS)
+PROVES_ALIVE = (io.AttemptResult.GOOD, io.AttemptResult.ERROR, io.AttemptResult.FULL, io.AttemptResult.MISS)
 # Results whose answers may report the concurrency.
-COUNTED = (io.AttemptResult.GOOD, io.AttemptResult.FULL)
+REPORTS_CONCURRENCY = (io.AttemptResult.GOOD, io.AttemptResult.FULL)
 # Results of attempts that were ended from this side.
-ENDED_HERE = (io.AttemptResult.CANCELLED, io.AttemptResult.TIMEOUT)
+ENDED_BY_FRONT_END = (io.AttemptResult.CANCELLED, io.AttemptResult.TIMEOUT)
 # Results of load orders and probes whose answers give the number of copies.
-COPIES_COUNTED = (io.AttemptResult.GOOD, io.AttemptResult.FULL, io.AttemptResult.ERROR)
+REPORTS_COPIES = (io.AttemptResult.GOOD, io.AttemptResult.FULL, io.AttemptResult.ERROR)
 
 
 class Router(health.Health, loads.Loads, routing.Routing, admission.Admission, roster_lease.RosterLease):
@@ -56,9 +56,9 @@
         """Take the cancelled requests among the events."""
         for event in events:
             if isinstance(event, io.RequestCancelled):
-                self._on_cancelled(event)
+                self._on_request_cancelled(event)
 
-    def _on_roster(self, event: io.RosterChanged) -> None:
+    def _on_roster_changed(self, event: io.RosterChanged) -> None:
         """Take the list of scorers, or a change of it."""
         if event.complete:
             for missing in self.scorers.keys() - {entry.scorer for entry in event.entries}:
@@ -77,7 +77,7 @@
         self._refresh()
         self._dispatch_all()
 
-    def _on_request(self, event: io.RequestArrived) -> None:
+    def _on_request_arrived(self, event: io.RequestArrived) -> None:
         """Admit a request, or give it its final answer; send it if a scorer can take it."""
         self.arrivals_ms.append(self.now)
         request = self._new_request(event)
@@ -86,16 +86,16 @@
         self.hedge_tokens = min(state.MAX_HEDGE_TOKENS, self.hedge_tokens + state.HEDGE_TOKENS_PER_REQUEST)
         self.requests[request.id] = request
         fn.queue.append(request)
-        if self._is_over_quota(io.ALL) or self.now >= request.ends_ms:
+        if self._is_over_quota(io.ALL) or self.now >= request.answer_due_ms:
             # The next sweep may be too late: a client's last retry has little time.
             self._finish(request)
-        elif not self.is_wide and not self._is_warm(fn):
-            for scorer in self._ordered(fn)[: state.PROBED_SCORERS]:
-                self._probe_place(fn, scorer)
-        if request.spec.deadline_ms <= state.SHORT_MS and request.id in self.requests:
-            self.actions.append(io.SetTimer(request.ends_ms - self.now, REQUEST_END_TOKEN))
+        elif not self.has_many_front_ends and not self._is_warm(fn):
+            for scorer in self._ordered(fn)[: state.MAX_PROBED_SCORERS]:
+                self._probe_for_copy(fn, scorer)
+        if request.spec.deadline_ms <= state.OWN_TIMER_DEADLINE_MS and request.id in self.requests:
+            self.actions.append(io.SetTimer(request.answer_due_ms - self.now, REQUEST_END_TOKEN))
         self._send_queued(fn)
-        if request in fn.queue and self._is_hopeless(request):
+        if request in fn.queue and self._should_give_up(request):
             # The next sweep is past half its time.
             self._finish(request)
         self._dispatch(fn)
@@ -106,17 +106,17 @@
         spec = self.classes.get(event.class_name) or io.ClassSpec(event.class_name)
         if event.site != fn.site:
             fn.site = event.site
-            fn.order_members = None
-        draw = mix(mix(self.seed))
+            fn.hash_order_sizes = None
+        random_bits = mix_bits(mix_bits(self.seed))
         self.seed += 1
         client_leaves_ms = self.now + event.budget_ms
-        deadline_ms = min(client_leaves_ms, self.answer_by_ms)
+        deadline_ms = min(client_leaves_ms, self.shutdown_deadline_ms)
         # The client's first try took part of its time.
-        is_retry = event.budget_ms < admission.MIN_ATTEMPT_PART * spec.deadline_ms
+        is_retry = event.budget_ms < admission.FIRST_TRY_MIN_PART * spec.deadline_ms
         first_sent_ms = client_leaves_ms - spec.deadline_ms if is_retry else self.now
-        lead_ms = state.SWEEP_MS + state.LEAD_MS
-        if spec.deadline_ms <= state.SHORT_MS:
-            lead_ms = min(state.LEAD_MS, event.budget_ms / 4)
+        lead_ms = state.SWEEP_MS + state.ANSWER_LEAD_MS
+        if spec.deadline_ms <= state.OWN_TIMER_DEADLINE_MS:
+            lead_ms = min(state.ANSWER_LEAD_MS, event.budget_ms / 4)
         return Request(
             id=event.request,
             function=fn,
@@ -125,37 +125,39 @@
             deadline_ms=deadline_ms,
             over_quota=is_retry or self._is_over_quota(event.tenant),
             queued_ms=self.now,
-            draw=draw,
+            random_bits=random_bits,
             target_ms=first_sent_ms + spec.latency_target_ms,
-            ends_ms=deadline_ms - lead_ms,
+            answer_due_ms=deadline_ms - lead_ms,
         )
 
-    def _on_cancelled(self, event: io.RequestCancelled) -> None:
+    def _on_request_cancelled(self, event: io.RequestCancelled) -> None:
         """Forget a request whose client left."""
         request = self.requests.get(event.request)
         if request is not None:
             self._close(request)
 
-    def _on_shutdown(self, event: io.ShutdownStarted) -> None:
+    def _on_shutdown_started(self, event: io.ShutdownStarted) -> None:
         """Bring the ends of all requests forward, open ones and those still to come."""
-        self.answer_by_ms = min(self.answer_by_ms, self.now + event.within_ms)
+        self.shutdown_deadline_ms = min(self.shutdown_deadline_ms, self.now + event.within_ms)
         for request in self.requests.values():
-            request.deadline_ms = min(request.deadline_ms, self.answer_by_ms)
-            request.ends_ms = min(request.ends_ms, self.answer_by_ms - state.SWEEP_MS - state.LEAD_MS)
+            request.deadline_ms = min(request.deadline_ms, self.shutdown_deadline_ms)
+            request.answer_due_ms = min(
+                request.answer_due_ms, self.shutdown_deadline_ms - state.SWEEP_MS - state.ANSWER_LEAD_MS
+            )
 
-    def _on_limits(self, event: io.LimitsChanged) -> None:
+    def _on_limits_changed(self, event: io.LimitsChanged) -> None:
         """Take a limit as a quota: of one tenant, or of all together."""
         self.settings.quotas_rps[event.tenant] = event.calls_rps * self.front_ends
         if event.tenant == io.ALL:
             # A tenth of a second's tokens: no burst at first.
             self.quota_tokens[io.ALL] = (event.calls_rps / 10, self.now)
 
-    def _on_class(self, event: io.ClassChanged) -> None:
+    def _on_class_changed(self, event: io.ClassChanged) -> None:
         """Take the rules of a class for requests to come; open ones keep the rules they arrived under."""
         self.classes = {**self.classes, event.spec.name: event.spec}
         self.latency_target_ms = min(spec.latency_target_ms for spec in self.classes.values())
 
-    def _on_remote_load(self, event: io.RemoteLoadReport) -> None:
+    def _on_remote_load_report(self, event: io.RemoteLoadReport) -> None:
         """Take what others reported on a scorer; functions not known yet read it when they are ordered."""
         scorer = self.scorers.get(event.scorer)
         if scorer is None:
@@ -168,7 +170,7 @@
                 self._apply_remote_load(fn, [scorer])
         self._dispatch_all(scorer)
 
-    def _on_attempt(self, event: io.AttemptEnded) -> None:
+    def _on_attempt_ended(self, event: io.AttemptEnded) -> None:
         """Take the end of an attempt: what it shows of the scorer, then the next step of its request."""
         attempt = self.attempts.pop((event.request, event.attempt), None)
         if attempt is None:
@@ -182,12 +184,12 @@
         attempt.may_have_run = event.result not in io.NEVER_RAN
         fn.copies_by_scorer[scorer.id].in_flight -= 1
         scorer.in_flight -= 1
-        if event.result in ANSWERED:
+        if event.result in PROVES_ALIVE:
             self._mark_alive(scorer)
         self._record_result(event, attempt, scorer, run_ms)
         self._note_failed_connection(scorer, event.result)
-        if event.reported_concurrency is not None and event.result in COUNTED:
-            reported = event.reported_concurrency * attempt.among
+        if event.reported_concurrency is not None and event.result in REPORTS_CONCURRENCY:
+            reported = event.reported_concurrency * attempt.warm_candidates
             fn.reported_concurrency += health.ANSWER_GAIN * (reported - fn.reported_concurrency)
         request = self.requests.get(event.request)
         if request is not None and event.closed:
@@ -202,25 +204,25 @@
     def _record_result(self, event: io.AttemptEnded, attempt: Attempt, scorer: Scorer, run_ms: float) -> None:
         """Record what a result shows of a scorer and its copies; `run_ms` is the usual run time."""
         fn = attempt.function
-        place = fn.copies_by_scorer[scorer.id]
+        scorer_copies = fn.copies_by_scorer[scorer.id]
         result = event.result
         if result is io.AttemptResult.GOOD:
             self._confirm_in_service(scorer, attempt.sent_ms)
-            place.copies = max(1, place.copies)
-            place.seen_ms = self.now
+            scorer_copies.copies = max(1, scorer_copies.copies)
+            scorer_copies.seen_ms = self.now
             self._record_answer(event, attempt, scorer, run_ms)
-        elif result in ENDED_HERE and event.took_ms > health.OUTLIER_SLOWDOWN * run_ms:
+        elif result in ENDED_BY_FRONT_END and event.took_ms > health.OUTLIER_SLOWDOWN * run_ms:
             # It may be the slow scorers that never get to answer.
             self._record_slowdown(scorer, event.took_ms / run_ms)
         elif result is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED:
-            place.copies = 0
-            place.seen_ms = self.now
+            scorer_copies.copies = 0
+            scorer_copies.seen_ms = self.now
         elif result is io.AttemptResult.ERROR and fn.runs.timed:
             # Where no run of the function is known, the call itself may be at fault.
             self._record_loss(scorer, fn)
         elif result is io.AttemptResult.FULL:
-            self._doubt(scorer, attempt.sent_ms)
-            place.blocked_ms = self.now + run_ms
+            self._note_rejection(scorer, attempt.sent_ms)
+            scorer_copies.blocked_ms = self.now + run_ms
             self._record_slowdown(scorer, 3 * health.OUTLIER_SLOWDOWN)
 
     def _record_answer(self, event: io.AttemptEnded, attempt: Attempt, scorer: Scorer, run_ms: float) -> None:
@@ -229,62 +231,62 @@
         if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
             fn.runs.timed.append((self.now, event.took_ms))
             self.runs.timed.append((self.now, event.took_ms))
-            self.run_ms += RUN_GAIN * (event.took_ms - self.run_ms) * attempt.alone
+            self.run_ms += RUN_GAIN * (event.took_ms - self.run_ms) * attempt.is_uncrowded
             self._record_slowdown(scorer, event.took_ms / run_ms)
         record = scorer.loss_records.get(fn.kind)
         if record is not None:
-            record.losses = record.losses - 1 if attempt.lost else record.losses * health.LOSS_KEPT
+            record.losses = record.losses - 1 if attempt.lost else record.losses * health.LOSS_RETENTION
             if record.losses < 1:
                 del scorer.loss_records[fn.kind]
 
-    def _on_order(self, event: io.LoadOrderAnswered) -> None:
+    def _on_load_order_answered(self, event: io.LoadOrderAnswered) -> None:
         """Take the end of a load order or a probe."""
         fn = self.functions.get(event.function)
         scorer = self.scorers.get(event.scorer)
         if fn is None or scorer is None:
             return
-        place = self._copies_at(fn, scorer)
-        is_short = event.result is io.AttemptResult.GOOD and event.copies < place.order_count
+        scorer_copies = self._copies_at(fn, scorer)
+        is_short = event.result is io.AttemptResult.GOOD and event.copies < scorer_copies.order_count
         # With both in progress, an answer with too few copies is that to a probe.
-        ordered_ms = None if place.open_probes and is_short else place.order_ms
-        is_renewed = self._learn_state(event, scorer, is_query=ordered_ms is None)
-        if event.result in COPIES_COUNTED:
-            if scorer.suspect_ms is not None and place.copies and not event.copies:
+        ordered_ms = None if scorer_copies.open_probes and is_short else scorer_copies.order_ms
+        is_renewed = self._update_lease(event, scorer, is_query=ordered_ms is None)
+        if event.result in REPORTS_COPIES:
+            if scorer.suspect_ms is not None and scorer_copies.copies and not event.copies:
                 # The copies are gone: it restarted, which was not reported.
                 self._begin_slow_start(scorer, self.now, since_ms=-math.inf)
             # The answer to a probe counts for longer than that to a call.
             self._mark_alive(scorer, health.SUSPECT_PROBE_MS)
-            if ordered_ms is not None and place.speculative and event.result is io.AttemptResult.GOOD:
-                place.unused_ms = self.now
-                place.lanes_before = place.copies * fn.lanes
-            place.copies = event.copies
-            place.counted_ms = self.now
-            place.seen_ms = self.now
+            if ordered_ms is not None and scorer_copies.speculative and event.result is io.AttemptResult.GOOD:
+                scorer_copies.idle_since_ms = self.now
+                scorer_copies.lanes_without_it = scorer_copies.copies * fn.lanes
+            scorer_copies.copies = event.copies
+            scorer_copies.counted_ms = self.now
+            scorer_copies.seen_ms = self.now
         self._note_failed_connection(scorer, event.result)
         if ordered_ms is not None:
-            self._load_answered(fn, place, event, ordered_ms)
+            self._record_load_result(fn, scorer_copies, event, ordered_ms)
         else:
-            place.open_probes = max(0, place.open_probes - 1)
+            scorer_copies.open_probes = max(0, scorer_copies.open_probes - 1)
         if is_renewed:  # other functions may wait for the same scorer
             self._dispatch_all()
         else:
             self._dispatch(fn)
 
-    def _learn_state(self, event: io.LoadOrderAnswered, scorer: Scorer, is_query: bool) -> bool:
+    def _update_lease(self, event: io.LoadOrderAnswered, scorer: Scorer, is_query: bool) -> bool:
         """Take what an answer shows of its scorer's state; tells whether it renewed an expired lease."""
         sent_ms = self.now - event.took_ms
         if event.result is io.AttemptResult.GOOD:
             return self._confirm_in_service(scorer, sent_ms)
         if event.result is io.AttemptResult.FULL and is_query:
-            self._refute(scorer, sent_ms)
+            self._note_rejected_query(scorer, sent_ms)
         elif event.result is io.AttemptResult.FULL:
-            self._doubt(scorer, sent_ms)
+            self._note_rejection(scorer, sent_ms)
         return False
 
-    def _on_timer(self, event: io.TimerDue) -> None:
+    def _on_timer_due(self, event: io.TimerDue) -> None:
         """Take a timer: that of a request's end, or that of the sweep, which goes on by itself."""
         if event.token == REQUEST_END_TOKEN:
-            for request in [held for held in self.requests.values() if self.now >= held.ends_ms]:
+            for request in [held for held in self.requests.values() if self.now >= held.answer_due_ms]:
                 self._finish(request)
             return
         self.sweeping = False
@@ -306,9 +308,11 @@
     def _sweep_requests(self) -> None:
         """End the requests that are due or hopeless, and hedge the others where tokens are left."""
         for request in list(self.requests.values()):
-            if self._is_hopeless(request) or self.now >= request.ends_ms:
+            if self._should_give_up(request) or self.now >= request.answer_due_ms:
                 self._finish(request)
-            elif self.is_wide and self.hedge_tokens >= 1 and request not in request.function.queue:
+            elif (
+                self.has_many_front_ends and self.hedge_tokens >= 1 and request not in request.function.queue
+            ):
                 self._hedge(request, request.attempts[-1])
 
     def _dispatch_all(self, there: Scorer | None = None) -> None:
@@ -339,16 +343,16 @@
     def _send(self, request: Request, scorer: Scorer) -> None:
         """Send a request to a scorer, as its next attempt."""
         fn = request.function
-        place = self._copies_at(fn, scorer)
+        scorer_copies = self._copies_at(fn, scorer)
         # Before the attempt is added, as that counts as one that may have run.
-        within_ms = min(self._window_left(request), self._lease_left_ms(scorer))
+        within_ms = min(self._window_left_ms(request), self._lease_left_ms(scorer))
         attempt = Attempt(
             request=request.id,
             scorer=scorer.id,
             function=fn,
             sent_ms=self.now,
-            alone=scorer.in_flight < 2,
-            among=max(1, sum(one.id in fn.copies_by_scorer for one in fn.order[: fn.spread])),
+            is_uncrowded=scorer.in_flight < 2,
+            warm_candidates=max(1, sum(one.id in fn.copies_by_scorer for one in fn.hash_order[: fn.spread])),
             zone=scorer.entry.zone,
             cell=scorer.entry.cell,
         )
@@ -358,16 +362,19 @@
         fn.queue.remove(request)
         if self.now > request.queued_ms:
             fn.waits.timed.append((self.now, self.now - request.queued_ms))
-        place.in_flight += 1
+        scorer_copies.in_flight += 1
         scorer.in_flight += 1
-        place.seen_ms = self.now
+        scorer_copies.seen_ms = self.now
         self._count_send(scorer)
         self._expect_answer(scorer)
         self._note_trial(fn, scorer)
-        if place.unused_ms is not None and place.in_flight > place.lanes_before:
+        if (
+            scorer_copies.idle_since_ms is not None
+            and scorer_copies.in_flight > scorer_copies.lanes_without_it
+        ):
             # The first use of a speculative copy.
-            fn.idle_ms = self.now - place.unused_ms
-            place.unused_ms = None
+            fn.idle_ms = self.now - scorer_copies.idle_since_ms
+            scorer_copies.idle_since_ms = None
         self.actions.append(io.Send(request.id, scorer.id, within_ms))
 
     def _note_trial(self, fn: Function, scorer: Scorer) -> None:
@@ -378,16 +385,16 @@
             record.ejected_until_ms = self.now + record.ejection_ms
 
     handlers: dict[type, io.EventHandler] = {
-        io.RosterChanged: _on_roster,
+        io.RosterChanged: _on_roster_changed,
         io.RosterConfirmed: roster_lease.RosterLease._on_roster_confirmed,
-        io.RequestArrived: _on_request,
-        io.RequestCancelled: _on_cancelled,
-        io.AttemptEnded: _on_attempt,
-        io.LoadOrderAnswered: _on_order,
-        io.TimerDue: _on_timer,
-        io.LimitsChanged: _on_limits,
-        io.ClassChanged: _on_class,
-        io.RemoteLoadReport: _on_remote_load,
-        io.PrefetchRequested: loads.Loads._on_prefetch,
-        io.ShutdownStarted: _on_shutdown,
+        io.RequestArrived: _on_request_arrived,
+        io.RequestCancelled: _on_request_cancelled,
+        io.AttemptEnded: _on_attempt_ended,
+        io.LoadOrderAnswered: _on_load_order_answered,
+        io.TimerDue: _on_timer_due,
+        io.LimitsChanged: _on_limits_changed,
+        io.ClassChanged: _on_class_changed,
+        io.RemoteLoadReport: _on_remote_load_report,
+        io.PrefetchRequested: loads.Loads._on_prefetch_requested,
+        io.ShutdownStarted: _on_shutdown_started,
     }
--- a/fawnwharf/policy/routing.py
+++ b/fawnwharf/policy/routing.py
@@ -4,17 +4,19 @@
 from itertools import islice
 
 from fawnwharf.policy import slow_start, state
-from fawnwharf.policy.state import REFRESH_MS, Function, Request, Scorer, ScorerCopies, mix
-
-BOUND_FACTOR = 1.5  # a scorer of another zone takes so many times its fair share of the requests in flight
-BOUND_NEAR = 2.4  # one of the near zone takes so many times its fair share
-BOUND_FLOOR = 2.0  # and at least so many requests
-TRIAL_DRAWS = 2**60  # of the draws: one call in sixteen tries a new place while others are known
+from fawnwharf.policy.state import REFRESH_MS, Function, Request, Scorer, ScorerCopies, mix_bits
+
+FAR_BOUND_FACTOR = (
+    1.5  # a scorer of another zone takes so many times its fair share of the requests in flight
+)
+NEAR_BOUND_FACTOR = 2.4  # one of the near zone takes so many times its fair share
+MIN_IN_FLIGHT_BOUND = 2.0  # and at least so many requests
+TRIAL_BITS_LIMIT = 2**60  # of the draws: one call in sixteen tries a new place while others are known
 PROBE_PAUSE_MS = 100.0  # between two probes for the same copy
 LOW_PRIORITY_PART = 0.35  # of a limit, for calls past their quota or time
-QUERIES_AT_ONCE = 2  # of scorers without a lease, for one request
-SPREAD_LANES = 0.6  # part of a copy's lanes that a spread function's calls may fill
-SPREAD_PART = 0.3  # part of a scorer's capacity that they may fill
+MAX_QUERIES_PER_REQUEST = 2  # of scorers without a lease, for one request
+SPREAD_LANE_SHARE = 0.6  # part of a copy's lanes that a spread function's calls may fill
+SPREAD_CAPACITY_SHARE = 0.3  # part of a scorer's capacity that they may fill
 
 
 class Routing(slow_start.SlowStart):
@@ -22,17 +24,19 @@
 
     def _ordered(self, fn: Function) -> list[Scorer]:
         """The ready scorers by rendezvous hashing; those of the function's zone first, if it has one."""
-        if fn.order_members is not self.members:
+        if fn.hash_order_sizes is not self.members:
             drawn = {
-                scorer: math.log((mix(fn.hash_bits ^ scorer.hash_bits) + 1) / (2**64 + 1))
+                scorer: math.log((mix_bits(fn.hash_bits ^ scorer.hash_bits) + 1) / (2**64 + 1))
                 for scorer in self.ready
             }
-            fn.order = sorted(drawn, key=lambda scorer: (-drawn[scorer] / self.members[scorer.id], scorer.id))
-            fn.order.sort(key=lambda scorer: fn.site != "" and self._is_far(scorer, fn))
-            fn.order_members = self.members
+            fn.hash_order = sorted(
+                drawn, key=lambda scorer: (-drawn[scorer] / self.members[scorer.id], scorer.id)
+            )
+            fn.hash_order.sort(key=lambda scorer: fn.site != "" and self._is_far(scorer, fn))
+            fn.hash_order_sizes = self.members
             fn.known = None
-            self._apply_remote_load(fn, fn.order)
-        return fn.order
+            self._apply_remote_load(fn, fn.hash_order)
+        return fn.hash_order
 
     def _known_scorers(self, fn: Function) -> list[Scorer]:
         """Scorers with an entry for a function, the near zone's first, in hash order."""
@@ -46,32 +50,32 @@
 
     def _candidates(self, fn: Function, request: Request) -> list[Scorer]:
         """Scorers that may have a copy, as they are to be tried; in a wide fleet from a drawn one on."""
-        if not self.is_wide:
+        if not self.has_many_front_ends:
             return self._known_scorers(fn)
         first = self._rotated_order(fn, request)
         is_seen = any(
             self._copies(fn, scorer) and self._is_preferred(scorer, fn) for scorer in self._known_scorers(fn)
         )
         # All front ends try a new place: that only few calls do so guards the store.
-        tried = first if not is_seen or request.draw < TRIAL_DRAWS else []
+        tried = first if not is_seen or request.random_bits < TRIAL_BITS_LIMIT else []
         for scorer in tried if self.settings.loads_on_miss else first[:1]:
-            self._probe_place(fn, scorer)
+            self._probe_for_copy(fn, scorer)
         known = sorted(
             self._known_scorers(fn), key=lambda scorer: self._slowdown_of(scorer) > self.max_slowdown
         )
         return [scorer for scorer in dict.fromkeys(first + known) if scorer.id in fn.copies_by_scorer]
 
-    def _probe_place(self, fn: Function, scorer: Scorer) -> None:
+    def _probe_for_copy(self, fn: Function, scorer: Scorer) -> None:
         """Probe for a copy; in a wide fleet it is taken to be loaded, as calls refresh it or load it."""
-        place = self._copies_at(fn, scorer)
+        scorer_copies = self._copies_at(fn, scorer)
         if not self._is_usable(scorer, fn) or self._copies(fn, scorer):
             return
         # Where no probe may be sent, calls alone find out.
-        calls_find_out = self.is_wide and self.settings.loads_on_miss
+        calls_find_out = self.has_many_front_ends and self.settings.loads_on_miss
         if not self.settings.load_orders_allowed or calls_find_out:
-            place.copies = 1
-            place.seen_ms = self.now
-        elif self.now - place.probed_ms > state.RATE_MS:
+            scorer_copies.copies = 1
+            scorer_copies.seen_ms = self.now
+        elif self.now - scorer_copies.probed_ms > state.ARRIVAL_WINDOW_MS:
             self._probe(fn, scorer)
 
     def _rotated_order(self, fn: Function, request: Request) -> list[Scorer]:
@@ -80,9 +84,15 @@
         In a wide fleet the better of two places that it drew.
         """
         preferred = (scorer for scorer in self._ordered(fn) if self._is_preferred(scorer, fn))
-        order = list(islice(preferred, fn.spread)) or fn.order[: fn.spread]
-        starts = [draw % len(order) for draw in (request.draw, request.draw >> 32) if order]
-        start = min(starts, key=lambda start: self.is_wide * self._cost(order[start], fn), default=0)
+        order = list(islice(preferred, fn.spread)) or fn.hash_order[: fn.spread]
+        starts = [
+            random_bits % len(order)
+            for random_bits in (request.random_bits, request.random_bits >> 32)
+            if order
+        ]
+        start = min(
+            starts, key=lambda start: self.has_many_front_ends * self._cost(order[start], fn), default=0
+        )
         return order[start:] + order[:start]
 
     def _update_spread(self, fn: Function) -> None:
@@ -91,16 +101,16 @@
         From own arrivals times the number of front ends, or from the reported concurrency: this keeps the
         first scorers of the order from overload.
         """
-        decay = math.exp((max(fn.last_ms, default=self.now) - self.now) / state.FADE_MS)
+        decay = math.exp((max(fn.last_ms, default=self.now) - self.now) / state.DECAY_MS)
         fn.arrived *= decay
         fn.reported_concurrency *= decay
-        rate = self._discounted(fn.arrived) / min(state.FADE_MS, self.now - self.began_ms + REFRESH_MS)
+        rate = self._discounted(fn.arrived) / min(state.DECAY_MS, self.now - self.began_ms + REFRESH_MS)
         if len(fn.last_ms) == state.BURST_ARRIVALS:
             burst_ms = max(self.now - fn.last_ms[0], REFRESH_MS)
             rate = max(rate, self._discounted(state.BURST_ARRIVALS) / burst_ms)
         demand = max(rate * self.front_ends * self._run_time_ms(fn), fn.reported_concurrency)
         # The bound on a scorer is 0 where none is ready.
-        share = min(SPREAD_LANES * fn.lanes, SPREAD_PART * self.max_in_flight or 1.0)
+        share = min(SPREAD_LANE_SHARE * fn.lanes, SPREAD_CAPACITY_SHARE * self.mean_concurrency_limit or 1.0)
         fn.spread = min(max(1, math.ceil(demand / share)), max(1, len(self.ready)))
         fn.arrived += 1
         fn.needed_ms = self.now
@@ -108,7 +118,7 @@
 
     def _discounted(self, seen: float) -> float:
         """Arrivals less what chance may add to them, which many front ends would multiply."""
-        return max(0.0, seen - math.sqrt(seen)) if self.is_wide else seen
+        return max(0.0, seen - math.sqrt(seen)) if self.has_many_front_ends else seen
 
     def _is_warm(self, fn: Function) -> bool:
         """Whether a usable scorer has a copy."""
@@ -128,7 +138,7 @@
         candidates = self._candidates(fn, request)
         if len(self.recent_attempts) >= self.limit * (1.0 if is_in_flight else part):
             return None
-        if self.is_wide and self._awaits_probe(fn):
+        if self.has_many_front_ends and self._awaits_probe(fn):
             return None  # one probe at a time; the place that was drawn is to answer first
         beyond_bound = list[Scorer]()
         is_probing = False
@@ -136,33 +146,40 @@
         for scorer in candidates:
             if is_probing and self._is_far(scorer, fn):
                 break
-            place = fn.copies_by_scorer[scorer.id]
-            if self._has_free_lane(fn, place, scorer) and self._may_send_here(request, scorer, part):
+            scorer_copies = fn.copies_by_scorer[scorer.id]
+            if self._has_free_lane(fn, scorer_copies, scorer) and self._may_send_here(request, scorer, part):
                 if not self._has_lease(scorer):
                     # Without a proof that it is in service it is queried, and another one serves meanwhile.
-                    if queried < QUERIES_AT_ONCE:
+                    if queried < MAX_QUERIES_PER_REQUEST:
                         queried += 1
                         is_probing = self._query_state(fn, scorer) or is_probing
                     continue
                 if scorer.in_flight < self._in_flight_bound(scorer, fn):
                     return scorer
                 beyond_bound.append(scorer)
-            is_fresh = place.open_probes and self.now - place.probed_ms < state.PROBE_WAIT_MS
+            is_fresh = scorer_copies.open_probes and self.now - scorer_copies.probed_ms < state.PROBE_WAIT_MS
             is_probing = is_probing or bool(is_fresh and self._copies(fn, scorer))
         return min(beyond_bound, key=lambda scorer: scorer.in_flight, default=None)
 
-    def _has_free_lane(self, fn: Function, place: ScorerCopies, scorer: Scorer) -> bool:
+    def _has_free_lane(self, fn: Function, scorer_copies: ScorerCopies, scorer: Scorer) -> bool:
         """Whether a warm copy has a free lane; copies that were not seen for long are probed first.
 
         The cost: a wait of one round trip.
         """
-        if self.now < place.blocked_ms or self._copies(fn, scorer) * fn.lanes <= place.in_flight:
+        if (
+            self.now < scorer_copies.blocked_ms
+            or self._copies(fn, scorer) * fn.lanes <= scorer_copies.in_flight
+        ):
             return False
         # With calls in flight, only a count shows that there is a lane more.
-        evidence_ms = place.counted_ms if place.in_flight else place.seen_ms
-        is_sure = place.in_flight % fn.lanes > 0 or self.now - evidence_ms < state.STALE_MS or self.is_wide
+        evidence_ms = scorer_copies.counted_ms if scorer_copies.in_flight else scorer_copies.seen_ms
+        is_sure = (
+            scorer_copies.in_flight % fn.lanes > 0
+            or self.now - evidence_ms < state.COPY_STALE_MS
+            or self.has_many_front_ends
+        )
         # A probe that was rejected is not repeated at once: each may cost a connection.
-        is_due = not place.open_probes and self.now - place.probed_ms >= PROBE_PAUSE_MS
+        is_due = not scorer_copies.open_probes and self.now - scorer_copies.probed_ms >= PROBE_PAUSE_MS
         may_probe = not is_sure and self.settings.load_orders_allowed and is_due
         if may_probe and self._is_usable(scorer, fn):
             self._probe(fn, scorer)
@@ -170,9 +187,9 @@
 
     def _in_flight_bound(self, scorer: Scorer, fn: Function) -> float:
         """Own requests that a scorer may have in flight: a multiple of its fair share."""
-        fair = (len(self.attempts) + 1) * self._size(scorer) / self.total
-        factor = BOUND_FACTOR if self._is_far(scorer, fn) else BOUND_NEAR
-        return max(BOUND_FLOOR * self._warmth(scorer), factor * fair)
+        fair = (len(self.attempts) + 1) * self._size(scorer) / self.ready_size
+        factor = FAR_BOUND_FACTOR if self._is_far(scorer, fn) else NEAR_BOUND_FACTOR
+        return max(MIN_IN_FLIGHT_BOUND * self._warmth(scorer), factor * fair)
 
     def _is_preferred(self, scorer: Scorer, fn: Function) -> bool:
         """Whether a scorer can take calls and is no outlier by its slowdown."""
--- a/fawnwharf/policy/slow_start.py
+++ b/fawnwharf/policy/slow_start.py
@@ -36,18 +36,24 @@
 import math
 from collections import deque
 
-from fawnwharf.policy.state import REFRESH_MS, WINDOW_MS, RouterState, Scorer, mix
+from fawnwharf.policy.state import REFRESH_MS, SAMPLE_WINDOW_MS, RouterState, Scorer, mix_bits
 
-MARGIN_MS = 50.0  # two sends may arrive so much nearer to each other than they left: one had to wait
+TRANSIT_MARGIN_MS = 50.0  # two sends may arrive so much nearer to each other than they left: one had to wait
 ARRIVAL_SAFETY = 0.6  # of own arrivals, a guess: they grow where clients retry
-ANSWERED_PART = 0.45  # of a front end's part that follows its answers; the rest is the same for all
+ANSWERED_SHARE = 0.45  # of a front end's part that follows its answers; the rest is the same for all
 BURST_MS = 250.0  # answers that came at once are counted over so long: a rate, not a burst
 FORMER_INCARNATIONS = 2  # of a front end within a window, of whose sends it does not know
-FAILURE = 1e-6  # accepted probability that chance takes all front ends past the bound, by scorer and window
-CHERNOFF = 5 * FAILURE  # the inequality gives so much more than the true probability; tests compute it
-SMALL = 30.0  # below this N, the bound has wider terms
-TILTS = tuple(0.1 * 1.12**n for n in range(40))  # exponents that Chernoff's inequality is tried with
-HALVINGS = 30  # of the interval in which the largest mean is searched
+FAILURE_PROBABILITY = (
+    1e-6  # accepted probability that chance takes all front ends past the bound, by scorer and window
+)
+CHERNOFF_THRESHOLD = (
+    5 * FAILURE_PROBABILITY
+)  # the inequality gives so much more than the true probability; tests compute it
+SMALL_ALLOWANCE = 30.0  # below this N, the bound has wider terms
+CHERNOFF_EXPONENTS = tuple(
+    0.1 * 1.12**n for n in range(40)
+)  # exponents that Chernoff's inequality is tried with
+BISECTION_STEPS = 30  # of the interval in which the largest mean is searched
 
 
 def bound(allowed: float) -> float:
@@ -56,9 +62,9 @@
     It never falls as N grows: N may pass 30 within a window, and is seldom known exactly.
     """
     root = math.sqrt(allowed)
-    if allowed >= SMALL:
+    if allowed >= SMALL_ALLOWANCE:
         return allowed + 2 * root + 2
-    return min(allowed + 3 * root + 3, SMALL + 2 * math.sqrt(SMALL) + 2)
+    return min(allowed + 3 * root + 3, SMALL_ALLOWANCE + 2 * math.sqrt(SMALL_ALLOWANCE) + 2)
 
 
 def _exponent(mean: float, excess: float, front_ends: int) -> float:
@@ -67,7 +73,7 @@
     It is the least one that the exponents of TILTS give.
     """
     least = 0.0
-    for tilt in TILTS:
+    for tilt in CHERNOFF_EXPONENTS:
         # The fraction for which the sum varies most.
         worst = 1 / tilt - 1 / math.expm1(tilt)
         fraction = min(mean / front_ends, worst)
@@ -76,7 +82,7 @@
     return least
 
 
-def first_past(allowed: float) -> int:
+def least_violation(allowed: float) -> int:
     """The least number of requests that is past the bound, where N is `allowed`."""
     return math.floor(bound(allowed)) + 1
 
@@ -86,9 +92,9 @@
     # Each floor exceeds its part by less than one.
     low = max(0.0, float(past - front_ends))
     high = float(past)
-    for _ in range(HALVINGS):
+    for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2
-        if _exponent(middle, past - middle, front_ends) <= math.log(CHERNOFF):
+        if _exponent(middle, past - middle, front_ends) <= math.log(CHERNOFF_THRESHOLD):
             low = middle
         else:
             high = middle
@@ -106,7 +112,7 @@
             return True
         self._prune(scorer.slow_start_sends)
         factor = self.settings.slow_start_multiple * share * window_ms
-        if self.now < self.began_ms + window_ms + MARGIN_MS:
+        if self.now < self.began_ms + window_ms + TRANSIT_MARGIN_MS:
             limit: float = self._spare_sends(self._allowed_sends(scorer, factor))
         else:
             limit = self._drawn_limit(scorer, factor, window_ms)
@@ -114,7 +120,7 @@
 
     def _drawn_limit(self, scorer: Scorer, factor: float, window_ms: float) -> float:
         """Own sends to a scorer in a window: this front end's part, and the fraction drawn for the scorer."""
-        own = self._slow_start_part(scorer, factor)
+        own = self._slow_start_share(scorer, factor)
         left = own
         if scorer.remote_load.sent is not None and self._has_remote_load(scorer, window_ms):
             # Others have sent their parts since the report.
@@ -123,68 +129,68 @@
         # What others leave is shared: all front ends see it at once.
         left = min(left, own + (left - own) / self.front_ends)
         # By chance, so that a part below one falls to as many front ends as it should.
-        return left + mix(mix(self.chance ^ scorer.hash_bits)) / 2**64
+        return left + mix_bits(mix_bits(self.chance ^ scorer.hash_bits)) / 2**64
 
     def _allowed_sends(self, scorer: Scorer, factor: float) -> float:
         """N, as far as this front end can tell: the scorer's rate when warmed up times `factor`."""
-        if self.sold_rate > 0:
-            return factor * self.sold_rate * self._unit_part(scorer)
+        if self.total_quota_per_ms > 0:
+            return factor * self.total_quota_per_ms * self._size_share(scorer)
         return factor * self._warm_rate(scorer) * self.front_ends
 
-    def _slow_start_part(self, scorer: Scorer, factor: float) -> float:
+    def _slow_start_share(self, scorer: Scorer, factor: float) -> float:
         """This front end's part of what all may send there in a window."""
-        return factor * self._warm_rate(scorer) * self._safe_part(self._allowed_sends(scorer, factor))
+        return factor * self._warm_rate(scorer) * self._safe_share(self._allowed_sends(scorer, factor))
 
     def _spare_sends(self, allowed: float) -> int:
         """What each of few front ends may send beside what its former incarnation may have sent."""
-        spare = first_past(allowed) - allowed - self.front_ends
+        spare = least_violation(allowed) - allowed - self.front_ends
         return math.floor(spare / (FORMER_INCARNATIONS * self.front_ends))
 
-    def _safe_part(self, allowed: float) -> float:
+    def _safe_share(self, allowed: float) -> float:
         """The part of N that all front ends together may take in the mean."""
-        past = first_past(allowed)
+        past = least_violation(allowed)
         if allowed + self.front_ends <= past:
             return 1.0
-        if past not in self.safe_means:
-            self.safe_means[past] = safe_mean(past, self.front_ends)
-        return min(1.0, self.safe_means[past] / allowed) if allowed > 0 else 0.0
+        if past not in self.safe_mean_cache:
+            self.safe_mean_cache[past] = safe_mean(past, self.front_ends)
+        return min(1.0, self.safe_mean_cache[past] / allowed) if allowed > 0 else 0.0
 
     def _warm_rate(self, scorer: Scorer) -> float:
         """This front end's part of a scorer's capacity when warmed up, in requests a millisecond."""
         arrivals = ARRIVAL_SAFETY * len(self.arrivals_ms) / self.stretch_ms / max(1, len(self.ready))
-        answered = self._answered()
-        if self.sold_rate > 0:
-            sold = self.sold_rate / self.front_ends
-            rate = (sold + ANSWERED_PART * (answered - sold)) * self._unit_part(scorer)
-            return rate if self.is_wide else min(rate, arrivals)
+        answered = self._answer_rate()
+        if self.total_quota_per_ms > 0:
+            sold = self.total_quota_per_ms / self.front_ends
+            rate = (sold + ANSWERED_SHARE * (answered - sold)) * self._size_share(scorer)
+            return rate if self.has_many_front_ends else min(rate, arrivals)
         if answered > 0:
             # The answers came from as much of the fleet as was warmed up at the most meanwhile.
-            largest = max(total for _, total in self.totals)
+            largest = max(ready_size for _, ready_size in self.ready_size_history)
             return min(arrivals, answered * self.members.get(scorer.id, 1.0) / largest)
         return arrivals
 
-    def _answered(self) -> float:
+    def _answer_rate(self) -> float:
         """Own answers of warm copies, a millisecond.
 
         Few are counted over a whole span, or the sum over front ends with few each would exceed what the
         fleet answers.
         """
         timed = self.runs.timed
-        while timed and timed[0][0] < self.now - WINDOW_MS:
+        while timed and timed[0][0] < self.now - SAMPLE_WINDOW_MS:
             timed.popleft()
         if len(timed) == timed.maxlen:
             return (len(timed) - 1) / max(BURST_MS, self.now - timed[0][0])
-        return len(timed) / max(REFRESH_MS, min(WINDOW_MS, self.now - self.began_ms))
+        return len(timed) / max(REFRESH_MS, min(SAMPLE_WINDOW_MS, self.now - self.began_ms))
 
-    def _unit_part(self, scorer: Scorer) -> float:
+    def _size_share(self, scorer: Scorer) -> float:
         """The scorer's part of the largest fleet seen: what is sold was sold for all of it."""
-        return self.members.get(scorer.id, 1.0) / self.largest_listed
+        return self.members.get(scorer.id, 1.0) / self.largest_listed_size
 
-    def _note_total(self) -> None:
+    def _record_ready_size(self) -> None:
         """Record the size of the ready fleet, for as long as answers count."""
-        while self.totals and self.totals[0][0] < self.now - WINDOW_MS:
-            self.totals.popleft()
-        self.totals.append((self.now, self.total))
+        while self.ready_size_history and self.ready_size_history[0][0] < self.now - SAMPLE_WINDOW_MS:
+            self.ready_size_history.popleft()
+        self.ready_size_history.append((self.now, self.ready_size))
 
     def _begin_slow_start(self, scorer: Scorer, started_ms: float, since_ms: float) -> None:
         """Begin the slow start of a scorer whose start was reported or guessed.
@@ -204,7 +210,7 @@
 
     def _prune(self, sends: deque[float]) -> None:
         """Drop sends that left the window."""
-        while sends and sends[0] <= self.now - self.settings.slow_start_window_ms - MARGIN_MS:
+        while sends and sends[0] <= self.now - self.settings.slow_start_window_ms - TRANSIT_MARGIN_MS:
             sends.popleft()
 
     def _warmth(self, scorer: Scorer) -> float:
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -12,21 +12,27 @@
 
 TYPE_CHECKING = False  # type checkers take it for true; the decisions import no module for it
 
-WINDOW_MS = 10_000.0  # window of the medians
+SAMPLE_WINDOW_MS = 10_000.0  # window of the medians
 MAX_SAMPLES = 64  # samples of a median; more would not move it
 SWEEP_MS = 40.0  # period of the timer
-LEAD_MS = 20.0  # a final answer is given so long before its client leaves
+ANSWER_LEAD_MS = 20.0  # a final answer is given so long before its client leaves
 REFRESH_MS = 1_000.0  # period of the sums over the fleet
-STALE_MS = 1_000.0  # a copy that was not seen for so long may be gone
-RATE_MS = 5_000.0  # window of the arrival rate, and pause between two probes of a place without a copy
-SILENT_MS = 300.0  # a scorer that owes an answer for so long is probed
-PROBED_SCORERS = 4  # scorers that are probed for the copies of an unknown function
+COPY_STALE_MS = 1_000.0  # a copy that was not seen for so long may be gone
+ARRIVAL_WINDOW_MS = (
+    5_000.0  # window of the arrival rate, and pause between two probes of a place without a copy
+)
+SILENCE_LIMIT_MS = 300.0  # a scorer that owes an answer for so long is probed
+MAX_PROBED_SCORERS = 4  # scorers that are probed for the copies of an unknown function
 PROBE_WAIT_MS = 12.0  # a load waits so long for the answers to probes
-FADE_MS = 30_000.0  # time constant of a function's arrivals and of slowdowns
+DECAY_MS = 30_000.0  # time constant of a function's arrivals and of slowdowns
 BURST_ARRIVALS = 3  # so many arrivals at once count as a rate by themselves
-SHORT_MS = 5 * (SWEEP_MS + LEAD_MS)  # requests of classes with no longer deadline have timers of their own
-MAX_TOTALS = 1_000  # sizes of the ready fleet that are stored: each change of the roster brings one
-EJECTION_MS = 2_000.0  # the first ejection; a call then tries the scorer, and each trial doubles the time
+OWN_TIMER_DEADLINE_MS = 5 * (
+    SWEEP_MS + ANSWER_LEAD_MS
+)  # requests of classes with no longer deadline have timers of their own
+MAX_SIZE_SAMPLES = 1_000  # sizes of the ready fleet that are stored: each change of the roster brings one
+FIRST_EJECTION_MS = (
+    2_000.0  # the first ejection; a call then tries the scorer, and each trial doubles the time
+)
 MAX_EJECTION_MS = 8_000.0  # the longest ejection
 HEDGE_TOKENS_PER_REQUEST = 0.1  # hedged requests that each request allows
 MAX_HEDGE_TOKENS = 3.0  # hedged requests that may be saved up
@@ -37,7 +43,7 @@
 MAX_LATE_PART = 0.5  # a request with more than this part of its latency target left is never late
 
 
-def mix(bits: int) -> int:
+def mix_bits(bits: int) -> int:
     """64 bits, well mixed: the end of splitmix64."""
     bits = (bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9 % 2**64
     bits = (bits ^ (bits >> 27)) * 0x94D049BB133111EB % 2**64
@@ -60,7 +66,7 @@
     def median(self, now_ms: float) -> float | None:
         """The median; None without values."""
         if now_ms - self.at_ms >= SWEEP_MS:
-            while self.timed and self.timed[0][0] < now_ms - WINDOW_MS:
+            while self.timed and self.timed[0][0] < now_ms - SAMPLE_WINDOW_MS:
                 self.timed.popleft()
             values = sorted(value for _, value in self.timed)
             self.value = values[len(values) // 2] if values else None
@@ -77,7 +83,7 @@
     hash_bits: int  # its number as 64 well-mixed bits, for the hash orders
     in_flight: int = 0  # own attempts
     started_ms: float = -math.inf  # by the roster, or guessed when a silent scorer came back without copies
-    owed_ms: float | None = None  # since when an answer is expected and nothing came
+    awaiting_since_ms: float | None = None  # since when an answer is expected and nothing came
     slowdown: float = 1.0  # its run times, as a multiple of the functions' run times elsewhere
     slowdown_ms: float = -math.inf  # when that was last seen; it decays
     probed_ms: float | None = None  # when the probe was sent that has no answer yet
@@ -90,11 +96,11 @@
     loss_records: dict[str, "LossRecord"] = field(default_factory=dict)  # by class
     remote_load: io.RemoteLoadReport = field(default_factory=lambda: io.RemoteLoadReport(0))  # the last
     remote_load_ms: float = -math.inf  # of the oldest message that the report rests on
-    proved_ms: float = -math.inf  # what it took and answered well was sent then: it was in service
-    doubted_ms: float = -math.inf  # it rejected what was sent then: only a later proof counts
-    refuted_ms: float = -math.inf  # it rejected a query that was sent then: only a later answer counts
-    interrupted_ms: float | None = None  # since when its process may be another one, unreported
-    queried_ms: float = -math.inf  # when the last query for its state was sent
+    confirmed_ms: float = -math.inf  # what it took and answered well was sent then: it was in service
+    rejected_ms: float = -math.inf  # it rejected what was sent then: only a later proof counts
+    query_rejected_ms: float = -math.inf  # it rejected a query that was sent then: only a later answer counts
+    restart_suspected_ms: float | None = None  # since when its process may be another one, unreported
+    query_sent_ms: float = -math.inf  # when the last query for its state was sent
     next_query_ms: float = -math.inf  # no such query before then
     query_pause_ms: float = QUERY_PAUSE_MS  # after the next one
 
@@ -109,7 +115,7 @@
 
     losses: float = 0.0
     ejected_until_ms: float = -math.inf
-    ejection_ms: float = EJECTION_MS  # length of the next ejection
+    ejection_ms: float = FIRST_EJECTION_MS  # length of the next ejection
 
 
 @dataclass(slots=True, eq=False)
@@ -126,8 +132,8 @@
     order_count: int = 0  # copies that it names
     speculative: bool = False  # that order was sent while a warm copy existed
     blocked_ms: float = -math.inf  # takes nothing until then
-    unused_ms: float | None = None  # since when a speculative copy is loaded and was not needed
-    lanes_before: int = 0  # lanes that were there before that copy
+    idle_since_ms: float | None = None  # since when a speculative copy is loaded and was not needed
+    lanes_without_it: int = 0  # lanes that were there before that copy
 
 
 @dataclass(slots=True, eq=False)
@@ -138,8 +144,8 @@
     scorer: int
     function: "Function"
     sent_ms: float
-    alone: bool  # the scorer had next to no other call of this front end when it left
-    among: int  # warm scorers that it was drawn from
+    is_uncrowded: bool  # the scorer had next to no other call of this front end when it left
+    warm_candidates: int  # warm scorers that it was drawn from
     zone: str  # of the scorer when it left: the roster may move the scorer, or forget it
     cell: int
     open: bool = True
@@ -158,9 +164,9 @@
     deadline_ms: float
     over_quota: bool  # beyond the tenant's quota, or a client's later try
     queued_ms: float  # since when it waits in the queue
-    draw: int  # where among the first scorers of a widely spread function it starts
+    random_bits: int  # where among the first scorers of a widely spread function it starts
     target_ms: float  # an answer by then is within the latency target
-    ends_ms: float  # without an answer by then it is given one here, so that it comes in time
+    answer_due_ms: float  # without an answer by then it is given one here, so that it comes in time
     attempts: list[Attempt] = field(default_factory=list)
 
     def first_run(self) -> Attempt | None:
@@ -179,8 +185,8 @@
     hash_bits: int
     queue: list[Request] = field(default_factory=list)
     copies_by_scorer: dict[int, ScorerCopies] = field(default_factory=dict)
-    order: list[Scorer] = field(default_factory=list)  # scorers in hash order
-    order_members: dict[int, float] | None = None  # the sizes that the order was made of
+    hash_order: list[Scorer] = field(default_factory=list)  # scorers in hash order
+    hash_order_sizes: dict[int, float] | None = None  # the sizes that the order was made of
     known: list[Scorer] | None = None  # those with an entry in `copies_by_scorer`, in hash order
     runs: Samples = field(default_factory=Samples)  # run times: Te of the paper
     loads: Samples = field(default_factory=Samples)  # load times: Tp
@@ -199,7 +205,8 @@
         """Whether a request waits, or an attempt, a load order or a probe is in progress."""
         places = self.copies_by_scorer.values()
         return bool(self.queue) or any(
-            place.in_flight or place.open_probes or place.order_ms is not None for place in places
+            scorer_copies.in_flight or scorer_copies.open_probes or scorer_copies.order_ms is not None
+            for scorer_copies in places
         )
 
 
@@ -240,7 +247,7 @@
         def _has_lease(self, scorer: Scorer) -> bool: ...
         def _lease_left_ms(self, scorer: Scorer) -> float: ...
         def _may_be_in_service(self, scorer: Scorer) -> bool: ...
-        def _note_interruption(self, scorer: Scorer) -> None: ...
+        def _note_possible_restart(self, scorer: Scorer) -> None: ...
         def _query_state(self, fn: Function, scorer: Scorer) -> bool: ...
 
         # Routing and SlowStart
@@ -249,7 +256,7 @@
         def _in_flight_bound(self, scorer: Scorer, fn: Function) -> float: ...
         def _is_warm(self, fn: Function) -> bool: ...
         def _known_scorers(self, fn: Function) -> list[Scorer]: ...
-        def _note_total(self) -> None: ...
+        def _record_ready_size(self) -> None: ...
         def _ordered(self, fn: Function) -> list[Scorer]: ...
         def _rotated_order(self, fn: Function, request: Request) -> list[Scorer]: ...
         def _size(self, scorer: Scorer) -> float: ...
@@ -270,10 +277,12 @@
         # As of when the change log had no further event.
         self.roster_proved_ms = 0.0 if math.isinf(settings.roster_lease_ms) else -math.inf
         self.members = dict[int, float]()  # sizes of the ready scorers
-        self.total = 1.0  # size of the ready fleet; scorers in slow start count in part
-        self.totals = deque[tuple[float, float]](maxlen=MAX_TOTALS)  # timed sizes of the ready fleet
+        self.ready_size = 1.0  # size of the ready fleet; scorers in slow start count in part
+        self.ready_size_history = deque[tuple[float, float]](
+            maxlen=MAX_SIZE_SAMPLES
+        )  # timed sizes of the ready fleet
         self.largest_fleet = 0.01  # the largest ready fleet seen
-        self.largest_listed = 0.01  # the largest fleet seen, with its draining scorers
+        self.largest_listed_size = 0.01  # the largest fleet seen, with its draining scorers
         # Calls.
         self.classes = settings.classes
         self.functions = dict[str, Function]()
@@ -287,20 +296,22 @@
         self.hedge_tokens = MAX_HEDGE_TOKENS
         # Limits that are worked out from the settings and the roster.
         self.front_ends = max(1, settings.fleet_size)
-        self.is_wide = False  # this front end's part of a scorer is less than one call
-        self.sold_rate = sum(settings.quotas_rps.values()) / 1000  # quotas of all front ends, a millisecond
-        self.safe_means = dict[int, float]()  # results of `slow_start.safe_mean`, by its first argument
+        self.has_many_front_ends = False  # this front end's part of a scorer is less than one call
+        self.total_quota_per_ms = (
+            sum(settings.quotas_rps.values()) / 1000
+        )  # quotas of all front ends, a millisecond
+        self.safe_mean_cache = dict[int, float]()  # results of `slow_start.safe_mean`, by its first argument
         self.limit = math.inf  # own attempts in flight
-        self.max_in_flight = 0.0  # calls of all front ends in flight at a scorer
+        self.mean_concurrency_limit = 0.0  # calls of all front ends in flight at a scorer
         self.max_slowdown = math.inf
-        self.silent_ms = SILENT_MS
+        self.silence_limit_ms = SILENCE_LIMIT_MS
         self.latency_target_ms = min(
             (spec.latency_target_ms for spec in settings.classes.values()), default=1000.0
         )
         self.runs = Samples()
         self.run_ms = self.latency_target_ms / 5
-        self.stretch_ms = settings.load_window_ms or RATE_MS  # over which arrivals are counted
-        self.answer_by_ms = math.inf  # graceful shutdown: no request may stay open for longer
+        self.stretch_ms = settings.load_window_ms or ARRIVAL_WINDOW_MS  # over which arrivals are counted
+        self.shutdown_deadline_ms = math.inf  # graceful shutdown: no request may stay open for longer
         # The timer.
         self.sweeping = False
         self.refreshed_ms = -math.inf
@@ -355,11 +366,11 @@
             report = scorer.remote_load
             if fn.name not in report.copies and fn.name not in report.loading:
                 continue
-            place = self._copies_at(fn, scorer)
+            scorer_copies = self._copies_at(fn, scorer)
             copies = report.copies.get(fn.name, 0)
-            if copies > 0 and scorer.remote_load_ms > place.seen_ms:
-                place.copies = max(copies, self._copies(fn, scorer))
-                place.seen_ms = scorer.remote_load_ms
+            if copies > 0 and scorer.remote_load_ms > scorer_copies.seen_ms:
+                scorer_copies.copies = max(copies, self._copies(fn, scorer))
+                scorer_copies.seen_ms = scorer.remote_load_ms
 
     def _forget(self) -> None:
         """Forget what is long past, and of too many functions those that were not called for longest.
--- a/tests/policy/test_policy_roster_lease.py
+++ b/tests/policy/test_policy_roster_lease.py
@@ -54,10 +54,10 @@
 
 def test_a_send_carries_what_is_left_of_the_lease():
     drive, _ = leased()
-    proved_ms = drive.now - 100.0  # the last good answer was to a call sent then
+    confirmed_ms = drive.now - 100.0  # the last good answer was to a call sent then
     drive.now += 300.0
     [send] = of(drive.ask("r1"), io.Send)
-    assert send.within_ms == pytest.approx(LEASE_MS - (drive.now - proved_ms))
+    assert send.within_ms == pytest.approx(LEASE_MS - (drive.now - confirmed_ms))
 
 
 def test_a_load_order_carries_what_is_left_of_the_lease_and_a_query_needs_none():
@@ -104,7 +104,7 @@
     drive.now += 300.0
     drive.feed(io.RosterConfirmed(1_000.0))
     [send] = of(drive.ask("r1"), io.Send)
-    drive.router.scorers[home].proved_ms -= 2_500.0
+    drive.router.scorers[home].confirmed_ms -= 2_500.0
     drive.end(send, AttemptResult.FULL)
     assert drive.router.lease_counters.doubts == 1
     drive.sweep(drive.now + 200.0)
--- a/tests/policy/test_policy_slow_start.py
+++ b/tests/policy/test_policy_slow_start.py
@@ -62,10 +62,10 @@
 def test_chance_takes_all_front_ends_past_the_bound_less_than_once_in_a_million(front_ends):
     for allowed in ALLOWED:
         past = math.floor(rule(allowed)) + 1
-        mean = min(allowed, slow_start.safe_mean(slow_start.first_past(allowed), front_ends))
-        assert slow_start.first_past(allowed) <= past
+        mean = min(allowed, slow_start.safe_mean(slow_start.least_violation(allowed), front_ends))
+        assert slow_start.least_violation(allowed) <= past
         for parts in spreads(mean, front_ends):
-            assert chance_of(parts, past) <= slow_start.FAILURE, (allowed, mean)
+            assert chance_of(parts, past) <= slow_start.FAILURE_PROBABILITY, (allowed, mean)
 
 
 def test_the_bound_is_the_rules_and_never_falls_as_n_grows():
@@ -77,7 +77,7 @@
 
 def test_few_front_ends_and_large_parts_lose_nothing_to_chance():
     for front_ends, allowed in ((1, 0.5), (2, 4.0), (2, 60.0), (5, 20.0), (30, 52.0), (200, 12_000.0)):
-        past = slow_start.first_past(allowed)
+        past = slow_start.least_violation(allowed)
         assert slow_start.safe_mean(past, front_ends) >= allowed or allowed + front_ends <= past
 
 
@@ -255,7 +255,7 @@
     answer(d, 300, 1_000.0)
     assert not room(d)
     assert not d.router.scorers[1].slow_start_sends
-    d.now += slow_start.MARGIN_MS + 1.0
+    d.now += slow_start.TRANSIT_MARGIN_MS + 1.0
     d.feed()
     assert room(d)
 
@@ -337,13 +337,13 @@
         io.ScorerEntry(3, up_since_ms=d.now),
     ]
     d.feed(io.RosterChanged(entries, complete=True))
-    assert d.router.largest_listed == 3.0
+    assert d.router.largest_listed_size == 3.0
 
 
 def test_answers_of_many_front_ends_with_few_each_do_not_add_up_to_more_than_there_were():
     """Counted from the first of its samples on, one answer would be a rate of one a second."""
     d = cold_drive(fleet_size=200, quotas_rps={"t": 40.0})
     answer(d, 2, 200.0)
-    assert d.router._answered() == pytest.approx(2 / 10_000.0)
+    assert d.router._answer_rate() == pytest.approx(2 / 10_000.0)
     answer(d, 100, 1_000.0)  # more than its samples hold
-    assert d.router._answered() == pytest.approx(0.1, rel=0.05)
+    assert d.router._answer_rate() == pytest.approx(0.1, rel=0.05)
