--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -1,6 +1,6 @@
-"""What a front end knows: samples, scorers, the copies there, requests and their attempts.
+"""The state of one front end's decisions: samples, scorers, copies of functions, requests and attempts.
 
-Times are milliseconds of the caller's clock.
+All times are in milliseconds on the caller's clock.
 """
 
 import hashlib
@@ -10,53 +10,50 @@
 
 from fawnwharf import interface as io
 
-TYPE_CHECKING = False  # type checkers take it for true; the decisions import no module for it
-
-SAMPLE_WINDOW_MS = 10_000.0  # window of the medians
-MAX_SAMPLES = 64  # samples of a median; more would not move it
-SWEEP_MS = 40.0  # period of the timer
-ANSWER_LEAD_MS = 20.0  # a final answer is given so long before its client leaves
-REFRESH_MS = 1_000.0  # period of the sums over the fleet
-COPY_STALE_MS = 1_000.0  # a copy that was not seen for so long may be gone
-ARRIVAL_WINDOW_MS = (
-    5_000.0  # window of the arrival rate, and pause between two probes of a place without a copy
-)
-SILENCE_LIMIT_MS = 300.0  # a scorer that owes an answer for so long is probed
-MAX_PROBED_SCORERS = 4  # scorers that are probed for the copies of an unknown function
-PROBE_WAIT_MS = 12.0  # a load waits so long for the answers to probes
-DECAY_MS = 30_000.0  # time constant of a function's arrivals and of slowdowns
-BURST_ARRIVALS = 3  # so many arrivals at once count as a rate by themselves
-OWN_TIMER_DEADLINE_MS = 5 * (
-    SWEEP_MS + ANSWER_LEAD_MS
-)  # requests of classes with no longer deadline have timers of their own
-MAX_SIZE_SAMPLES = 1_000  # sizes of the ready fleet that are stored: each change of the roster brings one
-FIRST_EJECTION_MS = (
-    2_000.0  # the first ejection; a call then tries the scorer, and each trial doubles the time
-)
-MAX_EJECTION_MS = 8_000.0  # the longest ejection
-HEDGE_TOKENS_PER_REQUEST = 0.1  # hedged requests that each request allows
-MAX_HEDGE_TOKENS = 3.0  # hedged requests that may be saved up
-LATE_RUNS = 2.0  # a request with less time than so many runs left is late
-MAX_FUNCTIONS = 2_000  # functions that are remembered
-FORGET_MS = 60_000.0  # functions not called, and scorers gone, for so long are forgotten
-QUERY_PAUSE_MS = 1_000.0  # between two queries for a scorer's state; it doubles with each rejected one
-MAX_LATE_PART = 0.5  # a request with more than this part of its latency target left is never late
+TYPE_CHECKING = False  # type checkers treat it as True; `typing` is not imported for it
+
+SAMPLE_WINDOW_MS = 10_000.0  # age limit of the samples of a median
+MAX_SAMPLES = 64  # samples per median; more would hardly change it
+SWEEP_MS = 40.0  # period of the sweep timer
+ANSWER_LEAD_MS = 20.0  # a final answer is given this long before the client stops waiting
+REFRESH_MS = 1_000.0  # period at which sums over all scorers are recomputed
+COPY_STALE_MS = 1_000.0  # a copy that was not seen for this long may be gone
+# Window of the arrival rate, and minimum time between two probes of a scorer that has no copy.
+ARRIVAL_WINDOW_MS = 5_000.0
+SILENCE_LIMIT_MS = 300.0  # a scorer that gives no answer for this long is probed
+MAX_PROBED_SCORERS = 4  # scorers that are probed for copies of a function without a known copy
+PROBE_WAIT_MS = 12.0  # a load waits at most this long for the answers to probes
+DECAY_MS = 30_000.0  # time constant with which arrival counts and slowdowns decay
+BURST_ARRIVALS = 3  # the last arrivals, from which the rate during a burst is computed
+# Requests of classes with a deadline up to this one get their own timer: the sweep is too coarse for them.
+OWN_TIMER_DEADLINE_MS = 5 * (SWEEP_MS + ANSWER_LEAD_MS)
+MAX_SIZE_SAMPLES = 1_000  # stored sizes of the ready fleet; each roster change adds one
+# Length of the first ejection. After it one call tries the scorer, and each such trial doubles the length.
+FIRST_EJECTION_MS = 2_000.0
+MAX_EJECTION_MS = 8_000.0  # length of the longest ejection
+HEDGE_TOKENS_PER_REQUEST = 0.1  # each request adds this many tokens; a hedged request costs one
+MAX_HEDGE_TOKENS = 3.0  # tokens that can be saved up
+LATE_RUNS = 2.0  # a request is late when less time than this many run times is left
+MAX_FUNCTIONS = 2_000  # functions whose state is kept
+FORGET_MS = 60_000.0  # state of functions not called, and of scorers gone, is dropped after this time
+QUERY_PAUSE_MS = 1_000.0  # between two queries for a scorer's state; doubles with each rejected query
+MAX_LATE_PART = 0.5  # a request with more than this part of its latency target left is not late
 
 
 def mix_bits(bits: int) -> int:
-    """64 bits, well mixed: the end of splitmix64."""
+    """Mix 64 bits with the finalizer of splitmix64."""
     bits = (bits ^ (bits >> 30)) * 0xBF58476D1CE4E5B9 % 2**64
     bits = (bits ^ (bits >> 27)) * 0x94D049BB133111EB % 2**64
     return bits ^ (bits >> 31)
 
 
 def mark(name: str) -> int:
-    """A stable hash of a name, in 64 bits."""
+    """A 64-bit hash of a name that is the same in every process."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 class Samples:
-    """Timed values of the last `WINDOW_MS`; their median is computed once in `SWEEP_MS` at the most."""
+    """Timed values of the last `SAMPLE_WINDOW_MS`; their median is cached for `SWEEP_MS`."""
 
     def __init__(self) -> None:
         self.timed = deque[tuple[float, float]](maxlen=MAX_SAMPLES)
@@ -64,7 +61,7 @@
         self.value: float | None = None
 
     def median(self, now_ms: float) -> float | None:
-        """The median; None without values."""
+        """The median; None if there are no values."""
         if now_ms - self.at_ms >= SWEEP_MS:
             while self.timed and self.timed[0][0] < now_ms - SAMPLE_WINDOW_MS:
                 self.timed.popleft()
@@ -76,44 +73,45 @@
 
 @dataclass(slots=True, eq=False)
 class Scorer:
-    """A scorer as this front end knows it."""
+    """What this front end knows about a scorer."""
 
     id: int
     entry: io.ScorerEntry
-    hash_bits: int  # its number as 64 well-mixed bits, for the hash orders
-    in_flight: int = 0  # own attempts
-    started_ms: float = -math.inf  # by the roster, or guessed when a silent scorer came back without copies
-    awaiting_since_ms: float | None = None  # since when an answer is expected and nothing came
-    slowdown: float = 1.0  # its run times, as a multiple of the functions' run times elsewhere
-    slowdown_ms: float = -math.inf  # when that was last seen; it decays
-    probed_ms: float | None = None  # when the probe was sent that has no answer yet
-    suspect_ms: float | None = None  # since when it is held failed
-    limit: float = math.inf  # own requests that it can work on well, as of the last refresh
-    slow_start_sends: deque[float] = field(default_factory=deque)  # sends that count for its slow start
-    recent_sends: deque[float] = field(default_factory=deque)  # sends of the last slow start window
-    last_function: "Function | None" = None  # the function last seen there
-    gone_ms: float | None = None  # since when it is gone from the roster
+    hash_bits: int  # 64-bit hash of its number, for the hash orders
+    in_flight: int = 0  # attempts of this front end
+    started_ms: float = -math.inf  # from the roster, or assumed when a suspect came back without copies
+    awaiting_since_ms: float | None = None  # start of the wait for an answer; None: none is expected
+    slowdown: float = 1.0  # ratio of its run times to the functions' usual run times; decays to 1
+    slowdown_ms: float = -math.inf  # when `slowdown` was last updated
+    probed_ms: float | None = None  # when the probe that is still unanswered was sent
+    suspect_ms: float | None = None  # when it became suspect; None: it is not
+    limit: float = math.inf  # on the requests of this front end in flight there, as of the last refresh
+    slow_start_sends: deque[float] = field(default_factory=deque)  # times of sends that its slow start counts
+    recent_sends: deque[float] = field(default_factory=deque)  # times of sends in the last slow start window
+    last_function: "Function | None" = None  # the function last used there
+    gone_ms: float | None = None  # when it was first seen to be gone from the roster
     loss_records: dict[str, "LossRecord"] = field(default_factory=dict)  # by class
-    remote_load: io.RemoteLoadReport = field(default_factory=lambda: io.RemoteLoadReport(0))  # the last
-    remote_load_ms: float = -math.inf  # of the oldest message that the report rests on
-    confirmed_ms: float = -math.inf  # what it took and answered well was sent then: it was in service
-    rejected_ms: float = -math.inf  # it rejected what was sent then: only a later proof counts
-    query_rejected_ms: float = -math.inf  # it rejected a query that was sent then: only a later answer counts
-    restart_suspected_ms: float | None = None  # since when its process may be another one, unreported
-    query_sent_ms: float = -math.inf  # when the last query for its state was sent
-    next_query_ms: float = -math.inf  # no such query before then
-    query_pause_ms: float = QUERY_PAUSE_MS  # after the next one
+    remote_load: io.RemoteLoadReport = field(default_factory=lambda: io.RemoteLoadReport(0))  # the last one
+    remote_load_ms: float = -math.inf  # time of the oldest message that `remote_load` is based on
+    # Send times, for the lease on its state (see roster_lease.py).
+    confirmed_ms: float = -math.inf  # of the last message with a good answer: it was in service then
+    rejected_ms: float = -math.inf  # of the last rejected message; only a later confirmation counts
+    query_rejected_ms: float = -math.inf  # of the last rejected query; only a later good answer counts
+    restart_suspected_ms: float | None = None  # when a restart that no event reported became possible
+    query_sent_ms: float = -math.inf  # of the last query for its state
+    next_query_ms: float = -math.inf  # earliest time of the next query
+    query_pause_ms: float = QUERY_PAUSE_MS  # pause after a query
 
     def takes_new(self) -> bool:
-        """Whether it takes new calls and loads; a draining scorer is only probed."""
+        """Whether it accepts new calls and loads; a draining scorer may only be probed."""
         return self.entry.state == io.ScorerState.READY
 
 
 @dataclass(slots=True, eq=False)
 class LossRecord:
-    """Answers of a class that a scorer lost or turned to errors, though it answers other calls."""
+    """Calls of one class that a scorer lost or answered with errors while it answers other calls."""
 
-    losses: float = 0.0
+    losses: float = 0.0  # decays with each good answer
     ejected_until_ms: float = -math.inf
     ejection_ms: float = FIRST_EJECTION_MS  # length of the next ejection
 
@@ -122,18 +120,18 @@
 class ScorerCopies:
     """A function's copies at one scorer, and the load orders and probes for them."""
 
-    copies: int = 0
-    seen_ms: float = -math.inf  # when something last showed that one is loaded
-    counted_ms: float = -math.inf  # when an answer last gave their number
-    in_flight: int = 0  # own attempts
-    open_probes: int = 0  # probes without an answer
+    copies: int = 0  # as last reported or assumed; see `RouterState._copies`
+    seen_ms: float = -math.inf  # when `copies` was last confirmed or set
+    counted_ms: float = -math.inf  # when an answer last reported their number
+    in_flight: int = 0  # attempts of this front end
+    open_probes: int = 0  # unanswered probes
     probed_ms: float = -math.inf  # when the last probe was sent
-    order_ms: float | None = None  # when the load order in progress was sent
-    order_count: int = 0  # copies that it names
-    speculative: bool = False  # that order was sent while a warm copy existed
-    blocked_ms: float = -math.inf  # takes nothing until then
-    idle_since_ms: float | None = None  # since when a speculative copy is loaded and was not needed
-    lanes_without_it: int = 0  # lanes that were there before that copy
+    order_ms: float | None = None  # when the load order in progress was sent; None: there is none
+    order_count: int = 0  # number of copies that this order asks for
+    speculative: bool = False  # whether this order was sent while a warm copy existed
+    blocked_ms: float = -math.inf  # no calls or loads of the function there before this time
+    idle_since_ms: float | None = None  # when a speculative copy was loaded that no call has used yet
+    lanes_without_it: int = 0  # lanes of the copies loaded before that speculative copy
 
 
 @dataclass(slots=True, eq=False)
@@ -144,33 +142,33 @@
     scorer: int
     function: "Function"
     sent_ms: float
-    is_uncrowded: bool  # the scorer had next to no other call of this front end when it left
-    warm_candidates: int  # warm scorers that it was drawn from
-    zone: str  # of the scorer when it left: the roster may move the scorer, or forget it
-    cell: int
-    open: bool = True
-    lost: bool = False
+    is_uncrowded: bool  # at most one other attempt of this front end was in flight at the scorer
+    warm_candidates: int  # number of scorers with copies that it was chosen from
+    zone: str  # of the scorer at the time of the send: the roster may move or drop the scorer later
+    cell: int  # likewise
+    open: bool = True  # it has not ended
+    lost: bool = False  # it is considered lost, as its answer is long overdue
     may_have_run: bool = True
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's request that has no final answer yet."""
+    """A client's request without a final answer."""
 
     id: str
     function: "Function"
     spec: io.ClassSpec
     arrived_ms: float
     deadline_ms: float
-    over_quota: bool  # beyond the tenant's quota, or a client's later try
-    queued_ms: float  # since when it waits in the queue
-    random_bits: int  # where among the first scorers of a widely spread function it starts
-    target_ms: float  # an answer by then is within the latency target
-    answer_due_ms: float  # without an answer by then it is given one here, so that it comes in time
+    over_quota: bool  # beyond the tenant's quota, or a client's retry: it has low priority
+    queued_ms: float  # when it last entered the queue
+    random_bits: int  # 64 bits that select the first scorer to try, where a function has several
+    target_ms: float  # time by which an answer meets the latency target
+    answer_due_ms: float  # time at which the front end answers by itself if no scorer has
     attempts: list[Attempt] = field(default_factory=list)
 
     def first_run(self) -> Attempt | None:
-        """The first attempt that may have run."""
+        """The first attempt that may have run; None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
@@ -179,45 +177,45 @@
     """A function, its queue, and what is known of its copies, run times and load times."""
 
     name: str
-    kind: str  # class of its calls
-    lanes: int  # calls that a copy runs at once
-    load_told_ms: float | None  # load time as requests give it
-    hash_bits: int
+    kind: str  # name of the class of its calls
+    lanes: int  # calls that one copy runs at once
+    load_told_ms: float | None  # load time given in its first request or prefetch
+    hash_bits: int  # 64-bit hash of its name
     queue: list[Request] = field(default_factory=list)
     copies_by_scorer: dict[int, ScorerCopies] = field(default_factory=dict)
     hash_order: list[Scorer] = field(default_factory=list)  # scorers in hash order
-    hash_order_sizes: dict[int, float] | None = None  # the sizes that the order was made of
-    known: list[Scorer] | None = None  # those with an entry in `copies_by_scorer`, in hash order
-    runs: Samples = field(default_factory=Samples)  # run times: Te of the paper
-    loads: Samples = field(default_factory=Samples)  # load times: Tp
-    waits: Samples = field(default_factory=Samples)  # waits in the queue: Td
-    idle_ms: float = 0.0  # Ti: how long the last speculative copy stood unused before its first call
+    hash_order_sizes: dict[int, float] | None = None  # the `RouterState.members` of that order
+    known: list[Scorer] | None = None  # cached: the scorers with an entry in `copies_by_scorer`
+    runs: Samples = field(default_factory=Samples)  # run times; Te of the CIDRE paper
+    loads: Samples = field(default_factory=Samples)  # load times; Tp of the paper
+    waits: Samples = field(default_factory=Samples)  # waits in the queue; Td of the paper
+    idle_ms: float = 0.0  # how long the last speculative copy was idle before its first call; Ti
     load_path: bool = True  # speculative loads are on
-    probed_ms: float = -math.inf  # when a probe for it was last sent anywhere
-    arrived: float = 0.0  # own arrivals, decaying
-    last_ms: deque[float] = field(default_factory=lambda: deque(maxlen=BURST_ARRIVALS))  # last arrivals
-    spread: int = 1  # first scorers in order that the whole fleet's calls need
-    reported_concurrency: float = 0.0  # calls of all front ends in flight, as answers report
-    site: str = ""  # the zone that is near for its calls, where requests name one
+    probed_ms: float = -math.inf  # when a probe for it was last sent to any scorer
+    arrived: float = 0.0  # count of arrivals at this front end; it decays with `DECAY_MS`
+    last_ms: deque[float] = field(default_factory=lambda: deque(maxlen=BURST_ARRIVALS))  # last arrival times
+    spread: int = 1  # number of scorers, from the start of the hash order, that all front ends' calls need
+    reported_concurrency: float = 0.0  # smoothed calls of all front ends in flight, as answers report
+    site: str = ""  # zone that its latest request named; empty: this front end's zone
     needed_ms: float = -math.inf  # when it was last called or prefetched
 
     def is_busy(self) -> bool:
-        """Whether a request waits, or an attempt, a load order or a probe is in progress."""
-        places = self.copies_by_scorer.values()
+        """Whether a request is queued, or an attempt, a load order or a probe is in progress."""
+        all_copies = self.copies_by_scorer.values()
         return bool(self.queue) or any(
             scorer_copies.in_flight or scorer_copies.open_probes or scorer_copies.order_ms is not None
-            for scorer_copies in places
+            for scorer_copies in all_copies
         )
 
 
 class RouterState:
-    """The state that all parts of the router share, and what is read from it.
+    """The state that all parts of the router share, and the queries that they share.
 
-    The parts are mixins of one object: each owns its methods and calls those of the others on `self`.
+    The parts are mixin classes of `Router`. Each defines its own methods and calls those of others on `self`.
     """
 
     if TYPE_CHECKING:
-        # What the parts call of each other; see the part for the meaning.
+        # Methods that are called from other mixins; they are documented where they are defined.
         # Router
         def _dispatch(self, fn: Function) -> None: ...
         def _dispatch_all(self, there: Scorer | None = None) -> None: ...
@@ -265,68 +263,65 @@
     def __init__(self, settings: io.Settings, seed: int) -> None:
         self.settings = settings
         self.seed = seed
-        self.chance = seed  # bits of this front end's own, for draws that stay as they are
-        self.now = 0.0
-        self.began_ms = math.inf
+        self.chance = seed  # seed of the random draws per scorer, which must not change over time
+        self.now = 0.0  # time of the events being handled, in milliseconds
+        self.began_ms = math.inf  # time of the first event
         self.actions = list[io.Action]()
-        # The roster and what follows from it.
-        self.scorers = dict[int, Scorer]()
-        self.ready = list[Scorer]()
-        self.watched = dict[int, Scorer]()  # those that owe an answer, or are suspect
-        self.suspects = 0
-        # As of when the change log had no further event.
+        # The roster and what is derived from it.
+        self.scorers = dict[int, Scorer]()  # by number
+        self.ready = list[Scorer]()  # those that accept new work
+        self.watched = dict[int, Scorer]()  # those from which an answer is expected, and suspects
+        self.suspects = 0  # number of ready scorers that are suspect
+        # The time up to which every event of the change log is known to have been received.
         self.roster_proved_ms = 0.0 if math.isinf(settings.roster_lease_ms) else -math.inf
-        self.members = dict[int, float]()  # sizes of the ready scorers
-        self.ready_size = 1.0  # size of the ready fleet; scorers in slow start count in part
-        self.ready_size_history = deque[tuple[float, float]](
-            maxlen=MAX_SIZE_SAMPLES
-        )  # timed sizes of the ready fleet
-        self.largest_fleet = 0.01  # the largest ready fleet seen
-        self.largest_listed_size = 0.01  # the largest fleet seen, with its draining scorers
-        # Calls.
+        self.members = dict[int, float]()  # full sizes of the ready scorers, by number
+        self.ready_size = 1.0  # size of all ready scorers; those in slow start count in part
+        self.ready_size_history = deque[tuple[float, float]](maxlen=MAX_SIZE_SAMPLES)  # time and size
+        self.largest_fleet = 0.01  # the largest sum of `members` so far
+        self.largest_listed_size = 0.01  # likewise, with the draining scorers
+        # Requests.
         self.classes = settings.classes
-        self.functions = dict[str, Function]()
-        self.waiting = set[Function]()  # those with a queue
-        self.requests = dict[str, Request]()
-        self.attempts = dict[tuple[str, int], Attempt]()
+        self.functions = dict[str, Function]()  # by name
+        self.waiting = set[Function]()  # those that may have queued requests
+        self.requests = dict[str, Request]()  # open ones, by id
+        self.attempts = dict[tuple[str, int], Attempt]()  # in flight, by request id and attempt number
         self.recent_attempts = set[Attempt]()  # in flight for no longer than the latency target
-        self.arrivals_ms = deque[float]()  # within `stretch_ms`
-        self.load_orders_ms = deque[float]()  # within the window of the load rate limit
-        self.quota_tokens = dict[str, tuple[float, float]]()  # by tenant: tokens, as of when
+        self.arrivals_ms = deque[float]()  # arrival times within `stretch_ms`
+        self.load_orders_ms = deque[float]()  # times of load orders within the window of the load rate limit
+        self.quota_tokens = dict[str, tuple[float, float]]()  # by tenant: tokens, time of the last refill
         self.hedge_tokens = MAX_HEDGE_TOKENS
-        # Limits that are worked out from the settings and the roster.
+        # Limits that are computed from the settings and the roster.
         self.front_ends = max(1, settings.fleet_size)
-        self.has_many_front_ends = False  # this front end's part of a scorer is less than one call
-        self.total_quota_per_ms = (
-            sum(settings.quotas_rps.values()) / 1000
-        )  # quotas of all front ends, a millisecond
+        # Front ends outnumber the calls that a scorer may have in flight: this one's share is below one call.
+        self.has_many_front_ends = False
+        self.total_quota_per_ms = sum(settings.quotas_rps.values()) / 1000  # of all tenants and front ends
         self.safe_mean_cache = dict[int, float]()  # results of `slow_start.safe_mean`, by its first argument
-        self.limit = math.inf  # own attempts in flight
-        self.mean_concurrency_limit = 0.0  # calls of all front ends in flight at a scorer
-        self.max_slowdown = math.inf
+        self.limit = math.inf  # on this front end's recent attempts in flight
+        self.mean_concurrency_limit = 0.0  # on all front ends' calls in flight at a scorer, on average
+        self.max_slowdown = math.inf  # scorers with a larger slowdown are tried last
         self.silence_limit_ms = SILENCE_LIMIT_MS
         self.latency_target_ms = min(
             (spec.latency_target_ms for spec in settings.classes.values()), default=1000.0
         )
-        self.runs = Samples()
-        self.run_ms = self.latency_target_ms / 5
-        self.stretch_ms = settings.load_window_ms or ARRIVAL_WINDOW_MS  # over which arrivals are counted
-        self.shutdown_deadline_ms = math.inf  # graceful shutdown: no request may stay open for longer
-        # The timer.
-        self.sweeping = False
+        self.runs = Samples()  # run times of all functions
+        self.run_ms = self.latency_target_ms / 5  # smoothed run time at scorers that are not crowded
+        self.stretch_ms = settings.load_window_ms or ARRIVAL_WINDOW_MS  # window in which arrivals are counted
+        self.shutdown_deadline_ms = math.inf  # of a graceful shutdown: every request is answered by then
+        # The sweep timer and the periodic work.
+        self.sweeping = False  # the sweep timer is set
         self.refreshed_ms = -math.inf
         self.forgot_ms = -math.inf
 
     def _run_time_ms(self, fn: Function) -> float:
-        """The median run time of a function, of all functions while it has none: Te."""
+        """The median run time of a function; of all functions if it has no samples. Te of the paper."""
         return fn.runs.median(self.now) or self.runs.median(self.now) or 200.0
 
     def _load_time_ms(self, fn: Function) -> float:
-        """The median load time of a function, as its requests give it while none was seen: Tp."""
+        """The median load time of a function; the one its requests give if it has no samples. Tp."""
         return fn.loads.median(self.now) or fn.load_told_ms or 1000.0
 
     def _copies(self, fn: Function, scorer: Scorer) -> int:
-        """A function's copies at a scorer; none after a restart or once their idle lifetime has passed."""
+        """A function's copies at a scorer; 0 after a restart or at the end of their idle lifetime."""
         held = fn.copies_by_scorer.get(scorer.id)
         if held is None:
             return 0
@@ -334,7 +329,7 @@
         return 0 if expired or held.seen_ms <= scorer.started_ms else held.copies
 
     def _copies_at(self, fn: Function, scorer: Scorer) -> ScorerCopies:
-        """The entry of a function at a scorer, made if there is none."""
+        """The entry of a function for a scorer; it is created if there is none."""
         scorer.last_function = fn
         if scorer.id not in fn.copies_by_scorer:
             fn.copies_by_scorer[scorer.id] = ScorerCopies()
@@ -342,15 +337,15 @@
         return fn.copies_by_scorer[scorer.id]
 
     def _is_far(self, scorer: Scorer, fn: Function) -> bool:
-        """Whether a call there crosses zones, which has a price."""
+        """Whether the scorer is outside the zone that is near for the function; such calls cost more."""
         return scorer.entry.zone != (fn.site or self.settings.zone)
 
     def _has_remote_load(self, scorer: Scorer, span_ms: float) -> bool:
-        """Whether others reported on a scorer within `span_ms`, and since it started."""
+        """Whether other front ends reported on a scorer within `span_ms` and since its start."""
         return scorer.remote_load_ms > max(scorer.started_ms, self.now - span_ms)
 
     def _function(self, event: io.RequestArrived | io.PrefetchRequested) -> Function:
-        """The function that an event names, with what the event gives of it if it was not known."""
+        """The function that an event names; a new one is created from the event's fields."""
         fn = self.functions.get(event.function)
         if fn is None:
             if len(self.functions) >= MAX_FUNCTIONS:
@@ -361,7 +356,7 @@
         return fn
 
     def _apply_remote_load(self, fn: Function, scorers: list[Scorer]) -> None:
-        """Take the copies that others reported at these scorers, as if by an answer of that time."""
+        """Apply the copies that other front ends reported, as if an answer had reported them then."""
         for scorer in scorers:
             report = scorer.remote_load
             if fn.name not in report.copies and fn.name not in report.loading:
@@ -373,9 +368,9 @@
                 scorer_copies.seen_ms = scorer.remote_load_ms
 
     def _forget(self) -> None:
-        """Forget what is long past, and of too many functions those that were not called for longest.
+        """Drop the state of functions and scorers that were not used for `FORGET_MS`, to bound the memory.
 
-        This bounds the memory.
+        If there are too many functions, the ones not called for longest are dropped as well.
         """
         self.forgot_ms = self.now
         past_ms = self.now - FORGET_MS
@@ -393,7 +388,7 @@
                     self._forget_scorer(scorer.id)
 
     def _forget_scorer(self, number: int) -> None:
-        """Forget a scorer that is gone, and what was known of copies there."""
+        """Drop the state of a scorer that is gone, and of the copies there."""
         self.scorers.pop(number, None)
         self.watched.pop(number, None)
         for fn in self.functions.values():
