--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission, limits, retries and final answers: which calls are taken, sent again, late or ended."""
+"""Admission, limits, retries and final answers: which requests are sent, retried, late or answered here."""
 
 import math
 
@@ -17,56 +17,57 @@
     Scorer,
 )
 
-WINDOW_MARGIN_MS = 100.0  # a repeat must arrive inside the deduplication window, not just leave inside it
-FIRST_TRY_MIN_PART = 0.2  # a call with less than this part of its deadline left is a later try of a client
-LIMIT_SPREAD = 1.5  # margin for chance in limits, in square roots of their means
-GIVE_UP_PART = 0.5  # a request never sent by this part of its time is given up if it will hardly be on time
+WINDOW_MARGIN_MS = 100.0  # a retry must arrive within the deduplication window, not only be sent within it
+FIRST_TRY_MIN_PART = 0.2  # a request with less than this part of its deadline left is a client's retry
+LIMIT_MARGIN = 1.5  # margin of a limit above its mean, in standard deviations (square roots of the mean)
+GIVE_UP_PART = 0.5  # a late request that was not sent within this part of its time is given up
 
 
 class Admission(RouterState):
-    """Limits, tenant quotas, the rules on retries, and the final answers of the front end itself."""
+    """Applies limits, tenant quotas and the rules on retries, and gives the front end's own final answers."""
 
     def _is_over_quota(self, tenant: str) -> bool:
-        """Take one token of a tenant's quota; tells whether there was none.
+        """Take one token from a tenant's token bucket; returns whether it was empty.
 
-        The bucket holds a second's part of the quota, in a wide fleet also what chance may add to it.
+        The bucket holds the tokens of one second. With many front ends, each gets few requests, so the bucket
+        also holds a margin for random variation.
         """
         if tenant not in self.settings.quotas_rps:
             return False
         rate = self.settings.quotas_rps[tenant] / self.front_ends
-        capacity = rate + self.has_many_front_ends * 2 * math.sqrt(rate * SAMPLE_WINDOW_MS / 1000)
+        capacity = rate + self.many_front_ends * 2 * math.sqrt(rate * SAMPLE_WINDOW_MS / 1000)
         tokens, since_ms = self.quota_tokens.get(tenant, (capacity, self.now))
         tokens = min(capacity, tokens + rate * (self.now - since_ms) / 1000)
         self.quota_tokens[tenant] = (tokens - (tokens >= 1), self.now)
         return tokens < 1
 
     def _urgency(self, request: Request) -> tuple[bool, bool, float, str]:
-        """Sort key of waiting requests: within the quota, then not late, then by arrival."""
+        """Sort key of queued requests: those within the quota first, then those not late, then by arrival."""
         return request.over_quota, self._is_late(request), request.arrived_ms, request.id
 
     def _is_late(self, request: Request) -> bool:
-        """Whether a request can hardly be answered within its latency target any more."""
-        # Where runs are so long that all requests would be late, a part of the target counts instead.
+        """Whether a request will probably miss its latency target."""
+        # If run times are so long that every request would be late, a part of the target counts instead.
         longest_ms = request.spec.latency_target_ms * MAX_LATE_PART
         return request.target_ms - self.now < min(LATE_RUNS * self._run_time_ms(request.function), longest_ms)
 
     def _should_give_up(self, request: Request) -> bool:
-        """Whether to give up a request that was never sent and is hardly to be on time.
+        """Whether to give up a late request that was never sent and is over its quota or half its time.
 
-        The cost: a late answer that its client might have had.
+        The drawback is that the client does not get the late answer that might have come.
         """
         half_ms = request.arrived_ms + GIVE_UP_PART * (request.deadline_ms - request.arrived_ms)
         is_past = request.over_quota or self.now + SWEEP_MS + ANSWER_LEAD_MS >= half_ms
         return is_past and not request.attempts and self._is_late(request)
 
     def _may_send_here(self, request: Request, scorer: Scorer, part: float) -> bool:
-        """Whether a request may be sent to a scorer now, where it may fill `part` of the limit."""
+        """Whether a request may be sent to a scorer now, if it may use `part` of the scorer's limit."""
         if not self._can_take(scorer, request.function) or scorer.in_flight >= scorer.limit * part:
             return False
         return self._may_run_at(request, scorer)
 
     def _may_run_at(self, request: Request, scorer: Scorer) -> bool:
-        """Whether its class, and where it ran before, let a request be sent to this scorer."""
+        """Whether a request's class and its earlier attempts allow sending it to this scorer."""
         if any(attempt.scorer == scorer.id and attempt.may_have_run for attempt in request.attempts):
             return False
         first = request.first_run()
@@ -82,7 +83,7 @@
         return is_same_group and self._may_send_again(request)
 
     def _may_send_again(self, request: Request) -> bool:
-        """Whether another attempt of a request may be made at all."""
+        """Whether a request may have another attempt, at any scorer."""
         is_in_flight = any(attempt.open for attempt in request.attempts)
         if len(request.attempts) >= self.settings.max_attempts:
             return False
@@ -93,10 +94,10 @@
         return is_safe or self._window_left_ms(request) > 0
 
     def _window_left_ms(self, request: Request) -> float:
-        """For how long a request may begin to be written from now on, in milliseconds.
+        """Milliseconds from now within which the request must begin to be written.
 
-        A repeat must arrive while its scorers drop repeats. Their window begins when the first attempt
-        arrives, at the earliest when it left.
+        A retry must arrive within the deduplication window of the scorers. The window begins when the first
+        attempt arrives there; here it is counted from the send of that attempt, to be safe.
         """
         first = request.first_run()
         spec = request.spec
@@ -107,7 +108,7 @@
         return first.sent_ms + spec.dedup_window_ms - WINDOW_MARGIN_MS - self.now
 
     def _requeue(self, request: Request) -> None:
-        """Queue a request for another attempt; end it where none may be made and none is in flight."""
+        """Queue a request for another attempt; answer it if none is allowed and none is in flight."""
         if self._may_send_again(request):
             request.queued_ms = self.now
             request.function.queue.append(request)
@@ -116,8 +117,8 @@
             self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        """End a request by the one final answer that the front end gives itself."""
-        # Retry-After is advised where capacity was missing, not after failed attempts.
+        """Give a request the front end's own final answer and close it."""
+        # Retry-After is given if capacity was missing, not after failed attempts.
         self._count_unsent(request)
         retry_after_ms = self.settings.max_retry_after_ms * (request.over_quota or not request.attempts)
         effect = request.spec.effect
@@ -127,15 +128,15 @@
         self.actions.append(io.Reject(request.id, retry_after_ms) if is_harmless else io.Fail(request.id))
 
     def _close(self, request: Request) -> None:
-        """Forget a request, and cancel what is in flight of it where that is allowed."""
+        """Drop a request, and cancel its attempts in flight if cancelling is allowed."""
         del self.requests[request.id]
-        request.function.queue = [held for held in request.function.queue if held is not request]
+        request.function.queue = [queued for queued in request.function.queue if queued is not request]
         if self.settings.cancellation_allowed:
             numbers = [number for number, attempt in enumerate(request.attempts) if attempt.open]
             self.actions.extend(io.Cancel(request.id, number) for number in numbers)
 
     def _refresh(self) -> None:
-        """Work out anew what follows from the roster, the settings and the run times of late."""
+        """Recompute what depends on the roster, the settings and the recent run times."""
         sizes = {scorer.id: self._configured_size(scorer) for scorer in self.ready}
         if sizes != self.members:
             self.members = sizes
@@ -157,41 +158,42 @@
         self._refresh_fleet_limits()
 
     def _refresh_scorer_limits(self) -> None:
-        """Limit the requests in flight at each scorer.
+        """Compute the limit on the requests in flight at each scorer.
 
-        The rate sold times an uncrowded run is what the fleet works on at once (Little's law).
+        By Little's law, the total quota times the run time at scorers that are not crowded is the number of
+        calls that run at the same time.
         """
-        sold = self.total_quota_per_ms
-        most = 0.0
+        quota = self.total_quota_per_ms
+        limit_sum = 0.0
         for scorer in self.ready:
-            mean = sold * self.run_ms * self._size(scorer) / self.largest_fleet  # of all front ends
-            most += self._with_margin(mean)
+            mean = quota * self.run_ms * self._size(scorer) / self.largest_fleet  # of all front ends
+            limit_sum += self._with_margin(mean)
             own = self._with_margin(mean / self.front_ends)
-            scorer.limit = max(2.0 if self.has_many_front_ends else 1.0, own) if sold > 0 else math.inf
+            scorer.limit = max(2.0 if self.many_front_ends else 1.0, own) if quota > 0 else math.inf
         self.mean_concurrency_limit = (
-            most / max(1, len(self.ready)) if sold > 0 else 2 * routing.MIN_IN_FLIGHT_BOUND
+            limit_sum / max(1, len(self.ready)) if quota > 0 else 2 * routing.MIN_IN_FLIGHT_BOUND
         )
 
     def _refresh_fleet_limits(self) -> None:
-        """Work out whether the fleet of front ends is wide, and the limits that depend on it."""
-        self.has_many_front_ends = self.mean_concurrency_limit < self.front_ends
+        """Compute whether there are many front ends, and the limits that depend on it."""
+        self.many_front_ends = self.mean_concurrency_limit < self.front_ends
         self.max_slowdown = math.inf
         self.silence_limit_ms = SILENCE_LIMIT_MS
         self.limit = math.inf
-        if not self.has_many_front_ends:
+        if not self.many_front_ends:
             return
         slowdowns = sorted(self._slowdown_of(scorer) for scorer in self.ready)
         if slowdowns:
             self.max_slowdown = health.OUTLIER_SLOWDOWN * slowdowns[len(slowdowns) // 2]
         self.silence_limit_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0)
-        # With more in flight, all would be late.
+        # With more requests in flight, all of them would be late.
         in_time = self.total_quota_per_ms * self.latency_target_ms * MAX_LATE_PART / self.front_ends
         self.limit = self._with_margin(in_time or math.inf)
 
     def _configured_size(self, scorer: Scorer) -> float:
-        """A scorer's size: as the roster gives it, where that is reliable, else one."""
+        """A scorer's full size: the one in the roster if the settings say that it is reliable, else 1."""
         return max(scorer.entry.units, 0.01) if self.settings.weights_fixed else 1.0
 
     def _with_margin(self, mean: float) -> float:
-        """A limit for what has this mean: more, as chance brings more at times."""
-        return mean + LIMIT_SPREAD * math.sqrt(mean)
+        """A limit for a number with this mean, with a margin for random variation."""
+        return mean + LIMIT_MARGIN * math.sqrt(mean)
--- a/fawnwharf/policy/health.py
+++ b/fawnwharf/policy/health.py
@@ -14,56 +14,56 @@
     Scorer,
 )
 
-PROBE_TIMEOUT_MS = 80.0  # a scorer that does not answer a probe within this is suspect
-SUSPECT_PROBE_MS = 1_000.0  # pause between two probes of a suspect
-ZONE_PROBES = 3  # with so many scorers of a zone silent or probed, all of the zone are probed
-ANSWER_GAIN = 0.4  # weight of the newest answer in a smoothed value, as answers are rare
-OUTLIER_SLOWDOWN = 2.0  # from this slowdown on a scorer is left for others
-FAR_COST = 0.5  # price of another zone, in usual runs
-OVERDUE_RUNS = 3.0  # an attempt in flight for so many runs may be hedged
-LOST_RUNS = 8.0  # an attempt in flight for so many runs is held lost
-EJECTION_LOSSES = 2.0  # so many lost answers eject a scorer for the class of the calls
-LOSS_RETENTION = 0.7  # part of the losses that is left after each answer
+PROBE_TIMEOUT_MS = 80.0  # a scorer that does not answer a probe within this time becomes suspect
+SUSPECT_PROBE_MS = 1_000.0  # time between two probes of a suspect
+ZONE_PROBES = 3  # if this many scorers of a zone are suspect or being probed, the whole zone is probed
+ANSWER_GAIN = 0.4  # weight of the newest answer in a smoothed value; it is large because answers are rare
+OUTLIER_SLOWDOWN = 2.0  # a scorer with a slowdown above this multiple of the usual one is an outlier
+FAR_COST = 0.5  # added cost of a call to another zone, in usual run times
+OVERDUE_RUNS = 3.0  # an attempt in flight for longer than this many run times may be hedged
+LOST_RUNS = 8.0  # an attempt in flight for this many run times is considered lost
+EJECTION_LOSSES = 2.0  # this many lost answers eject a scorer for the class of the calls
+LOSS_RETENTION = 0.7  # factor by which each good answer reduces the losses
 
 
 class Health(RouterState):
-    """Failure detection of scorers, hedging of overdue attempts and outlier ejection by class."""
+    """Detects failed scorers, hedges overdue attempts and ejects outliers, by class."""
 
     def _is_usable(self, scorer: Scorer, fn: Function) -> bool:
-        """Whether a scorer may get calls of a function, after a query for its state where it has no lease.
+        """Whether a scorer may get calls of a function, if need be after a query that renews its lease.
 
-        A suspect may not, unless most of the fleet are suspects: then the fault is on this side.
+        A suspect may not, unless most ready scorers are suspects: then the fault is probably on this side.
         """
         heard = scorer.suspect_ms is None or self.suspects * 2 > len(self.ready)
         may_serve = scorer.takes_new() and self._may_be_in_service(scorer)
         return heard and may_serve and not (scorer.loss_records and self._is_ejected(scorer, fn))
 
     def _record_slowdown(self, scorer: Scorer, runs: float) -> None:
-        """Smooth a scorer's slowdown by one answer that took `runs` usual runs.
+        """Update a scorer's smoothed slowdown by one answer that took `runs` usual run times.
 
-        Long runs and rejections for lack of capacity show the load of other front ends. The cost: a call that
-        is slow by itself moves the next ones elsewhere.
+        Long runs and rejections for lack of capacity reveal the load from other front ends. The drawback is
+        that a call that is slow by itself makes the next calls avoid the scorer.
         """
         before = self._slowdown_of(scorer)
         scorer.slowdown = before + ANSWER_GAIN * (runs - before)
         scorer.slowdown_ms = self.now
 
     def _slowdown_of(self, scorer: Scorer) -> float:
-        """A scorer's run time as a multiple of the usual one; it decays to 1 while nothing is seen."""
+        """A scorer's run time as a multiple of the usual one; it decays to 1 while no answers come."""
         return 1 + (scorer.slowdown - 1) * math.exp((scorer.slowdown_ms - self.now) / DECAY_MS)
 
     def _cost(self, scorer: Scorer, fn: Function) -> float:
-        """Cost of a run at a scorer, in usual runs; another zone costs more."""
+        """The cost of a run at a scorer, in usual run times; a scorer of another zone costs more."""
         return max(1.0, self._slowdown_of(scorer)) + FAR_COST * self._is_far(scorer, fn)
 
     def _expect_answer(self, scorer: Scorer) -> None:
-        """Something was sent that a scorer answers: watch it from now on, if it was not watched before."""
+        """Watch a scorer to which a message was sent that it has to answer."""
         if scorer.awaiting_since_ms is None:
             scorer.awaiting_since_ms = self.now
         self.watched[scorer.id] = scorer
 
     def _mark_alive(self, scorer: Scorer, after_ms: float = 0.0) -> None:
-        """An answer came; with calls in flight, the next is expected from `after_ms` later on."""
+        """Record a sign of life; with calls in flight, silence is measured from `after_ms` after now."""
         scorer.awaiting_since_ms = self.now + after_ms if scorer.in_flight else None
         scorer.probed_ms = None
         if scorer.suspect_ms is not None:
@@ -72,9 +72,9 @@
             self.actions.append(io.Log(f"scorer {scorer.id} responds again"))
 
     def _watch_scorer(self, scorer: Scorer) -> None:
-        """Probe a silent scorer; suspect it where a probe has no answer.
+        """Probe a silent scorer; make it suspect if a probe gets no answer in time.
 
-        The cost: a scorer that is only busy loses its calls for a while.
+        The drawback is that a scorer that is only busy gets no calls for a while.
         """
         is_probed = scorer.probed_ms is not None
         is_suspect = scorer.suspect_ms is not None
@@ -95,17 +95,17 @@
             self._probe_scorer(scorer)
 
     def _probe_scorer(self, scorer: Scorer) -> None:
-        """Probe whether a scorer answers, by the function last seen there."""
+        """Probe whether a scorer answers, with the function last used there."""
         scorer.probed_ms = self.now
         may_probe = self.settings.load_orders_allowed and scorer.entry.state != io.ScorerState.GONE
         if scorer.last_function and may_probe:
             self._probe(scorer.last_function, scorer)
 
     def _note_failed_connection(self, scorer: Scorer, result: io.AttemptResult) -> None:
-        """Suspect a scorer that can't be connected to, and probe one whose connection was reset.
+        """Make a scorer suspect if no connection could be made; probe it if the connection was reset.
 
-        A reset alone does not show that the process is gone. The cost: if it is, calls are lost until the
-        probe has no answer.
+        A reset alone does not show that the process is gone. The drawback is that if it is gone, calls are
+        lost until the probe times out.
         """
         if result in (io.AttemptResult.CONNECT_FAILED, io.AttemptResult.RESET):
             self._note_possible_restart(scorer)
@@ -117,7 +117,7 @@
             self._probe_scorer(scorer)
 
     def _suspect(self, scorer: Scorer) -> None:
-        """Take a silent scorer for failed: retry its attempts elsewhere."""
+        """Treat a scorer as failed: it gets no new calls, and its attempts are retried at other scorers."""
         scorer.suspect_ms = scorer.probed_ms = self.now
         self.watched[scorer.id] = scorer
         self.suspects += scorer.takes_new()
@@ -127,11 +127,11 @@
             if request and request not in attempt.function.queue:
                 self._requeue(request)
                 self._dispatch(attempt.function)
-        if self.has_many_front_ends:
+        if self.many_front_ends:
             self._probe_zone(scorer.entry.zone)
 
     def _probe_zone(self, zone: str) -> None:
-        """Probe a whole zone once some of it are silent; else calls would find out, one for each scorer."""
+        """Probe a whole zone if several of its scorers are silent, before one call at each finds out."""
         near = [other for other in self.ready if other.entry.zone == zone]
         unprobed = [
             other
@@ -143,9 +143,9 @@
                 self._probe_scorer(other)
 
     def _mark_lost_attempts(self) -> None:
-        """Hold overdue attempts lost, eject their scorers for the class and retry at once if possible.
+        """Mark overdue attempts as lost, eject their scorers for the class and retry at once if possible.
 
-        The cost: a call that is slow by itself runs twice.
+        The drawback is that a call that is slow by itself runs twice.
         """
         for attempt in list(self.attempts.values()):
             fn = attempt.function
@@ -161,13 +161,13 @@
             if is_ejected and request and request not in fn.queue and self._may_send_again(request):
                 fn.queue.append(request)
                 self._send_queued(fn)
-                # A lost attempt is not worth a wait or a load: the request leaves the queue again.
-                fn.queue = [held for held in fn.queue if held is not request]
+                # If no scorer is free now, the request leaves the queue: it shall cause no load.
+                fn.queue = [queued for queued in fn.queue if queued is not request]
 
     def _hedge(self, request: Request, attempt: Attempt) -> None:
-        """Hedge a request that is in flight for far longer than a run.
+        """Hedge a request whose attempt is in flight for far longer than a usual run.
 
-        The cost: work that is done twice; the tokens bound it.
+        The drawback is duplicate work, which the hedge tokens bound.
         """
         overdue_ms = OVERDUE_RUNS * self._run_time_ms(request.function)
         due_ms = min(overdue_ms, request.spec.latency_target_ms * MAX_LATE_PART)
@@ -176,7 +176,7 @@
             self._requeue(request)
 
     def _record_loss(self, scorer: Scorer, fn: Function) -> bool:
-        """Count a lost answer; tells whether the scorer is ejected for the function's class by now."""
+        """Count a lost answer; returns whether the scorer is now ejected for the function's class."""
         record = scorer.loss_records.setdefault(fn.kind, LossRecord())
         record.losses += 1
         is_ejected = record.losses >= EJECTION_LOSSES
@@ -184,7 +184,7 @@
         return is_ejected
 
     def _is_ejected(self, scorer: Scorer, fn: Function) -> bool:
-        """Whether a scorer is ejected for a function's class; nobody is where most of the fleet would be."""
+        """Whether a scorer is ejected for a function's class; none is if most ready scorers would be."""
         record = scorer.loss_records.get(fn.kind)
         if not record or record.losses < EJECTION_LOSSES or self.now >= record.ejected_until_ms:
             return False
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -1,4 +1,4 @@
-"""Loads of copies: speculative loads, their switch, the load rate limit, copy refresh, prefetch, probes."""
+"""Loading of copies: speculative loads, the load rate limit, copy refresh, prefetch and probes."""
 
 import math
 
@@ -14,28 +14,30 @@
     ScorerCopies,
 )
 
-INITIAL_LOADS = 8.0  # own loads in progress, at the start
-MIN_LOADS = 2.0  # own loads in progress that are always allowed
-MAX_LOADS = 24.0  # own loads in progress that are never exceeded
-ORDER_TRANSIT_MS = 150.0  # a load order counts at the scorer so much later at the most: its wait and its way
-MAX_COPIES = 16  # copies that an order may name
-BLOCK_MS = 1_000.0  # a scorer without capacity, or whose load failed, gets no load for so long
-SLOW_LOAD_FACTOR = 2.5  # a load that is slower by this factor shows that the store is crowded
-REFRESH_LIFETIMES = 3.0  # copies are refreshed for so many idle lifetimes after the last call
-REFRESH_QUEUE_RATIO = 8  # copies are refreshed while fewer than one request in so many waits
+# The limit on this front end's loads in progress adapts to the store between these bounds.
+INITIAL_LOADS = 8.0
+MIN_LOADS = 2.0
+MAX_LOADS = 24.0
+ORDER_TRANSIT_MS = 150.0  # longest time from a load order here to its arrival at the scorer
+MAX_COPIES = 16  # of a function at one scorer; no further copy is ordered
+BLOCK_MS = 1_000.0  # after a failed or rejected load, the scorer gets no load of the function for this long
+SLOW_LOAD_FACTOR = 2.5  # a load slower than usual by this factor shows that the store is overloaded
+REFRESH_LIFETIMES = 3.0  # copies are refreshed for this many idle lifetimes after the last call
+REFRESH_QUEUE_RATIO = 8  # copies are refreshed while at most one open request in this many is queued
 
 
 class Loads(RouterState):
-    """Load orders of this front end: when, where and how many."""
+    """Decides when, where and how many copies this front end orders."""
 
-    loading = 0  # own ones in progress
-    loads_limit = INITIAL_LOADS  # of those in progress: fewer while the store is crowded
+    loading = 0  # load orders of this front end in progress
+    loads_limit = INITIAL_LOADS  # limit on `loading`; lower while the store is overloaded
 
     def _load_speculatively(self, fn: Function) -> None:
-        """Order the copies that waiting requests need: one for each `lanes` of them."""
+        """Order the copies that queued requests need: one per `lanes` requests, less those being loaded."""
         is_warm = self._is_warm(fn)
         waited_ms = self.now - min(request.queued_ms for request in fn.queue)
-        is_early = self.has_many_front_ends and waited_ms < self._run_time_ms(fn)  # other front ends load too
+        # With many front ends, others may load a copy in the meantime.
+        is_early = self.many_front_ends and waited_ms < self._run_time_ms(fn)
         may_wait = (
             is_early or len(self.recent_attempts) >= self.limit or not self._update_speculation(fn, waited_ms)
         )
@@ -51,19 +53,19 @@
             scorer = self._place_for_load(fn, is_warm)
             if scorer is None:
                 continue
-            if not self._has_lease(scorer):  # an order to a scorer that drains unreported breaks its drain
+            if not self._has_lease(scorer):  # it may be draining, and must get no load order then
                 self._query_state(fn, scorer)
                 return
             self._load(fn, scorer, is_warm)
 
     def _deserves_load(self, request: Request, is_warm: bool) -> bool:
-        """Whether a request counts for another copy, where one is there already."""
-        return not (is_warm and (request.over_quota or (self.has_many_front_ends and self._is_late(request))))
+        """Whether a request counts towards a further copy; low-priority ones don't if a copy is loaded."""
+        return not (is_warm and (request.over_quota or (self.many_front_ends and self._is_late(request))))
 
     def _place_for_load(self, fn: Function, is_warm: bool) -> Scorer | None:
-        """The scorer for one more copy: the first without one and within its bound, else the first."""
+        """The scorer for one more copy: the first without a copy and within its bound, else the first."""
         order = self._rotated_order(fn, fn.queue[0]) + self._ordered(fn)
-        # The first copy goes by hash order alone.
+        # The scorer of the first copy is chosen by hash order alone.
         order.sort(key=lambda scorer: is_warm and self._is_far(scorer, fn))
         able = [
             scorer
@@ -78,11 +80,11 @@
         return able[0]
 
     def _serves_any(self, queue: list[Request], scorer: Scorer) -> bool:
-        """Whether a copy there helps: one of these requests may be sent to it by its class."""
+        """Whether one of these requests may be sent to a scorer by the rules of its class."""
         return any(self._may_run_at(request, scorer) for request in queue)
 
     def _load(self, fn: Function, scorer: Scorer, is_warm: bool) -> None:
-        """Order one copy more at a scorer."""
+        """Order one more copy at a scorer."""
         scorer_copies = self._copies_at(fn, scorer)
         scorer_copies.order_ms = self.now
         scorer_copies.speculative = is_warm
@@ -96,7 +98,7 @@
     def _record_load_result(
         self, fn: Function, scorer_copies: ScorerCopies, event: io.LoadOrderAnswered, ordered_ms: float
     ) -> None:
-        """Take the answer to a load order of `ordered_ms`: its time, and what it shows of the store."""
+        """Record the answer to a load order sent at `ordered_ms`, and adapt the limit on loads."""
         is_good = event.result is io.AttemptResult.GOOD
         took_ms = self.now - ordered_ms
         is_timely = took_ms < SLOW_LOAD_FACTOR * (fn.load_told_ms or self._load_time_ms(fn)) and is_good
@@ -107,22 +109,24 @@
         else:
             scorer_copies.blocked_ms = self.now + BLOCK_MS
         if event.result in (io.AttemptResult.GOOD, io.AttemptResult.ERROR):
-            # Slow and failed loads are followed by fewer at once: this guards the store.
+            # Slow and failed loads lower the limit, to protect the store.
             change = 1 / self.loads_limit if is_timely else -0.2 * self.loads_limit
             self.loads_limit = min(MAX_LOADS, max(MIN_LOADS, self.loads_limit + change))
 
     def _update_speculation(self, fn: Function, waited_ms: float) -> bool:
-        """Switch speculative loads off when Ti > Te and on when Td > Tp; tells whether they are on."""
+        """Switch speculative loads off if Ti > Te and on if Td > Tp; returns whether they are on.
+
+        Ti is the idle time of the last speculative copy, Te the run time, Td the wait in the queue and Tp the
+        load time of the function (see the CIDRE paper).
+        """
         if fn.load_path:
             unused = [
                 self.now - scorer_copies.idle_since_ms
                 for scorer_copies in fn.copies_by_scorer.values()
                 if scorer_copies.idle_since_ms is not None
             ]
-            # In a wide fleet other front ends use the copy too.
-            flips = (
-                max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.has_many_front_ends
-            )
+            # With many front ends, others use the copy too.
+            flips = max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.many_front_ends
         else:
             flips = max(waited_ms, fn.waits.median(self.now) or 0.0) > self._load_time_ms(fn)
         if flips:
@@ -134,12 +138,12 @@
         return fn.load_path
 
     def _may_load(self) -> bool:
-        """Whether any load may be ordered now, wherever."""
+        """Whether a load may be ordered now, at any scorer."""
         is_allowed = self.loading < self.loads_limit and self.settings.load_orders_allowed
         return is_allowed and self._load_rate_left() >= 1
 
     def _may_load_at(self, fn: Function, scorer: Scorer, is_warm: bool) -> bool:
-        """Whether a load may be ordered at a scorer; beside warm copies, only where calls have capacity."""
+        """Whether a load may be ordered at a scorer; if a copy is warm, only if it has capacity for calls."""
         scorer_copies = fn.copies_by_scorer.get(scorer.id)
         if scorer_copies is not None and self.now < scorer_copies.blocked_ms:
             return False
@@ -152,17 +156,18 @@
         )
 
     def _is_loading(self, fn: Function, scorer: Scorer) -> bool:
-        """Whether a load is in progress there, by an own order or by another's that was reported."""
+        """Whether a load is in progress at a scorer, ordered here or reported by other front ends."""
         report = scorer.remote_load
-        # First of all, as the median load time is computed anew when it is asked for.
+        # Evaluated first in any case, because the call may recompute the cached median load time.
         is_reported = fn.name in report.loading and self._has_remote_load(scorer, self._load_time_ms(fn))
         scorer_copies = fn.copies_by_scorer.get(scorer.id)
         if scorer_copies is not None and scorer_copies.order_ms is not None:
             return True
-        return is_reported and self._copies(fn, scorer) <= report.copies.get(fn.name, 0)  # else complete
+        # More copies than at the time of the report mean that the reported load is complete.
+        return is_reported and self._copies(fn, scorer) <= report.copies.get(fn.name, 0)
 
     def _load_rate_left(self) -> float:
-        """Load orders that the rate limit leaves: some are free, the rest is a part of the arrivals."""
+        """Load orders that the rate limit still allows: a fixed number plus a part of the arrivals."""
         window_ms = self.settings.load_window_ms
         kept_from_ms = self.now - window_ms - self.settings.tick_ms - ORDER_TRANSIT_MS
         while self.load_orders_ms and self.load_orders_ms[0] < kept_from_ms:
@@ -171,12 +176,13 @@
         return limit - len(self.load_orders_ms) if window_ms > 0 else math.inf
 
     def _refresh_copies(self) -> None:
-        """Refresh one copy of each function called lately before it expires.
+        """Refresh one copy of each recently called function before it expires.
 
-        The cost: less capacity in a shortage. In a wide fleet the calls of other front ends do it.
+        This costs capacity, so it stops while requests queue up. With many front ends it is not needed, as
+        calls of the other front ends refresh the copies.
         """
         waiting = sum(len(fn.queue) for fn in self.functions.values())
-        is_calm = REFRESH_QUEUE_RATIO * waiting <= len(self.requests) and not self.has_many_front_ends
+        is_calm = REFRESH_QUEUE_RATIO * waiting <= len(self.requests) and not self.many_front_ends
         if not (is_calm and self._may_load()):
             return
         for fn in self.functions.values():
@@ -188,12 +194,12 @@
             refreshed_until_ms = (
                 max(fn.last_ms, default=-math.inf) + REFRESH_LIFETIMES * self.settings.idle_life_ms
             )
-            # Half of the load rate is left to loads.
+            # Half of the load rate limit is reserved for loads.
             if seen and refreshed_until_ms > self.now and self._load_rate_left() > len(self.load_orders_ms):
                 self._ensure_copies(fn, self.scorers[max(seen)[1]], 1)
 
     def _ensure_copies(self, fn: Function, scorer: Scorer, copies: int) -> None:
-        """Have `copies` copies at a scorer: order one more, or refresh those that are about to expire."""
+        """Bring a scorer to `copies` copies: order one more, or refresh those that are about to expire."""
         if scorer not in self._ordered(fn) or not self._may_load_at(fn, scorer, is_warm=True):
             return
         if not self._has_lease(scorer):
@@ -207,7 +213,7 @@
             self._probe(fn, scorer, copies)
 
     def _on_prefetch_requested(self, event: io.PrefetchRequested) -> None:
-        """Prefetch copies, if a load order for each waiting call is left besides."""
+        """Prefetch copies if the load rate limit leaves an order for each queued request besides."""
         scorer = self.scorers.get(event.scorer)
         waiting = sum(len(fn.queue) for fn in self.functions.values())
         if scorer and event.copies > 0 and self._may_load() and self._load_rate_left() >= waiting + 1:
@@ -216,7 +222,7 @@
             self._ensure_copies(fn, scorer, event.copies)
 
     def _probe(self, fn: Function, scorer: Scorer, copies: int = 0) -> None:
-        """Ask a scorer how many copies are loaded; with `copies`, that many are refreshed as well."""
+        """Probe a scorer for its number of copies; with `copies` above 0, that many are refreshed as well."""
         scorer_copies = self._copies_at(fn, scorer)
         scorer_copies.open_probes += 1
         scorer_copies.probed_ms = self.now
@@ -226,6 +232,6 @@
         self.actions.append(io.OrderCopies(scorer.id, fn.name, copies, within_ms))
 
     def _awaits_probe(self, fn: Function) -> bool:
-        """Whether answers to probes are awaited, for a round trip at the most."""
+        """Whether a probe was sent in the last `PROBE_WAIT_MS` and some probe is unanswered."""
         is_recent = self.now - fn.probed_ms < PROBE_WAIT_MS
         return is_recent and any(scorer_copies.open_probes for scorer_copies in fn.copies_by_scorer.values())
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -1,4 +1,4 @@
-"""The Router: takes events, joins the parts of the decisions, and is the only one that sends."""
+"""The router: handles events, combines the parts of the decisions, and is the only part that sends calls."""
 
 import math
 
@@ -6,16 +6,16 @@
 from fawnwharf.policy import admission, health, loads, roster_lease, routing, state
 from fawnwharf.policy.state import Attempt, Function, Request, Scorer, mark, mix_bits
 
-SWEEP_TOKEN = 0  # of the timer of the sweep
-REQUEST_END_TOKEN = 1  # of a timer for one request's end
-RUN_GAIN = 0.02  # weight of a run at an uncrowded scorer in the smoothed run time
+SWEEP_TOKEN = 0  # token of the timer of the periodic sweep
+REQUEST_END_TOKEN = 1  # token of a timer for the final answer of one request
+RUN_GAIN = 0.02  # weight of the newest run time in the smoothed run time
 # Results that show that the scorer is alive.
 PROVES_ALIVE = (io.AttemptResult.GOOD, io.AttemptResult.ERROR, io.AttemptResult.FULL, io.AttemptResult.MISS)
-# Results whose answers may report the concurrency.
+# Results of attempts whose answers may report the concurrency.
 REPORTS_CONCURRENCY = (io.AttemptResult.GOOD, io.AttemptResult.FULL)
-# Results of attempts that were ended from this side.
+# Results of attempts that this front end ended.
 ENDED_BY_FRONT_END = (io.AttemptResult.CANCELLED, io.AttemptResult.TIMEOUT)
-# Results of load orders and probes whose answers give the number of copies.
+# Results of load orders and probes whose answers report the number of copies.
 REPORTS_COPIES = (io.AttemptResult.GOOD, io.AttemptResult.FULL, io.AttemptResult.ERROR)
 
 
@@ -27,10 +27,10 @@
         self.lease_counters = roster_lease.LeaseCounters()
 
     def handle(self, now_ms: float, events: list[io.Event]) -> list[io.Action]:
-        """Take the events of one moment; the actions take effect at that moment, in their order.
+        """Handle the events of one moment and return the actions, to be carried out in order at that moment.
 
-        Cancelled requests are taken first, as nothing may be sent or ordered for them any more; the other
-        events go in order.
+        Cancellations are handled first, so that nothing is sent or ordered for a cancelled request. The other
+        events are handled in order.
         """
         self.now = now_ms
         self.began_ms = min(self.began_ms, now_ms)
@@ -49,17 +49,17 @@
         return self.actions
 
     def _is_cancelled(self, event: io.Event, cancelled: set[str]) -> bool:
-        """Whether an event is the arrival of a request that was cancelled, or its cancellation."""
+        """Whether an event is the arrival or the cancellation of one of the cancelled requests."""
         return isinstance(event, io.RequestArrived | io.RequestCancelled) and event.request in cancelled
 
     def _cancel_first(self, events: list[io.Event]) -> None:
-        """Take the cancelled requests among the events."""
+        """Handle the cancellations among the events."""
         for event in events:
             if isinstance(event, io.RequestCancelled):
                 self._on_request_cancelled(event)
 
     def _on_roster_changed(self, event: io.RosterChanged) -> None:
-        """Take the list of scorers, or a change of it."""
+        """Apply the list of scorers, or a change of it."""
         if event.complete:
             for missing in self.scorers.keys() - {entry.scorer for entry in event.entries}:
                 self.scorers[missing].entry.state = io.ScorerState.GONE
@@ -78,7 +78,7 @@
         self._dispatch_all()
 
     def _on_request_arrived(self, event: io.RequestArrived) -> None:
-        """Admit a request, or give it its final answer; send it if a scorer can take it."""
+        """Queue a request and send it if a scorer has a free lane, or give it its final answer at once."""
         self.arrivals_ms.append(self.now)
         request = self._new_request(event)
         fn = request.function
@@ -87,21 +87,21 @@
         self.requests[request.id] = request
         fn.queue.append(request)
         if self._is_over_quota(io.ALL) or self.now >= request.answer_due_ms:
-            # The next sweep may be too late: a client's last retry has little time.
+            # The next sweep may be too late, as a client's last retry has little time left.
             self._finish(request)
-        elif not self.has_many_front_ends and not self._is_warm(fn):
+        elif not self.many_front_ends and not self._is_warm(fn):
             for scorer in self._ordered(fn)[: state.MAX_PROBED_SCORERS]:
                 self._probe_for_copy(fn, scorer)
         if request.spec.deadline_ms <= state.OWN_TIMER_DEADLINE_MS and request.id in self.requests:
             self.actions.append(io.SetTimer(request.answer_due_ms - self.now, REQUEST_END_TOKEN))
         self._send_queued(fn)
         if request in fn.queue and self._should_give_up(request):
-            # The next sweep is past half its time.
+            # The next sweep would come after half of its time.
             self._finish(request)
         self._dispatch(fn)
 
     def _new_request(self, event: io.RequestArrived) -> Request:
-        """A request as it arrived, with the times that follow from its class; takes a token of its tenant."""
+        """Create a request, with the times that its class implies; takes a token of the tenant's quota."""
         fn = self._function(event)
         spec = self.classes.get(event.class_name) or io.ClassSpec(event.class_name)
         if event.site != fn.site:
@@ -111,7 +111,7 @@
         self.seed += 1
         client_leaves_ms = self.now + event.budget_ms
         deadline_ms = min(client_leaves_ms, self.shutdown_deadline_ms)
-        # The client's first try took part of its time.
+        # A client's retry has little time left: its first try began one deadline before the client leaves.
         is_retry = event.budget_ms < admission.FIRST_TRY_MIN_PART * spec.deadline_ms
         first_sent_ms = client_leaves_ms - spec.deadline_ms if is_retry else self.now
         lead_ms = state.SWEEP_MS + state.ANSWER_LEAD_MS
@@ -131,13 +131,13 @@
         )
 
     def _on_request_cancelled(self, event: io.RequestCancelled) -> None:
-        """Forget a request whose client left."""
+        """Drop a request whose client has left."""
         request = self.requests.get(event.request)
         if request is not None:
             self._close(request)
 
     def _on_shutdown_started(self, event: io.ShutdownStarted) -> None:
-        """Bring the ends of all requests forward, open ones and those still to come."""
+        """Bring the deadlines of all requests forward, of open ones and of those still to arrive."""
         self.shutdown_deadline_ms = min(self.shutdown_deadline_ms, self.now + event.within_ms)
         for request in self.requests.values():
             request.deadline_ms = min(request.deadline_ms, self.shutdown_deadline_ms)
@@ -146,19 +146,19 @@
             )
 
     def _on_limits_changed(self, event: io.LimitsChanged) -> None:
-        """Take a limit as a quota: of one tenant, or of all together."""
+        """Apply a limit as a quota, of one tenant or of all tenants together."""
         self.settings.quotas_rps[event.tenant] = event.calls_rps * self.front_ends
         if event.tenant == io.ALL:
-            # A tenth of a second's tokens: no burst at first.
+            # Only the tokens of a tenth of a second, so that the limit does not start with a burst.
             self.quota_tokens[io.ALL] = (event.calls_rps / 10, self.now)
 
     def _on_class_changed(self, event: io.ClassChanged) -> None:
-        """Take the rules of a class for requests to come; open ones keep the rules they arrived under."""
+        """Apply the rules of a class to requests that arrive from now on; open ones keep their rules."""
         self.classes = {**self.classes, event.spec.name: event.spec}
         self.latency_target_ms = min(spec.latency_target_ms for spec in self.classes.values())
 
     def _on_remote_load_report(self, event: io.RemoteLoadReport) -> None:
-        """Take what others reported on a scorer; functions not known yet read it when they are ordered."""
+        """Apply a report of other front ends; unknown functions read it when their hash order is computed."""
         scorer = self.scorers.get(event.scorer)
         if scorer is None:
             return
@@ -171,14 +171,14 @@
         self._dispatch_all(scorer)
 
     def _on_attempt_ended(self, event: io.AttemptEnded) -> None:
-        """Take the end of an attempt: what it shows of the scorer, then the next step of its request."""
+        """Handle the end of an attempt: update the scorer's state, then retry or close the request."""
         attempt = self.attempts.pop((event.request, event.attempt), None)
         if attempt is None:
             return
         self.recent_attempts.discard(attempt)
         fn = attempt.function
         scorer = self.scorers[attempt.scorer]
-        # Before this run is recorded, as it is judged by the runs before it.
+        # Read before this run is recorded, as the run is compared with the earlier ones.
         run_ms = self._run_time_ms(fn)
         attempt.open = False
         attempt.may_have_run = event.result not in io.NEVER_RAN
@@ -193,7 +193,7 @@
             fn.reported_concurrency += health.ANSWER_GAIN * (reported - fn.reported_concurrency)
         request = self.requests.get(event.request)
         if request is not None and event.closed:
-            # A hedged request that was answered before the first attempt was worth its token.
+            # The token is returned if a hedged request was answered before the first attempt.
             self.hedge_tokens += attempt is not request.attempts[0] and request.attempts[0].open
             self._close(request)
         elif request is not None and request not in fn.queue:
@@ -202,7 +202,7 @@
         self._dispatch(fn)
 
     def _record_result(self, event: io.AttemptEnded, attempt: Attempt, scorer: Scorer, run_ms: float) -> None:
-        """Record what a result shows of a scorer and its copies; `run_ms` is the usual run time."""
+        """Update a scorer and its copies by the result of an attempt; `run_ms` is the usual run time."""
         fn = attempt.function
         scorer_copies = fn.copies_by_scorer[scorer.id]
         result = event.result
@@ -212,13 +212,13 @@
             scorer_copies.seen_ms = self.now
             self._record_answer(event, attempt, scorer, run_ms)
         elif result in ENDED_BY_FRONT_END and event.took_ms > health.OUTLIER_SLOWDOWN * run_ms:
-            # It may be the slow scorers that never get to answer.
+            # A slow scorer may never get to answer, so its aborted attempts count as well.
             self._record_slowdown(scorer, event.took_ms / run_ms)
         elif result is io.AttemptResult.MISS or event.warmth is io.Warmth.LOAD_FAILED:
             scorer_copies.copies = 0
             scorer_copies.seen_ms = self.now
         elif result is io.AttemptResult.ERROR and fn.runs.timed:
-            # Where no run of the function is known, the call itself may be at fault.
+            # If the function has no recorded run, the call itself may be the cause of the error.
             self._record_loss(scorer, fn)
         elif result is io.AttemptResult.FULL:
             self._note_rejection(scorer, attempt.sent_ms)
@@ -226,7 +226,7 @@
             self._record_slowdown(scorer, 3 * health.OUTLIER_SLOWDOWN)
 
     def _record_answer(self, event: io.AttemptEnded, attempt: Attempt, scorer: Scorer, run_ms: float) -> None:
-        """Record the run time of a good answer, and let the losses of its scorer fade."""
+        """Record the run time of a good answer, and reduce the losses of its scorer."""
         fn = attempt.function
         if event.warmth in (io.Warmth.UNTOLD, io.Warmth.FOUND):
             fn.runs.timed.append((self.now, event.took_ms))
@@ -240,21 +240,21 @@
                 del scorer.loss_records[fn.kind]
 
     def _on_load_order_answered(self, event: io.LoadOrderAnswered) -> None:
-        """Take the end of a load order or a probe."""
+        """Handle the end of a load order or a probe."""
         fn = self.functions.get(event.function)
         scorer = self.scorers.get(event.scorer)
         if fn is None or scorer is None:
             return
         scorer_copies = self._copies_at(fn, scorer)
         is_short = event.result is io.AttemptResult.GOOD and event.copies < scorer_copies.order_count
-        # With both in progress, an answer with too few copies is that to a probe.
+        # If an order and a probe are in progress, an answer with too few copies belongs to the probe.
         ordered_ms = None if scorer_copies.open_probes and is_short else scorer_copies.order_ms
         is_renewed = self._update_lease(event, scorer, is_query=ordered_ms is None)
         if event.result in REPORTS_COPIES:
             if scorer.suspect_ms is not None and scorer_copies.copies and not event.copies:
-                # The copies are gone: it restarted, which was not reported.
+                # The copies are gone: the scorer restarted, which was not reported.
                 self._begin_slow_start(scorer, self.now, since_ms=-math.inf)
-            # The answer to a probe counts for longer than that to a call.
+            # After the answer to a probe the scorer is trusted for longer than after that to a call.
             self._mark_alive(scorer, health.SUSPECT_PROBE_MS)
             if ordered_ms is not None and scorer_copies.speculative and event.result is io.AttemptResult.GOOD:
                 scorer_copies.idle_since_ms = self.now
@@ -267,13 +267,13 @@
             self._record_load_result(fn, scorer_copies, event, ordered_ms)
         else:
             scorer_copies.open_probes = max(0, scorer_copies.open_probes - 1)
-        if is_renewed:  # other functions may wait for the same scorer
+        if is_renewed:  # other functions may be waiting for the same scorer
             self._dispatch_all()
         else:
             self._dispatch(fn)
 
     def _update_lease(self, event: io.LoadOrderAnswered, scorer: Scorer, is_query: bool) -> bool:
-        """Take what an answer shows of its scorer's state; tells whether it renewed an expired lease."""
+        """Update a scorer's lease by an answer; returns whether this renewed an expired lease."""
         sent_ms = self.now - event.took_ms
         if event.result is io.AttemptResult.GOOD:
             return self._confirm_in_service(scorer, sent_ms)
@@ -284,15 +284,15 @@
         return False
 
     def _on_timer_due(self, event: io.TimerDue) -> None:
-        """Take a timer: that of a request's end, or that of the sweep, which goes on by itself."""
+        """Handle a timer: either the final answers of some requests are due, or the periodic sweep."""
         if event.token == REQUEST_END_TOKEN:
-            for request in [held for held in self.requests.values() if self.now >= held.answer_due_ms]:
+            for request in [due for due in self.requests.values() if self.now >= due.answer_due_ms]:
                 self._finish(request)
             return
         self.sweeping = False
         self._sweep_requests()
         self._mark_lost_attempts()
-        # Older attempts are taken for lost.
+        # Older attempts no longer count towards the limit, as they are probably lost.
         self.recent_attempts = {
             attempt
             for attempt in self.recent_attempts
@@ -306,45 +306,43 @@
             self._dispatch_all()
 
     def _sweep_requests(self) -> None:
-        """End the requests that are due or hopeless, and hedge the others where tokens are left."""
+        """Answer the requests that are due or to be given up, and hedge others while tokens are left."""
         for request in list(self.requests.values()):
             if self._should_give_up(request) or self.now >= request.answer_due_ms:
                 self._finish(request)
-            elif (
-                self.has_many_front_ends and self.hedge_tokens >= 1 and request not in request.function.queue
-            ):
+            elif self.many_front_ends and self.hedge_tokens >= 1 and request not in request.function.queue:
                 self._hedge(request, request.attempts[-1])
 
-    def _dispatch_all(self, there: Scorer | None = None) -> None:
-        """Dispatch the functions with a queue, the most urgent first; with `there`, those known there."""
+    def _dispatch_all(self, scorer: Scorer | None = None) -> None:
+        """Dispatch all queues, or those of functions known at a scorer; the most urgent request first."""
         self.waiting = {fn for fn in self.waiting if fn.queue}
-        held = [fn for fn in self.waiting if there is None or there.id in fn.copies_by_scorer]
-        for fn in sorted(held, key=lambda fn: min(map(self._urgency, fn.queue))):
+        waiting = [fn for fn in self.waiting if scorer is None or scorer.id in fn.copies_by_scorer]
+        for fn in sorted(waiting, key=lambda fn: min(map(self._urgency, fn.queue))):
             self._dispatch(fn)
 
     def _dispatch(self, fn: Function) -> None:
-        """Send what can be sent of a function's queue, and order loads for the rest."""
+        """Send the queued requests of a function that can be sent, and order loads for the rest."""
         self._send_queued(fn)
         if fn.queue:
             self.waiting.add(fn)
             self._load_speculatively(fn)
 
     def _send_queued(self, fn: Function) -> None:
-        """Send what can be sent of a function's queue; nothing else sends."""
+        """Send the queued requests of a function that can be sent; requests are sent only from here."""
         fn.queue.sort(key=self._urgency)
         for request in list(fn.queue):
             scorer = self._choose_scorer(fn, request)
             if scorer is not None:
                 self._send(request, scorer)
             elif request.first_run() is None:
-                # It may run anywhere and can't be sent: nor can the less urgent ones behind it.
+                # It may run at any scorer and still can't be sent, so the less urgent ones can't either.
                 break
 
     def _send(self, request: Request, scorer: Scorer) -> None:
         """Send a request to a scorer, as its next attempt."""
         fn = request.function
         scorer_copies = self._copies_at(fn, scorer)
-        # Before the attempt is added, as that counts as one that may have run.
+        # Computed before the attempt is added, because the new attempt counts as one that may have run.
         within_ms = min(self._window_left_ms(request), self._lease_left_ms(scorer))
         attempt = Attempt(
             request=request.id,
@@ -372,13 +370,13 @@
             scorer_copies.idle_since_ms is not None
             and scorer_copies.in_flight > scorer_copies.lanes_without_it
         ):
-            # The first use of a speculative copy.
+            # First use of a speculative copy.
             fn.idle_ms = self.now - scorer_copies.idle_since_ms
             scorer_copies.idle_since_ms = None
         self.actions.append(io.Send(request.id, scorer.id, within_ms))
 
     def _note_trial(self, fn: Function, scorer: Scorer) -> None:
-        """Note a send to a scorer after its ejection: it tries the scorer, and others wait for longer."""
+        """Record a send that tries a scorer after its ejection; the next ejection lasts twice as long."""
         record = scorer.loss_records.get(fn.kind)
         if record is not None and record.losses >= health.EJECTION_LOSSES:
             record.ejection_ms = min(state.MAX_EJECTION_MS, 2 * record.ejection_ms)
--- a/fawnwharf/policy/routing.py
+++ b/fawnwharf/policy/routing.py
@@ -1,4 +1,4 @@
-"""Where a call may go: hash order, spread, free lanes and bounds on what is in flight."""
+"""The choice of a scorer for a call: hash order, spread, free lanes and bounds on calls in flight."""
 
 import math
 from itertools import islice
@@ -6,24 +6,23 @@
 from fawnwharf.policy import slow_start, state
 from fawnwharf.policy.state import REFRESH_MS, Function, Request, Scorer, ScorerCopies, mix_bits
 
-FAR_BOUND_FACTOR = (
-    1.5  # a scorer of another zone takes so many times its fair share of the requests in flight
-)
-NEAR_BOUND_FACTOR = 2.4  # one of the near zone takes so many times its fair share
-MIN_IN_FLIGHT_BOUND = 2.0  # and at least so many requests
-TRIAL_BITS_LIMIT = 2**60  # of the draws: one call in sixteen tries a new place while others are known
-PROBE_PAUSE_MS = 100.0  # between two probes for the same copy
-LOW_PRIORITY_PART = 0.35  # of a limit, for calls past their quota or time
-MAX_QUERIES_PER_REQUEST = 2  # of scorers without a lease, for one request
-SPREAD_LANE_SHARE = 0.6  # part of a copy's lanes that a spread function's calls may fill
-SPREAD_CAPACITY_SHARE = 0.3  # part of a scorer's capacity that they may fill
+# The bound on a scorer's requests in flight, as a multiple of its fair share of them.
+FAR_BOUND_FACTOR = 1.5  # for a scorer of another zone
+NEAR_BOUND_FACTOR = 2.4  # for a scorer of the near zone
+MIN_IN_FLIGHT_BOUND = 2.0  # the bound is at least this many requests
+TRIAL_BITS_LIMIT = 2**60  # random bits below this, in one call of 16, try a scorer that may have no copy
+PROBE_PAUSE_MS = 100.0  # minimum time between two probes for the same copy
+LOW_PRIORITY_PART = 0.35  # part of a limit open to hedged requests, late ones and those over their quota
+MAX_QUERIES_PER_REQUEST = 2  # scorers without a lease that are queried for one request
+SPREAD_LANE_SHARE = 0.6  # part of a copy's lanes that calls should fill before a function spreads further
+SPREAD_CAPACITY_SHARE = 0.3  # part of a scorer's capacity that one function's calls should fill
 
 
 class Routing(slow_start.SlowStart):
-    """The choice of a scorer for each call."""
+    """Chooses a scorer for each call."""
 
     def _ordered(self, fn: Function) -> list[Scorer]:
-        """The ready scorers by rendezvous hashing; those of the function's zone first, if it has one."""
+        """The ready scorers by weighted rendezvous hashing; those of the function's site come first."""
         if fn.hash_order_sizes is not self.members:
             drawn = {
                 scorer: math.log((mix_bits(fn.hash_bits ^ scorer.hash_bits) + 1) / (2**64 + 1))
@@ -39,7 +38,7 @@
         return fn.hash_order
 
     def _known_scorers(self, fn: Function) -> list[Scorer]:
-        """Scorers with an entry for a function, the near zone's first, in hash order."""
+        """The scorers with an entry for a function in hash order, those of the near zone first."""
         order = self._ordered(fn)
         if fn.known is None:
             fn.known = sorted(
@@ -49,14 +48,17 @@
         return fn.known
 
     def _candidates(self, fn: Function, request: Request) -> list[Scorer]:
-        """Scorers that may have a copy, as they are to be tried; in a wide fleet from a drawn one on."""
-        if not self.has_many_front_ends:
+        """The scorers that may have a copy, in the order in which they are tried for a request.
+
+        With many front ends the order starts at a random one of the scorers that the function spreads over.
+        """
+        if not self.many_front_ends:
             return self._known_scorers(fn)
         first = self._rotated_order(fn, request)
         is_seen = any(
             self._copies(fn, scorer) and self._is_preferred(scorer, fn) for scorer in self._known_scorers(fn)
         )
-        # All front ends try a new place: that only few calls do so guards the store.
+        # Every front end tries new scorers, so only a few calls do: this protects the store of the functions.
         tried = first if not is_seen or request.random_bits < TRIAL_BITS_LIMIT else []
         for scorer in tried if self.settings.loads_on_miss else first[:1]:
             self._probe_for_copy(fn, scorer)
@@ -66,12 +68,12 @@
         return [scorer for scorer in dict.fromkeys(first + known) if scorer.id in fn.copies_by_scorer]
 
     def _probe_for_copy(self, fn: Function, scorer: Scorer) -> None:
-        """Probe for a copy; in a wide fleet it is taken to be loaded, as calls refresh it or load it."""
+        """Probe for a copy, or assume one where only calls can find out whether it is loaded."""
         scorer_copies = self._copies_at(fn, scorer)
         if not self._is_usable(scorer, fn) or self._copies(fn, scorer):
             return
-        # Where no probe may be sent, calls alone find out.
-        calls_find_out = self.has_many_front_ends and self.settings.loads_on_miss
+        # With many front ends, a call that finds no copy begins its load, so no probe is needed.
+        calls_find_out = self.many_front_ends and self.settings.loads_on_miss
         if not self.settings.load_orders_allowed or calls_find_out:
             scorer_copies.copies = 1
             scorer_copies.seen_ms = self.now
@@ -79,9 +81,9 @@
             self._probe(fn, scorer)
 
     def _rotated_order(self, fn: Function, request: Request) -> list[Scorer]:
-        """The scorers that a function spreads over, from the place on that the request drew.
+        """The scorers that a function spreads over, rotated to start at one that the request's bits select.
 
-        In a wide fleet the better of two places that it drew.
+        With many front ends it is the one with the lower cost of two random choices.
         """
         preferred = (scorer for scorer in self._ordered(fn) if self._is_preferred(scorer, fn))
         order = list(islice(preferred, fn.spread)) or fn.hash_order[: fn.spread]
@@ -90,16 +92,14 @@
             for random_bits in (request.random_bits, request.random_bits >> 32)
             if order
         ]
-        start = min(
-            starts, key=lambda start: self.has_many_front_ends * self._cost(order[start], fn), default=0
-        )
+        start = min(starts, key=lambda start: self.many_front_ends * self._cost(order[start], fn), default=0)
         return order[start:] + order[:start]
 
     def _update_spread(self, fn: Function) -> None:
-        """Count an arrival, and work out how many scorers a function needs.
+        """Count an arrival and compute how many scorers a function's calls need.
 
-        From own arrivals times the number of front ends, or from the reported concurrency: this keeps the
-        first scorers of the order from overload.
+        The demand is estimated from this front end's arrivals times the number of front ends, and from the
+        reported concurrency. This keeps the first scorers of the hash order from overload.
         """
         decay = math.exp((max(fn.last_ms, default=self.now) - self.now) / state.DECAY_MS)
         fn.arrived *= decay
@@ -109,7 +109,7 @@
             burst_ms = max(self.now - fn.last_ms[0], REFRESH_MS)
             rate = max(rate, self._discounted(state.BURST_ARRIVALS) / burst_ms)
         demand = max(rate * self.front_ends * self._run_time_ms(fn), fn.reported_concurrency)
-        # The bound on a scorer is 0 where none is ready.
+        # The mean limit is 0 if no scorer is ready.
         share = min(SPREAD_LANE_SHARE * fn.lanes, SPREAD_CAPACITY_SHARE * self.mean_concurrency_limit or 1.0)
         fn.spread = min(max(1, math.ceil(demand / share)), max(1, len(self.ready)))
         fn.arrived += 1
@@ -117,19 +117,20 @@
         fn.last_ms.append(self.now)
 
     def _discounted(self, seen: float) -> float:
-        """Arrivals less what chance may add to them, which many front ends would multiply."""
-        return max(0.0, seen - math.sqrt(seen)) if self.has_many_front_ends else seen
+        """Arrivals, less one standard deviation where many front ends would multiply a random excess."""
+        return max(0.0, seen - math.sqrt(seen)) if self.many_front_ends else seen
 
     def _is_warm(self, fn: Function) -> bool:
-        """Whether a usable scorer has a copy."""
+        """Whether a usable scorer has a copy of the function."""
         return any(
             self._copies(fn, scorer) and self._is_usable(scorer, fn) for scorer in self._known_scorers(fn)
         )
 
     def _choose_scorer(self, fn: Function, request: Request) -> Scorer | None:
-        """The first candidate with a free lane within its bound, else the one with least in flight, or None.
+        """The first candidate that has a free lane and is within its bound; None if no candidate has a lane.
 
-        No call crosses zones while a near copy is probed. The cost: a wait of one round trip.
+        If all of those with a free lane are beyond their bounds, the one with the fewest requests in flight.
+        No call crosses zones while a copy in the near zone is probed, at the cost of one round trip.
         """
         is_in_flight = any(attempt.open for attempt in request.attempts)
         part = 1.0
@@ -138,8 +139,8 @@
         candidates = self._candidates(fn, request)
         if len(self.recent_attempts) >= self.limit * (1.0 if is_in_flight else part):
             return None
-        if self.has_many_front_ends and self._awaits_probe(fn):
-            return None  # one probe at a time; the place that was drawn is to answer first
+        if self.many_front_ends and self._awaits_probe(fn):
+            return None  # wait for the probe of the scorer that was chosen at random
         beyond_bound = list[Scorer]()
         is_probing = False
         queried = 0
@@ -149,7 +150,7 @@
             scorer_copies = fn.copies_by_scorer[scorer.id]
             if self._has_free_lane(fn, scorer_copies, scorer) and self._may_send_here(request, scorer, part):
                 if not self._has_lease(scorer):
-                    # Without a proof that it is in service it is queried, and another one serves meanwhile.
+                    # A scorer that is not confirmed is queried, and the request goes to another one.
                     if queried < MAX_QUERIES_PER_REQUEST:
                         queried += 1
                         is_probing = self._query_state(fn, scorer) or is_probing
@@ -162,23 +163,23 @@
         return min(beyond_bound, key=lambda scorer: scorer.in_flight, default=None)
 
     def _has_free_lane(self, fn: Function, scorer_copies: ScorerCopies, scorer: Scorer) -> bool:
-        """Whether a warm copy has a free lane; copies that were not seen for long are probed first.
+        """Whether a loaded copy has a free lane.
 
-        The cost: a wait of one round trip.
+        A copy that was not seen for `COPY_STALE_MS` is probed first, at the cost of one round trip.
         """
         if (
             self.now < scorer_copies.blocked_ms
             or self._copies(fn, scorer) * fn.lanes <= scorer_copies.in_flight
         ):
             return False
-        # With calls in flight, only a count shows that there is a lane more.
+        # If all lanes of some copies are busy, only a reported number shows that another copy is loaded.
         evidence_ms = scorer_copies.counted_ms if scorer_copies.in_flight else scorer_copies.seen_ms
         is_sure = (
             scorer_copies.in_flight % fn.lanes > 0
             or self.now - evidence_ms < state.COPY_STALE_MS
-            or self.has_many_front_ends
+            or self.many_front_ends
         )
-        # A probe that was rejected is not repeated at once: each may cost a connection.
+        # A rejected probe is not repeated at once, as each may cost a connection.
         is_due = not scorer_copies.open_probes and self.now - scorer_copies.probed_ms >= PROBE_PAUSE_MS
         may_probe = not is_sure and self.settings.load_orders_allowed and is_due
         if may_probe and self._is_usable(scorer, fn):
@@ -186,15 +187,15 @@
         return is_sure or not self.settings.load_orders_allowed
 
     def _in_flight_bound(self, scorer: Scorer, fn: Function) -> float:
-        """Own requests that a scorer may have in flight: a multiple of its fair share."""
+        """Bound on this front end's requests in flight at a scorer: a multiple of its fair share."""
         fair = (len(self.attempts) + 1) * self._size(scorer) / self.ready_size
         factor = FAR_BOUND_FACTOR if self._is_far(scorer, fn) else NEAR_BOUND_FACTOR
         return max(MIN_IN_FLIGHT_BOUND * self._warmth(scorer), factor * fair)
 
     def _is_preferred(self, scorer: Scorer, fn: Function) -> bool:
-        """Whether a scorer can take calls and is no outlier by its slowdown."""
+        """Whether a scorer can take a call and its slowdown is not that of an outlier."""
         return self._slowdown_of(scorer) <= self.max_slowdown and self._can_take(scorer, fn)
 
     def _can_take(self, scorer: Scorer, fn: Function) -> bool:
-        """Whether a scorer is usable and within its slow start limit."""
+        """Whether a scorer is usable for the function and within its slow start limit."""
         return self._is_usable(scorer, fn) and self._within_slow_start_limit(scorer)
--- a/fawnwharf/policy/slow_start.py
+++ b/fawnwharf/policy/slow_start.py
@@ -164,7 +164,7 @@
         if self.total_quota_per_ms > 0:
             own_quota = self.total_quota_per_ms / self.front_ends
             rate = (own_quota + ANSWERED_SHARE * (answered - own_quota)) * self._size_share(scorer)
-            return rate if self.has_many_front_ends else min(rate, arrivals)
+            return rate if self.many_front_ends else min(rate, arrivals)
         if answered > 0:
             # The answers came from at most the largest fleet of ready scorers in that time.
             largest = max(ready_size for _, ready_size in self.ready_size_history)
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -218,7 +218,7 @@
         # Methods that are called from other mixins; they are documented where they are defined.
         # Router
         def _dispatch(self, fn: Function) -> None: ...
-        def _dispatch_all(self, there: Scorer | None = None) -> None: ...
+        def _dispatch_all(self, scorer: Scorer | None = None) -> None: ...
         def _send_queued(self, fn: Function) -> None: ...
 
         # Admission
@@ -293,7 +293,7 @@
         # Limits that are computed from the settings and the roster.
         self.front_ends = max(1, settings.fleet_size)
         # Front ends outnumber the calls that a scorer may have in flight: this one's share is below one call.
-        self.has_many_front_ends = False
+        self.many_front_ends = False
         self.total_quota_per_ms = sum(settings.quotas_rps.values()) / 1000  # of all tenants and front ends
         self.safe_mean_cache = dict[int, float]()  # results of `slow_start.safe_mean`, by its first argument
         self.limit = math.inf  # on this front end's recent attempts in flight
@@ -322,11 +322,13 @@
 
     def _copies(self, fn: Function, scorer: Scorer) -> int:
         """A function's copies at a scorer; 0 after a restart or at the end of their idle lifetime."""
-        held = fn.copies_by_scorer.get(scorer.id)
-        if held is None:
+        scorer_copies = fn.copies_by_scorer.get(scorer.id)
+        if scorer_copies is None:
             return 0
-        expired = held.in_flight == 0 and self.now - held.seen_ms > self.settings.idle_life_ms
-        return 0 if expired or held.seen_ms <= scorer.started_ms else held.copies
+        expired = (
+            scorer_copies.in_flight == 0 and self.now - scorer_copies.seen_ms > self.settings.idle_life_ms
+        )
+        return 0 if expired or scorer_copies.seen_ms <= scorer.started_ms else scorer_copies.copies
 
     def _copies_at(self, fn: Function, scorer: Scorer) -> ScorerCopies:
         """The entry of a function for a scorer; it is created if there is none."""
@@ -374,12 +376,12 @@
         """
         self.forgot_ms = self.now
         past_ms = self.now - FORGET_MS
-        last_there = {scorer.last_function for scorer in self.scorers.values()}
+        last_functions = {scorer.last_function for scorer in self.scorers.values()}
         surplus = MAX_FUNCTIONS // 2 if len(self.functions) >= MAX_FUNCTIONS else 0
         oldest_first = sorted(self.functions.values(), key=lambda fn: fn.needed_ms)
         for number, fn in enumerate(oldest_first):
             is_old = number < surplus or fn.needed_ms < past_ms
-            if is_old and not fn.is_busy() and fn not in last_there:
+            if is_old and not fn.is_busy() and fn not in last_functions:
                 del self.functions[fn.name]
         for scorer in list(self.scorers.values()):
             if scorer.entry.state is io.ScorerState.GONE:
--- a/tests/policy/test_policy_roster_lease_limits.py
+++ b/tests/policy/test_policy_roster_lease_limits.py
@@ -48,5 +48,5 @@
             for send in sends:
                 drive.end(send)
         drive.now += 50.0
-    assert drive.router.has_many_front_ends
+    assert drive.router.many_front_ends
     assert 0 < queries <= CALLS
