--- a/tests/bench.py
+++ b/tests/bench.py
@@ -38,8 +38,8 @@
     def ask(self, name, fn="f", spec="safe", budget=2500.0, lanes=1, load_ms=500.0, tenant=""):
         return self.feed(io.RequestArrived(name, fn, spec, tenant, budget, lanes, load_ms=load_ms))
 
-    def count(self, worker, copies, fn="f", ending=io.AttemptResult.GOOD):
-        return self.feed(io.LoadOrderAnswered(worker, fn, ending, copies, 1.0))
+    def count(self, scorer, copies, fn="f", ending=io.AttemptResult.GOOD):
+        return self.feed(io.LoadOrderAnswered(scorer, fn, ending, copies, 1.0))
 
     def answer_asks(self, actions, standing=None):
         """Answer each question with what stands there; the loads among the actions and all that follows."""
--- a/tests/policy/test_policy_decision_price.py
+++ b/tests/policy/test_policy_decision_price.py
@@ -8,27 +8,27 @@
 from bench import Drive
 
 FEW, MANY = 20, 200
-MOST_TIMES = 2.0  # the price with ten times the calls
+MAX_RATIO = 2.0  # the price with ten times the calls
 
 
-def price_with(waiting: int) -> int:
+def calls_of_one_arrival(waiting: int) -> int:
     """Function calls that the arrival of one more call takes, with so many that wait for the function."""
-    drive = Drive()
+    driver = Drive()
     for number in range(waiting):
-        drive.ask(f"r{number}")
+        driver.ask(f"r{number}")
     count = 0
 
-    def note(_frame, event, _argument):
+    def count_call(_frame, event, _argument):
         nonlocal count
         count += event == "call"
 
-    sys.setprofile(note)
+    sys.setprofile(count_call)
     try:
-        drive.ask("one more")
+        driver.ask("one more")
     finally:
         sys.setprofile(None)
     return count
 
 
 def test_one_more_call_costs_the_same_whatever_waits():
-    assert price_with(MANY) <= MOST_TIMES * price_with(FEW)
+    assert calls_of_one_arrival(MANY) <= MAX_RATIO * calls_of_one_arrival(FEW)
--- a/tests/policy/test_policy_event_batches.py
+++ b/tests/policy/test_policy_event_batches.py
@@ -19,15 +19,15 @@
 }
 
 
-def retried():
+def driver_with_queued_request():
     """One request whose attempt is out, another that is held, and what their events would bring."""
-    d = Drive(2)
-    d.warm()
-    sends = of(d.ask("out"), io.Send)
+    driver = Drive(2)
+    driver.warm()
+    sends = of(driver.ask("out"), io.Send)
     assert [send.request for send in sends] == ["out"]
-    d.ask("held")
-    d.now += 50.0
-    return d, sends[0]
+    driver.ask("held")
+    driver.now += 50.0
+    return driver, sends[0]
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(3))))
@@ -35,50 +35,50 @@
     "ending", [AttemptResult.FULL, AttemptResult.RESET, AttemptResult.CONNECT_FAILED, AttemptResult.GOOD]
 )
 def test_nothing_is_sent_or_ordered_for_clients_that_left_in_whatever_order_the_batch_tells_it(order, ending):
-    d, send = retried()
+    driver, send = driver_with_queued_request()
     ended = io.AttemptEnded("out", 0, send.scorer, ending, 50.0, ending is AttemptResult.GOOD)
     events = [ended, io.TimerDue(0), io.RequestCancelled("out"), io.RequestCancelled("held")]
-    actions = d.feed(*[events[n] for n in order], events[3])
-    loads = [hold for hold in of(actions, io.OrderCopies) if hold.copies]
+    actions = driver.feed(*[events[n] for n in order], events[3])
+    loads = [copy_order for copy_order in of(actions, io.OrderCopies) if copy_order.copies]
     assert not of(actions, io.Send)
     assert not loads
     assert not of(actions, io.Reject)
     assert not of(actions, io.Fail)
-    assert not d.router.requests
-    assert not of(d.sweep(d.now + 3_000.0), io.Send)
+    assert not driver.router.requests
+    assert not of(driver.sweep(driver.now + 3_000.0), io.Send)
 
 
 def test_a_request_that_came_and_left_in_one_batch_brings_nothing():
-    d = Drive(2)
-    d.warm()
+    driver = Drive(2)
+    driver.warm()
     arrived = io.RequestArrived("r", "f", "safe", "", 2_500.0, load_ms=500.0)
-    actions = d.feed(arrived, io.RequestCancelled("r"))
+    actions = driver.feed(arrived, io.RequestCancelled("r"))
     assert not of(actions, io.Send)
     assert not of(actions, io.OrderCopies)
-    assert not d.router.requests
+    assert not driver.router.requests
 
 
 def test_a_request_that_was_finished_here_and_left_in_the_same_batch_has_one_answer():
-    d, _ = retried()
-    d.now = 2_700.0
-    actions = d.feed(io.TimerDue(0), io.RequestCancelled("out"))
+    driver, _ = driver_with_queued_request()
+    driver.now = 2_700.0
+    actions = driver.feed(io.TimerDue(0), io.RequestCancelled("out"))
     assert [type(action) for action in actions if getattr(action, "request", "") == "out"] == [io.Cancel]
 
 
 @pytest.mark.parametrize("budget", [40.0, 100.0, 150.0])
 def test_a_class_whose_whole_time_is_shorter_than_a_sweep_is_served(budget):
-    d = Drive(2)
-    d.feed(io.ClassChanged(io.ClassSpec("tiny", budget / 2, budget, Effect.IDEMPOTENT)))
-    d.warm()
-    actions = d.ask("r", spec="tiny", budget=budget)
+    driver = Drive(2)
+    driver.feed(io.ClassChanged(io.ClassSpec("tiny", budget / 2, budget, Effect.IDEMPOTENT)))
+    driver.warm()
+    actions = driver.ask("r", spec="tiny", budget=budget)
     [send] = of(actions, io.Send)
     [timer] = [action for action in of(actions, io.SetTimer) if action.token]
     assert 0.7 * budget <= timer.delay_ms < budget
-    d.now += 0.5 * budget
-    assert not of(d.feed(io.TimerDue(0)), io.Reject)  # a sweep before its end
-    d.now += timer.delay_ms - 0.5 * budget
-    assert [type(a) for a in d.feed(io.TimerDue(timer.token))] == [io.Cancel, io.Reject]
-    assert not d.end(send, AttemptResult.CANCELLED, closed=False)
+    driver.now += 0.5 * budget
+    assert not of(driver.feed(io.TimerDue(0)), io.Reject)  # a sweep before its end
+    driver.now += timer.delay_ms - 0.5 * budget
+    assert [type(a) for a in driver.feed(io.TimerDue(timer.token))] == [io.Cancel, io.Reject]
+    assert not driver.end(send, AttemptResult.CANCELLED, closed=False)
 
 
 @pytest.mark.parametrize(
@@ -101,28 +101,28 @@
     monkeypatch, settings, workers
 ):
     monkeypatch.setattr(replay, "CLASSES", MIXED | {"safe": MIXED["usual"]})
-    monkeypatch.setattr(replay, "KINDS", [*MIXED, "unheard of"])
+    monkeypatch.setattr(replay, "CLASS_NAMES", [*MIXED, "unheard of"])
     world = {"workers": workers, "zones": 2, "functions": 14, "rps": 20.0, "roster": 0.02}
     monkeypatch.setitem(replay.SETTINGS, "mixed", (world, {"max_attempts": 3, **settings}))
-    late = []
+    late_requests = []
 
     class World(replay.World):
         def leave(self, request):
             if request in self.router.requests and self.now >= self.router.requests[request].deadline_ms:
-                late.append((request, self.now))
+                late_requests.append((request, self.now))
             super().leave(request)
 
     World("mixed").run(2_500)
-    assert late == []
+    assert late_requests == []
 
 
 @pytest.mark.parametrize("fleet_size", [1, 60])
 @pytest.mark.parametrize("quotas", [{}, {"t": 10.0}])
 def test_without_a_class_or_a_scorer_each_request_gets_its_answer(fleet_size, quotas):
     router = io.Settings(fleet_size=fleet_size, quotas_rps=quotas)
-    d = Drive(1)
-    d.router = type(d.router)(router, 1)
-    d.feed(io.RosterChanged([], complete=True))
-    d.ask("r", spec="unheard of", budget=500.0)
-    answers = of(d.sweep(500.0), io.Reject)
+    driver = Drive(1)
+    driver.router = type(driver.router)(router, 1)
+    driver.feed(io.RosterChanged([], complete=True))
+    driver.ask("r", spec="unheard of", budget=500.0)
+    answers = of(driver.sweep(500.0), io.Reject)
     assert [answer.request for answer in answers] == ["r"]
--- a/tests/policy/test_policy_releases.py
+++ b/tests/policy/test_policy_releases.py
@@ -14,41 +14,46 @@
 from fawnwharf.interface import AttemptResult, Warmth
 from fawnwharf.policy import Router
 
-WINDOW_MS, FREE, PART = 5_000.0, 10.0, 0.1
-LOAD_MS, RUN_MS, FUNCTIONS, WORKERS, RPS = 600.0, 60.0, 40, 6, 30.0
+WINDOW_MS, FREE_LOADS, LOAD_PART = 5_000.0, 10.0, 0.1
+LOAD_MS, RUN_MS, FUNCTIONS, SCORERS, RPS = 600.0, 60.0, 40, 6, 30.0
 SPEC = io.ClassSpec("view", 800.0, 2_500.0, io.Effect.IDEMPOTENT)
 
 
-class Day:
+class World:
     """One front end, its workers' copies, and each order and arrival with its time."""
 
     def __init__(self, seed, **settings):
-        self.random, self.now, self.due, self.count = random.Random(seed), 0.0, [], 0
-        more = {"max_attempts": 3, "free_loads": FREE, "load_part": PART, "load_window_ms": WINDOW_MS}
+        self.random, self.now, self.scheduled, self.count = random.Random(seed), 0.0, [], 0
+        more = {
+            "max_attempts": 3,
+            "free_loads": FREE_LOADS,
+            "load_part": LOAD_PART,
+            "load_window_ms": WINDOW_MS,
+        }
         self.router = Router(io.Settings({"view": SPEC}, **{**more, **settings}), seed)
-        self.standing, self.loading, self.done = {}, 0, set()
-        self.orders, self.taken, self.sent, self.served = [], [], {}, []
-        self.feed(io.RosterChanged([io.ScorerEntry(n) for n in range(1, WORKERS + 1)], complete=True))
-        self.later(0.0, self.arrive)
+        self.loaded_copies, self.loading, self.done = {}, 0, set()
+        self.orders, self.arrivals, self.sent, self.served = [], [], {}, []
+        self.feed(io.RosterChanged([io.ScorerEntry(n) for n in range(1, SCORERS + 1)], complete=True))
+        self.schedule(0.0, self.arrive)
 
-    def later(self, delay_ms, call, *args):
+    def schedule(self, delay_ms, call, *args):
         self.count += 1
-        heapq.heappush(self.due, (self.now + delay_ms, self.count, call, args))
+        heapq.heappush(self.scheduled, (self.now + delay_ms, self.count, call, args))
 
     def run(self, until_ms):
-        while self.due[0][0] <= until_ms:
-            self.now, _, call, args = heapq.heappop(self.due)
+        while self.scheduled[0][0] <= until_ms:
+            self.now, _, call, args = heapq.heappop(self.scheduled)
             call(*args)
         self.now = until_ms
 
     def release(self):
         """A new version of everything: no copy that stands is of use."""
-        self.standing.clear()
+        self.loaded_copies.clear()
 
     def arrive(self):
-        self.later(self.random.expovariate(RPS / 1000.0), self.arrive)
+        self.schedule(self.random.expovariate(RPS / 1000.0), self.arrive)
         self.count += 1
-        self.taken.append(self.now)
+        self.arrivals.append(self.now)
         self.ask(f"r{self.count}", f"f{int(FUNCTIONS * self.random.random() ** 2)}")
 
     def ask(self, name, fn):
@@ -58,7 +63,7 @@
     def feed(self, event):
         for action in self.router.handle(self.now, [event]):
             if isinstance(action, io.SetTimer):
-                self.later(action.delay_ms, self.feed, io.TimerDue(action.token))
+                self.schedule(action.delay_ms, self.feed, io.TimerDue(action.token))
             elif isinstance(action, io.OrderCopies):
                 self.order(action)
             elif isinstance(action, io.Send):
@@ -66,91 +71,91 @@
             elif isinstance(action, io.Reject | io.Fail):
                 self.done.add(action.request)
 
-    def order(self, hold):
-        key = hold.scorer, hold.function
-        if not hold.copies or self.standing.get(key, 0) >= hold.copies:
-            if hold.copies:
+    def order(self, copy_order):
+        key = copy_order.scorer, copy_order.function
+        if not copy_order.copies or self.loaded_copies.get(key, 0) >= copy_order.copies:
+            if copy_order.copies:
                 self.orders.append(self.now)
-            self.later(1.0, self.counted, key, AttemptResult.GOOD)
+            self.schedule(1.0, self.answer_order, key, AttemptResult.GOOD)
             return
         self.orders.append(self.now)
         self.load(key)
 
     def load(self, key):
         self.loading += 1
-        self.later(LOAD_MS * (1.0 + 0.1 * self.loading), self.loaded, key)
+        self.schedule(LOAD_MS * (1.0 + 0.1 * self.loading), self.loaded, key)
 
     def loaded(self, key):
         self.loading -= 1
-        self.standing[key] = self.standing.get(key, 0) + 1
-        self.counted(key, AttemptResult.GOOD)
+        self.loaded_copies[key] = self.loaded_copies.get(key, 0) + 1
+        self.answer_order(key, AttemptResult.GOOD)
 
-    def counted(self, key, ending):
-        self.feed(io.LoadOrderAnswered(*key, ending, self.standing.get(key, 0), 1.0))
+    def answer_order(self, key, result):
+        self.feed(io.LoadOrderAnswered(*key, result, self.loaded_copies.get(key, 0), 1.0))
 
     def send(self, send):
         fn, number = self.sent[send.request]
         self.sent[send.request][1] += 1
-        stands = self.standing.get((send.scorer, fn), 0) > 0
-        ending, took = (AttemptResult.GOOD, RUN_MS) if stands else (AttemptResult.MISS, 1.0)
-        self.later(took, self.end, send, number, ending, took)
+        stands = self.loaded_copies.get((send.scorer, fn), 0) > 0
+        result, took = (AttemptResult.GOOD, RUN_MS) if stands else (AttemptResult.MISS, 1.0)
+        self.schedule(took, self.end, send, number, result, took)
 
-    def end(self, send, number, ending, took):
-        good = ending is AttemptResult.GOOD and send.request not in self.done
+    def end(self, send, number, result, took):
+        good = result is AttemptResult.GOOD and send.request not in self.done
         if good:
             self.done.add(send.request)
             self.served.append(self.now)
-        self.feed(io.AttemptEnded(send.request, number, send.scorer, ending, took, good, Warmth.FOUND))
+        self.feed(io.AttemptEnded(send.request, number, send.scorer, result, took, good, Warmth.FOUND))
 
     def check(self):
         """At each order: those of the window before it against what it took in that window."""
         for at_ms in self.orders:
             orders = sum(at_ms - WINDOW_MS < other <= at_ms for other in self.orders)
-            taken = sum(at_ms - WINDOW_MS < other <= at_ms for other in self.taken)
-            assert orders <= FREE + PART * taken, (at_ms, orders, taken)
+            arrivals = sum(at_ms - WINDOW_MS < other <= at_ms for other in self.arrivals)
+            assert orders <= FREE_LOADS + LOAD_PART * arrivals, (at_ms, orders, arrivals)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_release_of_all_functions_keeps_the_load_rate_limit_in_every_window(seed):
-    day = Day(seed, idle_life_ms=8_000.0)
-    day.run(12_000.0)
-    day.release()
-    day.run(18_000.0)
-    day.release()
-    day.run(28_000.0)
-    day.check()
-    assert day.served[-1] > 27_000.0
-    assert sum(at > 22_000.0 for at in day.served) > 30
+    world = World(seed, idle_life_ms=8_000.0)
+    world.run(12_000.0)
+    world.release()
+    world.run(18_000.0)
+    world.release()
+    world.run(28_000.0)
+    world.check()
+    assert world.served[-1] > 27_000.0
+    assert sum(at > 22_000.0 for at in world.served) > 30
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_prefetches_refreshes_and_a_release_in_the_first_seconds_keep_it_together(seed):
-    day = Day(seed, idle_life_ms=4_000.0)
+    world = World(seed, idle_life_ms=4_000.0)
     for step in range(60):
-        day.run(100.0 * step)
-        worker, fn = 1 + step % WORKERS, f"f{step % FUNCTIONS}"
-        day.feed(io.PrefetchRequested(worker, fn, "view", 1 + step % 3, load_ms=LOAD_MS))
+        world.run(100.0 * step)
+        scorer, fn = 1 + step % SCORERS, f"f{step % FUNCTIONS}"
+        world.feed(io.PrefetchRequested(scorer, fn, "view", 1 + step % 3, load_ms=LOAD_MS))
         if step in (5, 30):
-            day.release()
-    day.run(20_000.0)
-    day.check()
+            world.release()
+    world.run(20_000.0)
+    world.check()
 
 
 def test_no_more_loads_than_the_limit_are_under_way_when_all_copies_go_void():
-    day = Day(1, free_loads=1_000.0)
-    day.run(5_000.0)
-    day.release()
+    world = World(1, free_loads=1_000.0)
+    world.run(5_000.0)
+    world.release()
     most = 0
-    while day.now < 10_000.0:
-        day.run(day.now + 20.0)
-        most = max(most, day.loading)
+    while world.now < 10_000.0:
+        world.run(world.now + 20.0)
+        most = max(most, world.loading)
     assert 2 <= most <= 24
 
 
 def test_without_anything_taken_only_free_orders_go():
-    d = Drive(load_window_ms=WINDOW_MS, free_loads=3.0, load_part=PART)
+    driver = Drive(load_window_ms=WINDOW_MS, free_loads=3.0, load_part=LOAD_PART)
     loads = []
     for n in range(20):
-        d.now += 10.0
-        loads += of(d.feed(io.PrefetchRequested(1 + n % 4, f"f{n}", "safe")), io.OrderCopies)
-    assert len([hold for hold in loads if hold.copies]) == 3
+        driver.now += 10.0
+        loads += of(driver.feed(io.PrefetchRequested(1 + n % 4, f"f{n}", "safe")), io.OrderCopies)
+    assert len([copy_order for copy_order in loads if copy_order.copies]) == 3
--- a/tests/policy/test_policy_replay.py
+++ b/tests/policy/test_policy_replay.py
@@ -29,8 +29,8 @@
     ),
     "unsafe": io.ClassSpec("unsafe", 1200.0, 4000.0, io.Effect.AT_MOST_ONCE),
 }
-KINDS = [*CLASSES, "unheard of"]
-TROUBLES = ("silent", "slow", "lossy", "full", "broken")
+CLASS_NAMES = [*CLASSES, "unheard of"]
+FAULTS = ("silent", "slow", "lossy", "full", "broken")
 
 # By setting: the world (workers, zones, functions, calls a second, mean run), then what differs in Settings.
 SETTINGS = {
@@ -94,25 +94,29 @@
     def __init__(self, name, seed=17):
         world, settings = SETTINGS[name]
         self.workers, self.zones, self.functions = world["workers"], world["zones"], world["functions"]
-        self.rps, self.run_ms, self.told = world["rps"], world.get("run_ms", 80.0), world.get("told", False)
+        self.rps, self.run_ms, self.reports_concurrency = (
+            world["rps"],
+            world.get("run_ms", 80.0),
+            world.get("told", False),
+        )
         self.roster, self.trouble = world.get("roster", 0.004), world.get("trouble", 0.01)
         self.pause_ms = world.get("pause_ms", 0.0)
-        self.draw, self.now, self.due, self.count = random.Random(f"{name} {seed}").random, 0.0, [], 0
+        self.draw, self.now, self.scheduled, self.count = random.Random(f"{name} {seed}").random, 0.0, [], 0
         self.digest, self.seen = hashlib.sha256(), {}
-        self.open, self.tries, self.closed = {}, {}, set()  # attempts out; sends by request; answered
-        self.standing, self.mood, self.started = {}, {}, {}
+        self.open, self.attempts_sent, self.closed = {}, {}, set()  # attempts out; sends by request; answered
+        self.loaded_copies, self.fault, self.started_ms = {}, {}, {}
         quotas = dict(settings.get("quotas_rps", {}))
         self.router = Router(io.Settings(CLASSES, zone="z0", **{**settings, "quotas_rps": quotas}), seed)
         entries = [self.entry(n, ScorerState.READY) for n in range(1, self.workers + 1)]
         self.feed(io.RosterChanged(entries, complete=True))
-        self.later(1.0, self.arrive)
+        self.schedule(1.0, self.arrive)
 
-    def below(self, n):
+    def random_below(self, n):
         return int(self.draw() * n)
 
-    def later(self, delay_ms, call, *args):
+    def schedule(self, delay_ms, call, *args):
         self.count += 1
-        heapq.heappush(self.due, (self.now + delay_ms, self.count, call, args))
+        heapq.heappush(self.scheduled, (self.now + delay_ms, self.count, call, args))
 
     def feed(self, *events):
         for event in events:
@@ -124,33 +128,33 @@
 
     def run(self, events=EVENTS):
         while sum(self.seen.values()) < events:
-            self.now, _, call, args = heapq.heappop(self.due)
+            self.now, _, call, args = heapq.heappop(self.scheduled)
             call(*args)
         return self.digest.hexdigest()
 
     def entry(self, n, state):
-        units, up = 1.0 + n % 3, self.started.get(n)
+        units, up = 1.0 + n % 3, self.started_ms.get(n)
         return io.ScorerEntry(n, state, "", f"z{n % self.zones}", n % 4, units, up)
 
     def arrive(self):
         pause = self.pause_ms * (self.draw() < 0.002)  # one that lets copies lapse and functions be forgotten
-        self.later(pause + 2000.0 * self.draw() / self.rps, self.arrive)
-        rush = 1 + (self.draw() < 0.02) * self.below(12)
-        kept = self.below(self.functions)
+        self.schedule(pause + 2000.0 * self.draw() / self.rps, self.arrive)
+        burst = 1 + (self.draw() < 0.02) * self.random_below(12)
+        kept = self.random_below(self.functions)
         events = []
-        for _ in range(rush):
-            fn = kept if rush > 1 else int(self.functions * self.draw() ** 3)
-            kind = KINDS[fn % len(KINDS)]
+        for _ in range(burst):
+            fn = kept if burst > 1 else int(self.functions * self.draw() ** 3)
+            kind = CLASS_NAMES[fn % len(CLASS_NAMES)]
             spec = CLASSES.get(kind) or CLASSES["safe"]
             budget = spec.deadline_ms * (0.5 + 0.5 * self.draw() if self.draw() < 0.9 else 0.3 * self.draw())
             self.count += 1
             request, load = f"r{self.count}", (None, 300.0, 600.0)[fn % 3]
-            tenant = f"t{self.below(4)}"
+            tenant = f"t{self.random_below(4)}"
             events.append(io.RequestArrived(request, f"f{fn}", kind, tenant, budget, fn % 5, load_ms=load))
-            self.later(budget if self.draw() < 0.9 else budget * self.draw(), self.leave, request)
+            self.schedule(budget if self.draw() < 0.9 else budget * self.draw(), self.leave, request)
         self.feed(*events)
         if self.draw() < self.trouble:
-            self.turn_bad()
+            self.begin_fault()
         if self.draw() < self.roster:
             self.change_roster()
         if self.draw() < 0.002:
@@ -162,49 +166,51 @@
             self.feed(io.RequestCancelled(request))
 
     def limit(self):
-        tenant = (io.ALL, "t0", "t1", "t9")[self.below(4)]
+        tenant = (io.ALL, "t0", "t1", "t9")[self.random_below(4)]
         rps = self.rps * (0.3 + self.draw()) if self.draw() < 0.5 else io.UNLIMITED_RPS
         self.feed(io.LimitsChanged(rps, tenant))
 
-    def turn_bad(self):
-        mood, first = TROUBLES[self.below(len(TROUBLES))], 1 + self.below(self.workers)
+    def begin_fault(self):
+        fault, first = FAULTS[self.random_below(len(FAULTS))], 1 + self.random_below(self.workers)
         whole_zone = self.draw() < 0.15
         for n in range(1, self.workers + 1):
             if n == first or (whole_zone and n % self.zones == first % self.zones):
-                self.mood[n] = mood
-                self.later(500.0 + 6000.0 * self.draw(), self.mood.pop, n, None)
+                self.fault[n] = fault
+                self.schedule(500.0 + 6000.0 * self.draw(), self.fault.pop, n, None)
 
     def change_roster(self):
-        n, drawn = 1 + self.below(self.workers), self.draw()
-        if drawn < 0.3:  # a restart that is told, or one that is not
+        n, random_value = 1 + self.random_below(self.workers), self.draw()
+        if random_value < 0.3:  # a restart that is told, or one that is not
             self.restart(n)
             if self.draw() < 0.7:
-                self.started[n] = self.now
+                self.started_ms[n] = self.now
                 self.feed(io.RosterChanged([self.entry(n, ScorerState.READY)], complete=False))
-        elif drawn < 0.9:
-            steps = [ScorerState.DRAINING] * (drawn < 0.7) + [ScorerState.GONE] * (drawn > 0.5)
+        elif random_value < 0.9:
+            steps = [ScorerState.DRAINING] * (random_value < 0.7) + [ScorerState.GONE] * (random_value > 0.5)
             for i, state in enumerate(steps):
-                self.later(300.0 * i, self.tell, n, state)
-            self.later(1000.0 + (300_000.0 if self.draw() < 0.2 else 9000.0) * self.draw(), self.come_back, n)
+                self.schedule(300.0 * i, self.announce, n, state)
+            self.schedule(
+                1000.0 + (300_000.0 if self.draw() < 0.2 else 9000.0) * self.draw(), self.come_back, n
+            )
         else:  # all of it told anew, less one
             entries = [self.entry(i, ScorerState.READY) for i in range(1, self.workers + 1) if i != n]
             self.feed(io.RosterChanged(entries, complete=True))
-            self.later(2000.0, self.come_back, n)
+            self.schedule(2000.0, self.come_back, n)
 
     def restart(self, n):
-        self.standing = {key: copies for key, copies in self.standing.items() if key[0] != n}
+        self.loaded_copies = {key: copies for key, copies in self.loaded_copies.items() if key[0] != n}
 
-    def tell(self, n, state):
+    def announce(self, n, state):
         self.feed(io.RosterChanged([self.entry(n, state)], complete=False))
 
     def come_back(self, n):
         self.restart(n)
-        self.started[n] = self.now
-        self.tell(n, ScorerState.READY)
+        self.started_ms[n] = self.now
+        self.announce(n, ScorerState.READY)
 
     def carry_out(self, action):
         if isinstance(action, io.SetTimer):
-            self.later(action.delay_ms, self.feed, io.TimerDue(action.token))
+            self.schedule(action.delay_ms, self.feed, io.TimerDue(action.token))
         elif isinstance(action, io.Reject | io.Fail):
             self.closed.add(action.request)
         elif isinstance(action, io.OrderCopies):
@@ -212,75 +218,93 @@
         elif isinstance(action, io.Send):
             self.send(action)
         elif isinstance(action, io.Cancel) and self.draw() < 0.8:
-            self.later(1.0, self.end, action.request, action.attempt, AttemptResult.CANCELLED, Warmth.UNTOLD)
-
-    def order(self, hold):
-        mood, key, drawn = self.mood.get(hold.scorer), (hold.scorer, hold.function), self.draw()
-        if mood == "silent" and drawn < 0.9:
-            ending, delay = (AttemptResult.CONNECT_FAILED, AttemptResult.TIMEOUT)[drawn < 0.5], 1500.0 * drawn
-        elif hold.copies == 0:
-            ending, delay = AttemptResult.GOOD, 1.0 + 12.0 * drawn**6
-        elif drawn < 0.85 and mood != "broken":
-            ending, delay = AttemptResult.GOOD, 150.0 + 500.0 * self.draw() * (3.0 if mood == "slow" else 1.0)
+            self.schedule(
+                1.0, self.end, action.request, action.attempt, AttemptResult.CANCELLED, Warmth.UNTOLD
+            )
+
+    def order(self, copy_order):
+        fault, key, random_value = (
+            self.fault.get(copy_order.scorer),
+            (copy_order.scorer, copy_order.function),
+            self.draw(),
+        )
+        if fault == "silent" and random_value < 0.9:
+            result, delay = (
+                (AttemptResult.CONNECT_FAILED, AttemptResult.TIMEOUT)[random_value < 0.5],
+                1500.0 * random_value,
+            )
+        elif copy_order.copies == 0:
+            result, delay = AttemptResult.GOOD, 1.0 + 12.0 * random_value**6
+        elif random_value < 0.85 and fault != "broken":
+            result, delay = (
+                AttemptResult.GOOD,
+                150.0 + 500.0 * self.draw() * (3.0 if fault == "slow" else 1.0),
+            )
         else:
-            ending, delay = (
+            result, delay = (
                 (AttemptResult.ERROR, AttemptResult.FULL, AttemptResult.RESET, AttemptResult.NOT_SENT)[
-                    self.below(4)
+                    self.random_below(4)
                 ],
                 30.0,
             )
-        self.later(delay, self.answer, key, ending, hold.copies, delay)
+        self.schedule(delay, self.answer, key, result, copy_order.copies, delay)
 
-    def answer(self, key, ending, copies, took):
-        if copies and ending is AttemptResult.GOOD:
-            self.standing[key] = max(self.standing.get(key, 0), copies - (self.draw() < 0.1))
-        self.feed(io.LoadOrderAnswered(*key, ending, self.standing.get(key, 0), took))
+    def answer(self, key, result, copies, took):
+        if copies and result is AttemptResult.GOOD:
+            self.loaded_copies[key] = max(self.loaded_copies.get(key, 0), copies - (self.draw() < 0.1))
+        self.feed(io.LoadOrderAnswered(*key, result, self.loaded_copies.get(key, 0), took))
 
     def send(self, send):
-        request, number = send.request, self.tries.get(send.request, 0)
+        request, number = send.request, self.attempts_sent.get(send.request, 0)
         fn = self.router.attempts[request, number].function.name
-        self.tries[request] = number + 1
+        self.attempts_sent[request] = number + 1
         self.open[request, number] = (send.scorer, fn, self.now)
-        mood, drawn = self.mood.get(send.scorer), self.draw()
-        took, ending, warmth = self.run_ms * (0.5 + self.draw()), AttemptResult.GOOD, Warmth.FOUND
-        if mood == "silent":
-            took, ending = (400.0, AttemptResult.RESET) if drawn < 0.2 else (2500.0, AttemptResult.TIMEOUT)
-        elif mood == "lossy" and drawn < 0.7:
-            took, ending = (5000.0, AttemptResult.TIMEOUT) if drawn < 0.4 else (20.0, AttemptResult.ERROR)
-        elif mood == "full" and drawn < 0.7:
-            took, ending = 2.0, AttemptResult.FULL
-        elif mood == "broken" and drawn < 0.5:
-            took, ending = (
+        fault, random_value = self.fault.get(send.scorer), self.draw()
+        took, result, warmth = self.run_ms * (0.5 + self.draw()), AttemptResult.GOOD, Warmth.FOUND
+        if fault == "silent":
+            took, result = (
+                (400.0, AttemptResult.RESET) if random_value < 0.2 else (2500.0, AttemptResult.TIMEOUT)
+            )
+        elif fault == "lossy" and random_value < 0.7:
+            took, result = (
+                (5000.0, AttemptResult.TIMEOUT) if random_value < 0.4 else (20.0, AttemptResult.ERROR)
+            )
+        elif fault == "full" and random_value < 0.7:
+            took, result = 2.0, AttemptResult.FULL
+        elif fault == "broken" and random_value < 0.5:
+            took, result = (
                 5.0,
-                (AttemptResult.RESET, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)[self.below(3)],
+                (AttemptResult.RESET, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)[
+                    self.random_below(3)
+                ],
             )
-        elif (send.scorer, fn) not in self.standing:
-            warmth = (Warmth.BEGAN_LOAD, Warmth.WAITED_FOR_LOAD, Warmth.LOAD_FAILED)[self.below(3)]
-            ending = (AttemptResult.MISS, AttemptResult.GOOD)[self.router.settings.loads_on_miss]
-            took = 2.0 if ending is AttemptResult.MISS else took + 400.0
-            self.standing[send.scorer, fn] = 1
-        elif drawn < 0.02:
-            took, ending = 0.7 * took, AttemptResult.ERROR
-        elif drawn < 0.05:
+        elif (send.scorer, fn) not in self.loaded_copies:
+            warmth = (Warmth.BEGAN_LOAD, Warmth.WAITED_FOR_LOAD, Warmth.LOAD_FAILED)[self.random_below(3)]
+            result = (AttemptResult.MISS, AttemptResult.GOOD)[self.router.settings.loads_on_miss]
+            took = 2.0 if result is AttemptResult.MISS else took + 400.0
+            self.loaded_copies[send.scorer, fn] = 1
+        elif random_value < 0.02:
+            took, result = 0.7 * took, AttemptResult.ERROR
+        elif random_value < 0.05:
             took *= 12.0
-        if mood == "slow":
+        if fault == "slow":
             took *= 5.0
-        self.later(took, self.end, request, number, ending, warmth)
+        self.schedule(took, self.end, request, number, result, warmth)
 
-    def end(self, request, number, ending, warmth):
+    def end(self, request, number, result, warmth):
         if (request, number) not in self.open:
             return
-        worker, _, since = self.open.pop((request, number))
+        scorer, _, since = self.open.pop((request, number))
         closed = request not in self.closed and (
-            ending is AttemptResult.GOOD or (ending is AttemptResult.ERROR and self.draw() < 0.4)
+            result is AttemptResult.GOOD or (result is AttemptResult.ERROR and self.draw() < 0.4)
         )
         if closed:
             self.closed.add(request)
         if self.draw() < 0.002:  # told of a call that it does not know, or no longer
-            self.feed(io.AttemptEnded(request, number + 7, worker, ending, 1.0, False))
-            self.feed(io.LoadOrderAnswered(worker, "never called", ending, 0, 1.0))
-        took, crowd = self.now - since, self.below(4) if self.told else None
-        self.feed(io.AttemptEnded(request, number, worker, ending, took, closed, warmth, crowd))
+            self.feed(io.AttemptEnded(request, number + 7, scorer, result, 1.0, False))
+            self.feed(io.LoadOrderAnswered(scorer, "never called", result, 0, 1.0))
+        took, concurrency = self.now - since, self.random_below(4) if self.reports_concurrency else None
+        self.feed(io.AttemptEnded(request, number, scorer, result, took, closed, warmth, concurrency))
 
 
 @pytest.mark.parametrize("name", SETTINGS)
--- a/tests/policy/test_policy_roster_lease_limits.py
+++ b/tests/policy/test_policy_roster_lease_limits.py
@@ -15,15 +15,15 @@
 def test_a_hot_restart_hands_over_copies_and_no_lease():
     old = Drive(roster_lease_ms=LEASE_MS)
     old.feed(io.RosterConfirmed(0.0))
-    home = old.warm()
+    warm_scorer = old.warm()
     learned = learned_state.capture(old.router, set(), old.now, 5_000.0)
     new = Drive(roster_lease_ms=LEASE_MS)
     new.now = old.now
     learned_state.restore(new.router, learned, new.now, 5_000.0)
     actions = new.ask("r1")
     assert not of(actions, io.Send)
-    assert home in [order.scorer for order in of(actions, io.OrderCopies) if not order.copies]
-    assert of(new.count(home, 1), io.Send)[0].scorer == home
+    assert warm_scorer in [order.scorer for order in of(actions, io.OrderCopies) if not order.copies]
+    assert of(new.count(warm_scorer, 1), io.Send)[0].scorer == warm_scorer
 
 
 def test_a_load_order_whose_lease_ended_while_it_waited_is_not_sent_and_a_query_is():
@@ -35,18 +35,18 @@
 @pytest.mark.parametrize("scorers", [120, 3_200])
 def test_queries_follow_the_calls_and_not_the_number_of_scorers(scorers):
     settings = {"fleet_size": 200, "quotas_rps": {"acme": 1_000.0}, "loads_on_miss": True, "max_attempts": 3}
-    drive = Drive(workers=scorers, roster_lease_ms=LEASE_MS, **settings)
-    drive.feed(io.RosterConfirmed(0.0))
-    drive.now += 20_000.0
+    driver = Drive(workers=scorers, roster_lease_ms=LEASE_MS, **settings)
+    driver.feed(io.RosterConfirmed(0.0))
+    driver.now += 20_000.0
     queries = 0
     for number in range(CALLS):
-        actions = drive.ask(f"r{number}", fn=f"f{number}", tenant="acme")
+        actions = driver.ask(f"r{number}", fn=f"f{number}", tenant="acme")
         for order in of(actions, io.OrderCopies):
             assert not order.copies
             queries += 1
-            sends = of(drive.count(order.scorer, 0, order.function), io.Send)
+            sends = of(driver.count(order.scorer, 0, order.function), io.Send)
             for send in sends:
-                drive.end(send)
-        drive.now += 50.0
-    assert drive.router.many_front_ends
+                driver.end(send)
+        driver.now += 50.0
+    assert driver.router.many_front_ends
     assert 0 < queries <= CALLS
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -9,18 +9,18 @@
 
 
 def test_no_time_left_is_answered_at_once():
-    d = Drive()
-    actions = d.ask("r1", budget=0.0)
+    driver = Drive()
+    actions = driver.ask("r1", budget=0.0)
     assert [a.request for a in of(actions, io.Reject)] == ["r1"]
     assert not of(actions, io.Send)
 
 
 def test_nothing_follows_a_final_answer():
-    d = Drive()
-    d.warm()
-    [send] = of(d.ask("r1"), io.Send)
-    d.feed(io.RequestCancelled("r1"))
-    later = d.end(send, AttemptResult.CANCELLED, closed=True) + d.sweep(d.now + 3000)
+    driver = Drive()
+    driver.warm()
+    [send] = of(driver.ask("r1"), io.Send)
+    driver.feed(io.RequestCancelled("r1"))
+    later = driver.end(send, AttemptResult.CANCELLED, closed=True) + driver.sweep(driver.now + 3000)
     assert not of(later, io.Send)
     assert not of(later, io.Reject)
     assert not of(later, io.Fail)
@@ -30,34 +30,36 @@
 
 
 def test_an_at_most_once_request_is_not_retried_nor_rejected_once_it_may_have_run():
-    d = Drive()
-    d.warm(spec="unsafe")
-    [send] = of(d.ask("r1", spec="unsafe", budget=4000.0), io.Send)
-    actions = d.end(send, AttemptResult.ERROR, closed=False)
+    driver = Drive()
+    driver.warm(spec="unsafe")
+    [send] = of(driver.ask("r1", spec="unsafe", budget=4000.0), io.Send)
+    actions = driver.end(send, AttemptResult.ERROR, closed=False)
     assert not of(actions, io.Send)
     assert not of(actions, io.Reject)
     assert [a.request for a in of(actions, io.Fail)] == ["r1"]
 
 
 def test_an_at_most_once_request_is_retried_after_proof_that_it_did_not_run():
-    d = Drive()
-    home = d.warm(spec="unsafe")
-    other = next(n for n in (1, 2, 3, 4) if n != home)
-    d.count(other, 1)
-    [send] = of(d.ask("r1", spec="unsafe", budget=4000.0), io.Send)
-    assert send.request in [a.request for a in of(d.end(send, AttemptResult.FULL, closed=False), io.Send)]
+    driver = Drive()
+    warm_scorer = driver.warm(spec="unsafe")
+    other = next(n for n in (1, 2, 3, 4) if n != warm_scorer)
+    driver.count(other, 1)
+    [send] = of(driver.ask("r1", spec="unsafe", budget=4000.0), io.Send)
+    assert send.request in [
+        a.request for a in of(driver.end(send, AttemptResult.FULL, closed=False), io.Send)
+    ]
 
 
 def keyed_retry(after):
-    d = Drive(workers=4, zones=("a", "b"))
-    d.ask("r1", spec="keyed", budget=4000.0)
-    for worker in (1, 2, 3, 4):
-        d.count(worker, 1)
-    send = next(action for _, action in reversed(d.log) if isinstance(action, io.Send))
-    d.sweep(d.now + after)
-    for worker in (1, 2, 3, 4):
-        d.count(worker, 1)
-    return send, d.end(send, AttemptResult.ERROR, closed=False), d
+    driver = Drive(workers=4, zones=("a", "b"))
+    driver.ask("r1", spec="keyed", budget=4000.0)
+    for scorer in (1, 2, 3, 4):
+        driver.count(scorer, 1)
+    send = next(action for _, action in reversed(driver.log) if isinstance(action, io.Send))
+    driver.sweep(driver.now + after)
+    for scorer in (1, 2, 3, 4):
+        driver.count(scorer, 1)
+    return send, driver.end(send, AttemptResult.ERROR, closed=False), driver
 
 
 def test_a_retry_with_an_idempotency_key_stays_in_its_group():
@@ -68,8 +70,8 @@
 
 
 def test_retries_with_an_idempotency_key_end_with_the_window():
-    _, actions, d = keyed_retry(after=2410)
-    actions += d.sweep(4000)
+    _, actions, driver = keyed_retry(after=2410)
+    actions += driver.sweep(4000)
     assert not of(actions, io.Send)
     assert not of(actions, io.Reject)
     assert len(of(actions, io.Fail)) == 1
@@ -80,14 +82,14 @@
 
 def test_nothing_new_to_a_draining_or_gone_scorer():
     for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
-        d = Drive()
-        home = d.warm()
-        d.feed(io.RosterChanged([io.ScorerEntry(home, state)], complete=False))
-        actions = d.ask("r1")
-        actions += d.answer_asks(actions)
-        actions += d.sweep(d.now + 100)
-        assert not [a for a in of(actions, io.Send) if a.scorer == home]
-        assert not [a for a in of(actions, io.OrderCopies) if a.scorer == home and a.copies]
+        driver = Drive()
+        warm_scorer = driver.warm()
+        driver.feed(io.RosterChanged([io.ScorerEntry(warm_scorer, state)], complete=False))
+        actions = driver.ask("r1")
+        actions += driver.answer_asks(actions)
+        actions += driver.sweep(driver.now + 100)
+        assert not [a for a in of(actions, io.Send) if a.scorer == warm_scorer]
+        assert not [a for a in of(actions, io.OrderCopies) if a.scorer == warm_scorer and a.copies]
         assert [a for a in of(actions, io.OrderCopies) if a.copies]
 
 
@@ -95,78 +97,78 @@
 
 
 def test_a_scorer_in_slow_start_gets_no_more_than_its_limit_in_any_window():
-    d = Drive(
+    driver = Drive(
         workers=1,
         slow_start_ms=10_000.0,
         slow_start_initial_share=0.2,
         slow_start_window_ms=1000.0,
         slow_start_multiple=2.0,
     )
-    d.now = 20_000.0
-    d.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=20_000.0)], complete=False))
-    d.ask("r")
-    d.now += 1
-    for send in of(d.count(1, 16), io.Send):
-        d.end(send)
+    driver.now = 20_000.0
+    driver.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=20_000.0)], complete=False))
+    driver.ask("r")
+    driver.now += 1
+    for send in of(driver.count(1, 16), io.Send):
+        driver.end(send)
     for n in range(200):
-        d.now += 10
-        for send in of(d.ask(f"r{n}"), io.Send):
-            d.now += 1
-            d.end(send)
-            d.count(1, 16)
-    times = [now for now, action in d.log if isinstance(action, io.Send)]
+        driver.now += 10
+        for send in of(driver.ask(f"r{n}"), io.Send):
+            driver.now += 1
+            driver.end(send)
+            driver.count(1, 16)
+    times = [now for now, action in driver.log if isinstance(action, io.Send)]
     most = max(sum(start <= t < start + 1000 for t in times) for start in times)
     # about 90 requests a second arrive at the one worker; it can take 2 x (0.2 to 0.4) of that
     assert 1 <= most <= 60
 
 
 def test_sends_to_a_scorer_that_has_warmed_up_are_not_remembered():
-    drive = Drive(workers=1)
-    drive.now = 100.0
-    drive.feed(io.RosterChanged([io.ScorerEntry(1, zone="a", up_since_ms=50.0)], complete=False))
-    drive.now += drive.router.settings.slow_start_ms
-    drive.warm()
+    driver = Drive(workers=1)
+    driver.now = 100.0
+    driver.feed(io.RosterChanged([io.ScorerEntry(1, zone="a", up_since_ms=50.0)], complete=False))
+    driver.now += driver.router.settings.slow_start_ms
+    driver.warm()
     for n in range(50):
-        [send] = of(drive.ask(f"r{n}"), io.Send)
-        drive.end(send)
-    assert len(drive.router.scorers[1].slow_start_sends) == 0
+        [send] = of(driver.ask(f"r{n}"), io.Send)
+        driver.end(send)
+    assert len(driver.router.scorers[1].slow_start_sends) == 0
 
 
 def test_a_restart_discards_what_was_known_of_copies():
-    d = Drive()
-    home = d.warm()
-    d.feed(io.RosterChanged([io.ScorerEntry(home, up_since_ms=d.now)], complete=False))
-    assert not of(d.ask("r1"), io.Send)
+    driver = Drive()
+    warm_scorer = driver.warm()
+    driver.feed(io.RosterChanged([io.ScorerEntry(warm_scorer, up_since_ms=driver.now)], complete=False))
+    assert not of(driver.ask("r1"), io.Send)
 
 
 # --- rule 5: loads are rationed ------------------------------------------------------------
 
 
 def test_load_rate_limit_at_its_edge():
-    d = Drive(load_window_ms=5000.0, free_loads=2.0, load_part=0.2)
+    driver = Drive(load_window_ms=5000.0, free_loads=2.0, load_part=0.2)
     for n in range(9):
-        d.answer_asks(d.ask(f"r{n}", fn=f"f{n}"))
-    loads = [a for _, a in d.log if isinstance(a, io.OrderCopies) and a.copies]
+        driver.answer_asks(driver.ask(f"r{n}", fn=f"f{n}"))
+    loads = [a for _, a in driver.log if isinstance(a, io.OrderCopies) and a.copies]
     assert len(loads) == 3  # 2 + 0.2 x 9
-    d.answer_asks(d.ask("r9", fn="f9"))
-    d.sweep(40)
-    assert len([a for _, a in d.log if isinstance(a, io.OrderCopies) and a.copies]) == 4
+    driver.answer_asks(driver.ask("r9", fn="f9"))
+    driver.sweep(40)
+    assert len([a for _, a in driver.log if isinstance(a, io.OrderCopies) and a.copies]) == 4
 
 
 # --- around it -----------------------------------------------------------------------------
 
 
 def test_requests_beyond_the_quota_wait_behind_those_within():
-    d = Drive(quotas_rps={"big": 1.0, "small": 100.0})
-    d.warm()
-    [first] = of(d.ask("r1", tenant="small"), io.Send)
-    d.ask("b1", tenant="big")
-    d.ask("b2", tenant="big")
-    d.ask("s1", tenant="small")
+    driver = Drive(quotas_rps={"big": 1.0, "small": 100.0})
+    driver.warm()
+    [first] = of(driver.ask("r1", tenant="small"), io.Send)
+    driver.ask("b1", tenant="big")
+    driver.ask("b2", tenant="big")
+    driver.ask("s1", tenant="small")
     order = []
     send = first
     for _ in range(3):
-        sends = of(d.end(send), io.Send)
+        sends = of(driver.end(send), io.Send)
         if not sends:
             break
         [send] = sends
@@ -175,79 +177,81 @@
 
 
 def test_slow_loads_lower_the_number_under_way_and_timely_ones_raise_it():
-    d = Drive()
-    start = d.router.loads_limit
-    loads = of(d.answer_asks(d.ask("r1", load_ms=100.0)), io.OrderCopies)
-    d.now += 1000
-    d.count(loads[0].scorer, 1)
-    low = d.router.loads_limit
-    loads = of(d.answer_asks(d.ask("r2", fn="g")), io.OrderCopies)
-    d.now += 200
-    d.count(loads[0].scorer, 1, "g")
+    driver = Drive()
+    start = driver.router.loads_limit
+    loads = of(driver.answer_asks(driver.ask("r1", load_ms=100.0)), io.OrderCopies)
+    driver.now += 1000
+    driver.count(loads[0].scorer, 1)
+    low = driver.router.loads_limit
+    loads = of(driver.answer_asks(driver.ask("r2", fn="g")), io.OrderCopies)
+    driver.now += 200
+    driver.count(loads[0].scorer, 1, "g")
     assert low < start
-    assert d.router.loads_limit > low
+    assert driver.router.loads_limit > low
 
 
 def test_a_try_with_little_time_is_answered_before_the_next_sweep():
-    d = Drive(workers=0)
-    d.ask("r1", budget=2500.0)  # its arrival starts the sweeps
-    d.now += 1
-    assert [a.request for a in of(d.ask("r2", budget=25.0), io.Reject)] == ["r2"]
+    driver = Drive(workers=0)
+    driver.ask("r1", budget=2500.0)  # its arrival starts the sweeps
+    driver.now += 1
+    assert [a.request for a in of(driver.ask("r2", budget=25.0), io.Reject)] == ["r2"]
 
 
 def test_scorers_that_leave_do_not_raise_the_limit_of_the_others():
-    d = Drive(workers=4, quotas_rps={"t": 40.0})
-    before = d.router.scorers[1].limit
-    d.feed(io.RosterChanged([io.ScorerEntry(n, io.ScorerState.GONE) for n in (2, 3, 4)], complete=False))
-    d.sweep(40)
-    assert d.router.scorers[1].limit == before < 20
+    driver = Drive(workers=4, quotas_rps={"t": 40.0})
+    before = driver.router.scorers[1].limit
+    driver.feed(io.RosterChanged([io.ScorerEntry(n, io.ScorerState.GONE) for n in (2, 3, 4)], complete=False))
+    driver.sweep(40)
+    assert driver.router.scorers[1].limit == before < 20
 
 
 def test_a_limit_rejects_what_goes_beyond_it_at_once_and_can_be_lifted():
-    drive = Drive(max_retry_after_ms=700.0, fleet_size=4)
-    drive.warm()
-    drive.now += 1000.0
-    drive.feed(io.LimitsChanged(2.0))
-    refused = []
+    driver = Drive(max_retry_after_ms=700.0, fleet_size=4)
+    driver.warm()
+    driver.now += 1000.0
+    driver.feed(io.LimitsChanged(2.0))
+    rejections = []
     for n in range(6):
-        refused += of(drive.ask(f"r{n}"), io.Reject)
-    assert [refusal.request for refusal in refused] == [f"r{n}" for n in range(6)]  # no burst to begin with
-    drive.now += 1000.0
-    assert [len(of(drive.ask(f"s{n}"), io.Reject)) for n in range(4)] == [0, 0, 1, 1]
-    assert {refusal.hold_off_ms for refusal in refused} == {700.0}
-    drive.feed(io.LimitsChanged())
-    assert not of(drive.ask("r9"), io.Reject)
+        rejections += of(driver.ask(f"r{n}"), io.Reject)
+    assert [rejection.request for rejection in rejections] == [
+        f"r{n}" for n in range(6)
+    ]  # no burst to begin with
+    driver.now += 1000.0
+    assert [len(of(driver.ask(f"s{n}"), io.Reject)) for n in range(4)] == [0, 0, 1, 1]
+    assert {rejection.hold_off_ms for rejection in rejections} == {700.0}
+    driver.feed(io.LimitsChanged())
+    assert not of(driver.ask("r9"), io.Reject)
 
 
 def test_a_limit_of_zero_rejects_all_and_none_was_ever_sent():
-    drive = Drive()
-    drive.feed(io.LimitsChanged(0.0))
-    assert [type(action) for action in drive.ask("r1")] == [io.Reject]
+    driver = Drive()
+    driver.feed(io.LimitsChanged(0.0))
+    assert [type(action) for action in driver.ask("r1")] == [io.Reject]
 
 
 def test_a_tenants_limit_takes_the_place_of_its_equal_part():
-    drive = Drive(fleet_size=4, quotas_rps={"t": 40.0, "u": 40.0})
-    drive.warm()
+    driver = Drive(fleet_size=4, quotas_rps={"t": 40.0, "u": 40.0})
+    driver.warm()
 
     def over(tenant, count=60):
         taken = []
         for _ in range(count):
-            drive.now += 10.0
-            taken.append(drive.router._is_over_quota(tenant))
+            driver.now += 10.0
+            taken.append(driver.router._is_over_quota(tenant))
         return sum(taken)
 
     assert over("t") > 30  # ten calls a second are its part
-    drive.feed(io.LimitsChanged(200.0, "t"))
-    drive.now += 1000.0
+    driver.feed(io.LimitsChanged(200.0, "t"))
+    driver.now += 1000.0
     assert over("t") == 0
     assert over("u") > 30
-    drive.feed(io.LimitsChanged(10.0, "t"))
-    drive.now += 1000.0
+    driver.feed(io.LimitsChanged(10.0, "t"))
+    driver.now += 1000.0
     assert over("t") > 30
 
 
 def test_a_call_while_no_scorer_is_ready_is_queued_and_rejected_also_with_quotas():
-    d = Drive(workers=2, quotas_rps={"t": 100.0})
-    d.feed(io.RosterChanged([], complete=True))
-    d.ask("r1", tenant="t")
-    assert [refusal.request for refusal in of(d.sweep(2500), io.Reject)] == ["r1"]
+    driver = Drive(workers=2, quotas_rps={"t": 100.0})
+    driver.feed(io.RosterChanged([], complete=True))
+    driver.ask("r1", tenant="t")
+    assert [rejection.request for rejection in of(driver.sweep(2500), io.Reject)] == ["r1"]
--- a/tests/policy/test_policy_slow_start.py
+++ b/tests/policy/test_policy_slow_start.py
@@ -8,7 +8,7 @@
 
 import pytest
 from bench import Drive, of
-from support.slow_start_world import FALL_MS, Fleet, Saturated, rule
+from support.slow_start_world import SLOW_START_WINDOW_MS, Fleet, SaturatedFrontEnds, rule
 
 from fawnwharf import interface as io
 from fawnwharf.interface import AttemptResult, ScorerState
@@ -36,7 +36,7 @@
 )
 
 
-def chance_of(parts, past):
+def probability_of(parts, violation):
     """The probability that the sum of floor(part + u) over independent draws reaches `past`, exactly."""
     whole, chances = sum(math.floor(part) for part in parts), [1.0]
     for part in parts:
@@ -45,10 +45,10 @@
             longer[count] += chance * (1 - fraction)
             longer[count + 1] += chance * fraction
         chances = longer
-    return sum(chances[max(0, past - whole) :])
+    return sum(chances[max(0, violation - whole) :])
 
 
-def spreads(mean, front_ends):
+def share_distributions(mean, front_ends):
     """The same sum of parts spread evenly and unevenly over front ends."""
     yield [mean / front_ends] * front_ends
     for busy in {1, max(1, front_ends // 5), max(1, front_ends // 2)}:
@@ -61,11 +61,11 @@
 @pytest.mark.parametrize("front_ends", [1, 2, 5, 30, 200])
 def test_chance_takes_all_front_ends_past_the_bound_less_than_once_in_a_million(front_ends):
     for allowed in ALLOWED:
-        past = math.floor(rule(allowed)) + 1
+        violation = math.floor(rule(allowed)) + 1
         mean = min(allowed, slow_start.safe_mean(slow_start.least_violation(allowed), front_ends))
-        assert slow_start.least_violation(allowed) <= past
-        for parts in spreads(mean, front_ends):
-            assert chance_of(parts, past) <= slow_start.FAILURE_PROBABILITY, (allowed, mean)
+        assert slow_start.least_violation(allowed) <= violation
+        for parts in share_distributions(mean, front_ends):
+            assert probability_of(parts, violation) <= slow_start.FAILURE_PROBABILITY, (allowed, mean)
 
 
 def test_the_bound_is_the_rules_and_never_falls_as_n_grows():
@@ -77,41 +77,41 @@
 
 def test_few_front_ends_and_large_parts_lose_nothing_to_chance():
     for front_ends, allowed in ((1, 0.5), (2, 4.0), (2, 60.0), (5, 20.0), (30, 52.0), (200, 12_000.0)):
-        past = slow_start.least_violation(allowed)
-        assert slow_start.safe_mean(past, front_ends) >= allowed or allowed + front_ends <= past
+        violation = slow_start.least_violation(allowed)
+        assert slow_start.safe_mean(violation, front_ends) >= allowed or allowed + front_ends <= violation
 
 
-def restarts(fleet, cold):
+def run_restarts(fleet, cold):
     """Scorers leave and come back in slow start, in a storm.
 
     Seven in ten front ends are killed at once, the others a tenth at a time; other scorers come back
     meanwhile.
     """
-    fleet.start_all()
+    fleet.start_all_front_ends()
     fleet.run(2_500.0)
-    for worker in cold:
-        fleet.leave(worker)
+    for scorer in cold:
+        fleet.remove_scorer(scorer)
     fleet.run(3_000.0)
-    for worker in cold:
-        fleet.begin(worker)
+    for scorer in cold:
+        fleet.begin_slow_start(scorer)
     fleet.run(4_700.0)
     front_ends = list(range(fleet.front_ends))
     killed = front_ends[: max(1, 7 * len(front_ends) // 10)]
     for n in killed:
-        fleet.kill(n)
+        fleet.kill_front_end(n)
     fleet.run(4_900.0)
     for n in killed:
-        fleet.start(n)
+        fleet.start_front_end(n)
     late = max(cold) + 1
-    fleet.leave(late)
+    fleet.remove_scorer(late)
     rest = front_ends[len(killed) :]
     tenth = max(1, len(front_ends) // 10)
     for step, first in enumerate(range(0, len(rest), tenth)):
         fleet.run(5_000.0 + 400.0 * step)
         for n in rest[first : first + tenth]:
-            fleet.kill(n)
-            fleet.start(n)
-    fleet.begin(late)
+            fleet.kill_front_end(n)
+            fleet.start_front_end(n)
+    fleet.begin_slow_start(late)
     fleet.run(7_500.0)
 
 
@@ -120,99 +120,101 @@
 )
 def test_no_window_holds_more_than_the_bound_on_a_day_of_restarts_and_storms(front_ends, workers, load):
     fleet = Fleet(front_ends, 1, workers=workers, load=load)
-    restarts(fleet, range(1, workers // 2 + 1))
+    run_restarts(fleet, range(1, workers // 2 + 1))
     windows, most = fleet.check()
     assert windows > 20
     assert most > 0.15
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize(("front_ends", "swell"), [(2, 7), (30, 2), (200, 2)])
+@pytest.mark.parametrize(("front_ends", "unanswered_per_call"), [(2, 7), (30, 2), (200, 2)])
 @pytest.mark.parametrize("quota", [0.95, 0.0])
-def test_front_ends_that_all_use_their_whole_part_keep_the_bound(quota, front_ends, swell, seed):
+def test_front_ends_that_all_use_their_whole_part_keep_the_bound(
+    quota, front_ends, unanswered_per_call, seed
+):
     """Uneven traffic, arrivals that swell to eight times what is answered, and front ends that begin anew."""
-    fleet = Saturated(front_ends, seed, quota, swell)
-    fleet.traffic(3_000.0 if quota else 6_000.0)
-    fleet.begin(range(1, 6))
-    most = fleet.use(fleet.now + 3_000.0)
+    fleet = SaturatedFrontEnds(front_ends, seed, quota, unanswered_per_call)
+    fleet.run_traffic(3_000.0 if quota else 6_000.0)
+    fleet.begin_slow_start(range(1, 6))
+    most = fleet.send_all_allowed(fleet.now + 3_000.0)
     assert most > 0
     fleet.restart(0.7)
-    fleet.use(fleet.now + 2_500.0)
+    fleet.send_all_allowed(fleet.now + 2_500.0)
     fleet.restart(0.1)
-    fleet.use(fleet.now + 1_500.0)
+    fleet.send_all_allowed(fleet.now + 1_500.0)
 
 
 @pytest.mark.parametrize("front_ends", [2, 30, 200])
 def test_a_fleet_that_starts_together_with_all_scorers_in_slow_start_serves(front_ends):
     """For `fall_ms` no front end knows what was sent before its start; then each uses its part."""
     fleet = Fleet(front_ends, 1, workers=6, load=1.0)
-    for worker in fleet.entries:
-        fleet.last_start[worker] = 0.0
-        fleet.entries[worker] = io.ScorerEntry(worker, up_since_ms=0.0)
+    for scorer in fleet.entries:
+        fleet.last_start[scorer] = 0.0
+        fleet.entries[scorer] = io.ScorerEntry(scorer, up_since_ms=0.0)
     fleet.now = 1.0
-    fleet.start_all()
-    fleet.run(FALL_MS)
-    assert front_ends == 2 or not fleet.served
-    fleet.run(3 * FALL_MS)
-    assert fleet.served > 20
+    fleet.start_all_front_ends()
+    fleet.run(SLOW_START_WINDOW_MS)
+    assert front_ends == 2 or not fleet.answered
+    fleet.run(3 * SLOW_START_WINDOW_MS)
+    assert fleet.answered > 20
     fleet.check()
 
 
 # --- one front end --------------------------------------------------------------------------------
 
 
-def cold_drive(**settings):
+def slow_start_driver(**settings):
     settings = {
         "slow_start_ms": 10_000.0,
         "slow_start_initial_share": 0.2,
         "slow_start_window_ms": 1_000.0,
         "slow_start_multiple": 2.0,
     } | settings
-    d = Drive(settings.pop("workers", 2), loads_on_miss=True, **settings)
-    d.now = 20_000.0
-    return d
+    driver = Drive(settings.pop("workers", 2), loads_on_miss=True, **settings)
+    driver.now = 20_000.0
+    return driver
 
 
-def tell_start(d, worker=1, up_since_ms=None):
-    since = d.now if up_since_ms is None else up_since_ms
-    return d.feed(io.RosterChanged([io.ScorerEntry(worker, up_since_ms=since)], complete=False))
+def report_start(driver, scorer=1, up_since_ms=None):
+    since = driver.now if up_since_ms is None else up_since_ms
+    return driver.feed(io.RosterChanged([io.ScorerEntry(scorer, up_since_ms=since)], complete=False))
 
 
-def room(d, worker=1):
+def remaining_sends(driver, scorer=1):
     """How many more may go there at this moment."""
-    cold, before = d.router.scorers[worker], len(d.router.scorers[worker].slow_start_sends)
-    while d.router._within_slow_start_limit(cold) and len(cold.slow_start_sends) < before + 999:
-        cold.slow_start_sends.append(d.now)
+    cold, before = driver.router.scorers[scorer], len(driver.router.scorers[scorer].slow_start_sends)
+    while driver.router._within_slow_start_limit(cold) and len(cold.slow_start_sends) < before + 999:
+        cold.slow_start_sends.append(driver.now)
     count = len(cold.slow_start_sends) - before
     for _ in range(count):
         cold.slow_start_sends.pop()
     return count
 
 
-def sends_for(d, name, fn):
+def sends_for(driver, name, fn):
     """What is sent for a request; a copy stands wherever one is asked after."""
-    actions = d.ask(name, fn)
+    actions = driver.ask(name, fn)
     sends = of(actions, io.Send)
-    for hold in of(actions, io.OrderCopies):
-        sends += of(d.count(hold.scorer, max(1, hold.copies), fn), io.Send)
+    for order in of(actions, io.OrderCopies):
+        sends += of(driver.count(order.scorer, max(1, order.copies), fn), io.Send)
     return sends
 
 
-def answer(d, count, span_ms=5_000.0):
+def answer_calls(driver, count, span_ms=5_000.0):
     """So many calls are answered, spread over a time."""
     for n in range(count):
-        d.now += span_ms / count
-        name = f"a{d.now}-{n}"
-        for send in sends_for(d, name, f"g{n}"):
-            d.end(send)
-        d.feed(io.RequestCancelled(name))
+        driver.now += span_ms / count
+        name = f"a{driver.now}-{n}"
+        for send in sends_for(driver, name, f"g{n}"):
+            driver.end(send)
+        driver.feed(io.RequestCancelled(name))
 
 
 @pytest.mark.parametrize("fleet_size", [1, 2, 200])
-@pytest.mark.parametrize("sold", [0.0, 40.0])
+@pytest.mark.parametrize("total_quota", [0.0, 40.0])
 @pytest.mark.parametrize("workers", [1, 2])
 @pytest.mark.parametrize(
-    "odd",
+    "unusual",
     [
         {"slow_start_ms": 0.0}, {"slow_start_ms": 1.0}, {"slow_start_initial_share": 0.0},
         {"slow_start_initial_share": 1.0}, {"slow_start_multiple": 0.0}, {"slow_start_window_ms": 0.0},
@@ -220,15 +222,20 @@
         {"slow_start_initial_share": 0.0, "slow_start_ms": 0.0, "slow_start_window_ms": 1.0},
     ],
 )  # fmt: skip
-def test_odd_settings_divide_by_nothing_and_keep_to_n(odd, workers, sold, fleet_size):
-    d = cold_drive(workers=workers, fleet_size=fleet_size, quotas_rps={"t": sold} if sold else {}, **odd)
-    for worker in range(1, workers + 1):
-        entry = io.ScorerEntry(worker, units=0.0, up_since_ms=d.now)
-        d.feed(io.RosterChanged([entry], complete=False))
-    settings, capacity = d.router.settings, max(40.0, sold) / 1000.0 / workers
+def test_odd_settings_divide_by_nothing_and_keep_to_n(unusual, workers, total_quota, fleet_size):
+    driver = slow_start_driver(
+        workers=workers,
+        fleet_size=fleet_size,
+        quotas_rps={"t": total_quota} if total_quota else {},
+        **unusual,
+    )
+    for scorer in range(1, workers + 1):
+        entry = io.ScorerEntry(scorer, units=0.0, up_since_ms=driver.now)
+        driver.feed(io.RosterChanged([entry], complete=False))
+    settings, capacity = driver.router.settings, max(40.0, total_quota) / 1000.0 / workers
     for n in range(40):
-        d.now += 25.0
-        d.ask(f"r{n}", f"f{n}")
+        driver.now += 25.0
+        driver.ask(f"r{n}", f"f{n}")
         share = min(
             1.0,
             settings.slow_start_initial_share
@@ -240,70 +247,72 @@
             and settings.slow_start_window_ms > 0
         ):
             allowed = settings.slow_start_multiple * share * settings.slow_start_window_ms * capacity
-            assert room(d) <= rule(allowed)
+            assert remaining_sends(driver) <= rule(allowed)
         else:
-            assert room(d) == 999  # it is warm, or there is no such rule
+            assert remaining_sends(driver) == 999  # it is warm, or there is no such rule
 
 
 def test_nothing_goes_to_a_scorer_in_slow_start_before_a_former_incarnations_sends_have_left_the_window():
-    d = Drive(2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, slow_start_window_ms=1_000.0, fleet_size=200)
-    d.router.began_ms = math.inf
-    d.now = 5_000.0
-    d.feed(io.TimerDue(0))  # its first event
-    for worker in (1, 2):
-        tell_start(d, worker, 4_000.0)
-    answer(d, 300, 1_000.0)
-    assert not room(d)
-    assert not d.router.scorers[1].slow_start_sends
-    d.now += slow_start.TRANSIT_MARGIN_MS + 1.0
-    d.feed()
-    assert room(d)
-
-
-@pytest.mark.parametrize(("front_ends", "spare"), [(1, 8), (2, 3), (30, 0), (200, 0)])
-def test_few_front_ends_use_what_the_bound_leaves_beside_what_former_lives_sent(front_ends, spare):
-    d = Drive(
+    driver = Drive(
+        2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, slow_start_window_ms=1_000.0, fleet_size=200
+    )
+    driver.router.began_ms = math.inf
+    driver.now = 5_000.0
+    driver.feed(io.TimerDue(0))  # its first event
+    for scorer in (1, 2):
+        report_start(driver, scorer, 4_000.0)
+    answer_calls(driver, 300, 1_000.0)
+    assert not remaining_sends(driver)
+    assert not driver.router.scorers[1].slow_start_sends
+    driver.now += slow_start.TRANSIT_MARGIN_MS + 1.0
+    driver.feed()
+    assert remaining_sends(driver)
+
+
+@pytest.mark.parametrize(("front_ends", "expected"), [(1, 8), (2, 3), (30, 0), (200, 0)])
+def test_few_front_ends_use_what_the_bound_leaves_beside_what_former_lives_sent(front_ends, expected):
+    driver = Drive(
         1, loads_on_miss=True, quotas_rps={"t": 50.0}, slow_start_window_ms=1_000.0, fleet_size=front_ends
     )
-    tell_start(d)  # N is 20: 16 more are within the bound
+    report_start(driver)  # N is 20: 16 more are within the bound
     allowed = 2.0 * 0.2 * 50.0
-    assert room(d) == spare
-    past = math.floor(rule(allowed)) + 1  # each floor exceeds its part by less than one
-    assert allowed + front_ends * (1 + 2 * spare) <= past or not spare
+    assert remaining_sends(driver) == expected
+    violation = math.floor(rule(allowed)) + 1  # each floor exceeds its part by less than one
+    assert allowed + front_ends * (1 + 2 * expected) <= violation or not expected
 
 
 def test_sends_that_crossed_the_news_of_a_start_count_and_earlier_ones_do_not():
     for up_since, counted in ((19_500.0, 5), (20_000.0, 0)):
-        d = cold_drive(workers=1)
-        d.now = 19_700.0
-        answer(d, 5, 200.0)
-        d.now = 20_000.0
-        tell_start(d, 1, up_since)
-        assert len(d.router.scorers[1].slow_start_sends) == counted
+        driver = slow_start_driver(workers=1)
+        driver.now = 19_700.0
+        answer_calls(driver, 5, 200.0)
+        driver.now = 20_000.0
+        report_start(driver, 1, up_since)
+        assert len(driver.router.scorers[1].slow_start_sends) == counted
 
 
 def test_a_second_start_forgets_sends_to_the_incarnation_before_it():
-    d = cold_drive(workers=1, quotas_rps={"t": 50.0})
-    answer(d, 100)
-    d.now += 1.0
-    tell_start(d, 1)
-    answer(d, 1, 100.0)
-    assert len(d.router.scorers[1].slow_start_sends) == 1
-    d.now += 100.0
-    tell_start(d, 1)
-    assert not d.router.scorers[1].slow_start_sends
-    tell_start(d, 1, d.now - 150.0)  # an older word changes nothing
-    assert d.router.scorers[1].started_ms == d.now
+    driver = slow_start_driver(workers=1, quotas_rps={"t": 50.0})
+    answer_calls(driver, 100)
+    driver.now += 1.0
+    report_start(driver, 1)
+    answer_calls(driver, 1, 100.0)
+    assert len(driver.router.scorers[1].slow_start_sends) == 1
+    driver.now += 100.0
+    report_start(driver, 1)
+    assert not driver.router.scorers[1].slow_start_sends
+    report_start(driver, 1, driver.now - 150.0)  # an older word changes nothing
+    assert driver.router.scorers[1].started_ms == driver.now
 
 
 def test_all_sends_of_the_window_count_where_a_scorer_came_back_without_copies_unreported():
-    d = cold_drive(workers=1, quotas_rps={"t": 50.0})
-    answer(d, 1, 10.0)
-    d.now += 200.0
-    d.router._suspect(d.router.scorers[1])
-    d.count(1, 0, "g0")
-    assert d.router._warmth(d.router.scorers[1]) < 1.0
-    assert len(d.router.scorers[1].slow_start_sends) == 1
+    driver = slow_start_driver(workers=1, quotas_rps={"t": 50.0})
+    answer_calls(driver, 1, 10.0)
+    driver.now += 200.0
+    driver.router._suspect(driver.router.scorers[1])
+    driver.count(1, 0, "g0")
+    assert driver.router._warmth(driver.router.scorers[1]) < 1.0
+    assert len(driver.router.scorers[1].slow_start_sends) == 1
 
 
 @pytest.mark.parametrize(
@@ -317,33 +326,33 @@
     ],
 )
 def test_each_send_counts_whatever_came_of_it_and_orders_do_not(ending):
-    d = cold_drive(workers=1, quotas_rps={"t": 50.0})
-    answer(d, 100)
-    d.now += 1.0
-    tell_start(d, 1)
-    d.now += 1.0
-    sends = sends_for(d, "r", "f")
+    driver = slow_start_driver(workers=1, quotas_rps={"t": 50.0})
+    answer_calls(driver, 100)
+    driver.now += 1.0
+    report_start(driver, 1)
+    driver.now += 1.0
+    sends = sends_for(driver, "r", "f")
     for attempt, send in enumerate(list(sends)):
-        sends += of(d.end(send, ending, attempt=attempt, closed=False), io.Send)
-    d.feed(io.PrefetchRequested(1, "h", "safe"))
-    assert len(d.router.scorers[1].slow_start_sends) == len(sends) >= 1
+        sends += of(driver.end(send, ending, attempt=attempt, closed=False), io.Send)
+    driver.feed(io.PrefetchRequested(1, "h", "safe"))
+    assert len(driver.router.scorers[1].slow_start_sends) == len(sends) >= 1
 
 
 def test_a_draining_scorer_still_counts_in_the_fleet_that_the_quotas_were_sold_for():
-    d = cold_drive(workers=2, quotas_rps={"t": 50.0})
+    driver = slow_start_driver(workers=2, quotas_rps={"t": 50.0})
     entries = [
         io.ScorerEntry(1),
         io.ScorerEntry(2, ScorerState.DRAINING),
-        io.ScorerEntry(3, up_since_ms=d.now),
+        io.ScorerEntry(3, up_since_ms=driver.now),
     ]
-    d.feed(io.RosterChanged(entries, complete=True))
-    assert d.router.largest_listed_size == 3.0
+    driver.feed(io.RosterChanged(entries, complete=True))
+    assert driver.router.largest_listed_size == 3.0
 
 
 def test_answers_of_many_front_ends_with_few_each_do_not_add_up_to_more_than_there_were():
     """Counted from the first of its samples on, one answer would be a rate of one a second."""
-    d = cold_drive(fleet_size=200, quotas_rps={"t": 40.0})
-    answer(d, 2, 200.0)
-    assert d.router._answer_rate() == pytest.approx(2 / 10_000.0)
-    answer(d, 100, 1_000.0)  # more than its samples hold
-    assert d.router._answer_rate() == pytest.approx(0.1, rel=0.05)
+    driver = slow_start_driver(fleet_size=200, quotas_rps={"t": 40.0})
+    answer_calls(driver, 2, 200.0)
+    assert driver.router._answer_rate() == pytest.approx(2 / 10_000.0)
+    answer_calls(driver, 100, 1_000.0)  # more than its samples hold
+    assert driver.router._answer_rate() == pytest.approx(0.1, rel=0.05)
--- a/tests/support/slow_start_world.py
+++ b/tests/support/slow_start_world.py
@@ -10,9 +10,9 @@
 from fawnwharf.policy import Router
 
 SPEC = io.ClassSpec("view", 250.0, 300.0, io.Effect.IDEMPOTENT)
-LANES = 4  # requests that a worker has at once; more are FULL
-AGAIN_MS, TRIES = 100.0, 4  # clients come again after a refusal
-COLD_MS, COLD_SHARE, FALL_MS, FALL_MULTIPLE = 8_000.0, 0.2, 1_500.0, 2.0
+MAX_IN_FLIGHT = 4  # requests that a worker has at once; more are FULL
+RETRY_DELAY_MS, MAX_TRIES = 100.0, 4  # clients come again after a refusal
+SLOW_START_MS, INITIAL_SHARE, SLOW_START_WINDOW_MS, SLOW_START_MULTIPLE = 8_000.0, 0.2, 1_500.0, 2.0
 
 
 def rule(allowed):
@@ -27,140 +27,151 @@
     def __init__(self, front_ends, seed, workers=8, rate=35.0, quota=0.85, load=1.0, **settings):
         self.random = random.Random(f"{front_ends} {seed}")
         self.front_ends, self.workers, self.rate, self.load = front_ends, workers, rate, load
-        self.now, self.due, self.count = 0.0, [], 0
+        self.now, self.scheduled, self.count = 0.0, [], 0
         settings.setdefault("quotas_rps", {"t": quota * rate * workers} if quota else {})
         self.settings = {
-            "fleet_size": front_ends, "max_attempts": 3, "loads_on_miss": True, "slow_start_ms": COLD_MS,
-            "slow_start_initial_share": COLD_SHARE, "slow_start_window_ms": FALL_MS,
-            "slow_start_multiple": FALL_MULTIPLE, **settings,
+            "fleet_size": front_ends, "max_attempts": 3, "loads_on_miss": True,
+            "slow_start_ms": SLOW_START_MS, "slow_start_initial_share": INITIAL_SHARE,
+            "slow_start_window_ms": SLOW_START_WINDOW_MS, "slow_start_multiple": SLOW_START_MULTIPLE,
+            **settings,
         }  # fmt: skip
         self.entries = {n: io.ScorerEntry(n) for n in range(1, workers + 1)}
-        self.routers, self.lives, self.names = {}, defaultdict(int), {}
-        self.busy, self.sends, self.last_start = defaultdict(int), defaultdict(list), {}
-        self.tries, self.open, self.served = {}, {}, 0
-        self.uneven = [self.random.lognormvariate(0.0, 2.0) for _ in range(front_ends)]
+        self.routers, self.incarnations, self.names = {}, defaultdict(int), {}
+        self.in_flight, self.sends, self.last_start = defaultdict(int), defaultdict(list), {}
+        self.tries, self.open, self.answered = {}, {}, 0
+        self.weights = [self.random.lognormvariate(0.0, 2.0) for _ in range(front_ends)]
 
-    def later(self, delay_ms, call, *args):
+    def schedule(self, delay_ms, call, *args):
         """Schedule a call on the virtual clock."""
         self.count += 1
-        heapq.heappush(self.due, (self.now + delay_ms, self.count, call, args))
+        heapq.heappush(self.scheduled, (self.now + delay_ms, self.count, call, args))
 
     def run(self, until_ms):
         """Carry out all that falls due until then, in order of time."""
-        while self.due and self.due[0][0] <= until_ms:
-            self.now, _, call, args = heapq.heappop(self.due)
+        while self.scheduled and self.scheduled[0][0] <= until_ms:
+            self.now, _, call, args = heapq.heappop(self.scheduled)
             call(*args)
         self.now = until_ms
 
-    def start(self, n):
+    def start_front_end(self, n):
         """A front end begins from nothing, with the list as it is."""
-        self.lives[n] += 1
+        self.incarnations[n] += 1
         settings = io.Settings({"view": SPEC}, **self.settings)
         self.routers[n] = Router(settings, self.random.getrandbits(64))
-        self.feed(n, self.lives[n], io.RosterChanged(list(self.entries.values()), complete=True))
+        self.feed(n, self.incarnations[n], io.RosterChanged(list(self.entries.values()), complete=True))
 
-    def start_all(self):
+    def start_all_front_ends(self):
         """Start every front end, and the arrival of requests."""
         for n in range(self.front_ends):
-            self.start(n)
-        self.later(0.0, self.arrive)
+            self.start_front_end(n)
+        self.schedule(0.0, self.arrive)
 
-    def tell(self, entry, latest_ms=300.0):
+    def announce(self, entry, latest_ms=300.0):
         """A change of the list reaches each front end at a moment of its own."""
         self.entries[entry.scorer] = entry
         for n in range(self.front_ends):
-            self.later(latest_ms * self.random.random(), self.told, n, entry)
+            self.schedule(latest_ms * self.random.random(), self.receive_entry, n, entry)
 
-    def told(self, n, entry):
+    def receive_entry(self, n, entry):
         """The front end takes in the entry, unless a newer one stands in its place or it is down."""
         if n in self.routers and self.entries[entry.scorer] is entry:
-            self.feed(n, self.lives[n], io.RosterChanged([entry], complete=False))
+            self.feed(n, self.incarnations[n], io.RosterChanged([entry], complete=False))
 
-    def leave(self, worker):
+    def remove_scorer(self, scorer):
         """A worker goes, and every front end learns it at this moment."""
-        self.tell(io.ScorerEntry(worker, ScorerState.GONE), latest_ms=0.0)
+        self.announce(io.ScorerEntry(scorer, ScorerState.GONE), latest_ms=0.0)
 
-    def begin(self, worker):
+    def begin_slow_start(self, scorer):
         """A worker starts cold."""
-        self.last_start[worker] = self.now
-        self.sends[worker].clear()
-        self.tell(io.ScorerEntry(worker, up_since_ms=self.now))
+        self.last_start[scorer] = self.now
+        self.sends[scorer].clear()
+        self.announce(io.ScorerEntry(scorer, up_since_ms=self.now))
 
-    def kill(self, n):
+    def kill_front_end(self, n):
         """A front end ends without warning; what it had open is lost."""
-        self.lives[n] += 1
+        self.incarnations[n] += 1
         self.routers.pop(n, None)
 
     def arrive(self):
         """A request comes to a front end chosen by uneven weights, and the next one is scheduled."""
-        self.later(self.random.expovariate(self.load * self.rate * self.workers / 1000.0), self.arrive)
-        n = self.random.choices(range(self.front_ends), self.uneven)[0]
+        self.schedule(self.random.expovariate(self.load * self.rate * self.workers / 1000.0), self.arrive)
+        n = self.random.choices(range(self.front_ends), self.weights)[0]
         self.ask(n, f"f{self.random.randrange(40)}", 1)
 
-    def ask(self, n, fn, tried):
+    def ask(self, n, fn, try_number):
         """Hand a client's request to a front end; one that is down takes none."""
         if n not in self.routers:
             return
         self.count += 1
         name = f"r{self.count}"
-        self.tries[n, name] = (fn, tried)
-        self.feed(n, self.lives[n], io.RequestArrived(name, fn, "view", "", SPEC.deadline_ms, load_ms=300.0))
+        self.tries[n, name] = (fn, try_number)
+        self.feed(
+            n, self.incarnations[n], io.RequestArrived(name, fn, "view", "", SPEC.deadline_ms, load_ms=300.0)
+        )
 
-    def feed(self, n, life, event):
+    def feed(self, n, incarnation, event):
         """Hand an event to this life of a front end and carry out its decisions; a former life gets none."""
-        if self.lives[n] != life or n not in self.routers:
+        if self.incarnations[n] != incarnation or n not in self.routers:
             return
         for action in self.routers[n].handle(self.now, [event]):
             self.carry_out(n, action)
 
     def carry_out(self, n, action):
         """Do what a front end has decided: timers, clients that come again, loads, sends."""
-        life = self.lives[n]
+        incarnation = self.incarnations[n]
         if isinstance(action, io.SetTimer):
-            self.later(action.delay_ms, self.feed, n, life, io.TimerDue(action.token))
+            self.schedule(action.delay_ms, self.feed, n, incarnation, io.TimerDue(action.token))
         elif isinstance(action, io.Reject | io.Fail):
-            fn, tried = self.tries.pop((n, action.request))
-            if tried < TRIES:
-                self.later(AGAIN_MS, self.ask, n, fn, tried + 1)
+            fn, try_number = self.tries.pop((n, action.request))
+            if try_number < MAX_TRIES:
+                self.schedule(RETRY_DELAY_MS, self.ask, n, fn, try_number + 1)
         elif isinstance(action, io.OrderCopies):
             answer = io.LoadOrderAnswered(
                 action.scorer, action.function, AttemptResult.GOOD, max(1, action.copies), 1.0
             )
-            self.later(1.0, self.feed, n, life, answer)
+            self.schedule(1.0, self.feed, n, incarnation, answer)
         elif isinstance(action, io.Send):
-            self.send(n, life, action)
+            self.send(n, incarnation, action)
 
-    def send(self, n, life, send):
+    def send(self, n, incarnation, send):
         """A worker takes an attempt, or answers FULL where all its lanes are busy; the end is scheduled."""
-        worker = send.scorer
-        if worker in self.last_start:
-            self.sends[worker].append(self.now)
-        key = (n, life, send.request)
+        scorer = send.scorer
+        if scorer in self.last_start:
+            self.sends[scorer].append(self.now)
+        key = (n, incarnation, send.request)
         number = self.open[key] = self.open.get(key, -1) + 1
-        full = self.busy[worker] >= LANES
-        run_ms = LANES * 1000.0 / (self.rate * self.warmth(worker)) * (0.5 + self.random.random())
-        took, ending = (2.0, AttemptResult.FULL) if full else (run_ms, AttemptResult.GOOD)
-        self.busy[worker] += not full
-        self.later(took, self.end, n, life, send, number, ending, took)
+        full = self.in_flight[scorer] >= MAX_IN_FLIGHT
+        run_ms = (
+            MAX_IN_FLIGHT * 1000.0 / (self.rate * self.capacity_share(scorer)) * (0.5 + self.random.random())
+        )
+        took, result = (2.0, AttemptResult.FULL) if full else (run_ms, AttemptResult.GOOD)
+        self.in_flight[scorer] += not full
+        self.schedule(took, self.end, n, incarnation, send, number, result, took)
 
-    def end(self, n, life, send, number, ending, took):
+    def end(self, n, incarnation, send, number, result, took):
         """The attempt is over, and its front end learns how it ended."""
-        good = ending is AttemptResult.GOOD
-        self.busy[send.scorer] -= good
-        self.served += good
-        ended = io.AttemptEnded(send.request, number, send.scorer, ending, took, good, Warmth.FOUND)
-        self.feed(n, life, ended)
+        good = result is AttemptResult.GOOD
+        self.in_flight[send.scorer] -= good
+        self.answered += good
+        ended = io.AttemptEnded(send.request, number, send.scorer, result, took, good, Warmth.FOUND)
+        self.feed(n, incarnation, ended)
 
     # --- what must hold -----------------------------------------------------------------------
 
-    def warmth(self, worker, at_ms=None):
+    def capacity_share(self, scorer, at_ms=None):
         """The part of its full rate that a worker can do at that moment (by default now)."""
-        age_ms = (self.now if at_ms is None else at_ms) - self.last_start.get(worker, -math.inf)
-        return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * age_ms / COLD_MS)
+        age_ms = (self.now if at_ms is None else at_ms) - self.last_start.get(scorer, -math.inf)
+        return min(1.0, INITIAL_SHARE + (1 - INITIAL_SHARE) * age_ms / SLOW_START_MS)
 
-    def allowed(self, worker, at_ms):
+    def allowed(self, scorer, at_ms):
         """N at that moment."""
-        return FALL_MULTIPLE * self.warmth(worker, at_ms) * self.rate * FALL_MS / 1000.0
+        return (
+            SLOW_START_MULTIPLE
+            * self.capacity_share(scorer, at_ms)
+            * self.rate
+            * SLOW_START_WINDOW_MS
+            / 1000.0
+        )
 
     def check(self):
         """No window of any worker in slow start holds more than the rule lets it.
@@ -169,41 +180,42 @@
             How many windows were looked at, and the largest part of N in one of them.
         """
         windows, most = 0, 0.0
-        for worker, sends in self.sends.items():
+        for scorer, sends in self.sends.items():
             first = 0
             for last, at_ms in enumerate(sends):
-                if at_ms >= self.last_start[worker] + COLD_MS:
+                if at_ms >= self.last_start[scorer] + SLOW_START_MS:
                     break
-                while sends[first] <= at_ms - FALL_MS:
+                while sends[first] <= at_ms - SLOW_START_WINDOW_MS:
                     first += 1
-                count, allowed = last - first + 1, self.allowed(worker, at_ms)
-                assert count <= rule(allowed), (worker, at_ms - self.last_start[worker], count, allowed)
+                count, allowed = last - first + 1, self.allowed(scorer, at_ms)
+                assert count <= rule(allowed), (scorer, at_ms - self.last_start[scorer], count, allowed)
                 windows, most = windows + 1, max(most, count / allowed)
         return windows, most
 
 
-class Saturated:
+class SaturatedFrontEnds:
     """Front ends that use at each moment all that they may send to cold workers.
 
     Calls come unevenly, the warm fleet answers all that it can, and clients that get no answer come again.
     """
 
-    STEP_MS, RATE, WORKERS = 250.0, 35.0, 10
+    STEP_MS, RATE, SCORERS = 250.0, 35.0, 10
 
-    def __init__(self, front_ends, seed, quota=0.95, swell=2.0, **settings):
+    def __init__(self, front_ends, seed, quota=0.95, unanswered_per_call=2.0, **settings):
         self.random = random.Random(f"saturated {front_ends} {seed}")
         self.settings = io.Settings(
-            {"view": SPEC}, {"t": quota * self.RATE * self.WORKERS} if quota else {}, front_ends,
-            max_attempts=3, loads_on_miss=True, slow_start_ms=COLD_MS, slow_start_initial_share=COLD_SHARE,
-            slow_start_window_ms=FALL_MS, slow_start_multiple=FALL_MULTIPLE, **settings,
+            {"view": SPEC}, {"t": quota * self.RATE * self.SCORERS} if quota else {}, front_ends,
+            max_attempts=3, loads_on_miss=True, slow_start_ms=SLOW_START_MS,
+            slow_start_initial_share=INITIAL_SHARE, slow_start_window_ms=SLOW_START_WINDOW_MS,
+            slow_start_multiple=SLOW_START_MULTIPLE, **settings,
         )  # fmt: skip
-        self.now, self.swell, self.entries = (
+        self.now, self.unanswered_per_call, self.entries = (
             0.0,
-            swell,
-            [io.ScorerEntry(n) for n in range(1, self.WORKERS + 1)],
+            unanswered_per_call,
+            [io.ScorerEntry(n) for n in range(1, self.SCORERS + 1)],
         )
         self.routers = [self.router() for _ in range(front_ends)]
-        self.uneven = [self.random.lognormvariate(0.0, 1.5) for _ in range(front_ends)]
+        self.weights = [self.random.lognormvariate(0.0, 1.5) for _ in range(front_ends)]
         self.sends, self.count = defaultdict(list), 0
 
     def router(self):
@@ -212,28 +224,28 @@
         router.handle(self.now, [io.RosterChanged(list(self.entries), complete=True)])
         return router
 
-    def traffic(self, until_ms):
+    def run_traffic(self, until_ms):
         """Calls to uneven front ends, as many as the fleet can do; `swell` others to each are given up."""
         while self.now < until_ms:
-            self.now += self.random.expovariate(self.RATE * self.WORKERS / 1000.0)
-            [router] = self.random.choices(self.routers, self.uneven)
-            for served in (True, *[False] * int(self.swell)):
-                self.call(router, served)
+            self.now += self.random.expovariate(self.RATE * self.SCORERS / 1000.0)
+            [router] = self.random.choices(self.routers, self.weights)
+            for answered in (True, *[False] * int(self.unanswered_per_call)):
+                self.call(router, answered)
 
-    def call(self, router, served):
+    def call(self, router, answered):
         """A request to this front end; its sends are answered if `served`, and then its client leaves."""
         self.count += 1
         name, fn = f"r{self.count}", f"f{self.random.randrange(30)}"
         actions = router.handle(self.now, [io.RequestArrived(name, fn, "view", "", 300.0)])
-        for hold in [action for action in actions if isinstance(action, io.OrderCopies)]:
-            answer = io.LoadOrderAnswered(hold.scorer, fn, AttemptResult.GOOD, max(1, hold.copies), 1.0)
+        for order in [action for action in actions if isinstance(action, io.OrderCopies)]:
+            answer = io.LoadOrderAnswered(order.scorer, fn, AttemptResult.GOOD, max(1, order.copies), 1.0)
             actions = actions + router.handle(self.now, [answer])
-        for send in [action for action in actions if isinstance(action, io.Send) and served]:
+        for send in [action for action in actions if isinstance(action, io.Send) and answered]:
             end = io.AttemptEnded(name, 0, send.scorer, AttemptResult.GOOD, 50.0, True, Warmth.FOUND)
             router.handle(self.now, [end])
         router.handle(self.now, [io.RequestCancelled(name)])
 
-    def begin(self, workers):
+    def begin_slow_start(self, workers):
         """These start cold, after a time in which nothing was sent to them."""
         self.now += 1.0
         self.began_ms = self.now
@@ -249,21 +261,21 @@
         for n in range(int(part * len(self.routers))):
             self.routers[n] = self.router()
 
-    def use(self, until_ms):
+    def send_all_allowed(self, until_ms):
         """All send at each step what they may; each window is held against the bound."""
         largest = 0.0
         while self.now < until_ms:
             self.now += self.STEP_MS
             for router in self.routers:
                 router.handle(self.now, [])
-                for worker in router.ready:
-                    while router._warmth(worker) < 1.0 and router._within_slow_start_limit(worker):
-                        worker.slow_start_sends.append(self.now)
-                        self.sends[worker.id].append(self.now)
-            for worker, sends in self.sends.items():
-                share = COLD_SHARE + (1 - COLD_SHARE) * (self.now - self.began_ms) / COLD_MS
-                allowed = FALL_MULTIPLE * share * self.RATE * FALL_MS / 1000.0
-                count = sum(at_ms > self.now - FALL_MS for at_ms in sends)
-                assert count <= rule(allowed), (worker, self.now - self.began_ms, count, allowed)
+                for scorer in router.ready:
+                    while router._warmth(scorer) < 1.0 and router._within_slow_start_limit(scorer):
+                        scorer.slow_start_sends.append(self.now)
+                        self.sends[scorer.id].append(self.now)
+            for scorer, sends in self.sends.items():
+                share = INITIAL_SHARE + (1 - INITIAL_SHARE) * (self.now - self.began_ms) / SLOW_START_MS
+                allowed = SLOW_START_MULTIPLE * share * self.RATE * SLOW_START_WINDOW_MS / 1000.0
+                count = sum(at_ms > self.now - SLOW_START_WINDOW_MS for at_ms in sends)
+                assert count <= rule(allowed), (scorer, self.now - self.began_ms, count, allowed)
                 largest = max(largest, count / allowed)
         return largest
