--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,4 +1,4 @@
-"""Helpers to drive a Router by events, with a clock of their own."""
+"""A test driver that passes events to a Router, with its own clock."""
 
 from fawnwharf import interface as io
 from fawnwharf.policy import Router
@@ -10,7 +10,7 @@
 
 
 class Drive:
-    """One Router, its clock, and everything it has done."""
+    """A Router, its clock in milliseconds, and a log of all its actions with their times."""
 
     def __init__(self, workers=4, zones=("a",), seed=1, **settings):
         settings.setdefault("max_attempts", 4)
@@ -27,7 +27,7 @@
         return actions
 
     def sweep(self, until):
-        """Let the timer run up to a moment; the actions it brought."""
+        """Advance the clock to `until`, with a timer event every 20 ms; returns the actions."""
         done = []
         while self.now + 20 <= until:
             self.now += 20
@@ -42,7 +42,10 @@
         return self.feed(io.LoadOrderAnswered(scorer, fn, ending, copies, 1.0))
 
     def answer_asks(self, actions, standing=None):
-        """Answer each question with what stands there; the loads among the actions and all that follows."""
+        """Answer each probe with the number of copies in `standing`, by scorer.
+
+        Returns the load orders among the actions, and all actions that follow from the answers.
+        """
         standing = standing or {}
         done = [action for action in actions if isinstance(action, io.OrderCopies) and action.copies]
         for action in actions:
@@ -59,7 +62,7 @@
         )
 
     def warm(self, fn="f", lanes=1, spec="safe", load_ms=500):
-        """A first request served, so that one worker holds a copy; that worker."""
+        """Serve a first request, so that one scorer has a copy; returns the number of that scorer."""
         loads = of(self.answer_asks(self.ask("first-" + fn, fn, spec, lanes=lanes)), io.OrderCopies)
         self.now += load_ms
         [send] = of(self.count(loads[0].scorer, 1, fn), io.Send)
--- a/tests/policy/test_policy_decision_price.py
+++ b/tests/policy/test_policy_decision_price.py
@@ -1,6 +1,6 @@
-"""The price of a decision: it must not grow with the calls that wait for the same function.
+"""The cost of a decision must not grow with the number of calls queued for the same function.
 
-Counted in function calls of the interpreter, so that the result is the same on any machine.
+The cost is counted in Python function calls, so that the result is the same on any machine.
 """
 
 import sys
@@ -8,11 +8,11 @@
 from bench import Drive
 
 FEW, MANY = 20, 200
-MAX_RATIO = 2.0  # the price with ten times the calls
+MAX_RATIO = 2.0  # of the cost with ten times as many queued calls
 
 
 def calls_of_one_arrival(waiting: int) -> int:
-    """Function calls that the arrival of one more call takes, with so many that wait for the function."""
+    """The number of Python function calls for one arrival, with `waiting` calls queued for the function."""
     driver = Drive()
     for number in range(waiting):
         driver.ask(f"r{number}")
--- a/tests/policy/test_policy_deduplication_windows.py
+++ b/tests/policy/test_policy_deduplication_windows.py
@@ -1,4 +1,4 @@
-"""Retries with an idempotency key fall inside their window and group; an at-most-once request has none."""
+"""Retries with an idempotency key keep to their window and group; at-most-once requests get none."""
 
 import math
 
@@ -27,7 +27,7 @@
 
 
 def first_send(driver, name="r", budget=DEADLINE_MS):
-    """A copy stands at each worker that is asked, so that any of them may take it."""
+    """Send a request while every probed scorer has a copy; returns the send."""
     actions = driver.ask(name, spec="class", budget=budget)
     for order in of(actions, io.OrderCopies):
         actions = actions + driver.count(order.scorer, 1, order.function)
@@ -36,7 +36,7 @@
 
 
 def end(driver, send, result, attempt=0):
-    """What is sent on it, once a sign that was asked for has come."""
+    """End an attempt and answer the probes that follow; returns the sends."""
     actions = driver.end(send, result, attempt=attempt, closed=False)
     for order in of(actions, io.OrderCopies):
         actions = actions + driver.count(order.scorer, 1, order.function)
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize(
     "result", [AttemptResult.FULL, AttemptResult.MISS, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT]
 )
-def test_what_never_ran_is_sent_again_without_a_limit(effect, result):
+def test_a_request_that_did_not_run_is_retried_without_a_time_limit(effect, result):
     driver = driver_of_class(0.0, effect=effect)
     [retry] = end(driver, first_send(driver), result)
     assert retry.within_ms == math.inf
@@ -79,7 +79,7 @@
     driver = driver_of_class(1_500.0)
     send = first_send(driver)
     driver.now += 400.0
-    [second] = end(driver, send, AttemptResult.FULL)  # it never ran: nothing counts yet
+    [second] = end(driver, send, AttemptResult.FULL)  # it did not run: the window has not begun
     assert second.within_ms == math.inf
     driver.now += 300.0
     [third] = end(driver, second, AttemptResult.RESET, attempt=1)
@@ -90,7 +90,7 @@
 
 
 def drain_all(driver):
-    """All workers rest for a moment, so that a repeat is held."""
+    """Drain all scorers, so that a retry is queued."""
     for scorer in driver.router.scorers.values():
         driver.feed(io.RosterChanged([io.ScorerEntry(scorer.id, ScorerState.DRAINING)], complete=False))
 
@@ -112,7 +112,7 @@
     ] * sent
 
 
-@pytest.mark.parametrize("cause", ["suspect", "hasten", "lost"])
+@pytest.mark.parametrize("cause", ["suspect", "hedge", "lost"])
 @pytest.mark.parametrize(
     ("effect", "window_ms"),
     [(Effect.AT_MOST_ONCE, 1e9), (Effect.DEDUPLICATED, 300.0), (Effect.DEDUPLICATED, 3e3)],
@@ -126,7 +126,7 @@
     attempt = driver.router.attempts["r", 0]
     if cause == "suspect":
         driver.router._suspect(scorer)
-    elif cause == "hasten":
+    elif cause == "hedge":
         driver.router.functions["f"].runs.timed.extend([(driver.now, 10.0)] * 5)
         driver.router._hedge(driver.router.requests["r"], attempt)
         driver.router._dispatch_all()
@@ -163,7 +163,7 @@
 
 
 def test_a_request_outlives_the_scorer_of_its_first_attempt():
-    """A class with ten minutes: its first worker is forgotten before there is a place for a repeat."""
+    """The class allows ten minutes, so the first scorer is forgotten before a retry is possible."""
     driver = driver_of_class(600_000.0, DeduplicationGroup.ZONE, workers=2, deadline_ms=600_000.0)
     send = first_send(driver, budget=600_000.0)
     driver.now += 10.0
--- a/tests/policy/test_policy_event_batches.py
+++ b/tests/policy/test_policy_event_batches.py
@@ -1,4 +1,4 @@
-"""Events that cross in one batch, and classes whose times differ by a factor of thousands."""
+"""Events in one batch that concern the same request, and classes with deadlines from 0 ms to ten minutes."""
 
 import itertools
 
@@ -20,12 +20,12 @@
 
 
 def driver_with_queued_request():
-    """One request whose attempt is out, another that is held, and what their events would bring."""
+    """A driver with a request in flight and a queued one; returns it with the send of the first."""
     driver = Drive(2)
     driver.warm()
     sends = of(driver.ask("out"), io.Send)
     assert [send.request for send in sends] == ["out"]
-    driver.ask("held")
+    driver.ask("queued")
     driver.now += 50.0
     return driver, sends[0]
 
@@ -34,10 +34,10 @@
 @pytest.mark.parametrize(
     "ending", [AttemptResult.FULL, AttemptResult.RESET, AttemptResult.CONNECT_FAILED, AttemptResult.GOOD]
 )
-def test_nothing_is_sent_or_ordered_for_clients_that_left_in_whatever_order_the_batch_tells_it(order, ending):
+def test_nothing_is_sent_or_ordered_for_cancelled_requests_in_any_order_of_the_batch(order, ending):
     driver, send = driver_with_queued_request()
     ended = io.AttemptEnded("out", 0, send.scorer, ending, 50.0, ending is AttemptResult.GOOD)
-    events = [ended, io.TimerDue(0), io.RequestCancelled("out"), io.RequestCancelled("held")]
+    events = [ended, io.TimerDue(0), io.RequestCancelled("out"), io.RequestCancelled("queued")]
     actions = driver.feed(*[events[n] for n in order], events[3])
     loads = [copy_order for copy_order in of(actions, io.OrderCopies) if copy_order.copies]
     assert not of(actions, io.Send)
@@ -48,7 +48,7 @@
     assert not of(driver.sweep(driver.now + 3_000.0), io.Send)
 
 
-def test_a_request_that_came_and_left_in_one_batch_brings_nothing():
+def test_a_request_that_arrives_and_is_cancelled_in_one_batch_causes_no_action():
     driver = Drive(2)
     driver.warm()
     arrived = io.RequestArrived("r", "f", "safe", "", 2_500.0, load_ms=500.0)
@@ -58,7 +58,7 @@
     assert not driver.router.requests
 
 
-def test_a_request_that_was_finished_here_and_left_in_the_same_batch_has_one_answer():
+def test_a_request_that_is_due_and_cancelled_in_the_same_batch_gets_no_final_answer():
     driver, _ = driver_with_queued_request()
     driver.now = 2_700.0
     actions = driver.feed(io.TimerDue(0), io.RequestCancelled("out"))
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("budget", [40.0, 100.0, 150.0])
-def test_a_class_whose_whole_time_is_shorter_than_a_sweep_is_served(budget):
+def test_a_class_with_a_deadline_of_a_few_sweeps_is_served(budget):
     driver = Drive(2)
     driver.feed(io.ClassChanged(io.ClassSpec("tiny", budget / 2, budget, Effect.IDEMPOTENT)))
     driver.warm()
@@ -75,7 +75,7 @@
     [timer] = [action for action in of(actions, io.SetTimer) if action.token]
     assert 0.7 * budget <= timer.delay_ms < budget
     driver.now += 0.5 * budget
-    assert not of(driver.feed(io.TimerDue(0)), io.Reject)  # a sweep before its end
+    assert not of(driver.feed(io.TimerDue(0)), io.Reject)  # a sweep before the answer is due
     driver.now += timer.delay_ms - 0.5 * budget
     assert [type(a) for a in driver.feed(io.TimerDue(timer.token))] == [io.Cancel, io.Reject]
     assert not driver.end(send, AttemptResult.CANCELLED, closed=False)
@@ -97,12 +97,10 @@
     ],
 )
 @pytest.mark.parametrize("workers", [1, 6])
-def test_classes_of_all_lengths_in_one_settings_file_get_their_answers_in_time(
-    monkeypatch, settings, workers
-):
+def test_classes_with_very_different_deadlines_get_their_answers_in_time(monkeypatch, settings, workers):
     monkeypatch.setattr(replay, "CLASSES", MIXED | {"safe": MIXED["usual"]})
     monkeypatch.setattr(replay, "CLASS_NAMES", [*MIXED, "unheard of"])
-    world = {"workers": workers, "zones": 2, "functions": 14, "rps": 20.0, "roster": 0.02}
+    world = {"workers": workers, "zones": 2, "functions": 14, "rps": 20.0, "roster_share": 0.02}
     monkeypatch.setitem(replay.SETTINGS, "mixed", (world, {"max_attempts": 3, **settings}))
     late_requests = []
 
--- a/tests/policy/test_policy_external_events.py
+++ b/tests/policy/test_policy_external_events.py
@@ -1,4 +1,4 @@
-"""External events: classes that change, sites, prefetches (others' reports: test_policy_remote_load)."""
+"""External events: changes of classes, sites and prefetches (for remote load see test_policy_remote_load)."""
 
 from dataclasses import replace
 
@@ -29,19 +29,19 @@
     return loads(driver.feed(io.PrefetchRequested(scorer, fn, "safe", copies, load_ms=LOAD_MS)))
 
 
-# --- a class that changes ------------------------------------------------------------------
+# --- changes of a class --------------------------------------------------------------------
 
 
-def test_calls_in_flight_keep_the_class_with_which_they_came():
+def test_calls_in_flight_keep_the_rules_of_their_class():
     driver = Drive()
     driver.warm(lanes=4)
     [old] = of(arrived(driver, "old", lanes=4), io.Send)
     assert not driver.feed(io.ClassChanged(replace(SAFE, effect=io.Effect.AT_MOST_ONCE)))
     [new] = of(arrived(driver, "new", lanes=4), io.Send)
-    assert driver.router.functions["f"].runs.timed  # what was learnt is kept
+    assert driver.router.functions["f"].runs.timed  # the learned state is kept
     driver.end(new, AttemptResult.ERROR, closed=False)
     driver.end(old, AttemptResult.ERROR, closed=False)
-    assert "old" in driver.router.requests  # safe as it came: it may be sent again, or else is refused
+    assert "old" in driver.router.requests  # it arrived as idempotent, so it may be retried or rejected
     driver.sweep(driver.now + 2600.0)
     finals = [a for _, a in driver.log if isinstance(a, io.Reject | io.Fail)]
     assert finals == [io.Fail("new"), io.Reject("old")]
@@ -51,12 +51,12 @@
     ("changes", "least"),
     [
         ([("safe", 300.0)], 300.0),
-        ([("safe", 300.0), ("safe", 2000.0)], 900.0),  # the short class's again
+        ([("safe", 300.0), ("safe", 2000.0)], 900.0),  # the target of the class "short"
         ([("short", 1500.0)], 1000.0),
         ([("brand new", 100.0)], 100.0),
     ],
 )
-def test_the_least_promise_follows_and_the_settings_handed_in_stay(changes, least):
+def test_the_smallest_latency_target_follows_changes_and_the_settings_stay(changes, least):
     driver = Drive()
     for name, target_ms in changes:
         driver.feed(io.ClassChanged(io.ClassSpec(name, target_ms)))
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize(
     ("changed", "after_ms", "again"), [(None, 100, True), (150.0, 100, False), (150.0, 40, True)]
 )
-def test_the_window_of_a_class_counts_for_what_arrives_later(changed, after_ms, again):
+def test_a_changed_window_of_a_class_applies_to_later_arrivals(changed, after_ms, again):
     for came_before in (True, False):
         driver = Drive(workers=4)
         if changed and not came_before:
@@ -98,7 +98,7 @@
     return driver, {entry.scorer: entry.zone for entry in driver.entries}
 
 
-def test_a_function_goes_by_the_site_of_its_latest_arrival():
+def test_a_function_uses_the_site_of_its_latest_arrival():
     for own in ("a", "b", "c"):
         driver, zones = driver_with_zones(own)
         arrived(driver, "first", lanes=9)
@@ -111,7 +111,7 @@
             driver.count(send.scorer, 1)
 
 
-def test_the_first_probes_the_first_copy_and_speculative_ones_are_at_the_site():
+def test_first_probes_the_first_copy_and_speculative_copies_are_at_the_site():
     for own, site in (("a", "b"), ("a", "c"), ("b", "a")):
         driver, zones = driver_with_zones(own)
         there = [scorer for scorer, zone in zones.items() if zone == site]
@@ -126,11 +126,11 @@
         arrived(other, "r0")
         orders = [w.id for w in driver.router._ordered(driver.router.functions["f"])]
         plain = [w.id for w in other.router._ordered(other.router.functions["f"])]
-        assert orders == sorted(plain, key=lambda w: zones[w] != site)  # in hash order within and without
+        assert orders == sorted(plain, key=lambda w: zones[w] != site)  # in hash order, the site first
 
 
 @pytest.mark.parametrize(("site", "most"), [("", 8), ("b", 16), ("a", 8)])
-def test_the_bound_goes_by_the_site(site, most):  # 2.4 and 1.5 times a fair share, as in the own zone
+def test_the_in_flight_bound_depends_on_the_site(site, most):  # 2.4 and 1.5 times the fair share
     driver = Drive(workers=6, zones=("a", "b"), zone="c")
     for fn, places in (("g", (2, 4, 6)), ("f", (1, 3))):
         arrived(driver, f"first-{fn}", fn, lanes=64)
@@ -144,15 +144,15 @@
     assert next(n for n, scorer in enumerate(sends) if scorer != sends[0]) == most
 
 
-# --- copies wanted -----------------------------------------------------------------------------
+# --- prefetches --------------------------------------------------------------------------------
 
 
-def test_a_copy_wanted_is_ordered_answered_and_used_by_the_first_call():
+def test_a_prefetched_copy_is_ordered_answered_and_used_by_the_first_call():
     driver = Drive(idle_life_ms=IDLE_LIFETIME_MS)
     assert prefetch(driver, 3) == [(3, 1)]
     assert driver.router.loading == 1
     assert len(driver.router.load_orders_ms) == 1
-    assert prefetch(driver, 3) == []  # it is under way
+    assert prefetch(driver, 3) == []  # the load is in progress
     driver.now += LOAD_MS
     driver.count(3, 1)
     assert driver.router.loading == 0
@@ -167,22 +167,22 @@
     settings = {"load_window_ms": 5000.0, "free_loads": 3.0, "idle_life_ms": IDLE_LIFETIME_MS}
     if case == "orders off":
         settings["load_orders_allowed"] = False
-    if case == "cold":
+    if case == "slow start":
         settings |= {"slow_start_ms": 60_000.0, "slow_start_multiple": 0.0}
     driver = Drive(**settings)
     change_scorer(driver, case)
-    if case == "ration exhausted":
+    if case == "load rate limit reached":
         driver.router.load_orders_ms.extend([driver.now] * 3)
     elif case == "blocked":
         prefetch(driver, 2)
         driver.count(2, 0, ending=AttemptResult.FULL)
-    elif case == "stands":
+    elif case == "copy loaded":
         driver.now += 1.0
         arrived(driver, "r")
         driver.count(2, 1)
-    elif case == "too many under way":
+    elif case == "too many loads in progress":
         driver.router.loading = 99
-    return prefetch(driver, 77 if case == "unknown worker" else 2, 0 if case == "none" else 1)
+    return prefetch(driver, 77 if case == "unknown scorer" else 2, 0 if case == "no copies wanted" else 1)
 
 
 def change_scorer(driver, case):
@@ -191,7 +191,7 @@
         driver.feed(io.RosterChanged([io.ScorerEntry(2, state)], False))
     elif case == "suspect":
         driver.router._suspect(driver.router.scorers[2])
-    elif case == "cold":
+    elif case == "slow start":
         driver.now += 1000.0
         driver.feed(io.RosterChanged([io.ScorerEntry(2, up_since_ms=driver.now)], False))
         driver.router.chance = next(
@@ -209,24 +209,24 @@
     ("case", "ordered"),
     [
         ("plain", True),
-        ("unknown worker", False),
+        ("unknown scorer", False),
         ("draining", False),
         ("gone", False),
         ("suspect", False),
-        ("ration exhausted", False),
+        ("load rate limit reached", False),
         ("blocked", False),
-        ("stands", False),
-        ("none", False),
-        ("cold", False),
-        ("too many under way", False),
+        ("copy loaded", False),
+        ("no copies wanted", False),
+        ("slow start", False),
+        ("too many loads in progress", False),
         ("orders off", False),
     ],
 )
-def test_copies_are_ordered_within_all_that_binds_loads_or_not_at_all(case, ordered):
+def test_a_prefetch_obeys_all_limits_on_loads(case, ordered):
     assert prefetch_in_case(case) == ([(2, 1)] if ordered else [])
 
 
-def test_foresight_leaves_an_order_for_each_held_call():
+def test_a_prefetch_leaves_a_load_order_for_each_queued_call():
     for left in (1, 2, 3):
         driver = Drive(load_window_ms=5000.0, free_loads=4.0)
         arrived(driver, "r0", "g0")
@@ -235,7 +235,7 @@
         assert prefetch(driver, 2) == ([(2, 1)] if left == 3 else [])
 
 
-def test_a_copy_still_wanted_is_refreshed_before_it_expires_and_a_failed_one_is_blocked():
+def test_a_prefetched_copy_is_refreshed_before_it_expires_and_a_failed_load_blocks_the_scorer():
     driver = Drive(idle_life_ms=IDLE_LIFETIME_MS)
     prefetch(driver, 2)
     driver.count(2, 1)
@@ -260,12 +260,12 @@
     driver = Drive(idle_life_ms=IDLE_LIFETIME_MS)
     prefetch(driver, 3)
     driver.count(3, 1)
-    driver.now += 900.0  # many runs
+    driver.now += 900.0  # several run times
     assert of(arrived(driver, "r1"), io.Send)
     assert loads(arrived(driver, "r2"))
 
 
-def test_what_is_wanted_and_never_called_is_kept_in_mind_for_its_time_and_handed_over():
+def test_a_prefetched_function_that_is_never_called_is_handed_over_and_later_forgotten():
     driver = Drive(idle_life_ms=1e9)
     prefetch(driver, 2)
     driver.count(2, 1)
@@ -284,7 +284,7 @@
     assert "f" not in driver.router.functions
 
 
-def test_external_events_leave_the_load_rate_limit_alone():
+def test_external_events_do_not_change_the_load_rate_limit():
     driver = Drive(load_window_ms=5000.0, free_loads=5.0)
     before = driver.router._load_rate_left()
     driver.feed(io.RemoteLoadReport(2, sent=3, copies={"f": 2}, loading=("f", "g")))
--- a/tests/policy/test_policy_fleet.py
+++ b/tests/policy/test_policy_fleet.py
@@ -1,4 +1,4 @@
-"""Many front ends: what each does alone has to add up."""
+"""Many front ends: decisions that each makes alone must be right for all of them together."""
 
 import sys
 from collections import Counter
@@ -12,7 +12,7 @@
 
 
 def front_end_drivers(size, **settings):
-    """Front ends that differ in their seeds only."""
+    """Drivers of front ends that differ only in their seeds."""
     return [
         Drive(workers=20, seed=seed * 7919 + 5, fleet_size=size, quotas_rps=QUOTAS, **settings)
         for seed in range(size)
@@ -20,14 +20,14 @@
 
 
 def answer_with_copies(driver, actions):
-    """Carry out questions and orders where copies of everything stand; the sends that follow."""
+    """Answer probes and load orders as if every function were loaded; returns the sends that follow."""
     sends = of(actions, io.Send)
     for order in of(actions, io.OrderCopies):
         sends += answer_with_copies(driver, driver.count(order.scorer, 1, order.function))
     return sends
 
 
-def test_a_hot_function_is_spread_by_front_ends_that_see_a_part_each():
+def test_a_busy_function_is_spread_by_front_ends_that_each_see_few_of_its_calls():
     drivers = front_end_drivers(100)
     scorers = Counter()
     for turn in range(5):
@@ -42,7 +42,7 @@
     assert scorers.most_common(1)[0][1] <= 30
 
 
-def test_a_rare_function_keeps_one_home_at_all_front_ends():
+def test_a_rarely_called_function_has_the_same_scorer_at_all_front_ends():
     scorers = {
         answer_with_copies(driver, driver.ask("r", lanes=2, tenant="t"))[0].scorer
         for driver in front_end_drivers(50)
@@ -67,18 +67,18 @@
             sent += [
                 (driver.now, s.scorer) for s in answer_with_copies(driver, driver.ask(f"r{n}", tenant="t"))
             ]
-    # 100 front ends with one or two requests a second each: some 100 a worker and second at the most
+    # Each of 100 front ends may send one or two requests per second: at most about 100 per scorer.
     most = Counter(scorer for _, scorer in sent).most_common(1)[0][1]
-    rate = 100 * 10 / 20  # requests a worker can be held to do in the second, by what arrives
+    rate = 100 * 10 / 20  # requests per second and scorer, as far as the arrivals show
     assert 0 < most <= 2.0 * 0.28 * rate
 
 
-def test_a_scorer_without_capacity_is_passed_over_for_a_while():
+def test_a_scorer_without_capacity_is_avoided_for_some_time():
     driver = front_end_drivers(100)[0]
     [send] = answer_with_copies(driver, driver.ask("first", tenant="t"))
     warm_scorer = send.scorer
     driver.end(send)
-    driver.now += 60_000.0  # so rare that one worker is enough
+    driver.now += 60_000.0  # so rarely called that one scorer is enough
     [send] = answer_with_copies(driver, driver.ask("full", tenant="t"))
     assert send.scorer == warm_scorer
     again = answer_with_copies(driver, driver.end(send, AttemptResult.FULL, closed=False))
@@ -98,14 +98,14 @@
     for scorer in (1, 2, 3, 4):
         driver.count(scorer, 1)
     [send] = [action for _, action in driver.log if isinstance(action, io.Send)]
-    for _ in range(50):  # the worker goes on answering all else
+    for _ in range(50):  # the scorer still answers probes
         driver.sweep(driver.now + 40)
         driver.count(send.scorer, 1)
     sends = [(now, action) for now, action in driver.log if isinstance(action, io.Send)]
     return send, sends
 
 
-def test_a_lost_answer_of_a_responding_scorer_brings_a_hedged_request_in_time():
+def test_a_lost_answer_of_a_responding_scorer_causes_a_hedged_request_in_time():
     _send, sends = sends_without_answer("safe", 2500.0)
     assert len(sends) > 1
     assert sends[1][0] <= 700.0
@@ -123,7 +123,7 @@
     assert len(sends) == 1
 
 
-def test_hedged_requests_are_few_when_all_is_slow():
+def test_hedged_requests_are_few_when_all_scorers_are_slow():
     driver = Drive(workers=8, fleet_size=100)
     for n in range(100):
         driver.ask(f"r{n}", fn=f"f{n}")
@@ -136,19 +136,19 @@
     assert sum(count > 1 for count in sends.values()) <= 13
 
 
-def test_attempts_out_past_the_promise_leave_the_own_limit():
+def test_attempts_in_flight_past_the_latency_target_do_not_count_towards_the_limit():
     driver = front_end_drivers(100)[0]
     limit = driver.router.limit
     for n in range(12):
         answer_with_copies(driver, driver.ask(f"r{n}", fn=f"f{n}", tenant="t"))
-    held = len(driver.router.recent_attempts)
-    assert held <= limit + 1 < 12
+    recent = len(driver.router.recent_attempts)
+    assert recent <= limit + 1 < 12
     driver.sweep(driver.now + 1200)
     assert not any(driver.now - a.sent_ms > 1100 for a in driver.router.recent_attempts)
 
 
 def function_calls(workers):
-    """Calls made while a front end serves and sweeps, once it knows the workers and the function."""
+    """The Python function calls for some requests and sweeps, once the scorers and the function are known."""
     driver = Drive(workers=workers, fleet_size=100, quotas_rps={"t": 5.0 * workers})
     count = 0
 
@@ -164,9 +164,8 @@
         driver.sweep(driver.now + 200)
 
     serve(0)
-    driver.router.refreshed_ms = (
-        driver.now + 1e9
-    )  # the sums over the fleet are taken once a second, not by event
+    # Without the sums over all scorers, which are computed once a second and not for each event.
+    driver.router.refreshed_ms = driver.now + 1e9
     sys.setprofile(watch)
     for n in range(1, 20):
         serve(n)
@@ -174,6 +173,6 @@
     return count
 
 
-def test_an_event_costs_about_the_same_in_a_fleet_ten_times_as_large():
+def test_an_event_costs_about_the_same_with_ten_times_as_many_scorers():
     small, large = function_calls(100), function_calls(1000)
     assert large < 1.5 * small
--- a/tests/policy/test_policy_health.py
+++ b/tests/policy/test_policy_health.py
@@ -1,4 +1,4 @@
-"""Failure detection, by events: probes, suspects, lost answers."""
+"""Failure detection: probes, suspects and lost answers."""
 
 from bench import Drive, of
 
@@ -6,10 +6,8 @@
 from fawnwharf.interface import AttemptResult
 from fawnwharf.policy.state import Function
 
-# --- the ordinary path ---------------------------------------------------------------------
 
-
-def test_a_silent_scorer_is_probed_then_suspected_and_its_requests_go_elsewhere():
+def test_a_silent_scorer_is_probed_then_suspect_and_its_requests_are_retried_elsewhere():
     driver = Drive()
     warm_scorer = driver.warm()
     driver.ask("r1")
@@ -39,7 +37,10 @@
 
 
 def driver_with_lost_answers():
-    """Two calls whose answers don't come while their worker gives every other sign of life."""
+    """A driver with two lost calls at a scorer that still answers probes.
+
+    Returns the driver, the scorer, the sends of the calls and the actions since then.
+    """
     driver = Drive()
     warm_scorer = driver.warm(lanes=2)
     lost = of(driver.ask("r1", lanes=2) + driver.ask("r2", lanes=2), io.Send)
@@ -58,7 +59,7 @@
         send.scorer for send in of(driver.answer_asks(driver.ask("r3", lanes=2), {warm_scorer: 1}), io.Send)
     ]
     router, fn, scorer = driver.router, driver.router.functions["f"], driver.router.scorers[warm_scorer]
-    assert router._is_usable(scorer, Function("g", "unsafe", 1, None, 0))  # another class goes on there
+    assert router._is_usable(scorer, Function("g", "unsafe", 1, None, 0))  # another class may still use it
     for send in lost:
         driver.end(send, AttemptResult.CANCELLED, closed=True)
     driver.now += 2000
@@ -69,7 +70,7 @@
     assert not of(driver.ask("r4", lanes=2), io.Send)
 
 
-def test_errors_eject_for_a_class_too_but_not_those_of_a_function_that_was_never_served():
+def test_errors_eject_for_a_class_unless_the_function_was_never_served():
     for served in (True, False):
         driver = Drive()
         warm_scorer = driver.warm(lanes=4, spec="unsafe")
@@ -85,7 +86,7 @@
         assert driver.router._is_usable(scorer, fn) is not served
 
 
-def test_answers_that_come_after_all_take_their_losses_back():
+def test_late_answers_cancel_their_losses():
     driver, warm_scorer, lost, _ = driver_with_lost_answers()
     for send in lost:
         driver.end(send)
@@ -101,7 +102,7 @@
     assert driver.router.scorers[warm_scorer].suspect_ms is None
 
 
-def test_suspicion_never_takes_most_of_the_fleet():
+def test_suspects_stay_usable_when_most_scorers_are_suspect():
     driver = Drive(workers=2)
     for n in (1, 2):
         driver.router._suspect(driver.router.scorers[n])
--- a/tests/policy/test_policy_releases.py
+++ b/tests/policy/test_policy_releases.py
@@ -1,7 +1,7 @@
-"""Quiet-day releases: all copies of many functions go void at once, and nothing else is wrong.
+"""Releases of new versions: all copies of many functions become invalid at once, without other faults.
 
-A Router is driven through such a day with a model of its workers. In every window, also the first seconds,
-the load orders stay within the ration as the rule counts it.
+A Router runs against a model of its scorers. In every window, including the first seconds, the load orders
+must stay within the load rate limit.
 """
 
 import heapq
@@ -20,7 +20,7 @@
 
 
 class World:
-    """One front end, its workers' copies, and each order and arrival with its time."""
+    """One front end, the copies at its scorers, and the times of all load orders and arrivals."""
 
     def __init__(self, seed, **settings):
         self.random, self.now, self.scheduled, self.count = random.Random(seed), 0.0, [], 0
@@ -47,7 +47,7 @@
         self.now = until_ms
 
     def release(self):
-        """A new version of everything: no copy that stands is of use."""
+        """Release a new version of every function: all copies become invalid."""
         self.loaded_copies.clear()
 
     def arrive(self):
@@ -96,8 +96,8 @@
     def send(self, send):
         fn, number = self.sent[send.request]
         self.sent[send.request][1] += 1
-        stands = self.loaded_copies.get((send.scorer, fn), 0) > 0
-        result, took = (AttemptResult.GOOD, RUN_MS) if stands else (AttemptResult.MISS, 1.0)
+        is_loaded = self.loaded_copies.get((send.scorer, fn), 0) > 0
+        result, took = (AttemptResult.GOOD, RUN_MS) if is_loaded else (AttemptResult.MISS, 1.0)
         self.schedule(took, self.end, send, number, result, took)
 
     def end(self, send, number, result, took):
@@ -108,7 +108,7 @@
         self.feed(io.AttemptEnded(send.request, number, send.scorer, result, took, good, Warmth.FOUND))
 
     def check(self):
-        """At each order: those of the window before it against what it took in that window."""
+        """Check the load rate limit in the window that ends at each load order."""
         for at_ms in self.orders:
             orders = sum(at_ms - WINDOW_MS < other <= at_ms for other in self.orders)
             arrivals = sum(at_ms - WINDOW_MS < other <= at_ms for other in self.arrivals)
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_prefetches_refreshes_and_a_release_in_the_first_seconds_keep_it_together(seed):
+def test_prefetches_refreshes_and_releases_in_the_first_seconds_keep_the_load_rate_limit(seed):
     world = World(seed, idle_life_ms=4_000.0)
     for step in range(60):
         world.run(100.0 * step)
@@ -141,7 +141,7 @@
     world.check()
 
 
-def test_no_more_loads_than_the_limit_are_under_way_when_all_copies_go_void():
+def test_loads_in_progress_stay_within_their_limit_when_all_copies_become_invalid():
     world = World(1, free_loads=1_000.0)
     world.run(5_000.0)
     world.release()
@@ -152,7 +152,7 @@
     assert 2 <= most <= 24
 
 
-def test_without_anything_taken_only_free_orders_go():
+def test_without_arrivals_only_the_free_loads_are_ordered():
     driver = Drive(load_window_ms=WINDOW_MS, free_loads=3.0, load_part=LOAD_PART)
     loads = []
     for n in range(20):
--- a/tests/policy/test_policy_remote_load.py
+++ b/tests/policy/test_policy_remote_load.py
@@ -1,4 +1,4 @@
-"""What other front ends reported on a scorer: their sends, copies and loads, while it counts."""
+"""Reports of other front ends on a scorer: their sends, copies and loads, and when they expire."""
 
 import pytest
 from bench import Drive, of
@@ -42,7 +42,7 @@
         )
 
 
-def test_a_report_never_overrides_a_newer_own_answer_and_a_newer_one_does():
+def test_a_report_overrides_only_older_answers():
     for ending in ("miss", "count"):
         driver = Drive(workers=1)
         driver.warm()
@@ -59,7 +59,7 @@
             assert driver.router._copies(fn, scorer) == copies
 
 
-def test_a_report_never_counts_across_a_start_of_the_scorer():
+def test_a_report_is_invalid_after_a_restart_of_the_scorer():
     driver = Drive(workers=1)
     arrived(driver, "first")
     driver.feed(io.RequestCancelled("first"))
@@ -72,7 +72,7 @@
     driver.feed(start)
     assert not driver.router._copies(fn, scorer)
     assert not driver.router._is_loading(fn, scorer)
-    report_remote_load(driver, 1, copies={"f": 1}, loading=("f",), age_ms=101.0)  # told before it started
+    report_remote_load(driver, 1, copies={"f": 1}, loading=("f",), age_ms=101.0)  # from before its start
     assert not driver.router._copies(fn, scorer)
     assert not driver.router._is_loading(fn, scorer)
     report_remote_load(driver, 1, copies={"f": 1}, loading=("f",), age_ms=99.0)
@@ -80,7 +80,7 @@
     assert driver.router._is_loading(fn, scorer)
 
 
-def test_reports_on_what_is_unknown_draining_or_gone_bring_nothing():
+def test_reports_on_unknown_draining_or_gone_scorers_cause_nothing():
     driver = Drive(workers=2)
     assert report_remote_load(driver, 99, sent=1, copies={"f": 1}, loading=("f",)) == []
     for state in (ScorerState.DRAINING, ScorerState.GONE):
@@ -119,28 +119,28 @@
     driver.now = 5_000.0
     report_remote_load(driver, loading=("f",))
     assert not loads(driver.answer_asks(arrived(driver, "r1")))
-    assert prefetch(driver, 2) == []  # where it is under way
+    assert prefetch(driver, 2) == []  # a load is in progress there
     [(scorer, _)] = loads(arrived(driver, "r2"))
     assert scorer != 2
     driver.now += 100.0
-    [send] = of(report_remote_load(driver, copies={"f": 1}), io.Send)  # it has come
+    [send] = of(report_remote_load(driver, copies={"f": 1}), io.Send)  # the load is complete
     assert (send.request, send.scorer) == ("r1", 2)
-    for after in ("a word without it", "an answer with it"):
+    for after in ("a report without it", "an answer with it"):
         driver = Drive()
         driver.now = 5_000.0
         report_remote_load(driver, loading=("f",))
         asks = arrived(driver, "r1")
-        if after == "a word without it":
+        if after == "a report without it":
             driver.answer_asks(asks)
-            assert loads(report_remote_load(driver))  # it has ended without a copy
+            assert loads(report_remote_load(driver))  # the load ended without a copy
         else:
             driver.answer_asks(asks, {2: 1})
-            assert "r1" not in [held.id for held in driver.router.functions["f"].queue]
+            assert "r1" not in [queued.id for queued in driver.router.functions["f"].queue]
             assert loads(arrived(driver, "r2"))
 
 
 def allowed_sends(front_ends=4, calls=50, **report):
-    """How many calls may go to a worker that has just started, of a fleet of two: now, and 500 ms later."""
+    """How many calls may be sent to one of two scorers that has just started: now, and 500 ms later."""
     driver = Drive(
         workers=2,
         fleet_size=front_ends,
@@ -168,9 +168,9 @@
 
 
 @pytest.mark.parametrize("front_ends", [1, 4, 20])
-def test_the_slow_start_limit_follows_what_was_really_sent_while_that_is_known(front_ends):
+def test_the_slow_start_limit_uses_the_reported_sends_of_others_while_they_are_known(front_ends):
     without_report, later = allowed_sends(front_ends, calls=200)
-    assert without_report > 4  # 2 x 0.2 of a rate of 0.6 x 20 a second, and the chance
+    assert without_report > 4  # 2 x 0.2 of a rate of 0.6 x 20 per second, plus the random fraction
     whole = 2.0 * 0.2 * 0.6 * 20.0 * front_ends
     part = whole / front_ends
     room = allowed_sends(front_ends, calls=200, sent=0)[0]
@@ -188,15 +188,15 @@
 
 
 @pytest.mark.parametrize("front_ends", [4, 20, 200])
-def test_front_ends_that_all_find_room_at_once_take_it_less_than_twice_over(front_ends):
-    """Nobody has sent anything, all are told so, and all send before the next word."""
+def test_front_ends_that_all_use_unused_capacity_at_once_exceed_it_less_than_twofold(front_ends):
+    """All front ends receive a report that nothing was sent, and all send before the next report."""
     whole = 2.0 * 0.2 * 0.6 * 20.0 * front_ends
     assert front_ends * (allowed_sends(front_ends, calls=200, sent=0)[0] - 1) < 2 * whole
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_all_front_ends_together_keep_a_scorers_slow_start_limit_and_use_more_of_it(seed):
-    """Two of four have calls for it, as many as they may, and all tell each other each 100 ms."""
+    """Two of four front ends send all the calls that they may, and all exchange reports every 100 ms."""
     budget, sent, drives = 2.0 * 0.2 * 0.6 * 20.0 * 4, 0, []
     for n in range(4):
         driver = Drive(
@@ -223,4 +223,4 @@
                     scorer.slow_start_sends.append(driver.now)
                     sent += 1
             driver.now += 100.0
-    assert 2 * (budget / 4 + 1) < sent <= budget + 4  # the guess gives two parts; four cross with a word
+    assert 2 * (budget / 4 + 1) < sent <= budget + 4  # without reports two shares; up to 4 cross
--- a/tests/policy/test_policy_replay.py
+++ b/tests/policy/test_policy_replay.py
@@ -1,8 +1,7 @@
-"""Seeded events of every kind go through the router, and its actions must have the digests noted below.
+"""The router handles seeded events of every type, and its actions must have the digests recorded below.
 
-So a change that is to leave all decisions as they are can be told from one that alters some. Where decisions
-are changed on purpose, ``python tests/policy/test_policy_replay.py`` prints the digests to put in their
-place.
+This detects any change of a decision. After an intended change, run
+``python tests/policy/test_policy_replay.py``, which prints the new digests.
 """
 
 import hashlib
@@ -32,7 +31,8 @@
 CLASS_NAMES = [*CLASSES, "unheard of"]
 FAULTS = ("silent", "slow", "lossy", "full", "broken")
 
-# By setting: the world (workers, zones, functions, calls a second, mean run), then what differs in Settings.
+# By name: the simulated environment (counts, calls per second, mean run time), and the changed Settings.
+# The names seed the random events.
 SETTINGS = {
     "narrow": (
         {"workers": 8, "zones": 2, "functions": 60, "rps": 45.0},
@@ -43,17 +43,18 @@
         {"max_attempts": 4, "quotas_rps": {"t0": 15.0, "t1": 5.0, "t2": 3.0}, "max_retry_after_ms": 700.0},
     ),
     "wide": (
-        {"workers": 18, "zones": 3, "functions": 40, "rps": 30.0, "told": True},
+        {"workers": 18, "zones": 3, "functions": 40, "rps": 30.0, "reports_concurrency": True},
         {"max_attempts": 3, "fleet_size": 60, "quotas_rps": {"t0": 800.0, "t1": 400.0, "t2": 200.0},
          "loads_on_miss": True, "weights_fixed": True, "max_retry_after_ms": 900.0},
     ),
     "wide, asking": (
-        {"workers": 24, "zones": 3, "functions": 15, "rps": 25.0, "told": True, "trouble": 0.02},
+        {"workers": 24, "zones": 3, "functions": 15, "rps": 25.0,
+         "reports_concurrency": True, "fault_share": 0.02},
         {"max_attempts": 4, "fleet_size": 80, "quotas_rps": {"t0": 1500.0, "t1": 500.0},
          "load_window_ms": 4000.0, "free_loads": 12.0, "load_part": 0.2},
     ),
     "restless": (
-        {"workers": 9, "zones": 3, "functions": 90, "rps": 25.0, "roster": 0.02, "pause_ms": 40_000.0},
+        {"workers": 9, "zones": 3, "functions": 90, "rps": 25.0, "roster_share": 0.02, "pause_ms": 40_000.0},
         {"max_attempts": 3, "fleet_size": 3, "cancellation_allowed": False, "idle_life_ms": 4000.0,
          "slow_start_ms": 20_000.0, "slow_start_window_ms": 1500.0, "hedging": False},
     ),
@@ -67,8 +68,7 @@
     "restless": "4727619cf793280f32641ca708ef8495071e17bfbaad9cb43af9f43bfb4d7d51",
 }
 
-# The digests were recorded under these names of actions and fields and with these log lines; what is
-# not listed is as it was.
+# The digests were recorded with these earlier names of actions and fields and these earlier log lines.
 RECORDED_NAMES = {"Reject": "Refuse", "OrderCopies": "Hold", "scorer": "worker"}
 NAME = re.compile(rf"\b({'|'.join(RECORDED_NAMES)})(?=[(=])")
 RECORDED_LINES = (
@@ -81,7 +81,7 @@
 
 
 def recorded(now, actions):
-    """The text of a moment's actions as the digests were recorded: other names for the same decisions."""
+    """The text of the actions at a time, with the names under which the digests were recorded."""
     text = NAME.sub(lambda found: RECORDED_NAMES[found[0]], repr((now, actions)))
     for line, before in RECORDED_LINES:
         text = line.sub(before, text)
@@ -89,7 +89,7 @@
 
 
 class World:
-    """Workers, clients and the roster as the router sees them; all chance is drawn from one seed."""
+    """Scorers, clients and the roster around a router; all random draws come from one seed."""
 
     def __init__(self, name, seed=17):
         world, settings = SETTINGS[name]
@@ -97,13 +97,13 @@
         self.rps, self.run_ms, self.reports_concurrency = (
             world["rps"],
             world.get("run_ms", 80.0),
-            world.get("told", False),
+            world.get("reports_concurrency", False),
         )
-        self.roster, self.trouble = world.get("roster", 0.004), world.get("trouble", 0.01)
+        self.roster_share, self.fault_share = world.get("roster_share", 0.004), world.get("fault_share", 0.01)
         self.pause_ms = world.get("pause_ms", 0.0)
         self.draw, self.now, self.scheduled, self.count = random.Random(f"{name} {seed}").random, 0.0, [], 0
         self.digest, self.seen = hashlib.sha256(), {}
-        self.open, self.attempts_sent, self.closed = {}, {}, set()  # attempts out; sends by request; answered
+        self.open, self.attempts_sent, self.closed = {}, {}, set()  # in flight; sends by request; answered
         self.loaded_copies, self.fault, self.started_ms = {}, {}, {}
         quotas = dict(settings.get("quotas_rps", {}))
         self.router = Router(io.Settings(CLASSES, zone="z0", **{**settings, "quotas_rps": quotas}), seed)
@@ -137,7 +137,7 @@
         return io.ScorerEntry(n, state, "", f"z{n % self.zones}", n % 4, units, up)
 
     def arrive(self):
-        pause = self.pause_ms * (self.draw() < 0.002)  # one that lets copies lapse and functions be forgotten
+        pause = self.pause_ms * (self.draw() < 0.002)  # copies expire, functions are dropped
         self.schedule(pause + 2000.0 * self.draw() / self.rps, self.arrive)
         burst = 1 + (self.draw() < 0.02) * self.random_below(12)
         kept = self.random_below(self.functions)
@@ -153,9 +153,9 @@
             events.append(io.RequestArrived(request, f"f{fn}", kind, tenant, budget, fn % 5, load_ms=load))
             self.schedule(budget if self.draw() < 0.9 else budget * self.draw(), self.leave, request)
         self.feed(*events)
-        if self.draw() < self.trouble:
+        if self.draw() < self.fault_share:
             self.begin_fault()
-        if self.draw() < self.roster:
+        if self.draw() < self.roster_share:
             self.change_roster()
         if self.draw() < 0.002:
             self.limit()
@@ -180,7 +180,7 @@
 
     def change_roster(self):
         n, random_value = 1 + self.random_below(self.workers), self.draw()
-        if random_value < 0.3:  # a restart that is told, or one that is not
+        if random_value < 0.3:  # a restart, which is not always reported
             self.restart(n)
             if self.draw() < 0.7:
                 self.started_ms[n] = self.now
@@ -192,7 +192,7 @@
             self.schedule(
                 1000.0 + (300_000.0 if self.draw() < 0.2 else 9000.0) * self.draw(), self.come_back, n
             )
-        else:  # all of it told anew, less one
+        else:  # the complete roster without one scorer
             entries = [self.entry(i, ScorerState.READY) for i in range(1, self.workers + 1) if i != n]
             self.feed(io.RosterChanged(entries, complete=True))
             self.schedule(2000.0, self.come_back, n)
@@ -300,7 +300,7 @@
         )
         if closed:
             self.closed.add(request)
-        if self.draw() < 0.002:  # told of a call that it does not know, or no longer
+        if self.draw() < 0.002:  # events for an unknown attempt and function
             self.feed(io.AttemptEnded(request, number + 7, scorer, result, 1.0, False))
             self.feed(io.LoadOrderAnswered(scorer, "never called", result, 0, 1.0))
         took, concurrency = self.now - since, self.random_below(4) if self.reports_concurrency else None
--- a/tests/policy/test_policy_roster_lease.py
+++ b/tests/policy/test_policy_roster_lease.py
@@ -1,4 +1,4 @@
-"""Leases on the states of scorers: what proves them, when they end, and which queries renew them."""
+"""Roster leases: what confirms a scorer, when its lease expires, and which queries renew it."""
 
 import itertools
 
@@ -10,18 +10,18 @@
 from fawnwharf.policy.roster_lease import MAX_QUERY_PAUSE_MS, UNCONFIRMED_MS
 
 LEASE_MS = 6_900.0
-CALL_EVERY_MS = 500.0  # so that the copy is never asked for because it is stale
+CALL_EVERY_MS = 500.0  # often enough that the copy is never stale and probed
 
 
 def driver_with_lease(**settings):
-    """A router whose change log has just confirmed the roster, and the scorer that has a copy."""
+    """A driver whose change log has just confirmed the roster, and the scorer that has a copy."""
     driver = Drive(roster_lease_ms=LEASE_MS, **settings)
     driver.feed(io.RosterConfirmed(0.0))
     return driver, driver.warm()
 
 
 def serve(driver, name):
-    """One call that is served at once; its send."""
+    """Serve one call; returns its send."""
     [send] = of(driver.ask(name), io.Send)
     driver.now += 100.0
     driver.end(send)
@@ -29,7 +29,7 @@
 
 
 def serve_until_unconfirmed(driver):
-    """Calls are served while the change log says nothing, until it counts as out of reach."""
+    """Serve calls without a confirmation of the change log, until it counts as out of reach."""
     while driver.now < UNCONFIRMED_MS:
         driver.sweep(driver.now + CALL_EVERY_MS)
         serve(driver, f"at {driver.now}")
@@ -43,7 +43,7 @@
     return of(actions, io.Send) + [order for order in of(actions, io.OrderCopies) if order.copies]
 
 
-def test_nothing_is_proved_at_the_start():
+def test_no_scorer_is_confirmed_at_the_start():
     driver = Drive(roster_lease_ms=LEASE_MS)
     actions = driver.ask("r1")
     assert queries(actions)
@@ -54,7 +54,7 @@
 
 def test_a_send_carries_what_is_left_of_the_lease():
     driver, _ = driver_with_lease()
-    confirmed_ms = driver.now - 100.0  # the last good answer was to a call sent then
+    confirmed_ms = driver.now - 100.0  # the send time of the last call with a good answer
     driver.now += 300.0
     [send] = of(driver.ask("r1"), io.Send)
     assert send.within_ms == pytest.approx(LEASE_MS - (driver.now - confirmed_ms))
@@ -78,7 +78,7 @@
         assert serve(driver, f"at {driver.now}").scorer == warm_scorer
 
 
-def test_a_rejected_call_has_its_scorer_queried_before_it_gets_more():
+def test_a_scorer_that_rejects_a_call_is_queried_before_it_gets_more():
     driver, warm_scorer = driver_with_lease()
     serve_until_unconfirmed(driver)
     [send] = of(driver.ask("r1"), io.Send)
@@ -101,7 +101,7 @@
     assert driver.router._has_lease(driver.router.scorers[send.scorer])
 
 
-def test_a_rejection_by_a_scorer_that_served_nothing_lately_has_it_queried_whatever_the_log_confirms():
+def test_a_rejection_by_a_scorer_that_served_nothing_recently_suspends_its_lease():
     driver, warm_scorer = driver_with_lease()
     driver.now += 300.0
     driver.feed(io.RosterConfirmed(1_000.0))
@@ -117,7 +117,7 @@
     assert driver.router.lease_counters.rejected_queries == 1
 
 
-def test_a_scorer_that_rejects_queries_is_asked_more_and_more_seldom():
+def test_a_scorer_that_rejects_queries_is_queried_less_and_less_often():
     driver, warm_scorer = driver_with_lease(workers=1)
     driver.now += 60_000.0
     query_times_ms = []
@@ -133,7 +133,7 @@
     assert warm_scorer == 1
 
 
-def test_a_scorer_that_rejected_a_query_returns_cold():
+def test_a_scorer_that_rejected_a_query_returns_in_slow_start():
     driver, warm_scorer = driver_with_lease(workers=1)
     driver.now += 60_000.0
     [query] = queries(driver.ask("r1"))
@@ -145,7 +145,7 @@
     assert driver.router._warmth(driver.router.scorers[warm_scorer]) < 0.3
 
 
-def test_a_connection_lost_unseen_by_the_change_log_means_a_cold_return():
+def test_a_connection_reset_while_the_change_log_is_out_of_reach_leads_to_a_slow_start():
     driver, warm_scorer = driver_with_lease(workers=1)
     serve_until_unconfirmed(driver)
     [send] = of(driver.ask("r1"), io.Send)
@@ -155,7 +155,7 @@
     assert driver.router.lease_counters.suspected_restarts == 1
 
 
-def test_a_guessed_start_is_no_earlier_than_a_reported_one():
+def test_an_assumed_start_is_no_earlier_than_a_reported_one():
     driver, warm_scorer = driver_with_lease(workers=1)
     serve_until_unconfirmed(driver)
     [send] = of(driver.ask("r1"), io.Send)
@@ -165,14 +165,13 @@
     driver.feed(
         io.RosterChanged([io.ScorerEntry(warm_scorer, zone="a", up_since_ms=reported_ms)], complete=False)
     )
-    driver.feed(
-        io.LoadOrderAnswered(warm_scorer, "f", AttemptResult.GOOD, 1, 900.0)
-    )  # sent before that start
+    # The answer is to an order sent before that start.
+    driver.feed(io.LoadOrderAnswered(warm_scorer, "f", AttemptResult.GOOD, 1, 900.0))
     assert driver.router.lease_counters.suspected_restarts == 1
     assert driver.router.scorers[warm_scorer].started_ms == reported_ms
 
 
-def test_a_confirmed_roster_serves_what_waits_at_once():
+def test_a_confirmed_roster_serves_queued_requests_at_once():
     driver, warm_scorer = driver_with_lease(workers=1)
     driver.now += 60_000.0
     assert queries(driver.ask("r1"))
@@ -181,7 +180,7 @@
     assert [order.scorer for order in orders] == [warm_scorer]
 
 
-def test_an_old_proof_of_the_change_log_renews_little():
+def test_an_old_confirmation_of_the_change_log_renews_no_lease():
     driver = Drive(roster_lease_ms=LEASE_MS)
     driver.feed(io.RosterConfirmed(LEASE_MS + 1.0))
     assert not new_work(driver.ask("r1"))
--- a/tests/policy/test_policy_roster_lease_limits.py
+++ b/tests/policy/test_policy_roster_lease_limits.py
@@ -1,4 +1,4 @@
-"""Leases beside other parts: a hot restart, work that waits for its connection, and what queries cost."""
+"""Roster leases with a hot restart and with load orders that wait, and the number of queries."""
 
 import pytest
 from bench import Drive, of
@@ -26,14 +26,14 @@
     assert of(new.count(warm_scorer, 1), io.Send)[0].scorer == warm_scorer
 
 
-def test_a_load_order_whose_lease_ended_while_it_waited_is_not_sent_and_a_query_is():
+def test_a_load_order_whose_lease_expired_while_it_waited_is_not_sent_but_a_query_is():
     order, query = (LoadOrder(1, lambda *_: None, "f", copies, monotonic_ms() - 1.0) for copies in (1, 0))
     assert order.is_expired()
     assert not query.is_expired()
 
 
 @pytest.mark.parametrize("scorers", [120, 3_200])
-def test_queries_follow_the_calls_and_not_the_number_of_scorers(scorers):
+def test_the_number_of_queries_depends_on_the_calls_and_not_on_the_scorers(scorers):
     settings = {"fleet_size": 200, "quotas_rps": {"acme": 1_000.0}, "loads_on_miss": True, "max_attempts": 3}
     driver = Drive(workers=scorers, roster_lease_ms=LEASE_MS, **settings)
     driver.feed(io.RosterConfirmed(0.0))
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -1,21 +1,21 @@
-"""The rules, by events: final answers, retries, draining, slow start, the load rate limit, quotas."""
+"""Rules of the router: final answers, retries, draining, slow start, the load rate limit and quotas."""
 
 from bench import Drive, of
 
 from fawnwharf import interface as io
 from fawnwharf.interface import AttemptResult
 
-# --- the ordinary path ---------------------------------------------------------------------
+# --- final answers -------------------------------------------------------------------------
 
 
-def test_no_time_left_is_answered_at_once():
+def test_a_request_without_time_left_is_rejected_at_once():
     driver = Drive()
     actions = driver.ask("r1", budget=0.0)
     assert [a.request for a in of(actions, io.Reject)] == ["r1"]
     assert not of(actions, io.Send)
 
 
-def test_nothing_follows_a_final_answer():
+def test_no_action_follows_the_cancellation_of_a_request():
     driver = Drive()
     driver.warm()
     [send] = of(driver.ask("r1"), io.Send)
@@ -26,7 +26,7 @@
     assert not of(later, io.Fail)
 
 
-# --- rule 2: no effect twice ---------------------------------------------------------------
+# --- retries by class ----------------------------------------------------------------------
 
 
 def test_an_at_most_once_request_is_not_retried_nor_rejected_once_it_may_have_run():
@@ -69,7 +69,7 @@
     assert again.scorer % 2 == send.scorer % 2
 
 
-def test_retries_with_an_idempotency_key_end_with_the_window():
+def test_a_request_with_an_idempotency_key_is_not_retried_after_the_window():
     _, actions, driver = keyed_retry(after=2410)
     actions += driver.sweep(4000)
     assert not of(actions, io.Send)
@@ -77,10 +77,10 @@
     assert len(of(actions, io.Fail)) == 1
 
 
-# --- rule 3: drains ------------------------------------------------------------------------
+# --- draining ------------------------------------------------------------------------------
 
 
-def test_nothing_new_to_a_draining_or_gone_scorer():
+def test_a_draining_or_gone_scorer_gets_no_new_calls_or_loads():
     for state in (io.ScorerState.DRAINING, io.ScorerState.GONE):
         driver = Drive()
         warm_scorer = driver.warm()
@@ -93,7 +93,7 @@
         assert [a for a in of(actions, io.OrderCopies) if a.copies]
 
 
-# --- rule 4: cold workers ------------------------------------------------------------------
+# --- slow start ----------------------------------------------------------------------------
 
 
 def test_a_scorer_in_slow_start_gets_no_more_than_its_limit_in_any_window():
@@ -118,11 +118,11 @@
             driver.count(1, 16)
     times = [now for now, action in driver.log if isinstance(action, io.Send)]
     most = max(sum(start <= t < start + 1000 for t in times) for start in times)
-    # about 90 requests a second arrive at the one worker; it can take 2 x (0.2 to 0.4) of that
+    # About 90 requests per second arrive for the one scorer; the limit is 2 x (0.2 to 0.4) of that.
     assert 1 <= most <= 60
 
 
-def test_sends_to_a_scorer_that_has_warmed_up_are_not_remembered():
+def test_sends_after_the_slow_start_are_not_recorded():
     driver = Drive(workers=1)
     driver.now = 100.0
     driver.feed(io.RosterChanged([io.ScorerEntry(1, zone="a", up_since_ms=50.0)], complete=False))
@@ -141,10 +141,10 @@
     assert not of(driver.ask("r1"), io.Send)
 
 
-# --- rule 5: loads are rationed ------------------------------------------------------------
+# --- load rate limit -----------------------------------------------------------------------
 
 
-def test_load_rate_limit_at_its_edge():
+def test_the_load_rate_limit_allows_exactly_its_number_of_loads():
     driver = Drive(load_window_ms=5000.0, free_loads=2.0, load_part=0.2)
     for n in range(9):
         driver.answer_asks(driver.ask(f"r{n}", fn=f"f{n}"))
@@ -155,10 +155,10 @@
     assert len([a for _, a in driver.log if isinstance(a, io.OrderCopies) and a.copies]) == 4
 
 
-# --- around it -----------------------------------------------------------------------------
+# --- quotas and limits ---------------------------------------------------------------------
 
 
-def test_requests_beyond_the_quota_wait_behind_those_within():
+def test_requests_beyond_the_quota_are_sent_after_those_within_it():
     driver = Drive(quotas_rps={"big": 1.0, "small": 100.0})
     driver.warm()
     [first] = of(driver.ask("r1", tenant="small"), io.Send)
@@ -176,7 +176,7 @@
     assert order.index("s1") < (order.index("b2") if "b2" in order else 9)
 
 
-def test_slow_loads_lower_the_number_under_way_and_timely_ones_raise_it():
+def test_slow_loads_lower_the_limit_on_loads_in_progress_and_timely_ones_raise_it():
     driver = Drive()
     start = driver.router.loads_limit
     loads = of(driver.answer_asks(driver.ask("r1", load_ms=100.0)), io.OrderCopies)
@@ -190,14 +190,14 @@
     assert driver.router.loads_limit > low
 
 
-def test_a_try_with_little_time_is_answered_before_the_next_sweep():
+def test_a_request_with_little_time_is_rejected_before_the_next_sweep():
     driver = Drive(workers=0)
-    driver.ask("r1", budget=2500.0)  # its arrival starts the sweeps
+    driver.ask("r1", budget=2500.0)  # its arrival starts the sweep timer
     driver.now += 1
     assert [a.request for a in of(driver.ask("r2", budget=25.0), io.Reject)] == ["r2"]
 
 
-def test_scorers_that_leave_do_not_raise_the_limit_of_the_others():
+def test_removed_scorers_do_not_raise_the_limit_of_the_others():
     driver = Drive(workers=4, quotas_rps={"t": 40.0})
     before = driver.router.scorers[1].limit
     driver.feed(io.RosterChanged([io.ScorerEntry(n, io.ScorerState.GONE) for n in (2, 3, 4)], complete=False))
@@ -205,7 +205,7 @@
     assert driver.router.scorers[1].limit == before < 20
 
 
-def test_a_limit_rejects_what_goes_beyond_it_at_once_and_can_be_lifted():
+def test_a_limit_rejects_calls_beyond_it_at_once_and_can_be_lifted():
     driver = Drive(max_retry_after_ms=700.0, fleet_size=4)
     driver.warm()
     driver.now += 1000.0
@@ -213,9 +213,8 @@
     rejections = []
     for n in range(6):
         rejections += of(driver.ask(f"r{n}"), io.Reject)
-    assert [rejection.request for rejection in rejections] == [
-        f"r{n}" for n in range(6)
-    ]  # no burst to begin with
+    # The limit does not start with a burst.
+    assert [rejection.request for rejection in rejections] == [f"r{n}" for n in range(6)]
     driver.now += 1000.0
     assert [len(of(driver.ask(f"s{n}"), io.Reject)) for n in range(4)] == [0, 0, 1, 1]
     assert {rejection.hold_off_ms for rejection in rejections} == {700.0}
@@ -223,13 +222,13 @@
     assert not of(driver.ask("r9"), io.Reject)
 
 
-def test_a_limit_of_zero_rejects_all_and_none_was_ever_sent():
+def test_a_limit_of_zero_rejects_every_call():
     driver = Drive()
     driver.feed(io.LimitsChanged(0.0))
     assert [type(action) for action in driver.ask("r1")] == [io.Reject]
 
 
-def test_a_tenants_limit_takes_the_place_of_its_equal_part():
+def test_a_limit_replaces_a_tenants_equal_share_of_its_quota():
     driver = Drive(fleet_size=4, quotas_rps={"t": 40.0, "u": 40.0})
     driver.warm()
 
@@ -240,7 +239,7 @@
             taken.append(driver.router._is_over_quota(tenant))
         return sum(taken)
 
-    assert over("t") > 30  # ten calls a second are its part
+    assert over("t") > 30  # its share is ten calls per second
     driver.feed(io.LimitsChanged(200.0, "t"))
     driver.now += 1000.0
     assert over("t") == 0
@@ -250,7 +249,7 @@
     assert over("t") > 30
 
 
-def test_a_call_while_no_scorer_is_ready_is_queued_and_rejected_also_with_quotas():
+def test_a_call_without_a_ready_scorer_is_queued_and_rejected_with_quotas_too():
     driver = Drive(workers=2, quotas_rps={"t": 100.0})
     driver.feed(io.RosterChanged([], complete=True))
     driver.ask("r1", tenant="t")
--- a/tests/policy/test_policy_shutdown.py
+++ b/tests/policy/test_policy_shutdown.py
@@ -1,11 +1,11 @@
-"""A front end that shuts down answers every request before, however long its client would wait."""
+"""A front end that shuts down answers every request in time, even if its client would wait longer."""
 
 from bench import Drive, of
 
 from fawnwharf import interface as io
 
 WITHIN_MS = 500.0
-SWEEPS_MS = 80.0  # two sweeps of the policy's timer: no final answer may be later than its time
+SWEEPS_MS = 80.0  # two sweep periods: the longest time by which a final answer precedes the deadline
 
 
 def final_answers(actions):
@@ -13,7 +13,7 @@
     return {action.request: type(action) for action in actions if isinstance(action, io.Reject | io.Fail)}
 
 
-def test_open_requests_are_answered_by_the_stated_time_by_what_their_class_allows():
+def test_open_requests_get_the_final_answer_of_their_class_by_the_shutdown_deadline():
     driver = Drive()
     for name, spec in (("a", "safe"), ("b", "unsafe")):
         driver.warm("f-" + spec, spec=spec)
@@ -24,7 +24,7 @@
     assert final_answers(driver.sweep(shutdown_ms + WITHIN_MS)) == {"a": io.Reject, "b": io.Fail}
 
 
-def test_requests_that_come_afterwards_have_the_same_limit():
+def test_requests_that_arrive_during_the_shutdown_have_the_same_deadline():
     driver = Drive()
     driver.warm()
     shutdown_ms = driver.now
@@ -34,7 +34,7 @@
     assert final_answers(driver.sweep(shutdown_ms + WITHIN_MS)) == {"late": io.Reject}
 
 
-def test_one_that_comes_when_the_time_is_over_is_answered_at_once():
+def test_a_request_that_arrives_after_the_shutdown_deadline_is_rejected_at_once():
     driver = Drive()
     driver.warm()
     driver.feed(io.ShutdownStarted(WITHIN_MS))
@@ -42,7 +42,7 @@
     assert final_answers(driver.ask("too-late", budget=2400.0)) == {"too-late": io.Reject}
 
 
-def test_a_shorter_time_of_the_client_and_an_earlier_closing_still_count():
+def test_shorter_client_deadlines_and_an_earlier_shutdown_deadline_stay():
     driver = Drive()
     driver.warm()
     driver.ask("short", spec="short", budget=300.0)
--- a/tests/policy/test_policy_slow_start.py
+++ b/tests/policy/test_policy_slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: what all front ends together may send a scorer that has just started, and what each may.
+"""Slow start: the limits on requests to a scorer that has just started, for all front ends and for each one.
 
-The probability that chance takes them past the bound is computed; then Routers with seeds of their own meet a
-day of restarts and storms, and each window of each cold worker is looked at.
+The probability that all front ends exceed the limit by chance is computed exactly. Then Routers with
+different seeds run through restarts and bursts, and each window of each scorer in slow start is checked.
 """
 
 import math
@@ -37,7 +37,7 @@
 
 
 def probability_of(parts, violation):
-    """The probability that the sum of floor(part + u) over independent draws reaches `past`, exactly."""
+    """The exact probability that the sum of floor(share + u) over independent draws reaches `violation`."""
     whole, chances = sum(math.floor(part) for part in parts), [1.0]
     for part in parts:
         fraction, longer = part % 1.0, [0.0] * (len(chances) + 1)
@@ -49,7 +49,7 @@
 
 
 def share_distributions(mean, front_ends):
-    """The same sum of parts spread evenly and unevenly over front ends."""
+    """Shares with the sum `mean`, distributed evenly and unevenly over front ends."""
     yield [mean / front_ends] * front_ends
     for busy in {1, max(1, front_ends // 5), max(1, front_ends // 2)}:
         rest = front_ends - busy
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("front_ends", [1, 2, 5, 30, 200])
-def test_chance_takes_all_front_ends_past_the_bound_less_than_once_in_a_million(front_ends):
+def test_all_front_ends_exceed_the_limit_by_chance_less_than_once_in_a_million(front_ends):
     for allowed in ALLOWED:
         violation = math.floor(rule(allowed)) + 1
         mean = min(allowed, slow_start.safe_mean(slow_start.least_violation(allowed), front_ends))
@@ -68,31 +68,31 @@
             assert probability_of(parts, violation) <= slow_start.FAILURE_PROBABILITY, (allowed, mean)
 
 
-def test_the_bound_is_the_rules_and_never_falls_as_n_grows():
+def test_the_limit_for_all_follows_its_formula_and_never_decreases_as_n_grows():
     steps = [0.01 * n for n in range(6_000)]
     bounds = [slow_start.bound(allowed) for allowed in steps]
     assert bounds == sorted(bounds)
     assert all(found <= rule(allowed) for found, allowed in zip(bounds, steps, strict=True))
 
 
-def test_few_front_ends_and_large_parts_lose_nothing_to_chance():
+def test_few_front_ends_and_large_shares_may_use_all_of_n():
     for front_ends, allowed in ((1, 0.5), (2, 4.0), (2, 60.0), (5, 20.0), (30, 52.0), (200, 12_000.0)):
         violation = slow_start.least_violation(allowed)
         assert slow_start.safe_mean(violation, front_ends) >= allowed or allowed + front_ends <= violation
 
 
-def run_restarts(fleet, cold):
-    """Scorers leave and come back in slow start, in a storm.
+def run_restarts(fleet, restarted):
+    """Restart scorers and front ends.
 
-    Seven in ten front ends are killed at once, the others a tenth at a time; other scorers come back
-    meanwhile.
+    Seven in ten front ends are killed at once, the others a tenth at a time; other scorers restart in the
+    meantime.
     """
     fleet.start_all_front_ends()
     fleet.run(2_500.0)
-    for scorer in cold:
+    for scorer in restarted:
         fleet.remove_scorer(scorer)
     fleet.run(3_000.0)
-    for scorer in cold:
+    for scorer in restarted:
         fleet.begin_slow_start(scorer)
     fleet.run(4_700.0)
     front_ends = list(range(fleet.front_ends))
@@ -102,7 +102,7 @@
     fleet.run(4_900.0)
     for n in killed:
         fleet.start_front_end(n)
-    late = max(cold) + 1
+    late = max(restarted) + 1
     fleet.remove_scorer(late)
     rest = front_ends[len(killed) :]
     tenth = max(1, len(front_ends) // 10)
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize(
     ("front_ends", "workers", "load"), [(2, 3, 1.2), (2, 3, 3.0), (30, 6, 1.5), (200, 6, 1.5)]
 )
-def test_no_window_holds_more_than_the_bound_on_a_day_of_restarts_and_storms(front_ends, workers, load):
+def test_no_window_exceeds_the_limit_for_all_during_restarts_and_bursts(front_ends, workers, load):
     fleet = Fleet(front_ends, 1, workers=workers, load=load)
     run_restarts(fleet, range(1, workers // 2 + 1))
     windows, most = fleet.check()
@@ -129,10 +129,10 @@
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize(("front_ends", "unanswered_per_call"), [(2, 7), (30, 2), (200, 2)])
 @pytest.mark.parametrize("quota", [0.95, 0.0])
-def test_front_ends_that_all_use_their_whole_part_keep_the_bound(
+def test_front_ends_that_all_use_their_whole_share_keep_the_limit_for_all(
     quota, front_ends, unanswered_per_call, seed
 ):
-    """Uneven traffic, arrivals that swell to eight times what is answered, and front ends that begin anew."""
+    """Uneven traffic, up to eight times as many arrivals as answers, and front ends that restart."""
     fleet = SaturatedFrontEnds(front_ends, seed, quota, unanswered_per_call)
     fleet.run_traffic(3_000.0 if quota else 6_000.0)
     fleet.begin_slow_start(range(1, 6))
@@ -145,8 +145,8 @@
 
 
 @pytest.mark.parametrize("front_ends", [2, 30, 200])
-def test_a_fleet_that_starts_together_with_all_scorers_in_slow_start_serves(front_ends):
-    """For `fall_ms` no front end knows what was sent before its start; then each uses its part."""
+def test_front_ends_that_start_together_with_all_scorers_in_slow_start_serve(front_ends):
+    """For one window no front end knows what was sent before its start; then each uses its share."""
     fleet = Fleet(front_ends, 1, workers=6, load=1.0)
     for scorer in fleet.entries:
         fleet.last_start[scorer] = 0.0
@@ -181,18 +181,18 @@
 
 
 def remaining_sends(driver, scorer=1):
-    """How many more may go there at this moment."""
-    cold, before = driver.router.scorers[scorer], len(driver.router.scorers[scorer].slow_start_sends)
-    while driver.router._within_slow_start_limit(cold) and len(cold.slow_start_sends) < before + 999:
-        cold.slow_start_sends.append(driver.now)
-    count = len(cold.slow_start_sends) - before
+    """The number of requests that may be sent to a scorer now."""
+    starting, before = driver.router.scorers[scorer], len(driver.router.scorers[scorer].slow_start_sends)
+    while driver.router._within_slow_start_limit(starting) and len(starting.slow_start_sends) < before + 999:
+        starting.slow_start_sends.append(driver.now)
+    count = len(starting.slow_start_sends) - before
     for _ in range(count):
-        cold.slow_start_sends.pop()
+        starting.slow_start_sends.pop()
     return count
 
 
 def sends_for(driver, name, fn):
-    """What is sent for a request; a copy stands wherever one is asked after."""
+    """Send a request while every probed scorer has a copy; returns the sends."""
     actions = driver.ask(name, fn)
     sends = of(actions, io.Send)
     for order in of(actions, io.OrderCopies):
@@ -201,7 +201,7 @@
 
 
 def answer_calls(driver, count, span_ms=5_000.0):
-    """So many calls are answered, spread over a time."""
+    """Send and answer `count` calls, spread over `span_ms`."""
     for n in range(count):
         driver.now += span_ms / count
         name = f"a{driver.now}-{n}"
@@ -222,7 +222,7 @@
         {"slow_start_initial_share": 0.0, "slow_start_ms": 0.0, "slow_start_window_ms": 1.0},
     ],
 )  # fmt: skip
-def test_odd_settings_divide_by_nothing_and_keep_to_n(unusual, workers, total_quota, fleet_size):
+def test_unusual_settings_keep_the_limit_and_never_divide_by_zero(unusual, workers, total_quota, fleet_size):
     driver = slow_start_driver(
         workers=workers,
         fleet_size=fleet_size,
@@ -249,16 +249,16 @@
             allowed = settings.slow_start_multiple * share * settings.slow_start_window_ms * capacity
             assert remaining_sends(driver) <= rule(allowed)
         else:
-            assert remaining_sends(driver) == 999  # it is warm, or there is no such rule
+            assert remaining_sends(driver) == 999  # there is no slow start or no limit
 
 
-def test_nothing_goes_to_a_scorer_in_slow_start_before_a_former_incarnations_sends_have_left_the_window():
+def test_no_sends_in_slow_start_until_sends_of_a_previous_incarnation_left_the_window():
     driver = Drive(
         2, loads_on_miss=True, quotas_rps={"t": 4_000.0}, slow_start_window_ms=1_000.0, fleet_size=200
     )
     driver.router.began_ms = math.inf
     driver.now = 5_000.0
-    driver.feed(io.TimerDue(0))  # its first event
+    driver.feed(io.TimerDue(0))  # the first event of the router
     for scorer in (1, 2):
         report_start(driver, scorer, 4_000.0)
     answer_calls(driver, 300, 1_000.0)
@@ -270,18 +270,18 @@
 
 
 @pytest.mark.parametrize(("front_ends", "expected"), [(1, 8), (2, 3), (30, 0), (200, 0)])
-def test_few_front_ends_use_what_the_bound_leaves_beside_what_former_lives_sent(front_ends, expected):
+def test_few_front_ends_use_what_the_limit_leaves_besides_previous_incarnations(front_ends, expected):
     driver = Drive(
         1, loads_on_miss=True, quotas_rps={"t": 50.0}, slow_start_window_ms=1_000.0, fleet_size=front_ends
     )
-    report_start(driver)  # N is 20: 16 more are within the bound
+    report_start(driver)  # N is 20; the limit for all is 16 more
     allowed = 2.0 * 0.2 * 50.0
     assert remaining_sends(driver) == expected
-    violation = math.floor(rule(allowed)) + 1  # each floor exceeds its part by less than one
+    violation = math.floor(rule(allowed)) + 1  # each limit exceeds its share by less than one
     assert allowed + front_ends * (1 + 2 * expected) <= violation or not expected
 
 
-def test_sends_that_crossed_the_news_of_a_start_count_and_earlier_ones_do_not():
+def test_sends_between_a_start_and_its_report_count_and_earlier_ones_do_not():
     for up_since, counted in ((19_500.0, 5), (20_000.0, 0)):
         driver = slow_start_driver(workers=1)
         driver.now = 19_700.0
@@ -291,7 +291,7 @@
         assert len(driver.router.scorers[1].slow_start_sends) == counted
 
 
-def test_a_second_start_forgets_sends_to_the_incarnation_before_it():
+def test_a_second_start_drops_the_sends_to_the_previous_incarnation():
     driver = slow_start_driver(workers=1, quotas_rps={"t": 50.0})
     answer_calls(driver, 100)
     driver.now += 1.0
@@ -301,11 +301,11 @@
     driver.now += 100.0
     report_start(driver, 1)
     assert not driver.router.scorers[1].slow_start_sends
-    report_start(driver, 1, driver.now - 150.0)  # an older word changes nothing
+    report_start(driver, 1, driver.now - 150.0)  # an older start changes nothing
     assert driver.router.scorers[1].started_ms == driver.now
 
 
-def test_all_sends_of_the_window_count_where_a_scorer_came_back_without_copies_unreported():
+def test_all_sends_of_the_window_count_after_an_unreported_restart():
     driver = slow_start_driver(workers=1, quotas_rps={"t": 50.0})
     answer_calls(driver, 1, 10.0)
     driver.now += 200.0
@@ -325,7 +325,7 @@
         AttemptResult.NOT_SENT,
     ],
 )
-def test_each_send_counts_whatever_came_of_it_and_orders_do_not(ending):
+def test_each_send_counts_whatever_its_result_and_load_orders_do_not(ending):
     driver = slow_start_driver(workers=1, quotas_rps={"t": 50.0})
     answer_calls(driver, 100)
     driver.now += 1.0
@@ -338,7 +338,7 @@
     assert len(driver.router.scorers[1].slow_start_sends) == len(sends) >= 1
 
 
-def test_a_draining_scorer_still_counts_in_the_fleet_that_the_quotas_were_sold_for():
+def test_a_draining_scorer_still_counts_in_the_largest_listed_size():
     driver = slow_start_driver(workers=2, quotas_rps={"t": 50.0})
     entries = [
         io.ScorerEntry(1),
@@ -349,10 +349,10 @@
     assert driver.router.largest_listed_size == 3.0
 
 
-def test_answers_of_many_front_ends_with_few_each_do_not_add_up_to_more_than_there_were():
-    """Counted from the first of its samples on, one answer would be a rate of one a second."""
+def test_answer_rates_of_many_front_ends_with_few_answers_each_do_not_add_up_to_too_much():
+    """If it were counted from the first sample on, a single answer would be a rate of one per second."""
     driver = slow_start_driver(fleet_size=200, quotas_rps={"t": 40.0})
     answer_calls(driver, 2, 200.0)
     assert driver.router._answer_rate() == pytest.approx(2 / 10_000.0)
-    answer_calls(driver, 100, 1_000.0)  # more than its samples hold
+    answer_calls(driver, 100, 1_000.0)  # more than the samples can hold
     assert driver.router._answer_rate() == pytest.approx(0.1, rel=0.05)
--- a/tests/support/slow_start_world.py
+++ b/tests/support/slow_start_world.py
@@ -1,4 +1,4 @@
-"""Many front ends' Routers before the same workers, on one virtual clock, with clients that come again."""
+"""Routers of many front ends with the same scorers, on one virtual clock, with clients that retry."""
 
 import heapq
 import math
@@ -10,19 +10,22 @@
 from fawnwharf.policy import Router
 
 SPEC = io.ClassSpec("view", 250.0, 300.0, io.Effect.IDEMPOTENT)
-MAX_IN_FLIGHT = 4  # requests that a worker has at once; more are FULL
-RETRY_DELAY_MS, MAX_TRIES = 100.0, 4  # clients come again after a refusal
+MAX_IN_FLIGHT = 4  # of a scorer; it rejects further requests as FULL
+RETRY_DELAY_MS, MAX_TRIES = 100.0, 4  # of clients, after a rejection
 SLOW_START_MS, INITIAL_SHARE, SLOW_START_WINDOW_MS, SLOW_START_MULTIPLE = 8_000.0, 0.2, 1_500.0, 2.0
 
 
 def rule(allowed):
-    """The bound as the letter has it, written anew here."""
+    """The requests that all front ends may send in a window, where N is `allowed`; not the policy's code."""
     root = math.sqrt(allowed)
     return allowed + 2 * root + 2 if allowed >= 30 else allowed + 3 * root + 3
 
 
 class Fleet:
-    """`front_ends` Routers, as many workers, each of which does `rate` requests a second when warm."""
+    """Routers of `front_ends` front ends, and `workers` scorers.
+
+    Each scorer can serve `rate` requests per second at full capacity.
+    """
 
     def __init__(self, front_ends, seed, workers=8, rate=35.0, quota=0.85, load=1.0, **settings):
         self.random = random.Random(f"{front_ends} {seed}")
@@ -47,59 +50,59 @@
         heapq.heappush(self.scheduled, (self.now + delay_ms, self.count, call, args))
 
     def run(self, until_ms):
-        """Carry out all that falls due until then, in order of time."""
+        """Run the scheduled calls up to a time, in order of time."""
         while self.scheduled and self.scheduled[0][0] <= until_ms:
             self.now, _, call, args = heapq.heappop(self.scheduled)
             call(*args)
         self.now = until_ms
 
     def start_front_end(self, n):
-        """A front end begins from nothing, with the list as it is."""
+        """Start a front end without any learned state, with the current roster."""
         self.incarnations[n] += 1
         settings = io.Settings({"view": SPEC}, **self.settings)
         self.routers[n] = Router(settings, self.random.getrandbits(64))
         self.feed(n, self.incarnations[n], io.RosterChanged(list(self.entries.values()), complete=True))
 
     def start_all_front_ends(self):
-        """Start every front end, and the arrival of requests."""
+        """Start all front ends, and the arrival of requests."""
         for n in range(self.front_ends):
             self.start_front_end(n)
         self.schedule(0.0, self.arrive)
 
     def announce(self, entry, latest_ms=300.0):
-        """A change of the list reaches each front end at a moment of its own."""
+        """Change the roster; each front end receives the change after a random delay up to `latest_ms`."""
         self.entries[entry.scorer] = entry
         for n in range(self.front_ends):
             self.schedule(latest_ms * self.random.random(), self.receive_entry, n, entry)
 
     def receive_entry(self, n, entry):
-        """The front end takes in the entry, unless a newer one stands in its place or it is down."""
+        """Pass an entry to a front end, unless the entry is outdated or the front end is down."""
         if n in self.routers and self.entries[entry.scorer] is entry:
             self.feed(n, self.incarnations[n], io.RosterChanged([entry], complete=False))
 
     def remove_scorer(self, scorer):
-        """A worker goes, and every front end learns it at this moment."""
+        """Remove a scorer; every front end receives this at once."""
         self.announce(io.ScorerEntry(scorer, ScorerState.GONE), latest_ms=0.0)
 
     def begin_slow_start(self, scorer):
-        """A worker starts cold."""
+        """Start a scorer, which begins its slow start."""
         self.last_start[scorer] = self.now
         self.sends[scorer].clear()
         self.announce(io.ScorerEntry(scorer, up_since_ms=self.now))
 
     def kill_front_end(self, n):
-        """A front end ends without warning; what it had open is lost."""
+        """Stop a front end without a shutdown; its open requests are lost."""
         self.incarnations[n] += 1
         self.routers.pop(n, None)
 
     def arrive(self):
-        """A request comes to a front end chosen by uneven weights, and the next one is scheduled."""
+        """Send a request to a front end chosen at random by weight, and schedule the next request."""
         self.schedule(self.random.expovariate(self.load * self.rate * self.workers / 1000.0), self.arrive)
         n = self.random.choices(range(self.front_ends), self.weights)[0]
         self.ask(n, f"f{self.random.randrange(40)}", 1)
 
     def ask(self, n, fn, try_number):
-        """Hand a client's request to a front end; one that is down takes none."""
+        """Send a client's request to a front end; it is lost if the front end is down."""
         if n not in self.routers:
             return
         self.count += 1
@@ -110,14 +113,17 @@
         )
 
     def feed(self, n, incarnation, event):
-        """Hand an event to this life of a front end and carry out its decisions; a former life gets none."""
+        """Pass an event to an incarnation of a front end and carry out its actions.
+
+        Events for previous incarnations are dropped.
+        """
         if self.incarnations[n] != incarnation or n not in self.routers:
             return
         for action in self.routers[n].handle(self.now, [event]):
             self.carry_out(n, action)
 
     def carry_out(self, n, action):
-        """Do what a front end has decided: timers, clients that come again, loads, sends."""
+        """Carry out an action of a front end; a client retries after a rejection."""
         incarnation = self.incarnations[n]
         if isinstance(action, io.SetTimer):
             self.schedule(action.delay_ms, self.feed, n, incarnation, io.TimerDue(action.token))
@@ -134,7 +140,7 @@
             self.send(n, incarnation, action)
 
     def send(self, n, incarnation, send):
-        """A worker takes an attempt, or answers FULL where all its lanes are busy; the end is scheduled."""
+        """Let a scorer run an attempt, or reject it as FULL at the limit, and schedule the end."""
         scorer = send.scorer
         if scorer in self.last_start:
             self.sends[scorer].append(self.now)
@@ -149,22 +155,22 @@
         self.schedule(took, self.end, n, incarnation, send, number, result, took)
 
     def end(self, n, incarnation, send, number, result, took):
-        """The attempt is over, and its front end learns how it ended."""
+        """End an attempt and report the result to its front end."""
         good = result is AttemptResult.GOOD
         self.in_flight[send.scorer] -= good
         self.answered += good
         ended = io.AttemptEnded(send.request, number, send.scorer, result, took, good, Warmth.FOUND)
         self.feed(n, incarnation, ended)
 
-    # --- what must hold -----------------------------------------------------------------------
+    # --- checks ------------------------------------------------------------------------------
 
     def capacity_share(self, scorer, at_ms=None):
-        """The part of its full rate that a worker can do at that moment (by default now)."""
+        """The part of its full rate that a scorer can serve at a time, by default now."""
         age_ms = (self.now if at_ms is None else at_ms) - self.last_start.get(scorer, -math.inf)
         return min(1.0, INITIAL_SHARE + (1 - INITIAL_SHARE) * age_ms / SLOW_START_MS)
 
     def allowed(self, scorer, at_ms):
-        """N at that moment."""
+        """N for a scorer at a time; see slow_start.py."""
         return (
             SLOW_START_MULTIPLE
             * self.capacity_share(scorer, at_ms)
@@ -174,10 +180,10 @@
         )
 
     def check(self):
-        """No window of any worker in slow start holds more than the rule lets it.
+        """Check that no window of any scorer in slow start has more requests than allowed.
 
         Returns:
-            How many windows were looked at, and the largest part of N in one of them.
+            The number of windows checked, and the largest ratio of requests in a window to N.
         """
         windows, most = 0, 0.0
         for scorer, sends in self.sends.items():
@@ -194,9 +200,9 @@
 
 
 class SaturatedFrontEnds:
-    """Front ends that use at each moment all that they may send to cold workers.
+    """Front ends that always send all that they may send to scorers in slow start.
 
-    Calls come unevenly, the warm fleet answers all that it can, and clients that get no answer come again.
+    Calls arrive unevenly at the front ends, and more calls arrive than are answered.
     """
 
     STEP_MS, RATE, SCORERS = 250.0, 35.0, 10
@@ -219,13 +225,16 @@
         self.sends, self.count = defaultdict(list), 0
 
     def router(self):
-        """A new front end's Router, which has the list as it is and no memory."""
+        """The Router of a new front end, with the current roster and no learned state."""
         router = Router(self.settings, self.random.getrandbits(64))
         router.handle(self.now, [io.RosterChanged(list(self.entries), complete=True)])
         return router
 
     def run_traffic(self, until_ms):
-        """Calls to uneven front ends, as many as the fleet can do; `swell` others to each are given up."""
+        """Send as many calls as the scorers can answer, unevenly to front ends.
+
+        With each of them come `unanswered_per_call` calls that get no answer.
+        """
         while self.now < until_ms:
             self.now += self.random.expovariate(self.RATE * self.SCORERS / 1000.0)
             [router] = self.random.choices(self.routers, self.weights)
@@ -233,7 +242,7 @@
                 self.call(router, answered)
 
     def call(self, router, answered):
-        """A request to this front end; its sends are answered if `served`, and then its client leaves."""
+        """Send a request to a front end; its attempts are answered if `answered`, then it is cancelled."""
         self.count += 1
         name, fn = f"r{self.count}", f"f{self.random.randrange(30)}"
         actions = router.handle(self.now, [io.RequestArrived(name, fn, "view", "", 300.0)])
@@ -246,7 +255,7 @@
         router.handle(self.now, [io.RequestCancelled(name)])
 
     def begin_slow_start(self, workers):
-        """These start cold, after a time in which nothing was sent to them."""
+        """Start these scorers, which begin their slow start."""
         self.now += 1.0
         self.began_ms = self.now
         for n in workers:
@@ -257,12 +266,15 @@
             )
 
     def restart(self, part):
-        """Some are killed, and their next lives begin at once."""
+        """Restart a part of the front ends without their learned state."""
         for n in range(int(part * len(self.routers))):
             self.routers[n] = self.router()
 
     def send_all_allowed(self, until_ms):
-        """All send at each step what they may; each window is held against the bound."""
+        """Let all front ends send all that they may at each step, and check every window.
+
+        Returns the largest ratio of requests in a window to N.
+        """
         largest = 0.0
         while self.now < until_ms:
             self.now += self.STEP_MS
