--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -70,7 +70,7 @@
         """Whether a request's class and its earlier attempts allow sending it to this scorer."""
         if any(attempt.scorer == scorer.id and attempt.may_have_run for attempt in request.attempts):
             return False
-        first = request.first_run()
+        first = request.first_possible_run()
         if first is None or request.spec.effect is io.Effect.IDEMPOTENT:
             return True
         group = request.spec.group
@@ -89,7 +89,7 @@
             return False
         if is_in_flight and not self.settings.hedging:
             return False
-        first = request.first_run()
+        first = request.first_possible_run()
         is_safe = first is None or request.spec.effect is io.Effect.IDEMPOTENT
         return is_safe or self._window_left_ms(request) > 0
 
@@ -99,7 +99,7 @@
         A retry must arrive within the deduplication window of the scorers. The window begins when the first
         attempt arrives there; here it is counted from the send of that attempt, to be safe.
         """
-        first = request.first_run()
+        first = request.first_possible_run()
         spec = request.spec
         if first is None or spec.effect is io.Effect.IDEMPOTENT:
             return math.inf
@@ -123,7 +123,9 @@
         retry_after_ms = self.settings.max_retry_after_ms * (request.over_quota or not request.attempts)
         effect = request.spec.effect
         is_deduplicated = effect is io.Effect.DEDUPLICATED and request.spec.group is io.DeduplicationGroup.ALL
-        is_harmless = is_deduplicated or effect is io.Effect.IDEMPOTENT or request.first_run() is None
+        is_harmless = (
+            is_deduplicated or effect is io.Effect.IDEMPOTENT or request.first_possible_run() is None
+        )
         self._close(request)
         self.actions.append(io.Reject(request.id, retry_after_ms) if is_harmless else io.Fail(request.id))
 
@@ -141,8 +143,8 @@
         if sizes != self.members:
             self.members = sizes
         self._refresh_copies()
-        if self.now - self.forgot_ms >= FORGET_MS / 4:
-            self._forget()
+        if self.now - self.last_cleanup_ms >= FORGET_MS / 4:
+            self._drop_unused_state()
         self.ready_size = sum(self._size(scorer) for scorer in self.ready) or 1.0
         self._record_ready_size()
         fleet = sum(sizes.values())
--- a/fawnwharf/policy/health.py
+++ b/fawnwharf/policy/health.py
@@ -34,9 +34,9 @@
 
         A suspect may not, unless most ready scorers are suspects: then the fault is probably on this side.
         """
-        heard = scorer.suspect_ms is None or self.suspects * 2 > len(self.ready)
+        is_responsive = scorer.suspect_ms is None or self.suspects * 2 > len(self.ready)
         may_serve = scorer.takes_new() and self._may_be_in_service(scorer)
-        return heard and may_serve and not (scorer.loss_records and self._is_ejected(scorer, fn))
+        return is_responsive and may_serve and not (scorer.loss_records and self._is_ejected(scorer, fn))
 
     def _record_slowdown(self, scorer: Scorer, runs: float) -> None:
         """Update a scorer's smoothed slowdown by one answer that took `runs` usual run times.
@@ -54,7 +54,7 @@
 
     def _cost(self, scorer: Scorer, fn: Function) -> float:
         """The cost of a run at a scorer, in usual run times; a scorer of another zone costs more."""
-        return max(1.0, self._slowdown_of(scorer)) + FAR_COST * self._is_far(scorer, fn)
+        return max(1.0, self._slowdown_of(scorer)) + FAR_COST * self._is_in_other_zone(scorer, fn)
 
     def _expect_answer(self, scorer: Scorer) -> None:
         """Watch a scorer to which a message was sent that it has to answer."""
@@ -132,13 +132,13 @@
 
     def _probe_zone(self, zone: str) -> None:
         """Probe a whole zone if several of its scorers are silent, before one call at each finds out."""
-        near = [other for other in self.ready if other.entry.zone == zone]
+        zone_scorers = [other for other in self.ready if other.entry.zone == zone]
         unprobed = [
             other
-            for other in near
+            for other in zone_scorers
             if other.suspect_ms is None and other.probed_ms is None and other.last_function
         ]
-        if len(near) - len(unprobed) >= ZONE_PROBES:
+        if len(zone_scorers) - len(unprobed) >= ZONE_PROBES:
             for other in unprobed:
                 self._probe_scorer(other)
 
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -66,20 +66,20 @@
         """The scorer for one more copy: the first without a copy and within its bound, else the first."""
         order = self._rotated_order(fn, fn.queue[0]) + self._ordered(fn)
         # The scorer of the first copy is chosen by hash order alone.
-        order.sort(key=lambda scorer: is_warm and self._is_far(scorer, fn))
-        able = [
+        order.sort(key=lambda scorer: is_warm and self._is_in_other_zone(scorer, fn))
+        candidates = [
             scorer
             for scorer in order
-            if self._may_load_at(fn, scorer, is_warm) and self._serves_any(fn.queue, scorer)
+            if self._may_load_at(fn, scorer, is_warm) and self._may_serve_any(fn.queue, scorer)
         ]
-        if not able:
+        if not candidates:
             return None
-        for scorer in able:
+        for scorer in candidates:
             if not self._copies(fn, scorer) and scorer.in_flight < self._in_flight_bound(scorer, fn):
                 return scorer
-        return able[0]
+        return candidates[0]
 
-    def _serves_any(self, queue: list[Request], scorer: Scorer) -> bool:
+    def _may_serve_any(self, queue: list[Request], scorer: Scorer) -> bool:
         """Whether one of these requests may be sent to a scorer by the rules of its class."""
         return any(self._may_run_at(request, scorer) for request in queue)
 
--- a/fawnwharf/policy/router.py
+++ b/fawnwharf/policy/router.py
@@ -43,8 +43,8 @@
         for event in events:
             if not (cancelled and self._is_cancelled(event, cancelled)):
                 self.handlers[type(event)](self, event)
-        if not self.sweeping and (self.requests or self.attempts):
-            self.sweeping = True
+        if not self.sweep_timer_set and (self.requests or self.attempts):
+            self.sweep_timer_set = True
             self.actions.append(io.SetTimer(state.SWEEP_MS, SWEEP_TOKEN))
         return self.actions
 
@@ -289,7 +289,7 @@
             for request in [due for due in self.requests.values() if self.now >= due.answer_due_ms]:
                 self._finish(request)
             return
-        self.sweeping = False
+        self.sweep_timer_set = False
         self._sweep_requests()
         self._mark_lost_attempts()
         # Older attempts no longer count towards the limit, as they are probably lost.
@@ -334,7 +334,7 @@
             scorer = self._choose_scorer(fn, request)
             if scorer is not None:
                 self._send(request, scorer)
-            elif request.first_run() is None:
+            elif request.first_possible_run() is None:
                 # It may run at any scorer and still can't be sent, so the less urgent ones can't either.
                 break
 
@@ -350,7 +350,7 @@
             function=fn,
             sent_ms=self.now,
             is_uncrowded=scorer.in_flight < 2,
-            warm_candidates=max(1, sum(one.id in fn.copies_by_scorer for one in fn.hash_order[: fn.spread])),
+            warm_candidates=max(1, sum(one.id in fn.copies_by_scorer for one in fn.order[: fn.spread])),
             zone=scorer.entry.zone,
             cell=scorer.entry.cell,
         )
@@ -365,7 +365,7 @@
         scorer_copies.seen_ms = self.now
         self._count_send(scorer)
         self._expect_answer(scorer)
-        self._note_trial(fn, scorer)
+        self._record_trial(fn, scorer)
         if (
             scorer_copies.idle_since_ms is not None
             and scorer_copies.in_flight > scorer_copies.lanes_without_it
@@ -375,7 +375,7 @@
             scorer_copies.idle_since_ms = None
         self.actions.append(io.Send(request.id, scorer.id, within_ms))
 
-    def _note_trial(self, fn: Function, scorer: Scorer) -> None:
+    def _record_trial(self, fn: Function, scorer: Scorer) -> None:
         """Record a send that tries a scorer after its ejection; the next ejection lasts twice as long."""
         record = scorer.loss_records.get(fn.kind)
         if record is not None and record.losses >= health.EJECTION_LOSSES:
--- a/fawnwharf/policy/routing.py
+++ b/fawnwharf/policy/routing.py
@@ -28,14 +28,12 @@
                 scorer: math.log((mix_bits(fn.hash_bits ^ scorer.hash_bits) + 1) / (2**64 + 1))
                 for scorer in self.ready
             }
-            fn.hash_order = sorted(
-                drawn, key=lambda scorer: (-drawn[scorer] / self.members[scorer.id], scorer.id)
-            )
-            fn.hash_order.sort(key=lambda scorer: fn.site != "" and self._is_far(scorer, fn))
+            fn.order = sorted(drawn, key=lambda scorer: (-drawn[scorer] / self.members[scorer.id], scorer.id))
+            fn.order.sort(key=lambda scorer: fn.site != "" and self._is_in_other_zone(scorer, fn))
             fn.hash_order_sizes = self.members
             fn.known = None
-            self._apply_remote_load(fn, fn.hash_order)
-        return fn.hash_order
+            self._apply_remote_load(fn, fn.order)
+        return fn.order
 
     def _known_scorers(self, fn: Function) -> list[Scorer]:
         """The scorers with an entry for a function in hash order, those of the near zone first."""
@@ -43,7 +41,7 @@
         if fn.known is None:
             fn.known = sorted(
                 (scorer for scorer in order if scorer.id in fn.copies_by_scorer),
-                key=lambda scorer: self._is_far(scorer, fn),
+                key=lambda scorer: self._is_in_other_zone(scorer, fn),
             )
         return fn.known
 
@@ -72,7 +70,7 @@
         scorer_copies = self._copies_at(fn, scorer)
         if not self._is_usable(scorer, fn) or self._copies(fn, scorer):
             return
-        # With many front ends, a call that finds no copy begins its load, so no probe is needed.
+        # With many front ends and loads on a miss, calls load a missing copy, so no probe is needed.
         calls_find_out = self.many_front_ends and self.settings.loads_on_miss
         if not self.settings.load_orders_allowed or calls_find_out:
             scorer_copies.copies = 1
@@ -81,12 +79,13 @@
             self._probe(fn, scorer)
 
     def _rotated_order(self, fn: Function, request: Request) -> list[Scorer]:
-        """The scorers that a function spreads over, rotated to start at one that the request's bits select.
+        """The scorers that a function spreads over, rotated to start at a randomly chosen one.
 
-        With many front ends it is the one with the lower cost of two random choices.
+        With many front ends, two scorers are chosen, and the one with the lower cost comes first. The choice
+        depends on the request's random bits alone.
         """
         preferred = (scorer for scorer in self._ordered(fn) if self._is_preferred(scorer, fn))
-        order = list(islice(preferred, fn.spread)) or fn.hash_order[: fn.spread]
+        order = list(islice(preferred, fn.spread)) or fn.order[: fn.spread]
         starts = [
             random_bits % len(order)
             for random_bits in (request.random_bits, request.random_bits >> 32)
@@ -104,10 +103,12 @@
         decay = math.exp((max(fn.last_ms, default=self.now) - self.now) / state.DECAY_MS)
         fn.arrived *= decay
         fn.reported_concurrency *= decay
-        rate = self._discounted(fn.arrived) / min(state.DECAY_MS, self.now - self.began_ms + REFRESH_MS)
+        rate = self._without_random_excess(fn.arrived) / min(
+            state.DECAY_MS, self.now - self.began_ms + REFRESH_MS
+        )
         if len(fn.last_ms) == state.BURST_ARRIVALS:
             burst_ms = max(self.now - fn.last_ms[0], REFRESH_MS)
-            rate = max(rate, self._discounted(state.BURST_ARRIVALS) / burst_ms)
+            rate = max(rate, self._without_random_excess(state.BURST_ARRIVALS) / burst_ms)
         demand = max(rate * self.front_ends * self._run_time_ms(fn), fn.reported_concurrency)
         # The mean limit is 0 if no scorer is ready.
         share = min(SPREAD_LANE_SHARE * fn.lanes, SPREAD_CAPACITY_SHARE * self.mean_concurrency_limit or 1.0)
@@ -116,9 +117,9 @@
         fn.needed_ms = self.now
         fn.last_ms.append(self.now)
 
-    def _discounted(self, seen: float) -> float:
+    def _without_random_excess(self, arrivals: float) -> float:
         """Arrivals, less one standard deviation where many front ends would multiply a random excess."""
-        return max(0.0, seen - math.sqrt(seen)) if self.many_front_ends else seen
+        return max(0.0, arrivals - math.sqrt(arrivals)) if self.many_front_ends else arrivals
 
     def _is_warm(self, fn: Function) -> bool:
         """Whether a usable scorer has a copy of the function."""
@@ -127,10 +128,10 @@
         )
 
     def _choose_scorer(self, fn: Function, request: Request) -> Scorer | None:
-        """The first candidate that has a free lane and is within its bound; None if no candidate has a lane.
+        """The first candidate with a free lane within its in-flight bound; None if there is no free lane.
 
-        If all of those with a free lane are beyond their bounds, the one with the fewest requests in flight.
-        No call crosses zones while a copy in the near zone is probed, at the cost of one round trip.
+        If every candidate with a free lane is beyond its bound, the one with the fewest requests in flight is
+        chosen. No call crosses zones while a copy in the near zone is probed; this costs one round trip.
         """
         is_in_flight = any(attempt.open for attempt in request.attempts)
         part = 1.0
@@ -145,7 +146,7 @@
         is_probing = False
         queried = 0
         for scorer in candidates:
-            if is_probing and self._is_far(scorer, fn):
+            if is_probing and self._is_in_other_zone(scorer, fn):
                 break
             scorer_copies = fn.copies_by_scorer[scorer.id]
             if self._has_free_lane(fn, scorer_copies, scorer) and self._may_send_here(request, scorer, part):
@@ -172,7 +173,7 @@
             or self._copies(fn, scorer) * fn.lanes <= scorer_copies.in_flight
         ):
             return False
-        # If all lanes of some copies are busy, only a reported number shows that another copy is loaded.
+        # With attempts in flight, only a reported number of copies shows that one more lane is free.
         evidence_ms = scorer_copies.counted_ms if scorer_copies.in_flight else scorer_copies.seen_ms
         is_sure = (
             scorer_copies.in_flight % fn.lanes > 0
@@ -189,7 +190,7 @@
     def _in_flight_bound(self, scorer: Scorer, fn: Function) -> float:
         """Bound on this front end's requests in flight at a scorer: a multiple of its fair share."""
         fair = (len(self.attempts) + 1) * self._size(scorer) / self.ready_size
-        factor = FAR_BOUND_FACTOR if self._is_far(scorer, fn) else NEAR_BOUND_FACTOR
+        factor = FAR_BOUND_FACTOR if self._is_in_other_zone(scorer, fn) else NEAR_BOUND_FACTOR
         return max(MIN_IN_FLIGHT_BOUND * self._warmth(scorer), factor * fair)
 
     def _is_preferred(self, scorer: Scorer, fn: Function) -> bool:
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -57,18 +57,18 @@
 
     def __init__(self) -> None:
         self.timed = deque[tuple[float, float]](maxlen=MAX_SAMPLES)
-        self.at_ms = -math.inf
-        self.value: float | None = None
+        self.computed_ms = -math.inf
+        self.cached_median: float | None = None
 
     def median(self, now_ms: float) -> float | None:
         """The median; None if there are no values."""
-        if now_ms - self.at_ms >= SWEEP_MS:
+        if now_ms - self.computed_ms >= SWEEP_MS:
             while self.timed and self.timed[0][0] < now_ms - SAMPLE_WINDOW_MS:
                 self.timed.popleft()
             values = sorted(value for _, value in self.timed)
-            self.value = values[len(values) // 2] if values else None
-            self.at_ms = now_ms
-        return self.value
+            self.cached_median = values[len(values) // 2] if values else None
+            self.computed_ms = now_ms
+        return self.cached_median
 
 
 @dataclass(slots=True, eq=False)
@@ -121,7 +121,7 @@
     """A function's copies at one scorer, and the load orders and probes for them."""
 
     copies: int = 0  # as last reported or assumed; see `RouterState._copies`
-    seen_ms: float = -math.inf  # when `copies` was last confirmed or set
+    seen_ms: float = -math.inf  # when a copy was last used, or their number reported or assumed
     counted_ms: float = -math.inf  # when an answer last reported their number
     in_flight: int = 0  # attempts of this front end
     open_probes: int = 0  # unanswered probes
@@ -167,7 +167,7 @@
     answer_due_ms: float  # time at which the front end answers by itself if no scorer has
     attempts: list[Attempt] = field(default_factory=list)
 
-    def first_run(self) -> Attempt | None:
+    def first_possible_run(self) -> Attempt | None:
         """The first attempt that may have run; None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
@@ -183,7 +183,7 @@
     hash_bits: int  # 64-bit hash of its name
     queue: list[Request] = field(default_factory=list)
     copies_by_scorer: dict[int, ScorerCopies] = field(default_factory=dict)
-    hash_order: list[Scorer] = field(default_factory=list)  # scorers in hash order
+    order: list[Scorer] = field(default_factory=list)  # scorers in hash order
     hash_order_sizes: dict[int, float] | None = None  # the `RouterState.members` of that order
     known: list[Scorer] | None = None  # cached: the scorers with an entry in `copies_by_scorer`
     runs: Samples = field(default_factory=Samples)  # run times; Te of the CIDRE paper
@@ -308,9 +308,9 @@
         self.stretch_ms = settings.load_window_ms or ARRIVAL_WINDOW_MS  # window in which arrivals are counted
         self.shutdown_deadline_ms = math.inf  # of a graceful shutdown: every request is answered by then
         # The sweep timer and the periodic work.
-        self.sweeping = False  # the sweep timer is set
+        self.sweep_timer_set = False
         self.refreshed_ms = -math.inf
-        self.forgot_ms = -math.inf
+        self.last_cleanup_ms = -math.inf
 
     def _run_time_ms(self, fn: Function) -> float:
         """The median run time of a function; of all functions if it has no samples. Te of the paper."""
@@ -338,7 +338,7 @@
             fn.known = None
         return fn.copies_by_scorer[scorer.id]
 
-    def _is_far(self, scorer: Scorer, fn: Function) -> bool:
+    def _is_in_other_zone(self, scorer: Scorer, fn: Function) -> bool:
         """Whether the scorer is outside the zone that is near for the function; such calls cost more."""
         return scorer.entry.zone != (fn.site or self.settings.zone)
 
@@ -351,7 +351,7 @@
         fn = self.functions.get(event.function)
         if fn is None:
             if len(self.functions) >= MAX_FUNCTIONS:
-                self._forget()
+                self._drop_unused_state()
             name = event.function
             fn = Function(name, event.class_name, max(1, event.lanes), event.load_ms, mark(name))
             self.functions[name] = fn
@@ -369,12 +369,12 @@
                 scorer_copies.copies = max(copies, self._copies(fn, scorer))
                 scorer_copies.seen_ms = scorer.remote_load_ms
 
-    def _forget(self) -> None:
+    def _drop_unused_state(self) -> None:
         """Drop the state of functions and scorers that were not used for `FORGET_MS`, to bound the memory.
 
         If there are too many functions, the ones not called for longest are dropped as well.
         """
-        self.forgot_ms = self.now
+        self.last_cleanup_ms = self.now
         past_ms = self.now - FORGET_MS
         last_functions = {scorer.last_function for scorer in self.scorers.values()}
         surplus = MAX_FUNCTIONS // 2 if len(self.functions) >= MAX_FUNCTIONS else 0
@@ -387,9 +387,9 @@
             if scorer.entry.state is io.ScorerState.GONE:
                 scorer.gone_ms = scorer.gone_ms or self.now
                 if scorer.gone_ms < past_ms and not scorer.in_flight:
-                    self._forget_scorer(scorer.id)
+                    self._drop_scorer(scorer.id)
 
-    def _forget_scorer(self, number: int) -> None:
+    def _drop_scorer(self, number: int) -> None:
         """Drop the state of a scorer that is gone, and of the copies there."""
         self.scorers.pop(number, None)
         self.watched.pop(number, None)
