--- a/fawnwharf/policy/admission.py
+++ b/fawnwharf/policy/admission.py
@@ -57,8 +57,8 @@
         The drawback is that the client does not get the late answer that might have come.
         """
         half_ms = request.arrived_ms + GIVE_UP_PART * (request.deadline_ms - request.arrived_ms)
-        is_past = request.over_quota or self.now + SWEEP_MS + ANSWER_LEAD_MS >= half_ms
-        return is_past and not request.attempts and self._is_late(request)
+        may_give_up = request.over_quota or self.now + SWEEP_MS + ANSWER_LEAD_MS >= half_ms
+        return may_give_up and not request.attempts and self._is_late(request)
 
     def _may_send_here(self, request: Request, scorer: Scorer, part: float) -> bool:
         """Whether a request may be sent to a scorer now, if it may use `part` of the scorer's limit."""
@@ -147,13 +147,15 @@
             self._drop_unused_state()
         self.ready_size = sum(self._size(scorer) for scorer in self.ready) or 1.0
         self._record_ready_size()
-        fleet = sum(sizes.values())
+        full_size = sum(sizes.values())
         draining = [
             scorer for scorer in self.scorers.values() if scorer.entry.state is io.ScorerState.DRAINING
         ]
-        self.largest_fleet = max(self.largest_fleet, fleet)
+        self.largest_fleet = max(self.largest_fleet, full_size)
         self.largest_listed_size = max(
-            self.largest_listed_size, self.largest_fleet, fleet + sum(map(self._configured_size, draining))
+            self.largest_listed_size,
+            self.largest_fleet,
+            full_size + sum(map(self._configured_size, draining)),
         )
         self.refreshed_ms = self.now
         self._refresh_scorer_limits()
@@ -189,8 +191,8 @@
             self.max_slowdown = health.OUTLIER_SLOWDOWN * slowdowns[len(slowdowns) // 2]
         self.silence_limit_ms = health.LOST_RUNS * (self.runs.median(self.now) or 200.0)
         # With more requests in flight, all of them would be late.
-        in_time = self.total_quota_per_ms * self.latency_target_ms * MAX_LATE_PART / self.front_ends
-        self.limit = self._with_margin(in_time or math.inf)
+        mean_in_flight = self.total_quota_per_ms * self.latency_target_ms * MAX_LATE_PART / self.front_ends
+        self.limit = self._with_margin(mean_in_flight or math.inf)
 
     def _configured_size(self, scorer: Scorer) -> float:
         """A scorer's full size: the one in the roster if the settings say that it is reliable, else 1."""
--- a/fawnwharf/policy/loads.py
+++ b/fawnwharf/policy/loads.py
@@ -18,8 +18,9 @@
 INITIAL_LOADS = 8.0
 MIN_LOADS = 2.0
 MAX_LOADS = 24.0
-ORDER_TRANSIT_MS = 150.0  # longest time from a load order here to its arrival at the scorer
-MAX_COPIES = 16  # of a function at one scorer; no further copy is ordered
+# Longest time from a load order to its arrival at the scorer: it waits for a connection, then travels.
+ORDER_TRANSIT_MS = 150.0
+MAX_COPIES = 16  # highest number of copies that an order asks for
 BLOCK_MS = 1_000.0  # after a failed or rejected load, the scorer gets no load of the function for this long
 SLOW_LOAD_FACTOR = 2.5  # a load slower than usual by this factor shows that the store is overloaded
 REFRESH_LIFETIMES = 3.0  # copies are refreshed for this many idle lifetimes after the last call
@@ -50,10 +51,10 @@
         for _ in range(math.ceil(waiting / fn.lanes) - pending):
             if not self._may_load():
                 return
-            scorer = self._place_for_load(fn, is_warm)
+            scorer = self._scorer_for_load(fn, is_warm)
             if scorer is None:
                 continue
-            if not self._has_lease(scorer):  # it may be draining, and must get no load order then
+            if not self._has_lease(scorer):  # if it drains unreported, a load order would disturb the drain
                 self._query_state(fn, scorer)
                 return
             self._load(fn, scorer, is_warm)
@@ -62,7 +63,7 @@
         """Whether a request counts towards a further copy; low-priority ones don't if a copy is loaded."""
         return not (is_warm and (request.over_quota or (self.many_front_ends and self._is_late(request))))
 
-    def _place_for_load(self, fn: Function, is_warm: bool) -> Scorer | None:
+    def _scorer_for_load(self, fn: Function, is_warm: bool) -> Scorer | None:
         """The scorer for one more copy: the first without a copy and within its bound, else the first."""
         order = self._rotated_order(fn, fn.queue[0]) + self._ordered(fn)
         # The scorer of the first copy is chosen by hash order alone.
@@ -126,10 +127,12 @@
                 if scorer_copies.idle_since_ms is not None
             ]
             # With many front ends, others use the copy too.
-            flips = max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.many_front_ends
+            is_switched = (
+                max([fn.idle_ms, *unused]) > self._run_time_ms(fn) * self.front_ends**self.many_front_ends
+            )
         else:
-            flips = max(waited_ms, fn.waits.median(self.now) or 0.0) > self._load_time_ms(fn)
-        if flips:
+            is_switched = max(waited_ms, fn.waits.median(self.now) or 0.0) > self._load_time_ms(fn)
+        if is_switched:
             fn.load_path = not fn.load_path
             fn.idle_ms = 0.0
             fn.waits = Samples()
--- a/fawnwharf/policy/roster_lease.py
+++ b/fawnwharf/policy/roster_lease.py
@@ -122,7 +122,8 @@
     def _note_rejection(self, scorer: Scorer, sent_ms: float) -> None:
         """Suspend the lease of a scorer that rejected a message sent at `sent_ms`.
 
-        The lease stays if the scorer was confirmed shortly before: then the scorer is full, not draining.
+        While the change log is in reach, the lease stays if the scorer was confirmed shortly before, because
+        the scorer is then full and not draining. It stays as well if no query could renew it.
         """
         if self._is_roster_confirmed():
             is_serving = self.now - scorer.confirmed_ms < RECENT_CONFIRMATION_MS
--- a/fawnwharf/policy/state.py
+++ b/fawnwharf/policy/state.py
@@ -358,7 +358,7 @@
         return fn
 
     def _apply_remote_load(self, fn: Function, scorers: list[Scorer]) -> None:
-        """Apply the copies that other front ends reported, as if an answer had reported them then."""
+        """Record the copies that other front ends reported, as if an answer had reported them then."""
         for scorer in scorers:
             report = scorer.remote_load
             if fn.name not in report.copies and fn.name not in report.loading:
--- a/tests/policy/test_policy_fleet.py
+++ b/tests/policy/test_policy_fleet.py
@@ -68,9 +68,9 @@
                 (driver.now, s.scorer) for s in answer_with_copies(driver, driver.ask(f"r{n}", tenant="t"))
             ]
     # Each of 100 front ends may send one or two requests per second: at most about 100 per scorer.
-    most = Counter(scorer for _, scorer in sent).most_common(1)[0][1]
+    largest_count = Counter(scorer for _, scorer in sent).most_common(1)[0][1]
     rate = 100 * 10 / 20  # requests per second and scorer, as far as the arrivals show
-    assert 0 < most <= 2.0 * 0.28 * rate
+    assert 0 < largest_count <= 2.0 * 0.28 * rate
 
 
 def test_a_scorer_without_capacity_is_avoided_for_some_time():
@@ -81,10 +81,10 @@
     driver.now += 60_000.0  # so rarely called that one scorer is enough
     [send] = answer_with_copies(driver, driver.ask("full", tenant="t"))
     assert send.scorer == warm_scorer
-    again = answer_with_copies(driver, driver.end(send, AttemptResult.FULL, closed=False))
-    again += answer_with_copies(driver, driver.sweep(driver.now + 200))
-    assert [(a.request, a.scorer != warm_scorer) for a in again] == [("full", True)]
-    driver.end(again[0], attempt=1)
+    retries = answer_with_copies(driver, driver.end(send, AttemptResult.FULL, closed=False))
+    retries += answer_with_copies(driver, driver.sweep(driver.now + 200))
+    assert [(a.request, a.scorer != warm_scorer) for a in retries] == [("full", True)]
+    driver.end(retries[0], attempt=1)
     driver.now += 700.0
     sends = answer_with_copies(driver, driver.ask("next", tenant="t"))
     sends += answer_with_copies(driver, driver.sweep(driver.now + 200))
--- a/tests/policy/test_policy_remote_load.py
+++ b/tests/policy/test_policy_remote_load.py
@@ -173,10 +173,16 @@
     assert without_report > 4  # 2 x 0.2 of a rate of 0.6 x 20 per second, plus the random fraction
     whole = 2.0 * 0.2 * 0.6 * 20.0 * front_ends
     part = whole / front_ends
-    room = allowed_sends(front_ends, calls=200, sent=0)[0]
-    assert int(part + (whole - part) / front_ends) <= room <= int(part + (whole - part) / front_ends + 1)
-    for unsure in ({"sent": None}, {"sent": 0, "age_ms": SLOW_START_WINDOW_MS}, {"sent": 500, "age_ms": 2e3}):
-        assert allowed_sends(front_ends, calls=200, **unsure) == [without_report, later]
+    with_report = allowed_sends(front_ends, calls=200, sent=0)[0]
+    assert (
+        int(part + (whole - part) / front_ends) <= with_report <= int(part + (whole - part) / front_ends + 1)
+    )
+    for unusable_report in (
+        {"sent": None},
+        {"sent": 0, "age_ms": SLOW_START_WINDOW_MS},
+        {"sent": 500, "age_ms": 2e3},
+    ):
+        assert allowed_sends(front_ends, calls=200, **unusable_report) == [without_report, later]
     by_sent = [allowed_sends(front_ends, calls=200, sent=sent)[0] for sent in range(0, int(whole) + 9, 3)]
     assert by_sent == sorted(by_sent, reverse=True)
     assert by_sent[-1] == 0
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -64,9 +64,9 @@
 
 def test_a_retry_with_an_idempotency_key_stays_in_its_group():
     send, actions, _ = keyed_retry(after=100)
-    [again] = of(actions, io.Send)
-    assert again.scorer != send.scorer
-    assert again.scorer % 2 == send.scorer % 2
+    [retry] = of(actions, io.Send)
+    assert retry.scorer != send.scorer
+    assert retry.scorer % 2 == send.scorer % 2
 
 
 def test_a_request_with_an_idempotency_key_is_not_retried_after_the_window():
