--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -1,4 +1,4 @@
-"""The front end as an embeddable object: its components, connected to one Router."""
+"""The front end as an embeddable object: the network components connected to one Router."""
 
 import hashlib
 import signal
@@ -25,12 +25,13 @@
 from fawnwharf.policy import Router
 
 MAINTENANCE_MS = 250.0  # between checks for idle and silent connections
-ROSTER = "roster"  # the reason of a front end that knows no scorer in service for not being ready
-MAX_ROSTER_WAIT_MS = 4_000.0  # ready within 6 s also where the change log is down and no scorer is known
-ROSTER_SCAN_MS = 20.0
-# Keys that a reload leaves alone.
+NOT_READY_NO_SCORER = "roster"  # the reason for not being ready while no scorer in service is known
+# A front end must be ready within 6 s even if the change log is down and no scorer is known.
+MAX_ROSTER_WAIT_MS = 4_000.0
+ROSTER_SCAN_MS = 20.0  # between checks for the first scorer in service
+# Configuration keys that a reload does not apply.
 START_ONLY_KEYS = ("name", "listen", "control", "memory_mb", "sockets", "settings", "wire")
-AFTER_ERROR_MS = 40.0  # until the router's timer is set again, where an error may have lost it
+TIMER_RETRY_MS = 40.0  # until the router gets a timer event after an error that may have lost its timer
 
 ActionHandler = Callable[[Any], object]
 STATES = {
@@ -51,7 +52,7 @@
 
 
 def scorer_number(name: str) -> int:
-    """The number of a scorer: the same at every front end, so that all compute the same hash orders."""
+    """Return a scorer's number, which is the same at every front end so that all hash the scorers alike."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
@@ -75,7 +76,7 @@
 
     @property
     def has_handoff_in_progress(self) -> bool:
-        """Whether a hand-off is still going on."""
+        """Whether a hand-off is still in progress."""
 
     def start(self) -> None:
         """Start; called once, before connections are accepted."""
@@ -85,22 +86,25 @@
 
 
 class Extension(LifecycleComponent, Protocol):
-    """A subsystem that observes the endpoint list and every batch of events.
+    """A subsystem that observes the roster and every batch of events.
 
     It takes scorers out of service with a filter over the roster (`RosterOverlay.set_filter`).
     """
 
     def on_fleet(self, fleet: Fleet) -> None:
-        """Called with each change of the endpoint list, after the front end has applied it."""
+        """Handle a change of the roster, after the front end has applied it."""
 
     def on_events(self, events: list[io.Event]) -> None:
-        """Called with each batch of events, before the router decides on it."""
+        """Handle a batch of events, before the router decides on it."""
 
     def suspend(self) -> None:
-        """Close what only one process may hold, because another process takes it."""
+        """Close the resources that only one process may hold, because another process takes over."""
 
     def resume(self, front: "FrontEnd") -> None:
-        """Start again because that process has ended; raises ConfigError while it still holds something."""
+        """Start again after the other process has ended.
+
+        Raises ConfigError while that process still holds a resource.
+        """
 
     @property
     def busy(self) -> bool:
@@ -118,34 +122,35 @@
         extension: Extension | None = None,
         listener: socket.socket | None = None,
     ) -> None:
-        """Create all components; nothing is accepted before `start`.
+        """Create all components; no connection is accepted before `start`.
 
-        `reread` returns the configuration again at each SIGHUP; without it, SIGHUP changes nothing.
+        `reread` reads the configuration again at each SIGHUP; without it, SIGHUP changes nothing.
         `extension` observes the roster and each batch. `listener` is inherited from another process.
         """
         self.deployment, self._reread_configuration, self._extension = deployment, reread, extension
         self.log = log or LogWriter(deployment.name or "fawnwharf")
         settings, wire, sockets = deployment.settings, deployment.wire, deployment.sockets
         self.loop = EventLoop(self._decide, self.log)
-        # A copy: the router changes its settings when a class or a limit changes.
-        own = replace(
+        # The router gets a copy, because it changes its settings when a class or a limit changes.
+        router_settings = replace(
             settings,
             classes=dict(settings.classes),
             quotas_rps=dict(settings.quotas_rps),
             roster_lease_ms=ROSTER_LEASE_MS,
         )
-        self.router = Router(own, deployment.seed)
+        self.router = Router(router_settings, deployment.seed)
         self.scorer_pool = ScorerPool(self.loop, wire, scorer_descriptors(sockets), deployment.seed, self.log)
         self.requests = RequestTable(self.loop, self.scorer_pool, wire, settings.classes)
-        self._pending_change: io.RosterChanged | None = None  # already in the next batch
+        self._pending_change: io.RosterChanged | None = None  # the one that is already in the next batch
         self.roster_overlay, self.start_times = RosterOverlay(), ScorerStartTimes()
-        self._call_limits: dict[str, float] = {}  # by name of the component that set it, per second
+        self._call_limits: dict[str, float] = {}  # calls per second, by the name of the component that set it
         self.change_log = ChangeLog(self.loop, deployment.changelog, 0, self._on_fleet_event, self.log)
         self.change_log.confirm = self._on_roster_confirmed
         self.roster_confirmation = RosterConfirmation(self.router.lease_counters, self.log, monotonic_ms())
         self._apply_known_events()
         if not settings.load_orders_allowed:
-            # No query can prove that a scorer is in service: `known` has to do, as written for this start.
+            # Without load orders no query can prove that a scorer is in service. The configuration's known
+            # events, which were written for this start, are accepted as the proof.
             self._on_roster_confirmed(monotonic_ms())
         self.client_port = ClientPort(
             self.loop, _client_port_settings(deployment), self.requests, self.log, listener
@@ -157,7 +162,7 @@
         self.admin: OperatorsComponent | None = None
 
     def _default_handlers(self) -> dict[type, ActionHandler]:
-        """The handler of each kind of action before any interception."""
+        """Return the handler of each kind of action before any interception."""
         return {
             io.Send: self.requests.send,
             io.Cancel: self.requests.cancel,
@@ -170,7 +175,7 @@
 
     @property
     def extension(self) -> Extension | None:
-        """The subsystems that observe this front end; None where there are none."""
+        """The subsystem that observes this front end, if any."""
         return self._extension
 
     @property
@@ -198,9 +203,8 @@
     def start(self) -> None:
         """Start the admin interface, accept connections and follow the change log."""
         if self.admin:
-            self.loop.run_iteration(
-                0.0
-            )  # the router gets its roster before it receives another process's state
+            # The router gets its roster before it receives another process's state.
+            self.loop.run_iteration(0.0)
             self.admin.start()
         self.client_port.set_accepting(True)
         self.change_log.connect()
@@ -211,11 +215,11 @@
 
     def serve(self) -> None:
         """Serve until SIGTERM or SIGINT, then until every accepted request has its answer."""
-        self.start()  # signals that arrive earlier are handled later: the start would undo their effect
-        calls = {signal.SIGTERM: self.shut_down, signal.SIGINT: self.shut_down, signal.SIGHUP: self.reload}
-        # Each by itself: an error in a reload must not lose a signal that was read together with it.
+        self.start()  # signals are handled only after this, because the start would undo their effect
+        handlers = {signal.SIGTERM: self.shut_down, signal.SIGINT: self.shut_down, signal.SIGHUP: self.reload}
+        # Guarded one by one: an error in a reload must not lose a signal that was read together with it.
         self.loop.handle_signals(
-            {number: partial(self.loop.run_guarded, call) for number, call in calls.items()}
+            {number: partial(self.loop.run_guarded, handler) for number, handler in handlers.items()}
         )
         self.log(f"serving on {self.address[0]}:{self.address[1]}")
         try:
@@ -224,23 +228,23 @@
             self.close()
 
     def reload(self) -> None:
-        """Reload the configuration: the change log's address is applied, all else needs a restart."""
+        """Reload the configuration: a new change log address is applied, other changes need a restart."""
         if self._reread_configuration is None:
             return
         try:
-            read = self._reread_configuration()
+            new = self._reread_configuration()
         except ConfigError as error:
             self.log(f"configuration not reloaded: {error}")
             return
-        at_start = [key for key in START_ONLY_KEYS if getattr(read, key) != getattr(self.deployment, key)]
-        ignored = f"; changed, but read at a start only: {', '.join(at_start)}" if at_start else ""
-        self.log(f"configuration reloaded: change log at {read.changelog[0]}:{read.changelog[1]}{ignored}")
-        self.change_log.move(read.changelog)
+        changed = [key for key in START_ONLY_KEYS if getattr(new, key) != getattr(self.deployment, key)]
+        ignored = f"; changed keys that need a restart: {', '.join(changed)}" if changed else ""
+        self.log(f"configuration reloaded: change log at {new.changelog[0]}:{new.changelog[1]}{ignored}")
+        self.change_log.move(new.changelog)
 
     def shut_down(self) -> None:
         """Begin the graceful shutdown; a second call changes nothing.
 
-        Connections and requests are accepted until late arrivals are in and all requests are answered.
+        Connections and requests are accepted for a short time after it, and all requests are answered.
         """
         if self._shutdown is not None:
             return
@@ -262,7 +266,7 @@
         self.loop.close()
 
     def _run_maintenance(self) -> None:
-        # First, and each component by itself: an error in one must not end the maintenance of all.
+        # Rescheduled first, and each component guarded: an error in one must not stop the maintenance of all.
         self.loop.timers.after(MAINTENANCE_MS, self._run_maintenance)
         for part in (self.change_log, self.scorer_pool, self.client_port):
             self.loop.run_guarded(part.run_maintenance)
@@ -271,42 +275,41 @@
     # --- the roster -----------------------------------------------------------------------------
 
     def _apply_known_events(self) -> None:
-        """Apply the events that the configuration knows; raises ConfigError where none can be read.
+        """Apply the known events of the configuration; raises ConfigError if none is well-formed.
 
-        A malformed event is skipped alone: refusing to start would cost more.
+        A single malformed event is skipped, because refusing to start would do more harm.
         """
         events = self.deployment.known_events
-        taken = [self.change_log.event(event, known=True) for event in events]
-        faulty = [event for event, sound in zip(events, taken, strict=True) if not sound]
-        for event in faulty:
-            if len(faulty) == len(events):
+        applied = [self.change_log.event(event, known=True) for event in events]
+        malformed = [event for event, is_applied in zip(events, applied, strict=True) if not is_applied]
+        for event in malformed:
+            if len(malformed) == len(events):
                 raise ConfigError(f"known.results: not an event: {str(event)[:80]}")
             self.log(f"known.results: skipped, not an event: {str(event)[:80]}")
-        if (
-            faulty and not taken[0]
-        ):  # the first event is the complete list: it is to be read from the change log
+        if malformed and not applied[0]:
+            # The first event, which is the complete list, has to be read from the change log.
             self.change_log.seq = 0
         else:
             self.change_log.seq = max(self.change_log.seq, self.deployment.known_seq)
 
     def _wait_for_roster(self) -> None:
-        """Report not ready while no scorer in service is known: every request would be rejected.
+        """Report not ready while no scorer in service is known, as every request would be rejected.
 
-        Ends when the change log has no more events, and after MAX_ROSTER_WAIT_MS in any case.
+        Ends once the change log has delivered all its events, or after MAX_ROSTER_WAIT_MS.
         """
-        told = self.change_log.up_to_date_ms is not None
+        up_to_date = self.change_log.up_to_date_ms is not None
         known = any(scorer.state is io.ScorerState.READY for scorer in self.scorer_pool.scorers.values())
-        if told or known or monotonic_ms() - self._start_ms > MAX_ROSTER_WAIT_MS:
-            self.client_port.not_ready_reasons.discard(ROSTER)
+        if up_to_date or known or monotonic_ms() - self._start_ms > MAX_ROSTER_WAIT_MS:
+            self.client_port.not_ready_reasons.discard(NOT_READY_NO_SCORER)
         else:
-            self.client_port.not_ready_reasons.add(ROSTER)
+            self.client_port.not_ready_reasons.add(NOT_READY_NO_SCORER)
             self.loop.timers.after(ROSTER_SCAN_MS, self._wait_for_roster)
 
     def _on_fleet_event(self, fleet: Fleet) -> None:
-        heard_ms, before = self.change_log.up_to_date_ms, self.start_times.corrected_starts
-        unheard_ms = float("inf") if heard_ms is None else monotonic_ms() - heard_ms
-        fleet = self.start_times.correct(fleet, self.loop.clock.now_ms(), unheard_ms)
-        if self.start_times.corrected_starts > before:
+        up_to_date_ms, corrected_before = self.change_log.up_to_date_ms, self.start_times.corrected_starts
+        outdated_ms = float("inf") if up_to_date_ms is None else monotonic_ms() - up_to_date_ms
+        fleet = self.start_times.correct(fleet, self.loop.clock.now_ms(), outdated_ms)
+        if self.start_times.corrected_starts > corrected_before:
             self.log("start times of scorers come from a clock that differs from this one", "clock")
         self.receive_fleet(fleet)
         if self._extension:
@@ -317,35 +320,34 @@
             self.loop.enqueue(event)
 
     def receive_fleet(self, fleet: Fleet) -> None:
-        """Apply a complete list or changes of it, as the roster overlay filters them."""
+        """Apply a complete roster or a change to it, filtered by the roster overlay."""
         self.apply_fleet(self.roster_overlay.apply(fleet))
 
     def intercept(self, kind: type, wrap: Callable[[ActionHandler], ActionHandler]) -> None:
-        """Have all actions of a kind executed by `wrap(previous handler)` from now on."""
+        """Execute all actions of a kind with `wrap(previous handler)` from now on."""
         self._action_handlers[kind] = wrap(self._action_handlers[kind])
 
     def limit_calls(self, who: str, calls_rps: float) -> None:
-        """Admit at most this many calls per second as far as `who` is concerned; the lowest limit applies."""
-        before = min(self._call_limits.values(), default=io.UNLIMITED_RPS)
+        """Set the component `who`'s limit of admitted calls per second; the lowest limit of all applies."""
+        previous_rps = min(self._call_limits.values(), default=io.UNLIMITED_RPS)
         self._call_limits[who] = calls_rps
-        if (least := min(self._call_limits.values())) != before:
-            self.loop.enqueue(io.LimitsChanged(least))
+        if (lowest_rps := min(self._call_limits.values())) != previous_rps:
+            self.loop.enqueue(io.LimitsChanged(lowest_rps))
 
     def apply_fleet(self, fleet: Fleet) -> None:
-        """Pass a complete list, or changes of it, to the scorer pool and the router."""
+        """Pass a complete roster, or a change to it, to the scorer pool and the router."""
         entries = [self._entry(member) for member in fleet.members]
         for entry, address in entries:
             self.scorer_pool.update(entry.scorer, address, entry.state, entry.up_since_ms or 0.0)
         if fleet.complete:
             self.scorer_pool.remove_unlisted({entry.scorer for entry, _ in entries})
-        told = io.RosterChanged([entry for entry, _ in entries], fleet.complete)
-        if self._pending_change is not None and not told.complete:
-            self._pending_change.entries += (
-                told.entries
-            )  # the same in total, and the router updates its fleet once
+        change = io.RosterChanged([entry for entry, _ in entries], fleet.complete)
+        if self._pending_change is not None and not change.complete:
+            # Merged, so that the router updates its roster only once in the batch.
+            self._pending_change.entries += change.entries
         else:
-            self._pending_change = told
-            self.loop.enqueue(told)
+            self._pending_change = change
+            self.loop.enqueue(change)
 
     def _entry(self, member: Member) -> tuple[io.ScorerEntry, Address | None]:
         address = address_from(member.host_port, "host_port") if member.host_port else None
@@ -370,14 +372,13 @@
         try:
             actions: list[Any] = self.router.handle(now_ms, events)
         except Exception:
-            # An error in the decisions must not end open requests: each has its deadline timer.
+            # An error in the router must not end open requests; each of them has its own deadline timer.
             self.loop.log_exception("the decisions")
-            self.loop.timers.after(AFTER_ERROR_MS, lambda: self.loop.enqueue(io.TimerDue(0)))
+            self.loop.timers.after(TIMER_RETRY_MS, lambda: self.loop.enqueue(io.TimerDue(0)))
             return
         for action in actions:
-            self.loop.run_guarded(
-                self._action_handlers[type(action)], action
-            )  # an error costs that action alone
+            # Guarded one by one: an error affects that action only.
+            self.loop.run_guarded(self._action_handlers[type(action)], action)
 
     def _set_timer(self, action: io.SetTimer) -> None:
         self.loop.timers.after(action.delay_ms, lambda: self.loop.enqueue(io.TimerDue(action.token)))
