--- a/fawnwharf/net/event_loop.py
+++ b/fawnwharf/net/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: each iteration collects events, decides on them in one batch, executes and flushes."""
+"""The event loop: each iteration collects events, passes them on as one batch, and flushes the output."""
 
 import itertools
 import selectors
@@ -12,26 +12,26 @@
 from fawnwharf import interface as io
 from fawnwharf.net.timer_wheel import Clock, TimerWheel, monotonic_ms, unix_ms
 
-SLOW_ITERATION_MS = 80.0  # a longer iteration endangers answers that are due
+SLOW_ITERATION_MS = 80.0  # a longer iteration is logged: it can delay answers past their deadline
 
-# With this many events the collection of an iteration ends: other ready sockets wait for the next iteration
-# and are served first there. Protects timers and final answers when many clients send at the same time.
+# An iteration stops collecting at this many events. The remaining ready sockets are served first in the next
+# iteration. Keeps timers and final answers on time when many clients send at once.
 MAX_EVENTS = 64
-# What can end a request (an answer, a withdrawal, a close) is read before what can only bring new requests.
-# Each of the two groups has at least its share of the events of an iteration.
+# Sockets that can end a request (by an answer, a withdrawal or a close) are read before those that can only
+# bring new requests. Each of the two groups gets at least this share of an iteration's events.
 ACTIVE_SHARE, IDLE_SHARE = 0.5, 0.25
 
-# After an iteration has taken this long, the sockets of the first priority are read again before anything is
+# If an iteration has taken this long, the sockets with priority FIRST are read again before anything is
 # written: nothing new may be sent to a scorer later than 250 ms after its drain was announced.
 REREAD_AFTER_MS = 50.0
 
-# Bytes without a trusted timestamp count as old as they can be, where that is more than this: the time budget
-# that is forwarded may exceed what the client has left by 150 ms at most.
+# Bytes without a trusted timestamp are assumed to be as old as possible if that is more than this: the
+# forwarded time budget may exceed the client's remaining time by 150 ms at most.
 STALL_THRESHOLD_MS = 50.0
-MIN_WAIT_MS = 1.0  # after a shorter wait, something was ready before the selector was called
+MIN_WAIT_MS = 1.0  # a shorter wait means that a socket was ready before the selector was called
 
-MAX_AGE_MS = 60_000.0
-# Paused reads, and more bytes than one iteration reads, make some timestamps old although the clocks agree.
+MAX_AGE_MS = 60_000.0  # an older receive timestamp is ignored
+# A few timestamps are old although the clocks agree: reads may be paused, and one iteration may not read all.
 TIMESTAMP_TOLERANCE_MS, MAX_MISMATCHES = 1_000.0, 3
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
@@ -41,9 +41,9 @@
 class ReadPriority(IntEnum):
     """The order in which sockets that are ready in the same iteration are served."""
 
-    FIRST = 0  # operators, change log, hot restart: few sockets that never wait
-    ACTIVE = 1  # a request may be open on it
-    IDLE = 2  # nothing is open on it: it can only bring new requests or connections
+    FIRST = 0  # admin interface, change log and hot restart: few sockets, never deferred
+    ACTIVE = 1  # may have an open request
+    IDLE = 2  # has no open request: can only bring new requests or connections
 
 
 class Flushable(Protocol):
@@ -56,8 +56,8 @@
 class ReceiveTimestampCheck:
     """Checks whether the kernel's receive timestamps agree with the clock that the program reads.
 
-    Bytes of a connection that was read in the previous iteration arrived since then. Protects deadlines where
-    the timestamps come from a different clock: each call would seem to have waited for the difference.
+    If a connection was read in the previous iteration, its new bytes must have arrived since then. With
+    timestamps of a different clock, each call would seem to have waited for the difference.
     """
 
     def __init__(self) -> None:
@@ -70,10 +70,11 @@
         return self._mismatches <= MAX_MISMATCHES + self._matches // 8
 
     def age_ms(self, age_ms: float, gap_ms: float, previously_read: bool) -> float:
-        """The age to use for bytes just read, in milliseconds; 0 where it is not trusted.
+        """Return the age to use for bytes just read, in milliseconds; 0 if it is not trusted.
 
-        `age_ms`: by the timestamp; `gap_ms`: time since the previous iteration; `previously_read`: whether
-        the connection was read before, so that the age can be checked against the gap.
+        `age_ms` is the age by the timestamp. `gap_ms` is the time since the previous iteration.
+        `previously_read` says whether the connection was read before, so that the age can be checked against
+        the gap.
         """
         if previously_read:
             matches = -TIMESTAMP_TOLERANCE_MS <= age_ms <= gap_ms + TIMESTAMP_TOLERANCE_MS
@@ -83,40 +84,42 @@
 
 
 class HasFileno(Protocol):
-    """What the selector can watch: a socket or one end of a pipe."""
+    """An object that the selector can watch: a socket or one end of a pipe."""
 
     def fileno(self) -> int:
         """The file descriptor; -1 once it is closed."""
 
 
 class EventLoop:
-    """Owns the selector, the timers and the events collected for the next batch."""
+    """Owns the selector, the timers and the events collected for the next batch.
+
+    Passes each batch to `decide`, with the time in Unix milliseconds.
+    """
 
     def __init__(self, decide: Callable[[float, list[io.Event]], None], log: Callable[[str], None]) -> None:
         self.timers = TimerWheel()
         self.clock = Clock()
         self.running = True
-        # When this iteration began, on both clocks, and when the previous one did.
+        # Start times of this iteration (on both clocks) and of the previous one.
         self.iteration_ms = monotonic_ms()
         self.iteration_unix_ms = unix_ms()
         self.previous_iteration_ms = self.iteration_ms
-        self.stall_ms = 0.0  # how long bytes may have waited because the process was not running
+        self.stall_ms = 0.0  # how long bytes may have waited unread because the process was not running
         self.timestamps = ReceiveTimestampCheck()
         self._decide = decide
         self._log = log
         self._selector = selectors.DefaultSelector()
-        self.timers.on_fault = self.log_exception
+        self.timers.on_error = self.log_exception
         self._batch: dict[int, io.Event] = {}  # by event number, in order
         self._event_ids = itertools.count()
         self._deferred: set[int] = set()  # descriptors that were ready but not served in the last iteration
-        self._priorities: dict[
-            int, Callable[[], ReadPriority]
-        ] = {}  # by descriptor; Order.OPEN for all others
+        # By descriptor; all others have ReadPriority.ACTIVE.
+        self._priorities: dict[int, Callable[[], ReadPriority]] = {}
         self._last_empty_ms: dict[int, float] = {}  # by deferred descriptor
         self._dirty: dict[Flushable, None] = {}
         self._wakeup_sockets: tuple[socket.socket, socket.socket] | None = None
 
-    # --- interface of the components ----------------------------------------------------------
+    # --- called by the components -------------------------------------------------------------
 
     def watch(
         self,
@@ -126,9 +129,9 @@
         first: bool = False,
         order: Callable[[], ReadPriority] | None = None,
     ) -> None:
-        """Call `ready` with the events of a socket whenever it has any of `mask`.
+        """Call `ready` with the selector's event mask whenever the socket has any of the events in `mask`.
 
-        `first`: serve it before all others in each iteration. `order`: returns the priority where that
+        `first` gives the socket the priority FIRST. `order` returns the priority of a socket whose priority
         changes; it is called in each iteration in which the socket is ready.
         """
         self._selector.register(sock, mask, ready)
@@ -138,7 +141,10 @@
             self._priorities[sock.fileno()] = order
 
     def modify(self, sock: HasFileno, mask: int, ready: Callable[[int], None]) -> None:
-        """Watch a socket for other events. Raises OSError; the socket is then no longer watched."""
+        """Change the events for which a socket is watched.
+
+        Raises OSError if that fails; the socket is then no longer watched.
+        """
         self._selector.modify(sock, mask, ready)
 
     def watches(self, sock: HasFileno) -> bool:
@@ -154,8 +160,8 @@
     def enqueue(self, event: io.Event) -> int:
         """Add an event to the next batch and return its number.
 
-        Until the batch is decided, the number can be passed to `discard`. Events that arise while a batch is
-        executed wait for the following batch.
+        The number can be passed to `discard` until the batch is decided on. An event that is added while the
+        actions of a batch are executed belongs to the following batch.
         """
         number = next(self._event_ids)
         self._batch[number] = event
@@ -171,11 +177,11 @@
         return len(self._batch) >= MAX_EVENTS
 
     def was_deferred(self, sock: HasFileno) -> bool:
-        """Whether a socket was ready in this iteration but left for the next one."""
+        """Whether a socket was ready in this iteration but was deferred to the next one."""
         return sock.fileno() in self._deferred
 
     def schedule_flush(self, component: Flushable) -> None:
-        """Have a component flushed at the end of this iteration, or of the next one if none is under way."""
+        """Flush a component at the end of this iteration, or of the next one if none is running."""
         self._dirty[component] = None
 
     # --- iterations -------------------------------------------------------------------------
@@ -191,7 +197,7 @@
         self.stall_ms = self._stall_ms(wait_began_ms, wait_s)
         now_ms = self.clock.now_ms()
         self._collect(ready)
-        # Everything in an iteration happens at the time at which it began, however long it takes.
+        # Timers use the start time of the iteration, however long the iteration takes.
         self.timers.advance(self.iteration_ms)
         self._decide_batch(now_ms)
         if monotonic_ms() - self.iteration_ms > REREAD_AFTER_MS:
@@ -204,10 +210,10 @@
             self._log(f"slow event loop iteration: {took_ms:.0f} ms for {len(ready)} sockets")
 
     def _stall_ms(self, wait_began_ms: float, wait_s: float | None) -> float:
-        """The longest time that bytes read now may have waited because the process was not running.
+        """Return the longest time that bytes read now may have waited because the process was not running.
 
-        What was ready when the wait began may have arrived since the previous iteration read; what arrived
-        during the wait ended it at once, unless the process was stalled meanwhile.
+        Bytes that were ready before the wait may have arrived at any time since the previous iteration read.
+        Bytes that arrived during the wait ended it at once, unless the process was stalled.
         """
         waited_ms = self.iteration_ms - wait_began_ms
         if waited_ms < MIN_WAIT_MS:
@@ -217,11 +223,11 @@
         return waited_ms if late_ms > STALL_THRESHOLD_MS else 0.0
 
     def empty_ms(self, fd: int) -> float:
-        """When a watched descriptor was last known to have nothing unread, on the monotonic clock."""
+        """Return when a watched descriptor was last known to have nothing unread, on the monotonic clock."""
         return self._last_empty_ms.get(fd, self.previous_iteration_ms)
 
     def ready_since_ms(self, fd: int) -> float:
-        """The earliest time since when a descriptor that is ready in this iteration may have been ready."""
+        """Return the earliest time at which a descriptor that is ready now may have become ready."""
         return self._last_empty_ms.get(fd, self.iteration_ms - self.stall_ms)
 
     def _collect(self, ready: list[ReadySocket]) -> None:
@@ -238,7 +244,7 @@
         return ReadPriority.ACTIVE if priority is None else priority()
 
     def _event_limit(self, share: float) -> int:
-        """The batch size that ends a group which has at least this share of the events to itself."""
+        """Return the batch size at which a group with this guaranteed share of the events is cut off."""
         return max(MAX_EVENTS, len(self._batch) + max(1, int(share * MAX_EVENTS)))
 
     def _serve_ready(self, ready: list[ReadySocket], max_events: int | None) -> None:
@@ -256,9 +262,9 @@
             self._decide(now_ms, list(events.values()))
 
     def _reread_first(self) -> None:
-        """Read the sockets of the first priority once more before anything is written.
+        """Read the sockets with priority FIRST once more before anything is written.
 
-        Protects drains: one that was announced during a long iteration applies to what is about to be sent.
+        A drain that was announced during a long iteration then applies to what is about to be sent.
         """
         for key, mask in self._selector.select(0):
             if self._priority(key.fd) is ReadPriority.FIRST and self._selector.get_map().get(key.fd) is key:
@@ -270,7 +276,7 @@
             self.run_guarded(component.flush)
 
     def run_guarded(self, call: Callable[..., object], *arguments: object) -> None:
-        """Call it and log any exception, so that an error in one component does not end the others."""
+        """Call a function and log any exception, so that an error in one component affects no other."""
         try:
             call(*arguments)
         except Exception:
@@ -281,10 +287,10 @@
         self._log(f"fault in {where}: " + traceback.format_exc(limit=-3).replace("\n", " | "))
 
     def _wait_s(self, max_wait_s: float | None) -> float | None:
-        """How long the selector may wait; None: until a socket is ready."""
+        """Return how long the selector may wait; None means until a socket is ready."""
         if self._batch or self._dirty:
             return 0.0
-        until_timer_s = self.timers.idle_s()
+        until_timer_s = self.timers.seconds_until_due()
         if until_timer_s is None:
             return max_wait_s
         return until_timer_s if max_wait_s is None else min(until_timer_s, max_wait_s)
@@ -295,7 +301,7 @@
             self.run_iteration()
 
     def handle_signals(self, handlers: dict[int, Callable[[], None]]) -> None:
-        """Handle these signals inside the loop: a socket pair wakes the selector."""
+        """Handle these signals inside the loop; a socket pair wakes the selector."""
         near, far = socket.socketpair()
         near.setblocking(False)
         far.setblocking(False)
@@ -303,7 +309,7 @@
         signal.set_wakeup_fd(far.fileno(), warn_on_full_buffer=False)
         for number in handlers:
             signal.signal(number, lambda *_: None)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)  # one that arrived during the start is taken now
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, handlers)  # signals that arrived during startup come now
 
         def ready(_mask: int) -> None:
             for number in near.recv(64):
--- a/fawnwharf/net/log_writer.py
+++ b/fawnwharf/net/log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error, with a rate limit."""
+"""Writes log lines to standard error, with a rate limit."""
 
 import contextlib
 import sys
@@ -8,30 +8,30 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 
 MAX_LINES_PER_SECOND = 20  # per source
-MAX_LINE_LENGTH = 600  # characters; the rest of a line is cut off
+MAX_LINE_LENGTH = 600  # characters; a longer line is cut off
 
 
 class LogWriter:
-    """Writes a limited number of log lines per second, and counts the lines that it leaves out.
+    """Writes a limited number of log lines per second, and counts the lines that it omits.
 
-    Protects against peers whose errors would make the program write without end. The limit applies to each
-    source by itself, so that errors of clients do not hide those of scorers.
+    Faulty peers can't flood the log this way. Each source has its own limit, so that errors of clients do not
+    hide those of scorers.
     """
 
     def __init__(
-        self, name: str, out: TextIO | None = None, steady: Callable[[], float] = monotonic_ms
+        self, name: str, out: TextIO | None = None, read_monotonic_ms: Callable[[], float] = monotonic_ms
     ) -> None:
-        """`name` begins each line. `out` is standard error by default; `steady` returns milliseconds."""
+        """`name` begins each line; `out` is standard error by default."""
         self._name = name
         self._out = out or sys.stderr
-        self._steady = steady
+        self._read_monotonic_ms = read_monotonic_ms
         self._second = 0
         self._left_out = 0
         self._lines: dict[str, int] = {}  # by source, in the current second
 
     def __call__(self, text: str, source: str = "") -> None:
-        """Write a line, unless its source has already written the maximum in this second."""
-        second = int(self._steady() // 1000)
+        """Write a line, unless its source has reached its limit in this second."""
+        second = int(self._read_monotonic_ms() // 1000)
         if second != self._second:
             if self._left_out:
                 self._write(f"{self._left_out} lines left out")
@@ -46,6 +46,6 @@
 
     def _write(self, text: str) -> None:
         line = "".join(char if char.isprintable() else "?" for char in text[:MAX_LINE_LENGTH])
-        with contextlib.suppress(OSError):  # an unreadable log is no reason to stop serving
+        with contextlib.suppress(OSError):  # the front end continues to serve if the log can't be written
             self._out.write(f"{self._name}: {line}\n")
             self._out.flush()
--- a/fawnwharf/net/timer_wheel.py
+++ b/fawnwharf/net/timer_wheel.py
@@ -1,4 +1,4 @@
-"""A timer wheel with coarse ticks, and a Unix clock without steps for the decisions."""
+"""A timer wheel with coarse ticks, and a Unix clock without steps for the router."""
 
 import math
 import time
@@ -6,56 +6,66 @@
 
 TICK_MS = 4.0
 SLOTS = 512  # one round of the wheel takes two seconds; longer timers stay on it for several rounds
-MIN_STEP_MS = 100.0  # a smaller change between the system's clocks is drift, a larger one a step
-MAX_READING_GAP_MS = 20.0  # between two readings that are compared with each other
-MAX_SLEW = 0.005  # share of elapsed time by which this clock may run fast or slow
+MIN_STEP_MS = 100.0  # a smaller change between the system's clocks counts as drift, a larger one as a step
+MAX_READING_GAP_MS = 20.0  # readings of the two clocks further apart than this are not compared
+MAX_SLEW = 0.005  # share of elapsed time by which `Clock` may run fast or slow
 
 
 def monotonic_ms() -> float:
-    """The monotonic clock in milliseconds."""
+    """Return the monotonic clock in milliseconds."""
     return time.monotonic() * 1000.0
 
 
 def unix_ms() -> float:
-    """The system's Unix time in milliseconds."""
+    """Return the system's Unix time in milliseconds."""
     return time.time() * 1000.0
 
 
-def sleep_s(span_s: float) -> None:
+def sleep_s(duration_s: float) -> None:
     """Block the process; allowed only before the event loop runs."""
-    time.sleep(span_s)
+    time.sleep(duration_s)
 
 
 class Clock:
-    """The Unix time in milliseconds, without its steps.
+    """A Unix clock in milliseconds that does not follow steps of the system clock.
 
-    Protects against a system clock that is set while requests are open: the router's deadlines and windows
-    all use this clock. It runs with the monotonic clock and slews towards the system's Unix time where that
-    drifts; it never follows a step, so that durations stay exact after one.
+    The router's deadlines and windows use this clock, so that they stay correct if the system clock is set
+    while requests are open. It runs with the monotonic clock and slews towards the system's Unix time if that
+    drifts.
     """
 
-    def __init__(self, steady: Callable[[], float] = monotonic_ms, wall: Callable[[], float] = unix_ms):
-        self._steady, self._wall = steady, wall
-        self._at = steady()
-        self._apart = wall() - self._at  # of the system's two clocks
-        self._offset = self._apart
+    def __init__(
+        self,
+        read_monotonic_ms: Callable[[], float] = monotonic_ms,
+        read_unix_ms: Callable[[], float] = unix_ms,
+    ) -> None:
+        self._read_monotonic_ms, self._read_unix_ms = read_monotonic_ms, read_unix_ms
+        self._last_reading_ms = read_monotonic_ms()
+        self._difference_ms = read_unix_ms() - self._last_reading_ms  # between the system's two clocks
+        self._offset_ms = self._difference_ms  # between this clock and the monotonic one
         self.stepped_ms = -math.inf  # when the last step was detected, on the monotonic clock
-        self.stepped_by_ms = 0.0  # sum of all steps: the difference between the system's time and this clock
+        self.stepped_by_ms = 0.0  # sum of all steps of the system clock
 
     def now_ms(self) -> float:
-        """The current time for the decisions, in Unix milliseconds."""
-        before, wall, at = self._steady(), self._wall(), self._steady()
-        if at - before < MAX_READING_GAP_MS:  # a stall between the readings makes them incomparable
-            self._follow(at, wall - at)
-        self._at = at
-        return at + self._offset
-
-    def _follow(self, at: float, apart: float) -> None:
-        step, self._apart = apart - self._apart, apart
-        if abs(step) >= MIN_STEP_MS:
-            self.stepped_ms, self.stepped_by_ms = at, self.stepped_by_ms + step
-        most = MAX_SLEW * (at - self._at)
-        self._offset += max(-most, min(most, apart - self.stepped_by_ms - self._offset))
+        """Return the current time in Unix milliseconds."""
+        before_ms, system_ms, after_ms = (
+            self._read_monotonic_ms(),
+            self._read_unix_ms(),
+            self._read_monotonic_ms(),
+        )
+        if after_ms - before_ms < MAX_READING_GAP_MS:  # after a stall the readings can't be compared
+            self._slew(after_ms, system_ms - after_ms)
+        self._last_reading_ms = after_ms
+        return after_ms + self._offset_ms
+
+    def _slew(self, reading_ms: float, difference_ms: float) -> None:
+        """Detect a step between the system's clocks, and move the offset towards their difference."""
+        step_ms, self._difference_ms = difference_ms - self._difference_ms, difference_ms
+        if abs(step_ms) >= MIN_STEP_MS:
+            self.stepped_ms, self.stepped_by_ms = reading_ms, self.stepped_by_ms + step_ms
+        max_slew_ms = MAX_SLEW * (reading_ms - self._last_reading_ms)
+        error_ms = difference_ms - self.stepped_by_ms - self._offset_ms
+        self._offset_ms += max(-max_slew_ms, min(max_slew_ms, error_ms))
 
 
 class Timer:
@@ -68,59 +78,58 @@
         self.callback = callback
 
     def cancel(self) -> None:
-        """Cancel it; it stays in its slot with nothing to call."""
+        """Cancel the timer; it stays in its slot of the wheel without a callback."""
         self.callback = None
 
 
 def _ignore(_where: str) -> None:
-    """Report errors of timers to nobody."""
+    """Ignore an error of a timer; the default of `TimerWheel.on_error`."""
 
 
 class TimerWheel:
-    """Calls timers never early, and late by at most one tick."""
+    """Calls timers never early, and at most one tick late."""
 
-    def __init__(self, steady: Callable[[], float] = monotonic_ms) -> None:
-        self._steady = steady
+    def __init__(self, read_monotonic_ms: Callable[[], float] = monotonic_ms) -> None:
+        self._read_monotonic_ms = read_monotonic_ms
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
-        self._tick = math.floor(steady() / TICK_MS)
-        self.on_fault: Callable[[str], None] = _ignore
+        self._tick = math.floor(read_monotonic_ms() / TICK_MS)
+        self.on_error: Callable[[str], None] = _ignore
 
     def after(self, delay_ms: float, callback: Callable[[], object]) -> Timer:
-        """Call `callback` once, this many milliseconds from now."""
-        due = math.floor((self._steady() + max(0.0, delay_ms)) / TICK_MS) + 1
-        timer = Timer(max(due, self._tick + 1), callback)
+        """Call `callback` once, after `delay_ms` milliseconds."""
+        due_tick = math.floor((self._read_monotonic_ms() + max(0.0, delay_ms)) / TICK_MS) + 1
+        timer = Timer(max(due_tick, self._tick + 1), callback)
         self._slots[timer.due_tick % SLOTS].append(timer)
         return timer
 
     def advance(self, at_ms: float | None = None) -> None:
-        """Call every timer that is due now, or at a given time just past."""
-        now = math.floor((self._steady() if at_ms is None else at_ms) / TICK_MS)
-        first = max(
-            self._tick + 1, now - SLOTS + 1
-        )  # after a long stall, one round of the wheel covers every slot
-        self._tick = max(self._tick, now)
+        """Call every timer that is due at `at_ms` on the monotonic clock, or now."""
+        now_tick = math.floor((self._read_monotonic_ms() if at_ms is None else at_ms) / TICK_MS)
+        # After a long stall, one round of the wheel covers every slot.
+        first_tick = max(self._tick + 1, now_tick - SLOTS + 1)
+        self._tick = max(self._tick, now_tick)
         due: list[Timer] = []
-        for tick in range(first, now + 1):
+        for tick in range(first_tick, now_tick + 1):
             slot = self._slots[tick % SLOTS]
             if slot:
-                due += [timer for timer in slot if timer.due_tick <= now]
-                slot[:] = [timer for timer in slot if timer.due_tick > now and timer.callback]
+                due += [timer for timer in slot if timer.due_tick <= now_tick]
+                slot[:] = [timer for timer in slot if timer.due_tick > now_tick and timer.callback]
         for timer in sorted(due, key=lambda timer: timer.due_tick):
             if (callback := timer.callback) is not None:
                 timer.callback = None
                 self._call(callback)
 
     def _call(self, callback: Callable[[], object]) -> None:
-        """Protect the other timers from an error in one."""
+        """Call one timer's callback; an error in it must not affect the other timers."""
         try:
             callback()
         except Exception:
-            self.on_fault("a timer")
+            self.on_error("a timer")
 
-    def idle_s(self) -> float | None:
-        """How long the loop may wait, in seconds; None if no timer is set."""
+    def seconds_until_due(self) -> float | None:
+        """Return the seconds until the next timer is due; None if no timer is set."""
         for tick in range(self._tick + 1, self._tick + 1 + SLOTS):
             slot = self._slots[tick % SLOTS]
             if any(timer.callback for timer in slot):
-                return max(0.0, tick * TICK_MS - self._steady()) / 1000.0
+                return max(0.0, tick * TICK_MS - self._read_monotonic_ms()) / 1000.0
         return None
--- a/tests/support/request_steps.py
+++ b/tests/support/request_steps.py
@@ -250,7 +250,7 @@
 
     def _do_due(self, _first: int, _second: int) -> None:
         """Time passes up to the next timer, which is then due with whatever else is ready."""
-        self._hold_up(min(DUE_MOST_MS, 1_000.0 * (self.front.loop.timers.idle_s() or 0.0)))
+        self._hold_up(min(DUE_MOST_MS, 1_000.0 * (self.front.loop.timers.seconds_until_due() or 0.0)))
 
     def _hold_up(self, span_ms: float) -> None:
         self.model.halts_ms += span_ms
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -30,7 +30,7 @@
         delays = [0.0, 1.0, 3.9, 4.0, 40.0, 250.0, SLOTS * TICK_MS, SLOTS * TICK_MS * 2 + 5, 10_000.0]
         for delay in delays:
             wheel.after(delay, lambda delay=delay: fired.setdefault(delay, hands.steady - 1000.0))
-        while wheel.idle_s() is not None:
+        while wheel.seconds_until_due() is not None:
             hands.step(1.0)
             wheel.advance()
         self.assertEqual(sorted(fired), delays)
@@ -50,7 +50,7 @@
     def test_a_fault_in_one_timer_leaves_the_others_alone(self):
         hands, faults, fired = Hands(), [], []
         wheel = TimerWheel(lambda: hands.steady)
-        wheel.on_fault = faults.append
+        wheel.on_error = faults.append
         wheel.after(4.0, lambda: 1 / 0)
         wheel.after(4.0, lambda: fired.append("second"))
         hands.step(20.0)
