--- a/fawnwharf/net/calls.py
+++ b/fawnwharf/net/calls.py
@@ -1,4 +1,4 @@
-"""Parsing a client's call: from the text fields of a Thrift message to validated, typed values. Pure."""
+"""Parses a client's call: from the text fields of a Thrift message to validated, typed values. No I/O."""
 
 import re
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 from fawnwharf.net import thrift
 from fawnwharf.net.requests import Call, Outcome
 
-TTL_TOLERANCE = 1.1  # a client waits no longer than its class's deadline; the rest allows for rounding
+TTL_TOLERANCE = 1.1  # a ttl may exceed its class's deadline by this factor, to allow for rounding
 MAX_LANES = 4_096
 MAX_TENANT_LENGTH = 128  # characters of a tenant's name
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedCall:
-    """A client's request, validated: each value is one that a scorer accepts.
+    """A validated client request; scorers accept all its values.
 
     `budget_ms` is the time limit in milliseconds, counted from when the client sent the request. `token` is
     the idempotency key, or empty. `lanes`, `memory_mb` and `load_ms` are the client's estimates.
@@ -39,8 +39,8 @@
     def open(self, age_ms: float, reply: Callable[[Outcome], None], check_client: Callable[[], None]) -> Call:
         """Return the call in the form that the request table accepts.
 
-        `age_ms`: how many milliseconds it has waited already, which are subtracted from its budget. `reply`
-        receives the outcome; `check_client` is called to find out whether the client has disconnected.
+        `age_ms` is how long it has already waited, which is subtracted from its budget. `reply` receives the
+        outcome. `check_client` is called to find out whether the client has disconnected.
         """
         return Call(
             id=self.id,
@@ -97,8 +97,8 @@
 ) -> ParsedCall:
     """Parse the fields of a call.
 
-    `classes`: the known classes by name. `tenants`: the known tenants; empty where any is accepted.
-    Raises MalformedMessageError for a value that no scorer would accept.
+    `classes` has the known classes by name. `tenants` has the known tenants; if it is empty, any tenant is
+    accepted. Raises MalformedMessageError for a value that no scorer would accept.
     """
     fields = message.fields
     spec = _spec(fields, classes)
--- a/fawnwharf/net/client_port.py
+++ b/fawnwharf/net/client_port.py
@@ -1,4 +1,4 @@
-"""The port that clients connect to: its listener, its connections and their limits."""
+"""The port that clients connect to: its listener, its connections and its connection limit."""
 
 import socket
 from dataclasses import dataclass
@@ -17,17 +17,17 @@
 from fawnwharf.net.slow_clients import SlowClients
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-# Clients close their idle connections after 4 s; one that does not would keep its connection forever.
+# Clients normally close their idle connections after 4 s; this closes those of clients that do not.
 IDLE_TIMEOUT_MS = 30_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class ClientPortSettings:
-    """What a client port is configured with.
+    """The configuration of a client port.
 
-    `address`: where it listens. `classes`: the known classes by name. `tenants`: the known tenants; empty
-    where any is accepted. `max_connections`: how many connections it may have at a time. `shared`: another
-    process may listen on the same address, to replace this one.
+    `address` is where it listens. `classes` has the known classes by name. `tenants` has the known tenants;
+    if it is empty, any tenant is accepted. `max_connections` limits the simultaneous connections. `shared`
+    allows another process to listen on the same address, to replace this one.
     """
 
     address: Address
@@ -38,7 +38,7 @@
 
 
 class ClientPort:
-    """Owns the listener and the client connections, within a share of the descriptors."""
+    """Owns the listener and the client connections, which may use a share of the descriptors."""
 
     def __init__(
         self,
@@ -48,10 +48,10 @@
         log: LogWriter,
         listener: socket.socket | None = None,
     ) -> None:
-        """Listen on the address of the settings; raises OSError where it is not available.
+        """Listen on the configured address; raises OSError if it is not available.
 
-        `listener` is an open one that was taken over from another process; nothing is accepted from it until
-        `set_accepting` is called.
+        `listener` is an open listener taken over from another process; no connection is accepted from it
+        before `set_accepting` is called.
         """
         self.loop = loop
         self.requests = requests
@@ -59,7 +59,7 @@
         self.classes = settings.classes
         self.tenants = settings.tenants
         self.ready = False
-        self.not_ready_reasons: set[str] = set()  # subsystems that need more information before requests
+        self.not_ready_reasons: set[str] = set()  # names of subsystems that are not ready for requests
         self.clients: dict[ClientConnection, None] = {}
         self.max_connections = settings.max_connections
         opened = listener or open_listener(settings.address, settings.shared)
@@ -72,7 +72,7 @@
 
     @property
     def paused(self) -> bool:
-        """Whether nothing is read, because what arrives belongs to another process."""
+        """Whether reading is paused, because unread bytes belong to another process."""
         return self.slow_clients.paused
 
     @property
@@ -82,7 +82,7 @@
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether readiness checks are answered with yes."""
+        """Whether readiness checks are answered positively."""
         return self.ready and not self.not_ready_reasons
 
     # --- new connections and the capacity for them ----------------------------------------------
@@ -91,25 +91,26 @@
         """Accept new connections, or leave them to another process that has the same listener."""
         self._acceptor.set_accepting(on)
 
-    def _admit(self, sock: socket.socket, waiting_ms: float) -> None:
+    def _admit(self, sock: socket.socket, waiting_since_ms: float) -> None:
         client = ClientConnection(self, sock)
-        client.connection.assume_unread_since(waiting_ms)
+        client.connection.assume_unread_since(waiting_since_ms)
         self.clients[client] = None
 
     def _capacity(self) -> int:
-        """How many connections to accept now: at most half of all, so that first requests can be read.
+        """Return how many connections to accept now.
 
-        Where there is no capacity, idle connections are closed, which lasts until they have lingered.
+        At most half of the limit, so that the first requests of accepted connections can be read meanwhile.
+        At the limit, idle connections are closed; their capacity is free once they have lingered.
         """
         if len(self.clients) >= self.max_connections:
             self._idle_releaser.release_some(self.max_connections)
         free = self.max_connections - len(self.clients)
         return max(0, min(free, max(1, self.max_connections // 2)))
 
-    # --- to and from another process ------------------------------------------------------------
+    # --- hand-off to and from another process ---------------------------------------------------
 
     def hand_off(self, client: ClientConnection) -> HandedOffConnection:
-        """Give up a connection on which nothing is open, and return it for another process."""
+        """Detach a connection without open requests, and return it for another process."""
         del self.clients[client]
         empty_ms = client.connection.empty_ms
         sock, unwritten = client.connection.detach()
@@ -117,11 +118,11 @@
         return HandedOffConnection(sock, partial, skip, client.has_sent, unwritten, empty_ms)
 
     def take_over(self, handed: HandedOffConnection) -> None:
-        """Continue with a connection that another process had; it is closed where it is not usable."""
+        """Continue a connection of another process; it is closed if it is not usable."""
         try:
             client = ClientConnection(self, handed.sock)
         except OSError as error:
-            self.log(f"connection handed off by another process not usable: {error}")
+            self.log(f"connection handed off by another process is not usable: {error}")
             handed.sock.close()
             return
         self.clients[client] = None
@@ -135,47 +136,47 @@
         self.slow_clients.pause(on)
 
     def has_unwritten(self) -> bool:
-        """Whether any client still has bytes of answers to be written."""
+        """Whether answers to any client are not completely written yet."""
         return any(client.connection.waiting_bytes for client in self.clients)
 
-    # --- ends -----------------------------------------------------------------------------------
+    # --- closing --------------------------------------------------------------------------------
 
     def end_idle(self) -> None:
         """Close every connection with no open request and no partial message."""
         for client in [client for client in self.clients if client.idle and not client.has_partial_message]:
-            if self.loop.batch_full:  # by requests that were read just now: the rest at the next call
+            if self.loop.batch_full:  # requests were read just now; the next call closes the others
                 return
             client.release()
 
     def close_listener(self) -> bool:
-        """Accept all that the system's queue holds and stop listening; False while some is left there."""
+        """Accept all queued connections and stop listening; return False while some remain in the queue."""
         return self._acceptor.drain()
 
     def ended(self, client: ClientConnection) -> None:
-        """Remove a connection that has ended, which may leave capacity for a new one."""
+        """Remove a connection that has ended, which frees capacity for a new one."""
         self.clients.pop(client, None)
         self._acceptor.resume()
 
     def run_maintenance(self) -> None:
         """Close connections that have been idle, silent or blocked for too long."""
-        now = monotonic_ms()
+        now_ms = monotonic_ms()
         self._idle_releaser.clear()
         for client in list(self.clients):
-            if self.loop.batch_full:  # by requests that were read just now: the rest at the next call
+            if self.loop.batch_full:  # requests were read just now; the next call checks the others
                 return
-            unused = not client.open and now - client.connection.used_ms > IDLE_TIMEOUT_MS
+            unused = not client.open and now_ms - client.connection.used_ms > IDLE_TIMEOUT_MS
             if unused and client.connection.waiting_bytes:
                 client.connection.close(EndReason.STUFFED)
             elif unused:
                 client.release()
-            elif client.is_overdue(now):
+            elif client.is_overdue(now_ms):
                 client.close_overdue()
 
     def close(self) -> None:
         """Close the listener and all connections; open requests get their final answer."""
         self._acceptor.close()
         for client in list(self.clients):
-            if client.open:  # the loop was stopped early: each request has its answer all the same
+            if client.open:  # the loop was stopped early, but each request still gets its answer
                 client.fail_open()
                 client.connection.flush()
             client.connection.close(EndReason.STOPPED)
--- a/fawnwharf/net/clients.py
+++ b/fawnwharf/net/clients.py
@@ -1,4 +1,4 @@
-"""One client connection: the translation between Thrift messages and requests, and its orderly end."""
+"""One client connection: translation between Thrift messages and requests, timeouts, and orderly closing."""
 
 import math
 import socket
@@ -16,34 +16,34 @@
 if TYPE_CHECKING:
     from fawnwharf.net.client_port import ClientPort
 
-MAX_READ_BYTES = 16 * 1024  # per iteration: decoding as many bytes of the smallest messages takes some 10 ms
+MAX_READ_BYTES = 16 * 1024  # per iteration; decoding so many small messages takes about 10 ms
 MAX_OPEN_REQUESTS = 32  # on one connection
-# A peer must get an answer or a close within 3 s of connecting; what a client sends arrives in a round trip.
-MESSAGE_TIMEOUT_MS = 2_300.0  # for a first message, and for the rest of a partial one
-OVERSIZED_TIMEOUT_MS = 6_000.0  # for the rest of an oversized one, which was rejected by its header
-# Where capacity is needed, a connection without any message so far is spared for this long.
+# A peer must get an answer or a close within 3 s of connecting; a client's bytes arrive within a round trip.
+MESSAGE_TIMEOUT_MS = 2_300.0  # for the first message, and for the rest of a partial message
+OVERSIZED_TIMEOUT_MS = 6_000.0  # for the rest of an oversized message, which was rejected by its header
+# A connection that has sent no message yet is not closed to make capacity before it is this old.
 MIN_SILENT_MS = 50.0
-# A connection with a partial message is closed last, and only if nothing has arrived for this long: more than
-# a round trip, and short enough that partial messages on all connections keep no client out for long.
+# A connection with a partial message is closed last, and only if nothing has arrived for this long. That is
+# more than a round trip, and short enough that partial messages on all connections don't block new clients.
 PARTIAL_MESSAGE_MS = 100.0
-# A client retries what crosses a close within 50 ms; the rest is for the network and for coarse timers.
+# A client retries a request that crosses a close within 50 ms; the rest allows for the network and timers.
 IDLE_LINGER_MS = 60.0
-MAX_RELEASE_READS = 4  # of an idle connection, before it is closed
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # 32 of the longest answers; with more, the connection is closed
+MAX_RELEASE_READS = 4  # reads of an idle connection before it is closed
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # 32 of the longest answers; a connection with more is closed
 
 
 class ClientConnection:
-    """One client connection, and the requests open on it by sequence number."""
+    """One client connection, and the requests that are open on it."""
 
     def __init__(self, port: "ClientPort", sock: socket.socket) -> None:
-        """Take an accepted socket over; raises OSError where it is not usable, and leaves it open."""
+        """Take over an accepted socket; raises OSError if it is not usable, and leaves it open then."""
         self.port = port
         self.open: dict[int, str] = {}  # by sequence number: the key in the request table
-        self.output_ended = False  # the client has ended its output: no new request is accepted from it
+        self.output_ended = False  # the client has ended its output: no new request is accepted
         self.has_sent = False  # a complete message has been received
-        self._age_ms = 0.0  # how long the message that is being handled has waited to be read
+        self._age_ms = 0.0  # how long the message that is being handled was unread
         self._reader = thrift.FrameReader()
-        self._since_ms = monotonic_ms()  # when it connected, or when the partial message began
+        self._timeout_start_ms = monotonic_ms()  # when the client connected, or when a partial message began
         self.connection = Connection.accepted(
             port.loop, sock, self, MAX_READ_BYTES, order=self._priority, half_close=True
         )
@@ -57,11 +57,11 @@
         """Do nothing: the connection was accepted."""
 
     def on_data(self, data: bytes) -> None:
-        """Handle the messages that are complete with these bytes."""
+        """Handle the messages that these bytes complete."""
         was_partial = self._reader.has_partial_frame
         items = self._reader.feed(data)
         if items or not was_partial:
-            self._since_ms = monotonic_ms() if items or self.has_sent else self._since_ms
+            self._timeout_start_ms = monotonic_ms() if items or self.has_sent else self._timeout_start_ms
         self.has_sent = self.has_sent or bool(items)
         if self.connection.input_full and self.open:
             self.port.slow_clients.check_later(self)
@@ -70,52 +70,52 @@
             is_newest = index == len(items) - 1 and not self._reader.has_partial_frame
             self._age_ms = self.connection.age_ms if is_newest else self.connection.oldest_age_ms
             try:
-                end = self._take(item, withdrawn)
-            except Exception:  # an error here costs the connection, but each request on it gets its answer
+                end = self._handle_message(item, withdrawn)
+            except Exception:  # an error ends the connection, but each request on it gets its answer
                 self.port.loop.log_exception("reading")
                 end = EndReason.BAD_BYTES
             if end is not None:
-                self._end_at(items[index:], end)
+                self._end_with(items[index:], end)
                 return
-        if self.open:  # also after a message that is no request: an attempt may wait for its connection
-            self.check()
+        if self.open:  # also after a message that is no request: an attempt may still wait to be sent
+            self.check_peer_ended()
 
-    def _take(
+    def _handle_message(
         self, item: thrift.Message | thrift.MalformedMessageError, withdrawn: set[int]
     ) -> EndReason | None:
         """Handle one message; return why the connection has to end, or None.
 
-        `withdrawn`: sequence numbers of requests whose withdrawal was read together with it.
+        `withdrawn` has the sequence numbers of the withdrawals that were read together with the message.
         """
         if isinstance(item, thrift.MalformedMessageError):
-            return self._malformed(item)
+            return self._reject_malformed(item)
         if isinstance(item, thrift.Handle):
-            return self._handle(item, withdrawn)
+            return self._handle_request(item, withdrawn)
         if isinstance(item, thrift.Withdraw):
             self._withdraw(item.seqid)
         else:
             self._write(thrift.answer("status", item.seqid, b"", {}, self.port.accepts_requests))
         return None
 
-    def _handle(self, message: thrift.Handle, withdrawn: set[int]) -> EndReason | None:
+    def _handle_request(self, message: thrift.Handle, withdrawn: set[int]) -> EndReason | None:
         seqid = message.seqid
         if seqid in self.open:
-            return self._malformed(
+            return self._reject_malformed(
                 thrift.MalformedMessageError("a second request under an open number", seqid)
             )
         if len(self.open) >= MAX_OPEN_REQUESTS:
-            return self._malformed(thrift.MalformedMessageError("too many open requests", seqid))
+            return self._reject_malformed(thrift.MalformedMessageError("too many open requests", seqid))
         try:
             parsed = call_from(message, self.port.classes, self.port.tenants)
         except thrift.MalformedMessageError as error:
             error.seqid = seqid
-            return self._malformed(error)
-        self.check()
+            return self._reject_malformed(error)
+        self.check_peer_ended()
         if self.output_ended:
             if seqid not in withdrawn:
                 self._reply(seqid, Failed())
             return None
-        call = parsed.open(self._age_ms, lambda outcome: self._reply(seqid, outcome), self.check)
+        call = parsed.open(self._age_ms, lambda outcome: self._reply(seqid, outcome), self.check_peer_ended)
         if (key := self.port.requests.take(call)) is not None:
             self.open[seqid] = key
         return None
@@ -124,9 +124,9 @@
         if (key := self.open.pop(seqid, None)) is not None:
             self.port.requests.withdraw(key)
 
-    def _malformed(self, error: thrift.MalformedMessageError) -> EndReason | None:
+    def _reject_malformed(self, error: thrift.MalformedMessageError) -> EndReason | None:
         self.port.log(f"client: {error}", "clients")
-        # An exception under the number of an open request would be that request's answer.
+        # An exception with the sequence number of an open request would count as that request's answer.
         if error.seqid is None or error.seqid in self.open:
             return EndReason.BAD_BYTES
         self._write(thrift.application_exception(error.seqid, str(error), error.kind))
@@ -146,7 +146,7 @@
         self.connection.write(data)
 
     def on_flushed(self) -> None:
-        """After the write of an iteration: what is left unsent is what the client does not read."""
+        """Limit the unsent answers after the write of an iteration: the client does not read them."""
         if self.connection.waiting_bytes > MAX_UNSENT_BYTES:
             self.connection.close(EndReason.STUFFED)
             return
@@ -156,10 +156,10 @@
 
     # --- the end --------------------------------------------------------------------------------
 
-    def _end_at(self, items: list[thrift.Message | thrift.MalformedMessageError], end: EndReason) -> None:
-        """End the connection at the first of these messages.
+    def _end_with(self, items: list[thrift.Message | thrift.MalformedMessageError], end: EndReason) -> None:
+        """End the connection because of the first of these messages.
 
-        Requests that were read completely after it are failed too, so that each of them has its answer.
+        The requests that were read completely are failed, also those after it, so that each has its answer.
         """
         for item in items:
             if isinstance(item, thrift.Withdraw):
@@ -173,20 +173,20 @@
         self._finish(end)
 
     def _finish(self, end: EndReason) -> None:
-        """End the connection; what is open on it is failed, so that each request has its answer."""
+        """End the connection; open requests are failed, so that each has its answer."""
         self.fail_open()
         self.connection.finish(end)
 
     def fail_open(self) -> None:
-        """Give each open request its final answer: failed."""
+        """Answer each open request as failed."""
         for seqid, key in list(self.open.items()):
             self.port.requests.withdraw(key)
             self._reply(seqid, Failed())
 
-    def check(self) -> None:
-        """Withdraw the open requests where the client has ended its output behind bytes not read yet.
+    def check_peer_ended(self) -> None:
+        """Fail the open requests if the client has ended its output behind bytes that are not read yet.
 
-        Costs nothing where the reads of this iteration have reached the end of what was received.
+        Makes no system call if this iteration has read everything that was received.
         """
         if self.connection.may_have_ended() and self.connection.peer_ended():
             self.on_half_close()
@@ -194,24 +194,24 @@
     def on_half_close(self) -> None:
         """Fail the open requests and accept no more, because the client has ended its output.
 
-        It may have closed the connection, or may still read its answers.
+        The client may have closed the connection, or may still read its answers.
         """
         self.output_ended = True
         self.fail_open()
 
     def on_end(self, _end: EndReason) -> None:
-        """Withdraw the open requests: the connection has ended."""
+        """Withdraw the open requests, because the connection has ended."""
         keys = list(self.open.values())
         self.open = {}
         for key in keys:
             self.port.requests.withdraw(key)
         self.port.ended(self)
 
-    # --- without open requests ------------------------------------------------------------------
+    # --- idle connections -----------------------------------------------------------------------
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is open on it or unwritten, and it has not begun to end."""
+        """Whether it has no open request and no unwritten answer, and is not being closed."""
         connection = self.connection
         return not (self.open or connection.waiting_bytes or connection.closed or connection.finishing)
 
@@ -221,20 +221,20 @@
         return self._reader.has_partial_frame
 
     def state(self) -> tuple[bytes, int]:
-        """The bytes of a partial message, and how many bytes of an oversized one are still to be skipped."""
+        """Return the bytes of a partial message, and how many bytes of an oversized one are still to skip."""
         return self._reader.state()
 
     def resume(self, handed: HandedOffConnection) -> None:
-        """Continue where another process was with this connection."""
+        """Continue a connection in the state in which another process handed it off."""
         self._reader.resume(handed.partial, handed.skip)
         self.has_sent = handed.has_sent
         if handed.unwritten:
             self.connection.write(handed.unwritten)
 
     def may_be_released(self, now_ms: float) -> bool:
-        """Whether it may be closed to make capacity: probably nothing that it sends is on its way.
+        """Whether it may be closed to make capacity, because the client is probably not sending now.
 
-        `now_ms`: the monotonic clock in milliseconds.
+        `now_ms` is on the monotonic clock.
         """
         unused_ms = now_ms - self.connection.used_ms
         if self.has_partial_message:
@@ -242,9 +242,9 @@
         return self.has_sent or unused_ms > MIN_SILENT_MS
 
     def release(self) -> bool:
-        """Close it in order, if nothing is to be done once all that arrived is read; return whether it ends.
+        """Read what has arrived and, if the connection is still idle, close it; return whether it ends.
 
-        What arrives after that read crosses the close and is discarded: the client retries it.
+        Bytes that arrive later cross the close and are discarded; the client retries the request.
         """
         used_ms = self.connection.used_ms
         if not self._read_all() or self.connection.used_ms != used_ms or not self.idle:
@@ -253,24 +253,24 @@
         return True
 
     def close_overdue(self) -> None:
-        """Close it where it has sent nothing, or a partial message, for too long and no bytes are unread."""
+        """Close it if its first or partial message is overdue and no bytes are unread."""
         if self._read_all() and self.is_overdue(monotonic_ms()):
             self._finish(EndReason.SILENT)
 
     def is_overdue(self, now_ms: float) -> bool:
         """Whether its first message, or the rest of a partial one, has taken too long.
 
-        Protects descriptors from peers that send nothing. `now_ms`: the monotonic clock in milliseconds.
+        Keeps silent peers from occupying descriptors. `now_ms` is on the monotonic clock.
         """
         if self.open or (self.has_sent and not self._reader.has_partial_frame):
             return False
         timeout_ms = OVERSIZED_TIMEOUT_MS if self._reader.is_skipping else MESSAGE_TIMEOUT_MS
-        return now_ms - self._since_ms > timeout_ms
+        return now_ms - self._timeout_start_ms > timeout_ms
 
     def _read_all(self) -> bool:
-        """Read and handle what has arrived; return whether that is all, and the connection still exists."""
+        """Read and handle what has arrived; return whether all was read and the connection stays open."""
         if self.port.paused:
-            return False  # what is unread belongs to another process
+            return False  # unread bytes belong to another process
         for _ in range(MAX_RELEASE_READS):
             if self.connection.read_now():
                 return not (self.connection.closed or self.connection.finishing)
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -1,7 +1,7 @@
 """The open requests: from a client's call to its one final outcome.
 
-Independent of the clients' protocol: a `Call` has what is requested and where the outcome goes, so that
-another protocol can use the same decisions.
+Independent of the clients' protocol: a `Call` says what is requested and where the outcome goes, so that
+another protocol can use the same request table and router.
 """
 
 import itertools
@@ -18,9 +18,9 @@
 from fawnwharf.net.scorer_streams import Answer, Attempt, LoadOrder
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
-MAX_BODY_BYTES = 32 * 1024 * 1024  # of all open requests' bodies: part of the memory limit
-FULL_RETRY_AFTER_MS = 250.0  # advice where this front end has no capacity; the router is not asked
-MAX_CONCURRENCY = 30
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of the bodies of all open requests: part of the memory limit
+FULL_RETRY_AFTER_MS = 250.0  # for requests that are rejected without the router: the front end is full
+MAX_CONCURRENCY = 30  # a scorer's reported concurrency is capped at this
 
 
 @dataclass(slots=True)
@@ -53,8 +53,8 @@
 class Call:
     """What a client requests, independent of its protocol.
 
-    `budget_ms`: the time that the client still waits; `token`: the idempotency key, or empty; `load_ms`: how
-    long a copy takes to load; `reply`: called once, with the outcome.
+    `budget_ms` is how long the client still waits. `token` is the idempotency key, or empty. `load_ms` is how
+    long a copy takes to load. `reply` is called exactly once, with the outcome.
     """
 
     id: bytes
@@ -68,9 +68,9 @@
     memory_mb: float | None
     load_ms: float | None
     reply: Callable[[Outcome], None]
-    # Called before each send: a client whose connection has ended behind unread bytes withdraws its requests.
+    # Called before each send. Withdraws the requests of a client that has disconnected behind unread bytes.
     check_client: Callable[[], None] = _nothing_to_check
-    context: Any = None  # set by whoever receives the call, for example the policy that applies to it
+    context: Any = None  # data of the component that receives the call, such as the policy that applies to it
 
 
 @dataclass(slots=True, eq=False)
@@ -80,13 +80,13 @@
     key: str
     call: Call
     deadline_ms: float  # on the monotonic clock
-    backstop: Timer
+    deadline_timer: Timer
     attempts: int = 0  # sent so far; the router numbers them in the same order
-    left: bool = False  # its client no longer waits, or its time is up
+    abandoned: bool = False  # the client no longer waits, or the deadline has passed
 
 
 class RequestObserver(Protocol):
-    """A component that is notified of what is sent to scorers, and of how it ends."""
+    """A component that is notified of each attempt and load order, and of how it ends."""
 
     def sent(self, attempt: Attempt) -> None:
         """An attempt is about to be sent."""
@@ -98,11 +98,11 @@
         """A load order is about to be sent."""
 
     def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None:
-        """A load order has ended; `copies`: the number that the scorer reported, 0 without an answer."""
+        """A load order has ended; `copies` is the number that the scorer reported, 0 without an answer."""
 
 
 class RequestTable:
-    """Owns every open request, and ensures that each gets exactly one outcome."""
+    """Owns all open requests, and ensures that each gets exactly one outcome."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         wire: Wire,
         classes: Mapping[str, io.ClassSpec] = MappingProxyType({}),
     ) -> None:
-        """`classes`: specifications by class name; requests of an unknown class must not run twice."""
+        """`classes` has the specifications by class name; requests of an unknown class must not run twice."""
         self._classes = classes
         self._loop = loop
         self._pool = pool
@@ -119,28 +119,29 @@
         self.open: dict[str, OpenRequest] = {}
         self.observer: RequestObserver | None = None
         self._body_bytes = 0
-        self._numbers = itertools.count(1)
-        # Attempts without an end yet, also of requests that are closed: the router may still cancel them.
+        self._key_numbers = itertools.count(1)
+        # Attempts that have not ended, also of closed requests: the router may still cancel them.
         self._in_flight: dict[tuple[str, int], Attempt] = {}
-        # Load orders without an end yet, by function, if a request for it was open when they were created.
-        self._orders: dict[str, list[LoadOrder]] = {}
-        # Event numbers of arrivals that the router has yet to receive; what ends before then is kept from it.
+        # Load orders that have not ended, by function. Only those created while a request for it was open.
+        self._load_orders: dict[str, list[LoadOrder]] = {}
+        # Event numbers of arrivals that the router has not received yet, by request. If the request ends
+        # before that, the router receives no event for it.
         self._unreported: dict[str, int] = {}
-        # Requests that ended while the router did not know it yet, of this batch and of the previous one.
+        # Requests that ended in this batch and in the previous one. The router may not know it yet.
         self._ended: dict[str, OpenRequest] = {}
         self._previously_ended: dict[str, OpenRequest] = {}
 
     # --- from clients -------------------------------------------------------------------------
 
     def take(self, call: Call) -> str | None:
-        """Open a request and return its key; None where it was rejected at once for lack of capacity."""
+        """Open a request and return its key; None if it was rejected for lack of capacity."""
         if len(self.open) >= self._wire.max_open or self._body_bytes + len(call.body) > MAX_BODY_BYTES:
             call.reply(Rejected(FULL_RETRY_AFTER_MS))
             return None
-        key = f"r{next(self._numbers)}"
+        key = f"r{next(self._key_numbers)}"
         self._body_bytes += len(call.body)
-        backstop = self._loop.timers.after(call.budget_ms, lambda: self._overdue(key))
-        self.open[key] = OpenRequest(key, call, self._loop.iteration_ms + call.budget_ms, backstop)
+        deadline_timer = self._loop.timers.after(call.budget_ms, lambda: self._fail_overdue(key))
+        self.open[key] = OpenRequest(key, call, self._loop.iteration_ms + call.budget_ms, deadline_timer)
         self._unreported[key] = self._loop.enqueue(
             io.RequestArrived(
                 key, call.function, call.class_name, call.tenant, call.budget_ms, call.lanes,
@@ -152,23 +153,22 @@
     def withdraw(self, key: str) -> None:
         """Close a request whose client no longer waits; it gets no reply.
 
-        Where it is withdrawn in the iteration in which it arrived, the router receives neither event.
-        Protects the load limit, which is based on requests that arrived, against clients that send and
-        withdraw at once.
+        If it arrived in the same iteration, the router receives neither event. Otherwise clients that send
+        and withdraw at once would raise the load limit, which is based on the arrived requests.
         """
-        self._leave(key)
+        self._abandon(key)
 
-    def _overdue(self, key: str) -> None:
-        """Fail a request whose time is up.
+    def _fail_overdue(self, key: str) -> None:
+        """Fail a request whose deadline has passed.
 
-        Ensures the final outcome against any error of the router, which ends requests earlier.
+        The router normally ends requests earlier; this guarantees the outcome if the router has an error.
         """
-        if request := self._leave(key):
+        if request := self._abandon(key):
             request.call.reply(Failed())
 
-    def _leave(self, key: str) -> OpenRequest | None:
+    def _abandon(self, key: str) -> OpenRequest | None:
         if request := self._close(key):
-            request.left = True
+            request.abandoned = True
             if (number := self._unreported.pop(key, None)) is not None:
                 self._loop.discard(number)
             else:
@@ -180,7 +180,7 @@
     def _close(self, key: str) -> OpenRequest | None:
         request = self.open.pop(key, None)
         if request:
-            request.backstop.cancel()
+            request.deadline_timer.cancel()
             self._body_bytes -= len(request.call.body)
         return request
 
@@ -191,39 +191,38 @@
             self._cancel_unsent_work(request)
 
     def _cancel_unsent_work(self, request: OpenRequest) -> None:
-        """Cancel what was not sent for a closed request.
+        """Cancel the unsent attempts of a closed request, and the load orders that no request needs any more.
 
-        Its attempts, and load orders created for requests of its function if none of these waits any more. No
-        setting is consulted, as no scorer receives anything of it.
+        The `cancel` setting does not apply, because no scorer has received anything yet.
         """
         for number in range(request.attempts):
             if attempt := self._in_flight.get((request.key, number)):
                 self._pool.cancel_unsent(attempt)
         function = request.call.function
-        orders = [order for order in self._orders.get(function, ()) if not order.begun]
+        orders = [order for order in self._load_orders.get(function, ()) if not order.begun]
         if orders and not self._is_requested(function):
             for order in orders:
                 self._pool.cancel_unsent(order)
 
     def _check_clients(self, function: str) -> None:
-        """Have requests for the function withdrawn whose client has ended its connection meanwhile."""
+        """Withdraw the requests for a function whose clients have disconnected."""
         for request in [each for each in self.open.values() if each.call.function == function]:
             request.call.check_client()
 
     def _is_requested(self, function: str) -> bool:
-        """Whether a request for the function is open here."""
+        """Whether a request for the function is open."""
         return any(request.call.function == function for request in self.open.values())
 
     # --- from the router ----------------------------------------------------------------------
 
     def begin_batch(self) -> None:
-        """Note that the router receives the batch of events now."""
+        """Record that the router receives the batch of events now."""
         self._previously_ended = self._ended
         self._ended = {}
         self._unreported.clear()
 
     def send(self, action: io.Send) -> None:
-        """Send an attempt of a request; where that ended meanwhile, report the attempt as not sent."""
+        """Send an attempt of a request; if the request has ended, report the attempt as not sent."""
         key = action.request
         request = self.open.get(key) or self._ended.get(key) or self._previously_ended.get(key)
         if request is None:
@@ -286,7 +285,7 @@
             self.observer.ended(attempt, ending, warmth)
         took_ms = monotonic_ms() - attempt.began_ms
         closed = good or key not in self.open
-        # Enqueued before the request is finished, which ends its other attempts: the order of ends matters.
+        # Enqueued before `_finish` ends the other attempts: the router needs the ends in this order.
         self._loop.enqueue(
             io.AttemptEnded(key, number, attempt.scorer, ending, took_ms, closed, warmth, concurrency)
         )
@@ -294,7 +293,7 @@
             self._finish(key, Succeeded(answer.body))
 
     def _may_repeat(self, attempt: Attempt) -> bool:
-        """Whether an attempt that can't have run may be repeated although some of it was written."""
+        """Whether an attempt may be repeated if only a part of it was written, so that it can't have run."""
         spec = self._classes.get(attempt.class_name)
         return spec is not None and spec.effect is not io.Effect.AT_MOST_ONCE
 
@@ -308,8 +307,7 @@
     def start_load(self, action: io.OrderCopies) -> None:
         """Send a load order, or a query for the number of copies, to a scorer.
 
-        Where the clients that waited for the function have gone in the meantime, an order is reported as not
-        sent.
+        An order is reported as not sent if all clients that waited for the function have disconnected.
         """
         begin_by_ms = self._loop.iteration_ms + action.within_ms
         order = LoadOrder(action.scorer, self._order_ended, action.function, action.copies, begin_by_ms)
@@ -318,19 +316,19 @@
         if order.copies:
             self._check_clients(order.function)
         if order.copies and self._is_requested(order.function):
-            self._orders.setdefault(order.function, []).append(order)
+            self._load_orders.setdefault(order.function, []).append(order)
         elif order.copies and self._was_requested(order.function):
             self._order_ended(order, EndReason.NEVER_SENT, None)
             return
         self._pool.start_load(order)
 
     def _was_requested(self, function: str) -> bool:
-        """Whether a client that waited for the function left in the batch that is being executed."""
+        """Whether a request for the function was abandoned in this batch or in the previous one."""
         ended = itertools.chain(self._ended.values(), self._previously_ended.values())
-        return any(request.left and request.call.function == function for request in ended)
+        return any(request.abandoned and request.call.function == function for request in ended)
 
     def _order_ended(self, order: LoadOrder, end: EndReason | None, answer: Answer | None) -> None:
-        self._forget(order)
+        self._forget_order(order)
         took_ms = monotonic_ms() - order.began_ms
         if answer:
             ending = answer.ending
@@ -342,9 +340,9 @@
             self.observer.order_ended(order, ending, copies)
         self._loop.enqueue(io.LoadOrderAnswered(order.scorer, order.function, ending, copies, took_ms))
 
-    def _forget(self, order: LoadOrder) -> None:
-        orders = self._orders.get(order.function, [])
+    def _forget_order(self, order: LoadOrder) -> None:
+        orders = self._load_orders.get(order.function, [])
         if order in orders:
             orders.remove(order)
             if not orders:
-                del self._orders[order.function]
+                del self._load_orders[order.function]
--- a/fawnwharf/net/slow_clients.py
+++ b/fawnwharf/net/slow_clients.py
@@ -1,7 +1,7 @@
-"""Clients whose bytes are not read as they arrive.
+"""Reads slow clients at a limited pace, and bounds the memory that their unsent answers take.
 
-These are clients that do not read their answers, that send more than one iteration reads, and all clients
-while reading is paused.
+Slow clients do not read their answers, or send more than one iteration reads. While reading is paused, all
+clients count as slow.
 """
 
 from typing import TYPE_CHECKING
@@ -12,35 +12,35 @@
 if TYPE_CHECKING:
     from fawnwharf.net.clients import ClientConnection
 
-# Unsent bytes of one client from which on it is read once per scan only.
+# A client with this many unsent bytes is read only once per scan.
 UNSENT_PAUSE_BYTES = 64 * 1024
-SCAN_MS = 40.0  # so that an end or a withdrawal behind unread requests is seen within 0.1 s
-MAX_READS = 36  # per scan: the largest requests that may be open on one connection, and some more
+SCAN_MS = 40.0  # so that a disconnect or a withdrawal behind unread requests is detected within 100 ms
+MAX_READS = 36  # per scan: enough for the largest requests that may be open on one connection
 MAX_UNSENT_ANSWERS = 64  # of one client; the protocol allows half as many open requests
 MAX_TOTAL_UNSENT_BYTES = 32 * 1024 * 1024  # of all clients together: part of the memory limit
 
 
 class SlowClients:
-    """Checks slow clients periodically: whether they have ended, and what they have sent meanwhile."""
+    """Periodically checks whether slow clients have disconnected, and reads what they have sent."""
 
     def __init__(self, loop: EventLoop, clients: dict["ClientConnection", None]) -> None:
-        """`clients` is the port's own collection of connections, which changes as they come and go."""
-        self.paused = False  # nothing is read: what arrives belongs to another process
+        """`clients` is the port's own collection, which changes as connections open and close."""
+        self.paused = False  # no client is read, because unread bytes belong to another process
         self._loop = loop
         self._clients = clients
         self._to_check: dict[ClientConnection, None] = {}  # at the next scan
         self._scan_scheduled = False
 
     def regulate(self, client: "ClientConnection") -> None:
-        """Have a client read as its bytes arrive, or at the slower pace of the scans."""
+        """Choose whether a client is read as its bytes arrive or only once per scan."""
         connection = client.connection
-        slower = self.paused or connection.waiting_bytes >= UNSENT_PAUSE_BYTES
-        connection.set_reading(connection.finishing or not slower)
+        is_slow = self.paused or connection.waiting_bytes >= UNSENT_PAUSE_BYTES
+        connection.set_reading(connection.finishing or not is_slow)
         if not (connection.reads or connection.closed):
             self.check_later(client)
 
     def check_later(self, client: "ClientConnection") -> None:
-        """Check a client at the next scan, because its end may lie behind bytes that are not read yet."""
+        """Check a client at the next scan, because it may have disconnected behind unread bytes."""
         self._to_check[client] = None
         if not self._scan_scheduled:
             self._scan_scheduled = True
@@ -60,8 +60,8 @@
             self._loop.run_guarded(self._check, client)
 
     def _check(self, client: "ClientConnection") -> None:
-        client.check()
-        if not (self.paused or client.connection.reads):  # while paused, its bytes belong to another process
+        client.check_peer_ended()
+        if not (self.paused or client.connection.reads):  # while paused, unread bytes are another process's
             self._read(client)
         self.regulate(client)
 
@@ -75,11 +75,11 @@
                 return
 
     def unsent_bytes(self) -> int:
-        """How many bytes are queued for all clients together."""
+        """Return how many bytes are queued for all clients together."""
         return sum(client.connection.waiting_bytes for client in self._clients)
 
     def enforce_limit(self) -> None:
-        """Close the slow clients that have read nothing for longest, until the total limit is kept."""
+        """Close the slow clients that have been inactive for longest, until the total limit is met."""
         while self.unsent_bytes() > MAX_TOTAL_UNSENT_BYTES:
             slow = [
                 client for client in self._clients if client.connection.waiting_bytes > UNSENT_PAUSE_BYTES
--- a/tests/net/test_net_client_disconnects_before_send.py
+++ b/tests/net/test_net_client_disconnects_before_send.py
@@ -113,7 +113,7 @@
                 self.assertEqual(self.order_endings(), [io.AttemptResult.NOT_SENT])
                 rig.until(lambda rig=rig: all(link.up for link in self.links(rig)), "the dial is up")
                 rig.settle(rig.client())
-                self.assertEqual((scorer.frames, rig.front.requests._orders), ([], {}))
+                self.assertEqual((scorer.frames, rig.front.requests._load_orders), ([], {}))
 
     def test_one_that_another_request_waits_for_goes_out(self):
         rig, scorer, [(client, key), _] = self.ordered(linked=False, asked=2)
--- a/tests/net/test_net_clients.py
+++ b/tests/net/test_net_clients.py
@@ -65,7 +65,7 @@
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         bad, good = rig.client(), rig.client()
-        with mock.patch.object(clients.ClientConnection, "_handle", side_effect=KeyError("boom")):
+        with mock.patch.object(clients.ClientConnection, "_handle_request", side_effect=KeyError("boom")):
             bad.call()
             rig.until(lambda: bad.ended, "the connection ends")
         good.call()
--- a/tests/net/test_net_shutdown_orders.py
+++ b/tests/net/test_net_shutdown_orders.py
@@ -106,7 +106,7 @@
     rig.until(lambda: client.answers and client.ended, "it has its answer, then the end")
     assert rig.front.loop.running
     for served in rig.front.client_port.clients:
-        served._since_ms -= 60_000.0  # the time of a message in pieces is over
+        served._timeout_start_ms -= 60_000.0  # the time of a message in pieces is over
     rig.until(lambda: silent.ended, "the one that went silent is ended")
     client.sock.close()
     silent.sock.close()
