--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting connections from a listening socket: which errors concern one connection, and which all."""
+"""Accepts connections from a listening socket, and pauses after errors that affect all connections."""
 
 import errno
 import socket
@@ -10,9 +10,9 @@
 from fawnwharf.net.timer_wheel import Timer, monotonic_ms
 
 MAX_ACCEPTS = 64  # in one iteration
-# Where the system has no descriptor or memory left, or the listener fails in an unknown way.
+# Pause after the system ran out of descriptors or memory, or after an unknown error of the listener.
 ACCEPT_PAUSE_MS = 50.0
-# Errors of a connection that ended, or of its network, before it was accepted: the next may be usable.
+# The connection ended, or its network failed, before it was accepted. The next connection may be usable.
 SINGLE_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -33,7 +33,7 @@
 
 
 class Acceptor:
-    """Owns the listening socket, and accepts while it is on, there is capacity, and descriptors are left."""
+    """Owns the listening socket, and accepts connections while it is enabled and there is capacity."""
 
     def __init__(
         self,
@@ -43,11 +43,12 @@
         capacity: Callable[[], int],
         log: LogWriter,
     ) -> None:
-        """Take the listening socket over; nothing is accepted before `set_accepting`.
+        """Take over the listening socket; no connection is accepted before `set_accepting`.
 
-        `admit` receives an accepted socket and the monotonic time in milliseconds since which it may have
-        been waiting; it may raise OSError, and the socket is then closed here. `capacity` returns how many
-        more connections to accept in this iteration; after it was 0, `resume` reports new capacity.
+        `admit` receives an accepted socket and the earliest time (monotonic, in milliseconds) from which it
+        may have been waiting. If `admit` raises OSError, the socket is closed. `capacity` returns how many
+        more connections to accept in this iteration; once it has returned 0, call `resume` when there is
+        capacity again.
         """
         self.loop = loop
         self.log = log
@@ -57,11 +58,11 @@
         self._closed = False
         self._accepting = False
         self._pause: Timer | None = None
-        # Since when connections may be waiting in the queue; None: it was emptied.
-        self._waiting_ms: float | None = monotonic_ms()
-        # The last iteration that found the listener ready, or began to watch it.
-        self._checked_ms = self._waiting_ms
-        self._failures = 0  # attempts of this iteration that accepted no connection
+        # The earliest time from which connections may be waiting in the accept queue; None if it was emptied.
+        self._waiting_since_ms: float | None = monotonic_ms()
+        # Start of the last iteration that found the listener ready or began to watch it.
+        self._checked_ms = self._waiting_since_ms
+        self._failures = 0  # accept calls of this iteration that failed for a single connection
 
     @property
     def listener(self) -> socket.socket | None:
@@ -69,7 +70,7 @@
         return None if self._closed else self._listener
 
     def set_accepting(self, on: bool) -> None:
-        """Accept new connections, or leave them to another process that has the same listener."""
+        """Accept new connections, or leave them to another process that shares the listener."""
         if self._closed or on == self._accepting:
             return
         self._accepting = on
@@ -85,8 +86,8 @@
 
     def _ready(self, _mask: int) -> None:
         descriptor = self._listener.fileno()
-        if self._waiting_ms is None or self._checked_ms < self.loop.empty_ms(descriptor):
-            self._waiting_ms = self.loop.ready_since_ms(descriptor)
+        if self._waiting_since_ms is None or self._checked_ms < self.loop.empty_ms(descriptor):
+            self._waiting_since_ms = self.loop.ready_since_ms(descriptor)
         self._checked_ms = self.loop.iteration_ms
         wanted = min(MAX_ACCEPTS, self._capacity())
         if not wanted:
@@ -104,22 +105,24 @@
         try:
             accepted, _ = self._listener.accept()
         except BlockingIOError:
-            self._waiting_ms = None
+            self._waiting_since_ms = None
             return False
         except OSError as error:
-            return self._failed(error)
-        self._take(accepted)
+            return self._handle_accept_error(error)
+        self._admit_socket(accepted)
         return True
 
-    def _take(self, accepted: socket.socket) -> None:
+    def _admit_socket(self, accepted: socket.socket) -> None:
         try:
-            self._admit(accepted, self.loop.iteration_ms if self._waiting_ms is None else self._waiting_ms)
+            self._admit(
+                accepted, self.loop.iteration_ms if self._waiting_since_ms is None else self._waiting_since_ms
+            )
         except OSError as error:
-            # Reset already, or the selector has no memory: this one is lost, the next may be usable.
+            # Already reset, or the selector has no memory: the next connection may be usable.
             accepted.close()
-            self.log(f"accepted connection not usable: {error}", "accept")
+            self.log(f"accepted connection is not usable: {error}", "accept")
 
-    def _failed(self, error: OSError) -> bool:
+    def _handle_accept_error(self, error: OSError) -> bool:
         if error.errno in SINGLE_CONNECTION_ERRORS:
             self._failures += 1
             return True
@@ -129,13 +132,13 @@
         return False
 
     def pause(self) -> None:
-        """Leave new connections in the system's queue for `ACCEPT_PAUSE_MS`, instead of a busy loop."""
+        """Leave new connections in the accept queue for `ACCEPT_PAUSE_MS`, to avoid a busy loop."""
         if not self._closed and self._accepting and self._pause is None:
             self._watch(False)
             self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.resume)
 
     def resume(self) -> None:
-        """End a pause: there may be capacity, or the system may have descriptors again."""
+        """End a pause, because there may be capacity or descriptors again."""
         if self._pause is None:
             return
         self._pause.cancel()
@@ -144,12 +147,12 @@
             return
         try:
             self._watch(True)
-        except OSError as error:  # the selector has no memory: a listener that is not watched would be lost
+        except OSError as error:  # the selector has no memory; without a retry the listener stays unwatched
             self.log(f"accept: {error}", "accept")
             self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.resume)
 
     def drain(self) -> bool:
-        """Accept all that the system's queue holds, then close the listener; return whether that is done.
+        """Accept all connections in the accept queue, then close the listener; return whether it is closed.
 
         Closing a listener resets the connections in its queue. Returns False while there is no capacity for
         all of them, or the system has no descriptor.
@@ -168,11 +171,11 @@
                 if error.errno not in SINGLE_CONNECTION_ERRORS:
                     return False
             else:
-                self._take(accepted)
+                self._admit_socket(accepted)
         return self._closed
 
     def close(self) -> None:
-        """Stop listening; the connections that are still in the system's queue are reset."""
+        """Stop listening; connections that are still in the accept queue are reset."""
         self.set_accepting(False)
         if not self._closed:
             self._listener.close()
--- a/fawnwharf/net/connection_handoff.py
+++ b/fawnwharf/net/connection_handoff.py
@@ -8,10 +8,10 @@
 class HandedOffConnection:
     """A connection without open requests, and the state that the receiving process needs to continue it.
 
-    `partial`: the bytes received so far of an incomplete message. `skip`: how many bytes of an oversized
-    message are still to be discarded. `has_sent`: whether the client has sent a complete message.
-    `unwritten`: bytes of answers that were not written yet. `empty_ms`: when its receive buffer was last
-    known to be empty, on the monotonic clock, which both processes share; None where that is not known.
+    `partial` has the bytes received so far of an incomplete message. `skip` is how many bytes of an oversized
+    message are still to be discarded. `has_sent` says whether the client has sent a complete message.
+    `unwritten` has the bytes of answers that were not written yet. `empty_ms` is when the receive buffer was
+    last known to be empty, on the monotonic clock, which both processes share; None if that is not known.
     """
 
     sock: socket.socket
--- a/fawnwharf/net/event_order.py
+++ b/fawnwharf/net/event_order.py
@@ -1,8 +1,8 @@
-"""The order of the change log's events: which event has the newest state of each scorer. Pure.
+"""Orders the events of the change log: determines which event has the newest state of each scorer. No I/O.
 
-Events may arrive twice, late, or out of order. For each scorer the event with the highest number counts, so
+Events may arrive twice, late or out of order. For each scorer the event with the highest number counts, so
 that the outcome does not depend on the order of arrival. A change log that lost its events restarts its
-numbering at 1; that is detected by an event whose content differs from the earlier one of the same number.
+numbering at 1. That is detected by an event whose content differs from the earlier event of the same number.
 """
 
 import hashlib
@@ -13,47 +13,47 @@
 
 from fawnwharf.config import Fleet, Member
 
-MAX_EVENTS = 2_048  # whose content is remembered, the most recent ones; and always the first one
-MAX_SCORERS = 10_000  # whose last event is remembered, the most recent ones; removed ones among them
+MAX_EVENTS = 2_048  # remembered events: the first one and the most recently applied ones
+MAX_SCORERS = 10_000  # scorers whose last event is remembered, including removed ones
 
 _encode = msgspec.json.Encoder(order="deterministic").encode
 
 
 class EventMatch(Enum):
-    """How an event compares with the one that was received earlier under its number."""
+    """How an event compares with an earlier event of the same number."""
 
     NEW = auto()  # no event of this number is known
     SAME = auto()
-    DIFFERENT = auto()  # other content: it belongs to another numbering
+    DIFFERENT = auto()  # its content differs, so the change log has restarted its numbering
 
 
 class EventOrder:
-    """Remembers the content of each event, and which event determined the state of each scorer."""
+    """Remembers a digest of each event, and which event determined the state of each scorer."""
 
     def __init__(self) -> None:
-        self.revision = 0  # the highest one received
-        # By event number: digest, whether it was a complete list, revision.
+        self.revision = 0  # the highest revision received
+        # By event number: digest, whether it is a complete list, revision.
         self._events: dict[int, tuple[bytes, bool, int]] = {}
         self._scorers: dict[str, tuple[int, bool]] = {}  # by id: number of the last event, whether listed
         self._newest = 0  # the highest event number received
-        self._newest_complete = 0  # of the newest complete list, which replaces all earlier events
+        self._newest_complete = 0  # the number of the newest complete list, which replaces all earlier events
 
     @property
     def empty(self) -> bool:
-        """Whether no event was applied yet."""
+        """Whether no event has been applied yet."""
         return not self._events
 
     def compare(self, seq: int, fleet: Fleet) -> EventMatch:
-        """Compare an event with the one that was applied under its number."""
+        """Compare an event with the one of the same number that was applied."""
         if (known := self._events.get(seq)) is None:
             return EventMatch.NEW
         digest, complete, revision = known
-        # A complete list may replace the change of the same number: the configuration's list does.
+        # A complete list of the same revision may replace a change, as the configuration's list does.
         summarized = complete != fleet.complete and bool(revision) and revision == fleet.revision
         return EventMatch.SAME if summarized or digest == _digest(fleet) else EventMatch.DIFFERENT
 
     def is_renumbered(self, seq: int, fleet: Fleet) -> bool:
-        """Whether an event of an unknown number cannot be an earlier one of this numbering."""
+        """Whether an event of an unknown number cannot be a late one, so that the numbering has restarted."""
         return seq < self._newest and 0 < self.revision < fleet.revision
 
     def is_listed(self, scorer_id: str) -> bool:
@@ -61,7 +61,7 @@
         return self._scorers.get(scorer_id, (0, False))[1]
 
     def apply(self, seq: int, fleet: Fleet, unreadable_ids: Collection[str] = ()) -> Fleet:
-        """Record an event, and return the part of it that no later event has replaced already.
+        """Record an event, and return the part of it that no later event has replaced.
 
         A complete list removes the scorers that it does not name, except for `unreadable_ids`.
         """
@@ -69,9 +69,9 @@
         members = [member for member in fleet.members if seq >= self._last_event(member.id)]
         removed = self._removed(seq, fleet, unreadable_ids) if fleet.complete else []
         for member in members:
-            self._note(member.id, seq, listed=member.phase != "terminated")
+            self._record(member.id, seq, listed=member.phase != "terminated")
         for scorer_id in removed:
-            self._note(scorer_id, seq, listed=False)
+            self._record(scorer_id, seq, listed=False)
         complete = fleet.complete and seq >= self._newest and not unreadable_ids
         self._newest = max(self._newest, seq)
         if fleet.complete:
@@ -82,7 +82,7 @@
         return msgspec.structs.replace(fleet, members=members, complete=complete)
 
     def forget(self, seq: int) -> None:
-        """Forget an event that could not be delivered: received again, it counts as new."""
+        """Forget an event that could not be delivered, so that it counts as new when it is received again."""
         self._events.pop(seq, None)
 
     def _removed(self, seq: int, fleet: Fleet, unreadable_ids: Collection[str]) -> list[str]:
@@ -96,7 +96,7 @@
     def _last_event(self, scorer_id: str) -> int:
         return max(self._newest_complete, self._scorers.get(scorer_id, (0, False))[0])
 
-    def _note(self, scorer_id: str, seq: int, listed: bool) -> None:
+    def _record(self, scorer_id: str, seq: int, listed: bool) -> None:
         self._scorers.pop(scorer_id, None)
         self._scorers[scorer_id] = seq, listed
         if len(self._scorers) > MAX_SCORERS:
--- a/fawnwharf/net/listener.py
+++ b/fawnwharf/net/listener.py
@@ -1,4 +1,4 @@
-"""Opening the socket that clients connect to, and waiting for an address that is still in use."""
+"""Opens the socket that clients connect to, and waits for an address that is still in use."""
 
 import errno
 import signal
@@ -10,16 +10,16 @@
 from fawnwharf.net.timer_wheel import monotonic_ms, sleep_s
 
 BACKLOG = 1024
-# The previous process may still be shutting down: it holds its address until it has accepted the last
-# connections. A starting process has to be ready within 10 s.
+# A previous process that is shutting down holds its address until it has accepted the last connections. A
+# starting process has to be ready within 10 s.
 MAX_IN_USE_S = 6.0
 IN_USE_RETRY_S = 0.05
 
 
 def open_listener(address: Address, shared: bool) -> socket.socket:
-    """Return a non-blocking socket that listens on the address; raises OSError where it cannot.
+    """Return a non-blocking socket that listens on the address; raises OSError on failure.
 
-    `shared`: another process may listen on the same address (SO_REUSEPORT).
+    `shared` lets another process listen on the same address (SO_REUSEPORT).
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
@@ -38,21 +38,21 @@
 
 
 def termination_pending() -> bool:
-    """Whether SIGTERM or SIGINT has arrived and is blocked, as both are during a start."""
+    """Whether SIGTERM or SIGINT is pending; both are blocked during startup."""
     return bool({signal.SIGTERM, signal.SIGINT} & signal.sigpending())
 
 
 def listen_when_free(listen: Callable[[], socket.socket], most_s: float = MAX_IN_USE_S) -> socket.socket:
     """Call `listen` until its address is free, and return the socket that it opened.
 
-    Raises OSError where the address stays in use for more than `most_s` seconds, where a termination signal
-    arrives meanwhile, and at once for any other error.
+    Raises OSError if the address stays in use for more than `most_s` seconds or a termination signal arrives.
+    Any other error of `listen` is raised at once.
     """
-    until_s = monotonic_ms() / 1000.0 + most_s
+    end_s = monotonic_ms() / 1000.0 + most_s
     while True:
         try:
             return listen()
         except OSError as error:
-            if error.errno != errno.EADDRINUSE or termination_pending() or monotonic_ms() / 1000.0 >= until_s:
+            if error.errno != errno.EADDRINUSE or termination_pending() or monotonic_ms() / 1000.0 >= end_s:
                 raise
         sleep_s(IN_USE_RETRY_S)
