--- a/tests/net/test_net_client_descriptor_limits.py
+++ b/tests/net/test_net_client_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""At the least limit of descriptors: clients and scorers hold all they may, and the rest still comes up."""
+"""At the lowest descriptor limit, the change log connects although clients and scorers use all they may."""
 
 import os
 import resource
@@ -6,55 +6,56 @@
 
 from processes import Case
 
-LEAST = 32  # the least limit that a configuration may name
-HOLD_S = 3.0  # how long scorers take, so that connections are held meanwhile
+MIN_DESCRIPTORS = 32  # the lowest limit that a configuration may have
+ANSWER_DELAY_S = 3.0  # of the scorers, so that their connections stay in use
 
 
-class LeastLimit(Case):
+class LowestLimit(Case):
     def setUp(self):
-        self.site_ = self.site(scorers=14, delay_s=HOLD_S, limits={"sockets": LEAST})
+        self.site_ = self.site(scorers=14, delay_s=ANSWER_DELAY_S, limits={"sockets": MIN_DESCRIPTORS})
         self.process = self.site_.start()
-        resource.prlimit(self.process.child.pid, resource.RLIMIT_NOFILE, (LEAST, LEAST))
-        self.most = 0
-        self.site_.habits.append(self.count)
+        resource.prlimit(self.process.child.pid, resource.RLIMIT_NOFILE, (MIN_DESCRIPTORS, MIN_DESCRIPTORS))
+        self.max_descriptors = 0
+        self.site_.habits.append(self.count_descriptors)
 
-    def count(self):
-        self.most = max(self.most, len(os.listdir(f"/proc/{self.process.child.pid}/fd")))
+    def count_descriptors(self):
+        count = len(os.listdir(f"/proc/{self.process.child.pid}/fd"))
+        self.max_descriptors = max(self.max_descriptors, count)
 
-    def cut(self):
-        """The change log ends each connection as it comes."""
+    def close_change_log_connections(self):
+        """Have the change log close each connection when it is accepted."""
         for link in self.site_.log.links:
             link.sock.close()
         self.site_.log.links.clear()
 
-    def links(self):
+    def scorer_connections(self):
         return sum(len(scorer.links) for scorer in self.site_.scorers)
 
-    def fill(self):
-        """Clients ask on more connections than are accepted, for more scorers than may be linked."""
+    def use_all_descriptors(self):
+        """Send requests on more connections than are accepted, for more scorers than can be connected."""
         callers = [self.site_.caller() for _ in range(14)]
         for number, caller in enumerate(callers):
             for each in range(6):
                 caller.ask(row=f"{number * 16 + each:016x}")
         before = -1
-        while self.links() > before:  # as long as more links come up
-            before = self.links()
+        while self.scorer_connections() > before:  # until no more connections are established
+            before = self.scorer_connections()
             for _ in range(20):
                 self.site_.turn()
         return callers
 
-    def test_the_change_log_comes_up_while_clients_and_scorers_hold_all_they_may(self):
+    def test_the_change_log_connects_while_clients_and_scorers_use_their_whole_shares(self):
         site = self.site_
-        site.habits.append(self.cut)
+        site.habits.append(self.close_change_log_connections)
         site.until(lambda: not site.log.links, "the change log is down")
-        callers = self.fill()
-        site.habits.remove(self.cut)
-        site.until(lambda: site.log.asked(), "the change log is asked again")
+        callers = self.use_all_descriptors()
+        site.habits.remove(self.close_change_log_connections)
+        site.until(lambda: site.log.asked(), "the front end asks the change log again")
         self.assertTrue(any(caller.open for caller in callers))
         self.assertEqual(site.ask(self.process, "/status", "GET"), 200)
-        # Connections may be ended for others once nothing is open on them; each call has its one answer.
+        # Idle connections may be closed to make capacity, but each call has exactly one answer.
         self.assertEqual([text for text in site.verdict() if "the connection ended" not in text], [])
-        self.assertLess(self.most, LEAST)  # one was free at all times
+        self.assertLess(self.max_descriptors, MIN_DESCRIPTORS)  # at least one was always free
         self.assertNotIn("Too many open files", self.process.log)
 
 
--- a/tests/net/test_net_clients.py
+++ b/tests/net/test_net_clients.py
@@ -51,11 +51,11 @@
         rig = self.rig(ScorerPeer())
         client = rig.client()
         rig.settle(client)
-        [served] = rig.front.client_port.clients
-        gone = weakref.ref(served.connection)
+        [server_side] = rig.front.client_port.clients
+        gone = weakref.ref(server_side.connection)
         gc.disable()
         self.addCleanup(gc.enable)
-        del served
+        del server_side
         client.sock.close()
         client.ended = True
         rig.until(lambda: not rig.front.client_port.clients, "it ends")
@@ -131,15 +131,15 @@
         rig = self.rig(ScorerPeer())
         client = rig.client()
         rig.settle(client)
-        [served] = rig.front.client_port.clients
+        [server_side] = rig.front.client_port.clients
         with mock.patch.object(clients, "MAX_UNSENT_BYTES", 8 * 1024 * 1024):
-            served._write(b"x" * 7_000_000)
+            server_side._write(b"x" * 7_000_000)
             rig.front.loop.run_iteration(0)
             rig.front.loop.run_iteration(0)
-            self.assertFalse(served.connection._reading)
-        served._write(b"x" * 9_000_000)
+            self.assertFalse(server_side.connection._reading)
+        server_side._write(b"x" * 9_000_000)
         rig.front.loop.run_iteration(0)
-        self.assertTrue(served.connection.closed)
+        self.assertTrue(server_side.connection.closed)
 
     def test_connections_keep_to_their_share_of_descriptors(self):
         rig = self.rig(ScorerPeer(copies=None), limits={"sockets": 32})
--- a/tests/net/test_net_request_age.py
+++ b/tests/net/test_net_request_age.py
@@ -69,8 +69,8 @@
 def test_a_connection_that_was_handed_over_long_ago(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    [served] = rig.front.client_port.clients
-    handed = rig.front.client_port.hand_off(served)
+    [server_side] = rig.front.client_port.clients
+    handed = rig.front.client_port.hand_off(server_side)
     idle(rig, clock, 200.0)
     assert isinstance(handed, HandedOffConnection)
     rig.front.client_port.take_over(handed)
@@ -94,11 +94,11 @@
 def test_a_slow_reader_that_was_found_empty_at_each_look(rig, clock, monkeypatch):
     without_stamps(monkeypatch)
     client = settled_client(rig)
-    [served] = rig.front.client_port.clients
-    served.connection.set_reading(False)  # as where much waits for it
+    [server_side] = rig.front.client_port.clients
+    server_side.connection.set_reading(False)  # as where much waits for it
     slow = rig.front.client_port.slow_clients
     monkeypatch.setattr(slow, "regulate", slow.check_later)
-    slow.check_later(served)
+    slow.check_later(server_side)
     idle(rig, clock, 7_000.0)
     client.answers.clear()
     client.call(ttl=str(int(TTL_MS)))
--- a/tests/net/test_net_shutdown_orders.py
+++ b/tests/net/test_net_shutdown_orders.py
@@ -74,14 +74,14 @@
     rig.settle(client)
     rig.front.shut_down()
     arrivals_over(rig)
-    [served] = rig.front.client_port.clients
-    served.connection.set_reading(False)
+    [server_side] = rig.front.client_port.clients
+    server_side.connection.set_reading(False)
     client.call()  # unread at each look
     looks = []
     rig.front.loop.timers.after(3 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
-    assert not client.ended and not served.connection.finishing
-    served.connection.set_reading(True)
+    assert not client.ended and not server_side.connection.finishing
+    server_side.connection.set_reading(True)
     rig.until(lambda: client.answers and client.ended, "it has its answer, then the end")
     client.sock.close()
     stopped(rig)
@@ -105,8 +105,8 @@
     client.sock.sendall(frame[20:])
     rig.until(lambda: client.answers and client.ended, "it has its answer, then the end")
     assert rig.front.loop.running
-    for served in rig.front.client_port.clients:
-        served._timeout_start_ms -= 60_000.0  # the time of a message in pieces is over
+    for server_side in rig.front.client_port.clients:
+        server_side._timeout_start_ms -= 60_000.0  # the time of a message in pieces is over
     rig.until(lambda: silent.ended, "the one that went silent is ended")
     client.sock.close()
     silent.sock.close()
@@ -151,8 +151,8 @@
     rig.front.shut_down()
     arrivals_over(rig)
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"x" * 40_000)
-    [served] = rig.front.client_port.clients
-    rig.until(lambda: served.connection.finishing, "the half-close is out")
+    [server_side] = rig.front.client_port.clients
+    rig.until(lambda: server_side.connection.finishing, "the half-close is out")
     client.sock.sendall(b"\0" * 200_000)  # crosses it: a close with this unread would reset the connection
     rig.until(lambda: client.ended, "all is read")
     assert client.kinds() == {1: "answer"}
@@ -167,18 +167,18 @@
     client.answers, client.seqid = [], 0
     asked(rig, client)
     rig.scorers[0].answer(rig.scorers[0].runs[0], body=b"x" * 60_000)
-    [served] = rig.front.client_port.clients
-    rig.until(lambda: served.connection.unsent(), "the system holds a part of it")
+    [server_side] = rig.front.client_port.clients
+    rig.until(lambda: server_side.connection.unsent(), "the system holds a part of it")
     rig.front.shut_down()
     arrivals_over(rig)
     looks = []
     rig.front.loop.timers.after(5 * graceful_shutdown.SCAN_MS, lambda: looks.append(1))
     rig.until(lambda: looks, "some looks have passed")
-    assert not served.connection.finishing and rig.front.loop.running
+    assert not server_side.connection.finishing and rig.front.loop.running
     with mock.patch.object(
         graceful_shutdown, "STALLED_MS", -1.0
     ):  # a reader that takes none at all is not waited for
-        rig.until(lambda: served.connection.finishing, "it is ended all the same")
+        rig.until(lambda: server_side.connection.finishing, "it is ended all the same")
     rig.clients.append(client)
     rig.until(lambda: client.answers, "all of it has come")
     sock.close()
@@ -257,8 +257,8 @@
 def test_what_is_open_when_the_loop_stops_early_is_answered(rig):
     client = rig.client()
     seqid = asked(rig, client)
-    [served] = rig.front.client_port.clients
+    [server_side] = rig.front.client_port.clients
     rig.front.client_port.close()
     rig.until(lambda: client.ended, "its end is seen")
     assert client.kinds() == {seqid: "broken"}
-    assert served.connection.closed
+    assert server_side.connection.closed
--- a/tests/net/test_net_slow_clients.py
+++ b/tests/net/test_net_slow_clients.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from peers import ScorerPeer
-from support.client_cases import Case, arrivals, call_frame, junk_statuses
+from support.client_cases import Case, arrived_requests, call_frame, status_frames
 
 from fawnwharf import interface as io
 from fawnwharf.net import clients, slow_clients
@@ -23,11 +23,11 @@
         rig.settle(client)
         rig.clients.remove(client)  # from here on it reads when the test says so
         self.addCleanup(client.sock.close)
-        served = self.served(rig, client)
-        served._write(STUCK)
+        server_side = self.server_side(rig, client)
+        server_side._write(STUCK)
         rig.front.loop.run_iteration(0.0)
-        self.assertFalse(served.connection.reads)
-        return rig, client, served
+        self.assertFalse(server_side.connection.reads)
+        return rig, client, server_side
 
     def test_one_with_32_long_answers_unread_gets_all_of_them(self):
         scorer = ScorerPeer(copies=32)
@@ -48,12 +48,12 @@
             return len(answered) == 32 and not rig.front.requests.open
 
         rig.until(all_answered, "all are answered, and none is read")
-        [served] = rig.front.client_port.clients
-        self.assertGreater(served.connection.waiting_bytes, clients.MAX_READ_BYTES)
+        [server_side] = rig.front.client_port.clients
+        self.assertGreater(server_side.connection.waiting_bytes, clients.MAX_READ_BYTES)
 
         def all_read():
             client.data += self.step(client)
-            return len(client.data) >= 32 * LONG and not served.connection.waiting_bytes
+            return len(client.data) >= 32 * LONG and not server_side.connection.waiting_bytes
 
         rig.until(all_read, "all are read")
         client.pump()
@@ -72,28 +72,32 @@
         rig.until(lambda: rig.front.requests.open, "the request is read")
         client.call(seqid=2, body=b"z" * 16_000, call=f"{2:016x}")
         client.withdraw(1)
-        rig.until(lambda: self.told(io.RequestCancelled), "the withdrawal behind another request is seen")
-        rig.until(lambda: len(arrivals(self)) == 2, "and that request")
+        rig.until(
+            lambda: self.events_of(io.RequestCancelled), "the withdrawal behind another request is seen"
+        )
+        rig.until(lambda: len(arrived_requests(self)) == 2, "and that request")
         self.assertEqual(len(rig.front.requests.open), 1)
 
     def test_it_is_read_as_its_bytes_come_as_soon_as_there_is_room(self):
-        rig, client, served = self.stuck()
-        while served.connection.waiting_bytes >= slow_clients.UNSENT_PAUSE_BYTES:
+        rig, client, server_side = self.stuck()
+        while server_side.connection.waiting_bytes >= slow_clients.UNSENT_PAUSE_BYTES:
             self.step(client)
             rig.front.loop.run_iteration(0.0)
-        self.assertTrue(served.connection.reads)
+        self.assertTrue(server_side.connection.reads)
 
     def test_one_that_reads_nothing_and_sends_on_is_kept_to_a_bound(self):
-        rig, client, served = self.stuck()
-        one_read = clients.MAX_READ_BYTES // len(junk_statuses(0)) + 1
+        rig, client, server_side = self.stuck()
+        one_read = clients.MAX_READ_BYTES // len(status_frames(0)) + 1
         with mock.patch.object(slow_clients, "SCAN_MS", 0.0):
             sent = 0
             for _ in range(100):
                 with contextlib.suppress(BlockingIOError):
-                    sent += client.sock.send(junk_statuses(64 * 1024))
+                    sent += client.sock.send(status_frames(64 * 1024))
                 rig.front.loop.run_iteration(0.01)
         self.assertGreater(sent, 4 * clients.MAX_READ_BYTES)
-        self.assertLessEqual(served.connection.queued_buffers, slow_clients.MAX_UNSENT_ANSWERS + one_read)
+        self.assertLessEqual(
+            server_side.connection.queued_buffers, slow_clients.MAX_UNSENT_ANSWERS + one_read
+        )
 
     def test_where_too_much_waits_for_all_the_one_that_took_nothing_for_longest_is_dropped(self):
         rig, _, longest = self.stuck()
@@ -101,7 +105,7 @@
         rig.settle(other)
         rig.clients.remove(other)
         self.addCleanup(other.sock.close)
-        other_served = self.served(rig, other)
+        other_served = self.server_side(rig, other)
         most = longest.connection.waiting_bytes * 3 // 2
         with mock.patch.object(slow_clients, "MAX_TOTAL_UNSENT_BYTES", most):
             other_served._write(STUCK)
@@ -110,9 +114,9 @@
         self.assertFalse(other_served.connection.closed)
 
     def test_one_that_leaves_with_answers_unread_is_freed(self):
-        rig, client, served = self.stuck()
+        rig, client, server_side = self.stuck()
         client.sock.close()
-        rig.until(lambda: served.connection.closed, "the connection ends")
+        rig.until(lambda: server_side.connection.closed, "the connection ends")
         self.assertEqual(list(rig.front.client_port.clients), [])
 
 
--- a/tests/test_handover_age.py
+++ b/tests/test_handover_age.py
@@ -38,7 +38,7 @@
     paused_ms = monotonic_ms()
     for _ in range(3):
         rig.front.loop.run_iteration(0.0)
-    [served] = rig.front.client_port.clients
-    handed = rig.front.client_port.hand_off(served)
+    [server_side] = rig.front.client_port.clients
+    handed = rig.front.client_port.hand_off(server_side)
     assert before_ms - 1_000.0 <= handed.empty_ms <= paused_ms
     handed.sock.close()
