--- a/tests/net/test_net_clients.py
+++ b/tests/net/test_net_clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections, with real sockets on loopback and waits on events only."""
+"""Client connections, tested with real sockets on loopback; waits end by events, not by sleeps."""
 
 import gc
 import unittest
@@ -17,14 +17,14 @@
 
 
 class Case(unittest.TestCase):
-    def rig(self, *peers, **more):
-        rig = Rig(*peers, **more)
+    def rig(self, *peers, **options):
+        rig = Rig(*peers, **options)
         self.addCleanup(rig.close)
         return rig
 
 
 class Clients(Case):
-    def test_what_no_scorer_could_be_passed_gets_an_exception(self):
+    def test_a_request_that_no_scorer_would_accept_gets_an_exception(self):
         rig = self.rig(ScorerPeer())
         client = rig.client()
         client.call(op="unheard", seqid=1)
@@ -34,34 +34,34 @@
         client.call(org="nobody", seqid=6)
         client.call(ttl="9999999", seqid=7)
         client.call(seqid=5)
-        rig.until(lambda: len(client.answers) >= 6 and rig.front.requests.open, "all are read")
+        rig.until(lambda: len(client.answers) >= 6 and rig.front.requests.open, "all messages are read")
         self.assertEqual(client.kinds(), dict.fromkeys((1, 2, 3, 4, 6, 7), "exception"))
         self.assertEqual(len(rig.front.requests.open), 1)
 
-    def test_bytes_without_a_number_end_the_connection_only(self):
+    def test_bytes_without_a_sequence_number_end_only_that_connection(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         bad, good = rig.client(), rig.client()
         good.call()
         bad.sock.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-        rig.until(lambda: bad.ended and scorer.runs, "one ends and one runs")
+        rig.until(lambda: bad.ended and scorer.runs, "the bad connection ends and the good request runs")
         self.assertFalse(good.ended)
 
-    def test_an_ended_connection_is_freed_at_once_without_a_collection(self):
+    def test_an_ended_connection_is_freed_without_a_garbage_collection(self):
         rig = self.rig(ScorerPeer())
         client = rig.client()
         rig.settle(client)
         [server_side] = rig.front.client_port.clients
-        gone = weakref.ref(server_side.connection)
+        connection = weakref.ref(server_side.connection)
         gc.disable()
         self.addCleanup(gc.enable)
         del server_side
         client.sock.close()
         client.ended = True
-        rig.until(lambda: not rig.front.client_port.clients, "it ends")
-        self.assertIsNone(gone())
+        rig.until(lambda: not rig.front.client_port.clients, "the connection ends")
+        self.assertIsNone(connection())
 
-    def test_a_fault_in_a_handler_costs_the_connection_only(self):
+    def test_an_error_in_a_handler_ends_only_that_connection(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         bad, good = rig.client(), rig.client()
@@ -69,7 +69,7 @@
             bad.call()
             rig.until(lambda: bad.ended, "the connection ends")
         good.call()
-        rig.until(lambda: scorer.runs, "the other one's request runs")
+        rig.until(lambda: scorer.runs, "the other client's request runs")
         self.assertIn("boom", "".join(rig.lines))
 
     def test_a_33rd_open_request_gets_an_exception(self):
@@ -77,11 +77,11 @@
         client = rig.client()
         for _ in range(33):
             client.call()
-        rig.until(lambda: client.answers, "one is answered")
+        rig.until(lambda: client.answers, "one request is answered")
         self.assertEqual(client.kinds(), {33: "exception"})
         self.assertEqual(len(rig.front.requests.open), 32)
 
-    def test_an_open_number_used_again_ends_the_connection(self):
+    def test_a_reused_open_sequence_number_ends_the_connection(self):
         rig = self.rig(ScorerPeer(copies=None))
         client = rig.client()
         client.call(seqid=5)
@@ -89,7 +89,7 @@
         rig.until(lambda: client.ended, "the connection ends")
         self.assertEqual((client.kinds(), rig.front.requests.open), ({5: "broken"}, {}))
 
-    def test_answers_queued_before_a_bad_message_reach_a_client_that_goes_on_sending(self):
+    def test_answers_queued_before_a_bad_message_reach_a_client_that_keeps_sending(self):
         rig = self.rig(ScorerPeer())
         client = rig.client()
         client.status(1)
@@ -101,17 +101,17 @@
         rig.until(lambda: client.ended, "the connection ends")
         self.assertEqual(client.kinds(), {1: "answer", 2: "exception", 3: "broken"})
 
-    def test_one_that_says_nothing_or_half_a_message_is_closed_and_one_that_asked_is_not(self):
+    def test_silent_connections_and_partial_messages_time_out_but_not_idle_connections(self):
         rig = self.rig(ScorerPeer())
-        silent, half, asked, late = (rig.client() for _ in range(4))
-        half.sock.sendall(handle_frame(1, {})[:9])
-        asked.status(1)
-        late.status(1)
-        rig.until(lambda: asked.answers and late.answers, "two are answered")
-        late.sock.sendall(handle_frame(2, {})[:9])
+        silent, partial, idle, late_partial = (rig.client() for _ in range(4))
+        partial.sock.sendall(handle_frame(1, {})[:9])
+        idle.status(1)
+        late_partial.status(1)
+        rig.until(lambda: idle.answers and late_partial.answers, "two are answered")
+        late_partial.sock.sendall(handle_frame(2, {})[:9])
         with mock.patch.object(clients, "MESSAGE_TIMEOUT_MS", 0.0):
-            rig.until(lambda: silent.ended and half.ended and late.ended, "three are closed")
-        self.assertFalse(asked.ended)
+            rig.until(lambda: silent.ended and partial.ended and late_partial.ended, "three are closed")
+        self.assertFalse(idle.ended)
 
     def test_a_first_request_that_has_arrived_is_read_however_many_connect_after_it(self):
         scorer = ScorerPeer()
@@ -119,15 +119,15 @@
         first = rig.client()
         first.call()
         others = [rig.client() for _ in range(40)]
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the first request runs")
         scorer.answer(scorer.runs[0])
-        rig.until(lambda: first.answers, "it is answered")
+        rig.until(lambda: first.answers, "the first request is answered")
         last = rig.client()
         last.status()
-        rig.until(lambda: last.answers, "a late one gets in past the silent ones")
+        rig.until(lambda: last.answers, "the last client is answered in spite of the silent ones")
         self.assertGreater(sum(other.ended for other in others), 20)
 
-    def test_a_client_that_does_not_read_is_not_read_and_then_dropped(self):
+    def test_a_client_that_does_not_read_is_paused_and_then_closed(self):
         rig = self.rig(ScorerPeer())
         client = rig.client()
         rig.settle(client)
@@ -145,29 +145,29 @@
         rig = self.rig(ScorerPeer(copies=None), limits={"sockets": 32})
         first = rig.client()
         first.call()
-        rig.until(lambda: rig.front.requests.open, "the first one asks")
+        rig.until(lambda: rig.front.requests.open, "the first request is open")
         for _ in range(30):
             client = rig.client()
             client.status()
-            rig.until(lambda client=client: client.answers, "each is answered")
+            rig.until(lambda client=client: client.answers, "each client is answered")
             self.assertLessEqual(len(rig.front.client_port.clients), 32 * descriptor_shares.CLIENT_SHARE)
         self.assertFalse(first.ended)
 
-    def test_a_crowd_that_connects_does_not_cost_a_look_over_all_clients_each(self):
+    def test_many_new_connections_do_not_each_cost_a_scan_of_all_clients(self):
         rig = self.rig(limits={"sockets": 32})
-        port, room = rig.front.client_port, int(32 * descriptor_shares.CLIENT_SHARE)
-        maker = port._idle_releaser
+        port, capacity = rig.front.client_port, int(32 * descriptor_shares.CLIENT_SHARE)
+        releaser = port._idle_releaser
         with (
             mock.patch("fawnwharf.net.idle_connections.SCAN_MS", 60_000.0),
             mock.patch.object(port, "run_maintenance"),
-            mock.patch.object(maker, "_by_idleness", wraps=maker._by_idleness) as looks,
+            mock.patch.object(releaser, "_by_idleness", wraps=releaser._by_idleness) as scans,
         ):
             peers = []
-            for _ in range(2 * room - 2):
+            for _ in range(2 * capacity - 2):
                 peers.append(rig.client())
                 rig.settle(peers[-1])
-                # All that were released together are gone before the next one comes, on a busy machine too.
+                # The connections released together are closed before the next client connects.
                 rig.until(lambda: not any(client.connection.finishing for client in port.clients))
-        self.assertEqual(looks.call_count, 1)
+        self.assertEqual(scans.call_count, 1)
         ended = [peer.ended for peer in peers]
-        self.assertEqual(ended, sorted(ended, reverse=True))  # the idlest went
+        self.assertEqual(ended, sorted(ended, reverse=True))  # those idle for longest were closed
--- a/tests/net/test_net_event_order.py
+++ b/tests/net/test_net_event_order.py
@@ -1,4 +1,4 @@
-"""Events of the change log in every order: the newest word on each scorer counts."""
+"""Events of the change log in every order: the newest event for each scorer counts."""
 
 import itertools
 
@@ -36,7 +36,7 @@
     assert outcome(numbers) == {"a": "in_service", "b": "in_service", "d": "terminating"}
 
 
-def test_an_event_is_told_never_the_same_or_otherwise():
+def test_an_event_matches_only_the_same_event_of_its_number():
     order = EventOrder()
     order.apply(1, EVENTS[1])
     assert order.compare(1, EVENTS[1]) is EventMatch.SAME
@@ -45,16 +45,16 @@
 
 
 @pytest.mark.parametrize(
-    ("complete", "revision", "told"),
+    ("complete", "revision", "match"),
     [(True, 7, EventMatch.SAME), (True, 8, EventMatch.DIFFERENT), (False, 7, EventMatch.DIFFERENT)],
 )
-def test_a_whole_list_of_one_revision_stands_in_for_the_change_of_its_number(complete, revision, told):
+def test_a_complete_list_of_the_same_revision_replaces_the_change_of_its_number(complete, revision, match):
     order = EventOrder()
     order.apply(9, Fleet([member("a", "terminating")], False, 7))
-    assert order.compare(9, Fleet([member("a"), member("b")], complete, revision)) is told
+    assert order.compare(9, Fleet([member("a"), member("b")], complete, revision)) is match
 
 
-def test_a_whole_list_removes_nobody_whom_it_names_unreadably():
+def test_a_complete_list_removes_no_scorer_whose_entry_is_unreadable():
     order = EventOrder()
     order.apply(1, EVENTS[1])
     fleet = order.apply(2, Fleet([member("b")], complete=True), unreadable_ids={"c"})
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bad", "spared"),
+    ("bad", "unreadable_ids"),
     [
         ({"id": "x", "phase": "asleep"}, {"x"}),
         ({"id": "x", "phase": "in_service", "host_port": "nowhere"}, {"x"}),
@@ -84,10 +84,11 @@
         ("x", set()),
     ],
 )
-def test_a_member_that_cant_be_read_is_left_out_alone(bad, spared):
+def test_a_member_that_cant_be_read_is_left_out_alone(bad, unreadable_ids):
     good = {"id": "a", "phase": "terminating", "host_port": "127.0.0.1:1"}
     read = read_fleet({"complete": True, "revision": 3, "members": [bad, good]})
-    assert ([m.id for m in read.fleet.members], read.unreadable_ids, len(read.errors)) == (["a"], spared, 1)
+    ids = [m.id for m in read.fleet.members]
+    assert (ids, read.unreadable_ids, len(read.errors)) == (["a"], unreadable_ids, 1)
     assert (read.fleet.complete, read.fleet.revision) == (True, 3)
 
 
--- a/tests/net/test_net_rare_losses.py
+++ b/tests/net/test_net_rare_losses.py
@@ -1,4 +1,8 @@
-"""Rare moments in which a part would be lost for good: a selector without memory, a list not read whole."""
+"""Rare failures that could lose a connection or scorers for good.
+
+A selector without memory could leave a connection unwatched. A complete list with an unreadable member could
+remove that scorer.
+"""
 
 import errno
 import os
@@ -13,30 +17,30 @@
 
 
 class SelectorWithoutMemory(Case):
-    def test_a_connection_whose_watching_fails_once_is_read_again(self):
-        made = self.rig(ScorerPeer())
-        clients = [made.client() for _ in range(3)]
+    def test_a_connection_that_could_not_be_watched_once_is_read_again(self):
+        rig = self.rig(ScorerPeer())
+        clients = [rig.client() for _ in range(3)]
         for client in clients:
-            made.settle(client)
-        made.front.client_port.set_paused(True)
-        wait(made, 100)
+            rig.settle(client)
+        rig.front.client_port.set_paused(True)
+        wait(rig, 100)
         failures = [OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))]
-        register = made.front.loop._selector.register
+        register = rig.front.loop._selector.register
 
-        def registering(*arguments):
+        def failing_register(*arguments):
             if failures:
                 raise failures.pop()
             return register(*arguments)
 
-        with mock.patch.object(made.front.loop._selector, "register", registering):
-            made.front.client_port.set_paused(False)
+        with mock.patch.object(rig.front.loop._selector, "register", failing_register):
+            rig.front.client_port.set_paused(False)
         assert not failures
         for client in clients:
             client.status(77)
-        made.until(lambda: all(77 in client.kinds() for client in clients), "each is read and answered")
+        rig.until(lambda: all(77 in client.kinds() for client in clients), "each client is answered")
 
 
-def test_nobody_is_gone_by_a_new_numbering_whose_list_has_a_member_that_cannot_be_read(rig):
+def test_a_renumbered_list_with_an_unreadable_member_removes_no_scorer(rig):
     rig.log.say(event(2, rig.member("s-1")))
     rig.at(2)
     known = set(rig.states())
@@ -44,5 +48,5 @@
     members[-1] |= {"host_port": 7}
     rig.log.say(event(1, *members, complete=True, revision=50))
     rig.log.say(event(2, rig.member("s-1", "terminating"), revision=51))
-    rig.until(lambda: rig.states().get("s-1") == 2, "its drain is taken")
+    rig.until(lambda: rig.states().get("s-1") == 2, "the drain of s-1 is applied")
     assert set(rig.states()) == known
--- a/tests/net/test_net_receive_timestamps.py
+++ b/tests/net/test_net_receive_timestamps.py
@@ -1,4 +1,4 @@
-"""Receive stamps: taken where they fit the clock, and left where they are another clock's or absent."""
+"""Receive timestamps: used if they agree with the clock, and ignored if they do not or are missing."""
 
 import socket
 import time
@@ -9,25 +9,25 @@
 
 
 class Trust(unittest.TestCase):
-    def test_ages_are_taken_as_long_as_they_fit(self):
-        cases = (  # age, gap between turns, looked at, what is gone by
-            (30.0, 40.0, True, 30.0),  # the process was held up
-            (4_000.0, 4_100.0, True, 4_000.0),  # for long
-            (-5.0, 40.0, True, 0.0),  # the clock was set a little
-            (70_000.0, 40.0, False, 0.0),  # and by much
-            (900.0, 40.0, False, 900.0),  # waited to be accepted
+    def test_ages_are_used_while_they_are_plausible(self):
+        cases = (  # age, time between iterations, whether previously read, expected age
+            (30.0, 40.0, True, 30.0),  # the process was stalled
+            (4_000.0, 4_100.0, True, 4_000.0),  # the process was stalled for long
+            (-5.0, 40.0, True, 0.0),  # the clock was set back a little
+            (70_000.0, 40.0, False, 0.0),  # the clock was set by a lot
+            (900.0, 40.0, False, 900.0),  # the connection waited to be accepted
         )
-        for age, gap, looked_at, taken in cases:
-            with self.subTest(age=age, gap=gap):
-                self.assertEqual(taken, ReceiveTimestampCheck().age_ms(age, gap, looked_at))
+        for age_ms, gap_ms, previously_read, expected_ms in cases:
+            with self.subTest(age_ms=age_ms, gap_ms=gap_ms):
+                self.assertEqual(expected_ms, ReceiveTimestampCheck().age_ms(age_ms, gap_ms, previously_read))
 
-    def test_stamps_of_a_clock_that_is_seconds_behind_are_left_after_a_few_reads(self):
+    def test_timestamps_of_a_clock_seconds_behind_are_ignored_after_a_few_reads(self):
         trust = ReceiveTimestampCheck()
         ages = [trust.age_ms(5_000.0, 40.0, True) for _ in range(50)]
         self.assertEqual(0.0, sum(ages[3:]))
         self.assertEqual(0.0, trust.age_ms(5_000.0, 40.0, False))
 
-    def test_stamps_of_a_clock_that_runs_away_are_left_too(self):
+    def test_timestamps_of_a_clock_seconds_ahead_are_ignored(self):
         trust = ReceiveTimestampCheck()
         for _ in range(10):
             trust.age_ms(-3_000.0, 40.0, True)
@@ -56,7 +56,7 @@
         def on_end(self, end):
             pass
 
-    def test_reads_without_stamps_and_with_another_clocks_go_on(self):
+    def test_reads_continue_without_timestamps_and_with_those_of_another_clock(self):
         loop = EventLoop(lambda now, events: None, lambda text: None)
         self.addCleanup(loop.close)
         near, far = socket.socketpair()
@@ -68,14 +68,14 @@
             loop.run_iteration(1.0)
         self.assertEqual([0.0] * 3, owner.ages)
         seconds = int(time.time()) - 7
-        note = (socket.SOL_SOCKET, receive_age.SO_TIMESTAMPNS, receive_age.TIMESTAMP.pack(seconds, 0))
-        ages = [owner.connection._age([note]) for _ in range(8)]
+        timestamp = (socket.SOL_SOCKET, receive_age.SO_TIMESTAMPNS, receive_age.TIMESTAMP.pack(seconds, 0))
+        ages = [owner.connection._age([timestamp]) for _ in range(8)]
         self.assertEqual([0.0] * 4, ages[4:])
         owner.connection.close(connection.EndReason.STOPPED)
 
 
 class _NoDelay:
-    """A socket pair's end in place of a TCP socket."""
+    """Wraps one end of a socket pair, and ignores the options of TCP sockets."""
 
     def __init__(self, sock):
         self._sock = sock
