--- a/tests/net/test_net_request_orders.py
+++ b/tests/net/test_net_request_orders.py
@@ -1,4 +1,4 @@
-"""The events of a request in every order: lists of steps against a model of the rules, on real sockets."""
+"""Randomized orders of the events of requests, on real sockets, checked against the reference model."""
 
 import re
 from pathlib import Path
@@ -9,12 +9,22 @@
 from support.request_site import Site
 
 ROOT = Path(__file__).parents[2]
-PACES = ("batched", "turn", "quiet")
-CLIENT_STEPS = ("call", "call", "pair", "call_in_part", "rest", "withdraw", "close", "reset", "half_close")
-SCORER_STEPS = ("answer", "serve", "answer_again", "answer_in_part", "scorer_reset", "scorer_close")
-LINK_STEPS = ("scorer_down", "scorer_up", "hold_dials", "release_dials", "short_write")
-TIME_STEPS = ("due", "wait", "wait_long", "halt")
-ROSTER_STEPS = ("drain", "gone", "back", "log_reset", "reload")
+PACES = ("batched", "iteration", "quiet")
+CLIENT_STEPS = (
+    "call",
+    "call",
+    "pair",
+    "partial_call",
+    "rest_of_call",
+    "withdraw",
+    "close",
+    "reset",
+    "half_close",
+)
+SCORER_STEPS = ("answer", "serve", "answer_again", "partial_answer", "scorer_reset", "scorer_close")
+LINK_STEPS = ("scorer_down", "scorer_up", "hold_connects", "release_connects", "short_write")
+TIME_STEPS = ("due", "wait", "wait_long", "stall")
+ROSTER_STEPS = ("drain", "remove", "restore", "log_reset", "reload")
 MODES = ("loaded", "empty", "full", "mute")
 
 FIXED = settings(
@@ -27,7 +37,7 @@
 
 
 def steps_of(*actions):
-    """Lists of steps, each with two numbers that choose among what there is at its time, and its pace."""
+    """Return a strategy for lists of steps: an action, two numbers that select its objects, and a pace."""
     numbers = st.integers(0, 7)
     return st.lists(
         st.tuples(st.sampled_from(actions), numbers, numbers, st.sampled_from(PACES)), min_size=2, max_size=30
@@ -51,7 +61,7 @@
 )
 
 
-class TestShuffledEvents:
+class TestRandomizedEvents:
     @FIXED
     @given(SITES, steps_of(*CLIENT_STEPS, *SCORER_STEPS, *TIME_STEPS))
     def test_clients_and_answers(self, site, steps):
@@ -81,11 +91,11 @@
         play(site, steps)
 
 
-def test_only_the_wheel_reads_a_clock():
-    """Else the plays would run on two clocks: the settable one and the system's."""
-    parts = [path for part in ("net", "policy") for path in (ROOT / "fawnwharf" / part).glob("*.py")]
+def test_only_the_timer_wheel_module_reads_a_clock():
+    """Otherwise the randomized tests would use two clocks: the settable one and the system's."""
+    modules = [path for package in ("net", "policy") for path in (ROOT / "fawnwharf" / package).glob("*.py")]
     pattern = re.compile(r"^\s*(import|from) (time|datetime)\b", re.MULTILINE)
-    assert [path.name for path in parts if pattern.search(path.read_text())] == ["timer_wheel.py"]
+    assert [path.name for path in modules if pattern.search(path.read_text())] == ["timer_wheel.py"]
 
 
 def test_a_plain_call_is_served():
--- a/tests/support/request_driver.py
+++ b/tests/support/request_driver.py
@@ -1,8 +1,8 @@
-"""Plays a list of steps against a front end on real sockets, and checks the rules after each.
+"""Plays a list of steps against a front end on real sockets, and checks the reference model after each step.
 
-One thread, and a clock that moves only by a step. A step ends with one of three paces: `batched` (no turn of
-the loop, so that what it does falls into one batch with the next step), `turn` (one turn) or `quiet` (turns
-until nothing moves any more).
+Everything runs in one thread, on a clock that only the steps advance. The pace of a step says how the event
+loop runs after it: `batched` (not at all, so that the next step falls into the same batch), `iteration` (one
+iteration) or `quiet` (until nothing happens any more).
 """
 
 import itertools
@@ -21,15 +21,15 @@
 from support.stamps import ReceiveStamps
 from support.system_faults import SystemFaults
 
-TURN_MS = 0.05  # what a turn takes
-SLICE_MS = 20.0  # time passes in such steps, each followed by turns to the quiet
+ITERATION_MS = 0.05  # duration of an iteration
+WAIT_STEP_MS = 20.0  # time advances in such steps; the loop runs until quiet after each
 HEARTBEAT_MS = 1_000.0
-QUIET_TURNS_MOST = 300
-SETTLE_MS = 4_000.0  # orders to load and idle looks are over by then
+MAX_QUIET_ITERATIONS = 300
+SETTLE_MS = 4_000.0  # by then all load orders and scans of idle connections have ended
 
 
 class RequestDriver(RequestSteps):
-    """A front end, its peers, and the model of the rules; `play` takes one step."""
+    """A front end, its peers, and the reference model; `run_step` runs one step."""
 
     def __init__(self, site: Site) -> None:
         self.site, self.model = site, RequestModel(site.limits())
@@ -37,7 +37,7 @@
         self._stack.enter_context(self.clock.installed())
         self._stack.enter_context(self.faults.installed())
         self.stamps = self._stack.enter_context(ReceiveStamps(self.clock).installed())
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
         self.scorers = [
             ScriptedScorer(f"s-{n}", mode, zone)
             for n, (mode, zone) in enumerate(zip(site.modes, site.zones, strict=False))
@@ -45,14 +45,14 @@
         members = [scorer.member() for scorer in self.scorers]
         self.events = [{"seq": 1, "fleet": {"complete": True, "members": members}}]
         self.logs = [ScriptedLog(self.events), ScriptedLog(self.events)]
-        self.clients, self.crowd, self.owners = [], [], {}
+        self.clients, self.silent_clients, self.owners = [], [], {}
         self._numbers, self._heartbeat_ms = itertools.count(1), self.clock.monotonic_ms
-        self._left_ms: float | None = None
-        self._dials_held: list[Any] | None = None
-        self._seen: dict[ScriptedScorer, list[int]] = {scorer: [0, 0] for scorer in self.scorers}
-        self._whole: set[Run] = set()
+        self._shutdown_ms: float | None = None
+        self._held_connects: list[Any] | None = None
+        self._observed: dict[ScriptedScorer, list[int]] = {scorer: [0, 0] for scorer in self.scorers}
+        self._complete_runs: set[Run] = set()
         self.front = self._front_end()
-        self.quiet()
+        self.run_until_quiet()
 
     def _front_end(self) -> FrontEnd:
         config = {
@@ -63,122 +63,124 @@
             "settings": self.site.settings(),
             "limits": {"sockets": self.site.sockets},
         }
-        note = lambda text, source="": self.lines.append(text)  # noqa: E731
-        front = FrontEnd(deployment_from(config, {}), log=note, reread=self._reread(config))
-        self._hold_dials_of(front)
+        log = lambda text, source="": self.log_lines.append(text)  # noqa: E731
+        front = FrontEnd(deployment_from(config, {}), log=log, reread=self._configuration_reader(config))
+        self._hold_connects_of(front)
         front.start()
         return front
 
-    def _reread(self, config: dict[str, Any]) -> Callable[[], Any]:
-        """SIGHUP: the change log is at the other address from then on."""
-        places = itertools.cycle([log.host_port for log in reversed(self.logs)])
-        return lambda: deployment_from(config | {"changelog": next(places)}, {})
+    def _configuration_reader(self, config: dict[str, Any]) -> Callable[[], Any]:
+        """Return a configuration reader that switches to the other change log at each reload."""
+        addresses = itertools.cycle([log.host_port for log in reversed(self.logs)])
+        return lambda: deployment_from(config | {"changelog": next(addresses)}, {})
 
-    def _hold_dials_of(self, front: FrontEnd) -> None:
-        """Let a script decide when a connection to a scorer comes up: until then nothing tells of it."""
+    def _hold_connects_of(self, front: FrontEnd) -> None:
+        """Let a step decide when a connection to a scorer is established, by not watching it until then."""
         watch = front.loop.watch
 
-        def watching(sock: Any, mask: int, ready: Callable[[int], None], *how: Any, **more: Any) -> None:
-            dials_scorer = mask == WRITE and hasattr(ready.__self__.owner, "scorer")
-            if dials_scorer and self._dials_held is not None:
-                self._dials_held.append((sock, ready))
+        def watch_or_hold(
+            sock: Any, mask: int, ready: Callable[[int], None], *arguments: Any, **options: Any
+        ) -> None:
+            connects_to_scorer = mask == WRITE and hasattr(ready.__self__.owner, "scorer")
+            if connects_to_scorer and self._held_connects is not None:
+                self._held_connects.append((sock, ready))
                 mask = READ
-            watch(sock, mask, ready, *how, **more)
+            watch(sock, mask, ready, *arguments, **options)
 
-        front.loop.watch = watching
+        front.loop.watch = watch_or_hold
 
-    # --- turns and time ---------------------------------------------------------------------------
+    # --- iterations and time ----------------------------------------------------------------------
 
-    def turn(self) -> bool:
-        """One turn of the loop, then all that came of it; whether anything moved."""
+    def run_iteration(self) -> bool:
+        """Run one iteration, then let the peers read; return whether anything happened."""
         if not self.front.loop.running:
             return False
         moved = bool(self.front.loop._selector.select(0)) or self.front.loop._wait_s(1.0) == 0.0
         self.front.loop.run_iteration(0)
-        self.clock.advance(TURN_MS)
+        self.clock.advance(ITERATION_MS)
         return self._pump() or moved
 
     def _pump(self) -> bool:
         moved = False
-        for peer in [*self.logs, *self.clients, *self.crowd]:
+        for peer in [*self.logs, *self.clients, *self.silent_clients]:
             moved = peer.pump() or moved
         for scorer in self.scorers:
-            moved = scorer.pump(self.now) or moved
-        for scorer in self.scorers:  # once all ends of connections have been seen
+            moved = scorer.pump(self.now_ms) or moved
+        for scorer in self.scorers:  # after the ends of all connections have been read
             self._observe(scorer)
         return moved
 
     def _observe(self, scorer: ScriptedScorer) -> None:
-        runs, orders = self._seen[scorer]
+        runs, orders = self._observed[scorer]
         for run in scorer.runs[runs:]:
-            self.model.began(run, self.model.attempts_of(run.id))
+            self.model.attempt_began(run, self.model.attempts_of(run.id))
         for run in scorer.runs:
-            if run.whole_ms is not None and run not in self._whole:
-                self._whole.add(run)
-                self.model.whole(run)
+            if run.complete_ms is not None and run not in self._complete_runs:
+                self._complete_runs.add(run)
+                self.model.attempt_complete(run)
         for order in scorer.orders[orders:]:
-            self.model.ordered(order, [other for peer in self.scorers for other in peer.orders])
-        self._seen[scorer] = [len(scorer.runs), len(scorer.orders)]
+            self.model.order_received(order, [other for peer in self.scorers for other in peer.orders])
+        self._observed[scorer] = [len(scorer.runs), len(scorer.orders)]
 
-    def quiet(self) -> None:
-        """Turn until nothing moves any more; the front end has then seen which requests were given up."""
-        for _ in range(QUIET_TURNS_MOST):
-            if not self.turn():
+    def run_until_quiet(self) -> None:
+        """Run iterations until nothing happens; the front end has then detected all abandoned requests."""
+        for _ in range(MAX_QUIET_ITERATIONS):
+            if not self.run_iteration():
                 break
         else:
-            raise AssertionError("the loop does not come to rest")
+            raise AssertionError("the event loop does not become quiet")
         for request in self.model.requests.values():
-            request.gone_seen = request.gone_ms is not None
-
-    def wait(self, span_ms: float, slice_ms: float = SLICE_MS) -> None:
-        """Let time pass, with turns to the quiet all the while."""
-        end = self.now + span_ms
-        while self.now < end and self.front.loop.running:
-            self.clock.advance(min(slice_ms, end - self.now))
-            if self.now - self._heartbeat_ms >= HEARTBEAT_MS:
-                self._heartbeat_ms = self.now
+            request.abandon_seen = request.abandoned_ms is not None
+
+    def wait(self, duration_ms: float, step_ms: float = WAIT_STEP_MS) -> None:
+        """Let time pass in small steps, and run the loop until it is quiet after each."""
+        end = self.now_ms + duration_ms
+        while self.now_ms < end and self.front.loop.running:
+            self.clock.advance(min(step_ms, end - self.now_ms))
+            if self.now_ms - self._heartbeat_ms >= HEARTBEAT_MS:
+                self._heartbeat_ms = self.now_ms
                 for log in self.logs:
                     log.heartbeat()
-            self.quiet()
+            self.run_until_quiet()
 
     # --- steps ------------------------------------------------------------------------------------
 
-    def play(self, step: tuple[str, int, int, str]) -> None:
-        """One step: an action with two numbers that choose among what there is, and its pace."""
+    def run_step(self, step: tuple[str, int, int, str]) -> None:
+        """Run a step: an action, two numbers that select its objects, and its pace."""
         action, first, second, pace = step
         getattr(self, f"_do_{action}")(first, second)
-        if pace == "turn":
-            self.turn()
+        if pace == "iteration":
+            self.run_iteration()
         elif pace == "quiet":
-            self.quiet()
+            self.run_until_quiet()
         self.check()
 
     def check(self) -> None:
-        """Check that no rule is broken so far, and that no connection closed with a request unanswered."""
-        faults = [line for line in self.lines if "fault in" in line]
+        """Check that no rule is violated, and that no connection was closed with an unanswered request."""
+        faults = [line for line in self.log_lines if "fault in" in line]
         assert not faults, faults
-        assert not self.model.broken, self.model.broken
+        assert not self.model.violations, self.model.violations
         for client in self.clients:
-            if client.channel.ended and not client.left:
-                open = [r for r in self.owners[client].values() if r.owed and not r.answers]
+            if client.channel.ended and not client.closed_by_client:
+                open = [r for r in self.owners[client].values() if r.expects_answer and not r.answers]
                 assert not open, f"closed with {len(open)} requests unanswered"
 
     # --- the end ----------------------------------------------------------------------------------
 
     def finish(self) -> None:
-        """Let time pass beyond all deadlines, and see that all is accounted for and nothing is left over."""
-        self._do_release_dials(0, 0)
-        self.quiet()
-        self.wait(max(0.0, self.model.last_deadline_ms() - self.now) + 200.0)
+        """Let all deadlines pass, and check that each request is answered and no state remains."""
+        self._do_release_connects(0, 0)
+        self.run_until_quiet()
+        self.wait(max(0.0, self.model.last_deadline_ms() - self.now_ms) + 200.0)
         self.check()
         self.model.check_end()
         self.check()
-        for client in [*self.clients, *self.crowd]:
+        for client in [*self.clients, *self.silent_clients]:
             if client.usable:
                 client.close()
-        self.wait(SETTLE_MS, slice_ms=100.0)
+        self.wait(SETTLE_MS, step_ms=100.0)
         self.check()
-        if self.front.loop.running:  # one that has left may leave attempts of requests that are over
+        if self.front.loop.running:  # after a shutdown, attempts of closed requests may remain
             self._check_nothing_left()
 
     def _check_nothing_left(self) -> None:
@@ -199,22 +201,22 @@
         assert front.scorer_pool._link_count == len(links)
 
     def close(self) -> None:
-        """End the front end and all peers, and take the clock and the faults out again."""
+        """Close the front end and all peers, and uninstall the clock and the faults."""
         self.front.close()
         for peer in [*self.scorers, *self.logs]:
             peer.close()
-        for client in [*self.clients, *self.crowd]:
+        for client in [*self.clients, *self.silent_clients]:
             if not client.channel.ended:
                 client.channel.close()
         self._stack.close()
 
 
 def play(site: Site, steps: list[tuple[str, int, int, str]]) -> RequestDriver:
-    """Play all steps and the end; raises AssertionError where a rule is broken."""
+    """Run all steps and the final checks; raises AssertionError if a rule is violated."""
     driver = RequestDriver(site)
     try:
         for step in steps:
-            driver.play(step)
+            driver.run_step(step)
         driver.finish()
     finally:
         driver.close()
--- a/tests/support/request_site.py
+++ b/tests/support/request_site.py
@@ -1,4 +1,4 @@
-"""The settings of a site that the shuffled plays vary, and the limits that follow from them."""
+"""The settings that the randomized request tests vary, and the limits that follow from them."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -10,7 +10,7 @@
 
 @dataclass
 class Site:
-    """What varies from one play to the next."""
+    """The settings of one test run, with their defaults."""
 
     modes: tuple[str, ...] = ("loaded",)  # of the scorers
     zones: tuple[str, ...] = ("a", "a", "b")
@@ -26,10 +26,10 @@
     free_loads: float = 2.0
     load_part: float = 0.5
     sockets: int = 1_024
-    more: dict[str, Any] = field(default_factory=dict)  # further settings
+    extra: dict[str, Any] = field(default_factory=dict)  # further settings
 
     def settings(self) -> dict[str, Any]:
-        """The settings as a front end reads them."""
+        """Return the settings as a front end reads them."""
         classes = [{"name": name, "effect": effect, "group": self.group} for name, effect in EFFECTS.items()]
         for spec in classes:
             spec |= {"give_up": self.give_up_ms, "promise": 0.8 * self.give_up_ms}
@@ -52,10 +52,10 @@
                 "load_part": self.load_part,
                 "load_wait": 3_000.0,
             },
-        } | self.more
+        } | self.extra
 
     def limits(self) -> Limits:
-        """The limits that the model of the rules checks against."""
+        """Return the limits that the reference model checks."""
         return Limits(
             self.max_attempts, self.second_copies, self.load_window_ms, self.free_loads, self.load_part
         )
--- a/tests/support/scripted_peers.py
+++ b/tests/support/scripted_peers.py
@@ -1,7 +1,7 @@
-"""Peers of a front end that do only what a script tells them to, and record what reaches them and when.
+"""Peers of a front end that act only on command, and record what they receive and when.
 
-Every socket is non-blocking and lives in the test's own thread. Loopback delivers within the sending call, so
-what a peer has sent lies in the front end's buffers when the call returns.
+All sockets are non-blocking and belong to the test's own thread. Loopback delivers within the sending call,
+so the bytes of a peer are in the front end's receive buffer when the call returns.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Close a connection by a reset."""
+    """Reset a connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     sock.close()
 
@@ -35,7 +35,7 @@
         self.on_send: Callable[[], None] = lambda: None
 
     def received(self) -> bytes:
-        """All that has come since the last look."""
+        """Return all bytes received since the last call."""
         data = bytearray()
         while not self.ended:
             try:
@@ -49,7 +49,7 @@
         return bytes(data)
 
     def send(self, data: bytes) -> bool:
-        """Send; False where the connection has ended."""
+        """Send the data; return False if the connection has ended."""
         if self.ended:
             return False
         self.on_send()
@@ -64,45 +64,45 @@
         self.sock.close()
 
     def reset(self) -> None:
-        """End the connection by a reset."""
+        """Reset the connection."""
         self.ended = True
         reset(self.sock)
 
 
 @dataclass(eq=False)
 class Run:
-    """An attempt as a scorer sees it, from its first bytes on."""
+    """An attempt as a scorer sees it, from its first header on."""
 
     id: bytes
     scorer: "ScriptedScorer"
-    link: "ScorerLink"
+    connection: "ScorerConnection"
     began_ms: float
-    whole_ms: float | None = None
+    complete_ms: float | None = None
     fields: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
     answered: list[int] = field(default_factory=list)  # codes, in order
-    given_up: bool = False
+    cancelled: bool = False
 
     @property
     def over(self) -> bool:
-        """Whether the front end can know that it has ended."""
-        return bool(self.answered) or self.given_up or self.link.channel.ended
+        """Whether the front end may know that the attempt has ended."""
+        return bool(self.answered) or self.cancelled or self.connection.channel.ended
 
 
 @dataclass(eq=False)
 class LoadOrder:
-    """An order to load, or a question (`copies` 0), as a scorer sees it."""
+    """A load order, or a query (`copies` is 0), as a scorer sees it."""
 
     id: bytes
     scorer: "ScriptedScorer"
     function: str
     copies: int
-    standing: int  # copies there when it arrived
+    loaded_copies: int  # copies on the scorer when the order arrived
     at_ms: float
 
 
-class ScorerLink:
-    """Splits what comes on one connection into frames; a frame counts from its first header on."""
+class ScorerConnection:
+    """A connection accepted by a scorer; splits what it receives into frames."""
 
     def __init__(self, scorer: "ScriptedScorer", sock: socket.socket) -> None:
         self.scorer, self.channel = scorer, Channel(sock)
@@ -110,7 +110,7 @@
         self._begun: Run | None = None
 
     def pump(self, now_ms: float) -> bool:
-        """Take in what came; whether anything did."""
+        """Read and handle what has arrived; return whether anything was received."""
         data = self.channel.received()
         self._buffer += data
         while self._frame(now_ms):
@@ -130,87 +130,91 @@
         [frame] = scorer_frames.FrameReader(scorer_frames.FROM_FRONT_END).feed(bytes(self._buffer[:size]))
         del self._buffer[:size]
         begun, self._begun = self._begun, None
-        self.scorer.take(frame, self, begun, now_ms)
+        self.scorer.receive_frame(frame, self, begun, now_ms)
         return True
 
 
 class ScriptedScorer:
-    """A scorer; its mode says how it answers orders to load: loaded, empty, full or mute."""
+    """A scorer; its mode (loaded, empty, full or mute) says how it answers load orders."""
 
     def __init__(self, name: str, mode: str = "loaded", zone: str = "") -> None:
         self.name, self.mode, self.zone = name, mode, zone
         self.listener: socket.socket | None = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.address = self.listener.getsockname()
-        self.links: list[ScorerLink] = []
+        self.connections: list[ScorerConnection] = []
         self.runs: list[Run] = []
         self.orders: list[LoadOrder] = []
-        self.standing: dict[str, int] = {}  # copies, by function
+        self.loaded_copies: dict[str, int] = {}  # copies, by function
 
     def member(self, phase: str = "in_service", up_since_ms: float = 0.0) -> dict:
-        """The entry of this scorer in an event of the change log."""
+        """Return the entry of this scorer for an event of the change log."""
         host_port = f"{self.address[0]}:{self.address[1]}"
         member = {"id": self.name, "host_port": host_port, "phase": phase, "size": 4}
         return member | {"locality": self.zone, "up_since_ms": up_since_ms}
 
     def pump(self, now_ms: float) -> bool:
-        """Take in what came; whether anything did."""
+        """Read and handle what has arrived; return whether anything was received."""
         found = False
         while self.listener is not None:
             try:
                 sock, _ = self.listener.accept()
             except OSError:
                 break
-            self.links.append(ScorerLink(self, sock))
+            self.connections.append(ScorerConnection(self, sock))
             found = True
-        for link in self.links:
-            found = link.pump(now_ms) or found
+        for connection in self.connections:
+            found = connection.pump(now_ms) or found
         return found
 
-    def take(self, frame: scorer_frames.Frame, link: ScorerLink, begun: Run | None, now_ms: float) -> None:
-        """Take in a whole frame; `begun` is the attempt that it completes, if it is one."""
+    def receive_frame(
+        self, frame: scorer_frames.Frame, connection: ScorerConnection, begun: Run | None, now_ms: float
+    ) -> None:
+        """Handle a complete frame; `begun` is the attempt that it completes, if any."""
         if begun is not None:
-            begun.whole_ms, begun.fields, begun.body = now_ms, frame.fields, frame.body
+            begun.complete_ms, begun.fields, begun.body = now_ms, frame.fields, frame.body
         elif frame.code == scorer_frames.ABANDON:
             for run in self.runs:
-                run.given_up = run.given_up or (run.id == frame.id and run.link is link)
+                run.cancelled = run.cancelled or (run.id == frame.id and run.connection is connection)
         elif frame.code == scorer_frames.LOAD:
-            self._ensure(frame, link, now_ms)
+            self._answer_order(frame, connection, now_ms)
 
-    def _ensure(self, frame: scorer_frames.Frame, link: ScorerLink, now_ms: float) -> None:
+    def _answer_order(self, frame: scorer_frames.Frame, connection: ScorerConnection, now_ms: float) -> None:
         function, copies = frame.fields["obj"], int(frame.fields["slots_up"])
-        standing = self.standing.setdefault(function, 1 if self.mode == "loaded" else 0)
-        self.orders.append(LoadOrder(frame.id, self, function, copies, standing, now_ms))
+        loaded_copies = self.loaded_copies.setdefault(function, 1 if self.mode == "loaded" else 0)
+        self.orders.append(LoadOrder(frame.id, self, function, copies, loaded_copies, now_ms))
         if self.mode == "mute":
             return
         code = scorer_frames.OK
-        if copies > standing and self.mode == "full":
+        if copies > loaded_copies and self.mode == "full":
             code = scorer_frames.FULL
         else:
-            self.standing[function] = max(standing, copies)
-        fields = f"slots_up={self.standing[function]}"
-        link.channel.send(scorer_frames.encode(code, frame.id, fields, direction=scorer_frames.FROM_SCORER))
-
-    def answer(self, run: Run, code: int, body: bytes, most_bytes: int | None = None) -> None:
-        """Answer an attempt, or write only the first bytes of an answer."""
+            self.loaded_copies[function] = max(loaded_copies, copies)
+        fields = f"slots_up={self.loaded_copies[function]}"
+        connection.channel.send(
+            scorer_frames.encode(code, frame.id, fields, direction=scorer_frames.FROM_SCORER)
+        )
+
+    def answer(self, run: Run, code: int, body: bytes, max_bytes: int | None = None) -> None:
+        """Answer an attempt, or send only the first `max_bytes` of the answer."""
         data = scorer_frames.encode(code, run.id, "res=reused", body, scorer_frames.FROM_SCORER)
-        if run.link.channel.send(data[:most_bytes]) and most_bytes is None:
+        if run.connection.channel.send(data[:max_bytes]) and max_bytes is None:
             run.answered.append(code)
 
-    def end_links(self, by_reset: bool) -> None:
-        """End all connections from front ends, by a reset if so asked."""
-        for link in self.links:
-            if not link.channel.ended:
-                link.channel.reset() if by_reset else link.channel.close()
+    def end_connections(self, by_reset: bool) -> None:
+        """Close or reset all connections from front ends."""
+        for connection in self.connections:
+            if not connection.channel.ended:
+                connection.channel.reset() if by_reset else connection.channel.close()
 
     def stop_listening(self) -> None:
-        """Close the listener; connections that are up stay."""
+        """Close the listener; established connections stay open."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
 
     def listen_again(self) -> None:
-        """Listen at the same address as before."""
+        """Listen on the same address as before."""
         if self.listener is None:
             self.listener = socket.create_server(self.address)
             self.listener.setblocking(False)
@@ -218,21 +222,21 @@
     def close(self) -> None:
         """Close the listener and all connections."""
         self.stop_listening()
-        self.end_links(by_reset=False)
+        self.end_connections(by_reset=False)
 
 
 class ScriptedLog:
-    """A change log: tells each connection all events after the one it names, and then each new one."""
+    """A change log: sends each connection all events after the one that it names, and then each new event."""
 
     def __init__(self, events: list[dict]) -> None:
-        self.events = events  # shared with other logs of the same site
+        self.events = events  # shared with the other change log
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.host_port = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self._channels: dict[Channel, int | None] = {}  # the last event told, once it has asked
+        self._channels: dict[Channel, int | None] = {}  # number of the last event sent; None before its query
 
     def pump(self) -> bool:
-        """Take in connections and questions, and answer them; whether anything came."""
+        """Accept connections and answer queries; return whether anything was received."""
         found = False
         while True:
             try:
@@ -246,11 +250,11 @@
             found = found or bool(data)
             if data:
                 self._channels[channel] = int(data.split()[1])
-        self.tell()
+        self.send_events()
         return found
 
-    def tell(self) -> bool:
-        """Bring every connection that asked up to the last event; whether one has all of them."""
+    def send_events(self) -> bool:
+        """Send new events to all connections that have sent a query; return whether there are any."""
         for channel, last in list(self._channels.items()):
             if channel.ended or last is None:
                 continue
@@ -261,13 +265,13 @@
         return any(not channel.ended and last for channel, last in self._channels.items())
 
     def heartbeat(self) -> None:
-        """Write the number of the last event told to each connection that has asked."""
+        """Send the number of the last event to each connection that has sent its query."""
         for channel, last in self._channels.items():
             if last is not None:
                 channel.send(b"%d\n" % last)
 
     def reset_all(self) -> None:
-        """End all connections by a reset; the listener stays."""
+        """Reset all connections; the listener stays open."""
         for channel in self._channels:
             if not channel.ended:
                 channel.reset()
@@ -281,26 +285,26 @@
 
 
 class ScriptedClient:
-    """A client connection; `on_answer` is handed the number, kind and content of each answer."""
+    """A client connection; `on_answer` receives the sequence number, kind and content of each answer."""
 
     def __init__(self, address: tuple[str, int], on_answer: Callable[[int, str, object], None]) -> None:
         self.channel = Channel(socket.create_connection(address))
-        self.seqid, self.rest = 0, b""  # rest: of a message sent in part
-        self.left = False  # closed or half-closed by the client itself
+        self.seqid, self.rest = 0, b""  # `rest` has the unsent bytes of a partial message
+        self.closed_by_client = False  # closed or half-closed by the client itself
         self._on_answer, self._buffer = on_answer, bytearray()
 
     @property
     def usable(self) -> bool:
         """Whether requests can still be sent on this connection."""
-        return not (self.channel.ended or self.left)
+        return not (self.channel.ended or self.closed_by_client)
 
     def next_seqid(self) -> int:
-        """The next sequence number, which counts as used."""
+        """Return the next unused sequence number."""
         self.seqid += 1
         return self.seqid
 
     def pump(self) -> bool:
-        """Hand on the answers that came; whether any bytes did."""
+        """Pass on the received answers; return whether any bytes were received."""
         data = self.channel.received()
         self._buffer += data
         while len(self._buffer) >= 4:
@@ -311,21 +315,21 @@
             del self._buffer[: 4 + size]
         return bool(data)
 
-    def ask(self, seqid: int, fields: dict[str, str], body: bytes = b"") -> bool:
-        """Send a request whole."""
+    def send_request(self, seqid: int, fields: dict[str, str], body: bytes = b"") -> bool:
+        """Send a complete request; return False if the connection has ended."""
         return self.channel.send(handle_frame(seqid, fields, body))
 
     def withdraw(self, seqid: int) -> bool:
-        """Withdraw a request; False where the connection has ended."""
+        """Withdraw a request; return False if the connection has ended."""
         payload = struct.pack(">bhib", thrift.I32, 1, seqid, 0)
         return self.channel.send(thrift._frame(thrift.ONEWAY, b"withdraw", 99, payload))
 
     def half_close(self) -> None:
-        """End the output, and read on."""
-        self.left = True
+        """Shut down the sending side, and continue to read."""
+        self.closed_by_client = True
         self.channel.sock.shutdown(socket.SHUT_WR)
 
     def close(self, by_reset: bool = False) -> None:
-        """Close the connection, by a reset if so asked."""
-        self.left = True
+        """Close or reset the connection."""
+        self.closed_by_client = True
         self.channel.reset() if by_reset else self.channel.close()
--- a/tests/support/stamps.py
+++ b/tests/support/stamps.py
@@ -1,4 +1,4 @@
-"""Receive stamps that follow a settable clock, in place of the system's own."""
+"""Receive timestamps that follow a settable clock instead of the system's clock."""
 
 import socket
 import struct
@@ -13,18 +13,18 @@
 
 
 class ReceiveStamps:
-    """Stamps what is read with the wall clock's time at which its sender wrote last."""
+    """Gives received bytes the wall clock time of their sender's last write as the timestamp."""
 
     def __init__(self, clock: SettableClock) -> None:
         self._clock = clock
         self._written_ms: dict[tuple, float] = {}  # by the sender's address
 
     def written(self, address: tuple) -> None:
-        """A sender writes now."""
+        """Record that this sender writes now."""
         self._written_ms[address] = self._clock.wall_ms
 
     def note(self, address: tuple) -> list[tuple[int, int, bytes]]:
-        """The ancillary data of a read from this sender."""
+        """Return the ancillary data of a read from this sender."""
         if (written_ms := self._written_ms.get(address)) is None:
             return []
         seconds, rest_ms = divmod(written_ms, 1_000.0)
@@ -32,14 +32,14 @@
 
     @contextmanager
     def installed(self) -> Iterator["ReceiveStamps"]:
-        """All sockets made or accepted inside have these stamps and no others."""
+        """Give all sockets created or accepted inside this context these timestamps only."""
         with mock.patch.object(socket, "socket", _socket_class(self, socket.socket)):
             yield self
 
 
 def _socket_class(stamps: ReceiveStamps, base: type[socket.socket]) -> type[socket.socket]:
     class StampedSocket(base):  # type: ignore[valid-type, misc]
-        sender: tuple = ()  # known from the accept on: a reset connection does not tell it
+        sender: tuple = ()  # set by accept, as the address of a reset connection can't be queried
 
         def accept(self):
             sock, sender = super().accept()
--- a/tests/support/system_faults.py
+++ b/tests/support/system_faults.py
@@ -1,7 +1,7 @@
-"""Failing system calls, injected at the call itself.
+"""Fault injection for the system calls of sockets.
 
-`SystemFaults` replaces `socket.socket` by a subclass while it is installed. Each planned fault hits the
-next matching call, so a test decides which call fails, how, and how often.
+`SystemFaults` replaces `socket.socket` by a subclass while it is installed. Each planned fault applies to the
+next matching calls, so a test decides which calls fail, how, and how often.
 """
 
 import errno
@@ -21,21 +21,21 @@
 
 @dataclass
 class Fault:
-    """One planned fault: the call that it hits, what it does there, and how often."""
+    """A planned fault: the system call that it affects, what it does, and how often."""
 
     call: str
-    error: int = 0  # errno to fail with; 0: the call is shortened instead
-    most_bytes: int = 0  # bytes that a shortened read or write moves
-    times: int = 1  # calls that it hits
+    error: int = 0  # errno to fail with; 0 if the call is shortened instead
+    max_bytes: int = 0  # that a shortened read or write transfers
+    times: int = 1  # number of calls to affect
     where: Predicate = _any_socket
-    hits: int = 0
+    hits: int = 0  # number of calls affected so far
 
 
 class SystemFaults:
-    """Plans faults of system calls, and makes them happen while it is installed.
+    """Plans faults of system calls, and injects them while it is installed.
 
     The calls are socket, accept, connect, shutdown, recv, recvmsg, send, sendmsg, and `so_error` (the read of
-    `SO_ERROR`, which is the outcome of a connect that did not finish at once).
+    `SO_ERROR`, which is the result of a connect that did not finish at once).
     """
 
     def __init__(self) -> None:
@@ -46,16 +46,16 @@
         """Let the next `times` matching calls fail with `error`."""
         return self._plan(Fault(call, error=error, times=times, where=where))
 
-    def shorten(self, call: str, most_bytes: int, times: int = 1, where: Predicate = _any_socket) -> Fault:
-        """Let the next `times` matching reads or writes move `most_bytes` at the most."""
-        return self._plan(Fault(call, most_bytes=most_bytes, times=times, where=where))
+    def shorten(self, call: str, max_bytes: int, times: int = 1, where: Predicate = _any_socket) -> Fault:
+        """Let the next `times` matching reads or writes transfer at most `max_bytes`."""
+        return self._plan(Fault(call, max_bytes=max_bytes, times=times, where=where))
 
     def _plan(self, fault: Fault) -> Fault:
         self.planned.append(fault)
         return fault
 
     def take(self, call: str, sock: socket.socket) -> Fault | None:
-        """The fault that hits this call, if any."""
+        """Return the fault that affects this call, if any."""
         self.calls[call] = self.calls.get(call, 0) + 1
         for fault in self.planned:
             if fault.call == call and fault.hits < fault.times and fault.where(sock):
@@ -64,7 +64,7 @@
         return None
 
     def raise_for(self, call: str, sock: socket.socket) -> Fault | None:
-        """Fail if a fault with an errno hits this call; a fault that shortens it is returned."""
+        """Raise the OSError of a fault that fails this call; return a fault that shortens it."""
         fault = self.take(call, sock)
         if fault and fault.error:
             raise OSError(fault.error, os.strerror(fault.error))
@@ -72,7 +72,7 @@
 
     @contextmanager
     def installed(self) -> Iterator["SystemFaults"]:
-        """All sockets made or accepted inside can be hit."""
+        """Let faults affect all sockets created or accepted inside this context."""
         with mock.patch.object(socket, "socket", _socket_class(self, socket.socket)):
             yield self
 
@@ -82,7 +82,7 @@
 
 
 def _faulty_connections(faults: SystemFaults, base: type[socket.socket]) -> type[socket.socket]:
-    """The calls that make and end connections."""
+    """Return a socket class with faults in the calls that open and close connections."""
 
     class FaultyConnections(base):  # type: ignore[valid-type, misc]
         def __init__(self, family=-1, type=-1, proto=-1, fileno=None):
@@ -117,27 +117,27 @@
 
 
 def _faulty_transfers(faults: SystemFaults, base: type[socket.socket]) -> type[socket.socket]:
-    """The calls that read and write."""
+    """Return a socket class with faults in the calls that read and write."""
 
     class FaultyTransfers(base):  # type: ignore[valid-type, misc]
         def recv(self, size, *flags):
             fault = faults.raise_for("recv", self)
-            return super().recv(min(size, fault.most_bytes) if fault else size, *flags)
+            return super().recv(min(size, fault.max_bytes) if fault else size, *flags)
 
         def recvmsg(self, size, *more):
             fault = faults.raise_for("recvmsg", self)
-            return super().recvmsg(min(size, fault.most_bytes) if fault else size, *more)
+            return super().recvmsg(min(size, fault.max_bytes) if fault else size, *more)
 
         def send(self, data, *flags):
             fault = faults.raise_for("send", self)
-            return super().send(data[: fault.most_bytes] if fault else data, *flags)
+            return super().send(data[: fault.max_bytes] if fault else data, *flags)
 
         def sendmsg(self, buffers, *more):
             fault = faults.raise_for("sendmsg", self)
             if not fault:
                 return super().sendmsg(buffers, *more)
-            if not fault.most_bytes:
+            if not fault.max_bytes:
                 raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
-            return super().send(b"".join(buffers)[: fault.most_bytes])
+            return super().send(b"".join(buffers)[: fault.max_bytes])
 
     return FaultyTransfers
