--- a/tests/net/test_net_request_rules.py
+++ b/tests/net/test_net_request_rules.py
@@ -1,4 +1,4 @@
-"""One test for each rule on answers, with real sockets on loopback and waits on events only."""
+"""One test for each rule on answers, with real sockets on loopback; waits end by events, not by sleeps."""
 
 import unittest
 from pathlib import Path
@@ -13,8 +13,8 @@
 
 
 class Case(unittest.TestCase):
-    def rig(self, *peers, **more):
-        rig = Rig(*peers, **more)
+    def rig(self, *peers, **options):
+        rig = Rig(*peers, **options)
         self.addCleanup(rig.close)
         return rig
 
@@ -30,17 +30,17 @@
         self.assertEqual({frame.fields["obj"] for _, frame in scorer.runs}, {ROW})
         for n, item in enumerate(reversed(scorer.runs)):
             scorer.answer(item, body=b"for " + item[1].body)
-            rig.until(lambda n=n: len(client.answers) > n, "each is answered in its turn")
+            rig.until(lambda n=n: len(client.answers) > n, "the answer has arrived")
             self.assertEqual(client.answers[n][0], int.from_bytes(item[1].id, "big"))
         bodies = {seqid: content[1] for seqid, _, content in client.answers}
         self.assertEqual(bodies, {n + 1: b"for ask%d" % n for n in range(4)})
 
-    def test_id_class_key_body_and_token_are_passed_on_unchanged(self):
+    def test_id_class_key_body_and_token_are_forwarded_unchanged(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         body = bytes(range(256)) * 64
         rig.client().call("save", body, call="9B1f03aa5c7e2d41", dedupe="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the request runs")
         [(_, frame)] = scorer.runs
         fields = {name: frame.fields[name] for name in ("kind", "obj", "token")}
         self.assertEqual(fields, {"kind": "save", "obj": ROW, "token": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"})
@@ -52,14 +52,14 @@
         rig = self.rig(scorer)
         client = rig.client()
         seqid = client.call()
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the request runs")
         client.withdraw(seqid)
-        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
+        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "the attempt is cancelled")
         scorer.answer(scorer.runs[0], body=b"late")
         second = client.call()
-        rig.until(lambda: len(scorer.runs) == 2, "the next one runs")
+        rig.until(lambda: len(scorer.runs) == 2, "the second request runs")
         scorer.answer(scorer.runs[1], body=b"in time")
-        rig.until(lambda: client.answers, "the next one is answered")
+        rig.until(lambda: client.answers, "the second request is answered")
         self.assertEqual([answer[0] for answer in client.answers], [second])
         self.assertFalse(rig.front.requests.open)
 
@@ -68,63 +68,63 @@
         rig = self.rig(scorer)
         client = rig.client()
         client.call()
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the request runs")
         scorer.answer(scorer.runs[0], body=b"one")
         scorer.answer(scorer.runs[0], body=b"two")
-        rig.until(lambda: client.answers, "it is answered")
+        rig.until(lambda: client.answers, "the request is answered")
         rig.settle(client)
         self.assertEqual([content[1] for _, _, content in client.answers], [b"one", b""])
 
-    def test_a_closed_client_connection_gives_up_what_is_open_on_it(self):
+    def test_a_closed_client_connection_cancels_its_open_requests(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         client = rig.client()
         client.call()
-        rig.until(lambda: scorer.runs, "it runs")
+        rig.until(lambda: scorer.runs, "the request runs")
         client.sock.close()
         client.ended = True
-        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "it is given up")
+        rig.until(lambda: scorer.of(scorer_frames.ABANDON), "the attempt is cancelled")
         self.assertFalse(rig.front.requests.open or rig.front.client_port.clients)
 
-    def test_a_fault_in_the_decisions_still_leaves_each_request_one_answer(self):
+    def test_each_request_has_one_answer_after_an_error_in_the_router(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         client = rig.client()
         with mock.patch.object(rig.front.router, "handle", side_effect=KeyError("boom")):
             seqid = client.call(ttl="60")
-            rig.until(lambda: client.answers, "the backstop answers")
+            rig.until(lambda: client.answers, "the deadline timer fails the request")
         self.assertEqual(client.kinds(), {seqid: "broken"})
         self.assertIn("boom", "".join(rig.lines))
         client.call()
-        rig.until(lambda: scorer.runs, "the next one runs")
+        rig.until(lambda: scorer.runs, "the next request runs")
 
-    def test_a_fault_in_carrying_out_one_action_leaves_the_others_and_the_program_alone(self):
+    def test_an_error_in_one_action_does_not_affect_the_others(self):
         scorer = ScorerPeer(copies=4)
         rig = self.rig(scorer)
         client, failing = rig.client(), mock.Mock(side_effect=KeyError("boom"))
         with mock.patch.dict(rig.front._action_handlers, {io.Send: failing}):
             client.call()
-            rig.until(lambda: failing.called, "the call is to be sent")
+            rig.until(lambda: failing.called, "the send has failed")
         client.call(body=b"next")
-        rig.until(lambda: scorer.runs, "the next one runs")
+        rig.until(lambda: scorer.runs, "the next request runs")
         self.assertEqual(scorer.runs[0][1].body, b"next")
 
-    def test_the_time_that_a_call_lay_unread_counts(self):
+    def test_the_time_that_a_call_was_unread_counts(self):
         rig = self.rig(ScorerPeer(copies=None))
         rig.client().call(ttl="8000")
         with mock.patch.object(event_loop, "unix_ms", lambda: timer_wheel.unix_ms() + 3000.0):
-            rig.until(lambda: rig.front.requests.open, "it is read")
+            rig.until(lambda: rig.front.requests.open, "the call is read")
         [request] = rig.front.requests.open.values()
         self.assertTrue(0 <= request.deadline_ms - rig.front.loop.iteration_ms <= 5000.0)
-        [known] = rig.front.router.requests.values()
-        self.assertTrue(0 <= known.deadline_ms - known.arrived_ms <= 5000.0)
+        [router_request] = rig.front.router.requests.values()
+        self.assertTrue(0 <= router_request.deadline_ms - router_request.arrived_ms <= 5000.0)
 
-    def test_a_refusal_is_given_at_once_and_tells_when_to_come_back(self):
+    def test_a_rejection_is_sent_at_once_and_says_when_to_retry(self):
         scorer = ScorerPeer()
         rig = self.rig(scorer)
         client = rig.client()
         with mock.patch.object(requests, "MAX_BODY_BYTES", 10):
             seqid = client.call(body=b"x" * 11)
-            rig.until(lambda: client.answers, "it is refused")
+            rig.until(lambda: client.answers, "the request is rejected")
         expected = {1: {"pushback": str(int(requests.FULL_RETRY_AFTER_MS)).encode()}}
         self.assertEqual(client.answers, [(seqid, "throttled", expected)])
--- a/tests/net/test_net_shutdown_signals.py
+++ b/tests/net/test_net_shutdown_signals.py
@@ -1,4 +1,4 @@
-"""Signals that cross the start, the end and each other, at the program as a process of its own."""
+"""Signals during the start and the shutdown of the program, which runs as a separate process."""
 
 import os
 import signal
@@ -11,9 +11,9 @@
 
 
 class Program:
-    """`serve` with its configuration in a pipe, so that the test decides when it has been read."""
+    """The command `serve`, with its configuration in a pipe so that the test decides when it is read."""
 
-    def __init__(self, folder, *words):
+    def __init__(self, folder, *arguments):
         self.scorer, self.log = ScorerPeer(), LogPeer()
         event = {"seq": 1, "fleet": {"complete": True, "members": [self.scorer.member()]}}
         self.config = {
@@ -27,21 +27,21 @@
         os.mkfifo(self.pipe)
         unset = ("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_CONTROL")
         env = {name: value for name, value in os.environ.items() if name not in unset}
-        command = [sys.executable, "-m", "fawnwharf", "serve", *(words or ())]
-        env |= {} if words else {"ROUTER_CONFIG": str(self.pipe)}
+        command = [sys.executable, "-m", "fawnwharf", "serve", *(arguments or ())]
+        env |= {} if arguments else {"ROUTER_CONFIG": str(self.pipe)}
         self.child = subprocess.Popen(command, env=env, stderr=subprocess.PIPE, text=True)
         self.clients = []
 
     def configure(self, before=()):
-        """Let it read its configuration; `before`: signals that come while it waits for that."""
-        pipe = os.open(self.pipe, os.O_WRONLY)  # returns once the program opens it
+        """Let the program read its configuration; the signals `before` are sent while it waits for that."""
+        pipe = os.open(self.pipe, os.O_WRONLY)  # returns when the program has opened the pipe
         for number in before:
             self.child.send_signal(number)
         os.write(pipe, msgspec.json.encode(self.config))
         os.close(pipe)
 
     def line(self, text):
-        """The next line of its log, which has this text."""
+        """Return the next line of the log, which must contain this text."""
         line = self.child.stderr.readline()
         assert text in line, line + self.rest()
         return line
@@ -58,7 +58,7 @@
         return self.clients[-1]
 
     def until(self, condition):
-        """Turn the peers until something is so."""
+        """Let the peers read and accept until the condition holds."""
         for _ in range(int(PATIENCE_S / 0.005)):
             for peer in (self.scorer, self.log, *self.clients):
                 peer.pump()
@@ -79,13 +79,13 @@
 
 @pytest.fixture
 def program(tmp_path):
-    made = Program(tmp_path)
-    yield made
-    made.close()
+    program = Program(tmp_path)
+    yield program
+    program.close()
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_told_to_end_before_it_can_serve_it_serves_what_comes_and_ends_with_0(program, number):
+def test_a_signal_during_the_start_lets_it_serve_late_arrivals_and_exit_with_0(program, number):
     program.configure(before=[number])
     program.serving()
     program.line("shutting down")
@@ -101,19 +101,19 @@
     assert program.child.wait(PATIENCE_S) == 0
 
 
-def test_told_to_end_by_way_of_the_command_line_it_ends_with_0(tmp_path):
-    made = Program(tmp_path, "--config", str(tmp_path / "config"))
+def test_a_signal_to_a_process_started_with_options_lets_it_exit_with_0(tmp_path):
+    program = Program(tmp_path, "--config", str(tmp_path / "config"))
     try:
-        made.configure(before=[signal.SIGTERM])
-        made.serving()
-        made.line("shutting down")
-        made.child.send_signal(signal.SIGTERM)
-        assert made.child.wait(PATIENCE_S) == 0
+        program.configure(before=[signal.SIGTERM])
+        program.serving()
+        program.line("shutting down")
+        program.child.send_signal(signal.SIGTERM)
+        assert program.child.wait(PATIENCE_S) == 0
     finally:
-        made.close()
+        program.close()
 
 
-def test_signals_in_the_middle_of_an_end_change_nothing_of_it(program):
+def test_signals_during_the_shutdown_do_not_change_it(program):
     program.configure()
     program.serving()
     client = program.client()
@@ -124,14 +124,14 @@
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGTERM):
         program.child.send_signal(number)
     program.child.send_signal(signal.SIGHUP)
-    program.configure()  # read again
+    program.configure()  # read again by the reload
     program.line("configuration reloaded")
     client.status()
     program.until(lambda: client.answers)
     assert client.answers[0][2][3] is False
     late = program.client()
     late.call(call="ff" * 8)
-    program.scorer.answer(program.scorer.runs[0])  # its one copy is free again
+    program.scorer.answer(program.scorer.runs[0])  # so that the scorer's only copy is free again
     program.until(lambda: len(program.scorer.runs) == 2)
     program.scorer.answer(program.scorer.runs[1])
     program.until(lambda: 1 in client.kinds() and 1 in late.kinds())
@@ -159,12 +159,12 @@
         signal.signal(number, lambda *_: None)
     return 0
 
-last = Last()  # goes as the interpreter takes its modules apart, which is after its signal handlers
+last = Last()  # deleted when the interpreter clears its modules, which is after its signal handlers
 serving.serve = serve
 sys.argv = ["fawnwharf", "serve"]
 sys.exit(main())
 """
 
 
-def test_a_signal_in_the_interpreters_last_moment_does_not_change_the_status():
+def test_a_signal_during_the_interpreters_exit_does_not_change_the_status():
     assert subprocess.run([sys.executable, "-c", LAST_SIGNAL], timeout=PATIENCE_S).returncode == 0
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""The other ends of a front end's sockets, driven from the test's own thread on loopback port 0."""
+"""Peers of a front end (scorers, change log, clients), driven from the test's own thread on loopback."""
 
 import json
 import selectors
@@ -26,7 +26,7 @@
 
 
 class Buffered:
-    """One accepted or dialled connection and all that came on it."""
+    """A connection, and the bytes received on it that were not handled yet."""
 
     def __init__(self, sock):
         self.sock, self.data, self.ended = sock, bytearray(), False
@@ -45,7 +45,7 @@
 
 
 class Listening:
-    """A peer that listens; `links` are its connections, oldest first."""
+    """A peer that listens; `links` has its accepted connections, oldest first."""
 
     def __init__(self):
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -69,7 +69,7 @@
 
 
 class ScorerPeer(Listening):
-    """Answers orders by itself, so that a copy stands; runs are left to the test."""
+    """A scorer that answers load orders with `copies` copies; the test answers the calls itself."""
 
     def __init__(self, id="s-1", copies=1):
         super().__init__()
@@ -101,7 +101,7 @@
 
 
 class LogPeer(Listening):
-    """The change log: takes `since N`, says what the test says."""
+    """A change log: receives the queries `since N`, and sends the lines that the test passes to `say`."""
 
     def asked(self):
         return [bytes(link.data).decode().split() for link in self.links if link.data]
@@ -147,7 +147,7 @@
 
 
 def reply_from(data):
-    """Sequence number, what kind of answer, and its content."""
+    """Return the sequence number, kind and content of an answer."""
     kind, _, seqid, at = thrift._head(data)
     if kind == thrift.EXCEPTION:
         return seqid, "exception", data[at:]
@@ -192,12 +192,12 @@
             "settings": SETTINGS | (settings or {}),
             "limits": limits or {},
         }
-        note = lambda text, source="": self.lines.append(text)  # noqa: E731
-        self.front = FrontEnd(deployment_from(config, {}), log=note)
+        log = lambda text, source="": self.lines.append(text)  # noqa: E731
+        self.front = FrontEnd(deployment_from(config, {}), log=log)
         self.front.start()
         if start:
-            self.until(lambda: self.log.asked(), "the change log is asked")
-            self.log.say(1)  # as real ones do: without it no scorer is proved to be in service
+            self.until(lambda: self.log.asked(), "the front end has asked the change log")
+            self.log.say(1)  # confirms the roster; without it no scorer is proved to be in service
             self.until(lambda: self.front.router.roster_proved_ms > 0, "the roster is confirmed")
 
     def client(self):
@@ -205,19 +205,19 @@
         return self.clients[-1]
 
     def until(self, condition, what="it happens"):
-        """Turn the loop and the peers until something is so; the wait ends by the event itself."""
+        """Run the loop and the peers until the condition holds; `what` describes it if the wait times out."""
         end = time.monotonic() + PATIENCE_S
         while not condition():
-            assert time.monotonic() < end, f"waited in vain until {what}"
+            assert time.monotonic() < end, f"timed out waiting until {what}"
             self.front.loop.run_iteration(0.005)
             for peer in [self.log, *self.scorers, *self.clients]:
                 peer.pump()
 
     def settle(self, client):
-        """All that was on its way has been seen: a status answer has made the whole round."""
+        """Wait until everything sent so far is handled, by the answer to a status call."""
         seqid = 1000 + len(client.answers)
         client.status(seqid)
-        self.until(lambda: seqid in client.kinds(), "the status comes")
+        self.until(lambda: seqid in client.kinds(), "the status call is answered")
 
     def close(self):
         self.front.close()
--- a/tests/test_handover_age.py
+++ b/tests/test_handover_age.py
@@ -1,4 +1,4 @@
-"""The age of a call that lay unread while its connection went from one process to another."""
+"""The age of a call that was unread while its connection was handed off to another process."""
 
 import socket
 
@@ -11,30 +11,30 @@
 
 @pytest.fixture
 def rig():
-    made = Rig(ScorerPeer())
-    yield made
-    made.close()
+    rig = Rig(ScorerPeer())
+    yield rig
+    rig.close()
 
 
-def test_a_call_that_lay_unread_while_its_connection_was_handed_over_is_as_old_as_it_may_be(rig):
-    with socket.create_server(("127.0.0.1", 0)) as server:  # its connections have no receive stamps
+def test_an_unread_call_on_a_handed_off_connection_counts_from_the_last_empty_time(rig):
+    with socket.create_server(("127.0.0.1", 0)) as server:  # its connections have no receive timestamps
         client = ClientPeer(server.getsockname())
         sock = server.accept()[0]
     client.call(ttl="8000")
     sock.setblocking(False)
     rig.clients.append(client)
     rig.front.client_port.take_over(HandedOffConnection(sock, empty_ms=monotonic_ms() - 3_000.0))
-    rig.until(lambda: rig.scorers[0].runs, "it runs")
+    rig.until(lambda: rig.scorers[0].runs, "the call runs")
     [(_, frame)] = rig.scorers[0].runs
     assert int(frame.fields["ms"]) <= 5_000
 
 
-def test_a_connection_that_is_handed_over_tells_when_it_was_last_known_to_be_empty(rig):
+def test_a_handed_off_connection_reports_when_it_was_last_known_to_be_empty(rig):
     client = rig.client()
     rig.settle(client)
     before_ms = monotonic_ms()
     rig.front.loop.run_iteration(0.0)
-    rig.front.client_port.set_paused(True)  # from here on nothing is read
+    rig.front.client_port.set_paused(True)  # nothing is read after this
     paused_ms = monotonic_ms()
     for _ in range(3):
         rig.front.loop.run_iteration(0.0)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Some tens of front ends: what is harmless for one must not add up to harm."""
+"""A fleet of 40 front ends: actions that are harmless for one must not add up to an overload."""
 
 import unittest
 from collections import Counter
@@ -11,34 +11,33 @@
 from fawnwharf.interface import AttemptResult
 from fawnwharf.net import scorer_pool
 
-SOLD = {"t": 400.0}
-SIZE, WORKERS = 40, 40
+QUOTAS_RPS = {"t": 400.0}
+FRONT_ENDS, SCORERS = 40, 40
 
 
-def drives(count=SIZE, **settings):
-    return [
-        Drive(WORKERS, seed=7919 * n + 3, fleet_size=SIZE, quotas_rps=SOLD, loads_on_miss=True, **settings)
-        for n in range(count)
-    ]
+def drives(count=FRONT_ENDS, **settings):
+    """Return drivers of this many routers of the fleet."""
+    options = {"fleet_size": FRONT_ENDS, "quotas_rps": QUOTAS_RPS, "loads_on_miss": True}
+    return [Drive(SCORERS, seed=7919 * n + 3, **options, **settings) for n in range(count)]
 
 
-class Questions(unittest.TestCase):
-    def test_no_front_end_asks_after_a_copy_that_the_others_calls_keep(self):
-        firsts = [drive.ask("r", fn="f", tenant="t") for drive in drives()]
-        self.assertEqual([], [hold for actions in firsts for hold in of(actions, io.OrderCopies)])
-        self.assertEqual(1, len({send.scorer for actions in firsts for send in of(actions, io.Send)}))
+class Queries(unittest.TestCase):
+    def test_no_front_end_queries_a_copy_that_other_front_ends_calls_keep_loaded(self):
+        first_actions = [drive.ask("r", fn="f", tenant="t") for drive in drives()]
+        self.assertEqual([], [order for actions in first_actions for order in of(actions, io.OrderCopies)])
+        self.assertEqual(1, len({send.scorer for actions in first_actions for send in of(actions, io.Send)}))
 
-    def test_a_few_front_ends_ask_as_ever(self):
-        few = Drive(WORKERS, fleet_size=2, quotas_rps=SOLD, loads_on_miss=True)
-        self.assertTrue(of(few.ask("r", tenant="t"), io.OrderCopies))
+    def test_a_few_front_ends_still_send_queries(self):
+        drive = Drive(SCORERS, fleet_size=2, quotas_rps=QUOTAS_RPS, loads_on_miss=True)
+        self.assertTrue(of(drive.ask("r", tenant="t"), io.OrderCopies))
 
-    def test_a_run_longer_than_usual_is_no_silence(self):
+    def test_a_longer_run_than_usual_does_not_cause_a_query_at_once(self):
         drive = drives(1)[0]
         drive.ask("r", tenant="t")
         self.assertEqual([], of(drive.sweep(600.0), io.OrderCopies))
         self.assertTrue(of(drive.sweep(2_000.0), io.OrderCopies))
 
-    def test_a_held_call_waits_a_run_before_it_races_a_load(self):
+    def test_a_waiting_call_waits_for_the_duration_of_a_run_before_a_speculative_load(self):
         drive = drives(1)[0]
         drive.ask("first", tenant="t")
         second = drive.ask("second", tenant="t")
@@ -46,68 +45,67 @@
         self.assertTrue(any(load.copies for load in of(drive.sweep(400.0), io.OrderCopies)))
 
 
-class Places(unittest.TestCase):
-    def test_a_place_new_to_all_is_tried_by_few_while_others_are_known(self):
+class ScorerChoice(unittest.TestCase):
+    def test_few_front_ends_try_a_new_scorer_while_others_are_known(self):
         fleet, sends = drives(), []
         for drive in fleet:
             [first] = of(drive.ask("first", tenant="t"), io.Send)
             drive.end(first)
-            drive.router.functions["f"].reported_concurrency = 4.0  # the others' calls make it wide
+            # As if the calls of the other front ends had raised the spread of the function.
+            drive.router.functions["f"].reported_concurrency = 4.0
             drive.now += 5_000.0
             sends += [(first.scorer, send.scorer) for send in of(drive.ask("next", tenant="t"), io.Send)]
-        moved = sum(first != then for first, then in sends)
-        self.assertEqual(SIZE, len(sends))
-        self.assertLessEqual(moved, SIZE // 4)
+        moved = sum(first != second for first, second in sends)
+        self.assertEqual(FRONT_ENDS, len(sends))
+        self.assertLessEqual(moved, FRONT_ENDS // 4)
         self.assertTrue(all(drive.router.functions["f"].spread > 1 for drive in fleet))
 
-    def test_a_place_that_can_take_nothing_gives_way_to_the_next(self):
+    def test_a_suspected_scorer_is_replaced_by_the_next(self):
         drive = drives(1)[0]
         drive.sweep(2_500.0)
         [first] = of(drive.ask("first", tenant="t"), io.Send)
         drive.end(first)
         drive.router.scorers[first.scorer].suspect_ms = drive.now
-        [then] = of(drive.ask("next", tenant="t"), io.Send)
-        self.assertNotEqual(first.scorer, then.scorer)
-
-    def test_of_two_drawn_places_the_near_one_comes_first_unless_it_is_strained(self):
-        def far(strain):
-            crossed = 0
+        [second] = of(drive.ask("next", tenant="t"), io.Send)
+        self.assertNotEqual(first.scorer, second.scorer)
+
+    def test_a_scorer_of_the_own_zone_is_preferred_unless_it_is_slow(self):
+        def sends_to_other_zone(slowdown):
+            """Return how many of 100 calls leave zone a, whose scorers have this slowdown."""
+            other_zone = 0
+            options = {"fleet_size": FRONT_ENDS, "quotas_rps": QUOTAS_RPS, "loads_on_miss": True}
             for seed in range(100):
-                drive = Drive(
-                    20, ("a", "b"), seed=seed, fleet_size=SIZE, quotas_rps=SOLD, loads_on_miss=True, zone="a"
-                )
+                drive = Drive(20, ("a", "b"), seed=seed, zone="a", **options)
                 drive.sweep(2_500.0)
                 drive.ask("wide", tenant="t")
                 drive.feed(io.RequestCancelled("wide"))
                 drive.router.functions["f"].reported_concurrency = 9.0
-                for worker in drive.router.ready:
-                    worker.slowdown, worker.slowdown_ms = (
-                        strain if worker.entry.zone == "a" else 1.0,
-                        drive.now,
-                    )
+                for scorer in drive.router.ready:
+                    scorer.slowdown = slowdown if scorer.entry.zone == "a" else 1.0
+                    scorer.slowdown_ms = drive.now
                 drive.router.functions["f"].copies_by_scorer.clear()
                 drive.router.functions["f"].known = None
                 [send] = of(drive.ask("r", tenant="t"), io.Send)
-                crossed += drive.router.scorers[send.scorer].entry.zone == "b"
-            return crossed
+                other_zone += drive.router.scorers[send.scorer].entry.zone == "b"
+            return other_zone
 
-        self.assertLess(far(1.0), 40)
-        self.assertGreater(far(2.5), 60)
+        self.assertLess(sends_to_other_zone(1.0), 40)
+        self.assertGreater(sends_to_other_zone(2.5), 60)
 
-    def test_a_known_place_outside_the_first_ones_serves_before_a_new_one(self):
-        drive, homes, moved = drives(1)[0], {}, 0
+    def test_a_displaced_known_scorer_is_preferred_to_a_new_one(self):
+        drive, known_scorers, moved = drives(1)[0], {}, 0
         drive.sweep(2_500.0)
         for n in range(8):
             [send] = of(drive.ask(f"first{n}", fn=f"f{n}", tenant="t"), io.Send)
-            homes[f"f{n}"] = send.scorer
+            known_scorers[f"f{n}"] = send.scorer
             drive.end(send)
-        drive.feed(io.RosterChanged([io.ScorerEntry(n) for n in range(WORKERS + 1, 2 * WORKERS)], False))
-        order = {name: drive.router._ordered(drive.router.functions[name])[0].id for name in homes}
-        displaced = [name for name in homes if order[name] != homes[name]]
+        drive.feed(io.RosterChanged([io.ScorerEntry(n) for n in range(SCORERS + 1, 2 * SCORERS)], False))
+        first = {name: drive.router._ordered(drive.router.functions[name])[0].id for name in known_scorers}
+        displaced = [name for name in known_scorers if first[name] != known_scorers[name]]
         self.assertGreaterEqual(len(displaced), 2)
         for n, name in enumerate(displaced * 4):
             [send] = of(drive.ask(f"r{n}", fn=name, tenant="t"), io.Send)
-            moved += send.scorer != homes[name]
+            moved += send.scorer != known_scorers[name]
             drive.end(send)
             drive.now += 50.0
         self.assertLessEqual(moved, len(displaced))
@@ -115,44 +113,44 @@
 
 class LostZone(unittest.TestCase):
     def drive(self, **settings):
-        drive = Drive(
-            8, ("a", "b"), fleet_size=SIZE, quotas_rps={"t": 80.0}, loads_on_miss=True, zone="a", **settings
-        )
-        homes = set()
+        """Return the driver of a router that has sent calls to all eight scorers in two zones."""
+        options = {"fleet_size": FRONT_ENDS, "quotas_rps": {"t": 80.0}, "loads_on_miss": True, "zone": "a"}
+        drive = Drive(8, ("a", "b"), **options, **settings)
+        called = set()
         for n in range(60):
             drive.now += 200.0
             for send in of(drive.ask(f"r{n}", fn=f"f{n}", tenant="t"), io.Send):
-                homes.add(send.scorer)
+                called.add(send.scorer)
                 drive.end(send)
-        self.assertEqual(set(range(1, 9)), homes)
+        self.assertEqual(set(range(1, 9)), called)
         return drive
 
-    def test_some_silent_scorers_of_one_zone_have_all_that_are_there_asked(self):
+    def test_several_suspected_scorers_of_a_zone_cause_queries_to_the_rest_of_it(self):
         drive = self.drive()
-        for worker in (1, 3):
-            drive.router._suspect(drive.router.scorers[worker])
+        for number in (1, 3):
+            drive.router._suspect(drive.router.scorers[number])
         self.assertEqual(
-            [], [worker.id for worker in drive.router.ready if worker.probed_ms and worker.id > 3]
+            [], [scorer.id for scorer in drive.router.ready if scorer.probed_ms and scorer.id > 3]
         )
         drive.router.actions.clear()
         drive.router._suspect(drive.router.scorers[5])
-        self.assertEqual([7], [hold.scorer for hold in of(drive.router.actions, io.OrderCopies)])
+        self.assertEqual([7], [query.scorer for query in of(drive.router.actions, io.OrderCopies)])
         drive.sweep(drive.now + 200.0)
-        zone = {worker.id for worker in drive.router.ready if worker.suspect_ms is not None}
-        self.assertEqual({1, 3, 5, 7}, zone)
+        suspected = {scorer.id for scorer in drive.router.ready if scorer.suspect_ms is not None}
+        self.assertEqual({1, 3, 5, 7}, suspected)
 
-    def test_one_that_answers_stays(self):
+    def test_a_scorer_that_answers_the_query_stays(self):
         drive = self.drive()
-        for worker in (1, 3, 5):
-            drive.router._suspect(drive.router.scorers[worker])
-        [question] = of(drive.router.actions, io.OrderCopies)
-        drive.count(question.scorer, 1, question.function)
+        for number in (1, 3, 5):
+            drive.router._suspect(drive.router.scorers[number])
+        [query] = of(drive.router.actions, io.OrderCopies)
+        drive.count(query.scorer, 1, query.function)
         drive.sweep(drive.now + 200.0)
         self.assertIsNone(drive.router.scorers[7].suspect_ms)
 
 
-class Width(unittest.TestCase):
-    def test_a_few_calls_by_chance_do_not_make_a_function_wide(self):
+class Spread(unittest.TestCase):
+    def test_a_few_calls_do_not_raise_the_spread(self):
         drive = drives(1)[0]
         for n in range(2):
             drive.now += 1_500.0
@@ -161,48 +159,49 @@
             drive.end(send, crowd=0)
         self.assertLessEqual(drive.router.functions["f"].spread, 2)
 
-    def test_calls_that_are_out_have_room_for_chance(self):
+    def test_the_limit_of_running_calls_exceeds_an_equal_share(self):
         drive = drives(1)[0]
-        even = 0.4 * drive.router.latency_target_ms / 2 / SIZE  # what the fleet gets through, in equal parts
-        self.assertGreater(drive.router.limit, even + 1)
+        equal_share = 0.4 * drive.router.latency_target_ms / 2 / FRONT_ENDS  # of the fleet's throughput
+        self.assertGreater(drive.router.limit, equal_share + 1)
 
 
-class Strain(unittest.TestCase):
-    def served(self, drive, name, took, ending=AttemptResult.GOOD, fn="f"):
+class Slowdown(unittest.TestCase):
+    def run_call(self, drive, name, took_ms, result=AttemptResult.GOOD, fn="f"):
+        """Send a call whose attempt ends after `took_ms`, and return its scorer."""
         [send] = of(drive.ask(name, fn=fn, tenant="t"), io.Send)
-        closed = ending is AttemptResult.GOOD
-        drive.feed(io.AttemptEnded(name, 0, send.scorer, ending, took, closed, io.Warmth.FOUND))
+        closed = result is AttemptResult.GOOD
+        drive.feed(io.AttemptEnded(name, 0, send.scorer, result, took_ms, closed, io.Warmth.FOUND))
         return send.scorer
 
-    def test_a_slow_worker_is_left_though_its_answers_were_called_off(self):
+    def test_a_slow_scorer_is_avoided_though_its_attempts_were_cancelled(self):
         drive = drives(1)[0]
         for n in range(8):
             drive.now += 1_000.0
-            home = self.served(drive, f"calm{n}", 100.0)
+            usual_scorer = self.run_call(drive, f"calm{n}", 100.0)
         for n in range(2):
             drive.now += 500.0
-            self.served(drive, f"slow{n}", 900.0, AttemptResult.CANCELLED)
+            self.run_call(drive, f"slow{n}", 900.0, AttemptResult.CANCELLED)
             drive.feed(io.RequestCancelled(f"slow{n}"))
         drive.sweep(drive.now + 1_100.0)
-        self.assertNotEqual(home, of(drive.ask("next", tenant="t"), io.Send)[0].scorer)
+        self.assertNotEqual(usual_scorer, of(drive.ask("next", tenant="t"), io.Send)[0].scorer)
 
-    def test_strain_that_all_workers_share_takes_none_of_them_away(self):
+    def test_a_slowdown_of_all_scorers_ejects_none_of_them(self):
         drive = drives(1)[0]
-        for worker in drive.router.ready:
-            worker.slowdown, worker.slowdown_ms = 9.0, drive.now
+        for scorer in drive.router.ready:
+            scorer.slowdown, scorer.slowdown_ms = 9.0, drive.now
         drive.sweep(drive.now + 1_100.0)
         self.assertGreater(drive.router.max_slowdown, 9.0)
 
-    def test_a_call_that_found_a_full_worker_goes_on_at_once(self):
+    def test_a_call_rejected_by_a_full_scorer_is_retried_at_once(self):
         drive = drives(1)[0]
         drive.sweep(2_500.0)
         [send] = of(drive.ask("r", tenant="t"), io.Send)
-        [again] = of(drive.end(send, AttemptResult.FULL, closed=False), io.Send)
-        self.assertNotEqual(send.scorer, again.scorer)
+        [retry] = of(drive.end(send, AttemptResult.FULL, closed=False), io.Send)
+        self.assertNotEqual(send.scorer, retry.scorer)
 
 
-class Cold(unittest.TestCase):
-    def test_cold_workers_together_get_their_part_of_what_is_sold_and_not_more(self):
+class SlowStart(unittest.TestCase):
+    def test_starting_scorers_get_no_more_than_their_share_of_the_quotas(self):
         rules = {
             "slow_start_ms": 10_000.0,
             "slow_start_initial_share": 0.2,
@@ -212,18 +211,23 @@
         sent = Counter()
         for drive in drives(**rules):
             drive.now = 20_000.0
-            fresh = [io.ScorerEntry(n, up_since_ms=20_000.0) for n in range(1, WORKERS // 2 + 1)]
-            drive.feed(io.RosterChanged(fresh, False))
+            started = [io.ScorerEntry(n, up_since_ms=20_000.0) for n in range(1, SCORERS // 2 + 1)]
+            drive.feed(io.RosterChanged(started, False))
             for n in range(8):
                 drive.now += 125.0
                 for send in of(drive.ask(f"r{n}", fn=f"f{n}", tenant="t"), io.Send):
-                    sent[send.scorer] += send.scorer <= WORKERS // 2
-        sold = sum(SOLD.values()) / WORKERS  # a worker's part, a second
-        self.assertLessEqual(max(sent.values()), 2.0 * 0.28 * sold + 3)
-        self.assertGreater(sum(sent.values()), 5)  # of the 20 or so that four functions at home there allow
-
-    def allowed(self, calls, ending):
-        """What all front ends together may send a worker at its start, after so many calls each in 5 s."""
+                    sent[send.scorer] += send.scorer <= SCORERS // 2
+        scorer_rps = sum(QUOTAS_RPS.values()) / SCORERS  # a scorer's share of the quotas
+        self.assertLessEqual(max(sent.values()), 2.0 * 0.28 * scorer_rps + 3)
+        self.assertGreater(
+            sum(sent.values()), 5
+        )  # about 20 are possible, for four functions on these scorers
+
+    def allowed(self, calls, result):
+        """Return how many calls all front ends together may send to a scorer that has just started.
+
+        Each front end has sent this many calls in the 5 s before, which ended with `result`.
+        """
         rules = {
             "slow_start_ms": 10_000.0,
             "slow_start_initial_share": 0.2,
@@ -235,33 +239,33 @@
             for n in range(calls):
                 drive.now += 5_000.0 / calls
                 for send in of(drive.ask(f"r{n}", fn=f"f{n}", tenant="t"), io.Send):
-                    drive.end(send, ending)
+                    drive.end(send, result)
                 drive.feed(io.RequestCancelled(f"r{n}"))
             drive.feed(io.RosterChanged([io.ScorerEntry(1, up_since_ms=drive.now)], False))
-            cold = drive.router.scorers[1]
-            while drive.router._within_slow_start_limit(cold):
-                cold.slow_start_sends.append(drive.now)
-            count += len(cold.slow_start_sends)
+            started = drive.router.scorers[1]
+            while drive.router._within_slow_start_limit(started):
+                started.slow_start_sends.append(drive.now)
+            count += len(started.slow_start_sends)
         return count
 
-    def test_clients_that_all_come_again_bring_a_cold_worker_no_more_than_is_sold(self):
-        part = 2.0 * 0.2 * sum(SOLD.values()) / WORKERS
-        storm = self.allowed(200, AttemptResult.CANCELLED)  # four times what is sold, and nothing is answered
-        self.assertLessEqual(storm, part + 3)
-        self.assertGreaterEqual(storm, part - 3)
+    def test_client_retries_do_not_raise_the_slow_start_limit_above_the_quotas(self):
+        expected = 2.0 * 0.2 * sum(QUOTAS_RPS.values()) / SCORERS
+        allowed = self.allowed(200, AttemptResult.CANCELLED)  # four times the quotas, and no call is answered
+        self.assertLessEqual(allowed, expected + 3)
+        self.assertGreaterEqual(allowed, expected - 3)
 
-    def test_front_ends_that_have_more_answered_may_send_a_cold_worker_more(self):
+    def test_more_answered_calls_raise_the_slow_start_limit(self):
         self.assertGreater(self.allowed(200, AttemptResult.GOOD), self.allowed(50, AttemptResult.GOOD) + 3)
 
 
 class Handshakes(unittest.TestCase):
-    def spreads(self, price):
+    def may_spread(self, price):
         wire = config.Wire(handshake_price=price)
         return scorer_pool.ScorerPool(mock.Mock(), wire, 100, 1, mock.Mock())._may_spread()
 
-    def test_links_are_spread_only_where_a_handshake_is_cheap(self):
-        self.assertTrue(self.spreads(0.0))
-        self.assertFalse(self.spreads(0.08))
+    def test_scorer_connections_are_spread_only_if_a_handshake_is_cheap(self):
+        self.assertTrue(self.may_spread(0.0))
+        self.assertFalse(self.may_spread(0.08))
 
     def test_the_price_is_read_from_the_settings_and_a_faulty_one_named(self):
         base = {"listen": "127.0.0.1:1", "changelog": "127.0.0.1:2"}
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The parts without sockets: wheel, clock, log, endings, configuration."""
+"""The modules without sockets: timer wheel, clock, log writer, end reasons, configuration."""
 
 import io as text
 import json
@@ -14,87 +14,94 @@
 from fawnwharf.net.timer_wheel import SLOTS, TICK_MS, Clock, TimerWheel
 
 
-class Hands:
+class ManualClock:
+    """The two system clocks, which only the test advances."""
+
     def __init__(self):
-        self.steady, self.wall = 1000.0, 1_700_000_000_000.0
+        self.monotonic_ms, self.unix_ms = 1000.0, 1_700_000_000_000.0
 
-    def step(self, ms):
-        self.steady += ms
-        self.wall += ms
+    def advance(self, ms):
+        self.monotonic_ms += ms
+        self.unix_ms += ms
 
 
-class WheelTurns(unittest.TestCase):
-    def test_timers_are_never_early_and_late_by_a_tick_at_most(self):
-        hands = Hands()
-        wheel, fired = TimerWheel(lambda: hands.steady), {}
+class TimersAndClock(unittest.TestCase):
+    def test_timers_are_never_early_and_at_most_a_tick_late(self):
+        clock_source = ManualClock()
+        wheel, fired = TimerWheel(lambda: clock_source.monotonic_ms), {}
         delays = [0.0, 1.0, 3.9, 4.0, 40.0, 250.0, SLOTS * TICK_MS, SLOTS * TICK_MS * 2 + 5, 10_000.0]
         for delay in delays:
-            wheel.after(delay, lambda delay=delay: fired.setdefault(delay, hands.steady - 1000.0))
+            wheel.after(
+                delay, lambda delay=delay: fired.setdefault(delay, clock_source.monotonic_ms - 1000.0)
+            )
         while wheel.seconds_until_due() is not None:
-            hands.step(1.0)
+            clock_source.advance(1.0)
             wheel.advance()
         self.assertEqual(sorted(fired), delays)
         for delay, at in fired.items():
             self.assertTrue(delay <= at <= delay + TICK_MS + 1.0, (delay, at))
 
-    def test_a_long_halt_fires_all_that_is_due_in_order_and_nothing_else(self):
-        hands = Hands()
-        wheel, fired = TimerWheel(lambda: hands.steady), []
+    def test_after_a_long_stall_all_due_timers_fire_in_order(self):
+        clock_source = ManualClock()
+        wheel, fired = TimerWheel(lambda: clock_source.monotonic_ms), []
         for delay in (9_000.0, 50.0, 30_000.0, 2_100.0):
             wheel.after(delay, lambda delay=delay: fired.append(delay))
         wheel.after(60.0, lambda: fired.append("cancelled")).cancel()
-        hands.step(20_000.0)
+        clock_source.advance(20_000.0)
         wheel.advance()
         self.assertEqual(fired, [50.0, 2_100.0, 9_000.0])
 
-    def test_a_fault_in_one_timer_leaves_the_others_alone(self):
-        hands, faults, fired = Hands(), [], []
-        wheel = TimerWheel(lambda: hands.steady)
+    def test_an_error_in_one_timer_does_not_affect_the_others(self):
+        clock_source, faults, fired = ManualClock(), [], []
+        wheel = TimerWheel(lambda: clock_source.monotonic_ms)
         wheel.on_error = faults.append
         wheel.after(4.0, lambda: 1 / 0)
         wheel.after(4.0, lambda: fired.append("second"))
-        hands.step(20.0)
+        clock_source.advance(20.0)
         wheel.advance()
         self.assertEqual((len(faults), fired), (1, ["second"]))
 
-    def test_the_shown_clock_takes_no_step(self):
+    def test_the_clock_does_not_follow_a_step(self):
         for step in (3_600_000.0, -3_600_000.0):
-            hands = Hands()
-            clock = Clock(lambda hands=hands: hands.steady, lambda hands=hands: hands.wall)
+            clock_source = ManualClock()
+            clock = Clock(
+                lambda clock_source=clock_source: clock_source.monotonic_ms,
+                lambda clock_source=clock_source: clock_source.unix_ms,
+            )
             before = clock.now_ms()
-            hands.wall += step
-            hands.step(100.0)
+            clock_source.unix_ms += step
+            clock_source.advance(100.0)
             self.assertAlmostEqual(clock.now_ms() - before, 100.0, delta=1.0)
 
-    def test_the_shown_clock_follows_a_drift(self):
-        hands = Hands()
-        clock = Clock(lambda: hands.steady, lambda: hands.wall)
-        hands.wall += 20.0
+    def test_the_clock_follows_a_drift(self):
+        clock_source = ManualClock()
+        clock = Clock(lambda: clock_source.monotonic_ms, lambda: clock_source.unix_ms)
+        clock_source.unix_ms += 20.0
         for _ in range(100):
-            hands.step(100.0)
+            clock_source.advance(100.0)
             clock.now_ms()
-        self.assertAlmostEqual(clock.now_ms(), hands.wall, delta=0.01)
+        self.assertAlmostEqual(clock.now_ms(), clock_source.unix_ms, delta=0.01)
 
 
-class Tables(unittest.TestCase):
-    PROOFS = {AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED}
+class TablesAndLog(unittest.TestCase):
+    NEVER_RAN = {AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED}
 
-    def test_every_end_is_told_and_only_the_unsent_are_proofs(self):
+    def test_every_end_reason_has_a_result_and_only_unsent_attempts_never_ran(self):
         for end in EndReason:
             with self.subTest(end.name):
-                self.assertNotIn(attempt_result(end, begun=True), self.PROOFS)
+                self.assertNotIn(attempt_result(end, begun=True), self.NEVER_RAN)
                 if end is not EndReason.CALLED_OFF:
-                    self.assertIn(attempt_result(end, begun=False), self.PROOFS)
+                    self.assertIn(attempt_result(end, begun=False), self.NEVER_RAN)
 
-    def test_scorers_have_the_same_numbers_everywhere(self):
+    def test_scorer_numbers_are_the_same_everywhere(self):
         self.assertEqual(scorer_number("s-00c41f7a"), 3020732781)
 
-    def test_the_log_leaves_floods_out_and_counts_them(self):
-        out, at = text.StringIO(), [0.0]
-        log = LogWriter("n1", out, lambda: at[0])
+    def test_the_log_limits_its_rate_and_counts_omitted_lines(self):
+        out, now_ms = text.StringIO(), [0.0]
+        log = LogWriter("n1", out, lambda: now_ms[0])
         for _ in range(1000):
             log("x\ny" * 1000)
-        at[0] = 1000.0
+        now_ms[0] = 1000.0
         log("after")
         lines = out.getvalue().splitlines()
         self.assertEqual(len(lines), MAX_LINES_PER_SECOND + 2)
@@ -119,7 +126,7 @@
         self.assertEqual((read.memory_mb, read.sockets, read.known_seq), (192, 1024, 0))
         self.assertEqual(read.wire.keepalive_ms, 15_000.0)
 
-    def test_faults_name_their_key(self):
+    def test_configuration_errors_name_their_key(self):
         def settings(**change):
             return {"settings": SETTINGS | change}
 
--- a/tests/test_slow_start_sockets.py
+++ b/tests/test_slow_start_sockets.py
@@ -1,4 +1,4 @@
-"""Slow start on real sockets: several front ends in one thread, and one scorer that has just started."""
+"""Slow start on real sockets: several front ends in one thread, and a scorer that has just started."""
 
 import time
 
@@ -8,42 +8,42 @@
 from fawnwharf.net.timer_wheel import unix_ms
 
 FRONT_ENDS, CONNECTIONS, CALLS = 6, 9, 30
-SOLD_RPS, FALL_MS, COLD_SHARE, FALL_MULTIPLE = 62.5, 400.0, 0.2, 2.0
-PATIENCE_S = 120.0  # iterations may take seconds, as the price of a decision grows with the calls that wait
-ARRIVALS = 40  # that are waited for: more than the bound, some windows of them
+QUOTA_RPS, WINDOW_MS, COLD_SHARE, WINDOW_MULTIPLE = 62.5, 400.0, 0.2, 2.0
+PATIENCE_S = 120.0  # an iteration may take seconds, as the cost of a decision grows with the waiting calls
+ARRIVALS = 40  # calls to wait for: several windows of the allowed number
 
 
 class ColdScorer(ScorerPeer):
-    """Notes when each call has arrived, and answers at once."""
+    """Records when each call arrives, and answers at once."""
 
     def __init__(self, up_since_ms):
         super().__init__()
-        self.up_since_ms, self.at_ms = up_since_ms, []
+        self.up_since_ms, self.arrivals_ms = up_since_ms, []
 
     def member(self, phase="in_service", **more):
         return super().member(phase, up_since_ms=self.up_since_ms, **more)
 
     def pump(self):
         super().pump()
-        for item in self.runs[len(self.at_ms) :]:
-            self.at_ms.append(1000.0 * time.monotonic())
+        for item in self.runs[len(self.arrivals_ms) :]:
+            self.arrivals_ms.append(1000.0 * time.monotonic())
             self.answer(item)
 
 
 def call_again(client, answered):
-    """Replace each answered call by a new one, so that the storm lasts; returns the answers so far."""
+    """Send a new call for each answered one, so that the overload lasts; return the number of answers."""
     for _ in client.answers[answered:]:
         client.call(org="another")
     return len(client.answers)
 
 
-def test_front_ends_in_a_storm_keep_a_scorers_bound_in_each_window():
+def test_overloaded_front_ends_keep_a_starting_scorers_limit_in_each_window():
     scorer = ColdScorer(unix_ms())
     settings = {
         "fleet_size": FRONT_ENDS,
-        "tenants": [{"name": "acme", "quota_rps": SOLD_RPS}, {"name": "another"}],
+        "tenants": [{"name": "acme", "quota_rps": QUOTA_RPS}, {"name": "another"}],
         "invariants": {
-            "cold": 1e9, "cold_share": COLD_SHARE, "fall": FALL_MS, "fall_multiple": FALL_MULTIPLE,
+            "cold": 1e9, "cold_share": COLD_SHARE, "fall": WINDOW_MS, "fall_multiple": WINDOW_MULTIPLE,
         },
     }  # fmt: skip
     rigs = [Rig(scorer, settings=settings) for _ in range(FRONT_ENDS)]
@@ -51,11 +51,11 @@
         clients = [rig.client() for rig in rigs for _ in range(CONNECTIONS)]
         for client in clients:
             for _ in range(CALLS):
-                client.call(org="another")  # over no share of a tenant: only the slow start holds them
+                client.call(org="another")  # no tenant quota applies: only the slow start limits them
         answered = dict.fromkeys(clients, 0)
         end = time.monotonic() + PATIENCE_S
-        while len(scorer.at_ms) < ARRIVALS:
-            assert time.monotonic() < end, f"{len(scorer.at_ms)} calls have arrived"
+        while len(scorer.arrivals_ms) < ARRIVALS:
+            assert time.monotonic() < end, f"{len(scorer.arrivals_ms)} calls have arrived"
             for rig in rigs:
                 rig.front.loop.run_iteration(0.001)
                 for peer in [rig.log, *rig.clients]:
@@ -66,6 +66,6 @@
     finally:
         for rig in rigs:
             rig.close()
-    allowed = FALL_MULTIPLE * COLD_SHARE * SOLD_RPS * FALL_MS / 1000.0
-    for at_ms in scorer.at_ms:
-        assert sum(at_ms - FALL_MS < other <= at_ms for other in scorer.at_ms) <= rule(allowed)
+    allowed = WINDOW_MULTIPLE * COLD_SHARE * QUOTA_RPS * WINDOW_MS / 1000.0
+    for at_ms in scorer.arrivals_ms:
+        assert sum(at_ms - WINDOW_MS < other <= at_ms for other in scorer.arrivals_ms) <= rule(allowed)
