--- a/fawnwharf/net/acceptor.py
+++ b/fawnwharf/net/acceptor.py
@@ -57,7 +57,7 @@
         self._capacity = capacity
         self._closed = False
         self._accepting = False
-        self._pause: Timer | None = None
+        self._pause_timer: Timer | None = None
         # The earliest time from which connections may be waiting in the accept queue; None if it was emptied.
         self._waiting_since_ms: float | None = monotonic_ms()
         # Start of the last iteration that found the listener ready or began to watch it.
@@ -74,7 +74,7 @@
         if self._closed or on == self._accepting:
             return
         self._accepting = on
-        if self._pause is None:
+        if self._pause_timer is None:
             self._watch(on)
 
     def _watch(self, on: bool) -> None:
@@ -133,23 +133,23 @@
 
     def pause(self) -> None:
         """Leave new connections in the accept queue for `ACCEPT_PAUSE_MS`, to avoid a busy loop."""
-        if not self._closed and self._accepting and self._pause is None:
+        if not self._closed and self._accepting and self._pause_timer is None:
             self._watch(False)
-            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.resume)
+            self._pause_timer = self.loop.timers.after(ACCEPT_PAUSE_MS, self.resume)
 
     def resume(self) -> None:
         """End a pause, because there may be capacity or descriptors again."""
-        if self._pause is None:
+        if self._pause_timer is None:
             return
-        self._pause.cancel()
-        self._pause = None
+        self._pause_timer.cancel()
+        self._pause_timer = None
         if self._closed or not self._accepting:
             return
         try:
             self._watch(True)
         except OSError as error:  # the selector has no memory; without a retry the listener stays unwatched
             self.log(f"accept: {error}", "accept")
-            self._pause = self.loop.timers.after(ACCEPT_PAUSE_MS, self.resume)
+            self._pause_timer = self.loop.timers.after(ACCEPT_PAUSE_MS, self.resume)
 
     def drain(self) -> bool:
         """Accept all connections in the accept queue, then close the listener; return whether it is closed.
--- a/fawnwharf/net/event_order.py
+++ b/fawnwharf/net/event_order.py
@@ -35,8 +35,10 @@
         # By event number: digest, whether it is a complete list, revision.
         self._events: dict[int, tuple[bytes, bool, int]] = {}
         self._scorers: dict[str, tuple[int, bool]] = {}  # by id: number of the last event, whether listed
-        self._newest = 0  # the highest event number received
-        self._newest_complete = 0  # the number of the newest complete list, which replaces all earlier events
+        self._newest_number = 0  # the highest event number received
+        self._newest_complete_number = (
+            0  # the number of the newest complete list, which replaces all earlier events
+        )
 
     @property
     def empty(self) -> bool:
@@ -54,7 +56,7 @@
 
     def is_renumbered(self, seq: int, fleet: Fleet) -> bool:
         """Whether an event of an unknown number cannot be a late one, so that the numbering has restarted."""
-        return seq < self._newest and 0 < self.revision < fleet.revision
+        return seq < self._newest_number and 0 < self.revision < fleet.revision
 
     def is_listed(self, scorer_id: str) -> bool:
         """Whether the events applied so far list a scorer."""
@@ -72,10 +74,10 @@
             self._record(member.id, seq, listed=member.phase != "terminated")
         for scorer_id in removed:
             self._record(scorer_id, seq, listed=False)
-        complete = fleet.complete and seq >= self._newest and not unreadable_ids
-        self._newest = max(self._newest, seq)
+        complete = fleet.complete and seq >= self._newest_number and not unreadable_ids
+        self._newest_number = max(self._newest_number, seq)
         if fleet.complete:
-            self._newest_complete = max(self._newest_complete, seq)
+            self._newest_complete_number = max(self._newest_complete_number, seq)
         self.revision = max(self.revision, fleet.revision)
         if not complete:
             members += [Member(scorer_id, "terminated") for scorer_id in removed]
@@ -94,7 +96,7 @@
         ]
 
     def _last_event(self, scorer_id: str) -> int:
-        return max(self._newest_complete, self._scorers.get(scorer_id, (0, False))[0])
+        return max(self._newest_complete_number, self._scorers.get(scorer_id, (0, False))[0])
 
     def _record(self, scorer_id: str, seq: int, listed: bool) -> None:
         self._scorers.pop(scorer_id, None)
--- a/fawnwharf/net/front_end.py
+++ b/fawnwharf/net/front_end.py
@@ -34,7 +34,7 @@
 TIMER_RETRY_MS = 40.0  # until the router gets a timer event after an error that may have lost its timer
 
 ActionHandler = Callable[[Any], object]
-STATES = {
+STATE_BY_PHASE = {
     "in_service": io.ScorerState.READY,
     "terminating": io.ScorerState.DRAINING,
     "terminated": io.ScorerState.GONE,
@@ -63,7 +63,7 @@
         """Release all resources; the front end is closing."""
 
 
-class OperatorsComponent(LifecycleComponent, Protocol):
+class AdminInterface(LifecycleComponent, Protocol):
     """The admin interface of a running front end, with hot restart."""
 
     @property
@@ -159,7 +159,7 @@
         self._shutdown: GracefulShutdown | None = None
         self._start_ms = monotonic_ms()
         self.started = False
-        self.admin: OperatorsComponent | None = None
+        self.admin: AdminInterface | None = None
 
     def _default_handlers(self) -> dict[type, ActionHandler]:
         """Return the handler of each kind of action before any interception."""
@@ -353,7 +353,7 @@
         address = address_from(member.host_port, "host_port") if member.host_port else None
         return io.ScorerEntry(
             scorer=scorer_number(member.id),
-            state=STATES[member.phase],
+            state=STATE_BY_PHASE[member.phase],
             kind=member.flavor,
             zone=member.locality,
             cell=member.cell,
--- a/fawnwharf/net/requests.py
+++ b/fawnwharf/net/requests.py
@@ -91,13 +91,13 @@
     def sent(self, attempt: Attempt) -> None:
         """An attempt is about to be sent."""
 
-    def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None:
+    def ended(self, attempt: Attempt, result: io.AttemptResult, warmth: io.Warmth) -> None:
         """An attempt has ended."""
 
     def ordered(self, order: LoadOrder) -> None:
         """A load order is about to be sent."""
 
-    def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None:
+    def order_ended(self, order: LoadOrder, result: io.AttemptResult, copies: int) -> None:
         """A load order has ended; `copies` is the number that the scorer reported, 0 without an answer."""
 
 
@@ -273,21 +273,21 @@
         del self._in_flight[key, number]
         if answer is None:
             complete = attempt.complete or not self._may_repeat(attempt)
-            ending = attempt_result(end or EndReason.NEVER_SENT, attempt.begun, complete)
+            result = attempt_result(end or EndReason.NEVER_SENT, attempt.begun, complete)
             warmth = io.Warmth.UNTOLD
             concurrency = None
         else:
-            ending = answer.ending
+            result = answer.ending
             warmth = answer.warmth
             concurrency = self._reported_concurrency(answer)
-        good = answer is not None and ending is io.AttemptResult.GOOD
+        good = answer is not None and result is io.AttemptResult.GOOD
         if self.observer:
-            self.observer.ended(attempt, ending, warmth)
+            self.observer.ended(attempt, result, warmth)
         took_ms = monotonic_ms() - attempt.began_ms
         closed = good or key not in self.open
         # Enqueued before `_finish` ends the other attempts: the router needs the ends in this order.
         self._loop.enqueue(
-            io.AttemptEnded(key, number, attempt.scorer, ending, took_ms, closed, warmth, concurrency)
+            io.AttemptEnded(key, number, attempt.scorer, result, took_ms, closed, warmth, concurrency)
         )
         if answer is not None and good:
             self._finish(key, Succeeded(answer.body))
@@ -331,14 +331,14 @@
         self._forget_order(order)
         took_ms = monotonic_ms() - order.began_ms
         if answer:
-            ending = answer.ending
+            result = answer.ending
             copies = answer.copies
         else:
-            ending = attempt_result(end or EndReason.NEVER_SENT, order.begun, order.complete)
+            result = attempt_result(end or EndReason.NEVER_SENT, order.begun, order.complete)
             copies = 0
         if self.observer:
-            self.observer.order_ended(order, ending, copies)
-        self._loop.enqueue(io.LoadOrderAnswered(order.scorer, order.function, ending, copies, took_ms))
+            self.observer.order_ended(order, result, copies)
+        self._loop.enqueue(io.LoadOrderAnswered(order.scorer, order.function, result, copies, took_ms))
 
     def _forget_order(self, order: LoadOrder) -> None:
         orders = self._load_orders.get(order.function, [])
--- a/tests/net/test_net_client_disconnects.py
+++ b/tests/net/test_net_client_disconnects.py
@@ -201,9 +201,7 @@
         key = self.open_request(rig, client)
         client.sock.close()
         client.ended = True
-        rig.front.loop.iteration_ms -= (
-            2 * connection.FRESH_MS
-        )  # as if the iteration had already taken so long
+        rig.front.loop.iteration_ms -= 2 * connection.FRESH_MS  # as if the iteration had begun earlier
         rig.front.requests.send(io.Send(key, scorer_number("s-1")))
         self.assertNotIn(key, rig.front.requests.open)
         wait(rig, 50.0)
--- a/tests/net/test_net_request_faults.py
+++ b/tests/net/test_net_request_faults.py
@@ -65,11 +65,7 @@
 class TestWithdrawn:
     def test_an_unread_withdrawal_and_half_close_behind_the_call(self):
         """A withdrawn request gets no answer, not even a failure."""
-        steps = [
-            ("crowd", 0, 0, "quiet"),
-            ("crowd", 0, 0, "quiet"),
-            ("call", 0, 2, "quiet"),
-        ]
+        steps = [("crowd", 0, 0, "quiet"), ("crowd", 0, 0, "quiet"), ("call", 0, 2, "quiet")]
         steps += [("withdraw", 0, 0, "quiet"), ("half_close", 0, 0, "quiet")]
         assert kinds(play(Site(modes=("empty",), sockets=32), steps)) == [()]
 
@@ -81,11 +77,7 @@
         play(Site(modes=ONE, give_up_ms=600.0), steps)
 
     def test_two_requests_that_wait_for_their_connection_to_be_accepted(self):
-        steps = [
-            ("crowd", 0, 0, "quiet"),
-            ("crowd", 0, 0, "quiet"),
-            ("call", 0, 4, "quiet"),
-        ]
+        steps = [("crowd", 0, 0, "quiet"), ("crowd", 0, 0, "quiet"), ("call", 0, 4, "quiet")]
         steps += [("call", 0, 4, "quiet"), ("stall", 2, 0, "batched"), ("call", 0, 4, "quiet")]
         play(Site(modes=TWO, give_up_ms=10_000.0, sockets=32), steps)
 
@@ -93,7 +85,7 @@
 class TestQueries:
     @pytest.mark.parametrize("number", [0, 1, 2])
     def test_a_scorer_that_rejects_is_not_queried_in_each_iteration(self, number):
-        """Each rejected query for a copy caused the next one at once, and a new connection with it."""
+        """Each rejected query for a copy not used for long caused the next query and connection at once."""
         steps = [("call", 0, number, "quiet"), ("scorer_down", 0, 1, "quiet"), ("wait_long", 7, 0, "quiet")]
         play(Site(modes=ONE), steps)
 
