--- a/fawnwharf/recovery_core/__init__.py
+++ b/fawnwharf/recovery_core/__init__.py
@@ -1,4 +1,6 @@
-"""Return of a whole fleet from a power loss: what is trusted, what is asked, in which order service returns.
+"""Recovery of a whole fleet from a power loss.
 
-Pure cores only: no I/O, no clock, no randomness but what is handed in. `run` imports nothing of it.
+The package decides which stored state is trusted, which queries a starting front end sends, and in which
+order service resumes. Everything here is pure: no I/O, no clock, and no randomness except what the caller
+passes in. A front end that is started without the recovery option does not import this package.
 """
--- a/tests/recovery_core/test_recovery_core_model_checker.py
+++ b/tests/recovery_core/test_recovery_core_model_checker.py
@@ -108,7 +108,7 @@
     "granted before it is written": (Rules(writes_before_granting=False), {}),
     "an empty disk grants at once": (Rules(knows_all_grants=lambda _store: True), {"lost_disks": 1}),
     "it forgets that it did not know all": (
-        Rules(stores_doubt=False),
+        Rules(stores_unknown_grants=False),
         {"lost_disks": 1, "power_losses": 2, "ticks": 0},
     ),
 }
