--- a/fawnwharf/recovery_core/trial.py
+++ b/fawnwharf/recovery_core/trial.py
@@ -1,11 +1,12 @@
-"""Compares the return by phases with that without coordination, paired by seed.
+"""Compares recovery by phases with recovery without coordination, paired by seed.
 
     python -m fawnwharf.recovery_core.trial [--fronts 12 30] [--seeds 11 20] [--scene last]
 
-The service of a second is the share of the priority weight of all attempts in it that was served in time;
-rejected and lost attempts, and those of clients that found no front end, count as not served. A share is
-reached when three consecutive seconds have it and it then lasts for ten. Intervals are Student's, 95 %, over
-seeds.
+The served share of a second is the priority weight served in time, divided by the priority weight of all
+attempts made in that second. Rejected attempts, lost attempts and attempts that found no front end count as
+not served. The share is averaged over three consecutive seconds. A share counts as reached at the first
+second from which it holds for ten seconds. Intervals are 95 % confidence intervals over the seeds, by
+Student's t distribution.
 """
 
 import argparse
@@ -18,23 +19,26 @@
 from fawnwharf.recovery_core.uncoordinated_fleet import UncoordinatedFleet
 
 SCENARIOS = {
-    "last": Scenario(0),  # the roster comes last
-    "first": Scenario(0, roster_ms=1_000.0, burst_ms=20_000.0),  # it comes first, and scorers with all others
-    "minority": Scenario(0, quorum=False),  # no majority of the voters comes back
+    "last": Scenario(0),  # the roster arrives after all machines are back
+    "first": Scenario(0, roster_ms=1_000.0, burst_ms=20_000.0),  # the roster arrives before most machines
+    "minority": Scenario(0, voter_majority_returns=False),  # no majority of the voters comes back
 }
-FLEETS: dict[str, type[UncoordinatedFleet]] = {"nothing": UncoordinatedFleet, "plan": CoordinatedFleet}
-LASTING_SECONDS = 10
+FLEETS: dict[str, type[UncoordinatedFleet]] = {
+    "uncoordinated": UncoordinatedFleet,
+    "coordinated": CoordinatedFleet,
+}
+LASTING_SECONDS = 10  # for which a share must hold to count as reached
 
-Figures = dict[str, float]  # by the name of a row of the table
+Figures = dict[str, float]  # one run's figures, by the name of their row in the table
 
 
-def scenario_of(name: str, fronts: int) -> Scenario:
-    """The scenario of this name with so many front ends."""
-    return replace(SCENARIOS[name], fronts=fronts)
+def scenario_of(name: str, front_ends: int) -> Scenario:
+    """The scenario of this name, with this number of front ends."""
+    return replace(SCENARIOS[name], front_ends=front_ends)
 
 
 def reached(seconds: Sequence[SecondStats], share: float) -> float:
-    """The second from which on that share of the service is reached; the last one if it never is."""
+    """The second at which a served share is reached; the number of seconds if it never is."""
     shares = [_served_share(seconds[at : at + 3]) for at in range(len(seconds) - 3)]
     for at in range(len(shares) - LASTING_SECONDS):
         if min(shares[at : at + LASTING_SECONDS]) >= share:
@@ -49,52 +53,61 @@
 def figures(fleet: UncoordinatedFleet) -> Figures:
     """The figures of one run.
 
-    Seconds from the power loss; fetches requested of the store in its worst second, and queued there at the
-    most; cold scorers that fell; the share of all weight that was served.
+    - `50 %`, `90 %`, `99 %`: seconds from the power loss until this share is served
+    - `asked`: most fetches requested of the store in one second
+    - `waiting`: most fetches in progress or queued at the store
+    - `fetches`: all fetches
+    - `fell`: crashes of cold scorers
+    - `served`: share of the priority weight of all attempts that was served in time
     """
     seconds = fleet.seconds[: int(fleet.scenario.end_ms / 1000) - 4]
-    found = {f"{int(100 * share)} %": reached(seconds, share) for share in (0.5, 0.9, 0.99)}
-    found["asked"] = float(max(fleet.fetches.values(), default=0))
-    found["waiting"] = float(fleet.max_waiting)
-    found["fetches"] = float(sum(fleet.fetches.values()))
-    found["fell"] = float(fleet.fallen)
+    result = {f"{int(100 * share)} %": reached(seconds, share) for share in (0.5, 0.9, 0.99)}
+    result["asked"] = float(max(fleet.fetches.values(), default=0))
+    result["waiting"] = float(fleet.max_waiting)
+    result["fetches"] = float(sum(fleet.fetches.values()))
+    result["fell"] = float(fleet.crashed_scorers)
     served = sum(second.served for second in seconds)
-    found["served"] = served / sum(second.offered for second in seconds)
-    return found
+    result["served"] = served / sum(second.offered for second in seconds)
+    return result
 
 
-def compare(name: str, fronts: int, seeds: Sequence[int]) -> dict[str, list[Figures]]:
-    """The figures of both fleets, by seed."""
-    scenario = scenario_of(name, fronts)
-    return {way: [figures(fleet(scenario, seed).run()) for seed in seeds] for way, fleet in FLEETS.items()}
+def compare(name: str, front_ends: int, seeds: Sequence[int]) -> dict[str, list[Figures]]:
+    """The figures of both fleets, in the order of the seeds."""
+    scenario = scenario_of(name, front_ends)
+    return {
+        fleet_name: [figures(fleet_type(scenario, seed).run()) for seed in seeds]
+        for fleet_name, fleet_type in FLEETS.items()
+    }
 
 
-def shown(name: str, fronts: int, found: dict[str, list[Figures]]) -> str:
-    """The table, with a row for each figure."""
+def table_rows(name: str, front_ends: int, found: dict[str, list[Figures]]) -> str:
+    """The rows of the table, one for each figure."""
     lines = []
     for key in next(iter(found.values()))[0]:
-        means = [interval([row[key] for row in found[way]])[0] for way in FLEETS]
-        pairs = zip(found["plan"], found["nothing"], strict=True)
-        mean, low, high = interval([one[key] - other[key] for one, other in pairs])
-        form = ".3f" if key == "served" else ".1f"
-        cells = [f"{value:{form}}" for value in means]
-        cells.append(f"{mean:+{form}} [{low:+{form}}, {high:+{form}}]")
-        lines.append(f"| {name} | {fronts} | {key} | " + " | ".join(cells) + " |")
+        means = [interval([row[key] for row in found[fleet_name]])[0] for fleet_name in FLEETS]
+        pairs = zip(found["coordinated"], found["uncoordinated"], strict=True)
+        mean, low, high = interval([with_phases[key] - without[key] for with_phases, without in pairs])
+        number_format = ".3f" if key == "served" else ".1f"
+        cells = [f"{value:{number_format}}" for value in means]
+        interval_cell = f"[{low:+{number_format}}, {high:+{number_format}}]"
+        cells.append(f"{mean:+{number_format}} {interval_cell}")
+        lines.append(f"| {name} | {front_ends} | {key} | " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
     """Print the comparison."""
-    parser = argparse.ArgumentParser(description="Compare returns from a power loss in virtual time.")
+    parser = argparse.ArgumentParser(description="Compare recoveries from a power loss in virtual time.")
     parser.add_argument("--fronts", type=int, nargs="+", default=[12, 30, 200, 1_000])
     parser.add_argument("--seeds", type=int, nargs=2, default=[11, 20], help="first and last")
     parser.add_argument("--scene", choices=SCENARIOS, nargs="+", default=list(SCENARIOS))
     options = parser.parse_args(arguments)
-    print("| scene | front ends | figure | from nothing | by the plan | difference |\n" + "| --- " * 6 + "|")
+    print("| scenario | front ends | figure | uncoordinated | coordinated | difference |")
+    print("| --- " * 6 + "|")
     for name in options.scene:
-        for fronts in options.fronts:
-            found = compare(name, fronts, range(options.seeds[0], options.seeds[1] + 1))
-            print(shown(name, fronts, found), flush=True)
+        for front_ends in options.fronts:
+            found = compare(name, front_ends, range(options.seeds[0], options.seeds[1] + 1))
+            print(table_rows(name, front_ends, found), flush=True)
 
 
 if __name__ == "__main__":
