--- a/fawnwharf/recovery_core/partitioned.py
+++ b/fawnwharf/recovery_core/partitioned.py
@@ -1,7 +1,7 @@
-"""What is safe without agreement: for a minority that returns first, or a single front end. Pure.
+"""What a front end may do without a leader: alone, or in a minority that comes back first. Pure.
 
-The other members may be serving as well, unreachable from here. So without a leader a front end does only
-what stays correct if all others do the same at this moment.
+Other members may be serving at the same time without being reachable. So a front end without a leader does
+only what stays correct if all other front ends do the same at the same time.
 """
 
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class CallDecision(Enum):
-    """What becomes of a call."""
+    """What a front end does with a call."""
 
     SERVE = "serve"
     ANSWER = "give the answer that is known"
@@ -22,23 +22,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CallKnowledge:
-    """What this front end knows of a call.
-
-    Windows count from its start, as scorers may have lost power with it and remember no idempotency key.
-    """
+    """What this front end knows about a call."""
 
     known: bool = False  # its own intact store, or enough replicas, have the call's answer
-    granted: bool = False  # a majority of the call's own replicas granted it
+    granted: bool = False  # a majority of the call's replicas granted it
+    # Time since this front end started. The idempotency window counts from then, because the scorers may have
+    # lost power at the same time, and with it their idempotency keys.
     since_start_ms: float = 0.0
 
 
 def decide_call(effect: io.Effect, knowledge: CallKnowledge, window_ms: float) -> CallDecision:
-    """What to do with a call.
+    """Decide what to do with a call.
 
-    `window_ms` is for how long a retry of a call with an idempotency key may come, by the slowest clock. An
-    at-most-once call needs the grants of its own replicas, however few front ends are up: two of three are on
-    one side only. Scorers drop the retry of a call with a key if they ran it; those that lost power do not
-    know. Until no retry can come any more, it is treated as at most once.
+    `window_ms` is how long a retry of a call with an idempotency key may still arrive, by the slowest clock.
+
+    An at-most-once call needs grants from a majority of its replicas, however few front ends are up. Only one
+    side of a partition can have a majority. For a call with an idempotency key, a scorer drops a retry of a
+    call that it has run, but a scorer that lost power does not know the keys. So such a call is treated as
+    at-most-once until no retry can arrive anymore.
     """
     if knowledge.known:
         return CallDecision.ANSWER
@@ -50,9 +51,10 @@
 
 
 def budget_share(reachable: int, members: int) -> float:
-    """The share of the fleet's budgets for the front ends that reach each other: their share of the list.
+    """The share of the fleet's budgets for the front ends that reach each other.
 
-    The front ends on the other side do the same.
+    It is their share of the members on the list. The front ends on the other side of a partition compute
+    their share in the same way, so the shares add up to at most one.
     """
     return min(1.0, reachable / max(1, members))
 
@@ -60,20 +62,22 @@
 def allowed_when_partitioned(
     weights: Mapping[str, float], share: float, *, has_roster: bool, queries_finished: bool
 ) -> AllowedActions:
-    """What a front end may do while it is partitioned.
+    """The actions that a partitioned front end may take.
+
+    `weights` are the priority weights of all classes. `share` is the share of the fleet's budgets.
+    `has_roster` tells whether some scorers were reached or the roster was received.
 
-    `weights` are the priority weights of all classes, `share` is its part of the fleet's budgets, and
-    `has_roster` whether some scorers were reached or the roster was received. `status` is good then, once the
-    queries are finished: a front end that rejects half of its calls serves more than none. Not allowed: new
-    plans, policies, placement numbers and phases; and what costs others, as copy refreshes, speculative loads
-    and spillover.
+    With a roster and finished queries `status` is good, because a front end that rejects half of its calls
+    still serves more than one that gets no calls. New plans, policies, placement numbers and phases are not
+    allowed. Neither are actions that use the capacity of others: copy refreshes, speculative loads and
+    spillover.
     """
-    able = has_roster and queries_finished
+    serves_calls = has_roster and queries_finished
     return AllowedActions(
-        status=able,
+        status=serves_calls,
         repeats=queries_finished,
-        classes=frozenset(weights) if able else frozenset(),
-        loads=able,
+        classes=frozenset(weights) if serves_calls else frozenset(),
+        loads=serves_calls,
         part=share,
         alone=True,
     )
--- a/fawnwharf/recovery_core/phases.py
+++ b/fawnwharf/recovery_core/phases.py
@@ -1,21 +1,23 @@
-"""The order in which service returns after a power loss: phases, what each allows, and who follows them.
+"""The phases in which service resumes after a power loss, and what each phase allows.
 
-Pure; times are milliseconds of the own monotonic clock, and none is stored. The leader decides the phase
-(`coordinator.py`) in a register of the consensus log. Each front end follows it (`PhaseFollower`) while a
-leader's message that it is the last one is recent; without one it does what is safe alone (`partitioned.py`).
+Pure. Times are milliseconds of this machine's monotonic clock, and none is stored. The leader decides the
+phase (`coordinator.py`) and stores it in a register in the consensus log. A front end follows that phase
+(`PhaseFollower`) as long as a leader has recently confirmed the register. Otherwise it does only what is safe
+without a leader (`partitioned.py`).
 
-| phase | is left for the next one when |
+| phase | the next phase begins when |
 | --- | --- |
-| listening | most members are heard, and nine in ten of them have ended their queries; or after `listen_ms` |
-| retries | nine in ten replicas know all that they granted; or their windows are over |
-| priority calls | nine in ten calls of the priority classes are served, for `hold_ms`; or after `most_ms` |
-| all calls | the same of all calls |
-| copy refresh | the same |
+| listening | most members are heard and a `good` share of them finished its queries; or after `listen_ms` |
+| retries | a `good` share of the replicas knows all its grants; or after `window_ms` |
+| priority calls | a `good` share of the priority calls is served, for `hold_ms`; or after `most_ms` |
+| all calls | the same for all calls |
+| copy refresh | the same for all calls |
 | normal | never |
 
-Listening is entered, from any phase, when a majority of the voters is in another boot than the register says.
-A phase is overloaded when loads take `slow` times their usual time for `over_ms`, or a cold scorer falls. The
-fleet then steps back with half the budget, and the next attempts take longer.
+In any phase, a majority of voters whose boots differ from the register starts a new recovery with listening.
+A phase is overloaded when loads take `slow` times their usual time for `over_ms`, or when a cold scorer
+crashes. The fleet then steps back to the previous phase with half the budget, and `hold_ms` and `most_ms` are
+doubled, at most three times.
 """
 
 from collections.abc import Mapping
@@ -33,52 +35,56 @@
     parse_register,
 )
 
-MIN_BUDGET_SHARE = 0.125
+MIN_BUDGET_SHARE = 0.125  # of the fleet's budgets, after repeated steps back
 
 
 @dataclass(frozen=True, slots=True)
 class FleetObservation:
-    """What the leader's front end knows of the fleet in the last second or so; shares are parts of one."""
+    """What the leader's front end knows about the fleet, from the last seconds; shares are 0.0 to 1.0."""
 
-    members: int  # on the list
-    heard: int
-    asked: int  # of these, that have finished their queries
-    sure: float = 1.0  # share of the replicas on the list that know all grants, as far as calls need them
+    members: int  # front ends on the membership list
+    heard: int  # front ends that are heard
+    asked: int  # front ends that are heard and have finished their queries
+    sure: float = 1.0  # share of the replicas on the list that know all grants that calls need
     first: float = 1.0  # share of the calls of the priority classes that are served in time
-    served: float = 1.0  # the same of all calls
-    slow: float = 1.0  # duration of loads, as a multiple of the usual one
-    fell: int = 0  # cold scorers that fell since the last observation
+    served: float = 1.0  # share of all calls that are served in time
+    slow: float = 1.0  # duration of loads, as a multiple of the usual duration
+    fell: int = 0  # cold scorers that crashed since the last observation
     givers: tuple[str, ...] = ()  # replicas that are heard, in order, at most MAX_PERMIT_ISSUERS
-    gave: bool = False  # a member that is heard issued permits lately without a phase that allows it
+    gave: bool = (
+        False  # whether a member that is heard recently issued permits that no leader's phase allowed
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseTiming:
-    """Times and thresholds of the phases. The names of the fields are keys of the recovery settings."""
-
-    listen_ms: float = 3_000.0
-    window_ms: float = 13_500.0  # after which no earlier grant counts
-    hold_ms: float = 1_000.0
-    most_ms: float = 8_000.0
-    over_ms: float = 1_000.0
-    settle_ms: float = 30_000.0  # new boots of a minority are noted after this time in the normal state
-    valid_ms: float = 2_000.0  # validity of a leader's message that this is the last register
-    alone_ms: float = 5_000.0  # without such a message for this time a front end does what is safe alone
-    good: float = 0.9
-    slow: float = 2.5
+    """Times and thresholds of the phases; the field names are keys of the recovery settings."""
+
+    listen_ms: float = 3_000.0  # maximum duration of the listening phase
+    window_ms: float = 13_500.0  # after this time no earlier grant is valid
+    hold_ms: float = 1_000.0  # for which enough calls must be served before the next phase
+    most_ms: float = 8_000.0  # maximum duration of a phase without overload
+    over_ms: float = (
+        1_000.0  # for which loads must be slow, or other issuers wanted, before the leader reacts
+    )
+    settle_ms: float = 30_000.0  # after which new boots of a minority are noted in the normal phase
+    valid_ms: float = 2_000.0  # for which a leader's confirmation of the register is valid
+    alone_ms: float = 5_000.0  # without a confirmation for this time a front end counts as partitioned
+    good: float = 0.9  # share of members, replicas or calls at which the next phase may begin
+    slow: float = 2.5  # multiple of the usual duration at which loads are slow
 
 
-# --- actions of the owner -------------------------------------------------------------------
+# --- actions returned to the caller ---------------------------------------------------------
 
 
 class ProposeRegister(Struct, frozen=True):
-    """Action: propose this register, once; the coordinator is notified of the result."""
+    """Action: propose this register once, and report the result to the coordinator."""
 
     register: str
 
 
 class LogEvent(Struct, frozen=True):
-    """Action: a line for the operators' log."""
+    """Action: write a log line for operators."""
 
     event: str
     fields: dict[str, Any]
@@ -87,28 +93,28 @@
 Effect = ProposeRegister | LogEvent
 
 
-# --- each front end -------------------------------------------------------------------------
+# --- followers ------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class AllowedActions:
-    """What a front end does now."""
-
-    status: bool = False  # `status` is good
-    repeats: bool = False  # retries of granted calls are answered, or told that there is no answer
-    classes: frozenset[str] = frozenset()  # whose new calls are admitted
-    loads: bool = False  # first copies, by load coordinators
-    own_loads: bool = False  # further copies, by any front end: speculative loads
-    renewal: bool = False  # copy refreshes
-    spill: bool = False  # spillover into zones beyond what serves no zone of its own
+    """What a front end may do now."""
+
+    status: bool = False  # report a good `status`
+    repeats: bool = False  # answer retries of granted calls, or report that there is no answer
+    classes: frozenset[str] = frozenset()  # classes whose new calls are admitted
+    loads: bool = False  # load first copies, ordered by load coordinators
+    own_loads: bool = False  # load more copies at any front end: speculative loads
+    renewal: bool = False  # refresh copies
+    spill: bool = False  # spillover between zones, beyond calls that have no zone of their own
     part: float = 1.0  # share of the fleet's budgets
-    alone: bool = False  # partitioned
+    alone: bool = False  # whether the front end is partitioned
 
 
 def allowed_in_phase(
     phase: RecoveryPhase, weights: Mapping[str, float], share: float = 1.0
 ) -> AllowedActions:
-    """What a phase allows, the same at every front end; `weights` are the classes' priority weights."""
+    """What a phase allows at every front end; `weights` are the priority weights of the classes."""
     admitted = priority_classes(weights) if phase is RecoveryPhase.PRIORITY_CALLS else frozenset(weights)
     serves = phase >= RecoveryPhase.PRIORITY_CALLS
     return AllowedActions(
@@ -127,21 +133,22 @@
 class PhaseFollower:
     """Owns the register that this front end follows.
 
-    An incarnation begins with listening, whatever its disk says.
+    Each incarnation starts in the listening phase, whatever its disk contains.
     """
 
     timing: PhaseTiming
-    began_ms: float
-    register: RecoveryRegister | None = None  # the last one received by this incarnation
-    confirmed_ms: float = float("-inf")  # when it was asked for that a leader last confirmed
-    partitioned: bool = False  # at the last call of `phase`
-    normal_in: int = -1  # the power loss in which it reached normal: it went on serving through later ones
+    began_ms: float  # start of this incarnation
+    register: RecoveryRegister | None = None  # the last one that this incarnation received
+    confirmed_ms: float = float("-inf")  # when the last confirmation by a leader was requested
+    partitioned: bool = False  # as of the last call of `phase`
+    # Number of the power loss after which it last reached the normal phase. It has served through later ones.
+    last_normal_power_loss: int = -1
 
     def receive(self, text: str, asked_ms: float) -> list[Effect]:
-        """Take a leader's message, under its lease, that this is the last register.
+        """Apply a register that a leader confirmed, under its lease, to be the last one.
 
-        The same for the answer to a query that was sent at `asked_ms`. One with a smaller number changes
-        nothing, and confirms nothing.
+        It comes in a leader's message or in the answer to a query that was sent at `asked_ms`. A register
+        with a smaller number than the present one changes nothing and confirms nothing.
         """
         try:
             register = parse_register(text)
@@ -150,17 +157,17 @@
         if self.register is not None and register.number < self.register.number:
             return []
         if register.stage == RecoveryPhase.NORMAL:
-            self.normal_in = register.cut
+            self.last_normal_power_loss = register.cut
         self.register = register
         self.confirmed_ms = max(self.confirmed_ms, asked_ms)
         return []
 
     def phase(self, now_ms: float) -> RecoveryPhase | None:
-        """The phase that it follows; None without a leader.
+        """The phase that this front end follows; None if it is partitioned.
 
-        The normal state stays: a fleet without a leader is no fleet that has lost its power. In a recovery
-        the last phase holds for `alone_ms`, as a new leader may be elected. A partitioned front end stays so
-        until a phase allows more than what is safe alone.
+        The normal phase holds without a leader, because losing the leader is not a power loss. In a recovery
+        the last phase holds for `alone_ms`, in which a new leader may be elected. A partitioned front end
+        stays partitioned until a phase allows more than is safe without a leader.
         """
         phase = self._last_phase(now_ms)
         stays_partitioned = self.partitioned and phase is not None and phase < RecoveryPhase.PRIORITY_CALLS
@@ -177,10 +184,10 @@
         return None
 
     def permit_assignment(self, now_ms: float) -> PermitAssignment | None:
-        """How permits are divided by the register.
+        """The permit assignment from the register.
 
-        None if they are divided by what is heard: without a leader, in the normal state, or if the register
-        says nothing.
+        None if the members that are heard determine the issuers instead. This is so without a leader, in the
+        normal phase, and if the register names no issuers.
         """
         phase = self.phase(now_ms)
         register = self.register
@@ -189,13 +196,14 @@
         return PermitAssignment(register.givers, register.cut, register.deals)
 
     def fresh(self, now_ms: float) -> bool:
-        """Whether a leader's message is recent enough."""
+        """Whether the last confirmation by a leader is still valid."""
         return self.register is not None and now_ms - self.confirmed_ms < self.timing.valid_ms
 
     def allowed(self, now_ms: float, weights: Mapping[str, float]) -> AllowedActions | None:
-        """What is allowed; None without a leader.
+        """What this front end may do; None if it is partitioned.
 
-        A front end that served through the power loss of others continues, without what costs others.
+        A front end that kept serving through the power loss of others continues to admit all calls, but does
+        not use the capacity of others.
         """
         phase = self.phase(now_ms)
         if phase is None:
@@ -210,4 +218,4 @@
     def _served_through(self, phase: RecoveryPhase) -> bool:
         if self.register is None or phase >= RecoveryPhase.COPY_REFRESH:
             return False
-        return 0 <= self.normal_in < self.register.cut
+        return 0 <= self.last_normal_power_loss < self.register.cut
--- a/fawnwharf/recovery_core/queries.py
+++ b/fawnwharf/recovery_core/queries.py
@@ -1,10 +1,10 @@
-"""What a starting front end queries, of whom, in which order, and how long it waits.
+"""The queries of a starting front end: topics, targets, order and timeouts.
 
-Pure; times are milliseconds of its own monotonic clock. One topic is queried after the other, each until it
-is answered or its timeout is over; then the front end continues at the stated lower level, and takes the
-answer whenever it comes. A majority is one of all members on the list, never of those that happen to be up:
-so the silence of a failed member is no answer. As nothing waits beyond its timeout, no member is waited for
-forever.
+Pure. Times are milliseconds of the front end's monotonic clock. Topics are queried one after the other, each
+until it is answered or times out. After a timeout the front end continues with a fallback and still accepts a
+late answer. A majority always means a majority of all members on the list, not of the members that are up. So
+a failed member, which sends nothing, never counts as an answer. Because of the timeouts a front end never
+waits forever for a member.
 """
 
 from collections.abc import Mapping
@@ -24,17 +24,17 @@
 
 
 class QueryTopic(IntEnum):
-    """What is queried, in this order; the numbers are sent."""
+    """The topics in the order in which they are queried; the values are sent."""
 
     MEMBERS = 0
-    PLAN = 1  # and policy
+    PLAN = 1  # zone plan and policy
     GRANTS = 2
     ROSTER = 3
     USAGE = 4
 
     @property
     def label(self) -> str:
-        """The topic's name in the status that members exchange; it stays as it is."""
+        """The topic's name in the status that members exchange; it must not change."""
         return _TOPIC_LABELS[self]
 
 
@@ -58,7 +58,7 @@
 
 
 class QueryState(Enum):
-    """How far a query has come; the values appear in the status."""
+    """The state of a query; the values appear in the status and must not change."""
 
     NOT_ASKED = "not asked yet"
     WAITING = "asked"
@@ -68,12 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryStep:
-    """How one topic is queried, and the level at which the front end continues without an answer."""
+    """How one topic is queried, and how the front end continues without an answer."""
 
     target: QueryTarget
     needed: AnswersNeeded
     timeout_ms: float
-    fallback: str  # as it appears in the status
+    fallback: str  # text in the status that says how the front end continues; must not change
 
 
 QUERY_STEPS: Mapping[QueryTopic, QueryStep] = {
@@ -113,7 +113,7 @@
 class Query(Struct, frozen=True, tag="Ask"):
     """A query.
 
-    `incarnation` and `sequence` come back with the answer: an answer to an earlier incarnation is dropped.
+    The answer repeats `incarnation` and `sequence`, so that an answer to an earlier incarnation is dropped.
     """
 
     fleet: Name
@@ -123,17 +123,18 @@
 
 
 class Answer(Struct, frozen=True, tag="Answer"):
-    """An answer; `number` and `digest` are of the membership file, of the last plan, or of the roster."""
+    """An answer; `number` and `digest` identify the membership file, the last plan or the roster."""
 
     fleet: Name
-    incarnation: Number = msgspec.field(name="life")  # of the front end that asked
+    incarnation: Number = msgspec.field(name="life")  # of the front end that sent the query
     sequence: Number = msgspec.field(name="turn")
     topic: TopicNumber = msgspec.field(name="what")
     sender_incarnation: Number = msgspec.field(name="sender_life")
-    trusted: bool = msgspec.field(name="sure")  # by the sender: from an intact store, or since its start
+    # Whether the sender trusts its answer: it comes from an intact store or was learned since its start.
+    trusted: bool = msgspec.field(name="sure")
     number: Number = 0
     digest: Annotated[str, Meta(max_length=64)] = ""
-    leased: bool = False  # a leader says under its lease that this is the last one
+    leased: bool = False  # a leader confirms under its lease that this is the last one
 
 
 class SendQuery(Struct, frozen=True):
@@ -145,40 +146,40 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryPace:
-    """How fast queries are repeated and spread. The names of the fields are keys of the recovery settings."""
+    """The pace of queries; the field names are keys of the recovery settings."""
 
-    again_ms: float = 200.0  # what is not answered is queried again
-    spread_ms: float = 200.0  # front ends that start together spread their queries over this
+    again_ms: float = 200.0  # interval at which an unanswered query is repeated
+    spread_ms: float = 200.0  # over which front ends that start together spread their queries
 
 
-LATE_RETRY_FACTOR = 5  # a query that has timed out is repeated so much less often
+LATE_RETRY_FACTOR = 5  # multiple of `again_ms` at which a query that has timed out is repeated
 
 
 @dataclass(frozen=True, slots=True)
 class Querier:
-    """The front end that asks, and what it knows at its start."""
+    """The front end that sends the queries, and what it knows when it starts."""
 
     name: str
     fleet: str
     incarnation: int
-    lists: Mapping[QueryTarget, tuple[str, ...]]  # all that there are by the membership file, up or not
+    lists: Mapping[QueryTarget, tuple[str, ...]]  # all members of the membership file, up or not
+    # Number and digest of what its own intact store contains, by topic. Without an entry its own answer does
+    # not count in a majority. A replica with an intact store has an entry for GRANTS and does not query them.
     own: Mapping[QueryTopic, tuple[int, str]] = field(default_factory=dict)
-    """Number and digest of what its own intact store says. Without it, its own answer counts in no majority.
-    A replica whose store is intact has an entry for GRANTS and asks nobody."""
 
 
 @dataclass(slots=True)
 class OpenQuery:
-    """One topic's state and the answers so far."""
+    """The state of one topic's query, and the answers so far."""
 
     state: QueryState = QueryState.NOT_ASKED
-    since_ms: float = 0.0
-    retry_ms: float = 0.0
+    since_ms: float = 0.0  # when the query began
+    retry_ms: float = 0.0  # when it is sent next
     answers: dict[str, Answer] = field(default_factory=dict)  # by sender
 
 
 class StartupQueries:
-    """Owns the queries of one incarnation of a front end, and the answers."""
+    """Owns the queries of one incarnation of a front end, and their answers."""
 
     def __init__(
         self,
@@ -195,26 +196,26 @@
         self.steps = steps
         self.pace = pace or QueryPace()
         self.sequence = 0
-        self.newer_membership = 0  # the largest number of a membership file that a voter has, beyond the own
-        self.dropped: dict[str, int] = {}  # answers that were dropped, by reason
+        self.newer_membership = 0  # largest number of a voter's membership file that is newer than its own
+        self.dropped: dict[str, int] = {}  # number of dropped answers, by reason
         self.queries = {topic: OpenQuery() for topic in QueryTopic}
-        self.incarnations: dict[str, int] = {}  # the last one of each sender
+        self.incarnations: dict[str, int] = {}  # last known incarnation, by sender
         self._begin(now_ms, QueryTopic.MEMBERS)
 
     # --- state ----------------------------------------------------------------------------------
 
     def state(self, topic: QueryTopic) -> QueryState:
-        """How far a query has come."""
+        """The state of the topic's query."""
         return self.queries[topic].state
 
     @property
     def finished(self) -> bool:
-        """Whether nothing is waited for any more."""
+        """Whether each query was answered or timed out."""
         done = (QueryState.ANSWERED, QueryState.TIMED_OUT)
         return all(query.state in done for query in self.queries.values())
 
     def fallbacks(self) -> dict[QueryTopic, str]:
-        """The lower levels at which the front end continues, by topic."""
+        """The fallbacks of the topics that timed out and are not answered."""
         return {
             topic: self.steps[topic].fallback
             for topic, query in self.queries.items()
@@ -222,7 +223,7 @@
         }
 
     def majority_answer(self, topic: QueryTopic) -> MajorityAnswer:
-        """What those queried say of the own copy, for `trust_level`."""
+        """What the answers say about this front end's own data; an argument of `trust.trust_level`."""
         query = self.queries[topic]
         if query.state is not QueryState.ANSWERED:
             return MajorityAnswer.NO_ANSWER
@@ -237,7 +238,7 @@
     # --- time -----------------------------------------------------------------------------------
 
     def due_ms(self) -> float | None:
-        """When `tick` has to be called; None once everything is answered."""
+        """The latest time for the next call of `tick`; None once everything is answered."""
         times = []
         for topic, query in self.queries.items():
             if query.state is QueryState.WAITING:
@@ -247,7 +248,7 @@
         return min(times, default=None)
 
     def tick(self, now_ms: float) -> list[SendQuery]:
-        """Do what is due; call it at `due_ms` at the latest."""
+        """Handle timeouts and return the queries to send; to be called at `due_ms` at the latest."""
         actions: list[SendQuery] = []
         for topic, query in self.queries.items():
             timeout_ms = self.steps[topic].timeout_ms
@@ -289,21 +290,21 @@
     # --- answers --------------------------------------------------------------------------------
 
     def receive(self, now_ms: float, sender: str, answer: Answer) -> None:
-        """Take an answer; one that doesn't count is dropped and counted."""
+        """Process an answer; an invalid answer is dropped and counted."""
         if reason := self._drop_reason(sender, answer):
             self.dropped[reason] = self.dropped.get(reason, 0) + 1
             return
         topic = QueryTopic(answer.topic)
         self._note_incarnation(sender, answer.sender_incarnation)
         if not answer.trusted:
-            return  # the sender is up, but does not know
+            return  # the sender is up but does not know the answer
         self.queries[topic].answers[sender] = answer
         if topic is QueryTopic.MEMBERS and answer.number > self.own.get(topic, (0, ""))[0]:
             self.newer_membership = max(self.newer_membership, answer.number)
         self._check_answered(now_ms, topic)
 
     def _note_incarnation(self, sender: str, incarnation: int) -> None:
-        """Drop the answers of a sender's earlier incarnation, which may rest on what it has lost since."""
+        """Drop answers of a sender's earlier incarnation, because it may have lost that state since."""
         if incarnation <= self.incarnations.get(sender, 0):
             return
         self.incarnations[sender] = incarnation
@@ -312,17 +313,17 @@
                 query.answers.pop(sender, None)
 
     def query_one(self, to: str, topic: QueryTopic) -> SendQuery:
-        """Query one member again: its answer says at least that it knows of this incarnation."""
+        """A query to one member; its answer shows that the member knows this incarnation."""
         return SendQuery(to, self._next_query(topic))
 
     def answer_by_itself(self, now_ms: float, topic: QueryTopic) -> None:
-        """Note that the front end has the answer by itself, and need not wait for others."""
+        """Note that the front end knows the answer itself and need not wait for others."""
         if topic not in self.own:
             self.own[topic] = (0, "")
             self._check_answered(now_ms, topic)
 
     def _drop_reason(self, sender: str, answer: Answer) -> str:
-        """Why an answer doesn't count; empty if it does."""
+        """The reason to drop an answer, empty for a valid one; a key of counters that must not change."""
         if answer.fleet != self.fleet:
             return "another fleet's"
         if answer.incarnation != self.incarnation or answer.sequence > self.sequence:
@@ -334,16 +335,16 @@
         return ""
 
     def _check_answered(self, now_ms: float, topic: QueryTopic) -> None:
-        """Begin the next query, if the answers to this one are enough."""
+        """Mark the topic as answered if it has enough answers, and begin the next query if it was waiting."""
         query = self.queries[topic]
-        if query.state in (QueryState.NOT_ASKED, QueryState.ANSWERED) or not self._is_enough(topic):
+        if query.state in (QueryState.NOT_ASKED, QueryState.ANSWERED) or not self._has_enough_answers(topic):
             return
         waited = query.state is QueryState.WAITING
         query.state = QueryState.ANSWERED
         if waited:
             self._begin_next(now_ms, topic)
 
-    def _is_enough(self, topic: QueryTopic) -> bool:
+    def _has_enough_answers(self, topic: QueryTopic) -> bool:
         step = self.steps[topic]
         answers = self.queries[topic].answers
         if any(answer.leased for answer in answers.values()):
--- a/fawnwharf/recovery_core/trust.py
+++ b/fawnwharf/recovery_core/trust.py
@@ -1,9 +1,10 @@
-"""What a starting front end may believe of the state on its disk: one table, one pure function.
+"""How far a starting front end may trust the state on its disk: one table and one pure function.
 
-Two rules stand above the table. No state gains trust by being older, by a writer that was killed, by another
-boot or by a store that is not intact. And no clock shortens a grant: its time is counted by the monotonic
-clock within one boot, and again in full from its reading in any other one. A wall clock says how old a hint
-may be, and decides nothing that is relied on.
+Two rules hold for the whole table. First, state never gains trust by being older, by being written by a
+process that was killed, by being from another boot, or by a store that is not intact. Second, no clock
+shortens a grant. Within a boot the monotonic clock measures its remaining time. In any other boot its full
+duration starts again when it is read. The wall clock only tells how old a hint may be; nothing that must be
+correct depends on it.
 """
 
 from collections.abc import Mapping
@@ -12,7 +13,7 @@
 
 
 class StateKind(Enum):
-    """State that outlives a front end on its disk, or might."""
+    """Kinds of state that may remain on disk when a front end ends."""
 
     TERM = "term and vote"
     PLAN = "plan"
@@ -26,12 +27,12 @@
 
 
 class TrustLevel(IntEnum):
-    """What a piece of state may be used for."""
+    """What a piece of state may be used for; a larger value means more trust."""
 
-    GONE = 0  # discarded
-    HINT = 1  # where to look and what to expect first; nothing relies on it
-    MAJORITY = 2  # once a majority confirms it, and a hint until then
-    NOW = 3  # at once
+    GONE = 0  # for nothing; it is discarded
+    HINT = 1  # as a hint where to look first; correctness must not depend on it
+    MAJORITY = 2  # as a hint, and without restriction once a majority confirms it
+    NOW = 3  # without restriction, at once
 
 
 class StateAge(IntEnum):
@@ -43,33 +44,36 @@
 
 
 class MajorityAnswer(Enum):
-    """What a majority says: of the voters on a plan, of a call's replicas on a grant."""
+    """What a majority answers: of the voters about a plan, of a call's replicas about a grant."""
 
     NO_ANSWER = "no majority answered"
     CONFIRMED = "this is the last one"
     NEWER = "there is a later one"
-    CONFLICTING = "it is not as this disk says"  # other content of the same number; a write it does not know
+    # Other content with the same number, or a write that this disk does not have.
+    CONFLICTING = "it is not as this disk says"
 
 
 class StoreCondition(Enum):
-    """Whether the store is intact; the values appear in a log line."""
+    """Whether the store is intact; the values appear in a log line and must not change."""
 
-    INTACT = "whole"  # everything ever reported is there: synced, checked, by its number the newest known
-    PARTIAL = "in part"  # damaged, an older copy, not synced before another boot, or another disk's
+    # Everything that was ever reported as stored is there. It is synced and verified, and its number is the
+    # newest that is known.
+    INTACT = "whole"
+    PARTIAL = "in part"  # damaged, an older copy, not synced before another boot, or from another disk
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
     """One reading of a machine's clocks, in milliseconds."""
 
-    boot: str  # marks a boot of the machine; empty if the system does not tell
-    mono_ms: float  # the monotonic clock, which continues across processes within a boot
-    wall_ms: float  # may be hours off, and may step
+    boot: str  # identifies the boot of the machine; empty if the system does not provide it
+    mono_ms: float  # monotonic clock, which continues across processes within a boot
+    wall_ms: float  # wall clock, which may be hours off and may jump
 
 
 @dataclass(frozen=True, slots=True)
 class AgeLimits:
-    """The limits of age of one kind, in milliseconds."""
+    """The age limits of one kind of state, in milliseconds."""
 
     fresh_ms: float
     lifetime_ms: float
@@ -77,12 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """One piece of state as it is found on disk."""
+    """One piece of state that was found on disk."""
 
     kind: StateKind
     age: StateAge
     closed_cleanly: bool  # its writer shut down gracefully
-    same_boot: bool
+    same_boot: bool  # it was written in the present boot
     majority: MajorityAnswer = MajorityAnswer.NO_ANSWER
     store: StoreCondition = StoreCondition.INTACT
 
@@ -94,30 +98,28 @@
     "N": TrustLevel.NOW,
 }
 
-# Three letters each: fresh, stale, expired. A grant is expired once its window is over (`remaining_ms`).
-#                          same boot              another boot
-#                      closed   killed          closed   killed
+# Each cell has three letters, for fresh, stale and expired state. A grant has expired once its remaining time
+# is 0 (`remaining_ms`). Columns:
+#    same boot                   another boot
+#    closed cleanly, killed      closed cleanly, killed
 TRUST_TABLE: Mapping[StateKind, tuple[str, str, str, str]] = {
     StateKind.TERM: ("NNN", "NNN", "NNN", "NNN"),
-    StateKind.PLAN: ("NMM", "NMM", "MMM", "MMM"),  # it stays decided; whether it is the last, others know
+    StateKind.PLAN: ("NMM", "NMM", "MMM", "MMM"),  # stays decided, but only others know if it is the last
     StateKind.POLICY: ("MMM", "MMM", "MMM", "MMM"),  # applied only under a lease of this incarnation
     StateKind.GRANT: ("NNG", "NNG", "NNG", "NNG"),
-    StateKind.ROSTER: (
-        "NHG",
-        "NHG",
-        "HHG",
-        "HHG",
-    ),  # scorers come back with new ids, the log renumbered
-    StateKind.USAGE: ("NHG", "HHG", "HHG", "HHG"),  # what was used most before is what will be wanted first
-    StateKind.COPIES: ("HHG", "HGG", "GGG", "GGG"),  # scorers are empty
+    # After a power loss scorers come back with new ids, and the change log is renumbered.
+    StateKind.ROSTER: ("NHG", "NHG", "HHG", "HHG"),
+    StateKind.USAGE: ("NHG", "HHG", "HHG", "HHG"),  # functions used most before are requested first again
+    StateKind.COPIES: ("HHG", "HGG", "GGG", "GGG"),  # after a power loss scorers have no copies
     StateKind.LOADS: ("HGG", "GGG", "GGG", "GGG"),
-    StateKind.PLACEMENTS: ("NMH", "NMH", "MMH", "MMH"),  # a number is never given twice, however old
+    StateKind.PLACEMENTS: ("NMH", "NMH", "MMH", "MMH"),  # a placement number is never reused, however old
 }
 
-# The most that a partial store leaves of each kind. What is found there was reported; what is missing may
-# have been reported as well. So nothing is left that relies on "and nothing else": no vote, no number.
+# The highest trust in each kind of state from a partial store. State that is found there was reported as
+# stored, but state that is missing may have been reported as well. So no state is trusted for a use that
+# requires it to be complete: a vote, or a placement number.
 PARTIAL_STORE_TRUST: Mapping[StateKind, TrustLevel] = {
-    StateKind.TERM: TrustLevel.HINT,  # the smallest possible term; this identity votes no more
+    StateKind.TERM: TrustLevel.HINT,  # a lower bound of the term; this identity never votes again
     StateKind.PLAN: TrustLevel.MAJORITY,
     StateKind.POLICY: TrustLevel.MAJORITY,
     StateKind.GRANT: TrustLevel.NOW,
@@ -128,19 +130,19 @@
     StateKind.PLACEMENTS: TrustLevel.HINT,
 }
 
-# The most that is left once a majority contradicts; kinds that are not named are discarded.
+# The highest trust in state that a majority contradicts; kinds that are missing here are discarded.
 _NEWER_TRUST = {
-    StateKind.TERM: TrustLevel.NOW,  # a later term replaces it by the voters' rules
+    StateKind.TERM: TrustLevel.NOW,  # the consensus rules replace it with a later term
     StateKind.GRANT: TrustLevel.NOW,
 }
 _CONFLICTING_TRUST = {
     StateKind.TERM: TrustLevel.HINT,
-    StateKind.GRANT: TrustLevel.NOW,  # of two statements on a call the stricter counts
+    StateKind.GRANT: TrustLevel.NOW,  # of two statements about a call the stricter one counts
 }
 
 
 def trust_level(state: StoredState) -> TrustLevel:
-    """What a piece of state may be used for; defined for everything that can be found."""
+    """What a piece of state may be used for; defined for every possible `StoredState`."""
     column = (0 if state.same_boot else 2) + (0 if state.closed_cleanly else 1)
     level = _LEVEL_BY_LETTER[TRUST_TABLE[state.kind][column][state.age]]
     if state.store is StoreCondition.PARTIAL:
@@ -157,14 +159,14 @@
 
 
 def may_vote(term: TrustLevel) -> bool:
-    """Whether this disk's voter may continue under its identity; else it comes back as a new one."""
+    """Whether this disk's voter may keep its identity; otherwise it joins as a new voter."""
     return term is TrustLevel.NOW
 
 
 def knows_all_grants(store: StoreCondition) -> bool:
-    """Whether a replica knows all that it ever granted, and may grant at once.
+    """Whether a replica knows all its earlier grants, so that it may grant at once.
 
-    One that does not queries every other replica, or waits until all that it may have granted is over.
+    Otherwise it queries every other replica, or waits until all grants that it may have made have expired.
     """
     return store is StoreCondition.INTACT
 
@@ -173,16 +175,19 @@
 
 
 def same_boot(written: ClockReading, read: ClockReading) -> bool:
-    """Whether only the process restarted; a reading from the future of a clock is another clock's."""
+    """Whether both readings are from the same boot.
+
+    A monotonic reading later than the present one must come from another clock.
+    """
     return bool(written.boot) and written.boot == read.boot and written.mono_ms <= read.mono_ms
 
 
 def remaining_ms(written: ClockReading, read: ClockReading, duration_ms: float) -> float:
-    """For how long a grant still counts from `read`, at the least; 0 if it is over.
+    """The minimum remaining time of a grant at `read`, in milliseconds; 0 if it has expired.
 
-    `duration_ms` is its duration when it was written, by the slowest clock. In another boot the duration
-    starts again. Rejected: to subtract the time since this boot, as a disk may be moved to a machine that has
-    been up for long.
+    `duration_ms` is its duration when it was written, measured by the slowest clock. In another boot the full
+    duration starts again. The time since this boot must not be subtracted, because a disk may be moved to a
+    machine that has been up for a long time.
     """
     elapsed_ms = read.mono_ms - written.mono_ms if same_boot(written, read) else 0.0
     return max(0.0, duration_ms - elapsed_ms)
@@ -191,9 +196,9 @@
 def age_of(kind: StateKind, written: ClockReading, read: ClockReading, limits: AgeLimits) -> StateAge:
     """The age of a piece of state.
 
-    By the monotonic clock within a boot; in another one by the wall clocks, except for grants. A clock that
-    went back makes it fresh, and nothing that is fresh in another boot is more than a hint until other
-    members confirm it.
+    The monotonic clock measures it within a boot, the wall clock across boots. Grants are measured by their
+    remaining time. If the wall clock went back, the state counts as fresh. This is harmless, because fresh
+    state from another boot is at most a hint until other members confirm it.
     """
     if kind is StateKind.GRANT:
         is_valid = remaining_ms(written, read, limits.lifetime_ms) > 0
@@ -209,18 +214,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AgeSettings:
-    """Ages of all kinds, from the current settings; milliseconds."""
+    """The settings, in milliseconds, from which the age limits of all kinds follow."""
 
-    valid_ms: float = 2_000.0  # zones: for how long a leader's message counts that a plan is the last one
+    valid_ms: float = 2_000.0  # zones: for which a leader's confirmation that a plan is the last one is valid
     window_ms: float = 13_500.0  # state: a call's duration and idempotency window, by the slowest clock
-    fresh_ms: float = 1_000.0  # counts and estimates
-    copy_idle_ms: float = 10_000.0  # an idle copy expires
-    roster_ms: float = 600_000.0
-    usage_ms: float = 3_600_000.0
-    session_idle_ms: float = 30_000.0
+    fresh_ms: float = 1_000.0  # for which counts and estimates are fresh
+    copy_idle_ms: float = 10_000.0  # after which an idle copy expires
+    roster_ms: float = 600_000.0  # lifetime of a stored roster
+    usage_ms: float = 3_600_000.0  # lifetime of stored usage
+    session_idle_ms: float = 30_000.0  # after which an idle session expires
 
     def of(self, kind: StateKind) -> AgeLimits:
-        """The limits of age of a kind."""
+        """The age limits of a kind of state."""
         return {
             StateKind.TERM: AgeLimits(0.0, 0.0),
             StateKind.PLAN: AgeLimits(self.valid_ms, self.valid_ms),
@@ -235,7 +240,7 @@
 
 
 class RestartScope(Enum):
-    """What has restarted together with this front end."""
+    """What restarted together with this front end."""
 
     PROCESS = "the process alone"
     MACHINE = "the machine, and most of the others continue"
@@ -246,10 +251,10 @@
 def restart_scope(
     same_boot_here: bool, voters: tuple[str, ...], boots: Mapping[str, str], current: Mapping[str, str]
 ) -> RestartScope:
-    """What a restart is part of.
+    """The scope of a restart.
 
-    `boots` are the boot marks of voters as decided last, `current` those received since this start. Voters
-    that were not heard count on neither side.
+    `boots` holds the last decided boot marks of the voters, `current` those received since this front end
+    started. Voters that were not heard count neither as changed nor as unchanged.
     """
     majority = len(voters) // 2 + 1
     changed = sum(name in current and current[name] != boots.get(name, current[name]) for name in voters)
