--- a/tests/recovery_core/test_recovery_core_trust.py
+++ b/tests/recovery_core/test_recovery_core_trust.py
@@ -1,5 +1,6 @@
-"""What is trusted after a start: all combinations of the table, and its laws."""
+"""Which stored state is trusted after a start: all combinations of the trust table, and its invariants."""
 
+from dataclasses import replace
 from itertools import product
 
 import pytest
@@ -26,13 +27,13 @@
     trust_level,
 )
 
-SPACE = [
+ALL_STATES = [
     StoredState(*row)
     for row in product(StateKind, StateAge, (True, False), (True, False), MajorityAnswer, StoreCondition)
 ]
 
-# What a majority's silence leaves of a whole store after a power loss, by age.
-AFTER_A_CUT = {
+# Trust levels of an intact store after a power loss, without a majority: fresh, stale, expired state.
+LEVELS_AFTER_POWER_LOSS = {
     StateKind.TERM: "NOW NOW NOW",
     StateKind.PLAN: "MAJORITY MAJORITY MAJORITY",
     StateKind.POLICY: "MAJORITY MAJORITY MAJORITY",
@@ -47,93 +48,97 @@
 
 @pytest.mark.parametrize("kind", StateKind)
 def test_trust_levels_after_a_power_loss(kind):
-    for in_order in (True, False):
-        assert [trust_level(StoredState(kind, age, in_order, False)).name for age in StateAge] == AFTER_A_CUT[
-            kind
-        ].split()
-
-
-def test_the_whole_table_obeys_its_laws():
-    assert len(SPACE) == 9 * 3 * 2 * 2 * 4 * 2
-    held = {found: trust_level(found) for found in SPACE}
-    for found, level in held.items():
-        k, a, o, b, others, s = (getattr(found, n) for n in found.__slots__)
-        worse = [StoredState(k, later, o, b, others, s) for later in StateAge if later > a]
-        worse += [StoredState(k, a, False, b, others, s), StoredState(k, a, o, False, others, s)]
-        worse += [StoredState(k, a, o, b, others, StoreCondition.PARTIAL)]
-        assert all(held[other] <= level for other in worse), found
-        if k is StateKind.TERM:
-            sound = s is StoreCondition.INTACT and others is not MajorityAnswer.CONFLICTING
-            assert may_vote(level) == sound
-        elif k is StateKind.GRANT:
-            assert level is (TrustLevel.GONE if a is StateAge.EXPIRED else TrustLevel.NOW)
-        elif others in (MajorityAnswer.NEWER, MajorityAnswer.CONFLICTING):
+    for closed_cleanly in (True, False):
+        levels = [trust_level(StoredState(kind, age, closed_cleanly, False)).name for age in StateAge]
+        assert levels == LEVELS_AFTER_POWER_LOSS[kind].split()
+
+
+def test_the_trust_table_keeps_its_invariants():
+    assert len(ALL_STATES) == 9 * 3 * 2 * 2 * 4 * 2
+    level_by_state = {state: trust_level(state) for state in ALL_STATES}
+    for state, level in level_by_state.items():
+        kind, age, _, is_same_boot, majority, store = (getattr(state, name) for name in state.__slots__)
+        less_trusted = [replace(state, age=later) for later in StateAge if later > age]
+        less_trusted += [replace(state, closed_cleanly=False), replace(state, same_boot=False)]
+        less_trusted += [replace(state, store=StoreCondition.PARTIAL)]
+        assert all(level_by_state[other] <= level for other in less_trusted), state
+        if kind is StateKind.TERM:
+            keeps_identity = store is StoreCondition.INTACT and majority is not MajorityAnswer.CONFLICTING
+            assert may_vote(level) == keeps_identity
+        elif kind is StateKind.GRANT:
+            assert level is (TrustLevel.GONE if age is StateAge.EXPIRED else TrustLevel.NOW)
+        elif majority in (MajorityAnswer.NEWER, MajorityAnswer.CONFLICTING):
             assert level is TrustLevel.GONE
-        elif not b and others is MajorityAnswer.NO_ANSWER:
+        elif not is_same_boot and majority is MajorityAnswer.NO_ANSWER:
             assert level is not TrustLevel.NOW
-        if k in (StateKind.LOADS, StateKind.COPIES) and not b:
+        if kind in (StateKind.LOADS, StateKind.COPIES) and not is_same_boot:
             assert level is TrustLevel.GONE
-        if s is StoreCondition.PARTIAL and others is MajorityAnswer.NO_ANSWER:
-            assert level <= PARTIAL_STORE_TRUST[k]
-        if others is MajorityAnswer.CONFIRMED:
+        if store is StoreCondition.PARTIAL and majority is MajorityAnswer.NO_ANSWER:
+            assert level <= PARTIAL_STORE_TRUST[kind]
+        if majority is MajorityAnswer.CONFIRMED:
             assert level is not TrustLevel.MAJORITY
     assert knows_all_grants(StoreCondition.INTACT)
     assert not knows_all_grants(StoreCondition.PARTIAL)
 
 
-WALL = st.floats(-1e8, 1e8)
-SKEW = 0.1
+WALL_CLOCK_MS = st.floats(-1e8, 1e8)
+CLOCK_SKEW = 0.1
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(
-    st.lists(st.tuples(st.floats(0, 9_000), st.sampled_from("skm"), WALL), max_size=8),
-    st.floats(1 - SKEW, 1 + SKEW),
+    st.lists(st.tuples(st.floats(0, 9_000), st.sampled_from("skm"), WALL_CLOCK_MS), max_size=8),
+    st.floats(1 - CLOCK_SKEW, 1 + CLOCK_SKEW),
 )
-def test_no_clock_shortens_a_grant(spans, rate):
-    """A grant counts at every reading within its window, whatever the wall clocks say.
+def test_no_clock_shortens_a_grant(incarnations, rate):
+    """A grant is valid at every reading within its window, whatever the wall clocks show.
 
-    Incarnations of a replica end by a restart (s), a power loss (k), or a move of the disk to a machine that
-    has been up for long (m).
+    Incarnations of a replica end with a restart (s), a power loss (k), or a move of the disk to a machine
+    that has been up for a long time (m).
     """
     window_ms = 10_000.0
-    whole_ms = window_ms * (1 + SKEW) / (1 - SKEW)
-    boot, mono, true_ms = 0, 5_000.0, 0.0
-    written = ClockReading("0", mono, 0.0)
-    for span, end, wall in spans:
-        true_ms += span
-        mono += span * rate
+    duration_ms = window_ms * (1 + CLOCK_SKEW) / (1 - CLOCK_SKEW)
+    boot, mono_ms, true_ms = 0, 5_000.0, 0.0
+    written = ClockReading("0", mono_ms, 0.0)
+    for elapsed_ms, end, wall_ms in incarnations:
+        true_ms += elapsed_ms
+        mono_ms += elapsed_ms * rate
         if end != "s":
             boot += 1
-            mono = 0.0 if end == "k" else 1e9
-        read = ClockReading(str(boot), mono, wall)
-        left = remaining_ms(written, read, whole_ms)
-        assert left == remaining_ms(written, ClockReading(read.boot, mono, -wall), whole_ms)
+            mono_ms = 0.0 if end == "k" else 1e9
+        read = ClockReading(str(boot), mono_ms, wall_ms)
+        remaining = remaining_ms(written, read, duration_ms)
+        assert remaining == remaining_ms(written, ClockReading(read.boot, mono_ms, -wall_ms), duration_ms)
         if true_ms < window_ms:
-            assert left > 0
-            assert (
-                age_of(StateKind.GRANT, written, read, AgeSettings(window_ms=whole_ms).of(StateKind.GRANT))
-                is StateAge.FRESH
-            )
+            assert remaining > 0
+            limits = AgeSettings(window_ms=duration_ms).of(StateKind.GRANT)
+            assert age_of(StateKind.GRANT, written, read, limits) is StateAge.FRESH
         if end != "s":
-            assert left == whole_ms
+            assert remaining == duration_ms
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.sampled_from(StateKind), st.booleans(), st.floats(0, 1e7), st.floats(0, 1e7), WALL, WALL)
-def test_older_state_is_never_more_trusted_and_no_wall_clock_gives_trust(
-    kind, in_order, one, more, wall, step
+@given(
+    st.sampled_from(StateKind),
+    st.booleans(),
+    st.floats(0, 1e7),
+    st.floats(0, 1e7),
+    WALL_CLOCK_MS,
+    WALL_CLOCK_MS,
+)
+def test_older_state_is_never_more_trusted_and_no_wall_clock_adds_trust(
+    kind, closed_cleanly, younger_ms, more_ms, wall_ms, wall_step_ms
 ):
-    span = AgeSettings().of(kind)
+    limits = AgeSettings().of(kind)
     written = ClockReading("b", 1_000.0, 0.0)
-    ages = [age_of(kind, written, ClockReading("b", 1_000.0 + at, wall), span) for at in (one, one + more)]
-    assert trust_level(StoredState(kind, ages[1], in_order, True)) <= trust_level(
-        StoredState(kind, ages[0], in_order, True)
-    )
-    for at in (wall, wall + step):
-        level = trust_level(
-            StoredState(kind, age_of(kind, written, ClockReading("c", 5.0, at), span), in_order, False)
-        )
+    levels = []
+    for elapsed_ms in (younger_ms, younger_ms + more_ms):
+        age = age_of(kind, written, ClockReading("b", 1_000.0 + elapsed_ms, wall_ms), limits)
+        levels.append(trust_level(StoredState(kind, age, closed_cleanly, True)))
+    assert levels[1] <= levels[0]
+    for wall_clock_ms in (wall_ms, wall_ms + wall_step_ms):
+        age = age_of(kind, written, ClockReading("c", 5.0, wall_clock_ms), limits)
+        level = trust_level(StoredState(kind, age, closed_cleanly, False))
         assert kind in (StateKind.TERM, StateKind.GRANT) or level is not TrustLevel.NOW
 
 
@@ -146,7 +151,7 @@
 
 
 @pytest.mark.parametrize(
-    ("mine", "now", "found"),
+    ("same_boot_here", "current", "scope"),
     [
         (True, {"a": "1", "b": "1"}, RestartScope.PROCESS),
         (True, {}, RestartScope.PROCESS),
@@ -154,8 +159,8 @@
         (False, {"a": "2", "b": "2"}, RestartScope.FLEET),
         (True, {"a": "2", "b": "2"}, RestartScope.FLEET),
         (False, {"a": "2"}, RestartScope.UNKNOWN),
-        (False, {"a": "2", "x": "2", "y": "2"}, RestartScope.UNKNOWN),  # who is no voter counts for nothing
+        (False, {"a": "2", "x": "2", "y": "2"}, RestartScope.UNKNOWN),  # only voters count
     ],
 )
-def test_scope_of_a_restart(mine, now, found):
-    assert restart_scope(mine, ("a", "b", "c"), {"a": "1", "b": "1", "c": "1"}, now) is found
+def test_scope_of_a_restart(same_boot_here, current, scope):
+    assert restart_scope(same_boot_here, ("a", "b", "c"), {"a": "1", "b": "1", "c": "1"}, current) is scope
