--- a/fawnwharf/recovery_core/phases.py
+++ b/fawnwharf/recovery_core/phases.py
@@ -106,7 +106,7 @@
     loads: bool = False  # load first copies, ordered by load coordinators
     own_loads: bool = False  # load more copies at any front end: speculative loads
     renewal: bool = False  # refresh copies
-    spill: bool = False  # spillover between zones, beyond calls that have no zone of their own
+    spill: bool = False  # normal operation: no recovery limits, and calls may spill over between zones
     part: float = 1.0  # share of the fleet's budgets
     alone: bool = False  # whether the front end is partitioned
 
