--- a/fawnwharf/recovery_core/phases.py
+++ b/fawnwharf/recovery_core/phases.py
@@ -35,7 +35,7 @@
     parse_register,
 )
 
-MIN_BUDGET_SHARE = 0.125  # of the fleet's budgets, after repeated steps back
+MIN_BUDGET_SHARE = 0.125  # lower limit of the budget share, which also applies before the first register
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,9 +51,7 @@
     slow: float = 1.0  # duration of loads, as a multiple of the usual duration
     fell: int = 0  # cold scorers that crashed since the last observation
     givers: tuple[str, ...] = ()  # replicas that are heard, in order, at most MAX_PERMIT_ISSUERS
-    gave: bool = (
-        False  # whether a member that is heard recently issued permits that no leader's phase allowed
-    )
+    gave: bool = False  # a member that is heard recently issued permits that no leader's phase allowed
 
 
 @dataclass(frozen=True, slots=True)
