--- a/fawnwharf/recovery_core/phases.py
+++ b/fawnwharf/recovery_core/phases.py
@@ -62,9 +62,7 @@
     window_ms: float = 13_500.0  # after this time no earlier grant is valid
     hold_ms: float = 1_000.0  # for which enough calls must be served before the next phase
     most_ms: float = 8_000.0  # maximum duration of a phase without overload
-    over_ms: float = (
-        1_000.0  # for which loads must be slow, or other issuers wanted, before the leader reacts
-    )
+    over_ms: float = 1_000.0  # how long loads must be slow, or other issuers wanted, until the leader reacts
     settle_ms: float = 30_000.0  # after which new boots of a minority are noted in the normal phase
     valid_ms: float = 2_000.0  # for which a leader's confirmation of the register is valid
     alone_ms: float = 5_000.0  # without a confirmation for this time a front end counts as partitioned
