--- a/tests/support/session_front_ends.py
+++ b/tests/support/session_front_ends.py
@@ -92,7 +92,7 @@
             "state": str(self.folder / "state.json"),
             "sessions": str(self.folder / f"sessions-{name}.json"),
         }
-        extension = serving.ExtensionGroup(serving._makers(deployment, files, fresh), True)
+        extension = serving.ExtensionGroup(serving._subsystem_factories(deployment, files, fresh), True)
         front = self.fronts[name] = FrontEnd(
             deployment, log=lambda text, source="": None, extension=extension
         )
