--- a/fawnwharf/replication/call_owner.py
+++ b/fawnwharf/replication/call_owner.py
@@ -1,10 +1,10 @@
-"""The owner of calls: how a front end claims a call before it runs it, and what others' claims mean for it.
+"""The owner of calls: how a front end claims a call before running it and reacts to others' claims.
 
-Pure; times are milliseconds of this front end's own clock. A call is requested from its replicas and runs
-when a quorum of them grants it within `wait_ms`. Nobody acts on an older grant, so that a replica that lost
-its state knows when it may grant again. Where there is no quorum, another front end has the call or nobody
-knows: then the call is joined to the running one, answered from a stored answer, failed or rejected, and what
-was granted is released.
+No I/O. Times are milliseconds of this front end's own clock. The owner requests a call from the call's
+replicas and runs it when a quorum of them grants it within `wait_ms`. Owners ignore grants that arrive later,
+so a replica that has lost its state knows when it may grant again. Without a quorum, either another front end
+owns the call or its state is unknown. The call then waits for the running one, is answered from a stored
+answer, fails, or is rejected, and the owner releases the grants that it received.
 """
 
 from collections import Counter
@@ -32,36 +32,36 @@
 
 MAX_OPEN_CALLS = 20_000
 BUCKET_MS = 1_000.0
-RETRY_AFTER_RANGE_MS = (120.0, 400.0)  # spread, so that two concurrent requests do not meet again
-DEDUP_MARGIN_MS = 300.0  # a repeat has to reach the scorers so long before their idempotency window ends
+PUSHBACK_RANGE_MS = (120.0, 400.0)  # jittered, so that two concurrent requests do not collide again
+DEDUP_MARGIN_MS = 300.0  # a retry must reach the scorers this long before their idempotency window ends
 
 
 # --- actions --------------------------------------------------------------------------------
 
 
 class RunCall(Struct, frozen=True):
-    """Run the call; `claimed` where a quorum of its replicas has granted it."""
+    """Run the call; `claimed` is true if a quorum of its replicas has granted it."""
 
     key: str
     claimed: bool
 
 
 class AnswerCall(Struct, frozen=True):
-    """The call was answered before, with this; None where that answer is not stored."""
+    """Reply with the stored answer of an earlier run; None if that answer is not stored."""
 
     key: str
     answer: str | None
 
 
 class FailCall(Struct, frozen=True):
-    """The call may have run, and what came of it is not known."""
+    """Fail the call: it may have run, and its result is unknown."""
 
     key: str
     reason: str
 
 
 class RejectCall(Struct, frozen=True):
-    """The call did not run here; the client may retry after `pushback_ms`."""
+    """Reject the call: it did not run here, and the client may retry after `pushback_ms`."""
 
     key: str
     pushback_ms: float
@@ -75,22 +75,22 @@
 
 
 class CallTerms(Struct, frozen=True):
-    """What a call's class and client require of its claim."""
+    """The requirements of a call's class and client that determine how it is claimed."""
 
     effect: Effect
-    latency_objective_ms: float
+    latency_target_ms: float
     budget_ms: float  # until the client's deadline
-    dedup_window_ms: float = 0.0  # for so long the scorers drop repeats of it
+    dedup_window_ms: float = 0.0  # how long the scorers drop repeats of it
     claim_required: bool = True  # it may run only with a quorum
 
 
 class CallProgress(Enum):
-    """How far an owned call is."""
+    """The progress of a call at its owner."""
 
     REQUESTED = auto()
-    PERSISTING = auto()  # a quorum granted it, and the own replica's grant is not on disk yet
+    PERSISTING = auto()  # a quorum granted it, but the local replica's grant is not on disk yet
     RUNNING = auto()
-    WAITING = auto()  # for the result of another owner
+    WAITING = auto()  # for the result from another owner
     ENDED = auto()
 
 
@@ -103,7 +103,7 @@
     request_number: int
     requested_ms: float
     wait_ms: float
-    deadline_ms: float  # when its client leaves
+    deadline_ms: float  # when its client stops waiting
     bucket: int
     dedup_window_ms: float
     claim_required: bool  # it may run only with a quorum
@@ -111,12 +111,12 @@
     replies: dict[str, m.ClaimReply] = field(default_factory=dict)  # the last one of each replica
     progress: CallProgress = CallProgress.REQUESTED
 
-    def may_wait(self, now_ms: float) -> bool:
-        """Whether grants still count."""
+    def grants_count(self, now_ms: float) -> bool:
+        """Whether grants that arrive now still count."""
         return now_ms - self.requested_ms <= self.wait_ms
 
     def summary(self, owner_id: str) -> ClaimSummary:
-        """What all replicas reported of other requests, by their last replies."""
+        """Summarize the other requests' claims in the latest replies of all replicas."""
         claims: dict[ClaimId, Claim] = {}
         live_owners: set[str] = set()
         for reply in self.replies.values():
@@ -128,7 +128,7 @@
 
 
 class CallOwner:
-    """Owns this front end's open calls, by key."""
+    """Manages this front end's open calls, by key."""
 
     def __init__(self, owner_id: str, placement: ReplicaPlacement, settings: ReplicationSettings) -> None:
         self.owner_id, self.placement, self.settings = owner_id, placement, settings
@@ -147,14 +147,14 @@
         if len(self.calls) >= MAX_OPEN_CALLS:
             self.counts[ReplicationCounter.REJECTED_TOO_MANY_OPEN] += 1
             if terms.claim_required:
-                return [RejectCall(key, self._spread_pushback_ms(key), "too many open calls")]
+                return [RejectCall(key, self._jittered_pushback_ms(key), "too many open calls")]
             return [RunCall(key, claimed=False)]
         call = OwnedCall(
             key=key,
             effect=terms.effect,
             request_number=self._next_number(),
             requested_ms=now_ms,
-            wait_ms=min(self.settings.max_wait_ms, self.settings.wait_fraction * terms.latency_objective_ms),
+            wait_ms=min(self.settings.max_wait_ms, self.settings.wait_fraction * terms.latency_target_ms),
             deadline_ms=now_ms + terms.budget_ms,
             bucket=int(now_ms / BUCKET_MS),
             dedup_window_ms=terms.dedup_window_ms,
@@ -171,7 +171,7 @@
         return [RunCall(key, claimed=False), send]
 
     def receive_reply(self, now_ms: float, sender: str, reply: m.ClaimReply) -> list[OwnerAction]:
-        """Take a replica's reply, or its update on a call that waits."""
+        """Handle a replica's reply to a request, or its update on a call that waits for another owner."""
         call = self.calls.get(reply.key)
         if call is None or reply.owner != self.owner_id or reply.request_number != call.request_number:
             self.counts[ReplicationCounter.REPLIES_WITHOUT_REQUEST] += 1
@@ -185,17 +185,17 @@
         if call.progress is CallProgress.RUNNING:
             return self._check_answered_elsewhere(call)
         if call.progress is CallProgress.WAITING:
-            return self._check_awaited(call)
+            return self._check_other_owner(call)
         return []
 
-    # --- where grants are on disk later than they are made --------------------------------------
+    # --- grants that are stored asynchronously --------------------------------------------------
 
     def hold(self, key: str) -> None:
-        """Let a claimed call wait until its own replica's grant is on disk."""
+        """Delay a claimed call until the local replica's grant is on disk."""
         self.calls[key].progress = CallProgress.PERSISTING
 
     def release(self, key: str, number: int) -> bool:
-        """Let a held call run; False where it is not open any more."""
+        """Let a delayed call run; False if it is no longer open."""
         call = self.calls.get(key)
         if call is None or call.request_number != number or call.progress is not CallProgress.PERSISTING:
             return False
@@ -203,7 +203,7 @@
         return True
 
     def revoke_grant(self, now_ms: float, key: str, number: int, replica: str) -> list[OwnerAction]:
-        """Evaluate a call again without the grant of its own replica, which could not be stored."""
+        """Reevaluate a call without the local replica's grant, which could not be stored."""
         call = self.calls.get(key)
         if call is None or call.request_number != number:
             return []
@@ -220,7 +220,7 @@
     def _evaluate(self, now_ms: float, call: OwnedCall) -> list[OwnerAction]:
         """Run the call, give up its claim, or wait for more replies."""
         quorum = len(call.replicas) // 2 + 1
-        in_time = call.may_wait(now_ms)
+        in_time = call.grants_count(now_ms)
         granted = sum(reply.granted for reply in call.replies.values())
         if granted >= quorum and in_time:
             call.progress = CallProgress.RUNNING
@@ -233,7 +233,7 @@
         return self._continue_unclaimed(call)
 
     def _continue_unclaimed(self, call: OwnedCall) -> list[OwnerAction]:
-        """Go on without a quorum: others have the call, or too few replicas reply."""
+        """Proceed without a quorum: other owners have the call, or too few replicas granted it."""
         summary = call.summary(self.owner_id)
         if summary.state is not CallState.FREE:
             return [*self._release_grants(call), *self._follow_others(call, summary)]
@@ -253,7 +253,7 @@
         return [*self._release_grants(call), *self._reject(call, reason)]
 
     def _follow_others(self, call: OwnedCall, summary: ClaimSummary) -> list[OwnerAction]:
-        """Decide on a call that another owner has or had."""
+        """Handle a call that another owner has claimed or has finished."""
         if summary.state is CallState.ANSWERED:
             return self._answer(call, summary.answer)
         if summary.state is CallState.RUNNING:
@@ -270,23 +270,23 @@
 
     @staticmethod
     def _scorers_drop_repeat(call: OwnedCall) -> bool:
-        """Whether a second run is harmless, as the scorers still know the idempotency key."""
+        """Whether a second run is harmless because the scorers still store the idempotency key."""
         age_ms = max((reply.age_ms for reply in call.replies.values()), default=0.0)
         window_ms = call.dedup_window_ms - call.wait_ms - DEDUP_MARGIN_MS
         return call.effect is Effect.DEDUPLICATED and age_ms < window_ms
 
-    def _check_awaited(self, call: OwnedCall) -> list[OwnerAction]:
-        """Look at an update on a call that waits for another owner."""
+    def _check_other_owner(self, call: OwnedCall) -> list[OwnerAction]:
+        """Handle an update on a call that waits for another owner."""
         summary = call.summary(self.owner_id)
         if summary.state is CallState.RUNNING:
             return []
-        if summary.state is CallState.FREE:  # the other owner released it: it never ran
+        if summary.state is CallState.FREE:  # the other owner released it without running it
             self.counts[ReplicationCounter.REJECTED_CONCURRENT] += 1
             return self._reject(call, "concurrent request elsewhere")
         return self._follow_others(call, summary)
 
     def _check_answered_elsewhere(self, call: OwnedCall) -> list[OwnerAction]:
-        """Answer a call that runs without a claim where it was answered elsewhere before."""
+        """Answer a call that runs without a claim if another front end has already answered it."""
         summary = call.summary(self.owner_id)
         if call.claim_required or summary.state is not CallState.ANSWERED or summary.answer is None:
             return []
@@ -297,7 +297,7 @@
     def call_ended(
         self, key: str, phase: ClaimPhase, digest: str = "", answer: str | None = None
     ) -> list[OwnerAction]:
-        """Report to the replicas what came of a call that ran."""
+        """Report the result of a call that ran to the replicas."""
         call = self.calls.pop(key, None)
         if call is None or call.progress is not CallProgress.RUNNING:
             return []
@@ -312,7 +312,7 @@
         return self._release_grants(call)
 
     def _release_grants(self, call: OwnedCall) -> list[OwnerAction]:
-        """Release the call at all replicas but those that denied it, which have nothing to forget."""
+        """Release the call at all replicas except those that denied it, which stored no grant."""
         granting = tuple(
             name for name in call.replicas if name not in call.replies or call.replies[name].granted
         )
@@ -345,22 +345,22 @@
         return [FailCall(call.key, reason)]
 
     def _reject(self, call: OwnedCall, reason: str) -> list[OwnerAction]:
-        pushback_ms = self._spread_pushback_ms(call.key)
+        pushback_ms = self._jittered_pushback_ms(call.key)
         self._close(call)
         return [RejectCall(call.key, pushback_ms, reason)]
 
-    def _spread_pushback_ms(self, key: str) -> float:
-        low, high = RETRY_AFTER_RANGE_MS
+    def _jittered_pushback_ms(self, key: str) -> float:
+        low, high = PUSHBACK_RANGE_MS
         spread = rendezvous_weight(self.owner_id, key, str(self._last_number)) / 2**64
         return low + (high - low) * spread
 
     # --- time ---------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[OwnerAction]:
-        """Go on with calls whose wait is over."""
+        """Proceed with the calls whose wait has timed out."""
         actions: list[OwnerAction] = []
         for call in list(self.calls.values()):
-            if call.progress is CallProgress.REQUESTED and not call.may_wait(now_ms):
+            if call.progress is CallProgress.REQUESTED and not call.grants_count(now_ms):
                 self.counts[ReplicationCounter.CLAIM_TIMEOUTS] += 1
                 actions += self._continue_unclaimed(call)
             elif call.progress is CallProgress.WAITING and now_ms >= call.deadline_ms:
@@ -368,7 +368,7 @@
         return actions
 
     def due_ms(self) -> float:
-        """When `tick` is needed next; infinite where nothing waits."""
+        """When `tick` must be called next; infinite if no call waits."""
         return min(self._due_times_ms(), default=float("inf"))
 
     def _due_times_ms(self) -> Iterable[float]:
--- a/fawnwharf/replication/claim_gate.py
+++ b/fawnwharf/replication/claim_gate.py
@@ -1,9 +1,9 @@
-"""The gate where calls wait for their claims, between the clients' port and the request table.
+"""The gate where calls wait for their claims, between the client port and the request table.
 
-A call whose class is claimed goes on when a quorum of its replicas has granted it. One that came before, here
-or elsewhere, gets that answer, joins the running call, or is failed or rejected, each exactly once. A client
-that leaves does not end an at-most-once call that runs already: it runs on, so that the answer is stored when
-the client comes again.
+A call of a claimed class proceeds when a quorum of its replicas has granted it. A repeat of an earlier call,
+made here or at another front end, gets the stored answer, waits for the running call, fails, or is rejected.
+Each client gets exactly one reply. An at-most-once call that is already running continues when its client
+leaves, so that its answer is stored when the client retries.
 """
 
 import base64
@@ -24,12 +24,12 @@
 
 MAX_HELD_BYTES = 8 * 1024 * 1024  # bodies of calls that wait for their claims
 MAX_HELD_CALLS = 4_096
-FULL_PUSHBACK_MS = 250.0
-# A final answer has to be there before the client leaves: a call that waits for another owner ends so long
-# before (WAIT_MARGIN_MS), and nobody here waits for longer than until DEADLINE_MARGIN_MS. The module's own
-# ends lie between.
+OVERLOAD_PUSHBACK_MS = 250.0
+# The final reply must reach the client before its deadline. A call that waits for another owner ends
+# WAIT_MARGIN_MS before the deadline, and every call ends at the latest DEADLINE_MARGIN_MS before it. The
+# decision module ends calls between these two times.
 WAIT_MARGIN_MS, DEADLINE_MARGIN_MS = 60.0, 20.0
-MEASURED_WAITS = 500  # of the last calls, for operators
+MAX_WAIT_SAMPLES = 500  # the latest calls, for the percentiles shown to operators
 
 CallAction = RunCall | AnswerCall | FailCall | RejectCall
 MODE_BY_EFFECT: dict[Effect, ClaimMode] = {
@@ -41,32 +41,32 @@
 
 @dataclass(slots=True, eq=False)
 class HeldCall:
-    """One call, and all that wait for it here."""
+    """One call and all clients that wait for it here."""
 
     key: str
     call: Call
     spec: ClassSpec
     arrived_ms: float
-    waiting: dict[str, Callable[[Outcome], None]] = field(default_factory=dict)  # by the port's key
+    waiting: dict[str, Callable[[Outcome], None]] = field(default_factory=dict)  # by port key
     timers: dict[str, Timer] = field(default_factory=dict)
     running: bool = False
-    table_key: str | None = None  # while it is in the request table
+    table_key: str | None = None  # set while the call is in the request table
 
 
 def claim_mode(spec: ClassSpec, settings: ReplicationSettings) -> ClaimMode:
-    """How calls of a class are claimed: as the settings say, or as its effect needs."""
+    """How calls of a class are claimed: by the settings, else by the default for its effect."""
     return settings.modes.get(spec.name, MODE_BY_EFFECT[spec.effect])
 
 
 def call_key(call: Call) -> str:
-    """The key of all attempts of one call, at every front end: by its idempotency key, else its id."""
+    """The key shared by all attempts of one call at every front end, from its idempotency key or its id."""
     own = call.token or call.id.hex()
     digest = hashlib.blake2b(f"{call.tenant}\0{call.class_name}\0{own}".encode(), digest_size=16).hexdigest()
     return f"{call.class_name}:{digest}"
 
 
 class ClaimGate:
-    """Owns the calls that are claimed, from arrival to result; stands in for the request table."""
+    """Manages claimed calls from arrival to result; has the interface of the request table."""
 
     def __init__(
         self,
@@ -77,62 +77,64 @@
         classes: dict[str, ClassSpec],
         carry_out: Callable[[list[OwnerAction]], None],
     ) -> None:
-        """`carry_out` carries out the core's actions, and brings those on calls back here (`apply`)."""
+        """`carry_out` executes the core's actions and passes those that concern calls to `apply`."""
         self._loop, self._table, self._core = loop, table, core
         self._settings, self._classes, self._carry_out = settings, classes, carry_out
         self.modes = {name: claim_mode(spec, settings) for name, spec in classes.items()}
         self._numbers = itertools.count(1)
         self._held_bytes = 0
-        self.calls: dict[str, HeldCall] = {}  # by the call's key
+        self.calls: dict[str, HeldCall] = {}  # by call key
         self._by_port_key: dict[str, HeldCall] = {}
-        self._waits_ms: deque[float] = deque(maxlen=MEASURED_WAITS)  # of the last calls that ran
+        self._waits_ms: deque[float] = deque(maxlen=MAX_WAIT_SAMPLES)  # of the latest calls that ran
 
     def change_rules(self, classes: dict[str, ClassSpec], modes: dict[str, ClaimMode]) -> None:
-        """Take other classes and modes, for calls that come from now on."""
+        """Replace the classes and modes for calls that arrive from now on."""
         self._classes, self.modes = classes, modes
 
-    # --- from the port ------------------------------------------------------------------------
+    # --- from the client port -----------------------------------------------------------------
 
     def take(self, call: Call) -> str | None:
-        """Take a call, as the request table does: its key, None where it was answered at once."""
+        """Accept a call, as the request table does; returns its key, or None if it was answered at once."""
         mode = self.modes[call.class_name]
         if mode == "off":
             return self._table.take(call)
         if len(self.calls) >= MAX_HELD_CALLS or self._held_bytes + len(call.body) > MAX_HELD_BYTES:
-            call.reply(Rejected(FULL_PUSHBACK_MS))
+            call.reply(Rejected(OVERLOAD_PUSHBACK_MS))
             return None
         key, port_key = call_key(call), f"g{next(self._numbers)}"
         held = self.calls.get(key)
         if held is None:
             self._hold(key, port_key, call, mode)
         else:
-            self._join(held, port_key, call)
-        return port_key if port_key in self._by_port_key else None  # a stored answer has gone out already
+            self._add_client(held, port_key, call)
+        return port_key if port_key in self._by_port_key else None  # a stored answer was already sent
 
     def _hold(self, key: str, port_key: str, call: Call, mode: ClaimMode) -> None:
-        """Hold a new call, and request its claim."""
+        """Hold a new call and request its claim."""
         spec = self._classes[call.class_name]
         held = self.calls[key] = HeldCall(key, call, spec, monotonic_ms())
         self._held_bytes += len(call.body)
-        self._join(held, port_key, call)
+        self._add_client(held, port_key, call)
         terms = CallTerms(
             spec.effect,
-            latency_objective_ms=spec.latency_target_ms,
+            latency_target_ms=spec.latency_target_ms,
             budget_ms=max(1.0, call.budget_ms - WAIT_MARGIN_MS),
             dedup_window_ms=spec.dedup_window_ms,
             claim_required=mode == "before",
         )
         self._carry_out(self._core.begin_call(monotonic_ms(), key, terms))
 
-    def _join(self, held: HeldCall, port_key: str, call: Call) -> None:
-        """Let one more client wait for this call, until its own deadline."""
+    def _add_client(self, held: HeldCall, port_key: str, call: Call) -> None:
+        """Add a client that waits for this call until its own deadline."""
         held.waiting[port_key] = call.reply
         self._by_port_key[port_key] = held
         remaining_ms = max(1.0, call.budget_ms - DEADLINE_MARGIN_MS)
-        held.timers[port_key] = self._loop.timers.after(remaining_ms, lambda: self._overdue(held, port_key))
+        held.timers[port_key] = self._loop.timers.after(
+            remaining_ms, lambda: self._deadline_passed(held, port_key)
+        )
 
-    def _overdue(self, held: HeldCall, port_key: str) -> None:
-        """Guard the one final answer, as the table's deadline timer does: the call may have run."""
+    def _deadline_passed(self, held: HeldCall, port_key: str) -> None:
+        """Fail the call for this client at its deadline: the call may have run."""
         if (reply := self._remove_waiting(held, port_key)) is not None:
             reply(Failed())
 
@@ -142,7 +144,7 @@
             timer.cancel()
         reply = held.waiting.pop(port_key, None)
         if not held.waiting:
-            self._abandoned(held)
+            self._last_client_left(held)
         return reply
 
     def withdraw(self, key: str) -> None:
@@ -153,8 +155,8 @@
         else:
             self._remove_waiting(held, key)
 
-    def _abandoned(self, held: HeldCall) -> None:
-        """No client waits for this call any more."""
+    def _last_client_left(self, held: HeldCall) -> None:
+        """Release or withdraw a call for which no client waits any more."""
         if self.calls.get(held.key) is not held:
             return
         if not held.running:
@@ -175,7 +177,7 @@
         if isinstance(action, RunCall):
             self._run(held)
         elif isinstance(action, AnswerCall):
-            if held.table_key is not None:  # it runs, but was answered before
+            if held.table_key is not None:  # it is running, but was answered elsewhere
                 self._table.withdraw(held.table_key)
             answer = action.answer
             self._finish(held, Failed() if answer is None else Succeeded(base64.b64decode(answer)))
@@ -191,12 +193,12 @@
         call = replace(
             held.call,
             budget_ms=max(1.0, held.call.budget_ms - waited_ms),
-            reply=lambda outcome: self._ended(held, outcome),
+            reply=lambda outcome: self._call_ended(held, outcome),
         )
         held.table_key = self._table.take(call)
 
-    def _ended(self, held: HeldCall, outcome: Outcome) -> None:
-        """Pass the table's final answer to all that wait, and report it to the replicas."""
+    def _call_ended(self, held: HeldCall, outcome: Outcome) -> None:
+        """Pass the table's outcome to all waiting clients and report it to the replicas."""
         held.table_key = None
         digest, answer = "", None
         if isinstance(outcome, Succeeded):
@@ -222,7 +224,7 @@
         held.waiting.clear()
 
     def wait_percentiles_ms(self) -> tuple[float, float]:
-        """How long the last calls waited before they ran: median and 99th percentile."""
+        """How long the latest calls waited before they ran: median and 99th percentile."""
         ranked = sorted(self._waits_ms)
         if not ranked:
             return 0.0, 0.0
--- a/fawnwharf/replication/claim_store.py
+++ b/fawnwharf/replication/claim_store.py
@@ -1,8 +1,9 @@
-"""The claims that one replica stores: by call, merged, bounded, expired, and summed up for comparison.
+"""The claim store of one replica: merges claims by call, expires them, and digests them for comparison.
 
-Pure. Digests are sums by owner and by digest bucket: the second of the owner's own clock in which it
-requested the call, a label that is never compared with another clock. Claims of one bucket expire together,
-so two replicas can compare buckets that have expired at neither, and find true differences only.
+No I/O. Digests are sums over the claims of one owner and one bucket. A bucket is the second of the owner's
+own clock in which it requested the call, and is never compared with another clock. All claims of a bucket
+expire together, so two replicas can compare the buckets that have expired at neither of them and find only
+true differences.
 """
 
 import heapq
@@ -25,30 +26,30 @@
 from fawnwharf.replication.placement import rendezvous_weight
 from fawnwharf.replication.settings import ReplicationSettings
 
-EMPTY_ENTRY_MS = 250.0  # an entry that gets no claim is removed after so long
-SETTLED_MS = 400.0  # what changed later than that may be on its way to the other replicas
-MAX_CONFLICTS = 16  # for the log
+EMPTY_ENTRY_LIFETIME_MS = 250.0  # entries that get no claim are removed after this time
+SETTLE_DELAY_MS = 400.0  # more recent changes may still be in transit to the other replicas
+MAX_UNLOGGED_CONFLICTS = 16
 
 ReplicasOf = Callable[[str], tuple[str, ...]]
 
 
 @dataclass(slots=True)
 class CallEntry:
-    """One call: the claim of each request, and until when it counts here."""
+    """One call: the claim of each request and its expiry time here."""
 
     created_ms: float
     replicas: tuple[str, ...]
     claims: dict[ClaimId, Claim] = field(default_factory=dict)
     expires_ms: dict[ClaimId, float] = field(default_factory=dict)
-    waiters: dict[str, int] = field(default_factory=dict)  # owner to the number of its request
+    waiters: dict[str, int] = field(default_factory=dict)  # request number by owner
 
     def active_claims(self) -> list[Claim]:
-        """Claims that keep the call from being granted, an owner's own earlier ones among them."""
+        """The claims that prevent a grant of the call, including the requesting owner's earlier ones."""
         return [claim for claim in self.claims.values() if claim.phase is not ClaimPhase.RELEASED]
 
 
 class StoredGrant(NamedTuple):
-    """A claim and until when it counts, by the machine's monotonic clock."""
+    """A claim and its expiry time on the machine's monotonic clock."""
 
     key: str
     claim: Claim
@@ -56,7 +57,7 @@
 
 
 class Conflict(NamedTuple):
-    """Two claims on one call of which one must be wrong."""
+    """Two claims on one call that cannot both be right."""
 
     key: str
     one: Claim
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True)
 class _BucketSum:
-    """Claims of one bucket that the same replicas store."""
+    """The digest sum of those claims of one bucket that the same set of replicas stores."""
 
     value: int = 0
     count: int = 0
@@ -74,7 +75,7 @@
 
 
 def claim_digest(key: str, claim: Claim) -> int:
-    """A hash of a claim without its answer, which may be dropped; to be summed in any order."""
+    """The hash of a claim without its answer, which may have been dropped. Hashes are summed in any order."""
     return rendezvous_weight(
         key,
         claim.owner,
@@ -87,41 +88,42 @@
 
 
 def format_digest(value: int) -> str:
-    """A sum of claim digests as messages carry it: 64 bits in hexadecimal."""
+    """Format a sum of claim digests for messages: 64 bits in hexadecimal."""
     return f"{value % 2**64:016x}"
 
 
 class ClaimStore:
-    """Owns the stored claims, within limits of count and bytes."""
+    """Stores claims within limits on their number and bytes."""
 
     def __init__(self, settings: ReplicationSettings, replicas_of: ReplicasOf) -> None:
         self.settings, self.replicas_of = settings, replicas_of
         self.calls: dict[str, CallEntry] = {}
         self.answer_bytes = 0
-        # Repeat windows by class, where a policy has one; they are never longer than the settings'.
+        # Repeat windows by class, if a policy sets one. The window of the settings is the upper limit.
         self.class_windows_ms: dict[str, float] = {}
         self.counts: Counter[ReplicationCounter] = Counter()
-        self.conflicts: list[Conflict] = []  # whoever logs them clears this
-        # Claims to write to disk before anything is sent that depends on them; None without a disk.
+        self.conflicts: list[Conflict] = []  # the reader that logs them clears the list
+        # Claims to write to disk before sending any message that depends on them; None without storage.
         self.unwritten: list[StoredGrant] | None = None
-        # What expires when; a claim may count for longer by then. None stands for the entry itself.
+        # A heap of expiry times. A claim's validity may have been extended since. () is the entry itself.
         self._expiries: list[tuple[float, str, ClaimId | tuple[()]]] = []
         self._buckets: dict[tuple[str, int], dict[tuple[str, ...], _BucketSum]] = {}
 
     def get_or_create(self, now_ms: float, key: str) -> CallEntry | None:
-        """The call's entry, created where there is none; None where the store is full."""
+        """The entry of a call, created if needed; None if the store is full."""
         entry = self.calls.get(key)
         if entry is None:
             if len(self.calls) >= self.settings.limits.max_calls:
                 self.counts[ReplicationCounter.STORE_FULL] += 1
                 return None
             entry = self.calls[key] = CallEntry(now_ms, self.replicas_of(key))
-            heapq.heappush(self._expiries, (now_ms + EMPTY_ENTRY_MS, key, ()))  # no claim may follow
+            # In case no claim follows.
+            heapq.heappush(self._expiries, (now_ms + EMPTY_ENTRY_LIFETIME_MS, key, ()))
         return entry
 
     def merge(self, now_ms: float, key: str, entry: CallEntry, claim: Claim, remaining_ms: float) -> None:
-        """Merge one claim; the time that it counts only grows, by no more than the delay of a line."""
-        expires_ms = self._extend(now_ms, key, entry, claim, remaining_ms)
+        """Merge one claim. Its expiry time is only ever extended, at most by the delay of a line."""
+        expires_ms = self._extend_expiry(now_ms, key, entry, claim, remaining_ms)
         before = entry.claims.get(claim.claim_id)
         if before is not None and contradicts(before, claim):
             self._record_conflict(ReplicationCounter.CONTRADICTING_CLAIMS, key, before, claim)
@@ -141,8 +143,10 @@
         entry.claims[claim.claim_id] = after
         self._check_answers(key, entry)
 
-    def _extend(self, now_ms: float, key: str, entry: CallEntry, claim: Claim, remaining_ms: float) -> float:
-        """Let a claim count for this time, if that is longer; until when it counts then."""
+    def _extend_expiry(
+        self, now_ms: float, key: str, entry: CallEntry, claim: Claim, remaining_ms: float
+    ) -> float:
+        """Extend a claim's expiry to this remaining time if that is later; returns the expiry time."""
         known_ms = entry.expires_ms.get(claim.claim_id)
         expires_ms = max(known_ms or 0.0, now_ms + min(remaining_ms, self.claim_lifetime_ms()))
         if expires_ms != known_ms:
@@ -151,7 +155,7 @@
         return expires_ms
 
     def _check_answers(self, key: str, entry: CallEntry) -> None:
-        """Record a conflict where the call has two different answers."""
+        """Record a conflict if the call has two different answers."""
         summary = summarize_claims(list(entry.claims.values()), set())
         if summary.state is CallState.CONFLICT:
             answered = [claim for claim in summary.active_claims if claim.phase is ClaimPhase.ANSWERED]
@@ -159,21 +163,21 @@
 
     def _record_conflict(self, counter: ReplicationCounter, key: str, one: Claim, other: Claim) -> None:
         self.counts[counter] += 1
-        if len(self.conflicts) < MAX_CONFLICTS:
+        if len(self.conflicts) < MAX_UNLOGGED_CONFLICTS:
             self.conflicts.append(Conflict(key, one, other))
 
     def claim_lifetime_ms(self, key: str = "") -> float:
-        """How long a claim counts by the slowest clock; with a key, by the call's class.
+        """How long a claim remains valid, allowing for the slowest clock; with a key, for that call's class.
 
-        Replicas pass on the remaining time as it is: if it were stretched each time, two replicas would keep
-        a claim alive for ever.
+        Replicas pass on the remaining time unchanged. If each of them added the allowance again, two replicas
+        could keep a claim alive forever.
         """
         window_ms = self.class_windows_ms.get(key.rpartition(":")[0], self.settings.repeat_window_ms)
         lifetime_ms = self.settings.max_call_ms + min(window_ms, self.settings.repeat_window_ms)
         return lifetime_ms * (1.0 + 2.0 * self.settings.clock_skew)
 
     def _add_to_bucket(self, now_ms: float, key: str, entry: CallEntry, claim: Claim, sign: int) -> None:
-        """Add a claim to its bucket's sum (sign 1), or take it out (-1)."""
+        """Add a claim to its bucket's sum (sign 1) or subtract it (sign -1)."""
         sums = self._buckets.setdefault((claim.owner, claim.bucket), {})
         bucket = sums.setdefault(entry.replicas, _BucketSum())
         bucket.value += sign * claim_digest(key, claim)
@@ -187,7 +191,7 @@
                 del self._buckets[claim.owner, claim.bucket]
 
     def remove_expired(self, now_ms: float) -> None:
-        """Remove what has expired."""
+        """Remove expired claims and empty entries."""
         while self._expiries and self._expiries[0][0] <= now_ms:
             _, key, claim_id = heapq.heappop(self._expiries)
             entry = self.calls.get(key)
@@ -195,18 +199,18 @@
                 continue
             if claim_id:
                 self._remove_claim(now_ms, key, entry, claim_id)
-            if not entry.claims:  # an owner that still waits has a deadline of its own
+            if not entry.claims:  # waiting owners time out by their own deadlines
                 del self.calls[key]
 
     def _remove_claim(self, now_ms: float, key: str, entry: CallEntry, claim_id: ClaimId) -> None:
-        """Remove a claim, unless it counts for longer by now."""
+        """Remove a claim unless its expiry has been extended."""
         expires_ms = entry.expires_ms.get(claim_id)
         if expires_ms is not None and expires_ms <= now_ms:
             self._add_to_bucket(now_ms, key, entry, entry.claims.pop(claim_id), -1)
             del entry.expires_ms[claim_id]
 
     def change_placement(self, now_ms: float, replicas_of: ReplicasOf) -> None:
-        """Sum up all claims by other replicas from now on."""
+        """Adopt a new placement and recompute all bucket sums."""
         self.replicas_of = replicas_of
         self._buckets.clear()
         self.answer_bytes = 0
@@ -216,7 +220,7 @@
                 self._add_to_bucket(now_ms, key, entry, claim, 1)
 
     def unexpired_claims(self, now_ms: float) -> list[StoredGrant]:
-        """All claims that still count."""
+        """All claims that have not expired."""
         return [
             StoredGrant(key, claim, entry.expires_ms[claim_id])
             for key, entry in self.calls.items()
@@ -227,31 +231,30 @@
     # --- comparison ---------------------------------------------------------------------------
 
     def bucket_digests(self, now_ms: float, name: str) -> dict[str, m.BucketDigest]:
-        """By owner, the latest adjacent buckets that another replica should store just as they are here.
+        """By owner, the latest contiguous buckets that should be identical at another replica.
 
-        They do not change any more, and have not expired for a clock that is a little faster.
+        These buckets no longer change, and have not yet expired on a slightly faster clock either.
         """
         return {
             owner: _adjacent_buckets(values) for owner, values in self._settled_sums(now_ms, name).items()
         }
 
     def _settled_sums(self, now_ms: float, name: str) -> dict[str, dict[int, int]]:
-        """By owner and bucket, the sums that another replica should have, too."""
-        # The difference between the slowest and the fastest clock over a claim's lifetime, and a line's
-        # delay.
+        """By owner and bucket, the sums that another replica should also have."""
+        # The drift between the slowest and the fastest clock in a claim's lifetime, plus the delay of a line.
         margin_ms = 2.0 * self.settings.clock_skew * self.claim_lifetime_ms() + self.settings.max_wait_ms
         settled: dict[str, dict[int, int]] = {}
         for (owner, bucket), sums in self._buckets.items():
             shared = [part for replicas, part in sums.items() if name in replicas]
             if shared and all(
-                part.first_expiry_ms - now_ms > margin_ms and now_ms - part.changed_ms > SETTLED_MS
+                part.first_expiry_ms - now_ms > margin_ms and now_ms - part.changed_ms > SETTLE_DELAY_MS
                 for part in shared
             ):
                 settled.setdefault(owner, {})[bucket] = sum(part.value for part in shared)
         return settled
 
     def differing_ranges(self, name: str, theirs: dict[str, m.BucketDigest]) -> list[m.BucketRange]:
-        """The ranges whose digests at another replica are not the same as here."""
+        """The ranges whose digests at another replica differ from those here."""
         own: dict[str, int] = {}
         for (owner, bucket), sums in self._buckets.items():
             digest = theirs.get(owner)
@@ -265,7 +268,7 @@
         ]
 
     def stored_claims(self, now_ms: float, key: str) -> Iterator[m.StoredClaim]:
-        """The claims of a call that still count, as they are sent to another replica."""
+        """The unexpired claims of a call in the form in which they are sent to another replica."""
         entry = self.calls.get(key)
         if entry is None:
             return
@@ -275,7 +278,7 @@
 
 
 def _adjacent_buckets(values: dict[int, int]) -> m.BucketDigest:
-    """The digest of the last bucket and of those before it without a gap."""
+    """The digest of the last bucket and the buckets contiguous before it."""
     last = first = max(values)
     while first - 1 in values:
         first -= 1
--- a/tests/cores.py
+++ b/tests/cores.py
@@ -55,7 +55,7 @@
                 self.carry(to, self.cores[to].receive_line(self.now, sender, line))
 
     def begin(self, name, key="k", effect=Effect.AT_MOST_ONCE, **more):
-        terms = CallTerms(effect, **({"latency_objective_ms": 800.0, "budget_ms": 2_000.0} | more))
+        terms = CallTerms(effect, **({"latency_target_ms": 800.0, "budget_ms": 2_000.0} | more))
         self.carry(name, self.cores[name].begin_call(self.now, key, terms))
 
     def end(self, name, phase=ClaimPhase.ANSWERED, answer="QQ==", key="k"):
