--- a/fawnwharf/replication/counters.py
+++ b/fawnwharf/replication/counters.py
@@ -1,12 +1,12 @@
-"""Names of the counters that operators see in a front end's status."""
+"""The counters that operators see in a front end's status."""
 
 from enum import StrEnum
 
 
 class ReplicationCounter(StrEnum):
-    """What is counted; the value is the text that operators read."""
+    """A counter; the value is the label that operators read."""
 
-    # Calls of this front end, as their owner.
+    # Calls that this front end owns.
     CALLS_REQUESTED = "calls requested"
     CALLS_CLAIMED = "calls claimed"
     CALLS_JOINED = "calls joined to a running one"
@@ -25,7 +25,7 @@
     REPLIES_WITHOUT_REQUEST = "replies without an open request"
     REPLIES_NOT_FROM_REPLICA = "replies not from a replica"
 
-    # Calls that are stored here, as a replica.
+    # Calls that this front end stores as a replica.
     STORE_FULL = "claim store full"
     ANSWERS_DROPPED = "answers dropped"
     CONTRADICTING_CLAIMS = "contradicting claims"
