--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -1,7 +1,7 @@
-"""One front end's part in replicated state: its own calls, what it stores for others, and its reports.
+"""The replication core of one front end: its own calls, its replica if it is one, and its reports.
 
-Pure: lines, calls and ticks come in with a time, and actions go out in order. The same core runs in `serve`
-and, by the dozen, in virtual time.
+No I/O: lines, calls and ticks come in with the current time, and actions are returned in order. The same core
+runs in `serve` and, with many instances, in simulations with virtual time.
 """
 
 from collections import Counter
@@ -25,15 +25,15 @@
 from fawnwharf.zones.settings import Membership
 
 TICK_MS = 100.0
-MAX_RECIPIENTS = 16  # of one line, as its type limits it
+MAX_RECIPIENTS = 16  # the limit of `LogLine.recipients`
 
 
-class LineError(ValueError):
-    """A line that no member writes, which ends the connection to its sender; the text has the reason."""
+class InvalidLineError(ValueError):
+    """A line that no member writes. It ends the connection to its sender; the text is the reason."""
 
 
 class ReceivedClientMessage(NamedTuple):
-    """A message of another subsystem, the member that sent it, and that member's incarnation."""
+    """A message of another subsystem with its sender and the sender's incarnation."""
 
     sender: str
     incarnation: int
@@ -41,7 +41,7 @@
 
 
 class ReplicationCore:
-    """Owns a front end's open calls, its replica where it is one, and what it reports and receives."""
+    """Manages a front end's open calls, its replica if it is one, and its reports."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         *,
         fresh: bool = False,
     ) -> None:
-        """`incarnation` differs with each start. `fresh`: a new fleet, in which nothing was granted yet."""
+        """`incarnation` differs at each start. `fresh` states that no call was ever granted in this fleet."""
         self.name, self.incarnation = name, incarnation
         self.membership, self.settings = membership, settings
         self.placement = ReplicaPlacement(membership, settings.replica_zones, settings.replicas_per_zone)
@@ -66,11 +66,11 @@
         self.last_heard: dict[str, tuple[int, float]] = {}  # incarnation and time, by member
         self.statuses: dict[str, m.Status] = {}
         self._tick_due_ms = now_ms
-        # What came since the host looked; the host clears these.
-        self.greetings: list[tuple[str, int]] = []  # who requested the log here, since which number
+        # Received since the host last read these lists; the host clears them.
+        self.received_hellos: list[tuple[str, int]] = []  # member and its reader number
         self.reported_outliers: list[m.ReportedOutliers] = []
         self.client_messages: list[ReceivedClientMessage] = []
-        # Reports; None where the settings switch them off.
+        # Reports; None if the settings disable them.
         self.usage_table = UsageTable()
         self.quota_shares: QuotaShares | None = None
         self.failure_reports = FailureReportStore()
@@ -83,45 +83,45 @@
     # --- calls --------------------------------------------------------------------------------
 
     def begin_call(self, now_ms: float, key: str, terms: CallTerms) -> list[OwnerAction]:
-        """Claim a call, and run it where its terms require no quorum."""
-        return self._deliver_own(now_ms, self.call_owner.begin(now_ms, key, terms))
+        """Claim a call, and run it at once if its terms require no quorum."""
+        return self._deliver_locally(now_ms, self.call_owner.begin(now_ms, key, terms))
 
     def call_ended(
         self, now_ms: float, key: str, phase: ClaimPhase, digest: str = "", answer: str | None = None
     ) -> list[OwnerAction]:
-        """Report to the replicas what came of a call that ran; the answer is base64."""
-        return self._deliver_own(now_ms, self.call_owner.call_ended(key, phase, digest, answer))
+        """Report the result of a call that ran to the replicas; the answer is base64."""
+        return self._deliver_locally(now_ms, self.call_owner.call_ended(key, phase, digest, answer))
 
     def client_left(self, now_ms: float, key: str) -> list[OwnerAction]:
         """Release a call whose client left before it ran."""
-        return self._deliver_own(now_ms, self.call_owner.client_left(key))
+        return self._deliver_locally(now_ms, self.call_owner.client_left(key))
 
     def revoke_grant(self, now_ms: float, key: str, number: int) -> list[OwnerAction]:
-        """Take back what the replica here granted to an own call, as it could not be stored."""
-        return self._deliver_own(now_ms, self.call_owner.revoke_grant(now_ms, key, number, self.name))
+        """Revoke the local replica's grant to an own call, because it could not be stored."""
+        return self._deliver_locally(now_ms, self.call_owner.revoke_grant(now_ms, key, number, self.name))
 
     # --- lines --------------------------------------------------------------------------------
 
     def receive_line(self, now_ms: float, sender: str, data: Any) -> list[OwnerAction]:
-        """Take one line of a member's log; raises LineError for what no member writes."""
+        """Handle one line of a member's log; raises InvalidLineError for a line that no member writes."""
         try:
             line = m.parse_line(data)
         except msgspec.ValidationError as error:
-            raise LineError(f"not a line of state: {error}") from None
+            raise InvalidLineError(f"invalid line of replicated state: {error}") from None
         if line.fleet != self.membership.fleet:
-            raise LineError(f"of fleet {line.fleet}")
+            raise InvalidLineError(f"line is from fleet {line.fleet}")
         if line.sender != sender:
-            raise LineError(f"names {line.sender} as its sender, and comes from {sender}")
+            raise InvalidLineError(f"line from {sender} names {line.sender} as its sender")
         if self.membership.find_member(sender) is None:
             self.counts[ReplicationCounter.LINES_NOT_FROM_MEMBER] += 1
             return []
         self.last_heard[sender] = line.incarnation, now_ms
         if self._receive_broadcast(now_ms, line) or self.name not in line.recipients:
             return []
-        return self._deliver_own(now_ms, self._receive(now_ms, sender, line.incarnation, line.message))
+        return self._deliver_locally(now_ms, self._receive(now_ms, sender, line.incarnation, line.message))
 
     def _receive_broadcast(self, now_ms: float, line: m.LogLine) -> bool:
-        """Take a message for all that follow the log; False where it is for some members only."""
+        """Handle a message for all followers of the log; False if it is for some members only."""
         message = line.message
         if isinstance(message, m.Status):
             self.statuses[line.sender] = message
@@ -138,13 +138,13 @@
         return True
 
     def _receive(self, now_ms: float, sender: str, incarnation: int, message: m.Message) -> list[OwnerAction]:
-        """Take a message for this member, by its type."""
+        """Dispatch a message for this member by its type."""
         if isinstance(message, m.ClaimReply):
             return self.call_owner.receive_reply(now_ms, sender, message)
         if isinstance(message, m.RemoteLoadReport):
             self._receive_remote_load_report(sender, incarnation, message)
         elif isinstance(message, m.Hello):
-            self.greetings.append((sender, message.reader_number))
+            self.received_hellos.append((sender, message.reader_number))
         elif isinstance(message, m.ClientMessage):
             self.client_messages.append(ReceivedClientMessage(sender, incarnation, message))
         elif self.replica is None:
@@ -165,7 +165,7 @@
     def _receive_report(
         self, now_ms: float, sender: str, owner: str, report: m.UsageCounters | m.FailureReport | m.LoadReport
     ) -> list[OwnerAction]:
-        """Take a report of an owner, as a replica."""
+        """Store an owner's report, as a replica."""
         if isinstance(report, m.UsageCounters):
             self.usage_table.receive(now_ms, owner, report)
         elif isinstance(report, m.FailureReport):
@@ -178,17 +178,17 @@
     def _receive_as_replica(
         self, now_ms: float, replica: Replica, origin: tuple[str, int], message: m.Message
     ) -> list[OwnerAction]:
-        """Take a message on claims; `origin` is the sender and its incarnation."""
+        """Handle a message about claims; `origin` is the sender and its incarnation."""
         sender, incarnation = origin
         sends: list[m.Send] = []
         if isinstance(message, m.ClaimRequest):
             if message.owner != f"{sender}#{incarnation}":
-                raise LineError(f"a claim request of {message.owner} from {sender}#{incarnation}")
+                raise InvalidLineError(f"claim request for owner {message.owner} from {sender}#{incarnation}")
             replica.live_owners.add(message.owner)
             sends = replica.handle_claim_request(now_ms, message)
         elif isinstance(message, m.ClaimUpdate):
             if message.claim.owner != f"{sender}#{incarnation}":
-                raise LineError(f"a claim of {message.claim.owner} from {sender}#{incarnation}")
+                raise InvalidLineError(f"claim of owner {message.claim.owner} from {sender}#{incarnation}")
             sends = replica.handle_claim_update(now_ms, message)
         elif isinstance(message, m.StateRequest):
             replica.handle_state_request(sender, message)
@@ -198,8 +198,8 @@
             sends = replica.handle_store_digests(now_ms, sender, message)
         return list(sends)
 
-    def _deliver_own(self, now_ms: float, actions: list[OwnerAction]) -> list[OwnerAction]:
-        """Deliver at once what is sent to this member itself; the rest goes out, in order."""
+    def _deliver_locally(self, now_ms: float, actions: list[OwnerAction]) -> list[OwnerAction]:
+        """Deliver messages to this member itself at once, and return all other actions in order."""
         found: list[OwnerAction] = []
         waiting = list(actions)
         while waiting:
@@ -216,34 +216,34 @@
 
     def _send_to_replicas(self, now_ms: float, message: m.Message) -> list[OwnerAction]:
         recipients = tuple(self.placement.replicas[:MAX_RECIPIENTS])
-        return self._deliver_own(now_ms, [m.Send(recipients, message)])
+        return self._deliver_locally(now_ms, [m.Send(recipients, message)])
 
     def log_line(self, send: m.Send) -> m.LogLine:
-        """The line of the own log that carries this message."""
+        """The line of this member's log that carries this message."""
         return m.LogLine(self.membership.fleet, self.name, self.incarnation, send.recipients, send.message)
 
     def send_client_message(self, message: m.ClientMessage, recipients: tuple[str, ...]) -> list[OwnerAction]:
-        """Send to these members, of which this one may be one; to all that follow where none is named."""
+        """Send to these members, possibly including this one; without recipients, to all followers."""
         send = m.Send(recipients, message)
-        return self._deliver_own(0.0, [send]) if recipients else [send]
+        return self._deliver_locally(0.0, [send]) if recipients else [send]
 
     # --- status -------------------------------------------------------------------------------
 
     def status(self, now_ms: float) -> m.Status:
-        """The state of this front end, for operators and for those that follow its log."""
+        """The status of this front end for operators and for the followers of its log."""
         counts = {**self.counts, **self.call_owner.counts, **self._load_report_counts(now_ms)}
         lags_ms = {
             name: round(max(0.0, now_ms - heard_ms), 1)
             for name, (_, heard_ms) in sorted(self.last_heard.items())
         }
-        status = m.Status(_by_text(counts), open_calls=len(self.call_owner.calls), lags_ms=lags_ms)
+        status = m.Status(_counts_by_label(counts), open_calls=len(self.call_owner.calls), lags_ms=lags_ms)
         if self.replica is None:
             return status
         store = self.replica.claim_store
         own_digests = self.name in self.placement.replicas
         return msgspec.structs.replace(
             status,
-            counts=_by_text(counts | store.counts),
+            counts=_counts_by_label(counts | store.counts),
             is_replica=True,
             complete=self.replica.is_complete(now_ms),
             calls=len(store.calls),
@@ -267,7 +267,7 @@
     # --- reports ------------------------------------------------------------------------------
 
     def send_usage(self, now_ms: float) -> list[OwnerAction]:
-        """Send the own counters to the replicas; a replica also sends the rates to all."""
+        """Send this front end's usage counters to the replicas; a replica also sends the rates to all."""
         actions: list[OwnerAction] = []
         if self.quota_shares:
             actions = self._send_to_replicas(now_ms, self.quota_shares.next_counters(now_ms))
@@ -279,7 +279,7 @@
         return actions
 
     def send_failure_report(self, now_ms: float, tracker: FailureTracker) -> list[OwnerAction]:
-        """Report failing scorers to the replicas; a replica also sends those that several report to all."""
+        """Report failing scorers to the replicas; a replica also sends the reported outliers to all."""
         report = tracker.report(now_ms)
         actions: list[OwnerAction] = []
         if report.failures or self._reported_failures:
@@ -295,10 +295,10 @@
     def send_load_report(
         self, now_ms: float, reporter: LoadReporter, front_ends: int = 0
     ) -> list[OwnerAction]:
-        """Report the own load to the replicas, one of which answers with that of the others.
+        """Report this front end's load to the replicas, one of which answers with the load of the others.
 
-        That is this member itself, or else the next one by a hash, so that all replicas answer about as many.
-        `front_ends` is the size of the fleet, as far as it was configured.
+        A replica chooses itself. Other front ends rank the replicas by a hash, which spreads the answers
+        evenly. `front_ends` is the configured fleet size, or 0 if none is configured.
         """
         candidates = sorted(
             self.placement.replicas[:MAX_RECIPIENTS],
@@ -317,12 +317,12 @@
     def remote_load_events(
         self, now_ms: float, reporter: LoadReporter, front_ends: int
     ) -> list[io.RemoteLoadReport]:
-        """What the decision module has to know now of other front ends' load."""
+        """The events that update the decision module on the load of other front ends."""
         slow_start = reporter.scorers_in_slow_start(now_ms)
         return self.remote_loads.changes(now_ms, slow_start, reporter.scorers, self._fleet_size(front_ends))
 
     def remote_sends_known(self, now_ms: float, front_ends: int) -> tuple[bool, int]:
-        """Whether others' sends to scorers in slow start are known, and how many front ends report."""
+        """Whether the others' sends to scorers in slow start are known, and how many front ends report."""
         best = self.remote_loads.best_answer(now_ms)
         known = self.remote_loads.sends_known(now_ms, self._fleet_size(front_ends))
         return known, best.report.front_ends if best else 0
@@ -333,12 +333,12 @@
     # --- members ------------------------------------------------------------------------------
 
     def record_sign_of_life(self, now_ms: float, name: str, incarnation: int) -> None:
-        """A member's log sent something, if only its number."""
+        """Record that a member's log sent something, if only its line number."""
         if incarnation > 0:
             self.last_heard[name] = incarnation, now_ms
 
     def change_membership(self, now_ms: float, membership: Membership) -> None:
-        """Take a later membership; another fleet's or an earlier one is ignored."""
+        """Adopt a later membership; one of another fleet or with an older number is ignored."""
         if membership.fleet != self.membership.fleet or membership.number <= self.membership.number:
             self.counts[ReplicationCounter.MEMBERSHIPS_IGNORED] += 1
             return
@@ -357,16 +357,16 @@
     # --- time ---------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[OwnerAction]:
-        """Do what is due."""
+        """Perform the timed work that is due."""
         actions: list[OwnerAction] = list(self.call_owner.tick(now_ms))
         if self.replica and now_ms >= min(self._tick_due_ms, self.replica.due_ms()):
             self._tick_due_ms = now_ms + TICK_MS
             actions += self.replica.change_live_owners(now_ms, self._live_owners(now_ms))
             actions += self.replica.tick(now_ms)
-        return self._deliver_own(now_ms, actions)
+        return self._deliver_locally(now_ms, actions)
 
     def _live_owners(self, now_ms: float) -> set[str]:
-        """This owner, and the incarnations of all members that were heard lately."""
+        """This owner and the current incarnations of all members heard within the silence timeout."""
         timeout_ms = self.settings.silence_timeout_ms
         heard = {
             f"{name}#{incarnation}"
@@ -376,13 +376,13 @@
         return heard | {self.owner_id}
 
     def due_ms(self) -> float:
-        """When `tick` is needed next; infinite where nothing is due."""
+        """When `tick` must be called next; infinite if nothing is due."""
         due_ms = self.call_owner.due_ms()
         if self.replica:
             due_ms = min(due_ms, self._tick_due_ms, self.replica.due_ms())
         return due_ms
 
 
-def _by_text(counts: dict[ReplicationCounter, int]) -> dict[str, int]:
-    """Counters under the texts that operators read."""
+def _counts_by_label(counts: dict[ReplicationCounter, int]) -> dict[str, int]:
+    """The counters by the labels that operators read."""
     return {str(counter): count for counter, count in counts.items()}
--- a/fawnwharf/replication/directed_log.py
+++ b/fawnwharf/replication/directed_log.py
@@ -1,9 +1,9 @@
-"""Logs whose lines are for some readers only, in the change log's form.
+"""Logs whose lines may be addressed to some readers only, in the format of the change log.
 
-A reader asks `since N` with a random number, which gets it the current lines, as in any log, and states in
-its own log, which this side follows, that it was the one (`Hello`). From then on it is sent what is for it
-and what is for all, with numbers of its own; until then it is sent everything. Lines that pass while a reader
-is disconnected are lost to it: what is sent here is sent again, or made good by comparison.
+A reader requests `since N` with a random number N and receives the current lines, as in any log. In its own
+log, which this side follows, it sends a `Hello` with N to identify itself. From then on it receives only the
+lines addressed to it or to all, with its own sequence numbers; until then it receives every line. A reader
+misses the lines sent while it is disconnected: their senders repeat them or find the loss by comparison.
 """
 
 import secrets
@@ -15,48 +15,49 @@
 from fawnwharf.net.log_writer import LogWriter
 from fawnwharf.zones.member_log import LogServer, MemberLogFollower, line_encoder
 
-MAX_NAMES = 4_000
-FIRST_NUMBER = 2  # of those in readers' requests
-NUMBER_BITS = 50
+MAX_READER_NAMES = 4_000
+MIN_READER_NUMBER = 2  # the smallest number in a reader's request
+READER_NUMBER_BITS = 50
 
 
 class DirectedLogServer(LogServer):
-    """Owns a listener and its readers, each of which has numbers of its own."""
+    """Serves a log to its readers, each with its own sequence numbers."""
 
     def __init__(self, loop: EventLoop, address: Address, incarnation: int, max_readers: int) -> None:
         super().__init__(loop, address, incarnation, max_readers)
-        self._names: dict[int, str] = {}  # by the number in a reader's request
-        self._sent: dict[Any, int] = {}  # lines, by reader
-        # Called with the name of a member from which on everything that is sent reaches it.
+        self._names: dict[int, str] = {}  # member names by the number in the reader's request
+        self._sent: dict[Any, int] = {}  # the last sequence number of each reader
+        # Called with a member's name once the member receives all lines that are sent from now on.
         self.on_follower: Callable[[str], None] = lambda _name: None
         self.sent_lines = self.sent_bytes = 0
 
-    def identify(self, name: str, reader_number: int) -> None:
-        """Take which member's request had this number."""
+    def register_reader(self, name: str, reader_number: int) -> None:
+        """Record which member sent the request with this number."""
         if self._names.get(reader_number) == name:
             return
-        while len(self._names) >= MAX_NAMES:
+        while len(self._names) >= MAX_READER_NAMES:
             del self._names[next(iter(self._names))]
         self._names[reader_number] = name
         if any(reader.since == reader_number for reader in self.readers):
             self.on_follower(name)
 
-    def greet(self, name: str, line: Any) -> None:
-        """Send a Hello to the member of this name.
+    def publish_hello(self, name: str, line: Any) -> None:
+        """Send a Hello to the member of this name and repeat it to every new reader.
 
-        It may not follow this log yet, and would then send all of its lines for ever: so it is sent again to
-        whoever comes.
+        The member may not follow this log yet. If it missed the Hello, it would continue to send all of its
+        lines to this reader.
         """
         self.send(line, (name,), counts_as=("hello", name))
 
-    def forget(self, name: str) -> None:
-        """Drop the Hello to a member whose log is not followed any more."""
+    def withdraw_hello(self, name: str) -> None:
+        """Stop repeating the Hello to a member whose log is no longer followed."""
         self._current_lines.pop(("hello", name), None)
 
     def send(self, line: Any, recipients: tuple[str, ...] = (), counts_as: Hashable = None) -> None:
-        """Write a line for these readers, for all where none is named.
+        """Write a line to these recipients, or to all readers if none is named.
 
-        With a key, it is current until the next line of that key, and sent to whoever comes.
+        With a `counts_as` key, the line stays current until the next line with that key, and every new reader
+        receives it.
         """
         if counts_as is not None:
             self._current_lines[counts_as] = line
@@ -73,7 +74,7 @@
             reader.connection.write(text)
 
     def begin(self, reader: Any) -> None:
-        """Send the current lines to a new reader, whose numbers begin with them."""
+        """Send the current lines to a new reader, whose sequence numbers begin with them."""
         self._sent = {known: number for known, number in self._sent.items() if known in self.readers}
         self._sent[reader] = 1
         head = {"seq": 1, "life": self.incarnation, "whole": True}
@@ -82,17 +83,17 @@
         if name := self._names.get(reader.since):
             self.on_follower(name)
 
-    def unwritten(self) -> bool:
-        """Whether a reader's connection has bytes that are not written yet."""
+    def has_unsent_bytes(self) -> bool:
+        """Whether any reader's connection has bytes that are not written yet."""
         return any(reader.connection.waiting_bytes for reader in self.readers if reader.since is not None)
 
     def number(self, reader: Any) -> int:
-        """The number of the last line that a reader was sent."""
+        """The sequence number of the last line sent to a reader."""
         return self._sent.get(reader, 0)
 
 
 class DirectedLog(MemberLogFollower):
-    """Follows one member's log, and lets it know who follows."""
+    """Follows one member's log and identifies this follower to the member."""
 
     def __init__(
         self,
@@ -102,15 +103,15 @@
         log: Callable[[str], None],
         send_hello: Callable[[int], None],
     ) -> None:
-        """`send_hello` has to state, in the own log, the number of this reader's request."""
-        super().__init__(loop, address, on_line, cast(LogWriter, log))  # it only calls it with a text
+        """`send_hello` must announce the number of this reader's request in this member's own log."""
+        super().__init__(loop, address, on_line, cast(LogWriter, log))  # it only calls `log` with a text
         self._send_hello = send_hello
 
     def on_up(self) -> None:
-        """Request the log with a new number."""
+        """Request the log with a new random number."""
         if self._connection is None:
             return
         self.seq = self.incarnation = 0
-        reader_number = secrets.randbits(NUMBER_BITS) + FIRST_NUMBER
+        reader_number = secrets.randbits(READER_NUMBER_BITS) + MIN_READER_NUMBER
         self._connection.write(b"since %d\n" % reader_number)
         self._send_hello(reader_number)
--- a/fawnwharf/replication/followed_logs.py
+++ b/fawnwharf/replication/followed_logs.py
@@ -11,7 +11,7 @@
 
 
 class FollowedLogs:
-    """Owns the connections to members' logs, by member."""
+    """Manages the connections to members' logs, by member."""
 
     def __init__(
         self,
@@ -20,13 +20,13 @@
         on_dropped_line: Callable[[str], None],
         send_hello: Callable[[str, int], None],
     ) -> None:
-        """`send_hello` has to state, in the own log, the number with which a member's log is requested."""
+        """`send_hello` must announce, in this front end's log, the number used to request a member's log."""
         self._loop, self._on_line = loop, on_line
         self._on_dropped_line, self._send_hello = on_dropped_line, send_hello
         self._logs: dict[str, DirectedLog] = {}
 
     def follow(self, places: dict[str, str]) -> list[str]:
-        """Follow the logs at these places, by member, and no others; the members that are dropped."""
+        """Follow exactly the logs at these addresses, by member; returns the members no longer followed."""
         dropped = [name for name in self._logs if name not in places]
         for name in dropped:
             self._logs.pop(name).close()
@@ -36,25 +36,29 @@
                 self._logs[name].move(address)
             else:
                 self._logs[name] = log = DirectedLog(
-                    self._loop, address, self._taker(name), self._on_dropped_line, self._greeter(name)
+                    self._loop,
+                    address,
+                    self._line_handler(name),
+                    self._on_dropped_line,
+                    self._hello_sender(name),
                 )
                 log.connect()
         return dropped
 
-    def _taker(self, name: str) -> Callable[[Any], None]:
+    def _line_handler(self, name: str) -> Callable[[Any], None]:
         return lambda line: self._on_line(name, line)
 
-    def _greeter(self, name: str) -> Callable[[int], None]:
+    def _hello_sender(self, name: str) -> Callable[[int], None]:
         return lambda reader_number: self._send_hello(name, reader_number)
 
-    def signs_of_life(self) -> Iterator[tuple[str, int, float]]:
-        """Members that are connected: name, incarnation, and when their log was last heard."""
+    def heartbeats(self) -> Iterator[tuple[str, int, float]]:
+        """Connected members: name, incarnation, and when anything was last received from their log."""
         for name, log in self._logs.items():
             if log.up and log.incarnation:
                 yield name, log.incarnation, log.heard_ms
 
-    def tidy(self) -> None:
-        """Reconnect what has been silent, as the change log does."""
+    def run_maintenance(self) -> None:
+        """Reconnect logs that have been silent, as the change log does."""
         for log in self._logs.values():
             log.run_maintenance()
 
--- a/fawnwharf/replication/grant_log.py
+++ b/fawnwharf/replication/grant_log.py
@@ -1,12 +1,12 @@
-"""The files of a replica: every claim that it ever sent anything about, to be found again after a restart.
+"""The grant log of a replica: files with every claim that its messages depended on, read after a restart.
 
-Records are appended before anything is sent that depends on them, and not synced: a file outlives its
-process, but not a power loss. So it is trusted only within one boot of the machine, whose monotonic clock
-goes on from one process to the next. After another boot the replica has forgotten its grants, and receives
-those of the others or waits.
+Records are appended, without a sync, before any message that depends on them is sent. A file therefore
+survives its process but not a power loss, so it is trusted only within the same boot of the machine, during
+which the monotonic clock continues across processes. After another boot the replica has lost its grants: it
+obtains the claims of the other replicas or waits until its own have expired.
 
-Claims count for a bounded time, so files need no compaction: a new one is begun whenever the last one has
-been written for so long, and the one before it is removed.
+Claims have a limited lifetime, so the files need no compaction. A new file is started whenever the current
+one has been written for that lifetime, and the file before it is removed.
 """
 
 import contextlib
@@ -24,10 +24,8 @@
 
 VERSION = 1
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-BATCH = 2_000  # claims in a record, where a file begins with all that are stored
-INCOMPLETE = (
-    -1
-)  # instead of a membership's number: from here on the replica does not know all that it granted
+MAX_BATCH_CLAIMS = 2_000  # per record, when a file begins with all stored claims
+INCOMPLETE = -1  # in place of a membership number: the replica no longer knows all grants it has made
 FILE_PREFIX = "keeper-"
 
 NO_FILE = "no file"
@@ -35,31 +33,31 @@
 
 
 class Head(Struct, frozen=True):
-    """The first record: whose file it is, and what it continues."""
+    """The first record of a file: its owner, and how it continues the previous file."""
 
     version: int
     fleet: str
     name: str
     boot: str
-    inode: int  # of the file itself: a copy of it is not trusted
-    # The membership by which the replica knew all that it had granted; 0 where it did not.
+    inode: int  # of this file, so that a copy is detected and not trusted
+    # The number of the membership for which the replica knew all its grants; 0 if it did not.
     complete_for: int = msgspec.field(name="sure")
     generation: Annotated[int, Meta(ge=1)]
-    # It begins with all that was stored; else the file before it is needed for a while.
+    # Whether the file begins with all stored claims. Otherwise the previous file is needed for one lifetime.
     has_all: bool = msgspec.field(name="whole")
     began_ms: float
 
 
 class Batch(Struct, frozen=True):
-    """A later record: claims, and whether the replica knows all from here on."""
+    """A later record: claims, and whether the replica knows all its grants from here on."""
 
     grants: list[tuple[CallKey, Claim, float]] = msgspec.field(name="kept")
-    # The membership by which it does, or INCOMPLETE; 0: as before.
+    # The number of the membership for which it does, or INCOMPLETE; 0 if unchanged.
     complete_for: int = msgspec.field(default=0, name="sure")
 
 
 def boot_id() -> str:
-    """The id of this boot of the machine; empty where the system has none, and nothing is trusted then."""
+    """The id of this boot of the machine; empty if the system has none, in which case no file is trusted."""
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
@@ -67,21 +65,21 @@
 
 
 class GrantLog:
-    """Owns the folder: its lock, the file that is written, and the one before."""
+    """Manages the folder: its lock, the current file and the previous one."""
 
     def __init__(
         self, folder: Path, fleet: str, name: str, now_ms: float, lifetime_ms: float, boot: str
     ) -> None:
-        """Read what is there, where claims count for `lifetime_ms` at the most.
+        """Lock the folder and read its files; claims are valid for `lifetime_ms` at most.
 
-        Raises DiskError where the folder belongs to another member or can't be used. What can't be trusted is
-        left out, and `distrust_reason` has the reason.
+        Raises DiskError if the folder belongs to another member or can't be used. If the files can't be
+        trusted, `distrust_reason` states why.
         """
         self.folder, self._fleet, self._name, self._boot = folder, fleet, name, boot
         self._lifetime_ms = lifetime_ms
         self.grants: list[StoredGrant] = []
-        self.complete_for = 0  # the membership by which all was known, at the end
-        self.distrust_reason = ""  # empty: `grants` is all that ever counted
+        self.complete_for = 0  # the last membership number for which all grants were known, or 0
+        self.distrust_reason = ""  # empty if `grants` has all grants that may still be valid
         self._file: int | None = None
         self._last_number = self._generation = 0
         self._began_ms = now_ms
@@ -100,7 +98,7 @@
     # --- reading ------------------------------------------------------------------------------
 
     def _files(self) -> list[Path]:
-        """The files, the oldest first."""
+        """The log files, oldest first."""
         found = [
             path
             for path in self.folder.glob(f"{FILE_PREFIX}*.log")
@@ -109,30 +107,30 @@
         return sorted(found, key=_generation_of)
 
     def _read(self, now_ms: float) -> None:
-        """Read the last two files, and decide whether they are trusted."""
+        """Read the last two files and decide whether they can be trusted."""
         files = self._files()
         if not files:
             self.distrust_reason = NO_FILE
             return
-        heads = [self._read_file(path) for path in files[-2:]]
+        headers = [self._read_file(path) for path in files[-2:]]
         self._generation = _generation_of(files[-1])
-        trusted = [head for head in heads if head is not None]
-        if len(trusted) < len(heads):
+        trusted = [header for header in headers if header is not None]
+        if len(trusted) < len(headers):
             self.distrust_reason = self.distrust_reason or "damaged"
-        elif not self._boot or any(head.boot != self._boot for head in trusted):
+        elif not self._boot or any(header.boot != self._boot for header in trusted):
             self.distrust_reason = OTHER_BOOT
             self.grants = []
         elif self._lacks_earlier_file(now_ms, trusted):
             self.distrust_reason = "the file before the last one is missing"
 
-    def _lacks_earlier_file(self, now_ms: float, heads: list[Head]) -> bool:
-        """Whether claims may still count of which no file is left."""
-        last = heads[-1]
-        alone = len(heads) < 2 or heads[0].generation != last.generation - 1
+    def _lacks_earlier_file(self, now_ms: float, headers: list[Head]) -> bool:
+        """Whether claims may still be valid whose file is missing."""
+        last = headers[-1]
+        alone = len(headers) < 2 or headers[0].generation != last.generation - 1
         return not last.has_all and alone and now_ms - last.began_ms < self._lifetime_ms
 
     def _read_file(self, path: Path) -> Head | None:
-        """Add a file's claims; its head where it can be trusted."""
+        """Add the claims of a file; returns its header if the file can be trusted."""
         try:
             data = path.read_bytes()
             inode = path.stat().st_ino
@@ -143,28 +141,31 @@
         if decoded is None:
             self.distrust_reason = f"{path.name}: no head"
             return None
-        head, batches = decoded
-        if (head.fleet, head.name) != (self._fleet, self._name):
-            raise DiskError(f"{path}: of {head.name} in fleet {head.fleet}")
-        self.complete_for = head.complete_for
+        header, batches = decoded
+        if (header.fleet, header.name) != (self._fleet, self._name):
+            raise DiskError(
+                f"{path}: of {header.name} in fleet {header.fleet}, "
+                f"not of {self._name} in fleet {self._fleet}"
+            )
+        self.complete_for = header.complete_for
         for batch in batches:
             self.grants += [StoredGrant(*grant) for grant in batch.grants]
             if batch.complete_for:
                 self.complete_for = max(0, batch.complete_for)
         if damaged or [number for number, _ in records] != list(range(1, len(records) + 1)):
             self.distrust_reason = f"{path.name}: damaged"
-        elif head.version != VERSION:
-            self.distrust_reason = f"{path.name}: version {head.version}"
-        elif head.inode != inode:
+        elif header.version != VERSION:
+            self.distrust_reason = f"{path.name}: version {header.version}"
+        elif header.inode != inode:
             self.distrust_reason = f"{path.name}: a copy"
-        return None if self.distrust_reason else head
+        return None if self.distrust_reason else header
 
     # --- writing ------------------------------------------------------------------------------
 
     def begin(self, now_ms: float, complete_for: int, grants: list[StoredGrant] | None) -> None:
-        """Begin a new file, with these claims, if they are all that are stored.
+        """Start a new file that begins with all stored claims, or with none if `grants` is None.
 
-        Without them the last file stays beside the new one. Raises DiskError.
+        In the latter case the previous file is kept beside the new one. Raises DiskError.
         """
         before = self._files()
         self._close_file()
@@ -174,10 +175,10 @@
         try:
             self._file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o644)
             self._last_number = 0
-            self._append(self._file, self._head(self._file, now_ms, complete_for, grants is not None))
+            self._append(self._file, self._header(self._file, now_ms, complete_for, grants is not None))
             rows = grants or []
-            for start in range(0, len(rows), BATCH):
-                self._append(self._file, Batch(list(rows[start : start + BATCH])))
+            for start in range(0, len(rows), MAX_BATCH_CLAIMS):
+                self._append(self._file, Batch(list(rows[start : start + MAX_BATCH_CLAIMS])))
             os.rename(temporary, path)
         except OSError as error:
             self._close_file()
@@ -187,7 +188,7 @@
             with contextlib.suppress(OSError):
                 old.unlink()
 
-    def _head(self, file: int, now_ms: float, complete_for: int, has_all: bool) -> Head:
+    def _header(self, file: int, now_ms: float, complete_for: int, has_all: bool) -> Head:
         return Head(
             version=VERSION,
             fleet=self._fleet,
@@ -207,13 +208,13 @@
             raise OSError(28, "no space for a complete record")
 
     def write(self, now_ms: float, grants: list[StoredGrant], complete_for: int) -> None:
-        """Write claims, before anything is sent that depends on them.
+        """Append claims before any message that depends on them is sent.
 
-        Raises DiskError; then nothing may depend on them, and nothing more is written after what may be a
-        part of a record.
+        If this raises DiskError, no message may depend on the claims. Nothing more is written then, because
+        the file may end in a partial record.
         """
         if self._file is None:
-            raise DiskError(f"{self.folder}: not begun")
+            raise DiskError(f"{self.folder}: no grant log file is open")
         if now_ms - self._began_ms >= self._lifetime_ms:
             self.begin(now_ms, complete_for, None)
         try:
@@ -238,11 +239,11 @@
 
 
 def _decode(records: list[Record]) -> tuple[Head, list[Batch]] | None:
-    """The head and the batches of a file; None where one of them can't be decoded."""
+    """The header and the batches of a file; None if one of them can't be decoded."""
     if not records:
         return None
     try:
-        head = msgspec.json.decode(records[0][1], type=Head)
-        return head, [msgspec.json.decode(content, type=Batch) for _, content in records[1:]]
+        header = msgspec.json.decode(records[0][1], type=Head)
+        return header, [msgspec.json.decode(content, type=Batch) for _, content in records[1:]]
     except msgspec.DecodeError:
         return None
--- a/fawnwharf/replication/grant_storage.py
+++ b/fawnwharf/replication/grant_storage.py
@@ -1,4 +1,4 @@
-"""A replica's grants on disk before they are sent: read at a start, written with each batch of actions."""
+"""Storage of a replica's grants: read at the start, and written before the actions that depend on them."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -19,28 +19,28 @@
 
 
 class GrantStorage(Protocol):
-    """Where a replica's grants are stored before they are sent."""
+    """Stores a replica's grants before they are sent."""
 
-    summary: dict[str, Any]  # for operators
+    summary: dict[str, Any]  # of the grants that were read, for operators
 
     def persist(
         self, actions: list[OwnerAction], later: Callable[[list[OwnerAction]], None]
     ) -> list[OwnerAction]:
-        """The actions whose grants are stored; the others go to `later` once theirs are."""
+        """Return the actions whose grants are stored; pass the others to `later` once theirs are."""
 
     def close(self) -> None:
-        """End storing."""
+        """Close the storage."""
 
 
 class GrantStorageFactory(Protocol):
-    """Something that stores a replica's grants in the place of its own file."""
+    """Opens a grant storage that replaces the replica's own grant log."""
 
     def open_grant_storage(self, core: ReplicationCore, folder: Path | None) -> GrantStorage:
-        """Read what is stored into the core's replica; `folder` is that of its own file."""
+        """Load the stored grants into the core's replica; `folder` is the folder of its own grant log."""
 
 
 class GrantLogStorage:
-    """Owns a replica's grant log; where it can't be written, grants are revoked and no more are given."""
+    """Stores grants in a grant log; if a write fails, revokes its grants and stops granting calls."""
 
     def __init__(
         self,
@@ -49,10 +49,10 @@
         replica: Replica,
         log_event: Callable[[str, dict[str, Any]], None],
     ) -> None:
-        """Read what this replica granted before into its store.
+        """Load the grants that this replica made earlier into its claim store.
 
-        Raises DiskError where the folder can't be used or read; one that only can't be written refuses no
-        start.
+        Raises DiskError if the folder can't be used or read. A folder that is only unwritable does not
+        prevent the start.
         """
         self._core, self._replica, self._log_event = core, replica, log_event
         store, now_ms = replica.claim_store, monotonic_ms()
@@ -84,7 +84,7 @@
         self.log.close()
 
     def _complete_for(self, now_ms: float) -> int:
-        """The membership by which the replica knows all that it granted; INCOMPLETE where it does not."""
+        """The number of the membership for which the replica knows all its grants, else INCOMPLETE."""
         return self._core.placement.number if self._replica.is_complete(now_ms) else INCOMPLETE
 
     def _fail(self, error: DiskError) -> None:
@@ -94,9 +94,9 @@
     def persist(
         self, actions: list[OwnerAction], later: Callable[[list[OwnerAction]], None] | None = None
     ) -> list[OwnerAction]:
-        """Write what the replica granted; the actions, without those grants where that fails.
+        """Write the replica's new grants; returns the actions, without these grants if the write fails.
 
-        All actions may be carried out at once, so `later` gets none.
+        The write completes before this returns, so `later` is never called.
         """
         del later
         store = self._replica.claim_store
@@ -119,9 +119,9 @@
     factory: GrantStorageFactory | None,
     log_event: Callable[[str, dict[str, Any]], None],
 ) -> GrantStorage | None:
-    """Open what grants are stored in; None for memory only, or where this member is no replica.
+    """Open the storage of grants; None if they stay in memory only or this member is not a replica.
 
-    Raises ConfigError where the folder can't be used.
+    Raises ConfigError if the folder can't be used.
     """
     if core.replica is None:
         return None
@@ -136,14 +136,14 @@
 
 
 def _without_own_grant(action: OwnerAction) -> OwnerAction:
-    """An action as it is where what was just granted here does not count."""
+    """The action that replaces this one when the local replica's new grants could not be stored."""
     if isinstance(action, RunCall) and action.claimed:
         return RejectCall(action.key, DISK_PUSHBACK_MS, "grant log failed")
     return without_grant(action)
 
 
 def without_grant(action: OwnerAction) -> OwnerAction:
-    """A replica's reply without its grant; other actions as they are."""
+    """Remove the grant from a replica's reply; other actions stay unchanged."""
     if isinstance(action, Send) and isinstance(action.message, ClaimReply):
         reply = msgspec.structs.replace(action.message, granted=False, complete=False)
         return Send(action.recipients, reply)
--- a/fawnwharf/replication/load_report.py
+++ b/fawnwharf/replication/load_report.py
@@ -16,10 +16,10 @@
 
 MAX_REPORTED_SCORERS, MAX_REPORTED_LOADS, MAX_REPORTED_COPIES = 64, 64, 96
 MAX_COPIES, MAX_LOADS, MAX_SENDS = 1_000, 512, 4_000  # stored; sends by scorer
-MAX_LOAD_MS = 10_000.0  # an order without an answer for so long counts as no load any more
-REFRESH_PART = 1 / 3  # of a copy's lifetime: a proof is reported again so long after the last one
+MAX_LOAD_AGE_MS = 10_000.0  # an order without an answer for so long counts as no load any more
+REFRESH_FRACTION = 1 / 3  # of a copy's lifetime: a proof is reported again so long after the last one
 
-_PROVES_COPIES = (
+_RESULTS_WITH_COPY_COUNT = (
     io.AttemptResult.GOOD,
     io.AttemptResult.FULL,
     io.AttemptResult.ERROR,
@@ -104,7 +104,7 @@
         return set(self._slow_start_until_ms)
 
     @property
-    def loading(self) -> bool:
+    def has_pending_loads(self) -> bool:
         """Whether a load order is in flight."""
         return bool(self._loads_ms)
 
@@ -119,9 +119,9 @@
         """Take what an attempt proved: a good answer proves a copy, a miss that there is none."""
         if result is io.AttemptResult.GOOD:
             known = self._copies.get(location)
-            self._prove(now_ms, location, max(1, known.copies if known else 0))
+            self._record_proof(now_ms, location, max(1, known.copies if known else 0))
         elif result is io.AttemptResult.MISS or warmth is io.Warmth.LOAD_FAILED:
-            self._prove(now_ms, location, 0)
+            self._record_proof(now_ms, location, 0)
 
     def order_sent(self, now_ms: float, location: CopyLocation, copies: int) -> None:
         """Count a load order; one of no copies is a probe."""
@@ -141,15 +141,15 @@
             loads_ms.pop(0)
             if not loads_ms:
                 del self._loads_ms[location]
-        if result in _PROVES_COPIES:
-            self._prove(now_ms, location, copies)
+        if result in _RESULTS_WITH_COPY_COUNT:
+            self._record_proof(now_ms, location, copies)
 
-    def _prove(self, now_ms: float, location: CopyLocation, copies: int) -> None:
+    def _record_proof(self, now_ms: float, location: CopyLocation, copies: int) -> None:
         copy = self._copies.pop(location, None) or _Copy(copies, now_ms)
         copy.copies = min(copies, 1_000)
         copy.proof_ms = now_ms
         self._copies[location] = copy
-        refresh_ms = REFRESH_PART * self.copy_lifetime_ms
+        refresh_ms = REFRESH_FRACTION * self.copy_lifetime_ms
         if copy.reported_copies != copy.copies or now_ms - copy.reported_proof_ms >= refresh_ms:
             self._unreported.pop(location, None)
             self._unreported[location] = None
@@ -198,7 +198,7 @@
     def _pending_loads(self, now_ms: float) -> list[m.PendingLoad]:
         """Load orders in flight, the latest first; those without an answer for long are forgotten."""
         for location, loads_ms in list(self._loads_ms.items()):
-            recent = [sent_ms for sent_ms in loads_ms if now_ms - sent_ms <= MAX_LOAD_MS]
+            recent = [sent_ms for sent_ms in loads_ms if now_ms - sent_ms <= MAX_LOAD_AGE_MS]
             if recent:
                 self._loads_ms[location] = recent
             else:
--- a/fawnwharf/replication/load_report_store.py
+++ b/fawnwharf/replication/load_report_store.py
@@ -12,7 +12,7 @@
 
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.counters import ReplicationCounter
-from fawnwharf.replication.load_report import MAX_LOAD_MS, REFRESH_PART, CopyLocation
+from fawnwharf.replication.load_report import MAX_LOAD_AGE_MS, REFRESH_FRACTION, CopyLocation
 from fawnwharf.replication.replica import front_end_of
 
 MAX_ANSWERED_SCORERS, MAX_ANSWERED_LOADS, MAX_ANSWERED_COPIES = 64, 256, 256
@@ -151,7 +151,7 @@
         # An owner that only had an answer knows of one copy: fewer copies are no change until they are proven
         # again.
         changed = copies > change.copies or (not copies and change.copies)
-        if changed or proof_ms - change.proof_ms >= REFRESH_PART * self.copy_lifetime_ms:
+        if changed or proof_ms - change.proof_ms >= REFRESH_FRACTION * self.copy_lifetime_ms:
             self._last_number += 1
             change.number = self._last_number
             change.copies = copies
@@ -245,7 +245,7 @@
         """The latest load order of each copy, the latest first."""
         loading: dict[CopyLocation, float] = {}
         for since_ms, location, reporter in totals.loading:
-            if reporter != owner and now_ms - since_ms <= MAX_LOAD_MS:
+            if reporter != owner and now_ms - since_ms <= MAX_LOAD_AGE_MS:
                 loading.setdefault(location, since_ms)
         return [
             m.PendingLoad(*location, round(now_ms - since_ms, 1)) for location, since_ms in loading.items()
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -14,7 +14,7 @@
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.load_report import CopyLocation, LoadReporter
 
-GATHER_MS = 4.0  # replicas answer at nearly the same moment: the module gets one event for all
+COALESCE_MS = 4.0  # replicas answer at nearly the same moment: the module gets one event for all
 
 
 class LoadReporting:
@@ -30,7 +30,7 @@
         core.load_reporter = self.reporter
         self._fleet_size = settings.fleet_size
         self._running: _Running | None = None
-        self._gathering = False
+        self._update_planned = False
         self._last_event_ms = 0.0  # when the module last got something
         self._sends_known: bool | None = None
 
@@ -61,7 +61,7 @@
             if isinstance(event, io.RosterChanged) and self._running is not None:
                 unix_ms = self._running.front_end.loop.clock.now_ms()
                 self.reporter.roster_changed(monotonic_ms(), unix_ms, event.entries, complete=event.complete)
-                self._hasten()
+                self._expedite_report()
 
     def sent(self, attempt: Attempt) -> None:
         """Take an attempt that is sent."""
@@ -76,14 +76,14 @@
         """Take a load order, or a probe, that is sent."""
         self.reporter.order_sent(monotonic_ms(), CopyLocation(order.scorer, order.function), order.copies)
         if order.copies:
-            self._hasten()
+            self._expedite_report()
 
     def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None:
         """Take a load order, or a probe, that ended."""
         location = CopyLocation(order.scorer, order.function)
         self.reporter.order_ended(monotonic_ms(), location, order.copies, ending, copies)
         if order.copies:
-            self._hasten()
+            self._expedite_report()
 
     # --- reports ------------------------------------------------------------------------------
 
@@ -99,12 +99,12 @@
             self._log_event("remote load", {"known": known, "front_ends": front_ends})
         settings = self._core.settings
         if now_ms - self._last_event_ms > settings.load_report_lifetime_ms:
-            self._pass_on()  # no replica answers: what the module received is revoked
-        hurried = self.reporter.loading or self.reporter.scorers_in_slow_start(now_ms)
-        interval_ms = settings.slow_start_report_interval_ms if hurried else settings.load_report_interval_ms
+            self._send_updates()  # no replica answers: what the module received is revoked
+        frequent = self.reporter.has_pending_loads or self.reporter.scorers_in_slow_start(now_ms)
+        interval_ms = settings.slow_start_report_interval_ms if frequent else settings.load_report_interval_ms
         self._running.schedule(now_ms + interval_ms, self._report)
 
-    def _hasten(self) -> None:
+    def _expedite_report(self) -> None:
         """Something changed: send the next report after the short interval."""
         if self._running is None:
             return
@@ -115,13 +115,13 @@
 
     def lines_received(self) -> None:
         """Pass on a replica's answer in a moment, where the lines that came have one."""
-        if self._core.remote_loads.answered and not self._gathering and self._running is not None:
-            self._gathering = True
-            self._running.front_end.loop.timers.after(GATHER_MS, self._pass_on)
+        if self._core.remote_loads.answered and not self._update_planned and self._running is not None:
+            self._update_planned = True
+            self._running.front_end.loop.timers.after(COALESCE_MS, self._send_updates)
 
-    def _pass_on(self) -> None:
+    def _send_updates(self) -> None:
         """Give the module what has changed."""
-        self._gathering = self._core.remote_loads.answered = False
+        self._update_planned = self._core.remote_loads.answered = False
         if self._running is not None:
             self._last_event_ms = monotonic_ms()
             for event in self._core.remote_load_events(self._last_event_ms, self.reporter, self._fleet_size):
--- a/fawnwharf/replication/membership_file.py
+++ b/fawnwharf/replication/membership_file.py
@@ -28,7 +28,7 @@
         except SettingsFileError as error:
             raise ConfigError(f"state: {path}: {error}") from None
         self.own_entry: MemberEntry = entry
-        self.own_place: str = entry.replication_address
+        self.own_address: str = entry.replication_address
 
     def _current_stamp(self) -> FileStamp | None:
         try:
@@ -50,6 +50,6 @@
         membership = membership_from(self._path.read_bytes())
         check_members(membership, self._settings)
         entry = membership.find_member(self.own_entry.name)
-        if entry is None or entry.replication_address != self.own_place:
+        if entry is None or entry.replication_address != self.own_address:
             raise SettingsFileError(f"members: {self.own_entry.name} is not as it was")
         return membership
--- a/fawnwharf/replication/outlier_ejection.py
+++ b/fawnwharf/replication/outlier_ejection.py
@@ -28,9 +28,9 @@
 class OutlierEjector:
     """Owns this front end's results of scorers, and which ones are ejected."""
 
-    def __init__(self, latency_objective_ms: float, log_event: LogEvent) -> None:
+    def __init__(self, latency_target_ms: float, log_event: LogEvent) -> None:
         """An answer that takes longer than the latency objective counts as a failure."""
-        self.tracker = FailureTracker(latency_objective_ms)
+        self.tracker = FailureTracker(latency_target_ms)
         self.ejections = OutlierEjections()
         self.ejected_ids: frozenset[str] = frozenset()
         self._log_event = log_event
--- a/fawnwharf/replication/remote_loads.py
+++ b/fawnwharf/replication/remote_loads.py
@@ -21,15 +21,15 @@
 COPY_SPAN_MARGIN_MS = (
     100.0  # older than sends or loads of its scorer by more, a copy is not reported with them
 )
-TURN_PART = (
+TURN_FRACTION = (
     0.4  # of a report's lifetime: a replica that answers nothing, or for few, is replaced after so long
 )
-MAX_MISSING_PART = 0.1  # of the fleet may be missing while sends are taken to be known
+MAX_MISSING_FRACTION = 0.1  # of the fleet may be missing while sends are taken to be known
 
 
-def most_heard(front_ends: int, fleet_size: int) -> bool:
+def covers_fleet(front_ends: int, fleet_size: int) -> bool:
     """Whether what others sent is known: at most a tenth of the fleet is missing."""
-    return fleet_size - front_ends <= MAX_MISSING_PART * fleet_size
+    return fleet_size - front_ends <= MAX_MISSING_FRACTION * fleet_size
 
 
 @dataclass(slots=True)
@@ -88,12 +88,12 @@
         It stays the same while it answers for enough front ends, else the next one of `replicas` takes its
         turn.
         """
-        turn_ms = TURN_PART * self.report_lifetime_ms
+        turn_ms = TURN_FRACTION * self.report_lifetime_ms
         answer = self._answers.get(self._chosen)
         good = (
             answer is not None
             and now_ms - answer.requested_ms <= turn_ms
-            and most_heard(answer.report.front_ends, fleet_size)
+            and covers_fleet(answer.report.front_ends, fleet_size)
         )
         if self._chosen not in replicas or (not good and now_ms - self._chosen_ms > turn_ms):
             index = replicas.index(self._chosen) + 1 if self._chosen in replicas else 0
@@ -150,7 +150,7 @@
     def sends_known(self, now_ms: float, fleet_size: int) -> bool:
         """Whether what the other front ends sent is known."""
         best = self.best_answer(now_ms)
-        return best is not None and most_heard(best.report.front_ends, fleet_size)
+        return best is not None and covers_fleet(best.report.front_ends, fleet_size)
 
     # --- the decision module --------------------------------------------------------------------
 
@@ -159,7 +159,7 @@
     ) -> list[io.RemoteLoadReport]:
         """What the module has to know now, by scorer; `scorers` are those of the roster."""
         best = self.best_answer(now_ms)
-        if best is not None and not most_heard(best.report.front_ends, fleet_size):
+        if best is not None and not covers_fleet(best.report.front_ends, fleet_size):
             best = None
         loading = self._loading(now_ms)
         self._forget_scorers(scorers)
--- a/fawnwharf/replication/replica.py
+++ b/fawnwharf/replication/replica.py
@@ -161,7 +161,7 @@
         if granted:
             self._grant(now_ms, entry, request)
         elif not free:
-            self._let_wait(entry, request)
+            self._add_waiter(entry, request)
         return [self._reply(now_ms, request, entry, granted=granted, complete=may_grant or not free)]
 
     def _grant(self, now_ms: float, entry: CallEntry, request: m.ClaimRequest) -> None:
@@ -170,7 +170,7 @@
         self.claim_store.merge(now_ms, request.key, entry, claim, lifetime_ms)
         entry.waiters.pop(request.owner, None)
 
-    def _let_wait(self, entry: CallEntry, request: m.ClaimRequest) -> None:
+    def _add_waiter(self, entry: CallEntry, request: m.ClaimRequest) -> None:
         """Report to this owner what becomes of the call, where there is space for one more."""
         if request.owner in entry.waiters or len(entry.waiters) < self.settings.limits.max_waiters:
             entry.waiters[request.owner] = request.number
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -16,7 +16,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.call_owner import OwnerAction
 from fawnwharf.replication.claim_gate import ClaimGate
-from fawnwharf.replication.core import LineError, ReplicationCore
+from fawnwharf.replication.core import InvalidLineError, ReplicationCore
 from fawnwharf.replication.counters import ReplicationCounter
 from fawnwharf.replication.directed_log import DirectedLogServer
 from fawnwharf.replication.event_log import EventLog, LogEvent
@@ -33,13 +33,13 @@
 STATUS_INTERVAL_MS = 2_000.0
 MAX_FLUSH_MS = 500.0  # a graceful shutdown waits so long for what is not written yet
 EXTRA_READERS = 16  # of the log beyond the members, for operators
-DEFAULT_LATENCY_OBJECTIVE_MS = 1_000.0  # where there is no class
+DEFAULT_LATENCY_TARGET_MS = 1_000.0  # where there is no class
 
 LogClient = Callable[[float, str, int, Any], None]  # now, sender, its incarnation, the message
 
 
 @dataclass(slots=True)
-class _Host:
+class _RunningParts:
     """What exists while the front end runs."""
 
     front_end: FrontEnd
@@ -87,7 +87,7 @@
         # Called with the time and the name of a member that begins to follow this log.
         self.follower_callbacks: list[Callable[[float, str], None]] = []
         self.log_clients: dict[str, LogClient] = {}  # other subsystems whose messages use these logs, by name
-        self._host: _Host | None = None
+        self._parts: _RunningParts | None = None
         self._timer: Timer | None = None
         self._timer_ms = 0.0
         self._stopped = False
@@ -99,9 +99,9 @@
         if self.settings.quota_shares:
             # The module adds the limits that it gets to the quotas: these are as they were configured.
             self.core.quota_shares = QuotaShares(dict(module_settings.quotas_rps), module_settings.fleet_size)
-        objectives_ms = (spec.latency_target_ms for spec in module_settings.classes.values())
+        targets_ms = (spec.latency_target_ms for spec in module_settings.classes.values())
         self.outlier_ejector = OutlierEjector(
-            min(objectives_ms, default=DEFAULT_LATENCY_OBJECTIVE_MS), self.log_event
+            min(targets_ms, default=DEFAULT_LATENCY_TARGET_MS), self.log_event
         )
         self.load_reporting: LoadReporting | None = None
         if self.settings.load_reports:
@@ -121,13 +121,13 @@
             self._carry_out,
         )
         followed_logs = FollowedLogs(front_end.loop, self._receive_line, self._line_dropped, self._send_hello)
-        self._host = _Host(front_end, gate, log_server, followed_logs)
+        self._parts = _RunningParts(front_end, gate, log_server, followed_logs)
         front_end.client_port.requests = cast(RequestTable, gate)  # the gate stands in for the table
         self._follow_logs()
         self._check_files()
         self._publish_status()
         reports = PeriodicReports(self.core, front_end, self.outlier_ejector, self._carry_out)
-        self._host.periodic_reports = reports
+        self._parts.periodic_reports = reports
         reports.begin()
         if self.load_reporting:
             self.load_reporting.attach(front_end, self._carry_out)
@@ -135,7 +135,7 @@
         self._event_log.started(self.core, self.grant_storage)
 
     def _listen(self, front_end: FrontEnd) -> DirectedLogServer:
-        place = self.settings.listen or self._membership_file.own_place
+        place = self.settings.listen or self._membership_file.own_address
         max_readers = len(self.core.membership.members) + EXTRA_READERS
         try:
             server = DirectedLogServer(
@@ -151,19 +151,19 @@
         self._stopped = True
         if self.load_reporting:
             self.load_reporting.close()
-        if self._host:
-            if self._host.periodic_reports:
-                self._host.periodic_reports.close()
-            self._host.followed_logs.close()
-            self._host.log_server.close()
+        if self._parts:
+            if self._parts.periodic_reports:
+                self._parts.periodic_reports.close()
+            self._parts.followed_logs.close()
+            self._parts.log_server.close()
         if self.grant_storage:
             self.grant_storage.close()
 
     @property
-    def _running(self) -> _Host:
-        if self._host is None:
+    def _running(self) -> _RunningParts:
+        if self._parts is None:
             raise RuntimeError("replication: not attached to a front end")
-        return self._host
+        return self._parts
 
     @property
     def gate(self) -> ClaimGate:
@@ -192,7 +192,7 @@
         if self._idle_since_ms is None:
             self._idle_since_ms = monotonic_ms()
         idle_ms = monotonic_ms() - self._idle_since_ms
-        return idle_ms < MAX_FLUSH_MS and self._running.log_server.unwritten()
+        return idle_ms < MAX_FLUSH_MS and self._running.log_server.has_unsent_bytes()
 
     # --- other subsystems ---------------------------------------------------------------------
 
@@ -209,7 +209,7 @@
 
     def live_members(self, now_ms: float) -> dict[str, int]:
         """Members whose logs are followed here and were heard lately, with their incarnations."""
-        self._record_signs_of_life()
+        self._record_heartbeats()
         timeout_ms = self.settings.silence_timeout_ms
         return {
             name: incarnation
@@ -217,10 +217,10 @@
             if now_ms - heard_ms <= timeout_ms
         }
 
-    def _record_signs_of_life(self) -> None:
-        if self._host is None:
+    def _record_heartbeats(self) -> None:
+        if self._parts is None:
             return
-        for name, incarnation, heard_ms in self._host.followed_logs.signs_of_life():
+        for name, incarnation, heard_ms in self._parts.followed_logs.heartbeats():
             self.core.record_sign_of_life(heard_ms, name, incarnation)
 
     def _deliver_client_messages(self) -> None:
@@ -255,7 +255,7 @@
         if self._stopped:
             return
         now_ms = monotonic_ms()
-        self._record_signs_of_life()
+        self._record_heartbeats()
         self._carry_out(self.core.tick(now_ms))
         if self.core.replica is not None:
             self._event_log.replica_checked(now_ms, self.core.replica)
@@ -299,25 +299,25 @@
             if member.replication_address and member.name in names and member.name != self.member.name
         }
         for name in self._running.followed_logs.follow(places):
-            self._running.log_server.forget(name)
+            self._running.log_server.withdraw_hello(name)
 
     def _receive_line(self, name: str, line: Any) -> None:
         """Take a line of a member's log; raises LineError for what no member writes."""
         try:
             actions = self.core.receive_line(monotonic_ms(), name, line)
-        except LineError:
+        except InvalidLineError:
             self.core.counts[ReplicationCounter.MALFORMED_LINES] += 1
             raise
-        for sender, reader_number in self.core.greetings:
-            self._running.log_server.identify(sender, reader_number)
-        self.core.greetings.clear()
+        for sender, reader_number in self.core.received_hellos:
+            self._running.log_server.register_reader(sender, reader_number)
+        self.core.received_hellos.clear()
         self._carry_out(actions)
         if self.load_reporting:
             self.load_reporting.lines_received()
 
     def _send_hello(self, name: str, reader_number: int) -> None:
         line = self.core.log_line(m.Send((name,), m.Hello(reader_number)))
-        self._running.log_server.greet(name, msgspec.to_builtins(line))
+        self._running.log_server.publish_hello(name, msgspec.to_builtins(line))
 
     def _notify_follower(self, name: str) -> None:
         for callback in self.follower_callbacks:
@@ -333,11 +333,11 @@
         if self._stopped:
             return
         if self._membership_file.changed():
-            self._take_membership()
-        self._running.followed_logs.tidy()
+            self._reload_membership()
+        self._running.followed_logs.run_maintenance()
         self._running.front_end.loop.timers.after(FILE_CHECK_INTERVAL_MS, self._check_files)
 
-    def _take_membership(self) -> None:
+    def _reload_membership(self) -> None:
         try:
             membership = self._membership_file.read()
         except (OSError, SettingsFileError) as error:
--- a/fawnwharf/replication/usage.py
+++ b/fawnwharf/replication/usage.py
@@ -17,9 +17,9 @@
 MIN_RATE_SPAN_MS = 500.0  # a rate is taken over no less
 COUNTERS_LIFETIME_MS = 2_000.0  # an owner that is silent for longer has no rate
 # The part of an equal share that a front end may use at the least, as its calls can come at any moment.
-MIN_SHARE_PART = 0.25
-MIN_CHANGE = 0.03  # a share that changes by a smaller part stays as it is
-OWN_ID = "me#0"
+MIN_SHARE_FRACTION = 0.25
+MIN_CHANGE_FRACTION = 0.03  # a share that changes by a smaller part stays as it is
+OWN_OWNER_ID = "me#0"
 
 
 @dataclass(slots=True)
@@ -95,7 +95,7 @@
         share_rps = quota_rps * own_rps / demand_rps
     else:
         share_rps = own_rps + (quota_rps - demand_rps) / front_ends
-    return max(MIN_SHARE_PART * equal_rps, share_rps)
+    return max(MIN_SHARE_FRACTION * equal_rps, share_rps)
 
 
 class QuotaShares:
@@ -136,7 +136,7 @@
         """The counters, to be sent to the replicas."""
         self.number += 1
         counters = m.UsageCounters(self.number, dict(self.counts))
-        self._own.receive(now_ms, OWN_ID, counters)
+        self._own.receive(now_ms, OWN_OWNER_ID, counters)
         return counters
 
     def receive(self, now_ms: float, replica: str, rates: m.UsageRates) -> None:
@@ -157,6 +157,6 @@
             share_rps = quota_share(
                 quota_rps, self.fleet_size, own.get(tenant, 0.0), best.rates.get(tenant, 0.0), best.front_ends
             )
-            if abs(share_rps - self.shares_rps[tenant]) > MIN_CHANGE * self.shares_rps[tenant]:
+            if abs(share_rps - self.shares_rps[tenant]) > MIN_CHANGE_FRACTION * self.shares_rps[tenant]:
                 self.shares_rps[tenant] = changed[tenant] = share_rps
         return changed
--- a/tests/replication/test_replication_faults.py
+++ b/tests/replication/test_replication_faults.py
@@ -9,7 +9,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.call_owner import CallProgress, RunCall
 from fawnwharf.replication.claims import Claim, ClaimPhase
-from fawnwharf.replication.core import LineError, ReplicationCore
+from fawnwharf.replication.core import InvalidLineError, ReplicationCore
 from fawnwharf.replication.grant_log import GrantLog
 from fawnwharf.testbed.promises import STORM, Walk, Weather
 
@@ -148,7 +148,7 @@
     replica = cores.keepers[0]
     sender = "n1" if replica != "n1" else cores.keepers[1]
     line = {"fleet": "f", "sender": "n1", "life": 1, "to": [replica], "say": say}
-    with pytest.raises(LineError):
+    with pytest.raises(InvalidLineError):
         cores.cores[replica].receive_line(cores.now, sender, line)
     assert cores.cores[replica].replica.claim_store.calls == {}
 
--- a/tests/replication/test_replication_load_reporting.py
+++ b/tests/replication/test_replication_load_reporting.py
@@ -110,15 +110,15 @@
         feeds[-1].connect()
 
     try:
-        follow(b, told.append, lambda asked: a.greet("b", {"asked": asked}))
+        follow(b, told.append, lambda asked: a.publish_hello("b", {"asked": asked}))
         until(lambda: any(reader.since is not None for reader in b.readers))
-        follow(a, lambda line: b.identify("a", line["asked"]), lambda _asked: None)
+        follow(a, lambda line: b.register_reader("a", line["asked"]), lambda _asked: None)
         until(lambda: "a" in b._names.values())
         b.send({"n": 1}, ("c",))
         b.send({"n": 2}, ("a",))
         until(lambda: told)
         assert told == [{"n": 2}]
-        a.forget("b")
+        a.withdraw_hello("b")
         assert a._current_lines == {}
     finally:
         for part in (*feeds, a, b, loop):
--- a/tests/replication/test_replication_load_reports.py
+++ b/tests/replication/test_replication_load_reports.py
@@ -37,7 +37,7 @@
     reporter = own()
     reporter.order_sent(0.0, CopyLocation(1, "f"), 0)
     assert reporter.next_report(1.0, {}).loading == ()
-    assert not reporter.loading
+    assert not reporter.has_pending_loads
     reporter.order_sent(10.0, CopyLocation(1, "f"), 1)
     reporter.order_sent(20.0, CopyLocation(2, "f"), 2)
     assert reporter.next_report(30.0, {}).loading == (
@@ -50,7 +50,7 @@
     assert report.loading == (m.PendingLoad(1, "f", 50.0),)
     assert set(report.copies) == {m.ProvenCopy(2, "f", 2, 10.0), m.ProvenCopy(1, "f", 0, 20.0)}
     assert reporter.next_report(10_011.0, {}).loading == ()
-    assert not reporter.loading
+    assert not reporter.has_pending_loads
 
 
 def test_copies_are_reported_on_change_and_after_a_third_of_their_lifetime():
--- a/tests/replication/test_replication_remote_loads.py
+++ b/tests/replication/test_replication_remote_loads.py
@@ -10,7 +10,7 @@
 from fawnwharf.replication import settings as s
 from fawnwharf.replication.load_report import CopyLocation
 from fawnwharf.replication.load_report_store import LoadReportStore
-from fawnwharf.replication.remote_loads import RemoteLoads, most_heard
+from fawnwharf.replication.remote_loads import RemoteLoads, covers_fleet
 from fawnwharf.zones.settings import SettingsFileError
 
 GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
@@ -28,9 +28,9 @@
 
 
 def test_sends_are_known_only_while_nearly_all_front_ends_report():
-    assert [n for n in range(13) if most_heard(n, 12)] == [11, 12]
-    assert not most_heard(5, 6)
-    assert most_heard(27, 30)
+    assert [n for n in range(13) if covers_fleet(n, 12)] == [11, 12]
+    assert not covers_fleet(5, 6)
+    assert covers_fleet(27, 30)
     remote_loads = asked(1, 2, 3, 4)
     assert remote_loads.changes(0.0, {7}, {7, 8}, 6) == []
     remote_loads.receive("k", 1, others(1, 5, {"7": 4, "8": 9}))
--- a/tests/replication/test_replication_usage.py
+++ b/tests/replication/test_replication_usage.py
@@ -10,7 +10,7 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.failure_reports import FailureReportStore, FailureTracker, OutlierEjections
 from fawnwharf.replication.outlier_ejection import OutlierEjector, excluding
-from fawnwharf.replication.usage import MIN_SHARE_PART, QuotaShares, UsageTable, quota_share
+from fawnwharf.replication.usage import MIN_SHARE_FRACTION, QuotaShares, UsageTable, quota_share
 
 # --- use ----------------------------------------------------------------------------------------
 
@@ -47,13 +47,16 @@
     total, fronts = sum(asked), len(asked)
     shares = [quota_share(quota, fronts, own_rps, total, fronts) for own_rps in asked]
     floors = (
-        sum(MIN_SHARE_PART * quota / fronts >= got - 1e-9 for got in shares) * MIN_SHARE_PART * quota / fronts
+        sum(MIN_SHARE_FRACTION * quota / fronts >= got - 1e-9 for got in shares)
+        * MIN_SHARE_FRACTION
+        * quota
+        / fronts
     )
     assert sum(shares) <= quota + floors + 1e-6
     if total <= quota:  # nobody is short
         assert all(got >= own_rps - 1e-6 for got, own_rps in zip(shares, asked, strict=True))
         assert sum(shares) >= quota - 1e-6
-    assert min(shares) >= MIN_SHARE_PART * quota / fronts - 1e-9
+    assert min(shares) >= MIN_SHARE_FRACTION * quota / fronts - 1e-9
 
 
 def test_a_share_is_equal_while_few_report_and_by_rate_when_most_do():
