--- a/fawnwharf/replication/load_report.py
+++ b/fawnwharf/replication/load_report.py
@@ -1,8 +1,8 @@
-"""What one incarnation of one front end reports of its load. Pure; times are of the monotonic clock.
+"""The load that one incarnation of a front end reports. No I/O; times are of the monotonic clock.
 
-Reported are sends to scorers in slow start, load orders in flight, and copies that answers proved. Of sends
-and loads a report has all there is, so that a later report replaces an earlier one; of copies it has those
-that changed, or were reported long ago.
+A report has the sends to scorers in slow start, the load orders in flight, and copies that answers proved.
+Sends and loads are complete in each report, so a later report replaces an earlier one. Of the copies, a
+report has only those that changed or whose last report is old.
 """
 
 import math
@@ -15,19 +15,19 @@
 from fawnwharf.replication import messages as m
 
 MAX_REPORTED_SCORERS, MAX_REPORTED_LOADS, MAX_REPORTED_COPIES = 64, 64, 96
-MAX_COPIES, MAX_LOADS, MAX_SENDS = 1_000, 512, 4_000  # stored; sends by scorer
-MAX_LOAD_AGE_MS = 10_000.0  # an order without an answer for so long counts as no load any more
-REFRESH_FRACTION = 1 / 3  # of a copy's lifetime: a proof is reported again so long after the last one
+MAX_COPIES, MAX_LOADS, MAX_SENDS = 1_000, 512, 4_000  # stored; sends are limited per scorer
+MAX_LOAD_AGE_MS = 10_000.0  # older unanswered load orders no longer count as loads in flight
+REFRESH_FRACTION = 1 / 3  # of a copy's lifetime, after which a repeated proof is reported again
 
 _RESULTS_WITH_COPY_COUNT = (
     io.AttemptResult.GOOD,
     io.AttemptResult.FULL,
     io.AttemptResult.ERROR,
-)  # results of an order whose answer counts copies
+)  # results of load orders whose answers state the number of copies
 
 
 class CopyLocation(NamedTuple):
-    """A function at a scorer."""
+    """A scorer and a function of which it may have copies."""
 
     scorer: int
     function: str
@@ -43,26 +43,26 @@
 
 @dataclass(slots=True)
 class LoadReporter:
-    """The load of one owner, as the request table sees it begin and end."""
+    """Collects the load of one owner from events of the request table, and makes reports of it."""
 
     slow_start_ms: float
     send_window_ms: float
     copy_lifetime_ms: float
-    number: int = 0  # of the last report
-    omitted: int = 0  # copies and loads beyond the limits of a report, in total
+    number: int = 0  # the number of the last report
+    omitted: int = 0  # total of copies and loads beyond the limits of a report
     scorers: set[int] = field(default_factory=set)  # in the roster
     _slow_start_until_ms: dict[int, float] = field(default_factory=dict)
     _sends_ms: dict[int, deque[float]] = field(default_factory=dict)
-    _loads_ms: dict[CopyLocation, list[float]] = field(default_factory=dict)  # when each order was sent
-    _copies: dict[CopyLocation, _Copy] = field(default_factory=dict)  # the latest proof last
+    _loads_ms: dict[CopyLocation, list[float]] = field(default_factory=dict)  # send times of the orders
+    _copies: dict[CopyLocation, _Copy] = field(default_factory=dict)  # ordered by proof, latest last
     _unreported: dict[CopyLocation, None] = field(default_factory=dict)
 
-    # --- what happens -------------------------------------------------------------------------
+    # --- events -------------------------------------------------------------------------------
 
     def roster_changed(
         self, now_ms: float, unix_ms: float, entries: Iterable[io.ScorerEntry], *, complete: bool
     ) -> None:
-        """Take scorers as the decision module gets them; `unix_ms` is now by the clock of their starts."""
+        """Handle a roster change; `unix_ms` is the current time on the clock of the scorers' start times."""
         entries = list(entries)
         if complete:
             self._remove_scorers(self.scorers - {entry.scorer for entry in entries})
@@ -97,7 +97,7 @@
         self._unreported.pop(location, None)
 
     def scorers_in_slow_start(self, now_ms: float) -> set[int]:
-        """Scorers that started within `slow_start_ms`."""
+        """The scorers that started less than `slow_start_ms` ago."""
         for scorer in [scorer for scorer, until in self._slow_start_until_ms.items() if until <= now_ms]:
             del self._slow_start_until_ms[scorer]
             self._sends_ms.pop(scorer, None)
@@ -109,14 +109,14 @@
         return bool(self._loads_ms)
 
     def attempt_sent(self, now_ms: float, scorer: int) -> None:
-        """Count a send to a scorer in slow start."""
+        """Record a send if the scorer is in slow start."""
         if self._slow_start_until_ms.get(scorer, -math.inf) > now_ms:
             self._sends_ms.setdefault(scorer, deque(maxlen=MAX_SENDS)).append(now_ms)
 
     def attempt_ended(
         self, now_ms: float, location: CopyLocation, result: io.AttemptResult, warmth: io.Warmth
     ) -> None:
-        """Take what an attempt proved: a good answer proves a copy, a miss that there is none."""
+        """Record what an attempt proved: a good answer proves a copy, a miss proves that there is none."""
         if result is io.AttemptResult.GOOD:
             known = self._copies.get(location)
             self._record_proof(now_ms, location, max(1, known.copies if known else 0))
@@ -124,7 +124,7 @@
             self._record_proof(now_ms, location, 0)
 
     def order_sent(self, now_ms: float, location: CopyLocation, copies: int) -> None:
-        """Count a load order; one of no copies is a probe."""
+        """Record a load order; an order of no copies is a probe and is not recorded."""
         if copies and len(self._loads_ms) < MAX_LOADS:
             self._loads_ms.setdefault(location, []).append(now_ms)
 
@@ -136,7 +136,7 @@
         result: io.AttemptResult,
         copies: int,
     ) -> None:
-        """Take an order's answer, which has the number of copies there are now."""
+        """Record the end of an order; its answer states the current number of copies."""
         if ordered_copies and (loads_ms := self._loads_ms.get(location)):
             loads_ms.pop(0)
             if not loads_ms:
@@ -161,10 +161,9 @@
     def next_report(
         self, now_ms: float, last_answers: dict[str, int], full_answer_from: str = "", since: int = 0
     ) -> m.LoadReport:
-        """The next report, which names the last answer of each replica.
+        """Make the next report, which names the last answer from each replica.
 
-        `full_answer_from` is the replica that is to answer with all that has changed since its answer
-        `since`.
+        `full_answer_from` is the replica asked to answer with all changes since its answer `since`.
         """
         self.number += 1
         sent = self._recent_sends(now_ms)
@@ -185,7 +184,7 @@
         )
 
     def _recent_sends(self, now_ms: float) -> dict[int, int]:
-        """How many sends each scorer in slow start got within the window."""
+        """The number of sends to each scorer in slow start within the window."""
         slow_start = self.scorers_in_slow_start(now_ms)
         sent: dict[int, int] = {}
         for scorer, times_ms in self._sends_ms.items():
@@ -196,7 +195,7 @@
         return sent
 
     def _pending_loads(self, now_ms: float) -> list[m.PendingLoad]:
-        """Load orders in flight, the latest first; those without an answer for long are forgotten."""
+        """The load orders in flight, latest first; drops orders older than MAX_LOAD_AGE_MS."""
         for location, loads_ms in list(self._loads_ms.items()):
             recent = [sent_ms for sent_ms in loads_ms if now_ms - sent_ms <= MAX_LOAD_AGE_MS]
             if recent:
@@ -207,7 +206,7 @@
         return [m.PendingLoad(*location, round(now_ms - sent_ms, 1)) for sent_ms, location in latest]
 
     def _take_unreported(self, now_ms: float) -> tuple[m.ProvenCopy, ...]:
-        """Copies to report, the latest first; the rest has to wait, and old proofs are dropped."""
+        """The copies to report now, latest first; the rest waits. Expired proofs are dropped."""
         found: list[m.ProvenCopy] = []
         for location in list(reversed(self._unreported)):
             copy = self._copies[location]
--- a/fawnwharf/replication/load_report_store.py
+++ b/fawnwharf/replication/load_report_store.py
@@ -1,8 +1,9 @@
-"""A replica's store of all owners' load reports, and its answers to them. Pure.
+"""A replica's store of all owners' load reports, and its answers to them. No I/O.
 
-No clock is compared with another one, and no time is taken from when a line arrived. A report names the last
-answer that its owner had received, so it was made after that answer was sent; an answer names the report that
-it answers. The earlier moment counts, by the own clock: a delayed line only seems older than it is.
+Clocks of different front ends are never compared, and arrival times of lines are not used. A report names the
+last answer that its owner received, so it was made after the replica sent that answer. An answer names the
+report that it answers. Each side dates a message by the time at which it sent the named one, on its own
+clock, so a delayed line only seems older than it is.
 """
 
 import math
@@ -16,16 +17,16 @@
 from fawnwharf.replication.replica import front_end_of
 
 MAX_ANSWERED_SCORERS, MAX_ANSWERED_LOADS, MAX_ANSWERED_COPIES = 64, 256, 256
-MAX_INCARNATIONS = 2  # of one front end
-MAX_COPY_OWNERS = 2  # of one copy; an answer leaves out its owner's own, so one more is never needed
-MAX_LOCATIONS = 8_000  # of copies
-MAX_NAMED_ANSWERS = 32  # that an owner's report may name
+MAX_INCARNATIONS = 2  # stored of one front end
+MAX_COPY_OWNERS = 2  # stored of one copy: an answer omits its recipient's own proof, so two always suffice
+MAX_LOCATIONS = 8_000  # copy locations
+MAX_NAMED_ANSWERS = 32  # the latest answers that an owner's report may name
 TOTALS_VALID_MS = 20.0
 MIN_ANSWER_INTERVAL_MS = 5.0  # between two answers to one owner
 
 
 class CopyProof(NamedTuple):
-    """What one owner reported last of a copy."""
+    """The last proof of a copy that one owner reported."""
 
     report_number: int
     copies: int
@@ -34,16 +35,16 @@
 
 @dataclass(slots=True)
 class OwnerReport:
-    """What one owner has reported: sends and loads of the latest report, copies by location."""
+    """The state that one owner reported: sends and loads of the latest report, and copies by location."""
 
     number: int = 0
-    made_ms: float = -math.inf  # the report was not made earlier
+    made_ms: float = -math.inf  # the earliest time at which the report can have been made
     sent: dict[str, int] = field(default_factory=dict)
-    loading: tuple[tuple[CopyLocation, float], ...] = ()  # since when
+    loading: tuple[tuple[CopyLocation, float], ...] = ()  # with start times
     copies: dict[CopyLocation, CopyProof] = field(default_factory=dict)
 
     def merge(self, report: m.LoadReport, made_ms: float) -> list[CopyLocation]:
-        """Take a report made at `made_ms` or later; the locations of copies of which it has later proofs."""
+        """Merge a report made at `made_ms` or later; returns the locations of copies with newer proofs."""
         if report.number > self.number:
             self.number = report.number
             self.made_ms = made_ms
@@ -63,19 +64,19 @@
 
 @dataclass(slots=True)
 class _Totals:
-    """All owners' reports at one moment."""
+    """The sums of all owners' reports at one time."""
 
     at_ms: float
     sent_by_owner: dict[str, dict[str, int]] = field(default_factory=dict)
     sent: dict[str, int] = field(default_factory=dict)
-    made: list[tuple[float, str]] = field(default_factory=list)  # time and owner, the oldest first
-    loading: list[tuple[float, CopyLocation, str]] = field(default_factory=list)  # the latest first
+    made: list[tuple[float, str]] = field(default_factory=list)  # time and owner, oldest first
+    loading: list[tuple[float, CopyLocation, str]] = field(default_factory=list)  # latest first
     front_ends: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class _CopyChange:
-    """Who reported a copy, and what was its last change worth an answer."""
+    """The owners that reported a copy, and its last change that answers must include."""
 
     owners: set[str] = field(default_factory=set)
     number: int = 0
@@ -84,25 +85,25 @@
 
 
 class LoadReportStore:
-    """The latest report of each owner."""
+    """Stores the latest report of each owner, and answers reports."""
 
     def __init__(self, report_lifetime_ms: float, copy_lifetime_ms: float, first_number: int) -> None:
-        """Answers are numbered from `first_number`, another one in each incarnation of this replica.
+        """Number the answers from `first_number`, which differs in each incarnation of the replica.
 
-        So a report that names an answer of an earlier incarnation names none of this one.
+        A report that names an answer of an earlier incarnation then matches no answer of this one.
         """
         self.report_lifetime_ms, self.copy_lifetime_ms = report_lifetime_ms, copy_lifetime_ms
         self.owners: dict[str, OwnerReport] = {}
         self.counts: Counter[ReplicationCounter] = Counter()
-        self._answers: dict[str, deque[tuple[int, float]]] = {}  # number and time of those to each owner
-        self._changes: dict[CopyLocation, _CopyChange] = {}  # the latest change last
-        self._last_number = first_number  # of an answer or a change
+        self._answers: dict[str, deque[tuple[int, float]]] = {}  # number and send time, by owner
+        self._changes: dict[CopyLocation, _CopyChange] = {}  # ordered by change, latest last
+        self._last_number = first_number  # of the last answer or change
         self._totals: _Totals | None = None
 
     def receive(
         self, now_ms: float, replica: str, owner: str, report: m.LoadReport
     ) -> m.RemoteLoadReport | None:
-        """Take an owner's report and answer it, unless they come too often; `replica` is this one's name."""
+        """Store an owner's report and answer it unless reports are too frequent; `replica` is this one."""
         self._remove_old(now_ms, owner)
         made_ms = self._made_ms(replica, owner, report)
         if made_ms is None:
@@ -118,12 +119,12 @@
         acknowledgement = m.RemoteLoadReport(report.number, int(owner.partition("#")[2]), self._last_number)
         if report.full_answer_from != replica:
             return acknowledgement
-        # A later number is one of another incarnation's answers.
+        # A larger number belongs to an answer of another incarnation.
         since = report.since if report.since < self._last_number else 0
         return self._full_answer(now_ms, owner, acknowledgement, since)
 
     def _made_ms(self, replica: str, owner: str, report: m.LoadReport) -> float | None:
-        """Before when the report was not made; None where it names no known answer."""
+        """The earliest time at which the report can have been made; None if it names no known answer."""
         named = report.last_answers.get(replica)
         answers = reversed(self._answers.get(owner, ()))
         return next((sent_ms for number, sent_ms in answers if number == named), None)
@@ -140,7 +141,7 @@
                 self._remove_copy(location, name)
 
     def _record_change(self, owner: str, location: CopyLocation) -> None:
-        """Note a copy that an owner reported, and whether the others are to know of it."""
+        """Record a copy that an owner reported, as a change if the other owners must be told."""
         change = self._changes.setdefault(location, _CopyChange())
         change.owners.add(owner)
         if len(change.owners) > MAX_COPY_OWNERS:
@@ -148,8 +149,8 @@
                 location, min(change.owners, key=lambda name: self.owners[name].copies[location].proof_ms)
             )
         proof_ms, copies = self._latest_proof(location, change.owners)
-        # An owner that only had an answer knows of one copy: fewer copies are no change until they are proven
-        # again.
+        # A good answer to a call proves only one copy, so a smaller number is not a change until the refresh
+        # interval has passed. Zero copies always are.
         changed = copies > change.copies or (not copies and change.copies)
         if changed or proof_ms - change.proof_ms >= REFRESH_FRACTION * self.copy_lifetime_ms:
             self._last_number += 1
@@ -159,7 +160,7 @@
             self._changes[location] = self._changes.pop(location)
 
     def _latest_proof(self, location: CopyLocation, owners: set[str]) -> tuple[float, int]:
-        """Time and copies of the latest proof by these owners; the larger count of two at one time."""
+        """Time and copies of the latest proof by these owners; the larger number if the times are equal."""
         proofs = [self.owners[owner].copies[location] for owner in owners]
         return max(((proof.proof_ms, proof.copies) for proof in proofs), default=(-math.inf, 0))
 
@@ -171,7 +172,7 @@
                 del self._changes[location]
 
     def _remove_old(self, now_ms: float, owner: str) -> None:
-        """Remove silent owners, and incarnations of this owner's front end beyond the last two."""
+        """Remove silent owners, and all but the latest incarnations of this owner's front end."""
         totals = self._totals
         if totals is not None and now_ms - totals.at_ms < TOTALS_VALID_MS and owner in self._answers:
             return
@@ -192,7 +193,7 @@
     # --- answers ------------------------------------------------------------------------------
 
     def _current_totals(self, now_ms: float) -> _Totals:
-        """The totals over all owners, computed again after TOTALS_VALID_MS."""
+        """The totals over all owners, recomputed after TOTALS_VALID_MS."""
         if self._totals is not None and 0.0 <= now_ms - self._totals.at_ms < TOTALS_VALID_MS:
             return self._totals
         totals = self._totals = _Totals(now_ms)
@@ -212,7 +213,7 @@
     def _full_answer(
         self, now_ms: float, owner: str, acknowledgement: m.RemoteLoadReport, since: int
     ) -> m.RemoteLoadReport:
-        """What all other owners have reported; of copies, what has changed since an answer."""
+        """The reports of all other owners; of the copies, those that changed since the answer `since`."""
         totals = self._current_totals(now_ms)
         sent = self._sent_by_others(totals, owner)
         loading = self._loading_by_others(now_ms, totals, owner)
@@ -235,14 +236,14 @@
 
     @staticmethod
     def _sent_by_others(totals: _Totals, owner: str) -> list[tuple[str, int]]:
-        """Scorers and sends, the most first."""
+        """Scorers and the number of sends to each, most sends first."""
         own = totals.sent_by_owner.get(owner, {})
         others = ((scorer, count - own.get(scorer, 0)) for scorer, count in totals.sent.items())
         return sorted((item for item in others if item[1]), key=lambda item: -item[1])
 
     @staticmethod
     def _loading_by_others(now_ms: float, totals: _Totals, owner: str) -> list[m.PendingLoad]:
-        """The latest load order of each copy, the latest first."""
+        """The latest load order for each location, latest first."""
         loading: dict[CopyLocation, float] = {}
         for since_ms, location, reporter in totals.loading:
             if reporter != owner and now_ms - since_ms <= MAX_LOAD_AGE_MS:
@@ -252,7 +253,7 @@
         ]
 
     def _changed_copies(self, now_ms: float, owner: str, since: int) -> tuple[list[m.ProvenCopy], int]:
-        """Copies that changed since an answer, as the others proved them, and how many were omitted."""
+        """Copies that changed since an answer, as proven by other owners, and the number of omitted ones."""
         found: list[m.ProvenCopy] = []
         omitted = 0
         for location, change in reversed(self._changes.items()):
--- a/fawnwharf/replication/load_reporting.py
+++ b/fawnwharf/replication/load_reporting.py
@@ -1,4 +1,4 @@
-"""Load reports in a running front end: what the request table sees, when it is sent, what the module gets.
+"""Load reporting in a running front end: collects events, times the reports, and updates the module.
 
 The logic is in `load_report.py`, `load_report_store.py` and `remote_loads.py`.
 """
@@ -14,16 +14,16 @@
 from fawnwharf.replication.core import ReplicationCore
 from fawnwharf.replication.load_report import CopyLocation, LoadReporter
 
-COALESCE_MS = 4.0  # replicas answer at nearly the same moment: the module gets one event for all
+COALESCE_MS = 4.0  # replicas answer at nearly the same time, so their answers are passed on together
 
 
 class LoadReporting:
-    """Owns the timing of load reports; an observer of the front end's request table."""
+    """Times the load reports; an observer of the front end's request table."""
 
     def __init__(
         self, core: ReplicationCore, settings: io.Settings, log_event: Callable[[str, dict[str, Any]], None]
     ) -> None:
-        """Switches load reports on in this core."""
+        """Enable load reports in this core."""
         self._core, self._log_event = core, log_event
         copy_lifetime_ms = min(core.settings.copy_lifetime_ms, settings.idle_life_ms / 2)
         self.reporter = LoadReporter(settings.slow_start_ms, settings.slow_start_window_ms, copy_lifetime_ms)
@@ -31,11 +31,11 @@
         self._fleet_size = settings.fleet_size
         self._running: _Running | None = None
         self._update_planned = False
-        self._last_event_ms = 0.0  # when the module last got something
+        self._last_event_ms = 0.0  # when the module was last updated
         self._sends_known: bool | None = None
 
     def attach(self, front_end: FrontEnd, carry_out: Callable[[list[OwnerAction]], None]) -> None:
-        """Begin, on the front end's loop."""
+        """Start reporting on the front end's loop."""
         self._running = _Running(front_end, carry_out)
         front_end.requests.observer = self
         entries = [
@@ -47,16 +47,16 @@
         self._report()
 
     def close(self) -> None:
-        """End reporting."""
+        """Stop reporting."""
         if self._running is not None:
             self._running.front_end.requests.observer = None
             self._running.cancel()
             self._running = None
 
-    # --- what the front end and its request table see -----------------------------------------
+    # --- observed events ----------------------------------------------------------------------
 
     def events(self, events: list[io.Event]) -> None:
-        """Take changes of the roster."""
+        """Handle roster changes."""
         for event in events:
             if isinstance(event, io.RosterChanged) and self._running is not None:
                 unix_ms = self._running.front_end.loop.clock.now_ms()
@@ -64,22 +64,22 @@
                 self._expedite_report()
 
     def sent(self, attempt: Attempt) -> None:
-        """Take an attempt that is sent."""
+        """Record an attempt that was sent."""
         self.reporter.attempt_sent(monotonic_ms(), attempt.scorer)
 
     def ended(self, attempt: Attempt, ending: io.AttemptResult, warmth: io.Warmth) -> None:
-        """Take an attempt that ended."""
+        """Record an attempt that ended."""
         location = CopyLocation(attempt.scorer, attempt.function)
         self.reporter.attempt_ended(monotonic_ms(), location, ending, warmth)
 
     def ordered(self, order: LoadOrder) -> None:
-        """Take a load order, or a probe, that is sent."""
+        """Record a load order or probe that was sent."""
         self.reporter.order_sent(monotonic_ms(), CopyLocation(order.scorer, order.function), order.copies)
         if order.copies:
             self._expedite_report()
 
     def order_ended(self, order: LoadOrder, ending: io.AttemptResult, copies: int) -> None:
-        """Take a load order, or a probe, that ended."""
+        """Record a load order or probe that ended."""
         location = CopyLocation(order.scorer, order.function)
         self.reporter.order_ended(monotonic_ms(), location, order.copies, ending, copies)
         if order.copies:
@@ -88,7 +88,7 @@
     # --- reports ------------------------------------------------------------------------------
 
     def _report(self) -> None:
-        """Send the next report, and plan the one after it."""
+        """Send the next report and schedule the one after it."""
         if self._running is None:
             return
         now_ms = self._running.reported_ms = monotonic_ms()
@@ -99,13 +99,13 @@
             self._log_event("remote load", {"known": known, "front_ends": front_ends})
         settings = self._core.settings
         if now_ms - self._last_event_ms > settings.load_report_lifetime_ms:
-            self._send_updates()  # no replica answers: what the module received is revoked
+            self._send_updates()  # no replica answers: withdraw what the module was told
         frequent = self.reporter.has_pending_loads or self.reporter.scorers_in_slow_start(now_ms)
         interval_ms = settings.slow_start_report_interval_ms if frequent else settings.load_report_interval_ms
         self._running.schedule(now_ms + interval_ms, self._report)
 
     def _expedite_report(self) -> None:
-        """Something changed: send the next report after the short interval."""
+        """Reschedule the next report to the short interval, because something changed."""
         if self._running is None:
             return
         due_ms = self._running.reported_ms + self._core.settings.slow_start_report_interval_ms
@@ -114,13 +114,13 @@
             self._running.schedule(due_ms, self._report)
 
     def lines_received(self) -> None:
-        """Pass on a replica's answer in a moment, where the lines that came have one."""
+        """Schedule an update of the module if a received line had a replica's answer."""
         if self._core.remote_loads.answered and not self._update_planned and self._running is not None:
             self._update_planned = True
             self._running.front_end.loop.timers.after(COALESCE_MS, self._send_updates)
 
     def _send_updates(self) -> None:
-        """Give the module what has changed."""
+        """Send the module an event for each change."""
         self._update_planned = self._core.remote_loads.answered = False
         if self._running is not None:
             self._last_event_ms = monotonic_ms()
@@ -129,7 +129,7 @@
 
 
 class _Running:
-    """What exists while the front end runs: where it reports to, and the timer of the next report."""
+    """The parts that exist while the front end runs, and the timer of the next report."""
 
     def __init__(self, front_end: FrontEnd, carry_out: Callable[[list[OwnerAction]], None]) -> None:
         self.front_end, self.carry_out = front_end, carry_out
@@ -137,11 +137,11 @@
         self._timer: Timer | None = None
 
     def schedule(self, due_ms: float, report: Callable[[], None]) -> None:
-        """Plan the next report."""
+        """Schedule the next report."""
         self.due_ms = due_ms
         self._timer = self.front_end.loop.timers.after(max(0.0, due_ms - monotonic_ms()), report)
 
     def cancel(self) -> None:
-        """Drop the planned report."""
+        """Cancel the scheduled report."""
         if self._timer is not None:
             self._timer.cancel()
--- a/fawnwharf/replication/remote_loads.py
+++ b/fawnwharf/replication/remote_loads.py
@@ -1,8 +1,8 @@
-"""What a front end makes of replicas' answers on the load of other front ends. Pure.
+"""Evaluates the replicas' answers about the load of other front ends. No I/O.
 
-An answer counts from when the report that it answers was sent, by the own clock: a delayed line only seems
-older than it is. What the decision module gets is an event for each scorer of which something changed or
-became fresher.
+An answer is dated by when the report that it answers was sent, on this front end's own clock, so a delayed
+line only seems older than it is. The decision module gets an event for each scorer whose information changed
+or became more recent.
 """
 
 import math
@@ -15,26 +15,25 @@
 from fawnwharf.replication import messages as m
 from fawnwharf.replication.counters import ReplicationCounter
 
-MAX_OPEN_REPORTS = 128  # whose answers are still taken
+MAX_OPEN_REPORTS = 128  # the latest reports, whose answers are accepted
 MAX_COPIES_PER_SCORER = 256
-REFRESH_MS = 500.0  # what stays the same is reported to the module again when it is fresher by so much
-COPY_SPAN_MARGIN_MS = (
-    100.0  # older than sends or loads of its scorer by more, a copy is not reported with them
-)
-TURN_FRACTION = (
-    0.4  # of a report's lifetime: a replica that answers nothing, or for few, is replaced after so long
-)
-MAX_MISSING_FRACTION = 0.1  # of the fleet may be missing while sends are taken to be known
+REFRESH_MS = 500.0  # unchanged information is reported to the module again if it is this much newer
+# A copy proof that is older than the sends and loads of its scorer by more than this is left out.
+COPY_SPAN_MARGIN_MS = 100.0
+# The fraction of a report's lifetime after which a replica that does not answer, or answers for too few front
+# ends, is replaced by the next one.
+TURN_FRACTION = 0.4
+MAX_MISSING_FRACTION = 0.1  # of the fleet, for the sends of the other front ends to count as known
 
 
 def covers_fleet(front_ends: int, fleet_size: int) -> bool:
-    """Whether what others sent is known: at most a tenth of the fleet is missing."""
+    """Whether an answer for so many front ends is complete enough for its sends to count as known."""
     return fleet_size - front_ends <= MAX_MISSING_FRACTION * fleet_size
 
 
 @dataclass(slots=True)
 class _Answer:
-    """A full answer of a replica, which rests on nothing older than `oldest_ms`."""
+    """A full answer from a replica."""
 
     incarnation: int
     requested_ms: float  # when the report that it answers was sent
@@ -42,7 +41,7 @@
 
     @property
     def oldest_ms(self) -> float:
-        """When the oldest report was made that its sends rest on."""
+        """The time of the oldest report included in the sends."""
         return self.requested_ms - self.report.age_ms
 
 
@@ -52,22 +51,23 @@
 
 
 class _Reported(NamedTuple):
-    """The last event of a scorer, and how old what it rests on was."""
+    """The last event of a scorer and the time of the oldest report that it is based on."""
 
     event: io.RemoteLoadReport
     oldest_ms: float
 
 
 class RemoteLoads:
-    """The answers of all replicas, and what the decision module knows of them."""
+    """Stores the answers of all replicas and what the decision module was told of them."""
 
     def __init__(self, report_lifetime_ms: float, copy_lifetime_ms: float) -> None:
         self.report_lifetime_ms, self.copy_lifetime_ms = report_lifetime_ms, copy_lifetime_ms
         self.counts: Counter[ReplicationCounter] = Counter()
-        self.answered = False  # an answer came; whoever looks at it clears this
-        self._answers: dict[str, _Answer] = {}  # full ones, by replica
-        self._last_answers: dict[str, tuple[int, int]] = {}  # by replica: its incarnation and number
-        self._chosen, self._chosen_ms = "", -math.inf  # the replica that is to answer in full, and since when
+        self.answered = False  # an answer arrived; the reader clears this
+        self._answers: dict[str, _Answer] = {}  # full answers, by replica
+        self._last_answers: dict[str, tuple[int, int]] = {}  # incarnation and answer number, by replica
+        # The replica asked to answer in full, and since when.
+        self._chosen, self._chosen_ms = "", -math.inf
         self._open_reports: deque[tuple[int, float]] = deque(maxlen=MAX_OPEN_REPORTS)
         self._copies: dict[int, dict[str, _CopyProof]] = {}  # by scorer and function
         self._reported: dict[int, _Reported] = {}
@@ -75,7 +75,7 @@
     # --- replicas -----------------------------------------------------------------------------
 
     def report_sent(self, now_ms: float, number: int) -> None:
-        """Note that the report of this number goes out now."""
+        """Record that the report with this number is sent now."""
         self._open_reports.append((number, now_ms))
 
     def last_answers(self) -> dict[str, int]:
@@ -83,10 +83,10 @@
         return {replica: number for replica, (_, number) in self._last_answers.items()}
 
     def choose_replica(self, now_ms: float, replicas: Sequence[str], fleet_size: int) -> tuple[str, int]:
-        """The replica that is to answer in full, and the number of its last full answer.
+        """Choose the replica that must answer in full; returns it and the number of its last full answer.
 
-        It stays the same while it answers for enough front ends, else the next one of `replicas` takes its
-        turn.
+        The choice stays the same while that replica answers for enough front ends. Otherwise the next of
+        `replicas` is chosen.
         """
         turn_ms = TURN_FRACTION * self.report_lifetime_ms
         answer = self._answers.get(self._chosen)
@@ -103,7 +103,7 @@
         return self._chosen, answer.report.answer_number if answer else 0
 
     def receive(self, replica: str, incarnation: int, report: m.RemoteLoadReport) -> None:
-        """Take a replica's answer."""
+        """Store a replica's answer."""
         requested_ms = next(
             (sent_ms for number, sent_ms in reversed(self._open_reports) if number == report.report_number),
             None,
@@ -129,17 +129,17 @@
 
     @property
     def known_copies(self) -> int:
-        """Of how many scorers and functions the number of copies is known."""
+        """For how many pairs of scorer and function the number of copies is known."""
         return sum(map(len, self._copies.values()))
 
     def forget_replicas(self, replicas: set[str]) -> None:
-        """Forget members that are no replicas any more."""
+        """Forget members that are no longer replicas."""
         for replica in replicas:
             self._answers.pop(replica, None)
             self._last_answers.pop(replica, None)
 
     def best_answer(self, now_ms: float) -> _Answer | None:
-        """Of the answers that still count, the one for most front ends, then the latest."""
+        """The unexpired answer that covers the most front ends; the latest of several such."""
         fresh = [
             answer
             for answer in self._answers.values()
@@ -148,7 +148,7 @@
         return max(fresh, key=lambda answer: (answer.report.front_ends, answer.requested_ms), default=None)
 
     def sends_known(self, now_ms: float, fleet_size: int) -> bool:
-        """Whether what the other front ends sent is known."""
+        """Whether the sends of the other front ends are known."""
         best = self.best_answer(now_ms)
         return best is not None and covers_fleet(best.report.front_ends, fleet_size)
 
@@ -157,7 +157,7 @@
     def changes(
         self, now_ms: float, slow_start: set[int], scorers: set[int], fleet_size: int
     ) -> list[io.RemoteLoadReport]:
-        """What the module has to know now, by scorer; `scorers` are those of the roster."""
+        """The events that the module needs now, one per scorer; `scorers` are those of the roster."""
         best = self.best_answer(now_ms)
         if best is not None and not covers_fleet(best.report.front_ends, fleet_size):
             best = None
@@ -173,7 +173,7 @@
         return events
 
     def _loading(self, now_ms: float) -> dict[int, dict[str, float]]:
-        """By scorer and function of loads in flight elsewhere, how old the report of it is."""
+        """The time of the oldest report behind each load in flight elsewhere, by scorer and function."""
         loading: dict[int, dict[str, float]] = {}
         for answer in self._answers.values():
             if now_ms - answer.requested_ms <= self.report_lifetime_ms:
@@ -182,7 +182,7 @@
         return loading
 
     def _forget_scorers(self, scorers: set[int]) -> None:
-        """Forget all but these."""
+        """Forget all scorers except these."""
         for scorer in self._copies.keys() - scorers:
             del self._copies[scorer]
         for scorer in self._reported.keys() - scorers:
@@ -191,10 +191,10 @@
     def _event(
         self, now_ms: float, scorer: int, best: _Answer | None, loading: dict[str, float]
     ) -> io.RemoteLoadReport | None:
-        """The event of one scorer, None where nothing changed; `best` where its sends are known."""
+        """The event of one scorer, None if nothing changed; `best` is None if its sends are not known."""
         sources_ms = [*([best.oldest_ms] if best is not None else []), *loading.values()]
-        # The oldest report gives all of them its age: old proofs, which were reported before, keep the rest
-        # fresh.
+        # The event has the age of its oldest source. Proofs much older than the sends and loads were reported
+        # before and are left out, so that the event does not seem older than its sends and loads.
         span_ms = now_ms - min(sources_ms) + COPY_SPAN_MARGIN_MS if sources_ms else self.copy_lifetime_ms
         copies = self._proven_copies(now_ms, scorer, span_ms)
         sources_ms += [proof.proof_ms for proof in copies.values()]
@@ -214,7 +214,7 @@
         return event if changed else None
 
     def _proven_copies(self, now_ms: float, scorer: int, span_ms: float) -> dict[str, _CopyProof]:
-        """Copies with a proof within this span; expired proofs are forgotten."""
+        """Copies with a proof no older than `span_ms`; expired proofs are forgotten."""
         proofs = self._copies.get(scorer, {})
         expired = [
             function for function, proof in proofs.items() if now_ms - proof.proof_ms > self.copy_lifetime_ms
@@ -230,12 +230,12 @@
         }
 
     def _is_change(self, event: io.RemoteLoadReport, oldest_ms: float) -> bool:
-        """Whether an event differs from the last one, or has the same of a later time."""
+        """Whether an event differs from the last one, or is sufficiently more recent."""
         reported = self._reported.get(event.scorer)
         if reported is None:
             return event.sent is not None or bool(event.copies or event.loading)
         before = reported.event
         same = (event.sent, event.copies, event.loading) == (before.sent, before.copies, before.loading)
-        # What others sent is counted as of now, so that the same number in a later report is a change.
+        # The number of sends is as of the report, so the same number in a later report is new information.
         refresh_ms = 1.0 if event.sent is not None else REFRESH_MS
         return not same or oldest_ms - reported.oldest_ms >= refresh_ms
