--- a/fawnwharf/replication/__init__.py
+++ b/fawnwharf/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated calls: state that several front ends store, so that it survives the loss of one."""
+"""Replicated calls: call state that several front ends store, so that it survives the loss of one."""
--- a/fawnwharf/replication/log_reading.py
+++ b/fawnwharf/replication/log_reading.py
@@ -1,4 +1,4 @@
-"""Reading a member's log of replicated state from outside the fleet, for operators' commands and trials."""
+"""Reads a member's log of replicated state from outside the fleet, for operators' commands and tests."""
 
 import json
 import socket
@@ -12,10 +12,10 @@
 
 
 def read_messages(place: str, within_s: float = READ_TIMEOUT_S) -> Iterator[m.Message]:
-    """The messages of the log at this address: the current ones, then those that follow, for so long.
+    """Yield the messages of the log at this address for `within_s` seconds: current ones, then new ones.
 
-    Raises OSError where it can't be read, ValueError or msgspec.ValidationError for a line that no member
-    writes.
+    Raises OSError if the log can't be read, and ValueError or msgspec.ValidationError for a line that no
+    member writes.
     """
     with socket.create_connection(address_from(place, "members.state"), within_s) as sock:
         sock.sendall(b"since 0\n")
@@ -28,7 +28,7 @@
 
 
 def fetch_status(place: str, within_s: float = READ_TIMEOUT_S) -> m.Status:
-    """A front end's last status; raises as `read_messages`, and ValueError where its log has none."""
+    """A front end's last status; raises like `read_messages`, and ValueError if the log has no status."""
     for message in read_messages(place, within_s):
         if isinstance(message, m.Status):
             return message
--- a/fawnwharf/replication/membership_file.py
+++ b/fawnwharf/replication/membership_file.py
@@ -1,4 +1,4 @@
-"""The membership file of a running front end: read and checked at the start, and when it changes."""
+"""The membership file of a running front end, read and checked at the start and after each change."""
 
 from pathlib import Path
 
@@ -11,10 +11,10 @@
 
 
 class MembershipFile:
-    """Owns the path, what was last seen of the file, and this front end's own entry."""
+    """Manages the file: its path, its last seen stamp, and this front end's own entry."""
 
     def __init__(self, path: Path, settings: ReplicationSettings, name: str) -> None:
-        """Read and check the file; raises ConfigError with one line."""
+        """Read and check the file; raises ConfigError with a one-line message."""
         self._path, self._settings = path, settings
         self.membership: Membership = load_file(path, membership_from, "state")
         self._stamp = self._current_stamp()
@@ -38,7 +38,7 @@
         return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
     def changed(self) -> bool:
-        """Whether the file is there and has changed since it was last seen."""
+        """Whether the file exists and has changed since the last check."""
         stamp = self._current_stamp()
         if stamp is None or stamp == self._stamp:
             return False
@@ -46,7 +46,7 @@
         return True
 
     def read(self) -> Membership:
-        """The file's membership now; raises OSError or SettingsFileError where it can't be taken."""
+        """Read the current membership; raises OSError or SettingsFileError if it is unusable."""
         membership = membership_from(self._path.read_bytes())
         check_members(membership, self._settings)
         entry = membership.find_member(self.own_entry.name)
--- a/fawnwharf/replication/messages.py
+++ b/fawnwharf/replication/messages.py
@@ -1,7 +1,7 @@
-"""Messages between front ends on replicated calls, checked as they are decoded; no logic.
+"""The messages that front ends exchange about replicated calls, validated during decoding; no logic.
 
-Each message stands on a line of its sender's log, for the members that the line names. Lines are lost where a
-log is disconnected for long. They arrive in order, but a member that restarts begins a new incarnation with
+Each message is a line of its sender's log, addressed to the members that the line names. Lines arrive in
+order, but are lost while a log is disconnected for long. A member that restarts begins a new incarnation with
 new numbers.
 """
 
@@ -24,7 +24,7 @@
 
 
 class ClaimRequest(Struct, frozen=True, tag="ask"):
-    """An owner requests a call for itself, of the replicas that the membership of this number chooses."""
+    """An owner requests a call from its replicas, which the membership with this number determines."""
 
     key: CallKey
     owner: OwnerId
@@ -34,34 +34,34 @@
 
 
 class ClaimUpdate(Struct, frozen=True, tag="tell"):
-    """An owner's later message on a call that it had requested."""
+    """An owner's later statement about a call that it requested."""
 
     key: CallKey
     claim: Claim
 
 
 class ClaimReply(Struct, frozen=True, tag="word"):
-    """A replica's reply to a request, or its update to an owner that waits for another's call.
+    """A replica's reply to a request, or its update to an owner that waits for another owner's call.
 
-    `complete` is False where the replica may have forgotten claims, so that `claims` proves nothing.
+    `complete` is False if the replica may have lost claims, in which case missing claims prove nothing.
     """
 
     key: CallKey
-    owner: OwnerId  # whom it is for: a later incarnation of the same front end ignores it
+    owner: OwnerId  # the recipient; a later incarnation of the same front end ignores the reply
     request_number: Count = msgspec.field(name="number")
     granted: bool
     complete: bool = msgspec.field(default=True, name="sure")
-    claims: Annotated[tuple[Claim, ...], Meta(max_length=64)] = ()  # of other requests, not released
-    # Those owners of the claims that are alive.
+    claims: Annotated[tuple[Claim, ...], Meta(max_length=64)] = ()  # of other requests, without released ones
+    # The owners of these claims that are alive.
     live_owners: Annotated[tuple[OwnerId, ...], Meta(max_length=64)] = msgspec.field(default=(), name="alive")
-    age_ms: DurationMs = 0.0  # since the first of the claims arrived at the replica
+    age_ms: DurationMs = 0.0  # time since the replica created its entry of the call
 
 
 # --- state transfer: between replicas -----------------------------------------------------------
 
 
 class BucketRange(Struct, frozen=True):
-    """Digest buckets of one owner, from `first` up to and without `until`."""
+    """The digest buckets of one owner from `first` (inclusive) to `until` (exclusive)."""
 
     owner: OwnerId
     first: Count
@@ -69,9 +69,9 @@
 
 
 class StateRequest(Struct, frozen=True, tag="want"):
-    """A replica requests all claims of another one, or those of some buckets.
+    """A replica requests all claims of another replica, or those in some buckets.
 
-    A replica that gets a request by a later membership than its own grants nothing more by its own.
+    A replica that receives a request with a later membership than its own stops granting calls.
     """
 
     number: Count
@@ -82,7 +82,7 @@
 
 
 class StoredClaim(Struct, frozen=True):
-    """A claim, and how long it still counts at the sender."""
+    """A claim and its remaining lifetime at the sender."""
 
     key: CallKey
     claim: Claim
@@ -90,7 +90,7 @@
 
 
 class StateChunk(Struct, frozen=True, tag="piece"):
-    """A part of the requested claims, with the digest of all parts so far."""
+    """One chunk of the requested claims, with the digest of all chunks so far."""
 
     request_number: Count = msgspec.field(name="number")
     incarnation: Count = msgspec.field(name="life")  # of the replica that requested
@@ -98,11 +98,12 @@
     last: bool
     claims: Annotated[tuple[StoredClaim, ...], Meta(max_length=MAX_CHUNK_CLAIMS)] = msgspec.field(name="held")
     digest: Digest = ""
-    complete: bool = msgspec.field(default=True, name="sure")  # the sender knows all that it should
+    # Whether the sender knows all claims that it should store.
+    complete: bool = msgspec.field(default=True, name="sure")
 
 
 class BucketDigest(Struct, frozen=True):
-    """Adjacent digest buckets of one owner, and the digest of all claims in them."""
+    """Contiguous digest buckets of one owner and the digest of all claims in them."""
 
     first: Count
     until: Count
@@ -110,13 +111,13 @@
 
 
 class StoreDigests(Struct, frozen=True, tag="digests"):
-    """What a replica stores that another one should store, too, by owner."""
+    """The digests of the claims, by owner, that both the sender and the recipient should store."""
 
     buckets: Annotated[dict[OwnerId, BucketDigest], Meta(max_length=4_000)] = msgspec.field(name="slots")
 
 
 class Hello(Struct, frozen=True, tag="hello"):
-    """The sender is the reader that requested a log since this number; it needs no lines for others."""
+    """Identifies the sender as the reader that requested the log with this number."""
 
     reader_number: Count = msgspec.field(name="asked")
 
@@ -125,14 +126,14 @@
 
 
 class UsageCounters(Struct, frozen=True, tag="use"):
-    """How many calls of each tenant came to an owner since it started."""
+    """The number of calls of each tenant that an owner received since it started."""
 
     number: Count
     counts: Annotated[dict[TenantName, Count], Meta(max_length=512)]
 
 
 class UsageRates(Struct, frozen=True, tag="sums"):
-    """Calls a second by tenant, over all front ends that a replica receives counters of."""
+    """Calls per second by tenant, summed over all front ends whose counters a replica receives."""
 
     rates: Annotated[dict[TenantName, Annotated[float, Meta(ge=0.0, le=1e9)]], Meta(max_length=512)]
     front_ends: Count = msgspec.field(name="heard")
@@ -144,14 +145,14 @@
 
 
 class FailureReport(Struct, frozen=True, tag="named"):
-    """Scorers of which an owner has seen only failures of late, and how many."""
+    """The scorers whose recent attempts by an owner all failed, with the number of failures."""
 
     number: Count
     failures: Annotated[dict[ScorerKey, Count], Meta(max_length=64)] = msgspec.field(name="bad")
 
 
 class ReportedOutliers(Struct, frozen=True, tag="hints"):
-    """Scorers that several front ends report, and how many front ends do."""
+    """The scorers that several front ends report, with the number of these front ends."""
 
     scorers: Annotated[dict[ScorerKey, Count], Meta(max_length=64)]
 
@@ -163,7 +164,7 @@
 
 
 class PendingLoad(Struct, frozen=True, array_like=True):
-    """A load order in flight, and since when."""
+    """A load order in flight and its age."""
 
     scorer: ScorerNumber
     function: FunctionName
@@ -171,7 +172,7 @@
 
 
 class ProvenCopy(Struct, frozen=True, array_like=True):
-    """How many copies an answer proved, 0 where it proved that there is none, and how long ago."""
+    """The number of copies that an answer proved (0: proved that there is none) and the proof's age."""
 
     scorer: ScorerNumber
     function: FunctionName
@@ -180,16 +181,16 @@
 
 
 class LoadReport(Struct, frozen=True, tag="work"):
-    """What an owner has sent and ordered, and which copies that proved; a request for the others', too."""
+    """An owner's sends, load orders and proven copies; also requests the reports of the other owners."""
 
     number: Count
     # The number of the last answer received from each replica.
     last_answers: Annotated[dict[Name, Count], Meta(max_length=16)] = msgspec.field(
         default_factory=dict, name="after"
     )
-    # The replica that is to answer with the others' reports; the rest only acknowledges.
+    # The replica asked to answer with the others' reports; all other replicas only acknowledge.
     full_answer_from: Annotated[str, Meta(max_length=48)] = msgspec.field(default="", name="wants")
-    since: Count = 0  # the last such answer of that replica
+    since: Count = 0  # the number of the last full answer from that replica
     sent: Annotated[dict[ScorerKey, Count], Meta(max_length=64)] = {}  # to scorers in slow start, recently
     loading: Annotated[tuple[PendingLoad, ...], Meta(max_length=64)] = ()
     copies: Annotated[tuple[ProvenCopy, ...], Meta(max_length=96)] = ()  # those that changed
@@ -197,14 +198,14 @@
 
 
 class RemoteLoadReport(Struct, frozen=True, tag="others"):
-    """A replica's answer to a load report: what all other owners have reported."""
+    """A replica's answer to a load report: the reports of all other owners."""
 
     report_number: Count = msgspec.field(name="number")
     incarnation: Count = msgspec.field(name="life")  # of the report's owner
     answer_number: Count = msgspec.field(name="answer")
-    # Front ends whose reports it rests on, with the one that reports; 0 in a mere acknowledgement.
+    # The number of front ends whose reports are included, plus the recipient; 0 in an acknowledgement.
     front_ends: Count = msgspec.field(default=0, name="heard")
-    age_ms: DurationMs = 0.0  # of the oldest report that `sent` rests on
+    age_ms: DurationMs = 0.0  # of the oldest report included in `sent`
     sent: Annotated[dict[ScorerKey, Count], Meta(max_length=64)] = {}
     loading: Annotated[tuple[PendingLoad, ...], Meta(max_length=256)] = ()
     copies: Annotated[tuple[ProvenCopy, ...], Meta(max_length=256)] = ()  # changed since the answer `since`
@@ -215,7 +216,7 @@
 
 
 class Status(Struct, frozen=True, tag="status"):
-    """The state of a front end, for operators."""
+    """The status of a front end for operators."""
 
     counts: Annotated[dict[str, Count], Meta(max_length=64)]
     open_calls: Count = msgspec.field(default=0, name="open")  # own calls that are requested or running
@@ -224,9 +225,9 @@
     calls: Count = 0
     answer_bytes: Count = msgspec.field(default=0, name="bytes")
     membership_number: Count = msgspec.field(default=0, name="members")
-    # How long its last calls waited for a quorum: median and 99th percentile.
+    # How long the latest calls waited for a quorum: median and 99th percentile.
     wait_ms: tuple[DurationMs, DurationMs] = (0.0, 0.0)
-    sent_bytes: Count = 0  # to other members, since its start
+    sent_bytes: Count = 0  # to other members since the start
     # How long each followed log has been silent.
     lags_ms: Annotated[dict[Name, DurationMs], Meta(max_length=2_000)] = {}
     # Digests of all stored claims.
@@ -236,7 +237,7 @@
 
 
 class ClientMessage(Struct, frozen=True, tag="ride"):
-    """A message of another subsystem that uses these logs; that subsystem checks its contents."""
+    """A message of another subsystem that uses these logs and validates the contents itself."""
 
     client: Name = msgspec.field(name="rider")
     message: Any = msgspec.field(name="word")
@@ -262,14 +263,14 @@
 
 
 class Send(Struct, frozen=True):
-    """The action to send a message to these members; to all that follow the log where none is named."""
+    """An action: send a message to these members, or to all followers of the log if none is named."""
 
     recipients: tuple[str, ...]
     message: Message
 
 
 class LogLine(Struct, frozen=True):
-    """One line of a member's log of replicated state, for these members or, where none is named, for all."""
+    """A line of a member's log of replicated state, for these recipients, or for all if none is named."""
 
     fleet: Name
     sender: Name
@@ -279,5 +280,5 @@
 
 
 def parse_line(data: Any) -> LogLine:
-    """The line of this decoded JSON; raises msgspec.ValidationError for what no member writes."""
+    """Convert decoded JSON to a line; raises msgspec.ValidationError for a line that no member writes."""
     return msgspec.convert(data, LogLine)
--- a/fawnwharf/replication/outlier_ejection.py
+++ b/fawnwharf/replication/outlier_ejection.py
@@ -1,7 +1,7 @@
 """Outlier ejection at this front end: its own results, reported scorers, and the roster filter. No I/O.
 
-The filter is laid over the roster (`net/roster_overlay.py`) beside those of other subsystems. A scorer that
-another one takes out of service needs no ejection and does not count among its zone's scorers.
+The filter applies to the roster together with those of other subsystems (`net/roster_overlay.py`). A scorer
+that another subsystem takes out of service needs no ejection and does not count among its zone's scorers.
 """
 
 from collections import Counter
@@ -21,15 +21,15 @@
 
 
 def excluding(ids: frozenset[str]) -> RosterFilter | None:
-    """A roster filter that takes these scorers out of service; None where there are none."""
+    """A roster filter that takes these scorers out of service; None if there are none."""
     return (lambda member: member.id in ids) if ids else None
 
 
 class OutlierEjector:
-    """Owns this front end's results of scorers, and which ones are ejected."""
+    """Tracks this front end's results with scorers and ejects reported ones."""
 
     def __init__(self, latency_target_ms: float, log_event: LogEvent) -> None:
-        """An answer that takes longer than the latency objective counts as a failure."""
+        """An answer that takes longer than the latency target counts as a failure."""
         self.tracker = FailureTracker(latency_target_ms)
         self.ejections = OutlierEjections()
         self.ejected_ids: frozenset[str] = frozenset()
@@ -44,11 +44,11 @@
                 self.tracker.record(now_ms, event.scorer, event.result, event.took_ms)
 
     def update(self, now_ms: float, reported: Iterable[ReportedOutliers], overlay: RosterOverlay) -> Fleet:
-        """Take what was reported, and eject or readmit scorers; the changes of the roster that follow."""
+        """Eject reported scorers and readmit those whose time is over; returns the roster changes."""
         unchanged = Fleet([], False, overlay.revision)
         reported = list(reported)
         if not reported and not self.ejected_ids and not self.ejections.ejected(now_ms):
-            return unchanged  # spares a scan of the fleet each time
+            return unchanged  # avoids a scan of the fleet
         scorers = {scorer_number(member.id): member for member in overlay.open_except_for(FILTER_NAME)}
         zones = {number: member.locality for number, member in scorers.items()}
         zone_sizes = Counter(zones.values())
--- a/fawnwharf/replication/periodic_reports.py
+++ b/fawnwharf/replication/periodic_reports.py
@@ -1,4 +1,4 @@
-"""Periodic reports on usage and failing scorers of a running front end, and what follows from others'."""
+"""Sends periodic usage and failure reports of a running front end, and applies those of the others."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class PeriodicReports:
-    """Owns the timing of usage reports and failure reports."""
+    """Times the usage reports and the failure reports."""
 
     def __init__(
         self,
@@ -25,18 +25,18 @@
         self._closed = False
 
     def begin(self) -> None:
-        """Send the first reports that the settings switch on; each one plans the next."""
+        """Send the first reports that the settings enable; each report schedules the next."""
         if self._core.settings.quota_shares:
             self._report_usage()
         if self._core.settings.outlier_ejection:
             self._report_failures()
 
     def close(self) -> None:
-        """End reporting."""
+        """Stop reporting."""
         self._closed = True
 
     def _report_usage(self) -> None:
-        """Send what came here, and take the quota shares that follow from what came to all."""
+        """Report this front end's usage, and apply the quota shares that follow from the fleet's usage."""
         if self._closed:
             return
         now_ms = monotonic_ms()
@@ -48,7 +48,7 @@
         loop.timers.after(self._core.settings.usage_interval_ms, self._report_usage)
 
     def _report_failures(self) -> None:
-        """Report failing scorers, and eject those that several front ends report."""
+        """Report failing scorers, and eject the scorers that several front ends report."""
         if self._closed:
             return
         now_ms = monotonic_ms()
--- a/fawnwharf/replication/replica.py
+++ b/fawnwharf/replication/replica.py
@@ -1,10 +1,10 @@
-"""A replica: to whom it grants a call, and when it may grant at all.
+"""A replica: which request it grants a call to, and when it may grant calls at all.
 
-Pure; times are milliseconds of its own clock, which is never compared with another one. A call is granted to
-one request at a time. An owner that has the grants of a quorum of the call's replicas may run it, so that of
-two owners at most one may. That holds as long as no replica forgets: a restarted one grants nothing until it
-has received all that the others store, or until all that it may have granted before has expired
-(`is_complete`).
+No I/O. Times are milliseconds of its own clock, which is never compared with another one. A replica grants a
+call to one request at a time. An owner with grants from a quorum of the call's replicas may run the call, so
+of two owners at most one may. This requires that no replica forgets its grants. A restarted replica therefore
+grants nothing until it has received the claims of all others, or until every grant that it may have made
+before has expired (`is_complete`).
 """
 
 from dataclasses import dataclass, field
@@ -19,22 +19,22 @@
 
 EXPIRY_SCAN_MS = 250.0
 MAX_REPLY_CLAIMS = 16  # of one call
-MAX_CALL_REQUESTS = 64  # of one call: with so many it is not granted until some have expired
+MAX_CALL_REQUESTS = 64  # of one call: at this limit the call is not granted until some have expired
 
 
 def front_end_of(owner_id: str) -> str:
-    """The name of the front end of which this owner is an incarnation."""
+    """The name of the front end that this owner is an incarnation of."""
     return owner_id.partition("#")[0]
 
 
 @dataclass(slots=True)
 class Completeness:
-    """What a replica needs before it may grant: whom it still has to hear, and since when."""
+    """Whether a replica may grant calls, and which replicas it still needs state from, since when."""
 
     since_ms: float
     reached: bool
-    missing: set[str] = field(default_factory=set)  # replicas of which not everything has been received
-    # Memberships before, until their replicas were heard.
+    missing: set[str] = field(default_factory=set)  # replicas whose claims were not all received
+    # Earlier memberships whose replicas have not all sent their claims.
     earlier: list[ReplicaPlacement] = field(default_factory=list)
 
     def earlier_replicas(self) -> set[str]:
@@ -42,14 +42,14 @@
         return {name for placement in self.earlier for name in placement.replicas}
 
     def restart(self, now_ms: float, missing: set[str]) -> None:
-        """Begin again, with these replicas to hear."""
+        """Start over: state is needed from these replicas."""
         self.since_ms = now_ms
         self.reached = False
         self.missing = missing
 
 
 class Replica:
-    """Owns the claims that this front end stores for the fleet, and the right to grant calls."""
+    """Stores claims for the fleet and grants calls."""
 
     def __init__(
         self,
@@ -61,14 +61,14 @@
         *,
         complete: bool = False,
     ) -> None:
-        """`complete`: nothing was ever granted under this name that is not here, as in a new fleet."""
+        """`complete` states that every grant made under this name is known here, as in a new fleet."""
         self.name, self.placement, self.settings = name, placement, settings
         self.claim_store = ClaimStore(settings, placement.replicas_of)
         self.state_transfer = StateTransfer(self.claim_store, incarnation)
         self.live_owners: set[str] = set()
-        self.storage_failed = False  # what it grants can't be stored
+        self.storage_failed = False  # grants can't be stored
         self._completeness = Completeness(now_ms, complete, set() if complete else self._other_replicas())
-        self._max_requested_membership = 0  # the largest number in another replica's request
+        self._max_requested_membership = 0  # the largest membership number in another replica's request
         self._expiry_due_ms = now_ms
         self._comparison_due_ms = now_ms + settings.compare_interval_ms
 
@@ -78,15 +78,16 @@
     # --- whether it may grant -----------------------------------------------------------------
 
     def max_grant_age_ms(self) -> float:
-        """How long an owner may act on a grant, by the slowest clock."""
+        """How long an owner may act on a grant, allowing for the slowest clock."""
         return self.settings.max_wait_ms * (1.0 + 2.0 * self.settings.clock_skew)
 
     def is_complete(self, now_ms: float) -> bool:
-        """Whether it knows all that it ever granted and that still counts, so that it may grant calls.
+        """Whether the replica knows all its grants that are still valid, so that it may grant calls.
 
-        What an earlier incarnation granted was in force only together with the grant of another replica,
-        which has it. So all others have to be heard, from a moment on when nobody may act on those grants any
-        more, as until then the other grant may still be on its way. Or all of it has expired.
+        A grant of an earlier incarnation only took effect together with the grant of another replica, which
+        stores it. The replica must therefore receive the claims of all others, requested after the time in
+        which an owner may act on the old grants, because until then the other grant may still be in transit.
+        Alternatively, all old grants have expired.
         """
         if self.storage_failed or self._max_requested_membership > self.placement.number:
             return False
@@ -99,10 +100,10 @@
         return state.reached
 
     def _earlier_replicas_heard(self) -> bool:
-        """Whether no quorum of an earlier membership is left that has not reported what it granted.
+        """Whether the replicas not yet heard cannot form a quorum of any earlier membership.
 
-        By an earlier membership grants go on until its replicas have heard of the later one, so time proves
-        nothing here.
+        Replicas of an earlier membership continue to grant calls until they learn of the later one, so a
+        timeout is no proof here. All other replicas of the current membership must also have been heard.
         """
         state = self._completeness
         missing_zones = [
@@ -117,17 +118,17 @@
         return not self._completeness.missing or now_ms - self._completeness.since_ms >= expiry_ms
 
     def mark_complete(self) -> None:
-        """A disk had all that was ever granted."""
+        """Mark the replica complete, because its storage has every grant that it made."""
         self._completeness.reached = True
         self._completeness.missing.clear()
 
     def mark_incomplete(self, now_ms: float) -> None:
-        """A disk that seemed complete is an older copy: hear the other replicas, or wait."""
+        """Mark the replica incomplete, because its storage turned out to be an outdated copy."""
         self._completeness.restart(now_ms, self._completeness.missing | self._other_replicas())
         self.state_transfer.restart()
 
     def change_placement(self, now_ms: float, placement: ReplicaPlacement) -> None:
-        """Take a later membership: calls may move here from other replicas, which have to be heard."""
+        """Adopt a later membership. Calls may move here from other replicas, whose claims are then needed."""
         if placement.number <= self.placement.number:
             return
         before, self.placement = self.placement, placement
@@ -142,7 +143,7 @@
     # --- owners -------------------------------------------------------------------------------
 
     def handle_claim_request(self, now_ms: float, request: m.ClaimRequest) -> list[m.Send]:
-        """Grant the call, or reply who has it."""
+        """Grant the call, or reply with the claims on it."""
         may_grant = self.is_complete(now_ms) and request.membership_number == self.placement.number
         if self.name not in self.placement.replicas_of(request.key):
             self.claim_store.counts[ReplicationCounter.REQUESTS_TO_WRONG_REPLICA] += 1
@@ -171,7 +172,7 @@
         entry.waiters.pop(request.owner, None)
 
     def _add_waiter(self, entry: CallEntry, request: m.ClaimRequest) -> None:
-        """Report to this owner what becomes of the call, where there is space for one more."""
+        """Register this owner for updates on the call, up to the limit of waiters."""
         if request.owner in entry.waiters or len(entry.waiters) < self.settings.limits.max_waiters:
             entry.waiters[request.owner] = request.number
 
@@ -197,7 +198,7 @@
         granted: bool = False,
         complete: bool = True,
     ) -> m.Send:
-        """How a call stands, for one request of one owner."""
+        """Make a reply with the state of a call for one owner's request."""
         owner, number = waiter
         active = entry.active_claims() if entry is not None else []
         claims = [claim for claim in active if claim.claim_id != waiter][:MAX_REPLY_CLAIMS]
@@ -214,7 +215,7 @@
         return m.Send((front_end_of(owner),), reply)
 
     def handle_claim_update(self, now_ms: float, update: m.ClaimUpdate) -> list[m.Send]:
-        """Take an owner's later message, also where its request never arrived: it has no less information."""
+        """Handle an owner's update. It suffices by itself, even if the owner's request never arrived."""
         claim = update.claim
         released = claim.phase is ClaimPhase.RELEASED
         if released and update.key not in self.claim_store.calls:
@@ -230,7 +231,7 @@
         return self._notify_waiters(now_ms, update.key, entry)
 
     def _notify_waiters(self, now_ms: float, key: str, entry: CallEntry) -> list[m.Send]:
-        """Report to all owners that wait how the call stands now."""
+        """Send the current state of the call to all waiting owners."""
         sends: list[m.Send] = []
         for owner, number in list(entry.waiters.items()):
             if owner not in self.live_owners:
@@ -238,11 +239,11 @@
                 continue
             sends.append(self._report(now_ms, key, (owner, number), entry))
             if not any(claim.phase is ClaimPhase.GRANTED for claim in entry.active_claims()):
-                del entry.waiters[owner]  # nothing more will come
+                del entry.waiters[owner]  # no further update will follow
         return sends
 
     def change_live_owners(self, now_ms: float, live_owners: set[str]) -> list[m.Send]:
-        """Take which owners are alive now, and report to those that wait for one that is gone."""
+        """Replace the set of live owners, and notify the owners that wait for one that is gone."""
         gone = self.live_owners - live_owners
         self.live_owners = set(live_owners)
         sends: list[m.Send] = []
@@ -255,7 +256,7 @@
     # --- other replicas -----------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[m.Send]:
-        """Do what is due: remove what has expired, send and request chunks, compare."""
+        """Perform the timed work that is due: remove expired claims, transfer state, send digests."""
         if now_ms >= self._expiry_due_ms:
             self._expiry_due_ms = now_ms + EXPIRY_SCAN_MS
             self.claim_store.remove_expired(now_ms)
@@ -274,14 +275,15 @@
         return sends
 
     def due_ms(self) -> float:
-        """When `tick` is needed next."""
+        """When `tick` must be called next."""
         due_ms = min(self._expiry_due_ms, self._comparison_due_ms)
         return min(due_ms, self.state_transfer.due_ms) if self.state_transfer.busy else due_ms
 
     def handle_state_request(self, sender: str, request: m.StateRequest) -> None:
-        """Begin to send another replica what is stored here.
+        """Start to send the claims stored here to another replica.
 
-        One with a later membership gets all of it, and nothing more is granted by the earlier one.
+        A replica with a later membership gets all claims, and this one grants nothing more until it has that
+        membership, too.
         """
         later = request.membership_number > self.placement.number
         self._max_requested_membership = max(self._max_requested_membership, request.membership_number)
@@ -292,22 +294,22 @@
         self.state_transfer.start(sender, request, lambda replicas: later or sender in replicas)
 
     def handle_state_chunk(self, now_ms: float, sender: str, chunk: m.StateChunk) -> list[m.Send]:
-        """Take a chunk of another replica, and report to owners that wait what it shows."""
+        """Store a chunk from another replica and notify the waiting owners."""
         sends: list[m.Send] = []
 
-        def take(stored: m.StoredClaim) -> bool:
+        def store_claim(stored: m.StoredClaim) -> bool:
             entry = self.claim_store.get_or_create(now_ms, stored.key)
             if entry is not None:
                 self.claim_store.merge(now_ms, stored.key, entry, stored.claim, stored.remaining_ms)
                 sends.extend(self._notify_waiters(now_ms, stored.key, entry))
             return entry is not None
 
-        if self.state_transfer.receive_chunk(now_ms, sender, chunk, take):
+        if self.state_transfer.receive_chunk(now_ms, sender, chunk, store_claim):
             self._completeness.missing.discard(sender)
         return sends
 
     def handle_store_digests(self, now_ms: float, sender: str, digests: m.StoreDigests) -> list[m.Send]:
-        """Compare what another replica stores with what is stored here."""
+        """Compare another replica's digests with the claims stored here."""
         if sender not in self.placement.replicas:
             self.claim_store.counts[ReplicationCounter.DIGESTS_NOT_FROM_REPLICA] += 1
             return []
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -1,4 +1,4 @@
-"""Replicated state in a running front end: its log, the logs it follows, its files, the gate for calls."""
+"""Replicated state in a running front end: its log, the logs it follows, its files and the claim gate."""
 
 import secrets
 from collections.abc import Callable
@@ -31,16 +31,16 @@
 
 FILE_CHECK_INTERVAL_MS = 500.0
 STATUS_INTERVAL_MS = 2_000.0
-MAX_FLUSH_MS = 500.0  # a graceful shutdown waits so long for what is not written yet
-EXTRA_READERS = 16  # of the log beyond the members, for operators
-DEFAULT_LATENCY_TARGET_MS = 1_000.0  # where there is no class
+MAX_FLUSH_MS = 500.0  # how long a graceful shutdown waits for unsent lines
+EXTRA_READERS = 16  # readers of the log in addition to the members, for operators
+DEFAULT_LATENCY_TARGET_MS = 1_000.0  # if no class is configured
 
 LogClient = Callable[[float, str, int, Any], None]  # now, sender, its incarnation, the message
 
 
 @dataclass(slots=True)
 class _RunningParts:
-    """What exists while the front end runs."""
+    """The parts that exist only while the front end runs."""
 
     front_end: FrontEnd
     gate: ClaimGate
@@ -50,7 +50,7 @@
 
 
 class ReplicationService:
-    """Owns this front end's part in replicated state; an extension of the front end."""
+    """Runs replicated state in this front end, as an extension of it."""
 
     def __init__(
         self,
@@ -61,10 +61,10 @@
         fresh: bool = False,
         grant_storage_factory: GrantStorageFactory | None = None,
     ) -> None:
-        """Read and check the files; raises ConfigError with one line.
+        """Read and check the files; raises ConfigError with a one-line message.
 
-        `fresh`: this is a new fleet, in which nothing was granted yet. The factory stores grants in the place
-        of the replica's own file.
+        `fresh` states that the fleet is new and no call was ever granted in it. The factory, if any, replaces
+        the replica's own grant log.
         """
         self.deployment, self.log_event = deployment, log_event
         self._event_log = EventLog(log_event)
@@ -84,20 +84,20 @@
         self._switch_on_reports()
         self._grant_storage_factory = grant_storage_factory
         self.grant_storage = open_grant_storage(self.core, self.folder, grant_storage_factory, log_event)
-        # Called with the time and the name of a member that begins to follow this log.
+        # Called with the time and the name of each member that starts to follow this log.
         self.follower_callbacks: list[Callable[[float, str], None]] = []
-        self.log_clients: dict[str, LogClient] = {}  # other subsystems whose messages use these logs, by name
+        self.log_clients: dict[str, LogClient] = {}  # other subsystems that use these logs, by name
         self._parts: _RunningParts | None = None
         self._timer: Timer | None = None
         self._timer_ms = 0.0
         self._stopped = False
-        self._idle_since_ms: float | None = None  # no client waits since then, in a graceful shutdown
+        self._idle_since_ms: float | None = None  # since when no client waits, in a graceful shutdown
 
     def _switch_on_reports(self) -> None:
-        """Set up the reports that the settings switch on."""
+        """Set up the reports that the settings enable."""
         module_settings = self.deployment.settings
         if self.settings.quota_shares:
-            # The module adds the limits that it gets to the quotas: these are as they were configured.
+            # A copy of the configured quotas, because the module writes the limits it receives into its own.
             self.core.quota_shares = QuotaShares(dict(module_settings.quotas_rps), module_settings.fleet_size)
         targets_ms = (spec.latency_target_ms for spec in module_settings.classes.values())
         self.outlier_ejector = OutlierEjector(
@@ -110,7 +110,7 @@
     # --- life cycle ---------------------------------------------------------------------------
 
     def attach(self, front_end: FrontEnd) -> None:
-        """Begin, on the front end's loop; raises ConfigError where the log's address can't be had."""
+        """Start on the front end's loop; raises ConfigError if the log's address can't be bound."""
         log_server = self._listen(front_end)
         gate = ClaimGate(
             front_end.loop,
@@ -122,7 +122,7 @@
         )
         followed_logs = FollowedLogs(front_end.loop, self._receive_line, self._line_dropped, self._send_hello)
         self._parts = _RunningParts(front_end, gate, log_server, followed_logs)
-        front_end.client_port.requests = cast(RequestTable, gate)  # the gate stands in for the table
+        front_end.client_port.requests = cast(RequestTable, gate)  # the gate has the table's interface
         self._follow_logs()
         self._check_files()
         self._publish_status()
@@ -147,7 +147,7 @@
         return server
 
     def close(self) -> None:
-        """End all parts."""
+        """Stop and close all parts."""
         self._stopped = True
         if self.load_reporting:
             self.load_reporting.close()
@@ -171,10 +171,10 @@
         return self._running.gate
 
     def on_fleet(self, fleet: Fleet) -> None:
-        """Nothing to do: what the change log reports comes with the events, too."""
+        """Do nothing: the events also report the changes of the change log."""
 
     def on_events(self, events: list[io.Event]) -> None:
-        """Count what comes to this front end, and how attempts end."""
+        """Count arriving calls, and record the results of attempts and load orders."""
         if self.core.quota_shares:
             self.core.quota_shares.count_calls(
                 event.tenant for event in events if isinstance(event, io.RequestArrived)
@@ -185,7 +185,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a client waits, or, for a short time, results of the last calls are not written yet."""
+        """Whether a client waits or, for at most MAX_FLUSH_MS after that, lines are still unsent."""
         if self.gate.busy:
             self._idle_since_ms = None
             return True
@@ -197,18 +197,18 @@
     # --- other subsystems ---------------------------------------------------------------------
 
     def send_message(self, client: str, recipients: tuple[str, ...], message: Any) -> None:
-        """Send a subsystem's message to these members; to all that follow this log where none is named.
+        """Send a subsystem's message to these members, or to all followers of this log if none is named.
 
-        Only replicas are followed by all, and only replicas follow all.
+        Only replicas are followed by all members, and only replicas follow all members.
         """
         self._carry_out(self.core.send_client_message(m.ClientMessage(client, message), recipients))
 
     def publish(self, client: str, message: Any) -> None:
-        """Send a message that is current until the subsystem's next one, to all followers now and later."""
+        """Send a message to all followers, and to new ones until the subsystem publishes the next message."""
         self._write(m.Send((), m.ClientMessage(client, message)), counts_as=f"ride {client}")
 
     def live_members(self, now_ms: float) -> dict[str, int]:
-        """Members whose logs are followed here and were heard lately, with their incarnations."""
+        """The followed members heard within the silence timeout, with their incarnations."""
         self._record_heartbeats()
         timeout_ms = self.settings.silence_timeout_ms
         return {
@@ -232,7 +232,7 @@
     # --- the core's actions -------------------------------------------------------------------
 
     def _carry_out(self, actions: list[OwnerAction]) -> None:
-        """Carry out actions, those that depend on grants once these are stored."""
+        """Execute actions; those that depend on grants follow once the grants are stored."""
         if self.grant_storage is not None:
             actions = self.grant_storage.persist(actions, self._carry_out_stored)
         self._carry_out_stored(actions)
@@ -247,7 +247,7 @@
         self._set_timer()
 
     def _write(self, send: m.Send, counts_as: str | None = None) -> None:
-        """Write a line to the own log."""
+        """Write a line to this member's log."""
         line = msgspec.to_builtins(self.core.log_line(send))
         self._running.log_server.send(line, send.recipients, counts_as)
 
@@ -261,7 +261,7 @@
             self._event_log.replica_checked(now_ms, self.core.replica)
 
     def _set_timer(self) -> None:
-        """Plan the next tick, unless one is planned that is early enough."""
+        """Schedule the next tick, unless one is already scheduled early enough."""
         now_ms = monotonic_ms()
         due_ms = max(self.core.due_ms(), now_ms + 1.0)
         if self._timer is not None and self._timer.callback and self._timer_ms <= due_ms:
@@ -288,7 +288,7 @@
     # --- members' logs ------------------------------------------------------------------------
 
     def _follow_logs(self) -> None:
-        """Replicas follow all members, the others follow the replicas."""
+        """Follow all members if this is a replica, otherwise only the replicas."""
         members = self.core.membership.members
         names = set(self.core.placement.replicas)
         if self.core.replica:
@@ -302,7 +302,7 @@
             self._running.log_server.withdraw_hello(name)
 
     def _receive_line(self, name: str, line: Any) -> None:
-        """Take a line of a member's log; raises LineError for what no member writes."""
+        """Handle a line of a member's log; raises InvalidLineError for a line that no member writes."""
         try:
             actions = self.core.receive_line(monotonic_ms(), name, line)
         except InvalidLineError:
@@ -329,7 +329,7 @@
     # --- files --------------------------------------------------------------------------------
 
     def _check_files(self) -> None:
-        """Take a changed membership file, and reconnect silent logs."""
+        """Apply a changed membership file, and reconnect silent logs."""
         if self._stopped:
             return
         if self._membership_file.changed():
--- a/fawnwharf/replication/service_files.py
+++ b/fawnwharf/replication/service_files.py
@@ -1,4 +1,4 @@
-"""The files that replicated state starts with: settings and membership, checked by the deployment."""
+"""The files that replicated state reads at the start: settings and membership, checked together."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceFiles:
-    """The settings, the folder of grants where there is one, and the membership file."""
+    """The settings, the folder of the grant log if there is one, and the membership file."""
 
     settings: ReplicationSettings
     folder: Path | None
@@ -19,7 +19,7 @@
 
 
 def load_service_files(deployment: Deployment, path: Path) -> ServiceFiles:
-    """Read and check the settings at this path and the membership; raises ConfigError with one line."""
+    """Read and check the settings at this path and the membership; raises a one-line ConfigError."""
     settings: ReplicationSettings = load_file(path, parse_settings, "state")
     membership_file = MembershipFile(path.parent / settings.membership_file, settings, deployment.name)
     for name in settings.modes:
--- a/fawnwharf/replication/state_transfer.py
+++ b/fawnwharf/replication/state_transfer.py
@@ -1,7 +1,8 @@
-"""State transfer between replicas: requests, chunks and comparisons. Pure.
+"""State transfer between replicas: requests, chunks and comparisons. No I/O.
 
-One chunk is sent a tick, so that no call waits for it. Chunks are received in order: one that is missing,
-repeated or does not fit its digest ends the transfer, and all of it is requested again.
+A replica sends at most one chunk per transfer and interval, so that no call waits for a transfer. Chunks that
+arrive out of order are dropped. After a lost chunk the transfer makes no progress and is requested again as a
+whole. A chunk that does not match its digest ends the transfer, which is then also requested again.
 """
 
 from collections.abc import Callable
@@ -11,12 +12,12 @@
 from fawnwharf.replication.claim_store import ClaimStore, claim_digest, format_digest
 from fawnwharf.replication.counters import ReplicationCounter
 
-RETRY_MS = 700.0  # before the same state is requested again
-MAX_TRANSFERS = 2  # that are sent at the same time
-CHUNK_CLAIMS = 100  # in a chunk, and the rest of the last call's
-CHUNK_SCANNED_CALLS = 1_000  # calls that are looked at for a chunk
+RETRY_MS = 700.0  # without progress, before the same state is requested again
+MAX_TRANSFERS = 2  # outgoing transfers that advance at the same time
+CHUNK_CLAIMS = 100  # a chunk ends with the call that reaches this number
+CHUNK_SCANNED_CALLS = 1_000  # calls scanned for one chunk
 CHUNK_INTERVAL_MS = 5.0
-MAX_RANGES = 64  # in a request
+MAX_RANGES = 64  # per request
 
 
 @dataclass(slots=True)
@@ -26,12 +27,12 @@
     request_number: int
     incarnation: int
     remaining_keys: list[str]
-    requested_claims: Callable[[str], int]  # how many claims of a call are requested
+    requested_claims: Callable[[str], int]  # the number of claims requested of a call
     part: int = 0
     digest: int = 0
 
     def next_keys(self) -> list[str]:
-        """The next few calls that are requested, after a look at a bounded number."""
+        """The requested calls of the next chunk, found in a limited scan."""
         keys: list[str] = []
         count = 0
         for _ in range(min(CHUNK_SCANNED_CALLS, len(self.remaining_keys))):
@@ -56,7 +57,7 @@
 
 
 class StateTransfer:
-    """Owns the transfers to and from other replicas."""
+    """Manages the transfers to and from other replicas."""
 
     def __init__(self, store: ClaimStore, incarnation: int) -> None:
         self.store, self.incarnation = store, incarnation
@@ -64,16 +65,16 @@
         self._outgoing: dict[str, _OutgoingTransfer] = {}
         self._last_differences: dict[str, list[m.BucketRange]] = {}
         self._last_number = 0
-        self.due_ms = 0.0  # of the next chunks
+        self.due_ms = 0.0  # when the next chunks are due
         self.received_claims = 0
 
     @property
     def busy(self) -> bool:
-        """Whether chunks are to be sent."""
+        """Whether there are chunks left to send."""
         return bool(self._outgoing)
 
     def restart(self) -> None:
-        """Drop all incoming transfers, to request them again."""
+        """Drop all incoming transfers, so that they are requested again."""
         self._incoming.clear()
 
     # --- incoming -----------------------------------------------------------------------------
@@ -81,7 +82,7 @@
     def request(
         self, now_ms: float, name: str, membership_number: int, ranges: tuple[m.BucketRange, ...] = ()
     ) -> list[m.Send]:
-        """Request everything, or some ranges, of a replica, unless a transfer from it is running."""
+        """Request all claims or some ranges from a replica, unless a transfer from it is in progress."""
         transfer = self._incoming.get(name)
         if transfer is not None and now_ms - transfer.requested_ms <= RETRY_MS:
             return []
@@ -91,11 +92,11 @@
         return [m.Send((name,), request)]
 
     def receive_chunk(
-        self, now_ms: float, sender: str, chunk: m.StateChunk, take: Callable[[m.StoredClaim], bool]
+        self, now_ms: float, sender: str, chunk: m.StateChunk, store_claim: Callable[[m.StoredClaim], bool]
     ) -> bool:
-        """Take a chunk; True where it was the last one of all that a complete sender stores.
+        """Store a chunk; True if it completes a transfer of all claims from a complete sender.
 
-        `take` stores one claim and returns whether there was space.
+        `store_claim` stores one claim and returns whether there was space for it.
         """
         transfer = self._incoming.get(sender)
         if (
@@ -114,7 +115,8 @@
         transfer.digest = digest
         transfer.requested_ms = now_ms
         self.received_claims += len(chunk.claims)
-        stored_all = all([take(stored) for stored in chunk.claims])  # each one, also after the first failure
+        # A list, so that the claims after a failure are stored, too.
+        stored_all = all([store_claim(stored) for stored in chunk.claims])
         if chunk.last or not stored_all:
             del self._incoming[sender]
         return stored_all and chunk.last and chunk.complete and transfer.everything
@@ -122,7 +124,7 @@
     def compare(
         self, now_ms: float, sender: str, digests: m.StoreDigests, membership_number: int
     ) -> list[m.Send]:
-        """Request what differs from another replica twice in a row; after once it may be on its way."""
+        """Request the owners' ranges that differ twice in a row; a single difference may be in transit."""
         differing = self.store.differing_ranges(sender, digests.buckets)
         owners_before = {found.owner for found in self._last_differences.get(sender, [])}
         self._last_differences[sender] = differing
@@ -135,9 +137,9 @@
     # --- outgoing -----------------------------------------------------------------------------
 
     def start(self, name: str, request: m.StateRequest, shared: Callable[[tuple[str, ...]], bool]) -> None:
-        """Begin the transfer that another replica requests; it replaces an earlier one.
+        """Start the transfer that another replica requested; it replaces an earlier one to that replica.
 
-        `shared` decides by a call's replicas whether that replica may have it.
+        `shared` decides from the replicas of a call whether the requesting replica may receive it.
         """
         ranges = {requested.owner: requested for requested in request.ranges}
 
@@ -157,7 +159,7 @@
         )
 
     def next_chunks(self, now_ms: float, complete: bool) -> list[m.Send]:
-        """The next chunk of each of the first few outgoing transfers."""
+        """The next chunk of each of the first MAX_TRANSFERS outgoing transfers, if they are due."""
         if now_ms < self.due_ms:
             return []
         self.due_ms = now_ms + CHUNK_INTERVAL_MS
--- a/fawnwharf/replication/usage.py
+++ b/fawnwharf/replication/usage.py
@@ -1,8 +1,8 @@
-"""Tenants' usage over the fleet, and the part of each tenant's quota that this front end may use. Pure.
+"""Tenants' usage over the fleet, and this front end's share of each tenant's quota. No I/O.
 
-Front ends send to the replicas how many calls of each tenant came to them since they started: counters by
-owner, of which a repeated or an earlier one changes nothing. Replicas turn them into rates, and send the
-sums.
+Each front end sends the replicas the number of calls of each tenant that it received since its start.
+Replicas keep these counters by owner, so repeated or outdated counters change nothing. They derive rates from
+the counters and send the sums to all front ends.
 """
 
 from collections import Counter, deque
@@ -14,17 +14,17 @@
 from fawnwharf.replication.replica import front_end_of
 
 RATE_WINDOW_MS = 3_000.0
-MIN_RATE_SPAN_MS = 500.0  # a rate is taken over no less
+MIN_RATE_SPAN_MS = 500.0  # the shortest span over which a rate is computed
 COUNTERS_LIFETIME_MS = 2_000.0  # an owner that is silent for longer has no rate
-# The part of an equal share that a front end may use at the least, as its calls can come at any moment.
+# The fraction of an equal share that a front end may always use, because calls can arrive at any time.
 MIN_SHARE_FRACTION = 0.25
-MIN_CHANGE_FRACTION = 0.03  # a share that changes by a smaller part stays as it is
+MIN_CHANGE_FRACTION = 0.03  # smaller changes of a share are ignored
 OWN_OWNER_ID = "me#0"
 
 
 @dataclass(slots=True)
 class _OwnerUsage:
-    """The counters of one owner: the latest ones, and those of the rate window."""
+    """The counters of one owner: the latest values and those within the rate window."""
 
     number: int
     counts: dict[str, int]
@@ -33,14 +33,14 @@
 
 
 class UsageTable:
-    """A replica's table of all owners' counters, and the rates that they amount to."""
+    """A replica's table of all owners' counters, from which it computes rates."""
 
     def __init__(self) -> None:
         self.owners: dict[str, _OwnerUsage] = {}
         self.dropped: Counter[ReplicationCounter] = Counter()
 
     def receive(self, now_ms: float, owner: str, counters: m.UsageCounters) -> None:
-        """Take an owner's counters, unless they are not later or have decreased."""
+        """Store an owner's counters, unless they are outdated or have decreased."""
         usage = self.owners.get(owner)
         if usage is None:
             usage = _OwnerUsage(counters.number, dict(counters.counts), now_ms)
@@ -61,7 +61,7 @@
             usage.window.popleft()
 
     def rates(self, now_ms: float) -> m.UsageRates:
-        """Calls a second by tenant, over all owners that are not silent."""
+        """Calls per second by tenant, over all owners that are not silent."""
         self.owners = {
             owner: usage
             for owner, usage in self.owners.items()
@@ -81,11 +81,11 @@
 def quota_share(
     quota_rps: float, fleet_size: int, own_rps: float, total_rps: float, front_ends: int
 ) -> float:
-    """What this front end may use of a tenant's quota, in calls a second.
+    """This front end's share of a tenant's quota, in calls per second.
 
-    `front_ends` is the number of those whose rates are in the total. Where they are most of the fleet, the
-    others are taken to be gone; else each front end has an equal share, as without any rates. A total above
-    the quota is cut down in proportion; below it the rest is spread evenly.
+    `front_ends` is the number of front ends whose rates are in the total. If they are more than half of the
+    fleet, the others are assumed to be down. Otherwise each front end gets an equal share. If the total
+    exceeds the quota, the shares are proportional to the rates; if not, the rest is divided equally.
     """
     equal_rps = quota_rps / max(1, fleet_size)
     if 2 * front_ends <= fleet_size:
@@ -99,7 +99,7 @@
 
 
 class QuotaShares:
-    """A front end's own counters, the last rates of each replica, and the shares in force."""
+    """A front end's own counters, the last rates from each replica, and the current shares."""
 
     def __init__(self, quotas_rps: dict[str, float], fleet_size: int) -> None:
         self.quotas_rps, self.fleet_size = quotas_rps, max(1, fleet_size)
@@ -110,13 +110,13 @@
         self.shares_rps = {tenant: quota / self.fleet_size for tenant, quota in quotas_rps.items()}
 
     def count_calls(self, tenants: Iterable[str]) -> None:
-        """Count one call of each of these tenants, as far as they have quotas."""
+        """Count one call for each of these tenants that has a quota."""
         for tenant in tenants:
             if tenant in self.quotas_rps:
                 self.counts[tenant] = self.counts.get(tenant, 0) + 1
 
     def change_quotas(self, quotas_rps: dict[str, float]) -> dict[str, float]:
-        """Take other quotas; returns the shares that change with them, at once and in proportion."""
+        """Replace the quotas; returns the shares that change, in proportion to their quotas and at once."""
         changed: dict[str, float] = {}
         for tenant, quota_rps in quotas_rps.items():
             before_rps = self.quotas_rps.get(tenant)
@@ -133,18 +133,18 @@
         return changed
 
     def next_counters(self, now_ms: float) -> m.UsageCounters:
-        """The counters, to be sent to the replicas."""
+        """The next counters to send to the replicas."""
         self.number += 1
         counters = m.UsageCounters(self.number, dict(self.counts))
         self._own.receive(now_ms, OWN_OWNER_ID, counters)
         return counters
 
     def receive(self, now_ms: float, replica: str, rates: m.UsageRates) -> None:
-        """Take the rates that a replica sends."""
+        """Store the rates that a replica sent."""
         self._received[replica] = now_ms, rates
 
     def changes(self, now_ms: float) -> dict[str, float]:
-        """The shares that change now, by tenant, in calls a second; they are in force from then on."""
+        """Apply and return the shares that change now, by tenant, in calls per second."""
         fresh = [
             rates
             for received_ms, rates in self._received.values()
