--- a/tests/replication/test_replication_calls.py
+++ b/tests/replication/test_replication_calls.py
@@ -53,12 +53,12 @@
         one, other = cores.owners[:2]
         # The keepers hear the two asks in different orders.
         early = {cores.keepers[n] for n in first[:1]}
-        cores.hold = lambda sender, to, _say, early=early, one=one: sender == one and to not in early
+        cores.delays = lambda sender, to, _say, early=early, one=one: sender == one and to not in early
         cores.begin(one)
-        cores.hold, held = (lambda _sender, _to, _say: False), cores.held
+        cores.delays, held = (lambda _sender, _to, _say: False), cores.delayed
         cores.begin(other)
-        cores.held = held
-        cores.release()
+        cores.delayed = held
+        cores.deliver_delayed()
         cores.wait(700)
         went = [who for who, effect in cores.told if isinstance(effect, RunCall)]
         assert len(went) == 1
@@ -109,10 +109,10 @@
 def test_a_late_grant_does_not_count():
     cores = Cores()
     one = cores.owners[0]
-    cores.hold = lambda _sender, _to, say: isinstance(say, m.ClaimReply)
+    cores.delays = lambda _sender, _to, say: isinstance(say, m.ClaimReply)
     cores.begin(one)
     cores.now += RULES.max_wait_ms + 1  # it stood still
-    cores.release()
+    cores.deliver_delayed()
     assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
 
@@ -150,7 +150,7 @@
     cores.restart(a)
     cores.lost = set()
     # Its own first want is lost; b goes on telling what the earlier life wanted.
-    cores.hold = lambda sender, to, say: sender == a and to == b and isinstance(say, m.StateRequest)
+    cores.delays = lambda sender, to, say: sender == a and to == b and isinstance(say, m.StateRequest)
     cores.now += 700.0
     cores.carry(a, cores.cores[a].tick(cores.now))
     cores.carry(b, core.tick(cores.now))
@@ -216,12 +216,12 @@
     one, other = cores.owners[:2]
     a, b, c = cores.keepers
     # b hears the ask late: a's grant is forgotten, and b's is yet to come.
-    cores.hold = lambda sender, to, _say: sender == one and to in (b, c)
+    cores.delays = lambda sender, to, _say: sender == one and to in (b, c)
     cores.begin(one)
     cores.restart(a)
     cores.wait(150)
-    held, cores.held = cores.held, []
-    cores.hold = lambda _sender, _to, _say: False
+    held, cores.delayed = cores.delayed, []
+    cores.delays = lambda _sender, _to, _say: False
     [(sender, to, line)] = [item for item in held if item[1] == b]
     cores.carry(to, cores.cores[to].receive_line(cores.now, sender, line))
     assert cores.what(one) == [RunCall("k", True)]
--- a/tests/replication/test_replication_faults.py
+++ b/tests/replication/test_replication_faults.py
@@ -192,11 +192,11 @@
     a, b, _c = cores.keepers
     cores.begin(cores.owners[0])
     cores.restart(a)
-    cores.hold = lambda sender, _to, say: isinstance(say, m.StateChunk) and sender == b
+    cores.delays = lambda sender, _to, say: isinstance(say, m.StateChunk) and sender == b
     cores.wait(800)
-    [(_sender, _to, line), *_] = cores.held
+    [(_sender, _to, line), *_] = cores.delayed
     line["say"]["digest"] = "0" * 16
-    cores.release()
+    cores.deliver_delayed()
     assert cores.cores[a].replica.claim_store.counts["chunks with a wrong digest"] == 1
     assert not cores.cores[a].replica.is_complete(cores.now)
     cores.wait(1_500)
--- a/tests/replication/test_replication_load_reports.py
+++ b/tests/replication/test_replication_load_reports.py
@@ -4,7 +4,7 @@
 
 import msgspec
 from hypothesis import given, settings, strategies
-from support.load_reports import greeted, own
+from support.load_reports import first_answers, reporter_with_roster
 
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
@@ -19,7 +19,7 @@
 
 
 def test_sends_are_counted_within_their_window_for_scorers_in_slow_start_only():
-    reporter = own(7)
+    reporter = reporter_with_roster(7)
     for at in (100.0, 900.0, 1_000.0):
         reporter.attempt_sent(at, 7)
         reporter.attempt_sent(at, 8)
@@ -34,7 +34,7 @@
 
 
 def test_an_order_is_a_pending_load_until_it_ends_and_a_probe_never_is():
-    reporter = own()
+    reporter = reporter_with_roster()
     reporter.order_sent(0.0, CopyLocation(1, "f"), 0)
     assert reporter.next_report(1.0, {}).loading == ()
     assert not reporter.has_pending_loads
@@ -54,7 +54,7 @@
 
 
 def test_copies_are_reported_on_change_and_after_a_third_of_their_lifetime():
-    reporter = own()
+    reporter = reporter_with_roster()
     reported = []
     for at in range(0, 3_000, 100):
         reporter.attempt_ended(float(at), CopyLocation(1, "f"), GOOD, UNTOLD)
@@ -68,7 +68,7 @@
 
 
 def test_copies_of_a_restarted_or_removed_scorer_are_forgotten():
-    reporter = own()
+    reporter = reporter_with_roster()
     for worker in (1, 2, 3):
         reporter.attempt_ended(0.0, CopyLocation(worker, "f"), GOOD, UNTOLD)
     reporter.roster_changed(100.0, 5_100.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], complete=False)
@@ -82,7 +82,7 @@
 
 
 def test_a_report_has_the_latest_copies_and_says_how_many_it_omits():
-    reporter = own(copies_ms=30_000.0)
+    reporter = reporter_with_roster(copies_ms=30_000.0)
     for n in range(1_200):
         reporter.attempt_ended(float(n), CopyLocation(1, f"f{n}"), GOOD, UNTOLD)
         reporter.order_sent(float(n), CopyLocation(2, f"f{n}"), 1)
@@ -143,7 +143,7 @@
 @given(strategies.lists(strategies.tuples(strategies.integers(0, 4), works), max_size=12), strategies.data())
 def test_each_answer_has_the_others_reports_and_not_the_owners(found, data):
     store, owners = LoadReportStore(1_000.0, 3_000.0, 1), [f"n{n}#1" for n in range(5)]
-    answers = greeted(store, owners)
+    answers = first_answers(store, owners)
     reported = [
         (owners[who], work(n, one, {"k": answers[owners[who]]})) for n, (who, one) in enumerate(found, 1)
     ]
@@ -224,21 +224,21 @@
 
 def test_the_report_of_an_ended_incarnation_expires_and_the_next_counts_by_itself():
     store = LoadReportStore(1_000.0, 3_000.0, 1)
-    answers = greeted(store, ["a#1", "b#1"])
+    answers = first_answers(store, ["a#1", "b#1"])
     loads, copies = (m.PendingLoad(7, "f", 0.0),), (m.ProvenCopy(7, "g", 2, 0.0),)
     store.receive(10.0, "k", "a#1", m.LoadReport(5, {"k": answers["a#1"]}, "k", 0, {"7": 9}, loads, copies))
     found = store.receive(500.0, "k", "b#1", m.LoadReport(2, {"k": answers["b#1"]}, "k"))
     assert (found.sent, found.loading, found.copies, found.front_ends) == (
         {"7": 9}, (m.PendingLoad(7, "f", 500.0),), (m.ProvenCopy(7, "g", 2, 500.0),), 2,
     )  # fmt: skip
-    fresh = greeted(store, ["a#2"], 600.0)["a#2"]
+    fresh = first_answers(store, ["a#2"], 600.0)["a#2"]
     store.receive(700.0, "k", "a#2", m.LoadReport(1, {"k": fresh}, "k", 0, {"7": 4}))
     found = store.receive(900.0, "k", "b#1", m.LoadReport(3, {"k": answers["b#1"]}, "k"))
     assert (found.sent, found.front_ends) == ({"7": 13}, 2)  # one front end, and what both its lives sent
     found = store.receive(1_200.0, "k", "b#1", m.LoadReport(4, {"k": found.answer_number}, "k"))
     assert (found.sent, found.loading, found.front_ends) == ({"7": 4}, (), 2)
     for incarnation in range(3, 9):
-        greeted(store, [f"a#{incarnation}"], 1_200.0 + 20.0 * incarnation)
+        first_answers(store, [f"a#{incarnation}"], 1_200.0 + 20.0 * incarnation)
     assert [owner for owner in store.owners if owner[0] == "a"] == []
     found = store.receive(9_000.0, "k", "b#1", m.LoadReport(5, {}, "k"))
     assert (found.sent, found.copies, found.front_ends) == ({}, (), 1)
@@ -259,7 +259,7 @@
 
 def test_too_frequent_reports_are_not_answered_and_the_store_stays_within_limits():
     store, answered = LoadReportStore(1_000.0, 3_000.0, 1), 0
-    known = greeted(store, ["a#1", "b#1", "c#1"])
+    known = first_answers(store, ["a#1", "b#1", "c#1"])
     for n in range(1, 2_000):
         copies = tuple(m.ProvenCopy(n % 50, f"f{n}-{i}", 1, 0.0) for i in range(6))
         found = store.receive(
@@ -273,7 +273,7 @@
     loads = tuple(m.PendingLoad(n, f"g{n}", 1.0) for n in range(64))
     for n in range(8):
         owner = f"d{n}#1"
-        known |= greeted(store, [owner], 250.0)
+        known |= first_answers(store, [owner], 250.0)
         sent = {str(n * 20 + i): 3 for i in range(20)}
         reporter = tuple(m.PendingLoad(load.scorer, f"{load.function}-{n}", 1.0) for load in loads)
         store.receive(300.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, sent, reporter))
@@ -287,7 +287,7 @@
 def test_two_owners_of_a_copy_are_enough_for_every_answer():
     store = LoadReportStore(1_000.0, 3_000.0, 1)
     owners = [f"{name}#1" for name in "abcd"]
-    known = greeted(store, owners)
+    known = first_answers(store, owners)
     for n, owner in enumerate(owners[:3]):
         copies = (m.ProvenCopy(1, "f", n + 1, 30.0 - 10.0 * n),)
         store.receive(20.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, {}, (), copies))
--- a/tests/replication/test_replication_remote_loads.py
+++ b/tests/replication/test_replication_remote_loads.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 from cores import Cores
-from support.load_reports import greeted, own
+from support.load_reports import first_answers, reporter_with_roster
 
 from fawnwharf import interface as io
 from fawnwharf.replication import messages as m
@@ -86,7 +86,7 @@
     assert remote_loads.choose_replica(960.0, ["k"], 6) == ("k", 71)  # it is no keeper any more
     assert remote_loads.choose_replica(960.0, [], 6) == ("", 0)
     store = LoadReportStore(1_000.0, 3_000.0, 1)
-    known = greeted(store, ["a#1", "b#1"])
+    known = first_answers(store, ["a#1", "b#1"])
     store.receive(10.0, "k", "a#1", m.LoadReport(1, {"k": known["a#1"]}, "j", 0, {"7": 3}))
     assert store.receive(10.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "j")).sent == {}
     assert store.receive(20.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "k")).sent == {"7": 3}
@@ -154,7 +154,7 @@
             self.begin_own(name)
 
     def begin_own(self, name):
-        self.cores[name].load_reporter = own(7, now=self.now)
+        self.cores[name].load_reporter = reporter_with_roster(7, now=self.now)
 
     def tell(self, times=2):
         for _ in range(times):
--- a/tests/replication/test_replication_usage.py
+++ b/tests/replication/test_replication_usage.py
@@ -74,7 +74,7 @@
         for name, core in cores.cores.items():
             core.quota_shares.count_calls(["a"] * (25 if name == busy else 2) + ["unknown"])
             cores.carry(name, core.send_usage(cores.now))
-            cores.spread(name)
+            cores.broadcast_rates(name)
         cores.wait(500)
         changed = {name: core.quota_shares.changes(cores.now) for name, core in cores.cores.items()}
         assert n < 11 or not changed[busy]
