--- a/tests/replication/test_replication_calls.py
+++ b/tests/replication/test_replication_calls.py
@@ -1,4 +1,4 @@
-"""Replicated calls: a few cores, line by line."""
+"""Replicated calls, between the cores of a few front ends whose lines the test delivers."""
 
 import itertools
 
@@ -21,7 +21,7 @@
     cores.end(one)
     cores.begin(other)
     assert cores.what(other) == [AnswerCall("k", "QQ==")]
-    cores.begin(one)  # at the same front end, too
+    cores.begin(one)  # a repeat at the same front end
     assert cores.what(one)[1:] == [AnswerCall("k", "QQ==")]
 
 
@@ -32,9 +32,9 @@
     cores.begin(one)
     assert cores.what(one) == []
     cores.wait(600)
-    [turned] = cores.what(one)
-    assert isinstance(turned, RejectCall)
-    assert turned.pushback_ms > 0
+    [rejection] = cores.what(one)
+    assert isinstance(rejection, RejectCall)
+    assert rejection.pushback_ms > 0
     cores.lost = set()
     cores.begin(other)
     assert cores.what(other) == [RunCall("k", True)]
@@ -51,19 +51,19 @@
     for first in itertools.permutations(range(3)):
         cores = Cores()
         one, other = cores.owners[:2]
-        # The keepers hear the two asks in different orders.
+        # The replicas receive the two requests in different orders.
         early = {cores.keepers[n] for n in first[:1]}
-        cores.delays = lambda sender, to, _say, early=early, one=one: sender == one and to not in early
+        cores.delays = lambda sender, to, _message, early=early, one=one: sender == one and to not in early
         cores.begin(one)
-        cores.delays, held = (lambda _sender, _to, _say: False), cores.delayed
+        cores.delays, delayed = (lambda _sender, _to, _message: False), cores.delayed
         cores.begin(other)
-        cores.delayed = held
+        cores.delayed = delayed
         cores.deliver_delayed()
         cores.wait(700)
-        went = [who for who, effect in cores.told if isinstance(effect, RunCall)]
-        assert len(went) == 1
-        loser = one if went == [other] else other
-        cores.end(went[0])
+        winners = [name for name, action in cores.told if isinstance(action, RunCall)]
+        assert len(winners) == 1
+        loser = one if winners == [other] else other
+        cores.end(winners[0])
         assert cores.what(loser)[-1] == AnswerCall("k", "QQ==")
 
 
@@ -109,9 +109,9 @@
 def test_a_late_grant_does_not_count():
     cores = Cores()
     one = cores.owners[0]
-    cores.delays = lambda _sender, _to, say: isinstance(say, m.ClaimReply)
+    cores.delays = lambda _sender, _to, message: isinstance(message, m.ClaimReply)
     cores.begin(one)
-    cores.now += RULES.max_wait_ms + 1  # it stood still
+    cores.now += RULES.max_wait_ms + 1  # its process was paused
     cores.deliver_delayed()
     assert not any(isinstance(effect, RunCall) for effect in cores.what(one))
 
@@ -125,7 +125,7 @@
     cores.end(one)
     cores.restart(a)
     cores.lost = {b}
-    cores.begin(other)  # a has forgotten, c never knew
+    cores.begin(other)  # a has lost the claim, c never received it
     cores.wait(600)
     assert isinstance(cores.what(other)[-1], RejectCall)
     cores.lost = set()
@@ -144,13 +144,13 @@
     cores.begin(one)  # granted by a and b
     cores.end(one)
     core = cores.cores[b]
-    early = {"type": "want", "number": 1, "life": 1, "members": 1, "wanted": [
+    earlier_request = {"type": "want", "number": 1, "life": 1, "members": 1, "wanted": [
         {"owner": "n9#1", "first": 0, "until": 1}]}  # fmt: skip
-    core.receive_line(cores.now, a, {"fleet": "f", "sender": a, "life": 1, "to": [b], "say": early})
+    core.receive_line(cores.now, a, {"fleet": "f", "sender": a, "life": 1, "to": [b], "say": earlier_request})
     cores.restart(a)
     cores.lost = set()
-    # Its own first want is lost; b goes on telling what the earlier life wanted.
-    cores.delays = lambda sender, to, say: sender == a and to == b and isinstance(say, m.StateRequest)
+    # The new incarnation's first request is delayed; b still answers the request of the earlier one.
+    cores.delays = lambda sender, to, message: sender == a and to == b and isinstance(message, m.StateRequest)
     cores.now += 700.0
     cores.carry(a, cores.cores[a].tick(cores.now))
     cores.carry(b, core.tick(cores.now))
@@ -170,19 +170,19 @@
         key = f"k{n}"
         store = cores.cores[b].replica.claim_store
         for request in range(1, 41):
-            put = Claim(
+            claim = Claim(
                 "n9#1",
                 request,
                 request,
                 0,
                 ClaimPhase.GRANTED if request == n % 40 + 1 else ClaimPhase.RELEASED,
             )
-            store.merge(cores.now, key, store.get_or_create(cores.now, key), put, 60_000.0)
+            store.merge(cores.now, key, store.get_or_create(cores.now, key), claim, 60_000.0)
     cores.restart(a)
     cores.wait(3_000)
-    held = cores.cores[a].replica.claim_store.calls
-    assert all(len(held[f"k{n}"].active_claims()) == 1 for n in range(60))
-    assert sum(len(entry.claims) for entry in held.values()) == 2_400
+    received = cores.cores[a].replica.claim_store.calls
+    assert all(len(received[f"k{n}"].active_claims()) == 1 for n in range(60))
+    assert sum(len(entry.claims) for entry in received.values()) == 2_400
 
 
 def test_a_call_with_too_many_requests_is_not_granted_and_not_forgotten():
@@ -192,7 +192,7 @@
     for _ in range(80):
         cores.begin(one)
         cores.wait(250)
-        cores.now -= 250.0  # within one window
+        cores.now -= 250.0  # all requests fall into one repeat window
     replica = cores.cores[cores.keepers[0]].replica
     assert len(replica.claim_store.calls["k"].claims) <= 65
     assert replica.claim_store.counts["too many claim requests for a call"] > 0
@@ -215,19 +215,19 @@
     cores = Cores()
     one, other = cores.owners[:2]
     a, b, c = cores.keepers
-    # b hears the ask late: a's grant is forgotten, and b's is yet to come.
-    cores.delays = lambda sender, to, _say: sender == one and to in (b, c)
+    # b receives the request only after a has lost its grant in a restart.
+    cores.delays = lambda sender, to, _message: sender == one and to in (b, c)
     cores.begin(one)
     cores.restart(a)
     cores.wait(150)
-    held, cores.delayed = cores.delayed, []
-    cores.delays = lambda _sender, _to, _say: False
-    [(sender, to, line)] = [item for item in held if item[1] == b]
+    delayed, cores.delayed = cores.delayed, []
+    cores.delays = lambda _sender, _to, _message: False
+    [(sender, to, line)] = [item for item in delayed if item[1] == b]
     cores.carry(to, cores.cores[to].receive_line(cores.now, sender, line))
     assert cores.what(one) == [RunCall("k", True)]
     cores.wait(2_000)
     cores.lost = {b}
-    cores.begin(other)  # a and c alone must not be enough
+    cores.begin(other)  # a and c must not form a quorum
     cores.wait(600)
     assert not any(isinstance(effect, RunCall) for effect in cores.what(other))
 
@@ -238,13 +238,13 @@
     a, b, c = cores.keepers
     cores.wait(100)
     cores.begin(one)
-    cores.lost = {a, b}  # hears nothing
+    cores.lost = {a, b}  # only c receives the result
     cores.end(one)
     cores.lost = set()
     cores.wait(4_500)
     for name in (a, b, c):
-        [kept] = cores.cores[name].replica.claim_store.calls["k"].active_claims()
-        assert kept.phase is ClaimPhase.ANSWERED
+        [claim] = cores.cores[name].replica.claim_store.calls["k"].active_claims()
+        assert claim.phase is ClaimPhase.ANSWERED
     cores.begin(other)
     assert cores.what(other) == [AnswerCall("k", "QQ==")]
 
@@ -254,7 +254,7 @@
     one, other = cores.owners[:2]
     cores.begin(one)
     cores.end(one)
-    # Zones change places, so other front ends keep: all but one hear of it.
+    # Front ends change zones, so the set of replicas changes. All but one front end get the new membership.
     later = fleet_file("aabbcc", 2)
     behind = cores.keepers[0]
     for name, core in cores.cores.items():
@@ -265,7 +265,7 @@
     cores.begin(other)
     cores.wait(600)
     assert cores.what(other)[-1] == AnswerCall("k", "QQ==")
-    # The one that has the old list has heard that there is a later one.
+    # The replica with the old membership has learned from requests that there is a later one.
     assert not cores.cores[behind].replica.is_complete(cores.now)
 
 
--- a/tests/replication/test_replication_claim_gate.py
+++ b/tests/replication/test_replication_claim_gate.py
@@ -1,4 +1,4 @@
-"""The claim gate before the request table: each client gets one answer, and a claimed call runs once."""
+"""The claim gate in front of the request table: one answer per client, one run per claimed call."""
 
 import base64
 
@@ -22,7 +22,7 @@
 }
 
 
-class Timer:
+class FakeTimer:
     def __init__(self, callback):
         self.callback = callback
 
@@ -30,10 +30,11 @@
         self.callback = None
 
 
-class Ground:
-    """A loop whose timers the test fires, a request table that it answers for, and one front end.
+class GateHarness:
+    """A claim gate and core, with a fake event loop and request table in the same object.
 
-    That front end is the only replica, or its replicas send nothing.
+    The test fires the timers and answers the calls. The front end is the only replica, or, with more than one
+    zone, its replicas are others that never reply.
     """
 
     def __init__(self, zones="a", fresh=True):
@@ -49,19 +50,19 @@
         name = next(e.name for e in file.members if zones == "a" or e.name not in replicas)
         self.core = ReplicationCore(name, 1, file, rules, 0.0, fresh=fresh)
         self.calls, self.withdrawn, self.full = {}, [], False
-        self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry)
-        self.said = []
+        self.gate = ClaimGate(self, self, self.core, rules, CLASSES, self.carry_out)
+        self.sent = []
 
     def after(self, delay_ms, callback):
-        self.planned.append((delay_ms, Timer(callback)))
+        self.planned.append((delay_ms, FakeTimer(callback)))
         return self.planned[-1][1]
 
-    def carry(self, effects):
-        for effect in effects:
-            if isinstance(effect, m.Send):
-                self.said.append(effect)
+    def carry_out(self, actions):
+        for action in actions:
+            if isinstance(action, m.Send):
+                self.sent.append(action)
             else:
-                self.gate.apply(effect)
+                self.gate.apply(action)
 
     def take(self, call):
         if self.full:
@@ -74,7 +75,8 @@
     def withdraw(self, key):
         self.withdrawn.append(key)
 
-    def ask(self, kind="once", number=1, token=""):
+    def submit(self, kind="once", number=1, token=""):
+        """Pass a call to the gate; returns its key and the list of its outcomes."""
         got = []
         call = Call(
             id=bytes([number] * 8), class_name=kind, tenant="t", function="f", budget_ms=2_000.0,
@@ -88,150 +90,150 @@
 
 
 def test_a_call_of_mode_off_passes_through():
-    ground = Ground()
-    key, got = ground.ask("view")
+    harness = GateHarness()
+    key, got = harness.submit("view")
     assert key == "r1"
-    assert not ground.core.replica.claim_store.calls
-    ground.gate.withdraw(key)
-    assert ground.withdrawn == ["r1"]
+    assert not harness.core.replica.claim_store.calls
+    harness.gate.withdraw(key)
+    assert harness.withdrawn == ["r1"]
     assert got == []
 
 
 def test_two_attempts_of_a_call_at_one_front_end_run_once_and_share_the_answer():
-    ground = Ground()
-    _, one = ground.ask()
-    _, other = ground.ask()
-    assert len(ground.calls) == 1
+    harness = GateHarness()
+    _, one = harness.submit()
+    _, other = harness.submit()
+    assert len(harness.calls) == 1
     assert one == other == []
-    ground.calls["r1"].reply(Succeeded(b"x"))
+    harness.calls["r1"].reply(Succeeded(b"x"))
     assert one == other == [Succeeded(b"x")]
-    _, third = ground.ask()
+    _, third = harness.submit()
     assert third == [Succeeded(b"x")]
-    assert len(ground.calls) == 1
-    assert not ground.gate.busy
+    assert len(harness.calls) == 1
+    assert not harness.gate.busy
 
 
 def test_a_running_at_most_once_call_continues_when_its_client_leaves():
-    ground = Ground()
-    key, got = ground.ask()
-    ground.gate.withdraw(key)
-    assert ground.withdrawn == []
-    ground.calls["r1"].reply(Succeeded(b"x"))
+    harness = GateHarness()
+    key, got = harness.submit()
+    harness.gate.withdraw(key)
+    assert harness.withdrawn == []
+    harness.calls["r1"].reply(Succeeded(b"x"))
     assert got == []
-    assert ground.ask()[1] == [Succeeded(b"x")]
+    assert harness.submit()[1] == [Succeeded(b"x")]
 
 
 def test_a_deduplicated_call_is_withdrawn_as_failed_when_its_client_leaves():
-    ground = Ground()
-    key, _ = ground.ask("keyed", token="k")
-    ground.gate.withdraw(key)
-    assert ground.withdrawn == ["r1"]
-    assert ground.gate.calls == {}
-    assert [claim.phase for claim in ground.claims()] == [ClaimPhase.FAILED]
+    harness = GateHarness()
+    key, _ = harness.submit("keyed", token="k")
+    harness.gate.withdraw(key)
+    assert harness.withdrawn == ["r1"]
+    assert harness.gate.calls == {}
+    assert [claim.phase for claim in harness.claims()] == [ClaimPhase.FAILED]
 
 
 def test_a_call_is_released_when_its_client_leaves_before_it_runs():
-    ground = Ground("abcabc")
-    key, got = ground.ask()
-    assert ground.calls == {}
-    assert ground.gate.busy
-    ground.gate.withdraw(key)
-    reported = [say.message for say in ground.said if isinstance(say.message, m.ClaimUpdate)]
-    assert [tell.claim.phase for tell in reported] == [ClaimPhase.RELEASED]
-    assert ground.gate.calls == {}
-    assert not ground.gate.busy
+    harness = GateHarness("abcabc")
+    key, got = harness.submit()
+    assert harness.calls == {}
+    assert harness.gate.busy
+    harness.gate.withdraw(key)
+    updates = [send.message for send in harness.sent if isinstance(send.message, m.ClaimUpdate)]
+    assert [update.claim.phase for update in updates] == [ClaimPhase.RELEASED]
+    assert harness.gate.calls == {}
+    assert not harness.gate.busy
     assert got == []
 
 
 def test_a_rejected_call_is_released_and_a_failed_one_may_have_run():
-    ground = Ground()
-    _, one = ground.ask(number=1)
-    ground.calls["r1"].reply(Rejected(50.0))
-    _, other = ground.ask(number=2)
-    ground.calls["r2"].reply(Failed())
+    harness = GateHarness()
+    _, one = harness.submit(number=1)
+    harness.calls["r1"].reply(Rejected(50.0))
+    _, other = harness.submit(number=2)
+    harness.calls["r2"].reply(Failed())
     assert (one, other) == ([Rejected(50.0)], [Failed()])
-    assert sorted(claim.phase for claim in ground.claims()) == [ClaimPhase.RELEASED, ClaimPhase.FAILED]
-    assert ground.ask(number=2)[1] == [Failed()]  # at once: nobody will ever know
-    ground.ask(number=1)
-    assert len(ground.calls) == 3
-    ground.full = True
-    assert ground.ask(number=3)[1] == [Rejected(9.0)]
-    assert ground.gate.calls.keys() == {call_key(ground.calls["r3"])}
+    assert sorted(claim.phase for claim in harness.claims()) == [ClaimPhase.RELEASED, ClaimPhase.FAILED]
+    assert harness.submit(number=2)[1] == [Failed()]  # at once, because its result will never be known
+    harness.submit(number=1)
+    assert len(harness.calls) == 3
+    harness.full = True
+    assert harness.submit(number=3)[1] == [Rejected(9.0)]
+    assert harness.gate.calls.keys() == {call_key(harness.calls["r3"])}
 
 
 @pytest.mark.parametrize("kind", ["once", "keyed"])
 def test_a_stored_answer_is_sent_at_once_and_nothing_stays_open(kind):
-    """A key for what has its answer would stand open at the client's connection for good."""
-    ground = Ground()
-    _, first = ground.ask(kind, token="t1")
-    ground.calls["r1"].reply(Succeeded(b"done"))
-    key, again = ground.ask(kind, token="t1")
+    """If the gate returned a key for an answered call, the client's connection would never close the call."""
+    harness = GateHarness()
+    _, first = harness.submit(kind, token="t1")
+    harness.calls["r1"].reply(Succeeded(b"done"))
+    key, again = harness.submit(kind, token="t1")
     assert first == again == [Succeeded(b"done")]
     assert key is None
-    assert not ground.gate.busy
-    assert not ground.gate.calls
+    assert not harness.gate.busy
+    assert not harness.gate.calls
 
 
 def test_a_repeat_fails_when_the_answer_was_too_long_to_store():
-    ground = Ground()
-    ground.ask()
-    ground.calls["r1"].reply(Succeeded(b"x" * 65))
-    assert ground.ask()[1] == [Failed()]
-    assert [(claim.phase, claim.answer) for claim in ground.claims()] == [(ClaimPhase.ANSWERED, None)]
+    harness = GateHarness()
+    harness.submit()
+    harness.calls["r1"].reply(Succeeded(b"x" * 65))
+    assert harness.submit()[1] == [Failed()]
+    assert [(claim.phase, claim.answer) for claim in harness.claims()] == [(ClaimPhase.ANSWERED, None)]
 
 
 def test_a_waiting_call_ends_before_its_clients_deadline():
-    ground = Ground("abcabc")
+    harness = GateHarness("abcabc")
     begun = []
-    begin = ground.core.begin_call
-    ground.core.begin_call = lambda now, key, terms: begun.append(terms) or begin(now, key, terms)
-    ground.ask()
+    begin = harness.core.begin_call
+    harness.core.begin_call = lambda now, key, terms: begun.append(terms) or begin(now, key, terms)
+    harness.submit()
     assert begun[0].budget_ms == 2_000.0 - WAIT_MARGIN_MS
-    [owned] = ground.core.call_owner.calls.values()
+    [owned] = harness.core.call_owner.calls.values()
     owned.progress = CallProgress.WAITING
-    effects = ground.core.call_owner.tick(owned.deadline_ms)
-    ground.carry(effects)
-    assert [type(effect).__name__ for effect in effects] == ["FailCall"]
-    assert not ground.gate.busy
+    actions = harness.core.call_owner.tick(owned.deadline_ms)
+    harness.carry_out(actions)
+    assert [type(action).__name__ for action in actions] == ["FailCall"]
+    assert not harness.gate.busy
 
 
 def test_a_waiting_call_fails_once_at_its_deadline():
-    ground = Ground()
-    ground.ask()
-    _, got = ground.ask()
-    delay, timer = ground.planned[-1]
-    assert delay == 2_000.0 - DEADLINE_MARGIN_MS  # the answer has a way to go
+    harness = GateHarness()
+    harness.submit()
+    _, got = harness.submit()
+    delay, timer = harness.planned[-1]
+    assert delay == 2_000.0 - DEADLINE_MARGIN_MS  # the margin is for the way to the client
     timer.callback()
     assert got == [Failed()]
-    ground.calls["r1"].reply(Succeeded(b"x"))
+    harness.calls["r1"].reply(Succeeded(b"x"))
     assert got == [Failed()]
 
 
 def test_a_running_call_is_withdrawn_when_it_was_answered_elsewhere():
-    ground = Ground("abcabc")
-    _, got = ground.ask("keyed", token="k")
-    assert list(ground.calls) == ["r1"]
-    [name] = ground.gate.calls
+    harness = GateHarness("abcabc")
+    _, got = harness.submit("keyed", token="k")
+    assert list(harness.calls) == ["r1"]
+    [name] = harness.gate.calls
     answered = Claim("n9#1", 1, 2, 0, ClaimPhase.ANSWERED, "d", base64.b64encode(b"x").decode())
-    replica = ground.core.placement.replicas_of(name)[0]
-    word = m.ClaimReply(name, ground.core.owner_id, 1, False, True, (answered,))
-    line = {"fleet": "f", "sender": replica, "life": 1, "to": [ground.core.name]}
-    ground.carry(ground.core.receive_line(10.0, replica, line | {"say": msgspec.to_builtins(word)}))
+    replica = harness.core.placement.replicas_of(name)[0]
+    reply = m.ClaimReply(name, harness.core.owner_id, 1, False, True, (answered,))
+    line = {"fleet": "f", "sender": replica, "life": 1, "to": [harness.core.name]}
+    harness.carry_out(harness.core.receive_line(10.0, replica, line | {"say": msgspec.to_builtins(reply)}))
     assert got == [Succeeded(b"x")]
-    assert ground.withdrawn == ["r1"]
-    assert ground.gate.calls == {}
+    assert harness.withdrawn == ["r1"]
+    assert harness.gate.calls == {}
 
 
 def test_too_many_waiting_calls_are_rejected_at_once(monkeypatch):
     monkeypatch.setattr("fawnwharf.replication.claim_gate.MAX_HELD_CALLS", 2)
-    ground = Ground("abcabc")
-    got = [ground.ask(number=n)[1] for n in range(1, 5)]
+    harness = GateHarness("abcabc")
+    got = [harness.submit(number=n)[1] for n in range(1, 5)]
     assert got == [[], [], [Rejected(250.0)], [Rejected(250.0)]]
 
 
 def test_attempts_of_one_call_share_a_key_and_other_calls_have_others():
-    ground = Ground()
+    harness = GateHarness()
     for kind, number, token in (("keyed", 1, "k"), ("keyed", 2, "k"), ("keyed", 1, "l"), ("once", 1, "")):
-        ground.ask(kind, number, token)
-    names = [call_key(call) for call in ground.calls.values()]
+        harness.submit(kind, number, token)
+    names = [call_key(call) for call in harness.calls.values()]
     assert len(names) == len(set(names)) == 3
--- a/tests/replication/test_replication_claims.py
+++ b/tests/replication/test_replication_claims.py
@@ -1,4 +1,4 @@
-"""Settings, placement, the laws of merging claims, and how claims are summarized."""
+"""Settings, placement, the algebraic laws of merging claims, and the summary of claims."""
 
 import itertools
 from pathlib import Path
@@ -85,8 +85,8 @@
 @given(strategies.permutations(list(range(9))))
 def test_placement_does_not_depend_on_the_order_of_the_file(order):
     file = fleet_file("abcabcabc")
-    turned = msgspec.structs.replace(file, members=[file.members[n] for n in order])
-    assert [ReplicaPlacement(turned, 3, 1).replicas_of(key) for key in KEYS[:20]] == [
+    reordered = msgspec.structs.replace(file, members=[file.members[n] for n in order])
+    assert [ReplicaPlacement(reordered, 3, 1).replicas_of(key) for key in KEYS[:20]] == [
         ReplicaPlacement(file, 3, 1).replicas_of(key) for key in KEYS[:20]
     ]
 
@@ -138,7 +138,7 @@
 )
 
 
-def shelf_of(items):
+def store_of(items):
     store = ClaimStore(RULES, ReplicaPlacement(FLEET, 3, 1).replicas_of)
     for key, claim in items:
         store.merge(0.0, key, store.get_or_create(0.0, key), claim, 5_000.0)
@@ -148,9 +148,9 @@
 @settings(max_examples=200, deadline=None)
 @given(records, strategies.randoms(use_true_random=False))
 def test_digests_do_not_depend_on_order_or_repeats_of_claims(items, chance):
-    turned = items + [item for item in items if chance.random() < 0.5]
-    chance.shuffle(turned)
-    one, other = shelf_of(items), shelf_of(turned)
+    repeated = items + [item for item in items if chance.random() < 0.5]
+    chance.shuffle(repeated)
+    one, other = store_of(items), store_of(repeated)
     assert {key: entry.claims for key, entry in one.calls.items()} == {
         key: entry.claims for key, entry in other.calls.items()
     }
@@ -162,26 +162,26 @@
 @settings(max_examples=100, deadline=None)
 @given(records)
 def test_bucket_sums_match_the_stored_claims_and_are_empty_after_expiry(items):
-    store = shelf_of(items)
-    held = sum(len(c.answer or "") for entry in store.calls.values() for c in entry.claims.values())
-    assert store.answer_bytes == held
+    store = store_of(items)
+    answer_bytes = sum(len(c.answer or "") for entry in store.calls.values() for c in entry.claims.values())
+    assert store.answer_bytes == answer_bytes
     store.remove_expired(RULES.max_claim_lifetime_ms * 2)
     assert (store.calls, store.answer_bytes, store._buckets) == ({}, 0, {})
 
 
 def test_a_difference_is_found_by_owner_and_bucket():
-    one = shelf_of(
+    one = store_of(
         [
             ("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.GRANTED)),
             ("k2", Claim("n2#1", 1, 1, 4, ClaimPhase.GRANTED)),
         ]
     )
-    other = shelf_of([("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.GRANTED))])
+    other = store_of([("k1", Claim("n1#1", 1, 1, 4, ClaimPhase.GRANTED))])
     name = ReplicaPlacement(FLEET, 3, 1).replicas[0]
     assert other.differing_ranges(name, one.bucket_digests(1_000.0, name)) == [m.BucketRange("n2#1", 4, 5)]
 
 
-# --- reading ------------------------------------------------------------------------------------
+# --- summaries ----------------------------------------------------------------------------------
 
 
 def claim(owner, phase, digest=""):
@@ -189,12 +189,16 @@
 
 
 @pytest.mark.parametrize(
-    ("claims", "alive", "standing"),
+    ("claims", "alive", "state"),
     [
         ([], set(), CallState.FREE),
         ([claim("a#1", ClaimPhase.RELEASED)], {"a#1"}, CallState.FREE),
         ([claim("a#1", ClaimPhase.GRANTED)], {"a#1"}, CallState.RUNNING),
-        ([claim("a#1", ClaimPhase.GRANTED)], {"a#2"}, CallState.UNKNOWN),  # a new life is a new owner
+        (
+            [claim("a#1", ClaimPhase.GRANTED)],
+            {"a#2"},
+            CallState.UNKNOWN,
+        ),  # a new incarnation is another owner
         ([claim("a#1", ClaimPhase.FAILED)], {"a#1"}, CallState.UNKNOWN),
         (
             [claim("a#1", ClaimPhase.GRANTED), claim("b#1", ClaimPhase.ANSWERED, "x")],
@@ -213,12 +217,12 @@
         ),
     ],
 )
-def test_claims_are_summarized_by_the_strictest_state(claims, alive, standing):
+def test_claims_are_summarized_by_the_strictest_state(claims, alive, state):
     for order in itertools.permutations(claims):
-        assert summarize_claims(list(order), alive).state is standing
+        assert summarize_claims(list(order), alive).state is state
 
 
-# --- the files that come with the project -------------------------------------------------------
+# --- the example deployment files ---------------------------------------------------------------
 
 
 def test_the_example_deployment_files_are_valid_and_consistent():
--- a/tests/replication/test_replication_load_reports.py
+++ b/tests/replication/test_replication_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports and a replica's store of them, in virtual time."""
+"""Load reporters and a replica's store of their reports, in virtual time."""
 
 import random
 
@@ -15,7 +15,7 @@
 GOOD, UNTOLD = io.AttemptResult.GOOD, io.Warmth.UNTOLD
 
 
-# --- what an owner tells ------------------------------------------------------------------------
+# --- the reports of an owner --------------------------------------------------------------------
 
 
 def test_sends_are_counted_within_their_window_for_scorers_in_slow_start_only():
@@ -44,7 +44,9 @@
         m.PendingLoad(2, "f", 10.0),
         m.PendingLoad(1, "f", 20.0),
     )
-    reporter.order_ended(40.0, CopyLocation(1, "f"), 0, GOOD, 0)  # the question's answer is not the load's
+    reporter.order_ended(
+        40.0, CopyLocation(1, "f"), 0, GOOD, 0
+    )  # the answer to the probe does not end the load
     reporter.order_ended(50.0, CopyLocation(2, "f"), 2, GOOD, 2)
     report = reporter.next_report(60.0, {})
     assert report.loading == (m.PendingLoad(1, "f", 50.0),)
@@ -64,13 +66,13 @@
     assert reporter.next_report(3_000.0, {}).copies == (m.ProvenCopy(1, "f", 0, 0.0),)
     reporter.attempt_ended(3_100.0, CopyLocation(1, "f"), io.AttemptResult.TIMEOUT, UNTOLD)
     reporter.order_ended(3_100.0, CopyLocation(1, "f"), 0, io.AttemptResult.RESET, 0)
-    assert reporter.next_report(3_200.0, {}).copies == ()  # neither proves anything
+    assert reporter.next_report(3_200.0, {}).copies == ()  # a timeout and a reset prove nothing
 
 
 def test_copies_of_a_restarted_or_removed_scorer_are_forgotten():
     reporter = reporter_with_roster()
-    for worker in (1, 2, 3):
-        reporter.attempt_ended(0.0, CopyLocation(worker, "f"), GOOD, UNTOLD)
+    for scorer in (1, 2, 3):
+        reporter.attempt_ended(0.0, CopyLocation(scorer, "f"), GOOD, UNTOLD)
     reporter.roster_changed(100.0, 5_100.0, [io.ScorerEntry(1, up_since_ms=5_050.0)], complete=False)
     reporter.roster_changed(100.0, 5_100.0, [io.ScorerEntry(2, state=io.ScorerState.GONE)], complete=False)
     assert [copy.scorer for copy in reporter.next_report(100.0, {}).copies] == [3]
@@ -103,49 +105,54 @@
     assert len(reporter.next_report(1_201.0, {}).sent) == 64
 
 
-# --- what keepers make of it --------------------------------------------------------------------
+# --- the store of a replica ---------------------------------------------------------------------
 
-places = strategies.sampled_from([(1, "f"), (2, "f"), (1, "g")])
-works = strategies.tuples(
+locations = strategies.sampled_from([(1, "f"), (2, "f"), (1, "g")])
+report_contents = strategies.tuples(
     strategies.dictionaries(strategies.sampled_from("789"), strategies.integers(0, 50)),
-    strategies.dictionaries(places, strategies.integers(0, 3)),
-    strategies.sets(places),
+    strategies.dictionaries(locations, strategies.integers(0, 3)),
+    strategies.sets(locations),
 )
 
 
-def work(number, found, after=None):
-    sent, copies, loads = found
+def load_report(number, content, last_answers=None):
+    """A report with this content: sends by scorer, copies by location, and locations of loads."""
+    sent, copies, loads = content
     return m.LoadReport(
         number,
-        after or {},
+        last_answers or {},
         "k",
         0,
         sent,
-        tuple(m.PendingLoad(*place, 1.0) for place in sorted(loads)),
-        tuple(m.ProvenCopy(*place, count, 2.0) for place, count in copies.items()),
+        tuple(m.PendingLoad(*location, 1.0) for location in sorted(loads)),
+        tuple(m.ProvenCopy(*location, count, 2.0) for location, count in copies.items()),
     )
 
 
-@given(strategies.lists(works, max_size=6), strategies.data())
+@given(strategies.lists(report_contents, max_size=6), strategies.data())
 def test_reports_merge_the_same_in_any_order_and_with_repeats(found, data):
-    store = [(work(n, one), 100.0 * n) for n, one in enumerate(found, 1)]
+    reports = [(load_report(n, content), 100.0 * n) for n, content in enumerate(found, 1)]
     plain, mixed = OwnerReport(), OwnerReport()
-    for report, made in store:
-        plain.merge(report, made)
-    order = data.draw(strategies.permutations(store + store))
-    for report, made in order:
-        mixed.merge(report, made)
-    for report, made in data.draw(strategies.permutations(store)):
-        mixed.merge(report, made)
+    for report, made_ms in reports:
+        plain.merge(report, made_ms)
+    order = data.draw(strategies.permutations(reports + reports))
+    for report, made_ms in order:
+        mixed.merge(report, made_ms)
+    for report, made_ms in data.draw(strategies.permutations(reports)):
+        mixed.merge(report, made_ms)
     assert plain == mixed
 
 
-@given(strategies.lists(strategies.tuples(strategies.integers(0, 4), works), max_size=12), strategies.data())
+@given(
+    strategies.lists(strategies.tuples(strategies.integers(0, 4), report_contents), max_size=12),
+    strategies.data(),
+)
 def test_each_answer_has_the_others_reports_and_not_the_owners(found, data):
     store, owners = LoadReportStore(1_000.0, 3_000.0, 1), [f"n{n}#1" for n in range(5)]
     answers = first_answers(store, owners)
     reported = [
-        (owners[who], work(n, one, {"k": answers[owners[who]]})) for n, (who, one) in enumerate(found, 1)
+        (owners[index], load_report(n, content, {"k": answers[owners[index]]}))
+        for n, (index, content) in enumerate(found, 1)
     ]
     last = {owner: {} for owner in owners}
     copies, loads = {}, {owner: () for owner in owners}
@@ -159,66 +166,65 @@
         answer = store.receive(now, "k", owner, m.LoadReport(0, {"k": answers[owner]}, "k"))
         sums = {}
         for other, sent in last.items():
-            for worker, count in sent.items() if other != owner else ():
-                sums[worker] = sums.get(worker, 0) + count
-        assert answer.sent == {worker: count for worker, count in sums.items() if count}
+            for scorer, count in sent.items() if other != owner else ():
+                sums[scorer] = sums.get(scorer, 0) + count
+        assert answer.sent == {scorer: count for scorer, count in sums.items() if count}
         theirs = {(load.scorer, load.function) for other in owners if other != owner for load in loads[other]}
         assert {(load.scorer, load.function) for load in answer.loading} == theirs
-        known = {(w, f) for w, f, other in copies if other != owner}
+        known = {(scorer, function) for scorer, function, other in copies if other != owner}
         assert {(copy.scorer, copy.function) for copy in answer.copies} == known
 
 
-class Line:
-    """An owner, a replica and a second owner with clocks of their own, and delayed lines."""
+class DelayedLines:
+    """Owners a and b and a replica k with unrelated clocks, and lines that are delayed or repeated."""
 
     def __init__(self, chance):
-        self.chance, self.true = chance, 0.0
-        self.off = {name: chance.uniform(-1e6, 1e6) for name in "kab"}
-        self.words, self.views = (
-            LoadReportStore(1_000.0, 3_000.0, 1),
-            {n: RemoteLoads(1_000.0, 3_000.0) for n in "ab"},
-        )
-        self.post, self.made = [], {}
+        self.chance, self.true_ms = chance, 0.0
+        self.offsets_ms = {name: chance.uniform(-1e6, 1e6) for name in "kab"}
+        self.store = LoadReportStore(1_000.0, 3_000.0, 1)
+        self.remote_loads = {n: RemoteLoads(1_000.0, 3_000.0) for n in "ab"}
+        self.in_transit, self.made_ms = [], {}
 
     def now(self, name):
-        return self.true + self.off[name]
+        return self.true_ms + self.offsets_ms[name]
 
     def send(self, target, item):
-        late = self.chance.choice((1.0, 20.0, 20.0, 400.0, 1_500.0))
-        self.post += [(self.true + late, target, item)] * self.chance.choice((1, 1, 1, 2))
+        delay_ms = self.chance.choice((1.0, 20.0, 20.0, 400.0, 1_500.0))
+        self.in_transit += [(self.true_ms + delay_ms, target, item)] * self.chance.choice((1, 1, 1, 2))
 
     def step(self, n):
-        self.true += 50.0
+        self.true_ms += 50.0
         for name in "ab" if n % 2 else ():
             sent = {"7": n} if name == "a" else {}
             copies = (m.ProvenCopy(7, f"f{n}", 1, 0.0),) if name == "a" else ()
-            self.made[n] = self.true
-            self.views[name].report_sent(self.now(name), n)
-            remote_loads = self.views[name]
+            self.made_ms[n] = self.true_ms
+            remote_loads = self.remote_loads[name]
+            remote_loads.report_sent(self.now(name), n)
             wants = remote_loads.choose_replica(self.now(name), ["k"], 2)
             self.send("k", (name, m.LoadReport(n, remote_loads.last_answers(), *wants, sent, (), copies)))
-        due, self.post = ([p for p in self.post if (p[0] <= self.true) == now] for now in (True, False))
+        due = [line for line in self.in_transit if line[0] <= self.true_ms]
+        self.in_transit = [line for line in self.in_transit if line[0] > self.true_ms]
         for _, target, item in due:
             if target == "k":
                 name, report = item
-                if answer := self.words.receive(self.now("k"), "k", f"{name}#1", report):
+                if answer := self.store.receive(self.now("k"), "k", f"{name}#1", report):
                     self.send(name, answer)
             else:
-                self.views[target].receive("k", 1, item)
+                self.remote_loads[target].receive("k", 1, item)
 
 
 @given(strategies.integers(0, 1 << 30))
 @settings(max_examples=60, deadline=None)
 def test_no_report_seems_younger_than_it_is_with_any_clocks_and_delays(seed):
-    line, seen = Line(random.Random(seed)), 0
+    lines, seen = DelayedLines(random.Random(seed)), 0
     for n in range(1, 120):
-        line.step(n)
-        for event in line.views["b"].changes(line.now("b"), {7}, {7}, 2):
+        lines.step(n)
+        for event in lines.remote_loads["b"].changes(lines.now("b"), {7}, {7}, 2):
             seen += 1
             if event.sent:
-                assert event.age_ms >= line.true - line.made[event.sent] - 1e-3
+                assert event.age_ms >= lines.true_ms - lines.made_ms[event.sent] - 1e-3
             for function in event.copies:
-                assert event.age_ms >= line.true - line.made[int(function[1:])] - 1e-3
+                assert event.age_ms >= lines.true_ms - lines.made_ms[int(function[1:])] - 1e-3
     assert seen > 0
 
 
@@ -234,7 +240,10 @@
     fresh = first_answers(store, ["a#2"], 600.0)["a#2"]
     store.receive(700.0, "k", "a#2", m.LoadReport(1, {"k": fresh}, "k", 0, {"7": 4}))
     found = store.receive(900.0, "k", "b#1", m.LoadReport(3, {"k": answers["b#1"]}, "k"))
-    assert (found.sent, found.front_ends) == ({"7": 13}, 2)  # one front end, and what both its lives sent
+    assert (found.sent, found.front_ends) == (
+        {"7": 13},
+        2,
+    )  # one front end, with the sends of both incarnations
     found = store.receive(1_200.0, "k", "b#1", m.LoadReport(4, {"k": found.answer_number}, "k"))
     assert (found.sent, found.loading, found.front_ends) == ({"7": 4}, (), 2)
     for incarnation in range(3, 9):
@@ -252,7 +261,7 @@
     assert store.owners == {}
     assert store.counts == {"load reports: naming no known answer": 3}
     known = store.receive(400.0, "k", "a#1", m.LoadReport(4)).answer_number
-    again = LoadReportStore(1_000.0, 3_000.0, 1 << 50)  # started again
+    again = LoadReportStore(1_000.0, 3_000.0, 1 << 50)  # the next incarnation
     again.receive(500.0, "k", "a#1", m.LoadReport(5, {"k": known}, "k", 0, {"7": 9}))
     assert again.owners == {}
 
@@ -275,8 +284,8 @@
         owner = f"d{n}#1"
         known |= first_answers(store, [owner], 250.0)
         sent = {str(n * 20 + i): 3 for i in range(20)}
-        reporter = tuple(m.PendingLoad(load.scorer, f"{load.function}-{n}", 1.0) for load in loads)
-        store.receive(300.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, sent, reporter))
+        own_loads = tuple(m.PendingLoad(load.scorer, f"{load.function}-{n}", 1.0) for load in loads)
+        store.receive(300.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, sent, own_loads))
     found = store.receive(400.0, "k", "b#1", m.LoadReport(1, {"k": known["b#1"]}, "k"))
     assert (len(found.sent), len(found.loading), len(found.copies)) == (64, 256, 256)
     assert found.omitted > 1_000
@@ -292,8 +301,8 @@
         copies = (m.ProvenCopy(1, "f", n + 1, 30.0 - 10.0 * n),)
         store.receive(20.0, "k", owner, m.LoadReport(1, {"k": known[owner]}, "k", 0, {}, (), copies))
     seen = {
-        o: store.receive(100.0, "k", o, m.LoadReport(2, {"k": known[o]}, "k")).copies[0].copies
-        for o in owners
+        owner: store.receive(100.0, "k", owner, m.LoadReport(2, {"k": known[owner]}, "k")).copies[0].copies
+        for owner in owners
     }
     assert seen == {"a#1": 3, "b#1": 3, "c#1": 2, "d#1": 3}
-    assert sum(len(held.copies) for held in store.owners.values()) == 2
+    assert sum(len(stored.copies) for stored in store.owners.values()) == 2
