--- a/fawnwharf/replication/commands.py
+++ b/fawnwharf/replication/commands.py
@@ -83,7 +83,7 @@
     if status.lags_ms:
         longest = sorted(status.lags_ms.items(), key=lambda lag: -lag[1])[:MAX_SHOWN_LAGS]
         lags = "  ".join(f"{who} {lag_ms:g}" for who, lag_ms in longest)
-        typer.echo(f"{'':16} ms since the last sign of each it follows, the longest first: {lags}")
+        typer.echo(f"{'':16} ms since each followed member was last heard, longest first: {lags}")
     for counter, count in sorted(status.counts.items()):
         typer.echo(f"{'':16} {counter}: {count}")
 
--- a/fawnwharf/replication/core.py
+++ b/fawnwharf/replication/core.py
@@ -200,19 +200,19 @@
 
     def _deliver_locally(self, now_ms: float, actions: list[OwnerAction]) -> list[OwnerAction]:
         """Deliver messages to this member itself at once, and return all other actions in order."""
-        found: list[OwnerAction] = []
-        waiting = list(actions)
-        while waiting:
-            action = waiting.pop(0)
+        outgoing: list[OwnerAction] = []
+        pending = list(actions)
+        while pending:
+            action = pending.pop(0)
             if not isinstance(action, m.Send):
-                found.append(action)
+                outgoing.append(action)
                 continue
             others = tuple(name for name in action.recipients if name != self.name)
             if others:
-                found.append(m.Send(others, action.message))
+                outgoing.append(m.Send(others, action.message))
             if len(others) < len(action.recipients):
-                waiting[:0] = self._receive(now_ms, self.name, self.incarnation, action.message)
-        return found
+                pending[:0] = self._receive(now_ms, self.name, self.incarnation, action.message)
+        return outgoing
 
     def _send_to_replicas(self, now_ms: float, message: m.Message) -> list[OwnerAction]:
         recipients = tuple(self.placement.replicas[:MAX_RECIPIENTS])
--- a/fawnwharf/replication/load_report_store.py
+++ b/fawnwharf/replication/load_report_store.py
@@ -176,18 +176,20 @@
         totals = self._totals
         if totals is not None and now_ms - totals.at_ms < TOTALS_VALID_MS and owner in self._answers:
             return
-        gone: list[str] = []
+        expired_owners: list[str] = []
         if owner not in self._answers:
             name = front_end_of(owner)
             incarnations = [known for known in self._answers if front_end_of(known) == name]
-            gone = incarnations[: max(0, len(incarnations) + 1 - MAX_INCARNATIONS)]
+            expired_owners = incarnations[: max(0, len(incarnations) + 1 - MAX_INCARNATIONS)]
         lifetime_ms = max(self.report_lifetime_ms, self.copy_lifetime_ms)
-        gone += [known for known, answers in self._answers.items() if now_ms - answers[-1][1] > lifetime_ms]
-        for old in dict.fromkeys(gone):
-            for location in list(self.owners[old].copies) if old in self.owners else ():
-                self._remove_copy(location, old)
-            self.owners.pop(old, None)
-            del self._answers[old]
+        expired_owners += [
+            known for known, answers in self._answers.items() if now_ms - answers[-1][1] > lifetime_ms
+        ]
+        for expired in dict.fromkeys(expired_owners):
+            for location in list(self.owners[expired].copies) if expired in self.owners else ():
+                self._remove_copy(location, expired)
+            self.owners.pop(expired, None)
+            del self._answers[expired]
         self._totals = None
 
     # --- answers ------------------------------------------------------------------------------
--- a/fawnwharf/replication/replica.py
+++ b/fawnwharf/replication/replica.py
@@ -243,13 +243,13 @@
         return sends
 
     def change_live_owners(self, now_ms: float, live_owners: set[str]) -> list[m.Send]:
-        """Replace the set of live owners, and notify the owners that wait for one that is gone."""
-        gone = self.live_owners - live_owners
+        """Replace the set of live owners, and notify the owners that wait for one that is no longer alive."""
+        dead_owners = self.live_owners - live_owners
         self.live_owners = set(live_owners)
         sends: list[m.Send] = []
-        if gone:
+        if dead_owners:
             for key, entry in self.claim_store.calls.items():
-                if entry.waiters and gone & {owner for owner, _ in entry.claims}:
+                if entry.waiters and dead_owners & {owner for owner, _ in entry.claims}:
                     sends += self._notify_waiters(now_ms, key, entry)
         return sends
 
@@ -283,7 +283,7 @@
         """Start to send the claims stored here to another replica.
 
         A replica with a later membership gets all claims, and this one grants nothing more until it has that
-        membership, too.
+        membership as well.
         """
         later = request.membership_number > self.placement.number
         self._max_requested_membership = max(self._max_requested_membership, request.membership_number)
--- a/fawnwharf/replication/state_transfer.py
+++ b/fawnwharf/replication/state_transfer.py
@@ -115,7 +115,7 @@
         transfer.digest = digest
         transfer.requested_ms = now_ms
         self.received_claims += len(chunk.claims)
-        # A list, so that the claims after a failure are stored, too.
+        # A list, because the claims after a failure must be stored as well.
         stored_all = all([store_claim(stored) for stored in chunk.claims])
         if chunk.last or not stored_all:
             del self._incoming[sender]
@@ -126,9 +126,9 @@
     ) -> list[m.Send]:
         """Request the owners' ranges that differ twice in a row; a single difference may be in transit."""
         differing = self.store.differing_ranges(sender, digests.buckets)
-        owners_before = {found.owner for found in self._last_differences.get(sender, [])}
+        owners_before = {bucket_range.owner for bucket_range in self._last_differences.get(sender, [])}
         self._last_differences[sender] = differing
-        lasting = tuple(found for found in differing if found.owner in owners_before)
+        lasting = tuple(bucket_range for bucket_range in differing if bucket_range.owner in owners_before)
         if not lasting:
             return []
         self.store.counts[ReplicationCounter.DIFFERENCES_REQUESTED] += 1
