--- a/fawnwharf/replication/call_owner.py
+++ b/fawnwharf/replication/call_owner.py
@@ -111,7 +111,7 @@
     replies: dict[str, m.ClaimReply] = field(default_factory=dict)  # the last one of each replica
     progress: CallProgress = CallProgress.REQUESTED
 
-    def grants_count(self, now_ms: float) -> bool:
+    def accepts_grants(self, now_ms: float) -> bool:
         """Whether grants that arrive now still count."""
         return now_ms - self.requested_ms <= self.wait_ms
 
@@ -220,7 +220,7 @@
     def _evaluate(self, now_ms: float, call: OwnedCall) -> list[OwnerAction]:
         """Run the call, give up its claim, or wait for more replies."""
         quorum = len(call.replicas) // 2 + 1
-        in_time = call.grants_count(now_ms)
+        in_time = call.accepts_grants(now_ms)
         granted = sum(reply.granted for reply in call.replies.values())
         if granted >= quorum and in_time:
             call.progress = CallProgress.RUNNING
@@ -360,7 +360,7 @@
         """Proceed with the calls whose wait has timed out."""
         actions: list[OwnerAction] = []
         for call in list(self.calls.values()):
-            if call.progress is CallProgress.REQUESTED and not call.grants_count(now_ms):
+            if call.progress is CallProgress.REQUESTED and not call.accepts_grants(now_ms):
                 self.counts[ReplicationCounter.CLAIM_TIMEOUTS] += 1
                 actions += self._continue_unclaimed(call)
             elif call.progress is CallProgress.WAITING and now_ms >= call.deadline_ms:
--- a/fawnwharf/replication/service.py
+++ b/fawnwharf/replication/service.py
@@ -99,9 +99,9 @@
         if self.settings.quota_shares:
             # A copy of the configured quotas, because the module writes the limits it receives into its own.
             self.core.quota_shares = QuotaShares(dict(module_settings.quotas_rps), module_settings.fleet_size)
-        targets_ms = (spec.latency_target_ms for spec in module_settings.classes.values())
+        latency_targets_ms = (spec.latency_target_ms for spec in module_settings.classes.values())
         self.outlier_ejector = OutlierEjector(
-            min(targets_ms, default=DEFAULT_LATENCY_TARGET_MS), self.log_event
+            min(latency_targets_ms, default=DEFAULT_LATENCY_TARGET_MS), self.log_event
         )
         self.load_reporting: LoadReporting | None = None
         if self.settings.load_reports:
