--- a/fawnwharf/replication/load_report.py
+++ b/fawnwharf/replication/load_report.py
@@ -19,11 +19,12 @@
 MAX_LOAD_AGE_MS = 10_000.0  # older unanswered load orders no longer count as loads in flight
 REFRESH_FRACTION = 1 / 3  # of a copy's lifetime, after which a repeated proof is reported again
 
+# Results of load orders whose answers state the number of copies.
 _RESULTS_WITH_COPY_COUNT = (
     io.AttemptResult.GOOD,
     io.AttemptResult.FULL,
     io.AttemptResult.ERROR,
-)  # results of load orders whose answers state the number of copies
+)
 
 
 class CopyLocation(NamedTuple):
--- a/tests/replication/test_replication_claims.py
+++ b/tests/replication/test_replication_claims.py
@@ -194,11 +194,8 @@
         ([], set(), CallState.FREE),
         ([claim("a#1", ClaimPhase.RELEASED)], {"a#1"}, CallState.FREE),
         ([claim("a#1", ClaimPhase.GRANTED)], {"a#1"}, CallState.RUNNING),
-        (
-            [claim("a#1", ClaimPhase.GRANTED)],
-            {"a#2"},
-            CallState.UNKNOWN,
-        ),  # a new incarnation is another owner
+        # A new incarnation is another owner.
+        ([claim("a#1", ClaimPhase.GRANTED)], {"a#2"}, CallState.UNKNOWN),
         ([claim("a#1", ClaimPhase.FAILED)], {"a#1"}, CallState.UNKNOWN),
         (
             [claim("a#1", ClaimPhase.GRANTED), claim("b#1", ClaimPhase.ANSWERED, "x")],
--- a/tests/replication/test_replication_faults.py
+++ b/tests/replication/test_replication_faults.py
@@ -95,9 +95,8 @@
     first, _ = sorted(tmp_path.glob("keeper-*.log"), key=lambda path: int(path.stem[7:]))
     first.unlink()
     assert "missing" in read_back(tmp_path, life=100.0, now=595.0).distrust_reason
-    assert (
-        read_back(tmp_path, life=100.0, now=900.0).distrust_reason == ""
-    )  # all claims of the missing file have expired
+    # All claims of the missing file have expired.
+    assert read_back(tmp_path, life=100.0, now=900.0).distrust_reason == ""
 
 
 def test_a_file_of_an_incomplete_replica_is_not_trusted(tmp_path):
--- a/tests/replication/test_replication_load_reports.py
+++ b/tests/replication/test_replication_load_reports.py
@@ -44,9 +44,8 @@
         m.PendingLoad(2, "f", 10.0),
         m.PendingLoad(1, "f", 20.0),
     )
-    reporter.order_ended(
-        40.0, CopyLocation(1, "f"), 0, GOOD, 0
-    )  # the answer to the probe does not end the load
+    # The answer to the probe does not end the load.
+    reporter.order_ended(40.0, CopyLocation(1, "f"), 0, GOOD, 0)
     reporter.order_ended(50.0, CopyLocation(2, "f"), 2, GOOD, 2)
     report = reporter.next_report(60.0, {})
     assert report.loading == (m.PendingLoad(1, "f", 50.0),)
@@ -240,10 +239,8 @@
     fresh = first_answers(store, ["a#2"], 600.0)["a#2"]
     store.receive(700.0, "k", "a#2", m.LoadReport(1, {"k": fresh}, "k", 0, {"7": 4}))
     found = store.receive(900.0, "k", "b#1", m.LoadReport(3, {"k": answers["b#1"]}, "k"))
-    assert (found.sent, found.front_ends) == (
-        {"7": 13},
-        2,
-    )  # one front end, with the sends of both incarnations
+    # One front end, with the sends of both incarnations.
+    assert (found.sent, found.front_ends) == ({"7": 13}, 2)
     found = store.receive(1_200.0, "k", "b#1", m.LoadReport(4, {"k": found.answer_number}, "k"))
     assert (found.sent, found.loading, found.front_ends) == ({"7": 4}, (), 2)
     for incarnation in range(3, 9):
--- a/tests/replication/test_replication_remote_loads.py
+++ b/tests/replication/test_replication_remote_loads.py
@@ -41,12 +41,10 @@
     assert remote_loads.changes(10.0, {7}, {7, 8}, 6) == []  # unchanged
     assert remote_loads.changes(10.0, {7}, {7, 8}, 9) == [io.RemoteLoadReport(7, None, {}, (), 0.0)]
     remote_loads.receive("j", 1, remote_report(3, 6, {"7": 1}))
-    assert (
-        remote_loads.changes(20.0, {7}, {7, 8}, 6)[0].sent == 4
-    )  # the other answer is dated the same and covers as many, so the first is kept
-    assert remote_loads.changes(995.0, {7}, {7, 8}, 6) == [
-        io.RemoteLoadReport(7, None, {}, (), 0.0)
-    ]  # all answers have expired
+    # The other answer is dated the same and covers as many, so the first is kept.
+    assert remote_loads.changes(20.0, {7}, {7, 8}, 6)[0].sent == 4
+    # All answers have expired.
+    assert remote_loads.changes(995.0, {7}, {7, 8}, 6) == [io.RemoteLoadReport(7, None, {}, (), 0.0)]
 
 
 def test_a_scorer_in_slow_start_without_sends_is_reported():
@@ -67,9 +65,8 @@
     assert remote_loads.counts == {"load reports: answers out of order": 3}
     assert [event.sent for event in remote_loads.changes(10.0, {7}, {7}, 6)] == [5]
     assert remote_loads.last_answers() == {"k": 2}
-    remote_loads.receive(
-        "k", 9, remote_report(2, sent={"7": 6}, answer=1)
-    )  # another incarnation of the replica
+    # Another incarnation of the replica.
+    remote_loads.receive("k", 9, remote_report(2, sent={"7": 6}, answer=1))
     assert remote_loads.last_answers() == {"k": 1}
     remote_loads.forget_replicas({"k"})
     assert remote_loads.last_answers() == {}
@@ -86,10 +83,8 @@
     assert remote_loads.best_answer(300.0).report.answer_number == 50
     remote_loads.receive("j", 1, m.RemoteLoadReport(2, 1, 51))
     assert remote_loads.choose_replica(400.0, replicas, 6) == ("j", 50)
-    assert remote_loads.choose_replica(500.0, replicas, 6) == (
-        "k",
-        0,
-    )  # j has sent no full answer for too long
+    # j has sent no full answer for too long.
+    assert remote_loads.choose_replica(500.0, replicas, 6) == ("k", 0)
     assert remote_loads.choose_replica(800.0, replicas, 6) == ("k", 0)
     remote_loads.report_sent(800.0, 9)
     remote_loads.receive("k", 1, remote_report(9, 4, answer=71))
