--- a/fawnwharf/policy_rollout/call_binding.py
+++ b/fawnwharf/policy_rollout/call_binding.py
@@ -50,11 +50,11 @@
         """The policy of this moment, which applies to the call from now on."""
         ...
 
-    def forget_call(self, call: str) -> None:
+    def release_call(self, call: str) -> None:
         """Forget the policy of a call that has ended, or that waits without a policy."""
         ...
 
-    def ended(self, call: bytes, policy: ActivePolicy, taken_ms: float) -> None:
+    def record_call_end(self, call: bytes, policy: ActivePolicy, bound_unix_ms: float) -> None:
         """Note a call that ended, by the client's id for it; `taken_ms` is Unix time."""
         ...
 
@@ -66,8 +66,8 @@
     call: Call
     reply: Callable[[Outcome], None]
     policy: ActivePolicy
-    taken_ms: float  # Unix, when it was bound
-    arrived_ms: float  # of the loop's clock
+    bound_unix_ms: float  # Unix, when it was bound
+    arrival_ms: float  # of the loop's clock
     key: str | None = None  # of the call in the inner table
     timer: Timer | None = None  # of one that waits
 
@@ -92,7 +92,7 @@
         self._waiting_bytes = 0
         self._last_key = 0
         self._last_policy: ActivePolicy | None = None  # of the last call
-        self._deadline_ms: dict[str, float] = {}  # by class, of that policy
+        self._deadline_ms_by_class: dict[str, float] = {}  # by class, of that policy
 
     def __len__(self) -> int:
         return len(self._open)
@@ -106,15 +106,15 @@
         """Submit a call and bind it to a policy; the key to cancel it by, or None where it was answered."""
         self._last_key += 1
         key = f"p{self._last_key}"
-        taken_ms = self._unix_ms()
+        bound_unix_ms = self._unix_ms()
         policy = self._policies.bind(key)
-        bound = _BoundCall(call, call.reply, policy, taken_ms, monotonic_ms())
+        bound = _BoundCall(call, call.reply, policy, bound_unix_ms, monotonic_ms())
         self._open[key] = bound
         call.reply = lambda outcome: self._reply(key, outcome)
         if policy.basis != "waiting":
-            self._pass_on(key, bound)
+            self._submit(key, bound)
         elif self._has_capacity_for(call):
-            self._wait(key, bound)
+            self._enqueue(key, bound)
         else:
             call.reply(Rejected(PUSHBACK_MS))
         return key if key in self._open else None
@@ -125,28 +125,28 @@
             return False
         return self._waiting_bytes + len(call.body) <= MAX_WAITING_BYTES
 
-    def _wait(self, key: str, bound: _BoundCall) -> None:
+    def _enqueue(self, key: str, bound: _BoundCall) -> None:
         """Let a call wait until the policy in force is known."""
         call = bound.call
-        self._policies.forget_call(key)
+        self._policies.release_call(key)
         self._waiting[key] = bound
         self._waiting_bytes += len(call.body)
         wait_ms = min(MAX_WAIT_MS, MAX_WAIT_FRACTION_OF_BUDGET * call.budget_ms)
         bound.timer = self._after(wait_ms, lambda: call.reply(Rejected(PUSHBACK_MS)))
 
-    def _pass_on(self, key: str, bound: _BoundCall) -> None:
+    def _submit(self, key: str, bound: _BoundCall) -> None:
         """Submit a call to the inner table, with the deadline of its policy."""
         call = bound.call
         call.context = bound.policy
         if bound.policy is not self._last_policy:
             self._last_policy = bound.policy
-            self._deadline_ms = _deadlines_by_class(bound.policy.document)
-        deadline_ms = self._deadline_ms.get(call.class_name)
+            self._deadline_ms_by_class = _deadlines_by_class(bound.policy.document)
+        deadline_ms = self._deadline_ms_by_class.get(call.class_name)
         if deadline_ms is not None:
             call.budget_ms = min(call.budget_ms, deadline_ms)
         bound.key = self.inner.take(call)
         if bound.key is None:  # it was answered at once, or the inner table has dropped it
-            self._end(key)
+            self._release(key)
 
     def submit_waiting(self) -> None:
         """Bind the waiting calls to the policy that is now known, and submit them to the inner table."""
@@ -154,11 +154,11 @@
             if key not in self._waiting:  # passing one on may have released all
                 continue
             self._stop_waiting(key, bound)
-            bound.taken_ms = self._unix_ms()
+            bound.bound_unix_ms = self._unix_ms()
             bound.policy = self._policies.bind(key)
-            waited_ms = monotonic_ms() - bound.arrived_ms
+            waited_ms = monotonic_ms() - bound.arrival_ms
             bound.call.budget_ms = max(1.0, bound.call.budget_ms - waited_ms)
-            self._pass_on(key, bound)
+            self._submit(key, bound)
 
     def reject_waiting(self) -> None:
         """Reject the waiting calls, as the policy will not be known here: clients may retry elsewhere."""
@@ -174,23 +174,23 @@
 
     def withdraw(self, key: str) -> None:
         """Cancel a call by its key, here and in the inner table; an unknown key changes nothing."""
-        bound = self._end(key)
+        bound = self._release(key)
         if bound is not None and bound.key is not None:
             self.inner.withdraw(bound.key)
 
     def _reply(self, key: str, outcome: Outcome) -> None:
-        bound = self._end(key)
+        bound = self._release(key)
         if bound is not None:
             bound.reply(outcome)
 
-    def _end(self, key: str) -> _BoundCall | None:
+    def _release(self, key: str) -> _BoundCall | None:
         """Forget a call, once."""
         bound = self._open.pop(key, None)
         if bound is None:
             return None
         self._stop_waiting(key, bound)
-        self._policies.forget_call(key)
-        self._policies.ended(bound.call.id, bound.policy, bound.taken_ms)
+        self._policies.release_call(key)
+        self._policies.record_call_end(bound.call.id, bound.policy, bound.bound_unix_ms)
         return bound
 
 
--- a/fawnwharf/policy_rollout/lease_holder.py
+++ b/fawnwharf/policy_rollout/lease_holder.py
@@ -1,13 +1,16 @@
-"""The lease holder at each front end: the policy by which a call is decided at this moment.
+"""The lease holder at each front end: determines the policy that applies to calls now.
 
-No I/O, no clock and no randomness but what is passed in; times are milliseconds of its own clock. It acts by
-a document only under a lease for it. Between two documents it uses the stricter of both, key by key, which
-admits no more than either policy would; where it has lost its lease and knows of no next document, it uses
-the stricter of the last one and its fallback limits.
+The holder does no I/O and reads no clock and no random source: callers pass the time in. Times are
+milliseconds of the holder's own clock.
 
-Whatever it knows to be decided binds it at once: from then on no lease of an earlier number counts. After a
-restart it has no lease and nothing that may be relied on, whatever its disk says; it is not ready before a
-leader's coordinator has sent it the last decided document.
+The holder applies a document as it is only under a lease for it. Without a lease, while the fleet may be
+changing from one document to another, it applies the stricter of both, key by key, which admits no more than
+either document would. Without a lease and without a known next document, it applies the stricter of the last
+document and its fallback limits.
+
+A decision binds the holder as soon as it knows it: a lease for an earlier document is no longer valid. After
+a restart the holder has no lease and does not rely on the register stored on its disk. It is not ready before
+a leader's coordinator has sent it the last decided document.
 """
 
 from dataclasses import dataclass, field
@@ -33,35 +36,34 @@
 
 
 class PolicyBasis(NamedTuple):
-    """The documents in effect: one under a lease, the stricter of two, or one with its fallback limits."""
+    """Which documents make up the policy: one (leased, or with fallback limits) or the stricter of two."""
 
     kind: m.PolicyBasisKind
     document: Document
-    other: Document | None = None
+    other: Document | None = None  # the second document where the stricter of two applies
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """Owns one front end's lease, what it knows to be decided, and what it was asked to prepare."""
+    """Owns one front end's lease, the last decided register that it knows, and the prepared document."""
 
     capabilities: DeploymentCapabilities
     timing: RolloutTiming
-    incarnation: int  # another one after each restart
-    stored_register: str = ""  # as stored before; used for the limits only while no leader is reached
+    incarnation: int  # differs after each restart
+    stored_register: str = ""  # from disk; used only for limits, until a leader has answered
     register: PolicyRegister = field(default_factory=PolicyRegister)
     ready: bool = False
     lease: LeaseRecord = NO_LEASE
-    granted_number: int = -1  # of the last document that it had a lease for since its start; -1: none
-    prepared: Document | None = (
-        None  # the proposal that it has agreed to, and that is neither decided nor aborted
-    )
+    granted_number: int = -1  # of the last document leased since the start; -1: none
+    # The proposed document that the holder voted for, until the proposal is decided or aborted.
+    prepared: Document | None = None
     newest_message: tuple[int, int] = (0, 0)  # (term, sequence) of a coordinator's newest message
     next_request_ms: float = 0.0
     policy_by_call: dict[str, m.ActivePolicy] = field(default_factory=dict)  # of each open call, by its key
-    active: m.ActivePolicy | None = None  # as announced to the owner
-    active_basis: PolicyBasis | None = None  # of `active`
+    active: m.ActivePolicy | None = None  # the policy last announced to the owner
+    active_basis: PolicyBasis | None = None  # the basis of `active`
     relaxation: DelayedRelaxation = field(init=False)
-    error: str = ""  # of a decided document that this version does not know
+    error: str = ""  # why the last decided register can't be read; empty if it can
 
     def __post_init__(self) -> None:
         self.relaxation = DelayedRelaxation(self.timing.skew)
@@ -71,15 +73,15 @@
             except DocumentError:
                 self.stored_register = ""
 
-    # --- the policy of this moment --------------------------------------------------------------
+    # --- the current policy ---------------------------------------------------------------------
 
     def has_lease(self, now_ms: float) -> bool:
-        """Whether it has a lease for the last decided document."""
+        """Whether the holder has a valid lease for the last decided document."""
         lease = self.lease
         return self.ready and now_ms < lease.expires_ms and lease.number == self.register.last.number
 
     def _basis(self, now_ms: float) -> PolicyBasis:
-        """The documents in effect at this moment."""
+        """The documents that the current policy is made of."""
         last, before = self.register.last, self.register.before
         if self.has_lease(now_ms):
             return PolicyBasis("leased", last)
@@ -92,11 +94,11 @@
         return PolicyBasis("floor", last)
 
     def policy_at(self, now_ms: float) -> m.ActivePolicy:
-        """The policy of this moment, with absent keys filled in from the settings; changes nothing."""
+        """The policy at this time, with absent keys filled in from the settings; has no side effects."""
         active, before = self.active, self.active_basis
         is_same = before is not None and before.document is self.register.last
         if active and is_same and active.basis == "leased" and self.has_lease(now_ms):
-            return active  # the usual case for a call: it needs no new basis
+            return active  # the usual case for a call
         basis = self._basis(now_ms)
         if active is not None and basis == before:
             return active
@@ -110,19 +112,19 @@
         return m.ActivePolicy(complete.number, complete.digest, complete, basis.kind)
 
     def bind_call(self, now_ms: float, call: str) -> m.ActivePolicy:
-        """Begin a call: the policy of this moment applies to it up to its final answer."""
+        """Bind a call to the current policy, which applies to it until its final answer."""
         return self.policy_by_call.setdefault(call, self.policy_at(now_ms))
 
     def policy_of_call(self, call: str) -> m.ActivePolicy | None:
-        """The policy of an open call; None for an unknown one."""
+        """The policy bound to an open call; None for an unknown call."""
         return self.policy_by_call.get(call)
 
     def release_call(self, call: str) -> None:
-        """End a call."""
+        """Forget the policy of a call that has ended."""
         self.policy_by_call.pop(call, None)
 
     def _announce_change(self, now_ms: float) -> list[m.Effect]:
-        """The policy of this moment as an effect, if it is another one than before."""
+        """Return the current policy as an effect if it differs from the last announced one."""
         new = self.policy_at(now_ms)
         self.relaxation.apply_due(now_ms)
         if new == self.active:
@@ -135,7 +137,7 @@
     # --- time -----------------------------------------------------------------------------------
 
     def due_ms(self) -> float:
-        """When `tick` has to be called at the latest."""
+        """The latest time at which `tick` must be called."""
         deadlines = [self.next_request_ms]
         deadlines.extend(pending.effective_ms for pending in self.relaxation.pending.values())
         if self.active is not None and self.active.basis == "leased":
@@ -143,7 +145,7 @@
         return min(deadlines)
 
     def tick(self, now_ms: float) -> list[m.Effect]:
-        """Do what is due; call it at `due_ms` at the latest, as a lease that is over ends here."""
+        """Apply an expired lease and send a due lease request; must be called no later than `due_ms`."""
         effects = self._announce_change(now_ms)
         if now_ms >= self.next_request_ms:
             self.next_request_ms = now_ms + self.timing.renew_ms
@@ -155,7 +157,7 @@
     # --- messages -------------------------------------------------------------------------------
 
     def receive(self, now_ms: float, sender: str, message: m.Message) -> list[m.Effect]:
-        """Handle any message that is for a holder; others change nothing."""
+        """Handle a message for the holder; ignore any other."""
         match message:
             case m.LeaseGrant():
                 return self.receive_grant(now_ms, message)
@@ -169,15 +171,15 @@
                 return []
 
     def receive_prepare(self, now_ms: float, sender: str, message: m.Prepare) -> list[m.Effect]:
-        """Answer a proposal with yes, or with no, key and cause.
+        """Vote yes on a proposal, or no with the key and the cause.
 
-        A yes binds to nothing but the stricter of both documents, and to that only while there is no lease.
+        A yes commits the holder only to applying the stricter of both documents while it has no lease.
         """
         order = message.term, message.sequence
         if order < self.newest_message or message.number <= self.register.last.number:
             return []
         if not self.ready:
-            return []  # it has no lease, so nobody waits for it
+            return []  # without a lease its vote is not needed
         self.newest_message = order
         document: Document | None = None
         try:
@@ -191,7 +193,7 @@
         return [m.Send(sender, vote), *self._announce_change(now_ms)]
 
     def receive_abort(self, now_ms: float, message: m.Abort) -> list[m.Effect]:
-        """Discard a proposal that was ended."""
+        """Discard a proposal that was aborted."""
         order = message.term, message.sequence
         if order < self.newest_message:
             return []
@@ -201,7 +203,7 @@
         return self._announce_change(now_ms)
 
     def receive_decision(self, now_ms: float, text: str) -> list[m.Effect]:
-        """Adopt the register, whoever sent it, and report that to the leader's coordinator."""
+        """Adopt a decided register from any sender and report that to the leader's coordinator."""
         effects = self._adopt_register(text)
         if self.ready:
             effects.append(self._adopted_message(now_ms))
@@ -213,9 +215,9 @@
         return m.Send(m.LEADER, message)
 
     def _adopt_register(self, text: str, *, replace: bool = False) -> list[m.Effect]:
-        """Adopt a later register; with `replace` adopt this one, whatever the disk said.
+        """Adopt the register if it is later; with `replace`, also if the one from disk has a higher number.
 
-        A register that this version can't read ends its readiness, as others may act by it already.
+        A register that this version can't read ends readiness, because other members may already apply it.
         """
         try:
             register = parse_register(text)
@@ -230,7 +232,7 @@
         return [m.StoreRegister(text)]
 
     def _lose_readiness(self, error: str) -> list[m.Effect]:
-        """Give up the lease, as the decided register can't be read; each cause is logged once."""
+        """Give up the lease because the decided register can't be read; a repeated error is not logged."""
         is_new = error != self.error
         self.error = error
         self.ready = False
@@ -239,9 +241,9 @@
         return [m.RolloutLogEvent("policy register unreadable", {"reason": error})] if is_new else []
 
     def receive_grant(self, now_ms: float, message: m.LeaseGrant) -> list[m.Effect]:
-        """Handle a coordinator's answer.
+        """Handle a coordinator's answer to a lease request.
 
-        One for another incarnation, or of an older document, is ignored.
+        An answer to another incarnation is ignored, and so is a lease for another document than the last.
         """
         if message.incarnation != self.incarnation:
             return []
@@ -261,7 +263,7 @@
         return effects + self._announce_change(now_ms)
 
     def _take_lease(self, now_ms: float, message: m.LeaseGrant) -> None:
-        """Take the lease in a grant, where it has one for the last decided document."""
+        """Record the lease of a grant, if it is one for the last decided document."""
         number = message.number
         if not self.ready or not message.lease_ms or number != self.register.last.number:
             return
--- a/fawnwharf/policy_rollout/rollout_coordinator.py
+++ b/fawnwharf/policy_rollout/rollout_coordinator.py
@@ -1,18 +1,20 @@
-"""The rollout coordinator at the voters' leader: carries one change through, and grants leases.
+"""The rollout coordinator at the voters' leader: rolls out one policy document at a time and grants leases.
 
-No I/O, no clock and no randomness but what is passed in; times are milliseconds of its own clock, which may
-run fast or slow against a holder's by `skew` and must not step back. Leases are after Gray and Cheriton,
-'Leases' (1989): a lease counts from the sending of its holder's request, so that no delay of the answer
-makes it longer, and the coordinator takes it to be over by the slowest clock that a holder may have, on the
-fastest of its own.
+The coordinator does no I/O and reads no clock and no random source: callers pass the time in. Times are
+milliseconds of the coordinator's own clock. Its rate may differ from a holder's clock by `skew`, and it must
+not step back.
 
-A change is an atomic commit whose decision is the voters' (Gray and Lamport, 'Consensus on Transaction
-Commit', 2006): all that are alive agree, one decision stands in the log, and the end of no coordinator leaves
-it open.
+Leases follow Gray and Cheriton, 'Leases' (1989). A holder counts its lease from the moment it sent the
+request, so a delayed answer does not extend the lease. The coordinator treats a lease as expired only after
+the longest time it can last if the holder's clock is the slowest allowed and its own the fastest.
 
-A new leader does not know which leases the one before it granted. So it assumes that every holder has one for
-a lease's time from when its term began, unless a holder shows that the last document has been in force: then
-no lease of an earlier one is left.
+A rollout is an atomic commit that the voters decide (Gray and Lamport, 'Consensus on Transaction Commit',
+2006): all live members vote yes, the consensus log records one decision, and the failure of a coordinator
+does not leave the rollout undecided.
+
+A new leader does not know which leases its predecessor granted. It assumes that every holder has a lease that
+was granted just before the new term began. A holder that proves that the last document has been in force ends
+this wait: then no lease for an earlier document is left.
 """
 
 from dataclasses import dataclass, field
@@ -26,39 +28,40 @@
 )
 from fawnwharf.policy_rollout.rollout_state import LeaseRecord, OpenProposal, ReceivedRequest, RolloutTiming
 
-MAX_NAMED_MEMBERS = 5  # in the cause of an abort
+MAX_NAMED_MEMBERS = 5  # members listed in the reason of an abort
 
 
 @dataclass(slots=True)
 class RolloutCoordinator:
-    """Owns the open proposal, the votes for it, and the record of who may hold which lease."""
+    """Owns the open proposal, the votes on it, and the leases that members may hold."""
 
     timing: RolloutTiming
     members: tuple[str, ...] = ()
-    term: int = 0  # that it leads; 0: it does not lead
+    term: int = 0  # the term in which this member leads; 0 while it does not lead
     sequence: int = 0
     register: PolicyRegister = field(default_factory=PolicyRegister)
-    is_in_force: bool = False  # the last decided document, in the fleet: no lease of an earlier one is left
-    # The end of the longest lease that an earlier leader can have granted. Until then nothing is decided, and
-    # nothing declared in force unless a holder proves it.
+    # Whether the last decided document is in force in the fleet: no lease for an earlier document is left.
+    is_in_force: bool = False
+    # When the longest lease that an earlier leader can have granted expires. Before that time nothing is
+    # decided, and no document is declared in force unless a holder proves that it has been.
     unknown_leases_until_ms: float = 0.0
     leases: dict[str, LeaseRecord] = field(default_factory=dict)  # by holder
-    requests: dict[str, ReceivedRequest] = field(default_factory=dict)  # by holder
-    incarnations: dict[str, int] = field(default_factory=dict)  # the last of each that was observed
-    informed_members: frozenset[str] = frozenset()  # those that have reported the last decision as known
+    requests: dict[str, ReceivedRequest] = field(default_factory=dict)  # the newest request, by holder
+    incarnations: dict[str, int] = field(default_factory=dict)  # the latest seen incarnation, by member
+    informed_members: frozenset[str] = frozenset()  # members that reported that they know the last decision
     proposal: OpenProposal | None = None
-    highest_number: int = 0  # the largest number given in this term
-    repeat_ms: float = 0.0  # when messages are sent again
-    ticked_ms: float = 0.0
+    highest_number: int = 0  # the highest document number decided or assigned so far
+    repeat_ms: float = 0.0  # when unanswered messages are sent again
+    last_tick_ms: float = 0.0
 
     # --- terms ----------------------------------------------------------------------------------
 
     def lead(self, now_ms: float, term: int, text: str) -> list[m.Effect]:
         """Begin a term.
 
-        This member's voter leads, what it decided last is certainly the fleet's last
-        (`Voter.holds_read_lease`), and nothing in its log is undecided. `text` is the register there; empty
-        for none yet.
+        Preconditions: this member's voter leads and holds the read lease (`Voter.holds_read_lease`), so that
+        no later decision can exist, and its log has no undecided entry. `text` is the encoded register from
+        the log; it is empty before the first decision.
         """
         self.step_down()
         try:
@@ -74,9 +77,9 @@
         return [m.RolloutLogEvent("rollout coordinator started", fields)]
 
     def step_down(self) -> None:
-        """End the term: the voter does not lead any more.
+        """End the term, because the voter no longer leads.
 
-        It is up to the next coordinator to end what was being prepared.
+        The next coordinator ends a proposal that was being prepared.
         """
         self.term = 0
         self.proposal = None
@@ -87,19 +90,22 @@
         self.informed_members = frozenset()
 
     def due_ms(self) -> float | None:
-        """When `tick` has to be called next; None for not before a message arrives."""
+        """When `tick` must be called next; None if no call is needed before the next message."""
         if not self.term or (self.proposal is None and self.is_in_force):
             return None
         deadlines = [self.unknown_leases_until_ms]
         deadlines.extend(lease.expires_ms for lease in self.leases.values())
         if self.proposal:
             deadlines.append(self.proposal.deadline_ms)
-        return min([self.repeat_ms, *(deadline for deadline in deadlines if deadline > self.ticked_ms)])
+        return min([self.repeat_ms, *(deadline for deadline in deadlines if deadline > self.last_tick_ms)])
 
     def receive(
         self, now_ms: float, sender: str, message: m.Message, holds_read_lease: bool
     ) -> list[m.Effect]:
-        """Handle any message for a coordinator; others change nothing. `holds_read_lease` as for requests."""
+        """Handle a message for the coordinator and ignore any other.
+
+        `holds_read_lease` is as for `receive_lease_request`.
+        """
         match message:
             case m.Vote():
                 return self.receive_vote(now_ms, sender, message)
@@ -117,11 +123,11 @@
     # --- a proposal -----------------------------------------------------------------------------
 
     def propose(self, now_ms: float, text: str) -> list[m.Effect]:
-        """Begin an operator's proposal; rejected with a cause while another one is in progress."""
+        """Begin an operator's proposal, or reject it with a reason, for example while another one is open."""
         if not self.term:
             return [_rejected("this member does not lead")]
-        if cause := self._cause_to_reject():
-            return [_rejected(cause)]
+        if reason := self._rejection_reason():
+            return [_rejected(reason)]
         try:
             document = parse_document(text)
         except DocumentError as error:
@@ -138,8 +144,8 @@
             *self._decide_if_agreed(now_ms),
         ]
 
-    def _cause_to_reject(self) -> str:
-        """Why no proposal can begin now; empty where one can."""
+    def _rejection_reason(self) -> str:
+        """Why no proposal can begin now; empty if one can."""
         if self.proposal is not None:
             return f"number {self.proposal.number} is under way"
         return "" if self.is_in_force else f"number {self.register.last.number} is not in force yet"
@@ -152,21 +158,21 @@
         return m.Prepare(self.term, proposal.sequence, proposal.number, proposal.document.encode())
 
     def receive_vote(self, now_ms: float, sender: str, vote: m.Vote) -> list[m.Effect]:
-        """Handle a member's answer to the proposal."""
+        """Handle a member's vote on the open proposal."""
         if self.proposal is None or self.proposal.deciding or sender not in self.members:
             return []
         if (vote.term, vote.sequence) != (self.term, self.proposal.sequence):
-            return []  # on another proposal, or of another term
+            return []  # a vote on another proposal, or from another term
         if vote.incarnation < self.incarnations.get(sender, 0):
             return []
-        self._note_incarnation(sender, vote.incarnation)
+        self._record_incarnation(sender, vote.incarnation)
         if vote.error:
             return self._abort(self.proposal, f"{sender}: {vote.error}")
         self.proposal.agreed |= {sender}
         return self._decide_if_agreed(now_ms)
 
     def cancel(self, reason: str = "") -> list[m.Effect]:
-        """End what is being prepared, on an operator's request, while nothing is decided."""
+        """Abort the open proposal at an operator's request; rejected once the log is deciding it."""
         if self.proposal is None:
             return [_rejected("nothing is being prepared")]
         if self.proposal.deciding:
@@ -174,7 +180,7 @@
         return self._abort(self.proposal, f"cancelled {reason}".strip())
 
     def set_members(self, members: tuple[str, ...]) -> list[m.Effect]:
-        """Change the list of members; a member that is removed keeps its lease until that is over."""
+        """Change the list of members; a removed member keeps its lease until that expires."""
         effects: list[m.Effect] = []
         if members != self.members and self.proposal and not self.proposal.deciding:
             effects = self._abort(self.proposal, "the list of members changed")
@@ -182,52 +188,52 @@
         return effects
 
     def _abort(self, proposal: OpenProposal, reason: str) -> list[m.Effect]:
-        self.sequence += 1  # so that a prepare that arrives late does not begin it again
+        self.sequence += 1  # a `Prepare` that arrives late is then too old to begin the proposal again
         self.proposal = None
         message = m.Abort(self.term, self.sequence, proposal.number, reason[: m.MAX_SHORT_TEXT])
         event = m.RolloutLogEvent("ended", {"number": proposal.number, "reason": reason})
         return [*(m.Send(to, message) for to in self.members), event]
 
     def _may_hold_lease(self, now_ms: float, name: str) -> bool:
-        """Whether a member may have a lease of this term, of whatever number, at this moment."""
+        """Whether a member may now hold a lease granted in this term, for any document."""
         return name in self.leases and now_ms < self.leases[name].expires_ms
 
     def members_without_vote(self, now_ms: float) -> list[str]:
-        """The members whose vote is missing, for operators; empty where nothing is being prepared."""
+        """The members whose vote is missing, for the status; empty while nothing is being prepared."""
         if self.proposal is None or self.proposal.deciding:
             return []
         return self._missing_votes(now_ms, self.proposal)
 
     def _missing_votes(self, now_ms: float, proposal: OpenProposal) -> list[str]:
-        """Whose vote is missing: also of members that were removed, until their leases are over."""
+        """Lease holders that have not voted yes; includes removed members until their leases expire."""
         names = {*self.members, *self.leases} - proposal.agreed
         return sorted(name for name in names if self._may_hold_lease(now_ms, name))
 
     def _decide_if_agreed(self, now_ms: float) -> list[m.Effect]:
-        """Propose the decision to the log once no vote is missing."""
+        """Propose the document to the consensus log once no vote is missing."""
         proposal = self.proposal
         if proposal is None or proposal.deciding or self._missing_votes(now_ms, proposal):
             return []
         if now_ms < self.unknown_leases_until_ms:
-            return []  # the leader before may have granted leases to some that are on no list any more
+            return []  # the previous leader may have granted leases to members that have since been removed
         if not proposal.agreed:
-            return []  # no live member would apply it
+            return []  # no live member would apply the document
         proposal.deciding = True
         return [m.ProposeRegister(self.register.with_next(proposal.document).encode())]
 
     # --- the decision ---------------------------------------------------------------------------
 
     def proposal_not_logged(self) -> list[m.Effect]:
-        """Note that what was proposed to the log certainly never came into it."""
+        """Abort the proposal, because it is certain that the log will never contain it."""
         if self.proposal is None or not self.proposal.deciding:
             return []
         return self._abort(self.proposal, "the voters' log did not accept it")
 
     def receive_decision(self, now_ms: float, text: str, holds_read_lease: bool) -> list[m.Effect]:
-        """Take the log's register, as it was decided while this one leads.
+        """Adopt a register that the log decided while this coordinator leads.
 
-        `holds_read_lease` as for lease requests. Raises DocumentError for a malformed text; what it proposed
-        itself never is.
+        `holds_read_lease` is as for `receive_lease_request`. Raises DocumentError for a malformed text, which
+        this coordinator itself never proposes.
         """
         register = parse_register(text)
         if not self.term or register.last.number <= self.register.last.number:
@@ -251,9 +257,9 @@
         return [name for name, lease in self.leases.items() if lease.number < self.register.last.number]
 
     def _declare_in_force(self, now_ms: float, *, proven: bool = False) -> list[m.Effect]:
-        """Declare the register in force, once no lease of an earlier number can be left.
+        """Declare the last document in force, once no lease for an earlier one can be left.
 
-        `proven` tells that it has been in force already.
+        `proven` means that a holder has shown that the document was in force before.
         """
         if self.is_in_force or not self.term:
             return []
@@ -268,7 +274,7 @@
             del self.leases[name]
         effects: list[m.Effect] = [m.RolloutLogEvent("in force", {"number": self.register.last.number})]
         for name, request in self.requests.items():
-            if name in self.informed_members and name in self.members:  # an answer to its last request
+            if name in self.informed_members and name in self.members:  # answers the member's last request
                 effects.append(m.Send(name, self._grant(name, request, "")))
         return effects
 
@@ -279,33 +285,33 @@
     ) -> list[m.Effect]:
         """Answer a holder's request for a lease.
 
-        `holds_read_lease` is `Voter.holds_read_lease` at this moment; without it nothing is granted, as there
-        may be another coordinator.
+        `holds_read_lease` is the present value of `Voter.holds_read_lease`. Without the read lease nothing is
+        granted, because another coordinator may be active.
         """
         if not self.term or not holds_read_lease or sender not in self.members:
             return []
         if message.incarnation < self.incarnations.get(sender, 0):
             return []
-        self._note_incarnation(sender, message.incarnation)
+        self._record_incarnation(sender, message.incarnation)
         before = self.requests.get(sender)
         if before and message.incarnation == before.incarnation and message.sent_ms < before.sent_ms:
-            return []  # overtaken by a later request, which was more up to date
+            return []  # a later request has already arrived
         request = ReceivedRequest(message.incarnation, message.sent_ms, now_ms)
         self.requests[sender] = request
-        self._note_known_number(sender, message.known_number)
+        self._record_known_number(sender, message.known_number)
         last = self.register.last.number
         effects = self._declare_in_force(now_ms, proven=message.granted_number == last)
         text = "" if message.known_number >= last else self.register.encode()
         if effects and not text:
-            return effects  # its grant is among those
+            return effects  # they include the grant for this holder
         effects.append(m.Send(sender, self._grant(sender, request, text)))
         proposal = self.proposal
         if proposal and sender not in proposal.agreed and not proposal.deciding:
             effects.append(m.Send(sender, self._prepare_message(proposal)))
         return effects
 
-    def _note_known_number(self, sender: str, known: int) -> None:
-        """Note the last decision that a holder knows: it does not use an earlier lease any more."""
+    def _record_known_number(self, sender: str, known: int) -> None:
+        """Record the last decision that a holder knows: a lease for an earlier one is no longer used."""
         last = self.register.last.number
         if known < last:
             self.informed_members -= {sender}
@@ -317,13 +323,13 @@
     def receive_document_adopted(
         self, now_ms: float, sender: str, message: m.DocumentAdopted, holds_read_lease: bool
     ) -> list[m.Effect]:
-        """Note that a holder does not act by anything before that number any more."""
+        """Record that a holder no longer applies any document before this number."""
         request = m.LeaseRequest(message.incarnation, message.sent_ms, message.number, message.granted_number)
         effects = self.receive_lease_request(now_ms, sender, request, holds_read_lease)
-        return effects if self.is_in_force else []  # an answer follows once a lease can be granted
+        return effects if self.is_in_force else []  # the holder is answered once a lease can be granted
 
-    def _note_incarnation(self, name: str, incarnation: int) -> None:
-        """Note a member's incarnation: one that was restarted has lost what it agreed to."""
+    def _record_incarnation(self, name: str, incarnation: int) -> None:
+        """Record a member's incarnation and discard its earlier vote: a restarted member has lost it."""
         if incarnation <= self.incarnations.get(name, 0):
             return
         self.incarnations[name] = incarnation
@@ -332,11 +338,11 @@
             self.proposal.agreed -= {name}
 
     def _grant(self, name: str, request: ReceivedRequest, register: str) -> m.LeaseGrant:
-        """The answer to a holder: a lease where it may have one.
+        """The answer to a holder's request, with a lease if the holder may have one.
 
-        A holder that has not agreed to what is being decided gets none, as it would have to be waited for
-        again. Nor does one that has not shown that it can read the last document: it would hold up every
-        change, also the one that helps it.
+        A holder that has not voted for the proposal that is being decided gets no lease: the rollout would
+        have to wait for that lease as well. A holder that has not shown that it can read the last document
+        gets none either: it would delay every rollout, including the one that would replace that document.
         """
         last = self.register.last.number
         proposal = self.proposal
@@ -361,8 +367,11 @@
     # --- time -----------------------------------------------------------------------------------
 
     def tick(self, now_ms: float, holds_read_lease: bool) -> list[m.Effect]:
-        """Do what is due; call it at `due_ms` at the latest. `holds_read_lease` as for requests."""
-        self.ticked_ms = now_ms
+        """Handle timeouts and resends; must be called no later than `due_ms`.
+
+        `holds_read_lease` is as for `receive_lease_request`.
+        """
+        self.last_tick_ms = now_ms
         if not self.term or not holds_read_lease:
             self.repeat_ms = now_ms + self.timing.resend_interval_ms
             return []
--- a/fawnwharf/policy_rollout/rollout_member.py
+++ b/fawnwharf/policy_rollout/rollout_member.py
@@ -2,10 +2,11 @@
 
 A member has a lease holder, a coordinator that is active while the member leads, and operators' requests.
 
-Pure: messages of other members, decisions of the consensus log and ticks come in with a time, effects go out
-in order. `Send` is for other members only; `ProposeRegister` is to be proposed to the consensus log at once.
-Nothing depends on the delivery of a message: holders ask again, a coordinator repeats what is not answered,
-and an operator's request is repeated until a leader's status tells its outcome.
+This module does no I/O. Its inputs are messages of other members, decisions of the consensus log and ticks,
+each with a time; its outputs are effects, in order. The owner sends each `Send` to another member and
+proposes each `ProposeRegister` to the consensus log at once. Messages may be lost: holders repeat their
+requests, a coordinator resends unanswered messages, and an operator's request is resent until a leader's
+status reports its outcome.
 """
 
 from collections import deque
@@ -31,31 +32,31 @@
 from fawnwharf.zones.log_lines import ConsensusStatus
 
 MAX_CANCEL_REASON = 200
-MAX_MISSING = 8  # members whose vote is missing, in a status
+MAX_REPORTED_MEMBERS = 8  # members without a vote that a status lists
 
 
 @dataclass(slots=True)
 class RolloutMember:
-    """Owns the lease holder and the coordinator of one member, and the operators' requests made at it."""
+    """Owns one member's lease holder, its coordinator and the operators' requests made at it."""
 
     name: str
     members: tuple[str, ...]
     capabilities: DeploymentCapabilities
     timing: RolloutTiming
     incarnation: int
-    consensus_status: Callable[[float], ConsensusStatus]  # the state of its voter
-    is_voter: bool = False  # whether it has a voter of the consensus log, and so may become leader
+    consensus_status: Callable[[float], ConsensusStatus]  # the state of this member's voter at a time in ms
+    is_voter: bool = False  # whether it has a voter of the consensus log and so may become leader
     stored_register: str = ""
     holder: LeaseHolder = field(init=False)
     coordinator: RolloutCoordinator | None = None
-    dropped: dict[str, int] = field(default_factory=dict)  # messages, by cause
-    statuses: dict[str, m.MemberStatus] = field(default_factory=dict)  # of other members, as last received
+    dropped: dict[str, int] = field(default_factory=dict)  # number of dropped messages, by cause
+    statuses: dict[str, m.MemberStatus] = field(default_factory=dict)  # the latest of each other member
     submitted: SubmittedRequests = field(init=False)
     leader_requests: LeaderRequests = field(default_factory=LeaderRequests)
-    term: int = 0  # the largest one of a leader that was received
-    # The term in which this member led but could not start, as the register was unreadable; 0: none.
+    term: int = 0  # the highest term that a leader has reported
+    # The term in which this member leads but could not start because the register is unreadable; 0: none.
     term_with_unreadable_register: int = 0
-    # The coordinator knows incarnations by their counts, their members by their numbers.
+    # Maps the incarnation numbers of members, which may decrease, to counts, which the coordinator uses.
     incarnations: IncarnationCounter = field(default_factory=IncarnationCounter)
 
     def __post_init__(self) -> None:
@@ -68,7 +69,7 @@
         self.dropped[cause] = self.dropped.get(cause, 0) + 1
 
     def is_leader(self, now_ms: float) -> bool:
-        """Whether this member leads for certain at this moment."""
+        """Whether this member certainly leads now."""
         if self.coordinator is None or not self.coordinator.term:
             return False
         status = self.consensus_status(now_ms)
@@ -77,7 +78,7 @@
     # --- messages and decisions -----------------------------------------------------------------
 
     def receive(self, now_ms: float, sender: str, messages: tuple[Any, ...]) -> list[m.Effect]:
-        """Handle messages of another member; what can't be decoded is dropped and counted."""
+        """Handle another member's messages; those that can't be decoded are dropped and counted."""
         effects: list[m.Effect] = []
         for data in messages:
             try:
@@ -103,14 +104,14 @@
         return self.coordinator.receive(now_ms, sender, counted, self.is_leader(now_ms))
 
     def _receive_request(self, now_ms: float, origin: str, message: m.RequestMessage) -> list[m.Effect]:
-        """Carry out an operator's request, if this member leads in the term that it is meant for."""
+        """Carry out an operator's request if this member leads in the request's term."""
         coordinator = self.coordinator
         if coordinator is None or not self.is_leader(now_ms) or message.term != coordinator.term:
             return []
         return self.leader_requests.receive(now_ms, origin, message, coordinator)
 
     def _deliver(self, now_ms: float, effects: list[m.Effect]) -> list[m.Effect]:
-        """Deliver what is for this member itself at once; the rest is returned, in order."""
+        """Handle messages to this member itself at once; return the other effects in order."""
         outgoing: list[m.Effect] = []
         queue = deque(effects)
         while queue:
@@ -128,28 +129,28 @@
         return outgoing
 
     def _with_incarnation_number(self, send: m.Send) -> m.Send:
-        """A lease grant with the incarnation's number in place of its count; other messages as they are."""
+        """Replace the incarnation's count by its number in a lease grant; other messages are unchanged."""
         if not isinstance(send.message, m.LeaseGrant):
             return send
         number = self.incarnations.number_of(send.to, send.message.incarnation)
         return m.Send(send.to, msgspec.structs.replace(send.message, incarnation=number))
 
     def receive_decision(self, now_ms: float, text: str) -> list[m.Effect]:
-        """Take a register that the consensus log decided, at any voter."""
+        """Handle a register that the consensus log decided; called at every voter."""
         effects: list[m.Effect] = []
         try:
             if self.coordinator is not None and self.coordinator.term:
                 effects = self.coordinator.receive_decision(now_ms, text, self.is_leader(now_ms))
             number = parse_register(text).last.number
         except DocumentError:
-            # The holder logs the cause, and is not ready any more.
+            # The holder logs the error and is no longer ready.
             return self._deliver(now_ms, self.holder.receive_decision(now_ms, text))
         if number > self.holder.register.last.number:
             effects += self.holder.receive_decision(now_ms, text)
         return self._deliver(now_ms, effects)
 
     def proposal_not_logged(self, now_ms: float) -> list[m.Effect]:
-        """Note that what was to be decided never came into the log."""
+        """Handle that a proposed register will never be in the log."""
         if self.coordinator is None:
             return []
         return self._deliver(now_ms, self.coordinator.proposal_not_logged())
@@ -157,7 +158,7 @@
     def set_members(
         self, now_ms: float, members: tuple[str, ...], capabilities: DeploymentCapabilities
     ) -> list[m.Effect]:
-        """Change the list of members, and what the deployment has then."""
+        """Change the list of members and the capabilities of the deployment."""
         self.members = members
         self.capabilities = capabilities
         self.holder.capabilities = capabilities
@@ -171,10 +172,10 @@
     # --- terms ----------------------------------------------------------------------------------
 
     def leadership_changed(self, now_ms: float) -> list[m.Effect]:
-        """Handle that the voter may have begun or ceased to lead.
+        """Handle a possible gain or loss of leadership by the voter.
 
-        A term begins here when the voter leads, its last decision is certainly the fleet's last, and nothing
-        in its log is undecided.
+        The coordinator starts when the voter leads with a read lease, so that its last decision is certainly
+        the fleet's last, and every entry of its log is committed.
         """
         coordinator = self.coordinator
         if coordinator is None:
@@ -194,38 +195,38 @@
             effects += coordinator.lead(now_ms, status.term, status.policy)
             self.term_with_unreadable_register = 0 if coordinator.term else status.term
             self.term = max(self.term, coordinator.term)
-            self._request_lease_at_once(now_ms)
+            self._schedule_lease_request_now(now_ms)
         return self._deliver(now_ms, effects) if effects else []
 
-    def _request_lease_at_once(self, now_ms: float) -> None:
+    def _schedule_lease_request_now(self, now_ms: float) -> None:
         self.holder.next_request_ms = min(self.holder.next_request_ms, now_ms)
 
     # --- time -----------------------------------------------------------------------------------
 
     def due_ms(self) -> float:
-        """When `tick` has to be called at the latest."""
+        """The latest time at which `tick` must be called."""
         deadlines = [self.holder.due_ms(), self.submitted.due_ms()]
         if self.coordinator is not None:
             deadlines.append(self.coordinator.due_ms())
         return min(deadline for deadline in deadlines if deadline is not None)
 
     def tick(self, now_ms: float) -> list[m.Effect]:
-        """Do what is due: lease requests, retries, time-outs."""
+        """Send due lease requests and retries, and handle timeouts."""
         effects = self.leadership_changed(now_ms)
-        more: list[m.Effect] = []
+        undelivered: list[m.Effect] = []
         if self.coordinator is not None:
             due_ms = self.coordinator.due_ms()
             if due_ms is not None and now_ms >= due_ms:
-                more += self.coordinator.tick(now_ms, self.is_leader(now_ms))
+                undelivered += self.coordinator.tick(now_ms, self.is_leader(now_ms))
         if now_ms >= self.holder.due_ms():
-            more += self.holder.tick(now_ms)
-        more += self.submitted.retry(now_ms, self.term)
-        return effects + self._deliver(now_ms, more)
+            undelivered += self.holder.tick(now_ms)
+        undelivered += self.submitted.retry(now_ms, self.term)
+        return effects + self._deliver(now_ms, undelivered)
 
     # --- operators' requests that are made here --------------------------------------------------
 
     def submit(self, now_ms: float, request: PolicyRequest) -> list[m.Effect]:
-        """Take an operator's request at this member, checked by itself."""
+        """Send a valid operator's request, made at this member, to the leader."""
         register = self.holder.register
         message: m.RequestMessage
         digest = ""
@@ -242,18 +243,18 @@
         return self._deliver(now_ms, [self.submitted.submit(now_ms, message, digest)])
 
     def _open_number(self) -> int:
-        """The number of the open proposal, as the leader of the latest term reported it; 0 for none."""
+        """The document number of the open proposal, as the latest leader reported it; 0 if none is open."""
         leader = max(self.statuses.values(), key=lambda status: status.term, default=None)
         return leader.open_proposal_number if leader and leader.term else 0
 
     def reject(self, now_ms: float, request_number: int, reason: str) -> None:
-        """Note a request that can't be taken, and why."""
+        """Record a request that is refused at this member, with the reason."""
         self.submitted.reject(now_ms, request_number, reason)
 
     # --- statuses -------------------------------------------------------------------------------
 
     def receive_status(self, now_ms: float, sender: str, data: Any) -> None:
-        """Take another member's status; what can't be decoded is dropped and counted."""
+        """Record another member's status; one that can't be decoded is dropped and counted."""
         try:
             status = m.decode_member_status(data)
         except msgspec.ValidationError:
@@ -262,12 +263,12 @@
         self.statuses[sender] = status
         if status.term > self.term:
             self.term = status.term
-            self._request_lease_at_once(now_ms)  # from the new leader
+            self._schedule_lease_request_now(now_ms)  # from the new leader
         if status.term == self.term and status.term:
             self.submitted.record_outcomes(status)
 
     def status(self, now_ms: float) -> m.MemberStatus:
-        """This member's status, as the others receive it."""
+        """The status that this member publishes to the others."""
         holder = self.holder
         last = holder.register.last
         status = m.MemberStatus(
@@ -290,7 +291,7 @@
             digest=coordinator.register.last.digest,
             term=coordinator.term,
             open_proposal_number=coordinator.proposal.number if coordinator.proposal else 0,
-            members_without_vote=tuple(coordinator.members_without_vote(now_ms)[:MAX_MISSING]),
+            members_without_vote=tuple(coordinator.members_without_vote(now_ms)[:MAX_REPORTED_MEMBERS]),
             is_in_force=coordinator.is_in_force,
             leader_outcomes=tuple(self.leader_requests.outcomes),
         )
--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -1,6 +1,6 @@
-"""Policy rollouts while a front end runs: carries out the effects of the member, and keeps its timers.
+"""Runs a front end's part in policy rollouts: carries out the effects of the member and keeps its timers.
 
-Messages go by the members' logs of `zones`, decisions by its consensus log.
+Messages are sent through the members' logs of `zones`; decisions are made in its consensus log.
 """
 
 from collections.abc import Callable
@@ -35,20 +35,21 @@
 from fawnwharf.zones.service import ZoneService
 
 NAME = "policy"
-POLL_FILES_MS = 200.0  # interval at which the operators' file is read
-FLUSH_TRACE_MS = 100.0
-# Once ready, waiting calls wait for so long for the first lease; then a stricter policy applies to them.
+POLL_INTERVAL_MS = 200.0  # interval at which the operators' request file is read
+TRACE_FLUSH_INTERVAL_MS = 100.0
+# When the front end becomes ready without a lease, waiting calls wait this long for the first lease. After
+# that they are submitted under the stricter policy that applies without one.
 FIRST_LEASE_WAIT_MS = 50.0
-# A front end that is not ready for so long logs that, and again after each such interval.
+# A front end that is not ready logs the reason after this time, and again after each further interval.
 NOT_READY_LOG_INTERVAL_MS = 3_000.0
-# For so long after a change of classes, calls that are bound to the classes before may still come from the
-# replication gate, and are put between two changes of their class (`with_bound_classes`).
+# For this long after a change of classes, the replication gate may still pass on calls that are bound to the
+# previous classes. Each of them is placed between two changes of its class (`with_bound_classes`).
 REBIND_CLASSES_MS = 10_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutContext:
-    """What a running rollout uses and does not own."""
+    """What a running rollout uses but does not own."""
 
     deployment: Deployment
     settings: RolloutSettings
@@ -66,27 +67,27 @@
         return folder / REQUEST_FILE
 
     def member_names(self) -> tuple[str, ...]:
-        """The present members of the fleet."""
+        """The current members of the fleet."""
         return tuple(member.name for member in self.zones.core.membership.members)
 
 
 class RunningRollout:
-    """Owns the member, the binding of calls and the timers; a client of the zones' logs."""
+    """Owns the rollout member, the binding of calls and the timers; a client of the members' logs."""
 
     def __init__(self, context: RolloutContext, capabilities: Callable[[], DeploymentCapabilities]) -> None:
-        """Begin on the front end's loop; `capabilities` gives what the deployment has at present."""
+        """Attach to the front end's event loop; `capabilities` returns the deployment's current ones."""
         self._context = context
         self._capabilities = capabilities
         self._front = context.front
         self._zones = context.zones
         self._log = RateLimitedLog(context.log)
         self._trace = context.trace
-        self._began_ms = monotonic_ms()
-        self._mixed_until_ms = 0.0
+        self._started_ms = monotonic_ms()
+        self._rebind_until_ms = 0.0
         self._timer: Timer | None = None
         self._timer_ms = 0.0
         self._stopped = False
-        voter = context.zones.core.voter is not None
+        is_voter = context.zones.core.voter is not None
         self.member = RolloutMember(
             context.zones.entry.name,
             context.member_names(),
@@ -94,20 +95,20 @@
             context.settings.timing,
             context.file.incarnation,
             context.zones.consensus_status,
-            voter,
+            is_voter,
             context.file.register,
         )
         timers = self._front.loop.timers
         self._batcher = MessageBatcher(self._front.loop, context.zones, self._report_drop)
         self._publisher = StatusPublisher(timers, context.zones, self.member.status)
         self.applier = PolicyApplier(context.deployment, self._front, context.zones, context.state)
-        self._module_classes = dict(self.applier.classes)  # as the decision module has them
+        self._decision_classes = dict(self.applier.classes)  # the classes that the decision module has
         self._front.client_port.not_ready_reasons.add(NAME)
         self.call_binding = CallPolicyBinding(self._front.client_port.requests, self, unix_ms, timers.after)
-        self._set_table(self.call_binding)
+        self._set_call_table(self.call_binding)
         self._zones.log_clients[NAME] = self
         self._requests = RequestFile(context.request_path, context.log, self.member, self._carry_out)
-        context.log("policy on", {"life": context.file.incarnation, "voter": voter})
+        context.log("policy on", {"life": context.file.incarnation, "voter": is_voter})
 
     def start(self) -> None:
         """Start the timers."""
@@ -118,36 +119,36 @@
             self._flush_trace_later(self._trace)
 
     def close(self) -> None:
-        """Stop, reject the waiting calls, and restore the settings in the other parts."""
+        """Stop, reject the waiting calls, and restore the configured values in the other parts."""
         self._stopped = True
         self._publisher.stop()
         self.call_binding.reject_waiting()
         table: CallTable = self._front.client_port.requests
         if table is self.call_binding:
-            self._set_table(self.call_binding.inner)
+            self._set_call_table(self.call_binding.inner)
         self._front.client_port.not_ready_reasons.discard(NAME)
         self.applier.reset_to_configured(self.member.capabilities.configured_defaults)
         if self._trace is not None:
             self._flush_trace(self._trace)
 
-    def _set_table(self, table: CallTable) -> None:
-        """Let the port give calls to another table, which has the methods that it uses."""
+    def _set_call_table(self, table: CallTable) -> None:
+        """Make the client port submit calls to this table; the port uses only the methods of `CallTable`."""
         self._front.client_port.requests = cast(RequestTable, table)
 
     @property
     def active_policy(self) -> m.ActivePolicy:
-        """The policy that applies to calls at this moment, over the settings."""
+        """The policy that applies to calls now, with absent keys filled in from the settings."""
         return self.member.holder.policy_at(monotonic_ms())
 
     @property
     def ready(self) -> bool:
-        """Whether a leader's coordinator has sent what is in force."""
+        """Whether a leader's coordinator has sent the last decided document."""
         return self.member.holder.ready
 
     # --- calls ----------------------------------------------------------------------------------
 
     def bind(self, call: str) -> m.ActivePolicy:
-        """The policy of this moment, which applies to the call from now on."""
+        """Bind a call to the current policy, which applies until the call ends."""
         now_ms = monotonic_ms()
         holder = self.member.holder
         if (
@@ -155,25 +156,25 @@
             and holder.active is not None
             and holder.active.basis == "leased"
         ):
-            self._tick()  # its lease is over, and the timer a moment late
+            self._tick()  # the lease has expired before its timer fired
         return holder.bind_call(now_ms, call)
 
-    def forget_call(self, call: str) -> None:
+    def release_call(self, call: str) -> None:
         """Forget the policy of a call."""
         self.member.holder.release_call(call)
 
-    def ended(self, call: bytes, policy: m.ActivePolicy, taken_ms: float) -> None:
-        """Trace a call that ended."""
+    def record_call_end(self, call: bytes, policy: m.ActivePolicy, bound_unix_ms: float) -> None:
+        """Add a call that ended to the call trace; `bound_unix_ms` is when its policy was bound."""
         if self._trace is not None:
-            self._trace.add(call.hex(), policy, taken_ms, unix_ms())
+            self._trace.add(call.hex(), policy, bound_unix_ms, unix_ms())
 
     def events(self, events: list[io.Event]) -> None:
-        """Pass calls that waited at the replication gate through a change on under their own class."""
-        if monotonic_ms() < self._mixed_until_ms:
-            events[:] = with_bound_classes(events, self._module_classes, self._bound_spec)
+        """Rebind calls to the class they arrived under, where it changed while they waited in the gate."""
+        if monotonic_ms() < self._rebind_until_ms:
+            events[:] = with_bound_classes(events, self._decision_classes, self._bound_class_spec)
 
-    def _bound_spec(self, event: io.RequestArrived) -> io.ClassSpec | None:
-        """The class of a call under its policy; None where that is not known."""
+    def _bound_class_spec(self, event: io.RequestArrived) -> io.ClassSpec | None:
+        """The class of a call under its policy; None if that is unknown."""
         request = self._front.requests.open.get(event.request)
         base = self._context.deployment.settings.classes.get(event.class_name)
         if request is None or base is None or request.call.context is None:
@@ -181,10 +182,10 @@
         return class_spec_for_document(base, request.call.context.document)
 
     def _flush_trace_later(self, trace: CallTrace) -> None:
-        """Flush the trace now, and after each interval."""
+        """Flush the trace now and after each interval."""
         if not self._stopped:
             self._flush_trace(trace)
-            self._front.loop.timers.after(FLUSH_TRACE_MS, lambda: self._flush_trace_later(trace))
+            self._front.loop.timers.after(TRACE_FLUSH_INTERVAL_MS, lambda: self._flush_trace_later(trace))
 
     def _flush_trace(self, trace: CallTrace) -> None:
         try:
@@ -196,7 +197,7 @@
     # --- as a client of the zones' logs ---------------------------------------------------------
 
     def on_messages(self, sender: str, messages: tuple[Any, ...], status: Any) -> None:
-        """Handle messages and the status of another member."""
+        """Handle another member's messages and its status."""
         now_ms = monotonic_ms()
         dropped = sum(self.member.dropped.values())
         effects = self.member.receive(now_ms, sender, messages)
@@ -212,7 +213,7 @@
         self._carry_out(self.member.receive_decision(monotonic_ms(), text))
 
     def on_role_changed(self) -> None:
-        """Handle that this member's voter may have begun or ceased to lead."""
+        """Handle a possible gain or loss of leadership by this member's voter."""
         if not self._stopped and (effects := self.member.leadership_changed(monotonic_ms())):
             self._carry_out(effects)
 
@@ -221,7 +222,7 @@
         self._batcher.forget_sent_grants()
         capabilities = self._capabilities()
         before = self.member.capabilities
-        # The modes are those at the start, since the gate's own follow the policy by now.
+        # The modes are those from the start: the gate's present modes already follow the policy.
         modes = {path: value for path, value in before.configured_defaults.values if path[0] == "modes"}
         base = make_document(0, dict(capabilities.configured_defaults.values) | modes)
         changed = msgspec.structs.replace(before, zones=capabilities.zones, configured_defaults=base)
@@ -235,7 +236,7 @@
             self._carry_out(self.member.tick(monotonic_ms()))
 
     def _set_timer(self) -> None:
-        """Set the timer for the next tick, unless it goes off in time already."""
+        """Set the timer for the next tick, unless the present timer fires early enough."""
         now_ms = monotonic_ms()
         due_ms = max(self.member.due_ms(), now_ms + 1.0)
         if self._timer is not None:
@@ -249,14 +250,14 @@
         if self._stopped:
             return
         self._requests.poll()
-        self._apply_replication()  # a replica may be new
-        self._front.loop.timers.after(POLL_FILES_MS, self._poll_files)
+        self._apply_replication()  # a replica may have been created since
+        self._front.loop.timers.after(POLL_INTERVAL_MS, self._poll_files)
 
     def _log_not_ready(self) -> None:
-        """Log who is missing, where no leader's coordinator sends what is in force."""
+        """Log why this front end is not ready, and which voters publish no policy status."""
         if self._stopped:
             return
-        if not self.ready and monotonic_ms() - self._began_ms >= NOT_READY_LOG_INTERVAL_MS:
+        if not self.ready and monotonic_ms() - self._started_ms >= NOT_READY_LOG_INTERVAL_MS:
             statuses = self.member.statuses
             own = self._zones.entry.name
             voters = [entry.name for entry in self._zones.core.membership.voters if entry.name != own]
@@ -271,7 +272,7 @@
     # --- effects --------------------------------------------------------------------------------
 
     def _carry_out(self, effects: list[m.Effect]) -> None:
-        """Carry out effects of the member, and update what depends on its state."""
+        """Carry out effects of the member and update what depends on its state."""
         for effect in effects:
             match effect:
                 case m.Send():
@@ -291,7 +292,7 @@
         self._set_timer()
 
     def _update_readiness(self) -> None:
-        """Tell the port whether it may be ready, and submit calls that waited for that."""
+        """Update the port's not-ready reasons, and submit waiting calls once ready."""
         reasons = self._front.client_port.not_ready_reasons
         if not self.ready:
             reasons.add(NAME)
@@ -301,7 +302,7 @@
             return
         if self.active_policy.basis == "leased":
             self.call_binding.submit_waiting()
-        else:  # its first lease arrives a round trip later
+        else:  # the first lease arrives one round trip later
             self._front.loop.timers.after(FIRST_LEASE_WAIT_MS, self._submit_waiting_calls)
 
     def _submit_waiting_calls(self) -> None:
@@ -313,7 +314,7 @@
 
     def _apply(self, policy: m.ActivePolicy) -> None:
         if self.applier.apply(policy.document):
-            self._mixed_until_ms = monotonic_ms() + REBIND_CLASSES_MS
+            self._rebind_until_ms = monotonic_ms() + REBIND_CLASSES_MS
         fields = {"number": policy.number, "digest": policy.digest, "how": policy.basis, "ready": self.ready}
         self._log.write("policy", fields)
 
--- a/tests/policy_rollout/test_policy_rollout_model_checker.py
+++ b/tests/policy_rollout/test_policy_rollout_model_checker.py
@@ -37,7 +37,7 @@
 
 
 class TakesTwo(RolloutCoordinator):
-    def _cause_to_reject(self):
+    def _rejection_reason(self):
         return ""
 
 
@@ -56,7 +56,7 @@
 class ForgetsIncarnations(RolloutCoordinator):
     """Takes an earlier incarnation's yes for the next one's."""
 
-    def _note_incarnation(self, name, incarnation):
+    def _record_incarnation(self, name, incarnation):
         self.incarnations[name] = incarnation
 
 
