--- a/fawnwharf/policy_rollout/call_binding.py
+++ b/fawnwharf/policy_rollout/call_binding.py
@@ -1,12 +1,12 @@
-"""Binds each call to the policy at its arrival.
+"""Binds each call to the policy that applies when it arrives.
 
-The binding stands before the table of requests, or before the replication gate. A call gets the policy of the
-moment at which it is taken, and keeps it up to its final answer, whatever changes; it waits no longer than
-that policy's deadline.
+`CallPolicyBinding` receives calls before the request table or the replication gate. A call is bound to the
+current policy when it is submitted and keeps that policy until its final answer, even if the policy changes
+meanwhile. The policy's deadline limits the call's budget.
 
-The decision module decides on a call by its class as it stands when the call reaches it. A call that waited
-at the replication gate through a change is therefore passed on between two changes of its class: to its own
-version, and back to the present one.
+The decision module applies the version of a class that is current when a call reaches it. If the class
+changed while a call waited in the replication gate, the call is passed on between two class changes: one to
+the version that the call is bound to, and one back to the current version.
 """
 
 from collections.abc import Callable
@@ -19,61 +19,58 @@
 from fawnwharf.policy_rollout.document import Document
 from fawnwharf.policy_rollout.messages import ActivePolicy
 
-# A call that arrives before a leader has sent what is in force waits for this fraction of the time that its
-# client gives it, and no longer than the maximum; then it is rejected.
+# A call that arrives before a leader has sent the policy in force waits for at most this fraction of its
+# budget and at most `MAX_WAIT_MS`; then it is rejected.
 MAX_WAIT_FRACTION_OF_BUDGET = 0.5
 MAX_WAIT_MS = 2_000.0
 MAX_WAITING_CALLS = 1_024
 MAX_WAITING_BYTES = 8 * 1024 * 1024
-PUSHBACK_MS = 250.0  # how long the client of a rejected call has to wait before a retry
+PUSHBACK_MS = 250.0  # how long the client of a rejected call must wait before it retries
 
 
 class CallTable(Protocol):
-    """Where calls are submitted and cancelled: the table of requests, or a layer before it.
-
-    The names of the methods are those of `net.requests.RequestTable`.
-    """
+    """Where calls are submitted and cancelled: `net.requests.RequestTable`, or a layer in front of it."""
 
     def take(self, call: Call) -> str | None:
-        """Submit a call; the key to cancel it by, or None where it was answered at once."""
+        """Submit a call; returns the key to cancel it, or None if it was answered at once."""
         ...
 
     def withdraw(self, key: str) -> None:
-        """Cancel a submitted call by its key: its client does not wait any more."""
+        """Cancel a submitted call by its key, because its client no longer waits."""
         ...
 
 
 class PolicySource(Protocol):
-    """The lease holder, as a call needs it."""
+    """The source of the current policy, to which calls are bound."""
 
     def bind(self, call: str) -> ActivePolicy:
-        """The policy of this moment, which applies to the call from now on."""
+        """Bind a call to the current policy, which applies until the call ends."""
         ...
 
     def release_call(self, call: str) -> None:
-        """Forget the policy of a call that has ended, or that waits without a policy."""
+        """Forget the policy of a call that has ended or that waits without a policy."""
         ...
 
     def record_call_end(self, call: bytes, policy: ActivePolicy, bound_unix_ms: float) -> None:
-        """Note a call that ended, by the client's id for it; `taken_ms` is Unix time."""
+        """Record the end of a call, given by the client's id; `bound_unix_ms` is when it was bound."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class _BoundCall:
-    """One open call. While the policy in force is not known it waits, and no policy applies to it."""
+    """One open call. It waits, without an applicable policy, while the policy in force is not known."""
 
     call: Call
     reply: Callable[[Outcome], None]
     policy: ActivePolicy
-    bound_unix_ms: float  # Unix, when it was bound
-    arrival_ms: float  # of the loop's clock
-    key: str | None = None  # of the call in the inner table
-    timer: Timer | None = None  # of one that waits
+    bound_unix_ms: float  # Unix time at which the call was bound to its policy
+    arrival_ms: float  # monotonic time
+    key: str | None = None  # the call's key in the inner table
+    timer: Timer | None = None  # rejects the call when it has waited too long
 
 
 class CallPolicyBinding:
-    """Owns the policy of each open call, from its arrival to its end."""
+    """Owns the binding of each open call to its policy, from the call's arrival to its end."""
 
     def __init__(
         self,
@@ -82,7 +79,7 @@
         unix_ms: Callable[[], float],
         after: Callable[[float, Callable[[], None]], Timer],
     ) -> None:
-        """`inner` takes the calls after this layer; `unix_ms` is a clock; `after` sets a timer."""
+        """`inner` receives the bound calls, `unix_ms` reads the clock, `after` starts a timer."""
         self.inner = inner
         self._policies = policies
         self._unix_ms = unix_ms
@@ -91,8 +88,8 @@
         self._waiting: dict[str, _BoundCall] = {}
         self._waiting_bytes = 0
         self._last_key = 0
-        self._last_policy: ActivePolicy | None = None  # of the last call
-        self._deadline_ms_by_class: dict[str, float] = {}  # by class, of that policy
+        self._last_policy: ActivePolicy | None = None  # the policy of the last submitted call
+        self._deadline_ms_by_class: dict[str, float] = {}  # the deadlines in `_last_policy`
 
     def __len__(self) -> int:
         return len(self._open)
@@ -103,7 +100,7 @@
         return len(self._waiting)
 
     def take(self, call: Call) -> str | None:
-        """Submit a call and bind it to a policy; the key to cancel it by, or None where it was answered."""
+        """Bind a call to a policy and submit it; returns the key to cancel it, or None if it was answered."""
         self._last_key += 1
         key = f"p{self._last_key}"
         bound_unix_ms = self._unix_ms()
@@ -120,13 +117,13 @@
         return key if key in self._open else None
 
     def _has_capacity_for(self, call: Call) -> bool:
-        """Whether one more call may wait."""
+        """Whether this call may wait, by the number of waiting calls and their bytes."""
         if len(self._waiting) >= MAX_WAITING_CALLS:
             return False
         return self._waiting_bytes + len(call.body) <= MAX_WAITING_BYTES
 
     def _enqueue(self, key: str, bound: _BoundCall) -> None:
-        """Let a call wait until the policy in force is known."""
+        """Queue a call until the policy in force is known, or until it has waited too long."""
         call = bound.call
         self._policies.release_call(key)
         self._waiting[key] = bound
@@ -145,13 +142,13 @@
         if deadline_ms is not None:
             call.budget_ms = min(call.budget_ms, deadline_ms)
         bound.key = self.inner.take(call)
-        if bound.key is None:  # it was answered at once, or the inner table has dropped it
+        if bound.key is None:  # the call was answered at once, or the inner table dropped it
             self._release(key)
 
     def submit_waiting(self) -> None:
         """Bind the waiting calls to the policy that is now known, and submit them to the inner table."""
         for key, bound in list(self._waiting.items()):
-            if key not in self._waiting:  # passing one on may have released all
+            if key not in self._waiting:  # submitting an earlier call may have released all others
                 continue
             self._stop_waiting(key, bound)
             bound.bound_unix_ms = self._unix_ms()
@@ -161,7 +158,7 @@
             self._submit(key, bound)
 
     def reject_waiting(self) -> None:
-        """Reject the waiting calls, as the policy will not be known here: clients may retry elsewhere."""
+        """Reject the waiting calls because this front end stops; clients may retry at another one."""
         for bound in list(self._waiting.values()):
             bound.call.reply(Rejected(PUSHBACK_MS))
 
@@ -184,7 +181,7 @@
             bound.reply(outcome)
 
     def _release(self, key: str) -> _BoundCall | None:
-        """Forget a call, once."""
+        """Remove a call, release its policy and record its end; None if the call is unknown."""
         bound = self._open.pop(key, None)
         if bound is None:
             return None
@@ -195,7 +192,7 @@
 
 
 def _deadlines_by_class(document: Document) -> dict[str, float]:
-    """The deadlines that a document has, by class, in milliseconds."""
+    """The deadlines in a document by class, in milliseconds."""
     return {
         path[1]: float(value)
         for path, value in document.values
@@ -204,7 +201,7 @@
 
 
 def class_spec_for_document(base: io.ClassSpec, document: Document) -> io.ClassSpec:
-    """The class `base` of the settings, with the latency objective and deadline that a document gives it."""
+    """The configured class `base` with the latency target and deadline that a document sets for it."""
     latency_target_ms = document.limit("classes", base.name, "promise_ms")
     deadline_ms = document.limit("classes", base.name, "give_up_ms")
     return replace(
@@ -219,12 +216,11 @@
     classes: dict[str, io.ClassSpec],
     bound_spec: Callable[[io.RequestArrived], io.ClassSpec | None],
 ) -> list[io.Event]:
-    """A new list of the events, in which each call is decided by the class that it was bound to.
+    """Return the events with class changes added, so that each call is decided by the class it is bound to.
 
-    A call that is bound to another version of its class than the decision module has comes between two
-    changes of the class: to its own version, and back. `classes` has the classes of the decision module by
-    name, and is updated in place; `bound_spec` gives the class that a call is bound to, or None where that is
-    not known.
+    A call that is bound to another version of its class than the decision module has is placed between two
+    class changes: one to its own version and one back. `classes` holds the decision module's classes by name
+    and is updated in place. `bound_spec` returns the class that a call is bound to, or None if it is unknown.
     """
     result: list[io.Event] = []
     for event in events:
--- a/fawnwharf/policy_rollout/document.py
+++ b/fawnwharf/policy_rollout/document.py
@@ -1,9 +1,9 @@
-"""The policy document: what may be changed while front ends run.
+"""The policy document: the values that may be changed while front ends run.
 
-Pure: text in, a value or an error out. A document is JSON, accepted as a whole or not at all; a malformed one
-raises DocumentError, whose text is 'key: cause'. An absent key has the value of the deployment's settings. A
-key that this version does not know is an error, never ignored: two front ends of which one ignores a key
-would decide by different policies under one number.
+This module does no I/O. A document is JSON and is accepted as a whole or rejected; a malformed one raises
+DocumentError, whose text is 'key: cause'. An absent key has the value of the deployment's settings. A key
+that this version does not know is an error: if one front end ignored it, two front ends would apply different
+policies under the same number.
 
     {"version": 1, "number": 7,
      "classes": {"gold": {"promise_ms": 300, "give_up_ms": 900}},    milliseconds
@@ -12,9 +12,9 @@
      "modes": {"gold": "before"}, "window_ms": {"gold": 6000},       replication, by class
      "staging": {"fetches_rps": 5, "free_part": 0.2, "cold_part": 0.1, "memory_mb": 64}}
 
-The keys are those of the first version: `promise_ms` is the latency objective and `give_up_ms` the deadline
-of a class, `spill` the spillover that a zone takes, `staging` the limits of prefetching (`free_part` of the
-load budget, `cold_part` of cold scorers' budgets, `memory_mb` at each site).
+The keys are those of the first version. `promise_ms` is the latency target and `give_up_ms` the deadline of a
+class, `spill` the fraction of a zone that takes spillover, `staging` the limits of prefetching (`free_part`
+of the load budget, `cold_part` of cold scorers' budgets, `memory_mb` at each site).
 """
 
 import functools
@@ -29,15 +29,16 @@
 from fawnwharf.zones.settings import DurationMs, Fraction, Name
 
 VERSION = 1
-MAX_TEXT_LENGTH = 24_000  # characters: two documents and their envelope fit into one decision of the log
-MAX_ERROR_LENGTH = 200
-MAX_SHOWN_NAME = 48
+MAX_TEXT_LENGTH = 24_000  # characters; two documents and the register around them fit into one log entry
+MAX_ERROR_LENGTH = 200  # characters
+MAX_SHOWN_NAME_LENGTH = 48  # characters of a malformed name in an error
 
-ReplicationMode = Literal["off", "after", "before"]  # never, after or before the call is answered
+# Whether a call is replicated: never, after it is answered, or before.
+ReplicationMode = Literal["off", "after", "before"]
 Rate = Annotated[float, Meta(ge=0.0, le=10_000_000.0)]
 Value = float | str
 Path = tuple[str, ...]  # ("classes", "gold", "promise_ms"); "*" stands for any name
-MODES_BY_STRICTNESS = ("off", "after", "before")  # rising
+MODES_BY_STRICTNESS = ("off", "after", "before")  # the strictest last
 
 
 class DocumentError(ValueError):
@@ -49,17 +50,16 @@
 
 
 class KeyRule(Struct, frozen=True):
-    """One kind of key: the type of its value, which of two values is stricter, and whether it is a limit.
+    """How the values of one kind of key are decoded and combined.
 
-    `kind` is the type that a value is decoded to. `stricter` gives the stricter one of two values, and is
-    None where there is no order; then the older document's value stands.
+    `value_type` is the type that a value is decoded to. `stricter` returns the stricter of two values; it is
+    None if the values have no such order, and then the value of the older document is used.
+    `halved_in_fallback` tells whether `fallback_limits` halves the value.
     """
 
-    kind: Any
+    value_type: Any
     stricter: Callable[[Any, Any], Any] | None
-    halved_in_fallback: bool = (
-        False  # `fallback_limits` takes half of the value, for a front end without leader
-    )
+    halved_in_fallback: bool = False
 
 
 KEY_RULES: dict[Path, KeyRule] = {
@@ -78,7 +78,7 @@
 
 
 def _matching_pattern(path: Path) -> Path | None:
-    """The pattern in `KEY_RULES` that a path, or the beginning of one, matches."""
+    """The pattern in `KEY_RULES` that a path matches, in full or as a prefix; None if there is none."""
     for pattern in KEY_RULES:
         if len(path) > len(pattern):
             continue
@@ -88,7 +88,7 @@
 
 
 def _rule_of(path: Path) -> KeyRule:
-    """The rule of a complete path in a document that was checked."""
+    """The rule for a complete path; raises DocumentError for an unknown one."""
     pattern = _matching_pattern(path)
     if pattern is None:
         raise DocumentError(f"{'.'.join(path)}: unknown key")
@@ -96,39 +96,36 @@
 
 
 class Document(Struct, frozen=True):
-    """One policy: its number among the decided documents, and its values by path, sorted.
-
-    Hashable, equal by contents.
-    """
+    """One policy: its document number and its values, sorted by path. Hashable and compared by contents."""
 
     number: Annotated[int, Meta(ge=0, lt=2**53)] = 0
     values: tuple[tuple[Path, Value], ...] = ()
 
     def value(self, *path: str) -> Value | None:
-        """The value under a path, a number or a text; None where the document does not have the key."""
+        """The value at a path, a number or a text; None if the document does not have the key."""
         return dict(self.values).get(path)
 
     def limit(self, *path: str) -> float | None:
-        """The value under a path as a number; None where the document does not have the key.
+        """The value at a path as a number; None if the document does not have the key.
 
-        Only for keys whose values are numbers: ValueError for others.
+        Raises ValueError for a value that is not a number.
         """
         value = self.value(*path)
         return None if value is None else float(value)
 
     def section(self, *path: str) -> dict[str, Value]:
-        """All values directly under a path: `section("spill")` gives fractions by zone."""
+        """All values directly below a path, by name: `section("spill")` returns fractions by zone."""
         depth = len(path)
         return {
             key[depth]: value for key, value in self.values if len(key) == depth + 1 and key[:depth] == path
         }
 
     def limits(self, *path: str) -> dict[str, float]:
-        """All values directly under a path, as `section`, as numbers."""
+        """All values directly below a path, by name, as numbers."""
         return {name: float(value) for name, value in self.section(*path).items()}
 
     def as_nested_dict(self) -> dict[str, Any]:
-        """The whole document as nested dicts, as in the JSON, without version and number."""
+        """The document as nested dicts, as in the JSON, without version and number."""
         root: dict[str, Any] = {}
         for path, value in self.values:
             branch = root
@@ -144,10 +141,7 @@
 
     @property
     def digest(self) -> str:
-        """Digest of the values, without the number.
-
-        A rollback to an earlier policy has the digest of that one again, under a new number.
-        """
+        """Digest of the values without the number, so a rollback has the digest of the earlier policy."""
         text = msgspec.json.encode(self.as_nested_dict(), order="sorted")
         return hashlib.blake2b(text, digest_size=12).hexdigest()
 
@@ -157,16 +151,16 @@
 
 
 def make_document(number: int, values: Mapping[Path, Value]) -> Document:
-    """A document of these values."""
+    """Create a document from values by path."""
     return Document(number, tuple(sorted(values.items())))
 
 
 # --- decoding ---------------------------------------------------------------------------------
 
 
-@functools.lru_cache(maxsize=32)  # each retry, and each member that asks, brings the same text again
+@functools.lru_cache(maxsize=32)  # the same text arrives again with each retry and from each member
 def parse_document(text: str | bytes) -> Document:
-    """Parse a document and check it by itself; raises DocumentError."""
+    """Parse a document and check its values, without a deployment; raises DocumentError."""
     if len(text) > MAX_TEXT_LENGTH:
         raise DocumentError(f"document: {len(text)} characters, and {MAX_TEXT_LENGTH} are the most")
     try:
@@ -177,7 +171,7 @@
 
 
 def document_from_object(decoded: Any) -> Document:
-    """A document of decoded JSON, checked by itself; raises DocumentError."""
+    """Create a document from decoded JSON and check its values; raises DocumentError."""
     if not isinstance(decoded, dict):
         raise DocumentError("document: not an object")
     if decoded.get("version") != VERSION:
@@ -219,17 +213,17 @@
             _collect((*path, name), part, values)
         return
     try:
-        values[path] = msgspec.convert(decoded, KEY_RULES[pattern].kind)
+        values[path] = msgspec.convert(decoded, KEY_RULES[pattern].value_type)
     except msgspec.ValidationError as error:
         raise DocumentError(f"{key}: {_one_line(error)}") from None
 
 
 def _check_name(path: Path) -> None:
-    """Check the last part of a path, a name that operators chose; raises DocumentError."""
+    """Check the last part of a path, the name of a class, tenant or zone; raises DocumentError."""
     try:
         msgspec.convert(path[-1], Name)
     except msgspec.ValidationError:
-        shown = path[-1][:MAX_SHOWN_NAME]
+        shown = path[-1][:MAX_SHOWN_NAME_LENGTH]
         raise DocumentError(f"{'.'.join(path[:-1])}: {shown!r} is no name") from None
 
 
@@ -241,23 +235,23 @@
 
 
 class DeploymentCapabilities(Struct, frozen=True):
-    """What one deployment has, for a document to be checked against.
+    """What one deployment supports; documents are checked against it.
 
-    `configured_defaults` holds the settings' own values as a document with the number 0: the
-    meaning of absent keys.
+    `configured_defaults` holds the values of the settings as a document with the number 0. They apply where a
+    document does not have a key.
     """
 
     classes: frozenset[str]
     tenants: frozenset[str]
     zones: frozenset[str]
-    replicates: bool = True  # it replicates calls over front ends, so that modes and windows mean something
-    prefetches: bool = True  # it prefetches what sessions will need
-    max_give_up_ms: float = math.inf  # of a class, as replication assumes
-    window_range_ms: tuple[float, float] = (0.0, math.inf)  # the shortest and the longest that can be stored
+    replicates: bool = True  # calls are replicated over front ends; else modes and windows have no effect
+    prefetches: bool = True  # what sessions will need is prefetched
+    max_give_up_ms: float = math.inf  # the longest deadline of a class that replication supports
+    window_range_ms: tuple[float, float] = (0.0, math.inf)  # the shortest and longest window that can be kept
     configured_defaults: Document = Document()
 
 
-SECTION_NAMES = {
+NAME_KIND_BY_SECTION = {
     "classes": "class",
     "modes": "class",
     "window_ms": "class",
@@ -268,7 +262,7 @@
 
 
 def find_incompatibility(document: Document, capabilities: DeploymentCapabilities) -> str | None:
-    """Why this deployment can't apply the document, as 'key: cause'; None where it can."""
+    """Why this deployment can't apply the document, as 'key: cause'; None if it can."""
     for path, value in document.values:
         if found := _incompatible_name(path, capabilities) or _incompatible_value(path, value, capabilities):
             return found
@@ -284,8 +278,8 @@
 
 
 def _incompatible_name(path: Path, capabilities: DeploymentCapabilities) -> str | None:
-    """Why a name in a path is unknown to the deployment; None where it is known."""
-    kind = SECTION_NAMES.get(path[0])
+    """The error for a name that the deployment does not have; None if it has the name."""
+    kind = NAME_KIND_BY_SECTION.get(path[0])
     if kind is None:
         return None
     known = {"class": capabilities.classes, "tenant": capabilities.tenants, "zone": capabilities.zones}[kind]
@@ -293,7 +287,7 @@
 
 
 def _incompatible_value(path: Path, value: Value, capabilities: DeploymentCapabilities) -> str | None:
-    """Why the deployment can't apply one value; None where it can."""
+    """Why the deployment can't apply one value; None if it can."""
     key = ".".join(path)
     if path[0] == "modes":
         if value != "off" and not capabilities.replicates:
@@ -314,16 +308,17 @@
 
 
 def with_defaults(base: Document, document: Document) -> Document:
-    """The document with each absent key taken from `base`; a value of the document itself stands."""
+    """The document with absent keys filled in from `base`."""
     return make_document(document.number, dict(base.values) | dict(document.values))
 
 
 def stricter(one: Document, other: Document) -> Document:
-    """Key by key the value that admits less or stores more: a meet of two policies, under the later number.
+    """Combine two documents, key by key, to the value that admits less or stores more.
 
-    Commutative, associative and idempotent for each key that has an order. Latency objectives have none: the
-    value of the document with the smaller number stands. A key that only one of them has is no limit in the
-    other; fill in by `with_defaults` first where the settings have one.
+    The result has the higher number. The operation is commutative, associative and idempotent for each key
+    whose values have an order. Latency targets have no order: the value of the document with the lower number
+    is used. A key that only one document has is taken from it; call `with_defaults` first if the settings
+    have a value for it.
     """
     old, new = sorted((one, other), key=lambda document: (document.number, document.values))
     values = dict(old.values)
@@ -337,9 +332,9 @@
 
 
 def fallback_limits(document: Document) -> Document:
-    """The document with half of each limit (`KeyRule.halved_in_fallback`), its other values unchanged.
+    """The document with each limit halved that `KeyRule.halved_in_fallback` marks.
 
-    For a front end without a lease that knows no next policy, which may be stricter than the last one.
+    For a front end without a lease that knows no next policy: that policy may be stricter than the last one.
     """
     values = {
         path: float(value) / 2 if _rule_of(path).halved_in_fallback else value
@@ -352,11 +347,10 @@
 
 
 class PolicyRegister(Struct, frozen=True):
-    """The one replicated value of this package in the consensus log.
-
-    It has the last decided document, and the decided one before it (None: there was none).
+    """The value of this package in the consensus log.
 
-    The one before has to be known for as long as some front end may still act by it.
+    It has the last decided document and the one decided before it, None if there was none. The earlier
+    document is needed while some front ends may still apply it.
     """
 
     last: Document = Document()
@@ -369,13 +363,13 @@
         return '{"policy":1,' + ",".join(inner) + "}"
 
     def with_next(self, document: Document) -> "PolicyRegister":
-        """A new register with a further decided document as the last one; this one is not changed."""
+        """A new register with this document as the last one, and the present last one before it."""
         return PolicyRegister(document, self.last)
 
 
 @functools.lru_cache(maxsize=32)
 def parse_register(text: str) -> PolicyRegister:
-    """Parse a register; an empty text stands for no decision yet. Raises DocumentError."""
+    """Parse a register; an empty text means that nothing is decided yet. Raises DocumentError."""
     if not text:
         return PolicyRegister()
     try:
--- a/fawnwharf/policy_rollout/messages.py
+++ b/fawnwharf/policy_rollout/messages.py
@@ -1,12 +1,12 @@
 """Messages between rollout coordinators and lease holders, and the effects that both return to their owners.
 
-This module holds values only.
+Messages carry policy documents as text, so that a front end of another version can still read the rest of the
+message and reject the proposal with the key that it does not know. Times are milliseconds of the holder's own
+clock; the coordinator returns them unchanged.
 
-Policy documents travel as text, so that a front end of another version can still read the rest of the message
-and reject the proposal with the key that it does not know. Times are milliseconds of the holder's own clock
-and come back to it unchanged. The messages of a coordinator carry `term`, as in the consensus log, and
-`sequence`, which counts the proposals that were begun and ended in that term: a message with a smaller pair
-is older, and begins or ends nothing.
+A coordinator's messages carry its `term`, as in the consensus log, and a `sequence`, which increases whenever
+a proposal begins or ends in that term. A message with a lower (term, sequence) pair is older and has no
+effect on proposals.
 
 Field names on the wire are those of the first version; `msgspec.field(name=...)` maps them.
 """
@@ -24,14 +24,15 @@
 Text = Annotated[str, Meta(max_length=MAX_TEXT_LENGTH)]
 ShortText = Annotated[str, Meta(max_length=300)]
 RegisterText = Annotated[str, Meta(max_length=64 * 1024)]
-NumberOrMinusOne = Annotated[int, Meta(ge=-1, lt=2**53)]  # the number of a document; -1: none
+NumberOrMinusOne = Annotated[int, Meta(ge=-1, lt=2**53)]  # a document number; -1: none
 MAX_SHORT_TEXT = 300
 
-# Which documents the limits of a front end are made of. "leased": the last decided document, under a lease.
-# "strict": the stricter value of two documents, key by key, while it is not known which one is in force.
-# "floor": the last decided document with half of each limit, while no leader renews the lease.
-# "waiting": as "floor", for a front end that has received no decided document since its start, or none that
-# it can read; calls wait.
+# Which documents the policy of a front end is made of.
+# "leased": the last decided document, under a lease.
+# "strict": the stricter value of two documents, key by key, while it is unknown which one is in force.
+# "floor": the last decided document with its limits halved, while no leader renews the lease.
+# "waiting": as "floor", on a front end that has not received a decided document that it can read since its
+# start; calls wait.
 PolicyBasisKind = Literal["leased", "strict", "floor", "waiting"]
 
 
@@ -42,8 +43,8 @@
 class Propose(_Message, frozen=True, tag="Propose"):
     """An operator's proposal, from the front end that received it to the leader's coordinator.
 
-    `request_number` is its number at that front end: a retry has the same number. `term` is the term of the
-    leader that it is meant for.
+    `request_number` identifies the request at that front end; a retry has the same number. `term` is the term
+    of the leader that the request is addressed to.
     """
 
     text: Text
@@ -52,7 +53,7 @@
 
 
 class Rollback(_Message, frozen=True, tag="Back"):
-    """An operator's request to return from this decided number to the one before it, as a new change."""
+    """An operator's request to roll back from document `number` to the previous one, as a new proposal."""
 
     number: Number
     request_number: Number = field(default=0, name="wish")
@@ -60,7 +61,7 @@
 
 
 class Cancel(_Message, frozen=True, tag="CallOff"):
-    """An operator's request to end the proposal with this number; 0 stands for any."""
+    """An operator's request to abort the open proposal with this document number; 0 means any."""
 
     reason: ShortText = field(default="", name="why")
     number: Number = 0
@@ -69,7 +70,7 @@
 
 
 class Prepare(_Message, frozen=True, tag="Prepare"):
-    """Asks whether a member can apply this document, which is not in force anywhere and may never be."""
+    """Asks a member whether it can apply this document, which is proposed but not decided."""
 
     term: Number
     sequence: Number = field(name="turn")
@@ -78,9 +79,9 @@
 
 
 class Vote(_Message, frozen=True, tag="Vote"):
-    """The answer to `Prepare`: yes, or no with key and cause in `error`.
+    """The answer to `Prepare`: yes, or no with the key and cause in `error`.
 
-    A yes belongs to one incarnation of the member: the next incarnation does not know of it.
+    A yes is valid for one incarnation of the member only: a restarted member has lost it.
     """
 
     incarnation: Number = field(name="life")
@@ -91,7 +92,7 @@
 
 
 class Abort(_Message, frozen=True, tag="Abort"):
-    """The proposal was not decided and will not be: receivers discard it."""
+    """The proposal will never be decided; receivers discard it."""
 
     term: Number
     sequence: Number = field(name="turn")
@@ -100,38 +101,38 @@
 
 
 class Decided(_Message, frozen=True, tag="Decided"):
-    """The decided register, as `PolicyRegister` encodes it.
+    """The decided register, as encoded by `PolicyRegister`.
 
-    Valid from any member, since each number is decided once.
+    It is valid from any sender, because each document number is decided only once.
     """
 
     register: RegisterText
 
 
 class LeaseRequest(_Message, frozen=True, tag="Status"):
-    """A holder's heartbeat and its request for a lease, which counts from `sent_ms`.
+    """A holder's heartbeat and request for a lease, whose duration counts from `sent_ms`.
 
-    What the holder knows to be decided binds it: it accepts no lease of an earlier number any more.
+    The holder no longer accepts a lease for a document before `known_number`.
     """
 
-    incarnation: Number = field(name="life")  # messages for, or of, another incarnation are ignored
+    incarnation: Number = field(name="life")  # messages for or from another incarnation are ignored
     sent_ms: float
-    known_number: NumberOrMinusOne = field(name="known")  # the last decided one that it knows
-    # The last document that it had a lease for since its start.
+    known_number: NumberOrMinusOne = field(name="known")  # the last decided document that the holder knows
+    # The last document that the holder has had a lease for since its start.
     granted_number: NumberOrMinusOne = field(name="granted")
 
 
 class DocumentAdopted(_Message, frozen=True, tag="Changed"):
-    """A holder no longer acts by anything before this number; also a request for a lease."""
+    """A holder no longer applies documents before this number; also a request for a lease."""
 
     incarnation: Number = field(name="life")
     sent_ms: float
-    number: Number  # of the document that it has adopted
+    number: Number  # of the adopted document
     granted_number: NumberOrMinusOne = field(default=-1, name="granted")  # as in `LeaseRequest`
 
 
 class LeaseGrant(_Message, frozen=True, tag="Grant"):
-    """The answer to one `LeaseRequest` or `DocumentAdopted`: a lease, or none where `lease_ms` is 0."""
+    """The answer to one `LeaseRequest` or `DocumentAdopted`: a lease, or none if `lease_ms` is 0."""
 
     term: Number
     sequence: Number = field(name="turn")
@@ -139,9 +140,9 @@
     sent_ms: float
     number: Number
     lease_ms: Annotated[float, Meta(ge=0.0)]  # counts from `sent_ms`; 0: no lease
-    # The document number of the open proposal; 0: none, so the holder discards what it has prepared.
+    # The document number of the open proposal; 0: none, so the holder discards its prepared document.
     open_proposal_number: Number = field(default=0, name="open")
-    register: RegisterText = ""  # given where the holder does not know the last decision
+    register: RegisterText = ""  # set if the holder does not know the last decision
 
 
 Message = (
@@ -160,55 +161,58 @@
 
 
 def decode_message(data: object) -> Message:
-    """The message in a decoded line; raises msgspec.ValidationError for anything else."""
+    """Convert decoded JSON to a message; raises msgspec.ValidationError for anything else."""
     message: Message = msgspec.convert(data, Message, strict=True)
     return message
 
 
-# --- the status of a member, sent to all that read its log ----------------------------------------
+# --- the status of a member, published to all readers of its log -----------------------------------
 
-# The states of an operator's request, in their order. "asked": sent, and no leader has answered.
-# "preparing": members vote on it. "ended": aborted, cancelled or timed out before a decision (final).
-# "refused": the leader did not begin it (final). "decided": in the consensus log; it will come into force.
-# "in force": no member acts by an earlier document any more (final).
+# The states of an operator's request.
+# "asked": sent, but not answered by a leader yet.
+# "preparing": members vote on it.
+# "ended": aborted, cancelled or timed out before a decision (final).
+# "refused": not accepted by the leader, or not valid at the front end where it was made (final).
+# "decided": in the consensus log; it will come into force.
+# "in force": no member applies an earlier document any more (final).
 RequestState = Literal["asked", "preparing", "ended", "refused", "decided", "in force"]
 FINAL_STATES = ("ended", "refused", "in force")
 
 
 class RequestOutcome(Struct, frozen=True):
-    """The present state of an operator's request, made at front end `origin` under this request number."""
+    """The state of an operator's request that was made at front end `origin` under `request_number`."""
 
     origin: Annotated[str, Meta(max_length=48)] = field(name="by")
     request_number: Number = field(name="wish")
     state: RequestState
-    number: Number = 0  # of the document; 0 while it has none
+    number: Number = 0  # the document number; 0 until one is assigned
     reason: ShortText = field(default="", name="why")
 
 
 class MemberStatus(Struct, frozen=True):
-    """Read by operators and by whoever waits for an outcome.
+    """A member's rollout status, for operators and for members that wait for the outcome of a request.
 
-    From `term` on, the fields are set by a leader's coordinator only.
+    The fields from `term` on are set only while the member's coordinator leads.
     """
 
     ready: bool
     basis: Annotated[str, Meta(max_length=16)] = field(name="how")
-    number: Number  # the last decided one that it knows
+    number: Number  # of the last decided document that the member knows
     digest: Annotated[str, Meta(max_length=32)]
-    prepared: Number = 0  # the number of the document that it was asked to prepare; 0: none
+    prepared: Number = 0  # the number of the document that the member voted for; 0: none
     incarnation: Number = field(default=0, name="life")
-    error: ShortText = field(default="", name="fault")  # of a decided document that it can't read
+    error: ShortText = field(default="", name="fault")  # why the member can't read the decided document
     # The operators' requests that were made at this member.
     submitted_requests: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = field(
         default=(), name="wishes"
     )
     dropped: Annotated[dict[str, int], Meta(max_length=64)] = field(default_factory=dict, name="counts")
-    term: Number = 0  # that it leads; 0: it does not lead
+    term: Number = 0  # the term in which the member leads; 0 while it does not lead
     # The document number of the proposal that is being prepared or decided; 0: none.
     open_proposal_number: Number = field(default=0, name="open")
-    # Some of the members whose vote on that proposal is missing.
+    # The first few members whose vote on that proposal is missing.
     members_without_vote: Annotated[tuple[str, ...], Meta(max_length=8)] = field(default=(), name="missing")
-    # Whether the document `number` is in force in the fleet: no lease of an earlier one is left.
+    # Whether the document `number` is in force in the fleet: no lease for an earlier one is left.
     is_in_force: bool = field(default=False, name="settled")
     # The requests of all members that this leader has received.
     leader_outcomes: Annotated[tuple[RequestOutcome, ...], Meta(max_length=16)] = field(
@@ -217,17 +221,17 @@
 
 
 def decode_member_status(data: object) -> MemberStatus:
-    """The status in decoded data; raises msgspec.ValidationError for anything else."""
+    """Convert decoded JSON to a status; raises msgspec.ValidationError for anything else."""
     return msgspec.convert(data, MemberStatus)
 
 
-# --- effects: what the owner of a coordinator or a holder carries out ------------------------------
+# --- effects: carried out by the owner of a coordinator or a holder --------------------------------
 
-LEADER = "@leader"  # addresses whichever member leads the voters
+LEADER = "@leader"  # a recipient: whichever member leads the voters
 
 
 class Send(Struct, frozen=True):
-    """Effect: send a message to a member; LEADER stands for whichever member leads the voters."""
+    """Effect: send a message to a member, or to the leader if `to` is LEADER."""
 
     to: Name
     message: Message
@@ -236,26 +240,26 @@
 class ProposeRegister(Struct, frozen=True):
     """Effect: propose this register to the consensus log, once.
 
-    `RolloutCoordinator.receive_decision` is called with the decision, or
-    `RolloutCoordinator.proposal_not_logged` where the register never came into the log.
+    The owner then calls `RolloutCoordinator.receive_decision` with the decision, or
+    `RolloutCoordinator.proposal_not_logged` if the register will never be in the log.
     """
 
     register: str
 
 
 class StoreRegister(Struct, frozen=True):
-    """Effect: write the register to disk, without haste.
+    """Effect: write the register to disk; a delay does no harm.
 
-    It serves people, and the limits of a front end that reaches no leader.
+    After a restart the stored register only gives the limits until a leader answers.
     """
 
     register: str
 
 
 class ActivePolicy(Struct, frozen=True):
-    """Effect: this front end decides calls by this policy from now on.
+    """Effect: this front end applies this policy to new calls from now on.
 
-    `number` of a strict one is that of the later of its two documents.
+    The number of a policy with the basis "strict" is that of the later of its two documents.
     """
 
     number: int
--- a/fawnwharf/policy_rollout/policy_applier.py
+++ b/fawnwharf/policy_rollout/policy_applier.py
@@ -1,4 +1,4 @@
-"""Applies the policy in force to this front end's parts."""
+"""Applies the policy in force to the parts of this front end: quotas, classes, spillover and replication."""
 
 from dataclasses import replace
 from typing import Any, Protocol
@@ -13,21 +13,21 @@
 from fawnwharf.policy_rollout.document import DeploymentCapabilities, Document, Value, make_document
 from fawnwharf.zones.service import ZoneService
 
-ADMISSION_LIMIT_KEY = "policy"  # the owner under which `FrontEnd.limit_calls` keeps this package's limit
+ADMISSION_LIMIT_KEY = "policy"  # identifies this package's limit to `FrontEnd.limit_calls`
 
 
 class ReplicationGate(Protocol):
-    """The gate that calls pass before they are replicated, as a policy changes it."""
+    """The part of the replication gate that a policy changes."""
 
-    modes: dict[str, Any]  # by class
+    modes: dict[str, Any]  # replication mode by class
 
     def change_rules(self, classes: dict[str, io.ClassSpec], modes: dict[str, Any]) -> None:
-        """Use these classes and modes for calls that arrive from now on."""
+        """Set the classes and modes for calls that arrive from now on."""
         ...
 
 
 class ReplicatedCalls(Protocol):
-    """The part that replicates calls, as a policy needs it."""
+    """The attributes of the replication service that a policy needs."""
 
     gate: ReplicationGate
     settings: Any
@@ -40,10 +40,10 @@
     state: ReplicatedCalls | None,
     staging: dict[str, float] | None,
 ) -> DeploymentCapabilities:
-    """What this deployment has, and its settings as a document, which gives absent keys their meaning.
+    """What this deployment supports, with its settings as a document of defaults for absent keys.
 
-    `zones` and `state` are the attached parts; `state` is None where no calls are replicated, and `staging`
-    where nothing is prefetched.
+    `zones` and `state` are the attached services. `state` is None if calls are not replicated, `staging` is
+    None if nothing is prefetched.
     """
     settings = deployment.settings
     names = frozenset(zones.core.membership.zones)
@@ -71,7 +71,7 @@
     state: ReplicatedCalls | None,
     staging: dict[str, float] | None,
 ) -> Document:
-    """The values that the settings have for all keys of a document."""
+    """The settings' values for all keys of a document."""
     settings = deployment.settings
     spill = zones.settings.spillover
     values: dict[tuple[str, ...], Value] = {}
@@ -92,28 +92,28 @@
 
 
 class PolicyApplier:
-    """Owns what was last applied to the parts, and applies what changes."""
+    """Owns the values that were last applied, and applies those that change."""
 
     def __init__(
         self, deployment: Deployment, front: FrontEnd, zones: ZoneService, state: ReplicatedCalls | None
     ) -> None:
-        """`state` is None where no calls are replicated."""
+        """`state` is None if calls are not replicated."""
         settings = deployment.settings
         self._front = front
         self._zones = zones
         self._state = state
         self._base_classes = dict(settings.classes)
         self._base_quotas_rps = dict(settings.quotas_rps)  # before the decision module adds limits to them
-        self._front_ends = settings.fleet_size
+        self._front_end_count = settings.fleet_size
         self._zone = settings.zone
         self.classes = dict(self._base_classes)
         self._longest_deadline_ms = {name: spec.deadline_ms for name, spec in self._base_classes.items()}
         self.quotas_rps = dict(self._base_quotas_rps)
         self._limit_rps: float = io.UNLIMITED_RPS
-        self._replication: tuple[Any, ...] = ()  # what was last applied by `apply_replication`
+        self._replication: tuple[Any, ...] = ()  # the values last applied by `apply_replication`
 
     def apply(self, document: Document) -> bool:
-        """Apply a complete document to this front end; True where some class changed, False otherwise."""
+        """Apply a complete document to this front end; True if the spec of any class changed."""
         self._apply_quotas(document)
         total_rps = sum(self.quotas_rps.values())
         self._apply_admission(document, total_rps)
@@ -121,17 +121,17 @@
         return self._apply_classes(document)
 
     def _apply_admission(self, document: Document, total_rps: float) -> None:
-        """Limit this front end to its part of what the zone admits."""
+        """Limit the call rate to this front end's share of the rate that the zone admits."""
         part = document.limit("admission", self._zone)
         limit_rps: float = io.UNLIMITED_RPS
         if part is not None and part < 1.0 and (total_rps > 0.0 or part == 0.0):
-            limit_rps = part * total_rps / self._front_ends
+            limit_rps = part * total_rps / self._front_end_count
         if limit_rps != self._limit_rps:
             self._limit_rps = limit_rps
             self._front.limit_calls(ADMISSION_LIMIT_KEY, limit_rps)
 
     def _apply_spill(self, document: Document, total_rps: float) -> None:
-        """Limit what other zones are sent; the zone plan already has the limits of the settings."""
+        """Limit the spillover to other zones; the zone plan already applies the limits of the settings."""
         settings = self._zones.settings.spillover
         spill = {
             name: part
@@ -144,8 +144,9 @@
         classes = {name: class_spec_for_document(spec, document) for name, spec in self._base_classes.items()}
         changed = [spec for name, spec in classes.items() if spec != self.classes[name]]
         self.classes = classes
-        # A client that waits for longer than a policy gives made no error, as it knows an earlier time: the
-        # port rejects nothing for that, and a call is cut to its policy's time by `CallPolicyBinding`.
+        # A client may still use the longer deadline of an earlier policy, which is no error. So the port
+        # accepts calls up to the longest deadline so far, and `CallPolicyBinding` shortens the budget of a
+        # call to the deadline of its policy.
         for name, spec in classes.items():
             self._longest_deadline_ms[name] = max(self._longest_deadline_ms[name], spec.deadline_ms)
         self._front.client_port.classes = {
@@ -165,18 +166,20 @@
             self._front.loop.enqueue(io.LimitsChanged(rps, name))
 
     def _quota_changes(self, before: dict[str, float], after: dict[str, float]) -> dict[str, float]:
-        """The limits of this front end that change, by tenant."""
+        """The changed rate limits of this front end, by tenant, in calls per second."""
         shares = self._state.core.quota_shares if self._state is not None else None
         changes: dict[str, float]
         if shares is not None:
             changes = shares.change_quotas(after)
         else:
-            changes = {name: rps / self._front_ends for name, rps in after.items() if rps != before.get(name)}
+            changes = {
+                name: rps / self._front_end_count for name, rps in after.items() if rps != before.get(name)
+            }
         removed = {name: io.UNLIMITED_RPS for name in before if name not in after}
         return changes | removed
 
     def apply_replication(self, rules: dict[str, ReplicationRule]) -> None:
-        """Apply modes and windows of replication by class, as `DelayedRelaxation` has them."""
+        """Apply the effective replication modes and windows of `DelayedRelaxation`, by class."""
         if self._state is None:
             return
         replica = self._state.core.replica
@@ -191,7 +194,7 @@
             replica.claim_store.class_windows_ms = {name: rule.window_ms for name, rule in rules.items()}
 
     def reset_to_configured(self, configured: Document) -> None:
-        """Go back to the classes and quotas of the settings, and lift the limit on calls.
+        """Restore the classes and quotas of the settings and remove the limit on calls.
 
         `configured` is the document of the settings (`DeploymentCapabilities.configured_defaults`).
         """
