--- a/fawnwharf/policy_rollout/delayed_relaxation.py
+++ b/fawnwharf/policy_rollout/delayed_relaxation.py
@@ -7,7 +7,7 @@
 
 
 class ReplicationRule(NamedTuple):
-    """How calls of one class are replicated: the mode, and for how many milliseconds claims are stored."""
+    """How calls of one class are replicated: the mode, and for how many milliseconds claims are kept."""
 
     mode: str
     window_ms: float
@@ -22,10 +22,10 @@
 
 @dataclass(slots=True)
 class DelayedRelaxation:
-    """Modes and windows of replication, following the policy: stricter at once, looser only with a delay.
+    """Owns the effective replication rules, which follow the policy: stricter at once, looser with a delay.
 
-    A call that was taken under an old window may be repeated until that has passed. So a shorter window, or a
-    less strict mode, takes effect only after the old window, by the slowest clock.
+    A call that was accepted under the old window may be repeated until that window ends. So a shorter window
+    or a less strict mode takes effect only after the old window has ended by the slowest clock.
     """
 
     skew: float
@@ -33,7 +33,7 @@
     pending: dict[str, PendingRule] = field(default_factory=dict)  # by class
 
     def follow(self, now_ms: float, document: Document) -> None:
-        """Take the document that is in force from now on."""
+        """Follow a document that applies from now on."""
         modes = document.section("modes")
         windows = document.section("window_ms")
         self.apply_due(now_ms)
@@ -56,7 +56,7 @@
             self.pending[name] = PendingRule(new, now_ms + delay_ms)
 
     def apply_due(self, now_ms: float) -> None:
-        """Apply the rules whose delay has passed."""
+        """Apply the pending rules whose delay has passed."""
         for name, pending in list(self.pending.items()):
             if now_ms >= pending.effective_ms:
                 self.effective[name] = pending.rule
--- a/fawnwharf/policy_rollout/operator_requests.py
+++ b/fawnwharf/policy_rollout/operator_requests.py
@@ -1,8 +1,8 @@
-"""Operators' requests: at the front end where they were made, and at the leader that carries them out.
+"""Operators' requests, at the front end where they were made and at the leader that carries them out.
 
-Pure. A request is repeated until the status of a leader tells its outcome. The leader takes each request
-once, and only if it is meant for its term: an old one may be repeated by a log that was cut off, and had its
-outcome long ago.
+This module does no I/O. A front end resends a request until a leader's status reports its outcome. The leader
+accepts each request once, and only in the term that the request names: after a partition, the log of a member
+may deliver again a request that has had its outcome.
 """
 
 from collections import deque
@@ -15,9 +15,9 @@
 from fawnwharf.policy_rollout.document import DocumentError, parse_document
 from fawnwharf.policy_rollout.rollout_coordinator import RolloutCoordinator
 
-MAX_OUTCOMES = 8  # of one term, in the leader's status
-MAX_SUBMITTED = 4
-NO_ANSWER_MS = 10_000.0  # a request that no leader answers for so long is given up
+MAX_OUTCOMES = 8  # outcomes of one term that the leader's status lists
+MAX_SUBMITTED_REQUESTS = 4  # requests that a front end remembers
+ANSWER_TIMEOUT_MS = 10_000.0  # a request without a leader's answer ends after this time
 
 
 # --- at the front end where they were made ----------------------------------------------------------
@@ -28,10 +28,10 @@
     """An operator's request that was made at this member."""
 
     message: m.RequestMessage
-    digest: str  # of the policy that it asks for; "": not known
-    began_ms: float
+    digest: str  # of the requested policy; "": not known
+    submitted_ms: float
     outcome: m.RequestOutcome
-    term: int = 0  # of the leader that reported the outcome
+    term: int = 0  # the term of the leader that reported the outcome
     sent_ms: float = 0.0
 
     @property
@@ -45,8 +45,8 @@
     """Owns the last requests that were made at one member."""
 
     origin: str  # the member's name
-    retry_ms: float  # the interval between two attempts to send an unanswered request
-    requests: deque[SubmittedRequest] = field(default_factory=lambda: deque(maxlen=MAX_SUBMITTED))
+    retry_interval_ms: float  # interval at which an unanswered request is sent again
+    requests: deque[SubmittedRequest] = field(default_factory=lambda: deque(maxlen=MAX_SUBMITTED_REQUESTS))
 
     def __len__(self) -> int:
         return len(self.requests)
@@ -55,40 +55,40 @@
         return iter(self.requests)
 
     def submit(self, now_ms: float, message: m.RequestMessage, digest: str) -> m.Send:
-        """Send a request to the leader; it is repeated by `retry`."""
+        """Send a request to the leader; `retry` sends it again."""
         outcome = m.RequestOutcome(self.origin, message.request_number, "asked")
         self.requests.append(SubmittedRequest(message, digest, now_ms, outcome, 0, now_ms))
         return m.Send(m.LEADER, message)
 
     def reject(self, now_ms: float, request_number: int, reason: str) -> None:
-        """Note a request that can't be taken, and why."""
+        """Record a request that is refused at this member, with the reason."""
         short = reason[: m.MAX_SHORT_TEXT]
         outcome = m.RequestOutcome(self.origin, request_number, "refused", 0, short)
         message = m.Cancel("", 0, request_number)
         self.requests.append(SubmittedRequest(message, "", now_ms, outcome))
 
     def due_ms(self) -> float | None:
-        """When `retry` has to be called at the latest; None where no request waits for an answer."""
+        """The latest time at which `retry` must be called; None if no request waits for an answer."""
         sent = [request.sent_ms for request in self.requests if request.is_unanswered]
-        return min(sent) + self.retry_ms if sent else None
+        return min(sent) + self.retry_interval_ms if sent else None
 
     def retry(self, now_ms: float, term: int) -> list[m.Effect]:
-        """Send requests without an answer again, to the leader of this term; old ones are given up."""
+        """Resend unanswered requests to the leader of this term; end those past `ANSWER_TIMEOUT_MS`."""
         effects: list[m.Effect] = []
         for request in self.requests:
             if not request.is_unanswered:
                 continue
-            if now_ms - request.began_ms >= NO_ANSWER_MS:
+            if now_ms - request.submitted_ms >= ANSWER_TIMEOUT_MS:
                 number = request.message.request_number
                 request.outcome = m.RequestOutcome(self.origin, number, "ended", 0, "no leader answered")
-            elif now_ms - request.sent_ms >= self.retry_ms:
+            elif now_ms - request.sent_ms >= self.retry_interval_ms:
                 request.sent_ms = now_ms
                 request.message = msgspec.structs.replace(request.message, term=term)
                 effects.append(m.Send(m.LEADER, request.message))
         return effects
 
     def record_outcomes(self, leader: m.MemberStatus) -> None:
-        """Take the outcomes in the status of a leader."""
+        """Update the requests' outcomes from a leader's status."""
         reported = {
             outcome.request_number: outcome
             for outcome in leader.leader_outcomes
@@ -106,7 +106,7 @@
 
 
 def _outcome_under_next_leader(request: SubmittedRequest, leader: m.MemberStatus) -> m.RequestOutcome:
-    """The outcome of a request that an earlier leader reported on, by what is decided under this one."""
+    """The outcome of a request, last reported by an earlier leader, according to the new leader's status."""
     last = request.outcome
     if last.state not in ("preparing", "decided"):
         return last
@@ -122,21 +122,21 @@
 
 @dataclass(slots=True)
 class LeaderRequests:
-    """Owns the outcomes of the requests that a leader took in its term."""
+    """Owns the outcomes of the requests that a leader accepted in its term."""
 
     outcomes: deque[m.RequestOutcome] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
-    # The number of the last request of each front end, by its name.
+    # The number of the last request from each front end, by its name.
     latest_request_number: dict[str, int] = field(default_factory=dict)
 
     def clear(self) -> None:
-        """Forget all, at the end of a term."""
+        """Forget all requests, at the end of a term."""
         self.outcomes.clear()
         self.latest_request_number.clear()
 
     def receive(
         self, now_ms: float, origin: str, message: m.RequestMessage, coordinator: RolloutCoordinator
     ) -> list[m.Effect]:
-        """Carry out a request, once."""
+        """Carry out a request; a duplicate has no effect."""
         if message.request_number <= self.latest_request_number.get(origin, 0):
             return []
         self.latest_request_number[origin] = message.request_number
@@ -152,7 +152,7 @@
         number = coordinator.proposal.number if coordinator.proposal else 0
         effects: list[m.Effect]
         if message.number not in (0, number):
-            reason = f"{message.number} is not being prepared"
+            reason = f"number {message.number} is not being prepared"
             effects = [m.RolloutLogEvent("rejected", {"reason": reason})]
         else:
             effects = coordinator.cancel(message.reason)
@@ -169,9 +169,9 @@
         last, before = coordinator.register.last, coordinator.register.before
         if before is not None and message.number == last.number:
             return self._propose(now_ms, origin, message, before.encode(), coordinator)
-        reason = "there is none before it"
+        reason = "there is no earlier policy"
         if before is not None:
-            reason = f"{last.number} is the last, not {message.number}"
+            reason = f"the last decided number is {last.number}, not {message.number}"
         self._add(origin, message, "refused", 0, reason)
         return [m.RolloutLogEvent("rejected", {"reason": reason})]
 
@@ -184,7 +184,7 @@
         coordinator: RolloutCoordinator,
     ) -> list[m.Effect]:
         if _is_last_decision(text, coordinator):
-            # It was carried out under a leader before this one, or changes nothing.
+            # An earlier leader carried out the request, or it changes nothing.
             state: m.RequestState = "in force" if coordinator.is_in_force else "decided"
             self._add(origin, message, state, coordinator.register.last.number)
             return []
@@ -204,7 +204,7 @@
         self.outcomes.append(m.RequestOutcome(origin, message.request_number, state, number, short))
 
     def record_event(self, event: m.RolloutLogEvent) -> None:
-        """Update the outcomes of requests by an event of the coordinator."""
+        """Update the outcomes of requests from a log event of the coordinator."""
         state = event.event
         if state not in ("ended", "decided", "in force"):
             return
@@ -215,17 +215,17 @@
 
 
 def _is_last_decision(text: str, coordinator: RolloutCoordinator) -> bool:
-    """Whether a proposed document has the values of the last decided one, and no proposal is open."""
+    """Whether a proposed document has the values of the last decided one while no proposal is open."""
     if coordinator.proposal is not None:
         return False
     try:
         return parse_document(text).digest == coordinator.register.last.digest
     except DocumentError:
-        return False  # the coordinator reports the cause
+        return False  # `RolloutCoordinator.propose` reports the error
 
 
 def _first_event(effects: list[m.Effect], name: str) -> m.RolloutLogEvent | None:
-    """The first log event of this name among effects."""
+    """The first log event with this name among the effects; None if there is none."""
     for effect in effects:
         if isinstance(effect, m.RolloutLogEvent) and effect.event == name:
             return effect
--- a/fawnwharf/policy_rollout/policy_file.py
+++ b/fawnwharf/policy_rollout/policy_file.py
@@ -1,7 +1,7 @@
-"""The file in which a front end stores the last register that it knew, and its incarnation.
+"""The file in which a front end stores its incarnation and the last register that it knew.
 
-The protocol depends on nothing in it, except that an incarnation differs from the one before; and on that
-only while the system's clock was set back, as a loss of power may set it: what is written is synced.
+The protocol relies on the file only to make each incarnation number differ from the previous one, and only
+if the system's clock was set back. A power failure may set the clock back, so writes are synced to disk.
 """
 
 import contextlib
@@ -26,7 +26,7 @@
 
 
 def read_policy_file(path: Path) -> StoredPolicy:
-    """The contents of the file; defaults where there is no file, or it can't be read."""
+    """The contents of the file; defaults if there is no file or it can't be read."""
     with contextlib.suppress(OSError, msgspec.MsgspecError, RecursionError):
         stored = msgspec.json.decode(path.read_bytes(), type=StoredPolicy)
         if stored.version == VERSION and 0 <= stored.incarnation < INCARNATION_LIMIT:
@@ -35,16 +35,16 @@
 
 
 def write_policy_file(path: Path, stored: StoredPolicy) -> None:
-    """Write the file atomically, and on disk when this returns; raises OSError."""
+    """Write the file atomically and sync it to disk; raises OSError."""
     path.parent.mkdir(parents=True, exist_ok=True)
     replace_file(path, msgspec.json.encode(stored))
 
 
 class PolicyFile:
-    """Owns the file of one process, and begins an incarnation of the member in it."""
+    """Owns the file of one process; its creation starts a new incarnation of the member."""
 
     def __init__(self, path: Path) -> None:
-        """Read the file and write the new incarnation; raises OSError where it can't be written."""
+        """Read the file and store the new incarnation; raises OSError if it can't be written."""
         stored = read_policy_file(path)
         self.path = path
         self.register = stored.register
@@ -52,6 +52,6 @@
         self.store(self.register)
 
     def store(self, register: str) -> None:
-        """Store another register; raises OSError."""
+        """Store a new register; raises OSError."""
         self.register = register
         write_policy_file(self.path, StoredPolicy(incarnation=self.incarnation, register=register))
--- a/fawnwharf/policy_rollout/rate_limited_log.py
+++ b/fawnwharf/policy_rollout/rate_limited_log.py
@@ -1,24 +1,24 @@
-"""Operators' log with at most one entry a second of each kind."""
+"""Writes to the operators' log with at most one entry per second and event."""
 
 from collections.abc import Callable
 from typing import Any
 
 from fawnwharf.net.timer_wheel import monotonic_ms
 
-Write = Callable[[str, dict[str, Any]], None]  # an event and its fields
+WriteEntry = Callable[[str, dict[str, Any]], None]  # writes an event and its fields
 INTERVAL_MS = 1_000.0
 
 
 class RateLimitedLog:
-    """Owns the times of the last entries of each kind."""
+    """Owns the time of the last entry of each rate-limited event."""
 
-    def __init__(self, write: Write) -> None:
-        """`write` writes an entry, whenever it is called."""
+    def __init__(self, write: WriteEntry) -> None:
+        """`write` writes an entry without a limit."""
         self.write = write
         self._written_ms: dict[str, float] = {}
 
     def write_limited(self, event: str, fields: dict[str, Any]) -> None:
-        """Write an entry, unless one of the same event was written within the interval."""
+        """Write an entry unless one of the same event was written within the interval."""
         now_ms = monotonic_ms()
         if now_ms - self._written_ms.get(event, -1e9) < INTERVAL_MS:
             return
--- a/fawnwharf/policy_rollout/request_file.py
+++ b/fawnwharf/policy_rollout/request_file.py
@@ -1,4 +1,4 @@
-"""The operators' request file: watched while the front end runs, each request is taken once."""
+"""Watches the operators' request file while the front end runs, and submits each request once."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -6,7 +6,7 @@
 from fawnwharf.net.timer_wheel import monotonic_ms
 from fawnwharf.policy_rollout import messages as m
 from fawnwharf.policy_rollout.document import document_from_object, find_incompatibility
-from fawnwharf.policy_rollout.rate_limited_log import Write
+from fawnwharf.policy_rollout.rate_limited_log import WriteEntry
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import PolicyRequest, decode_operator_request
 from fawnwharf.zones.files import WatchedFile
@@ -16,12 +16,12 @@
 
 
 class RequestFile:
-    """Owns the number of the last request that was read."""
+    """Owns the watched file and the number of the last request that was read from it."""
 
     def __init__(
-        self, path: Path, log: Write, member: RolloutMember, carry_out: Callable[[list[m.Effect]], None]
+        self, path: Path, log: WriteEntry, member: RolloutMember, carry_out: Callable[[list[m.Effect]], None]
     ) -> None:
-        """A request from before this start is not taken; `carry_out` executes effects of the member."""
+        """`carry_out` executes effects of the member; a request written before this start is rejected."""
         self._file = WatchedFile(path)
         self._log = log
         self._member = member
@@ -31,9 +31,9 @@
             self._log("proposal rejected", {"error": "it was written before this start"})
 
     def poll(self) -> None:
-        """Take the file if it has changed.
+        """Read the file if it has changed, and submit the request in it.
 
-        A request that can't be taken changes nothing, and is logged once with its key and cause.
+        An invalid request changes nothing and is logged once with its key and cause.
         """
         data = self._file.changed()
         if data is None:
@@ -51,9 +51,9 @@
         self._carry_out(self._member.submit(monotonic_ms(), request))
 
     def _find_error(self, request: PolicyRequest) -> str | None:
-        """Why a request can't be taken, with its key; None where it can."""
+        """Why a request can't be submitted, with its key; None if it can."""
         if request.number <= self._last_number:
-            return f"number: {request.number} is not larger than {self._last_number}, of the request before"
+            return f"number: {request.number} is not larger than {self._last_number}, the previous request's"
         if request.propose is None:
             return None
         return find_incompatibility(document_from_object(request.propose), self._member.capabilities)
--- a/fawnwharf/policy_rollout/running_rollout.py
+++ b/fawnwharf/policy_rollout/running_rollout.py
@@ -27,7 +27,7 @@
 from fawnwharf.policy_rollout.message_batcher import MessageBatcher
 from fawnwharf.policy_rollout.policy_applier import PolicyApplier, ReplicatedCalls
 from fawnwharf.policy_rollout.policy_file import PolicyFile
-from fawnwharf.policy_rollout.rate_limited_log import RateLimitedLog, Write
+from fawnwharf.policy_rollout.rate_limited_log import RateLimitedLog, WriteEntry
 from fawnwharf.policy_rollout.request_file import REQUEST_FILE, RequestFile
 from fawnwharf.policy_rollout.rollout_member import RolloutMember
 from fawnwharf.policy_rollout.settings import RolloutSettings
@@ -58,7 +58,7 @@
     state: ReplicatedCalls | None  # None where no calls are replicated
     file: PolicyFile
     trace: CallTrace | None
-    log: Write
+    log: WriteEntry
 
     @property
     def request_path(self) -> Path:
--- a/fawnwharf/policy_rollout/service.py
+++ b/fawnwharf/policy_rollout/service.py
@@ -1,4 +1,4 @@
-"""Policy rollouts as a part of a front end: reads the files, and starts and stops the rollout."""
+"""Policy rollouts as an extension of a front end: reads the files, and starts and stops the rollout."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -41,8 +41,8 @@
     ) -> None:
         """Read and check the files; raises ConfigError with one line.
 
-        `built_parts` has the other parts of this front end by name, of which `zones` has to be there
-        already; `write` writes an entry of the operators' log.
+        `built_parts` has the extensions built so far by name and must contain `zones`; `write` writes an
+        entry to the operators' log.
         """
         self.deployment = deployment
         self.zones: ZoneService = built_parts["zones"]
@@ -58,7 +58,7 @@
         self._running: RunningRollout | None = None
 
     def _open_trace(self, folder: Path) -> CallTrace | None:
-        """The trace that the settings name; raises ConfigError where it can't be written."""
+        """Open the trace named in the settings; raises ConfigError if it can't be written."""
         if not self._settings.trace:
             return None
         path = folder / self._settings.trace
@@ -83,31 +83,31 @@
 
     @property
     def call_binding(self) -> CallPolicyBinding:
-        """The binding of calls to their policies."""
+        """The layer that binds calls to their policies."""
         return self.running.call_binding
 
     @property
     def incarnation(self) -> int:
-        """The number of this process among those of the member."""
+        """The incarnation number of this member's process."""
         return self._file.incarnation
 
     @property
     def active_policy(self) -> m.ActivePolicy:
-        """The policy that applies to calls at this moment, over the settings."""
+        """The policy that applies to calls now, with absent keys filled in from the settings."""
         return self.running.active_policy
 
     @property
     def staging(self) -> dict[str, float]:
-        """Limits of prefetching, by key of the section `staging`, filled in from the settings."""
+        """The limits of prefetching by key of the section `staging`, filled in from the settings."""
         return self.active_policy.document.limits("staging")
 
     @property
     def ready(self) -> bool:
-        """Whether a leader's coordinator has sent what is in force."""
+        """Whether a leader's coordinator has sent the last decided document."""
         return self.running.ready
 
     def _capabilities(self) -> DeploymentCapabilities:
-        """What the deployment has at present."""
+        """The deployment's current capabilities."""
         prefetching = getattr(self._built_parts.get("sessions"), "foreseen", None)
         budgets = prefetching.staging.budgets if prefetching is not None else None
         return deployment_capabilities(self.deployment, self.zones, self._built_parts.get("state"), budgets)
@@ -115,7 +115,7 @@
     # --- as an extension of the front end ---------------------------------------------------------
 
     def attach(self, front: FrontEnd) -> None:
-        """Begin on the front end's loop; zones and replication are attached already."""
+        """Start on the front end's event loop; zones and replication must be attached already."""
         context = RolloutContext(
             self.deployment,
             self._settings,
@@ -130,21 +130,21 @@
         self._running.start()
 
     def close(self) -> None:
-        """Stop, reject the waiting calls, and restore the settings in the other parts."""
+        """Stop, reject the waiting calls, and restore the configured values in the other parts."""
         if self._running is not None:
             self._running.close()
         if self._trace is not None:
             self._trace.close()
 
     def on_fleet(self, fleet: Fleet) -> None:
-        """Changes of the roster do not matter here."""
+        """Ignore a change of the roster, which does not affect policies."""
 
     def on_events(self, events: list[io.Event]) -> None:
-        """Pass calls that waited at the replication gate through a change on under their own class."""
+        """Rebind calls to the class they arrived under, where it changed while they waited in the gate."""
         if self._running is not None:
             self._running.events(events)
 
     @property
     def busy(self) -> bool:
-        """Whether calls wait here; the table and the gate know of the others."""
+        """Whether calls wait in this extension; calls in the request table or the gate do not count."""
         return self._running is not None and self._running.call_binding.waiting > 0
--- a/fawnwharf/policy_rollout/status_publisher.py
+++ b/fawnwharf/policy_rollout/status_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes this member's status to the other members, where it has changed, at a limited rate."""
+"""Publishes this member's status to the other members when it changes, at a limited rate."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 from fawnwharf.policy_rollout.messages import MemberStatus
 from fawnwharf.zones.service import ZoneService
 
-INTERVAL_MS = 40.0  # a status is published no more often than that
+INTERVAL_MS = 40.0  # the shortest time between two published statuses
 
 
 class StatusPublisher:
@@ -17,7 +17,7 @@
     def __init__(
         self, timers: TimerWheel, zones: ZoneService, status: Callable[[float], MemberStatus]
     ) -> None:
-        """`status` gives this member's status at a time in milliseconds."""
+        """`status` returns this member's status at a time in milliseconds."""
         self._timers = timers
         self._zones = zones
         self._status = status
@@ -47,5 +47,5 @@
         self.publish()
 
     def stop(self) -> None:
-        """Publish nothing from now on."""
+        """Stop publishing."""
         self._stopped = True
--- a/tests/policy_rollout/test_policy_rollout_front_ends.py
+++ b/tests/policy_rollout/test_policy_rollout_front_ends.py
@@ -154,14 +154,15 @@
 BAD = [
     (b'{"version": 1, "number": 2, "prop', "proposal: not JSON"),
     ({"version": 2, "number": 2, "back": True}, "version: 2, and this program knows 1"),
-    ({"version": 1, "number": 2}, "proposal: one of propose, call_off and back is wanted"),
+    ({"version": 1, "number": 2}, "proposal: exactly one of propose, call_off and back is required"),
     ({"version": 1, "number": 0, "back": True}, "number: Expected"),
     ({"version": 1, "number": 2, "forward": True}, "proposal: Object contains unknown field `forward`"),
     ({"version": 1, "number": 2, "propose": {"version": 3}}, "version: 3, and this program knows 1"),
     ({"version": 1, "number": 2, "propose": document(-1.0)}, "tenants.acme.quota_rps: Expected"),
-    ({"version": 1, "number": 2, "propose": document(0.0)}, "tenants.acme.quota_rps: shuts out tenant acme"),
+    ({"version": 1, "number": 2, "propose": document(0.0)},
+     "tenants.acme.quota_rps: rejects all calls of tenant acme"),
     ({"version": 1, "number": 2, "propose": document(spil={"a": 0.5})}, "spil: unknown key"),
-    ({"version": 1, "number": 2, "propose": document(admission={"a": 0, "b": 0, "c": 0})}, "admission: s"),
+    ({"version": 1, "number": 2, "propose": document(admission={"a": 0, "b": 0, "c": 0})}, "admission: r"),
     ({"version": 1, "number": 2, "propose": document(modes={"view": "after"})}, "modes.view: nothing is r"),
 ]  # fmt: skip
 
@@ -178,7 +179,7 @@
     site.rest(0.5)
     assert len(node.noted("proposal rejected")) == len(BAD)
     assert node.outcome(109).state == "refused"
-    assert node.outcome(109).reason.startswith("admission: shuts out every zone")
+    assert node.outcome(109).reason.startswith("admission: rejects all calls in every zone")
     node.request(50, propose=document(9.0))
     site.until(lambda: len(node.noted("proposal rejected")) > len(BAD), "an older number is left aside")
     assert site.in_force(0)
@@ -255,7 +256,7 @@
     )
     node.request(3, propose=document(12.0, window_ms={"view": 1_600.0}))
     site.until(lambda: node.outcome(3), "one that can't be kept")
-    assert node.outcome(3).reason == "window_ms.view: not from 1000 to 1500, as can be stored here"
+    assert node.outcome(3).reason == "window_ms.view: outside the supported range, 1000 to 1500 ms"
 
 
 def test_a_call_that_waited_through_a_change_is_put_between_two_changes_of_its_class():
@@ -307,7 +308,10 @@
     for data, line in [
         (json.dumps(document())[:30], "document: not JSON"),
         (json.dumps({"version": 2}), "version: 2, and this program knows 1"),
-        (json.dumps(document(admission={"a": 0, "b": 0, "c": 0})), "admission: shuts out every zone"),
+        (
+            json.dumps(document(admission={"a": 0, "b": 0, "c": 0})),
+            "admission: rejects all calls in every zone",
+        ),
         (json.dumps(document(spill={"x": 0.5})), "spill.x: no such zone"),
     ]:
         file.write_text(data)
@@ -347,8 +351,11 @@
         (b"{", "settings: not JSON"),
         (b'{"version": 1, "leese_ms": 3}', "settings: Object contains unknown field `leese_ms`"),
         (b'{"version": 1, "lease_ms": 0}', "lease_ms: Expected"),
-        (b'{"version": 1, "renew_ms": 1500}', "renew_ms: two do not fit into lease_ms"),
-        (b'{"version": 1, "prepare_ms": 2000}', "prepare_ms: less than a lease by the slowest clock, 2444"),
+        (b'{"version": 1, "renew_ms": 1500}', "renew_ms: more than half of lease_ms"),
+        (
+            b'{"version": 1, "prepare_ms": 2000}',
+            "prepare_ms: less than a lease by the slowest clock, 2444 ms",
+        ),
     ],
 )
 def test_a_malformed_settings_file_names_its_key(data, line):
--- a/tests/policy_rollout/test_policy_rollout_member.py
+++ b/tests/policy_rollout/test_policy_rollout_member.py
@@ -229,7 +229,7 @@
     assert fleet.done(name, 3) == m.RequestOutcome(name, 3, "refused", 0, "nothing is being prepared")
     fleet.until(lambda: all(member.holder.has_lease(fleet.now) for member in fleet.rollouts.values()))
     fleet.request(name, 4, rollback=True)
-    assert fleet.done(name, 4).reason == "there is none before it"
+    assert fleet.done(name, 4).reason == "there is no earlier policy"
 
 
 def test_nothing_depends_on_the_delivery_of_a_message():
