--- a/fawnwharf/policy_rollout/fault_injection.py
+++ b/fawnwharf/policy_rollout/fault_injection.py
@@ -12,14 +12,14 @@
     from fawnwharf.policy_rollout.simulation import Simulation
 
 INTERVAL_MS = 100.0  # of true time between two injections
-PER_SECOND = 1_000.0 / INTERVAL_MS
-NOTICED_PAUSE_MS = 500.0  # a leader that is paused for longer is replaced
+INTERVALS_PER_SECOND = 1_000.0 / INTERVAL_MS
+MAX_UNNOTICED_PAUSE_MS = 500.0  # a leader that is paused for longer is replaced
 MAX_CANCEL_DELAY_MS = 80.0
-STAYS_MEMBER = 0.9  # part of the members that stay on a list that changes
+REMAINING_MEMBERS_FRACTION = 0.9  # chance of each member to stay on the list when the list changes
 
 
 class FaultInjector:
-    """Owns the calls under way; all else is the simulation's."""
+    """Owns the open calls; all other state belongs to the simulation."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
@@ -28,12 +28,12 @@
         self._call_policies: dict[str, ActivePolicy] = {}  # by call
 
     def start(self) -> None:
-        """Inject from the end of the first interval on."""
+        """Schedule the first injection, at the end of the first interval."""
         self._simulation.schedule(INTERVAL_MS, self._inject)
 
     def _happens(self, rate: float) -> bool:
-        """Whether an event of this rate per second happens in this interval."""
-        return self._random.random() < rate / PER_SECOND
+        """Decide at random whether an event with this rate per second happens in this interval."""
+        return self._random.random() < rate / INTERVALS_PER_SECOND
 
     def _inject(self) -> None:
         simulation = self._simulation
@@ -49,7 +49,7 @@
             self._operate(leader)
 
     def _inject_faults(self, up: list[SimulatedMember]) -> None:
-        """Partition, pause or kill members of those that are up, by chance."""
+        """Partition, pause or kill running members at random."""
         rates = self._rates
         now_ms = self._simulation.now_ms
         if self._happens(rates.partitions):
@@ -67,11 +67,11 @@
         member.paused_until_ms = simulation.now_ms + pause_ms
         if member.name == simulation.model.leader:
             simulation.decided_ms = None
-            if member.paused_until_ms - simulation.now_ms > NOTICED_PAUSE_MS:
+            if member.paused_until_ms - simulation.now_ms > MAX_UNNOTICED_PAUSE_MS:
                 simulation.replace_leader()
 
     def _operate(self, leader: SimulatedMember) -> None:
-        """Let operators act at the leader, by chance: propose, cancel, change the list of members."""
+        """Simulate operators at the leader at random: propose, cancel, change the list of members."""
         simulation = self._simulation
         if self._happens(self._rates.proposals):
             simulation.propose(self._random.randrange(1, 100))
@@ -82,7 +82,7 @@
             simulation.names = tuple(
                 name
                 for name in simulation.members
-                if name == simulation.model.leader or self._random.random() < STAYS_MEMBER
+                if name == simulation.model.leader or self._random.random() < REMAINING_MEMBERS_FRACTION
             )
             effects = leader.coordinator.set_members(simulation.names)
             simulation.carry_out_coordinator(leader, effects)
@@ -93,14 +93,14 @@
             self._simulation.carry_out_coordinator(member, member.coordinator.cancel())
 
     def _check_call(self, member: SimulatedMember) -> None:
-        """Check that a member's last call kept the document by which it was taken, and take another one."""
+        """Check that a member's last call kept the policy it was bound to, and begin another call."""
         holder = member.holder
         if holder is None:
             return
         call = f"{member.name}.{member.incarnation}"
         policy = self._call_policies.pop(call, None)
         if policy is not None and holder.policy_of_call(call) != policy:
-            self._simulation.model.violated(f"a call of {member.name} is judged by another epoch")
+            self._simulation.model.violated(f"the policy of an open call of {member.name} changed")
         holder.release_call(call)
         self._call_policies[call] = holder.bind_call(self._simulation.clock_ms(member), call)
         self._simulation.result.calls += 1
--- a/fawnwharf/policy_rollout/model_checker.py
+++ b/fawnwharf/policy_rollout/model_checker.py
@@ -1,13 +1,13 @@
-"""Model checker for a policy rollout: every interleaving, breadth first, to a depth.
+"""Model checker for a policy rollout: searches all interleavings breadth first, up to a depth.
 
-The coordinator and the lease holders are the real ones. There are three members' holders, two members that
-may be the leader, and the consensus log reduced to what it guarantees: a register whose every decision
-stands, and at any moment at most one member that is certain of it (`Voter.holds_read_lease`). A leader
-that was replaced goes on as it was, without that certainty. What it had proposed is decided by the change of
-leader, or lost.
+The model uses the real coordinator and lease holder classes, with the holders of three members and two
+coordinators, either of which may lead. The consensus log is reduced to its guarantees: no decision is ever
+revoked, and at most one coordinator at a time holds the read lease (`Voter.holds_read_lease`). A replaced
+leader continues without the read lease. A register that it had proposed to the log is either decided when the
+leader is replaced, or lost.
 
-Messages may arrive in any order, late, twice or never; holders' answers arrive at once, except for a number
-of them that are late.
+Messages may arrive in any order, late, twice or never. Holders' answers arrive at once, except for a limited
+number of late ones.
 
     python -m fawnwharf.policy_rollout.model_checker [--states N]
 """
@@ -42,22 +42,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What may happen on one path."""
+    """How often each kind of step may happen on one path, and the limits of the search."""
 
     depth: int = 40
     states: int = 20_000
     ticks: int = 4  # of the clock
     proposals: int = 1
     cancellations: int = 0
-    lease_requests: int = 1  # of holders, beyond those that a change brings
-    kills: int = 0  # of holders, which are restarted at once
+    lease_requests: int = 1  # by holders, in addition to the messages that a rollout causes
+    kills: int = 0  # of holders, which restart at once
     leader_changes: int = 0
     duplicates: int = 0
-    late_answers: int = 0  # of holders, that do not arrive at once
+    late_answers: int = 0  # answers of holders that do not arrive at once
 
 
 class ModelChecker:
-    """Searches breadth first, so that a violated invariant comes with a shortest path."""
+    """Searches breadth first, so that a violation is reported with a shortest path to it."""
 
     def __init__(
         self,
@@ -65,13 +65,13 @@
         coordinator_type: type[RolloutCoordinator] = RolloutCoordinator,
         holder_type: type[LeaseHolder] = LeaseHolder,
     ) -> None:
-        """The types may be mutants with a bug on purpose."""
+        """The types may be mutants with a deliberate bug."""
         self.bounds = bounds
         self.coordinator_type = coordinator_type
         self.holder_type = holder_type
 
     def start(self) -> ModelState:
-        """The first state: all three have leases of document 0, granted at this moment."""
+        """The first state: all three members have just been granted leases for document 0."""
         leader = RolloutCoordinator(TIMING, NAMES)
         leader.lead(0.0, 1, "")
         leader.unknown_leases_until_ms = 0.0
@@ -89,20 +89,20 @@
         return ModelState((member,) * len(NAMES), (freeze_coordinator(leader), freeze_coordinator(other)))
 
     def run(self) -> Found:
-        """Search all states within the bounds, or up to the first one that is broken."""
+        """Search all states within the bounds, up to the first violation of an invariant."""
         bounds = self.bounds
         return search(self.start(), self._steps, lambda state: state.broken, bounds.depth, bounds.states)
 
     def _steps(self, state: ModelState) -> Iterator[tuple[str, ModelState]]:
-        """All that may happen next, by a label each, and the states after it."""
+        """All possible next steps: the label of each step and the state after it."""
         yield from self._clock_and_operator_steps(state)
         yield from self._leader_steps(state)
         for index, member in enumerate(state.members):
-            if member not in state.members[:index]:  # else the same as one before it
+            if member not in state.members[:index]:  # an equal member would lead to equal states
                 yield from self._member_steps(state, index)
 
     def _after(self, state: ModelState, step: Step, **change: int) -> ModelState:
-        """The state after a step; `change` gives the counts that it changes."""
+        """The state after a step; `change` sets the counters that the step changes."""
         scenario = Scenario(state, self)
         step(scenario)
         return scenario.frozen(**change)
@@ -125,7 +125,7 @@
         if state.leader_changes >= self.bounds.leader_changes:
             return
         for lost in (True, False) if state.pending else (True,):
-            label = f"another leader; what is proposed is {'lost' if lost else 'decided'}"
+            label = f"the leader is replaced; what it proposed is {'lost' if lost else 'decided'}"
             step = _replace_leader(lost=lost)
             yield label, self._after(state, step, leader_changes=state.leader_changes + 1)
 
@@ -143,7 +143,7 @@
     def _message_steps(
         self, state: ModelState, index: int, in_flight: MessageInFlight
     ) -> Iterator[tuple[str, ModelState]]:
-        """What may happen with a message that is in flight."""
+        """The possible next steps of a message in flight."""
         to_coordinator = in_flight.route.to_coordinator
         what = "reaches the coordinator with" if to_coordinator else "receives"
         label = f"{NAMES[index]} {what}: {in_flight.message}"
@@ -156,7 +156,7 @@
         if state.duplicates < self.bounds.duplicates:
             step = _deliver(index, in_flight, duplicate=True)
             after = self._after(state, step, duplicates=state.duplicates + 1)
-            yield f"{label}, and again later", after
+            yield f"{label}, and a duplicate stays in flight", after
 
 
 # --- steps ------------------------------------------------------------------------------------
@@ -218,7 +218,7 @@
 
 
 def restart_holder(index: int, holder_type: type[LeaseHolder]) -> Step:
-    """The step in which a member is killed and restarted with what its disk has."""
+    """The step in which a member is killed and restarted with the register on its disk."""
 
     def step(scenario: Scenario) -> None:
         incarnation = scenario.holders[index].incarnation + 1
@@ -231,7 +231,10 @@
 
 
 def _deliver(index: int, in_flight: MessageInFlight, *, duplicate: bool = False, late: bool = False) -> Step:
-    """The step in which a message arrives; a duplicate stays in flight, a late answer too."""
+    """The step in which a message arrives.
+
+    With `duplicate` the message also stays in flight; with `late` the answers to it do.
+    """
 
     def step(scenario: Scenario) -> None:
         if not duplicate:
@@ -254,8 +257,8 @@
 
 
 def main() -> int:
-    """Run all searches of `SEARCHES`; the exit status is 1 where one found something broken."""
-    parser = argparse.ArgumentParser(description="Search the states of a change of policy.")
+    """Run all searches of `SEARCHES`; the exit status is 1 if one found a violation."""
+    parser = argparse.ArgumentParser(description="Search the states of a policy rollout.")
     parser.add_argument("--states", type=int, default=100_000)
     states = parser.parse_args().states
     broken = False
--- a/fawnwharf/policy_rollout/rollout_measurement.py
+++ b/fawnwharf/policy_rollout/rollout_measurement.py
@@ -1,8 +1,12 @@
-"""Measures the duration and the messages of a policy rollout in virtual time.
+"""Measures the duration of a policy rollout and the number of its messages in virtual time.
 
-Links take 0.5 to 5 ms, a decision of the log 2 to 20 ms, clocks differ by up to a tenth. `down`: a tenth of
-the members was killed long before; `dies`: at the moment of the proposal; `cut`: a tenth is partitioned at
-the moment of the decision, and has its leases.
+Links take 0.5 to 5 ms, a decision of the log takes 2 to 20 ms, and the rates of clocks differ by up to a
+tenth. The cases are:
+
+- `calm`: no faults.
+- `down`: a tenth of the members was killed long before the proposal.
+- `dies`: a tenth of the members is killed at the moment of the proposal.
+- `cut`: a tenth of the members, with valid leases, is partitioned at the moment of the decision.
 """
 
 from collections import Counter
@@ -16,10 +20,10 @@
 
 SIZES = (12, 30, 200, 1_000)
 CASES: tuple[Case, ...] = ("calm", "down", "dies", "cut")
-LARGEST_REPEATED = 200  # larger fleets are measured with one seed
-LONG_MS = 1e9
+MAX_REPEATED_SIZE = 200  # larger fleets are measured with one seed only
+FOREVER_MS = 1e9
 STEP_MS = 1.0
-NO_STEP_LIMIT = 10**9
+NO_STEP_LIMIT = 10**9  # events
 WARM_UP_MS = 5_000.0
 DOWN_MS = 5_000.0
 QUOTA_RPS = 7
@@ -27,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutDuration:
-    """Milliseconds from the proposal until each step, and the messages beyond those that renew leases.
+    """Milliseconds from the proposal to each step, and the number of messages beyond lease renewals.
 
-    The steps are: decided, in force, and leased by all that can be reached.
+    The steps are: decided, in force, and leased by all reachable members.
     """
 
     decided_ms: float
@@ -39,8 +43,8 @@
 
 
 @dataclass(slots=True)
-class _Marks:
-    """When each step of a rollout was reached; None for not yet."""
+class _StepTimes:
+    """When each step of a rollout was reached; None before that."""
 
     decided_ms: float | None = None
     in_force_ms: float | None = None
@@ -63,59 +67,61 @@
     reachable = [
         member for member in simulation.members.values() if case == "calm" or member.name not in tenth
     ]
-    marks = _run_to_end(simulation, reachable, tenth if case == "cut" else [])
+    times = _run_to_end(simulation, reachable, tenth if case == "cut" else [])
     return RolloutDuration(
-        (marks.decided_ms or 0.0) - began_ms,
-        (marks.in_force_ms or 0.0) - began_ms,
-        (marks.all_ms or 0.0) - began_ms,
+        (times.decided_ms or 0.0) - began_ms,
+        (times.in_force_ms or 0.0) - began_ms,
+        (times.all_ms or 0.0) - began_ms,
         _messages_of_rollout(simulation.result.messages - before),
     )
 
 
 def _messages_of_rollout(sent: Counter[str]) -> int:
-    """The messages beyond those that renew leases."""
+    """The number of messages beyond lease renewals."""
     grants = max(0, sent["LeaseGrant"] - sent["LeaseRequest"])
     return grants + sum(sent[kind] for kind in ("Prepare", "Vote", "Decided", "DocumentAdopted"))
 
 
 def _kill(simulation: Simulation, names: list[str]) -> None:
     for name in names:
-        simulation.kill(name, LONG_MS)
+        simulation.kill(name, FOREVER_MS)
 
 
-def _run_to_end(simulation: Simulation, reachable: list[SimulatedMember], partitioned: list[str]) -> _Marks:
-    """Run until all steps are reached; `partitioned` are cut off at the moment of the decision."""
+def _run_to_end(
+    simulation: Simulation, reachable: list[SimulatedMember], partitioned: list[str]
+) -> _StepTimes:
+    """Run until all steps are reached; the members `partitioned` are cut off when the log has decided."""
     coordinator = simulation.members[simulation.model.leader].coordinator
     stop_ms = simulation.now_ms
-    marks = _Marks()
-    while marks.decided_ms is None or marks.in_force_ms is None or marks.all_ms is None:
+    times = _StepTimes()
+    while times.decided_ms is None or times.in_force_ms is None or times.all_ms is None:
         stop_ms += STEP_MS
         simulation.run(NO_STEP_LIMIT, until_ms=stop_ms)
         now_ms = simulation.now_ms
-        if marks.decided_ms is None and simulation.model.last_number():
-            marks.decided_ms = now_ms
+        if times.decided_ms is None and simulation.model.last_number():
+            times.decided_ms = now_ms
             for name in partitioned:
-                simulation.members[name].partitioned_until_ms = LONG_MS
-        is_decided = marks.decided_ms is not None
-        if marks.in_force_ms is None and is_decided and coordinator is not None and coordinator.is_in_force:
-            marks.in_force_ms = now_ms
-        if marks.all_ms is None and all(_is_leased(simulation, member) for member in reachable):
-            marks.all_ms = now_ms
-    return marks
+                simulation.members[name].partitioned_until_ms = FOREVER_MS
+        is_decided = times.decided_ms is not None
+        if times.in_force_ms is None and is_decided and coordinator is not None and coordinator.is_in_force:
+            times.in_force_ms = now_ms
+        if times.all_ms is None and all(_is_leased(simulation, member) for member in reachable):
+            times.all_ms = now_ms
+    return times
 
 
 def _is_leased(simulation: Simulation, member: SimulatedMember) -> bool:
     """Whether a member has a lease for the first document after the start."""
     granted = member.holder is not None and member.holder.granted_number == 1
-    return granted and simulation.acts(member)
+    return granted and simulation.has_lease(member)
 
 
-def table(sizes: tuple[int, ...] = SIZES, seeds: int = 3) -> str:
-    """The worst of some seeds each, as lines of Markdown."""
+def markdown_table(sizes: tuple[int, ...] = SIZES, seeds: int = 3) -> str:
+    """Measure all sizes and cases; the table has the worst values over the seeds."""
     head = ("members", "case", "decided, ms", "in force, ms", "leased by all, ms", "messages")
     lines = [f"| {' | '.join(head)} |", "| --- " * len(head) + "|"]
     for size in sizes:
-        repeats = seeds if size <= LARGEST_REPEATED else 1
+        repeats = seeds if size <= MAX_REPEATED_SIZE else 1
         lines.extend(_row(size, case, repeats) for case in CASES)
     return "\n".join(lines)
 
--- a/fawnwharf/policy_rollout/scenario.py
+++ b/fawnwharf/policy_rollout/scenario.py
@@ -1,7 +1,11 @@
-"""One state of a policy rollout for the model checker: frozen, so that states compare, or with live cores.
+"""The states of a policy rollout for the model checker.
 
-Clocks differ as much as they may: those of coordinators are fast, those of holders slow, and one tick of the
-clock is a third of a holder's lease. Members are alike, so states that differ only by names are the same.
+`ModelState` is frozen, so that states can be compared and hashed. `Scenario` has the same state with live
+coordinators and lease holders, which can execute one step.
+
+Clocks differ as much as the skew allows: coordinators' clocks are fast and holders' clocks are slow. One tick
+of the model's clock is a third of a holder's lease. Members are interchangeable, so states that differ only
+in the names of members are equal.
 """
 
 from dataclasses import dataclass, replace
@@ -15,8 +19,9 @@
 
 NAMES = ("a", "b", "c")
 TIMING = RolloutTiming(lease_ms=6.0, renew_ms=1.0, prepare_ms=16.0, resend_interval_ms=8.0, skew=1 / 3)
-COORDINATOR_TICK_MS = 4.0  # of a coordinator's clock in one tick
-HOLDER_TICK_MS = 2.0
+COORDINATOR_TICK_MS = 4.0  # how far a coordinator's clock advances in one tick
+HOLDER_TICK_MS = 2.0  # how far a holder's clock advances in one tick
+NEVER_MS = 1e9
 CAPABILITIES = DeploymentCapabilities(frozenset(), frozenset({"t"}), frozenset())
 
 HOLDER_FIELDS = (
@@ -40,23 +45,23 @@
 
 
 class Route(NamedTuple):
-    """The way of a message between a member's holder and a coordinator, given by its index."""
+    """The direction of a message between a member's holder and a coordinator, given by its index."""
 
     coordinator: int
     to_coordinator: bool
 
 
 class MessageInFlight(NamedTuple):
-    """A message that was sent and may arrive at any time."""
+    """A message that was sent and may arrive at any later step."""
 
     route: Route
     message: m.Message
 
 
 class CoordinatorView(NamedTuple):
-    """What a coordinator knows of one member."""
+    """A coordinator's knowledge of one member."""
 
-    agreed: bool
+    agreed: bool  # the member voted for the open proposal
     lease: LeaseRecord | None
     request: ReceivedRequest | None
     informed: bool
@@ -66,11 +71,11 @@
 class MemberState(NamedTuple):
     """One member's part of a frozen state."""
 
-    holder: tuple[Any, ...]  # its `HOLDER_FIELDS`
+    holder: tuple[Any, ...]  # the values of the holder's `HOLDER_FIELDS`
     disk: str
-    min_number: int  # that it has to know once it is ready
-    views: tuple[CoordinatorView, ...]  # of each coordinator
-    in_flight: frozenset[MessageInFlight]  # to and from it
+    min_number: int  # the document number that the member must know at least when it is ready
+    views: tuple[CoordinatorView, ...]  # each coordinator's knowledge of the member
+    in_flight: frozenset[MessageInFlight]  # messages to and from the member
 
 
 class ProposalState(NamedTuple):
@@ -83,9 +88,9 @@
 
 
 class CoordinatorState(NamedTuple):
-    """A coordinator's part of a frozen state, without what it knows of members."""
+    """A coordinator's part of a frozen state, without its knowledge of members."""
 
-    fields: tuple[Any, ...]  # its `COORDINATOR_FIELDS`
+    fields: tuple[Any, ...]  # the values of the coordinator's `COORDINATOR_FIELDS`
     proposal: ProposalState | None
 
 
@@ -93,17 +98,18 @@
 class ModelState:
     """One frozen state.
 
-    A member's part has all that is on its way to or from it, so that members are exchangeable.
+    Messages in flight are part of the state of the member they go to or come from, so that members are
+    interchangeable.
     """
 
     members: tuple[MemberState, ...]
     coordinators: tuple[CoordinatorState, ...]
-    leader: int = 0  # the index of the coordinator that leads for certain
-    log: str = ""
-    pending: str = ""
+    leader: int = 0  # the index of the coordinator that holds the read lease
+    log: str = ""  # the decided register
+    pending: str = ""  # the register that is proposed to the log but not decided
     tick: int = 0
-    decided: tuple[tuple[int, str], ...] = ((0, Document().digest),)  # number, digest
-    opened: tuple[tuple[int, int], ...] = ()  # by term: the number that was begun and not ended
+    decided: tuple[tuple[int, str], ...] = ((0, Document().digest),)  # (number, digest) of each decision
+    opened: tuple[tuple[int, int], ...] = ()  # (term, number) of each open proposal
     proposals: int = 0
     cancellations: int = 0
     lease_requests: int = 0
@@ -115,13 +121,13 @@
 
 
 class Implementations(Protocol):
-    """The classes to be checked: the real ones, or mutants with a bug on purpose."""
+    """The classes to be checked: the real ones, or mutants with a deliberate bug."""
 
     coordinator_type: type[RolloutCoordinator]
     holder_type: type[LeaseHolder]
 
 
-def _thaw_coordinator(types: Implementations, frozen: CoordinatorState) -> RolloutCoordinator:
+def _restore_coordinator(types: Implementations, frozen: CoordinatorState) -> RolloutCoordinator:
     coordinator = types.coordinator_type(TIMING, NAMES)
     for name, value in zip(COORDINATOR_FIELDS, frozen.fields, strict=True):
         setattr(coordinator, name, value)
@@ -131,8 +137,8 @@
     return coordinator
 
 
-def _thaw_view(coordinator: RolloutCoordinator, name: str, view: CoordinatorView) -> None:
-    """Give a coordinator back what it knows of one member."""
+def _restore_view(coordinator: RolloutCoordinator, name: str, view: CoordinatorView) -> None:
+    """Restore a coordinator's knowledge of one member."""
     if view.agreed and coordinator.proposal:
         coordinator.proposal.agreed |= {name}
     if view.lease:
@@ -156,7 +162,7 @@
 
 
 def _view(coordinator: RolloutCoordinator, name: str) -> CoordinatorView:
-    """What a coordinator knows of one member."""
+    """A coordinator's knowledge of one member."""
     return CoordinatorView(
         coordinator.proposal is not None and name in coordinator.proposal.agreed,
         coordinator.leases.get(name),
@@ -167,10 +173,10 @@
 
 
 class Scenario:
-    """One state with live cores, to which one thing happens."""
+    """One state with live coordinators and holders, in which one step is executed."""
 
     def __init__(self, state: ModelState, types: Implementations) -> None:
-        """The cores are made of `types`."""
+        """Create the coordinators and holders, which have the classes in `types`, from a frozen state."""
         self.state = state
         self.broken = ""
         self.tick = state.tick
@@ -178,30 +184,30 @@
         self.disks: list[str] = []
         self.min_numbers: list[int] = []
         self.in_flight: list[set[MessageInFlight]] = []
-        self.coordinators = [_thaw_coordinator(types, frozen) for frozen in state.coordinators]
+        self.coordinators = [_restore_coordinator(types, frozen) for frozen in state.coordinators]
         for name, member in zip(NAMES, state.members, strict=True):
-            self._thaw_member(types, name, member)
+            self._restore_member(types, name, member)
         self.log = state.log
         self.pending = state.pending
         self.leader = state.leader
         self.decided = dict(state.decided)
         self.opened = dict(state.opened)
 
-    def _thaw_member(self, types: Implementations, name: str, member: MemberState) -> None:
-        """Make a member's holder, and what is known of the member, out of its part of a frozen state."""
+    def _restore_member(self, types: Implementations, name: str, member: MemberState) -> None:
+        """Restore a member's holder, its messages and the coordinators' knowledge of it."""
         holder = types.holder_type(CAPABILITIES, TIMING, member.holder[0])
         for field, value in zip(HOLDER_FIELDS, member.holder, strict=True):
             setattr(holder, field, value)
-        holder.next_request_ms = 1e9
+        holder.next_request_ms = NEVER_MS
         self.holders.append(holder)
         self.disks.append(member.disk)
         self.min_numbers.append(member.min_number)
         self.in_flight.append(set(member.in_flight))
         for coordinator, view in zip(self.coordinators, member.views, strict=True):
-            _thaw_view(coordinator, name, view)
+            _restore_view(coordinator, name, view)
 
     def frozen(self, **change: int) -> ModelState:
-        """The state as it is now, for comparing; `change` gives counts of it that changed."""
+        """The present state, frozen; `change` sets counters of it, such as `kills`."""
         members = (self._freeze_member(index, name) for index, name in enumerate(NAMES))
         return replace(
             self.state,
@@ -229,21 +235,23 @@
     # --- invariants -----------------------------------------------------------------------------
 
     def _violation(self) -> str:
-        """The invariant that this state violates; empty where all hold."""
-        acting = set()
+        """The invariant that this state violates; empty if all hold."""
+        leased_numbers = set()
         for index, holder in enumerate(self.holders):
             last = holder.register.last
             if holder.has_lease(self.holder_ms):
-                acting.add(last.number)
+                leased_numbers.add(last.number)
                 if self.decided.get(last.number) != last.digest:
-                    return f"{NAMES[index]} acts by {last.number}, which was not decided so"
+                    return f"{NAMES[index]} applies a document {last.number} that was not decided"
             if holder.ready and last.number < self.min_numbers[index]:
                 number = self.min_numbers[index]
-                return f"{NAMES[index]} came up in {last.number}, and {number} was decided"
-        return f"in force at once: {sorted(acting)}" if len(acting) > 1 else ""
+                return f"{NAMES[index]} is ready with {last.number}, but {number} was decided"
+        if len(leased_numbers) > 1:
+            return f"several documents are leased at once: {sorted(leased_numbers)}"
+        return ""
 
     def _may_matter(self, index: int, in_flight: MessageInFlight) -> bool:
-        """Whether a message could change anything, whenever it arrives."""
+        """Whether a message can still change the state, whenever it arrives."""
         holder = self.holders[index]
         route, message = in_flight
         if route.to_coordinator:
@@ -265,14 +273,14 @@
                 return True
 
     def commit(self) -> None:
-        """Let the log decide what was proposed to it."""
+        """Let the log decide the register that was proposed to it."""
         last = parse_register(self.pending).last
         if self.decided.setdefault(last.number, last.digest) != last.digest:
             self.broken = f"two documents with the number {last.number}"
         self.log = self.pending
         self.pending = ""
 
-    # --- what happens ---------------------------------------------------------------------------
+    # --- parts of a step ------------------------------------------------------------------------
 
     @property
     def coordinator_ms(self) -> float:
@@ -297,35 +305,35 @@
 
     def _propose_to_log(self, index: int, text: str) -> None:
         if index != self.leader:
-            return  # a leader that was replaced gets no majority
+            return  # a replaced leader gets no majority
         if self.pending:
-            self.broken = "two numbers at once put to the vote"
+            self.broken = "two registers are proposed to the log at once"
         number = parse_register(text).last.number
         for name, holder in zip(NAMES, self.holders, strict=True):
-            knows = holder.prepared is not None and holder.prepared.number == number
-            if holder.has_lease(self.holder_ms) and not knows:
-                self.broken = f"{number} is put to the vote, and {name} acts on without knowing of it"
+            is_prepared = holder.prepared is not None and holder.prepared.number == number
+            if holder.has_lease(self.holder_ms) and not is_prepared:
+                self.broken = f"{number} is proposed to the log while {name}, with a lease, lacks it"
         self.pending = text
 
     def _check_sent(self, index: int, term: int, message: m.Message) -> None:
-        """Check a coordinator's message against what was begun and decided."""
+        """Check a coordinator's message against the open proposals and the decisions."""
         match message:
             case m.Prepare():
                 opened = self.opened.setdefault(term, message.number)
                 if opened != message.number:
-                    self.broken = f"two numbers at once: {opened} and {message.number}"
+                    self.broken = f"two open proposals in one term: {opened} and {message.number}"
             case m.Abort():
                 self.opened.pop(term, None)
                 decided = {parse_register(text).last.number for text in (self.pending, self.log) if text}
                 if index == self.leader and message.number in decided:
-                    self.broken = f"{message.number} is ended after its decision"
+                    self.broken = f"{message.number} is aborted after its decision"
             case m.Decided():
                 self.opened.pop(term, None)
 
     def carry_out_holder(self, index: int, effects: list[m.Effect], *, late: bool = True) -> None:
         """Carry out the effects of a holder.
 
-        With `late` its messages stay in flight, else they arrive at once.
+        With `late` its messages stay in flight; otherwise they arrive at once.
         """
         for effect in effects:
             if isinstance(effect, m.StoreRegister):
@@ -353,7 +361,7 @@
 
 
 def _name_of(coordinator: int) -> str:
-    """The name by which a holder answers a coordinator."""
+    """The sender name of a coordinator in messages to holders."""
     return f"s{coordinator}"
 
 
--- a/fawnwharf/policy_rollout/simulation.py
+++ b/fawnwharf/policy_rollout/simulation.py
@@ -1,12 +1,12 @@
-"""Randomized simulation: coordinators and holders in virtual time, with clock skew and faults of every kind.
+"""Randomized simulation: coordinators and holders in virtual time, with clock skew and injected faults.
 
-It reaches further than `model_checker.py`, and has real timers. One seed gives one run. Messages are lost,
-duplicated, reordered and delayed; holders are partitioned, killed, restarted, and paused without noticing;
-leaders change, with what they had proposed decided or lost; the list of members changes.
+Its runs are longer than the paths of `model_checker.py` and use the real timing. A seed determines a run.
+Messages are lost, duplicated, reordered and delayed. Members are partitioned, killed, restarted, and paused
+without notice. Leaders are replaced, and their open proposals are decided or lost. The list of members
+changes.
 
-    python -m fawnwharf.policy_rollout.simulation [--steps N] [--seeds N]   whether an invariant is violated
-    python -m fawnwharf.policy_rollout.simulation --measure                 times and messages of a
-                                                                    change
+    python -m fawnwharf.policy_rollout.simulation [--steps N] [--seeds N]   check the invariants
+    python -m fawnwharf.policy_rollout.simulation --measure                 measure rollouts
 """
 
 import argparse
@@ -29,35 +29,38 @@
 
 CAPABILITIES = DeploymentCapabilities(frozenset({"c"}), frozenset({"t"}), frozenset())
 VOTERS = 3
-HOLDER, COORDINATOR = "holder", "coordinator"  # timers of a member
-MAX_DECISION_MS = 20.0  # that the log takes
+HOLDER, COORDINATOR = "holder", "coordinator"  # the timers of a member
+MAX_DECISION_MS = 20.0  # how long the log takes for a decision
 MIN_DECISION_MS = 2.0
-NOT_LOGGED = 0.02  # part of the proposals to the log that never come into it
-DELAYED_IN_PARTITION = 0.5  # part of the messages in a partition that arrive after it; the others are lost
-DECIDED_BY_NEXT_LEADER = 0.5  # part of the undecided proposals that a change of leader decides
-MAX_CAMPAIGN_MS = 1_500.0  # until another one leads
+NOT_LOGGED_FRACTION = 0.02  # of the proposals to the log
+# Of the messages sent during a partition, the fraction that arrives after it; the others are lost.
+DELAYED_IN_PARTITION_FRACTION = 0.5
+DECIDED_BY_NEXT_LEADER_FRACTION = 0.5  # of the proposals that are open when the leader is replaced
+MAX_CAMPAIGN_MS = 1_500.0  # time until another member leads
 MIN_CAMPAIGN_MS = 100.0
-NOTICES_LOSS = 0.5  # part of the leaders that learn that they lead no more
-MAX_NOTICE_MS = 1_000.0
+CAMPAIGN_RETRY_MS = 50.0  # until another voter campaigns in place of one that is down or paused
+NOTICED_REPLACEMENT_FRACTION = 0.5  # of the replaced leaders that learn of their replacement
+MAX_NOTICE_MS = 1_000.0  # until a replaced leader learns of it
+MIN_TIMER_DELAY_MS = 0.01
 
 
 class ImplementationTypes(NamedTuple):
-    """The classes to be simulated: the real ones, or mutants with a bug on purpose."""
+    """The classes to be simulated: the real ones, or mutants with a deliberate bug."""
 
     coordinator: type[RolloutCoordinator] = RolloutCoordinator
     holder: type[LeaseHolder] = LeaseHolder
 
 
 class ScheduledEvent(NamedTuple):
-    """Something that happens at a time; events of one time happen in the order of scheduling."""
+    """A callback at a time; events with the same time run in the order in which they were scheduled."""
 
     at_ms: float
     order: int
-    happen: Callable[[], None]
+    callback: Callable[[], None]
 
 
 class Simulation:
-    """One fleet, and the reference model, which knows all that was ever decided."""
+    """One simulated fleet, checked against the reference model."""
 
     def __init__(
         self,
@@ -68,7 +71,7 @@
         *,
         checked: bool = True,
     ) -> None:
-        """`size` members, the first three of which vote; without `checked` invariants are not checked."""
+        """`size` members, the first three of which are voters; invariants are checked only if `checked`."""
         self.faults = faults or FaultRates()
         self.types = types or ImplementationTypes()
         self.timing = RolloutTiming()
@@ -77,7 +80,7 @@
         self.now_ms = 0.0
         self.result = SimulationResult()
         self.model = ReferenceModel()
-        self.decided_ms: float | None = None  # while its leader is not disturbed
+        self.decided_ms: float | None = None  # time of the last decision, while its leader is undisturbed
         self._order = itertools.count()
         self._queue: list[ScheduledEvent] = []
         self.names = tuple(f"f{n}" for n in range(size))
@@ -98,49 +101,49 @@
     # --- virtual time ---------------------------------------------------------------------------
 
     def run(self, steps: int, until_ms: float = float("inf")) -> SimulationResult:
-        """Run so many steps, or up to a time, or to the first violated invariant."""
+        """Run up to a number of events, a time or the first violation of an invariant."""
         result = self.result
         while result.steps < steps and not result.broken and self._queue[0].at_ms <= until_ms:
             event = heapq.heappop(self._queue)
             self.now_ms = event.at_ms
             result.steps += 1
-            event.happen()
+            event.callback()
             if self.checked:
                 self._check()
         result.true_ms = self.now_ms
         return result
 
-    def schedule(self, delay_ms: float, happen: Callable[[], None]) -> None:
-        """Let something happen after a delay."""
-        heapq.heappush(self._queue, ScheduledEvent(self.now_ms + delay_ms, next(self._order), happen))
+    def schedule(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Call `callback` after a delay."""
+        heapq.heappush(self._queue, ScheduledEvent(self.now_ms + delay_ms, next(self._order), callback))
 
     def clock_ms(self, member: SimulatedMember) -> float:
-        """The time by a member's own clock."""
+        """The present time by a member's own clock."""
         return self.now_ms * member.clock_rate
 
     def _check(self) -> None:
-        """Check the invariants, and note the first one that is violated with its time."""
+        """Check the invariants, and record the first violation with its time."""
         if not self.model.violation:
-            acting = {member.name for member in self.members.values() if self.acts(member)}
-            self.model.check_members(self.members.values(), acting)
+            lease_members = {member.name for member in self.members.values() if self.has_lease(member)}
+            self.model.check_members(self.members.values(), lease_members)
         if self.model.violation and not self.result.broken:
             self.result.broken = f"{self.model.violation}, at {self.now_ms:.1f} ms"
 
-    def acts(self, member: SimulatedMember) -> bool:
-        """Whether a member acts under a lease at this moment."""
+    def has_lease(self, member: SimulatedMember) -> bool:
+        """Whether a member has a valid lease now."""
         return member.holder is not None and member.holder.has_lease(self.clock_ms(member))
 
     def _set_timer(self, member: SimulatedMember, what: str, due_ms: float | None) -> None:
         if due_ms is None or due_ms == member.timers.get(what):
             return
         member.timers[what] = due_ms
-        delay_ms = max(0.01, due_ms / member.clock_rate - self.now_ms)
+        delay_ms = max(MIN_TIMER_DELAY_MS, due_ms / member.clock_rate - self.now_ms)
         self.schedule(delay_ms, partial(self._timer_due, member.name, what, due_ms))
 
     def _timer_due(self, name: str, what: str, due_ms: float) -> None:
         member = self.members[name]
         if member.timers.get(what) != due_ms:
-            return  # set again since
+            return  # the timer was set again or removed since
         if member.paused_until_ms > self.now_ms:
             delay_ms = member.paused_until_ms - self.now_ms
             self.schedule(delay_ms, partial(self._timer_due, name, what, due_ms))
@@ -181,15 +184,15 @@
         return self.random.choice(list(self.members)[:VOTERS])
 
     def _campaign(self, name: str) -> None:
-        """Let a member lead, unless another one does; one that is down leaves it to another voter."""
+        """Make a voter the leader if there is none; if it is down or paused, another voter campaigns."""
         member = self.members[name]
         model = self.model
         if model.leader:
             return
         if member.holder is None or member.coordinator is None or member.paused_until_ms > self.now_ms:
-            self.schedule(50.0, partial(self._campaign, self._random_voter()))
+            self.schedule(CAMPAIGN_RETRY_MS, partial(self._campaign, self._random_voter()))
             return
-        if model.pending and self.random.random() < DECIDED_BY_NEXT_LEADER:
+        if model.pending and self.random.random() < DECIDED_BY_NEXT_LEADER_FRACTION:
             model.commit()
         model.pending = ""
         model.leader = name
@@ -199,14 +202,14 @@
         self.carry_out_coordinator(member, effects)
 
     def replace_leader(self) -> None:
-        """Let another member lead soon; the present leader learns it later, or never."""
+        """End the leader's term and schedule a campaign; the old leader learns of it later or never."""
         if not self.model.leader:
             return
         self.result.events["leaders"] += 1
         old = self.members[self.model.leader]
         self.model.leader = ""
         self.decided_ms = None
-        if self.random.random() < NOTICES_LOSS and old.coordinator is not None:
+        if self.random.random() < NOTICED_REPLACEMENT_FRACTION and old.coordinator is not None:
             delay_ms = self.random.uniform(0.0, MAX_NOTICE_MS)
             self.schedule(delay_ms, partial(self._step_down, old.coordinator, old.coordinator.term))
         delay_ms = self.random.uniform(MIN_CAMPAIGN_MS, MAX_CAMPAIGN_MS)
@@ -231,11 +234,11 @@
             elif isinstance(effect, m.RolloutLogEvent):
                 self.result.events[effect.event] += 1
                 if effect.event == "in force":
-                    self._note_in_force(member)
+                    self._check_time_to_in_force(member)
         self._set_timer(member, COORDINATOR, member.coordinator.due_ms())
 
-    def _note_in_force(self, member: SimulatedMember) -> None:
-        """Check how long a decision took to come into force, with a leader that was not disturbed."""
+    def _check_time_to_in_force(self, member: SimulatedMember) -> None:
+        """Check how long a decision took to come into force under an undisturbed leader."""
         if self.decided_ms is None:
             return
         took_ms = self.now_ms - self.decided_ms
@@ -249,17 +252,17 @@
         if member.name != model.leader or coordinator.term != model.term:
             return
         model.check_no_pending()
-        if self.faults.lost and self.random.random() < NOT_LOGGED:
+        if self.faults.lost and self.random.random() < NOT_LOGGED_FRACTION:
             self.carry_out_coordinator(member, coordinator.proposal_not_logged())
             return
-        acting = [other for other in self.members.values() if self.acts(other)]
-        model.check_proposed(parse_register(text).last.number, acting)
+        lease_members = [other for other in self.members.values() if self.has_lease(other)]
+        model.check_proposed(parse_register(text).last.number, lease_members)
         model.pending = text
         delay_ms = self.random.uniform(MIN_DECISION_MS, MAX_DECISION_MS)
         self.schedule(delay_ms, partial(self._decide, member.name, model.term, text))
 
     def _decide(self, name: str, term: int, text: str) -> None:
-        """Let the log decide a proposal, unless a change of leader came first."""
+        """Let the log decide a proposal, unless the leader was replaced before."""
         model = self.model
         if model.leader != name or model.term != term or model.pending != text:
             return
@@ -288,7 +291,7 @@
             self._set_timer(member, HOLDER, member.holder.due_ms())
 
     def _send(self, sender: str, to: str, message: m.Message) -> None:
-        """Send a message, by chance never, late or twice."""
+        """Send a message, which may be lost, delayed or duplicated at random."""
         self.result.messages[type(message).__name__] += 1
         rates = self.faults
         for _ in range(1 + (self.random.random() < rates.duplicated)):
@@ -309,7 +312,7 @@
             partitioned_ms = max(member.partitioned_until_ms, other.partitioned_until_ms)
             unreachable_until_ms = max(unreachable_until_ms, partitioned_ms)
         if unreachable_until_ms > self.now_ms:
-            if self.random.random() < DELAYED_IN_PARTITION:
+            if self.random.random() < DELAYED_IN_PARTITION_FRACTION:
                 delay_ms = unreachable_until_ms - self.now_ms + self.random.random()
                 self.schedule(delay_ms, partial(self._arrive, sender, to, message))
             return
@@ -324,7 +327,7 @@
     # --- operators ------------------------------------------------------------------------------
 
     def propose(self, quota_rps: int) -> None:
-        """Let the leader's coordinator propose a change of a quota."""
+        """Propose a document with this quota at the leader's coordinator."""
         member = self.members[self.model.leader]
         if member.coordinator is None:
             return
@@ -334,22 +337,22 @@
 
 
 def main() -> int:
-    """Run the simulations, or measure; the exit status is 1 where an invariant was violated."""
-    parser = argparse.ArgumentParser(description="Simulate random changes of policy.")
+    """Run the simulations or the measurement; the exit status is 1 if an invariant was violated."""
+    parser = argparse.ArgumentParser(description="Simulate policy rollouts with random faults.")
     parser.add_argument("--steps", type=int, default=100_000, help="of each run")
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--measure", action="store_true")
     options = parser.parse_args()
     if options.measure:
-        from fawnwharf.policy_rollout.rollout_measurement import table
+        from fawnwharf.policy_rollout.rollout_measurement import markdown_table
 
-        print(table())
+        print(markdown_table())
         return 0
     return _run_seeds(options.seeds, options.steps)
 
 
 def _run_seeds(seeds: int, steps: int) -> int:
-    """Run one simulation for each seed and print the sums; 1 where an invariant was violated."""
+    """Run one simulation per seed and print the totals; returns 1 if an invariant was violated."""
     any_broken = False
     total = SimulationResult()
     for seed in range(seeds):
--- a/fawnwharf/policy_rollout/simulation_types.py
+++ b/fawnwharf/policy_rollout/simulation_types.py
@@ -1,4 +1,4 @@
-"""Values of the randomized simulation: rates of faults, its result, and the members simulated."""
+"""Types of the randomized simulation: fault rates, the result and the simulated members."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultRates:
-    """Rates of faults and events: chances per message, or per second of true time."""
+    """Rates of faults and events, as fractions of messages or per second of true time."""
 
-    lost: float = 0.05  # messages
-    duplicated: float = 0.05
+    lost: float = 0.05  # fraction of messages
+    duplicated: float = 0.05  # fraction of messages
     min_delay_ms: float = 1.0
     max_delay_ms: float = 30.0
-    late: float = 0.02  # part of the messages that take up to `max_late_ms`
+    late: float = 0.02  # fraction of messages that take up to `max_late_ms`
     max_late_ms: float = 4_000.0
-    partitions: float = 0.2
+    partitions: float = 0.2  # per second, as are the other rates below
     max_partition_ms: float = 5_000.0
     kills: float = 0.2
     max_down_ms: float = 3_000.0
@@ -25,7 +25,7 @@
     max_pause_ms: float = 4_000.0
     leader_changes: float = 0.05
     proposals: float = 1.0
-    cancelled: float = 0.1  # part of the proposals, soon after they were made
+    cancelled: float = 0.1  # fraction of proposals that are cancelled soon after they were made
     member_changes: float = 0.02
 
 
@@ -51,20 +51,20 @@
 
 @dataclass(slots=True)
 class SimulationResult:
-    """The result of a run; `broken` is empty where all invariants held."""
+    """The result of a run; `broken` is empty if all invariants held."""
 
     steps: int = 0
     true_ms: float = 0.0
     messages: Counter[str] = field(default_factory=Counter)  # by type
     events: Counter[str] = field(default_factory=Counter)
     calls: int = 0
-    longest_ms: float = 0.0  # from a decision to in force, with one leader that was not disturbed
+    longest_ms: float = 0.0  # longest time from a decision to in force under an undisturbed leader
     broken: str = ""
 
 
 @dataclass(slots=True)
 class SimulatedMember:
-    """One member: a clock, a holder while it is up, and a coordinator where it may lead."""
+    """One member: its clock, its holder while it is up, and its coordinator if it may lead."""
 
     name: str
     clock_rate: float
@@ -72,7 +72,7 @@
     holder: LeaseHolder | None = None  # None while it is down
     disk: str = ""
     incarnation: int = 0
-    min_number: int = 0  # that it has to know once it is ready
+    min_number: int = 0  # the document number that it must know at least when it is ready
     paused_until_ms: float = 0.0
     partitioned_until_ms: float = 0.0
-    timers: dict[str, float] = field(default_factory=dict)  # by what they are for, by its own clock
+    timers: dict[str, float] = field(default_factory=dict)  # due times by its own clock, by purpose
--- a/tests/policy_rollout/test_policy_rollout_simulation.py
+++ b/tests/policy_rollout/test_policy_rollout_simulation.py
@@ -31,7 +31,7 @@
     return {
         member.holder.register.last.number
         for member in simulation.members.values()
-        if simulation.acts(member)
+        if simulation.has_lease(member)
     }
 
 
@@ -47,7 +47,7 @@
     simulation.propose(5)
     runs(simulation, 100)
     assert acting(simulation) == {1}
-    assert sum(simulation.acts(n) for n in simulation.members.values()) == 6
+    assert sum(simulation.has_lease(n) for n in simulation.members.values()) == 6
     assert {n.holder.policy_at(simulation.now_ms * n.clock_rate).document.value("tenants", "t", "quota_rps")
             for n in simulation.members.values()} == {5.0}  # fmt: skip
     simulation.propose(9)  # and back by another change
@@ -74,7 +74,7 @@
     assert acting(simulation) == {1}
     runs(simulation, 6_000)
     assert acting(simulation) == {1}
-    assert all(simulation.acts(n) for n in simulation.members.values())
+    assert all(simulation.has_lease(n) for n in simulation.members.values())
 
 
 def test_a_partitioned_member_uses_the_stricter_policy_and_the_next_one_waits_for_its_lease():
@@ -86,10 +86,10 @@
     cut.partitioned_until_ms = simulation.now_ms + 60_000.0
     runs(simulation, 1_000)
     assert acting(simulation) == {0}
-    assert simulation.acts(cut)
+    assert simulation.has_lease(cut)
     runs(simulation, 2_000)
     assert acting(simulation) == {1}
-    assert not simulation.acts(cut)
+    assert not simulation.has_lease(cut)
     assert (
         cut.holder.policy_at(simulation.now_ms * cut.clock_rate).basis == "strict"
     )  # it was asked, and heard no more
